--- /dev/null
+++ b/internal/keystore/pinned_test.go
@@ -0,0 +1,295 @@
+package keystore
+
+import (
+	"context"
+	"encoding/binary"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash/crc32"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/test/pinned"
+)
+
+const (
+	pinnedAddress  = "10.0.0.1:7000"
+	pinnedRingSize = 4 << 10
+	pinnedFolder   = "testdata/member"
+	damagedFolder  = "testdata/damaged"
+	pinnedSlots    = "testdata/member_slots.json"
+	pinnedRevision = 30
+)
+
+var pinnedMembers = Members{Number: 1, Present: []string{pinnedAddress, "10.0.1.1:7000", "10.0.2.1:7000"}}
+
+func pinnedBallot(round uint64) Ballot {
+	return Ballot{Round: round, Member: "10.0.1.1:7000", Life: 0xfeedbeef}
+}
+
+// runMember opens the journal in a folder and runs a member on it until the test's part is done.
+func runMember(t *testing.T, path string, founding bool, use func(acceptor *Acceptor)) {
+	t.Helper()
+	journal := openPinned(t, path)
+	if founding {
+		assert.NilError(t, journal.Append(FreshSlots(pinnedMembers, 11)))
+	}
+	rules := Rules{Lease: testLease, Clock: func() time.Time { return testNow }, Seeds: pinnedMembers.Present}
+	acceptor := NewAcceptor(pinnedAddress, journal, rules, founding)
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		acceptor.Run(ctx, journal)
+	}()
+	use(acceptor)
+	cancel()
+	<-ended
+}
+
+func openPinned(t *testing.T, path string) *Journal {
+	t.Helper()
+	folder, err := NewFolder(path)
+	assert.NilError(t, err)
+	journal, err := OpenJournal(folder, RingFiles, pinnedRingSize)
+	assert.NilError(t, err)
+	return journal
+}
+
+// put has the acceptor promise and accept a value.
+func put(t *testing.T, acceptor *Acceptor, key string, round uint64, value string) {
+	t.Helper()
+	message := Message{Operation: OperationPromise, Sender: "10.0.1.1:7000", Key: key, Ballot: pinnedBallot(round), Members: acceptor.Members()}
+	for _, operation := range []Operation{OperationPromise, OperationAccept} {
+		message.Operation = operation
+		if operation == OperationAccept {
+			message.Sequence, message.Value = round, json.RawMessage(value)
+		}
+		reply, err := acceptor.Call(t.Context(), message)
+		assert.NilError(t, err)
+		assert.Assert(t, reply.Granted, "%s: %s", key, reply.Refusal)
+	}
+}
+
+// writePinned writes the data folder of the fixture: every kind of record, and enough of them that each ring file is
+// written over at least once.
+func writePinned(t *testing.T, path string) {
+	t.Helper()
+	runMember(t, path, true, func(acceptor *Acceptor) {
+		put(t, acceptor, LeasePrefix+"placement", 1,
+			`{"holder":"control-1","address":"10.0.0.1:7000","fence":7,"reserved":{"loads":3,"aged":[{"loads":1,"ageMs":250}]},"settling":true}`)
+		put(t, acceptor, ZonePrefix+"north", 2, `{"number":4,"drained":true}`)
+		put(t, acceptor, RetentionKey, 3, `{"number":2,"lifeMs":90000}`)
+		put(t, acceptor, ForgetKey, 4, `{"number":5,"items":[{"number":5,"scope":{"model":"m"},"edges":["edge-1"],"counted":true}]}`)
+		put(t, acceptor, DrillKey, 5, `{"number":1}`)
+		caughtUp, err := acceptor.Call(t.Context(), Message{
+			Operation: OperationCatchUp, Sender: "10.0.2.1:7000", Incarnation: 22, Members: pinnedMembers,
+		})
+		assert.NilError(t, err)
+		assert.Assert(t, caughtUp.Granted)
+		assert.NilError(t, acceptor.CompleteFounding(t.Context()))
+		joint := Members{Number: 2, Present: pinnedMembers.Present, Next: []string{pinnedAddress, "10.0.1.1:7000", "10.0.3.1:7000"}}
+		assert.NilError(t, acceptor.Hear(t.Context(), joint))
+		put(t, acceptor, MembersKey, 6, `{"number":3,"present":["10.0.0.1:7000","10.0.1.1:7000","10.0.3.1:7000"]}`)
+		for revision := uint64(1); revision <= pinnedRevision; revision++ {
+			put(t, acceptor, ConfigurationKey, 10+revision, fmt.Sprintf(`{"revision":%d,"packed":"%s","taken":{"entries":"AAECAwQFBgcI"}}`,
+				revision, strings.Repeat("cGFja2Vk", 20)))
+		}
+	})
+}
+
+// writeDamaged writes a data folder whose ring lost a file, and was given up at the next start.
+func writeDamaged(t *testing.T, path string) {
+	t.Helper()
+	assert.NilError(t, openPinned(t, path).Append(FreshSlots(pinnedMembers, 11)))
+	assert.NilError(t, openPinned(t, path).Append([]Slot{{Key: ConfigurationKey, Sequence: 1}}))
+	assert.NilError(t, os.Remove(filepath.Join(path, "ring-1")))
+	assert.Equal(t, openPinned(t, path).Damage().Reason, DamageFileMissing)
+}
+
+// makeFixture writes a fixture that is to be updated and isn't there: delete the folder to have it written anew.
+func makeFixture(t *testing.T, path string, write func(t *testing.T, path string)) {
+	t.Helper()
+	if _, err := os.Stat(path); pinned.Updating() && os.IsNotExist(err) {
+		write(t, path)
+	}
+}
+
+func copyOf(t *testing.T, path string) string {
+	t.Helper()
+	copied := filepath.Join(t.TempDir(), "copy")
+	assert.NilError(t, os.CopyFS(copied, os.DirFS(path)))
+	return copied
+}
+
+// unsalted returns the records of a ring file with the random half of each one's index set to zero, and its checksum to
+// fit: two writings of the same records then are the same bytes. What follows the records, the remains of an earlier
+// generation or zeros, is left out; a file that begins with no record is returned as it is. The function knows the file
+// format by itself, so that a change of it in the code is seen.
+func unsalted(t *testing.T, content []byte) []byte {
+	t.Helper()
+	result := append([]byte(nil), content...)
+	used := 0
+	for rest := result; len(rest) > 25 && rest[0] == 0; rest = result[used:] {
+		length := 25 + int(binary.BigEndian.Uint32(rest))
+		if length == 25 || length > len(rest) {
+			break
+		}
+		record := rest[:length]
+		if binary.BigEndian.Uint32(record[4:]) != crc32.ChecksumIEEE(record[8:]) {
+			break
+		}
+		binary.BigEndian.PutUint32(record[16:], 0)
+		binary.BigEndian.PutUint32(record[4:], crc32.ChecksumIEEE(record[8:]))
+		used += length
+	}
+	if used == 0 {
+		return result
+	}
+	return result[:used]
+}
+
+func TestOpenJournal_ReadsADataFolderOfAnEarlierVersion(t *testing.T) {
+	makeFixture(t, pinnedFolder, writePinned)
+	t.Run("its state", func(t *testing.T) {
+		journal := openPinned(t, copyOf(t, pinnedFolder))
+		assert.Assert(t, journal.Damage() == nil)
+		assert.Assert(t, journal.Generation() > RingFiles, "the fixture must have written over each file")
+		pinned.CheckJSON(t, pinnedSlots, journal.State())
+	})
+	t.Run("its inspection", func(t *testing.T) {
+		inspection, err := Inspect(pinnedFolder)
+		assert.NilError(t, err)
+		pinned.CheckJSON(t, "testdata/member_inspection.json", inspection)
+	})
+	t.Run("a damaged ring", func(t *testing.T) {
+		makeFixture(t, damagedFolder, writeDamaged)
+		inspection, err := Inspect(damagedFolder)
+		assert.NilError(t, err)
+		pinned.CheckJSON(t, "testdata/damaged_inspection.json", inspection)
+		assert.Equal(t, openPinned(t, copyOf(t, damagedFolder)).Damage().Reason, DamageGivenUp)
+	})
+}
+
+func TestAcceptor_GoesOnFromADataFolderOfAnEarlierVersion(t *testing.T) {
+	makeFixture(t, pinnedFolder, writePinned)
+	path := copyOf(t, pinnedFolder)
+	before := openPinned(t, path).State()
+	generation := openPinned(t, path).Generation()
+	runMember(t, path, false, func(acceptor *Acceptor) {
+		assert.DeepEqual(t, acceptor.Self(), Self{Incarnation: 11, Voting: true, Number: 1, Completed: true})
+		assert.Equal(t, acceptor.Members().Number, uint64(2))
+		late := Message{Operation: OperationPromise, Key: ConfigurationKey, Ballot: pinnedBallot(10 + pinnedRevision), Members: acceptor.Members()}
+		refused, err := acceptor.Call(t.Context(), late)
+		assert.NilError(t, err)
+		assert.Equal(t, refused.Refusal, RefusedPromised)
+		wiped := Message{
+			Operation: OperationAccept, Key: ConfigurationKey, Ballot: pinnedBallot(99), Sequence: 1, Members: acceptor.Members(),
+			Incarnations: map[string]uint64{"10.0.2.1:7000": 21},
+		}
+		refused, err = acceptor.Call(t.Context(), wiped)
+		assert.NilError(t, err)
+		assert.Equal(t, refused.Refusal, RefusedWiped)
+		put(t, acceptor, ConfigurationKey, 100, `{"revision":31}`)
+		put(t, acceptor, ZonePrefix+"south", 101, `{"number":1,"drained":false}`)
+	})
+	again := openPinned(t, path)
+	assert.Assert(t, again.Damage() == nil)
+	assert.Assert(t, again.Generation() > generation)
+	after := again.State()
+	assert.Equal(t, string(after[ConfigurationKey].Value), `{"revision":31}`)
+	assert.Equal(t, after[ZonePrefix+"south"].Ballot, pinnedBallot(101))
+	before[ConfigurationKey], before[ZonePrefix+"south"] = after[ConfigurationKey], after[ZonePrefix+"south"]
+	assert.DeepEqual(t, after, before)
+}
+
+func TestJournal_WritesTheSameBytesAsTheEarlierVersion(t *testing.T) {
+	makeFixture(t, pinnedFolder, writePinned)
+	makeFixture(t, damagedFolder, writeDamaged)
+	for fixture, write := range map[string]func(t *testing.T, path string){pinnedFolder: writePinned, damagedFolder: writeDamaged} {
+		t.Run(fixture, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "fresh")
+			write(t, path)
+			names, err := os.ReadDir(path)
+			assert.NilError(t, err)
+			assert.Equal(t, len(names), RingFiles)
+			for position := range RingFiles {
+				name := fmt.Sprintf("ring-%d", position)
+				earlier, err := os.ReadFile(filepath.Join(fixture, name))
+				assert.NilError(t, err)
+				present, err := os.ReadFile(filepath.Join(path, name))
+				assert.NilError(t, err)
+				assert.Assert(t, string(unsalted(t, earlier)) == string(unsalted(t, present)), "%s:\n%q\n%q", name, earlier, present)
+			}
+		})
+	}
+}
+
+func TestEncodeRecord_WritesFixedBytes(t *testing.T) {
+	slot := Slot{Key: "layout", Promised: pinnedBallot(9), Ballot: pinnedBallot(8), Sequence: 7, Value: json.RawMessage(`{"a":1}`)}
+	var lines strings.Builder
+	add := func(label string, kind recordKind, payload any) {
+		content, err := encodeRecord(0x0102030405060708, 0x1112131415161718, kind, payload)
+		assert.NilError(t, err)
+		fmt.Fprintf(&lines, "%s %s\n", label, hex.EncodeToString(content))
+	}
+	add("slot", recordSlot, slot)
+	add("begin", recordBegin, beginPayload{Base: 5})
+	add("end", recordEnd, struct{}{})
+	add("damage", recordDamage, damagePayload{Base: 6, Reason: DamageFileBlank})
+	mark, err := encodeMark(damagePayload{Base: 6, Reason: DamageFileBlank})
+	assert.NilError(t, err)
+	fmt.Fprintf(&lines, "mark %s\nstamp %s\n", hex.EncodeToString(mark), hex.EncodeToString(stamp))
+	pinned.CheckFile(t, "testdata/records.txt", []byte(lines.String()))
+}
+
+func TestMessage_JSONStaysTheSame(t *testing.T) {
+	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
+		"question to a member":  new(Message),
+		"answer of a member":    new(Reply),
+		"slot":                  new(Slot),
+		"member list":           new(Members),
+		"ballot":                new(Ballot),
+		"note of itself":        new(Self),
+		"begin of a generation": new(beginPayload),
+		"damage mark":           new(damagePayload),
+		"damage":                new(Damage),
+		"inspection":            new(Inspection),
+		"inspected file":        new(FileInspection),
+		"inspected slot":        new(SlotInspection),
+	})
+}
+
+func TestBallot_ReadsTheNumberOfFormerVersions(t *testing.T) {
+	var ballot Ballot
+	assert.NilError(t, json.Unmarshal([]byte(`12884901893`), &ballot))
+	assert.Equal(t, ballot, Ballot{Round: 3, Life: 5})
+	assert.NilError(t, json.Unmarshal([]byte(`"3.ff.10.0.0.1:7000"`), &ballot))
+	assert.Equal(t, ballot, Ballot{Round: 3, Life: 255, Member: "10.0.0.1:7000"})
+}
+
+func TestSlot_KeysAndWordsStayTheSame(t *testing.T) {
+	pinned.CheckJSON(t, "testdata/words.json", map[string]any{
+		"operations": []Operation{
+			OperationPromise, OperationAccept, OperationRenew, OperationRelease, OperationDigest, OperationFetch, OperationCatchUp,
+		},
+		"refusals": []Refusal{
+			RefusedNotVoting, RefusedOlderMembers, RefusedPromised, RefusedLeaseRuns, RefusedWiped, RefusedNothingThere,
+			RefusedUnknown, RefusedDisk, RefusedDiskQueueFull, RefusedMovedOn, RefusedUnreached,
+		},
+		"keys": []string{
+			LeasePrefix, MembersKey, ConfigurationKey, ZonePrefix, RetentionKey, ForgetKey, DrillKey, reservedPrefix, selfKey, membersKey, knownPrefix,
+		},
+		"damage": []DamageReason{
+			DamageFileMissing, DamageFileBlank, DamageGenerationMissing, DamageMisplaced, DamageUndecodable, DamageGivenUp,
+		},
+		"file states": []FileState{FileMissing, FileBlank, FileReady, FileWhole, FileTorn, FileUnreadable, FileDamaged},
+		"ring files":  RingFiles,
+	})
+}
--- /dev/null
+++ b/internal/record/pinned_test.go
@@ -0,0 +1,54 @@
+package record
+
+import (
+	"bytes"
+	"os"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/platform"
+	"ferryspar/internal/test/pinned"
+)
+
+const pinnedRecord = "testdata/record.jsonl"
+
+// pinnedEntries are entries of all kinds with every field that belongs to them.
+func pinnedEntries() []Entry {
+	return []Entry{
+		{Kind: KindConfiguration, AtMs: 0.5, Packed: []byte{1, 2, 253, 254}},
+		{
+			Kind: KindFleet, AtMs: 1.25, Edges: 2, Zone: "north", Drained: []string{"south"},
+			Replicas: []platform.Replica{{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: []platform.Held{{Name: "m"}}}},
+		},
+		{
+			Kind: KindRequest, AtMs: 100, Attempt: "attempt-1", Route: "quick", Backend: "s", Model: "m", Tenant: "shop",
+			Prefix: "aa:800,1:200", Prompt: 1000, Output: 60, LeftMs: 15000, WaitedMs: 12.5, FirstMs: 80, TookMs: 900, Error: "broke off",
+		},
+		{Kind: KindRequest, AtMs: 140, Route: "quick", Backend: "s"},
+	}
+}
+
+func TestWriter_WritesTheSameLinesAsTheEarlierVersion(t *testing.T) {
+	var written bytes.Buffer
+	writer := NewWriter(&written, 1<<20, time.Now)
+	for _, entry := range pinnedEntries() {
+		writer.Write(entry)
+	}
+	pinned.CheckFile(t, pinnedRecord, written.Bytes())
+}
+
+func TestRead_ReadsARecordOfAnEarlierVersion(t *testing.T) {
+	file, err := os.Open(pinnedRecord)
+	assert.NilError(t, err)
+	defer file.Close()
+	entries, damages, err := Read(file)
+	assert.NilError(t, err)
+	assert.Equal(t, len(damages), 0)
+	assert.DeepEqual(t, entries, pinnedEntries())
+}
+
+func TestEntry_JSONStaysTheSame(t *testing.T) {
+	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{"entry": new(Entry)})
+}
--- /dev/null
+++ b/internal/replay/pinned_test.go
@@ -0,0 +1,39 @@
+package replay
+
+import (
+	"bytes"
+	"os"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/match"
+	"ferryspar/internal/record"
+	"ferryspar/internal/test/pinned"
+)
+
+// pinnedDay is a record with all kinds of entries, as an earlier version wrote it.
+const pinnedDay = "testdata/day.jsonl"
+
+func TestEngine_PlaysARecordOfAnEarlierVersion(t *testing.T) {
+	if _, err := os.Stat(pinnedDay); pinned.Updating() && os.IsNotExist(err) {
+		pinned.CheckFile(t, pinnedDay, day(t, 20, "m").Bytes())
+	}
+	file, err := os.Open(pinnedDay)
+	assert.NilError(t, err)
+	defer file.Close()
+	entries, damages, err := record.Read(file)
+	assert.NilError(t, err)
+	assert.Equal(t, len(damages), 0)
+	assert.Equal(t, len(entries), 22)
+	engine := NewEngine(match.DefaultParameters(), "north", DefaultModel())
+	assert.NilError(t, engine.Play(entries))
+	var printed bytes.Buffer
+	engine.Summary.Print(&printed)
+	pinned.CheckFile(t, "testdata/summary.txt", printed.Bytes())
+	pinned.CheckJSON(t, "testdata/summary.json", engine.Summary.Routes())
+}
+
+func TestRouteSummary_JSONStaysTheSame(t *testing.T) {
+	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{"summary of a route": new(RouteSummary)})
+}
