--- /dev/null
+++ b/internal/drill/pinned_test.go
@@ -0,0 +1,53 @@
+package drill
+
+import (
+	"testing"
+
+	"ferryspar/internal/test/pinned"
+)
+
+func TestMessages_JSONStaysTheSame(t *testing.T) {
+	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
+		"question":                     new(Question),
+		"counts":                       new(Counts),
+		"route at a data plane":        new(EdgeRoute),
+		"cached tokens":                new(CachedTokens),
+		"load of a replica":            new(ReplicaLoad),
+		"requests in flight":           new(InFlight),
+		"answer":                       new(Answer),
+		"route of a forecast":          new(Route),
+		"lost model":                   new(LostModel),
+		"estimate of load":             new(LoadEstimate),
+		"forecast of replicas":         new(ReplicaForecast),
+		"step of placement":            new(PlacementStep),
+		"plan":                         new(Plan),
+		"control plane of a forecast":  new(Control),
+		"forecast":                     new(Forecast),
+		"quantiles":                    new(Quantiles),
+		"stored drill":                 new(Record),
+		"notice":                       new(Notice),
+		"status":                       new(Status),
+		"request":                      new(Request),
+		"scope":                        new(Scope),
+		"tally":                        new(Tally),
+		"tally of a route at one edge": new(EdgeRouteTally),
+		"report":                       new(Report),
+		"tally of a route":             new(RouteTally),
+	})
+}
+
+func TestRecord_WordsStayTheSame(t *testing.T) {
+	pinned.CheckJSON(t, "testdata/words.json", map[string][]string{
+		"kinds of requests": {KindForecast, KindDrill},
+		"ends":              {EndedByTime, EndedByOperator, EndedWithoutContact, EndedByEvacuation, EndedWithoutRenewal},
+		"data planes":       {EdgeFollows, EdgeSilent},
+	})
+}
+
+func TestEncodeHistogram_TextStaysTheSame(t *testing.T) {
+	histogram := NewHistogram()
+	for _, latency := range []float64{3, 80, 80, 1234} {
+		RecordLatency(histogram, latency)
+	}
+	pinned.CheckFile(t, "testdata/histogram.txt", []byte(EncodeHistogram(histogram)+"\n"))
+}
