--- /dev/null
+++ b/internal/apierror/pinned_test.go
@@ -0,0 +1,93 @@
+package apierror
+
+import (
+	"errors"
+	"fmt"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/test/pinned"
+)
+
+// labelled names every kind, in the order of their numbers.
+var labelled = []struct {
+	label string
+	kind  Kind
+}{
+	{"internal", Internal},
+	{"malformed request", MalformedRequest},
+	{"missing attempt", MissingAttempt},
+	{"unknown route", UnknownRoute},
+	{"unknown path", UnknownPath},
+	{"wrong method", WrongMethod},
+	{"slow request", SlowRequest},
+	{"large body", LargeBody},
+	{"large head", LargeHead},
+	{"invalid configuration", InvalidConfiguration},
+	{"stale configuration", StaleConfiguration},
+	{"uncertain write", UncertainWrite},
+	{"no majority", NoMajority},
+	{"unknown zone", UnknownZone},
+	{"forgotten call", ForgottenCall},
+	{"late call", LateCall},
+	{"overloaded", Overloaded},
+	{"unplaced", Unplaced},
+	{"not executed", NotExecuted},
+	{"replica failed", ReplicaFailed},
+	{"replica silent", ReplicaSilent},
+	{"leaving", Leaving},
+	{"no configuration", NoConfiguration},
+	{"invalid retention", InvalidRetention},
+	{"invalid rehearsal", InvalidRehearsal},
+	{"unknown region", UnknownRegion},
+	{"rehearsal under way", RehearsalUnderWay},
+	{"unknown key", UnknownKey},
+	{"tenant limit", TenantLimit},
+	{"dated configuration", DatedConfiguration},
+	{"dated keys", DatedKeys},
+	{"quota unknown", QuotaUnknown},
+}
+
+// written is an answer as it goes out.
+type written struct {
+	Status     int               `json:"status"`
+	Body       string            `json:"body"`
+	Headers    map[string]string `json:"headers"`
+	NeverRan   bool              `json:"neverRan"`
+	Detailed   string            `json:"detailed"`
+	LateAnswer string            `json:"retryAfter"`
+}
+
+func writtenOf(kind Kind) written {
+	plain, detailed, later := httptest.NewRecorder(), httptest.NewRecorder(), httptest.NewRecorder()
+	plain.Header().Set("Ferryspar-Server-Seal", "seal")
+	Write(plain, New(kind, ""))
+	Write(detailed, New(kind, "%s", "detail"))
+	Write(later, Later(kind, 1500*time.Millisecond))
+	headers := map[string]string{}
+	for name := range plain.Header() {
+		headers[name] = plain.Header().Get(name)
+	}
+	return written{plain.Code, plain.Body.String(), headers, kind.NeverRan(), detailed.Body.String(), later.Header().Get("Retry-After")}
+}
+
+func TestWrite_AnswersStayTheSame(t *testing.T) {
+	assert.Equal(t, len(labelled), len(answers), "a kind is missing here")
+	told := map[string]written{}
+	for position, one := range labelled {
+		assert.Equal(t, int(one.kind), position, one.label)
+		told[fmt.Sprintf("%02d %s", position, one.label)] = writtenOf(one.kind)
+	}
+	assert.Equal(t, len(told), len(answers))
+	pinned.CheckJSON(t, "testdata/answers.json", told)
+}
+
+func TestWrite_AnyOtherErrorIsInternal(t *testing.T) {
+	recorder := httptest.NewRecorder()
+	Write(recorder, errors.New("something else"))
+	assert.Equal(t, recorder.Code, 500)
+	assert.Equal(t, recorder.Body.String(), `{"error":"internal fault: something else"}`)
+}
--- a/internal/controlplane/pinned_test.go
+++ b/internal/controlplane/pinned_test.go
@@ -1,8 +1,12 @@
 package controlplane
 
 import (
+	"net/http"
 	"testing"
 
+	"github.com/go-chi/chi/v5"
+	"gotest.tools/v3/assert"
+
 	"ferryspar/internal/test/pinned"
 )
 
@@ -12,3 +16,15 @@
 		"answer to a greeting":            new(greeted),
 	})
 }
+
+func TestDaemon_PathsForPeersStayTheSame(t *testing.T) {
+	var paths []string
+	router, routed := (&Daemon{}).peerRoutes().(chi.Routes)
+	assert.Assert(t, routed)
+	walked := chi.Walk(router, func(method, path string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
+		paths = append(paths, method+" "+path)
+		return nil
+	})
+	assert.NilError(t, walked)
+	pinned.CheckJSON(t, "testdata/peer_paths.json", paths)
+}
--- /dev/null
+++ b/internal/launch/pinned_test.go
@@ -0,0 +1,47 @@
+package launch
+
+import (
+	"reflect"
+	"testing"
+
+	"github.com/jessevdk/go-flags"
+	"github.com/pkg/errors"
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/test/pinned"
+)
+
+// statusError is an error that names its own exit status.
+type statusError struct{ error }
+
+func (statusError) ExitStatus() int { return 7 }
+
+func TestExit_StatusesStayTheSame(t *testing.T) {
+	assert.DeepEqual(t, []int{ExitSuccess, ExitFailed, ExitUsage, ExitSettings}, []int{0, 1, 2, 3})
+	cases := map[string]struct {
+		err    error
+		status int
+	}{
+		"no error":                 {nil, 0},
+		"help was asked for":       {&flags.Error{Type: flags.ErrHelp, Message: "help"}, 0},
+		"any error":                {errors.New("failed"), 1},
+		"an unknown option":        {&flags.Error{Type: flags.ErrUnknownFlag}, 2},
+		"a wrong call":             {NewUsageError(errors.New("wrong")), 2},
+		"an error with its status": {errors.Wrap(statusError{errors.New("own")}, "wrapped"), 7},
+	}
+	for name, one := range cases {
+		t.Run(name, func(t *testing.T) {
+			assert.Equal(t, Exit("program", one.err), one.status)
+		})
+	}
+}
+
+func TestMain_OptionsStayTheSame(t *testing.T) {
+	var names []string
+	part := reflect.TypeFor[options]()
+	for position := range part.NumField() {
+		tag := part.Field(position).Tag
+		names = append(names, tag.Get("short")+" "+tag.Get("long")+" "+tag.Get("default"))
+	}
+	pinned.CheckJSON(t, "testdata/options.json", names)
+}
--- /dev/null
+++ b/internal/query/pinned_test.go
@@ -0,0 +1,38 @@
+package query
+
+import (
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/configuration"
+	"ferryspar/internal/operator"
+	"ferryspar/internal/test/pinned"
+)
+
+// tableText is a table by its stable names.
+type tableText struct {
+	Table   string   `json:"table"`
+	Columns []string `json:"columns"`
+	Rows    [][]any  `json:"rows"`
+}
+
+func TestTables_NamesAndColumnsStayTheSame(t *testing.T) {
+	var fleet operator.Fleet
+	var current configuration.Configuration
+	pinned.Fill(&fleet)
+	pinned.Fill(&current)
+	var told []tableText
+	for _, table := range Tables(fleet, current) {
+		told = append(told, tableText{table.Name, table.Columns, table.Rows})
+	}
+	pinned.CheckJSON(t, "testdata/tables.json", told)
+}
+
+func TestResult_JSONStaysTheSame(t *testing.T) {
+	var written strings.Builder
+	result := Result{Columns: []string{"a", "b"}, Rows: [][]any{{1, "x"}, {nil, 2.5}}, Cut: true}
+	assert.NilError(t, result.JSON(&written))
+	assert.Equal(t, written.String(), `{"cut":true,"rows":[{"a":1,"b":"x"},{"a":null,"b":2.5}]}`+"\n")
+}
