--- a/cmd/ferryspar-control-plane/main.go
+++ b/cmd/ferryspar-control-plane/main.go
@@ -19,7 +19,7 @@
 		Name: "ferryspar-control-plane", Serves: "control",
 		Short: "knows the replicas and daemons, keeps the configuration and delivers it",
 		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
-			folder, err := keystore.NewFolder(settings.DataDir)
+			folder, err := keystore.NewDirectory(settings.DataDir)
 			if err != nil {
 				return err
 			}
--- a/cmd/ferryspar-explore/main.go
+++ b/cmd/ferryspar-explore/main.go
@@ -59,15 +59,15 @@
 		}
 		return launch.ExitSuccess
 	}
-	scenarios := choose(chosen.Scenario)
+	scenarios := selectScenarios(chosen.Scenario)
 	if len(scenarios) == 0 {
 		fmt.Fprintf(os.Stderr, "ferryspar-explore: no scenario %q, see --list\n", chosen.Scenario)
 		return launch.ExitUsage
 	}
-	return walk(chosen, scenarios)
+	return searchAll(chosen, scenarios)
 }
 
-func choose(name string) []explore.Scenario {
+func selectScenarios(name string) []explore.Scenario {
 	switch name {
 	case "all":
 		return explore.Scenarios()
@@ -82,15 +82,15 @@
 	return nil
 }
 
-// walk goes through the scenarios; the status is that of the worst of them.
-func walk(chosen options, scenarios []explore.Scenario) int {
+// searchAll goes through the scenarios; the status is that of the worst of them.
+func searchAll(chosen options, scenarios []explore.Scenario) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	violated, stopped := false, false
-	limits := explore.Limits{Depth: chosen.Depth, States: chosen.States, For: chosen.For, Progress: tell}
+	limits := explore.Limits{Depth: chosen.Depth, States: chosen.States, For: chosen.For, Progress: printProgress}
 	for _, scenario := range scenarios {
-		report := explore.Search(ctx, scenario, explore.Product(), limits)
-		show(report, chosen.JSON)
+		report := explore.Search(ctx, scenario, explore.ProductRules(), limits)
+		printReport(report, chosen.JSON)
 		violated = violated || report.Violation != ""
 		stopped = stopped || !report.Exhausted
 	}
@@ -103,7 +103,7 @@
 	return launch.ExitSuccess
 }
 
-func show(report explore.Report, asJSON bool) {
+func printReport(report explore.Report, asJSON bool) {
 	if !asJSON {
 		fmt.Println(report)
 		return
@@ -112,7 +112,7 @@
 	fmt.Println(string(line))
 }
 
-func tell(report explore.Report) {
+func printProgress(report explore.Report) {
 	line, _, _ := strings.Cut(report.String(), "\n")
 	fmt.Fprintln(os.Stderr, line)
 }
--- a/cmd/ferryspar-operator/commands.go
+++ b/cmd/ferryspar-operator/commands.go
@@ -146,11 +146,11 @@
 	if err := json.Unmarshal(content, &policy); err != nil {
 		return err
 	}
-	if policy.LifeMs == 0 {
+	if policy.LifetimeMs == 0 {
 		fmt.Println("context may live without bound")
 		return nil
 	}
-	fmt.Println("context may live", policy.Life())
+	fmt.Println("context may live", policy.Lifetime())
 	return nil
 }
 
--- a/cmd/ferryspar-operator/forget.go
+++ b/cmd/ferryspar-operator/forget.go
@@ -31,7 +31,7 @@
 	if f.Model == "" && f.Part == "" && !f.All {
 		return errors.New("name --model, --part or --all")
 	}
-	body, _ := json.Marshal(retention.Scope{Model: f.Model, Part: f.Part})
+	body, _ := json.Marshal(retention.Scope{Model: f.Model, PromptPart: f.Part})
 	content, err := ask(http.MethodPost, "/ferryspar/forget", "", body)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 		counts[node.State]++
 	}
 	fmt.Printf("forget %d (model %q part %q): %d done, %d gone, %d pending, complete %t\n",
-		status.Number, status.Scope.Model, status.Scope.Part,
+		status.Number, status.Scope.Model, status.Scope.PromptPart,
 		counts[retention.Done], counts[retention.Gone], counts[retention.Pending], status.Complete)
 	for _, node := range status.Nodes {
 		if node.State == retention.Pending {
--- a/cmd/ferryspar-operator/inspect.go
+++ b/cmd/ferryspar-operator/inspect.go
@@ -48,19 +48,19 @@
 
 func (i *inspectFolder) show(inspection keystore.Inspection) {
 	fmt.Printf("generation %d (base %d)\n", inspection.Generation, inspection.Base)
-	fmt.Printf("self %s\nmembers %s\n", orNone(inspection.Self), orNone(inspection.Members))
+	fmt.Printf("self %s\nmembers %s\n", orNone(inspection.LocalState), orNone(inspection.Membership))
 	table("files", "name state generation base records used bytes", func(line func(...any)) {
 		for _, file := range inspection.Files {
 			line(file.Name, strings.ReplaceAll(string(file.State), " ", "_"), file.Generation, file.Base, file.Records, file.Used, file.Bytes)
 		}
 	})
 	table("keys", "key value_bytes fields", func(line func(...any)) {
-		for _, slot := range inspection.Slots {
+		for _, slot := range inspection.Registers {
 			line(slot.Key, slot.ValueBytes, fieldsText(slot.Fields))
 		}
 	})
 	if i.Values {
-		for _, slot := range inspection.Slots {
+		for _, slot := range inspection.Registers {
 			fmt.Printf("\n%s\n%s\n", slot.Key, orNone(slot.Value))
 		}
 	}
--- a/cmd/ferryspar-operator/inspect_test.go
+++ b/cmd/ferryspar-operator/inspect_test.go
@@ -20,15 +20,15 @@
 // stoppedMember makes the data folder of a member that was started twice.
 func stoppedMember(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "data", "member")
-	members := keystore.Members{Number: 4, Present: []string{"10.1.0.1:7000", "10.2.0.1:7000"}}
+	members := keystore.Membership{Version: 4, Current: []string{"10.1.0.1:7000", "10.2.0.1:7000"}}
 	for life := range 2 {
-		folder, err := keystore.NewFolder(path)
+		folder, err := keystore.NewDirectory(path)
 		assert.NilError(t, err)
-		journal, err := keystore.OpenJournal(folder, keystore.RingFiles, inspectedRing)
+		journal, err := keystore.OpenWAL(folder, keystore.SegmentCount, inspectedRing)
 		assert.NilError(t, err)
-		assert.NilError(t, journal.Append(keystore.FreshSlots(members, 77)))
-		configuration := keystore.Slot{Key: keystore.ConfigurationKey, Sequence: uint64(5 + life), Value: json.RawMessage(`{"revision":9}`)}
-		assert.NilError(t, journal.Append([]keystore.Slot{configuration}))
+		assert.NilError(t, journal.Append(keystore.BootstrapRegisters(members, 77)))
+		configuration := keystore.Register{Key: keystore.ConfigurationKey, Sequence: uint64(5 + life), Value: json.RawMessage(`{"revision":9}`)}
+		assert.NilError(t, journal.Append([]keystore.Register{configuration}))
 	}
 	return path
 }
@@ -70,8 +70,8 @@
 	var inspection keystore.Inspection
 	assert.NilError(t, json.Unmarshal([]byte(told), &inspection))
 	assert.Equal(t, inspection.Generation, uint64(2))
-	assert.Equal(t, len(inspection.Slots), 3)
-	for _, slot := range inspection.Slots {
+	assert.Equal(t, len(inspection.Registers), 3)
+	for _, slot := range inspection.Registers {
 		assert.Equal(t, len(slot.Value), 0, "values may hold tenants' keys, so they must be asked for")
 	}
 	assert.DeepEqual(t, contents(t, path), before)
@@ -95,10 +95,10 @@
 	assert.NilError(t, os.WriteFile(filepath.Join(foreign, "ring-1"), []byte("a ring of another kind"), 0o600))
 	file := filepath.Join(foreign, "ring-1")
 	cases := map[string]error{
-		filepath.Join(empty, "none"): keystore.ErrNoFolder,
-		empty:                        keystore.ErrEmptyFolder,
-		foreign:                      keystore.ErrForeignFolder,
-		file:                         keystore.ErrNotFolder,
+		filepath.Join(empty, "none"): keystore.ErrNoDirectory,
+		empty:                        keystore.ErrEmptyDirectory,
+		foreign:                      keystore.ErrForeignDirectory,
+		file:                         keystore.ErrNotDirectory,
 	}
 	for path, wanted := range cases {
 		_, err := inspected(t, path, false)
--- a/internal/client/budget_test.go
+++ b/internal/client/budget_test.go
@@ -110,12 +110,12 @@
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, step := range []time.Duration{-time.Hour, -11 * time.Second, 11 * time.Second, time.Hour} {
 		budget := NewBudget(10*time.Second, 0.2, 50)
-		for budget.Take(membersim.Stepped(now, 0), 2) {
+		for budget.Take(membersim.OffsetWallClock(now, 0), 2) {
 		}
 		for passed := range 9 {
-			assert.Assert(t, !budget.Take(membersim.Stepped(now.Add(time.Duration(passed)*time.Second), step), 2), "step %s, after %d s", step, passed)
+			assert.Assert(t, !budget.Take(membersim.OffsetWallClock(now.Add(time.Duration(passed)*time.Second), step), 2), "step %s, after %d s", step, passed)
 		}
-		assert.Assert(t, budget.Take(membersim.Stepped(now.Add(11*time.Second), step), 2), "step %s", step)
+		assert.Assert(t, budget.Take(membersim.OffsetWallClock(now.Add(11*time.Second), step), 2), "step %s", step)
 	}
 }
 
--- a/internal/controlplane/configurations.go
+++ b/internal/controlplane/configurations.go
@@ -55,8 +55,8 @@
 		return err
 	}
 	if change.Written {
-		d.announce(ctx, change.Slot)
-		record, _ := controlstate.DecodeConfiguration(change.Slot)
+		d.announce(ctx, change.Register)
+		record, _ := controlstate.DecodeConfiguration(change.Register)
 		logrus.WithField("revision", record.Revision).Info("configuration change acknowledged")
 	}
 	return nil
@@ -79,7 +79,7 @@
 		return err
 	}
 	if change.Written {
-		d.announce(ctx, change.Slot)
+		d.announce(ctx, change.Register)
 		logrus.WithFields(logrus.Fields{"zone": zone, "drained": drained}).Info("zone evacuation acknowledged")
 	}
 	return nil
@@ -87,9 +87,9 @@
 
 // announce applies a committed change here, tells the other control daemons, and waits for a
 // while until the data planes in touch have taken it in.
-func (d *Daemon) announce(ctx context.Context, slot keystore.Slot) {
+func (d *Daemon) announce(ctx context.Context, slot keystore.Register) {
 	d.apply(slot)
-	_ = d.bus.Publish(event.Committed, peer.KeyUpdate{Slot: slot.Bare()})
+	_ = d.bus.Publish(event.Committed, peer.KeyUpdate{Slot: slot.WithoutValue()})
 	bounded, cancel := context.WithTimeout(ctx, ackBound)
 	defer cancel()
 	ticker := time.NewTicker(10 * time.Millisecond)
@@ -97,7 +97,7 @@
 	for {
 		snapshot := d.publisher.Read()
 		d.watching.Lock()
-		behind := d.edges.Behind(d.clock(), inTouch, snapshot.Revision, snapshot.ZoneNumber)
+		behind := d.edges.CountBehind(d.clock(), inTouch, snapshot.Revision, snapshot.ZoneNumber)
 		d.watching.Unlock()
 		if behind == 0 {
 			return
--- a/internal/controlplane/confirm.go
+++ b/internal/controlplane/confirm.go
@@ -27,7 +27,7 @@
 	// soon asks for a confirmation that begins now.
 	soon chan struct{}
 	// unsettled are the proposals that the last look found on a minority only.
-	unsettled map[string]keystore.Slot
+	unsettled map[string]keystore.Register
 }
 
 func newConfirmer(daemon *Daemon) *confirmer {
@@ -76,7 +76,7 @@
 		learned = c.daemon.learn(ctx, slot) && learned
 	}
 	defer c.refresh(ctx, digest.Committed)
-	open := c.open(digest.Unsettled)
+	open := c.open(digest.Undecided)
 	if len(open) > 0 {
 		c.settle(ctx, open)
 		return false
@@ -88,7 +88,7 @@
 }
 
 // refresh brings this member's disk up to date. The confirmation does not hang on that disk.
-func (c *confirmer) refresh(ctx context.Context, committed map[string]keystore.Slot) {
+func (c *confirmer) refresh(ctx context.Context, committed map[string]keystore.Register) {
 	bounded, cancel := context.WithTimeout(ctx, settleBound)
 	defer cancel()
 	c.daemon.store.Refresh(bounded, c.daemon.acceptor, committed)
@@ -96,8 +96,8 @@
 
 // open keeps the proposals that concern what is told to data planes. Leases are told by their
 // holders' acts.
-func (c *confirmer) open(unsettled map[string]keystore.Slot) map[string]keystore.Slot {
-	open := map[string]keystore.Slot{}
+func (c *confirmer) open(unsettled map[string]keystore.Register) map[string]keystore.Register {
+	open := map[string]keystore.Register{}
 	for name, slot := range unsettled {
 		if name != placementLease {
 			open[name] = slot
@@ -109,11 +109,11 @@
 // settle decides about proposals that were left on a minority, by a writer that ended midway:
 // a read carries the newest on. It leaves a proposal to its writer the first time it is seen,
 // and half of the times after that to the other daemons.
-func (c *confirmer) settle(ctx context.Context, open map[string]keystore.Slot) {
+func (c *confirmer) settle(ctx context.Context, open map[string]keystore.Register) {
 	before := c.unsettled
 	c.unsettled = open
 	for name, slot := range open {
-		if !before[name].Same(slot) || before[name].Key == "" || rand.IntN(2) == 0 {
+		if !before[name].SameProposal(slot) || before[name].Key == "" || rand.IntN(2) == 0 {
 			continue
 		}
 		bounded, cancel := context.WithTimeout(ctx, settleBound)
@@ -128,14 +128,14 @@
 
 // learn applies a committed proposal that this daemon does not show yet, and says whether it
 // does now.
-func (d *Daemon) learn(ctx context.Context, slot keystore.Slot) bool {
+func (d *Daemon) learn(ctx context.Context, slot keystore.Register) bool {
 	d.applied.Lock()
 	held, known := d.shown[slot.Key]
 	d.applied.Unlock()
-	if known && !slot.Newer(held) {
+	if known && !slot.NewerThan(held) {
 		return true
 	}
-	if own := d.acceptor.Durable()[slot.Key]; own.Same(slot) {
+	if own := d.acceptor.Durable()[slot.Key]; own.SameProposal(slot) {
 		d.apply(own)
 		return true
 	}
--- a/internal/controlplane/context.go
+++ b/internal/controlplane/context.go
@@ -18,13 +18,13 @@
 var errUnchanged = errors.New("already so")
 
 // applyPolicy adopts a committed retention policy that is newer than the one held.
-func (d *Daemon) applyPolicy(slot keystore.Slot) {
+func (d *Daemon) applyPolicy(slot keystore.Register) {
 	var policy retention.Policy
 	if json.Unmarshal(slot.Value, &policy) != nil {
 		return
 	}
 	d.publisher.Change(func(next *Snapshot) bool {
-		if policy.Number <= next.Policy.Number {
+		if policy.Version <= next.Policy.Version {
 			return false
 		}
 		next.Policy = policy
@@ -33,7 +33,7 @@
 }
 
 // applyForgets adopts committed forget items that are not older than those held.
-func (d *Daemon) applyForgets(slot keystore.Slot) {
+func (d *Daemon) applyForgets(slot keystore.Register) {
 	var record retention.Record
 	if json.Unmarshal(slot.Value, &record) != nil {
 		return
@@ -49,10 +49,10 @@
 
 // changeContext changes a key by a decision over its current value and announces the result. A
 // decision may return errUnchanged to leave the value as it is, which is no error here.
-func (d *Daemon) changeContext(ctx context.Context, key string, decide func(current keystore.Slot) (any, error)) error {
+func (d *Daemon) changeContext(ctx context.Context, key string, decide func(current keystore.Register) (any, error)) error {
 	bounded, cancel := context.WithTimeout(ctx, changeBound)
 	defer cancel()
-	slot, err := d.store.Change(bounded, key, func(current keystore.Slot) (json.RawMessage, error) {
+	slot, err := d.store.Change(bounded, key, func(current keystore.Register) (json.RawMessage, error) {
 		value, err := decide(current)
 		if err != nil {
 			return nil, err
@@ -76,20 +76,20 @@
 		return wanted, err
 	}
 	var result retention.Policy
-	err := d.changeContext(ctx, keystore.RetentionKey, func(current keystore.Slot) (any, error) {
+	err := d.changeContext(ctx, keystore.RetentionKey, func(current keystore.Register) (any, error) {
 		var held retention.Policy
 		_ = json.Unmarshal(current.Value, &held)
 		result = held
-		if held.Number > 0 && held.LifeMs == wanted.LifeMs {
+		if held.Version > 0 && held.LifetimeMs == wanted.LifetimeMs {
 			return nil, errUnchanged
 		}
-		result = retention.Policy{Number: held.Number + 1, LifeMs: wanted.LifeMs}
+		result = retention.Policy{Version: held.Version + 1, LifetimeMs: wanted.LifetimeMs}
 		return result, nil
 	})
 	if err == nil {
 		logrus.WithFields(logrus.Fields{
-			"life_ms": wanted.LifeMs,
-			"number":  result.Number,
+			"life_ms": wanted.LifetimeMs,
+			"number":  result.Version,
 		}).Info("retention of context set")
 	}
 	return result, err
@@ -106,8 +106,8 @@
 		return retention.Status{}, apierror.New(apierror.NoMajority, "this daemon has just started and may not know all data planes")
 	}
 	edges := d.knownEdges()
-	var added retention.Item
-	err := d.changeContext(ctx, keystore.ForgetKey, func(current keystore.Slot) (any, error) {
+	var added retention.Purge
+	err := d.changeContext(ctx, keystore.ForgetKey, func(current keystore.Register) (any, error) {
 		var record retention.Record
 		_ = json.Unmarshal(current.Value, &record)
 		var next retention.Record
@@ -120,7 +120,7 @@
 	logrus.WithFields(logrus.Fields{
 		"number": added.Number,
 		"model":  scope.Model,
-		"part":   scope.Part,
+		"part":   scope.PromptPart,
 		"edges":  len(edges),
 	}).Info("context is to be forgotten")
 	return added.Status(d.edgeViews()), nil
@@ -147,14 +147,14 @@
 	_ = json.Unmarshal(slot.Value, &record)
 	views := d.edgeViews()
 	statuses := []retention.Status{}
-	for _, item := range record.Items {
+	for _, item := range record.Purges {
 		statuses = append(statuses, item.Status(views))
 	}
 	return statuses, nil
 }
 
 // readKey reads a key with a majority's confirmation, within the bound of a change.
-func (d *Daemon) readKey(ctx context.Context, name string) (keystore.Slot, error) {
+func (d *Daemon) readKey(ctx context.Context, name string) (keystore.Register, error) {
 	bounded, cancel := context.WithTimeout(ctx, changeBound)
 	defer cancel()
 	slot, err := d.store.Read(bounded, name)
@@ -175,10 +175,10 @@
 }
 
 // edgeViews copies what is known of each data plane's forgetting.
-func (d *Daemon) edgeViews() map[string]retention.EdgeView {
+func (d *Daemon) edgeViews() map[string]retention.DataPlaneView {
 	d.watching.Lock()
 	defer d.watching.Unlock()
-	views := make(map[string]retention.EdgeView, len(d.remembered))
+	views := make(map[string]retention.DataPlaneView, len(d.remembered))
 	for name, view := range d.remembered {
 		views[name] = view
 	}
@@ -186,13 +186,13 @@
 }
 
 // storeForget changes one forget item, and reports whether the store did not fail.
-func (d *Daemon) storeForget(ctx context.Context, number uint64, change func(item *retention.Item) bool) bool {
+func (d *Daemon) storeForget(ctx context.Context, number uint64, change func(item *retention.Purge) bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	err := d.changeContext(bounded, keystore.ForgetKey, func(current keystore.Slot) (any, error) {
+	err := d.changeContext(bounded, keystore.ForgetKey, func(current keystore.Register) (any, error) {
 		var record retention.Record
 		_ = json.Unmarshal(current.Value, &record)
-		next, changed := record.Change(number, change)
+		next, changed := record.UpdatePurge(number, change)
 		if !changed {
 			return nil, errUnchanged
 		}
--- a/internal/controlplane/copyages_test.go
+++ b/internal/controlplane/copyages_test.go
@@ -16,7 +16,7 @@
 	other := platform.Replica{ID: "i-1"}
 	held := platform.Replica{ID: "i-2", Models: []platform.Held{{Name: "swift"}}}
 	emptied := platform.Replica{ID: "i-2"}
-	policy := retention.Policy{Number: 1, LifeMs: 60_000}
+	policy := retention.Policy{Version: 1, LifetimeMs: 60_000}
 	at := func(seconds int, listed ...platform.Replica) int {
 		now = rosterStart.Add(time.Duration(seconds) * time.Second)
 		scheduler.noteAges(listed)
--- a/internal/controlplane/cost_test.go
+++ b/internal/controlplane/cost_test.go
@@ -24,7 +24,7 @@
 
 func (m *meter) List() ([]string, error) { return nil, nil }
 
-func (m *meter) SyncFolder() error { return nil }
+func (m *meter) SyncDirectory() error { return nil }
 
 func (m *meter) Read(name string) ([]byte, error) { return nil, nil }
 
@@ -81,22 +81,22 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	wire := &cluster{members: map[string]*keystore.Acceptor{}}
-	members := keystore.Members{Number: 1}
+	members := keystore.Membership{Version: 1}
 	for index := range 5 {
-		members.Present = append(members.Present, fmt.Sprintf("10.0.0.%d:9000", index+1))
+		members.Current = append(members.Current, fmt.Sprintf("10.0.0.%d:9000", index+1))
 	}
 	disks := []*meter{}
-	for _, name := range members.Present {
+	for _, name := range members.Current {
 		disk := &meter{}
-		journal, err := keystore.OpenJournal(disk, ringFiles, largestRing)
+		journal, err := keystore.OpenWAL(disk, ringFiles, largestRing)
 		assert.NilError(b, err)
-		assert.NilError(b, journal.Append(keystore.FreshSlots(members, 1)))
-		acceptor := keystore.NewAcceptor(name, journal, keystore.Rules{Clock: time.Now}, true)
+		assert.NilError(b, journal.Append(keystore.BootstrapRegisters(members, 1)))
+		acceptor := keystore.NewAcceptor(name, journal, keystore.AcceptorConfig{Clock: time.Now}, true)
 		go acceptor.Run(ctx, journal)
 		wire.members[name] = acceptor
 		disks = append(disks, disk)
 	}
-	store := keystore.NewStore(members.Present[0], 1, wire, members)
+	store := keystore.NewStore(members.Current[0], 1, wire, members)
 	document, err := json.Marshal(made)
 	assert.NilError(b, err)
 	state := &controlstate.State{Store: store, Clock: time.Now}
@@ -114,10 +114,10 @@
 	for range rememberedCalls {
 		change()
 	}
-	record, err := controlstate.DecodeConfiguration(written.Slot)
+	record, err := controlstate.DecodeConfiguration(written.Register)
 	assert.NilError(b, err)
-	value := written.Slot.Value
-	marks := record.Taken.Entries
+	value := written.Register.Value
+	marks := record.AppliedCalls.Entries
 	bytesWritten, syncs, messages, sent := disks[1].written.Load(), disks[1].syncs.Load(), wire.messages.Load(), wire.sentBytes.Load()
 	changes := 0
 	for b.Loop() {
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -36,7 +36,7 @@
 	clock      func() time.Time
 	peers      *peer.Client
 	acceptor   *keystore.Acceptor
-	journal    *keystore.Journal
+	journal    *keystore.WAL
 	store      *keystore.Store
 	state      *controlstate.State
 	publisher  *Publisher
@@ -48,13 +48,13 @@
 	greetings  uint64
 	shares     atomic.Uint64
 	applied    sync.Mutex
-	shown      map[string]keystore.Slot
+	shown      map[string]keystore.Register
 	watching   sync.Mutex
 	edges      *heartbeat.Registry
 	controls   *heartbeat.Registry
 	joining    map[string]peer.Greeting
 	neighbours map[string]string
-	remembered map[string]retention.EdgeView
+	remembered map[string]retention.DataPlaneView
 	list       *platform.List
 	merger     platform.Merger
 	scheduler  *Scheduler
@@ -68,7 +68,7 @@
 	drills     drills
 	// membersChange is the last change of the members that this daemon committed.
 	membersChange atomic.Pointer[operator.MembersChange]
-	// founding holds the last keystore.FoundingVerdict.
+	// founding holds the last keystore.BootstrapVerdict.
 	founding atomic.Value
 }
 
@@ -79,7 +79,7 @@
 }
 
 const (
-	ringFiles    = keystore.RingFiles
+	ringFiles    = keystore.SegmentCount
 	smallestRing = 1 << 20
 	largestRing  = 12 << 20
 )
@@ -91,7 +91,7 @@
 // New opens the disk and puts the daemon together. A disk that is empty, or has lost a file, makes a
 // member without a vote, unless the whole system starts for the first time. Such a member catches up
 // from the others, or founds the system with them if all of them are as it is.
-func New(settings nodesettings.Settings, path string, network peer.Network, folder keystore.Folder) (*Daemon, error) {
+func New(settings nodesettings.Settings, path string, network peer.Network, folder keystore.Directory) (*Daemon, error) {
 	journal, err := openJournal(folder, ringBytes(settings.Limits.DiskMb))
 	if err != nil {
 		return nil, err
@@ -100,11 +100,11 @@
 	empty := len(journal.State()) == 0
 	fresh := empty && settings.Bootstrap && journal.Damage() == nil
 	seeds := settings.SeedPeers()
-	founding := keystore.FoundingList(seeds)
+	founding := keystore.BootstrapMembership(seeds)
 	if empty {
-		first := keystore.WipedSlots(nonce())
-		if fresh && founding.Has(self) {
-			first = keystore.FreshSlots(founding, nonce())
+		first := keystore.WipedRegisters(nonce())
+		if fresh && founding.Contains(self) {
+			first = keystore.BootstrapRegisters(founding, nonce())
 		}
 		if err := journal.Append(first); err != nil {
 			return nil, errors.Wrap(err, "first write")
@@ -113,13 +113,13 @@
 	life := nonce()
 	daemon := &Daemon{
 		settings: settings, path: path, self: self, life: strconv.FormatUint(life, 36), clock: time.Now, peers: peer.NewClient(network),
-		journal: journal, publisher: NewPublisher(), parts: NewParts(), sums: NewSums(), shown: map[string]keystore.Slot{}, joining: map[string]peer.Greeting{}, neighbours: map[string]string{}, remembered: map[string]retention.EdgeView{},
+		journal: journal, publisher: NewPublisher(), parts: NewParts(), sums: NewSums(), shown: map[string]keystore.Register{}, joining: map[string]peer.Greeting{}, neighbours: map[string]string{}, remembered: map[string]retention.DataPlaneView{},
 		edges: heartbeat.NewRegistry(10 * time.Second), controls: heartbeat.NewRegistry(30 * time.Second), leaving: make(chan struct{}), caughtUp: make(chan struct{}, 1), bus: event.NewBus(), started: time.Now(), network: network,
 	}
-	rules := keystore.Rules{Lease: daemon.leaseLength(), Clock: time.Now, Seeds: seeds}
+	rules := keystore.AcceptorConfig{LeaseDuration: daemon.leaseLength(), Clock: time.Now, Seeds: seeds}
 	daemon.acceptor = keystore.NewAcceptor(self, journal, rules, fresh)
-	members := daemon.acceptor.Members()
-	if members.Number == 0 && fresh {
+	members := daemon.acceptor.Membership()
+	if members.Version == 0 && fresh {
 		members = founding
 	}
 	wire := &peer.Wire{Self: self, Client: daemon.peers, Acceptor: daemon.acceptor}
@@ -172,7 +172,7 @@
 	for _, loop := range loops {
 		go loop(ctx)
 	}
-	logrus.WithFields(logrus.Fields{"control_plane": outer.Addr().String(), "partner": d.self, "members": d.store.Members().Present}).Info("control plane listens")
+	logrus.WithFields(logrus.Fields{"control_plane": outer.Addr().String(), "partner": d.self, "members": d.store.Membership().Current}).Info("control plane listens")
 	select {
 	case <-parent.Done():
 		return nil
@@ -189,7 +189,7 @@
 	defer d.watching.Unlock()
 	for _, address := range addresses {
 		if address != d.self {
-			d.controls.Record(address, heartbeat.Beat{At: d.clock().Add(-5 * time.Second)})
+			d.controls.Record(address, heartbeat.Heartbeat{ReportedAt: d.clock().Add(-5 * time.Second)})
 		}
 	}
 }
--- a/internal/controlplane/daemon_bench_test.go
+++ b/internal/controlplane/daemon_bench_test.go
@@ -23,7 +23,7 @@
 	settings.NodeName, settings.IPAddress, settings.InternalPorts, settings.Bootstrap = "daemon-1", "10.0.0.1", []int{7000, 7010}, true
 	settings.SeedNodes, settings.CloudAPI.Address = []string{"10.0.0.1:8166"}, "10.0.0.9:80"
 	settings.Zones, settings.Zone = map[string]string{"north": "land"}, "north"
-	folder, err := keystore.NewFolder(b.TempDir())
+	folder, err := keystore.NewDirectory(b.TempDir())
 	assert.NilError(b, err)
 	daemon, err := New(settings, "", peer.Machine{}, folder)
 	assert.NilError(b, err)
--- a/internal/controlplane/disks_test.go
+++ b/internal/controlplane/disks_test.go
@@ -36,7 +36,7 @@
 		overlays: map[string]overlay{},
 		table:    table,
 	}
-	w.hold.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: &full}, Since: now.Add(-time.Hour)})
+	w.hold.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: &full}, GrantedAt: now.Add(-time.Hour)})
 	w.rememberListed(platform.Replica{ID: "old", Backend: "s", Address: "here", Models: []platform.Held{{Name: "m"}, {Name: "n"}}})
 	w.adoptList([]platform.Replica{{ID: "new", Backend: "s", Address: "here"}, {ID: "other", Backend: "t", Address: "here"}}, *now)
 	return w, w.managed["new"]
@@ -45,7 +45,7 @@
 // countedLoads is how many loads from the store may have begun within the window.
 func countedLoads(w *Scheduler, now time.Time) int {
 	w.loadTokens(now, w.table)
-	return w.store.budget.Counted(now, w.store.bounds)
+	return w.store.budget.Count(now, w.store.bounds)
 }
 
 // startFromDisk has a replica accept the load of a model that its disk is believed to hold.
--- a/internal/controlplane/drill.go
+++ b/internal/controlplane/drill.go
@@ -27,7 +27,7 @@
 
 // applyDrill adopts a committed drill record. A renewal does not put off the end that was promised
 // first.
-func (d *Daemon) applyDrill(slot keystore.Slot) {
+func (d *Daemon) applyDrill(slot keystore.Register) {
 	var record drill.Record
 	if json.Unmarshal(slot.Value, &record) != nil {
 		return
@@ -57,7 +57,7 @@
 		request.Mark = strconv.FormatUint(nonce(), 36)
 	}
 	var started drill.Record
-	err := d.retryChange(ctx, func(current keystore.Slot) (any, error) {
+	err := d.retryChange(ctx, func(current keystore.Register) (any, error) {
 		var held drill.Record
 		_ = json.Unmarshal(current.Value, &held)
 		view := d.publisher.Read().Drill
@@ -120,7 +120,7 @@
 
 // retryChange changes the drill's key, again and again while the store is contended, within the
 // bound of a change.
-func (d *Daemon) retryChange(ctx context.Context, decide func(current keystore.Slot) (any, error)) error {
+func (d *Daemon) retryChange(ctx context.Context, decide func(current keystore.Register) (any, error)) error {
 	bounded, cancel := context.WithTimeout(ctx, changeBound)
 	defer cancel()
 	for {
@@ -139,7 +139,7 @@
 // merged. It returns the record as it stands if the drill does not run.
 func (d *Daemon) finishDrill(ctx context.Context, number uint64, why string, guard bool) (drill.Record, error) {
 	var ended drill.Record
-	err := d.retryChange(ctx, func(current keystore.Slot) (any, error) {
+	err := d.retryChange(ctx, func(current keystore.Register) (any, error) {
 		ended = drill.Record{}
 		_ = json.Unmarshal(current.Value, &ended)
 		if !ended.Running || number > 0 && ended.Number != number {
--- a/internal/controlplane/eviction.go
+++ b/internal/controlplane/eviction.go
@@ -60,16 +60,16 @@
 func (w *Scheduler) planEviction(ctx context.Context, snapshot *Snapshot, view *place.View) {
 	w.checkRunning(view.Now)
 	view.EvictingContext = w.eviction.running != ""
-	for _, item := range snapshot.Forgets.Items {
-		if !item.Open() {
+	for _, item := range snapshot.Forgets.Purges {
+		if !item.HasPendingTargets() {
 			continue
 		}
-		if !item.Counted {
+		if !item.TargetsListed {
 			w.countPairs(ctx, item)
 			continue
 		}
 		w.updateItem(ctx, item)
-		for _, pair := range item.Pairs {
+		for _, pair := range item.Targets {
 			if pair.State == retention.Pending && !w.eviction.cleared[clearedKey(item.Number, pair)] {
 				view.EvictContexts = append(view.EvictContexts, place.ServerModel{Server: pair.Replica, Model: pair.Model})
 			}
@@ -79,7 +79,7 @@
 }
 
 // clearedKey names a pair of an item.
-func clearedKey(number uint64, pair retention.Pair) string {
+func clearedKey(number uint64, pair retention.Target) string {
 	return strconv.FormatUint(number, 10) + " " + pair.Replica + " " + pair.Model
 }
 
@@ -104,12 +104,12 @@
 
 // dueCopies are the copies that the policy's life makes due, the oldest first.
 func (w *Scheduler) dueCopies(policy retention.Policy, now time.Time) []place.ServerModel {
-	if policy.LifeMs <= 0 {
+	if policy.LifetimeMs <= 0 {
 		return nil
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.eviction.ages.due(policy.Life(), now)
+	return w.eviction.ages.due(policy.Lifetime(), now)
 }
 
 // absentCopies are the copies at replicas that the newest list leaves out and that may still be there.
@@ -130,8 +130,8 @@
 
 // countPairs stores which copies an item concerns, once every replica's holdings are known, with those
 // at replicas that the list has just left out; only the scope's models count.
-func (w *Scheduler) countPairs(ctx context.Context, item retention.Item) {
-	var pairs []retention.Pair
+func (w *Scheduler) countPairs(ctx context.Context, item retention.Purge) {
+	var pairs []retention.Target
 	for id, one := range w.managed {
 		if !one.state.Known() && one.listed.State != platform.Draining {
 			return
@@ -140,32 +140,32 @@
 		maps.Copy(held, one.state.MayHold())
 		for reference := range held {
 			if !strings.Contains(reference, "/") && item.Scope.CoversModel(reference) {
-				pairs = append(pairs, retention.Pair{Replica: id, Model: reference, State: retention.Pending})
+				pairs = append(pairs, retention.Target{Replica: id, Model: reference, State: retention.Pending})
 			}
 		}
 	}
 	for _, copied := range w.absentCopies() {
 		if w.managed[copied.Server] == nil && item.Scope.CoversModel(copied.Model) {
-			pairs = append(pairs, retention.Pair{Replica: copied.Server, Model: copied.Model, State: retention.Pending})
+			pairs = append(pairs, retention.Target{Replica: copied.Server, Model: copied.Model, State: retention.Pending})
 		}
 	}
 	sort.Slice(pairs, func(left, right int) bool {
 		return pairs[left].Replica+pairs[left].Model < pairs[right].Replica+pairs[right].Model
 	})
-	w.storeItem(ctx, item.Number, func(next *retention.Item) bool {
-		if next.Counted {
+	w.storeItem(ctx, item.Number, func(next *retention.Purge) bool {
+		if next.TargetsListed {
 			return false
 		}
-		next.Counted, next.Pairs = true, pairs
+		next.TargetsListed, next.Targets = true, pairs
 		return true
 	})
 }
 
 // updateItem stores which of an item's copies have been evicted, or are gone with a replica that has
 // ended; one that the list has just left out stays pending.
-func (w *Scheduler) updateItem(ctx context.Context, item retention.Item) {
-	states := map[retention.Pair]string{}
-	for _, pair := range item.Pairs {
+func (w *Scheduler) updateItem(ctx context.Context, item retention.Purge) {
+	states := map[retention.Target]string{}
+	for _, pair := range item.Targets {
 		if pair.State != retention.Pending {
 			continue
 		}
@@ -186,10 +186,10 @@
 	if len(states) == 0 {
 		return
 	}
-	w.storeItem(ctx, item.Number, func(next *retention.Item) bool {
+	w.storeItem(ctx, item.Number, func(next *retention.Purge) bool {
 		changed := false
 		for pair, state := range states {
-			changed = next.Settle(pair.Replica, pair.Model, state) || changed
+			changed = next.ResolveTargets(pair.Replica, pair.Model, state) || changed
 		}
 		return changed
 	})
@@ -197,7 +197,7 @@
 
 // storeItem changes an item in the key store on a goroutine of its own, one change at a time; what
 // it leaves out comes again with a later plan.
-func (w *Scheduler) storeItem(ctx context.Context, number uint64, change func(item *retention.Item) bool) {
+func (w *Scheduler) storeItem(ctx context.Context, number uint64, change func(item *retention.Purge) bool) {
 	now := w.daemon.clock()
 	if w.eviction.storing || now.Sub(w.eviction.storedAt) < storeItemEvery {
 		return
--- a/internal/controlplane/forecast.go
+++ b/internal/controlplane/forecast.go
@@ -144,7 +144,7 @@
 		Replicas:    snapshot.Replicas,
 		Table:       configuration.NewTable(read, nil),
 		Demand:      d.scheduler.demandRates(),
-		Members:     d.store.Members().Present,
+		Members:     d.store.Membership().Current,
 		MemberZones: map[string]string{d.self: d.settings.Zone},
 		Holder:      snapshot.Holder,
 	}
--- a/internal/controlplane/founding.go
+++ b/internal/controlplane/founding.go
@@ -30,20 +30,20 @@
 // keepHeardMembers has a list that was told in greetings on the disk, so that the next life of this daemon knows
 // that the system was founded, whatever its settings name as seeds.
 func (d *Daemon) keepHeardMembers(ctx context.Context) {
-	heard := d.store.Members()
-	if heard.Number <= d.acceptor.Members().Number {
+	heard := d.store.Membership()
+	if heard.Version <= d.acceptor.Membership().Version {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, noteBound)
 	defer cancel()
-	if err := d.acceptor.Hear(bounded, heard); err != nil {
+	if err := d.acceptor.AdoptMembership(bounded, heard); err != nil {
 		logrus.WithError(err).Warn("a member list that was heard is not on the disk yet")
 	}
 }
 
 // logFounding logs a verdict on founding when it changes.
-func (d *Daemon) logFounding(verdict keystore.FoundingVerdict) {
-	previous, known := d.founding.Swap(verdict).(keystore.FoundingVerdict)
+func (d *Daemon) logFounding(verdict keystore.BootstrapVerdict) {
+	previous, known := d.founding.Swap(verdict).(keystore.BootstrapVerdict)
 	if verdict == "" || known && previous == verdict {
 		return
 	}
@@ -52,16 +52,16 @@
 
 // completeFounding notes on this member's disk that every founder votes, once that is so.
 func (d *Daemon) completeFounding(ctx context.Context) {
-	if d.store.Members().Number != keystore.FoundingNumber {
+	if d.store.Membership().Version != keystore.BootstrapVersion {
 		return
 	}
-	self := d.acceptor.Self()
-	if !self.Voting || self.Completed || !membership.FoundersVote(d.membershipView()) {
+	self := d.acceptor.LocalState()
+	if !self.Voting || self.BootstrapCompleted || !membership.BootstrapMembersVote(d.membershipView()) {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, noteBound)
 	defer cancel()
-	if err := d.acceptor.CompleteFounding(bounded); err != nil {
+	if err := d.acceptor.CompleteBootstrap(bounded); err != nil {
 		logrus.WithError(err).Warn("the end of the founding is not on the disk yet")
 	}
 }
--- a/internal/controlplane/greetings.go
+++ b/internal/controlplane/greetings.go
@@ -24,14 +24,14 @@
 // otherControls lists the addresses of all control daemons that this one knows of.
 func (d *Daemon) otherControls() []string {
 	known := map[string]bool{}
-	for _, member := range d.store.Members().All() {
+	for _, member := range d.store.Membership().All() {
 		known[member] = true
 	}
 	for _, seed := range d.settings.SeedPeers() {
 		known[seed] = true
 	}
 	d.watching.Lock()
-	for _, name := range d.controls.Live(d.clock(), d.controls.Lifetime) {
+	for _, name := range d.controls.Live(d.clock(), d.controls.ExpireAfter) {
 		known[name] = true
 	}
 	d.watching.Unlock()
@@ -46,8 +46,8 @@
 
 // greeted is the answer to a greeting.
 type greeted struct {
-	Members keystore.Members `json:"members"`
-	Control []string         `json:"control"`
+	Members keystore.Membership `json:"members"`
+	Control []string            `json:"control"`
 }
 
 func (d *Daemon) greetLoop(ctx context.Context) {
@@ -82,10 +82,10 @@
 }
 
 func (d *Daemon) greeting() peer.Greeting {
-	self := d.acceptor.Self()
+	self := d.acceptor.LocalState()
 	greeting := peer.Greeting{
-		Daemon: d.settings.NodeName, Address: d.self, Joining: !self.Voting, Number: self.Number, Leaving: d.isLeaving(), Zone: d.settings.Zone,
-		Silent: d.membershipView().Silent(),
+		Daemon: d.settings.NodeName, Address: d.self, Joining: !self.Voting, Number: self.MembershipVersion, Leaving: d.isLeaving(), Zone: d.settings.Zone,
+		Silent: d.membershipView().Suspects(),
 	}
 	if d.greetings++; d.greetings%edgesTurns == 1 || greeting.Leaving {
 		d.watching.Lock()
@@ -101,7 +101,7 @@
 	greeting := d.greeting()
 	others := d.otherControls()
 	targets := heartbeat.Watchers(d.self, others, watcherCount)
-	for _, member := range d.store.Members().All() {
+	for _, member := range d.store.Membership().All() {
 		if member != d.self && !slices.Contains(targets, member) {
 			targets = append(targets, member)
 		}
@@ -114,7 +114,7 @@
 		go func() {
 			var reply greeted
 			if d.peers.Ask(ctx, "greet", address, greeting, &reply) == nil {
-				d.store.Adopt(reply.Members)
+				d.store.AdoptMembership(reply.Members)
 				d.noteControls(reply.Control)
 			}
 		}()
@@ -150,17 +150,17 @@
 func (d *Daemon) hearGreeting(_ context.Context, greeting peer.Greeting) greeted {
 	now := d.clock()
 	d.watching.Lock()
-	d.controls.Record(greeting.Address, heartbeat.Beat{At: now})
+	d.controls.Record(greeting.Address, heartbeat.Heartbeat{ReportedAt: now})
 	d.joining[greeting.Address] = greeting
 	if greeting.Leaving && greeting.Address == d.publisher.Read().Holder {
 		d.scheduler.forgetHolder()
 	}
 	for _, edge := range greeting.Edges {
-		d.edges.MarkHeard(edge, now)
+		d.edges.RecordContact(edge, now)
 		if _, known := d.remembered[edge]; !known {
-			d.remembered[edge] = retention.EdgeView{}
+			d.remembered[edge] = retention.DataPlaneView{}
 		}
 	}
 	d.watching.Unlock()
-	return greeted{Members: d.store.Members(), Control: append(d.otherControls(), d.self)}
+	return greeted{Members: d.store.Membership(), Control: append(d.otherControls(), d.self)}
 }
--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -67,7 +67,7 @@
 func (d *Daemon) renewDrill(ctx context.Context, view drillView, now time.Time) {
 	bounded, cancel := context.WithTimeout(ctx, guardBound)
 	defer cancel()
-	_ = d.changeContext(bounded, keystore.DrillKey, func(current keystore.Slot) (any, error) {
+	_ = d.changeContext(bounded, keystore.DrillKey, func(current keystore.Register) (any, error) {
 		var held drill.Record
 		_ = json.Unmarshal(current.Value, &held)
 		if !held.Running || held.Number != view.Number {
@@ -82,7 +82,7 @@
 	base := &baseline{number: snapshot.Drill.Number, takenOver: snapshot.Drill.Beat > 0}
 	d.watching.Lock()
 	base.edges = d.edges.Live(now, edgeSilent)
-	for _, member := range d.store.Members().Present {
+	for _, member := range d.store.Membership().Current {
 		if member != d.self {
 			base.members = append(base.members, member)
 		}
@@ -151,12 +151,12 @@
 	d.watching.Lock()
 	defer d.watching.Unlock()
 	for _, edge := range base.edges {
-		if !d.remembered[edge].Left && now.Sub(d.edges.LastBeat(edge)) > edgeSilent {
+		if !d.remembered[edge].Left && now.Sub(d.edges.LastReport(edge)) > edgeSilent {
 			return "edge " + edge + " is silent"
 		}
 	}
 	for _, member := range base.members {
-		if d.store.Members().Keeps(member) && now.Sub(d.controls.LastBeat(member)) > membership.SilentAfter {
+		if d.store.Membership().IsCurrent(member) && now.Sub(d.controls.LastReport(member)) > membership.SuspectAfter {
 			return "member " + member + " is silent"
 		}
 	}
--- a/internal/controlplane/journal.go
+++ b/internal/controlplane/journal.go
@@ -16,12 +16,12 @@
 // openJournal opens the member's journal, and asks again for some seconds while the disk refuses: a start must sync
 // what it reads before it goes by it. Damage is logged; the journal is then empty and the member is to be treated as
 // one whose disk was wiped, whatever the settings say about bootstrap.
-func openJournal(folder keystore.Folder, size int64) (*keystore.Journal, error) {
-	journal, err := keystore.OpenJournal(folder, ringFiles, size)
+func openJournal(folder keystore.Directory, size int64) (*keystore.WAL, error) {
+	journal, err := keystore.OpenWAL(folder, ringFiles, size)
 	for try := 1; err != nil && try < openTries; try++ {
 		logrus.WithError(err).Warn("data folder can't be opened yet")
 		time.Sleep(openPause)
-		journal, err = keystore.OpenJournal(folder, ringFiles, size)
+		journal, err = keystore.OpenWAL(folder, ringFiles, size)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -42,7 +42,7 @@
 	}
 	d.shut(operators, until.Add(endMargin/2))
 	d.shut(peers, d.clock().Add(shutdownBound))
-	logrus.WithFields(logrus.Fields{"took_ms": d.clock().Sub(began).Milliseconds(), "members": d.store.Members().Present}).Info("left")
+	logrus.WithFields(logrus.Fields{"took_ms": d.clock().Sub(began).Milliseconds(), "members": d.store.Membership().Current}).Info("left")
 }
 
 // shut ends a server once its calls under way are answered, or at the time given.
--- a/internal/controlplane/loads_test.go
+++ b/internal/controlplane/loads_test.go
@@ -39,7 +39,7 @@
 			}
 			select {
 			case written := <-scheduler.store.due:
-				scheduler.store.budget.Written(written.grant.Record.Fence, written.loads, true, now)
+				scheduler.store.budget.CompleteWrite(written.grant.Record.Fence, written.loads, true, now)
 			default:
 			}
 		}
--- a/internal/controlplane/managedreplica.go
+++ b/internal/controlplane/managedreplica.go
@@ -70,8 +70,8 @@
 	var trustFrom time.Time
 	if w.grant != nil {
 		fence = w.grant.Record.Fence
-		if !w.grant.First() {
-			trustFrom = w.grant.Since.Add(reportAge)
+		if !w.grant.IsFirst() {
+			trustFrom = w.grant.GrantedAt.Add(reportAge)
 		}
 	}
 	return &managedReplica{
--- a/internal/controlplane/managedreplica_test.go
+++ b/internal/controlplane/managedreplica_test.go
@@ -24,7 +24,7 @@
 		overlays: map[string]overlay{},
 		sizes:    place.NewSizeBook(),
 	}
-	w.grant = &lease.Grant{Record: lease.Record{Fence: fence}, Since: *now, Until: now.Add(time.Hour)}
+	w.grant = &lease.Grant{Record: lease.Record{Fence: fence}, GrantedAt: *now, ExpiresAt: now.Add(time.Hour)}
 	listed := []platform.Replica{{ID: "r", Backend: "s", Address: "here", Models: []platform.Held{{Name: "m"}}}}
 	w.adoptList(listed, *now)
 	return w, listed
@@ -80,13 +80,13 @@
 	assert.Assert(t, decided)
 	w.daemon.scheduler, w.daemon.bus = w, event.NewBus()
 	renewed := *w.grant
-	now = w.grant.Until
+	now = w.grant.ExpiresAt
 	w.adoptGrant(w.grant)
 	w.adoptGrant(nil)
 	one.state.Answer(order, replicastate.NoAnswer, now)
-	renewed.Until = now.Add(time.Second)
+	renewed.ExpiresAt = now.Add(time.Second)
 	w.adoptGrant(&renewed)
 	assert.Equal(t, w.managed["r"], one)
 	assert.Assert(t, w.managed["r"].state.MayHold()["n"])
-	assert.Equal(t, w.grant.Until, renewed.Until)
+	assert.Equal(t, w.grant.ExpiresAt, renewed.ExpiresAt)
 }
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -19,7 +19,7 @@
 	membersEvery = 150 * time.Millisecond
 	// membersSettle is how long a daemon that has just started listens before it acts on the
 	// members: for as long as it takes until one that it does not hear counts as silent.
-	membersSettle = membership.SilentAfter + greetEvery
+	membersSettle = membership.SuspectAfter + greetEvery
 	// settleTime is how long a daemon that has just started does not say how many data planes
 	// there are.
 	settleTime = 2500 * time.Millisecond
@@ -28,20 +28,20 @@
 // membershipView is what this daemon sees of the other control daemons.
 func (d *Daemon) membershipView() membership.View {
 	now := d.clock()
-	self := d.acceptor.Self()
+	self := d.acceptor.LocalState()
 	view := membership.View{
-		Current: d.store.Members(), Self: d.self, Wanted: 2*d.settings.FaultTolerance.MachineLoss + 1, Peers: map[string]membership.Peer{},
+		Current: d.store.Membership(), Self: d.self, DesiredMembers: 2*d.settings.FaultTolerance.MachineLoss + 1, Peers: map[string]membership.Peer{},
 	}
 	d.watching.Lock()
 	defer d.watching.Unlock()
 	for address, greeting := range d.joining {
 		view.Peers[address] = membership.Peer{
-			Address: address, Zone: greeting.Zone, Silence: now.Sub(d.controls.LastBeat(address)),
-			Joining: greeting.Joining, Leaving: greeting.Leaving, Number: greeting.Number, Silent: greeting.Silent,
+			Address: address, Zone: greeting.Zone, SinceLastHeard: now.Sub(d.controls.LastReport(address)),
+			Joining: greeting.Joining, Leaving: greeting.Leaving, MembershipVersion: greeting.Number, Suspects: greeting.Silent,
 		}
 	}
 	view.Peers[d.self] = membership.Peer{
-		Address: d.self, Zone: d.settings.Zone, Joining: !self.Voting, Leaving: d.isLeaving(), Number: self.Number,
+		Address: d.self, Zone: d.settings.Zone, Joining: !self.Voting, Leaving: d.isLeaving(), MembershipVersion: self.MembershipVersion,
 	}
 	return view
 }
@@ -53,7 +53,7 @@
 	}
 	d.watching.Lock()
 	defer d.watching.Unlock()
-	return now.Sub(d.controls.LastBeat(address)) < membership.SilentAfter && !d.joining[address].Leaving
+	return now.Sub(d.controls.LastReport(address)) < membership.SuspectAfter && !d.joining[address].Leaving
 }
 
 // dueChange remembers since when a change of the members has been due in this daemon's view.
@@ -63,7 +63,7 @@
 }
 
 func (due *dueChange) note(change membership.Change, now time.Time) {
-	if due.change.Members.Number != change.Members.Number || due.change.Reason != change.Reason {
+	if due.change.Membership.Version != change.Membership.Version || due.change.Reason != change.Reason {
 		*due = dueChange{change, now}
 	}
 }
@@ -82,41 +82,41 @@
 		}
 		d.completeFounding(ctx)
 		now := d.clock()
-		if now.Sub(d.started) < membersSettle || !d.acceptor.Self().Voting || !d.publisher.Read().Fresh(now) {
+		if now.Sub(d.started) < membersSettle || !d.acceptor.LocalState().Voting || !d.publisher.Read().Fresh(now) {
 			due = dueChange{}
 			continue
 		}
 		view := d.membershipView()
-		change, wanted := membership.Next(view)
+		change, wanted := membership.NextChange(view)
 		if !wanted {
 			due = dueChange{}
 			continue
 		}
 		due.note(change, now)
-		if now.Sub(due.since) >= membership.Patience(view) {
+		if now.Sub(due.since) >= membership.ProposalDelay(view) {
 			d.changeMembers(ctx, view.Current, change)
 		}
 	}
 }
 
-func (d *Daemon) changeMembers(ctx context.Context, current keystore.Members, change membership.Change) {
+func (d *Daemon) changeMembers(ctx context.Context, current keystore.Membership, change membership.Change) {
 	bounded, cancel := context.WithTimeout(ctx, changeBound)
 	defer cancel()
-	slot, err := d.store.Change(bounded, keystore.MembersKey, func(slot keystore.Slot) (json.RawMessage, error) {
-		var committed keystore.Members
+	slot, err := d.store.Change(bounded, keystore.MembershipKey, func(slot keystore.Register) (json.RawMessage, error) {
+		var committed keystore.Membership
 		_ = json.Unmarshal(slot.Value, &committed)
-		if committed.Number > current.Number {
+		if committed.Version > current.Version {
 			return nil, errors.New("members moved on")
 		}
-		return json.Marshal(change.Members)
+		return json.Marshal(change.Membership)
 	})
 	if err != nil {
 		return
 	}
 	logrus.WithFields(logrus.Fields{
-		"why": change.Reason, "present": change.Members.Present, "next": change.Members.Next, "number": change.Members.Number,
+		"why": change.Reason, "present": change.Membership.Current, "next": change.Membership.Next, "number": change.Membership.Version,
 	}).Info("members change committed")
-	d.membersChange.Store(&operator.MembersChange{Number: change.Members.Number, Reason: change.Reason})
+	d.membersChange.Store(&operator.MembersChange{Number: change.Membership.Version, Reason: change.Reason})
 	d.apply(slot)
-	_ = d.bus.Publish(event.Committed, peer.KeyUpdate{Slot: slot.Bare()})
+	_ = d.bus.Publish(event.Committed, peer.KeyUpdate{Slot: slot.WithoutValue()})
 }
--- a/internal/controlplane/neighbours.go
+++ b/internal/controlplane/neighbours.go
@@ -23,7 +23,7 @@
 		}
 	}
 	for name := range d.neighbours {
-		if d.edges.Since(name).IsZero() {
+		if d.edges.FirstSeen(name).IsZero() {
 			delete(d.neighbours, name)
 		}
 	}
--- a/internal/controlplane/publisher.go
+++ b/internal/controlplane/publisher.go
@@ -139,14 +139,14 @@
 	if number <= poll.Context {
 		return nil
 	}
-	told := &peer.ContextNews{Number: number, LifeMs: s.Policy.LifeMs}
-	for _, item := range s.Forgets.Items {
+	told := &peer.ContextNews{Number: number, LifeMs: s.Policy.LifetimeMs}
+	for _, item := range s.Forgets.Purges {
 		told.Forgets = append(told.Forgets, peer.Forget{Number: item.Number, Scope: item.Scope})
 	}
 	return told
 }
 
-func (s *Snapshot) context() uint64 { return s.Policy.Number + s.Forgets.Number }
+func (s *Snapshot) context() uint64 { return s.Policy.Version + s.Forgets.Number }
 
 // Answers says whether the poll need not be held: there is something that it was not told.
 func (s *Snapshot) Answers(poll peer.Poll, life string, now time.Time) bool {
--- a/internal/controlplane/records.go
+++ b/internal/controlplane/records.go
@@ -12,19 +12,19 @@
 	"ferryspar/internal/peer"
 )
 
-func (d *Daemon) apply(slot keystore.Slot) {
+func (d *Daemon) apply(slot keystore.Register) {
 	d.applied.Lock()
 	defer d.applied.Unlock()
-	if held, known := d.shown[slot.Key]; known && !slot.Newer(held) {
+	if held, known := d.shown[slot.Key]; known && !slot.NewerThan(held) {
 		return
 	}
 	switch {
 	case slot.Key == keystore.ConfigurationKey:
 		d.applyConfiguration(slot)
-	case slot.Key == keystore.MembersKey:
-		var members keystore.Members
-		if json.Unmarshal(slot.Value, &members) == nil && d.store.Adopt(members) {
-			logrus.WithFields(logrus.Fields{"number": members.Number, "present": members.Present, "next": members.Next}).Info("members adopted")
+	case slot.Key == keystore.MembershipKey:
+		var members keystore.Membership
+		if json.Unmarshal(slot.Value, &members) == nil && d.store.AdoptMembership(members) {
+			logrus.WithFields(logrus.Fields{"number": members.Version, "present": members.Current, "next": members.Next}).Info("members adopted")
 		}
 	case slot.Key == placementLease:
 		var record lease.Record
@@ -44,10 +44,10 @@
 	case slot.Key == keystore.DrillKey:
 		d.applyDrill(slot)
 	}
-	d.shown[slot.Key] = slot.Bare()
+	d.shown[slot.Key] = slot.WithoutValue()
 }
 
-func (d *Daemon) applyConfiguration(slot keystore.Slot) {
+func (d *Daemon) applyConfiguration(slot keystore.Register) {
 	record, err := controlstate.DecodeConfiguration(slot)
 	if err != nil {
 		return
@@ -61,17 +61,17 @@
 	})
 }
 
-func (d *Daemon) applyZone(slot keystore.Slot) {
+func (d *Daemon) applyZone(slot keystore.Register) {
 	zone := strings.TrimPrefix(slot.Key, keystore.ZonePrefix)
 	record, err := controlstate.DecodeZone(slot)
 	if err != nil {
 		return
 	}
 	d.publisher.Change(func(next *Snapshot) bool {
-		if record.Number <= next.Zones[zone].Number {
+		if record.Version <= next.Zones[zone].Number {
 			return false
 		}
-		zones := map[string]peer.ZoneState{zone: {Number: record.Number, Drained: record.Drained}}
+		zones := map[string]peer.ZoneState{zone: {Number: record.Version, Drained: record.Drained}}
 		for name, state := range next.Zones {
 			if name != zone {
 				zones[name] = state
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -32,7 +32,7 @@
 func (d *Daemon) hearKeystore(ctx context.Context, message keystore.Message) keystore.Reply {
 	reply, err := d.acceptor.Call(ctx, message)
 	if err != nil {
-		return keystore.Reply{Refusal: keystore.RefusedUnreached}
+		return keystore.Reply{Rejection: keystore.RejectedUnreachable}
 	}
 	return reply
 }
@@ -89,8 +89,8 @@
 
 func (d *Daemon) notePoll(poll peer.Poll, came time.Time) {
 	d.watching.Lock()
-	d.edges.Record(poll.Daemon, heartbeat.Beat{At: came, Zone: poll.Zone, Revision: poll.Revision, Zones: poll.ZoneNumber})
-	d.remembered[poll.Daemon] = retention.EdgeView{Applied: poll.Forgot, Left: poll.Leaving}
+	d.edges.Record(poll.Daemon, heartbeat.Heartbeat{ReportedAt: came, Zone: poll.Zone, Revision: poll.Revision, ZoneChanges: poll.ZoneNumber})
+	d.remembered[poll.Daemon] = retention.DataPlaneView{Applied: poll.Forgot, Left: poll.Leaving}
 	if poll.Address != "" {
 		d.neighbours[poll.Daemon] = poll.Address
 	}
@@ -118,10 +118,10 @@
 	}
 	if news.FreshMs > 0 {
 		d.watching.Lock()
-		if since := d.edges.Since(poll.Daemon); !since.IsZero() {
+		if since := d.edges.FirstSeen(poll.Daemon); !since.IsZero() {
 			news.CountedMs = now.Sub(since).Milliseconds()
 		}
-		news.EdgesSure = now.Sub(d.started) > d.edges.Lifetime
+		news.EdgesSure = now.Sub(d.started) > d.edges.ExpireAfter
 		d.watching.Unlock()
 	}
 	if d.isLeaving() {
--- a/internal/controlplane/scheduler.go
+++ b/internal/controlplane/scheduler.go
@@ -26,7 +26,7 @@
 // Scheduler places models and adapters on replicas while this daemon holds the placement lease.
 type Scheduler struct {
 	daemon    *Daemon
-	keeper    *lease.Lease
+	keeper    *lease.Manager
 	hold      atomic.Pointer[lease.Grant]
 	released  chan struct{}
 	commander *replica.Commander
@@ -58,9 +58,9 @@
 	bounds := daemon.settings.TimingBounds
 	return &Scheduler{
 		daemon: daemon,
-		keeper: &lease.Lease{
-			Key: placementLease, Holder: daemon.settings.NodeName, Address: daemon.self, Length: daemon.leaseLength(),
-			Settle: nodesettings.Milliseconds(bounds.LeaseMs) + 100*time.Millisecond, Store: daemon.store, Clock: daemon.clock,
+		keeper: &lease.Manager{
+			Key: placementLease, Holder: daemon.settings.NodeName, Address: daemon.self, TTL: daemon.leaseLength(),
+			TakeoverDelay: nodesettings.Milliseconds(bounds.LeaseMs) + 100*time.Millisecond, Store: daemon.store, Clock: daemon.clock,
 		},
 		store: newStoreBudget(), released: make(chan struct{}), commander: replica.NewCommander(daemon.network),
 		demand: map[string]*place.Demand{}, counted: map[string]float64{}, reading: map[string]float64{}, heldOnce: map[string]map[string]bool{},
@@ -71,7 +71,7 @@
 // Holding says whether this daemon holds the lease now. Any goroutine may call it.
 func (w *Scheduler) Holding() bool {
 	hold := w.hold.Load()
-	return hold != nil && w.daemon.clock().Before(hold.Until)
+	return hold != nil && w.daemon.clock().Before(hold.ExpiresAt)
 }
 
 const (
@@ -109,7 +109,7 @@
 // else may have ordered there since, even if this daemon held the lease before and holds it now. While none is held
 // nothing is forgotten: a renewal under way may save the grant, and its orders of unknown fate still count then.
 func (w *Scheduler) adoptGrant(grant *lease.Grant) {
-	if grant == nil || !w.daemon.clock().Before(grant.Until) {
+	if grant == nil || !w.daemon.clock().Before(grant.ExpiresAt) {
 		w.hideOverlays()
 		return
 	}
@@ -191,13 +191,13 @@
 func (w *Scheduler) mayTry() bool {
 	now := w.daemon.clock()
 	snapshot := w.daemon.publisher.Read()
-	if !w.daemon.acceptor.Self().Voting || !snapshot.Fresh(now) || !w.daemon.store.Members().Has(w.daemon.self) {
+	if !w.daemon.acceptor.LocalState().Voting || !snapshot.Fresh(now) || !w.daemon.store.Membership().Contains(w.daemon.self) {
 		return false
 	}
 	w.lock.Lock()
 	since := w.heardFrom
 	w.lock.Unlock()
-	patience := w.keeper.Length + tryMargin
+	patience := w.keeper.TTL + tryMargin
 	if w.daemon.hearsOther(snapshot.Holder, now) {
 		patience += headStart
 		if since.Before(w.daemon.started) {
--- a/internal/controlplane/storebudget.go
+++ b/internal/controlplane/storebudget.go
@@ -53,7 +53,7 @@
 			rate = max(rate, backend.Runtime.LoadsPerS)
 		}
 	}
-	return loadbudget.BoundsOf(rate, nodesettings.Seconds(w.daemon.settings.TimingBounds.OriginPeriodS), loadsTransit)
+	return loadbudget.NewBounds(rate, nodesettings.Seconds(w.daemon.settings.TimingBounds.OriginPeriodS), loadsTransit)
 }
 
 // loadTokens is how many loads from the store may begin now under the grant held; it may be below 0.
@@ -67,21 +67,21 @@
 	defer store.lock.Unlock()
 	store.bounds = w.loadBounds(table)
 	store.follow(grant, w.lastActBefore(grant))
-	for _, id := range store.budget.Open() {
+	for _, id := range store.budget.Pending() {
 		if one := w.managed[id]; one == nil || !one.state.MayBegin() {
-			store.budget.Begun(id, now)
+			store.budget.MarkStarted(id, now)
 		}
 	}
 	store.propose(grant, now)
-	return float64(store.budget.Free(now, store.bounds))
+	return float64(store.budget.Available(now, store.bounds))
 }
 
 // lastActBefore is a moment after which no holder before the grant begins a load.
 func (w *Scheduler) lastActBefore(grant *lease.Grant) time.Time {
-	if grant.FollowsFormerLife() && w.daemon.started.Before(grant.Since) {
+	if grant.FollowsOwnRestart() && w.daemon.started.Before(grant.GrantedAt) {
 		return w.daemon.started
 	}
-	return grant.Since
+	return grant.GrantedAt
 }
 
 // follow begins the budget of a grant that was not seen before. The caller holds the lock.
@@ -90,7 +90,7 @@
 		return
 	}
 	s.budget.TakeOver(loadbudget.Takeover{
-		Fence: grant.Record.Fence, At: lastAct, Reserved: grant.Record.Reserved, Continues: grant.Continues,
+		Fence: grant.Record.Fence, PredecessorStoppedAt: lastAct, Reserved: grant.Record.Reserved, ContinuesFence: grant.ContinuesFence,
 	}, s.bounds)
 }
 
@@ -125,7 +125,7 @@
 	}
 	w.store.lock.Lock()
 	defer w.store.lock.Unlock()
-	w.store.budget.Order(action.Server)
+	w.store.budget.MarkOrdered(action.Server)
 	w.store.propose(w.hold.Load(), now)
 }
 
@@ -136,7 +136,7 @@
 	}
 	w.store.lock.Lock()
 	defer w.store.lock.Unlock()
-	w.store.budget.Refused(action.Server)
+	w.store.budget.MarkRejected(action.Server)
 }
 
 // loadsBegun notes that every load ordered at a replica has begun, or never will: its order was
@@ -144,14 +144,14 @@
 func (w *Scheduler) loadsBegun(id string, now time.Time) {
 	w.store.lock.Lock()
 	defer w.store.lock.Unlock()
-	w.store.budget.Begun(id, now)
+	w.store.budget.MarkStarted(id, now)
 }
 
 // countBegun counts a load that was not known to come from the store when it was ordered.
 func (w *Scheduler) countBegun(at time.Time) {
 	w.store.lock.Lock()
 	defer w.store.lock.Unlock()
-	w.store.budget.CountBegun(at)
+	w.store.budget.AddStarted(at)
 	w.store.propose(w.hold.Load(), w.daemon.clock())
 }
 
@@ -174,7 +174,7 @@
 	time.AfterFunc(reserveBound, cancel)
 	err := w.keeper.Reserve(bounded, one.grant, one.loads)
 	w.store.lock.Lock()
-	w.store.budget.Written(one.grant.Record.Fence, one.loads, err == nil, w.daemon.clock())
+	w.store.budget.CompleteWrite(one.grant.Record.Fence, one.loads, err == nil, w.daemon.clock())
 	w.store.lock.Unlock()
 	select {
 	case w.nudge <- struct{}{}:
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -21,8 +21,8 @@
 
 // Store is the part of keystore.Store that decisions need.
 type Store interface {
-	Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Slot, error)
-	Read(ctx context.Context, name string) (keystore.Slot, error)
+	Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error)
+	Read(ctx context.Context, name string) (keystore.Register, error)
 }
 
 // State carries out the operator's calls on the keys of one fleet. Any goroutine may call it.
@@ -36,24 +36,24 @@
 // Change is the outcome of an acknowledged call: the slot that was written, unless the call
 // had been taken before.
 type Change struct {
-	Slot    keystore.Slot
-	Written bool
+	Register keystore.Register
+	Written  bool
 }
 
-// errTaken ends a decision on a call that was carried out before; the call is acknowledged.
-var errTaken = errors.New("already taken")
+// errAlreadyApplied ends a decision on a call that was carried out before; the call is acknowledged.
+var errAlreadyApplied = errors.New("already taken")
 
 // change writes a key and turns the outcome into the operator's: nil for an acknowledgement,
 // an error that promises a refusal only where a majority showed the reason.
-func (s *State) change(ctx context.Context, name string, decide keystore.Decide) (Change, error) {
-	slot, err := s.Store.Change(ctx, name, decide)
-	if errors.Is(err, errTaken) {
-		return Change{Slot: slot}, nil
+func (s *State) applyChange(ctx context.Context, name string, decide keystore.Decide) (Change, error) {
+	register, err := s.Store.Change(ctx, name, decide)
+	if errors.Is(err, errAlreadyApplied) {
+		return Change{Register: register}, nil
 	}
 	if err != nil {
 		return Change{}, Translate(err)
 	}
-	return Change{Slot: slot, Written: true}, nil
+	return Change{Register: register, Written: true}, nil
 }
 
 var keystoreErrors = map[error]apierror.Kind{
@@ -74,21 +74,21 @@
 }
 
 // Replace puts a whole configuration in force on top of version condition (0 for the first).
-func (s *State) Replace(ctx context.Context, condition int64, method string, body []byte) (Change, error) {
+func (s *State) Replace(ctx context.Context, baseRevision int64, method string, body []byte) (Change, error) {
 	read, err := configuration.Read(body)
 	if err != nil {
 		return Change{}, err
 	}
-	call := callMark(method, condition, body)
-	return s.changeConfiguration(ctx, condition, call, func(ConfigurationRecord) (int64, []byte, error) {
+	call := newCallDigest(method, baseRevision, body)
+	return s.changeConfiguration(ctx, baseRevision, call, func(ConfigurationRecord) (int64, []byte, error) {
 		return read.Revision, body, nil
 	})
 }
 
 // Patch alters named items of version condition.
-func (s *State) Patch(ctx context.Context, condition int64, method string, body []byte) (Change, error) {
-	call := callMark(method, condition, body)
-	return s.changeConfiguration(ctx, condition, call, func(current ConfigurationRecord) (int64, []byte, error) {
+func (s *State) Patch(ctx context.Context, baseRevision int64, method string, body []byte) (Change, error) {
+	call := newCallDigest(method, baseRevision, body)
+	return s.changeConfiguration(ctx, baseRevision, call, func(current ConfigurationRecord) (int64, []byte, error) {
 		present, err := configuration.Unpack(current.Packed)
 		if err != nil {
 			return 0, nil, err
@@ -105,13 +105,13 @@
 // composer makes the next document, and its revision, from the record in force.
 type composer func(current ConfigurationRecord) (int64, []byte, error)
 
-func (s *State) changeConfiguration(ctx context.Context, condition int64, call mark, compose composer) (Change, error) {
-	return s.change(ctx, keystore.ConfigurationKey, func(current keystore.Slot) (json.RawMessage, error) {
+func (s *State) changeConfiguration(ctx context.Context, baseRevision int64, call callDigest, compose composer) (Change, error) {
+	return s.applyChange(ctx, keystore.ConfigurationKey, func(current keystore.Register) (json.RawMessage, error) {
 		record, err := DecodeConfiguration(current)
 		if err != nil {
 			return nil, err
 		}
-		if err := record.judge(condition, call); err != nil {
+		if err := record.check(baseRevision, call); err != nil {
 			return nil, err
 		}
 		revision, document, err := compose(record)
@@ -125,28 +125,28 @@
 	})
 }
 
-// judge says whether a call may build on the record: errTaken where it was carried out, a
+// judge says whether a call may build on the record: errAlreadyApplied where it was carried out, a
 // refusal where another version is in force, and neither promise where the call is older than
 // the memory of calls.
-func (r ConfigurationRecord) judge(condition int64, call mark) error {
+func (r ConfigurationRecord) check(baseRevision int64, call callDigest) error {
 	switch {
-	case r.Taken.has(call):
-		return errTaken
-	case condition == r.Revision:
+	case r.AppliedCalls.contains(call):
+		return errAlreadyApplied
+	case baseRevision == r.Revision:
 		return nil
-	case r.Taken.forgot(condition):
-		return apierror.New(apierror.ForgottenCall, "calls that built on versions up to %d are not remembered", r.Taken.Forgotten)
+	case r.AppliedCalls.mayHaveForgotten(baseRevision):
+		return apierror.New(apierror.ForgottenCall, "calls that built on versions up to %d are not remembered", r.AppliedCalls.ForgottenUpTo)
 	}
 	return apierror.New(apierror.StaleConfiguration, "revision %d is current", r.Revision)
 }
 
 // Configuration reads the document in force, confirmed at a majority.
 func (s *State) Configuration(ctx context.Context) (json.RawMessage, error) {
-	slot, err := s.Store.Read(ctx, keystore.ConfigurationKey)
+	register, err := s.Store.Read(ctx, keystore.ConfigurationKey)
 	if err != nil {
 		return nil, Translate(err)
 	}
-	record, err := DecodeConfiguration(slot)
+	record, err := DecodeConfiguration(register)
 	if err != nil {
 		return nil, err
 	}
@@ -160,25 +160,25 @@
 // no version, so a copy of it that comes late must not undo what was acknowledged after it:
 // the state is looked at before the time `before`, while its caller still waits for this answer,
 // and is left alone where it has changed since that first look.
-func (s *State) DrainZone(ctx context.Context, zone string, drained bool, before time.Time) (Change, error) {
+func (s *State) DrainZone(ctx context.Context, zone string, drained bool, deadline time.Time) (Change, error) {
 	if _, known := s.Zones[zone]; !known {
 		return Change{}, apierror.New(apierror.UnknownZone, "%s", zone)
 	}
 	var first *ZoneRecord
-	return s.change(ctx, keystore.ZonePrefix+zone, func(current keystore.Slot) (json.RawMessage, error) {
+	return s.applyChange(ctx, keystore.ZonePrefix+zone, func(current keystore.Register) (json.RawMessage, error) {
 		record, err := DecodeZone(current)
 		if err != nil {
 			return nil, err
 		}
-		if record.Number > 0 && record.Drained == drained {
-			return nil, errTaken
+		if record.Version > 0 && record.Drained == drained {
+			return nil, errAlreadyApplied
 		}
 		if first == nil {
 			first = &record
 		}
-		if !s.Clock().Before(before) || first.Number != record.Number {
+		if !s.Clock().Before(deadline) || first.Version != record.Version {
 			return nil, apierror.New(apierror.LateCall, "")
 		}
-		return json.Marshal(ZoneRecord{Number: record.Number + 1, Drained: drained})
+		return json.Marshal(ZoneRecord{Version: record.Version + 1, Drained: drained})
 	})
 }
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -19,33 +19,33 @@
 // memoryStore is a register that one daemon owns; interfere stands in for another daemon that
 // changes the key between two looks of a decision.
 type memoryStore struct {
-	slots     map[string]keystore.Slot
+	registers map[string]keystore.Register
 	interfere func(store *memoryStore)
 }
 
-func newMemoryStore() *memoryStore { return &memoryStore{slots: map[string]keystore.Slot{}} }
+func newMemoryStore() *memoryStore { return &memoryStore{registers: map[string]keystore.Register{}} }
 
-func (m *memoryStore) Read(_ context.Context, name string) (keystore.Slot, error) {
-	return m.slots[name], nil
+func (m *memoryStore) Read(_ context.Context, name string) (keystore.Register, error) {
+	return m.registers[name], nil
 }
 
-func (m *memoryStore) Change(_ context.Context, name string, decide keystore.Decide) (keystore.Slot, error) {
-	value, err := decide(m.slots[name])
+func (m *memoryStore) Change(_ context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
+	value, err := decide(m.registers[name])
 	if err == nil && m.interfere != nil {
 		interfere := m.interfere
 		m.interfere = nil
 		interfere(m)
-		value, err = decide(m.slots[name])
+		value, err = decide(m.registers[name])
 	}
 	if err != nil {
-		return m.slots[name], err
+		return m.registers[name], err
 	}
 	m.set(name, value)
-	return m.slots[name], nil
+	return m.registers[name], nil
 }
 
 func (m *memoryStore) set(name string, value json.RawMessage) {
-	m.slots[name] = keystore.Slot{Key: name, Sequence: m.slots[name].Sequence + 1, Value: value}
+	m.registers[name] = keystore.Register{Key: name, Sequence: m.registers[name].Sequence + 1, Value: value}
 }
 
 func stateOver(store *memoryStore) *controlstate.State {
@@ -59,12 +59,12 @@
 
 func kindOf(err error) apierror.Kind { return apierror.Of(err).Kind }
 
-func put(state *controlstate.State, condition, revision, timeout int) error {
-	_, err := state.Replace(context.Background(), int64(condition), http.MethodPut, document(revision, timeout))
+func put(state *controlstate.State, baseRevision, revision, timeout int) error {
+	_, err := state.Replace(context.Background(), int64(baseRevision), http.MethodPut, document(revision, timeout))
 	return err
 }
 
-func TestGivenTwoChangesUnderOneNumberThenOneIsTakenAndStaysSo(t *testing.T) {
+func TestState_ReplaceAppliesOneOfTwoChangesOfARevision(t *testing.T) {
 	state := stateOver(newMemoryStore())
 	assert.NilError(t, put(state, 0, 1, 100))
 	assert.NilError(t, put(state, 1, 2, 200))
@@ -72,7 +72,7 @@
 	assert.NilError(t, put(state, 1, 2, 200), "the one that was taken is acknowledged again")
 }
 
-func TestGivenTwoFirstConfigurationsThenTheLaterOneIsRefused(t *testing.T) {
+func TestState_ReplaceRejectsSecondInitialConfiguration(t *testing.T) {
 	state := stateOver(newMemoryStore())
 	assert.NilError(t, put(state, 0, 1, 100))
 	assert.Equal(t, kindOf(put(state, 0, 1, 200)), apierror.StaleConfiguration)
@@ -81,7 +81,7 @@
 	assert.NilError(t, put(state, 0, 1, 100), "the one that was taken is acknowledged again")
 }
 
-func TestGivenTheFirstCallLetGoThenItIsLeftOpenAndNotRefused(t *testing.T) {
+func TestState_ReplaceLeavesForgottenFirstCallOpen(t *testing.T) {
 	state := stateOver(newMemoryStore())
 	for revision := 1; revision <= 513; revision++ {
 		assert.NilError(t, put(state, revision-1, revision, revision))
@@ -90,7 +90,7 @@
 	assert.NilError(t, put(state, 1, 2, 2))
 }
 
-func TestGivenAThousandChangesThenAnOldCallIsAcknowledgedAgainOrLeftOpenAndNeverRefused(t *testing.T) {
+func TestState_ReplaceNeverRejectsAnAppliedCall(t *testing.T) {
 	const changes = 1000
 	state := stateOver(newMemoryStore())
 	for revision := 1; revision <= changes; revision++ {
@@ -110,18 +110,18 @@
 	assert.Equal(t, kindOf(put(state, 3*(changes-1), 3*changes, 7)), apierror.StaleConfiguration, "another change under the newest number")
 }
 
-func TestGivenAThousandChangesThenTheMemoryOfCallsStaysSmall(t *testing.T) {
+func TestState_AppliedCallsStaySmall(t *testing.T) {
 	store := newMemoryStore()
 	state := stateOver(store)
 	for revision := 1; revision <= 1000; revision++ {
 		assert.NilError(t, put(state, 7*(revision-1), 7*revision, revision))
 	}
-	record, err := controlstate.DecodeConfiguration(store.slots[keystore.ConfigurationKey])
+	record, err := controlstate.DecodeConfiguration(store.registers[keystore.ConfigurationKey])
 	assert.NilError(t, err)
-	assert.Assert(t, len(record.Taken.Entries) <= 512*10, "%d bytes", len(record.Taken.Entries))
+	assert.Assert(t, len(record.AppliedCalls.Entries) <= 512*10, "%d bytes", len(record.AppliedCalls.Entries))
 }
 
-func TestGivenARecordOfTheFormerFormatThenItsCallsAreLeftOpen(t *testing.T) {
+func TestState_ReplaceLeavesCallsOfLegacyRecordOpen(t *testing.T) {
 	store := newMemoryStore()
 	store.set(keystore.ConfigurationKey, json.RawMessage(`{"revision":9,"packed":"","marks":["x"]}`))
 	state := stateOver(store)
@@ -129,12 +129,12 @@
 	assert.NilError(t, put(state, 9, 10, 100))
 }
 
-func drain(state *controlstate.State, drained bool, before time.Time) error {
-	_, err := state.DrainZone(context.Background(), "north", drained, before)
+func drain(state *controlstate.State, drained bool, deadline time.Time) error {
+	_, err := state.DrainZone(context.Background(), "north", drained, deadline)
 	return err
 }
 
-func TestGivenACopyOfAnEvacuationThatComesTooLateThenItChangesNothing(t *testing.T) {
+func TestState_DrainZoneIgnoresLateCopy(t *testing.T) {
 	state := stateOver(newMemoryStore())
 	soon, gone := time.Now().Add(time.Minute), time.Now().Add(-time.Millisecond)
 	assert.NilError(t, drain(state, true, soon))
@@ -143,7 +143,7 @@
 	assert.NilError(t, drain(state, false, gone), "what is so already is acknowledged")
 }
 
-func TestGivenTheOppositeAcknowledgedElsewhereBetweenTwoLooksThenTheEarlierCallGivesWay(t *testing.T) {
+func TestState_DrainZoneYieldsToConcurrentChange(t *testing.T) {
 	store := newMemoryStore()
 	state := stateOver(store)
 	soon := time.Now().Add(time.Minute)
@@ -155,7 +155,7 @@
 	assert.Equal(t, kindOf(drain(state, false, soon)), apierror.LateCall)
 }
 
-func TestGivenAnErrorOfTheKeystoreThenNoPromiseIsMade(t *testing.T) {
+func TestTranslate(t *testing.T) {
 	for _, err := range []error{keystore.ErrNoMajority, keystore.ErrContended, keystore.ErrUncertain, errors.Wrap(keystore.ErrUncertain, "x")} {
 		assert.Equal(t, kindOf(controlstate.Translate(err)).Status(), http.StatusServiceUnavailable)
 	}
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -28,18 +28,18 @@
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	began := q.clock()
-	q.borrower.Arrived(tenant.Name, began)
+	q.borrower.RecordRequest(tenant.Name, began)
 	q.wait(tenant.Name, 1)
 	defer q.wait(tenant.Name, -1)
 	for now := began; now.Sub(began) < max(patience.Together, leastPatience) && ctx.Err() == nil; now = q.clock() {
-		if q.borrower.Take(tenant.Name, now) {
+		if q.borrower.TakeToken(tenant.Name, now) {
 			return nil
 		}
 		answered := q.ask(tenant.Name, now)
-		if left := q.borrower.Denied(tenant.Name, now); answered == nil && left > 0 {
+		if left := q.borrower.OverLimitFor(tenant.Name, now); answered == nil && left > 0 {
 			return apierror.Later(apierror.TenantLimit, left)
 		}
-		if answered == nil && now.Sub(began) > patience.Alone && !q.lender.InTouch(now) {
+		if answered == nil && now.Sub(began) > patience.Alone && !q.lender.HasFreshFleetSize(now) {
 			break
 		}
 		q.lock.Unlock()
@@ -85,13 +85,13 @@
 	if answered := q.asking[tenant]; answered != nil {
 		return answered
 	}
-	home, found := q.borrower.Home(tenant, q.lender.Homes(tenant), now)
+	home, found := q.borrower.NextHomeShard(tenant, q.lender.HomeShards(tenant), now)
 	if !found {
 		return nil
 	}
-	question := quota.BorrowRequest{Tenant: tenant, Want: q.borrower.Want(tenant, q.pending[tenant], now)}
+	question := quota.BorrowRequest{Tenant: tenant, Want: q.borrower.TokensToRequest(tenant, q.pending[tenant], now)}
 	if home == q.name {
-		q.borrower.Answered(tenant, home, q.pool.Borrow(question, now), now, now)
+		q.borrower.HandleReply(tenant, home, q.pool.Borrow(question, now), now, now)
 		return answeredAtOnce
 	}
 	answered := make(chan struct{})
@@ -108,9 +108,9 @@
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if now := q.clock(); err != nil {
-		q.borrower.Failed(home, now)
+		q.borrower.HandleFailure(home, now)
 	} else {
-		q.borrower.Answered(question.Tenant, home, reply, asked, now)
+		q.borrower.HandleReply(question.Tenant, home, reply, asked, now)
 	}
 	delete(q.asking, question.Tenant)
 	close(answered)
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -74,12 +74,12 @@
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if count > 0 {
-		if !q.lender.InTouch(q.clock()) {
+		if !q.lender.HasFreshFleetSize(q.clock()) {
 			q.lendSoon()
 		}
 		since := time.Duration(news.CountedMs) * time.Millisecond
-		q.lender.Touch(quota.Count{DataPlanes: count, Since: since, Sure: sure}, asked)
-		q.pool.SetCount(count)
+		q.lender.UpdateFleetSize(quota.FleetSize{DataPlanes: count, CountedFor: since, Established: sure}, asked)
+		q.pool.SetDataPlaneCount(count)
 	}
 	if news.Neighbours == nil {
 		return
@@ -130,7 +130,7 @@
 func (q *Quotas) Leave() {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	q.pool.Leave()
+	q.pool.Drain()
 }
 
 func (q *Quotas) lendSoon() {
@@ -145,7 +145,7 @@
 
 // Run lends until the context ends.
 func (q *Quotas) Run(ctx context.Context) {
-	ticker := time.NewTicker(q.parameters.Renewal)
+	ticker := time.NewTicker(q.parameters.RenewalInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -166,7 +166,7 @@
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	now := q.clock()
-	q.borrower.Forget(now)
+	q.borrower.DropIdleAccounts(now)
 	if !q.limited {
 		return nil
 	}
@@ -178,11 +178,11 @@
 	}
 	var planned []plannedOffer
 	for _, offer := range q.lender.Plan(members, now) {
-		if offer.Home != q.name {
-			planned = append(planned, plannedOffer{offer, q.addresses[offer.Home]})
+		if offer.HomeShard != q.name {
+			planned = append(planned, plannedOffer{offer, q.addresses[offer.HomeShard]})
 			continue
 		}
-		if q.lender.Answered(q.name, q.pool.Lend(offer.Request, now), now) {
+		if q.lender.HandleReply(q.name, q.pool.Lend(offer.Request, now), now) {
 			q.lendSoon()
 		}
 	}
@@ -200,12 +200,12 @@
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if err != nil {
-		q.lender.Failed(offer.Home, q.clock())
-		logrus.WithError(err).WithField("home", offer.Home).Debug("home of tenants' limits gave no answer")
+		q.lender.HandleFailure(offer.HomeShard, q.clock())
+		logrus.WithError(err).WithField("home", offer.HomeShard).Debug("home of tenants' limits gave no answer")
 		q.lendSoon()
 		return
 	}
-	if q.lender.Answered(offer.Home, reply, q.clock()) {
+	if q.lender.HandleReply(offer.HomeShard, reply, q.clock()) {
 		q.lendSoon()
 	}
 }
--- a/internal/dataplane/quotastatus.go
+++ b/internal/dataplane/quotastatus.go
@@ -11,19 +11,19 @@
 
 // quotaStatus is what operators see of the limits of tenants at one data plane: what is lent to it and what it lent.
 type quotaStatus struct {
-	Holds []quota.Holding `json:"holds"`
-	Lent  []quota.Debt    `json:"lent"`
+	Holds []quota.TenantBalance `json:"holds"`
+	Lent  []quota.LeasedShare   `json:"lent"`
 }
 
 // status tells the present state, in order of names.
 func (q *Quotas) status() quotaStatus {
 	q.lock.Lock()
 	now := q.clock()
-	status := quotaStatus{Holds: q.pool.Holdings(now), Lent: q.lender.Debts(now)}
+	status := quotaStatus{Holds: q.pool.TenantBalances(now), Lent: q.lender.LeasedShares(now)}
 	q.lock.Unlock()
-	slices.SortFunc(status.Holds, func(left, right quota.Holding) int { return cmp.Compare(left.Tenant, right.Tenant) })
-	slices.SortFunc(status.Lent, func(left, right quota.Debt) int {
-		return cmp.Or(cmp.Compare(left.Group, right.Group), cmp.Compare(left.Home, right.Home))
+	slices.SortFunc(status.Holds, func(left, right quota.TenantBalance) int { return cmp.Compare(left.Tenant, right.Tenant) })
+	slices.SortFunc(status.Lent, func(left, right quota.LeasedShare) int {
+		return cmp.Or(cmp.Compare(left.Group, right.Group), cmp.Compare(left.HomeShard, right.HomeShard))
 	})
 	return status
 }
--- a/internal/explore/apply.go
+++ b/internal/explore/apply.go
@@ -7,76 +7,76 @@
 )
 
 // apply is the world after a move. The error says which invariant fails there.
-func (f *fleet) apply(w *world, one move) (*world, error) {
+func (m *model) apply(w *world, event action) (*world, error) {
 	next := w.clone()
-	err := f.carryOut(next, one)
-	if err == nil && one.kind != moveWipe {
-		err = f.checkLists(w, next)
+	err := m.execute(next, event)
+	if err == nil && event.kind != actionWipe {
+		err = m.checkMemberships(w, next)
 	}
 	if err == nil {
-		err = f.check(next)
+		err = m.check(next)
 	}
 	if err == nil {
-		f.drop(next)
+		m.dropIrrelevant(next)
 	}
 	return next, err
 }
 
-func (f *fleet) carryOut(w *world, one move) error {
-	subject := int(one.subject)
-	switch one.kind {
-	case moveDeliver, moveDuplicate:
-		if one.kind == moveDuplicate {
-			w.left.Duplicates--
+func (m *model) execute(w *world, event action) error {
+	subject := int(event.subject)
+	switch event.kind {
+	case actionDeliver, actionDuplicate:
+		if event.kind == actionDuplicate {
+			w.remaining.Duplicates--
 		} else {
-			at, _ := slices.BinarySearch(w.network, one.subject)
+			at, _ := slices.BinarySearch(w.network, event.subject)
 			w.network = slices.Delete(w.network, at, at+1)
 		}
-		return f.deliver(w, one.subject, one.choice == replyLost)
-	case moveSync:
-		return f.sync(w, subject, one.choice == replyLost)
-	case moveCrash:
-		w.left.Crashes--
-		crashed := f.members.get(w.members[subject]).crash(int(one.choice), f.now(w, subject))
-		return f.restartMachine(w, subject, crashed)
-	case moveWipe:
-		w.left.Wipes--
-		return f.restartMachine(w, subject, f.members.get(w.members[subject]).wipe(f.rules, f.now(w, subject)))
-	case moveRestart:
-		w.left.Restarts--
-		f.restartProposer(w, subject, keystore.Members{})
-	case moveBegin:
-		return f.begin(w, subject)
-	case moveGiveUp:
-		return f.giveUp(w, subject)
-	case moveHear:
-		next := f.proposers.get(w.proposers[subject]).clone()
-		next.adopt(f.proposers.get(w.proposers[one.choice]).Members)
-		w.proposers[subject] = f.proposers.add(next)
-	case moveTick:
-		w.left.Ticks--
+		return m.deliver(w, event.subject, event.choice == replyLost)
+	case actionSync:
+		return m.sync(w, subject, event.choice == replyLost)
+	case actionCrash:
+		w.remaining.Crashes--
+		crashed := m.members.get(w.members[subject]).crash(int(event.choice), m.now(w, subject))
+		return m.restartMachine(w, subject, crashed)
+	case actionWipe:
+		w.remaining.Wipes--
+		return m.restartMachine(w, subject, m.members.get(w.members[subject]).wipe(m.rules, m.now(w, subject)))
+	case actionRestart:
+		w.remaining.Restarts--
+		m.restartProposer(w, subject, keystore.Membership{})
+	case actionStartTask:
+		return m.startTask(w, subject)
+	case actionAbandon:
+		return m.abandonAttempt(w, subject)
+	case actionAdoptMembership:
+		next := m.proposers.get(w.proposers[subject]).clone()
+		next.adopt(m.proposers.get(w.proposers[event.choice]).Membership)
+		w.proposers[subject] = m.proposers.add(next)
+	case actionTick:
+		w.remaining.Ticks--
 		w.tick++
-		f.forget(w)
-	case moveDayStep:
-		w.left.DaySteps--
-		w.dayOffsets[subject] += f.scenario.Lease
+		m.dropExpired(w)
+	case actionStepWallClock:
+		w.remaining.WallClockSteps--
+		w.wallClockOffsets[subject] += m.scenario.LeaseTicks
 	}
 	return nil
 }
 
-func (f *fleet) deliver(w *world, of number, lost bool) error {
-	one := f.packets.get(of)
-	if one.Reply != nil {
-		return f.receive(w, of)
+func (m *model) deliver(w *world, id stateID, lost bool) error {
+	message := m.packets.get(id)
+	if message.Reply != nil {
+		return m.receive(w, id)
 	}
-	index := f.machine(one.Member)
-	handled := f.handle(w, index, of)
+	index := m.machine(message.Member)
+	handled := m.handleAtMember(w, index, id)
 	w.members[index] = handled.member
-	if err := f.answer(w, handled.replies, lost); err != nil {
+	if err := m.sendReplies(w, handled.replies, lost); err != nil {
 		return err
 	}
-	if !f.scenario.Staging && len(f.members.get(handled.member).Staged) > 0 {
-		return f.sync(w, index, lost)
+	if !m.scenario.SeparatesSync && len(m.members.get(handled.member).Staged) > 0 {
+		return m.sync(w, index, lost)
 	}
 	return nil
 }
@@ -85,98 +85,98 @@
 // not at all. That leaves nothing out where no step depends on when a reply arrives: until it
 // does its proposer stands still, and what the proposer sends on it may be under way for as long
 // as the reply could have been. A late refusal is a late question: neither changes the member.
-func (f *fleet) answer(w *world, replies []number, lost bool) error {
+func (m *model) sendReplies(w *world, replies []stateID, lost bool) error {
 	for _, reply := range replies {
-		if f.scenario.LateReplies {
+		if m.scenario.DelaysReplies {
 			w.send(reply)
 			continue
 		}
 		if lost {
 			continue
 		}
-		if err := f.receive(w, reply); err != nil {
+		if err := m.receive(w, reply); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *fleet) handle(w *world, index int, of number) handlingResult {
-	now := f.now(w, index)
-	asked := handling{w.members[index], of, int(now.Sub(epoch) / Tick)}
-	if known, found := f.handled[asked]; found {
+func (m *model) handleAtMember(w *world, index int, id stateID) handleResult {
+	now := m.now(w, index)
+	cacheKey := handleKey{w.members[index], id, int(now.Sub(epoch) / Tick)}
+	if known, found := m.handled[cacheKey]; found {
 		return known
 	}
-	next, replies := f.members.get(asked.member).handle(f.rules, *f.packets.get(of), now)
-	result := handlingResult{member: f.members.add(next)}
+	next, replies := m.members.get(cacheKey.member).handle(m.rules, *m.packets.get(id), now)
+	result := handleResult{member: m.members.add(next)}
 	for _, reply := range replies {
-		result.replies = append(result.replies, f.packets.add(&reply))
+		result.replies = append(result.replies, m.packets.add(&reply))
 	}
-	f.handled[asked] = result
+	m.handled[cacheKey] = result
 	return result
 }
 
-func (f *fleet) sync(w *world, index int, lost bool) error {
-	one := handling{w.members[index], syncing, 0}
-	synced, known := f.handled[one]
+func (m *model) sync(w *world, index int, lost bool) error {
+	cacheKey := handleKey{w.members[index], syncPacket, 0}
+	synced, known := m.handled[cacheKey]
 	if !known {
-		next, replies := f.members.get(w.members[index]).sync()
-		synced.member = f.members.add(next)
+		next, replies := m.members.get(w.members[index]).sync()
+		synced.member = m.members.add(next)
 		for _, reply := range replies {
-			synced.replies = append(synced.replies, f.packets.add(&reply))
+			synced.replies = append(synced.replies, m.packets.add(&reply))
 		}
-		f.handled[one] = synced
+		m.handled[cacheKey] = synced
 	}
 	w.members[index] = synced.member
-	if err := f.observe(w); err != nil {
+	if err := m.observeCommitted(w); err != nil {
 		return err
 	}
-	return f.answer(w, synced.replies, lost)
+	return m.sendReplies(w, synced.replies, lost)
 }
 
-func (f *fleet) giveUp(w *world, index int) error {
-	at := f.proposers.get(w.proposers[index])
+func (m *model) abandonAttempt(w *world, index int) error {
+	at := m.proposers.get(w.proposers[index])
 	next := at.clone()
 	var result outcome
-	if at.settles(f.rules) {
-		result = next.answered(f.view(w, at), true)
+	if at.mayEndDigest(m.rules) {
+		result = next.completeQuery(m.view(w, at), true)
 	} else {
-		next.fail()
+		next.failAttempt()
 	}
-	return f.settle(w, index, next, result)
+	return m.applyOutcome(w, index, next, result)
 }
 
 // restartMachine is the next life of a machine: its member as given, its proposers anew. One
 // whose member lost its disk first brings that to vote again.
-func (f *fleet) restartMachine(w *world, index int, next *member) error {
-	w.members[index] = f.members.add(next)
-	for number, of := range w.proposers {
-		if f.proposers.get(of).Machine == f.machines[index] {
-			f.restartProposer(w, number, next.list)
-			f.forgetList(w, number, next)
+func (m *model) restartMachine(w *world, index int, next *member) error {
+	w.members[index] = m.members.add(next)
+	for number, id := range w.proposers {
+		if m.proposers.get(id).Machine == m.machines[index] {
+			m.restartProposer(w, number, next.membership)
+			m.resetMembership(w, number, next)
 		}
 	}
-	return f.observe(w)
+	return m.observeCommitted(w)
 }
 
-// forgetList leaves a proposer that is to catch up without a list where its disk holds none.
-func (f *fleet) forgetList(w *world, index int, own *member) {
-	if own.list.Number > 0 || !f.scenario.forgetsList(f.scenario.Clients[index]) {
+// resetMembership leaves a proposer that is to catch up without a list where its disk holds none.
+func (m *model) resetMembership(w *world, index int, own *member) {
+	if own.membership.Version > 0 || !m.scenario.forgetsMembership(m.scenario.Clients[index]) {
 		return
 	}
-	next := f.proposers.get(w.proposers[index]).clone()
-	next.Members = keystore.Members{}
-	w.proposers[index] = f.proposers.add(next)
+	next := m.proposers.get(w.proposers[index]).clone()
+	next.Membership = keystore.Membership{}
+	w.proposers[index] = m.proposers.add(next)
 }
 
-func (f *fleet) restartProposer(w *world, index int, members keystore.Members) {
-	w.proposers[index] = f.proposers.add(f.proposers.get(w.proposers[index]).restart(members))
+func (m *model) restartProposer(w *world, index int, membership keystore.Membership) {
+	w.proposers[index] = m.proposers.add(m.proposers.get(w.proposers[index]).restart(membership))
 }
 
-func (f *fleet) forget(w *world) {
-	for index, of := range w.members {
-		next := f.members.get(of).clone()
-		next.forget(f.now(w, index))
-		w.members[index] = f.members.add(next)
+func (m *model) dropExpired(w *world) {
+	for index, id := range w.members {
+		next := m.members.get(id).clone()
+		next.dropExpired(m.now(w, index))
+		w.members[index] = m.members.add(next)
 	}
 }
--- a/internal/explore/asking.go
+++ b/internal/explore/asking.go
@@ -9,62 +9,62 @@
 
 // answered ends a question of one round that a quorum agreed to. A look that leaves something
 // unsettled may wait for more replies, as Store does; patient says that it waits no more.
-func (p *proposer) answered(at view, patient bool) outcome {
+func (p *proposer) completeQuery(at view, patient bool) outcome {
 	switch p.task().Kind {
-	case taskLook:
-		return p.look(at, patient)
+	case taskDigest:
+		return p.completeDigest(at, patient)
 	case taskRead:
-		result := outcome{concluded: p.concludes(p.Owner.InForce().Ballot), floor: p.Floor}
-		p.finish()
+		result := outcome{committed: p.committedValues(p.Ownership.Current().AcceptedProposal), acknowledgedAtStart: p.AcknowledgedAtStart}
+		p.finishTask()
 		return result
 	case taskRenew:
 		if p.Lease != nil {
 			renewed := *p.Lease
-			renewed.Began, renewed.Until = p.Began, p.Began.Add(p.length)
+			renewed.Started, renewed.Until = p.Started, p.Started.Add(p.leaseDuration)
 			p.Lease = &renewed
 		}
 	}
-	p.finish()
+	p.finishTask()
 	return outcome{}
 }
 
-func (p *proposer) look(at view, patient bool) outcome {
-	digest := keystore.ConcludeDigest(p.Asked, p.Replies)
-	if len(digest.Unsettled) > 0 && !patient {
+func (p *proposer) completeDigest(at view, patient bool) outcome {
+	digest := keystore.EvaluateDigest(p.Queried, p.Replies)
+	if len(digest.Undecided) > 0 && !patient {
 		return outcome{}
 	}
-	result := outcome{floor: p.Floor}
+	result := outcome{acknowledgedAtStart: p.AcknowledgedAtStart}
 	for _, key := range slices.Sorted(maps.Keys(digest.Committed)) {
-		result.looked = append(result.looked, digest.Committed[key])
+		result.digested = append(result.digested, digest.Committed[key])
 	}
-	if p.keepsLooks {
-		p.Looked = &hold{Began: p.Began, Answered: at.now}
+	if p.keepsDigests {
+		p.LastDigest = &validity{Started: p.Started, Answered: at.now}
 	}
-	p.finish()
+	p.finishTask()
 	return result
 }
 
 // settles says whether a look may end now although something is unsettled.
-func (p *proposer) settles(rules Rules) bool {
-	if p.Phase != phaseAsking || p.task().Kind != taskLook {
+func (p *proposer) mayEndDigest(rules Rules) bool {
+	if p.Phase != phaseQuerying || p.task().Kind != taskDigest {
 		return false
 	}
-	agreed, _ := rules.Agreed(p.Asked, p.Replies, func(_ string, reply keystore.Reply) bool { return reply.Granted })
+	agreed, _ := rules.CountVotes(p.Queried, p.Replies, func(_ string, reply keystore.Reply) bool { return reply.Granted })
 	return agreed
 }
 
-func (p *proposer) judgeCatchUp(at view) outcome {
-	incarnation := at.own.self.Incarnation
-	question := keystore.CatchUpQuestion{Self: p.Machine, Incarnation: incarnation, Members: p.Asked}
-	read, _, enough := keystore.ConcludeCatchUp(question, p.Replies, at.rules.Founding)
+func (p *proposer) evaluateCatchUp(at view) outcome {
+	incarnation := at.own.localState.DiskIncarnation
+	request := keystore.CatchUpRequest{Self: p.Machine, DiskIncarnation: incarnation, Membership: p.Queried}
+	read, _, enough := keystore.EvaluateCatchUp(request, p.Replies, at.rules.JudgeBootstrap)
 	if !enough {
 		return outcome{}
 	}
-	if p.Members.Number != p.AskedUnder {
-		p.fail()
+	if p.Membership.Version != p.VersionAtStart {
+		p.failAttempt()
 		return outcome{}
 	}
-	install := packet{Member: p.Machine, Proposer: p.Index, Life: p.Life, Round: p.Round, Install: &read}
-	p.fail()
+	install := packet{Member: p.Machine, Proposer: p.Index, Incarnation: p.Incarnation, Round: p.Round, Install: &read}
+	p.failAttempt()
 	return outcome{packets: []packet{install}}
 }
--- a/internal/explore/check.go
+++ b/internal/explore/check.go
@@ -13,111 +13,111 @@
 
 // observe notes what a look by anyone would conclude at this moment: a proposal that a quorum
 // of voting members hold alike on their disks, under any list that one of them knows.
-func (f *fleet) observe(w *world) error {
-	noted := f.histories.get(w.history)
+func (m *model) observeCommitted(w *world) error {
+	observed := m.histories.get(w.history)
 	var next *history
-	for _, of := range w.members {
-		holder := f.members.get(of)
-		for key, slot := range holder.Durable {
-			if !slot.Accepted() || noted.told(slot) || !f.held(w, holder.list, slot) {
+	for _, id := range w.members {
+		voter := m.members.get(id)
+		for key, register := range voter.Durable {
+			if !register.IsAccepted() || observed.contains(register) || !m.isCommitted(w, voter.membership, register) {
 				continue
 			}
 			if next == nil {
-				next = noted.clone()
+				next = observed.clone()
 			}
-			if err := next.conclude(conclusion{key, slot.Ballot, slot.Sequence, slot.Value}); err != nil {
+			if err := next.addCommitted(committedValue{key, register.AcceptedProposal, register.Sequence, register.Value}); err != nil {
 				return err
 			}
 		}
 	}
 	if next != nil {
-		w.history = f.histories.add(next)
+		w.history = m.histories.add(next)
 	}
 	return nil
 }
 
-func (f *fleet) held(w *world, list keystore.Members, slot keystore.Slot) bool {
+func (m *model) isCommitted(w *world, membership keystore.Membership, register keystore.Register) bool {
 	alike := map[string]bool{}
-	for index, of := range w.members {
-		other := f.members.get(of)
-		if other.self.Voting && other.list.Number <= list.Number && other.Durable[slot.Key].Same(slot) {
-			alike[f.machines[index]] = true
+	for index, id := range w.members {
+		other := m.members.get(id)
+		if other.localState.Voting && other.membership.Version <= membership.Version && other.Durable[register.Key].SameProposal(register) {
+			alike[m.machines[index]] = true
 		}
 	}
-	return list.Quorum(alike)
+	return membership.HasQuorum(alike)
 }
 
 // check looks at what must hold in each world at each time.
-func (f *fleet) check(w *world) error {
-	if f.scenario.Lease > 0 {
-		if err := f.checkLeases(w); err != nil {
+func (m *model) check(w *world) error {
+	if m.scenario.LeaseTicks > 0 {
+		if err := m.checkLeases(w); err != nil {
 			return err
 		}
 	}
-	if f.scenario.Validity > 0 {
-		return f.checkLooks(w)
+	if m.scenario.DigestValidityTicks > 0 {
+		return m.checkDigests(w)
 	}
 	return nil
 }
 
-// checkLists: a member never goes back to an older list.
-func (f *fleet) checkLists(before, after *world) error {
-	for index, of := range after.members {
-		former, present := f.members.get(before.members[index]).list, f.members.get(of).list
-		if present.Number < former.Number {
-			return errors.Errorf("%s goes back from list %d to %d", f.machines[index], former.Number, present.Number)
+// checkMemberships: a member never goes back to an older list.
+func (m *model) checkMemberships(before, after *world) error {
+	for index, id := range after.members {
+		former, present := m.members.get(before.members[index]).membership, m.members.get(id).membership
+		if present.Version < former.Version {
+			return errors.Errorf("%s goes back from list %d to %d", m.machines[index], former.Version, present.Version)
 		}
 	}
 	return nil
 }
 
 // checkLeases: no two holders, each by its own counting, hold one lease at the same moment.
-func (f *fleet) checkLeases(w *world) error {
+func (m *model) checkLeases(w *world) error {
 	holders := map[string]string{}
-	for _, of := range w.proposers {
-		one := f.proposers.get(of)
-		if one.Lease == nil || !f.now(w, f.machine(one.Machine)).Before(one.Lease.Until) {
+	for _, id := range w.proposers {
+		client := m.proposers.get(id)
+		if client.Lease == nil || !m.now(w, m.machine(client.Machine)).Before(client.Lease.Until) {
 			continue
 		}
-		if other, taken := holders[one.Lease.Key]; taken {
-			return errors.Errorf("%s is held by %s and %s at once", one.Lease.Key, other, one.Machine)
+		if other, taken := holders[client.Lease.Key]; taken {
+			return errors.Errorf("%s is held by %s and %s at once", client.Lease.Key, other, client.Machine)
 		}
-		holders[one.Lease.Key] = one.Machine
+		holders[client.Lease.Key] = client.Machine
 	}
 	return nil
 }
 
-// checkLooks: an answer from a look lacks nothing that was acknowledged longer ago than looks
+// checkDigests: an answer from a look lacks nothing that was acknowledged longer ago than looks
 // are valid.
-func (f *fleet) checkLooks(w *world) error {
-	for _, of := range w.proposers {
-		one := f.proposers.get(of)
-		if one.Looked == nil || one.Looked.Key == "" {
+func (m *model) checkDigests(w *world) error {
+	for _, id := range w.proposers {
+		client := m.proposers.get(id)
+		if client.LastDigest == nil || client.LastDigest.Key == "" {
 			continue
 		}
-		validity := f.scenario.Validity
-		now := f.now(w, f.machine(one.Machine))
-		if !f.rules.Fresh(one.Looked.Began, one.Looked.Answered, now, time.Duration(validity)*Tick) {
+		validity := m.scenario.DigestValidityTicks
+		now := m.now(w, m.machine(client.Machine))
+		if !m.rules.IsFresh(client.LastDigest.Started, client.LastDigest.Answered, now, time.Duration(validity)*Tick) {
 			continue
 		}
-		if mark := lacks(one.Looked.Value, f.histories.get(w.history).marks(w.tick-validity)); mark != "" {
+		if label := missingLabel(client.LastDigest.Value, m.histories.get(w.history).labelsUntil(w.tick-validity)); label != "" {
 			return errors.Errorf("%s answers %s at time %d, %s was acknowledged %d steps or more before",
-				one.Machine, one.Looked.Value, w.tick, mark, validity)
+				client.Machine, client.LastDigest.Value, w.tick, label, validity)
 		}
 	}
 	return nil
 }
 
-// reached names the marks acknowledged in any world, and the lists on any disk.
-func (f *fleet) reached() []string {
+// frontierEntry names the marks acknowledged in any world, and the lists on any disk.
+func (m *model) reached() []string {
 	found := map[string]bool{}
-	for _, one := range f.histories.values {
-		for _, mark := range one.marks(noTick) {
-			found[mark] = true
+	for _, value := range m.histories.values {
+		for _, label := range value.labelsUntil(noTick) {
+			found[label] = true
 		}
 	}
-	for _, one := range f.members.values {
-		found[fmt.Sprintf("list-%d", one.list.Number)] = true
+	for _, value := range m.members.values {
+		found[fmt.Sprintf("list-%d", value.membership.Version)] = true
 	}
 	return slices.Sorted(maps.Keys(found))
 }
--- a/internal/explore/drop.go
+++ b/internal/explore/drop.go
@@ -9,66 +9,66 @@
 // drop takes packets off the network that cannot matter any more. Each delivery of one would
 // leave every member and proposer as it is, now and in all worlds that follow, so the worlds
 // with and without it have the same futures but for that delivery.
-func (f *fleet) drop(w *world) {
-	w.network = slices.DeleteFunc(w.network, func(of number) bool {
-		one := f.packets.get(of)
-		sender := f.proposers.get(w.proposers[one.Proposer])
+func (m *model) dropIrrelevant(w *world) {
+	w.network = slices.DeleteFunc(w.network, func(id stateID) bool {
+		message := m.packets.get(id)
+		sender := m.proposers.get(w.proposers[message.Proposer])
 		switch {
-		case one.Reply != nil:
-			return f.replyIsIdle(sender, one)
-		case one.Question != nil:
-			return f.questionIsIdle(w, sender, one)
+		case message.Reply != nil:
+			return m.replyIsIrrelevant(sender, message)
+		case message.Request != nil:
+			return m.requestIsIrrelevant(w, sender, message)
 		}
-		return one.Life != sender.Life
+		return message.Incarnation != sender.Incarnation
 	})
 }
 
-func current(sender *proposer, one *packet) bool {
-	return one.Life == sender.Life && one.Round == sender.Round && sender.Phase != phaseIdle
+func isCurrent(sender *proposer, message *packet) bool {
+	return message.Incarnation == sender.Incarnation && message.Round == sender.Round && sender.Phase != phaseIdle
 }
 
-// replyIsIdle: a reply to a former life reaches nobody, one to a proposer that is done is not
+// replyIsIrrelevant: a reply to a former life reaches nobody, one to a proposer that is done is not
 // acted on, and one to a former round only tells of ballots and lists; what a life has seen of
 // both only rises.
-func (f *fleet) replyIsIdle(sender *proposer, one *packet) bool {
-	if one.Life != sender.Life || sender.done() {
+func (m *model) replyIsIrrelevant(sender *proposer, message *packet) bool {
+	if message.Incarnation != sender.Incarnation || sender.done() {
 		return true
 	}
-	return !current(sender, one) && newsless(sender, one.Reply)
+	return !isCurrent(sender, message) && tellsNothingNew(sender, message.Reply)
 }
 
-func newsless(sender *proposer, told *keystore.Reply) bool {
-	return told.Members.Number <= sender.Members.Number && told.Slot.Promised.Round <= sender.Seen
+func tellsNothingNew(sender *proposer, reply *keystore.Reply) bool {
+	return reply.Membership.Version <= sender.Membership.Version && reply.Register.Promised.Round <= sender.HighestRound
 }
 
-// questionIsIdle: a question of a round that is over changes nothing at a member that holds a
+// requestIsIrrelevant: a question of a round that is over changes nothing at a member that holds a
 // higher promise on its disk and the list it names, and its reply will be idle. Where a disk may
 // still be lost the promise may go, so the question stays. Looks and reads change no state.
-func (f *fleet) questionIsIdle(w *world, sender *proposer, one *packet) bool {
-	if current(sender, one) {
+func (m *model) requestIsIrrelevant(w *world, sender *proposer, message *packet) bool {
+	if isCurrent(sender, message) {
 		return false
 	}
-	if !f.deaf(sender, one) {
+	if !m.ignoresReplies(sender, message) {
 		return false
 	}
-	asked := one.Question
-	receiver := f.members.get(w.members[f.machine(one.Member)])
-	if asked.Members.Number > receiver.list.Number {
+	request := message.Request
+	receiver := m.members.get(w.members[m.machine(message.Member)])
+	if request.Membership.Version > receiver.membership.Version {
 		return false
 	}
-	switch asked.Operation {
+	switch request.Operation {
 	case keystore.OperationDigest, keystore.OperationFetch:
 		return true
-	case keystore.OperationPromise:
-		return w.left.Wipes == 0 && !receiver.Durable[asked.Key].Promised.Less(asked.Ballot)
+	case keystore.OperationPrepare:
+		return w.remaining.Wipes == 0 && !receiver.Durable[request.Key].Promised.Less(request.Proposal)
 	case keystore.OperationAccept:
-		return w.left.Wipes == 0 && asked.Ballot.Less(receiver.Durable[asked.Key].Promised)
+		return w.remaining.Wipes == 0 && request.Proposal.Less(receiver.Durable[request.Key].Promised)
 	}
 	return false
 }
 
 // deaf says that no reply to the question can change what its sender does: it has ended, or it
 // takes no key any more and the list never changes.
-func (f *fleet) deaf(sender *proposer, one *packet) bool {
-	return one.Life != sender.Life || sender.done() || (sender.lastTake() && !f.relists)
+func (m *model) ignoresReplies(sender *proposer, message *packet) bool {
+	return message.Incarnation != sender.Incarnation || sender.done() || (sender.onLastAttempt() && !m.changesMembership)
 }
--- a/internal/explore/faults_test.go
+++ b/internal/explore/faults_test.go
@@ -11,101 +11,101 @@
 	"ferryspar/internal/keystore"
 )
 
-// fault is a broken rule and the scenario that must show it.
-type fault struct {
+// plantedFault is a broken rule and the scenario that must show it.
+type plantedFault struct {
 	name     string
 	scenario explore.Scenario
 	plant    func(rules *explore.Rules)
 }
 
 const (
-	listKey = "!members"
+	localMembershipKey = "!members"
 )
 
-func votesAtOnce(rules *explore.Rules) {
-	rules.Wiped = func(incarnation uint64, members keystore.Members) []keystore.Slot {
-		return keystore.FreshSlots(members, incarnation)
+func votesRightAfterWipe(rules *explore.Rules) {
+	rules.Wiped = func(incarnation uint64, membership keystore.Membership) []keystore.Register {
+		return keystore.BootstrapRegisters(membership, incarnation)
 	}
 }
 
 func answersBeforeSync(rules *explore.Rules) {
-	rules.Waits = func([]keystore.Slot) bool { return false }
+	rules.WaitsForSync = func([]keystore.Register) bool { return false }
 }
 
-func countsOneMajority(rules *explore.Rules) {
-	rules.Agreed = func(members keystore.Members, replies map[string]keystore.Reply, agrees func(string, keystore.Reply) bool) (bool, bool) {
-		members.Next = nil
-		return keystore.Tally(members, replies, agrees)
+func countsOnlyCurrentMajority(rules *explore.Rules) {
+	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees func(string, keystore.Reply) bool) (bool, bool) {
+		membership.Next = nil
+		return keystore.CountVotes(membership, replies, agrees)
 	}
 }
 
-func takesSilenceForAgreement(rules *explore.Rules) {
-	rules.Agreed = func(members keystore.Members, replies map[string]keystore.Reply, agrees func(string, keystore.Reply) bool) (bool, bool) {
-		_, possible := keystore.Tally(members, replies, agrees)
+func countsSilenceAsAgreement(rules *explore.Rules) {
+	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees func(string, keystore.Reply) bool) (bool, bool) {
+		_, possible := keystore.CountVotes(membership, replies, agrees)
 		return possible && len(replies) > 0, possible
 	}
 }
 
-func installsStaleList(rules *explore.Rules) {
-	rules.Install = func(state *keystore.MemberState, read keystore.CatchUp, now time.Time) (keystore.Reply, []keystore.Slot) {
+func installsStaleMembership(rules *explore.Rules) {
+	rules.Install = func(state *keystore.AcceptorState, read keystore.CatchUpResult, now time.Time) (keystore.Reply, []keystore.Register) {
 		blind := state.Clone()
-		delete(blind.Slots, listKey)
+		delete(blind.Registers, localMembershipKey)
 		return blind.Install(read, now)
 	}
 }
 
-func reusesBallots(rules *explore.Rules) {
-	rules.Ballot = func(round uint64, member string, _ uint64) keystore.Ballot {
-		return keystore.Ballot{Round: round, Member: member}
+func reusesProposalNumbers(rules *explore.Rules) {
+	rules.ProposalNumber = func(round uint64, member string, _ uint64) keystore.ProposalNumber {
+		return keystore.ProposalNumber{Round: round, Proposer: member}
 	}
 }
 
-func countsFreshnessFromTheAnswer(rules *explore.Rules) {
-	rules.Fresh = func(_, answered, now time.Time, length time.Duration) bool { return now.Before(answered.Add(length)) }
+func countsFreshnessFromReply(rules *explore.Rules) {
+	rules.IsFresh = func(_, answered, now time.Time, length time.Duration) bool { return now.Before(answered.Add(length)) }
 }
 
-func keepsFreshnessOverAFreeze(rules *explore.Rules) {
-	rules.Fresh = func(_, _, _ time.Time, _ time.Duration) bool { return true }
+func keepsFreshnessOverFreeze(rules *explore.Rules) {
+	rules.IsFresh = func(_, _, _ time.Time, _ time.Duration) bool { return true }
 }
 
-func countsLeasesByTheTimeOfDay(rules *explore.Rules) {
+func countsLeasesByWallClock(rules *explore.Rules) {
 	rules.Clock = func(steady time.Time, dayOffset time.Duration) time.Time { return steady.Add(dayOffset) }
 }
 
-func countsAnyMember(rules *explore.Rules) {
-	rules.Accepts = func(owner keystore.Ownership, address string, reply keystore.Reply) bool {
-		promised, counted := owner.AcceptMessage(keystore.Slot{}).Incarnations[address]
-		return reply.Granted && (!counted || promised == reply.Incarnation)
+func countsAnyAcceptance(rules *explore.Rules) {
+	rules.CountsAcceptance = func(owner keystore.Ownership, address string, reply keystore.Reply) bool {
+		promised, counted := owner.AcceptMessage(keystore.Register{}).DiskIncarnations[address]
+		return reply.Granted && (!counted || promised == reply.DiskIncarnation)
 	}
 }
 
-func forgetsItsOwnLoss(rules *explore.Rules) {
+func ignoresOwnDiskLoss(rules *explore.Rules) {
 	rules.Step = func(
-		state *keystore.MemberState, message keystore.Message, now time.Time, durable map[string]keystore.Slot,
-	) (keystore.Reply, []keystore.Slot) {
-		message.Incarnations = maps.Clone(message.Incarnations)
-		delete(message.Incarnations, state.Address)
+		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
+	) (keystore.Reply, []keystore.Register) {
+		message.DiskIncarnations = maps.Clone(message.DiskIncarnations)
+		delete(message.DiskIncarnations, state.Address)
 		return state.Step(message, now, durable)
 	}
 }
 
-func ignoresIncarnations(rules *explore.Rules) {
+func ignoresDiskIncarnations(rules *explore.Rules) {
 	rules.Step = func(
-		state *keystore.MemberState, message keystore.Message, now time.Time, durable map[string]keystore.Slot,
-	) (keystore.Reply, []keystore.Slot) {
-		message.Incarnations = nil
+		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
+	) (keystore.Reply, []keystore.Register) {
+		message.DiskIncarnations = nil
 		return state.Step(message, now, durable)
 	}
 }
 
-func skipsTheRecommit(rules *explore.Rules) {
-	rules.Carries = func(keystore.Ownership) bool { return false }
+func skipsRecommit(rules *explore.Rules) {
+	rules.NeedsRecommit = func(keystore.Ownership) bool { return false }
 }
 
-func promisesLeasesAtOnce(rules *explore.Rules) {
-	rules.Install = func(state *keystore.MemberState, read keystore.CatchUp, now time.Time) (keystore.Reply, []keystore.Slot) {
+func promisesLeasesAfterInstall(rules *explore.Rules) {
+	rules.Install = func(state *keystore.AcceptorState, read keystore.CatchUpResult, now time.Time) (keystore.Reply, []keystore.Register) {
 		reply, changes := state.Install(read, now)
-		state.QuietUntil = time.Time{}
+		state.LeasesBlockedUntil = time.Time{}
 		return reply, changes
 	}
 }
@@ -113,8 +113,8 @@
 // readsUnconfirmed lets an owner read again without the word of a majority.
 func readsUnconfirmed(rules *explore.Rules) {
 	rules.Step = func(
-		state *keystore.MemberState, message keystore.Message, now time.Time, durable map[string]keystore.Slot,
-	) (keystore.Reply, []keystore.Slot) {
+		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
+	) (keystore.Reply, []keystore.Register) {
 		reply, changes := state.Step(message, now, durable)
 		if message.Operation == keystore.OperationRenew {
 			reply.Granted = true
@@ -123,49 +123,49 @@
 	}
 }
 
-// foundsOn changes the answers on which founding is judged; silent founders count as given by blank.
-func foundsOn(rules *explore.Rules, change func(address string, reply keystore.Reply) keystore.Reply) {
-	rules.Founding = func(self string, founding keystore.Members, replies map[string]keystore.Reply) keystore.FoundingVerdict {
+// judgesChangedReplies changes the answers on which founding is judged; silent founders count as given by blank.
+func judgesChangedReplies(rules *explore.Rules, change func(address string, reply keystore.Reply) keystore.Reply) {
+	rules.JudgeBootstrap = func(self string, founding keystore.Membership, replies map[string]keystore.Reply) keystore.BootstrapVerdict {
 		judged := map[string]keystore.Reply{}
-		for _, address := range founding.Present {
+		for _, address := range founding.Current {
 			judged[address] = change(address, replies[address])
 		}
-		founding.Number = keystore.FoundingNumber
-		return keystore.JudgeFounding(self, founding, judged)
+		founding.Version = keystore.BootstrapVersion
+		return keystore.JudgeBootstrap(self, founding, judged)
 	}
 }
 
-// foundsWithoutTheSilent takes a founder that did not answer for one that never voted.
-func foundsWithoutTheSilent(rules *explore.Rules) {
-	foundsOn(rules, func(_ string, reply keystore.Reply) keystore.Reply {
-		if reply.Incarnation == 0 {
-			return keystore.Reply{Refusal: keystore.RefusedNotVoting, NeverVoted: true, Seeds: explore.FoundingWithoutOne().Members.Present}
+// bootstrapsWithoutUnanswered takes a founder that did not answer for one that never voted.
+func bootstrapsWithoutUnanswered(rules *explore.Rules) {
+	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
+		if reply.DiskIncarnation == 0 {
+			return keystore.Reply{Rejection: keystore.RejectedNotVoting, NeverVoted: true, Seeds: explore.BootstrapWithoutOne().Membership.Current}
 		}
 		return reply
 	})
 }
 
-func foundsAfterTheEnd(rules *explore.Rules) {
-	foundsOn(rules, func(_ string, reply keystore.Reply) keystore.Reply {
-		reply.Completed = false
+func bootstrapsAfterCompletion(rules *explore.Rules) {
+	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
+		reply.BootstrapCompleted = false
 		return reply
 	})
 }
 
-func foundsUnderAnyList(rules *explore.Rules) {
-	foundsOn(rules, func(_ string, reply keystore.Reply) keystore.Reply {
-		if reply.Members.Number > 0 {
-			reply.Members.Number = keystore.FoundingNumber
+func bootstrapsUnderAnyMembership(rules *explore.Rules) {
+	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
+		if reply.Membership.Version > 0 {
+			reply.Membership.Version = keystore.BootstrapVersion
 		}
 		return reply
 	})
 }
 
-// testifiesWithoutALife leaves it unnoted who was told that this member never voted.
-func testifiesWithoutALife(rules *explore.Rules) {
+// answersWithoutRecordingIncarnation leaves it unnoted who was told that this member never voted.
+func answersWithoutRecordingIncarnation(rules *explore.Rules) {
 	rules.Step = func(
-		state *keystore.MemberState, message keystore.Message, now time.Time, durable map[string]keystore.Slot,
-	) (keystore.Reply, []keystore.Slot) {
+		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
+	) (keystore.Reply, []keystore.Register) {
 		reply, changes := state.Step(message, now, durable)
 		if reply.NeverVoted {
 			changes = nil
@@ -174,34 +174,34 @@
 	}
 }
 
-var faults = []fault{
-	{"silent founder counted as one that never voted", explore.FoundingWithoutOne(), foundsWithoutTheSilent},
-	{"second founding after the first was completed", explore.FoundingLongAgo(), foundsAfterTheEnd},
-	{"founding under a later member list", explore.FoundingListChanged(), foundsUnderAnyList},
-	{"testimony not tied to a life", explore.FoundingWithWipe(), testifiesWithoutALife},
-	{"vote after a wipe at once", explore.WipeSeen(), votesAtOnce},
+var plantedFaults = []plantedFault{
+	{"silent founder counted as one that never voted", explore.BootstrapWithoutOne(), bootstrapsWithoutUnanswered},
+	{"second founding after the first was completed", explore.BootstrapLongAgo(), bootstrapsAfterCompletion},
+	{"founding under a later member list", explore.BootstrapMembershipChanged(), bootstrapsUnderAnyMembership},
+	{"testimony not tied to a life", explore.BootstrapWithWipe(), answersWithoutRecordingIncarnation},
+	{"vote after a wipe at once", explore.WipeSeen(), votesRightAfterWipe},
 	{"answer before the sync", explore.CrashBetweenWrites(), answersBeforeSync},
-	{"one majority in a joint change", explore.JointMajorities(), countsOneMajority},
-	{"silence as agreement", explore.TwoProposers(), takesSilenceForAgreement},
-	{"stale member list installed at catch-up", explore.ListDuringCatchUp(), installsStaleList},
-	{"ballot reused by the next life", explore.Restart(), reusesBallots},
-	{"freshness counted from the answer", explore.FreshLooks(), countsFreshnessFromTheAnswer},
-	{"freshness kept over a freeze", explore.FreshLooks(), keepsFreshnessOverAFreeze},
+	{"one majority in a joint change", explore.JointMajorities(), countsOnlyCurrentMajority},
+	{"silence as agreement", explore.TwoProposers(), countsSilenceAsAgreement},
+	{"stale member list installed at catch-up", explore.MembershipDuringCatchUp(), installsStaleMembership},
+	{"ballot reused by the next life", explore.Restart(), reusesProposalNumbers},
+	{"freshness counted from the answer", explore.FreshDigest(), countsFreshnessFromReply},
+	{"freshness kept over a freeze", explore.FreshDigest(), keepsFreshnessOverFreeze},
 	{"renewal granted under a higher promise", explore.OwnerReads(), readsUnconfirmed},
-	{"lease by the time of day", explore.LeaseReleased(), countsLeasesByTheTimeOfDay},
-	{"accept that ignores incarnations", explore.WipeSeen(), ignoresIncarnations},
-	{"write counted at members that promised nothing", explore.WipeBetweenWrites(), countsAnyMember},
-	{"member that does not know its own lost disk", explore.WipeHalfWritten(), forgetsItsOwnLoss},
-	{"owner that skips the recommit", explore.ThreeProposers(), skipsTheRecommit},
-	{"newcomer that promises leases at once", explore.LeaseWiped(), promisesLeasesAtOnce},
-}
-
-func TestGivenAPlantedFaultThenTheWalkFindsIt(t *testing.T) {
-	for _, one := range faults {
-		t.Run(one.name, func(t *testing.T) {
-			rules := explore.Product()
-			one.plant(&rules)
-			report := explore.Search(t.Context(), one.scenario, rules, explore.Limits{})
+	{"lease by the time of day", explore.LeaseReleased(), countsLeasesByWallClock},
+	{"accept that ignores incarnations", explore.WipeSeen(), ignoresDiskIncarnations},
+	{"write counted at members that promised nothing", explore.WipeBetweenWrites(), countsAnyAcceptance},
+	{"member that does not know its own lost disk", explore.WipeHalfWritten(), ignoresOwnDiskLoss},
+	{"owner that skips the recommit", explore.ThreeProposers(), skipsRecommit},
+	{"newcomer that promises leases at once", explore.LeaseWiped(), promisesLeasesAfterInstall},
+}
+
+func TestSearch_FindsPlantedFaults(t *testing.T) {
+	for _, planted := range plantedFaults {
+		t.Run(planted.name, func(t *testing.T) {
+			rules := explore.ProductRules()
+			planted.plant(&rules)
+			report := explore.Search(t.Context(), planted.scenario, rules, explore.Limits{})
 			t.Log(report)
 			assert.Assert(t, report.Violation != "", "not found in all %d states", report.States)
 		})
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -7,8 +7,8 @@
 	"ferryspar/internal/keystore"
 )
 
-// fleet is a scenario under rules, with the tables that its worlds refer to.
-type fleet struct {
+// model is a scenario under rules, with the tables that its worlds refer to.
+type model struct {
 	scenario  Scenario
 	rules     Rules
 	machines  []string
@@ -16,105 +16,105 @@
 	proposers *table[proposer]
 	packets   *table[packet]
 	histories *table[history]
-	handled   map[handling]handlingResult
-	received  map[receiving]receivingResult
+	handled   map[handleKey]handleResult
+	received  map[receiveKey]receiveResult
 	// relists says that a task changes the member list.
-	relists bool
+	changesMembership bool
 }
 
-// syncing stands for the packet where a member syncs.
-const syncing = ^number(0)
+// syncPacket stands for the packet where a member syncs.
+const syncPacket = ^stateID(0)
 
-// receiving is a reply at a proposer; what comes of it is computed once.
-type receiving struct {
-	proposer, packet, history, own number
+// receiveKey is a reply at a proposer; what comes of it is computed once.
+type receiveKey struct {
+	proposer, packet, history, own stateID
 	now                            int
 }
 
-type receivingResult struct {
-	proposer, history number
-	packets           []number
+type receiveResult struct {
+	proposer, history stateID
+	packets           []stateID
 }
 
-// handling is a packet at a member at a time; what comes of it is computed once.
-type handling struct {
-	member, packet number
+// handleKey is a packet at a member at a time; what comes of it is computed once.
+type handleKey struct {
+	member, packet stateID
 	now            int
 }
 
-type handlingResult struct {
-	member  number
-	replies []number
+type handleResult struct {
+	member  stateID
+	replies []stateID
 }
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newFleet(scenario Scenario, rules Rules) *fleet {
-	made := &fleet{
+func newModel(scenario Scenario, rules Rules) *model {
+	result := &model{
 		scenario: scenario, rules: rules, machines: scenario.machines(),
-		members: newTable[member](nil), proposers: newTable(hiddenOfProposer), packets: newTable[packet](nil),
-		histories: newTable[history](nil), handled: map[handling]handlingResult{},
-		received: map[receiving]receivingResult{},
+		members: newTable[member](nil), proposers: newTable(unencodedProposerState), packets: newTable[packet](nil),
+		histories: newTable[history](nil), handled: map[handleKey]handleResult{},
+		received: map[receiveKey]receiveResult{},
 	}
 	for _, client := range scenario.Clients {
 		for _, task := range client.Tasks {
-			made.relists = made.relists || task.Kind == taskMembers
+			result.changesMembership = result.changesMembership || task.Kind == taskMembership
 		}
 	}
-	return made
+	return result
 }
 
-func (f *fleet) first() *world {
-	scenario := f.scenario
-	first := &world{left: scenario.Troubles, dayOffsets: make([]int, len(f.machines))}
-	for _, address := range scenario.Members.Present {
-		slots := append(keystore.FreshSlots(scenario.Members, 1), scenario.Held[address]...)
-		if slices.Contains(scenario.Unborn, address) {
-			slots = keystore.WipedSlots(1)
+func (m *model) initialWorld() *world {
+	scenario := m.scenario
+	first := &world{remaining: scenario.Faults, wallClockOffsets: make([]int, len(m.machines))}
+	for _, address := range scenario.Membership.Current {
+		registers := append(keystore.BootstrapRegisters(scenario.Membership, 1), scenario.InitialRegisters[address]...)
+		if slices.Contains(scenario.NotBootstrapped, address) {
+			registers = keystore.WipedRegisters(1)
 		}
-		made := newMember(address, scenario.Members.Present, scenario.lease(), slots, time.Time{})
-		if scenario.Completed {
-			made = made.completeFounding()
+		state := newMember(address, scenario.Membership.Current, scenario.leaseDuration(), registers, time.Time{})
+		if scenario.BootstrapCompleted {
+			state = state.completeBootstrap()
 		}
-		first.members = append(first.members, f.members.add(made))
+		first.members = append(first.members, m.members.add(state))
 	}
 	for _, address := range scenario.Newcomers {
-		wiped := newMember(address, scenario.Members.Present, scenario.lease(), f.rules.Wiped(1, scenario.Members), epoch.Add(scenario.lease()))
-		first.members = append(first.members, f.members.add(wiped))
+		wiped := newMember(address, scenario.Membership.Current, scenario.leaseDuration(), m.rules.Wiped(1, scenario.Membership), epoch.Add(scenario.leaseDuration()))
+		first.members = append(first.members, m.members.add(wiped))
 	}
 	for index, client := range scenario.Clients {
-		list := scenario.Members
-		if client.Knows.Number > 0 {
-			list = client.Knows
+		membership := scenario.Membership
+		if client.Membership.Version > 0 {
+			membership = client.Membership
 		}
-		if scenario.forgetsList(client) && slices.Contains(scenario.Unborn, client.Machine) && client.Knows.Number == 0 {
-			list = keystore.Members{}
+		if scenario.forgetsMembership(client) && slices.Contains(scenario.NotBootstrapped, client.Machine) && client.Membership.Version == 0 {
+			membership = keystore.Membership{}
 		}
-		first.proposers = append(first.proposers, f.proposers.add(&proposer{
-			Machine: client.Machine, Index: index, Life: 1, Members: list, Tasks: client.Tasks, Phase: phaseIdle,
-			founding: scenario.Members, length: scenario.lease(), reaches: client.Reaches, keepsLooks: scenario.Validity > 0,
+		first.proposers = append(first.proposers, m.proposers.add(&proposer{
+			Machine: client.Machine, Index: index, Incarnation: 1, Membership: membership, Tasks: client.Tasks, Phase: phaseIdle,
+			bootstrapMembership: scenario.Membership, leaseDuration: scenario.leaseDuration(), reachable: client.Reachable, keepsDigests: scenario.DigestValidityTicks > 0,
 		}))
 	}
-	first.history = f.histories.add(&history{})
+	first.history = m.histories.add(&history{})
 	for index, client := range scenario.Clients {
-		if client.Ready {
-			_ = f.begin(first, index)
+		if client.StartsImmediately {
+			_ = m.startTask(first, index)
 		}
 	}
 	return first
 }
 
-func (f *fleet) machine(address string) int { return slices.Index(f.machines, address) }
+func (m *model) machine(address string) int { return slices.Index(m.machines, address) }
 
 // now is the time by which a machine counts leases.
-func (f *fleet) now(w *world, machine int) time.Time {
-	offset := time.Duration(w.dayOffsets[machine]) * Tick
-	return f.rules.Clock(epoch.Add(time.Duration(w.tick)*Tick), offset)
+func (m *model) now(w *world, machine int) time.Time {
+	offset := time.Duration(w.wallClockOffsets[machine]) * Tick
+	return m.rules.Clock(epoch.Add(time.Duration(w.tick)*Tick), offset)
 }
 
-func (f *fleet) view(w *world, one *proposer) view {
-	machine := f.machine(one.Machine)
-	seen := view{rules: f.rules, now: f.now(w, machine), own: f.members.get(w.members[machine])}
-	seen.acknowledged = f.histories.get(w.history).marks(w.tick)
-	return seen
+func (m *model) view(w *world, client *proposer) view {
+	machine := m.machine(client.Machine)
+	result := view{rules: m.rules, now: m.now(w, machine), own: m.members.get(w.members[machine])}
+	result.acknowledged = m.histories.get(w.history).labelsUntil(w.tick)
+	return result
 }
--- a/internal/explore/member.go
+++ b/internal/explore/member.go
@@ -9,46 +9,46 @@
 
 // batch is what one step decided that the disk does not have yet, with the replies that wait.
 type batch struct {
-	Slots   []keystore.Slot
-	Replies []packet
+	Registers []keystore.Register
+	Replies   []packet
 }
 
 // member is one member's memory and disk.
 type member struct {
-	State   keystore.MemberState
-	Durable map[string]keystore.Slot
+	State   keystore.AcceptorState
+	Durable map[string]keystore.Register
 	Staged  []batch
 
 	// self and list are read from Durable once.
-	self keystore.Self
-	list keystore.Members
+	localState keystore.LocalState
+	membership keystore.Membership
 }
 
 // read notes what the disk says of the member and the list.
-func (m *member) read() {
-	m.self, m.list = keystore.SelfOf(m.Durable), keystore.MembersOf(m.Durable)
+func (m *member) refreshDerived() {
+	m.localState, m.membership = keystore.LocalStateOf(m.Durable), keystore.MembershipOf(m.Durable)
 }
 
-func newMember(address string, seeds []string, lease time.Duration, slots []keystore.Slot, quietUntil time.Time) *member {
-	made := &member{Durable: map[string]keystore.Slot{}}
-	made.State = keystore.MemberState{
-		Address: address, Seeds: seeds, Lease: lease, Slots: map[string]keystore.Slot{}, Grants: map[string]time.Time{}, QuietUntil: quietUntil,
+func newMember(address string, seeds []string, lease time.Duration, registers []keystore.Register, quietUntil time.Time) *member {
+	result := &member{Durable: map[string]keystore.Register{}}
+	result.State = keystore.AcceptorState{
+		Address: address, Seeds: seeds, LeaseDuration: lease, Registers: map[string]keystore.Register{}, Grants: map[string]time.Time{}, LeasesBlockedUntil: quietUntil,
 	}
-	for _, slot := range slots {
-		made.Durable[slot.Key] = slot
-		made.State.Slots[slot.Key] = slot
+	for _, register := range registers {
+		result.Durable[register.Key] = register
+		result.State.Registers[register.Key] = register
 	}
-	made.read()
-	return made
+	result.refreshDerived()
+	return result
 }
 
-// completeFounding is the member after it has seen every founder vote.
-func (m *member) completeFounding() *member {
+// completeBootstrap is the member after it has seen every founder vote.
+func (m *member) completeBootstrap() *member {
 	next := m.clone()
-	_, changes := next.State.CompleteFounding()
+	_, changes := next.State.CompleteBootstrap()
 	next.State.Apply(changes)
-	next.Durable = withSlots(m.Durable, changes)
-	next.read()
+	next.Durable = withRegisters(m.Durable, changes)
+	next.refreshDerived()
 	return next
 }
 
@@ -61,35 +61,35 @@
 
 // forget drops grants and a quiet time that have run out: they answer every later question as
 // none would, so members that differ only in them are one state.
-func (m *member) forget(now time.Time) {
+func (m *member) dropExpired(now time.Time) {
 	for key, until := range m.State.Grants {
 		if !now.Before(until) {
 			delete(m.State.Grants, key)
 		}
 	}
-	if !now.Before(m.State.QuietUntil) {
-		m.State.QuietUntil = time.Time{}
+	if !now.Before(m.State.LeasesBlockedUntil) {
+		m.State.LeasesBlockedUntil = time.Time{}
 	}
 }
 
 // handle gives the member a packet: the member that results and the replies that leave at once.
-func (m *member) handle(rules Rules, one packet, now time.Time) (*member, []packet) {
+func (m *member) handle(rules Rules, message packet, now time.Time) (*member, []packet) {
 	next := m.clone()
 	var reply keystore.Reply
-	var changes []keystore.Slot
-	answer := one
-	answer.Question, answer.Install, answer.Learned = nil, nil, nil
+	var changes []keystore.Register
+	answer := message
+	answer.Request, answer.Install, answer.Learn = nil, nil, nil
 	switch {
-	case one.Question != nil:
-		reply, changes = rules.Step(&next.State, *one.Question, now, m.Durable)
+	case message.Request != nil:
+		reply, changes = rules.Step(&next.State, *message.Request, now, m.Durable)
 		answer.Reply = &reply
-	case one.Install != nil:
-		_, changes = rules.Install(&next.State, *one.Install, now)
-	case one.Learned != nil:
-		_, changes = rules.Learn(&next.State, *one.Learned)
+	case message.Install != nil:
+		_, changes = rules.Install(&next.State, *message.Install, now)
+	case message.Learn != nil:
+		_, changes = rules.Learn(&next.State, *message.Learn)
 	}
 	next.State.Apply(changes)
-	next.forget(now)
+	next.dropExpired(now)
 	var replies []packet
 	if answer.Reply != nil {
 		replies = []packet{answer}
@@ -97,8 +97,8 @@
 	if len(changes) == 0 {
 		return next, replies
 	}
-	staged := batch{Slots: changes}
-	if rules.Waits(changes) {
+	staged := batch{Registers: changes}
+	if rules.WaitsForSync(changes) {
 		staged.Replies, replies = replies, nil
 	}
 	next.Staged = append(next.Staged, staged)
@@ -113,8 +113,8 @@
 	if len(next.Staged) == 0 {
 		next.Staged = nil
 	}
-	next.Durable = withSlots(m.Durable, done.Slots)
-	next.read()
+	next.Durable = withRegisters(m.Durable, done.Registers)
+	next.refreshDerived()
 	return next, done.Replies
 }
 
@@ -122,26 +122,26 @@
 // the disk; replies that waited are lost. Grants are in memory only: none is made for one lease.
 func (m *member) crash(kept int, now time.Time) *member {
 	durable := m.Durable
-	for _, one := range m.Staged[:kept] {
-		durable = withSlots(durable, one.Slots)
+	for _, staged := range m.Staged[:kept] {
+		durable = withRegisters(durable, staged.Registers)
 	}
 	next := &member{Durable: durable, State: *m.State.Clone()}
-	next.State.Slots, next.State.Grants = maps.Clone(durable), map[string]time.Time{}
-	next.State.QuietUntil = now.Add(m.State.Lease)
-	next.read()
+	next.State.Registers, next.State.Grants = maps.Clone(durable), map[string]time.Time{}
+	next.State.LeasesBlockedUntil = now.Add(m.State.LeaseDuration)
+	next.refreshDerived()
 	return next
 }
 
 // wipe is a crash that takes the disk along.
 func (m *member) wipe(rules Rules, now time.Time) *member {
-	slots := rules.Wiped(m.self.Incarnation+1, m.list)
-	return newMember(m.State.Address, m.State.Seeds, m.State.Lease, slots, now.Add(m.State.Lease))
+	registers := rules.Wiped(m.localState.DiskIncarnation+1, m.membership)
+	return newMember(m.State.Address, m.State.Seeds, m.State.LeaseDuration, registers, now.Add(m.State.LeaseDuration))
 }
 
-func withSlots(slots map[string]keystore.Slot, changes []keystore.Slot) map[string]keystore.Slot {
-	next := maps.Clone(slots)
-	for _, slot := range changes {
-		next[slot.Key] = slot
+func withRegisters(registers map[string]keystore.Register, changes []keystore.Register) map[string]keystore.Register {
+	next := maps.Clone(registers)
+	for _, register := range changes {
+		next[register.Key] = register
 	}
 	return next
 }
--- a/internal/explore/moves.go
+++ b/internal/explore/moves.go
@@ -5,52 +5,52 @@
 	"slices"
 )
 
-type moveKind uint8
+type actionKind uint8
 
 const (
-	moveDeliver moveKind = iota
-	moveDuplicate
-	moveSync
-	moveCrash
-	moveWipe
-	moveRestart
-	moveBegin
-	moveGiveUp
-	moveHear
-	moveTick
-	moveDayStep
+	actionDeliver actionKind = iota
+	actionDuplicate
+	actionSync
+	actionCrash
+	actionWipe
+	actionRestart
+	actionStartTask
+	actionAbandon
+	actionAdoptMembership
+	actionTick
+	actionStepWallClock
 )
 
-// move is one event: what it happens to, and a further choice.
-type move struct {
-	kind    moveKind
-	subject number
-	choice  number
+// action is one event: what it happens to, and a further choice.
+type action struct {
+	kind    actionKind
+	subject stateID
+	choice  stateID
 }
 
 // moves lists all events that may come next.
-func (f *fleet) moves(w *world) []move {
-	var found []move
-	for index, one := range w.network {
-		if index > 0 && w.network[index-1] == one {
+func (m *model) actions(w *world) []action {
+	var found []action
+	for index, id := range w.network {
+		if index > 0 && w.network[index-1] == id {
 			continue
 		}
-		found = append(found, move{kind: moveDeliver, subject: one})
-		if f.mayLoseReply(w, one) {
-			found = append(found, move{kind: moveDeliver, subject: one, choice: replyLost})
+		found = append(found, action{kind: actionDeliver, subject: id})
+		if m.mayLoseReply(w, id) {
+			found = append(found, action{kind: actionDeliver, subject: id, choice: replyLost})
 		}
-		if w.left.Duplicates > 0 && f.packets.get(one).Question != nil {
-			found = append(found, move{kind: moveDuplicate, subject: one})
+		if w.remaining.Duplicates > 0 && m.packets.get(id).Request != nil {
+			found = append(found, action{kind: actionDuplicate, subject: id})
 		}
 	}
 	for index := range w.members {
-		found = f.memberMoves(w, index, found)
+		found = m.memberActions(w, index, found)
 	}
 	for index := range w.proposers {
-		found = f.proposerMoves(w, index, found)
+		found = m.proposerActions(w, index, found)
 	}
-	if w.left.Ticks > 0 {
-		found = append(found, move{kind: moveTick})
+	if w.remaining.Ticks > 0 {
+		found = append(found, action{kind: actionTick})
 	}
 	return found
 }
@@ -60,59 +60,59 @@
 
 // mayLoseReply says whether the loss of the reply alone is an event of its own. Where the
 // question changes nothing at the member, it is the same as the loss of the question.
-func (f *fleet) mayLoseReply(w *world, of number) bool {
-	one := f.packets.get(of)
-	if f.scenario.LateReplies || one.Question == nil || !current(f.proposers.get(w.proposers[one.Proposer]), one) {
+func (m *model) mayLoseReply(w *world, id stateID) bool {
+	message := m.packets.get(id)
+	if m.scenario.DelaysReplies || message.Request == nil || !isCurrent(m.proposers.get(w.proposers[message.Proposer]), message) {
 		return false
 	}
-	index := f.machine(one.Member)
-	return f.handle(w, index, of).member != w.members[index] && !f.scenario.Staging
+	index := m.machine(message.Member)
+	return m.handleAtMember(w, index, id).member != w.members[index] && !m.scenario.SeparatesSync
 }
 
-func (f *fleet) memberMoves(w *world, index int, found []move) []move {
-	staged := len(f.members.get(w.members[index]).Staged)
+func (m *model) memberActions(w *world, index int, found []action) []action {
+	staged := len(m.members.get(w.members[index]).Staged)
 	if staged > 0 {
-		found = append(found, move{kind: moveSync, subject: number(index)})
-		if len(f.members.get(w.members[index]).Staged[0].Replies) > 0 && !f.scenario.LateReplies {
-			found = append(found, move{kind: moveSync, subject: number(index), choice: replyLost})
+		found = append(found, action{kind: actionSync, subject: stateID(index)})
+		if len(m.members.get(w.members[index]).Staged[0].Replies) > 0 && !m.scenario.DelaysReplies {
+			found = append(found, action{kind: actionSync, subject: stateID(index), choice: replyLost})
 		}
 	}
-	if !slices.Contains(f.scenario.Troubled, f.machines[index]) {
+	if !slices.Contains(m.scenario.FaultyMachines, m.machines[index]) {
 		return found
 	}
-	if w.left.Crashes > 0 {
+	if w.remaining.Crashes > 0 {
 		for kept := range staged + 1 {
-			found = append(found, move{kind: moveCrash, subject: number(index), choice: number(kept)})
+			found = append(found, action{kind: actionCrash, subject: stateID(index), choice: stateID(kept)})
 		}
 	}
-	if w.left.Wipes > 0 {
-		found = append(found, move{kind: moveWipe, subject: number(index)})
+	if w.remaining.Wipes > 0 {
+		found = append(found, action{kind: actionWipe, subject: stateID(index)})
 	}
-	if w.left.DaySteps > 0 {
-		found = append(found, move{kind: moveDayStep, subject: number(index)})
+	if w.remaining.WallClockSteps > 0 {
+		found = append(found, action{kind: actionStepWallClock, subject: stateID(index)})
 	}
 	return found
 }
 
-func (f *fleet) proposerMoves(w *world, index int, found []move) []move {
-	one := f.proposers.get(w.proposers[index])
-	if one.done() {
+func (m *model) proposerActions(w *world, index int, found []action) []action {
+	client := m.proposers.get(w.proposers[index])
+	if client.done() {
 		return found
 	}
-	if one.Phase == phaseIdle {
-		if f.mayBegin(w, one) {
-			found = append(found, move{kind: moveBegin, subject: number(index)})
+	if client.Phase == phaseIdle {
+		if m.mayBegin(w, client) {
+			found = append(found, action{kind: actionStartTask, subject: stateID(index)})
 		}
-	} else if !one.lastTake() || one.settles(f.rules) {
-		found = append(found, move{kind: moveGiveUp, subject: number(index)})
+	} else if !client.onLastAttempt() || client.mayEndDigest(m.rules) {
+		found = append(found, action{kind: actionAbandon, subject: stateID(index)})
 	}
-	if w.left.Restarts > 0 {
-		found = append(found, move{kind: moveRestart, subject: number(index)})
+	if w.remaining.Restarts > 0 {
+		found = append(found, action{kind: actionRestart, subject: stateID(index)})
 	}
-	if one.task().Kind == taskCatchUp {
-		for other, of := range w.proposers {
-			if f.proposers.get(of).Members.Number > one.Members.Number {
-				found = append(found, move{kind: moveHear, subject: number(index), choice: number(other)})
+	if client.task().Kind == taskCatchUp {
+		for other, id := range w.proposers {
+			if m.proposers.get(id).Membership.Version > client.Membership.Version {
+				found = append(found, action{kind: actionAdoptMembership, subject: stateID(index), choice: stateID(other)})
 			}
 		}
 	}
@@ -120,56 +120,56 @@
 }
 
 // mayBegin holds back a change of the list that waits for a newcomer to vote.
-func (f *fleet) mayBegin(w *world, one *proposer) bool {
-	task := one.task()
-	own := f.members.get(w.members[f.machine(one.Machine)])
+func (m *model) mayBegin(w *world, client *proposer) bool {
+	task := client.task()
+	own := m.members.get(w.members[m.machine(client.Machine)])
 	switch {
-	case task.AfterMark != "" && !slices.Contains(f.histories.get(w.history).marks(w.tick), task.AfterMark):
+	case task.AfterLabel != "" && !slices.Contains(m.histories.get(w.history).labelsUntil(w.tick), task.AfterLabel):
 		return false
 	case task.Kind == taskCatchUp:
-		return !own.self.Voting && one.Members.Has(one.Machine)
+		return !own.localState.Voting && client.Membership.Contains(client.Machine)
 	case task.AfterVote == "":
 		return true
 	}
-	self := f.members.get(w.members[f.machine(task.AfterVote)]).self
-	return self.Voting && self.Number == one.Members.Number
+	self := m.members.get(w.members[m.machine(task.AfterVote)]).localState
+	return self.Voting && self.MembershipVersion == client.Membership.Version
 }
 
 // describe is a move as a trace shows it.
-func (f *fleet) describe(w *world, one move) string {
-	subject := int(one.subject)
-	switch one.kind {
-	case moveDeliver:
-		text := "deliver " + f.packets.get(one.subject).String()
-		if one.choice == replyLost {
+func (m *model) describe(w *world, event action) string {
+	subject := int(event.subject)
+	switch event.kind {
+	case actionDeliver:
+		text := "deliver " + m.packets.get(event.subject).String()
+		if event.choice == replyLost {
 			text += " (its reply is lost)"
 		}
 		return text
-	case moveDuplicate:
-		return "deliver a copy of " + f.packets.get(one.subject).String()
-	case moveSync:
-		text := "disk of " + f.machines[subject] + " syncs a batch"
-		if one.choice == replyLost {
+	case actionDuplicate:
+		return "deliver a copy of " + m.packets.get(event.subject).String()
+	case actionSync:
+		text := "disk of " + m.machines[subject] + " syncs a batch"
+		if event.choice == replyLost {
 			text += " (the reply is lost)"
 		}
 		return text
-	case moveCrash:
-		return fmt.Sprintf("machine %s crashes and starts, %d unsynced batches are kept", f.machines[subject], one.choice)
-	case moveWipe:
-		return "machine " + f.machines[subject] + " loses its disk and starts"
-	case moveRestart:
+	case actionCrash:
+		return fmt.Sprintf("machine %s crashes and starts, %d unsynced batches are kept", m.machines[subject], event.choice)
+	case actionWipe:
+		return "machine " + m.machines[subject] + " loses its disk and starts"
+	case actionRestart:
 		return fmt.Sprintf("proposer %d begins a new life", subject)
-	case moveBegin:
-		task := f.proposers.get(w.proposers[subject]).task()
-		return fmt.Sprintf("proposer %d begins: %s %s %s", subject, task.Kind, task.Key, task.Mark)
-	case moveGiveUp:
-		at := f.proposers.get(w.proposers[subject])
+	case actionStartTask:
+		task := m.proposers.get(w.proposers[subject]).task()
+		return fmt.Sprintf("proposer %d begins: %s %s %s", subject, task.Kind, task.Key, task.Label)
+	case actionAbandon:
+		at := m.proposers.get(w.proposers[subject])
 		return fmt.Sprintf("proposer %d gives up %s (%s)", subject, at.task().Kind, at.Phase)
-	case moveHear:
-		return fmt.Sprintf("proposer %d hears the member list of proposer %d", subject, one.choice)
-	case moveTick:
+	case actionAdoptMembership:
+		return fmt.Sprintf("proposer %d hears the member list of proposer %d", subject, event.choice)
+	case actionTick:
 		return fmt.Sprintf("time steps to %d", w.tick+1)
 	default:
-		return "time of day of " + f.machines[subject] + " is set forward by a lease"
+		return "time of day of " + m.machines[subject] + " is set forward by a lease"
 	}
 }
--- a/internal/explore/packet.go
+++ b/internal/explore/packet.go
@@ -13,43 +13,43 @@
 	Member   string
 	Proposer int
 	// Life and Round say which round of which life of the proposer the packet belongs to.
-	Life  uint64
-	Round int
+	Incarnation uint64
+	Round       int
 
-	Question *keystore.Message `json:",omitempty"`
-	Reply    *keystore.Reply   `json:",omitempty"`
-	Install  *keystore.CatchUp `json:",omitempty"`
-	Learned  *keystore.Slot    `json:",omitempty"`
+	Request *keystore.Message       `json:",omitempty"`
+	Reply   *keystore.Reply         `json:",omitempty"`
+	Install *keystore.CatchUpResult `json:",omitempty"`
+	Learn   *keystore.Register      `json:",omitempty"`
 }
 
 // String is the packet as a trace shows it.
 func (p packet) String() string {
 	switch {
-	case p.Question != nil:
-		return p.question()
+	case p.Request != nil:
+		return p.describeRequest()
 	case p.Reply != nil:
-		return p.reply()
+		return p.describeReply()
 	case p.Install != nil:
-		return fmt.Sprintf("install of list %d at %s", p.Install.Members.Number, p.Member)
+		return fmt.Sprintf("install of list %d at %s", p.Install.Membership.Version, p.Member)
 	default:
-		return fmt.Sprintf("learning of %s at %s", p.Learned.Ballot, p.Member)
+		return fmt.Sprintf("learning of %s at %s", p.Learn.AcceptedProposal, p.Member)
 	}
 }
 
-func (p packet) question() string {
-	asked := p.Question
-	text := fmt.Sprintf("%s %s from %s to %s", asked.Operation, asked.Ballot, asked.Sender, p.Member)
-	if asked.Operation == keystore.OperationAccept {
-		text += fmt.Sprintf(" of %d=%s counting %v", asked.Sequence, strings.ReplaceAll(string(asked.Value), `"`, ""), asked.Incarnations)
+func (p packet) describeRequest() string {
+	request := p.Request
+	text := fmt.Sprintf("%s %s from %s to %s", request.Operation, request.Proposal, request.Sender, p.Member)
+	if request.Operation == keystore.OperationAccept {
+		text += fmt.Sprintf(" of %d=%s counting %v", request.Sequence, strings.ReplaceAll(string(request.Value), `"`, ""), request.DiskIncarnations)
 	}
 	return text
 }
 
-func (p packet) reply() string {
-	told := p.Reply
-	text := fmt.Sprintf("reply of %s (incarnation %d) to proposer %d: ", p.Member, told.Incarnation, p.Proposer)
-	if told.Granted {
+func (p packet) describeReply() string {
+	answer := p.Reply
+	text := fmt.Sprintf("reply of %s (incarnation %d) to proposer %d: ", p.Member, answer.DiskIncarnation, p.Proposer)
+	if answer.Granted {
 		return text + "granted"
 	}
-	return text + string(told.Refusal)
+	return text + string(answer.Rejection)
 }
--- a/internal/explore/proposer.go
+++ b/internal/explore/proposer.go
@@ -14,17 +14,17 @@
 
 const (
 	phaseIdle         phase = "idle"
-	phasePromising    phase = "promising"
+	phasePreparing    phase = "promising"
 	phaseRecommitting phase = "recommitting"
 	phaseWriting      phase = "writing"
-	// phaseAsking is a question of one round: a look, a read, a renewal, a release, a catch-up.
-	phaseAsking phase = "asking"
+	// phaseQuerying is a question of one round: a look, a read, a renewal, a release, a catch-up.
+	phaseQuerying phase = "asking"
 )
 
-// hold is a lease as its holder counts it, or the validity of a look. The times are by the
+// validity is a lease as its holder counts it, or the validity of a look. The times are by the
 // clock that Rules.Clock gives.
-type hold struct {
-	Began    time.Time
+type validity struct {
+	Started  time.Time
 	Answered time.Time
 	Until    time.Time
 	Key      string
@@ -33,51 +33,51 @@
 
 // proposer is one life of a daemon's Store, with the calls that are still to come.
 type proposer struct {
-	Machine string
-	Index   int
-	Life    uint64
+	Machine     string
+	Index       int
+	Incarnation uint64
 	// Ballots holds those used so far, of former lives too.
-	Ballots []keystore.Ballot
+	Proposals []keystore.ProposalNumber
 	// Seen is the highest round of a ballot that this life has seen.
-	Seen    uint64
-	Members keystore.Members
-	Tasks   []Task
-
-	Phase phase
-	Round int
-	Asked keystore.Members
-	// AskedUnder is the number of the list known when a catch-up began.
-	AskedUnder uint64
-	Replies    map[string]keystore.Reply
-	Began      time.Time
+	HighestRound uint64
+	Membership   keystore.Membership
+	Tasks        []Task
+
+	Phase   phase
+	Round   int
+	Queried keystore.Membership
+	// VersionAtStart is the number of the list known when a catch-up began.
+	VersionAtStart uint64
+	Replies        map[string]keystore.Reply
+	Started        time.Time
 	// Floor is what was acknowledged when the present look or read began.
-	Floor []string
+	AcknowledgedAtStart []string
 
-	Held    string
-	Owner   keystore.Ownership `json:"-"`
-	Writing keystore.Slot
-	Lease   *hold
+	OwnedKey  string
+	Ownership keystore.Ownership `json:"-"`
+	Proposed  keystore.Register
+	Lease     *validity
 	// Looked is the last look, kept where its freshness is judged.
-	Looked *hold
+	LastDigest *validity
 
 	// founding is the list that is asked while none is known.
-	founding   keystore.Members
-	length     time.Duration
-	reaches    []string
-	keepsLooks bool
+	bootstrapMembership keystore.Membership
+	leaseDuration       time.Duration
+	reachable           []string
+	keepsDigests        bool
 }
 
-func hiddenOfProposer(p *proposer) string { return fmt.Sprint(p.Owner) }
+func unencodedProposerState(p *proposer) string { return fmt.Sprint(p.Ownership) }
 
 // outcome is what follows from an event at a proposer besides its new state.
 type outcome struct {
 	packets   []packet
-	concluded []conclusion
+	committed []committedValue
 	// looked holds proposals that a digest calls committed, to be fetched.
-	looked       []keystore.Slot
-	floor        []string
-	acknowledged string
-	ballot       keystore.Ballot
+	digested            []keystore.Register
+	acknowledgedAtStart []string
+	acknowledged        string
+	proposal            keystore.ProposalNumber
 }
 
 // view is what a proposer may look at besides its own state.
@@ -94,7 +94,7 @@
 func (p *proposer) clone() *proposer {
 	copied := *p
 	copied.Replies = maps.Clone(p.Replies)
-	copied.Ballots = slices.Clone(p.Ballots)
+	copied.Proposals = slices.Clone(p.Proposals)
 	return &copied
 }
 
@@ -103,68 +103,68 @@
 func (p *proposer) done() bool { return len(p.Tasks) == 0 }
 
 // idle leaves the round; replies to it count no more.
-func (p *proposer) idle() {
-	p.Phase, p.Replies, p.Asked = phaseIdle, nil, keystore.Members{}
-	p.AskedUnder = 0
-	p.Began, p.Floor, p.Writing = time.Time{}, nil, keystore.Slot{}
+func (p *proposer) resetRound() {
+	p.Phase, p.Replies, p.Queried = phaseIdle, nil, keystore.Membership{}
+	p.VersionAtStart = 0
+	p.Started, p.AcknowledgedAtStart, p.Proposed = time.Time{}, nil, keystore.Register{}
 }
 
-func (p *proposer) finish() {
-	p.idle()
+func (p *proposer) finishTask() {
+	p.resetRound()
 	p.Tasks = p.Tasks[1:]
 	if len(p.Tasks) == 0 {
 		p.Tasks = nil
-		p.Held, p.Owner = "", keystore.Ownership{}
+		p.OwnedKey, p.Ownership = "", keystore.Ownership{}
 	}
 }
 
 // fail ends an attempt; the task is dropped once its attempts are used up.
-func (p *proposer) fail() {
-	p.idle()
-	p.Held, p.Owner = "", keystore.Ownership{}
+func (p *proposer) failAttempt() {
+	p.resetRound()
+	p.OwnedKey, p.Ownership = "", keystore.Ownership{}
 	current := p.task()
 	current.Attempts--
 	if current.Attempts <= 0 {
-		p.finish()
+		p.finishTask()
 		return
 	}
 	p.Tasks = append([]Task{current}, p.Tasks[1:]...)
 }
 
 // restart is the next life: it knows its calls, since callers send them again, and the list.
-func (p *proposer) restart(members keystore.Members) *proposer {
+func (p *proposer) restart(membership keystore.Membership) *proposer {
 	next := &proposer{
-		Machine: p.Machine, Index: p.Index, Life: p.Life + 1, Ballots: p.Ballots, Members: p.Members, Tasks: p.Tasks,
-		Phase: phaseIdle, founding: p.founding, length: p.length, reaches: p.reaches, keepsLooks: p.keepsLooks,
+		Machine: p.Machine, Index: p.Index, Incarnation: p.Incarnation + 1, Proposals: p.Proposals, Membership: p.Membership, Tasks: p.Tasks,
+		Phase: phaseIdle, bootstrapMembership: p.bootstrapMembership, leaseDuration: p.leaseDuration, reachable: p.reachable, keepsDigests: p.keepsDigests,
 	}
-	if members.Number > 0 {
-		next.Members = members
+	if membership.Version > 0 {
+		next.Membership = membership
 	}
 	return next
 }
 
-func (p *proposer) adopt(members keystore.Members) {
-	if members.Number > p.Members.Number {
-		p.Members = members
+func (p *proposer) adopt(membership keystore.Membership) {
+	if membership.Version > p.Membership.Version {
+		p.Membership = membership
 	}
 }
 
 // ask begins a round: one question to each member.
-func (p *proposer) ask(in phase, message keystore.Message) []packet {
-	return p.askFrom(p.Members, in, message)
+func (p *proposer) startRound(next phase, message keystore.Message) []packet {
+	return p.startRoundWith(p.Membership, next, message)
 }
 
-// askFrom puts the question to a list that need not be the one known to be in force.
-func (p *proposer) askFrom(asked keystore.Members, in phase, message keystore.Message) []packet {
-	p.Phase, p.Asked, p.Replies = in, asked, map[string]keystore.Reply{}
+// startRoundWith puts the question to a list that need not be the one known to be in force.
+func (p *proposer) startRoundWith(queried keystore.Membership, next phase, message keystore.Message) []packet {
+	p.Phase, p.Queried, p.Replies = next, queried, map[string]keystore.Reply{}
 	p.Round++
-	message.Sender, message.Members = p.Machine, p.Members
+	message.Sender, message.Membership = p.Machine, p.Membership
 	var packets []packet
-	for _, address := range p.Asked.All() {
-		if len(p.reaches) > 0 && !slices.Contains(p.reaches, address) {
+	for _, address := range p.Queried.All() {
+		if len(p.reachable) > 0 && !slices.Contains(p.reachable, address) {
 			continue
 		}
-		packets = append(packets, packet{Member: address, Proposer: p.Index, Life: p.Life, Round: p.Round, Question: &message})
+		packets = append(packets, packet{Member: address, Proposer: p.Index, Incarnation: p.Incarnation, Round: p.Round, Request: &message})
 	}
 	return packets
 }
--- a/internal/explore/receive.go
+++ b/internal/explore/receive.go
@@ -7,45 +7,47 @@
 )
 
 // receive gives a reply to its proposer.
-func (f *fleet) receive(w *world, of number) error {
-	one := f.packets.get(of)
-	index := one.Proposer
-	at := f.proposers.get(w.proposers[index])
-	if one.Life != at.Life || at.done() {
+func (m *model) receive(w *world, id stateID) error {
+	message := m.packets.get(id)
+	index := message.Proposer
+	at := m.proposers.get(w.proposers[index])
+	if message.Incarnation != at.Incarnation || at.done() {
 		return nil
 	}
-	machine := f.machine(at.Machine)
-	asked := receiving{proposer: w.proposers[index], packet: of, history: w.history, now: w.tick}
+	machine := m.machine(at.Machine)
+	cacheKey := receiveKey{proposer: w.proposers[index], packet: id, history: w.history, now: w.tick}
 	if at.task().Kind == taskCatchUp {
-		asked.own = w.members[machine]
+		cacheKey.own = w.members[machine]
 	}
-	if known, found := f.received[asked]; found && w.dayOffsets[machine] == 0 {
+	if known, found := m.received[cacheKey]; found && w.wallClockOffsets[machine] == 0 {
 		w.proposers[index], w.history = known.proposer, known.history
 		for _, sent := range known.packets {
 			w.send(sent)
 		}
 		return nil
 	}
-	next, result := at.receive(f.view(w, at), *one)
-	if err := f.settle(w, index, next, result); err != nil {
+	next, result := at.receive(m.view(w, at), *message)
+	if err := m.applyOutcome(w, index, next, result); err != nil {
 		return err
 	}
-	if result.ballot == (keystore.Ballot{}) && len(result.looked) == 0 && w.dayOffsets[machine] == 0 {
-		f.remember(asked, w, result, index)
+	if result.proposal == (keystore.ProposalNumber{}) && len(result.digested) == 0 && w.wallClockOffsets[machine] == 0 {
+		m.cacheResult(cacheKey, w, result, index)
 	}
 	return nil
 }
 
 // remember keeps a result that depends on nothing but what receiving names.
-func (f *fleet) remember(asked receiving, w *world, result outcome, index int) {
-	kept := receivingResult{proposer: w.proposers[index], history: w.history}
+func (m *model) cacheResult(cacheKey receiveKey, w *world, result outcome, index int) {
+	kept := receiveResult{proposer: w.proposers[index], history: w.history}
 	for _, sent := range result.packets {
-		kept.packets = append(kept.packets, f.packets.add(&sent))
+		kept.packets = append(kept.packets, m.packets.add(&sent))
 	}
-	f.received[asked] = kept
+	m.received[cacheKey] = kept
 }
 
 // told says whether a history holds a proposal already.
-func (h *history) told(slot keystore.Slot) bool {
-	return slices.ContainsFunc(h.Concluded, func(one conclusion) bool { return one.Key == slot.Key && one.slot().Same(slot) })
+func (h *history) contains(register keystore.Register) bool {
+	return slices.ContainsFunc(h.Committed, func(value committedValue) bool {
+		return value.Key == register.Key && value.register().SameProposal(register)
+	})
 }
--- a/internal/explore/rounds.go
+++ b/internal/explore/rounds.go
@@ -7,189 +7,191 @@
 // start begins the next task; false says that it cannot begin.
 func (p *proposer) start(at view) (*proposer, outcome, bool) {
 	next := p.clone()
-	next.Began = at.now
+	next.Started = at.now
 	task := next.task()
-	held := next.Held != "" && next.Held == task.Key
+	owned := next.OwnedKey != "" && next.OwnedKey == task.Key
 	switch task.Kind {
 	case taskCatchUp:
 		return next.startCatchUp(at)
-	case taskLook:
-		next.Floor = at.acknowledged
-		return next, outcome{packets: next.ask(phaseAsking, keystore.Message{Operation: keystore.OperationDigest})}, true
+	case taskDigest:
+		next.AcknowledgedAtStart = at.acknowledged
+		return next, outcome{packets: next.startRound(phaseQuerying, keystore.Message{Operation: keystore.OperationDigest})}, true
 	case taskRead, taskRenew, taskRelease:
-		if !held {
-			next.finish()
+		if !owned {
+			next.finishTask()
 			return next, outcome{}, true
 		}
-		return next.startOwned(at)
+		return next.startAsOwner(at)
 	}
-	if held && task.Kind != taskSeize {
-		return next, next.decide(at, outcome{}), true
+	if owned && task.Kind != taskAcquire {
+		return next, next.propose(at, outcome{}), true
 	}
-	result := next.take(at)
+	result := next.prepare(at)
 	return next, result, true
 }
 
 func (p *proposer) startCatchUp(at view) (*proposer, outcome, bool) {
-	asked := p.catchUpFrom()
-	if at.own == nil || at.own.self.Voting || !asked.Has(p.Machine) {
+	queried := p.catchUpMembership()
+	if at.own == nil || at.own.localState.Voting || !queried.Contains(p.Machine) {
 		return nil, outcome{}, false
 	}
-	message := keystore.Message{Operation: keystore.OperationCatchUp, Incarnation: at.own.self.Incarnation}
-	packets := p.askFrom(asked, phaseAsking, message)
-	p.AskedUnder = p.Members.Number
+	message := keystore.Message{Operation: keystore.OperationCatchUp, DiskIncarnation: at.own.localState.DiskIncarnation}
+	packets := p.startRoundWith(queried, phaseQuerying, message)
+	p.VersionAtStart = p.Membership.Version
 	return p, outcome{packets: packets}, true
 }
 
-// catchUpFrom is the list known or, while there is none, that of the founders.
-func (p *proposer) catchUpFrom() keystore.Members {
-	if p.Members.Number == 0 {
-		return p.founding
+// catchUpMembership is the list known or, while there is none, that of the founders.
+func (p *proposer) catchUpMembership() keystore.Membership {
+	if p.Membership.Version == 0 {
+		return p.bootstrapMembership
 	}
-	return p.Members
+	return p.Membership
 }
 
-func (p *proposer) startOwned(at view) (*proposer, outcome, bool) {
+func (p *proposer) startAsOwner(at view) (*proposer, outcome, bool) {
 	operation := keystore.OperationRenew
 	switch p.task().Kind {
 	case taskRelease:
 		operation = keystore.OperationRelease
 		p.Lease = nil
 	case taskRead:
-		p.Floor = at.acknowledged
+		p.AcknowledgedAtStart = at.acknowledged
 	}
-	ballot := p.Ballots[len(p.Ballots)-1]
-	message := keystore.Message{Operation: operation, Key: p.Held, Ballot: ballot}
-	return p, outcome{packets: p.ask(phaseAsking, message)}, true
+	proposal := p.Proposals[len(p.Proposals)-1]
+	message := keystore.Message{Operation: operation, Key: p.OwnedKey, Proposal: proposal}
+	return p, outcome{packets: p.startRound(phaseQuerying, message)}, true
 }
 
 // take makes one attempt to own the key.
-func (p *proposer) take(at view) outcome {
-	p.Seen++
-	ballot := at.rules.Ballot(p.Seen, p.Machine, p.Life)
-	p.Ballots = append(p.Ballots, ballot)
-	p.Held = ""
-	return outcome{ballot: ballot, packets: p.ask(phasePromising, keystore.PromiseMessage(p.task().Key, ballot))}
+func (p *proposer) prepare(at view) outcome {
+	p.HighestRound++
+	proposal := at.rules.ProposalNumber(p.HighestRound, p.Machine, p.Incarnation)
+	p.Proposals = append(p.Proposals, proposal)
+	p.OwnedKey = ""
+	return outcome{proposal: proposal, packets: p.startRound(phasePreparing, keystore.PrepareMessage(p.task().Key, proposal))}
 }
 
 // receive takes a reply; one to an earlier round only tells of ballots and of the list.
-func (p *proposer) receive(at view, one packet) (*proposer, outcome) {
+func (p *proposer) receive(at view, message packet) (*proposer, outcome) {
 	next := p.clone()
-	if !next.lastTake() {
-		next.Seen = max(next.Seen, one.Reply.Slot.Promised.Round)
+	if !next.onLastAttempt() {
+		next.HighestRound = max(next.HighestRound, message.Reply.Register.Promised.Round)
 	}
-	next.adopt(one.Reply.Members)
-	if one.Life != next.Life || one.Round != next.Round || next.Phase == phaseIdle {
+	next.adopt(message.Reply.Membership)
+	if message.Incarnation != next.Incarnation || message.Round != next.Round || next.Phase == phaseIdle {
 		return next, outcome{}
 	}
-	next.Replies[one.Member] = next.relevant(*one.Reply)
-	return next, next.judge(at)
+	next.Replies[message.Member] = next.normalizeReply(*message.Reply)
+	return next, next.evaluateReplies(at)
 }
 
 // relevant leaves out what the round does not look at, so that replies that differ only there
 // make one state.
-func (p *proposer) relevant(reply keystore.Reply) keystore.Reply {
+func (p *proposer) normalizeReply(reply keystore.Reply) keystore.Reply {
 	if p.task().Kind != taskCatchUp {
-		reply.Members = keystore.Members{}
+		reply.Membership = keystore.Membership{}
 	}
-	reply.Slot.Promised = keystore.Ballot{}
-	if p.Phase != phasePromising || !reply.Granted {
-		reply.Slot = keystore.Slot{}
+	reply.Register.Promised = keystore.ProposalNumber{}
+	if p.Phase != phasePreparing || !reply.Granted {
+		reply.Register = keystore.Register{}
 	}
 	return reply
 }
 
-// lastTake says that the proposer takes no key any more, and that nothing follows if it gives
+// onLastAttempt says that the proposer takes no key any more, and that nothing follows if it gives
 // up: to all others that is the same as waiting on for replies that never come.
-func (p *proposer) lastTake() bool {
+func (p *proposer) onLastAttempt() bool {
 	return len(p.Tasks) == 1 && p.Tasks[0].Attempts <= 1 && p.Phase != phaseIdle
 }
 
 // judge looks at the replies so far.
-func (p *proposer) judge(at view) outcome {
+func (p *proposer) evaluateReplies(at view) outcome {
 	task := p.task()
 	if task.Kind == taskCatchUp {
-		return p.judgeCatchUp(at)
+		return p.evaluateCatchUp(at)
 	}
-	agreed, possible := at.rules.Agreed(p.Asked, p.Replies, p.agrees(at))
+	agreed, possible := at.rules.CountVotes(p.Queried, p.Replies, p.voteFunc(at))
 	switch {
-	case agreed && p.Phase == phaseAsking:
-		return p.answered(at, false)
+	case agreed && p.Phase == phaseQuerying:
+		return p.completeQuery(at, false)
 	case agreed:
-		return p.advance(at)
+		return p.completePhase(at)
 	case !possible:
-		p.fail()
+		p.failAttempt()
 	}
 	return outcome{}
 }
 
-func (p *proposer) agrees(at view) func(string, keystore.Reply) bool {
+func (p *proposer) voteFunc(at view) func(string, keystore.Reply) bool {
 	if p.Phase == phaseRecommitting || p.Phase == phaseWriting {
-		return func(address string, reply keystore.Reply) bool { return at.rules.Accepts(p.Owner, address, reply) }
+		return func(address string, reply keystore.Reply) bool {
+			return at.rules.CountsAcceptance(p.Ownership, address, reply)
+		}
 	}
-	if p.Phase == phasePromising {
-		return func(address string, _ keystore.Reply) bool { return keystore.Promises(p.Replies, address) }
+	if p.Phase == phasePreparing {
+		return func(address string, _ keystore.Reply) bool { return keystore.CountsPromise(p.Replies, address) }
 	}
 	return func(_ string, reply keystore.Reply) bool { return reply.Granted }
 }
 
-func (p *proposer) advance(at view) outcome {
+func (p *proposer) completePhase(at view) outcome {
 	switch p.Phase {
-	case phasePromising:
-		ballot := p.Ballots[len(p.Ballots)-1]
-		p.Owner = keystore.Owned(p.task().Key, ballot, p.Replies)
-		if at.rules.Carries(p.Owner) {
-			return outcome{packets: p.ask(phaseRecommitting, p.Owner.AcceptMessage(p.Owner.InForce()))}
+	case phasePreparing:
+		proposal := p.Proposals[len(p.Proposals)-1]
+		p.Ownership = keystore.NewOwnership(p.task().Key, proposal, p.Replies)
+		if at.rules.NeedsRecommit(p.Ownership) {
+			return outcome{packets: p.startRound(phaseRecommitting, p.Ownership.AcceptMessage(p.Ownership.Current()))}
 		}
-		p.Held = p.task().Key
-		return p.decide(at, outcome{concluded: p.concludes(ballot)})
+		p.OwnedKey = p.task().Key
+		return p.propose(at, outcome{committed: p.committedValues(proposal)})
 	case phaseRecommitting:
-		p.Held = p.task().Key
-		return p.decide(at, outcome{concluded: p.concludes(p.Owner.InForce().Ballot)})
+		p.OwnedKey = p.task().Key
+		return p.propose(at, outcome{committed: p.committedValues(p.Ownership.Current().AcceptedProposal)})
 	default:
-		p.Owner = p.Owner.Wrote(p.Writing)
-		result := outcome{concluded: p.concludes(p.Writing.Ballot)}
-		return p.complete(at, result)
+		p.Ownership = p.Ownership.WithCommitted(p.Proposed)
+		result := outcome{committed: p.committedValues(p.Proposed.AcceptedProposal)}
+		return p.acknowledge(at, result)
 	}
 }
 
 // concludes is the value in force as something to be held against all others. That there is none
 // is not held against them: a value of a lower ballot may still become certain before this
 // owner writes, in which case the write fails.
-func (p *proposer) concludes(ballot keystore.Ballot) []conclusion {
-	slot := p.Owner.InForce()
-	if !slot.Accepted() {
+func (p *proposer) committedValues(proposal keystore.ProposalNumber) []committedValue {
+	register := p.Ownership.Current()
+	if !register.IsAccepted() {
 		return nil
 	}
-	return []conclusion{{Key: slot.Key, Ballot: ballot, Sequence: slot.Sequence, Value: slot.Value}}
+	return []committedValue{{Key: register.Key, Ballot: proposal, Sequence: register.Sequence, Value: register.Value}}
 }
 
-func (p *proposer) decide(at view, result outcome) outcome {
-	value, done, refused := p.task().decide(p.Owner.InForce().Value)
+func (p *proposer) propose(at view, result outcome) outcome {
+	value, done, rejected := p.task().nextValue(p.Ownership.Current().Value)
 	switch {
 	case done:
-		return p.complete(at, result)
-	case refused:
-		p.finish()
+		return p.acknowledge(at, result)
+	case rejected:
+		p.finishTask()
 		return result
 	}
-	p.Writing = p.Owner.Next(value)
-	result.packets = append(result.packets, p.ask(phaseWriting, p.Owner.AcceptMessage(p.Writing))...)
+	p.Proposed = p.Ownership.NextProposal(value)
+	result.packets = append(result.packets, p.startRound(phaseWriting, p.Ownership.AcceptMessage(p.Proposed))...)
 	return result
 }
 
 // complete acknowledges the task whose value is in force.
-func (p *proposer) complete(at view, result outcome) outcome {
+func (p *proposer) acknowledge(at view, result outcome) outcome {
 	task := p.task()
 	switch task.Kind {
 	case taskChange:
-		result.acknowledged = task.Mark
-	case taskMembers:
-		p.adopt(task.List)
-	case taskSeize:
-		result.acknowledged = task.Mark
-		p.Lease = &hold{Began: p.Began, Answered: at.now, Until: p.Began.Add(p.length), Key: task.Key}
-	}
-	p.finish()
+		result.acknowledged = task.Label
+	case taskMembership:
+		p.adopt(task.Membership)
+	case taskAcquire:
+		result.acknowledged = task.Label
+		p.Lease = &validity{Started: p.Started, Answered: at.now, Until: p.Started.Add(p.leaseDuration), Key: task.Key}
+	}
+	p.finishTask()
 	return result
 }
--- a/internal/explore/scenario.go
+++ b/internal/explore/scenario.go
@@ -10,9 +10,9 @@
 // Tick is one step of time. Leases and the validity of looks are whole ticks.
 const Tick = time.Second
 
-// Troubles bounds how many events of each kind one run of a scenario may hold. Loss needs no
+// Faults bounds how many events of each kind one run of a scenario may hold. Loss needs no
 // bound: each message may be lost.
-type Troubles struct {
+type Faults struct {
 	// Crashes are kills or losses of power of a machine with its start; batches that were not
 	// synced are kept up to any of them.
 	Crashes int
@@ -24,8 +24,8 @@
 	Duplicates int
 	// Ticks are steps of time.
 	Ticks int
-	// DaySteps are steps of one machine's time of day by one lease, forward.
-	DaySteps int
+	// WallClockSteps are steps of one machine's time of day by one lease, forward.
+	WallClockSteps int
 }
 
 // Client is a proposer and what it does, one task after the other.
@@ -33,12 +33,12 @@
 	Machine string
 	Tasks   []Task
 	// Ready says that the first task begins at once; otherwise it may begin at any moment.
-	Ready bool
+	StartsImmediately bool
 	// Knows is the list that the client begins with, that of the scenario if it is not set.
-	Knows keystore.Members
+	Membership keystore.Membership
 	// Reaches are the members that the client's questions may come to, all if it is empty. Those
 	// to others are lost. It narrows a scenario.
-	Reaches []string
+	Reachable []string
 }
 
 // Scenario is a fleet, what its proposers do and the troubles that may come.
@@ -46,39 +46,39 @@
 	Name    string
 	Summary string
 	// Members is the first list, whose present members vote; Newcomers are machines with empty disks.
-	Members   keystore.Members
-	Newcomers []string
+	Membership keystore.Membership
+	Newcomers  []string
 	// Unborn are present members that were killed before they wrote that they are founders.
-	Unborn []string
+	NotBootstrapped []string
 	// Completed says that the members have seen the end of the founding.
-	Completed bool
-	// ForgetsLists says that a member whose disk is empty knows no list until it is told one. It is so wherever
+	BootstrapCompleted bool
+	// ForgetsMembership says that a member whose disk is empty knows no list until it is told one. It is so wherever
 	// some are Unborn.
-	ForgetsLists bool
+	ForgetsMembership bool
 	// Held gives the members slots that they hold at the beginning, by address.
-	Held     map[string][]keystore.Slot
-	Clients  []Client
-	Troubles Troubles
+	InitialRegisters map[string][]keystore.Register
+	Clients          []Client
+	Faults           Faults
 	// Troubled are the machines that may crash or lose their disk or have their day stepped.
-	Troubled []string
+	FaultyMachines []string
 	// Lease is how many ticks a lease lasts, Validity how many a look may be answered from.
-	Lease    int
-	Validity int
+	LeaseTicks          int
+	DigestValidityTicks int
 	// Staging tells steps from their sync. Without it a step and its sync are one event, which
 	// leaves out only what a member answers between the two.
-	Staging bool
-	// LateReplies keeps replies under way for any time. Without it one arrives at once or never,
-	// see fleet.answer for why that leaves nothing out where no step depends on time.
-	LateReplies bool
+	SeparatesSync bool
+	// DelaysReplies keeps replies under way for any time. Without it one arrives at once or never,
+	// see fleet.sendReplies for why that leaves nothing out where no step depends on time.
+	DelaysReplies bool
 	// Learns lets the member beside a proposer take over what a look found committed.
 	Learns bool
 }
 
-// forgetsList says whether a client begins a life on an empty disk without a list.
-func (s Scenario) forgetsList(client Client) bool {
-	return (s.ForgetsLists || len(s.Unborn) > 0) && client.Tasks[0].Kind == taskCatchUp
+// forgetsMembership says whether a client begins a life on an empty disk without a list.
+func (s Scenario) forgetsMembership(client Client) bool {
+	return (s.ForgetsMembership || len(s.NotBootstrapped) > 0) && client.Tasks[0].Kind == taskCatchUp
 }
 
-func (s Scenario) lease() time.Duration { return time.Duration(s.Lease) * Tick }
+func (s Scenario) leaseDuration() time.Duration { return time.Duration(s.LeaseTicks) * Tick }
 
-func (s Scenario) machines() []string { return slices.Concat(s.Members.Present, s.Newcomers) }
+func (s Scenario) machines() []string { return slices.Concat(s.Membership.Current, s.Newcomers) }
--- a/internal/explore/scenarios.go
+++ b/internal/explore/scenarios.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	key   = keystore.ConfigurationKey
-	lease = keystore.LeasePrefix + "duty"
+	configurationKey = keystore.ConfigurationKey
+	leaseKey         = keystore.LeasePrefix + "duty"
 )
 
-var three = keystore.Members{Number: 1, Present: []string{"a", "b", "c"}}
+var three = keystore.Membership{Version: 1, Current: []string{"a", "b", "c"}}
 
 // joint takes in d for c, replaced is the list after it.
 var (
-	joint    = keystore.Members{Number: 2, Present: []string{"a", "b", "c"}, Next: []string{"a", "b", "d"}}
-	replaced = keystore.Members{Number: 3, Present: []string{"a", "b", "d"}}
+	joint    = keystore.Membership{Version: 2, Current: []string{"a", "b", "c"}, Next: []string{"a", "b", "d"}}
+	replaced = keystore.Membership{Version: 3, Current: []string{"a", "b", "d"}}
 )
 
 // Scenarios lists the bounds that are walked, the long ones last.
 func Scenarios() []Scenario {
 	return append(ShortScenarios(),
 		TwoProposersTwice(), OneCrash(), WipeDuringWrite(), WipeThreeWriters(),
-		JointWrites(), MemberReplaced(), LeaseTaken(), LeaseMembers(),
-		FoundingHalfWritten(),
+		JointWrites(), MemberReplaced(), LeaseTaken(), LeaseDuringReplacement(),
+		BootstrapHalfWritten(),
 	)
 }
 
@@ -32,8 +32,8 @@
 func ShortScenarios() []Scenario {
 	return []Scenario{
 		TwoProposers(), ThreeProposers(), OwnerReads(), Restart(), CrashBetweenWrites(), WipeBetweenWrites(), WipeSeen(), WipeHalfWritten(),
-		JointMajorities(), ListDuringCatchUp(), LeaseReleased(), LeaseWiped(), LooksDuringWrites(), FreshLooks(),
-		FoundingFromNothing(), FoundingWithWipe(), FoundingWithoutOne(), FoundingLongAgo(), FoundingListChanged(),
+		JointMajorities(), MembershipDuringCatchUp(), LeaseReleased(), LeaseWiped(), DigestDuringWrites(), FreshDigest(),
+		BootstrapFromNothing(), BootstrapWithWipe(), BootstrapWithoutOne(), BootstrapLongAgo(), BootstrapMembershipChanged(),
 	}
 }
 
@@ -41,10 +41,10 @@
 func TwoProposers() Scenario {
 	return Scenario{
 		Name: "two-proposers", Summary: "two proposers change one key, each once",
-		Members: three,
+		Membership: three,
 		Clients: []Client{
-			{Machine: "a", Ready: true, Tasks: []Task{Change(key, "x", 1)}},
-			{Machine: "b", Ready: true, Tasks: []Task{Change(key, "y", 1)}},
+			{Machine: "a", StartsImmediately: true, Tasks: []Task{Change(configurationKey, "x", 1)}},
+			{Machine: "b", StartsImmediately: true, Tasks: []Task{Change(configurationKey, "y", 1)}},
 		},
 	}
 }
@@ -53,8 +53,8 @@
 func TwoProposersTwice() Scenario {
 	scenario := TwoProposers()
 	scenario.Name, scenario.Summary = "two-proposers-twice", "two proposers change one key; one duplicate, one further attempt"
-	scenario.Clients[0].Tasks = []Task{Change(key, "x", 2)}
-	scenario.Troubles.Duplicates = 1
+	scenario.Clients[0].Tasks = []Task{Change(configurationKey, "x", 2)}
+	scenario.Faults.Duplicates = 1
 	return scenario
 }
 
@@ -62,11 +62,11 @@
 func ThreeProposers() Scenario {
 	return Scenario{
 		Name: "three-proposers", Summary: "three proposers change one key; each two of them meet at one member",
-		Members: three,
+		Membership: three,
 		Clients: []Client{
-			{Machine: "a", Ready: true, Reaches: []string{"a", "b"}, Tasks: []Task{Change(key, "x", 1)}},
-			{Machine: "b", Ready: true, Reaches: []string{"a", "c"}, Tasks: []Task{Change(key, "y", 1)}},
-			{Machine: "c", Ready: true, Reaches: []string{"b", "c"}, Tasks: []Task{Change(key, "z", 1)}},
+			{Machine: "a", StartsImmediately: true, Reachable: []string{"a", "b"}, Tasks: []Task{Change(configurationKey, "x", 1)}},
+			{Machine: "b", StartsImmediately: true, Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "y", 1)}},
+			{Machine: "c", StartsImmediately: true, Reachable: []string{"b", "c"}, Tasks: []Task{Change(configurationKey, "z", 1)}},
 		},
 	}
 }
@@ -76,9 +76,9 @@
 func OwnerReads() Scenario {
 	scenario := TwoProposers()
 	scenario.Name, scenario.Summary = "owner-reads", "an owner reads again what it wrote, beside another change"
-	scenario.Clients[0] = Client{Machine: "a", Ready: true, Reaches: []string{"a", "c"}, Tasks: []Task{Change(key, "x", 1), Read(key)}}
-	scenario.Clients[1].Reaches = []string{"b", "c"}
-	scenario.Troubles, scenario.Troubled, scenario.Staging = Troubles{Crashes: 1}, []string{"c"}, true
+	scenario.Clients[0] = Client{Machine: "a", StartsImmediately: true, Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "x", 1), Read(configurationKey)}}
+	scenario.Clients[1].Reachable = []string{"b", "c"}
+	scenario.Faults, scenario.FaultyMachines, scenario.SeparatesSync = Faults{Crashes: 1}, []string{"c"}, true
 	return scenario
 }
 
@@ -86,9 +86,9 @@
 func Restart() Scenario {
 	return Scenario{
 		Name: "restart", Summary: "a proposer begins a new life during its change; one duplicate",
-		Members: three, Held: heldByAll(three, key, "o"),
-		Clients:  []Client{{Machine: "a", Ready: true, Tasks: []Task{Change(key, "x", 1)}, Reaches: []string{"a", "b"}}},
-		Troubles: Troubles{Restarts: 1, Duplicates: 1},
+		Membership: three, InitialRegisters: onAllMembers(three, configurationKey, "o"),
+		Clients: []Client{{Machine: "a", StartsImmediately: true, Tasks: []Task{Change(configurationKey, "x", 1)}, Reachable: []string{"a", "b"}}},
+		Faults:  Faults{Restarts: 1, Duplicates: 1},
 	}
 }
 
@@ -96,7 +96,7 @@
 func OneCrash() Scenario {
 	scenario := TwoProposers()
 	scenario.Name, scenario.Summary = "one-crash", "two proposers change one key; one machine crashes, unsynced writes lost or kept"
-	scenario.Troubles, scenario.Troubled, scenario.Staging = Troubles{Crashes: 1}, []string{"a", "c"}, true
+	scenario.Faults, scenario.FaultyMachines, scenario.SeparatesSync = Faults{Crashes: 1}, []string{"a", "c"}, true
 	return scenario
 }
 
@@ -104,46 +104,46 @@
 func CrashBetweenWrites() Scenario {
 	scenario := OneCrash()
 	scenario.Name, scenario.Summary = "crash-between-writes", "two changes that meet at c, which crashes; unsynced writes lost or kept"
-	scenario.Troubled = []string{"c"}
-	scenario.Clients[0].Reaches, scenario.Clients[1].Reaches = []string{"a", "c"}, []string{"b", "c"}
+	scenario.FaultyMachines = []string{"c"}
+	scenario.Clients[0].Reachable, scenario.Clients[1].Reachable = []string{"a", "c"}, []string{"b", "c"}
 	return scenario
 }
 
-// LooksDuringWrites is a look while a value is written and a member loses its disk; what the
+// DigestDuringWrites is a look while a value is written and a member loses its disk; what the
 // look found is learned by the member beside.
-func LooksDuringWrites() Scenario {
+func DigestDuringWrites() Scenario {
 	return Scenario{
 		Name: "looks-during-writes", Summary: "a look during a change and the loss of a disk; its finding is learned",
-		Members: three, Held: heldByAll(three, key, "o"),
+		Membership: three, InitialRegisters: onAllMembers(three, configurationKey, "o"),
 		Clients: []Client{
-			{Machine: "a", Ready: true, Reaches: []string{"a", "c"}, Tasks: []Task{Change(key, "x", 1)}},
-			{Machine: "b", Tasks: []Task{Look()}},
+			{Machine: "a", StartsImmediately: true, Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "x", 1)}},
+			{Machine: "b", Tasks: []Task{Digest()}},
 			{Machine: "c", Tasks: []Task{CatchUp(1)}},
 		},
-		Troubles: Troubles{Wipes: 1}, Troubled: []string{"c"}, Learns: true,
+		Faults: Faults{Wipes: 1}, FaultyMachines: []string{"c"}, Learns: true,
 	}
 }
 
-// FreshLooks is a look answered from later, beside a change, over steps of time.
-func FreshLooks() Scenario {
+// FreshDigest is a look answered from later, beside a change, over steps of time.
+func FreshDigest() Scenario {
 	return Scenario{
 		Name: "fresh-looks", Summary: "a look is answered from while it is fresh, beside a change and a freeze",
-		Members: three, Validity: 1, LateReplies: true, Held: heldByAll(three, key, "o"),
+		Membership: three, DigestValidityTicks: 1, DelaysReplies: true, InitialRegisters: onAllMembers(three, configurationKey, "o"),
 		Clients: []Client{
-			{Machine: "a", Reaches: []string{"a", "c"}, Tasks: []Task{Change(key, "x", 1)}},
-			{Machine: "b", Reaches: []string{"b", "c"}, Tasks: []Task{Look()}},
+			{Machine: "a", Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "x", 1)}},
+			{Machine: "b", Reachable: []string{"b", "c"}, Tasks: []Task{Digest()}},
 		},
-		Troubles: Troubles{Ticks: 3},
+		Faults: Faults{Ticks: 3},
 	}
 }
 
-// heldByAll gives each member one value, under a ballot below all others.
-func heldByAll(members keystore.Members, name, mark string) map[string][]keystore.Slot {
-	value, _ := json.Marshal([]string{mark})
-	ballot := keystore.Ballot{Round: 1, Life: 1}
-	held := map[string][]keystore.Slot{}
-	for _, address := range members.All() {
-		held[address] = []keystore.Slot{{Key: name, Promised: ballot, Ballot: ballot, Sequence: 1, Value: value}}
+// onAllMembers gives each member one value, under a ballot below all others.
+func onAllMembers(membership keystore.Membership, name, label string) map[string][]keystore.Register {
+	value, _ := json.Marshal([]string{label})
+	proposal := keystore.ProposalNumber{Round: 1, Incarnation: 1}
+	registers := map[string][]keystore.Register{}
+	for _, address := range membership.All() {
+		registers[address] = []keystore.Register{{Key: name, Promised: proposal, AcceptedProposal: proposal, Sequence: 1, Value: value}}
 	}
-	return held
+	return registers
 }
--- a/internal/explore/scenarios_lease.go
+++ b/internal/explore/scenarios_lease.go
@@ -5,12 +5,12 @@
 func LeaseTaken() Scenario {
 	return Scenario{
 		Name: "lease-taken", Summary: "a lease is taken, renewed and released or runs out; another takes it; a crash",
-		Members: three, Lease: 2,
+		Membership: three, LeaseTicks: 2,
 		Clients: []Client{
-			{Machine: "a", Tasks: []Task{Seize(lease, "x"), Renew(lease), Release(lease)}},
-			{Machine: "b", Tasks: []Task{Seize(lease, "y")}},
+			{Machine: "a", Tasks: []Task{Acquire(leaseKey, "x"), Renew(leaseKey), Release(leaseKey)}},
+			{Machine: "b", Tasks: []Task{Acquire(leaseKey, "y")}},
 		},
-		Troubles: Troubles{Ticks: 2, Crashes: 1, DaySteps: 1}, Troubled: []string{"c"},
+		Faults: Faults{Ticks: 2, Crashes: 1, WallClockSteps: 1}, FaultyMachines: []string{"c"},
 	}
 }
 
@@ -18,9 +18,9 @@
 func LeaseReleased() Scenario {
 	scenario := LeaseTaken()
 	scenario.Name, scenario.Summary = "lease-released", "a lease is taken and released or runs out; another that meets it at c takes it"
-	scenario.Lease, scenario.Troubles = 1, Troubles{Ticks: 1, Crashes: 1, DaySteps: 1}
-	scenario.Clients[0].Tasks = []Task{Seize(lease, "x"), Release(lease)}
-	scenario.Clients[0].Reaches, scenario.Clients[1].Reaches = []string{"a", "c"}, []string{"b", "c"}
+	scenario.LeaseTicks, scenario.Faults = 1, Faults{Ticks: 1, Crashes: 1, WallClockSteps: 1}
+	scenario.Clients[0].Tasks = []Task{Acquire(leaseKey, "x"), Release(leaseKey)}
+	scenario.Clients[0].Reachable, scenario.Clients[1].Reachable = []string{"a", "c"}, []string{"b", "c"}
 	return scenario
 }
 
@@ -28,22 +28,22 @@
 func LeaseWiped() Scenario {
 	scenario := LeaseReleased()
 	scenario.Name, scenario.Summary = "lease-wiped", "a lease is held; the member that both reach loses its disk and catches up"
-	scenario.Troubles = Troubles{Ticks: 1, Wipes: 1}
-	scenario.Clients[0].Tasks = []Task{Seize(lease, "x")}
+	scenario.Faults = Faults{Ticks: 1, Wipes: 1}
+	scenario.Clients[0].Tasks = []Task{Acquire(leaseKey, "x")}
 	scenario.Clients = append(scenario.Clients, Client{Machine: "c", Tasks: []Task{CatchUp(1)}})
 	return scenario
 }
 
-// LeaseMembers is a lease held while a member is replaced by a newcomer.
-func LeaseMembers() Scenario {
+// LeaseDuringReplacement is a lease held while a member is replaced by a newcomer.
+func LeaseDuringReplacement() Scenario {
 	return Scenario{
 		Name: "lease-members", Summary: "a lease is held while a member is replaced; another daemon wants it",
-		Members: three, Newcomers: []string{"d"}, Lease: 1,
+		Membership: three, Newcomers: []string{"d"}, LeaseTicks: 1,
 		Clients: []Client{
-			{Machine: "a", Tasks: []Task{Seize(lease, "x")}},
-			{Machine: "b", Ready: true, Tasks: []Task{ChangeMembers(joint, "", 1), ChangeMembers(replaced, "d", 1), Seize(lease, "y")}},
+			{Machine: "a", Tasks: []Task{Acquire(leaseKey, "x")}},
+			{Machine: "b", StartsImmediately: true, Tasks: []Task{ChangeMembership(joint, "", 1), ChangeMembership(replaced, "d", 1), Acquire(leaseKey, "y")}},
 			{Machine: "d", Tasks: []Task{CatchUp(1)}},
 		},
-		Troubles: Troubles{Ticks: 1},
+		Faults: Faults{Ticks: 1},
 	}
 }
--- a/internal/explore/scenarios_wipe.go
+++ b/internal/explore/scenarios_wipe.go
@@ -7,7 +7,7 @@
 	scenario := TwoProposers()
 	scenario.Name, scenario.Summary = "wipe-during-write", "two changes while a member loses its disk and catches up"
 	scenario.Clients = append(scenario.Clients, Client{Machine: "c", Tasks: []Task{CatchUp(1)}})
-	scenario.Troubles, scenario.Troubled = Troubles{Wipes: 1}, []string{"c"}
+	scenario.Faults, scenario.FaultyMachines = Faults{Wipes: 1}, []string{"c"}
 	return scenario
 }
 
@@ -16,7 +16,7 @@
 func WipeBetweenWrites() Scenario {
 	scenario := WipeDuringWrite()
 	scenario.Name, scenario.Summary = "wipe-between-writes", "a member loses its disk during a change; another follows"
-	scenario.Clients[1] = Client{Machine: "b", Reaches: []string{"a", "c"}, Tasks: []Task{Change(key, "y", 1).After("x")}}
+	scenario.Clients[1] = Client{Machine: "b", Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "y", 1).After("x")}}
 	return scenario
 }
 
@@ -24,7 +24,7 @@
 func WipeSeen() Scenario {
 	scenario := WipeBetweenWrites()
 	scenario.Name, scenario.Summary = "wipe-seen", "the same, where each member that may accept the first change promised it"
-	scenario.Clients[0].Reaches = []string{"b", "c"}
+	scenario.Clients[0].Reachable = []string{"b", "c"}
 	return scenario
 }
 
@@ -33,14 +33,14 @@
 func WipeThreeWriters() Scenario {
 	return Scenario{
 		Name: "wipe-three-writers", Summary: "a member loses its disk between promise and write; two more proposers write",
-		Members: three, Newcomers: []string{"z"},
+		Membership: three, Newcomers: []string{"z"},
 		Clients: []Client{
-			{Machine: "a", Ready: true, Reaches: []string{"a", "b"}, Tasks: []Task{Change(key, "x", 1)}},
-			{Machine: "b", Ready: true, Reaches: []string{"a", "c"}, Tasks: []Task{Change(key, "y", 1)}},
+			{Machine: "a", StartsImmediately: true, Reachable: []string{"a", "b"}, Tasks: []Task{Change(configurationKey, "x", 1)}},
+			{Machine: "b", StartsImmediately: true, Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "y", 1)}},
 			{Machine: "c", Tasks: []Task{CatchUp(1)}},
-			{Machine: "z", Reaches: []string{"a", "c"}, Tasks: []Task{Change(key, "z", 1)}},
+			{Machine: "z", Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "z", 1)}},
 		},
-		Troubles: Troubles{Wipes: 1}, Troubled: []string{"c"},
+		Faults: Faults{Wipes: 1}, FaultyMachines: []string{"c"},
 	}
 }
 
@@ -48,7 +48,7 @@
 func WipeHalfWritten() Scenario {
 	scenario := WipeThreeWriters()
 	scenario.Name, scenario.Summary = "wipe-half-written", "a member loses its disk between promise and write; an older write is half done"
-	scenario.Held = map[string][]keystore.Slot{"b": heldByAll(three, key, "o")["b"]}
+	scenario.InitialRegisters = map[string][]keystore.Register{"b": onAllMembers(three, configurationKey, "o")["b"]}
 	scenario.Clients = scenario.Clients[1:]
 	return scenario
 }
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -26,7 +26,7 @@
 	States      int           `json:"states"`
 	Transitions int           `json:"transitions"`
 	Depth       int           `json:"depth"`
-	Took        time.Duration `json:"tookNs"`
+	Duration    time.Duration `json:"tookNs"`
 	// Exhausted says that every world within the scenario was visited.
 	Exhausted bool `json:"exhausted"`
 	// Reached lists what was acknowledged in some world, and the member lists adopted: a scenario
@@ -40,7 +40,7 @@
 // String is the report in one line, with the trace below it if there is one.
 func (r Report) String() string {
 	text := fmt.Sprintf("%s: %d states, %d transitions, depth %d, %s, exhausted %t, reached %s",
-		r.Scenario, r.States, r.Transitions, r.Depth, r.Took.Round(time.Millisecond), r.Exhausted, strings.Join(r.Reached, " "))
+		r.Scenario, r.States, r.Transitions, r.Depth, r.Duration.Round(time.Millisecond), r.Exhausted, strings.Join(r.Reached, " "))
 	if r.Violation == "" {
 		return text
 	}
@@ -48,23 +48,23 @@
 	return text + "\n  " + strings.Join(r.Trace, "\n  ")
 }
 
-// step is how a world was reached first.
-type step struct {
+// pathStep is how a world was reached first.
+type pathStep struct {
 	parent int32
-	move   move
+	move   action
 }
 
 // search is one walk: the worlds of one level, and of all how they were reached.
 type search struct {
-	fleet   *fleet
+	fleet   *model
 	limits  Limits
-	began   time.Time
-	steps   []step
+	started time.Time
+	steps   []pathStep
 	visited map[uint64]struct{}
 	report  Report
 }
 
-type reached struct {
+type frontierEntry struct {
 	world *world
 	at    int32
 }
@@ -73,30 +73,30 @@
 // or met a limit. It uses one processor.
 func Search(ctx context.Context, scenario Scenario, rules Rules, limits Limits) Report {
 	walk := &search{
-		fleet: newFleet(scenario, rules), limits: limits, began: time.Now(), visited: map[uint64]struct{}{},
+		fleet: newModel(scenario, rules), limits: limits, started: time.Now(), visited: map[uint64]struct{}{},
 		report: Report{Scenario: scenario.Name},
 	}
 	walk.run(ctx)
 	walk.report.Reached = walk.fleet.reached()
-	walk.report.States, walk.report.Took = len(walk.steps), time.Since(walk.began)
+	walk.report.States, walk.report.Duration = len(walk.steps), time.Since(walk.started)
 	return walk.report
 }
 
 func (s *search) run(ctx context.Context) {
-	first := s.fleet.first()
+	first := s.fleet.initialWorld()
 	s.visited[first.hash()] = struct{}{}
-	s.steps = append(s.steps, step{parent: -1})
-	level := []reached{{first, 0}}
+	s.steps = append(s.steps, pathStep{parent: -1})
+	level := []frontierEntry{{first, 0}}
 	for len(level) > 0 {
 		if s.limits.Depth > 0 && s.report.Depth >= s.limits.Depth {
 			return
 		}
-		var next []reached
-		for _, one := range level {
-			if s.over(ctx) {
+		var next []frontierEntry
+		for _, entry := range level {
+			if s.limitReached(ctx) {
 				return
 			}
-			found, violated := s.expand(one)
+			found, violated := s.expand(entry)
 			if violated {
 				return
 			}
@@ -106,36 +106,36 @@
 			s.report.Depth++
 		}
 		level = next
-		s.tell()
+		s.reportProgress()
 	}
 	s.report.Exhausted = true
 }
 
-func (s *search) over(ctx context.Context) bool {
+func (s *search) limitReached(ctx context.Context) bool {
 	if s.limits.States > 0 && len(s.steps) >= s.limits.States {
 		return true
 	}
-	if s.limits.For > 0 && time.Since(s.began) >= s.limits.For {
+	if s.limits.For > 0 && time.Since(s.started) >= s.limits.For {
 		return true
 	}
 	return ctx.Err() != nil
 }
 
-func (s *search) tell() {
+func (s *search) reportProgress() {
 	if s.limits.Progress == nil {
 		return
 	}
-	s.report.States, s.report.Took = len(s.steps), time.Since(s.began)
+	s.report.States, s.report.Duration = len(s.steps), time.Since(s.started)
 	s.limits.Progress(s.report)
 }
 
-func (s *search) expand(from reached) (found []reached, violated bool) {
-	for _, one := range s.fleet.moves(from.world) {
-		next, err := s.fleet.apply(from.world, one)
+func (s *search) expand(from frontierEntry) (found []frontierEntry, violated bool) {
+	for _, event := range s.fleet.actions(from.world) {
+		next, err := s.fleet.apply(from.world, event)
 		s.report.Transitions++
 		if err != nil {
 			s.report.Violation = err.Error()
-			s.report.Trace = s.trace(from.at, one)
+			s.report.Trace = s.trace(from.at, event)
 			return nil, true
 		}
 		hash := next.hash()
@@ -143,24 +143,24 @@
 			continue
 		}
 		s.visited[hash] = struct{}{}
-		s.steps = append(s.steps, step{from.at, one})
-		found = append(found, reached{next, int32(len(s.steps) - 1)})
+		s.steps = append(s.steps, pathStep{from.at, event})
+		found = append(found, frontierEntry{next, int32(len(s.steps) - 1)})
 	}
 	return found, false
 }
 
 // trace plays the way to a world again, to describe each event in it.
-func (s *search) trace(at int32, last move) []string {
-	moves := []move{last}
+func (s *search) trace(at int32, last action) []string {
+	moves := []action{last}
 	for ; at > 0; at = s.steps[at].parent {
 		moves = append(moves, s.steps[at].move)
 	}
 	slices.Reverse(moves)
-	world := s.fleet.first()
+	world := s.fleet.initialWorld()
 	var lines []string
-	for _, one := range moves {
-		lines = append(lines, s.fleet.describe(world, one))
-		world, _ = s.fleet.apply(world, one)
+	for _, step := range moves {
+		lines = append(lines, s.fleet.describe(world, step))
+		world, _ = s.fleet.apply(world, step)
 	}
 	return lines
 }
