--- a/internal/explore/settle.go
+++ b/internal/explore/settle.go
@@ -9,98 +9,98 @@
 )
 
 // begin starts the next task of a proposer.
-func (f *fleet) begin(w *world, index int) error {
-	one := f.proposers.get(w.proposers[index])
-	next, result, able := one.start(f.view(w, one))
+func (m *model) startTask(w *world, index int) error {
+	client := m.proposers.get(w.proposers[index])
+	next, result, able := client.start(m.view(w, client))
 	if !able {
 		return errNothing
 	}
-	return f.settle(w, index, next, result)
+	return m.applyOutcome(w, index, next, result)
 }
 
 var errNothing = errors.New("nothing happens")
 
 // settle puts a proposer's new state and what follows from it into the world.
-func (f *fleet) settle(w *world, index int, next *proposer, result outcome) error {
-	for _, one := range result.packets {
-		w.send(f.packets.add(&one))
+func (m *model) applyOutcome(w *world, index int, next *proposer, result outcome) error {
+	for _, message := range result.packets {
+		w.send(m.packets.add(&message))
 	}
-	if result.ballot != (keystore.Ballot{}) {
-		if err := f.unused(w, index, next, result.ballot); err != nil {
+	if result.proposal != (keystore.ProposalNumber{}) {
+		if err := m.checkProposalUnused(w, index, next, result.proposal); err != nil {
 			return err
 		}
 	}
-	noted := f.histories.get(w.history).clone()
-	for _, found := range result.concluded {
-		if err := noted.conclude(found); err != nil {
+	observed := m.histories.get(w.history).clone()
+	for _, found := range result.committed {
+		if err := observed.addCommitted(found); err != nil {
 			return err
 		}
-		if mark := lacks(found.Value, result.floor); mark != "" {
-			return errors.Errorf("a read tells %s, older than %s which was acknowledged before it began", found.Value, mark)
+		if label := missingLabel(found.Value, result.acknowledgedAtStart); label != "" {
+			return errors.Errorf("a read tells %s, older than %s which was acknowledged before it began", found.Value, label)
 		}
 	}
-	if err := f.looked(w, next, noted, result); err != nil {
+	if err := m.applyDigest(w, next, observed, result); err != nil {
 		return err
 	}
 	if result.acknowledged != "" {
-		noted.acknowledge(result.acknowledged, w.tick)
+		observed.acknowledge(result.acknowledged, w.tick)
 	}
-	w.history = f.histories.add(noted)
-	w.proposers[index] = f.proposers.add(next)
+	w.history = m.histories.add(observed)
+	w.proposers[index] = m.proposers.add(next)
 	return nil
 }
 
 // unused checks that no other attempt, of this proposer or another, had the ballot.
-func (f *fleet) unused(w *world, index int, next *proposer, ballot keystore.Ballot) error {
-	used := next.Ballots[:len(next.Ballots)-1]
-	for other, of := range w.proposers {
+func (m *model) checkProposalUnused(w *world, index int, next *proposer, proposal keystore.ProposalNumber) error {
+	used := next.Proposals[:len(next.Proposals)-1]
+	for other, id := range w.proposers {
 		if other != index {
-			used = append(slices.Clone(used), f.proposers.get(of).Ballots...)
+			used = append(slices.Clone(used), m.proposers.get(id).Proposals...)
 		}
 	}
-	if slices.Contains(used, ballot) {
-		return errors.Errorf("ballot %s is used by two attempts", ballot)
+	if slices.Contains(used, proposal) {
+		return errors.Errorf("ballot %s is used by two attempts", proposal)
 	}
 	return nil
 }
 
 // looked fetches what a digest calls committed, checks it, and lets the member beside learn it.
-func (f *fleet) looked(w *world, next *proposer, noted *history, result outcome) error {
-	for _, wanted := range result.looked {
-		whole, found := f.fetch(w, wanted)
+func (m *model) applyDigest(w *world, next *proposer, observed *history, result outcome) error {
+	for _, proposal := range result.digested {
+		fetched, found := m.fetch(w, proposal)
 		if !found {
 			continue
 		}
-		told := conclusion{Key: whole.Key, Ballot: whole.Ballot, Sequence: whole.Sequence, Value: whole.Value}
-		if err := noted.conclude(told); err != nil {
+		value := committedValue{Key: fetched.Key, Ballot: fetched.AcceptedProposal, Sequence: fetched.Sequence, Value: fetched.Value}
+		if err := observed.addCommitted(value); err != nil {
 			return errors.Wrap(err, "a look")
 		}
-		if whole.Key == keystore.MembersKey {
+		if fetched.Key == keystore.MembershipKey {
 			continue
 		}
-		if mark := lacks(whole.Value, result.floor); mark != "" {
-			return errors.Errorf("a look tells %s, older than %s which was acknowledged before it began", whole.Value, mark)
+		if label := missingLabel(fetched.Value, result.acknowledgedAtStart); label != "" {
+			return errors.Errorf("a look tells %s, older than %s which was acknowledged before it began", fetched.Value, label)
 		}
-		if next.Looked != nil {
-			next.Looked.Key, next.Looked.Value = whole.Key, whole.Value
+		if next.LastDigest != nil {
+			next.LastDigest.Key, next.LastDigest.Value = fetched.Key, fetched.Value
 		}
-		own := f.members.get(w.members[f.machine(next.Machine)])
-		if f.scenario.Learns && own.self.Voting && whole.Newer(own.Durable[whole.Key]) {
-			learned := whole
-			learned.Promised = keystore.Ballot{}
-			w.send(f.packets.add(&packet{Member: next.Machine, Proposer: next.Index, Life: next.Life, Learned: &learned}))
+		own := m.members.get(w.members[m.machine(next.Machine)])
+		if m.scenario.Learns && own.localState.Voting && fetched.NewerThan(own.Durable[fetched.Key]) {
+			learned := fetched
+			learned.Promised = keystore.ProposalNumber{}
+			w.send(m.packets.add(&packet{Member: next.Machine, Proposer: next.Index, Incarnation: next.Incarnation, Learn: &learned}))
 		}
 	}
 	return nil
 }
 
 // fetch finds the value of a proposal on any disk, see keystore.Store.Fetch.
-func (f *fleet) fetch(w *world, wanted keystore.Slot) (keystore.Slot, bool) {
-	for _, one := range w.members {
-		slot := f.members.get(one).Durable[wanted.Key]
-		if slot.Accepted() && slot.Same(wanted) {
-			return slot, true
+func (m *model) fetch(w *world, proposal keystore.Register) (keystore.Register, bool) {
+	for _, member := range w.members {
+		register := m.members.get(member).Durable[proposal.Key]
+		if register.IsAccepted() && register.SameProposal(proposal) {
+			return register, true
 		}
 	}
-	return keystore.Slot{}, false
+	return keystore.Register{}, false
 }
--- a/internal/explore/table.go
+++ b/internal/explore/table.go
@@ -5,38 +5,38 @@
 	"fmt"
 )
 
-// number names an entry of a table.
-type number = uint32
+// stateID names an entry of a table.
+type stateID = uint32
 
 // table keeps each distinct value once. Values are told apart by a canonical encoding: JSON
 // with sorted maps, and the printed form of what JSON leaves out.
 type table[T any] struct {
-	values  []*T
-	numbers map[string]number
-	hidden  func(value *T) string
+	values    []*T
+	ids       map[string]stateID
+	unencoded func(value *T) string
 }
 
 func newTable[T any](hidden func(value *T) string) *table[T] {
-	return &table[T]{numbers: map[string]number{}, hidden: hidden}
+	return &table[T]{ids: map[string]stateID{}, unencoded: hidden}
 }
 
 // add gives the number of a value. The value must not be changed afterwards.
-func (t *table[T]) add(value *T) number {
+func (t *table[T]) add(value *T) stateID {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		panic(fmt.Sprintf("value without an encoding: %v", err))
 	}
 	encoding := string(encoded)
-	if t.hidden != nil {
-		encoding += t.hidden(value)
+	if t.unencoded != nil {
+		encoding += t.unencoded(value)
 	}
-	if known, found := t.numbers[encoding]; found {
+	if known, found := t.ids[encoding]; found {
 		return known
 	}
-	next := number(len(t.values))
+	next := stateID(len(t.values))
 	t.values = append(t.values, value)
-	t.numbers[encoding] = next
+	t.ids[encoding] = next
 	return next
 }
 
-func (t *table[T]) get(of number) *T { return t.values[of] }
+func (t *table[T]) get(id stateID) *T { return t.values[id] }
--- a/internal/explore/task.go
+++ b/internal/explore/task.go
@@ -12,14 +12,14 @@
 const (
 	// taskChange adds a mark to the key's value.
 	taskChange taskKind = "change"
-	// taskMembers commits a member list.
-	taskMembers taskKind = "members"
-	// taskLook asks a majority what is committed.
-	taskLook taskKind = "look"
+	// taskMembership commits a member list.
+	taskMembership taskKind = "members"
+	// taskDigest asks a majority what is committed.
+	taskDigest taskKind = "look"
 	// taskRead confirms an owned value at a majority.
 	taskRead taskKind = "read"
-	// taskSeize takes a lease once; taskRenew and taskRelease end it later or earlier.
-	taskSeize   taskKind = "seize"
+	// taskAcquire takes a lease once; taskRenew and taskRelease end it later or earlier.
+	taskAcquire taskKind = "seize"
 	taskRenew   taskKind = "renew"
 	taskRelease taskKind = "release"
 	// taskCatchUp brings the member on the same machine to where it votes.
@@ -28,36 +28,38 @@
 
 // Task is one thing that a proposer does.
 type Task struct {
-	Kind taskKind
-	Key  string
-	Mark string
-	List keystore.Members
+	Kind       taskKind
+	Key        string
+	Label      string
+	Membership keystore.Membership
 	// AfterVote names a member that must vote under the proposer's list before the task begins.
 	AfterVote string
-	// AfterMark names a change that must be acknowledged before the task begins.
-	AfterMark string
+	// AfterLabel names a change that must be acknowledged before the task begins.
+	AfterLabel string
 	// Attempts bounds how often the key is taken, or the question asked.
 	Attempts int
 }
 
 // Change adds a mark to a key's value, taking the key at most so many times.
-func Change(key, mark string, attempts int) Task {
-	return Task{Kind: taskChange, Key: key, Mark: mark, Attempts: attempts}
+func Change(key, label string, attempts int) Task {
+	return Task{Kind: taskChange, Key: key, Label: label, Attempts: attempts}
 }
 
-// ChangeMembers commits a member list.
-func ChangeMembers(list keystore.Members, afterVote string, attempts int) Task {
-	return Task{Kind: taskMembers, Key: keystore.MembersKey, List: list, AfterVote: afterVote, Attempts: attempts}
+// ChangeMembership commits a member list.
+func ChangeMembership(membership keystore.Membership, afterVote string, attempts int) Task {
+	return Task{Kind: taskMembership, Key: keystore.MembershipKey, Membership: membership, AfterVote: afterVote, Attempts: attempts}
 }
 
-// Look asks a majority what it holds, without taking any key.
-func Look() Task { return Task{Kind: taskLook, Attempts: 1} }
+// Digest asks a majority what it holds, without taking any key.
+func Digest() Task { return Task{Kind: taskDigest, Attempts: 1} }
 
 // Read confirms the value of a key that is owned.
 func Read(key string) Task { return Task{Kind: taskRead, Key: key, Attempts: 1} }
 
-// Seize takes a lease once; Renew and Release confirm and end it.
-func Seize(key, mark string) Task { return Task{Kind: taskSeize, Key: key, Mark: mark, Attempts: 1} }
+// Acquire takes a lease once; Renew and Release confirm and end it.
+func Acquire(key, label string) Task {
+	return Task{Kind: taskAcquire, Key: key, Label: label, Attempts: 1}
+}
 
 // Renew prolongs a lease that is held.
 func Renew(key string) Task { return Task{Kind: taskRenew, Key: key, Attempts: 1} }
@@ -69,23 +71,23 @@
 func CatchUp(attempts int) Task { return Task{Kind: taskCatchUp, Attempts: attempts} }
 
 // After is the task, begun only once a change is acknowledged.
-func (t Task) After(mark string) Task {
-	t.AfterMark = mark
+func (t Task) After(label string) Task {
+	t.AfterLabel = label
 	return t
 }
 
 // decide is what the task makes of the value in force: the next one, or done if it has taken
 // effect already, or refused.
-func (t Task) decide(current json.RawMessage) (next json.RawMessage, done, refused bool) {
-	if t.Kind == taskMembers {
-		committed := decodeMembers(current)
-		next, _ = json.Marshal(t.List)
-		return next, string(current) == string(next), committed.Number >= t.List.Number
+func (t Task) nextValue(current json.RawMessage) (next json.RawMessage, done, rejected bool) {
+	if t.Kind == taskMembership {
+		committed := decodeMembership(current)
+		next, _ = json.Marshal(t.Membership)
+		return next, string(current) == string(next), committed.Version >= t.Membership.Version
 	}
-	marks := chain(current)
-	if slices.Contains(marks, t.Mark) {
+	labels := decodeLabels(current)
+	if slices.Contains(labels, t.Label) {
 		return nil, true, false
 	}
-	next, _ = json.Marshal(append(marks, t.Mark))
+	next, _ = json.Marshal(append(labels, t.Label))
 	return next, false, false
 }
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -10,14 +10,14 @@
 // world is a state of the whole fleet, by the numbers of its parts.
 type world struct {
 	tick      int
-	members   []number
-	proposers []number
+	members   []stateID
+	proposers []stateID
 	// network holds the packets under way, in order of their numbers; one may be there twice.
-	network []number
-	history number
-	// dayOffsets says by how many ticks each machine's time of day was stepped.
-	dayOffsets []int
-	left       Troubles
+	network []stateID
+	history stateID
+	// wallClockOffsets says by how many ticks each machine's time of day was stepped.
+	wallClockOffsets []int
+	remaining        Faults
 }
 
 func (w *world) clone() *world {
@@ -25,32 +25,32 @@
 	copied.members = slices.Clone(w.members)
 	copied.proposers = slices.Clone(w.proposers)
 	copied.network = slices.Clone(w.network)
-	copied.dayOffsets = slices.Clone(w.dayOffsets)
+	copied.wallClockOffsets = slices.Clone(w.wallClockOffsets)
 	return &copied
 }
 
-func (w *world) send(one number) {
-	at, _ := slices.BinarySearch(w.network, one)
-	w.network = slices.Insert(w.network, at, one)
+func (w *world) send(id stateID) {
+	at, _ := slices.BinarySearch(w.network, id)
+	w.network = slices.Insert(w.network, at, id)
 }
 
 // hash is that of the canonical encoding: counts, then numbers, all in a fixed order. Two of
 // ten million worlds share one of 64 bits with a chance of 3 in a million.
 func (w *world) hash() uint64 {
-	var room [256]byte
-	encoded := room[:0]
+	var buffer [256]byte
+	encoded := buffer[:0]
 	counts := []int{
-		w.tick, len(w.network), w.left.Crashes, w.left.Wipes, w.left.Restarts, w.left.Duplicates, w.left.Ticks, w.left.DaySteps,
+		w.tick, len(w.network), w.remaining.Crashes, w.remaining.Wipes, w.remaining.Restarts, w.remaining.Duplicates, w.remaining.Ticks, w.remaining.WallClockSteps,
 	}
 	for _, count := range counts {
 		encoded = append(encoded, byte(count))
 	}
-	for _, offset := range w.dayOffsets {
+	for _, offset := range w.wallClockOffsets {
 		encoded = append(encoded, byte(offset))
 	}
-	for _, part := range [][]number{w.members, w.proposers, w.network, {w.history}} {
-		for _, one := range part {
-			encoded = binary.LittleEndian.AppendUint32(encoded, one)
+	for _, part := range [][]stateID{w.members, w.proposers, w.network, {w.history}} {
+		for _, id := range part {
+			encoded = binary.LittleEndian.AppendUint32(encoded, id)
 		}
 	}
 	return xxhash.Sum64(encoded)
--- a/internal/heartbeat/ring.go
+++ b/internal/heartbeat/ring.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func spot(name string) uint64 {
+func ringPosition(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
 	return hash.Sum64()
@@ -26,9 +26,9 @@
 			ordered = append(ordered, daemon)
 		}
 	}
-	sort.Slice(ordered, func(left, right int) bool { return spot(ordered[left]) < spot(ordered[right]) })
-	own := spot(name)
-	start := sort.Search(len(ordered), func(index int) bool { return spot(ordered[index]) >= own })
+	sort.Slice(ordered, func(left, right int) bool { return ringPosition(ordered[left]) < ringPosition(ordered[right]) })
+	own := ringPosition(name)
+	start := sort.Search(len(ordered), func(index int) bool { return ringPosition(ordered[index]) >= own })
 	var watchers []string
 	for index := 0; index < len(ordered) && index < amount; index++ {
 		watchers = append(watchers, ordered[(start+index)%len(ordered)])
@@ -36,49 +36,49 @@
 	return watchers
 }
 
-// Beat is the last sign of life of one daemon. At is its last complete report, Heard the last
+// Heartbeat is the last sign of life of one daemon. At is its last complete report, Heard the last
 // contact of any kind, Since the first of those without a gap of a lifetime, Revision and Zones the configuration and the number of zone changes that it
 // said it applies.
-type Beat struct {
-	At       time.Time
-	Heard    time.Time
-	Since    time.Time
-	Zone     string
-	Revision int64
-	Zones    uint64
+type Heartbeat struct {
+	ReportedAt  time.Time
+	LastSeen    time.Time
+	FirstSeen   time.Time
+	Zone        string
+	Revision    int64
+	ZoneChanges uint64
 }
 
-// Registry keeps the last Beat of each daemon. Daemons without a sign for Life are forgotten by
+// Registry keeps the last Heartbeat of each daemon. Daemons without a sign for Life are forgotten by
 // Counted.
 type Registry struct {
-	Lifetime time.Duration
-	beats    map[string]Beat
-	looked   time.Time
+	ExpireAfter   time.Duration
+	heartbeats    map[string]Heartbeat
+	lastCountedAt time.Time
 }
 
 // NewRegistry returns an empty register that forgets after life.
-func NewRegistry(life time.Duration) *Registry {
-	return &Registry{Lifetime: life, beats: map[string]Beat{}}
+func NewRegistry(expireAfter time.Duration) *Registry {
+	return &Registry{ExpireAfter: expireAfter, heartbeats: map[string]Heartbeat{}}
 }
 
 // Record keeps beat for name, unless a later one is kept already.
-func (r *Registry) Record(name string, beat Beat) {
-	held, known := r.beats[name]
-	if known && beat.At.Before(held.At) {
+func (s *Registry) Record(name string, heartbeat Heartbeat) {
+	last, known := s.heartbeats[name]
+	if known && heartbeat.ReportedAt.Before(last.ReportedAt) {
 		return
 	}
-	beat.Since = beat.At
+	heartbeat.FirstSeen = heartbeat.ReportedAt
 	if known {
-		beat.Since = held.Since
+		heartbeat.FirstSeen = last.FirstSeen
 	}
-	r.beats[name] = beat
+	s.heartbeats[name] = heartbeat
 }
 
 // Live returns the names, sorted, whose last report is at most within old.
-func (r *Registry) Live(now time.Time, within time.Duration) []string {
+func (s *Registry) Live(now time.Time, within time.Duration) []string {
 	var live []string
-	for name, beat := range r.beats {
-		if now.Sub(beat.At) <= within {
+	for name, heartbeat := range s.heartbeats {
+		if now.Sub(heartbeat.ReportedAt) <= within {
 			live = append(live, name)
 		}
 	}
@@ -88,24 +88,24 @@
 
 // Count returns the number of daemons known and forgets those past Life. If the caller itself
 // was paused for long, daemons get that time on top, since their signs may lie unread.
-func (r *Registry) Count(now time.Time) int {
-	asleep := now.Sub(r.looked)
-	if !r.looked.IsZero() && asleep > r.Lifetime/8 {
-		for name, beat := range r.beats {
-			beat.Heard = later(beat.At, beat.Heard).Add(asleep)
-			r.beats[name] = beat
+func (s *Registry) Count(now time.Time) int {
+	sinceLastCount := now.Sub(s.lastCountedAt)
+	if !s.lastCountedAt.IsZero() && sinceLastCount > s.ExpireAfter/8 {
+		for name, heartbeat := range s.heartbeats {
+			heartbeat.LastSeen = latest(heartbeat.ReportedAt, heartbeat.LastSeen).Add(sinceLastCount)
+			s.heartbeats[name] = heartbeat
 		}
 	}
-	r.looked = now
-	for name, beat := range r.beats {
-		if now.Sub(beat.At) > r.Lifetime && now.Sub(beat.Heard) > r.Lifetime {
-			delete(r.beats, name)
+	s.lastCountedAt = now
+	for name, heartbeat := range s.heartbeats {
+		if now.Sub(heartbeat.ReportedAt) > s.ExpireAfter && now.Sub(heartbeat.LastSeen) > s.ExpireAfter {
+			delete(s.heartbeats, name)
 		}
 	}
-	return len(r.beats)
+	return len(s.heartbeats)
 }
 
-func later(left, right time.Time) time.Time {
+func latest(left, right time.Time) time.Time {
 	if left.After(right) {
 		return left
 	}
@@ -114,28 +114,28 @@
 
 // Behind counts the daemons heard within the given time that apply an older configuration than
 // revision or fewer zone changes than zones.
-func (r *Registry) Behind(now time.Time, within time.Duration, revision int64, zones uint64) int {
+func (s *Registry) CountBehind(now time.Time, within time.Duration, revision int64, zones uint64) int {
 	behind := 0
-	for _, beat := range r.beats {
-		if now.Sub(beat.At) <= within && (beat.Revision < revision || beat.Zones < zones) {
+	for _, heartbeat := range s.heartbeats {
+		if now.Sub(heartbeat.ReportedAt) <= within && (heartbeat.Revision < revision || heartbeat.ZoneChanges < zones) {
 			behind++
 		}
 	}
 	return behind
 }
 
-// MarkHeard notes a contact with name that carried no report.
-func (r *Registry) MarkHeard(name string, now time.Time) {
-	if held, known := r.beats[name]; known {
-		held.Heard = now
-		r.beats[name] = held
+// RecordContact notes a contact with name that carried no report.
+func (s *Registry) RecordContact(name string, now time.Time) {
+	if last, known := s.heartbeats[name]; known {
+		last.LastSeen = now
+		s.heartbeats[name] = last
 		return
 	}
-	r.beats[name] = Beat{Heard: now, Since: now}
+	s.heartbeats[name] = Heartbeat{LastSeen: now, FirstSeen: now}
 }
 
 // Since returns the time since which name has been counted, zero if it isn't.
-func (r *Registry) Since(name string) time.Time { return r.beats[name].Since }
+func (s *Registry) FirstSeen(name string) time.Time { return s.heartbeats[name].FirstSeen }
 
-// LastBeat returns the time of the last report of name, zero if there was none.
-func (r *Registry) LastBeat(name string) time.Time { return r.beats[name].At }
+// LastReport returns the time of the last report of name, zero if there was none.
+func (s *Registry) LastReport(name string) time.Time { return s.heartbeats[name].ReportedAt }
--- a/internal/heartbeat/zones.go
+++ b/internal/heartbeat/zones.go
@@ -3,11 +3,11 @@
 import "time"
 
 // Zones returns the zone of each daemon that is not past Life, by name.
-func (r *Registry) Zones(now time.Time) map[string]string {
+func (s *Registry) Zones(now time.Time) map[string]string {
 	zones := map[string]string{}
-	for name, beat := range r.beats {
-		if now.Sub(beat.At) <= r.Lifetime || now.Sub(beat.Heard) <= r.Lifetime {
-			zones[name] = beat.Zone
+	for name, heartbeat := range s.heartbeats {
+		if now.Sub(heartbeat.ReportedAt) <= s.ExpireAfter || now.Sub(heartbeat.LastSeen) <= s.ExpireAfter {
+			zones[name] = heartbeat.Zone
 		}
 	}
 	return zones
--- a/internal/histories/acknowledgements_test.go
+++ b/internal/histories/acknowledgements_test.go
@@ -9,18 +9,18 @@
 
 // acknowledgement is a number that an operator was told of, and when.
 type acknowledgement struct {
-	number uint64
-	at     time.Duration
+	version uint64
+	at      time.Duration
 }
 
 // acknowledgements keeps, for each key, what operators were told.
 type acknowledgements struct {
-	lock *sync.Mutex
-	told map[string][]acknowledgement
+	lock  *sync.Mutex
+	byKey map[string][]acknowledgement
 }
 
 func newAcknowledgements() acknowledgements {
-	return acknowledgements{lock: &sync.Mutex{}, told: map[string][]acknowledgement{}}
+	return acknowledgements{lock: &sync.Mutex{}, byKey: map[string][]acknowledgement{}}
 }
 
 func (a acknowledgements) configuration(revision int64, at time.Duration) {
@@ -34,17 +34,17 @@
 func (a acknowledgements) add(key string, number uint64, at time.Duration) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	a.told[key] = append(a.told[key], acknowledgement{number, at})
+	a.byKey[key] = append(a.byKey[key], acknowledgement{number, at})
 }
 
 // before is the highest number of a key that an operator was told before a time.
-func (a acknowledgements) before(key string, bound time.Duration) uint64 {
+func (a acknowledgements) highestBefore(key string, until time.Duration) uint64 {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	highest := uint64(0)
-	for _, one := range a.told[key] {
-		if one.at < bound {
-			highest = max(highest, one.number)
+	for _, acknowledged := range a.byKey[key] {
+		if acknowledged.at < until {
+			highest = max(highest, acknowledged.version)
 		}
 	}
 	return highest
--- a/internal/histories/calls_test.go
+++ b/internal/histories/calls_test.go
@@ -13,185 +13,185 @@
 )
 
 const (
-	// callerPatience is the silence after which an operator goes on to another daemon.
-	callerPatience = time.Second
-	// ackTimeout is how long an evacuation is sent again.
-	ackTimeout = 6 * time.Second
-	// changeBound is how long a daemon works on a call, as in internal/controlplane.
-	changeBound   = 2500 * time.Millisecond
-	firstPause    = 100 * time.Millisecond
-	longestPause  = 2 * time.Second
-	configTimeout = 60 * time.Second
+	// attemptTimeout is the silence after which an operator goes on to another daemon.
+	attemptTimeout = time.Second
+	// drainRetryTimeout is how long an evacuation is sent again.
+	drainRetryTimeout = 6 * time.Second
+	// changeTimeout is how long a daemon works on a call, as in internal/controlplane.
+	changeTimeout        = 2500 * time.Millisecond
+	initialBackoff       = 100 * time.Millisecond
+	maxBackoff           = 2 * time.Second
+	configurationTimeout = 60 * time.Second
 )
 
 // errNoAnswer says that the members, of which a majority was there again, did not answer. It is
 // a fault of liveness; all other failures are of safety.
 var errNoAnswer = errors.New("no clear answer in time")
 
-// errCallerLeft says that nobody was there any more to come back with a token.
-var errCallerLeft = errors.New("the caller left before it had its token")
+// errCallerGone says that nobody was there any more to come back with a token.
+var errCallerGone = errors.New("the caller left before it had its token")
 
 // send carries out one call of an operator: the very same copy goes to one daemon after the
 // other until an answer is clear.
-func (p *play) send(call plannedCall) {
-	condition := p.knownTo(call.operator)
+func (s *simulation) sendCall(call operatorCall) {
+	condition := s.knownRevision(call.operator)
 	if call.kind == callPatch && condition == 0 {
 		call.kind = callPut
 	}
-	began, pause := p.now(), firstPause
-	bound := configTimeout
+	started, backoff := s.now(), initialBackoff
+	timeout := configurationTimeout
 	if call.kind == callDrain {
-		bound = ackTimeout
+		timeout = drainRetryTimeout
 	}
-	whole := recorded{call: call, condition: condition, result: unclear, began: began, ended: began}
-	var last recorded
-	for try := 0; p.now() < began+bound; try++ {
-		names := p.fleet.Present()
+	combined := callRecord{call: call, condition: condition, result: unknown, started: started, ended: started}
+	var last callRecord
+	for attempt := 0; s.now() < started+timeout; attempt++ {
+		names := s.fleet.MemberNames()
 		copied := call
-		if try > 0 {
-			copied.late = 0
+		if attempt > 0 {
+			copied.delay = 0
 		}
-		last = p.attempt(copied, condition, names[(call.daemon+try)%len(names)])
-		whole.ended = last.ended
-		if last.result != unclear && try >= call.answersLost {
-			whole = p.conclude(whole, last)
+		last = s.attempt(copied, condition, names[(call.daemon+attempt)%len(names)])
+		combined.ended = last.ended
+		if last.result != unknown && attempt >= call.lostReplies {
+			combined = s.combineAttempts(combined, last)
 			break
 		}
-		whole.earlier = append(whole.earlier, last.began)
-		time.Sleep(pause + time.Duration(call.number)*time.Microsecond)
-		pause = min(2*pause, longestPause)
+		combined.earlierAttempts = append(combined.earlierAttempts, last.started)
+		time.Sleep(backoff + time.Duration(call.number)*time.Microsecond)
+		backoff = min(2*backoff, maxBackoff)
 	}
-	p.note(whole)
-	if whole.result == unclear && call.kind != callDrain {
-		p.fail(errors.Wrapf(errNoAnswer, "%s, last: %s", whole, last.note))
+	s.record(combined)
+	if combined.result == unknown && call.kind != callDrain {
+		s.fail(errors.Wrapf(errNoAnswer, "%s, last: %s", combined, last.note))
 	}
-	if whole.result == refused {
-		p.refresh(call)
+	if combined.result == rejected {
+		s.readRevision(call)
 	}
 }
 
 // conclude joins the copies: an acknowledged configuration took force at some time since its
 // first copy was sent; all else speaks of the time of the copy that was answered.
-func (p *play) conclude(whole, last recorded) recorded {
-	last.call, last.earlier = whole.call, whole.earlier
+func (s *simulation) combineAttempts(combined, last callRecord) callRecord {
+	last.call, last.earlierAttempts = combined.call, combined.earlierAttempts
 	if last.result == acknowledged && (last.call.kind == callPut || last.call.kind == callPatch) {
-		last.began = whole.began
-		p.learn(last.call.operator, last.condition+1)
-		p.shown.configuration(last.condition+1, last.ended)
+		last.started = combined.started
+		s.learnRevision(last.call.operator, last.condition+1)
+		s.acknowledgements.configuration(last.condition+1, last.ended)
 	}
 	if last.result == acknowledged && last.call.kind == callGet {
-		p.learn(last.call.operator, last.readRevision)
+		s.learnRevision(last.call.operator, last.readRevision)
 	}
 	if last.result == acknowledged && last.call.kind == callDrain {
-		p.shown.zone(last.call.zone, last.zoneNumber, last.ended)
+		s.acknowledgements.zone(last.call.zone, last.zoneNumber, last.ended)
 	}
 	return last
 }
 
 // refresh reads what is in force after a refusal.
-func (p *play) refresh(call plannedCall) {
-	names := p.fleet.Present()
-	read := p.attempt(plannedCall{number: call.number, operator: call.operator, kind: callGet}, 0, names[call.daemon%len(names)])
+func (s *simulation) readRevision(call operatorCall) {
+	names := s.fleet.MemberNames()
+	read := s.attempt(operatorCall{number: call.number, operator: call.operator, kind: callGet}, 0, names[call.daemon%len(names)])
 	if read.result == acknowledged {
-		p.learn(call.operator, read.readRevision)
-		p.note(read)
+		s.learnRevision(call.operator, read.readRevision)
+		s.record(read)
 	}
 }
 
-func (p *play) knownTo(operator int) int64 {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.known[operator]
+func (s *simulation) knownRevision(operator int) int64 {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.knownRevisions[operator]
 }
 
-func (p *play) learn(operator int, revision int64) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.known[operator] = max(p.known[operator], revision)
+func (s *simulation) learnRevision(operator int, revision int64) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.knownRevisions[operator] = max(s.knownRevisions[operator], revision)
 }
 
 // attempt sends one copy to one daemon and waits for its answer as long as an operator does.
-func (p *play) attempt(call plannedCall, condition int64, daemon string) recorded {
-	one := recorded{call: call, condition: condition, result: unclear, began: p.now()}
-	answers := make(chan recorded, 1)
-	go func() { answers <- p.serve(one, daemon) }()
-	timer := time.NewTimer(callerPatience)
+func (s *simulation) attempt(call operatorCall, condition int64, daemon string) callRecord {
+	record := callRecord{call: call, condition: condition, result: unknown, started: s.now()}
+	answers := make(chan callRecord, 1)
+	go func() { answers <- s.handleCall(record, daemon) }()
+	timer := time.NewTimer(attemptTimeout)
 	defer timer.Stop()
 	select {
 	case answer := <-answers:
-		one = answer
+		record = answer
 	case <-timer.C:
-		one.note = "no answer of " + daemon
+		record.note = "no answer of " + daemon
 	}
-	one.ended = p.now()
-	return one
+	record.ended = s.now()
+	return record
 }
 
 // serve is what a daemon does with a copy. A frozen daemon takes it up when it thaws.
-func (p *play) serve(one recorded, daemon string) recorded {
-	p.awaitThaw(daemon)
-	store := p.fleet.StoreOf(daemon)
+func (s *simulation) handleCall(result callRecord, daemon string) callRecord {
+	s.waitWhileFrozen(daemon)
+	store := s.fleet.StoreOf(daemon)
 	if store == nil {
-		return one
+		return result
 	}
-	ctx, cancel := bounded(changeBound)
+	ctx, cancel := withTimeout(changeTimeout)
 	defer cancel()
-	state := p.state(store, daemon)
+	state := s.controlState(store, daemon)
 	var err error
-	switch one.call.kind {
+	switch result.call.kind {
 	case callPut:
-		body := document(one.condition+1, valueOf(one.call), valueOf(one.call))
-		_, err = state.Replace(ctx, one.condition, http.MethodPut, body)
+		body := document(result.condition+1, valueOf(result.call), valueOf(result.call))
+		_, err = state.Replace(ctx, result.condition, http.MethodPut, body)
 	case callPatch:
-		_, err = state.Patch(ctx, one.condition, http.MethodPatch, patch(one.condition+1, valueOf(one.call)))
+		_, err = state.Patch(ctx, result.condition, http.MethodPatch, patch(result.condition+1, valueOf(result.call)))
 	case callGet:
-		one.readRevision, one.readContent, err = readConfiguration(ctx, state)
+		result.readRevision, result.readContent, err = readConfiguration(ctx, state)
 	case callDrain:
-		one.zoneNumber, err = p.drain(ctx, state, one, daemon)
+		result.zoneNumber, err = s.drain(ctx, state, result, daemon)
 	case callReadZone:
-		one.readDrained, err = readZone(ctx, state, one.call.zone)
+		result.readDrained, err = readZone(ctx, state, result.call.zone)
 	}
-	p.awaitThaw(daemon)
-	one.result = outcomeOf(err)
-	one.note = daemon
+	s.waitWhileFrozen(daemon)
+	result.result = resultOf(err)
+	result.note = daemon
 	if err != nil {
-		one.note += ": " + err.Error()
+		result.note += ": " + err.Error()
 	}
-	return one
+	return result
 }
 
 // drain begins no later than CallPatience after the daemon gave the caller its token, for which
 // the caller must still have been there; late is how long the copy lay about with the token.
-func (p *play) drain(ctx context.Context, state *controlstate.State, one recorded, daemon string) (uint64, error) {
-	call := one.call
-	if p.now() >= one.began+callerPatience && !p.variant.neverLate {
-		return 0, errCallerLeft
+func (s *simulation) drain(ctx context.Context, state *controlstate.State, sent callRecord, daemon string) (uint64, error) {
+	call := sent.call
+	if s.now() >= sent.started+attemptTimeout && !s.variant.ignoresTokenExpiry {
+		return 0, errCallerGone
 	}
 	before := state.Clock().Add(operator.CallPatience)
-	time.Sleep(call.late)
-	p.awaitThaw(daemon)
-	if p.variant.neverLate {
-		before = state.Clock().Add(changeBound)
+	time.Sleep(call.delay)
+	s.waitWhileFrozen(daemon)
+	if s.variant.ignoresTokenExpiry {
+		before = state.Clock().Add(changeTimeout)
 	}
-	if call.late > 0 {
+	if call.delay > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = bounded(changeBound)
+		ctx, cancel = withTimeout(changeTimeout)
 		defer cancel()
 	}
 	change, err := state.DrainZone(ctx, call.zone, call.drained, before)
 	if err != nil {
 		return 0, err
 	}
-	record, err := controlstate.DecodeZone(change.Slot)
-	return record.Number, err
+	record, err := controlstate.DecodeZone(change.Register)
+	return record.Version, err
 }
 
-func outcomeOf(err error) outcome {
+func resultOf(err error) callResult {
 	if err == nil {
 		return acknowledged
 	}
 	if apierror.Of(err).Kind.Status() < http.StatusInternalServerError {
-		return refused
+		return rejected
 	}
-	return unclear
+	return unknown
 }
--- a/internal/histories/documents_test.go
+++ b/internal/histories/documents_test.go
@@ -44,21 +44,21 @@
 		return 0, content{}, err
 	}
 	var found content
-	for _, one := range read.Routes {
-		if one.Name == "first" {
-			found.first = one.Timeout
+	for _, route := range read.Routes {
+		if route.Name == "first" {
+			found.first = route.Timeout
 		} else {
-			found.second = one.Timeout
+			found.second = route.Timeout
 		}
 	}
 	return read.Revision, found, nil
 }
 
 func readZone(ctx context.Context, state *controlstate.State, zone string) (bool, error) {
-	slot, err := state.Store.Read(ctx, keystore.ZonePrefix+zone)
+	register, err := state.Store.Read(ctx, keystore.ZonePrefix+zone)
 	if err != nil {
 		return false, controlstate.Translate(err)
 	}
-	record, err := controlstate.DecodeZone(slot)
+	record, err := controlstate.DecodeZone(register)
 	return record.Drained, err
 }
--- a/internal/histories/follower_test.go
+++ b/internal/histories/follower_test.go
@@ -13,70 +13,70 @@
 	"ferryspar/internal/keystore"
 )
 
-// freshFor is how long a confirmation counts, as in internal/controlplane.
-const freshFor = 1100 * time.Millisecond
+// confirmationTTL is how long a confirmation counts, as in internal/controlplane.
+const confirmationTTL = 1100 * time.Millisecond
 
 const (
-	lookEvery       = 350 * time.Millisecond
-	lookUnsureEvery = 120 * time.Millisecond
-	pollEvery       = 50 * time.Millisecond
-	lookBound       = 2 * time.Second
+	refreshInterval            = 350 * time.Millisecond
+	unconfirmedRefreshInterval = 120 * time.Millisecond
+	pollInterval               = 50 * time.Millisecond
+	refreshTimeout             = 2 * time.Second
 )
 
 // follower shows the control state as a daemon does for its data planes: it looks at a digest
 // again and again and counts as confirmed by the rule of internal/controlplane/confirm.go.
 type follower struct {
-	play        *play
+	simulation  *simulation
 	name        string
 	store       *keystore.Store
 	lock        sync.Mutex
-	shown       map[string]keystore.Slot
-	numbers     map[string]uint64
+	registers   map[string]keystore.Register
+	versions    map[string]uint64
 	confirmedAt time.Time
 	// asked is when the question was put that confirmedAt stems from.
-	asked     time.Duration
-	unsettled map[string]keystore.Slot
-	turns     int
+	requestedAt time.Duration
+	undecided   map[string]keystore.Register
+	refreshes   int
 }
 
-func newFollower(p *play, name string) *follower {
-	return &follower{play: p, name: name, shown: map[string]keystore.Slot{}, numbers: map[string]uint64{}}
+func newFollower(p *simulation, name string) *follower {
+	return &follower{simulation: p, name: name, registers: map[string]keystore.Register{}, versions: map[string]uint64{}}
 }
 
 func (f *follower) run() {
-	for !f.play.ended() {
-		f.play.awaitThaw(f.name)
-		pause := lookUnsureEvery
-		if f.look() {
-			pause = lookEvery
+	for !f.simulation.isStopped() {
+		f.simulation.waitWhileFrozen(f.name)
+		backoff := unconfirmedRefreshInterval
+		if f.refresh() {
+			backoff = refreshInterval
 		}
-		time.Sleep(pause + time.Duration(len(f.name)*101))
+		time.Sleep(backoff + time.Duration(len(f.name)*101))
 	}
 }
 
 // begin forgets all when the process is a new one.
-func (f *follower) begin(store *keystore.Store) {
+func (f *follower) resetForProcess(store *keystore.Store) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if f.store != store {
 		f.store, f.confirmedAt = store, time.Time{}
-		f.shown, f.numbers, f.unsettled = map[string]keystore.Slot{}, map[string]uint64{}, nil
+		f.registers, f.versions, f.undecided = map[string]keystore.Register{}, map[string]uint64{}, nil
 	}
 }
 
-func (f *follower) look() bool {
-	store, acceptor := f.play.fleet.StoreOf(f.name), f.play.fleet.AcceptorOf(f.name)
+func (f *follower) refresh() bool {
+	store, acceptor := f.simulation.fleet.StoreOf(f.name), f.simulation.fleet.AcceptorOf(f.name)
 	if store == nil {
 		return false
 	}
-	f.begin(store)
-	asked, askedAt := f.play.fleet.Clock(f.name)(), f.play.now()
-	ctx, cancel := bounded(lookBound)
+	f.resetForProcess(store)
+	startedAt, requestedAt := f.simulation.fleet.Clock(f.name)(), f.simulation.now()
+	ctx, cancel := withTimeout(refreshTimeout)
 	defer cancel()
 	digest, err := store.Digest(ctx)
-	f.play.awaitThaw(f.name)
+	f.simulation.waitWhileFrozen(f.name)
 	if err != nil {
-		f.doubt()
+		f.dropConfirmation()
 		return false
 	}
 	learned := true
@@ -84,127 +84,127 @@
 		learned = f.learn(ctx, digest.Committed[key]) && learned
 	}
 	store.Refresh(ctx, acceptor, digest.Committed)
-	f.play.awaitThaw(f.name)
-	open := withoutLeases(digest.Unsettled)
-	if len(open) > 0 && !f.play.variant.ignoresUnsettled {
-		f.settle(open)
-		f.doubt()
+	f.simulation.waitWhileFrozen(f.name)
+	undecided := withoutLeases(digest.Undecided)
+	if len(undecided) > 0 && !f.simulation.variant.ignoresUndecided {
+		f.resolveUndecided(undecided)
+		f.dropConfirmation()
 		return false
 	}
-	if learned && f.play.fleet.StoreOf(f.name) == store {
+	if learned && f.simulation.fleet.StoreOf(f.name) == store {
 		f.lock.Lock()
-		f.confirmedAt, f.asked = asked, askedAt
+		f.confirmedAt, f.requestedAt = startedAt, requestedAt
 		f.lock.Unlock()
 	}
 	return learned
 }
 
 // withoutLeases leaves out what data planes are not told by digests.
-func withoutLeases(unsettled map[string]keystore.Slot) map[string]keystore.Slot {
+func withoutLeases(unsettled map[string]keystore.Register) map[string]keystore.Register {
 	open := maps.Clone(unsettled)
-	maps.DeleteFunc(open, func(key string, _ keystore.Slot) bool { return strings.HasPrefix(key, keystore.LeasePrefix) })
+	maps.DeleteFunc(open, func(key string, _ keystore.Register) bool { return strings.HasPrefix(key, keystore.LeasePrefix) })
 	return open
 }
 
 // doubt ends the confirmation of the variant that keeps no deadline; the product's runs out.
-func (f *follower) doubt() {
-	if f.play.variant.freshUntilTold {
+func (f *follower) dropConfirmation() {
+	if f.simulation.variant.staysFreshUntilFailure {
 		f.lock.Lock()
 		f.confirmedAt = time.Time{}
 		f.lock.Unlock()
 	}
 }
 
-func (f *follower) learn(ctx context.Context, slot keystore.Slot) bool {
+func (f *follower) learn(ctx context.Context, register keystore.Register) bool {
 	f.lock.Lock()
-	held, known := f.shown[slot.Key]
+	shown, known := f.registers[register.Key]
 	f.lock.Unlock()
-	if known && !slot.Newer(held) {
+	if known && !register.NewerThan(shown) {
 		return true
 	}
-	whole, err := f.store.Fetch(ctx, slot)
+	fetched, err := f.store.Fetch(ctx, register)
 	if err == nil {
-		f.apply(whole)
+		f.apply(fetched)
 	}
 	return err == nil
 }
 
-func (f *follower) apply(slot keystore.Slot) {
+func (f *follower) apply(register keystore.Register) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if held, known := f.shown[slot.Key]; known && !slot.Newer(held) {
+	if shown, known := f.registers[register.Key]; known && !register.NewerThan(shown) {
 		return
 	}
-	f.shown[slot.Key] = slot
-	if slot.Key == keystore.ConfigurationKey {
-		record, _ := controlstate.DecodeConfiguration(slot)
-		f.numbers[slot.Key] = uint64(record.Revision)
+	f.registers[register.Key] = register
+	if register.Key == keystore.ConfigurationKey {
+		record, _ := controlstate.DecodeConfiguration(register)
+		f.versions[register.Key] = uint64(record.Revision)
 	}
-	if strings.HasPrefix(slot.Key, keystore.ZonePrefix) {
-		record, _ := controlstate.DecodeZone(slot)
-		f.numbers[slot.Key] = record.Number
+	if strings.HasPrefix(register.Key, keystore.ZonePrefix) {
+		record, _ := controlstate.DecodeZone(register)
+		f.versions[register.Key] = record.Version
 	}
 }
 
 // settle reads proposals that were found on a minority twice, at every second look.
-func (f *follower) settle(open map[string]keystore.Slot) {
-	before := f.unsettled
-	f.unsettled = open
-	f.turns++
-	for _, key := range slices.Sorted(maps.Keys(open)) {
-		if before[key].Key == "" || !before[key].Same(open[key]) || f.turns%2 == 0 {
+func (f *follower) resolveUndecided(undecided map[string]keystore.Register) {
+	before := f.undecided
+	f.undecided = undecided
+	f.refreshes++
+	for _, key := range slices.Sorted(maps.Keys(undecided)) {
+		if before[key].Key == "" || !before[key].SameProposal(undecided[key]) || f.refreshes%2 == 0 {
 			continue
 		}
-		ctx, cancel := bounded(600 * time.Millisecond)
-		whole, err := f.store.Read(ctx, key)
+		ctx, cancel := withTimeout(600 * time.Millisecond)
+		fetched, err := f.store.Read(ctx, key)
 		cancel()
 		if err == nil {
-			f.apply(whole)
+			f.apply(fetched)
 		}
 	}
 }
 
 // fresh says whether the state counts as confirmed now.
-func (f *follower) fresh() bool {
+func (f *follower) isConfirmed() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if f.confirmedAt.IsZero() || f.play.fleet.StoreOf(f.name) != f.store {
+	if f.confirmedAt.IsZero() || f.simulation.fleet.StoreOf(f.name) != f.store {
 		return false
 	}
-	return f.play.variant.freshUntilTold || f.play.fleet.Clock(f.name)().Sub(f.confirmedAt) < freshFor
+	return f.simulation.variant.staysFreshUntilFailure || f.simulation.fleet.Clock(f.name)().Sub(f.confirmedAt) < confirmationTTL
 }
 
 // poll asks as data planes do, at the times when the machine is awake, and compares what is
 // shown as confirmed with what operators had been told before the question, which is at most
 // one lease ago.
-func (f *follower) poll() {
-	for !f.play.ended() {
-		time.Sleep(pollEvery + time.Duration(len(f.name)*17))
-		f.play.awaitThaw(f.name)
-		if !f.fresh() {
+func (f *follower) pollConfirmed() {
+	for !f.simulation.isStopped() {
+		time.Sleep(pollInterval + time.Duration(len(f.name)*17))
+		f.simulation.waitWhileFrozen(f.name)
+		if !f.isConfirmed() {
 			continue
 		}
-		f.play.countPoll()
-		if err := f.compare(); err != nil {
-			f.play.fail(err)
+		f.simulation.recordPoll()
+		if err := f.checkAcknowledged(); err != nil {
+			f.simulation.fail(err)
 		}
 	}
 }
 
-func (p *play) countPoll() {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.polls++
+func (s *simulation) recordPoll() {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.polls++
 }
 
-func (f *follower) compare() error {
+func (f *follower) checkAcknowledged() error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	bound := max(f.asked, f.play.now()-freshFor)
+	until := max(f.requestedAt, f.simulation.now()-confirmationTTL)
 	for _, key := range []string{keystore.ConfigurationKey, keystore.ZonePrefix + zoneNames[0], keystore.ZonePrefix + zoneNames[1]} {
-		if told := f.play.shown.before(key, bound); f.numbers[key] < told {
+		if acknowledged := f.simulation.acknowledgements.highestBefore(key, until); f.versions[key] < acknowledged {
 			return fmt.Errorf("%s at %s shows %s %d as confirmed, %d was acknowledged before %s",
-				f.name, f.play.now().Round(time.Millisecond), key, f.numbers[key], told, bound.Round(time.Millisecond))
+				f.name, f.simulation.now().Round(time.Millisecond), key, f.versions[key], acknowledged, until.Round(time.Millisecond))
 		}
 	}
 	return nil
--- a/internal/histories/histories_test.go
+++ b/internal/histories/histories_test.go
@@ -26,81 +26,81 @@
 	progressEvery = 5 * time.Second
 )
 
-// judged plays a schedule in fake time and judges its history.
-func judged(t *testing.T, planned schedule, spoiled variant) (played, error) {
-	var done played
+// runAndCheck plays a schedule in fake time and judges its history.
+func runAndCheck(t *testing.T, planned schedule, spoiled variant) (simulationResult, error) {
+	var done simulationResult
 	var err error
-	synctest.Test(t, func(*testing.T) { done, err = run(planned, spoiled) })
+	synctest.Test(t, func(*testing.T) { done, err = runSimulation(planned, spoiled) })
 	if err != nil {
 		return done, err
 	}
-	if err := judgeActs(done.acts); err != nil {
+	if err := checkLeaseActs(done.acts); err != nil {
 		return done, err
 	}
-	return done, judge(done.history)
+	return done, checkHistory(done.history)
 }
 
-// totals counts what was played, so that a run shows that something happened in it.
-type totals struct {
-	outcomes      map[string]int
-	memberChanges uint64
-	polls         int
-	troubles      int
-	acts          int
-	turns         int
+// runTotals counts what was played, so that a run shows that something happened in it.
+type runTotals struct {
+	outcomes          map[string]int
+	membershipChanges uint64
+	polls             int
+	faults            int
+	acts              int
+	holderChanges     int
 }
 
-func (t *totals) add(done played) {
-	for _, one := range done.history {
-		t.outcomes[callNames[one.call.kind]+" "+outcomeNames[one.result]]++
+func (t *runTotals) add(done simulationResult) {
+	for _, record := range done.history {
+		t.outcomes[callNames[record.call.kind]+" "+resultNames[record.result]]++
 	}
-	t.memberChanges += done.memberChanges
+	t.membershipChanges += done.membershipChanges
 	t.acts += len(done.acts)
 	for index := 1; index < len(done.acts); index++ {
 		if done.acts[index].holder != done.acts[index-1].holder {
-			t.turns++
+			t.holderChanges++
 		}
 	}
 	t.polls += done.polls
-	t.troubles += done.troubles
+	t.faults += done.faults
 }
 
-func TestGivenTroublesAndOperatorsThenEveryHistoryIsLinearizable(t *testing.T) {
-	from, to := membersim.Schedules(schedulesInCI)
+func TestSimulation_HistoriesAreLinearizable(t *testing.T) {
+	from, to := membersim.SeedRange(schedulesInCI)
 	if amount, err := strconv.Atoi(os.Getenv(SchedulesVariable)); err == nil {
 		to = from + amount
 	}
-	began := time.Now()
-	told := began
-	sum := totals{outcomes: map[string]int{}}
+	started := time.Now()
+	lastProgress := started
+	sum := runTotals{outcomes: map[string]int{}}
 	for seed := from; seed < to; seed++ {
 		planned := drawSchedule(uint64(seed))
-		done, err := judged(t, planned, variant{})
+		done, err := runAndCheck(t, planned, variant{})
 		if err != nil {
-			small, why := shrink(t, planned, variant{}, err)
-			t.Fatalf("%s=%d replays this schedule; smaller:\n%s%s", membersim.SeedVariable, seed, small, why)
+			smallest, why := shrink(t, planned, variant{}, err)
+			t.Fatalf("%s=%d replays this schedule; smaller:\n%s%s", membersim.SeedVariable, seed, smallest, why)
 		}
 		sum.add(done)
-		if time.Since(told) > progressEvery {
-			told = time.Now()
-			t.Logf("%d schedules in %s", seed-from+1, time.Since(began).Round(time.Second))
+		if time.Since(lastProgress) > progressEvery {
+			lastProgress = time.Now()
+			t.Logf("%d schedules in %s", seed-from+1, time.Since(started).Round(time.Second))
 		}
 	}
 	t.Logf("%d schedules in %s: %d troubles, %d changes of members, %d confirmed polls, %d acts under a lease in %d turns, calls %v",
-		to-from, time.Since(began).Round(time.Second), sum.troubles, sum.memberChanges, sum.polls, sum.acts, sum.turns, sum.outcomes)
+		to-from, time.Since(started).Round(time.Second), sum.faults, sum.membershipChanges, sum.polls, sum.acts, sum.holderChanges, sum.outcomes)
 }
 
-func TestGivenASeedThenItsHistoryReplaysExactly(t *testing.T) {
-	from, to := membersim.Schedules(6)
+func TestSimulation_SameSeedReplaysExactly(t *testing.T) {
+	from, to := membersim.SeedRange(6)
 	for seed := from; seed < to; seed++ {
-		var told [2]string
-		for turn := range told {
+		var histories [2]string
+		for turn := range histories {
 			synctest.Test(t, func(*testing.T) {
-				done, err := run(drawSchedule(uint64(seed)), variant{})
+				done, err := runSimulation(drawSchedule(uint64(seed)), variant{})
 				assert.NilError(t, err)
-				told[turn] = list(done.history)
+				histories[turn] = formatHistory(done.history)
 			})
 		}
-		assert.Equal(t, told[0], told[1], "%s=%d plays in two ways", membersim.SeedVariable, seed)
+		assert.Equal(t, histories[0], histories[1], "%s=%d plays in two ways", membersim.SeedVariable, seed)
 	}
 }
--- a/internal/histories/lease_test.go
+++ b/internal/histories/lease_test.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	leaseEvery  = 170 * time.Millisecond
-	seizeBound  = 1200 * time.Millisecond
-	leaseSettle = 3 * time.Second
+	leaseInterval  = 170 * time.Millisecond
+	acquireTimeout = 1200 * time.Millisecond
+	takeoverDelay  = 3 * time.Second
 )
 
 // leaseAct is one act under the lease that all machines want.
@@ -22,62 +22,62 @@
 	fence  uint64
 }
 
-// judgeActs says whether two holders shared a fence, a fence fell, or a successor acted before
+// checkLeaseActs says whether two holders shared a fence, a fence fell, or a successor acted before
 // the time that it must wait.
-func judgeActs(acts []leaseAct) error {
+func checkLeaseActs(acts []leaseAct) error {
 	holders := map[uint64]string{}
-	for index, one := range acts {
-		if holder, known := holders[one.fence]; known && holder != one.holder {
-			return fmt.Errorf("fence %d held by %s and %s", one.fence, holder, one.holder)
+	for index, act := range acts {
+		if holder, known := holders[act.fence]; known && holder != act.holder {
+			return fmt.Errorf("fence %d held by %s and %s", act.fence, holder, act.holder)
 		}
-		holders[one.fence] = one.holder
+		holders[act.fence] = act.holder
 		if index == 0 {
 			continue
 		}
 		before := acts[index-1]
-		if one.fence < before.fence {
-			return fmt.Errorf("%s acted under fence %d after %d", one.holder, one.fence, before.fence)
+		if act.fence < before.fence {
+			return fmt.Errorf("%s acted under fence %d after %d", act.holder, act.fence, before.fence)
 		}
-		if one.holder != before.holder && one.at-before.at < leaseSettle {
-			return fmt.Errorf("%s acted %s after %s", one.holder, one.at-before.at, before.holder)
+		if act.holder != before.holder && act.at-before.at < takeoverDelay {
+			return fmt.Errorf("%s acted %s after %s", act.holder, act.at-before.at, before.holder)
 		}
 	}
 	return nil
 }
 
-// keepLease seizes and renews one lease as long as the machine votes, and acts under it.
-func (p *play) keepLease(name string, position int) {
-	var hold *lease.Grant
-	var held *keystore.Store
-	for !p.ended() {
-		time.Sleep(leaseEvery + time.Duration(position*1303))
-		p.awaitThaw(name)
-		store, acceptor := p.fleet.StoreOf(name), p.fleet.AcceptorOf(name)
-		if store != held {
-			hold, held = nil, store
+// holdLease seizes and renews one lease as long as the machine votes, and acts under it.
+func (s *simulation) holdLease(name string, position int) {
+	var grant *lease.Grant
+	var currentStore *keystore.Store
+	for !s.isStopped() {
+		time.Sleep(leaseInterval + time.Duration(position*1303))
+		s.waitWhileFrozen(name)
+		store, acceptor := s.fleet.StoreOf(name), s.fleet.AcceptorOf(name)
+		if store != currentStore {
+			grant, currentStore = nil, store
 		}
-		if store == nil || acceptor == nil || !acceptor.Self().Voting {
+		if store == nil || acceptor == nil || !acceptor.LocalState().Voting {
 			continue
 		}
-		keeper := &lease.Lease{
-			Key: keystore.LeasePrefix + "placement", Holder: name, Length: membersim.LeaseLength, Settle: leaseSettle,
-			Store: store, Clock: p.fleet.Clock(name),
+		manager := &lease.Manager{
+			Key: keystore.LeasePrefix + "placement", Holder: name, TTL: membersim.LeaseDuration, TakeoverDelay: takeoverDelay,
+			Store: store, Clock: s.fleet.Clock(name),
 		}
-		ctx, cancel := bounded(seizeBound)
-		if hold != nil {
-			hold = keeper.Renew(ctx, hold)
+		ctx, cancel := withTimeout(acquireTimeout)
+		if grant != nil {
+			grant = manager.Renew(ctx, grant)
 		} else {
-			hold, _ = keeper.Acquire(ctx)
+			grant, _ = manager.Acquire(ctx)
 		}
 		cancel()
-		if !p.fleet.Frozen(name) && p.fleet.StoreOf(name) == store && hold.Allows(p.fleet.Clock(name)(), 0) {
-			p.act(leaseAct{p.now(), name, hold.Record.Fence})
+		if !s.fleet.Frozen(name) && s.fleet.StoreOf(name) == store && grant.Allows(s.fleet.Clock(name)(), 0) {
+			s.recordAct(leaseAct{s.now(), name, grant.Record.Fence})
 		}
 	}
 }
 
-func (p *play) act(one leaseAct) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.acts = append(p.acts, one)
+func (s *simulation) recordAct(done leaseAct) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.acts = append(s.acts, done)
 }
--- a/internal/histories/model_test.go
+++ b/internal/histories/model_test.go
@@ -10,29 +10,29 @@
 	"github.com/pkg/errors"
 )
 
-// outcome is what an operator learned of a call.
-type outcome int
+// callResult is what an operator learned of a call.
+type callResult int
 
 const (
-	acknowledged outcome = iota
-	// refused is a 412: another version is in force.
-	refused
-	// unclear is a 5xx or no answer at all.
-	unclear
+	acknowledged callResult = iota
+	// rejected is a 412: another version is in force.
+	rejected
+	// unknown is a 5xx or no answer at all.
+	unknown
 )
 
-var outcomeNames = [...]string{"acknowledged", "refused", "unclear"}
+var resultNames = [...]string{"acknowledged", "refused", "unclear"}
 
 // content is what the documents of the schedules differ in: one item for each of two routes.
 type content struct{ first, second int }
 
-// recorded is one call as its operator saw it. The interval of a configuration that was
+// callRecord is one call as its operator saw it. The interval of a configuration that was
 // acknowledged spans all its copies; otherwise it is that of the copy that was answered.
-type recorded struct {
-	call         plannedCall
-	condition    int64
-	result       outcome
-	began, ended time.Duration
+type callRecord struct {
+	call           operatorCall
+	condition      int64
+	result         callResult
+	started, ended time.Duration
 	// readRevision, readContent and readDrained are what a read returned.
 	readRevision int64
 	readContent  content
@@ -40,14 +40,14 @@
 	// zoneNumber is that of the record which an acknowledged evacuation names.
 	zoneNumber uint64
 	// earlier says when the copies of an evacuation were sent that got no clear answer.
-	earlier []time.Duration
-	// bounded says that an unclear call has no effect after its end.
-	bounded bool
-	note    string
+	earlierAttempts []time.Duration
+	// withTimeout says that an unclear call has no effect after its end.
+	noLateEffect bool
+	note         string
 }
 
-func (r recorded) String() string {
-	text := fmt.Sprintf("%9s..%9s operator %d call %2d %s", r.began.Round(time.Millisecond), r.ended.Round(time.Millisecond),
+func (r callRecord) String() string {
+	text := fmt.Sprintf("%9s..%9s operator %d call %2d %s", r.started.Round(time.Millisecond), r.ended.Round(time.Millisecond),
 		r.call.operator, r.call.number, callNames[r.call.kind])
 	switch r.call.kind {
 	case callPut, callPatch:
@@ -59,21 +59,21 @@
 	case callReadZone:
 		text += fmt.Sprintf(" %s -> %t", r.call.zone, r.readDrained)
 	}
-	return text + " " + outcomeNames[r.result] + " " + r.note
+	return text + " " + resultNames[r.result] + " " + r.note
 }
 
 // valueOf is what a call writes into its documents; no two calls share it.
-func valueOf(call plannedCall) int { return 1000 + call.number }
+func valueOf(call operatorCall) int { return 1000 + call.number }
 
 // configurationState is the model of the configuration's key. taken holds a bit for each call.
 type configurationState struct {
 	revision int64
 	content  content
-	taken    uint64
+	applied  uint64
 }
 
-func (s configurationState) after(op recorded) configurationState {
-	next := configurationState{revision: op.condition + 1, content: s.content, taken: s.taken | 1<<op.call.number}
+func (s configurationState) after(op callRecord) configurationState {
+	next := configurationState{revision: op.condition + 1, content: s.content, applied: s.applied | 1<<op.call.number}
 	next.content.second = valueOf(op.call)
 	if op.call.kind == callPut {
 		next.content.first = valueOf(op.call)
@@ -82,23 +82,23 @@
 }
 
 func stepConfiguration(state, input, _ any) []any {
-	current, op := state.(configurationState), input.(recorded)
+	current, op := state.(configurationState), input.(callRecord)
 	if op.call.kind == callGet {
 		if op.readRevision == current.revision && op.readContent == current.content {
 			return []any{current}
 		}
 		return nil
 	}
-	taken := current.taken&(1<<op.call.number) != 0
+	taken := current.applied&(1<<op.call.number) != 0
 	fits := !taken && op.condition == current.revision
 	switch {
-	case op.result == refused && !taken && !fits:
+	case op.result == rejected && !taken && !fits:
 		return []any{current}
-	case op.result == refused:
+	case op.result == rejected:
 		return nil
-	case op.result == unclear && fits:
+	case op.result == unknown && fits:
 		return []any{current, current.after(op)}
-	case op.result == unclear || taken:
+	case op.result == unknown || taken:
 		return []any{current}
 	case fits:
 		return []any{current.after(op)}
@@ -107,13 +107,13 @@
 }
 
 func stepZone(state, input, _ any) []any {
-	current, op := state.(bool), input.(recorded)
+	current, op := state.(bool), input.(callRecord)
 	switch {
 	case op.call.kind == callReadZone && op.readDrained == current:
 		return []any{current}
 	case op.call.kind == callReadZone:
 		return nil
-	case op.result == unclear:
+	case op.result == unknown:
 		return []any{current, op.call.drained}
 	}
 	return []any{op.call.drained}
@@ -122,13 +122,13 @@
 // copies takes an evacuation apart. It names no version, so a copy that its operator sends
 // again is carried out again if another operator undid the one before: each copy may take
 // force once, as long as its operator has no answer. After an acknowledgement none may.
-func (r recorded) copies() []recorded {
+func (r callRecord) attempts() []callRecord {
 	if r.call.kind != callDrain {
-		return []recorded{r}
+		return []callRecord{r}
 	}
-	var each []recorded
-	for _, began := range r.earlier {
-		each = append(each, recorded{call: r.call, result: unclear, began: began, ended: r.ended, bounded: r.result == acknowledged})
+	var each []callRecord
+	for _, started := range r.earlierAttempts {
+		each = append(each, callRecord{call: r.call, result: unknown, started: started, ended: r.ended, noLateEffect: r.result == acknowledged})
 	}
 	if r.result == acknowledged || len(each) == 0 {
 		each = append(each, r)
@@ -136,62 +136,62 @@
 	return each
 }
 
-// judge asks the checker about each key on its own: a call touches one key, and a history is
+// checkHistory asks the checker about each key on its own: a call touches one key, and a history is
 // linearizable if that of each key is.
-func judge(history []recorded) error {
-	keys := map[string][]recorded{}
-	for _, one := range history {
-		if one.result == unclear && (one.call.kind == callGet || one.call.kind == callReadZone) {
+func checkHistory(history []callRecord) error {
+	keys := map[string][]callRecord{}
+	for _, record := range history {
+		if record.result == unknown && (record.call.kind == callGet || record.call.kind == callReadZone) {
 			continue
 		}
 		key := "configuration"
-		if one.call.kind == callDrain || one.call.kind == callReadZone {
-			key = one.call.zone
+		if record.call.kind == callDrain || record.call.kind == callReadZone {
+			key = record.call.zone
 		}
-		keys[key] = append(keys[key], one.copies()...)
+		keys[key] = append(keys[key], record.attempts()...)
 	}
 	for _, key := range append([]string{"configuration"}, zoneNames[:]...) {
 		model := porcupine.NondeterministicModel{Init: func() []any { return []any{false} }, Step: stepZone}
 		if key == "configuration" {
 			model = porcupine.NondeterministicModel{Init: func() []any { return []any{configurationState{}} }, Step: stepConfiguration}
 		}
-		if err := check(model, key, keys[key]); err != nil {
+		if err := checkKey(model, key, keys[key]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// errNotJudged says that the checker came to no end: neither a pass nor a fault found.
-var errNotJudged = errors.New("not judged")
+// errCheckTimedOut says that the checker came to no end: neither a pass nor a fault found.
+var errCheckTimedOut = errors.New("not judged")
 
-// checkBound is how long the checker may take for one key.
-const checkBound = 20 * time.Second
+// checkTimeout is how long the checker may take for one key.
+const checkTimeout = 20 * time.Second
 
-func check(model porcupine.NondeterministicModel, key string, history []recorded) error {
+func checkKey(model porcupine.NondeterministicModel, key string, history []callRecord) error {
 	operations := make([]porcupine.Operation, 0, len(history))
-	for _, one := range history {
-		ended := int64(one.ended)
-		if one.result == unclear && !one.bounded {
+	for _, record := range history {
+		ended := int64(record.ended)
+		if record.result == unknown && !record.noLateEffect {
 			ended = math.MaxInt64
 		}
-		operations = append(operations, porcupine.Operation{Input: one, Call: int64(one.began), Return: ended})
+		operations = append(operations, porcupine.Operation{Input: record, Call: int64(record.started), Return: ended})
 	}
-	switch porcupine.CheckOperationsTimeout(model.ToModel(), operations, checkBound) {
+	switch porcupine.CheckOperationsTimeout(model.ToModel(), operations, checkTimeout) {
 	case porcupine.Illegal:
-		return fmt.Errorf("history of %s is not linearizable:\n%s", key, list(history))
+		return fmt.Errorf("history of %s is not linearizable:\n%s", key, formatHistory(history))
 	case porcupine.Unknown:
-		return errors.Wrapf(errNotJudged, "history of %s, %d operations, within %s", key, len(history), checkBound)
+		return errors.Wrapf(errCheckTimedOut, "history of %s, %d operations, within %s", key, len(history), checkTimeout)
 	}
 	return nil
 }
 
-func list(history []recorded) string {
-	sorted := append([]recorded(nil), history...)
-	sort.SliceStable(sorted, func(left, right int) bool { return sorted[left].began < sorted[right].began })
+func formatHistory(history []callRecord) string {
+	sorted := append([]callRecord(nil), history...)
+	sort.SliceStable(sorted, func(left, right int) bool { return sorted[left].started < sorted[right].started })
 	text := ""
-	for _, one := range sorted {
-		text += "  " + one.String() + "\n"
+	for _, record := range sorted {
+		text += "  " + record.String() + "\n"
 	}
 	return text
 }
--- a/internal/histories/play_test.go
+++ b/internal/histories/play_test.go
@@ -16,173 +16,173 @@
 // variant spoils one thing, so that the checks can show that they notice. The zero variant is
 // the product as it is.
 type variant struct {
-	fleet func(fleet *membersim.Fleet)
+	fleet func(cluster *membersim.Cluster)
 	// store wraps what the control state decides on.
 	store func(store controlstate.Store) controlstate.Store
-	// neverLate lets every copy of an evacuation begin, however late it comes.
-	neverLate bool
-	// freshUntilTold counts a confirmation until a look fails, however long ago it was asked.
-	freshUntilTold bool
-	// ignoresUnsettled confirms in spite of a newer proposal on a minority.
-	ignoresUnsettled bool
-}
-
-// play is one run of a schedule.
-type play struct {
-	schedule schedule
-	variant  variant
-	fleet    *membersim.Fleet
-	began    time.Time
-	standbys int
+	// ignoresTokenExpiry lets every copy of an evacuation begin, however late it comes.
+	ignoresTokenExpiry bool
+	// staysFreshUntilFailure counts a confirmation until a look fails, however long ago it was asked.
+	staysFreshUntilFailure bool
+	// ignoresUndecided confirms in spite of a newer proposal on a minority.
+	ignoresUndecided bool
+}
+
+// simulation is one run of a schedule.
+type simulation struct {
+	schedule     schedule
+	variant      variant
+	fleet        *membersim.Cluster
+	startedAt    time.Time
+	standbyCount int
 
 	lock sync.Mutex
 	// busy machines have a trouble of their process or disk; no second one begins there.
-	busy map[string]bool
+	faulted map[string]bool
 	// empty machines lost their disk or never had one; they count as lost until they vote.
-	empty     map[string]bool
-	machines  []string
-	heard     map[[2]string]time.Time
-	started   map[string]time.Time
-	followers map[string]*follower
+	diskLost        map[string]bool
+	machines        []string
+	lastHeartbeat   map[[2]string]time.Time
+	startedMachines map[string]time.Time
+	followers       map[string]*follower
 	// committed are the member lists that were acknowledged, by number.
-	committed map[uint64]keystore.Members
-	known     [2]int64
-	played
-	shown   acknowledgements
-	failed  error
-	over    bool
-	slots   chan struct{}
-	working sync.WaitGroup
-}
-
-// callsAtOnce is how many calls may be under way.
-const callsAtOnce = 8
-
-// played is what came of a play.
-type played struct {
-	history       []recorded
-	memberChanges uint64
-	acts          []leaseAct
-	polls         int
-	troubles      int
-}
-
-func run(planned schedule, spoiled variant) (played, error) {
-	p := &play{
-		schedule: planned, variant: spoiled, fleet: membersim.New(planned.seed, planned.size), began: time.Now(),
-		busy: map[string]bool{}, empty: map[string]bool{}, heard: map[[2]string]time.Time{}, started: map[string]time.Time{},
+	committed      map[uint64]keystore.Membership
+	knownRevisions [2]int64
+	simulationResult
+	acknowledgements acknowledgements
+	failed           error
+	stopped          bool
+	callSlots        chan struct{}
+	running          sync.WaitGroup
+}
+
+// maxConcurrentCalls is how many calls may be under way.
+const maxConcurrentCalls = 8
+
+// simulationResult is what came of a play.
+type simulationResult struct {
+	history           []callRecord
+	membershipChanges uint64
+	acts              []leaseAct
+	polls             int
+	faults            int
+}
+
+func runSimulation(planned schedule, spoiled variant) (simulationResult, error) {
+	p := &simulation{
+		schedule: planned, variant: spoiled, fleet: membersim.New(planned.seed, planned.size), startedAt: time.Now(),
+		faulted: map[string]bool{}, diskLost: map[string]bool{}, lastHeartbeat: map[[2]string]time.Time{}, startedMachines: map[string]time.Time{},
 		followers: map[string]*follower{},
-		committed: map[uint64]keystore.Members{}, slots: make(chan struct{}, callsAtOnce), shown: newAcknowledgements(),
+		committed: map[uint64]keystore.Membership{}, callSlots: make(chan struct{}, maxConcurrentCalls), acknowledgements: newAcknowledgements(),
 	}
 	p.fleet.Lossy = planned.lossy
 	if planned.size == 3 {
-		p.fleet.Spread(1, 1, 1)
+		p.fleet.AssignZones(1, 1, 1)
 	} else {
-		p.fleet.Spread(2, 2, 1)
+		p.fleet.AssignZones(2, 2, 1)
 	}
 	if spoiled.fleet != nil {
 		spoiled.fleet(p.fleet)
 	}
 	for _, name := range p.fleet.Names {
 		p.fleet.Start(name, true)
-		p.attend(name)
+		p.startMachine(name)
 	}
 	if planned.standby {
-		p.standBy(p.fleet.Names[0])
-	}
-	go p.heartbeats()
-	p.work()
-	err := p.settle()
-	done := p.played
-	done.memberChanges = p.newestMembers().Number - 1
-	p.end()
+		p.startStandby(p.fleet.Names[0])
+	}
+	go p.exchangeHeartbeats()
+	p.runSchedule()
+	err := p.finish()
+	done := p.simulationResult
+	done.membershipChanges = p.newestMembership().Version - 1
+	p.shutDown()
 	return done, err
 }
 
-func (p *play) now() time.Duration { return time.Since(p.began) }
+func (s *simulation) now() time.Duration { return time.Since(s.startedAt) }
 
-func (p *play) fail(err error) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if p.failed == nil {
-		p.failed = err
+func (s *simulation) fail(err error) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if s.failed == nil {
+		s.failed = err
 	}
 }
 
-func (p *play) ended() bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.over
+func (s *simulation) isStopped() bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.stopped
 }
 
 // work plays all steps and calls and returns once each has ended.
-func (p *play) work() {
-	for index, one := range p.schedule.steps {
-		p.working.Go(func() {
-			time.Sleep(one.at + time.Duration(index*211))
-			p.trouble(one)
+func (s *simulation) runSchedule() {
+	for index, item := range s.schedule.faults {
+		s.running.Go(func() {
+			time.Sleep(item.at + time.Duration(index*211))
+			s.injectFault(item)
 		})
 	}
-	for _, one := range p.schedule.calls {
-		p.working.Go(func() {
-			time.Sleep(one.at + time.Duration(one.number*337))
-			p.slots <- struct{}{}
-			p.send(one)
-			<-p.slots
+	for _, item := range s.schedule.calls {
+		s.running.Go(func() {
+			time.Sleep(item.at + time.Duration(item.number*337))
+			s.callSlots <- struct{}{}
+			s.sendCall(item)
+			<-s.callSlots
 		})
 	}
-	p.working.Wait()
+	s.running.Wait()
 }
 
 // attend starts what a machine does besides answering messages.
-func (p *play) attend(name string) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.started[name] = time.Now()
-	p.followers[name] = newFollower(p, name)
-	p.machines = append(p.machines, name)
-	go p.followers[name].run()
-	go p.followers[name].poll()
-	go p.manageMembers(name, len(p.followers))
-	go p.keepLease(name, len(p.followers))
+func (s *simulation) startMachine(name string) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.startedMachines[name] = time.Now()
+	s.followers[name] = newFollower(s, name)
+	s.machines = append(s.machines, name)
+	go s.followers[name].run()
+	go s.followers[name].pollConfirmed()
+	go s.manageMembership(name, len(s.followers))
+	go s.holdLease(name, len(s.followers))
 }
 
 // settle ends all troubles, takes the power from all machines at once, and reads what is left.
-func (p *play) settle() error {
-	p.fleet.Lossy = false
-	draw := rand.New(rand.NewPCG(p.schedule.seed, 43))
-	names := p.fleet.Present()
+func (s *simulation) finish() error {
+	s.fleet.Lossy = false
+	random := rand.New(rand.NewPCG(s.schedule.seed, 43))
+	names := s.fleet.MemberNames()
 	for _, name := range names {
-		p.fleet.Kill(name)
-		p.fleet.LosePower(name, draw)
+		s.fleet.Kill(name)
+		s.fleet.LosePower(name, random)
 	}
 	time.Sleep(time.Second)
 	for _, name := range names {
-		p.fleet.Start(name, false)
+		s.fleet.Start(name, false)
 	}
-	if err := p.readBack(names); err != nil {
+	if err := s.readBack(names); err != nil {
 		return err
 	}
-	p.resendTaken(names)
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.failed
+	s.resendAcknowledged(names)
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.failed
 }
 
-// readBackTries is how often the final read goes round all daemons.
-const readBackTries = 12
+// readBackRounds is how often the final read goes round all daemons.
+const readBackRounds = 12
 
-func (p *play) readBack(names []string) error {
-	reads := []plannedCall{{number: -1, kind: callGet}}
+func (s *simulation) readBack(names []string) error {
+	reads := []operatorCall{{number: -1, kind: callGet}}
 	for _, zone := range zoneNames {
-		reads = append(reads, plannedCall{number: -1, kind: callReadZone, zone: zone})
+		reads = append(reads, operatorCall{number: -1, kind: callReadZone, zone: zone})
 	}
 	for _, read := range reads {
 		found := false
-		for try := 0; try < readBackTries*len(names) && !found; try++ {
-			last := p.attempt(read, 0, names[try%len(names)])
+		for attempt := 0; attempt < readBackRounds*len(names) && !found; attempt++ {
+			last := s.attempt(read, 0, names[attempt%len(names)])
 			if found = last.result == acknowledged; found {
-				p.note(last)
+				s.record(last)
 			} else {
 				time.Sleep(300 * time.Millisecond)
 			}
@@ -194,56 +194,56 @@
 	return nil
 }
 
-// resendTaken sends acknowledged configurations again: they must be recognised.
-func (p *play) resendTaken(names []string) {
-	p.lock.Lock()
-	history := append([]recorded(nil), p.history...)
-	p.lock.Unlock()
-	for index, one := range history {
-		if one.result == acknowledged && (one.call.kind == callPut || one.call.kind == callPatch) {
-			again := p.attempt(one.call, one.condition, names[index%len(names)])
+// resendAcknowledged sends acknowledged configurations again: they must be recognised.
+func (s *simulation) resendAcknowledged(names []string) {
+	s.lock.Lock()
+	history := append([]callRecord(nil), s.history...)
+	s.lock.Unlock()
+	for index, record := range history {
+		if record.result == acknowledged && (record.call.kind == callPut || record.call.kind == callPatch) {
+			again := s.attempt(record.call, record.condition, names[index%len(names)])
 			again.note = "(sent again at the end)"
-			p.note(again)
+			s.record(again)
 		}
 	}
 }
 
-func (p *play) note(one recorded) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.history = append(p.history, one)
+func (s *simulation) record(record callRecord) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.history = append(s.history, record)
 }
 
-func (p *play) end() {
-	p.lock.Lock()
-	p.over = true
-	names := p.machines
-	p.lock.Unlock()
+func (s *simulation) shutDown() {
+	s.lock.Lock()
+	s.stopped = true
+	names := s.machines
+	s.lock.Unlock()
 	for _, name := range names {
-		p.fleet.Kill(name)
+		s.fleet.Kill(name)
 	}
 	time.Sleep(time.Minute)
 }
 
-func (p *play) state(store *keystore.Store, name string) *controlstate.State {
+func (s *simulation) controlState(store *keystore.Store, name string) *controlstate.State {
 	var decided controlstate.Store = store
-	if p.variant.store != nil {
-		decided = p.variant.store(decided)
+	if s.variant.store != nil {
+		decided = s.variant.store(decided)
 	}
 	zones := map[string]string{}
 	for _, zone := range zoneNames {
 		zones[zone] = "land"
 	}
-	return &controlstate.State{Store: decided, Zones: zones, Clock: p.fleet.Clock(name)}
+	return &controlstate.State{Store: decided, Zones: zones, Clock: s.fleet.Clock(name)}
 }
 
-// awaitThaw holds back a step of a machine's process while the machine is frozen.
-func (p *play) awaitThaw(name string) {
-	for p.fleet.Frozen(name) {
+// waitWhileFrozen holds back a step of a machine's process while the machine is frozen.
+func (s *simulation) waitWhileFrozen(name string) {
+	for s.fleet.Frozen(name) {
 		time.Sleep(3*time.Millisecond + 11*time.Nanosecond)
 	}
 }
 
-func bounded(bound time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), bound)
+func withTimeout(timeout time.Duration) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), timeout)
 }
--- a/internal/histories/schedule_test.go
+++ b/internal/histories/schedule_test.go
@@ -19,8 +19,8 @@
 
 var callNames = [...]string{"PUT", "PATCH", "GET", "drain", "read zone"}
 
-// plannedCall is one call of an operator. What it builds on is decided when it is sent.
-type plannedCall struct {
+// operatorCall is one call of an operator. What it builds on is decided when it is sent.
+type operatorCall struct {
 	number   int
 	at       time.Duration
 	operator int
@@ -29,41 +29,41 @@
 	drained  bool
 	// daemon is the position of the daemon that gets the first copy; further ones go to the next.
 	daemon int
-	// answersLost is how many copies lose their answers on the way.
-	answersLost int
+	// lostReplies is how many copies lose their answers on the way.
+	lostReplies int
 	// late delays the carrying out of the first copy of an evacuation.
-	late time.Duration
+	delay time.Duration
 }
 
-// stepKind is a trouble.
-type stepKind int
+// faultKind is a trouble.
+type faultKind int
 
 const (
-	stepKill stepKind = iota
-	stepPower
-	stepWipe
-	stepIsolate
-	stepStall
-	stepRefuse
-	stepFreeze
-	stepBridge
-	stepLoseZone
-	stepClock
-	stepLoseMachine
-	stepKinds
+	faultKill faultKind = iota
+	faultPowerLoss
+	faultWipe
+	faultIsolate
+	faultStallDisk
+	faultRejectWrites
+	faultFreeze
+	faultCutZoneLink
+	faultLoseZone
+	faultStepClock
+	faultLoseMachine
+	faultKinds
 )
 
-var stepNames = [...]string{
+var faultNames = [...]string{
 	"kill", "lose power", "wipe", "isolate", "stall disk", "refuse writes", "freeze", "cut bridge", "lose zone", "step clock", "lose machine",
 }
 
-// step is one trouble of a schedule; steps overlap.
-type step struct {
-	at      time.Duration
-	kind    stepKind
-	machine int
-	lasting time.Duration
-	seed    uint64
+// plannedFault is one trouble of a schedule; steps overlap.
+type plannedFault struct {
+	at       time.Duration
+	kind     faultKind
+	machine  int
+	duration time.Duration
+	seed     uint64
 }
 
 // schedule is all that a play depends on. Any of its steps and calls may be left out.
@@ -73,78 +73,78 @@
 	lossy bool
 	// standby has an empty machine ready, so that a member that is silent for a while is replaced.
 	standby bool
-	steps   []step
-	calls   []plannedCall
+	faults  []plannedFault
+	calls   []operatorCall
 }
 
 const (
-	playLength  = 10 * time.Second
-	longFreeze  = 20 * time.Second
-	zonesPlayed = 2
+	simulationLength = 10 * time.Second
+	longFreeze       = 20 * time.Second
+	zoneCount        = 2
 )
 
-var zoneNames = [zonesPlayed]string{"north", "south"}
+var zoneNames = [zoneCount]string{"north", "south"}
 
 func drawSchedule(seed uint64) schedule {
-	draw := rand.New(rand.NewPCG(seed, 41))
-	drawn := schedule{seed: seed, size: 3 + 2*int(seed%4/3), lossy: seed%2 == 0, standby: seed%3 == 0}
-	for range 3 + draw.IntN(8) {
-		drawn.steps = append(drawn.steps, drawStep(draw))
+	random := rand.New(rand.NewPCG(seed, 41))
+	planned := schedule{seed: seed, size: 3 + 2*int(seed%4/3), lossy: seed%2 == 0, standby: seed%3 == 0}
+	for range 3 + random.IntN(8) {
+		planned.faults = append(planned.faults, drawFault(random))
 	}
 	burst := time.Duration(0)
-	for number := range 24 + draw.IntN(24) {
-		if draw.IntN(6) == 0 {
-			burst = drawTime(draw, playLength)
+	for number := range 24 + random.IntN(24) {
+		if random.IntN(6) == 0 {
+			burst = drawTime(random, simulationLength)
 		}
-		drawn.calls = append(drawn.calls, drawCall(draw, number, burst))
+		planned.calls = append(planned.calls, drawCall(random, number, burst))
 	}
-	return drawn
+	return planned
 }
 
-func drawTime(draw *rand.Rand, bound time.Duration) time.Duration {
-	return time.Duration(draw.Int64N(int64(bound)))
+func drawTime(random *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(random.Int64N(int64(limit)))
 }
 
-func drawStep(draw *rand.Rand) step {
-	drawn := step{
-		at: 200*time.Millisecond + drawTime(draw, playLength), kind: stepKind(draw.IntN(int(stepKinds))), machine: draw.IntN(60),
-		lasting: 20*time.Millisecond + drawTime(draw, 3*time.Second), seed: draw.Uint64(),
+func drawFault(random *rand.Rand) plannedFault {
+	fault := plannedFault{
+		at: 200*time.Millisecond + drawTime(random, simulationLength), kind: faultKind(random.IntN(int(faultKinds))), machine: random.IntN(60),
+		duration: 20*time.Millisecond + drawTime(random, 3*time.Second), seed: random.Uint64(),
 	}
-	if drawn.kind == stepFreeze && draw.IntN(4) == 0 {
-		drawn.lasting = drawTime(draw, longFreeze)
+	if fault.kind == faultFreeze && random.IntN(4) == 0 {
+		fault.duration = drawTime(random, longFreeze)
 	}
-	return drawn
+	return fault
 }
 
-func drawCall(draw *rand.Rand, number int, burst time.Duration) plannedCall {
-	drawn := plannedCall{
-		number: number, at: burst + drawTime(draw, 900*time.Millisecond), operator: draw.IntN(2), daemon: draw.IntN(60),
-		zone: zoneNames[draw.IntN(zonesPlayed)], drained: draw.IntN(2) == 0,
+func drawCall(random *rand.Rand, number int, burst time.Duration) operatorCall {
+	call := operatorCall{
+		number: number, at: burst + drawTime(random, 900*time.Millisecond), operator: random.IntN(2), daemon: random.IntN(60),
+		zone: zoneNames[random.IntN(zoneCount)], drained: random.IntN(2) == 0,
 	}
 	kinds := []callKind{callPut, callPut, callPatch, callPatch, callGet, callGet, callDrain, callDrain, callDrain, callReadZone}
-	drawn.kind = kinds[draw.IntN(len(kinds))]
-	if draw.IntN(4) == 0 {
-		drawn.answersLost = 1 + draw.IntN(2)
+	call.kind = kinds[random.IntN(len(kinds))]
+	if random.IntN(4) == 0 {
+		call.lostReplies = 1 + random.IntN(2)
 	}
-	if drawn.kind == callDrain && draw.IntN(4) == 0 {
-		drawn.late = drawTime(draw, 4*time.Second)
+	if call.kind == callDrain && random.IntN(4) == 0 {
+		call.delay = drawTime(random, 4*time.Second)
 	}
-	return drawn
+	return call
 }
 
 func (s schedule) String() string {
 	text := fmt.Sprintf("seed %d, %d members, lossy %t, standby %t\n", s.seed, s.size, s.lossy, s.standby)
-	for _, one := range s.steps {
-		at, lasting := one.at.Round(time.Millisecond), one.lasting.Round(time.Millisecond)
-		text += fmt.Sprintf("  %7s %s machine %d for %s\n", at, stepNames[one.kind], one.machine, lasting)
+	for _, item := range s.faults {
+		at, duration := item.at.Round(time.Millisecond), item.duration.Round(time.Millisecond)
+		text += fmt.Sprintf("  %7s %s machine %d for %s\n", at, faultNames[item.kind], item.machine, duration)
 	}
-	for _, one := range s.calls {
+	for _, item := range s.calls {
 		text += fmt.Sprintf("  %7s call %d: operator %d, %s at daemon %d",
-			one.at.Round(time.Millisecond), one.number, one.operator, callNames[one.kind], one.daemon)
-		if one.kind == callDrain {
-			text += fmt.Sprintf(" %s %t late %s", one.zone, one.drained, one.late.Round(time.Millisecond))
+			item.at.Round(time.Millisecond), item.number, item.operator, callNames[item.kind], item.daemon)
+		if item.kind == callDrain {
+			text += fmt.Sprintf(" %s %t late %s", item.zone, item.drained, item.delay.Round(time.Millisecond))
 		}
-		text += fmt.Sprintf(", %d answers lost\n", one.answersLost)
+		text += fmt.Sprintf(", %d answers lost\n", item.lostReplies)
 	}
 	return text
 }
--- a/internal/histories/shrink_test.go
+++ b/internal/histories/shrink_test.go
@@ -10,7 +10,7 @@
 
 type shrinker struct {
 	test    *testing.T
-	spoiled variant
+	variant variant
 	runs    int
 	failure error
 }
@@ -18,17 +18,17 @@
 // shrink leaves out steps and calls of a failing schedule while it still fails, and returns
 // the smallest one found with its failure.
 func shrink(t *testing.T, failing schedule, spoiled variant, failure error) (schedule, error) {
-	s := &shrinker{test: t, spoiled: spoiled, failure: failure}
-	for before := -1; before != len(failing.steps)+len(failing.calls); {
-		before = len(failing.steps) + len(failing.calls)
-		failing.calls = reduce(failing.calls, func(calls []plannedCall) bool {
+	s := &shrinker{test: t, variant: spoiled, failure: failure}
+	for before := -1; before != len(failing.faults)+len(failing.calls); {
+		before = len(failing.faults) + len(failing.calls)
+		failing.calls = reduce(failing.calls, func(calls []operatorCall) bool {
 			smaller := failing
 			smaller.calls = calls
 			return s.fails(smaller)
 		})
-		failing.steps = reduce(failing.steps, func(steps []step) bool {
+		failing.faults = reduce(failing.faults, func(steps []plannedFault) bool {
 			smaller := failing
-			smaller.steps = steps
+			smaller.faults = steps
 			return s.fails(smaller)
 		})
 	}
@@ -39,7 +39,7 @@
 	if s.runs++; s.runs > shrinkRuns {
 		return false
 	}
-	_, err := judged(s.test, candidate, s.spoiled)
+	_, err := runAndCheck(s.test, candidate, s.variant)
 	if err != nil {
 		s.failure = err
 	}
--- a/internal/histories/troubles_test.go
+++ b/internal/histories/troubles_test.go
@@ -9,151 +9,151 @@
 	"ferryspar/internal/membersim"
 )
 
-// The order of membersim.Troubles.
+// The order of membersim.MachineFaults.
 const (
-	rehearsedKill = iota
-	rehearsedPower
-	rehearsedWipe
-	rehearsedIsolation
-	rehearsedStall
-	rehearsedRefusal
+	machineFaultRestart = iota
+	machineFaultPowerLoss
+	machineFaultWipe
+	machineFaultIsolate
+	machineFaultStallDisk
+	machineFaultRejectWrites
 )
 
-var rehearsed = map[stepKind]membersim.Trouble{
-	stepKill: membersim.Troubles[rehearsedKill], stepPower: membersim.Troubles[rehearsedPower], stepWipe: membersim.Troubles[rehearsedWipe],
-	stepIsolate: membersim.Troubles[rehearsedIsolation], stepStall: membersim.Troubles[rehearsedStall],
-	stepRefuse: membersim.Troubles[rehearsedRefusal], stepFreeze: membersim.Freeze, stepBridge: membersim.BridgeCut,
-	stepLoseZone: membersim.ZoneLost, stepClock: membersim.ClockStep,
+var faultFunctions = map[faultKind]membersim.Fault{
+	faultKill: membersim.MachineFaults[machineFaultRestart], faultPowerLoss: membersim.MachineFaults[machineFaultPowerLoss], faultWipe: membersim.MachineFaults[machineFaultWipe],
+	faultIsolate: membersim.MachineFaults[machineFaultIsolate], faultStallDisk: membersim.MachineFaults[machineFaultStallDisk],
+	faultRejectWrites: membersim.MachineFaults[machineFaultRejectWrites], faultFreeze: membersim.Freeze, faultCutZoneLink: membersim.CutZoneLink,
+	faultLoseZone: membersim.LoseZone, faultStepClock: membersim.StepWallClock,
 }
 
-// ofProcess says that a trouble ends a process or holds its disk. A machine bears one of these
+// stopsProcess says that a trouble ends a process or holds its disk. A machine bears one of these
 // at a time; links, freezes and clocks come on top.
-func (k stepKind) ofProcess() bool {
+func (k faultKind) stopsProcess() bool {
 	switch k {
-	case stepKill, stepPower, stepWipe, stepStall, stepRefuse, stepLoseZone, stepLoseMachine:
+	case faultKill, faultPowerLoss, faultWipe, faultStallDisk, faultRejectWrites, faultLoseZone, faultLoseMachine:
 		return true
 	}
 	return false
 }
 
-func (p *play) trouble(one step) {
-	names := p.fleet.Present()
-	name := names[one.machine%len(names)]
-	draw := rand.New(rand.NewPCG(one.seed, 47))
-	struck := []string{name}
-	if one.kind == stepLoseZone {
-		struck = p.sameZone(name)
+func (s *simulation) injectFault(fault plannedFault) {
+	names := s.fleet.MemberNames()
+	name := names[fault.machine%len(names)]
+	random := rand.New(rand.NewPCG(fault.seed, 47))
+	affected := []string{name}
+	if fault.kind == faultLoseZone {
+		affected = s.sameZone(name)
 	}
-	if one.kind.ofProcess() {
-		if !p.occupy(struck) {
+	if fault.kind.stopsProcess() {
+		if !s.reserveMachines(affected) {
 			return
 		}
-		defer p.release(struck)
+		defer s.releaseMachines(affected)
 	}
-	if (one.kind == stepWipe || one.kind == stepLoseMachine) && !p.spare(name) {
+	if (fault.kind == faultWipe || fault.kind == faultLoseMachine) && !s.tolerateDiskLoss(name) {
 		return
 	}
-	p.lock.Lock()
-	p.troubles++
-	p.lock.Unlock()
-	if one.kind == stepLoseMachine {
-		p.loseMachine(name, one.lasting)
+	s.lock.Lock()
+	s.faults++
+	s.lock.Unlock()
+	if fault.kind == faultLoseMachine {
+		s.loseMachine(name, fault.duration)
 		return
 	}
-	rehearsed[one.kind](p.fleet, name, draw, one.lasting)
-	if one.kind.ofProcess() {
-		p.restarted(struck)
+	faultFunctions[fault.kind](s.fleet, name, random, fault.duration)
+	if fault.kind.stopsProcess() {
+		s.recordRestart(affected)
 	}
 }
 
-func (p *play) sameZone(name string) []string {
+func (s *simulation) sameZone(name string) []string {
 	var found []string
-	for _, other := range p.fleet.Present() {
-		if p.fleet.Zone(other) == p.fleet.Zone(name) {
+	for _, other := range s.fleet.MemberNames() {
+		if s.fleet.Zone(other) == s.fleet.Zone(name) {
 			found = append(found, other)
 		}
 	}
 	return found
 }
 
-func (p *play) occupy(names []string) bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+func (s *simulation) reserveMachines(names []string) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	for _, name := range names {
-		if p.busy[name] {
+		if s.faulted[name] {
 			return false
 		}
 	}
 	for _, name := range names {
-		p.busy[name] = true
+		s.faulted[name] = true
 	}
 	return true
 }
 
-func (p *play) release(names []string) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+func (s *simulation) releaseMachines(names []string) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	for _, name := range names {
-		delete(p.busy, name)
+		delete(s.faulted, name)
 	}
 }
 
-func (p *play) restarted(names []string) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+func (s *simulation) recordRestart(names []string) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	for _, name := range names {
-		p.started[name] = time.Now()
+		s.startedMachines[name] = time.Now()
 	}
 }
 
 // spare takes a disk from the number that may be lost at once, in the newest list of members
 // and, during a change, in the next one. It says whether the loss is borne.
-func (p *play) spare(name string) bool {
-	newest := p.newestMembers()
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.empty[name] = true
-	for _, group := range [][]string{newest.Present, newest.Next} {
+func (s *simulation) tolerateDiskLoss(name string) bool {
+	newest := s.newestMembership()
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.diskLost[name] = true
+	for _, group := range [][]string{newest.Current, newest.Next} {
 		lost := 0
 		for _, member := range group {
-			acceptor := p.fleet.AcceptorOf(member)
-			if p.empty[member] || acceptor != nil && !acceptor.Self().Voting {
+			acceptor := s.fleet.AcceptorOf(member)
+			if s.diskLost[member] || acceptor != nil && !acceptor.LocalState().Voting {
 				lost++
 			}
 		}
 		if len(group) > 0 && lost > (len(group)-1)/2 {
-			delete(p.empty, name)
+			delete(s.diskLost, name)
 			return false
 		}
 	}
 	return true
 }
 
-// newestMembers is the newest list that a running machine knows.
-func (p *play) newestMembers() keystore.Members {
-	var newest keystore.Members
-	for _, name := range p.fleet.Present() {
-		if store := p.fleet.StoreOf(name); store != nil && store.Members().Number >= newest.Number {
-			newest = store.Members()
+// newestMembership is the newest list that a running machine knows.
+func (s *simulation) newestMembership() keystore.Membership {
+	var newest keystore.Membership
+	for _, name := range s.fleet.MemberNames() {
+		if store := s.fleet.StoreOf(name); store != nil && store.Membership().Version >= newest.Version {
+			newest = store.Membership()
 		}
 	}
 	return newest
 }
 
 // loseMachine ends a machine for good; an empty one in the same zone stands by after a while.
-func (p *play) loseMachine(name string, after time.Duration) {
-	p.fleet.Retire(name)
+func (s *simulation) loseMachine(name string, after time.Duration) {
+	s.fleet.Retire(name)
 	time.Sleep(after)
-	p.standBy(name)
+	s.startStandby(name)
 }
 
-// standBy starts an empty machine in the zone of another.
-func (p *play) standBy(like string) {
-	p.lock.Lock()
-	p.standbys++
-	newcomer := fmt.Sprintf("newcomer-%d", p.standbys)
-	p.empty[newcomer] = true
-	p.lock.Unlock()
-	p.fleet.Join(newcomer, like)
-	p.attend(newcomer)
+// startStandby starts an empty machine in the zone of another.
+func (s *simulation) startStandby(like string) {
+	s.lock.Lock()
+	s.standbyCount++
+	newcomer := fmt.Sprintf("newcomer-%d", s.standbyCount)
+	s.diskLost[newcomer] = true
+	s.lock.Unlock()
+	s.fleet.Join(newcomer, like)
+	s.startMachine(newcomer)
 }
--- a/internal/histories/variants_test.go
+++ b/internal/histories/variants_test.go
@@ -14,68 +14,68 @@
 	"ferryspar/internal/membersim"
 )
 
-// rememberingStore refuses on what it saw last, without asking a majority.
-type rememberingStore struct {
+// rejectsOnRememberedState refuses on what it saw last, without asking a majority.
+type rejectsOnRememberedState struct {
 	controlstate.Store
 	memory *storeMemory
 }
 
 type storeMemory struct {
 	lock  sync.Mutex
-	slots map[string]keystore.Slot
+	slots map[string]keystore.Register
 }
 
-func (s *storeMemory) get(name string) (keystore.Slot, bool) {
+func (s *storeMemory) get(name string) (keystore.Register, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	slot, known := s.slots[name]
-	return slot, known
+	register, known := s.slots[name]
+	return register, known
 }
 
-func (s *storeMemory) put(name string, slot keystore.Slot) {
+func (s *storeMemory) put(name string, register keystore.Register) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.slots[name] = slot
+	s.slots[name] = register
 }
 
-func (r rememberingStore) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Slot, error) {
-	if slot, known := r.memory.get(name); known {
-		if _, refused := decide(slot); refused != nil {
-			return slot, refused
+func (r rejectsOnRememberedState) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
+	if register, known := r.memory.get(name); known {
+		if _, rejected := decide(register); rejected != nil {
+			return register, rejected
 		}
 	}
-	slot, err := r.Store.Change(ctx, name, decide)
+	register, err := r.Store.Change(ctx, name, decide)
 	if err == nil {
-		r.memory.put(name, slot)
+		r.memory.put(name, register)
 	}
-	return slot, err
+	return register, err
 }
 
-// remembering gives each store of a daemon its own memory.
-func remembering() func(store controlstate.Store) controlstate.Store {
+// withRememberedState gives each store of a daemon its own memory.
+func withRememberedState() func(store controlstate.Store) controlstate.Store {
 	memories := map[controlstate.Store]*storeMemory{}
 	var lock sync.Mutex
 	return func(store controlstate.Store) controlstate.Store {
 		lock.Lock()
 		defer lock.Unlock()
 		if memories[store] == nil {
-			memories[store] = &storeMemory{slots: map[string]keystore.Slot{}}
+			memories[store] = &storeMemory{slots: map[string]keystore.Register{}}
 		}
-		return rememberingStore{store, memories[store]}
+		return rejectsOnRememberedState{store, memories[store]}
 	}
 }
 
-// forgettingStore hides from decisions which calls were taken.
-type forgettingStore struct{ controlstate.Store }
+// appliedCallsHidden hides from decisions which calls were taken.
+type appliedCallsHidden struct{ controlstate.Store }
 
-func (f forgettingStore) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Slot, error) {
-	return f.Store.Change(ctx, name, func(current keystore.Slot) (json.RawMessage, error) {
+func (f appliedCallsHidden) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
+	return f.Store.Change(ctx, name, func(current keystore.Register) (json.RawMessage, error) {
 		if name == keystore.ConfigurationKey && len(current.Value) > 0 {
 			record, err := controlstate.DecodeConfiguration(current)
 			if err != nil {
 				return nil, err
 			}
-			record.Taken = controlstate.TakenCalls{}
+			record.AppliedCalls = controlstate.AppliedCalls{}
 			current.Value, _ = json.Marshal(record)
 		}
 		return decide(current)
@@ -87,37 +87,39 @@
 type brokenVariant struct {
 	name  string
 	from  uint64
-	spoil func() variant
+	build func() variant
 }
 
-func spoiledFleet(spoil func(fleet *membersim.Fleet)) func() variant {
+func clusterVariant(spoil func(cluster *membersim.Cluster)) func() variant {
 	return func() variant { return variant{fleet: spoil} }
 }
 
-func forgetting(store controlstate.Store) controlstate.Store { return forgettingStore{store} }
+func withoutAppliedCalls(store controlstate.Store) controlstate.Store {
+	return appliedCallsHidden{store}
+}
 
 var variants = []brokenVariant{
-	{"a wiped member that votes at once", 126, spoiledFleet(func(fleet *membersim.Fleet) { fleet.VotesWild = true })},
-	{"answers before the sync", 4, spoiledFleet(func(fleet *membersim.Fleet) { fleet.Unsynced = true })},
-	{"silence counted as agreement", 2, spoiledFleet(func(fleet *membersim.Fleet) { fleet.Assenting = true })},
-	{"a refusal decided on remembered ownership", 1, func() variant { return variant{store: remembering()} }},
-	{"resends not recognised", 5, func() variant { return variant{store: forgetting} }},
-	{"freshness without a deadline", 2, func() variant { return variant{freshUntilTold: true} }},
-	{"a digest that counts as confirmed in spite of an open one", 2, func() variant { return variant{ignoresUnsettled: true} }},
-	{"a late copy of an evacuation carried out", 88, func() variant { return variant{neverLate: true} }},
+	{"a wiped member that votes at once", 126, clusterVariant(func(cluster *membersim.Cluster) { cluster.VotesWithoutCatchUp = true })},
+	{"answers before the sync", 4, clusterVariant(func(cluster *membersim.Cluster) { cluster.SkipsSync = true })},
+	{"silence counted as agreement", 2, clusterVariant(func(cluster *membersim.Cluster) { cluster.CountsSilenceAsGrant = true })},
+	{"a refusal decided on remembered ownership", 1, func() variant { return variant{store: withRememberedState()} }},
+	{"resends not recognised", 5, func() variant { return variant{store: withoutAppliedCalls} }},
+	{"freshness without a deadline", 2, func() variant { return variant{staysFreshUntilFailure: true} }},
+	{"a digest that counts as confirmed in spite of an open one", 2, func() variant { return variant{ignoresUndecided: true} }},
+	{"a late copy of an evacuation carried out", 88, func() variant { return variant{ignoresTokenExpiry: true} }},
 }
 
 // variantSeeds bounds the search for a schedule that shows a fault.
 const variantSeeds = 400
 
-// TestGivenBrokenVariantsThenTheChecksCatchThem counts faults of safety only: a variant that
+// TestSimulation_BrokenVariantsAreCaught counts faults of safety only: a variant that
 // merely stops answering is not caught.
-func TestGivenBrokenVariantsThenTheChecksCatchThem(t *testing.T) {
+func TestSimulation_BrokenVariantsAreCaught(t *testing.T) {
 	for _, broken := range variants {
 		t.Run(broken.name, func(t *testing.T) {
 			for seed := broken.from; seed < broken.from+variantSeeds; seed++ {
-				_, err := judged(t, drawSchedule(seed), broken.spoil())
-				if err != nil && !errors.Is(err, errNoAnswer) && !errors.Is(err, errNotJudged) {
+				_, err := runAndCheck(t, drawSchedule(seed), broken.build())
+				if err != nil && !errors.Is(err, errNoAnswer) && !errors.Is(err, errCheckTimedOut) {
 					t.Logf("seed %d: %v", seed, err)
 					return
 				}
--- a/internal/hollow/child.go
+++ b/internal/hollow/child.go
@@ -151,7 +151,7 @@
 	network := NewNetwork(c.plan, host, c.counter, &c.cut)
 	run := func(ctx context.Context, signals nodesettings.Signals) error { return nil }
 	if c.role == roleMember {
-		folder, err := keystore.NewFolder(filepath.Join(c.folder, host))
+		folder, err := keystore.NewDirectory(filepath.Join(c.folder, host))
 		if err != nil {
 			return err
 		}
--- a/internal/hollow/counter.go
+++ b/internal/hollow/counter.go
@@ -57,7 +57,7 @@
 
 // countedFolder counts the writes and syncs of a control plane's disk.
 type countedFolder struct {
-	keystore.Folder
+	keystore.Directory
 	counter *Counter
 }
 
@@ -65,11 +65,11 @@
 func (f *countedFolder) Write(name string, offset int64, content []byte) error {
 	f.counter.writes.Add(1)
 	f.counter.disk.Add(int64(len(content)))
-	return f.Folder.Write(name, offset, content)
+	return f.Directory.Write(name, offset, content)
 }
 
 // Sync counts and passes on a sync.
 func (f *countedFolder) Sync(name string) error {
 	f.counter.sync.Add(1)
-	return f.Folder.Sync(name)
+	return f.Directory.Sync(name)
 }
--- a/internal/keystore/acceptor.go
+++ b/internal/keystore/acceptor.go
@@ -11,143 +11,143 @@
 // Clock tells the time. Its steady part (as that of time.Now) bounds leases.
 type Clock func() time.Time
 
-// Rules are the bounds of one member.
-type Rules struct {
+// AcceptorConfig are the bounds of one member.
+type AcceptorConfig struct {
 	// Lease is how long a lease is granted; another holder is refused for as long.
-	Lease time.Duration
-	Clock Clock
+	LeaseDuration time.Duration
+	Clock         Clock
 	// Seeds are the founders of the system by the member's settings.
 	Seeds []string
 }
 
-// decision is one question to the member's state.
-type decision func(state *MemberState, now time.Time, durable map[string]Slot) (Reply, []Slot)
+// transition is one question to the member's state.
+type transition func(state *AcceptorState, now time.Time, durable map[string]Register) (Reply, []Register)
 
-type call struct {
-	decide decision
-	answer chan Reply
+type request struct {
+	decide transition
+	reply  chan Reply
 }
 
 type batch struct {
-	slots   []Slot
-	waiting []waiting
+	registers []Register
+	replies   []pendingReply
 }
 
-type waiting struct {
-	answer chan Reply
-	reply  Reply
+type pendingReply struct {
+	destination chan Reply
+	reply       Reply
 }
 
-// Acceptor runs one member: a loop owns the MemberState, a second one the disk. Answers
+// Acceptor runs one member: a loop owns the AcceptorState, a second one the disk. Answers
 // that depend on a write are held back until the disk has synced it; a disk that hangs
 // holds up nothing else.
 type Acceptor struct {
-	state   *MemberState
-	seeds   []string
-	clock   Clock
-	calls   chan call
-	write   chan batch
-	written chan error
-	durable atomic.Pointer[map[string]Slot]
-	queued  batch
-	flying  *batch
+	state        *AcceptorState
+	seeds        []string
+	clock        Clock
+	requests     chan request
+	writes       chan batch
+	writeResults chan error
+	durable      atomic.Pointer[map[string]Register]
+	queued       batch
+	inFlight     *batch
 }
 
 // NewAcceptor makes the member at address from what its journal holds. With founding set no
 // earlier life can have granted a lease; otherwise none is promised for one lease's length.
-func NewAcceptor(address string, journal *Journal, rules Rules, founding bool) *Acceptor {
-	state := &MemberState{
-		Address: address, Seeds: rules.Seeds, Lease: rules.Lease, Slots: journal.State(), Grants: map[string]time.Time{},
+func NewAcceptor(address string, log *WAL, config AcceptorConfig, bootstrapping bool) *Acceptor {
+	state := &AcceptorState{
+		Address: address, Seeds: config.Seeds, LeaseDuration: config.LeaseDuration, Registers: log.State(), Grants: map[string]time.Time{},
 	}
-	if !founding {
-		state.QuietUntil = rules.Clock().Add(rules.Lease)
+	if !bootstrapping {
+		state.LeasesBlockedUntil = config.Clock().Add(config.LeaseDuration)
 	}
 	acceptor := &Acceptor{
-		state: state, seeds: rules.Seeds, clock: rules.Clock, calls: make(chan call, 64), write: make(chan batch, 1), written: make(chan error, 1),
+		state: state, seeds: config.Seeds, clock: config.Clock, requests: make(chan request, 64), writes: make(chan batch, 1), writeResults: make(chan error, 1),
 	}
-	durable := journal.State()
+	durable := log.State()
 	acceptor.durable.Store(&durable)
 	return acceptor
 }
 
 // Run answers calls until the context ends.
-func (a *Acceptor) Run(ctx context.Context, journal *Journal) {
-	go a.writeLoop(ctx, journal)
+func (a *Acceptor) Run(ctx context.Context, log *WAL) {
+	go a.writeLoop(ctx, log)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case err := <-a.written:
-			a.finish(err)
-		case next := <-a.calls:
+		case err := <-a.writeResults:
+			a.completeWrite(err)
+		case next := <-a.requests:
 			a.handle(next)
 		}
 	}
 }
 
-func (a *Acceptor) writeLoop(ctx context.Context, journal *Journal) {
+func (a *Acceptor) writeLoop(ctx context.Context, log *WAL) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case next := <-a.write:
-			a.written <- journal.Append(next.slots)
+		case next := <-a.writes:
+			a.writeResults <- log.Append(next.registers)
 		}
 	}
 }
 
 // Call answers a message of a proposer or member. Any goroutine may call it.
 func (a *Acceptor) Call(ctx context.Context, message Message) (Reply, error) {
-	return a.submit(ctx, func(state *MemberState, now time.Time, durable map[string]Slot) (Reply, []Slot) {
+	return a.submit(ctx, func(state *AcceptorState, now time.Time, durable map[string]Register) (Reply, []Register) {
 		return state.Step(message, now, durable)
 	})
 }
 
-// Install takes over what a member without a vote has read, see MemberState.Install.
-func (a *Acceptor) Install(ctx context.Context, read CatchUp) error {
-	return a.require(ctx, func(state *MemberState, now time.Time, _ map[string]Slot) (Reply, []Slot) {
+// Install takes over what a member without a vote has read, see AcceptorState.Install.
+func (a *Acceptor) Install(ctx context.Context, read CatchUpResult) error {
+	return a.submitGranted(ctx, func(state *AcceptorState, now time.Time, _ map[string]Register) (Reply, []Register) {
 		return state.Install(read, now)
 	})
 }
 
-// Learn keeps a chosen value that this member missed, see MemberState.Learn.
-func (a *Acceptor) Learn(ctx context.Context, chosen Slot) error {
-	return a.require(ctx, func(state *MemberState, _ time.Time, _ map[string]Slot) (Reply, []Slot) {
+// Learn keeps a chosen value that this member missed, see AcceptorState.Learn.
+func (a *Acceptor) Learn(ctx context.Context, chosen Register) error {
+	return a.submitGranted(ctx, func(state *AcceptorState, _ time.Time, _ map[string]Register) (Reply, []Register) {
 		return state.Learn(chosen)
 	})
 }
 
-// CompleteFounding notes that every founder votes, see MemberState.CompleteFounding.
-func (a *Acceptor) CompleteFounding(ctx context.Context) error {
-	return a.require(ctx, func(state *MemberState, _ time.Time, _ map[string]Slot) (Reply, []Slot) {
-		return state.CompleteFounding()
+// CompleteBootstrap notes that every founder votes, see AcceptorState.CompleteFounding.
+func (a *Acceptor) CompleteBootstrap(ctx context.Context) error {
+	return a.submitGranted(ctx, func(state *AcceptorState, _ time.Time, _ map[string]Register) (Reply, []Register) {
+		return state.CompleteBootstrap()
 	})
 }
 
 // Hear keeps a newer member list that was told outside of the members' own questions.
-func (a *Acceptor) Hear(ctx context.Context, told Members) error {
-	return a.require(ctx, func(state *MemberState, _ time.Time, _ map[string]Slot) (Reply, []Slot) {
-		return Reply{Granted: true}, state.adopt(told)
+func (a *Acceptor) AdoptMembership(ctx context.Context, membership Membership) error {
+	return a.submitGranted(ctx, func(state *AcceptorState, _ time.Time, _ map[string]Register) (Reply, []Register) {
+		return Reply{Granted: true}, state.adoptMembership(membership)
 	})
 }
 
-func (a *Acceptor) require(ctx context.Context, decide decision) error {
+func (a *Acceptor) submitGranted(ctx context.Context, decide transition) error {
 	reply, err := a.submit(ctx, decide)
 	if err == nil && !reply.Granted {
-		return errors.New(string(reply.Refusal))
+		return errors.New(string(reply.Rejection))
 	}
 	return err
 }
 
-func (a *Acceptor) submit(ctx context.Context, decide decision) (Reply, error) {
-	next := call{decide, make(chan Reply, 1)}
+func (a *Acceptor) submit(ctx context.Context, decide transition) (Reply, error) {
+	next := request{decide, make(chan Reply, 1)}
 	select {
-	case a.calls <- next:
+	case a.requests <- next:
 	case <-ctx.Done():
 		return Reply{}, ctx.Err()
 	}
 	select {
-	case reply := <-next.answer:
+	case reply := <-next.reply:
 		return reply, nil
 	case <-ctx.Done():
 		return Reply{}, ctx.Err()
@@ -155,75 +155,75 @@
 }
 
 // Durable is what the member's disk holds. The map is never changed.
-func (a *Acceptor) Durable() map[string]Slot { return *a.durable.Load() }
+func (a *Acceptor) Durable() map[string]Register { return *a.durable.Load() }
 
-// Self is what the member's disk says of itself.
-func (a *Acceptor) Self() Self { return readSelf(a.Durable()) }
+// LocalState is what the member's disk says of itself.
+func (a *Acceptor) LocalState() LocalState { return readLocalState(a.Durable()) }
 
 // Seeds are the founders of the system by the member's settings.
 func (a *Acceptor) Seeds() []string { return a.seeds }
 
-// Members is the newest list on the member's disk.
-func (a *Acceptor) Members() Members { return readMembers(a.Durable()) }
+// Membership is the newest list on the member's disk.
+func (a *Acceptor) Membership() Membership { return readMembership(a.Durable()) }
 
-func (a *Acceptor) handle(next call) {
+func (a *Acceptor) handle(next request) {
 	reply, changes := next.decide(a.state, a.clock(), a.Durable())
 	if len(changes) == 0 {
-		next.answer <- reply
+		next.reply <- reply
 		return
 	}
-	a.stage(changes, waiting{next.answer, reply})
+	a.stage(changes, pendingReply{next.reply, reply})
 }
 
-// queueBound is how many answers may wait for the disk.
-const queueBound = 512
+// maxPendingReplies is how many answers may wait for the disk.
+const maxPendingReplies = 512
 
-func (a *Acceptor) stage(changes []Slot, one waiting) {
-	if len(a.queued.waiting) >= queueBound {
-		one.answer <- Reply{Refusal: RefusedDiskQueueFull}
+func (a *Acceptor) stage(changes []Register, pending pendingReply) {
+	if len(a.queued.replies) >= maxPendingReplies {
+		pending.destination <- Reply{Rejection: RejectedDiskQueueFull}
 		return
 	}
 	a.state.Apply(changes)
-	a.queued.slots = append(a.queued.slots, changes...)
-	a.queued.waiting = append(a.queued.waiting, one)
+	a.queued.registers = append(a.queued.registers, changes...)
+	a.queued.replies = append(a.queued.replies, pending)
 	a.flush()
 }
 
 func (a *Acceptor) flush() {
-	if a.flying != nil || len(a.queued.waiting) == 0 {
+	if a.inFlight != nil || len(a.queued.replies) == 0 {
 		return
 	}
-	flying := a.queued
-	a.flying, a.queued = &flying, batch{}
-	a.write <- flying
+	next := a.queued
+	a.inFlight, a.queued = &next, batch{}
+	a.writes <- next
 }
 
-func (a *Acceptor) finish(err error) {
-	done := a.flying
-	a.flying = nil
+func (a *Acceptor) completeWrite(err error) {
+	done := a.inFlight
+	a.inFlight = nil
 	if err != nil {
-		a.fallBack(done)
+		a.rollBack(done)
 		return
 	}
-	next := copySlots(a.Durable())
-	for _, slot := range done.slots {
-		next[slot.Key] = slot
+	next := copyRegisters(a.Durable())
+	for _, register := range done.registers {
+		next[register.Key] = register
 	}
 	a.durable.Store(&next)
-	for _, one := range done.waiting {
-		one.answer <- one.reply
+	for _, pending := range done.replies {
+		pending.destination <- pending.reply
 	}
 	a.flush()
 }
 
-// fallBack returns to what the disk holds after it refused a write, and refuses all that was
+// rollBack returns to what the disk holds after it refused a write, and refuses all that was
 // decided on top. Grants of leases that such a step noted stay: they only keep others away for
 // longer. What a torn write left on the disk may come back after a restart; it was never
 // promised to anybody, and a member may promise or accept at any time.
-func (a *Acceptor) fallBack(refused *batch) {
-	for _, one := range append(refused.waiting, a.queued.waiting...) {
-		one.answer <- Reply{Refusal: RefusedDisk}
+func (a *Acceptor) rollBack(failed *batch) {
+	for _, pending := range append(failed.replies, a.queued.replies...) {
+		pending.destination <- Reply{Rejection: RejectedDiskError}
 	}
 	a.queued = batch{}
-	a.state.Slots = copySlots(a.Durable())
+	a.state.Registers = copyRegisters(a.Durable())
 }
--- a/internal/keystore/ask.go
+++ b/internal/keystore/ask.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// askBound is how long a question waits for answers.
-const askBound = 900 * time.Millisecond
+// roundTimeout is how long a question waits for answers.
+const roundTimeout = 900 * time.Millisecond
 
-type answered struct {
+type memberReply struct {
 	address string
 	reply   Reply
 }
@@ -16,103 +16,103 @@
 // round is one question to all members with the replies so far. Replies that come after the
 // question was settled wait in late.
 type round struct {
-	members Members
-	replies map[string]Reply
-	late    <-chan answered
+	members     Membership
+	replies     map[string]Reply
+	lateReplies <-chan memberReply
 }
 
-type judge func(address string, reply Reply) bool
+type voteFunc func(address string, reply Reply) bool
 
 // tally counts replies: whether a quorum agrees, and whether one still may.
-func (r *round) tally(agrees judge) (agreed, possible bool) {
-	yes, maybe := map[string]bool{}, map[string]bool{}
+func (r *round) countVotes(agrees voteFunc) (agreed, possible bool) {
+	agreeing, undecided := map[string]bool{}, map[string]bool{}
 	for _, address := range r.members.All() {
 		reply, known := r.replies[address]
-		yes[address] = known && agrees(address, reply)
-		maybe[address] = !known || yes[address]
+		agreeing[address] = known && agrees(address, reply)
+		undecided[address] = !known || agreeing[address]
 	}
-	return r.members.Quorum(yes), r.members.Quorum(maybe)
+	return r.members.HasQuorum(agreeing), r.members.HasQuorum(undecided)
 }
 
 // progress is what a look at the replies so far says about waiting for more.
 type progress int
 
 const (
-	wait progress = iota
-	// linger: the question is answered, a little more patience may answer it better.
-	linger
-	finished
+	progressWait progress = iota
+	// progressLinger: the question is answered, a little more patience may answer it better.
+	progressLinger
+	progressFinished
 )
 
-// lingerBound is how long a question that is answered waits for further replies.
-const lingerBound = 120 * time.Millisecond
+// lingerTimeout is how long a question that is answered waits for further replies.
+const lingerTimeout = 120 * time.Millisecond
 
 // ask puts a question to all members until a quorum agrees or none can any more.
-func (s *Store) ask(ctx context.Context, message Message, agrees judge) (*round, bool) {
-	return s.askRound(ctx, message, func(*round) judge { return agrees })
+func (s *Store) queryQuorum(ctx context.Context, message Message, agrees voteFunc) (*round, bool) {
+	return s.queryQuorumWith(ctx, message, func(*round) voteFunc { return agrees })
 }
 
-// askRound is ask where a reply is judged by what the others of its round tell.
-func (s *Store) askRound(ctx context.Context, message Message, agrees func(r *round) judge) (*round, bool) {
-	asked := s.gather(ctx, message, func(r *round) progress {
-		agreed, possible := r.tally(agrees(r))
+// queryQuorumWith is ask where a reply is judged by what the others of its round tell.
+func (s *Store) queryQuorumWith(ctx context.Context, message Message, agrees func(r *round) voteFunc) (*round, bool) {
+	result := s.query(ctx, message, func(r *round) progress {
+		agreed, possible := r.countVotes(agrees(r))
 		if agreed || !possible {
-			return finished
+			return progressFinished
 		}
-		return wait
+		return progressWait
 	})
-	agreed, _ := asked.tally(agrees(asked))
-	return asked, agreed
+	agreed, _ := result.countVotes(agrees(result))
+	return result, agreed
 }
 
 // gather puts a question to all members and collects replies until look has seen enough.
-// Promises and writes go on to the members that have not answered yet.
-func (s *Store) gather(ctx context.Context, message Message, look func(r *round) progress) *round {
-	members := s.Members()
-	message.Members = members
-	return s.gatherFrom(ctx, members, message, look)
+// CountsPromise and writes go on to the members that have not answered yet.
+func (s *Store) query(ctx context.Context, message Message, assess func(r *round) progress) *round {
+	membership := s.Membership()
+	message.Membership = membership
+	return s.queryMembers(ctx, membership, message, assess)
 }
 
-// gatherFrom puts a question to the members of a list, whether or not that list is in force.
-func (s *Store) gatherFrom(ctx context.Context, members Members, message Message, look func(r *round) progress) *round {
-	asked := &round{members: members, replies: map[string]Reply{}}
+// queryMembers puts a question to the members of a list, whether or not that list is in force.
+func (s *Store) queryMembers(ctx context.Context, membership Membership, message Message, assess func(r *round) progress) *round {
+	result := &round{members: membership, replies: map[string]Reply{}}
 	message.Sender = s.self
 	if ctx.Err() != nil {
-		return asked
+		return result
 	}
-	addresses := asked.members.All()
-	answers := make(chan answered, len(addresses))
-	bounded, cancel := context.WithTimeout(ctx, askBound)
+	addresses := result.members.All()
+	replies := make(chan memberReply, len(addresses))
+	bounded, cancel := context.WithTimeout(ctx, roundTimeout)
 	for _, address := range addresses {
-		go func() { answers <- answered{address, s.send(bounded, address, message)} }()
+		go func() { replies <- memberReply{address, s.send(bounded, address, message)} }()
 	}
-	asked.collect(answers, len(addresses), look)
-	asked.late = answers
-	if message.Operation == OperationAccept || message.Operation == OperationPromise {
-		time.AfterFunc(askBound, cancel)
+	result.collect(replies, len(addresses), assess)
+	result.lateReplies = replies
+	if message.Operation == OperationAccept || message.Operation == OperationPrepare {
+		time.AfterFunc(roundTimeout, cancel)
 	} else {
 		cancel()
 	}
-	return asked
+	return result
 }
 
-func (r *round) collect(answers <-chan answered, amount int, look func(r *round) progress) {
-	var patience <-chan time.Time
+func (r *round) collect(replies <-chan memberReply, amount int, assess func(r *round) progress) {
+	var lingering <-chan time.Time
 	for range amount {
 		select {
-		case one := <-answers:
-			r.replies[one.address] = one.reply
-		case <-patience:
+		case received := <-replies:
+			r.replies[received.address] = received.reply
+		case <-lingering:
 			return
 		}
-		switch look(r) {
-		case finished:
+		switch assess(r) {
+		case progressFinished:
 			return
-		case linger:
-			if patience == nil {
-				timer := time.NewTimer(lingerBound)
+		case progressLinger:
+			if lingering == nil {
+				timer := time.NewTimer(lingerTimeout)
 				defer timer.Stop()
-				patience = timer.C
+				lingering = timer.C
 			}
 		}
 	}
@@ -121,9 +121,9 @@
 func (s *Store) send(ctx context.Context, address string, message Message) Reply {
 	reply, err := s.transport.Send(ctx, address, message)
 	if err != nil {
-		reply = Reply{Refusal: RefusedUnreached}
+		reply = Reply{Rejection: RejectedUnreachable}
 	}
-	s.Adopt(reply.Members)
-	s.observe(reply.Slot.Promised)
+	s.AdoptMembership(reply.Membership)
+	s.observeProposalNumber(reply.Register.Promised)
 	return reply
 }
--- a/internal/keystore/ballot.go
+++ b/internal/keystore/ballot.go
@@ -9,71 +9,71 @@
 	"github.com/pkg/errors"
 )
 
-// Ballot numbers one attempt to own a key. It names the member that made it and the life of
+// ProposalNumber numbers one attempt to own a key. It names the member that made it and the life of
 // that member's process, so two members, or two lives of one member, never share a ballot.
-// Within a life rounds only rise. The zero Ballot is below every other.
-type Ballot struct {
-	Round  uint64
-	Member string
-	Life   uint64
+// Within a life rounds only rise. The zero ProposalNumber is below every other.
+type ProposalNumber struct {
+	Round       uint64
+	Proposer    string
+	Incarnation uint64
 }
 
 // Compare orders ballots by round, then member, then life.
-func (b Ballot) Compare(other Ballot) int {
-	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Member, other.Member), cmp.Compare(b.Life, other.Life))
+func (n ProposalNumber) Compare(other ProposalNumber) int {
+	return cmp.Or(cmp.Compare(n.Round, other.Round), cmp.Compare(n.Proposer, other.Proposer), cmp.Compare(n.Incarnation, other.Incarnation))
 }
 
 // Less says whether b is ordered before other.
-func (b Ballot) Less(other Ballot) bool { return b.Compare(other) < 0 }
+func (n ProposalNumber) Less(other ProposalNumber) bool { return n.Compare(other) < 0 }
 
 // IsZero says that no attempt is named; it leaves the field out of JSON.
-func (b Ballot) IsZero() bool { return b == Ballot{} }
+func (n ProposalNumber) IsZero() bool { return n == ProposalNumber{} }
 
-func maxBallot(left, right Ballot) Ballot {
+func maxProposalNumber(left, right ProposalNumber) ProposalNumber {
 	if left.Less(right) {
 		return right
 	}
 	return left
 }
 
-const ballotFields = 3
+const proposalNumberFields = 3
 
 // String gives the round, the life in hexadecimal and the member.
-func (b Ballot) String() string {
-	return strconv.FormatUint(b.Round, 10) + "." + strconv.FormatUint(b.Life, 16) + "." + b.Member
+func (n ProposalNumber) String() string {
+	return strconv.FormatUint(n.Round, 10) + "." + strconv.FormatUint(n.Incarnation, 16) + "." + n.Proposer
 }
 
 // MarshalJSON writes the ballot as one string.
-func (b Ballot) MarshalJSON() ([]byte, error) { return json.Marshal(b.String()) }
+func (n ProposalNumber) MarshalJSON() ([]byte, error) { return json.Marshal(n.String()) }
 
 const (
-	formerRoundShift = 32
-	formerNonceMask  = 1<<formerRoundShift - 1
+	legacyRoundShift      = 32
+	legacyIncarnationMask = 1<<legacyRoundShift - 1
 )
 
 // UnmarshalJSON reads the string form, and the number that earlier versions wrote to disk
 // (round in the upper half, a random number of the life in the lower).
-func (b *Ballot) UnmarshalJSON(content []byte) error {
-	if former, err := strconv.ParseUint(string(content), 10, 64); err == nil {
-		*b = Ballot{Round: former >> formerRoundShift, Life: former & formerNonceMask}
+func (n *ProposalNumber) UnmarshalJSON(content []byte) error {
+	if legacy, err := strconv.ParseUint(string(content), 10, 64); err == nil {
+		*n = ProposalNumber{Round: legacy >> legacyRoundShift, Incarnation: legacy & legacyIncarnationMask}
 		return nil
 	}
 	var text string
 	if err := json.Unmarshal(content, &text); err != nil {
 		return err
 	}
-	fields := strings.SplitN(text, ".", ballotFields)
-	if len(fields) != ballotFields {
+	fields := strings.SplitN(text, ".", proposalNumberFields)
+	if len(fields) != proposalNumberFields {
 		return errors.Errorf("ballot %q is malformed", text)
 	}
 	round, err := strconv.ParseUint(fields[0], 10, 64)
 	if err != nil {
 		return errors.Wrapf(err, "round of ballot %q", text)
 	}
-	life, err := strconv.ParseUint(fields[1], 16, 64)
+	incarnation, err := strconv.ParseUint(fields[1], 16, 64)
 	if err != nil {
 		return errors.Wrapf(err, "life of ballot %q", text)
 	}
-	*b = Ballot{Round: round, Life: life, Member: fields[2]}
+	*n = ProposalNumber{Round: round, Incarnation: incarnation, Proposer: fields[2]}
 	return nil
 }
--- a/internal/keystore/ballot_test.go
+++ b/internal/keystore/ballot_test.go
@@ -8,49 +8,49 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestGivenBallotsThenTheyAreOrderedByRoundThenMemberThenLife(t *testing.T) {
-	ordered := []Ballot{
-		{}, {Round: 1, Member: "a", Life: 1}, {Round: 1, Member: "a", Life: 2}, {Round: 1, Member: "b", Life: 1}, {Round: 2, Member: "a", Life: 1},
+func TestProposalNumber_OrderedByRoundProposerIncarnation(t *testing.T) {
+	ordered := []ProposalNumber{
+		{}, {Round: 1, Proposer: "a", Incarnation: 1}, {Round: 1, Proposer: "a", Incarnation: 2}, {Round: 1, Proposer: "b", Incarnation: 1}, {Round: 2, Proposer: "a", Incarnation: 1},
 	}
-	assert.Assert(t, slices.IsSortedFunc(ordered, Ballot.Compare))
+	assert.Assert(t, slices.IsSortedFunc(ordered, ProposalNumber.Compare))
 	for position := range ordered[1:] {
 		assert.Assert(t, ordered[position].Less(ordered[position+1]))
 		assert.Assert(t, !ordered[position+1].Less(ordered[position]))
 	}
 }
 
-func TestGivenABallotThenItIsReadAsItWasWritten(t *testing.T) {
-	for _, ballot := range []Ballot{{}, {Round: 7, Member: "10.0.0.1:7000", Life: 1 << 63}, {Round: 1, Member: "a.b", Life: 10}} {
-		content, err := json.Marshal(ballot)
+func TestProposalNumber_JSONRoundTrip(t *testing.T) {
+	for _, proposal := range []ProposalNumber{{}, {Round: 7, Proposer: "10.0.0.1:7000", Incarnation: 1 << 63}, {Round: 1, Proposer: "a.b", Incarnation: 10}} {
+		content, err := json.Marshal(proposal)
 		assert.NilError(t, err)
-		var read Ballot
+		var read ProposalNumber
 		assert.NilError(t, json.Unmarshal(content, &read))
-		assert.Equal(t, read, ballot)
+		assert.Equal(t, read, proposal)
 	}
 }
 
-func TestGivenABallotOfTheFormerFormatThenRoundAndLifeAreKept(t *testing.T) {
-	var read Ballot
+func TestProposalNumber_ReadsLegacyFormat(t *testing.T) {
+	var read ProposalNumber
 	assert.NilError(t, json.Unmarshal([]byte("12884901893"), &read))
-	assert.Equal(t, read, Ballot{Round: 3, Life: 5})
+	assert.Equal(t, read, ProposalNumber{Round: 3, Incarnation: 5})
 }
 
-func TestGivenMalformedBallotsThenEachIsRefused(t *testing.T) {
+func TestProposalNumber_RejectsMalformedText(t *testing.T) {
 	for _, content := range []string{`""`, `"7"`, `"x.1.a"`, `"1.y.a"`, `{}`, `true`} {
-		var read Ballot
+		var read ProposalNumber
 		assert.Assert(t, json.Unmarshal([]byte(content), &read) != nil, content)
 	}
 }
 
-func TestGivenTwoLivesOfOneMemberThenTheyShareNoBallot(t *testing.T) {
-	seen := map[Ballot]bool{}
-	for _, life := range []uint64{1, 2} {
+func TestStore_IncarnationsShareNoProposalNumber(t *testing.T) {
+	seen := map[ProposalNumber]bool{}
+	for _, incarnation := range []uint64{1, 2} {
 		for _, self := range []string{"a", "b"} {
-			store := NewStore(self, life, nil, Members{})
+			store := NewStore(self, incarnation, nil, Membership{})
 			for range 100 {
-				ballot := store.nextBallot()
-				assert.Assert(t, !seen[ballot], ballot.String())
-				seen[ballot] = true
+				proposal := store.nextProposalNumber()
+				assert.Assert(t, !seen[proposal], proposal.String())
+				seen[proposal] = true
 			}
 		}
 	}
--- a/internal/keystore/change.go
+++ b/internal/keystore/change.go
@@ -9,80 +9,80 @@
 
 // Decide says what follows the current value: the next one, or an error that refuses the
 // change. It may be asked several times, each time on a value that a majority holds.
-type Decide func(current Slot) (json.RawMessage, error)
+type Decide func(current Register) (json.RawMessage, error)
 
 // Change writes a key. The slot returned is the one written, or with a refusal of decide the
 // committed one that it refused on. ErrUncertain says that the write may take effect.
-func (s *Store) Change(ctx context.Context, name string, decide Decide) (Slot, error) {
-	key := s.key(name)
-	if err := key.enter(ctx); err != nil {
-		return Slot{}, err
-	}
-	defer key.leave()
-	if !key.held || !key.Certain() {
-		if slot, known := s.committed(ctx, name); known {
-			if _, refused := decide(slot); refused != nil {
-				return slot, refused
+func (s *Store) Change(ctx context.Context, name string, decide Decide) (Register, error) {
+	key := s.keyState(name)
+	if err := key.lock(ctx); err != nil {
+		return Register{}, err
+	}
+	defer key.unlock()
+	if !key.owned || !key.IsCertain() {
+		if register, known := s.readCommitted(ctx, name); known {
+			if _, rejected := decide(register); rejected != nil {
+				return register, rejected
 			}
 		}
-		if err := s.takeWithin(ctx, key); err != nil {
-			return Slot{}, err
+		if err := s.becomeOwnerWithRetry(ctx, key); err != nil {
+			return Register{}, err
 		}
 	}
-	value, refused := decide(key.slot)
-	if refused != nil {
+	value, rejected := decide(key.register)
+	if rejected != nil {
 		if s.confirm(ctx, key) == nil {
-			return key.slot, refused
+			return key.register, rejected
 		}
-		if err := s.takeWithin(ctx, key); err != nil {
-			return Slot{}, err
+		if err := s.becomeOwnerWithRetry(ctx, key); err != nil {
+			return Register{}, err
 		}
-		if value, refused = decide(key.slot); refused != nil {
-			return key.slot, refused
+		if value, rejected = decide(key.register); rejected != nil {
+			return key.register, rejected
 		}
 	}
-	return s.write(ctx, key, value, decide)
+	return s.writeValue(ctx, key, value, decide)
 }
 
 // write commits a value. After an uncertain outcome the key is taken anew: what is committed
 // then tells whether the write took effect.
-func (s *Store) write(ctx context.Context, key *key, value json.RawMessage, decide Decide) (Slot, error) {
+func (s *Store) writeValue(ctx context.Context, key *keyState, value json.RawMessage, decide Decide) (Register, error) {
 	for {
-		next := key.Next(value)
+		next := key.NextProposal(value)
 		err := s.commit(ctx, key, next)
 		if err == nil {
-			key.slot = next
+			key.register = next
 			return next, nil
 		}
-		if ctx.Err() != nil || s.takeWithin(ctx, key) != nil {
-			return Slot{}, err
+		if ctx.Err() != nil || s.becomeOwnerWithRetry(ctx, key) != nil {
+			return Register{}, err
 		}
-		if bytes.Equal(key.slot.Value, value) {
-			return key.slot, nil
+		if bytes.Equal(key.register.Value, value) {
+			return key.register, nil
 		}
-		again, refused := decide(key.slot)
-		if refused != nil {
-			return key.slot, refused
+		again, rejected := decide(key.register)
+		if rejected != nil {
+			return key.register, rejected
 		}
 		value = again
 	}
 }
 
 // Seize takes a lease's key once, without trying again, and writes what decide says.
-func (s *Store) Seize(ctx context.Context, name string, decide func(current Slot) json.RawMessage) (Slot, error) {
-	key := s.key(name)
-	if err := key.enter(ctx); err != nil {
-		return Slot{}, err
+func (s *Store) Acquire(ctx context.Context, name string, decide func(current Register) json.RawMessage) (Register, error) {
+	key := s.keyState(name)
+	if err := key.lock(ctx); err != nil {
+		return Register{}, err
 	}
-	defer key.leave()
-	if err := s.take(ctx, key); err != nil {
-		return Slot{}, err
+	defer key.unlock()
+	if err := s.becomeOwner(ctx, key); err != nil {
+		return Register{}, err
 	}
-	next := key.Next(decide(key.slot))
+	next := key.NextProposal(decide(key.register))
 	if err := s.commit(ctx, key, next); err != nil {
-		return Slot{}, err
+		return Register{}, err
 	}
-	key.slot = next
+	key.register = next
 	return next, nil
 }
 
@@ -92,40 +92,40 @@
 // until then a successor may find either value. After ErrContended no write can succeed under this
 // ownership any more, though Renew may: another daemon took the key, or a member whose promise is
 // counted has lost its disk.
-func (s *Store) Rewrite(ctx context.Context, name string, decide Decide) error {
-	key := s.key(name)
-	if err := key.enter(ctx); err != nil {
+func (s *Store) Update(ctx context.Context, name string, decide Decide) error {
+	key := s.keyState(name)
+	if err := key.lock(ctx); err != nil {
 		return err
 	}
-	defer key.leave()
-	if !key.held {
+	defer key.unlock()
+	if !key.owned {
 		return ErrContended
 	}
-	value, refused := decide(key.slot)
-	if refused != nil {
-		return refused
+	value, rejected := decide(key.register)
+	if rejected != nil {
+		return rejected
 	}
-	next := key.Next(value)
-	key.joinLatePromises()
-	asked, agreed := s.ask(ctx, key.AcceptMessage(next), key.Accepts)
+	next := key.NextProposal(value)
+	key.addLatePromises()
+	result, agreed := s.queryQuorum(ctx, key.AcceptMessage(next), key.CountsAcceptance)
 	if agreed {
-		key.Ownership = key.Wrote(next)
+		key.Ownership = key.WithCommitted(next)
 		return nil
 	}
-	key.Ownership = key.Unclear(next)
-	return key.joinAccepting(asked)
+	key.Ownership = key.WithUncertain(next)
+	return key.addAcceptingMembers(result)
 }
 
-// joinAccepting counts the members that accepted a proposal from now on, also those that never
+// addAcceptingMembers counts the members that accepted a proposal from now on, also those that never
 // promised: to accept a ballot is to promise it. It returns what is known of the proposal's fate.
-func (k *key) joinAccepting(asked *round) error {
+func (k *keyState) addAcceptingMembers(result *round) error {
 	outcome := ErrUncertain
-	for address, reply := range asked.replies {
+	for address, reply := range result.replies {
 		switch {
-		case reply.Refusal == RefusedWiped || reply.Refusal == RefusedPromised:
+		case reply.Rejection == RejectedDiskLost || reply.Rejection == RejectedPromised:
 			outcome = ErrContended
-		case reply.Granted && k.incarnations[address] == 0:
-			k.Ownership = k.Joined(address, reply)
+		case reply.Granted && k.diskIncarnations[address] == 0:
+			k.Ownership = k.WithPromise(address, reply)
 		}
 	}
 	return outcome
@@ -133,107 +133,107 @@
 
 // Renew confirms at a majority that the key is still owned, which prolongs a lease.
 func (s *Store) Renew(ctx context.Context, name string) error {
-	return s.ownedCall(ctx, name, OperationRenew)
+	return s.callAsOwner(ctx, name, OperationRenew)
 }
 
 // Release ends an owned lease early. It must not be called before the last act under it.
 func (s *Store) Release(ctx context.Context, name string) error {
-	return s.ownedCall(ctx, name, OperationRelease)
+	return s.callAsOwner(ctx, name, OperationRelease)
 }
 
-func (s *Store) ownedCall(ctx context.Context, name string, operation Operation) error {
-	key := s.key(name)
-	if err := key.enter(ctx); err != nil {
+func (s *Store) callAsOwner(ctx context.Context, name string, operation Operation) error {
+	key := s.keyState(name)
+	if err := key.lock(ctx); err != nil {
 		return err
 	}
-	defer key.leave()
-	return s.confirmBy(ctx, key, operation)
+	defer key.unlock()
+	return s.confirmWith(ctx, key, operation)
 }
 
-func (s *Store) confirm(ctx context.Context, key *key) error {
-	return s.confirmBy(ctx, key, OperationRenew)
+func (s *Store) confirm(ctx context.Context, key *keyState) error {
+	return s.confirmWith(ctx, key, OperationRenew)
 }
 
-func (s *Store) confirmBy(ctx context.Context, key *key, operation Operation) error {
-	if !key.held {
+func (s *Store) confirmWith(ctx context.Context, key *keyState, operation Operation) error {
+	if !key.owned {
 		return ErrContended
 	}
-	message := Message{Operation: operation, Key: key.name, Ballot: key.ballot}
-	if _, agreed := s.ask(ctx, message, granted); !agreed {
+	message := Message{Operation: operation, Key: key.name, Proposal: key.proposal}
+	if _, agreed := s.queryQuorum(ctx, message, isGranted); !agreed {
 		return ErrNoMajority
 	}
 	return nil
 }
 
 // take makes one attempt to own the key.
-func (s *Store) take(ctx context.Context, key *key) error {
-	key.held = false
-	ballot := s.nextBallot()
-	promised, agreed := s.askRound(ctx, PromiseMessage(key.name, ballot), func(r *round) judge { return r.promises })
+func (s *Store) becomeOwner(ctx context.Context, key *keyState) error {
+	key.owned = false
+	proposal := s.nextProposalNumber()
+	promised, agreed := s.queryQuorumWith(ctx, PrepareMessage(key.name, proposal), func(r *round) voteFunc { return r.countsPromise })
 	if !agreed {
-		return promised.failure()
+		return promised.prepareError()
 	}
-	key.Ownership, key.latePromises = Owned(key.name, ballot, promised.replies), promised.late
-	if key.Carries() {
-		if err := s.commit(ctx, key, key.slot); err != nil {
+	key.Ownership, key.latePromises = NewOwnership(key.name, proposal, promised.replies), promised.lateReplies
+	if key.NeedsRecommit() {
+		if err := s.commit(ctx, key, key.register); err != nil {
 			return err
 		}
 	}
-	key.held = true
+	key.owned = true
 	return nil
 }
 
-// joinLatePromises counts the promises that came in after a quorum was reached, so that a write
+// addLatePromises counts the promises that came in after a quorum was reached, so that a write
 // does not hang on the members that were quickest when the key was taken.
-func (k *key) joinLatePromises() {
+func (k *keyState) addLatePromises() {
 	for {
 		select {
-		case one := <-k.latePromises:
-			k.Ownership = k.Joined(one.address, one.reply)
+		case late := <-k.latePromises:
+			k.Ownership = k.WithPromise(late.address, late.reply)
 		default:
 			return
 		}
 	}
 }
 
-func (r *round) failure() error {
+func (r *round) prepareError() error {
 	for _, reply := range r.replies {
-		if !reply.Granted && reply.Refusal.contended() {
+		if !reply.Granted && reply.Rejection.isContended() {
 			return ErrContended
 		}
 	}
 	return ErrNoMajority
 }
 
-func (s *Store) commit(ctx context.Context, key *key, slot Slot) error {
-	key.joinLatePromises()
-	if _, agreed := s.ask(ctx, key.AcceptMessage(slot), key.Accepts); agreed {
+func (s *Store) commit(ctx context.Context, key *keyState, register Register) error {
+	key.addLatePromises()
+	if _, agreed := s.queryQuorum(ctx, key.AcceptMessage(register), key.CountsAcceptance); agreed {
 		return nil
 	}
-	key.held = false
+	key.owned = false
 	return ErrUncertain
 }
 
 const (
-	firstPause   = 20 * time.Millisecond
-	longestPause = 320 * time.Millisecond
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 320 * time.Millisecond
 )
 
-// takeWithin tries to own the key, at drawn intervals, for as long as the context lasts.
-func (s *Store) takeWithin(ctx context.Context, key *key) error {
-	pause := firstPause
+// becomeOwnerWithRetry tries to own the key, at drawn intervals, for as long as the context lasts.
+func (s *Store) becomeOwnerWithRetry(ctx context.Context, key *keyState) error {
+	backoff := initialBackoff
 	for {
-		err := s.take(ctx, key)
+		err := s.becomeOwner(ctx, key)
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		timer := time.NewTimer(pause/2 + s.jitter(pause))
+		timer := time.NewTimer(backoff/2 + s.jitter(backoff))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 			return err
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
--- a/internal/keystore/conclusions.go
+++ b/internal/keystore/conclusions.go
@@ -3,38 +3,38 @@
 // The functions here are the pure conclusions of a Store from replies, for callers that play
 // proposers without a transport (internal/explore).
 
-// Tally says whether a quorum of the members agrees, and whether one still may.
-func Tally(members Members, replies map[string]Reply, agrees func(address string, reply Reply) bool) (agreed, possible bool) {
-	asked := round{members: members, replies: replies}
-	return asked.tally(agrees)
+// CountVotes says whether a quorum of the members agrees, and whether one still may.
+func CountVotes(membership Membership, replies map[string]Reply, agrees func(address string, reply Reply) bool) (agreed, possible bool) {
+	votes := round{members: membership, replies: replies}
+	return votes.countVotes(agrees)
 }
 
-// Promises says whether the reply of a member to a PromiseMessage counts, by what the others tell of it.
-func Promises(replies map[string]Reply, address string) bool {
-	asked := round{replies: replies}
-	return asked.promises(address, replies[address])
+// CountsPromise says whether the reply of a member to a PrepareMessage counts, by what the others tell of it.
+func CountsPromise(replies map[string]Reply, address string) bool {
+	prepared := round{replies: replies}
+	return prepared.countsPromise(address, replies[address])
 }
 
-// ConcludeDigest is what Store.Digest concludes from the replies of a quorum.
-func ConcludeDigest(members Members, replies map[string]Reply) Digest {
-	asked := round{members: members, replies: replies}
-	return asked.digest()
+// EvaluateDigest is what Store.Digest concludes from the replies of a quorum.
+func EvaluateDigest(membership Membership, replies map[string]Reply) Digest {
+	result := round{members: membership, replies: replies}
+	return result.digest()
 }
 
-// ConcludeCatchUp is what Store.CatchUp installs from the replies to its question, and whether they are enough:
+// EvaluateCatchUp is what Store.CatchUp installs from the replies to its question, and whether they are enough:
 // either enough voting members have answered, or the judge of the founding finds it ready.
-func ConcludeCatchUp(question CatchUpQuestion, replies map[string]Reply, judge FoundingJudge) (CatchUp, FoundingVerdict, bool) {
-	asked := round{members: question.Members, replies: replies}
-	read := CatchUp{Members: question.Members, Incarnation: question.Incarnation, Slots: asked.merged()}
-	if asked.covers(question.Self) {
+func EvaluateCatchUp(request CatchUpRequest, replies map[string]Reply, judge BootstrapJudge) (CatchUpResult, BootstrapVerdict, bool) {
+	result := round{members: request.Membership, replies: replies}
+	read := CatchUpResult{Membership: request.Membership, DiskIncarnation: request.DiskIncarnation, Registers: result.mergedRegisters()}
+	if result.coversLostVotes(request.Self) {
 		return read, "", true
 	}
-	verdict := judge(question.Self, question.Members, replies)
-	return read, verdict, verdict == FoundingReady
+	verdict := judge(request.Self, request.Membership, replies)
+	return read, verdict, verdict == BootstrapReady
 }
 
-// SelfOf reads what a member notes of itself from its slots.
-func SelfOf(slots map[string]Slot) Self { return readSelf(slots) }
+// LocalStateOf reads what a member notes of itself from its slots.
+func LocalStateOf(registers map[string]Register) LocalState { return readLocalState(registers) }
 
-// MembersOf reads the newest member list from a member's slots.
-func MembersOf(slots map[string]Slot) Members { return readMembers(slots) }
+// MembershipOf reads the newest member list from a member's slots.
+func MembershipOf(registers map[string]Register) Membership { return readMembership(registers) }
--- a/internal/keystore/digest_test.go
+++ b/internal/keystore/digest_test.go
@@ -6,38 +6,38 @@
 	"gotest.tools/v3/assert"
 )
 
-func told(incarnation uint64, slots ...Slot) Reply {
-	for position := range slots {
-		slots[position] = slots[position].Bare()
+func digestReply(diskIncarnation uint64, registers ...Register) Reply {
+	for position := range registers {
+		registers[position] = registers[position].WithoutValue()
 	}
-	return Reply{Granted: true, Incarnation: incarnation, Slots: slots}
+	return Reply{Granted: true, DiskIncarnation: diskIncarnation, Registers: registers}
 }
 
 func digestOf(replies map[string]Reply) Digest {
-	asked := &round{members: testMembers, replies: replies}
-	return asked.digest()
+	result := &round{members: testMembership, replies: replies}
+	return result.digest()
 }
 
-func TestGivenAValueOnAMajorityThenItIsCommitted(t *testing.T) {
-	found := digestOf(map[string]Reply{"a": told(1, accepted("x", 5, "v")), "b": told(2, accepted("x", 5, "v")), "c": told(3, accepted("x", 4, "u"))})
-	assert.Assert(t, found.Committed["x"].Same(accepted("x", 5, "v")))
-	assert.Equal(t, len(found.Unsettled), 0)
+func TestDigest_ValueOnMajorityIsCommitted(t *testing.T) {
+	found := digestOf(map[string]Reply{"a": digestReply(1, acceptedRegister("x", 5, "v")), "b": digestReply(2, acceptedRegister("x", 5, "v")), "c": digestReply(3, acceptedRegister("x", 4, "u"))})
+	assert.Assert(t, found.Committed["x"].SameProposal(acceptedRegister("x", 5, "v")))
+	assert.Equal(t, len(found.Undecided), 0)
 }
 
-func TestGivenANewerValueOnAMinorityThenNeitherIsToldAsInForce(t *testing.T) {
-	found := digestOf(map[string]Reply{"a": told(1, accepted("x", 6, "w")), "c": told(3, accepted("x", 5, "v"))})
+func TestDigest_NewerValueOnMinorityIsUndecided(t *testing.T) {
+	found := digestOf(map[string]Reply{"a": digestReply(1, acceptedRegister("x", 6, "w")), "c": digestReply(3, acceptedRegister("x", 5, "v"))})
 	assert.Equal(t, len(found.Committed), 0)
-	assert.Assert(t, found.Unsettled["x"].Same(accepted("x", 6, "w")))
+	assert.Assert(t, found.Undecided["x"].SameProposal(acceptedRegister("x", 6, "w")))
 }
 
-func TestGivenAReplyFromBeforeALostDiskThenItDoesNotCount(t *testing.T) {
-	before := told(1, accepted("x", 5, "v"))
-	after := told(2, accepted("x", 5, "v"))
-	after.Known = map[string]uint64{"a": 9}
+func TestDigest_IgnoresReplyFromBeforeDiskLoss(t *testing.T) {
+	before := digestReply(1, acceptedRegister("x", 5, "v"))
+	after := digestReply(2, acceptedRegister("x", 5, "v"))
+	after.KnownDiskIncarnations = map[string]uint64{"a": 9}
 	found := digestOf(map[string]Reply{"a": before, "b": after})
 	assert.Equal(t, len(found.Committed), 0)
-	assert.Assert(t, found.Unsettled["x"].Same(accepted("x", 5, "v")))
-	before.Incarnation = 9
+	assert.Assert(t, found.Undecided["x"].SameProposal(acceptedRegister("x", 5, "v")))
+	before.DiskIncarnation = 9
 	found = digestOf(map[string]Reply{"a": before, "b": after})
-	assert.Assert(t, found.Committed["x"].Same(accepted("x", 5, "v")))
+	assert.Assert(t, found.Committed["x"].SameProposal(acceptedRegister("x", 5, "v")))
 }
--- a/internal/keystore/diskfaults_test.go
+++ b/internal/keystore/diskfaults_test.go
@@ -14,56 +14,56 @@
 
 var errFault = errors.New("fault of the disk")
 
-// faultyFolder refuses some writes and syncs, of which a part or all may have been done, and dies after a drawn
+// faultyDirectory refuses some writes and syncs, of which a part or all may have been done, and dies after a drawn
 // number of them, in the middle of one.
-type faultyFolder struct {
-	handle   *membersim.Handle
-	draw     *rand.Rand
-	left     int
-	dead     bool
-	refusing int
-}
-
-func newFaultyFolder(handle *membersim.Handle, draw *rand.Rand) *faultyFolder {
-	folder := &faultyFolder{handle: handle, draw: draw, left: 1 + draw.IntN(120)}
-	if draw.IntN(3) == 0 {
-		folder.refusing = 2 + draw.IntN(8)
+type faultyDirectory struct {
+	handle         *membersim.Handle
+	random         *rand.Rand
+	operationsLeft int
+	dead           bool
+	failOneIn      int
+}
+
+func newFaultyDirectory(handle *membersim.Handle, random *rand.Rand) *faultyDirectory {
+	directory := &faultyDirectory{handle: handle, random: random, operationsLeft: 1 + random.IntN(120)}
+	if random.IntN(3) == 0 {
+		directory.failOneIn = 2 + random.IntN(8)
 	}
-	return folder
+	return directory
 }
 
 // fault tells whether the operation goes wrong.
-func (f *faultyFolder) fault() bool {
-	f.left--
-	f.dead = f.dead || f.left <= 0
-	return f.dead || f.refusing > 0 && f.draw.IntN(f.refusing) == 0
+func (f *faultyDirectory) fails() bool {
+	f.operationsLeft--
+	f.dead = f.dead || f.operationsLeft <= 0
+	return f.dead || f.failOneIn > 0 && f.random.IntN(f.failOneIn) == 0
 }
 
-func (f *faultyFolder) List() ([]string, error) { return f.handle.List() }
+func (f *faultyDirectory) List() ([]string, error) { return f.handle.List() }
 
-func (f *faultyFolder) Read(name string) ([]byte, error) { return f.handle.Read(name) }
+func (f *faultyDirectory) Read(name string) ([]byte, error) { return f.handle.Read(name) }
 
-func (f *faultyFolder) Prepare(name string, size int64) error {
-	if f.fault() {
+func (f *faultyDirectory) Prepare(name string, size int64) error {
+	if f.fails() {
 		return errFault
 	}
 	return f.handle.Prepare(name, size)
 }
 
-func (f *faultyFolder) Write(name string, offset int64, content []byte) error {
-	if f.left <= 0 {
+func (f *faultyDirectory) Write(name string, offset int64, content []byte) error {
+	if f.operationsLeft <= 0 {
 		return errFault
 	}
-	if f.fault() {
-		_ = f.handle.Write(name, offset, content[:f.draw.IntN(len(content)+1)])
+	if f.fails() {
+		_ = f.handle.Write(name, offset, content[:f.random.IntN(len(content)+1)])
 		return errFault
 	}
 	return f.handle.Write(name, offset, content)
 }
 
-func (f *faultyFolder) Sync(name string) error {
-	if f.fault() {
-		if !f.dead && f.draw.IntN(2) == 0 {
+func (f *faultyDirectory) Sync(name string) error {
+	if f.fails() {
+		if !f.dead && f.random.IntN(2) == 0 {
 			_ = f.handle.Sync(name)
 		}
 		return errFault
@@ -71,62 +71,62 @@
 	return f.handle.Sync(name)
 }
 
-func (f *faultyFolder) SyncFolder() error {
-	if f.fault() {
+func (f *faultyDirectory) SyncDirectory() error {
+	if f.fails() {
 		return errFault
 	}
-	return f.handle.SyncFolder()
+	return f.handle.SyncDirectory()
 }
 
-// unnoticing makes a missing ring file look like the remains of a write.
-type unnoticing struct{ keystore.Folder }
+// hidesMissingSegments makes a missing ring file look like the remains of a write.
+type hidesMissingSegments struct{ keystore.Directory }
 
-func (u *unnoticing) List() ([]string, error) {
-	names, err := u.Folder.List()
+func (h *hidesMissingSegments) List() ([]string, error) {
+	names, err := h.Directory.List()
 	if len(names) == 0 {
 		return nil, err
 	}
 	names = nil
-	for position := range keystore.RingFiles {
+	for position := range keystore.SegmentCount {
 		names = append(names, fmt.Sprintf("ring-%d", position))
 	}
 	return names, err
 }
 
-func (u *unnoticing) Read(name string) ([]byte, error) {
-	content, err := u.Folder.Read(name)
+func (h *hidesMissingSegments) Read(name string) ([]byte, error) {
+	content, err := h.Directory.Read(name)
 	if len(content) == 0 {
 		return []byte("\x00remains"), err
 	}
 	return content, err
 }
 
-// movingOn goes on to the next file, under the next number, after a failed rotation.
-type movingOn struct {
-	keystore.Folder
+// skipsAheadOnFailure goes on to the next file, under the next number, after a failed rotation.
+type skipsAheadOnFailure struct {
+	keystore.Directory
 	shift  uint64
 	synced map[string]string
 }
 
-func (m *movingOn) Write(name string, offset int64, content []byte) error {
+func (s *skipsAheadOnFailure) Write(name string, offset int64, content []byte) error {
 	if content[0] != 0 {
-		return m.Folder.Write(name, offset, content)
+		return s.Directory.Write(name, offset, content)
 	}
-	generation := binary.BigEndian.Uint64(content[8:]) + m.shift
-	moved := fmt.Sprintf("ring-%d", generation%keystore.RingFiles)
-	m.synced = map[string]string{name: moved}
-	err := m.Folder.Write(moved, offset, renumbered(content, generation))
+	generation := binary.BigEndian.Uint64(content[8:]) + s.shift
+	moved := fmt.Sprintf("ring-%d", generation%keystore.SegmentCount)
+	s.synced = map[string]string{name: moved}
+	err := s.Directory.Write(moved, offset, renumbered(content, generation))
 	if err != nil && offset == 0 {
-		m.shift++
+		s.shift++
 	}
 	return err
 }
 
-func (m *movingOn) Sync(name string) error {
-	if moved, known := m.synced[name]; known {
+func (s *skipsAheadOnFailure) Sync(name string) error {
+	if moved, known := s.synced[name]; known {
 		name = moved
 	}
-	return m.Folder.Sync(name)
+	return s.Directory.Sync(name)
 }
 
 // renumbered returns the records under another generation.
@@ -141,20 +141,20 @@
 	return copied
 }
 
-// trusting syncs only files that were written in this life.
-type trusting struct {
-	keystore.Folder
+// skipsStartupSync syncs only files that were written in this life.
+type skipsStartupSync struct {
+	keystore.Directory
 	written map[string]bool
 }
 
-func (t *trusting) Write(name string, offset int64, content []byte) error {
-	t.written[name] = true
-	return t.Folder.Write(name, offset, content)
+func (s *skipsStartupSync) Write(name string, offset int64, content []byte) error {
+	s.written[name] = true
+	return s.Directory.Write(name, offset, content)
 }
 
-func (t *trusting) Sync(name string) error {
-	if !t.written[name] {
+func (s *skipsStartupSync) Sync(name string) error {
+	if !s.written[name] {
 		return nil
 	}
-	return t.Folder.Sync(name)
+	return s.Directory.Sync(name)
 }
--- a/internal/keystore/doc.go
+++ b/internal/keystore/doc.go
@@ -8,7 +8,7 @@
 // The package never decides what a value means, never answers an operator, and never
 // replaces a member by itself: it offers the steps, internal/membership decides on them.
 //
-// Start reading with MemberState (what one member promises and accepts, a pure function of
+// Start reading with AcceptorState (what one member promises and accepts, a pure function of
 // state, message and time), then ownership.go (what a proposer concludes from replies, pure as
 // well), then Store, which drives both over a Transport. docs/keystore.md has the argument.
 package keystore
--- a/internal/keystore/five_test.go
+++ b/internal/keystore/five_test.go
@@ -11,131 +11,131 @@
 	"ferryspar/internal/membersim"
 )
 
-var spreads = [][]int{{2, 2, 1}, {2, 1, 1, 1}, {1, 2, 1, 1}}
+var zoneSizes = [][]int{{2, 2, 1}, {2, 1, 1, 1}, {1, 2, 1, 1}}
 
 type schedule struct {
-	seed     uint64
-	troubles []membersim.Trouble
-	replaces bool
-	resends  bool
-	spoil    func(fleet *membersim.Fleet)
+	seed            uint64
+	faults          []membersim.Fault
+	replacesMembers bool
+	retransmits     bool
+	breakCluster    func(cluster *membersim.Cluster)
 }
 
-func (s schedule) play() (map[string]*report, error) {
-	fleet := membersim.New(s.seed, 5)
-	draw := rand.New(rand.NewPCG(s.seed, 23))
-	fleet.Spread(spreads[s.seed%3]...)
-	fleet.Lossy, fleet.Resending = s.seed%2 == 0, s.resends
-	if s.spoil != nil {
-		s.spoil(fleet)
+func (s schedule) run() (map[string]*clientReport, error) {
+	cluster := membersim.New(s.seed, 5)
+	random := rand.New(rand.NewPCG(s.seed, 23))
+	cluster.AssignZones(zoneSizes[s.seed%3]...)
+	cluster.Lossy, cluster.Retransmits = s.seed%2 == 0, s.retransmits
+	if s.breakCluster != nil {
+		s.breakCluster(cluster)
 	}
-	for _, name := range fleet.Names {
-		fleet.Start(name, true)
+	for _, name := range cluster.Names {
+		cluster.Start(name, true)
 	}
-	told := map[string]*report{keystore.ConfigurationKey: newReport(), keystore.ZonePrefix + "a": newReport()}
+	reports := map[string]*clientReport{keystore.ConfigurationKey: newClientReport(), keystore.ZonePrefix + "a": newClientReport()}
 	until := time.Now().Add(12 * time.Second)
 	var working sync.WaitGroup
 	failures := make(chan error, 16)
 	for position, key := range []string{keystore.ConfigurationKey, keystore.ZonePrefix + "a"} {
 		for number := range 2 {
 			source := rand.New(rand.NewPCG(s.seed, uint64(300+10*position+number)))
-			working.Go(func() { operate(fleet, key, number, source, until, told[key]) })
+			working.Go(func() { runOperator(cluster, key, number, source, until, reports[key]) })
 		}
 	}
-	for position, name := range fleet.Present() {
+	for position, name := range cluster.MemberNames() {
 		working.Go(func() {
-			failures <- follow(fleet, name, keystore.ConfigurationKey, 353*time.Millisecond+time.Duration(position*997), until)
+			failures <- followKey(cluster, name, keystore.ConfigurationKey, 353*time.Millisecond+time.Duration(position*997), until)
 		})
 	}
 	var failed error
 	for turn := 0; time.Now().Before(until) && failed == nil; turn++ {
-		failed = s.trouble(fleet, draw, turn)
+		failed = s.injectFaults(cluster, random, turn)
 	}
 	failures <- failed
 	working.Wait()
 	close(failures)
-	defer s.end(fleet)
+	defer s.shutDown(cluster)
 	for failed := range failures {
 		if failed != nil {
-			return told, failed
+			return reports, failed
 		}
 	}
-	for key, one := range told {
-		final, err := settled(fleet, key, draw)
+	for key, one := range reports {
+		final, err := readAfterRestart(cluster, key, random)
 		if err != nil {
-			return told, err
+			return reports, err
 		}
 		if err := one.check(final); err != nil {
-			return told, err
+			return reports, err
 		}
 	}
-	return told, nil
+	return reports, nil
 }
 
-func (s schedule) trouble(fleet *membersim.Fleet, draw *rand.Rand, turn int) error {
-	time.Sleep(time.Duration(draw.Int64N(int64(700*time.Millisecond))) + 50*time.Millisecond)
+func (s schedule) injectFaults(cluster *membersim.Cluster, random *rand.Rand, turn int) error {
+	time.Sleep(time.Duration(random.Int64N(int64(700*time.Millisecond))) + 50*time.Millisecond)
 	var together sync.WaitGroup
-	for _, trouble := range s.troubles {
-		name := pick(fleet.Present(), draw)
-		lasting := time.Duration(draw.Int64N(int64(2500*time.Millisecond))) + 20*time.Millisecond
-		source := rand.New(rand.NewPCG(draw.Uint64(), 29))
+	for _, fault := range s.faults {
+		name := pick(cluster.MemberNames(), random)
+		duration := time.Duration(random.Int64N(int64(2500*time.Millisecond))) + 20*time.Millisecond
+		source := rand.New(rand.NewPCG(random.Uint64(), 29))
 		together.Go(func() {
 			time.Sleep(time.Duration(source.Int64N(int64(100 * time.Millisecond))))
-			trouble(fleet, name, source, lasting)
+			fault(cluster, name, source, duration)
 		})
 	}
 	together.Wait()
-	if s.replaces && draw.IntN(2) == 0 {
-		if err := s.replaceAmidLoss(fleet, draw, turn); err != nil {
+	if s.replacesMembers && random.IntN(2) == 0 {
+		if err := s.replaceDuringZoneLoss(cluster, random, turn); err != nil {
 			return err
 		}
 	}
-	if !fleet.WaitVoting(time.Minute) {
+	if !cluster.WaitUntilAllVote(time.Minute) {
 		return fmt.Errorf("a member never voted again")
 	}
 	return nil
 }
 
-func (s schedule) replaceAmidLoss(fleet *membersim.Fleet, draw *rand.Rand, turn int) error {
-	lost := pick(fleet.Present(), draw)
+func (s schedule) replaceDuringZoneLoss(cluster *membersim.Cluster, random *rand.Rand, turn int) error {
+	lost := pick(cluster.MemberNames(), random)
 	var together sync.WaitGroup
-	source := rand.New(rand.NewPCG(draw.Uint64(), 31))
-	lasting := time.Duration(draw.Int64N(int64(3*time.Second))) + time.Second
-	together.Go(func() { membersim.OtherZoneLost(fleet, lost, source, lasting) })
-	err := fleet.Replace(lost, fmt.Sprintf("newcomer-%d", turn), draw)
+	source := rand.New(rand.NewPCG(random.Uint64(), 31))
+	duration := time.Duration(random.Int64N(int64(3*time.Second))) + time.Second
+	together.Go(func() { membersim.LoseOtherZone(cluster, lost, source, duration) })
+	err := cluster.Replace(lost, fmt.Sprintf("newcomer-%d", turn), random)
 	together.Wait()
 	return err
 }
 
-func (s schedule) end(fleet *membersim.Fleet) {
-	for _, name := range fleet.Present() {
-		fleet.Kill(name)
+func (s schedule) shutDown(cluster *membersim.Cluster) {
+	for _, name := range cluster.MemberNames() {
+		cluster.Kill(name)
 	}
 	time.Sleep(time.Minute)
 }
 
-func settled(fleet *membersim.Fleet, key string, draw *rand.Rand) (written, error) {
-	fleet.Lossy = false
-	for _, name := range fleet.Present() {
-		fleet.Kill(name)
-		fleet.LosePower(name, draw)
+func readAfterRestart(cluster *membersim.Cluster, key string, random *rand.Rand) (document, error) {
+	cluster.Lossy = false
+	for _, name := range cluster.MemberNames() {
+		cluster.Kill(name)
+		cluster.LosePower(name, random)
 	}
-	for _, name := range fleet.Present() {
-		fleet.Start(name, false)
+	for _, name := range cluster.MemberNames() {
+		cluster.Start(name, false)
 	}
-	return readBack(fleet, fleet.Present()[0], key)
+	return readBack(cluster, cluster.MemberNames()[0], key)
 }
 
 // readBack reads a key at a machine once a majority is there.
-func readBack(fleet *membersim.Fleet, name, key string) (written, error) {
+func readBack(cluster *membersim.Cluster, name, key string) (document, error) {
 	for range 20 {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		slot, err := fleet.StoreOf(name).Read(ctx, key)
+		register, err := cluster.StoreOf(name).Read(ctx, key)
 		cancel()
 		if err == nil {
-			return decodeWritten(slot), nil
+			return decodeDocument(register), nil
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	return written{}, fmt.Errorf("no majority after all came back")
+	return document{}, fmt.Errorf("no majority after all came back")
 }
--- a/internal/keystore/folder.go
+++ b/internal/keystore/folder.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// Folder is the folder on a member's disk that holds its ring files. After a loss of power a name may be gone, by
-// itself, unless SyncFolder has returned nil since it was made; of what was written since a file's last Sync, each
+// Directory is the folder on a member's disk that holds its ring files. After a loss of power a name may be gone, by
+// itself, unless SyncDirectory has returned nil since it was made; of what was written since a file's last Sync, each
 // write may be there, missing or torn.
-type Folder interface {
+type Directory interface {
 	// List returns the names in the folder.
 	List() ([]string, error)
 	// Read returns a file's content, and nothing for a name that doesn't exist. It may leave out what follows
@@ -27,47 +27,47 @@
 	Write(name string, offset int64, content []byte) error
 	// Sync returns once all that was written to the file is on the disk.
 	Sync(name string) error
-	// SyncFolder returns once the names in the folder, and the folder's own, are on the disk.
-	SyncFolder() error
+	// SyncDirectory returns once the names in the folder, and the folder's own, are on the disk.
+	SyncDirectory() error
 }
 
 const (
-	folderMode = 0o755
-	fileMode   = 0o644
+	directoryMode = 0o755
+	fileMode      = 0o644
 	// reservedBytes is how much of each file is written with zeros when it is made, so that a disk that is full
 	// later still takes a new generation there. The rest is only lengthened: an append that a full disk refuses
 	// there makes the journal go on at the start of the next file. Bounded because it is a part of the first start.
 	reservedBytes = 1 << 20
-	// zerosAtOnce bounds one write of zeros.
-	zerosAtOnce = 256 << 10
+	// zeroChunkBytes bounds one write of zeros.
+	zeroChunkBytes = 256 << 10
 	// zeroRunBytes is how many zeros end what is read of a file. Records are text but for their headers.
 	zeroRunBytes = 64 << 10
 )
 
-type osFolder struct {
+type osDirectory struct {
 	path  string
 	files map[string]*os.File
 	// made are the folders that were made here, whose parents must be synced too.
-	made []string
+	created []string
 }
 
-// NewFolder returns the folder at a path, which is made if it doesn't exist.
-func NewFolder(path string) (Folder, error) {
-	folder := &osFolder{path: path, files: map[string]*os.File{}}
+// NewDirectory returns the folder at a path, which is made if it doesn't exist.
+func NewDirectory(path string) (Directory, error) {
+	directory := &osDirectory{path: path, files: map[string]*os.File{}}
 	for ancestor := filepath.Clean(path); ; ancestor = filepath.Dir(ancestor) {
 		if _, err := os.Stat(ancestor); !os.IsNotExist(err) || ancestor == filepath.Dir(ancestor) {
 			break
 		}
-		folder.made = append(folder.made, ancestor)
+		directory.created = append(directory.created, ancestor)
 	}
-	if err := os.MkdirAll(path, folderMode); err != nil {
+	if err := os.MkdirAll(path, directoryMode); err != nil {
 		return nil, errors.Wrap(err, "data folder")
 	}
-	return folder, nil
+	return directory, nil
 }
 
-func (f *osFolder) List() ([]string, error) {
-	entries, err := os.ReadDir(f.path)
+func (d *osDirectory) List() ([]string, error) {
+	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, err
 	}
@@ -78,8 +78,8 @@
 	return names, nil
 }
 
-func (f *osFolder) Read(name string) ([]byte, error) {
-	file, err := os.Open(filepath.Join(f.path, name))
+func (d *osDirectory) Read(name string) ([]byte, error) {
+	file, err := os.Open(filepath.Join(d.path, name))
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
@@ -87,11 +87,11 @@
 		return nil, err
 	}
 	defer file.Close()
-	return readToZeros(file)
+	return readUntilZeros(file)
 }
 
-// readToZeros reads up to the end or to a run of zeros, which it keeps: most of a preallocated file is zeros.
-func readToZeros(file io.Reader) ([]byte, error) {
+// readUntilZeros reads up to the end or to a run of zeros, which it keeps: most of a preallocated file is zeros.
+func readUntilZeros(file io.Reader) ([]byte, error) {
 	var content []byte
 	zeros := make([]byte, zeroRunBytes)
 	for {
@@ -108,8 +108,8 @@
 	}
 }
 
-func (f *osFolder) Prepare(name string, size int64) error {
-	file, err := f.open(name)
+func (d *osDirectory) Prepare(name string, size int64) error {
+	file, err := d.open(name)
 	if err != nil {
 		return err
 	}
@@ -126,23 +126,23 @@
 	return file.Sync()
 }
 
-func (f *osFolder) open(name string) (*os.File, error) {
-	if file, opened := f.files[name]; opened {
+func (d *osDirectory) open(name string) (*os.File, error) {
+	if file, opened := d.files[name]; opened {
 		return file, nil
 	}
-	file, err := os.OpenFile(filepath.Join(f.path, name), os.O_RDWR|os.O_CREATE, fileMode)
+	file, err := os.OpenFile(filepath.Join(d.path, name), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
 		return nil, err
 	}
-	f.files[name] = file
+	d.files[name] = file
 	return file, nil
 }
 
 // reserve writes zeros from the file's end to the end that is asked for, so that the disk holds room for them.
 func reserve(file io.WriterAt, from, to int64) error {
-	zeros := make([]byte, zerosAtOnce)
+	zeros := make([]byte, zeroChunkBytes)
 	for from < to {
-		written, err := file.WriteAt(zeros[:min(to-from, zerosAtOnce)], from)
+		written, err := file.WriteAt(zeros[:min(to-from, zeroChunkBytes)], from)
 		if err != nil {
 			return err
 		}
@@ -151,38 +151,38 @@
 	return nil
 }
 
-func (f *osFolder) Write(name string, offset int64, content []byte) error {
-	_, err := f.files[name].WriteAt(content, offset)
+func (d *osDirectory) Write(name string, offset int64, content []byte) error {
+	_, err := d.files[name].WriteAt(content, offset)
 	return err
 }
 
-func (f *osFolder) Sync(name string) error { return f.files[name].Sync() }
+func (d *osDirectory) Sync(name string) error { return d.files[name].Sync() }
 
-// SyncFolder syncs the parent of a folder that it didn't make as well, since an earlier life may have made it and
+// SyncDirectory syncs the parent of a folder that it didn't make as well, since an earlier life may have made it and
 // died before the sync; there a parent that can't be synced is no error.
-func (f *osFolder) SyncFolder() error {
-	if err := syncPath(f.path); err != nil {
+func (d *osDirectory) SyncDirectory() error {
+	if err := syncDirectoryPath(d.path); err != nil {
 		return err
 	}
-	for _, made := range f.made {
-		if err := syncPath(filepath.Dir(made)); err != nil {
+	for _, made := range d.created {
+		if err := syncDirectoryPath(filepath.Dir(made)); err != nil {
 			return err
 		}
 	}
-	if len(f.made) == 0 {
-		_ = syncPath(filepath.Dir(filepath.Clean(f.path)))
+	if len(d.created) == 0 {
+		_ = syncDirectoryPath(filepath.Dir(filepath.Clean(d.path)))
 	}
 	return nil
 }
 
-// syncPath syncs a folder; a file system that has no such sync is passed over.
-func syncPath(path string) error {
-	folder, err := os.Open(path)
+// syncDirectoryPath syncs a folder; a file system that has no such sync is passed over.
+func syncDirectoryPath(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	err = folder.Sync()
+	defer directory.Close()
+	err = directory.Sync()
 	if errors.Is(err, syscall.EINVAL) || errors.Is(err, syscall.ENOTSUP) {
 		return nil
 	}
--- a/internal/keystore/founding.go
+++ b/internal/keystore/founding.go
@@ -2,91 +2,93 @@
 
 import "slices"
 
-// FoundingVerdict says whether a member that never voted may vote under the founding list although too few
+// BootstrapVerdict says whether a member that never voted may vote under the founding list although too few
 // voting members are there to catch up from, or why it may not.
-type FoundingVerdict string
+type BootstrapVerdict string
 
 // The verdicts on founding.
 const (
-	// FoundingReady: every founder has answered, and none of them knows more than the founding list.
-	FoundingReady FoundingVerdict = "every founder has answered"
-	// FoundingNotFounder: the list that is known or configured does not name the member.
-	FoundingNotFounder FoundingVerdict = "this member is not a founder"
-	// FoundingSilent: a founder has not answered.
-	FoundingSilent FoundingVerdict = "a founder has not answered"
-	// FoundingRefused: a founder could not note the question on its disk.
-	FoundingRefused FoundingVerdict = "a founder could not answer"
-	// FoundingOtherSeeds: a founder is configured with other seeds, or holds another founding list.
-	FoundingOtherSeeds FoundingVerdict = "a founder names other seeds"
-	// FoundingLaterMembers: a founder has seen the member list change, or was dropped from it.
-	FoundingLaterMembers FoundingVerdict = "the founding list was changed"
-	// FoundingCompleted: a founder has seen every founder vote, so a member without a vote has lost its disk.
-	FoundingCompleted FoundingVerdict = "the founding was completed before"
+	// BootstrapReady: every founder has answered, and none of them knows more than the founding list.
+	BootstrapReady BootstrapVerdict = "every founder has answered"
+	// BootstrapNotInitialMember: the list that is known or configured does not name the member.
+	BootstrapNotInitialMember BootstrapVerdict = "this member is not a founder"
+	// BootstrapNoAnswer: a founder has not answered.
+	BootstrapNoAnswer BootstrapVerdict = "a founder has not answered"
+	// BootstrapRejected: a founder could not note the question on its disk.
+	BootstrapRejected BootstrapVerdict = "a founder could not answer"
+	// BootstrapSeedMismatch: a founder is configured with other seeds, or holds another founding list.
+	BootstrapSeedMismatch BootstrapVerdict = "a founder names other seeds"
+	// BootstrapMembershipChanged: a founder has seen the member list change, or was dropped from it.
+	BootstrapMembershipChanged BootstrapVerdict = "the founding list was changed"
+	// BootstrapAlreadyCompleted: a founder has seen every founder vote, so a member without a vote has lost its disk.
+	BootstrapAlreadyCompleted BootstrapVerdict = "the founding was completed before"
 )
 
-// FoundingList is the member list of a system that starts for the first time.
-func FoundingList(seeds []string) Members { return Members{Number: FoundingNumber, Present: seeds} }
+// BootstrapMembership is the member list of a system that starts for the first time.
+func BootstrapMembership(seeds []string) Membership {
+	return Membership{Version: BootstrapVersion, Current: seeds}
+}
 
-// FoundingNumber is the number of the first member list.
-const FoundingNumber = 1
+// BootstrapVersion is the number of the first member list.
+const BootstrapVersion = 1
 
-// JudgeFounding decides on the answers to one catch-up question that went to every member of the founding list,
+// JudgeBootstrap decides on the answers to one catch-up question that went to every member of the founding list,
 // the asking member included. Each answer tells of the present disk of its giver, and each giver has the
 // incarnation of the asking member on its disk before it answers.
-func JudgeFounding(self string, founding Members, replies map[string]Reply) FoundingVerdict {
-	if founding.Number != FoundingNumber || founding.Joint() {
-		return FoundingLaterMembers
+func JudgeBootstrap(self string, initial Membership, replies map[string]Reply) BootstrapVerdict {
+	if initial.Version != BootstrapVersion || initial.IsJoint() {
+		return BootstrapMembershipChanged
 	}
-	if !founding.Keeps(self) {
-		return FoundingNotFounder
+	if !initial.IsCurrent(self) {
+		return BootstrapNotInitialMember
 	}
-	verdict := FoundingReady
-	for _, address := range founding.Present {
-		if next := judgeFounder(founding, replies, address); next.outranks(verdict) {
+	verdict := BootstrapReady
+	for _, address := range initial.Current {
+		if next := judgeInitialMember(initial, replies, address); next.outranks(verdict) {
 			verdict = next
 		}
 	}
 	return verdict
 }
 
-// verdictRanks orders the verdicts on single founders: what can only be told by an operator's act comes first.
-var verdictRanks = []FoundingVerdict{
-	FoundingReady, FoundingSilent, FoundingRefused, FoundingOtherSeeds, FoundingLaterMembers, FoundingCompleted,
+// verdictSeverity orders the verdicts on single founders: what can only be told by an operator's act comes first.
+var verdictSeverity = []BootstrapVerdict{
+	BootstrapReady, BootstrapNoAnswer, BootstrapRejected, BootstrapSeedMismatch, BootstrapMembershipChanged, BootstrapAlreadyCompleted,
 }
 
-func (v FoundingVerdict) outranks(other FoundingVerdict) bool {
-	return slices.Index(verdictRanks, v) > slices.Index(verdictRanks, other)
+func (v BootstrapVerdict) outranks(other BootstrapVerdict) bool {
+	return slices.Index(verdictSeverity, v) > slices.Index(verdictSeverity, other)
 }
 
-// judgeFounder judges one founder's answer: it must hold the founding list and vote, or never have voted.
-func judgeFounder(founding Members, replies map[string]Reply, address string) FoundingVerdict {
+// judgeInitialMember judges one founder's answer: it must hold the founding list and vote, or never have voted.
+func judgeInitialMember(initial Membership, replies map[string]Reply, address string) BootstrapVerdict {
 	reply, answered := replies[address]
 	switch {
-	case !answered || reply.Refusal == RefusedUnreached:
-		return FoundingSilent
-	case reply.Members.Number > FoundingNumber || reply.changesMembers() || reply.Refusal == RefusedNotVoting && !reply.NeverVoted:
-		return FoundingLaterMembers
-	case reply.Completed:
-		return FoundingCompleted
+	case !answered || reply.Rejection == RejectedUnreachable:
+		return BootstrapNoAnswer
+	case reply.Membership.Version > BootstrapVersion || reply.hasMembershipChange() || reply.Rejection == RejectedNotVoting && !reply.NeverVoted:
+		return BootstrapMembershipChanged
+	case reply.BootstrapCompleted:
+		return BootstrapAlreadyCompleted
 	case !reply.Granted && !reply.NeverVoted:
-		return FoundingRefused
-	case !sameAddresses(founding.Present, reply.founders()):
-		return FoundingOtherSeeds
+		return BootstrapRejected
+	case !sameAddresses(initial.Current, reply.initialMembers()):
+		return BootstrapSeedMismatch
 	}
-	return FoundingReady
+	return BootstrapReady
 }
 
 // founders are the founders by the list that the member holds, or by its settings if it holds none.
-func (r Reply) founders() []string {
-	if r.Members.Number > 0 {
-		return r.Members.Present
+func (r Reply) initialMembers() []string {
+	if r.Membership.Version > 0 {
+		return r.Membership.Current
 	}
 	return r.Seeds
 }
 
-// changesMembers says whether the member has accepted a change of the member list, which may be in force.
-func (r Reply) changesMembers() bool {
-	return slices.ContainsFunc(r.Slots, func(slot Slot) bool { return slot.Key == MembersKey && slot.Accepted() })
+// hasMembershipChange says whether the member has accepted a change of the member list, which may be in force.
+func (r Reply) hasMembershipChange() bool {
+	return slices.ContainsFunc(r.Registers, func(register Register) bool { return register.Key == MembershipKey && register.IsAccepted() })
 }
 
 func sameAddresses(left, right []string) bool {
@@ -96,26 +98,26 @@
 // testify answers the catch-up question of another member on behalf of one that does not vote. Like a voting
 // member it has the asking member's incarnation on its disk before the answer goes out: once it votes it takes no
 // write that counts a promise of an earlier incarnation.
-func (m *MemberState) testify(message Message, reply Reply) (Reply, []Slot) {
-	self := readSelf(m.Slots)
-	reply.NeverVoted, reply.Seeds = self.Number == 0, m.Seeds
-	if message.Sender == m.Address {
+func (s *AcceptorState) answerWithoutVote(message Message, reply Reply) (Reply, []Register) {
+	self := readLocalState(s.Registers)
+	reply.NeverVoted, reply.Seeds = self.MembershipVersion == 0, s.Seeds
+	if message.Sender == s.Address {
 		return reply, nil
 	}
-	noted := knownSlot(m.Slots[knownPrefix+message.Sender], message.Sender, message.Incarnation)
-	reply.Lives = noted.Sequence
-	return reply, []Slot{noted}
+	known := diskIncarnationRegister(s.Registers[diskIncarnationPrefix+message.Sender], message.Sender, message.DiskIncarnation)
+	reply.DiskIncarnationCount = known.Sequence
+	return reply, []Register{known}
 }
 
-// CompleteFounding notes that every founder was seen to vote under the founding list. From then on a founder
+// CompleteBootstrap notes that every founder was seen to vote under the founding list. From then on a founder
 // without a vote has lost its disk, and no second founding takes place.
-func (m *MemberState) CompleteFounding() (Reply, []Slot) {
-	self, members := readSelf(m.Slots), readMembers(m.Slots)
-	reply := Reply{Incarnation: self.Incarnation, Members: members}
-	if !self.Voting || self.Completed || members.Number != FoundingNumber {
-		reply.Refusal = RefusedMovedOn
+func (s *AcceptorState) CompleteBootstrap() (Reply, []Register) {
+	self, membership := readLocalState(s.Registers), readMembership(s.Registers)
+	reply := Reply{DiskIncarnation: self.DiskIncarnation, Membership: membership}
+	if !self.Voting || self.BootstrapCompleted || membership.Version != BootstrapVersion {
+		reply.Rejection = RejectedStateChanged
 		return reply, nil
 	}
-	self.Completed, reply.Granted = true, true
-	return reply, []Slot{selfSlot(self)}
+	self.BootstrapCompleted, reply.Granted = true, true
+	return reply, []Register{localStateRegister(self)}
 }
--- a/internal/keystore/inspect.go
+++ b/internal/keystore/inspect.go
@@ -12,42 +12,42 @@
 
 // The reasons for which a path is not a member's data folder.
 var (
-	ErrNoFolder      = errors.New("no such folder")
-	ErrNotFolder     = errors.New("not a folder")
-	ErrEmptyFolder   = errors.New("folder is empty: no member has started there, or its disk was wiped")
-	ErrForeignFolder = errors.New("folder holds no ring files of a control-plane member")
+	ErrNoDirectory      = errors.New("no such folder")
+	ErrNotDirectory     = errors.New("not a folder")
+	ErrEmptyDirectory   = errors.New("folder is empty: no member has started there, or its disk was wiped")
+	ErrForeignDirectory = errors.New("folder holds no ring files of a control-plane member")
 )
 
 // Inspection is what a stopped member's data folder holds.
 type Inspection struct {
-	Files []FileInspection `json:"files"`
+	Files []SegmentInspection `json:"files"`
 	// Generation is the newest whole generation, and Base the first of its life. 0: none.
 	Generation uint64 `json:"generation"`
 	Base       uint64 `json:"base"`
 	// Damage says why a member would not use this state; the slots are then those of what can still be read.
 	Damage *Damage `json:"damage,omitempty"`
-	// Self and Members are the member's own records, as they stand on the disk.
-	Self    json.RawMessage  `json:"self,omitempty"`
-	Members json.RawMessage  `json:"members,omitempty"`
-	Slots   []SlotInspection `json:"slots"`
+	// LocalState and Membership are the member's own records, as they stand on the disk.
+	LocalState json.RawMessage      `json:"self,omitempty"`
+	Membership json.RawMessage      `json:"members,omitempty"`
+	Registers  []RegisterInspection `json:"slots"`
 	// Undecodable is how many records are whole by their checksum but are not slots.
 	Undecodable int `json:"undecodable,omitempty"`
 }
 
-// FileInspection is what one ring file holds.
-type FileInspection struct {
-	Name       string    `json:"name"`
-	State      FileState `json:"state"`
-	Bytes      int64     `json:"bytes"`
-	Used       int64     `json:"used"`
-	Generation uint64    `json:"generation,omitempty"`
-	Base       uint64    `json:"base,omitempty"`
-	Records    int       `json:"records"`
+// SegmentInspection is what one ring file holds.
+type SegmentInspection struct {
+	Name       string       `json:"name"`
+	State      SegmentState `json:"state"`
+	Bytes      int64        `json:"bytes"`
+	Used       int64        `json:"used"`
+	Generation uint64       `json:"generation,omitempty"`
+	Base       uint64       `json:"base,omitempty"`
+	Records    int          `json:"records"`
 }
 
-// SlotInspection is one key. Fields are the slot's JSON members but for its key and value, as they stand on the
+// RegisterInspection is one key. Fields are the slot's JSON members but for its key and value, as they stand on the
 // disk: ballots, promises and sequence.
-type SlotInspection struct {
+type RegisterInspection struct {
 	Key        string                     `json:"key"`
 	Fields     map[string]json.RawMessage `json:"fields"`
 	ValueBytes int                        `json:"valueBytes"`
@@ -56,8 +56,8 @@
 
 // DropValues takes the values of slots away, which may hold secrets.
 func (i *Inspection) DropValues() {
-	for position := range i.Slots {
-		i.Slots[position].Value = nil
+	for position := range i.Registers {
+		i.Registers[position].Value = nil
 	}
 }
 
@@ -68,54 +68,54 @@
 
 // Inspect reads the data folder of a stopped member. It opens files for reading only, and makes none.
 func Inspect(path string) (Inspection, error) {
-	folder, err := openForReading(path)
+	directory, err := openForReading(path)
 	if err != nil {
 		return Inspection{}, err
 	}
-	read, err := readRing(folder, RingFiles)
+	read, err := readSegments(directory, SegmentCount)
 	if err != nil {
 		return Inspection{}, err
 	}
-	if !read.recognized() {
-		return Inspection{}, errors.Wrap(ErrForeignFolder, path)
+	if !read.isRecognized() {
+		return Inspection{}, errors.Wrap(ErrForeignDirectory, path)
 	}
 	newest := read.newest()
-	inspection := Inspection{Damage: read.damage(), Generation: newest.generation, Base: newest.base, Slots: []SlotInspection{}}
+	inspection := Inspection{Damage: read.damage(), Generation: newest.generation, Base: newest.base, Registers: []RegisterInspection{}}
 	for _, file := range read {
-		inspection.Files = append(inspection.Files, FileInspection{
-			Name: file.name, State: file.state, Bytes: fileBytes(path, file.name), Used: file.used,
-			Generation: file.generation, Base: file.knownBase(), Records: len(file.slots),
+		inspection.Files = append(inspection.Files, SegmentInspection{
+			Name: file.name, State: file.state, Bytes: fileSize(path, file.name), Used: file.usedBytes,
+			Generation: file.generation, Base: file.knownBase(), Records: len(file.payloads),
 		})
 	}
-	inspection.addSlots(newest)
+	inspection.addRegisters(newest)
 	return inspection, nil
 }
 
 // openForReading returns a folder, or says why the path can't be one.
-func openForReading(path string) (folderReader, error) {
+func openForReading(path string) (directoryReader, error) {
 	information, err := os.Stat(path)
 	if os.IsNotExist(err) {
-		return nil, errors.Wrap(ErrNoFolder, path)
+		return nil, errors.Wrap(ErrNoDirectory, path)
 	}
 	if err != nil {
 		return nil, err
 	}
 	if !information.IsDir() {
-		return nil, errors.Wrap(ErrNotFolder, path)
+		return nil, errors.Wrap(ErrNotDirectory, path)
 	}
-	folder := &osFolder{path: filepath.Clean(path)}
-	names, err := folder.List()
+	directory := &osDirectory{path: filepath.Clean(path)}
+	names, err := directory.List()
 	if err != nil {
 		return nil, err
 	}
 	if len(names) == 0 {
-		return nil, errors.Wrap(ErrEmptyFolder, path)
+		return nil, errors.Wrap(ErrEmptyDirectory, path)
 	}
-	return folder, nil
+	return directory, nil
 }
 
-// fileBytes returns a file's length, 0 if there is none.
-func fileBytes(path, name string) int64 {
+// fileSize returns a file's length, 0 if there is none.
+func fileSize(path, name string) int64 {
 	information, err := os.Stat(filepath.Join(path, name))
 	if err != nil {
 		return 0
@@ -125,47 +125,47 @@
 
 // recognized tells whether any file was made by a journal. A file that is blank counts: a start that was cut short
 // leaves no more; one that is only unreadable doesn't.
-func (r ring) recognized() bool {
-	_, ours := r.first(FileBlank, FileReady, FileWhole, FileTorn, FileDamaged)
+func (s segments) isRecognized() bool {
+	_, ours := s.firstIn(SegmentBlank, SegmentReady, SegmentComplete, SegmentTorn, SegmentDamaged)
 	return ours
 }
 
 // knownBase returns the base, or 0 where it can't be read.
-func (r ringFile) knownBase() uint64 {
-	if r.base == unreadableBase {
+func (s segment) knownBase() uint64 {
+	if s.base == unreadableBase {
 		return 0
 	}
-	return r.base
+	return s.base
 }
 
-// addSlots adds the newest record of each key in a file, in the order of the keys.
-func (i *Inspection) addSlots(file ringFile) {
-	newest := map[string]SlotInspection{}
-	for _, payload := range file.slots {
-		slot, err := inspectSlot(payload)
+// addRegisters adds the newest record of each key in a file, in the order of the keys.
+func (i *Inspection) addRegisters(file segment) {
+	newest := map[string]RegisterInspection{}
+	for _, payload := range file.payloads {
+		register, err := inspectRegister(payload)
 		if err != nil {
 			i.Undecodable++
 			continue
 		}
-		newest[slot.Key] = slot
+		newest[register.Key] = register
 	}
 	for _, key := range slices.Sorted(maps.Keys(newest)) {
-		i.Slots = append(i.Slots, newest[key])
+		i.Registers = append(i.Registers, newest[key])
 	}
-	i.Self, i.Members = newest[selfKey].Value, newest[membersKey].Value
+	i.LocalState, i.Membership = newest[localStateKey].Value, newest[localMembershipKey].Value
 }
 
-func inspectSlot(payload []byte) (SlotInspection, error) {
-	slot := SlotInspection{Fields: map[string]json.RawMessage{}}
-	if err := json.Unmarshal(payload, &slot.Fields); err != nil {
-		return slot, err
-	}
-	if err := json.Unmarshal(slot.Fields[keyField], &slot.Key); err != nil {
-		return slot, err
-	}
-	slot.Value = slot.Fields[valueField]
-	slot.ValueBytes = len(slot.Value)
-	delete(slot.Fields, keyField)
-	delete(slot.Fields, valueField)
-	return slot, nil
+func inspectRegister(payload []byte) (RegisterInspection, error) {
+	register := RegisterInspection{Fields: map[string]json.RawMessage{}}
+	if err := json.Unmarshal(payload, &register.Fields); err != nil {
+		return register, err
+	}
+	if err := json.Unmarshal(register.Fields[keyField], &register.Key); err != nil {
+		return register, err
+	}
+	register.Value = register.Fields[valueField]
+	register.ValueBytes = len(register.Value)
+	delete(register.Fields, keyField)
+	delete(register.Fields, valueField)
+	return register, nil
 }
--- a/internal/keystore/lostpromise_test.go
+++ b/internal/keystore/lostpromise_test.go
@@ -7,33 +7,33 @@
 	"gotest.tools/v3/assert"
 )
 
-var fiveMembers = Members{Number: 1, Present: []string{"a", "b", "c", "d", "e"}}
+var fiveMemberships = Membership{Version: 1, Current: []string{"a", "b", "c", "d", "e"}}
 
-// fleetOfFive is five members that answer at once and sync at once.
-type fleetOfFive map[string]*MemberState
+// instantCluster is five members that answer at once and sync at once.
+type instantCluster map[string]*AcceptorState
 
-func (f fleetOfFive) askAll(message Message, addresses ...string) map[string]Reply {
-	message.Members = fiveMembers
+func (f instantCluster) send(message Message, addresses ...string) map[string]Reply {
+	message.Membership = fiveMemberships
 	replies := map[string]Reply{}
 	for _, address := range addresses {
-		reply, changes := f[address].Step(message, testNow, f[address].Slots)
+		reply, changes := f[address].Step(message, testNow, f[address].Registers)
 		f[address].Apply(changes)
 		replies[address] = reply
 	}
 	return replies
 }
 
-func (f fleetOfFive) start(address string, slots []Slot) {
-	f[address] = &MemberState{Address: address, Lease: testLease, Slots: map[string]Slot{}, Grants: map[string]time.Time{}}
-	f[address].Apply(slots)
+func (f instantCluster) start(address string, registers []Register) {
+	f[address] = &AcceptorState{Address: address, LeaseDuration: testLeaseDuration, Registers: map[string]Register{}, Grants: map[string]time.Time{}}
+	f[address].Apply(registers)
 }
 
 // loseDisk starts a member anew, which catches up from the members named.
-func (f fleetOfFive) loseDisk(t *testing.T, address string, incarnation uint64, from ...string) {
-	f.start(address, WipedSlots(incarnation))
-	question := CatchUpQuestion{Self: address, Incarnation: incarnation, Members: fiveMembers}
-	replies := f.askAll(Message{Operation: OperationCatchUp, Sender: address, Incarnation: incarnation}, from...)
-	read, _, enough := ConcludeCatchUp(question, replies, JudgeFounding)
+func (f instantCluster) loseDisk(t *testing.T, address string, diskIncarnation uint64, from ...string) {
+	f.start(address, WipedRegisters(diskIncarnation))
+	question := CatchUpRequest{Self: address, DiskIncarnation: diskIncarnation, Membership: fiveMemberships}
+	replies := f.send(Message{Operation: OperationCatchUp, Sender: address, DiskIncarnation: diskIncarnation}, from...)
+	read, _, enough := EvaluateCatchUp(question, replies, JudgeBootstrap)
 	assert.Assert(t, enough)
 	reply, changes := f[address].Install(read, testNow)
 	assert.Assert(t, reply.Granted)
@@ -41,27 +41,27 @@
 }
 
 // d is never told that a lost its disk: a reads three others, which is enough of five.
-func TestGivenOneOfFiveDisksLostThenAWriteThatCountsItsPromiseReplacesNothingAcknowledged(t *testing.T) {
-	fleet := fleetOfFive{}
-	for index, address := range fiveMembers.Present {
-		fleet.start(address, FreshSlots(fiveMembers, uint64(101+index)))
+func TestOwnership_PromiseOfLostDiskReplacesNothingAcknowledged(t *testing.T) {
+	cluster := instantCluster{}
+	for index, address := range fiveMemberships.Current {
+		cluster.start(address, BootstrapRegisters(fiveMemberships, uint64(101+index)))
 	}
-	higher, lower, last := ballotOf(9), ballotOf(5), ballotOf(10)
-	promised := fleet.askAll(PromiseMessage("x", higher), "a")
-	fleet.loseDisk(t, "a", 201, "b", "c", "e")
-	for address, reply := range fleet.askAll(PromiseMessage("x", higher), "b", "d") {
+	higher, lower, last := proposalNumber(9), proposalNumber(5), proposalNumber(10)
+	promised := cluster.send(PrepareMessage("x", higher), "a")
+	cluster.loseDisk(t, "a", 201, "b", "c", "e")
+	for address, reply := range cluster.send(PrepareMessage("x", higher), "b", "d") {
 		promised[address] = reply
 	}
-	counts := func(address string, _ Reply) bool { return Promises(promised, address) }
-	agreed, _ := Tally(fiveMembers, promised, counts)
-	owner := Owned("x", lower, fleet.askAll(PromiseMessage("x", lower), "a", "c", "e"))
-	accepted := fleet.askAll(owner.AcceptMessage(owner.Next(value("acknowledged"))), "a", "c", "e")
-	chosen, _ := Tally(fiveMembers, accepted, owner.Accepts)
+	counts := func(address string, _ Reply) bool { return CountsPromise(promised, address) }
+	agreed, _ := CountVotes(fiveMemberships, promised, counts)
+	owner := NewOwnership("x", lower, cluster.send(PrepareMessage("x", lower), "a", "c", "e"))
+	accepted := cluster.send(owner.AcceptMessage(owner.NextProposal(value("acknowledged"))), "a", "c", "e")
+	chosen, _ := CountVotes(fiveMemberships, accepted, owner.CountsAcceptance)
 	assert.Assert(t, chosen)
 	if agreed {
-		higherOwner := Owned("x", higher, promised)
-		fleet.askAll(higherOwner.AcceptMessage(higherOwner.Next(value("late"))), "a", "b", "c", "d", "e")
+		higherOwner := NewOwnership("x", higher, promised)
+		cluster.send(higherOwner.AcceptMessage(higherOwner.NextProposal(value("late"))), "a", "b", "c", "d", "e")
 	}
-	successor := Owned("x", last, fleet.askAll(PromiseMessage("x", last), "b", "c", "d"))
-	assert.Equal(t, string(successor.InForce().Value), `"acknowledged"`)
+	successor := NewOwnership("x", last, cluster.send(PrepareMessage("x", last), "b", "c", "d"))
+	assert.Equal(t, string(successor.Current().Value), `"acknowledged"`)
 }
