--- a/internal/keystore/member_state_test.go
+++ b/internal/keystore/member_state_test.go
@@ -8,117 +8,121 @@
 	"gotest.tools/v3/assert"
 )
 
-const testLease = 3 * time.Second
+const testLeaseDuration = 3 * time.Second
 
 var (
-	testNow     = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	testMembers = Members{Number: 2, Present: []string{"a", "b", "c"}}
+	testNow        = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+	testMembership = Membership{Version: 2, Current: []string{"a", "b", "c"}}
 )
 
-func newMember(slots ...Slot) *MemberState {
-	member := &MemberState{Address: "a", Lease: testLease, Slots: map[string]Slot{}, Grants: map[string]time.Time{}}
-	member.Apply(slots)
+func newAcceptorState(registers ...Register) *AcceptorState {
+	member := &AcceptorState{Address: "a", LeaseDuration: testLeaseDuration, Registers: map[string]Register{}, Grants: map[string]time.Time{}}
+	member.Apply(registers)
 	return member
 }
 
-func voter() *MemberState { return newMember(FreshSlots(testMembers, 11)...) }
+func votingAcceptor() *AcceptorState {
+	return newAcceptorState(BootstrapRegisters(testMembership, 11)...)
+}
 
 // ask carries a message out as though the disk took everything at once.
-func (m *MemberState) ask(message Message, now time.Time) Reply {
-	message.Members = testMembers
-	reply, changes := m.Step(message, now, m.Slots)
-	m.Apply(changes)
+func (s *AcceptorState) stepAndApply(message Message, now time.Time) Reply {
+	message.Membership = testMembership
+	reply, changes := s.Step(message, now, s.Registers)
+	s.Apply(changes)
 	return reply
 }
 
-func ballotOf(round uint64) Ballot { return Ballot{Round: round, Member: "p", Life: 1} }
+func proposalNumber(round uint64) ProposalNumber {
+	return ProposalNumber{Round: round, Proposer: "p", Incarnation: 1}
+}
 
 func value(text string) json.RawMessage { return json.RawMessage(`"` + text + `"`) }
 
-func accepted(key string, round uint64, text string) Slot {
-	return Slot{Key: key, Promised: ballotOf(round), Ballot: ballotOf(round), Sequence: 1, Value: value(text)}
+func acceptedRegister(key string, round uint64, text string) Register {
+	return Register{Key: key, Promised: proposalNumber(round), AcceptedProposal: proposalNumber(round), Sequence: 1, Value: value(text)}
 }
 
-func TestGivenAMemberListAdoptedDuringCatchUpThenWhatWasReadIsNotInstalled(t *testing.T) {
-	member := newMember(WipedSlots(7)...)
-	read := CatchUp{Members: testMembers, Incarnation: 7, Slots: []Slot{accepted("x", 4, "read")}}
-	newer := Members{Number: 3, Present: []string{"b", "c", "d"}}
-	_, changes := member.Step(Message{Operation: OperationDigest, Members: newer}, testNow, nil)
+func TestAcceptorState_InstallRejectedAfterNewerMembership(t *testing.T) {
+	member := newAcceptorState(WipedRegisters(7)...)
+	read := CatchUpResult{Membership: testMembership, DiskIncarnation: 7, Registers: []Register{acceptedRegister("x", 4, "read")}}
+	newer := Membership{Version: 3, Current: []string{"b", "c", "d"}}
+	_, changes := member.Step(Message{Operation: OperationDigest, Membership: newer}, testNow, nil)
 	member.Apply(changes)
 	reply, changes := member.Install(read, testNow)
-	assert.Equal(t, reply.Refusal, RefusedMovedOn)
+	assert.Equal(t, reply.Rejection, RejectedStateChanged)
 	assert.Equal(t, len(changes), 0)
-	assert.Equal(t, readMembers(member.Slots).Number, uint64(3))
-	assert.Assert(t, !readSelf(member.Slots).Voting)
+	assert.Equal(t, readMembership(member.Registers).Version, uint64(3))
+	assert.Assert(t, !readLocalState(member.Registers).Voting)
 }
 
-func TestGivenAnotherIncarnationOrAVoteThenWhatWasReadIsNotInstalled(t *testing.T) {
-	reply, _ := newMember(WipedSlots(7)...).Install(CatchUp{Members: testMembers, Incarnation: 6}, testNow)
-	assert.Equal(t, reply.Refusal, RefusedMovedOn, "read by an earlier life")
-	reply, _ = voter().Install(CatchUp{Members: testMembers, Incarnation: 11}, testNow)
-	assert.Equal(t, reply.Refusal, RefusedMovedOn, "it votes already")
+func TestAcceptorState_InstallRejectedForOtherIncarnationOrVoter(t *testing.T) {
+	reply, _ := newAcceptorState(WipedRegisters(7)...).Install(CatchUpResult{Membership: testMembership, DiskIncarnation: 6}, testNow)
+	assert.Equal(t, reply.Rejection, RejectedStateChanged, "read by an earlier life")
+	reply, _ = votingAcceptor().Install(CatchUpResult{Membership: testMembership, DiskIncarnation: 11}, testNow)
+	assert.Equal(t, reply.Rejection, RejectedStateChanged, "it votes already")
 }
 
-func TestGivenAMemberThatHasCaughtUpThenItPromisesNoLeaseForOneLength(t *testing.T) {
-	member := newMember(WipedSlots(7)...)
-	reply, changes := member.Install(CatchUp{Members: testMembers, Incarnation: 7}, testNow)
+func TestAcceptorState_InstallBlocksLeasesForOneDuration(t *testing.T) {
+	member := newAcceptorState(WipedRegisters(7)...)
+	reply, changes := member.Install(CatchUpResult{Membership: testMembership, DiskIncarnation: 7}, testNow)
 	assert.Assert(t, reply.Granted)
 	member.Apply(changes)
-	promise := Message{Operation: OperationPromise, Key: LeasePrefix + "duty", Ballot: ballotOf(9)}
-	assert.Equal(t, member.ask(promise, testNow.Add(testLease-1)).Refusal, RefusedLeaseRuns)
-	assert.Assert(t, member.ask(promise, testNow.Add(testLease)).Granted)
-	other := Message{Operation: OperationPromise, Key: "x", Ballot: ballotOf(9)}
-	assert.Assert(t, member.ask(other, testNow).Granted, "keys that are no leases do not wait")
+	promise := Message{Operation: OperationPrepare, Key: LeasePrefix + "duty", Proposal: proposalNumber(9)}
+	assert.Equal(t, member.stepAndApply(promise, testNow.Add(testLeaseDuration-1)).Rejection, RejectedLeaseActive)
+	assert.Assert(t, member.stepAndApply(promise, testNow.Add(testLeaseDuration)).Granted)
+	other := Message{Operation: OperationPrepare, Key: "x", Proposal: proposalNumber(9)}
+	assert.Assert(t, member.stepAndApply(other, testNow).Granted, "keys that are no leases do not wait")
 }
 
-func TestGivenACaughtUpMemberThenHigherPromisesOfBothSidesAreKept(t *testing.T) {
-	member := newMember(append(WipedSlots(7), Slot{Key: "x", Promised: ballotOf(8)})...)
-	_, changes := member.Install(CatchUp{Members: testMembers, Incarnation: 7, Slots: []Slot{accepted("x", 4, "read")}}, testNow)
+func TestAcceptorState_InstallKeepsHigherPromise(t *testing.T) {
+	member := newAcceptorState(append(WipedRegisters(7), Register{Key: "x", Promised: proposalNumber(8)})...)
+	_, changes := member.Install(CatchUpResult{Membership: testMembership, DiskIncarnation: 7, Registers: []Register{acceptedRegister("x", 4, "read")}}, testNow)
 	member.Apply(changes)
-	assert.Equal(t, member.Slots["x"].Promised, ballotOf(8))
-	assert.Equal(t, member.Slots["x"].Ballot, ballotOf(4))
+	assert.Equal(t, member.Registers["x"].Promised, proposalNumber(8))
+	assert.Equal(t, member.Registers["x"].AcceptedProposal, proposalNumber(4))
 }
 
-func TestGivenAChosenValueThenAMemberThatMissedItKeepsItUnderItsPromise(t *testing.T) {
-	member := voter()
-	member.Apply([]Slot{{Key: "x", Promised: ballotOf(9), Ballot: ballotOf(2), Sequence: 1, Value: value("old")}})
-	reply, changes := member.Learn(accepted("x", 5, "chosen"))
+func TestAcceptorState_LearnKeepsPromise(t *testing.T) {
+	member := votingAcceptor()
+	member.Apply([]Register{{Key: "x", Promised: proposalNumber(9), AcceptedProposal: proposalNumber(2), Sequence: 1, Value: value("old")}})
+	reply, changes := member.Learn(acceptedRegister("x", 5, "chosen"))
 	assert.Assert(t, reply.Granted)
 	member.Apply(changes)
-	assert.Equal(t, string(member.Slots["x"].Value), `"chosen"`)
-	assert.Equal(t, member.Slots["x"].Promised, ballotOf(9), "the promise stands")
-	reply, _ = member.Learn(accepted("x", 3, "older"))
-	assert.Equal(t, reply.Refusal, RefusedMovedOn)
-	reply, _ = newMember(WipedSlots(1)...).Learn(accepted("x", 5, "chosen"))
-	assert.Equal(t, reply.Refusal, RefusedMovedOn, "no vote")
+	assert.Equal(t, string(member.Registers["x"].Value), `"chosen"`)
+	assert.Equal(t, member.Registers["x"].Promised, proposalNumber(9), "the promise stands")
+	reply, _ = member.Learn(acceptedRegister("x", 3, "older"))
+	assert.Equal(t, reply.Rejection, RejectedStateChanged)
+	reply, _ = newAcceptorState(WipedRegisters(1)...).Learn(acceptedRegister("x", 5, "chosen"))
+	assert.Equal(t, reply.Rejection, RejectedStateChanged, "no vote")
 }
 
-func TestGivenALeaseThenAnotherHolderWaitsForItsEndOrItsRelease(t *testing.T) {
-	member := voter()
+func TestAcceptorState_LeaseBlocksOthersUntilEndOrRelease(t *testing.T) {
+	member := votingAcceptor()
 	key := LeasePrefix + "duty"
-	assert.Assert(t, member.ask(Message{Operation: OperationPromise, Key: key, Ballot: ballotOf(1)}, testNow).Granted)
-	assert.Assert(t, member.ask(Message{Operation: OperationAccept, Key: key, Ballot: ballotOf(1), Sequence: 1}, testNow).Granted)
-	next := Message{Operation: OperationPromise, Key: key, Ballot: ballotOf(2)}
-	assert.Equal(t, member.ask(next, testNow.Add(testLease/2)).Refusal, RefusedLeaseRuns)
-	assert.Equal(t, member.ask(Message{Operation: OperationRelease, Key: key, Ballot: ballotOf(2)}, testNow).Refusal, RefusedPromised, "not the holder")
-	assert.Assert(t, member.ask(Message{Operation: OperationRelease, Key: key, Ballot: ballotOf(1)}, testNow).Granted)
-	assert.Assert(t, member.ask(next, testNow.Add(testLease/2)).Granted)
+	assert.Assert(t, member.stepAndApply(Message{Operation: OperationPrepare, Key: key, Proposal: proposalNumber(1)}, testNow).Granted)
+	assert.Assert(t, member.stepAndApply(Message{Operation: OperationAccept, Key: key, Proposal: proposalNumber(1), Sequence: 1}, testNow).Granted)
+	next := Message{Operation: OperationPrepare, Key: key, Proposal: proposalNumber(2)}
+	assert.Equal(t, member.stepAndApply(next, testNow.Add(testLeaseDuration/2)).Rejection, RejectedLeaseActive)
+	assert.Equal(t, member.stepAndApply(Message{Operation: OperationRelease, Key: key, Proposal: proposalNumber(2)}, testNow).Rejection, RejectedPromised, "not the holder")
+	assert.Assert(t, member.stepAndApply(Message{Operation: OperationRelease, Key: key, Proposal: proposalNumber(1)}, testNow).Granted)
+	assert.Assert(t, member.stepAndApply(next, testNow.Add(testLeaseDuration/2)).Granted)
 }
 
-func TestGivenAMemberListThatDropsItThenAMemberLosesItsVote(t *testing.T) {
-	member := voter()
-	message := Message{Operation: OperationPromise, Key: "x", Ballot: ballotOf(1), Members: Members{Number: 3, Present: []string{"b", "c", "d"}}}
-	reply, changes := member.Step(message, testNow, member.Slots)
-	assert.Equal(t, reply.Refusal, RefusedNotVoting)
+func TestAcceptorState_LosesVoteWhenDroppedFromMembership(t *testing.T) {
+	member := votingAcceptor()
+	message := Message{Operation: OperationPrepare, Key: "x", Proposal: proposalNumber(1), Membership: Membership{Version: 3, Current: []string{"b", "c", "d"}}}
+	reply, changes := member.Step(message, testNow, member.Registers)
+	assert.Equal(t, reply.Rejection, RejectedNotVoting)
 	member.Apply(changes)
-	assert.Assert(t, !readSelf(member.Slots).Voting)
+	assert.Assert(t, !readLocalState(member.Registers).Voting)
 }
 
-func TestGivenAWriteThatCountsAPromiseOfALostDiskThenItIsRefused(t *testing.T) {
-	member := voter()
-	assert.Assert(t, member.ask(Message{Operation: OperationCatchUp, Sender: "b", Incarnation: 22}, testNow).Granted)
-	write := Message{Operation: OperationAccept, Key: "x", Ballot: ballotOf(1), Sequence: 1, Incarnations: map[string]uint64{"b": 21}}
-	assert.Equal(t, member.ask(write, testNow).Refusal, RefusedWiped)
-	write.Incarnations["b"] = 22
-	assert.Assert(t, member.ask(write, testNow).Granted)
+func TestAcceptorState_RejectsWriteCountingLostDisk(t *testing.T) {
+	member := votingAcceptor()
+	assert.Assert(t, member.stepAndApply(Message{Operation: OperationCatchUp, Sender: "b", DiskIncarnation: 22}, testNow).Granted)
+	write := Message{Operation: OperationAccept, Key: "x", Proposal: proposalNumber(1), Sequence: 1, DiskIncarnations: map[string]uint64{"b": 21}}
+	assert.Equal(t, member.stepAndApply(write, testNow).Rejection, RejectedDiskLost)
+	write.DiskIncarnations["b"] = 22
+	assert.Assert(t, member.stepAndApply(write, testNow).Granted)
 }
--- a/internal/keystore/message.go
+++ b/internal/keystore/message.go
@@ -7,8 +7,8 @@
 
 // The operations between members.
 const (
-	// OperationPromise asks for a promise to accept nothing of the key below the ballot.
-	OperationPromise Operation = "promise"
+	// OperationPrepare asks for a promise to accept nothing of the key below the ballot.
+	OperationPrepare Operation = "promise"
 	// OperationAccept asks the member to keep a value on its disk.
 	OperationAccept Operation = "accept"
 	// OperationRenew asks whether the promise of the ballot still stands, and prolongs a lease.
@@ -23,62 +23,62 @@
 	OperationCatchUp Operation = "catch_up"
 )
 
-// Message is a question to a member. Members is the list under which the sender counts
+// Message is a question to a member. Membership is the list under which the sender counts
 // answers; Incarnations are those of the members whose promises the sender counted.
 type Message struct {
-	Operation    Operation         `json:"operation"`
-	Sender       string            `json:"sender"`
-	Key          string            `json:"key,omitempty"`
-	Ballot       Ballot            `json:"ballot,omitzero"`
-	Sequence     uint64            `json:"sequence,omitempty"`
-	Value        json.RawMessage   `json:"value,omitempty"`
-	Members      Members           `json:"members"`
-	Incarnations map[string]uint64 `json:"incarnations,omitempty"`
-	Incarnation  uint64            `json:"incarnation,omitempty"`
+	Operation        Operation         `json:"operation"`
+	Sender           string            `json:"sender"`
+	Key              string            `json:"key,omitempty"`
+	Proposal         ProposalNumber    `json:"ballot,omitzero"`
+	Sequence         uint64            `json:"sequence,omitempty"`
+	Value            json.RawMessage   `json:"value,omitempty"`
+	Membership       Membership        `json:"members"`
+	DiskIncarnations map[string]uint64 `json:"incarnations,omitempty"`
+	DiskIncarnation  uint64            `json:"incarnation,omitempty"`
 }
 
-// Refusal is the reason why a member did not grant what a message asked.
-type Refusal string
+// Rejection is the reason why a member did not grant what a message asked.
+type Rejection string
 
 // The refusals.
 const (
-	RefusedNotVoting     Refusal = "not voting before it has caught up"
-	RefusedOlderMembers  Refusal = "older members"
-	RefusedPromised      Refusal = "promised higher"
-	RefusedLeaseRuns     Refusal = "lease runs"
-	RefusedWiped         Refusal = "member wiped since the promise"
-	RefusedNothingThere  Refusal = "no value"
-	RefusedUnknown       Refusal = "unknown operation"
-	RefusedDisk          Refusal = "disk did not take it"
-	RefusedDiskQueueFull Refusal = "disk queue full"
-	RefusedMovedOn       Refusal = "state moved on since it was read"
-	RefusedUnreached     Refusal = "not reached"
+	RejectedNotVoting        Rejection = "not voting before it has caught up"
+	RejectedOlderMembership  Rejection = "older members"
+	RejectedPromised         Rejection = "promised higher"
+	RejectedLeaseActive      Rejection = "lease runs"
+	RejectedDiskLost         Rejection = "member wiped since the promise"
+	RejectedNoValue          Rejection = "no value"
+	RejectedUnknownOperation Rejection = "unknown operation"
+	RejectedDiskError        Rejection = "disk did not take it"
+	RejectedDiskQueueFull    Rejection = "disk queue full"
+	RejectedStateChanged     Rejection = "state moved on since it was read"
+	RejectedUnreachable      Rejection = "not reached"
 )
 
 // contended says that the key has, or may have, another owner: trying again may help.
-func (r Refusal) contended() bool { return r == RefusedPromised || r == RefusedLeaseRuns }
+func (r Rejection) isContended() bool { return r == RejectedPromised || r == RejectedLeaseActive }
 
-// Reply is a member's answer. Members is the newest list that it knows. Known holds the
+// Reply is a member's answer. Membership is the newest list that it knows. Known holds the
 // incarnations of members that caught up here, so that a reply from before such a loss of a
 // disk can be told from one after it.
 type Reply struct {
-	Granted     bool              `json:"granted"`
-	Refusal     Refusal           `json:"reason,omitempty"`
-	Incarnation uint64            `json:"incarnation"`
-	Slot        Slot              `json:"slot,omitzero"`
-	Slots       []Slot            `json:"slots,omitempty"`
-	Members     Members           `json:"members"`
-	Known       map[string]uint64 `json:"known,omitempty"`
+	Granted               bool              `json:"granted"`
+	Rejection             Rejection         `json:"reason,omitempty"`
+	DiskIncarnation       uint64            `json:"incarnation"`
+	Register              Register          `json:"slot,omitzero"`
+	Registers             []Register        `json:"slots,omitempty"`
+	Membership            Membership        `json:"members"`
+	KnownDiskIncarnations map[string]uint64 `json:"known,omitempty"`
 	// Lives is how many incarnations of a member that catches up have asked here, this one counted.
-	Lives uint64 `json:"lives,omitempty"`
+	DiskIncarnationCount uint64 `json:"lives,omitempty"`
 	// NeverVoted says that a member without a vote never had one on its present disk; Seeds are the founders by
 	// its settings. Completed says that the member saw every founder vote.
-	NeverVoted bool     `json:"neverVoted,omitempty"`
-	Seeds      []string `json:"seeds,omitempty"`
-	Completed  bool     `json:"completed,omitempty"`
+	NeverVoted         bool     `json:"neverVoted,omitempty"`
+	Seeds              []string `json:"seeds,omitempty"`
+	BootstrapCompleted bool     `json:"completed,omitempty"`
 }
 
 // IsZero leaves an empty slot out of JSON.
-func (s Slot) IsZero() bool {
-	return s.Key == "" && s.Promised.IsZero() && s.Ballot.IsZero() && s.Sequence == 0 && s.Value == nil
+func (r Register) IsZero() bool {
+	return r.Key == "" && r.Promised.IsZero() && r.AcceptedProposal.IsZero() && r.Sequence == 0 && r.Value == nil
 }
--- a/internal/keystore/operators_test.go
+++ b/internal/keystore/operators_test.go
@@ -15,134 +15,134 @@
 )
 
 var (
-	errTaken = errors.New("already taken")
-	errStale = errors.New("another version is current")
+	errAlreadyApplied = errors.New("already taken")
+	errStale          = errors.New("another version is current")
 )
 
-const patience = time.Second
+const callTimeout = time.Second
 
-type report struct {
-	lock    sync.Mutex
-	history history
-	refused map[string]bool
-	waits   []time.Duration
-	ballots map[int]keystore.Ballot
+type clientReport struct {
+	lock      sync.Mutex
+	history   history
+	rejected  map[string]bool
+	latencies []time.Duration
+	proposals map[int]keystore.ProposalNumber
 }
 
-func newReport() *report {
-	return &report{refused: map[string]bool{}, ballots: map[int]keystore.Ballot{}}
+func newClientReport() *clientReport {
+	return &clientReport{rejected: map[string]bool{}, proposals: map[int]keystore.ProposalNumber{}}
 }
 
-func (r *report) note(one operation, slot keystore.Slot, refused bool) {
+func (r *clientReport) record(call operation, register keystore.Register, rejected bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.refused[one.mark] = refused
-	r.waits = append(r.waits, one.ended.Sub(one.began))
-	r.history.add(one)
-	if !one.read {
-		r.ballots[one.version] = slot.Ballot
+	r.rejected[call.label] = rejected
+	r.latencies = append(r.latencies, call.ended.Sub(call.started))
+	r.history.add(call)
+	if !call.read {
+		r.proposals[call.version] = register.AcceptedProposal
 	}
 }
 
-func (r *report) moves() int {
+func (r *clientReport) ownerChanges() int {
 	moved := 0
-	var last keystore.Ballot
-	for version := 1; version <= len(r.ballots)+1000; version++ {
-		if ballot, known := r.ballots[version]; known && ballot != last {
+	var last keystore.ProposalNumber
+	for version := 1; version <= len(r.proposals)+1000; version++ {
+		if proposal, known := r.proposals[version]; known && proposal != last {
 			moved++
-			last = ballot
+			last = proposal
 		}
 	}
 	return moved
 }
 
-func (r *report) check(final written) error {
-	for _, mark := range final.Marks {
-		if r.refused[mark] {
-			return fmt.Errorf("%s was refused and took force later", mark)
+func (r *clientReport) check(final document) error {
+	for _, label := range final.Labels {
+		if r.rejected[label] {
+			return fmt.Errorf("%s was refused and took force later", label)
 		}
 	}
 	return r.history.check(final)
 }
 
-func (r *report) print() string {
+func (r *clientReport) print() string {
 	return fmt.Sprint(r.history.done)
 }
 
-func replace(store *keystore.Store, key, mark string, on int) (keystore.Slot, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func replace(store *keystore.Store, key, label string, on int) (keystore.Register, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	return store.Change(ctx, key, func(current keystore.Slot) (json.RawMessage, error) {
-		value := decodeWritten(current)
-		if slices.Contains(value.Marks, mark) {
-			return nil, errTaken
+	return store.Change(ctx, key, func(current keystore.Register) (json.RawMessage, error) {
+		value := decodeDocument(current)
+		if slices.Contains(value.Labels, label) {
+			return nil, errAlreadyApplied
 		}
 		if value.Version != on {
 			return nil, errStale
 		}
 		value.Version++
-		value.Marks = append(append([]string{}, value.Marks...), mark)
+		value.Labels = append(append([]string{}, value.Labels...), label)
 		return json.Marshal(value)
 	})
 }
 
-func operate(f *membersim.Fleet, key string, number int, draw *rand.Rand, until time.Time, told *report) {
-	version, first := 0, draw.IntN(5)
+func runOperator(cluster *membersim.Cluster, key string, number int, random *rand.Rand, until time.Time, told *clientReport) {
+	version, first := 0, random.IntN(5)
 	for turn := 0; time.Now().Before(until); turn++ {
-		calm := time.Duration(draw.Int64N(int64(30 * time.Millisecond)))
+		thinkTime := time.Duration(random.Int64N(int64(30 * time.Millisecond)))
 		if turn%30 >= 20 {
-			calm = time.Duration(draw.Int64N(int64(700 * time.Millisecond)))
-			first = draw.IntN(5)
+			thinkTime = time.Duration(random.Int64N(int64(700 * time.Millisecond)))
+			first = random.IntN(5)
 		}
-		time.Sleep(calm)
-		one := operation{mark: fmt.Sprintf("%s-%d-%d", key, number, turn), began: time.Now()}
-		pause := 100 * time.Millisecond
-		for try := 0; ; try++ {
-			present := f.Present()
-			slot, err := keystore.Slot{}, errors.New("no daemon there")
-			if store := f.StoreOf(present[(first+try)%len(present)]); store != nil {
-				slot, err = replace(store, key, one.mark, version)
+		time.Sleep(thinkTime)
+		call := operation{label: fmt.Sprintf("%s-%d-%d", key, number, turn), started: time.Now()}
+		backoff := 100 * time.Millisecond
+		for attempt := 0; ; attempt++ {
+			present := cluster.MemberNames()
+			register, err := keystore.Register{}, errors.New("no daemon there")
+			if store := cluster.StoreOf(present[(first+attempt)%len(present)]); store != nil {
+				register, err = replace(store, key, call.label, version)
 			}
-			if err == nil || errors.Is(err, errTaken) || errors.Is(err, errStale) {
-				value := decodeWritten(slot)
-				one.ended, one.acknowledged, one.read = time.Now(), true, errors.Is(err, errStale)
-				one.version, version = value.Version, value.Version
-				if errors.Is(err, errTaken) {
-					one.version = 1 + slices.Index(value.Marks, one.mark)
+			if err == nil || errors.Is(err, errAlreadyApplied) || errors.Is(err, errStale) {
+				value := decodeDocument(register)
+				call.ended, call.acknowledged, call.read = time.Now(), true, errors.Is(err, errStale)
+				call.version, version = value.Version, value.Version
+				if errors.Is(err, errAlreadyApplied) {
+					call.version = 1 + slices.Index(value.Labels, call.label)
 				}
-				told.note(one, slot, one.read)
+				told.record(call, register, call.read)
 				break
 			}
 			if time.Now().After(until.Add(30 * time.Second)) {
 				return
 			}
-			time.Sleep(pause + time.Duration(draw.Int64N(int64(time.Millisecond))))
-			pause = min(2*pause, 2*time.Second)
+			time.Sleep(backoff + time.Duration(random.Int64N(int64(time.Millisecond))))
+			backoff = min(2*backoff, 2*time.Second)
 		}
 	}
 }
 
-func follow(f *membersim.Fleet, name, key string, every time.Duration, until time.Time) error {
-	var held *keystore.Store
-	var shown keystore.Slot
+func followKey(cluster *membersim.Cluster, name, key string, every time.Duration, until time.Time) error {
+	var currentStore *keystore.Store
+	var shown keystore.Register
 	for time.Now().Before(until) {
 		time.Sleep(every)
-		store := f.StoreOf(name)
+		store := cluster.StoreOf(name)
 		if store == nil {
 			continue
 		}
-		if store != held {
-			held, shown = store, keystore.Slot{}
+		if store != currentStore {
+			currentStore, shown = store, keystore.Register{}
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		digest, err := store.Digest(ctx)
-		if found, known := digest.Committed[key]; err == nil && known && found.Newer(shown) {
-			if whole, err := store.Fetch(ctx, found); err == nil {
-				if decodeWritten(whole).Version < decodeWritten(shown).Version {
+		if found, known := digest.Committed[key]; err == nil && known && found.NewerThan(shown) {
+			if fetched, err := store.Fetch(ctx, found); err == nil {
+				if decodeDocument(fetched).Version < decodeDocument(shown).Version {
 					cancel()
-					return fmt.Errorf("%s went back from version %d to %d", name, decodeWritten(shown).Version, decodeWritten(whole).Version)
+					return fmt.Errorf("%s went back from version %d to %d", name, decodeDocument(shown).Version, decodeDocument(fetched).Version)
 				}
-				shown = whole
+				shown = fetched
 			}
 		}
 		cancel()
--- a/internal/keystore/ownership_test.go
+++ b/internal/keystore/ownership_test.go
@@ -9,16 +9,16 @@
 	"ferryspar/internal/keystore"
 )
 
-func TestGivenAnUncertainProposalThenTheNextOneOfItsOwnerSupersedesIt(t *testing.T) {
-	owner := keystore.Owned("k", keystore.Ballot{Round: 3, Member: "a"}, map[string]keystore.Reply{"a": {Granted: true, Incarnation: 1}})
-	first := owner.Next(json.RawMessage(`1`))
-	assert.Assert(t, owner.Certain())
-	owner = owner.Unclear(first)
-	assert.Assert(t, !owner.Certain(), "the first may be in force")
-	assert.Assert(t, !owner.InForce().Accepted(), "and may not")
-	second := owner.Next(json.RawMessage(`2`))
-	assert.Assert(t, second.Newer(first) && second.Ballot == first.Ballot)
-	owner = owner.Wrote(second)
-	assert.Assert(t, owner.Certain())
-	assert.Assert(t, owner.Next(json.RawMessage(`3`)).Newer(second))
+func TestOwnership_NextProposalSupersedesUncertainOne(t *testing.T) {
+	owner := keystore.NewOwnership("k", keystore.ProposalNumber{Round: 3, Proposer: "a"}, map[string]keystore.Reply{"a": {Granted: true, DiskIncarnation: 1}})
+	first := owner.NextProposal(json.RawMessage(`1`))
+	assert.Assert(t, owner.IsCertain())
+	owner = owner.WithUncertain(first)
+	assert.Assert(t, !owner.IsCertain(), "the first may be in force")
+	assert.Assert(t, !owner.Current().IsAccepted(), "and may not")
+	second := owner.NextProposal(json.RawMessage(`2`))
+	assert.Assert(t, second.NewerThan(first) && second.AcceptedProposal == first.AcceptedProposal)
+	owner = owner.WithCommitted(second)
+	assert.Assert(t, owner.IsCertain())
+	assert.Assert(t, owner.NextProposal(json.RawMessage(`3`)).NewerThan(second))
 }
--- a/internal/keystore/pinned_test.go
+++ b/internal/keystore/pinned_test.go
@@ -26,58 +26,58 @@
 	pinnedRevision = 30
 )
 
-var pinnedMembers = Members{Number: 1, Present: []string{pinnedAddress, "10.0.1.1:7000", "10.0.2.1:7000"}}
+var pinnedMembers = Membership{Version: 1, Current: []string{pinnedAddress, "10.0.1.1:7000", "10.0.2.1:7000"}}
 
-func pinnedBallot(round uint64) Ballot {
-	return Ballot{Round: round, Member: "10.0.1.1:7000", Life: 0xfeedbeef}
+func pinnedBallot(round uint64) ProposalNumber {
+	return ProposalNumber{Round: round, Proposer: "10.0.1.1:7000", Incarnation: 0xfeedbeef}
 }
 
 // runMember opens the journal in a folder and runs a member on it until the test's part is done.
 func runMember(t *testing.T, path string, founding bool, use func(acceptor *Acceptor)) {
 	t.Helper()
-	journal := openPinned(t, path)
+	log := openPinned(t, path)
 	if founding {
-		assert.NilError(t, journal.Append(FreshSlots(pinnedMembers, 11)))
+		assert.NilError(t, log.Append(BootstrapRegisters(pinnedMembers, 11)))
 	}
-	rules := Rules{Lease: testLease, Clock: func() time.Time { return testNow }, Seeds: pinnedMembers.Present}
-	acceptor := NewAcceptor(pinnedAddress, journal, rules, founding)
+	rules := AcceptorConfig{LeaseDuration: testLeaseDuration, Clock: func() time.Time { return testNow }, Seeds: pinnedMembers.Current}
+	acceptor := NewAcceptor(pinnedAddress, log, rules, founding)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		acceptor.Run(ctx, journal)
+		acceptor.Run(ctx, log)
 	}()
 	use(acceptor)
 	cancel()
 	<-ended
 }
 
-func openPinned(t *testing.T, path string) *Journal {
+func openPinned(t *testing.T, path string) *WAL {
 	t.Helper()
-	folder, err := NewFolder(path)
+	directory, err := NewDirectory(path)
 	assert.NilError(t, err)
-	journal, err := OpenJournal(folder, RingFiles, pinnedRingSize)
+	log, err := OpenWAL(directory, SegmentCount, pinnedRingSize)
 	assert.NilError(t, err)
-	return journal
+	return log
 }
 
 // put has the acceptor promise and accept a value.
 func put(t *testing.T, acceptor *Acceptor, key string, round uint64, value string) {
 	t.Helper()
-	message := Message{Operation: OperationPromise, Sender: "10.0.1.1:7000", Key: key, Ballot: pinnedBallot(round), Members: acceptor.Members()}
-	for _, operation := range []Operation{OperationPromise, OperationAccept} {
+	message := Message{Operation: OperationPrepare, Sender: "10.0.1.1:7000", Key: key, Proposal: pinnedBallot(round), Membership: acceptor.Membership()}
+	for _, operation := range []Operation{OperationPrepare, OperationAccept} {
 		message.Operation = operation
 		if operation == OperationAccept {
 			message.Sequence, message.Value = round, json.RawMessage(value)
 		}
 		reply, err := acceptor.Call(t.Context(), message)
 		assert.NilError(t, err)
-		assert.Assert(t, reply.Granted, "%s: %s", key, reply.Refusal)
+		assert.Assert(t, reply.Granted, "%s: %s", key, reply.Rejection)
 	}
 }
 
 // writePinned writes the data folder of the fixture: every kind of record, and enough of them that each ring file is
-// written over at least once.
+// document over at least once.
 func writePinned(t *testing.T, path string) {
 	t.Helper()
 	runMember(t, path, true, func(acceptor *Acceptor) {
@@ -88,14 +88,14 @@
 		put(t, acceptor, ForgetKey, 4, `{"number":5,"items":[{"number":5,"scope":{"model":"m"},"edges":["edge-1"],"counted":true}]}`)
 		put(t, acceptor, DrillKey, 5, `{"number":1}`)
 		caughtUp, err := acceptor.Call(t.Context(), Message{
-			Operation: OperationCatchUp, Sender: "10.0.2.1:7000", Incarnation: 22, Members: pinnedMembers,
+			Operation: OperationCatchUp, Sender: "10.0.2.1:7000", DiskIncarnation: 22, Membership: pinnedMembers,
 		})
 		assert.NilError(t, err)
 		assert.Assert(t, caughtUp.Granted)
-		assert.NilError(t, acceptor.CompleteFounding(t.Context()))
-		joint := Members{Number: 2, Present: pinnedMembers.Present, Next: []string{pinnedAddress, "10.0.1.1:7000", "10.0.3.1:7000"}}
-		assert.NilError(t, acceptor.Hear(t.Context(), joint))
-		put(t, acceptor, MembersKey, 6, `{"number":3,"present":["10.0.0.1:7000","10.0.1.1:7000","10.0.3.1:7000"]}`)
+		assert.NilError(t, acceptor.CompleteBootstrap(t.Context()))
+		joint := Membership{Version: 2, Current: pinnedMembers.Current, Next: []string{pinnedAddress, "10.0.1.1:7000", "10.0.3.1:7000"}}
+		assert.NilError(t, acceptor.AdoptMembership(t.Context(), joint))
+		put(t, acceptor, MembershipKey, 6, `{"number":3,"present":["10.0.0.1:7000","10.0.1.1:7000","10.0.3.1:7000"]}`)
 		for revision := uint64(1); revision <= pinnedRevision; revision++ {
 			put(t, acceptor, ConfigurationKey, 10+revision, fmt.Sprintf(`{"revision":%d,"packed":"%s","taken":{"entries":"AAECAwQFBgcI"}}`,
 				revision, strings.Repeat("cGFja2Vk", 20)))
@@ -106,8 +106,8 @@
 // writeDamaged writes a data folder whose ring lost a file, and was given up at the next start.
 func writeDamaged(t *testing.T, path string) {
 	t.Helper()
-	assert.NilError(t, openPinned(t, path).Append(FreshSlots(pinnedMembers, 11)))
-	assert.NilError(t, openPinned(t, path).Append([]Slot{{Key: ConfigurationKey, Sequence: 1}}))
+	assert.NilError(t, openPinned(t, path).Append(BootstrapRegisters(pinnedMembers, 11)))
+	assert.NilError(t, openPinned(t, path).Append([]Register{{Key: ConfigurationKey, Sequence: 1}}))
 	assert.NilError(t, os.Remove(filepath.Join(path, "ring-1")))
 	assert.Equal(t, openPinned(t, path).Damage().Reason, DamageFileMissing)
 }
@@ -157,10 +157,10 @@
 func TestOpenJournal_ReadsADataFolderOfAnEarlierVersion(t *testing.T) {
 	makeFixture(t, pinnedFolder, writePinned)
 	t.Run("its state", func(t *testing.T) {
-		journal := openPinned(t, copyOf(t, pinnedFolder))
-		assert.Assert(t, journal.Damage() == nil)
-		assert.Assert(t, journal.Generation() > RingFiles, "the fixture must have written over each file")
-		pinned.CheckJSON(t, pinnedSlots, journal.State())
+		log := openPinned(t, copyOf(t, pinnedFolder))
+		assert.Assert(t, log.Damage() == nil)
+		assert.Assert(t, log.Generation() > SegmentCount, "the fixture must have written over each file")
+		pinned.CheckJSON(t, pinnedSlots, log.State())
 	})
 	t.Run("its inspection", func(t *testing.T) {
 		inspection, err := Inspect(pinnedFolder)
@@ -182,19 +182,19 @@
 	before := openPinned(t, path).State()
 	generation := openPinned(t, path).Generation()
 	runMember(t, path, false, func(acceptor *Acceptor) {
-		assert.DeepEqual(t, acceptor.Self(), Self{Incarnation: 11, Voting: true, Number: 1, Completed: true})
-		assert.Equal(t, acceptor.Members().Number, uint64(2))
-		late := Message{Operation: OperationPromise, Key: ConfigurationKey, Ballot: pinnedBallot(10 + pinnedRevision), Members: acceptor.Members()}
+		assert.DeepEqual(t, acceptor.LocalState(), LocalState{DiskIncarnation: 11, Voting: true, MembershipVersion: 1, BootstrapCompleted: true})
+		assert.Equal(t, acceptor.Membership().Version, uint64(2))
+		late := Message{Operation: OperationPrepare, Key: ConfigurationKey, Proposal: pinnedBallot(10 + pinnedRevision), Membership: acceptor.Membership()}
 		refused, err := acceptor.Call(t.Context(), late)
 		assert.NilError(t, err)
-		assert.Equal(t, refused.Refusal, RefusedPromised)
+		assert.Equal(t, refused.Rejection, RejectedPromised)
 		wiped := Message{
-			Operation: OperationAccept, Key: ConfigurationKey, Ballot: pinnedBallot(99), Sequence: 1, Members: acceptor.Members(),
-			Incarnations: map[string]uint64{"10.0.2.1:7000": 21},
+			Operation: OperationAccept, Key: ConfigurationKey, Proposal: pinnedBallot(99), Sequence: 1, Membership: acceptor.Membership(),
+			DiskIncarnations: map[string]uint64{"10.0.2.1:7000": 21},
 		}
 		refused, err = acceptor.Call(t.Context(), wiped)
 		assert.NilError(t, err)
-		assert.Equal(t, refused.Refusal, RefusedWiped)
+		assert.Equal(t, refused.Rejection, RejectedDiskLost)
 		put(t, acceptor, ConfigurationKey, 100, `{"revision":31}`)
 		put(t, acceptor, ZonePrefix+"south", 101, `{"number":1,"drained":false}`)
 	})
@@ -203,7 +203,7 @@
 	assert.Assert(t, again.Generation() > generation)
 	after := again.State()
 	assert.Equal(t, string(after[ConfigurationKey].Value), `{"revision":31}`)
-	assert.Equal(t, after[ZonePrefix+"south"].Ballot, pinnedBallot(101))
+	assert.Equal(t, after[ZonePrefix+"south"].AcceptedProposal, pinnedBallot(101))
 	before[ConfigurationKey], before[ZonePrefix+"south"] = after[ConfigurationKey], after[ZonePrefix+"south"]
 	assert.DeepEqual(t, after, before)
 }
@@ -217,8 +217,8 @@
 			write(t, path)
 			names, err := os.ReadDir(path)
 			assert.NilError(t, err)
-			assert.Equal(t, len(names), RingFiles)
-			for position := range RingFiles {
+			assert.Equal(t, len(names), SegmentCount)
+			for position := range SegmentCount {
 				name := fmt.Sprintf("ring-%d", position)
 				earlier, err := os.ReadFile(filepath.Join(fixture, name))
 				assert.NilError(t, err)
--- a/internal/keystore/record.go
+++ b/internal/keystore/record.go
@@ -13,14 +13,14 @@
 type recordKind byte
 
 const (
-	// recordSlot holds one slot as JSON.
-	recordSlot recordKind = iota + 1
+	// recordRegister holds one slot as JSON.
+	recordRegister recordKind = iota + 1
 	// recordBegin is the first record of a generation and holds a beginPayload.
 	recordBegin
 	// recordEnd follows the full copy of the state with which a generation begins.
 	recordEnd
-	// recordDamage is the mark that a damaged ring was given up; it holds a damagePayload.
-	recordDamage
+	// recordDamageMarker is the mark that a damaged ring was given up; it holds a damagePayload.
+	recordDamageMarker
 )
 
 const (
@@ -33,23 +33,23 @@
 	indexOffset       = 16
 	kindOffset        = 24
 
-	// longestPayload keeps the first byte of every record 0, so that the first byte of a file tells a generation
+	// maxPayloadBytes keeps the first byte of every record 0, so that the first byte of a file tells a generation
 	// from a stamp and from a damage mark, however little of them was written.
-	longestPayload = 1<<24 - 1
+	maxPayloadBytes = 1<<24 - 1
 
 	// saltShift separates the salt of one attempt to write a generation from the position of a record in it.
 	saltShift = 32
 )
 
 const (
-	stampByte  = 0xF5
-	damageByte = 0xDA
-	// blankProbe is how many bytes at the start of a file are looked at to call it blank.
-	blankProbe = 64
+	readyMarkerByte  = 0xF5
+	damageMarkerByte = 0xDA
+	// blankProbeBytes is how many bytes at the start of a file are looked at to call it blank.
+	blankProbeBytes = 64
 )
 
-// stamp is written at the start of each ring file once the names of all of them are on the disk.
-var stamp = []byte{stampByte, 'f', 'e', 'r', 'r', 'y', 's', 'p', 'a', 'r', ' ', 'r', 'i', 'n', 'g', ' ', 'f', 'i', 'l', 'e', '\n'}
+// readyMarker is written at the start of each ring file once the names of all of them are on the disk.
+var readyMarker = []byte{readyMarkerByte, 'f', 'e', 'r', 'r', 'y', 's', 'p', 'a', 'r', ' ', 'r', 'i', 'n', 'g', ' ', 'f', 'i', 'l', 'e', '\n'}
 
 // beginPayload is the content of a recordBegin.
 type beginPayload struct {
@@ -57,7 +57,7 @@
 	Base uint64 `json:"base"`
 }
 
-// damagePayload is the content of a recordDamage.
+// damagePayload is the content of a recordDamageMarker.
 type damagePayload struct {
 	// Base is the generation from which the ring is good again. While no whole generation has this base or a
 	// higher one, the ring counts as damaged.
@@ -71,8 +71,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(content) > longestPayload {
-		return nil, errors.Errorf("record of %d bytes is longer than %d", len(content), longestPayload)
+	if len(content) > maxPayloadBytes {
+		return nil, errors.Errorf("record of %d bytes is longer than %d", len(content), maxPayloadBytes)
 	}
 	record := make([]byte, recordHeaderBytes, recordHeaderBytes+len(content))
 	binary.BigEndian.PutUint32(record[lengthOffset:], uint32(len(content)))
@@ -102,60 +102,60 @@
 	if length > len(content)-recordHeaderBytes {
 		return record{}, false
 	}
-	whole := content[:recordHeaderBytes+length]
-	if binary.BigEndian.Uint32(whole[checksumOffset:]) != crc32.ChecksumIEEE(whole[generationOffset:]) {
+	encoded := content[:recordHeaderBytes+length]
+	if binary.BigEndian.Uint32(encoded[checksumOffset:]) != crc32.ChecksumIEEE(encoded[generationOffset:]) {
 		return record{}, false
 	}
 	return record{
-		generation: binary.BigEndian.Uint64(whole[generationOffset:]),
-		index:      binary.BigEndian.Uint64(whole[indexOffset:]),
-		kind:       recordKind(whole[kindOffset]),
-		payload:    whole[recordHeaderBytes:],
-		length:     len(whole),
+		generation: binary.BigEndian.Uint64(encoded[generationOffset:]),
+		index:      binary.BigEndian.Uint64(encoded[indexOffset:]),
+		kind:       recordKind(encoded[kindOffset]),
+		payload:    encoded[recordHeaderBytes:],
+		length:     len(encoded),
 	}, true
 }
 
-// FileState says what a ring file holds.
-type FileState string
+// SegmentState says what a ring file holds.
+type SegmentState string
 
 // The states of a ring file.
 const (
-	FileMissing    FileState = "missing"    // there is no file of this name
-	FileBlank      FileState = "blank"      // made, nothing written
-	FileReady      FileState = "ready"      // stamped, no generation yet
-	FileWhole      FileState = "whole"      // a generation with its full state
-	FileTorn       FileState = "torn"       // a generation whose full state isn't whole
-	FileUnreadable FileState = "unreadable" // something else: the remains of a write
-	FileDamaged    FileState = "given up"   // marked when damage was found
+	SegmentMissing    SegmentState = "missing"    // there is no file of this name
+	SegmentBlank      SegmentState = "blank"      // made, nothing written
+	SegmentReady      SegmentState = "ready"      // stamped, no generation yet
+	SegmentComplete   SegmentState = "whole"      // a generation with its full state
+	SegmentTorn       SegmentState = "torn"       // a generation whose full state isn't whole
+	SegmentUnreadable SegmentState = "unreadable" // something else: the remains of a write
+	SegmentDamaged    SegmentState = "given up"   // marked when damage was found
 )
 
-// ringFile is what was read of one ring file.
-type ringFile struct {
+// segment is what was read of one ring file.
+type segment struct {
 	name       string
-	state      FileState
-	used       int64
+	state      SegmentState
+	usedBytes  int64
 	generation uint64
 	base       uint64
-	slots      [][]byte
+	payloads   [][]byte
 }
 
-// holdsGeneration tells whether the start of a generation can be read in the file.
-func (r ringFile) holdsGeneration() bool { return r.state == FileWhole || r.state == FileTorn }
+// hasGeneration tells whether the start of a generation can be read in the file.
+func (s segment) hasGeneration() bool { return s.state == SegmentComplete || s.state == SegmentTorn }
 
-// scanFile reads a ring file's content as far as its records follow each other. Payloads aren't decoded.
-func scanFile(name string, content []byte) ringFile {
-	file := ringFile{name: name}
-	probe := content[:min(len(content), blankProbe)]
+// scanSegment reads a ring file's content as far as its records follow each other. Payloads aren't decoded.
+func scanSegment(name string, content []byte) segment {
+	file := segment{name: name}
+	probe := content[:min(len(content), blankProbeBytes)]
 	if len(bytes.Trim(probe, "\x00")) == 0 {
-		file.state = FileBlank
+		file.state = SegmentBlank
 		return file
 	}
 	switch content[0] {
-	case stampByte:
-		file.state = FileReady
-	case damageByte:
-		file.state = FileDamaged
-		file.base = markedBase(content)
+	case readyMarkerByte:
+		file.state = SegmentReady
+	case damageMarkerByte:
+		file.state = SegmentDamaged
+		file.base = damageMarkerBase(content)
 	default:
 		scanGeneration(&file, content)
 	}
@@ -163,59 +163,59 @@
 }
 
 // scanGeneration fills in the generation that begins at the start of the content.
-func scanGeneration(file *ringFile, content []byte) {
+func scanGeneration(file *segment, content []byte) {
 	first, readable := decodeRecord(content)
 	var begin beginPayload
 	if !readable || first.kind != recordBegin || json.Unmarshal(first.payload, &begin) != nil {
-		file.state = FileUnreadable
+		file.state = SegmentUnreadable
 		return
 	}
-	file.state, file.generation, file.base = FileTorn, first.generation, max(begin.Base, 1)
-	file.used = int64(first.length)
+	file.state, file.generation, file.base = SegmentTorn, first.generation, max(begin.Base, 1)
+	file.usedBytes = int64(first.length)
 	for index := first.index + 1; ; index++ {
-		next, readable := decodeRecord(content[file.used:])
+		next, readable := decodeRecord(content[file.usedBytes:])
 		if !readable || next.generation != first.generation || next.index != index {
 			return
 		}
 		switch next.kind {
-		case recordSlot:
-			file.slots = append(file.slots, next.payload)
+		case recordRegister:
+			file.payloads = append(file.payloads, next.payload)
 		case recordEnd:
-			file.state = FileWhole
+			file.state = SegmentComplete
 		default:
 			return
 		}
-		file.used += int64(next.length)
+		file.usedBytes += int64(next.length)
 	}
 }
 
-// decodeSlots returns the newest slot of each key in the file's records. A record that is whole but can't be
+// decodeRegisters returns the newest slot of each key in the file's records. A record that is whole but can't be
 // decoded is an error: to pass it over would be to return an older state.
-func (r ringFile) decodeSlots() (map[string]Slot, error) {
-	slots := map[string]Slot{}
-	for _, payload := range r.slots {
-		var slot Slot
-		if err := json.Unmarshal(payload, &slot); err != nil {
-			return nil, errors.Wrapf(err, "record in %s", r.name)
+func (s segment) decodeRegisters() (map[string]Register, error) {
+	registers := map[string]Register{}
+	for _, payload := range s.payloads {
+		var register Register
+		if err := json.Unmarshal(payload, &register); err != nil {
+			return nil, errors.Wrapf(err, "record in %s", s.name)
 		}
-		slots[slot.Key] = slot
+		registers[register.Key] = register
 	}
-	return slots, nil
+	return registers, nil
 }
 
-// encodeMark returns a damage mark. A mark begins with a byte of its own, so that any part of it is seen as one.
-func encodeMark(payload damagePayload) ([]byte, error) {
-	record, err := encodeRecord(payload.Base, 0, recordDamage, payload)
-	return append([]byte{damageByte}, record...), err
+// encodeDamageMarker returns a damage mark. A mark begins with a byte of its own, so that any part of it is seen as one.
+func encodeDamageMarker(payload damagePayload) ([]byte, error) {
+	record, err := encodeRecord(payload.Base, 0, recordDamageMarker, payload)
+	return append([]byte{damageMarkerByte}, record...), err
 }
 
 // unreadableBase stands for the base of a mark that can't be read: no generation ever reaches it.
 const unreadableBase = ^uint64(0)
 
-func markedBase(content []byte) uint64 {
-	mark, readable := decodeRecord(content[1:])
+func damageMarkerBase(content []byte) uint64 {
+	marker, readable := decodeRecord(content[1:])
 	var payload damagePayload
-	if !readable || mark.kind != recordDamage || json.Unmarshal(mark.payload, &payload) != nil {
+	if !readable || marker.kind != recordDamageMarker || json.Unmarshal(marker.payload, &payload) != nil {
 		return unreadableBase
 	}
 	return payload.Base
--- a/internal/keystore/replay_test.go
+++ b/internal/keystore/replay_test.go
@@ -10,17 +10,17 @@
 	"ferryspar/internal/membersim"
 )
 
-func TestGivenASeedThenItsScheduleReplaysExactly(t *testing.T) {
-	from, to := membersim.Schedules(12)
+func TestSchedule_SameSeedReplaysExactly(t *testing.T) {
+	from, to := membersim.SeedRange(12)
 	for seed := from; seed < to; seed++ {
-		var told [2]string
-		for turn := range told {
+		var histories [2]string
+		for turn := range histories {
 			synctest.Test(t, func(t *testing.T) {
-				reports, err := schedule{seed: uint64(seed), troubles: []membersim.Trouble{membersim.Restarts, membersim.Links, membersim.DiskWoes}}.play()
+				reports, err := schedule{seed: uint64(seed), faults: []membersim.Fault{membersim.RestartFaults, membersim.LinkFaults, membersim.DiskFaults}}.run()
 				assert.NilError(t, err)
-				told[turn] = reports[keystore.ConfigurationKey].print()
+				histories[turn] = reports[keystore.ConfigurationKey].print()
 			})
 		}
-		assert.Assert(t, told[0] == told[1], "FERRYSPAR_SEED=%d plays in two ways", seed)
+		assert.Assert(t, histories[0] == histories[1], "FERRYSPAR_SEED=%d plays in two ways", seed)
 	}
 }
--- a/internal/keystore/ring.go
+++ b/internal/keystore/ring.go
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("%s: %s (generation %d)", d.File, d.Reason, d.Generation)
 }
 
-// ring is what was read of all ring files, in their order.
+// segments is what was read of all ring files, in their order.
 //
 // How a ring is written, and so what it can hold:
 //
@@ -63,19 +63,19 @@
 //
 // Not noticed: content of a file that existed and was synced is turned back to something older. Disks are assumed to
 // keep what they synced.
-type ring []ringFile
+type segments []segment
 
-func fileName(position int) string { return fmt.Sprintf("ring-%d", position) }
+func segmentName(position int) string { return fmt.Sprintf("ring-%d", position) }
 
-// folderReader is the part of a Folder that changes nothing.
-type folderReader interface {
+// directoryReader is the part of a Directory that changes nothing.
+type directoryReader interface {
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
 }
 
-// readRing reads all ring files of a folder and changes nothing.
-func readRing(folder folderReader, files int) (ring, error) {
-	names, err := folder.List()
+// readSegments reads all ring files of a folder and changes nothing.
+func readSegments(directory directoryReader, files int) (segments, error) {
+	names, err := directory.List()
 	if err != nil {
 		return nil, errors.Wrap(err, "data folder")
 	}
@@ -83,30 +83,30 @@
 	for _, name := range names {
 		present[name] = true
 	}
-	read := make(ring, files)
+	read := make(segments, files)
 	for position := range read {
-		name := fileName(position)
+		name := segmentName(position)
 		if !present[name] {
-			read[position] = ringFile{name: name, state: FileMissing}
+			read[position] = segment{name: name, state: SegmentMissing}
 			continue
 		}
-		content, err := folder.Read(name)
+		content, err := directory.Read(name)
 		if err != nil {
 			return nil, errors.Wrap(err, "ring file")
 		}
-		read[position] = scanFile(name, content)
+		read[position] = scanSegment(name, content)
 	}
 	return read, nil
 }
 
 // at returns the file that a generation is written to.
-func (r ring) at(generation uint64) ringFile { return r[generation%uint64(len(r))] }
+func (s segments) forGeneration(generation uint64) segment { return s[generation%uint64(len(s))] }
 
-// newest returns the file of the newest whole generation; its state is FileMissing if there is none.
-func (r ring) newest() ringFile {
-	found := ringFile{state: FileMissing}
-	for _, file := range r {
-		if file.state == FileWhole && file.generation > found.generation {
+// newest returns the file of the newest whole generation; its state is SegmentMissing if there is none.
+func (s segments) newest() segment {
+	found := segment{state: SegmentMissing}
+	for _, file := range s {
+		if file.state == SegmentComplete && file.generation > found.generation {
 			found = file
 		}
 	}
@@ -114,73 +114,73 @@
 }
 
 // first returns the first file in one of the states.
-func (r ring) first(states ...FileState) (ringFile, bool) {
-	for _, file := range r {
+func (s segments) firstIn(states ...SegmentState) (segment, bool) {
+	for _, file := range s {
 		for _, state := range states {
 			if file.state == state {
 				return file, true
 			}
 		}
 	}
-	return ringFile{}, false
+	return segment{}, false
 }
 
 // inUse tells whether anything was ever written to a file of the ring.
-func (r ring) inUse() bool {
-	_, used := r.first(FileReady, FileWhole, FileTorn, FileUnreadable, FileDamaged)
+func (s segments) inUse() bool {
+	_, used := s.firstIn(SegmentReady, SegmentComplete, SegmentTorn, SegmentUnreadable, SegmentDamaged)
 	return used
 }
 
 // damage applies the rules above; nil means that the newest whole generation, if any, is the member's state.
-func (r ring) damage() *Damage {
-	if missing, found := r.first(FileMissing); found && r.inUse() {
+func (s segments) damage() *Damage {
+	if missing, found := s.firstIn(SegmentMissing); found && s.inUse() {
 		return &Damage{Reason: DamageFileMissing, File: missing.name}
 	}
-	newest := r.newest()
-	if newest.state != FileWhole {
-		return r.damageBeforeFirst()
+	newest := s.newest()
+	if newest.state != SegmentComplete {
+		return s.damageBeforeFirst()
 	}
-	for _, file := range r {
-		if file.state == FileDamaged && file.base > newest.base {
+	for _, file := range s {
+		if file.state == SegmentDamaged && file.base > newest.base {
 			return &Damage{Reason: DamageGivenUp, File: file.name}
 		}
 	}
-	if blank, found := r.first(FileBlank); found {
+	if blank, found := s.firstIn(SegmentBlank); found {
 		return &Damage{Reason: DamageFileBlank, File: blank.name}
 	}
-	if damage := r.gap(newest); damage != nil {
+	if damage := s.missingGeneration(newest); damage != nil {
 		return damage
 	}
-	return r.damageIn(newest)
+	return s.misplacedContent(newest)
 }
 
-// damageIn looks for what can't stand in any file beside the newest whole generation, and in that itself.
-func (r ring) damageIn(newest ringFile) *Damage {
-	for position, file := range r {
-		if !file.holdsGeneration() || file.generation < newest.base {
+// misplacedContent looks for what can't stand in any file beside the newest whole generation, and in that itself.
+func (s segments) misplacedContent(newest segment) *Damage {
+	for position, file := range s {
+		if !file.hasGeneration() || file.generation < newest.base {
 			continue
 		}
-		if file.generation%uint64(len(r)) != uint64(position) {
+		if file.generation%uint64(len(s)) != uint64(position) {
 			return &Damage{Reason: DamageMisplaced, File: file.name, Generation: file.generation}
 		}
 		if file.generation > newest.generation+1 {
-			return &Damage{Reason: DamageGenerationMissing, File: r.at(file.generation - 1).name, Generation: file.generation - 1}
+			return &Damage{Reason: DamageGenerationMissing, File: s.forGeneration(file.generation - 1).name, Generation: file.generation - 1}
 		}
 	}
-	if next := r.at(newest.generation + 1); next.state == FileReady && newest.generation+1 >= newest.base+uint64(len(r)) {
+	if next := s.forGeneration(newest.generation + 1); next.state == SegmentReady && newest.generation+1 >= newest.base+uint64(len(s)) {
 		return &Damage{Reason: DamageFileBlank, File: next.name}
 	}
-	if _, err := newest.decodeSlots(); err != nil {
+	if _, err := newest.decodeRegisters(); err != nil {
 		return &Damage{Reason: DamageUndecodable, File: newest.name, Generation: newest.generation}
 	}
 	return nil
 }
 
 // gap looks for the generations before the newest that must be whole (rule 3).
-func (r ring) gap(newest ringFile) *Damage {
-	for back := uint64(1); back+1 < uint64(len(r)) && newest.generation >= newest.base+back; back++ {
+func (s segments) missingGeneration(newest segment) *Damage {
+	for back := uint64(1); back+1 < uint64(len(s)) && newest.generation >= newest.base+back; back++ {
 		generation := newest.generation - back
-		if file := r.at(generation); file.state != FileWhole || file.generation != generation {
+		if file := s.forGeneration(generation); file.state != SegmentComplete || file.generation != generation {
 			return &Damage{Reason: DamageGenerationMissing, File: file.name, Generation: generation}
 		}
 	}
@@ -189,22 +189,22 @@
 
 // damageBeforeFirst judges a ring that has all its files and no whole generation: it is good only if generation 1 was
 // never whole, so if nothing but the remains of generation 1 is there beside stamps, or only blank and stamped files.
-func (r ring) damageBeforeFirst() *Damage {
-	if marked, found := r.first(FileDamaged); found {
-		return &Damage{Reason: DamageGivenUp, File: marked.name}
+func (s segments) damageBeforeFirst() *Damage {
+	if segment, found := s.firstIn(SegmentDamaged); found {
+		return &Damage{Reason: DamageGivenUp, File: segment.name}
 	}
-	remains, found := r.first(FileTorn, FileUnreadable)
+	remains, found := s.firstIn(SegmentTorn, SegmentUnreadable)
 	if !found {
 		return nil
 	}
-	if blank, found := r.first(FileBlank); found {
+	if blank, found := s.firstIn(SegmentBlank); found {
 		return &Damage{Reason: DamageFileBlank, File: blank.name}
 	}
-	for position, file := range r {
-		if file.state == FileReady {
+	for position, file := range s {
+		if file.state == SegmentReady {
 			continue
 		}
-		isFirst := position == 1%len(r) && (file.state == FileUnreadable || file.generation == 1)
+		isFirst := position == 1%len(s) && (file.state == SegmentUnreadable || file.generation == 1)
 		if !isFirst {
 			return &Damage{Reason: DamageGenerationMissing, File: remains.name, Generation: max(remains.generation, 1)}
 		}
@@ -213,9 +213,9 @@
 }
 
 // highest returns the highest generation that the ring gives any sign of.
-func (r ring) highest() uint64 {
+func (s segments) highestGeneration() uint64 {
 	highest := uint64(0)
-	for _, file := range r {
+	for _, file := range s {
 		highest = max(highest, file.generation)
 		if file.base != unreadableBase {
 			highest = max(highest, file.base)
--- a/internal/keystore/ring_test.go
+++ b/internal/keystore/ring_test.go
@@ -15,148 +15,148 @@
 	"ferryspar/internal/membersim"
 )
 
-const folderRing = 64 << 10
+const testSegmentBytes = 64 << 10
 
-func openAt(t *testing.T, path string, size int64) *keystore.Journal {
-	folder, err := keystore.NewFolder(path)
+func openWALAt(t *testing.T, path string, size int64) *keystore.WAL {
+	directory, err := keystore.NewDirectory(path)
 	assert.NilError(t, err)
-	journal, err := keystore.OpenJournal(folder, keystore.RingFiles, size)
+	log, err := keystore.OpenWAL(directory, keystore.SegmentCount, size)
 	assert.NilError(t, err)
-	return journal
+	return log
 }
 
-// live opens and appends once for each life, and returns the folder.
-func live(t *testing.T, lives int) string {
+// writeGenerations opens and appends once for each life, and returns the folder.
+func writeGenerations(t *testing.T, generations int) string {
 	path := filepath.Join(t.TempDir(), "member")
-	for life := range lives {
-		assert.NilError(t, openAt(t, path, folderRing).Append([]keystore.Slot{{Key: "old", Sequence: uint64(life + 1)}}))
+	for generation := range generations {
+		assert.NilError(t, openWALAt(t, path, testSegmentBytes).Append([]keystore.Register{{Key: "old", Sequence: uint64(generation + 1)}}))
 	}
 	return path
 }
 
-func TestGivenAnyRingFileTakenThenItsStateIsNotUsedNowOrLater(t *testing.T) {
-	for lives := 1; lives <= 7; lives++ {
-		for position := range keystore.RingFiles {
-			path := live(t, lives)
+func TestWAL_MissingSegmentIsDamage(t *testing.T) {
+	for generations := 1; generations <= 7; generations++ {
+		for position := range keystore.SegmentCount {
+			path := writeGenerations(t, generations)
 			name := filepath.Join(path, fmt.Sprintf("ring-%d", position))
-			taken, err := os.ReadFile(name)
+			removed, err := os.ReadFile(name)
 			assert.NilError(t, err)
 			assert.NilError(t, os.Remove(name))
 
-			journal := openAt(t, path, folderRing)
-			assert.Equal(t, journal.Damage().Reason, keystore.DamageFileMissing, "life %d, file %d", lives, position)
-			assert.Equal(t, len(journal.State()), 0)
-			assert.Equal(t, openAt(t, path, folderRing).Damage().Reason, keystore.DamageGivenUp, "a start that wrote nothing mends nothing")
+			log := openWALAt(t, path, testSegmentBytes)
+			assert.Equal(t, log.Damage().Reason, keystore.DamageFileMissing, "life %d, file %d", generations, position)
+			assert.Equal(t, len(log.State()), 0)
+			assert.Equal(t, openWALAt(t, path, testSegmentBytes).Damage().Reason, keystore.DamageGivenUp, "a start that wrote nothing mends nothing")
 
-			journal = openAt(t, path, folderRing)
-			assert.NilError(t, journal.Append([]keystore.Slot{{Key: "new", Sequence: 1}}))
-			assert.Assert(t, journal.Generation() > uint64(lives))
-			again := openAt(t, path, folderRing)
-			assert.Assert(t, again.Damage() == nil, "life %d, file %d: %v", lives, position, again.Damage())
+			log = openWALAt(t, path, testSegmentBytes)
+			assert.NilError(t, log.Append([]keystore.Register{{Key: "new", Sequence: 1}}))
+			assert.Assert(t, log.Generation() > uint64(generations))
+			again := openWALAt(t, path, testSegmentBytes)
+			assert.Assert(t, again.Damage() == nil, "life %d, file %d: %v", generations, position, again.Damage())
 			assert.Equal(t, len(again.State()), 1)
 
-			assert.NilError(t, os.WriteFile(name, taken, 0o644))
-			back := openAt(t, path, folderRing)
+			assert.NilError(t, os.WriteFile(name, removed, 0o644))
+			back := openWALAt(t, path, testSegmentBytes)
 			_, old := back.State()["old"]
-			assert.Assert(t, !old, "life %d: the file that was taken brought old state back", lives)
+			assert.Assert(t, !old, "life %d: the file that was taken brought old state back", generations)
 		}
 	}
 }
 
-func TestGivenALostFileMadeAnewByHandThenTheRingIsDamaged(t *testing.T) {
-	for lives := 2; lives <= 5; lives++ {
-		path := live(t, lives)
-		newest := filepath.Join(path, fmt.Sprintf("ring-%d", lives%keystore.RingFiles))
-		assert.NilError(t, os.WriteFile(newest, make([]byte, folderRing), 0o644))
-		assert.Equal(t, openAt(t, path, folderRing).Damage().Reason, keystore.DamageFileBlank)
+func TestWAL_RecreatedBlankSegmentIsDamage(t *testing.T) {
+	for generations := 2; generations <= 5; generations++ {
+		path := writeGenerations(t, generations)
+		newest := filepath.Join(path, fmt.Sprintf("ring-%d", generations%keystore.SegmentCount))
+		assert.NilError(t, os.WriteFile(newest, make([]byte, testSegmentBytes), 0o644))
+		assert.Equal(t, openWALAt(t, path, testSegmentBytes).Damage().Reason, keystore.DamageFileBlank)
 	}
 }
 
-// cutAt returns a folder whose process dies in the middle of an operation.
-func cutAt(handle *membersim.Handle, draw *rand.Rand, operation int) *faultyFolder {
-	return &faultyFolder{handle: handle, draw: draw, left: operation}
+// dyingDirectory returns a folder whose process dies in the middle of an operation.
+func dyingDirectory(handle *membersim.Handle, random *rand.Rand, operation int) *faultyDirectory {
+	return &faultyDirectory{handle: handle, random: random, operationsLeft: operation}
 }
 
-func TestGivenACrashAtEachStepOfTheFirstStartsThenNothingIsCalledDamaged(t *testing.T) {
+func TestWAL_CrashDuringFirstStartsIsNotDamage(t *testing.T) {
 	const steps, draws = 40, 25
 	for step := 1; step <= steps; step++ {
 		for seed := range uint64(draws) {
 			synctest.Test(t, func(t *testing.T) {
-				draw, disk := rand.New(rand.NewPCG(seed, uint64(step))), membersim.NewDisk()
+				random, disk := rand.New(rand.NewPCG(seed, uint64(step))), membersim.NewDisk()
 				handle := disk.Attach()
 				acknowledged := uint64(0)
-				journal, err := keystore.OpenJournal(cutAt(handle, draw, step), keystore.RingFiles, smallRing)
+				log, err := keystore.OpenWAL(dyingDirectory(handle, random, step), keystore.SegmentCount, smallSegment)
 				for sequence := uint64(1); err == nil && sequence < steps; sequence++ {
-					if err = journal.Append([]keystore.Slot{{Key: "a", Sequence: sequence, Value: []byte(`"` + fmt.Sprintf("%0400d", sequence) + `"`)}}); err == nil {
+					if err = log.Append([]keystore.Register{{Key: "a", Sequence: sequence, Value: []byte(`"` + fmt.Sprintf("%0400d", sequence) + `"`)}}); err == nil {
 						acknowledged = sequence
 					}
 				}
 				handle.Kill()
 				if seed%2 == 0 {
-					disk.LosePower(draw)
+					disk.LosePower(random)
 				}
-				journal, err = keystore.OpenJournal(disk.Attach(), keystore.RingFiles, smallRing)
+				log, err = keystore.OpenWAL(disk.Attach(), keystore.SegmentCount, smallSegment)
 				assert.NilError(t, err)
-				assert.Assert(t, journal.Damage() == nil, "step %d, draw %d: %v", step, seed, journal.Damage())
-				assert.Assert(t, journal.State()["a"].Sequence >= acknowledged, "step %d, draw %d", step, seed)
+				assert.Assert(t, log.Damage() == nil, "step %d, draw %d: %v", step, seed, log.Damage())
+				assert.Assert(t, log.State()["a"].Sequence >= acknowledged, "step %d, draw %d", step, seed)
 			})
 		}
 	}
 }
 
-func TestGivenASmallerDiskSettingThenTheFilesKeepWhatTheyHold(t *testing.T) {
+func TestWAL_SmallerSegmentSizeKeepsContent(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "member")
-	journal := openAt(t, path, folderRing)
+	log := openWALAt(t, path, testSegmentBytes)
 	for sequence := range uint64(400) {
-		assert.NilError(t, journal.Append([]keystore.Slot{{Key: "a", Sequence: sequence}}))
+		assert.NilError(t, log.Append([]keystore.Register{{Key: "a", Sequence: sequence}}))
 	}
-	smaller := openAt(t, path, 1<<10)
+	smaller := openWALAt(t, path, 1<<10)
 	assert.Assert(t, smaller.Damage() == nil)
 	assert.Equal(t, smaller.State()["a"].Sequence, uint64(399))
 }
 
-func TestGivenANewFolderThenItsFilesHoldRoomOnTheDisk(t *testing.T) {
+func TestDirectory_NewSegmentsReserveDiskSpace(t *testing.T) {
 	const size, reserved = 4 << 20, 1 << 20
 	path := filepath.Join(t.TempDir(), "made", "too")
-	openAt(t, path, size)
-	for position := range keystore.RingFiles {
+	openWALAt(t, path, size)
+	for position := range keystore.SegmentCount {
 		information, err := os.Stat(filepath.Join(path, fmt.Sprintf("ring-%d", position)))
 		assert.NilError(t, err)
 		assert.Equal(t, information.Size(), int64(size))
-		held := information.Sys().(*syscall.Stat_t).Blocks * 512
-		assert.Assert(t, held >= reserved, "%d bytes are held", held)
+		allocated := information.Sys().(*syscall.Stat_t).Blocks * 512
+		assert.Assert(t, allocated >= reserved, "%d bytes are held", allocated)
 	}
 }
 
 // fullDisk refuses writes beyond what was reserved.
 type fullDisk struct {
-	keystore.Folder
-	reserved int64
-	refused  int
+	keystore.Directory
+	reserved       int64
+	rejectedWrites int
 }
 
 func (f *fullDisk) Write(name string, offset int64, content []byte) error {
 	if offset+int64(len(content)) > f.reserved {
-		f.refused++
+		f.rejectedWrites++
 		return errFault
 	}
-	return f.Folder.Write(name, offset, content)
+	return f.Directory.Write(name, offset, content)
 }
 
-func TestGivenAFullDiskThenAnAppendRefusedBeyondTheReservedRoomIsTakenInTheNextFile(t *testing.T) {
-	folder, err := keystore.NewFolder(t.TempDir())
+func TestWAL_FullDiskContinuesInNextSegment(t *testing.T) {
+	directory, err := keystore.NewDirectory(t.TempDir())
 	assert.NilError(t, err)
-	disk := &fullDisk{Folder: folder, reserved: 8 << 10}
-	journal, err := keystore.OpenJournal(disk, keystore.RingFiles, folderRing)
+	disk := &fullDisk{Directory: directory, reserved: 8 << 10}
+	log, err := keystore.OpenWAL(disk, keystore.SegmentCount, testSegmentBytes)
 	assert.NilError(t, err)
 	for sequence := range uint64(1000) {
-		slots := []keystore.Slot{{Key: "a", Sequence: sequence}}
-		if journal.Append(slots) != nil {
-			assert.NilError(t, journal.Append(slots), "the next append has room")
+		registers := []keystore.Register{{Key: "a", Sequence: sequence}}
+		if log.Append(registers) != nil {
+			assert.NilError(t, log.Append(registers), "the next append has room")
 		}
 	}
-	assert.Assert(t, disk.refused > 3, "%d refused", disk.refused)
-	again, err := keystore.OpenJournal(disk, keystore.RingFiles, folderRing)
+	assert.Assert(t, disk.rejectedWrites > 3, "%d refused", disk.rejectedWrites)
+	again, err := keystore.OpenWAL(disk, keystore.SegmentCount, testSegmentBytes)
 	assert.NilError(t, err)
 	assert.Equal(t, again.State()["a"].Sequence, uint64(999))
 }
--- a/internal/keystore/simulation_test.go
+++ b/internal/keystore/simulation_test.go
@@ -15,17 +15,17 @@
 	"gotest.tools/v3/assert"
 )
 
-type written struct {
+type document struct {
 	Version int      `json:"version"`
-	Marks   []string `json:"marks"`
+	Labels  []string `json:"marks"`
 }
 
 type operation struct {
-	mark         string
-	began, ended time.Time
-	version      int
-	read         bool
-	acknowledged bool
+	label          string
+	started, ended time.Time
+	version        int
+	read           bool
+	acknowledged   bool
 }
 
 type history struct {
@@ -33,135 +33,135 @@
 	done []operation
 }
 
-func (h *history) add(one operation) {
+func (h *history) add(call operation) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.done = append(h.done, one)
+	h.done = append(h.done, call)
 }
 
-func (h *history) check(final written) error {
+func (h *history) check(final document) error {
 	versions := map[int]string{}
-	for _, one := range h.done {
-		if !one.acknowledged {
+	for _, call := range h.done {
+		if !call.acknowledged {
 			continue
 		}
-		if one.read {
+		if call.read {
 			continue
 		}
-		if other, taken := versions[one.version]; taken && other != one.mark {
-			return fmt.Errorf("version %d acknowledged to both %s and %s", one.version, other, one.mark)
+		if other, taken := versions[call.version]; taken && other != call.label {
+			return fmt.Errorf("version %d acknowledged to both %s and %s", call.version, other, call.label)
 		}
-		versions[one.version] = one.mark
-		if one.version > len(final.Marks) || final.Marks[one.version-1] != one.mark {
-			return fmt.Errorf("acknowledged %s at version %d is lost: %v", one.mark, one.version, final.Marks)
+		versions[call.version] = call.label
+		if call.version > len(final.Labels) || final.Labels[call.version-1] != call.label {
+			return fmt.Errorf("acknowledged %s at version %d is lost: %v", call.label, call.version, final.Labels)
 		}
 	}
 	for _, earlier := range h.done {
 		for _, later := range h.done {
-			if !earlier.acknowledged || !later.acknowledged || !earlier.ended.Before(later.began) {
+			if !earlier.acknowledged || !later.acknowledged || !earlier.ended.Before(later.started) {
 				continue
 			}
 			if later.version < earlier.version || !later.read && later.version == earlier.version {
-				return fmt.Errorf("%s (version %d) ended before %s (version %d) began", earlier.mark, earlier.version, later.mark, later.version)
+				return fmt.Errorf("%s (version %d) ended before %s (version %d) began", earlier.label, earlier.version, later.label, later.version)
 			}
 		}
 	}
 	return nil
 }
 
-func decodeWritten(slot keystore.Slot) written {
-	var value written
-	_ = json.Unmarshal(slot.Value, &value)
+func decodeDocument(register keystore.Register) document {
+	var value document
+	_ = json.Unmarshal(register.Value, &value)
 	return value
 }
 
-func client(f *membersim.Fleet, number int, draw *rand.Rand, until time.Time, told *history) {
+func runClient(cluster *membersim.Cluster, number int, random *rand.Rand, until time.Time, recorded *history) {
 	for turn := 0; time.Now().Before(until); turn++ {
-		time.Sleep(time.Duration(draw.IntN(400)+1) * time.Millisecond)
-		store := f.StoreOf(pick(f.Present(), draw))
+		time.Sleep(time.Duration(random.IntN(400)+1) * time.Millisecond)
+		store := cluster.StoreOf(pick(cluster.MemberNames(), random))
 		if store == nil {
 			continue
 		}
-		one := operation{mark: fmt.Sprintf("%d-%d", number, turn), began: time.Now(), read: draw.IntN(3) == 0}
+		call := operation{label: fmt.Sprintf("%d-%d", number, turn), started: time.Now(), read: random.IntN(3) == 0}
 		ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-		var slot keystore.Slot
+		var register keystore.Register
 		var err error
-		if one.read {
-			slot, err = store.Read(ctx, keystore.ConfigurationKey)
+		if call.read {
+			register, err = store.Read(ctx, keystore.ConfigurationKey)
 		} else {
-			slot, err = store.Change(ctx, keystore.ConfigurationKey, func(current keystore.Slot) (json.RawMessage, error) {
-				value := decodeWritten(current)
+			register, err = store.Change(ctx, keystore.ConfigurationKey, func(current keystore.Register) (json.RawMessage, error) {
+				value := decodeDocument(current)
 				value.Version++
-				value.Marks = append(append([]string{}, value.Marks...), one.mark)
+				value.Labels = append(append([]string{}, value.Labels...), call.label)
 				return json.Marshal(value)
 			})
 		}
 		cancel()
-		one.ended, one.acknowledged, one.version = time.Now(), err == nil, decodeWritten(slot).Version
-		told.add(one)
+		call.ended, call.acknowledged, call.version = time.Now(), err == nil, decodeDocument(register).Version
+		recorded.add(call)
 	}
 }
 
-func play(seed uint64, size int, wild bool) error {
-	fleet := membersim.New(seed, size)
-	draw := rand.New(rand.NewPCG(seed, 7))
-	fleet.Lossy = seed%2 == 0
-	for _, name := range fleet.Names {
-		fleet.Start(name, true)
+func runSchedule(seed uint64, size int, wild bool) error {
+	cluster := membersim.New(seed, size)
+	random := rand.New(rand.NewPCG(seed, 7))
+	cluster.Lossy = seed%2 == 0
+	for _, name := range cluster.Names {
+		cluster.Start(name, true)
 	}
-	fleet.VotesWild = wild
-	told := &history{}
+	cluster.VotesWithoutCatchUp = wild
+	recorded := &history{}
 	until := time.Now().Add(12 * time.Second)
 	var clients sync.WaitGroup
 	for number := range 3 {
 		source := rand.New(rand.NewPCG(seed, uint64(100+number)))
-		clients.Go(func() { client(fleet, number, source, until, told) })
+		clients.Go(func() { runClient(cluster, number, source, until, recorded) })
 	}
 	for time.Now().Before(until) {
-		time.Sleep(time.Duration(draw.IntN(700)+50) * time.Millisecond)
-		name := fleet.Names[draw.IntN(size)]
-		membersim.Troubles[draw.IntN(len(membersim.Troubles))](fleet, name, draw, time.Duration(draw.IntN(1500)+20)*time.Millisecond)
-		if !fleet.WaitVoting(time.Minute) {
+		time.Sleep(time.Duration(random.IntN(700)+50) * time.Millisecond)
+		name := cluster.Names[random.IntN(size)]
+		membersim.MachineFaults[random.IntN(len(membersim.MachineFaults))](cluster, name, random, time.Duration(random.IntN(1500)+20)*time.Millisecond)
+		if !cluster.WaitUntilAllVote(time.Minute) {
 			return fmt.Errorf("a member never voted again")
 		}
 	}
 	clients.Wait()
-	fleet.Lossy = false
-	for _, name := range fleet.Names {
-		fleet.Kill(name)
-		fleet.LosePower(name, draw)
+	cluster.Lossy = false
+	for _, name := range cluster.Names {
+		cluster.Kill(name)
+		cluster.LosePower(name, random)
 	}
-	for _, name := range fleet.Names {
-		fleet.Start(name, false)
+	for _, name := range cluster.Names {
+		cluster.Start(name, false)
 	}
 	defer func() {
-		for _, name := range fleet.Names {
-			fleet.Kill(name)
+		for _, name := range cluster.Names {
+			cluster.Kill(name)
 		}
 		time.Sleep(time.Minute)
 	}()
-	last, err := readBack(fleet, fleet.Names[0], keystore.ConfigurationKey)
+	last, err := readBack(cluster, cluster.Names[0], keystore.ConfigurationKey)
 	if err != nil {
 		return err
 	}
-	return told.check(last)
+	return recorded.check(last)
 }
 
-func TestGivenTroublesOfEveryKindWhenKeysChangeThenNothingAcknowledgedIsLost(t *testing.T) {
-	from, to := membersim.Schedules(1200)
+func TestStore_KeepsAcknowledgedWritesUnderFaults(t *testing.T) {
+	from, to := membersim.SeedRange(1200)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			size := 3 + 2*(seed%4/3)
-			assert.NilError(t, play(uint64(seed), size, false), "FERRYSPAR_SEED=%d replays this schedule", seed)
+			assert.NilError(t, runSchedule(uint64(seed), size, false), "FERRYSPAR_SEED=%d replays this schedule", seed)
 		})
 	}
 }
 
-func TestGivenAWipedMemberThatVotesAtOnceThenTheChecksCatchIt(t *testing.T) {
+func TestStore_WipedMemberVotingAtOnceIsCaught(t *testing.T) {
 	caught := 0
 	for seed := 1; seed < 400 && caught == 0; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			if play(uint64(seed), 3, true) != nil {
+			if runSchedule(uint64(seed), 3, true) != nil {
 				caught = seed
 			}
 		})
--- a/internal/keystore/slot.go
+++ b/internal/keystore/slot.go
@@ -5,40 +5,42 @@
 	"strings"
 )
 
-// Slot is what one member holds of one key: the highest ballot that it promised, and the
+// Register is what one member holds of one key: the highest ballot that it promised, and the
 // newest value that it accepted with the ballot and sequence under which it did.
-type Slot struct {
-	Key      string          `json:"key"`
-	Promised Ballot          `json:"promised,omitzero"`
-	Ballot   Ballot          `json:"ballot,omitzero"`
-	Sequence uint64          `json:"sequence"`
-	Value    json.RawMessage `json:"value,omitempty"`
+type Register struct {
+	Key              string          `json:"key"`
+	Promised         ProposalNumber  `json:"promised,omitzero"`
+	AcceptedProposal ProposalNumber  `json:"ballot,omitzero"`
+	Sequence         uint64          `json:"sequence"`
+	Value            json.RawMessage `json:"value,omitempty"`
 }
 
 // Newer says whether the value of s was proposed after that of other.
-func (s Slot) Newer(other Slot) bool {
-	if s.Ballot != other.Ballot {
-		return other.Ballot.Less(s.Ballot)
+func (r Register) NewerThan(other Register) bool {
+	if r.AcceptedProposal != other.AcceptedProposal {
+		return other.AcceptedProposal.Less(r.AcceptedProposal)
 	}
-	return s.Sequence > other.Sequence
+	return r.Sequence > other.Sequence
 }
 
 // Same says whether both hold the same proposal, and so the same value.
-func (s Slot) Same(other Slot) bool { return s.Ballot == other.Ballot && s.Sequence == other.Sequence }
+func (r Register) SameProposal(other Register) bool {
+	return r.AcceptedProposal == other.AcceptedProposal && r.Sequence == other.Sequence
+}
 
 // Accepted says whether any value was accepted.
-func (s Slot) Accepted() bool { return !s.Ballot.IsZero() }
+func (r Register) IsAccepted() bool { return !r.AcceptedProposal.IsZero() }
 
 // Bare is the slot without its value.
-func (s Slot) Bare() Slot {
-	s.Value = nil
-	return s
+func (r Register) WithoutValue() Register {
+	r.Value = nil
+	return r
 }
 
 // Keys of the control state, and the prefixes of families of keys.
 const (
 	LeasePrefix      = "tenure/"
-	MembersKey       = "members"
+	MembershipKey    = "members"
 	ConfigurationKey = "layout"
 	ZonePrefix       = "area/"
 	RetentionKey     = "retention"
@@ -48,100 +50,100 @@
 
 // Slots under a reserved key are a member's own notes; no proposer writes them.
 const (
-	reservedPrefix = "!"
-	selfKey        = "!self"
-	membersKey     = "!members"
-	knownPrefix    = "!known/"
+	reservedPrefix        = "!"
+	localStateKey         = "!self"
+	localMembershipKey    = "!members"
+	diskIncarnationPrefix = "!known/"
 )
 
-func reserved(key string) bool { return strings.HasPrefix(key, reservedPrefix) }
+func isReserved(key string) bool { return strings.HasPrefix(key, reservedPrefix) }
 
-func leased(key string) bool { return strings.HasPrefix(key, LeasePrefix) }
+func isLease(key string) bool { return strings.HasPrefix(key, LeasePrefix) }
 
-// Self is what a member notes of itself. Incarnation changes with each loss of its disk.
+// LocalState is what a member notes of itself. Incarnation changes with each loss of its disk.
 // A member that is not Voting promises, accepts and grants nothing. Number is that of the
 // member list under which it caught up.
-type Self struct {
-	Incarnation uint64 `json:"incarnation"`
-	Voting      bool   `json:"voting"`
-	Number      uint64 `json:"number"`
+type LocalState struct {
+	DiskIncarnation   uint64 `json:"incarnation"`
+	Voting            bool   `json:"voting"`
+	MembershipVersion uint64 `json:"number"`
 	// Completed says that the member has seen every founder vote under the founding list.
-	Completed bool `json:"completed,omitempty"`
+	BootstrapCompleted bool `json:"completed,omitempty"`
 }
 
-func readSelf(slots map[string]Slot) Self {
-	var self Self
-	_ = json.Unmarshal(slots[selfKey].Value, &self)
+func readLocalState(registers map[string]Register) LocalState {
+	var self LocalState
+	_ = json.Unmarshal(registers[localStateKey].Value, &self)
 	return self
 }
 
-func readMembers(slots map[string]Slot) Members {
-	var members Members
-	_ = json.Unmarshal(slots[membersKey].Value, &members)
-	return members
+func readMembership(registers map[string]Register) Membership {
+	var membership Membership
+	_ = json.Unmarshal(registers[localMembershipKey].Value, &membership)
+	return membership
 }
 
-func selfSlot(self Self) Slot {
+func localStateRegister(self LocalState) Register {
 	value, _ := json.Marshal(self)
-	return Slot{Key: selfKey, Value: value}
+	return Register{Key: localStateKey, Value: value}
 }
 
-func membersSlot(members Members) Slot {
-	value, _ := json.Marshal(members)
-	return Slot{Key: membersKey, Value: value}
+func membershipRegister(membership Membership) Register {
+	value, _ := json.Marshal(membership)
+	return Register{Key: localMembershipKey, Value: value}
 }
 
-// knownSlot notes the incarnation of another member. Its sequence counts the incarnations of
+// diskIncarnationRegister notes the incarnation of another member. Its sequence counts the incarnations of
 // that member that caught up here.
-func knownSlot(before Slot, member string, incarnation uint64) Slot {
-	value, _ := json.Marshal(incarnation)
-	noted := Slot{Key: knownPrefix + member, Sequence: max(before.Sequence, 1), Value: value}
-	if known := readIncarnation(before); known != 0 && known != incarnation {
-		noted.Sequence++
+func diskIncarnationRegister(previous Register, member string, diskIncarnation uint64) Register {
+	value, _ := json.Marshal(diskIncarnation)
+	register := Register{Key: diskIncarnationPrefix + member, Sequence: max(previous.Sequence, 1), Value: value}
+	if known := readDiskIncarnation(previous); known != 0 && known != diskIncarnation {
+		register.Sequence++
 	}
-	return noted
+	return register
 }
 
-func readIncarnation(noted Slot) uint64 {
-	var incarnation uint64
-	_ = json.Unmarshal(noted.Value, &incarnation)
-	return incarnation
+func readDiskIncarnation(register Register) uint64 {
+	var diskIncarnation uint64
+	_ = json.Unmarshal(register.Value, &diskIncarnation)
+	return diskIncarnation
 }
 
-func knownIncarnation(slots map[string]Slot, member string) uint64 {
-	return readIncarnation(slots[knownPrefix+member])
+func knownDiskIncarnation(registers map[string]Register, member string) uint64 {
+	return readDiskIncarnation(registers[diskIncarnationPrefix+member])
 }
 
-func knownIncarnations(slots map[string]Slot) map[string]uint64 {
+func knownDiskIncarnations(registers map[string]Register) map[string]uint64 {
 	var known map[string]uint64
-	for key := range slots {
-		member, found := strings.CutPrefix(key, knownPrefix)
+	for key := range registers {
+		member, found := strings.CutPrefix(key, diskIncarnationPrefix)
 		if !found {
 			continue
 		}
 		if known == nil {
 			known = map[string]uint64{}
 		}
-		known[member] = knownIncarnation(slots, member)
+		known[member] = knownDiskIncarnation(registers, member)
 	}
 	return known
 }
 
-// FreshSlots is the first state of a founding member of a fleet that starts for the first time.
-func FreshSlots(members Members, incarnation uint64) []Slot {
-	return []Slot{membersSlot(members), selfSlot(Self{Incarnation: incarnation, Voting: true, Number: members.Number})}
+// BootstrapRegisters is the first state of a founding member of a fleet that starts for the first time.
+func BootstrapRegisters(membership Membership, diskIncarnation uint64) []Register {
+	return []Register{membershipRegister(membership), localStateRegister(LocalState{DiskIncarnation: diskIncarnation, Voting: true, MembershipVersion: membership.Version})}
 }
 
-// WipedSlots is the first state of a member that has no disk state, or may have lost a part of
+// WipedRegisters is the first state of a member that has no disk state, or may have lost a part of
 // it: it does not vote until it has read enough of the others.
-func WipedSlots(incarnation uint64) []Slot {
-	return []Slot{selfSlot(Self{Incarnation: incarnation})}
+func WipedRegisters(diskIncarnation uint64) []Register {
+	return []Register{localStateRegister(LocalState{DiskIncarnation: diskIncarnation})}
 }
 
-func copySlots(slots map[string]Slot) map[string]Slot {
-	copied := make(map[string]Slot, len(slots))
-	for key, slot := range slots {
-		copied[key] = slot
+func copyRegisters(registers map[string]Register) map[string]Register {
+	copied := make(map[string]Register, len(registers))
+	for key, register := range registers {
+		copied[key] = register
 	}
 	return copied
 }
--- a/internal/keystore/steps.go
+++ b/internal/keystore/steps.go
@@ -6,76 +6,76 @@
 	"time"
 )
 
-// moment is what a step may look at besides the member's state.
-type moment struct {
+// stepEnvironment is what a step may look at besides the member's state.
+type stepEnvironment struct {
 	now     time.Time
-	durable map[string]Slot
+	durable map[string]Register
 }
 
-type step func(m *MemberState, message Message, reply Reply, at moment) (Reply, []Slot)
+type stepFunc func(m *AcceptorState, message Message, reply Reply, at stepEnvironment) (Reply, []Register)
 
-var steps = map[Operation]step{
-	OperationPromise: (*MemberState).promise,
-	OperationAccept:  (*MemberState).accept,
-	OperationRenew:   (*MemberState).renew,
-	OperationRelease: (*MemberState).release,
-	OperationDigest:  (*MemberState).digest,
-	OperationFetch:   (*MemberState).fetch,
-	OperationCatchUp: (*MemberState).catchUp,
+var stepsByOperation = map[Operation]stepFunc{
+	OperationPrepare: (*AcceptorState).prepare,
+	OperationAccept:  (*AcceptorState).accept,
+	OperationRenew:   (*AcceptorState).renew,
+	OperationRelease: (*AcceptorState).release,
+	OperationDigest:  (*AcceptorState).digest,
+	OperationFetch:   (*AcceptorState).fetch,
+	OperationCatchUp: (*AcceptorState).catchUp,
 }
 
-func (m *MemberState) slot(key string) Slot {
-	slot := m.Slots[key]
-	slot.Key = key
-	return slot
+func (s *AcceptorState) register(key string) Register {
+	register := s.Registers[key]
+	register.Key = key
+	return register
 }
 
 // promise tells with each answer which incarnations of others this member knows, so that nobody counts the promise of a
 // member that has lost its disk since.
-func (m *MemberState) promise(message Message, reply Reply, at moment) (Reply, []Slot) {
-	slot := m.slot(message.Key)
-	reply.Slot, reply.Known = slot, knownIncarnations(m.Slots)
-	if !slot.Promised.Less(message.Ballot) {
-		reply.Refusal = RefusedPromised
+func (s *AcceptorState) prepare(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
+	register := s.register(message.Key)
+	reply.Register, reply.KnownDiskIncarnations = register, knownDiskIncarnations(s.Registers)
+	if !register.Promised.Less(message.Proposal) {
+		reply.Rejection = RejectedPromised
 		return reply, nil
 	}
-	if m.leaseRuns(message.Key, at.now) {
-		reply.Refusal = RefusedLeaseRuns
+	if s.leaseActive(message.Key, environment.now) {
+		reply.Rejection = RejectedLeaseActive
 		return reply, nil
 	}
-	slot.Promised = message.Ballot
-	reply.Slot, reply.Granted = slot, true
-	return reply, []Slot{slot}
+	register.Promised = message.Proposal
+	reply.Register, reply.Granted = register, true
+	return reply, []Register{register}
 }
 
-func (m *MemberState) accept(message Message, reply Reply, at moment) (Reply, []Slot) {
-	slot := m.slot(message.Key)
-	reply.Slot = slot.Bare()
-	if m.knowsLostDisk(message.Incarnations) {
-		reply.Refusal = RefusedWiped
+func (s *AcceptorState) accept(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
+	register := s.register(message.Key)
+	reply.Register = register.WithoutValue()
+	if s.knowsLostDisk(message.DiskIncarnations) {
+		reply.Rejection = RejectedDiskLost
 		return reply, nil
 	}
-	superseded := message.Ballot == slot.Ballot && message.Sequence < slot.Sequence
-	if message.Ballot.Less(slot.Promised) || superseded {
-		reply.Refusal = RefusedPromised
+	superseded := message.Proposal == register.AcceptedProposal && message.Sequence < register.Sequence
+	if message.Proposal.Less(register.Promised) || superseded {
+		reply.Rejection = RejectedPromised
 		return reply, nil
 	}
-	slot.Promised, slot.Ballot = message.Ballot, message.Ballot
-	slot.Sequence, slot.Value = message.Sequence, message.Value
-	reply.Slot, reply.Granted = slot.Bare(), true
-	m.extend(message.Key, at.now)
-	return reply, []Slot{slot}
+	register.Promised, register.AcceptedProposal = message.Proposal, message.Proposal
+	register.Sequence, register.Value = message.Sequence, message.Value
+	reply.Register, reply.Granted = register.WithoutValue(), true
+	s.extendLease(message.Key, environment.now)
+	return reply, []Register{register}
 }
 
 // knowsLostDisk says that a member whose promise is counted has lost its disk since, be it this
 // member or one that caught up here.
-func (m *MemberState) knowsLostDisk(counted map[string]uint64) bool {
-	for member, incarnation := range counted {
-		known := knownIncarnation(m.Slots, member)
-		if member == m.Address {
-			known = readSelf(m.Slots).Incarnation
+func (s *AcceptorState) knowsLostDisk(counted map[string]uint64) bool {
+	for member, diskIncarnation := range counted {
+		known := knownDiskIncarnation(s.Registers, member)
+		if member == s.Address {
+			known = readLocalState(s.Registers).DiskIncarnation
 		}
-		if known != 0 && known != incarnation {
+		if known != 0 && known != diskIncarnation {
 			return true
 		}
 	}
@@ -84,47 +84,47 @@
 
 // renew may be granted on a promise that the disk does not have yet: whoever took the key by a
 // higher ballot since needs this member's promise later, or had it already and is seen here.
-func (m *MemberState) renew(message Message, reply Reply, at moment) (Reply, []Slot) {
-	slot := m.Slots[message.Key]
-	reply.Slot = slot.Bare()
-	if slot.Promised != message.Ballot {
-		reply.Refusal = RefusedPromised
+func (s *AcceptorState) renew(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
+	register := s.Registers[message.Key]
+	reply.Register = register.WithoutValue()
+	if register.Promised != message.Proposal {
+		reply.Rejection = RejectedPromised
 		return reply, nil
 	}
 	reply.Granted = true
-	m.extend(message.Key, at.now)
+	s.extendLease(message.Key, environment.now)
 	return reply, nil
 }
 
-func (m *MemberState) release(message Message, reply Reply, at moment) (Reply, []Slot) {
-	slot := m.Slots[message.Key]
-	reply.Slot = slot.Bare()
-	if slot.Promised != message.Ballot {
-		reply.Refusal = RefusedPromised
+func (s *AcceptorState) release(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
+	register := s.Registers[message.Key]
+	reply.Register = register.WithoutValue()
+	if register.Promised != message.Proposal {
+		reply.Rejection = RejectedPromised
 		return reply, nil
 	}
 	reply.Granted = true
-	delete(m.Grants, message.Key)
+	delete(s.Grants, message.Key)
 	return reply, nil
 }
 
-func (m *MemberState) digest(_ Message, reply Reply, at moment) (Reply, []Slot) {
-	for _, key := range slices.Sorted(maps.Keys(at.durable)) {
-		slot := at.durable[key]
-		if reserved(key) || !slot.Accepted() {
+func (s *AcceptorState) digest(_ Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
+	for _, key := range slices.Sorted(maps.Keys(environment.durable)) {
+		register := environment.durable[key]
+		if isReserved(key) || !register.IsAccepted() {
 			continue
 		}
-		reply.Slots = append(reply.Slots, Slot{Key: key, Ballot: slot.Ballot, Sequence: slot.Sequence})
+		reply.Registers = append(reply.Registers, Register{Key: key, AcceptedProposal: register.AcceptedProposal, Sequence: register.Sequence})
 	}
-	reply.Granted, reply.Known = true, knownIncarnations(m.Slots)
+	reply.Granted, reply.KnownDiskIncarnations = true, knownDiskIncarnations(s.Registers)
 	return reply, nil
 }
 
-func (m *MemberState) fetch(message Message, reply Reply, at moment) (Reply, []Slot) {
-	reply.Slot = at.durable[message.Key]
-	reply.Granted = reply.Slot.Accepted()
+func (s *AcceptorState) fetch(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
+	reply.Register = environment.durable[message.Key]
+	reply.Granted = reply.Register.IsAccepted()
 	if !reply.Granted {
-		reply.Refusal = RefusedNothingThere
+		reply.Rejection = RejectedNoValue
 	}
 	return reply, nil
 }
@@ -132,13 +132,13 @@
 // catchUp tells a member without a vote all that this one decided. The sender's incarnation is
 // on this member's disk before the answer goes out: from then on no write is taken that counts
 // a promise of an earlier incarnation.
-func (m *MemberState) catchUp(message Message, reply Reply, _ moment) (Reply, []Slot) {
-	for _, key := range m.keys() {
-		if !reserved(key) {
-			reply.Slots = append(reply.Slots, m.Slots[key])
+func (s *AcceptorState) catchUp(message Message, reply Reply, _ stepEnvironment) (Reply, []Register) {
+	for _, key := range s.sortedKeys() {
+		if !isReserved(key) {
+			reply.Registers = append(reply.Registers, s.Registers[key])
 		}
 	}
-	noted := knownSlot(m.Slots[knownPrefix+message.Sender], message.Sender, message.Incarnation)
-	reply.Granted, reply.Lives, reply.Completed = true, noted.Sequence, readSelf(m.Slots).Completed
-	return reply, []Slot{noted}
+	known := diskIncarnationRegister(s.Registers[diskIncarnationPrefix+message.Sender], message.Sender, message.DiskIncarnation)
+	reply.Granted, reply.DiskIncarnationCount, reply.BootstrapCompleted = true, known.Sequence, readLocalState(s.Registers).BootstrapCompleted
+	return reply, []Register{known}
 }
--- a/internal/keystore/store.go
+++ b/internal/keystore/store.go
@@ -19,23 +19,23 @@
 // Store changes and reads keys on behalf of one daemon. Any goroutine may call its methods;
 // calls on one key follow each other.
 type Store struct {
-	self      string
-	life      uint64
-	transport Transport
-	members   atomic.Pointer[Members]
-	round     atomic.Uint64
-	lock      sync.Mutex
-	draw      *rand.Rand
-	keys      map[string]*key
+	self        string
+	incarnation uint64
+	transport   Transport
+	membership  atomic.Pointer[Membership]
+	round       atomic.Uint64
+	lock        sync.Mutex
+	random      *rand.Rand
+	keys        map[string]*keyState
 }
 
-// key is what the store remembers of one key: whether it owns it, and as what.
-type key struct {
-	name string
-	turn chan struct{}
-	held bool
+// keyState is what the store remembers of one key: whether it owns it, and as what.
+type keyState struct {
+	name      string
+	semaphore chan struct{}
+	owned     bool
 	Ownership
-	latePromises <-chan answered
+	latePromises <-chan memberReply
 }
 
 // Errors of Store. A caller may try again after each.
@@ -51,66 +51,66 @@
 // NewStore makes the proposer of the daemon at address self. life must differ from that of
 // every other life of this daemon: 64 bits from the system's source of randomness do, but for
 // one chance in 2^64 a pair of lives. members is the newest list known.
-func NewStore(self string, life uint64, transport Transport, members Members) *Store {
+func NewStore(self string, incarnation uint64, transport Transport, membership Membership) *Store {
 	store := &Store{
-		self: self, life: life, transport: transport, draw: rand.New(rand.NewPCG(life, 0)), keys: map[string]*key{},
+		self: self, incarnation: incarnation, transport: transport, random: rand.New(rand.NewPCG(incarnation, 0)), keys: map[string]*keyState{},
 	}
-	store.members.Store(&members)
+	store.membership.Store(&membership)
 	return store
 }
 
-// Members is the newest list that the store knows.
-func (s *Store) Members() Members { return *s.members.Load() }
+// Membership is the newest list that the store knows.
+func (s *Store) Membership() Membership { return *s.membership.Load() }
 
 // Adopt takes over a newer list and says whether it was newer.
-func (s *Store) Adopt(members Members) bool {
+func (s *Store) AdoptMembership(membership Membership) bool {
 	for {
-		current := s.members.Load()
-		if members.Number <= current.Number {
+		current := s.membership.Load()
+		if membership.Version <= current.Version {
 			return false
 		}
-		if s.members.CompareAndSwap(current, &members) {
+		if s.membership.CompareAndSwap(current, &membership) {
 			return true
 		}
 	}
 }
 
-func (s *Store) key(name string) *key {
+func (s *Store) keyState(name string) *keyState {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.keys[name] == nil {
-		s.keys[name] = &key{name: name, turn: make(chan struct{}, 1), Ownership: Ownership{slot: Slot{Key: name}}}
+		s.keys[name] = &keyState{name: name, semaphore: make(chan struct{}, 1), Ownership: Ownership{register: Register{Key: name}}}
 	}
 	return s.keys[name]
 }
 
-func (k *key) enter(ctx context.Context) error {
+func (k *keyState) lock(ctx context.Context) error {
 	select {
-	case k.turn <- struct{}{}:
+	case k.semaphore <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ErrNoMajority
 	}
 }
 
-func (k *key) leave() { <-k.turn }
+func (k *keyState) unlock() { <-k.semaphore }
 
-// nextBallot is above every ballot that this store has seen, and is given to no other attempt.
-func (s *Store) nextBallot() Ballot {
-	return Ballot{Round: s.round.Add(1), Member: s.self, Life: s.life}
+// nextProposalNumber is above every ballot that this store has seen, and is given to no other attempt.
+func (s *Store) nextProposalNumber() ProposalNumber {
+	return ProposalNumber{Round: s.round.Add(1), Proposer: s.self, Incarnation: s.incarnation}
 }
 
-func (s *Store) observe(ballot Ballot) {
+func (s *Store) observeProposalNumber(proposal ProposalNumber) {
 	for {
 		seen := s.round.Load()
-		if ballot.Round <= seen || s.round.CompareAndSwap(seen, ballot.Round) {
+		if proposal.Round <= seen || s.round.CompareAndSwap(seen, proposal.Round) {
 			return
 		}
 	}
 }
 
-func (s *Store) jitter(bound time.Duration) time.Duration {
+func (s *Store) jitter(limit time.Duration) time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return time.Duration(s.draw.Int64N(int64(bound)))
+	return time.Duration(s.random.Int64N(int64(limit)))
 }
--- a/internal/keystore/zones_test.go
+++ b/internal/keystore/zones_test.go
@@ -11,68 +11,68 @@
 	"ferryspar/internal/membersim"
 )
 
-func TestGivenFiveMembersInZonesWhenTroublesCoincideThenNothingAcknowledgedIsLost(t *testing.T) {
-	mixes := [][]membersim.Trouble{
-		{membersim.Restarts}, {membersim.Links}, {membersim.DiskWoes},
-		{membersim.Restarts, membersim.Links}, {membersim.Links, membersim.DiskWoes}, {membersim.Restarts, membersim.Links, membersim.DiskWoes},
+func TestStore_FiveMembersKeepAcknowledgedWritesUnderCombinedFaults(t *testing.T) {
+	mixes := [][]membersim.Fault{
+		{membersim.RestartFaults}, {membersim.LinkFaults}, {membersim.DiskFaults},
+		{membersim.RestartFaults, membersim.LinkFaults}, {membersim.LinkFaults, membersim.DiskFaults}, {membersim.RestartFaults, membersim.LinkFaults, membersim.DiskFaults},
 	}
-	from, to := membersim.Schedules(120)
+	from, to := membersim.SeedRange(120)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			_, err := schedule{seed: uint64(seed), troubles: mixes[seed%len(mixes)]}.play()
+			_, err := schedule{seed: uint64(seed), faults: mixes[seed%len(mixes)]}.run()
 			assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
 		})
 	}
 }
 
-func TestGivenAMajorityThatStaysConnectedThenEveryCallOfAnOperatorIsAnsweredInTime(t *testing.T) {
+func TestStore_AnswersInTimeWhileMajorityConnected(t *testing.T) {
 	const answerBound = 4 * time.Second
-	var waits []time.Duration
+	var latencies []time.Duration
 	moved, changed, slowest, slowestSeed := 0, 0, time.Duration(0), 0
-	from, to := membersim.Schedules(30)
+	from, to := membersim.SeedRange(30)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			told, err := schedule{seed: uint64(seed), resends: true, troubles: []membersim.Trouble{membersim.Connected}}.play()
+			reports, err := schedule{seed: uint64(seed), retransmits: true, faults: []membersim.Fault{membersim.ConnectedMajorityFaults}}.run()
 			assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
-			for _, one := range told {
-				waits = append(waits, one.waits...)
-				moved += one.moves()
-				changed += len(one.ballots)
-				if longest := slices.Max(one.waits); longest > slowest {
+			for _, report := range reports {
+				latencies = append(latencies, report.latencies...)
+				moved += report.ownerChanges()
+				changed += len(report.proposals)
+				if longest := slices.Max(report.latencies); longest > slowest {
 					slowest, slowestSeed = longest, seed
 				}
 			}
 		})
 	}
 	assert.Assert(t, slowest < answerBound, "FERRYSPAR_SEED=%d waits %s", slowestSeed, slowest)
-	slices.Sort(waits)
-	at := func(share float64) time.Duration { return waits[int(share*float64(len(waits)-1))] }
-	t.Logf("%d calls, %d changes, owner moved %d times; answered after %s (half), %s (99%%), %s (longest, seed %d)", len(waits), changed, moved, at(0.5), at(0.99), at(1), slowestSeed)
+	slices.Sort(latencies)
+	at := func(share float64) time.Duration { return latencies[int(share*float64(len(latencies)-1))] }
+	t.Logf("%d calls, %d changes, owner moved %d times; answered after %s (half), %s (99%%), %s (longest, seed %d)", len(latencies), changed, moved, at(0.5), at(0.99), at(1), slowestSeed)
 }
 
-func TestGivenMembersReplacedWhileAnZoneIsLostThenNothingAcknowledgedIsLost(t *testing.T) {
-	from, to := membersim.Schedules(60)
+func TestStore_KeepsAcknowledgedWritesWhileMemberReplacedAndZoneLost(t *testing.T) {
+	from, to := membersim.SeedRange(60)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			_, err := schedule{seed: uint64(seed), replaces: true, troubles: []membersim.Trouble{membersim.Links}}.play()
+			_, err := schedule{seed: uint64(seed), replacesMembers: true, faults: []membersim.Fault{membersim.LinkFaults}}.run()
 			assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
 		})
 	}
 }
 
-func TestGivenBrokenVariantsThenTheChecksCatchThem(t *testing.T) {
-	variants := map[string]func(fleet *membersim.Fleet){
-		"a wiped member that votes at once":           func(fleet *membersim.Fleet) { fleet.VotesWild = true },
-		"a member that answers before its disk syncs": func(fleet *membersim.Fleet) { fleet.Unsynced = true },
-		"silence counted as agreement":                func(fleet *membersim.Fleet) { fleet.Assenting = true },
+func TestStore_BrokenVariantsAreCaught(t *testing.T) {
+	variants := map[string]func(cluster *membersim.Cluster){
+		"a wiped member that votes at once":           func(cluster *membersim.Cluster) { cluster.VotesWithoutCatchUp = true },
+		"a member that answers before its disk syncs": func(cluster *membersim.Cluster) { cluster.SkipsSync = true },
+		"silence counted as agreement":                func(cluster *membersim.Cluster) { cluster.CountsSilenceAsGrant = true },
 	}
 	for name, spoil := range variants {
 		t.Run(name, func(t *testing.T) {
 			caught := 0
 			for seed := 1; seed < 60 && caught == 0; seed++ {
 				synctest.Test(t, func(t *testing.T) {
-					told, err := schedule{seed: uint64(seed), spoil: spoil, troubles: []membersim.Trouble{membersim.InTurn(membersim.TwoWiped, membersim.ZoneLost), membersim.Links}}.play()
-					if told != nil && err != nil {
+					reports, err := schedule{seed: uint64(seed), breakCluster: spoil, faults: []membersim.Fault{membersim.OneOf(membersim.WipeTwoDisks, membersim.LoseZone), membersim.LinkFaults}}.run()
+					if reports != nil && err != nil {
 						caught = seed
 						t.Log(seed, err)
 					}
--- a/internal/lease/reserve_test.go
+++ b/internal/lease/reserve_test.go
@@ -19,152 +19,152 @@
 	"ferryspar/internal/membersim"
 )
 
-// reservations is what was reserved under each granted fence, in order: the first is inherited, and
+// reservationLog is what was reserved under each granted fence, in order: the first is inherited, and
 // those of uncertain outcome are marked.
-type reservations struct {
-	lock    sync.Mutex
-	granted map[uint64][]reserved
-	next    int
-	certain int
+type reservationLog struct {
+	lock          sync.Mutex
+	byFence       map[uint64][]reservationWrite
+	lastLoads     int
+	certainWrites int
 }
 
-type reserved struct {
+type reservationWrite struct {
 	loads   int
 	certain bool
 }
 
-func (r *reservations) grant(record lease.Record) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.granted[record.Fence] = []reserved{{record.Reserved.Loads, true}}
+func (l *reservationLog) recordGrant(record lease.Record) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.byFence[record.Fence] = []reservationWrite{{record.Reserved.Loads, true}}
 }
 
-func (r *reservations) write(ctx context.Context, keeper *lease.Lease, hold *lease.Grant) {
-	r.lock.Lock()
-	r.next++
-	loads, fence := r.next, hold.Record.Fence
-	position := len(r.granted[fence])
-	r.granted[fence] = append(r.granted[fence], reserved{loads, false})
-	r.lock.Unlock()
-	if keeper.Reserve(ctx, hold, loadbudget.Reservation{Loads: loads}) == nil {
-		r.lock.Lock()
-		r.granted[fence][position].certain = true
-		r.certain++
-		r.lock.Unlock()
+func (l *reservationLog) reserve(ctx context.Context, manager *lease.Manager, grant *lease.Grant) {
+	l.lock.Lock()
+	l.lastLoads++
+	loads, fence := l.lastLoads, grant.Record.Fence
+	position := len(l.byFence[fence])
+	l.byFence[fence] = append(l.byFence[fence], reservationWrite{loads, false})
+	l.lock.Unlock()
+	if manager.Reserve(ctx, grant, loadbudget.Reservation{Loads: loads}) == nil {
+		l.lock.Lock()
+		l.byFence[fence][position].certain = true
+		l.certainWrites++
+		l.lock.Unlock()
 	}
 }
 
 // check says whether each grant found the last certain reservation before it, or one written since.
-func (r *reservations) check() error {
+func (l *reservationLog) check() error {
 	var before []int
 	fences := []uint64{}
-	for fence := range r.granted {
+	for fence := range l.byFence {
 		fences = append(fences, fence)
 	}
 	slices.Sort(fences)
 	for _, fence := range fences {
-		writes := r.granted[fence]
+		writes := l.byFence[fence]
 		if before != nil && !slices.Contains(before, writes[0].loads) {
 			return fmt.Errorf("fence %d found %d, not one of %v", fence, writes[0].loads, before)
 		}
 		before = before[:0]
-		for _, one := range writes {
-			if one.certain {
+		for _, action := range writes {
+			if action.certain {
 				before = before[:0]
 			}
-			before = append(before, one.loads)
+			before = append(before, action.loads)
 		}
 	}
 	return nil
 }
 
-func reserveUntil(fleet *membersim.Fleet, name string, draw *rand.Rand, until time.Time, told *reservations) {
-	var hold *lease.Grant
+func runReservingHolder(fleet *membersim.Cluster, name string, random *rand.Rand, until time.Time, log *reservationLog) {
+	var grant *lease.Grant
 	var held *keystore.Store
-	var keeper *lease.Lease
+	var manager *lease.Manager
 	for time.Now().Before(until) {
-		time.Sleep(80*time.Millisecond + time.Duration(draw.Int64N(int64(80*time.Millisecond))))
+		time.Sleep(80*time.Millisecond + time.Duration(random.Int64N(int64(80*time.Millisecond))))
 		store := fleet.StoreOf(name)
 		if store == nil {
 			continue
 		}
 		if store != held {
-			hold, held = nil, store
-			keeper = &lease.Lease{
-				Key: keystore.LeasePrefix + "duty", Holder: name, Address: name, Length: membersim.LeaseLength,
+			grant, held = nil, store
+			manager = &lease.Manager{
+				Key: keystore.LeasePrefix + "duty", Holder: name, Address: name, TTL: membersim.LeaseDuration,
 				Store: store, Clock: fleet.Clock(name),
 			}
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 1200*time.Millisecond)
 		switch {
-		case hold == nil:
-			if hold, _ = keeper.Acquire(ctx); hold != nil {
-				told.grant(hold.Record)
+		case grant == nil:
+			if grant, _ = manager.Acquire(ctx); grant != nil {
+				log.recordGrant(grant.Record)
 			}
-		case draw.IntN(2) == 0:
-			told.write(ctx, keeper, hold)
+		case random.IntN(2) == 0:
+			log.reserve(ctx, manager, grant)
 		default:
-			hold = keeper.Renew(ctx, hold)
+			grant = manager.Renew(ctx, grant)
 		}
 		cancel()
 	}
 }
 
-func playReservations(seed uint64, zones []int, troubles []membersim.Trouble) (*reservations, error) {
+func runReservationSchedule(seed uint64, zones []int, faults []membersim.Fault) (*reservationLog, error) {
 	size := 0
 	for _, members := range zones {
 		size += members
 	}
 	fleet := membersim.New(seed, size)
-	fleet.Spread(zones...)
-	draw := rand.New(rand.NewPCG(seed, 11))
+	fleet.AssignZones(zones...)
+	random := rand.New(rand.NewPCG(seed, 11))
 	for _, name := range fleet.Names {
 		fleet.Start(name, true)
 	}
-	told := &reservations{granted: map[uint64][]reserved{}}
+	log := &reservationLog{byFence: map[uint64][]reservationWrite{}}
 	until := time.Now().Add(30 * time.Second)
-	var keepers sync.WaitGroup
+	var holders sync.WaitGroup
 	for index, name := range fleet.Names {
 		source := rand.New(rand.NewPCG(seed, uint64(50+index)))
-		keepers.Go(func() { reserveUntil(fleet, name, source, until, told) })
+		holders.Go(func() { runReservingHolder(fleet, name, source, until, log) })
 	}
 	voting := true
 	for time.Now().Before(until) && voting {
-		time.Sleep(time.Duration(draw.Int64N(int64(3*time.Second))) + 200*time.Millisecond)
-		name := fleet.Names[draw.IntN(size)]
-		troubles[draw.IntN(len(troubles))](fleet, name, draw, time.Duration(draw.Int64N(int64(3*time.Second)))+50*time.Millisecond)
-		voting = fleet.WaitVoting(time.Minute)
+		time.Sleep(time.Duration(random.Int64N(int64(3*time.Second))) + 200*time.Millisecond)
+		name := fleet.Names[random.IntN(size)]
+		faults[random.IntN(len(faults))](fleet, name, random, time.Duration(random.Int64N(int64(3*time.Second)))+50*time.Millisecond)
+		voting = fleet.WaitUntilAllVote(time.Minute)
 	}
-	keepers.Wait()
+	holders.Wait()
 	for _, name := range fleet.Names {
 		fleet.Kill(name)
 	}
 	time.Sleep(time.Minute)
 	if !voting {
-		return told, fmt.Errorf("a member never voted again")
+		return log, fmt.Errorf("a member never voted again")
 	}
-	return told, told.check()
+	return log, log.check()
 }
 
-func TestGivenTroublesThenEachGrantFindsTheLastReservationThatWasCertainOrALaterOne(t *testing.T) {
+func TestManager_GrantInheritsLatestReservationUnderFaults(t *testing.T) {
 	fleets := map[string]struct {
 		schedules int
 		zones     []int
-		troubles  []membersim.Trouble
+		troubles  []membersim.Fault
 	}{
-		"three members":         {80, single, membersim.Troubles},
-		"five members in zones": {40, spread, wider},
+		"three members":         {80, threeZones, membersim.MachineFaults},
+		"five members in zones": {40, fiveMembersInThreeZones, allFaults},
 	}
 	for name, fleet := range fleets {
 		t.Run(name, func(t *testing.T) {
 			certain, grants := 0, 0
-			from, to := membersim.Schedules(fleet.schedules)
+			from, to := membersim.SeedRange(fleet.schedules)
 			for seed := from; seed < to; seed++ {
 				synctest.Test(t, func(t *testing.T) {
-					told, err := playReservations(uint64(seed), fleet.zones, fleet.troubles)
+					log, err := runReservationSchedule(uint64(seed), fleet.zones, fleet.troubles)
 					assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
-					certain += told.certain
-					grants += len(told.granted)
+					certain += log.certainWrites
+					grants += len(log.byFence)
 				})
 			}
 			t.Logf("%d grants, %d reservations certain in %d schedules", grants, certain, to-from)
@@ -173,37 +173,37 @@
 	}
 }
 
-// register is a store of one key without troubles.
-type register struct{ value json.RawMessage }
+// memoryStore is a store of one key without troubles.
+type memoryStore struct{ value json.RawMessage }
 
-func (r *register) Seize(_ context.Context, _ string, decide func(keystore.Slot) json.RawMessage) (keystore.Slot, error) {
-	r.value = decide(keystore.Slot{Value: r.value})
-	return keystore.Slot{Value: r.value}, nil
+func (s *memoryStore) Acquire(_ context.Context, _ string, decide func(keystore.Register) json.RawMessage) (keystore.Register, error) {
+	s.value = decide(keystore.Register{Value: s.value})
+	return keystore.Register{Value: s.value}, nil
 }
 
-func (r *register) Rewrite(_ context.Context, _ string, decide keystore.Decide) error {
-	value, err := decide(keystore.Slot{Value: r.value})
+func (s *memoryStore) Update(_ context.Context, _ string, decide keystore.Decide) error {
+	value, err := decide(keystore.Register{Value: s.value})
 	if err == nil {
-		r.value = value
+		s.value = value
 	}
 	return err
 }
 
-func (r *register) Renew(context.Context, string) error   { return nil }
-func (r *register) Release(context.Context, string) error { return nil }
+func (s *memoryStore) Renew(context.Context, string) error   { return nil }
+func (s *memoryStore) Release(context.Context, string) error { return nil }
 
-func TestGivenGrantsOneAfterAnotherThenOnlyTheSameLifeContinuesAndOnlyTheSameAddressNeedNotWait(t *testing.T) {
-	store, now := &register{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	daemon := func(name, address string) *lease.Lease {
-		return &lease.Lease{
-			Key: "k", Holder: name, Address: address, Length: time.Second, Settle: time.Minute,
+func TestManager_SuccessiveGrants(t *testing.T) {
+	store, now := &memoryStore{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+	daemon := func(name, address string) *lease.Manager {
+		return &lease.Manager{
+			Key: "k", Holder: name, Address: address, TTL: time.Second, TakeoverDelay: time.Minute,
 			Store: store, Clock: func() time.Time { return now },
 		}
 	}
 	first, other := daemon("a", "1"), daemon("b", "2")
 	steps := []struct {
 		name      string
-		keeper    *lease.Lease
+		keeper    *lease.Manager
 		continues uint64
 		waits     time.Duration
 		inherits  int
@@ -218,14 +218,14 @@
 		{"its next life, which doesn't know since when", daemon("a", "1"), 0, time.Minute, 7},
 		{"the same name at another address", daemon("a", "3"), 0, time.Minute, 8},
 	}
-	for number, one := range steps {
-		grant, err := one.keeper.Acquire(t.Context())
+	for number, action := range steps {
+		grant, err := action.keeper.Acquire(t.Context())
 		assert.NilError(t, err)
-		assert.Equal(t, grant.Continues, one.continues, one.name)
-		assert.Equal(t, grant.ActsFrom.Sub(now), one.waits, one.name)
-		assert.Equal(t, grant.Record.Reserved.Loads, one.inherits, one.name)
+		assert.Equal(t, grant.ContinuesFence, action.continues, action.name)
+		assert.Equal(t, grant.EffectiveFrom.Sub(now), action.waits, action.name)
+		assert.Equal(t, grant.Record.Reserved.Loads, action.inherits, action.name)
 		assert.Equal(t, grant.Record.Fence, uint64(number+1))
-		assert.NilError(t, one.keeper.Reserve(t.Context(), grant, loadbudget.Reservation{Loads: number + 1}))
+		assert.NilError(t, action.keeper.Reserve(t.Context(), grant, loadbudget.Reservation{Loads: number + 1}))
 		now = now.Add(time.Second)
 	}
 	past := &lease.Grant{Record: lease.Record{Holder: "a", Address: "1", Fence: 1}}
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -17,160 +17,162 @@
 	"ferryspar/internal/membersim"
 )
 
-type act struct {
+type action struct {
 	at     time.Time
 	holder string
 	fence  uint64
 }
 
-type deeds struct {
-	lock sync.Mutex
-	done []act
+type actionLog struct {
+	lock    sync.Mutex
+	actions []action
 }
 
-func (d *deeds) add(one act) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	d.done = append(d.done, one)
+func (l *actionLog) add(action action) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.actions = append(l.actions, action)
 }
 
-const settleBound = 3 * time.Second
+const takeoverDelay = 3 * time.Second
 
-func (d *deeds) check() error {
+func (l *actionLog) check() error {
 	owners := map[uint64]string{}
-	for index, one := range d.done {
-		if owner, taken := owners[one.fence]; taken && owner != one.holder {
-			return fmt.Errorf("fence %d held by %s and %s", one.fence, owner, one.holder)
+	for index, action := range l.actions {
+		if owner, taken := owners[action.fence]; taken && owner != action.holder {
+			return fmt.Errorf("fence %d held by %s and %s", action.fence, owner, action.holder)
 		}
-		owners[one.fence] = one.holder
+		owners[action.fence] = action.holder
 		if index == 0 {
 			continue
 		}
-		before := d.done[index-1]
-		if one.fence < before.fence {
-			return fmt.Errorf("fence %d after %d", one.fence, before.fence)
+		before := l.actions[index-1]
+		if action.fence < before.fence {
+			return fmt.Errorf("fence %d after %d", action.fence, before.fence)
 		}
-		if one.holder != before.holder && one.at.Sub(before.at) < settleBound {
-			return fmt.Errorf("%s acted %s after %s", one.holder, one.at.Sub(before.at), before.holder)
+		if action.holder != before.holder && action.at.Sub(before.at) < takeoverDelay {
+			return fmt.Errorf("%s acted %s after %s", action.holder, action.at.Sub(before.at), before.holder)
 		}
 	}
 	return nil
 }
 
-func keep(fleet *membersim.Fleet, name string, length, settle time.Duration, draw *rand.Rand, until time.Time, told *deeds) {
-	var hold *lease.Grant
+func runHolder(fleet *membersim.Cluster, name string, length, takeoverDelay time.Duration, random *rand.Rand, until time.Time, log *actionLog) {
+	var grant *lease.Grant
 	var held *keystore.Store
 	for time.Now().Before(until) {
-		time.Sleep(80*time.Millisecond + time.Duration(draw.Int64N(int64(80*time.Millisecond))))
+		time.Sleep(80*time.Millisecond + time.Duration(random.Int64N(int64(80*time.Millisecond))))
 		store := fleet.StoreOf(name)
 		for fleet.Frozen(name) {
 			time.Sleep(3 * time.Millisecond)
 		}
 		if store == nil || store != held {
-			hold, held = nil, store
+			grant, held = nil, store
 		}
 		if store == nil {
 			continue
 		}
-		keeper := &lease.Lease{Key: keystore.LeasePrefix + "duty", Holder: name, Length: length, Settle: settle, Store: store, Clock: fleet.Clock(name)}
-		if hold != nil {
-			hold = keeper.Renew(context.Background(), hold)
+		manager := &lease.Manager{Key: keystore.LeasePrefix + "duty", Holder: name, TTL: length, TakeoverDelay: takeoverDelay, Store: store, Clock: fleet.Clock(name)}
+		if grant != nil {
+			grant = manager.Renew(context.Background(), grant)
 		} else {
 			ctx, cancel := context.WithTimeout(context.Background(), 1200*time.Millisecond)
-			hold, _ = keeper.Acquire(ctx)
+			grant, _ = manager.Acquire(ctx)
 			cancel()
 		}
-		if !fleet.Frozen(name) && hold.Allows(fleet.Clock(name)(), 0) && fleet.StoreOf(name) == store {
-			told.add(act{time.Now(), name, hold.Record.Fence})
+		if !fleet.Frozen(name) && grant.Allows(fleet.Clock(name)(), 0) && fleet.StoreOf(name) == store {
+			log.add(action{time.Now(), name, grant.Record.Fence})
 		}
 	}
 }
 
 type schedule struct {
-	seed      uint64
-	zones     []int
-	troubles  []membersim.Trouble
-	lengthens time.Duration
-	settle    time.Duration
-	dayClocks bool
+	seed          uint64
+	zones         []int
+	faults        []membersim.Fault
+	ttlOverrun    time.Duration
+	takeoverDelay time.Duration
+	wallClocks    bool
 }
 
-func (s schedule) play() (*deeds, error) {
+func (s schedule) run() (*actionLog, error) {
 	size := 0
 	for _, members := range s.zones {
 		size += members
 	}
 	fleet := membersim.New(s.seed, size)
-	fleet.Spread(s.zones...)
-	fleet.DayClocks = s.dayClocks
-	draw := rand.New(rand.NewPCG(s.seed, 11))
+	fleet.AssignZones(s.zones...)
+	fleet.UsesWallClock = s.wallClocks
+	random := rand.New(rand.NewPCG(s.seed, 11))
 	for _, name := range fleet.Names {
 		fleet.Start(name, true)
 	}
-	told := &deeds{}
+	log := &actionLog{}
 	until := time.Now().Add(40 * time.Second)
-	var keepers sync.WaitGroup
+	var holders sync.WaitGroup
 	for index, name := range fleet.Names {
 		source := rand.New(rand.NewPCG(s.seed, uint64(50+index)))
-		keepers.Go(func() { keep(fleet, name, membersim.LeaseLength+s.lengthens, s.settle, source, until, told) })
+		holders.Go(func() {
+			runHolder(fleet, name, membersim.LeaseDuration+s.ttlOverrun, s.takeoverDelay, source, until, log)
+		})
 	}
 	for time.Now().Before(until) {
-		time.Sleep(time.Duration(draw.Int64N(int64(4*time.Second))) + 200*time.Millisecond)
-		name := fleet.Names[draw.IntN(size)]
-		s.troubles[draw.IntN(len(s.troubles))](fleet, name, draw, time.Duration(draw.Int64N(int64(5*time.Second)))+50*time.Millisecond)
-		if !fleet.WaitVoting(time.Minute) {
-			return told, fmt.Errorf("a member never voted again")
+		time.Sleep(time.Duration(random.Int64N(int64(4*time.Second))) + 200*time.Millisecond)
+		name := fleet.Names[random.IntN(size)]
+		s.faults[random.IntN(len(s.faults))](fleet, name, random, time.Duration(random.Int64N(int64(5*time.Second)))+50*time.Millisecond)
+		if !fleet.WaitUntilAllVote(time.Minute) {
+			return log, fmt.Errorf("a member never voted again")
 		}
 	}
-	keepers.Wait()
+	holders.Wait()
 	for _, name := range fleet.Names {
 		fleet.Kill(name)
 	}
 	time.Sleep(time.Minute)
-	return told, told.check()
+	return log, log.check()
 }
 
 var (
-	single = []int{1, 1, 1}
-	spread = []int{2, 2, 1}
-	wider  = append([]membersim.Trouble{membersim.Restarts, membersim.Links, membersim.DiskWoes, membersim.ClockStep}, membersim.Troubles...)
+	threeZones              = []int{1, 1, 1}
+	fiveMembersInThreeZones = []int{2, 2, 1}
+	allFaults               = append([]membersim.Fault{membersim.RestartFaults, membersim.LinkFaults, membersim.DiskFaults, membersim.StepWallClock}, membersim.MachineFaults...)
 )
 
-func TestGivenTroublesOfEveryKindThenNoTwoHoldersActWithinALease(t *testing.T) {
+func TestManager_OneActiveHolderUnderFaults(t *testing.T) {
 	fleets := map[string]struct {
 		schedules int
 		zones     []int
-		troubles  []membersim.Trouble
+		troubles  []membersim.Fault
 	}{
-		"three members":         {300, single, membersim.Troubles},
-		"five members in zones": {120, spread, wider},
+		"three members":         {300, threeZones, membersim.MachineFaults},
+		"five members in zones": {120, fiveMembersInThreeZones, allFaults},
 	}
 	for name, fleet := range fleets {
 		t.Run(name, func(t *testing.T) {
-			acted, turns := 0, 0
-			from, to := membersim.Schedules(fleet.schedules)
+			actions, handovers := 0, 0
+			from, to := membersim.SeedRange(fleet.schedules)
 			for seed := from; seed < to; seed++ {
 				synctest.Test(t, func(t *testing.T) {
-					told, err := schedule{seed: uint64(seed), zones: fleet.zones, troubles: fleet.troubles, settle: settleBound}.play()
+					log, err := schedule{seed: uint64(seed), zones: fleet.zones, faults: fleet.troubles, takeoverDelay: takeoverDelay}.run()
 					assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
-					acted += len(told.done)
-					for index := 1; index < len(told.done); index++ {
-						if told.done[index].holder != told.done[index-1].holder {
-							turns++
+					actions += len(log.actions)
+					for index := 1; index < len(log.actions); index++ {
+						if log.actions[index].holder != log.actions[index-1].holder {
+							handovers++
 						}
 					}
 				})
 			}
-			t.Logf("%d acts, %d turns in %d schedules", acted, turns, to-from)
-			assert.Assert(t, acted > 100*(to-from)/2 && turns > (to-from)/4, "the duty is done (%d) and changes hands (%d)", acted, turns)
+			t.Logf("%d acts, %d turns in %d schedules", actions, handovers, to-from)
+			assert.Assert(t, actions > 100*(to-from)/2 && handovers > (to-from)/4, "the duty is done (%d) and changes hands (%d)", actions, handovers)
 		})
 	}
 }
 
-func TestGivenBrokenHoldersThenTheChecksCatchThem(t *testing.T) {
+func TestSimulation_CatchesBrokenHolders(t *testing.T) {
 	variants := map[string]schedule{
-		"overstays":             {seed: 1, zones: single, troubles: membersim.Troubles, lengthens: 4 * time.Second},
-		"goes by the day clock": {seed: 700, zones: spread, troubles: append(wider, membersim.ClockStep, membersim.ClockStep), settle: settleBound, dayClocks: true},
+		"overstays":             {seed: 1, zones: threeZones, faults: membersim.MachineFaults, ttlOverrun: 4 * time.Second},
+		"goes by the day clock": {seed: 700, zones: fiveMembersInThreeZones, faults: append(allFaults, membersim.StepWallClock, membersim.StepWallClock), takeoverDelay: takeoverDelay, wallClocks: true},
 	}
 	for name, variant := range variants {
 		t.Run(name, func(t *testing.T) {
@@ -179,7 +181,7 @@
 			for seed := first; seed < first+120 && caught == 0; seed++ {
 				synctest.Test(t, func(t *testing.T) {
 					variant.seed = uint64(seed)
-					if _, err := variant.play(); err != nil {
+					if _, err := variant.run(); err != nil {
 						t.Log(err)
 						caught = seed
 					}
@@ -190,25 +192,25 @@
 	}
 }
 
-func TestGivenASteppedClockThenOnlyTheTimeOfDayMoves(t *testing.T) {
+func TestSteppedClock_MovesOnlyTimeOfDay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		before := membersim.Stepped(time.Now(), 0)
+		before := membersim.OffsetWallClock(time.Now(), 0)
 		time.Sleep(time.Second)
-		after := membersim.Stepped(time.Now(), -time.Hour)
+		after := membersim.OffsetWallClock(time.Now(), -time.Hour)
 		assert.Equal(t, after.Sub(before), time.Second)
 		assert.Equal(t, after.Unix()-before.Unix(), int64(1-3600))
 	})
 }
 
-func TestGivenASeedThenItsScheduleReplaysExactly(t *testing.T) {
-	from, to := membersim.Schedules(20)
+func TestSimulation_ReplaysExactlyFromSeed(t *testing.T) {
+	from, to := membersim.SeedRange(20)
 	for seed := from; seed < to; seed++ {
-		var played [2][]act
+		var played [2][]action
 		for turn := range played {
 			synctest.Test(t, func(t *testing.T) {
-				told, err := schedule{seed: uint64(seed), zones: spread, troubles: wider, settle: settleBound}.play()
+				log, err := schedule{seed: uint64(seed), zones: fiveMembersInThreeZones, faults: allFaults, takeoverDelay: takeoverDelay}.run()
 				assert.NilError(t, err)
-				played[turn] = told.done
+				played[turn] = log.actions
 			})
 		}
 		assert.Assert(t, slices.Equal(played[0], played[1]), "FERRYSPAR_SEED=%d plays in two ways", seed)
--- a/internal/loadbudget/pinned_test.go
+++ b/internal/loadbudget/pinned_test.go
@@ -8,7 +8,7 @@
 
 func TestReservation_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
-		"loads by age": new(Aged),
+		"loads by age": new(AgedLoads),
 		"reservation":  new(Reservation),
 	})
 }
--- a/internal/loadbudget/troubles_test.go
+++ b/internal/loadbudget/troubles_test.go
@@ -10,21 +10,21 @@
 	"ferryspar/internal/loadbudget"
 )
 
-var errNeverBegun = errors.New("some loads were never begun")
+var errNeverStarted = errors.New("some loads were never begun")
 
 // trouble kills, freezes or dethrones the holder, or changes the rate.
-func (s *simulation) trouble() {
+func (s *simulation) injectFault() {
 	if s.chance(400) {
-		s.rates = append(s.rates, rateFrom{s.now, 0.5 + float64(s.draw.IntN(6))})
+		s.rates = append(s.rates, rateChange{s.now, 0.5 + float64(s.random.IntN(6))})
 	}
 	if s.holder < 0 || !s.chance(30) {
 		return
 	}
-	switch s.draw.IntN(4) {
+	switch s.random.IntN(4) {
 	case 0, 1:
 		s.kill()
 	case 2:
-		s.frozen = s.now.Add(s.within(2 * time.Second))
+		s.frozenUntil = s.now.Add(s.randomDuration(2 * time.Second))
 	case 3:
 		s.vacate()
 	}
@@ -34,45 +34,45 @@
 func (s *simulation) vacate() {
 	old := s.processes[s.holder]
 	for index := range old.orders {
-		if last := s.now.Add(transit); old.orders[index].beginsAt.After(last) {
-			old.orders[index].beginsAt = last
+		if last := s.now.Add(transit); old.orders[index].startsAt.After(last) {
+			old.orders[index].startsAt = last
 		}
 	}
-	s.takenBy, s.holder = s.holder, -1
-	s.vacant = s.now.Add(s.within(2 * time.Second))
+	s.lastHolder, s.holder = s.holder, -1
+	s.vacantUntil = s.now.Add(s.randomDuration(2 * time.Second))
 }
 
 // kill ends the holder's life. What is on its way begins or is lost as drawn.
 func (s *simulation) kill() {
 	old := s.processes[s.holder]
-	s.settleWrite(old)
+	s.resolveWrite(old)
 	s.vacate()
 	for _, one := range old.orders {
-		s.begin(one)
+		s.recordStart(one)
 	}
-	s.processes[old.number] = &process{number: old.number}
+	s.processes[old.index] = &process{index: old.index}
 }
 
-func (s *simulation) begin(one order) {
-	if one.refused {
-		s.wanted++
+func (s *simulation) recordStart(one order) {
+	if one.rejected {
+		s.unorderedLoads++
 		return
 	}
-	s.began = append(s.began, one.beginsAt)
+	s.startTimes = append(s.startTimes, one.startsAt)
 }
 
-// settleWrite decides on a write that its holder never heard of.
-func (s *simulation) settleWrite(one *process) {
-	if one.write != nil && one.write.takesHold && one.write.fence == s.fence {
-		s.reserved = &one.write.loads
+// resolveWrite decides on a write that its holder never heard of.
+func (s *simulation) resolveWrite(one *process) {
+	if one.write != nil && one.write.takesEffect && one.write.fence == s.fence {
+		s.reserved = &one.write.reservation
 	}
 	one.write = nil
 }
 
 // check counts the loads that began within any period.
 func (s *simulation) check() error {
-	slices.SortFunc(s.began, time.Time.Compare)
-	for first, from := range s.began {
+	slices.SortFunc(s.startTimes, time.Time.Compare)
+	for first, from := range s.startTimes {
 		rate := 0.0
 		for index, one := range s.rates {
 			last := index == len(s.rates)-1
@@ -81,12 +81,12 @@
 			}
 		}
 		within := 0
-		for _, at := range s.began[first:] {
+		for _, at := range s.startTimes[first:] {
 			if at.Sub(from) < period {
 				within++
 			}
 		}
-		if most := loadbudget.BoundsOf(rate, period, transit).Loads; within > most {
+		if most := loadbudget.NewBounds(rate, period, transit).Loads; within > most {
 			return fmt.Errorf("%d loads began within %s, %d are allowed", within, period, most)
 		}
 	}
--- a/internal/membership/founding.go
+++ b/internal/membership/founding.go
@@ -2,13 +2,13 @@
 
 import "ferryspar/internal/keystore"
 
-// FoundersVote says whether every member of the founding list is known to have voted under it.
-func FoundersVote(view View) bool {
-	for _, founder := range view.Current.Present {
+// BootstrapMembersVote says whether every member of the founding list is known to have voted under it.
+func BootstrapMembersVote(view View) bool {
+	for _, founder := range view.Current.Current {
 		peer, known := view.Peers[founder]
-		if !known || peer.Joining || peer.Number == 0 {
+		if !known || peer.Joining || peer.MembershipVersion == 0 {
 			return false
 		}
 	}
-	return view.Current.Number == keystore.FoundingNumber
+	return view.Current.Version == keystore.BootstrapVersion
 }
--- a/internal/membersim/clock.go
+++ b/internal/membersim/clock.go
@@ -8,47 +8,47 @@
 	"ferryspar/internal/keystore"
 )
 
-type parts struct {
-	wall  uint64
-	ext   int64
-	place *time.Location
+type timeLayout struct {
+	wall     uint64
+	ext      int64
+	location *time.Location
 }
 
 const (
-	steadyBit     = uint64(1) << 63
-	secondsShift  = 30
-	secondsToUnix = 2682288000
+	monotonicBit      = uint64(1) << 63
+	secondsShift      = 30
+	unixToWallSeconds = 2682288000
 )
 
-var origin = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+var monotonicOrigin = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Stepped is a time whose day is moved by the step and whose steady reading is not.
-func Stepped(now time.Time, step time.Duration) time.Time {
-	day := now.Add(step)
-	made := time.Time{}
-	raw := (*parts)(unsafe.Pointer(&made))
-	raw.wall = steadyBit | uint64(day.Unix()+secondsToUnix)<<secondsShift | uint64(day.Nanosecond())
-	raw.ext = int64(now.Sub(origin)) + 1
-	return made
+// OffsetWallClock is a time whose day is moved by the step and whose steady reading is not.
+func OffsetWallClock(now time.Time, offset time.Duration) time.Time {
+	wall := now.Add(offset)
+	result := time.Time{}
+	raw := (*timeLayout)(unsafe.Pointer(&result))
+	raw.wall = monotonicBit | uint64(wall.Unix()+unixToWallSeconds)<<secondsShift | uint64(wall.Nanosecond())
+	raw.ext = int64(now.Sub(monotonicOrigin)) + 1
+	return result
 }
 
 // Clock is the clock of a machine.
-func (f *Fleet) Clock(name string) keystore.Clock {
+func (c *Cluster) Clock(name string) keystore.Clock {
 	return func() time.Time {
-		f.lock.Lock()
-		defer f.lock.Unlock()
-		made := Stepped(time.Now(), f.steps[name])
-		if f.DayClocks {
+		c.lock.Lock()
+		defer c.lock.Unlock()
+		made := OffsetWallClock(time.Now(), c.clockOffsets[name])
+		if c.UsesWallClock {
 			return made.Round(0)
 		}
 		return made
 	}
 }
 
-// ClockStep moves a machine's time of day by up to an hour either way.
-func ClockStep(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
+// StepWallClock moves a machine's time of day by up to an hour either way.
+func StepWallClock(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	f.lock.Lock()
-	f.steps[name] += time.Duration(draw.Int64N(int64(2*time.Hour))) - time.Hour
+	f.clockOffsets[name] += time.Duration(random.Int64N(int64(2*time.Hour))) - time.Hour
 	f.lock.Unlock()
-	time.Sleep(lasting)
+	time.Sleep(duration)
 }
--- a/internal/membersim/disk.go
+++ b/internal/membersim/disk.go
@@ -15,23 +15,23 @@
 // be lost or torn by a loss of power, and each name that was made without a sync of the folder may be lost by itself,
 // with whatever the file holds.
 type Disk struct {
-	lock    sync.Mutex
-	synced  map[string][]byte
-	loose   map[string][]looseWrite
-	names   map[string]nameState
-	stall   time.Duration
-	refuses int
+	lock          sync.Mutex
+	synced        map[string][]byte
+	unsynced      map[string][]unsyncedWrite
+	names         map[string]nameState
+	stallDuration time.Duration
+	rejecting     int
 }
 
 // nameState tells whether a name was made only, or the folder was synced since.
 type nameState bool
 
 const (
-	nameMade   nameState = false
-	nameSynced nameState = true
+	nameCreated nameState = false
+	nameSynced  nameState = true
 )
 
-type looseWrite struct {
+type unsyncedWrite struct {
 	offset  int64
 	content []byte
 }
@@ -41,7 +41,7 @@
 
 // NewDisk returns an empty disk.
 func NewDisk() *Disk {
-	return &Disk{synced: map[string][]byte{}, loose: map[string][]looseWrite{}, names: map[string]nameState{}}
+	return &Disk{synced: map[string][]byte{}, unsynced: map[string][]unsyncedWrite{}, names: map[string]nameState{}}
 }
 
 // Attach returns the folder as a new process has it.
@@ -49,29 +49,29 @@
 
 func (d *Disk) attach() *Handle { return d.Attach() }
 
-// Handle is the folder of a disk as one process has it. It implements keystore.Folder.
+// Handle is the folder of a disk as one process has it. It implements keystore.Directory.
 type Handle struct {
-	disk     *Disk
-	gone     bool
-	unsynced bool
-	// NamesUnsynced makes SyncFolder return at once with nothing done: a fault for tests to find.
-	NamesUnsynced bool
+	disk      *Disk
+	killed    bool
+	skipsSync bool
+	// SkipsDirectorySync makes SyncFolder return at once with nothing done: a fault for tests to find.
+	SkipsDirectorySync bool
 }
 
-const ringBytesForTest = 64 << 10
+const segmentBytes = 64 << 10
 
-// openJournal opens the journal on a disk, and tries again while the disk refuses.
-func openJournal(handle *Handle) *keystore.Journal {
+// openWAL opens the journal on a disk, and tries again while the disk refuses.
+func openWAL(handle *Handle) *keystore.WAL {
 	for {
-		journal, err := keystore.OpenJournal(handle, keystore.RingFiles, ringBytesForTest)
+		log, err := keystore.OpenWAL(handle, keystore.SegmentCount, segmentBytes)
 		if err == nil {
-			return journal
+			return log
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func overlay(content []byte, write looseWrite) []byte {
+func applyWrite(content []byte, write unsyncedWrite) []byte {
 	end := int(write.offset) + len(write.content)
 	if len(content) < end {
 		content = append(content, make([]byte, end-len(content))...)
@@ -84,7 +84,7 @@
 func (h *Handle) Kill() {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
-	h.gone = true
+	h.killed = true
 }
 
 // List returns the names in order.
@@ -99,8 +99,8 @@
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
 	content := append([]byte(nil), h.disk.synced[name]...)
-	for _, write := range h.disk.loose[name] {
-		content = overlay(content, write)
+	for _, write := range h.disk.unsynced[name] {
+		content = applyWrite(content, write)
 	}
 	return content, nil
 }
@@ -112,78 +112,78 @@
 	if _, exists := h.disk.names[name]; exists {
 		return nil
 	}
-	if h.gone {
-		return errDead
+	if h.killed {
+		return errKilled
 	}
-	if h.disk.refuses > 0 {
-		return errRefused
+	if h.disk.rejecting > 0 {
+		return errRejected
 	}
-	h.disk.names[name] = nameMade
+	h.disk.names[name] = nameCreated
 	return nil
 }
 
 var (
-	errRefused = errors.New("disk refuses")
-	errDead    = errors.New("process is dead")
+	errRejected = errors.New("disk refuses")
+	errKilled   = errors.New("process is dead")
 )
 
-func (h *Handle) wait() error {
+func (h *Handle) startOperation() error {
 	h.disk.lock.Lock()
-	stall := h.disk.stall
-	refuses := h.disk.refuses
+	stall := h.disk.stallDuration
+	refuses := h.disk.rejecting
 	h.disk.lock.Unlock()
 	time.Sleep(operationTime + stall)
 	if refuses > 0 {
-		return errRefused
+		return errRejected
 	}
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
-	if h.gone {
-		return errDead
+	if h.killed {
+		return errKilled
 	}
 	return nil
 }
 
 // Write takes operationTime, and fails on a disk that refuses and in a process that was killed meanwhile.
 func (h *Handle) Write(name string, offset int64, content []byte) error {
-	if err := h.wait(); err != nil {
+	if err := h.startOperation(); err != nil {
 		return err
 	}
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
-	h.disk.loose[name] = append(h.disk.loose[name], looseWrite{offset, append([]byte(nil), content...)})
+	h.disk.unsynced[name] = append(h.disk.unsynced[name], unsyncedWrite{offset, append([]byte(nil), content...)})
 	return nil
 }
 
 // Sync has a file's writes last, but not its name. It returns at once if nothing was written since the last one.
 func (h *Handle) Sync(name string) error {
-	if h.unsynced || h.clean(name) {
+	if h.skipsSync || h.isClean(name) {
 		return nil
 	}
-	if err := h.wait(); err != nil {
+	if err := h.startOperation(); err != nil {
 		return err
 	}
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
-	for _, write := range h.disk.loose[name] {
-		h.disk.synced[name] = overlay(h.disk.synced[name], write)
+	for _, write := range h.disk.unsynced[name] {
+		h.disk.synced[name] = applyWrite(h.disk.synced[name], write)
 	}
-	delete(h.disk.loose, name)
+	delete(h.disk.unsynced, name)
 	return nil
 }
 
-func (h *Handle) clean(name string) bool {
+func (h *Handle) isClean(name string) bool {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
-	return len(h.disk.loose[name]) == 0 && !h.gone
+	return len(h.disk.unsynced[name]) == 0 && !h.killed
 }
 
 // SyncFolder has all names last.
-func (h *Handle) SyncFolder() error {
-	if h.NamesUnsynced {
+func (h *Handle) SyncDirectory() error {
+	if h.SkipsDirectorySync {
 		return nil
 	}
-	if err := h.wait(); err != nil {
+	if err := h.startOperation(); err != nil {
 		return err
 	}
 	h.disk.lock.Lock()
--- a/internal/membersim/members.go
+++ b/internal/membersim/members.go
@@ -12,113 +12,113 @@
 )
 
 // Present lists the machines that are, or are to be, members.
-func (f *Fleet) Present() []string {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	return append([]string(nil), f.Names...)
+func (c *Cluster) MemberNames() []string {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return append([]string(nil), c.Names...)
 }
 
 // Replace takes a member away for good and drives the change to an empty newcomer, by drivers that
 // may stop between the steps.
-func (f *Fleet) Replace(lost, newcomer string, draw *rand.Rand) error {
-	f.Kill(lost)
-	f.lock.Lock()
-	f.members[newcomer] = &Member{name: newcomer, disk: NewDisk(), zone: f.members[lost].zone}
+func (c *Cluster) Replace(lost, newcomer string, random *rand.Rand) error {
+	c.Kill(lost)
+	c.lock.Lock()
+	c.members[newcomer] = &Member{name: newcomer, disk: NewDisk(), zone: c.members[lost].zone}
 	var names []string
-	for _, name := range f.Names {
+	for _, name := range c.Names {
 		if name == lost {
 			name = newcomer
 		}
 		names = append(names, name)
 	}
-	left := append([]string(nil), f.Names...)
-	f.lock.Unlock()
-	f.Start(newcomer, false)
+	left := append([]string(nil), c.Names...)
+	c.lock.Unlock()
+	c.Start(newcomer, false)
 	for range 200 {
-		time.Sleep(time.Duration(50+draw.IntN(200)) * time.Millisecond)
-		driver := left[draw.IntN(len(left))]
+		time.Sleep(time.Duration(50+random.IntN(200)) * time.Millisecond)
+		driver := left[random.IntN(len(left))]
 		if driver == lost {
 			continue
 		}
-		if f.drive(driver, lost, newcomer, draw) {
-			f.lock.Lock()
-			f.Names = names
-			f.lock.Unlock()
-			f.learnMembers()
+		if c.driveReplacement(driver, lost, newcomer, random) {
+			c.lock.Lock()
+			c.Names = names
+			c.lock.Unlock()
+			c.refreshMemberships()
 			return nil
 		}
 	}
 	return errors.New("the newcomer never became a member")
 }
 
-func (f *Fleet) learnMembers() {
-	for _, name := range f.Present() {
-		store := f.StoreOf(name)
+func (c *Cluster) refreshMemberships() {
+	for _, name := range c.MemberNames() {
+		store := c.StoreOf(name)
 		if store == nil {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		adoptCommitted(ctx, store)
+		adoptCommittedMembership(ctx, store)
 		_, _ = store.Digest(ctx)
 		cancel()
 	}
 }
 
-func adoptCommitted(ctx context.Context, store *keystore.Store) {
-	slot, err := store.Read(ctx, keystore.MembersKey)
+func adoptCommittedMembership(ctx context.Context, store *keystore.Store) {
+	register, err := store.Read(ctx, keystore.MembershipKey)
 	if err != nil {
 		return
 	}
-	var committed keystore.Members
-	if json.Unmarshal(slot.Value, &committed) == nil {
-		store.Adopt(committed)
+	var committed keystore.Membership
+	if json.Unmarshal(register.Value, &committed) == nil {
+		store.AdoptMembership(committed)
 	}
 }
 
-func (f *Fleet) drive(driver, lost, newcomer string, draw *rand.Rand) bool {
-	store := f.StoreOf(driver)
+func (c *Cluster) driveReplacement(driver, lost, newcomer string, random *rand.Rand) bool {
+	store := c.StoreOf(driver)
 	if store == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	adoptCommitted(ctx, store)
-	current := store.Members()
-	if !current.Joint() && current.Keeps(newcomer) {
+	adoptCommittedMembership(ctx, store)
+	current := store.Membership()
+	if !current.IsJoint() && current.IsCurrent(newcomer) {
 		return true
 	}
-	next := keystore.Members{Number: current.Number + 1, Present: current.Next}
-	if !current.Joint() {
-		next.Present, next.Next = current.Present, nil
-		for _, member := range current.Present {
+	next := keystore.Membership{Version: current.Version + 1, Current: current.Next}
+	if !current.IsJoint() {
+		next.Current, next.Next = current.Current, nil
+		for _, member := range current.Current {
 			if member == lost {
 				member = newcomer
 			}
 			next.Next = append(next.Next, member)
 		}
-	} else if !f.caughtUp(newcomer, current) {
+	} else if !c.hasCaughtUp(newcomer, current) {
 		return false
 	}
-	_, err := store.Change(ctx, keystore.MembersKey, func(slot keystore.Slot) (json.RawMessage, error) {
-		var committed keystore.Members
-		_ = json.Unmarshal(slot.Value, &committed)
-		if committed.Number >= next.Number {
+	_, err := store.Change(ctx, keystore.MembershipKey, func(register keystore.Register) (json.RawMessage, error) {
+		var committed keystore.Membership
+		_ = json.Unmarshal(register.Value, &committed)
+		if committed.Version >= next.Version {
 			return nil, errors.New("members moved on")
 		}
 		return json.Marshal(next)
 	})
-	if err == nil && draw.IntN(2) == 0 {
-		store.Adopt(next)
+	if err == nil && random.IntN(2) == 0 {
+		store.AdoptMembership(next)
 	}
 	return false
 }
 
-func (f *Fleet) caughtUp(newcomer string, current keystore.Members) bool {
-	store, acceptor := f.StoreOf(newcomer), f.alive(newcomer)
+func (c *Cluster) hasCaughtUp(newcomer string, current keystore.Membership) bool {
+	store, acceptor := c.StoreOf(newcomer), c.runningAcceptor(newcomer)
 	if store == nil || acceptor == nil {
 		return false
 	}
-	store.Adopt(current)
-	self := acceptor.Self()
-	return self.Voting && self.Number == current.Number
+	store.AdoptMembership(current)
+	self := acceptor.LocalState()
+	return self.Voting && self.MembershipVersion == current.Version
 }
--- a/internal/membersim/newcomers.go
+++ b/internal/membersim/newcomers.go
@@ -9,39 +9,39 @@
 
 // Join starts an empty machine in the zone of another. It becomes a member only once the
 // fleet's own list names it.
-func (f *Fleet) Join(newcomer, like string) {
-	f.lock.Lock()
-	if f.founders == nil {
-		f.founders = slices.Clone(f.Names)
+func (c *Cluster) Join(newcomer, like string) {
+	c.lock.Lock()
+	if c.bootstrapMembers == nil {
+		c.bootstrapMembers = slices.Clone(c.Names)
 	}
-	f.members[newcomer] = &Member{name: newcomer, disk: NewDisk(), zone: f.members[like].zone}
-	f.Names = append(slices.Clone(f.Names), newcomer)
-	f.lock.Unlock()
-	f.Start(newcomer, false)
+	c.members[newcomer] = &Member{name: newcomer, disk: NewDisk(), zone: c.members[like].zone}
+	c.Names = append(slices.Clone(c.Names), newcomer)
+	c.lock.Unlock()
+	c.Start(newcomer, false)
 }
 
 // Retire ends a machine that never comes back.
-func (f *Fleet) Retire(name string) {
-	f.Kill(name)
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	if f.founders == nil {
-		f.founders = slices.Clone(f.Names)
+func (c *Cluster) Retire(name string) {
+	c.Kill(name)
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if c.bootstrapMembers == nil {
+		c.bootstrapMembers = slices.Clone(c.Names)
 	}
-	f.Names = slices.DeleteFunc(slices.Clone(f.Names), func(one string) bool { return one == name })
+	c.Names = slices.DeleteFunc(slices.Clone(c.Names), func(member string) bool { return member == name })
 }
 
 // Hears says whether a heartbeat sent now gets from one machine to the other.
-func (f *Fleet) Hears(from, to string) bool {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	sender, receiver := f.members[from], f.members[to]
+func (c *Cluster) CanReach(from, to string) bool {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	sender, receiver := c.members[from], c.members[to]
 	working := sender.running && receiver.running && sender.frozen == 0 && receiver.frozen == 0
-	return working && f.cut[[2]string{from, to}] == 0
+	return working && c.cutLinks[[2]string{from, to}] == 0
 }
 
 // AcceptorOf is the acceptor of a running machine, nil for others.
-func (f *Fleet) AcceptorOf(name string) *keystore.Acceptor { return f.alive(name) }
+func (c *Cluster) AcceptorOf(name string) *keystore.Acceptor { return c.runningAcceptor(name) }
 
 // Zone names the zone of a machine.
-func (f *Fleet) Zone(name string) string { return fmt.Sprint("zone-", f.zoneOf(name)) }
+func (c *Cluster) Zone(name string) string { return fmt.Sprint("zone-", c.zoneOf(name)) }
--- a/internal/membersim/power.go
+++ b/internal/membersim/power.go
@@ -12,24 +12,24 @@
 
 // LosePower draws the fate of each write that isn't synced and, apart from that, of each name that was made since the
 // folder was synced. The process must have been killed.
-func (d *Disk) LosePower(draw *rand.Rand) {
+func (d *Disk) LosePower(random *rand.Rand) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	all := draw.IntN(4) == 0
-	for _, name := range slices.Sorted(maps.Keys(d.loose)) {
-		for _, write := range d.loose[name] {
+	all := random.IntN(4) == 0
+	for _, name := range slices.Sorted(maps.Keys(d.unsynced)) {
+		for _, write := range d.unsynced[name] {
 			if all {
 				continue
 			}
-			for _, kept := range tear(write, draw) {
-				d.synced[name] = overlay(d.synced[name], kept)
+			for _, kept := range tear(write, random) {
+				d.synced[name] = applyWrite(d.synced[name], kept)
 			}
 		}
 	}
-	d.loose = map[string][]looseWrite{}
+	d.unsynced = map[string][]unsyncedWrite{}
 	for _, name := range slices.Sorted(maps.Keys(d.names)) {
-		if d.names[name] == nameMade && draw.IntN(2) == 0 {
-			d.drop(name)
+		if d.names[name] == nameCreated && random.IntN(2) == 0 {
+			d.removeLocked(name)
 			continue
 		}
 		d.names[name] = nameSynced
@@ -37,47 +37,47 @@
 }
 
 // tear draws what is left of a write: nothing, its beginning, some of its sectors, or all.
-func tear(write looseWrite, draw *rand.Rand) []looseWrite {
-	switch draw.IntN(4) {
+func tear(write unsyncedWrite, random *rand.Rand) []unsyncedWrite {
+	switch random.IntN(4) {
 	case 0:
 		return nil
 	case 1:
-		write.content = write.content[:draw.IntN(len(write.content)+1)]
+		write.content = write.content[:random.IntN(len(write.content)+1)]
 	case 2:
-		var kept []looseWrite
+		var kept []unsyncedWrite
 		for from := 0; from < len(write.content); from += sectorBytes {
-			if draw.IntN(2) == 0 {
+			if random.IntN(2) == 0 {
 				sector := write.content[from:min(from+sectorBytes, len(write.content))]
-				kept = append(kept, looseWrite{write.offset + int64(from), sector})
+				kept = append(kept, unsyncedWrite{write.offset + int64(from), sector})
 			}
 		}
 		return kept
 	}
-	return []looseWrite{write}
+	return []unsyncedWrite{write}
 }
 
 // Remove takes a file away, as no loss of power does.
 func (d *Disk) Remove(name string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.drop(name)
+	d.removeLocked(name)
 }
 
-func (d *Disk) drop(name string) {
+func (d *Disk) removeLocked(name string) {
 	delete(d.names, name)
 	delete(d.synced, name)
-	delete(d.loose, name)
+	delete(d.unsynced, name)
 }
 
 func (d *Disk) wipe() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.synced, d.loose, d.names = map[string][]byte{}, map[string][]looseWrite{}, map[string]nameState{}
+	d.synced, d.unsynced, d.names = map[string][]byte{}, map[string][]unsyncedWrite{}, map[string]nameState{}
 }
 
-func (d *Disk) trouble(stall time.Duration, refuses int) {
+func (d *Disk) adjustFaults(stall time.Duration, refuses int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.stall += stall
-	d.refuses += refuses
+	d.stallDuration += stall
+	d.rejecting += refuses
 }
--- a/internal/membersim/schedules.go
+++ b/internal/membersim/schedules.go
@@ -10,10 +10,10 @@
 // SeedVariable names the environment variable that replays one schedule.
 const SeedVariable = "FERRYSPAR_SEED"
 
-// Schedules gives the range of seeds to play: one, a tenth under -short, or all.
-func Schedules(amount int) (int, int) {
-	if one, err := strconv.Atoi(os.Getenv(SeedVariable)); err == nil {
-		return one, one + 1
+// SeedRange gives the range of seeds to play: one, a tenth under -short, or all.
+func SeedRange(amount int) (int, int) {
+	if seed, err := strconv.Atoi(os.Getenv(SeedVariable)); err == nil {
+		return seed, seed + 1
 	}
 	if testing.Short() {
 		return 1, 1 + amount/10
--- a/internal/membersim/troubles.go
+++ b/internal/membersim/troubles.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-func (f *Fleet) sever(links [][2]string) func() {
+func (c *Cluster) addLinkCuts(links [][2]string) func() {
 	add := func(amount int) {
-		f.lock.Lock()
-		defer f.lock.Unlock()
+		c.lock.Lock()
+		defer c.lock.Unlock()
 		for _, link := range links {
-			f.cut[link] += amount
+			c.cutLinks[link] += amount
 		}
 	}
 	add(1)
 	return func() { add(-1) }
 }
 
-func (f *Fleet) between(left, right []string) [][2]string {
+func (c *Cluster) linksBetween(left, right []string) [][2]string {
 	var links [][2]string
-	for _, one := range left {
+	for _, member := range left {
 		for _, other := range right {
-			links = append(links, [2]string{one, other}, [2]string{other, one})
+			links = append(links, [2]string{member, other}, [2]string{other, member})
 		}
 	}
 	return links
 }
 
-// WaitVoting waits until all present machines vote, and says whether they did in time.
-func (f *Fleet) WaitVoting(bound time.Duration) bool {
-	until := time.Now().Add(bound)
+// WaitUntilAllVote waits until all present machines vote, and says whether they did in time.
+func (c *Cluster) WaitUntilAllVote(timeout time.Duration) bool {
+	until := time.Now().Add(timeout)
 	for time.Now().Before(until) {
 		voting := 0
-		present := f.Present()
+		present := c.MemberNames()
 		for _, name := range present {
-			if acceptor := f.alive(name); acceptor != nil && acceptor.Self().Voting {
+			if acceptor := c.runningAcceptor(name); acceptor != nil && acceptor.LocalState().Voting {
 				voting++
 			}
 		}
@@ -46,34 +46,34 @@
 	return false
 }
 
-// Trouble befalls a machine and lasts for a while.
-type Trouble func(f *Fleet, name string, draw *rand.Rand, lasting time.Duration)
+// Fault befalls a machine and lasts for a while.
+type Fault func(f *Cluster, name string, random *rand.Rand, duration time.Duration)
 
-func killed(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
+func restart(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	f.Kill(name)
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	f.Start(name, false)
 }
 
-func powerless(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
+func losePower(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	f.Kill(name)
-	f.LosePower(name, draw)
-	time.Sleep(lasting)
+	f.LosePower(name, random)
+	time.Sleep(duration)
 	f.Start(name, false)
 }
 
-func wiped(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
+func wipeDisk(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	f.Kill(name)
 	f.disk(name).wipe()
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	f.Start(name, false)
 }
 
-func isolated(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
-	inward := draw.IntN(2) == 0
-	outward := !inward || draw.IntN(2) == 0
+func isolate(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
+	inward := random.IntN(2) == 0
+	outward := !inward || random.IntN(2) == 0
 	var links [][2]string
-	for _, other := range f.Present() {
+	for _, other := range f.MemberNames() {
 		if inward {
 			links = append(links, [2]string{other, name})
 		}
@@ -81,23 +81,23 @@
 			links = append(links, [2]string{name, other})
 		}
 	}
-	defer f.sever(links)()
-	time.Sleep(lasting)
+	defer f.addLinkCuts(links)()
+	time.Sleep(duration)
 }
 
-func stalled(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
+func stallDisk(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	disk := f.disk(name)
-	disk.trouble(lasting, 0)
-	time.Sleep(lasting)
-	disk.trouble(-lasting, 0)
+	disk.adjustFaults(duration, 0)
+	time.Sleep(duration)
+	disk.adjustFaults(-duration, 0)
 }
 
-func refusing(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
+func rejectWrites(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	disk := f.disk(name)
-	disk.trouble(0, 1)
-	time.Sleep(lasting)
-	disk.trouble(0, -1)
+	disk.adjustFaults(0, 1)
+	time.Sleep(duration)
+	disk.adjustFaults(0, -1)
 }
 
-// Troubles are those of a single machine.
-var Troubles = []Trouble{killed, powerless, wiped, isolated, stalled, refusing}
+// MachineFaults are those of a single machine.
+var MachineFaults = []Fault{restart, losePower, wipeDisk, isolate, stallDisk, rejectWrites}
--- a/internal/membersim/zones.go
+++ b/internal/membersim/zones.go
@@ -7,24 +7,24 @@
 )
 
 // Spread puts the machines into zones of the sizes given.
-func (f *Fleet) Spread(sizes ...int) {
+func (c *Cluster) AssignZones(sizes ...int) {
 	position := 0
 	for zone, size := range sizes {
 		for range size {
-			f.members[f.Names[position]].zone = zone
+			c.members[c.Names[position]].zone = zone
 			position++
 		}
 	}
-	f.zones = len(sizes)
+	c.zoneCount = len(sizes)
 }
 
-func (f *Fleet) inside(zones ...int) []string {
-	f.lock.Lock()
-	defer f.lock.Unlock()
+func (c *Cluster) namesInZones(zones ...int) []string {
+	c.lock.Lock()
+	defer c.lock.Unlock()
 	var found []string
-	for _, name := range f.Names {
+	for _, name := range c.Names {
 		for _, zone := range zones {
-			if f.members[name].zone == zone {
+			if c.members[name].zone == zone {
 				found = append(found, name)
 			}
 		}
@@ -32,136 +32,136 @@
 	return found
 }
 
-func (f *Fleet) zoneOf(name string) int {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	return f.members[name].zone
+func (c *Cluster) zoneOf(name string) int {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.members[name].zone
 }
 
-func (f *Fleet) disk(name string) *Disk {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	return f.members[name].disk
+func (c *Cluster) disk(name string) *Disk {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.members[name].disk
 }
 
-func (f *Fleet) freeze(name string, amount int) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	f.members[name].frozen += amount
+func (c *Cluster) adjustFrozen(name string, amount int) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.members[name].frozen += amount
 }
 
 // Frozen says whether a machine stands still.
-func (f *Fleet) Frozen(name string) bool {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	return f.members[name].frozen > 0
+func (c *Cluster) Frozen(name string) bool {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.members[name].frozen > 0
 }
 
-const thawLook = time.Millisecond + 7*time.Nanosecond
+const thawPollInterval = time.Millisecond + 7*time.Nanosecond
 
-func (f *Fleet) awaitThaw(name string) {
-	for f.Frozen(name) {
-		time.Sleep(thawLook)
+func (c *Cluster) waitWhileFrozen(name string) {
+	for c.Frozen(name) {
+		time.Sleep(thawPollInterval)
 	}
 }
 
-func (f *Fleet) companion(name string, draw *rand.Rand) []string {
+func (c *Cluster) withRandomOther(name string, random *rand.Rand) []string {
 	pair := []string{name}
-	if other := f.Names[draw.IntN(len(f.Names))]; other != name {
+	if other := c.Names[random.IntN(len(c.Names))]; other != name {
 		pair = append(pair, other)
 	}
 	return pair
 }
 
-// BridgeCut cuts the zone of a machine from one other; the rest reach both.
-func BridgeCut(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
+// CutZoneLink cuts the zone of a machine from one other; the rest reach both.
+func CutZoneLink(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	own := f.zoneOf(name)
-	other := (own + 1 + draw.IntN(f.zones-1)) % f.zones
-	defer f.sever(f.between(f.inside(own), f.inside(other)))()
-	time.Sleep(lasting)
+	other := (own + 1 + random.IntN(f.zoneCount-1)) % f.zoneCount
+	defer f.addLinkCuts(f.linksBetween(f.namesInZones(own), f.namesInZones(other)))()
+	time.Sleep(duration)
 }
 
-// RegionCut cuts the first two zones from all others.
-func RegionCut(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
+// CutRegion cuts the first two zones from all others.
+func CutRegion(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	first := []int{0, 1}
 	var second []int
-	for zone := 2; zone < f.zones; zone++ {
+	for zone := 2; zone < f.zoneCount; zone++ {
 		second = append(second, zone)
 	}
-	defer f.sever(f.between(f.inside(first...), f.inside(second...)))()
-	time.Sleep(lasting)
+	defer f.addLinkCuts(f.linksBetween(f.namesInZones(first...), f.namesInZones(second...)))()
+	time.Sleep(duration)
 }
 
-// ZoneLost takes the power of a machine's zone.
-func ZoneLost(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
-	f.loseZone(f.zoneOf(name), draw, lasting)
+// LoseZone takes the power of a machine's zone.
+func LoseZone(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
+	f.loseZone(f.zoneOf(name), random, duration)
 }
 
-// OtherZoneLost takes the power of a zone that the machine is not in.
-func OtherZoneLost(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
-	f.loseZone((f.zoneOf(name)+1+draw.IntN(f.zones-1))%f.zones, draw, lasting)
+// LoseOtherZone takes the power of a zone that the machine is not in.
+func LoseOtherZone(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
+	f.loseZone((f.zoneOf(name)+1+random.IntN(f.zoneCount-1))%f.zoneCount, random, duration)
 }
 
-func (f *Fleet) loseZone(zone int, draw *rand.Rand, lasting time.Duration) {
-	members := f.inside(zone)
-	heal := f.sever(f.between(members, f.Present()))
-	for _, one := range members {
-		f.Kill(one)
-		f.LosePower(one, draw)
+func (c *Cluster) loseZone(zone int, random *rand.Rand, duration time.Duration) {
+	members := c.namesInZones(zone)
+	heal := c.addLinkCuts(c.linksBetween(members, c.MemberNames()))
+	for _, name := range members {
+		c.Kill(name)
+		c.LosePower(name, random)
 	}
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	heal()
-	for _, one := range members {
-		f.Start(one, false)
+	for _, name := range members {
+		c.Start(name, false)
 	}
 }
 
-func eachOfTwo(trouble Trouble) Trouble {
-	return func(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
+func onTwoMachines(fault Fault) Fault {
+	return func(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
 		var both sync.WaitGroup
-		for _, one := range f.companion(name, draw) {
-			source := rand.New(rand.NewPCG(draw.Uint64(), 3))
+		for _, machine := range f.withRandomOther(name, random) {
+			source := rand.New(rand.NewPCG(random.Uint64(), 3))
 			both.Go(func() {
 				time.Sleep(time.Duration(source.Int64N(int64(time.Millisecond))))
-				trouble(f, one, source, lasting)
+				fault(f, machine, source, duration)
 			})
 		}
 		both.Wait()
 	}
 }
 
-// DisksStalled lets the disks of a machine and a second one hang.
-var DisksStalled = eachOfTwo(stalled)
+// StallTwoDisks lets the disks of a machine and a second one hang.
+var StallTwoDisks = onTwoMachines(stallDisk)
 
-// TwoWiped loses the disks of a machine and a second one.
-var TwoWiped = eachOfTwo(wiped)
+// WipeTwoDisks loses the disks of a machine and a second one.
+var WipeTwoDisks = onTwoMachines(wipeDisk)
 
-// DisksSlow slows the disks of a machine and a second one.
-var DisksSlow = eachOfTwo(func(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
-	disk, slower := f.disk(name), time.Duration(draw.Int64N(int64(300*time.Millisecond)))
-	disk.trouble(slower, 0)
-	time.Sleep(lasting)
-	disk.trouble(-slower, 0)
+// SlowTwoDisks slows the disks of a machine and a second one.
+var SlowTwoDisks = onTwoMachines(func(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
+	disk, slower := f.disk(name), time.Duration(random.Int64N(int64(300*time.Millisecond)))
+	disk.adjustFaults(slower, 0)
+	time.Sleep(duration)
+	disk.adjustFaults(-slower, 0)
 })
 
 // Freeze lets a machine stand still; what is sent to it arrives after the thaw.
-func Freeze(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
-	f.freeze(name, 1)
-	time.Sleep(lasting)
-	f.freeze(name, -1)
+func Freeze(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
+	f.adjustFrozen(name, 1)
+	time.Sleep(duration)
+	f.adjustFrozen(name, -1)
 }
 
-// InTurn draws one of several troubles each time.
-func InTurn(troubles ...Trouble) Trouble {
-	return func(f *Fleet, name string, draw *rand.Rand, lasting time.Duration) {
-		troubles[draw.IntN(len(troubles))](f, name, draw, lasting)
+// OneOf draws one of several troubles each time.
+func OneOf(faults ...Fault) Fault {
+	return func(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
+		faults[random.IntN(len(faults))](f, name, random, duration)
 	}
 }
 
 // Mixes of troubles that schedules draw from.
 var (
-	Restarts  = InTurn(killed, powerless, wiped, TwoWiped, ZoneLost)
-	Links     = InTurn(BridgeCut, RegionCut, isolated, Freeze)
-	DiskWoes  = InTurn(DisksStalled, DisksSlow, refusing)
-	Connected = InTurn(BridgeCut, ZoneLost, DisksStalled, DisksSlow, Freeze)
+	RestartFaults           = OneOf(restart, losePower, wipeDisk, WipeTwoDisks, LoseZone)
+	LinkFaults              = OneOf(CutZoneLink, CutRegion, isolate, Freeze)
+	DiskFaults              = OneOf(StallTwoDisks, SlowTwoDisks, rejectWrites)
+	ConnectedMajorityFaults = OneOf(CutZoneLink, LoseZone, StallTwoDisks, SlowTwoDisks, Freeze)
 )
--- a/internal/operator/context.go
+++ b/internal/operator/context.go
@@ -37,7 +37,7 @@
 	if wanted.LifeMs == nil {
 		return nil, apierror.New(apierror.InvalidRetention, "lifeMs is missing")
 	}
-	policy, err := state.SetRetention(request.Context(), retention.Policy{LifeMs: *wanted.LifeMs})
+	policy, err := state.SetRetention(request.Context(), retention.Policy{LifetimeMs: *wanted.LifeMs})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/pinned_test.go
+++ b/internal/operator/pinned_test.go
@@ -57,7 +57,7 @@
 }
 
 func (s *filledState) SetRetention(_ context.Context, wanted retention.Policy) (retention.Policy, error) {
-	s.note("life %d", wanted.LifeMs)
+	s.note("life %d", wanted.LifetimeMs)
 	return filled[retention.Policy](), nil
 }
 
@@ -66,7 +66,7 @@
 }
 
 func (s *filledState) Forget(_ context.Context, scope retention.Scope) (retention.Status, error) {
-	s.note("forget %s %s", scope.Model, scope.Part)
+	s.note("forget %s %s", scope.Model, scope.PromptPart)
 	return filled[retention.Status](), nil
 }
 
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -214,7 +214,7 @@
 
 // KeyUpdate tells another member of a committed key.
 type KeyUpdate struct {
-	Slot keystore.Slot `json:"slot"`
+	Slot keystore.Register `json:"slot"`
 }
 
 // Greeting is a heartbeat between control daemons.
--- a/internal/quota/bound_test.go
+++ b/internal/quota/bound_test.go
@@ -11,7 +11,7 @@
 var testBounds = Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
 // trouble does one thing to the fleet.
-func (f *fleet) trouble(kind int, one *node) {
+func (f *fleet) injectFault(kind int, one *node) {
 	switch kind {
 	case 0:
 		f.start(one)
@@ -20,9 +20,9 @@
 	case 2:
 		one.frozen = false
 	case 3:
-		one.apart = true
+		one.partitioned = true
 	case 4:
-		one.apart = false
+		one.partitioned = false
 	case 5:
 		if len(f.nodes) > 2 {
 			f.leave(one)
@@ -36,11 +36,11 @@
 	case 8:
 		f.setLimit(one, f.limit)
 	case 9:
-		one.pool.Leave()
+		one.pool.Drain()
 	}
 }
 
-const troubleKinds = 10
+const faultKinds = 10
 
 func (f *fleet) setLimit(one *node, limit Limit) {
 	one.limit = limit
@@ -48,22 +48,22 @@
 }
 
 // violation plays a random history and says what went beyond the bounds.
-func violation(planted fault, limit Limit, size int, steps []uint64) string {
+func violation(planted plantedFault, limit Limit, size int, steps []uint64) string {
 	fleet := newFleet(DefaultParameters(testBounds), limit, size, planted, steps[0])
 	for _, step := range steps {
 		choice := rand.New(rand.NewPCG(step, 2))
 		if choice.IntN(6) == 0 {
-			fleet.trouble(choice.IntN(troubleKinds), fleet.nodes[choice.IntN(len(fleet.nodes))])
+			fleet.injectFault(choice.IntN(faultKinds), fleet.nodes[choice.IntN(len(fleet.nodes))])
 		}
 		if choice.IntN(8) == 0 {
-			fleet.wanted = !fleet.wanted
+			fleet.requesting = !fleet.requesting
 		}
-		fleet.round(time.Duration(choice.IntN(1200)+1) * time.Millisecond)
-		if fleet.lent() > 1+rounding {
+		fleet.step(time.Duration(choice.IntN(1200)+1) * time.Millisecond)
+		if fleet.totalShare() > 1+rounding {
 			return "the shares sum to more than the limit"
 		}
 	}
-	if float64(fleet.worst(0)) > testBounds.Allowed(limit) {
+	if float64(fleet.largestWindow(0)) > testBounds.Allowed(limit) {
 		return "a window has more requests than allowed"
 	}
 	return ""
@@ -75,22 +75,22 @@
 	return limit, size, rapid.SliceOfN(rapid.Uint64(), 60, 200).Draw(t, "steps")
 }
 
-func TestGivenAnyHistoryThenNoWindowHasMoreThanTheBound(t *testing.T) {
+func TestFleet_NeverExceedsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit, size, steps := drawHistory(t)
-		if found := violation(soundFleet, limit, size, steps); found != "" {
+		if found := violation(noFault, limit, size, steps); found != "" {
 			t.Fatal(found)
 		}
 	})
 }
 
-func TestGivenAPlantedFaultThenAHistoryShowsIt(t *testing.T) {
-	for name, planted := range map[string]fault{
+func TestFleet_CatchesPlantedFaults(t *testing.T) {
+	for name, planted := range map[string]plantedFault{
 		"a loan counted from its receipt": loansCountFromReceipt,
 		"a loan counted twice":            repeatsCountTwice,
 		"a restarted lender that forgets": restartForgets,
-		"a silent data plane not counted": silentNotCounted,
-		"a leaver that keeps its share":   releasedButKept,
+		"a silent data plane not counted": silentExpiredAtOnce,
+		"a leaver that keeps its share":   keepsReleasedShare,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/quota/cost_bench_test.go
+++ b/internal/quota/cost_bench_test.go
@@ -19,17 +19,17 @@
 		limits[fmt.Sprintf("tenant-%d", number)] = Limit{RatePerS: 3, Burst: 5}
 	}
 	pool.SetLimits(limits, now)
-	pool.SetCount(dataPlanes)
+	pool.SetDataPlaneCount(dataPlanes)
 	stamp := pool.Lend(LendRequest{}, now).Stamp
 	for number := range dataPlanes {
-		loans := []Loan{{Group: 0, Share: 1 / float64(2*dataPlanes), Homes: 2}}
-		requests = append(requests, LendRequest{Daemon: fmt.Sprintf("data-%d", number), Lender: fmt.Sprintf("data-%d/x", number), Number: 1, Stamp: stamp, Loans: loans})
+		loans := []Loan{{Group: 0, Share: 1 / float64(2*dataPlanes), HomeShards: 2}}
+		requests = append(requests, LendRequest{DataPlane: fmt.Sprintf("data-%d", number), LenderIncarnation: fmt.Sprintf("data-%d/x", number), Sequence: 1, Stamp: stamp, Loans: loans})
 		pool.Lend(requests[number], now)
 	}
 	return pool, requests, limits, now
 }
 
-func BenchmarkRenewalAtAHome(b *testing.B) {
+func BenchmarkPool_Lend(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("dataPlanes=%d/tenants=%d", size.dataPlanes, size.tenants), func(b *testing.B) {
 			pool, requests, _, now := filledPool(size.dataPlanes, size.tenants)
@@ -37,7 +37,7 @@
 			position := 0
 			for b.Loop() {
 				request := &requests[position%len(requests)]
-				request.Number++
+				request.Sequence++
 				request.Stamp = pool.Lend(*request, now).Stamp
 				position++
 			}
@@ -46,7 +46,7 @@
 	}
 }
 
-func BenchmarkBorrowAtAHome(b *testing.B) {
+func BenchmarkPool_Borrow(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("dataPlanes=%d/tenants=%d", size.dataPlanes, size.tenants), func(b *testing.B) {
 			pool, _, limits, now := filledPool(size.dataPlanes, size.tenants)
@@ -64,17 +64,17 @@
 }
 
 // The homes' work is part of it.
-func BenchmarkRoundOfALender(b *testing.B) {
+func BenchmarkLender_Plan(b *testing.B) {
 	for _, members := range []int{8, 32} {
 		b.Run(fmt.Sprintf("candidates=%d", members), func(b *testing.B) {
-			fleet := newCalm(Limit{RatePerS: 1}, members)
-			one, names := fleet.nodes[0], fleet.members()
+			fleet := newReliableFleet(Limit{RatePerS: 1}, members)
+			node, names := fleet.nodes[0], fleet.members()
 			for b.Loop() {
-				fleet.now += fleet.parameters.Renewal
-				fleet.touch()
-				for _, offer := range one.lender.Plan(names, fleet.clock(one)) {
-					home := fleet.find(offer.Home)
-					one.lender.Answered(home.name, home.pool.Lend(offer.Request, fleet.clock(home)), fleet.clock(one))
+				fleet.now += fleet.parameters.RenewalInterval
+				fleet.updateFleetSize()
+				for _, offer := range node.lender.Plan(names, fleet.clock(node)) {
+					homeShard := fleet.find(offer.HomeShard)
+					node.lender.HandleReply(homeShard.name, homeShard.pool.Lend(offer.Request, fleet.clock(homeShard)), fleet.clock(node))
 				}
 			}
 		})
--- a/internal/quota/messages_test.go
+++ b/internal/quota/messages_test.go
@@ -3,85 +3,85 @@
 import "time"
 
 func (f *fleet) send(from, to *node, deliver func(repeated bool)) {
-	if to == nil || from.apart != to.apart {
+	if to == nil || from.partitioned != to.partitioned {
 		return
 	}
-	f.under = append(f.under, message{to: to, life: to.lives, from: from, deliver: deliver})
+	f.inFlight = append(f.inFlight, message{to: to, incarnation: to.incarnation, from: from, deliver: deliver})
 }
 
 // lend has every data plane lend to its homes.
 func (f *fleet) lend() {
-	for _, one := range f.nodes {
-		if one.frozen {
+	for _, node := range f.nodes {
+		if node.frozen {
 			continue
 		}
-		for _, offer := range one.lender.Plan(f.members(), f.clock(one)) {
-			home := f.find(offer.Home)
-			if home == nil || home.apart != one.apart || home.frozen && f.random.IntN(2) == 0 {
-				one.lender.Failed(offer.Home, f.clock(one))
+		for _, offer := range node.lender.Plan(f.members(), f.clock(node)) {
+			homeShard := f.find(offer.HomeShard)
+			if homeShard == nil || homeShard.partitioned != node.partitioned || homeShard.frozen && f.random.IntN(2) == 0 {
+				node.lender.HandleFailure(offer.HomeShard, f.clock(node))
 			}
-			f.send(one, home, func(repeated bool) { f.lendAt(one, home, offer.Request, repeated) })
+			f.send(node, homeShard, func(repeated bool) { f.lendAt(node, homeShard, offer.Request, repeated) })
 		}
 	}
 }
 
-func (f *fleet) lendAt(lender, home *node, request LendRequest, repeated bool) {
-	if f.fault == loansCountFromReceipt && request.Stamp.Life == home.pool.life {
-		request.Stamp.At = int64(f.clock(home).Sub(home.pool.started))
+func (f *fleet) lendAt(lender, homeShard *node, request LendRequest, repeated bool) {
+	if f.fault == loansCountFromReceipt && request.Stamp.Incarnation == homeShard.pool.incarnation {
+		request.Stamp.At = int64(f.clock(homeShard).Sub(homeShard.pool.startedAt))
 	}
 	if f.fault == repeatsCountTwice && repeated {
-		request.Lender, request.Daemon = request.Lender+" again", request.Daemon+" again"
+		request.LenderIncarnation, request.DataPlane = request.LenderIncarnation+" again", request.DataPlane+" again"
 	}
-	reply := LendReply{Stamp: Stamp{Life: home.pool.life}, Released: true}
-	if f.fault != releasedButKept || !home.pool.leaving {
-		reply = home.pool.Lend(request, f.clock(home))
+	reply := LendReply{Stamp: Stamp{Incarnation: homeShard.pool.incarnation}, Released: true}
+	if f.fault != keepsReleasedShare || !homeShard.pool.draining {
+		reply = homeShard.pool.Lend(request, f.clock(homeShard))
 	}
-	f.send(home, lender, func(bool) { lender.lender.Answered(home.name, reply, f.clock(lender)) })
+	f.send(homeShard, lender, func(bool) { lender.lender.HandleReply(homeShard.name, reply, f.clock(lender)) })
 }
 
 // borrow has every data plane ask for many tokens, to spend them sooner or later.
 func (f *fleet) borrow() {
-	for _, one := range f.nodes {
-		now := f.clock(one)
-		if one.frozen {
+	for _, node := range f.nodes {
+		now := f.clock(node)
+		if node.frozen {
 			continue
 		}
-		name, free := one.borrower.Home(testTenant, one.lender.Homes(testTenant), now)
-		home := f.find(name)
-		if !free || home == nil {
+		name, free := node.borrower.NextHomeShard(testTenant, node.lender.HomeShards(testTenant), now)
+		homeShard := f.find(name)
+		if !free || homeShard == nil {
 			continue
 		}
-		f.send(one, home, func(bool) {
-			reply := home.pool.Borrow(BorrowRequest{Tenant: testTenant, Want: 1 << 20}, f.clock(home))
-			f.send(home, one, func(bool) { one.borrower.Answered(testTenant, name, reply, now, f.clock(one)) })
+		f.send(node, homeShard, func(bool) {
+			reply := homeShard.pool.Borrow(BorrowRequest{Tenant: testTenant, Want: 1 << 20}, f.clock(homeShard))
+			f.send(homeShard, node, func(bool) { node.borrower.HandleReply(testTenant, name, reply, now, f.clock(node)) })
 		})
 	}
 }
 
 func (f *fleet) spend() {
-	for _, one := range f.nodes {
-		if one.frozen {
+	for _, node := range f.nodes {
+		if node.frozen {
 			continue
 		}
-		if held := one.borrower.accounts[testTenant]; held != nil && f.fault == tokensNeverExpire {
-			held.until = f.clock(one).Add(time.Hour)
+		if account := node.borrower.accounts[testTenant]; account != nil && f.fault == tokensNeverExpire {
+			account.expiresAt = f.clock(node).Add(time.Hour)
 		}
 		tokens := 0
-		for one.borrower.Take(testTenant, f.clock(one)) {
+		for node.borrower.TakeToken(testTenant, f.clock(node)) {
 			tokens++
 		}
 		if tokens > 0 {
-			f.spends = append(f.spends, spent{at: f.now, tokens: tokens})
+			f.spends = append(f.spends, spentTokens{at: f.now, tokens: tokens})
 		}
 	}
 }
 
 // carry gives the messages under way their fate: most arrive, some twice or later, few never. The answers
 // come in the same round or a later one.
-func (f *fleet) carry() {
+func (f *fleet) deliverMessages() {
 	for range 2 {
-		waiting := f.under
-		f.under = nil
+		waiting := f.inFlight
+		f.inFlight = nil
 		for _, one := range waiting {
 			fate := f.random.IntN(20)
 			if one.to.frozen {
@@ -89,12 +89,12 @@
 			}
 			switch {
 			case fate < 2:
-				f.under = append(f.under, one)
+				f.inFlight = append(f.inFlight, one)
 			case fate == 2:
-			case one.life != one.to.lives:
+			case one.incarnation != one.to.incarnation:
 			case fate == 3:
 				one.deliver(false)
-				f.under = append(f.under, message{one.to, one.life, one.from, func(bool) { one.deliver(true) }})
+				f.inFlight = append(f.inFlight, message{one.to, one.incarnation, one.from, func(bool) { one.deliver(true) }})
 			default:
 				one.deliver(false)
 			}
--- a/internal/quota/pinned_test.go
+++ b/internal/quota/pinned_test.go
@@ -14,7 +14,7 @@
 		"answer on lending":  new(LendReply),
 		"question to borrow": new(BorrowRequest),
 		"answer on borrowed": new(BorrowReply),
-		"holding":            new(Holding),
-		"debt":               new(Debt),
+		"holding":            new(TenantBalance),
+		"debt":               new(LeasedShare),
 	})
 }
--- a/internal/replicastate/simulation/daemon_test.go
+++ b/internal/replicastate/simulation/daemon_test.go
@@ -34,7 +34,7 @@
 	storeCutUntil time.Time
 	started       time.Time
 	heardAt       time.Time
-	keeper        *lease.Lease
+	keeper        *lease.Manager
 	hold          *lease.Grant
 	grant         *lease.Grant
 	written       uint64 // fence of the grant whose record was written to since it settled
@@ -128,7 +128,7 @@
 
 // adoptGrant forgets what was learned under another grant. While none is held nothing is forgotten.
 func (d *daemon) adoptGrant() {
-	if d.hold == nil || !d.world.now.Before(d.hold.Until) {
+	if d.hold == nil || !d.world.now.Before(d.hold.ExpiresAt) {
 		return
 	}
 	same := d.grant.SameAs(d.hold)
--- a/internal/replicastate/simulation/known_test.go
+++ b/internal/replicastate/simulation/known_test.go
@@ -37,8 +37,8 @@
 
 func (d *daemon) newKnown(id string, server *server, listed map[string]bool) *knownReplica {
 	one := &knownReplica{daemon: d, id: id, server: server, fence: d.grant.Record.Fence}
-	if !d.grant.First() {
-		one.trustFrom = d.grant.Since.Add(reportAge)
+	if !d.grant.IsFirst() {
+		one.trustFrom = d.grant.GrantedAt.Add(reportAge)
 	}
 	one.forget(listed)
 	return one
@@ -110,7 +110,7 @@
 		return
 	}
 	sent := instruction{
-		Order: order, target: k.id, holder: d.name, decided: order.Fence, since: grant.Since,
+		Order: order, target: k.id, holder: d.name, decided: order.Fence, since: grant.GrantedAt,
 		unbound: d.world.variant == noExpectedSequence,
 	}
 	sent.Fence = grant.Record.Fence
--- a/internal/replicastate/simulation/lease_test.go
+++ b/internal/replicastate/simulation/lease_test.go
@@ -42,19 +42,19 @@
 }
 
 // Seize takes the lease.
-func (c registerClient) Seize(_ context.Context, _ string, decide func(keystore.Slot) json.RawMessage) (keystore.Slot, error) {
+func (c registerClient) Acquire(_ context.Context, _ string, decide func(keystore.Register) json.RawMessage) (keystore.Register, error) {
 	d := c.daemon
 	if d.storeCut() {
-		return keystore.Slot{}, errUnreachable
+		return keystore.Register{}, errUnreachable
 	}
 	kept := d.world.register
 	if d.world.now.Before(kept.until) && (kept.owner != d || kept.life != c.life) {
-		return keystore.Slot{}, errUnreachable
+		return keystore.Register{}, errUnreachable
 	}
 	kept.until = d.world.now.Add(grantLength)
-	kept.value = decide(keystore.Slot{Value: kept.value})
+	kept.value = decide(keystore.Register{Value: kept.value})
 	kept.holder, kept.owner, kept.life = d.name, d, c.life
-	return keystore.Slot{Value: kept.value}, nil
+	return keystore.Register{Value: kept.value}, nil
 }
 
 // owned tells whether the lease is still this life's.
@@ -64,12 +64,12 @@
 }
 
 // Rewrite writes the record again.
-func (c registerClient) Rewrite(_ context.Context, _ string, decide keystore.Decide) error {
+func (c registerClient) Update(_ context.Context, _ string, decide keystore.Decide) error {
 	if c.daemon.storeCut() || !c.owned() {
 		return errUnreachable
 	}
 	kept := c.daemon.world.register
-	value, err := decide(keystore.Slot{Value: kept.value})
+	value, err := decide(keystore.Register{Value: kept.value})
 	if err == nil {
 		kept.value = value
 	}
@@ -92,15 +92,15 @@
 func (d *daemon) storeCut() bool { return d.world.now.Before(d.storeCutUntil) }
 
 // newKeeper makes the lease of one life of a daemon.
-func (d *daemon) newKeeper() *lease.Lease {
-	return &lease.Lease{
-		Key:     "placement",
-		Holder:  d.name,
-		Address: d.name,
-		Length:  grantLength,
-		Settle:  grantSettle,
-		Store:   registerClient{d, d.life},
-		Clock:   func() time.Time { return d.world.now },
+func (d *daemon) newKeeper() *lease.Manager {
+	return &lease.Manager{
+		Key:           "placement",
+		Holder:        d.name,
+		Address:       d.name,
+		TTL:           grantLength,
+		TakeoverDelay: grantSettle,
+		Store:         registerClient{d, d.life},
+		Clock:         func() time.Time { return d.world.now },
 	}
 }
 
@@ -124,7 +124,7 @@
 // noteSettled writes to the record once the lease of the holder before has surely run out, as the scheduler does with its
 // reservation of loads.
 func (d *daemon) noteSettled() {
-	if d.hold == nil || d.written == d.hold.Record.Fence || d.world.now.Before(d.hold.ActsFrom) {
+	if d.hold == nil || d.written == d.hold.Record.Fence || d.world.now.Before(d.hold.EffectiveFrom) {
 		return
 	}
 	if d.keeper.Reserve(context.Background(), d.hold, loadbudget.Reservation{}) == nil {
@@ -145,7 +145,7 @@
 }
 
 func (d *daemon) mayTry() bool {
-	since, patience := d.heardAt, d.keeper.Length+tryMargin
+	since, patience := d.heardAt, d.keeper.TTL+tryMargin
 	if holder := d.world.register.holder; holder != "" && holder != d.name {
 		patience += headStart
 		if since.Before(d.started) {
--- a/internal/replicastate/simulation/play_test.go
+++ b/internal/replicastate/simulation/play_test.go
@@ -152,5 +152,5 @@
 	w.register.value, _ = json.Marshal(record)
 	w.register.split = w.now.Add(pause)
 	w.register.holder, w.register.owner, w.register.life = one.name, one, one.life
-	one.hold = &lease.Grant{Record: record, Since: w.now, Until: w.now.Add(grantLength), ActsFrom: w.now}
+	one.hold = &lease.Grant{Record: record, GrantedAt: w.now, ExpiresAt: w.now.Add(grantLength), EffectiveFrom: w.now}
 }
--- a/internal/retention/pinned_test.go
+++ b/internal/retention/pinned_test.go
@@ -10,19 +10,19 @@
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
 		"policy":            new(Policy),
 		"scope":             new(Scope),
-		"order":             new(Item),
-		"copy at a replica": new(Pair),
+		"order":             new(Purge),
+		"copy at a replica": new(Target),
 		"stored orders":     new(Record),
-		"node":              new(Node),
+		"node":              new(NodeStatus),
 		"status":            new(Status),
 	})
 }
 
 func TestStatus_WordsStayTheSame(t *testing.T) {
-	item := Item{
-		Number: 3, Edges: []string{"edge-1", "edge-2", "edge-3"}, Counted: true,
-		Pairs: []Pair{{Replica: "r", Model: "m", State: Done}},
+	purge := Purge{
+		Number: 3, DataPlanes: []string{"edge-1", "edge-2", "edge-3"}, TargetsListed: true,
+		Targets: []Target{{Replica: "r", Model: "m", State: Done}},
 	}
-	views := map[string]EdgeView{"edge-1": {Applied: 3}, "edge-2": {Left: true}, "edge-3": {Applied: 2}}
-	pinned.CheckJSON(t, "testdata/status.json", item.Status(views))
+	views := map[string]DataPlaneView{"edge-1": {Applied: 3}, "edge-2": {Left: true}, "edge-3": {Applied: 2}}
+	pinned.CheckJSON(t, "testdata/status.json", purge.Status(views))
 }
--- a/internal/retention/record.go
+++ b/internal/retention/record.go
@@ -2,7 +2,7 @@
 // forgotten.
 //
 // It drops nothing itself: data planes and the scheduler do, and tell it when they have. All of it
-// is pure. Start reading at Record and Item.
+// is pure. Start reading at Record and Purge.
 package retention
 
 import (
@@ -14,31 +14,31 @@
 	"ferryspar/internal/apierror"
 )
 
-// Policy bounds the life of cached context. LifeMs is milliseconds, 0 means no bound.
+// Policy bounds the life of cached context. LifetimeMs is milliseconds, 0 means no bound.
 type Policy struct {
-	Number uint64 `json:"number"`
-	LifeMs int64  `json:"lifeMs"`
+	Version    uint64 `json:"number"`
+	LifetimeMs int64  `json:"lifeMs"`
 }
 
 // Scope says what to forget: context of a model or adapter, of a prompt part (its id in hex), of
 // both together, or all if empty.
 type Scope struct {
-	Model string `json:"model,omitempty"`
-	Part  string `json:"part,omitempty"`
+	Model      string `json:"model,omitempty"`
+	PromptPart string `json:"part,omitempty"`
 }
 
-// Item is one order to forget. Counted tells that the copies at replicas have been listed in
+// Purge is one order to forget. Counted tells that the copies at replicas have been listed in
 // Pairs.
-type Item struct {
-	Number  uint64   `json:"number"`
-	Scope   Scope    `json:"scope"`
-	Edges   []string `json:"edges"`
-	Counted bool     `json:"counted"`
-	Pairs   []Pair   `json:"pairs,omitempty"`
+type Purge struct {
+	Number        uint64   `json:"number"`
+	Scope         Scope    `json:"scope"`
+	DataPlanes    []string `json:"edges"`
+	TargetsListed bool     `json:"counted"`
+	Targets       []Target `json:"pairs,omitempty"`
 }
 
-// Pair is a copy of a model at a replica whose context is to go.
-type Pair struct {
+// Target is a copy of a model at a replica whose context is to go.
+type Target struct {
 	Replica string `json:"replica"`
 	Model   string `json:"model"`
 	State   string `json:"state"`
@@ -46,8 +46,8 @@
 
 // Record is what the key store keeps: the newest number and the last orders.
 type Record struct {
-	Number uint64 `json:"number"`
-	Items  []Item `json:"items"`
+	Number uint64  `json:"number"`
+	Purges []Purge `json:"items"`
 }
 
 // States of a node or pair: not yet forgotten, forgotten, or no longer there.
@@ -59,28 +59,28 @@
 
 // Bounds of what is kept and may be asked for.
 const (
-	ShortestLife = time.Minute
-	itemsBound   = 32
+	MinLifetime = time.Minute
+	maxPurges   = 32
 )
 
 // Life returns the life as a duration.
-func (p Policy) Life() time.Duration { return time.Duration(p.LifeMs) * time.Millisecond }
+func (p Policy) Lifetime() time.Duration { return time.Duration(p.LifetimeMs) * time.Millisecond }
 
 // Check returns an error of kind apierror.InvalidRetention for a life that is too short.
 func (p Policy) Check() error {
-	if p.LifeMs < 0 || p.LifeMs > 0 && p.Life() < ShortestLife {
-		return apierror.New(apierror.InvalidRetention, "lifeMs must be 0 (no bound) or at least %d", ShortestLife.Milliseconds())
+	if p.LifetimeMs < 0 || p.LifetimeMs > 0 && p.Lifetime() < MinLifetime {
+		return apierror.New(apierror.InvalidRetention, "lifeMs must be 0 (no bound) or at least %d", MinLifetime.Milliseconds())
 	}
 	return nil
 }
 
 // Check returns an error of kind apierror.InvalidRetention for a part that is no id.
 func (s Scope) Check() error {
-	if s.Part == "" {
+	if s.PromptPart == "" {
 		return nil
 	}
-	if _, err := strconv.ParseUint(s.Part, 16, 64); err != nil {
-		return apierror.New(apierror.InvalidRetention, "part %q is no prompt part id in hex", s.Part)
+	if _, err := strconv.ParseUint(s.PromptPart, 16, 64); err != nil {
+		return apierror.New(apierror.InvalidRetention, "part %q is no prompt part id in hex", s.PromptPart)
 	}
 	return nil
 }
@@ -92,7 +92,7 @@
 	if s.Model != "" && s.Model != base && s.Model != reference {
 		return false
 	}
-	return s.Part == "" || sameHex(s.Part, part)
+	return s.PromptPart == "" || sameHex(s.PromptPart, part)
 }
 
 func sameHex(stated string, part uint64) bool {
@@ -108,40 +108,40 @@
 
 // Add returns the record with one more order and that order. The oldest leave when there are too
 // many.
-func (r Record) Add(scope Scope, edges []string) (Record, Item) {
-	item := Item{Number: r.Number + 1, Scope: scope, Edges: append([]string{}, edges...)}
-	sort.Strings(item.Edges)
-	next := Record{Number: item.Number, Items: append(append([]Item{}, r.Items...), item)}
-	for len(next.Items) > itemsBound {
-		next.Items = next.Items[1:]
+func (r Record) Add(scope Scope, dataPlanes []string) (Record, Purge) {
+	purge := Purge{Number: r.Number + 1, Scope: scope, DataPlanes: append([]string{}, dataPlanes...)}
+	sort.Strings(purge.DataPlanes)
+	next := Record{Number: purge.Number, Purges: append(append([]Purge{}, r.Purges...), purge)}
+	for len(next.Purges) > maxPurges {
+		next.Purges = next.Purges[1:]
 	}
-	return next, item
+	return next, purge
 }
 
 // Change returns the record with change made to a copy of the numbered item, and what change
 // returned; false if there is no such item.
-func (r Record) Change(number uint64, change func(item *Item) bool) (Record, bool) {
-	next := Record{Number: r.Number, Items: append([]Item{}, r.Items...)}
-	for index := range next.Items {
-		if next.Items[index].Number != number {
+func (r Record) UpdatePurge(number uint64, change func(purge *Purge) bool) (Record, bool) {
+	next := Record{Number: r.Number, Purges: append([]Purge{}, r.Purges...)}
+	for index := range next.Purges {
+		if next.Purges[index].Number != number {
 			continue
 		}
-		item := next.Items[index]
-		item.Pairs = append([]Pair{}, item.Pairs...)
-		changed := change(&item)
-		next.Items[index] = item
+		purge := next.Purges[index]
+		purge.Targets = append([]Target{}, purge.Targets...)
+		changed := change(&purge)
+		next.Purges[index] = purge
 		return next, changed
 	}
 	return r, false
 }
 
 // Open tells whether copies are still to be listed or to be dropped.
-func (i Item) Open() bool {
-	if !i.Counted {
+func (p Purge) HasPendingTargets() bool {
+	if !p.TargetsListed {
 		return true
 	}
-	for _, pair := range i.Pairs {
-		if pair.State == Pending {
+	for _, target := range p.Targets {
+		if target.State == Pending {
 			return true
 		}
 	}
@@ -150,12 +150,12 @@
 
 // Settle sets the pending pairs of a replica and model (any model if empty) to state and tells
 // whether any changed.
-func (i *Item) Settle(replica, model, state string) bool {
+func (p *Purge) ResolveTargets(replica, model, state string) bool {
 	changed := false
-	for index := range i.Pairs {
-		pair := &i.Pairs[index]
-		if pair.Replica == replica && (model == "" || pair.Model == model) && pair.State == Pending {
-			pair.State = state
+	for index := range p.Targets {
+		target := &p.Targets[index]
+		if target.Replica == replica && (model == "" || target.Model == model) && target.State == Pending {
+			target.State = state
 			changed = true
 		}
 	}
--- a/internal/retention/status.go
+++ b/internal/retention/status.go
@@ -1,7 +1,7 @@
 package retention
 
-// Node is a data plane or replica that has something to forget.
-type Node struct {
+// NodeStatus is a data plane or replica that has something to forget.
+type NodeStatus struct {
 	Node  string `json:"node"`
 	Kind  string `json:"kind"`
 	Model string `json:"model,omitempty"`
@@ -10,27 +10,27 @@
 
 // Status is what an operator sees of an order to forget.
 type Status struct {
-	Number   uint64 `json:"number"`
-	Scope    Scope  `json:"scope"`
-	Complete bool   `json:"complete"`
-	Nodes    []Node `json:"nodes"`
+	Number   uint64       `json:"number"`
+	Scope    Scope        `json:"scope"`
+	Complete bool         `json:"complete"`
+	Nodes    []NodeStatus `json:"nodes"`
 }
 
-// EdgeView is what is known of a data plane: the newest order it has carried out, and whether it
+// DataPlaneView is what is known of a data plane: the newest order it has carried out, and whether it
 // left.
-type EdgeView struct {
+type DataPlaneView struct {
 	Applied uint64
 	Left    bool
 }
 
 // Status returns the status of the order, given the views of the data planes by name.
-func (i Item) Status(edges map[string]EdgeView) Status {
-	status := Status{Number: i.Number, Scope: i.Scope, Complete: i.Counted, Nodes: []Node{}}
-	for _, name := range i.Edges {
-		node := Node{Node: name, Kind: "edge", State: Pending}
-		if view, known := edges[name]; known {
+func (p Purge) Status(dataPlanes map[string]DataPlaneView) Status {
+	status := Status{Number: p.Number, Scope: p.Scope, Complete: p.TargetsListed, Nodes: []NodeStatus{}}
+	for _, name := range p.DataPlanes {
+		node := NodeStatus{Node: name, Kind: "edge", State: Pending}
+		if view, known := dataPlanes[name]; known {
 			switch {
-			case view.Applied >= i.Number:
+			case view.Applied >= p.Number:
 				node.State = Done
 			case view.Left:
 				node.State = Gone
@@ -38,8 +38,8 @@
 		}
 		status.Nodes = append(status.Nodes, node)
 	}
-	for _, pair := range i.Pairs {
-		status.Nodes = append(status.Nodes, Node{Node: pair.Replica, Kind: "replica", Model: pair.Model, State: pair.State})
+	for _, target := range p.Targets {
+		status.Nodes = append(status.Nodes, NodeStatus{Node: target.Replica, Kind: "replica", Model: target.Model, State: target.State})
 	}
 	for _, node := range status.Nodes {
 		status.Complete = status.Complete && node.State != Pending
--- a/internal/story/fleet_test.go
+++ b/internal/story/fleet_test.go
@@ -40,7 +40,7 @@
 	lock     sync.Mutex
 	replicas []*standInReplica
 	daemons  map[string]*running
-	folders  map[string]keystore.Folder
+	folders  map[string]keystore.Directory
 	client   *http.Client
 	listed   int
 	listTook time.Duration
@@ -63,7 +63,7 @@
 // startFleetOf starts control daemons that are to bear a number of losses, and data planes.
 func startFleetOf(t *testing.T, cores, losses, edges int, replicas ...*standInReplica) *fleet {
 	logrus.SetOutput(io.Discard)
-	f := &fleet{t: t, network: newMemoryNetwork(), daemons: map[string]*running{}, folders: map[string]keystore.Folder{}, losses: losses, cores: cores}
+	f := &fleet{t: t, network: newMemoryNetwork(), daemons: map[string]*running{}, folders: map[string]keystore.Directory{}, losses: losses, cores: cores}
 	transport := peer.NewTransport(f.network.machine("10.9.9.9"), time.Second, time.Minute, 0)
 	transport.DisableKeepAlives = true
 	f.client = &http.Client{Transport: transport}
--- a/internal/story/folder_test.go
+++ b/internal/story/folder_test.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func (m *memoryFolder) SyncFolder() error {
+func (m *memoryFolder) SyncDirectory() error {
 	time.Sleep(5 * time.Millisecond)
 	return nil
 }
--- a/internal/story/hold_test.go
+++ b/internal/story/hold_test.go
@@ -211,17 +211,17 @@
 
 // guardedFolder holds up the disk of a frozen machine.
 type guardedFolder struct {
-	keystore.Folder
+	keystore.Directory
 	network *memoryNetwork
 	host    string
 }
 
 func (g guardedFolder) Write(name string, offset int64, content []byte) error {
 	g.network.waitThawed(g.host)
-	return g.Folder.Write(name, offset, content)
+	return g.Directory.Write(name, offset, content)
 }
 
 func (g guardedFolder) Sync(name string) error {
 	g.network.waitThawed(g.host)
-	return g.Folder.Sync(name)
+	return g.Directory.Sync(name)
 }
--- a/internal/story/quota_test.go
+++ b/internal/story/quota_test.go
@@ -107,7 +107,7 @@
 		q := startQuota(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
 		held := 0.0
 		for number := 1; number <= 3; number++ {
-			var status struct{ Holds []quota.Holding }
+			var status struct{ Holds []quota.TenantBalance }
 			shown := q.call(http.MethodGet, edgeHost(number)+":8167", "/ferryspar/quota", "", nil)
 			assert.NilError(t, json.Unmarshal([]byte(shown.body), &status))
 			for _, one := range status.Holds {
