--- a/cmd/ferryspar-control-plane/main.go
+++ b/cmd/ferryspar-control-plane/main.go
@@ -15,9 +15,9 @@
 )
 
 func main() {
-	os.Exit(launch.Main(launch.Program{
-		Name: "ferryspar-control-plane", Serves: "control",
-		Short: "knows the replicas and daemons, keeps the configuration and delivers it",
+	os.Exit(launch.RunDaemon(launch.Daemon{
+		Name: "ferryspar-control-plane", Service: "control",
+		Summary: "knows the replicas and daemons, keeps the configuration and delivers it",
 		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
 			folder, err := keystore.NewDirectory(settings.DataDir)
 			if err != nil {
--- a/cmd/ferryspar-data-plane/main.go
+++ b/cmd/ferryspar-data-plane/main.go
@@ -24,9 +24,9 @@
 
 func main() {
 	var chosen recording
-	os.Exit(launch.Main(launch.Program{
-		Name: "ferryspar-data-plane", Serves: "edge", Extra: &chosen,
-		Short: "carries clients' requests to model replicas",
+	os.Exit(launch.RunDaemon(launch.Daemon{
+		Name: "ferryspar-data-plane", Service: "edge", ExtraOptions: &chosen,
+		Summary: "carries clients' requests to model replicas",
 		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
 			daemon := dataplane.New(settings, path, peer.Machine{})
 			if chosen.Record != "" {
--- a/cmd/ferryspar-emulator/main.go
+++ b/cmd/ferryspar-emulator/main.go
@@ -46,5 +46,5 @@
 		}
 	}
 	_, err := parser.ParseArgs(arguments)
-	return launch.Exit(parser.Name, err)
+	return launch.ReportError(parser.Name, err)
 }
--- a/cmd/ferryspar-operator/commands.go
+++ b/cmd/ferryspar-operator/commands.go
@@ -63,7 +63,7 @@
 
 func (p *putConfiguration) Execute(rest []string) error {
 	return change(http.MethodPut, p.On, p.Args.Path, func(content []byte) error {
-		_, err := configuration.Read(content)
+		_, err := configuration.Parse(content)
 		return err
 	})
 }
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	read, err := configuration.Read(content)
+	read, err := configuration.Parse(content)
 	if err == nil {
 		fmt.Printf("sound: revision %d, %d routes, %d backends, %d tenants\n",
 			read.Revision, len(read.Routes), len(read.Backends), len(read.Tenants))
--- a/cmd/ferryspar-operator/inspect_test.go
+++ b/cmd/ferryspar-operator/inspect_test.go
@@ -103,12 +103,12 @@
 	for path, wanted := range cases {
 		_, err := inspected(t, path, false)
 		assert.Assert(t, errors.Is(err, wanted), "%s: %v", path, err)
-		assert.Equal(t, launch.Exit("ferryspar-operator", err), launch.ExitFailed)
+		assert.Equal(t, launch.ReportError("ferryspar-operator", err), launch.ExitFailed)
 	}
 	assert.Equal(t, len(contents(t, empty)), 0)
 }
 
 func TestGivenACommandThatAsksADaemonThenWithoutAnAddressItsUseIsWrong(t *testing.T) {
 	shared = common{}
-	assert.Equal(t, launch.Exit("ferryspar-operator", (&showStatus{}).Execute(nil)), launch.ExitUsage)
+	assert.Equal(t, launch.ReportError("ferryspar-operator", (&showStatus{}).Execute(nil)), launch.ExitUsage)
 }
--- a/cmd/ferryspar-operator/main.go
+++ b/cmd/ferryspar-operator/main.go
@@ -61,5 +61,5 @@
 		}
 	}
 	_, err := parser.Parse()
-	os.Exit(launch.Exit(parser.Name, err))
+	os.Exit(launch.ReportError(parser.Name, err))
 }
--- a/cmd/ferryspar-operator/tenants.go
+++ b/cmd/ferryspar-operator/tenants.go
@@ -35,7 +35,7 @@
 		for position, key := range tenant.Keys {
 			digests[position] = string(key)
 		}
-		fmt.Fprintf(lines, "%s\t%s\t%g\t%g\t%d\t%s\n", tenant.Name, tenant.StatedPriority(), tenant.RatePerS, tenant.Burst,
+		fmt.Fprintf(lines, "%s\t%s\t%g\t%g\t%d\t%s\n", tenant.Name, tenant.PriorityText(), tenant.RatePerS, tenant.Burst,
 			len(tenant.Keys), strings.Join(digests, " "))
 	}
 	return lines.Flush()
--- a/cmd/ferryspar-replay/main.go
+++ b/cmd/ferryspar-replay/main.go
@@ -38,25 +38,25 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	var chosen options
-	parser := flags.NewParser(&chosen, flags.HelpFlag|flags.PassDoubleDash)
+	var parsed options
+	parser := flags.NewParser(&parsed, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = program
 	parser.LongDescription = "Plays a recorded day again through the matching and waiting code of the data plane, in made-up time."
 	if _, err := parser.Parse(); err != nil {
-		return launch.Exit(program, err)
+		return launch.ReportError(program, err)
 	}
-	if chosen.Version {
+	if parsed.Version {
 		fmt.Println(program, launch.Version)
 		return launch.ExitSuccess
 	}
-	if err := chosen.check(); err != nil {
-		return launch.Exit(program, launch.NewUsageError(err))
+	if err := parsed.check(); err != nil {
+		return launch.ReportError(program, launch.NewUsageError(err))
 	}
-	damaged, err := chosen.play()
-	if err == nil && chosen.Strict && damaged > 0 {
+	damaged, err := parsed.play()
+	if err == nil && parsed.Strict && damaged > 0 {
 		return launch.ExitFailed
 	}
-	return launch.Exit(program, err)
+	return launch.ReportError(program, err)
 }
 
 func (o options) check() error {
@@ -102,8 +102,8 @@
 	parameters.BatchWait = time.Duration(o.WaitMs * float64(time.Millisecond))
 	parameters.Delta = o.Delta
 	parameters.CrossPrice = o.Cross
-	model := replay.DefaultModel()
-	model.ReadMsPerThousand = o.ReadMs
+	model := replay.DefaultTimingModel()
+	model.PrefillMsPerThousand = o.ReadMs
 	return replay.NewEngine(parameters, o.zone(entries), model)
 }
 
--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -19,76 +19,76 @@
 const (
 	Internal Kind = iota
 	MalformedRequest
-	MissingAttempt
+	InvalidAttemptID
 	UnknownRoute
 	UnknownPath
-	WrongMethod
-	SlowRequest
-	LargeBody
-	LargeHead
+	MethodNotAllowed
+	RequestTooSlow
+	BodyTooLarge
+	HeaderTooLarge
 	InvalidConfiguration
-	StaleConfiguration
+	VersionConflict
 	UncertainWrite
 	NoMajority
 	UnknownZone
-	ForgottenCall
-	LateCall
+	CallTooOld
+	CallExpired
 	Overloaded
-	Unplaced
+	ModelNotLoaded
 	NotExecuted
 	ReplicaFailed
-	ReplicaSilent
-	Leaving
+	ReplicaTimeout
+	ShuttingDown
 	NoConfiguration
 	InvalidRetention
-	InvalidRehearsal
+	InvalidDrill
 	UnknownRegion
-	RehearsalUnderWay
+	DrillInProgress
 	UnknownKey
-	TenantLimit
-	DatedConfiguration
-	DatedKeys
+	TenantRateLimited
+	OutdatedConfiguration
+	OutdatedKeys
 	QuotaUnknown
 )
 
-type answer struct {
+type response struct {
 	Status int
 	Reason string
 }
 
-var answers = map[Kind]answer{
-	Internal:             {http.StatusInternalServerError, "internal fault"},
-	MalformedRequest:     {http.StatusBadRequest, "malformed request"},
-	MissingAttempt:       {http.StatusBadRequest, "attempt id missing or malformed"},
-	UnknownRoute:         {http.StatusNotFound, "no route for this host and path"},
-	UnknownPath:          {http.StatusNotFound, "no such path"},
-	WrongMethod:          {http.StatusMethodNotAllowed, "method not allowed here"},
-	SlowRequest:          {http.StatusRequestTimeout, "request came too slowly"},
-	LargeBody:            {http.StatusRequestEntityTooLarge, "body beyond the limit"},
-	LargeHead:            {http.StatusRequestHeaderFieldsTooLarge, "head beyond the limit"},
-	InvalidConfiguration: {http.StatusBadRequest, "configuration invalid"},
-	StaleConfiguration:   {http.StatusPreconditionFailed, "another version is in place"},
-	UncertainWrite:       {http.StatusServiceUnavailable, "outcome of the write not known"},
-	NoMajority:           {http.StatusServiceUnavailable, "no majority of members reached"},
-	UnknownZone:          {http.StatusNotFound, "no such zone"},
-	ForgottenCall:        {http.StatusServiceUnavailable, "this call is too old to tell whether it was taken"},
-	LateCall:             {http.StatusServiceUnavailable, "the call came too late to be carried out, send it again"},
-	Overloaded:           {http.StatusServiceUnavailable, "no replica in time"},
-	Unplaced:             {http.StatusServiceUnavailable, "model not loaded in time"},
-	NotExecuted:          {http.StatusServiceUnavailable, "replica did not run the request"},
-	ReplicaFailed:        {http.StatusBadGateway, "replica broke off"},
-	ReplicaSilent:        {http.StatusGatewayTimeout, "replica did not answer in time"},
-	Leaving:              {http.StatusServiceUnavailable, "daemon is leaving"},
-	InvalidRetention:     {http.StatusBadRequest, "retention order invalid"},
-	InvalidRehearsal:     {http.StatusBadRequest, "rehearsal order invalid"},
-	UnknownRegion:        {http.StatusNotFound, "no such region"},
-	RehearsalUnderWay:    {http.StatusConflict, "another is under way"},
-	NoConfiguration:      {http.StatusServiceUnavailable, "no configuration yet"},
-	UnknownKey:           {http.StatusUnauthorized, "one known key is needed"},
-	TenantLimit:          {http.StatusTooManyRequests, "tenant is beyond its limit"},
-	DatedConfiguration:   {http.StatusServiceUnavailable, "a newer configuration may allow this"},
-	DatedKeys:            {http.StatusServiceUnavailable, "keys may have been taken away since last heard of"},
-	QuotaUnknown:         {http.StatusServiceUnavailable, "what the tenant may still send is not known here"},
+var responses = map[Kind]response{
+	Internal:              {http.StatusInternalServerError, "internal fault"},
+	MalformedRequest:      {http.StatusBadRequest, "malformed request"},
+	InvalidAttemptID:      {http.StatusBadRequest, "attempt id missing or malformed"},
+	UnknownRoute:          {http.StatusNotFound, "no route for this host and path"},
+	UnknownPath:           {http.StatusNotFound, "no such path"},
+	MethodNotAllowed:      {http.StatusMethodNotAllowed, "method not allowed here"},
+	RequestTooSlow:        {http.StatusRequestTimeout, "request came too slowly"},
+	BodyTooLarge:          {http.StatusRequestEntityTooLarge, "body beyond the limit"},
+	HeaderTooLarge:        {http.StatusRequestHeaderFieldsTooLarge, "head beyond the limit"},
+	InvalidConfiguration:  {http.StatusBadRequest, "configuration invalid"},
+	VersionConflict:       {http.StatusPreconditionFailed, "another version is in place"},
+	UncertainWrite:        {http.StatusServiceUnavailable, "outcome of the write not known"},
+	NoMajority:            {http.StatusServiceUnavailable, "no majority of members reached"},
+	UnknownZone:           {http.StatusNotFound, "no such zone"},
+	CallTooOld:            {http.StatusServiceUnavailable, "this call is too old to tell whether it was taken"},
+	CallExpired:           {http.StatusServiceUnavailable, "the call came too late to be carried out, send it again"},
+	Overloaded:            {http.StatusServiceUnavailable, "no replica in time"},
+	ModelNotLoaded:        {http.StatusServiceUnavailable, "model not loaded in time"},
+	NotExecuted:           {http.StatusServiceUnavailable, "replica did not run the request"},
+	ReplicaFailed:         {http.StatusBadGateway, "replica broke off"},
+	ReplicaTimeout:        {http.StatusGatewayTimeout, "replica did not answer in time"},
+	ShuttingDown:          {http.StatusServiceUnavailable, "daemon is leaving"},
+	InvalidRetention:      {http.StatusBadRequest, "retention order invalid"},
+	InvalidDrill:          {http.StatusBadRequest, "rehearsal order invalid"},
+	UnknownRegion:         {http.StatusNotFound, "no such region"},
+	DrillInProgress:       {http.StatusConflict, "another is under way"},
+	NoConfiguration:       {http.StatusServiceUnavailable, "no configuration yet"},
+	UnknownKey:            {http.StatusUnauthorized, "one known key is needed"},
+	TenantRateLimited:     {http.StatusTooManyRequests, "tenant is beyond its limit"},
+	OutdatedConfiguration: {http.StatusServiceUnavailable, "a newer configuration may allow this"},
+	OutdatedKeys:          {http.StatusServiceUnavailable, "keys may have been taken away since last heard of"},
+	QuotaUnknown:          {http.StatusServiceUnavailable, "what the tenant may still send is not known here"},
 }
 
 // Error is an error with what its caller is to know.
@@ -100,36 +100,36 @@
 }
 
 // Error returns the reason, with the detail if there is any.
-func (p *Error) Error() string {
-	if p.Detail == "" {
-		return p.Kind.Reason()
+func (e *Error) Error() string {
+	if e.Detail == "" {
+		return e.Kind.Reason()
 	}
-	return p.Kind.Reason() + ": " + p.Detail
+	return e.Kind.Reason() + ": " + e.Detail
 }
 
 // Status is the HTTP status that the kind is answered with.
-func (k Kind) Status() int { return answers[k].Status }
+func (k Kind) Status() int { return responses[k].Status }
 
-// NeverRan tells whether the answer lets its caller believe that the request has not run and never will.
-func (k Kind) NeverRan() bool {
-	return k == UnknownKey || k == TenantLimit || k.Status() == http.StatusServiceUnavailable
+// GuaranteesNotExecuted tells whether the answer lets its caller believe that the request has not run and never will.
+func (k Kind) GuaranteesNotExecuted() bool {
+	return k == UnknownKey || k == TenantRateLimited || k.Status() == http.StatusServiceUnavailable
 }
 
 // Reason says in words what went wrong.
-func (k Kind) Reason() string { return answers[k].Reason }
+func (k Kind) Reason() string { return responses[k].Reason }
 
 // New returns an error with a detail, formatted as by fmt.Sprintf.
 func New(kind Kind, format string, arguments ...any) *Error {
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, arguments...)}
 }
 
-// Later returns an error that asks its caller to wait before it tries again.
-func Later(kind Kind, retryAfter time.Duration) *Error {
+// NewRetryable returns an error that asks its caller to wait before it tries again.
+func NewRetryable(kind Kind, retryAfter time.Duration) *Error {
 	return &Error{Kind: kind, RetryAfter: retryAfter}
 }
 
-// Of finds the Error in a chain; any other error counts as Internal.
-func Of(err error) *Error {
+// From finds the Error in a chain; any other error counts as Internal.
+func From(err error) *Error {
 	var found *Error
 	if errors.As(err, &found) {
 		return found
@@ -142,7 +142,7 @@
 
 // Write answers with the error, and without a replica's seal whatever the headers held before.
 func Write(writer http.ResponseWriter, err error) {
-	found := Of(err)
+	found := From(err)
 	body, _ := json.Marshal(map[string]string{"error": found.Error()})
 	header := writer.Header()
 	header.Del(sealHeader)
--- a/internal/apierror/pinned_test.go
+++ b/internal/apierror/pinned_test.go
@@ -19,35 +19,35 @@
 }{
 	{"internal", Internal},
 	{"malformed request", MalformedRequest},
-	{"missing attempt", MissingAttempt},
+	{"missing attempt", InvalidAttemptID},
 	{"unknown route", UnknownRoute},
 	{"unknown path", UnknownPath},
-	{"wrong method", WrongMethod},
-	{"slow request", SlowRequest},
-	{"large body", LargeBody},
-	{"large head", LargeHead},
+	{"wrong method", MethodNotAllowed},
+	{"slow request", RequestTooSlow},
+	{"large body", BodyTooLarge},
+	{"large head", HeaderTooLarge},
 	{"invalid configuration", InvalidConfiguration},
-	{"stale configuration", StaleConfiguration},
+	{"stale configuration", VersionConflict},
 	{"uncertain write", UncertainWrite},
 	{"no majority", NoMajority},
 	{"unknown zone", UnknownZone},
-	{"forgotten call", ForgottenCall},
-	{"late call", LateCall},
+	{"forgotten call", CallTooOld},
+	{"late call", CallExpired},
 	{"overloaded", Overloaded},
-	{"unplaced", Unplaced},
+	{"unplaced", ModelNotLoaded},
 	{"not executed", NotExecuted},
 	{"replica failed", ReplicaFailed},
-	{"replica silent", ReplicaSilent},
-	{"leaving", Leaving},
+	{"replica silent", ReplicaTimeout},
+	{"leaving", ShuttingDown},
 	{"no configuration", NoConfiguration},
 	{"invalid retention", InvalidRetention},
-	{"invalid rehearsal", InvalidRehearsal},
+	{"invalid rehearsal", InvalidDrill},
 	{"unknown region", UnknownRegion},
-	{"rehearsal under way", RehearsalUnderWay},
+	{"rehearsal under way", DrillInProgress},
 	{"unknown key", UnknownKey},
-	{"tenant limit", TenantLimit},
-	{"dated configuration", DatedConfiguration},
-	{"dated keys", DatedKeys},
+	{"tenant limit", TenantRateLimited},
+	{"dated configuration", OutdatedConfiguration},
+	{"dated keys", OutdatedKeys},
 	{"quota unknown", QuotaUnknown},
 }
 
@@ -66,22 +66,22 @@
 	plain.Header().Set("Ferryspar-Server-Seal", "seal")
 	Write(plain, New(kind, ""))
 	Write(detailed, New(kind, "%s", "detail"))
-	Write(later, Later(kind, 1500*time.Millisecond))
+	Write(later, NewRetryable(kind, 1500*time.Millisecond))
 	headers := map[string]string{}
 	for name := range plain.Header() {
 		headers[name] = plain.Header().Get(name)
 	}
-	return written{plain.Code, plain.Body.String(), headers, kind.NeverRan(), detailed.Body.String(), later.Header().Get("Retry-After")}
+	return written{plain.Code, plain.Body.String(), headers, kind.GuaranteesNotExecuted(), detailed.Body.String(), later.Header().Get("Retry-After")}
 }
 
 func TestWrite_AnswersStayTheSame(t *testing.T) {
-	assert.Equal(t, len(labelled), len(answers), "a kind is missing here")
+	assert.Equal(t, len(labelled), len(responses), "a kind is missing here")
 	told := map[string]written{}
 	for position, one := range labelled {
 		assert.Equal(t, int(one.kind), position, one.label)
 		told[fmt.Sprintf("%02d %s", position, one.label)] = writtenOf(one.kind)
 	}
-	assert.Equal(t, len(told), len(answers))
+	assert.Equal(t, len(told), len(responses))
 	pinned.CheckJSON(t, "testdata/answers.json", told)
 }
 
--- a/internal/client/access.go
+++ b/internal/client/access.go
@@ -57,7 +57,7 @@
 
 // findTenant finds whose the key is. Public routes need none, but belong to its tenant where one is known.
 func findTenant(table *configuration.Table, public bool, stated credential) (configuration.TenantNumber, *apierror.Error) {
-	if !table.NeedsKeys() {
+	if !table.RequiresKeys() {
 		return configuration.NoTenant, nil
 	}
 	tenant := configuration.NoTenant
@@ -79,14 +79,14 @@
 
 // admit finds what the configuration allows the request. It is refused for good only where the configuration is known
 // to be new: what a newer one may allow waits for it briefly, and is then asked to come again.
-func (d *Handler) admit(request *http.Request, arrived time.Time) (*match.Fleet, access, error) {
+func (d *Handler) admit(request *http.Request, arrived time.Time) (*match.Snapshot, access, error) {
 	stated := credentialOf(request.Header)
 	for {
 		keysHold := d.keysHold()
 		fleet := d.fleet.Load()
 		found, refusal := lookUp(fleet.Table, request.Host, request.RequestURI, stated)
 		if refusal == nil && found.tenant != configuration.NoTenant && !keysHold {
-			return nil, access{}, apierror.Later(apierror.DatedKeys, datedRetry)
+			return nil, access{}, apierror.NewRetryable(apierror.OutdatedKeys, datedRetry)
 		}
 		if refusal == nil {
 			return fleet, found, nil
@@ -102,7 +102,7 @@
 	if d.Currency == nil || !d.behind() && d.Currency.Current(d.clock()) {
 		return refusal
 	}
-	return apierror.Later(apierror.DatedConfiguration, datedRetry)
+	return apierror.NewRetryable(apierror.OutdatedConfiguration, datedRetry)
 }
 
 func (d *Handler) behind() bool { return d.Currency != nil && d.Currency.Behind() }
@@ -131,7 +131,7 @@
 		taken.belongTo(table, tenant)
 	}
 	if taken.access.tenant != configuration.NoTenant && !keysHold {
-		return apierror.Later(apierror.DatedKeys, datedRetry)
+		return apierror.NewRetryable(apierror.OutdatedKeys, datedRetry)
 	}
 	return nil
 }
@@ -145,6 +145,6 @@
 func (p *parsedRequest) belongTo(table *configuration.Table, tenant configuration.TenantNumber) {
 	p.access.table, p.access.tenant = table, tenant
 	p.request.Tenant = tenant
-	p.request.Homes = table.Tenant(tenant).RegionsWithin(p.route.AllowedRegions)
-	p.job.Tenant = table.Tenant(tenant).Called()
+	p.request.AllowedRegions = table.Tenant(tenant).IntersectRegions(p.route.AllowedRegions)
+	p.job.Tenant = table.Tenant(tenant).NameOrEmpty()
 }
--- a/internal/client/access_test.go
+++ b/internal/client/access_test.go
@@ -29,7 +29,7 @@
 func (d *testServer) configure(t *testing.T, tenants string) {
 	t.Helper()
 	document := strings.Replace(testDocument, `"routeTable":[`, `"tenants":`+tenants+`,"routeTable":[`+openRoute, 1)
-	read, err := configuration.Read([]byte(document))
+	read, err := configuration.Parse([]byte(document))
 	assert.NilError(t, err)
 	next := *d.fleet.Load()
 	next.Table = configuration.NewTable(read, nil)
@@ -203,7 +203,7 @@
 func (q *testQuota) Take(_ context.Context, tenant *configuration.Tenant, _ QuotaPatience) error {
 	q.asked = append(q.asked, tenant.Name)
 	if tenant.Name == q.refuses {
-		return apierror.Later(apierror.TenantLimit, 250*time.Millisecond)
+		return apierror.NewRetryable(apierror.TenantRateLimited, 250*time.Millisecond)
 	}
 	return nil
 }
--- a/internal/client/explain.go
+++ b/internal/client/explain.go
@@ -23,7 +23,7 @@
 	entry := record.Entry{
 		Kind: record.KindRequest, AtMs: writer.Milliseconds(request.Arrived), Attempt: request.Attempt,
 		Route: s.parsedRequest.route.Name, Backend: request.Backend, Model: request.Model, Tenant: s.parsedRequest.job.Tenant,
-		Prefix: s.parsedRequest.job.Header.Get(replica.HeaderPrefix), Prompt: request.Prompt, Output: request.Output,
+		Prefix: s.parsedRequest.job.Header.Get(replica.HeaderPrefix), Prompt: request.PromptTokens, Output: request.OutputTokens,
 		LeftMs: float64(request.Deadline.Sub(request.Arrived).Milliseconds()), Error: s.reason(),
 	}
 	if !s.firstAt.IsZero() {
@@ -42,7 +42,7 @@
 	arrived := s.parsedRequest.request.Arrived
 	logrus.WithFields(logrus.Fields{
 		"attempt": s.parsedRequest.request.Attempt, "route": s.parsedRequest.route.Name, "model": s.parsedRequest.request.Model,
-		"replica": s.chosen, "tries": s.sent, "prompt": s.parsedRequest.request.Prompt,
+		"replica": s.chosen, "tries": s.sent, "prompt": s.parsedRequest.request.PromptTokens,
 		"waited_ms": s.sentAt.Sub(arrived).Milliseconds(), "first_ms": s.firstAt.Sub(arrived).Milliseconds(),
 		"took_ms": s.lastAt.Sub(arrived).Milliseconds(), "pause_ms": s.pause.Milliseconds(), "problem": s.reason(),
 	}).Debug("request ended")
--- a/internal/client/handler.go
+++ b/internal/client/handler.go
@@ -16,7 +16,7 @@
 
 // Handler serves clients: it takes a request, has a replica chosen for it, forwards it and passes the answer on.
 type Handler struct {
-	fleet     *atomic.Pointer[match.Fleet]
+	fleet     *atomic.Pointer[match.Snapshot]
 	matcher   *match.Matcher
 	forwarder *replica.Forwarder
 	budgets   *Budgets
@@ -38,7 +38,7 @@
 // NewHandler returns a handler that reads the fleet as it stands at each request. draw gives numbers from 0 to 1 for
 // the split of traffic over services.
 func NewHandler(
-	fleet *atomic.Pointer[match.Fleet], matcher *match.Matcher, forwarder *replica.Forwarder, budgets *Budgets,
+	fleet *atomic.Pointer[match.Snapshot], matcher *match.Matcher, forwarder *replica.Forwarder, budgets *Budgets,
 	clock func() time.Time, draw func() float64,
 ) *Handler {
 	return &Handler{fleet: fleet, matcher: matcher, forwarder: forwarder, budgets: budgets, clock: clock, draw: draw}
@@ -67,8 +67,8 @@
 		err = d.withinQuota(request.Context(), taken)
 	}
 	if err != nil {
-		d.Refusals.count(apierror.Of(err).Kind)
-		if apierror.Of(err).Kind == apierror.LargeBody {
+		d.Refusals.count(apierror.From(err).Kind)
+		if apierror.From(err).Kind == apierror.BodyTooLarge {
 			writer.Header().Set("Connection", "close")
 		}
 		apierror.Write(writer, err)
@@ -107,11 +107,11 @@
 
 var outcomes = map[replica.Verdict]match.Outcome{
 	replica.VerdictFull:      match.OutcomeFull,
-	replica.VerdictMissing:   match.OutcomeMissing,
-	replica.VerdictGone:      match.OutcomeGone,
-	replica.VerdictUnreached: match.OutcomeUnreached,
-	replica.VerdictUnknown:   match.OutcomeBroken,
-	replica.VerdictReset:     match.OutcomeReset,
+	replica.VerdictMissing:   match.OutcomeModelMissing,
+	replica.VerdictGone:      match.OutcomeShuttingDown,
+	replica.VerdictUnreached: match.OutcomeUnreachable,
+	replica.VerdictUnknown:   match.OutcomeTruncated,
+	replica.VerdictReset:     match.OutcomeConnectionReset,
 }
 
 const unreachedBound = 4
@@ -119,7 +119,7 @@
 func (s *service) run() {
 	for {
 		request := s.parsedRequest.request
-		request.Excluded, request.Resumed = s.parsedRequest.request.Excluded, s.headed
+		request.ExcludedReplicas, request.Resumed = s.parsedRequest.request.ExcludedReplicas, s.headed
 		command := s.handler.matcher.Submit(s.ctx, &request)
 		if command.Error != nil {
 			s.fail(command.Error)
@@ -130,9 +130,9 @@
 			s.fail(refusal)
 			return
 		}
-		if s.sent > 0 && !s.handler.budgets.Of(request.Backend).Take(s.handler.clock(), s.handler.fleet.Load().Edges) {
+		if s.sent > 0 && !s.handler.budgets.Of(request.Backend).Take(s.handler.clock(), s.handler.fleet.Load().DataPlanes) {
 			s.handler.matcher.Report(command.Ticket, match.OutcomeCancelled)
-			s.fail(apierror.Later(apierror.NotExecuted, 100*time.Millisecond))
+			s.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
 			return
 		}
 		again, failure := s.attempt(command)
@@ -146,7 +146,7 @@
 	}
 }
 
-func (s *service) attempt(command match.Command) (bool, *apierror.Error) {
+func (s *service) attempt(command match.Decision) (bool, *apierror.Error) {
 	report := func(outcome match.Outcome) { s.handler.matcher.Report(command.Ticket, outcome) }
 	job := s.parsedRequest.job
 	s.chosen, s.sentAt = command.Replica.ID, s.handler.clock()
@@ -175,34 +175,34 @@
 // outOfTime is the answer at the deadline: a promise where nothing has run, and none where something may have.
 func (s *service) outOfTime(neverRan bool) *apierror.Error {
 	if neverRan && !s.ran {
-		return apierror.Later(apierror.NotExecuted, 50*time.Millisecond)
+		return apierror.NewRetryable(apierror.NotExecuted, 50*time.Millisecond)
 	}
-	return apierror.New(apierror.ReplicaSilent, "")
+	return apierror.New(apierror.ReplicaTimeout, "")
 }
 
 func (s *service) decide(neverRan bool) (bool, *apierror.Error) {
-	if !neverRan && !s.parsedRequest.route.Repeatable() {
+	if !neverRan && !s.parsedRequest.route.IsIdempotent() {
 		return false, apierror.New(apierror.ReplicaFailed, "")
 	}
 	if s.mayGoOn() {
 		return true, nil
 	}
 	if neverRan && !s.ran {
-		return false, apierror.Later(apierror.NotExecuted, 50*time.Millisecond)
+		return false, apierror.NewRetryable(apierror.NotExecuted, 50*time.Millisecond)
 	}
 	return false, apierror.New(apierror.ReplicaFailed, "")
 }
 
 func (s *service) exclude(id string) {
 	request, fleet := &s.parsedRequest.request, s.handler.fleet.Load()
-	request.Excluded[id] = true
+	request.ExcludedReplicas[id] = true
 	for _, one := range fleet.Replicas {
-		if one.Serves(request) && !request.Excluded[one.ID] && !fleet.Drained[one.Zone] {
+		if one.Serves(request) && !request.ExcludedReplicas[one.ID] && !fleet.DrainedZones[one.Zone] {
 			return
 		}
 	}
 	if !s.absent {
-		delete(request.Excluded, id)
+		delete(request.ExcludedReplicas, id)
 	}
 }
 
@@ -215,7 +215,7 @@
 	if s.headed {
 		panic(http.ErrAbortHandler)
 	}
-	if s.ran && failure.Kind.NeverRan() {
+	if s.ran && failure.Kind.GuaranteesNotExecuted() {
 		failure = apierror.New(apierror.ReplicaFailed, "")
 	}
 	s.handler.Refusals.count(failure.Kind)
--- a/internal/client/parse.go
+++ b/internal/client/parse.go
@@ -39,14 +39,14 @@
 func (d *Handler) take(request *http.Request, arrived time.Time) (*parsedRequest, error) {
 	attempt := request.Header.Get(replica.HeaderAttempt)
 	if !validAttempt(attempt) || len(request.Header.Values(replica.HeaderAttempt)) != 1 {
-		return nil, apierror.New(apierror.MissingAttempt, "")
+		return nil, apierror.New(apierror.InvalidAttemptID, "")
 	}
 	fleet := d.awaitConfiguration(request, arrived)
 	if fleet.Table == nil {
-		return nil, apierror.Later(apierror.NoConfiguration, 200*time.Millisecond)
+		return nil, apierror.NewRetryable(apierror.NoConfiguration, 200*time.Millisecond)
 	}
 	if bound := fleet.Table.Configuration.Limits.MaxHeaderBytes; bound > 0 && headBytes(request) > bound {
-		return nil, apierror.New(apierror.LargeHead, "")
+		return nil, apierror.New(apierror.HeaderTooLarge, "")
 	}
 	fleet, allowed, err := d.admit(request, arrived)
 	if err != nil {
@@ -80,16 +80,16 @@
 	return &parsedRequest{
 		route: route, access: allowed,
 		request: match.Request{
-			Attempt: attempt, Backend: backend, Model: model, Parts: parts, Dialogues: match.Dialogues(parts), Prompt: prompt, Output: output,
-			Arrived: arrived, Deadline: deadline, Aim: time.Duration(route.TargetLatencyMs * float64(time.Millisecond)), Priority: priority,
-			Homes: tenant.RegionsWithin(route.AllowedRegions), Excluded: map[string]bool{}, Returned: remaining < patience-returnedSlack,
-			Repeatable: route.Repeatable(), Route: route.Name, Tenant: allowed.tenant,
+			Attempt: attempt, Backend: backend, Model: model, Parts: parts, PrefixHashes: match.HashPrefixes(parts), PromptTokens: prompt, OutputTokens: output,
+			Arrived: arrived, Deadline: deadline, LatencyTarget: time.Duration(route.TargetLatencyMs * float64(time.Millisecond)), Priority: priority,
+			AllowedRegions: tenant.IntersectRegions(route.AllowedRegions), ExcludedReplicas: map[string]bool{}, ClientRetry: remaining < patience-returnedSlack,
+			Idempotent: route.IsIdempotent(), Route: route.Name, Tenant: allowed.tenant,
 		},
 		job: replica.Job{
 			Method: request.Method, URI: request.RequestURI, Host: request.Host, Header: request.Header, Body: body, Attempt: attempt,
 			Urgency: min(priority, 9), Deadline: deadline, LastEvent: request.Header.Get(replica.HeaderLastEvent),
-			Service: backend, Once: !route.Repeatable(), Connections: connectionShare(fleet, backend),
-			Tenant: tenant.Called(),
+			Service: backend, Once: !route.IsIdempotent(), Connections: connectionShare(fleet, backend),
+			Tenant: tenant.NameOrEmpty(),
 		},
 	}, nil
 }
@@ -120,7 +120,7 @@
 	configurationLook     = 15 * time.Millisecond
 )
 
-func (d *Handler) awaitConfiguration(request *http.Request, arrived time.Time) *match.Fleet {
+func (d *Handler) awaitConfiguration(request *http.Request, arrived time.Time) *match.Snapshot {
 	for {
 		fleet := d.fleet.Load()
 		if fleet.Table != nil || d.clock().Sub(arrived) > configurationPatience || d.Leaving() {
@@ -144,9 +144,9 @@
 	}
 }
 
-func connectionShare(fleet *match.Fleet, backend string) int {
+func connectionShare(fleet *match.Snapshot, backend string) int {
 	if stated, _, known := fleet.Table.Backend(backend); known && stated.MaxConns > 0 {
-		return max(stated.MaxConns/max(fleet.Edges, 1), 1)
+		return max(stated.MaxConns/max(fleet.DataPlanes, 1), 1)
 	}
 	return 0
 }
@@ -166,12 +166,12 @@
 		bound = bodyBound
 	}
 	if request.ContentLength > bound {
-		return nil, apierror.New(apierror.LargeBody, "")
+		return nil, apierror.New(apierror.BodyTooLarge, "")
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, bound))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return nil, apierror.New(apierror.LargeBody, "")
+		return nil, apierror.New(apierror.BodyTooLarge, "")
 	}
 	if err != nil {
 		return nil, apierror.New(apierror.MalformedRequest, "body broke off")
--- a/internal/client/quota.go
+++ b/internal/client/quota.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	request := taken.request
-	alone := request.Aim / quotaPatienceDivisor
+	alone := request.LatencyTarget / quotaPatienceDivisor
 	patience := QuotaPatience{
 		Alone:    alone,
 		Together: max(alone, request.Deadline.Sub(request.Arrived)/quotaPatienceDivisor),
--- a/internal/client/relay.go
+++ b/internal/client/relay.go
@@ -31,7 +31,7 @@
 		s.ran = true
 		return s.decide(false)
 	}
-	if failed(answer) && s.parsedRequest.route.Repeatable() && s.mayGoOn() {
+	if failed(answer) && s.parsedRequest.route.IsIdempotent() && s.mayGoOn() {
 		report(match.OutcomeFailed)
 		s.ran = true
 		return true, nil
@@ -52,13 +52,13 @@
 			gap := s.beat(now)
 			if !first && !lagging && s.tooLong(gap) {
 				lagging = true
-				report(match.OutcomeLagging)
+				report(match.OutcomeStalled)
 			}
 			if first {
-				report(match.OutcomeFirst)
+				report(match.OutcomeFirstEvent)
 				first, lastTold = false, now
 			} else if now.Sub(lastTold) > aliveEvery {
-				report(match.OutcomeAlive)
+				report(match.OutcomeProgress)
 				lastTold = now
 			}
 			if !s.pass(answer, buffer[:amount], resumable) {
@@ -153,9 +153,9 @@
 		if s.headed {
 			panic(http.ErrAbortHandler)
 		}
-		return false, apierror.New(apierror.ReplicaSilent, "")
+		return false, apierror.New(apierror.ReplicaTimeout, "")
 	}
-	report(match.OutcomeBroken)
+	report(match.OutcomeTruncated)
 	s.ran = true
 	s.events.Reset()
 	if s.headed && !(resumable && s.events.LastID != "") {
--- a/internal/client/requests_test.go
+++ b/internal/client/requests_test.go
@@ -115,8 +115,8 @@
 	var server *testServer
 	one := startScripted(t, "i-1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, head("200 OK", request, "seal-1", "Content-Length: 8")+"part")
-		server.fleet.Store(&match.Fleet{Table: configuration.NewTable(configuration.Configuration{Revision: 2}, nil), Edges: 1})
-		server.handler.matcher.Changed()
+		server.fleet.Store(&match.Snapshot{Table: configuration.NewTable(configuration.Configuration{Revision: 2}, nil), DataPlanes: 1})
+		server.handler.matcher.SnapshotChanged()
 		time.Sleep(50 * time.Millisecond)
 		_, _ = io.WriteString(connection, "part")
 		return true
--- a/internal/client/server_test.go
+++ b/internal/client/server_test.go
@@ -110,7 +110,7 @@
 type testServer struct {
 	address string
 	handler *Handler
-	fleet   *atomic.Pointer[match.Fleet]
+	fleet   *atomic.Pointer[match.Snapshot]
 }
 
 func startServer(t *testing.T, idle, headTime time.Duration, replicas ...*scripted) *testServer {
@@ -120,7 +120,7 @@
 func startServerOver(t *testing.T, network peer.Network, idle, headTime time.Duration, replicas ...*scripted) *testServer {
 	read, err := configuration.Decode([]byte(testDocument))
 	assert.NilError(t, err)
-	state := &match.Fleet{Table: configuration.NewTable(read, nil), Edges: 1, Fetched: time.Now(), Drained: map[string]bool{}}
+	state := &match.Snapshot{Table: configuration.NewTable(read, nil), DataPlanes: 1, ListedAt: time.Now(), DrainedZones: map[string]bool{}}
 	for index, one := range replicas {
 		listed := platform.Replica{
 			ID: one.id, Backend: "scribes", Address: one.address, Zone: "north", Slots: 8, State: "ready",
@@ -128,7 +128,7 @@
 		}
 		state.Replicas = append(state.Replicas, match.NewReplica(index, listed, time.Now(), nil))
 	}
-	var fleet atomic.Pointer[match.Fleet]
+	var fleet atomic.Pointer[match.Snapshot]
 	fleet.Store(state)
 	matcher := match.NewMatcher(match.DefaultParameters(), "north", time.Now, &fleet)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -12,31 +12,31 @@
 
 // Check returns the first reason why the configuration cannot be used, of kind
 // apierror.InvalidConfiguration.
-func (l Configuration) Check() error {
-	if l.Revision <= 0 {
+func (c Configuration) Check() error {
+	if c.Revision <= 0 {
 		return invalid("revision must be above 0")
 	}
-	services := make(map[string]bool, len(l.Backends))
-	for position, backend := range l.Backends {
+	services := make(map[string]bool, len(c.Backends))
+	for position, backend := range c.Backends {
 		if err := backend.check(position, services); err != nil {
 			return err
 		}
 		services[backend.Name] = true
 	}
-	names := make(map[string]bool, len(l.Routes))
-	places := make(map[string]string, len(l.Routes))
-	for position, route := range l.Routes {
+	names := make(map[string]bool, len(c.Routes))
+	routeKeys := make(map[string]string, len(c.Routes))
+	for position, route := range c.Routes {
 		if err := route.check(position, services, names); err != nil {
 			return err
 		}
-		place := strings.ToLower(route.Hostname) + " " + route.PathPrefix
-		if other, taken := places[place]; taken {
+		routeKey := strings.ToLower(route.Hostname) + " " + route.PathPrefix
+		if other, exists := routeKeys[routeKey]; exists {
 			return invalid("routeTable %q: hostname and pathPrefix are those of %q", route.Name, other)
 		}
 		names[route.Name] = true
-		places[place] = route.Name
+		routeKeys[routeKey] = route.Name
 	}
-	return checkTenants(l.Tenants)
+	return checkTenants(c.Tenants)
 }
 
 func (b Backend) check(position int, services map[string]bool) error {
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -2,7 +2,7 @@
 // look-ups in it.
 //
 // It keeps nothing on disk and decides nothing about versions: that is the control plane's. Start
-// reading at Configuration, then Read for the way in and Table for the way it is used.
+// reading at Configuration, then Parse for the way in and Table for the way it is used.
 package configuration
 
 import (
@@ -84,7 +84,7 @@
 }
 
 // Model is a model that replicas of a backend may load. Adapters is a count: the adapters are
-// named a1, a2 and so on.
+// parseNamedItems a1, a2 and so on.
 type Model struct {
 	Name          string  `json:"name" koanf:"name"`
 	WeightSizeMb  float64 `json:"weightSizeMb" koanf:"weightSizeMb"`
@@ -103,7 +103,7 @@
 
 // Repeatable tells whether a request may be sent to a second replica after the first may have run
 // it.
-func (r Route) Repeatable() bool {
+func (r Route) IsIdempotent() bool {
 	return r.RouteType == Idempotent || r.RouteType == Streaming && r.Resumable
 }
 
@@ -115,47 +115,47 @@
 	return []Split{{Backend: r.Backend, Weight: 1}}
 }
 
-// Read parses and checks a whole configuration as an operator sends it. Errors are of kind
+// Parse parses and checks a whole configuration as an operator sends it. Errors are of kind
 // apierror.InvalidConfiguration.
-func Read(document []byte) (Configuration, error) {
-	var read Configuration
+func Parse(document []byte) (Configuration, error) {
+	var parsed Configuration
 	if !json.Valid(document) {
-		return read, apierror.New(apierror.InvalidConfiguration, "not whole JSON")
+		return parsed, apierror.New(apierror.InvalidConfiguration, "not whole JSON")
 	}
 	tree := koanf.New("\x00")
 	if err := tree.Load(rawbytes.Provider(document), jsonparser.Parser()); err != nil {
-		return read, apierror.New(apierror.InvalidConfiguration, "not a JSON object")
+		return parsed, apierror.New(apierror.InvalidConfiguration, "not a JSON object")
 	}
 	if !tree.Exists("revision") {
-		return read, apierror.New(apierror.InvalidConfiguration, "revision is missing")
+		return parsed, apierror.New(apierror.InvalidConfiguration, "revision is missing")
 	}
-	if err := tree.Unmarshal("", &read); err != nil {
-		return read, apierror.New(apierror.InvalidConfiguration, "%s", err.Error())
+	if err := tree.Unmarshal("", &parsed); err != nil {
+		return parsed, apierror.New(apierror.InvalidConfiguration, "%s", err.Error())
 	}
 	decoded, err := Decode(document)
 	if err != nil {
-		return read, err
+		return parsed, err
 	}
-	read.Tenants = decoded.Tenants
-	return read, read.Check()
+	parsed.Tenants = decoded.Tenants
+	return parsed, parsed.Check()
 }
 
-// unreadable names the part of a configuration that data planes could not decode, and nothing of its content: that
+// decodeError names the part of a configuration that data planes could not decode, and nothing of its content: that
 // may be a key.
-func unreadable(err error) error {
-	part := "configuration"
+func decodeError(err error) error {
+	field := "configuration"
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
-		part = wrongType.Field
+		field = wrongType.Field
 	}
-	return apierror.New(apierror.InvalidConfiguration, "%s cannot be read", part)
+	return apierror.New(apierror.InvalidConfiguration, "%s cannot be read", field)
 }
 
 // Decode parses a configuration that was accepted before, without checks.
 func Decode(document []byte) (Configuration, error) {
-	var read Configuration
-	if err := json.Unmarshal(document, &read); err != nil {
-		return read, unreadable(err)
+	var decoded Configuration
+	if err := json.Unmarshal(document, &decoded); err != nil {
+		return decoded, decodeError(err)
 	}
-	return read, nil
+	return decoded, nil
 }
--- a/internal/configuration/configuration_bench_test.go
+++ b/internal/configuration/configuration_bench_test.go
@@ -8,13 +8,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func grown(models, routes int) []byte {
-	whole := Configuration{
+func exampleDocument(models, routes int) []byte {
+	example := Configuration{
 		Revision: 7,
 		Limits:   Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 	}
 	for index := range routes {
-		whole.Routes = append(whole.Routes, Route{
+		example.Routes = append(example.Routes, Route{
 			Name:            fmt.Sprintf("r-%04d", index),
 			Hostname:        "shop.example",
 			PathPrefix:      fmt.Sprintf("/tell%04d/", index),
@@ -35,35 +35,35 @@
 			AdapterSizeMb: 12,
 		})
 	}
-	whole.Backends = []Backend{{Name: "writers", HealthPath: "/healthz", MaxConns: 256, ColdStartS: 3, ColdPerS: 12, Runtime: runtime}}
-	document, _ := json.Marshal(whole)
+	example.Backends = []Backend{{Name: "writers", HealthPath: "/healthz", MaxConns: 256, ColdStartS: 3, ColdPerS: 12, Runtime: runtime}}
+	document, _ := json.Marshal(example)
 	return document
 }
 
-func along(b *testing.B, run func(b *testing.B, document []byte)) {
+func runAtSizes(b *testing.B, run func(b *testing.B, document []byte)) {
 	for _, models := range []int{28, 450, 1600} {
-		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) { run(b, grown(models, 3)) })
+		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) { run(b, exampleDocument(models, 3)) })
 	}
 	for _, routes := range []int{3, 35, 350} {
-		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) { run(b, grown(28, routes)) })
+		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) { run(b, exampleDocument(28, routes)) })
 	}
 }
 
-func BenchmarkReadAndCheckConfiguration(b *testing.B) {
-	along(b, func(b *testing.B, document []byte) {
+func BenchmarkParse(b *testing.B) {
+	runAtSizes(b, func(b *testing.B, document []byte) {
 		for b.Loop() {
-			_, err := Read(document)
+			_, err := Parse(document)
 			assert.NilError(b, err)
 		}
 		b.ReportMetric(float64(len(document)), "bytes/message")
 	})
 }
 
-func BenchmarkUnpackAndBuildConfiguration(b *testing.B) {
-	along(b, func(b *testing.B, document []byte) {
-		packed := Pack(document)
+func BenchmarkDecompressAndBuildTable(b *testing.B) {
+	runAtSizes(b, func(b *testing.B, document []byte) {
+		packed := Compress(document)
 		for b.Loop() {
-			unpacked, err := Unpack(packed)
+			unpacked, err := Decompress(packed)
 			assert.NilError(b, err)
 			read, err := Decode(unpacked)
 			assert.NilError(b, err)
@@ -73,13 +73,13 @@
 	})
 }
 
-func BenchmarkPatchConfiguration(b *testing.B) {
+func BenchmarkApplyPatch(b *testing.B) {
 	change := []byte(`{"revision":9,"upsert":{"routeTable":[{"name":"r-0001","hostname":"shop.example",
 "pathPrefix":"/new/","routeType":"streaming",
 "timeoutMs":15000,"backend":"writers","retryCount":1}]}}`)
-	along(b, func(b *testing.B, document []byte) {
+	runAtSizes(b, func(b *testing.B, document []byte) {
 		for b.Loop() {
-			_, err := Apply(document, change)
+			_, err := ApplyPatch(document, change)
 			assert.NilError(b, err)
 		}
 	})
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -13,24 +13,24 @@
 "trafficSplit":[{"backend":"s","weight":1},{"backend":"t","weight":3}]}],
 "backends":[{"name":"s"},{"name":"t"}]}`
 
-func TestGivenRoutesThenHostAndLongestPrefixChoose(t *testing.T) {
-	read, err := Read([]byte(sample))
+func TestTable_FindRouteByHostAndLongestPrefix(t *testing.T) {
+	read, err := Parse([]byte(sample))
 	assert.NilError(t, err)
 	table := NewTable(read, nil)
 	cases := map[string]string{"/x/": "a", "/x/z": "a", "/x/y/z": "b", "/x/y": "a", "/x": "", "/": "", "x/y/": ""}
-	for path, wanted := range cases {
+	for path, want := range cases {
 		route, found := table.FindRoute("ONE.example:80", path)
-		assert.Equal(t, found, wanted != "", path)
+		assert.Equal(t, found, want != "", path)
 		if found {
-			assert.Equal(t, route.Name, wanted, path)
+			assert.Equal(t, route.Name, want, path)
 		}
 	}
 	_, found := table.FindRoute("two.example", "/x/")
 	assert.Assert(t, !found)
 }
 
-func TestGivenASplitThenDrawsFollowItsWeights(t *testing.T) {
-	read, err := Read([]byte(sample))
+func TestRoute_PickBackendFollowsWeights(t *testing.T) {
+	read, err := Parse([]byte(sample))
 	assert.NilError(t, err)
 	seen := map[string]int{}
 	for step := range 100 {
@@ -39,12 +39,12 @@
 	assert.DeepEqual(t, seen, map[string]int{"s": 25, "t": 75})
 }
 
-func TestGivenAPatchThenNamedItemsChangeAndAllElseStays(t *testing.T) {
-	patched, err := Apply([]byte(sample), []byte(`{"revision":4,"upsert":{"routeTable":[
+func TestApplyPatch_ChangesOnlyNamedItems(t *testing.T) {
+	patched, err := ApplyPatch([]byte(sample), []byte(`{"revision":4,"upsert":{"routeTable":[
 {"name":"a","hostname":"new.example","pathPrefix":"/","timeoutMs":5,"backend":"t"},
 {"name":"c","hostname":"c.example","pathPrefix":"/","timeoutMs":5,"backend":"s"}]},"remove":{"routeTable":["b"]}}`))
 	assert.NilError(t, err)
-	read, err := Read(patched)
+	read, err := Parse(patched)
 	assert.NilError(t, err)
 	assert.Equal(t, read.Revision, int64(4))
 	assert.Equal(t, len(read.Routes), 2)
@@ -55,22 +55,22 @@
 	assert.Equal(t, string(whole["extra"]), `{"kept":1.50}`)
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzParse(f *testing.F) {
 	f.Add([]byte(sample))
 	f.Add([]byte(`{"revision":"x"}`))
 	f.Add([]byte(`{"revision":1,"routeTable":{}}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, content []byte) {
-		if read, err := Read(content); err == nil {
+		if read, err := Parse(content); err == nil {
 			NewTable(read, content).FindRoute("a", "/")
 		}
 	})
 }
 
-func FuzzApply(f *testing.F) {
+func FuzzApplyPatch(f *testing.F) {
 	f.Add([]byte(`{"revision":4,"upsert":{"routeTable":[{"name":"q"}]},"remove":{"backends":["s"]}}`))
 	f.Fuzz(func(t *testing.T, change []byte) {
-		if patched, err := Apply([]byte(sample), change); err == nil {
+		if patched, err := ApplyPatch([]byte(sample), change); err == nil {
 			assert.Assert(t, json.Valid(patched))
 		}
 	})
--- a/internal/configuration/keys.go
+++ b/internal/configuration/keys.go
@@ -19,8 +19,8 @@
 const (
 	// tenantsSection is the configuration's member that holds tenants and so keys.
 	tenantsSection = "tenants"
-	// digestMark begins a key's digest, so that neither is taken for the other.
-	digestMark = "sha256:"
+	// digestPrefix begins a key's digest, so that neither is taken for the other.
+	digestPrefix = "sha256:"
 	// digestBytes is how much of the hash a digest shows: enough to tell keys apart, too little to confirm a guess.
 	digestBytes = 4
 )
@@ -34,20 +34,20 @@
 		return string(k)
 	}
 	hash := HashKey(string(k))
-	return digestMark + hex.EncodeToString(hash[:digestBytes])
+	return digestPrefix + hex.EncodeToString(hash[:digestBytes])
 }
 
-func (k APIKey) isDigest() bool { return strings.HasPrefix(string(k), digestMark) }
+func (k APIKey) isDigest() bool { return strings.HasPrefix(string(k), digestPrefix) }
 
 // Format writes the digest for every verb.
 func (k APIKey) Format(state fmt.State, _ rune) { _, _ = io.WriteString(state, k.Digest()) }
 
 // fault says why the key cannot be used, without telling it.
-func (k APIKey) fault() string {
+func (k APIKey) invalidReason() string {
 	switch {
 	case k == "":
 		return "is empty"
-	case !headerValue(string(k)):
+	case !isHeaderValue(string(k)):
 		return "cannot stand in a header"
 	case k.isDigest():
 		return "is the digest of a key"
@@ -57,37 +57,37 @@
 }
 
 // Redacted returns a copy of the configuration with a digest in the place of each key.
-func (l Configuration) Redacted() Configuration {
-	if l.Tenants == nil {
-		return l
+func (c Configuration) Redacted() Configuration {
+	if c.Tenants == nil {
+		return c
 	}
-	tenants := make([]Tenant, len(l.Tenants))
-	for position, tenant := range l.Tenants {
+	tenants := make([]Tenant, len(c.Tenants))
+	for position, tenant := range c.Tenants {
 		tenants[position] = tenant.redacted()
 	}
-	l.Tenants = tenants
-	return l
+	c.Tenants = tenants
+	return c
 }
 
 // RedactDocument returns a configuration's document with a digest in the place of each key.
 func RedactDocument(document []byte) ([]byte, error) {
-	read, err := Decode(document)
+	decoded, err := Decode(document)
 	if err != nil {
 		return nil, err
 	}
-	if read.Tenants == nil {
+	if decoded.Tenants == nil {
 		return document, nil
 	}
 	members := map[string]json.RawMessage{}
 	if err := json.Unmarshal(document, &members); err != nil {
-		return nil, unreadable(err)
+		return nil, decodeError(err)
 	}
 	for name := range members {
 		if strings.EqualFold(name, tenantsSection) {
 			delete(members, name)
 		}
 	}
-	if members[tenantsSection], err = json.Marshal(read.Redacted().Tenants); err != nil {
+	if members[tenantsSection], err = json.Marshal(decoded.Redacted().Tenants); err != nil {
 		return nil, err
 	}
 	return json.Marshal(members)
--- a/internal/configuration/pack.go
+++ b/internal/configuration/pack.go
@@ -6,10 +6,10 @@
 	"io"
 )
 
-const unpackedBound = 64 << 20
+const maxDocumentBytes = 64 << 20
 
-// Pack compresses a configuration for sending and keeping.
-func Pack(document []byte) []byte {
+// Compress compresses a configuration for sending and keeping.
+func Compress(document []byte) []byte {
 	var packed bytes.Buffer
 	writer, _ := flate.NewWriter(&packed, flate.BestSpeed)
 	_, _ = writer.Write(document)
@@ -17,9 +17,9 @@
 	return packed.Bytes()
 }
 
-// Unpack undoes Pack. Results are cut at 64 MiB.
-func Unpack(packed []byte) ([]byte, error) {
+// Decompress undoes Compress. Results are cut at 64 MiB.
+func Decompress(packed []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
 	defer reader.Close()
-	return io.ReadAll(io.LimitReader(reader, unpackedBound))
+	return io.ReadAll(io.LimitReader(reader, maxDocumentBytes))
 }
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -12,9 +12,9 @@
 	Remove   map[string][]string        `json:"remove"`
 }
 
-// Apply returns document with the change made to it, unchecked. Errors are of kind
+// ApplyPatch returns document with the change made to it, unchecked. Errors are of kind
 // apierror.InvalidConfiguration when the change cannot be read.
-func Apply(document, change []byte) ([]byte, error) {
+func ApplyPatch(document, change []byte) ([]byte, error) {
 	var patch Patch
 	if err := json.Unmarshal(change, &patch); err != nil {
 		return nil, invalid("patch cannot be read: %s", err.Error())
@@ -42,7 +42,7 @@
 	}
 	sort.Strings(ordered)
 	for _, section := range ordered {
-		merged, err := merge(section, result[section], patch.Upsert[section], patch.Remove[section])
+		merged, err := mergeSection(section, result[section], patch.Upsert[section], patch.Remove[section])
 		if err != nil {
 			return nil, err
 		}
@@ -51,15 +51,15 @@
 	return json.Marshal(result)
 }
 
-func merge(section string, present, upsert json.RawMessage, remove []string) (json.RawMessage, error) {
-	items, names, err := named(section, present)
+func mergeSection(section string, present, upsert json.RawMessage, remove []string) (json.RawMessage, error) {
+	items, names, err := parseNamedItems(section, present)
 	if err != nil {
 		if len(upsert) > 0 && len(remove) == 0 {
 			return upsert, nil
 		}
 		return nil, err
 	}
-	added, addedNames, err := named(section, upsert)
+	added, addedNames, err := parseNamedItems(section, upsert)
 	if err != nil {
 		if len(remove) == 0 && len(items) == 0 {
 			return upsert, nil
@@ -83,16 +83,16 @@
 		items = append(items, item)
 		names = append(names, addedNames[index])
 	}
-	kept := make([]json.RawMessage, 0, len(items))
+	remaining := make([]json.RawMessage, 0, len(items))
 	for position, item := range items {
 		if !removed[names[position]] {
-			kept = append(kept, item)
+			remaining = append(remaining, item)
 		}
 	}
-	return json.Marshal(kept)
+	return json.Marshal(remaining)
 }
 
-func named(section string, list json.RawMessage) ([]json.RawMessage, []string, error) {
+func parseNamedItems(section string, list json.RawMessage) ([]json.RawMessage, []string, error) {
 	if len(list) == 0 {
 		return nil, nil, nil
 	}
--- a/internal/configuration/pinned_test.go
+++ b/internal/configuration/pinned_test.go
@@ -38,11 +38,11 @@
 	const packed = "testdata/packed.deflate"
 	const document = `{"revision":3,"routeTable":[],"backends":[],"limits":{}}`
 	if _, err := os.Stat(packed); pinned.Updating() && os.IsNotExist(err) {
-		pinned.CheckFile(t, packed, Pack([]byte(document)))
+		pinned.CheckFile(t, packed, Compress([]byte(document)))
 	}
 	content, err := os.ReadFile(packed)
 	assert.NilError(t, err)
-	unpacked, err := Unpack(content)
+	unpacked, err := Decompress(content)
 	assert.NilError(t, err)
 	assert.Equal(t, string(unpacked), document)
 }
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// TenantNamed returns the tenant of a name, nil where there is none.
-func (t *Table) TenantNamed(name string) *Tenant {
+// TenantByName returns the tenant of a name, nil where there is none.
+func (t *Table) TenantByName(name string) *Tenant {
 	for index := range t.Configuration.Tenants {
 		if t.Configuration.Tenants[index].Name == name {
 			return &t.Configuration.Tenants[index]
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// NeedsKeys tells whether requests must carry a key, but for public routes.
-func (t *Table) NeedsKeys() bool { return t.Configuration.Tenants != nil }
+// RequiresKeys tells whether requests must carry a key, but for public routes.
+func (t *Table) RequiresKeys() bool { return t.Configuration.Tenants != nil }
 
 // FindTenant returns the number of the tenant that holds a key, or NoTenant.
 func (t *Table) FindTenant(key KeyHash) TenantNumber { return t.tenants[key] }
@@ -107,9 +107,9 @@
 	return &t.Configuration.Backends[index], index, true
 }
 
-// KnowsModel tells whether the backend at the index lists the reference, "model" or
+// HasModel tells whether the backend at the index lists the reference, "model" or
 // "model/adapter".
-func (t *Table) KnowsModel(backend int, reference string) bool {
+func (t *Table) HasModel(backend int, reference string) bool {
 	model, adapter, _ := strings.Cut(reference, "/")
 	position, found := t.models[backend][model]
 	if !found {
--- a/internal/configuration/tenants.go
+++ b/internal/configuration/tenants.go
@@ -40,8 +40,8 @@
 // noRegion is the name of no region: where a route's and a tenant's regions have nothing in common.
 const noRegion = "\x00"
 
-// RegionsWithin returns the regions allowed by both the tenant and a route that allows the given ones, empty for all.
-func (t *Tenant) RegionsWithin(regions []string) []string {
+// IntersectRegions returns the regions allowed by both the tenant and a route that allows the given ones, empty for all.
+func (t *Tenant) IntersectRegions(regions []string) []string {
 	if t == nil || len(t.AllowedRegions) == 0 {
 		return regions
 	}
@@ -60,8 +60,8 @@
 	return common
 }
 
-// StatedPriority is the tenant's priority in words.
-func (t *Tenant) StatedPriority() string {
+// PriorityText is the tenant's priority in words.
+func (t *Tenant) PriorityText() string {
 	if t.Priority == nil {
 		return "of the route"
 	}
@@ -69,7 +69,7 @@
 }
 
 // Called is the tenant's name, empty where there is no tenant.
-func (t *Tenant) Called() string {
+func (t *Tenant) NameOrEmpty() string {
 	if t == nil {
 		return ""
 	}
@@ -79,7 +79,7 @@
 // checkTenants returns the first reason why the tenants cannot be used. It names tenants, never keys.
 func checkTenants(tenants []Tenant) error {
 	names := make(map[string]bool, len(tenants))
-	holders := map[APIKey]string{}
+	owners := map[APIKey]string{}
 	for position, tenant := range tenants {
 		if err := tenant.check(position); err != nil {
 			return err
@@ -89,10 +89,10 @@
 		}
 		names[tenant.Name] = true
 		for _, key := range tenant.Keys {
-			if holder, held := holders[key]; held && holder != tenant.Name {
-				return invalid("tenants %q: a key is held by %q already", tenant.Name, holder)
+			if owner, exists := owners[key]; exists && owner != tenant.Name {
+				return invalid("tenants %q: a key is held by %q already", tenant.Name, owner)
 			}
-			holders[key] = tenant.Name
+			owners[key] = tenant.Name
 		}
 	}
 	return nil
@@ -102,27 +102,27 @@
 	if t.Name == "" {
 		return invalid("tenants[%d]: name is missing", position)
 	}
-	if !headerValue(t.Name) {
+	if !isHeaderValue(t.Name) {
 		return invalid("tenants[%d]: name cannot stand in a header", position)
 	}
-	if !nonNegative(t.RatePerS) {
+	if !isNonNegative(t.RatePerS) {
 		return invalid("tenants %q: ratePerS is below 0", t.Name)
 	}
-	if !nonNegative(t.Burst) {
+	if !isNonNegative(t.Burst) {
 		return invalid("tenants %q: burst is below 0", t.Name)
 	}
 	for position, key := range t.Keys {
-		if reason := key.fault(); reason != "" {
+		if reason := key.invalidReason(); reason != "" {
 			return invalid("tenants %q: apiKeys[%d] %s", t.Name, position, reason)
 		}
 	}
 	return nil
 }
 
-func nonNegative(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
+func isNonNegative(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 
-// headerValue tells whether a text arrives unchanged as the value of a header: it has no control characters and neither
+// isHeaderValue tells whether a text arrives unchanged as the value of a header: it has no control characters and neither
 // begins nor ends with a space.
-func headerValue(text string) bool {
+func isHeaderValue(text string) bool {
 	return text != "" && strings.Trim(text, " ") == text && strings.IndexFunc(text, unicode.IsControl) < 0
 }
--- a/internal/configuration/tenants_test.go
+++ b/internal/configuration/tenants_test.go
@@ -17,11 +17,11 @@
 
 const twoTenants = `[{"name":"one","apiKeys":["` + secret + `","second"],"priority":0,"ratePerS":42,"burst":7},{"name":"two","apiKeys":["third"]}]`
 
-func TestGivenTenantsThenTheTableFindsThemByTheHashOfAKey(t *testing.T) {
-	read, err := Read(withTenants(twoTenants))
+func TestTable_FindTenantByKeyHash(t *testing.T) {
+	read, err := Parse(withTenants(twoTenants))
 	assert.NilError(t, err)
 	table := NewTable(read, nil)
-	assert.Assert(t, table.NeedsKeys())
+	assert.Assert(t, table.RequiresKeys())
 	for key, name := range map[string]string{secret: "one", "second": "one", "third": "two"} {
 		assert.Equal(t, table.Tenant(table.FindTenant(HashKey(key))).Name, name)
 	}
@@ -35,35 +35,35 @@
 	assert.Equal(t, read.Tenants[0].RatePerS, 42.0)
 }
 
-func TestGivenRegionsOfRouteAndTenantThenBothBind(t *testing.T) {
-	for _, one := range []struct{ route, tenant, both []string }{
+func TestTenant_IntersectRegions(t *testing.T) {
+	for _, testCase := range []struct{ route, tenant, both []string }{
 		{nil, nil, nil}, {[]string{"a"}, nil, []string{"a"}}, {nil, []string{"b"}, []string{"b"}},
 		{[]string{"a", "b", "c"}, []string{"c", "b"}, []string{"b", "c"}}, {[]string{"a"}, []string{"b"}, []string{noRegion}},
 	} {
-		tenant := &Tenant{AllowedRegions: one.tenant}
-		assert.DeepEqual(t, tenant.RegionsWithin(one.route), one.both)
+		tenant := &Tenant{AllowedRegions: testCase.tenant}
+		assert.DeepEqual(t, tenant.IntersectRegions(testCase.route), testCase.both)
 	}
 	var none *Tenant
-	assert.DeepEqual(t, none.RegionsWithin([]string{"a"}), []string{"a"})
+	assert.DeepEqual(t, none.IntersectRegions([]string{"a"}), []string{"a"})
 	negative := -1
 	assert.Equal(t, (&Tenant{Priority: &negative}).PriorityOr(4), 0)
 }
 
-func TestGivenAConfigurationWithoutTenantsThenNoKeyIsNeeded(t *testing.T) {
+func TestTable_RequiresKeysOnlyWithTenants(t *testing.T) {
 	for tenants, needed := range map[string]bool{"null": false, "[]": true, "[ ]": true} {
-		read, err := Read(withTenants(tenants))
+		read, err := Parse(withTenants(tenants))
 		assert.NilError(t, err)
-		assert.Equal(t, NewTable(read, nil).NeedsKeys(), needed, tenants)
+		assert.Equal(t, NewTable(read, nil).RequiresKeys(), needed, tenants)
 	}
-	read, err := Read([]byte(sample))
+	read, err := Parse([]byte(sample))
 	assert.NilError(t, err)
-	assert.Assert(t, !NewTable(read, nil).NeedsKeys())
+	assert.Assert(t, !NewTable(read, nil).RequiresKeys())
 	written, err := json.Marshal(read)
 	assert.NilError(t, err)
 	assert.Assert(t, !strings.Contains(string(written), "tenants"))
 }
 
-func TestGivenInvalidTenantsThenTheyAreRefusedWithoutTellingAKey(t *testing.T) {
+func TestParse_RejectsInvalidTenantsWithoutLeakingKeys(t *testing.T) {
 	for tenants, reason := range map[string]string{
 		`[{"name":"a","apiKeys":["` + secret + `"]},{"name":"b","apiKeys":["` + secret + `"]}]`: `tenants "b": a key is held by "a" already`,
 		`[{"apiKeys":["` + secret + `"]}]`:                                        "tenants[0]: name is missing",
@@ -79,46 +79,46 @@
 		`[{"name":"a","apiKeys":["` + secret + `"],"ratePerS":"` + secret + `"}]`: "cannot be read",
 		`{"` + secret + `":1}`:                                                    "cannot be read",
 	} {
-		_, err := Read(withTenants(tenants))
+		_, err := Parse(withTenants(tenants))
 		assert.ErrorContains(t, err, reason, tenants)
 		assert.Assert(t, !strings.Contains(err.Error(), secret), err)
 	}
 }
 
-func TestGivenANumberInQuotesThenItIsRefusedSinceDataPlanesCouldNotDecodeIt(t *testing.T) {
-	_, err := Read([]byte(strings.Replace(sample, `"timeoutMs":1000`, `"timeoutMs":"1000"`, 1)))
+func TestParse_RejectsQuotedNumbers(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(sample, `"timeoutMs":1000`, `"timeoutMs":"1000"`, 1)))
 	assert.ErrorContains(t, err, "routeTable.timeoutMs cannot be read")
 }
 
-func TestGivenAPatchOfTenantsThenTheyChangeByNameAndAnOlderConfigurationMayGainThem(t *testing.T) {
-	patched, err := Apply([]byte(sample), []byte(`{"revision":4,"upsert":{"tenants":`+twoTenants+`}}`))
+func TestApplyPatch_AddsAndChangesTenantsByName(t *testing.T) {
+	patched, err := ApplyPatch([]byte(sample), []byte(`{"revision":4,"upsert":{"tenants":`+twoTenants+`}}`))
 	assert.NilError(t, err)
-	patched, err = Apply(patched, []byte(`{"revision":5,"upsert":{"tenants":[{"name":"two","apiKeys":["fourth"]}]},"remove":{"tenants":["one"]}}`))
+	patched, err = ApplyPatch(patched, []byte(`{"revision":5,"upsert":{"tenants":[{"name":"two","apiKeys":["fourth"]}]},"remove":{"tenants":["one"]}}`))
 	assert.NilError(t, err)
-	unpacked, err := Unpack(Pack(patched))
+	unpacked, err := Decompress(Compress(patched))
 	assert.NilError(t, err)
-	read, err := Read(unpacked)
+	read, err := Parse(unpacked)
 	assert.NilError(t, err)
 	assert.Equal(t, len(read.Tenants), 1)
 	table := NewTable(read, nil)
 	assert.Equal(t, table.Tenant(table.FindTenant(HashKey("fourth"))).Name, "two")
 	assert.Equal(t, table.FindTenant(HashKey("third")), NoTenant)
 	assert.Equal(t, table.FindTenant(HashKey(secret)), NoTenant)
-	_, err = Apply(patched, []byte(`{"revision":6,"upsert":{"tenants":[{"apiKeys":["`+secret+`"]}]}}`))
+	_, err = ApplyPatch(patched, []byte(`{"revision":6,"upsert":{"tenants":[{"apiKeys":["`+secret+`"]}]}}`))
 	assert.ErrorContains(t, err, "name is missing")
 	assert.Assert(t, !strings.Contains(err.Error(), secret))
 }
 
-func TestGivenAKeyThatIsFormattedThenOnlyItsDigestIsSeen(t *testing.T) {
-	read, err := Read(withTenants(twoTenants))
+func TestAPIKey_FormatsOnlyAsDigest(t *testing.T) {
+	read, err := Parse(withTenants(twoTenants))
 	assert.NilError(t, err)
 	redacted, err := json.Marshal(read.Redacted())
 	assert.NilError(t, err)
-	kept, err := json.Marshal(NewTable(read, nil).Configuration)
+	remaining, err := json.Marshal(NewTable(read, nil).Configuration)
 	assert.NilError(t, err)
 	for _, shown := range []string{
 		fmt.Sprint(read), fmt.Sprintf("%v %+v %#v %q %x", read, read, read.Tenants, read.Tenants[0].Keys, read.Tenants[0].Keys[0]),
-		string(redacted), string(kept),
+		string(redacted), string(remaining),
 	} {
 		assert.Assert(t, strings.Contains(shown, APIKey(secret).Digest()), shown)
 		assert.Assert(t, !strings.Contains(shown, secret) && !strings.Contains(shown, fmt.Sprintf("%x", secret)), shown)
--- a/internal/controlplane/demand.go
+++ b/internal/controlplane/demand.go
@@ -19,7 +19,7 @@
 	names := make([]string, len(share.Models))
 	fresh := w.tally.isNew(share)
 	for index, model := range share.Models {
-		names[index] = place.Key(model.Backend, model.Model)
+		names[index] = place.ModelKey(model.Backend, model.Model)
 		if !fresh {
 			continue
 		}
@@ -60,8 +60,8 @@
 	}
 	for name, demand := range w.demand {
 		demand.Rate += share * (w.counted[name]/span - demand.Rate)
-		demand.Often += slowShare * (w.counted[name]/span - demand.Often)
-		demand.Reading += share * (w.reading[name]/span/1000 - demand.Reading)
+		demand.LongTermRate += slowShare * (w.counted[name]/span - demand.LongTermRate)
+		demand.PrefillLoad += share * (w.reading[name]/span/1000 - demand.PrefillLoad)
 		if demand.Rate < 0.003 {
 			demand.Rate = 0
 		}
--- a/internal/controlplane/demandshare.go
+++ b/internal/controlplane/demandshare.go
@@ -28,7 +28,7 @@
 	waits := map[string]bool{}
 	for _, one := range s.reports {
 		for _, model := range one.load.Models {
-			name := place.Key(model.Backend, model.Model)
+			name := place.ModelKey(model.Backend, model.Model)
 			if model.Waiting > 0 {
 				waits[name] = true
 			}
@@ -46,7 +46,7 @@
 	s.waiting = waits
 	clear(s.fresh)
 	for name, model := range models {
-		model.Backend, model.Model = place.SplitKey(name)
+		model.Backend, model.Model = place.SplitModelKey(name)
 		share.Models = append(share.Models, model)
 	}
 	if !partial {
@@ -71,7 +71,7 @@
 	defer s.lock.Unlock()
 	s.arrivals.settle(share.Batch, false)
 	for _, model := range share.Models {
-		delete(s.waiting, place.Key(model.Backend, model.Model))
+		delete(s.waiting, place.ModelKey(model.Backend, model.Model))
 	}
 }
 
--- a/internal/controlplane/demandshare_test.go
+++ b/internal/controlplane/demandshare_test.go
@@ -18,7 +18,7 @@
 	arrive := func(amount int) {
 		sums.Hear(peer.LoadReport{Daemon: "edge", Models: []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}}}, rosterStart)
 	}
-	counted := func() float64 { return holder.counted[place.Key("s", "m")] }
+	counted := func() float64 { return holder.counted[place.ModelKey("s", "m")] }
 	arrive(10)
 	lost := sums.Demand("a", false)
 	holder.hearDemand(lost)
--- a/internal/controlplane/disks.go
+++ b/internal/controlplane/disks.go
@@ -25,7 +25,7 @@
 // still runs when one from a disk is long done. It counts from its beginning, and what the disk was
 // believed to hold is forgotten, so that further loads are counted before they begin.
 func (w *Scheduler) checkDisk(one *managedReplica, state replica.State, askedAt time.Time) {
-	if one.pending == nil || !one.pending.Load || one.pending.Stored || strings.Contains(one.pending.Model, "/") {
+	if one.pending == nil || !one.pending.Load || one.pending.FromStore || strings.Contains(one.pending.Model, "/") {
 		return
 	}
 	carriedOut := one.state.CarriesOut(replicastate.Report{Sequence: state.Sequence, Busy: state.Busy})
@@ -34,7 +34,7 @@
 	if !carriedOut || !known || ran < storeShare*model.LoadTimeS {
 		return
 	}
-	one.pending.Stored = true
+	one.pending.FromStore = true
 	w.countBegun(one.began)
 	w.lock.Lock()
 	w.heldOnce[diskOf(one.listed)] = map[string]bool{one.pending.Model: true}
--- a/internal/controlplane/drill.go
+++ b/internal/controlplane/drill.go
@@ -66,7 +66,7 @@
 			return nil, errUnchanged
 		}
 		if held.Running && (view.Number != held.Number || view.isRunning(d.clock())) {
-			return nil, apierror.New(apierror.RehearsalUnderWay, "drill %d of %s runs", held.Number, held.Scope)
+			return nil, apierror.New(apierror.DrillInProgress, "drill %d of %s runs", held.Number, held.Scope)
 		}
 		next, err := request.Record(held)
 		started = next
@@ -99,7 +99,7 @@
 	}
 	for zone, state := range snapshot.Zones {
 		if state.Drained {
-			return apierror.New(apierror.RehearsalUnderWay, "zone %s is evacuated", zone)
+			return apierror.New(apierror.DrillInProgress, "zone %s is evacuated", zone)
 		}
 	}
 	inside, outside := 0, 0
@@ -113,7 +113,7 @@
 		}
 	}
 	if inside == 0 || outside == 0 {
-		return apierror.New(apierror.InvalidRehearsal, "%d replicas in %s, %d outside", inside, request.Scope, outside)
+		return apierror.New(apierror.InvalidDrill, "%d replicas in %s, %d outside", inside, request.Scope, outside)
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 	defer cancel()
 	for {
 		err := d.changeContext(bounded, keystore.DrillKey, decide)
-		if err == nil || bounded.Err() != nil || !retryable[apierror.Of(err).Kind] {
+		if err == nil || bounded.Err() != nil || !retryable[apierror.From(err).Kind] {
 			return err
 		}
 		nodesettings.Sleep(bounded, time.Duration(20+rand.IntN(80))*time.Millisecond)
--- a/internal/controlplane/eviction.go
+++ b/internal/controlplane/eviction.go
@@ -59,7 +59,7 @@
 // those that items name, then those past their share of the context's life.
 func (w *Scheduler) planEviction(ctx context.Context, snapshot *Snapshot, view *place.View) {
 	w.checkRunning(view.Now)
-	view.EvictingContext = w.eviction.running != ""
+	view.ContextEvictionInProgress = w.eviction.running != ""
 	for _, item := range snapshot.Forgets.Purges {
 		if !item.HasPendingTargets() {
 			continue
@@ -71,11 +71,11 @@
 		w.updateItem(ctx, item)
 		for _, pair := range item.Targets {
 			if pair.State == retention.Pending && !w.eviction.cleared[clearedKey(item.Number, pair)] {
-				view.EvictContexts = append(view.EvictContexts, place.ServerModel{Server: pair.Replica, Model: pair.Model})
+				view.ContextEvictions = append(view.ContextEvictions, place.ServerModel{Server: pair.Replica, Model: pair.Model})
 			}
 		}
 	}
-	view.EvictContexts = append(view.EvictContexts, w.dueCopies(snapshot.Policy, view.Now)...)
+	view.ContextEvictions = append(view.ContextEvictions, w.dueCopies(snapshot.Policy, view.Now)...)
 }
 
 // clearedKey names a pair of an item.
--- a/internal/controlplane/explain.go
+++ b/internal/controlplane/explain.go
@@ -18,11 +18,11 @@
 		return
 	}
 	for name, demand := range view.Demand {
-		if demand.Waiting == 0 || demand.OldestMs < float64(explainEvery.Milliseconds()) {
+		if demand.Waiting == 0 || demand.OldestWaitMs < float64(explainEvery.Milliseconds()) {
 			continue
 		}
 		w.explained = now
-		states := logrus.Fields{"wanted": name, "oldest_ms": demand.OldestMs, "tokens": view.Tokens}
+		states := logrus.Fields{"wanted": name, "oldest_ms": demand.OldestWaitMs, "tokens": view.StoreTokens}
 		for _, server := range view.Servers {
 			one := w.managed[server.ID]
 			states[server.ID] = fmt.Sprintf(
--- a/internal/controlplane/feed.go
+++ b/internal/controlplane/feed.go
@@ -47,7 +47,7 @@
 }
 
 func (w *Scheduler) currentCatalog(table *configuration.Table) *place.Catalog {
-	if !w.catalog.Of(table) {
+	if !w.catalog.IsFor(table) {
 		w.catalog = place.NewCatalog(table)
 	}
 	return w.catalog
--- a/internal/controlplane/feed_bench_test.go
+++ b/internal/controlplane/feed_bench_test.go
@@ -60,7 +60,7 @@
 				now = now.Add(100 * time.Millisecond)
 				for _, report := range reports[:max(len(reports)/10, 1)] {
 					for index, model := range report.Models {
-						names[index] = place.Key(model.Backend, model.Model)
+						names[index] = place.ModelKey(model.Backend, model.Model)
 					}
 					w.tally.Hear(report, append([]string{}, names...), now)
 				}
--- a/internal/controlplane/forecast.go
+++ b/internal/controlplane/forecast.go
@@ -89,7 +89,7 @@
 	}
 	question := &drill.Question{Number: nonce(), Scope: scope}
 	if !d.forecasts.begin(question.Number) {
-		return drill.Forecast{}, apierror.New(apierror.RehearsalUnderWay, "a forecast is being gathered here")
+		return drill.Forecast{}, apierror.New(apierror.DrillInProgress, "a forecast is being gathered here")
 	}
 	ask := func(asked *drill.Question) {
 		d.publisher.Change(func(next *Snapshot) bool {
@@ -130,7 +130,7 @@
 	if !snapshot.Fresh(d.clock()) {
 		return drill.FleetView{}, apierror.New(apierror.NoMajority, "this daemon's state is not confirmed")
 	}
-	document, err := configuration.Unpack(snapshot.Packed)
+	document, err := configuration.Decompress(snapshot.Packed)
 	if err != nil || snapshot.Revision == 0 {
 		return drill.FleetView{}, apierror.New(apierror.NoConfiguration, "")
 	}
--- a/internal/controlplane/forecastplan.go
+++ b/internal/controlplane/forecastplan.go
@@ -50,15 +50,15 @@
 	if table := w.currentTable(snapshot); table == nil || !w.Holding() {
 		return drill.Plan{}
 	}
-	view := w.view(snapshot, w.table, w.daemon.clock()).Copy()
-	view.Without(func(zone string) bool { return scope.Covers(zone, w.daemon.settings.Zones[zone]) })
+	view := w.view(snapshot, w.table, w.daemon.clock()).Clone()
+	view.RemoveZones(func(zone string) bool { return scope.Covers(zone, w.daemon.settings.Zones[zone]) })
 	plan := drill.Plan{Holds: true, Steps: []drill.PlacementStep{}}
 	for _, action := range place.Forecast(view) {
 		plan.Steps = append(plan.Steps, drill.PlacementStep{
 			Replica: action.Server,
 			Load:    action.Load,
 			Model:   action.Model,
-			Why:     action.Why,
+			Why:     action.Reason,
 		})
 	}
 	return plan
--- a/internal/controlplane/instructionanswers.go
+++ b/internal/controlplane/instructionanswers.go
@@ -84,7 +84,7 @@
 		return reportLag
 	}
 	expected := nodesettings.Seconds(found.LoadTimeS)
-	if !action.Stored {
+	if !action.FromStore {
 		expected = time.Duration(float64(expected) * diskShare)
 	}
 	return max(expected+100*time.Millisecond, reportLag)
@@ -114,7 +114,7 @@
 func (w *Scheduler) logOrder(one *managedReplica, order replicastate.Order, status int, err error) {
 	why := ""
 	if one.pending != nil {
-		why = one.pending.Why
+		why = one.pending.Reason
 	}
 	logrus.WithFields(logrus.Fields{
 		"replica": one.listed.ID, "load": order.Load, "model": order.Reference, "why": why, "status": status,
--- a/internal/controlplane/loads_test.go
+++ b/internal/controlplane/loads_test.go
@@ -33,7 +33,7 @@
 		for range 1200 {
 			now = now.Add(time.Duration(random.IntN(60)) * time.Millisecond)
 			for tokens := scheduler.loadTokens(now, table); tokens >= 1; tokens-- {
-				scheduler.orderFromStore(place.Action{Server: "r", Model: "m", Load: true, Stored: true}, now)
+				scheduler.orderFromStore(place.Action{Server: "r", Model: "m", Load: true, FromStore: true}, now)
 				scheduler.loadsBegun("r", now)
 				began = append(began, now.Add(time.Duration(random.IntN(int(loadsTransit)))))
 			}
--- a/internal/controlplane/managed.go
+++ b/internal/controlplane/managed.go
@@ -169,16 +169,16 @@
 			continue
 		}
 		view.Servers = append(view.Servers, &place.Server{
-			ID:       id,
-			Backend:  one.listed.Backend,
-			Zone:     one.listed.Zone,
-			Draining: one.listed.State == platform.Draining,
-			Lost:     w.tally.Suspected(id),
-			Models:   one.state.SurelyHeld(),
-			MayHold:  one.state.MayHold(),
-			Held:     w.heldOnce[diskOf(one.listed)],
-			Intent:   one.intent,
-			Ready:    one.state.Ready(now),
+			ID:          id,
+			Backend:     one.listed.Backend,
+			Zone:        one.listed.Zone,
+			Draining:    one.listed.State == platform.Draining,
+			Lost:        w.tally.Suspected(id),
+			Loaded:      one.state.SurelyHeld(),
+			MaybeLoaded: one.state.MayHold(),
+			OnDisk:      w.heldOnce[diskOf(one.listed)],
+			Intent:      one.intent,
+			Ready:       one.state.Ready(now),
 		})
 	}
 }
--- a/internal/controlplane/managedreplica_test.go
+++ b/internal/controlplane/managedreplica_test.go
@@ -22,7 +22,7 @@
 		heldOnce: map[string]map[string]bool{},
 		managed:  map[string]*managedReplica{},
 		overlays: map[string]overlay{},
-		sizes:    place.NewSizeBook(),
+		sizes:    place.NewSizeHistory(),
 	}
 	w.grant = &lease.Grant{Record: lease.Record{Fence: fence}, GrantedAt: *now, ExpiresAt: now.Add(time.Hour)}
 	listed := []platform.Replica{{ID: "r", Backend: "s", Address: "here", Models: []platform.Held{{Name: "m"}}}}
--- a/internal/controlplane/planning.go
+++ b/internal/controlplane/planning.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	if w.table == nil || w.table.Configuration.Revision != snapshot.Revision {
-		document, err := configuration.Unpack(snapshot.Packed)
+		document, err := configuration.Decompress(snapshot.Packed)
 		if err != nil {
 			return w.table
 		}
@@ -61,19 +61,19 @@
 // view is the planner's input at the moment.
 func (w *Scheduler) view(snapshot *Snapshot, table *configuration.Table, now time.Time) *place.View {
 	view := &place.View{
-		Now:     now,
-		Table:   table,
-		Catalog: w.currentCatalog(table),
-		Demand:  w.demand,
-		Sizes:   w.sizes,
-		Loading: map[string]int{},
-		Drained: map[string]bool{},
-		Tokens:  w.loadTokens(now, table),
-		Learned: w.learned(now),
-		Servers: make([]*place.Server, 0, len(w.order)),
+		Now:          now,
+		Table:        table,
+		Catalog:      w.currentCatalog(table),
+		Demand:       w.demand,
+		SizeHistory:  w.sizes,
+		Loading:      map[string]int{},
+		DrainedZones: map[string]bool{},
+		StoreTokens:  w.loadTokens(now, table),
+		DemandKnown:  w.learned(now),
+		Servers:      make([]*place.Server, 0, len(w.order)),
 	}
 	for zone, state := range snapshot.Zones {
-		view.Drained[zone] = state.Drained
+		view.DrainedZones[zone] = state.Drained
 	}
 	for _, id := range w.order {
 		one := w.managed[id]
@@ -81,7 +81,7 @@
 			continue
 		}
 		if one.pending != nil && one.pending.Load && one.listed.State != platform.Draining {
-			view.Loading[place.Key(one.listed.Backend, one.pending.Model)]++
+			view.Loading[place.ModelKey(one.listed.Backend, one.pending.Model)]++
 		}
 	}
 	w.addServers(view, now)
@@ -93,7 +93,7 @@
 	view := w.view(snapshot, table, now)
 	w.planEviction(ctx, snapshot, view)
 	for _, action := range place.Plan(view) {
-		if action.Why == place.ContextEvictionReason {
+		if action.Reason == place.ContextEvictionReason {
 			w.eviction.running = action.Server + " " + action.Model
 			w.eviction.startedAt = now
 		}
--- a/internal/controlplane/rates.go
+++ b/internal/controlplane/rates.go
@@ -19,7 +19,7 @@
 	for name, demand := range w.demand {
 		if _, known := rates[name]; !known {
 			demand.Rate = min(demand.Rate, sharedRate)
-			demand.Reading = 0
+			demand.PrefillLoad = 0
 		}
 	}
 	for name, rate := range rates {
@@ -27,7 +27,7 @@
 			w.demand[name] = &place.Demand{}
 		}
 		w.demand[name].Rate = rate.PerS
-		w.demand[name].Reading = rate.Reading
+		w.demand[name].PrefillLoad = rate.Reading
 		w.demand[name].LastSeen = now
 	}
 }
@@ -42,7 +42,7 @@
 		if demand.Rate >= sharedRate {
 			rates[name] = peer.Rate{
 				PerS:    math.Round(demand.Rate*100) / 100,
-				Reading: math.Round(demand.Reading*1000) / 1000,
+				Reading: math.Round(demand.PrefillLoad*1000) / 1000,
 			}
 		}
 	}
--- a/internal/controlplane/reportpolls.go
+++ b/internal/controlplane/reportpolls.go
@@ -49,7 +49,7 @@
 	for _, id := range ids {
 		one := w.managed[id]
 		for model := range w.heldOnce[diskOf(one.listed)] {
-			if demand := w.demand[place.Key(one.listed.Backend, model)]; demand != nil {
+			if demand := w.demand[place.ModelKey(one.listed.Backend, model)]; demand != nil {
 				wanted[id] += demand.Waiting
 			}
 		}
--- a/internal/controlplane/reportpolls_test.go
+++ b/internal/controlplane/reportpolls_test.go
@@ -38,7 +38,7 @@
 	}
 	w.adoptList(listed, now)
 	last := listed[len(listed)-1]
-	w.demand[place.Key("s", last.Models[0].Name)] = &place.Demand{Waiting: 3}
+	w.demand[place.ModelKey("s", last.Models[0].Name)] = &place.Demand{Waiting: 3}
 	changing := w.managed[listed[100].ID].state
 	assert.Assert(t, changing.Reported(replicastate.Report{}, now))
 	order, decided := changing.Decide(replicastate.Change{Load: true, Reference: "m"}, now)
--- a/internal/controlplane/scheduler.go
+++ b/internal/controlplane/scheduler.go
@@ -42,7 +42,7 @@
 	// grant is the one that managed was learned under.
 	grant *lease.Grant
 	// sizes are those that models had in earlier configurations under the grant.
-	sizes     *place.SizeBook
+	sizes     *place.SizeHistory
 	store     storeBudget
 	table     *configuration.Table
 	lastRate  time.Time
@@ -64,7 +64,7 @@
 		},
 		store: newStoreBudget(), released: make(chan struct{}), commander: replica.NewCommander(daemon.network),
 		demand: map[string]*place.Demand{}, counted: map[string]float64{}, reading: map[string]float64{}, heldOnce: map[string]map[string]bool{},
-		nudge: make(chan struct{}, 1), results: make(chan func(), 64), managed: map[string]*managedReplica{}, overlays: map[string]overlay{}, eviction: newContextEviction(), sizes: place.NewSizeBook(), feed: feed{tally: NewTally()}, lastRate: daemon.clock(),
+		nudge: make(chan struct{}, 1), results: make(chan func(), 64), managed: map[string]*managedReplica{}, overlays: map[string]overlay{}, eviction: newContextEviction(), sizes: place.NewSizeHistory(), feed: feed{tally: NewTally()}, lastRate: daemon.clock(),
 	}
 }
 
@@ -118,7 +118,7 @@
 		return
 	}
 	w.grant = grant
-	w.sizes = place.NewSizeBook()
+	w.sizes = place.NewSizeHistory()
 	w.followed = nil
 	if len(w.managed) > 0 {
 		w.managed = map[string]*managedReplica{}
--- a/internal/controlplane/storebudget.go
+++ b/internal/controlplane/storebudget.go
@@ -115,7 +115,7 @@
 
 // fromStore says whether an action loads weights from the store.
 func fromStore(action place.Action) bool {
-	return action.Load && action.Stored && !strings.Contains(action.Model, "/")
+	return action.Load && action.FromStore && !strings.Contains(action.Model, "/")
 }
 
 // orderFromStore counts a load that is about to be ordered.
--- a/internal/controlplane/sums.go
+++ b/internal/controlplane/sums.go
@@ -68,7 +68,7 @@
 	s.reports[load.Daemon] = report{now, load}
 	s.count(load, 1)
 	for _, model := range load.Models {
-		name := place.Key(model.Backend, model.Model)
+		name := place.ModelKey(model.Backend, model.Model)
 		if model.Arrivals > 0 || model.ReadMs > 0 {
 			s.arrivals.collect(name, model)
 		}
--- a/internal/controlplane/tally.go
+++ b/internal/controlplane/tally.go
@@ -225,10 +225,10 @@
 		}
 		demand.Waiting = one.waiting
 		demand.Running = float64(one.running)
-		demand.OldestMs = 0
-		demand.Aim = max(demand.Aim, one.aim)
+		demand.OldestWaitMs = 0
+		demand.LatencyTargetMs = max(demand.LatencyTargetMs, one.aim)
 		for _, oldest := range one.oldest {
-			demand.OldestMs = max(demand.OldestMs, oldest)
+			demand.OldestWaitMs = max(demand.OldestWaitMs, oldest)
 		}
 		if one.waiting == 0 && one.running == 0 {
 			delete(t.sums, name)
--- a/internal/controlplane/tally_test.go
+++ b/internal/controlplane/tally_test.go
@@ -24,12 +24,12 @@
 			continue
 		}
 		for _, model := range one.share.Models {
-			name := place.Key(model.Backend, model.Model)
+			name := place.ModelKey(model.Backend, model.Model)
 			demand := demands[name]
 			demand.Waiting += model.Waiting
 			demand.Running += float64(model.Running)
 			if model.Waiting > 0 {
-				demand.OldestMs = max(demand.OldestMs, model.OldestMs)
+				demand.OldestWaitMs = max(demand.OldestWaitMs, model.OldestMs)
 			}
 			demands[name] = demand
 		}
@@ -75,7 +75,7 @@
 				report := randomReport(random)
 				names := make([]string, len(report.Models))
 				for index, model := range report.Models {
-					names[index] = place.Key(model.Backend, model.Model)
+					names[index] = place.ModelKey(model.Backend, model.Model)
 				}
 				heard[report.Member] = told{now, report}
 				tally.Hear(report, names, now)
@@ -84,7 +84,7 @@
 			tally.WriteTo(demands, now)
 			plain := plainDemand(heard, now)
 			for name, demand := range demands {
-				got := place.Demand{Waiting: demand.Waiting, Running: demand.Running, OldestMs: demand.OldestMs}
+				got := place.Demand{Waiting: demand.Waiting, Running: demand.Running, OldestWaitMs: demand.OldestWaitMs}
 				assert.Equal(t, got, plain[name], "seed %d: %s", seed, name)
 				assert.Equal(t, tally.waiting[name], demand.Waiting > 0, "seed %d: %s", seed, name)
 			}
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -75,7 +75,7 @@
 
 // Replace puts a whole configuration in force on top of version condition (0 for the first).
 func (s *State) Replace(ctx context.Context, baseRevision int64, method string, body []byte) (Change, error) {
-	read, err := configuration.Read(body)
+	read, err := configuration.Parse(body)
 	if err != nil {
 		return Change{}, err
 	}
@@ -89,15 +89,15 @@
 func (s *State) Patch(ctx context.Context, baseRevision int64, method string, body []byte) (Change, error) {
 	call := newCallDigest(method, baseRevision, body)
 	return s.changeConfiguration(ctx, baseRevision, call, func(current ConfigurationRecord) (int64, []byte, error) {
-		present, err := configuration.Unpack(current.Packed)
+		present, err := configuration.Decompress(current.Packed)
 		if err != nil {
 			return 0, nil, err
 		}
-		document, err := configuration.Apply(present, body)
+		document, err := configuration.ApplyPatch(present, body)
 		if err != nil {
 			return 0, nil, err
 		}
-		read, err := configuration.Read(document)
+		read, err := configuration.Parse(document)
 		return read.Revision, document, err
 	})
 }
@@ -135,9 +135,9 @@
 	case baseRevision == r.Revision:
 		return nil
 	case r.AppliedCalls.mayHaveForgotten(baseRevision):
-		return apierror.New(apierror.ForgottenCall, "calls that built on versions up to %d are not remembered", r.AppliedCalls.ForgottenUpTo)
+		return apierror.New(apierror.CallTooOld, "calls that built on versions up to %d are not remembered", r.AppliedCalls.ForgottenUpTo)
 	}
-	return apierror.New(apierror.StaleConfiguration, "revision %d is current", r.Revision)
+	return apierror.New(apierror.VersionConflict, "revision %d is current", r.Revision)
 }
 
 // Configuration reads the document in force, confirmed at a majority.
@@ -153,7 +153,7 @@
 	if record.Revision == 0 {
 		return nil, apierror.New(apierror.NoConfiguration, "")
 	}
-	return configuration.Unpack(record.Packed)
+	return configuration.Decompress(record.Packed)
 }
 
 // DrainZone asks that nothing be sent to a zone's replicas, or withdraws that. The call names
@@ -177,7 +177,7 @@
 			first = &record
 		}
 		if !s.Clock().Before(deadline) || first.Version != record.Version {
-			return nil, apierror.New(apierror.LateCall, "")
+			return nil, apierror.New(apierror.CallExpired, "")
 		}
 		return json.Marshal(ZoneRecord{Version: record.Version + 1, Drained: drained})
 	})
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -57,7 +57,7 @@
 		`"timeoutMs":%d,"targetLatencyMs":600,"backend":"scribes","retryCount":1}],"backends":[{"name":"scribes","healthPath":"/healthz"}]}`, revision, timeout)
 }
 
-func kindOf(err error) apierror.Kind { return apierror.Of(err).Kind }
+func kindOf(err error) apierror.Kind { return apierror.From(err).Kind }
 
 func put(state *controlstate.State, baseRevision, revision, timeout int) error {
 	_, err := state.Replace(context.Background(), int64(baseRevision), http.MethodPut, document(revision, timeout))
@@ -68,16 +68,16 @@
 	state := stateOver(newMemoryStore())
 	assert.NilError(t, put(state, 0, 1, 100))
 	assert.NilError(t, put(state, 1, 2, 200))
-	assert.Equal(t, kindOf(put(state, 1, 2, 300)), apierror.StaleConfiguration)
+	assert.Equal(t, kindOf(put(state, 1, 2, 300)), apierror.VersionConflict)
 	assert.NilError(t, put(state, 1, 2, 200), "the one that was taken is acknowledged again")
 }
 
 func TestState_ReplaceRejectsSecondInitialConfiguration(t *testing.T) {
 	state := stateOver(newMemoryStore())
 	assert.NilError(t, put(state, 0, 1, 100))
-	assert.Equal(t, kindOf(put(state, 0, 1, 200)), apierror.StaleConfiguration)
+	assert.Equal(t, kindOf(put(state, 0, 1, 200)), apierror.VersionConflict)
 	assert.NilError(t, put(state, 1, 2, 300))
-	assert.Equal(t, kindOf(put(state, 0, 1, 200)), apierror.StaleConfiguration)
+	assert.Equal(t, kindOf(put(state, 0, 1, 200)), apierror.VersionConflict)
 	assert.NilError(t, put(state, 0, 1, 100), "the one that was taken is acknowledged again")
 }
 
@@ -86,7 +86,7 @@
 	for revision := 1; revision <= 513; revision++ {
 		assert.NilError(t, put(state, revision-1, revision, revision))
 	}
-	assert.Equal(t, kindOf(put(state, 0, 1, 1)), apierror.ForgottenCall)
+	assert.Equal(t, kindOf(put(state, 0, 1, 1)), apierror.CallTooOld)
 	assert.NilError(t, put(state, 1, 2, 2))
 }
 
@@ -103,11 +103,11 @@
 			acknowledged++
 			continue
 		}
-		assert.Equal(t, kindOf(err), apierror.ForgottenCall, "change %d", revision)
+		assert.Equal(t, kindOf(err), apierror.CallTooOld, "change %d", revision)
 		assert.Equal(t, kindOf(err).Status(), http.StatusServiceUnavailable)
 	}
 	assert.Equal(t, acknowledged, 512)
-	assert.Equal(t, kindOf(put(state, 3*(changes-1), 3*changes, 7)), apierror.StaleConfiguration, "another change under the newest number")
+	assert.Equal(t, kindOf(put(state, 3*(changes-1), 3*changes, 7)), apierror.VersionConflict, "another change under the newest number")
 }
 
 func TestState_AppliedCallsStaySmall(t *testing.T) {
@@ -125,7 +125,7 @@
 	store := newMemoryStore()
 	store.set(keystore.ConfigurationKey, json.RawMessage(`{"revision":9,"packed":"","marks":["x"]}`))
 	state := stateOver(store)
-	assert.Equal(t, kindOf(put(state, 5, 9, 100)), apierror.ForgottenCall)
+	assert.Equal(t, kindOf(put(state, 5, 9, 100)), apierror.CallTooOld)
 	assert.NilError(t, put(state, 9, 10, 100))
 }
 
@@ -139,7 +139,7 @@
 	soon, gone := time.Now().Add(time.Minute), time.Now().Add(-time.Millisecond)
 	assert.NilError(t, drain(state, true, soon))
 	assert.NilError(t, drain(state, false, soon))
-	assert.Equal(t, kindOf(drain(state, true, gone)), apierror.LateCall)
+	assert.Equal(t, kindOf(drain(state, true, gone)), apierror.CallExpired)
 	assert.NilError(t, drain(state, false, gone), "what is so already is acknowledged")
 }
 
@@ -152,7 +152,7 @@
 		store.set(keystore.ZonePrefix+"north", json.RawMessage(`{"number":2,"drained":false}`))
 		store.set(keystore.ZonePrefix+"north", json.RawMessage(`{"number":3,"drained":true}`))
 	}
-	assert.Equal(t, kindOf(drain(state, false, soon)), apierror.LateCall)
+	assert.Equal(t, kindOf(drain(state, false, soon)), apierror.CallExpired)
 }
 
 func TestTranslate(t *testing.T) {
--- a/internal/controlstate/records.go
+++ b/internal/controlstate/records.go
@@ -31,7 +31,7 @@
 }
 
 func (r ConfigurationRecord) next(revision int64, document []byte, call callDigest) ConfigurationRecord {
-	return ConfigurationRecord{Revision: revision, Packed: configuration.Pack(document), AppliedCalls: r.AppliedCalls.add(r.Revision, call)}
+	return ConfigurationRecord{Revision: revision, Packed: configuration.Compress(document), AppliedCalls: r.AppliedCalls.add(r.Revision, call)}
 }
 
 // ZoneRecord is the value of a zone's key. Number rises with each change.
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -37,7 +37,7 @@
 		}
 		answered := q.ask(tenant.Name, now)
 		if left := q.borrower.OverLimitFor(tenant.Name, now); answered == nil && left > 0 {
-			return apierror.Later(apierror.TenantLimit, left)
+			return apierror.NewRetryable(apierror.TenantRateLimited, left)
 		}
 		if answered == nil && now.Sub(began) > patience.Alone && !q.lender.HasFreshFleetSize(now) {
 			break
@@ -46,7 +46,7 @@
 		pause(ctx, answered)
 		q.lock.Lock()
 	}
-	return apierror.Later(apierror.QuotaUnknown, unknownRetry)
+	return apierror.NewRetryable(apierror.QuotaUnknown, unknownRetry)
 }
 
 // pause waits for the answer that is under way, or for a short while where there is none.
--- a/internal/dataplane/context.go
+++ b/internal/dataplane/context.go
@@ -36,7 +36,7 @@
 	}
 	last := d.lastForget
 	d.guarded.Store(true)
-	d.forget(func(ledger *match.Ledger) {
+	d.forget(func(ledger *match.PrefixLedger) {
 		now := d.clock()
 		dropped := 0
 		for _, one := range news.Forgets {
@@ -44,14 +44,14 @@
 				dropped += ledger.Forget(one.Scope.Covers, now)
 			}
 		}
-		ledger.SetLife(time.Duration(news.LifeMs)*time.Millisecond, now)
+		ledger.SetTTL(time.Duration(news.LifeMs)*time.Millisecond, now)
 		d.wants.context.Store(news.Number)
 		d.wants.forgot.Store(last)
 		logrus.WithFields(logrus.Fields{
 			"number":  last,
 			"dropped": dropped,
 			"life_ms": news.LifeMs,
-			"kept":    ledger.Size(),
+			"kept":    ledger.Len(),
 		}).Info("context let go")
 	})
 }
--- a/internal/dataplane/daemon.go
+++ b/internal/dataplane/daemon.go
@@ -25,7 +25,7 @@
 	// path is the settings file, read again at a hangup signal.
 	path string
 	// fleet is what the matcher and the client side see, replaced as a whole.
-	fleet     atomic.Pointer[match.Fleet]
+	fleet     atomic.Pointer[match.Snapshot]
 	matcher   *match.Matcher
 	state     *FleetState
 	listener  *Listener
@@ -48,20 +48,20 @@
 	parameters.Daemon, parameters.LifeBegan = settings.NodeName, began
 	parameters.ColdOverage = bounds.ColdOverage
 	parameters.ColdSlack = bounds.ColdSlack
-	daemon.fleet.Store(&match.Fleet{})
+	daemon.fleet.Store(&match.Snapshot{})
 	daemon.matcher = match.NewMatcher(parameters, settings.Zone, time.Now, &daemon.fleet)
-	daemon.state = NewFleetState(settings, time.Now, &daemon.fleet, daemon.matcher.Changed)
-	daemon.state.forget = daemon.matcher.Forget
+	daemon.state = NewFleetState(settings, time.Now, &daemon.fleet, daemon.matcher.SnapshotChanged)
+	daemon.state.forget = daemon.matcher.UpdateLedger
 	daemon.state.rehearsal.answer = daemon.answerForecast
-	daemon.matcher.OnWanted = daemon.state.interest.Want
-	daemon.matcher.Trusts = daemon.state.Trusts
+	daemon.matcher.OnDemand = daemon.state.interest.Want
+	daemon.matcher.LedgerTrusted = daemon.state.Trusts
 	daemon.quotas = NewQuotas(settings, daemon.peers, time.Now)
 	daemon.state.quotas = daemon.quotas
 	daemon.listener = NewListener(settings, daemon.peers, time.Now, daemon.state)
 	daemon.state.askAgain = daemon.listener.AskAgain
 	silence := nodesettings.Milliseconds(bounds.ContactMs)
 	daemon.forwarder = replica.NewForwarder(network, time.Now, connectBound, silence)
-	daemon.matcher.OnDistrust = daemon.forwarder.CloseIdle
+	daemon.matcher.OnSuspect = daemon.forwarder.CloseIdle
 	budgets := &client.Budgets{
 		Daemon: settings.NodeName, Since: began, Period: nodesettings.Seconds(bounds.BudgetPeriodS),
 		Ratio: bounds.RetryBudgetRatio, Slack: bounds.RetryBudgetSlack,
@@ -151,7 +151,7 @@
 	logrus.Info("leaving: not ready from now on")
 	d.leaving.Store(true)
 	d.handler.Leave()
-	d.matcher.Leave()
+	d.matcher.StartDraining()
 	d.quotas.Leave()
 	d.state.wants.leaving.Store(true)
 	began := time.Now()
@@ -180,13 +180,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-d.matcher.ReportNow:
+		case <-d.matcher.LoadReportDue:
 		}
 		primary := *d.state.wants.primary.Load()
 		if primary == "" {
 			continue
 		}
-		report := d.matcher.Load(ctx)
+		report := d.matcher.LoadReport(ctx)
 		report.Daemon = d.settings.NodeName
 		empty := len(report.Models) == 0 && len(report.Replicas) == 0
 		if empty && quiet {
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -76,7 +76,7 @@
 			return drill.EndedByEvacuation
 		}
 	}
-	return held.drill.Over(now)
+	return held.drill.EndReason(now)
 }
 
 // endDrill ends the drill here if a reason is given, and reports whether it did.
@@ -114,7 +114,7 @@
 	}
 	left := time.Duration(notice.LeftMs) * time.Millisecond
 	if held.drill != nil && held.drill.Number == notice.Number {
-		held.drill.Touch(now, left)
+		held.drill.KeepAlive(now, left)
 		return false
 	}
 	if held.drill != nil && held.drill.Number > notice.Number {
--- a/internal/dataplane/drill_test.go
+++ b/internal/dataplane/drill_test.go
@@ -15,7 +15,7 @@
 
 func TestGivenNewsOfADrillThenItIsFollowedToItsEndAndNeverAgain(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	var fleet atomic.Pointer[match.Fleet]
+	var fleet atomic.Pointer[match.Snapshot]
 	state := NewFleetState(nodesettings.Settings{}, func() time.Time { return now }, &fleet, func() {})
 	number := uint64(1)
 	told := func(running bool, zones map[string]peer.ZoneState) bool {
--- a/internal/dataplane/parts_test.go
+++ b/internal/dataplane/parts_test.go
@@ -14,12 +14,12 @@
 
 type deskStory struct {
 	state *FleetState
-	fleet *atomic.Pointer[match.Fleet]
+	fleet *atomic.Pointer[match.Snapshot]
 	now   time.Time
 }
 
 func newDeskStory() *deskStory {
-	told := &deskStory{fleet: &atomic.Pointer[match.Fleet]{}, now: time.Unix(1000, 0)}
+	told := &deskStory{fleet: &atomic.Pointer[match.Snapshot]{}, now: time.Unix(1000, 0)}
 	settings := nodesettings.Settings{NodeName: "edge", Zone: "north", Zones: map[string]string{"north": "land", "south": "land"}}
 	told.state = NewFleetState(settings, func() time.Time { return told.now }, told.fleet, func() {})
 	return told
--- a/internal/dataplane/readiness.go
+++ b/internal/dataplane/readiness.go
@@ -15,7 +15,7 @@
 	router := chi.NewRouter()
 	router.Get("/ferryspar/readyz", func(writer http.ResponseWriter, request *http.Request) {
 		if d.leaving.Load() {
-			apierror.Write(writer, apierror.New(apierror.Leaving, ""))
+			apierror.Write(writer, apierror.New(apierror.ShuttingDown, ""))
 			return
 		}
 		if !d.state.Ready() {
--- a/internal/dataplane/recording.go
+++ b/internal/dataplane/recording.go
@@ -12,11 +12,11 @@
 	if err != nil {
 		return nil
 	}
-	return configuration.Pack(shown)
+	return configuration.Compress(shown)
 }
 
 // record writes the fleet to the recording, if there is one.
-func (d *FleetState) record(fleet *match.Fleet) {
+func (d *FleetState) record(fleet *match.Snapshot) {
 	if d.Recorder == nil || d.usedFrom == "" {
 		return
 	}
@@ -24,10 +24,10 @@
 		Kind:     record.KindFleet,
 		AtMs:     d.Recorder.Milliseconds(d.clock()),
 		Replicas: d.listed,
-		Edges:    fleet.Edges,
+		Edges:    fleet.DataPlanes,
 		Zone:     d.settings.Zone,
 	}
-	for zone, drained := range fleet.Drained {
+	for zone, drained := range fleet.DrainedZones {
 		if drained {
 			entry.Drained = append(entry.Drained, zone)
 		}
--- a/internal/dataplane/state.go
+++ b/internal/dataplane/state.go
@@ -32,11 +32,11 @@
 }
 
 // FleetState owns what the data plane knows: configuration, evacuations, replicas, others' load. Its
-// run loop merges what control daemons tell and swaps in a new match.Fleet for the request path.
+// run loop merges what control daemons tell and swaps in a new match.Snapshot for the request path.
 type FleetState struct {
 	settings   nodesettings.Settings
 	clock      func() time.Time
-	fleet      *atomic.Pointer[match.Fleet]
+	fleet      *atomic.Pointer[match.Snapshot]
 	wants      wants
 	sources    map[string]*source
 	zones      map[string]peer.ZoneState
@@ -57,7 +57,7 @@
 	Recorder   *record.Writer
 	heard      atomic.Pointer[time.Time]
 	guarded    atomic.Bool
-	forget     func(func(*match.Ledger))
+	forget     func(func(*match.PrefixLedger))
 	askAgain   func(address string)
 	behind     time.Time
 	counted    int
@@ -68,13 +68,13 @@
 }
 
 // NewFleetState starts empty; notify is called after each swap.
-func NewFleetState(settings nodesettings.Settings, clock func() time.Time, fleet *atomic.Pointer[match.Fleet], notify func()) *FleetState {
+func NewFleetState(settings nodesettings.Settings, clock func() time.Time, fleet *atomic.Pointer[match.Snapshot], notify func()) *FleetState {
 	state := &FleetState{
 		settings: settings, clock: clock, fleet: fleet, sources: map[string]*source{}, zones: map[string]peer.ZoneState{},
 		outlook: make(chan peer.FleetLoad, 4), notify: notify, askAgain: func(string) {}, interest: NewInterest(clock), answers: make(chan answered, 4),
 		currency: newCurrency(settings),
 	}
-	fleet.Store(&match.Fleet{})
+	fleet.Store(&match.Snapshot{})
 	nobody := ""
 	state.wants.primary.Store(&nobody)
 	state.wants.told.Store(&toldParts{})
@@ -180,7 +180,7 @@
 func (d *FleetState) adopt(news peer.News) bool {
 	changed := false
 	if len(news.Packed) > 0 && news.Revision > d.wants.revision.Load() {
-		document, err := configuration.Unpack(news.Packed)
+		document, err := configuration.Decompress(news.Packed)
 		if err != nil {
 			logrus.WithError(err).Error("configuration from control daemon cannot be unpacked")
 			return false
@@ -220,9 +220,9 @@
 }
 
 func (d *FleetState) publish() {
-	fleet := &match.Fleet{Table: d.table, Drained: map[string]bool{}, Edges: d.count(), Fetched: d.shown, Others: d.others.Replicas, OthersAt: d.othersAt, Total: d.others.Total, Drill: d.rehearsal.drill}
+	fleet := &match.Snapshot{Table: d.table, DrainedZones: map[string]bool{}, DataPlanes: d.count(), ListedAt: d.shown, PeerLoads: d.others.Replicas, PeerLoadsAt: d.othersAt, PeerOutcomes: d.others.Total, Drill: d.rehearsal.drill}
 	for zone, state := range d.zones {
-		fleet.Drained[zone] = state.Drained
+		fleet.DrainedZones[zone] = state.Drained
 	}
 	fleet.Replicas = d.replicas
 	d.fleet.Store(fleet)
--- a/internal/dataplane/state_bench_test.go
+++ b/internal/dataplane/state_bench_test.go
@@ -15,11 +15,11 @@
 	"ferryspar/internal/peer"
 )
 
-func benchDesk(b *testing.B) (*FleetState, *atomic.Pointer[match.Fleet]) {
+func benchDesk(b *testing.B) (*FleetState, *atomic.Pointer[match.Snapshot]) {
 	settings, err := nodesettings.Parse(nil)
 	assert.NilError(b, err)
 	settings.Zone, settings.Zones = "north", map[string]string{"north": "land"}
-	fleet := &atomic.Pointer[match.Fleet]{}
+	fleet := &atomic.Pointer[match.Snapshot]{}
 	return NewFleetState(settings, time.Now, fleet, func() {}), fleet
 }
 
@@ -109,7 +109,7 @@
 				defer b.StartTimer()
 				whole.Revision = int64(turn)
 				document, _ := json.Marshal(whole)
-				return peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: turn, Revision: whole.Revision, Packed: configuration.Pack(document), Edges: 80}
+				return peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: turn, Revision: whole.Revision, Packed: configuration.Compress(document), Edges: 80}
 			})
 		})
 	}
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -63,7 +63,7 @@
 }
 
 // Record returns the record of a new drill that follows after, with defaults filled in. Errors are
-// of kind apierror.InvalidRehearsal.
+// of kind apierror.InvalidDrill.
 func (r Request) Record(after Record) (Record, error) {
 	if r.Share == 0 {
 		r.Share = DefaultShare
@@ -77,12 +77,12 @@
 	length := time.Duration(r.ForMs) * time.Millisecond
 	switch {
 	case !(r.Share > 0 && r.Share <= 1):
-		return after, apierror.New(apierror.InvalidRehearsal, "share must be above 0 and at most 1")
+		return after, apierror.New(apierror.InvalidDrill, "share must be above 0 and at most 1")
 	case length < MinDuration || length > MaxDuration:
 		least, most := MinDuration.Milliseconds(), MaxDuration.Milliseconds()
-		return after, apierror.New(apierror.InvalidRehearsal, "forMs must lie between %d and %d", least, most)
+		return after, apierror.New(apierror.InvalidDrill, "forMs must lie between %d and %d", least, most)
 	case !(r.Margin > 0 && r.Margin < 1):
-		return after, apierror.New(apierror.InvalidRehearsal, "margin must lie between 0 and 1")
+		return after, apierror.New(apierror.InvalidDrill, "margin must lie between 0 and 1")
 	}
 	return Record{
 		Number:  after.Number + 1,
--- a/internal/drill/scope.go
+++ b/internal/drill/scope.go
@@ -32,7 +32,7 @@
 // (zone to region).
 func (s Scope) Check(zones map[string]string) error {
 	if (s.Region == "") == (s.Zone == "") {
-		return apierror.New(apierror.InvalidRehearsal, "name either a region or a zone")
+		return apierror.New(apierror.InvalidDrill, "name either a region or a zone")
 	}
 	if len(s.Zones(zones)) > 0 {
 		return nil
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -63,12 +63,12 @@
 	request := p.request
 	p.pending, p.submitted = &request, p.edge.world.now()
 	p.edge.waiting = append(p.edge.waiting, p)
-	p.edge.matcher.Begin(p.pending)
+	p.edge.matcher.Enqueue(p.pending)
 	p.edge.collectAnswers()
 }
 
 // onCommand follows the matcher's decision: to forward to a replica, or to fail.
-func (p *attempt) onCommand(command match.Command) {
+func (p *attempt) onCommand(command match.Decision) {
 	p.pending = nil
 	if command.Error != nil {
 		p.fail(command.Error)
@@ -77,9 +77,9 @@
 	w := p.edge.world
 	p.ticket = command.Ticket
 	p.noteForward(command.Replica.ID)
-	if p.forwards > 0 && !p.edge.budget.Take(w.now(), p.edge.fleet.Load().Edges) {
+	if p.forwards > 0 && !p.edge.budget.Take(w.now(), p.edge.fleet.Load().DataPlanes) {
 		p.edge.reportOutcome(p.ticket, match.OutcomeCancelled)
-		p.fail(apierror.Later(apierror.NotExecuted, 100*time.Millisecond))
+		p.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
 		return
 	}
 	p.forward(w.servers[command.Replica.ID])
@@ -87,9 +87,9 @@
 
 // neverRan holds the outcomes that prove that the replica executed nothing of the request.
 var neverRan = map[match.Outcome]bool{
-	match.OutcomeFull:      true,
-	match.OutcomeMissing:   true,
-	match.OutcomeUnreached: true,
+	match.OutcomeFull:         true,
+	match.OutcomeModelMissing: true,
+	match.OutcomeUnreachable:  true,
 }
 
 // onOutcome handles the failure of a forward. Another replica is tried only if nothing was executed
@@ -98,7 +98,7 @@
 	if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 		return
 	}
-	if outcome == match.OutcomeUnreached {
+	if outcome == match.OutcomeUnreachable {
 		p.unreached++
 	} else {
 		p.forwards++
@@ -106,7 +106,7 @@
 	p.reportOutcome(outcome)
 	p.hangUp()
 	p.mayHaveRun = p.mayHaveRun || !neverRan[outcome]
-	p.request.Excluded[p.replicaID] = true
+	p.request.ExcludedReplicas[p.replicaID] = true
 	class := p.call.class
 	switch {
 	case !neverRan[outcome] && (!class.Resumable || p.headSent && p.lastID == 0):
@@ -114,7 +114,7 @@
 	case p.forwards < max(class.RetryCount, 1) && p.unreached < unreachedBound:
 		p.enqueue()
 	case neverRan[outcome] && !p.mayHaveRun:
-		p.fail(apierror.Later(apierror.NotExecuted, 50*time.Millisecond))
+		p.fail(apierror.NewRetryable(apierror.NotExecuted, 50*time.Millisecond))
 	default:
 		p.fail(apierror.New(apierror.ReplicaFailed, ""))
 	}
@@ -155,7 +155,7 @@
 	p.closed = true
 	if p.pending != nil {
 		p.edge.removeWaiting(p)
-		p.edge.matcher.Withdraw(p.pending)
+		p.edge.matcher.Cancel(p.pending)
 		p.pending = nil
 	} else if p.ticket != nil {
 		p.reportOutcome(match.OutcomeCancelled)
--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -114,22 +114,22 @@
 	remaining := c.deadline.Sub(now)
 	firstRemaining := milliseconds(c.class.TimeoutMs) - returnedSlack - c.world.linkDelay(at.zone, c.request.Zone)
 	return match.Request{
-		Attempt:    fmt.Sprintf("%d.%d", c.request.Number, try),
-		Backend:    backendName,
-		Model:      c.request.Model,
-		Parts:      c.request.Parts,
-		Dialogues:  match.Dialogues(c.request.Parts),
-		Prompt:     c.request.Prompt,
-		Output:     float64(c.request.Output),
-		Arrived:    now,
-		Deadline:   c.deadline,
-		Aim:        c.targetLatency(),
-		Priority:   c.class.Priority,
-		Route:      c.class.Name,
-		Repeatable: c.class.Resumable,
-		Homes:      c.class.AllowedRegions,
-		Excluded:   map[string]bool{},
-		Returned:   remaining < firstRemaining,
+		Attempt:          fmt.Sprintf("%d.%d", c.request.Number, try),
+		Backend:          backendName,
+		Model:            c.request.Model,
+		Parts:            c.request.Parts,
+		PrefixHashes:     match.HashPrefixes(c.request.Parts),
+		PromptTokens:     c.request.Prompt,
+		OutputTokens:     float64(c.request.Output),
+		Arrived:          now,
+		Deadline:         c.deadline,
+		LatencyTarget:    c.targetLatency(),
+		Priority:         c.class.Priority,
+		Route:            c.class.Name,
+		Idempotent:       c.class.Resumable,
+		AllowedRegions:   c.class.AllowedRegions,
+		ExcludedReplicas: map[string]bool{},
+		ClientRetry:      remaining < firstRemaining,
 	}
 }
 
--- a/internal/emulator/demand.go
+++ b/internal/emulator/demand.go
@@ -98,7 +98,7 @@
 		d.learningSince = now
 	}
 	for _, model := range load.Models {
-		name := place.Key(model.Backend, model.Model)
+		name := place.ModelKey(model.Backend, model.Model)
 		d.arrivals[name] += float64(model.Arrivals)
 		d.readMs[name] += model.ReadMs
 	}
@@ -144,7 +144,7 @@
 	}
 	for name, one := range d.byKey {
 		one.Rate = exact(one.Rate + share*(d.arrivals[name]/span-one.Rate))
-		one.Reading = exact(one.Reading + share*(d.readMs[name]/span/1000-one.Reading))
+		one.PrefillLoad = exact(one.PrefillLoad + share*(d.readMs[name]/span/1000-one.PrefillLoad))
 		if one.Rate < 0.003 {
 			one.Rate = 0
 		}
@@ -157,7 +157,7 @@
 func (d *demand) sumReports(now time.Time) {
 	for _, one := range d.byKey {
 		one.Waiting = 0
-		one.OldestMs = 0
+		one.OldestWaitMs = 0
 		one.Running = 0
 	}
 	for _, number := range d.reportingEdges() {
@@ -170,12 +170,12 @@
 			continue
 		}
 		for _, model := range heard.load.Models {
-			one := d.entry(place.Key(model.Backend, model.Model))
+			one := d.entry(place.ModelKey(model.Backend, model.Model))
 			one.Waiting += model.Waiting
 			one.Running += float64(model.Running)
-			one.Aim = max(one.Aim, model.Aim)
+			one.LatencyTargetMs = max(one.LatencyTargetMs, model.Aim)
 			if model.Waiting > 0 {
-				one.OldestMs = max(one.OldestMs, model.OldestMs)
+				one.OldestWaitMs = max(one.OldestWaitMs, model.OldestMs)
 				one.LastSeen = now
 			}
 		}
--- a/internal/emulator/demo/plan.go
+++ b/internal/emulator/demo/plan.go
@@ -46,7 +46,7 @@
 	if err := json.Unmarshal(fleetFile, &read); err != nil {
 		return read, errors.Wrap(err, "embedded fleet")
 	}
-	source, err := configuration.Read(embeddedConfiguration)
+	source, err := configuration.Parse(embeddedConfiguration)
 	read.configuration = source
 	return read, errors.Wrap(err, "embedded configuration")
 }
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -23,7 +23,7 @@
 	alive bool
 	// routable tells whether clients are still routed here; it lags behind alive.
 	routable bool
-	fleet    atomic.Pointer[match.Fleet]
+	fleet    atomic.Pointer[match.Snapshot]
 	matcher  *match.Matcher
 	budget   *client.Budget
 	roster   roster
@@ -69,8 +69,8 @@
 	e.othersLoad = nil
 	e.othersLoadAt = time.Time{}
 	e.wakeAt = time.Time{}
-	e.fleet = atomic.Pointer[match.Fleet]{}
-	e.fleet.Store(&match.Fleet{})
+	e.fleet = atomic.Pointer[match.Snapshot]{}
+	e.fleet.Store(&match.Snapshot{})
 	e.matcher = match.NewMatcher(e.world.scenario.Parameters, e.world.scenario.Zones[e.zone].Name, e.world.now, &e.fleet)
 	e.budget = client.NewBudget(budgetPeriod, budgetRatio, budgetSlack)
 	phase := time.Duration(e.number%10) * loadReportEvery / 10
@@ -94,7 +94,7 @@
 	if e.fleet.Load().Table == nil {
 		return
 	}
-	report := e.matcher.LoadNow()
+	report := e.matcher.CollectLoad()
 	life := e.life
 	core := e.world.control
 	e.lastReport = report
@@ -132,13 +132,13 @@
 	if e.roster.fetched.IsZero() {
 		return
 	}
-	fleet := &match.Fleet{
-		Table:    e.world.table,
-		Drained:  map[string]bool{},
-		Edges:    e.roster.edges,
-		Fetched:  e.roster.fetched,
-		Others:   e.othersLoad,
-		OthersAt: e.othersLoadAt,
+	fleet := &match.Snapshot{
+		Table:        e.world.table,
+		DrainedZones: map[string]bool{},
+		DataPlanes:   e.roster.edges,
+		ListedAt:     e.roster.fetched,
+		PeerLoads:    e.othersLoad,
+		PeerLoadsAt:  e.othersLoadAt,
 	}
 	for index, listed := range e.roster.replicas {
 		one := match.NewReplica(index, listed, e.roster.fetched, e.roster.barred)
@@ -177,7 +177,7 @@
 		moved = false
 		for _, one := range slices.Clone(e.waiting) {
 			select {
-			case command := <-one.pending.Answer:
+			case command := <-one.pending.Decided:
 				moved = true
 				e.removeWaiting(one)
 				one.onCommand(command)
@@ -186,7 +186,7 @@
 		}
 	}
 	select {
-	case <-e.matcher.ReportNow:
+	case <-e.matcher.LoadReportDue:
 		e.reportLoad()
 	default:
 	}
@@ -218,5 +218,5 @@
 
 // reportOutcome tells the matcher how the ticket's request went.
 func (e *edge) reportOutcome(ticket *match.Ticket, outcome match.Outcome) {
-	e.matcher.Tell(match.Report{Ticket: ticket, Outcome: outcome, At: e.world.now()})
+	e.matcher.HandleReport(match.Report{Ticket: ticket, Outcome: outcome, At: e.world.now()})
 }
--- a/internal/emulator/forecast.go
+++ b/internal/emulator/forecast.go
@@ -66,21 +66,21 @@
 	}
 	var answers []drill.Answer
 	for number, one := range s.Edges {
-		answer := one.Matcher.ForecastNow(s.Loss)
+		answer := one.Matcher.ForecastSync(s.Loss)
 		answer.Edge = fmt.Sprintf("edge-%03d", number)
 		answer.Zone = one.Zone
 		basis.Edges[answer.Edge] = one.Zone
 		answers = append(answers, answer)
 	}
 	merged := drill.Merge(basis, answers)
-	view := s.View.Copy()
-	view.Without(func(zone string) bool { return s.Loss.Covers(zone, s.Loss.Regions[zone]) })
+	view := s.View.Clone()
+	view.RemoveZones(func(zone string) bool { return s.Loss.Covers(zone, s.Loss.Regions[zone]) })
 	for _, action := range place.Forecast(view) {
 		merged.Placement = append(merged.Placement, drill.PlacementStep{
 			Replica: action.Server,
 			Load:    action.Load,
 			Model:   action.Model,
-			Why:     action.Why,
+			Why:     action.Reason,
 		})
 	}
 	return merged, answers
@@ -91,8 +91,8 @@
 	listed := slices.Clone(s.Listed)
 	for _, one := range s.View.Servers {
 		for index := range listed {
-			if listed[index].ID == one.ID && len(one.Models) > 0 {
-				listed[index].Models = holdings(one.Models)
+			if listed[index].ID == one.ID && len(one.Loaded) > 0 {
+				listed[index].Models = holdings(one.Loaded)
 			}
 		}
 	}
--- a/internal/emulator/forward.go
+++ b/internal/emulator/forward.go
@@ -20,7 +20,7 @@
 		attempt:       p,
 		forwardNumber: number,
 		model:         p.call.request.Model,
-		dialogues:     p.request.Dialogues,
+		dialogues:     p.request.PrefixHashes,
 		nextEvent:     max(p.lastID-w.scenario.Replica.Repeats, 0) + 1,
 		priority:      p.call.class.Priority,
 		queuedAt:      now,
@@ -31,7 +31,7 @@
 		if !to.dark {
 			wait = 2 * w.linkDelay(p.edge.zone, to.machine.zone)
 		}
-		w.events.After(wait, func() { p.onOutcome(number, match.OutcomeUnreached) })
+		w.events.After(wait, func() { p.onOutcome(number, match.OutcomeUnreachable) })
 		return
 	}
 	w.observer.forwarded()
@@ -46,7 +46,7 @@
 	p.edge.afterLink(to.machine.zone, func() {
 		if to.dead {
 			if !to.dark {
-				p.edge.afterLink(to.machine.zone, func() { p.onOutcome(number, match.OutcomeBroken) })
+				p.edge.afterLink(to.machine.zone, func() { p.onOutcome(number, match.OutcomeTruncated) })
 			}
 			return
 		}
@@ -59,7 +59,7 @@
 // rejectionOutcomes tells the outcome of each admission that is a rejection.
 var rejectionOutcomes = map[admission]match.Outcome{
 	admissionFull:    match.OutcomeFull,
-	admissionMissing: match.OutcomeMissing,
+	admissionMissing: match.OutcomeModelMissing,
 }
 
 // watchSilence takes the forward for broken once no byte came for the silence bound.
@@ -72,7 +72,7 @@
 			p.watchSilence(number, left)
 			return
 		}
-		p.onOutcome(number, match.OutcomeBroken)
+		p.onOutcome(number, match.OutcomeTruncated)
 	})
 }
 
@@ -96,10 +96,10 @@
 	p.lastByte, p.edge.lastUsed[p.replicaID] = now, now
 	if !p.firstSeen {
 		p.firstSeen, p.lastReported = true, now
-		p.edge.reportOutcome(p.ticket, match.OutcomeFirst)
+		p.edge.reportOutcome(p.ticket, match.OutcomeFirstEvent)
 	} else if now.Sub(p.lastReported) > aliveEvery {
 		p.lastReported = now
-		p.edge.reportOutcome(p.ticket, match.OutcomeAlive)
+		p.edge.reportOutcome(p.ticket, match.OutcomeProgress)
 	}
 	p.headSent, p.lastID = true, id
 	p.toClient(func() { p.call.receiveEvent(p.try, id) })
--- a/internal/emulator/loss.go
+++ b/internal/emulator/loss.go
@@ -26,7 +26,7 @@
 	Lost    bool
 	Load    peer.LoadReport
 	Matcher *match.Matcher
-	Fleet   *match.Fleet
+	Fleet   *match.Snapshot
 }
 
 // Snapshot is what the daemons know just before a loss; forecasters may read it but not keep or
@@ -118,7 +118,7 @@
 	}
 	for _, one := range w.edges {
 		if one.alive && slices.Contains(zones, one.zone) {
-			loss.Waiting += one.matcher.Waiting()
+			loss.Waiting += one.matcher.WaitingCount()
 		}
 	}
 	maps.DeleteFunc(gone, func(reference string, _ bool) bool { return kept[reference] })
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -174,7 +174,7 @@
 	one := Sample{AtS: w.elapsed().Seconds(), Stored: o.stored, Disk: o.disk, Read: o.readTokens}
 	for _, edge := range w.edges {
 		if edge.alive {
-			one.Waiting += edge.matcher.Waiting()
+			one.Waiting += edge.matcher.WaitingCount()
 		}
 	}
 	for _, machine := range w.machines {
--- a/internal/emulator/planning.go
+++ b/internal/emulator/planning.go
@@ -25,13 +25,13 @@
 // view is the planner's input at the given moment.
 func (c *controlPlane) view(now time.Time) *place.View {
 	view := &place.View{
-		Now:     now,
-		Table:   c.world.table,
-		Demand:  c.demand.copied(),
-		Loading: map[string]int{},
-		Drained: map[string]bool{},
-		Tokens:  c.loadTokens(now),
-		Learned: c.demand.learned(now),
+		Now:          now,
+		Table:        c.world.table,
+		Demand:       c.demand.copied(),
+		Loading:      map[string]int{},
+		DrainedZones: map[string]bool{},
+		StoreTokens:  c.loadTokens(now),
+		DemandKnown:  c.demand.learned(now),
 	}
 	ids := make([]string, 0, len(c.managed))
 	for id := range c.managed {
@@ -41,15 +41,15 @@
 	for _, id := range ids {
 		one := c.managed[id]
 		if one.pending != nil && one.pending.Load {
-			view.Loading[place.Key(backendName, one.pending.Model)]++
+			view.Loading[place.ModelKey(backendName, one.pending.Model)]++
 		}
 		view.Servers = append(view.Servers, &place.Server{
 			ID:      id,
 			Backend: backendName,
 			Zone:    one.listed.Zone,
 			Lost:    c.demand.isSuspect(id, now),
-			Models:  cloneSet(one.models),
-			Held:    c.heldBefore[one.listed.Address],
+			Loaded:  cloneSet(one.models),
+			OnDisk:  c.heldBefore[one.listed.Address],
 			Intent:  one.intent,
 			Ready:   one.known && one.pending == nil,
 		})
@@ -76,7 +76,7 @@
 func (c *controlPlane) startAction(action place.Action, now time.Time) {
 	one := c.managed[action.Server]
 	one.pending = &action
-	if action.Load && action.Stored && !strings.Contains(action.Model, "/") {
+	if action.Load && action.FromStore && !strings.Contains(action.Model, "/") {
 		c.loads = append(c.loads, now)
 	}
 	pause := time.Duration(0)
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -105,7 +105,7 @@
 	if len(s.queue)+len(s.running) >= performance.Slots+performance.QueuePlaces {
 		return admissionFull
 	}
-	if one.attempt.request.Tokens() > s.cache.total {
+	if one.attempt.request.TotalTokens() > s.cache.total {
 		return admissionFull
 	}
 	one.server = s
--- a/internal/emulator/standin/serve.go
+++ b/internal/emulator/standin/serve.go
@@ -78,7 +78,7 @@
 	}
 	r.active++
 	unread, together := prompt, true
-	for position, dialogue := range match.Dialogues(parts) {
+	for position, dialogue := range match.HashPrefixes(parts) {
 		name := fmt.Sprintf("%s %x", reference, dialogue)
 		if together = together && r.cachedPrefixes[name]; together {
 			unread -= parts[position].Tokens
--- a/internal/emulator/world_test.go
+++ b/internal/emulator/world_test.go
@@ -103,7 +103,7 @@
 			}
 		}
 		for _, one := range world.edges {
-			assert.Equal(t, len(one.waiting)+one.matcher.Waiting(), 0)
+			assert.Equal(t, len(one.waiting)+one.matcher.WaitingCount(), 0)
 		}
 	}
 }
--- a/internal/histories/calls_test.go
+++ b/internal/histories/calls_test.go
@@ -190,7 +190,7 @@
 	if err == nil {
 		return acknowledged
 	}
-	if apierror.Of(err).Kind.Status() < http.StatusInternalServerError {
+	if apierror.From(err).Kind.Status() < http.StatusInternalServerError {
 		return rejected
 	}
 	return unknown
--- a/internal/histories/documents_test.go
+++ b/internal/histories/documents_test.go
@@ -28,7 +28,7 @@
 func readConfiguration(ctx context.Context, state *controlstate.State) (int64, content, error) {
 	body, err := state.Configuration(ctx)
 	if err != nil {
-		if apierror.Of(err).Kind == apierror.NoConfiguration {
+		if apierror.From(err).Kind == apierror.NoConfiguration {
 			return 0, content{}, nil
 		}
 		return 0, content{}, err
--- a/internal/launch/exit.go
+++ b/internal/launch/exit.go
@@ -11,11 +11,11 @@
 // UsageError is an error in how a program was called.
 type UsageError struct{ error }
 
-// NewUsageError marks err as one in how the program was called, so that Exit returns ExitUsage.
+// NewUsageError marks err as one in how the program was called, so that ReportError returns ExitUsage.
 func NewUsageError(err error) error { return UsageError{err} }
 
-// Exit prints err, if there is one, and returns the exit status for it.
-func Exit(program string, err error) int {
+// ReportError prints err, if there is one, and returns the exit status for it.
+func ReportError(daemon string, err error) int {
 	if err == nil {
 		return ExitSuccess
 	}
@@ -23,14 +23,14 @@
 		fmt.Println(err)
 		return ExitSuccess
 	}
-	fmt.Fprintf(os.Stderr, "%s: %s\n", program, err)
-	var ended interface{ ExitStatus() int }
-	if errors.As(err, &ended) {
-		return ended.ExitStatus()
+	fmt.Fprintf(os.Stderr, "%s: %s\n", daemon, err)
+	var withStatus interface{ ExitStatus() int }
+	if errors.As(err, &withStatus) {
+		return withStatus.ExitStatus()
 	}
-	var usage *flags.Error
-	var wrong UsageError
-	if errors.As(err, &usage) || errors.As(err, &wrong) {
+	var flagsError *flags.Error
+	var usageError UsageError
+	if errors.As(err, &flagsError) || errors.As(err, &usageError) {
 		return ExitUsage
 	}
 	return ExitFailed
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -1,7 +1,7 @@
 // Package launch is what the programs have in common at their start and end: options, logging,
 // settings, signals, exit statuses.
 //
-// It knows nothing of what the programs do. Start reading at Main.
+// It knows nothing of what the programs do. Start reading at RunDaemon.
 package launch
 
 import (
@@ -24,7 +24,7 @@
 // Version is the version that every program prints.
 const Version = "0.1.0"
 
-// Exit statuses of every program.
+// ReportError statuses of every program.
 const (
 	ExitSuccess  = 0
 	ExitFailed   = 1
@@ -32,19 +32,19 @@
 	ExitSettings = 3
 )
 
-// Program describes a daemon. Serves is the service that its settings must allow ("edge" or
+// Daemon describes a daemon. Serves is the service that its settings must allow ("edge" or
 // "control"), Extra an optional struct of further go-flags options, Run its work until it is told
 // to stop.
-type Program struct {
-	Name   string
-	Short  string
-	Serves string
-	Extra  any
-	Run    func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error
+type Daemon struct {
+	Name         string
+	Summary      string
+	Service      string
+	ExtraOptions any
+	Run          func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error
 }
 
-// heapShare is the part of the memory limit that the garbage collector may fill.
-const heapShare = 0.8
+// heapLimitFraction is the part of the memory limit that the garbage collector may fill.
+const heapLimitFraction = 0.8
 
 type options struct {
 	Settings string `short:"s" long:"settings" description:"path of the settings file (default: FERRYSPAR_SETTINGS)"`
@@ -53,67 +53,67 @@
 	Version  bool   `long:"version" description:"print the version and end"`
 }
 
-// Main parses the command line, reads and checks the settings, runs the program and returns its
+// RunDaemon parses the command line, reads and checks the settings, runs the program and returns its
 // exit status.
-func Main(program Program) int {
-	chosen, err := parse(program)
+func RunDaemon(daemon Daemon) int {
+	parsed, err := parseOptions(daemon)
 	if flags.WroteHelp(err) {
 		fmt.Println(err)
 		return ExitSuccess
 	}
 	if err != nil {
-		return program.fail(err, ExitUsage)
+		return daemon.reportFailure(err, ExitUsage)
 	}
-	if chosen.Version {
-		fmt.Println(program.Name, Version)
+	if parsed.Version {
+		fmt.Println(daemon.Name, Version)
 		return ExitSuccess
 	}
-	if err := startLog(chosen.Level); err != nil {
-		return program.fail(err, ExitUsage)
+	if err := configureLogging(parsed.Level); err != nil {
+		return daemon.reportFailure(err, ExitUsage)
 	}
-	settings, err := readSettings(chosen.Settings, program.Serves)
+	settings, err := readSettings(parsed.Settings, daemon.Service)
 	if err != nil {
-		return program.fail(err, ExitSettings)
+		return daemon.reportFailure(err, ExitSettings)
 	}
-	if chosen.Check {
+	if parsed.Check {
 		fmt.Println("settings are sound")
 		return ExitSuccess
 	}
 	applyLimits(settings.Limits)
-	if err := program.Run(context.Background(), settings, chosen.Settings, listen()); err != nil {
+	if err := daemon.Run(context.Background(), settings, parsed.Settings, notifySignals()); err != nil {
 		logrus.WithError(err).Error("stopped")
 		return ExitFailed
 	}
 	return ExitSuccess
 }
 
-func (p Program) fail(err error, status int) int {
-	fmt.Fprintf(os.Stderr, "%s: %s\n", p.Name, err)
+func (d Daemon) reportFailure(err error, status int) int {
+	fmt.Fprintf(os.Stderr, "%s: %s\n", d.Name, err)
 	return status
 }
 
-func parse(program Program) (options, error) {
-	var chosen options
-	parser := flags.NewNamedParser(program.Name, flags.HelpFlag|flags.PassDoubleDash)
-	parser.ShortDescription = program.Short
-	parser.LongDescription = program.Name + " " + program.Short + "."
-	if _, err := parser.AddGroup("Options", "", &chosen); err != nil {
-		return chosen, err
+func parseOptions(daemon Daemon) (options, error) {
+	var parsed options
+	parser := flags.NewNamedParser(daemon.Name, flags.HelpFlag|flags.PassDoubleDash)
+	parser.ShortDescription = daemon.Summary
+	parser.LongDescription = daemon.Name + " " + daemon.Summary + "."
+	if _, err := parser.AddGroup("Options", "", &parsed); err != nil {
+		return parsed, err
 	}
-	if program.Extra != nil {
-		if _, err := parser.AddGroup(program.Name, "", program.Extra); err != nil {
-			return chosen, err
+	if daemon.ExtraOptions != nil {
+		if _, err := parser.AddGroup(daemon.Name, "", daemon.ExtraOptions); err != nil {
+			return parsed, err
 		}
 	}
 	rest, err := parser.Parse()
 	if err == nil && len(rest) > 0 {
 		err = fmt.Errorf("unexpected argument %q", rest[0])
 	}
-	return chosen, err
+	return parsed, err
 }
 
-func startLog(name string) error {
-	level, err := logrus.ParseLevel(name)
+func configureLogging(levelName string) error {
+	level, err := logrus.ParseLevel(levelName)
 	if err != nil {
 		return fmt.Errorf("--log-level: %w", err)
 	}
@@ -124,15 +124,15 @@
 	return nil
 }
 
-func readSettings(path, serves string) (nodesettings.Settings, error) {
+func readSettings(path, service string) (nodesettings.Settings, error) {
 	settings, err := nodesettings.Load(path)
 	if err != nil {
 		return settings, err
 	}
-	return settings, settings.Check(serves)
+	return settings, settings.Check(service)
 }
 
-func listen() nodesettings.Signals {
+func notifySignals() nodesettings.Signals {
 	stop, hangup := make(chan os.Signal, 2), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -142,6 +142,6 @@
 func applyLimits(limits nodesettings.Limits) {
 	runtime.GOMAXPROCS(max(limits.CPUCores, 1))
 	if limits.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(limits.MemoryMb * heapShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(limits.MemoryMb * heapLimitFraction * (1 << 20)))
 	}
 }
--- a/internal/launch/pinned_test.go
+++ b/internal/launch/pinned_test.go
@@ -31,7 +31,7 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, Exit("program", one.err), one.status)
+			assert.Equal(t, ReportError("program", one.err), one.status)
 		})
 	}
 }
--- a/internal/match/adopt.go
+++ b/internal/match/adopt.go
@@ -9,14 +9,14 @@
 
 // adopt takes the newest snapshot into use. States of replicas outlive it; those of replicas that
 // left are dropped after a while.
-func (m *Matcher) adopt() {
-	loaded := m.current.Load()
-	if loaded == m.fleet {
+func (m *Matcher) useLatestSnapshot() {
+	loaded := m.latest.Load()
+	if loaded == m.snapshot {
 		return
 	}
-	m.fleet = loaded
+	m.snapshot = loaded
 	index := loaded.Index
-	if index == nil && m.index.covers(loaded.Replicas) {
+	if index == nil && m.index.isFor(loaded.Replicas) {
 		index = m.index
 	}
 	if index == nil {
@@ -57,18 +57,18 @@
 	return m.states[id]
 }
 
-// unlistedLife is how long what is known of a replica is kept after the snapshot has left it out. A
+// unlistedTTL is how long what is known of a replica is kept after the snapshot has left it out. A
 // list may leave one out for a moment; what was sent to it meanwhile still counts when it is back.
-const unlistedLife = 5 * time.Second
+const unlistedTTL = 5 * time.Second
 
 // dropUnlisted drops the ledger's entries of replicas that are no longer listed and run nothing of
-// ours, and after unlistedLife their states and health records. With an empty list nothing is dropped.
+// ours, and after unlistedTTL their states and health records. With an empty list nothing is dropped.
 func (m *Matcher) dropUnlisted() {
 	if len(m.index.replicas) == 0 {
 		return
 	}
 	now := m.clock()
-	left := map[string]bool{}
+	removed := map[string]bool{}
 	m.unlisted = 0
 	for id, state := range m.states {
 		if _, listed := m.index.positions[id]; listed {
@@ -81,16 +81,16 @@
 		}
 		if state.unlistedAt.IsZero() {
 			state.unlistedAt = now
-			left[id] = true
+			removed[id] = true
 		}
-		if now.Sub(state.unlistedAt) >= unlistedLife {
+		if now.Sub(state.unlistedAt) >= unlistedTTL {
 			m.unlisted--
 			delete(m.states, id)
 			delete(m.watched, id)
 		}
 	}
-	if len(left) > 0 {
-		m.ledger.Leave(left)
+	if len(removed) > 0 {
+		m.ledger.DropReplicas(removed)
 	}
 	m.forgetUnlisted()
 }
--- a/internal/match/assign.go
+++ b/internal/match/assign.go
@@ -23,14 +23,14 @@
 	graph.arcs = graph.arcs[:0]
 	graph.scored = graph.scored[:0]
 	graph.rowStarts = graph.rowStarts[:0]
-	trusted := m.Trusts == nil || m.Trusts(now)
+	trusted := m.LedgerTrusted == nil || m.LedgerTrusted(now)
 	for _, request := range requests {
 		graph.rowStarts = append(graph.rowStarts, len(graph.arcs))
 		row := requestRow{
-			request: request,
-			pace:    m.pace(request.Model),
-			rank:    rankWeight(request, now),
-			trusted: trusted,
+			request:   request,
+			pace:      m.pace(request.Model),
+			rank:      rankWeight(request, now),
+			useLedger: trusted,
 		}
 		m.addRow(row, now)
 	}
@@ -46,11 +46,11 @@
 // a share of no other; then the one with the lowest hash fraction is used.
 func (m *Matcher) addRow(row requestRow, now time.Time) {
 	graph, request := &m.graph, row.request
-	request.unplaced = true
+	request.modelNotLoaded = true
 	designated := false
 	fallback := noNode
-	lost := request.drill.lost(m, request, now)
-	for _, position := range request.holdersIn(m.index) {
+	lost := request.drill.excluded(m, request, now)
+	for _, position := range request.hostsIn(m.index) {
 		index := graph.nodeAt[position]
 		node := &graph.nodes[index]
 		if !m.eligible(request, node, now) {
@@ -59,7 +59,7 @@
 		if lost != nil && lost(node.replica.Zone, node.replica.Region) {
 			continue
 		}
-		request.unplaced = false
+		request.modelNotLoaded = false
 		if !m.breakerAdmits(request, node.replica, now) {
 			continue
 		}
@@ -78,7 +78,7 @@
 // eligible reports whether a replica may serve a request at all, whatever its load: it is neither
 // excluded nor in a drained zone, and did not lately answer that the model is not there.
 func (m *Matcher) eligible(request *Request, node *replicaNode, now time.Time) bool {
-	if !node.replica.accepts(request) || m.fleet.Drained[node.replica.Zone] {
+	if !node.replica.accepts(request) || m.snapshot.DrainedZones[node.replica.Zone] {
 		return false
 	}
 	until, missing := node.state.missingUntil[request.Model]
@@ -90,7 +90,7 @@
 func (m *Matcher) addArc(row requestRow, index int, now time.Time) {
 	graph := &m.graph
 	node := &graph.nodes[index]
-	if node.capacity <= 0 || row.request.Tokens() > node.room {
+	if node.capacity <= 0 || row.request.TotalTokens() > node.freeMemory {
 		return
 	}
 	if scored := m.score(row, node, now); scored.weight >= 0 {
@@ -116,10 +116,10 @@
 		request := requests[row]
 		at := graph.rowStarts[row] + chosen[row]
 		node := &graph.nodes[graph.arcs[at].node]
-		if request.Tokens() > node.room {
+		if request.TotalTokens() > node.freeMemory {
 			continue
 		}
-		node.room -= request.Tokens()
+		node.freeMemory -= request.TotalTokens()
 		m.send(request, node, graph.scored[at], now)
 	}
 }
@@ -128,29 +128,29 @@
 func (m *Matcher) send(request *Request, node *replicaNode, scored scoredPair, now time.Time) {
 	replica, state := node.replica, node.state
 	ticket := &Ticket{
-		request:   request,
-		replica:   replica.ID,
-		features:  scored.features,
-		predicted: scored.predicted,
-		kept:      scored.kept,
-		uncached:  scored.uncached,
-		pace:      scored.pace,
-		sent:      now,
+		request:        request,
+		replica:        replica.ID,
+		features:       scored.features,
+		predictedMs:    scored.predictedMs,
+		cachedTokens:   scored.cachedTokens,
+		uncachedTokens: scored.uncachedTokens,
+		pace:           scored.pace,
+		sentAt:         now,
 	}
 	state.running++
-	state.tokens += request.Tokens()
-	state.pendingTokens += scored.uncached * scored.pace
+	state.tokens += request.TotalTokens()
+	state.pendingTokens += scored.uncachedTokens * scored.pace
 	state.awaitingFirst[ticket] = true
 	state.inFlight[ticket] = true
-	request.noteWarm(scored.kept)
+	request.recordCachedParts(scored.cachedTokens)
 	if request.drill != nil {
-		request.drill.sent(request, replica)
+		request.drill.recordSend(request, replica)
 	}
-	state.noteSend(now, node.cold.remembered())
+	state.recordSend(now, node.warmUp.sendsToRemember())
 	m.watched[replica.ID] = state
 	key := [2]string{request.Backend, request.Model}
 	m.running[key]++
-	m.reads[key] += scored.uncached / 1000 * scored.pace * state.predictor.ReadingRate()
-	m.ledger.Note(replica.ID, request.prompt(), request.Arrived, now)
-	m.answer(request, Command{Replica: replica, Ticket: ticket})
+	m.prefillMs[key] += scored.uncachedTokens / 1000 * scored.pace * state.predictor.PrefillMsPerThousand()
+	m.ledger.RecordPrompt(replica.ID, request.prompt(), request.Arrived, now)
+	m.resolve(request, Decision{Replica: replica, Ticket: ticket})
 }
--- a/internal/match/breaker.go
+++ b/internal/match/breaker.go
@@ -10,78 +10,78 @@
 type breakerState int
 
 const (
-	breakerClosed    breakerState = iota // in service
-	breakerOpen                          // left out
-	breakerProbing                       // repeatable requests, one at a time over the whole fleet
-	breakerTrickling                     // any requests, one at a time
+	breakerClosed     breakerState = iota // in service
+	breakerOpen                           // left out
+	breakerProbing                        // repeatable requests, one at a time over the whole fleet
+	breakerRecovering                     // any requests, one at a time
 )
 
 const (
-	// openEvidence is the log likelihood ratio above which a breaker opens.
-	openEvidence = 3.0
-	// firstOpenTime is doubled with every relapse up to longestOpenTime, and again short after
-	// calmTime in service.
-	firstOpenTime   = 1500 * time.Millisecond
-	longestOpenTime = 6 * time.Second
-	calmTime        = 10 * time.Second
-	// probeTime is the longest time of probing, trickleTime that of trickling.
-	probeTime   = 3 * time.Second
-	trickleTime = 1500 * time.Millisecond
+	// openThreshold is the log likelihood ratio above which a breaker opens.
+	openThreshold = 3.0
+	// minOpenTime is doubled with every relapse up to maxOpenTime, and again short after
+	// stableTime in service.
+	minOpenTime = 1500 * time.Millisecond
+	maxOpenTime = 6 * time.Second
+	stableTime  = 10 * time.Second
+	// probeTime is the longest time of probing, recoveryTime that of trickling.
+	probeTime    = 3 * time.Second
+	recoveryTime = 1500 * time.Millisecond
 	// relapseFailures more failures than at the start of a trial are a relapse; as many in all
-	// make a replica worth a breaker. probeServed and trickleServed end a trial early.
+	// make a replica worth a breaker. probeServed and recoveryServed end a trial early.
 	relapseFailures = 0.8
 	probeServed     = 0.8
-	trickleServed   = 2.0
+	recoveryServed  = 2.0
 )
 
 // breaker is the circuit breaker of one replica.
 type breaker struct {
-	state    breakerState
-	since    time.Time     // of the state
-	openFor  time.Duration // how long it was open last; 0 before the first time
-	evidence float64       // of the last review
+	state        breakerState
+	since        time.Time     // of the state
+	openDuration time.Duration // how long it was open last; 0 before the first time
+	evidence     float64       // of the last review
 	// baseline is the record at the start of the trial, faded since as the record itself.
-	baseline outcomeTally
+	baseline outcomeCounter
 }
 
 // successor is the breaker of a new life at the address of an old one (or of none): closed, but with
 // the length of its pause.
-func (b *breaker) successor(now time.Time) *breaker {
+func (b *breaker) inherit(now time.Time) *breaker {
 	if b == nil {
 		return &breaker{}
 	}
-	next := &breaker{openFor: b.openFor, since: now}
+	next := &breaker{openDuration: b.openDuration, since: now}
 	if b.state == breakerClosed {
 		next.since = b.since
 	}
 	return next
 }
 
-func (b *breaker) become(next breakerState, now time.Time) {
+func (b *breaker) setState(next breakerState, now time.Time) {
 	b.state = next
 	b.since = now
 }
 
-// open leaves the replica out, longer than the last time unless it was well for calmTime.
+// open leaves the replica out, longer than the last time unless it was well for stableTime.
 func (b *breaker) open(now time.Time) {
-	if b.openFor == 0 || b.state == breakerClosed && now.Sub(b.since) > calmTime {
-		b.openFor = firstOpenTime
+	if b.openDuration == 0 || b.state == breakerClosed && now.Sub(b.since) > stableTime {
+		b.openDuration = minOpenTime
 	} else {
-		b.openFor = min(2*b.openFor, longestOpenTime)
+		b.openDuration = min(2*b.openDuration, maxOpenTime)
 	}
-	b.become(breakerOpen, now)
+	b.setState(breakerOpen, now)
 }
 
 // startTrial begins probing or trickling.
 func (b *breaker) startTrial(next breakerState, seen peer.Outcomes, now time.Time) {
-	b.baseline = outcomeTally{Outcomes: seen, at: now}
-	b.become(next, now)
+	b.baseline = outcomeCounter{Outcomes: seen, at: now}
+	b.setState(next, now)
 }
 
 // review moves the breaker by what all data planes have seen and by the evidence against the replica.
 func (b *breaker) review(seen peer.Outcomes, evidence float64, now time.Time) {
 	b.evidence = evidence
-	b.baseline.advance(now)
+	b.baseline.decay(now)
 	if b.baseline.Failed < negligible {
 		b.baseline.Failed = 0
 	}
@@ -92,24 +92,24 @@
 	case breakerClosed:
 		// Failures from before the trial that closed it do not open it again.
 		recent := b.baseline.Failed == 0 || failed > relapseFailures
-		if b.evidence > openEvidence && recent {
+		if b.evidence > openThreshold && recent {
 			b.open(now)
 		}
 	case breakerOpen:
-		if spent >= b.openFor {
+		if spent >= b.openDuration {
 			b.startTrial(breakerProbing, seen, now)
 		}
 	case breakerProbing:
 		if failed > relapseFailures {
 			b.open(now)
-		} else if served > probeServed || spent >= min(b.openFor, probeTime) {
-			b.startTrial(breakerTrickling, seen, now)
+		} else if served > probeServed || spent >= min(b.openDuration, probeTime) {
+			b.startTrial(breakerRecovering, seen, now)
 		}
-	case breakerTrickling:
+	case breakerRecovering:
 		if failed > relapseFailures {
 			b.open(now)
-		} else if served > trickleServed || spent >= trickleTime {
-			b.become(breakerClosed, now)
+		} else if served > recoveryServed || spent >= recoveryTime {
+			b.setState(breakerClosed, now)
 		}
 	}
 }
--- a/internal/match/dense_test.go
+++ b/internal/match/dense_test.go
@@ -95,7 +95,7 @@
 // pathTo is the path that ends at a replica, from its start.
 func pathTo(end int, replicaFrom, requestFrom []int) []step {
 	var path []step
-	for replica, bound := end, 0; replica >= 0 && bound <= len(requestFrom); bound++ {
+	for replica, limit := end, 0; replica >= 0 && limit <= len(requestFrom); limit++ {
 		request := replicaFrom[replica]
 		path = append(path, step{request, replica})
 		replica = requestFrom[request]
@@ -109,14 +109,14 @@
 	if replica.Backend != request.Backend || replica.Draining {
 		return false
 	}
-	if len(request.Homes) > 0 && !slices.Contains(request.Homes, replica.Region) {
+	if len(request.AllowedRegions) > 0 && !slices.Contains(request.AllowedRegions, replica.Region) {
 		return false
 	}
 	return request.Model == "" || replica.Models[request.Model]
 }
 
-// denseAnswer is a batch decided over all replicas.
-type denseAnswer struct {
+// denseDecision is a batch decided over all replicas.
+type denseDecision struct {
 	unplaced []bool
 	chosen   []int
 	cost     [][]float64
@@ -131,17 +131,17 @@
 		costs[position] = forbidden
 		node := &columns[position]
 		replica := node.replica
-		if !denseServes(replica, request) || request.Excluded[replica.ID] || m.fleet.Drained[replica.Zone] {
+		if !denseServes(replica, request) || request.ExcludedReplicas[replica.ID] || m.snapshot.DrainedZones[replica.Zone] {
 			continue
 		}
 		if until, missing := node.state.missingUntil[request.Model]; missing && now.Before(until) {
 			continue
 		}
 		unplaced = false
-		if node.capacity <= 0 || request.Tokens() > node.room {
+		if node.capacity <= 0 || request.TotalTokens() > node.freeMemory {
 			continue
 		}
-		scored := m.score(requestRow{request: request, pace: m.pace(request.Model), trusted: true}, node, now)
+		scored := m.score(requestRow{request: request, pace: m.pace(request.Model), useLedger: true}, node, now)
 		if scored.weight >= 0 {
 			costs[position] = -scored.weight * rankWeight(request, now)
 		}
@@ -150,9 +150,9 @@
 }
 
 // denseChoice is the reference of Matcher.assign: it weighs every request with every replica.
-func denseChoice(m *Matcher, requests []*Request, now time.Time) denseAnswer {
-	replicas := m.fleet.Replicas
-	answer := denseAnswer{
+func denseChoice(m *Matcher, requests []*Request, now time.Time) denseDecision {
+	replicas := m.snapshot.Replicas
+	answer := denseDecision{
 		unplaced: make([]bool, len(requests)),
 		cost:     make([][]float64, len(requests)),
 		capacity: make([]int, len(replicas)),
@@ -163,7 +163,7 @@
 			position: position,
 			replica:  replica,
 			state:    m.state(replica.ID),
-			others:   m.fleet.Others[replica.ID],
+			peerLoad: m.snapshot.PeerLoads[replica.ID],
 		}
 		m.measureCapacity(&columns[position], now)
 		answer.capacity[position] = columns[position].capacity
@@ -183,11 +183,11 @@
 	})
 	for _, row := range sequence {
 		node := &columns[answer.chosen[row]]
-		if requests[row].Tokens() > node.room {
+		if requests[row].TotalTokens() > node.freeMemory {
 			answer.chosen[row] = -1
 			continue
 		}
-		node.room -= requests[row].Tokens()
+		node.freeMemory -= requests[row].TotalTokens()
 	}
 	return answer
 }
--- a/internal/match/drill_record.go
+++ b/internal/match/drill_record.go
@@ -17,7 +17,7 @@
 }
 
 // count changes the record of the request's route.
-func (d *Drill) count(request *Request, change func(record *routeRecord)) {
+func (d *Drill) updateRoute(request *Request, change func(record *routeRecord)) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	record := d.routes[request.Route]
@@ -29,64 +29,64 @@
 }
 
 // side is where a request is counted.
-func (r *routeRecord) side(request *Request) (*drill.Tally, *hdrhistogram.Histogram) {
-	if request.drilled && !request.onlyCopyLost {
+func (r *routeRecord) tallyFor(request *Request) (*drill.Tally, *hdrhistogram.Histogram) {
+	if request.underDrill && !request.onlyCopyLost {
 		return &r.counts.Drilled, r.firstDrilled
 	}
 	return &r.counts.Rest, r.firstRest
 }
 
 // first counts the first event of a request. Resumed ones had theirs before.
-func (d *Drill) first(request *Request, at time.Time) {
+func (d *Drill) recordFirstEvent(request *Request, at time.Time) {
 	if request.Resumed {
 		return
 	}
-	d.count(request, func(record *routeRecord) {
-		tally, times := record.side(request)
-		took := at.Sub(request.Arrived)
-		drill.RecordLatency(times, float64(took.Microseconds())/1000)
-		if took <= request.target() {
-			tally.InAim++
+	d.updateRoute(request, func(record *routeRecord) {
+		counter, times := record.tallyFor(request)
+		duration := at.Sub(request.Arrived)
+		drill.RecordLatency(times, float64(duration.Microseconds())/1000)
+		if duration <= request.latencyTargetOrTimeout() {
+			counter.InAim++
 		} else {
-			tally.Late++
+			counter.Late++
 		}
 	})
 }
 
 // target is the time in which a first event counts as in aim: the route's aim, or all the time the
 // request has where the route has none.
-func (r *Request) target() time.Duration {
-	if r.Aim > 0 {
-		return r.Aim
+func (r *Request) latencyTargetOrTimeout() time.Duration {
+	if r.LatencyTarget > 0 {
+		return r.LatencyTarget
 	}
 	return r.Deadline.Sub(r.Arrived)
 }
 
 // refused counts a request that was rejected.
-func (d *Drill) refused(request *Request) {
-	d.count(request, func(record *routeRecord) {
-		tally, _ := record.side(request)
-		tally.Refused++
+func (d *Drill) recordRejection(request *Request) {
+	d.updateRoute(request, func(record *routeRecord) {
+		counter, _ := record.tallyFor(request)
+		counter.Refused++
 	})
 }
 
 // broken counts a request whose answer was cut.
-func (d *Drill) broken(request *Request) {
-	d.count(request, func(record *routeRecord) {
-		tally, _ := record.side(request)
-		tally.Broken++
+func (d *Drill) recordTruncation(request *Request) {
+	d.updateRoute(request, func(record *routeRecord) {
+		counter, _ := record.tallyFor(request)
+		counter.Broken++
 	})
 }
 
-// reportLife is how long a report is reused before a new one is made.
-const reportLife = 400 * time.Millisecond
+// reportTTL is how long a report is reused before a new one is made.
+const reportTTL = 400 * time.Millisecond
 
 // Report is what the drill has counted, with why it ended, if it has. The caller must not change it.
 func (d *Drill) Report(ended string, now time.Time) *drill.Report {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if d.told != nil && d.told.Ended == ended && now.Sub(d.toldAt) < reportLife {
-		return d.told
+	if d.lastReport != nil && d.lastReport.Ended == ended && now.Sub(d.lastReportAt) < reportTTL {
+		return d.lastReport
 	}
 	report := &drill.Report{Number: d.Number, Ended: ended, Routes: map[string]drill.EdgeRouteTally{}}
 	for name, record := range d.routes {
@@ -95,7 +95,7 @@
 		counts.FirstRest = drill.EncodeHistogram(record.firstRest)
 		report.Routes[name] = counts
 	}
-	d.told = report
-	d.toldAt = now
+	d.lastReport = report
+	d.lastReportAt = now
 	return report
 }
--- a/internal/match/flow.go
+++ b/internal/match/flow.go
@@ -31,8 +31,8 @@
 	reachedFrom    []predecessor
 }
 
-// resized returns the buffer with that length, filled with one value.
-func resized[Value any](buffer []Value, length int, fill Value) []Value {
+// resizeBuffer returns the buffer with that length, filled with one value.
+func resizeBuffer[Value any](buffer []Value, length int, fill Value) []Value {
 	buffer = slices.Grow(buffer[:0], length)[:length]
 	for position := range buffer {
 		buffer[position] = fill
@@ -43,8 +43,8 @@
 // assign returns for each row (request) the position of its chosen arc in the row, or -1. The result
 // is valid until the next call.
 func (f *flowSolver) assign(rows [][]arc, capacity []int) []int {
-	f.chosen = resized(f.chosen, len(rows), -1)
-	f.used = resized(f.used, len(capacity), 0)
+	f.chosen = resizeBuffer(f.chosen, len(rows), -1)
+	f.used = resizeBuffer(f.used, len(capacity), 0)
 	for {
 		end, gain := f.shortest(rows, capacity)
 		if end < 0 || gain >= 0 {
@@ -59,7 +59,7 @@
 // request on the path takes its new arc and frees the replica it had.
 func (f *flowSolver) augment(rows [][]arc, end int) {
 	column := end
-	for left := len(rows); column >= 0 && left > 0; left-- {
+	for remaining := len(rows); column >= 0 && remaining > 0; remaining-- {
 		taken := f.reachedFrom[column]
 		freed := f.chosen[taken.row]
 		f.chosen[taken.row] = taken.arc
@@ -75,9 +75,9 @@
 // replica and the cost, or -1 when there is none.
 func (f *flowSolver) shortest(rows [][]arc, capacity []int) (int, float64) {
 	unreached := math.Inf(1)
-	f.rowDistance = resized(f.rowDistance, len(rows), unreached)
-	f.columnDistance = resized(f.columnDistance, len(capacity), unreached)
-	f.reachedFrom = resized(f.reachedFrom, len(capacity), predecessor{-1, -1})
+	f.rowDistance = resizeBuffer(f.rowDistance, len(rows), unreached)
+	f.columnDistance = resizeBuffer(f.columnDistance, len(capacity), unreached)
+	f.reachedFrom = resizeBuffer(f.reachedFrom, len(capacity), predecessor{-1, -1})
 	for row, at := range f.chosen {
 		if at < 0 {
 			f.rowDistance[row] = 0
--- a/internal/match/flow_test.go
+++ b/internal/match/flow_test.go
@@ -8,42 +8,42 @@
 	"gotest.tools/v3/assert"
 )
 
-// exhaustive is the least cost of serving the requests from the given one on, by trying everything.
-func exhaustive(cost [][]float64, capacity []int, request int) float64 {
+// exhaustiveMinCost is the least cost of serving the requests from the given one on, by trying everything.
+func exhaustiveMinCost(cost [][]float64, capacity []int, request int) float64 {
 	if request == len(cost) {
 		return 0
 	}
-	best := exhaustive(cost, capacity, request+1)
+	best := exhaustiveMinCost(cost, capacity, request+1)
 	for replica := range capacity {
 		if capacity[replica] == 0 || cost[request][replica] == forbidden {
 			continue
 		}
 		capacity[replica]--
-		best = min(best, cost[request][replica]+exhaustive(cost, capacity, request+1))
+		best = min(best, cost[request][replica]+exhaustiveMinCost(cost, capacity, request+1))
 		capacity[replica]++
 	}
 	return best
 }
 
-func TestGivenSmallGraphsThenTheFlowEqualsExhaustiveSearch(t *testing.T) {
-	draw := rand.New(rand.NewPCG(1, 2))
+func TestFlowSolver_EqualsExhaustiveSearch(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
 	for round := range 3000 {
-		requests, replicas := 1+draw.IntN(5), 1+draw.IntN(4)
+		requests, replicas := 1+random.IntN(5), 1+random.IntN(4)
 		cost := make([][]float64, requests)
 		for row := range cost {
 			cost[row] = make([]float64, replicas)
 			for column := range cost[row] {
-				cost[row][column] = -draw.Float64()
-				if draw.IntN(4) == 0 {
+				cost[row][column] = -random.Float64()
+				if random.IntN(4) == 0 {
 					cost[row][column] = forbidden
 				}
 			}
 		}
 		capacity := make([]int, replicas)
 		for column := range capacity {
-			capacity[column] = draw.IntN(3)
+			capacity[column] = random.IntN(3)
 		}
-		rows := sparse(cost)
+		rows := sparseRows(cost)
 		var solver flowSolver
 		chosen := solver.assign(rows, capacity)
 		total, load := 0.0, make([]int, replicas)
@@ -57,7 +57,7 @@
 			load[column]++
 			assert.Assert(t, load[column] <= capacity[column], "round %d: over capacity", round)
 		}
-		best := exhaustive(cost, capacity, 0)
+		best := exhaustiveMinCost(cost, capacity, 0)
 		assert.Assert(t, math.Abs(total-best) < 1e-9, "round %d: flow %f, best %f", round, total, best)
 	}
 }
--- a/internal/match/forecast.go
+++ b/internal/match/forecast.go
@@ -9,8 +9,8 @@
 	"ferryspar/internal/drill"
 )
 
-// Covers reports whether a zone of a region belongs to a loss that is forecast or rehearsed.
-type Covers func(zone, region string) bool
+// ZoneFilter reports whether a zone of a region belongs to a loss that is forecast or rehearsed.
+type ZoneFilter func(zone, region string) bool
 
 // Forecast works out what this data plane would do if replicas were lost (docs/rehearsal.md). It
 // decides on a copy of the matcher with the ordinary code, so nothing changes; Run pauses only
@@ -18,7 +18,7 @@
 func (m *Matcher) Forecast(ctx context.Context, loss drill.Loss) (drill.Answer, error) {
 	reply := make(chan *Matcher, 1)
 	select {
-	case m.forkAsked <- reply:
+	case m.forkRequests <- reply:
 		before := <-reply
 		return before.forecast(loss, before.clock()), nil
 	case <-ctx.Done():
@@ -26,18 +26,18 @@
 	}
 }
 
-// scoresBound is how many pairs of request and replica a forecast weighs at most, over all routes.
-const scoresBound = 100_000
+// maxForecastPairs is how many pairs of request and replica a forecast weighs at most, over all routes.
+const maxForecastPairs = 100_000
 
 // forecast runs on a fork: m decides without the loss, a second fork after it. What runs at the lost
 // replicas and what waits is placed first, so that the rest is as full as it would be.
 func (m *Matcher) forecast(loss drill.Loss, now time.Time) drill.Answer {
-	rest, lost := m.fleet.without(loss.Covers)
+	rest, lost := m.snapshot.without(loss.Covers)
 	after := m.fork(now, m.ledger.forkOrdered())
-	after.useFleet(rest, NewIndex(rest.Replicas))
+	after.useSnapshot(rest, NewIndex(rest.Replicas))
 	answer := drill.Answer{
-		Ready:    m.fleet.Table != nil,
-		Cached:   m.ledger.warmTokens(lost),
+		Ready:    m.snapshot.Table != nil,
+		Cached:   m.ledger.cachedTokensByModel(lost),
 		Replicas: map[string]drill.ReplicaLoad{},
 	}
 	if !answer.Ready {
@@ -54,10 +54,10 @@
 		after:  after,
 		loss:   loss,
 		lost:   lost,
-		budget: scoresBound / max(len(m.ledger.samples.routes), 1),
+		budget: maxForecastPairs / max(len(m.ledger.samples.routes), 1),
 		now:    now,
 	}
-	for _, route := range m.fleet.Table.Configuration.Routes {
+	for _, route := range m.snapshot.Table.Configuration.Routes {
 		ring := m.ledger.samples.routes[route.Name]
 		if ring != nil && len(ring.requests) > 0 {
 			answer.Routes = append(answer.Routes, routes.forecast(ring.requests))
@@ -66,13 +66,13 @@
 	return answer
 }
 
-// warmTokens counts the tokens in the ledger by model: at lost replicas, those of them that are at
+// cachedTokensByModel counts the tokens in the ledger by model: at lost replicas, those of them that are at
 // no other replica, and kept.
-func (l *Ledger) warmTokens(lost map[string]*Replica) map[string]drill.CachedTokens {
+func (l *PrefixLedger) cachedTokensByModel(lost map[string]*Replica) map[string]drill.CachedTokens {
 	elsewhere := map[ledgerKey]bool{}
 	for key := range l.entries {
 		if lost[key.replica] == nil {
-			elsewhere[key.anywhere()] = true
+			elsewhere[key.withoutReplica()] = true
 		}
 	}
 	counted := map[ledgerKey]bool{}
@@ -83,7 +83,7 @@
 			sum.Kept += entry.tokens
 		} else {
 			sum.Lost += entry.tokens
-			if prefix := key.anywhere(); !elsewhere[prefix] && !counted[prefix] {
+			if prefix := key.withoutReplica(); !elsewhere[prefix] && !counted[prefix] {
 				sum.Only += entry.tokens
 				counted[prefix] = true
 			}
@@ -94,8 +94,8 @@
 }
 
 // anywhere is the key without its replica.
-func (k ledgerKey) anywhere() ledgerKey {
-	return ledgerKey{model: k.model, dialogue: k.dialogue}
+func (k ledgerKey) withoutReplica() ledgerKey {
+	return ledgerKey{model: k.model, prefix: k.prefix}
 }
 
 // inFlightAt are copies of the requests that run at lost replicas, sorted by attempt.
@@ -123,7 +123,7 @@
 	flight.AtLost = len(inFlight)
 	flight.Waiting = len(m.waiting)
 	for _, request := range inFlight {
-		if request.Repeatable {
+		if request.Idempotent {
 			flight.GoOn++
 		} else {
 			flight.Cut++
@@ -134,7 +134,7 @@
 	for start := 0; start < len(requests); start += m.parameters.BatchSize {
 		batch := requests[start:min(start+m.parameters.BatchSize, len(requests))]
 		for _, request := range batch {
-			request.Answer = make(chan Command, 1)
+			request.Decided = make(chan Decision, 1)
 		}
 		m.assign(batch, now)
 		for _, request := range batch {
@@ -146,13 +146,13 @@
 // countMove counts where one request of forecastInFlight went.
 func countMove(request *Request, loss drill.Loss, answer *drill.Answer) {
 	select {
-	case command := <-request.Answer:
-		load := answer.Replicas[command.Replica.ID]
+	case decision := <-request.Decided:
+		load := answer.Replicas[decision.Replica.ID]
 		load.Moved++
-		answer.Replicas[command.Replica.ID] = load
+		answer.Replicas[decision.Replica.ID] = load
 		answer.Flight.Placed++
 	default:
-		if loss.LosesAllRegions(request.Homes) {
+		if loss.LosesAllRegions(request.AllowedRegions) {
 			answer.Flight.Bound++
 		} else {
 			answer.Flight.Stuck++
--- a/internal/match/forecast_fork.go
+++ b/internal/match/forecast_fork.go
@@ -12,10 +12,10 @@
 
 // fork copies the ledger without the sequence of ages, which only a ledger that is written to needs.
 // Of the samples it takes the requests that are decided, since others still change.
-func (l *Ledger) fork() *Ledger {
-	copied := &Ledger{
-		bound:    l.bound,
-		life:     l.life,
+func (l *PrefixLedger) fork() *PrefixLedger {
+	copied := &PrefixLedger{
+		limit:    l.limit,
+		ttl:      l.ttl,
 		sequence: l.sequence,
 		forgets:  l.forgets,
 		entries:  make(map[ledgerKey]*ledgerEntry, len(l.entries)),
@@ -39,9 +39,9 @@
 }
 
 // forkOrdered copies the ledger with the sequence of ages.
-func (l *Ledger) forkOrdered() *Ledger {
+func (l *PrefixLedger) forkOrdered() *PrefixLedger {
 	copied := l.fork()
-	copied.byAge = NewLedger(0, 0).byAge
+	copied.byAge = NewPrefixLedger(0, 0).byAge
 	for _, entry := range copied.entries {
 		copied.byAge.ReplaceOrInsert(entry)
 	}
@@ -51,14 +51,14 @@
 // clone copies a request as one that no drill picked and no replica refused yet.
 func (r *Request) clone() *Request {
 	copied := *r
-	copied.Excluded = nil
-	copied.Answer = nil
-	copied.unplaced = false
+	copied.ExcludedReplicas = nil
+	copied.Decided = nil
+	copied.modelNotLoaded = false
 	copied.drill = nil
-	copied.drilled = false
+	copied.underDrill = false
 	copied.onlyCopyLost = false
-	copied.indexed = nil
-	copied.holders = nil
+	copied.hostsIndex = nil
+	copied.hosts = nil
 	return &copied
 }
 
@@ -77,17 +77,17 @@
 // fork copies the records, without the breakers by address and what is worked out on demand.
 func (h *health) fork() *health {
 	copied := newHealth()
-	copied.total = h.total
-	copied.notClosed = h.notClosed
-	copied.reviewed = h.reviewed
-	copied.doubtedUntil = maps.Clone(h.doubtedUntil)
+	copied.totalOutcomes = h.totalOutcomes
+	copied.breakersNotClosed = h.breakersNotClosed
+	copied.reviewedAt = h.reviewedAt
+	copied.zoneSuspectedUntil = maps.Clone(h.zoneSuspectedUntil)
 	copied.firstListed = maps.Clone(h.firstListed)
-	for id, kept := range h.tallies {
-		tally := *kept
-		copied.tallies[id] = &tally
+	for id, source := range h.outcomes {
+		counter := *source
+		copied.outcomes[id] = &counter
 	}
-	for id, held := range h.breakers {
-		copiedBreaker := *held
+	for id, source := range h.breakers {
+		copiedBreaker := *source
 		copied.breakers[id] = &copiedBreaker
 	}
 	return copied
@@ -95,19 +95,19 @@
 
 // fork copies the matcher, with that ledger, at a standing clock. The copy has no channels: only
 // decisions can be asked of it.
-func (m *Matcher) fork(now time.Time, ledger *Ledger) *Matcher {
+func (m *Matcher) fork(now time.Time, ledger *PrefixLedger) *Matcher {
 	copied := &Matcher{
-		parameters: m.parameters,
-		zone:       m.zone,
-		clock:      func() time.Time { return now },
-		states:     make(map[string]*replicaState, len(m.states)),
-		watched:    map[string]*replicaState{},
-		health:     m.health.fork(),
-		ledger:     ledger,
-		paces:      maps.Clone(m.paces),
-		running:    maps.Clone(m.running),
-		reads:      maps.Clone(m.reads),
-		Trusts:     m.Trusts,
+		parameters:    m.parameters,
+		zone:          m.zone,
+		clock:         func() time.Time { return now },
+		states:        make(map[string]*replicaState, len(m.states)),
+		watched:       map[string]*replicaState{},
+		health:        m.health.fork(),
+		ledger:        ledger,
+		paces:         maps.Clone(m.paces),
+		running:       maps.Clone(m.running),
+		prefillMs:     maps.Clone(m.prefillMs),
+		LedgerTrusted: m.LedgerTrusted,
 	}
 	for id, state := range m.states {
 		copied.states[id] = state.fork()
@@ -115,13 +115,13 @@
 	for _, request := range m.waiting {
 		copied.waiting = append(copied.waiting, request.clone())
 	}
-	copied.useFleet(m.fleet, m.index)
+	copied.useSnapshot(m.snapshot, m.index)
 	return copied
 }
 
-// useFleet puts a snapshot and its index into use, whatever was in use before.
-func (m *Matcher) useFleet(fleet *Fleet, index *Index) {
-	m.fleet = fleet
+// useSnapshot puts a snapshot and its index into use, whatever was in use before.
+func (m *Matcher) useSnapshot(fleet *Snapshot, index *Index) {
+	m.snapshot = fleet
 	m.index = index
 	m.stateByPosition = make([]*replicaState, len(index.replicas))
 	m.graph.resize(len(index.replicas))
@@ -129,18 +129,18 @@
 
 // without is the snapshot after a loss, and the lost replicas by id. What the other data planes ran
 // at lost replicas is spread over the others of the same backend in proportion to their slots.
-func (f *Fleet) without(covers Covers) (*Fleet, map[string]*Replica) {
-	rest := *f
+func (s *Snapshot) without(affects ZoneFilter) (*Snapshot, map[string]*Replica) {
+	rest := *s
 	rest.Replicas = nil
 	rest.Index = nil
-	rest.Others = maps.Clone(f.Others)
-	if rest.Others == nil {
-		rest.Others = map[string]peer.ReplicaLoad{}
+	rest.PeerLoads = maps.Clone(s.PeerLoads)
+	if rest.PeerLoads == nil {
+		rest.PeerLoads = map[string]peer.ReplicaLoad{}
 	}
 	lost := map[string]*Replica{}
 	slots := map[string]float64{} // left, by backend
-	for _, replica := range f.Replicas {
-		if covers(replica.Zone, replica.Region) {
+	for _, replica := range s.Replicas {
+		if affects(replica.Zone, replica.Region) {
 			lost[replica.ID] = replica
 			continue
 		}
@@ -149,7 +149,7 @@
 	}
 	moving := map[string]peer.ReplicaLoad{} // by backend
 	for id, replica := range lost {
-		sum, load := moving[replica.Backend], f.Others[id]
+		sum, load := moving[replica.Backend], s.PeerLoads[id]
 		sum.Running += load.Running
 		sum.Tokens += load.Tokens
 		sum.Prefill += load.Prefill
@@ -161,11 +161,11 @@
 			continue
 		}
 		share := float64(replica.Slots) / max(slots[replica.Backend], 1)
-		load := rest.Others[replica.ID]
+		load := rest.PeerLoads[replica.ID]
 		load.Running += int(share*float64(sum.Running) + 0.5)
 		load.Tokens += share * sum.Tokens
 		load.Prefill += share * sum.Prefill
-		rest.Others[replica.ID] = load
+		rest.PeerLoads[replica.ID] = load
 	}
 	return &rest, lost
 }
--- a/internal/match/forecast_fork_test.go
+++ b/internal/match/forecast_fork_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-func BenchmarkFork(b *testing.B) {
-	w := newSimulatedFleet(1, 12)
+func BenchmarkMatcher_Fork(b *testing.B) {
+	fleet := newSimulatedFleet(1, 12)
 	for number := range 7000 {
-		w.step(100000 + number)
+		fleet.step(100000 + number)
 	}
-	b.ReportMetric(float64(w.matcher.ledger.Size()), "entries")
+	b.ReportMetric(float64(fleet.matcher.ledger.Len()), "entries")
 	b.Run("in the loop", func(b *testing.B) {
 		for range b.N {
-			w.matcher.fork(w.now, w.matcher.ledger.fork())
+			fleet.matcher.fork(fleet.now, fleet.matcher.ledger.fork())
 		}
 	})
 	b.Run("whole forecast", func(b *testing.B) {
 		for range b.N {
-			w.matcher.fork(w.now, w.matcher.ledger.fork()).forecast(inIsle, w.now)
+			fleet.matcher.fork(fleet.now, fleet.matcher.ledger.fork()).forecast(isleLoss, fleet.now)
 		}
 	})
 }
--- a/internal/match/forecast_route.go
+++ b/internal/match/forecast_route.go
@@ -8,9 +8,9 @@
 	"ferryspar/internal/drill"
 )
 
-// followedFor: a request of a model that nobody holds is left out of a forecast when it is older,
+// demandTTL: a request of a model that nobody holds is left out of a forecast when it is older,
 // since this data plane may have stopped to follow the model (docs/parts.md).
-const followedFor = 30 * time.Second
+const demandTTL = 30 * time.Second
 
 // routeForecaster decides the recent requests of routes again, with the loss and without.
 type routeForecaster struct {
@@ -22,8 +22,8 @@
 	now    time.Time
 }
 
-// decision is where a request would go and what that was worth; a nil replica is nowhere.
-type decision struct {
+// forecastDecision is where a request would go and what that was worth; a nil replica is nowhere.
+type forecastDecision struct {
 	replica  *Replica
 	scored   scoredPair
 	unplaced bool // no replica held the model
@@ -43,7 +43,7 @@
 		EdgeRoute: drill.EdgeRoute{
 			Name:     first.Route,
 			Priority: first.Priority,
-			AimMs:    float64(first.Aim.Milliseconds()),
+			AimMs:    float64(first.LatencyTarget.Milliseconds()),
 		},
 		firstNow:  drill.NewHistogram(),
 		firstThen: drill.NewHistogram(),
@@ -52,12 +52,12 @@
 	budget := f.budget
 	for position := len(sample) - 1; position >= 0 && budget > 0; position-- {
 		request := sample[position]
-		holders := f.before.index.Holders(request.Backend, request.Model)
-		budget -= 2*len(holders) + 1
+		hosts := f.before.index.Hosts(request.Backend, request.Model)
+		budget -= 2*len(hosts) + 1
 		if request.Arrived.Before(oldest) {
 			oldest = request.Arrived
 		}
-		if holders == nil && f.now.Sub(request.Arrived) > followedFor {
+		if hosts == nil && f.now.Sub(request.Arrived) > demandTTL {
 			route.Stale++
 			continue
 		}
@@ -73,59 +73,59 @@
 func (f *routeForecaster) decide(route *routeCount, sampled *Request) {
 	request := sampled.clone()
 	if sampled.wasSent {
-		request.Dialogues = sampled.Dialogues[:sampled.warmParts]
-		request.Parts = sampled.Parts[:sampled.warmParts]
+		request.PrefixHashes = sampled.PrefixHashes[:sampled.cachedParts]
+		request.Parts = sampled.Parts[:sampled.cachedParts]
 	}
 	request.Arrived = f.now
 	request.Deadline = f.now.Add(sampled.Deadline.Sub(sampled.Arrived))
-	here := f.before.decide(request, f.now)
-	there := f.after.decide(request, f.now)
+	here := f.before.decideAlone(request, f.now)
+	there := f.after.decideAlone(request, f.now)
 	route.Sampled++
 	route.countNow(request, here)
 	f.countThen(route, request, here, there)
 }
 
 // decide is the decision on one request alone.
-func (m *Matcher) decide(request *Request, now time.Time) decision {
+func (m *Matcher) decideAlone(request *Request, now time.Time) forecastDecision {
 	chosen := m.solve([]*Request{request}, now)
 	if chosen == nil || chosen[0] < 0 {
-		return decision{unplaced: request.unplaced}
+		return forecastDecision{unplaced: request.modelNotLoaded}
 	}
 	at := m.graph.rowStarts[0] + chosen[0]
-	return decision{
+	return forecastDecision{
 		replica: m.graph.nodes[m.graph.arcs[at].node].replica,
 		scored:  m.graph.scored[at],
 	}
 }
 
 // countNow counts a request's decision without the loss.
-func (r *routeCount) countNow(request *Request, here decision) {
+func (r *routeCount) countNow(request *Request, here forecastDecision) {
 	switch {
 	case here.replica == nil && here.unplaced:
 		r.UnplacedNow++
 	case here.replica == nil:
 		r.WaitNow++
 	default:
-		drill.RecordLatency(r.firstNow, here.scored.predicted)
-		r.LateNow += late(here.scored, request)
+		drill.RecordLatency(r.firstNow, here.scored.predictedMs)
+		r.LateNow += lateCount(here.scored, request)
 	}
 }
 
 // countThen counts its decision with the loss, beside that without.
-func (f *routeForecaster) countThen(route *routeCount, request *Request, here, there decision) {
+func (f *routeForecaster) countThen(route *routeCount, request *Request, here, there forecastDecision) {
 	switch {
 	case there.replica != nil:
-		drill.RecordLatency(route.firstThen, there.scored.predicted)
-		route.Late += late(there.scored, request)
+		drill.RecordLatency(route.firstThen, there.scored.predictedMs)
+		route.Late += lateCount(there.scored, request)
 		if here.replica != nil {
-			route.Reread += there.scored.uncached - here.scored.uncached
+			route.Reread += there.scored.uncachedTokens - here.scored.uncachedTokens
 		}
 		if here.replica != nil && f.lost[here.replica.ID] != nil {
 			route.Moved++
 		} else {
 			route.Stay++
 		}
-	case f.loss.LosesAllRegions(request.Homes):
+	case f.loss.LosesAllRegions(request.AllowedRegions):
 		route.Bound++
 	case there.unplaced:
 		route.Unplaced++
@@ -134,9 +134,9 @@
 	}
 }
 
-// late is 1 for a first event predicted beyond the request's aim.
-func late(scored scoredPair, request *Request) int {
-	if scored.predicted > float64(request.Aim.Milliseconds()) {
+// lateCount is 1 for a first event predicted beyond the request's aim.
+func lateCount(scored scoredPair, request *Request) int {
+	if scored.predictedMs > float64(request.LatencyTarget.Milliseconds()) {
 		return 1
 	}
 	return 0
--- a/internal/match/forecast_test.go
+++ b/internal/match/forecast_test.go
@@ -18,34 +18,34 @@
 // time goes on.
 type simulatedFleet struct {
 	now      time.Time
-	current  atomic.Pointer[Fleet]
+	snapshot atomic.Pointer[Snapshot]
 	matcher  *Matcher
 	requests []*Request
-	running  []Command
-	draw     *rand.Rand
+	running  []Decision
+	random   *rand.Rand
 }
 
-var homes = map[string]string{"east": "land", "west": "land", "isle": "sea"}
+var zoneRegions = map[string]string{"east": "land", "west": "land", "isle": "sea"}
 
-// inIsle is the loss of the zone isle, the only one of its region.
-var inIsle = drill.Loss{Scope: drill.Scope{Zone: "isle"}, Regions: homes}
+// isleLoss is the loss of the zone isle, the only one of its region.
+var isleLoss = drill.Loss{Scope: drill.Scope{Zone: "isle"}, Regions: zoneRegions}
 
 func newSimulatedFleet(seed uint64, replicas int) *simulatedFleet {
-	w := &simulatedFleet{now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC), draw: rand.New(rand.NewPCG(seed, 7))}
+	simulated := &simulatedFleet{now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC), random: rand.New(rand.NewPCG(seed, 7))}
 	runtime := &configuration.Runtime{Slots: 4, KvCacheTokens: 20000}
 	routes := []configuration.Route{{Name: "quick"}, {Name: "patient"}}
-	fleet := &Fleet{
+	fleet := &Snapshot{
 		Table: configuration.NewTable(configuration.Configuration{
 			Routes:   routes,
 			Backends: []configuration.Backend{{Name: "s", Runtime: runtime}},
 		}, nil),
-		Edges:    1,
-		Fetched:  w.now,
-		OthersAt: w.now.Add(time.Hour),
+		DataPlanes:  1,
+		ListedAt:    simulated.now,
+		PeerLoadsAt: simulated.now.Add(time.Hour),
 	}
 	zones := []string{"east", "west", "isle"}
 	for index := range replicas {
-		models := []platform.Held{{Name: fmt.Sprint("m", w.draw.IntN(3))}, {Name: fmt.Sprint("m", 3+w.draw.IntN(3))}}
+		models := []platform.Held{{Name: fmt.Sprint("m", simulated.random.IntN(3))}, {Name: fmt.Sprint("m", 3+simulated.random.IntN(3))}}
 		zone := zones[index%3]
 		replica := NewReplica(index, platform.Replica{
 			ID:      fmt.Sprint("r", index),
@@ -53,63 +53,63 @@
 			Zone:    zone,
 			Slots:   4,
 			Models:  models,
-		}, w.now, nil)
-		replica.Region = homes[zone]
+		}, simulated.now, nil)
+		replica.Region = zoneRegions[zone]
 		fleet.Replicas = append(fleet.Replicas, replica)
 	}
-	w.current.Store(fleet)
-	w.matcher = NewMatcher(DefaultParameters(), "east", func() time.Time { return w.now }, &w.current)
+	simulated.snapshot.Store(fleet)
+	simulated.matcher = NewMatcher(DefaultParameters(), "east", func() time.Time { return simulated.now }, &simulated.snapshot)
 	for number := range 16 * replicas {
-		w.step(number)
+		simulated.step(number)
 	}
-	return w
+	return simulated
 }
 
 // step begins one request and ends some of those that run.
-func (w *simulatedFleet) step(number int) {
-	quick := w.draw.IntN(3) > 0
-	parts := []Part{{1, 200}, {uint64(10 + w.draw.IntN(20)), 400}, {uint64(1000 + number), 100}}
+func (f *simulatedFleet) step(number int) {
+	quick := f.random.IntN(3) > 0
+	parts := []Part{{1, 200}, {uint64(10 + f.random.IntN(20)), 400}, {uint64(1000 + number), 100}}
 	request := &Request{
-		Attempt:   fmt.Sprintf("a%05d", number),
-		Backend:   "s",
-		Model:     fmt.Sprint("m", w.draw.IntN(6)),
-		Parts:     parts,
-		Dialogues: Dialogues(parts),
-		Prompt:    700,
-		Output:    50,
-		Arrived:   w.now,
-		Deadline:  w.now.Add(20 * time.Second),
-		Aim:       600 * time.Millisecond,
-		Priority:  1,
-		Route:     "quick",
+		Attempt:       fmt.Sprintf("a%05d", number),
+		Backend:       "s",
+		Model:         fmt.Sprint("m", f.random.IntN(6)),
+		Parts:         parts,
+		PrefixHashes:  HashPrefixes(parts),
+		PromptTokens:  700,
+		OutputTokens:  50,
+		Arrived:       f.now,
+		Deadline:      f.now.Add(20 * time.Second),
+		LatencyTarget: 600 * time.Millisecond,
+		Priority:      1,
+		Route:         "quick",
 	}
 	if !quick {
-		request.Route, request.Aim, request.Priority, request.Repeatable = "patient", 8*time.Second, 0, true
+		request.Route, request.LatencyTarget, request.Priority, request.Idempotent = "patient", 8*time.Second, 0, true
 	}
-	if w.draw.IntN(10) == 0 {
-		request.Homes = []string{"sea"}
+	if f.random.IntN(10) == 0 {
+		request.AllowedRegions = []string{"sea"}
 	}
-	w.matcher.Begin(request)
-	w.requests = append(w.requests, request)
-	w.answers()
-	w.now = w.now.Add(time.Duration(5+w.draw.IntN(20)) * time.Millisecond)
-	for len(w.running) > 0 && w.draw.IntN(2) == 0 {
-		index := w.draw.IntN(len(w.running))
-		ticket := w.running[index].Ticket
-		w.matcher.Tell(Report{ticket, OutcomeFirst, w.now})
-		w.matcher.Tell(Report{ticket, OutcomeServed, w.now})
-		w.running = append(w.running[:index], w.running[index+1:]...)
-		w.answers()
+	f.matcher.Enqueue(request)
+	f.requests = append(f.requests, request)
+	f.collectDecisions()
+	f.now = f.now.Add(time.Duration(5+f.random.IntN(20)) * time.Millisecond)
+	for len(f.running) > 0 && f.random.IntN(2) == 0 {
+		index := f.random.IntN(len(f.running))
+		ticket := f.running[index].Ticket
+		f.matcher.HandleReport(Report{ticket, OutcomeFirstEvent, f.now})
+		f.matcher.HandleReport(Report{ticket, OutcomeServed, f.now})
+		f.running = append(f.running[:index], f.running[index+1:]...)
+		f.collectDecisions()
 	}
 }
 
 // answers takes in the commands that have come.
-func (w *simulatedFleet) answers() {
-	for _, request := range w.requests {
+func (f *simulatedFleet) collectDecisions() {
+	for _, request := range f.requests {
 		select {
-		case command := <-request.Answer:
-			if command.Ticket != nil {
-				w.running = append(w.running, command)
+		case decision := <-request.Decided:
+			if decision.Ticket != nil {
+				f.running = append(f.running, decision)
 			}
 		default:
 		}
@@ -117,28 +117,28 @@
 }
 
 // loseZone really loses the zone isle and returns how many requests were moved to each replica.
-func (w *simulatedFleet) loseZone() map[string]int {
-	lost, _ := w.current.Load().without(inIsle.Covers)
+func (f *simulatedFleet) loseZone() map[string]int {
+	lost, _ := f.snapshot.Load().without(isleLoss.Covers)
 	var homeless []*Request
-	waiting := w.matcher.waiting
-	w.matcher.waiting = nil
+	waiting := f.matcher.waiting
+	f.matcher.waiting = nil
 	before := map[string]int{}
-	for _, command := range w.running {
-		before[command.Replica.ID]++
-		if command.Replica.Zone == "isle" {
-			homeless = append(homeless, command.Ticket.request.clone())
-			w.matcher.handleReport(Report{command.Ticket, OutcomeBroken, w.now})
+	for _, decision := range f.running {
+		before[decision.Replica.ID]++
+		if decision.Replica.Zone == "isle" {
+			homeless = append(homeless, decision.Ticket.request.clone())
+			f.matcher.handleReport(Report{decision.Ticket, OutcomeTruncated, f.now})
 		}
 	}
-	w.current.Store(lost)
-	w.matcher.adopt()
+	f.snapshot.Store(lost)
+	f.matcher.useLatestSnapshot()
 	for _, request := range homeless {
-		request.Answer, request.decided = make(chan Command, 1), false
+		request.Decided, request.decided = make(chan Decision, 1), false
 	}
-	w.matcher.waiting = append(homeless, waiting...)
-	w.matcher.emit()
+	f.matcher.waiting = append(homeless, waiting...)
+	f.matcher.decideWaiting()
 	moved := map[string]int{}
-	for id, state := range w.matcher.states {
+	for id, state := range f.matcher.states {
 		if added := state.running - before[id]; added > 0 {
 			moved[id] = added
 		}
@@ -147,29 +147,29 @@
 }
 
 // actualCounts sends each sampled request alone, after the loss, and counts where it goes.
-func (w *simulatedFleet) actualCounts(sample []*Request) drill.Counts {
+func (f *simulatedFleet) actualCounts(sample []*Request) drill.Counts {
 	var counts drill.Counts
 	for _, taken := range sample {
 		counts.Sampled++
 		request := taken.clone()
 		if taken.wasSent {
-			request.Dialogues, request.Parts = request.Dialogues[:taken.warmParts], request.Parts[:taken.warmParts]
+			request.PrefixHashes, request.Parts = request.PrefixHashes[:taken.cachedParts], request.Parts[:taken.cachedParts]
 		}
-		request.Arrived, request.Deadline, request.Answer = w.now, w.now.Add(20*time.Second), make(chan Command, 1)
-		again := w.matcher.fork(w.now, w.matcher.ledger.forkOrdered())
+		request.Arrived, request.Deadline, request.Decided = f.now, f.now.Add(20*time.Second), make(chan Decision, 1)
+		again := f.matcher.fork(f.now, f.matcher.ledger.forkOrdered())
 		again.waiting, request.decided = []*Request{request}, false
-		again.emit()
+		again.decideWaiting()
 		select {
-		case command := <-request.Answer:
-			if command.Ticket != nil {
-				counts.Late += late(scoredPair{predicted: command.Ticket.predicted}, request)
+		case decision := <-request.Decided:
+			if decision.Ticket != nil {
+				counts.Late += lateCount(scoredPair{predictedMs: decision.Ticket.predictedMs}, request)
 				counts.Stay++
 			}
 		default:
 			switch {
-			case request.unplaced && inIsle.LosesAllRegions(request.Homes):
+			case request.modelNotLoaded && isleLoss.LosesAllRegions(request.AllowedRegions):
 				counts.Bound++
-			case request.unplaced:
+			case request.modelNotLoaded:
 				counts.Unplaced++
 			default:
 				counts.Wait++
@@ -179,38 +179,38 @@
 	return counts
 }
 
-func TestGivenSeededFleetsWhenAZoneIsReallyLostThenEveryFigureWasForecast(t *testing.T) {
+func TestMatcher_ForecastEqualsActualZoneLoss(t *testing.T) {
 	var seen drill.Counts
 	for _, replicas := range []int{3, 6, 12} {
 		for seed := range uint64(20) {
-			whole := newSimulatedFleet(seed, replicas)
-			matcher := whole.matcher
-			answer := matcher.fork(whole.now, matcher.ledger.fork()).forecast(inIsle, whole.now)
+			simulated := newSimulatedFleet(seed, replicas)
+			matcher := simulated.matcher
+			answer := matcher.fork(simulated.now, matcher.ledger.fork()).forecast(isleLoss, simulated.now)
 			name := fmt.Sprintf("%d replicas, seed %d", replicas, seed)
-			warm := whole.matcher.ledger.warmTokens(map[string]*Replica{})
-			sample := whole.matcher.ledger.fork().samples.routes
-			moved := whole.loseZone()
+			warm := simulated.matcher.ledger.cachedTokensByModel(map[string]*Replica{})
+			sample := simulated.matcher.ledger.fork().samples.routes
+			moved := simulated.loseZone()
 			for id, load := range answer.Replicas {
 				assert.Equal(t, load.Moved, moved[id], "%s %s", name, id)
 			}
 			for _, route := range answer.Routes {
 				seen.Add(route.Counts)
-				real := whole.actualCounts(sample[route.Name].requests)
+				real := simulated.actualCounts(sample[route.Name].requests)
 				assert.Equal(t, route.Stay+route.Moved, real.Stay, "%s %s", name, route.Name)
 				assert.Equal(t, route.Unplaced, real.Unplaced, name)
 				assert.Equal(t, route.Wait, real.Wait, name)
 				assert.Equal(t, route.Bound, real.Bound, name)
 				assert.Equal(t, route.Late, real.Late, name)
 			}
-			for model, one := range answer.Cached {
-				left := 0.0
-				for key, entry := range whole.matcher.ledger.entries {
-					if key.model == model && whole.matcher.fleet.has(key.replica) {
-						left += entry.tokens
+			for model, cached := range answer.Cached {
+				remaining := 0.0
+				for key, entry := range simulated.matcher.ledger.entries {
+					if key.model == model && simulated.matcher.snapshot.contains(key.replica) {
+						remaining += entry.tokens
 					}
 				}
-				assert.Equal(t, warm[model].Kept, one.Lost+one.Kept, name)
-				assert.Assert(t, left >= one.Kept, "%s %s: %f of %f", name, model, left, one.Kept)
+				assert.Equal(t, warm[model].Kept, cached.Lost+cached.Kept, name)
+				assert.Assert(t, remaining >= cached.Kept, "%s %s: %f of %f", name, model, remaining, cached.Kept)
 			}
 		}
 	}
@@ -218,8 +218,8 @@
 	assert.Assert(t, seen.Bound > 0 && seen.Late > seen.LateNow, "every kind was met: %+v", seen)
 }
 
-func (f *Fleet) has(id string) bool {
-	for _, replica := range f.Replicas {
+func (s *Snapshot) contains(id string) bool {
+	for _, replica := range s.Replicas {
 		if replica.ID == id {
 			return true
 		}
@@ -227,4 +227,4 @@
 	return false
 }
 
-func newDraw(seed uint64, step int) *rand.Rand { return rand.New(rand.NewPCG(seed, uint64(step))) }
+func newRandom(seed uint64, step int) *rand.Rand { return rand.New(rand.NewPCG(seed, uint64(step))) }
--- a/internal/match/graph.go
+++ b/internal/match/graph.go
@@ -9,13 +9,13 @@
 
 // replicaNode is one replica in the assignment graph of a batch.
 type replicaNode struct {
-	position int // in the index's list of replicas
-	replica  *Replica
-	state    *replicaState
-	others   peer.ReplicaLoad // what the other data planes run there
-	cold     coldRule
-	capacity int     // requests that may be sent there in this batch
-	room     float64 // tokens of KV memory left
+	position   int // in the index's list of replicas
+	replica    *Replica
+	state      *replicaState
+	peerLoad   peer.ReplicaLoad // what the other data planes run there
+	warmUp     warmUpLimit
+	capacity   int     // requests that may be sent there in this batch
+	freeMemory float64 // tokens of KV memory left
 
 	// designated is set where this data plane's share is at least one slot.
 	designated bool
@@ -26,10 +26,10 @@
 
 // requestRow is one request of the batch with what its scores have in common.
 type requestRow struct {
-	request *Request
-	pace    float64 // of the request's model, see Matcher.pace
-	rank    float64 // factor of the weights, see rankWeight
-	trusted bool    // whether the ledger may be used
+	request   *Request
+	pace      float64 // of the request's model, see Matcher.pace
+	rank      float64 // factor of the weights, see rankWeight
+	useLedger bool    // whether the ledger may be used
 }
 
 // assignmentGraph is the bipartite graph of a batch: requests on one side, the replicas that hold
@@ -83,7 +83,7 @@
 func (m *Matcher) buildNodes(requests []*Request, now time.Time) {
 	graph := &m.graph
 	for _, request := range requests {
-		for _, position := range request.holdersIn(m.index) {
+		for _, position := range request.hostsIn(m.index) {
 			if graph.nodeAt[position] == noNode {
 				graph.nodeAt[position] = len(graph.positions)
 				graph.positions = append(graph.positions, position)
@@ -109,9 +109,9 @@
 		position: position,
 		replica:  replica,
 		state:    m.stateAt(position),
-		others:   m.fleet.Others[replica.ID],
+		peerLoad: m.snapshot.PeerLoads[replica.ID],
 	}
-	if !m.fleet.Drained[replica.Zone] {
+	if !m.snapshot.DrainedZones[replica.Zone] {
 		m.measureCapacity(&node, now)
 	}
 	return node
@@ -124,27 +124,27 @@
 // while it is suspected or answered that it is full, one slot at most while it is cold.
 func (m *Matcher) measureCapacity(node *replicaNode, now time.Time) {
 	replica, state := node.replica, node.state
-	backend, _, known := m.fleet.Table.Backend(replica.Backend)
-	if !known || state.suspected(now) || now.Before(state.fullUntil) {
+	backend, _, known := m.snapshot.Table.Backend(replica.Backend)
+	if !known || state.isSuspected(now) || now.Before(state.fullUntil) {
 		return
 	}
-	node.cold = m.parameters.coldRule(backend.ColdPerS)
+	node.warmUp = m.parameters.warmUpLimit(backend.ColdPerS)
 	memory := unboundedMemory
 	if backend.Runtime != nil && backend.Runtime.KvCacheTokens > 0 {
 		memory = backend.Runtime.KvCacheTokens
 	}
-	cold := now.Before(replica.ColdUntil) && backend.ColdPerS > 0
-	if cold && !m.mayUseCold(state, node.cold.share(m.fleet.Edges), now) {
+	warmUp := now.Before(replica.WarmUpUntil) && backend.ColdPerS > 0
+	if warmUp && !m.mayUseWarmingUp(state, node.warmUp.share(m.snapshot.DataPlanes), now) {
 		return
 	}
-	node.limitToShare(memory, othersWeight(now.Sub(m.fleet.OthersAt)), m.fleet.Edges)
-	if cold {
+	node.limitToShare(memory, peerLoadWeight(now.Sub(m.snapshot.PeerLoadsAt)), m.snapshot.DataPlanes)
+	if warmUp {
 		node.capacity = min(node.capacity, 1)
 	}
 }
 
-// mayUseCold reports whether this data plane may send one more request to a cold replica. What the life
+// mayUseWarmingUp reports whether this data plane may send one more request to a cold replica. What the life
 // of the daemon before sent isn't known, so its whole share counts as used up when this life began.
-func (m *Matcher) mayUseCold(state *replicaState, share coldShare, now time.Time) bool {
-	return now.Sub(m.parameters.LifeBegan) >= share.window && state.mayUseCold(now, share)
+func (m *Matcher) mayUseWarmingUp(state *replicaState, share warmUpShare, now time.Time) bool {
+	return now.Sub(m.parameters.LifeBegan) >= share.window && state.maySendDuringWarmUp(now, share)
 }
--- a/internal/match/health.go
+++ b/internal/match/health.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// lateFactor times the predicted latency is the time after which a first event is overdue.
-	lateFactor = 4
-	// calmLoad and busyLoad are shares of a replica's slots. Above calmLoad neither lateness nor a
-	// refusal as full is held against it, above busyLoad no missing first event.
-	calmLoad = 0.25
-	busyLoad = 0.6
-	// failedSpacing: failures of one replica closer together count once.
-	failedSpacing = 800 * time.Millisecond
+	// overdueFactor times the predicted latency is the time after which a first event is overdue.
+	overdueFactor = 4
+	// lowLoad and highLoad are shares of a replica's slots. Above lowLoad neither lateness nor a
+	// refusal as full is held against it, above highLoad no missing first event.
+	lowLoad  = 0.25
+	highLoad = 0.6
+	// minFailureInterval: failures of one replica closer together count once.
+	minFailureInterval = 800 * time.Millisecond
 	// lateWeight and resetWeight are parts of a failure; a served request counts half at its first
 	// event and half at its end.
 	lateWeight  = 0.25
@@ -25,74 +25,74 @@
 // health is what the outcomes of requests say of the replicas (docs/health.md). It belongs to the
 // matcher's goroutine.
 type health struct {
-	tallies map[string]*outcomeTally // own outcomes by replica id
-	total   outcomeTally             // own outcomes of all replicas
+	outcomes      map[string]*outcomeCounter // own outcomes by replica id
+	totalOutcomes outcomeCounter             // own outcomes of all replicas
 
-	breakers         map[string]*breaker // by replica id, of those that failed once
-	breakerByAddress map[string]*breaker // the last one at an address, for its next life
-	notClosed        int                 // breakers that are not closed
-	reviewed         time.Time           // last review
+	breakers          map[string]*breaker // by replica id, of those that failed once
+	breakerByAddress  map[string]*breaker // the last one at an address, for its next life
+	breakersNotClosed int                 // breakers that are not closed
+	reviewedAt        time.Time           // last review
 
 	// ejected holds, by backend and model, the replicas that may be left out. It is worked out on
 	// demand and cleared with each review.
 	ejected map[[2]string]map[string]bool
 
-	doubtedUntil map[string]time.Time // by zone
-	firstListed  map[string]time.Time // by replica id
+	zoneSuspectedUntil map[string]time.Time // by zone
+	firstListed        map[string]time.Time // by replica id
 }
 
 // newHealth holds no records.
 func newHealth() *health {
 	return &health{
-		tallies:          map[string]*outcomeTally{},
-		breakers:         map[string]*breaker{},
-		breakerByAddress: map[string]*breaker{},
-		ejected:          map[[2]string]map[string]bool{},
-		doubtedUntil:     map[string]time.Time{},
-		firstListed:      map[string]time.Time{},
+		outcomes:           map[string]*outcomeCounter{},
+		breakers:           map[string]*breaker{},
+		breakerByAddress:   map[string]*breaker{},
+		ejected:            map[[2]string]map[string]bool{},
+		zoneSuspectedUntil: map[string]time.Time{},
+		firstListed:        map[string]time.Time{},
 	}
 }
 
 // tally is the tally of a replica, made where there is none yet.
-func (h *health) tally(id string) *outcomeTally {
-	if h.tallies[id] == nil {
-		h.tallies[id] = &outcomeTally{}
+func (h *health) counter(id string) *outcomeCounter {
+	if h.outcomes[id] == nil {
+		h.outcomes[id] = &outcomeCounter{}
 	}
-	return h.tallies[id]
+	return h.outcomes[id]
 }
 
 // reported is a replica's record for a load report.
 func (h *health) reported(id string, now time.Time) peer.Outcomes {
-	if kept := h.tallies[id]; kept != nil {
-		return kept.reported(now)
+	if counter := h.outcomes[id]; counter != nil {
+		return counter.reported(now)
 	}
 	return peer.Outcomes{}
 }
 
 // note counts outcomes of a replica. Failures too close to the last one are not counted; taking one
 // back never goes below none.
-func (h *health) note(id string, served, failed float64, now time.Time) {
-	tally := h.tally(id)
-	tally.advance(now)
+func (h *health) record(id string, served, failed float64, now time.Time) {
+	counter := h.counter(id)
+	counter.decay(now)
 	if failed > 0 {
-		if now.Sub(tally.failedAt) < failedSpacing {
+		if now.Sub(counter.failedAt) < minFailureInterval {
 			return
 		}
-		tally.failedAt = now
+		counter.failedAt = now
 	}
-	failed = max(failed, -tally.Failed)
-	tally.add(served, failed, now)
-	h.total.add(served, failed, now)
+	failed = max(failed, -counter.Failed)
+	counter.add(served, failed, now)
+	h.totalOutcomes.add(served, failed, now)
 }
 
 // failures are the outcomes that count as failed, with their weight.
 var failures = map[Outcome]float64{
-	OutcomeBroken:    1,
-	OutcomeFailed:    1,
-	OutcomeFull:      1,
-	OutcomeUnreached: 1,
-	OutcomeLagging:   lateWeight,
-	OutcomeReset:     resetWeight,
+	OutcomeTruncated:       1,
+	OutcomeFailed:          1,
+	OutcomeFull:            1,
+	OutcomeUnreachable:     1,
+	OutcomeStalled:         lateWeight,
+	OutcomeConnectionReset: resetWeight,
 }
 
 // recordOutcome counts a report in the replica's record: each request as one failure at most, and
@@ -100,29 +100,29 @@
 func (m *Matcher) recordOutcome(report Report) {
 	ticket := report.Ticket
 	failed, counts := failures[report.Outcome]
-	firstEvent := report.Outcome == OutcomeFirst
-	overdue := firstEvent && !ticket.answered && report.At.Sub(ticket.sent) > ticket.firstEventBound()
-	late := report.Outcome == OutcomeLagging || overdue
+	firstEvent := report.Outcome == OutcomeFirstEvent
+	overdue := firstEvent && !ticket.firstEventSeen && report.At.Sub(ticket.sentAt) > ticket.firstEventTimeout()
+	late := report.Outcome == OutcomeStalled || overdue
 	switch {
 	case firstEvent && ticket.overdueCounted:
 		ticket.overdueCounted = false
-		m.health.note(ticket.replica, 0, -1, report.At)
-	case (late || report.Outcome == OutcomeFull) && m.busy(ticket.replica, calmLoad):
+		m.health.record(ticket.replica, 0, -1, report.At)
+	case (late || report.Outcome == OutcomeFull) && m.isBusy(ticket.replica, lowLoad):
 		ticket.failureCounted = true
 	case counts:
 		m.recordFailure(ticket, failed, report.At)
 	case late:
 		m.recordFailure(ticket, lateWeight, report.At)
-	case firstEvent && !ticket.answered, report.Outcome == OutcomeServed && !ticket.failureCounted:
-		m.health.note(ticket.replica, halfServed, 0, report.At)
+	case firstEvent && !ticket.firstEventSeen, report.Outcome == OutcomeServed && !ticket.failureCounted:
+		m.health.record(ticket.replica, halfServed, 0, report.At)
 	}
 }
 
 // busy reports whether a replica runs more than that share of its slots, and more than one request,
 // beside the one in question. One that is not listed counts as busy.
-func (m *Matcher) busy(id string, share float64) bool {
-	running := m.watchState(id).running + m.fleet.Others[id].Running - 1
-	for _, replica := range m.fleet.Replicas {
+func (m *Matcher) isBusy(id string, share float64) bool {
+	running := m.watchState(id).running + m.snapshot.PeerLoads[id].Running - 1
+	for _, replica := range m.snapshot.Replicas {
 		if replica.ID == id {
 			return float64(running) > max(share*float64(replica.Slots), 1)
 		}
@@ -136,35 +136,35 @@
 		return
 	}
 	ticket.failureCounted = true
-	m.health.note(ticket.replica, 0, failed, now)
-	m.signalLoad()
+	m.health.record(ticket.replica, 0, failed, now)
+	m.requestLoadReport()
 }
 
-// firstEventBound is how long after the send a first event is overdue.
-func (t *Ticket) firstEventBound() time.Duration {
-	return max(darkAfter, lateFactor*time.Duration(t.predicted)*time.Millisecond, t.request.Aim/2)
+// firstEventTimeout is how long after the send a first event is overdue.
+func (t *Ticket) firstEventTimeout() time.Duration {
+	return max(inactivityTimeout, overdueFactor*time.Duration(t.predictedMs)*time.Millisecond, t.request.LatencyTarget/2)
 }
 
-// others is the sum of the other data planes for a replica, none where it is older than othersLife.
-func (m *Matcher) others(id string, now time.Time) peer.ReplicaLoad {
-	if now.Sub(m.fleet.OthersAt) > othersLife {
+// others is the sum of the other data planes for a replica, none where it is older than peerLoadTTL.
+func (m *Matcher) peerLoad(id string, now time.Time) peer.ReplicaLoad {
+	if now.Sub(m.snapshot.PeerLoadsAt) > peerLoadTTL {
 		return peer.ReplicaLoad{}
 	}
-	return m.fleet.Others[id]
+	return m.snapshot.PeerLoads[id]
 }
 
-// fleetTotal is the other data planes' total, none where it is older than othersLife.
-func (m *Matcher) fleetTotal(now time.Time) peer.Outcomes {
-	if now.Sub(m.fleet.OthersAt) > othersLife {
+// peerOutcomes is the other data planes' total, none where it is older than peerLoadTTL.
+func (m *Matcher) peerOutcomes(now time.Time) peer.Outcomes {
+	if now.Sub(m.snapshot.PeerLoadsAt) > peerLoadTTL {
 		return peer.Outcomes{}
 	}
-	return m.fleet.Total
+	return m.snapshot.PeerOutcomes
 }
 
 // seen is a replica's record at all data planes.
-func (m *Matcher) seen(id string, now time.Time) peer.Outcomes {
-	seen := m.others(id, now).Outcomes
-	if own := m.health.tallies[id]; own != nil {
+func (m *Matcher) allOutcomes(id string, now time.Time) peer.Outcomes {
+	seen := m.peerLoad(id, now).Outcomes
+	if own := m.health.outcomes[id]; own != nil {
 		seen = addOutcomes(seen, own.Outcomes)
 	}
 	return seen
@@ -174,20 +174,20 @@
 // longer listed.
 func (m *Matcher) forgetUnlisted() {
 	addresses := map[string]bool{}
-	for _, replica := range m.fleet.Replicas {
+	for _, replica := range m.snapshot.Replicas {
 		addresses[replica.Address] = true
 	}
-	kept := func(id string) bool {
+	isKept := func(id string) bool {
 		_, listed := m.index.positions[id]
 		return listed || m.states[id] != nil
 	}
-	for id := range m.health.tallies {
-		if !kept(id) {
-			delete(m.health.tallies, id)
+	for id := range m.health.outcomes {
+		if !isKept(id) {
+			delete(m.health.outcomes, id)
 		}
 	}
 	for id := range m.health.firstListed {
-		if !kept(id) {
+		if !isKept(id) {
 			delete(m.health.firstListed, id)
 			delete(m.health.breakers, id)
 		}
