--- a/internal/match/health_test.go
+++ b/internal/match/health_test.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/peer"
 )
 
-func TestGivenOutcomesThenOnlyAShareFarAbovePeersIsEvidence(t *testing.T) {
+func TestLogLikelihoodRatio(t *testing.T) {
 	cases := []struct {
 		served, failed, peers float64
 		out                   bool
@@ -25,68 +25,68 @@
 		{5, 5, 0.5, false},
 		{0, 9, 0.9, false},
 	}
-	for _, one := range cases {
-		weight := logLikelihoodRatio(peer.Outcomes{Served: one.served, Failed: one.failed}, one.peers)
-		assert.Equal(t, weight > openEvidence, one.out, "%+v gives %f", one, weight)
+	for _, testCase := range cases {
+		weight := logLikelihoodRatio(peer.Outcomes{Served: testCase.served, Failed: testCase.failed}, testCase.peers)
+		assert.Equal(t, weight > openThreshold, testCase.out, "%+v gives %f", testCase, weight)
 	}
 }
 
-func TestGivenRelapsesThenThePauseGrowsAndShrinksOnlyAfterACalmTime(t *testing.T) {
+func TestBreaker_OpenDurationGrowsWithRelapses(t *testing.T) {
 	now := time.Unix(1000, 0)
-	one := &breaker{}
-	var failed outcomeTally
+	tested := &breaker{}
+	var failed outcomeCounter
 	step := func(span time.Duration) {
 		now = now.Add(span)
-		failed.advance(now)
-		one.review(failed.Outcomes, logLikelihoodRatio(failed.Outcomes, soundShare), now)
+		failed.decay(now)
+		tested.review(failed.Outcomes, logLikelihoodRatio(failed.Outcomes, healthyFailureRate), now)
 	}
 	fail := func() { failed.add(0, 2, now) }
 	var holds []time.Duration
 	for range 5 {
 		fail()
 		step(0)
-		assert.Equal(t, one.state, breakerOpen)
-		holds = append(holds, one.openFor)
-		for one.state != breakerTrickling {
-			step(reviewEvery)
+		assert.Equal(t, tested.state, breakerOpen)
+		holds = append(holds, tested.openDuration)
+		for tested.state != breakerRecovering {
+			step(reviewInterval)
 		}
 	}
 	for position, hold := range holds[1:] {
-		assert.Equal(t, hold, min(2*holds[position], longestOpenTime))
+		assert.Equal(t, hold, min(2*holds[position], maxOpenTime))
 	}
 	for range 200 {
-		step(reviewEvery)
+		step(reviewInterval)
 	}
-	assert.Equal(t, one.state, breakerClosed)
+	assert.Equal(t, tested.state, breakerClosed)
 	fail()
 	step(0)
-	assert.Equal(t, one.openFor, firstOpenTime)
+	assert.Equal(t, tested.openDuration, minOpenTime)
 }
 
-func TestGivenATallyThenItFadesByHalves(t *testing.T) {
+func TestOutcomeCounter_DecaysByHalfLife(t *testing.T) {
 	now := time.Unix(1000, 0)
-	tally := outcomeTally{}
-	tally.add(8, 4, now)
-	tally.advance(now.Add(halfLife))
-	assert.Assert(t, math.Abs(tally.Served-4) < 1e-9 && math.Abs(tally.Failed-2) < 1e-9)
+	counter := outcomeCounter{}
+	counter.add(8, 4, now)
+	counter.decay(now.Add(halfLife))
+	assert.Assert(t, math.Abs(counter.Served-4) < 1e-9 && math.Abs(counter.Failed-2) < 1e-9)
 }
 
-func TestGivenFailuresByZonesThenOnlyOneThatStandsOutIsDoubted(t *testing.T) {
-	assert.DeepEqual(t, doubtedZones(map[string]zoneCount{
+func TestSuspectedZones(t *testing.T) {
+	assert.DeepEqual(t, suspectedZones(map[string]zoneCount{
 		"north": {30, 12},
 		"south": {30, 1},
 		"east":  {30, 0},
 	}), []string{"north"})
-	assert.Equal(t, len(doubtedZones(map[string]zoneCount{"north": {30, 12}, "south": {30, 11}, "east": {30, 13}})), 0)
-	assert.Equal(t, len(doubtedZones(map[string]zoneCount{"north": {30, 4}, "south": {30, 0}})), 0)
-	assert.Equal(t, len(doubtedZones(map[string]zoneCount{"north": {4, 2}, "south": {30, 0}})), 0)
-	assert.Equal(t, len(doubtedZones(map[string]zoneCount{"north": {30, 30}})), 0)
+	assert.Equal(t, len(suspectedZones(map[string]zoneCount{"north": {30, 12}, "south": {30, 11}, "east": {30, 13}})), 0)
+	assert.Equal(t, len(suspectedZones(map[string]zoneCount{"north": {30, 4}, "south": {30, 0}})), 0)
+	assert.Equal(t, len(suspectedZones(map[string]zoneCount{"north": {4, 2}, "south": {30, 0}})), 0)
+	assert.Equal(t, len(suspectedZones(map[string]zoneCount{"north": {30, 30}})), 0)
 }
 
-// sharedFleet is a matcher of the zone north that has only heard what others saw of those replicas.
-func sharedFleet(now time.Time, others map[string]peer.ReplicaLoad, ids ...string) *Matcher {
-	var current atomic.Pointer[Fleet]
-	fleet := &Fleet{Others: others, OthersAt: now, Total: peer.Outcomes{Served: 400, Failed: 20}}
+// matcherWithPeerLoads is a matcher of the zone north that has only heard what others saw of those replicas.
+func matcherWithPeerLoads(now time.Time, peerLoads map[string]peer.ReplicaLoad, ids ...string) *Matcher {
+	var current atomic.Pointer[Snapshot]
+	fleet := &Snapshot{PeerLoads: peerLoads, PeerLoadsAt: now, PeerOutcomes: peer.Outcomes{Served: 400, Failed: 20}}
 	for _, id := range ids {
 		fleet.Replicas = append(fleet.Replicas, &Replica{
 			ID:      id,
@@ -98,25 +98,25 @@
 	}
 	current.Store(fleet)
 	matcher := NewMatcher(DefaultParameters(), "north", func() time.Time { return now }, &current)
-	matcher.adopt()
+	matcher.useLatestSnapshot()
 	return matcher
 }
 
-func TestGivenFailuresOnlyForCallersOfOneZoneThenTheirDataPlanesLeaveTheReplicaOut(t *testing.T) {
+func TestMatcher_EjectsReplicaFailingForOwnZone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	failing := peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 40, Failed: 5}, NearServed: 1, NearFailed: 3}
 	elsewhere := peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 40, Failed: 5}, NearServed: 20}
 	once := &Request{Backend: "scribes", Model: "swift"}
-	near := sharedFleet(now, map[string]peer.ReplicaLoad{"i-1": failing}, "i-1", "i-2")
+	near := matcherWithPeerLoads(now, map[string]peer.ReplicaLoad{"i-1": failing}, "i-1", "i-2")
 	near.review(now)
-	assert.Assert(t, !near.breakerAdmits(once, near.fleet.Replicas[0], now))
-	assert.Assert(t, near.breakerAdmits(once, near.fleet.Replicas[1], now))
-	far := sharedFleet(now, map[string]peer.ReplicaLoad{"i-1": elsewhere}, "i-1", "i-2")
+	assert.Assert(t, !near.breakerAdmits(once, near.snapshot.Replicas[0], now))
+	assert.Assert(t, near.breakerAdmits(once, near.snapshot.Replicas[1], now))
+	far := matcherWithPeerLoads(now, map[string]peer.ReplicaLoad{"i-1": elsewhere}, "i-1", "i-2")
 	far.review(now)
-	assert.Assert(t, far.breakerAdmits(once, far.fleet.Replicas[0], now))
+	assert.Assert(t, far.breakerAdmits(once, far.snapshot.Replicas[0], now))
 }
 
-func TestGivenManyFlaggedHoldersThenHalfStayAndTheLastAlways(t *testing.T) {
+func TestMatcher_NeverEjectsMoreThanAllowed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ill := func(served, failed float64) peer.ReplicaLoad {
 		return peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: served, Failed: failed}}
@@ -124,10 +124,10 @@
 	once, again := &Request{
 		Backend: "scribes",
 		Model:   "swift",
-	}, &Request{Backend: "scribes", Model: "swift", Repeatable: true}
+	}, &Request{Backend: "scribes", Model: "swift", Idempotent: true}
 	admitted := func(matcher *Matcher, request *Request) (ids string) {
 		matcher.review(now)
-		for _, replica := range matcher.fleet.Replicas {
+		for _, replica := range matcher.snapshot.Replicas {
 			if matcher.breakerAdmits(request, replica, now) {
 				ids += replica.ID
 			}
@@ -135,15 +135,15 @@
 		return ids
 	}
 	some := map[string]peer.ReplicaLoad{"a": ill(4, 5), "b": ill(4, 6), "c": ill(4, 7)}
-	assert.Equal(t, admitted(sharedFleet(now, some, "a", "b", "c", "d"), once), "ad")
+	assert.Equal(t, admitted(matcherWithPeerLoads(now, some, "a", "b", "c", "d"), once), "ad")
 	dead := map[string]peer.ReplicaLoad{"a": ill(0, 8), "b": ill(0, 8), "c": ill(0, 8)}
-	assert.Equal(t, admitted(sharedFleet(now, dead, "a", "b", "c", "d"), once), "d")
-	assert.Equal(t, admitted(sharedFleet(now, dead, "a"), once), "a")
-	probed := sharedFleet(now, dead, "a", "b")
+	assert.Equal(t, admitted(matcherWithPeerLoads(now, dead, "a", "b", "c", "d"), once), "d")
+	assert.Equal(t, admitted(matcherWithPeerLoads(now, dead, "a"), once), "a")
+	probed := matcherWithPeerLoads(now, dead, "a", "b")
 	probed.review(now)
-	probed.health.breakers["a"].become(breakerProbing, now)
-	assert.Assert(t, probed.breakerAdmits(again, probed.fleet.Replicas[0], now))
-	assert.Assert(t, !probed.breakerAdmits(once, probed.fleet.Replicas[0], now))
+	probed.health.breakers["a"].setState(breakerProbing, now)
+	assert.Assert(t, probed.breakerAdmits(again, probed.snapshot.Replicas[0], now))
+	assert.Assert(t, !probed.breakerAdmits(once, probed.snapshot.Replicas[0], now))
 	probed.watchState("a").running = 1
-	assert.Assert(t, !probed.breakerAdmits(again, probed.fleet.Replicas[0], now))
+	assert.Assert(t, !probed.breakerAdmits(again, probed.snapshot.Replicas[0], now))
 }
--- a/internal/match/index.go
+++ b/internal/match/index.go
@@ -8,11 +8,11 @@
 	replicas  []*Replica
 	positions map[string]int            // replica id to position
 	groups    map[string]map[string]int // backend and model to a position in holders
-	holders   [][]int                   // positions of replicas, ascending
+	hosts     [][]int                   // positions of replicas, ascending
 }
 
-// holding says that the replica at a position belongs to a group of holders.
-type holding struct {
+// hosting says that the replica at a position belongs to a group of holders.
+type hosting struct {
 	group, position int
 }
 
@@ -28,7 +28,7 @@
 	for _, replica := range replicas {
 		total += len(replica.Models)
 	}
-	held := make([]holding, 0, total)
+	hostings := make([]hosting, 0, total)
 	sizes := make([]int, 0, total)
 	for position, replica := range replicas {
 		index.positions[replica.ID] = position
@@ -48,7 +48,7 @@
 				sizes = append(sizes, 0)
 			}
 			sizes[group]++
-			held = append(held, holding{group, position})
+			hostings = append(hostings, hosting{group, position})
 		}
 		add("")
 		for model, holds := range replica.Models {
@@ -57,49 +57,49 @@
 			}
 		}
 	}
-	index.holders = groupPositions(held, sizes)
+	index.hosts = groupPositions(hostings, sizes)
 	return index
 }
 
 // groupPositions sorts holdings into one list for each group, all in one allocation.
-func groupPositions(held []holding, sizes []int) [][]int {
-	holders := make([][]int, len(sizes))
-	left := make([]int, len(held))
+func groupPositions(hostings []hosting, sizes []int) [][]int {
+	hosts := make([][]int, len(sizes))
+	unused := make([]int, len(hostings))
 	for group, size := range sizes {
-		holders[group] = left[:0:size]
-		left = left[size:]
+		hosts[group] = unused[:0:size]
+		unused = unused[size:]
 	}
-	for _, member := range held {
-		holders[member.group] = append(holders[member.group], member.position)
+	for _, member := range hostings {
+		hosts[member.group] = append(hosts[member.group], member.position)
 	}
-	return holders
+	return hosts
 }
 
 // covers reports whether the index was made of this very list.
-func (i *Index) covers(replicas []*Replica) bool {
+func (i *Index) isFor(replicas []*Replica) bool {
 	return len(i.replicas) == len(replicas) && (len(replicas) == 0 || &i.replicas[0] == &replicas[0])
 }
 
 // Holders are the positions of the replicas of a backend that hold a model or adapter, ascending;
 // nil for none. The caller must not change them.
-func (i *Index) Holders(backend, model string) []int {
+func (i *Index) Hosts(backend, model string) []int {
 	if group, known := i.groups[backend][model]; known {
-		return i.holders[group]
+		return i.hosts[group]
 	}
 	return nil
 }
 
-// holdersIn are the holders of the request's model; they are looked up once for each index.
-func (r *Request) holdersIn(index *Index) []int {
-	if r.indexed != index {
-		r.indexed = index
-		r.holders = index.Holders(r.Backend, r.Model)
+// hostsIn are the holders of the request's model; they are looked up once for each index.
+func (r *Request) hostsIn(index *Index) []int {
+	if r.hostsIndex != index {
+		r.hostsIndex = index
+		r.hosts = index.Hosts(r.Backend, r.Model)
 	}
-	return r.holders
+	return r.hosts
 }
 
-// heldAt reports whether the replica at a position holds the request's model.
-func (r *Request) heldAt(index *Index, position int) bool {
-	_, found := slices.BinarySearch(r.holdersIn(index), position)
+// isLoadedAt reports whether the replica at a position holds the request's model.
+func (r *Request) isLoadedAt(index *Index, position int) bool {
+	_, found := slices.BinarySearch(r.hostsIn(index), position)
 	return found
 }
--- a/internal/match/ledger.go
+++ b/internal/match/ledger.go
@@ -8,15 +8,15 @@
 
 // ledgerKey names one prefix in one replica's cache for one model.
 type ledgerKey struct {
-	replica  string
-	model    string
-	dialogue uint64 // see Dialogues
+	replica string
+	model   string
+	prefix  uint64 // see HashPrefixes
 }
 
 // ledgerEntry is the last part of such a prefix.
 type ledgerEntry struct {
 	key      ledgerKey
-	used     time.Time
+	usedAt   time.Time
 	sequence uint64 // rises with each use; the lowest entry is the longest unused
 	lastPart uint64 // id
 	tokens   float64
@@ -26,24 +26,24 @@
 
 // forgetRule keeps requests that arrived before a forget from writing matching entries again.
 type forgetRule struct {
-	at      time.Time
-	matches func(model string, part uint64) bool
+	arrivedBefore time.Time
+	matches       func(model string, part uint64) bool
 }
 
 const (
-	// forgetsBound is how many of the last forgets are kept as rules.
-	forgetsBound = 64
+	// maxForgetRules is how many of the last forgets are kept as rules.
+	maxForgetRules = 64
 	// ledgerTreeDegree is the branching of the tree of entries by age.
 	ledgerTreeDegree = 16
 )
 
-// Ledger records which prompt prefixes the caches of which replicas should hold (the affinity of
+// PrefixLedger records which prompt prefixes the caches of which replicas should hold (the affinity of
 // eq. 4). It is bounded in entries, the longest unused ones go first, and in their life. It also
 // keeps the sample of recent requests, since that must be forgotten by the same rules. It is not
-// safe for concurrent use: outside the matcher's goroutine, change it through Matcher.Forget.
-type Ledger struct {
-	bound    int
-	life     time.Duration
+// safe for concurrent use: outside the matcher's goroutine, change it through Matcher.UpdateLedger.
+type PrefixLedger struct {
+	limit    int
+	ttl      time.Duration
 	sequence uint64
 	entries  map[ledgerKey]*ledgerEntry
 	forgets  []forgetRule
@@ -51,46 +51,46 @@
 	samples  requestSamples
 }
 
-// NewLedger returns an empty ledger for that many entries, each of that life without use; a life of
+// NewPrefixLedger returns an empty ledger for that many entries, each of that life without use; a life of
 // 0 is without bound.
-func NewLedger(bound int, life time.Duration) *Ledger {
-	return &Ledger{
-		bound:   bound,
-		life:    life,
+func NewPrefixLedger(limit int, ttl time.Duration) *PrefixLedger {
+	return &PrefixLedger{
+		limit:   limit,
+		ttl:     ttl,
 		entries: map[ledgerKey]*ledgerEntry{},
 		byAge:   btree.NewG(ledgerTreeDegree, (*ledgerEntry).less),
 	}
 }
 
 // Kept is the count of tokens in the longest prefix of the prompt that the replica should hold.
-func (l *Ledger) Kept(replica string, prompt Prompt, now time.Time) float64 {
-	kept := 0.0
-	for position, dialogue := range prompt.Dialogues {
-		entry, known := l.entries[ledgerKey{replica, prompt.Model, dialogue}]
-		if !known || l.life > 0 && now.Sub(entry.used) > l.life {
-			return kept
+func (l *PrefixLedger) CachedTokens(replica string, prompt Prompt, now time.Time) float64 {
+	cachedTokens := 0.0
+	for position, prefixHash := range prompt.PrefixHashes {
+		entry, known := l.entries[ledgerKey{replica, prompt.Model, prefixHash}]
+		if !known || l.ttl > 0 && now.Sub(entry.usedAt) > l.ttl {
+			return cachedTokens
 		}
-		kept += prompt.Parts[position].Tokens
+		cachedTokens += prompt.Parts[position].Tokens
 	}
-	return kept
+	return cachedTokens
 }
 
 // Note records that the replica was sent the prompt of a request that arrived at begun.
-func (l *Ledger) Note(replica string, prompt Prompt, begun, now time.Time) {
-	if l.forgetApplies(prompt.Model, prompt.Parts, begun) {
+func (l *PrefixLedger) RecordPrompt(replica string, prompt Prompt, arrived, now time.Time) {
+	if l.forgetApplies(prompt.Model, prompt.Parts, arrived) {
 		return
 	}
-	for position, dialogue := range prompt.Dialogues {
-		l.use(ledgerKey{replica, prompt.Model, dialogue}, prompt.Parts[position], now)
+	for position, prefixHash := range prompt.PrefixHashes {
+		l.touch(ledgerKey{replica, prompt.Model, prefixHash}, prompt.Parts[position], now)
 	}
-	for len(l.entries) > l.bound {
+	for len(l.entries) > l.limit {
 		l.dropEntry(l.oldest())
 	}
 	l.Expire(now)
 }
 
 // use makes an entry the newest one, and adds it where it is not there.
-func (l *Ledger) use(key ledgerKey, part Part, now time.Time) {
+func (l *PrefixLedger) touch(key ledgerKey, part Part, now time.Time) {
 	l.sequence++
 	entry, known := l.entries[key]
 	if known {
@@ -99,7 +99,7 @@
 		entry = &ledgerEntry{key: key}
 		l.entries[key] = entry
 	}
-	entry.used = now
+	entry.usedAt = now
 	entry.sequence = l.sequence
 	entry.lastPart = part.ID
 	entry.tokens = part.Tokens
@@ -107,28 +107,28 @@
 }
 
 // Expire drops what is past its life and returns how many entries that were.
-func (l *Ledger) Expire(now time.Time) int {
+func (l *PrefixLedger) Expire(now time.Time) int {
 	gone := 0
-	for l.life > 0 && len(l.entries) > 0 && now.Sub(l.oldest().used) > l.life {
+	for l.ttl > 0 && len(l.entries) > 0 && now.Sub(l.oldest().usedAt) > l.ttl {
 		l.dropEntry(l.oldest())
 		gone++
 	}
-	if l.life > 0 {
-		l.samples.expire(l.life, now)
+	if l.ttl > 0 {
+		l.samples.expire(l.ttl, now)
 	}
 	return gone
 }
 
-// SetLife changes the life of all entries, also of those that are there.
-func (l *Ledger) SetLife(life time.Duration, now time.Time) {
-	l.life = life
+// SetTTL changes the life of all entries, also of those that are there.
+func (l *PrefixLedger) SetTTL(ttl time.Duration, now time.Time) {
+	l.ttl = ttl
 	l.Expire(now)
 }
 
 // forgetApplies reports whether a prompt that arrived at begun was forgotten since.
-func (l *Ledger) forgetApplies(model string, parts []Part, begun time.Time) bool {
+func (l *PrefixLedger) forgetApplies(model string, parts []Part, arrived time.Time) bool {
 	for _, rule := range l.forgets {
-		if !begun.Before(rule.at) {
+		if !arrived.Before(rule.arrivedBefore) {
 			continue
 		}
 		for _, part := range parts {
@@ -141,26 +141,26 @@
 }
 
 // sample keeps a request for forecasts unless it was forgotten.
-func (l *Ledger) sample(request *Request) {
+func (l *PrefixLedger) addSample(request *Request) {
 	if !l.forgetApplies(request.Model, request.Parts, request.Arrived) {
-		l.samples.note(request)
+		l.samples.add(request)
 	}
 }
 
-func (l *Ledger) oldest() *ledgerEntry {
+func (l *PrefixLedger) oldest() *ledgerEntry {
 	entry, _ := l.byAge.Min()
 	return entry
 }
 
-func (l *Ledger) dropEntry(entry *ledgerEntry) {
+func (l *PrefixLedger) dropEntry(entry *ledgerEntry) {
 	l.byAge.Delete(entry)
 	delete(l.entries, entry.key)
 }
 
 // Miss drops what the ledger claims of a prompt at a replica.
-func (l *Ledger) Miss(replica string, prompt Prompt) {
-	for _, dialogue := range prompt.Dialogues {
-		if entry, known := l.entries[ledgerKey{replica, prompt.Model, dialogue}]; known {
+func (l *PrefixLedger) RecordMiss(replica string, prompt Prompt) {
+	for _, prefixHash := range prompt.PrefixHashes {
+		if entry, known := l.entries[ledgerKey{replica, prompt.Model, prefixHash}]; known {
 			l.dropEntry(entry)
 		}
 	}
@@ -168,9 +168,9 @@
 
 // Forget drops all entries that end with a matching part, and keeps requests that arrived before at
 // from writing such ones again. It returns how many entries it dropped.
-func (l *Ledger) Forget(matches func(model string, part uint64) bool, at time.Time) int {
+func (l *PrefixLedger) Forget(matches func(model string, part uint64) bool, at time.Time) int {
 	l.forgets = append(l.forgets, forgetRule{at, matches})
-	if len(l.forgets) > forgetsBound {
+	if len(l.forgets) > maxForgetRules {
 		l.forgets = l.forgets[1:]
 	}
 	l.samples.forget(matches)
@@ -178,12 +178,12 @@
 }
 
 // Leave drops all entries of replicas that have left and returns how many that were.
-func (l *Ledger) Leave(replicas map[string]bool) int {
+func (l *PrefixLedger) DropReplicas(replicas map[string]bool) int {
 	return l.dropAll(func(entry *ledgerEntry) bool { return replicas[entry.key.replica] })
 }
 
 // dropAll drops the entries that match and returns how many that were.
-func (l *Ledger) dropAll(matches func(entry *ledgerEntry) bool) int {
+func (l *PrefixLedger) dropAll(matches func(entry *ledgerEntry) bool) int {
 	before := len(l.entries)
 	for _, entry := range l.entries {
 		if matches(entry) {
@@ -194,4 +194,4 @@
 }
 
 // Size is the count of entries.
-func (l *Ledger) Size() int { return len(l.entries) }
+func (l *PrefixLedger) Len() int { return len(l.entries) }
--- a/internal/match/ledger_test.go
+++ b/internal/match/ledger_test.go
@@ -11,43 +11,43 @@
 
 var noon = time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
 
-func parsed(t *testing.T, value string) ([]Part, []uint64) {
+func parseTestPrefix(t *testing.T, value string) ([]Part, []uint64) {
 	parts, valid := ParsePrefix(value)
 	assert.Assert(t, valid)
-	return parts, Dialogues(parts)
+	return parts, HashPrefixes(parts)
 }
 
-func TestGivenAPromptServedWhenAnotherSharesItsStartThenAffinityIsTheCommonPrefix(t *testing.T) {
-	ledger := NewLedger(100, 0)
-	first, firstDialogues := parsed(t, "a:200,b:100,c:50")
-	ledger.Note("r1", Prompt{"m", first, firstDialogues}, noon, noon)
-	next, nextDialogues := parsed(t, "a:200,b:100,d:70")
-	assert.Equal(t, ledger.Kept("r1", Prompt{"m", next, nextDialogues}, noon), 300.0)
-	assert.Equal(t, ledger.Kept("r2", Prompt{"m", next, nextDialogues}, noon), 0.0)
-	assert.Equal(t, ledger.Kept("r1", Prompt{"other", next, nextDialogues}, noon), 0.0)
-	moved, movedDialogues := parsed(t, "b:100,a:200")
-	assert.Equal(t, ledger.Kept("r1", Prompt{"m", moved, movedDialogues}, noon), 0.0)
+func TestPrefixLedger_CountsCommonPrefix(t *testing.T) {
+	ledger := NewPrefixLedger(100, 0)
+	first, firstDialogues := parseTestPrefix(t, "a:200,b:100,c:50")
+	ledger.RecordPrompt("r1", Prompt{"m", first, firstDialogues}, noon, noon)
+	next, nextDialogues := parseTestPrefix(t, "a:200,b:100,d:70")
+	assert.Equal(t, ledger.CachedTokens("r1", Prompt{"m", next, nextDialogues}, noon), 300.0)
+	assert.Equal(t, ledger.CachedTokens("r2", Prompt{"m", next, nextDialogues}, noon), 0.0)
+	assert.Equal(t, ledger.CachedTokens("r1", Prompt{"other", next, nextDialogues}, noon), 0.0)
+	moved, movedDialogues := parseTestPrefix(t, "b:100,a:200")
+	assert.Equal(t, ledger.CachedTokens("r1", Prompt{"m", moved, movedDialogues}, noon), 0.0)
 }
 
-func TestGivenAFullLedgerThenTheLongestUnusedEntriesGo(t *testing.T) {
-	ledger := NewLedger(3, 0)
+func TestPrefixLedger_EvictsLeastRecentlyUsed(t *testing.T) {
+	ledger := NewPrefixLedger(3, 0)
 	for _, value := range []string{"a:1", "b:1", "c:1", "a:1", "d:1"} {
-		parts, dialogues := parsed(t, value)
-		ledger.Note("r", Prompt{"m", parts, dialogues}, noon, noon)
+		parts, prefixHashes := parseTestPrefix(t, value)
+		ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon, noon)
 	}
-	kept, keptDialogues := parsed(t, "a:1")
-	gone, goneDialogues := parsed(t, "b:1")
-	assert.Equal(t, ledger.Size(), 3)
-	assert.Equal(t, ledger.Kept("r", Prompt{"m", kept, keptDialogues}, noon), 1.0)
-	assert.Equal(t, ledger.Kept("r", Prompt{"m", gone, goneDialogues}, noon), 0.0)
+	kept, keptDialogues := parseTestPrefix(t, "a:1")
+	gone, goneDialogues := parseTestPrefix(t, "b:1")
+	assert.Equal(t, ledger.Len(), 3)
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", kept, keptDialogues}, noon), 1.0)
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", gone, goneDialogues}, noon), 0.0)
 }
 
-func TestGivenALifeForEntriesThenOldOnesNeverCount(t *testing.T) {
-	ledger := NewLedger(10, time.Minute)
-	parts, dialogues := parsed(t, "a:5")
-	ledger.Note("r", Prompt{"m", parts, dialogues}, noon, noon)
-	assert.Equal(t, ledger.Kept("r", Prompt{"m", parts, dialogues}, noon.Add(59*time.Second)), 5.0)
-	assert.Equal(t, ledger.Kept("r", Prompt{"m", parts, dialogues}, noon.Add(61*time.Second)), 0.0)
+func TestPrefixLedger_IgnoresExpiredEntries(t *testing.T) {
+	ledger := NewPrefixLedger(10, time.Minute)
+	parts, prefixHashes := parseTestPrefix(t, "a:5")
+	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon, noon)
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(59*time.Second)), 5.0)
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(61*time.Second)), 0.0)
 }
 
 func FuzzParsePrefix(f *testing.F) {
@@ -57,7 +57,7 @@
 	f.Fuzz(func(t *testing.T, value string) {
 		parts, valid := ParsePrefix(value)
 		assert.Assert(t, valid || parts == nil)
-		assert.Equal(t, len(Dialogues(parts)), len(parts))
+		assert.Equal(t, len(HashPrefixes(parts)), len(parts))
 		for _, part := range parts {
 			assert.Assert(t, part.Tokens >= 0)
 		}
@@ -74,49 +74,49 @@
 	})
 }
 
-func TestGivenAForgetThenNothingBegunBeforeIsLearnedAgain(t *testing.T) {
-	ledger := NewLedger(10, 0)
-	parts, dialogues := parsed(t, "a:5,b:6")
-	other, otherDialogues := parsed(t, "c:5")
-	ledger.Note("r", Prompt{"m", parts, dialogues}, noon, noon)
-	ledger.Note("r", Prompt{"m", other, otherDialogues}, noon, noon)
+func TestPrefixLedger_ForgetExcludesEarlierRequests(t *testing.T) {
+	ledger := NewPrefixLedger(10, 0)
+	parts, prefixHashes := parseTestPrefix(t, "a:5,b:6")
+	other, otherDialogues := parseTestPrefix(t, "c:5")
+	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon, noon)
+	ledger.RecordPrompt("r", Prompt{"m", other, otherDialogues}, noon, noon)
 	dropped := ledger.Forget(func(model string, part uint64) bool { return part == 0xb }, noon.Add(time.Second))
 	assert.Equal(t, dropped, 1)
-	assert.Equal(t, ledger.Kept("r", Prompt{"m", parts, dialogues}, noon), 5.0)
-	assert.Equal(t, ledger.Kept("r", Prompt{"m", other, otherDialogues}, noon), 5.0)
-	ledger.Note("r", Prompt{"m", parts, dialogues}, noon, noon.Add(2*time.Second))
-	assert.Equal(t, ledger.Kept("r", Prompt{"m", parts, dialogues}, noon.Add(2*time.Second)), 5.0, "begun before the forget")
-	ledger.Note("r", Prompt{"m", parts, dialogues}, noon.Add(3*time.Second), noon.Add(3*time.Second))
-	assert.Equal(t, ledger.Kept("r", Prompt{"m", parts, dialogues}, noon.Add(3*time.Second)), 11.0, "begun after it")
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon), 5.0)
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", other, otherDialogues}, noon), 5.0)
+	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon, noon.Add(2*time.Second))
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(2*time.Second)), 5.0, "begun before the forget")
+	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon.Add(3*time.Second), noon.Add(3*time.Second))
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(3*time.Second)), 11.0, "begun after it")
 }
 
-func TestGivenAShorterLifeThenWhatIsOlderGoesAtOnce(t *testing.T) {
-	ledger := NewLedger(10, 0)
-	parts, dialogues := parsed(t, "a:5")
-	ledger.Note("r", Prompt{"m", parts, dialogues}, noon, noon)
-	ledger.SetLife(time.Minute, noon.Add(2*time.Minute))
-	assert.Equal(t, ledger.Size(), 0)
+func TestPrefixLedger_SetTTLExpiresAtOnce(t *testing.T) {
+	ledger := NewPrefixLedger(10, 0)
+	parts, prefixHashes := parseTestPrefix(t, "a:5")
+	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon, noon)
+	ledger.SetTTL(time.Minute, noon.Add(2*time.Minute))
+	assert.Equal(t, ledger.Len(), 0)
 }
 
 // ledgerPrompt is one of a sequence of prompts that share prefixes.
 func ledgerPrompt(number int) ([]Part, []uint64) {
 	parts := []Part{{uint64(number % 300), 400}, {uint64(number % 4000), 200}, {uint64(number), 80}}
-	return parts, Dialogues(parts)
+	return parts, HashPrefixes(parts)
 }
 
-func filledLedger(bound int) *Ledger {
-	ledger := NewLedger(bound, 0)
-	for number := 0; ledger.Size() < bound; number++ {
-		parts, dialogues := ledgerPrompt(number)
-		ledger.Note("i-"+strconv.Itoa(number%720), Prompt{"model-" + strconv.Itoa(number%1600), parts, dialogues}, noon, noon)
+func filledLedger(limit int) *PrefixLedger {
+	ledger := NewPrefixLedger(limit, 0)
+	for number := 0; ledger.Len() < limit; number++ {
+		parts, prefixHashes := ledgerPrompt(number)
+		ledger.RecordPrompt("i-"+strconv.Itoa(number%720), Prompt{"model-" + strconv.Itoa(number%1600), parts, prefixHashes}, noon, noon)
 	}
 	return ledger
 }
 
-func BenchmarkLedgerRequest(b *testing.B) {
+func BenchmarkPrefixLedger_Request(b *testing.B) {
 	b.ReportAllocs()
-	bound := DefaultParameters().LedgerBound
-	ledger, number := filledLedger(bound), bound
+	limit := DefaultParameters().LedgerBound
+	ledger, number := filledLedger(limit), limit
 	names, models := make([]string, 720), make([]string, 1600)
 	for index := range names {
 		names[index] = "i-" + strconv.Itoa(index)
@@ -126,22 +126,22 @@
 	}
 	for b.Loop() {
 		number++
-		parts, dialogues := ledgerPrompt(number)
+		parts, prefixHashes := ledgerPrompt(number)
 		for candidate := range fixtureCopies {
-			ledger.Kept(names[(number+candidate)%len(names)], Prompt{models[number%len(models)], parts, dialogues}, noon)
+			ledger.CachedTokens(names[(number+candidate)%len(names)], Prompt{models[number%len(models)], parts, prefixHashes}, noon)
 		}
-		ledger.Note(names[number%len(names)], Prompt{models[number%len(models)], parts, dialogues}, noon, noon)
+		ledger.RecordPrompt(names[number%len(names)], Prompt{models[number%len(models)], parts, prefixHashes}, noon, noon)
 	}
 }
 
-func BenchmarkLedgerFilled(b *testing.B) {
+func BenchmarkPrefixLedger_Fill(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
 		filledLedger(DefaultParameters().LedgerBound)
 	}
 }
 
-func BenchmarkLedgerHeld(b *testing.B) {
+func BenchmarkPrefixLedger_Memory(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
 		runtime.GC()
--- a/internal/match/load.go
+++ b/internal/match/load.go
@@ -26,23 +26,23 @@
 	models := map[[2]string]*peer.ModelLoad{}
 	at := func(key [2]string) *peer.ModelLoad {
 		if models[key] == nil {
-			models[key] = &peer.ModelLoad{Backend: key[0], Model: key[1], Aim: m.aims[key]}
+			models[key] = &peer.ModelLoad{Backend: key[0], Model: key[1], Aim: m.latencyTargets[key]}
 		}
 		return models[key]
 	}
 	for key, amount := range m.arrivals {
 		at(key).Arrivals = amount
 	}
-	for key, amount := range m.reads {
+	for key, amount := range m.prefillMs {
 		at(key).ReadMs = float64(int(amount))
 	}
-	m.reads = map[[2]string]float64{}
+	m.prefillMs = map[[2]string]float64{}
 	for key, amount := range m.running {
 		at(key).Running = amount
 	}
 	for _, request := range m.waiting {
-		if m.OnWanted != nil {
-			m.OnWanted(request.Backend, BaseModel(request.Model))
+		if m.OnDemand != nil {
+			m.OnDemand(request.Backend, BaseModel(request.Model))
 		}
 		model := at([2]string{request.Backend, request.Model})
 		model.Waiting++
@@ -64,7 +64,7 @@
 	replicas := map[string]peer.ReplicaLoad{}
 	for id, state := range m.watched {
 		_, listed := m.index.positions[id]
-		suspect := state.suspected(now)
+		suspect := state.isSuspected(now)
 		outcomes := m.health.reported(id, now)
 		quiet := !suspect && outcomes == peer.Outcomes{}
 		if state.running == 0 && (quiet || !listed) {
--- a/internal/match/matcher.go
+++ b/internal/match/matcher.go
@@ -10,57 +10,57 @@
 )
 
 // Matcher is the routing policy of one data plane. Run owns all fields but the channels and the
-// atomic ones; the exported function fields and ReportNow are set or read before Run starts.
+// atomic ones; the exported function fields and LoadReportDue are set or read before Run starts.
 type Matcher struct {
 	parameters Parameters
 	zone       string // this data plane's own
 	clock      func() time.Time
 
 	// current is the newest snapshot, stored by the daemon; fleet is the one in use.
-	current *atomic.Pointer[Fleet]
-	fleet   *Fleet
-	index   *Index
-
-	submitted     chan *Request
-	withdrawn     chan *Request
-	reports       chan Report
-	loadAsked     chan chan peer.LoadReport
-	ledgerChanges chan func(*Ledger)
-	changed       chan struct{}
-	forkAsked     chan chan *Matcher
+	latest   *atomic.Pointer[Snapshot]
+	snapshot *Snapshot
+	index    *Index
+
+	submitted      chan *Request
+	cancellations  chan *Request
+	reports        chan Report
+	loadRequests   chan chan peer.LoadReport
+	ledgerChanges  chan func(*PrefixLedger)
+	snapshotStored chan struct{}
+	forkRequests   chan chan *Matcher
 
 	states          map[string]*replicaState // by replica id
 	unlisted        int                      // states of replicas that the snapshot leaves out
 	stateByPosition []*replicaState          // the same by position in the index, filled on demand
 	watched         map[string]*replicaState // those with something to report
 	health          *health
-	ledger          *Ledger
+	ledger          *PrefixLedger
 	paces           map[string]float64 // by model, see pace
 	graph           assignmentGraph
 
 	waiting     []*Request // undecided, sorted by compareRank
 	newlyQueued int        // of those, how many have not been in a batch
-	retryBatch  []*Request // buffer of retryFor
-	emitAt      time.Time  // when the oldest newly queued request must be decided
+	retryBatch  []*Request // buffer of retryForReplica
+	batchDueAt  time.Time  // when the oldest newly queued request must be decided
 	retryAt     time.Time  // when all that wait are tried again
 
 	// Counters of the load report, by backend and model. arrivals and reads start anew with each.
-	arrivals map[[2]string]int
-	running  map[[2]string]int
-	aims     map[[2]string]float64 // ms, of the last request
-	reads    map[[2]string]float64 // ms of reading uncached tokens, predicted
+	arrivals       map[[2]string]int
+	running        map[[2]string]int
+	latencyTargets map[[2]string]float64 // ms, of the last request
+	prefillMs      map[[2]string]float64 // ms of reading uncached tokens, predicted
 
-	leaving atomic.Bool
+	draining atomic.Bool
 
-	// ReportNow receives when the load should be reported at once: a failure was counted, or a
+	// LoadReportDue receives when the load should be reported at once: a failure was counted, or a
 	// request's model is loaded nowhere. It holds one signal.
-	ReportNow chan struct{}
-	// OnDistrust, if set, is called from Run with a replica that is suspected.
-	OnDistrust func(replica string)
-	// OnWanted, if set, is called from Run with the model of every request that arrives or waits.
-	OnWanted func(backend, model string)
+	LoadReportDue chan struct{}
+	// OnSuspect, if set, is called from Run with a replica that is suspected.
+	OnSuspect func(replica string)
+	// OnDemand, if set, is called from Run with the model of every request that arrives or waits.
+	OnDemand func(backend, model string)
 	// Trusts, if set, reports whether the ledger may be used now (docs/retention.md).
-	Trusts func(now time.Time) bool
+	LedgerTrusted func(now time.Time) bool
 }
 
 // Capacities of the channels into Run.
@@ -72,50 +72,50 @@
 
 // NewMatcher returns a matcher for a data plane in a zone. The snapshot in current may be replaced
 // at any time, but a stored one must not be changed.
-func NewMatcher(parameters Parameters, zone string, clock func() time.Time, current *atomic.Pointer[Fleet]) *Matcher {
+func NewMatcher(parameters Parameters, zone string, clock func() time.Time, current *atomic.Pointer[Snapshot]) *Matcher {
 	return &Matcher{
-		parameters:    parameters,
-		zone:          zone,
-		clock:         clock,
-		current:       current,
-		fleet:         &Fleet{},
-		index:         NewIndex(nil),
-		submitted:     make(chan *Request, requestBuffer),
-		withdrawn:     make(chan *Request, requestBuffer),
-		reports:       make(chan Report, reportBuffer),
-		loadAsked:     make(chan chan peer.LoadReport),
-		ledgerChanges: make(chan func(*Ledger), changeBuffer),
-		changed:       make(chan struct{}, 1),
-		forkAsked:     make(chan chan *Matcher),
-		states:        map[string]*replicaState{},
-		watched:       map[string]*replicaState{},
-		health:        newHealth(),
-		ledger:        NewLedger(parameters.LedgerBound, parameters.LedgerLife),
-		paces:         map[string]float64{},
-		arrivals:      map[[2]string]int{},
-		running:       map[[2]string]int{},
-		aims:          map[[2]string]float64{},
-		reads:         map[[2]string]float64{},
-		ReportNow:     make(chan struct{}, 1),
+		parameters:     parameters,
+		zone:           zone,
+		clock:          clock,
+		latest:         current,
+		snapshot:       &Snapshot{},
+		index:          NewIndex(nil),
+		submitted:      make(chan *Request, requestBuffer),
+		cancellations:  make(chan *Request, requestBuffer),
+		reports:        make(chan Report, reportBuffer),
+		loadRequests:   make(chan chan peer.LoadReport),
+		ledgerChanges:  make(chan func(*PrefixLedger), changeBuffer),
+		snapshotStored: make(chan struct{}, 1),
+		forkRequests:   make(chan chan *Matcher),
+		states:         map[string]*replicaState{},
+		watched:        map[string]*replicaState{},
+		health:         newHealth(),
+		ledger:         NewPrefixLedger(parameters.LedgerBound, parameters.LedgerLife),
+		paces:          map[string]float64{},
+		arrivals:       map[[2]string]int{},
+		running:        map[[2]string]int{},
+		latencyTargets: map[[2]string]float64{},
+		prefillMs:      map[[2]string]float64{},
+		LoadReportDue:  make(chan struct{}, 1),
 	}
 }
 
 // Submit hands over a request and blocks until it is decided or the context ends. Any goroutine may
 // call it; the request must not be changed before it returns. A command with a ticket obliges the
 // caller to report an outcome that ends the attempt.
-func (m *Matcher) Submit(ctx context.Context, request *Request) Command {
-	request.Answer = make(chan Command, 1)
+func (m *Matcher) Submit(ctx context.Context, request *Request) Decision {
+	request.Decided = make(chan Decision, 1)
 	select {
 	case m.submitted <- request:
 	case <-ctx.Done():
-		return Command{Error: apierror.New(apierror.Overloaded, "given up before it was taken in")}
+		return Decision{Error: apierror.New(apierror.Overloaded, "given up before it was taken in")}
 	}
 	select {
-	case command := <-request.Answer:
-		return command
+	case decision := <-request.Decided:
+		return decision
 	case <-ctx.Done():
-		m.withdrawn <- request
-		return Command{Error: apierror.New(apierror.Overloaded, "client gone or deadline reached")}
+		m.cancellations <- request
+		return Decision{Error: apierror.New(apierror.Overloaded, "client gone or deadline reached")}
 	}
 }
 
@@ -126,26 +126,26 @@
 
 // Changed announces that a new snapshot was stored, so that what waits is tried again. Any goroutine may
 // call it; it never blocks.
-func (m *Matcher) Changed() {
+func (m *Matcher) SnapshotChanged() {
 	select {
-	case m.changed <- struct{}{}:
+	case m.snapshotStored <- struct{}{}:
 	default:
 	}
 }
 
 // Leave makes all requests that wait, and those that would have to, be rejected at once: the data
 // plane is ending. Any goroutine may call it.
-func (m *Matcher) Leave() {
-	m.leaving.Store(true)
-	m.Changed()
+func (m *Matcher) StartDraining() {
+	m.draining.Store(true)
+	m.SnapshotChanged()
 }
 
 // Load returns the load since the last call, or an empty report when the context ends first. Any
 // goroutine may call it.
-func (m *Matcher) Load(ctx context.Context) peer.LoadReport {
+func (m *Matcher) LoadReport(ctx context.Context) peer.LoadReport {
 	answer := make(chan peer.LoadReport, 1)
 	select {
-	case m.loadAsked <- answer:
+	case m.loadRequests <- answer:
 		return <-answer
 	case <-ctx.Done():
 		return peer.LoadReport{}
@@ -154,7 +154,7 @@
 
 // Forget runs a change of the ledger on the matcher's goroutine. Any goroutine may call it; it does
 // not wait for the change.
-func (m *Matcher) Forget(change func(*Ledger)) { m.ledgerChanges <- change }
+func (m *Matcher) UpdateLedger(change func(*PrefixLedger)) { m.ledgerChanges <- change }
 
 const (
 	// retryInterval is how often all that waits is tried again without any news.
@@ -168,28 +168,28 @@
 	timer := time.NewTimer(idleWake)
 	defer timer.Stop()
 	for {
-		m.adopt()
+		m.useLatestSnapshot()
 		timer.Reset(m.nextWake())
 		select {
 		case <-ctx.Done():
 			return
 		case request := <-m.submitted:
-			m.accept(request)
-		case request := <-m.withdrawn:
-			m.withdraw(request)
+			m.enqueue(request)
+		case request := <-m.cancellations:
+			m.cancel(request)
 		case report := <-m.reports:
 			m.handleReport(report)
-		case answer := <-m.loadAsked:
+		case answer := <-m.loadRequests:
 			answer <- m.collectLoad()
 		case change := <-m.ledgerChanges:
 			change(m.ledger)
-		case answer := <-m.forkAsked:
+		case answer := <-m.forkRequests:
 			answer <- m.fork(m.clock(), m.ledger.fork())
-		case <-m.changed:
-			m.adopt()
-			m.emit()
+		case <-m.snapshotStored:
+			m.useLatestSnapshot()
+			m.decideWaiting()
 		case <-timer.C:
-			m.emit()
+			m.decideWaiting()
 		}
 	}
 }
@@ -197,7 +197,7 @@
 // nextWake is the time until something waiting has to be decided or tried again.
 func (m *Matcher) nextWake() time.Duration {
 	if m.newlyQueued > 0 {
-		return max(m.emitAt.Sub(m.clock()), 0)
+		return max(m.batchDueAt.Sub(m.clock()), 0)
 	}
 	if len(m.waiting) > 0 {
 		return max(m.retryAt.Sub(m.clock()), 0)
--- a/internal/match/predictor.go
+++ b/internal/match/predictor.go
@@ -18,11 +18,11 @@
 // observed one: recursive least squares with a forgetting factor (docs/design.md explains why not
 // the paper's trees). It also keeps the replica's success rate. Not safe for concurrent use.
 type Predictor struct {
-	weights    Features
-	covariance [featureCount][featureCount]float64
-	forgetting float64
-	samples    int
-	quality    float64
+	weights     Features
+	covariance  [featureCount][featureCount]float64
+	forgetting  float64
+	samples     int
+	successRate float64
 }
 
 // Starting weights, in ms for each unit of the feature.
@@ -32,17 +32,17 @@
 	startPendingMsPerThousand  = 60.0
 	startBaseMs                = 30.0
 	startCovariance            = 50.0
-	// largestCovariance bounds the diagonal, which forgetting would otherwise let grow.
-	largestCovariance = startCovariance * 10
-	slowestRead       = 10.0
-	fastestRead       = 200.0
-	forgettingFactor  = 0.995
-	qualityRate       = 0.05
+	// maxCovariance bounds the diagonal, which forgetting would otherwise let grow.
+	maxCovariance           = startCovariance * 10
+	minPrefillMsPerThousand = 10.0
+	maxPrefillMsPerThousand = 200.0
+	forgettingFactor        = 0.995
+	successLearningRate     = 0.05
 )
 
 // NewPredictor returns a predictor with the starting weights and a success rate of 1.
 func NewPredictor() *Predictor {
-	predictor := &Predictor{forgetting: forgettingFactor, quality: 1}
+	predictor := &Predictor{forgetting: forgettingFactor, successRate: 1}
 	predictor.weights = Features{
 		featureBase:        startBaseMs,
 		featureUncached:    startUncachedMsPerThousand,
@@ -68,9 +68,9 @@
 	return total
 }
 
-// ReadingRate is the learned time to read a thousand uncached tokens in ms, within bounds.
-func (p *Predictor) ReadingRate() float64 {
-	return min(max(p.weights[featureUncached], slowestRead), fastestRead)
+// PrefillMsPerThousand is the learned time to read a thousand uncached tokens in ms, within bounds.
+func (p *Predictor) PrefillMsPerThousand() float64 {
+	return min(max(p.weights[featureUncached], minPrefillMsPerThousand), maxPrefillMsPerThousand)
 }
 
 // Observe learns from one measured time to the first token.
@@ -83,28 +83,28 @@
 		}
 		scale += gain[row] * features[row]
 	}
-	fault := latencyMs - p.estimate(features)
+	predictionError := latencyMs - p.estimate(features)
 	for row := range featureCount {
-		p.weights[row] += gain[row] / scale * fault
+		p.weights[row] += gain[row] / scale * predictionError
 	}
 	for row := range featureCount {
 		for column := range featureCount {
 			reduced := p.covariance[row][column] - gain[row]*gain[column]/scale
 			p.covariance[row][column] = reduced / p.forgetting
 		}
-		p.covariance[row][row] = min(p.covariance[row][row], largestCovariance)
+		p.covariance[row][row] = min(p.covariance[row][row], maxCovariance)
 	}
 	p.samples++
 }
 
 // Outcome moves the success rate by the end of one request.
-func (p *Predictor) Outcome(served bool) {
-	value := 0.0
+func (p *Predictor) RecordOutcome(served bool) {
+	outcome := 0.0
 	if served {
-		value = 1
+		outcome = 1
 	}
-	p.quality += qualityRate * (value - p.quality)
+	p.successRate += successLearningRate * (outcome - p.successRate)
 }
 
 // Quality is the success rate, between 0 and 1.
-func (p *Predictor) Quality() float64 { return p.quality }
+func (p *Predictor) SuccessRate() float64 { return p.successRate }
--- a/internal/match/prefix.go
+++ b/internal/match/prefix.go
@@ -14,13 +14,13 @@
 
 // Prompt is a prompt for one model, by its parts.
 type Prompt struct {
-	Model     string // or model/adapter
-	Parts     []Part
-	Dialogues []uint64 // Dialogues(Parts)
+	Model        string // or model/adapter
+	Parts        []Part
+	PrefixHashes []uint64 // HashPrefixes(Parts)
 }
 
-// partsBound is how many parts a prompt may name.
-const partsBound = 256
+// maxPromptParts is how many parts a prompt may name.
+const maxPromptParts = 256
 
 // ParsePrefix reads a header of comma-separated parts "hexid:tokens". An empty value has no parts;
 // false means that the value is not valid.
@@ -29,7 +29,7 @@
 		return nil, true
 	}
 	fields := strings.Split(value, ",")
-	if len(fields) > partsBound {
+	if len(fields) > maxPromptParts {
 		return nil, false
 	}
 	parts := make([]Part, 0, len(fields))
@@ -66,18 +66,18 @@
 	return float64(read), float64(written), true
 }
 
-// Dialogues names every prefix of a chain of parts: the element at a position is a hash of the parts
+// HashPrefixes names every prefix of a chain of parts: the element at a position is a hash of the parts
 // up to and with it. Two prompts share a dialogue exactly as far as they share a prefix.
-func Dialogues(parts []Part) []uint64 {
+func HashPrefixes(parts []Part) []uint64 {
 	chain := fnv.New64a()
-	dialogues := make([]uint64, len(parts))
+	prefixHashes := make([]uint64, len(parts))
 	var buffer [8]byte
 	for position, part := range parts {
 		for index := range buffer {
 			buffer[index] = byte(part.ID >> (8 * index))
 		}
 		_, _ = chain.Write(buffer[:])
-		dialogues[position] = chain.Sum64()
+		prefixHashes[position] = chain.Sum64()
 	}
-	return dialogues
+	return prefixHashes
 }
--- a/internal/match/queue_test.go
+++ b/internal/match/queue_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestGivenRequestsInAnySequenceThenTheQueueIsTheirStableSort(t *testing.T) {
-	draw := rand.New(rand.NewPCG(5, 6))
+func TestMatcher_QueueIsStablySorted(t *testing.T) {
+	random := rand.New(rand.NewPCG(5, 6))
 	for range 200 {
 		matcher := newTestFleet(3, 3, 3, func(int) int { return 0 }).matcher
 		var arrived []*Request
-		for range draw.IntN(60) {
-			request := &Request{Priority: draw.IntN(3), Deadline: noon.Add(time.Duration(draw.IntN(5)) * time.Second)}
+		for range random.IntN(60) {
+			request := &Request{Priority: random.IntN(3), Deadline: noon.Add(time.Duration(random.IntN(5)) * time.Second)}
 			arrived = append(arrived, request)
 			matcher.insertWaiting(request)
 		}
@@ -24,9 +24,9 @@
 	}
 }
 
-func TestGivenAFreedReplicaThenOnlyRequestsItCanServeAreTriedAndTheRestSoonAfter(t *testing.T) {
+func TestMatcher_RetriesOnlyServableRequestsForFreedReplica(t *testing.T) {
 	fixture := newTestFleet(3, 3, 3, func(int) int { return 0 })
-	replicas := fixture.fleet.Load().Replicas
+	replicas := fixture.snapshot.Load().Replicas
 	for position, replica := range replicas {
 		replica.Models = map[string]bool{"model-" + string(rune('0'+position)): true}
 		fixture.matcher.state(replica.ID).running = fixtureSlots
@@ -35,7 +35,7 @@
 	for range 3 {
 		request := fixture.request()
 		requests[request.Model] = request
-		fixture.matcher.Begin(request)
+		fixture.matcher.Enqueue(request)
 	}
 	fixture.now = fixture.now.Add(time.Second)
 	fixture.matcher.Wake()
@@ -43,26 +43,26 @@
 	fixture.matcher.state("i-0").running = 3
 	fixture.matcher.state("i-1").running = 3
 	fixture.now = fixture.now.Add(time.Millisecond)
-	fixture.matcher.Tell(Report{
+	fixture.matcher.HandleReport(Report{
 		Ticket:  &Ticket{request: requests["model-0"], replica: "i-0"},
 		Outcome: OutcomeServed,
 		At:      fixture.now,
 	})
-	assert.Equal(t, len(requests["model-0"].Answer), 1)
-	assert.Equal(t, len(requests["model-1"].Answer), 0)
+	assert.Equal(t, len(requests["model-0"].Decided), 1)
+	assert.Equal(t, len(requests["model-1"].Decided), 0)
 	wait, needed := fixture.matcher.NextWake()
 	assert.Assert(t, needed && wait < retryInterval)
 	fixture.now = fixture.now.Add(wait)
 	fixture.matcher.Wake()
-	assert.Equal(t, len(requests["model-1"].Answer), 1)
-	assert.Equal(t, len(requests["model-2"].Answer), 0)
+	assert.Equal(t, len(requests["model-1"].Decided), 1)
+	assert.Equal(t, len(requests["model-2"].Decided), 0)
 }
 
-func TestGivenAnsweredRequestsThatAreKeptThenTheyHoldNoSnapshotOfTheFleet(t *testing.T) {
+func TestMatcher_DecidedRequestsReleaseSnapshot(t *testing.T) {
 	fixture := newTestFleet(3, 1, 3, func(int) int { return 0 })
 	request := fixture.request()
-	fixture.matcher.Begin(request)
-	command := <-request.Answer
-	assert.Assert(t, command.Ticket != nil)
-	assert.Assert(t, request.indexed == nil && request.holders == nil)
+	fixture.matcher.Enqueue(request)
+	decision := <-request.Decided
+	assert.Assert(t, decision.Ticket != nil)
+	assert.Assert(t, request.hostsIndex == nil && request.hosts == nil)
 }
--- a/internal/match/review.go
+++ b/internal/match/review.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// reviewEvery is the least time between two reviews.
-	reviewEvery = 100 * time.Millisecond
+	// reviewInterval is the least time between two reviews.
+	reviewInterval = 100 * time.Millisecond
 	// stalledAfter without a review this data plane itself was stalled, and what is overdue then
 	// is no replica's failure.
 	stalledAfter = 1200 * time.Millisecond
@@ -18,17 +18,17 @@
 
 // review counts first events that are overdue, and moves the breakers of all replicas.
 func (m *Matcher) review(now time.Time) {
-	since := now.Sub(m.health.reviewed)
-	if since < reviewEvery {
+	since := now.Sub(m.health.reviewedAt)
+	if since < reviewInterval {
 		return
 	}
-	m.health.reviewed = now
+	m.health.reviewedAt = now
 	m.reviewOverdue(since > stalledAfter, now)
-	m.health.total.advance(now)
-	m.health.notClosed = 0
+	m.health.totalOutcomes.decay(now)
+	m.health.breakersNotClosed = 0
 	clear(m.health.ejected)
 	m.reviewZones(now)
-	for _, replica := range m.fleet.Replicas {
+	for _, replica := range m.snapshot.Replicas {
 		m.reviewReplica(replica, now)
 	}
 }
@@ -42,8 +42,8 @@
 				ticket.failureCounted = true
 				continue
 			}
-			overdue := !ticket.failureCounted && now.Sub(ticket.sent) > ticket.firstEventBound()
-			if overdue && !m.busy(ticket.replica, busyLoad) {
+			overdue := !ticket.failureCounted && now.Sub(ticket.sentAt) > ticket.firstEventTimeout()
+			if overdue && !m.isBusy(ticket.replica, highLoad) {
 				ticket.overdueCounted = true
 				m.recordFailure(ticket, 1, now)
 			}
@@ -55,37 +55,37 @@
 // have none.
 func (m *Matcher) reviewReplica(replica *Replica, now time.Time) {
 	own := peer.Outcomes{}
-	if kept := m.health.tallies[replica.ID]; kept != nil {
-		kept.advance(now)
-		own = kept.Outcomes
+	if counter := m.health.outcomes[replica.ID]; counter != nil {
+		counter.decay(now)
+		own = counter.Outcomes
 	}
-	seen := addOutcomes(own, m.others(replica.ID, now).Outcomes)
-	doubted := m.health.doubts(replica, now)
-	held := m.health.breakers[replica.ID]
-	if held == nil {
-		if seen.Failed < relapseFailures && !doubted {
+	seen := addOutcomes(own, m.peerLoad(replica.ID, now).Outcomes)
+	suspected := m.health.suspectsZoneOf(replica, now)
+	replicaBreaker := m.health.breakers[replica.ID]
+	if replicaBreaker == nil {
+		if seen.Failed < relapseFailures && !suspected {
 			return
 		}
-		held = m.health.breakerByAddress[replica.Address].successor(now)
-		m.health.breakers[replica.ID] = held
+		replicaBreaker = m.health.breakerByAddress[replica.Address].inherit(now)
+		m.health.breakers[replica.ID] = replicaBreaker
 	}
-	before := held.state
-	held.review(seen, m.evidence(replica, seen, own, now), now)
-	if doubted && held.state == breakerClosed {
-		held.open(now)
+	before := replicaBreaker.state
+	replicaBreaker.review(seen, m.evidence(replica, seen, own, now), now)
+	if suspected && replicaBreaker.state == breakerClosed {
+		replicaBreaker.open(now)
 	}
-	m.health.breakerByAddress[replica.Address] = held
-	if held.state != breakerClosed {
-		m.health.notClosed++
+	m.health.breakerByAddress[replica.Address] = replicaBreaker
+	if replicaBreaker.state != breakerClosed {
+		m.health.breakersNotClosed++
 	}
-	if held.state == breakerOpen && before != breakerOpen {
+	if replicaBreaker.state == breakerOpen && before != breakerOpen {
 		logrus.WithFields(logrus.Fields{
 			"replica":  replica.ID,
-			"evidence": held.evidence,
+			"evidence": replicaBreaker.evidence,
 			"served":   seen.Served,
 			"failed":   seen.Failed,
-			"zone":     doubted,
-			"pause_ms": held.openFor.Milliseconds(),
+			"zone":     suspected,
+			"pause_ms": replicaBreaker.openDuration.Milliseconds(),
 		}).Info("replica left out")
 	}
 }
@@ -93,11 +93,11 @@
 // evidence against a replica is the greater of what all callers and what those of the own zone saw,
 // against the share of failures at the other replicas.
 func (m *Matcher) evidence(replica *Replica, seen, own peer.Outcomes, now time.Time) float64 {
-	total := m.health.total.Outcomes
-	peers := peerShare(addOutcomes(total, m.fleetTotal(now)), seen)
-	if total.Served+total.Failed > ownTotal {
-		peers = max(peers, peerShare(total, own))
+	total := m.health.totalOutcomes.Outcomes
+	peers := peerFailureRate(addOutcomes(total, m.peerOutcomes(now)), seen)
+	if total.Served+total.Failed > minOwnRequests {
+		peers = max(peers, peerFailureRate(total, own))
 	}
-	near := m.near(replica.ID, now)
+	near := m.zoneOutcomes(replica.ID, now)
 	return max(logLikelihoodRatio(seen, peers), logLikelihoodRatio(near, peers))
 }
--- a/internal/match/samples.go
+++ b/internal/match/samples.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// samplesTotal is divided over the routes, within samplesPerRouteMin and samplesPerRouteMax each.
-	samplesTotal       = 2000
-	samplesPerRouteMin = 4
-	samplesPerRouteMax = 200
-	// sampledRoutesMax is how many routes are sampled; one more starts all samples anew.
-	sampledRoutesMax = 1024
+	// maxSamples is divided over the routes, within minSamplesPerRoute and maxSamplesPerRoute each.
+	maxSamples         = 2000
+	minSamplesPerRoute = 4
+	maxSamplesPerRoute = 200
+	// maxSampledRoutes is how many routes are sampled; one more starts all samples anew.
+	maxSampledRoutes = 1024
 )
 
 // sampleRing holds the last requests of a route; once full, each new one replaces the oldest.
@@ -23,20 +23,20 @@
 }
 
 // note adds a request. Requests without a route and second tries are not sampled.
-func (s *requestSamples) note(request *Request) {
-	if request.Route == "" || len(request.Excluded) > 0 {
+func (s *requestSamples) add(request *Request) {
+	if request.Route == "" || len(request.ExcludedReplicas) > 0 {
 		return
 	}
 	ring := s.routes[request.Route]
 	if ring == nil {
-		if s.routes == nil || len(s.routes) >= sampledRoutesMax {
+		if s.routes == nil || len(s.routes) >= maxSampledRoutes {
 			s.routes = map[string]*sampleRing{}
 		}
 		ring = &sampleRing{}
 		s.routes[request.Route] = ring
 	}
-	bound := min(max(samplesTotal/len(s.routes), samplesPerRouteMin), samplesPerRouteMax)
-	if len(ring.requests) < bound {
+	limit := min(max(maxSamples/len(s.routes), minSamplesPerRoute), maxSamplesPerRoute)
+	if len(ring.requests) < limit {
 		ring.requests = append(ring.requests, request)
 		return
 	}
@@ -68,11 +68,11 @@
 }
 
 // expire removes requests past that life, if the oldest of any route is.
-func (s *requestSamples) expire(life time.Duration, now time.Time) {
+func (s *requestSamples) expire(ttl time.Duration, now time.Time) {
 	for _, ring := range s.routes {
 		oldest := ring.requests[ring.next%len(ring.requests)]
-		if now.Sub(oldest.Arrived) > life {
-			s.drop(func(request *Request) bool { return now.Sub(request.Arrived) > life })
+		if now.Sub(oldest.Arrived) > ttl {
+			s.drop(func(request *Request) bool { return now.Sub(request.Arrived) > ttl })
 			return
 		}
 	}
--- a/internal/match/samples_test.go
+++ b/internal/match/samples_test.go
@@ -8,13 +8,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestGivenManyRoutesThenTheSampleStaysBoundedAndIsLetGoWithTheLedger(t *testing.T) {
+func TestRequestSamples_StayBoundedAndFollowLedger(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	ledger := NewLedger(100, 0)
+	ledger := NewPrefixLedger(100, 0)
 	request := func(route string, part uint64, at time.Time) *Request {
 		return &Request{Route: route, Model: "m", Parts: []Part{{part, 10}}, Arrived: at}
 	}
-	kept := func() int {
+	sampled := func() int {
 		total := 0
 		for _, ring := range ledger.samples.routes {
 			total += len(ring.requests)
@@ -22,19 +22,19 @@
 		return total
 	}
 	for number := range 40000 {
-		ledger.sample(request(fmt.Sprint("r", number%1000), uint64(number%2), now))
+		ledger.addSample(request(fmt.Sprint("r", number%1000), uint64(number%2), now))
 	}
-	assert.Assert(t, kept() <= 2*samplesTotal+1000*samplesPerRouteMin && len(ledger.samples.routes) == 1000, "%d", kept())
-	before := kept()
+	assert.Assert(t, sampled() <= 2*maxSamples+1000*minSamplesPerRoute && len(ledger.samples.routes) == 1000, "%d", sampled())
+	before := sampled()
 	ledger.Forget(func(model string, part uint64) bool { return part == 1 }, now.Add(time.Second))
-	assert.Assert(t, kept() < before)
+	assert.Assert(t, sampled() < before)
 	for _, ring := range ledger.samples.routes {
 		ring.each(func(request *Request) { assert.Equal(t, request.Parts[0].ID, uint64(0)) })
 	}
-	left := kept()
-	ledger.sample(request("late", 1, now))
-	assert.Equal(t, kept(), left, "what came before a forget is not sampled after it")
-	ledger.sample(request("new", 0, now.Add(time.Minute)))
-	ledger.SetLife(30*time.Second, now.Add(time.Minute))
-	assert.Equal(t, kept(), 1)
+	left := sampled()
+	ledger.addSample(request("late", 1, now))
+	assert.Equal(t, sampled(), left, "what came before a forget is not sampled after it")
+	ledger.addSample(request("new", 0, now.Add(time.Minute)))
+	ledger.SetTTL(30*time.Second, now.Add(time.Minute))
+	assert.Equal(t, sampled(), 1)
 }
--- a/internal/match/scale_test.go
+++ b/internal/match/scale_test.go
@@ -21,14 +21,14 @@
 // testFleet is a matcher with a fleet of one backend in one zone, where models are loaded at fixtureCopies
 // replicas each.
 type testFleet struct {
-	matcher *Matcher
-	fleet   *atomic.Pointer[Fleet]
-	now     time.Time
-	models  int
-	number  int
+	matcher  *Matcher
+	snapshot *atomic.Pointer[Snapshot]
+	now      time.Time
+	models   int
+	number   int
 }
 
-func tableOf(models int) *configuration.Table {
+func newTestTable(models int) *configuration.Table {
 	backend := configuration.Backend{
 		Name:     "service",
 		ColdPerS: 5.5,
@@ -40,21 +40,21 @@
 	return configuration.NewTable(configuration.Configuration{Backends: []configuration.Backend{backend}}, nil)
 }
 
-// fleetOf is a snapshot; others returns what the other data planes run at each replica.
-func fleetOf(replicas, models, edges int, others func(replica int) int, now time.Time) *Fleet {
-	fleet := &Fleet{
-		Table:    tableOf(models),
-		Drained:  map[string]bool{},
-		Edges:    edges,
-		Fetched:  now,
-		OthersAt: now,
-		Others:   map[string]peer.ReplicaLoad{},
+// newTestSnapshot is a snapshot; others returns what the other data planes run at each replica.
+func newTestSnapshot(replicas, models, dataPlanes int, peerRunning func(replica int) int, now time.Time) *Snapshot {
+	fleet := &Snapshot{
+		Table:        newTestTable(models),
+		DrainedZones: map[string]bool{},
+		DataPlanes:   dataPlanes,
+		ListedAt:     now,
+		PeerLoadsAt:  now,
+		PeerLoads:    map[string]peer.ReplicaLoad{},
 	}
-	held := make([][]platform.Held, replicas)
+	loadedModels := make([][]platform.Held, replicas)
 	for model := range models {
 		for copied := range fixtureCopies {
 			at := (model + copied*(replicas/fixtureCopies)) % replicas
-			held[at] = append(held[at], platform.Held{Name: "model-" + strconv.Itoa(model)})
+			loadedModels[at] = append(loadedModels[at], platform.Held{Name: "model-" + strconv.Itoa(model)})
 		}
 	}
 	for index := range replicas {
@@ -63,47 +63,47 @@
 			Backend: "service",
 			Zone:    "north",
 			Slots:   fixtureSlots,
-			Models:  held[index],
+			Models:  loadedModels[index],
 		}
 		fleet.Replicas = append(fleet.Replicas, NewReplica(index, listed, now, nil))
-		if running := others(index); running > 0 {
-			fleet.Others[listed.ID] = peer.ReplicaLoad{Running: running, Tokens: float64(running) * 1000}
+		if running := peerRunning(index); running > 0 {
+			fleet.PeerLoads[listed.ID] = peer.ReplicaLoad{Running: running, Tokens: float64(running) * 1000}
 		}
 	}
 	return fleet
 }
 
-func newTestFleet(replicas, models, edges int, others func(replica int) int) *testFleet {
-	fixture := &testFleet{now: noon, models: models, fleet: &atomic.Pointer[Fleet]{}}
-	fixture.fleet.Store(fleetOf(replicas, models, edges, others, fixture.now))
-	fixture.matcher = NewMatcher(DefaultParameters(), "north", func() time.Time { return fixture.now }, fixture.fleet)
+func newTestFleet(replicas, models, dataPlanes int, peerRunning func(replica int) int) *testFleet {
+	fixture := &testFleet{now: noon, models: models, snapshot: &atomic.Pointer[Snapshot]{}}
+	fixture.snapshot.Store(newTestSnapshot(replicas, models, dataPlanes, peerRunning, fixture.now))
+	fixture.matcher = NewMatcher(DefaultParameters(), "north", func() time.Time { return fixture.now }, fixture.snapshot)
 	return fixture
 }
 
 // request is the next of a sequence of requests that share prefixes and go round the models.
-func (g *testFleet) request() *Request {
-	g.number++
-	parts := []Part{{uint64(g.number % 50), 400}, {uint64(g.number % 500), 200}}
+func (f *testFleet) request() *Request {
+	f.number++
+	parts := []Part{{uint64(f.number % 50), 400}, {uint64(f.number % 500), 200}}
 	return &Request{
-		Attempt:   strconv.Itoa(g.number),
-		Backend:   "service",
-		Model:     "model-" + strconv.Itoa(g.number*7%g.models),
-		Parts:     parts,
-		Dialogues: Dialogues(parts),
-		Prompt:    800,
-		Output:    100,
-		Arrived:   g.now,
-		Deadline:  g.now.Add(30 * time.Second),
-		Aim:       8 * time.Second,
-		Priority:  g.number % 3,
-		Excluded:  map[string]bool{},
+		Attempt:          strconv.Itoa(f.number),
+		Backend:          "service",
+		Model:            "model-" + strconv.Itoa(f.number*7%f.models),
+		Parts:            parts,
+		PrefixHashes:     HashPrefixes(parts),
+		PromptTokens:     800,
+		OutputTokens:     100,
+		Arrived:          f.now,
+		Deadline:         f.now.Add(30 * time.Second),
+		LatencyTarget:    8 * time.Second,
+		Priority:         f.number % 3,
+		ExcludedReplicas: map[string]bool{},
 	}
 }
 
 var fleetSizes = []struct{ replicas, models, edges int }{{9, 28, 8}, {140, 450, 80}, {720, 1600, 400}}
 
 // atSizes runs a benchmark at the sizes of the sites.
-func atSizes(b *testing.B, run func(b *testing.B, replicas, models, edges int)) {
+func atSizes(b *testing.B, run func(b *testing.B, replicas, models, dataPlanes int)) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("replicas=%d", size.replicas), func(b *testing.B) {
 			b.ReportAllocs()
@@ -112,77 +112,77 @@
 	}
 }
 
-func BenchmarkOneRequest(b *testing.B) {
-	atSizes(b, func(b *testing.B, replicas, models, edges int) {
-		fixture := newTestFleet(replicas, models, edges, func(replica int) int { return replica % 6 })
+func BenchmarkMatcher_OneRequest(b *testing.B) {
+	atSizes(b, func(b *testing.B, replicas, models, dataPlanes int) {
+		fixture := newTestFleet(replicas, models, dataPlanes, func(replica int) int { return replica % 6 })
 		for b.Loop() {
 			fixture.now = fixture.now.Add(100 * time.Microsecond)
-			fixture.fleet.Load().OthersAt = fixture.now
+			fixture.snapshot.Load().PeerLoadsAt = fixture.now
 			request := fixture.request()
-			fixture.matcher.Begin(request)
-			command := <-request.Answer
-			fixture.matcher.Tell(Report{Ticket: command.Ticket, Outcome: OutcomeFirst, At: fixture.now})
-			fixture.matcher.Tell(Report{Ticket: command.Ticket, Outcome: OutcomeServed, At: fixture.now})
+			fixture.matcher.Enqueue(request)
+			decision := <-request.Decided
+			fixture.matcher.HandleReport(Report{Ticket: decision.Ticket, Outcome: OutcomeFirstEvent, At: fixture.now})
+			fixture.matcher.HandleReport(Report{Ticket: decision.Ticket, Outcome: OutcomeServed, At: fixture.now})
 		}
 	})
 }
 
-func BenchmarkEmitSixteenAssigned(b *testing.B) {
-	atSizes(b, func(b *testing.B, replicas, models, edges int) {
-		fixture := newTestFleet(replicas, models, edges, func(replica int) int { return replica % 6 })
+func BenchmarkMatcher_DecideSixteen(b *testing.B) {
+	atSizes(b, func(b *testing.B, replicas, models, dataPlanes int) {
+		fixture := newTestFleet(replicas, models, dataPlanes, func(replica int) int { return replica % 6 })
 		fixture.matcher.Wake()
 		for b.Loop() {
 			var requests []*Request
 			for range 16 {
 				request := fixture.request()
-				request.Answer = make(chan Command, 1)
+				request.Decided = make(chan Decision, 1)
 				requests = append(requests, request)
 				fixture.matcher.waiting = append(fixture.matcher.waiting, request)
 			}
-			fixture.matcher.emit()
+			fixture.matcher.decideWaiting()
 			for _, request := range requests {
-				fixture.matcher.Tell(Report{Ticket: (<-request.Answer).Ticket, Outcome: OutcomeServed, At: fixture.now})
+				fixture.matcher.HandleReport(Report{Ticket: (<-request.Decided).Ticket, Outcome: OutcomeServed, At: fixture.now})
 			}
 		}
 	})
 }
 
-func BenchmarkSixteenRequestsForWhatAllHold(b *testing.B) {
-	atSizes(b, func(b *testing.B, replicas, models, edges int) {
-		fixture := newTestFleet(replicas, models, edges, func(replica int) int { return replica % 6 })
+func BenchmarkMatcher_SixteenRequestsWithoutModel(b *testing.B) {
+	atSizes(b, func(b *testing.B, replicas, models, dataPlanes int) {
+		fixture := newTestFleet(replicas, models, dataPlanes, func(replica int) int { return replica % 6 })
 		fixture.matcher.Wake()
 		requests := make([]*Request, 16)
 		for b.Loop() {
 			for row := range requests {
 				requests[row] = fixture.request()
-				requests[row].Model, requests[row].Answer = "", make(chan Command, 1)
+				requests[row].Model, requests[row].Decided = "", make(chan Decision, 1)
 			}
 			fixture.matcher.assign(requests, fixture.now)
 			for _, request := range requests {
-				fixture.matcher.Tell(Report{Ticket: (<-request.Answer).Ticket, Outcome: OutcomeServed, At: fixture.now})
+				fixture.matcher.HandleReport(Report{Ticket: (<-request.Decided).Ticket, Outcome: OutcomeServed, At: fixture.now})
 			}
 		}
 	})
 }
 
 // waitingMatcher has that many requests in its queue, since all replicas are full.
-func waitingMatcher(replicas, models, edges, waiting int) *testFleet {
-	fixture := newTestFleet(replicas, models, edges, func(int) int { return fixtureSlots })
+func waitingMatcher(replicas, models, dataPlanes, waiting int) *testFleet {
+	fixture := newTestFleet(replicas, models, dataPlanes, func(int) int { return fixtureSlots })
 	for range waiting {
-		fixture.matcher.Begin(fixture.request())
+		fixture.matcher.Enqueue(fixture.request())
 	}
 	fixture.matcher.Wake()
 	return fixture
 }
 
-func BenchmarkEmitSixteenWaiting(b *testing.B) { benchmarkWaiting(b, 16) }
-func BenchmarkEmitHundredWaiting(b *testing.B) { benchmarkWaiting(b, 100) }
+func BenchmarkMatcher_SixteenWaiting(b *testing.B) { benchmarkWaiting(b, 16) }
+func BenchmarkMatcher_HundredWaiting(b *testing.B) { benchmarkWaiting(b, 100) }
 
 func benchmarkWaiting(b *testing.B, waiting int) {
-	atSizes(b, func(b *testing.B, replicas, models, edges int) {
-		fixture := waitingMatcher(replicas, models, edges, waiting)
+	atSizes(b, func(b *testing.B, replicas, models, dataPlanes int) {
+		fixture := waitingMatcher(replicas, models, dataPlanes, waiting)
 		for b.Loop() {
-			fixture.matcher.emit()
+			fixture.matcher.decideWaiting()
 		}
 		if len(fixture.matcher.waiting) != waiting {
 			b.Fatal("requests left the queue")
@@ -190,14 +190,14 @@
 	})
 }
 
-func BenchmarkSettleHundredWaiting(b *testing.B) {
-	atSizes(b, func(b *testing.B, replicas, models, edges int) {
-		fixture := waitingMatcher(replicas, models, edges, 100)
+func BenchmarkMatcher_RetryWithHundredWaiting(b *testing.B) {
+	atSizes(b, func(b *testing.B, replicas, models, dataPlanes int) {
+		fixture := waitingMatcher(replicas, models, dataPlanes, 100)
 		request := fixture.request()
 		for b.Loop() {
 			state := fixture.matcher.watchState("i-0")
 			state.running++
-			fixture.matcher.Tell(Report{
+			fixture.matcher.HandleReport(Report{
 				Ticket:  &Ticket{request: request, replica: "i-0"},
 				Outcome: OutcomeServed,
 				At:      fixture.now,
@@ -206,17 +206,17 @@
 	})
 }
 
-func BenchmarkLoad(b *testing.B) {
-	atSizes(b, func(b *testing.B, replicas, models, edges int) {
-		fixture := newTestFleet(replicas, models, edges, func(replica int) int { return replica % 6 })
+func BenchmarkMatcher_CollectLoad(b *testing.B) {
+	atSizes(b, func(b *testing.B, replicas, models, dataPlanes int) {
+		fixture := newTestFleet(replicas, models, dataPlanes, func(replica int) int { return replica % 6 })
 		for range 500 {
 			request := fixture.request()
-			fixture.matcher.Begin(request)
-			ticket := (<-request.Answer).Ticket
+			fixture.matcher.Enqueue(request)
+			ticket := (<-request.Decided).Ticket
 			if fixture.number > 490 {
 				continue
 			}
-			fixture.matcher.Tell(Report{Ticket: ticket, Outcome: OutcomeServed, At: fixture.now})
+			fixture.matcher.HandleReport(Report{Ticket: ticket, Outcome: OutcomeServed, At: fixture.now})
 		}
 		for b.Loop() {
 			fixture.matcher.collectLoad()
@@ -224,14 +224,14 @@
 	})
 }
 
-func BenchmarkNewSnapshot(b *testing.B) {
-	atSizes(b, func(b *testing.B, replicas, models, edges int) {
-		fixture := newTestFleet(replicas, models, edges, func(replica int) int { return replica % 6 })
-		replicasListed := fixture.fleet.Load().Replicas
+func BenchmarkMatcher_NewSnapshot(b *testing.B) {
+	atSizes(b, func(b *testing.B, replicas, models, dataPlanes int) {
+		fixture := newTestFleet(replicas, models, dataPlanes, func(replica int) int { return replica % 6 })
+		replicasListed := fixture.snapshot.Load().Replicas
 		for b.Loop() {
-			fleet := *fixture.fleet.Load()
+			fleet := *fixture.snapshot.Load()
 			fleet.Replicas = append([]*Replica(nil), replicasListed...)
-			fixture.fleet.Store(&fleet)
+			fixture.snapshot.Store(&fleet)
 			fixture.matcher.Wake()
 		}
 	})
--- a/internal/match/score.go
+++ b/internal/match/score.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// inTimeCentre and inTimeWidth, as shares of the aim, shape the smooth step from served in
+	// inTimeMidpoint and inTimeWidth, as shares of the aim, shape the smooth step from served in
 	// time to served late.
-	inTimeCentre = 0.9
-	inTimeWidth  = 0.12
+	inTimeMidpoint = 0.9
+	inTimeWidth    = 0.12
 )
 
 // scoredPair is the worth of serving one request at one replica, with what it was worked out from.
 type scoredPair struct {
-	weight    float64 // w = v - C (eq. 7); the pair is pruned below 0
-	features  Features
-	predicted float64 // time to the first token, ms
-	kept      float64 // prompt tokens the ledger expects in the replica's cache
-	uncached  float64 // prompt tokens to be read
-	pace      float64 // of the model
+	weight         float64 // w = v - C (eq. 7); the pair is pruned below 0
+	features       Features
+	predictedMs    float64 // time to the first token, ms
+	cachedTokens   float64 // prompt tokens the ledger expects in the replica's cache
+	uncachedTokens float64 // prompt tokens to be read
+	pace           float64 // of the model
 }
 
 // score weighs a pair of request and replica (eq. 1, 4, 5 and 7, changed as docs/design.md explains):
@@ -27,42 +27,42 @@
 // less the cost of the tokens to be read and of crossing zones.
 func (m *Matcher) score(row requestRow, node *replicaNode, now time.Time) scoredPair {
 	request, replica, state := row.request, node.replica, node.state
-	kept := 0.0
-	if row.trusted {
-		kept = m.ledger.Kept(replica.ID, request.prompt(), now)
+	cachedTokens := 0.0
+	if row.useLedger {
+		cachedTokens = m.ledger.CachedTokens(replica.ID, request.prompt(), now)
 	}
-	uncached := max(request.Prompt-kept, 0)
-	features := node.features(row, kept, uncached)
+	uncached := max(request.PromptTokens-cachedTokens, 0)
+	features := node.features(row, cachedTokens, uncached)
 	predicted := state.predictor.Latency(features)
-	aim := max(float64(request.Aim.Milliseconds()), 1)
-	quality := m.quality(request, state.predictor.Quality(), predicted, aim, now)
+	latencyTarget := max(float64(request.LatencyTarget.Milliseconds()), 1)
+	quality := m.quality(request, state.predictor.SuccessRate(), predicted, latencyTarget, now)
 	price := m.parameters.TokenPrice * uncached * row.pace
 	if replica.Zone != m.zone {
 		price += m.parameters.CrossPrice
 	}
 	delta := m.parameters.Delta
-	value := delta*quality - (1-delta)*min(predicted/aim, m.parameters.LatencyBound)
+	value := delta*quality - (1-delta)*min(predicted/latencyTarget, m.parameters.LatencyBound)
 	return scoredPair{
-		weight:    value - price,
-		features:  features,
-		predicted: predicted,
-		kept:      kept,
-		uncached:  uncached,
-		pace:      row.pace,
+		weight:         value - price,
+		features:       features,
+		predictedMs:    predicted,
+		cachedTokens:   cachedTokens,
+		uncachedTokens: uncached,
+		pace:           row.pace,
 	}
 }
 
 // features are the predictor's inputs for one pair (eq. 5): see Features for their sequence.
-func (n *replicaNode) features(row requestRow, kept, uncached float64) Features {
-	running := float64(n.state.running + n.others.Running)
+func (n *replicaNode) features(row requestRow, cachedTokens, uncached float64) Features {
+	running := float64(n.state.running + n.peerLoad.Running)
 	slots := float64(max(n.replica.Slots, 1))
 	utilisation := running / slots
-	affinity := kept / max(1, row.request.Prompt)
+	affinity := cachedTokens / max(1, row.request.PromptTokens)
 	return Features{
 		featureBase:        1,
 		featureUncached:    uncached / 1000 * row.pace,
 		featureUtilisation: utilisation,
-		featurePending:     (n.state.pendingTokens + n.others.Prefill) / 1000,
+		featurePending:     (n.state.pendingTokens + n.peerLoad.Prefill) / 1000,
 		featurePaceLoad:    running / slots * row.pace,
 		featureAffinity:    affinity,
 	}
@@ -71,13 +71,13 @@
 // quality is P: the replica's success rate times a smooth step at the aim, with a floor for answers
 // that come late but before the deadline, and 0 for those expected after it. predicted and aim are
 // in ms.
-func (m *Matcher) quality(request *Request, success, predicted, aim float64, now time.Time) float64 {
+func (m *Matcher) quality(request *Request, success, predicted, latencyTarget float64, now time.Time) float64 {
 	remaining := float64(request.Deadline.Sub(now).Milliseconds())
 	if predicted > remaining {
 		return 0
 	}
 	elapsed := float64(now.Sub(request.Arrived).Milliseconds())
-	inTime := 1 / (1 + math.Exp((elapsed+predicted-aim*inTimeCentre)/(aim*inTimeWidth)))
+	inTime := 1 / (1 + math.Exp((elapsed+predicted-latencyTarget*inTimeMidpoint)/(latencyTarget*inTimeWidth)))
 	late := m.parameters.LateWorth
 	return success * (late + (1-late)*inTime)
 }
@@ -86,19 +86,19 @@
 // and for more of its aim waited, so that in a shortage the flow prefers those.
 func rankWeight(request *Request, now time.Time) float64 {
 	weight := 1 + 1/float64(request.Priority+1)
-	if request.Aim > 0 {
-		weight += min(float64(now.Sub(request.Arrived))/float64(request.Aim), 1)
+	if request.LatencyTarget > 0 {
+		weight += min(float64(now.Sub(request.Arrived))/float64(request.LatencyTarget), 1)
 	}
 	return weight
 }
 
 const (
-	// paceRate is the exponent of each observed ratio; both the ratio and the pace are bounded.
-	paceRate      = 0.08
-	smallestRatio = 0.3
-	largestRatio  = 3
-	smallestPace  = 0.02
-	largestPace   = 5
+	// paceLearningRate is the exponent of each observed ratio; both the ratio and the pace are bounded.
+	paceLearningRate = 0.08
+	minLatencyRatio  = 0.3
+	maxLatencyRatio  = 3
+	minPace          = 0.02
+	maxPace          = 5
 )
 
 // pace is how slow a model is next to the others, learned over all replicas; 1 where unknown.
@@ -114,6 +114,6 @@
 func (m *Matcher) learnPace(model string, ratio float64) {
 	base := BaseModel(model)
 	current := m.pace(model)
-	bounded := math.Min(math.Max(ratio, smallestRatio), largestRatio)
-	m.paces[base] = math.Min(math.Max(current*math.Pow(bounded, paceRate), smallestPace), largestPace)
+	bounded := math.Min(math.Max(ratio, minLatencyRatio), maxLatencyRatio)
+	m.paces[base] = math.Min(math.Max(current*math.Pow(bounded, paceLearningRate), minPace), maxPace)
 }
--- a/internal/match/synchronous.go
+++ b/internal/match/synchronous.go
@@ -11,22 +11,22 @@
 // replayer use them under a simulated clock. They must not be mixed with Run.
 
 // Begin takes in a request, as Submit does. The command arrives in request.Answer.
-func (m *Matcher) Begin(request *Request) {
-	request.Answer = make(chan Command, 1)
-	m.adopt()
-	m.accept(request)
+func (m *Matcher) Enqueue(request *Request) {
+	request.Decided = make(chan Decision, 1)
+	m.useLatestSnapshot()
+	m.enqueue(request)
 }
 
 // Tell takes in a report.
-func (m *Matcher) Tell(report Report) {
-	m.adopt()
+func (m *Matcher) HandleReport(report Report) {
+	m.useLatestSnapshot()
 	m.handleReport(report)
 }
 
 // Wake tries all that waits, as Run does on news and on its timer.
 func (m *Matcher) Wake() {
-	m.adopt()
-	m.emit()
+	m.useLatestSnapshot()
+	m.decideWaiting()
 }
 
 // NextWake returns the time until Wake should be called, and false when nothing waits.
@@ -36,19 +36,19 @@
 }
 
 // Withdraw takes back a request whose client has gone.
-func (m *Matcher) Withdraw(request *Request) { m.withdraw(request) }
+func (m *Matcher) Cancel(request *Request) { m.cancel(request) }
 
 // Waiting is the count of undecided requests.
-func (m *Matcher) Waiting() int { return len(m.waiting) }
+func (m *Matcher) WaitingCount() int { return len(m.waiting) }
 
-// LoadNow is Load without Run.
-func (m *Matcher) LoadNow() peer.LoadReport {
-	m.fleet = m.current.Load()
+// CollectLoad is Load without Run.
+func (m *Matcher) CollectLoad() peer.LoadReport {
+	m.snapshot = m.latest.Load()
 	return m.collectLoad()
 }
 
-// ForecastNow is Forecast without Run.
-func (m *Matcher) ForecastNow(loss drill.Loss) drill.Answer {
+// ForecastSync is Forecast without Run.
+func (m *Matcher) ForecastSync(loss drill.Loss) drill.Answer {
 	now := m.clock()
 	return m.fork(now, m.ledger.fork()).forecast(loss, now)
 }
@@ -57,7 +57,7 @@
 func (m *Matcher) Now() time.Time { return m.clock() }
 
 // Kept is the count of prompt tokens that the ledger expected in the replica's cache.
-func (t *Ticket) Kept() float64 { return t.kept }
+func (t *Ticket) CachedTokens() float64 { return t.cachedTokens }
 
 // Uncached is the count of prompt tokens that the replica was expected to read.
-func (t *Ticket) Uncached() float64 { return t.uncached }
+func (t *Ticket) UncachedTokens() float64 { return t.uncachedTokens }
--- a/internal/match/tally.go
+++ b/internal/match/tally.go
@@ -10,31 +10,31 @@
 const (
 	// halfLife is the time in which a record fades by half.
 	halfLife = 2500 * time.Millisecond
-	// soundShare is the least share of failures that a sound replica is held to have.
-	soundShare = 0.02
-	// failingShare is the least share that a failing one is held to have.
-	failingShare = 0.3
-	// priorTotal is the weight, in requests, of soundShare in the share of the others.
-	priorTotal = 5.0
-	// ownTotal is the count of own requests from which the own share counts beside the fleet's.
-	ownTotal = 4.0
+	// healthyFailureRate is the least share of failures that a sound replica is held to have.
+	healthyFailureRate = 0.02
+	// failingFailureRate is the least share that a failing one is held to have.
+	failingFailureRate = 0.3
+	// priorRequests is the weight, in requests, of healthyFailureRate in the share of the others.
+	priorRequests = 5.0
+	// minOwnRequests is the count of own requests from which the own share counts beside the fleet's.
+	minOwnRequests = 4.0
 	// negligible failures at the start of a trial count as none.
 	negligible = 0.05
-	// leastServed and leastFailed: a record below both is not reported.
-	leastServed = 0.3
-	leastFailed = 0.1
+	// minReportedServed and minReportedFailed: a record below both is not reported.
+	minReportedServed = 0.3
+	minReportedFailed = 0.1
 )
 
-// outcomeTally counts served and failed requests, both fading with halfLife. Counts are fractions
+// outcomeCounter counts served and failed requests, both fading with halfLife. Counts are fractions
 // since outcomes have weights.
-type outcomeTally struct {
+type outcomeCounter struct {
 	peer.Outcomes
 	at       time.Time // to which the counts are faded
 	failedAt time.Time // of the last failure that counted
 }
 
 // advance fades the counts to now.
-func (t *outcomeTally) advance(now time.Time) {
+func (t *outcomeCounter) decay(now time.Time) {
 	span := now.Sub(t.at)
 	if span <= 0 {
 		return
@@ -46,16 +46,16 @@
 }
 
 // add counts outcomes; a negative failed takes one back.
-func (t *outcomeTally) add(served, failed float64, now time.Time) {
-	t.advance(now)
+func (t *outcomeCounter) add(served, failed float64, now time.Time) {
+	t.decay(now)
 	t.Served += served
 	t.Failed = max(t.Failed+failed, 0)
 }
 
 // reported are the counts for a load report, to one decimal.
-func (t *outcomeTally) reported(now time.Time) peer.Outcomes {
-	t.advance(now)
-	if t.Served < leastServed && t.Failed < leastFailed {
+func (t *outcomeCounter) reported(now time.Time) peer.Outcomes {
+	t.decay(now)
+	if t.Served < minReportedServed && t.Failed < minReportedFailed {
 		return peer.Outcomes{}
 	}
 	return peer.Outcomes{
@@ -64,31 +64,31 @@
 	}
 }
 
-func addOutcomes(one, other peer.Outcomes) peer.Outcomes {
+func addOutcomes(first, second peer.Outcomes) peer.Outcomes {
 	return peer.Outcomes{
-		Served: one.Served + other.Served,
-		Failed: one.Failed + other.Failed,
+		Served: first.Served + second.Served,
+		Failed: first.Failed + second.Failed,
 	}
 }
 
-// peerShare is the share of failures among all outcomes but a replica's own.
-func peerShare(all, own peer.Outcomes) float64 {
+// peerFailureRate is the share of failures among all outcomes but a replica's own.
+func peerFailureRate(all, own peer.Outcomes) float64 {
 	served := max(all.Served-own.Served, 0)
 	failed := max(all.Failed-own.Failed, 0)
-	return (failed + priorTotal*soundShare) / (served + failed + priorTotal)
+	return (failed + priorRequests*healthyFailureRate) / (served + failed + priorRequests)
 }
 
 const (
-	largestSound   = 0.9
-	largestFailing = 0.95
-	failingFactor  = 3
+	maxHealthyFailureRate = 0.9
+	maxFailingFailureRate = 0.95
+	failingFactor         = 3
 )
 
 // logLikelihoodRatio is the evidence that a replica fails more than its peers, as in a sequential
 // probability ratio test (Wald): s is the share of failures of a sound replica (that of the peers),
 // g that of a failing one, and the evidence failed·ln(g/s) + served·ln((1−g)/(1−s)).
 func logLikelihoodRatio(seen peer.Outcomes, peers float64) float64 {
-	sound := min(max(peers, soundShare), largestSound)
-	failing := max(failingShare, min(failingFactor*sound, largestFailing))
+	sound := min(max(peers, healthyFailureRate), maxHealthyFailureRate)
+	failing := max(failingFailureRate, min(failingFactor*sound, maxFailingFailureRate))
 	return seen.Failed*math.Log(failing/sound) + seen.Served*math.Log((1-failing)/(1-sound))
 }
--- a/internal/match/zones.go
+++ b/internal/match/zones.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// A zone is doubted if doubtedLeast of its replicas and doubtedShare of them have failures, and
-	// that is doubtedMore times the share elsewhere.
-	doubtedLeast = 3
-	doubtedShare = 1.0 / 3
-	doubtedMore  = 3.0
-	// doubtTime is how long a zone stays doubted.
-	doubtTime = time.Second
+	// A zone is doubted if minFailingReplicas of its replicas and minFailingShare of them have failures, and
+	// that is failingShareFactor times the share elsewhere.
+	minFailingReplicas = 3
+	minFailingShare    = 1.0 / 3
+	failingShareFactor = 3.0
+	// zoneSuspicionTime is how long a zone stays doubted.
+	zoneSuspicionTime = time.Second
 )
 
 // zoneCount counts a zone's replicas, and those of them with failures seen from the own zone.
@@ -21,9 +21,9 @@
 	replicas, failing float64
 }
 
-// doubtedZones are the zones whose replicas fail far more than those of all others.
-func doubtedZones(counts map[string]zoneCount) []string {
-	var doubted []string
+// suspectedZones are the zones whose replicas fail far more than those of all others.
+func suspectedZones(counts map[string]zoneCount) []string {
+	var suspected []string
 	for zone, here := range counts {
 		elsewhere := zoneCount{}
 		for other, count := range counts {
@@ -32,21 +32,21 @@
 				elsewhere.failing += count.failing
 			}
 		}
-		if elsewhere.replicas == 0 || here.failing < doubtedLeast || here.failing < doubtedShare*here.replicas {
+		if elsewhere.replicas == 0 || here.failing < minFailingReplicas || here.failing < minFailingShare*here.replicas {
 			continue
 		}
-		if here.failing/here.replicas > doubtedMore*elsewhere.failing/elsewhere.replicas {
-			doubted = append(doubted, zone)
+		if here.failing/here.replicas > failingShareFactor*elsewhere.failing/elsewhere.replicas {
+			suspected = append(suspected, zone)
 		}
 	}
-	return doubted
+	return suspected
 }
 
 // near is a replica's record with the callers of the own zone.
-func (m *Matcher) near(id string, now time.Time) peer.Outcomes {
-	others := m.others(id, now)
+func (m *Matcher) zoneOutcomes(id string, now time.Time) peer.Outcomes {
+	others := m.peerLoad(id, now)
 	near := peer.Outcomes{Served: others.NearServed, Failed: others.NearFailed}
-	if own := m.health.tallies[id]; own != nil {
+	if own := m.health.outcomes[id]; own != nil {
 		near = addOutcomes(near, own.Outcomes)
 	}
 	return near
@@ -55,28 +55,28 @@
 // reviewZones begins to doubt zones; a doubt in force is not extended.
 func (m *Matcher) reviewZones(now time.Time) {
 	counts := map[string]zoneCount{}
-	for _, replica := range m.fleet.Replicas {
+	for _, replica := range m.snapshot.Replicas {
 		count := counts[replica.Zone]
 		count.replicas++
-		if m.near(replica.ID, now).Failed >= relapseFailures {
+		if m.zoneOutcomes(replica.ID, now).Failed >= relapseFailures {
 			count.failing++
 		}
 		counts[replica.Zone] = count
 	}
-	for _, zone := range doubtedZones(counts) {
-		if !now.Before(m.health.doubtedUntil[zone]) {
-			m.health.doubtedUntil[zone] = now.Add(doubtTime)
+	for _, zone := range suspectedZones(counts) {
+		if !now.Before(m.health.zoneSuspectedUntil[zone]) {
+			m.health.zoneSuspectedUntil[zone] = now.Add(zoneSuspicionTime)
 		}
 	}
 }
 
 // doubts reports whether a replica is left out for its zone: it was listed before the doubt began.
-func (h *health) doubts(replica *Replica, now time.Time) bool {
+func (h *health) suspectsZoneOf(replica *Replica, now time.Time) bool {
 	first, known := h.firstListed[replica.ID]
 	if !known {
 		first = now
 		h.firstListed[replica.ID] = now
 	}
-	until := h.doubtedUntil[replica.Zone]
-	return now.Before(until) && first.Before(until.Add(-doubtTime))
+	until := h.zoneSuspectedUntil[replica.Zone]
+	return now.Before(until) && first.Before(until.Add(-zoneSuspicionTime))
 }
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -166,15 +166,15 @@
 	}
 }
 
-type check struct {
-	wrong   bool
+type fieldCheck struct {
+	failed  bool
 	message string
 }
 
 // Check returns one error that names everything a daemon serving "edge" or "control" cannot start
 // with.
-func (s Settings) Check(serves string) error {
-	checks := []check{
+func (s Settings) Check(service string) error {
+	checks := []fieldCheck{
 		{s.NodeName == "", "nodeName is missing"},
 		{net.ParseIP(s.IPAddress) == nil, fmt.Sprintf("ipAddress %q is no IP address", s.IPAddress)},
 		{len(s.InternalPorts) != 2, "internalPorts must name a first and a last port"},
@@ -187,26 +187,26 @@
 		{s.TimingBounds.QuotaWindowS <= 0, "timingBounds.quotaWindowS must be above 0"},
 		{s.TimingBounds.QuotaOverage < 0 || s.TimingBounds.QuotaSlack < 0, "timingBounds.quotaOverage and quotaSlack must not be below 0"},
 		{s.HeartbeatMs <= 0, "heartbeatMs must be above 0"},
-		{serves == "edge" && s.BindAddresses.DataPlane == "", "bindAddresses.dataPlane is missing"},
-		{serves == "edge" && s.BindAddresses.Readiness == "", "bindAddresses.readiness is missing"},
-		{serves == "control" && s.BindAddresses.ControlPlane == "", "bindAddresses.controlPlane is missing"},
-		{serves == "control" && s.DataDir == "", "dataDir is missing"},
+		{service == "edge" && s.BindAddresses.DataPlane == "", "bindAddresses.dataPlane is missing"},
+		{service == "edge" && s.BindAddresses.Readiness == "", "bindAddresses.readiness is missing"},
+		{service == "control" && s.BindAddresses.ControlPlane == "", "bindAddresses.controlPlane is missing"},
+		{service == "control" && s.DataDir == "", "dataDir is missing"},
 	}
 	if len(s.InternalPorts) == 2 && (s.InternalPorts[0] <= 0 || s.InternalPorts[1] < s.InternalPorts[0] || s.InternalPorts[1] > 65535) {
-		checks = append(checks, check{true, "internalPorts must rise and lie between 1 and 65535"})
+		checks = append(checks, fieldCheck{true, "internalPorts must rise and lie between 1 and 65535"})
 	}
 	for _, seed := range s.SeedNodes {
 		_, _, err := net.SplitHostPort(seed)
-		checks = append(checks, check{err != nil, fmt.Sprintf("seedNodes: %q is no address", seed)})
+		checks = append(checks, fieldCheck{err != nil, fmt.Sprintf("seedNodes: %q is no address", seed)})
 	}
-	var wrong []string
-	for _, one := range checks {
-		if one.wrong {
-			wrong = append(wrong, one.message)
+	var messages []string
+	for _, fieldCheck := range checks {
+		if fieldCheck.failed {
+			messages = append(messages, fieldCheck.message)
 		}
 	}
-	if len(wrong) > 0 {
-		return errors.New("settings: " + strings.Join(wrong, "; "))
+	if len(messages) > 0 {
+		return errors.New("settings: " + strings.Join(messages, "; "))
 	}
 	return nil
 }
--- a/internal/nodesettings/settings_test.go
+++ b/internal/nodesettings/settings_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const sound = `
+const validSettings = `
 nodeName = "edge-1"
 ipAddress = "10.1.0.13"
 zone = "north"
@@ -22,15 +22,15 @@
 ratePerS = 44.0
 `
 
-func TestGivenUnknownFieldsThenTheyArePassedOver(t *testing.T) {
-	settings, err := Parse([]byte(sound))
+func TestParse_IgnoresUnknownFields(t *testing.T) {
+	settings, err := Parse([]byte(validSettings))
 	assert.NilError(t, err)
 	assert.NilError(t, settings.Check("edge"))
 	assert.Equal(t, settings.PeerAddress(), "10.1.0.13:7720")
 	assert.DeepEqual(t, settings.SeedPeers(), []string{"10.1.0.16:7720"})
 }
 
-func TestGivenMissingOrSenselessFieldsThenEachIsNamed(t *testing.T) {
+func TestSettings_CheckNamesInvalidFields(t *testing.T) {
 	cases := map[string]string{
 		`nodeName = "edge-1"`:            "nodeName",
 		`ipAddress = "10.1.0.13"`:        "ipAddress",
@@ -40,11 +40,11 @@
 		`address = "10.200.0.79:8169"`:   "cloudApi.address",
 	}
 	for line, name := range cases {
-		settings, err := Parse([]byte(strings.Replace(sound, line, "", 1)))
+		settings, err := Parse([]byte(strings.Replace(validSettings, line, "", 1)))
 		assert.NilError(t, err)
 		assert.ErrorContains(t, settings.Check("edge"), name)
 	}
-	backwards, err := Parse([]byte(strings.Replace(sound, "[7720,7735]", "[7735,7720]", 1)))
+	backwards, err := Parse([]byte(strings.Replace(validSettings, "[7720,7735]", "[7735,7720]", 1)))
 	assert.NilError(t, err)
 	assert.ErrorContains(t, backwards.Check("edge"), "internalPorts")
 	_, err = Parse([]byte("nodeName = "))
--- a/internal/nodesettings/watch.go
+++ b/internal/nodesettings/watch.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-const watchEvery = 2 * time.Second
+const watchInterval = 2 * time.Second
 
 // Watch calls use with sound settings whenever a hangup arrives and every two seconds, until ctx
 // ends. Files that cannot be read or don't pass the check are passed over.
-func Watch(ctx context.Context, path, serves string, hangups <-chan os.Signal, use func(fresh Settings)) {
-	ticker := time.NewTicker(watchEvery)
+func Watch(ctx context.Context, path, service string, hangups <-chan os.Signal, onChange func(settings Settings)) {
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -20,15 +20,15 @@
 		case <-hangups:
 		case <-ticker.C:
 		}
-		if fresh, err := Load(path); err == nil && fresh.Check(serves) == nil {
-			use(fresh)
+		if settings, err := Load(path); err == nil && settings.Check(service) == nil {
+			onChange(settings)
 		}
 	}
 }
 
 // Sleep waits for pause or until ctx ends.
-func Sleep(ctx context.Context, pause time.Duration) {
-	timer := time.NewTimer(pause)
+func Sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/nodesettings/watch_test.go
+++ b/internal/nodesettings/watch_test.go
@@ -11,17 +11,17 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestGivenASettingsFileThatChangesWhenToldThenItsNewSeedsAreUsedAndBrokenOnesAreNot(t *testing.T) {
+func TestWatch_ReloadsValidSettingsOnHangup(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.toml")
-	assert.NilError(t, os.WriteFile(path, []byte(sound), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(validSettings), 0o600))
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	hangups, used := make(chan os.Signal, 1), make(chan Settings, 4)
-	go Watch(ctx, path, "edge", hangups, func(fresh Settings) { used <- fresh })
+	go Watch(ctx, path, "edge", hangups, func(settings Settings) { used <- settings })
 	hangups <- syscall.SIGHUP
 	select {
-	case fresh := <-used:
-		assert.DeepEqual(t, fresh.SeedPeers(), []string{"10.1.0.16:7720"})
+	case settings := <-used:
+		assert.DeepEqual(t, settings.SeedPeers(), []string{"10.1.0.16:7720"})
 	case <-ctx.Done():
 		t.Fatal("the change was not followed")
 	}
--- a/internal/operator/calls.go
+++ b/internal/operator/calls.go
@@ -69,7 +69,7 @@
 		apierror.Write(writer, apierror.New(apierror.UnknownPath, "%s", request.URL.Path))
 	})
 	router.MethodNotAllowed(func(writer http.ResponseWriter, request *http.Request) {
-		apierror.Write(writer, apierror.New(apierror.WrongMethod, "%s", request.Method))
+		apierror.Write(writer, apierror.New(apierror.MethodNotAllowed, "%s", request.Method))
 	})
 	for _, one := range calls {
 		if !one.guarded {
@@ -106,7 +106,7 @@
 	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, documentBound))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return 0, nil, apierror.New(apierror.LargeBody, "")
+		return 0, nil, apierror.New(apierror.BodyTooLarge, "")
 	}
 	if err != nil {
 		return 0, nil, apierror.New(apierror.MalformedRequest, "body broke off")
--- a/internal/operator/guard.go
+++ b/internal/operator/guard.go
@@ -88,7 +88,7 @@
 		path := strings.TrimSuffix(request.URL.EscapedPath(), "/"+token)
 		before := g.Before(request.Method, path, token)
 		if !g.clock().Before(before) {
-			apierror.Write(writer, apierror.New(apierror.LateCall, ""))
+			apierror.Write(writer, apierror.New(apierror.CallExpired, ""))
 			return
 		}
 		serve(writer, request.WithContext(context.WithValue(request.Context(), beforeKey{}, before)))
--- a/internal/operator/rehearse.go
+++ b/internal/operator/rehearse.go
@@ -22,12 +22,12 @@
 
 func rehearse(state State, request *http.Request) ([]byte, error) {
 	var wanted drill.Request
-	if err := decode(request, &wanted, apierror.InvalidRehearsal); err != nil {
+	if err := decode(request, &wanted, apierror.InvalidDrill); err != nil {
 		return nil, err
 	}
 	handle, known := rehearsers[wanted.Kind]
 	if !known {
-		return nil, apierror.New(apierror.InvalidRehearsal, "kind must be %q or %q", drill.KindForecast, drill.KindDrill)
+		return nil, apierror.New(apierror.InvalidDrill, "kind must be %q or %q", drill.KindForecast, drill.KindDrill)
 	}
 	result, err := handle(state, request, wanted)
 	if err != nil {
--- a/internal/place/adapters.go
+++ b/internal/place/adapters.go
@@ -8,22 +8,22 @@
 const (
 	// adapterCopies is how many copies each adapter of a loaded model is to have.
 	adapterCopies = 2
-	// Values of Action.Why.
+	// Values of Action.Reason.
 	adapterLoadReason = "adapter wanted"
 	adapterCopyReason = "an adapter has no room where its model is loaded"
 	adapterSwapReason = "adapter makes way for one asked for"
 )
 
-// wantedAdapter is an adapter with too few copies.
-type wantedAdapter struct {
+// candidateAdapter is an adapter with too few copies.
+type candidateAdapter struct {
 	number  int
 	waiting int
 	copies  int
 	rate    float64
 }
 
-// compareWantedAdapters sorts the fewest copies first, then the most who wait, then the highest rate.
-func compareWantedAdapters(left, right wantedAdapter) int {
+// compareCandidateAdapters sorts the fewest copies first, then the most who wait, then the highest rate.
+func compareCandidateAdapters(left, right candidateAdapter) int {
 	return cmp.Or(
 		left.copies-right.copies,
 		right.waiting-left.waiting,
@@ -34,8 +34,8 @@
 
 // addAdapters loads adapters of models that are loaded: with pressing, those waited for, or asked for and
 // nowhere loaded; without, the others that have too few copies.
-func (p *planner) addAdapters(pressing bool) {
-	var wanted []wantedAdapter
+func (p *planner) addAdapters(urgentOnly bool) {
+	var candidates []candidateAdapter
 	for model, adapters := range p.catalog.adapters {
 		if len(adapters) == 0 || p.copies[model] == 0 {
 			continue
@@ -43,17 +43,17 @@
 		for _, number := range adapters {
 			copies := p.copies[number]
 			if copies < adapterCopies {
-				copies += p.loading(number)
+				copies += p.loadsPending(number)
 			}
 			demand := p.ownDemand(number)
 			urgent := demand.Waiting > 0 || copies == 0 && demand.Rate > 0
-			if copies < adapterCopies && urgent == pressing {
-				wanted = append(wanted, wantedAdapter{number, demand.Waiting, copies, demand.Rate})
+			if copies < adapterCopies && urgent == urgentOnly {
+				candidates = append(candidates, candidateAdapter{number, demand.Waiting, copies, demand.Rate})
 			}
 		}
 	}
-	slices.SortFunc(wanted, compareWantedAdapters)
-	for _, adapter := range wanted {
+	slices.SortFunc(candidates, compareCandidateAdapters)
+	for _, adapter := range candidates {
 		p.addAdapter(adapter.number, adapter.copies == 0 && (adapter.waiting > 0 || adapter.rate > 0))
 	}
 }
@@ -63,9 +63,9 @@
 // its model added elsewhere.
 func (p *planner) addAdapter(number int, urgent bool) {
 	var best *serverState
-	for _, position := range p.serversWithAdapterRoom(p.item(number).model) {
+	for _, position := range p.serversForAdapter(p.item(number).model) {
 		state := &p.servers[position]
-		if !state.holds(number) && (best == nil || len(state.adapters) < len(best.adapters)) {
+		if !state.hasLoaded(number) && (best == nil || len(state.adapters) < len(best.adapters)) {
 			best = state
 		}
 	}
@@ -73,38 +73,40 @@
 		p.load(best, number, adapterLoadReason)
 		return
 	}
-	waited := p.ownDemand(number).Waiting > 0
-	if !urgent || p.unloadAdapter(p.item(number).model, waited) || p.unloadForAdapter(number, waited) {
+	hasWaiting := p.ownDemand(number).Waiting > 0
+	if !urgent || p.swapAdapter(p.item(number).model, hasWaiting) || p.evictForAdapter(number, hasWaiting) {
 		return
 	}
-	if waited {
-		p.copyForAdapter(number)
+	if hasWaiting {
+		p.addCopyForAdapter(number)
 	}
 }
 
-// serversWithAdapterRoom are the idle holders of a model with room for one more of its adapters.
-func (p *planner) serversWithAdapterRoom(model int) []int {
-	list, known := p.adapterRoom[model]
-	if !known && model < len(p.holders) {
-		for _, position := range p.holders[model] {
-			if p.hasAdapterRoom(&p.servers[position], model) {
+// serversForAdapter are the idle holders of a model with room for one more of its adapters.
+func (p *planner) serversForAdapter(model int) []int {
+	list, known := p.adapterCandidates[model]
+	if !known && model < len(p.hosts) {
+		for _, position := range p.hosts[model] {
+			if p.fitsAnotherAdapter(&p.servers[position], model) {
 				list = append(list, position)
 			}
 		}
 	}
 	rest := list[:0]
 	for _, position := range list {
-		if p.servers[position].idle() {
+		if p.servers[position].isIdle() {
 			rest = append(rest, position)
 		}
 	}
-	p.adapterRoom[model] = rest
+	p.adapterCandidates[model] = rest
 	return rest
 }
 
 // adapterSize is the size of each adapter of a listed model.
-func (p *planner) adapterSize(model int) roomSize { return p.item(p.catalog.adapters[model][0]).size }
+func (p *planner) adapterSize(model int) memoryUnits {
+	return p.item(p.catalog.adapters[model][0]).size
+}
 
-func (p *planner) hasAdapterRoom(state *serverState, model int) bool {
-	return state.places < p.runtime.AdapterCapacity && state.used+p.adapterSize(model) <= p.room
+func (p *planner) fitsAnotherAdapter(state *serverState, model int) bool {
+	return state.adapterSlotsUsed < p.runtime.AdapterCapacity && state.memoryUsed+p.adapterSize(model) <= p.capacity
 }
--- a/internal/place/addcopy.go
+++ b/internal/place/addcopy.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// diskCost is the time to load from a server's own disk, of that from the store.
-	diskCost = 0.25
-	// readingCost is the cost of a server's disturbance, in seconds of load time.
-	readingCost = 1.5
+	// diskLoadFactor is the time to load from a server's own disk, of that from the store.
+	diskLoadFactor = 0.25
+	// prefillDisruptionCost is the cost of a server's disturbance, in seconds of load time.
+	prefillDisruptionCost = 1.5
 )
 
 // rankedServer is a server with the cost of making room at it.
@@ -18,10 +18,10 @@
 	cost   float64
 }
 
-// storedCopy is one element of the list of servers that have a model on their disk.
-type storedCopy struct {
+// diskCopy is one element of the list of servers that have a model on their disk.
+type diskCopy struct {
 	server int
-	next   int // position in planner.storedCopies, 0 for none
+	next   int // position in planner.diskCopies, 0 for none
 }
 
 // cheapestChoice keeps the server with the lowest cost, of equal ones the first.
@@ -39,42 +39,42 @@
 
 // addCopy loads a model where the load and the room for it cost least, or begins to make room for it
 // there. It reports whether it found such a server.
-func (p *planner) addCopy(model int, why string) bool {
-	position := p.cheapestFor(model)
+func (p *planner) addCopy(model int, reason string) bool {
+	position := p.cheapestServerFor(model)
 	if position < 0 {
 		return false
 	}
 	state := &p.servers[position]
-	if p.load(state, model, why) {
+	if p.load(state, model, reason) {
 		return true
 	}
 	p.setIntent(state, p.item(model).name)
 	if !p.evict(state, model) {
 		state.exhausted = true
-		return p.addCopy(model, why)
+		return p.addCopy(model, reason)
 	}
-	if !state.server.Held[p.item(model).name] {
-		p.promisedLoads++
+	if !state.server.OnDisk[p.item(model).name] {
+		p.reservedTokens++
 	}
 	return true
 }
 
-// cheapestFor is the cheapest server for one more copy, or -1: any that has the model on its disk,
+// cheapestServerFor is the cheapest server for one more copy, or -1: any that has the model on its disk,
 // and any other one while the store's rate allows a load.
-func (p *planner) cheapestFor(model int) int {
+func (p *planner) cheapestServerFor(model int) int {
 	best := cheapestChoice{server: -1}
 	size, loadTime := p.item(model).size, p.loadTime(model)
-	for next := p.firstStoredCopy(model); next > 0; next = p.storedCopies[next].next {
-		state := &p.servers[p.storedCopies[next].server]
+	for next := p.diskCopiesOf(model); next > 0; next = p.diskCopies[next].next {
+		state := &p.servers[p.diskCopies[next].server]
 		if !p.acceptsCopy(state, model) {
 			continue
 		}
 		if cost, possible := p.evictionCost(state, size); possible {
-			best.consider(state.position, cost+loadTime*diskCost)
+			best.consider(state.position, cost+loadTime*diskLoadFactor)
 		}
 	}
-	if p.tokens-p.promisedLoads >= 1 {
-		if ranked, found := p.cheapestServer(model, size); found {
+	if p.tokens-p.reservedTokens >= 1 {
+		if ranked, found := p.cheapestStoreServer(model, size); found {
 			best.consider(ranked.server, ranked.cost+loadTime)
 		}
 	}
@@ -82,41 +82,41 @@
 }
 
 func (p *planner) acceptsCopy(state *serverState, model int) bool {
-	return state.free() && !state.exhausted && !state.holds(model) && !p.reservedForAdapters(state)
+	return state.isFree() && !state.exhausted && !state.hasLoaded(model) && !p.reservedForAdapters(state)
 }
 
-// firstStoredCopy is the head of the list of servers that have a model on their disk, 0 for none. The
+// diskCopiesOf is the head of the list of servers that have a model on their disk, 0 for none. The
 // lists of all models are made at the first call, of the servers that are free then.
-func (p *planner) firstStoredCopy(model int) int {
-	if p.storedCopies == nil {
-		p.listStoredCopies()
+func (p *planner) diskCopiesOf(model int) int {
+	if p.diskCopies == nil {
+		p.indexDiskCopies()
 	}
-	if model < len(p.firstStored) {
-		return p.firstStored[model]
+	if model < len(p.firstDiskCopy) {
+		return p.firstDiskCopy[model]
 	}
 	return 0
 }
 
-// listStoredCopies makes the lists; position 0 of storedCopies marks the end of a list.
-func (p *planner) listStoredCopies() {
-	p.storedCopies = []storedCopy{{}}
-	p.firstStored = make([]int, len(p.catalog.items))
+// indexDiskCopies makes the lists; position 0 of diskCopies marks the end of a list.
+func (p *planner) indexDiskCopies() {
+	p.diskCopies = []diskCopy{{}}
+	p.firstDiskCopy = make([]int, len(p.catalog.items))
 	for position := range p.servers {
-		if !p.servers[position].free() {
+		if !p.servers[position].isFree() {
 			continue
 		}
-		for reference := range p.servers[position].server.Held {
+		for reference := range p.servers[position].server.OnDisk {
 			if number, known := p.catalog.names[reference]; known {
-				p.storedCopies = append(p.storedCopies, storedCopy{position, p.firstStored[number]})
-				p.firstStored[number] = len(p.storedCopies) - 1
+				p.diskCopies = append(p.diskCopies, diskCopy{position, p.firstDiskCopy[number]})
+				p.firstDiskCopy[number] = len(p.diskCopies) - 1
 			}
 		}
 	}
 }
 
-// cheapestServer is the server at which room for that size costs least, of those that accept a copy
+// cheapestStoreServer is the server at which room for that size costs least, of those that accept a copy
 // of the model. Servers that are no longer free are dropped from the ranking on the way.
-func (p *planner) cheapestServer(model int, size roomSize) (rankedServer, bool) {
+func (p *planner) cheapestStoreServer(model int, size memoryUnits) (rankedServer, bool) {
 	ranking, known := p.rankedBySize[size]
 	if !known {
 		ranking = p.rankServers(size)
@@ -124,7 +124,7 @@
 	rest := ranking[:0]
 	for index, ranked := range ranking {
 		state := &p.servers[ranked.server]
-		if !state.free() || state.exhausted {
+		if !state.isFree() || state.exhausted {
 			continue
 		}
 		rest = append(rest, ranked)
@@ -138,11 +138,11 @@
 }
 
 // rankServers sorts the free servers by the cost of room for that size.
-func (p *planner) rankServers(size roomSize) []rankedServer {
+func (p *planner) rankServers(size memoryUnits) []rankedServer {
 	var ranking []rankedServer
 	for position := range p.servers {
 		state := &p.servers[position]
-		if !state.free() {
+		if !state.isFree() {
 			continue
 		}
 		if cost, possible := p.evictionCost(state, size); possible {
@@ -159,7 +159,7 @@
 // model with adapters of which no more than half of the holders are free.
 func (p *planner) reservedForAdapters(state *serverState) bool {
 	for _, model := range state.models {
-		if p.adapterCount(model) > 0 && 2*p.freeHolders[model] <= p.copies[model] && p.totalDemand(model).Rate > hotRate {
+		if p.adapterCount(model) > 0 && 2*p.freeHosts[model] <= p.copies[model] && p.totalDemand(model).Rate > hotRate {
 			return true
 		}
 	}
@@ -168,16 +168,16 @@
 
 // evictionCost is the cost of room for that size at a server, and whether it can be made at all. What the
 // server may hold counts also where it is the very model to be loaded, which then needs less.
-func (p *planner) evictionCost(state *serverState, size roomSize) (float64, bool) {
+func (p *planner) evictionCost(state *serverState, size memoryUnits) (float64, bool) {
 	p.rankVictims(state)
-	cost := readingCost * state.disturbance
-	need := state.used + size - p.room
+	cost := prefillDisruptionCost * state.disruption
+	need := state.memoryUsed + size - p.capacity
 	for _, next := range state.victims {
 		if need <= 0 {
 			break
 		}
-		need -= next.freed
-		cost += next.loss
+		need -= next.freedMemory
+		cost += next.cost
 	}
 	return cost, need <= 0
 }
--- a/internal/place/bound_test.go
+++ b/internal/place/bound_test.go
@@ -16,9 +16,9 @@
 	t.Helper()
 	runtime := view.Table.Configuration.Backends[0].Runtime
 	upper := map[string]bool{action.Model: true}
-	for _, references := range []map[string]bool{server.Models, server.MayHold} {
-		for reference, held := range references {
-			if held {
+	for _, references := range []map[string]bool{server.Loaded, server.MaybeLoaded} {
+		for reference, loaded := range references {
+			if loaded {
 				upper[reference] = true
 			}
 		}
@@ -27,7 +27,7 @@
 	for reference := range upper {
 		size, known := configuredSize(runtime, reference)
 		// A remembered size was rounded up by less than a unit.
-		if earlier, remembered := view.Sizes.of(server.ID)[reference]; remembered && reference != action.Model {
+		if earlier, remembered := view.SizeHistory.sizesAt(server.ID)[reference]; remembered && reference != action.Model {
 			size, known = max(size, float64(earlier-1)/unitsPerMb), true
 		}
 		assert.Assert(t, known, "%s: %v beside %s of unknown size", note, action, reference)
@@ -36,17 +36,17 @@
 			adapters++
 		}
 	}
-	room := new(big.Rat).SetFloat64(runtime.WeightSizeMb)
-	assert.Assert(t, total.Cmp(room) <= 0, "%s: %v", note, action)
-	assert.Assert(t, plainListed(runtime, action.Model), "%s: %v", note, action)
-	if model, adapter := split(action.Model); adapter != "" {
-		assert.Assert(t, adapters <= runtime.AdapterCapacity && server.Models[model], "%s: %v", note, action)
+	capacity := new(big.Rat).SetFloat64(runtime.WeightSizeMb)
+	assert.Assert(t, total.Cmp(capacity) <= 0, "%s: %v", note, action)
+	assert.Assert(t, isConfiguredReference(runtime, action.Model), "%s: %v", note, action)
+	if model, adapter := splitReference(action.Model); adapter != "" {
+		assert.Assert(t, adapters <= runtime.AdapterCapacity && server.Loaded[model], "%s: %v", note, action)
 	}
 }
 
 // configuredSize is the size of a reference in MB, and whether the configuration gives one.
 func configuredSize(runtime *configuration.Runtime, reference string) (float64, bool) {
-	name, adapter := split(reference)
+	name, adapter := splitReference(reference)
 	for _, model := range runtime.Models {
 		switch {
 		case model.Name != name:
--- a/internal/place/catalog.go
+++ b/internal/place/catalog.go
@@ -11,10 +11,10 @@
 // for without being in the configuration.
 type catalogItem struct {
 	name    string // reference
-	key     string // Key of it
+	key     string // ModelKey of it
 	model   int    // number of its model, of a model its own
 	adapter bool
-	size    roomSize // unknownSize where the configuration has none
+	size    memoryUnits // unknownSize where the configuration has none
 }
 
 // backendCatalog numbers the models and adapters of one backend.
@@ -23,9 +23,9 @@
 	runtime  *configuration.Runtime
 	items    []catalogItem
 	names    map[string]int // reference to number
-	keys     map[string]int // Key to number
+	keys     map[string]int // ModelKey to number
 	adapters [][]int        // by model
-	smallest roomSize       // of the smallest model
+	smallest memoryUnits    // of the smallest model
 }
 
 // Catalog numbers all models and adapters of a configuration, so that plans need not look them up
@@ -48,7 +48,7 @@
 }
 
 // Of reports whether the catalog was made of that table. A nil catalog was made of none.
-func (c *Catalog) Of(table *configuration.Table) bool { return c != nil && c.table == table }
+func (c *Catalog) IsFor(table *configuration.Table) bool { return c != nil && c.table == table }
 
 // backend is the catalog of a backend, nil where it has no runtime.
 func (c *Catalog) backend(name string) *backendCatalog {
@@ -94,7 +94,7 @@
 // add gives an item the next number.
 func (c *backendCatalog) add(item catalogItem) int {
 	number := len(c.items)
-	item.key = Key(c.backend.Name, item.name)
+	item.key = ModelKey(c.backend.Name, item.name)
 	c.items = append(c.items, item)
 	c.names[item.name] = number
 	c.keys[item.key] = number
@@ -103,14 +103,14 @@
 
 // sizeOf is the size that the configuration gives a reference. An adapter of a listed model has that
 // model's size of adapters, also beyond the adapters listed.
-func (c *backendCatalog) sizeOf(reference string) roomSize {
+func (c *backendCatalog) sizeOf(reference string) memoryUnits {
 	if c == nil {
 		return unknownSize
 	}
 	if number, known := c.names[reference]; known {
 		return c.items[number].size
 	}
-	base, adapter := split(reference)
+	base, adapter := splitReference(reference)
 	if model, known := c.names[base]; known && adapter != "" {
 		return sizeOf(c.runtime.Models[model].AdapterSizeMb)
 	}
--- a/internal/place/equal_test.go
+++ b/internal/place/equal_test.go
@@ -16,36 +16,36 @@
 // randomView is a small view with all that can go wrong in it; of one seed always the same.
 func randomView(seed uint64) *View {
 	random := rand.New(rand.NewPCG(seed, 3))
-	one := fleetShape{
+	shape := fleetShape{
 		replicas: 1 + random.IntN(30),
 		models:   1 + random.IntN(50),
 		adapters: random.IntN(60),
 		active:   random.Float64(),
 		waiting:  random.Float64(),
 	}
-	view := one.view(seed)
+	view := shape.view(seed)
 	runtime := view.Table.Configuration.Backends[0].Runtime
-	view.Learned = random.IntN(4) > 0
-	view.Drained["a"] = random.IntN(6) == 0
+	view.DemandKnown = random.IntN(4) > 0
+	view.DrainedZones["a"] = random.IntN(6) == 0
 	for _, server := range view.Servers {
 		server.Draining, server.Lost = random.IntN(12) == 0, random.IntN(12) == 0
 		if random.IntN(6) == 0 {
 			server.Intent = runtime.Models[random.IntN(len(runtime.Models))].Name
 		}
 		if random.IntN(20) == 0 {
-			server.Models["gone"], server.Models["gone/a1"], server.Intent = true, true, "lost"
+			server.Loaded["gone"], server.Loaded["gone/a1"], server.Intent = true, true, "lost"
 		}
-		for _, reference := range slices.Sorted(maps.Keys(server.Models)) {
-			if model, adapter := split(reference); adapter == "" && random.IntN(8) == 0 {
-				view.EvictContexts = append(view.EvictContexts, ServerModel{Server: server.ID, Model: model})
+		for _, reference := range slices.Sorted(maps.Keys(server.Loaded)) {
+			if model, adapter := splitReference(reference); adapter == "" && random.IntN(8) == 0 {
+				view.ContextEvictions = append(view.ContextEvictions, ServerModel{Server: server.ID, Model: model})
 			}
 		}
 	}
 	for range random.IntN(4) {
-		view.Loading[Key("s", runtime.Models[random.IntN(len(runtime.Models))].Name)]++
+		view.Loading[ModelKey("s", runtime.Models[random.IntN(len(runtime.Models))].Name)]++
 	}
-	view.Demand[Key("s", "gone")] = &Demand{Rate: 2, Waiting: 1, LastSeen: now}
-	view.Demand[Key("other", "m0000")] = &Demand{Rate: 9, Waiting: 9, LastSeen: now}
+	view.Demand[ModelKey("s", "gone")] = &Demand{Rate: 2, Waiting: 1, LastSeen: now}
+	view.Demand[ModelKey("other", "m0000")] = &Demand{Rate: 9, Waiting: 9, LastSeen: now}
 	addUncertainty(view, random)
 	return view
 }
@@ -53,10 +53,10 @@
 // addUncertainty gives the view a book of sizes, a configuration that drops and resizes models and changes
 // the room, and orders of unknown fate.
 func addUncertainty(view *View, random *rand.Rand) {
-	view.Sizes = NewSizeBook()
+	view.SizeHistory = NewSizeHistory()
 	earlier := view.Table
 	if random.IntN(3) > 0 {
-		view.Sizes.observe(NewCatalog(earlier), view.Servers)
+		view.SizeHistory.observe(NewCatalog(earlier), view.Servers)
 	}
 	next := earlier.Configuration.Backends[0]
 	runtime := *next.Runtime
@@ -77,27 +77,27 @@
 	next.Runtime = &runtime
 	view.Table = configuration.NewTable(configuration.Configuration{Backends: []configuration.Backend{next}}, nil)
 	for _, server := range view.Servers {
-		server.MayHold = map[string]bool{}
+		server.MaybeLoaded = map[string]bool{}
 		for range random.IntN(12) / 9 {
 			model := runtime.Models[random.IntN(len(runtime.Models))]
-			server.MayHold[model.Name] = true
-			server.MayHold[Reference(model.Name, "a1")] = random.IntN(2) == 0
+			server.MaybeLoaded[model.Name] = true
+			server.MaybeLoaded[Reference(model.Name, "a1")] = random.IntN(2) == 0
 		}
 	}
 }
 
-func TestGivenRandomFleetsThenThePlanIsThatOfThePlainPlanner(t *testing.T) {
+func TestPlan_EqualsReferencePlanner(t *testing.T) {
 	for seed := range uint64(600) {
 		note := fmt.Sprintf("seed %d", seed)
-		fast, plain := randomView(seed), randomView(seed)
-		got, wanted := Plan(fast), plainPlan(plain)
-		assert.Assert(t, cmp.DeepEqual(got, wanted), note)
-		assert.Assert(t, cmp.DeepEqual(fast.Loading, plain.Loading), note)
-		for index := range fast.Servers {
-			assert.Equal(t, fast.Servers[index].Intent, plain.Servers[index].Intent, note)
+		indexed, reference := randomView(seed), randomView(seed)
+		got, want := Plan(indexed), referencePlan(reference)
+		assert.Assert(t, cmp.DeepEqual(got, want), note)
+		assert.Assert(t, cmp.DeepEqual(indexed.Loading, reference.Loading), note)
+		for index := range indexed.Servers {
+			assert.Equal(t, indexed.Servers[index].Intent, reference.Servers[index].Intent, note)
 		}
-		assert.Equal(t, fast.Tokens, plain.Tokens, note)
-		assert.Equal(t, fast.EvictingContext, plain.EvictingContext, note)
+		assert.Equal(t, indexed.StoreTokens, reference.StoreTokens, note)
+		assert.Equal(t, indexed.ContextEvictionInProgress, reference.ContextEvictionInProgress, note)
 		assert.Assert(t, cmp.DeepEqual(Plan(randomView(seed)), got), note)
 	}
 }
--- a/internal/place/fleet_test.go
+++ b/internal/place/fleet_test.go
@@ -13,86 +13,86 @@
 func checkPlan(t *testing.T, view *View, actions []Action, tokens float64, note string) {
 	t.Helper()
 	runtime := view.Table.Configuration.Backends[0].Runtime
-	plain := plainView{view, map[string]Demand{}}
-	servers, used, taken, fresh := map[string]*Server{}, map[string]bool{}, map[string]int{}, map[string]int{}
-	for _, one := range view.Servers {
-		servers[one.ID] = one
+	reference := referenceView{view, map[string]Demand{}}
+	servers, memory, taken, fresh := map[string]*Server{}, map[string]bool{}, map[string]int{}, map[string]int{}
+	for _, server := range view.Servers {
+		servers[server.ID] = server
 	}
 	stored := 0.0
 	for _, action := range actions {
-		one := servers[action.Server]
-		assert.Assert(t, !used[one.ID] && one.Ready, "%s: %v", note, action)
-		used[one.ID] = true
-		model, adapter := split(action.Model)
+		server := servers[action.Server]
+		assert.Assert(t, !memory[server.ID] && server.Ready, "%s: %v", note, action)
+		memory[server.ID] = true
+		model, adapter := splitReference(action.Model)
 		if action.Load {
-			assert.Assert(t, one.counts(view) && !one.Models[action.Model], "%s: %v", note, action)
-			if action.Stored && adapter == "" {
+			assert.Assert(t, server.isServing(view) && !server.Loaded[action.Model], "%s: %v", note, action)
+			if action.FromStore && adapter == "" {
 				stored++
 			}
 			fresh[action.Model]++
-			seldom := len(plain.copies("s", model)) == 0 && plain.totalDemand("s", model).Rate <= hotRate
-			if adapter == "" && seldom && action.Stored {
+			seldom := len(reference.copies("s", model)) == 0 && reference.totalDemand("s", model).Rate <= hotRate
+			if adapter == "" && seldom && action.FromStore {
 				assert.Equal(t, fresh[action.Model], 1, "%s: %v", note, action)
 			}
-			checkLoad(t, view, one, action, note)
+			checkLoad(t, view, server, action, note)
 			continue
 		}
-		assert.Assert(t, one.Models[action.Model], "%s: %v", note, action)
+		assert.Assert(t, server.Loaded[action.Model], "%s: %v", note, action)
 		taken[action.Model]++
-		demand, rest := plain.totalDemand("s", model), len(plain.copies("s", action.Model))-taken[action.Model]
+		demand, rest := reference.totalDemand("s", model), len(reference.copies("s", action.Model))-taken[action.Model]
 		if adapter != "" {
-			demand = plain.ownDemand("s", action.Model)
+			demand = reference.ownDemand("s", action.Model)
 		}
-		listed := plainListed(runtime, action.Model)
-		if listed && one.counts(view) && (demand.Waiting > 0 || demand.Running > 0 || demand.Rate > hotRate) {
+		listed := isConfiguredReference(runtime, action.Model)
+		if listed && server.isServing(view) && (demand.Waiting > 0 || demand.Running > 0 || demand.Rate > hotRate) {
 			assert.Assert(t, rest >= 1, "%s: %v", note, action)
 		}
-		if listed && action.Why != ContextEvictionReason && adapter == "" && demand.Running > 0 {
-			assert.Assert(t, float64(rest) >= demand.Running/(tightShare*float64(runtime.Slots)), "%s: %v", note, action)
+		if listed && action.Reason != ContextEvictionReason && adapter == "" && demand.Running > 0 {
+			assert.Assert(t, float64(rest) >= demand.Running/(tightUtilization*float64(runtime.Slots)), "%s: %v", note, action)
 		}
 	}
 	assert.Assert(t, stored <= math.Max(tokens, 0), "%s: %v loads, %v allowed", note, stored, tokens)
 }
 
-func TestGivenLargeRandomFleetsThenRoomCeilingsAndLastCopiesAreKept(t *testing.T) {
+func TestPlan_KeepsInvariantsOnLargeFleets(t *testing.T) {
 	for seed := range uint64(20) {
-		one := fleetShape{
+		server := fleetShape{
 			replicas: 20 + int(seed)*9,
 			models:   60 + int(seed)*18,
 			adapters: int(seed) * 20,
 			active:   0.2 + float64(seed%5)*0.2,
 			waiting:  float64(seed%7) / 7,
 		}
-		view := one.view(seed)
-		tokens := view.Tokens
+		view := server.view(seed)
+		tokens := view.StoreTokens
 		for round := range 3 {
 			actions := Plan(view)
 			checkPlan(t, view, actions, tokens, fmt.Sprintf("seed %d, round %d", seed, round))
-			tokens = view.Tokens
-			apply(view, actions)
+			tokens = view.StoreTokens
+			applyActions(view, actions)
 		}
 	}
 }
 
-func TestGivenRandomScenesThenRoomCeilingsAndLastCopiesAreKept(t *testing.T) {
+func TestPlan_KeepsInvariantsOnRandomViews(t *testing.T) {
 	for seed := range uint64(600) {
 		view := randomView(seed)
-		tokens := view.Tokens
+		tokens := view.StoreTokens
 		checkPlan(t, view, Plan(view), tokens, fmt.Sprintf("seed %d", seed))
 	}
 }
 
-// apply does the actions as though all took no time.
-func apply(view *View, actions []Action) {
+// applyActions does the actions as though all took no time.
+func applyActions(view *View, actions []Action) {
 	clear(view.Loading)
 	for _, action := range actions {
-		for _, one := range view.Servers {
-			if one.ID == action.Server && action.Load {
-				one.Models[action.Model] = true
-			} else if one.ID == action.Server {
-				for reference := range one.Models {
-					if base, _ := split(reference); reference == action.Model || base == action.Model {
-						delete(one.Models, reference)
+		for _, server := range view.Servers {
+			if server.ID == action.Server && action.Load {
+				server.Loaded[action.Model] = true
+			} else if server.ID == action.Server {
+				for reference := range server.Loaded {
+					if base, _ := splitReference(reference); reference == action.Model || base == action.Model {
+						delete(server.Loaded, reference)
 					}
 				}
 			}
--- a/internal/place/fleetshape_test.go
+++ b/internal/place/fleetshape_test.go
@@ -15,7 +15,7 @@
 	active, waiting            float64
 }
 
-func (m fleetShape) view(seed uint64) *View {
+func (s fleetShape) view(seed uint64) *View {
 	random := rand.New(rand.NewPCG(seed, 17))
 	runtime := &configuration.Runtime{
 		Slots:           12 << random.IntN(2),
@@ -23,8 +23,8 @@
 		AdapterCapacity: 4 + random.IntN(5),
 		LoadsPerS:       16,
 	}
-	left := m.adapters
-	for index := range m.models {
+	left := s.adapters
+	for index := range s.models {
 		model := configuration.Model{
 			Name:          fmt.Sprintf("m%04d", index),
 			WeightSizeMb:  64 + float64(16*random.IntN(4)),
@@ -42,27 +42,27 @@
 		Runtime: runtime,
 	}}}, nil)
 	view := &View{
-		Now:     now,
-		Table:   table,
-		Demand:  map[string]*Demand{},
-		Loading: map[string]int{},
-		Drained: map[string]bool{},
-		Tokens:  float64(random.IntN(17)),
-		Learned: true,
+		Now:          now,
+		Table:        table,
+		Demand:       map[string]*Demand{},
+		Loading:      map[string]int{},
+		DrainedZones: map[string]bool{},
+		StoreTokens:  float64(random.IntN(17)),
+		DemandKnown:  true,
 	}
-	for index := range m.replicas {
-		view.Servers = append(view.Servers, m.server(random, runtime, index))
+	for index := range s.replicas {
+		view.Servers = append(view.Servers, s.server(random, runtime, index))
 	}
 	for _, model := range runtime.Models {
-		m.addDemand(random, view, model.Name)
+		s.addDemand(random, view, model.Name)
 		for _, adapter := range adapterNames(model) {
-			m.addDemand(random, view, Reference(model.Name, adapter))
+			s.addDemand(random, view, Reference(model.Name, adapter))
 		}
 	}
 	return view
 }
 
-func (m fleetShape) server(random *rand.Rand, runtime *configuration.Runtime, index int) *Server {
+func (s fleetShape) server(random *rand.Rand, runtime *configuration.Runtime, index int) *Server {
 	one := newServer(fmt.Sprintf("r%03d", index))
 	one.Zone = string(rune('a' + random.IntN(3)))
 	skewed := func() configuration.Model {
@@ -71,39 +71,39 @@
 	}
 	for range 1 + random.IntN(4) {
 		model := skewed()
-		if one.Models[model.Name] || one.size(runtime)+model.WeightSizeMb > runtime.WeightSizeMb {
+		if one.Loaded[model.Name] || one.configuredSize(runtime)+model.WeightSizeMb > runtime.WeightSizeMb {
 			continue
 		}
-		one.Models[model.Name], one.Held[model.Name] = true, true
+		one.Loaded[model.Name], one.OnDisk[model.Name] = true, true
 		for range min(model.Adapters, random.IntN(6)) {
 			adapter := adapterNames(model)[random.IntN(model.Adapters)]
-			if one.adapters() < runtime.AdapterCapacity && one.size(runtime)+model.AdapterSizeMb <= runtime.WeightSizeMb {
-				one.Models[Reference(model.Name, adapter)] = true
+			if one.adapterCount() < runtime.AdapterCapacity && one.configuredSize(runtime)+model.AdapterSizeMb <= runtime.WeightSizeMb {
+				one.Loaded[Reference(model.Name, adapter)] = true
 			}
 		}
 	}
 	for range random.IntN(12) {
-		one.Held[skewed().Name] = true
+		one.OnDisk[skewed().Name] = true
 	}
 	one.Ready = random.IntN(8) > 0
 	return one
 }
 
-func (m fleetShape) addDemand(random *rand.Rand, view *View, reference string) {
-	if random.Float64() >= m.active {
+func (s fleetShape) addDemand(random *rand.Rand, view *View, reference string) {
+	if random.Float64() >= s.active {
 		return
 	}
 	load := &Demand{
-		Rate:     float64(random.IntN(64)) / 64,
-		Often:    float64(random.IntN(64)) / 512,
-		LastSeen: now.Add(-time.Duration(random.IntN(40)) * time.Second),
-		Aim:      2000,
+		Rate:            float64(random.IntN(64)) / 64,
+		LongTermRate:    float64(random.IntN(64)) / 512,
+		LastSeen:        now.Add(-time.Duration(random.IntN(40)) * time.Second),
+		LatencyTargetMs: 2000,
 	}
 	if random.IntN(4) == 0 {
-		load.Rate, load.Running, load.Reading = float64(random.IntN(512))/64, float64(random.IntN(40)), float64(random.IntN(64))/64
+		load.Rate, load.Running, load.PrefillLoad = float64(random.IntN(512))/64, float64(random.IntN(40)), float64(random.IntN(64))/64
 	}
-	if random.Float64() < m.waiting {
-		load.Waiting, load.OldestMs, load.LastSeen = 1+random.IntN(6), float64(random.IntN(4000)), now
+	if random.Float64() < s.waiting {
+		load.Waiting, load.OldestWaitMs, load.LastSeen = 1+random.IntN(6), float64(random.IntN(4000)), now
 	}
-	view.Demand[Key("s", reference)] = load
+	view.Demand[ModelKey("s", reference)] = load
 }
--- a/internal/place/forecast.go
+++ b/internal/place/forecast.go
@@ -8,14 +8,14 @@
 
 // Copy copies the view with its servers and demands. All else is shared: plans only read it, but for
 // Loading, which Without replaces.
-func (v *View) Copy() *View {
+func (v *View) Clone() *View {
 	copied := *v
-	copied.Sizes = v.Sizes.Copy()
+	copied.SizeHistory = v.SizeHistory.Clone()
 	copied.Servers = make([]*Server, len(v.Servers))
 	for index, server := range v.Servers {
 		copiedServer := *server
-		copiedServer.Models = maps.Clone(server.Models)
-		copiedServer.MayHold = maps.Clone(server.MayHold)
+		copiedServer.Loaded = maps.Clone(server.Loaded)
+		copiedServer.MaybeLoaded = maps.Clone(server.MaybeLoaded)
 		copied.Servers[index] = &copiedServer
 	}
 	copied.Demand = make(map[string]*Demand, len(v.Demand))
@@ -26,15 +26,15 @@
 	return &copied
 }
 
-// servedModels are the Keys of all that serving servers hold.
-func (v *View) servedModels() map[string]bool {
+// servedKeys are the Keys of all that serving servers hold.
+func (v *View) servedKeys() map[string]bool {
 	found := map[string]bool{}
 	for _, server := range v.Servers {
-		if !server.counts(v) {
+		if !server.isServing(v) {
 			continue
 		}
-		for reference := range server.Models {
-			found[Key(server.Backend, reference)] = true
+		for reference := range server.Loaded {
+			found[ModelKey(server.Backend, reference)] = true
 		}
 	}
 	return found
@@ -42,13 +42,13 @@
 
 // Without takes the servers of lost zones out of a copied view. What is asked for and has no copy left
 // is waited for by as many requests as come in a second. Loads under way are left out.
-func (v *View) Without(lost func(zone string) bool) {
+func (v *View) RemoveZones(lost func(zone string) bool) {
 	kept := v.Servers[:0]
 	before := map[string]bool{}
 	for _, server := range v.Servers {
 		if lost(server.Zone) {
-			for reference := range server.Models {
-				before[Key(server.Backend, reference)] = true
+			for reference := range server.Loaded {
+				before[ModelKey(server.Backend, reference)] = true
 			}
 			continue
 		}
@@ -57,9 +57,9 @@
 	}
 	v.Servers = kept
 	v.Loading = map[string]int{}
-	v.EvictContexts = nil
-	v.EvictingContext = false
-	served := v.servedModels()
+	v.ContextEvictions = nil
+	v.ContextEvictionInProgress = false
+	served := v.servedKeys()
 	for name := range before {
 		demand := v.Demand[name]
 		if demand == nil || demand.Rate == 0 || served[name] {
@@ -78,7 +78,7 @@
 func Forecast(view *View) []Action {
 	var planned []Action
 	for range forecastRounds {
-		view.Tokens = max(view.Tokens, 1)
+		view.StoreTokens = max(view.StoreTokens, 1)
 		actions := Plan(view)
 		if len(actions) == 0 {
 			break
@@ -92,19 +92,19 @@
 	return planned
 }
 
-// apply does an action. A model takes its adapters along when it is unloaded.
+// applyActions does an action. A model takes its adapters along when it is unloaded.
 func (v *View) apply(action Action) {
 	for _, server := range v.Servers {
 		if server.ID != action.Server {
 			continue
 		}
 		if action.Load {
-			server.Models[action.Model] = true
+			server.Loaded[action.Model] = true
 			continue
 		}
-		for reference := range server.Models {
+		for reference := range server.Loaded {
 			if reference == action.Model || strings.HasPrefix(reference, action.Model+"/") {
-				delete(server.Models, reference)
+				delete(server.Loaded, reference)
 			}
 		}
 	}
--- a/internal/place/index.go
+++ b/internal/place/index.go
@@ -9,28 +9,28 @@
 
 // number is the number of a reference. One that is not in the catalog gets the next free number; an
 // unlisted adapter brings its model with it.
-func (p *planner) number(reference string) int {
+func (p *planner) itemNumber(reference string) int {
 	if number, known := p.catalog.names[reference]; known {
 		return number
 	}
-	if number, known := p.unlistedNumbers[reference]; known {
+	if number, known := p.unconfiguredNumbers[reference]; known {
 		return number
 	}
 	item := catalogItem{
 		name: reference,
-		key:  Key(p.catalog.backend.Name, reference),
+		key:  ModelKey(p.catalog.backend.Name, reference),
 		size: p.catalog.sizeOf(reference),
 	}
-	if base, adapter := split(reference); adapter != "" {
+	if base, adapter := splitReference(reference); adapter != "" {
 		item.adapter = true
-		item.model = p.number(base)
+		item.model = p.itemNumber(base)
 	}
-	number := len(p.catalog.items) + len(p.unlisted)
+	number := len(p.catalog.items) + len(p.unconfigured)
 	if !item.adapter {
 		item.model = number
 	}
-	p.unlistedNumbers[reference] = number
-	p.unlisted = append(p.unlisted, item)
+	p.unconfiguredNumbers[reference] = number
+	p.unconfigured = append(p.unconfigured, item)
 	p.demands = append(p.demands, nil)
 	p.totals = append(p.totals, nil)
 	p.copies = append(p.copies, 0)
@@ -44,13 +44,13 @@
 	for name, demand := range p.view.Demand {
 		if number, known := p.catalog.keys[name]; known {
 			p.demands[number] = demand
-		} else if backend, reference := SplitKey(name); backend == p.catalog.backend.Name {
+		} else if backend, reference := SplitModelKey(name); backend == p.catalog.backend.Name {
 			unlisted = append(unlisted, reference)
 		}
 	}
 	sort.Strings(unlisted)
 	for _, reference := range unlisted {
-		p.demands[p.number(reference)] = p.view.Demand[Key(p.catalog.backend.Name, reference)]
+		p.demands[p.itemNumber(reference)] = p.view.Demand[ModelKey(p.catalog.backend.Name, reference)]
 	}
 	sums := make([]Demand, 0, len(p.view.Demand))
 	for number, demand := range p.demands {
@@ -73,7 +73,7 @@
 	p.servers = make([]serverState, 0, len(p.view.Servers))
 	for _, server := range p.view.Servers {
 		if server.Backend == p.catalog.backend.Name {
-			p.servers = append(p.servers, serverState{server: server, serving: server.counts(p.view)})
+			p.servers = append(p.servers, serverState{server: server, isServing: server.isServing(p.view)})
 		}
 	}
 	if !slices.IsSortedFunc(p.servers, compareID) {
@@ -82,24 +82,24 @@
 	for position := range p.servers {
 		state := &p.servers[position]
 		state.position = position
-		state.remembered = p.view.Sizes.of(state.server.ID)
-		p.indexHoldings(state)
-		p.indexUncertain(state)
-		p.countHoldings(state)
-		if state.server.Intent != "" && state.serving {
+		state.pastSizes = p.view.SizeHistory.sizesAt(state.server.ID)
+		p.indexLoaded(state)
+		p.indexMaybeLoaded(state)
+		p.countLoaded(state)
+		if state.server.Intent != "" && state.isServing {
 			p.intended[state.server.Intent]++
 		}
 	}
-	p.countUncertain()
+	p.subtractOrderedLoads()
 }
 
 func compareID(left, right serverState) int { return strings.Compare(left.server.ID, right.server.ID) }
 
-// indexHoldings lists what a server holds by number, models and adapters apart.
-func (p *planner) indexHoldings(state *serverState) {
+// indexLoaded lists what a server holds by number, models and adapters apart.
+func (p *planner) indexLoaded(state *serverState) {
 	var unlisted []string
-	numbers := make([]int, 0, len(state.server.Models))
-	for reference := range state.server.Models {
+	numbers := make([]int, 0, len(state.server.Loaded))
+	for reference := range state.server.Loaded {
 		if number, known := p.catalog.names[reference]; known {
 			numbers = append(numbers, number)
 		} else {
@@ -110,52 +110,52 @@
 	if len(unlisted) > 0 {
 		sort.Strings(unlisted)
 		for _, reference := range unlisted {
-			numbers = append(numbers, p.number(reference))
+			numbers = append(numbers, p.itemNumber(reference))
 		}
-		slices.SortFunc(numbers, p.compareKind)
+		slices.SortFunc(numbers, p.compareModelsFirst)
 	}
 	models := 0
 	for _, number := range numbers {
-		state.used += p.heldSize(state, number)
+		state.memoryUsed += p.loadedSize(state, number)
 		if !p.item(number).adapter {
 			models++
 		}
 	}
 	state.models = numbers[:models]
 	state.adapters = numbers[models:]
-	state.places = len(state.adapters)
+	state.adapterSlotsUsed = len(state.adapters)
 }
 
-// indexUncertain lists what a server may hold beside its holdings, and counts it as holding that.
-func (p *planner) indexUncertain(state *serverState) {
-	if len(state.server.MayHold) == 0 {
+// indexMaybeLoaded lists what a server may hold beside its holdings, and counts it as holding that.
+func (p *planner) indexMaybeLoaded(state *serverState) {
+	if len(state.server.MaybeLoaded) == 0 {
 		return
 	}
-	for _, reference := range slices.Sorted(maps.Keys(state.server.MayHold)) {
-		if state.server.Models[reference] || !state.server.MayHold[reference] {
+	for _, reference := range slices.Sorted(maps.Keys(state.server.MaybeLoaded)) {
+		if state.server.Loaded[reference] || !state.server.MaybeLoaded[reference] {
 			continue
 		}
-		number := p.number(reference)
-		state.uncertain = append(state.uncertain, number)
-		state.used += p.heldSize(state, number)
+		number := p.itemNumber(reference)
+		state.maybeLoadedItems = append(state.maybeLoadedItems, number)
+		state.memoryUsed += p.loadedSize(state, number)
 		if p.item(number).adapter {
-			state.places++
+			state.adapterSlotsUsed++
 		}
-		if state.serving {
+		if state.isServing {
 			p.uncertain[number]++
 		}
 	}
 }
 
-// countUncertain leaves in uncertain what View.Loading does not count already.
-func (p *planner) countUncertain() {
+// subtractOrderedLoads leaves in uncertain what View.Loading does not count already.
+func (p *planner) subtractOrderedLoads() {
 	for number, servers := range p.uncertain {
-		p.uncertain[number] = max(servers-p.ordered(number), 0)
+		p.uncertain[number] = max(servers-p.loadsOrdered(number), 0)
 	}
 }
 
-// compareKind sorts models before adapters, and each by number.
-func (p *planner) compareKind(left, right int) int {
+// compareModelsFirst sorts models before adapters, and each by number.
+func (p *planner) compareModelsFirst(left, right int) int {
 	leftAdapter, rightAdapter := p.item(left).adapter, p.item(right).adapter
 	if leftAdapter == rightAdapter {
 		return left - right
@@ -166,9 +166,9 @@
 	return 1
 }
 
-// countHoldings counts a server's copies where they count.
-func (p *planner) countHoldings(state *serverState) {
-	if !state.serving {
+// countLoaded counts a server's copies where they count.
+func (p *planner) countLoaded(state *serverState) {
+	if !state.isServing {
 		return
 	}
 	p.servingCount++
@@ -182,9 +182,9 @@
 		if p.adapterCount(model) == 0 {
 			continue
 		}
-		p.holders[model] = append(p.holders[model], state.position)
-		if state.free() {
-			p.freeHolders[model]++
+		p.hosts[model] = append(p.hosts[model], state.position)
+		if state.isFree() {
+			p.freeHosts[model]++
 		}
 	}
 }
--- a/internal/place/intents.go
+++ b/internal/place/intents.go
@@ -8,7 +8,7 @@
 // intendedLoad is a server that makes room for a model.
 type intendedLoad struct {
 	state *serverState
-	wantedModel
+	candidateModel
 }
 
 // fulfilIntents uses room that was made earlier, for the most urgent model first, and drops intents
@@ -17,16 +17,16 @@
 	var loads []intendedLoad
 	for index := range p.servers {
 		state := &p.servers[index]
-		if !state.idle() || state.server.Intent == "" {
+		if !state.isIdle() || state.server.Intent == "" {
 			continue
 		}
-		model := p.number(state.server.Intent)
-		if state.holds(model) || p.intentObsolete(state, model) {
+		model := p.itemNumber(state.server.Intent)
+		if state.hasLoaded(model) || p.intentObsolete(state, model) {
 			p.setIntent(state, "")
 			continue
 		}
-		wanted := wantedModel{model, p.urgency(model, p.totalDemand(model))}
-		loads = append(loads, intendedLoad{state, wanted})
+		candidate := candidateModel{model, p.urgency(model, p.totalDemand(model))}
+		loads = append(loads, intendedLoad{state, candidate})
 	}
 	slices.SortStableFunc(loads, func(left, right intendedLoad) int {
 		return cmp.Compare(right.urgency, left.urgency)
@@ -36,8 +36,8 @@
 	}
 	for index := range p.servers {
 		state := &p.servers[index]
-		if intent := state.server.Intent; intent != "" && state.serving && !state.server.Held[intent] {
-			p.promisedLoads++
+		if intent := state.server.Intent; intent != "" && state.isServing && !state.server.OnDisk[intent] {
+			p.reservedTokens++
 		}
 	}
 }
@@ -50,7 +50,7 @@
 		p.setIntent(state, "")
 	case !p.fits(state, model):
 		p.evict(state, model)
-	case p.loadable(state, model):
+	case p.mayLoad(state, model):
 		p.load(state, model, "room was made for it")
 	}
 }
@@ -59,14 +59,14 @@
 // nobody asks for it, or it has copies enough. A load from the server's own disk is always worth it,
 // unless the configuration does not name the model.
 func (p *planner) intentObsolete(state *serverState, model int) bool {
-	if !p.listed(model) {
+	if !p.isConfigured(model) {
 		return true
 	}
-	if state.server.Held[p.item(model).name] {
+	if state.server.OnDisk[p.item(model).name] {
 		return false
 	}
 	demand := p.totalDemand(model)
-	present := float64(p.copies[model] + p.loading(model))
+	present := float64(p.copies[model] + p.loadsPending(model))
 	unwanted := present == 0 && demand.Waiting == 0 && demand.Rate < rareRate
-	return unwanted || present >= p.target(model)
+	return unwanted || present >= p.targetCopies(model)
 }
--- a/internal/place/plain_adapters_test.go
+++ b/internal/place/plain_adapters_test.go
@@ -5,75 +5,75 @@
 	"strings"
 )
 
-func (p *plainPlanner) addAdapter(reference string, urgent bool) {
-	model, _ := split(reference)
+func (p *referencePlanner) addAdapter(reference string, urgent bool) {
+	model, _ := splitReference(reference)
 	var best *Server
-	for _, server := range p.idle() {
-		if !server.Models[model] || server.Models[reference] || !p.hasAdapterRoom(server, model) {
+	for _, server := range p.idleServers() {
+		if !server.Loaded[model] || server.Loaded[reference] || !p.fitsAnotherAdapter(server, model) {
 			continue
 		}
-		if best == nil || server.adapters() < best.adapters() {
+		if best == nil || server.adapterCount() < best.adapterCount() {
 			best = server
 		}
 	}
 	if best != nil {
-		p.view.Loading[Key(p.backend.Name, reference)]++
-		p.record(best, Action{Load: true, Model: reference, Why: "adapter wanted"})
+		p.view.Loading[ModelKey(p.backend.Name, reference)]++
+		p.recordAction(best, Action{Load: true, Model: reference, Reason: "adapter wanted"})
 		return
 	}
-	bearable, waited := 0.0, p.view.ownDemand(p.backend.Name, reference).Waiting > 0
-	if waited {
-		bearable = rareRate
+	toleratedRate, hasWaiting := 0.0, p.view.ownDemand(p.backend.Name, reference).Waiting > 0
+	if hasWaiting {
+		toleratedRate = rareRate
 	}
-	if !urgent || p.unloadAdapter(model, bearable) || p.unloadForAdapter(reference, bearable) || !waited {
+	if !urgent || p.swapAdapter(model, toleratedRate) || p.evictForAdapter(reference, toleratedRate) || !hasWaiting {
 		return
 	}
-	if p.loading(model) > 0 || p.intended(model) {
+	if p.loadsPending(model) > 0 || p.isIntended(model) {
 		return
 	}
 	for _, server := range p.view.copies(p.backend.Name, model) {
-		need, places := p.withoutAdapters(server, model, bearable)
-		_, _, possible := p.adapterRoomCost(server, reference)
-		placed := places < p.runtime.AdapterCapacity
-		if p.taken(server)+p.added(server, reference) <= p.room() || placed && (need <= 0 || possible) {
+		need, adapterSlots := p.usageAfterAdapterUnloads(server, model, toleratedRate)
+		_, _, possible := p.adapterEvictionCost(server, reference)
+		placed := adapterSlots < p.runtime.AdapterCapacity
+		if p.memoryUsed(server)+p.addedSize(server, reference) <= p.capacity() || placed && (need <= 0 || possible) {
 			return
 		}
 	}
 	p.addCopy(model, "an adapter has no room where its model is loaded")
 }
 
-func (p *plainPlanner) hasAdapterRoom(server *Server, model string) bool {
-	return p.places(server) < p.runtime.AdapterCapacity && p.taken(server)+plainUp(p.sizes[model].AdapterSizeMb) <= p.room()
+func (p *referencePlanner) fitsAnotherAdapter(server *Server, model string) bool {
+	return p.adapterSlotsUsed(server) < p.runtime.AdapterCapacity && p.memoryUsed(server)+roundUpUnits(p.sizes[model].AdapterSizeMb) <= p.capacity()
 }
 
-// withoutAdapters is what room an adapter of the model needs beyond that of a server, and how many places are
+// usageAfterAdapterUnloads is what room an adapter of the model needs beyond that of a server, and how many places are
 // taken there, once all adapters that may go are gone.
-func (p *plainPlanner) withoutAdapters(server *Server, model string, bearable float64) (need int64, places int) {
-	need, places = p.taken(server)+plainUp(p.sizes[model].AdapterSizeMb)-p.room(), p.places(server)
-	for reference := range server.Models {
-		if strings.Contains(reference, "/") && p.expendableAdapter(reference, bearable) {
-			need -= p.heldSize(server, reference)
-			places--
+func (p *referencePlanner) usageAfterAdapterUnloads(server *Server, model string, toleratedRate float64) (need int64, adapterSlots int) {
+	need, adapterSlots = p.memoryUsed(server)+roundUpUnits(p.sizes[model].AdapterSizeMb)-p.capacity(), p.adapterSlotsUsed(server)
+	for reference := range server.Loaded {
+		if strings.Contains(reference, "/") && p.canUnloadAdapter(reference, toleratedRate) {
+			need -= p.loadedSize(server, reference)
+			adapterSlots--
 		}
 	}
-	return need, places
+	return need, adapterSlots
 }
 
-func (p *plainPlanner) unloadAdapter(model string, bearable float64) bool {
+func (p *referencePlanner) swapAdapter(model string, toleratedRate float64) bool {
 	var best *Server
 	victim, lowest := "", 0.0
-	for _, server := range p.idle() {
-		need, places := p.withoutAdapters(server, model, bearable)
-		if !server.Models[model] || p.hasAdapterRoom(server, model) || need > 0 || places >= p.runtime.AdapterCapacity {
+	for _, server := range p.idleServers() {
+		need, adapterSlots := p.usageAfterAdapterUnloads(server, model, toleratedRate)
+		if !server.Loaded[model] || p.fitsAnotherAdapter(server, model) || need > 0 || adapterSlots >= p.runtime.AdapterCapacity {
 			continue
 		}
-		for reference := range server.Models {
-			if !strings.Contains(reference, "/") || !p.expendableAdapter(reference, bearable) {
+		for reference := range server.Loaded {
+			if !strings.Contains(reference, "/") || !p.canUnloadAdapter(reference, toleratedRate) {
 				continue
 			}
-			copies := float64(p.remaining(reference))
+			copies := float64(p.copiesRemaining(reference))
 			loss := p.view.ownDemand(p.backend.Name, reference).Rate/copies - copies
-			if !p.listed(reference) {
+			if !p.isConfigured(reference) {
 				loss = math.Inf(-1)
 			}
 			if best == nil || loss < lowest || loss == lowest && reference < victim {
@@ -82,50 +82,50 @@
 		}
 	}
 	if best != nil {
-		p.record(best, Action{Model: victim, Why: "adapter makes way for one asked for"})
+		p.recordAction(best, Action{Model: victim, Reason: "adapter makes way for one asked for"})
 	}
 	return best != nil
 }
 
-func (p *plainPlanner) expendableAdapter(reference string, bearable float64) bool {
+func (p *referencePlanner) canUnloadAdapter(reference string, toleratedRate float64) bool {
 	demand := p.view.ownDemand(p.backend.Name, reference)
-	wanted := demand.Waiting > 0 || demand.Running > 0 || demand.Rate > bearable
-	return !p.listed(reference) || p.remaining(reference) > 1 || !wanted
+	inDemand := demand.Waiting > 0 || demand.Running > 0 || demand.Rate > toleratedRate
+	return !p.isConfigured(reference) || p.copiesRemaining(reference) > 1 || !inDemand
 }
 
-func (p *plainPlanner) unloadForAdapter(adapter string, bearable float64) bool {
-	model, _ := split(adapter)
-	if p.intended(model) {
+func (p *referencePlanner) evictForAdapter(adapter string, toleratedRate float64) bool {
+	model, _ := splitReference(adapter)
+	if p.isIntended(model) {
 		return true
 	}
 	var best *Server
 	victim, lowest := "", 0.0
-	for _, server := range p.idle() {
-		_, places := p.withoutAdapters(server, model, bearable)
-		if !server.Models[model] || server.Intent != "" || places >= p.runtime.AdapterCapacity {
+	for _, server := range p.idleServers() {
+		_, adapterSlots := p.usageAfterAdapterUnloads(server, model, toleratedRate)
+		if !server.Loaded[model] || server.Intent != "" || adapterSlots >= p.runtime.AdapterCapacity {
 			continue
 		}
-		if first, cost, possible := p.adapterRoomCost(server, adapter); possible && (best == nil || cost < lowest) {
+		if first, cost, possible := p.adapterEvictionCost(server, adapter); possible && (best == nil || cost < lowest) {
 			best, victim, lowest = server, first, cost
 		}
 	}
 	if best != nil {
-		p.record(best, Action{Model: victim, Intent: model, Why: "makes way for " + adapter})
+		p.recordAction(best, Action{Model: victim, Intent: model, Reason: "makes way for " + adapter})
 		best.Intent = model
 	}
 	return best != nil
 }
 
-func (p *plainPlanner) adapterRoomCost(server *Server, adapter string) (first string, cost float64, possible bool) {
-	model, _ := split(adapter)
-	need := p.taken(server) + p.added(server, adapter) - p.room()
+func (p *referencePlanner) adapterEvictionCost(server *Server, adapter string) (first string, cost float64, possible bool) {
+	model, _ := splitReference(adapter)
+	need := p.memoryUsed(server) + p.addedSize(server, adapter) - p.capacity()
 	for _, next := range p.victims(server, model) {
-		if need > 0 && p.expendable(server, next, p.remaining) {
+		if need > 0 && p.canEvict(server, next, p.copiesRemaining) {
 			if first == "" {
 				first = next
 			}
-			need -= p.freed(server, next)
-			cost += p.loss(server, next)
+			need -= p.freedMemory(server, next)
+			cost += p.unloadCost(server, next)
 		}
 	}
 	return first, cost, need <= 0 && first != ""
--- a/internal/place/plain_addcopy_test.go
+++ b/internal/place/plain_addcopy_test.go
@@ -1,13 +1,13 @@
 package place
 
-func (p *plainPlanner) addCopy(model, why string) bool {
+func (p *referencePlanner) addCopy(model, reason string) bool {
 	var best *Server
 	bestCost := 0.0
-	for _, server := range p.idle() {
-		if server.Models[model] || server.Intent != "" || p.exhausted[server.ID] {
+	for _, server := range p.idleServers() {
+		if server.Loaded[model] || server.Intent != "" || p.exhausted[server.ID] {
 			continue
 		}
-		if !server.Held[model] && p.tokens-p.promisedLoads < 1 || p.reservedForAdapters(server, model) {
+		if !server.OnDisk[model] && p.tokens-p.reservedTokens < 1 || p.reservedForAdapters(server, model) {
 			continue
 		}
 		cost, possible := p.evictionCost(server, model)
@@ -19,29 +19,29 @@
 		return false
 	}
 	if p.fits(best, model) {
-		p.load(best, model, why)
+		p.load(best, model, reason)
 		return true
 	}
 	best.Intent = model
 	if !p.evict(best, model) {
 		p.exhausted[best.ID] = true
-		return p.addCopy(model, why)
+		return p.addCopy(model, reason)
 	}
-	if !best.Held[model] {
-		p.promisedLoads++
+	if !best.OnDisk[model] {
+		p.reservedTokens++
 	}
 	return true
 }
 
-func (p *plainPlanner) reservedForAdapters(server *Server, wanted string) bool {
+func (p *referencePlanner) reservedForAdapters(server *Server, modelToLoad string) bool {
 	for _, model := range p.runtime.Models {
-		if model.Adapters == 0 || model.Name == wanted || !server.Models[model.Name] {
+		if model.Adapters == 0 || model.Name == modelToLoad || !server.Loaded[model.Name] {
 			continue
 		}
 		copies := p.view.copies(p.backend.Name, model.Name)
 		free := 0
-		for _, holder := range copies {
-			if holder.Ready && !p.used[holder.ID] && holder.Intent == "" {
+		for _, host := range copies {
+			if host.Ready && !p.hasAction[host.ID] && host.Intent == "" {
 				free++
 			}
 		}
@@ -52,20 +52,20 @@
 	return false
 }
 
-func (p *plainPlanner) evictionCost(server *Server, model string) (float64, bool) {
-	cost := readingCost * p.reading(server)
-	if !server.Held[model] {
+func (p *referencePlanner) evictionCost(server *Server, model string) (float64, bool) {
+	cost := prefillDisruptionCost * p.disruption(server)
+	if !server.OnDisk[model] {
 		cost += p.sizes[model].LoadTimeS
 	} else {
 		cost += p.sizes[model].LoadTimeS * 0.25
 	}
-	need := p.taken(server) + plainUp(p.sizes[model].WeightSizeMb) - p.room()
+	need := p.memoryUsed(server) + roundUpUnits(p.sizes[model].WeightSizeMb) - p.capacity()
 	for _, victim := range p.victims(server, model) {
 		if need <= 0 {
 			break
 		}
-		need -= p.freed(server, victim)
-		cost += p.loss(server, victim)
+		need -= p.freedMemory(server, victim)
+		cost += p.unloadCost(server, victim)
 	}
 	return cost, need <= 0
 }
--- a/internal/place/plain_evict_test.go
+++ b/internal/place/plain_evict_test.go
@@ -8,58 +8,58 @@
 	"strings"
 )
 
-func (p *plainPlanner) reading(server *Server) float64 {
+func (p *referencePlanner) disruption(server *Server) float64 {
 	total := 0.0
-	for _, reference := range slices.Sorted(maps.Keys(server.Models)) {
-		if model, adapter := split(reference); adapter == "" {
-			demand, copies := p.view.totalDemand(p.backend.Name, model), float64(max(p.copyCount(model), 1))
-			total += demand.Reading / copies
+	for _, reference := range slices.Sorted(maps.Keys(server.Loaded)) {
+		if model, adapter := splitReference(reference); adapter == "" {
+			demand, copies := p.view.totalDemand(p.backend.Name, model), float64(max(p.copiesLoaded(model), 1))
+			total += demand.PrefillLoad / copies
 			if p.sizes[model].Adapters > 0 {
-				total += adapterCost * min(demand.Rate, 1) / copies
+				total += adapterDisruption * min(demand.Rate, 1) / copies
 			}
 		}
 	}
 	return total
 }
 
-func (p *plainPlanner) freed(server *Server, model string) int64 {
+func (p *referencePlanner) freedMemory(server *Server, model string) int64 {
 	total := int64(0)
-	for reference := range server.Models {
-		if base, _ := split(reference); base == model {
-			total += p.heldSize(server, reference)
+	for reference := range server.Loaded {
+		if base, _ := splitReference(reference); base == model {
+			total += p.loadedSize(server, reference)
 		}
 	}
 	return total
 }
 
-func (p *plainPlanner) loss(server *Server, model string) float64 {
-	if !p.listed(model) {
+func (p *referencePlanner) unloadCost(server *Server, model string) float64 {
+	if !p.isConfigured(model) {
 		return -1
 	}
 	demand := p.view.totalDemand(p.backend.Name, model)
 	others := len(p.view.copies(p.backend.Name, model)) - 1
 	loss := 0.0
-	if !demand.LastSeen.IsZero() && p.view.Now.Sub(demand.LastSeen) < recentDemand {
-		loss += 1 - p.view.Now.Sub(demand.LastSeen).Seconds()/recentDemand.Seconds()
+	if !demand.LastSeen.IsZero() && p.view.Now.Sub(demand.LastSeen) < recentDemandWindow {
+		loss += 1 - p.view.Now.Sub(demand.LastSeen).Seconds()/recentDemandWindow.Seconds()
 	}
-	loss += (demand.Rate*4 + demand.Often*oftenWeight) / float64(1+others*others*4)
+	loss += (demand.Rate*4 + demand.LongTermRate*longTermRateWeight) / float64(1+others*others*4)
 	if p.sizes[model].Adapters > 0 {
 		loss += 3
 	}
 	return loss
 }
 
-func (p *plainPlanner) victims(server *Server, wanted string) []string {
+func (p *referencePlanner) victims(server *Server, modelToLoad string) []string {
 	var found []string
-	for reference := range server.Models {
-		model, adapter := split(reference)
-		if adapter != "" || model == wanted || !p.expendable(server, model, p.copyCount) {
+	for reference := range server.Loaded {
+		model, adapter := splitReference(reference)
+		if adapter != "" || model == modelToLoad || !p.canEvict(server, model, p.copiesLoaded) {
 			continue
 		}
 		found = append(found, model)
 	}
 	sort.Slice(found, func(left, right int) bool {
-		first, second := p.loss(server, found[left]), p.loss(server, found[right])
+		first, second := p.unloadCost(server, found[left]), p.unloadCost(server, found[right])
 		if first != second {
 			return first < second
 		}
@@ -68,8 +68,8 @@
 	return found
 }
 
-func (p *plainPlanner) expendable(server *Server, model string, count func(reference string) int) bool {
-	if !p.listed(model) {
+func (p *referencePlanner) canEvict(server *Server, model string, count func(reference string) int) bool {
+	if !p.isConfigured(model) {
 		return true
 	}
 	demand := p.view.totalDemand(p.backend.Name, model)
@@ -77,36 +77,36 @@
 	if copies <= 1 && (demand.Waiting > 0 || demand.Running > 0 || demand.Rate > hotRate) {
 		return false
 	}
-	if !p.view.Learned && copies >= 2 {
+	if !p.view.DemandKnown && copies >= 2 {
 		return false
 	}
-	if demand.Rate > hotRate && p.lastAdapter(server, model, count) {
+	if demand.Rate > hotRate && p.hasLastAdapterCopy(server, model, count) {
 		return false
 	}
 	rest := float64(copies - 1)
-	return rest >= max(p.target(model), math.Ceil(demand.Reading/readShare)) || demand.Rate < rareRate && rest >= p.needed(demand)
+	return rest >= max(p.targetCopies(model), math.Ceil(demand.PrefillLoad/maxPrefillLoad)) || demand.Rate < rareRate && rest >= p.copiesNeeded(demand)
 }
 
-func (p *plainPlanner) lastAdapter(server *Server, model string, count func(reference string) int) bool {
-	for reference := range server.Models {
-		base, adapter := split(reference)
-		if base == model && adapter != "" && p.listed(reference) && count(reference) <= 1 {
+func (p *referencePlanner) hasLastAdapterCopy(server *Server, model string, count func(reference string) int) bool {
+	for reference := range server.Loaded {
+		base, adapter := splitReference(reference)
+		if base == model && adapter != "" && p.isConfigured(reference) && count(reference) <= 1 {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *plainPlanner) needed(demand Demand) float64 {
+func (p *referencePlanner) copiesNeeded(demand Demand) float64 {
 	if demand.Running == 0 {
 		return 0
 	}
-	return 1 + math.Floor(demand.Running/(p.slotShare*float64(max(p.runtime.Slots, 1))))
+	return 1 + math.Floor(demand.Running/(p.targetUtilization*float64(max(p.runtime.Slots, 1))))
 }
 
-func (p *plainPlanner) target(model string) float64 {
+func (p *referencePlanner) targetCopies(model string) float64 {
 	demand := p.view.totalDemand(p.backend.Name, model)
-	target := max(1, p.needed(demand))
+	target := max(1, p.copiesNeeded(demand))
 	if demand.Rate > hotRate {
 		target = max(target, 2)
 		if adapters := p.sizes[model].Adapters; adapters > 0 && p.runtime.AdapterCapacity > 0 {
@@ -116,12 +116,12 @@
 	return min(target, float64(max(len(p.view.serving(p.backend.Name))-1, 1)))
 }
 
-func (p *plainPlanner) evict(server *Server, model string) bool {
-	need := p.taken(server) + p.added(server, model) - p.room()
+func (p *referencePlanner) evict(server *Server, model string) bool {
+	need := p.memoryUsed(server) + p.addedSize(server, model) - p.capacity()
 	first := ""
 	for _, victim := range p.victims(server, model) {
-		if p.expendable(server, victim, p.remaining) {
-			need -= p.freed(server, victim)
+		if p.canEvict(server, victim, p.copiesRemaining) {
+			need -= p.freedMemory(server, victim)
 			if first == "" {
 				first = victim
 			}
@@ -131,38 +131,38 @@
 		server.Intent = ""
 		return false
 	}
-	p.record(server, Action{Model: first, Intent: model, Why: "makes way for " + model})
+	p.recordAction(server, Action{Model: first, Intent: model, Reason: "makes way for " + model})
 	return true
 }
 
-func (p *plainPlanner) copyCount(reference string) int {
+func (p *referencePlanner) copiesLoaded(reference string) int {
 	return len(p.view.copies(p.backend.Name, reference))
 }
 
-func (p *plainPlanner) remaining(reference string) int {
-	return p.copyCount(reference) - p.unloaded[reference]
+func (p *referencePlanner) copiesRemaining(reference string) int {
+	return p.copiesLoaded(reference) - p.plannedUnloads[reference]
 }
 
-func (p *plainPlanner) evictContexts() {
-	if p.view.EvictingContext {
+func (p *referencePlanner) evictContexts() {
+	if p.view.ContextEvictionInProgress {
 		return
 	}
-	for _, pair := range p.view.EvictContexts {
+	for _, pair := range p.view.ContextEvictions {
 		server := p.find(pair.Server)
-		if server == nil || !server.Models[pair.Model] || !server.Ready || p.used[server.ID] || server.Intent != "" {
+		if server == nil || !server.Loaded[pair.Model] || !server.Ready || p.hasAction[server.ID] || server.Intent != "" {
 			continue
 		}
-		if !p.copiesSuffice(server, pair.Model) {
+		if !p.ensureSpareCopies(server, pair.Model) {
 			continue
 		}
-		p.record(server, Action{Model: pair.Model, Intent: pair.Model, Why: ContextEvictionReason})
+		p.recordAction(server, Action{Model: pair.Model, Intent: pair.Model, Reason: ContextEvictionReason})
 		server.Intent = pair.Model
-		p.view.EvictingContext = true
+		p.view.ContextEvictionInProgress = true
 		return
 	}
 }
 
-func (p *plainPlanner) find(id string) *Server {
+func (p *referencePlanner) find(id string) *Server {
 	for _, server := range p.view.Servers {
 		if server.ID == id && server.Backend == p.backend.Name {
 			return server
@@ -171,25 +171,25 @@
 	return nil
 }
 
-func (p *plainPlanner) copiesSuffice(server *Server, model string) bool {
+func (p *referencePlanner) ensureSpareCopies(server *Server, model string) bool {
 	demand := p.view.totalDemand(p.backend.Name, model)
-	if !p.listed(model) || demand.Waiting == 0 && demand.Running == 0 && demand.Rate < adapterDemand {
+	if !p.isConfigured(model) || demand.Waiting == 0 && demand.Running == 0 && demand.Rate < adapterDemand {
 		return true
 	}
-	if p.remaining(model) < 2 {
-		if p.loading(model) == 0 && !p.intended(model) {
+	if p.copiesRemaining(model) < 2 {
+		if p.loadsPending(model) == 0 && !p.isIntended(model) {
 			p.addCopy(model, "a second copy before context on the first is let go")
 		}
 		return false
 	}
-	for reference := range server.Models {
-		if !strings.HasPrefix(reference, model+"/") || !p.listed(reference) {
+	for reference := range server.Loaded {
+		if !strings.HasPrefix(reference, model+"/") || !p.isConfigured(reference) {
 			continue
 		}
-		asked := p.view.ownDemand(p.backend.Name, reference)
-		wanted := asked.Waiting > 0 || asked.Running > 0 || asked.Rate >= adapterDemand
-		if wanted && p.remaining(reference) < 2 {
-			if p.loading(reference) == 0 {
+		requested := p.view.ownDemand(p.backend.Name, reference)
+		inDemand := requested.Waiting > 0 || requested.Running > 0 || requested.Rate >= adapterDemand
+		if inDemand && p.copiesRemaining(reference) < 2 {
+			if p.loadsPending(reference) == 0 {
 				p.addAdapter(reference, true)
 			}
 			return false
--- a/internal/place/plain_room_test.go
+++ b/internal/place/plain_room_test.go
@@ -7,16 +7,18 @@
 	"ferryspar/internal/configuration"
 )
 
-// plainUp and plainDown are sizes and room in whole units.
-func plainUp(megabytes float64) int64   { return int64(math.Ceil(megabytes * 1048576)) }
-func plainDown(megabytes float64) int64 { return int64(math.Floor(megabytes * 1048576)) }
+// roundUpUnits and roundDownUnits are sizes and room in whole units.
+func roundUpUnits(megabytes float64) int64   { return int64(math.Ceil(megabytes * 1048576)) }
+func roundDownUnits(megabytes float64) int64 { return int64(math.Floor(megabytes * 1048576)) }
 
-func (p *plainPlanner) room() int64 { return plainDown(p.runtime.WeightSizeMb) }
+func (p *referencePlanner) capacity() int64 { return roundDownUnits(p.runtime.WeightSizeMb) }
 
 // listed reports whether the configuration names a reference.
-func (p *plainPlanner) listed(reference string) bool { return plainListed(p.runtime, reference) }
+func (p *referencePlanner) isConfigured(reference string) bool {
+	return isConfiguredReference(p.runtime, reference)
+}
 
-func plainListed(runtime *configuration.Runtime, reference string) bool {
+func isConfiguredReference(runtime *configuration.Runtime, reference string) bool {
 	for _, model := range runtime.Models {
 		names := []string{""}
 		for _, name := range append(names, adapterNames(model)...) {
@@ -28,13 +30,13 @@
 	return false
 }
 
-func (p *plainPlanner) heldSize(server *Server, reference string) int64 {
-	model, adapter := split(reference)
+func (p *referencePlanner) loadedSize(server *Server, reference string) int64 {
+	model, adapter := splitReference(reference)
 	listed, known := p.sizes[model]
-	earlier, remembered := p.view.Sizes.of(server.ID)[reference]
-	size := plainUp(listed.WeightSizeMb)
+	earlier, remembered := p.view.SizeHistory.sizesAt(server.ID)[reference]
+	size := roundUpUnits(listed.WeightSizeMb)
 	if adapter != "" {
-		size = plainUp(listed.AdapterSizeMb)
+		size = roundUpUnits(listed.AdapterSizeMb)
 	}
 	switch {
 	case known && remembered:
@@ -44,14 +46,14 @@
 	case remembered:
 		return int64(earlier)
 	}
-	return p.room() + 1
+	return p.capacity() + 1
 }
 
-func (s *Server) upperHoldings() map[string]bool {
+func (s *Server) maximumLoaded() map[string]bool {
 	found := map[string]bool{}
-	for _, references := range []map[string]bool{s.Models, s.MayHold} {
-		for reference, held := range references {
-			if held {
+	for _, references := range []map[string]bool{s.Loaded, s.MaybeLoaded} {
+		for reference, loaded := range references {
+			if loaded {
 				found[reference] = true
 			}
 		}
@@ -59,17 +61,17 @@
 	return found
 }
 
-func (p *plainPlanner) taken(server *Server) int64 {
+func (p *referencePlanner) memoryUsed(server *Server) int64 {
 	total := int64(0)
-	for reference := range server.upperHoldings() {
-		total += p.heldSize(server, reference)
+	for reference := range server.maximumLoaded() {
+		total += p.loadedSize(server, reference)
 	}
 	return total
 }
 
-func (p *plainPlanner) places(server *Server) int {
+func (p *referencePlanner) adapterSlotsUsed(server *Server) int {
 	total := 0
-	for reference := range server.upperHoldings() {
+	for reference := range server.maximumLoaded() {
 		if strings.Contains(reference, "/") {
 			total++
 		}
@@ -77,40 +79,40 @@
 	return total
 }
 
-func (p *plainPlanner) added(server *Server, reference string) int64 {
-	model, adapter := split(reference)
+func (p *referencePlanner) addedSize(server *Server, reference string) int64 {
+	model, adapter := splitReference(reference)
 	switch {
-	case server.upperHoldings()[reference]:
+	case server.maximumLoaded()[reference]:
 		return 0
 	case adapter == "":
-		return plainUp(p.sizes[model].WeightSizeMb)
+		return roundUpUnits(p.sizes[model].WeightSizeMb)
 	}
-	return plainUp(p.sizes[model].AdapterSizeMb)
+	return roundUpUnits(p.sizes[model].AdapterSizeMb)
 }
 
-// countUncertain counts the serving servers that may hold a reference, beyond the loads under way.
-func (p *plainPlanner) countUncertain() {
+// subtractOrderedLoads counts the serving servers that may hold a reference, beyond the loads under way.
+func (p *referencePlanner) countUncertain() {
 	p.uncertain = map[string]int{}
 	for _, server := range p.view.serving(p.backend.Name) {
-		for reference := range server.upperHoldings() {
-			if !server.Models[reference] {
+		for reference := range server.maximumLoaded() {
+			if !server.Loaded[reference] {
 				p.uncertain[reference]++
 			}
 		}
 	}
 	for reference, servers := range p.uncertain {
-		p.uncertain[reference] = max(servers-p.view.Loading[Key(p.backend.Name, reference)], 0)
+		p.uncertain[reference] = max(servers-p.view.Loading[ModelKey(p.backend.Name, reference)], 0)
 	}
 }
 
-func (p *plainPlanner) loading(reference string) int {
-	return p.view.Loading[Key(p.backend.Name, reference)] + p.uncertain[reference]
+func (p *referencePlanner) loadsPending(reference string) int {
+	return p.view.Loading[ModelKey(p.backend.Name, reference)] + p.uncertain[reference]
 }
 
-func (p *plainPlanner) repeatLoad(model string) {
-	for _, server := range p.idle() {
-		allowed := server.Held[model] || p.tokens-p.promisedLoads >= 1
-		if server.MayHold[model] && server.Intent == "" && allowed && p.fits(server, model) {
+func (p *referencePlanner) retryUncertainLoad(model string) {
+	for _, server := range p.idleServers() {
+		allowed := server.OnDisk[model] || p.tokens-p.reservedTokens >= 1
+		if server.MaybeLoaded[model] && server.Intent == "" && allowed && p.fits(server, model) {
 			p.load(server, model, "it is not known whether it was loaded")
 			return
 		}
--- a/internal/place/plain_view_test.go
+++ b/internal/place/plain_view_test.go
@@ -7,60 +7,60 @@
 	"strings"
 )
 
-// plainView looks all up in the view itself.
-type plainView struct {
+// referenceView looks all up in the view itself.
+type referenceView struct {
 	*View
 	known map[string]Demand
 }
 
-func (v plainView) ownDemand(backend, reference string) Demand {
-	if found := v.Demand[Key(backend, reference)]; found != nil {
+func (v referenceView) ownDemand(backend, reference string) Demand {
+	if found := v.Demand[ModelKey(backend, reference)]; found != nil {
 		return *found
 	}
 	return Demand{}
 }
 
-func (v plainView) totalDemand(backend, model string) Demand {
-	if total, known := v.known[Key(backend, model)]; known {
+func (v referenceView) totalDemand(backend, model string) Demand {
+	if total, known := v.known[ModelKey(backend, model)]; known {
 		return total
 	}
 	total := Demand{}
-	for name, one := range v.Demand {
+	for name, server := range v.Demand {
 		owner, reference, _ := strings.Cut(name, " ")
-		base, _ := split(reference)
+		base, _ := splitReference(reference)
 		if owner != backend || base != model {
 			continue
 		}
-		total.add(one)
+		total.add(server)
 	}
-	v.known[Key(backend, model)] = total
+	v.known[ModelKey(backend, model)] = total
 	return total
 }
 
-func (v plainView) copies(backend, reference string) []*Server {
+func (v referenceView) copies(backend, reference string) []*Server {
 	var found []*Server
 	for _, server := range v.Servers {
-		if server.Backend == backend && server.counts(v.View) && server.Models[reference] {
+		if server.Backend == backend && server.isServing(v.View) && server.Loaded[reference] {
 			found = append(found, server)
 		}
 	}
 	return found
 }
 
-func (v plainView) serving(backend string) []*Server {
+func (v referenceView) serving(backend string) []*Server {
 	var found []*Server
 	for _, server := range v.Servers {
-		if server.Backend == backend && server.counts(v.View) {
+		if server.Backend == backend && server.isServing(v.View) {
 			found = append(found, server)
 		}
 	}
 	return found
 }
 
-func (v plainView) idle(backend string) []*Server {
+func (v referenceView) idle(backend string) []*Server {
 	var found []*Server
 	for _, server := range v.Servers {
-		if server.Backend == backend && server.counts(v.View) && server.Ready {
+		if server.Backend == backend && server.isServing(v.View) && server.Ready {
 			found = append(found, server)
 		}
 	}
@@ -68,9 +68,9 @@
 	return found
 }
 
-func (s *Server) adapters() int {
+func (s *Server) adapterCount() int {
 	total := 0
-	for reference := range s.Models {
+	for reference := range s.Loaded {
 		if strings.Contains(reference, "/") {
 			total++
 		}
@@ -79,9 +79,9 @@
 }
 
 // size is what the configuration says of the models and adapters that are surely held.
-func (s *Server) size(runtime *configuration.Runtime) float64 {
+func (s *Server) configuredSize(runtime *configuration.Runtime) float64 {
 	total := 0.0
-	for reference := range s.Models {
+	for reference := range s.Loaded {
 		size, _ := configuredSize(runtime, reference)
 		total += size
 	}
--- a/internal/place/plan_bench_test.go
+++ b/internal/place/plan_bench_test.go
@@ -16,13 +16,13 @@
 			size.active, size.waiting = 0.2+1.5*waiting, waiting
 			b.Run(fmt.Sprintf("waiting=%g/%dx%dx%d", waiting, size.replicas, size.models, size.adapters), func(b *testing.B) {
 				view := size.view(1)
-				tokens := view.Tokens
+				tokens := view.StoreTokens
 				b.ReportAllocs()
 				for b.Loop() {
 					clear(view.Loading)
-					view.Tokens = tokens
-					for _, one := range view.Servers {
-						one.Intent = ""
+					view.StoreTokens = tokens
+					for _, server := range view.Servers {
+						server.Intent = ""
 					}
 					Plan(view)
 				}
--- a/internal/place/rare_bench_test.go
+++ b/internal/place/rare_bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-func BenchmarkRare(b *testing.B) {
+func BenchmarkRareModels(b *testing.B) {
 	step := 100 * time.Millisecond
-	for _, one := range []simulationSetup{
+	for _, server := range []simulationSetup{
 		{fleetShape{replicas: 140, models: 450}, 120, 1, 10, 4, 16},
 		{fleetShape{replicas: 140, models: 450}, 60, 0.6, 10, 4, 16},
 		{fleetShape{replicas: 140, models: 450}, 250, 1, 10, 6, 16},
@@ -17,23 +17,23 @@
 		{fleetShape{replicas: 140, models: 450, adapters: 440}, 120, 1, 10, 4, 16},
 		{fleetShape{replicas: 40, models: 200}, 20, 0.8, 10, 4, 4},
 	} {
-		b.Run(fmt.Sprintf("%dx%dx%d/%g/%g", one.replicas, one.models, one.adapters, one.perS, one.zipf), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%dx%dx%d/%g/%g", server.replicas, server.models, server.adapters, server.perS, server.zipf), func(b *testing.B) {
 			var total outcome
 			for b.Loop() {
 				for seed := range uint64(2) {
-					s := newSimulation(one, seed)
+					s := newSimulation(server, seed)
 					for range 1800 {
 						s.view.Now = s.view.Now.Add(step)
-						s.arrive(step)
-						s.serve()
+						s.addRequests(step)
+						s.serveRequests()
 						s.updateDemand(step)
-						s.plan()
+						s.runPlanner()
 					}
 					total.add(s.outcome)
 				}
 			}
-			share := func(part int) float64 { return float64(part) / float64(total.asked) }
-			b.ReportMetric(share(total.prompt), "prompt")
+			share := func(part int) float64 { return float64(part) / float64(total.requests) }
+			b.ReportMetric(share(total.inTime), "prompt")
 			b.ReportMetric(share(total.late), "late")
 			b.ReportMetric(share(total.lost), "lost")
 			b.ReportMetric(share(total.stored), "stored")
@@ -43,8 +43,8 @@
 }
 
 func (o *outcome) add(other outcome) {
-	o.asked += other.asked
-	o.prompt += other.prompt
+	o.requests += other.requests
+	o.inTime += other.inTime
 	o.late += other.late
 	o.lost += other.lost
 	o.stored += other.stored
--- a/internal/place/room_test.go
+++ b/internal/place/room_test.go
@@ -10,97 +10,97 @@
 	"ferryspar/internal/configuration"
 )
 
-// roomView is a view of one replica with 100 MB and two places for adapters.
-func roomView(server *Server, models ...configuration.Model) *View {
+// singleServerView is a view of one replica with 100 MB and two places for adapters.
+func singleServerView(server *Server, models ...configuration.Model) *View {
 	view := smallView(server)
-	view.setRoom(100, 2, models...)
-	view.Sizes = NewSizeBook()
+	view.setCapacity(100, 2, models...)
+	view.SizeHistory = NewSizeHistory()
 	return view
 }
 
-// setRoom puts another configuration in force.
-func (v *View) setRoom(room float64, capacity int, models ...configuration.Model) {
+// setCapacity puts another configuration in force.
+func (v *View) setCapacity(memory float64, capacity int, models ...configuration.Model) {
 	v.Table = configuration.NewTable(configuration.Configuration{Backends: []configuration.Backend{{
 		Name: "s",
 		Runtime: &configuration.Runtime{
-			Slots: 10, WeightSizeMb: room, AdapterCapacity: capacity, LoadsPerS: 1, Models: models,
+			Slots: 10, WeightSizeMb: memory, AdapterCapacity: capacity, LoadsPerS: 1, Models: models,
 		},
 	}}}, nil)
 }
 
-func sized(name string, size float64) configuration.Model {
+func modelOfSize(name string, size float64) configuration.Model {
 	return configuration.Model{Name: name, WeightSizeMb: size, LoadTimeS: 5, Adapters: 3, AdapterSizeMb: 1}
 }
 
-// waitFor has a request wait for a reference.
-func (v *View) waitFor(reference string) {
-	v.Demand[Key("s", reference)] = &Demand{Waiting: 1, OldestMs: 50, LastSeen: now}
+// addWaitingRequest has a request wait for a reference.
+func (v *View) addWaitingRequest(reference string) {
+	v.Demand[ModelKey("s", reference)] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
 }
 
-func TestGivenAHeldModelThatNoConfigurationNamedThenItGoesBeforeAnyLoad(t *testing.T) {
+func TestPlan_UnloadsUnconfiguredModelBeforeLoading(t *testing.T) {
 	server := newServer("a", "gone", "gone/a1")
-	view := roomView(server, sized("new", 10))
-	view.waitFor("new")
-	view.waitFor("gone")
+	view := singleServerView(server, modelOfSize("new", 10))
+	view.addWaitingRequest("new")
+	view.addWaitingRequest("gone")
 	actions := Plan(view)
 	assert.Equal(t, len(actions), 1)
 	assert.Assert(t, !actions[0].Load && actions[0].Model == "gone", "%v", actions)
-	server.Models = map[string]bool{}
-	assert.Equal(t, len(find(Plan(view), true, "new")), 1)
+	server.Loaded = map[string]bool{}
+	assert.Equal(t, len(actionsFor(Plan(view), true, "new")), 1)
 }
 
-func TestGivenADroppedModelThenItCountsWithItsEarlierSizeUntilItIsUnloaded(t *testing.T) {
+func TestPlan_CountsRemovedModelWithPastSize(t *testing.T) {
 	for size, loaded := range map[float64]int{20: 1, 20.0005: 0, 20.5: 0, 80: 0} {
 		server := newServer("a", "gone")
-		view := roomView(server, sized("gone", 80))
+		view := singleServerView(server, modelOfSize("gone", 80))
 		Plan(view)
-		view.setRoom(100, 2, sized("new", size))
-		view.waitFor("new")
+		view.setCapacity(100, 2, modelOfSize("new", size))
+		view.addWaitingRequest("new")
 		actions := Plan(view)
-		assert.Equal(t, len(find(actions, true, "new")), loaded, "%v: %v", size, actions)
-		assert.Equal(t, len(find(actions, false, "gone")), 1-loaded, "%v: %v", size, actions)
+		assert.Equal(t, len(actionsFor(actions, true, "new")), loaded, "%v: %v", size, actions)
+		assert.Equal(t, len(actionsFor(actions, false, "gone")), 1-loaded, "%v: %v", size, actions)
 	}
 }
 
-func TestGivenAResizedModelThenTheLargestSizeCountsWhileItIsHeld(t *testing.T) {
+func TestPlan_CountsLargestSizeWhileLoaded(t *testing.T) {
 	server := newServer("a", "old")
-	view := roomView(server, sized("old", 80), sized("new", 30))
+	view := singleServerView(server, modelOfSize("old", 80), modelOfSize("new", 30))
 	Plan(view)
-	view.setRoom(100, 2, sized("old", 40), sized("new", 30))
+	view.setCapacity(100, 2, modelOfSize("old", 40), modelOfSize("new", 30))
 	Plan(view)
-	view.setRoom(100, 2, sized("old", 50), sized("new", 30))
-	view.waitFor("new")
-	assert.Equal(t, len(find(Plan(view), true, "new")), 0)
-	server.Models = map[string]bool{}
+	view.setCapacity(100, 2, modelOfSize("old", 50), modelOfSize("new", 30))
+	view.addWaitingRequest("new")
+	assert.Equal(t, len(actionsFor(Plan(view), true, "new")), 0)
+	server.Loaded = map[string]bool{}
 	Plan(view)
-	assert.Equal(t, len(view.Sizes.servers), 0, "what nobody holds is forgotten")
-	server.Models, server.Intent = map[string]bool{"old": true}, ""
+	assert.Equal(t, len(view.SizeHistory.servers), 0, "what nobody holds is forgotten")
+	server.Loaded, server.Intent = map[string]bool{"old": true}, ""
 	clear(view.Loading)
-	assert.Equal(t, len(find(Plan(view), true, "new")), 1, "loaded again it has the size in force")
+	assert.Equal(t, len(actionsFor(Plan(view), true, "new")), 1, "loaded again it has the size in force")
 }
 
-func TestGivenAnOrderOfUnknownFateThenItsRoomIsTakenAndItIsNoCopy(t *testing.T) {
+func TestPlan_ReservesMemoryOfUncertainLoad(t *testing.T) {
 	server := newServer("a")
-	server.MayHold = map[string]bool{"maybe": true}
-	view := roomView(server, sized("maybe", 60), sized("new", 60))
-	view.waitFor("new")
+	server.MaybeLoaded = map[string]bool{"maybe": true}
+	view := singleServerView(server, modelOfSize("maybe", 60), modelOfSize("new", 60))
+	view.addWaitingRequest("new")
 	assert.Equal(t, len(Plan(view)), 0, "neither room for new nor a victim")
-	view.waitFor("maybe")
-	assert.Equal(t, len(find(Plan(view), true, "maybe")), 1, "the same load again is harmless")
+	view.addWaitingRequest("maybe")
+	assert.Equal(t, len(actionsFor(Plan(view), true, "maybe")), 1, "the same load again is harmless")
 }
 
-func TestGivenAModelThatMayBeHeldThenItIsNotLoadedElsewhere(t *testing.T) {
+func TestPlan_DoesNotDuplicateUncertainLoad(t *testing.T) {
 	uncertain, other := newServer("a"), newServer("b")
-	uncertain.MayHold, uncertain.Ready = map[string]bool{"maybe": true}, false
-	view := roomView(uncertain, sized("maybe", 60))
+	uncertain.MaybeLoaded, uncertain.Ready = map[string]bool{"maybe": true}, false
+	view := singleServerView(uncertain, modelOfSize("maybe", 60))
 	view.Servers = append(view.Servers, other)
-	view.waitFor("maybe")
+	view.addWaitingRequest("maybe")
 	assert.Equal(t, len(Plan(view)), 0)
 }
 
-func TestGivenAnAdapterThenItIsLoadedOnlyBesideASurelyHeldModelWithAPlace(t *testing.T) {
+func TestPlanner_LoadsAdapterOnlyBesideLoadedModel(t *testing.T) {
 	type held = map[string]bool
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		models, mayHold held
 		capacity        int
 		fits            bool
@@ -117,77 +117,77 @@
 		"an adapter of unknown size": {held{"old": true}, held{"gone/a1": true}, 3, false},
 	} {
 		server := newServer("a")
-		server.Models, server.MayHold = one.models, one.mayHold
-		view := roomView(server, sized("old", 60), sized("new", 30))
-		view.Table.Configuration.Backends[0].Runtime.AdapterCapacity = one.capacity
+		server.Loaded, server.MaybeLoaded = testCase.models, testCase.mayHold
+		view := singleServerView(server, modelOfSize("old", 60), modelOfSize("new", 30))
+		view.Table.Configuration.Backends[0].Runtime.AdapterCapacity = testCase.capacity
 		p := newPlanner(view, NewCatalog(view.Table).backends[0])
-		assert.Equal(t, p.load(&p.servers[0], p.number("old/a1"), ""), one.fits, name)
+		assert.Equal(t, p.load(&p.servers[0], p.itemNumber("old/a1"), ""), testCase.fits, name)
 	}
 }
 
-func TestGivenAFullReplicaThenAnUnwantedModelMakesWayForAnAdapter(t *testing.T) {
+func TestPlan_EvictsModelForAdapter(t *testing.T) {
 	server := newServer("a", "old", "gone")
-	view := roomView(server, sized("old", 60))
-	view.Demand[Key("s", "old")] = &Demand{Running: 1, Rate: 1, LastSeen: now}
-	view.waitFor("old/a1")
-	assert.Equal(t, len(find(Plan(view), false, "gone")), 1)
-	delete(server.Models, "gone")
-	assert.Equal(t, len(find(Plan(view), true, "old/a1")), 1)
+	view := singleServerView(server, modelOfSize("old", 60))
+	view.Demand[ModelKey("s", "old")] = &Demand{Running: 1, Rate: 1, LastSeen: now}
+	view.addWaitingRequest("old/a1")
+	assert.Equal(t, len(actionsFor(Plan(view), false, "gone")), 1)
+	delete(server.Loaded, "gone")
+	assert.Equal(t, len(actionsFor(Plan(view), true, "old/a1")), 1)
 }
 
-func TestGivenNoRoomForAnAdapterWhereItsModelIsThenTheModelIsAddedElsewhere(t *testing.T) {
+func TestPlan_AddsModelCopyForAdapter(t *testing.T) {
 	full, empty := newServer("a", "old", "busy"), newServer("b")
-	view := roomView(full, sized("old", 60), sized("busy", 40))
+	view := singleServerView(full, modelOfSize("old", 60), modelOfSize("busy", 40))
 	view.Servers = append(view.Servers, empty)
 	for _, reference := range []string{"old", "busy"} {
-		view.Demand[Key("s", reference)] = &Demand{Running: 1, Rate: 1, LastSeen: now}
+		view.Demand[ModelKey("s", reference)] = &Demand{Running: 1, Rate: 1, LastSeen: now}
 	}
-	view.waitFor("old/a1")
-	loads := find(Plan(view), true, "old")
+	view.addWaitingRequest("old/a1")
+	loads := actionsFor(Plan(view), true, "old")
 	assert.Equal(t, len(loads), 1)
 	assert.Equal(t, loads[0].Server, "b")
-	empty.Models = map[string]bool{"old": true}
+	empty.Loaded = map[string]bool{"old": true}
 	clear(view.Loading)
-	assert.Equal(t, len(find(Plan(view), true, "old/a1")), 1)
+	assert.Equal(t, len(actionsFor(Plan(view), true, "old/a1")), 1)
 }
 
-func TestGivenDroppedModelsAndAdaptersThenTheyGoFirst(t *testing.T) {
+func TestPlan_UnloadsUnconfiguredItemsFirst(t *testing.T) {
 	server := newServer("a", "an-idle-one", "gone")
-	view := roomView(server, sized("an-idle-one", 10), sized("new", 70))
-	view.waitFor("new")
-	assert.Equal(t, len(find(Plan(view), false, "gone")), 1)
+	view := singleServerView(server, modelOfSize("an-idle-one", 10), modelOfSize("new", 70))
+	view.addWaitingRequest("new")
+	assert.Equal(t, len(actionsFor(Plan(view), false, "gone")), 1)
 
 	server = newServer("a", "old", "old/a1", "old/a9")
-	view = roomView(server, sized("old", 60))
-	view.waitFor("old/a2")
-	view.waitFor("old/a9")
-	assert.Equal(t, len(find(Plan(view), false, "old/a9")), 1)
+	view = singleServerView(server, modelOfSize("old", 60))
+	view.addWaitingRequest("old/a2")
+	view.addWaitingRequest("old/a9")
+	assert.Equal(t, len(actionsFor(Plan(view), false, "old/a9")), 1)
 }
 
-func TestGivenADroppedModelThenNoLoadOfItIsRecorded(t *testing.T) {
-	view := roomView(newServer("a"), sized("old", 60))
+func TestPlanner_RefusesUnconfiguredLoads(t *testing.T) {
+	view := singleServerView(newServer("a"), modelOfSize("old", 60))
 	p := newPlanner(view, NewCatalog(view.Table).backends[0])
-	assert.Assert(t, !p.load(&p.servers[0], p.number("gone"), ""))
-	assert.Assert(t, !p.load(&p.servers[0], p.number("old/a9"), ""))
-	assert.Assert(t, p.load(&p.servers[0], p.number("old"), ""))
-	assert.Assert(t, !p.load(&p.servers[0], p.number("old"), ""), "one action of a plan at each server")
+	assert.Assert(t, !p.load(&p.servers[0], p.itemNumber("gone"), ""))
+	assert.Assert(t, !p.load(&p.servers[0], p.itemNumber("old/a9"), ""))
+	assert.Assert(t, p.load(&p.servers[0], p.itemNumber("old"), ""))
+	assert.Assert(t, !p.load(&p.servers[0], p.itemNumber("old"), ""), "one action of a plan at each server")
 }
 
-func TestGivenAnIntentOrContextOfADroppedModelThenItIsNotLoadedAgain(t *testing.T) {
+func TestPlan_DropsIntentOfUnconfiguredModel(t *testing.T) {
 	server := newServer("a")
-	server.Intent, server.Held["gone"] = "gone", true
-	view := roomView(server, sized("old", 60))
-	view.waitFor("gone")
+	server.Intent, server.OnDisk["gone"] = "gone", true
+	view := singleServerView(server, modelOfSize("old", 60))
+	view.addWaitingRequest("gone")
 	assert.Equal(t, len(Plan(view)), 0)
-	holder, other := newServer("a", "gone"), newServer("b")
-	view.Servers = []*Server{holder, other}
-	view.EvictContexts = []ServerModel{{Server: "a", Model: "gone"}}
+	host, other := newServer("a", "gone"), newServer("b")
+	view.Servers = []*Server{host, other}
+	view.ContextEvictions = []ServerModel{{Server: "a", Model: "gone"}}
 	actions := Plan(view)
-	assert.Equal(t, len(find(actions, true, "gone")), 0)
-	assert.Equal(t, len(find(actions, false, "gone")), 1)
+	assert.Equal(t, len(actionsFor(actions, true, "gone")), 0)
+	assert.Equal(t, len(actionsFor(actions, false, "gone")), 1)
 }
 
-func TestGivenWhatFitsInUnitsThenNoOrderOfSummingExceedsTheRoom(t *testing.T) {
+func TestMemoryUnits_SumsNeverExceedCapacity(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	fitting := 0
 	for range 20000 {
@@ -198,12 +198,12 @@
 			sizes[index] = part + float64(random.IntN(3))/10
 			exact += sizes[index]
 		}
-		room := exact + float64(random.IntN(3)-1)/unitsPerMb
-		total := roomSize(0)
+		capacity := exact + float64(random.IntN(3)-1)/unitsPerMb
+		total := memoryUnits(0)
 		for _, size := range sizes {
 			total += sizeOf(size)
 		}
-		if total > roomOf(room) {
+		if total > capacityOf(capacity) {
 			continue
 		}
 		fitting++
@@ -213,10 +213,10 @@
 			for _, size := range sizes {
 				sum += size
 			}
-			assert.Assert(t, sum <= room, fmt.Sprint(sizes, room))
+			assert.Assert(t, sum <= capacity, fmt.Sprint(sizes, capacity))
 		}
 	}
 	assert.Assert(t, fitting > 100)
 	third := sizeOf(65099.99999999999)
-	assert.Assert(t, 3*third <= roomOf(195300) && 3*sizeOf(66.66666666666667) > roomOf(200))
+	assert.Assert(t, 3*third <= capacityOf(195300) && 3*sizeOf(66.66666666666667) > capacityOf(200))
 }
--- a/internal/place/simulation_plan_test.go
+++ b/internal/place/simulation_plan_test.go
@@ -12,35 +12,35 @@
 )
 
 // plan ends loads and unloads, and begins those of the next plan.
-func (s *simulation) plan() {
+func (s *simulation) runPlanner() {
 	now := s.view.Now
 	clear(s.view.Loading)
 	stored := 0 // loads from the store under way
-	for _, one := range s.simulated {
-		if one.action != nil && !now.Before(one.ends) {
-			one.finish()
+	for _, server := range s.servers {
+		if server.action != nil && !now.Before(server.endsAt) {
+			server.finish()
 		}
-		one.server.Ready = one.action == nil
-		if one.action != nil && one.action.Load {
-			s.view.Loading[Key("s", one.action.Model)]++
-			if one.action.Stored {
+		server.server.Ready = server.action == nil
+		if server.action != nil && server.action.Load {
+			s.view.Loading[ModelKey("s", server.action.Model)]++
+			if server.action.FromStore {
 				stored++
 			}
 		}
 	}
-	kept := s.loads[:0]
-	for _, at := range s.loads {
+	kept := s.storeLoads[:0]
+	for _, at := range s.storeLoads {
 		if now.Sub(at) < 6*time.Second {
 			kept = append(kept, at)
 		}
 	}
-	s.loads = kept
-	s.view.Tokens = s.loadsPerS*5 + 1 - float64(len(kept))
+	s.storeLoads = kept
+	s.view.StoreTokens = s.loadsPerS*5 + 1 - float64(len(kept))
 	for _, action := range Plan(s.view) {
-		for _, one := range s.simulated {
-			if one.server.ID == action.Server {
-				one.action = &action
-				one.ends = now.Add(s.duration(action, stored))
+		for _, server := range s.servers {
+			if server.server.ID == action.Server {
+				server.action = &action
+				server.endsAt = now.Add(s.duration(action, stored))
 			}
 		}
 	}
@@ -50,13 +50,13 @@
 func (s *simulatedServer) finish() {
 	model := s.action.Model
 	if s.action.Load {
-		s.server.Models[model] = true
-		s.server.Held[model] = true
+		s.server.Loaded[model] = true
+		s.server.OnDisk[model] = true
 	}
-	for reference := range s.server.Models {
-		base, _ := split(reference)
+	for reference := range s.server.Loaded {
+		base, _ := splitReference(reference)
 		if !s.action.Load && (reference == model || base == model) {
-			delete(s.server.Models, reference)
+			delete(s.server.Loaded, reference)
 		}
 	}
 	s.action = nil
@@ -67,15 +67,15 @@
 	if !action.Load {
 		return simulatedUnload
 	}
-	if _, adapter := split(action.Model); adapter != "" {
+	if _, adapter := splitReference(action.Model); adapter != "" {
 		return simulatedAdapterLoad
 	}
 	runtime := s.view.Table.Configuration.Backends[0].Runtime
 	seconds := runtime.Models[s.number(action.Model)].LoadTimeS
 	s.outcome.loads++
-	if action.Stored {
+	if action.FromStore {
 		s.outcome.stored++
-		s.loads = append(s.loads, s.view.Now)
+		s.storeLoads = append(s.storeLoads, s.view.Now)
 		seconds *= max(1, float64(stored)/(4*s.loadsPerS))
 	} else {
 		s.outcome.disk++
--- a/internal/place/simulation_test.go
+++ b/internal/place/simulation_test.go
@@ -12,42 +12,42 @@
 
 // simulatedRequest waits for a model, then runs at a server.
 type simulatedRequest struct {
-	wanted string
-	at     time.Time
-	server *simulatedServer
-	ends   time.Time
+	reference string
+	arrivedAt time.Time
+	server    *simulatedServer
+	endsAt    time.Time
 }
 
 // simulatedServer is a server with the action under way there.
 type simulatedServer struct {
-	server *Server
-	action *Action
-	ends   time.Time
-	runs   int
+	server  *Server
+	action  *Action
+	endsAt  time.Time
+	running int
 }
 
 // simulationSetup is a fleet with its requests: their rate, the skew of their models (Zipf), their aim and
 // time at a server in seconds, and the store's rate.
 type simulationSetup struct {
 	fleetShape
-	perS, zipf, aimS, holdS, loadsPerS float64
+	perS, zipf, latencyTargetS, serviceS, loadsPerS float64
 }
 
 // outcome counts requests by how they ended, and loads by their source.
-type outcome struct{ asked, prompt, late, lost, stored, disk, loads int }
+type outcome struct{ requests, inTime, late, lost, stored, disk, loads int }
 
 // simulation plays requests and loads against the planner.
 type simulation struct {
 	simulationSetup
-	view      *View
-	simulated []*simulatedServer
-	shares    []float64
-	waiting   []*simulatedRequest
-	running   []*simulatedRequest
-	loads     []time.Time
-	random    *rand.Rand
-	outcome   outcome
-	counts    map[string]int
+	view       *View
+	servers    []*simulatedServer
+	shares     []float64
+	waiting    []*simulatedRequest
+	running    []*simulatedRequest
+	storeLoads []time.Time
+	random     *rand.Rand
+	outcome    outcome
+	counts     map[string]int
 }
 
 func newSimulation(t simulationSetup, seed uint64) *simulation {
@@ -57,9 +57,9 @@
 	runtime.Slots = simulatedSlots
 	runtime.LoadsPerS = t.loadsPerS
 	clear(view.Demand)
-	for _, one := range view.Servers {
-		one.Ready = true
-		s.simulated = append(s.simulated, &simulatedServer{server: one})
+	for _, server := range view.Servers {
+		server.Ready = true
+		s.servers = append(s.servers, &simulatedServer{server: server})
 	}
 	total := 0.0
 	for index := range t.models {
@@ -73,12 +73,12 @@
 }
 
 // before reports whether a server is to be preferred: it runs less, or its id is lower.
-func (s *simulatedServer) before(other *simulatedServer) bool {
-	return s.runs < other.runs || s.runs == other.runs && s.server.ID < other.server.ID
+func (s *simulatedServer) isPreferredTo(other *simulatedServer) bool {
+	return s.running < other.running || s.running == other.running && s.server.ID < other.server.ID
 }
 
 // arrive adds the requests of a step.
-func (s *simulation) arrive(step time.Duration) {
+func (s *simulation) addRequests(step time.Duration) {
 	amount := s.perS * step.Seconds()
 	for amount > s.random.Float64() {
 		amount--
@@ -86,69 +86,69 @@
 		for s.shares[model] < pick {
 			model++
 		}
-		wanted := s.view.Table.Configuration.Backends[0].Runtime.Models[model]
-		reference := wanted.Name
-		if wanted.Adapters > 0 && s.random.IntN(4) > 0 {
+		requested := s.view.Table.Configuration.Backends[0].Runtime.Models[model]
+		reference := requested.Name
+		if requested.Adapters > 0 && s.random.IntN(4) > 0 {
 			share := s.random.Float64()
-			reference = Reference(reference, adapterNames(wanted)[int(share*share*float64(wanted.Adapters))])
+			reference = Reference(reference, adapterNames(requested)[int(share*share*float64(requested.Adapters))])
 		}
-		s.waiting = append(s.waiting, &simulatedRequest{wanted: reference, at: s.view.Now})
+		s.waiting = append(s.waiting, &simulatedRequest{reference: reference, arrivedAt: s.view.Now})
 		s.counts[reference]++
-		s.outcome.asked++
+		s.outcome.requests++
 	}
 }
 
 // serve ends requests, and starts those that find a slot.
-func (s *simulation) serve() {
+func (s *simulation) serveRequests() {
 	now := s.view.Now
 	running := s.running[:0]
-	for _, one := range s.running {
-		if now.Before(one.ends) {
-			running = append(running, one)
+	for _, server := range s.running {
+		if now.Before(server.endsAt) {
+			running = append(running, server)
 		} else {
-			one.server.runs--
+			server.server.running--
 		}
 	}
 	s.running = running
-	holders := map[string][]*simulatedServer{}
-	for _, one := range s.simulated {
-		for reference := range one.server.Models {
-			base, _ := split(reference)
-			if one.action == nil || one.action.Load || one.action.Model != reference && one.action.Model != base {
-				holders[reference] = append(holders[reference], one)
+	hosts := map[string][]*simulatedServer{}
+	for _, server := range s.servers {
+		for reference := range server.server.Loaded {
+			base, _ := splitReference(reference)
+			if server.action == nil || server.action.Load || server.action.Model != reference && server.action.Model != base {
+				hosts[reference] = append(hosts[reference], server)
 			}
 		}
 	}
 	waiting := s.waiting[:0]
-	for _, one := range s.waiting {
+	for _, server := range s.waiting {
 		var best *simulatedServer
-		for _, holder := range holders[one.wanted] {
-			if holder.runs < simulatedSlots && (best == nil || holder.before(best)) {
-				best = holder
+		for _, host := range hosts[server.reference] {
+			if host.running < simulatedSlots && (best == nil || host.isPreferredTo(best)) {
+				best = host
 			}
 		}
-		waited := now.Sub(one.at).Seconds()
+		hasWaiting := now.Sub(server.arrivedAt).Seconds()
 		switch {
 		case best != nil:
-			best.runs++
-			one.server, one.ends = best, now.Add(time.Duration(s.holdS*(0.5+s.random.Float64())*float64(time.Second)))
-			s.running = append(s.running, one)
-			if waited <= s.aimS {
-				s.outcome.prompt++
+			best.running++
+			server.server, server.endsAt = best, now.Add(time.Duration(s.serviceS*(0.5+s.random.Float64())*float64(time.Second)))
+			s.running = append(s.running, server)
+			if hasWaiting <= s.latencyTargetS {
+				s.outcome.inTime++
 			} else {
 				s.outcome.late++
 			}
-		case waited > 3*s.aimS:
+		case hasWaiting > 3*s.latencyTargetS:
 			s.outcome.lost++
 		default:
-			waiting = append(waiting, one)
+			waiting = append(waiting, server)
 		}
 	}
 	s.waiting = waiting
 }
 
 func (s *simulation) number(reference string) int {
-	base, _ := split(reference)
+	base, _ := splitReference(reference)
 	var number int
 	_, _ = fmt.Sscanf(base, "m%d", &number)
 	return number
@@ -157,37 +157,37 @@
 // updateDemand sets the view's demand, as the control plane does.
 func (s *simulation) updateDemand(step time.Duration) {
 	now := s.view.Now
-	for _, one := range s.view.Demand {
-		one.Waiting, one.OldestMs, one.Running = 0, 0, 0
+	for _, server := range s.view.Demand {
+		server.Waiting, server.OldestWaitMs, server.Running = 0, 0, 0
 	}
 	of := func(reference string) *Demand {
-		name := Key("s", reference)
+		name := ModelKey("s", reference)
 		if s.view.Demand[name] == nil {
-			s.view.Demand[name] = &Demand{Aim: s.aimS * 1000}
+			s.view.Demand[name] = &Demand{LatencyTargetMs: s.latencyTargetS * 1000}
 		}
 		return s.view.Demand[name]
 	}
-	for _, one := range s.waiting {
-		demand := of(one.wanted)
+	for _, server := range s.waiting {
+		demand := of(server.reference)
 		demand.Waiting++
-		demand.OldestMs = max(demand.OldestMs, float64(now.Sub(one.at).Milliseconds()))
+		demand.OldestWaitMs = max(demand.OldestWaitMs, float64(now.Sub(server.arrivedAt).Milliseconds()))
 		demand.LastSeen = now
 	}
-	for _, one := range s.running {
-		of(one.wanted).Running++
+	for _, server := range s.running {
+		of(server.reference).Running++
 	}
 	for reference := range s.counts {
 		of(reference).LastSeen = now
 	}
 	for name, demand := range s.view.Demand {
-		learn(demand, float64(s.counts[name[2:]])/step.Seconds(), step)
+		updateRates(demand, float64(s.counts[name[2:]])/step.Seconds(), step)
 	}
 	clear(s.counts)
 }
 
-func learn(demand *Demand, rate float64, step time.Duration) {
+func updateRates(demand *Demand, rate float64, step time.Duration) {
 	demand.Rate += step.Seconds() / 8 * (rate - demand.Rate)
-	demand.Often += step.Seconds() / 120 * (rate - demand.Often)
+	demand.LongTermRate += step.Seconds() / 120 * (rate - demand.LongTermRate)
 	if demand.Rate < 0.003 {
 		demand.Rate = 0
 	}
