--- a/internal/place/worldreplica_test.go
+++ b/internal/place/worldreplica_test.go
@@ -11,8 +11,8 @@
 func (r *worldReplica) advance(step int, runtime *configuration.Runtime) {
 	var left []*worldOrder
 	for _, order := range r.orders {
-		if !order.done && order.doneAt != neverDone && order.doneAt <= step {
-			order.done = true
+		if !order.isDone && order.doneAt != neverDone && order.doneAt <= step {
+			order.isDone = true
 			r.carryOut(order, runtime)
 		}
 		if order.knownAt > step {
@@ -24,51 +24,51 @@
 
 // carryOut does a load once only, and refuses an adapter without its model.
 func (r *worldReplica) carryOut(order *worldOrder, runtime *configuration.Runtime) {
-	model, adapter := split(order.action.Model)
-	_, modelHeld := r.truth[model]
+	model, adapter := splitReference(order.action.Model)
+	_, modelHeld := r.loaded[model]
 	switch {
 	case !order.action.Load:
-		for reference := range r.truth {
+		for reference := range r.loaded {
 			if reference == order.action.Model || strings.HasPrefix(reference, order.action.Model+"/") {
-				delete(r.truth, reference)
+				delete(r.loaded, reference)
 			}
 		}
 	case adapter == "" || modelHeld:
 		size, _ := configuredSize(runtime, order.action.Model)
-		r.truth[order.action.Model] = max(r.truth[order.action.Model], size, order.plannedSize)
+		r.loaded[order.action.Model] = max(r.loaded[order.action.Model], size, order.plannedSize)
 	}
 }
 
 // show gives the planner's view of the replica the bounds of what it holds in all possible worlds.
-func (r *worldReplica) show(loading map[string]int) {
+func (r *worldReplica) updateView(loading map[string]int) {
 	server := r.server
-	server.Models, server.MayHold, server.Ready = map[string]bool{}, map[string]bool{}, true
-	for reference := range r.truth {
-		server.Models[reference] = true
+	server.Loaded, server.MaybeLoaded, server.Ready = map[string]bool{}, map[string]bool{}, true
+	for reference := range r.loaded {
+		server.Loaded[reference] = true
 	}
 	for _, order := range r.orders {
-		server.Ready = server.Ready && order.unclear
+		server.Ready = server.Ready && order.isUncertain
 		if order.action.Load {
-			loading[Key("s", order.action.Model)]++
+			loading[ModelKey("s", order.action.Model)]++
 		}
-		for reference := range server.Models {
+		for reference := range server.Loaded {
 			changed := reference == order.action.Model || strings.HasPrefix(reference, order.action.Model+"/")
-			if changed && (order.unclear || !order.action.Load) {
-				delete(server.Models, reference)
-				server.MayHold[reference] = true
+			if changed && (order.isUncertain || !order.action.Load) {
+				delete(server.Loaded, reference)
+				server.MaybeLoaded[reference] = true
 			}
 		}
 		if order.action.Load {
-			server.MayHold[order.action.Model] = !server.Models[order.action.Model]
+			server.MaybeLoaded[order.action.Model] = !server.Loaded[order.action.Model]
 		}
 	}
-	for reference, uncertain := range server.MayHold {
+	for reference, uncertain := range server.MaybeLoaded {
 		if !uncertain {
-			delete(server.MayHold, reference)
+			delete(server.MaybeLoaded, reference)
 		}
 	}
-	for reference := range r.truth {
-		server.Held[reference] = !strings.Contains(reference, "/")
+	for reference := range r.loaded {
+		server.OnDisk[reference] = !strings.Contains(reference, "/")
 	}
 }
 
@@ -78,7 +78,7 @@
 	for _, replica := range w.replicas {
 		server := replica.server
 		text += fmt.Sprintf("\n%s ready %v intent %q holds %v may hold %v remembered %v",
-			server.ID, server.Ready, server.Intent, replica.truth, server.MayHold, w.view.Sizes.of(server.ID))
+			server.ID, server.Ready, server.Intent, replica.loaded, server.MaybeLoaded, w.view.SizeHistory.sizesAt(server.ID))
 	}
 	return text
 }
--- a/internal/place/worlds_test.go
+++ b/internal/place/worlds_test.go
@@ -18,8 +18,8 @@
 	action      Action
 	doneAt      int // step, neverDone for none
 	knownAt     int
-	unclear     bool
-	done        bool
+	isUncertain bool
+	isDone      bool
 	plannedSize float64 // MB
 }
 
@@ -29,7 +29,7 @@
 // configuration gave it while it was held.
 type worldReplica struct {
 	server *Server
-	truth  map[string]float64 // MB by reference
+	loaded map[string]float64 // MB by reference
 	orders []*worldOrder
 }
 
@@ -46,20 +46,20 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{t: t, note: fmt.Sprintf("seed %d", seed), random: rand.New(rand.NewPCG(seed, 41))}
 	w.view = smallView()
-	w.view.Sizes = NewSizeBook()
+	w.view.SizeHistory = NewSizeHistory()
 	for index := range 3 + w.random.IntN(4) {
 		server := newServer(fmt.Sprintf("r%d", index))
-		w.replicas = append(w.replicas, &worldReplica{server: server, truth: map[string]float64{}})
+		w.replicas = append(w.replicas, &worldReplica{server: server, loaded: map[string]float64{}})
 		w.view.Servers = append(w.view.Servers, server)
 	}
 	for index := range 4 + w.random.IntN(8) {
-		model := sized(fmt.Sprintf("m%d", index), 0)
+		model := modelOfSize(fmt.Sprintf("m%d", index), 0)
 		w.models = append(w.models, model)
 	}
 	w.configure(false)
 	for _, replica := range w.replicas {
 		if w.random.IntN(2) == 0 {
-			replica.truth["before"], replica.truth["before/a1"] = 30, 1 // of a configuration nobody saw
+			replica.loaded["before"], replica.loaded["before/a1"] = 30, 1 // of a configuration nobody saw
 		}
 	}
 	return w
@@ -75,15 +75,15 @@
 			models = append(models, w.models[index])
 		}
 	}
-	room, capacity := 60+float64(w.random.IntN(1000))/10, w.random.IntN(4)
+	memory, capacity := 60+float64(w.random.IntN(1000))/10, w.random.IntN(4)
 	if last {
-		room, capacity = 200, 3
+		memory, capacity = 200, 3
 	}
-	w.view.setRoom(room, capacity, models...)
+	w.view.setCapacity(memory, capacity, models...)
 	for _, replica := range w.replicas {
-		for reference := range replica.truth {
+		for reference := range replica.loaded {
 			size, _ := configuredSize(w.runtime(), reference)
-			replica.truth[reference] = max(replica.truth[reference], size)
+			replica.loaded[reference] = max(replica.loaded[reference], size)
 		}
 	}
 }
@@ -93,20 +93,20 @@
 }
 
 // ask has requests wait for references that no replica surely holds, and run where one does.
-func (w *world) ask(references []string) {
+func (w *world) setDemand(references []string) {
 	clear(w.view.Demand)
 	for _, reference := range references {
 		demand := &Demand{Rate: 0.5, LastSeen: w.view.Now, Running: 1}
-		if !w.held(reference) {
-			demand.Waiting, demand.OldestMs, demand.Running = 1, 50, 0
+		if !w.isLoaded(reference) {
+			demand.Waiting, demand.OldestWaitMs, demand.Running = 1, 50, 0
 		}
-		w.view.Demand[Key("s", reference)] = demand
+		w.view.Demand[ModelKey("s", reference)] = demand
 	}
 }
 
-func (w *world) held(reference string) bool {
+func (w *world) isLoaded(reference string) bool {
 	for _, replica := range w.replicas {
-		if replica.server.Models[reference] {
+		if replica.server.Loaded[reference] {
 			return true
 		}
 	}
@@ -114,32 +114,32 @@
 }
 
 // step ends orders, shows the planner what it may know, and sends what it plans.
-func (w *world) step(step int, references []string, troubled bool) {
+func (w *world) step(step int, references []string, withFaults bool) {
 	w.view.Now = w.view.Now.Add(100 * time.Millisecond)
 	clear(w.view.Loading)
 	for _, replica := range w.replicas {
 		replica.advance(step, w.runtime())
-		replica.show(w.view.Loading)
+		replica.updateView(w.view.Loading)
 	}
-	w.ask(references)
-	w.view.Tokens = float64(w.random.IntN(3))
+	w.setDemand(references)
+	w.view.StoreTokens = float64(w.random.IntN(3))
 	for _, action := range Plan(w.view) {
 		for _, replica := range w.replicas {
 			if replica.server.ID == action.Server {
-				w.check(replica, action)
-				replica.orders = append(replica.orders, w.order(action, step, troubled))
+				w.checkLoad(replica, action)
+				replica.orders = append(replica.orders, w.scheduleOrder(action, step, withFaults))
 			}
 		}
 	}
 }
 
 // order gives an action its fate.
-func (w *world) order(action Action, step int, troubled bool) *worldOrder {
+func (w *world) scheduleOrder(action Action, step int, withFaults bool) *worldOrder {
 	size, _ := configuredSize(w.runtime(), action.Model)
 	order := &worldOrder{action: action, doneAt: step + 1 + w.random.IntN(4), plannedSize: size}
 	order.knownAt = order.doneAt
-	if troubled && w.random.IntN(3) == 0 {
-		order.unclear = true
+	if withFaults && w.random.IntN(3) == 0 {
+		order.isUncertain = true
 		order.knownAt += w.random.IntN(12)
 		if w.random.IntN(3) == 0 {
 			order.doneAt = neverDone
@@ -149,17 +149,17 @@
 }
 
 // check checks a load in the world in which all that may be carried out is.
-func (w *world) check(replica *worldReplica, action Action) {
+func (w *world) checkLoad(replica *worldReplica, action Action) {
 	if !action.Load {
-		assert.Assert(w.t, replica.server.Models[action.Model], "%s: %v", w.note, action)
+		assert.Assert(w.t, replica.server.Loaded[action.Model], "%s: %v", w.note, action)
 		return
 	}
 	worst := map[string]float64{}
-	for reference, size := range replica.truth {
+	for reference, size := range replica.loaded {
 		worst[reference] = size
 	}
 	for _, order := range replica.orders {
-		if order.action.Load && !order.done {
+		if order.action.Load && !order.isDone {
 			worst[order.action.Model] = max(worst[order.action.Model], order.plannedSize)
 		}
 	}
@@ -175,45 +175,45 @@
 	}
 	runtime := w.runtime()
 	assert.Assert(w.t, total <= runtime.WeightSizeMb+1e-9, "%s: %v beside %v", w.note, action, worst)
-	if model, adapter := split(action.Model); adapter != "" {
+	if model, adapter := splitReference(action.Model); adapter != "" {
 		assert.Assert(w.t, adapters <= runtime.AdapterCapacity, "%s: %v beside %v", w.note, action, worst)
-		assert.Assert(w.t, replica.server.Models[model], "%s: %v", w.note, action)
+		assert.Assert(w.t, replica.server.Loaded[model], "%s: %v", w.note, action)
 	}
 }
 
-func TestGivenChangingConfigurationsAndUnknownFatesThenNoLoadExceedsAnyWorldAndAllIsLoaded(t *testing.T) {
+func TestPlan_SafeUnderUncertainOrders(t *testing.T) {
 	for seed := range uint64(400) {
 		w := newWorld(t, seed)
-		var asked []string
+		var requested []string
 		for step := range 200 {
 			if step%20 == 0 {
-				asked = w.someReferences()
+				requested = w.randomReferences()
 			}
 			if w.random.IntN(15) == 0 {
 				w.configure(false)
 			}
-			w.step(step, asked, true)
+			w.step(step, requested, true)
 		}
 		w.configure(true)
-		wanted := []string{"m0", "m1", "m1/a1", "m2", "m2/a2"}
-		for step := 200; step < 500 && !w.allHeld(wanted); step++ {
-			w.step(step, wanted, step < 250)
+		finalReferences := []string{"m0", "m1", "m1/a1", "m2", "m2/a2"}
+		for step := 200; step < 500 && !w.areLoaded(finalReferences); step++ {
+			w.step(step, finalReferences, step < 250)
 		}
-		assert.Assert(t, w.allHeld(wanted), w.describe())
-		assert.Assert(t, w.bookIsBounded(), w.note)
+		assert.Assert(t, w.areLoaded(finalReferences), w.describe())
+		assert.Assert(t, w.sizeHistoryIsBounded(), w.note)
 	}
 }
 
-func (w *world) allHeld(references []string) bool {
+func (w *world) areLoaded(references []string) bool {
 	for _, reference := range references {
-		if !w.held(reference) {
+		if !w.isLoaded(reference) {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) someReferences() []string {
+func (w *world) randomReferences() []string {
 	var references []string
 	for _, model := range w.models {
 		if w.random.IntN(2) == 0 {
@@ -223,12 +223,12 @@
 	return references
 }
 
-// bookIsBounded reports whether the book names only what the servers hold or may hold.
-func (w *world) bookIsBounded() bool {
-	w.view.Sizes.forgetUnheld(w.view.Servers)
+// sizeHistoryIsBounded reports whether the book names only what the servers hold or may hold.
+func (w *world) sizeHistoryIsBounded() bool {
+	w.view.SizeHistory.forgetUnloaded(w.view.Servers)
 	for _, replica := range w.replicas {
-		for reference := range w.view.Sizes.of(replica.server.ID) {
-			if !replica.server.Models[reference] && !replica.server.MayHold[reference] {
+		for reference := range w.view.SizeHistory.sizesAt(replica.server.ID) {
+			if !replica.server.Loaded[reference] && !replica.server.MaybeLoaded[reference] {
 				return false
 			}
 		}
--- a/internal/replay/engine_test.go
+++ b/internal/replay/engine_test.go
@@ -19,14 +19,14 @@
 "timeoutMs":15000,"targetLatencyMs":600,"backend":"s","priority":1}],
 "backends":[{"name":"s","runtime":{"slots":8,"kvCacheTokens":100000,"modelList":[{"name":"m","weightSizeMb":1,"loadTimeS":1}]}}]}`
 
-func day(t *testing.T, requests int, model string) *bytes.Buffer {
+func recordedDay(t *testing.T, requests int, model string) *bytes.Buffer {
 	var written bytes.Buffer
 	now := time.Unix(0, 0)
 	writer := record.NewWriter(&written, 1<<20, func() time.Time { return now })
-	writer.Write(record.Entry{Kind: record.KindConfiguration, Packed: configuration.Pack([]byte(document))})
-	held := []platform.Held{{Name: "m"}}
+	writer.Write(record.Entry{Kind: record.KindConfiguration, Packed: configuration.Compress([]byte(document))})
+	loaded := []platform.Held{{Name: "m"}}
 	writer.Write(record.Entry{Kind: record.KindFleet, Edges: 1, Zone: "north", Replicas: []platform.Replica{
-		{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: held}, {ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: held}}})
+		{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: loaded}, {ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: loaded}}})
 	for number := range requests {
 		writer.Write(record.Entry{
 			Kind:    record.KindRequest,
@@ -46,45 +46,45 @@
 	return &written
 }
 
-func play(t *testing.T, from *bytes.Buffer) string {
+func replayRecord(t *testing.T, from *bytes.Buffer) string {
 	entries, damages, err := record.Read(from)
 	assert.NilError(t, err)
 	assert.Equal(t, len(damages), 0)
-	engine := NewEngine(match.DefaultParameters(), "north", DefaultModel())
+	engine := NewEngine(match.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
 	var printed bytes.Buffer
 	engine.Summary.Print(&printed)
 	outcome := engine.Summary.Routes()[0]
-	assert.Equal(t, outcome.Served+outcome.Late+outcome.Refused, outcome.Asked)
+	assert.Equal(t, outcome.Served+outcome.Late+outcome.Rejected, outcome.Requests)
 	return printed.String()
 }
 
-func TestGivenOneRecordThenEveryReplayIsTheSame(t *testing.T) {
-	first := play(t, day(t, 200, "m"))
+func TestEngine_PlayIsDeterministic(t *testing.T) {
+	first := replayRecord(t, recordedDay(t, 200, "m"))
 	for range 3 {
-		assert.Equal(t, play(t, day(t, 200, "m")), first)
+		assert.Equal(t, replayRecord(t, recordedDay(t, 200, "m")), first)
 	}
 	assert.Assert(t, strings.Contains(first, "quick"))
 }
 
-func TestGivenAModelNowhereLoadedThenItsRequestsAreRefused(t *testing.T) {
-	entries, _, err := record.Read(day(t, 5, "other"))
+func TestEngine_RejectsRequestsOfModelNotLoaded(t *testing.T) {
+	entries, _, err := record.Read(recordedDay(t, 5, "other"))
 	assert.NilError(t, err)
-	engine := NewEngine(match.DefaultParameters(), "north", DefaultModel())
+	engine := NewEngine(match.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
-	assert.Equal(t, engine.Summary.Routes()[0].Refused, 5)
+	assert.Equal(t, engine.Summary.Routes()[0].Rejected, 5)
 }
 
-func TestGivenSharedPromptsThenAffinityIsSeen(t *testing.T) {
-	entries, _, err := record.Read(day(t, 50, "m"))
+func TestEngine_SharedPromptsShowAffinity(t *testing.T) {
+	entries, _, err := record.Read(recordedDay(t, 50, "m"))
 	assert.NilError(t, err)
-	engine := NewEngine(match.DefaultParameters(), "north", DefaultModel())
+	engine := NewEngine(match.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
 	assert.Assert(t, engine.Summary.Routes()[0].Affinity > 0.5)
 }
 
-func TestGivenDamagedLinesThenEachIsNamedAndTheRestIsRead(t *testing.T) {
-	damaged := day(t, 2, "m").String() + "{broken\n" + `{"kind":"order","atMs":5}` + "\n" + `{"kind":"tea"}` + "\n"
+func TestEngine_DamagedLinesAreReported(t *testing.T) {
+	damaged := recordedDay(t, 2, "m").String() + "{broken\n" + `{"kind":"order","atMs":5}` + "\n" + `{"kind":"tea"}` + "\n"
 	entries, damages, err := record.Read(strings.NewReader(damaged))
 	assert.NilError(t, err)
 	assert.Equal(t, len(entries), 4)
@@ -93,7 +93,7 @@
 	assert.Assert(t, strings.Contains(damages[2].String(), "tea"))
 }
 
-func TestGivenABoundThenTheRecordEndsThere(t *testing.T) {
+func TestWriter_StopsAtSizeLimit(t *testing.T) {
 	var written bytes.Buffer
 	writer := record.NewWriter(&written, 300, time.Now)
 	for range 100 {
--- a/internal/replay/pinned_test.go
+++ b/internal/replay/pinned_test.go
@@ -17,7 +17,7 @@
 
 func TestEngine_PlaysARecordOfAnEarlierVersion(t *testing.T) {
 	if _, err := os.Stat(pinnedDay); pinned.Updating() && os.IsNotExist(err) {
-		pinned.CheckFile(t, pinnedDay, day(t, 20, "m").Bytes())
+		pinned.CheckFile(t, pinnedDay, recordedDay(t, 20, "m").Bytes())
 	}
 	file, err := os.Open(pinnedDay)
 	assert.NilError(t, err)
@@ -26,7 +26,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(damages), 0)
 	assert.Equal(t, len(entries), 22)
-	engine := NewEngine(match.DefaultParameters(), "north", DefaultModel())
+	engine := NewEngine(match.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
 	var printed bytes.Buffer
 	engine.Summary.Print(&printed)
--- a/internal/replay/summary.go
+++ b/internal/replay/summary.go
@@ -11,10 +11,10 @@
 // prompt that was cached where it was sent.
 type RouteSummary struct {
 	Route    string  `json:"route"`
-	Asked    int     `json:"asked"`
+	Requests int     `json:"asked"`
 	Served   int     `json:"served"`
 	Late     int     `json:"late"`
-	Refused  int     `json:"refused"`
+	Rejected int     `json:"refused"`
 	Affinity float64 `json:"affinity"`
 	MeanMs   float64 `json:"meanMs"`
 	sent     int
@@ -34,23 +34,23 @@
 	return s.routes[route]
 }
 
-func (s *Summary) asked(route string)   { s.outcome(route).Asked++ }
-func (s *Summary) refused(route string) { s.outcome(route).Refused++ }
+func (s *Summary) recordRequest(route string)   { s.outcome(route).Requests++ }
+func (s *Summary) recordRejection(route string) { s.outcome(route).Rejected++ }
 
-func (s *Summary) sent(route string, affinity float64) {
+func (s *Summary) recordSend(route string, affinity float64) {
 	outcome := s.outcome(route)
 	outcome.sent++
 	outcome.Affinity += (affinity - outcome.Affinity) / float64(outcome.sent)
 }
 
-func (s *Summary) served(route string, took, aim time.Duration) {
+func (s *Summary) recordServed(route string, duration, latencyTarget time.Duration) {
 	outcome := s.outcome(route)
-	if aim > 0 && took > aim {
+	if latencyTarget > 0 && duration > latencyTarget {
 		outcome.Late++
 	} else {
 		outcome.Served++
 	}
-	outcome.MeanMs += (float64(took.Milliseconds()) - outcome.MeanMs) / float64(outcome.Served+outcome.Late)
+	outcome.MeanMs += (float64(duration.Milliseconds()) - outcome.MeanMs) / float64(outcome.Served+outcome.Late)
 }
 
 // Routes returns the outcomes sorted by name of the route.
@@ -66,8 +66,8 @@
 // Print writes the outcomes as a table.
 func (s *Summary) Print(to io.Writer) {
 	fmt.Fprintf(to, "%-24s %7s %7s %7s %8s %9s %9s\n", "route", "asked", "in aim", "late", "refused", "affinity", "mean ms")
-	for _, one := range s.Routes() {
+	for _, summary := range s.Routes() {
 		fmt.Fprintf(to, "%-24s %7d %7d %7d %8d %9.3f %9.1f\n",
-			one.Route, one.Asked, one.Served, one.Late, one.Refused, one.Affinity, one.MeanMs)
+			summary.Route, summary.Requests, summary.Served, summary.Late, summary.Rejected, summary.Affinity, summary.MeanMs)
 	}
 }
--- a/internal/replicastate/simulation/daemon_test.go
+++ b/internal/replicastate/simulation/daemon_test.go
@@ -39,7 +39,7 @@
 	grant         *lease.Grant
 	written       uint64 // fence of the grant whose record was written to since it settled
 	table         *configuration.Table
-	sizes         *place.SizeBook
+	sizes         *place.SizeHistory
 	known         map[string]*knownReplica
 	calls         []*call
 }
@@ -136,7 +136,7 @@
 	if same {
 		return
 	}
-	d.sizes = place.NewSizeBook()
+	d.sizes = place.NewSizeHistory()
 	if d.world.variant != keptAcrossGrants {
 		d.known = map[string]*knownReplica{}
 	}
@@ -184,17 +184,17 @@
 	view := d.world.view(d)
 	for _, one := range d.inOrder() {
 		if one.pending != nil && one.pending.Load {
-			view.Loading[place.Key(backendName, one.pending.Model)]++
+			view.Loading[place.ModelKey(backendName, one.pending.Model)]++
 		}
 		view.Servers = append(view.Servers, &place.Server{
-			ID:      one.id,
-			Backend: backendName,
-			Zone:    "north",
-			Models:  one.state.SurelyHeld(),
-			MayHold: one.state.MayHold(),
-			Held:    one.server.disk,
-			Intent:  one.intent,
-			Ready:   one.state.Ready(d.world.now),
+			ID:          one.id,
+			Backend:     backendName,
+			Zone:        "north",
+			Loaded:      one.state.SurelyHeld(),
+			MaybeLoaded: one.state.MayHold(),
+			OnDisk:      one.server.disk,
+			Intent:      one.intent,
+			Ready:       one.state.Ready(d.world.now),
 		})
 	}
 	for _, action := range place.Plan(view) {
--- a/internal/replicastate/simulation/world_test.go
+++ b/internal/replicastate/simulation/world_test.go
@@ -100,7 +100,7 @@
 func (w *world) missing() []string {
 	var missing []string
 	for _, reference := range w.wanted {
-		if w.table.KnowsModel(0, reference) && !w.loaded(reference) {
+		if w.table.HasModel(0, reference) && !w.loaded(reference) {
 			missing = append(missing, reference)
 		}
 	}
@@ -119,16 +119,16 @@
 // view is a planner's input without servers: what is wanted is asked for, and waits where it is loaded nowhere.
 func (w *world) view(d *daemon) *place.View {
 	view := &place.View{
-		Now: w.now, Table: d.table, Sizes: d.sizes, Demand: map[string]*place.Demand{}, Loading: map[string]int{},
-		Drained: map[string]bool{}, Tokens: loadTokens, Learned: true,
+		Now: w.now, Table: d.table, SizeHistory: d.sizes, Demand: map[string]*place.Demand{}, Loading: map[string]int{},
+		DrainedZones: map[string]bool{}, StoreTokens: loadTokens, DemandKnown: true,
 	}
 	for _, reference := range w.wanted {
-		demand := &place.Demand{Rate: 1, Often: 1, LastSeen: w.now, Aim: 2000}
+		demand := &place.Demand{Rate: 1, LongTermRate: 1, LastSeen: w.now, LatencyTargetMs: 2000}
 		if !w.loaded(reference) {
 			demand.Waiting = 2
-			demand.OldestMs = float64(w.now.Sub(w.waitingSince[reference]).Milliseconds())
+			demand.OldestWaitMs = float64(w.now.Sub(w.waitingSince[reference]).Milliseconds())
 		}
-		view.Demand[place.Key(backendName, reference)] = demand
+		view.Demand[place.ModelKey(backendName, reference)] = demand
 	}
 	return view
 }
--- a/internal/story/tenants_test.go
+++ b/internal/story/tenants_test.go
@@ -220,7 +220,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(damages), 0)
 	for _, entry := range entries {
-		document, err := configuration.Unpack(entry.Packed)
+		document, err := configuration.Decompress(entry.Packed)
 		if entry.Kind == record.KindConfiguration {
 			assert.NilError(t, err)
 		}
