--- a/cmd/ferryspar-data-plane/main.go
+++ b/cmd/ferryspar-data-plane/main.go
@@ -35,7 +35,7 @@
 					return errors.Wrap(err, "record")
 				}
 				defer file.Close()
-				daemon.Record(record.NewWriter(file, chosen.RecordMb<<20, time.Now))
+				daemon.RecordTo(record.NewWriter(file, chosen.RecordMb<<20, time.Now))
 			}
 			return daemon.Run(ctx, signals)
 		},
--- a/cmd/ferryspar-replay/main.go
+++ b/cmd/ferryspar-replay/main.go
@@ -87,7 +87,7 @@
 	return len(damages), nil
 }
 
-func readRecord(path string) ([]record.Entry, []record.Damage, error) {
+func readRecord(path string) ([]record.Entry, []record.DamagedLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, nil, err
--- a/internal/client/budgets.go
+++ b/internal/client/budgets.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Budgets holds a Budget for each service: further tries at a service are paid by its own requests.
-type Budgets struct {
-	// Daemon, Since, Period, Ratio and Slack are those of each Budget.
-	Daemon string
-	Since  time.Time
-	Period time.Duration
-	Ratio  float64
-	Slack  float64
+// RetryBudgets holds a RetryBudget for each service: further tries at a service are paid by its own requests.
+type RetryBudgets struct {
+	// Daemon, Since, Period, Ratio and Slack are those of each RetryBudget.
+	Node      string
+	StartedAt time.Time
+	Period    time.Duration
+	Ratio     float64
+	Slack     float64
 
 	lock      sync.Mutex
-	byService map[string]*Budget
+	byBackend map[string]*RetryBudget
 }
 
 // Of is the budget of a service. Any goroutine may call it.
-func (b *Budgets) Of(service string) *Budget {
+func (b *RetryBudgets) ForBackend(backend string) *RetryBudget {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	held := b.byService[service]
-	if held == nil {
-		held = NewBudget(b.Period, b.Ratio, b.Slack)
-		held.Daemon, held.Since = b.Daemon, b.Since
-		if b.byService == nil {
-			b.byService = map[string]*Budget{}
+	budget := b.byBackend[backend]
+	if budget == nil {
+		budget = NewRetryBudget(b.Period, b.Ratio, b.Slack)
+		budget.Node, budget.StartedAt = b.Node, b.StartedAt
+		if b.byBackend == nil {
+			b.byBackend = map[string]*RetryBudget{}
 		}
-		b.byService[service] = held
+		b.byBackend[backend] = budget
 	}
-	return held
+	return budget
 }
--- a/internal/client/explain.go
+++ b/internal/client/explain.go
@@ -7,43 +7,43 @@
 	"ferryspar/internal/replica"
 )
 
-func (s *service) reason() string {
-	if s.failure == nil {
+func (e *exchange) failureText() string {
+	if e.failure == nil {
 		return ""
 	}
-	return s.failure.Error()
+	return e.failure.Error()
 }
 
-func (s *service) record() {
-	writer := s.handler.Recorder
+func (e *exchange) recordRequest() {
+	writer := e.handler.Recorder
 	if writer == nil {
 		return
 	}
-	request := s.parsedRequest.request
+	request := e.parsed.request
 	entry := record.Entry{
-		Kind: record.KindRequest, AtMs: writer.Milliseconds(request.Arrived), Attempt: request.Attempt,
-		Route: s.parsedRequest.route.Name, Backend: request.Backend, Model: request.Model, Tenant: s.parsedRequest.job.Tenant,
-		Prefix: s.parsedRequest.job.Header.Get(replica.HeaderPrefix), Prompt: request.PromptTokens, Output: request.OutputTokens,
-		LeftMs: float64(request.Deadline.Sub(request.Arrived).Milliseconds()), Error: s.reason(),
+		Kind: record.KindRequest, AtMs: writer.OffsetMs(request.Arrived), AttemptID: request.Attempt,
+		Route: e.parsed.route.Name, Backend: request.Backend, Model: request.Model, Tenant: e.parsed.upstream.Tenant,
+		Prefix: e.parsed.upstream.Header.Get(replica.HeaderPrefix), PromptTokens: request.PromptTokens, OutputTokens: request.OutputTokens,
+		TimeoutMs: float64(request.Deadline.Sub(request.Arrived).Milliseconds()), Error: e.failureText(),
 	}
-	if !s.firstAt.IsZero() {
-		entry.WaitedMs = float64(s.sentAt.Sub(request.Arrived).Milliseconds())
-		entry.FirstMs = float64(s.firstAt.Sub(request.Arrived).Milliseconds())
-		entry.TookMs = float64(s.lastAt.Sub(request.Arrived).Milliseconds())
+	if !e.firstByteAt.IsZero() {
+		entry.QueuedMs = float64(e.sentAt.Sub(request.Arrived).Milliseconds())
+		entry.FirstByteMs = float64(e.firstByteAt.Sub(request.Arrived).Milliseconds())
+		entry.DurationMs = float64(e.lastByteAt.Sub(request.Arrived).Milliseconds())
 	}
 	writer.Write(entry)
 }
 
-func (s *service) explain() {
-	s.record()
+func (e *exchange) logOutcome() {
+	e.recordRequest()
 	if !logrus.IsLevelEnabled(logrus.DebugLevel) {
 		return
 	}
-	arrived := s.parsedRequest.request.Arrived
+	arrived := e.parsed.request.Arrived
 	logrus.WithFields(logrus.Fields{
-		"attempt": s.parsedRequest.request.Attempt, "route": s.parsedRequest.route.Name, "model": s.parsedRequest.request.Model,
-		"replica": s.chosen, "tries": s.sent, "prompt": s.parsedRequest.request.PromptTokens,
-		"waited_ms": s.sentAt.Sub(arrived).Milliseconds(), "first_ms": s.firstAt.Sub(arrived).Milliseconds(),
-		"took_ms": s.lastAt.Sub(arrived).Milliseconds(), "pause_ms": s.pause.Milliseconds(), "problem": s.reason(),
+		"attempt": e.parsed.request.Attempt, "route": e.parsed.route.Name, "model": e.parsed.request.Model,
+		"replica": e.replicaID, "tries": e.attempts, "prompt": e.parsed.request.PromptTokens,
+		"waited_ms": e.sentAt.Sub(arrived).Milliseconds(), "first_ms": e.firstByteAt.Sub(arrived).Milliseconds(),
+		"took_ms": e.lastByteAt.Sub(arrived).Milliseconds(), "pause_ms": e.longestGap.Milliseconds(), "problem": e.failureText(),
 	}).Debug("request ended")
 }
--- a/internal/client/handler.go
+++ b/internal/client/handler.go
@@ -16,208 +16,208 @@
 
 // Handler serves clients: it takes a request, has a replica chosen for it, forwards it and passes the answer on.
 type Handler struct {
-	fleet     *atomic.Pointer[match.Snapshot]
-	matcher   *match.Matcher
-	forwarder *replica.Forwarder
-	budgets   *Budgets
-	clock     func() time.Time
-	draw      func() float64
-	leaving   atomic.Bool
-	inside    atomic.Int64
+	fleet        *atomic.Pointer[match.Snapshot]
+	matcher      *match.Matcher
+	forwarder    *replica.Forwarder
+	retryBudgets *RetryBudgets
+	clock        func() time.Time
+	random       func() float64
+	draining     atomic.Bool
+	inFlight     atomic.Int64
 
 	// Recorder, if set before the first request, writes down how each request went.
 	Recorder *record.Writer
-	// Currency, if set before the first request, tells how new the configuration is. Without it, it counts as the newest.
-	Currency Currency
+	// Freshness, if set before the first request, tells how new the configuration is. Without it, it counts as the newest.
+	Freshness Freshness
 	// Quota, if set before the first request, may turn away requests of tenants beyond their limit.
 	Quota Quota
-	// Refusals counts what was answered with an error of this data plane's own.
-	Refusals Refusals
+	// Rejections counts what was answered with an error of this data plane's own.
+	Rejections Rejections
 }
 
 // NewHandler returns a handler that reads the fleet as it stands at each request. draw gives numbers from 0 to 1 for
 // the split of traffic over services.
 func NewHandler(
-	fleet *atomic.Pointer[match.Snapshot], matcher *match.Matcher, forwarder *replica.Forwarder, budgets *Budgets,
+	fleet *atomic.Pointer[match.Snapshot], matcher *match.Matcher, forwarder *replica.Forwarder, budgets *RetryBudgets,
 	clock func() time.Time, draw func() float64,
 ) *Handler {
-	return &Handler{fleet: fleet, matcher: matcher, forwarder: forwarder, budgets: budgets, clock: clock, draw: draw}
+	return &Handler{fleet: fleet, matcher: matcher, forwarder: forwarder, retryBudgets: budgets, clock: clock, random: draw}
 }
 
 // Leave asks clients from now on to close their connections.
-func (d *Handler) Leave() { d.leaving.Store(true) }
+func (h *Handler) Drain() { h.draining.Store(true) }
 
 // Leaving tells whether Leave was called.
-func (d *Handler) Leaving() bool { return d.leaving.Load() }
+func (h *Handler) Draining() bool { return h.draining.Load() }
 
 // Inside is the number of requests being served.
-func (d *Handler) Inside() int64 { return d.inside.Load() }
+func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
 // ServeHTTP serves one request of a client.
-func (d *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	arrived := d.clock()
+func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	arrived := h.clock()
 	markHandled(request.Context())
-	d.inside.Add(1)
-	defer d.inside.Add(-1)
-	if d.Leaving() {
+	h.inFlight.Add(1)
+	defer h.inFlight.Add(-1)
+	if h.Draining() {
 		writer.Header().Set("Connection", "close")
 	}
-	taken, err := d.take(request, arrived)
+	parsed, err := h.parse(request, arrived)
 	if err == nil {
-		err = d.withinQuota(request.Context(), taken)
+		err = h.checkQuota(request.Context(), parsed)
 	}
 	if err != nil {
-		d.Refusals.count(apierror.From(err).Kind)
+		h.Rejections.add(apierror.From(err).Kind)
 		if apierror.From(err).Kind == apierror.BodyTooLarge {
 			writer.Header().Set("Connection", "close")
 		}
 		apierror.Write(writer, err)
 		return
 	}
-	d.budgets.Of(taken.request.Backend).Arrived(arrived)
-	ctx, cancel := context.WithDeadline(request.Context(), taken.request.Deadline)
+	h.retryBudgets.ForBackend(parsed.request.Backend).RecordRequest(arrived)
+	ctx, cancel := context.WithDeadline(request.Context(), parsed.request.Deadline)
 	defer cancel()
-	_ = http.NewResponseController(writer).SetWriteDeadline(taken.request.Deadline.Add(writeSlack))
-	serving := &service{handler: d, parsedRequest: taken, writer: writer, ctx: ctx}
-	defer serving.explain()
-	serving.run()
+	_ = http.NewResponseController(writer).SetWriteDeadline(parsed.request.Deadline.Add(writeSlack))
+	served := &exchange{handler: h, parsed: parsed, writer: writer, ctx: ctx}
+	defer served.logOutcome()
+	served.run()
 }
 
 // writeSlack is how long past its deadline an answer may be written to a client that doesn't read.
 const writeSlack = 150 * time.Millisecond
 
-type service struct {
-	handler       *Handler
-	parsedRequest *parsedRequest
-	writer        http.ResponseWriter
-	ctx           context.Context
-	headed        bool
-	sent          int
-	reached       int
-	ran           bool
-	absent        bool
-	events        replica.Events
-	chosen        string
-	sentAt        time.Time
-	firstAt       time.Time
-	lastAt        time.Time
-	pause         time.Duration
-	failure       *apierror.Error
+type exchange struct {
+	handler     *Handler
+	parsed      *parsedRequest
+	writer      http.ResponseWriter
+	ctx         context.Context
+	headerSent  bool
+	attempts    int
+	unreached   int
+	mayHaveRun  bool
+	notLoaded   bool
+	events      replica.EventBuffer
+	replicaID   string
+	sentAt      time.Time
+	firstByteAt time.Time
+	lastByteAt  time.Time
+	longestGap  time.Duration
+	failure     *apierror.Error
 }
 
-var outcomes = map[replica.Verdict]match.Outcome{
-	replica.VerdictFull:      match.OutcomeFull,
-	replica.VerdictMissing:   match.OutcomeModelMissing,
-	replica.VerdictGone:      match.OutcomeShuttingDown,
-	replica.VerdictUnreached: match.OutcomeUnreachable,
+var outcomeByVerdict = map[replica.Verdict]match.Outcome{
+	replica.VerdictRejected:  match.OutcomeFull,
+	replica.VerdictNotLoaded: match.OutcomeModelMissing,
+	replica.VerdictReplaced:  match.OutcomeShuttingDown,
+	replica.VerdictNotSent:   match.OutcomeUnreachable,
 	replica.VerdictUnknown:   match.OutcomeTruncated,
 	replica.VerdictReset:     match.OutcomeConnectionReset,
 }
 
-const unreachedBound = 4
+const maxUnreached = 4
 
-func (s *service) run() {
+func (e *exchange) run() {
 	for {
-		request := s.parsedRequest.request
-		request.ExcludedReplicas, request.Resumed = s.parsedRequest.request.ExcludedReplicas, s.headed
-		command := s.handler.matcher.Submit(s.ctx, &request)
-		if command.Error != nil {
-			s.fail(command.Error)
+		request := e.parsed.request
+		request.ExcludedReplicas, request.Resumed = e.parsed.request.ExcludedReplicas, e.headerSent
+		assignment := e.handler.matcher.Submit(e.ctx, &request)
+		if assignment.Error != nil {
+			e.fail(assignment.Error)
 			return
 		}
-		if refusal := s.readmit(); refusal != nil {
-			s.handler.matcher.Report(command.Ticket, match.OutcomeCancelled)
-			s.fail(refusal)
+		if rejection := e.reauthorize(); rejection != nil {
+			e.handler.matcher.Report(assignment.Ticket, match.OutcomeCancelled)
+			e.fail(rejection)
 			return
 		}
-		if s.sent > 0 && !s.handler.budgets.Of(request.Backend).Take(s.handler.clock(), s.handler.fleet.Load().DataPlanes) {
-			s.handler.matcher.Report(command.Ticket, match.OutcomeCancelled)
-			s.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
+		if e.attempts > 0 && !e.handler.retryBudgets.ForBackend(request.Backend).Allow(e.handler.clock(), e.handler.fleet.Load().DataPlanes) {
+			e.handler.matcher.Report(assignment.Ticket, match.OutcomeCancelled)
+			e.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
 			return
 		}
-		again, failure := s.attempt(command)
-		if !again {
+		retry, failure := e.attempt(assignment)
+		if !retry {
 			if failure != nil {
-				s.fail(failure)
+				e.fail(failure)
 			}
 			return
 		}
-		s.exclude(command.Replica.ID)
+		e.exclude(assignment.Replica.ID)
 	}
 }
 
-func (s *service) attempt(command match.Decision) (bool, *apierror.Error) {
-	report := func(outcome match.Outcome) { s.handler.matcher.Report(command.Ticket, outcome) }
-	job := s.parsedRequest.job
-	s.chosen, s.sentAt = command.Replica.ID, s.handler.clock()
-	if s.headed {
-		job.LastEvent = s.events.LastID
+func (e *exchange) attempt(assignment match.Decision) (bool, *apierror.Error) {
+	report := func(outcome match.Outcome) { e.handler.matcher.Report(assignment.Ticket, outcome) }
+	upstream := e.parsed.upstream
+	e.replicaID, e.sentAt = assignment.Replica.ID, e.handler.clock()
+	if e.headerSent {
+		upstream.LastEventID = e.events.LastID
 	}
-	answer, verdict := s.handler.forwarder.Send(s.ctx, command.Replica.Address, command.Replica.ID, job)
-	if verdict == replica.VerdictUnreached {
-		s.reached++
+	response, verdict := e.handler.forwarder.Send(e.ctx, assignment.Replica.Address, assignment.Replica.ID, upstream)
+	if verdict == replica.VerdictNotSent {
+		e.unreached++
 	} else {
-		s.sent++
+		e.attempts++
 	}
-	s.absent = verdict == replica.VerdictMissing || verdict == replica.VerdictGone
+	e.notLoaded = verdict == replica.VerdictNotLoaded || verdict == replica.VerdictReplaced
 	if verdict != replica.VerdictAnswered {
-		if s.ctx.Err() != nil {
+		if e.ctx.Err() != nil {
 			report(match.OutcomeCancelled)
-			return false, s.outOfTime(replica.NeverRan[verdict])
+			return false, e.deadlineError(replica.NotExecuted[verdict])
 		}
-		report(outcomes[verdict])
-		s.ran = s.ran || !replica.NeverRan[verdict]
-		return s.decide(replica.NeverRan[verdict])
+		report(outcomeByVerdict[verdict])
+		e.mayHaveRun = e.mayHaveRun || !replica.NotExecuted[verdict]
+		return e.retryOrFail(replica.NotExecuted[verdict])
 	}
-	return s.relay(answer, report)
+	return e.copyResponse(response, report)
 }
 
-// outOfTime is the answer at the deadline: a promise where nothing has run, and none where something may have.
-func (s *service) outOfTime(neverRan bool) *apierror.Error {
-	if neverRan && !s.ran {
+// deadlineError is the answer at the deadline: a promise where nothing has run, and none where something may have.
+func (e *exchange) deadlineError(neverRan bool) *apierror.Error {
+	if neverRan && !e.mayHaveRun {
 		return apierror.NewRetryable(apierror.NotExecuted, 50*time.Millisecond)
 	}
 	return apierror.New(apierror.ReplicaTimeout, "")
 }
 
-func (s *service) decide(neverRan bool) (bool, *apierror.Error) {
-	if !neverRan && !s.parsedRequest.route.IsIdempotent() {
+func (e *exchange) retryOrFail(neverRan bool) (bool, *apierror.Error) {
+	if !neverRan && !e.parsed.route.IsIdempotent() {
 		return false, apierror.New(apierror.ReplicaFailed, "")
 	}
-	if s.mayGoOn() {
+	if e.canRetry() {
 		return true, nil
 	}
-	if neverRan && !s.ran {
+	if neverRan && !e.mayHaveRun {
 		return false, apierror.NewRetryable(apierror.NotExecuted, 50*time.Millisecond)
 	}
 	return false, apierror.New(apierror.ReplicaFailed, "")
 }
 
-func (s *service) exclude(id string) {
-	request, fleet := &s.parsedRequest.request, s.handler.fleet.Load()
+func (e *exchange) exclude(id string) {
+	request, fleet := &e.parsed.request, e.handler.fleet.Load()
 	request.ExcludedReplicas[id] = true
-	for _, one := range fleet.Replicas {
-		if one.Serves(request) && !request.ExcludedReplicas[one.ID] && !fleet.DrainedZones[one.Zone] {
+	for _, candidate := range fleet.Replicas {
+		if candidate.Serves(request) && !request.ExcludedReplicas[candidate.ID] && !fleet.DrainedZones[candidate.Zone] {
 			return
 		}
 	}
-	if !s.absent {
+	if !e.notLoaded {
 		delete(request.ExcludedReplicas, id)
 	}
 }
 
-func (s *service) mayGoOn() bool {
-	return s.sent < max(s.parsedRequest.route.RetryCount, 1) && s.reached < unreachedBound
+func (e *exchange) canRetry() bool {
+	return e.attempts < max(e.parsed.route.RetryCount, 1) && e.unreached < maxUnreached
 }
 
-func (s *service) fail(failure *apierror.Error) {
-	s.failure = failure
-	if s.headed {
+func (e *exchange) fail(failure *apierror.Error) {
+	e.failure = failure
+	if e.headerSent {
 		panic(http.ErrAbortHandler)
 	}
-	if s.ran && failure.Kind.GuaranteesNotExecuted() {
+	if e.mayHaveRun && failure.Kind.GuaranteesNotExecuted() {
 		failure = apierror.New(apierror.ReplicaFailed, "")
 	}
-	s.handler.Refusals.count(failure.Kind)
-	apierror.Write(s.writer, failure)
+	e.handler.Rejections.add(failure.Kind)
+	apierror.Write(e.writer, failure)
 }
--- a/internal/client/listener.go
+++ b/internal/client/listener.go
@@ -12,51 +12,51 @@
 	"github.com/pkg/errors"
 )
 
-const slowHead = "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+const requestTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 // LimitedListener accepts a bounded number of clients' connections and holds them to the limits of the configuration.
 type LimitedListener struct {
 	net.Listener
-	places chan struct{}
+	slots  chan struct{}
 	limits func() (head, idle time.Duration)
 }
 
 // NewLimitedListener wraps a listener. limits gives the time for a head and for an idle connection; 0 leaves the
 // server's own.
-func NewLimitedListener(listener net.Listener, places int, limits func() (head, idle time.Duration)) *LimitedListener {
-	return &LimitedListener{Listener: listener, places: make(chan struct{}, max(places, 1)), limits: limits}
+func NewLimitedListener(listener net.Listener, slots int, limits func() (head, idle time.Duration)) *LimitedListener {
+	return &LimitedListener{Listener: listener, slots: make(chan struct{}, max(slots, 1)), limits: limits}
 }
 
 // Accept waits for a place, then for a connection.
 func (l *LimitedListener) Accept() (net.Conn, error) {
-	l.places <- struct{}{}
+	l.slots <- struct{}{}
 	accepted, err := l.Listener.Accept()
 	if err != nil {
-		<-l.places
+		<-l.slots
 		return nil, err
 	}
-	connection := &clientConnection{Conn: accepted, leave: sync.OnceFunc(func() { <-l.places }), limits: l.limits}
+	connection := &clientConnection{Conn: accepted, release: sync.OnceFunc(func() { <-l.slots }), limits: l.limits}
 	connection.unused.Store(true)
 	return connection, nil
 }
 
 type clientConnection struct {
 	net.Conn
-	leave    func()
-	limits   func() (head, idle time.Duration)
-	unused   atomic.Bool
-	idle     atomic.Bool
-	timedOut atomic.Bool
-	begun    atomic.Bool
-	handled  atomic.Bool
+	release     func()
+	limits      func() (head, idle time.Duration)
+	unused      atomic.Bool
+	idle        atomic.Bool
+	timedOut    atomic.Bool
+	headStarted atomic.Bool
+	handled     atomic.Bool
 }
 
 // Close answers 408 where a head began and didn't come whole in time.
 func (c *clientConnection) Close() error {
-	defer c.leave()
-	if c.timedOut.Load() && c.begun.Load() && !c.handled.Load() {
+	defer c.release()
+	if c.timedOut.Load() && c.headStarted.Load() && !c.handled.Load() {
 		_ = c.SetWriteDeadline(time.Now().Add(time.Second))
-		_, _ = c.Conn.Write([]byte(slowHead))
+		_, _ = c.Conn.Write([]byte(requestTimeoutResponse))
 	}
 	return c.Conn.Close()
 }
@@ -65,8 +65,8 @@
 func (c *clientConnection) Read(target []byte) (int, error) {
 	amount, err := c.Conn.Read(target)
 	c.timedOut.Store(errors.Is(err, os.ErrDeadlineExceeded))
-	if amount > 0 && !c.begun.Swap(true) && c.unused.Swap(false) {
-		c.boundHead()
+	if amount > 0 && !c.headStarted.Swap(true) && c.unused.Swap(false) {
+		c.setHeadDeadline()
 	}
 	return amount, err
 }
@@ -83,18 +83,18 @@
 		return c.Conn.SetReadDeadline(deadline)
 	}
 	head, idle := c.limits()
-	bound := head
+	timeout := head
 	if c.idle.Swap(false) || c.unused.Load() {
-		bound = idle
+		timeout = idle
 	}
-	if bound > 0 {
-		deadline = now.Add(bound)
+	if timeout > 0 {
+		deadline = now.Add(timeout)
 	}
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// boundHead starts the time for the head when the first bytes of a new connection arrive; until then it is idle.
-func (c *clientConnection) boundHead() {
+// setHeadDeadline starts the time for the head when the first bytes of a new connection arrive; until then it is idle.
+func (c *clientConnection) setHeadDeadline() {
 	if head, _ := c.limits(); head > 0 {
 		_ = c.Conn.SetReadDeadline(time.Now().Add(head))
 	}
@@ -102,23 +102,23 @@
 
 type connectionKey struct{}
 
-// Remember is a server's ConnContext: it lets the handler find the connection of its request.
-func Remember(ctx context.Context, connection net.Conn) context.Context {
+// ConnContext is a server's ConnContext: it lets the handler find the connection of its request.
+func ConnContext(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, connection)
 }
 
 func markHandled(ctx context.Context) {
-	if client, known := ctx.Value(connectionKey{}).(*clientConnection); known {
-		client.handled.Store(true)
+	if connection, known := ctx.Value(connectionKey{}).(*clientConnection); known {
+		connection.handled.Store(true)
 	}
 }
 
-// FollowState is a server's ConnState: a connection between two requests is idle and starts afresh.
-func FollowState(connection net.Conn, state http.ConnState) {
+// ConnState is a server's ConnState: a connection between two requests is idle and starts afresh.
+func ConnState(connection net.Conn, state http.ConnState) {
 	if client, known := connection.(*clientConnection); known && state == http.StateIdle {
 		client.idle.Store(true)
 		client.timedOut.Store(false)
-		client.begun.Store(false)
+		client.headStarted.Store(false)
 		client.handled.Store(false)
 		_ = client.Conn.SetWriteDeadline(time.Time{})
 	}
--- a/internal/client/parse.go
+++ b/internal/client/parse.go
@@ -16,16 +16,16 @@
 )
 
 type parsedRequest struct {
-	route   *configuration.Route
-	access  access
-	request match.Request
-	job     replica.Job
+	route         *configuration.Route
+	authorization authorization
+	request       match.Request
+	upstream      replica.UpstreamRequest
 }
 
-const attemptBound = 128
+const maxAttemptIDLength = 128
 
-func validAttempt(attempt string) bool {
-	if attempt == "" || len(attempt) > attemptBound {
+func validAttemptID(attempt string) bool {
+	if attempt == "" || len(attempt) > maxAttemptIDLength {
 		return false
 	}
 	for _, letter := range attempt {
@@ -36,33 +36,33 @@
 	return true
 }
 
-func (d *Handler) take(request *http.Request, arrived time.Time) (*parsedRequest, error) {
+func (h *Handler) parse(request *http.Request, arrived time.Time) (*parsedRequest, error) {
 	attempt := request.Header.Get(replica.HeaderAttempt)
-	if !validAttempt(attempt) || len(request.Header.Values(replica.HeaderAttempt)) != 1 {
+	if !validAttemptID(attempt) || len(request.Header.Values(replica.HeaderAttempt)) != 1 {
 		return nil, apierror.New(apierror.InvalidAttemptID, "")
 	}
-	fleet := d.awaitConfiguration(request, arrived)
+	fleet := h.awaitConfiguration(request, arrived)
 	if fleet.Table == nil {
 		return nil, apierror.NewRetryable(apierror.NoConfiguration, 200*time.Millisecond)
 	}
-	if bound := fleet.Table.Configuration.Limits.MaxHeaderBytes; bound > 0 && headBytes(request) > bound {
+	if limit := fleet.Table.Configuration.Limits.MaxHeaderBytes; limit > 0 && headerBytes(request) > limit {
 		return nil, apierror.New(apierror.HeaderTooLarge, "")
 	}
-	fleet, allowed, err := d.admit(request, arrived)
+	fleet, allowed, err := h.authorize(request, arrived)
 	if err != nil {
 		return nil, err
 	}
 	route, tenant := allowed.route, fleet.Table.Tenant(allowed.tenant)
 	priority := tenant.PriorityOr(route.Priority)
-	if !replica.Sendable(request.RequestURI) {
+	if !replica.ValidTarget(request.RequestURI) {
 		return nil, apierror.New(apierror.MalformedRequest, "request target cannot be passed on unchanged")
 	}
-	body, err := d.body(request, fleet.Table.Configuration.Limits.MaxBodyBytes)
+	body, err := h.readBody(request, fleet.Table.Configuration.Limits.MaxBodyBytes)
 	if err != nil {
 		return nil, err
 	}
-	patience := time.Duration(route.TimeoutMs * float64(time.Millisecond))
-	remaining, err := remainingTime(request.Header, patience)
+	timeout := time.Duration(route.TimeoutMs * float64(time.Millisecond))
+	remaining, err := remainingTime(request.Header, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -74,67 +74,67 @@
 	if !valid {
 		return nil, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderPrefix)
 	}
-	backend := route.PickBackend(d.draw())
+	backend := route.PickBackend(h.random())
 	model := request.Header.Get(replica.HeaderModel)
-	deadline := arrived.Add(min(remaining, patience))
+	deadline := arrived.Add(min(remaining, timeout))
 	return &parsedRequest{
-		route: route, access: allowed,
+		route: route, authorization: allowed,
 		request: match.Request{
 			Attempt: attempt, Backend: backend, Model: model, Parts: parts, PrefixHashes: match.HashPrefixes(parts), PromptTokens: prompt, OutputTokens: output,
 			Arrived: arrived, Deadline: deadline, LatencyTarget: time.Duration(route.TargetLatencyMs * float64(time.Millisecond)), Priority: priority,
-			AllowedRegions: tenant.IntersectRegions(route.AllowedRegions), ExcludedReplicas: map[string]bool{}, ClientRetry: remaining < patience-returnedSlack,
+			AllowedRegions: tenant.IntersectRegions(route.AllowedRegions), ExcludedReplicas: map[string]bool{}, ClientRetry: remaining < timeout-returnedTolerance,
 			Idempotent: route.IsIdempotent(), Route: route.Name, Tenant: allowed.tenant,
 		},
-		job: replica.Job{
-			Method: request.Method, URI: request.RequestURI, Host: request.Host, Header: request.Header, Body: body, Attempt: attempt,
-			Urgency: min(priority, 9), Deadline: deadline, LastEvent: request.Header.Get(replica.HeaderLastEvent),
-			Service: backend, Once: !route.IsIdempotent(), Connections: connectionShare(fleet, backend),
+		upstream: replica.UpstreamRequest{
+			Method: request.Method, URI: request.RequestURI, Host: request.Host, Header: request.Header, Body: body, AttemptID: attempt,
+			Urgency: min(priority, 9), Deadline: deadline, LastEventID: request.Header.Get(replica.HeaderLastEventID),
+			Backend: backend, NonIdempotent: !route.IsIdempotent(), MaxIdleConnections: connectionsPerEdge(fleet, backend),
 			Tenant: tenant.NameOrEmpty(),
 		},
 	}, nil
 }
 
-// longestRemainingMs bounds the time that a client may state, in milliseconds.
-const longestRemainingMs = 1e9
+// maxRemainingMs bounds the time that a client may state, in milliseconds.
+const maxRemainingMs = 1e9
 
 // remainingTime is the time that the client says is left, or the route's patience where it says nothing.
-func remainingTime(header http.Header, patience time.Duration) (time.Duration, error) {
+func remainingTime(header http.Header, timeout time.Duration) (time.Duration, error) {
 	stated := header.Get(replica.HeaderRemaining)
 	if stated == "" {
-		return patience, nil
+		return timeout, nil
 	}
 	amount, err := strconv.ParseFloat(stated, 64)
-	if err != nil || amount < 0 || amount > longestRemainingMs {
+	if err != nil || amount < 0 || amount > maxRemainingMs {
 		return 0, apierror.New(apierror.MalformedRequest, "%s is no number of milliseconds", replica.HeaderRemaining)
 	}
 	return time.Duration(amount * float64(time.Millisecond)), nil
 }
 
 const (
-	returnedSlack = 20 * time.Millisecond
-	bodyBound     = 4 << 20
+	returnedTolerance   = 20 * time.Millisecond
+	defaultMaxBodyBytes = 4 << 20
 )
 
 const (
-	configurationPatience = 1500 * time.Millisecond
-	configurationLook     = 15 * time.Millisecond
+	configurationTimeout      = 1500 * time.Millisecond
+	configurationPollInterval = 15 * time.Millisecond
 )
 
-func (d *Handler) awaitConfiguration(request *http.Request, arrived time.Time) *match.Snapshot {
+func (h *Handler) awaitConfiguration(request *http.Request, arrived time.Time) *match.Snapshot {
 	for {
-		fleet := d.fleet.Load()
-		if fleet.Table != nil || d.clock().Sub(arrived) > configurationPatience || d.Leaving() {
+		fleet := h.fleet.Load()
+		if fleet.Table != nil || h.clock().Sub(arrived) > configurationTimeout || h.Draining() {
 			return fleet
 		}
-		if !pause(request.Context()) {
+		if !awaitPollInterval(request.Context()) {
 			return fleet
 		}
 	}
 }
 
-// pause waits until the configuration is to be looked at again, or returns false when the client has gone.
-func pause(ctx context.Context) bool {
-	timer := time.NewTimer(configurationLook)
+// awaitPollInterval waits until the configuration is to be looked at again, or returns false when the client has gone.
+func awaitPollInterval(ctx context.Context) bool {
+	timer := time.NewTimer(configurationPollInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -144,14 +144,14 @@
 	}
 }
 
-func connectionShare(fleet *match.Snapshot, backend string) int {
+func connectionsPerEdge(fleet *match.Snapshot, backend string) int {
 	if stated, _, known := fleet.Table.Backend(backend); known && stated.MaxConns > 0 {
 		return max(stated.MaxConns/max(fleet.DataPlanes, 1), 1)
 	}
 	return 0
 }
 
-func headBytes(request *http.Request) int {
+func headerBytes(request *http.Request) int {
 	total := len(request.Method) + len(request.RequestURI) + len(request.Host)
 	for name, values := range request.Header {
 		for _, value := range values {
@@ -161,14 +161,14 @@
 	return total
 }
 
-func (d *Handler) body(request *http.Request, bound int64) ([]byte, error) {
-	if bound <= 0 {
-		bound = bodyBound
+func (h *Handler) readBody(request *http.Request, limit int64) ([]byte, error) {
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
-	if request.ContentLength > bound {
+	if request.ContentLength > limit {
 		return nil, apierror.New(apierror.BodyTooLarge, "")
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, bound))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, limit))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return nil, apierror.New(apierror.BodyTooLarge, "")
--- a/internal/client/quota.go
+++ b/internal/client/quota.go
@@ -12,29 +12,29 @@
 	// Take takes one request from what the tenant may still send over all data planes. It may wait for the answer of
 	// another one, and for as long as the patience where that can't be told. The error is what the client is answered
 	// where it may not be sent.
-	Take(ctx context.Context, tenant *configuration.Tenant, patience QuotaPatience) error
+	Take(ctx context.Context, tenant *configuration.Tenant, patience QuotaTimeouts) error
 }
 
-// QuotaPatience is how long a request may wait to learn whether it is within its quota: Alone where only this data plane
+// QuotaTimeouts is how long a request may wait to learn whether it is within its quota: Alone where only this data plane
 // can't tell, so that the client can still try elsewhere in time, and Together where others can't either.
-type QuotaPatience struct {
-	Alone    time.Duration
-	Together time.Duration
+type QuotaTimeouts struct {
+	Local time.Duration
+	Fleet time.Duration
 }
 
-// quotaPatienceDivisor makes the parts of a request's aim and of its time that are its patience.
-const quotaPatienceDivisor = 5
+// quotaTimeoutDivisor makes the parts of a request's aim and of its time that are its patience.
+const quotaTimeoutDivisor = 5
 
-// withinQuota is asked once for each request of a client, after it has been read whole and before it is queued.
-func (d *Handler) withinQuota(ctx context.Context, taken *parsedRequest) error {
-	if d.Quota == nil || taken.access.tenant == configuration.NoTenant {
+// checkQuota is asked once for each request of a client, after it has been read whole and before it is queued.
+func (h *Handler) checkQuota(ctx context.Context, parsed *parsedRequest) error {
+	if h.Quota == nil || parsed.authorization.tenant == configuration.NoTenant {
 		return nil
 	}
-	request := taken.request
-	alone := request.LatencyTarget / quotaPatienceDivisor
-	patience := QuotaPatience{
-		Alone:    alone,
-		Together: max(alone, request.Deadline.Sub(request.Arrived)/quotaPatienceDivisor),
+	request := parsed.request
+	local := request.LatencyTarget / quotaTimeoutDivisor
+	timeouts := QuotaTimeouts{
+		Local: local,
+		Fleet: max(local, request.Deadline.Sub(request.Arrived)/quotaTimeoutDivisor),
 	}
-	return d.Quota.Take(ctx, taken.access.table.Tenant(taken.access.tenant), patience)
+	return h.Quota.Take(ctx, parsed.authorization.table.Tenant(parsed.authorization.tenant), timeouts)
 }
--- a/internal/client/refusals.go
+++ b/internal/client/refusals.go
@@ -6,28 +6,28 @@
 	"ferryspar/internal/apierror"
 )
 
-// Refusals counts answers with an error of the data plane's own, by their reason. The zero value is ready to use, by
+// Rejections counts answers with an error of the data plane's own, by their reason. The zero value is ready to use, by
 // any number of goroutines.
-type Refusals struct {
-	lock     sync.Mutex
-	byReason map[string]uint64
+type Rejections struct {
+	lock          sync.Mutex
+	countByReason map[string]uint64
 }
 
-func (r *Refusals) count(kind apierror.Kind) {
+func (r *Rejections) add(kind apierror.Kind) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.byReason == nil {
-		r.byReason = map[string]uint64{}
+	if r.countByReason == nil {
+		r.countByReason = map[string]uint64{}
 	}
-	r.byReason[kind.Reason()]++
+	r.countByReason[kind.Reason()]++
 }
 
 // Counts returns a copy of the counts.
-func (r *Refusals) Counts() map[string]uint64 {
+func (r *Rejections) Counts() map[string]uint64 {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	counts := make(map[string]uint64, len(r.byReason))
-	for reason, amount := range r.byReason {
+	counts := make(map[string]uint64, len(r.countByReason))
+	for reason, amount := range r.countByReason {
 		counts[reason] = amount
 	}
 	return counts
--- a/internal/client/relay.go
+++ b/internal/client/relay.go
@@ -13,133 +13,133 @@
 )
 
 const (
-	relayBuffer = 4 << 10
-	aliveEvery  = 250 * time.Millisecond
+	copyBufferSize   = 4 << 10
+	progressInterval = 250 * time.Millisecond
 )
 
-// promises are the statuses that tell a client that its request has not run and never will. From a replica they are
+// notExecutedStatuses are the statuses that tell a client that its request has not run and never will. From a replica they are
 // passed on only with its proof, which Forwarder.Send has judged; here they come without one.
-var promises = map[int]bool{
+var notExecutedStatuses = map[int]bool{
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-func (s *service) relay(answer *http.Response, report func(match.Outcome)) (bool, *apierror.Error) {
-	defer answer.Body.Close()
-	if promises[answer.StatusCode] || answer.StatusCode >= 300 && s.headed {
+func (e *exchange) copyResponse(response *http.Response, report func(match.Outcome)) (bool, *apierror.Error) {
+	defer response.Body.Close()
+	if notExecutedStatuses[response.StatusCode] || response.StatusCode >= 300 && e.headerSent {
 		report(match.OutcomeFailed)
-		s.ran = true
-		return s.decide(false)
+		e.mayHaveRun = true
+		return e.retryOrFail(false)
 	}
-	if failed(answer) && s.parsedRequest.route.IsIdempotent() && s.mayGoOn() {
+	if isServerFailure(response) && e.parsed.route.IsIdempotent() && e.canRetry() {
 		report(match.OutcomeFailed)
-		s.ran = true
+		e.mayHaveRun = true
 		return true, nil
 	}
-	resumable := s.parsedRequest.route.RouteType == "streaming" && s.parsedRequest.route.Resumable && answer.StatusCode < 300 &&
-		strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
-	if s.headed && !resumable {
+	resumable := e.parsed.route.RouteType == "streaming" && e.parsed.route.Resumable && response.StatusCode < 300 &&
+		strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
+	if e.headerSent && !resumable {
 		report(match.OutcomeFailed)
-		s.ran = true
-		return s.decide(false)
+		e.mayHaveRun = true
+		return e.retryOrFail(false)
 	}
 	first, lagging, lastTold := true, false, time.Time{}
-	buffer := make([]byte, relayBuffer)
+	buffer := make([]byte, copyBufferSize)
 	for {
-		amount, err := answer.Body.Read(buffer)
+		amount, err := response.Body.Read(buffer)
 		if amount > 0 {
-			now := s.handler.clock()
-			gap := s.beat(now)
-			if !first && !lagging && s.tooLong(gap) {
+			now := e.handler.clock()
+			gap := e.recordRead(now)
+			if !first && !lagging && e.exceedsTokenGap(gap) {
 				lagging = true
 				report(match.OutcomeStalled)
 			}
 			if first {
 				report(match.OutcomeFirstEvent)
 				first, lastTold = false, now
-			} else if now.Sub(lastTold) > aliveEvery {
+			} else if now.Sub(lastTold) > progressInterval {
 				report(match.OutcomeProgress)
 				lastTold = now
 			}
-			if !s.pass(answer, buffer[:amount], resumable) {
+			if !e.writeContent(response, buffer[:amount], resumable) {
 				report(match.OutcomeCancelled)
 				panic(http.ErrAbortHandler)
 			}
 		}
 		if err == io.EOF {
-			return s.close(answer, report, resumable)
+			return e.finish(response, report, resumable)
 		}
 		if err != nil {
-			return s.cut(report, resumable)
+			return e.handleBrokenBody(report, resumable)
 		}
 	}
 }
 
-func failed(answer *http.Response) bool {
-	return answer.StatusCode >= http.StatusInternalServerError && answer.StatusCode != http.StatusGatewayTimeout
+func isServerFailure(response *http.Response) bool {
+	return response.StatusCode >= http.StatusInternalServerError && response.StatusCode != http.StatusGatewayTimeout
 }
 
-func (s *service) tooLong(gap time.Duration) bool {
-	bound := s.parsedRequest.route.TokenGapMs
+func (e *exchange) exceedsTokenGap(gap time.Duration) bool {
+	bound := e.parsed.route.TokenGapMs
 	return bound > 0 && float64(gap.Milliseconds()) > bound
 }
 
-func (s *service) beat(now time.Time) time.Duration {
-	if s.firstAt.IsZero() {
-		s.firstAt, s.lastAt = now, now
+func (e *exchange) recordRead(now time.Time) time.Duration {
+	if e.firstByteAt.IsZero() {
+		e.firstByteAt, e.lastByteAt = now, now
 	}
-	gap := now.Sub(s.lastAt)
-	s.pause, s.lastAt = max(s.pause, gap), now
+	gap := now.Sub(e.lastByteAt)
+	e.longestGap, e.lastByteAt = max(e.longestGap, gap), now
 	return gap
 }
 
-func (s *service) head(answer *http.Response) {
-	if s.headed {
+func (e *exchange) writeHeader(response *http.Response) {
+	if e.headerSent {
 		return
 	}
-	s.headed = true
-	replica.AnswerHeader(s.writer.Header(), answer.Header)
-	if s.handler.Leaving() {
-		s.writer.Header().Set("Connection", "close")
+	e.headerSent = true
+	replica.CopyResponseHeader(e.writer.Header(), response.Header)
+	if e.handler.Draining() {
+		e.writer.Header().Set("Connection", "close")
 	}
-	if _, stated := answer.Header["Content-Length"]; stated && answer.ContentLength >= 0 && answer.StatusCode != http.StatusNoContent {
-		s.writer.Header().Set("Content-Length", strconv.FormatInt(answer.ContentLength, 10))
+	if _, stated := response.Header["Content-Length"]; stated && response.ContentLength >= 0 && response.StatusCode != http.StatusNoContent {
+		e.writer.Header().Set("Content-Length", strconv.FormatInt(response.ContentLength, 10))
 	}
-	if _, dated := s.writer.Header()["Date"]; !dated {
-		s.writer.Header()["Date"] = nil
+	if _, dated := e.writer.Header()["Date"]; !dated {
+		e.writer.Header()["Date"] = nil
 	}
-	if _, typed := s.writer.Header()["Content-Type"]; !typed {
-		s.writer.Header()["Content-Type"] = nil
+	if _, typed := e.writer.Header()["Content-Type"]; !typed {
+		e.writer.Header()["Content-Type"] = nil
 	}
-	s.writer.WriteHeader(answer.StatusCode)
+	e.writer.WriteHeader(response.StatusCode)
 }
 
-func (s *service) pass(answer *http.Response, content []byte, resumable bool) bool {
+func (e *exchange) writeContent(response *http.Response, content []byte, resumable bool) bool {
 	if resumable {
-		whole, sound := s.events.Feed(content)
-		if !sound {
+		events, valid := e.events.Feed(content)
+		if !valid {
 			return false
 		}
-		content = whole
+		content = events
 	}
 	if len(content) == 0 {
 		return true
 	}
-	s.head(answer)
-	if _, err := s.writer.Write(content); err != nil {
+	e.writeHeader(response)
+	if _, err := e.writer.Write(content); err != nil {
 		return false
 	}
-	return http.NewResponseController(s.writer).Flush() == nil
+	return http.NewResponseController(e.writer).Flush() == nil
 }
 
-func (s *service) close(answer *http.Response, report func(match.Outcome), resumable bool) (bool, *apierror.Error) {
-	if resumable && !s.events.Whole() {
-		return s.cut(report, resumable)
+func (e *exchange) finish(response *http.Response, report func(match.Outcome), resumable bool) (bool, *apierror.Error) {
+	if resumable && !e.events.Complete() {
+		return e.handleBrokenBody(report, resumable)
 	}
-	s.head(answer)
-	if answer.StatusCode < 300 {
+	e.writeHeader(response)
+	if response.StatusCode < 300 {
 		report(match.OutcomeServed)
-	} else if failed(answer) {
+	} else if isServerFailure(response) {
 		report(match.OutcomeFailed)
 	} else {
 		report(match.OutcomeCancelled)
@@ -147,19 +147,19 @@
 	return false, nil
 }
 
-func (s *service) cut(report func(match.Outcome), resumable bool) (bool, *apierror.Error) {
-	if s.ctx.Err() != nil {
+func (e *exchange) handleBrokenBody(report func(match.Outcome), resumable bool) (bool, *apierror.Error) {
+	if e.ctx.Err() != nil {
 		report(match.OutcomeCancelled)
-		if s.headed {
+		if e.headerSent {
 			panic(http.ErrAbortHandler)
 		}
 		return false, apierror.New(apierror.ReplicaTimeout, "")
 	}
 	report(match.OutcomeTruncated)
-	s.ran = true
-	s.events.Reset()
-	if s.headed && !(resumable && s.events.LastID != "") {
+	e.mayHaveRun = true
+	e.events.Resume()
+	if e.headerSent && !(resumable && e.events.LastID != "") {
 		panic(http.ErrAbortHandler)
 	}
-	return s.decide(false)
+	return e.retryOrFail(false)
 }
--- a/internal/client/server_test.go
+++ b/internal/client/server_test.go
@@ -26,33 +26,33 @@
 // script answers one request on a connection that its replica accepted; false ends the connection.
 type script func(connection net.Conn, request *http.Request) bool
 
-// scripted is a replica on a loopback socket that counts the requests it has read whole.
-type scripted struct {
-	id      string
-	address string
-	lock    sync.Mutex
-	read    []*http.Request
-	bodies  []string
+// scriptedReplica is a replica on a loopback socket that counts the requests it has read whole.
+type scriptedReplica struct {
+	id       string
+	address  string
+	lock     sync.Mutex
+	requests []*http.Request
+	bodies   []string
 }
 
-func startScripted(t *testing.T, id string, serve script) *scripted {
+func startReplica(t *testing.T, id string, serve script) *scriptedReplica {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	one := &scripted{id: id, address: listener.Addr().String()}
+	upstream := &scriptedReplica{id: id, address: listener.Addr().String()}
 	go func() {
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go one.serve(connection, serve)
+			go upstream.serve(connection, serve)
 		}
 	}()
-	return one
+	return upstream
 }
 
-func (s *scripted) serve(connection net.Conn, serve script) {
+func (s *scriptedReplica) serve(connection net.Conn, serve script) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
@@ -65,7 +65,7 @@
 			return
 		}
 		s.lock.Lock()
-		s.read, s.bodies = append(s.read, request), append(s.bodies, string(body))
+		s.requests, s.bodies = append(s.requests, request), append(s.bodies, string(body))
 		s.lock.Unlock()
 		if !serve(connection, request) {
 			return
@@ -73,22 +73,22 @@
 	}
 }
 
-func (s *scripted) times() int {
+func (s *scriptedReplica) requestCount() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return len(s.read)
+	return len(s.requests)
 }
 
-// head is the first part of an answer to the request, with its attempt id and the seal of the replica.
-func head(status string, request *http.Request, seal string, more ...string) string {
+// responseHead is the first part of an answer to the request, with its attempt id and the seal of the replica.
+func responseHead(status string, request *http.Request, seal string, more ...string) string {
 	attempt := request.Header.Get(replica.HeaderAttempt)
 	lines := append([]string{"HTTP/1.1 " + status, replica.HeaderAttempt + ": " + attempt, replica.HeaderSeal + ": " + seal}, more...)
 	return strings.Join(lines, "\r\n") + "\r\n\r\n"
 }
 
-func answers(status, seal, body string) script {
+func respondWith(status, seal, body string) script {
 	return func(connection net.Conn, request *http.Request) bool {
-		fmt.Fprintf(connection, "%s%s", head(status, request, seal, fmt.Sprintf("Content-Length: %d", len(body))), body)
+		fmt.Fprintf(connection, "%s%s", responseHead(status, request, seal, fmt.Sprintf("Content-Length: %d", len(body))), body)
 		return true
 	}
 }
@@ -113,17 +113,17 @@
 	fleet   *atomic.Pointer[match.Snapshot]
 }
 
-func startServer(t *testing.T, idle, headTime time.Duration, replicas ...*scripted) *testServer {
+func startServer(t *testing.T, idle, headTime time.Duration, replicas ...*scriptedReplica) *testServer {
 	return startServerOver(t, peer.Machine{}, idle, headTime, replicas...)
 }
 
-func startServerOver(t *testing.T, network peer.Network, idle, headTime time.Duration, replicas ...*scripted) *testServer {
+func startServerOver(t *testing.T, network peer.Network, idle, headTime time.Duration, replicas ...*scriptedReplica) *testServer {
 	read, err := configuration.Decode([]byte(testDocument))
 	assert.NilError(t, err)
 	state := &match.Snapshot{Table: configuration.NewTable(read, nil), DataPlanes: 1, ListedAt: time.Now(), DrainedZones: map[string]bool{}}
-	for index, one := range replicas {
+	for index, upstream := range replicas {
 		listed := platform.Replica{
-			ID: one.id, Backend: "scribes", Address: one.address, Zone: "north", Slots: 8, State: "ready",
+			ID: upstream.id, Backend: "scribes", Address: upstream.address, Zone: "north", Slots: 8, State: "ready",
 			Models: []platform.Held{{Name: "swift"}},
 		}
 		state.Replicas = append(state.Replicas, match.NewReplica(index, listed, time.Now(), nil))
@@ -134,12 +134,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go matcher.Run(ctx)
 	forwarder := replica.NewForwarder(network, time.Now, time.Second, time.Second)
-	handler := NewHandler(&fleet, matcher, forwarder, &Budgets{Period: time.Second, Ratio: 1, Slack: 100}, time.Now, rand.Float64)
+	handler := NewHandler(&fleet, matcher, forwarder, &RetryBudgets{Period: time.Second, Ratio: 1, Slack: 100}, time.Now, rand.Float64)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{
 		Handler: handler, ReadHeaderTimeout: 40 * time.Millisecond, IdleTimeout: 40 * time.Millisecond,
-		ConnState: FollowState, ConnContext: Remember,
+		ConnState: ConnState, ConnContext: ConnContext,
 	}
 	limits := func() (time.Duration, time.Duration) { return headTime, idle }
 	go func() { _ = server.Serve(NewLimitedListener(listener, 100, limits)) }()
@@ -156,30 +156,30 @@
 	reader *bufio.Reader
 }
 
-func (d *testServer) connect(t *testing.T) *testClient {
-	connection, err := net.Dial("tcp", d.address)
+func (s *testServer) connect(t *testing.T) *testClient {
+	connection, err := net.Dial("tcp", s.address)
 	assert.NilError(t, err)
 	t.Cleanup(func() { connection.Close() })
 	_ = connection.SetDeadline(time.Now().Add(3 * time.Second))
 	return &testClient{connection, bufio.NewReader(connection)}
 }
 
-type got struct {
+type clientResponse struct {
 	status int
 	header http.Header
 	body   string
-	cut    bool
+	broken bool
 }
 
 // ask writes raw bytes and reads one answer to a request of the method.
-func (v *testClient) ask(method, raw string) got {
-	_, _ = io.WriteString(v, raw)
-	answer, err := http.ReadResponse(v.reader, &http.Request{Method: method})
+func (c *testClient) exchange(method, raw string) clientResponse {
+	_, _ = io.WriteString(c, raw)
+	answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
-		return got{cut: true}
+		return clientResponse{broken: true}
 	}
 	body, err := io.ReadAll(answer.Body)
-	return got{answer.StatusCode, answer.Header, string(body), err != nil}
+	return clientResponse{answer.StatusCode, answer.Header, string(body), err != nil}
 }
 
 func post(target, attempt string, more ...string) string {
--- a/internal/controlplane/disks.go
+++ b/internal/controlplane/disks.go
@@ -24,7 +24,7 @@
 // store after all, as at a replica that took the place of another at its address: then the load
 // still runs when one from a disk is long done. It counts from its beginning, and what the disk was
 // believed to hold is forgotten, so that further loads are counted before they begin.
-func (w *Scheduler) checkDisk(one *managedReplica, state replica.State, askedAt time.Time) {
+func (w *Scheduler) checkDisk(one *managedReplica, state replica.Report, askedAt time.Time) {
 	if one.pending == nil || !one.pending.Load || one.pending.FromStore || strings.Contains(one.pending.Model, "/") {
 		return
 	}
--- a/internal/controlplane/disks_test.go
+++ b/internal/controlplane/disks_test.go
@@ -65,7 +65,7 @@
 	startFromDisk(t, one, now)
 	for _, asked := range []time.Duration{time.Second, 2 * time.Second, 2300 * time.Millisecond, 3 * time.Second} {
 		now = one.began.Add(asked + time.Second)
-		w.checkDisk(one, replica.State{Busy: true, Sequence: 1}, one.began.Add(asked))
+		w.checkDisk(one, replica.Report{Busy: true, Sequence: 1}, one.began.Add(asked))
 		counted := 0
 		if asked > 2*time.Second+reportLag {
 			counted = 1
@@ -81,8 +81,8 @@
 	w, one := diskScheduler(&now)
 	startFromDisk(t, one, now)
 	now = now.Add(4 * time.Second)
-	w.checkDisk(one, replica.State{Sequence: 1, Models: []platform.Held{{Name: "m"}}}, now)
-	w.checkDisk(one, replica.State{Busy: true, Sequence: 1}, one.began.Add(time.Second))
+	w.checkDisk(one, replica.Report{Sequence: 1, Models: []platform.Held{{Name: "m"}}}, now)
+	w.checkDisk(one, replica.Report{Busy: true, Sequence: 1}, one.began.Add(time.Second))
 	assert.Equal(t, countedLoads(w, now), 0)
 	assert.Assert(t, w.heldOnce[diskOf(one.listed)]["n"])
 }
--- a/internal/controlplane/instructions.go
+++ b/internal/controlplane/instructions.go
@@ -68,12 +68,12 @@
 	if order.Load {
 		operation = replica.OperationLoad
 	}
-	return w.commander.Order(ctx, address, id, replica.Instruction{
-		Operation: operation,
-		Model:     model,
-		Adapter:   adapter,
-		Holder:    grant.Record.Holder,
-		Fence:     grant.Record.Fence,
-		Expected:  order.Expected,
+	return w.commander.SendOrder(ctx, address, id, replica.Order{
+		Operation:     operation,
+		Model:         model,
+		Adapter:       adapter,
+		LeaseHolder:   grant.Record.Holder,
+		Fence:         grant.Record.Fence,
+		ExpectedCount: order.Expected,
 	})
 }
--- a/internal/controlplane/reportpolls.go
+++ b/internal/controlplane/reportpolls.go
@@ -63,7 +63,7 @@
 	address, askedAt := one.listed.Address, w.daemon.clock()
 	one.state.AskStarted(askedAt)
 	go func() {
-		state, err := w.commander.Report(ctx, address, id)
+		state, err := w.commander.FetchReport(ctx, address, id)
 		w.results <- func() {
 			w.checkDisk(one, state, askedAt)
 			w.applyReport(one, state, err)
@@ -72,7 +72,7 @@
 }
 
 // applyReport takes in a report. Where it is adopted it ends the order under way.
-func (w *Scheduler) applyReport(one *managedReplica, report replica.State, err error) {
+func (w *Scheduler) applyReport(one *managedReplica, report replica.Report, err error) {
 	now := w.daemon.clock()
 	w.stirred = true
 	if err != nil {
--- a/internal/controlplane/scheduler.go
+++ b/internal/controlplane/scheduler.go
@@ -29,7 +29,7 @@
 	keeper    *lease.Manager
 	hold      atomic.Pointer[lease.Grant]
 	released  chan struct{}
-	commander *replica.Commander
+	commander *replica.Client
 	lock      sync.Mutex
 	demand    map[string]*place.Demand
 	counted   map[string]float64
@@ -62,7 +62,7 @@
 			Key: placementLease, Holder: daemon.settings.NodeName, Address: daemon.self, TTL: daemon.leaseLength(),
 			TakeoverDelay: nodesettings.Milliseconds(bounds.LeaseMs) + 100*time.Millisecond, Store: daemon.store, Clock: daemon.clock,
 		},
-		store: newStoreBudget(), released: make(chan struct{}), commander: replica.NewCommander(daemon.network),
+		store: newStoreBudget(), released: make(chan struct{}), commander: replica.NewClient(daemon.network),
 		demand: map[string]*place.Demand{}, counted: map[string]float64{}, reading: map[string]float64{}, heldOnce: map[string]map[string]bool{},
 		nudge: make(chan struct{}, 1), results: make(chan func(), 64), managed: map[string]*managedReplica{}, overlays: map[string]overlay{}, eviction: newContextEviction(), sizes: place.NewSizeHistory(), feed: feed{tally: NewTally()}, lastRate: daemon.clock(),
 	}
--- a/internal/controlplane/unloadbars_test.go
+++ b/internal/controlplane/unloadbars_test.go
@@ -34,7 +34,7 @@
 		assert.DeepEqual(t, w.duePolls(table, now), []string{"i-1"})
 		one.state.AskStarted(now)
 		w.shown = now
-		w.applyReport(one, replica.State{Phase: "unified", Models: held}, nil)
+		w.applyReport(one, replica.Report{Phase: "unified", Models: held}, nil)
 	}
 	report()
 	order, decided := one.state.Decide(replicastate.Change{Reference: "m"}, now)
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -5,6 +5,6 @@
 // optional recording, and is not ready before it has a configuration that a majority of the control
 // planes has confirmed.
 //
-// Start reading at New and Daemon.Run. FleetState turns the news into the fleet that the matcher
-// sees, Listener asks the control planes for news, and Interest tells which models to follow.
+// Start reading at New and Node.Run. FleetState turns the news into the fleet that the matcher
+// sees, Watcher asks the control planes for news, and Interest tells which models to follow.
 package dataplane
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -13,118 +13,118 @@
 
 // drillState is the drill that this data plane follows, and the questions that it has answered.
 type drillState struct {
-	answer func(address string, question drill.Question)
-	// answered is the number of the last question by control plane.
-	answered map[string]uint64
-	drill    *match.Drill
+	answerForecast func(address string, question drill.Question)
+	// subscribeResult is the number of the last question by control plane.
+	answeredNumbers map[string]uint64
+	drill           *match.Drill
 	// last is the number of the last drill that ended; it is not followed again.
-	last uint64
+	lastEnded uint64
 	// shown is what is reported, until the end is known at the control planes.
-	shown atomic.Pointer[shownDrill]
+	reported atomic.Pointer[reportedDrill]
 }
 
-// shownDrill is a drill and why it ended here, if it did.
-type shownDrill struct {
-	drill *match.Drill
-	ended string
+// reportedDrill is a drill and why it ended here, if it did.
+type reportedDrill struct {
+	drill     *match.Drill
+	endReason string
 }
 
 // report is what is reported of the drill, or nil. Any goroutine may call it.
-func (r *drillState) report(now time.Time) *drill.Report {
-	shown := r.shown.Load()
-	if shown == nil {
+func (d *drillState) report(now time.Time) *drill.Report {
+	reported := d.reported.Load()
+	if reported == nil {
 		return nil
 	}
-	return shown.drill.Report(shown.ended, now)
+	return reported.drill.Report(reported.endReason, now)
 }
 
 // answerOnce answers a question of a control plane on a goroutine of its own, unless it was the last
 // one answered there.
-func (r *drillState) answerOnce(address string, question drill.Question) {
-	if r.answer == nil || r.answered[address] == question.Number {
+func (d *drillState) answerOnce(address string, question drill.Question) {
+	if d.answerForecast == nil || d.answeredNumbers[address] == question.Number {
 		return
 	}
-	if r.answered == nil {
-		r.answered = map[string]uint64{}
+	if d.answeredNumbers == nil {
+		d.answeredNumbers = map[string]uint64{}
 	}
-	r.answered[address] = question.Number
-	go r.answer(address, question)
+	d.answeredNumbers[address] = question.Number
+	go d.answerForecast(address, question)
 }
 
 // rehearse answers a question and follows the drill of the news, and reports whether the fleet
 // changed.
-func (d *FleetState) rehearse(one heard) bool {
-	held := &d.rehearsal
-	if question := one.news.Question; question != nil {
-		held.answerOnce(one.address, *question)
+func (s *FleetState) handleDrill(result watchResult) bool {
+	drills := &s.drills
+	if question := result.response.Question; question != nil {
+		drills.answerOnce(result.address, *question)
 	}
-	if held.drill == nil && one.news.Drill == nil {
+	if drills.drill == nil && result.response.Drill == nil {
 		return false
 	}
-	ended := d.endDrill(d.drillEnd(one.at))
-	return d.followDrill(one.news.Drill, one.at) || ended
+	ended := s.endDrill(s.drillEndReason(result.receivedAt))
+	return s.followDrill(result.response.Drill, result.receivedAt) || ended
 }
 
-// drillEnd says why the drill must end now, or nothing.
-func (d *FleetState) drillEnd(now time.Time) string {
-	held := &d.rehearsal
-	if held.drill == nil {
+// drillEndReason says why the drill must end now, or nothing.
+func (s *FleetState) drillEndReason(now time.Time) string {
+	drills := &s.drills
+	if drills.drill == nil {
 		return ""
 	}
-	for _, state := range d.zones {
+	for _, state := range s.zones {
 		if state.Drained {
 			return drill.EndedByEvacuation
 		}
 	}
-	return held.drill.EndReason(now)
+	return drills.drill.EndReason(now)
 }
 
 // endDrill ends the drill here if a reason is given, and reports whether it did.
-func (d *FleetState) endDrill(why string) bool {
-	held := &d.rehearsal
-	if why == "" || held.drill == nil {
+func (s *FleetState) endDrill(reason string) bool {
+	drills := &s.drills
+	if reason == "" || drills.drill == nil {
 		return false
 	}
-	logrus.WithFields(logrus.Fields{"number": held.drill.Number, "why": why}).Info("drill ended here")
-	held.shown.Store(&shownDrill{held.drill, why})
-	held.last, held.drill = held.drill.Number, nil
+	logrus.WithFields(logrus.Fields{"number": drills.drill.Number, "why": reason}).Info("drill ended here")
+	drills.reported.Store(&reportedDrill{drills.drill, reason})
+	drills.lastEnded, drills.drill = drills.drill.Number, nil
 	return true
 }
 
 // followDrill begins, goes on with or ends a drill as control planes tell, and reports whether the
 // fleet changed.
-func (d *FleetState) followDrill(notice *drill.Notice, now time.Time) bool {
-	held := &d.rehearsal
-	if notice == nil || notice.Number < held.last {
+func (s *FleetState) followDrill(notice *drill.Notice, now time.Time) bool {
+	drills := &s.drills
+	if notice == nil || notice.Number < drills.lastEnded {
 		return false
 	}
 	if !notice.Running {
 		ended := false
-		if held.drill != nil && notice.Number >= held.drill.Number {
-			ended = d.endDrill("told to")
+		if drills.drill != nil && notice.Number >= drills.drill.Number {
+			ended = s.endDrill("told to")
 		}
-		if shown := held.shown.Load(); shown != nil && notice.Number >= shown.drill.Number {
-			held.shown.Store(nil)
+		if reported := drills.reported.Load(); reported != nil && notice.Number >= reported.drill.Number {
+			drills.reported.Store(nil)
 		}
-		held.last = max(held.last, notice.Number)
+		drills.lastEnded = max(drills.lastEnded, notice.Number)
 		return ended
 	}
-	if notice.Number == held.last {
+	if notice.Number == drills.lastEnded {
 		return false
 	}
 	left := time.Duration(notice.LeftMs) * time.Millisecond
-	if held.drill != nil && held.drill.Number == notice.Number {
-		held.drill.KeepAlive(now, left)
+	if drills.drill != nil && drills.drill.Number == notice.Number {
+		drills.drill.KeepAlive(now, left)
 		return false
 	}
-	if held.drill != nil && held.drill.Number > notice.Number {
+	if drills.drill != nil && drills.drill.Number > notice.Number {
 		return false
 	}
-	held.drill = match.NewDrill(*notice, now, outOfTouch)
-	if why := d.drillEnd(now); why != "" {
-		return d.endDrill(why)
+	drills.drill = match.NewDrill(*notice, now, contactTimeout)
+	if reason := s.drillEndReason(now); reason != "" {
+		return s.endDrill(reason)
 	}
-	held.shown.Store(&shownDrill{held.drill, ""})
+	drills.reported.Store(&reportedDrill{drills.drill, ""})
 	logrus.WithFields(logrus.Fields{
 		"number":  notice.Number,
 		"scope":   notice.Scope.String(),
@@ -134,28 +134,28 @@
 	return true
 }
 
-// overseeDrill ends the drill without any news if its time is up or control planes are out of
+// checkDrill ends the drill without any news if its time is up or control planes are out of
 // touch.
-func (d *FleetState) overseeDrill() {
-	if d.rehearsal.drill != nil && d.endDrill(d.drillEnd(d.clock())) {
-		d.publish()
+func (s *FleetState) checkDrill() {
+	if s.drills.drill != nil && s.endDrill(s.drillEndReason(s.clock())) {
+		s.publish()
 	}
 }
 
-// forecastBound is how long an answer to a question may take.
-const forecastBound = 1500 * time.Millisecond
+// forecastTimeout is how long an answer to a question may take.
+const forecastTimeout = 1500 * time.Millisecond
 
 // answerForecast has the matcher forecast a loss and sends the answer to the control plane that
 // asked.
-func (d *Daemon) answerForecast(address string, question drill.Question) {
-	ctx, cancel := context.WithTimeout(context.Background(), forecastBound)
+func (n *Node) answerForecast(address string, question drill.Question) {
+	ctx, cancel := context.WithTimeout(context.Background(), forecastTimeout)
 	defer cancel()
-	answer, err := d.matcher.Forecast(ctx, drill.Loss{Scope: question.Scope, Regions: d.settings.Zones})
+	answer, err := n.matcher.Forecast(ctx, drill.Loss{Scope: question.Scope, Regions: n.settings.Zones})
 	if err == nil {
 		answer.Number = question.Number
-		answer.Edge = d.settings.NodeName
-		answer.Zone = d.settings.Zone
-		err = d.peers.Ask(ctx, "forecast", address, answer, nil)
+		answer.Edge = n.settings.NodeName
+		answer.Zone = n.settings.Zone
+		err = n.peers.Ask(ctx, "forecast", address, answer, nil)
 	}
 	logrus.WithFields(logrus.Fields{
 		"scope":   question.Scope.String(),
--- a/internal/dataplane/interest.go
+++ b/internal/dataplane/interest.go
@@ -11,35 +11,35 @@
 // Interest tells which models requests have asked for lately, and so which parts to follow. Any
 // goroutine may use it.
 type Interest struct {
-	lock     sync.Mutex
-	clock    func() time.Time
-	wantedAt map[peer.PartName]time.Time
+	lock        sync.Mutex
+	clock       func() time.Time
+	requestedAt map[peer.PartName]time.Time
 	// fresh are the models newly asked for.
-	fresh []peer.PartName
+	added []peer.PartName
 	// wake is signalled when there are some.
 	wake chan struct{}
 }
 
 const (
-	// wantedFor is how long a model is followed after the last request for it.
-	wantedFor = 40 * time.Second
-	// interestBound is how many models are followed at most.
-	interestBound = 512
+	// interestTimeout is how long a model is followed after the last request for it.
+	interestTimeout = 40 * time.Second
+	// maxInterest is how many models are followed at most.
+	maxInterest = 512
 )
 
 // NewInterest is interested in nothing yet.
 func NewInterest(clock func() time.Time) *Interest {
-	return &Interest{clock: clock, wantedAt: map[peer.PartName]time.Time{}, wake: make(chan struct{}, 1)}
+	return &Interest{clock: clock, requestedAt: map[peer.PartName]time.Time{}, wake: make(chan struct{}, 1)}
 }
 
 // Want notes a request for a model.
-func (i *Interest) Want(backend, model string) {
+func (i *Interest) RecordRequest(backend, model string) {
 	name := peer.PartName{Backend: backend, Model: model}
 	i.lock.Lock()
-	_, known := i.wantedAt[name]
-	i.wantedAt[name] = i.clock()
+	_, known := i.requestedAt[name]
+	i.requestedAt[name] = i.clock()
 	if !known {
-		i.fresh = append(i.fresh, name)
+		i.added = append(i.added, name)
 	}
 	i.lock.Unlock()
 	if known {
@@ -53,24 +53,24 @@
 
 // Take is what to follow in addition since the last call, and what to let go; without anything to
 // add, nothing is let go either.
-func (i *Interest) Take() (add, drop []peer.PartName) {
+func (i *Interest) TakeChanges() (add, drop []peer.PartName) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
-	add, i.fresh = i.fresh, nil
+	add, i.added = i.added, nil
 	if len(add) == 0 {
 		return nil, nil
 	}
-	return add, i.dropOld()
+	return add, i.dropExpired()
 }
 
 // Whole is everything to follow, in order.
-func (i *Interest) Whole() []peer.PartName {
+func (i *Interest) All() []peer.PartName {
 	i.lock.Lock()
 	defer i.lock.Unlock()
-	i.fresh = nil
-	i.dropOld()
-	names := make([]peer.PartName, 0, len(i.wantedAt))
-	for name := range i.wantedAt {
+	i.added = nil
+	i.dropExpired()
+	names := make([]peer.PartName, 0, len(i.requestedAt))
+	for name := range i.requestedAt {
 		names = append(names, name)
 	}
 	sort.Slice(names, func(left, right int) bool {
@@ -79,37 +79,37 @@
 	return names
 }
 
-// dropOld lets go of models not asked for lately and of those beyond the bound, and returns them.
+// dropExpired lets go of models not asked for lately and of those beyond the bound, and returns them.
 // The caller holds the lock.
-func (i *Interest) dropOld() []peer.PartName {
+func (i *Interest) dropExpired() []peer.PartName {
 	now := i.clock()
-	var gone []peer.PartName
-	for name, at := range i.wantedAt {
-		if now.Sub(at) > wantedFor {
-			gone = append(gone, name)
+	var dropped []peer.PartName
+	for name, at := range i.requestedAt {
+		if now.Sub(at) > interestTimeout {
+			dropped = append(dropped, name)
 		}
 	}
-	if over := len(i.wantedAt) - len(gone) - interestBound; over > 0 {
-		gone = append(gone, i.leastRecent(over, gone)...)
+	if excess := len(i.requestedAt) - len(dropped) - maxInterest; excess > 0 {
+		dropped = append(dropped, i.leastRecentlyRequested(excess, dropped)...)
 	}
-	for _, name := range gone {
-		delete(i.wantedAt, name)
+	for _, name := range dropped {
+		delete(i.requestedAt, name)
 	}
-	return gone
+	return dropped
 }
 
-// leastRecent are the models asked for longest ago. The caller holds the lock.
-func (i *Interest) leastRecent(amount int, besides []peer.PartName) []peer.PartName {
+// leastRecentlyRequested are the models asked for longest ago. The caller holds the lock.
+func (i *Interest) leastRecentlyRequested(amount int, excluded []peer.PartName) []peer.PartName {
 	skipped := map[peer.PartName]bool{}
-	for _, name := range besides {
+	for _, name := range excluded {
 		skipped[name] = true
 	}
-	names := make([]peer.PartName, 0, len(i.wantedAt))
-	for name := range i.wantedAt {
+	names := make([]peer.PartName, 0, len(i.requestedAt))
+	for name := range i.requestedAt {
 		if !skipped[name] {
 			names = append(names, name)
 		}
 	}
-	sort.Slice(names, func(left, right int) bool { return i.wantedAt[names[left]].Before(i.wantedAt[names[right]]) })
+	sort.Slice(names, func(left, right int) bool { return i.requestedAt[names[left]].Before(i.requestedAt[names[right]]) })
 	return names[:min(amount, len(names))]
 }
--- a/internal/dataplane/life.go
+++ b/internal/dataplane/life.go
@@ -6,9 +6,9 @@
 	"ferryspar/internal/nodesettings"
 )
 
-// lifeBegan is when this life of the daemon begins: now, or zero at the first start of the whole system,
+// incarnationStart is when this life of the daemon begins: now, or zero at the first start of the whole system,
 // before which there was none.
-func lifeBegan(settings nodesettings.Settings) time.Time {
+func incarnationStart(settings nodesettings.Settings) time.Time {
 	if settings.Bootstrap {
 		return time.Time{}
 	}
--- a/internal/dataplane/listener.go
+++ b/internal/dataplane/listener.go
@@ -12,107 +12,107 @@
 	"ferryspar/internal/peer"
 )
 
-type heard struct {
-	address string
-	news    peer.News
-	asked   time.Time
-	at      time.Time
-	failed  bool
-	aside   bool
-	done    chan struct{}
+type watchResult struct {
+	address    string
+	response   peer.News
+	sentAt     time.Time
+	receivedAt time.Time
+	failed     bool
+	secondary  bool
+	done       chan struct{}
 }
 
-func (h heard) taken() {
-	if h.done != nil {
-		close(h.done)
+func (r watchResult) markHandled() {
+	if r.done != nil {
+		close(r.done)
 	}
 }
 
-// Listener keeps a poll open at every control daemon that is known and passes on what it hears.
-type Listener struct {
-	settings nodesettings.Settings
-	peers    *peer.Client
-	news     chan heard
-	clock    func() time.Time
-	state    *FleetState
-	lock     sync.Mutex
-	known    map[string]context.CancelFunc
-	asking   map[string]context.CancelFunc
+// Watcher keeps a poll open at every control daemon that is known and passes on what it hears.
+type Watcher struct {
+	settings     nodesettings.Settings
+	peers        *peer.Client
+	results      chan watchResult
+	clock        func() time.Time
+	state        *FleetState
+	lock         sync.Mutex
+	watched      map[string]context.CancelFunc
+	pendingPolls map[string]context.CancelFunc
 }
 
-// NewListener makes a listener whose answers go to the state.
-func NewListener(settings nodesettings.Settings, peers *peer.Client, clock func() time.Time, state *FleetState) *Listener {
-	return &Listener{settings: settings, peers: peers, news: make(chan heard, 32), clock: clock, state: state, known: map[string]context.CancelFunc{}, asking: map[string]context.CancelFunc{}}
+// NewWatcher makes a listener whose answers go to the state.
+func NewWatcher(settings nodesettings.Settings, peers *peer.Client, clock func() time.Time, state *FleetState) *Watcher {
+	return &Watcher{settings: settings, peers: peers, results: make(chan watchResult, 32), clock: clock, state: state, watched: map[string]context.CancelFunc{}, pendingPolls: map[string]context.CancelFunc{}}
 }
 
 // Follow begins to poll the addresses that are not polled yet, until the context ends.
-func (l *Listener) Follow(ctx context.Context, addresses []string) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+func (w *Watcher) Watch(ctx context.Context, addresses []string) {
+	w.lock.Lock()
+	defer w.lock.Unlock()
 	for _, address := range addresses {
-		if address == "" || l.known[address] != nil {
+		if address == "" || w.watched[address] != nil {
 			continue
 		}
-		own, cancel := context.WithCancel(ctx)
-		l.known[address] = cancel
+		pollContext, cancel := context.WithCancel(ctx)
+		w.watched[address] = cancel
 		logrus.WithField("control", address).Info("following control daemon")
-		go l.follow(own, address)
+		go w.pollLoop(pollContext, address)
 	}
 }
 
-// AskAgain breaks off a held poll so that the next one asks for whole news at once.
-func (l *Listener) AskAgain(address string) {
-	l.lock.Lock()
-	stop := l.asking[address]
-	delete(l.asking, address)
-	l.lock.Unlock()
+// Repoll breaks off a held poll so that the next one asks for whole news at once.
+func (w *Watcher) Repoll(address string) {
+	w.lock.Lock()
+	stop := w.pendingPolls[address]
+	delete(w.pendingPolls, address)
+	w.lock.Unlock()
 	if stop != nil {
 		stop()
 	}
 }
 
-func (l *Listener) ask(ctx context.Context, address string, poll peer.Poll, news *peer.News) (err error, again bool) {
-	bounded, stop := context.WithCancel(ctx)
+func (w *Watcher) poll(ctx context.Context, address string, request peer.Poll, response *peer.News) (err error, repoll bool) {
+	pollContext, stop := context.WithCancel(ctx)
 	defer stop()
-	if !poll.Wants {
-		l.lock.Lock()
-		l.asking[address] = stop
-		l.lock.Unlock()
-		if *l.state.wants.primary.Load() == address {
+	if !request.Wants {
+		w.lock.Lock()
+		w.pendingPolls[address] = stop
+		w.lock.Unlock()
+		if *w.state.position.primary.Load() == address {
 			return nil, true
 		}
 	}
-	err = l.peers.Ask(bounded, "news", address, poll, news)
-	return err, err != nil && bounded.Err() != nil && ctx.Err() == nil
+	err = w.peers.Ask(pollContext, "news", address, request, response)
+	return err, err != nil && pollContext.Err() != nil && ctx.Err() == nil
 }
 
 const (
-	firstPause = 100 * time.Millisecond
-	lastPause  = 400 * time.Millisecond
+	minPollBackoff = 100 * time.Millisecond
+	maxPollBackoff = 400 * time.Millisecond
 
-	longestHold = 2000
+	maxSecondaryHoldMs = 2000
 )
 
-func (l *Listener) follow(ctx context.Context, address string) {
-	poll := peer.Poll{Daemon: l.settings.NodeName, Zone: l.settings.Zone}
-	pause := firstPause
+func (w *Watcher) pollLoop(ctx context.Context, address string) {
+	request := peer.Poll{Daemon: w.settings.NodeName, Zone: w.settings.Zone}
+	backoff := minPollBackoff
 	for ctx.Err() == nil {
-		l.state.fill(&poll, address)
-		poll.HoldMs = int64(l.settings.HeartbeatMs)
-		if !poll.Wants {
-			poll.HoldMs = min(2*poll.HoldMs, longestHold)
+		w.state.fillWatchRequest(&request, address)
+		request.HoldMs = int64(w.settings.HeartbeatMs)
+		if !request.Wants {
+			request.HoldMs = min(2*request.HoldMs, maxSecondaryHoldMs)
 		}
-		poll.HoldMs = l.state.currency.hold(poll.HoldMs)
-		var news peer.News
-		asked := l.clock()
-		err, again := l.ask(ctx, address, poll, &news)
-		if again {
+		request.HoldMs = w.state.freshness.limitHold(request.HoldMs)
+		var response peer.News
+		sentAt := w.clock()
+		err, repoll := w.poll(ctx, address, request, &response)
+		if repoll {
 			continue
 		}
-		now := l.clock()
+		now := w.clock()
 		done := make(chan struct{})
 		select {
-		case l.news <- heard{address: address, news: news, asked: asked, at: now, failed: err != nil, aside: !poll.Wants, done: done}:
+		case w.results <- watchResult{address: address, response: response, sentAt: sentAt, receivedAt: now, failed: err != nil, secondary: !request.Wants, done: done}:
 		case <-ctx.Done():
 			return
 		}
@@ -122,28 +122,28 @@
 			return
 		}
 		if err != nil {
-			nodesettings.Sleep(ctx, pause)
-			pause = min(pause*2, lastPause)
+			nodesettings.Sleep(ctx, backoff)
+			backoff = min(backoff*2, maxPollBackoff)
 			continue
 		}
-		pause = firstPause
-		if poll.Life != news.Life {
-			poll.Roster = 0
+		backoff = minPollBackoff
+		if request.Life != response.Life {
+			request.Roster = 0
 		}
-		poll.Life, poll.Version = news.Life, news.Version
-		poll.Roster = max(poll.Roster, news.Roster)
-		if !news.Fresh(asked, now) || news.Refollow {
-			nodesettings.Sleep(ctx, firstPause)
+		request.Life, request.Version = response.Life, response.Version
+		request.Roster = max(request.Roster, response.Roster)
+		if !response.Fresh(sentAt, now) || response.Refollow {
+			nodesettings.Sleep(ctx, minPollBackoff)
 		}
 	}
 }
 
-type wants struct {
-	revision atomic.Int64
-	zones    atomic.Uint64
-	context  atomic.Uint64
-	forgot   atomic.Uint64
-	leaving  atomic.Bool
-	primary  atomic.Pointer[string]
-	told     atomic.Pointer[toldParts]
+type watchPosition struct {
+	revision      atomic.Int64
+	zoneVersion   atomic.Uint64
+	contextNumber atomic.Uint64
+	forgotNumber  atomic.Uint64
+	draining      atomic.Bool
+	primary       atomic.Pointer[string]
+	subscription  atomic.Pointer[subscription]
 }
--- a/internal/dataplane/parts.go
+++ b/internal/dataplane/parts.go
@@ -10,50 +10,50 @@
 	"ferryspar/internal/platform"
 )
 
-// toldParts is which state of the parts the daemon has from which life of a control plane.
-type toldParts struct {
-	address string
-	life    string
-	number  uint64
-	roster  uint64
+// subscription is which state of the parts the daemon has from which life of a control plane.
+type subscription struct {
+	address     string
+	incarnation string
+	number      uint64
+	roster      uint64
 }
 
-// answered is a control plane's answer to a question for parts, and when it came.
-type answered struct {
-	address  string
-	question peer.FollowRequest
-	answer   peer.FollowReply
-	asked    time.Time
-	at       time.Time
-	failed   bool
+// subscribeResult is a control plane's answer to a question for parts, and when it came.
+type subscribeResult struct {
+	address    string
+	request    peer.FollowRequest
+	response   peer.FollowReply
+	sentAt     time.Time
+	receivedAt time.Time
+	failed     bool
 }
 
 // follow asks the primary control plane for the parts of models newly asked for, or for all parts
 // if it must begin anew. One question at a time is open.
-func (d *FleetState) follow(ctx context.Context, peers *peer.Client) {
-	primary := *d.wants.primary.Load()
-	held := d.sources[primary]
-	if held == nil || d.asking {
+func (s *FleetState) subscribe(ctx context.Context, peers *peer.Client) {
+	primary := *s.position.primary.Load()
+	control := s.controlPeers[primary]
+	if control == nil || s.subscribing {
 		return
 	}
-	question := peer.FollowRequest{Daemon: d.settings.NodeName, Number: held.number + 1}
-	if held.whole {
-		question.Add, question.Drop = d.interest.Take()
-		if len(question.Add) == 0 {
+	request := peer.FollowRequest{Daemon: s.settings.NodeName, Number: control.subscriptionNumber + 1}
+	if control.complete {
+		request.Add, request.Drop = s.interest.TakeChanges()
+		if len(request.Add) == 0 {
 			return
 		}
 	} else {
-		question.Whole = true
-		question.Add = d.interest.Whole()
+		request.Whole = true
+		request.Add = s.interest.All()
 	}
-	held.number++
-	d.asking = true
+	control.subscriptionNumber++
+	s.subscribing = true
 	go func() {
-		var answer peer.FollowReply
-		asked := d.clock()
-		err := peers.Ask(ctx, "follow", primary, question, &answer)
+		var response peer.FollowReply
+		sentAt := s.clock()
+		err := peers.Ask(ctx, "follow", primary, request, &response)
 		select {
-		case d.answers <- answered{primary, question, answer, asked, d.clock(), err != nil}:
+		case s.subscribeResults <- subscribeResult{primary, request, response, sentAt, s.clock(), err != nil}:
 		case <-ctx.Done():
 		}
 	}()
@@ -61,179 +61,179 @@
 
 // followed adopts the answer to a question, and reports whether the fleet changed. After a failure
 // everything is asked for anew.
-func (d *FleetState) followed(one answered) bool {
-	d.asking = false
-	held := d.sources[one.address]
-	if one.failed || one.answer.Refollow || !one.answer.Fresh(one.asked, one.at) {
-		held.whole = false
+func (s *FleetState) handleSubscribeResult(result subscribeResult) bool {
+	s.subscribing = false
+	control := s.controlPeers[result.address]
+	if result.failed || result.response.Refollow || !result.response.Fresh(result.sentAt, result.receivedAt) {
+		control.complete = false
 		return false
 	}
-	d.beginLife(held, one.answer.Life)
-	if one.question.Whole {
-		held.whole = true
-		held.keepOnly(one.question.Add)
-		d.wants.told.Store(&toldParts{
-			address: one.address,
-			life:    one.answer.Life,
-			number:  one.question.Number,
-			roster:  one.answer.Roster,
+	s.resetOnRestart(control, result.response.Life)
+	if result.request.Whole {
+		control.complete = true
+		control.retainOnly(result.request.Add)
+		s.position.subscription.Store(&subscription{
+			address:     result.address,
+			incarnation: result.response.Life,
+			number:      result.request.Number,
+			roster:      result.response.Roster,
 		})
 	} else {
-		state := *d.wants.told.Load()
-		state.number = one.question.Number
-		d.wants.told.Store(&state)
+		subscription := *s.position.subscription.Load()
+		subscription.number = result.request.Number
+		s.position.subscription.Store(&subscription)
 	}
-	for _, name := range one.question.Drop {
-		delete(held.parts, name)
-		d.rebuildIfUsed(one.address)
+	for _, name := range result.request.Drop {
+		delete(control.endpointSets, name)
+		s.rebuildIfUsed(result.address)
 	}
-	held.fetchedAt = one.at.Add(-time.Duration(one.answer.RosterAge) * time.Millisecond)
-	touched := d.adoptParts(held, one.answer.Parts)
-	return d.useSource(one.address, held, touched)
+	control.fetchedAt = result.receivedAt.Add(-time.Duration(result.response.RosterAge) * time.Millisecond)
+	touched := s.mergeEndpointSets(control, result.response.Parts)
+	return s.useEndpoints(result.address, control, touched)
 }
 
-// wholeFrom tells whether the address is the primary and has told all parts.
-func (d *FleetState) wholeFrom(address string) bool {
-	held := d.sources[address]
-	return held != nil && held.whole && address == *d.wants.primary.Load()
+// completeFrom tells whether the address is the primary and has told all parts.
+func (s *FleetState) completeFrom(address string) bool {
+	control := s.controlPeers[address]
+	return control != nil && control.complete && address == *s.position.primary.Load()
 }
 
-// beginLife forgets a control plane's parts if it has been restarted.
-func (d *FleetState) beginLife(held *source, life string) {
-	if held.life != life || held.parts == nil {
-		held.life = life
-		held.whole = false
-		held.parts = map[peer.PartName]peer.Part{}
+// resetOnRestart forgets a control plane's parts if it has been restarted.
+func (s *FleetState) resetOnRestart(control *controlPeer, incarnation string) {
+	if control.incarnation != incarnation || control.endpointSets == nil {
+		control.incarnation = incarnation
+		control.complete = false
+		control.endpointSets = map[peer.PartName]peer.Part{}
 	}
 }
 
-// keepOnly forgets the parts that are no longer followed.
-func (s *source) keepOnly(names []peer.PartName) {
+// retainOnly forgets the parts that are no longer followed.
+func (p *controlPeer) retainOnly(names []peer.PartName) {
 	followed := make(map[peer.PartName]bool, len(names))
 	for _, name := range names {
 		followed[name] = true
 	}
-	for name := range s.parts {
+	for name := range p.endpointSets {
 		if !followed[name] {
-			delete(s.parts, name)
+			delete(p.endpointSets, name)
 		}
 	}
 }
 
-// adoptParts adopts parts that are not older than those held, and returns them.
-func (d *FleetState) adoptParts(held *source, parts []peer.Part) []peer.Part {
+// mergeEndpointSets adopts parts that are not older than those held, and returns them.
+func (s *FleetState) mergeEndpointSets(control *controlPeer, sets []peer.Part) []peer.Part {
 	var touched []peer.Part
-	for _, part := range parts {
-		if before, known := held.parts[part.PartName]; known && before.Version > part.Version {
+	for _, set := range sets {
+		if before, known := control.endpointSets[set.PartName]; known && before.Version > set.Version {
 			continue
 		}
-		held.parts[part.PartName] = part
-		touched = append(touched, part)
+		control.endpointSets[set.PartName] = set
+		touched = append(touched, set)
 	}
 	return touched
 }
 
-// hearParts adopts the parts of a control plane's news, and reports whether the fleet changed.
-func (d *FleetState) hearParts(address string, held *source, news peer.News, at time.Time, fresh bool) bool {
-	d.beginLife(held, news.Life)
-	if news.Refollow {
-		held.whole = false
+// handleEndpointSets adopts the parts of a control plane's news, and reports whether the fleet changed.
+func (s *FleetState) handleEndpointSets(address string, control *controlPeer, response peer.News, receivedAt time.Time, fresh bool) bool {
+	s.resetOnRestart(control, response.Life)
+	if response.Refollow {
+		control.complete = false
 	}
 	if !fresh {
 		return false
 	}
-	held.fetchedAt = at.Add(-time.Duration(news.RosterAge) * time.Millisecond)
-	if address != *d.wants.primary.Load() {
-		held.whole = false
+	control.fetchedAt = receivedAt.Add(-time.Duration(response.RosterAge) * time.Millisecond)
+	if address != *s.position.primary.Load() {
+		control.complete = false
 	}
-	return d.useSource(address, held, d.adoptParts(held, news.Parts))
+	return s.useEndpoints(address, control, s.mergeEndpointSets(control, response.Parts))
 }
 
-// useSource makes a control plane's parts the fleet's, and reports whether that changed it.
+// useEndpoints makes a control plane's parts the fleet's, and reports whether that changed it.
 // Another's older parts are not used until the present ones are too old themselves.
-func (d *FleetState) useSource(address string, held *source, touched []peer.Part) bool {
-	if !held.whole {
+func (s *FleetState) useEndpoints(address string, control *controlPeer, touched []peer.Part) bool {
+	if !control.complete {
 		return false
 	}
-	older := held.fetchedAt.Before(d.shown) && address != d.usedFrom
-	if older && d.clock().Sub(d.shown) < distrustAfter {
+	older := control.fetchedAt.Before(s.endpointsAsOf) && address != s.endpointsFrom
+	if older && s.clock().Sub(s.endpointsAsOf) < controlPeerTimeout {
 		return false
 	}
-	d.shown = held.fetchedAt
-	if d.usedFrom != address || d.replicas == nil {
-		d.usedFrom = address
-		d.rebuild(held)
+	s.endpointsAsOf = control.fetchedAt
+	if s.endpointsFrom != address || s.replicas == nil {
+		s.endpointsFrom = address
+		s.rebuildReplicas(control)
 		return true
 	}
 	if len(touched) > 0 {
-		d.rebuild(held)
+		s.rebuildReplicas(control)
 	}
 	return len(touched) > 0
 }
 
 // rebuild makes the fleet's replicas from a control plane's parts.
-func (d *FleetState) rebuild(held *source) {
-	listed := held.replicas()
-	d.listed = make([]platform.Replica, 0, len(listed))
-	for _, one := range listed {
-		d.listed = append(d.listed, one)
-	}
-	sort.Slice(d.listed, func(left, right int) bool { return d.listed[left].ID < d.listed[right].ID })
-	now := d.clock()
-	d.replicas = make([]*match.Replica, len(d.listed))
-	for index, one := range d.listed {
-		d.replicas[index] = match.NewReplica(index, one, now, nil)
-		d.replicas[index].Region = d.settings.Zones[one.Zone]
+func (s *FleetState) rebuildReplicas(control *controlPeer) {
+	listed := control.mergeReplicas()
+	s.listedReplicas = make([]platform.Replica, 0, len(listed))
+	for _, replica := range listed {
+		s.listedReplicas = append(s.listedReplicas, replica)
+	}
+	sort.Slice(s.listedReplicas, func(left, right int) bool { return s.listedReplicas[left].ID < s.listedReplicas[right].ID })
+	now := s.clock()
+	s.replicas = make([]*match.Replica, len(s.listedReplicas))
+	for index, replica := range s.listedReplicas {
+		s.replicas[index] = match.NewReplica(index, replica, now, nil)
+		s.replicas[index].Region = s.settings.Zones[replica.Zone]
 	}
 }
 
 // replicas merges the parts into entries by replica id. Where parts differ about a replica itself,
 // the newest counts.
-func (s *source) replicas() map[string]platform.Replica {
+func (p *controlPeer) mergeReplicas() map[string]platform.Replica {
 	listed := map[string]platform.Replica{}
 	versions := map[string]uint64{}
-	for name, part := range s.parts {
-		for _, holder := range part.Holders {
-			one := listed[holder.ID]
-			if part.Version >= versions[holder.ID] {
-				models := one.Models
-				one = listedReplica(name.Backend, holder)
-				versions[holder.ID] = part.Version
-				one.Models = models
+	for name, set := range p.endpointSets {
+		for _, endpoint := range set.Holders {
+			replica := listed[endpoint.ID]
+			if set.Version >= versions[endpoint.ID] {
+				models := replica.Models
+				replica = replicaFromEndpoint(name.Backend, endpoint)
+				versions[endpoint.ID] = set.Version
+				replica.Models = models
 			}
 			if name.Model != "" {
-				one.Models = append(one.Models, platform.Held{
+				replica.Models = append(replica.Models, platform.Held{
 					Name:     name.Model,
 					Revision: 1,
-					Adapters: holder.Adapters,
+					Adapters: endpoint.Adapters,
 				})
 			}
-			listed[holder.ID] = one
+			listed[endpoint.ID] = replica
 		}
 	}
 	return listed
 }
 
-// listedReplica is a holder as an entry of the list, without models.
-func listedReplica(backend string, holder peer.Holder) platform.Replica {
+// replicaFromEndpoint is a holder as an entry of the list, without models.
+func replicaFromEndpoint(backend string, endpoint peer.Holder) platform.Replica {
 	state := "ready"
-	if holder.Draining {
+	if endpoint.Draining {
 		state = platform.Draining
 	}
 	return platform.Replica{
-		ID:              holder.ID,
+		ID:              endpoint.ID,
 		Backend:         backend,
-		Address:         holder.Address,
-		Zone:            holder.Zone,
-		Slots:           holder.Slots,
+		Address:         endpoint.Address,
+		Zone:            endpoint.Zone,
+		Slots:           endpoint.Slots,
 		State:           state,
-		ColdRemainingMs: holder.ColdMs,
+		ColdRemainingMs: endpoint.ColdMs,
 	}
 }
 
 // rebuildIfUsed rebuilds the replicas if they come from the address.
-func (d *FleetState) rebuildIfUsed(address string) {
-	if address == d.usedFrom {
-		d.rebuild(d.sources[address])
+func (s *FleetState) rebuildIfUsed(address string) {
+	if address == s.endpointsFrom {
+		s.rebuildReplicas(s.controlPeers[address])
 	}
 }
--- a/internal/dataplane/parts_test.go
+++ b/internal/dataplane/parts_test.go
@@ -12,142 +12,142 @@
 	"ferryspar/internal/peer"
 )
 
-type deskStory struct {
+type stateHarness struct {
 	state *FleetState
 	fleet *atomic.Pointer[match.Snapshot]
 	now   time.Time
 }
 
-func newDeskStory() *deskStory {
-	told := &deskStory{fleet: &atomic.Pointer[match.Snapshot]{}, now: time.Unix(1000, 0)}
+func newStateHarness() *stateHarness {
+	harness := &stateHarness{fleet: &atomic.Pointer[match.Snapshot]{}, now: time.Unix(1000, 0)}
 	settings := nodesettings.Settings{NodeName: "edge", Zone: "north", Zones: map[string]string{"north": "land", "south": "land"}}
-	told.state = NewFleetState(settings, func() time.Time { return told.now }, told.fleet, func() {})
-	return told
+	harness.state = NewFleetState(settings, func() time.Time { return harness.now }, harness.fleet, func() {})
+	return harness
 }
 
-func partOf(model string, version uint64, draining bool, ids ...string) peer.Part {
-	part := peer.Part{PartName: peer.PartName{Backend: "s", Model: model}, Version: version}
+func endpointSetOf(model string, version uint64, draining bool, ids ...string) peer.Part {
+	set := peer.Part{PartName: peer.PartName{Backend: "s", Model: model}, Version: version}
 	for _, id := range ids {
-		part.Holders = append(part.Holders, peer.Holder{ID: id, Address: "at-" + id, Zone: "south", Slots: 4, Draining: draining})
+		set.Holders = append(set.Holders, peer.Holder{ID: id, Address: "at-" + id, Zone: "south", Slots: 4, Draining: draining})
 	}
-	return part
+	return set
 }
 
-func (s *deskStory) hear(address, zone string, roster uint64, parts ...peer.Part) {
-	news := peer.News{Life: "life-" + address, Proven: true, FreshMs: 1000, Zone: zone, Roster: roster, Parts: parts, RosterAge: 10}
-	if s.state.hear(heard{address: address, news: news, asked: s.now, at: s.now}) {
-		s.state.publish()
+func (h *stateHarness) respond(address, zone string, roster uint64, sets ...peer.Part) {
+	response := peer.News{Life: "life-" + address, Proven: true, FreshMs: 1000, Zone: zone, Roster: roster, Parts: sets, RosterAge: 10}
+	if h.state.handleWatchResult(watchResult{address: address, response: response, sentAt: h.now, receivedAt: h.now}) {
+		h.state.publish()
 	}
 }
 
-func (s *deskStory) follow(address string, whole bool, number uint64, parts ...peer.Part) {
-	question := peer.FollowRequest{Number: number, Whole: whole}
-	for _, part := range parts {
-		question.Add = append(question.Add, part.PartName)
+func (h *stateHarness) completeSubscription(address string, complete bool, number uint64, sets ...peer.Part) {
+	request := peer.FollowRequest{Number: number, Whole: complete}
+	for _, set := range sets {
+		request.Add = append(request.Add, set.PartName)
 	}
-	if s.state.followed(answered{address: address, question: question, asked: s.now, at: s.now, answer: peer.FollowReply{Life: "life-" + address, FreshMs: 1000, Roster: 9, Parts: parts}}) {
-		s.state.publish()
+	if h.state.handleSubscribeResult(subscribeResult{address: address, request: request, sentAt: h.now, receivedAt: h.now, response: peer.FollowReply{Life: "life-" + address, FreshMs: 1000, Roster: 9, Parts: sets}}) {
+		h.state.publish()
 	}
 }
 
-func (s *deskStory) models() map[string][]string {
-	held := map[string][]string{}
-	for _, replica := range s.fleet.Load().Replicas {
+func (h *stateHarness) models() map[string][]string {
+	loaded := map[string][]string{}
+	for _, replica := range h.fleet.Load().Replicas {
 		for model := range replica.Models {
-			held[model] = append(held[model], replica.ID)
+			loaded[model] = append(loaded[model], replica.ID)
 		}
 	}
-	return held
+	return loaded
 }
 
-func TestGivenPartsOfAnEarlierLifeWhenAllIsFollowedAnewThenOnlyThatIsUsed(t *testing.T) {
-	s := newDeskStory()
-	s.hear("near", "north", 7, partOf("old", 7, false, "i-1"))
-	assert.Equal(t, len(s.models()), 0, "nothing is used before it is followed whole")
-	s.follow("near", true, 1, partOf("fresh", 8, false, "i-2"))
-	assert.DeepEqual(t, s.models(), map[string][]string{"fresh": {"i-2"}})
+func TestFleetState_IgnoresEndpointsBeforeFullSubscription(t *testing.T) {
+	harness := newStateHarness()
+	harness.respond("near", "north", 7, endpointSetOf("old", 7, false, "i-1"))
+	assert.Equal(t, len(harness.models()), 0, "nothing is used before it is followed whole")
+	harness.completeSubscription("near", true, 1, endpointSetOf("fresh", 8, false, "i-2"))
+	assert.DeepEqual(t, harness.models(), map[string][]string{"fresh": {"i-2"}})
 }
 
-func TestGivenNewsOutOfOrderThenTheNewerPartStays(t *testing.T) {
-	s := newDeskStory()
-	s.hear("near", "north", 7)
-	s.follow("near", true, 1, partOf("one", 8, true, "i-1"))
-	s.hear("near", "north", 7, partOf("one", 6, false, "i-1"))
-	assert.Assert(t, s.fleet.Load().Replicas[0].Draining)
-	s.hear("near", "north", 12, partOf("one", 12, false, "i-1", "i-2"))
-	assert.Equal(t, len(s.models()["one"]), 2)
+func TestFleetState_KeepsNewerEndpointSet(t *testing.T) {
+	harness := newStateHarness()
+	harness.respond("near", "north", 7)
+	harness.completeSubscription("near", true, 1, endpointSetOf("one", 8, true, "i-1"))
+	harness.respond("near", "north", 7, endpointSetOf("one", 6, false, "i-1"))
+	assert.Assert(t, harness.fleet.Load().Replicas[0].Draining)
+	harness.respond("near", "north", 12, endpointSetOf("one", 12, false, "i-1", "i-2"))
+	assert.Equal(t, len(harness.models()["one"]), 2)
 }
 
-func TestGivenAReplicaInTwoPartsThenItsNewestFactsCount(t *testing.T) {
-	s := newDeskStory()
-	s.hear("near", "north", 7)
-	s.follow("near", true, 1, partOf("one", 4, false, "i-1"), partOf("two", 8, true, "i-1"))
-	assert.Equal(t, len(s.fleet.Load().Replicas), 1)
-	assert.Assert(t, s.fleet.Load().Replicas[0].Draining)
-	assert.Equal(t, len(s.fleet.Load().Replicas[0].Models), 2)
+func TestFleetState_TakesReplicaFromNewestEndpointSet(t *testing.T) {
+	harness := newStateHarness()
+	harness.respond("near", "north", 7)
+	harness.completeSubscription("near", true, 1, endpointSetOf("one", 4, false, "i-1"), endpointSetOf("two", 8, true, "i-1"))
+	assert.Equal(t, len(harness.fleet.Load().Replicas), 1)
+	assert.Assert(t, harness.fleet.Load().Replicas[0].Draining)
+	assert.Equal(t, len(harness.fleet.Load().Replicas[0].Models), 2)
 }
 
-func TestGivenAnotherMemberThenItsPartsAreUsedOnlyOnceWhole(t *testing.T) {
-	s := newDeskStory()
-	s.hear("near", "north", 7)
-	s.follow("near", true, 1, partOf("one", 8, false, "i-1"))
-	s.now = s.now.Add(distrustAfter)
-	s.hear("far", "south", 3, partOf("one", 3, false, "i-9"))
-	s.state.choose()
-	assert.Equal(t, *s.state.wants.primary.Load(), "far")
-	assert.DeepEqual(t, s.models()["one"], []string{"i-1"})
-	s.follow("far", true, 1, partOf("one", 3, false, "i-2"))
-	assert.DeepEqual(t, s.models()["one"], []string{"i-2"})
-	s.hear("near", "north", 20, partOf("one", 20, false, "i-1"))
-	assert.DeepEqual(t, s.models()["one"], []string{"i-2"})
+func TestFleetState_SwitchesPrimaryOnlyOnceComplete(t *testing.T) {
+	harness := newStateHarness()
+	harness.respond("near", "north", 7)
+	harness.completeSubscription("near", true, 1, endpointSetOf("one", 8, false, "i-1"))
+	harness.now = harness.now.Add(controlPeerTimeout)
+	harness.respond("far", "south", 3, endpointSetOf("one", 3, false, "i-9"))
+	harness.state.choosePrimary()
+	assert.Equal(t, *harness.state.position.primary.Load(), "far")
+	assert.DeepEqual(t, harness.models()["one"], []string{"i-1"})
+	harness.completeSubscription("far", true, 1, endpointSetOf("one", 3, false, "i-2"))
+	assert.DeepEqual(t, harness.models()["one"], []string{"i-2"})
+	harness.respond("near", "north", 20, endpointSetOf("one", 20, false, "i-1"))
+	assert.DeepEqual(t, harness.models()["one"], []string{"i-2"})
 }
 
-func TestGivenAMemberAheadForAMomentThenPartsStayWhereTheyAre(t *testing.T) {
-	s := newDeskStory()
-	s.hear("near", "north", 7)
-	s.follow("near", true, 1, partOf("one", 8, false, "i-1"))
+func TestFleetState_KeepsPrimaryThatIsBrieflyBehind(t *testing.T) {
+	harness := newStateHarness()
+	harness.respond("near", "north", 7)
+	harness.completeSubscription("near", true, 1, endpointSetOf("one", 8, false, "i-1"))
 	ahead := peer.News{Life: "life-far", Proven: true, FreshMs: 1000, Zone: "south", Revision: 5}
-	s.state.hear(heard{address: "far", news: ahead, asked: s.now, at: s.now})
-	assert.Equal(t, *s.state.wants.primary.Load(), "near")
-	s.now = s.now.Add(behindPause + time.Millisecond)
-	s.state.choose()
-	assert.Equal(t, *s.state.wants.primary.Load(), "far", "the near one stays behind")
+	harness.state.handleWatchResult(watchResult{address: "far", response: ahead, sentAt: harness.now, receivedAt: harness.now})
+	assert.Equal(t, *harness.state.position.primary.Load(), "near")
+	harness.now = harness.now.Add(behindTolerance + time.Millisecond)
+	harness.state.choosePrimary()
+	assert.Equal(t, *harness.state.position.primary.Load(), "far", "the near one stays behind")
 }
 
-func TestGivenManyModelsThenTheLeastRecentAreLetGo(t *testing.T) {
+func TestInterest_DropsLeastRecentlyRequested(t *testing.T) {
 	now := time.Unix(1000, 0)
 	interest := NewInterest(func() time.Time { return now })
-	for index := range interestBound + 3 {
+	for index := range maxInterest + 3 {
 		now = now.Add(time.Millisecond)
-		interest.Want("s", string(rune('a'+index%26))+time.Duration(index).String())
+		interest.RecordRequest("s", string(rune('a'+index%26))+time.Duration(index).String())
 	}
-	add, drop := interest.Take()
-	assert.Equal(t, len(add), interestBound+3)
+	add, drop := interest.TakeChanges()
+	assert.Equal(t, len(add), maxInterest+3)
 	assert.Equal(t, len(drop), 3)
 	assert.Equal(t, drop[0], add[0])
-	now = now.Add(wantedFor + time.Second)
-	interest.Want("s", "late")
-	add, drop = interest.Take()
+	now = now.Add(interestTimeout + time.Second)
+	interest.RecordRequest("s", "late")
+	add, drop = interest.TakeChanges()
 	assert.Equal(t, len(add), 1)
-	assert.Equal(t, len(drop), interestBound)
-	assert.DeepEqual(t, interest.Whole(), add)
+	assert.Equal(t, len(drop), maxInterest)
+	assert.DeepEqual(t, interest.All(), add)
 }
 
-func TestGivenMembersThatDoNotKnowTheCountYetThenItIsKeptOrTakenHigh(t *testing.T) {
-	s := newDeskStory()
-	told := func(address string, edges int) {
-		s.state.hear(heard{address: address, news: peer.News{Life: address, Proven: true, FreshMs: 1000, Edges: edges}, asked: s.now, at: s.now})
+func TestFleetState_KeepsEdgeCountWhileMembersAreNew(t *testing.T) {
+	harness := newStateHarness()
+	respond := func(address string, edges int) {
+		harness.state.handleWatchResult(watchResult{address: address, response: peer.News{Life: address, Proven: true, FreshMs: 1000, Edges: edges}, sentAt: harness.now, receivedAt: harness.now})
 	}
-	assert.Equal(t, s.state.count(), uncounted, "nobody told it")
-	told("near", 80)
-	told("far", 79)
-	assert.Equal(t, s.state.count(), 80)
-	told("near", 0)
-	told("far", 0)
-	assert.Equal(t, s.state.count(), 80, "all members are new")
-	told("near", 3)
-	assert.Equal(t, s.state.count(), 80, "they have not heard of all yet")
-	s.now = s.now.Add(countKept + time.Second)
-	told("near", 60)
-	assert.Equal(t, s.state.count(), 60)
+	assert.Equal(t, harness.state.edgeCount(), assumedEdgeCount, "nobody told it")
+	respond("near", 80)
+	respond("far", 79)
+	assert.Equal(t, harness.state.edgeCount(), 80)
+	respond("near", 0)
+	respond("far", 0)
+	assert.Equal(t, harness.state.edgeCount(), 80, "all members are new")
+	respond("near", 3)
+	assert.Equal(t, harness.state.edgeCount(), 80, "they have not heard of all yet")
+	harness.now = harness.now.Add(edgeCountRetention + time.Second)
+	respond("near", 60)
+	assert.Equal(t, harness.state.edgeCount(), 60)
 }
--- a/internal/dataplane/pinned_test.go
+++ b/internal/dataplane/pinned_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestDaemon_PathsOfReadinessStayTheSame(t *testing.T) {
-	pinned.CheckJSON(t, "testdata/readiness.json", pathsOf(t, (&Daemon{}).readinessRoutes()))
+	pinned.CheckJSON(t, "testdata/readiness.json", pathsOf(t, (&Node{}).statusRoutes()))
 }
 
 func TestQuotas_PathsForPeersStayTheSame(t *testing.T) {
--- a/internal/dataplane/primary.go
+++ b/internal/dataplane/primary.go
@@ -6,44 +6,44 @@
 	"github.com/sirupsen/logrus"
 )
 
-func (d *FleetState) lag(now time.Time, newest int64) {
-	for _, held := range d.sources {
-		if held.fresh && held.revision > newest {
-			if d.behind.IsZero() {
-				d.behind = now
+func (s *FleetState) trackLag(now time.Time, newest int64) {
+	for _, control := range s.controlPeers {
+		if control.fresh && control.revision > newest {
+			if s.behindSince.IsZero() {
+				s.behindSince = now
 			}
 			return
 		}
 	}
-	d.behind = time.Time{}
+	s.behindSince = time.Time{}
 }
 
-const behindPause = 150 * time.Millisecond
+const behindTolerance = 150 * time.Millisecond
 
-const distrustAfter = 1700 * time.Millisecond
+const controlPeerTimeout = 1700 * time.Millisecond
 
-func (d *FleetState) choose() {
-	now := d.clock()
-	current := *d.wants.primary.Load()
-	newest := d.wants.revision.Load()
-	usable := func(held *source) bool {
-		patience := distrustAfter
-		if held.aside {
-			patience += longestHold * time.Millisecond / 2
+func (s *FleetState) choosePrimary() {
+	now := s.clock()
+	current := *s.position.primary.Load()
+	newest := s.position.revision.Load()
+	usable := func(control *controlPeer) bool {
+		timeout := controlPeerTimeout
+		if control.secondary {
+			timeout += maxSecondaryHoldMs * time.Millisecond / 2
 		}
-		return held.fresh && now.Sub(held.heardAt) < patience
+		return control.fresh && now.Sub(control.lastSeen) < timeout
 	}
-	d.lag(now, newest)
+	s.trackLag(now, newest)
 	best, bestRank := "", -1
-	for address, held := range d.sources {
-		if !usable(held) {
+	for address, control := range s.controlPeers {
+		if !usable(control) {
 			continue
 		}
 		rank := 0
-		if held.revision > newest && now.Sub(d.behind) > behindPause {
+		if control.revision > newest && now.Sub(s.behindSince) > behindTolerance {
 			rank += 4
 		}
-		if held.zone == d.settings.Zone {
+		if control.zone == s.settings.Zone {
 			rank += 2
 		}
 		if address == current {
@@ -54,54 +54,54 @@
 		}
 	}
 	if best != current {
-		d.wants.primary.Store(&best)
+		s.position.primary.Store(&best)
 		for _, address := range []string{current, best} {
-			if held := d.sources[address]; held != nil {
-				held.whole = false
+			if control := s.controlPeers[address]; control != nil {
+				control.complete = false
 			}
 		}
 		if best != "" {
-			d.askAgain(best)
+			s.repoll(best)
 		}
 		logrus.WithFields(logrus.Fields{"from": current, "to": best}).Info("parts are followed at another control daemon")
 	}
 }
 
 const (
-	uncounted  = 512
-	countKept  = 10 * time.Second
-	countFresh = 5 * time.Second
+	assumedEdgeCount   = 512
+	edgeCountRetention = 10 * time.Second
+	edgeCountTimeout   = 5 * time.Second
 )
 
-func (d *FleetState) count() int {
-	now, most := d.clock(), 0
-	for _, held := range d.sources {
-		if now.Sub(held.heardAt) < countFresh {
-			most = max(most, held.edges)
+func (s *FleetState) edgeCount() int {
+	now, most := s.clock(), 0
+	for _, control := range s.controlPeers {
+		if now.Sub(control.lastSeen) < edgeCountTimeout {
+			most = max(most, control.edgeCount)
 		}
 	}
-	if most >= d.counted || most > 0 && now.Sub(d.countedAt) > countKept {
-		d.counted, d.countedAt = most, now
+	if most >= s.knownEdgeCount || most > 0 && now.Sub(s.knownEdgeCountAt) > edgeCountRetention {
+		s.knownEdgeCount, s.knownEdgeCountAt = most, now
 	}
-	if d.counted == 0 {
-		return uncounted
+	if s.knownEdgeCount == 0 {
+		return assumedEdgeCount
 	}
-	return d.counted
+	return s.knownEdgeCount
 }
 
-// sureCount is the number of data planes, without those that fell silent so long ago that what they lent of tenants'
+// presentEdgeCount is the number of data planes, without those that fell silent so long ago that what they lent of tenants'
 // limits has ended. Where no control daemon has run for long enough to be sure of that, it is the one that is kept high,
 // and 0 if none was ever told.
-func (d *FleetState) sureCount() (count int, sure bool) {
-	now, most := d.clock(), 0
-	for _, held := range d.sources {
-		if now.Sub(held.heardAt) < countFresh {
-			most = max(most, held.edges, held.present)
-			sure = sure || held.sure
+func (s *FleetState) presentEdgeCount() (count int, known bool) {
+	now, most := s.clock(), 0
+	for _, control := range s.controlPeers {
+		if now.Sub(control.lastSeen) < edgeCountTimeout {
+			most = max(most, control.edgeCount, control.presentEdges)
+			known = known || control.presentKnown
 		}
 	}
-	if d.count(); !sure {
-		return max(d.counted, most), false
+	if s.edgeCount(); !known {
+		return max(s.knownEdgeCount, most), false
 	}
 	return most, true
 }
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -36,11 +36,11 @@
 	// address is where this data plane answers others.
 	address string
 	// addresses are those of the data planes that may be homes, from the list that mark stands for.
-	addresses map[string]string
-	mark      uint64
+	addresses         map[string]string
+	neighboursVersion uint64
 	// asking holds the calls under way by tenant, and pending the number of requests that wait for them.
-	asking  map[string]chan struct{}
-	pending map[string]int
+	borrowing map[string]chan struct{}
+	waiting   map[string]int
 }
 
 // NewQuotas returns quotas that know no tenant and no other data plane yet.
@@ -51,7 +51,7 @@
 		Overage: bounds.QuotaOverage,
 		Slack:   bounds.QuotaSlack,
 	})
-	life := settings.NodeName + "/" + strconv.FormatUint(rand.Uint64(), 36)
+	incarnation := settings.NodeName + "/" + strconv.FormatUint(rand.Uint64(), 36)
 	now := clock()
 	return &Quotas{
 		parameters: parameters,
@@ -59,44 +59,44 @@
 		peers:      peers,
 		clock:      clock,
 		wake:       make(chan struct{}, 1),
-		lender:     quota.NewLender(parameters, settings.NodeName, life, now),
-		pool:       quota.NewPool(parameters, life, now),
+		lender:     quota.NewLender(parameters, settings.NodeName, incarnation, now),
+		pool:       quota.NewPool(parameters, incarnation, now),
 		borrower:   quota.NewBorrower(parameters, settings.NodeName),
 		addresses:  map[string]string{},
-		asking:     map[string]chan struct{}{},
-		pending:    map[string]int{},
+		borrowing:  map[string]chan struct{}{},
+		waiting:    map[string]int{},
 	}
 }
 
 // hear takes in confirmed news, with the number of data planes that holds with it (0 while it isn't known) and whether that
 // is sure, and those that may be homes.
-func (q *Quotas) hear(news peer.News, count int, sure bool, asked time.Time) {
+func (q *Quotas) handleUpdate(response peer.News, count int, known bool, sentAt time.Time) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if count > 0 {
 		if !q.lender.HasFreshFleetSize(q.clock()) {
-			q.lendSoon()
+			q.wakeLending()
 		}
-		since := time.Duration(news.CountedMs) * time.Millisecond
-		q.lender.UpdateFleetSize(quota.FleetSize{DataPlanes: count, CountedFor: since, Established: sure}, asked)
+		since := time.Duration(response.CountedMs) * time.Millisecond
+		q.lender.UpdateFleetSize(quota.FleetSize{DataPlanes: count, CountedFor: since, Established: known}, sentAt)
 		q.pool.SetDataPlaneCount(count)
 	}
-	if news.Neighbours == nil {
+	if response.Neighbours == nil {
 		return
 	}
-	q.mark = news.Neighbours.Mark
-	q.addresses = make(map[string]string, len(news.Neighbours.List))
-	for _, one := range news.Neighbours.List {
-		q.addresses[one.Name] = one.Address
+	q.neighboursVersion = response.Neighbours.Mark
+	q.addresses = make(map[string]string, len(response.Neighbours.List))
+	for _, neighbour := range response.Neighbours.List {
+		q.addresses[neighbour.Name] = neighbour.Address
 	}
-	q.lendSoon()
+	q.wakeLending()
 }
 
 // fill puts into a poll where this data plane answers others and which list of these it holds.
-func (q *Quotas) fill(poll *peer.Poll) {
+func (q *Quotas) fillWatchRequest(request *peer.Poll) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	poll.Address, poll.Neighbours = q.address, q.mark
+	request.Address, request.Neighbours = q.address, q.neighboursVersion
 }
 
 func (q *Quotas) setAddress(address string) {
@@ -116,7 +116,7 @@
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if limited && !q.limited {
-		q.lendSoon()
+		q.wakeLending()
 	}
 	q.limited = limited
 	q.pool.SetLimits(limits, q.clock())
@@ -127,21 +127,21 @@
 }
 
 // Leave hands back what others lend to this data plane when they come to renew it.
-func (q *Quotas) Leave() {
+func (q *Quotas) Drain() {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.pool.Drain()
 }
 
-func (q *Quotas) lendSoon() {
+func (q *Quotas) wakeLending() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// wakePause is the least time between two rounds of lending: answers and failures may ask for another one at once.
-const wakePause = 40 * time.Millisecond
+// minLendInterval is the least time between two rounds of lending: answers and failures may ask for another one at once.
+const minLendInterval = 40 * time.Millisecond
 
 // Run lends until the context ends.
 func (q *Quotas) Run(ctx context.Context) {
@@ -154,15 +154,15 @@
 		case <-ticker.C:
 		case <-q.wake:
 		}
-		for _, offer := range q.plan() {
-			go q.lend(ctx, offer)
+		for _, offer := range q.planOffers() {
+			go q.sendOffer(ctx, offer)
 		}
-		nodesettings.Sleep(ctx, wakePause)
+		nodesettings.Sleep(ctx, minLendInterval)
 	}
 }
 
 // plan names what is to be lent to whom. What is lent to the own pool is lent at once.
-func (q *Quotas) plan() []plannedOffer {
+func (q *Quotas) planOffers() []addressedOffer {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	now := q.clock()
@@ -176,25 +176,25 @@
 			members = append(members, name)
 		}
 	}
-	var planned []plannedOffer
+	var planned []addressedOffer
 	for _, offer := range q.lender.Plan(members, now) {
 		if offer.HomeShard != q.name {
-			planned = append(planned, plannedOffer{offer, q.addresses[offer.HomeShard]})
+			planned = append(planned, addressedOffer{offer, q.addresses[offer.HomeShard]})
 			continue
 		}
 		if q.lender.HandleReply(q.name, q.pool.Lend(offer.Request, now), now) {
-			q.lendSoon()
+			q.wakeLending()
 		}
 	}
 	return planned
 }
 
-type plannedOffer struct {
+type addressedOffer struct {
 	quota.Offer
 	address string
 }
 
-func (q *Quotas) lend(ctx context.Context, offer plannedOffer) {
+func (q *Quotas) sendOffer(ctx context.Context, offer addressedOffer) {
 	var reply quota.LendReply
 	err := q.peers.Ask(ctx, "lend", offer.address, offer.Request, &reply)
 	q.lock.Lock()
@@ -202,29 +202,29 @@
 	if err != nil {
 		q.lender.HandleFailure(offer.HomeShard, q.clock())
 		logrus.WithError(err).WithField("home", offer.HomeShard).Debug("home of tenants' limits gave no answer")
-		q.lendSoon()
+		q.wakeLending()
 		return
 	}
 	if q.lender.HandleReply(offer.HomeShard, reply, q.clock()) {
-		q.lendSoon()
+		q.wakeLending()
 	}
 }
 
 // routes answers other data planes.
 func (q *Quotas) routes() http.Handler {
 	router := chi.NewRouter()
-	router.Post(peer.Calls["lend"].Path, peer.Answer(q.hearLend))
-	router.Post(peer.Calls["borrow"].Path, peer.Answer(q.hearBorrow))
+	router.Post(peer.Calls["lend"].Path, peer.Answer(q.handleLend))
+	router.Post(peer.Calls["borrow"].Path, peer.Answer(q.handleBorrow))
 	return router
 }
 
-func (q *Quotas) hearLend(_ context.Context, request quota.LendRequest) quota.LendReply {
+func (q *Quotas) handleLend(_ context.Context, request quota.LendRequest) quota.LendReply {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return q.pool.Lend(request, q.clock())
 }
 
-func (q *Quotas) hearBorrow(_ context.Context, request quota.BorrowRequest) quota.BorrowReply {
+func (q *Quotas) handleBorrow(_ context.Context, request quota.BorrowRequest) quota.BorrowReply {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return q.pool.Borrow(request, q.clock())
--- a/internal/dataplane/quotastatus.go
+++ b/internal/dataplane/quotastatus.go
@@ -11,25 +11,25 @@
 
 // quotaStatus is what operators see of the limits of tenants at one data plane: what is lent to it and what it lent.
 type quotaStatus struct {
-	Holds []quota.TenantBalance `json:"holds"`
-	Lent  []quota.LeasedShare   `json:"lent"`
+	Holdings []quota.TenantBalance `json:"holds"`
+	Lent     []quota.LeasedShare   `json:"lent"`
 }
 
 // status tells the present state, in order of names.
 func (q *Quotas) status() quotaStatus {
 	q.lock.Lock()
 	now := q.clock()
-	status := quotaStatus{Holds: q.pool.TenantBalances(now), Lent: q.lender.LeasedShares(now)}
+	status := quotaStatus{Holdings: q.pool.TenantBalances(now), Lent: q.lender.LeasedShares(now)}
 	q.lock.Unlock()
-	slices.SortFunc(status.Holds, func(left, right quota.TenantBalance) int { return cmp.Compare(left.Tenant, right.Tenant) })
+	slices.SortFunc(status.Holdings, func(left, right quota.TenantBalance) int { return cmp.Compare(left.Tenant, right.Tenant) })
 	slices.SortFunc(status.Lent, func(left, right quota.LeasedShare) int {
 		return cmp.Or(cmp.Compare(left.Group, right.Group), cmp.Compare(left.HomeShard, right.HomeShard))
 	})
 	return status
 }
 
-// showStatus answers with the status.
-func (q *Quotas) showStatus(writer http.ResponseWriter, _ *http.Request) {
+// serveStatus answers with the status.
+func (q *Quotas) serveStatus(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(q.status())
 }
--- a/internal/dataplane/readiness.go
+++ b/internal/dataplane/readiness.go
@@ -9,16 +9,16 @@
 	"ferryspar/internal/apierror"
 )
 
-// readinessRoutes answers whether this daemon may be sent requests, and what it refused since its start, by reason, and
+// statusRoutes answers whether this daemon may be sent requests, and what it refused since its start, by reason, and
 // what it holds and lent of tenants' limits.
-func (d *Daemon) readinessRoutes() http.Handler {
+func (n *Node) statusRoutes() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/ferryspar/readyz", func(writer http.ResponseWriter, request *http.Request) {
-		if d.leaving.Load() {
+		if n.draining.Load() {
 			apierror.Write(writer, apierror.New(apierror.ShuttingDown, ""))
 			return
 		}
-		if !d.state.Ready() {
+		if !n.state.Ready() {
 			apierror.Write(writer, apierror.New(apierror.NoConfiguration, ""))
 			return
 		}
@@ -26,8 +26,8 @@
 	})
 	router.Get("/ferryspar/refusals", func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(writer).Encode(d.handler.Refusals.Counts())
+		_ = json.NewEncoder(writer).Encode(n.handler.Rejections.Counts())
 	})
-	router.Get("/ferryspar/quota", d.quotas.showStatus)
+	router.Get("/ferryspar/quota", n.quotas.serveStatus)
 	return router
 }
--- a/internal/dataplane/recording.go
+++ b/internal/dataplane/recording.go
@@ -8,29 +8,29 @@
 
 // redacted is the packed configuration as records hold it: without keys. Where that fails it is empty.
 func redacted(document []byte) []byte {
-	shown, err := configuration.RedactDocument(document)
+	redactedDocument, err := configuration.RedactDocument(document)
 	if err != nil {
 		return nil
 	}
-	return configuration.Compress(shown)
+	return configuration.Compress(redactedDocument)
 }
 
 // record writes the fleet to the recording, if there is one.
-func (d *FleetState) record(fleet *match.Snapshot) {
-	if d.Recorder == nil || d.usedFrom == "" {
+func (s *FleetState) recordFleet(fleet *match.Snapshot) {
+	if s.Recorder == nil || s.endpointsFrom == "" {
 		return
 	}
 	entry := record.Entry{
-		Kind:     record.KindFleet,
-		AtMs:     d.Recorder.Milliseconds(d.clock()),
-		Replicas: d.listed,
-		Edges:    fleet.DataPlanes,
-		Zone:     d.settings.Zone,
+		Kind:      record.KindFleet,
+		AtMs:      s.Recorder.OffsetMs(s.clock()),
+		Replicas:  s.listedReplicas,
+		EdgeCount: fleet.DataPlanes,
+		Zone:      s.settings.Zone,
 	}
 	for zone, drained := range fleet.DrainedZones {
 		if drained {
-			entry.Drained = append(entry.Drained, zone)
+			entry.DrainedZones = append(entry.DrainedZones, zone)
 		}
 	}
-	d.Recorder.Write(entry)
+	s.Recorder.Write(entry)
 }
--- a/internal/dataplane/state.go
+++ b/internal/dataplane/state.go
@@ -15,217 +15,217 @@
 	"ferryspar/internal/record"
 )
 
-type source struct {
-	fresh     bool
-	heardAt   time.Time
-	revision  int64
-	edges     int
-	present   int
-	sure      bool
-	life      string
-	parts     map[peer.PartName]peer.Part
-	whole     bool
-	number    uint64
-	fetchedAt time.Time
-	zone      string
-	aside     bool
+type controlPeer struct {
+	fresh              bool
+	lastSeen           time.Time
+	revision           int64
+	edgeCount          int
+	presentEdges       int
+	presentKnown       bool
+	incarnation        string
+	endpointSets       map[peer.PartName]peer.Part
+	complete           bool
+	subscriptionNumber uint64
+	fetchedAt          time.Time
+	zone               string
+	secondary          bool
 }
 
 // FleetState owns what the data plane knows: configuration, evacuations, replicas, others' load. Its
 // run loop merges what control daemons tell and swaps in a new match.Snapshot for the request path.
 type FleetState struct {
-	settings   nodesettings.Settings
-	clock      func() time.Time
-	fleet      *atomic.Pointer[match.Snapshot]
-	wants      wants
-	sources    map[string]*source
-	zones      map[string]peer.ZoneState
-	table      *configuration.Table
-	outlook    chan peer.FleetLoad
-	others     peer.FleetLoad
-	othersAt   time.Time
-	notify     func()
-	shown      time.Time
-	usedFrom   string
-	interest   *Interest
-	asking     bool
-	answers    chan answered
-	listed     []platform.Replica
-	replicas   []*match.Replica
-	told       uint64
-	lastForget uint64
-	Recorder   *record.Writer
-	heard      atomic.Pointer[time.Time]
-	guarded    atomic.Bool
-	forget     func(func(*match.PrefixLedger))
-	askAgain   func(address string)
-	behind     time.Time
-	counted    int
-	countedAt  time.Time
-	rehearsal  drillState
-	currency   *currency
-	quotas     *Quotas
+	settings         nodesettings.Settings
+	clock            func() time.Time
+	fleet            *atomic.Pointer[match.Snapshot]
+	position         watchPosition
+	controlPeers     map[string]*controlPeer
+	zones            map[string]peer.ZoneState
+	table            *configuration.Table
+	fleetLoads       chan peer.FleetLoad
+	fleetLoad        peer.FleetLoad
+	fleetLoadAt      time.Time
+	onChange         func()
+	endpointsAsOf    time.Time
+	endpointsFrom    string
+	interest         *Interest
+	subscribing      bool
+	subscribeResults chan subscribeResult
+	listedReplicas   []platform.Replica
+	replicas         []*match.Replica
+	contextNumber    uint64
+	lastForgetNumber uint64
+	Recorder         *record.Writer
+	lastConfirmed    atomic.Pointer[time.Time]
+	hasContextRules  atomic.Bool
+	updateLedger     func(func(*match.PrefixLedger))
+	repoll           func(address string)
+	behindSince      time.Time
+	knownEdgeCount   int
+	knownEdgeCountAt time.Time
+	drills           drillState
+	freshness        *freshness
+	quotas           *Quotas
 }
 
 // NewFleetState starts empty; notify is called after each swap.
 func NewFleetState(settings nodesettings.Settings, clock func() time.Time, fleet *atomic.Pointer[match.Snapshot], notify func()) *FleetState {
 	state := &FleetState{
-		settings: settings, clock: clock, fleet: fleet, sources: map[string]*source{}, zones: map[string]peer.ZoneState{},
-		outlook: make(chan peer.FleetLoad, 4), notify: notify, askAgain: func(string) {}, interest: NewInterest(clock), answers: make(chan answered, 4),
-		currency: newCurrency(settings),
+		settings: settings, clock: clock, fleet: fleet, controlPeers: map[string]*controlPeer{}, zones: map[string]peer.ZoneState{},
+		fleetLoads: make(chan peer.FleetLoad, 4), onChange: notify, repoll: func(string) {}, interest: NewInterest(clock), subscribeResults: make(chan subscribeResult, 4),
+		freshness: newFreshness(settings),
 	}
 	fleet.Store(&match.Snapshot{})
 	nobody := ""
-	state.wants.primary.Store(&nobody)
-	state.wants.told.Store(&toldParts{})
+	state.position.primary.Store(&nobody)
+	state.position.subscription.Store(&subscription{})
 	return state
 }
 
-func (d *FleetState) fill(poll *peer.Poll, address string) {
-	poll.Revision = d.wants.revision.Load()
-	poll.Proof = poll.Revision == 0
-	if d.quotas != nil {
-		d.quotas.fill(poll)
+func (s *FleetState) fillWatchRequest(request *peer.Poll, address string) {
+	request.Revision = s.position.revision.Load()
+	request.Proof = request.Revision == 0
+	if s.quotas != nil {
+		s.quotas.fillWatchRequest(request)
 	}
-	poll.ZoneNumber = d.wants.zones.Load()
-	poll.Context, poll.Forgot = d.wants.context.Load(), d.wants.forgot.Load()
-	poll.Leaving, poll.Drill = d.wants.leaving.Load(), d.rehearsal.report(d.clock())
-	primary := *d.wants.primary.Load()
-	poll.Wants = primary == "" || primary == address
-	poll.Follows = 0
-	if told := d.wants.told.Load(); told.address == address {
-		poll.Follows = told.number
-		if told.life == poll.Life {
-			poll.Roster = max(poll.Roster, told.roster)
+	request.ZoneNumber = s.position.zoneVersion.Load()
+	request.Context, request.Forgot = s.position.contextNumber.Load(), s.position.forgotNumber.Load()
+	request.Leaving, request.Drill = s.position.draining.Load(), s.drills.report(s.clock())
+	primary := *s.position.primary.Load()
+	request.Wants = primary == "" || primary == address
+	request.Follows = 0
+	if subscription := s.position.subscription.Load(); subscription.address == address {
+		request.Follows = subscription.number
+		if subscription.incarnation == request.Life {
+			request.Roster = max(request.Roster, subscription.roster)
 		}
 	}
 }
 
 // Ready says whether a configuration has been adopted. Any goroutine may call it.
-func (d *FleetState) Ready() bool { return d.fleet.Load().Table != nil }
+func (s *FleetState) Ready() bool { return s.fleet.Load().Table != nil }
 
 // Run merges news until the context ends.
-func (d *FleetState) Run(ctx context.Context, listener *Listener) {
+func (s *FleetState) Run(ctx context.Context, watcher *Watcher) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case one := <-listener.news:
-			if d.hear(one) {
-				d.publish()
+		case result := <-watcher.results:
+			if s.handleWatchResult(result) {
+				s.publish()
 			}
-			if !one.failed {
-				d.currency.note(one.news, one.asked, d.wants.revision.Load(), one.news.Fresh(one.asked, one.at))
+			if !result.failed {
+				s.freshness.observe(result.response, result.sentAt, s.position.revision.Load(), result.response.Fresh(result.sentAt, result.receivedAt))
 			}
-			one.taken()
-			if !one.failed {
-				listener.Follow(ctx, one.news.Control)
+			result.markHandled()
+			if !result.failed {
+				watcher.Watch(ctx, result.response.Control)
 			}
-		case <-d.interest.wake:
-			d.follow(ctx, listener.peers)
-		case one := <-d.answers:
-			if d.followed(one) {
-				d.publish()
+		case <-s.interest.wake:
+			s.subscribe(ctx, watcher.peers)
+		case result := <-s.subscribeResults:
+			if s.handleSubscribeResult(result) {
+				s.publish()
 			}
-			if d.wholeFrom(one.address) {
-				d.follow(ctx, listener.peers)
+			if s.completeFrom(result.address) {
+				s.subscribe(ctx, watcher.peers)
 			}
-		case outlook := <-d.outlook:
-			d.others, d.othersAt = outlook, d.clock()
-			d.publish()
+		case load := <-s.fleetLoads:
+			s.fleetLoad, s.fleetLoadAt = load, s.clock()
+			s.publish()
 		case <-ticker.C:
-			d.choose()
-			d.overseeDrill()
-			d.follow(ctx, listener.peers)
+			s.choosePrimary()
+			s.checkDrill()
+			s.subscribe(ctx, watcher.peers)
 		}
 	}
 }
 
-func (d *FleetState) hear(one heard) bool {
-	held := d.sources[one.address]
-	if held == nil {
-		held = &source{}
-		d.sources[one.address] = held
+func (s *FleetState) handleWatchResult(result watchResult) bool {
+	control := s.controlPeers[result.address]
+	if control == nil {
+		control = &controlPeer{}
+		s.controlPeers[result.address] = control
 	}
-	if one.failed {
-		held.fresh = false
-		d.choose()
+	if result.failed {
+		control.fresh = false
+		s.choosePrimary()
 		return false
 	}
-	news, fresh := one.news, one.news.Fresh(one.asked, one.at)
-	held.fresh, held.heardAt, held.revision, held.edges, held.aside = fresh, one.at, news.Revision, news.Edges, one.aside
+	response, fresh := result.response, result.response.Fresh(result.sentAt, result.receivedAt)
+	control.fresh, control.lastSeen, control.revision, control.edgeCount, control.secondary = fresh, result.receivedAt, response.Revision, response.Edges, result.secondary
 	changed := false
-	if fresh && d.believable(news) {
-		changed = d.adopt(news)
-		d.heard.Store(&one.at)
-		changed = d.rehearse(one) || changed
+	if fresh && s.acceptable(response) {
+		changed = s.adopt(response)
+		s.lastConfirmed.Store(&result.receivedAt)
+		changed = s.handleDrill(result) || changed
 	}
-	held.zone, held.present, held.sure = news.Zone, news.Present, news.EdgesSure
-	if fresh && d.quotas != nil {
-		count, sure := d.sureCount()
-		d.quotas.hear(news, count, sure, one.asked)
+	control.zone, control.presentEdges, control.presentKnown = response.Zone, response.Present, response.EdgesSure
+	if fresh && s.quotas != nil {
+		count, known := s.presentEdgeCount()
+		s.quotas.handleUpdate(response, count, known, result.sentAt)
 	}
-	d.choose()
-	return d.hearParts(one.address, held, news, one.at, fresh) || changed
+	s.choosePrimary()
+	return s.handleEndpointSets(result.address, control, response, result.receivedAt, fresh) || changed
 }
 
 // believable says whether news may bring the first configuration of this life: only if contact
 // with a majority was proven after this data plane asked. Later ones only ever rise.
-func (d *FleetState) believable(news peer.News) bool {
-	return news.Proven || d.wants.revision.Load() > 0
+func (s *FleetState) acceptable(response peer.News) bool {
+	return response.Proven || s.position.revision.Load() > 0
 }
 
-func (d *FleetState) adopt(news peer.News) bool {
+func (s *FleetState) adopt(response peer.News) bool {
 	changed := false
-	if len(news.Packed) > 0 && news.Revision > d.wants.revision.Load() {
-		document, err := configuration.Decompress(news.Packed)
+	if len(response.Packed) > 0 && response.Revision > s.position.revision.Load() {
+		document, err := configuration.Decompress(response.Packed)
 		if err != nil {
 			logrus.WithError(err).Error("configuration from control daemon cannot be unpacked")
 			return false
 		}
-		read, err := configuration.Decode(document)
+		decoded, err := configuration.Decode(document)
 		if err != nil {
 			logrus.WithError(err).Error("configuration from control daemon cannot be read")
 			return false
 		}
-		d.table = configuration.NewTable(read, nil)
-		if d.quotas != nil {
-			d.quotas.setLimits(read.Tenants)
+		s.table = configuration.NewTable(decoded, nil)
+		if s.quotas != nil {
+			s.quotas.setLimits(decoded.Tenants)
 		}
-		d.wants.revision.Store(read.Revision)
-		if d.Recorder != nil {
-			d.Recorder.Write(record.Entry{Kind: record.KindConfiguration, AtMs: d.Recorder.Milliseconds(d.clock()), Packed: redacted(document)})
+		s.position.revision.Store(decoded.Revision)
+		if s.Recorder != nil {
+			s.Recorder.Write(record.Entry{Kind: record.KindConfiguration, AtMs: s.Recorder.OffsetMs(s.clock()), PackedConfiguration: redacted(document)})
 		}
-		logrus.WithField("revision", read.Revision).Info("configuration adopted")
+		logrus.WithField("revision", decoded.Revision).Info("configuration adopted")
 		changed = true
 	}
-	if news.Context != nil {
-		d.adoptContext(*news.Context)
+	if response.Context != nil {
+		s.adoptContextRules(*response.Context)
 	}
 	total := uint64(0)
-	for zone, state := range news.Zones {
-		if state.Number > d.zones[zone].Number {
-			d.zones[zone] = state
+	for zone, state := range response.Zones {
+		if state.Number > s.zones[zone].Number {
+			s.zones[zone] = state
 			changed = true
 			logrus.WithFields(logrus.Fields{"zone": zone, "drained": state.Drained}).Info("zone evacuation followed")
 		}
 	}
-	for _, state := range d.zones {
+	for _, state := range s.zones {
 		total += state.Number
 	}
-	d.wants.zones.Store(total)
+	s.position.zoneVersion.Store(total)
 	return changed
 }
 
-func (d *FleetState) publish() {
-	fleet := &match.Snapshot{Table: d.table, DrainedZones: map[string]bool{}, DataPlanes: d.count(), ListedAt: d.shown, PeerLoads: d.others.Replicas, PeerLoadsAt: d.othersAt, PeerOutcomes: d.others.Total, Drill: d.rehearsal.drill}
-	for zone, state := range d.zones {
+func (s *FleetState) publish() {
+	fleet := &match.Snapshot{Table: s.table, DrainedZones: map[string]bool{}, DataPlanes: s.edgeCount(), ListedAt: s.endpointsAsOf, PeerLoads: s.fleetLoad.Replicas, PeerLoadsAt: s.fleetLoadAt, PeerOutcomes: s.fleetLoad.Total, Drill: s.drills.drill}
+	for zone, state := range s.zones {
 		fleet.DrainedZones[zone] = state.Drained
 	}
-	fleet.Replicas = d.replicas
-	d.fleet.Store(fleet)
-	d.record(fleet)
-	d.notify()
+	fleet.Replicas = s.replicas
+	s.fleet.Store(fleet)
+	s.recordFleet(fleet)
+	s.onChange()
 }
--- a/internal/dataplane/state_bench_test.go
+++ b/internal/dataplane/state_bench_test.go
@@ -15,7 +15,7 @@
 	"ferryspar/internal/peer"
 )
 
-func benchDesk(b *testing.B) (*FleetState, *atomic.Pointer[match.Snapshot]) {
+func newBenchState(b *testing.B) (*FleetState, *atomic.Pointer[match.Snapshot]) {
 	settings, err := nodesettings.Parse(nil)
 	assert.NilError(b, err)
 	settings.Zone, settings.Zones = "north", map[string]string{"north": "land"}
@@ -25,91 +25,91 @@
 
 const benchSource = "10.0.0.1:7000"
 
-func benchParts(count, holders int, version uint64) []peer.Part {
+func benchEndpointSets(count, endpoints int, version uint64) []peer.Part {
 	var list []peer.Part
 	for index := range count {
-		part := peer.Part{PartName: peer.PartName{Backend: "writers", Model: fmt.Sprintf("model%04d", index)}, Version: version}
-		for place := range holders {
-			number := index*holders + place
-			part.Holders = append(part.Holders, peer.Holder{ID: fmt.Sprintf("i-%08x", number), Address: fmt.Sprintf("10.1.%d.%d:8080", number/200, number%200), Zone: "north", Slots: 64, Adapters: []string{"a1"}})
+		set := peer.Part{PartName: peer.PartName{Backend: "writers", Model: fmt.Sprintf("model%04d", index)}, Version: version}
+		for position := range endpoints {
+			number := index*endpoints + position
+			set.Holders = append(set.Holders, peer.Holder{ID: fmt.Sprintf("i-%08x", number), Address: fmt.Sprintf("10.1.%d.%d:8080", number/200, number%200), Zone: "north", Slots: 64, Adapters: []string{"a1"}})
 		}
-		list = append(list, part)
+		list = append(list, set)
 	}
 	return list
 }
 
-func following(state *FleetState, parts []peer.Part) {
+func subscribeBench(state *FleetState, sets []peer.Part) {
 	source := benchSource
-	state.hear(heard{address: source, asked: time.Now(), at: time.Now(), news: peer.News{Member: source, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: 1, Edges: 80}})
-	state.followed(answered{source, peer.FollowRequest{Number: 1, Whole: true}, peer.FollowReply{Life: "1", FreshMs: 1000, Parts: parts}, time.Now(), time.Now(), false})
+	state.handleWatchResult(watchResult{address: source, sentAt: time.Now(), receivedAt: time.Now(), response: peer.News{Member: source, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: 1, Edges: 80}})
+	state.handleSubscribeResult(subscribeResult{source, peer.FollowRequest{Number: 1, Whole: true}, peer.FollowReply{Life: "1", FreshMs: 1000, Parts: sets}, time.Now(), time.Now(), false})
 }
 
 const (
-	followedParts = 20
-	holdersOfOne  = 3
+	subscribedSets  = 20
+	endpointsPerSet = 3
 )
 
-func hearOver(b *testing.B, news func(turn uint64) peer.News) {
-	state, fleet := benchDesk(b)
-	following(state, benchParts(followedParts, holdersOfOne, 1))
+func benchResponses(b *testing.B, response func(turn uint64) peer.News) {
+	state, fleet := newBenchState(b)
+	subscribeBench(state, benchEndpointSets(subscribedSets, endpointsPerSet, 1))
 	turn := uint64(1)
 	for b.Loop() {
 		turn++
-		one := heard{address: benchSource, asked: time.Now(), at: time.Now(), news: news(turn)}
-		if state.hear(one) {
+		result := watchResult{address: benchSource, sentAt: time.Now(), receivedAt: time.Now(), response: response(turn)}
+		if state.handleWatchResult(result) {
 			state.publish()
 		}
 	}
 	assert.Assert(b, fleet.Load() != nil)
 }
 
-func BenchmarkDeskHearsAPartChange(b *testing.B) {
-	run := func(parts, holders int) func(b *testing.B) {
+func BenchmarkFleetState_EndpointSetChange(b *testing.B) {
+	run := func(sets, endpoints int) func(b *testing.B) {
 		return func(b *testing.B) {
-			state, fleet := benchDesk(b)
-			following(state, benchParts(parts, holders, 1))
-			changed, turn := benchParts(1, holders, 1), uint64(1)
+			state, fleet := newBenchState(b)
+			subscribeBench(state, benchEndpointSets(sets, endpoints, 1))
+			changed, turn := benchEndpointSets(1, endpoints, 1), uint64(1)
 			for b.Loop() {
 				turn++
 				changed[0].Version = turn
-				if state.hear(heard{address: benchSource, asked: time.Now(), at: time.Now(), news: peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: 1, Roster: turn, Parts: changed, Edges: 80}}) {
+				if state.handleWatchResult(watchResult{address: benchSource, sentAt: time.Now(), receivedAt: time.Now(), response: peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: 1, Roster: turn, Parts: changed, Edges: 80}}) {
 					state.publish()
 				}
 			}
-			assert.Equal(b, len(fleet.Load().Replicas), parts*holders)
+			assert.Equal(b, len(fleet.Load().Replicas), sets*endpoints)
 		}
 	}
-	for _, parts := range []int{5, 20, 100} {
-		b.Run(fmt.Sprintf("parts=%d", parts), run(parts, holdersOfOne))
+	for _, sets := range []int{5, 20, 100} {
+		b.Run(fmt.Sprintf("parts=%d", sets), run(sets, endpointsPerSet))
 	}
-	for _, holders := range []int{1, 9, 140} {
-		b.Run(fmt.Sprintf("holders=%d", holders), run(1, holders))
+	for _, endpoints := range []int{1, 9, 140} {
+		b.Run(fmt.Sprintf("holders=%d", endpoints), run(1, endpoints))
 	}
 }
 
-func BenchmarkDeskHearsNoNews(b *testing.B) {
+func BenchmarkFleetState_UnchangedResponse(b *testing.B) {
 	for _, edges := range []int{8, 80, 400} {
 		b.Run(fmt.Sprintf("edges=%d", edges), func(b *testing.B) {
-			hearOver(b, func(turn uint64) peer.News {
+			benchResponses(b, func(turn uint64) peer.News {
 				return peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: 1, Edges: edges}
 			})
 		})
 	}
 }
 
-func BenchmarkDeskHearsALayout(b *testing.B) {
+func BenchmarkFleetState_NewConfiguration(b *testing.B) {
 	for _, models := range []int{28, 450, 1600} {
 		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) {
-			whole := configuration.Configuration{Backends: []configuration.Backend{{Name: "writers", Runtime: &configuration.Runtime{Slots: 64}}}}
+			current := configuration.Configuration{Backends: []configuration.Backend{{Name: "writers", Runtime: &configuration.Runtime{Slots: 64}}}}
 			for index := range models {
-				whole.Backends[0].Runtime.Models = append(whole.Backends[0].Runtime.Models, configuration.Model{Name: fmt.Sprintf("model%04d", index), WeightSizeMb: 65000, LoadTimeS: 5})
+				current.Backends[0].Runtime.Models = append(current.Backends[0].Runtime.Models, configuration.Model{Name: fmt.Sprintf("model%04d", index), WeightSizeMb: 65000, LoadTimeS: 5})
 			}
-			hearOver(b, func(turn uint64) peer.News {
+			benchResponses(b, func(turn uint64) peer.News {
 				b.StopTimer()
 				defer b.StartTimer()
-				whole.Revision = int64(turn)
-				document, _ := json.Marshal(whole)
-				return peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: turn, Revision: whole.Revision, Packed: configuration.Compress(document), Edges: 80}
+				current.Revision = int64(turn)
+				document, _ := json.Marshal(current)
+				return peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: turn, Revision: current.Revision, Packed: configuration.Compress(document), Edges: 80}
 			})
 		})
 	}
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -77,7 +77,7 @@
 	w := p.edge.world
 	p.ticket = command.Ticket
 	p.noteForward(command.Replica.ID)
-	if p.forwards > 0 && !p.edge.budget.Take(w.now(), p.edge.fleet.Load().DataPlanes) {
+	if p.forwards > 0 && !p.edge.budget.Allow(w.now(), p.edge.fleet.Load().DataPlanes) {
 		p.edge.reportOutcome(p.ticket, match.OutcomeCancelled)
 		p.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
 		return
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -25,7 +25,7 @@
 	routable bool
 	fleet    atomic.Pointer[match.Snapshot]
 	matcher  *match.Matcher
-	budget   *client.Budget
+	budget   *client.RetryBudget
 	roster   roster
 	// othersLoad is the summed load of the other edges, by replica.
 	othersLoad   map[string]peer.ReplicaLoad
@@ -72,7 +72,7 @@
 	e.fleet = atomic.Pointer[match.Snapshot]{}
 	e.fleet.Store(&match.Snapshot{})
 	e.matcher = match.NewMatcher(e.world.scenario.Parameters, e.world.scenario.Zones[e.zone].Name, e.world.now, &e.fleet)
-	e.budget = client.NewBudget(budgetPeriod, budgetRatio, budgetSlack)
+	e.budget = client.NewRetryBudget(budgetPeriod, budgetRatio, budgetSlack)
 	phase := time.Duration(e.number%10) * loadReportEvery / 10
 	e.reportEvery(e.life, phase)
 }
@@ -162,7 +162,7 @@
 
 // accept takes an attempt in; it is refused while the edge has no configuration.
 func (e *edge) accept(one *attempt) {
-	e.budget.Arrived(e.world.now())
+	e.budget.RecordRequest(e.world.now())
 	if e.fleet.Load().Table == nil {
 		one.refuse(200 * time.Millisecond)
 		return
--- a/internal/emulator/recorded.go
+++ b/internal/emulator/recorded.go
@@ -65,8 +65,8 @@
 			Zone:   int(zones.Rand()),
 			Model:  models[entry.Model],
 			Parts:  parts,
-			Prompt: max(entry.Prompt, totalTokens(parts)),
-			Output: max(int(entry.Output), 1),
+			Prompt: max(entry.PromptTokens, totalTokens(parts)),
+			Output: max(int(entry.OutputTokens), 1),
 			Draw:   chance.Float64(),
 		})
 	}
--- a/internal/emulator/recorded_test.go
+++ b/internal/emulator/recorded_test.go
@@ -18,15 +18,15 @@
 	writer := record.NewWriter(file, 1<<20, time.Now)
 	for number, route := range []string{"report", "quick", "quick", "elsewhere"} {
 		writer.Write(record.Entry{
-			Kind:    record.KindRequest,
-			AtMs:    float64(4000 - 1000*number),
-			Attempt: "a",
-			Route:   route,
-			Backend: "b",
-			Model:   "m",
-			Prefix:  "aa:60,bb:40",
-			Prompt:  100,
-			Output:  5,
+			Kind:         record.KindRequest,
+			AtMs:         float64(4000 - 1000*number),
+			AttemptID:    "a",
+			Route:        route,
+			Backend:      "b",
+			Model:        "m",
+			Prefix:       "aa:60,bb:40",
+			PromptTokens: 100,
+			OutputTokens: 5,
 		})
 	}
 	assert.NilError(t, file.Close())
--- a/internal/emulator/standin/replica.go
+++ b/internal/emulator/standin/replica.go
@@ -114,7 +114,7 @@
 			writer.Header().Set(replica.HeaderAttempt, attempt)
 		}
 		if target := request.Header.Get(replica.HeaderTarget); target != "" && target != r.entry.ID {
-			writer.Header().Set(replica.HeaderIdentity, r.entry.ID)
+			writer.Header().Set(replica.HeaderReplicaID, r.entry.ID)
 			writer.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
@@ -124,14 +124,14 @@
 
 // serveHealth answers a health check.
 func (r *Replica) serveHealth(writer http.ResponseWriter, request *http.Request) {
-	writer.Header().Set(replica.HeaderIdentity, r.entry.ID)
+	writer.Header().Set(replica.HeaderReplicaID, r.entry.ID)
 	writer.WriteHeader(http.StatusOK)
 }
 
 // serveReport answers with the replica's state.
 func (r *Replica) serveReport(writer http.ResponseWriter, request *http.Request) {
 	r.lock.Lock()
-	state := replica.State{
+	state := replica.Report{
 		Phase:    "unified",
 		Models:   r.held.List(),
 		Busy:     time.Now().Before(r.busyUntil),
@@ -146,14 +146,14 @@
 
 // orderBody is an instruction whose sender may leave out the expected sequence.
 type orderBody struct {
-	replica.Instruction
+	replica.Order
 	Expected *int64 `json:"expectedCount"`
 }
 
 // serveInstruction answers a load or unload instruction of the control plane.
 func (r *Replica) serveInstruction(writer http.ResponseWriter, request *http.Request) {
 	var instruction orderBody
-	if json.NewDecoder(request.Body).Decode(&instruction) != nil || instruction.Holder == "" || instruction.Fence == 0 {
+	if json.NewDecoder(request.Body).Decode(&instruction) != nil || instruction.LeaseHolder == "" || instruction.Fence == 0 {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
--- a/internal/emulator/standin/serve.go
+++ b/internal/emulator/standin/serve.go
@@ -37,7 +37,7 @@
 		return
 	}
 	defer r.end()
-	from, _ := strconv.Atoi(request.Header.Get(replica.HeaderLastEvent))
+	from, _ := strconv.Atoi(request.Header.Get(replica.HeaderLastEventID))
 	writer.Header().Set(replica.HeaderSeal, r.entry.ID+"."+strconv.FormatInt(time.Now().UnixMilli(), 36))
 	writer.Header().Set("Content-Type", "text/event-stream")
 	if !pause(request, r.pace.Base+time.Duration(unread/1000*float64(r.pace.ReadPerThousand))) {
--- a/internal/emulator/standin/standin_test.go
+++ b/internal/emulator/standin/standin_test.go
@@ -74,7 +74,7 @@
 		assert.Equal(t, order(one, replica.OperationLoad, "rare", "", 0), http.StatusBadRequest)
 		assert.Equal(t, order(one, "model_dance", "rare", "", 5), http.StatusBadRequest)
 		time.Sleep(1100 * time.Millisecond)
-		var state replica.State
+		var state replica.Report
 		assert.NilError(t, json.Unmarshal(call(one, http.MethodGet, "/ferryspar/report", "", nil).Body.Bytes(), &state))
 		assert.Equal(t, len(state.Models), 2)
 		assert.Equal(t, state.Sequence, int64(1))
@@ -90,11 +90,11 @@
 		one := stand("r-1", "swift")
 		header := func(model, target string) map[string]string {
 			return map[string]string{
-				replica.HeaderAttempt:   "try",
-				replica.HeaderModel:     model,
-				replica.HeaderTarget:    target,
-				replica.HeaderTokens:    "100,4",
-				replica.HeaderLastEvent: "1",
+				replica.HeaderAttempt:     "try",
+				replica.HeaderModel:       model,
+				replica.HeaderTarget:      target,
+				replica.HeaderTokens:      "100,4",
+				replica.HeaderLastEventID: "1",
 			}
 		}
 		done := make(chan *httptest.ResponseRecorder)
@@ -110,7 +110,7 @@
 		assert.Assert(t, strings.HasPrefix(served.Header().Get(replica.HeaderSeal), "r-1."))
 		assert.Equal(t, call(one, http.MethodPost, "/any", "", header("rare", "r-1")).Code, http.StatusMisdirectedRequest)
 		assert.Equal(t, call(one, http.MethodPost, "/any", "", header("swift", "r-2")).Code, http.StatusMisdirectedRequest)
-		assert.Equal(t, call(one, http.MethodGet, "/healthz", "", nil).Header().Get(replica.HeaderIdentity), "r-1")
+		assert.Equal(t, call(one, http.MethodGet, "/healthz", "", nil).Header().Get(replica.HeaderReplicaID), "r-1")
 	})
 }
 
--- a/internal/hollow/standin_replica.go
+++ b/internal/hollow/standin_replica.go
@@ -45,7 +45,7 @@
 }
 
 // applyInstruction carries an instruction out. The caller holds the lock.
-func (s *standIn) applyInstruction(instruction replica.Instruction) {
+func (s *standIn) applyInstruction(instruction replica.Order) {
 	reference := instruction.Model
 	if instruction.Adapter != "" {
 		reference += "/" + instruction.Adapter
--- a/internal/hollow/standins.go
+++ b/internal/hollow/standins.go
@@ -142,8 +142,8 @@
 		return
 	}
 	handlers := map[string]func(*standIn, http.ResponseWriter, *http.Request){
-		replica.Calls["report"].Path: w.serveReport,
-		replica.Calls["order"].Path:  w.serveInstruction,
+		replica.Endpoints["report"].Path: w.serveReport,
+		replica.Endpoints["order"].Path:  w.serveInstruction,
 	}
 	if handle, known := handlers[request.URL.Path]; known {
 		handle(one, writer, request)
@@ -156,7 +156,7 @@
 func (w *StandIns) serveReport(one *standIn, writer http.ResponseWriter, request *http.Request) {
 	w.reports.Add(1)
 	one.lock.Lock()
-	state := replica.State{
+	state := replica.Report{
 		Phase:    "unified",
 		Models:   one.held.List(),
 		Busy:     time.Now().Before(one.busyUntil),
@@ -178,7 +178,7 @@
 // serveInstruction answers a load or unload instruction.
 func (w *StandIns) serveInstruction(one *standIn, writer http.ResponseWriter, request *http.Request) {
 	w.instructions.Add(1)
-	var instruction replica.Instruction
+	var instruction replica.Order
 	if json.NewDecoder(request.Body).Decode(&instruction) != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
@@ -190,7 +190,7 @@
 		return
 	}
 	one.highestFence = instruction.Fence
-	if time.Now().Before(one.busyUntil) || instruction.Expected != one.sequence {
+	if time.Now().Before(one.busyUntil) || instruction.ExpectedCount != one.sequence {
 		writer.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -229,7 +229,7 @@
 	identity, _ := one.identity()
 	writer.Header().Set(replica.HeaderSeal, "seal-"+identity)
 	writer.Header().Set("Content-Type", "text/event-stream")
-	from, _ := strconv.Atoi(request.Header.Get(replica.HeaderLastEvent))
+	from, _ := strconv.Atoi(request.Header.Get(replica.HeaderLastEventID))
 	gap := w.plan.StreamLength / time.Duration(w.plan.Events)
 	for number := from + 1; number <= w.plan.Events; number++ {
 		fmt.Fprintf(writer, "id: %d\ndata: piece %d\n\n", number, number)
--- a/internal/match/adopt.go
+++ b/internal/match/adopt.go
@@ -51,7 +51,7 @@
 func (m *Matcher) state(id string) *replicaState {
 	if m.states[id] == nil {
 		state := newReplicaState(NewPredictor())
-		state.hashFraction = portion.Draw(m.parameters.Daemon, id)
+		state.hashFraction = portion.HashFraction(m.parameters.Daemon, id)
 		m.states[id] = state
 	}
 	return m.states[id]
--- a/internal/match/cold.go
+++ b/internal/match/cold.go
@@ -48,7 +48,7 @@
 	if count <= r.perSecond {
 		return warmUpShare{chance: 1, allowed: int(r.perSecond / count), window: time.Second}
 	}
-	mean := portion.MeanWithin(r.maxPerSecond)
+	mean := portion.MaxMeanWithin(r.maxPerSecond)
 	if count <= r.maxPerSecond {
 		mean = min(count, r.maxPerSecond/warmUpReserve)
 	}
--- a/internal/match/cold_test.go
+++ b/internal/match/cold_test.go
@@ -50,7 +50,7 @@
 func sendsOfAll(rule warmUpLimit, dataPlanes int, replica string) []time.Time {
 	share, states := rule.share(dataPlanes), make([]replicaState, 0, dataPlanes)
 	for dataPlane := range dataPlanes {
-		state := replicaState{hashFraction: portion.Draw("edge-"+strconv.Itoa(dataPlane), replica)}
+		state := replicaState{hashFraction: portion.HashFraction("edge-"+strconv.Itoa(dataPlane), replica)}
 		if state.hashFraction < share.chance {
 			states = append(states, state)
 		}
--- a/internal/portion/portion.go
+++ b/internal/portion/portion.go
@@ -1,7 +1,7 @@
 // Package portion divides a whole between daemons that can't ask one another: by stable hashes,
 // with bounds on what their parts may sum to.
 //
-// Everything in it is a pure function. Start reading at Draw.
+// Everything in it is a pure function. Start reading at HashFraction.
 package portion
 
 import (
@@ -13,26 +13,26 @@
 // TailProbability is the chance that a bound on a sum of draws may be passed with.
 const TailProbability = 1e-5
 
-// Draw returns a number from 0 up to 1 that is stable for a daemon and a subject and independent
+// HashFraction returns a number from 0 up to 1 that is stable for a daemon and a subject and independent
 // between different ones.
-func Draw(daemon, subject string) float64 {
-	return float64(xxhash.Sum64String(daemon+"\x00"+subject)>>11) / (1 << 53)
+func HashFraction(node, subject string) float64 {
+	return float64(xxhash.Sum64String(node+"\x00"+subject)>>11) / (1 << 53)
 }
 
-// RoundByDraw rounds amount down or up, up where draw is below its fraction, so that over many draws the
+// RoundByFraction rounds amount down or up, up where draw is below its fraction, so that over many draws the
 // mean is kept.
-func RoundByDraw(amount, draw float64) int {
+func RoundByFraction(amount, fraction float64) int {
 	floor := math.Floor(max(amount, 0))
-	if draw < max(amount, 0)-floor {
+	if fraction < max(amount, 0)-floor {
 		floor++
 	}
 	return int(floor)
 }
 
-// MeanWithin returns the greatest mean of a sum of independent draws whose chance of passing the bound stays below
+// MaxMeanWithin returns the greatest mean of a sum of independent draws whose chance of passing the bound stays below
 // the tail by Chernoff: P(X >= k) <= exp(-(mean - k + k ln(k/mean))) with k the first count above.
-func MeanWithin(bound float64) float64 {
-	above := math.Floor(bound) + 1
+func MaxMeanWithin(limit float64) float64 {
+	above := math.Floor(limit) + 1
 	low, high := 0.0, above
 	for range 48 {
 		mean := (low + high) / 2
--- a/internal/record/pinned_test.go
+++ b/internal/record/pinned_test.go
@@ -17,14 +17,14 @@
 // pinnedEntries are entries of all kinds with every field that belongs to them.
 func pinnedEntries() []Entry {
 	return []Entry{
-		{Kind: KindConfiguration, AtMs: 0.5, Packed: []byte{1, 2, 253, 254}},
+		{Kind: KindConfiguration, AtMs: 0.5, PackedConfiguration: []byte{1, 2, 253, 254}},
 		{
-			Kind: KindFleet, AtMs: 1.25, Edges: 2, Zone: "north", Drained: []string{"south"},
+			Kind: KindFleet, AtMs: 1.25, EdgeCount: 2, Zone: "north", DrainedZones: []string{"south"},
 			Replicas: []platform.Replica{{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: []platform.Held{{Name: "m"}}}},
 		},
 		{
-			Kind: KindRequest, AtMs: 100, Attempt: "attempt-1", Route: "quick", Backend: "s", Model: "m", Tenant: "shop",
-			Prefix: "aa:800,1:200", Prompt: 1000, Output: 60, LeftMs: 15000, WaitedMs: 12.5, FirstMs: 80, TookMs: 900, Error: "broke off",
+			Kind: KindRequest, AtMs: 100, AttemptID: "attempt-1", Route: "quick", Backend: "s", Model: "m", Tenant: "shop",
+			Prefix: "aa:800,1:200", PromptTokens: 1000, OutputTokens: 60, TimeoutMs: 15000, QueuedMs: 12.5, FirstByteMs: 80, DurationMs: 900, Error: "broke off",
 		},
 		{Kind: KindRequest, AtMs: 140, Route: "quick", Backend: "s"},
 	}
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -73,7 +73,7 @@
 	}
 	for _, entry := range entries {
 		if entry.Kind == record.KindConfiguration {
-			if _, err := configuration.Decompress(entry.Packed); err != nil {
+			if _, err := configuration.Decompress(entry.PackedConfiguration); err != nil {
 				return err
 			}
 		}
@@ -86,7 +86,7 @@
 }
 
 func (e *Engine) setConfiguration(entry record.Entry) {
-	document, _ := configuration.Decompress(entry.Packed)
+	document, _ := configuration.Decompress(entry.PackedConfiguration)
 	if read, err := configuration.Decode(document); err == nil {
 		e.table = configuration.NewTable(read, nil)
 		e.storeSnapshot()
@@ -94,8 +94,8 @@
 }
 
 func (e *Engine) setFleet(entry record.Entry) {
-	e.replicas, e.dataPlanes, e.drainedZones = entry.Replicas, max(entry.Edges, 1), map[string]bool{}
-	for _, zone := range entry.Drained {
+	e.replicas, e.dataPlanes, e.drainedZones = entry.Replicas, max(entry.EdgeCount, 1), map[string]bool{}
+	for _, zone := range entry.DrainedZones {
 		e.drainedZones[zone] = true
 	}
 	e.storeSnapshot()
@@ -113,15 +113,15 @@
 func (e *Engine) submitRequest(entry record.Entry) {
 	parts, _ := match.ParsePrefix(entry.Prefix)
 	request := &match.Request{
-		Attempt:          entry.Attempt,
+		Attempt:          entry.AttemptID,
 		Backend:          entry.Backend,
 		Model:            entry.Model,
 		Parts:            parts,
 		PrefixHashes:     match.HashPrefixes(parts),
-		PromptTokens:     entry.Prompt,
-		OutputTokens:     entry.Output,
+		PromptTokens:     entry.PromptTokens,
+		OutputTokens:     entry.OutputTokens,
 		Arrived:          e.events.Now(),
-		Deadline:         e.events.Now().Add(milliseconds(entry.LeftMs)),
+		Deadline:         e.events.Now().Add(milliseconds(entry.TimeoutMs)),
 		ExcludedReplicas: map[string]bool{},
 	}
 	if e.table != nil {
@@ -131,7 +131,7 @@
 				tenant := e.table.TenantByName(entry.Tenant)
 				request.Priority = tenant.PriorityOr(route.Priority)
 				request.AllowedRegions = tenant.IntersectRegions(route.AllowedRegions)
-				request.ClientRetry = entry.LeftMs < route.TimeoutMs-1
+				request.ClientRetry = entry.TimeoutMs < route.TimeoutMs-1
 			}
 		}
 	}
@@ -173,10 +173,10 @@
 	first := start.Add(milliseconds(e.model.BaseMs + ticket.UncachedTokens()/1000*e.model.PrefillMsPerThousand))
 	e.prefillUntil[id] = first
 	decode := e.model.DecodeMs
-	if entry.TookMs > entry.FirstMs && entry.FirstMs > 0 {
-		decode = entry.TookMs - entry.FirstMs
+	if entry.DurationMs > entry.FirstByteMs && entry.FirstByteMs > 0 {
+		decode = entry.DurationMs - entry.FirstByteMs
 	}
-	e.Summary.recordSend(entry.Route, ticket.CachedTokens()/max(1, entry.Prompt))
+	e.Summary.recordSend(entry.Route, ticket.CachedTokens()/max(1, entry.PromptTokens))
 	e.events.At(first, func() {
 		e.matcher.HandleReport(match.Report{Ticket: ticket, Outcome: match.OutcomeFirstEvent, At: e.events.Now()})
 		e.Summary.recordServed(entry.Route, first.Sub(request.Arrived), request.LatencyTarget)
--- a/internal/replay/engine_test.go
+++ b/internal/replay/engine_test.go
@@ -23,24 +23,24 @@
 	var written bytes.Buffer
 	now := time.Unix(0, 0)
 	writer := record.NewWriter(&written, 1<<20, func() time.Time { return now })
-	writer.Write(record.Entry{Kind: record.KindConfiguration, Packed: configuration.Compress([]byte(document))})
+	writer.Write(record.Entry{Kind: record.KindConfiguration, PackedConfiguration: configuration.Compress([]byte(document))})
 	loaded := []platform.Held{{Name: "m"}}
-	writer.Write(record.Entry{Kind: record.KindFleet, Edges: 1, Zone: "north", Replicas: []platform.Replica{
+	writer.Write(record.Entry{Kind: record.KindFleet, EdgeCount: 1, Zone: "north", Replicas: []platform.Replica{
 		{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: loaded}, {ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: loaded}}})
 	for number := range requests {
 		writer.Write(record.Entry{
-			Kind:    record.KindRequest,
-			AtMs:    float64(100 + number*40),
-			Attempt: fmt.Sprint(number),
-			Route:   "quick",
-			Backend: "s",
-			Model:   model,
-			Prefix:  fmt.Sprintf("aa:800,%x:200", number%3+1),
-			Prompt:  1000,
-			Output:  60,
-			LeftMs:  15000,
-			FirstMs: 80,
-			TookMs:  900,
+			Kind:         record.KindRequest,
+			AtMs:         float64(100 + number*40),
+			AttemptID:    fmt.Sprint(number),
+			Route:        "quick",
+			Backend:      "s",
+			Model:        model,
+			Prefix:       fmt.Sprintf("aa:800,%x:200", number%3+1),
+			PromptTokens: 1000,
+			OutputTokens: 60,
+			TimeoutMs:    15000,
+			FirstByteMs:  80,
+			DurationMs:   900,
 		})
 	}
 	return &written
--- a/internal/replica/answers_test.go
+++ b/internal/replica/answers_test.go
@@ -9,99 +9,99 @@
 	"gotest.tools/v3/assert"
 )
 
-// onceShapes are the shapes of a request that the library may take for repeatable, and one that it doesn't.
-var onceShapes = map[string]func(attempt string) Job{
-	"POST with a body":  func(attempt string) Job { return testJob(http.MethodPost, attempt, "prompt") },
-	"POST without":      func(attempt string) Job { return testJob(http.MethodPost, attempt, "") },
-	"GET":               func(attempt string) Job { return testJob(http.MethodGet, attempt, "") },
-	"HEAD":              func(attempt string) Job { return testJob(http.MethodHead, attempt, "") },
-	"OPTIONS":           func(attempt string) Job { return testJob(http.MethodOptions, attempt, "") },
-	"key and a body":    func(attempt string) Job { return withKey("Idempotency-Key", attempt, "prompt") },
-	"key without":       func(attempt string) Job { return withKey("Idempotency-Key", attempt, "") },
-	"other key without": func(attempt string) Job { return withKey("X-Idempotency-Key", attempt, "") },
+// nonIdempotentShapes are the shapes of a request that the library may take for repeatable, and one that it doesn't.
+var nonIdempotentShapes = map[string]func(attempt string) UpstreamRequest{
+	"POST with a body":  func(attempt string) UpstreamRequest { return testRequest(http.MethodPost, attempt, "prompt") },
+	"POST without":      func(attempt string) UpstreamRequest { return testRequest(http.MethodPost, attempt, "") },
+	"GET":               func(attempt string) UpstreamRequest { return testRequest(http.MethodGet, attempt, "") },
+	"HEAD":              func(attempt string) UpstreamRequest { return testRequest(http.MethodHead, attempt, "") },
+	"OPTIONS":           func(attempt string) UpstreamRequest { return testRequest(http.MethodOptions, attempt, "") },
+	"key and a body":    func(attempt string) UpstreamRequest { return withKey("Idempotency-Key", attempt, "prompt") },
+	"key without":       func(attempt string) UpstreamRequest { return withKey("Idempotency-Key", attempt, "") },
+	"other key without": func(attempt string) UpstreamRequest { return withKey("X-Idempotency-Key", attempt, "") },
 }
 
-func withKey(name, attempt, body string) Job {
-	job := testJob(http.MethodPost, attempt, body)
-	job.Header.Set(name, "key")
-	return job
+func withKey(name, attempt, body string) UpstreamRequest {
+	upstream := testRequest(http.MethodPost, attempt, body)
+	upstream.Header.Set(name, "key")
+	return upstream
 }
 
-func TestGivenAnAnswerOnANewConnectionThenOnlyWhatBearsTheAttemptCounts(t *testing.T) {
+func TestForwarder_AcceptsOnlyResponseToItsAttempt(t *testing.T) {
 	const own = HeaderAttempt + ": a\r\n"
 	const seal = HeaderSeal + ": s\r\n"
 	const empty = "Content-Length: 0\r\n\r\n"
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		answer string
 		want   Verdict
 	}{
-		"sound":                {soundAnswer("a"), VerdictAnswered},
-		"of another":           {soundAnswer("b"), VerdictUnknown},
+		"sound":                {validResponse("a"), VerdictAnswered},
+		"of another":           {validResponse("b"), VerdictUnknown},
 		"two ids":              {"HTTP/1.1 200 OK\r\n" + own + HeaderAttempt + ": b\r\n" + seal + empty, VerdictUnknown},
 		"no id":                {"HTTP/1.1 200 OK\r\n" + seal + empty, VerdictUnknown},
 		"no seal":              {"HTTP/1.1 200 OK\r\n" + own + empty, VerdictUnknown},
 		"encoded":              {"HTTP/1.1 200 OK\r\n" + own + seal + "Content-Encoding: gzip\r\n" + empty, VerdictUnknown},
 		"encoded failure":      {"HTTP/1.1 500 No\r\n" + own + seal + "Content-Encoding: gzip\r\n" + empty, VerdictUnknown},
 		"without an end":       {"HTTP/1.1 200 OK\r\n" + own + seal + "Connection: close\r\n\r\nbytes", VerdictUnknown},
-		"early hints first":    {"HTTP/1.1 103 Early Hints\r\n\r\n" + soundAnswer("a"), VerdictAnswered},
+		"early hints first":    {"HTTP/1.1 103 Early Hints\r\n\r\n" + validResponse("a"), VerdictAnswered},
 		"switch of protocols":  {"HTTP/1.1 101 Switching\r\n" + own + seal + "Upgrade: x\r\nConnection: Upgrade\r\n\r\n", VerdictUnknown},
-		"proof":                {refusal("a"), VerdictFull},
-		"proof of another":     {refusal("b"), VerdictUnknown},
+		"proof":                {rejection("a"), VerdictRejected},
+		"proof of another":     {rejection("b"), VerdictUnknown},
 		"proof and success":    {"HTTP/1.1 200 OK\r\n" + own + seal + HeaderNotExecuted + ": 1\r\n" + empty, VerdictUnknown},
 		"503 without proof":    {"HTTP/1.1 503 No\r\n" + own + empty, VerdictAnswered},
 		"408 without id":       {"HTTP/1.1 408 Late\r\n" + empty, VerdictUnknown},
-		"421":                  {"HTTP/1.1 421 No\r\n" + own + empty, VerdictMissing},
+		"421":                  {"HTTP/1.1 421 No\r\n" + own + empty, VerdictNotLoaded},
 		"421 of another":       {"HTTP/1.1 421 No\r\n" + HeaderAttempt + ": b\r\n" + empty, VerdictUnknown},
-		"421 of a new replica": {"HTTP/1.1 421 No\r\n" + own + HeaderIdentity + ": i-2\r\n" + empty, VerdictGone},
-		"421 without id":       {"HTTP/1.1 421 No\r\n" + empty, VerdictMissing},
+		"421 of a new replica": {"HTTP/1.1 421 No\r\n" + own + HeaderReplicaID + ": i-2\r\n" + empty, VerdictReplaced},
+		"421 without id":       {"HTTP/1.1 421 No\r\n" + empty, VerdictNotLoaded},
 		"no answer at all":     {"\x00\x01garbage\r\n\r\n", VerdictUnknown},
 		"head cut":             {"HTTP/1.1 200 OK\r\nFerry", VerdictUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := startRaw(t, func(connection *rawConnection) {
+			server := startServer(t, func(connection *scriptedConnection) {
 				if connection.next() != nil {
-					connection.write("%s", one.answer)
+					connection.write("%s", test.answer)
 				}
 			})
-			verdict, _ := send(t, testForwarder(), server, testJob(http.MethodPost, "a", "prompt"))
-			assert.Equal(t, verdict, one.want)
-			assert.Equal(t, server.times("a"), 1)
+			verdict, _ := send(t, testForwarder(), server, testRequest(http.MethodPost, "a", "prompt"))
+			assert.Equal(t, verdict, test.want)
+			assert.Equal(t, server.countOf("a"), 1)
 		})
 	}
 }
 
-func TestGivenTroubleOnANewConnectionThenTheRequestIsReadOnceAtMost(t *testing.T) {
-	for name, trouble := range map[string]func(connection *rawConnection){
-		"reset before reading": func(connection *rawConnection) { connection.reset() },
-		"close before reading": func(connection *rawConnection) { connection.Close() },
-		"reset in the middle": func(connection *rawConnection) {
+func TestForwarder_SendsAtMostOnceOnNewConnection(t *testing.T) {
+	for name, fault := range map[string]func(connection *scriptedConnection){
+		"reset before reading": func(connection *scriptedConnection) { connection.reset() },
+		"close before reading": func(connection *scriptedConnection) { connection.Close() },
+		"reset in the middle": func(connection *scriptedConnection) {
 			_, _ = connection.Read(make([]byte, 20))
 			connection.reset()
 		},
-		"reset after reading": func(connection *rawConnection) { connection.next(); connection.reset() },
-		"close after reading": func(connection *rawConnection) { connection.next(); connection.Close() },
-		"silence": func(connection *rawConnection) {
+		"reset after reading": func(connection *scriptedConnection) { connection.next(); connection.reset() },
+		"close after reading": func(connection *scriptedConnection) { connection.next(); connection.Close() },
+		"silence": func(connection *scriptedConnection) {
 			for connection.next() != nil {
 			}
 		},
 	} {
-		for shape, compose := range onceShapes {
+		for shape, compose := range nonIdempotentShapes {
 			t.Run(name+" "+shape, func(t *testing.T) {
 				t.Parallel()
-				server := startRaw(t, trouble)
+				server := startServer(t, fault)
 				verdict, _ := send(t, testForwarder(), server, compose("a"))
 				assert.Assert(t, verdict != VerdictAnswered)
-				assert.Assert(t, server.times("a") <= 1, "read %d times", server.times("a"))
-				assert.Assert(t, server.times("a") == 0 || !NeverRan[verdict], "a request that was read must not count as never run")
+				assert.Assert(t, server.countOf("a") <= 1, "read %d times", server.countOf("a"))
+				assert.Assert(t, server.countOf("a") == 0 || !NotExecuted[verdict], "a request that was read must not count as never run")
 			})
 		}
 	}
 }
 
-// thenBreaks serves the first request of each connection and breaks the second off after it has read it.
-func thenBreaks(end func(connection *rawConnection)) func(connection *rawConnection) {
-	return func(connection *rawConnection) {
+// breakSecondRequest serves the first request of each connection and breaks the second off after it has read it.
+func breakSecondRequest(end func(connection *scriptedConnection)) func(connection *scriptedConnection) {
+	return func(connection *scriptedConnection) {
 		if request := connection.next(); request != nil {
 			connection.answer(request.Header.Get(HeaderAttempt))
 		}
@@ -111,68 +111,68 @@
 	}
 }
 
-var ends = map[string]func(connection *rawConnection){
-	"reset": func(connection *rawConnection) { connection.reset() },
-	"close": func(connection *rawConnection) { connection.Close() },
-	"408": func(connection *rawConnection) {
+var connectionEnds = map[string]func(connection *scriptedConnection){
+	"reset": func(connection *scriptedConnection) { connection.reset() },
+	"close": func(connection *scriptedConnection) { connection.Close() },
+	"408": func(connection *scriptedConnection) {
 		connection.write("HTTP/1.1 408 Late\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 	},
-	"garbage": func(connection *rawConnection) { connection.write("garbage\r\n\r\n") },
+	"garbage": func(connection *scriptedConnection) { connection.write("garbage\r\n\r\n") },
 }
 
-func TestGivenAReusedConnectionThatBreaksAfterReadingThenTheRequestIsNotSentAgain(t *testing.T) {
-	for name, end := range ends {
-		for shape, compose := range onceShapes {
+func TestForwarder_DoesNotResendAfterReusedConnectionBreaks(t *testing.T) {
+	for name, end := range connectionEnds {
+		for shape, compose := range nonIdempotentShapes {
 			t.Run(name+" "+shape, func(t *testing.T) {
 				t.Parallel()
-				server, forwarder := startRaw(t, thenBreaks(end)), testForwarder()
-				verdict, _ := send(t, forwarder, server, testJob(http.MethodPost, "first", "prompt"))
+				server, forwarder := startServer(t, breakSecondRequest(end)), testForwarder()
+				verdict, _ := send(t, forwarder, server, testRequest(http.MethodPost, "first", "prompt"))
 				assert.Equal(t, verdict, VerdictAnswered)
 				verdict, _ = send(t, forwarder, server, compose("once"))
-				assert.Assert(t, !NeverRan[verdict] && verdict != VerdictAnswered, "verdict %d", verdict)
-				assert.Equal(t, server.times("once"), 1)
+				assert.Assert(t, !NotExecuted[verdict] && verdict != VerdictAnswered, "verdict %d", verdict)
+				assert.Equal(t, server.countOf("once"), 1)
 			})
 		}
 	}
 }
 
 // The variant that the test above is there to catch: the library's own client.
-func TestGivenThePlainClientThenItSendsTwiceWhatTheForwarderSendsOnce(t *testing.T) {
-	server := startRaw(t, thenBreaks(func(connection *rawConnection) { connection.reset() }))
+func TestHTTPClient_SendsTwiceWhatForwarderSendsOnce(t *testing.T) {
+	server := startServer(t, breakSecondRequest(func(connection *scriptedConnection) { connection.reset() }))
 	plain := &http.Client{Transport: &http.Transport{}}
 	post := func(attempt string) {
 		request, err := http.NewRequest(http.MethodPost, "http://"+server.address, strings.NewReader("prompt"))
 		assert.NilError(t, err)
 		request.Header.Set(HeaderAttempt, attempt)
 		request.Header.Set("Idempotency-Key", "key")
-		if answer, err := plain.Do(request); err == nil {
-			answer.Body.Close()
+		if response, err := plain.Do(request); err == nil {
+			response.Body.Close()
 		}
 	}
 	get := func(attempt string) {
 		request, err := http.NewRequest(http.MethodGet, "http://"+server.address, nil)
 		assert.NilError(t, err)
 		request.Header.Set(HeaderAttempt, attempt)
-		answer, err := plain.Do(request)
+		response, err := plain.Do(request)
 		assert.NilError(t, err)
-		_, _ = answer.Body.Read(make([]byte, 100))
-		answer.Body.Close()
+		_, _ = response.Body.Read(make([]byte, 100))
+		response.Body.Close()
 	}
 	get("first")
 	post("twice")
-	assert.Equal(t, server.times("twice"), 2)
+	assert.Equal(t, server.countOf("twice"), 2)
 }
 
-func TestGivenAnIdleConnectionThatWasClosedThenTheRequestGoesOnceOverANewOne(t *testing.T) {
+func TestForwarder_ReplacesClosedIdleConnection(t *testing.T) {
 	for name, ending := range map[string]string{
 		"without a word":         "",
 		"with 408":               "HTTP/1.1 408 Late\r\nContent-Length: 0\r\n\r\n",
 		"after more bytes":       "stray bytes",
-		"after a surplus answer": soundAnswer("first"),
+		"after a surplus answer": validResponse("first"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := startRaw(t, func(connection *rawConnection) {
+			server := startServer(t, func(connection *scriptedConnection) {
 				request := connection.next()
 				if request == nil {
 					return
@@ -182,10 +182,10 @@
 			})
 			forwarder := testForwarder()
 			for _, attempt := range []string{"first", "second", "third"} {
-				verdict, body := send(t, forwarder, server, testJob(http.MethodPost, attempt, "prompt"))
+				verdict, body := send(t, forwarder, server, testRequest(http.MethodPost, attempt, "prompt"))
 				assert.Equal(t, verdict, VerdictAnswered)
 				assert.Equal(t, body, "body for "+attempt)
-				assert.Equal(t, server.times(attempt), 1)
+				assert.Equal(t, server.countOf(attempt), 1)
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
--- a/internal/replica/calls.go
+++ b/internal/replica/calls.go
@@ -9,34 +9,34 @@
 
 // Headers of the protocol between clients, daemons and replicas.
 const (
-	HeaderAttempt     = "Ferryspar-Attempt-Id"
-	HeaderSeal        = "Ferryspar-Server-Seal"
-	HeaderTarget      = "Ferryspar-Target-Replica"
-	HeaderNotExecuted = "Ferryspar-Not-Executed"
-	HeaderIdentity    = "Ferryspar-Replica-Id"
-	HeaderRemaining   = "Ferryspar-Time-Remaining"
-	HeaderUrgency     = "Ferryspar-Urgency-Class"
-	HeaderModel       = "Ferryspar-Model"
-	HeaderTokens      = "Ferryspar-Token-Count"
-	HeaderPrefix      = "Ferryspar-Prompt-Prefix"
-	HeaderLastEvent   = "Last-Event-Id"
-	HeaderCold        = "Ferryspar-Cold-Remaining"
-	HeaderTenant      = "Ferryspar-Tenant"
-	HeaderKey         = "X-Api-Key"
+	HeaderAttempt         = "Ferryspar-Attempt-Id"
+	HeaderSeal            = "Ferryspar-Server-Seal"
+	HeaderTarget          = "Ferryspar-Target-Replica"
+	HeaderNotExecuted     = "Ferryspar-Not-Executed"
+	HeaderReplicaID       = "Ferryspar-Replica-Id"
+	HeaderRemaining       = "Ferryspar-Time-Remaining"
+	HeaderUrgency         = "Ferryspar-Urgency-Class"
+	HeaderModel           = "Ferryspar-Model"
+	HeaderTokens          = "Ferryspar-Token-Count"
+	HeaderPrefix          = "Ferryspar-Prompt-Prefix"
+	HeaderLastEventID     = "Last-Event-Id"
+	HeaderWarmUpRemaining = "Ferryspar-Cold-Remaining"
+	HeaderTenant          = "Ferryspar-Tenant"
+	HeaderAPIKey          = "X-Api-Key"
 )
 
 // protocolPrefix begins the names of the protocol's own headers.
 const protocolPrefix = "Ferryspar-"
 
-// Call is a call of our own to a replica: its method and path, and how long it may take.
-type Call struct {
-	Method string
-	Path   string
-	Bound  time.Duration
+// Endpoint is a call of our own to a replica: its method and path, and how long it may take.
+type Endpoint struct {
+	Method  string
+	Path    string
+	Timeout time.Duration
 }
 
-// Calls holds the calls of our own by name.
-var Calls = map[string]Call{
+// Endpoints holds the calls of our own by name.
+var Endpoints = map[string]Endpoint{
 	"order":  {http.MethodPost, "/ferryspar/order", 700 * time.Millisecond},
 	"report": {http.MethodGet, "/ferryspar/report", 700 * time.Millisecond},
 }
--- a/internal/replica/raw_test.go
+++ b/internal/replica/raw_test.go
@@ -16,32 +16,32 @@
 	"ferryspar/internal/peer"
 )
 
-// seen is one request as a scripted replica read it from its socket.
-type seen struct {
+// receivedRequest is one request as a scripted replica read it from its socket.
+type receivedRequest struct {
 	request    *http.Request
 	body       string
 	connection int
 }
 
-// rawReplica is a scripted server on a loopback socket: it counts each request that it reads whole.
-type rawReplica struct {
+// scriptedServer is a scripted server on a loopback socket: it counts each request that it reads whole.
+type scriptedServer struct {
 	address string
 	lock    sync.Mutex
-	read    []seen
+	read    []receivedRequest
 }
 
-// rawConnection is one connection to a rawReplica.
-type rawConnection struct {
+// scriptedConnection is one connection to a scriptedServer.
+type scriptedConnection struct {
 	net.Conn
-	server *rawReplica
+	server *scriptedServer
 	number int
 	reader *bufio.Reader
 }
 
-func startRaw(t *testing.T, serve func(connection *rawConnection)) *rawReplica {
+func startServer(t *testing.T, serve func(connection *scriptedConnection)) *scriptedServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	server := &rawReplica{address: listener.Addr().String()}
+	server := &scriptedServer{address: listener.Addr().String()}
 	var open sync.WaitGroup
 	ended := make(chan struct{})
 	t.Cleanup(func() {
@@ -55,7 +55,7 @@
 			if err != nil {
 				return
 			}
-			connection := &rawConnection{accepted, server, number, bufio.NewReader(accepted)}
+			connection := &scriptedConnection{accepted, server, number, bufio.NewReader(accepted)}
 			open.Go(func() {
 				stop := make(chan struct{})
 				defer close(stop)
@@ -75,7 +75,7 @@
 }
 
 // next reads one request whole; nil means that the caller has closed.
-func (c *rawConnection) next() *http.Request {
+func (c *scriptedConnection) next() *http.Request {
 	request, err := http.ReadRequest(c.reader)
 	if err != nil {
 		return nil
@@ -86,43 +86,45 @@
 	}
 	c.server.lock.Lock()
 	defer c.server.lock.Unlock()
-	c.server.read = append(c.server.read, seen{request, string(body), c.number})
+	c.server.read = append(c.server.read, receivedRequest{request, string(body), c.number})
 	return request
 }
 
 // reset ends the connection with a reset instead of an orderly close.
-func (c *rawConnection) reset() {
+func (c *scriptedConnection) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-func (c *rawConnection) write(format string, arguments ...any) { fmt.Fprintf(c, format, arguments...) }
+func (c *scriptedConnection) write(format string, arguments ...any) {
+	fmt.Fprintf(c, format, arguments...)
+}
 
 // answer writes the answer that a sound replica gives to the attempt.
-func (c *rawConnection) answer(attempt string) { c.write("%s", soundAnswer(attempt)) }
+func (c *scriptedConnection) answer(attempt string) { c.write("%s", validResponse(attempt)) }
 
-func soundAnswer(attempt string) string {
+func validResponse(attempt string) string {
 	body := "body for " + attempt
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\nContent-Length: %d\r\n\r\n%s",
 		HeaderAttempt, attempt, HeaderSeal, attempt, len(body), body)
 }
 
-func refusal(attempt string) string {
+func rejection(attempt string) string {
 	const format = "HTTP/1.1 503 Service Unavailable\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n"
 	return fmt.Sprintf(format, HeaderAttempt, attempt, HeaderNotExecuted)
 }
 
-func (r *rawReplica) seen() []seen {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	return append([]seen(nil), r.read...)
+func (s *scriptedServer) received() []receivedRequest {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return append([]receivedRequest(nil), s.read...)
 }
 
 // times is how often the attempt was read whole.
-func (r *rawReplica) times(attempt string) int {
+func (s *scriptedServer) countOf(attempt string) int {
 	count := 0
-	for _, one := range r.seen() {
-		if one.request.Header.Get(HeaderAttempt) == attempt {
+	for _, request := range s.received() {
+		if request.request.Header.Get(HeaderAttempt) == attempt {
 			count++
 		}
 	}
@@ -133,26 +135,26 @@
 	return NewForwarder(peer.Machine{}, time.Now, time.Second, time.Second)
 }
 
-func testJob(method, attempt, body string) Job {
-	return Job{
-		Method: method, URI: "/path", Host: "shop.example", Body: []byte(body), Attempt: attempt, Once: true, Service: "scribes",
+func testRequest(method, attempt, body string) UpstreamRequest {
+	return UpstreamRequest{
+		Method: method, URI: "/path", Host: "shop.example", Body: []byte(body), AttemptID: attempt, NonIdempotent: true, Backend: "scribes",
 		Header: http.Header{HeaderAttempt: {attempt}}, Deadline: time.Now().Add(time.Minute),
 	}
 }
 
-const testPatience = 400 * time.Millisecond
+const testTimeout = 400 * time.Millisecond
 
 // send forwards a job and reads the answer's body, if any counts.
-func send(t *testing.T, forwarder *Forwarder, server *rawReplica, job Job) (Verdict, string) {
+func send(t *testing.T, forwarder *Forwarder, server *scriptedServer, upstream UpstreamRequest) (Verdict, string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	answer, verdict := forwarder.Send(ctx, server.address, "i-1", job)
+	response, verdict := forwarder.Send(ctx, server.address, "i-1", upstream)
 	if verdict != VerdictAnswered {
 		return verdict, ""
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	return verdict, string(body)
 }
--- a/internal/replica/stream_test.go
+++ b/internal/replica/stream_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestGivenBytesInAnyPiecesThenOnlyWholeEventsPass(t *testing.T) {
+func TestEventBuffer_PassesOnlyCompleteEvents(t *testing.T) {
 	whole := "id: 1\ndata: x\n\nid: 2\ndata: y\n\nid: 3\nda"
 	for size := 1; size < len(whole); size++ {
-		events, passed := &Events{}, strings.Builder{}
+		events, passed := &EventBuffer{}, strings.Builder{}
 		for start := 0; start < len(whole); start += size {
 			content, sound := events.Feed([]byte(whole[start:min(start+size, len(whole))]))
 			assert.Assert(t, sound)
@@ -18,16 +18,16 @@
 		}
 		assert.Equal(t, passed.String(), "id: 1\ndata: x\n\nid: 2\ndata: y\n\n")
 		assert.Equal(t, events.LastID, "2")
-		assert.Assert(t, !events.Whole())
+		assert.Assert(t, !events.Complete())
 	}
 }
 
-func FuzzEvents(f *testing.F) {
+func FuzzEventBuffer(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: x\n\n"), 3)
 	f.Add([]byte("id:1\r\n\r\n\n\nid"), 1)
 	f.Fuzz(func(t *testing.T, content []byte, size int) {
 		size = max(1, min(size, 64))
-		events, passed := &Events{}, []byte{}
+		events, passed := &EventBuffer{}, []byte{}
 		for start := 0; start < len(content); start += size {
 			whole, sound := events.Feed(content[start:min(start+size, len(content))])
 			assert.Assert(t, sound)
--- a/internal/replica/surplus_test.go
+++ b/internal/replica/surplus_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// doubles answers each request twice; the second answer comes where the next one on the connection is due.
-func doubles(connection *rawConnection) {
+// respondTwice answers each request twice; the second answer comes where the next one on the connection is due.
+func respondTwice(connection *scriptedConnection) {
 	before := ""
 	for request := connection.next(); request != nil; request = connection.next() {
 		attempt := request.Header.Get(HeaderAttempt)
@@ -23,23 +23,23 @@
 	}
 }
 
-func TestGivenASurplusAnswerInThePlaceOfTheNextThenItIsNotTakenAndTheConnectionIsGivenUp(t *testing.T) {
-	server, forwarder := startRaw(t, doubles), testForwarder()
-	verdict, _ := send(t, forwarder, server, testJob(http.MethodPost, "first", "prompt"))
+func TestForwarder_RejectsSurplusResponse(t *testing.T) {
+	server, forwarder := startServer(t, respondTwice), testForwarder()
+	verdict, _ := send(t, forwarder, server, testRequest(http.MethodPost, "first", "prompt"))
 	assert.Equal(t, verdict, VerdictAnswered)
-	verdict, _ = send(t, forwarder, server, testJob(http.MethodPost, "second", "prompt"))
+	verdict, _ = send(t, forwarder, server, testRequest(http.MethodPost, "second", "prompt"))
 	assert.Equal(t, verdict, VerdictUnknown)
-	verdict, body := send(t, forwarder, server, testJob(http.MethodPost, "third", "prompt"))
+	verdict, body := send(t, forwarder, server, testRequest(http.MethodPost, "third", "prompt"))
 	assert.Equal(t, verdict, VerdictAnswered)
 	assert.Equal(t, body, "body for third")
-	read := server.seen()
+	read := server.received()
 	assert.Equal(t, len(read), 3)
 	assert.Equal(t, read[0].connection, read[1].connection)
 	assert.Assert(t, read[1].connection != read[2].connection, "a connection out of step was used again")
 }
 
-// behind answers each request of a connection after the first with the answer of the one before it.
-func behind(connection *rawConnection) {
+// respondOneBehind answers each request of a connection after the first with the answer of the one before it.
+func respondOneBehind(connection *scriptedConnection) {
 	before := ""
 	for request := connection.next(); request != nil; request = connection.next() {
 		attempt := request.Header.Get(HeaderAttempt)
@@ -51,11 +51,11 @@
 	}
 }
 
-func TestGivenAReplicaOneAnswerBehindThenItsConnectionIsNotUsedAgain(t *testing.T) {
-	server, forwarder := startRaw(t, behind), testForwarder()
+func TestForwarder_AbandonsConnectionOutOfStep(t *testing.T) {
+	server, forwarder := startServer(t, respondOneBehind), testForwarder()
 	for number, want := range []Verdict{VerdictAnswered, VerdictUnknown, VerdictAnswered, VerdictUnknown, VerdictAnswered} {
 		attempt := string(rune('a' + number))
-		verdict, body := send(t, forwarder, server, testJob(http.MethodPost, attempt, "prompt"))
+		verdict, body := send(t, forwarder, server, testRequest(http.MethodPost, attempt, "prompt"))
 		assert.Equal(t, verdict, want, attempt)
 		assert.Assert(t, verdict != VerdictAnswered || body == "body for "+attempt)
 		time.Sleep(10 * time.Millisecond)
@@ -63,8 +63,8 @@
 }
 
 // The variant without the look at the id: the library hands the first request's answer to the second.
-func TestGivenThePlainTransportThenASurplusAnswerGoesToTheNextRequest(t *testing.T) {
-	server := startRaw(t, doubles)
+func TestHTTPTransport_DeliversSurplusResponseToNextRequest(t *testing.T) {
+	server := startServer(t, respondTwice)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	got := ""
@@ -72,42 +72,42 @@
 		request, err := http.NewRequest(http.MethodPost, "http://"+server.address, strings.NewReader("prompt"))
 		assert.NilError(t, err)
 		request.Header.Set(HeaderAttempt, attempt)
-		answer, err := transport.RoundTrip(request)
+		response, err := transport.RoundTrip(request)
 		assert.NilError(t, err)
-		_, _ = answer.Body.Read(make([]byte, 100))
-		answer.Body.Close()
-		got = answer.Header.Get(HeaderAttempt)
+		_, _ = response.Body.Read(make([]byte, 100))
+		response.Body.Close()
+		got = response.Header.Get(HeaderAttempt)
 	}
 	assert.Equal(t, got, "first")
 }
 
-func TestGivenADoubledRefusalThenItIsNoProofForTheNextSendOfTheSameAttempt(t *testing.T) {
-	server := startRaw(t, func(connection *rawConnection) {
+func TestForwarder_DuplicateRejectionProvesNothing(t *testing.T) {
+	server := startServer(t, func(connection *scriptedConnection) {
 		if connection.next() == nil {
 			return
 		}
 		if connection.number == 1 {
-			connection.write("%s", refusal("a"))
+			connection.write("%s", rejection("a"))
 			if connection.next() != nil {
-				connection.write("%s", refusal("a"))
+				connection.write("%s", rejection("a"))
 			}
 			return
 		}
 		connection.answer("a")
 	})
 	forwarder := testForwarder()
-	verdict, _ := send(t, forwarder, server, testJob(http.MethodPost, "a", "prompt"))
-	assert.Equal(t, verdict, VerdictFull)
-	verdict, body := send(t, forwarder, server, testJob(http.MethodPost, "a", "prompt"))
+	verdict, _ := send(t, forwarder, server, testRequest(http.MethodPost, "a", "prompt"))
+	assert.Equal(t, verdict, VerdictRejected)
+	verdict, body := send(t, forwarder, server, testRequest(http.MethodPost, "a", "prompt"))
 	assert.Equal(t, verdict, VerdictAnswered)
 	assert.Equal(t, body, "body for a")
-	read := server.seen()
+	read := server.received()
 	assert.Equal(t, len(read), 2)
 	assert.Assert(t, read[0].connection != read[1].connection)
 }
 
-func TestGivenARefusalWithoutAnIdOnAUsedConnectionThenItProvesNothing(t *testing.T) {
-	server := startRaw(t, func(connection *rawConnection) {
+func TestForwarder_RejectionWithoutIDOnReusedConnectionProvesNothing(t *testing.T) {
+	server := startServer(t, func(connection *scriptedConnection) {
 		if request := connection.next(); request != nil {
 			connection.answer(request.Header.Get(HeaderAttempt))
 		}
@@ -116,19 +116,19 @@
 		}
 	})
 	forwarder := testForwarder()
-	verdict, _ := send(t, forwarder, server, testJob(http.MethodPost, "first", "prompt"))
+	verdict, _ := send(t, forwarder, server, testRequest(http.MethodPost, "first", "prompt"))
 	assert.Equal(t, verdict, VerdictAnswered)
-	verdict, _ = send(t, forwarder, server, testJob(http.MethodPost, "second", "prompt"))
+	verdict, _ = send(t, forwarder, server, testRequest(http.MethodPost, "second", "prompt"))
 	assert.Equal(t, verdict, VerdictUnknown)
 }
 
-func TestGivenAnAnswerBeforeTheRequestWasWrittenThenNothingIsWrittenAfterwards(t *testing.T) {
+func TestAttemptTrace_EarlyResponseStopsWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	connection := &countedConnection{Conn: near}
-	one := &attempt{id: "a", connection: connection}
-	assert.Assert(t, one.early())
+	trace := &attemptTrace{id: "a", connection: connection}
+	assert.Assert(t, trace.answeredEarly())
 	_, err := connection.Write([]byte("request"))
 	assert.ErrorIs(t, err, errRetired)
-	assert.Assert(t, one.untouched())
+	assert.Assert(t, trace.nothingWritten())
 }
--- a/internal/story/order_troubles_test.go
+++ b/internal/story/order_troubles_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	for range 200 {
 		if told := s.told(); len(told) > 0 {
-			return strings.TrimPrefix(told[len(told)-1].Holder, "daemon-")
+			return strings.TrimPrefix(told[len(told)-1].LeaseHolder, "daemon-")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/story/quotafleet_test.go
+++ b/internal/story/quotafleet_test.go
@@ -55,7 +55,7 @@
 			attempt := fmt.Sprintf("a-%d", q.attempts.Add(1))
 			answer := q.call(http.MethodPost, edgeHost(number)+":8161", "/quick/", "prompt", map[string]string{
 				"Host": "shop.example", replica.HeaderAttempt: attempt, replica.HeaderModel: "swift", replica.HeaderTokens: "10,2",
-				replica.HeaderKey: oldKey, replica.HeaderRemaining: "3000",
+				replica.HeaderAPIKey: oldKey, replica.HeaderRemaining: "3000",
 			})
 			q.statuses[answer.status].Add(1)
 		}()
--- a/internal/story/replica_orders_test.go
+++ b/internal/story/replica_orders_test.go
@@ -20,7 +20,7 @@
 
 // ordered is an instruction as it came. Expected is nil where the sender named no sequence.
 type ordered struct {
-	replica.Instruction
+	replica.Order
 	Expected *int64 `json:"expectedCount"`
 	at       time.Time
 	status   int
@@ -53,7 +53,7 @@
 // standInMoment is what a stand-in would have reported from a time on.
 type standInMoment struct {
 	at    time.Time
-	state replica.State
+	state replica.Report
 }
 
 func ordinaryOrders() standInOrders {
@@ -62,7 +62,7 @@
 
 // note remembers what reports show from now on. The caller holds the lock.
 func (s *standInReplica) note() {
-	state := replica.State{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.holding.sequence}
+	state := replica.Report{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.holding.sequence}
 	s.holding.past = append(s.holding.past, standInMoment{time.Now(), state})
 	if extra := len(s.holding.past) - keptMoments; extra > 0 {
 		s.holding.past = s.holding.past[extra:]
@@ -73,7 +73,7 @@
 
 func (s *standInReplica) report(writer http.ResponseWriter, request *http.Request) {
 	s.lock.Lock()
-	state := replica.State{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.holding.sequence}
+	state := replica.Report{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.holding.sequence}
 	if s.holding.reportLag > 0 {
 		state = s.shownState(state)
 	}
@@ -82,7 +82,7 @@
 }
 
 // shownState is the state some time ago, or the oldest that is remembered; the caller holds the lock.
-func (s *standInReplica) shownState(present replica.State) replica.State {
+func (s *standInReplica) shownState(present replica.Report) replica.Report {
 	if len(s.holding.past) == 0 {
 		return present
 	}
--- a/internal/story/replica_test.go
+++ b/internal/story/replica_test.go
@@ -70,7 +70,7 @@
 	s.probed++
 	healthy := s.healthy
 	s.lock.Unlock()
-	writer.Header().Set(replica.HeaderIdentity, s.listed.ID)
+	writer.Header().Set(replica.HeaderReplicaID, s.listed.ID)
 	if !healthy {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -120,7 +120,7 @@
 
 func (s *standInReplica) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if target := request.Header.Get(replica.HeaderTarget); target != s.listed.ID {
-		writer.Header().Set(replica.HeaderIdentity, s.listed.ID)
+		writer.Header().Set(replica.HeaderReplicaID, s.listed.ID)
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -159,8 +159,8 @@
 		return
 	}
 	from := 0
-	_, _ = fmt.Sscanf(request.Header.Get(replica.HeaderLastEvent), "%d", &from)
-	s.runs = append(s.runs, arrival{attempt, request.Header.Get(replica.HeaderLastEvent), request.RequestURI, time.Now(), request.Header.Clone()})
+	_, _ = fmt.Sscanf(request.Header.Get(replica.HeaderLastEventID), "%d", &from)
+	s.runs = append(s.runs, arrival{attempt, request.Header.Get(replica.HeaderLastEventID), request.RequestURI, time.Now(), request.Header.Clone()})
 	cutAfter, events, slow := s.cutAfter, s.events, s.slow
 	fail := failings[s.fails]
 	failing := fail != nil && len(s.runs)%max(s.failEvery, 1) == 0
--- a/internal/story/tenants_test.go
+++ b/internal/story/tenants_test.go
@@ -65,7 +65,7 @@
 		replica.HeaderRemaining: "20000", replica.HeaderTenant: "forged",
 	}
 	if key != "" {
-		header[replica.HeaderKey] = key
+		header[replica.HeaderAPIKey] = key
 	}
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", header)
 }
@@ -95,7 +95,7 @@
 		told := []string{}
 		for _, run := range one.ran() {
 			told = append(told, run.header.Get(replica.HeaderTenant)+" "+run.header.Get(replica.HeaderUrgency))
-			assert.Equal(t, len(run.header.Values(replica.HeaderKey)), 0)
+			assert.Equal(t, len(run.header.Values(replica.HeaderAPIKey)), 0)
 		}
 		assert.DeepEqual(t, told, []string{"other 1", "one 2", "other 1", " 0"})
 	})
@@ -188,7 +188,7 @@
 		logrus.SetLevel(logrus.DebugLevel)
 		defer logrus.SetLevel(logrus.InfoLevel)
 		edge := dataplane.New(f.settings(edgeHost(1), true, 1, 2, 3), "", f.network.machine(edgeHost(1)))
-		edge.Record(record.NewWriter(&recorded, 1<<20, time.Now))
+		edge.RecordTo(record.NewWriter(&recorded, 1<<20, time.Now))
 		f.launch(edgeHost(1), edge.Run)
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.put(1, 0, 1, documentOf(1, tenantsOf(oldKey))).status, http.StatusOK)
@@ -220,7 +220,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(damages), 0)
 	for _, entry := range entries {
-		document, err := configuration.Decompress(entry.Packed)
+		document, err := configuration.Decompress(entry.PackedConfiguration)
 		if entry.Kind == record.KindConfiguration {
 			assert.NilError(t, err)
 		}
