--- a/cmd/ferryspar-control-plane/main.go
+++ b/cmd/ferryspar-control-plane/main.go
@@ -23,7 +23,7 @@
 			if err != nil {
 				return err
 			}
-			daemon, err := controlplane.New(settings, path, peer.Machine{}, folder)
+			daemon, err := controlplane.New(settings, path, peer.HostNetwork{}, folder)
 			if err != nil {
 				return err
 			}
--- a/cmd/ferryspar-data-plane/main.go
+++ b/cmd/ferryspar-data-plane/main.go
@@ -28,7 +28,7 @@
 		Name: "ferryspar-data-plane", Service: "edge", ExtraOptions: &chosen,
 		Summary: "carries clients' requests to model replicas",
 		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
-			daemon := dataplane.New(settings, path, peer.Machine{})
+			daemon := dataplane.New(settings, path, peer.HostNetwork{})
 			if chosen.Record != "" {
 				file, err := os.Create(chosen.Record)
 				if err != nil {
--- a/internal/client/answers_test.go
+++ b/internal/client/answers_test.go
@@ -180,9 +180,9 @@
 }
 
 // unreachableNetwork is a network on which connections neither come up nor fail.
-type unreachableNetwork struct{ peer.Machine }
+type unreachableNetwork struct{ peer.HostNetwork }
 
-func (unreachableNetwork) Dial(time.Duration, time.Duration) peer.DialFunction {
+func (unreachableNetwork) Dial(time.Duration, time.Duration) peer.DialFunc {
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
 		select {
 		case <-ctx.Done():
--- a/internal/client/server_test.go
+++ b/internal/client/server_test.go
@@ -114,7 +114,7 @@
 }
 
 func startServer(t *testing.T, idle, headTime time.Duration, replicas ...*scriptedReplica) *testServer {
-	return startServerOver(t, peer.Machine{}, idle, headTime, replicas...)
+	return startServerOver(t, peer.HostNetwork{}, idle, headTime, replicas...)
 }
 
 func startServerOver(t *testing.T, network peer.Network, idle, headTime time.Duration, replicas ...*scriptedReplica) *testServer {
--- a/internal/controlplane/batches.go
+++ b/internal/controlplane/batches.go
@@ -13,90 +13,90 @@
 // It is not safe for concurrent use; the lock of the sums guards it.
 type arrivalOutbox struct {
 	// collected is in no batch yet.
-	collected map[string]peer.ModelLoad
+	pending map[string]peer.ModelLoad
 	// last is the number of the newest batch.
-	last uint64
+	lastNumber uint64
 	// sent are the batches on their way, by number; unheard those to be sent again, the oldest first.
-	sent    map[uint64]arrivalBatch
-	unheard []arrivalBatch
+	inFlight  map[uint64]arrivalBatch
+	uncertain []arrivalBatch
 }
 
 // newArrivalOutbox is an empty outbox.
 func newArrivalOutbox() *arrivalOutbox {
-	return &arrivalOutbox{collected: map[string]peer.ModelLoad{}, sent: map[uint64]arrivalBatch{}}
+	return &arrivalOutbox{pending: map[string]peer.ModelLoad{}, inFlight: map[uint64]arrivalBatch{}}
 }
 
 // collect adds the arrivals of a model.
-func (o *arrivalOutbox) collect(name string, model peer.ModelLoad) {
-	counted := o.collected[name]
-	counted.Arrivals += model.Arrivals
-	counted.ReadMs += model.ReadMs
-	o.collected[name] = counted
+func (o *arrivalOutbox) add(key string, model peer.ModelLoad) {
+	total := o.pending[key]
+	total.Arrivals += model.Arrivals
+	total.PrefillMs += model.PrefillMs
+	o.pending[key] = total
 }
 
 // again is the oldest batch that was not heard, to be sent once more, or one of number 0.
-func (o *arrivalOutbox) again() arrivalBatch {
-	if len(o.unheard) == 0 {
+func (o *arrivalOutbox) nextResend() arrivalBatch {
+	if len(o.uncertain) == 0 {
 		return arrivalBatch{}
 	}
-	batch := o.unheard[0]
-	o.unheard = o.unheard[1:]
-	o.sent[batch.number] = batch
+	batch := o.uncertain[0]
+	o.uncertain = o.uncertain[1:]
+	o.inFlight[batch.number] = batch
 	return batch
 }
 
 // next is a new batch of what was collected of the wanted models, of number 0 if that is nothing.
-func (o *arrivalOutbox) next(wanted func(name string) bool) arrivalBatch {
+func (o *arrivalOutbox) nextBatch(included func(key string) bool) arrivalBatch {
 	models := map[string]peer.ModelLoad{}
-	for name, counted := range o.collected {
-		if wanted(name) {
-			models[name] = counted
-			delete(o.collected, name)
+	for key, load := range o.pending {
+		if included(key) {
+			models[key] = load
+			delete(o.pending, key)
 		}
 	}
 	if len(models) == 0 {
 		return arrivalBatch{}
 	}
-	o.last++
-	batch := arrivalBatch{o.last, models}
-	o.sent[batch.number] = batch
+	o.lastNumber++
+	batch := arrivalBatch{o.lastNumber, models}
+	o.inFlight[batch.number] = batch
 	return batch
 }
 
 // settle notes that a batch was heard, or that it is open whether it was.
-func (o *arrivalOutbox) settle(number uint64, heard bool) {
-	batch, known := o.sent[number]
+func (o *arrivalOutbox) resolve(number uint64, delivered bool) {
+	batch, known := o.inFlight[number]
 	if !known {
 		return
 	}
-	delete(o.sent, number)
-	if !heard {
-		o.unheard = append(o.unheard, batch)
+	delete(o.inFlight, number)
+	if !delivered {
+		o.uncertain = append(o.uncertain, batch)
 	}
 }
 
-// batchesKept is how many numbers back a batch may come late and still be told from one heard before.
-const batchesKept = 64
+// batchWindow is how many numbers back a batch may come late and still be told from one heard before.
+const batchWindow = 64
 
-// heardBatches are the batches heard of one life of a sender.
-type heardBatches struct {
-	life    string
-	highest uint64
-	numbers map[uint64]bool
+// receivedBatches are the batches heard of one life of a sender.
+type receivedBatches struct {
+	incarnation string
+	highest     uint64
+	numbers     map[uint64]bool
 }
 
-// isNew notes a batch and tells whether it was not heard before. A batch that is too old to tell does
+// isNewBatch notes a batch and tells whether it was not heard before. A batch that is too old to tell does
 // not count as new.
-func (h *heardBatches) isNew(number uint64) bool {
-	if h.numbers[number] || number+batchesKept <= h.highest {
+func (b *receivedBatches) markReceived(number uint64) bool {
+	if b.numbers[number] || number+batchWindow <= b.highest {
 		return false
 	}
-	h.numbers[number] = true
-	if number > h.highest {
-		h.highest = number
-		for one := range h.numbers {
-			if one+batchesKept <= h.highest {
-				delete(h.numbers, one)
+	b.numbers[number] = true
+	if number > b.highest {
+		b.highest = number
+		for old := range b.numbers {
+			if old+batchWindow <= b.highest {
+				delete(b.numbers, old)
 			}
 		}
 	}
--- a/internal/controlplane/configurations.go
+++ b/internal/controlplane/configurations.go
@@ -27,7 +27,7 @@
 
 // bounded limits an operator's call.
 func (d *Daemon) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
-	if !d.publisher.Read().Fresh(d.clock()) {
+	if !d.publisher.Current().IsFresh(d.clock()) {
 		return context.WithTimeout(ctx, aloneBound)
 	}
 	return context.WithTimeout(ctx, changeBound)
@@ -89,15 +89,15 @@
 // while until the data planes in touch have taken it in.
 func (d *Daemon) announce(ctx context.Context, slot keystore.Register) {
 	d.apply(slot)
-	_ = d.bus.Publish(event.Committed, peer.KeyUpdate{Slot: slot.WithoutValue()})
+	_ = d.bus.Publish(event.Committed, peer.KeyUpdate{Register: slot.WithoutValue()})
 	bounded, cancel := context.WithTimeout(ctx, ackBound)
 	defer cancel()
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		snapshot := d.publisher.Read()
+		snapshot := d.publisher.Current()
 		d.watching.Lock()
-		behind := d.edges.CountBehind(d.clock(), inTouch, snapshot.Revision, snapshot.ZoneNumber)
+		behind := d.edges.CountBehind(d.clock(), inTouch, snapshot.Revision, snapshot.ZoneVersion)
 		d.watching.Unlock()
 		if behind == 0 {
 			return
--- a/internal/controlplane/context.go
+++ b/internal/controlplane/context.go
@@ -23,11 +23,11 @@
 	if json.Unmarshal(slot.Value, &policy) != nil {
 		return
 	}
-	d.publisher.Change(func(next *Snapshot) bool {
-		if policy.Version <= next.Policy.Version {
+	d.publisher.Update(func(next *Snapshot) bool {
+		if policy.Version <= next.Retention.Version {
 			return false
 		}
-		next.Policy = policy
+		next.Retention = policy
 		return true
 	})
 }
@@ -38,7 +38,7 @@
 	if json.Unmarshal(slot.Value, &record) != nil {
 		return
 	}
-	d.publisher.Change(func(next *Snapshot) bool {
+	d.publisher.Update(func(next *Snapshot) bool {
 		if record.Number < next.Forgets.Number {
 			return false
 		}
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -41,10 +41,10 @@
 	state      *controlstate.State
 	publisher  *Publisher
 	confirmer  *confirmer
-	parts      *Parts
-	sums       *Sums
-	dense      dense
-	exchanged  exchanged
+	parts      *EndpointPublisher
+	sums       *LoadAggregator
+	dense      loadPacker
+	exchanged  unpackedPeers
 	greetings  uint64
 	shares     atomic.Uint64
 	applied    sync.Mutex
@@ -52,7 +52,7 @@
 	watching   sync.Mutex
 	edges      *heartbeat.Registry
 	controls   *heartbeat.Registry
-	joining    map[string]peer.Greeting
+	joining    map[string]peer.Heartbeat
 	neighbours map[string]string
 	remembered map[string]retention.DataPlaneView
 	list       *platform.List
@@ -113,7 +113,7 @@
 	life := nonce()
 	daemon := &Daemon{
 		settings: settings, path: path, self: self, life: strconv.FormatUint(life, 36), clock: time.Now, peers: peer.NewClient(network),
-		journal: journal, publisher: NewPublisher(), parts: NewParts(), sums: NewSums(), shown: map[string]keystore.Register{}, joining: map[string]peer.Greeting{}, neighbours: map[string]string{}, remembered: map[string]retention.DataPlaneView{},
+		journal: journal, publisher: NewPublisher(), parts: NewEndpointPublisher(), sums: NewLoadAggregator(), shown: map[string]keystore.Register{}, joining: map[string]peer.Heartbeat{}, neighbours: map[string]string{}, remembered: map[string]retention.DataPlaneView{},
 		edges: heartbeat.NewRegistry(10 * time.Second), controls: heartbeat.NewRegistry(30 * time.Second), leaving: make(chan struct{}), caughtUp: make(chan struct{}, 1), bus: event.NewBus(), started: time.Now(), network: network,
 	}
 	rules := keystore.AcceptorConfig{LeaseDuration: daemon.leaseLength(), Clock: time.Now, Seeds: seeds}
@@ -122,7 +122,7 @@
 	if members.Version == 0 && fresh {
 		members = founding
 	}
-	wire := &peer.Wire{Self: self, Client: daemon.peers, Acceptor: daemon.acceptor}
+	wire := &peer.KeystoreTransport{Self: self, Client: daemon.peers, Acceptor: daemon.acceptor}
 	daemon.store = keystore.NewStore(self, life, wire, members)
 	daemon.state = &controlstate.State{Store: daemon.store, Zones: settings.Zones, Clock: time.Now}
 	daemon.confirmer = newConfirmer(daemon)
@@ -165,7 +165,7 @@
 		return err
 	}
 	cleanup = append(cleanup, d.bus.Close)
-	loops := []func(context.Context){d.confirmer.run, d.greetLoop, d.membersLoop, d.rosterLoop, d.scheduler.Run, d.sumsLoop, d.drillLoop,
+	loops := []func(context.Context){d.confirmer.run, d.greetLoop, d.membersLoop, d.rosterLoop, d.scheduler.Run, d.runLoadExchange, d.drillLoop,
 		func(ctx context.Context) {
 			nodesettings.Watch(ctx, d.path, "control", signals.Hangup, func(fresh nodesettings.Settings) { d.noteControls(fresh.SeedPeers()) })
 		}}
--- a/internal/controlplane/demand.go
+++ b/internal/controlplane/demand.go
@@ -9,7 +9,7 @@
 
 // hearDemand takes in a control plane's share of the demand, its arrivals unless they were heard
 // before, and has a plan made soon if a model is newly waited for. Any goroutine may call it.
-func (w *Scheduler) hearDemand(share peer.LoadSum) {
+func (w *Scheduler) hearDemand(share peer.LoadSummary) {
 	now := w.daemon.clock()
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -17,16 +17,16 @@
 		w.learning = now
 	}
 	names := make([]string, len(share.Models))
-	fresh := w.tally.isNew(share)
+	fresh := w.tally.isNewBatch(share)
 	for index, model := range share.Models {
 		names[index] = place.ModelKey(model.Backend, model.Model)
 		if !fresh {
 			continue
 		}
 		w.counted[names[index]] += float64(model.Arrivals)
-		w.reading[names[index]] += model.ReadMs
+		w.reading[names[index]] += model.PrefillMs
 	}
-	if w.tally.Hear(share, names, now) {
+	if w.tally.Add(share, names, now) {
 		select {
 		case w.nudge <- struct{}{}:
 		default:
--- a/internal/controlplane/demandshare.go
+++ b/internal/controlplane/demandshare.go
@@ -10,99 +10,99 @@
 
 // Demand is this daemon's share of the demand, for the placement holder: arrivals since the last
 // one or, if there are any, some that it may not have heard; and what waits and runs now. A partial share holds only models that are newly waited for.
-func (s *Sums) Demand(member string, partial bool) peer.LoadSum {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	share := peer.LoadSum{Member: member, Daemons: len(s.reports), Demand: true, Partial: partial}
-	wanted := func(name string) bool { return !partial || s.fresh[name] }
+func (a *LoadAggregator) DemandSummary(member string, partial bool) peer.LoadSummary {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	summary := peer.LoadSummary{Member: member, DataPlaneCount: len(a.reports), IsDemand: true, Partial: partial}
+	included := func(key string) bool { return !partial || a.newlyWaiting[key] }
 	batch := arrivalBatch{}
 	if !partial {
-		batch = s.arrivals.again()
+		batch = a.arrivals.nextResend()
 	}
 	if batch.number == 0 {
-		batch = s.arrivals.next(wanted)
+		batch = a.arrivals.nextBatch(included)
 	}
-	share.Batch = batch.number
+	summary.Batch = batch.number
 	models := make(map[string]peer.ModelLoad, len(batch.models))
 	maps.Copy(models, batch.models)
-	waits := map[string]bool{}
-	for _, one := range s.reports {
-		for _, model := range one.load.Models {
-			name := place.ModelKey(model.Backend, model.Model)
+	waiting := map[string]bool{}
+	for _, report := range a.reports {
+		for _, model := range report.load.Models {
+			key := place.ModelKey(model.Backend, model.Model)
 			if model.Waiting > 0 {
-				waits[name] = true
+				waiting[key] = true
 			}
-			if !wanted(name) {
+			if !included(key) {
 				continue
 			}
-			sum := models[name]
+			sum := models[key]
 			sum.Waiting += model.Waiting
 			sum.Running += model.Running
-			sum.Aim = max(sum.Aim, model.Aim)
-			sum.OldestMs = max(sum.OldestMs, model.OldestMs)
-			models[name] = sum
+			sum.LatencyTargetMs = max(sum.LatencyTargetMs, model.LatencyTargetMs)
+			sum.OldestWaitMs = max(sum.OldestWaitMs, model.OldestWaitMs)
+			models[key] = sum
 		}
 	}
-	s.waiting = waits
-	clear(s.fresh)
-	for name, model := range models {
-		model.Backend, model.Model = place.SplitModelKey(name)
-		share.Models = append(share.Models, model)
+	a.waiting = waiting
+	clear(a.newlyWaiting)
+	for key, model := range models {
+		model.Backend, model.Model = place.SplitModelKey(key)
+		summary.Models = append(summary.Models, model)
 	}
 	if !partial {
-		share.Suspects = make(map[string]int, len(s.suspects))
-		for id, amount := range s.suspects {
-			share.Suspects[id] = amount
+		summary.SuspectCounts = make(map[string]int, len(a.suspects))
+		for id, count := range a.suspects {
+			summary.SuspectCounts[id] = count
 		}
 	}
-	return share
+	return summary
 }
 
 // delivered notes that a share was heard.
-func (s *Sums) delivered(share peer.LoadSum) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.arrivals.settle(share.Batch, true)
+func (a *LoadAggregator) markDelivered(summary peer.LoadSummary) {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	a.arrivals.resolve(summary.Batch, true)
 }
 
 // restore has the arrivals of a share that may not have been delivered sent again, under their number.
-func (s *Sums) restore(share peer.LoadSum) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.arrivals.settle(share.Batch, false)
-	for _, model := range share.Models {
-		delete(s.waiting, place.ModelKey(model.Backend, model.Model))
+func (a *LoadAggregator) markUncertain(summary peer.LoadSummary) {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	a.arrivals.resolve(summary.Batch, false)
+	for _, model := range summary.Models {
+		delete(a.waiting, place.ModelKey(model.Backend, model.Model))
 	}
 }
 
-// hearLoad takes in a data plane's load and answers with the other data planes' load at the
+// handleLoadReport takes in a data plane's load and answers with the other data planes' load at the
 // replicas that it follows.
-func (d *Daemon) hearLoad(ctx context.Context, load peer.LoadReport) peer.FleetLoad {
-	d.sums.Hear(load, d.clock())
-	return d.sums.Outlook(load.Daemon, d.parts.Followed(load.Daemon))
+func (d *Daemon) handleLoadReport(ctx context.Context, report peer.LoadReport) peer.FleetLoad {
+	d.sums.AddReport(report, d.clock())
+	return d.sums.FleetLoadFor(report.DataPlane, d.parts.SubscribedReplicas(report.DataPlane))
 }
 
-// hearSums takes in another control plane's sums. It answers Unknown if they came packed by a list
+// handleLoadSummary takes in another control plane's sums. It answers Unknown if they came packed by a list
 // of replicas that is not the one held here; the sender then names them.
-func (d *Daemon) hearSums(ctx context.Context, share peer.LoadSum) peer.LoadSumReply {
+func (d *Daemon) handleLoadSummary(ctx context.Context, summary peer.LoadSummary) peer.LoadSummaryReply {
 	now := d.clock()
-	if share.Dense != nil {
-		named, known := d.dense.open(share.Dense, d.roster.listed())
+	if summary.Packed != nil {
+		loads, known := d.dense.unpack(summary.Packed, d.roster.listed())
 		if !known {
-			return peer.LoadSumReply{Unknown: true}
+			return peer.LoadSummaryReply{UnknownVersion: true}
 		}
-		for id, one := range share.Replicas {
-			sum := named[id]
-			sum.Outcomes = one.Outcomes
-			named[id] = sum
+		for id, load := range summary.Replicas {
+			sum := loads[id]
+			sum.Outcomes = load.Outcomes
+			loads[id] = sum
 		}
-		share.Replicas = named
+		summary.Replicas = loads
 	}
-	if share.Replicas != nil {
-		d.sums.HearMember(share, now)
+	if summary.Replicas != nil {
+		d.sums.AddSummary(summary, now)
 	}
-	if share.Demand {
-		d.scheduler.hearDemand(share)
+	if summary.IsDemand {
+		d.scheduler.hearDemand(summary)
 	}
-	return peer.LoadSumReply{}
+	return peer.LoadSummaryReply{}
 }
--- a/internal/controlplane/demandshare_test.go
+++ b/internal/controlplane/demandshare_test.go
@@ -9,45 +9,45 @@
 	"ferryspar/internal/place"
 )
 
-func TestGivenAShareOfWhichTheAnswerIsLostThenItsArrivalsCountOnce(t *testing.T) {
-	sums := NewSums()
+func TestScheduler_CountsResentArrivalsOnce(t *testing.T) {
+	sums := NewLoadAggregator()
 	holder := &Scheduler{
 		daemon: &Daemon{clock: rosterStart.Local}, nudge: make(chan struct{}, 1),
-		counted: map[string]float64{}, reading: map[string]float64{}, feed: feed{tally: NewTally()},
+		counted: map[string]float64{}, reading: map[string]float64{}, feed: feed{tally: NewDemandAggregator()},
 	}
 	arrive := func(amount int) {
-		sums.Hear(peer.LoadReport{Daemon: "edge", Models: []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}}}, rosterStart)
+		sums.AddReport(peer.LoadReport{DataPlane: "edge", Models: []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}}}, rosterStart)
 	}
 	counted := func() float64 { return holder.counted[place.ModelKey("s", "m")] }
 	arrive(10)
-	lost := sums.Demand("a", false)
+	lost := sums.DemandSummary("a", false)
 	holder.hearDemand(lost)
-	sums.restore(lost)
+	sums.markUncertain(lost)
 	arrive(5)
-	again := sums.Demand("a", false)
+	again := sums.DemandSummary("a", false)
 	holder.hearDemand(again)
 	assert.Equal(t, counted(), 10.0, "told again, counted once")
-	next := sums.Demand("a", false)
+	next := sums.DemandSummary("a", false)
 	holder.hearDemand(next)
-	sums.delivered(next)
-	sums.restore(again)
-	holder.hearDemand(sums.Demand("a", false))
+	sums.markDelivered(next)
+	sums.markUncertain(again)
+	holder.hearDemand(sums.DemandSummary("a", false))
 	assert.Equal(t, counted(), 15.0)
-	holder.hearDemand(sums.Demand("a", false))
+	holder.hearDemand(sums.DemandSummary("a", false))
 	assert.Equal(t, counted(), 15.0, "nothing is left")
 	restarted := lost
-	restarted.Life = "next"
+	restarted.Incarnation = "next"
 	holder.hearDemand(restarted)
 	assert.Equal(t, counted(), 25.0, "numbers begin anew with a life")
 }
 
-func TestGivenBatchesInAnyOrderThenEachIsNewOnce(t *testing.T) {
-	heard := &heardBatches{numbers: map[uint64]bool{}}
+func TestReceivedBatches_EachIsNewOnce(t *testing.T) {
+	heard := &receivedBatches{numbers: map[uint64]bool{}}
 	for _, number := range []uint64{2, 1, 5, 3} {
-		assert.Assert(t, heard.isNew(number))
-		assert.Assert(t, !heard.isNew(number))
+		assert.Assert(t, heard.markReceived(number))
+		assert.Assert(t, !heard.markReceived(number))
 	}
-	assert.Assert(t, heard.isNew(batchesKept+4))
-	assert.Assert(t, !heard.isNew(4), "too old to tell")
-	assert.Assert(t, len(heard.numbers) <= batchesKept)
+	assert.Assert(t, heard.markReceived(batchWindow+4))
+	assert.Assert(t, !heard.markReceived(4), "too old to tell")
+	assert.Assert(t, len(heard.numbers) <= batchWindow)
 }
--- a/internal/controlplane/drill.go
+++ b/internal/controlplane/drill.go
@@ -33,7 +33,7 @@
 		return
 	}
 	now := d.clock()
-	d.publisher.Change(func(next *Snapshot) bool {
+	d.publisher.Update(func(next *Snapshot) bool {
 		held := next.Drill
 		if record.Number < held.Number || record.Number == held.Number && record.Beat <= held.Beat && held.Number > 0 {
 			return false
@@ -60,7 +60,7 @@
 	err := d.retryChange(ctx, func(current keystore.Register) (any, error) {
 		var held drill.Record
 		_ = json.Unmarshal(current.Value, &held)
-		view := d.publisher.Read().Drill
+		view := d.publisher.Current().Drill
 		if request.Mark == held.Mark {
 			started = held
 			return nil, errUnchanged
@@ -93,8 +93,8 @@
 	if _, err := request.Record(drill.Record{}); err != nil {
 		return err
 	}
-	snapshot := d.publisher.Read()
-	if !snapshot.Fresh(d.clock()) {
+	snapshot := d.publisher.Current()
+	if !snapshot.IsFresh(d.clock()) {
 		return apierror.New(apierror.NoMajority, "this daemon's state is not confirmed")
 	}
 	for zone, state := range snapshot.Zones {
--- a/internal/controlplane/drillstatus.go
+++ b/internal/controlplane/drillstatus.go
@@ -79,7 +79,7 @@
 
 // drillStatus is a drill as the operator is told of it, by what this daemon knows.
 func (d *Daemon) drillStatus(record drill.Record) drill.Status {
-	view := d.publisher.Read().Drill
+	view := d.publisher.Current().Drill
 	status := drill.Status{Record: record, Edges: map[string]string{}}
 	if !record.Running {
 		status.LeftMs = 0
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -31,6 +31,6 @@
 		return
 	}
 	for _, address := range d.otherControls() {
-		go func() { _ = d.peers.Ask(ctx, "learn", address, learned, nil) }()
+		go func() { _ = d.peers.Call(ctx, "learn", address, learned, nil) }()
 	}
 }
--- a/internal/controlplane/eviction.go
+++ b/internal/controlplane/eviction.go
@@ -75,7 +75,7 @@
 			}
 		}
 	}
-	view.ContextEvictions = append(view.ContextEvictions, w.dueCopies(snapshot.Policy, view.Now)...)
+	view.ContextEvictions = append(view.ContextEvictions, w.dueCopies(snapshot.Retention, view.Now)...)
 }
 
 // clearedKey names a pair of an item.
--- a/internal/controlplane/exchange.go
+++ b/internal/controlplane/exchange.go
@@ -10,98 +10,98 @@
 )
 
 const (
-	// sumsEvery is how often sums go to the other control planes.
-	sumsEvery = 250 * time.Millisecond
-	// sumsPause is the least time between two hurried shares of demand.
-	sumsPause = 20 * time.Millisecond
-	// demandTurns is how many exchanges there are to one share of the demand.
-	demandTurns = 2
+	// summaryInterval is how often sums go to the other control planes.
+	summaryInterval = 250 * time.Millisecond
+	// minDemandInterval is the least time between two hurried shares of demand.
+	minDemandInterval = 20 * time.Millisecond
+	// summariesPerDemand is how many exchanges there are to one share of the demand.
+	summariesPerDemand = 2
 )
 
-// exchanged remembers which control planes could not open packed sums.
-type exchanged struct {
-	lock  sync.Mutex
-	named map[string]bool
+// unpackedPeers remembers which control planes could not open packed sums.
+type unpackedPeers struct {
+	lock      sync.Mutex
+	byAddress map[string]bool
 }
 
 // wants tells whether sums for the address must name their replicas.
-func (e *exchanged) wants(address string) bool {
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	return e.named[address]
+func (u *unpackedPeers) needsUnpacked(address string) bool {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	return u.byAddress[address]
 }
 
 // note keeps whether the address wants named sums.
-func (e *exchanged) note(address string, named bool) {
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	if e.named == nil {
-		e.named = map[string]bool{}
+func (u *unpackedPeers) record(address string, unpacked bool) {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	if u.byAddress == nil {
+		u.byAddress = map[string]bool{}
 	}
-	e.named[address] = named
+	u.byAddress[address] = unpacked
 }
 
-// sumsLoop shares sums and demand until the context ends, and demand at once if a model is newly
+// runLoadExchange shares sums and demand until the context ends, and demand at once if a model is newly
 // waited for.
-func (d *Daemon) sumsLoop(ctx context.Context) {
-	ticker := time.NewTicker(sumsEvery)
+func (d *Daemon) runLoadExchange(ctx context.Context) {
+	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
 	for turn := 0; ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.exchange(ctx)
-			if turn++; turn%demandTurns == 0 {
-				d.tellDemand(ctx, false)
+			d.sendSummaries(ctx)
+			if turn++; turn%summariesPerDemand == 0 {
+				d.sendDemand(ctx, false)
 			}
-		case <-d.sums.nudge:
-			d.tellDemand(ctx, true)
-			nodesettings.Sleep(ctx, sumsPause)
+		case <-d.sums.wake:
+			d.sendDemand(ctx, true)
+			nodesettings.Sleep(ctx, minDemandInterval)
 		}
 	}
 }
 
 // exchange sends this daemon's sums to every other control plane and does not wait for the answers.
-func (d *Daemon) exchange(ctx context.Context) {
-	whole := d.sums.Share(d.self, d.clock())
-	packed := d.dense.pack(whole, d.roster.listed())
+func (d *Daemon) sendSummaries(ctx context.Context) {
+	full := d.sums.Summary(d.self, d.clock())
+	packed := d.dense.pack(full, d.roster.listed())
 	for _, address := range d.otherControls() {
-		share := packed
-		if d.exchanged.wants(address) {
-			share = whole
+		summary := packed
+		if d.exchanged.needsUnpacked(address) {
+			summary = full
 		}
 		go func() {
-			var reply peer.LoadSumReply
-			if d.peers.Ask(ctx, "sums", address, share, &reply) == nil {
-				d.exchanged.note(address, reply.Unknown)
+			var reply peer.LoadSummaryReply
+			if d.peers.Call(ctx, "sums", address, summary, &reply) == nil {
+				d.exchanged.record(address, reply.UnknownVersion)
 			}
 		}()
 	}
 }
 
-// tellDemand gives this daemon's share of the demand to the placement holder, which may be itself.
+// sendDemand gives this daemon's share of the demand to the placement holder, which may be itself.
 // Arrivals that may not have been delivered are sent again, and count once.
-func (d *Daemon) tellDemand(ctx context.Context, partial bool) {
-	holder := d.publisher.Read().Holder
-	if holder == "" {
+func (d *Daemon) sendDemand(ctx context.Context, partial bool) {
+	leaseHolder := d.publisher.Current().LeaseHolder
+	if leaseHolder == "" {
 		return
 	}
-	share := d.sums.Demand(d.self, partial)
-	if partial && len(share.Models) == 0 {
+	summary := d.sums.DemandSummary(d.self, partial)
+	if partial && len(summary.Models) == 0 {
 		return
 	}
-	share.Life = d.life
-	if holder == d.self {
-		d.scheduler.hearDemand(share)
-		d.sums.delivered(share)
+	summary.Incarnation = d.life
+	if leaseHolder == d.self {
+		d.scheduler.hearDemand(summary)
+		d.sums.markDelivered(summary)
 		return
 	}
 	go func() {
-		if err := d.peers.Ask(ctx, "sums", holder, share, nil); err != nil {
-			d.sums.restore(share)
+		if err := d.peers.Call(ctx, "sums", leaseHolder, summary, nil); err != nil {
+			d.sums.markUncertain(summary)
 			return
 		}
-		d.sums.delivered(share)
+		d.sums.markDelivered(summary)
 	}()
 }
--- a/internal/controlplane/feed.go
+++ b/internal/controlplane/feed.go
@@ -18,7 +18,7 @@
 )
 
 type feed struct {
-	tally      *Tally
+	tally      *DemandAggregator
 	heardRates map[string]peer.Rate
 	catalog    *place.Catalog
 	order      []string
@@ -37,11 +37,11 @@
 		return false
 	}
 	w.lock.Lock()
-	waited := w.tally.Stirred() || len(w.tally.waiting) > 0
+	waited := w.tally.TakeDirty() || len(w.tally.waiting) > 0
 	w.lock.Unlock()
-	changed := waited || w.stirred || w.version != snapshot.Version+snapshot.Roster || since >= planWithin
+	changed := waited || w.stirred || w.version != snapshot.Version+snapshot.RosterVersion || since >= planWithin
 	if changed {
-		w.stirred, w.version = false, snapshot.Version+snapshot.Roster
+		w.stirred, w.version = false, snapshot.Version+snapshot.RosterVersion
 	}
 	return changed
 }
--- a/internal/controlplane/feed_bench_test.go
+++ b/internal/controlplane/feed_bench_test.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/platform"
 )
 
-func BenchmarkFeed(b *testing.B) {
+func BenchmarkScheduler_DemandAndReplicas(b *testing.B) {
 	for _, size := range [][2]int{{9, 6}, {140, 80}, {720, 400}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -22,7 +22,7 @@
 				reading:  map[string]float64{},
 				heldOnce: map[string]map[string]bool{},
 				managed:  map[string]*managedReplica{},
-				feed:     feed{tally: NewTally()},
+				feed:     feed{tally: NewDemandAggregator()},
 			}
 			var listed []platform.Replica
 			for index := range size[0] {
@@ -41,9 +41,9 @@
 				Name:    "s",
 				Runtime: &configuration.Runtime{Slots: 12},
 			}}}, nil)
-			var reports []peer.LoadSum
+			var reports []peer.LoadSummary
 			for edge := range size[1] {
-				report := peer.LoadSum{Member: fmt.Sprint("member", edge), Daemons: 1}
+				report := peer.LoadSummary{Member: fmt.Sprint("member", edge), DataPlaneCount: 1}
 				for index := range 40 {
 					report.Models = append(report.Models, peer.ModelLoad{
 						Backend: "s",
@@ -62,7 +62,7 @@
 					for index, model := range report.Models {
 						names[index] = place.ModelKey(model.Backend, model.Model)
 					}
-					w.tally.Hear(report, append([]string{}, names...), now)
+					w.tally.Add(report, append([]string{}, names...), now)
 				}
 				w.measure()
 				w.adoptList(listed, now)
--- a/internal/controlplane/follow.go
+++ b/internal/controlplane/follow.go
@@ -7,129 +7,129 @@
 	"ferryspar/internal/peer"
 )
 
-type following struct {
-	names  map[peer.PartName]bool
-	number uint64
-	heard  time.Time
-	wake   chan struct{}
+type subscription struct {
+	keys     map[peer.EndpointKey]bool
+	sequence uint64
+	lastSeen time.Time
+	wake     chan struct{}
 }
 
-func (f *following) signal() {
+func (s *subscription) notify() {
 	select {
-	case f.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
 const (
-	followingLife = 20 * time.Second
-	followsBound  = 4096
+	subscriptionTTL   = 20 * time.Second
+	maxSubscribedKeys = 4096
 )
 
 // Follow notes which parts a data plane follows and answers with those it adds. A question that does
 // not continue the last one heard is answered with the request to begin anew.
-func (p *Parts) Follow(question peer.FollowRequest, now time.Time) peer.FollowReply {
+func (p *EndpointPublisher) Subscribe(request peer.SubscribeRequest, now time.Time) peer.SubscribeResponse {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.forgetSilent(now)
-	held := p.followings[question.Daemon]
+	p.removeExpired(now)
+	subscriber := p.subscriptions[request.DataPlane]
 	switch {
-	case question.Whole:
-		if held != nil {
-			p.leaveAll(held)
+	case request.Reset:
+		if subscriber != nil {
+			p.unsubscribeAll(subscriber)
 		}
-		held = &following{names: map[peer.PartName]bool{}, wake: make(chan struct{}, 1)}
-		p.followings[question.Daemon] = held
-	case held == nil || held.number+1 != question.Number:
-		return peer.FollowReply{Refollow: true, Roster: p.version}
+		subscriber = &subscription{keys: map[peer.EndpointKey]bool{}, wake: make(chan struct{}, 1)}
+		p.subscriptions[request.DataPlane] = subscriber
+	case subscriber == nil || subscriber.sequence+1 != request.Sequence:
+		return peer.SubscribeResponse{Resubscribe: true, RosterVersion: p.version}
 	}
-	held.number, held.heard = question.Number, now
-	for _, name := range question.Drop {
-		p.leave(held, name)
+	subscriber.sequence, subscriber.lastSeen = request.Sequence, now
+	for _, key := range request.Remove {
+		p.unsubscribe(subscriber, key)
 	}
-	answer := peer.FollowReply{Roster: p.version}
-	for _, name := range question.Add {
-		if len(held.names) >= followsBound {
+	response := peer.SubscribeResponse{RosterVersion: p.version}
+	for _, key := range request.Add {
+		if len(subscriber.keys) >= maxSubscribedKeys {
 			break
 		}
-		held.names[name] = true
-		if p.followers[name] == nil {
-			p.followers[name] = map[*following]bool{}
+		subscriber.keys[key] = true
+		if p.subscribers[key] == nil {
+			p.subscribers[key] = map[*subscription]bool{}
 		}
-		p.followers[name][held] = true
-		answer.Parts = append(answer.Parts, p.compose(name, now))
+		p.subscribers[key][subscriber] = true
+		response.EndpointSets = append(response.EndpointSets, p.compose(key, now))
 	}
-	return answer
+	return response
 }
 
-func (p *Parts) leaveAll(held *following) {
-	for name := range held.names {
-		p.leave(held, name)
+func (p *EndpointPublisher) unsubscribeAll(subscriber *subscription) {
+	for key := range subscriber.keys {
+		p.unsubscribe(subscriber, key)
 	}
 }
 
-func (p *Parts) leave(held *following, name peer.PartName) {
-	delete(held.names, name)
-	delete(p.followers[name], held)
-	if len(p.followers[name]) == 0 {
-		delete(p.followers, name)
+func (p *EndpointPublisher) unsubscribe(subscriber *subscription, key peer.EndpointKey) {
+	delete(subscriber.keys, key)
+	delete(p.subscribers[key], subscriber)
+	if len(p.subscribers[key]) == 0 {
+		delete(p.subscribers, key)
 	}
 }
 
-func (p *Parts) forgetSilent(now time.Time) {
-	for daemon, held := range p.followings {
-		if now.Sub(held.heard) > followingLife {
-			p.leaveAll(held)
-			delete(p.followings, daemon)
+func (p *EndpointPublisher) removeExpired(now time.Time) {
+	for dataPlane, subscriber := range p.subscriptions {
+		if now.Sub(subscriber.lastSeen) > subscriptionTTL {
+			p.unsubscribeAll(subscriber)
+			delete(p.subscriptions, dataPlane)
 		}
 	}
 }
 
 // News lists the followed parts that changed since the poll's version, and says whether the data plane
 // must name its parts anew.
-func (p *Parts) News(poll peer.Poll, life string, now time.Time) (parts []peer.Part, version uint64, refollow bool) {
+func (p *EndpointPublisher) Changes(request peer.WatchRequest, incarnation string, now time.Time) (changed []peer.EndpointSet, version uint64, resubscribe bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	held := p.followings[poll.Daemon]
-	if held == nil || poll.Follows == 0 || poll.Follows > held.number {
-		if poll.Life != life {
-			poll.Roster = 0
+	subscriber := p.subscriptions[request.DataPlane]
+	if subscriber == nil || request.SubscriptionSequence == 0 || request.SubscriptionSequence > subscriber.sequence {
+		if request.Incarnation != incarnation {
+			request.RosterVersion = 0
 		}
-		return nil, poll.Roster, poll.Follows > 0
+		return nil, request.RosterVersion, request.SubscriptionSequence > 0
 	}
-	held.heard = now
-	if poll.Life == life && poll.Roster >= p.version {
+	subscriber.lastSeen = now
+	if request.Incarnation == incarnation && request.RosterVersion >= p.version {
 		return nil, p.version, false
 	}
-	for name := range held.names {
-		if one := p.parts[name]; one != nil && (one.version > poll.Roster || poll.Life != life) {
-			parts = append(parts, p.compose(name, now))
+	for key := range subscriber.keys {
+		if set := p.sets[key]; set != nil && (set.version > request.RosterVersion || request.Incarnation != incarnation) {
+			changed = append(changed, p.compose(key, now))
 		}
 	}
-	return parts, p.version, false
+	return changed, p.version, false
 }
 
-func (p *Parts) wakes(daemon string) <-chan struct{} {
+func (p *EndpointPublisher) wakeChannel(dataPlane string) <-chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if held := p.followings[daemon]; held != nil {
-		return held.wake
+	if subscriber := p.subscriptions[dataPlane]; subscriber != nil {
+		return subscriber.wake
 	}
 	return nil
 }
 
 // Followed names the replicas in the parts that a data plane follows.
-func (p *Parts) Followed(daemon string) map[string]bool {
+func (p *EndpointPublisher) SubscribedReplicas(dataPlane string) map[string]bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	held := p.followings[daemon]
-	if held == nil {
+	subscriber := p.subscriptions[dataPlane]
+	if subscriber == nil {
 		return nil
 	}
 	replicas := map[string]bool{}
-	for name := range held.names {
-		if one := p.parts[name]; one != nil {
-			for id := range one.holders {
+	for key := range subscriber.keys {
+		if set := p.sets[key]; set != nil {
+			for id := range set.endpoints {
 				replicas[id] = true
 			}
 		}
@@ -137,14 +137,14 @@
 	return replicas
 }
 
-func (d *Daemon) hearFollow(_ context.Context, question peer.FollowRequest) peer.FollowReply {
-	snapshot := d.publisher.Read()
-	if !snapshot.Fresh(d.clock()) || d.isLeaving() {
-		return peer.FollowReply{Life: d.life}
+func (d *Daemon) handleSubscribe(_ context.Context, request peer.SubscribeRequest) peer.SubscribeResponse {
+	snapshot := d.publisher.Current()
+	if !snapshot.IsFresh(d.clock()) || d.isLeaving() {
+		return peer.SubscribeResponse{Incarnation: d.life}
 	}
-	answer := d.parts.Follow(question, d.clock())
+	response := d.parts.Subscribe(request, d.clock())
 	now := d.clock()
-	answer.Life, answer.FreshMs = d.life, snapshot.FreshFor(now).Milliseconds()
-	answer.RosterAge = now.Sub(snapshot.RosterAt).Milliseconds()
-	return answer
+	response.Incarnation, response.FreshMs = d.life, snapshot.FreshFor(now).Milliseconds()
+	response.RosterAgeMs = now.Sub(snapshot.RosterAsOf).Milliseconds()
+	return response
 }
--- a/internal/controlplane/forecast.go
+++ b/internal/controlplane/forecast.go
@@ -92,8 +92,8 @@
 		return drill.Forecast{}, apierror.New(apierror.DrillInProgress, "a forecast is being gathered here")
 	}
 	ask := func(asked *drill.Question) {
-		d.publisher.Change(func(next *Snapshot) bool {
-			next.Question = asked
+		d.publisher.Update(func(next *Snapshot) bool {
+			next.Forecast = asked
 			return true
 		})
 	}
@@ -126,11 +126,11 @@
 // forecastBasis is what this daemon itself knows for a forecast; it fails without confirmed state
 // or a configuration.
 func (d *Daemon) forecastBasis(scope drill.Scope) (drill.FleetView, error) {
-	snapshot := d.publisher.Read()
-	if !snapshot.Fresh(d.clock()) {
+	snapshot := d.publisher.Current()
+	if !snapshot.IsFresh(d.clock()) {
 		return drill.FleetView{}, apierror.New(apierror.NoMajority, "this daemon's state is not confirmed")
 	}
-	document, err := configuration.Decompress(snapshot.Packed)
+	document, err := configuration.Decompress(snapshot.PackedConfiguration)
 	if err != nil || snapshot.Revision == 0 {
 		return drill.FleetView{}, apierror.New(apierror.NoConfiguration, "")
 	}
@@ -146,7 +146,7 @@
 		Demand:      d.scheduler.demandRates(),
 		Members:     d.store.Membership().Current,
 		MemberZones: map[string]string{d.self: d.settings.Zone},
-		Holder:      snapshot.Holder,
+		Holder:      snapshot.LeaseHolder,
 	}
 	d.watching.Lock()
 	defer d.watching.Unlock()
--- a/internal/controlplane/forecastplan.go
+++ b/internal/controlplane/forecastplan.go
@@ -12,11 +12,11 @@
 // cannot be asked.
 func (d *Daemon) addPlan(ctx context.Context, merged *drill.Forecast, question drill.Question) {
 	var plan drill.Plan
-	holder := d.publisher.Read().Holder
+	holder := d.publisher.Current().LeaseHolder
 	if holder == d.self {
 		plan = d.hearPlan(ctx, question)
 	} else if holder != "" {
-		_ = d.peers.Ask(ctx, "plan", holder, question, &plan)
+		_ = d.peers.Call(ctx, "plan", holder, question, &plan)
 	}
 	if !plan.Holds {
 		merged.Partial = true
@@ -46,7 +46,7 @@
 
 // forecastPlan plans on a copy of the present state, without the zones of the scope.
 func (w *Scheduler) forecastPlan(scope drill.Scope) drill.Plan {
-	snapshot := w.daemon.publisher.Read()
+	snapshot := w.daemon.publisher.Current()
 	if table := w.currentTable(snapshot); table == nil || !w.Holding() {
 		return drill.Plan{}
 	}
@@ -79,5 +79,5 @@
 func (w *Scheduler) suspects(id string) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.tally.Suspected(id)
+	return w.tally.IsSuspected(id)
 }
--- a/internal/controlplane/greetings.go
+++ b/internal/controlplane/greetings.go
@@ -81,15 +81,15 @@
 	}
 }
 
-func (d *Daemon) greeting() peer.Greeting {
+func (d *Daemon) greeting() peer.Heartbeat {
 	self := d.acceptor.LocalState()
-	greeting := peer.Greeting{
-		Daemon: d.settings.NodeName, Address: d.self, Joining: !self.Voting, Number: self.MembershipVersion, Leaving: d.isLeaving(), Zone: d.settings.Zone,
-		Silent: d.membershipView().Suspects(),
+	greeting := peer.Heartbeat{
+		NodeName: d.settings.NodeName, Address: d.self, Joining: !self.Voting, MembershipVersion: self.MembershipVersion, Leaving: d.isLeaving(), Zone: d.settings.Zone,
+		Unreachable: d.membershipView().Suspects(),
 	}
 	if d.greetings++; d.greetings%edgesTurns == 1 || greeting.Leaving {
 		d.watching.Lock()
-		greeting.Edges = d.edges.Live(d.clock(), 2*inTouch)
+		greeting.DataPlanes = d.edges.Live(d.clock(), 2*inTouch)
 		d.watching.Unlock()
 	}
 	return greeting
@@ -113,7 +113,7 @@
 	for _, address := range targets {
 		go func() {
 			var reply greeted
-			if d.peers.Ask(ctx, "greet", address, greeting, &reply) == nil {
+			if d.peers.Call(ctx, "greet", address, greeting, &reply) == nil {
 				d.store.AdoptMembership(reply.Members)
 				d.noteControls(reply.Control)
 			}
@@ -138,24 +138,24 @@
 	control := append(others, d.self)
 	sort.Strings(control)
 	update := func(next *Snapshot) {
-		next.Edges, next.Present, next.Control, next.Neighbours = counted, present, control, neighbours
+		next.DataPlaneCount, next.EarlyDataPlaneCount, next.ControlPlanes, next.Neighbours = counted, present, control, neighbours
 	}
-	if firstCount := present > 0 && d.publisher.Read().Present == 0; firstCount {
-		d.publisher.Change(func(next *Snapshot) bool { update(next); return true })
+	if firstCount := present > 0 && d.publisher.Current().EarlyDataPlaneCount == 0; firstCount {
+		d.publisher.Update(func(next *Snapshot) bool { update(next); return true })
 		return
 	}
-	d.publisher.Touch(update)
+	d.publisher.UpdateQuietly(update)
 }
 
-func (d *Daemon) hearGreeting(_ context.Context, greeting peer.Greeting) greeted {
+func (d *Daemon) hearGreeting(_ context.Context, greeting peer.Heartbeat) greeted {
 	now := d.clock()
 	d.watching.Lock()
 	d.controls.Record(greeting.Address, heartbeat.Heartbeat{ReportedAt: now})
 	d.joining[greeting.Address] = greeting
-	if greeting.Leaving && greeting.Address == d.publisher.Read().Holder {
+	if greeting.Leaving && greeting.Address == d.publisher.Current().LeaseHolder {
 		d.scheduler.forgetHolder()
 	}
-	for _, edge := range greeting.Edges {
+	for _, edge := range greeting.DataPlanes {
 		d.edges.RecordContact(edge, now)
 		if _, known := d.remembered[edge]; !known {
 			d.remembered[edge] = retention.DataPlaneView{}
--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -41,7 +41,7 @@
 			return
 		case <-ticker.C:
 		}
-		snapshot := d.publisher.Read()
+		snapshot := d.publisher.Current()
 		if !snapshot.Drill.Running || !d.scheduler.Holding() {
 			base = nil
 			continue
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -30,7 +30,7 @@
 func (d *Daemon) leave(operators, peers *http.Server) {
 	began := d.clock()
 	close(d.leaving)
-	d.publisher.Change(func(*Snapshot) bool { return true })
+	d.publisher.Update(func(*Snapshot) bool { return true })
 	logrus.Info("leaving")
 	until := began.Add(nodesettings.Seconds(d.settings.TimingBounds.GraceS) - endMargin)
 	select {
--- a/internal/controlplane/loads_test.go
+++ b/internal/controlplane/loads_test.go
@@ -28,7 +28,7 @@
 		}}}}
 		scheduler.store.due = make(chan reservation, 1)
 		scheduler.hold.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: new(loadbudget.Reservation)}})
-		now := partsNow
+		now := testStart
 		var began []time.Time
 		for range 1200 {
 			now = now.Add(time.Duration(random.IntN(60)) * time.Millisecond)
@@ -54,6 +54,6 @@
 			most = max(most, within)
 		}
 		assert.Assert(t, float64(most) <= rate*span*overage+3, "seed %d: %d loads of %f a second", seed, most, rate)
-		assert.Assert(t, float64(len(began)) >= 0.7*rate*now.Sub(partsNow).Seconds(), "seed %d: only %d", seed, len(began))
+		assert.Assert(t, float64(len(began)) >= 0.7*rate*now.Sub(testStart).Seconds(), "seed %d: only %d", seed, len(began))
 	}
 }
--- a/internal/controlplane/managed.go
+++ b/internal/controlplane/managed.go
@@ -32,7 +32,7 @@
 			managed = w.manage(one)
 			w.managed[one.ID] = managed
 		}
-		managed.matched = managed.matched && sameHeld(managed.listed.Models, one.Models)
+		managed.matched = managed.matched && sameModels(managed.listed.Models, one.Models)
 		managed.listed = *one
 		w.recheckContradicted(managed, readAt, now)
 		w.rememberListed(*one)
@@ -173,7 +173,7 @@
 			Backend:     one.listed.Backend,
 			Zone:        one.listed.Zone,
 			Draining:    one.listed.State == platform.Draining,
-			Lost:        w.tally.Suspected(id),
+			Lost:        w.tally.IsSuspected(id),
 			Loaded:      one.state.SurelyHeld(),
 			MaybeLoaded: one.state.MayHold(),
 			OnDisk:      w.heldOnce[diskOf(one.listed)],
--- a/internal/controlplane/managedreplica.go
+++ b/internal/controlplane/managedreplica.go
@@ -82,7 +82,7 @@
 }
 
 // recheckContradicted has a replica asked again that the platform's list has long shown with other models than its
-// report: the list was read after the report by more than the list may lag, and keeps to it.
+// dataPlaneReport: the list was read after the report by more than the list may lag, and keeps to it.
 func (w *Scheduler) recheckContradicted(one *managedReplica, listedAt, now time.Time) {
 	if one.matched || one.state.Phase() != replicastate.Idle || !listedAt.Add(-w.listLag()).After(one.overlayAt) {
 		return
--- a/internal/controlplane/managedreplica_test.go
+++ b/internal/controlplane/managedreplica_test.go
@@ -18,7 +18,7 @@
 func placingScheduler(now *time.Time, fence uint64) (*Scheduler, []platform.Replica) {
 	settings := nodesettings.Settings{CloudAPI: nodesettings.CloudAPI{MaxLagMs: 800}}
 	w := &Scheduler{
-		daemon:   &Daemon{clock: func() time.Time { return *now }, settings: settings, publisher: NewPublisher(), parts: NewParts()},
+		daemon:   &Daemon{clock: func() time.Time { return *now }, settings: settings, publisher: NewPublisher(), parts: NewEndpointPublisher()},
 		heldOnce: map[string]map[string]bool{},
 		managed:  map[string]*managedReplica{},
 		overlays: map[string]overlay{},
@@ -31,7 +31,7 @@
 }
 
 func TestGivenAReplicaThatSomeListsLeaveOutThenItsOrderIsNotForgottenUntilItIsLongGone(t *testing.T) {
-	now := partsNow
+	now := testStart
 	w, listed := placingScheduler(&now, 1)
 	one := w.managed["r"]
 	assert.Assert(t, one.state.Reported(replicastate.Report{Held: map[string]bool{"m": true}}, now))
@@ -49,7 +49,7 @@
 }
 
 func TestGivenAListThatKeepsContradictingAReportThenTheReplicaIsAskedAgain(t *testing.T) {
-	now := partsNow
+	now := testStart
 	w, listed := placingScheduler(&now, 1)
 	one := w.managed["r"]
 	assert.Assert(t, one.state.Reported(replicastate.Report{Held: map[string]bool{"n": true}}, now))
@@ -64,7 +64,7 @@
 
 func TestGivenAGrantThatFollowsAnotherThenNoReportFromItsFirstMomentsIsAskedFor(t *testing.T) {
 	for fence, waits := range map[uint64]bool{1: false, 2: true} {
-		now := partsNow
+		now := testStart
 		w, _ := placingScheduler(&now, fence)
 		assert.Equal(t, w.managed["r"].state.AskDue(now), !waits)
 		assert.Assert(t, w.managed["r"].state.AskDue(now.Add(reportAge)))
@@ -72,7 +72,7 @@
 }
 
 func TestGivenAGrantThatSeemsOverWhenItIsRenewedAfterAllThenItsOrdersAreStillKnown(t *testing.T) {
-	now := partsNow
+	now := testStart
 	w, _ := placingScheduler(&now, 1)
 	one := w.managed["r"]
 	assert.Assert(t, one.state.Reported(replicastate.Report{Held: map[string]bool{"m": true}}, now))
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -37,7 +37,7 @@
 	for address, greeting := range d.joining {
 		view.Peers[address] = membership.Peer{
 			Address: address, Zone: greeting.Zone, SinceLastHeard: now.Sub(d.controls.LastReport(address)),
-			Joining: greeting.Joining, Leaving: greeting.Leaving, MembershipVersion: greeting.Number, Suspects: greeting.Silent,
+			Joining: greeting.Joining, Leaving: greeting.Leaving, MembershipVersion: greeting.MembershipVersion, Suspects: greeting.Unreachable,
 		}
 	}
 	view.Peers[d.self] = membership.Peer{
@@ -82,7 +82,7 @@
 		}
 		d.completeFounding(ctx)
 		now := d.clock()
-		if now.Sub(d.started) < membersSettle || !d.acceptor.LocalState().Voting || !d.publisher.Read().Fresh(now) {
+		if now.Sub(d.started) < membersSettle || !d.acceptor.LocalState().Voting || !d.publisher.Current().IsFresh(now) {
 			due = dueChange{}
 			continue
 		}
@@ -118,5 +118,5 @@
 	}).Info("members change committed")
 	d.membersChange.Store(&operator.MembersChange{Number: change.Membership.Version, Reason: change.Reason})
 	d.apply(slot)
-	_ = d.bus.Publish(event.Committed, peer.KeyUpdate{Slot: slot.WithoutValue()})
+	_ = d.bus.Publish(event.Committed, peer.KeyUpdate{Register: slot.WithoutValue()})
 }
--- a/internal/controlplane/neighbours.go
+++ b/internal/controlplane/neighbours.go
@@ -34,6 +34,6 @@
 		listed.List = append(listed.List, peer.Neighbour{Name: name, Address: address})
 		_, _ = digest.WriteString(name + "\x00" + address + "\x00")
 	}
-	listed.Mark = digest.Sum64()
+	listed.Version = digest.Sum64()
 	return listed
 }
--- a/internal/controlplane/parts.go
+++ b/internal/controlplane/parts.go
@@ -11,191 +11,191 @@
 	"ferryspar/internal/platform"
 )
 
-// part is the replicas that hold one model of a backend; the empty model stands for all of the
+// endpointSet is the replicas that hold one model of a backend; the empty model stands for all of the
 // backend's replicas.
-type part struct {
+type endpointSet struct {
 	// version is the roster's version in which the part last changed.
-	version uint64
-	holders map[string]*replicaFacts
-	// sample is what followers are told instead of all holders, or nil.
-	sample map[string]*replicaFacts
+	version   uint64
+	endpoints map[string]*endpointSource
+	// chooseSample is what followers are told instead of all holders, or nil.
+	sample map[string]*endpointSource
 }
 
-// Parts cuts the roster into parts, so that data planes follow just the models they are asked for.
+// EndpointPublisher cuts the roster into parts, so that data planes follow just the models they are asked for.
 // Any goroutine may use it.
-type Parts struct {
-	lock    sync.Mutex
-	version uint64
-	facts   map[string]*replicaFacts
-	parts   map[peer.PartName]*part
+type EndpointPublisher struct {
+	lock     sync.Mutex
+	version  uint64
+	replicas map[string]*endpointSource
+	sets     map[peer.EndpointKey]*endpointSet
 	// followers are the followings by part.
-	followers map[peer.PartName]map[*following]bool
+	subscribers map[peer.EndpointKey]map[*subscription]bool
 	// followings are by data plane.
-	followings map[string]*following
+	subscriptions map[string]*subscription
 }
 
-// NewParts is an empty roster.
-func NewParts() *Parts {
-	return &Parts{
-		facts:      map[string]*replicaFacts{},
-		parts:      map[peer.PartName]*part{},
-		followers:  map[peer.PartName]map[*following]bool{},
-		followings: map[string]*following{},
+// NewEndpointPublisher is an empty roster.
+func NewEndpointPublisher() *EndpointPublisher {
+	return &EndpointPublisher{
+		replicas:      map[string]*endpointSource{},
+		sets:          map[peer.EndpointKey]*endpointSet{},
+		subscribers:   map[peer.EndpointKey]map[*subscription]bool{},
+		subscriptions: map[string]*subscription{},
 	}
 }
 
 // Publish adopts a roster as of a moment and wakes the followers of parts that changed. Barred
 // holds "replica reference" of what must no longer be used.
-func (p *Parts) Publish(replicas []platform.Replica, barred []string, at time.Time) {
-	stopped := map[string]map[string]bool{}
-	for _, one := range barred {
-		id, reference, _ := strings.Cut(one, " ")
-		if stopped[id] == nil {
-			stopped[id] = map[string]bool{}
+func (p *EndpointPublisher) Publish(replicas []platform.Replica, cordoned []string, at time.Time) {
+	cordonedOf := map[string]map[string]bool{}
+	for _, entry := range cordoned {
+		id, reference, _ := strings.Cut(entry, " ")
+		if cordonedOf[id] == nil {
+			cordonedOf[id] = map[string]bool{}
 		}
-		stopped[id][reference] = true
+		cordonedOf[id][reference] = true
 	}
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	touched := map[peer.PartName]bool{}
+	changed := map[peer.EndpointKey]bool{}
 	present := make(map[string]bool, len(replicas))
 	for index := range replicas {
 		listed := replicas[index]
 		present[listed.ID] = true
-		p.adopt(listed, stopped[listed.ID], at, touched)
+		p.update(listed, cordonedOf[listed.ID], at, changed)
 	}
-	for id, held := range p.facts {
+	for id, held := range p.replicas {
 		if !present[id] {
-			p.remove(held, touched)
-			delete(p.facts, id)
+			p.remove(held, changed)
+			delete(p.replicas, id)
 		}
 	}
-	p.resample(touched)
-	if len(touched) == 0 {
+	p.resample(changed)
+	if len(changed) == 0 {
 		return
 	}
 	p.version++
-	for name := range touched {
-		if held := p.parts[name]; held != nil {
+	for name := range changed {
+		if held := p.sets[name]; held != nil {
 			held.version = p.version
 		}
-		for one := range p.followers[name] {
-			one.signal()
+		for entry := range p.subscribers[name] {
+			entry.notify()
 		}
 	}
 }
 
 // adopt adopts a replica's entry and adds the parts that it changes to touched.
-func (p *Parts) adopt(
+func (p *EndpointPublisher) update(
 	listed platform.Replica,
-	stopped map[string]bool,
+	cordoned map[string]bool,
 	at time.Time,
-	touched map[peer.PartName]bool,
+	changed map[peer.EndpointKey]bool,
 ) {
-	coldUntil := time.Time{}
+	warmUpUntil := time.Time{}
 	if listed.ColdRemainingMs > 0 {
-		coldUntil = at.Add(time.Duration(listed.ColdRemainingMs * float64(time.Millisecond)))
+		warmUpUntil = at.Add(time.Duration(listed.ColdRemainingMs * float64(time.Millisecond)))
 	}
-	held := p.facts[listed.ID]
-	if held != nil && len(stopped) == 0 && held.isUnbarred() && held.sameListing(listed, coldUntil) {
+	previous := p.replicas[listed.ID]
+	if previous != nil && len(cordoned) == 0 && previous.isFullyUsable() && previous.sameListing(listed, warmUpUntil) {
 		return
 	}
-	next := &replicaFacts{
-		listed:    listed,
-		coldUntil: coldUntil,
-		holdings:  holdings(listed, stopped),
+	next := &endpointSource{
+		listed:      listed,
+		warmUpUntil: warmUpUntil,
+		usable:      usableModels(listed, cordoned),
 	}
-	whole := held == nil || !sameFact(held.listed, listed) || !closeTimes(held.coldUntil, coldUntil)
-	if held != nil && !whole && sameHoldings(held.holdings, next.holdings) {
-		held.listed = listed
+	all := previous == nil || !sameReplica(previous.listed, listed) || !closeTimes(previous.warmUpUntil, warmUpUntil)
+	if previous != nil && !all && sameUsable(previous.usable, next.usable) {
+		previous.listed = listed
 		return
 	}
-	if held != nil {
-		p.removeChanged(held, next, whole, touched)
+	if previous != nil {
+		p.removeFromChanged(previous, next, all, changed)
 	}
-	p.addChanged(held, next, whole, touched)
-	p.facts[listed.ID] = next
+	p.addToChanged(previous, next, all, changed)
+	p.replicas[listed.ID] = next
 }
 
-// removeChanged takes the replica out of the parts in which it changes or no longer stands; whole
+// removeFromChanged takes the replica out of the parts in which it changes or no longer stands; whole
 // says that all of them change.
-func (p *Parts) removeChanged(held, next *replicaFacts, whole bool, touched map[peer.PartName]bool) {
-	for model, adapters := range held.holdings {
-		if other, stays := next.holdings[model]; whole || !stays || !slices.Equal(adapters, other) {
-			name := peer.PartName{Backend: held.listed.Backend, Model: model}
-			p.setHolder(name, held.listed.ID, nil, touched)
+func (p *EndpointPublisher) removeFromChanged(previous, next *endpointSource, all bool, changed map[peer.EndpointKey]bool) {
+	for model, adapters := range previous.usable {
+		if other, stays := next.usable[model]; all || !stays || !slices.Equal(adapters, other) {
+			key := peer.EndpointKey{Backend: previous.listed.Backend, Model: model}
+			p.setEndpoint(key, previous.listed.ID, nil, changed)
 		}
 	}
 }
 
-// addChanged puts the replica into its parts; those in which nothing changes are not touched.
-func (p *Parts) addChanged(held, next *replicaFacts, whole bool, touched map[peer.PartName]bool) {
+// addToChanged puts the replica into its parts; those in which nothing changes are not touched.
+func (p *EndpointPublisher) addToChanged(previous, next *endpointSource, all bool, changed map[peer.EndpointKey]bool) {
 	id := next.listed.ID
-	for model, adapters := range next.holdings {
-		name := peer.PartName{Backend: next.listed.Backend, Model: model}
-		before, stood := []string(nil), false
-		if held != nil {
-			before, stood = held.holdings[model]
+	for model, adapters := range next.usable {
+		key := peer.EndpointKey{Backend: next.listed.Backend, Model: model}
+		before, known := []string(nil), false
+		if previous != nil {
+			before, known = previous.usable[model]
 		}
-		if whole || !stood || !slices.Equal(adapters, before) {
-			p.setHolder(name, id, next, touched)
+		if all || !known || !slices.Equal(adapters, before) {
+			p.setEndpoint(key, id, next, changed)
 		} else {
-			p.parts[name].holders[id] = next
+			p.sets[key].endpoints[id] = next
 		}
 	}
 }
 
 // remove takes a replica that is gone out of its parts.
-func (p *Parts) remove(held *replicaFacts, touched map[peer.PartName]bool) {
-	for model := range held.holdings {
-		p.setHolder(peer.PartName{Backend: held.listed.Backend, Model: model}, held.listed.ID, nil, touched)
+func (p *EndpointPublisher) remove(replica *endpointSource, changed map[peer.EndpointKey]bool) {
+	for model := range replica.usable {
+		p.setEndpoint(peer.EndpointKey{Backend: replica.listed.Backend, Model: model}, replica.listed.ID, nil, changed)
 	}
 }
 
-// setHolder puts a replica into a part or, if holder is nil, takes it out.
-func (p *Parts) setHolder(name peer.PartName, id string, holder *replicaFacts, touched map[peer.PartName]bool) {
-	held := p.parts[name]
-	if held == nil {
-		held = &part{holders: map[string]*replicaFacts{}}
-		p.parts[name] = held
-	}
-	if holder == nil {
-		delete(held.holders, id)
+// setEndpoint puts a replica into a part or, if holder is nil, takes it out.
+func (p *EndpointPublisher) setEndpoint(key peer.EndpointKey, id string, replica *endpointSource, changed map[peer.EndpointKey]bool) {
+	set := p.sets[key]
+	if set == nil {
+		set = &endpointSet{endpoints: map[string]*endpointSource{}}
+		p.sets[key] = set
+	}
+	if replica == nil {
+		delete(set.endpoints, id)
 	} else {
-		held.holders[id] = holder
+		set.endpoints[id] = replica
 	}
-	touched[name] = true
+	changed[key] = true
 }
 
 // compose is a part as a follower is told it, with cold times left from the moment. The caller
 // holds the lock.
-func (p *Parts) compose(name peer.PartName, now time.Time) peer.Part {
-	composed := peer.Part{PartName: name}
-	held := p.parts[name]
-	if held == nil {
+func (p *EndpointPublisher) compose(key peer.EndpointKey, now time.Time) peer.EndpointSet {
+	composed := peer.EndpointSet{EndpointKey: key}
+	set := p.sets[key]
+	if set == nil {
 		return composed
 	}
-	composed.Version = held.version
-	holders := held.holders
-	if held.sample != nil {
-		holders = held.sample
+	composed.Version = set.version
+	replicas := set.endpoints
+	if set.sample != nil {
+		replicas = set.sample
 	}
-	for id, one := range holders {
-		holder := peer.Holder{
+	for id, replica := range replicas {
+		endpoint := peer.Endpoint{
 			ID:       id,
-			Address:  one.listed.Address,
-			Zone:     one.listed.Zone,
-			Slots:    one.listed.Slots,
-			Draining: one.listed.State == platform.Draining,
-			Adapters: one.holdings[name.Model],
+			Address:  replica.listed.Address,
+			Zone:     replica.listed.Zone,
+			Slots:    replica.listed.Slots,
+			Draining: replica.listed.State == platform.Draining,
+			Adapters: replica.usable[key.Model],
 		}
-		if left := one.coldUntil.Sub(now); left > 0 {
-			holder.ColdMs = float64(left.Milliseconds() + 1)
+		if left := replica.warmUpUntil.Sub(now); left > 0 {
+			endpoint.WarmUpRemainingMs = float64(left.Milliseconds() + 1)
 		}
-		composed.Holders = append(composed.Holders, holder)
+		composed.Endpoints = append(composed.Endpoints, endpoint)
 	}
-	sort.Slice(composed.Holders, func(left, right int) bool {
-		return composed.Holders[left].ID < composed.Holders[right].ID
+	sort.Slice(composed.Endpoints, func(left, right int) bool {
+		return composed.Endpoints[left].ID < composed.Endpoints[right].ID
 	})
 	return composed
 }
--- a/internal/controlplane/parts_test.go
+++ b/internal/controlplane/parts_test.go
@@ -14,94 +14,94 @@
 	"ferryspar/internal/platform"
 )
 
-var partsNow = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func named(model string) peer.PartName { return peer.PartName{Backend: "s", Model: model} }
+func modelKey(model string) peer.EndpointKey { return peer.EndpointKey{Backend: "s", Model: model} }
 
-func listedWith(id string, models ...string) platform.Replica {
-	one := platform.Replica{ID: id, Backend: "s", Address: "at-" + id, Zone: "north", State: "ready", Slots: 4}
+func replicaWith(id string, models ...string) platform.Replica {
+	replica := platform.Replica{ID: id, Backend: "s", Address: "at-" + id, Zone: "north", State: "ready", Slots: 4}
 	for _, model := range models {
-		one.Models = append(one.Models, platform.Held{Name: model, Revision: 1})
+		replica.Models = append(replica.Models, platform.Held{Name: model, Revision: 1})
 	}
-	return one
+	return replica
 }
 
-func holdersOf(part peer.Part) []string {
+func endpointIDs(set peer.EndpointSet) []string {
 	var ids []string
-	for _, one := range part.Holders {
-		ids = append(ids, one.ID)
+	for _, endpoint := range set.Endpoints {
+		ids = append(ids, endpoint.ID)
 	}
 	return ids
 }
 
-func TestGivenAFollowerWhenItAddsAModelThenThoseFollowedBeforeStay(t *testing.T) {
-	parts := NewParts()
-	parts.Publish([]platform.Replica{listedWith("i-1", "one")}, nil, partsNow)
-	first := parts.Follow(peer.FollowRequest{Daemon: "edge", Number: 1, Whole: true, Add: []peer.PartName{named("one"), named("two")}}, partsNow)
-	assert.DeepEqual(t, holdersOf(first.Parts[0]), []string{"i-1"})
-	assert.Equal(t, len(first.Parts[1].Holders), 0)
-	parts.Follow(peer.FollowRequest{Daemon: "edge", Number: 2, Add: []peer.PartName{named("three")}}, partsNow)
-	parts.Publish([]platform.Replica{listedWith("i-1", "one"), listedWith("i-2", "two")}, nil, partsNow)
-	told, version, refollow := parts.News(peer.Poll{Daemon: "edge", Life: "a", Follows: 2, Roster: first.Roster}, "a", partsNow)
-	assert.Assert(t, !refollow && version > first.Roster)
+func TestEndpointPublisher_KeepsKeysWhenOthersAreAdded(t *testing.T) {
+	parts := NewEndpointPublisher()
+	parts.Publish([]platform.Replica{replicaWith("i-1", "one")}, nil, testStart)
+	first := parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 1, Reset: true, Add: []peer.EndpointKey{modelKey("one"), modelKey("two")}}, testStart)
+	assert.DeepEqual(t, endpointIDs(first.EndpointSets[0]), []string{"i-1"})
+	assert.Equal(t, len(first.EndpointSets[1].Endpoints), 0)
+	parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 2, Add: []peer.EndpointKey{modelKey("three")}}, testStart)
+	parts.Publish([]platform.Replica{replicaWith("i-1", "one"), replicaWith("i-2", "two")}, nil, testStart)
+	told, version, refollow := parts.Changes(peer.WatchRequest{DataPlane: "edge", Incarnation: "a", SubscriptionSequence: 2, RosterVersion: first.RosterVersion}, "a", testStart)
+	assert.Assert(t, !refollow && version > first.RosterVersion)
 	assert.Equal(t, len(told), 1)
-	assert.DeepEqual(t, holdersOf(told[0]), []string{"i-2"})
+	assert.DeepEqual(t, endpointIDs(told[0]), []string{"i-2"})
 }
 
-func TestGivenADroppedModelThenItsChangesAreNoLongerTold(t *testing.T) {
-	parts := NewParts()
-	parts.Follow(peer.FollowRequest{Daemon: "edge", Number: 1, Whole: true, Add: []peer.PartName{named("one"), named("two")}}, partsNow)
-	parts.Follow(peer.FollowRequest{Daemon: "edge", Number: 2, Drop: []peer.PartName{named("one")}}, partsNow)
-	parts.Publish([]platform.Replica{listedWith("i-1", "one", "two")}, nil, partsNow)
-	told, _, _ := parts.News(peer.Poll{Daemon: "edge", Life: "a", Follows: 2}, "a", partsNow)
+func TestEndpointPublisher_SendsNoChangesOfRemovedKeys(t *testing.T) {
+	parts := NewEndpointPublisher()
+	parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 1, Reset: true, Add: []peer.EndpointKey{modelKey("one"), modelKey("two")}}, testStart)
+	parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 2, Remove: []peer.EndpointKey{modelKey("one")}}, testStart)
+	parts.Publish([]platform.Replica{replicaWith("i-1", "one", "two")}, nil, testStart)
+	told, _, _ := parts.Changes(peer.WatchRequest{DataPlane: "edge", Incarnation: "a", SubscriptionSequence: 2}, "a", testStart)
 	assert.Equal(t, len(told), 1)
 	assert.Equal(t, told[0].Model, "two")
 }
 
-func TestGivenACountThatDoesNotFitThenTheFollowerIsAskedToFollowAgain(t *testing.T) {
-	parts := NewParts()
-	assert.Assert(t, parts.Follow(peer.FollowRequest{Daemon: "edge", Number: 4}, partsNow).Refollow, "never heard of")
-	parts.Follow(peer.FollowRequest{Daemon: "edge", Number: 1, Whole: true}, partsNow)
-	assert.Assert(t, parts.Follow(peer.FollowRequest{Daemon: "edge", Number: 3}, partsNow).Refollow, "one was lost")
-	_, version, refollow := parts.News(peer.Poll{Daemon: "edge", Life: "a", Follows: 9, Roster: 7}, "a", partsNow)
+func TestEndpointPublisher_AsksToResubscribeAfterGap(t *testing.T) {
+	parts := NewEndpointPublisher()
+	assert.Assert(t, parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 4}, testStart).Resubscribe, "never heard of")
+	parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 1, Reset: true}, testStart)
+	assert.Assert(t, parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 3}, testStart).Resubscribe, "one was lost")
+	_, version, refollow := parts.Changes(peer.WatchRequest{DataPlane: "edge", Incarnation: "a", SubscriptionSequence: 9, RosterVersion: 7}, "a", testStart)
 	assert.Assert(t, refollow)
 	assert.Equal(t, version, uint64(7), "nothing is counted as told")
-	_, version, _ = parts.News(peer.Poll{Daemon: "edge", Life: "before", Follows: 9, Roster: 7}, "a", partsNow)
+	_, version, _ = parts.Changes(peer.WatchRequest{DataPlane: "edge", Incarnation: "before", SubscriptionSequence: 9, RosterVersion: 7}, "a", testStart)
 	assert.Equal(t, version, uint64(0), "what another life told counts for nothing")
-	later := partsNow.Add(followingLife + time.Second)
-	parts.Follow(peer.FollowRequest{Daemon: "other", Number: 1, Whole: true}, later)
-	assert.Assert(t, parts.Follow(peer.FollowRequest{Daemon: "edge", Number: 2}, later).Refollow, "silent for long")
+	later := testStart.Add(subscriptionTTL + time.Second)
+	parts.Subscribe(peer.SubscribeRequest{DataPlane: "other", Sequence: 1, Reset: true}, later)
+	assert.Assert(t, parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 2}, later).Resubscribe, "silent for long")
 }
 
-func TestGivenAnOrderOfAdaptersOnlyThenNothingIsTold(t *testing.T) {
-	parts := NewParts()
-	one := listedWith("i-1", "one")
+func TestEndpointPublisher_IgnoresAdapterOrder(t *testing.T) {
+	parts := NewEndpointPublisher()
+	one := replicaWith("i-1", "one")
 	one.Models[0].Adapters = []string{"a1", "a2"}
-	parts.Publish([]platform.Replica{one}, nil, partsNow)
+	parts.Publish([]platform.Replica{one}, nil, testStart)
 	before := parts.version
-	other := listedWith("i-1", "one")
+	other := replicaWith("i-1", "one")
 	other.Models[0].Adapters = []string{"a2", "a1"}
-	parts.Publish([]platform.Replica{other}, nil, partsNow)
+	parts.Publish([]platform.Replica{other}, nil, testStart)
 	assert.Equal(t, parts.version, before)
-	parts.Publish([]platform.Replica{other}, []string{"i-1 one/a2"}, partsNow)
+	parts.Publish([]platform.Replica{other}, []string{"i-1 one/a2"}, testStart)
 	assert.Equal(t, parts.version, before+1)
-	assert.DeepEqual(t, parts.compose(named("one"), partsNow).Holders[0].Adapters, []string{"a1"})
-	parts.Publish([]platform.Replica{other}, []string{"i-1 one"}, partsNow)
-	assert.Equal(t, len(parts.compose(named("one"), partsNow).Holders), 0)
+	assert.DeepEqual(t, parts.compose(modelKey("one"), testStart).Endpoints[0].Adapters, []string{"a1"})
+	parts.Publish([]platform.Replica{other}, []string{"i-1 one"}, testStart)
+	assert.Equal(t, len(parts.compose(modelKey("one"), testStart).Endpoints), 0)
 }
 
-func TestGivenRandomFleetsThenAFollowersPartsAreThoseOfTheWholeList(t *testing.T) {
+func TestEndpointPublisher_MatchesFullRosterOnRandomFleets(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 11))
-		parts, held := NewParts(), map[peer.PartName]peer.Part{}
-		followed, number, told := map[peer.PartName]bool{}, uint64(0), uint64(0)
+		parts, held := NewEndpointPublisher(), map[peer.EndpointKey]peer.EndpointSet{}
+		followed, number, told := map[peer.EndpointKey]bool{}, uint64(0), uint64(0)
 		fleet := map[string]platform.Replica{}
 		for step := range 120 {
 			id := fmt.Sprint("i-", random.IntN(12))
 			if random.IntN(5) == 0 {
 				delete(fleet, id)
 			} else {
-				one := listedWith(id, fmt.Sprint("m", random.IntN(6)), fmt.Sprint("m", 6+random.IntN(6)))
+				one := replicaWith(id, fmt.Sprint("m", random.IntN(6)), fmt.Sprint("m", 6+random.IntN(6)))
 				if random.IntN(6) == 0 {
 					one.State = platform.Draining
 				}
@@ -117,26 +117,26 @@
 				}
 				return 1
 			})
-			parts.Publish(listed, barred, partsNow)
-			if name := named(fmt.Sprint("m", random.IntN(12))); random.IntN(3) == 0 {
+			parts.Publish(listed, barred, testStart)
+			if name := modelKey(fmt.Sprint("m", random.IntN(12))); random.IntN(3) == 0 {
 				number++
-				question := peer.FollowRequest{Daemon: "edge", Number: number, Whole: number == 1}
+				question := peer.SubscribeRequest{DataPlane: "edge", Sequence: number, Reset: number == 1}
 				if followed[name] {
-					question.Drop = []peer.PartName{name}
+					question.Remove = []peer.EndpointKey{name}
 					delete(followed, name)
 					delete(held, name)
 				} else {
-					question.Add, followed[name] = []peer.PartName{name}, true
+					question.Add, followed[name] = []peer.EndpointKey{name}, true
 				}
-				for _, part := range parts.Follow(question, partsNow).Parts {
-					held[part.PartName] = part
+				for _, part := range parts.Subscribe(question, testStart).EndpointSets {
+					held[part.EndpointKey] = part
 				}
 			}
 			if random.IntN(2) == 0 && number > 0 {
-				news, version, _ := parts.News(peer.Poll{Daemon: "edge", Life: "a", Follows: number, Roster: told}, "a", partsNow)
+				news, version, _ := parts.Changes(peer.WatchRequest{DataPlane: "edge", Incarnation: "a", SubscriptionSequence: number, RosterVersion: told}, "a", testStart)
 				told = version
 				for _, part := range news {
-					held[part.PartName] = part
+					held[part.EndpointKey] = part
 				}
 				for name := range followed {
 					var wanted []string
@@ -145,7 +145,7 @@
 							wanted = append(wanted, one.ID)
 						}
 					}
-					assert.DeepEqual(t, holdersOf(held[name]), wanted)
+					assert.DeepEqual(t, endpointIDs(held[name]), wanted)
 				}
 				assert.Equal(t, len(held), len(followed), "seed %d step %d", seed, step)
 			}
@@ -153,44 +153,44 @@
 	}
 }
 
-func TestGivenManyReplicasThenOrdersWithoutAModelFollowASampleOfEveryZoneThatRestsUntilOneOfItChanges(t *testing.T) {
-	parts := NewParts()
+func TestEndpointPublisher_SamplesLargeBackendsStably(t *testing.T) {
+	parts := NewEndpointPublisher()
 	var listed []platform.Replica
 	for index := range 120 {
-		one := listedWith(fmt.Sprintf("i-%03d", index), "one")
+		one := replicaWith(fmt.Sprintf("i-%03d", index), "one")
 		if one.Zone = "north"; index >= 100 {
 			one.Zone = "far"
 		}
 		listed = append(listed, one)
 	}
-	parts.Publish(listed, nil, partsNow)
-	first := parts.compose(named(""), partsNow)
+	parts.Publish(listed, nil, testStart)
+	first := parts.compose(modelKey(""), testStart)
 	zones := map[string]int{}
 	held := map[string]bool{}
-	for _, holder := range first.Holders {
+	for _, holder := range first.Endpoints {
 		zones[holder.Zone]++
 		held[holder.ID] = true
 	}
-	assert.Assert(t, len(first.Holders) == sampleBound && zones["far"] >= sampleOfZone && zones["north"] >= sampleOfZone)
+	assert.Assert(t, len(first.Endpoints) == sampleSize && zones["far"] >= samplePerZone && zones["north"] >= samplePerZone)
 	for index := range listed {
 		if !held[listed[index].ID] {
 			listed[index].State = platform.Draining
 			break
 		}
 	}
-	parts.Publish(slices.Clone(listed), nil, partsNow)
-	assert.Equal(t, parts.compose(named(""), partsNow).Version, first.Version, "one outside the sample changes nothing")
+	parts.Publish(slices.Clone(listed), nil, testStart)
+	assert.Equal(t, parts.compose(modelKey(""), testStart).Version, first.Version, "one outside the sample changes nothing")
 	for index := range listed {
 		if held[listed[index].ID] {
 			listed[index].State = platform.Draining
 			break
 		}
 	}
-	parts.Publish(slices.Clone(listed), nil, partsNow)
-	next := parts.compose(named(""), partsNow)
+	parts.Publish(slices.Clone(listed), nil, testStart)
+	next := parts.compose(modelKey(""), testStart)
 	assert.Assert(t, next.Version > first.Version)
-	assert.Equal(t, len(next.Holders), sampleBound)
-	for _, holder := range next.Holders {
+	assert.Equal(t, len(next.Endpoints), sampleSize)
+	for _, holder := range next.Endpoints {
 		assert.Assert(t, !holder.Draining)
 	}
 }
--- a/internal/controlplane/planning.go
+++ b/internal/controlplane/planning.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	if w.table == nil || w.table.Configuration.Revision != snapshot.Revision {
-		document, err := configuration.Decompress(snapshot.Packed)
+		document, err := configuration.Decompress(snapshot.PackedConfiguration)
 		if err != nil {
 			return w.table
 		}
@@ -31,9 +31,9 @@
 // reason to. It does nothing without a configuration and a fresh list.
 func (w *Scheduler) step(ctx context.Context) {
 	now := w.daemon.clock()
-	snapshot := w.daemon.publisher.Read()
+	snapshot := w.daemon.publisher.Current()
 	table := w.currentTable(snapshot)
-	if table == nil || snapshot.RosterAt.IsZero() || now.Sub(snapshot.RosterAt) > 3*time.Second {
+	if table == nil || snapshot.RosterAsOf.IsZero() || now.Sub(snapshot.RosterAsOf) > 3*time.Second {
 		return
 	}
 	listed, readAt := w.daemon.roster.held()
--- a/internal/controlplane/publisher.go
+++ b/internal/controlplane/publisher.go
@@ -16,26 +16,26 @@
 	Version uint64
 	// ConfirmedAt is a moment, by the steady clock, at or before which a majority of members
 	// confirmed that nothing newer than this state was in force.
-	ConfirmedAt time.Time
-	Revision    int64
-	Packed      []byte
-	Zones       map[string]peer.ZoneState
-	ZoneNumber  uint64
-	Roster      uint64
-	RosterAt    time.Time
-	Replicas    []platform.Replica
-	Barred      []string
-	Holder      string
-	Control     []string
-	Edges       int
-	Present     int
-	Neighbours  *peer.Neighbours
-	Policy      retention.Policy
-	Forgets     retention.Record
-	Question    *drill.Question
-	Drill       drillView
-	changed     chan struct{}
-	confirmed   chan struct{}
+	ConfirmedAt         time.Time
+	Revision            int64
+	PackedConfiguration []byte
+	Zones               map[string]peer.ZoneState
+	ZoneVersion         uint64
+	RosterVersion       uint64
+	RosterAsOf          time.Time
+	Replicas            []platform.Replica
+	Cordoned            []string
+	LeaseHolder         string
+	ControlPlanes       []string
+	DataPlaneCount      int
+	EarlyDataPlaneCount int
+	Neighbours          *peer.Neighbours
+	Retention           retention.Policy
+	Forgets             retention.Record
+	Forecast            *drill.Question
+	Drill               drillView
+	changed             chan struct{}
+	confirmed           chan struct{}
 }
 
 // FreshFor is how much longer the state counts as confirmed; zero if it does not.
@@ -47,7 +47,7 @@
 }
 
 // Fresh says whether a majority confirmed the state recently enough to tell it.
-func (s *Snapshot) Fresh(now time.Time) bool { return s.FreshFor(now) > 0 }
+func (s *Snapshot) IsFresh(now time.Time) bool { return s.FreshFor(now) > 0 }
 
 // Publisher holds the current snapshot and wakes those who wait for the next. Any goroutine
 // may call it.
@@ -62,7 +62,7 @@
 }
 
 // Read returns the current snapshot.
-func (p *Publisher) Read() *Snapshot {
+func (p *Publisher) Current() *Snapshot {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.current
@@ -70,7 +70,7 @@
 
 // Change makes the next snapshot under the next version and wakes waiting polls, if update
 // says that it changed anything.
-func (p *Publisher) Change(update func(next *Snapshot) bool) {
+func (p *Publisher) Update(update func(next *Snapshot) bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	next := *p.current
@@ -84,7 +84,7 @@
 }
 
 // Touch makes the next snapshot without waking anybody.
-func (p *Publisher) Touch(update func(next *Snapshot)) {
+func (p *Publisher) UpdateQuietly(update func(next *Snapshot)) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	next := *p.current
@@ -94,14 +94,14 @@
 
 // Confirm notes that a majority confirmed the state in answer to a question put at the time
 // given. Polls are woken if the state did not count as confirmed before.
-func (p *Publisher) Confirm(asked, now time.Time) {
+func (p *Publisher) Confirm(askedAt, now time.Time) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	next := *p.current
-	next.ConfirmedAt = asked
+	next.ConfirmedAt = askedAt
 	next.confirmed = make(chan struct{})
 	close(p.current.confirmed)
-	if !p.current.Fresh(now) {
+	if !p.current.IsFresh(now) {
 		next.Version++
 		next.changed = make(chan struct{})
 		close(p.current.changed)
@@ -110,52 +110,52 @@
 }
 
 // News composes the answer to a poll, without the parts that the data plane follows.
-func (s *Snapshot) News(poll peer.Poll, member, zone, life string, now time.Time) peer.News {
-	news := peer.News{
-		Member: member, Zone: zone, Life: life, Version: s.Version, Revision: s.Revision, ZoneNumber: s.ZoneNumber,
-		RosterAge: now.Sub(s.RosterAt).Milliseconds(), Holder: s.Holder, Control: s.Control,
+func (s *Snapshot) Response(request peer.WatchRequest, member, zone, incarnation string, now time.Time) peer.WatchResponse {
+	response := peer.WatchResponse{
+		Member: member, Zone: zone, Incarnation: incarnation, Version: s.Version, Revision: s.Revision, ZoneVersion: s.ZoneVersion,
+		RosterAgeMs: now.Sub(s.RosterAsOf).Milliseconds(), LeaseHolder: s.LeaseHolder, ControlPlanes: s.ControlPlanes,
 	}
-	news.FreshMs = s.FreshFor(now).Milliseconds()
-	if news.FreshMs == 0 {
-		return news
+	response.FreshMs = s.FreshFor(now).Milliseconds()
+	if response.FreshMs == 0 {
+		return response
 	}
-	news.Edges, news.Present = s.Edges, s.Present
-	if poll.Wants && s.Neighbours != nil && s.Neighbours.Mark != poll.Neighbours {
-		news.Neighbours = s.Neighbours
+	response.DataPlaneCount, response.EarlyDataPlaneCount = s.DataPlaneCount, s.EarlyDataPlaneCount
+	if request.Primary && s.Neighbours != nil && s.Neighbours.Version != request.NeighboursVersion {
+		response.Neighbours = s.Neighbours
 	}
-	if s.ZoneNumber > poll.ZoneNumber {
-		news.Zones = s.Zones
+	if s.ZoneVersion > request.ZoneVersion {
+		response.Zones = s.Zones
 	}
-	news.Context = s.contextNews(poll)
-	news.Question, news.Drill = s.Question, s.Drill.notice(poll.Drill, now)
-	if poll.Wants && s.Revision > poll.Revision {
-		news.Packed = s.Packed
+	response.Context = s.contextUpdate(request)
+	response.Forecast, response.Drill = s.Forecast, s.Drill.notice(request.Drill, now)
+	if request.Primary && s.Revision > request.Revision {
+		response.PackedConfiguration = s.PackedConfiguration
 	}
-	return news
+	return response
 }
 
-func (s *Snapshot) contextNews(poll peer.Poll) *peer.ContextNews {
-	number := s.context()
-	if number <= poll.Context {
+func (s *Snapshot) contextUpdate(request peer.WatchRequest) *peer.ContextUpdate {
+	version := s.contextVersion()
+	if version <= request.ContextVersion {
 		return nil
 	}
-	told := &peer.ContextNews{Number: number, LifeMs: s.Policy.LifetimeMs}
+	update := &peer.ContextUpdate{Version: version, MaxAgeMs: s.Retention.LifetimeMs}
 	for _, item := range s.Forgets.Purges {
-		told.Forgets = append(told.Forgets, peer.Forget{Number: item.Number, Scope: item.Scope})
+		update.Forgets = append(update.Forgets, peer.ForgetOrder{Number: item.Number, Scope: item.Scope})
 	}
-	return told
+	return update
 }
 
-func (s *Snapshot) context() uint64 { return s.Policy.Version + s.Forgets.Number }
+func (s *Snapshot) contextVersion() uint64 { return s.Retention.Version + s.Forgets.Number }
 
 // Answers says whether the poll need not be held: there is something that it was not told.
-func (s *Snapshot) Answers(poll peer.Poll, life string, now time.Time) bool {
-	fresh := s.Fresh(now)
-	if fresh && s.context() > poll.Context {
+func (s *Snapshot) HasUpdateFor(request peer.WatchRequest, incarnation string, now time.Time) bool {
+	fresh := s.IsFresh(now)
+	if fresh && s.contextVersion() > request.ContextVersion {
 		return true
 	}
-	if poll.Life != life || poll.Version != s.Version {
+	if request.Incarnation != incarnation || request.Version != s.Version {
 		return true
 	}
-	return poll.Wants && fresh && s.Revision > poll.Revision
+	return request.Primary && fresh && s.Revision > request.Revision
 }
--- a/internal/controlplane/rates.go
+++ b/internal/controlplane/rates.go
@@ -26,8 +26,8 @@
 		if w.demand[name] == nil {
 			w.demand[name] = &place.Demand{}
 		}
-		w.demand[name].Rate = rate.PerS
-		w.demand[name].PrefillLoad = rate.Reading
+		w.demand[name].Rate = rate.RequestsPerS
+		w.demand[name].PrefillLoad = rate.PrefillLoad
 		w.demand[name].LastSeen = now
 	}
 }
@@ -41,8 +41,8 @@
 	for name, demand := range w.demand {
 		if demand.Rate >= sharedRate {
 			rates[name] = peer.Rate{
-				PerS:    math.Round(demand.Rate*100) / 100,
-				Reading: math.Round(demand.PrefillLoad*1000) / 1000,
+				RequestsPerS: math.Round(demand.Rate*100) / 100,
+				PrefillLoad:  math.Round(demand.PrefillLoad*1000) / 1000,
 			}
 		}
 	}
--- a/internal/controlplane/records.go
+++ b/internal/controlplane/records.go
@@ -29,9 +29,9 @@
 	case slot.Key == placementLease:
 		var record lease.Record
 		if json.Unmarshal(slot.Value, &record) == nil {
-			d.publisher.Change(func(next *Snapshot) bool {
-				changed := next.Holder != record.Address
-				next.Holder = record.Address
+			d.publisher.Update(func(next *Snapshot) bool {
+				changed := next.LeaseHolder != record.Address
+				next.LeaseHolder = record.Address
 				return changed
 			})
 		}
@@ -52,11 +52,11 @@
 	if err != nil {
 		return
 	}
-	d.publisher.Change(func(next *Snapshot) bool {
+	d.publisher.Update(func(next *Snapshot) bool {
 		if record.Revision <= next.Revision {
 			return false
 		}
-		next.Revision, next.Packed = record.Revision, record.Packed
+		next.Revision, next.PackedConfiguration = record.Revision, record.Packed
 		return true
 	})
 }
@@ -67,19 +67,19 @@
 	if err != nil {
 		return
 	}
-	d.publisher.Change(func(next *Snapshot) bool {
-		if record.Version <= next.Zones[zone].Number {
+	d.publisher.Update(func(next *Snapshot) bool {
+		if record.Version <= next.Zones[zone].Version {
 			return false
 		}
-		zones := map[string]peer.ZoneState{zone: {Number: record.Version, Drained: record.Drained}}
+		zones := map[string]peer.ZoneState{zone: {Version: record.Version, Drained: record.Drained}}
 		for name, state := range next.Zones {
 			if name != zone {
 				zones[name] = state
 			}
 		}
-		next.Zones, next.ZoneNumber = zones, 0
+		next.Zones, next.ZoneVersion = zones, 0
 		for _, state := range zones {
-			next.ZoneNumber += state.Number
+			next.ZoneVersion += state.Version
 		}
 		return true
 	})
--- a/internal/controlplane/reportpolls_test.go
+++ b/internal/controlplane/reportpolls_test.go
@@ -24,7 +24,7 @@
 		demand:   map[string]*place.Demand{},
 		heldOnce: map[string]map[string]bool{},
 		managed:  map[string]*managedReplica{},
-		feed:     feed{tally: NewTally()},
+		feed:     feed{tally: NewDemandAggregator()},
 	}
 	var listed []platform.Replica
 	for index := range 3 * pollsAtOnce {
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -48,7 +48,7 @@
 		if holding || d.roster.age(began) > staleAfter(perSecond, d.list.Pages()) {
 			d.readList(ctx, began)
 		}
-		pause := sharedListPause(perSecond, d.list.Pages(), len(d.publisher.Read().Control)-1)
+		pause := sharedListPause(perSecond, d.list.Pages(), len(d.publisher.Current().ControlPlanes)-1)
 		if holding {
 			d.shareRoster(ctx, true)
 			pause = listPause(perSecond, d.list.Pages())
@@ -104,13 +104,13 @@
 // post publishes a list and what is barred, as of a moment.
 func (d *Daemon) post(replicas []platform.Replica, barred []string, at time.Time) {
 	changed := false
-	d.publisher.Touch(func(next *Snapshot) {
-		changed = !sameReplicas(next.Replicas, replicas) || !slices.Equal(next.Barred, barred)
+	d.publisher.UpdateQuietly(func(next *Snapshot) {
+		changed = !sameReplicas(next.Replicas, replicas) || !slices.Equal(next.Cordoned, barred)
 		if changed {
-			next.Roster++
-			next.Replicas, next.Barred = replicas, barred
+			next.RosterVersion++
+			next.Replicas, next.Cordoned = replicas, barred
 		}
-		next.RosterAt = at
+		next.RosterAsOf = at
 	})
 	if changed {
 		d.scheduler.noteAges(replicas)
@@ -121,7 +121,7 @@
 // sameReplicas tells whether two lists say the same, to a second of cold time.
 func sameReplicas(left, right []platform.Replica) bool {
 	return slices.EqualFunc(left, right, func(one, other platform.Replica) bool {
-		return sameFact(one, other) && sameHeld(one.Models, other.Models) && int(one.ColdRemainingMs+999)/1000 == int(other.ColdRemainingMs+999)/1000
+		return sameReplica(one, other) && sameModels(one.Models, other.Models) && int(one.ColdRemainingMs+999)/1000 == int(other.ColdRemainingMs+999)/1000
 	})
 }
 
--- a/internal/controlplane/rosterstate.go
+++ b/internal/controlplane/rosterstate.go
@@ -78,21 +78,21 @@
 // adopt adopts the list of a share that was made at that moment, and what it bars. Shares of one
 // member come in order; those of a member that has an older list than the one held here do not bring
 // it back.
-func (r *rosterState) adopt(share peer.RosterShare, at, now time.Time) adoption {
+func (r *rosterState) adopt(share peer.RosterUpdate, at, now time.Time) adoption {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.barred, r.barredAt = share.Barred, now
+	r.barred, r.barredAt = share.Cordoned, now
 	if r.from != share.Member && r.at.After(at) {
 		return overtaken
 	}
 	replicas := share.Replicas
-	if share.Base != "" {
-		if r.from != share.Member || r.stamp != share.Base {
+	if share.BaseVersion != "" {
+		if r.from != share.Member || r.stamp != share.BaseVersion {
 			return unfounded
 		}
-		replicas = combine(r.replicas, share.Replicas, share.Gone)
+		replicas = combine(r.replicas, share.Replicas, share.Removed)
 	}
-	r.replicas, r.at, r.from, r.stamp = replicas, at, share.Member, share.Stamp
+	r.replicas, r.at, r.from, r.stamp = replicas, at, share.Member, share.Version
 	return adopted
 }
 
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -16,16 +16,16 @@
 
 func (d *Daemon) peerRoutes() http.Handler {
 	router := chi.NewRouter()
-	router.Post(peer.Calls["keystore"].Path, peer.Answer(d.hearKeystore))
-	router.Post(peer.Calls["learn"].Path, peer.Answer(d.hearLearned))
-	router.Post(peer.Calls["news"].Path, peer.Answer(d.hearPoll))
-	router.Post(peer.Calls["pressure"].Path, peer.Answer(d.hearLoad))
-	router.Post(peer.Calls["follow"].Path, peer.Answer(d.hearFollow))
-	router.Post(peer.Calls["sums"].Path, peer.Answer(d.hearSums))
-	router.Post(peer.Calls["roster"].Path, peer.Answer(d.hearRoster))
-	router.Post(peer.Calls["greet"].Path, peer.Answer(d.hearGreeting))
-	router.Post(peer.Calls["forecast"].Path, peer.Answer(d.hearForecast))
-	router.Post(peer.Calls["plan"].Path, peer.Answer(d.hearPlan))
+	router.Post(peer.Methods["keystore"].Path, peer.Handler(d.hearKeystore))
+	router.Post(peer.Methods["learn"].Path, peer.Handler(d.hearLearned))
+	router.Post(peer.Methods["news"].Path, peer.Handler(d.hearPoll))
+	router.Post(peer.Methods["pressure"].Path, peer.Handler(d.handleLoadReport))
+	router.Post(peer.Methods["follow"].Path, peer.Handler(d.handleSubscribe))
+	router.Post(peer.Methods["sums"].Path, peer.Handler(d.handleLoadSummary))
+	router.Post(peer.Methods["roster"].Path, peer.Handler(d.hearRoster))
+	router.Post(peer.Methods["greet"].Path, peer.Handler(d.hearGreeting))
+	router.Post(peer.Methods["forecast"].Path, peer.Handler(d.hearForecast))
+	router.Post(peer.Methods["plan"].Path, peer.Handler(d.hearPlan))
 	return router
 }
 
@@ -38,28 +38,28 @@
 }
 
 func (d *Daemon) hearLearned(ctx context.Context, learned peer.KeyUpdate) struct{} {
-	d.learn(ctx, learned.Slot)
+	d.learn(ctx, learned.Register)
 	return struct{}{}
 }
 
 // hearPoll answers a data plane's poll once there is something that it was not told, or after
 // the time for which it may be held. A poll that asks for a proof is answered with one.
-func (d *Daemon) hearPoll(ctx context.Context, poll peer.Poll) peer.News {
+func (d *Daemon) hearPoll(ctx context.Context, poll peer.WatchRequest) peer.WatchResponse {
 	came := d.clock()
 	d.notePoll(poll, came)
-	hold := time.NewTimer(time.Duration(min(max(poll.HoldMs, 1), longestHoldMs)) * time.Millisecond)
+	hold := time.NewTimer(time.Duration(min(max(poll.MaxWaitMs, 1), longestHoldMs)) * time.Millisecond)
 	defer hold.Stop()
 	var woken <-chan struct{}
-	if poll.Wants {
-		woken = d.parts.wakes(poll.Daemon)
+	if poll.Primary {
+		woken = d.parts.wakeChannel(poll.DataPlane)
 	} else {
-		d.sums.Leave(poll.Daemon)
+		d.sums.RemoveReport(poll.DataPlane)
 	}
-	if poll.Proof {
+	if poll.Linearizable {
 		d.confirmer.Soon()
 	}
 	for {
-		snapshot := d.publisher.Read()
+		snapshot := d.publisher.Current()
 		news, answers := d.news(snapshot, poll, came)
 		if answers {
 			return news
@@ -69,10 +69,10 @@
 		case <-proofOf(snapshot, poll):
 		case <-woken:
 		case <-hold.C:
-			news, _ = d.news(d.publisher.Read(), poll, came)
+			news, _ = d.news(d.publisher.Current(), poll, came)
 			return news
 		case <-ctx.Done():
-			return peer.News{}
+			return peer.WatchResponse{}
 		}
 	}
 }
@@ -80,52 +80,52 @@
 const longestHoldMs = 2000
 
 // proofOf is closed at the next confirmation, for polls that wait for one.
-func proofOf(snapshot *Snapshot, poll peer.Poll) <-chan struct{} {
-	if poll.Proof {
+func proofOf(snapshot *Snapshot, poll peer.WatchRequest) <-chan struct{} {
+	if poll.Linearizable {
 		return snapshot.confirmed
 	}
 	return nil
 }
 
-func (d *Daemon) notePoll(poll peer.Poll, came time.Time) {
+func (d *Daemon) notePoll(poll peer.WatchRequest, came time.Time) {
 	d.watching.Lock()
-	d.edges.Record(poll.Daemon, heartbeat.Heartbeat{ReportedAt: came, Zone: poll.Zone, Revision: poll.Revision, ZoneChanges: poll.ZoneNumber})
-	d.remembered[poll.Daemon] = retention.DataPlaneView{Applied: poll.Forgot, Left: poll.Leaving}
+	d.edges.Record(poll.DataPlane, heartbeat.Heartbeat{ReportedAt: came, Zone: poll.Zone, Revision: poll.Revision, ZoneChanges: poll.ZoneVersion})
+	d.remembered[poll.DataPlane] = retention.DataPlaneView{Applied: poll.AppliedForget, Left: poll.Leaving}
 	if poll.Address != "" {
-		d.neighbours[poll.Daemon] = poll.Address
+		d.neighbours[poll.DataPlane] = poll.Address
 	}
 	d.watching.Unlock()
 	if poll.Drill != nil {
-		d.noteReport(poll.Daemon, *poll.Drill)
+		d.noteReport(poll.DataPlane, *poll.Drill)
 	}
 }
 
 // news composes the answer to a poll that came at the time given, and says whether it must not
 // be held any longer. A daemon that leaves tells nothing as confirmed: data planes then follow
 // another one while this one is still there.
-func (d *Daemon) news(snapshot *Snapshot, poll peer.Poll, came time.Time) (peer.News, bool) {
+func (d *Daemon) news(snapshot *Snapshot, poll peer.WatchRequest, came time.Time) (peer.WatchResponse, bool) {
 	now := d.clock()
-	news := snapshot.News(poll, d.self, d.settings.Zone, d.life, now)
-	answers := snapshot.Answers(poll, d.life, now)
-	if poll.Wants && news.FreshMs > 0 {
-		news.Parts, news.Roster, news.Refollow = d.parts.News(poll, d.life, now)
-		answers = answers || len(news.Parts) > 0 || news.Refollow
+	news := snapshot.Response(poll, d.self, d.settings.Zone, d.life, now)
+	answers := snapshot.HasUpdateFor(poll, d.life, now)
+	if poll.Primary && news.FreshMs > 0 {
+		news.EndpointSets, news.RosterVersion, news.Resubscribe = d.parts.Changes(poll, d.life, now)
+		answers = answers || len(news.EndpointSets) > 0 || news.Resubscribe
 	}
-	news.HeldMs = now.Sub(came).Milliseconds()
-	if poll.Proof {
-		news.Proven = snapshot.ConfirmedAt.After(came)
-		answers = news.Proven
+	news.WaitedMs = now.Sub(came).Milliseconds()
+	if poll.Linearizable {
+		news.Linearizable = snapshot.ConfirmedAt.After(came)
+		answers = news.Linearizable
 	}
 	if news.FreshMs > 0 {
 		d.watching.Lock()
-		if since := d.edges.FirstSeen(poll.Daemon); !since.IsZero() {
-			news.CountedMs = now.Sub(since).Milliseconds()
+		if since := d.edges.FirstSeen(poll.DataPlane); !since.IsZero() {
+			news.CountedForMs = now.Sub(since).Milliseconds()
 		}
-		news.EdgesSure = now.Sub(d.started) > d.edges.ExpireAfter
+		news.CountReliable = now.Sub(d.started) > d.edges.ExpireAfter
 		d.watching.Unlock()
 	}
 	if d.isLeaving() {
-		news.FreshMs, news.Proven = 0, false
+		news.FreshMs, news.Linearizable = 0, false
 	}
 	return news, answers
 }
--- a/internal/controlplane/sample.go
+++ b/internal/controlplane/sample.go
@@ -10,71 +10,71 @@
 )
 
 const (
-	// sampleBound is the number of replicas in a sample, and from which on one is taken.
-	sampleBound = 16
-	// sampleOfZone is how many replicas of a zone a sample takes at first.
-	sampleOfZone = 4
+	// sampleSize is the number of replicas in a sample, and from which on one is taken.
+	sampleSize = 16
+	// samplePerZone is how many replicas of a zone a sample takes at first.
+	samplePerZone = 4
 )
 
 // resample renews the samples of whole backends; a sample that is the same as before no longer
 // counts as touched.
-func (p *Parts) resample(touched map[peer.PartName]bool) {
-	for name := range touched {
-		held := p.parts[name]
-		if name.Model != "" || held == nil {
+func (p *EndpointPublisher) resample(changed map[peer.EndpointKey]bool) {
+	for key := range changed {
+		set := p.sets[key]
+		if key.Model != "" || set == nil {
 			continue
 		}
-		next := sample(held.holders)
-		if held.sample != nil && next != nil && maps.EqualFunc(held.sample, next, sameHolder) {
-			delete(touched, name)
+		next := chooseSample(set.endpoints)
+		if set.sample != nil && next != nil && maps.EqualFunc(set.sample, next, sameEndpoint) {
+			delete(changed, key)
 		}
-		held.sample = next
+		set.sample = next
 	}
 }
 
-// sameHolder tells whether followers would be told the same.
-func sameHolder(one, other *replicaFacts) bool {
-	return sameFact(one.listed, other.listed) && closeTimes(one.coldUntil, other.coldUntil)
+// sameEndpoint tells whether followers would be told the same.
+func sameEndpoint(left, right *endpointSource) bool {
+	return sameReplica(left.listed, right.listed) && closeTimes(left.warmUpUntil, right.warmUpUntil)
 }
 
-// sample chooses replicas that are ready, warm and hold models, spread over zones and steady by the
+// chooseSample chooses replicas that are ready, warm and hold models, spread over zones and steady by the
 // hash of their ids. It is nil if there are too few holders or too few fit to be chosen.
-func sample(holders map[string]*replicaFacts) map[string]*replicaFacts {
-	if len(holders) <= sampleBound {
+func chooseSample(endpoints map[string]*endpointSource) map[string]*endpointSource {
+	if len(endpoints) <= sampleSize {
 		return nil
 	}
-	var able []*replicaFacts
-	for _, one := range holders {
-		if len(one.listed.Models) == 0 {
+	var eligible []*endpointSource
+	for _, replica := range endpoints {
+		if len(replica.listed.Models) == 0 {
 			continue
 		}
-		if one.listed.State == "ready" && one.coldUntil.IsZero() {
-			able = append(able, one)
+		if replica.listed.State == "ready" && replica.warmUpUntil.IsZero() {
+			eligible = append(eligible, replica)
 		}
 	}
-	if len(able) < sampleBound {
+	if len(eligible) < sampleSize {
 		return nil
 	}
-	slices.SortFunc(able, func(left, right *replicaFacts) int {
-		one := xxhash.Sum64String(left.listed.ID)
+	slices.SortFunc(eligible, func(left, right *endpointSource) int {
+		replica := xxhash.Sum64String(left.listed.ID)
 		other := xxhash.Sum64String(right.listed.ID)
-		if one < other {
+		if replica < other {
 			return -1
 		}
 		return 1
 	})
-	chosen := make(map[string]*replicaFacts, sampleBound)
+	chosen := make(map[string]*endpointSource, sampleSize)
 	zones := map[string]int{}
-	for _, one := range able {
-		if zones[one.listed.Zone]++; zones[one.listed.Zone] <= sampleOfZone {
-			chosen[one.listed.ID] = one
+	for _, replica := range eligible {
+		if zones[replica.listed.Zone]++; zones[replica.listed.Zone] <= samplePerZone {
+			chosen[replica.listed.ID] = replica
 		}
 	}
-	for _, one := range able {
-		if len(chosen) >= sampleBound {
+	for _, replica := range eligible {
+		if len(chosen) >= sampleSize {
 			break
 		}
-		chosen[one.listed.ID] = one
+		chosen[replica.listed.ID] = replica
 	}
 	return chosen
 }
--- a/internal/controlplane/scheduler.go
+++ b/internal/controlplane/scheduler.go
@@ -64,7 +64,7 @@
 		},
 		store: newStoreBudget(), released: make(chan struct{}), commander: replica.NewClient(daemon.network),
 		demand: map[string]*place.Demand{}, counted: map[string]float64{}, reading: map[string]float64{}, heldOnce: map[string]map[string]bool{},
-		nudge: make(chan struct{}, 1), results: make(chan func(), 64), managed: map[string]*managedReplica{}, overlays: map[string]overlay{}, eviction: newContextEviction(), sizes: place.NewSizeHistory(), feed: feed{tally: NewTally()}, lastRate: daemon.clock(),
+		nudge: make(chan struct{}, 1), results: make(chan func(), 64), managed: map[string]*managedReplica{}, overlays: map[string]overlay{}, eviction: newContextEviction(), sizes: place.NewSizeHistory(), feed: feed{tally: NewDemandAggregator()}, lastRate: daemon.clock(),
 	}
 }
 
@@ -190,15 +190,15 @@
 // other successor must.
 func (w *Scheduler) mayTry() bool {
 	now := w.daemon.clock()
-	snapshot := w.daemon.publisher.Read()
-	if !w.daemon.acceptor.LocalState().Voting || !snapshot.Fresh(now) || !w.daemon.store.Membership().Contains(w.daemon.self) {
+	snapshot := w.daemon.publisher.Current()
+	if !w.daemon.acceptor.LocalState().Voting || !snapshot.IsFresh(now) || !w.daemon.store.Membership().Contains(w.daemon.self) {
 		return false
 	}
 	w.lock.Lock()
 	since := w.heardFrom
 	w.lock.Unlock()
 	patience := w.keeper.TTL + tryMargin
-	if w.daemon.hearsOther(snapshot.Holder, now) {
+	if w.daemon.hearsOther(snapshot.LeaseHolder, now) {
 		patience += headStart
 		if since.Before(w.daemon.started) {
 			since = w.daemon.started
--- a/internal/controlplane/share.go
+++ b/internal/controlplane/share.go
@@ -55,7 +55,7 @@
 	if one.TimeLeftMs != nil && *one.TimeLeftMs != *other.TimeLeftMs {
 		return false
 	}
-	return sameFact(one, other) && one.ColdRemainingMs == other.ColdRemainingMs && sameHeld(one.Models, other.Models)
+	return sameReplica(one, other) && one.ColdRemainingMs == other.ColdRemainingMs && sameModels(one.Models, other.Models)
 }
 
 // combine applies a difference to a base, ordered by id.
@@ -94,31 +94,31 @@
 			d.roster.end(address, shared{}, false)
 			return
 		}
-		snapshot := d.publisher.Read()
+		snapshot := d.publisher.Current()
 		number := d.shares.Add(1)
-		share := peer.RosterShare{
+		share := peer.RosterUpdate{
 			Member:   d.self,
 			Fence:    hold.Record.Fence,
-			Number:   number,
-			AgeMs:    d.clock().Sub(snapshot.RosterAt).Milliseconds(),
+			Sequence: number,
+			AgeMs:    d.clock().Sub(snapshot.RosterAsOf).Milliseconds(),
 			Replicas: snapshot.Replicas,
-			Barred:   snapshot.Barred,
-			Stamp:    d.life + "/" + strconv.FormatUint(number, 10),
+			Cordoned: snapshot.Cordoned,
+			Version:  d.life + "/" + strconv.FormatUint(number, 10),
 		}
 		if periodic {
 			share.Rates = d.scheduler.rates()
 		}
 		if held, known := d.roster.sharedWith(address); known {
-			share.Base = held.stamp
-			share.Replicas, share.Gone = difference(held.replicas, snapshot.Replicas)
+			share.BaseVersion = held.stamp
+			share.Replicas, share.Removed = difference(held.replicas, snapshot.Replicas)
 		}
 		var reply rosterReply
 		asked := d.clock()
-		err := d.peers.Ask(ctx, "roster", address, share, &reply)
+		err := d.peers.Call(ctx, "roster", address, share, &reply)
 		if err == nil {
 			d.adoptNewer(reply, asked)
 		}
-		again = d.roster.end(address, shared{share.Stamp, snapshot.Replicas}, err == nil && reply.Has)
+		again = d.roster.end(address, shared{share.Version, snapshot.Replicas}, err == nil && reply.Has)
 		if again {
 			nodesettings.Sleep(ctx, sharePause)
 		}
@@ -140,8 +140,8 @@
 // adopted, and the answer says so. A share that was overtaken by a newer one, or comes from a
 // holder that another one has followed, is passed over. Of a share with an older list than the one
 // held here, only what is barred counts.
-func (d *Daemon) hearRoster(_ context.Context, share peer.RosterShare) rosterReply {
-	if !d.roster.advance(share.Fence, share.Number) {
+func (d *Daemon) hearRoster(_ context.Context, share peer.RosterUpdate) rosterReply {
+	if !d.roster.advance(share.Fence, share.Sequence) {
 		return rosterReply{}
 	}
 	d.scheduler.heardHolder()
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -9,16 +9,16 @@
 
 // Status tells what this daemon knows of the fleet and how sure it is of it.
 func (d *Daemon) Status() operator.Fleet {
-	snapshot := d.publisher.Read()
+	snapshot := d.publisher.Current()
 	members := d.store.Membership()
 	now := d.clock()
 	self := d.acceptor.LocalState()
 	fleet := operator.Fleet{
 		Member: d.self, IsMember: members.Contains(d.self), Voting: self.Voting, Leaving: d.isLeaving(),
-		Fresh: snapshot.Fresh(now), ConfirmedMs: age(now, snapshot.ConfirmedAt),
+		Fresh: snapshot.IsFresh(now), ConfirmedMs: age(now, snapshot.ConfirmedAt),
 		Revision: snapshot.Revision, Members: members.Current, Next: members.Next, MembersNumber: members.Version,
-		MembersChange: d.membersChange.Load(), Holder: snapshot.Holder,
-		Control: snapshot.Control, Replicas: snapshot.Replicas, ListMs: age(now, snapshot.RosterAt), Drained: []string{},
+		MembersChange: d.membersChange.Load(), Holder: snapshot.LeaseHolder,
+		Control: snapshot.ControlPlanes, Replicas: snapshot.Replicas, ListMs: age(now, snapshot.RosterAsOf), Drained: []string{},
 		Silent: d.membershipView().Suspects(),
 	}
 	for zone, state := range snapshot.Zones {
--- a/internal/controlplane/tally.go
+++ b/internal/controlplane/tally.go
@@ -9,131 +9,131 @@
 )
 
 const (
-	// suspectsNeeded is how many data planes must suspect a replica, unless all of them do.
-	suspectsNeeded = 2
-	// suspectsLife is how long a control plane's suspicions count.
-	suspectsLife = time.Second
-	// demandLife is how long a control plane's demand counts.
-	demandLife = 1500 * time.Millisecond
+	// minSuspecting is how many data planes must suspect a replica, unless all of them do.
+	minSuspecting = 2
+	// suspicionTTL is how long a control plane's suspicions count.
+	suspicionTTL = time.Second
+	// demandTTL is how long a control plane's demand counts.
+	demandTTL = 1500 * time.Millisecond
 )
 
 // memberReport is a control plane's last share of the demand; suspecting and counted tell whether
 // it is part of the sums.
 type memberReport struct {
-	at         time.Time
-	names      []string
-	models     []peer.ModelLoad
-	suspects   map[string]int
-	daemons    int
-	suspecting bool
-	counted    bool
+	receivedAt        time.Time
+	keys              []string
+	models            []peer.ModelLoad
+	suspects          map[string]int
+	dataPlaneCount    int
+	suspicionsCounted bool
+	demandCounted     bool
 }
 
-// demandSum is a model's demand over all control planes; oldest is the longest wait by control
+// modelDemand is a model's demand over all control planes; oldest is the longest wait by control
 // plane, in milliseconds.
-type demandSum struct {
-	waiting int
-	running int
-	aim     float64
-	oldest  map[string]float64
+type modelDemand struct {
+	waiting         int
+	running         int
+	latencyTargetMs float64
+	oldestWaitMs    map[string]float64
 }
 
-// Tally sums the demand and the suspicions that the control planes share, at the placement holder.
+// DemandAggregator sums the demand and the suspicions that the control planes share, at the placement holder.
 // It is not safe for concurrent use; the scheduler's lock guards it.
-type Tally struct {
+type DemandAggregator struct {
 	reports map[string]*memberReport
-	sums    map[string]*demandSum
+	demand  map[string]*modelDemand
 	// touched marks the sums that changed since they were last written.
-	touched  map[string]bool
+	changed  map[string]bool
 	waiting  map[string]bool
 	suspects map[string]int
 	// suspecting counts the data planes behind the suspicions that count now.
-	suspecting int
+	dataPlaneCount int
 	// stirred is set by what may call for a new plan.
-	stirred bool
+	dirty bool
 	// batches are those heard, by member.
-	batches map[string]*heardBatches
+	batches map[string]*receivedBatches
 }
 
-// NewTally is an empty tally.
-func NewTally() *Tally {
-	return &Tally{
+// NewDemandAggregator is an empty tally.
+func NewDemandAggregator() *DemandAggregator {
+	return &DemandAggregator{
 		reports:  map[string]*memberReport{},
-		sums:     map[string]*demandSum{},
-		touched:  map[string]bool{},
+		demand:   map[string]*modelDemand{},
+		changed:  map[string]bool{},
 		waiting:  map[string]bool{},
 		suspects: map[string]int{},
-		batches:  map[string]*heardBatches{},
+		batches:  map[string]*receivedBatches{},
 	}
 }
 
-// isNew notes the batch of arrivals in a share and tells whether it was not heard before.
-func (t *Tally) isNew(share peer.LoadSum) bool {
-	if share.Batch == 0 {
+// isNewBatch notes the batch of arrivals in a share and tells whether it was not heard before.
+func (a *DemandAggregator) isNewBatch(summary peer.LoadSummary) bool {
+	if summary.Batch == 0 {
 		return true
 	}
-	held := t.batches[share.Member]
-	if held == nil || held.life != share.Life {
-		held = &heardBatches{life: share.Life, numbers: map[uint64]bool{}}
-		t.batches[share.Member] = held
+	received := a.batches[summary.Member]
+	if received == nil || received.incarnation != summary.Incarnation {
+		received = &receivedBatches{incarnation: summary.Incarnation, numbers: map[uint64]bool{}}
+		a.batches[summary.Member] = received
 	}
-	return held.isNew(share.Batch)
+	return received.markReceived(summary.Batch)
 }
 
 // Hear takes in a share, whose models' keys are given, and reports whether a model is newly waited
 // for. A partial share replaces only the models that it names.
-func (t *Tally) Hear(share peer.LoadSum, names []string, now time.Time) (fresh bool) {
+func (a *DemandAggregator) Add(summary peer.LoadSummary, keys []string, now time.Time) (newlyWaiting bool) {
 	next := &memberReport{
-		at:         now,
-		names:      names,
-		models:     share.Models,
-		suspects:   share.Suspects,
-		daemons:    share.Daemons,
-		suspecting: true,
-		counted:    true,
-	}
-	before := t.reports[share.Member]
-	if share.Partial && before != nil && before.counted {
-		next = before.merged(next)
-		names, share.Models = next.names, next.models
-	}
-	for index, name := range names {
-		fresh = fresh || share.Models[index].Waiting > 0 && !t.waiting[name]
-	}
-	t.stirred = t.stirred || fresh || before == nil || !before.suspecting || !maps.Equal(before.suspects, next.suspects)
-	if before != nil {
-		t.withdrawSuspects(before)
-		t.withdrawDemand(share.Member, before)
-	}
-	t.reports[share.Member] = next
-	t.suspecting += next.daemons
-	for id, amount := range next.suspects {
-		t.suspects[id] += amount
-	}
-	for index, name := range names {
-		t.addDemand(share.Member, name, share.Models[index])
-	}
-	return fresh
+		receivedAt:        now,
+		keys:              keys,
+		models:            summary.Models,
+		suspects:          summary.SuspectCounts,
+		dataPlaneCount:    summary.DataPlaneCount,
+		suspicionsCounted: true,
+		demandCounted:     true,
+	}
+	previous := a.reports[summary.Member]
+	if summary.Partial && previous != nil && previous.demandCounted {
+		next = previous.merged(next)
+		keys, summary.Models = next.keys, next.models
+	}
+	for index, key := range keys {
+		newlyWaiting = newlyWaiting || summary.Models[index].Waiting > 0 && !a.waiting[key]
+	}
+	a.dirty = a.dirty || newlyWaiting || previous == nil || !previous.suspicionsCounted || !maps.Equal(previous.suspects, next.suspects)
+	if previous != nil {
+		a.removeSuspects(previous)
+		a.removeDemand(summary.Member, previous)
+	}
+	a.reports[summary.Member] = next
+	a.dataPlaneCount += next.dataPlaneCount
+	for id, count := range next.suspects {
+		a.suspects[id] += count
+	}
+	for index, key := range keys {
+		a.addDemand(summary.Member, key, summary.Models[index])
+	}
+	return newlyWaiting
 }
 
 // merged is this report with the models of the next, partial one in place.
 func (r *memberReport) merged(next *memberReport) *memberReport {
 	merged := &memberReport{
-		at:         next.at,
-		names:      next.names,
-		models:     next.models,
-		suspects:   r.suspects,
-		daemons:    next.daemons,
-		suspecting: true,
-		counted:    true,
-	}
-	replaced := make(map[string]bool, len(next.names))
-	for _, name := range next.names {
-		replaced[name] = true
-	}
-	for index, name := range r.names {
-		if !replaced[name] {
-			merged.names = append(merged.names, name)
+		receivedAt:        next.receivedAt,
+		keys:              next.keys,
+		models:            next.models,
+		suspects:          r.suspects,
+		dataPlaneCount:    next.dataPlaneCount,
+		suspicionsCounted: true,
+		demandCounted:     true,
+	}
+	replaced := make(map[string]bool, len(next.keys))
+	for _, key := range next.keys {
+		replaced[key] = true
+	}
+	for index, key := range r.keys {
+		if !replaced[key] {
+			merged.keys = append(merged.keys, key)
 			merged.models = append(merged.models, r.models[index])
 		}
 	}
@@ -141,108 +141,108 @@
 }
 
 // addDemand adds a model's demand.
-func (t *Tally) addDemand(member, name string, model peer.ModelLoad) {
-	one := t.sums[name]
-	if one == nil {
-		one = &demandSum{oldest: map[string]float64{}}
-		t.sums[name] = one
-	}
-	one.waiting += model.Waiting
-	one.running += model.Running
-	one.aim = max(one.aim, model.Aim)
+func (a *DemandAggregator) addDemand(member, key string, model peer.ModelLoad) {
+	demand := a.demand[key]
+	if demand == nil {
+		demand = &modelDemand{oldestWaitMs: map[string]float64{}}
+		a.demand[key] = demand
+	}
+	demand.waiting += model.Waiting
+	demand.running += model.Running
+	demand.latencyTargetMs = max(demand.latencyTargetMs, model.LatencyTargetMs)
 	if model.Waiting > 0 {
-		one.oldest[member] = max(one.oldest[member], model.OldestMs)
-		t.waiting[name] = true
+		demand.oldestWaitMs[member] = max(demand.oldestWaitMs[member], model.OldestWaitMs)
+		a.waiting[key] = true
 	}
-	t.touched[name] = true
+	a.changed[key] = true
 }
 
-// withdrawDemand takes a report's demand away, if it counts.
-func (t *Tally) withdrawDemand(member string, before *memberReport) {
-	if !before.counted {
+// removeDemand takes a report's demand away, if it counts.
+func (a *DemandAggregator) removeDemand(member string, report *memberReport) {
+	if !report.demandCounted {
 		return
 	}
-	before.counted = false
-	for index, name := range before.names {
-		one := t.sums[name]
-		if one == nil {
+	report.demandCounted = false
+	for index, key := range report.keys {
+		demand := a.demand[key]
+		if demand == nil {
 			continue
 		}
-		one.waiting -= before.models[index].Waiting
-		one.running -= before.models[index].Running
-		delete(one.oldest, member)
-		if one.waiting == 0 {
-			delete(t.waiting, name)
+		demand.waiting -= report.models[index].Waiting
+		demand.running -= report.models[index].Running
+		delete(demand.oldestWaitMs, member)
+		if demand.waiting == 0 {
+			delete(a.waiting, key)
 		}
-		t.touched[name] = true
+		a.changed[key] = true
 	}
 }
 
-// withdrawSuspects takes a report's suspicions away, if they count.
-func (t *Tally) withdrawSuspects(before *memberReport) {
-	if !before.suspecting {
+// removeSuspects takes a report's suspicions away, if they count.
+func (a *DemandAggregator) removeSuspects(report *memberReport) {
+	if !report.suspicionsCounted {
 		return
 	}
-	before.suspecting = false
-	t.suspecting -= before.daemons
-	for id, amount := range before.suspects {
-		if t.suspects[id] -= amount; t.suspects[id] <= 0 {
-			delete(t.suspects, id)
+	report.suspicionsCounted = false
+	a.dataPlaneCount -= report.dataPlaneCount
+	for id, count := range report.suspects {
+		if a.suspects[id] -= count; a.suspects[id] <= 0 {
+			delete(a.suspects, id)
 		}
 	}
 }
 
 // Expire takes away what is too old, suspicions before demand.
-func (t *Tally) Expire(now time.Time) {
-	for member, one := range t.reports {
-		age := now.Sub(one.at)
-		if age <= suspectsLife {
+func (a *DemandAggregator) Expire(now time.Time) {
+	for member, report := range a.reports {
+		age := now.Sub(report.receivedAt)
+		if age <= suspicionTTL {
 			continue
 		}
-		t.stirred = t.stirred || one.suspecting && len(one.suspects) > 0
-		t.withdrawSuspects(one)
-		if age > demandLife {
-			t.withdrawDemand(member, one)
-			delete(t.reports, member)
+		a.dirty = a.dirty || report.suspicionsCounted && len(report.suspects) > 0
+		a.removeSuspects(report)
+		if age > demandTTL {
+			a.removeDemand(member, report)
+			delete(a.reports, member)
 		}
 	}
 }
 
 // Suspected tells whether enough data planes suspect the replica: two, or all that are heard.
-func (t *Tally) Suspected(id string) bool {
-	suspected := t.suspects[id]
-	return suspected >= suspectsNeeded || suspected > 0 && suspected == t.suspecting
+func (a *DemandAggregator) IsSuspected(id string) bool {
+	suspected := a.suspects[id]
+	return suspected >= minSuspecting || suspected > 0 && suspected == a.dataPlaneCount
 }
 
 // WriteTo writes the sums that changed into the demand.
-func (t *Tally) WriteTo(demands map[string]*place.Demand, now time.Time) {
-	for name := range t.touched {
-		one := t.sums[name]
-		demand := demands[name]
+func (a *DemandAggregator) WriteTo(demands map[string]*place.Demand, now time.Time) {
+	for key := range a.changed {
+		sum := a.demand[key]
+		demand := demands[key]
 		if demand == nil {
 			demand = &place.Demand{}
-			demands[name] = demand
+			demands[key] = demand
 		}
-		demand.Waiting = one.waiting
-		demand.Running = float64(one.running)
+		demand.Waiting = sum.waiting
+		demand.Running = float64(sum.running)
 		demand.OldestWaitMs = 0
-		demand.LatencyTargetMs = max(demand.LatencyTargetMs, one.aim)
-		for _, oldest := range one.oldest {
+		demand.LatencyTargetMs = max(demand.LatencyTargetMs, sum.latencyTargetMs)
+		for _, oldest := range sum.oldestWaitMs {
 			demand.OldestWaitMs = max(demand.OldestWaitMs, oldest)
 		}
-		if one.waiting == 0 && one.running == 0 {
-			delete(t.sums, name)
+		if sum.waiting == 0 && sum.running == 0 {
+			delete(a.demand, key)
 		}
 	}
-	clear(t.touched)
-	for name := range t.waiting {
-		demands[name].LastSeen = now
+	clear(a.changed)
+	for key := range a.waiting {
+		demands[key].LastSeen = now
 	}
 }
 
 // Stirred tells whether something may call for a new plan since it was last asked.
-func (t *Tally) Stirred() bool {
-	stirred := t.stirred
-	t.stirred = false
-	return stirred
+func (a *DemandAggregator) TakeDirty() bool {
+	dirty := a.dirty
+	a.dirty = false
+	return dirty
 }
--- a/internal/controlplane/tally_test.go
+++ b/internal/controlplane/tally_test.go
@@ -12,63 +12,63 @@
 	"ferryspar/internal/place"
 )
 
-type told struct {
-	at    time.Time
-	share peer.LoadSum
+type receivedSummary struct {
+	receivedAt time.Time
+	summary    peer.LoadSummary
 }
 
-func plainDemand(told map[string]told, now time.Time) map[string]place.Demand {
+func expectedDemand(received map[string]receivedSummary, now time.Time) map[string]place.Demand {
 	demands := map[string]place.Demand{}
-	for _, one := range told {
-		if now.Sub(one.at) > demandLife {
+	for _, entry := range received {
+		if now.Sub(entry.receivedAt) > demandTTL {
 			continue
 		}
-		for _, model := range one.share.Models {
-			name := place.ModelKey(model.Backend, model.Model)
-			demand := demands[name]
+		for _, model := range entry.summary.Models {
+			key := place.ModelKey(model.Backend, model.Model)
+			demand := demands[key]
 			demand.Waiting += model.Waiting
 			demand.Running += float64(model.Running)
 			if model.Waiting > 0 {
-				demand.OldestWaitMs = max(demand.OldestWaitMs, model.OldestMs)
+				demand.OldestWaitMs = max(demand.OldestWaitMs, model.OldestWaitMs)
 			}
-			demands[name] = demand
+			demands[key] = demand
 		}
 	}
 	return demands
 }
 
-func plainSuspects(told map[string]told, id string, now time.Time) bool {
+func expectedSuspected(received map[string]receivedSummary, id string, now time.Time) bool {
 	suspected, counted := 0, 0
-	for _, one := range told {
-		if now.Sub(one.at) > suspectsLife {
+	for _, entry := range received {
+		if now.Sub(entry.receivedAt) > suspicionTTL {
 			continue
 		}
-		counted += one.share.Daemons
-		suspected += one.share.Suspects[id]
+		counted += entry.summary.DataPlaneCount
+		suspected += entry.summary.SuspectCounts[id]
 	}
-	return suspected >= suspectsNeeded || suspected > 0 && suspected == counted
+	return suspected >= minSuspecting || suspected > 0 && suspected == counted
 }
 
-func randomReport(random *rand.Rand) peer.LoadSum {
-	report := peer.LoadSum{Member: fmt.Sprint("member", random.IntN(5)), Daemons: 1 + random.IntN(3), Suspects: map[string]int{}}
+func randomReport(random *rand.Rand) peer.LoadSummary {
+	report := peer.LoadSummary{Member: fmt.Sprint("member", random.IntN(5)), DataPlaneCount: 1 + random.IntN(3), SuspectCounts: map[string]int{}}
 	for index := range 6 {
 		if random.IntN(2) == 0 {
 			report.Models = append(report.Models, peer.ModelLoad{
-				Backend: "s", Model: fmt.Sprint("m", index), Waiting: random.IntN(3), Running: random.IntN(3), OldestMs: float64(random.IntN(900)),
+				Backend: "s", Model: fmt.Sprint("m", index), Waiting: random.IntN(3), Running: random.IntN(3), OldestWaitMs: float64(random.IntN(900)),
 			})
 		}
 		if random.IntN(4) == 0 {
-			report.Suspects[fmt.Sprint("r", index)] = 1 + random.IntN(report.Daemons)
+			report.SuspectCounts[fmt.Sprint("r", index)] = 1 + random.IntN(report.DataPlaneCount)
 		}
 	}
 	return report
 }
 
-func TestGivenReportsInAnyOrderThenTheTallyIsTheSumOfThoseStillFresh(t *testing.T) {
+func TestDemandAggregator_SumsUnexpiredReports(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-		tally, heard, demands := NewTally(), map[string]told{}, map[string]*place.Demand{}
+		tally, heard, demands := NewDemandAggregator(), map[string]receivedSummary{}, map[string]*place.Demand{}
 		for range 200 {
 			now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond)
 			if random.IntN(3) > 0 {
@@ -77,12 +77,12 @@
 				for index, model := range report.Models {
 					names[index] = place.ModelKey(model.Backend, model.Model)
 				}
-				heard[report.Member] = told{now, report}
-				tally.Hear(report, names, now)
+				heard[report.Member] = receivedSummary{now, report}
+				tally.Add(report, names, now)
 			}
 			tally.Expire(now)
 			tally.WriteTo(demands, now)
-			plain := plainDemand(heard, now)
+			plain := expectedDemand(heard, now)
 			for name, demand := range demands {
 				got := place.Demand{Waiting: demand.Waiting, Running: demand.Running, OldestWaitMs: demand.OldestWaitMs}
 				assert.Equal(t, got, plain[name], "seed %d: %s", seed, name)
@@ -90,9 +90,9 @@
 			}
 			for index := range 6 {
 				id := fmt.Sprint("r", index)
-				assert.Equal(t, tally.Suspected(id), plainSuspects(heard, id, now), "seed %d: %s", seed, id)
+				assert.Equal(t, tally.IsSuspected(id), expectedSuspected(heard, id, now), "seed %d: %s", seed, id)
 			}
-			assert.Assert(t, len(tally.reports) <= 5 && len(tally.sums) <= 6, "seed %d", seed)
+			assert.Assert(t, len(tally.reports) <= 5 && len(tally.demand) <= 6, "seed %d", seed)
 		}
 	}
 }
--- a/internal/controlplane/unloadbars_test.go
+++ b/internal/controlplane/unloadbars_test.go
@@ -25,7 +25,7 @@
 		demand:   map[string]*place.Demand{},
 		heldOnce: map[string]map[string]bool{},
 		managed:  map[string]*managedReplica{},
-		feed:     feed{tally: NewTally()},
+		feed:     feed{tally: NewDemandAggregator()},
 	}
 	held := []platform.Held{{Name: "m"}}
 	w.adoptList([]platform.Replica{{ID: "i-1", Address: "at", Backend: "s", Models: held}}, now)
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -104,7 +104,7 @@
 func (q *Quotas) sendBorrow(home, address string, request quota.BorrowRequest, replied chan struct{}) {
 	sentAt := q.clock()
 	var reply quota.BorrowReply
-	err := q.peers.Ask(context.Background(), "borrow", address, request, &reply)
+	err := q.peers.Call(context.Background(), "borrow", address, request, &reply)
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if now := q.clock(); err != nil {
--- a/internal/dataplane/context.go
+++ b/internal/dataplane/context.go
@@ -25,11 +25,11 @@
 
 // adoptContextRules adopts context rules newer than those held, and has the matcher forget what they
 // name. What has been forgotten is reported only once the matcher has done it.
-func (s *FleetState) adoptContextRules(rules peer.ContextNews) {
-	if rules.Number <= s.contextNumber || s.updateLedger == nil {
+func (s *FleetState) adoptContextRules(rules peer.ContextUpdate) {
+	if rules.Version <= s.contextNumber || s.updateLedger == nil {
 		return
 	}
-	s.contextNumber = rules.Number
+	s.contextNumber = rules.Version
 	from := s.lastForgetNumber
 	for _, forget := range rules.Forgets {
 		s.lastForgetNumber = max(s.lastForgetNumber, forget.Number)
@@ -44,13 +44,13 @@
 				dropped += ledger.Forget(forget.Scope.Covers, now)
 			}
 		}
-		ledger.SetTTL(time.Duration(rules.LifeMs)*time.Millisecond, now)
-		s.position.contextNumber.Store(rules.Number)
+		ledger.SetTTL(time.Duration(rules.MaxAgeMs)*time.Millisecond, now)
+		s.position.contextNumber.Store(rules.Version)
 		s.position.forgotNumber.Store(last)
 		logrus.WithFields(logrus.Fields{
 			"number":  last,
 			"dropped": dropped,
-			"life_ms": rules.LifeMs,
+			"life_ms": rules.MaxAgeMs,
 			"kept":    ledger.Len(),
 		}).Info("context let go")
 	})
--- a/internal/dataplane/currency.go
+++ b/internal/dataplane/currency.go
@@ -42,7 +42,7 @@
 }
 
 // note takes in news that answers a poll of the time asked, once the configuration of the held revision is in use.
-func (f *freshness) observe(response peer.News, sentAt time.Time, adopted int64, fresh bool) {
+func (f *freshness) observe(response peer.WatchResponse, sentAt time.Time, adopted int64, fresh bool) {
 	f.adopted.Store(adopted)
 	if fresh && response.Revision > f.newestKnown.Load() {
 		f.newestKnown.Store(response.Revision)
--- a/internal/dataplane/currency_test.go
+++ b/internal/dataplane/currency_test.go
@@ -34,8 +34,8 @@
 		t.Run(fmt.Sprint(test), func(t *testing.T) {
 			current := newFreshness(closedSettings(testRevoke))
 			assert.Assert(t, !current.KeysValid(start) && !current.Current(start), "nothing is proven yet")
-			response := peer.News{Revision: test.told, FreshMs: test.freshMs, HeldMs: 500}
-			current.observe(response, start, test.held, response.Fresh(start, start))
+			response := peer.WatchResponse{Revision: test.told, FreshMs: test.freshMs, WaitedMs: 500}
+			current.observe(response, start, test.held, response.IsFresh(start, start))
 			assert.Equal(t, current.KeysValid(start), test.proves)
 			assert.Equal(t, current.Behind(), test.behind)
 		})
@@ -45,9 +45,9 @@
 func TestFreshness_KeysValidUntilConfirmationExpires(t *testing.T) {
 	start := time.Now()
 	current := newFreshness(closedSettings(testRevoke))
-	current.observe(peer.News{Revision: 7, FreshMs: 700, HeldMs: 1000}, start, 7, true)
+	current.observe(peer.WatchResponse{Revision: 7, FreshMs: 700, WaitedMs: 1000}, start, 7, true)
 	confirmed := start.Add(600 * time.Millisecond)
-	current.observe(peer.News{Revision: 7, FreshMs: 100, HeldMs: 0}, start, 7, true)
+	current.observe(peer.WatchResponse{Revision: 7, FreshMs: 100, WaitedMs: 0}, start, 7, true)
 	assert.Assert(t, current.KeysValid(confirmed.Add(4899*time.Millisecond)), "an older proof takes nothing away")
 	assert.Assert(t, !current.KeysValid(confirmed.Add(4900*time.Millisecond)), "less the drift of clocks")
 	assert.Assert(t, current.Current(confirmed.Add(2499*time.Millisecond)) && !current.Current(confirmed.Add(2500*time.Millisecond)))
@@ -94,15 +94,15 @@
 			answeredAt := receivedAt.Add(span(2 * time.Second))
 			confirmedAt := answeredAt.Add(-span(1200 * time.Millisecond))
 			now = answeredAt.Add(span(3 * time.Second))
-			response := peer.News{
-				Revision: acknowledgedAt.versionAt(confirmedAt), HeldMs: answeredAt.Sub(receivedAt).Milliseconds(),
+			response := peer.WatchResponse{
+				Revision: acknowledgedAt.versionAt(confirmedAt), WaitedMs: answeredAt.Sub(receivedAt).Milliseconds(),
 				FreshMs: max(peer.ConfirmationLease-answeredAt.Sub(confirmedAt), 0).Milliseconds(),
 			}
 			if draw.IntN(3) > 0 {
 				adopted = max(adopted, response.Revision)
 			}
 			if draw.IntN(4) > 0 {
-				current.observe(response, local(sentAt), adopted, response.Fresh(local(sentAt), local(now)))
+				current.observe(response, local(sentAt), adopted, response.IsFresh(local(sentAt), local(now)))
 			}
 			for range 20 {
 				later := now.Add(span(8 * time.Second))
--- a/internal/dataplane/daemon.go
+++ b/internal/dataplane/daemon.go
@@ -187,14 +187,14 @@
 			continue
 		}
 		report := n.matcher.LoadReport(ctx)
-		report.Daemon = n.settings.NodeName
+		report.DataPlane = n.settings.NodeName
 		empty := len(report.Models) == 0 && len(report.Replicas) == 0
 		if empty && reportedEmpty {
 			continue
 		}
 		reportedEmpty = empty
 		var fleetLoad peer.FleetLoad
-		if n.peers.Ask(ctx, "pressure", primary, report, &fleetLoad) == nil {
+		if n.peers.Call(ctx, "pressure", primary, report, &fleetLoad) == nil {
 			n.state.fleetLoads <- fleetLoad
 		}
 	}
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -55,7 +55,7 @@
 // changed.
 func (s *FleetState) handleDrill(result watchResult) bool {
 	drills := &s.drills
-	if question := result.response.Question; question != nil {
+	if question := result.response.Forecast; question != nil {
 		drills.answerOnce(result.address, *question)
 	}
 	if drills.drill == nil && result.response.Drill == nil {
@@ -155,7 +155,7 @@
 		answer.Number = question.Number
 		answer.Edge = n.settings.NodeName
 		answer.Zone = n.settings.Zone
-		err = n.peers.Ask(ctx, "forecast", address, answer, nil)
+		err = n.peers.Call(ctx, "forecast", address, answer, nil)
 	}
 	logrus.WithFields(logrus.Fields{
 		"scope":   question.Scope.String(),
--- a/internal/dataplane/drill_test.go
+++ b/internal/dataplane/drill_test.go
@@ -20,7 +20,7 @@
 	number := uint64(1)
 	notify := func(running bool, zones map[string]peer.ZoneState) bool {
 		notice := &drill.Notice{Number: number, Scope: drill.Scope{Zone: "south"}, Share: 1, LeftMs: 60000, Running: running}
-		if state.handleWatchResult(watchResult{address: "one", sentAt: now, receivedAt: now, response: peer.News{Proven: true, FreshMs: 1000, Drill: notice, Zones: zones}}) {
+		if state.handleWatchResult(watchResult{address: "one", sentAt: now, receivedAt: now, response: peer.WatchResponse{Linearizable: true, FreshMs: 1000, Drill: notice, Zones: zones}}) {
 			state.publish()
 		}
 		return fleet.Load().Drill != nil
@@ -48,7 +48,7 @@
 
 	number = 3
 	assert.Assert(t, notify(true, nil))
-	assert.Assert(t, !notify(true, map[string]peer.ZoneState{"north": {Number: 1, Drained: true}}))
+	assert.Assert(t, !notify(true, map[string]peer.ZoneState{"north": {Version: 1, Drained: true}}))
 	assert.Equal(t, ended(), drill.EndedByEvacuation)
 	number = 4
 	assert.Assert(t, !notify(true, nil), "none while a zone is evacuated")
--- a/internal/dataplane/interest.go
+++ b/internal/dataplane/interest.go
@@ -13,9 +13,9 @@
 type Interest struct {
 	lock        sync.Mutex
 	clock       func() time.Time
-	requestedAt map[peer.PartName]time.Time
+	requestedAt map[peer.EndpointKey]time.Time
 	// fresh are the models newly asked for.
-	added []peer.PartName
+	added []peer.EndpointKey
 	// wake is signalled when there are some.
 	wake chan struct{}
 }
@@ -29,12 +29,12 @@
 
 // NewInterest is interested in nothing yet.
 func NewInterest(clock func() time.Time) *Interest {
-	return &Interest{clock: clock, requestedAt: map[peer.PartName]time.Time{}, wake: make(chan struct{}, 1)}
+	return &Interest{clock: clock, requestedAt: map[peer.EndpointKey]time.Time{}, wake: make(chan struct{}, 1)}
 }
 
 // Want notes a request for a model.
 func (i *Interest) RecordRequest(backend, model string) {
-	name := peer.PartName{Backend: backend, Model: model}
+	name := peer.EndpointKey{Backend: backend, Model: model}
 	i.lock.Lock()
 	_, known := i.requestedAt[name]
 	i.requestedAt[name] = i.clock()
@@ -53,7 +53,7 @@
 
 // Take is what to follow in addition since the last call, and what to let go; without anything to
 // add, nothing is let go either.
-func (i *Interest) TakeChanges() (add, drop []peer.PartName) {
+func (i *Interest) TakeChanges() (add, drop []peer.EndpointKey) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
 	add, i.added = i.added, nil
@@ -64,12 +64,12 @@
 }
 
 // Whole is everything to follow, in order.
-func (i *Interest) All() []peer.PartName {
+func (i *Interest) All() []peer.EndpointKey {
 	i.lock.Lock()
 	defer i.lock.Unlock()
 	i.added = nil
 	i.dropExpired()
-	names := make([]peer.PartName, 0, len(i.requestedAt))
+	names := make([]peer.EndpointKey, 0, len(i.requestedAt))
 	for name := range i.requestedAt {
 		names = append(names, name)
 	}
@@ -81,9 +81,9 @@
 
 // dropExpired lets go of models not asked for lately and of those beyond the bound, and returns them.
 // The caller holds the lock.
-func (i *Interest) dropExpired() []peer.PartName {
+func (i *Interest) dropExpired() []peer.EndpointKey {
 	now := i.clock()
-	var dropped []peer.PartName
+	var dropped []peer.EndpointKey
 	for name, at := range i.requestedAt {
 		if now.Sub(at) > interestTimeout {
 			dropped = append(dropped, name)
@@ -99,12 +99,12 @@
 }
 
 // leastRecentlyRequested are the models asked for longest ago. The caller holds the lock.
-func (i *Interest) leastRecentlyRequested(amount int, excluded []peer.PartName) []peer.PartName {
-	skipped := map[peer.PartName]bool{}
+func (i *Interest) leastRecentlyRequested(amount int, excluded []peer.EndpointKey) []peer.EndpointKey {
+	skipped := map[peer.EndpointKey]bool{}
 	for _, name := range excluded {
 		skipped[name] = true
 	}
-	names := make([]peer.PartName, 0, len(i.requestedAt))
+	names := make([]peer.EndpointKey, 0, len(i.requestedAt))
 	for name := range i.requestedAt {
 		if !skipped[name] {
 			names = append(names, name)
--- a/internal/dataplane/listener.go
+++ b/internal/dataplane/listener.go
@@ -14,7 +14,7 @@
 
 type watchResult struct {
 	address    string
-	response   peer.News
+	response   peer.WatchResponse
 	sentAt     time.Time
 	receivedAt time.Time
 	failed     bool
@@ -71,10 +71,10 @@
 	}
 }
 
-func (w *Watcher) poll(ctx context.Context, address string, request peer.Poll, response *peer.News) (err error, repoll bool) {
+func (w *Watcher) poll(ctx context.Context, address string, request peer.WatchRequest, response *peer.WatchResponse) (err error, repoll bool) {
 	pollContext, stop := context.WithCancel(ctx)
 	defer stop()
-	if !request.Wants {
+	if !request.Primary {
 		w.lock.Lock()
 		w.pendingPolls[address] = stop
 		w.lock.Unlock()
@@ -82,7 +82,7 @@
 			return nil, true
 		}
 	}
-	err = w.peers.Ask(pollContext, "news", address, request, response)
+	err = w.peers.Call(pollContext, "news", address, request, response)
 	return err, err != nil && pollContext.Err() != nil && ctx.Err() == nil
 }
 
@@ -94,16 +94,16 @@
 )
 
 func (w *Watcher) pollLoop(ctx context.Context, address string) {
-	request := peer.Poll{Daemon: w.settings.NodeName, Zone: w.settings.Zone}
+	request := peer.WatchRequest{DataPlane: w.settings.NodeName, Zone: w.settings.Zone}
 	backoff := minPollBackoff
 	for ctx.Err() == nil {
 		w.state.fillWatchRequest(&request, address)
-		request.HoldMs = int64(w.settings.HeartbeatMs)
-		if !request.Wants {
-			request.HoldMs = min(2*request.HoldMs, maxSecondaryHoldMs)
+		request.MaxWaitMs = int64(w.settings.HeartbeatMs)
+		if !request.Primary {
+			request.MaxWaitMs = min(2*request.MaxWaitMs, maxSecondaryHoldMs)
 		}
-		request.HoldMs = w.state.freshness.limitHold(request.HoldMs)
-		var response peer.News
+		request.MaxWaitMs = w.state.freshness.limitHold(request.MaxWaitMs)
+		var response peer.WatchResponse
 		sentAt := w.clock()
 		err, repoll := w.poll(ctx, address, request, &response)
 		if repoll {
@@ -112,7 +112,7 @@
 		now := w.clock()
 		done := make(chan struct{})
 		select {
-		case w.results <- watchResult{address: address, response: response, sentAt: sentAt, receivedAt: now, failed: err != nil, secondary: !request.Wants, done: done}:
+		case w.results <- watchResult{address: address, response: response, sentAt: sentAt, receivedAt: now, failed: err != nil, secondary: !request.Primary, done: done}:
 		case <-ctx.Done():
 			return
 		}
@@ -127,12 +127,12 @@
 			continue
 		}
 		backoff = minPollBackoff
-		if request.Life != response.Life {
-			request.Roster = 0
+		if request.Incarnation != response.Incarnation {
+			request.RosterVersion = 0
 		}
-		request.Life, request.Version = response.Life, response.Version
-		request.Roster = max(request.Roster, response.Roster)
-		if !response.Fresh(sentAt, now) || response.Refollow {
+		request.Incarnation, request.Version = response.Incarnation, response.Version
+		request.RosterVersion = max(request.RosterVersion, response.RosterVersion)
+		if !response.IsFresh(sentAt, now) || response.Resubscribe {
 			nodesettings.Sleep(ctx, minPollBackoff)
 		}
 	}
--- a/internal/dataplane/parts.go
+++ b/internal/dataplane/parts.go
@@ -21,8 +21,8 @@
 // subscribeResult is a control plane's answer to a question for parts, and when it came.
 type subscribeResult struct {
 	address    string
-	request    peer.FollowRequest
-	response   peer.FollowReply
+	request    peer.SubscribeRequest
+	response   peer.SubscribeResponse
 	sentAt     time.Time
 	receivedAt time.Time
 	failed     bool
@@ -36,22 +36,22 @@
 	if control == nil || s.subscribing {
 		return
 	}
-	request := peer.FollowRequest{Daemon: s.settings.NodeName, Number: control.subscriptionNumber + 1}
+	request := peer.SubscribeRequest{DataPlane: s.settings.NodeName, Sequence: control.subscriptionNumber + 1}
 	if control.complete {
-		request.Add, request.Drop = s.interest.TakeChanges()
+		request.Add, request.Remove = s.interest.TakeChanges()
 		if len(request.Add) == 0 {
 			return
 		}
 	} else {
-		request.Whole = true
+		request.Reset = true
 		request.Add = s.interest.All()
 	}
 	control.subscriptionNumber++
 	s.subscribing = true
 	go func() {
-		var response peer.FollowReply
+		var response peer.SubscribeResponse
 		sentAt := s.clock()
-		err := peers.Ask(ctx, "follow", primary, request, &response)
+		err := peers.Call(ctx, "follow", primary, request, &response)
 		select {
 		case s.subscribeResults <- subscribeResult{primary, request, response, sentAt, s.clock(), err != nil}:
 		case <-ctx.Done():
@@ -64,31 +64,31 @@
 func (s *FleetState) handleSubscribeResult(result subscribeResult) bool {
 	s.subscribing = false
 	control := s.controlPeers[result.address]
-	if result.failed || result.response.Refollow || !result.response.Fresh(result.sentAt, result.receivedAt) {
+	if result.failed || result.response.Resubscribe || !result.response.IsFresh(result.sentAt, result.receivedAt) {
 		control.complete = false
 		return false
 	}
-	s.resetOnRestart(control, result.response.Life)
-	if result.request.Whole {
+	s.resetOnRestart(control, result.response.Incarnation)
+	if result.request.Reset {
 		control.complete = true
 		control.retainOnly(result.request.Add)
 		s.position.subscription.Store(&subscription{
 			address:     result.address,
-			incarnation: result.response.Life,
-			number:      result.request.Number,
-			roster:      result.response.Roster,
+			incarnation: result.response.Incarnation,
+			number:      result.request.Sequence,
+			roster:      result.response.RosterVersion,
 		})
 	} else {
 		subscription := *s.position.subscription.Load()
-		subscription.number = result.request.Number
+		subscription.number = result.request.Sequence
 		s.position.subscription.Store(&subscription)
 	}
-	for _, name := range result.request.Drop {
+	for _, name := range result.request.Remove {
 		delete(control.endpointSets, name)
 		s.rebuildIfUsed(result.address)
 	}
-	control.fetchedAt = result.receivedAt.Add(-time.Duration(result.response.RosterAge) * time.Millisecond)
-	touched := s.mergeEndpointSets(control, result.response.Parts)
+	control.fetchedAt = result.receivedAt.Add(-time.Duration(result.response.RosterAgeMs) * time.Millisecond)
+	touched := s.mergeEndpointSets(control, result.response.EndpointSets)
 	return s.useEndpoints(result.address, control, touched)
 }
 
@@ -103,13 +103,13 @@
 	if control.incarnation != incarnation || control.endpointSets == nil {
 		control.incarnation = incarnation
 		control.complete = false
-		control.endpointSets = map[peer.PartName]peer.Part{}
+		control.endpointSets = map[peer.EndpointKey]peer.EndpointSet{}
 	}
 }
 
 // retainOnly forgets the parts that are no longer followed.
-func (p *controlPeer) retainOnly(names []peer.PartName) {
-	followed := make(map[peer.PartName]bool, len(names))
+func (p *controlPeer) retainOnly(names []peer.EndpointKey) {
+	followed := make(map[peer.EndpointKey]bool, len(names))
 	for _, name := range names {
 		followed[name] = true
 	}
@@ -121,37 +121,37 @@
 }
 
 // mergeEndpointSets adopts parts that are not older than those held, and returns them.
-func (s *FleetState) mergeEndpointSets(control *controlPeer, sets []peer.Part) []peer.Part {
-	var touched []peer.Part
+func (s *FleetState) mergeEndpointSets(control *controlPeer, sets []peer.EndpointSet) []peer.EndpointSet {
+	var touched []peer.EndpointSet
 	for _, set := range sets {
-		if before, known := control.endpointSets[set.PartName]; known && before.Version > set.Version {
+		if before, known := control.endpointSets[set.EndpointKey]; known && before.Version > set.Version {
 			continue
 		}
-		control.endpointSets[set.PartName] = set
+		control.endpointSets[set.EndpointKey] = set
 		touched = append(touched, set)
 	}
 	return touched
 }
 
 // handleEndpointSets adopts the parts of a control plane's news, and reports whether the fleet changed.
-func (s *FleetState) handleEndpointSets(address string, control *controlPeer, response peer.News, receivedAt time.Time, fresh bool) bool {
-	s.resetOnRestart(control, response.Life)
-	if response.Refollow {
+func (s *FleetState) handleEndpointSets(address string, control *controlPeer, response peer.WatchResponse, receivedAt time.Time, fresh bool) bool {
+	s.resetOnRestart(control, response.Incarnation)
+	if response.Resubscribe {
 		control.complete = false
 	}
 	if !fresh {
 		return false
 	}
-	control.fetchedAt = receivedAt.Add(-time.Duration(response.RosterAge) * time.Millisecond)
+	control.fetchedAt = receivedAt.Add(-time.Duration(response.RosterAgeMs) * time.Millisecond)
 	if address != *s.position.primary.Load() {
 		control.complete = false
 	}
-	return s.useEndpoints(address, control, s.mergeEndpointSets(control, response.Parts))
+	return s.useEndpoints(address, control, s.mergeEndpointSets(control, response.EndpointSets))
 }
 
 // useEndpoints makes a control plane's parts the fleet's, and reports whether that changed it.
 // Another's older parts are not used until the present ones are too old themselves.
-func (s *FleetState) useEndpoints(address string, control *controlPeer, touched []peer.Part) bool {
+func (s *FleetState) useEndpoints(address string, control *controlPeer, touched []peer.EndpointSet) bool {
 	if !control.complete {
 		return false
 	}
@@ -193,7 +193,7 @@
 	listed := map[string]platform.Replica{}
 	versions := map[string]uint64{}
 	for name, set := range p.endpointSets {
-		for _, endpoint := range set.Holders {
+		for _, endpoint := range set.Endpoints {
 			replica := listed[endpoint.ID]
 			if set.Version >= versions[endpoint.ID] {
 				models := replica.Models
@@ -215,7 +215,7 @@
 }
 
 // replicaFromEndpoint is a holder as an entry of the list, without models.
-func replicaFromEndpoint(backend string, endpoint peer.Holder) platform.Replica {
+func replicaFromEndpoint(backend string, endpoint peer.Endpoint) platform.Replica {
 	state := "ready"
 	if endpoint.Draining {
 		state = platform.Draining
@@ -227,7 +227,7 @@
 		Zone:            endpoint.Zone,
 		Slots:           endpoint.Slots,
 		State:           state,
-		ColdRemainingMs: endpoint.ColdMs,
+		ColdRemainingMs: endpoint.WarmUpRemainingMs,
 	}
 }
 
--- a/internal/dataplane/parts_test.go
+++ b/internal/dataplane/parts_test.go
@@ -25,27 +25,27 @@
 	return harness
 }
 
-func endpointSetOf(model string, version uint64, draining bool, ids ...string) peer.Part {
-	set := peer.Part{PartName: peer.PartName{Backend: "s", Model: model}, Version: version}
+func endpointSetOf(model string, version uint64, draining bool, ids ...string) peer.EndpointSet {
+	set := peer.EndpointSet{EndpointKey: peer.EndpointKey{Backend: "s", Model: model}, Version: version}
 	for _, id := range ids {
-		set.Holders = append(set.Holders, peer.Holder{ID: id, Address: "at-" + id, Zone: "south", Slots: 4, Draining: draining})
+		set.Endpoints = append(set.Endpoints, peer.Endpoint{ID: id, Address: "at-" + id, Zone: "south", Slots: 4, Draining: draining})
 	}
 	return set
 }
 
-func (h *stateHarness) respond(address, zone string, roster uint64, sets ...peer.Part) {
-	response := peer.News{Life: "life-" + address, Proven: true, FreshMs: 1000, Zone: zone, Roster: roster, Parts: sets, RosterAge: 10}
+func (h *stateHarness) respond(address, zone string, roster uint64, sets ...peer.EndpointSet) {
+	response := peer.WatchResponse{Incarnation: "life-" + address, Linearizable: true, FreshMs: 1000, Zone: zone, RosterVersion: roster, EndpointSets: sets, RosterAgeMs: 10}
 	if h.state.handleWatchResult(watchResult{address: address, response: response, sentAt: h.now, receivedAt: h.now}) {
 		h.state.publish()
 	}
 }
 
-func (h *stateHarness) completeSubscription(address string, complete bool, number uint64, sets ...peer.Part) {
-	request := peer.FollowRequest{Number: number, Whole: complete}
+func (h *stateHarness) completeSubscription(address string, complete bool, number uint64, sets ...peer.EndpointSet) {
+	request := peer.SubscribeRequest{Sequence: number, Reset: complete}
 	for _, set := range sets {
-		request.Add = append(request.Add, set.PartName)
+		request.Add = append(request.Add, set.EndpointKey)
 	}
-	if h.state.handleSubscribeResult(subscribeResult{address: address, request: request, sentAt: h.now, receivedAt: h.now, response: peer.FollowReply{Life: "life-" + address, FreshMs: 1000, Roster: 9, Parts: sets}}) {
+	if h.state.handleSubscribeResult(subscribeResult{address: address, request: request, sentAt: h.now, receivedAt: h.now, response: peer.SubscribeResponse{Incarnation: "life-" + address, FreshMs: 1000, RosterVersion: 9, EndpointSets: sets}}) {
 		h.state.publish()
 	}
 }
@@ -106,7 +106,7 @@
 	harness := newStateHarness()
 	harness.respond("near", "north", 7)
 	harness.completeSubscription("near", true, 1, endpointSetOf("one", 8, false, "i-1"))
-	ahead := peer.News{Life: "life-far", Proven: true, FreshMs: 1000, Zone: "south", Revision: 5}
+	ahead := peer.WatchResponse{Incarnation: "life-far", Linearizable: true, FreshMs: 1000, Zone: "south", Revision: 5}
 	harness.state.handleWatchResult(watchResult{address: "far", response: ahead, sentAt: harness.now, receivedAt: harness.now})
 	assert.Equal(t, *harness.state.position.primary.Load(), "near")
 	harness.now = harness.now.Add(behindTolerance + time.Millisecond)
@@ -136,7 +136,7 @@
 func TestFleetState_KeepsEdgeCountWhileMembersAreNew(t *testing.T) {
 	harness := newStateHarness()
 	respond := func(address string, edges int) {
-		harness.state.handleWatchResult(watchResult{address: address, response: peer.News{Life: address, Proven: true, FreshMs: 1000, Edges: edges}, sentAt: harness.now, receivedAt: harness.now})
+		harness.state.handleWatchResult(watchResult{address: address, response: peer.WatchResponse{Incarnation: address, Linearizable: true, FreshMs: 1000, DataPlaneCount: edges}, sentAt: harness.now, receivedAt: harness.now})
 	}
 	assert.Equal(t, harness.state.edgeCount(), assumedEdgeCount, "nobody told it")
 	respond("near", 80)
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -70,21 +70,21 @@
 
 // hear takes in confirmed news, with the number of data planes that holds with it (0 while it isn't known) and whether that
 // is sure, and those that may be homes.
-func (q *Quotas) handleUpdate(response peer.News, count int, known bool, sentAt time.Time) {
+func (q *Quotas) handleUpdate(response peer.WatchResponse, count int, known bool, sentAt time.Time) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if count > 0 {
 		if !q.lender.HasFreshFleetSize(q.clock()) {
 			q.wakeLending()
 		}
-		since := time.Duration(response.CountedMs) * time.Millisecond
+		since := time.Duration(response.CountedForMs) * time.Millisecond
 		q.lender.UpdateFleetSize(quota.FleetSize{DataPlanes: count, CountedFor: since, Established: known}, sentAt)
 		q.pool.SetDataPlaneCount(count)
 	}
 	if response.Neighbours == nil {
 		return
 	}
-	q.neighboursVersion = response.Neighbours.Mark
+	q.neighboursVersion = response.Neighbours.Version
 	q.addresses = make(map[string]string, len(response.Neighbours.List))
 	for _, neighbour := range response.Neighbours.List {
 		q.addresses[neighbour.Name] = neighbour.Address
@@ -93,10 +93,10 @@
 }
 
 // fill puts into a poll where this data plane answers others and which list of these it holds.
-func (q *Quotas) fillWatchRequest(request *peer.Poll) {
+func (q *Quotas) fillWatchRequest(request *peer.WatchRequest) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	request.Address, request.Neighbours = q.address, q.neighboursVersion
+	request.Address, request.NeighboursVersion = q.address, q.neighboursVersion
 }
 
 func (q *Quotas) setAddress(address string) {
@@ -196,7 +196,7 @@
 
 func (q *Quotas) sendOffer(ctx context.Context, offer addressedOffer) {
 	var reply quota.LendReply
-	err := q.peers.Ask(ctx, "lend", offer.address, offer.Request, &reply)
+	err := q.peers.Call(ctx, "lend", offer.address, offer.Request, &reply)
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if err != nil {
@@ -213,8 +213,8 @@
 // routes answers other data planes.
 func (q *Quotas) routes() http.Handler {
 	router := chi.NewRouter()
-	router.Post(peer.Calls["lend"].Path, peer.Answer(q.handleLend))
-	router.Post(peer.Calls["borrow"].Path, peer.Answer(q.handleBorrow))
+	router.Post(peer.Methods["lend"].Path, peer.Handler(q.handleLend))
+	router.Post(peer.Methods["borrow"].Path, peer.Handler(q.handleBorrow))
 	return router
 }
 
--- a/internal/dataplane/state.go
+++ b/internal/dataplane/state.go
@@ -23,7 +23,7 @@
 	presentEdges       int
 	presentKnown       bool
 	incarnation        string
-	endpointSets       map[peer.PartName]peer.Part
+	endpointSets       map[peer.EndpointKey]peer.EndpointSet
 	complete           bool
 	subscriptionNumber uint64
 	fetchedAt          time.Time
@@ -81,22 +81,22 @@
 	return state
 }
 
-func (s *FleetState) fillWatchRequest(request *peer.Poll, address string) {
+func (s *FleetState) fillWatchRequest(request *peer.WatchRequest, address string) {
 	request.Revision = s.position.revision.Load()
-	request.Proof = request.Revision == 0
+	request.Linearizable = request.Revision == 0
 	if s.quotas != nil {
 		s.quotas.fillWatchRequest(request)
 	}
-	request.ZoneNumber = s.position.zoneVersion.Load()
-	request.Context, request.Forgot = s.position.contextNumber.Load(), s.position.forgotNumber.Load()
+	request.ZoneVersion = s.position.zoneVersion.Load()
+	request.ContextVersion, request.AppliedForget = s.position.contextNumber.Load(), s.position.forgotNumber.Load()
 	request.Leaving, request.Drill = s.position.draining.Load(), s.drills.report(s.clock())
 	primary := *s.position.primary.Load()
-	request.Wants = primary == "" || primary == address
-	request.Follows = 0
+	request.Primary = primary == "" || primary == address
+	request.SubscriptionSequence = 0
 	if subscription := s.position.subscription.Load(); subscription.address == address {
-		request.Follows = subscription.number
-		if subscription.incarnation == request.Life {
-			request.Roster = max(request.Roster, subscription.roster)
+		request.SubscriptionSequence = subscription.number
+		if subscription.incarnation == request.Incarnation {
+			request.RosterVersion = max(request.RosterVersion, subscription.roster)
 		}
 	}
 }
@@ -117,11 +117,11 @@
 				s.publish()
 			}
 			if !result.failed {
-				s.freshness.observe(result.response, result.sentAt, s.position.revision.Load(), result.response.Fresh(result.sentAt, result.receivedAt))
+				s.freshness.observe(result.response, result.sentAt, s.position.revision.Load(), result.response.IsFresh(result.sentAt, result.receivedAt))
 			}
 			result.markHandled()
 			if !result.failed {
-				watcher.Watch(ctx, result.response.Control)
+				watcher.Watch(ctx, result.response.ControlPlanes)
 			}
 		case <-s.interest.wake:
 			s.subscribe(ctx, watcher.peers)
@@ -154,15 +154,15 @@
 		s.choosePrimary()
 		return false
 	}
-	response, fresh := result.response, result.response.Fresh(result.sentAt, result.receivedAt)
-	control.fresh, control.lastSeen, control.revision, control.edgeCount, control.secondary = fresh, result.receivedAt, response.Revision, response.Edges, result.secondary
+	response, fresh := result.response, result.response.IsFresh(result.sentAt, result.receivedAt)
+	control.fresh, control.lastSeen, control.revision, control.edgeCount, control.secondary = fresh, result.receivedAt, response.Revision, response.DataPlaneCount, result.secondary
 	changed := false
 	if fresh && s.acceptable(response) {
 		changed = s.adopt(response)
 		s.lastConfirmed.Store(&result.receivedAt)
 		changed = s.handleDrill(result) || changed
 	}
-	control.zone, control.presentEdges, control.presentKnown = response.Zone, response.Present, response.EdgesSure
+	control.zone, control.presentEdges, control.presentKnown = response.Zone, response.EarlyDataPlaneCount, response.CountReliable
 	if fresh && s.quotas != nil {
 		count, known := s.presentEdgeCount()
 		s.quotas.handleUpdate(response, count, known, result.sentAt)
@@ -173,14 +173,14 @@
 
 // believable says whether news may bring the first configuration of this life: only if contact
 // with a majority was proven after this data plane asked. Later ones only ever rise.
-func (s *FleetState) acceptable(response peer.News) bool {
-	return response.Proven || s.position.revision.Load() > 0
+func (s *FleetState) acceptable(response peer.WatchResponse) bool {
+	return response.Linearizable || s.position.revision.Load() > 0
 }
 
-func (s *FleetState) adopt(response peer.News) bool {
+func (s *FleetState) adopt(response peer.WatchResponse) bool {
 	changed := false
-	if len(response.Packed) > 0 && response.Revision > s.position.revision.Load() {
-		document, err := configuration.Decompress(response.Packed)
+	if len(response.PackedConfiguration) > 0 && response.Revision > s.position.revision.Load() {
+		document, err := configuration.Decompress(response.PackedConfiguration)
 		if err != nil {
 			logrus.WithError(err).Error("configuration from control daemon cannot be unpacked")
 			return false
@@ -206,14 +206,14 @@
 	}
 	total := uint64(0)
 	for zone, state := range response.Zones {
-		if state.Number > s.zones[zone].Number {
+		if state.Version > s.zones[zone].Version {
 			s.zones[zone] = state
 			changed = true
 			logrus.WithFields(logrus.Fields{"zone": zone, "drained": state.Drained}).Info("zone evacuation followed")
 		}
 	}
 	for _, state := range s.zones {
-		total += state.Number
+		total += state.Version
 	}
 	s.position.zoneVersion.Store(total)
 	return changed
--- a/internal/dataplane/state_bench_test.go
+++ b/internal/dataplane/state_bench_test.go
@@ -25,23 +25,23 @@
 
 const benchSource = "10.0.0.1:7000"
 
-func benchEndpointSets(count, endpoints int, version uint64) []peer.Part {
-	var list []peer.Part
+func benchEndpointSets(count, endpoints int, version uint64) []peer.EndpointSet {
+	var list []peer.EndpointSet
 	for index := range count {
-		set := peer.Part{PartName: peer.PartName{Backend: "writers", Model: fmt.Sprintf("model%04d", index)}, Version: version}
+		set := peer.EndpointSet{EndpointKey: peer.EndpointKey{Backend: "writers", Model: fmt.Sprintf("model%04d", index)}, Version: version}
 		for position := range endpoints {
 			number := index*endpoints + position
-			set.Holders = append(set.Holders, peer.Holder{ID: fmt.Sprintf("i-%08x", number), Address: fmt.Sprintf("10.1.%d.%d:8080", number/200, number%200), Zone: "north", Slots: 64, Adapters: []string{"a1"}})
+			set.Endpoints = append(set.Endpoints, peer.Endpoint{ID: fmt.Sprintf("i-%08x", number), Address: fmt.Sprintf("10.1.%d.%d:8080", number/200, number%200), Zone: "north", Slots: 64, Adapters: []string{"a1"}})
 		}
 		list = append(list, set)
 	}
 	return list
 }
 
-func subscribeBench(state *FleetState, sets []peer.Part) {
+func subscribeBench(state *FleetState, sets []peer.EndpointSet) {
 	source := benchSource
-	state.handleWatchResult(watchResult{address: source, sentAt: time.Now(), receivedAt: time.Now(), response: peer.News{Member: source, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: 1, Edges: 80}})
-	state.handleSubscribeResult(subscribeResult{source, peer.FollowRequest{Number: 1, Whole: true}, peer.FollowReply{Life: "1", FreshMs: 1000, Parts: sets}, time.Now(), time.Now(), false})
+	state.handleWatchResult(watchResult{address: source, sentAt: time.Now(), receivedAt: time.Now(), response: peer.WatchResponse{Member: source, Zone: "north", Incarnation: "1", Linearizable: true, FreshMs: 1000, Version: 1, DataPlaneCount: 80}})
+	state.handleSubscribeResult(subscribeResult{source, peer.SubscribeRequest{Sequence: 1, Reset: true}, peer.SubscribeResponse{Incarnation: "1", FreshMs: 1000, EndpointSets: sets}, time.Now(), time.Now(), false})
 }
 
 const (
@@ -49,7 +49,7 @@
 	endpointsPerSet = 3
 )
 
-func benchResponses(b *testing.B, response func(turn uint64) peer.News) {
+func benchResponses(b *testing.B, response func(turn uint64) peer.WatchResponse) {
 	state, fleet := newBenchState(b)
 	subscribeBench(state, benchEndpointSets(subscribedSets, endpointsPerSet, 1))
 	turn := uint64(1)
@@ -72,7 +72,7 @@
 			for b.Loop() {
 				turn++
 				changed[0].Version = turn
-				if state.handleWatchResult(watchResult{address: benchSource, sentAt: time.Now(), receivedAt: time.Now(), response: peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: 1, Roster: turn, Parts: changed, Edges: 80}}) {
+				if state.handleWatchResult(watchResult{address: benchSource, sentAt: time.Now(), receivedAt: time.Now(), response: peer.WatchResponse{Member: benchSource, Zone: "north", Incarnation: "1", Linearizable: true, FreshMs: 1000, Version: 1, RosterVersion: turn, EndpointSets: changed, DataPlaneCount: 80}}) {
 					state.publish()
 				}
 			}
@@ -90,8 +90,8 @@
 func BenchmarkFleetState_UnchangedResponse(b *testing.B) {
 	for _, edges := range []int{8, 80, 400} {
 		b.Run(fmt.Sprintf("edges=%d", edges), func(b *testing.B) {
-			benchResponses(b, func(turn uint64) peer.News {
-				return peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: 1, Edges: edges}
+			benchResponses(b, func(turn uint64) peer.WatchResponse {
+				return peer.WatchResponse{Member: benchSource, Zone: "north", Incarnation: "1", Linearizable: true, FreshMs: 1000, Version: 1, DataPlaneCount: edges}
 			})
 		})
 	}
@@ -104,12 +104,12 @@
 			for index := range models {
 				current.Backends[0].Runtime.Models = append(current.Backends[0].Runtime.Models, configuration.Model{Name: fmt.Sprintf("model%04d", index), WeightSizeMb: 65000, LoadTimeS: 5})
 			}
-			benchResponses(b, func(turn uint64) peer.News {
+			benchResponses(b, func(turn uint64) peer.WatchResponse {
 				b.StopTimer()
 				defer b.StartTimer()
 				current.Revision = int64(turn)
 				document, _ := json.Marshal(current)
-				return peer.News{Member: benchSource, Zone: "north", Life: "1", Proven: true, FreshMs: 1000, Version: turn, Revision: current.Revision, Packed: configuration.Compress(document), Edges: 80}
+				return peer.WatchResponse{Member: benchSource, Zone: "north", Incarnation: "1", Linearizable: true, FreshMs: 1000, Version: turn, Revision: current.Revision, PackedConfiguration: configuration.Compress(document), DataPlaneCount: 80}
 			})
 		})
 	}
--- a/internal/emulator/demand.go
+++ b/internal/emulator/demand.go
@@ -100,7 +100,7 @@
 	for _, model := range load.Models {
 		name := place.ModelKey(model.Backend, model.Model)
 		d.arrivals[name] += float64(model.Arrivals)
-		d.readMs[name] += model.ReadMs
+		d.readMs[name] += model.PrefillMs
 	}
 	outlook := map[string]peer.ReplicaLoad{}
 	for _, number := range d.reportingEdges() {
@@ -112,7 +112,7 @@
 			sum := outlook[id]
 			sum.Running += one.Running
 			sum.Tokens += one.Tokens
-			sum.Prefill += one.Prefill
+			sum.PrefillTokens += one.PrefillTokens
 			outlook[id] = sum
 		}
 	}
@@ -173,9 +173,9 @@
 			one := d.entry(place.ModelKey(model.Backend, model.Model))
 			one.Waiting += model.Waiting
 			one.Running += float64(model.Running)
-			one.LatencyTargetMs = max(one.LatencyTargetMs, model.Aim)
+			one.LatencyTargetMs = max(one.LatencyTargetMs, model.LatencyTargetMs)
 			if model.Waiting > 0 {
-				one.OldestWaitMs = max(one.OldestWaitMs, model.OldestMs)
+				one.OldestWaitMs = max(one.OldestWaitMs, model.OldestWaitMs)
 				one.LastSeen = now
 			}
 		}
@@ -200,7 +200,7 @@
 			continue
 		}
 		heard++
-		if one.load.Replicas[id].Suspect {
+		if one.load.Replicas[id].Suspected {
 			suspected++
 		}
 	}
--- a/internal/hollow/clients.go
+++ b/internal/hollow/clients.go
@@ -66,7 +66,7 @@
 
 // NewClients makes clients for the plan; Run starts them.
 func NewClients(plan Plan) *Clients {
-	transport := peer.NewTransport(peer.Machine{}, 2*time.Second, 10*time.Second, 64)
+	transport := peer.NewTransport(peer.HostNetwork{}, 2*time.Second, 10*time.Second, 64)
 	return &Clients{plan: plan, client: &http.Client{Transport: transport}, first: NewLatencies()}
 }
 
--- a/internal/hollow/network.go
+++ b/internal/hollow/network.go
@@ -61,8 +61,8 @@
 
 // Dial returns a function that dials from the host's address; across a partition it runs into the
 // bound.
-func (n *Network) Dial(connectBound, silence time.Duration) peer.DialFunction {
-	dialer := peer.Dialer(connectBound, silence)
+func (n *Network) DialFunc(connectBound, silence time.Duration) peer.DialFunc {
+	dialer := peer.NewDialer(connectBound, silence)
 	dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(n.host)}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		host, _, _ := net.SplitHostPort(address)
@@ -98,7 +98,7 @@
 
 // Listen listens on the address and counts what it accepts.
 func (n *Network) Listen(address string) (net.Listener, error) {
-	listener, err := peer.Machine{}.Listen(address)
+	listener, err := peer.HostNetwork{}.Listen(address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hollow/operator.go
+++ b/internal/hollow/operator.go
@@ -31,7 +31,7 @@
 
 // NewOperator makes an operator that has sent nothing yet.
 func NewOperator(plan Plan) *Operator {
-	transport := peer.NewTransport(peer.Machine{}, time.Second, 10*time.Second, 2)
+	transport := peer.NewTransport(peer.HostNetwork{}, time.Second, 10*time.Second, 2)
 	return &Operator{
 		plan:         plan,
 		client:       &http.Client{Transport: transport},
--- a/internal/hollow/standins.go
+++ b/internal/hollow/standins.go
@@ -55,7 +55,7 @@
 // Open listens on every address.
 func (w *StandIns) Open() error {
 	open := func(address string, handler http.Handler) error {
-		listener, err := peer.Machine{}.Listen(address)
+		listener, err := peer.HostNetwork{}.Listen(address)
 		if err != nil {
 			return err
 		}
--- a/internal/match/forecast_fork.go
+++ b/internal/match/forecast_fork.go
@@ -152,7 +152,7 @@
 		sum, load := moving[replica.Backend], s.PeerLoads[id]
 		sum.Running += load.Running
 		sum.Tokens += load.Tokens
-		sum.Prefill += load.Prefill
+		sum.PrefillTokens += load.PrefillTokens
 		moving[replica.Backend] = sum
 	}
 	for _, replica := range rest.Replicas {
@@ -164,7 +164,7 @@
 		load := rest.PeerLoads[replica.ID]
 		load.Running += int(share*float64(sum.Running) + 0.5)
 		load.Tokens += share * sum.Tokens
-		load.Prefill += share * sum.Prefill
+		load.PrefillTokens += share * sum.PrefillTokens
 		rest.PeerLoads[replica.ID] = load
 	}
 	return &rest, lost
--- a/internal/match/health_test.go
+++ b/internal/match/health_test.go
@@ -104,8 +104,8 @@
 
 func TestMatcher_EjectsReplicaFailingForOwnZone(t *testing.T) {
 	now := time.Unix(1000, 0)
-	failing := peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 40, Failed: 5}, NearServed: 1, NearFailed: 3}
-	elsewhere := peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 40, Failed: 5}, NearServed: 20}
+	failing := peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 40, Failed: 5}, ZoneServed: 1, ZoneFailed: 3}
+	elsewhere := peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 40, Failed: 5}, ZoneServed: 20}
 	once := &Request{Backend: "scribes", Model: "swift"}
 	near := matcherWithPeerLoads(now, map[string]peer.ReplicaLoad{"i-1": failing}, "i-1", "i-2")
 	near.review(now)
--- a/internal/match/load.go
+++ b/internal/match/load.go
@@ -26,7 +26,7 @@
 	models := map[[2]string]*peer.ModelLoad{}
 	at := func(key [2]string) *peer.ModelLoad {
 		if models[key] == nil {
-			models[key] = &peer.ModelLoad{Backend: key[0], Model: key[1], Aim: m.latencyTargets[key]}
+			models[key] = &peer.ModelLoad{Backend: key[0], Model: key[1], LatencyTargetMs: m.latencyTargets[key]}
 		}
 		return models[key]
 	}
@@ -34,7 +34,7 @@
 		at(key).Arrivals = amount
 	}
 	for key, amount := range m.prefillMs {
-		at(key).ReadMs = float64(int(amount))
+		at(key).PrefillMs = float64(int(amount))
 	}
 	m.prefillMs = map[[2]string]float64{}
 	for key, amount := range m.running {
@@ -46,7 +46,7 @@
 		}
 		model := at([2]string{request.Backend, request.Model})
 		model.Waiting++
-		model.OldestMs = max(model.OldestMs, float64(now.Sub(request.Arrived).Milliseconds()))
+		model.OldestWaitMs = max(model.OldestWaitMs, float64(now.Sub(request.Arrived).Milliseconds()))
 	}
 	m.arrivals = map[[2]string]int{}
 	var sorted []peer.ModelLoad
@@ -71,11 +71,11 @@
 			delete(m.watched, id)
 		} else if listed {
 			replicas[id] = peer.ReplicaLoad{
-				Running:  state.running,
-				Tokens:   state.tokens,
-				Prefill:  state.pendingTokens,
-				Suspect:  suspect,
-				Outcomes: outcomes,
+				Running:       state.running,
+				Tokens:        state.tokens,
+				PrefillTokens: state.pendingTokens,
+				Suspected:     suspect,
+				Outcomes:      outcomes,
 			}
 		}
 	}
--- a/internal/match/load_test.go
+++ b/internal/match/load_test.go
@@ -18,8 +18,8 @@
 	lost.suspect(fixture.now)
 	report := fixture.matcher.collectLoad()
 	assert.DeepEqual(t, report.Replicas, map[string]peer.ReplicaLoad{
-		decision.Replica.ID: {Running: 1, Tokens: request.TotalTokens(), Prefill: 800},
-		"i-8":               {Suspect: true},
+		decision.Replica.ID: {Running: 1, Tokens: request.TotalTokens(), PrefillTokens: 800},
+		"i-8":               {Suspected: true},
 	})
 	fixture.matcher.HandleReport(Report{Ticket: decision.Ticket, Outcome: OutcomeServed, At: fixture.now})
 	fixture.now = fixture.now.Add(2 * minSuspicion)
--- a/internal/match/score.go
+++ b/internal/match/score.go
@@ -62,7 +62,7 @@
 		featureBase:        1,
 		featureUncached:    uncached / 1000 * row.pace,
 		featureUtilisation: utilisation,
-		featurePending:     (n.state.pendingTokens + n.peerLoad.Prefill) / 1000,
+		featurePending:     (n.state.pendingTokens + n.peerLoad.PrefillTokens) / 1000,
 		featurePaceLoad:    running / slots * row.pace,
 		featureAffinity:    affinity,
 	}
--- a/internal/match/zones.go
+++ b/internal/match/zones.go
@@ -45,7 +45,7 @@
 // near is a replica's record with the callers of the own zone.
 func (m *Matcher) zoneOutcomes(id string, now time.Time) peer.Outcomes {
 	others := m.peerLoad(id, now)
-	near := peer.Outcomes{Served: others.NearServed, Failed: others.NearFailed}
+	near := peer.Outcomes{Served: others.ZoneServed, Failed: others.ZoneFailed}
 	if own := m.health.outcomes[id]; own != nil {
 		near = addOutcomes(near, own.Outcomes)
 	}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -16,14 +16,14 @@
 	"ferryspar/internal/keystore"
 )
 
-// Call is a call between own daemons: its path and how long it may take.
-type Call struct {
-	Path  string
-	Bound time.Duration
+// Method is a call between own daemons: its path and how long it may take.
+type Method struct {
+	Path    string
+	Timeout time.Duration
 }
 
-// Calls holds the calls between own daemons by name.
-var Calls = map[string]Call{
+// Methods holds the calls between own daemons by name.
+var Methods = map[string]Method{
 	"keystore": {"/partner/keystore", 900 * time.Millisecond},
 	"learn":    {"/partner/learn", 600 * time.Millisecond},
 	"news":     {"/partner/news", 3 * time.Second},
@@ -38,45 +38,45 @@
 	"borrow":   {"/partner/borrow", 250 * time.Millisecond},
 }
 
-// Dialer returns a dialer that gives up a connection that doesn't come up within connectBound, and one whose other end
+// NewDialer returns a dialer that gives up a connection that doesn't come up within connectBound, and one whose other end
 // acknowledges nothing for the time of silence.
-func Dialer(connectBound, silence time.Duration) *net.Dialer {
+func NewDialer(connectTimeout, ackTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout:         connectBound,
+		Timeout:         connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3},
 		Control: func(network, address string, raw syscall.RawConn) error {
 			return raw.Control(func(descriptor uintptr) {
-				_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+				_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 			})
 		},
 	}
 }
 
-// DialFunction opens a connection, as net.Dialer.DialContext does.
-type DialFunction func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection, as net.Dialer.DialContext does.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Network is what connections are opened and accepted on: the machine's own, or one in memory for tests.
 type Network interface {
-	Dial(connectBound, silence time.Duration) DialFunction
+	DialFunc(connectTimeout, ackTimeout time.Duration) DialFunc
 	Listen(address string) (net.Listener, error)
 }
 
-// Machine is the network of the machine.
-type Machine struct{}
+// HostNetwork is the network of the machine.
+type HostNetwork struct{}
 
 // Dial returns the function that opens connections with the given bounds.
-func (Machine) Dial(connectBound, silence time.Duration) DialFunction {
-	return Dialer(connectBound, silence).DialContext
+func (HostNetwork) DialFunc(connectTimeout, ackTimeout time.Duration) DialFunc {
+	return NewDialer(connectTimeout, ackTimeout).DialContext
 }
 
 // Listen accepts connections at the address.
-func (Machine) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
+func (HostNetwork) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // NewTransport returns a transport without compression and proxies that keeps up to idle connections to each host.
 // It still resends a request that it thinks repeatable; see docs/answers.md for what keeps it from that.
-func NewTransport(network Network, connectBound, silence time.Duration, idle int) *http.Transport {
+func NewTransport(network Network, connectTimeout, ackTimeout time.Duration, idle int) *http.Transport {
 	return &http.Transport{
-		DialContext:         network.Dial(connectBound, silence),
+		DialContext:         network.DialFunc(connectTimeout, ackTimeout),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: idle,
 		IdleConnTimeout:     20 * time.Second,
@@ -95,20 +95,20 @@
 
 // Client asks other own daemons. It may be used by any number of goroutines.
 type Client struct {
-	client *http.Client
+	http *http.Client
 }
 
 // NewClient returns a client over the network.
 func NewClient(network Network) *Client {
 	transport := NewTransport(network, 500*time.Millisecond, 1500*time.Millisecond, 4)
 	transport.DialContext = ResetOnClose(transport.DialContext)
-	return &Client{client: NewHTTPClient(transport)}
+	return &Client{http: NewHTTPClient(transport)}
 }
 
 // ResetOnClose makes connections that are reset when they are closed. What the network still
 // holds of a call that was given up is lost with that. What the receiver's kernel has got is not: a
 // process that stood still reads it when it goes on, however late.
-func ResetOnClose(dial DialFunction) DialFunction {
+func ResetOnClose(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dial(ctx, network, address)
 		if direct, known := connection.(*net.TCPConn); known && err == nil {
@@ -120,34 +120,34 @@
 
 // Ask sends the question of a named call and reads its answer, if that is wanted. The body can't be read twice by the
 // library, so a question is sent once; after an error it may or may not have been heard.
-func (s *Client) Ask(ctx context.Context, name, address string, question, answer any) error {
-	call, known := Calls[name]
+func (c *Client) Call(ctx context.Context, name, address string, question, answer any) error {
+	method, known := Methods[name]
 	if !known {
 		return errors.Errorf("no such call %q", name)
 	}
-	bounded, cancel := context.WithTimeout(ctx, call.Bound)
+	callContext, cancel := context.WithTimeout(ctx, method.Timeout)
 	defer cancel()
 	content, err := json.Marshal(question)
 	if err != nil {
 		return err
 	}
-	request, err := http.NewRequestWithContext(bounded, http.MethodPost, "http://"+address+call.Path, bytes.NewReader(content))
+	httpRequest, err := http.NewRequestWithContext(callContext, http.MethodPost, "http://"+address+method.Path, bytes.NewReader(content))
 	if err != nil {
 		return err
 	}
-	request.GetBody = nil
-	request.Header.Set("Content-Type", "application/json")
-	reply, err := s.client.Do(request)
+	httpRequest.GetBody = nil
+	httpRequest.Header.Set("Content-Type", "application/json")
+	httpResponse, err := c.http.Do(httpRequest)
 	if err != nil {
 		return err
 	}
-	defer reply.Body.Close()
-	content, err = io.ReadAll(reply.Body)
+	defer httpResponse.Body.Close()
+	content, err = io.ReadAll(httpResponse.Body)
 	if err != nil {
 		return err
 	}
-	if reply.StatusCode != http.StatusOK {
-		return errors.Errorf("%s at %s: status %d", name, address, reply.StatusCode)
+	if httpResponse.StatusCode != http.StatusOK {
+		return errors.Errorf("%s at %s: status %d", name, address, httpResponse.StatusCode)
 	}
 	if answer == nil {
 		return nil
@@ -155,19 +155,19 @@
 	return json.Unmarshal(content, answer)
 }
 
-// Wire carries the messages of the keystore to other members, and to the own acceptor without the network.
-type Wire struct {
+// KeystoreTransport carries the messages of the keystore to other members, and to the own acceptor without the network.
+type KeystoreTransport struct {
 	Self     string
 	Client   *Client
 	Acceptor *keystore.Acceptor
 }
 
 // Send gives the message to the member at the address. Messages are told apart by ballot, so they may be repeated.
-func (w *Wire) Send(ctx context.Context, address string, message keystore.Message) (keystore.Reply, error) {
-	if address == w.Self {
-		return w.Acceptor.Call(ctx, message)
+func (t *KeystoreTransport) Send(ctx context.Context, address string, message keystore.Message) (keystore.Reply, error) {
+	if address == t.Self {
+		return t.Acceptor.Call(ctx, message)
 	}
 	var reply keystore.Reply
-	err := w.Client.Ask(ctx, "keystore", address, message, &reply)
+	err := t.Client.Call(ctx, "keystore", address, message, &reply)
 	return reply, err
 }
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -14,9 +14,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// daemon is a scripted daemon on a loopback socket. It answers the number-th question of a connection, from 1, with
+// scriptedPeer is a scripted daemon on a loopback socket. It answers the number-th question of a connection, from 1, with
 // what the script gives, and breaks off where that is empty.
-func daemon(t *testing.T, script func(connection, number int) string) (address string, read *atomic.Int64) {
+func scriptedPeer(t *testing.T, script func(connection, number int) string) (address string, read *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -37,8 +37,8 @@
 					}
 					_, _ = io.Copy(io.Discard, request.Body)
 					read.Add(1)
-					answer := script(order, number)
-					if _, err := io.WriteString(connection, answer); err != nil || answer == "" {
+					reply := script(order, number)
+					if _, err := io.WriteString(connection, reply); err != nil || reply == "" {
 						return
 					}
 				}
@@ -48,53 +48,53 @@
 	return listener.Addr().String(), read
 }
 
-func reply(status, body string) string {
+func httpReply(status, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-func ask(t *testing.T, client *Client, name, address string) error {
+func callPeer(t *testing.T, client *Client, name, address string) error {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	var answer map[string]int
-	return client.Ask(ctx, name, address, map[string]int{"n": 1}, &answer)
+	return client.Call(ctx, name, address, map[string]int{"n": 1}, &answer)
 }
 
-func TestGivenAReusedConnectionThatBreaksAfterAQuestionWasReadThenItIsNotSentAgain(t *testing.T) {
-	for name := range Calls {
+func TestClient_SendsOnceWhenReusedConnectionBreaks(t *testing.T) {
+	for name := range Methods {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, read := daemon(t, func(_, number int) string {
+			address, read := scriptedPeer(t, func(_, number int) string {
 				if number == 2 {
 					return ""
 				}
-				return reply("200 OK", "{}")
+				return httpReply("200 OK", "{}")
 			})
-			client := NewClient(Machine{})
-			assert.NilError(t, ask(t, client, name, address))
-			assert.Assert(t, ask(t, client, name, address) != nil)
+			client := NewClient(HostNetwork{})
+			assert.NilError(t, callPeer(t, client, name, address))
+			assert.Assert(t, callPeer(t, client, name, address) != nil)
 			assert.Equal(t, read.Load(), int64(2))
 		})
 	}
 }
 
-func TestGivenASpoiledAnswerThenTheQuestionCountsAsUnanswered(t *testing.T) {
+func TestClient_FailsOnInvalidReply(t *testing.T) {
 	for name, answer := range map[string]string{
 		"cut":            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{",
-		"no document":    reply("200 OK", "words"),
-		"a failure":      reply("503 No", "{}"),
+		"no document":    httpReply("200 OK", "words"),
+		"a failure":      httpReply("503 No", "{}"),
 		"sent elsewhere": "HTTP/1.1 307 Go\r\nLocation: /partner/news\r\nContent-Length: 0\r\n\r\n",
 		"moved":          "HTTP/1.1 302 Go\r\nLocation: /partner/news\r\nContent-Length: 0\r\n\r\n",
 		"garbage":        "garbage\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, read := daemon(t, func(_, number int) string {
+			address, read := scriptedPeer(t, func(_, number int) string {
 				if number > 1 {
 					return ""
 				}
 				return answer
 			})
-			assert.Assert(t, ask(t, NewClient(Machine{}), "follow", address) != nil)
+			assert.Assert(t, callPeer(t, NewClient(HostNetwork{}), "follow", address) != nil)
 			assert.Equal(t, read.Load(), int64(1))
 		})
 	}
@@ -102,14 +102,14 @@
 
 // The variant with a body that the library can read again, which the first test is there to catch when a question
 // bears a key: it is sent twice.
-func TestGivenABodyThatCanBeReadAgainAndAKeyThenTheLibrarySendsTwice(t *testing.T) {
-	address, read := daemon(t, func(_, number int) string {
+func TestTransport_ResendsRereadableBodyWithKey(t *testing.T) {
+	address, read := scriptedPeer(t, func(_, number int) string {
 		if number == 2 {
 			return ""
 		}
-		return reply("200 OK", "{}")
+		return httpReply("200 OK", "{}")
 	})
-	transport := NewTransport(Machine{}, time.Second, time.Second, 1)
+	transport := NewTransport(HostNetwork{}, time.Second, time.Second, 1)
 	defer transport.CloseIdleConnections()
 	for range 2 {
 		request, err := http.NewRequest(http.MethodPost, "http://"+address, http.NoBody)
--- a/internal/peer/fresh.go
+++ b/internal/peer/fresh.go
@@ -9,24 +9,26 @@
 
 // ConfirmedAt is when, at the latest, the confirmation of the state told began: all that was acknowledged earlier is
 // in it. It is zero if the state was not confirmed, and counts on the clock of who polled.
-func (n News) ConfirmedAt(asked time.Time) time.Time {
-	if n.FreshMs <= 0 {
+func (r WatchResponse) ConfirmedAt(sentAt time.Time) time.Time {
+	if r.FreshMs <= 0 {
 		return time.Time{}
 	}
-	left := time.Duration(n.HeldMs+n.FreshMs) * time.Millisecond
-	return asked.Add(left - ConfirmationLease)
+	remaining := time.Duration(r.WaitedMs+r.FreshMs) * time.Millisecond
+	return sentAt.Add(remaining - ConfirmationLease)
 }
 
 // Fresh says whether the state told still counts as confirmed by a majority. The confirmation
 // is a lease: it is counted here from when the poll was sent, plus the time for which it was
 // held there, so that an answer which was long on its way is not taken for a fresh one.
-func (n News) Fresh(asked, now time.Time) bool {
-	return fresh(asked, n.HeldMs+n.FreshMs, n.FreshMs, now)
+func (r WatchResponse) IsFresh(sentAt, now time.Time) bool {
+	return isFresh(sentAt, r.WaitedMs+r.FreshMs, r.FreshMs, now)
 }
 
-// Fresh says whether the parts told still count as confirmed, see News.Fresh.
-func (f FollowReply) Fresh(asked, now time.Time) bool { return fresh(asked, f.FreshMs, f.FreshMs, now) }
+// Fresh says whether the parts told still count as confirmed, see WatchResponse.Fresh.
+func (r SubscribeResponse) IsFresh(sentAt, now time.Time) bool {
+	return isFresh(sentAt, r.FreshMs, r.FreshMs, now)
+}
 
-func fresh(asked time.Time, untilMs, leftMs int64, now time.Time) bool {
-	return leftMs > 0 && now.Before(asked.Add(time.Duration(untilMs)*time.Millisecond))
+func isFresh(sentAt time.Time, untilMs, remainingMs int64, now time.Time) bool {
+	return remainingMs > 0 && now.Before(sentAt.Add(time.Duration(untilMs)*time.Millisecond))
 }
--- a/internal/peer/lateorder_linux_test.go
+++ b/internal/peer/lateorder_linux_test.go
@@ -11,7 +11,7 @@
 
 // A process that stands still accepts nothing, but its kernel does. What the kernel has received it hands over before it
 // tells of a reset, so a call that was given up can still be carried out, however long ago that was.
-func TestGivenACallGivenUpAndResetBeforeItsReceiverAcceptsThenItIsReadAllTheSame(t *testing.T) {
+func TestResetOnClose_ReceiverStillReadsBufferedBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
--- a/internal/peer/messages_bench_test.go
+++ b/internal/peer/messages_bench_test.go
@@ -10,13 +10,13 @@
 
 var replicaCounts = []int{9, 140, 720}
 
-func parts(count, holders int) []Part {
-	var list []Part
+func endpointSets(count, endpoints int) []EndpointSet {
+	var sets []EndpointSet
 	for index := range count {
-		part := Part{PartName: PartName{Backend: "writers", Model: fmt.Sprintf("model%04d", index)}, Version: 7}
-		for place := range holders {
-			number := index*holders + place
-			part.Holders = append(part.Holders, Holder{
+		set := EndpointSet{EndpointKey: EndpointKey{Backend: "writers", Model: fmt.Sprintf("model%04d", index)}, Version: 7}
+		for endpoint := range endpoints {
+			number := index*endpoints + endpoint
+			set.Endpoints = append(set.Endpoints, Endpoint{
 				ID:       fmt.Sprintf("i-%08x", number),
 				Address:  fmt.Sprintf("10.1.%d.%d:8080", number/200, number%200),
 				Zone:     "north",
@@ -24,50 +24,50 @@
 				Adapters: []string{"a1", "a2", "a3"},
 			})
 		}
-		list = append(list, part)
+		sets = append(sets, set)
 	}
-	return list
+	return sets
 }
 
-func pressed(count int) map[string]ReplicaLoad {
+func replicaLoads(count int) map[string]ReplicaLoad {
 	table := map[string]ReplicaLoad{}
 	for index := range count {
-		table[fmt.Sprintf("i-%08x", index)] = ReplicaLoad{Running: 3, Tokens: 4200, Prefill: 800}
+		table[fmt.Sprintf("i-%08x", index)] = ReplicaLoad{Running: 3, Tokens: 4200, PrefillTokens: 800}
 	}
 	return table
 }
 
-func BenchmarkNewsOverTheWire(b *testing.B) {
+func BenchmarkWatchResponse_JSON(b *testing.B) {
 	for _, followed := range []int{5, 20, 100} {
 		b.Run(fmt.Sprintf("parts=%d", followed), func(b *testing.B) {
-			travel[News](b, News{Member: "10.0.0.1:7000", Proven: true, FreshMs: 1000, Version: 3, Roster: 5, Parts: parts(followed, 3), Edges: 80})
+			benchmarkRoundTrip[WatchResponse](b, WatchResponse{Member: "10.0.0.1:7000", Linearizable: true, FreshMs: 1000, Version: 3, RosterVersion: 5, EndpointSets: endpointSets(followed, 3), DataPlaneCount: 80})
 		})
 	}
 }
 
-func BenchmarkSumsOverTheWire(b *testing.B) {
+func BenchmarkLoadSummary_JSON(b *testing.B) {
 	for _, replicas := range replicaCounts {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			travel[LoadSum](b, LoadSum{Member: "10.0.0.1:7000", Daemons: 80, Replicas: pressed(replicas)})
+			benchmarkRoundTrip[LoadSummary](b, LoadSummary{Member: "10.0.0.1:7000", DataPlaneCount: 80, Replicas: replicaLoads(replicas)})
 		})
 	}
 }
 
-func BenchmarkOutlookOverTheWire(b *testing.B) {
+func BenchmarkFleetLoad_JSON(b *testing.B) {
 	for _, replicas := range replicaCounts {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			travel[FleetLoad](b, FleetLoad{Replicas: pressed(replicas)})
+			benchmarkRoundTrip[FleetLoad](b, FleetLoad{Replicas: replicaLoads(replicas)})
 		})
 	}
 }
 
-func travel[Word any](b *testing.B, told Word) {
+func benchmarkRoundTrip[Word any](b *testing.B, message Word) {
 	size := 0
 	for b.Loop() {
-		content, err := json.Marshal(told)
+		content, err := json.Marshal(message)
 		assert.NilError(b, err)
-		var heard Word
-		assert.NilError(b, json.Unmarshal(content, &heard))
+		var decoded Word
+		assert.NilError(b, json.Unmarshal(content, &decoded))
 		size = len(content)
 	}
 	b.ReportMetric(float64(size), "bytes/message")
--- a/internal/peer/pinned_test.go
+++ b/internal/peer/pinned_test.go
@@ -8,11 +8,11 @@
 
 func TestMessages_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
-		"poll":                     new(Poll),
-		"order to forget":          new(Forget),
-		"news of context":          new(ContextNews),
+		"poll":                     new(WatchRequest),
+		"order to forget":          new(ForgetOrder),
+		"news of context":          new(ContextUpdate),
 		"state of a zone":          new(ZoneState),
-		"news":                     new(News),
+		"news":                     new(WatchResponse),
 		"neighbours":               new(Neighbours),
 		"neighbour":                new(Neighbour),
 		"load of a model":          new(ModelLoad),
@@ -20,26 +20,26 @@
 		"load of a replica":        new(ReplicaLoad),
 		"load report":              new(LoadReport),
 		"load of the fleet":        new(FleetLoad),
-		"load sum":                 new(LoadSum),
+		"load sum":                 new(LoadSummary),
 		"outcomes by zone":         new(ZoneOutcomes),
-		"dense sums":               new(DenseSums),
-		"answer to a load sum":     new(LoadSumReply),
+		"dense sums":               new(PackedLoads),
+		"answer to a load sum":     new(LoadSummaryReply),
 		"rate":                     new(Rate),
-		"share of the roster":      new(RosterShare),
+		"share of the roster":      new(RosterUpdate),
 		"update of a key":          new(KeyUpdate),
-		"greeting":                 new(Greeting),
-		"name of a part":           new(PartName),
-		"holder of a part":         new(Holder),
-		"part":                     new(Part),
-		"question to follow parts": new(FollowRequest),
-		"answer on followed parts": new(FollowReply),
+		"greeting":                 new(Heartbeat),
+		"name of a part":           new(EndpointKey),
+		"holder of a part":         new(Endpoint),
+		"part":                     new(EndpointSet),
+		"question to follow parts": new(SubscribeRequest),
+		"answer on followed parts": new(SubscribeResponse),
 	})
 }
 
 func TestCalls_PathsAndBoundsStayTheSame(t *testing.T) {
 	told := map[string]string{}
-	for name, call := range Calls {
-		told[name] = call.Path + " within " + call.Bound.String()
+	for name, call := range Methods {
+		told[name] = call.Path + " within " + call.Timeout.String()
 	}
 	pinned.CheckJSON(t, "testdata/calls.json", told)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -9,8 +9,8 @@
 	"ferryspar/internal/apierror"
 )
 
-// Answer makes the handler of a call between own daemons from what answers its question.
-func Answer[Question, Reply any](handle func(ctx context.Context, question Question) Reply) http.HandlerFunc {
+// Handler makes the handler of a call between own daemons from what answers its question.
+func Handler[Question, Reply any](handle func(ctx context.Context, question Question) Reply) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		var question Question
 		if err := json.NewDecoder(request.Body).Decode(&question); err != nil {
--- a/internal/replica/orders_test.go
+++ b/internal/replica/orders_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := startServer(t, test.trouble)
-			status, err := sendOrder(t, NewClient(peer.Machine{}), server, "swift")
+			status, err := sendOrder(t, NewClient(peer.HostNetwork{}), server, "swift")
 			assert.Assert(t, err != nil || status == test.status, "status %d", status)
 			assert.Assert(t, len(server.received()) <= 1, "read %d times", len(server.received()))
 			assert.Assert(t, test.status != http.StatusAccepted || err != nil, "an answer that was cut must not count")
@@ -73,13 +73,13 @@
 	assert.NilError(t, err)
 	dead.address = listener.Addr().String()
 	listener.Close()
-	_, err = sendOrder(t, NewClient(peer.Machine{}), dead, "swift")
+	_, err = sendOrder(t, NewClient(peer.HostNetwork{}), dead, "swift")
 	assert.Assert(t, errors.Is(err, ErrNotSent), "%v", err)
 	for name, fault := range map[string]func(connection *scriptedConnection){
 		"read, then reset":   func(connection *scriptedConnection) { connection.next(); connection.reset() },
 		"read, then silence": func(connection *scriptedConnection) { connection.next(); connection.next() },
 	} {
-		_, err := sendOrder(t, NewClient(peer.Machine{}), startServer(t, fault), "swift")
+		_, err := sendOrder(t, NewClient(peer.HostNetwork{}), startServer(t, fault), "swift")
 		assert.Assert(t, err != nil && !errors.Is(err, ErrNotSent), "%s: %v", name, err)
 	}
 }
@@ -90,7 +90,7 @@
 			connection.write("HTTP/1.1 200 OK\r\nContent-Length: 32\r\n\r\n{\"phase\":\"unified\",\"sequence\":1}")
 		}
 	})
-	commander := NewClient(peer.Machine{})
+	commander := NewClient(peer.HostNetwork{})
 	report := func() {
 		_, err := commander.FetchReport(t.Context(), server.address, "i-1")
 		assert.NilError(t, err)
@@ -127,7 +127,7 @@
 
 func TestClient_DuplicateResponseDoesNotReachNextOrder(t *testing.T) {
 	server := startServer(t, acceptFirstOrderTwice)
-	commander := NewClient(peer.Machine{})
+	commander := NewClient(peer.HostNetwork{})
 	status, err := sendOrder(t, commander, server, "swift")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusAccepted)
@@ -141,7 +141,7 @@
 // The variant on a shared connection, which the test above is there to catch.
 func TestClient_SharedConnectionMixesOrderResponses(t *testing.T) {
 	server := startServer(t, acceptFirstOrderTwice)
-	transport := peer.NewTransport(peer.Machine{}, time.Second, time.Second, 1)
+	transport := peer.NewTransport(peer.HostNetwork{}, time.Second, time.Second, 1)
 	defer transport.CloseIdleConnections()
 	shared := &Client{client: peer.NewHTTPClient(transport)}
 	status := 0
@@ -168,7 +168,7 @@
 				connection.next()
 				connection.write("%s", answer)
 			})
-			_, err := NewClient(peer.Machine{}).FetchReport(t.Context(), server.address, "i-1")
+			_, err := NewClient(peer.HostNetwork{}).FetchReport(t.Context(), server.address, "i-1")
 			assert.Assert(t, err != nil)
 		})
 	}
--- a/internal/replica/raw_test.go
+++ b/internal/replica/raw_test.go
@@ -132,7 +132,7 @@
 }
 
 func testForwarder() *Forwarder {
-	return NewForwarder(peer.Machine{}, time.Now, time.Second, time.Second)
+	return NewForwarder(peer.HostNetwork{}, time.Now, time.Second, time.Second)
 }
 
 func testRequest(method, attempt, body string) UpstreamRequest {
--- a/internal/story/hold_network_test.go
+++ b/internal/story/hold_network_test.go
@@ -32,7 +32,7 @@
 		calls <- heard{began, request.Context().Err()}
 	}))
 	t.Cleanup(func() { f.network.breakOff(calledHost) })
-	connection, err := f.network.machine(callerHost).Dial(time.Second, time.Minute)(context.Background(), "tcp", calledHost+":80")
+	connection, err := f.network.machine(callerHost).DialFunc(time.Second, time.Minute)(context.Background(), "tcp", calledHost+":80")
 	assert.NilError(t, err)
 	cut(true)
 	go func() { _, _ = connection.Write([]byte("POST /late HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")) }()
--- a/internal/story/limits_test.go
+++ b/internal/story/limits_test.go
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
 		f := settled(t, 1, one)
-		dial := f.network.machine("10.9.9.9").Dial(time.Second, time.Minute)
+		dial := f.network.machine("10.9.9.9").DialFunc(time.Second, time.Minute)
 		connection, err := dial(t.Context(), "tcp", edgeHost(1)+":8161")
 		assert.NilError(t, err)
 		defer connection.Close()
@@ -45,7 +45,7 @@
 func TestGivenAnIdleConnectionThenItIsClosedAfterTheConfigurationsTimeWithoutAWord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := settled(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
-		connection, err := f.network.machine("10.9.9.9").Dial(time.Second, time.Minute)(t.Context(), "tcp", edgeHost(1)+":8161")
+		connection, err := f.network.machine("10.9.9.9").DialFunc(time.Second, time.Minute)(t.Context(), "tcp", edgeHost(1)+":8161")
 		assert.NilError(t, err)
 		defer connection.Close()
 		reader := bufio.NewReader(connection)
--- a/internal/story/network_test.go
+++ b/internal/story/network_test.go
@@ -87,7 +87,7 @@
 	return n.dark[from] || n.dark[to] || n.cuts[[2]string{from, to}]
 }
 
-func (m *memoryMachine) Dial(connectBound, silence time.Duration) peer.DialFunction {
+func (m *memoryMachine) DialFunc(connectBound, silence time.Duration) peer.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		bounded, cancel := context.WithTimeout(ctx, connectBound)
 		defer cancel()
