--- a/cmd/ferryspar-operator/drill.go
+++ b/cmd/ferryspar-operator/drill.go
@@ -12,33 +12,33 @@
 	"ferryspar/internal/drill"
 )
 
-const watchEvery = time.Second
+const watchInterval = time.Second
 
-func (r *rehearse) drill(scope drill.Scope) error {
+func (r *rehearseCommand) startDrill(scope drill.Scope) error {
 	if r.Share <= 0 || r.For <= 0 || r.Margin <= 0 {
-		return usage("--share, --for and --margin must be above 0")
+		return usageError("--share, --for and --margin must be above 0")
 	}
 	request := drill.Request{
-		Kind:   drill.KindDrill,
-		Scope:  scope,
-		Share:  r.Share,
-		ForMs:  r.For.Milliseconds(),
-		Margin: r.Margin,
-		Mark:   rand.Text(),
+		Kind:           drill.KindDrill,
+		Scope:          scope,
+		Share:          r.Share,
+		ForMs:          r.For.Milliseconds(),
+		Margin:         r.Margin,
+		IdempotencyKey: rand.Text(),
 	}
-	status, err := readDrill(http.MethodPost, request)
+	status, err := callDrill(http.MethodPost, request)
 	if err != nil {
 		return err
 	}
-	return r.await(status)
+	return r.watch(status)
 }
 
-func (r *rehearse) follow(stop bool) error {
+func (r *rehearseCommand) followDrill(stop bool) error {
 	method := http.MethodGet
 	if stop {
 		method = http.MethodDelete
 	}
-	status, err := readDrill(method, nil)
+	status, err := callDrill(method, nil)
 	if err != nil {
 		return err
 	}
@@ -46,60 +46,60 @@
 		fmt.Println("no drill yet")
 		return nil
 	}
-	return r.await(status)
+	return r.watch(status)
 }
 
-func (r *rehearse) await(status drill.Status) error {
+func (r *rehearseCommand) watch(status drill.Status) error {
 	number := status.Number
 	for r.Watch && status.Running && status.Number == number {
-		showDrill(status)
-		time.Sleep(watchEvery)
-		next, err := readDrill(http.MethodGet, nil)
+		printDrill(status)
+		time.Sleep(watchInterval)
+		next, err := callDrill(http.MethodGet, nil)
 		if err != nil {
 			return err
 		}
 		status = next
 	}
-	showDrill(status)
-	if !status.Running && status.Guard {
-		return outcome{exitGuard, "ended by a guard: " + status.Why}
+	printDrill(status)
+	if !status.Running && status.EndedByGuard {
+		return exitError{exitGuard, "ended by a guard: " + status.EndReason}
 	}
 	return nil
 }
 
-func readDrill(method string, request any) (drill.Status, error) {
+func callDrill(method string, request any) (drill.Status, error) {
 	var status drill.Status
-	content, err := askRehearsal(method, request)
+	content, err := callRehearsal(method, request)
 	if err != nil {
 		return status, err
 	}
 	return status, json.Unmarshal(content, &status)
 }
 
-func showDrill(status drill.Status) {
-	if shared.JSON {
+func printDrill(status drill.Status) {
+	if options.JSON {
 		content, _ := json.Marshal(status)
 		fmt.Println(string(content))
 		return
 	}
 	state := fmt.Sprintf("runs, %s left", time.Duration(status.LeftMs)*time.Millisecond)
 	if !status.Running {
-		state = "ended: " + status.Why
+		state = "ended: " + status.EndReason
 	}
 	fmt.Printf("\ndrill %d: %s, share %.2f, %s\n", status.Number, status.Scope, status.Share, state)
-	for _, edge := range slices.Sorted(maps.Keys(status.Edges)) {
-		if status.Edges[edge] != drill.EdgeFollows {
-			fmt.Printf("  %s: %s\n", edge, status.Edges[edge])
+	for _, edge := range slices.Sorted(maps.Keys(status.DataPlanes)) {
+		if status.DataPlanes[edge] != drill.DataPlaneFollows {
+			fmt.Printf("  %s: %s\n", edge, status.DataPlanes[edge])
 		}
 	}
-	table("first token in ms: p50/p90/p99", "route side in_aim late refused spared broken kept first", func(line func(...any)) {
-		for _, one := range status.Routes {
-			side(line, one.Name, "drilled", one.Drilled, one.Kept, one.FirstDrilled)
-			side(line, one.Name, "rest", one.Rest, 0, one.FirstRest)
+	printTable("first token in ms: p50/p90/p99", "route side in_aim late refused spared broken kept first", func(line func(...any)) {
+		for _, route := range status.Routes {
+			addOutcomeRow(line, route.Name, "drilled", route.Drilled, route.KeptInScope, route.FirstTokenDrilled)
+			addOutcomeRow(line, route.Name, "rest", route.Rest, 0, route.FirstTokenRest)
 		}
 	})
 }
 
-func side(line func(...any), route, name string, tally drill.Tally, kept int, first drill.Quantiles) {
-	line(route, name, tally.InAim, tally.Late, tally.Refused, tally.Spared, tally.Broken, kept, quantiles(first))
+func addOutcomeRow(line func(...any), route, name string, counts drill.OutcomeCounts, kept int, firstToken drill.Quantiles) {
+	line(route, name, counts.WithinTarget, counts.Late, counts.Rejected, counts.Exempted, counts.Aborted, kept, formatQuantiles(firstToken))
 }
--- a/cmd/ferryspar-operator/each.go
+++ b/cmd/ferryspar-operator/each.go
@@ -14,31 +14,31 @@
 
 // daemonStatus is what one control daemon told, or why it told nothing.
 type daemonStatus struct {
-	Address string          `json:"address"`
-	Status  *operator.Fleet `json:"status,omitempty"`
-	Error   string          `json:"error,omitempty"`
+	Address string                `json:"address"`
+	Status  *operator.FleetStatus `json:"status,omitempty"`
+	Error   string                `json:"error,omitempty"`
 }
 
-// showEach asks every control daemon that was named for its status. It fails if none answers.
-func showEach() error {
-	var told []daemonStatus
+// printStatusOfAll asks every control daemon that was named for its status. It fails if none answers.
+func printStatusOfAll() error {
+	var statuses []daemonStatus
 	answered := 0
-	for _, address := range shared.Control {
-		one := statusOf(address)
-		if one.Status != nil {
+	for _, address := range options.Control {
+		status := fetchStatus(address)
+		if status.Status != nil {
 			answered++
 		}
-		told = append(told, one)
+		statuses = append(statuses, status)
 	}
-	if shared.JSON {
-		content, err := json.Marshal(told)
+	if options.JSON {
+		content, err := json.Marshal(statuses)
 		if err != nil {
 			return err
 		}
 		fmt.Println(string(content))
 	} else {
-		for _, one := range told {
-			fmt.Println(one)
+		for _, status := range statuses {
+			fmt.Println(status)
 		}
 	}
 	if answered == 0 {
@@ -47,17 +47,17 @@
 	return nil
 }
 
-func statusOf(address string) daemonStatus {
-	alone := &operator.Caller{Addresses: []string{address}, Client: operator.NewClient(), Patience: shared.Patience, Bound: shared.Patience}
-	outcome, err := alone.Call(context.Background(), http.MethodGet, "/ferryspar/status", "", nil)
+func fetchStatus(address string) daemonStatus {
+	client := &operator.Client{Addresses: []string{address}, HTTPClient: operator.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.PerAddressTimeout}
+	response, err := client.Call(context.Background(), http.MethodGet, "/ferryspar/status", "", nil)
 	if err != nil {
 		return daemonStatus{Address: address, Error: err.Error()}
 	}
-	var fleet operator.Fleet
-	if err := json.Unmarshal(outcome.Body, &fleet); err != nil {
+	var status operator.FleetStatus
+	if err := json.Unmarshal(response.Body, &status); err != nil {
 		return daemonStatus{Address: address, Error: err.Error()}
 	}
-	return daemonStatus{Address: address, Status: &fleet}
+	return daemonStatus{Address: address, Status: &status}
 }
 
 // String is one line: what the daemon is, how sure of its state it is, and what that state is.
@@ -67,17 +67,17 @@
 	}
 	status := d.Status
 	line := fmt.Sprintf("%s: %s, confirmed %s, revision %d, member list %d %v",
-		d.Address, standing(status), confirmed(status), status.Revision, status.MembersNumber, status.Members)
-	if len(status.Next) > 0 {
-		line += fmt.Sprintf(" changing to %v", status.Next)
+		d.Address, votingState(status), confirmationAge(status), status.Revision, status.MembershipVersion, status.Members)
+	if len(status.NextMembers) > 0 {
+		line += fmt.Sprintf(" changing to %v", status.NextMembers)
 	}
-	if len(status.Silent) > 0 {
-		line += ", does not hear " + strings.Join(status.Silent, " ")
+	if len(status.SilentMembers) > 0 {
+		line += ", does not hear " + strings.Join(status.SilentMembers, " ")
 	}
 	return line
 }
 
-func standing(status *operator.Fleet) string {
+func votingState(status *operator.FleetStatus) string {
 	switch {
 	case status.Leaving:
 		return "leaving"
@@ -89,13 +89,13 @@
 	return "votes"
 }
 
-func confirmed(status *operator.Fleet) string {
-	if status.ConfirmedMs < 0 {
+func confirmationAge(status *operator.FleetStatus) string {
+	if status.ConfirmedAgeMs < 0 {
 		return "never"
 	}
 	word := "ago"
 	if !status.Fresh {
 		word = "ago, too long"
 	}
-	return fmt.Sprintf("%d ms %s", status.ConfirmedMs, word)
+	return fmt.Sprintf("%d ms %s", status.ConfirmedAgeMs, word)
 }
--- a/cmd/ferryspar-operator/forget.go
+++ b/cmd/ferryspar-operator/forget.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/retention"
 )
 
-type forgetContext struct {
+type forgetCommand struct {
 	Model string        `long:"model" description:"only context of this model"`
 	Part  string        `long:"part" description:"only context with this prompt part id (hex)"`
 	All   bool          `long:"all" description:"all context; needed when neither model nor part is named"`
@@ -20,11 +20,11 @@
 	Limit time.Duration `long:"limit" default:"10m" description:"watch no longer than this"`
 }
 
-func (f *forgetContext) Execute(rest []string) error {
+func (f *forgetCommand) Execute(rest []string) error {
 	if f.List {
-		all, err := forgets()
+		all, err := listForgets()
 		for _, status := range all {
-			show(status)
+			printForget(status)
 		}
 		return err
 	}
@@ -32,7 +32,7 @@
 		return errors.New("name --model, --part or --all")
 	}
 	body, _ := json.Marshal(retention.Scope{Model: f.Model, PromptPart: f.Part})
-	content, err := ask(http.MethodPost, "/ferryspar/forget", "", body)
+	content, err := call(http.MethodPost, "/ferryspar/forget", "", body)
 	if err != nil {
 		return err
 	}
@@ -40,28 +40,28 @@
 	if err := json.Unmarshal(content, &status); err != nil {
 		return err
 	}
-	show(status)
-	for until := time.Now().Add(f.Limit); f.Watch && !status.Complete; {
-		if time.Now().After(until) {
+	printForget(status)
+	for deadline := time.Now().Add(f.Limit); f.Watch && !status.Complete; {
+		if time.Now().After(deadline) {
 			return errors.Errorf("forget %d is not complete yet", status.Number)
 		}
 		time.Sleep(time.Second)
-		all, err := forgets()
+		all, err := listForgets()
 		if err != nil {
 			return err
 		}
-		for _, one := range all {
-			if one.Number == status.Number {
-				status = one
+		for _, listed := range all {
+			if listed.Number == status.Number {
+				status = listed
 			}
 		}
-		show(status)
+		printForget(status)
 	}
 	return nil
 }
 
-func forgets() ([]retention.Status, error) {
-	content, err := ask(http.MethodGet, "/ferryspar/forget", "", nil)
+func listForgets() ([]retention.Status, error) {
+	content, err := call(http.MethodGet, "/ferryspar/forget", "", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -71,8 +71,8 @@
 	return all.Forgets, json.Unmarshal(content, &all)
 }
 
-func show(status retention.Status) {
-	if shared.JSON {
+func printForget(status retention.Status) {
+	if options.JSON {
 		content, _ := json.Marshal(status)
 		fmt.Println(string(content))
 		return
--- a/cmd/ferryspar-operator/inspect.go
+++ b/cmd/ferryspar-operator/inspect.go
@@ -14,8 +14,8 @@
 // exitDamaged is the exit status of inspect for a folder whose state a member would not use.
 const exitDamaged = 7
 
-// inspectFolder reads a stopped member's data folder; it asks no daemon and writes nothing.
-type inspectFolder struct {
+// inspectCommand reads a stopped member's data folder; it asks no daemon and writes nothing.
+type inspectCommand struct {
 	Values bool `long:"values" description:"print the values as well; that of the configuration holds tenants' keys"`
 	Args   struct {
 		Folder string `positional-arg-name:"DIR" required:"yes"`
@@ -23,12 +23,12 @@
 }
 
 // Execute prints the folder, and ends with exitDamaged if damage was found in it.
-func (i *inspectFolder) Execute(rest []string) error {
+func (i *inspectCommand) Execute(rest []string) error {
 	inspection, err := keystore.Inspect(i.Args.Folder)
 	if err != nil {
 		return err
 	}
-	if shared.JSON {
+	if options.JSON {
 		if !i.Values {
 			inspection.DropValues()
 		}
@@ -38,25 +38,25 @@
 		}
 		fmt.Println(string(content))
 	} else {
-		i.show(inspection)
+		i.print(inspection)
 	}
 	if inspection.Damage != nil {
-		return outcome{exitDamaged, "damaged: " + inspection.Damage.Error()}
+		return exitError{exitDamaged, "damaged: " + inspection.Damage.Error()}
 	}
 	return nil
 }
 
-func (i *inspectFolder) show(inspection keystore.Inspection) {
+func (i *inspectCommand) print(inspection keystore.Inspection) {
 	fmt.Printf("generation %d (base %d)\n", inspection.Generation, inspection.Base)
 	fmt.Printf("self %s\nmembers %s\n", orNone(inspection.LocalState), orNone(inspection.Membership))
-	table("files", "name state generation base records used bytes", func(line func(...any)) {
+	printTable("files", "name state generation base records used bytes", func(line func(...any)) {
 		for _, file := range inspection.Files {
 			line(file.Name, strings.ReplaceAll(string(file.State), " ", "_"), file.Generation, file.Base, file.Records, file.Used, file.Bytes)
 		}
 	})
-	table("keys", "key value_bytes fields", func(line func(...any)) {
+	printTable("keys", "key value_bytes fields", func(line func(...any)) {
 		for _, slot := range inspection.Registers {
-			line(slot.Key, slot.ValueBytes, fieldsText(slot.Fields))
+			line(slot.Key, slot.ValueBytes, formatFields(slot.Fields))
 		}
 	})
 	if i.Values {
@@ -69,7 +69,7 @@
 	}
 }
 
-func fieldsText(fields map[string]json.RawMessage) string {
+func formatFields(fields map[string]json.RawMessage) string {
 	var words []string
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		words = append(words, name+"="+string(fields[name]))
--- a/cmd/ferryspar-operator/inspect_test.go
+++ b/cmd/ferryspar-operator/inspect_test.go
@@ -15,32 +15,32 @@
 	"ferryspar/internal/launch"
 )
 
-const inspectedRing = 64 << 10
+const testSegmentBytes = 64 << 10
 
 // stoppedMember makes the data folder of a member that was started twice.
 func stoppedMember(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "data", "member")
 	members := keystore.Membership{Version: 4, Current: []string{"10.1.0.1:7000", "10.2.0.1:7000"}}
-	for life := range 2 {
+	for incarnation := range 2 {
 		folder, err := keystore.NewDirectory(path)
 		assert.NilError(t, err)
-		journal, err := keystore.OpenWAL(folder, keystore.SegmentCount, inspectedRing)
+		journal, err := keystore.OpenWAL(folder, keystore.SegmentCount, testSegmentBytes)
 		assert.NilError(t, err)
 		assert.NilError(t, journal.Append(keystore.BootstrapRegisters(members, 77)))
-		configuration := keystore.Register{Key: keystore.ConfigurationKey, Sequence: uint64(5 + life), Value: json.RawMessage(`{"revision":9}`)}
+		configuration := keystore.Register{Key: keystore.ConfigurationKey, Sequence: uint64(5 + incarnation), Value: json.RawMessage(`{"revision":9}`)}
 		assert.NilError(t, journal.Append([]keystore.Register{configuration}))
 	}
 	return path
 }
 
-func inspected(t *testing.T, path string, asJSON bool) (string, error) {
-	shared = common{JSON: asJSON}
-	command := &inspectFolder{}
+func runInspect(t *testing.T, path string, asJSON bool) (string, error) {
+	options = globalOptions{JSON: asJSON}
+	command := &inspectCommand{}
 	command.Args.Folder = path
-	return printed(t, func() error { return command.Execute(nil) })
+	return captureOutput(t, func() error { return command.Execute(nil) })
 }
 
-func contents(t *testing.T, path string) map[string]string {
+func readFiles(t *testing.T, path string) map[string]string {
 	found := map[string]string{}
 	assert.NilError(t, filepath.WalkDir(path, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
@@ -53,10 +53,10 @@
 	return found
 }
 
-func TestGivenAStoppedMembersFolderThenItsKeysAndFilesArePrintedAndNothingChanges(t *testing.T) {
+func TestInspect_PrintsKeysAndFilesWithoutWriting(t *testing.T) {
 	path := stoppedMember(t)
-	before := contents(t, path)
-	shown, err := inspected(t, path, false)
+	before := readFiles(t, path)
+	shown, err := runInspect(t, path, false)
 	assert.NilError(t, err)
 	wantedTexts := []string{
 		"generation 2 (base 1)", `self {"incarnation":77,"voting":true,"number":4}`,
@@ -65,32 +65,32 @@
 	for _, wanted := range wantedTexts {
 		assert.Assert(t, strings.Contains(shown, wanted), "%s in %s", wanted, shown)
 	}
-	told, err := inspected(t, path, true)
+	output, err := runInspect(t, path, true)
 	assert.NilError(t, err)
 	var inspection keystore.Inspection
-	assert.NilError(t, json.Unmarshal([]byte(told), &inspection))
+	assert.NilError(t, json.Unmarshal([]byte(output), &inspection))
 	assert.Equal(t, inspection.Generation, uint64(2))
 	assert.Equal(t, len(inspection.Registers), 3)
 	for _, slot := range inspection.Registers {
 		assert.Equal(t, len(slot.Value), 0, "values may hold tenants' keys, so they must be asked for")
 	}
-	assert.DeepEqual(t, contents(t, path), before)
+	assert.DeepEqual(t, readFiles(t, path), before)
 }
 
-func TestGivenADamagedFolderThenTheDamageIsNamedAndTheExitSaysSo(t *testing.T) {
+func TestInspect_ReportsDamage(t *testing.T) {
 	path := stoppedMember(t)
 	assert.NilError(t, os.Remove(filepath.Join(path, "ring-2")))
-	before := contents(t, path)
+	before := readFiles(t, path)
 	for _, asJSON := range []bool{false, true} {
-		shown, err := inspected(t, path, asJSON)
-		assert.Equal(t, status(err), exitDamaged)
+		shown, err := runInspect(t, path, asJSON)
+		assert.Equal(t, exitStatus(err), exitDamaged)
 		assert.ErrorContains(t, err, "ring-2: file missing")
 		assert.Assert(t, strings.Contains(shown, "missing"), shown)
 	}
-	assert.DeepEqual(t, contents(t, path), before)
+	assert.DeepEqual(t, readFiles(t, path), before)
 }
 
-func TestGivenAPathThatIsNoMembersFolderThenTheErrorSaysWhich(t *testing.T) {
+func TestInspect_RejectsOtherDirectories(t *testing.T) {
 	empty, foreign := t.TempDir(), t.TempDir()
 	assert.NilError(t, os.WriteFile(filepath.Join(foreign, "ring-1"), []byte("a ring of another kind"), 0o600))
 	file := filepath.Join(foreign, "ring-1")
@@ -101,14 +101,14 @@
 		file:                         keystore.ErrNotDirectory,
 	}
 	for path, wanted := range cases {
-		_, err := inspected(t, path, false)
+		_, err := runInspect(t, path, false)
 		assert.Assert(t, errors.Is(err, wanted), "%s: %v", path, err)
 		assert.Equal(t, launch.ReportError("ferryspar-operator", err), launch.ExitFailed)
 	}
-	assert.Equal(t, len(contents(t, empty)), 0)
+	assert.Equal(t, len(readFiles(t, empty)), 0)
 }
 
-func TestGivenACommandThatAsksADaemonThenWithoutAnAddressItsUseIsWrong(t *testing.T) {
-	shared = common{}
-	assert.Equal(t, launch.ReportError("ferryspar-operator", (&showStatus{}).Execute(nil)), launch.ExitUsage)
+func TestStatus_RequiresAddress(t *testing.T) {
+	options = globalOptions{}
+	assert.Equal(t, launch.ReportError("ferryspar-operator", (&statusCommand{}).Execute(nil)), launch.ExitUsage)
 }
--- a/cmd/ferryspar-operator/main.go
+++ b/cmd/ferryspar-operator/main.go
@@ -15,47 +15,47 @@
 	"ferryspar/internal/operator"
 )
 
-type common struct {
-	Control  []string      `short:"c" long:"control" description:"address of a control daemon, for all commands that ask one; name several"`
-	Patience time.Duration `long:"patience" default:"1s" description:"silence after which the next daemon is asked"`
-	Bound    time.Duration `long:"bound" default:"15s" description:"time for the whole call"`
-	JSON     bool          `long:"json" description:"print the answer's JSON as it came"`
+type globalOptions struct {
+	Control           []string      `short:"c" long:"control" description:"address of a control daemon, for all commands that ask one; name several"`
+	PerAddressTimeout time.Duration `long:"patience" default:"1s" description:"silence after which the next daemon is asked"`
+	Timeout           time.Duration `long:"bound" default:"15s" description:"time for the whole call"`
+	JSON              bool          `long:"json" description:"print the answer's JSON as it came"`
 }
 
-var shared common
+var options globalOptions
 
-func caller() *operator.Caller {
-	return &operator.Caller{Addresses: shared.Control, Client: operator.NewClient(), Patience: shared.Patience, Bound: shared.Bound}
+func newClient() *operator.Client {
+	return &operator.Client{Addresses: options.Control, HTTPClient: operator.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.Timeout}
 }
 
-type refusal struct {
-	outcome operator.Outcome
+type rejectedError struct {
+	response operator.Response
 }
 
-func (r refusal) Error() string {
-	return fmt.Sprintf("refused with %d by %s: %s", r.outcome.Status, r.outcome.Address, r.outcome.Body)
+func (e rejectedError) Error() string {
+	return fmt.Sprintf("refused with %d by %s: %s", e.response.Status, e.response.Address, e.response.Body)
 }
 
-func ask(method, path, condition string, body []byte) ([]byte, error) {
-	if len(shared.Control) == 0 {
-		return nil, usage("name a control daemon with -c, --control")
+func call(method, path, condition string, body []byte) ([]byte, error) {
+	if len(options.Control) == 0 {
+		return nil, usageError("name a control daemon with -c, --control")
 	}
-	outcome, err := caller().Call(context.Background(), method, path, condition, body)
+	response, err := newClient().Call(context.Background(), method, path, condition, body)
 	if err != nil {
 		return nil, err
 	}
-	if outcome.Status >= 300 {
-		return nil, refusal{outcome}
+	if response.Status >= 300 {
+		return nil, rejectedError{response}
 	}
-	return outcome.Body, nil
+	return response.Body, nil
 }
 
 func main() {
-	parser := flags.NewParser(&shared, flags.HelpFlag|flags.PassDoubleDash)
+	parser := flags.NewParser(&options, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = "ferryspar-operator"
 	parser.LongDescription = "Speaks to the control plane as its operator does. Version " + launch.Version + "."
-	for _, one := range commands {
-		if _, err := parser.AddCommand(one.name, one.short, one.short, one.data); err != nil {
+	for _, command := range subcommands {
+		if _, err := parser.AddCommand(command.name, command.short, command.short, command.handler); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(launch.ExitFailed)
 		}
--- a/cmd/ferryspar-operator/pinned_test.go
+++ b/cmd/ferryspar-operator/pinned_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestOutcome_ExitStatusesStayTheSame(t *testing.T) {
-	assert.DeepEqual(t, []int{exitPartial, exitGuard, exitRefused, exitDamaged}, []int{4, 5, 6, 7})
+	assert.DeepEqual(t, []int{exitPartial, exitGuard, exitRejected, exitDamaged}, []int{4, 5, 6, 7})
 }
 
 // optionsOf lists the options of a group and of the groups within it.
@@ -35,10 +35,10 @@
 }
 
 func TestCommands_NamesAndOptionsStayTheSame(t *testing.T) {
-	parser := flags.NewParser(&common{}, flags.None)
+	parser := flags.NewParser(&globalOptions{}, flags.None)
 	told := map[string][]string{"all": optionsOf(parser.Group)}
-	for _, one := range commands {
-		added, err := parser.AddCommand(one.name, one.short, one.short, one.data)
+	for _, one := range subcommands {
+		added, err := parser.AddCommand(one.name, one.short, one.short, one.handler)
 		assert.NilError(t, err)
 		options := optionsOf(added.Group)
 		for _, argument := range added.Args() {
--- a/cmd/ferryspar-operator/query.go
+++ b/cmd/ferryspar-operator/query.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/query"
 )
 
-type queryFleet struct {
+type queryCommand struct {
 	Rows int           `long:"rows" default:"1000" description:"print no more rows than this"`
 	Time time.Duration `long:"time" default:"5s" description:"stop a query that takes longer"`
 	Args struct {
@@ -22,9 +22,9 @@
 	} `positional-args:"yes"`
 }
 
-func (q *queryFleet) Execute(rest []string) error {
-	var fleet operator.Fleet
-	content, err := ask(http.MethodGet, "/ferryspar/status", "", nil)
+func (q *queryCommand) Execute(rest []string) error {
+	var fleet operator.FleetStatus
+	content, err := call(http.MethodGet, "/ferryspar/status", "", nil)
 	if err != nil {
 		return err
 	}
@@ -32,33 +32,33 @@
 		return err
 	}
 	var current configuration.Configuration
-	if asksConfiguration(q.Args.Statement) {
-		if current, err = askConfiguration(); err != nil {
+	if needsConfiguration(q.Args.Statement) {
+		if current, err = fetchConfiguration(); err != nil {
 			return err
 		}
 	}
-	result, err := query.Run(context.Background(), query.Tables(fleet, current), q.Args.Statement, query.Bounds{Rows: q.Rows, Time: q.Time})
+	result, err := query.Run(context.Background(), query.Tables(fleet, current), q.Args.Statement, query.Limits{MaxRows: q.Rows, Timeout: q.Time})
 	if err != nil {
 		return err
 	}
-	if result.Cut {
+	if result.Truncated {
 		fmt.Fprintf(os.Stderr, "only the first %d rows\n", q.Rows)
 	}
-	if shared.JSON {
-		return result.JSON(os.Stdout)
+	if options.JSON {
+		return result.WriteJSON(os.Stdout)
 	}
-	return result.Table(os.Stdout)
+	return result.WriteTable(os.Stdout)
 }
 
-// asksConfiguration tells whether a statement may name a table that is made of the configuration.
-func asksConfiguration(statement string) bool {
+// needsConfiguration tells whether a statement may name a table that is made of the configuration.
+func needsConfiguration(statement string) bool {
 	statement = strings.ToLower(statement)
 	return strings.Contains(statement, "routes") || strings.Contains(statement, "tenants")
 }
 
-// askConfiguration reads the newest configuration, with digests in the place of keys.
-func askConfiguration() (configuration.Configuration, error) {
-	content, err := ask(http.MethodGet, "/ferryspar/config", "", nil)
+// fetchConfiguration reads the newest configuration, with digests in the place of keys.
+func fetchConfiguration() (configuration.Configuration, error) {
+	content, err := call(http.MethodGet, "/ferryspar/config", "", nil)
 	if err != nil {
 		return configuration.Configuration{}, err
 	}
--- a/cmd/ferryspar-operator/rehearse.go
+++ b/cmd/ferryspar-operator/rehearse.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	exitPartial = 4
-	exitGuard   = 5
-	exitRefused = 6
+	exitPartial  = 4
+	exitGuard    = 5
+	exitRejected = 6
 )
 
-const rehearsePatience = 4 * time.Second
+const rehearsalTimeout = 4 * time.Second
 
-type outcome struct {
+type exitError struct {
 	status  int
 	message string
 }
 
-func (o outcome) ExitStatus() int { return o.status }
+func (e exitError) ExitStatus() int { return e.status }
 
-func usage(message string) error { return outcome{launch.ExitUsage, message} }
+func usageError(message string) error { return exitError{launch.ExitUsage, message} }
 
-func (o outcome) Error() string { return o.message }
+func (e exitError) Error() string { return e.message }
 
-type rehearse struct {
+type rehearseCommand struct {
 	Zone     string        `long:"zone" description:"rehearse this zone's loss rather than a region's"`
 	Forecast bool          `long:"forecast" description:"only work out what would happen (the default)"`
 	Drill    bool          `long:"drill" description:"have every node do without it for a share of new requests"`
@@ -51,66 +51,66 @@
 	} `positional-args:"yes"`
 }
 
-func (r *rehearse) scope() (drill.Scope, error) {
+func (r *rehearseCommand) scope() (drill.Scope, error) {
 	scope := drill.Scope{Region: r.Args.Region, Zone: r.Zone}
 	if (scope.Region == "") == (scope.Zone == "") {
-		return scope, usage("name either REGION or --zone ZONE")
+		return scope, usageError("name either REGION or --zone ZONE")
 	}
 	return scope, nil
 }
 
-func (r *rehearse) Execute(rest []string) error {
-	shared.Patience = max(shared.Patience, rehearsePatience)
+func (r *rehearseCommand) Execute(rest []string) error {
+	options.PerAddressTimeout = max(options.PerAddressTimeout, rehearsalTimeout)
 	if r.Stop || r.State {
-		return r.follow(r.Stop)
+		return r.followDrill(r.Stop)
 	}
 	if r.Forecast && r.Drill {
-		return usage("name either --forecast or --drill")
+		return usageError("name either --forecast or --drill")
 	}
 	scope, err := r.scope()
 	if err != nil {
 		return err
 	}
 	if r.Drill {
-		return r.drill(scope)
+		return r.startDrill(scope)
 	}
 	return r.forecast(scope)
 }
 
-func (r *rehearse) forecast(scope drill.Scope) error {
-	content, err := askRehearsal(http.MethodPost, drill.Request{Kind: drill.KindForecast, Scope: scope})
+func (r *rehearseCommand) forecast(scope drill.Scope) error {
+	content, err := callRehearsal(http.MethodPost, drill.Request{Kind: drill.KindForecast, Scope: scope})
 	if err != nil {
 		return err
 	}
-	var told drill.Forecast
-	if err := json.Unmarshal(content, &told); err != nil {
+	var result drill.Forecast
+	if err := json.Unmarshal(content, &result); err != nil {
 		return err
 	}
-	if shared.JSON {
+	if options.JSON {
 		fmt.Println(string(content))
 	} else {
-		showForecast(told)
+		printForecast(result)
 	}
-	if told.Partial {
-		return outcome{exitPartial, "partial: no answer from " + strings.Join(told.Missing, ", ")}
+	if result.Partial {
+		return exitError{exitPartial, "partial: no answer from " + strings.Join(result.Missing, ", ")}
 	}
 	return nil
 }
 
-func askRehearsal(method string, request any) ([]byte, error) {
+func callRehearsal(method string, request any) ([]byte, error) {
 	var body []byte
 	if request != nil {
 		body, _ = json.Marshal(request)
 	}
-	content, err := ask(method, "/ferryspar/rehearsal", "", body)
-	var refused refusal
-	if errors.As(err, &refused) {
-		return nil, outcome{exitRefused, refused.Error()}
+	content, err := call(method, "/ferryspar/rehearsal", "", body)
+	var rejected rejectedError
+	if errors.As(err, &rejected) {
+		return nil, exitError{exitRejected, rejected.Error()}
 	}
 	return content, err
 }
 
-func table(title string, columns string, fill func(line func(cells ...any))) {
+func printTable(title string, columns string, fill func(line func(cells ...any))) {
 	fmt.Println("\n" + title)
 	writer := tabwriter.NewWriter(os.Stdout, 2, 4, 2, ' ', 0)
 	defer writer.Flush()
@@ -124,54 +124,54 @@
 	})
 }
 
-func quantiles(one drill.Quantiles) string {
-	if one.Count == 0 {
+func formatQuantiles(latency drill.Quantiles) string {
+	if latency.Count == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%d/%d/%d", one.P50, one.P90, one.P99)
+	return fmt.Sprintf("%d/%d/%d", latency.P50, latency.P90, latency.P99)
 }
 
-func showForecast(told drill.Forecast) {
-	fmt.Printf("forecast: %s is lost; answered by %d of %d edges\n", told.Scope, len(told.Answered), len(told.Answered)+len(told.Missing))
-	if told.Partial {
-		fmt.Println("PARTIAL: no answer from", strings.Join(told.Missing, ", "))
+func printForecast(forecast drill.Forecast) {
+	fmt.Printf("forecast: %s is lost; answered by %d of %d edges\n", forecast.Scope, len(forecast.Answered), len(forecast.Answered)+len(forecast.Missing))
+	if forecast.Partial {
+		fmt.Println("PARTIAL: no answer from", strings.Join(forecast.Missing, ", "))
 	}
-	fmt.Printf("lost: edges %v, replicas %v; replicas left: %d\n", told.EdgesLost, told.ReplicasLost, told.ReplicasLeft)
-	control := told.Control
+	fmt.Printf("lost: edges %v, replicas %v; replicas left: %d\n", forecast.DataPlanesLost, forecast.ReplicasLost, forecast.ReplicasLeft)
+	control := forecast.Control
 	fmt.Printf("control: members lost %v of %d, majority stays: %t, placement moves: %t\n",
-		control.Lost, len(control.Members), control.Majority, control.LeaseMoves)
-	flight := told.Flight
+		control.Lost, len(control.Members), control.KeepsMajority, control.LeaseMoves)
+	flight := forecast.InFlight
 	fmt.Printf("in flight: %d of %d run at lost replicas (%d go on elsewhere, %d are cut); %d wait; "+
 		"of both %d find a place, %d wait on, %d are bound to what is lost\n",
-		flight.AtLost, flight.Running, flight.GoOn, flight.Cut, flight.Waiting, flight.Placed, flight.Stuck, flight.Bound)
+		flight.OnLostReplicas, flight.Running, flight.Resumable, flight.Aborted, flight.Waiting, flight.Placed, flight.StillWaiting, flight.BoundToLost)
 	const routeColumns = "route priority per_s sampled stay move wait nowhere bound late_now late_then first_now first_then read_again"
-	table("requests as of late, were they to come now (first token in ms: p50/p90/p99)", routeColumns, func(line func(...any)) {
-		for _, one := range told.Routes {
-			line(one.Name, one.Priority, fmt.Sprintf("%.1f", one.PerS), one.Sampled, one.Stay, one.Moved, one.Wait, one.Unplaced, one.Bound,
-				one.LateNow, one.Late, quantiles(one.FirstNow), quantiles(one.FirstThen), int(one.Reread))
+	printTable("requests as of late, were they to come now (first token in ms: p50/p90/p99)", routeColumns, func(line func(...any)) {
+		for _, one := range forecast.Routes {
+			line(one.Name, one.Priority, fmt.Sprintf("%.1f", one.RatePerS), one.Sampled, one.Staying, one.Moved, one.Waiting, one.NowhereLoaded, one.BoundToLost,
+				one.LateNow, one.Late, formatQuantiles(one.FirstTokenNow), formatQuantiles(one.FirstTokenAfterLoss), int(one.RecomputedTokens))
 		}
 	})
-	table("warm prompt tokens", "model lost of_these_nowhere_else kept", func(line func(...any)) {
-		for _, name := range slices.Sorted(maps.Keys(told.Cached)) {
-			one := told.Cached[name]
-			line(name, int(one.Lost), int(one.Only), int(one.Kept))
+	printTable("warm prompt tokens", "model lost of_these_nowhere_else kept", func(line func(...any)) {
+		for _, name := range slices.Sorted(maps.Keys(forecast.Cached)) {
+			one := forecast.Cached[name]
+			line(name, int(one.Lost), int(one.OnlyInScope), int(one.Kept))
 		}
 	})
-	store := told.Loading
+	loading := forecast.LoadEstimate
 	title := fmt.Sprintf("no copy left (%d loads, at least %.1f s; the %d in demand at least %.1f s)",
-		store.Loads, store.LeastMs/1000, store.Wanted, store.SoonMs/1000)
-	table(title, "backend model per_s", func(line func(...any)) {
-		for _, one := range told.LostModels {
-			line(one.Backend, one.Model, fmt.Sprintf("%.2f", one.PerS))
+		loading.Loads, loading.MinMs/1000, loading.InDemand, loading.InDemandMinMs/1000)
+	printTable(title, "backend model per_s", func(line func(...any)) {
+		for _, one := range forecast.LostModels {
+			line(one.Backend, one.Model, fmt.Sprintf("%.2f", one.RatePerS))
 		}
 	})
-	table("what placement would do first", "replica model load why", func(line func(...any)) {
-		for _, one := range told.Placement {
-			line(one.Replica, one.Model, one.Load, one.Why)
+	printTable("what placement would do first", "replica model load why", func(line func(...any)) {
+		for _, one := range forecast.Placement {
+			line(one.Replica, one.Model, one.Load, one.Reason)
 		}
 	})
-	table("replicas left", "replica zone slots running moved_to full", func(line func(...any)) {
-		for _, one := range told.Replicas {
+	printTable("replicas left", "replica zone slots running moved_to full", func(line func(...any)) {
+		for _, one := range forecast.Replicas {
 			line(one.Replica, one.Zone, one.Slots, one.Running, one.Moved, one.Full)
 		}
 	})
--- a/cmd/ferryspar-operator/rehearse_test.go
+++ b/cmd/ferryspar-operator/rehearse_test.go
@@ -17,74 +17,74 @@
 	"ferryspar/internal/launch"
 )
 
-func printed(t *testing.T, run func() error) (string, error) {
+func captureOutput(t *testing.T, run func() error) (string, error) {
 	reader, writer, err := os.Pipe()
 	assert.NilError(t, err)
 	before := os.Stdout
 	os.Stdout = writer
-	failure := run()
+	runErr := run()
 	os.Stdout = before
 	writer.Close()
 	content, _ := io.ReadAll(reader)
-	return string(content), failure
+	return string(content), runErr
 }
 
-func answering(t *testing.T, status int, bodies ...any) *[]string {
-	calls := &[]string{}
+func serveAnswers(t *testing.T, status int, bodies ...any) *[]string {
+	requests := &[]string{}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		*calls = append(*calls, request.Method+" "+request.URL.Path+" "+string(body))
+		*requests = append(*requests, request.Method+" "+request.URL.Path+" "+string(body))
 		writer.WriteHeader(status)
-		_ = json.NewEncoder(writer).Encode(bodies[min(len(*calls), len(bodies))-1])
+		_ = json.NewEncoder(writer).Encode(bodies[min(len(*requests), len(bodies))-1])
 	}))
 	t.Cleanup(server.Close)
-	shared = common{Control: []string{strings.TrimPrefix(server.URL, "http://")}, Patience: time.Second, Bound: 5 * time.Second}
-	return calls
+	options = globalOptions{Control: []string{strings.TrimPrefix(server.URL, "http://")}, PerAddressTimeout: time.Second, Timeout: 5 * time.Second}
+	return requests
 }
 
-func status(err error) int {
-	var ended outcome
+func exitStatus(err error) int {
+	var exit exitError
 	if err == nil {
 		return 0
 	}
-	if errors.As(err, &ended) {
-		return ended.status
+	if errors.As(err, &exit) {
+		return exit.status
 	}
 	return 1
 }
 
-func TestGivenForecastsThenTheTablesAreReadableAndTheExitSaysPartial(t *testing.T) {
-	told := drill.Forecast{
+func TestRehearse_PrintsForecast(t *testing.T) {
+	forecast := drill.Forecast{
 		Scope:    drill.Scope{Zone: "south"},
 		Answered: []string{"one"},
-		Routes: []drill.Route{{
-			Name:     "quick",
-			Counts:   drill.Counts{Sampled: 9, Moved: 4},
-			FirstNow: drill.Quantiles{Count: 9, P50: 80, P90: 90, P99: 99},
+		Routes: []drill.RouteForecast{{
+			Name:          "quick",
+			RouteCounts:   drill.RouteCounts{Sampled: 9, Moved: 4},
+			FirstTokenNow: drill.Quantiles{Count: 9, P50: 80, P90: 90, P99: 99},
 		}},
-		LostModels: []drill.LostModel{{Backend: "scribes", Model: "rare", PerS: 1.5}},
-		Cached:     map[string]drill.CachedTokens{"rare": {Lost: 300, Only: 200}},
+		LostModels: []drill.LostModel{{Backend: "scribes", Model: "rare", RatePerS: 1.5}},
+		Cached:     map[string]drill.CachedTokens{"rare": {Lost: 300, OnlyInScope: 200}},
 	}
-	calls := answering(t, http.StatusOK, told)
-	shown, err := printed(t, func() error { return (&rehearse{Zone: "south"}).Execute(nil) })
-	assert.Equal(t, status(err), 0)
+	calls := serveAnswers(t, http.StatusOK, forecast)
+	shown, err := captureOutput(t, func() error { return (&rehearseCommand{Zone: "south"}).Execute(nil) })
+	assert.Equal(t, exitStatus(err), 0)
 	assert.DeepEqual(t, *calls, []string{`POST /ferryspar/rehearsal {"kind":"forecast","zone":"south"}`})
 	for _, wanted := range []string{"zone south", "80/90/99", "rare", "1.50"} {
 		assert.Assert(t, strings.Contains(shown, wanted), "%s in %s", wanted, shown)
 	}
-	told.Partial, told.Missing = true, []string{"two"}
-	answering(t, http.StatusOK, told)
-	shown, err = printed(t, func() error { return (&rehearse{Zone: "south", Forecast: true}).Execute(nil) })
-	assert.Equal(t, status(err), exitPartial)
+	forecast.Partial, forecast.Missing = true, []string{"two"}
+	serveAnswers(t, http.StatusOK, forecast)
+	shown, err = captureOutput(t, func() error { return (&rehearseCommand{Zone: "south", Forecast: true}).Execute(nil) })
+	assert.Equal(t, exitStatus(err), exitPartial)
 	assert.Assert(t, strings.Contains(shown, "PARTIAL: no answer from two"), shown)
 }
 
-func TestGivenOutcomesOfADrillThenEachHasItsExit(t *testing.T) {
-	asked := rehearse{Drill: true, Share: 0.1, For: time.Minute, Margin: 0.1, Watch: true}
-	asked.Args.Region = "far"
-	runs := drill.Status{Record: drill.Record{Number: 3, Running: true}, Edges: map[string]string{"one": drill.EdgeSilent}}
-	good := drill.Status{Record: drill.Record{Number: 3, Why: drill.EndedByTime}}
-	guarded := drill.Status{Record: drill.Record{Number: 3, Why: "late", Guard: true}}
+func TestRehearse_DrillExitStatus(t *testing.T) {
+	command := rehearseCommand{Drill: true, Share: 0.1, For: time.Minute, Margin: 0.1, Watch: true}
+	command.Args.Region = "far"
+	running := drill.Status{Record: drill.Record{Number: 3, Running: true}, DataPlanes: map[string]string{"one": drill.DataPlaneSilent}}
+	good := drill.Status{Record: drill.Record{Number: 3, EndReason: drill.EndedByTime}}
+	guarded := drill.Status{Record: drill.Record{Number: 3, EndReason: "late", EndedByGuard: true}}
 	cases := []struct {
 		code, exit int
 		last       drill.Status
@@ -92,18 +92,18 @@
 	}{
 		{http.StatusOK, 0, good, "ended: time is up"},
 		{http.StatusOK, exitGuard, guarded, "ended: late"},
-		{http.StatusConflict, exitRefused, good, ""},
-		{http.StatusNotFound, exitRefused, good, ""},
+		{http.StatusConflict, exitRejected, good, ""},
+		{http.StatusNotFound, exitRejected, good, ""},
 	}
-	for _, one := range cases {
-		answering(t, one.code, runs, one.last)
-		shown, err := printed(t, func() error { return asked.Execute(nil) })
-		assert.Equal(t, status(err), one.exit, "%d: %v", one.code, err)
-		assert.Assert(t, strings.Contains(shown, one.shows), shown)
+	for _, testCase := range cases {
+		serveAnswers(t, testCase.code, running, testCase.last)
+		shown, err := captureOutput(t, func() error { return command.Execute(nil) })
+		assert.Equal(t, exitStatus(err), testCase.exit, "%d: %v", testCase.code, err)
+		assert.Assert(t, strings.Contains(shown, testCase.shows), shown)
 	}
-	assert.Equal(t, status((&rehearse{}).Execute(nil)), launch.ExitUsage, "neither region nor zone")
-	calls := answering(t, http.StatusOK, good)
-	_, err := printed(t, func() error { return (&rehearse{Stop: true}).Execute(nil) })
+	assert.Equal(t, exitStatus((&rehearseCommand{}).Execute(nil)), launch.ExitUsage, "neither region nor zone")
+	calls := serveAnswers(t, http.StatusOK, good)
+	_, err := captureOutput(t, func() error { return (&rehearseCommand{Stop: true}).Execute(nil) })
 	assert.NilError(t, err)
 	assert.DeepEqual(t, *calls, []string{"DELETE /ferryspar/rehearsal "})
 }
--- a/cmd/ferryspar-operator/tenants.go
+++ b/cmd/ferryspar-operator/tenants.go
@@ -11,16 +11,16 @@
 	"ferryspar/internal/configuration"
 )
 
-// listTenants prints the tenants of the newest configuration, never their keys.
-type listTenants struct{}
+// tenantsCommand prints the tenants of the newest configuration, never their keys.
+type tenantsCommand struct{}
 
 // Execute asks for the configuration and prints its tenants.
-func (l *listTenants) Execute(rest []string) error {
-	current, err := askConfiguration()
+func (l *tenantsCommand) Execute(rest []string) error {
+	current, err := fetchConfiguration()
 	if err != nil {
 		return err
 	}
-	if shared.JSON {
+	if options.JSON {
 		return json.NewEncoder(os.Stdout).Encode(current.Tenants)
 	}
 	return printTenants(os.Stdout, current.Tenants)
--- a/cmd/ferryspar-operator/tenants_test.go
+++ b/cmd/ferryspar-operator/tenants_test.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/configuration"
 )
 
-func TestGivenTenantsThenTheirListShowsLimitsAndDigestsAndNoKey(t *testing.T) {
+func TestPrintTenants_ShowsDigestsNotKeys(t *testing.T) {
 	priority := 2
 	source := configuration.Configuration{Tenants: []configuration.Tenant{
 		{Name: "one", Keys: []configuration.APIKey{"secret-a", "secret-b"}, Priority: &priority, RatePerS: 42, Burst: 7}, {Name: "two"},
--- a/internal/client/server_test.go
+++ b/internal/client/server_test.go
@@ -124,7 +124,7 @@
 	for index, upstream := range replicas {
 		listed := platform.Replica{
 			ID: upstream.id, Backend: "scribes", Address: upstream.address, Zone: "north", Slots: 8, State: "ready",
-			Models: []platform.Held{{Name: "swift"}},
+			Models: []platform.LoadedModel{{Name: "swift"}},
 		}
 		state.Replicas = append(state.Replicas, match.NewReplica(index, listed, time.Now(), nil))
 	}
--- a/internal/controlplane/context.go
+++ b/internal/controlplane/context.go
@@ -18,12 +18,12 @@
 var errUnchanged = errors.New("already so")
 
 // applyPolicy adopts a committed retention policy that is newer than the one held.
-func (d *Daemon) applyPolicy(slot keystore.Register) {
+func (n *Node) applyPolicy(register keystore.Register) {
 	var policy retention.Policy
-	if json.Unmarshal(slot.Value, &policy) != nil {
+	if json.Unmarshal(register.Value, &policy) != nil {
 		return
 	}
-	d.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *Snapshot) bool {
 		if policy.Version <= next.Retention.Version {
 			return false
 		}
@@ -33,12 +33,12 @@
 }
 
 // applyForgets adopts committed forget items that are not older than those held.
-func (d *Daemon) applyForgets(slot keystore.Register) {
+func (n *Node) applyForgets(register keystore.Register) {
 	var record retention.Record
-	if json.Unmarshal(slot.Value, &record) != nil {
+	if json.Unmarshal(register.Value, &record) != nil {
 		return
 	}
-	d.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *Snapshot) bool {
 		if record.Number < next.Forgets.Number {
 			return false
 		}
@@ -47,12 +47,12 @@
 	})
 }
 
-// changeContext changes a key by a decision over its current value and announces the result. A
+// changeKey changes a key by a decision over its current value and announces the result. A
 // decision may return errUnchanged to leave the value as it is, which is no error here.
-func (d *Daemon) changeContext(ctx context.Context, key string, decide func(current keystore.Register) (any, error)) error {
-	bounded, cancel := context.WithTimeout(ctx, changeBound)
+func (n *Node) changeKey(ctx context.Context, key string, decide func(current keystore.Register) (any, error)) error {
+	bounded, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	slot, err := d.store.Change(bounded, key, func(current keystore.Register) (json.RawMessage, error) {
+	register, err := n.store.Change(bounded, key, func(current keystore.Register) (json.RawMessage, error) {
 		value, err := decide(current)
 		if err != nil {
 			return nil, err
@@ -65,30 +65,30 @@
 	if err != nil {
 		return controlstate.Translate(err)
 	}
-	d.announce(ctx, slot)
+	n.announceChange(ctx, register)
 	return nil
 }
 
 // SetRetention stores how long data planes and replicas may keep context, in force once it is
 // committed. Setting the value in force again changes nothing. Any goroutine may call it.
-func (d *Daemon) SetRetention(ctx context.Context, wanted retention.Policy) (retention.Policy, error) {
-	if err := wanted.Check(); err != nil {
-		return wanted, err
+func (n *Node) SetRetention(ctx context.Context, requested retention.Policy) (retention.Policy, error) {
+	if err := requested.Check(); err != nil {
+		return requested, err
 	}
 	var result retention.Policy
-	err := d.changeContext(ctx, keystore.RetentionKey, func(current keystore.Register) (any, error) {
-		var held retention.Policy
-		_ = json.Unmarshal(current.Value, &held)
-		result = held
-		if held.Version > 0 && held.LifetimeMs == wanted.LifetimeMs {
+	err := n.changeKey(ctx, keystore.RetentionKey, func(current keystore.Register) (any, error) {
+		var stored retention.Policy
+		_ = json.Unmarshal(current.Value, &stored)
+		result = stored
+		if stored.Version > 0 && stored.LifetimeMs == requested.LifetimeMs {
 			return nil, errUnchanged
 		}
-		result = retention.Policy{Version: held.Version + 1, LifetimeMs: wanted.LifetimeMs}
+		result = retention.Policy{Version: stored.Version + 1, LifetimeMs: requested.LifetimeMs}
 		return result, nil
 	})
 	if err == nil {
 		logrus.WithFields(logrus.Fields{
-			"life_ms": wanted.LifetimeMs,
+			"life_ms": requested.LifetimeMs,
 			"number":  result.Version,
 		}).Info("retention of context set")
 	}
@@ -98,20 +98,20 @@
 // Forget stores that context in the scope is to be forgotten, and returns the item's state so far;
 // the work goes on afterwards. The item names the data planes known here, so a daemon that has just
 // started takes none. Asking again adds another item. Any goroutine may call it.
-func (d *Daemon) Forget(ctx context.Context, scope retention.Scope) (retention.Status, error) {
+func (n *Node) Forget(ctx context.Context, scope retention.Scope) (retention.Status, error) {
 	if err := scope.Check(); err != nil {
 		return retention.Status{}, err
 	}
-	if d.clock().Sub(d.started) < settleTime {
+	if n.clock().Sub(n.startedAt) < dataPlaneCountDelay {
 		return retention.Status{}, apierror.New(apierror.NoMajority, "this daemon has just started and may not know all data planes")
 	}
-	edges := d.knownEdges()
+	dataPlanes := n.knownDataPlanes()
 	var added retention.Purge
-	err := d.changeContext(ctx, keystore.ForgetKey, func(current keystore.Register) (any, error) {
+	err := n.changeKey(ctx, keystore.ForgetKey, func(current keystore.Register) (any, error) {
 		var record retention.Record
 		_ = json.Unmarshal(current.Value, &record)
 		var next retention.Record
-		next, added = record.Add(scope, edges)
+		next, added = record.Add(scope, dataPlanes)
 		return next, nil
 	})
 	if err != nil {
@@ -121,31 +121,31 @@
 		"number": added.Number,
 		"model":  scope.Model,
 		"part":   scope.PromptPart,
-		"edges":  len(edges),
+		"edges":  len(dataPlanes),
 	}).Info("context is to be forgotten")
-	return added.Status(d.edgeViews()), nil
+	return added.Status(n.retentionViews()), nil
 }
 
 // ReadRetention reads the policy with a majority's confirmation.
-func (d *Daemon) ReadRetention(ctx context.Context) (retention.Policy, error) {
+func (n *Node) ReadRetention(ctx context.Context) (retention.Policy, error) {
 	var policy retention.Policy
-	slot, err := d.readKey(ctx, keystore.RetentionKey)
+	register, err := n.readKey(ctx, keystore.RetentionKey)
 	if err != nil {
 		return policy, err
 	}
-	_ = json.Unmarshal(slot.Value, &policy)
+	_ = json.Unmarshal(register.Value, &policy)
 	return policy, nil
 }
 
 // ReadForgets reads the forget items with a majority's confirmation, with the state of each.
-func (d *Daemon) ReadForgets(ctx context.Context) ([]retention.Status, error) {
-	slot, err := d.readKey(ctx, keystore.ForgetKey)
+func (n *Node) ReadForgets(ctx context.Context) ([]retention.Status, error) {
+	register, err := n.readKey(ctx, keystore.ForgetKey)
 	if err != nil {
 		return nil, err
 	}
 	var record retention.Record
-	_ = json.Unmarshal(slot.Value, &record)
-	views := d.edgeViews()
+	_ = json.Unmarshal(register.Value, &record)
+	views := n.retentionViews()
 	statuses := []retention.Status{}
 	for _, item := range record.Purges {
 		statuses = append(statuses, item.Status(views))
@@ -154,19 +154,19 @@
 }
 
 // readKey reads a key with a majority's confirmation, within the bound of a change.
-func (d *Daemon) readKey(ctx context.Context, name string) (keystore.Register, error) {
-	bounded, cancel := context.WithTimeout(ctx, changeBound)
+func (n *Node) readKey(ctx context.Context, name string) (keystore.Register, error) {
+	bounded, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	slot, err := d.store.Read(bounded, name)
-	return slot, controlstate.Translate(err)
+	register, err := n.store.Read(bounded, name)
+	return register, controlstate.Translate(err)
 }
 
-// knownEdges are the data planes that have not left.
-func (d *Daemon) knownEdges() []string {
-	d.watching.Lock()
-	defer d.watching.Unlock()
-	names := make([]string, 0, len(d.remembered))
-	for name, view := range d.remembered {
+// knownDataPlanes are the data planes that have not left.
+func (n *Node) knownDataPlanes() []string {
+	n.watchLock.Lock()
+	defer n.watchLock.Unlock()
+	names := make([]string, 0, len(n.dataPlaneRetention))
+	for name, view := range n.dataPlaneRetention {
 		if !view.Left {
 			names = append(names, name)
 		}
@@ -174,22 +174,22 @@
 	return names
 }
 
-// edgeViews copies what is known of each data plane's forgetting.
-func (d *Daemon) edgeViews() map[string]retention.DataPlaneView {
-	d.watching.Lock()
-	defer d.watching.Unlock()
-	views := make(map[string]retention.DataPlaneView, len(d.remembered))
-	for name, view := range d.remembered {
+// retentionViews copies what is known of each data plane's forgetting.
+func (n *Node) retentionViews() map[string]retention.DataPlaneView {
+	n.watchLock.Lock()
+	defer n.watchLock.Unlock()
+	views := make(map[string]retention.DataPlaneView, len(n.dataPlaneRetention))
+	for name, view := range n.dataPlaneRetention {
 		views[name] = view
 	}
 	return views
 }
 
-// storeForget changes one forget item, and reports whether the store did not fail.
-func (d *Daemon) storeForget(ctx context.Context, number uint64, change func(item *retention.Purge) bool) bool {
+// changeForget changes one forget item, and reports whether the store did not fail.
+func (n *Node) changeForget(ctx context.Context, number uint64, change func(item *retention.Purge) bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	err := d.changeContext(bounded, keystore.ForgetKey, func(current keystore.Register) (any, error) {
+	err := n.changeKey(bounded, keystore.ForgetKey, func(current keystore.Register) (any, error) {
 		var record retention.Record
 		_ = json.Unmarshal(current.Value, &record)
 		next, changed := record.UpdatePurge(number, change)
--- a/internal/controlplane/copyages_test.go
+++ b/internal/controlplane/copyages_test.go
@@ -11,14 +11,14 @@
 )
 
 func TestGivenACopyThatALaterListLeavesOutForAMomentThenItsAgeGoesOn(t *testing.T) {
-	now := rosterStart
-	scheduler := &Scheduler{daemon: &Daemon{clock: func() time.Time { return now }}, eviction: newContextEviction()}
+	now := rosterTestStart
+	scheduler := &Scheduler{daemon: &Node{clock: func() time.Time { return now }}, eviction: newContextEviction()}
 	other := platform.Replica{ID: "i-1"}
-	held := platform.Replica{ID: "i-2", Models: []platform.Held{{Name: "swift"}}}
+	held := platform.Replica{ID: "i-2", Models: []platform.LoadedModel{{Name: "swift"}}}
 	emptied := platform.Replica{ID: "i-2"}
 	policy := retention.Policy{Version: 1, LifetimeMs: 60_000}
 	at := func(seconds int, listed ...platform.Replica) int {
-		now = rosterStart.Add(time.Duration(seconds) * time.Second)
+		now = rosterTestStart.Add(time.Duration(seconds) * time.Second)
 		scheduler.noteAges(listed)
 		return len(scheduler.dueCopies(policy, now))
 	}
--- a/internal/controlplane/cost_test.go
+++ b/internal/controlplane/cost_test.go
@@ -88,7 +88,7 @@
 	disks := []*meter{}
 	for _, name := range members.Current {
 		disk := &meter{}
-		journal, err := keystore.OpenWAL(disk, ringFiles, largestRing)
+		journal, err := keystore.OpenWAL(disk, walSegments, maxSegmentBytes)
 		assert.NilError(b, err)
 		assert.NilError(b, journal.Append(keystore.BootstrapRegisters(members, 1)))
 		acceptor := keystore.NewAcceptor(name, journal, keystore.AcceptorConfig{Clock: time.Now}, true)
--- a/internal/controlplane/daemon_bench_test.go
+++ b/internal/controlplane/daemon_bench_test.go
@@ -17,21 +17,21 @@
 	"ferryspar/internal/platform"
 )
 
-func benchDaemon(b *testing.B) *Daemon {
+func newBenchNode(b *testing.B) *Node {
 	settings, err := nodesettings.Parse(nil)
 	assert.NilError(b, err)
 	settings.NodeName, settings.IPAddress, settings.InternalPorts, settings.Bootstrap = "daemon-1", "10.0.0.1", []int{7000, 7010}, true
 	settings.SeedNodes, settings.CloudAPI.Address = []string{"10.0.0.1:8166"}, "10.0.0.9:80"
 	settings.Zones, settings.Zone = map[string]string{"north": "land"}, "north"
-	folder, err := keystore.NewDirectory(b.TempDir())
+	directory, err := keystore.NewDirectory(b.TempDir())
 	assert.NilError(b, err)
-	daemon, err := New(settings, "", peer.HostNetwork{}, folder)
+	node, err := New(settings, "", peer.HostNetwork{}, directory)
 	assert.NilError(b, err)
-	daemon.publisher.Update(func(next *Snapshot) bool {
+	node.publisher.Update(func(next *Snapshot) bool {
 		next.ConfirmedAt, next.DataPlaneCount, next.LeaseHolder, next.ControlPlanes = time.Now().Add(time.Hour), 80, "10.0.0.1:7000", []string{"10.0.0.1:7000"}
 		return true
 	})
-	return daemon
+	return node
 }
 
 func benchRoster(replicas, turn int) []platform.Replica {
@@ -39,7 +39,7 @@
 	for index := range replicas {
 		replica := platform.Replica{ID: fmt.Sprintf("i-%08x", index), Backend: "writers", Address: fmt.Sprintf("10.1.%d.%d:8080", index/200, index%200), Zone: "north", Revision: "v1", Slots: 64, State: "ready", Phase: "unified"}
 		for slot := range 2 {
-			replica.Models = append(replica.Models, platform.Held{Name: fmt.Sprintf("model%04d", 2*index+slot), Revision: 1, Adapters: []string{"a1", "a2"}})
+			replica.Models = append(replica.Models, platform.LoadedModel{Name: fmt.Sprintf("model%04d", 2*index+slot), Revision: 1, Adapters: []string{"a1", "a2"}})
 		}
 		list = append(list, replica)
 	}
@@ -49,8 +49,8 @@
 	return list
 }
 
-func post(b *testing.B, routes http.Handler, name string, question any) int {
-	content, err := json.Marshal(question)
+func postJSON(b *testing.B, routes http.Handler, name string, message any) int {
+	content, err := json.Marshal(message)
 	assert.NilError(b, err)
 	writer := httptest.NewRecorder()
 	routes.ServeHTTP(writer, httptest.NewRequest(http.MethodPost, peer.Methods[name].Path, bytes.NewReader(content)))
@@ -60,11 +60,11 @@
 
 func subscribeAll(b *testing.B, routes http.Handler, edges, replicas int) {
 	for edge := range edges {
-		question := peer.SubscribeRequest{DataPlane: fmt.Sprintf("edge-%03d", edge), Sequence: 1, Reset: true}
+		request := peer.SubscribeRequest{DataPlane: fmt.Sprintf("edge-%03d", edge), Sequence: 1, Reset: true}
 		for _, model := range testReport(edge, replicas).Models {
-			question.Add = append(question.Add, peer.EndpointKey{Backend: model.Backend, Model: model.Model})
+			request.Add = append(request.Add, peer.EndpointKey{Backend: model.Backend, Model: model.Model})
 		}
-		post(b, routes, "follow", question)
+		postJSON(b, routes, "follow", request)
 	}
 }
 
@@ -88,16 +88,16 @@
 func BenchmarkHandleLoadReport(b *testing.B) {
 	run := func(edges, replicas int) func(b *testing.B) {
 		return func(b *testing.B) {
-			daemon := benchDaemon(b)
-			daemon.post(benchRoster(replicas, 0), nil, time.Now())
-			routes := daemon.peerRoutes()
+			node := newBenchNode(b)
+			node.publishReplicas(benchRoster(replicas, 0), nil, time.Now())
+			routes := node.peerRoutes()
 			subscribeAll(b, routes, edges, replicas)
 			for edge := range edges {
-				post(b, routes, "pressure", testReport(edge, replicas))
+				postJSON(b, routes, "pressure", testReport(edge, replicas))
 			}
 			size, turn := 0, 0
 			for b.Loop() {
-				size = post(b, routes, "pressure", testReport(turn%edges, replicas))
+				size = postJSON(b, routes, "pressure", testReport(turn%edges, replicas))
 				turn++
 			}
 			b.ReportMetric(float64(size), "bytes/answer")
@@ -114,12 +114,12 @@
 func BenchmarkHandleWatch_AllEndpointSets(b *testing.B) {
 	for _, replicas := range []int{9, 140, 720} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			daemon := benchDaemon(b)
-			daemon.post(benchRoster(replicas, 0), nil, time.Now())
-			routes, size := daemon.peerRoutes(), 0
+			node := newBenchNode(b)
+			node.publishReplicas(benchRoster(replicas, 0), nil, time.Now())
+			routes, size := node.peerRoutes(), 0
 			subscribeAll(b, routes, 1, replicas)
 			for b.Loop() {
-				size = post(b, routes, "news", peer.WatchRequest{DataPlane: "edge-000", Zone: "north", Primary: true, MaxWaitMs: 1, SubscriptionSequence: 1})
+				size = postJSON(b, routes, "news", peer.WatchRequest{DataPlane: "edge-000", Zone: "north", Primary: true, MaxWaitMs: 1, SubscriptionSequence: 1})
 			}
 			b.ReportMetric(float64(size), "bytes/answer")
 		})
@@ -129,9 +129,9 @@
 func BenchmarkHandleSubscribe(b *testing.B) {
 	for _, edges := range []int{8, 80, 400} {
 		b.Run(fmt.Sprintf("edges=%d", edges), func(b *testing.B) {
-			daemon := benchDaemon(b)
-			daemon.post(benchRoster(140, 0), nil, time.Now())
-			routes := daemon.peerRoutes()
+			node := newBenchNode(b)
+			node.publishReplicas(benchRoster(140, 0), nil, time.Now())
+			routes := node.peerRoutes()
 			subscribeAll(b, routes, edges, 140)
 			for b.Loop() {
 				subscribeAll(b, routes, 1, 140)
@@ -143,13 +143,13 @@
 func BenchmarkLoadAggregator_Summaries(b *testing.B) {
 	run := func(edges, replicas int) func(b *testing.B) {
 		return func(b *testing.B) {
-			daemon := benchDaemon(b)
+			node := newBenchNode(b)
 			for edge := range edges {
-				daemon.sums.AddReport(testReport(edge, replicas), time.Now())
+				node.loads.AddReport(testReport(edge, replicas), time.Now())
 			}
 			size := 0
 			for b.Loop() {
-				content, err := json.Marshal([]peer.LoadSummary{daemon.sums.Summary(daemon.self, time.Time{}), daemon.sums.DemandSummary(daemon.self, false)})
+				content, err := json.Marshal([]peer.LoadSummary{node.loads.Summary(node.self, time.Time{}), node.loads.DemandSummary(node.self, false)})
 				assert.NilError(b, err)
 				size = len(content)
 			}
@@ -167,12 +167,12 @@
 func BenchmarkPublishRoster_OneReplicaChanged(b *testing.B) {
 	for _, replicas := range []int{9, 140, 720} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			daemon, turn := benchDaemon(b), 0
+			node, turn := newBenchNode(b), 0
 			rosters := [][]platform.Replica{benchRoster(replicas, 0), benchRoster(replicas, 1)}
 			for b.Loop() {
 				turn++
-				daemon.roster.set(rosters[turn%2], time.Now())
-				daemon.publishRoster()
+				node.roster.set(rosters[turn%2], time.Now())
+				node.publishRoster()
 			}
 		})
 	}
@@ -181,15 +181,15 @@
 func BenchmarkMeasureDemand_Members(b *testing.B) {
 	for _, edges := range []int{8, 80, 400} {
 		b.Run(fmt.Sprintf("edges=%d", edges), func(b *testing.B) {
-			daemon := benchDaemon(b)
+			node := newBenchNode(b)
 			for edge := range edges {
-				daemon.sums.AddReport(testReport(edge, 140), time.Now())
+				node.loads.AddReport(testReport(edge, 140), time.Now())
 			}
-			share := daemon.sums.DemandSummary(daemon.self, false)
+			share := node.loads.DemandSummary(node.self, false)
 			share.Batch = 0 // heard as new each time
 			for b.Loop() {
-				daemon.scheduler.hearDemand(share)
-				daemon.scheduler.measure()
+				node.scheduler.hearDemand(share)
+				node.scheduler.measure()
 			}
 		})
 	}
--- a/internal/controlplane/demandshare.go
+++ b/internal/controlplane/demandshare.go
@@ -77,17 +77,17 @@
 
 // handleLoadReport takes in a data plane's load and answers with the other data planes' load at the
 // replicas that it follows.
-func (d *Daemon) handleLoadReport(ctx context.Context, report peer.LoadReport) peer.FleetLoad {
-	d.sums.AddReport(report, d.clock())
-	return d.sums.FleetLoadFor(report.DataPlane, d.parts.SubscribedReplicas(report.DataPlane))
+func (n *Node) handleLoadReport(ctx context.Context, report peer.LoadReport) peer.FleetLoad {
+	n.loads.AddReport(report, n.clock())
+	return n.loads.FleetLoadFor(report.DataPlane, n.endpoints.SubscribedReplicas(report.DataPlane))
 }
 
 // handleLoadSummary takes in another control plane's sums. It answers Unknown if they came packed by a list
 // of replicas that is not the one held here; the sender then names them.
-func (d *Daemon) handleLoadSummary(ctx context.Context, summary peer.LoadSummary) peer.LoadSummaryReply {
-	now := d.clock()
+func (n *Node) handleLoadSummary(ctx context.Context, summary peer.LoadSummary) peer.LoadSummaryReply {
+	now := n.clock()
 	if summary.Packed != nil {
-		loads, known := d.dense.unpack(summary.Packed, d.roster.listed())
+		loads, known := n.dense.unpack(summary.Packed, n.roster.replicaList())
 		if !known {
 			return peer.LoadSummaryReply{UnknownVersion: true}
 		}
@@ -99,10 +99,10 @@
 		summary.Replicas = loads
 	}
 	if summary.Replicas != nil {
-		d.sums.AddSummary(summary, now)
+		n.loads.AddSummary(summary, now)
 	}
 	if summary.IsDemand {
-		d.scheduler.hearDemand(summary)
+		n.scheduler.hearDemand(summary)
 	}
 	return peer.LoadSummaryReply{}
 }
--- a/internal/controlplane/demandshare_test.go
+++ b/internal/controlplane/demandshare_test.go
@@ -12,11 +12,11 @@
 func TestScheduler_CountsResentArrivalsOnce(t *testing.T) {
 	sums := NewLoadAggregator()
 	holder := &Scheduler{
-		daemon: &Daemon{clock: rosterStart.Local}, nudge: make(chan struct{}, 1),
+		daemon: &Node{clock: rosterTestStart.Local}, nudge: make(chan struct{}, 1),
 		counted: map[string]float64{}, reading: map[string]float64{}, feed: feed{tally: NewDemandAggregator()},
 	}
 	arrive := func(amount int) {
-		sums.AddReport(peer.LoadReport{DataPlane: "edge", Models: []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}}}, rosterStart)
+		sums.AddReport(peer.LoadReport{DataPlane: "edge", Models: []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}}}, rosterTestStart)
 	}
 	counted := func() float64 { return holder.counted[place.ModelKey("s", "m")] }
 	arrive(10)
--- a/internal/controlplane/disks_test.go
+++ b/internal/controlplane/disks_test.go
@@ -27,7 +27,7 @@
 	}}}, nil)
 	full := loadbudget.Reservation{Loads: 6}
 	w := &Scheduler{
-		daemon: &Daemon{
+		daemon: &Node{
 			clock:    func() time.Time { return *now },
 			settings: nodesettings.Settings{TimingBounds: nodesettings.TimingBounds{OriginPeriodS: 5}},
 		},
@@ -37,7 +37,7 @@
 		table:    table,
 	}
 	w.hold.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: &full}, GrantedAt: now.Add(-time.Hour)})
-	w.rememberListed(platform.Replica{ID: "old", Backend: "s", Address: "here", Models: []platform.Held{{Name: "m"}, {Name: "n"}}})
+	w.rememberListed(platform.Replica{ID: "old", Backend: "s", Address: "here", Models: []platform.LoadedModel{{Name: "m"}, {Name: "n"}}})
 	w.adoptList([]platform.Replica{{ID: "new", Backend: "s", Address: "here"}, {ID: "other", Backend: "t", Address: "here"}}, *now)
 	return w, w.managed["new"]
 }
@@ -81,7 +81,7 @@
 	w, one := diskScheduler(&now)
 	startFromDisk(t, one, now)
 	now = now.Add(4 * time.Second)
-	w.checkDisk(one, replica.Report{Sequence: 1, Models: []platform.Held{{Name: "m"}}}, now)
+	w.checkDisk(one, replica.Report{Sequence: 1, Models: []platform.LoadedModel{{Name: "m"}}}, now)
 	w.checkDisk(one, replica.Report{Busy: true, Sequence: 1}, one.began.Add(time.Second))
 	assert.Equal(t, countedLoads(w, now), 0)
 	assert.Assert(t, w.heldOnce[diskOf(one.listed)]["n"])
--- a/internal/controlplane/drill.go
+++ b/internal/controlplane/drill.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	// drillEvery is how often the holder checks a running drill.
-	drillEvery = 400 * time.Millisecond
-	// drillRenewEvery is how often the holder renews a running drill.
-	drillRenewEvery = time.Second
-	// drillLease is how long a drill goes on without renewal.
-	drillLease = 5 * time.Second
+	// drillCheckInterval is how often the holder checks a running drill.
+	drillCheckInterval = 400 * time.Millisecond
+	// drillRenewInterval is how often the holder renews a running drill.
+	drillRenewInterval = time.Second
+	// drillLeaseDuration is how long a drill goes on without renewal.
+	drillLeaseDuration = 5 * time.Second
 )
 
 // applyDrill adopts a committed drill record. A renewal does not put off the end that was promised
 // first.
-func (d *Daemon) applyDrill(slot keystore.Register) {
+func (n *Node) applyDrill(register keystore.Register) {
 	var record drill.Record
-	if json.Unmarshal(slot.Value, &record) != nil {
+	if json.Unmarshal(register.Value, &record) != nil {
 		return
 	}
-	now := d.clock()
-	d.publisher.Update(func(next *Snapshot) bool {
-		held := next.Drill
-		if record.Number < held.Number || record.Number == held.Number && record.Beat <= held.Beat && held.Number > 0 {
+	now := n.clock()
+	n.publisher.Update(func(next *Snapshot) bool {
+		current := next.Drill
+		if record.Number < current.Number || record.Number == current.Number && record.Renewals <= current.Renewals && current.Number > 0 {
 			return false
 		}
-		view := drillView{record, now.Add(time.Duration(record.LeftMs) * time.Millisecond), now.Add(drillLease)}
-		if record.Number == held.Number && held.until.Before(view.until) {
-			view.until = held.until
+		view := drillState{record, now.Add(time.Duration(record.LeftMs) * time.Millisecond), now.Add(drillLeaseDuration)}
+		if record.Number == current.Number && current.deadline.Before(view.deadline) {
+			view.deadline = current.deadline
 		}
 		next.Drill = view
 		return true
@@ -49,26 +49,26 @@
 
 // StartDrill begins a drill if nothing speaks against it. The same mark again returns the drill
 // that it began. Any goroutine may call it.
-func (d *Daemon) StartDrill(ctx context.Context, request drill.Request) (drill.Status, error) {
-	if err := d.checkDrill(request); err != nil {
+func (n *Node) StartDrill(ctx context.Context, request drill.Request) (drill.Status, error) {
+	if err := n.validateDrill(request); err != nil {
 		return drill.Status{}, err
 	}
-	if request.Mark == "" {
-		request.Mark = strconv.FormatUint(nonce(), 36)
+	if request.IdempotencyKey == "" {
+		request.IdempotencyKey = strconv.FormatUint(nonce(), 36)
 	}
 	var started drill.Record
-	err := d.retryChange(ctx, func(current keystore.Register) (any, error) {
-		var held drill.Record
-		_ = json.Unmarshal(current.Value, &held)
-		view := d.publisher.Current().Drill
-		if request.Mark == held.Mark {
-			started = held
+	err := n.changeDrill(ctx, func(current keystore.Register) (any, error) {
+		var previous drill.Record
+		_ = json.Unmarshal(current.Value, &previous)
+		view := n.publisher.Current().Drill
+		if request.IdempotencyKey == previous.IdempotencyKey {
+			started = previous
 			return nil, errUnchanged
 		}
-		if held.Running && (view.Number != held.Number || view.isRunning(d.clock())) {
-			return nil, apierror.New(apierror.DrillInProgress, "drill %d of %s runs", held.Number, held.Scope)
+		if previous.Running && (view.Number != previous.Number || view.isRunning(n.clock())) {
+			return nil, apierror.New(apierror.DrillInProgress, "drill %d of %s runs", previous.Number, previous.Scope)
 		}
-		next, err := request.Record(held)
+		next, err := request.NewRecord(previous)
 		started = next
 		return next, err
 	})
@@ -81,20 +81,20 @@
 		"share":  started.Share,
 		"for_ms": started.ForMs,
 	}).Info("drill begun")
-	return d.drillStatus(started), nil
+	return n.drillStatus(started), nil
 }
 
-// checkDrill says why a drill may not begin: a bad request, state without confirmation, an
+// validateDrill says why a drill may not begin: a bad request, state without confirmation, an
 // evacuated zone, or no replicas inside or outside the scope.
-func (d *Daemon) checkDrill(request drill.Request) error {
-	if err := request.Scope.Check(d.settings.Zones); err != nil {
+func (n *Node) validateDrill(request drill.Request) error {
+	if err := request.Scope.Validate(n.settings.Zones); err != nil {
 		return err
 	}
-	if _, err := request.Record(drill.Record{}); err != nil {
+	if _, err := request.NewRecord(drill.Record{}); err != nil {
 		return err
 	}
-	snapshot := d.publisher.Current()
-	if !snapshot.IsFresh(d.clock()) {
+	snapshot := n.publisher.Current()
+	if !snapshot.IsFresh(n.clock()) {
 		return apierror.New(apierror.NoMajority, "this daemon's state is not confirmed")
 	}
 	for zone, state := range snapshot.Zones {
@@ -103,10 +103,10 @@
 		}
 	}
 	inside, outside := 0, 0
-	for _, one := range snapshot.Replicas {
+	for _, replica := range snapshot.Replicas {
 		switch {
-		case one.State == platform.Draining:
-		case request.Scope.Covers(one.Zone, d.settings.Zones[one.Zone]):
+		case replica.State == platform.Draining:
+		case request.Scope.Covers(replica.Zone, n.settings.Zones[replica.Zone]):
 			inside++
 		default:
 			outside++
@@ -118,59 +118,59 @@
 	return nil
 }
 
-// retryChange changes the drill's key, again and again while the store is contended, within the
+// changeDrill changes the drill's key, again and again while the store is contended, within the
 // bound of a change.
-func (d *Daemon) retryChange(ctx context.Context, decide func(current keystore.Register) (any, error)) error {
-	bounded, cancel := context.WithTimeout(ctx, changeBound)
+func (n *Node) changeDrill(ctx context.Context, decide func(current keystore.Register) (any, error)) error {
+	bounded, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	for {
-		err := d.changeContext(bounded, keystore.DrillKey, decide)
-		if err == nil || bounded.Err() != nil || !retryable[apierror.From(err).Kind] {
+		err := n.changeKey(bounded, keystore.DrillKey, decide)
+		if err == nil || bounded.Err() != nil || !retryableKinds[apierror.From(err).Kind] {
 			return err
 		}
 		nodesettings.Sleep(bounded, time.Duration(20+rand.IntN(80))*time.Millisecond)
 	}
 }
 
-// retryable holds the errors after which a change of the drill is tried again.
-var retryable = map[apierror.Kind]bool{apierror.UncertainWrite: true, apierror.NoMajority: true}
+// retryableKinds holds the errors after which a change of the drill is tried again.
+var retryableKinds = map[apierror.Kind]bool{apierror.UncertainWrite: true, apierror.NoMajority: true}
 
-// finishDrill ends the drill of the number, or any if it is 0, and stores why with the reports
+// endDrill ends the drill of the number, or any if it is 0, and stores why with the reports
 // merged. It returns the record as it stands if the drill does not run.
-func (d *Daemon) finishDrill(ctx context.Context, number uint64, why string, guard bool) (drill.Record, error) {
+func (n *Node) endDrill(ctx context.Context, number uint64, reason string, guard bool) (drill.Record, error) {
 	var ended drill.Record
-	err := d.retryChange(ctx, func(current keystore.Register) (any, error) {
+	err := n.changeDrill(ctx, func(current keystore.Register) (any, error) {
 		ended = drill.Record{}
 		_ = json.Unmarshal(current.Value, &ended)
 		if !ended.Running || number > 0 && ended.Number != number {
 			return nil, errUnchanged
 		}
-		ended = ended.End(why, guard, drill.MergeReports(d.reportList(ended.Number)))
+		ended = ended.End(reason, guard, drill.MergeReports(n.drillReportList(ended.Number)))
 		return ended, nil
 	})
 	if err == nil {
 		logrus.WithFields(logrus.Fields{
 			"number": ended.Number,
-			"why":    ended.Why,
-			"guard":  ended.Guard,
+			"why":    ended.EndReason,
+			"guard":  ended.EndedByGuard,
 		}).Info("drill ended")
 	}
 	return ended, err
 }
 
 // StopDrill ends the running drill at the operator's request. Any goroutine may call it.
-func (d *Daemon) StopDrill(ctx context.Context) (drill.Status, error) {
-	ended, err := d.finishDrill(ctx, 0, drill.EndedByOperator, false)
-	return d.drillStatus(ended), err
+func (n *Node) StopDrill(ctx context.Context) (drill.Status, error) {
+	ended, err := n.endDrill(ctx, 0, drill.EndedByOperator, false)
+	return n.drillStatus(ended), err
 }
 
 // ReadDrill reads the last drill with a majority's confirmation. Any goroutine may call it.
-func (d *Daemon) ReadDrill(ctx context.Context) (drill.Status, error) {
-	slot, err := d.readKey(ctx, keystore.DrillKey)
+func (n *Node) ReadDrill(ctx context.Context) (drill.Status, error) {
+	register, err := n.readKey(ctx, keystore.DrillKey)
 	if err != nil {
 		return drill.Status{}, err
 	}
 	var record drill.Record
-	_ = json.Unmarshal(slot.Value, &record)
-	return d.drillStatus(record), nil
+	_ = json.Unmarshal(register.Value, &record)
+	return n.drillStatus(record), nil
 }
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -8,29 +8,29 @@
 	"ferryspar/internal/peer"
 )
 
-func (d *Daemon) followEvents(ctx context.Context) error {
+func (n *Node) subscribeEvents(ctx context.Context) error {
 	followers := map[string]func(payload []byte){
-		event.Committed: func(payload []byte) { d.tellCommitted(ctx, payload) },
-		event.Placement: func(payload []byte) {
-			if d.scheduler.Holding() {
-				d.shareRoster(ctx, false)
+		event.TopicCommitted: func(payload []byte) { n.notifyCommitted(ctx, payload) },
+		event.TopicPlacementChanged: func(payload []byte) {
+			if n.scheduler.Holding() {
+				n.sendRoster(ctx, false)
 			}
 		},
 	}
 	for topic, handle := range followers {
-		if err := d.bus.Subscribe(ctx, topic, handle); err != nil {
+		if err := n.bus.Subscribe(ctx, topic, handle); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *Daemon) tellCommitted(ctx context.Context, payload []byte) {
-	var learned peer.KeyUpdate
-	if json.Unmarshal(payload, &learned) != nil {
+func (n *Node) notifyCommitted(ctx context.Context, payload []byte) {
+	var update peer.KeyUpdate
+	if json.Unmarshal(payload, &update) != nil {
 		return
 	}
-	for _, address := range d.otherControls() {
-		go func() { _ = d.peers.Call(ctx, "learn", address, learned, nil) }()
+	for _, address := range n.otherControlNodes() {
+		go func() { _ = n.peers.Call(ctx, "learn", address, update, nil) }()
 	}
 }
--- a/internal/controlplane/eviction.go
+++ b/internal/controlplane/eviction.go
@@ -204,7 +204,7 @@
 	}
 	w.eviction.storing, w.eviction.storedAt = true, now
 	go func() {
-		stored := w.daemon.storeForget(ctx, number, change)
+		stored := w.daemon.changeForget(ctx, number, change)
 		w.results <- func() {
 			w.eviction.storing = false
 			logrus.WithFields(logrus.Fields{"number": number, "stored": stored}).Info("forgetting goes on")
--- a/internal/controlplane/exchange.go
+++ b/internal/controlplane/exchange.go
@@ -43,7 +43,7 @@
 
 // runLoadExchange shares sums and demand until the context ends, and demand at once if a model is newly
 // waited for.
-func (d *Daemon) runLoadExchange(ctx context.Context) {
+func (n *Node) runLoadExchange(ctx context.Context) {
 	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
 	for turn := 0; ; {
@@ -51,30 +51,30 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.sendSummaries(ctx)
+			n.sendSummaries(ctx)
 			if turn++; turn%summariesPerDemand == 0 {
-				d.sendDemand(ctx, false)
+				n.sendDemand(ctx, false)
 			}
-		case <-d.sums.wake:
-			d.sendDemand(ctx, true)
+		case <-n.loads.wake:
+			n.sendDemand(ctx, true)
 			nodesettings.Sleep(ctx, minDemandInterval)
 		}
 	}
 }
 
 // exchange sends this daemon's sums to every other control plane and does not wait for the answers.
-func (d *Daemon) sendSummaries(ctx context.Context) {
-	full := d.sums.Summary(d.self, d.clock())
-	packed := d.dense.pack(full, d.roster.listed())
-	for _, address := range d.otherControls() {
+func (n *Node) sendSummaries(ctx context.Context) {
+	full := n.loads.Summary(n.self, n.clock())
+	packed := n.dense.pack(full, n.roster.replicaList())
+	for _, address := range n.otherControlNodes() {
 		summary := packed
-		if d.exchanged.needsUnpacked(address) {
+		if n.exchanged.needsUnpacked(address) {
 			summary = full
 		}
 		go func() {
 			var reply peer.LoadSummaryReply
-			if d.peers.Call(ctx, "sums", address, summary, &reply) == nil {
-				d.exchanged.record(address, reply.UnknownVersion)
+			if n.peers.Call(ctx, "sums", address, summary, &reply) == nil {
+				n.exchanged.record(address, reply.UnknownVersion)
 			}
 		}()
 	}
@@ -82,26 +82,26 @@
 
 // sendDemand gives this daemon's share of the demand to the placement holder, which may be itself.
 // Arrivals that may not have been delivered are sent again, and count once.
-func (d *Daemon) sendDemand(ctx context.Context, partial bool) {
-	leaseHolder := d.publisher.Current().LeaseHolder
+func (n *Node) sendDemand(ctx context.Context, partial bool) {
+	leaseHolder := n.publisher.Current().LeaseHolder
 	if leaseHolder == "" {
 		return
 	}
-	summary := d.sums.DemandSummary(d.self, partial)
+	summary := n.loads.DemandSummary(n.self, partial)
 	if partial && len(summary.Models) == 0 {
 		return
 	}
-	summary.Incarnation = d.life
-	if leaseHolder == d.self {
-		d.scheduler.hearDemand(summary)
-		d.sums.markDelivered(summary)
+	summary.Incarnation = n.incarnation
+	if leaseHolder == n.self {
+		n.scheduler.hearDemand(summary)
+		n.loads.markDelivered(summary)
 		return
 	}
 	go func() {
-		if err := d.peers.Call(ctx, "sums", leaseHolder, summary, nil); err != nil {
-			d.sums.markUncertain(summary)
+		if err := n.peers.Call(ctx, "sums", leaseHolder, summary, nil); err != nil {
+			n.loads.markUncertain(summary)
 			return
 		}
-		d.sums.markDelivered(summary)
+		n.loads.markDelivered(summary)
 	}()
 }
--- a/internal/controlplane/feed_bench_test.go
+++ b/internal/controlplane/feed_bench_test.go
@@ -16,7 +16,7 @@
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 			w := &Scheduler{
-				daemon:   &Daemon{clock: func() time.Time { return now }},
+				daemon:   &Node{clock: func() time.Time { return now }},
 				demand:   map[string]*place.Demand{},
 				counted:  map[string]float64{},
 				reading:  map[string]float64{},
@@ -26,7 +26,7 @@
 			}
 			var listed []platform.Replica
 			for index := range size[0] {
-				held := []platform.Held{{
+				held := []platform.LoadedModel{{
 					Name:     fmt.Sprint("m", index),
 					Adapters: []string{"a1", "a2", "a3"},
 				}, {Name: fmt.Sprint("m", index/2)}}
--- a/internal/controlplane/follow.go
+++ b/internal/controlplane/follow.go
@@ -137,14 +137,14 @@
 	return replicas
 }
 
-func (d *Daemon) handleSubscribe(_ context.Context, request peer.SubscribeRequest) peer.SubscribeResponse {
-	snapshot := d.publisher.Current()
-	if !snapshot.IsFresh(d.clock()) || d.isLeaving() {
-		return peer.SubscribeResponse{Incarnation: d.life}
+func (n *Node) handleSubscribe(_ context.Context, request peer.SubscribeRequest) peer.SubscribeResponse {
+	snapshot := n.publisher.Current()
+	if !snapshot.IsFresh(n.clock()) || n.isLeaving() {
+		return peer.SubscribeResponse{Incarnation: n.incarnation}
 	}
-	response := d.parts.Subscribe(request, d.clock())
-	now := d.clock()
-	response.Incarnation, response.FreshMs = d.life, snapshot.FreshFor(now).Milliseconds()
+	response := n.endpoints.Subscribe(request, n.clock())
+	now := n.clock()
+	response.Incarnation, response.FreshMs = n.incarnation, snapshot.FreshFor(now).Milliseconds()
 	response.RosterAgeMs = now.Sub(snapshot.RosterAsOf).Milliseconds()
 	return response
 }
--- a/internal/controlplane/forecast.go
+++ b/internal/controlplane/forecast.go
@@ -16,13 +16,13 @@
 type forecasts struct {
 	lock sync.Mutex
 	// number is the question's, or 0 if none is open.
-	number   uint64
-	answers  map[string]drill.Answer
-	gathered chan struct{}
+	number  uint64
+	answers map[string]drill.ForecastResponse
+	arrived chan struct{}
 }
 
-// gatherBound is how long the data planes may take to answer.
-const gatherBound = 2 * time.Second
+// forecastTimeout is how long the data planes may take to answer.
+const forecastTimeout = 2 * time.Second
 
 // begin opens a question, and reports false if another is open.
 func (f *forecasts) begin(number uint64) bool {
@@ -32,16 +32,16 @@
 		return false
 	}
 	f.number = number
-	f.answers = map[string]drill.Answer{}
-	f.gathered = make(chan struct{}, 1)
+	f.answers = map[string]drill.ForecastResponse{}
+	f.arrived = make(chan struct{}, 1)
 	return true
 }
 
 // end closes the question and returns its answers.
-func (f *forecasts) end() []drill.Answer {
+func (f *forecasts) end() []drill.ForecastResponse {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	list := make([]drill.Answer, 0, len(f.answers))
+	list := make([]drill.ForecastResponse, 0, len(f.answers))
 	for _, answer := range f.answers {
 		list = append(list, answer)
 	}
@@ -50,10 +50,10 @@
 }
 
 // has tells whether all the data planes have answered.
-func (f *forecasts) has(edges map[string]string) bool {
+func (f *forecasts) complete(dataPlanes map[string]string) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	for name := range edges {
+	for name := range dataPlanes {
 		if _, known := f.answers[name]; !known {
 			return false
 		}
@@ -61,15 +61,15 @@
 	return true
 }
 
-// hearForecast takes in a data plane's answer to the open question.
-func (d *Daemon) hearForecast(ctx context.Context, answer drill.Answer) struct{} {
-	held := &d.forecasts
-	held.lock.Lock()
-	defer held.lock.Unlock()
-	if held.number != 0 && answer.Number == held.number {
-		held.answers[answer.Edge] = answer
+// handleForecast takes in a data plane's answer to the open question.
+func (n *Node) handleForecast(ctx context.Context, answer drill.ForecastResponse) struct{} {
+	pending := &n.forecasts
+	pending.lock.Lock()
+	defer pending.lock.Unlock()
+	if pending.number != 0 && answer.Number == pending.number {
+		pending.answers[answer.DataPlane] = answer
 		select {
-		case held.gathered <- struct{}{}:
+		case pending.arrived <- struct{}{}:
 		default:
 		}
 	}
@@ -79,29 +79,29 @@
 // Forecast foretells the loss of a scope by asking every data plane and the placement holder. It
 // changes nothing in the fleet. A forecast without some answers says which are missing. Any
 // goroutine may call it; one forecast at a time is gathered.
-func (d *Daemon) Forecast(ctx context.Context, scope drill.Scope) (drill.Forecast, error) {
-	if err := scope.Check(d.settings.Zones); err != nil {
+func (n *Node) Forecast(ctx context.Context, scope drill.Scope) (drill.Forecast, error) {
+	if err := scope.Validate(n.settings.Zones); err != nil {
 		return drill.Forecast{}, err
 	}
-	basis, err := d.forecastBasis(scope)
+	fleet, err := n.forecastView(scope)
 	if err != nil {
 		return drill.Forecast{}, err
 	}
-	question := &drill.Question{Number: nonce(), Scope: scope}
-	if !d.forecasts.begin(question.Number) {
+	request := &drill.ForecastRequest{Number: nonce(), Scope: scope}
+	if !n.forecasts.begin(request.Number) {
 		return drill.Forecast{}, apierror.New(apierror.DrillInProgress, "a forecast is being gathered here")
 	}
-	ask := func(asked *drill.Question) {
-		d.publisher.Update(func(next *Snapshot) bool {
-			next.Forecast = asked
+	publishRequest := func(open *drill.ForecastRequest) {
+		n.publisher.Update(func(next *Snapshot) bool {
+			next.Forecast = open
 			return true
 		})
 	}
-	ask(question)
-	d.gather(ctx, basis.Edges)
-	ask(nil)
-	merged := drill.Merge(basis, d.forecasts.end())
-	d.addPlan(ctx, &merged, *question)
+	publishRequest(request)
+	n.awaitForecasts(ctx, fleet.DataPlanes)
+	publishRequest(nil)
+	merged := drill.Merge(fleet, n.forecasts.end())
+	n.addPlan(ctx, &merged, *request)
 	logrus.WithFields(logrus.Fields{
 		"scope":    scope.String(),
 		"answered": len(merged.Answered),
@@ -111,23 +111,23 @@
 }
 
 // gather waits until all the data planes have answered, or the bound has passed.
-func (d *Daemon) gather(ctx context.Context, edges map[string]string) {
-	bounded, cancel := context.WithTimeout(ctx, gatherBound)
+func (n *Node) awaitForecasts(ctx context.Context, dataPlanes map[string]string) {
+	bounded, cancel := context.WithTimeout(ctx, forecastTimeout)
 	defer cancel()
-	for !d.forecasts.has(edges) {
+	for !n.forecasts.complete(dataPlanes) {
 		select {
-		case <-d.forecasts.gathered:
+		case <-n.forecasts.arrived:
 		case <-bounded.Done():
 			return
 		}
 	}
 }
 
-// forecastBasis is what this daemon itself knows for a forecast; it fails without confirmed state
+// forecastView is what this daemon itself knows for a forecast; it fails without confirmed state
 // or a configuration.
-func (d *Daemon) forecastBasis(scope drill.Scope) (drill.FleetView, error) {
-	snapshot := d.publisher.Current()
-	if !snapshot.IsFresh(d.clock()) {
+func (n *Node) forecastView(scope drill.Scope) (drill.FleetView, error) {
+	snapshot := n.publisher.Current()
+	if !snapshot.IsFresh(n.clock()) {
 		return drill.FleetView{}, apierror.New(apierror.NoMajority, "this daemon's state is not confirmed")
 	}
 	document, err := configuration.Decompress(snapshot.PackedConfiguration)
@@ -138,26 +138,26 @@
 	if err != nil {
 		return drill.FleetView{}, err
 	}
-	basis := drill.FleetView{
+	fleet := drill.FleetView{
 		Scope:       scope,
-		Zones:       d.settings.Zones,
+		Zones:       n.settings.Zones,
 		Replicas:    snapshot.Replicas,
 		Table:       configuration.NewTable(read, nil),
-		Demand:      d.scheduler.demandRates(),
-		Members:     d.store.Membership().Current,
-		MemberZones: map[string]string{d.self: d.settings.Zone},
-		Holder:      snapshot.LeaseHolder,
+		Demand:      n.scheduler.demandRates(),
+		Members:     n.store.Membership().Current,
+		MemberZones: map[string]string{n.self: n.settings.Zone},
+		LeaseHolder: snapshot.LeaseHolder,
 	}
-	d.watching.Lock()
-	defer d.watching.Unlock()
-	basis.Edges = d.edges.Zones(d.clock())
-	for name, view := range d.remembered {
+	n.watchLock.Lock()
+	defer n.watchLock.Unlock()
+	fleet.DataPlanes = n.dataPlanes.Zones(n.clock())
+	for name, view := range n.dataPlaneRetention {
 		if view.Left {
-			delete(basis.Edges, name)
+			delete(fleet.DataPlanes, name)
 		}
 	}
-	for address, greeting := range d.joining {
-		basis.MemberZones[address] = greeting.Zone
+	for address, last := range n.lastHeartbeats {
+		fleet.MemberZones[address] = last.Zone
 	}
-	return basis, nil
+	return fleet, nil
 }
--- a/internal/controlplane/forecastplan.go
+++ b/internal/controlplane/forecastplan.go
@@ -10,15 +10,15 @@
 
 // addPlan adds to a forecast what the placement holder would do; the forecast is partial if it
 // cannot be asked.
-func (d *Daemon) addPlan(ctx context.Context, merged *drill.Forecast, question drill.Question) {
-	var plan drill.Plan
-	holder := d.publisher.Current().LeaseHolder
-	if holder == d.self {
-		plan = d.hearPlan(ctx, question)
+func (n *Node) addPlan(ctx context.Context, merged *drill.Forecast, question drill.ForecastRequest) {
+	var plan drill.PlacementPlan
+	holder := n.publisher.Current().LeaseHolder
+	if holder == n.self {
+		plan = n.hearPlan(ctx, question)
 	} else if holder != "" {
-		_ = d.peers.Call(ctx, "plan", holder, question, &plan)
+		_ = n.peers.Call(ctx, "plan", holder, question, &plan)
 	}
-	if !plan.Holds {
+	if !plan.HoldsLease {
 		merged.Partial = true
 		merged.Missing = append(merged.Missing, "placement holder "+holder)
 		sort.Strings(merged.Missing)
@@ -29,36 +29,36 @@
 
 // hearPlan answers what this daemon would do as the holder; the plan does not hold if it is not the
 // holder. The scheduler's goroutine works it out.
-func (d *Daemon) hearPlan(ctx context.Context, question drill.Question) drill.Plan {
-	reply := make(chan drill.Plan, 1)
+func (n *Node) hearPlan(ctx context.Context, question drill.ForecastRequest) drill.PlacementPlan {
+	reply := make(chan drill.PlacementPlan, 1)
 	select {
-	case d.scheduler.results <- func() { reply <- d.scheduler.forecastPlan(question.Scope) }:
+	case n.scheduler.results <- func() { reply <- n.scheduler.forecastPlan(question.Scope) }:
 	case <-ctx.Done():
-		return drill.Plan{}
+		return drill.PlacementPlan{}
 	}
 	select {
 	case plan := <-reply:
 		return plan
 	case <-ctx.Done():
-		return drill.Plan{}
+		return drill.PlacementPlan{}
 	}
 }
 
 // forecastPlan plans on a copy of the present state, without the zones of the scope.
-func (w *Scheduler) forecastPlan(scope drill.Scope) drill.Plan {
+func (w *Scheduler) forecastPlan(scope drill.Scope) drill.PlacementPlan {
 	snapshot := w.daemon.publisher.Current()
 	if table := w.currentTable(snapshot); table == nil || !w.Holding() {
-		return drill.Plan{}
+		return drill.PlacementPlan{}
 	}
 	view := w.view(snapshot, w.table, w.daemon.clock()).Clone()
 	view.RemoveZones(func(zone string) bool { return scope.Covers(zone, w.daemon.settings.Zones[zone]) })
-	plan := drill.Plan{Holds: true, Steps: []drill.PlacementStep{}}
+	plan := drill.PlacementPlan{HoldsLease: true, Steps: []drill.PlacementStep{}}
 	for _, action := range place.Forecast(view) {
 		plan.Steps = append(plan.Steps, drill.PlacementStep{
 			Replica: action.Server,
 			Load:    action.Load,
 			Model:   action.Model,
-			Why:     action.Reason,
+			Reason:  action.Reason,
 		})
 	}
 	return plan
--- a/internal/controlplane/greetings.go
+++ b/internal/controlplane/greetings.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	greetEvery = 400 * time.Millisecond
-	// joinEvery is the pause of a daemon that does not vote yet: others wait for its word.
-	joinEvery    = 150 * time.Millisecond
-	watcherCount = 3
-	// edgesTurns is how often, in greetings, the names of live data planes go along.
-	edgesTurns = 5
+	heartbeatInterval = 400 * time.Millisecond
+	// joiningHeartbeatInterval is the pause of a daemon that does not vote yet: others wait for its word.
+	joiningHeartbeatInterval = 150 * time.Millisecond
+	watcherCount             = 3
+	// dataPlaneListPeriod is how often, in greetings, the names of live data planes go along.
+	dataPlaneListPeriod = 5
 )
 
-// otherControls lists the addresses of all control daemons that this one knows of.
-func (d *Daemon) otherControls() []string {
+// otherControlNodes lists the addresses of all control daemons that this one knows of.
+func (n *Node) otherControlNodes() []string {
 	known := map[string]bool{}
-	for _, member := range d.store.Membership().All() {
+	for _, member := range n.store.Membership().All() {
 		known[member] = true
 	}
-	for _, seed := range d.settings.SeedPeers() {
+	for _, seed := range n.settings.SeedPeers() {
 		known[seed] = true
 	}
-	d.watching.Lock()
-	for _, name := range d.controls.Live(d.clock(), d.controls.ExpireAfter) {
+	n.watchLock.Lock()
+	for _, name := range n.controlNodes.Live(n.clock(), n.controlNodes.ExpireAfter) {
 		known[name] = true
 	}
-	d.watching.Unlock()
-	delete(known, d.self)
+	n.watchLock.Unlock()
+	delete(known, n.self)
 	others := make([]string, 0, len(known))
 	for address := range known {
 		others = append(others, address)
@@ -44,123 +44,123 @@
 	return others
 }
 
-// greeted is the answer to a greeting.
-type greeted struct {
+// heartbeatReply is the answer to a greeting.
+type heartbeatReply struct {
 	Members keystore.Membership `json:"members"`
 	Control []string            `json:"control"`
 }
 
-func (d *Daemon) greetLoop(ctx context.Context) {
-	leaving := d.leaving
+func (n *Node) runHeartbeats(ctx context.Context) {
+	leaving := n.leaving
 	for {
-		voting := d.greet(ctx)
-		pause := greetEvery
+		voting := n.sendHeartbeats(ctx)
+		interval := heartbeatInterval
 		if !voting {
-			pause = joinEvery
+			interval = joiningHeartbeatInterval
 		}
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(interval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-leaving:
 			leaving = nil
-		case <-d.caughtUp:
+		case <-n.caughtUp:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-func (d *Daemon) isLeaving() bool {
+func (n *Node) isLeaving() bool {
 	select {
-	case <-d.leaving:
+	case <-n.leaving:
 		return true
 	default:
 		return false
 	}
 }
 
-func (d *Daemon) greeting() peer.Heartbeat {
-	self := d.acceptor.LocalState()
-	greeting := peer.Heartbeat{
-		NodeName: d.settings.NodeName, Address: d.self, Joining: !self.Voting, MembershipVersion: self.MembershipVersion, Leaving: d.isLeaving(), Zone: d.settings.Zone,
-		Unreachable: d.membershipView().Suspects(),
-	}
-	if d.greetings++; d.greetings%edgesTurns == 1 || greeting.Leaving {
-		d.watching.Lock()
-		greeting.DataPlanes = d.edges.Live(d.clock(), 2*inTouch)
-		d.watching.Unlock()
-	}
-	return greeting
+func (n *Node) heartbeat() peer.Heartbeat {
+	self := n.acceptor.LocalState()
+	message := peer.Heartbeat{
+		NodeName: n.settings.NodeName, Address: n.self, Joining: !self.Voting, MembershipVersion: self.MembershipVersion, Leaving: n.isLeaving(), Zone: n.settings.Zone,
+		Unreachable: n.membershipView().Suspects(),
+	}
+	if n.heartbeatsSent++; n.heartbeatsSent%dataPlaneListPeriod == 1 || message.Leaving {
+		n.watchLock.Lock()
+		message.DataPlanes = n.dataPlanes.Live(n.clock(), 2*inContactWindow)
+		n.watchLock.Unlock()
+	}
+	return message
 }
 
 // greet tells the watchers on the ring, and all members, that this daemon lives. A daemon
 // without a vote greets all that it knows, and tries to catch up. It says whether it votes.
-func (d *Daemon) greet(ctx context.Context) bool {
-	greeting := d.greeting()
-	others := d.otherControls()
-	targets := heartbeat.Watchers(d.self, others, watcherCount)
-	for _, member := range d.store.Membership().All() {
-		if member != d.self && !slices.Contains(targets, member) {
+func (n *Node) sendHeartbeats(ctx context.Context) bool {
+	message := n.heartbeat()
+	others := n.otherControlNodes()
+	targets := heartbeat.Watchers(n.self, others, watcherCount)
+	for _, member := range n.store.Membership().All() {
+		if member != n.self && !slices.Contains(targets, member) {
 			targets = append(targets, member)
 		}
 	}
-	if greeting.Joining {
+	if message.Joining {
 		targets = others
-		go d.catchUp(ctx)
+		go n.catchUp(ctx)
 	}
 	for _, address := range targets {
 		go func() {
-			var reply greeted
-			if d.peers.Call(ctx, "greet", address, greeting, &reply) == nil {
-				d.store.AdoptMembership(reply.Members)
-				d.noteControls(reply.Control)
+			var reply heartbeatReply
+			if n.peers.Call(ctx, "greet", address, message, &reply) == nil {
+				n.store.AdoptMembership(reply.Members)
+				n.addControlNodes(reply.Control)
 			}
 		}()
 	}
-	d.publishCounts(others)
-	return !greeting.Joining
+	n.publishNodeCounts(others)
+	return !message.Joining
 }
 
-func (d *Daemon) publishCounts(others []string) {
-	d.watching.Lock()
-	counted := max(d.edges.Count(d.clock()), 1)
-	neighbours := d.listNeighbours()
-	d.watching.Unlock()
-	present, running := counted, d.clock().Sub(d.started)
-	if running < presentTime {
+func (n *Node) publishNodeCounts(others []string) {
+	n.watchLock.Lock()
+	count := max(n.dataPlanes.Count(n.clock()), 1)
+	neighbours := n.neighbourList()
+	n.watchLock.Unlock()
+	present, uptime := count, n.clock().Sub(n.startedAt)
+	if uptime < earlyDataPlaneCountDelay {
 		present = 0
 	}
-	if running < settleTime {
-		counted = 0
+	if uptime < dataPlaneCountDelay {
+		count = 0
 	}
-	control := append(others, d.self)
+	control := append(others, n.self)
 	sort.Strings(control)
 	update := func(next *Snapshot) {
-		next.DataPlaneCount, next.EarlyDataPlaneCount, next.ControlPlanes, next.Neighbours = counted, present, control, neighbours
+		next.DataPlaneCount, next.EarlyDataPlaneCount, next.ControlPlanes, next.Neighbours = count, present, control, neighbours
 	}
-	if firstCount := present > 0 && d.publisher.Current().EarlyDataPlaneCount == 0; firstCount {
-		d.publisher.Update(func(next *Snapshot) bool { update(next); return true })
+	if firstCount := present > 0 && n.publisher.Current().EarlyDataPlaneCount == 0; firstCount {
+		n.publisher.Update(func(next *Snapshot) bool { update(next); return true })
 		return
 	}
-	d.publisher.UpdateQuietly(update)
+	n.publisher.UpdateQuietly(update)
 }
 
-func (d *Daemon) hearGreeting(_ context.Context, greeting peer.Heartbeat) greeted {
-	now := d.clock()
-	d.watching.Lock()
-	d.controls.Record(greeting.Address, heartbeat.Heartbeat{ReportedAt: now})
-	d.joining[greeting.Address] = greeting
-	if greeting.Leaving && greeting.Address == d.publisher.Current().LeaseHolder {
-		d.scheduler.forgetHolder()
-	}
-	for _, edge := range greeting.DataPlanes {
-		d.edges.RecordContact(edge, now)
-		if _, known := d.remembered[edge]; !known {
-			d.remembered[edge] = retention.DataPlaneView{}
+func (n *Node) handleHeartbeat(_ context.Context, message peer.Heartbeat) heartbeatReply {
+	now := n.clock()
+	n.watchLock.Lock()
+	n.controlNodes.Record(message.Address, heartbeat.Heartbeat{ReportedAt: now})
+	n.lastHeartbeats[message.Address] = message
+	if message.Leaving && message.Address == n.publisher.Current().LeaseHolder {
+		n.scheduler.forgetHolder()
+	}
+	for _, dataPlane := range message.DataPlanes {
+		n.dataPlanes.RecordContact(dataPlane, now)
+		if _, known := n.dataPlaneRetention[dataPlane]; !known {
+			n.dataPlaneRetention[dataPlane] = retention.DataPlaneView{}
 		}
 	}
-	d.watching.Unlock()
-	return greeted{Members: d.store.Membership(), Control: append(d.otherControls(), d.self)}
+	n.watchLock.Unlock()
+	return heartbeatReply{Members: n.store.Membership(), Control: append(n.otherControlNodes(), n.self)}
 }
--- a/internal/controlplane/loads_test.go
+++ b/internal/controlplane/loads_test.go
@@ -22,7 +22,7 @@
 			Name:    "s",
 			Runtime: &configuration.Runtime{LoadsPerS: rate},
 		}}}, nil)
-		scheduler := &Scheduler{daemon: &Daemon{settings: nodesettings.Settings{TimingBounds: nodesettings.TimingBounds{
+		scheduler := &Scheduler{daemon: &Node{settings: nodesettings.Settings{TimingBounds: nodesettings.TimingBounds{
 			OriginPeriodS: span,
 			OriginOverage: overage,
 		}}}}
--- a/internal/controlplane/managed.go
+++ b/internal/controlplane/managed.go
@@ -101,7 +101,7 @@
 	w.lock.Unlock()
 	w.unshown, w.shown = false, now
 	w.daemon.publishRoster()
-	_ = w.daemon.bus.Publish(event.Placement, len(w.managed))
+	_ = w.daemon.bus.Publish(event.TopicPlacementChanged, len(w.managed))
 }
 
 // hideOverlays takes back what showOverlays has given: another daemon may know better.
@@ -115,11 +115,11 @@
 	}
 	w.unshown = true
 	w.daemon.publishRoster()
-	_ = w.daemon.bus.Publish(event.Placement, 0)
+	_ = w.daemon.bus.Publish(event.TopicPlacementChanged, 0)
 }
 
 // heldModels lists a set of references as the platform's list does, ordered by name.
-func heldModels(models map[string]bool) []platform.Held {
+func heldModels(models map[string]bool) []platform.LoadedModel {
 	adapters := map[string][]string{}
 	for reference := range models {
 		model, adapter, _ := strings.Cut(reference, "/")
@@ -130,10 +130,10 @@
 			adapters[model] = append(adapters[model], adapter)
 		}
 	}
-	var list []platform.Held
+	var list []platform.LoadedModel
 	for model, names := range adapters {
 		sort.Strings(names)
-		list = append(list, platform.Held{Name: model, Revision: 1, Adapters: names})
+		list = append(list, platform.LoadedModel{Name: model, Revision: 1, Adapters: names})
 	}
 	sort.Slice(list, func(left, right int) bool { return list[left].Name < list[right].Name })
 	return list
@@ -184,7 +184,7 @@
 }
 
 // references is the set of references of a replica's models and adapters.
-func references(models []platform.Held) map[string]bool {
+func references(models []platform.LoadedModel) map[string]bool {
 	found := map[string]bool{}
 	for _, held := range models {
 		found[held.Name] = true
--- a/internal/controlplane/managedreplica.go
+++ b/internal/controlplane/managedreplica.go
@@ -106,7 +106,7 @@
 }
 
 // holdsExactly tells whether a set of references is that of the listed models and adapters.
-func holdsExactly(held map[string]bool, models []platform.Held) bool {
+func holdsExactly(held map[string]bool, models []platform.LoadedModel) bool {
 	amount := 0
 	for _, model := range models {
 		if !held[model.Name] {
--- a/internal/controlplane/managedreplica_test.go
+++ b/internal/controlplane/managedreplica_test.go
@@ -18,14 +18,14 @@
 func placingScheduler(now *time.Time, fence uint64) (*Scheduler, []platform.Replica) {
 	settings := nodesettings.Settings{CloudAPI: nodesettings.CloudAPI{MaxLagMs: 800}}
 	w := &Scheduler{
-		daemon:   &Daemon{clock: func() time.Time { return *now }, settings: settings, publisher: NewPublisher(), parts: NewEndpointPublisher()},
+		daemon:   &Node{clock: func() time.Time { return *now }, settings: settings, publisher: NewPublisher(), endpoints: NewEndpointPublisher()},
 		heldOnce: map[string]map[string]bool{},
 		managed:  map[string]*managedReplica{},
 		overlays: map[string]overlay{},
 		sizes:    place.NewSizeHistory(),
 	}
 	w.grant = &lease.Grant{Record: lease.Record{Fence: fence}, GrantedAt: *now, ExpiresAt: now.Add(time.Hour)}
-	listed := []platform.Replica{{ID: "r", Backend: "s", Address: "here", Models: []platform.Held{{Name: "m"}}}}
+	listed := []platform.Replica{{ID: "r", Backend: "s", Address: "here", Models: []platform.LoadedModel{{Name: "m"}}}}
 	w.adoptList(listed, *now)
 	return w, listed
 }
@@ -78,7 +78,7 @@
 	assert.Assert(t, one.state.Reported(replicastate.Report{Held: map[string]bool{"m": true}}, now))
 	order, decided := one.state.Decide(replicastate.Change{Load: true, Reference: "n"}, now)
 	assert.Assert(t, decided)
-	w.daemon.scheduler, w.daemon.bus = w, event.NewBus()
+	w.daemon.scheduler, w.daemon.bus = w, event.New()
 	renewed := *w.grant
 	now = w.grant.ExpiresAt
 	w.adoptGrant(w.grant)
--- a/internal/controlplane/parts.go
+++ b/internal/controlplane/parts.go
@@ -93,8 +93,8 @@
 	changed map[peer.EndpointKey]bool,
 ) {
 	warmUpUntil := time.Time{}
-	if listed.ColdRemainingMs > 0 {
-		warmUpUntil = at.Add(time.Duration(listed.ColdRemainingMs * float64(time.Millisecond)))
+	if listed.WarmUpRemainingMs > 0 {
+		warmUpUntil = at.Add(time.Duration(listed.WarmUpRemainingMs * float64(time.Millisecond)))
 	}
 	previous := p.replicas[listed.ID]
 	if previous != nil && len(cordoned) == 0 && previous.isFullyUsable() && previous.sameListing(listed, warmUpUntil) {
--- a/internal/controlplane/parts_test.go
+++ b/internal/controlplane/parts_test.go
@@ -21,7 +21,7 @@
 func replicaWith(id string, models ...string) platform.Replica {
 	replica := platform.Replica{ID: id, Backend: "s", Address: "at-" + id, Zone: "north", State: "ready", Slots: 4}
 	for _, model := range models {
-		replica.Models = append(replica.Models, platform.Held{Name: model, Revision: 1})
+		replica.Models = append(replica.Models, platform.LoadedModel{Name: model, Revision: 1})
 	}
 	return replica
 }
@@ -141,7 +141,7 @@
 				for name := range followed {
 					var wanted []string
 					for _, one := range listed {
-						if one.Holds(name.Model, "") && !slices.Contains(barred, one.ID+" "+name.Model) {
+						if one.HasLoaded(name.Model, "") && !slices.Contains(barred, one.ID+" "+name.Model) {
 							wanted = append(wanted, one.ID)
 						}
 					}
--- a/internal/controlplane/pinned_test.go
+++ b/internal/controlplane/pinned_test.go
@@ -12,14 +12,14 @@
 
 func TestReplies_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
-		"answer to a share of the roster": new(rosterReply),
-		"answer to a greeting":            new(greeted),
+		"answer to a share of the roster": new(rosterAck),
+		"answer to a greeting":            new(heartbeatReply),
 	})
 }
 
 func TestDaemon_PathsForPeersStayTheSame(t *testing.T) {
 	var paths []string
-	router, routed := (&Daemon{}).peerRoutes().(chi.Routes)
+	router, routed := (&Node{}).peerRoutes().(chi.Routes)
 	assert.Assert(t, routed)
 	walked := chi.Walk(router, func(method, path string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
 		paths = append(paths, method+" "+path)
--- a/internal/controlplane/planning.go
+++ b/internal/controlplane/planning.go
@@ -36,7 +36,7 @@
 	if table == nil || snapshot.RosterAsOf.IsZero() || now.Sub(snapshot.RosterAsOf) > 3*time.Second {
 		return
 	}
-	listed, readAt := w.daemon.roster.held()
+	listed, readAt := w.daemon.roster.current()
 	w.adoptList(listed, readAt)
 	for _, id := range w.duePolls(table, now) {
 		w.pollReport(ctx, id)
--- a/internal/controlplane/publisher.go
+++ b/internal/controlplane/publisher.go
@@ -32,8 +32,8 @@
 	Neighbours          *peer.Neighbours
 	Retention           retention.Policy
 	Forgets             retention.Record
-	Forecast            *drill.Question
-	Drill               drillView
+	Forecast            *drill.ForecastRequest
+	Drill               drillState
 	changed             chan struct{}
 	confirmed           chan struct{}
 }
--- a/internal/controlplane/records.go
+++ b/internal/controlplane/records.go
@@ -12,47 +12,47 @@
 	"ferryspar/internal/peer"
 )
 
-func (d *Daemon) apply(slot keystore.Register) {
-	d.applied.Lock()
-	defer d.applied.Unlock()
-	if held, known := d.shown[slot.Key]; known && !slot.NewerThan(held) {
+func (n *Node) apply(register keystore.Register) {
+	n.applyLock.Lock()
+	defer n.applyLock.Unlock()
+	if applied, known := n.appliedRegisters[register.Key]; known && !register.NewerThan(applied) {
 		return
 	}
 	switch {
-	case slot.Key == keystore.ConfigurationKey:
-		d.applyConfiguration(slot)
-	case slot.Key == keystore.MembershipKey:
+	case register.Key == keystore.ConfigurationKey:
+		n.applyConfiguration(register)
+	case register.Key == keystore.MembershipKey:
 		var members keystore.Membership
-		if json.Unmarshal(slot.Value, &members) == nil && d.store.AdoptMembership(members) {
+		if json.Unmarshal(register.Value, &members) == nil && n.store.AdoptMembership(members) {
 			logrus.WithFields(logrus.Fields{"number": members.Version, "present": members.Current, "next": members.Next}).Info("members adopted")
 		}
-	case slot.Key == placementLease:
+	case register.Key == placementLease:
 		var record lease.Record
-		if json.Unmarshal(slot.Value, &record) == nil {
-			d.publisher.Update(func(next *Snapshot) bool {
+		if json.Unmarshal(register.Value, &record) == nil {
+			n.publisher.Update(func(next *Snapshot) bool {
 				changed := next.LeaseHolder != record.Address
 				next.LeaseHolder = record.Address
 				return changed
 			})
 		}
-	case strings.HasPrefix(slot.Key, keystore.ZonePrefix):
-		d.applyZone(slot)
-	case slot.Key == keystore.RetentionKey:
-		d.applyPolicy(slot)
-	case slot.Key == keystore.ForgetKey:
-		d.applyForgets(slot)
-	case slot.Key == keystore.DrillKey:
-		d.applyDrill(slot)
+	case strings.HasPrefix(register.Key, keystore.ZonePrefix):
+		n.applyZone(register)
+	case register.Key == keystore.RetentionKey:
+		n.applyPolicy(register)
+	case register.Key == keystore.ForgetKey:
+		n.applyForgets(register)
+	case register.Key == keystore.DrillKey:
+		n.applyDrill(register)
 	}
-	d.shown[slot.Key] = slot.WithoutValue()
+	n.appliedRegisters[register.Key] = register.WithoutValue()
 }
 
-func (d *Daemon) applyConfiguration(slot keystore.Register) {
-	record, err := controlstate.DecodeConfiguration(slot)
+func (n *Node) applyConfiguration(register keystore.Register) {
+	record, err := controlstate.DecodeConfiguration(register)
 	if err != nil {
 		return
 	}
-	d.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *Snapshot) bool {
 		if record.Revision <= next.Revision {
 			return false
 		}
@@ -61,13 +61,13 @@
 	})
 }
 
-func (d *Daemon) applyZone(slot keystore.Register) {
-	zone := strings.TrimPrefix(slot.Key, keystore.ZonePrefix)
-	record, err := controlstate.DecodeZone(slot)
+func (n *Node) applyZone(register keystore.Register) {
+	zone := strings.TrimPrefix(register.Key, keystore.ZonePrefix)
+	record, err := controlstate.DecodeZone(register)
 	if err != nil {
 		return
 	}
-	d.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *Snapshot) bool {
 		if record.Version <= next.Zones[zone].Version {
 			return false
 		}
--- a/internal/controlplane/replicafacts.go
+++ b/internal/controlplane/replicafacts.go
@@ -80,8 +80,8 @@
 }
 
 // sameModels tells whether two lists of models are the same, in order too.
-func sameModels(former, latter []platform.Held) bool {
-	return slices.EqualFunc(former, latter, func(left, right platform.Held) bool {
+func sameModels(former, latter []platform.LoadedModel) bool {
+	return slices.EqualFunc(former, latter, func(left, right platform.LoadedModel) bool {
 		return left.Name == right.Name && left.Revision == right.Revision && slices.Equal(left.Adapters, right.Adapters)
 	})
 }
--- a/internal/controlplane/reportpolls_test.go
+++ b/internal/controlplane/reportpolls_test.go
@@ -20,7 +20,7 @@
 		Runtime: &configuration.Runtime{Slots: 12},
 	}}}, nil)
 	w := &Scheduler{
-		daemon:   &Daemon{clock: func() time.Time { return now }},
+		daemon:   &Node{clock: func() time.Time { return now }},
 		demand:   map[string]*place.Demand{},
 		heldOnce: map[string]map[string]bool{},
 		managed:  map[string]*managedReplica{},
@@ -28,7 +28,7 @@
 	}
 	var listed []platform.Replica
 	for index := range 3 * pollsAtOnce {
-		held := []platform.Held{{Name: fmt.Sprint("m", index)}}
+		held := []platform.LoadedModel{{Name: fmt.Sprint("m", index)}}
 		listed = append(listed, platform.Replica{
 			ID:      fmt.Sprintf("r%04d", index),
 			Address: fmt.Sprint("at", index),
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -14,122 +14,122 @@
 	"ferryspar/internal/retention"
 )
 
-func (d *Daemon) peerRoutes() http.Handler {
+func (n *Node) peerRoutes() http.Handler {
 	router := chi.NewRouter()
-	router.Post(peer.Methods["keystore"].Path, peer.Handler(d.hearKeystore))
-	router.Post(peer.Methods["learn"].Path, peer.Handler(d.hearLearned))
-	router.Post(peer.Methods["news"].Path, peer.Handler(d.hearPoll))
-	router.Post(peer.Methods["pressure"].Path, peer.Handler(d.handleLoadReport))
-	router.Post(peer.Methods["follow"].Path, peer.Handler(d.handleSubscribe))
-	router.Post(peer.Methods["sums"].Path, peer.Handler(d.handleLoadSummary))
-	router.Post(peer.Methods["roster"].Path, peer.Handler(d.hearRoster))
-	router.Post(peer.Methods["greet"].Path, peer.Handler(d.hearGreeting))
-	router.Post(peer.Methods["forecast"].Path, peer.Handler(d.hearForecast))
-	router.Post(peer.Methods["plan"].Path, peer.Handler(d.hearPlan))
+	router.Post(peer.Methods["keystore"].Path, peer.Handler(n.handleKeystore))
+	router.Post(peer.Methods["learn"].Path, peer.Handler(n.handleKeyUpdate))
+	router.Post(peer.Methods["news"].Path, peer.Handler(n.handleWatch))
+	router.Post(peer.Methods["pressure"].Path, peer.Handler(n.handleLoadReport))
+	router.Post(peer.Methods["follow"].Path, peer.Handler(n.handleSubscribe))
+	router.Post(peer.Methods["sums"].Path, peer.Handler(n.handleLoadSummary))
+	router.Post(peer.Methods["roster"].Path, peer.Handler(n.handleRosterUpdate))
+	router.Post(peer.Methods["greet"].Path, peer.Handler(n.handleHeartbeat))
+	router.Post(peer.Methods["forecast"].Path, peer.Handler(n.handleForecast))
+	router.Post(peer.Methods["plan"].Path, peer.Handler(n.hearPlan))
 	return router
 }
 
-func (d *Daemon) hearKeystore(ctx context.Context, message keystore.Message) keystore.Reply {
-	reply, err := d.acceptor.Call(ctx, message)
+func (n *Node) handleKeystore(ctx context.Context, message keystore.Message) keystore.Reply {
+	reply, err := n.acceptor.Call(ctx, message)
 	if err != nil {
 		return keystore.Reply{Rejection: keystore.RejectedUnreachable}
 	}
 	return reply
 }
 
-func (d *Daemon) hearLearned(ctx context.Context, learned peer.KeyUpdate) struct{} {
-	d.learn(ctx, learned.Register)
+func (n *Node) handleKeyUpdate(ctx context.Context, update peer.KeyUpdate) struct{} {
+	n.applyCommitted(ctx, update.Register)
 	return struct{}{}
 }
 
-// hearPoll answers a data plane's poll once there is something that it was not told, or after
+// handleWatch answers a data plane's poll once there is something that it was not told, or after
 // the time for which it may be held. A poll that asks for a proof is answered with one.
-func (d *Daemon) hearPoll(ctx context.Context, poll peer.WatchRequest) peer.WatchResponse {
-	came := d.clock()
-	d.notePoll(poll, came)
-	hold := time.NewTimer(time.Duration(min(max(poll.MaxWaitMs, 1), longestHoldMs)) * time.Millisecond)
-	defer hold.Stop()
-	var woken <-chan struct{}
-	if poll.Primary {
-		woken = d.parts.wakeChannel(poll.DataPlane)
+func (n *Node) handleWatch(ctx context.Context, request peer.WatchRequest) peer.WatchResponse {
+	receivedAt := n.clock()
+	n.recordWatch(request, receivedAt)
+	timeout := time.NewTimer(time.Duration(min(max(request.MaxWaitMs, 1), maxWatchMs)) * time.Millisecond)
+	defer timeout.Stop()
+	var endpointsChanged <-chan struct{}
+	if request.Primary {
+		endpointsChanged = n.endpoints.wakeChannel(request.DataPlane)
 	} else {
-		d.sums.RemoveReport(poll.DataPlane)
+		n.loads.RemoveReport(request.DataPlane)
 	}
-	if poll.Linearizable {
-		d.confirmer.Soon()
+	if request.Linearizable {
+		n.confirmer.Request()
 	}
 	for {
-		snapshot := d.publisher.Current()
-		news, answers := d.news(snapshot, poll, came)
+		snapshot := n.publisher.Current()
+		response, answers := n.watchResponse(snapshot, request, receivedAt)
 		if answers {
-			return news
+			return response
 		}
 		select {
 		case <-snapshot.changed:
-		case <-proofOf(snapshot, poll):
-		case <-woken:
-		case <-hold.C:
-			news, _ = d.news(d.publisher.Current(), poll, came)
-			return news
+		case <-nextConfirmation(snapshot, request):
+		case <-endpointsChanged:
+		case <-timeout.C:
+			response, _ = n.watchResponse(n.publisher.Current(), request, receivedAt)
+			return response
 		case <-ctx.Done():
 			return peer.WatchResponse{}
 		}
 	}
 }
 
-const longestHoldMs = 2000
+const maxWatchMs = 2000
 
-// proofOf is closed at the next confirmation, for polls that wait for one.
-func proofOf(snapshot *Snapshot, poll peer.WatchRequest) <-chan struct{} {
-	if poll.Linearizable {
+// nextConfirmation is closed at the next confirmation, for polls that wait for one.
+func nextConfirmation(snapshot *Snapshot, request peer.WatchRequest) <-chan struct{} {
+	if request.Linearizable {
 		return snapshot.confirmed
 	}
 	return nil
 }
 
-func (d *Daemon) notePoll(poll peer.WatchRequest, came time.Time) {
-	d.watching.Lock()
-	d.edges.Record(poll.DataPlane, heartbeat.Heartbeat{ReportedAt: came, Zone: poll.Zone, Revision: poll.Revision, ZoneChanges: poll.ZoneVersion})
-	d.remembered[poll.DataPlane] = retention.DataPlaneView{Applied: poll.AppliedForget, Left: poll.Leaving}
-	if poll.Address != "" {
-		d.neighbours[poll.DataPlane] = poll.Address
+func (n *Node) recordWatch(request peer.WatchRequest, receivedAt time.Time) {
+	n.watchLock.Lock()
+	n.dataPlanes.Record(request.DataPlane, heartbeat.Heartbeat{ReportedAt: receivedAt, Zone: request.Zone, Revision: request.Revision, ZoneChanges: request.ZoneVersion})
+	n.dataPlaneRetention[request.DataPlane] = retention.DataPlaneView{Applied: request.AppliedForget, Left: request.Leaving}
+	if request.Address != "" {
+		n.dataPlaneAddresses[request.DataPlane] = request.Address
 	}
-	d.watching.Unlock()
-	if poll.Drill != nil {
-		d.noteReport(poll.DataPlane, *poll.Drill)
+	n.watchLock.Unlock()
+	if request.Drill != nil {
+		n.recordDrillReport(request.DataPlane, *request.Drill)
 	}
 }
 
 // news composes the answer to a poll that came at the time given, and says whether it must not
 // be held any longer. A daemon that leaves tells nothing as confirmed: data planes then follow
 // another one while this one is still there.
-func (d *Daemon) news(snapshot *Snapshot, poll peer.WatchRequest, came time.Time) (peer.WatchResponse, bool) {
-	now := d.clock()
-	news := snapshot.Response(poll, d.self, d.settings.Zone, d.life, now)
-	answers := snapshot.HasUpdateFor(poll, d.life, now)
-	if poll.Primary && news.FreshMs > 0 {
-		news.EndpointSets, news.RosterVersion, news.Resubscribe = d.parts.Changes(poll, d.life, now)
-		answers = answers || len(news.EndpointSets) > 0 || news.Resubscribe
+func (n *Node) watchResponse(snapshot *Snapshot, request peer.WatchRequest, receivedAt time.Time) (peer.WatchResponse, bool) {
+	now := n.clock()
+	response := snapshot.Response(request, n.self, n.settings.Zone, n.incarnation, now)
+	answers := snapshot.HasUpdateFor(request, n.incarnation, now)
+	if request.Primary && response.FreshMs > 0 {
+		response.EndpointSets, response.RosterVersion, response.Resubscribe = n.endpoints.Changes(request, n.incarnation, now)
+		answers = answers || len(response.EndpointSets) > 0 || response.Resubscribe
 	}
-	news.WaitedMs = now.Sub(came).Milliseconds()
-	if poll.Linearizable {
-		news.Linearizable = snapshot.ConfirmedAt.After(came)
-		answers = news.Linearizable
+	response.WaitedMs = now.Sub(receivedAt).Milliseconds()
+	if request.Linearizable {
+		response.Linearizable = snapshot.ConfirmedAt.After(receivedAt)
+		answers = response.Linearizable
 	}
-	if news.FreshMs > 0 {
-		d.watching.Lock()
-		if since := d.edges.FirstSeen(poll.DataPlane); !since.IsZero() {
-			news.CountedForMs = now.Sub(since).Milliseconds()
+	if response.FreshMs > 0 {
+		n.watchLock.Lock()
+		if since := n.dataPlanes.FirstSeen(request.DataPlane); !since.IsZero() {
+			response.CountedForMs = now.Sub(since).Milliseconds()
 		}
-		news.CountReliable = now.Sub(d.started) > d.edges.ExpireAfter
-		d.watching.Unlock()
+		response.CountReliable = now.Sub(n.startedAt) > n.dataPlanes.ExpireAfter
+		n.watchLock.Unlock()
 	}
-	if d.isLeaving() {
-		news.FreshMs, news.Linearizable = 0, false
+	if n.isLeaving() {
+		response.FreshMs, response.Linearizable = 0, false
 	}
-	return news, answers
+	return response, answers
 }
 
-func (d *Daemon) operatorRoutes() http.Handler {
-	return operator.Routes(d, operator.NewGuard(d.settings.BindAddresses.ControlPlane, d.clock))
+func (n *Node) adminRoutes() http.Handler {
+	return operator.NewHandler(n, operator.NewReplayGuard(n.settings.BindAddresses.ControlPlane, n.clock))
 }
--- a/internal/controlplane/scheduler.go
+++ b/internal/controlplane/scheduler.go
@@ -19,13 +19,13 @@
 
 type overlay struct {
 	at     time.Time
-	models []platform.Held
+	models []platform.LoadedModel
 	barred []string
 }
 
 // Scheduler places models and adapters on replicas while this daemon holds the placement lease.
 type Scheduler struct {
-	daemon    *Daemon
+	daemon    *Node
 	keeper    *lease.Manager
 	hold      atomic.Pointer[lease.Grant]
 	released  chan struct{}
@@ -54,7 +54,7 @@
 }
 
 // NewScheduler makes the scheduler of a daemon.
-func NewScheduler(daemon *Daemon) *Scheduler {
+func NewScheduler(daemon *Node) *Scheduler {
 	bounds := daemon.settings.TimingBounds
 	return &Scheduler{
 		daemon: daemon,
@@ -198,10 +198,10 @@
 	since := w.heardFrom
 	w.lock.Unlock()
 	patience := w.keeper.TTL + tryMargin
-	if w.daemon.hearsOther(snapshot.LeaseHolder, now) {
+	if w.daemon.isReachable(snapshot.LeaseHolder, now) {
 		patience += headStart
-		if since.Before(w.daemon.started) {
-			since = w.daemon.started
+		if since.Before(w.daemon.startedAt) {
+			since = w.daemon.startedAt
 		}
 	}
 	return now.Sub(since) > patience
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -8,37 +8,37 @@
 )
 
 // Status tells what this daemon knows of the fleet and how sure it is of it.
-func (d *Daemon) Status() operator.Fleet {
-	snapshot := d.publisher.Current()
-	members := d.store.Membership()
-	now := d.clock()
-	self := d.acceptor.LocalState()
-	fleet := operator.Fleet{
-		Member: d.self, IsMember: members.Contains(d.self), Voting: self.Voting, Leaving: d.isLeaving(),
-		Fresh: snapshot.IsFresh(now), ConfirmedMs: age(now, snapshot.ConfirmedAt),
-		Revision: snapshot.Revision, Members: members.Current, Next: members.Next, MembersNumber: members.Version,
-		MembersChange: d.membersChange.Load(), Holder: snapshot.LeaseHolder,
-		Control: snapshot.ControlPlanes, Replicas: snapshot.Replicas, ListMs: age(now, snapshot.RosterAsOf), Drained: []string{},
-		Silent: d.membershipView().Suspects(),
+func (n *Node) Status() operator.FleetStatus {
+	snapshot := n.publisher.Current()
+	members := n.store.Membership()
+	now := n.clock()
+	self := n.acceptor.LocalState()
+	status := operator.FleetStatus{
+		Member: n.self, IsMember: members.Contains(n.self), Voting: self.Voting, Leaving: n.isLeaving(),
+		Fresh: snapshot.IsFresh(now), ConfirmedAgeMs: age(now, snapshot.ConfirmedAt),
+		Revision: snapshot.Revision, Members: members.Current, NextMembers: members.Next, MembershipVersion: members.Version,
+		MembershipChange: n.membershipChange.Load(), PlacementHolder: snapshot.LeaseHolder,
+		ControlPlanes: snapshot.ControlPlanes, Replicas: snapshot.Replicas, ListAgeMs: age(now, snapshot.RosterAsOf), DrainedZones: []string{},
+		SilentMembers: n.membershipView().Suspects(),
 	}
 	for zone, state := range snapshot.Zones {
 		if state.Drained {
-			fleet.Drained = append(fleet.Drained, zone)
+			status.DrainedZones = append(status.DrainedZones, zone)
 		}
 	}
-	sort.Strings(fleet.Drained)
-	d.watching.Lock()
-	fleet.Edges = d.edges.Live(d.clock(), 2*inTouch)
-	d.watching.Unlock()
-	return fleet
+	sort.Strings(status.DrainedZones)
+	n.watchLock.Lock()
+	status.DataPlanes = n.dataPlanes.Live(n.clock(), 2*inContactWindow)
+	n.watchLock.Unlock()
+	return status
 }
 
-// neverAge is the age told of what has not happened yet.
-const neverAge = -1
+// unknownAge is the age told of what has not happened yet.
+const unknownAge = -1
 
 func age(now, at time.Time) int64 {
 	if at.IsZero() {
-		return neverAge
+		return unknownAge
 	}
 	return now.Sub(at).Milliseconds()
 }
--- a/internal/controlplane/storebudget.go
+++ b/internal/controlplane/storebudget.go
@@ -78,8 +78,8 @@
 
 // lastActBefore is a moment after which no holder before the grant begins a load.
 func (w *Scheduler) lastActBefore(grant *lease.Grant) time.Time {
-	if grant.FollowsOwnRestart() && w.daemon.started.Before(grant.GrantedAt) {
-		return w.daemon.started
+	if grant.FollowsOwnRestart() && w.daemon.startedAt.Before(grant.GrantedAt) {
+		return w.daemon.startedAt
 	}
 	return grant.GrantedAt
 }
--- a/internal/controlplane/unloadbars_test.go
+++ b/internal/controlplane/unloadbars_test.go
@@ -21,13 +21,13 @@
 		Runtime: &configuration.Runtime{Slots: 12},
 	}}}, nil)
 	w := &Scheduler{
-		daemon:   &Daemon{clock: func() time.Time { return now }},
+		daemon:   &Node{clock: func() time.Time { return now }},
 		demand:   map[string]*place.Demand{},
 		heldOnce: map[string]map[string]bool{},
 		managed:  map[string]*managedReplica{},
 		feed:     feed{tally: NewDemandAggregator()},
 	}
-	held := []platform.Held{{Name: "m"}}
+	held := []platform.LoadedModel{{Name: "m"}}
 	w.adoptList([]platform.Replica{{ID: "i-1", Address: "at", Backend: "s", Models: held}}, now)
 	one := w.managed["i-1"]
 	report := func() {
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -13,7 +13,7 @@
 
 // drillState is the drill that this data plane follows, and the questions that it has answered.
 type drillState struct {
-	answerForecast func(address string, question drill.Question)
+	answerForecast func(address string, question drill.ForecastRequest)
 	// subscribeResult is the number of the last question by control plane.
 	answeredNumbers map[string]uint64
 	drill           *match.Drill
@@ -40,7 +40,7 @@
 
 // answerOnce answers a question of a control plane on a goroutine of its own, unless it was the last
 // one answered there.
-func (d *drillState) answerOnce(address string, question drill.Question) {
+func (d *drillState) answerOnce(address string, question drill.ForecastRequest) {
 	if d.answerForecast == nil || d.answeredNumbers[address] == question.Number {
 		return
 	}
@@ -147,13 +147,13 @@
 
 // answerForecast has the matcher forecast a loss and sends the answer to the control plane that
 // asked.
-func (n *Node) answerForecast(address string, question drill.Question) {
+func (n *Node) answerForecast(address string, question drill.ForecastRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), forecastTimeout)
 	defer cancel()
 	answer, err := n.matcher.Forecast(ctx, drill.Loss{Scope: question.Scope, Regions: n.settings.Zones})
 	if err == nil {
 		answer.Number = question.Number
-		answer.Edge = n.settings.NodeName
+		answer.DataPlane = n.settings.NodeName
 		answer.Zone = n.settings.Zone
 		err = n.peers.Call(ctx, "forecast", address, answer, nil)
 	}
--- a/internal/dataplane/parts.go
+++ b/internal/dataplane/parts.go
@@ -202,7 +202,7 @@
 				replica.Models = models
 			}
 			if name.Model != "" {
-				replica.Models = append(replica.Models, platform.Held{
+				replica.Models = append(replica.Models, platform.LoadedModel{
 					Name:     name.Model,
 					Revision: 1,
 					Adapters: endpoint.Adapters,
@@ -221,13 +221,13 @@
 		state = platform.Draining
 	}
 	return platform.Replica{
-		ID:              endpoint.ID,
-		Backend:         backend,
-		Address:         endpoint.Address,
-		Zone:            endpoint.Zone,
-		Slots:           endpoint.Slots,
-		State:           state,
-		ColdRemainingMs: endpoint.WarmUpRemainingMs,
+		ID:                endpoint.ID,
+		Backend:           backend,
+		Address:           endpoint.Address,
+		Zone:              endpoint.Zone,
+		Slots:             endpoint.Slots,
+		State:             state,
+		WarmUpRemainingMs: endpoint.WarmUpRemainingMs,
 	}
 }
 
--- a/internal/drill/answer.go
+++ b/internal/drill/answer.go
@@ -1,62 +1,62 @@
 package drill
 
-// Question asks a data plane for its part of a forecast.
-type Question struct {
+// ForecastRequest asks a data plane for its part of a forecast.
+type ForecastRequest struct {
 	Number uint64 `json:"number"`
 	Scope  Scope  `json:"scope"`
 }
 
-// Counts counts sampled requests of a route by what the loss would do to them. Names ending in Now
+// RouteCounts counts sampled requests of a route by what the loss would do to them. Names ending in Now
 // are the same counts without the loss, Reread is tokens.
-type Counts struct {
-	Sampled     int     `json:"sampled"`
-	Stay        int     `json:"stay"`
-	Moved       int     `json:"moved"`
-	Wait        int     `json:"wait"`
-	WaitNow     int     `json:"waitNow"`
-	Unplaced    int     `json:"nowhereLoaded"`
-	UnplacedNow int     `json:"nowhereLoadedNow"`
-	Bound       int     `json:"boundToLost"`
-	Late        int     `json:"late"`
-	LateNow     int     `json:"lateNow"`
-	Stale       int     `json:"notFollowed"`
-	Reread      float64 `json:"tokensReadAgain"`
+type RouteCounts struct {
+	Sampled          int     `json:"sampled"`
+	Staying          int     `json:"stay"`
+	Moved            int     `json:"moved"`
+	Waiting          int     `json:"wait"`
+	WaitingNow       int     `json:"waitNow"`
+	NowhereLoaded    int     `json:"nowhereLoaded"`
+	NowhereLoadedNow int     `json:"nowhereLoadedNow"`
+	BoundToLost      int     `json:"boundToLost"`
+	Late             int     `json:"late"`
+	LateNow          int     `json:"lateNow"`
+	NotFollowed      int     `json:"notFollowed"`
+	RecomputedTokens float64 `json:"tokensReadAgain"`
 }
 
 // Add adds other to the counts.
-func (c *Counts) Add(other Counts) {
+func (c *RouteCounts) Add(other RouteCounts) {
 	c.Sampled += other.Sampled
-	c.Stay += other.Stay
+	c.Staying += other.Staying
 	c.Moved += other.Moved
-	c.Wait += other.Wait
-	c.WaitNow += other.WaitNow
-	c.Unplaced += other.Unplaced
-	c.UnplacedNow += other.UnplacedNow
-	c.Bound += other.Bound
+	c.Waiting += other.Waiting
+	c.WaitingNow += other.WaitingNow
+	c.NowhereLoaded += other.NowhereLoaded
+	c.NowhereLoadedNow += other.NowhereLoadedNow
+	c.BoundToLost += other.BoundToLost
 	c.Late += other.Late
 	c.LateNow += other.LateNow
-	c.Stale += other.Stale
-	c.Reread += other.Reread
+	c.NotFollowed += other.NotFollowed
+	c.RecomputedTokens += other.RecomputedTokens
 }
 
-// EdgeRoute is a route at one data plane. FirstNow and FirstThen are encoded histograms of the
+// DataPlaneRoute is a route at one data plane. FirstTokenNow and FirstTokenAfterLoss are encoded histograms of the
 // time to the first token in milliseconds, without and with the loss.
-type EdgeRoute struct {
-	Name     string  `json:"name"`
-	Priority int     `json:"priority"`
-	AimMs    float64 `json:"aimMs"`
-	PerS     float64 `json:"perS"`
-	Counts
-	FirstNow  string `json:"firstNow,omitempty"`
-	FirstThen string `json:"firstThen,omitempty"`
+type DataPlaneRoute struct {
+	Name            string  `json:"name"`
+	Priority        int     `json:"priority"`
+	LatencyTargetMs float64 `json:"aimMs"`
+	RatePerS        float64 `json:"perS"`
+	RouteCounts
+	FirstTokenNow       string `json:"firstNow,omitempty"`
+	FirstTokenAfterLoss string `json:"firstThen,omitempty"`
 }
 
 // CachedTokens counts cached prompt tokens of a model: lost with the scope, held nowhere else, and kept
 // outside.
 type CachedTokens struct {
-	Lost float64 `json:"lostTokens"`
-	Only float64 `json:"heldNowhereElse"`
-	Kept float64 `json:"keptTokens"`
+	Lost        float64 `json:"lostTokens"`
+	OnlyInScope float64 `json:"heldNowhereElse"`
+	Kept        float64 `json:"keptTokens"`
 }
 
 // ReplicaLoad is what a data plane runs at a replica, and what would come there from lost ones.
@@ -67,37 +67,37 @@
 
 // InFlight counts what is under way at the moment of the loss.
 type InFlight struct {
-	Running int `json:"running"`
-	AtLost  int `json:"atLost"`
-	GoOn    int `json:"goOn"`
-	Cut     int `json:"cut"`
-	Waiting int `json:"waiting"`
-	Placed  int `json:"placed"`
-	Stuck   int `json:"stuck"`
-	Bound   int `json:"boundToLost"`
+	Running        int `json:"running"`
+	OnLostReplicas int `json:"atLost"`
+	Resumable      int `json:"goOn"`
+	Aborted        int `json:"cut"`
+	Waiting        int `json:"waiting"`
+	Placed         int `json:"placed"`
+	StillWaiting   int `json:"stuck"`
+	BoundToLost    int `json:"boundToLost"`
 }
 
 // Add adds other to the counts.
 func (f *InFlight) Add(other InFlight) {
 	f.Running += other.Running
-	f.AtLost += other.AtLost
-	f.GoOn += other.GoOn
-	f.Cut += other.Cut
+	f.OnLostReplicas += other.OnLostReplicas
+	f.Resumable += other.Resumable
+	f.Aborted += other.Aborted
 	f.Waiting += other.Waiting
 	f.Placed += other.Placed
-	f.Stuck += other.Stuck
-	f.Bound += other.Bound
+	f.StillWaiting += other.StillWaiting
+	f.BoundToLost += other.BoundToLost
 }
 
-// Answer is the part of a forecast that one data plane measured. Ready is false where it has no
+// ForecastResponse is the part of a forecast that one data plane measured. Ready is false where it has no
 // configuration yet.
-type Answer struct {
-	Number   uint64                  `json:"number"`
-	Edge     string                  `json:"edge"`
-	Zone     string                  `json:"zone"`
-	Ready    bool                    `json:"ready"`
-	Routes   []EdgeRoute             `json:"routes,omitempty"`
-	Cached   map[string]CachedTokens `json:"warm,omitempty"`
-	Replicas map[string]ReplicaLoad  `json:"replicas,omitempty"`
-	Flight   InFlight                `json:"flight"`
+type ForecastResponse struct {
+	Number    uint64                  `json:"number"`
+	DataPlane string                  `json:"edge"`
+	Zone      string                  `json:"zone"`
+	Ready     bool                    `json:"ready"`
+	Routes    []DataPlaneRoute        `json:"routes,omitempty"`
+	Cached    map[string]CachedTokens `json:"warm,omitempty"`
+	Replicas  map[string]ReplicaLoad  `json:"replicas,omitempty"`
+	InFlight  InFlight                `json:"flight"`
 }
--- a/internal/drill/fleetview.go
+++ b/internal/drill/fleetview.go
@@ -7,35 +7,35 @@
 	"ferryspar/internal/platform"
 )
 
-func (v FleetView) control() Control {
-	told := Control{Members: v.Members, Lost: []string{}, LeaseHolder: v.Holder}
+func (v FleetView) controlForecast() ControlForecast {
+	forecast := ControlForecast{Members: v.Members, Lost: []string{}, LeaseHolder: v.LeaseHolder}
 	for _, member := range v.Members {
 		zone := v.MemberZones[member]
 		switch {
 		case zone == "":
-			told.Unknown = append(told.Unknown, member)
+			forecast.Unknown = append(forecast.Unknown, member)
 		case v.lost(zone):
-			told.Lost = append(told.Lost, member)
+			forecast.Lost = append(forecast.Lost, member)
 		}
 	}
-	sort.Strings(told.Lost)
-	told.Majority = len(v.Members)-len(told.Lost)-len(told.Unknown) > len(v.Members)/2
-	told.LeaseMoves = v.lost(v.MemberZones[v.Holder])
-	return told
+	sort.Strings(forecast.Lost)
+	forecast.KeepsMajority = len(v.Members)-len(forecast.Lost)-len(forecast.Unknown) > len(v.Members)/2
+	forecast.LeaseMoves = v.lost(v.MemberZones[v.LeaseHolder])
+	return forecast
 }
 
 // estimate returns the least time of loading the lost models, backend by backend, since each backend
 // has a store of its own.
-func (v FleetView) estimate(lost []LostModel) LoadEstimate {
+func (v FleetView) estimateLoading(lost []LostModel) LoadEstimate {
 	var estimate LoadEstimate
 	for _, backend := range backends(lost) {
 		bases := baseModels(lost, backend)
 		loads, leastMs := v.leastLoadTime(backend, bases)
 		estimate.Loads += loads
-		estimate.LeastMs = max(estimate.LeastMs, leastMs)
-		loads, leastMs = v.leastLoadTime(backend, wanted(bases, lost))
-		estimate.Wanted += loads
-		estimate.SoonMs = max(estimate.SoonMs, leastMs)
+		estimate.MinMs = max(estimate.MinMs, leastMs)
+		loads, leastMs = v.leastLoadTime(backend, inDemand(bases, lost))
+		estimate.InDemand += loads
+		estimate.InDemandMinMs = max(estimate.InDemandMinMs, leastMs)
 	}
 	return estimate
 }
@@ -43,10 +43,10 @@
 func backends(lost []LostModel) []string {
 	seen := map[string]bool{}
 	var names []string
-	for _, one := range lost {
-		if !seen[one.Backend] {
-			seen[one.Backend] = true
-			names = append(names, one.Backend)
+	for _, model := range lost {
+		if !seen[model.Backend] {
+			seen[model.Backend] = true
+			names = append(names, model.Backend)
 		}
 	}
 	return names
@@ -55,28 +55,28 @@
 // baseModels returns the models of backend without the adapters, which no store load brings.
 func baseModels(lost []LostModel, backend string) []LostModel {
 	var bases []LostModel
-	for _, one := range lost {
-		if one.Backend == backend && !strings.Contains(one.Model, "/") {
-			bases = append(bases, one)
+	for _, model := range lost {
+		if model.Backend == backend && !strings.Contains(model.Model, "/") {
+			bases = append(bases, model)
 		}
 	}
 	return bases
 }
 
-// wanted returns the models that are asked for, by themselves or by one of their adapters.
-func wanted(bases, lost []LostModel) []LostModel {
-	var asked []LostModel
+// inDemand returns the models that are asked for, by themselves or by one of their adapters.
+func inDemand(bases, lost []LostModel) []LostModel {
+	var demanded []LostModel
 	for _, base := range bases {
-		if base.PerS != 0 || adapterWanted(base, lost) {
-			asked = append(asked, base)
+		if base.RatePerS != 0 || adapterInDemand(base, lost) {
+			demanded = append(demanded, base)
 		}
 	}
-	return asked
+	return demanded
 }
 
-func adapterWanted(base LostModel, lost []LostModel) bool {
-	for _, one := range lost {
-		if one.Backend == base.Backend && one.PerS > 0 && strings.HasPrefix(one.Model, base.Model+"/") {
+func adapterInDemand(base LostModel, lost []LostModel) bool {
+	for _, model := range lost {
+		if model.Backend == base.Backend && model.RatePerS > 0 && strings.HasPrefix(model.Model, base.Model+"/") {
 			return true
 		}
 	}
@@ -88,9 +88,9 @@
 // where no replica is left to load them.
 func (v FleetView) leastLoadTime(backend string, models []LostModel) (loads int, leastMs float64) {
 	total, longest := 0.0, 0.0
-	for _, one := range models {
-		total += one.LoadMs
-		longest = max(longest, one.LoadMs)
+	for _, model := range models {
+		total += model.LoadMs
+		longest = max(longest, model.LoadMs)
 	}
 	replicas := v.replicasLeft(backend)
 	if len(models) == 0 || replicas == 0 {
@@ -104,13 +104,13 @@
 }
 
 func (v FleetView) replicasLeft(backend string) int {
-	left := 0
-	for _, one := range v.Replicas {
-		if one.Backend == backend && !v.lost(one.Zone) && one.State != platform.Draining {
-			left++
+	count := 0
+	for _, replica := range v.Replicas {
+		if replica.Backend == backend && !v.lost(replica.Zone) && replica.State != platform.Draining {
+			count++
 		}
 	}
-	return left
+	return count
 }
 
 func (v FleetView) loadsPerS(backend string) float64 {
--- a/internal/drill/forecast.go
+++ b/internal/drill/forecast.go
@@ -13,40 +13,40 @@
 	Replicas    []platform.Replica
 	Table       *configuration.Table
 	Demand      map[string]float64
-	Edges       map[string]string
+	DataPlanes  map[string]string
 	Members     []string
 	MemberZones map[string]string
-	Holder      string
+	LeaseHolder string
 }
 
-// Route is the forecast of a route over all data planes. Times to the first token are
+// RouteForecast is the forecast of a route over all data planes. Times to the first token are
 // milliseconds.
-type Route struct {
-	Name     string  `json:"name"`
-	Priority int     `json:"priority"`
-	AimMs    float64 `json:"aimMs"`
-	PerS     float64 `json:"perS"`
-	Counts
-	FirstNow  Quantiles `json:"firstNow"`
-	FirstThen Quantiles `json:"firstThen"`
+type RouteForecast struct {
+	Name            string  `json:"name"`
+	Priority        int     `json:"priority"`
+	LatencyTargetMs float64 `json:"aimMs"`
+	RatePerS        float64 `json:"perS"`
+	RouteCounts
+	FirstTokenNow       Quantiles `json:"firstNow"`
+	FirstTokenAfterLoss Quantiles `json:"firstThen"`
 }
 
 // LostModel is a model or adapter without a copy outside the scope, the requests a second for it,
 // and its load time in milliseconds.
 type LostModel struct {
-	Backend string  `json:"backend"`
-	Model   string  `json:"model"`
-	PerS    float64 `json:"perS"`
-	LoadMs  float64 `json:"loadMs,omitempty"`
+	Backend  string  `json:"backend"`
+	Model    string  `json:"model"`
+	RatePerS float64 `json:"perS"`
+	LoadMs   float64 `json:"loadMs,omitempty"`
 }
 
 // LoadEstimate is the least time that loading the lost models takes, for all of them and for those
 // asked for.
 type LoadEstimate struct {
-	Loads   int     `json:"loads"`
-	LeastMs float64 `json:"leastMs"`
-	Wanted  int     `json:"wantedLoads"`
-	SoonMs  float64 `json:"wantedLeastMs"`
+	Loads         int     `json:"loads"`
+	MinMs         float64 `json:"leastMs"`
+	InDemand      int     `json:"wantedLoads"`
+	InDemandMinMs float64 `json:"wantedLeastMs"`
 }
 
 // ReplicaForecast is a replica that stays, with what it would run.
@@ -64,42 +64,42 @@
 	Replica string `json:"replica"`
 	Load    bool   `json:"load"`
 	Model   string `json:"model"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 }
 
-// Plan is the list of first placement steps. Holds tells whether this daemon holds the placement
+// PlacementPlan is the list of first placement steps. Holds tells whether this daemon holds the placement
 // lease and so could say.
-type Plan struct {
-	Holds bool            `json:"holds"`
-	Steps []PlacementStep `json:"steps"`
+type PlacementPlan struct {
+	HoldsLease bool            `json:"holds"`
+	Steps      []PlacementStep `json:"steps"`
 }
 
-// Control is what the loss does to the control plane.
-type Control struct {
-	Members     []string `json:"members"`
-	Lost        []string `json:"lost"`
-	Unknown     []string `json:"zoneUnknown,omitempty"`
-	Majority    bool     `json:"majorityStays"`
-	LeaseMoves  bool     `json:"placementMoves"`
-	LeaseHolder string   `json:"placementHolder"`
+// ControlForecast is what the loss does to the control plane.
+type ControlForecast struct {
+	Members       []string `json:"members"`
+	Lost          []string `json:"lost"`
+	Unknown       []string `json:"zoneUnknown,omitempty"`
+	KeepsMajority bool     `json:"majorityStays"`
+	LeaseMoves    bool     `json:"placementMoves"`
+	LeaseHolder   string   `json:"placementHolder"`
 }
 
 // Forecast is the whole answer to an operator. Partial tells that some data planes, named in
 // Missing, didn't answer.
 type Forecast struct {
-	Scope        Scope                   `json:"scope"`
-	Partial      bool                    `json:"partial"`
-	Answered     []string                `json:"answered"`
-	Missing      []string                `json:"missing"`
-	EdgesLost    []string                `json:"edgesLost"`
-	ReplicasLost []string                `json:"replicasLost"`
-	ReplicasLeft int                     `json:"replicasLeft"`
-	Routes       []Route                 `json:"routes"`
-	LostModels   []LostModel             `json:"noCopyLeft"`
-	Loading      LoadEstimate            `json:"store"`
-	Cached       map[string]CachedTokens `json:"warm"`
-	Flight       InFlight                `json:"inFlight"`
-	Placement    []PlacementStep         `json:"placement"`
-	Replicas     []ReplicaForecast       `json:"replicas"`
-	Control      Control                 `json:"control"`
+	Scope          Scope                   `json:"scope"`
+	Partial        bool                    `json:"partial"`
+	Answered       []string                `json:"answered"`
+	Missing        []string                `json:"missing"`
+	DataPlanesLost []string                `json:"edgesLost"`
+	ReplicasLost   []string                `json:"replicasLost"`
+	ReplicasLeft   int                     `json:"replicasLeft"`
+	Routes         []RouteForecast         `json:"routes"`
+	LostModels     []LostModel             `json:"noCopyLeft"`
+	LoadEstimate   LoadEstimate            `json:"store"`
+	Cached         map[string]CachedTokens `json:"warm"`
+	InFlight       InFlight                `json:"inFlight"`
+	Placement      []PlacementStep         `json:"placement"`
+	Replicas       []ReplicaForecast       `json:"replicas"`
+	Control        ControlForecast         `json:"control"`
 }
--- a/internal/drill/forecast_test.go
+++ b/internal/drill/forecast_test.go
@@ -17,62 +17,62 @@
 	}}
 	backends := []configuration.Backend{{Name: "s", Runtime: runtime}}
 	replica := func(id, zone string, models ...string) platform.Replica {
-		one := platform.Replica{ID: id, Backend: "s", Zone: zone, Slots: 2}
+		listed := platform.Replica{ID: id, Backend: "s", Zone: zone, Slots: 2}
 		for _, model := range models {
-			one.Models = append(one.Models, platform.Held{Name: model, Adapters: []string{"a1"}})
+			listed.Models = append(listed.Models, platform.LoadedModel{Name: model, Adapters: []string{"a1"}})
 		}
-		return one
+		return listed
 	}
 	return FleetView{
-		Scope: Scope{Zone: "isle"},
-		Zones: map[string]string{"isle": "sea", "reef": "sea", "east": "land"},
-		Edges: map[string]string{"one": "east", "two": "isle"},
+		Scope:      Scope{Zone: "isle"},
+		Zones:      map[string]string{"isle": "sea", "reef": "sea", "east": "land"},
+		DataPlanes: map[string]string{"one": "east", "two": "isle"},
 		Replicas: []platform.Replica{
 			replica("r1", "isle", "big", "small", "idle"),
 			replica("r2", "east", "other"),
-			{ID: "r3", Backend: "s", Zone: "reef", State: platform.Draining, Models: []platform.Held{{Name: "small"}}},
+			{ID: "r3", Backend: "s", Zone: "reef", State: platform.Draining, Models: []platform.LoadedModel{{Name: "small"}}},
 		},
 		Table:       configuration.NewTable(configuration.Configuration{Backends: backends}, nil),
 		Demand:      map[string]float64{"s big/a1": 2, "s small": 1},
 		Members:     []string{"c1", "c2", "c3"},
 		MemberZones: map[string]string{"c1": "isle", "c2": "east"},
-		Holder:      "c1",
+		LeaseHolder: "c1",
 	}
 }
 
-func TestGivenAnswersThenTheForecastAddsThemAndNamesWhatIsMissing(t *testing.T) {
-	answer := Answer{
-		Edge:     "one",
-		Zone:     "east",
-		Ready:    true,
-		Replicas: map[string]ReplicaLoad{"r2": {Running: 1, Moved: 1}},
-		Flight:   InFlight{Running: 3, AtLost: 1},
+func TestMerge_AddsResponsesAndListsMissing(t *testing.T) {
+	answer := ForecastResponse{
+		DataPlane: "one",
+		Zone:      "east",
+		Ready:     true,
+		Replicas:  map[string]ReplicaLoad{"r2": {Running: 1, Moved: 1}},
+		InFlight:  InFlight{Running: 3, OnLostReplicas: 1},
 	}
-	told := Merge(fleetView(), []Answer{answer, {Edge: "two", Ready: false}})
-	assert.Assert(t, told.Partial)
-	assert.DeepEqual(t, told.Missing, []string{"two"})
-	assert.DeepEqual(t, told.EdgesLost, []string{"two"})
-	assert.DeepEqual(t, told.ReplicasLost, []string{"r1"})
-	assert.DeepEqual(t, told.Replicas, []ReplicaForecast{{Replica: "r2", Zone: "east", Slots: 2, Running: 1, Moved: 1, Full: true}})
+	forecast := Merge(fleetView(), []ForecastResponse{answer, {DataPlane: "two", Ready: false}})
+	assert.Assert(t, forecast.Partial)
+	assert.DeepEqual(t, forecast.Missing, []string{"two"})
+	assert.DeepEqual(t, forecast.DataPlanesLost, []string{"two"})
+	assert.DeepEqual(t, forecast.ReplicasLost, []string{"r1"})
+	assert.DeepEqual(t, forecast.Replicas, []ReplicaForecast{{Replica: "r2", Zone: "east", Slots: 2, Running: 1, Moved: 1, Full: true}})
 	names := []string{}
-	for _, one := range told.LostModels {
-		names = append(names, one.Model)
+	for _, model := range forecast.LostModels {
+		names = append(names, model.Model)
 	}
 	assert.DeepEqual(t, names, []string{"big/a1", "small", "big", "idle", "idle/a1", "small/a1"})
-	assert.DeepEqual(t, told.Loading, LoadEstimate{Loads: 3, LeastMs: 8000, Wanted: 2, SoonMs: 6000})
-	assert.DeepEqual(t, told.Control, Control{
+	assert.DeepEqual(t, forecast.LoadEstimate, LoadEstimate{Loads: 3, MinMs: 8000, InDemand: 2, InDemandMinMs: 6000})
+	assert.DeepEqual(t, forecast.Control, ControlForecast{
 		Members:     []string{"c1", "c2", "c3"},
 		Lost:        []string{"c1"},
 		Unknown:     []string{"c3"},
 		LeaseMoves:  true,
 		LeaseHolder: "c1",
 	})
-	nobody := fleetView()
-	nobody.Edges = map[string]string{}
-	assert.Assert(t, Merge(nobody, nil).Partial, "a forecast by nobody is not whole")
+	withoutDataPlanes := fleetView()
+	withoutDataPlanes.DataPlanes = map[string]string{}
+	assert.Assert(t, Merge(withoutDataPlanes, nil).Partial, "a forecast by nobody is not whole")
 }
 
-func TestGivenHomesThenOnlyThoseWhollyLostBind(t *testing.T) {
+func TestLoss_LosesAllRegions(t *testing.T) {
 	zones := fleetView().Zones
 	cases := []struct {
 		scope  Scope
@@ -85,7 +85,7 @@
 		{Scope{Region: "sea"}, nil, false},
 		{Scope{Zone: "east"}, []string{"land"}, true},
 	}
-	for _, one := range cases {
-		assert.Equal(t, Loss{one.scope, zones}.LosesAllRegions(one.homes), one.wanted, "%+v", one)
+	for _, testCase := range cases {
+		assert.Equal(t, Loss{testCase.scope, zones}.LosesAllRegions(testCase.homes), testCase.wanted, "%+v", testCase)
 	}
 }
--- a/internal/drill/histogram.go
+++ b/internal/drill/histogram.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	longestMs = 3_600_000
-	figures   = 2
+	maxLatencyMs       = 3_600_000
+	significantFigures = 2
 )
 
 // Quantiles summarises a histogram. Times are milliseconds.
@@ -17,15 +17,17 @@
 	P50   int64 `json:"p50Ms"`
 	P90   int64 `json:"p90Ms"`
 	P99   int64 `json:"p99Ms"`
-	Most  int64 `json:"mostMs"`
+	Max   int64 `json:"mostMs"`
 }
 
 // NewHistogram returns an empty histogram of milliseconds.
-func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestMs, figures) }
+func NewHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyMs, significantFigures)
+}
 
 // RecordLatency adds a time in milliseconds, kept within the histogram's bounds.
 func RecordLatency(histogram *hdrhistogram.Histogram, milliseconds float64) {
-	_ = histogram.RecordValue(int64(math.Round(min(max(milliseconds, 1), longestMs))))
+	_ = histogram.RecordValue(int64(math.Round(min(max(milliseconds, 1), maxLatencyMs))))
 }
 
 // EncodeHistogram encodes a histogram for sending, empty on failure.
@@ -38,12 +40,12 @@
 }
 
 // MergeEncoded adds an encoded histogram to another; one that cannot be read is passed over.
-func MergeEncoded(into *hdrhistogram.Histogram, packed string) {
-	if packed == "" {
+func MergeEncoded(into *hdrhistogram.Histogram, encoded string) {
+	if encoded == "" {
 		return
 	}
-	if read, err := hdrhistogram.Decode([]byte(packed)); err == nil {
-		into.Merge(read)
+	if decoded, err := hdrhistogram.Decode([]byte(encoded)); err == nil {
+		into.Merge(decoded)
 	}
 }
 
@@ -57,6 +59,6 @@
 		P50:   histogram.ValueAtQuantile(50),
 		P90:   histogram.ValueAtQuantile(90),
 		P99:   histogram.ValueAtQuantile(99),
-		Most:  histogram.Max(),
+		Max:   histogram.Max(),
 	}
 }
--- a/internal/drill/lostmodels.go
+++ b/internal/drill/lostmodels.go
@@ -7,24 +7,24 @@
 	"ferryspar/internal/platform"
 )
 
-// copyName is a model or adapter ("model/adapter") of a backend.
-type copyName struct {
+// modelKey is a model or adapter ("model/adapter") of a backend.
+type modelKey struct {
 	backend   string
 	reference string
 }
 
 // lostModels returns what has no copy outside the scope, the most asked for first.
 func (v FleetView) lostModels() []LostModel {
-	left, gone := v.copies()
+	remaining, lost := v.modelCopies()
 	list := []LostModel{}
-	for name := range gone {
-		if !left[name] {
+	for name := range lost {
+		if !remaining[name] {
 			list = append(list, v.lostModel(name.backend, name.reference))
 		}
 	}
 	sort.Slice(list, func(first, second int) bool {
-		if list[first].PerS != list[second].PerS {
-			return list[first].PerS > list[second].PerS
+		if list[first].RatePerS != list[second].RatePerS {
+			return list[first].RatePerS > list[second].RatePerS
 		}
 		return list[first].Backend+" "+list[first].Model < list[second].Backend+" "+list[second].Model
 	})
@@ -32,34 +32,34 @@
 }
 
 // copies returns what has a copy outside the scope, on a replica that stays, and what has one inside.
-func (v FleetView) copies() (left, gone map[copyName]bool) {
-	left, gone = map[copyName]bool{}, map[copyName]bool{}
-	for _, one := range v.Replicas {
+func (v FleetView) modelCopies() (remaining, lost map[modelKey]bool) {
+	remaining, lost = map[modelKey]bool{}, map[modelKey]bool{}
+	for _, replica := range v.Replicas {
 		switch {
-		case v.lost(one.Zone):
-			addCopies(gone, one)
-		case one.State != platform.Draining:
-			addCopies(left, one)
+		case v.lost(replica.Zone):
+			addCopies(lost, replica)
+		case replica.State != platform.Draining:
+			addCopies(remaining, replica)
 		}
 	}
-	return left, gone
+	return remaining, lost
 }
 
-func addCopies(into map[copyName]bool, replica platform.Replica) {
-	for _, held := range replica.Models {
-		into[copyName{replica.Backend, held.Name}] = true
-		for _, adapter := range held.Adapters {
-			into[copyName{replica.Backend, held.Name + "/" + adapter}] = true
+func addCopies(into map[modelKey]bool, replica platform.Replica) {
+	for _, loaded := range replica.Models {
+		into[modelKey{replica.Backend, loaded.Name}] = true
+		for _, adapter := range loaded.Adapters {
+			into[modelKey{replica.Backend, loaded.Name + "/" + adapter}] = true
 		}
 	}
 }
 
 func (v FleetView) lostModel(backend, reference string) LostModel {
 	return LostModel{
-		Backend: backend,
-		Model:   reference,
-		PerS:    v.Demand[backend+" "+reference],
-		LoadMs:  v.loadTime(backend, reference),
+		Backend:  backend,
+		Model:    reference,
+		RatePerS: v.Demand[backend+" "+reference],
+		LoadMs:   v.loadTime(backend, reference),
 	}
 }
 
--- a/internal/drill/merge.go
+++ b/internal/drill/merge.go
@@ -10,95 +10,95 @@
 
 // Merge joins the answers of the data planes with the view of the control plane. It changes the
 // view's Edges.
-func Merge(view FleetView, answers []Answer) Forecast {
+func Merge(view FleetView, answers []ForecastResponse) Forecast {
 	merged := Forecast{
-		Scope:     view.Scope,
-		Answered:  []string{},
-		Missing:   []string{},
-		EdgesLost: []string{},
-		Cached:    map[string]CachedTokens{},
-		Placement: []PlacementStep{},
-		Control:   view.control(),
+		Scope:          view.Scope,
+		Answered:       []string{},
+		Missing:        []string{},
+		DataPlanesLost: []string{},
+		Cached:         map[string]CachedTokens{},
+		Placement:      []PlacementStep{},
+		Control:        view.controlForecast(),
 	}
-	heard := map[string]bool{}
+	answered := map[string]bool{}
 	loads := map[string]ReplicaLoad{}
 	for _, answer := range answers {
 		if !answer.Ready {
 			continue
 		}
-		heard[answer.Edge] = true
-		view.Edges[answer.Edge] = answer.Zone
+		answered[answer.DataPlane] = true
+		view.DataPlanes[answer.DataPlane] = answer.Zone
 		merged.add(answer)
 		addLoads(loads, answer.Replicas)
 	}
-	merged.nameEdges(view, heard)
-	merged.Routes = routes(answers)
-	view.replicas(&merged, loads)
+	merged.recordDataPlanes(view, answered)
+	merged.Routes = mergeRoutes(answers)
+	view.addReplicas(&merged, loads)
 	merged.LostModels = view.lostModels()
-	merged.Loading = view.estimate(merged.LostModels)
+	merged.LoadEstimate = view.estimateLoading(merged.LostModels)
 	return merged
 }
 
-func (f *Forecast) add(answer Answer) {
-	f.Answered = append(f.Answered, answer.Edge)
-	f.Flight.Add(answer.Flight)
-	for model, one := range answer.Cached {
+func (f *Forecast) add(answer ForecastResponse) {
+	f.Answered = append(f.Answered, answer.DataPlane)
+	f.InFlight.Add(answer.InFlight)
+	for model, cached := range answer.Cached {
 		sum := f.Cached[model]
-		sum.Lost += one.Lost
-		sum.Only += one.Only
-		sum.Kept += one.Kept
+		sum.Lost += cached.Lost
+		sum.OnlyInScope += cached.OnlyInScope
+		sum.Kept += cached.Kept
 		f.Cached[model] = sum
 	}
 }
 
 func addLoads(sums, loads map[string]ReplicaLoad) {
-	for id, one := range loads {
+	for id, load := range loads {
 		sum := sums[id]
-		sum.Running += one.Running
-		sum.Moved += one.Moved
+		sum.Running += load.Running
+		sum.Moved += load.Moved
 		sums[id] = sum
 	}
 }
 
-func (f *Forecast) nameEdges(view FleetView, heard map[string]bool) {
-	for name, zone := range view.Edges {
-		if !heard[name] {
+func (f *Forecast) recordDataPlanes(view FleetView, answered map[string]bool) {
+	for name, zone := range view.DataPlanes {
+		if !answered[name] {
 			f.Missing = append(f.Missing, name)
 		}
 		if zone != "" && view.lost(zone) {
-			f.EdgesLost = append(f.EdgesLost, name)
+			f.DataPlanesLost = append(f.DataPlanesLost, name)
 		}
 	}
-	if len(view.Edges) == 0 {
+	if len(view.DataPlanes) == 0 {
 		f.Missing = append(f.Missing, "any edge")
 	}
 	f.Partial = len(f.Missing) > 0
 	sort.Strings(f.Answered)
 	sort.Strings(f.Missing)
-	sort.Strings(f.EdgesLost)
+	sort.Strings(f.DataPlanesLost)
 }
 
 func (v FleetView) lost(zone string) bool { return v.Scope.Covers(zone, v.Zones[zone]) }
 
-func routes(answers []Answer) []Route {
+func mergeRoutes(answers []ForecastResponse) []RouteForecast {
 	type spreads struct{ now, then *hdrhistogram.Histogram }
-	found, kept := map[string]*Route{}, map[string]spreads{}
+	merged, histograms := map[string]*RouteForecast{}, map[string]spreads{}
 	for _, answer := range answers {
-		for _, one := range answer.Routes {
-			if found[one.Name] == nil {
-				found[one.Name] = &Route{Name: one.Name, Priority: one.Priority, AimMs: one.AimMs}
-				kept[one.Name] = spreads{NewHistogram(), NewHistogram()}
+		for _, route := range answer.Routes {
+			if merged[route.Name] == nil {
+				merged[route.Name] = &RouteForecast{Name: route.Name, Priority: route.Priority, LatencyTargetMs: route.LatencyTargetMs}
+				histograms[route.Name] = spreads{NewHistogram(), NewHistogram()}
 			}
-			found[one.Name].Counts.Add(one.Counts)
-			found[one.Name].PerS += one.PerS
-			MergeEncoded(kept[one.Name].now, one.FirstNow)
-			MergeEncoded(kept[one.Name].then, one.FirstThen)
+			merged[route.Name].RouteCounts.Add(route.RouteCounts)
+			merged[route.Name].RatePerS += route.RatePerS
+			MergeEncoded(histograms[route.Name].now, route.FirstTokenNow)
+			MergeEncoded(histograms[route.Name].then, route.FirstTokenAfterLoss)
 		}
 	}
-	list := []Route{}
-	for name, one := range found {
-		one.FirstNow, one.FirstThen = Summarize(kept[name].now), Summarize(kept[name].then)
-		list = append(list, *one)
+	list := []RouteForecast{}
+	for name, route := range merged {
+		route.FirstTokenNow, route.FirstTokenAfterLoss = Summarize(histograms[name].now), Summarize(histograms[name].then)
+		list = append(list, *route)
 	}
 	sort.Slice(list, func(left, right int) bool {
 		if list[left].Priority != list[right].Priority {
@@ -109,25 +109,25 @@
 	return list
 }
 
-func (v FleetView) replicas(merged *Forecast, loads map[string]ReplicaLoad) {
+func (v FleetView) addReplicas(merged *Forecast, loads map[string]ReplicaLoad) {
 	merged.ReplicasLost, merged.Replicas = []string{}, []ReplicaForecast{}
-	for _, one := range v.Replicas {
-		if v.lost(one.Zone) {
-			merged.ReplicasLost = append(merged.ReplicasLost, one.ID)
+	for _, replica := range v.Replicas {
+		if v.lost(replica.Zone) {
+			merged.ReplicasLost = append(merged.ReplicasLost, replica.ID)
 			continue
 		}
-		if one.State == platform.Draining {
+		if replica.State == platform.Draining {
 			continue
 		}
 		merged.ReplicasLeft++
-		load := loads[one.ID]
+		load := loads[replica.ID]
 		merged.Replicas = append(merged.Replicas, ReplicaForecast{
-			Replica: one.ID,
-			Zone:    one.Zone,
-			Slots:   one.Slots,
+			Replica: replica.ID,
+			Zone:    replica.Zone,
+			Slots:   replica.Slots,
 			Running: load.Running,
 			Moved:   load.Moved,
-			Full:    load.Running+load.Moved >= one.Slots,
+			Full:    load.Running+load.Moved >= replica.Slots,
 		})
 	}
 }
--- a/internal/drill/pinned_test.go
+++ b/internal/drill/pinned_test.go
@@ -8,20 +8,20 @@
 
 func TestMessages_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
-		"question":                     new(Question),
-		"counts":                       new(Counts),
-		"route at a data plane":        new(EdgeRoute),
+		"question":                     new(ForecastRequest),
+		"counts":                       new(RouteCounts),
+		"route at a data plane":        new(DataPlaneRoute),
 		"cached tokens":                new(CachedTokens),
 		"load of a replica":            new(ReplicaLoad),
 		"requests in flight":           new(InFlight),
-		"answer":                       new(Answer),
-		"route of a forecast":          new(Route),
+		"answer":                       new(ForecastResponse),
+		"route of a forecast":          new(RouteForecast),
 		"lost model":                   new(LostModel),
 		"estimate of load":             new(LoadEstimate),
 		"forecast of replicas":         new(ReplicaForecast),
 		"step of placement":            new(PlacementStep),
-		"plan":                         new(Plan),
-		"control plane of a forecast":  new(Control),
+		"plan":                         new(PlacementPlan),
+		"control plane of a forecast":  new(ControlForecast),
 		"forecast":                     new(Forecast),
 		"quantiles":                    new(Quantiles),
 		"stored drill":                 new(Record),
@@ -29,10 +29,10 @@
 		"status":                       new(Status),
 		"request":                      new(Request),
 		"scope":                        new(Scope),
-		"tally":                        new(Tally),
-		"tally of a route at one edge": new(EdgeRouteTally),
+		"tally":                        new(OutcomeCounts),
+		"tally of a route at one edge": new(DataPlaneRouteOutcomes),
 		"report":                       new(Report),
-		"tally of a route":             new(RouteTally),
+		"tally of a route":             new(RouteOutcomes),
 	})
 }
 
@@ -40,7 +40,7 @@
 	pinned.CheckJSON(t, "testdata/words.json", map[string][]string{
 		"kinds of requests": {KindForecast, KindDrill},
 		"ends":              {EndedByTime, EndedByOperator, EndedWithoutContact, EndedByEvacuation, EndedWithoutRenewal},
-		"data planes":       {EdgeFollows, EdgeSilent},
+		"data planes":       {DataPlaneFollows, DataPlaneSilent},
 	})
 }
 
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -26,25 +26,25 @@
 
 // What a data plane does about a drill.
 const (
-	EdgeFollows = "follows"
-	EdgeSilent  = "silent"
+	DataPlaneFollows = "follows"
+	DataPlaneSilent  = "silent"
 )
 
 // Record is what the key store keeps of the newest drill. Beat rises with each renewal; LeftMs is
 // the time left at that moment, in milliseconds.
 type Record struct {
-	Number  uint64       `json:"number"`
-	Scope   Scope        `json:"scope"`
-	Share   float64      `json:"share"`
-	Margin  float64      `json:"margin"`
-	ForMs   int64        `json:"forMs"`
-	LeftMs  int64        `json:"leftMs"`
-	Beat    uint64       `json:"beat"`
-	Mark    string       `json:"mark,omitempty"`
-	Running bool         `json:"running"`
-	Why     string       `json:"why,omitempty"`
-	Guard   bool         `json:"endedByGuard"`
-	Routes  []RouteTally `json:"routes,omitempty"`
+	Number         uint64          `json:"number"`
+	Scope          Scope           `json:"scope"`
+	Share          float64         `json:"share"`
+	Margin         float64         `json:"margin"`
+	ForMs          int64           `json:"forMs"`
+	LeftMs         int64           `json:"leftMs"`
+	Renewals       uint64          `json:"beat"`
+	IdempotencyKey string          `json:"mark,omitempty"`
+	Running        bool            `json:"running"`
+	EndReason      string          `json:"why,omitempty"`
+	EndedByGuard   bool            `json:"endedByGuard"`
+	Routes         []RouteOutcomes `json:"routes,omitempty"`
 }
 
 // Notice tells data planes of the newest drill.
@@ -59,12 +59,12 @@
 // Status is what an operator sees of a drill: the record, and what each data plane does about it.
 type Status struct {
 	Record
-	Edges map[string]string `json:"edges"`
+	DataPlanes map[string]string `json:"edges"`
 }
 
 // Record returns the record of a new drill that follows after, with defaults filled in. Errors are
 // of kind apierror.InvalidDrill.
-func (r Request) Record(after Record) (Record, error) {
+func (r Request) NewRecord(after Record) (Record, error) {
 	if r.Share == 0 {
 		r.Share = DefaultShare
 	}
@@ -85,28 +85,28 @@
 		return after, apierror.New(apierror.InvalidDrill, "margin must lie between 0 and 1")
 	}
 	return Record{
-		Number:  after.Number + 1,
-		Scope:   r.Scope,
-		Share:   r.Share,
-		Margin:  r.Margin,
-		ForMs:   r.ForMs,
-		LeftMs:  r.ForMs,
-		Mark:    r.Mark,
-		Running: true,
+		Number:         after.Number + 1,
+		Scope:          r.Scope,
+		Share:          r.Share,
+		Margin:         r.Margin,
+		ForMs:          r.ForMs,
+		LeftMs:         r.ForMs,
+		IdempotencyKey: r.IdempotencyKey,
+		Running:        true,
 	}, nil
 }
 
 // End returns the record as ended, with the reason and the counts of each route. Guard tells that
 // it ended before its time by itself.
-func (r Record) End(why string, guard bool, routes []RouteTally) Record {
-	r.Running, r.Why, r.Guard, r.Routes, r.LeftMs = false, why, guard, routes, 0
-	r.Beat++
+func (r Record) End(reason string, guard bool, routes []RouteOutcomes) Record {
+	r.Running, r.EndReason, r.EndedByGuard, r.Routes, r.LeftMs = false, reason, guard, routes, 0
+	r.Renewals++
 	return r
 }
 
 // Renew returns the record with the time left, which never grows.
 func (r Record) Renew(left time.Duration) Record {
 	r.LeftMs = min(r.LeftMs, left.Milliseconds())
-	r.Beat++
+	r.Renewals++
 	return r
 }
--- a/internal/drill/scope.go
+++ b/internal/drill/scope.go
@@ -30,7 +30,7 @@
 
 // Check returns an error unless the scope names exactly one zone or region of the given zones
 // (zone to region).
-func (s Scope) Check(zones map[string]string) error {
+func (s Scope) Validate(zones map[string]string) error {
 	if (s.Region == "") == (s.Zone == "") {
 		return apierror.New(apierror.InvalidDrill, "name either a region or a zone")
 	}
@@ -63,12 +63,12 @@
 
 // LosesAllRegions tells whether all zones of the regions that a request is bound to are lost. A request
 // that is bound to none is never homeless.
-func (l Loss) LosesAllRegions(homes []string) bool {
-	if len(homes) == 0 {
+func (l Loss) LosesAllRegions(regions []string) bool {
+	if len(regions) == 0 {
 		return false
 	}
 	for zone, region := range l.Regions {
-		if slices.Contains(homes, region) && !l.Covers(zone, region) {
+		if slices.Contains(regions, region) && !l.Covers(zone, region) {
 			return false
 		}
 	}
--- a/internal/emulator/controlplane.go
+++ b/internal/emulator/controlplane.go
@@ -130,7 +130,7 @@
 }
 
 // holdings lists a set of references as the platform's list does.
-func holdings(models map[string]bool) []platform.Held {
+func holdings(models map[string]bool) []platform.LoadedModel {
 	return standin.Holdings(models).List()
 }
 
--- a/internal/emulator/demo/deployment.go
+++ b/internal/emulator/demo/deployment.go
@@ -190,11 +190,11 @@
 
 // configure sends the embedded configuration as an operator does.
 func (s *deployment) configure(ctx context.Context) error {
-	caller := &operator.Caller{
-		Addresses: s.controls,
-		Client:    operator.NewClient(),
-		Patience:  2 * time.Second,
-		Bound:     15 * time.Second,
+	caller := &operator.Client{
+		Addresses:         s.controls,
+		HTTPClient:        operator.NewHTTPClient(),
+		PerAddressTimeout: 2 * time.Second,
+		Timeout:           15 * time.Second,
 	}
 	outcome, err := caller.Call(ctx, http.MethodPut, "/ferryspar/config", "0", embeddedConfiguration)
 	if err != nil {
--- a/internal/emulator/forecast.go
+++ b/internal/emulator/forecast.go
@@ -52,24 +52,24 @@
 
 // Gather makes the forecast of the daemons from this snapshot: every edge's answer, merged with the
 // plan of the placement.
-func (s Snapshot) Gather() (drill.Forecast, []drill.Answer) {
+func (s Snapshot) Gather() (drill.Forecast, []drill.ForecastResponse) {
 	basis := drill.FleetView{
-		Scope:    s.Loss.Scope,
-		Zones:    s.Loss.Regions,
-		Replicas: s.replicasAsKnown(),
-		Table:    s.Table,
-		Demand:   map[string]float64{},
-		Edges:    map[string]string{},
+		Scope:      s.Loss.Scope,
+		Zones:      s.Loss.Regions,
+		Replicas:   s.replicasAsKnown(),
+		Table:      s.Table,
+		Demand:     map[string]float64{},
+		DataPlanes: map[string]string{},
 	}
 	for name, one := range s.Demand {
 		basis.Demand[name] = one.Rate
 	}
-	var answers []drill.Answer
+	var answers []drill.ForecastResponse
 	for number, one := range s.Edges {
 		answer := one.Matcher.ForecastSync(s.Loss)
-		answer.Edge = fmt.Sprintf("edge-%03d", number)
+		answer.DataPlane = fmt.Sprintf("edge-%03d", number)
 		answer.Zone = one.Zone
-		basis.Edges[answer.Edge] = one.Zone
+		basis.DataPlanes[answer.DataPlane] = one.Zone
 		answers = append(answers, answer)
 	}
 	merged := drill.Merge(basis, answers)
@@ -80,7 +80,7 @@
 			Replica: action.Server,
 			Load:    action.Load,
 			Model:   action.Model,
-			Why:     action.Reason,
+			Reason:  action.Reason,
 		})
 	}
 	return merged, answers
@@ -106,22 +106,22 @@
 		merged, answers := before.Gather()
 		foretold := Forecast{
 			FigureWithoutCopy: float64(len(merged.LostModels)),
-			FigurePlaced:      float64(merged.Flight.Placed),
-			FigureInterrupted: float64(merged.Flight.AtLost + merged.Flight.Waiting),
-			FigureGoOn:        float64(merged.Flight.GoOn + merged.Flight.Waiting),
-			FigureRegionBound: float64(merged.Flight.Bound),
+			FigurePlaced:      float64(merged.InFlight.Placed),
+			FigureInterrupted: float64(merged.InFlight.OnLostReplicas + merged.InFlight.Waiting),
+			FigureGoOn:        float64(merged.InFlight.Resumable + merged.InFlight.Waiting),
+			FigureRegionBound: float64(merged.InFlight.BoundToLost),
 			FigureMoving:      0,
 			FigureWarm:        0,
 			FigureFull:        0,
 			FigureLoads:       0,
 			FigureReadAgain:   0,
-			FigureBack:        merged.Loading.SoonMs / 1000,
+			FigureBack:        merged.LoadEstimate.InDemandMinMs / 1000,
 		}
 		foretold.addMoving(answers, before.Lost)
 		foretold.addReplicas(merged)
 		for _, route := range merged.Routes {
 			if route.Sampled > 0 {
-				foretold[FigureReadAgain] += route.Reread / float64(route.Sampled) * route.PerS * afterS
+				foretold[FigureReadAgain] += route.RecomputedTokens / float64(route.Sampled) * route.RatePerS * afterS
 				foretold.addRoute(route)
 			}
 		}
@@ -131,12 +131,12 @@
 
 // addMoving counts the requests that must move: all of a lost edge, and those that a spared edge
 // has at lost replicas.
-func (f Forecast) addMoving(answers []drill.Answer, lost map[string]bool) {
+func (f Forecast) addMoving(answers []drill.ForecastResponse, lost map[string]bool) {
 	for _, answer := range answers {
 		if lost[answer.Zone] {
-			f[FigureMoving] += float64(answer.Flight.Running + answer.Flight.Waiting)
+			f[FigureMoving] += float64(answer.InFlight.Running + answer.InFlight.Waiting)
 		} else {
-			f[FigureMoving] += float64(answer.Flight.AtLost)
+			f[FigureMoving] += float64(answer.InFlight.OnLostReplicas)
 		}
 	}
 }
@@ -160,19 +160,19 @@
 }
 
 // addRoute adds a route's shares and quantiles.
-func (f Forecast) addRoute(route drill.Route) {
+func (f Forecast) addRoute(route drill.RouteForecast) {
 	share := func(amount int) float64 { return float64(amount) / float64(route.Sampled) }
 	for name, value := range map[string]float64{
-		ThenNotLoaded:   share(route.Unplaced),
-		ThenWaits:       share(route.Wait),
-		ThenRegionBound: share(route.Bound),
-		ThenMissed:      share(route.Late + route.Wait + route.Unplaced + route.Bound),
-		NowMissed:       share(route.LateNow + route.WaitNow + route.UnplacedNow),
+		ThenNotLoaded:   share(route.NowhereLoaded),
+		ThenWaits:       share(route.Waiting),
+		ThenRegionBound: share(route.BoundToLost),
+		ThenMissed:      share(route.Late + route.Waiting + route.NowhereLoaded + route.BoundToLost),
+		NowMissed:       share(route.LateNow + route.WaitingNow + route.NowhereLoadedNow),
 	} {
 		f[route.Name+": "+name] = value
 	}
-	f.addQuantiles(route.Name, route.FirstThen, ThenMedian, ThenTail, ThenLast)
-	f.addQuantiles(route.Name, route.FirstNow, NowMedian, NowTail, NowLast)
+	f.addQuantiles(route.Name, route.FirstTokenAfterLoss, ThenMedian, ThenTail, ThenLast)
+	f.addQuantiles(route.Name, route.FirstTokenNow, NowMedian, NowTail, NowLast)
 }
 
 // addQuantiles adds a route's quantiles under the three names, if there are any samples.
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -76,7 +76,7 @@
 		Models:  s.held.List(),
 	}
 	if left := s.coldUntil.Sub(s.world.now()); left > 0 {
-		listed.ColdRemainingMs = float64(left.Milliseconds())
+		listed.WarmUpRemainingMs = float64(left.Milliseconds())
 	}
 	return listed
 }
--- a/internal/emulator/standin/holdings.go
+++ b/internal/emulator/standin/holdings.go
@@ -30,17 +30,17 @@
 
 // List is the set as the platform's list tells it, ordered by name; adapters without their model
 // are left out.
-func (h Holdings) List() []platform.Held {
+func (h Holdings) List() []platform.LoadedModel {
 	references := make([]string, 0, len(h))
 	for reference := range h {
 		references = append(references, reference)
 	}
 	sort.Strings(references)
-	list := []platform.Held{}
+	list := []platform.LoadedModel{}
 	for _, reference := range references {
 		model, adapter, adapted := strings.Cut(reference, "/")
 		if !adapted {
-			list = append(list, platform.Held{Name: model, Revision: 1, Adapters: []string{}})
+			list = append(list, platform.LoadedModel{Name: model, Revision: 1, Adapters: []string{}})
 			continue
 		}
 		for position := range list {
--- a/internal/emulator/standin/standin_test.go
+++ b/internal/emulator/standin/standin_test.go
@@ -118,8 +118,8 @@
 	list := &List{PageSize: 2, Replicas: []*Replica{stand("r-1"), stand("r-2"), stand("r-3")}}
 	server := httptest.NewServer(list)
 	defer server.Close()
-	reader := &platform.List{Address: strings.TrimPrefix(server.URL, "http://"), Client: server.Client()}
-	read, err := reader.Read(t.Context())
+	reader := &platform.Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
+	read, err := reader.List(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(read), 3)
 	assert.Equal(t, read[2].ID, "r-3")
--- a/internal/event/bus.go
+++ b/internal/event/bus.go
@@ -13,23 +13,23 @@
 	"github.com/ThreeDotsLabs/watermill/pubsub/gochannel"
 )
 
-// Topics. Committed tells of a key that was written on a majority, Placement of a change of the
+// Topics. TopicCommitted tells of a key that was written on a majority, TopicPlacementChanged of a change of the
 // placement.
 const (
-	Committed = "committed"
-	Placement = "placement"
+	TopicCommitted        = "committed"
+	TopicPlacementChanged = "placement"
 )
 
-const buffered = 64
+const bufferSize = 64
 
 // Bus hands what is published on a topic to everyone who subscribed to it.
 type Bus struct {
 	channel *gochannel.GoChannel
 }
 
-// NewBus returns a bus without subscribers.
-func NewBus() *Bus {
-	return &Bus{channel: gochannel.NewGoChannel(gochannel.Config{OutputChannelBuffer: buffered}, watermill.NopLogger{})}
+// New returns a bus without subscribers.
+func New() *Bus {
+	return &Bus{channel: gochannel.NewGoChannel(gochannel.Config{OutputChannelBuffer: bufferSize}, watermill.NopLogger{})}
 }
 
 // Publish sends content as JSON to the subscribers of topic.
@@ -49,9 +49,9 @@
 		return err
 	}
 	go func() {
-		for one := range messages {
-			handle(one.Payload)
-			one.Ack()
+		for received := range messages {
+			handle(received.Payload)
+			received.Ack()
 		}
 	}()
 	return nil
--- a/internal/histories/calls_test.go
+++ b/internal/histories/calls_test.go
@@ -167,7 +167,7 @@
 	if s.now() >= sent.started+attemptTimeout && !s.variant.ignoresTokenExpiry {
 		return 0, errCallerGone
 	}
-	before := state.Clock().Add(operator.CallPatience)
+	before := state.Clock().Add(operator.CallerTimeout)
 	time.Sleep(call.delay)
 	s.waitWhileFrozen(daemon)
 	if s.variant.ignoresTokenExpiry {
--- a/internal/match/drill.go
+++ b/internal/match/drill.go
@@ -106,7 +106,7 @@
 	}
 	if now.Sub(request.Arrived) > request.latencyTargetOrTimeout()/exemptionDivisor {
 		request.underDrill = false
-		d.updateRoute(request, func(record *routeRecord) { record.counts.Drilled.Spared++ })
+		d.updateRoute(request, func(record *routeRecord) { record.counts.Drilled.Exempted++ })
 		request.drill = nil
 		return nil
 	}
@@ -117,7 +117,7 @@
 func (d *Drill) recordSend(request *Request, replica *Replica) {
 	if request.underDrill && request.onlyCopyLost && d.affects(replica.Zone, replica.Region) {
 		request.underDrill = false
-		d.updateRoute(request, func(record *routeRecord) { record.counts.Kept++ })
+		d.updateRoute(request, func(record *routeRecord) { record.counts.KeptInScope++ })
 	}
 }
 
--- a/internal/match/drill_record.go
+++ b/internal/match/drill_record.go
@@ -11,7 +11,7 @@
 // routeRecord is what a drill counted of one route: drilled requests and the rest, with the times to
 // their first event in ms.
 type routeRecord struct {
-	counts       drill.EdgeRouteTally
+	counts       drill.DataPlaneRouteOutcomes
 	firstDrilled *hdrhistogram.Histogram
 	firstRest    *hdrhistogram.Histogram
 }
@@ -29,7 +29,7 @@
 }
 
 // side is where a request is counted.
-func (r *routeRecord) tallyFor(request *Request) (*drill.Tally, *hdrhistogram.Histogram) {
+func (r *routeRecord) tallyFor(request *Request) (*drill.OutcomeCounts, *hdrhistogram.Histogram) {
 	if request.underDrill && !request.onlyCopyLost {
 		return &r.counts.Drilled, r.firstDrilled
 	}
@@ -46,7 +46,7 @@
 		duration := at.Sub(request.Arrived)
 		drill.RecordLatency(times, float64(duration.Microseconds())/1000)
 		if duration <= request.latencyTargetOrTimeout() {
-			counter.InAim++
+			counter.WithinTarget++
 		} else {
 			counter.Late++
 		}
@@ -66,7 +66,7 @@
 func (d *Drill) recordRejection(request *Request) {
 	d.updateRoute(request, func(record *routeRecord) {
 		counter, _ := record.tallyFor(request)
-		counter.Refused++
+		counter.Rejected++
 	})
 }
 
@@ -74,7 +74,7 @@
 func (d *Drill) recordTruncation(request *Request) {
 	d.updateRoute(request, func(record *routeRecord) {
 		counter, _ := record.tallyFor(request)
-		counter.Broken++
+		counter.Aborted++
 	})
 }
 
@@ -88,11 +88,11 @@
 	if d.lastReport != nil && d.lastReport.Ended == ended && now.Sub(d.lastReportAt) < reportTTL {
 		return d.lastReport
 	}
-	report := &drill.Report{Number: d.Number, Ended: ended, Routes: map[string]drill.EdgeRouteTally{}}
+	report := &drill.Report{Number: d.Number, Ended: ended, Routes: map[string]drill.DataPlaneRouteOutcomes{}}
 	for name, record := range d.routes {
 		counts := record.counts
-		counts.FirstDrilled = drill.EncodeHistogram(record.firstDrilled)
-		counts.FirstRest = drill.EncodeHistogram(record.firstRest)
+		counts.FirstTokenDrilled = drill.EncodeHistogram(record.firstDrilled)
+		counts.FirstTokenRest = drill.EncodeHistogram(record.firstRest)
 		report.Routes[name] = counts
 	}
 	d.lastReport = report
--- a/internal/match/drill_test.go
+++ b/internal/match/drill_test.go
@@ -13,9 +13,9 @@
 
 // drillOutcome is how a drilled fleet fared.
 type drillOutcome struct {
-	atLost         int                             // drilled requests that run at drilled replicas
-	routes         map[string]drill.EdgeRouteTally // the drill's report
-	harmedAttempts []string                        // attempts without a replica in the drilled fleet only
+	atLost         int                                     // drilled requests that run at drilled replicas
+	routes         map[string]drill.DataPlaneRouteOutcomes // the drill's report
+	harmedAttempts []string                                // attempts without a replica in the drilled fleet only
 }
 
 // runDrill runs the same requests through a fleet with a drill and through one without.
@@ -54,7 +54,7 @@
 		found := runDrill(seed, 1, func(*Drill) {})
 		assert.Equal(t, found.atLost, 0, "seed %d", seed)
 		assert.Equal(t, len(found.harmedAttempts), 0, "seed %d: %v", seed, found.harmedAttempts)
-		kept += found.routes["quick"].Kept
+		kept += found.routes["quick"].KeptInScope
 		faulty := runDrill(seed, 1, func(active *Drill) {
 			active.servableElsewhere = func(*Matcher, *Request, time.Time) bool { return true }
 		})
@@ -108,7 +108,7 @@
 			Backend: "s",
 			Zone:    zone,
 			Slots:   4,
-			Models:  []platform.Held{{Name: "m"}},
+			Models:  []platform.LoadedModel{{Name: "m"}},
 		}, simulated.now, nil))
 	}
 	fleet.Drill = NewDrill(drill.Notice{
@@ -137,5 +137,5 @@
 	assert.Equal(t, len(request.Decided), 1, "it waits no longer")
 	decision := <-request.Decided
 	assert.Equal(t, decision.Replica.ID, "isle")
-	assert.Equal(t, fleet.Drill.Report("", simulated.now).Routes["quick"].Drilled.Spared, 1)
+	assert.Equal(t, fleet.Drill.Report("", simulated.now).Routes["quick"].Drilled.Exempted, 1)
 }
--- a/internal/match/fleet.go
+++ b/internal/match/fleet.go
@@ -51,8 +51,8 @@
 		Draining: listed.State == platform.Draining,
 		Models:   map[string]bool{},
 	}
-	if listed.ColdRemainingMs > 0 {
-		remaining := time.Duration(listed.ColdRemainingMs * float64(time.Millisecond))
+	if listed.WarmUpRemainingMs > 0 {
+		remaining := time.Duration(listed.WarmUpRemainingMs * float64(time.Millisecond))
 		replica.WarmUpUntil = fetched.Add(remaining)
 	}
 	for _, model := range listed.Models {
--- a/internal/match/forecast.go
+++ b/internal/match/forecast.go
@@ -15,14 +15,14 @@
 // Forecast works out what this data plane would do if replicas were lost (docs/rehearsal.md). It
 // decides on a copy of the matcher with the ordinary code, so nothing changes; Run pauses only
 // for the copy. Any goroutine may call it.
-func (m *Matcher) Forecast(ctx context.Context, loss drill.Loss) (drill.Answer, error) {
+func (m *Matcher) Forecast(ctx context.Context, loss drill.Loss) (drill.ForecastResponse, error) {
 	reply := make(chan *Matcher, 1)
 	select {
 	case m.forkRequests <- reply:
 		before := <-reply
 		return before.forecast(loss, before.clock()), nil
 	case <-ctx.Done():
-		return drill.Answer{}, ctx.Err()
+		return drill.ForecastResponse{}, ctx.Err()
 	}
 }
 
@@ -31,11 +31,11 @@
 
 // forecast runs on a fork: m decides without the loss, a second fork after it. What runs at the lost
 // replicas and what waits is placed first, so that the rest is as full as it would be.
-func (m *Matcher) forecast(loss drill.Loss, now time.Time) drill.Answer {
+func (m *Matcher) forecast(loss drill.Loss, now time.Time) drill.ForecastResponse {
 	rest, lost := m.snapshot.without(loss.Covers)
 	after := m.fork(now, m.ledger.forkOrdered())
 	after.useSnapshot(rest, NewIndex(rest.Replicas))
-	answer := drill.Answer{
+	answer := drill.ForecastResponse{
 		Ready:    m.snapshot.Table != nil,
 		Cached:   m.ledger.cachedTokensByModel(lost),
 		Replicas: map[string]drill.ReplicaLoad{},
@@ -84,7 +84,7 @@
 		} else {
 			sum.Lost += entry.tokens
 			if prefix := key.withoutReplica(); !elsewhere[prefix] && !counted[prefix] {
-				sum.Only += entry.tokens
+				sum.OnlyInScope += entry.tokens
 				counted[prefix] = true
 			}
 		}
@@ -115,18 +115,18 @@
 
 // forecastInFlight places what ran at lost replicas and what waits, in batches by rank, and counts
 // where it ends.
-func (m *Matcher) forecastInFlight(inFlight []*Request, loss drill.Loss, answer *drill.Answer, now time.Time) {
-	flight := &answer.Flight
+func (m *Matcher) forecastInFlight(inFlight []*Request, loss drill.Loss, answer *drill.ForecastResponse, now time.Time) {
+	flight := &answer.InFlight
 	for _, load := range answer.Replicas {
 		flight.Running += load.Running
 	}
-	flight.AtLost = len(inFlight)
+	flight.OnLostReplicas = len(inFlight)
 	flight.Waiting = len(m.waiting)
 	for _, request := range inFlight {
 		if request.Idempotent {
-			flight.GoOn++
+			flight.Resumable++
 		} else {
-			flight.Cut++
+			flight.Aborted++
 		}
 	}
 	requests := append(append([]*Request{}, inFlight...), m.waiting...)
@@ -144,18 +144,18 @@
 }
 
 // countMove counts where one request of forecastInFlight went.
-func countMove(request *Request, loss drill.Loss, answer *drill.Answer) {
+func countMove(request *Request, loss drill.Loss, answer *drill.ForecastResponse) {
 	select {
 	case decision := <-request.Decided:
 		load := answer.Replicas[decision.Replica.ID]
 		load.Moved++
 		answer.Replicas[decision.Replica.ID] = load
-		answer.Flight.Placed++
+		answer.InFlight.Placed++
 	default:
 		if loss.LosesAllRegions(request.AllowedRegions) {
-			answer.Flight.Bound++
+			answer.InFlight.BoundToLost++
 		} else {
-			answer.Flight.Stuck++
+			answer.InFlight.StillWaiting++
 		}
 	}
 }
--- a/internal/match/forecast_route.go
+++ b/internal/match/forecast_route.go
@@ -31,19 +31,19 @@
 
 // routeCount is one route's part of a forecast in the making.
 type routeCount struct {
-	drill.EdgeRoute
+	drill.DataPlaneRoute
 	firstNow  *hdrhistogram.Histogram // predicted time to the first event, ms
 	firstThen *hdrhistogram.Histogram
 }
 
 // forecast decides a route's sample, the newest request first, until the budget is used.
-func (f *routeForecaster) forecast(sample []*Request) drill.EdgeRoute {
+func (f *routeForecaster) forecast(sample []*Request) drill.DataPlaneRoute {
 	first := sample[0]
 	route := routeCount{
-		EdgeRoute: drill.EdgeRoute{
-			Name:     first.Route,
-			Priority: first.Priority,
-			AimMs:    float64(first.LatencyTarget.Milliseconds()),
+		DataPlaneRoute: drill.DataPlaneRoute{
+			Name:            first.Route,
+			Priority:        first.Priority,
+			LatencyTargetMs: float64(first.LatencyTarget.Milliseconds()),
 		},
 		firstNow:  drill.NewHistogram(),
 		firstThen: drill.NewHistogram(),
@@ -58,15 +58,15 @@
 			oldest = request.Arrived
 		}
 		if hosts == nil && f.now.Sub(request.Arrived) > demandTTL {
-			route.Stale++
+			route.NotFollowed++
 			continue
 		}
 		f.decide(&route, request)
 	}
-	route.PerS = float64(route.Sampled+route.Stale) / max(f.now.Sub(oldest).Seconds(), 1)
-	route.FirstNow = drill.EncodeHistogram(route.firstNow)
-	route.FirstThen = drill.EncodeHistogram(route.firstThen)
-	return route.EdgeRoute
+	route.RatePerS = float64(route.Sampled+route.NotFollowed) / max(f.now.Sub(oldest).Seconds(), 1)
+	route.FirstTokenNow = drill.EncodeHistogram(route.firstNow)
+	route.FirstTokenAfterLoss = drill.EncodeHistogram(route.firstThen)
+	return route.DataPlaneRoute
 }
 
 // decide decides a sampled request as though it came now, without the loss and with it.
@@ -102,9 +102,9 @@
 func (r *routeCount) countNow(request *Request, here forecastDecision) {
 	switch {
 	case here.replica == nil && here.unplaced:
-		r.UnplacedNow++
+		r.NowhereLoadedNow++
 	case here.replica == nil:
-		r.WaitNow++
+		r.WaitingNow++
 	default:
 		drill.RecordLatency(r.firstNow, here.scored.predictedMs)
 		r.LateNow += lateCount(here.scored, request)
@@ -118,19 +118,19 @@
 		drill.RecordLatency(route.firstThen, there.scored.predictedMs)
 		route.Late += lateCount(there.scored, request)
 		if here.replica != nil {
-			route.Reread += there.scored.uncachedTokens - here.scored.uncachedTokens
+			route.RecomputedTokens += there.scored.uncachedTokens - here.scored.uncachedTokens
 		}
 		if here.replica != nil && f.lost[here.replica.ID] != nil {
 			route.Moved++
 		} else {
-			route.Stay++
+			route.Staying++
 		}
 	case f.loss.LosesAllRegions(request.AllowedRegions):
-		route.Bound++
+		route.BoundToLost++
 	case there.unplaced:
-		route.Unplaced++
+		route.NowhereLoaded++
 	default:
-		route.Wait++
+		route.Waiting++
 	}
 }
 
--- a/internal/match/forecast_test.go
+++ b/internal/match/forecast_test.go
@@ -45,7 +45,7 @@
 	}
 	zones := []string{"east", "west", "isle"}
 	for index := range replicas {
-		models := []platform.Held{{Name: fmt.Sprint("m", simulated.random.IntN(3))}, {Name: fmt.Sprint("m", 3+simulated.random.IntN(3))}}
+		models := []platform.LoadedModel{{Name: fmt.Sprint("m", simulated.random.IntN(3))}, {Name: fmt.Sprint("m", 3+simulated.random.IntN(3))}}
 		zone := zones[index%3]
 		replica := NewReplica(index, platform.Replica{
 			ID:      fmt.Sprint("r", index),
@@ -147,8 +147,8 @@
 }
 
 // actualCounts sends each sampled request alone, after the loss, and counts where it goes.
-func (f *simulatedFleet) actualCounts(sample []*Request) drill.Counts {
-	var counts drill.Counts
+func (f *simulatedFleet) actualCounts(sample []*Request) drill.RouteCounts {
+	var counts drill.RouteCounts
 	for _, taken := range sample {
 		counts.Sampled++
 		request := taken.clone()
@@ -163,16 +163,16 @@
 		case decision := <-request.Decided:
 			if decision.Ticket != nil {
 				counts.Late += lateCount(scoredPair{predictedMs: decision.Ticket.predictedMs}, request)
-				counts.Stay++
+				counts.Staying++
 			}
 		default:
 			switch {
 			case request.modelNotLoaded && isleLoss.LosesAllRegions(request.AllowedRegions):
-				counts.Bound++
+				counts.BoundToLost++
 			case request.modelNotLoaded:
-				counts.Unplaced++
+				counts.NowhereLoaded++
 			default:
-				counts.Wait++
+				counts.Waiting++
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 func TestMatcher_ForecastEqualsActualZoneLoss(t *testing.T) {
-	var seen drill.Counts
+	var seen drill.RouteCounts
 	for _, replicas := range []int{3, 6, 12} {
 		for seed := range uint64(20) {
 			simulated := newSimulatedFleet(seed, replicas)
@@ -194,12 +194,12 @@
 				assert.Equal(t, load.Moved, moved[id], "%s %s", name, id)
 			}
 			for _, route := range answer.Routes {
-				seen.Add(route.Counts)
+				seen.Add(route.RouteCounts)
 				real := simulated.actualCounts(sample[route.Name].requests)
-				assert.Equal(t, route.Stay+route.Moved, real.Stay, "%s %s", name, route.Name)
-				assert.Equal(t, route.Unplaced, real.Unplaced, name)
-				assert.Equal(t, route.Wait, real.Wait, name)
-				assert.Equal(t, route.Bound, real.Bound, name)
+				assert.Equal(t, route.Staying+route.Moved, real.Staying, "%s %s", name, route.Name)
+				assert.Equal(t, route.NowhereLoaded, real.NowhereLoaded, name)
+				assert.Equal(t, route.Waiting, real.Waiting, name)
+				assert.Equal(t, route.BoundToLost, real.BoundToLost, name)
 				assert.Equal(t, route.Late, real.Late, name)
 			}
 			for model, cached := range answer.Cached {
@@ -214,8 +214,8 @@
 			}
 		}
 	}
-	assert.Assert(t, seen.Moved > 0 && seen.Wait > 0 && seen.Unplaced > 0, "every kind was met: %+v", seen)
-	assert.Assert(t, seen.Bound > 0 && seen.Late > seen.LateNow, "every kind was met: %+v", seen)
+	assert.Assert(t, seen.Moved > 0 && seen.Waiting > 0 && seen.NowhereLoaded > 0, "every kind was met: %+v", seen)
+	assert.Assert(t, seen.BoundToLost > 0 && seen.Late > seen.LateNow, "every kind was met: %+v", seen)
 }
 
 func (s *Snapshot) contains(id string) bool {
--- a/internal/match/scale_test.go
+++ b/internal/match/scale_test.go
@@ -50,11 +50,11 @@
 		PeerLoadsAt:  now,
 		PeerLoads:    map[string]peer.ReplicaLoad{},
 	}
-	loadedModels := make([][]platform.Held, replicas)
+	loadedModels := make([][]platform.LoadedModel, replicas)
 	for model := range models {
 		for copied := range fixtureCopies {
 			at := (model + copied*(replicas/fixtureCopies)) % replicas
-			loadedModels[at] = append(loadedModels[at], platform.Held{Name: "model-" + strconv.Itoa(model)})
+			loadedModels[at] = append(loadedModels[at], platform.LoadedModel{Name: "model-" + strconv.Itoa(model)})
 		}
 	}
 	for index := range replicas {
--- a/internal/match/synchronous.go
+++ b/internal/match/synchronous.go
@@ -48,7 +48,7 @@
 }
 
 // ForecastSync is Forecast without Run.
-func (m *Matcher) ForecastSync(loss drill.Loss) drill.Answer {
+func (m *Matcher) ForecastSync(loss drill.Loss) drill.ForecastResponse {
 	now := m.clock()
 	return m.fork(now, m.ledger.fork()).forecast(loss, now)
 }
--- a/internal/operator/caller_test.go
+++ b/internal/operator/caller_test.go
@@ -11,49 +11,49 @@
 	"gotest.tools/v3/assert"
 )
 
-func standIn(t *testing.T, handle http.HandlerFunc) string {
+func newTestServer(t *testing.T, handle http.HandlerFunc) string {
 	server := httptest.NewServer(handle)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestGivenDaemonsThatFailOrPointElsewhereThenTheCallReachesOneThatAnswers(t *testing.T) {
+func TestClient_TriesAddressesAndFollowsRedirects(t *testing.T) {
 	seen := []string{}
-	good := standIn(t, func(writer http.ResponseWriter, request *http.Request) {
+	good := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
 		seen = append(seen, request.Method+" "+request.URL.Path+" "+request.Header.Get("If-Match"))
 		_, _ = writer.Write([]byte("{}"))
 	})
-	busy := standIn(t, func(writer http.ResponseWriter, request *http.Request) {
+	busy := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	})
-	pointing := standIn(t, func(writer http.ResponseWriter, request *http.Request) {
+	redirecting := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("Location", "http://"+good+request.URL.Path)
 		writer.WriteHeader(http.StatusTemporaryRedirect)
 	})
-	caller := &Caller{Addresses: []string{"127.0.0.1:1", busy, pointing}, Client: NewClient(), Patience: time.Second, Bound: 5 * time.Second}
-	outcome, err := caller.Call(context.Background(), http.MethodPut, "/ferryspar/config", "4", []byte("{}"))
+	client := &Client{Addresses: []string{"127.0.0.1:1", busy, redirecting}, HTTPClient: NewHTTPClient(), PerAddressTimeout: time.Second, Timeout: 5 * time.Second}
+	response, err := client.Call(context.Background(), http.MethodPut, "/ferryspar/config", "4", []byte("{}"))
 	assert.NilError(t, err)
-	assert.Equal(t, outcome.Status, http.StatusOK)
+	assert.Equal(t, response.Status, http.StatusOK)
 	assert.DeepEqual(t, seen, []string{"PUT /ferryspar/config 4"})
 }
 
-func TestGivenARefusalThenItIsFinal(t *testing.T) {
-	asked := 0
-	refusing := standIn(t, func(writer http.ResponseWriter, request *http.Request) {
-		asked++
+func TestClient_DoesNotRetryRejection(t *testing.T) {
+	calls := 0
+	address := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
+		calls++
 		writer.WriteHeader(http.StatusPreconditionFailed)
 	})
-	caller := &Caller{Addresses: []string{refusing}, Client: NewClient(), Patience: time.Second, Bound: 5 * time.Second}
-	outcome, err := caller.Call(context.Background(), http.MethodPut, "/", "1", nil)
+	client := &Client{Addresses: []string{address}, HTTPClient: NewHTTPClient(), PerAddressTimeout: time.Second, Timeout: 5 * time.Second}
+	response, err := client.Call(context.Background(), http.MethodPut, "/", "1", nil)
 	assert.NilError(t, err)
-	assert.Equal(t, outcome.Status, http.StatusPreconditionFailed)
-	assert.Equal(t, asked, 1)
+	assert.Equal(t, response.Status, http.StatusPreconditionFailed)
+	assert.Equal(t, calls, 1)
 }
 
-func TestGivenNobodyAnswersThenTheReasonIsSaid(t *testing.T) {
-	caller := &Caller{Addresses: []string{"127.0.0.1:1"}, Client: NewClient(), Patience: time.Second, Bound: 300 * time.Millisecond}
-	_, err := caller.Call(context.Background(), http.MethodGet, "/", "", nil)
+func TestClient_ReportsWhyNoResponseCame(t *testing.T) {
+	client := &Client{Addresses: []string{"127.0.0.1:1"}, HTTPClient: NewHTTPClient(), PerAddressTimeout: time.Second, Timeout: 300 * time.Millisecond}
+	_, err := client.Call(context.Background(), http.MethodGet, "/", "", nil)
 	assert.ErrorContains(t, err, "no clear answer in time")
-	_, err = (&Caller{Bound: time.Second}).Call(context.Background(), http.MethodGet, "/", "", nil)
+	_, err = (&Client{Timeout: time.Second}).Call(context.Background(), http.MethodGet, "/", "", nil)
 	assert.ErrorContains(t, err, "no control daemon named")
 }
