--- a/internal/operator/calls.go
+++ b/internal/operator/calls.go
@@ -32,38 +32,38 @@
 	StartDrill(ctx context.Context, request drill.Request) (drill.Status, error)
 	StopDrill(ctx context.Context) (drill.Status, error)
 	ReadDrill(ctx context.Context) (drill.Status, error)
-	Status() Fleet
+	Status() FleetStatus
 }
 
 type handler func(state State, request *http.Request) ([]byte, error)
 
-// call is one row of the table of calls. A guarded one changes something and names no version
-// that it builds on; see Guard.
-type call struct {
+// endpoint is one row of the table of calls. A guarded one changes something and names no version
+// that it builds on; see ReplayGuard.
+type endpoint struct {
 	method  string
 	path    string
 	handle  handler
 	guarded bool
 }
 
-var calls = []call{
-	{method: http.MethodPut, path: "/ferryspar/config", handle: put},
-	{method: http.MethodPatch, path: "/ferryspar/config", handle: patch},
-	{method: http.MethodGet, path: "/ferryspar/config", handle: get},
-	{method: http.MethodPost, path: "/ferryspar/drain-zone/{zone}", handle: drain(true), guarded: true},
-	{method: http.MethodDelete, path: "/ferryspar/drain-zone/{zone}", handle: drain(false), guarded: true},
+var endpoints = []endpoint{
+	{method: http.MethodPut, path: "/ferryspar/config", handle: replaceConfiguration},
+	{method: http.MethodPatch, path: "/ferryspar/config", handle: patchConfiguration},
+	{method: http.MethodGet, path: "/ferryspar/config", handle: readConfiguration},
+	{method: http.MethodPost, path: "/ferryspar/drain-zone/{zone}", handle: drainZone(true), guarded: true},
+	{method: http.MethodDelete, path: "/ferryspar/drain-zone/{zone}", handle: drainZone(false), guarded: true},
 	{method: http.MethodGet, path: "/ferryspar/retention", handle: readRetention},
 	{method: http.MethodPut, path: "/ferryspar/retention", handle: setRetention, guarded: true},
 	{method: http.MethodGet, path: "/ferryspar/forget", handle: readForgets},
 	{method: http.MethodPost, path: "/ferryspar/forget", handle: forget, guarded: true},
-	{method: http.MethodPost, path: "/ferryspar/rehearsal", handle: rehearse, guarded: true},
-	{method: http.MethodGet, path: "/ferryspar/rehearsal", handle: told(State.ReadDrill)},
-	{method: http.MethodDelete, path: "/ferryspar/rehearsal", handle: told(State.StopDrill), guarded: true},
-	{method: http.MethodGet, path: "/ferryspar/status", handle: status},
+	{method: http.MethodPost, path: "/ferryspar/rehearsal", handle: startRehearsal, guarded: true},
+	{method: http.MethodGet, path: "/ferryspar/rehearsal", handle: drillHandler(State.ReadDrill)},
+	{method: http.MethodDelete, path: "/ferryspar/rehearsal", handle: drillHandler(State.StopDrill), guarded: true},
+	{method: http.MethodGet, path: "/ferryspar/status", handle: readStatus},
 }
 
-// Routes serves the operator's calls on a state.
-func Routes(state State, guard *Guard) http.Handler {
+// NewHandler serves the operator's calls on a state.
+func NewHandler(state State, guard *ReplayGuard) http.Handler {
 	router := chi.NewRouter()
 	router.NotFound(func(writer http.ResponseWriter, request *http.Request) {
 		apierror.Write(writer, apierror.New(apierror.UnknownPath, "%s", request.URL.Path))
@@ -71,22 +71,22 @@
 	router.MethodNotAllowed(func(writer http.ResponseWriter, request *http.Request) {
 		apierror.Write(writer, apierror.New(apierror.MethodNotAllowed, "%s", request.Method))
 	})
-	for _, one := range calls {
-		if !one.guarded {
-			router.MethodFunc(one.method, one.path, one.serve(state))
+	for _, endpoint := range endpoints {
+		if !endpoint.guarded {
+			router.MethodFunc(endpoint.method, endpoint.path, endpoint.serve(state))
 			continue
 		}
-		router.MethodFunc(one.method, one.path, func(writer http.ResponseWriter, request *http.Request) {
+		router.MethodFunc(endpoint.method, endpoint.path, func(writer http.ResponseWriter, request *http.Request) {
 			redirect(writer, guard.Location(request.Method, request.URL.EscapedPath()))
 		})
-		router.MethodFunc(one.method, one.path+"/{token}", guard.admit(one.serve(state)))
+		router.MethodFunc(endpoint.method, endpoint.path+"/{token}", guard.admit(endpoint.serve(state)))
 	}
 	return router
 }
 
-func (c call) serve(state State) http.HandlerFunc {
+func (e endpoint) serve(state State) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		content, err := c.handle(state, request)
+		content, err := e.handle(state, request)
 		if err != nil {
 			apierror.Write(writer, err)
 			return
@@ -100,10 +100,10 @@
 	}
 }
 
-const documentBound = 32 << 20
+const maxDocumentBytes = 32 << 20
 
-func read(request *http.Request) (int64, []byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, documentBound))
+func readDocument(request *http.Request) (int64, []byte, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, maxDocumentBytes))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return 0, nil, apierror.New(apierror.BodyTooLarge, "")
@@ -119,28 +119,28 @@
 	return condition, body, nil
 }
 
-func put(state State, request *http.Request) ([]byte, error) {
-	condition, body, err := read(request)
+func replaceConfiguration(state State, request *http.Request) ([]byte, error) {
+	condition, body, err := readDocument(request)
 	if err != nil {
 		return nil, err
 	}
 	return nil, state.ReplaceConfiguration(request.Context(), condition, request.Method, body)
 }
 
-func patch(state State, request *http.Request) ([]byte, error) {
-	condition, body, err := read(request)
+func patchConfiguration(state State, request *http.Request) ([]byte, error) {
+	condition, body, err := readDocument(request)
 	if err != nil {
 		return nil, err
 	}
 	return nil, state.PatchConfiguration(request.Context(), condition, request.Method, body)
 }
 
-func get(state State, request *http.Request) ([]byte, error) {
+func readConfiguration(state State, request *http.Request) ([]byte, error) {
 	return state.ReadConfiguration(request.Context())
 }
 
-func drain(drained bool) handler {
+func drainZone(drained bool) handler {
 	return func(state State, request *http.Request) ([]byte, error) {
-		return nil, state.DrainZone(request.Context(), chi.URLParam(request, "zone"), drained, beforeOf(request.Context()))
+		return nil, state.DrainZone(request.Context(), chi.URLParam(request, "zone"), drained, callDeadline(request.Context()))
 	}
 }
--- a/internal/operator/context.go
+++ b/internal/operator/context.go
@@ -8,10 +8,10 @@
 	"ferryspar/internal/retention"
 )
 
-const contextBound = 64 << 10
+const maxBodyBytes = 64 << 10
 
-func decode(request *http.Request, target any, kind apierror.Kind) error {
-	reader := json.NewDecoder(http.MaxBytesReader(nil, request.Body, contextBound))
+func decodeBody(request *http.Request, target any, kind apierror.Kind) error {
+	reader := json.NewDecoder(http.MaxBytesReader(nil, request.Body, maxBodyBytes))
 	reader.DisallowUnknownFields()
 	if err := reader.Decode(target); err != nil {
 		return apierror.New(kind, "%s", err.Error())
@@ -28,16 +28,16 @@
 }
 
 func setRetention(state State, request *http.Request) ([]byte, error) {
-	var wanted struct {
+	var requested struct {
 		LifeMs *int64 `json:"lifeMs"`
 	}
-	if err := decode(request, &wanted, apierror.InvalidRetention); err != nil {
+	if err := decodeBody(request, &requested, apierror.InvalidRetention); err != nil {
 		return nil, err
 	}
-	if wanted.LifeMs == nil {
+	if requested.LifeMs == nil {
 		return nil, apierror.New(apierror.InvalidRetention, "lifeMs is missing")
 	}
-	policy, err := state.SetRetention(request.Context(), retention.Policy{LifetimeMs: *wanted.LifeMs})
+	policy, err := state.SetRetention(request.Context(), retention.Policy{LifetimeMs: *requested.LifeMs})
 	if err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 
 func forget(state State, request *http.Request) ([]byte, error) {
 	var scope retention.Scope
-	if err := decode(request, &scope, apierror.InvalidRetention); err != nil {
+	if err := decodeBody(request, &scope, apierror.InvalidRetention); err != nil {
 		return nil, err
 	}
 	status, err := state.Forget(request.Context(), scope)
--- a/internal/operator/once_test.go
+++ b/internal/operator/once_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// breaking answers the first call of each connection and breaks the connection off after it has read the second.
-func breaking(t *testing.T) (address string, read *atomic.Int64) {
+// serveBreakingConnections answers the first call of each connection and breaks the connection off after it has read the second.
+func serveBreakingConnections(t *testing.T) (address string, read *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -47,18 +47,18 @@
 	return listener.Addr().String(), read
 }
 
-func TestGivenAConnectionThatBreaksAfterAChangeWasReadThenTheLibraryDoesNotSendItAgain(t *testing.T) {
+func TestClient_NetHTTPDoesNotResendAfterBrokenConnection(t *testing.T) {
 	for _, method := range []string{http.MethodPut, http.MethodPatch, http.MethodPost, http.MethodDelete} {
 		for _, body := range []string{"", "{}"} {
 			t.Run(method+" "+body, func(t *testing.T) {
-				address, read := breaking(t)
-				client := NewClient()
+				address, read := serveBreakingConnections(t)
+				client := NewHTTPClient()
 				client.Transport = &http.Transport{}
 				defer client.CloseIdleConnections()
-				caller := &Caller{Addresses: []string{address}, Client: client, Patience: time.Second, Bound: time.Second}
-				_, err := caller.once(t.Context(), address, http.MethodGet, "/", "", nil)
+				caller := &Client{Addresses: []string{address}, HTTPClient: client, PerAddressTimeout: time.Second, Timeout: time.Second}
+				_, err := caller.send(t.Context(), address, http.MethodGet, "/", "", nil)
 				assert.NilError(t, err)
-				_, err = caller.once(t.Context(), address, method, "/", "1", []byte(body))
+				_, err = caller.send(t.Context(), address, method, "/", "1", []byte(body))
 				assert.Assert(t, err != nil, "an answer that never came")
 				assert.Equal(t, read.Load(), int64(2))
 			})
@@ -66,21 +66,21 @@
 	}
 }
 
-func TestGivenAChangeWithoutAnAnswerThenTheCallerSendsTheSameChangeAgain(t *testing.T) {
+func TestClient_ResendsSameChangeWithoutResponse(t *testing.T) {
 	bodies := make(chan string, 10)
-	var asked atomic.Int64
-	address := standIn(t, func(writer http.ResponseWriter, request *http.Request) {
+	var calls atomic.Int64
+	address := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		bodies <- request.Header.Get("If-Match") + " " + string(body)
-		if asked.Add(1) == 1 {
+		if calls.Add(1) == 1 {
 			panic(http.ErrAbortHandler)
 		}
 	})
-	caller := &Caller{Addresses: []string{address}, Client: NewClient(), Patience: time.Second, Bound: 2 * time.Second}
-	outcome, err := caller.Call(context.Background(), http.MethodPut, "/ferryspar/config", "4", []byte("whole"))
+	client := &Client{Addresses: []string{address}, HTTPClient: NewHTTPClient(), PerAddressTimeout: time.Second, Timeout: 2 * time.Second}
+	response, err := client.Call(context.Background(), http.MethodPut, "/ferryspar/config", "4", []byte("whole"))
 	assert.NilError(t, err)
-	assert.Equal(t, outcome.Status, http.StatusOK)
+	assert.Equal(t, response.Status, http.StatusOK)
 	assert.Equal(t, <-bodies, "4 whole")
 	assert.Equal(t, <-bodies, "4 whole")
-	assert.Equal(t, asked.Load(), int64(2))
+	assert.Equal(t, calls.Load(), int64(2))
 }
--- a/internal/operator/pinned_test.go
+++ b/internal/operator/pinned_test.go
@@ -19,8 +19,8 @@
 
 func TestFleet_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
-		"status":                   new(Fleet),
-		"change of the membership": new(MembersChange),
+		"status":                   new(FleetStatus),
+		"change of the membership": new(MembershipChange),
 	})
 }
 
@@ -93,7 +93,7 @@
 	return filled[drill.Status](), nil
 }
 
-func (s *filledState) Status() Fleet { return filled[Fleet]() }
+func (s *filledState) Status() FleetStatus { return filled[FleetStatus]() }
 
 // exchange is one call and its answer, as they go over the wire.
 type exchange struct {
@@ -112,7 +112,7 @@
 	t.Helper()
 	state := &filledState{}
 	now := time.Unix(1000, 0)
-	handler := Routes(state, NewGuard(guardedAddress, func() time.Time { return now }))
+	handler := NewHandler(state, NewReplayGuard(guardedAddress, func() time.Time { return now }))
 	ask := func(target string) *httptest.ResponseRecorder {
 		request := httptest.NewRequest(method, target, strings.NewReader(body))
 		request.Header.Set("If-Match", `"41"`)
@@ -167,7 +167,7 @@
 
 func TestRoutes_TableOfCallsStaysTheSame(t *testing.T) {
 	var told []string
-	for _, one := range calls {
+	for _, one := range endpoints {
 		told = append(told, fmt.Sprintf("%s %s guarded=%v", one.method, one.path, one.guarded))
 	}
 	pinned.CheckJSON(t, "testdata/calls.json", told)
--- a/internal/operator/rehearse.go
+++ b/internal/operator/rehearse.go
@@ -9,9 +9,9 @@
 	"ferryspar/internal/drill"
 )
 
-type rehearser func(state State, request *http.Request, wanted drill.Request) (any, error)
+type rehearsalHandler func(state State, request *http.Request, wanted drill.Request) (any, error)
 
-var rehearsers = map[string]rehearser{
+var rehearsalHandlers = map[string]rehearsalHandler{
 	drill.KindForecast: func(state State, request *http.Request, wanted drill.Request) (any, error) {
 		return state.Forecast(request.Context(), wanted.Scope)
 	},
@@ -20,25 +20,25 @@
 	},
 }
 
-func rehearse(state State, request *http.Request) ([]byte, error) {
-	var wanted drill.Request
-	if err := decode(request, &wanted, apierror.InvalidDrill); err != nil {
+func startRehearsal(state State, request *http.Request) ([]byte, error) {
+	var requested drill.Request
+	if err := decodeBody(request, &requested, apierror.InvalidDrill); err != nil {
 		return nil, err
 	}
-	handle, known := rehearsers[wanted.Kind]
+	handle, known := rehearsalHandlers[requested.Kind]
 	if !known {
 		return nil, apierror.New(apierror.InvalidDrill, "kind must be %q or %q", drill.KindForecast, drill.KindDrill)
 	}
-	result, err := handle(state, request, wanted)
+	result, err := handle(state, request, requested)
 	if err != nil {
 		return nil, err
 	}
 	return json.Marshal(result)
 }
 
-func told(ask func(state State, ctx context.Context) (drill.Status, error)) handler {
+func drillHandler(read func(state State, ctx context.Context) (drill.Status, error)) handler {
 	return func(state State, request *http.Request) ([]byte, error) {
-		status, err := ask(state, request.Context())
+		status, err := read(state, request.Context())
 		if err != nil {
 			return nil, err
 		}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -69,22 +69,22 @@
 	FreshMs  int64 `json:"freshMs,omitempty"`
 	WaitedMs int64 `json:"heldMs,omitempty"`
 	// Proven says that the confirmation began after the poll had come.
-	Linearizable        bool                 `json:"proven,omitempty"`
-	Version             uint64               `json:"version"`
-	Revision            int64                `json:"revision"`
-	PackedConfiguration []byte               `json:"packed,omitempty"`
-	ZoneVersion         uint64               `json:"areaNumber"`
-	Zones               map[string]ZoneState `json:"areas,omitempty"`
-	RosterVersion       uint64               `json:"roster"`
-	RosterAgeMs         int64                `json:"rosterAge"`
-	EndpointSets        []EndpointSet        `json:"parts,omitempty"`
-	Resubscribe         bool                 `json:"refollow,omitempty"`
-	DataPlaneCount      int                  `json:"edges"`
-	LeaseHolder         string               `json:"holder"`
-	ControlPlanes       []string             `json:"control"`
-	Context             *ContextUpdate       `json:"context,omitempty"`
-	Forecast            *drill.Question      `json:"question,omitempty"`
-	Drill               *drill.Notice        `json:"drill,omitempty"`
+	Linearizable        bool                   `json:"proven,omitempty"`
+	Version             uint64                 `json:"version"`
+	Revision            int64                  `json:"revision"`
+	PackedConfiguration []byte                 `json:"packed,omitempty"`
+	ZoneVersion         uint64                 `json:"areaNumber"`
+	Zones               map[string]ZoneState   `json:"areas,omitempty"`
+	RosterVersion       uint64                 `json:"roster"`
+	RosterAgeMs         int64                  `json:"rosterAge"`
+	EndpointSets        []EndpointSet          `json:"parts,omitempty"`
+	Resubscribe         bool                   `json:"refollow,omitempty"`
+	DataPlaneCount      int                    `json:"edges"`
+	LeaseHolder         string                 `json:"holder"`
+	ControlPlanes       []string               `json:"control"`
+	Context             *ContextUpdate         `json:"context,omitempty"`
+	Forecast            *drill.ForecastRequest `json:"question,omitempty"`
+	Drill               *drill.Notice          `json:"drill,omitempty"`
 	// CountedForMs is how long the data plane has been one of the Edges counted. Neighbours is sent where the data
 	// plane has another list.
 	CountedForMs int64 `json:"countedMs,omitempty"`
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -13,39 +13,39 @@
 	"github.com/pkg/errors"
 )
 
-// List reads the list at an address. It is used by one goroutine at a time.
-type List struct {
-	Address string
-	Client  *http.Client
+// Client reads the list at an address. It is used by one goroutine at a time.
+type Client struct {
+	Address    string
+	HTTPClient *http.Client
 
-	pages int
+	pageCount int
 }
 
 // Pages is how many pages the last whole list had, one at least: each counts as a call to the platform.
-func (l *List) Pages() int { return max(l.pages, 1) }
+func (c *Client) PageCount() int { return max(c.pageCount, 1) }
 
 // ErrThrottled says that the platform was asked more often than it allows.
 var ErrThrottled = errors.New("platform list: over the rate")
 
 const (
-	listBound  = 900 * time.Millisecond
-	pagesBound = 100
+	listTimeout = 900 * time.Millisecond
+	maxPages    = 100
 )
 
 // Read returns the whole list, or an error if any page of it failed.
-func (l *List) Read(ctx context.Context) ([]Replica, error) {
-	bounded, cancel := context.WithTimeout(ctx, listBound)
+func (c *Client) List(ctx context.Context) ([]Replica, error) {
+	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	var replicas []Replica
 	token := ""
-	for number := range pagesBound {
-		page, err := l.page(bounded, token)
+	for index := range maxPages {
+		page, err := c.fetchPage(bounded, token)
 		if err != nil {
 			return nil, err
 		}
 		replicas = append(replicas, page.Instances...)
 		if page.NextToken == nil || *page.NextToken == "" {
-			l.pages = number + 1
+			c.pageCount = index + 1
 			return replicas, nil
 		}
 		token = *page.NextToken
@@ -53,9 +53,9 @@
 	return nil, errors.New("platform list: pages without end")
 }
 
-func (l *List) page(ctx context.Context, token string) (Page, error) {
+func (c *Client) fetchPage(ctx context.Context, token string) (Page, error) {
 	var page Page
-	target := url.URL{Scheme: "http", Host: l.Address, Path: "/replicas"}
+	target := url.URL{Scheme: "http", Host: c.Address, Path: "/replicas"}
 	if token != "" {
 		target.RawQuery = url.Values{"pageToken": {token}}.Encode()
 	}
@@ -63,20 +63,20 @@
 	if err != nil {
 		return page, err
 	}
-	answer, err := l.Client.Do(request)
+	response, err := c.HTTPClient.Do(request)
 	if err != nil {
 		return page, err
 	}
-	defer answer.Body.Close()
-	content, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return page, err
 	}
-	if answer.StatusCode == http.StatusTooManyRequests {
+	if response.StatusCode == http.StatusTooManyRequests {
 		return page, ErrThrottled
 	}
-	if answer.StatusCode != http.StatusOK {
-		return page, errors.Errorf("platform list: status %d", answer.StatusCode)
+	if response.StatusCode != http.StatusOK {
+		return page, errors.Errorf("platform list: status %d", response.StatusCode)
 	}
 	return page, errors.Wrap(json.Unmarshal(content, &page), "platform list")
 }
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -11,32 +11,32 @@
 	"gotest.tools/v3/assert"
 )
 
-func serveList(t *testing.T, handle http.HandlerFunc) *List {
+func newTestClient(t *testing.T, handle http.HandlerFunc) *Client {
 	server := httptest.NewServer(handle)
 	t.Cleanup(server.Close)
-	return &List{Address: strings.TrimPrefix(server.URL, "http://"), Client: server.Client()}
+	return &Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
 }
 
-func TestGivenPagesThenTheyAreReadInOrderToTheLast(t *testing.T) {
-	asked := []string{}
-	list := serveList(t, func(writer http.ResponseWriter, request *http.Request) {
+func TestClient_ListReadsAllPagesInOrder(t *testing.T) {
+	tokens := []string{}
+	client := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
 		token := request.URL.Query().Get("pageToken")
-		asked = append(asked, token)
+		tokens = append(tokens, token)
 		if token == "" {
 			fmt.Fprint(writer, `{"instances":[{"id":"i-1"}],"nextToken":"p&1"}`)
 			return
 		}
 		fmt.Fprint(writer, `{"instances":[{"id":"i-2"}],"nextToken":null}`)
 	})
-	replicas, err := list.Read(t.Context())
+	replicas, err := client.List(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(replicas), 2)
-	assert.DeepEqual(t, asked, []string{"", "p&1"})
-	assert.Equal(t, list.Pages(), 2)
+	assert.DeepEqual(t, tokens, []string{"", "p&1"})
+	assert.Equal(t, client.PageCount(), 2)
 }
 
-func TestGivenAPageThatIsSpoiledThenNoPartOfTheListCounts(t *testing.T) {
-	for name, spoiled := range map[string]http.HandlerFunc{
+func TestClient_ListFailsIfAnyPageFails(t *testing.T) {
+	for name, serveFaulty := range map[string]http.HandlerFunc{
 		"a failure": func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusInternalServerError) },
 		"cut": func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set("Content-Length", "100")
@@ -45,22 +45,22 @@
 		"no document": func(writer http.ResponseWriter, _ *http.Request) { fmt.Fprint(writer, "words") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			list := serveList(t, func(writer http.ResponseWriter, request *http.Request) {
+			client := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
 				if request.URL.Query().Get("pageToken") == "" {
 					fmt.Fprint(writer, `{"instances":[{"id":"i-1"}],"nextToken":"p-1"}`)
 					return
 				}
-				spoiled(writer, request)
+				serveFaulty(writer, request)
 			})
-			replicas, err := list.Read(t.Context())
+			replicas, err := client.List(t.Context())
 			assert.Assert(t, err != nil)
 			assert.Equal(t, len(replicas), 0)
 		})
 	}
 }
 
-func TestGivenTooManyCallsThenTheReaderIsTold(t *testing.T) {
-	list := serveList(t, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusTooManyRequests) })
-	_, err := list.Read(t.Context())
+func TestClient_ListReportsThrottling(t *testing.T) {
+	client := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusTooManyRequests) })
+	_, err := client.List(t.Context())
 	assert.Assert(t, errors.Is(err, ErrThrottled))
 }
--- a/internal/platform/merge_test.go
+++ b/internal/platform/merge_test.go
@@ -10,19 +10,19 @@
 
 func ids(replicas []Replica) []string {
 	var names []string
-	for _, one := range replicas {
-		names = append(names, one.ID+one.State)
+	for _, replica := range replicas {
+		names = append(names, replica.ID+replica.State)
 	}
 	slices.Sort(names)
 	return names
 }
 
-func TestGivenAReadingInPagesThenEachIDCountsOnceAsTheLastPageShowedIt(t *testing.T) {
+func TestMerger_KeepsLastEntryOfEachID(t *testing.T) {
 	merged := (&Merger{}).Merge([]Replica{{ID: "a", State: "ready"}, {ID: "b"}, {ID: "a", State: Draining}}, 2, time.Time{})
 	assert.DeepEqual(t, ids(merged), []string{"adraining", "b"})
 }
 
-func TestGivenAnEntryThatOneReadingInPagesSkipsThenItIsCarriedOverOnce(t *testing.T) {
+func TestMerger_CarriesSkippedEntryOverOnce(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	merger := &Merger{}
 	read := func(pages int, after time.Duration, entries ...Replica) []string {
@@ -31,7 +31,7 @@
 	}
 	assert.DeepEqual(t, read(2, 0, Replica{ID: "a"}, Replica{ID: "b"}), []string{"a", "b"})
 	assert.DeepEqual(t, read(2, time.Second, Replica{ID: "a"}), []string{"a", "b"})
-	assert.DeepEqual(t, read(2, time.Second, Replica{ID: "a"}), []string{"a"}) // left out twice: gone
-	assert.DeepEqual(t, read(1, time.Second, Replica{ID: "c"}), []string{"c"}) // one page is one moment
-	assert.DeepEqual(t, read(2, carryWithin, Replica{ID: "a"}), []string{"a"}) // too long ago
+	assert.DeepEqual(t, read(2, time.Second, Replica{ID: "a"}), []string{"a"})     // left out twice: gone
+	assert.DeepEqual(t, read(1, time.Second, Replica{ID: "c"}), []string{"c"})     // one page is one moment
+	assert.DeepEqual(t, read(2, maxCarryOverAge, Replica{ID: "a"}), []string{"a"}) // too long ago
 }
--- a/internal/platform/pinned_test.go
+++ b/internal/platform/pinned_test.go
@@ -14,7 +14,7 @@
 func TestReplica_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
 		"replica":    new(Replica),
-		"held model": new(Held),
+		"held model": new(LoadedModel),
 		"page":       new(Page),
 	})
 }
@@ -30,8 +30,8 @@
 		_, _ = writer.Write([]byte(body))
 	}))
 	defer server.Close()
-	list := &List{Address: strings.TrimPrefix(server.URL, "http://"), Client: server.Client()}
-	_, err := list.Read(t.Context())
+	list := &Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
+	_, err := list.List(t.Context())
 	assert.NilError(t, err)
 	pinned.CheckJSON(t, "testdata/paths.json", asked)
 }
--- a/internal/platform/replica.go
+++ b/internal/platform/replica.go
@@ -1,7 +1,7 @@
 package platform
 
-// Held is a model that a replica holds, with its adapters.
-type Held struct {
+// LoadedModel is a model that a replica holds, with its adapters.
+type LoadedModel struct {
 	Name     string   `json:"name"`
 	Revision int64    `json:"revision"`
 	Adapters []string `json:"adapterList"`
@@ -9,17 +9,17 @@
 
 // Replica is an entry of the platform's list.
 type Replica struct {
-	ID              string   `json:"id"`
-	Backend         string   `json:"backend"`
-	Address         string   `json:"address"`
-	Zone            string   `json:"zone"`
-	Revision        string   `json:"revision"`
-	Slots           int      `json:"slots"`
-	State           string   `json:"state"`
-	ColdRemainingMs float64  `json:"coldRemainingMs"`
-	TimeLeftMs      *float64 `json:"timeLeftMs,omitempty"`
-	Phase           string   `json:"phase,omitempty"`
-	Models          []Held   `json:"modelList"`
+	ID                string        `json:"id"`
+	Backend           string        `json:"backend"`
+	Address           string        `json:"address"`
+	Zone              string        `json:"zone"`
+	Revision          string        `json:"revision"`
+	Slots             int           `json:"slots"`
+	State             string        `json:"state"`
+	WarmUpRemainingMs float64       `json:"coldRemainingMs"`
+	TimeLeftMs        *float64      `json:"timeLeftMs,omitempty"`
+	Phase             string        `json:"phase,omitempty"`
+	Models            []LoadedModel `json:"modelList"`
 }
 
 // Draining is the state of a replica that is to end.
@@ -32,15 +32,15 @@
 }
 
 // Holds tells whether the replica holds the model and, unless that is empty, the adapter.
-func (r Replica) Holds(model, adapter string) bool {
-	for _, held := range r.Models {
-		if held.Name != model {
+func (r Replica) HasLoaded(model, adapter string) bool {
+	for _, loaded := range r.Models {
+		if loaded.Name != model {
 			continue
 		}
 		if adapter == "" {
 			return true
 		}
-		for _, name := range held.Adapters {
+		for _, name := range loaded.Adapters {
 			if name == adapter {
 				return true
 			}
--- a/internal/query/pinned_test.go
+++ b/internal/query/pinned_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestTables_NamesAndColumnsStayTheSame(t *testing.T) {
-	var fleet operator.Fleet
+	var fleet operator.FleetStatus
 	var current configuration.Configuration
 	pinned.Fill(&fleet)
 	pinned.Fill(&current)
@@ -32,7 +32,7 @@
 
 func TestResult_JSONStaysTheSame(t *testing.T) {
 	var written strings.Builder
-	result := Result{Columns: []string{"a", "b"}, Rows: [][]any{{1, "x"}, {nil, 2.5}}, Cut: true}
-	assert.NilError(t, result.JSON(&written))
+	result := Result{Columns: []string{"a", "b"}, Rows: [][]any{{1, "x"}, {nil, 2.5}}, Truncated: true}
+	assert.NilError(t, result.WriteJSON(&written))
 	assert.Equal(t, written.String(), `{"cut":true,"rows":[{"a":1,"b":"x"},{"a":null,"b":2.5}]}`+"\n")
 }
--- a/internal/query/print.go
+++ b/internal/query/print.go
@@ -9,7 +9,7 @@
 )
 
 // Table writes the rows as aligned text.
-func (r Result) Table(writer io.Writer) error {
+func (r Result) WriteTable(writer io.Writer) error {
 	aligned := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(aligned, strings.Join(r.Columns, "\t"))
 	for _, row := range r.Rows {
@@ -24,15 +24,15 @@
 	return aligned.Flush()
 }
 
-// JSON writes the rows as JSON objects by column name.
-func (r Result) JSON(writer io.Writer) error {
+// WriteJSON writes the rows as WriteJSON objects by column name.
+func (r Result) WriteJSON(writer io.Writer) error {
 	rows := make([]map[string]any, 0, len(r.Rows))
 	for _, row := range r.Rows {
-		one := map[string]any{}
+		object := map[string]any{}
 		for position, column := range r.Columns {
-			one[column] = row[position]
+			object[column] = row[position]
 		}
-		rows = append(rows, one)
+		rows = append(rows, object)
 	}
-	return json.NewEncoder(writer).Encode(map[string]any{"rows": rows, "cut": r.Cut})
+	return json.NewEncoder(writer).Encode(map[string]any{"rows": rows, "cut": r.Truncated})
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -15,26 +15,26 @@
 	_ "modernc.org/sqlite"
 )
 
-// Bounds limits an answer: rows returned and time taken.
-type Bounds struct {
-	Rows int
-	Time time.Duration
+// Limits limits an answer: rows returned and time taken.
+type Limits struct {
+	MaxRows int
+	Timeout time.Duration
 }
 
 // Result is an answer. Cut tells that there were more rows than the bound.
 type Result struct {
-	Columns []string
-	Rows    [][]any
-	Cut     bool
+	Columns   []string
+	Rows      [][]any
+	Truncated bool
 }
 
 // Run loads the tables into a database in memory and runs one SELECT statement on it.
-func Run(ctx context.Context, tables []Table, statement string, bounds Bounds) (Result, error) {
-	statement, err := single(statement)
+func Run(ctx context.Context, tables []Table, statement string, limits Limits) (Result, error) {
+	statement, err := validateSelect(statement)
 	if err != nil {
 		return Result{}, err
 	}
-	bounded, cancel := context.WithTimeout(ctx, bounds.Time)
+	bounded, cancel := context.WithTimeout(ctx, limits.Timeout)
 	defer cancel()
 	database, err := sql.Open("sqlite", ":memory:")
 	if err != nil {
@@ -42,17 +42,17 @@
 	}
 	defer database.Close()
 	database.SetMaxOpenConns(1)
-	if err := load(bounded, database, tables); err != nil {
+	if err := createTables(bounded, database, tables); err != nil {
 		return Result{}, errors.Wrap(err, "fleet's state")
 	}
-	result, err := run(bounded, database, statement, bounds.Rows)
+	result, err := runSelect(bounded, database, statement, limits.MaxRows)
 	if err != nil && bounded.Err() != nil {
-		return Result{}, errors.Errorf("stopped: the query took longer than %s", bounds.Time)
+		return Result{}, errors.Errorf("stopped: the query took longer than %s", limits.Timeout)
 	}
-	return result, explain(err, tables)
+	return result, withSchemaHint(err, tables)
 }
 
-func single(statement string) (string, error) {
+func validateSelect(statement string) (string, error) {
 	statement = strings.TrimRight(strings.TrimSpace(statement), "; \n\t")
 	first, _, _ := strings.Cut(strings.ToUpper(statement), " ")
 	first, _, _ = strings.Cut(first, "\n")
@@ -65,22 +65,22 @@
 	return statement, nil
 }
 
-func load(ctx context.Context, database *sql.DB, tables []Table) error {
+func createTables(ctx context.Context, database *sql.DB, tables []Table) error {
 	for _, table := range tables {
 		if _, err := database.ExecContext(ctx, fmt.Sprintf("CREATE TABLE %s (%s)", table.Name, strings.Join(table.Columns, ", "))); err != nil {
 			return err
 		}
-		marks := strings.TrimSuffix(strings.Repeat("?, ", len(table.Columns)), ", ")
-		adding, err := database.PrepareContext(ctx, fmt.Sprintf("INSERT INTO %s VALUES (%s)", table.Name, marks))
+		placeholders := strings.TrimSuffix(strings.Repeat("?, ", len(table.Columns)), ", ")
+		insert, err := database.PrepareContext(ctx, fmt.Sprintf("INSERT INTO %s VALUES (%s)", table.Name, placeholders))
 		if err != nil {
 			return err
 		}
 		for _, row := range table.Rows {
-			if _, err := adding.ExecContext(ctx, row...); err != nil {
+			if _, err := insert.ExecContext(ctx, row...); err != nil {
 				return err
 			}
 		}
-		if err := adding.Close(); err != nil {
+		if err := insert.Close(); err != nil {
 			return err
 		}
 	}
@@ -88,44 +88,44 @@
 	return err
 }
 
-func run(ctx context.Context, database *sql.DB, statement string, bound int) (Result, error) {
-	found, err := database.QueryContext(ctx, statement)
+func runSelect(ctx context.Context, database *sql.DB, statement string, maxRows int) (Result, error) {
+	rows, err := database.QueryContext(ctx, statement)
 	if err != nil {
 		return Result{}, err
 	}
-	defer found.Close()
+	defer rows.Close()
 	var result Result
-	if result.Columns, err = found.Columns(); err != nil {
+	if result.Columns, err = rows.Columns(); err != nil {
 		return Result{}, err
 	}
-	for found.Next() {
-		if len(result.Rows) == bound {
-			result.Cut = true
+	for rows.Next() {
+		if len(result.Rows) == maxRows {
+			result.Truncated = true
 			return result, nil
 		}
 		row, targets := make([]any, len(result.Columns)), make([]any, len(result.Columns))
 		for position := range row {
 			targets[position] = &row[position]
 		}
-		if err := found.Scan(targets...); err != nil {
+		if err := rows.Scan(targets...); err != nil {
 			return Result{}, err
 		}
 		result.Rows = append(result.Rows, row)
 	}
-	return result, found.Err()
+	return result, rows.Err()
 }
 
-func explain(err error, tables []Table) error {
+func withSchemaHint(err error, tables []Table) error {
 	if err == nil {
 		return nil
 	}
-	said := err.Error()
-	if !strings.Contains(said, "no such table") && !strings.Contains(said, "no such column") {
+	message := err.Error()
+	if !strings.Contains(message, "no such table") && !strings.Contains(message, "no such column") {
 		return err
 	}
 	var known []string
 	for _, table := range tables {
 		known = append(known, fmt.Sprintf("  %s (%s)", table.Name, strings.Join(table.Columns, ", ")))
 	}
-	return errors.Errorf("%s; there are:\n%s", said, strings.Join(known, "\n"))
+	return errors.Errorf("%s; there are:\n%s", message, strings.Join(known, "\n"))
 }
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -13,26 +13,26 @@
 	"ferryspar/internal/platform"
 )
 
-func fleet() []Table {
-	held := []platform.Held{{Name: "big", Revision: 2, Adapters: []string{"a1", "a2"}}}
-	seen := operator.Fleet{
-		Member: "10.0.0.1:9000", Fresh: true, Members: []string{"10.0.0.1:9000", "10.0.0.2:9000"}, Next: []string{"10.0.0.3:9000"},
-		Holder: "10.0.0.2:9000", Drained: []string{"b"}, Edges: []string{"edge-1"},
+func testTables() []Table {
+	loaded := []platform.LoadedModel{{Name: "big", Revision: 2, Adapters: []string{"a1", "a2"}}}
+	status := operator.FleetStatus{
+		Member: "10.0.0.1:9000", Fresh: true, Members: []string{"10.0.0.1:9000", "10.0.0.2:9000"}, NextMembers: []string{"10.0.0.3:9000"},
+		PlacementHolder: "10.0.0.2:9000", DrainedZones: []string{"b"}, DataPlanes: []string{"edge-1"},
 		Replicas: []platform.Replica{
-			{ID: "r1", Backend: "chat", Zone: "a", State: "ready", Slots: 8, Models: held},
-			{ID: "r2", Backend: "chat", Zone: "b", State: "ready", Slots: 8, Models: held},
+			{ID: "r1", Backend: "chat", Zone: "a", State: "ready", Slots: 8, Models: loaded},
+			{ID: "r2", Backend: "chat", Zone: "b", State: "ready", Slots: 8, Models: loaded},
 			{ID: "r3", Backend: "chat", Zone: "a", State: "starting", Slots: 4},
 		},
 	}
-	return Tables(seen, configuration.Configuration{Routes: []configuration.Route{
+	return Tables(status, configuration.Configuration{Routes: []configuration.Route{
 		{Name: "plain", Backend: "chat", TimeoutMs: 1000},
 		{Name: "split", TrafficSplit: []configuration.Split{{Backend: "chat", Weight: 90}, {Backend: "gone", Weight: 10}}},
 	}, Tenants: []configuration.Tenant{{Name: "one", Keys: []configuration.APIKey{"secret"}, RatePerS: 4}, {Name: "two"}}})
 }
 
-var wide = Bounds{Rows: 100, Time: 10 * time.Second}
+var wide = Limits{MaxRows: 100, Timeout: 10 * time.Second}
 
-func TestGivenAFleetWhenAskedInSQLThenTheAnswerIsPrintedAsTableOrJSON(t *testing.T) {
+func TestRun_PrintsAsTableAndJSON(t *testing.T) {
 	cases := []struct{ statement, wanted string }{
 		{
 			statement: "SELECT zone, count(*) AS n FROM replicas GROUP BY zone;",
@@ -65,21 +65,21 @@
 			wanted: "duty       holder         edges  adapter  time_left_ms\nplacement  10.0.0.2:9000  1      a2       \n",
 		},
 	}
-	for _, one := range cases {
-		result, err := Run(context.Background(), fleet(), one.statement, wide)
-		assert.NilError(t, err, one.statement)
+	for _, testCase := range cases {
+		result, err := Run(context.Background(), testTables(), testCase.statement, wide)
+		assert.NilError(t, err, testCase.statement)
 		var printed bytes.Buffer
-		assert.NilError(t, result.Table(&printed))
-		assert.Equal(t, printed.String(), one.wanted)
+		assert.NilError(t, result.WriteTable(&printed))
+		assert.Equal(t, printed.String(), testCase.wanted)
 	}
-	result, err := Run(context.Background(), fleet(), "SELECT id, slots FROM replicas ORDER BY id", Bounds{Rows: 1, Time: wide.Time})
+	result, err := Run(context.Background(), testTables(), "SELECT id, slots FROM replicas ORDER BY id", Limits{MaxRows: 1, Timeout: wide.Timeout})
 	assert.NilError(t, err)
 	var printed bytes.Buffer
-	assert.NilError(t, result.JSON(&printed))
+	assert.NilError(t, result.WriteJSON(&printed))
 	assert.Equal(t, printed.String(), `{"cut":true,"rows":[{"id":"r1","slots":8}]}`+"\n")
 }
 
-func TestGivenAStatementThatCannotBeAnsweredThenItSaysWhy(t *testing.T) {
+func TestRun_RejectsInvalidStatements(t *testing.T) {
 	endless := "WITH RECURSIVE n(x) AS (SELECT 1 UNION ALL SELECT x + 1 FROM n) SELECT max(x) FROM n"
 	for statement, wanted := range map[string]string{
 		"SELECT * FROM servers":                             "replicas (id, backend, zone",
@@ -92,11 +92,11 @@
 		"WITH x AS (SELECT 1) INSERT INTO edges VALUES (1)": "readonly",
 		endless: "took longer than",
 	} {
-		bounds := wide
+		limits := wide
 		if statement == endless {
-			bounds.Time = 300 * time.Millisecond
+			limits.Timeout = 300 * time.Millisecond
 		}
-		_, err := Run(context.Background(), fleet(), statement, bounds)
+		_, err := Run(context.Background(), testTables(), statement, limits)
 		assert.ErrorContains(t, err, wanted, statement)
 	}
 }
--- a/internal/query/tables.go
+++ b/internal/query/tables.go
@@ -16,11 +16,11 @@
 }
 
 // Tables returns the tables of a fleet and its configuration, with digests in the place of keys.
-func Tables(fleet operator.Fleet, current configuration.Configuration) []Table {
-	return []Table{replicas(fleet), models(fleet), adapters(fleet), zones(fleet), edges(fleet), routes(current), tenants(current), members(fleet), leases(fleet)}
+func Tables(fleet operator.FleetStatus, current configuration.Configuration) []Table {
+	return []Table{replicas(fleet), models(fleet), adapters(fleet), zones(fleet), dataPlanes(fleet), routes(current), tenants(current), members(fleet), leases(fleet)}
 }
 
-func replicas(fleet operator.Fleet) Table {
+func replicas(fleet operator.FleetStatus) Table {
 	table := Table{
 		Name: "replicas",
 		Columns: []string{
@@ -28,43 +28,43 @@
 			"state", "phase", "cold_remaining_ms", "time_left_ms",
 		},
 	}
-	for _, one := range fleet.Replicas {
+	for _, replica := range fleet.Replicas {
 		table.Rows = append(table.Rows, []any{
-			one.ID, one.Backend, one.Zone, one.Address, one.Revision,
-			one.Slots, one.State, one.Phase, one.ColdRemainingMs, one.TimeLeftMs,
+			replica.ID, replica.Backend, replica.Zone, replica.Address, replica.Revision,
+			replica.Slots, replica.State, replica.Phase, replica.WarmUpRemainingMs, replica.TimeLeftMs,
 		})
 	}
 	return table
 }
 
-func models(fleet operator.Fleet) Table {
+func models(fleet operator.FleetStatus) Table {
 	table := Table{Name: "models", Columns: []string{"replica", "backend", "zone", "model", "revision", "adapters"}}
-	for _, one := range fleet.Replicas {
-		for _, held := range one.Models {
-			table.Rows = append(table.Rows, []any{one.ID, one.Backend, one.Zone, held.Name, held.Revision, len(held.Adapters)})
+	for _, replica := range fleet.Replicas {
+		for _, loaded := range replica.Models {
+			table.Rows = append(table.Rows, []any{replica.ID, replica.Backend, replica.Zone, loaded.Name, loaded.Revision, len(loaded.Adapters)})
 		}
 	}
 	return table
 }
 
-func adapters(fleet operator.Fleet) Table {
+func adapters(fleet operator.FleetStatus) Table {
 	table := Table{Name: "adapters", Columns: []string{"replica", "model", "adapter"}}
-	for _, one := range fleet.Replicas {
-		for _, held := range one.Models {
-			for _, adapter := range held.Adapters {
-				table.Rows = append(table.Rows, []any{one.ID, held.Name, adapter})
+	for _, replica := range fleet.Replicas {
+		for _, loaded := range replica.Models {
+			for _, adapter := range loaded.Adapters {
+				table.Rows = append(table.Rows, []any{replica.ID, loaded.Name, adapter})
 			}
 		}
 	}
 	return table
 }
 
-func zones(fleet operator.Fleet) Table {
+func zones(fleet operator.FleetStatus) Table {
 	drained := map[string]bool{}
-	for _, one := range fleet.Replicas {
-		drained[one.Zone] = false
+	for _, replica := range fleet.Replicas {
+		drained[replica.Zone] = false
 	}
-	for _, zone := range fleet.Drained {
+	for _, zone := range fleet.DrainedZones {
 		drained[zone] = true
 	}
 	table := Table{Name: "zones", Columns: []string{"zone", "drained"}}
@@ -74,9 +74,9 @@
 	return table
 }
 
-func edges(fleet operator.Fleet) Table {
+func dataPlanes(fleet operator.FleetStatus) Table {
 	table := Table{Name: "edges", Columns: []string{"name"}}
-	for _, name := range fleet.Edges {
+	for _, name := range fleet.DataPlanes {
 		table.Rows = append(table.Rows, []any{name})
 	}
 	return table
@@ -91,12 +91,12 @@
 			"token_gap_ms", "public",
 		},
 	}
-	for _, one := range current.Routes {
-		for _, split := range one.Splits() {
+	for _, route := range current.Routes {
+		for _, split := range route.Splits() {
 			table.Rows = append(table.Rows, []any{
-				one.Name, one.Hostname, one.PathPrefix, one.RouteType, split.Backend,
-				split.Weight, one.TimeoutMs, one.TargetLatencyMs, one.Priority, one.RetryCount,
-				one.Sticky, one.Resumable, one.TokenGapMs, one.Public,
+				route.Name, route.Hostname, route.PathPrefix, route.RouteType, split.Backend,
+				split.Weight, route.TimeoutMs, route.TargetLatencyMs, route.Priority, route.RetryCount,
+				route.Sticky, route.Resumable, route.TokenGapMs, route.Public,
 			})
 		}
 	}
@@ -107,35 +107,35 @@
 func tenants(current configuration.Configuration) Table {
 	current = current.Redacted()
 	table := Table{Name: "tenants", Columns: []string{"name", "priority", "rate_per_s", "burst", "key_digest"}}
-	for _, one := range current.Tenants {
+	for _, tenant := range current.Tenants {
 		var priority any
-		if one.Priority != nil {
-			priority = *one.Priority
+		if tenant.Priority != nil {
+			priority = *tenant.Priority
 		}
-		row := []any{one.Name, priority, one.RatePerS, one.Burst}
-		for _, key := range one.Keys {
+		row := []any{tenant.Name, priority, tenant.RatePerS, tenant.Burst}
+		for _, key := range tenant.Keys {
 			table.Rows = append(table.Rows, append(slices.Clone(row), string(key)))
 		}
-		if len(one.Keys) == 0 {
+		if len(tenant.Keys) == 0 {
 			table.Rows = append(table.Rows, append(row, ""))
 		}
 	}
 	return table
 }
 
-func members(fleet operator.Fleet) Table {
+func members(fleet operator.FleetStatus) Table {
 	table := Table{Name: "members", Columns: []string{"address", "part"}}
 	for _, address := range fleet.Members {
 		table.Rows = append(table.Rows, []any{address, "present"})
 	}
-	for _, address := range fleet.Next {
+	for _, address := range fleet.NextMembers {
 		table.Rows = append(table.Rows, []any{address, "next"})
 	}
 	return table
 }
 
-func leases(fleet operator.Fleet) Table {
+func leases(fleet operator.FleetStatus) Table {
 	table := Table{Name: "tenures", Columns: []string{"duty", "holder", "seen_by", "fresh", "layout_revision", "list_age_ms"}}
-	table.Rows = append(table.Rows, []any{"placement", fleet.Holder, fleet.Member, fleet.Fresh, fleet.Revision, fleet.ListMs})
+	table.Rows = append(table.Rows, []any{"placement", fleet.PlacementHolder, fleet.Member, fleet.Fresh, fleet.Revision, fleet.ListAgeMs})
 	return table
 }
--- a/internal/record/pinned_test.go
+++ b/internal/record/pinned_test.go
@@ -20,7 +20,7 @@
 		{Kind: KindConfiguration, AtMs: 0.5, PackedConfiguration: []byte{1, 2, 253, 254}},
 		{
 			Kind: KindFleet, AtMs: 1.25, EdgeCount: 2, Zone: "north", DrainedZones: []string{"south"},
-			Replicas: []platform.Replica{{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: []platform.Held{{Name: "m"}}}},
+			Replicas: []platform.Replica{{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: []platform.LoadedModel{{Name: "m"}}}},
 		},
 		{
 			Kind: KindRequest, AtMs: 100, AttemptID: "attempt-1", Route: "quick", Backend: "s", Model: "m", Tenant: "shop",
--- a/internal/replay/engine_test.go
+++ b/internal/replay/engine_test.go
@@ -24,7 +24,7 @@
 	now := time.Unix(0, 0)
 	writer := record.NewWriter(&written, 1<<20, func() time.Time { return now })
 	writer.Write(record.Entry{Kind: record.KindConfiguration, PackedConfiguration: configuration.Compress([]byte(document))})
-	loaded := []platform.Held{{Name: "m"}}
+	loaded := []platform.LoadedModel{{Name: "m"}}
 	writer.Write(record.Entry{Kind: record.KindFleet, EdgeCount: 1, Zone: "north", Replicas: []platform.Replica{
 		{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: loaded}, {ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: loaded}}})
 	for number := range requests {
--- a/internal/story/control_test.go
+++ b/internal/story/control_test.go
@@ -147,12 +147,12 @@
 		time.Sleep(6 * time.Second)
 		o, told := newOperators(f, 1, 2, 3), uint64(0)
 		for number := 2; number <= 4; number++ {
-			if change := o.status(coreHost(number)).MembersChange; change != nil {
+			if change := o.status(coreHost(number)).MembershipChange; change != nil {
 				assert.Assert(t, change.Reason != "")
-				told = max(told, change.Number)
+				told = max(told, change.Version)
 			}
 		}
-		assert.Equal(t, told, o.status(coreHost(3)).MembersNumber, "who committed the last change tells why")
+		assert.Equal(t, told, o.status(coreHost(3)).MembershipVersion, "who committed the last change tells why")
 		f.kill(coreHost(2))
 		time.Sleep(time.Second)
 		assert.Equal(t, f.put(3, 1, 2, document(2, newRoute)).status, http.StatusOK, "the newcomer counts towards the majority")
--- a/internal/story/drill_test.go
+++ b/internal/story/drill_test.go
@@ -131,18 +131,18 @@
 		assert.Assert(t, seen["/quick/aother"] > 0 && seen["/homely/swift"] > 0, "the last copy and home-bound work go on: %v", seen)
 		midway := f.drillState(3, http.MethodGet)
 		assert.Assert(t, midway.Running && midway.LeftMs < 4500 && midway.LeftMs > 2500, "%+v", midway)
-		assert.DeepEqual(t, midway.Edges, map[string]string{"daemon-" + edgeHost(1): drill.EdgeFollows, "daemon-" + edgeHost(2): drill.EdgeFollows})
+		assert.DeepEqual(t, midway.DataPlanes, map[string]string{"daemon-" + edgeHost(1): drill.DataPlaneFollows, "daemon-" + edgeHost(2): drill.DataPlaneFollows})
 		time.Sleep(5 * time.Second)
 		ended := f.drillState(1, http.MethodGet)
-		assert.Assert(t, !ended.Running && !ended.Guard, "%+v", ended)
-		assert.Equal(t, ended.Why, drill.EndedByTime)
-		counted := map[string]drill.RouteTally{}
+		assert.Assert(t, !ended.Running && !ended.EndedByGuard, "%+v", ended)
+		assert.Equal(t, ended.EndReason, drill.EndedByTime)
+		counted := map[string]drill.RouteOutcomes{}
 		for _, one := range ended.Routes {
 			counted[one.Name] = one
 		}
 		quick := counted["quick"]
-		assert.Assert(t, quick.Drilled.InAim > 50 && quick.Drilled.Late+quick.Drilled.Refused+quick.Drilled.Spared == 0, "%+v", quick)
-		assert.Assert(t, quick.Kept > 5 && counted["homely"].Kept > 50 && quick.FirstDrilled.Count > 50, "%+v", counted)
+		assert.Assert(t, quick.Drilled.WithinTarget > 50 && quick.Drilled.Late+quick.Drilled.Rejected+quick.Drilled.Exempted == 0, "%+v", quick)
+		assert.Assert(t, quick.KeptInScope > 5 && counted["homely"].KeptInScope > 50 && quick.FirstTokenDrilled.Count > 50, "%+v", counted)
 		from = time.Now()
 		time.Sleep(time.Second)
 		assert.Assert(t, landRuns()["/quick/swift"] > 10, "work returns at once: %v", landRuns())
@@ -166,7 +166,7 @@
 			work.end()
 			work.check(t, stands)
 			for _, one := range f.drillState(1, http.MethodDelete).Routes {
-				shares[share] = 100 * one.Drilled.InAim / (one.Drilled.InAim + one.Rest.InAim)
+				shares[share] = 100 * one.Drilled.WithinTarget / (one.Drilled.WithinTarget + one.Rest.WithinTarget)
 			}
 			time.Sleep(500 * time.Millisecond)
 			for _, stand := range stands {
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := twoRegions(t, 1)
 		wish := southDrill
-		wish.Mark = "once"
+		wish.IdempotencyKey = "once"
 		f.begin(1, wish)
 		again := f.begin(3, wish)
 		assert.Equal(t, again.Number, uint64(1))
@@ -191,7 +191,7 @@
 		assert.Equal(t, status, http.StatusConflict)
 		f.kill(coreHost(1))
 		stopped := f.drillState(3, http.MethodDelete)
-		assert.Assert(t, !stopped.Running && !stopped.Guard && stopped.Why == drill.EndedByOperator, "%+v", stopped)
+		assert.Assert(t, !stopped.Running && !stopped.EndedByGuard && stopped.EndReason == drill.EndedByOperator, "%+v", stopped)
 		f.startCore(coreHost(1), false, 1, 2, 3)
 		time.Sleep(8 * time.Second)
 		second := f.begin(2, southDrill)
@@ -200,7 +200,7 @@
 		assert.Equal(t, f.call(http.MethodPost, coreHost(1)+":8166", "/ferryspar/drain-zone/south", "", nil).status, http.StatusOK)
 		time.Sleep(1200 * time.Millisecond)
 		ended := f.drillState(2, http.MethodGet)
-		assert.Assert(t, !ended.Running && ended.Guard && strings.Contains(ended.Why, "evacuation"), "%+v", ended)
+		assert.Assert(t, !ended.Running && ended.EndedByGuard && strings.Contains(ended.EndReason, "evacuation"), "%+v", ended)
 		_, status = f.drill(1, southDrill)
 		assert.Equal(t, status, http.StatusConflict, "no drill while a zone is evacuated")
 	})
--- a/internal/story/hundreds_test.go
+++ b/internal/story/hundreds_test.go
@@ -160,7 +160,7 @@
 		s.note("%s: after syncTimeS %s has revision %d of %d, fresh %t", name, coreHost(member), status.Revision, s.version, status.Fresh)
 	}
 	for zone, drained := range s.drained {
-		if slices.Contains(status.Drained, zone) != drained {
+		if slices.Contains(status.DrainedZones, zone) != drained {
 			s.note("%s: after syncTimeS %s says drained=%t of %s, fresh %t", name, coreHost(member), !drained, zone, status.Fresh)
 		}
 	}
--- a/internal/story/loadrate_test.go
+++ b/internal/story/loadrate_test.go
@@ -102,7 +102,7 @@
 	watcher := newOperators(f, 1, 1, 2, 3)
 	for until := time.Now().Add(troublesEnd); time.Now().Before(until); {
 		time.Sleep(least + time.Duration(draw.Int64N(int64(spread))))
-		if holder := hostOf(watcher.status(coreHost(1 + draw.IntN(3))).Holder); holder != "" {
+		if holder := hostOf(watcher.status(coreHost(1 + draw.IntN(3))).PlacementHolder); holder != "" {
 			trouble(f, holder, draw)
 		}
 	}
@@ -180,7 +180,7 @@
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.put(1, 0, 1, manyModels()).status, http.StatusOK)
 		time.Sleep(2 * time.Second)
-		holder := hostOf(newOperators(f, 1, 1, 2, 3).status(coreHost(1)).Holder)
+		holder := hostOf(newOperators(f, 1, 1, 2, 3).status(coreHost(1)).PlacementHolder)
 		for number := 1; number <= 3; number++ {
 			if host := coreHost(number); host != holder {
 				f.kill(host)
--- a/internal/story/record_test.go
+++ b/internal/story/record_test.go
@@ -102,7 +102,7 @@
 	}
 	var found []string
 	for zone, call := range last {
-		drained := slices.Contains(status.Drained, zone)
+		drained := slices.Contains(status.DrainedZones, zone)
 		if !open[zone] && drained != call.change.drained {
 			found = append(found, fmt.Sprintf("%s says drained=%t for %s, the last acknowledged is %s", host, drained, zone, call))
 		}
@@ -110,9 +110,9 @@
 	return found
 }
 
-func (o *operators) status(host string) operator.Fleet {
+func (o *operators) status(host string) operator.FleetStatus {
 	got := o.f.call(http.MethodGet, host+":8166", "/ferryspar/status", "", nil)
-	var status operator.Fleet
+	var status operator.FleetStatus
 	_ = json.Unmarshal([]byte(got.body), &status)
 	return status
 }
@@ -134,7 +134,7 @@
 func (o *operators) waitMembers(host string, amount int, bound time.Duration) bool {
 	for began := time.Now(); time.Since(began) < bound; time.Sleep(firstPause) {
 		status := o.status(host)
-		if len(status.Members) == amount && len(status.Next) == 0 && status.Fresh {
+		if len(status.Members) == amount && len(status.NextMembers) == 0 && status.Fresh {
 			return true
 		}
 	}
--- a/internal/story/rehearse_test.go
+++ b/internal/story/rehearse_test.go
@@ -53,14 +53,14 @@
 	return f, stands
 }
 
-func findRoute(t *testing.T, told drill.Forecast, name string) drill.Route {
+func findRoute(t *testing.T, told drill.Forecast, name string) drill.RouteForecast {
 	for _, one := range told.Routes {
 		if one.Name == name {
 			return one
 		}
 	}
 	t.Fatalf("no route %s in %+v", name, told)
-	return drill.Route{}
+	return drill.RouteForecast{}
 }
 
 const demandTravels = 1500 * time.Millisecond
@@ -86,20 +86,20 @@
 		assert.Equal(t, told.ReplicasLeft, 2)
 		assert.Equal(t, len(told.LostModels), 1)
 		assert.Equal(t, told.LostModels[0].Model, "rare")
-		assert.Assert(t, told.LostModels[0].PerS > 0)
-		assert.Equal(t, told.Loading.LeastMs, 2000.0)
+		assert.Assert(t, told.LostModels[0].RatePerS > 0)
+		assert.Equal(t, told.LoadEstimate.MinMs, 2000.0)
 		where := slices.IndexFunc(told.Placement, func(step drill.PlacementStep) bool { return step.Load && step.Model == "rare" })
 		assert.Assert(t, where >= 0, "%+v", told.Placement)
 		bringer := stands[told.Placement[where].Replica]
-		assert.Assert(t, told.Control.Majority && len(told.Control.Lost) == 0)
+		assert.Assert(t, told.Control.KeepsMajority && len(told.Control.Lost) == 0)
 		quick, bound := findRoute(t, told, "quick"), findRoute(t, told, "bound")
 		assert.Equal(t, quick.Sampled, 38)
-		assert.Equal(t, quick.Unplaced, 6)
-		assert.Equal(t, quick.Stay+quick.Moved, 32)
+		assert.Equal(t, quick.NowhereLoaded, 6)
+		assert.Equal(t, quick.Staying+quick.Moved, 32)
 		assert.Equal(t, bound.Sampled, 6)
-		assert.Equal(t, bound.Bound, 6)
-		assert.Assert(t, quick.FirstNow.Count == 38 && quick.FirstThen.Count == 32, "%+v", quick)
-		assert.Assert(t, told.Cached["rare"].Lost == 300 && told.Cached["rare"].Only == 300 && told.Cached["rare"].Kept == 0, "%+v", told.Cached)
+		assert.Equal(t, bound.BoundToLost, 6)
+		assert.Assert(t, quick.FirstTokenNow.Count == 38 && quick.FirstTokenAfterLoss.Count == 32, "%+v", quick)
+		assert.Assert(t, told.Cached["rare"].Lost == 300 && told.Cached["rare"].OnlyInScope == 300 && told.Cached["rare"].Kept == 0, "%+v", told.Cached)
 
 		f.lose("10.7.2.1", "i-3")
 		time.Sleep(1500 * time.Millisecond)
@@ -108,12 +108,12 @@
 			assert.Equal(t, f.talk(number%2+1, fmt.Sprint("then-", number), "/quick/", "swift", fmt.Sprintf("aa:100,b%d:100,c9:100", number)).status, http.StatusOK)
 		}
 		asked := time.Now()
-		assert.Assert(t, !bringer.entry().Holds("rare", ""))
+		assert.Assert(t, !bringer.entry().HasLoaded("rare", ""))
 		late := f.talk(1, "rare-then", "/patient/", "rare", "dd:300")
 		assert.Equal(t, late.status, http.StatusOK)
 		took := time.Since(asked)
-		assert.Assert(t, bringer.entry().Holds("rare", ""), "loaded where the forecast said: %+v", told.Placement)
-		assert.Assert(t, took >= nodesettings.Milliseconds(told.Loading.LeastMs) && took < nodesettings.Milliseconds(told.Loading.LeastMs)+4*time.Second, "loaded again in %s, forecast at least %v", took, told.Loading.LeastMs)
+		assert.Assert(t, bringer.entry().HasLoaded("rare", ""), "loaded where the forecast said: %+v", told.Placement)
+		assert.Assert(t, took >= nodesettings.Milliseconds(told.LoadEstimate.MinMs) && took < nodesettings.Milliseconds(told.LoadEstimate.MinMs)+4*time.Second, "loaded again in %s, forecast at least %v", took, told.LoadEstimate.MinMs)
 	})
 }
 
@@ -143,19 +143,19 @@
 			inNorth[run.path]++
 		}
 		_, told := f.rehearse(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Zone: "north"}})
-		assert.Equal(t, told.Flight.Running, 12)
-		assert.Equal(t, told.Flight.AtLost, inNorth["/quick/"]+inNorth["/patient/"])
-		assert.Equal(t, told.Flight.GoOn, inNorth["/patient/"])
-		assert.Equal(t, told.Flight.Cut, inNorth["/quick/"])
+		assert.Equal(t, told.InFlight.Running, 12)
+		assert.Equal(t, told.InFlight.OnLostReplicas, inNorth["/quick/"]+inNorth["/patient/"])
+		assert.Equal(t, told.InFlight.Resumable, inNorth["/patient/"])
+		assert.Equal(t, told.InFlight.Aborted, inNorth["/quick/"])
 		moved := 0
 		for _, one := range told.Replicas {
 			moved += one.Moved
 			assert.Equal(t, one.Running, len(stands[one.Replica].ran()))
 		}
-		assert.Equal(t, moved+told.Flight.Stuck, told.Flight.AtLost)
-		assert.DeepEqual(t, told.EdgesLost, []string{"daemon-" + edgeHost(1)})
+		assert.Equal(t, moved+told.InFlight.StillWaiting, told.InFlight.OnLostReplicas)
+		assert.DeepEqual(t, told.DataPlanesLost, []string{"daemon-" + edgeHost(1)})
 		assert.Equal(t, len(told.Control.Lost), 1)
-		assert.Assert(t, told.Control.Majority)
+		assert.Assert(t, told.Control.KeepsMajority)
 		group.Wait()
 	})
 }
--- a/internal/story/replica_test.go
+++ b/internal/story/replica_test.go
@@ -102,7 +102,7 @@
 	defer s.lock.Unlock()
 	listed := s.listed
 	listed.Models = s.models.List()
-	listed.ColdRemainingMs = max(listed.ColdRemainingMs, float64(time.Until(s.coldUntil).Milliseconds()))
+	listed.WarmUpRemainingMs = max(listed.WarmUpRemainingMs, float64(time.Until(s.coldUntil).Milliseconds()))
 	return listed
 }
 
--- a/internal/story/retention_test.go
+++ b/internal/story/retention_test.go
@@ -82,7 +82,7 @@
 		assert.Equal(t, len(all), 1)
 		assert.Assert(t, all[0].Complete, "%v", all[0])
 		assert.Assert(t, one.unloads("swift") >= 1 && two.unloads("swift") >= 1, "both replicas dropped what they kept")
-		assert.Assert(t, one.entry().Holds("swift", "") && two.entry().Holds("swift", ""), "both serve again")
+		assert.Assert(t, one.entry().HasLoaded("swift", "") && two.entry().HasLoaded("swift", ""), "both serve again")
 		assert.Equal(t, failed, 0, "served %d", served)
 		assert.Assert(t, served > 50)
 	})
--- a/internal/story/roster_test.go
+++ b/internal/story/roster_test.go
@@ -18,7 +18,7 @@
 
 // holderHost is the host of the daemon that holds the placement lease, as another one tells.
 func (o *operators) holderHost(asked string) string {
-	return hostOf(o.status(asked).Holder)
+	return hostOf(o.status(asked).PlacementHolder)
 }
 
 // stateListed is what a control daemon says of a replica's state; empty if it lists none of that id.
@@ -68,7 +68,7 @@
 			time.Sleep(100 * time.Millisecond)
 			for number := 1; number <= 3; number++ {
 				told := o.status(coreHost(number))
-				left := time.Duration(told.Replicas[0].ColdRemainingMs-float64(told.ListMs)) * time.Millisecond
+				left := time.Duration(told.Replicas[0].WarmUpRemainingMs-float64(told.ListAgeMs)) * time.Millisecond
 				assert.Assert(t, !time.Now().Add(left).Before(coldUntil.Add(-time.Millisecond)), "%s early at %d", coldUntil.Sub(time.Now().Add(left)), number)
 			}
 		}
--- a/internal/story/schedule_test.go
+++ b/internal/story/schedule_test.go
@@ -90,11 +90,11 @@
 			}
 			time.Sleep(12 * time.Second)
 			last := f.drillState(2, http.MethodGet)
-			assert.Assert(t, !last.Running && last.Why != "", "seed %d: %+v", seed, last)
+			assert.Assert(t, !last.Running && last.EndReason != "", "seed %d: %+v", seed, last)
 			again := f.begin(3, wish)
 			assert.Assert(t, again.Number > last.Number)
 			time.Sleep(300 * time.Millisecond)
-			assert.Equal(t, f.drillState(1, http.MethodDelete).Why, drill.EndedByOperator, "seed %d", seed)
+			assert.Equal(t, f.drillState(1, http.MethodDelete).EndReason, drill.EndedByOperator, "seed %d", seed)
 			work.end()
 			work.onceEach(t, stands, fmt.Sprint("seed ", seed))
 		})
--- a/internal/story/serving_test.go
+++ b/internal/story/serving_test.go
@@ -199,7 +199,7 @@
 func TestGivenAColdReplicaThenItsRateIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		one.listed.ColdRemainingMs = 60000
+		one.listed.WarmUpRemainingMs = 60000
 		f := settled(t, 2, one)
 		done := make(chan reply, 20)
 		for number := range 20 {
--- a/internal/story/writer_test.go
+++ b/internal/story/writer_test.go
@@ -159,5 +159,5 @@
 		Revision      int64
 		Members, Next []string
 		Drained       []string
-	}{status.Fresh, status.Revision, status.Members, status.Next, status.Drained}
+	}{status.Fresh, status.Revision, status.Members, status.NextMembers, status.DrainedZones}
 }
