--- a/internal/controlplane/cost_test.go
+++ b/internal/controlplane/cost_test.go
@@ -17,36 +17,36 @@
 	"ferryspar/internal/keystore"
 )
 
-type meter struct {
+type countingDisk struct {
 	written atomic.Int64
 	syncs   atomic.Int64
 }
 
-func (m *meter) List() ([]string, error) { return nil, nil }
+func (m *countingDisk) List() ([]string, error) { return nil, nil }
 
-func (m *meter) SyncDirectory() error { return nil }
+func (m *countingDisk) SyncDirectory() error { return nil }
 
-func (m *meter) Read(name string) ([]byte, error) { return nil, nil }
+func (m *countingDisk) Read(name string) ([]byte, error) { return nil, nil }
 
-func (m *meter) Prepare(name string, size int64) error { return nil }
+func (m *countingDisk) Prepare(name string, size int64) error { return nil }
 
-func (m *meter) Write(name string, offset int64, content []byte) error {
+func (m *countingDisk) Write(name string, offset int64, content []byte) error {
 	m.written.Add(int64(len(content)))
 	return nil
 }
 
-func (m *meter) Sync(name string) error {
+func (m *countingDisk) Sync(name string) error {
 	m.syncs.Add(1)
 	return nil
 }
 
-type cluster struct {
+type countingNetwork struct {
 	members   map[string]*keystore.Acceptor
 	messages  atomic.Int64
 	sentBytes atomic.Int64
 }
 
-func (c *cluster) Send(ctx context.Context, address string, message keystore.Message) (keystore.Reply, error) {
+func (c *countingNetwork) Send(ctx context.Context, address string, message keystore.Message) (keystore.Reply, error) {
 	content, _ := json.Marshal(message)
 	if address != message.Sender {
 		c.messages.Add(1)
@@ -55,39 +55,39 @@
 	return c.members[address].Call(ctx, message)
 }
 
-func grown(models, routes int, draw *rand.Rand) configuration.Configuration {
-	made := configuration.Configuration{Revision: 1, Limits: configuration.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}}
+func largeConfiguration(models, routes int, draw *rand.Rand) configuration.Configuration {
+	configured := configuration.Configuration{Revision: 1, Limits: configuration.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}}
 	word := func() string { return fmt.Sprintf("%08x", draw.Uint32()) }
 	for backend := range 9 {
 		runtime := &configuration.Runtime{Slots: 64, KvCacheTokens: float64(100000 + draw.IntN(50000)), KvTokenBytes: 163840, StepSize: 3, WeightSizeMb: 230000, AdapterCapacity: 8, LoadsPerS: 1}
 		for range models / 9 {
 			runtime.Models = append(runtime.Models, configuration.Model{Name: "m" + word(), WeightSizeMb: 65099.9, LoadTimeS: 5.3, Adapters: draw.IntN(30), AdapterSizeMb: 12})
 		}
-		made.Backends = append(made.Backends, configuration.Backend{Name: fmt.Sprintf("b%d%s", backend, word()), HealthPath: "/healthz", MaxConns: 360, ColdStartS: 3, ColdPerS: 12, Runtime: runtime})
+		configured.Backends = append(configured.Backends, configuration.Backend{Name: fmt.Sprintf("b%d%s", backend, word()), HealthPath: "/healthz", MaxConns: 360, ColdStartS: 3, ColdPerS: 12, Runtime: runtime})
 	}
 	for range routes {
-		backend := made.Backends[draw.IntN(9)].Name
-		made.Routes = append(made.Routes, configuration.Route{Name: "r-" + word(), Hostname: word() + ".example", PathPrefix: "/" + word() + "/", RouteType: configuration.Streaming, TimeoutMs: 15000, TargetLatencyMs: 600, Priority: 1, Backend: backend, RetryCount: 1, TokenGapMs: 300})
+		backend := configured.Backends[draw.IntN(9)].Name
+		configured.Routes = append(configured.Routes, configuration.Route{Name: "r-" + word(), Hostname: word() + ".example", PathPrefix: "/" + word() + "/", RouteType: configuration.Streaming, TimeoutMs: 15000, TargetLatencyMs: 600, Priority: 1, Backend: backend, RetryCount: 1, TokenGapMs: 300})
 	}
-	return made
+	return configured
 }
 
-// rememberedCalls is more than the memory of calls holds.
-const rememberedCalls = 600
+// warmUpChanges is more than the memory of calls holds.
+const warmUpChanges = 600
 
-func BenchmarkConfigurationChangeAtFiveMembers(b *testing.B) {
+func BenchmarkConfigurationChange_FiveMembers(b *testing.B) {
 	draw := rand.New(rand.NewPCG(1, 1))
-	made := grown(450, 350, draw)
+	made := largeConfiguration(450, 350, draw)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	wire := &cluster{members: map[string]*keystore.Acceptor{}}
+	wire := &countingNetwork{members: map[string]*keystore.Acceptor{}}
 	members := keystore.Membership{Version: 1}
 	for index := range 5 {
 		members.Current = append(members.Current, fmt.Sprintf("10.0.0.%d:9000", index+1))
 	}
-	disks := []*meter{}
+	disks := []*countingDisk{}
 	for _, name := range members.Current {
-		disk := &meter{}
+		disk := &countingDisk{}
 		journal, err := keystore.OpenWAL(disk, walSegments, maxSegmentBytes)
 		assert.NilError(b, err)
 		assert.NilError(b, journal.Append(keystore.BootstrapRegisters(members, 1)))
@@ -111,7 +111,7 @@
 		assert.NilError(b, err)
 		condition = made.Revision
 	}
-	for range rememberedCalls {
+	for range warmUpChanges {
 		change()
 	}
 	record, err := controlstate.DecodeConfiguration(written.Register)
--- a/internal/controlplane/demandshare_test.go
+++ b/internal/controlplane/demandshare_test.go
@@ -12,32 +12,32 @@
 func TestScheduler_CountsResentArrivalsOnce(t *testing.T) {
 	sums := NewLoadAggregator()
 	holder := &Scheduler{
-		daemon: &Node{clock: rosterTestStart.Local}, nudge: make(chan struct{}, 1),
-		counted: map[string]float64{}, reading: map[string]float64{}, feed: feed{tally: NewDemandAggregator()},
+		node: &Node{clock: rosterTestStart.Local}, wake: make(chan struct{}, 1),
+		arrivals: map[string]float64{}, prefillMs: map[string]float64{}, planInputs: planInputs{aggregator: NewDemandAggregator()},
 	}
 	arrive := func(amount int) {
 		sums.AddReport(peer.LoadReport{DataPlane: "edge", Models: []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}}}, rosterTestStart)
 	}
-	counted := func() float64 { return holder.counted[place.ModelKey("s", "m")] }
+	counted := func() float64 { return holder.arrivals[place.ModelKey("s", "m")] }
 	arrive(10)
 	lost := sums.DemandSummary("a", false)
-	holder.hearDemand(lost)
+	holder.handleDemand(lost)
 	sums.markUncertain(lost)
 	arrive(5)
 	again := sums.DemandSummary("a", false)
-	holder.hearDemand(again)
+	holder.handleDemand(again)
 	assert.Equal(t, counted(), 10.0, "told again, counted once")
 	next := sums.DemandSummary("a", false)
-	holder.hearDemand(next)
+	holder.handleDemand(next)
 	sums.markDelivered(next)
 	sums.markUncertain(again)
-	holder.hearDemand(sums.DemandSummary("a", false))
+	holder.handleDemand(sums.DemandSummary("a", false))
 	assert.Equal(t, counted(), 15.0)
-	holder.hearDemand(sums.DemandSummary("a", false))
+	holder.handleDemand(sums.DemandSummary("a", false))
 	assert.Equal(t, counted(), 15.0, "nothing is left")
 	restarted := lost
 	restarted.Incarnation = "next"
-	holder.hearDemand(restarted)
+	holder.handleDemand(restarted)
 	assert.Equal(t, counted(), 25.0, "numbers begin anew with a life")
 }
 
--- a/internal/controlplane/disks_test.go
+++ b/internal/controlplane/disks_test.go
@@ -16,8 +16,8 @@
 	"ferryspar/internal/replicastate"
 )
 
-// diskScheduler holds the lease and has a replica at an address at which "m" and "n" were held once.
-func diskScheduler(now *time.Time) (*Scheduler, *managedReplica) {
+// newDiskScheduler holds the lease and has a replica at an address at which "m" and "n" were held once.
+func newDiskScheduler(now *time.Time) (*Scheduler, *trackedReplica) {
 	table := configuration.NewTable(configuration.Configuration{Backends: []configuration.Backend{{
 		Name: "s",
 		Runtime: &configuration.Runtime{
@@ -26,70 +26,70 @@
 		},
 	}}}, nil)
 	full := loadbudget.Reservation{Loads: 6}
-	w := &Scheduler{
-		daemon: &Node{
+	scheduler := &Scheduler{
+		node: &Node{
 			clock:    func() time.Time { return *now },
 			settings: nodesettings.Settings{TimingBounds: nodesettings.TimingBounds{OriginPeriodS: 5}},
 		},
-		heldOnce: map[string]map[string]bool{},
-		managed:  map[string]*managedReplica{},
-		overlays: map[string]overlay{},
-		table:    table,
+		modelsOnDisk: map[string]map[string]bool{},
+		tracked:      map[string]*trackedReplica{},
+		observed:     map[string]observedState{},
+		table:        table,
 	}
-	w.hold.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: &full}, GrantedAt: now.Add(-time.Hour)})
-	w.rememberListed(platform.Replica{ID: "old", Backend: "s", Address: "here", Models: []platform.LoadedModel{{Name: "m"}, {Name: "n"}}})
-	w.adoptList([]platform.Replica{{ID: "new", Backend: "s", Address: "here"}, {ID: "other", Backend: "t", Address: "here"}}, *now)
-	return w, w.managed["new"]
+	scheduler.currentGrant.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: &full}, GrantedAt: now.Add(-time.Hour)})
+	scheduler.recordListedModels(platform.Replica{ID: "old", Backend: "s", Address: "here", Models: []platform.LoadedModel{{Name: "m"}, {Name: "n"}}})
+	scheduler.adoptReplicaList([]platform.Replica{{ID: "new", Backend: "s", Address: "here"}, {ID: "other", Backend: "t", Address: "here"}}, *now)
+	return scheduler, scheduler.tracked["new"]
 }
 
 // countedLoads is how many loads from the store may have begun within the window.
-func countedLoads(w *Scheduler, now time.Time) int {
-	w.loadTokens(now, w.table)
-	return w.store.budget.Count(now, w.store.bounds)
+func countedLoads(scheduler *Scheduler, now time.Time) int {
+	scheduler.loadTokens(now, scheduler.table)
+	return scheduler.loadBudget.budget.Count(now, scheduler.loadBudget.bounds)
 }
 
-// startFromDisk has a replica accept the load of a model that its disk is believed to hold.
-func startFromDisk(t *testing.T, one *managedReplica, now time.Time) {
+// startDiskLoad has a replica accept the load of a model that its disk is believed to hold.
+func startDiskLoad(t *testing.T, tracked *trackedReplica, now time.Time) {
 	t.Helper()
-	assert.Assert(t, one.state.Reported(replicastate.Report{}, now))
-	order, decided := one.state.Decide(replicastate.Change{Load: true, Reference: "m"}, now)
+	assert.Assert(t, tracked.state.HandleReport(replicastate.Report{}, now))
+	order, decided := tracked.state.Decide(replicastate.Change{Load: true, Reference: "m"}, now)
 	assert.Assert(t, decided)
-	one.state.Answer(order, replicastate.Accepted, now)
-	one.pending, one.began = &place.Action{Server: "new", Model: "m", Load: true}, now
+	tracked.state.HandleResponse(order, replicastate.Accepted, now)
+	tracked.pendingAction, tracked.startedAt = &place.Action{Server: "new", Model: "m", Load: true}, now
 }
 
-func TestGivenALoadThatRunsTooLongForADiskThenItCountsAndTheDiskIsNoLongerBelieved(t *testing.T) {
+func TestScheduler_CountsSlowDiskLoadAsStoreLoad(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	w, one := diskScheduler(&now)
-	assert.Equal(t, countedLoads(w, now), 0)
-	startFromDisk(t, one, now)
-	for _, asked := range []time.Duration{time.Second, 2 * time.Second, 2300 * time.Millisecond, 3 * time.Second} {
-		now = one.began.Add(asked + time.Second)
-		w.checkDisk(one, replica.Report{Busy: true, Sequence: 1}, one.began.Add(asked))
+	scheduler, tracked := newDiskScheduler(&now)
+	assert.Equal(t, countedLoads(scheduler, now), 0)
+	startDiskLoad(t, tracked, now)
+	for _, elapsed := range []time.Duration{time.Second, 2 * time.Second, 2300 * time.Millisecond, 3 * time.Second} {
+		now = tracked.startedAt.Add(elapsed + time.Second)
+		scheduler.verifyDiskLoad(tracked, replica.Report{Busy: true, Sequence: 1}, tracked.startedAt.Add(elapsed))
 		counted := 0
-		if asked > 2*time.Second+reportLag {
+		if elapsed > 2*time.Second+reportLag {
 			counted = 1
 		}
-		assert.Equal(t, countedLoads(w, now), counted, "asked %s after its beginning", asked)
-		assert.Equal(t, w.heldOnce[diskOf(one.listed)]["n"], counted == 0)
-		assert.Assert(t, w.heldOnce[diskOf(one.listed)]["m"], "it holds what it loads now")
+		assert.Equal(t, countedLoads(scheduler, now), counted, "asked %s after its beginning", elapsed)
+		assert.Equal(t, scheduler.modelsOnDisk[diskKey(tracked.listed)]["n"], counted == 0)
+		assert.Assert(t, scheduler.modelsOnDisk[diskKey(tracked.listed)]["m"], "it holds what it loads now")
 	}
 }
 
-func TestGivenALoadFromTheDiskOfWhichIsHeardLateThenItDoesNotCount(t *testing.T) {
+func TestScheduler_LateReportOfDiskLoadDoesNotCount(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	w, one := diskScheduler(&now)
-	startFromDisk(t, one, now)
+	scheduler, tracked := newDiskScheduler(&now)
+	startDiskLoad(t, tracked, now)
 	now = now.Add(4 * time.Second)
-	w.checkDisk(one, replica.Report{Sequence: 1, Models: []platform.LoadedModel{{Name: "m"}}}, now)
-	w.checkDisk(one, replica.Report{Busy: true, Sequence: 1}, one.began.Add(time.Second))
-	assert.Equal(t, countedLoads(w, now), 0)
-	assert.Assert(t, w.heldOnce[diskOf(one.listed)]["n"])
+	scheduler.verifyDiskLoad(tracked, replica.Report{Sequence: 1, Models: []platform.LoadedModel{{Name: "m"}}}, now)
+	scheduler.verifyDiskLoad(tracked, replica.Report{Busy: true, Sequence: 1}, tracked.startedAt.Add(time.Second))
+	assert.Equal(t, countedLoads(scheduler, now), 0)
+	assert.Assert(t, scheduler.modelsOnDisk[diskKey(tracked.listed)]["n"])
 }
 
-func TestGivenAnAddressThatAnotherServiceGetsThenNothingIsBelievedOfItsDisk(t *testing.T) {
+func TestScheduler_DiskBelongsToServiceAndAddress(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	w, one := diskScheduler(&now)
-	assert.Equal(t, len(w.heldOnce[diskOf(one.listed)]), 2)
-	assert.Equal(t, len(w.heldOnce[diskOf(w.managed["other"].listed)]), 0)
+	scheduler, tracked := newDiskScheduler(&now)
+	assert.Equal(t, len(scheduler.modelsOnDisk[diskKey(tracked.listed)]), 2)
+	assert.Equal(t, len(scheduler.modelsOnDisk[diskKey(scheduler.tracked["other"].listed)]), 0)
 }
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -12,7 +12,7 @@
 	followers := map[string]func(payload []byte){
 		event.TopicCommitted: func(payload []byte) { n.notifyCommitted(ctx, payload) },
 		event.TopicPlacementChanged: func(payload []byte) {
-			if n.scheduler.Holding() {
+			if n.scheduler.HoldsLease() {
 				n.sendRoster(ctx, false)
 			}
 		},
--- a/internal/controlplane/feed.go
+++ b/internal/controlplane/feed.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	planWithin  = 500 * time.Millisecond
-	planPause   = 20 * time.Millisecond
-	planLongest = 300 * time.Millisecond
-	planShare   = 40
-	showPause   = 50 * time.Millisecond
+	idlePlanInterval = 500 * time.Millisecond
+	minPlanPause     = 20 * time.Millisecond
+	maxPlanPause     = 300 * time.Millisecond
+	planCostFactor   = 40
+	publishInterval  = 50 * time.Millisecond
 )
 
-type feed struct {
-	tally      *DemandAggregator
-	heardRates map[string]peer.Rate
-	catalog    *place.Catalog
-	order      []string
-	followed   *platform.Replica
-	stirred    bool
-	version    uint64
-	planned    time.Time
-	spent      time.Duration
-	unshown    bool
-	shown      time.Time
+type planInputs struct {
+	aggregator     *DemandAggregator
+	receivedRates  map[string]peer.Rate
+	catalog        *place.Catalog
+	sortedIDs      []string
+	adoptedList    *platform.Replica
+	dirty          bool
+	plannedVersion uint64
+	plannedAt      time.Time
+	planDuration   time.Duration
+	unpublished    bool
+	publishedAt    time.Time
 }
 
-func (w *Scheduler) mayPlan(snapshot *Snapshot, now time.Time) bool {
-	since := now.Sub(w.planned)
-	if since < min(max(planPause, planShare*w.spent), planLongest) {
+func (s *Scheduler) planDue(snapshot *Snapshot, now time.Time) bool {
+	since := now.Sub(s.plannedAt)
+	if since < min(max(minPlanPause, planCostFactor*s.planDuration), maxPlanPause) {
 		return false
 	}
-	w.lock.Lock()
-	waited := w.tally.TakeDirty() || len(w.tally.waiting) > 0
-	w.lock.Unlock()
-	changed := waited || w.stirred || w.version != snapshot.Version+snapshot.RosterVersion || since >= planWithin
+	s.lock.Lock()
+	demandChanged := s.aggregator.TakeDirty() || len(s.aggregator.waiting) > 0
+	s.lock.Unlock()
+	changed := demandChanged || s.dirty || s.plannedVersion != snapshot.Version+snapshot.RosterVersion || since >= idlePlanInterval
 	if changed {
-		w.stirred, w.version = false, snapshot.Version+snapshot.RosterVersion
+		s.dirty, s.plannedVersion = false, snapshot.Version+snapshot.RosterVersion
 	}
 	return changed
 }
 
-func (w *Scheduler) currentCatalog(table *configuration.Table) *place.Catalog {
-	if !w.catalog.IsFor(table) {
-		w.catalog = place.NewCatalog(table)
+func (s *Scheduler) currentCatalog(table *configuration.Table) *place.Catalog {
+	if !s.catalog.IsFor(table) {
+		s.catalog = place.NewCatalog(table)
 	}
-	return w.catalog
+	return s.catalog
 }
--- a/internal/controlplane/feed_bench_test.go
+++ b/internal/controlplane/feed_bench_test.go
@@ -15,18 +15,18 @@
 	for _, size := range [][2]int{{9, 6}, {140, 80}, {720, 400}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-			w := &Scheduler{
-				daemon:   &Node{clock: func() time.Time { return now }},
-				demand:   map[string]*place.Demand{},
-				counted:  map[string]float64{},
-				reading:  map[string]float64{},
-				heldOnce: map[string]map[string]bool{},
-				managed:  map[string]*managedReplica{},
-				feed:     feed{tally: NewDemandAggregator()},
+			scheduler := &Scheduler{
+				node:         &Node{clock: func() time.Time { return now }},
+				demand:       map[string]*place.Demand{},
+				arrivals:     map[string]float64{},
+				prefillMs:    map[string]float64{},
+				modelsOnDisk: map[string]map[string]bool{},
+				tracked:      map[string]*trackedReplica{},
+				planInputs:   planInputs{aggregator: NewDemandAggregator()},
 			}
 			var listed []platform.Replica
 			for index := range size[0] {
-				held := []platform.LoadedModel{{
+				loaded := []platform.LoadedModel{{
 					Name:     fmt.Sprint("m", index),
 					Adapters: []string{"a1", "a2", "a3"},
 				}, {Name: fmt.Sprint("m", index/2)}}
@@ -34,7 +34,7 @@
 					ID:      fmt.Sprintf("r%04d", index),
 					Address: fmt.Sprint("at", index),
 					Backend: "s",
-					Models:  held,
+					Models:  loaded,
 				})
 			}
 			table := configuration.NewTable(configuration.Configuration{Backends: []configuration.Backend{{
@@ -62,11 +62,11 @@
 					for index, model := range report.Models {
 						names[index] = place.ModelKey(model.Backend, model.Model)
 					}
-					w.tally.Add(report, append([]string{}, names...), now)
+					scheduler.aggregator.Add(report, append([]string{}, names...), now)
 				}
-				w.measure()
-				w.adoptList(listed, now)
-				w.addServers(&place.View{Table: table}, now)
+				scheduler.updateDemand()
+				scheduler.adoptReplicaList(listed, now)
+				scheduler.addServers(&place.View{Table: table}, now)
 			}
 		})
 	}
--- a/internal/controlplane/forecast.go
+++ b/internal/controlplane/forecast.go
@@ -101,7 +101,7 @@
 	n.awaitForecasts(ctx, fleet.DataPlanes)
 	publishRequest(nil)
 	merged := drill.Merge(fleet, n.forecasts.end())
-	n.addPlan(ctx, &merged, *request)
+	n.addPlacementForecast(ctx, &merged, *request)
 	logrus.WithFields(logrus.Fields{
 		"scope":    scope.String(),
 		"answered": len(merged.Answered),
--- a/internal/controlplane/forecastplan.go
+++ b/internal/controlplane/forecastplan.go
@@ -8,15 +8,15 @@
 	"ferryspar/internal/place"
 )
 
-// addPlan adds to a forecast what the placement holder would do; the forecast is partial if it
+// addPlacementForecast adds to a forecast what the placement holder would do; the forecast is partial if it
 // cannot be asked.
-func (n *Node) addPlan(ctx context.Context, merged *drill.Forecast, question drill.ForecastRequest) {
+func (n *Node) addPlacementForecast(ctx context.Context, merged *drill.Forecast, request drill.ForecastRequest) {
 	var plan drill.PlacementPlan
 	holder := n.publisher.Current().LeaseHolder
 	if holder == n.self {
-		plan = n.hearPlan(ctx, question)
+		plan = n.handlePlanRequest(ctx, request)
 	} else if holder != "" {
-		_ = n.peers.Call(ctx, "plan", holder, question, &plan)
+		_ = n.peers.Call(ctx, "plan", holder, request, &plan)
 	}
 	if !plan.HoldsLease {
 		merged.Partial = true
@@ -27,12 +27,12 @@
 	merged.Placement = plan.Steps
 }
 
-// hearPlan answers what this daemon would do as the holder; the plan does not hold if it is not the
+// handlePlanRequest answers what this daemon would do as the holder; the plan does not hold if it is not the
 // holder. The scheduler's goroutine works it out.
-func (n *Node) hearPlan(ctx context.Context, question drill.ForecastRequest) drill.PlacementPlan {
+func (n *Node) handlePlanRequest(ctx context.Context, request drill.ForecastRequest) drill.PlacementPlan {
 	reply := make(chan drill.PlacementPlan, 1)
 	select {
-	case n.scheduler.results <- func() { reply <- n.scheduler.forecastPlan(question.Scope) }:
+	case n.scheduler.callbacks <- func() { reply <- n.scheduler.forecastPlan(request.Scope) }:
 	case <-ctx.Done():
 		return drill.PlacementPlan{}
 	}
@@ -45,13 +45,13 @@
 }
 
 // forecastPlan plans on a copy of the present state, without the zones of the scope.
-func (w *Scheduler) forecastPlan(scope drill.Scope) drill.PlacementPlan {
-	snapshot := w.daemon.publisher.Current()
-	if table := w.currentTable(snapshot); table == nil || !w.Holding() {
+func (s *Scheduler) forecastPlan(scope drill.Scope) drill.PlacementPlan {
+	snapshot := s.node.publisher.Current()
+	if table := s.currentTable(snapshot); table == nil || !s.HoldsLease() {
 		return drill.PlacementPlan{}
 	}
-	view := w.view(snapshot, w.table, w.daemon.clock()).Clone()
-	view.RemoveZones(func(zone string) bool { return scope.Covers(zone, w.daemon.settings.Zones[zone]) })
+	view := s.planningView(snapshot, s.table, s.node.clock()).Clone()
+	view.RemoveZones(func(zone string) bool { return scope.Covers(zone, s.node.settings.Zones[zone]) })
 	plan := drill.PlacementPlan{HoldsLease: true, Steps: []drill.PlacementStep{}}
 	for _, action := range place.Forecast(view) {
 		plan.Steps = append(plan.Steps, drill.PlacementStep{
@@ -65,19 +65,19 @@
 }
 
 // demandRates are the rates by the model's key, in requests a second. Any goroutine may call it.
-func (w *Scheduler) demandRates() map[string]float64 {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	rates := make(map[string]float64, len(w.demand))
-	for name, demand := range w.demand {
+func (s *Scheduler) demandRates() map[string]float64 {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	rates := make(map[string]float64, len(s.demand))
+	for name, demand := range s.demand {
 		rates[name] = demand.Rate
 	}
 	return rates
 }
 
 // suspects tells whether data planes suspect the replica. Any goroutine may call it.
-func (w *Scheduler) suspects(id string) bool {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return w.tally.IsSuspected(id)
+func (s *Scheduler) isSuspected(id string) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.aggregator.IsSuspected(id)
 }
--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -42,7 +42,7 @@
 		case <-ticker.C:
 		}
 		snapshot := n.publisher.Current()
-		if !snapshot.Drill.Running || !n.scheduler.Holding() {
+		if !snapshot.Drill.Running || !n.scheduler.HoldsLease() {
 			base = nil
 			continue
 		}
@@ -89,7 +89,7 @@
 	}
 	n.watchLock.Unlock()
 	for _, replica := range snapshot.Replicas {
-		if replica.State != platform.Draining && !n.scheduler.suspects(replica.ID) {
+		if replica.State != platform.Draining && !n.scheduler.isSuspected(replica.ID) {
 			base.replicas = append(base.replicas, replica.ID)
 		}
 	}
@@ -139,7 +139,7 @@
 		if !present[id] {
 			return "replica " + id + " is gone"
 		}
-		if n.scheduler.suspects(id) {
+		if n.scheduler.isSuspected(id) {
 			return "replica " + id + " does not answer"
 		}
 	}
--- a/internal/controlplane/instructionanswers.go
+++ b/internal/controlplane/instructionanswers.go
@@ -14,8 +14,8 @@
 	"ferryspar/internal/replicastate"
 )
 
-// outcomes holds what each status says of an order; any other status is no clear answer.
-var outcomes = map[int]replicastate.Outcome{
+// outcomeByStatus holds what each status says of an order; any other status is no clear answer.
+var outcomeByStatus = map[int]replicastate.Outcome{
 	0:                             replicastate.NotSent,
 	http.StatusAccepted:           replicastate.Accepted,
 	http.StatusOK:                 replicastate.AlreadyDone,
@@ -30,94 +30,94 @@
 	if errors.Is(err, replica.ErrNotSent) {
 		return replicastate.Unreached
 	}
-	outcome, known := outcomes[status]
+	outcome, known := outcomeByStatus[status]
 	if err != nil || !known {
 		return replicastate.NoAnswer
 	}
 	return outcome
 }
 
-// onAnswer handles the end of an order's call.
-func (w *Scheduler) onAnswer(one *managedReplica, order replicastate.Order, status int, err error) {
-	w.stirred = true
-	now := w.daemon.clock()
-	w.logOrder(one, order, status, err)
+// handleOrderResponse handles the end of an order's call.
+func (s *Scheduler) handleOrderResponse(tracked *trackedReplica, order replicastate.Order, status int, err error) {
+	s.dirty = true
+	now := s.node.clock()
+	s.logOrder(tracked, order, status, err)
 	outcome := outcomeOf(status, err)
-	w.noteLoad(one, outcome, now)
-	one.state.Answer(order, outcome, now)
-	if one.state.Phase() == replicastate.Changing {
-		one.began = now
-		one.state.ExpectDone(now.Add(w.expectedTime(one)))
+	s.recordLoadOutcome(tracked, outcome, now)
+	tracked.state.HandleResponse(order, outcome, now)
+	if tracked.state.Phase() == replicastate.Changing {
+		tracked.startedAt = now
+		tracked.state.ExpectDone(now.Add(s.expectedDuration(tracked)))
 		return
 	}
-	one.pending = nil
-	if one.state.Phase() == replicastate.Idle {
-		w.liftBars(one, now)
+	tracked.pendingAction = nil
+	if tracked.state.Phase() == replicastate.Idle {
+		s.refreshCordons(tracked, now)
 	}
 }
 
-// noteLoad counts a load from the store from its acceptance on, and takes it back where the replica refused it or nothing
+// recordLoadOutcome counts a load from the store from its acceptance on, and takes it back where the replica refused it or nothing
 // was sent. Without a clear answer it goes on counting as one that may begin. Answers that belong to an earlier grant
 // change nothing: the budget counts their loads as begun.
-func (w *Scheduler) noteLoad(one *managedReplica, outcome replicastate.Outcome, now time.Time) {
-	if one.pending == nil || !fromStore(*one.pending) || w.managed[one.listed.ID] != one {
+func (s *Scheduler) recordLoadOutcome(tracked *trackedReplica, outcome replicastate.Outcome, now time.Time) {
+	if tracked.pendingAction == nil || !loadsFromStore(*tracked.pendingAction) || s.tracked[tracked.listed.ID] != tracked {
 		return
 	}
 	switch outcome {
 	case replicastate.NoAnswer:
 	case replicastate.Accepted:
-		w.loadsBegun(one.listed.ID, now)
+		s.recordStartedLoads(tracked.listed.ID, now)
 	default:
-		w.loadRefused(*one.pending)
+		s.recordRejectedLoad(*tracked.pendingAction)
 	}
 }
 
-// expectedTime is how long the order that a replica has accepted should take.
-func (w *Scheduler) expectedTime(one *managedReplica) time.Duration {
-	action := one.pending
+// expectedDuration is how long the order that a replica has accepted should take.
+func (s *Scheduler) expectedDuration(tracked *trackedReplica) time.Duration {
+	action := tracked.pendingAction
 	if action == nil || !action.Load {
 		return reportLag
 	}
 	model, adapter, _ := strings.Cut(action.Model, "/")
-	found, known := w.modelOf(one.listed.Backend, model)
+	found, known := s.findModel(tracked.listed.Backend, model)
 	if !known || adapter != "" {
 		return reportLag
 	}
 	expected := nodesettings.Seconds(found.LoadTimeS)
 	if !action.FromStore {
-		expected = time.Duration(float64(expected) * diskShare)
+		expected = time.Duration(float64(expected) * diskLoadTimeShare)
 	}
 	return max(expected+100*time.Millisecond, reportLag)
 }
 
-// liftBars lets the data planes use again what no order unloads any more.
-func (w *Scheduler) liftBars(one *managedReplica, now time.Time) {
-	one.barred = map[string]bool{}
-	for _, change := range one.state.Doubtful() {
+// refreshCordons lets the data planes use again what no order unloads any more.
+func (s *Scheduler) refreshCordons(tracked *trackedReplica, now time.Time) {
+	tracked.cordoned = map[string]bool{}
+	for _, change := range tracked.state.UncertainChanges() {
 		if !change.Load {
-			w.barReferences(one, change.Reference)
+			s.cordonReferences(tracked, change.Reference)
 		}
 	}
-	one.stale, w.unshown = true, true
+	tracked.unpublished, s.unpublished = true, true
 }
 
-// modelOf finds a backend's model in the configuration.
-func (w *Scheduler) modelOf(backend, name string) (*configuration.Model, bool) {
-	_, index, found := w.table.Backend(backend)
+// findModel finds a backend's model in the configuration.
+func (s *Scheduler) findModel(backend, name string) (*configuration.Model, bool) {
+	_, index, found := s.table.Backend(backend)
 	if !found {
 		return nil, false
 	}
-	return w.table.Model(index, name)
+	return s.table.Model(index, name)
 }
 
 // logOrder logs an order with the end of its call.
-func (w *Scheduler) logOrder(one *managedReplica, order replicastate.Order, status int, err error) {
+func (s *Scheduler) logOrder(tracked *trackedReplica, order replicastate.Order, status int, err error) {
 	why := ""
-	if one.pending != nil {
-		why = one.pending.Reason
+	if tracked.pendingAction != nil {
+		why = tracked.pendingAction.Reason
 	}
 	logrus.WithFields(logrus.Fields{
-		"replica": one.listed.ID, "load": order.Load, "model": order.Reference, "why": why, "status": status,
+		"replica": tracked.listed.ID, "load": order.Load, "model": order.Reference, "why": why, "status": status,
 		"fence": order.Fence, "expected": order.Expected, "problem": err,
 	}).Info("placement order")
 }
--- a/internal/controlplane/instructions.go
+++ b/internal/controlplane/instructions.go
@@ -12,55 +12,55 @@
 )
 
 const (
-	// barTime is how long data planes are given to stop using a model before it is unloaded.
-	barTime = 220 * time.Millisecond
-	// diskShare is the expected share of the load time that a load from the replica's own disk takes.
-	diskShare = 0.2
+	// cordonLeadTime is how long data planes are given to stop using a model before it is unloaded.
+	cordonLeadTime = 220 * time.Millisecond
+	// diskLoadTimeShare is the expected share of the load time that a load from the replica's own disk takes.
+	diskLoadTimeShare = 0.2
 )
 
 // startAction ties the planner's action to what is known of its replica and sends the order, an unload only after the data
 // planes had time to stop using the model.
-func (w *Scheduler) startAction(ctx context.Context, action place.Action, now time.Time) {
-	one := w.managed[action.Server]
-	order, possible := one.state.Decide(replicastate.Change{Load: action.Load, Reference: action.Model}, now)
+func (s *Scheduler) startAction(ctx context.Context, action place.Action, now time.Time) {
+	tracked := s.tracked[action.Server]
+	order, possible := tracked.state.Decide(replicastate.Change{Load: action.Load, Reference: action.Model}, now)
 	if !possible {
 		return
 	}
-	one.pending = &action
-	one.began = now
-	w.orderFromStore(action, now)
-	pause := time.Duration(0)
+	tracked.pendingAction = &action
+	tracked.startedAt = now
+	s.recordOrderedLoad(action, now)
+	delay := time.Duration(0)
 	if !action.Load {
-		w.barReferences(one, action.Model)
-		pause = barTime
+		s.cordonReferences(tracked, action.Model)
+		delay = cordonLeadTime
 	}
-	address := one.listed.Address
+	address := tracked.listed.Address
 	go func() {
-		nodesettings.Sleep(ctx, pause)
-		status, err := w.sendInstruction(ctx, address, action.Server, order)
-		w.results <- func() { w.onAnswer(one, order, status, err) }
+		nodesettings.Sleep(ctx, delay)
+		status, err := s.sendOrder(ctx, address, action.Server, order)
+		s.callbacks <- func() { s.handleOrderResponse(tracked, order, status, err) }
 	}()
 }
 
-// barReferences has the edges stop using what is to be unloaded: the model or adapter, and a
+// cordonReferences has the edges stop using what is to be unloaded: the model or adapter, and a
 // model's adapters with it.
-func (w *Scheduler) barReferences(one *managedReplica, unloaded string) {
-	one.barred[one.listed.ID+" "+unloaded] = true
-	for reference := range one.state.Held() {
+func (s *Scheduler) cordonReferences(tracked *trackedReplica, unloaded string) {
+	tracked.cordoned[tracked.listed.ID+" "+unloaded] = true
+	for reference := range tracked.state.Loaded() {
 		if strings.HasPrefix(reference, unloaded+"/") {
-			one.barred[one.listed.ID+" "+reference] = true
+			tracked.cordoned[tracked.listed.ID+" "+reference] = true
 		}
 	}
-	one.stale = true
-	w.unshown = true
+	tracked.unpublished = true
+	s.unpublished = true
 }
 
-// sendInstruction sends an order under the grant that it was decided under, and returns the status of the answer. The
+// sendOrder sends an order under the grant that it was decided under, and returns the status of the answer. The
 // status is 0 without an error if that grant no longer allows it; then nothing was sent. It runs on a goroutine of its
 // own and touches no state of the scheduler but the lease.
-func (w *Scheduler) sendInstruction(ctx context.Context, address, id string, order replicastate.Order) (int, error) {
-	grant := w.hold.Load()
-	if !grant.Allows(w.daemon.clock(), orderNeeds) || grant.Record.Fence != order.Fence {
+func (s *Scheduler) sendOrder(ctx context.Context, address, id string, order replicastate.Order) (int, error) {
+	grant := s.currentGrant.Load()
+	if !grant.Allows(s.node.clock(), orderLeaseMargin) || grant.Record.Fence != order.Fence {
 		return 0, nil
 	}
 	model, adapter, _ := strings.Cut(order.Reference, "/")
@@ -68,7 +68,7 @@
 	if order.Load {
 		operation = replica.OperationLoad
 	}
-	return w.commander.SendOrder(ctx, address, id, replica.Order{
+	return s.commander.SendOrder(ctx, address, id, replica.Order{
 		Operation:     operation,
 		Model:         model,
 		Adapter:       adapter,
--- a/internal/controlplane/loads_test.go
+++ b/internal/controlplane/loads_test.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/place"
 )
 
-func TestGivenAnyHurryThenLoadsFromTheStoreStayWithinTheRule(t *testing.T) {
+func TestScheduler_LoadsFromStoreStayWithinRate(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 29))
 		rate, span, overage := 0.5+float64(random.IntN(20)), 5.0, 1+float64(random.IntN(3))/10
@@ -22,24 +22,24 @@
 			Name:    "s",
 			Runtime: &configuration.Runtime{LoadsPerS: rate},
 		}}}, nil)
-		scheduler := &Scheduler{daemon: &Node{settings: nodesettings.Settings{TimingBounds: nodesettings.TimingBounds{
+		scheduler := &Scheduler{node: &Node{settings: nodesettings.Settings{TimingBounds: nodesettings.TimingBounds{
 			OriginPeriodS: span,
 			OriginOverage: overage,
 		}}}}
-		scheduler.store.due = make(chan reservation, 1)
-		scheduler.hold.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: new(loadbudget.Reservation)}})
+		scheduler.loadBudget.pending = make(chan pendingReservation, 1)
+		scheduler.currentGrant.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: new(loadbudget.Reservation)}})
 		now := testStart
 		var began []time.Time
 		for range 1200 {
 			now = now.Add(time.Duration(random.IntN(60)) * time.Millisecond)
 			for tokens := scheduler.loadTokens(now, table); tokens >= 1; tokens-- {
-				scheduler.orderFromStore(place.Action{Server: "r", Model: "m", Load: true, FromStore: true}, now)
-				scheduler.loadsBegun("r", now)
-				began = append(began, now.Add(time.Duration(random.IntN(int(loadsTransit)))))
+				scheduler.recordOrderedLoad(place.Action{Server: "r", Model: "m", Load: true, FromStore: true}, now)
+				scheduler.recordStartedLoads("r", now)
+				began = append(began, now.Add(time.Duration(random.IntN(int(maxLoadStartDelay)))))
 			}
 			select {
-			case written := <-scheduler.store.due:
-				scheduler.store.budget.CompleteWrite(written.grant.Record.Fence, written.loads, true, now)
+			case written := <-scheduler.loadBudget.pending:
+				scheduler.loadBudget.budget.CompleteWrite(written.grant.Record.Fence, written.reservation, true, now)
 			default:
 			}
 		}
--- a/internal/controlplane/managed.go
+++ b/internal/controlplane/managed.go
@@ -12,114 +12,114 @@
 	"ferryspar/internal/platform"
 )
 
-// adoptList follows the replicas of the platform's list: new ones are managed, their reports still
+// adoptReplicaList follows the replicas of the platform's list: new ones are managed, their reports still
 // unknown, and those that are gone are let go. A list seen before is skipped by its identity.
-func (w *Scheduler) adoptList(listed []platform.Replica, readAt time.Time) {
-	if len(listed) > 0 && w.followed == &listed[0] && len(w.managed) == len(listed) {
+func (s *Scheduler) adoptReplicaList(listed []platform.Replica, readAt time.Time) {
+	if len(listed) > 0 && s.adoptedList == &listed[0] && len(s.tracked) == len(listed) {
 		return
 	}
-	now := w.daemon.clock()
-	w.followed = nil
-	w.stirred = true
-	w.order = w.order[:0]
+	now := s.node.clock()
+	s.adoptedList = nil
+	s.dirty = true
+	s.sortedIDs = s.sortedIDs[:0]
 	present := make(map[string]bool, len(listed))
 	for index := range listed {
-		one := &listed[index]
-		present[one.ID] = true
-		w.order = append(w.order, one.ID)
-		managed := w.managed[one.ID]
-		if managed == nil {
-			managed = w.manage(one)
-			w.managed[one.ID] = managed
+		listedReplica := &listed[index]
+		present[listedReplica.ID] = true
+		s.sortedIDs = append(s.sortedIDs, listedReplica.ID)
+		known := s.tracked[listedReplica.ID]
+		if known == nil {
+			known = s.track(listedReplica)
+			s.tracked[listedReplica.ID] = known
 		}
-		managed.matched = managed.matched && sameModels(managed.listed.Models, one.Models)
-		managed.listed = *one
-		w.recheckContradicted(managed, readAt, now)
-		w.rememberListed(*one)
+		known.confirmedByList = known.confirmedByList && sameModels(known.listed.Models, listedReplica.Models)
+		known.listed = *listedReplica
+		s.recheckContradicted(known, readAt, now)
+		s.recordListedModels(*listedReplica)
 	}
-	sort.Strings(w.order)
-	w.order = slices.Compact(w.order)
-	for id, one := range w.managed {
-		w.noteAbsence(id, one, present[id], now)
+	sort.Strings(s.sortedIDs)
+	s.sortedIDs = slices.Compact(s.sortedIDs)
+	for id, tracked := range s.tracked {
+		s.recordAbsence(id, tracked, present[id], now)
 	}
 	if len(listed) > 0 {
-		w.followed = &listed[0]
+		s.adoptedList = &listed[0]
 	}
 }
 
-// noteAbsence lets a replica go that the list has left out for long. For a while it is kept: its order and what is known
+// recordAbsence lets a replica go that the list has left out for long. For a while it is kept: its order and what is known
 // of it belong to it still if a later list shows it again.
-func (w *Scheduler) noteAbsence(id string, one *managedReplica, present bool, now time.Time) {
+func (s *Scheduler) recordAbsence(id string, tracked *trackedReplica, present bool, now time.Time) {
 	if present {
-		one.absentSince = time.Time{}
+		tracked.absentSince = time.Time{}
 		return
 	}
-	if one.absentSince.IsZero() {
-		one.absentSince = now
+	if tracked.absentSince.IsZero() {
+		tracked.absentSince = now
 	}
-	if now.Sub(one.absentSince) >= absenceKept {
-		delete(w.managed, id)
-		w.unshown = true
+	if now.Sub(tracked.absentSince) >= absenceTimeout {
+		delete(s.tracked, id)
+		s.unpublished = true
 	}
 }
 
-// rememberListed notes that a listed replica's disk holds its models, if any is new. Any
+// recordListedModels notes that a listed replica's disk holds its models, if any is new. Any
 // goroutine may call it.
-func (w *Scheduler) rememberListed(listed platform.Replica) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	known := w.heldOnce[diskOf(listed)]
-	for _, one := range listed.Models {
-		if !known[one.Name] {
-			w.remember(listed, references(listed.Models))
+func (s *Scheduler) recordListedModels(listed platform.Replica) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	known := s.modelsOnDisk[diskKey(listed)]
+	for _, model := range listed.Models {
+		if !known[model.Name] {
+			s.recordModelsOnDisk(listed, loadedReferences(listed.Models))
 			return
 		}
 	}
 }
 
-// showOverlays gives the roster what the scheduler knows better than the list: the models reported
+// publishObserved gives the roster what the scheduler knows better than the list: the models reported
 // since and the references being unloaded. It then publishes the roster.
-func (w *Scheduler) showOverlays() {
-	now := w.daemon.clock()
-	w.lock.Lock()
-	for id := range w.overlays {
-		if w.managed[id] == nil {
-			delete(w.overlays, id)
+func (s *Scheduler) publishObserved() {
+	now := s.node.clock()
+	s.lock.Lock()
+	for id := range s.observed {
+		if s.tracked[id] == nil {
+			delete(s.observed, id)
 		}
 	}
-	for id, one := range w.managed {
-		if _, shown := w.overlays[id]; shown && !one.stale {
+	for id, tracked := range s.tracked {
+		if _, published := s.observed[id]; published && !tracked.unpublished {
 			continue
 		}
-		one.stale = false
-		next := overlay{at: one.overlayAt, models: heldModels(one.state.Held())}
-		for name := range one.barred {
-			next.barred = append(next.barred, name)
+		tracked.unpublished = false
+		next := observedState{reportedAt: tracked.reportedAt, models: loadedModels(tracked.state.Loaded())}
+		for name := range tracked.cordoned {
+			next.cordoned = append(next.cordoned, name)
 		}
-		w.overlays[id] = next
+		s.observed[id] = next
 	}
-	w.lock.Unlock()
-	w.unshown, w.shown = false, now
-	w.daemon.publishRoster()
-	_ = w.daemon.bus.Publish(event.TopicPlacementChanged, len(w.managed))
+	s.lock.Unlock()
+	s.unpublished, s.publishedAt = false, now
+	s.node.publishRoster()
+	_ = s.node.bus.Publish(event.TopicPlacementChanged, len(s.tracked))
 }
 
-// hideOverlays takes back what showOverlays has given: another daemon may know better.
-func (w *Scheduler) hideOverlays() {
-	w.lock.Lock()
-	shown := len(w.overlays) > 0
-	clear(w.overlays)
-	w.lock.Unlock()
-	if !shown {
+// withdrawObserved takes back what publishObserved has given: another daemon may know better.
+func (s *Scheduler) withdrawObserved() {
+	s.lock.Lock()
+	published := len(s.observed) > 0
+	clear(s.observed)
+	s.lock.Unlock()
+	if !published {
 		return
 	}
-	w.unshown = true
-	w.daemon.publishRoster()
-	_ = w.daemon.bus.Publish(event.TopicPlacementChanged, 0)
+	s.unpublished = true
+	s.node.publishRoster()
+	_ = s.node.bus.Publish(event.TopicPlacementChanged, 0)
 }
 
-// heldModels lists a set of references as the platform's list does, ordered by name.
-func heldModels(models map[string]bool) []platform.LoadedModel {
+// loadedModels lists a set of references as the platform's list does, ordered by name.
+func loadedModels(models map[string]bool) []platform.LoadedModel {
 	adapters := map[string][]string{}
 	for reference := range models {
 		model, adapter, _ := strings.Cut(reference, "/")
@@ -141,9 +141,9 @@
 
 // remember adds models to those that a replica once held, so that its disk may have them; the set
 // is replaced, never changed, because planner inputs keep it. The caller holds the lock.
-func (w *Scheduler) remember(listed platform.Replica, models map[string]bool) {
-	disk := diskOf(listed)
-	known := w.heldOnce[disk]
+func (s *Scheduler) recordModelsOnDisk(listed platform.Replica, models map[string]bool) {
+	disk := diskKey(listed)
+	known := s.modelsOnDisk[disk]
 	var next map[string]bool
 	for reference := range models {
 		if known[reference] || strings.Contains(reference, "/") {
@@ -153,43 +153,43 @@
 			if next = maps.Clone(known); next == nil {
 				next = map[string]bool{}
 			}
-			w.heldOnce[disk] = next
+			s.modelsOnDisk[disk] = next
 		}
 		next[reference] = true
 	}
 }
 
 // addServers adds the managed replicas to the planner's input.
-func (w *Scheduler) addServers(view *place.View, now time.Time) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	for _, id := range w.order {
-		one := w.managed[id]
-		if !isPlaced(view.Table, one.listed.Backend) {
+func (s *Scheduler) addServers(view *place.View, now time.Time) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	for _, id := range s.sortedIDs {
+		tracked := s.tracked[id]
+		if !isPlacementTarget(view.Table, tracked.listed.Backend) {
 			continue
 		}
 		view.Servers = append(view.Servers, &place.Server{
 			ID:          id,
-			Backend:     one.listed.Backend,
-			Zone:        one.listed.Zone,
-			Draining:    one.listed.State == platform.Draining,
-			Lost:        w.tally.IsSuspected(id),
-			Loaded:      one.state.SurelyHeld(),
-			MaybeLoaded: one.state.MayHold(),
-			OnDisk:      w.heldOnce[diskOf(one.listed)],
-			Intent:      one.intent,
-			Ready:       one.state.Ready(now),
+			Backend:     tracked.listed.Backend,
+			Zone:        tracked.listed.Zone,
+			Draining:    tracked.listed.State == platform.Draining,
+			Lost:        s.aggregator.IsSuspected(id),
+			Loaded:      tracked.state.CertainlyLoaded(),
+			MaybeLoaded: tracked.state.PossiblyLoaded(),
+			OnDisk:      s.modelsOnDisk[diskKey(tracked.listed)],
+			Intent:      tracked.intent,
+			Ready:       tracked.state.IsReady(now),
 		})
 	}
 }
 
-// references is the set of references of a replica's models and adapters.
-func references(models []platform.LoadedModel) map[string]bool {
+// loadedReferences is the set of references of a replica's models and adapters.
+func loadedReferences(models []platform.LoadedModel) map[string]bool {
 	found := map[string]bool{}
-	for _, held := range models {
-		found[held.Name] = true
-		for _, adapter := range held.Adapters {
-			found[place.Reference(held.Name, adapter)] = true
+	for _, model := range models {
+		found[model.Name] = true
+		for _, adapter := range model.Adapters {
+			found[place.Reference(model.Name, adapter)] = true
 		}
 	}
 	return found
--- a/internal/controlplane/managedreplica_test.go
+++ b/internal/controlplane/managedreplica_test.go
@@ -14,79 +14,79 @@
 	"ferryspar/internal/replicastate"
 )
 
-// placingScheduler holds the lease by a grant of the fence given and manages one replica that holds "m".
-func placingScheduler(now *time.Time, fence uint64) (*Scheduler, []platform.Replica) {
+// newPlacingScheduler holds the lease by a grant of the fence given and manages one replica that holds "m".
+func newPlacingScheduler(now *time.Time, fence uint64) (*Scheduler, []platform.Replica) {
 	settings := nodesettings.Settings{CloudAPI: nodesettings.CloudAPI{MaxLagMs: 800}}
-	w := &Scheduler{
-		daemon:   &Node{clock: func() time.Time { return *now }, settings: settings, publisher: NewPublisher(), endpoints: NewEndpointPublisher()},
-		heldOnce: map[string]map[string]bool{},
-		managed:  map[string]*managedReplica{},
-		overlays: map[string]overlay{},
-		sizes:    place.NewSizeHistory(),
+	scheduler := &Scheduler{
+		node:         &Node{clock: func() time.Time { return *now }, settings: settings, publisher: NewPublisher(), endpoints: NewEndpointPublisher()},
+		modelsOnDisk: map[string]map[string]bool{},
+		tracked:      map[string]*trackedReplica{},
+		observed:     map[string]observedState{},
+		sizes:        place.NewSizeHistory(),
 	}
-	w.grant = &lease.Grant{Record: lease.Record{Fence: fence}, GrantedAt: *now, ExpiresAt: now.Add(time.Hour)}
+	scheduler.trackedGrant = &lease.Grant{Record: lease.Record{Fence: fence}, GrantedAt: *now, ExpiresAt: now.Add(time.Hour)}
 	listed := []platform.Replica{{ID: "r", Backend: "s", Address: "here", Models: []platform.LoadedModel{{Name: "m"}}}}
-	w.adoptList(listed, *now)
-	return w, listed
+	scheduler.adoptReplicaList(listed, *now)
+	return scheduler, listed
 }
 
-func TestGivenAReplicaThatSomeListsLeaveOutThenItsOrderIsNotForgottenUntilItIsLongGone(t *testing.T) {
+func TestScheduler_KeepsOrderOfReplicaMissingFromSomeLists(t *testing.T) {
 	now := testStart
-	w, listed := placingScheduler(&now, 1)
-	one := w.managed["r"]
-	assert.Assert(t, one.state.Reported(replicastate.Report{Held: map[string]bool{"m": true}}, now))
-	_, decided := one.state.Decide(replicastate.Change{Load: true, Reference: "n"}, now)
+	scheduler, listed := newPlacingScheduler(&now, 1)
+	tracked := scheduler.tracked["r"]
+	assert.Assert(t, tracked.state.HandleReport(replicastate.Report{Loaded: map[string]bool{"m": true}}, now))
+	_, decided := tracked.state.Decide(replicastate.Change{Load: true, Reference: "n"}, now)
 	assert.Assert(t, decided)
-	w.adoptList(nil, now)
-	now = now.Add(absenceKept - time.Millisecond)
-	w.adoptList(listed, now)
-	assert.Equal(t, w.managed["r"], one)
-	assert.Equal(t, one.state.Phase(), replicastate.Ordered)
-	w.adoptList(nil, now)
-	now = now.Add(absenceKept)
-	w.adoptList(nil, now)
-	assert.Equal(t, len(w.managed), 0)
+	scheduler.adoptReplicaList(nil, now)
+	now = now.Add(absenceTimeout - time.Millisecond)
+	scheduler.adoptReplicaList(listed, now)
+	assert.Equal(t, scheduler.tracked["r"], tracked)
+	assert.Equal(t, tracked.state.Phase(), replicastate.Ordered)
+	scheduler.adoptReplicaList(nil, now)
+	now = now.Add(absenceTimeout)
+	scheduler.adoptReplicaList(nil, now)
+	assert.Equal(t, len(scheduler.tracked), 0)
 }
 
-func TestGivenAListThatKeepsContradictingAReportThenTheReplicaIsAskedAgain(t *testing.T) {
+func TestScheduler_PollsAgainWhenListContradictsReport(t *testing.T) {
 	now := testStart
-	w, listed := placingScheduler(&now, 1)
-	one := w.managed["r"]
-	assert.Assert(t, one.state.Reported(replicastate.Report{Held: map[string]bool{"n": true}}, now))
-	one.overlayAt = now
+	scheduler, listed := newPlacingScheduler(&now, 1)
+	tracked := scheduler.tracked["r"]
+	assert.Assert(t, tracked.state.HandleReport(replicastate.Report{Loaded: map[string]bool{"n": true}}, now))
+	tracked.reportedAt = now
 	for range 3 {
 		now = now.Add(time.Second)
-		assert.Assert(t, !one.state.AskDue(now), "the list may lag")
-		w.adoptList(append([]platform.Replica{}, listed...), now)
+		assert.Assert(t, !tracked.state.PollDue(now), "the list may lag")
+		scheduler.adoptReplicaList(append([]platform.Replica{}, listed...), now)
 	}
-	assert.Assert(t, one.state.AskDue(now))
+	assert.Assert(t, tracked.state.PollDue(now))
 }
 
-func TestGivenAGrantThatFollowsAnotherThenNoReportFromItsFirstMomentsIsAskedFor(t *testing.T) {
+func TestScheduler_DelaysPollsAfterTakeover(t *testing.T) {
 	for fence, waits := range map[uint64]bool{1: false, 2: true} {
 		now := testStart
-		w, _ := placingScheduler(&now, fence)
-		assert.Equal(t, w.managed["r"].state.AskDue(now), !waits)
-		assert.Assert(t, w.managed["r"].state.AskDue(now.Add(reportAge)))
+		scheduler, _ := newPlacingScheduler(&now, fence)
+		assert.Equal(t, scheduler.tracked["r"].state.PollDue(now), !waits)
+		assert.Assert(t, scheduler.tracked["r"].state.PollDue(now.Add(maxReportAge)))
 	}
 }
 
-func TestGivenAGrantThatSeemsOverWhenItIsRenewedAfterAllThenItsOrdersAreStillKnown(t *testing.T) {
+func TestScheduler_KeepsOrdersWhenExpiredGrantIsRenewed(t *testing.T) {
 	now := testStart
-	w, _ := placingScheduler(&now, 1)
-	one := w.managed["r"]
-	assert.Assert(t, one.state.Reported(replicastate.Report{Held: map[string]bool{"m": true}}, now))
-	order, decided := one.state.Decide(replicastate.Change{Load: true, Reference: "n"}, now)
+	scheduler, _ := newPlacingScheduler(&now, 1)
+	tracked := scheduler.tracked["r"]
+	assert.Assert(t, tracked.state.HandleReport(replicastate.Report{Loaded: map[string]bool{"m": true}}, now))
+	order, decided := tracked.state.Decide(replicastate.Change{Load: true, Reference: "n"}, now)
 	assert.Assert(t, decided)
-	w.daemon.scheduler, w.daemon.bus = w, event.New()
-	renewed := *w.grant
-	now = w.grant.ExpiresAt
-	w.adoptGrant(w.grant)
-	w.adoptGrant(nil)
-	one.state.Answer(order, replicastate.NoAnswer, now)
+	scheduler.node.scheduler, scheduler.node.bus = scheduler, event.New()
+	renewed := *scheduler.trackedGrant
+	now = scheduler.trackedGrant.ExpiresAt
+	scheduler.adoptGrant(scheduler.trackedGrant)
+	scheduler.adoptGrant(nil)
+	tracked.state.HandleResponse(order, replicastate.NoAnswer, now)
 	renewed.ExpiresAt = now.Add(time.Second)
-	w.adoptGrant(&renewed)
-	assert.Equal(t, w.managed["r"], one)
-	assert.Assert(t, w.managed["r"].state.MayHold()["n"])
-	assert.Equal(t, w.grant.ExpiresAt, renewed.ExpiresAt)
+	scheduler.adoptGrant(&renewed)
+	assert.Equal(t, scheduler.tracked["r"], tracked)
+	assert.Assert(t, scheduler.tracked["r"].state.PossiblyLoaded()["n"])
+	assert.Equal(t, scheduler.trackedGrant.ExpiresAt, renewed.ExpiresAt)
 }
--- a/internal/controlplane/reportpolls.go
+++ b/internal/controlplane/reportpolls.go
@@ -11,86 +11,86 @@
 	"ferryspar/internal/replicastate"
 )
 
-// pollsAtOnce is how many reports are asked for at once.
-const pollsAtOnce = 48
+// maxConcurrentPolls is how many reports are asked for at once.
+const maxConcurrentPolls = 48
 
 // duePolls are the replicas to ask for a report now: those with a change under way first, then
 // unknown ones, by how many requests wait for what they once held.
-func (w *Scheduler) duePolls(table *configuration.Table, now time.Time) []string {
+func (s *Scheduler) duePolls(table *configuration.Table, now time.Time) []string {
 	var pending, unknown []string
-	asking := 0
-	for _, id := range w.order {
-		one := w.managed[id]
+	polling := 0
+	for _, id := range s.sortedIDs {
+		tracked := s.tracked[id]
 		switch {
-		case !isPlaced(table, one.listed.Backend):
-		case one.state.Asking():
-			asking++
-		case !one.state.AskDue(now):
-		case one.state.Known():
+		case !isPlacementTarget(table, tracked.listed.Backend):
+		case tracked.state.IsPolling():
+			polling++
+		case !tracked.state.PollDue(now):
+		case tracked.state.IsKnown():
 			pending = append(pending, id)
 		default:
 			unknown = append(unknown, id)
 		}
 	}
-	room := max(pollsAtOnce-asking-len(pending), 0)
-	if len(unknown) > room {
-		wanted := w.waitingFor(unknown)
-		slices.SortStableFunc(unknown, func(left, right string) int { return wanted[right] - wanted[left] })
-		unknown = unknown[:room]
+	free := max(maxConcurrentPolls-polling-len(pending), 0)
+	if len(unknown) > free {
+		waiting := s.waitingRequests(unknown)
+		slices.SortStableFunc(unknown, func(left, right string) int { return waiting[right] - waiting[left] })
+		unknown = unknown[:free]
 	}
 	return append(pending, unknown...)
 }
 
-// waitingFor counts, by replica, the requests that wait for models that it once held.
-func (w *Scheduler) waitingFor(ids []string) map[string]int {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	wanted := make(map[string]int, len(ids))
+// waitingRequests counts, by replica, the requests that wait for models that it once held.
+func (s *Scheduler) waitingRequests(ids []string) map[string]int {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	waiting := make(map[string]int, len(ids))
 	for _, id := range ids {
-		one := w.managed[id]
-		for model := range w.heldOnce[diskOf(one.listed)] {
-			if demand := w.demand[place.ModelKey(one.listed.Backend, model)]; demand != nil {
-				wanted[id] += demand.Waiting
+		tracked := s.tracked[id]
+		for model := range s.modelsOnDisk[diskKey(tracked.listed)] {
+			if demand := s.demand[place.ModelKey(tracked.listed.Backend, model)]; demand != nil {
+				waiting[id] += demand.Waiting
 			}
 		}
 	}
-	return wanted
+	return waiting
 }
 
 // pollReport asks a replica for its report; the answer comes back to the scheduler's goroutine.
-func (w *Scheduler) pollReport(ctx context.Context, id string) {
-	one := w.managed[id]
-	address, askedAt := one.listed.Address, w.daemon.clock()
-	one.state.AskStarted(askedAt)
+func (s *Scheduler) pollReport(ctx context.Context, id string) {
+	tracked := s.tracked[id]
+	address, polledAt := tracked.listed.Address, s.node.clock()
+	tracked.state.PollStarted(polledAt)
 	go func() {
-		state, err := w.commander.FetchReport(ctx, address, id)
-		w.results <- func() {
-			w.checkDisk(one, state, askedAt)
-			w.applyReport(one, state, err)
+		state, err := s.commander.FetchReport(ctx, address, id)
+		s.callbacks <- func() {
+			s.verifyDiskLoad(tracked, state, polledAt)
+			s.handleReport(tracked, state, err)
 		}
 	}()
 }
 
-// applyReport takes in a report. Where it is adopted it ends the order under way.
-func (w *Scheduler) applyReport(one *managedReplica, report replica.Report, err error) {
-	now := w.daemon.clock()
-	w.stirred = true
+// handleReport takes in a report. Where it is adopted it ends the order under way.
+func (s *Scheduler) handleReport(tracked *trackedReplica, report replica.Report, err error) {
+	now := s.node.clock()
+	s.dirty = true
 	if err != nil {
-		one.state.AskFailed(now)
+		tracked.state.PollFailed(now)
 		return
 	}
-	held := references(report.Models)
-	if !one.state.Reported(replicastate.Report{Sequence: report.Sequence, Busy: report.Busy, Held: held}, now) {
+	loaded := loadedReferences(report.Models)
+	if !tracked.state.HandleReport(replicastate.Report{Sequence: report.Sequence, Busy: report.Busy, Loaded: loaded}, now) {
 		return
 	}
-	one.overlayAt = now
-	one.matched = false
-	one.pending = nil
-	w.lock.Lock()
-	w.remember(one.listed, held)
-	w.lock.Unlock()
-	w.liftBars(one, now)
-	if now.Sub(w.shown) >= showPause {
-		w.showOverlays()
+	tracked.reportedAt = now
+	tracked.confirmedByList = false
+	tracked.pendingAction = nil
+	s.lock.Lock()
+	s.recordModelsOnDisk(tracked.listed, loaded)
+	s.lock.Unlock()
+	s.refreshCordons(tracked, now)
+	if now.Sub(s.publishedAt) >= publishInterval {
+		s.publishObserved()
 	}
 }
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -44,7 +44,7 @@
 	defer timer.Stop()
 	for {
 		startedAt, perSecond := n.clock(), n.settings.CloudAPI.RatePerS
-		holding := n.scheduler.Holding()
+		holding := n.scheduler.HoldsLease()
 		if holding || n.roster.age(startedAt) > staleAge(perSecond, n.discovery.PageCount()) {
 			n.refreshRoster(ctx, startedAt)
 		}
@@ -95,8 +95,8 @@
 	defer n.roster.publishLock.Unlock()
 	replicas, at := n.roster.current()
 	cordoned := n.roster.cordonedReplicas(n.clock())
-	if n.scheduler.Holding() {
-		replicas, cordoned = n.scheduler.overlay(replicas, at)
+	if n.scheduler.HoldsLease() {
+		replicas, cordoned = n.scheduler.withObserved(replicas, at)
 	}
 	n.publishReplicas(replicas, cordoned, at)
 }
@@ -113,7 +113,7 @@
 		next.RosterAsOf = at
 	})
 	if changed {
-		n.scheduler.noteAges(replicas)
+		n.scheduler.recordCopies(replicas)
 	}
 	n.endpoints.Publish(replicas, cordoned, at)
 }
@@ -125,25 +125,25 @@
 	})
 }
 
-// overlay is the list with the models that the scheduler knows of from later reports, and what it
+// observedState is the list with the models that the scheduler knows of from later reports, and what it
 // bars.
-func (w *Scheduler) overlay(replicas []platform.Replica, at time.Time) ([]platform.Replica, []string) {
-	lag := w.listLag()
+func (s *Scheduler) withObserved(replicas []platform.Replica, at time.Time) ([]platform.Replica, []string) {
+	lag := s.listLag()
 	result := make([]platform.Replica, len(replicas))
-	var barred []string
-	w.lock.Lock()
-	defer w.lock.Unlock()
+	var cordoned []string
+	s.lock.Lock()
+	defer s.lock.Unlock()
 	for index, listed := range replicas {
 		result[index] = listed
-		over, known := w.overlays[listed.ID]
-		if !known {
+		observed, isObserved := s.observed[listed.ID]
+		if !isObserved {
 			continue
 		}
-		barred = append(barred, over.barred...)
-		if !over.at.IsZero() && at.Add(-lag).Before(over.at) {
-			result[index].Models = over.models
+		cordoned = append(cordoned, observed.cordoned...)
+		if !observed.reportedAt.IsZero() && at.Add(-lag).Before(observed.reportedAt) {
+			result[index].Models = observed.models
 		}
 	}
-	sort.Strings(barred)
-	return result, barred
+	sort.Strings(cordoned)
+	return result, cordoned
 }
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -25,7 +25,7 @@
 	router.Post(peer.Methods["roster"].Path, peer.Handler(n.handleRosterUpdate))
 	router.Post(peer.Methods["greet"].Path, peer.Handler(n.handleHeartbeat))
 	router.Post(peer.Methods["forecast"].Path, peer.Handler(n.handleForecast))
-	router.Post(peer.Methods["plan"].Path, peer.Handler(n.hearPlan))
+	router.Post(peer.Methods["plan"].Path, peer.Handler(n.handlePlanRequest))
 	return router
 }
 
--- a/internal/replicastate/order.go
+++ b/internal/replicastate/order.go
@@ -47,26 +47,26 @@
 type Report struct {
 	Sequence int64
 	Busy     bool
-	Held     map[string]bool
+	Loaded   map[string]bool
 }
 
-// doubtfulOrder is an order whose fate is unknown. Until is when the network can no longer hold it. A replica that stands
+// uncertainOrder is an order whose fate is unknown. Until is when the network can no longer hold it. A replica that stands
 // still may even then find it in its sockets when it goes on, also once the connection was reset. So only a report tells
 // what became of it that shows a moment after the replica was seen to run: awake, zero before.
-type doubtfulOrder struct {
+type uncertainOrder struct {
 	Order
-	until time.Time
-	awake time.Time
+	expiresAt time.Time
+	runningAt time.Time
 }
 
-// settledBy tells whether a report of that moment tells what became of the order.
-func (o *doubtfulOrder) settledBy(shown time.Time) bool {
-	return !o.awake.IsZero() && !shown.Before(o.awake)
+// resolvedBy tells whether a report of that moment tells what became of the order.
+func (o *uncertainOrder) resolvedBy(shownAt time.Time) bool {
+	return !o.runningAt.IsZero() && !shownAt.Before(o.runningAt)
 }
 
-// after is what a replica holds once the change is done. The set that was given is left alone.
-func after(held map[string]bool, change Change) map[string]bool {
-	next := maps.Clone(held)
+// applyChange is what a replica holds once the change is done. The set that was given is left alone.
+func applyChange(loaded map[string]bool, change Change) map[string]bool {
+	next := maps.Clone(loaded)
 	if next == nil {
 		next = map[string]bool{}
 	}
@@ -74,7 +74,7 @@
 		next[change.Reference] = true
 		return next
 	}
-	for reference := range held {
+	for reference := range loaded {
 		if reference == change.Reference || strings.HasPrefix(reference, change.Reference+"/") {
 			delete(next, reference)
 		}
--- a/internal/replicastate/replica.go
+++ b/internal/replicastate/replica.go
@@ -9,18 +9,18 @@
 type Timings struct {
 	// ReportLag is how long after a change a replica is asked for a report that should show it.
 	ReportLag time.Duration
-	// BusyPause is the wait before a replica is asked again.
-	BusyPause time.Duration
-	// UnknownPause is the wait for a report after an order without a clear answer.
-	UnknownPause time.Duration
-	// RefusedPause is how long a replica that rejects an order is left alone.
-	RefusedPause time.Duration
+	// PollInterval is the wait before a replica is asked again.
+	PollInterval time.Duration
+	// UnknownFateDelay is the wait for a report after an order without a clear answer.
+	UnknownFateDelay time.Duration
+	// RejectedBackoff is how long a replica that rejects an order is left alone.
+	RejectedBackoff time.Duration
 	// Settle is how long after the end of its call the network may hold an order.
-	Settle time.Duration
-	// ReportAge is how long before the question the moment may lie that a report shows.
-	ReportAge time.Duration
+	MaxOrderLifetime time.Duration
+	// MaxReportAge is how long before the question the moment may lie that a report shows.
+	MaxReportAge time.Duration
 	// Distrust is how long reports that contradict what was learned from answers are taken for old ones.
-	Distrust time.Duration
+	DistrustPeriod time.Duration
 }
 
 // Phase says what may be done with a replica.
@@ -39,57 +39,57 @@
 
 // Replica is the knowledge of one replica under one grant. It is used by one goroutine.
 type Replica struct {
-	timings    *Timings
-	fence      uint64
-	phase      Phase
-	sequence   int64
-	held       map[string]bool
-	current    Order
-	doubtful   []doubtfulOrder
-	trustFrom  time.Time
-	askAt      time.Time
-	asking     bool
-	askedAt    time.Time
-	blocked    time.Time
-	refused    refusal
-	lowerSince time.Time
-	mismatches int
-}
-
-// refusal is a sequence at which an order was refused: reports of it are old ones until the time given.
-type refusal struct {
+	timings            *Timings
+	fence              uint64
+	phase              Phase
+	sequence           int64
+	loaded             map[string]bool
+	current            Order
+	uncertain          []uncertainOrder
+	trustFrom          time.Time
+	pollAt             time.Time
+	polling            bool
+	polledAt           time.Time
+	blockedUntil       time.Time
+	rejected           rejection
+	lowerSequenceSince time.Time
+	mismatches         int
+}
+
+// rejection is a sequence at which an order was refused: reports of it are old ones until the time given.
+type rejection struct {
 	sequence int64
 	until    time.Time
 }
 
-// mismatchesNeeded is how many reports against an accepted order end it.
-const mismatchesNeeded = 3
+// maxMismatches is how many reports against an accepted order end it.
+const maxMismatches = 3
 
 // New knows nothing yet but what the platform's list says, which counts neither as held nor as room. Reports asked for
 // before trustFrom may show what an earlier holder's orders have changed since, and are not asked for.
 func New(timings *Timings, fence uint64, trustFrom time.Time, listed map[string]bool) *Replica {
-	return &Replica{timings: timings, fence: fence, trustFrom: trustFrom, held: listed}
+	return &Replica{timings: timings, fence: fence, trustFrom: trustFrom, loaded: listed}
 }
 
 // Phase is what may be done with the replica.
 func (r *Replica) Phase() Phase { return r.phase }
 
 // Known tells whether what the replica holds was learned from itself and nothing has made it doubtful since.
-func (r *Replica) Known() bool { return r.phase != Unknown }
+func (r *Replica) IsKnown() bool { return r.phase != Unknown }
 
 // Under is the change that was decided and has not ended, if there is one.
-func (r *Replica) Under() (Change, bool) {
+func (r *Replica) PendingChange() (Change, bool) {
 	return r.current.Change, r.phase == Ordered || r.phase == Changing
 }
 
 // Ready tells whether an order may be decided now.
-func (r *Replica) Ready(now time.Time) bool {
-	return r.phase == Idle && !r.asking && !now.Before(r.blocked)
+func (r *Replica) IsReady(now time.Time) bool {
+	return r.phase == Idle && !r.polling && !now.Before(r.blockedUntil)
 }
 
 // Decide ties a change to what is known now. It reports false where nothing may be ordered.
 func (r *Replica) Decide(change Change, now time.Time) (Order, bool) {
-	if !r.Ready(now) {
+	if !r.IsReady(now) {
 		return Order{}, false
 	}
 	r.phase = Ordered
@@ -98,7 +98,7 @@
 }
 
 // Answer takes in how an order's call ended. An order that is not the current one changes nothing.
-func (r *Replica) Answer(order Order, outcome Outcome, now time.Time) {
+func (r *Replica) HandleResponse(order Order, outcome Outcome, now time.Time) {
 	if r.phase != Ordered || order != r.current {
 		return
 	}
@@ -106,85 +106,85 @@
 	case NotSent:
 		r.phase = Idle
 	case Accepted:
-		r.accept(now)
+		r.advance(now)
 	case AlreadyDone:
-		r.await(now)
+		r.awaitCompletion(now)
 	case Conflict:
-		r.refused = refusal{sequence: order.Expected, until: now.Add(r.timings.Distrust)}
-		r.doubt(now.Add(r.timings.BusyPause))
+		r.rejected = rejection{sequence: order.Expected, until: now.Add(r.timings.DistrustPeriod)}
+		r.invalidate(now.Add(r.timings.PollInterval))
 	case Unreached:
-		r.doubt(now.Add(r.timings.BusyPause))
+		r.invalidate(now.Add(r.timings.PollInterval))
 	case Fenced, Rejected:
-		r.blocked = now.Add(r.timings.RefusedPause)
-		r.doubt(r.blocked)
+		r.blockedUntil = now.Add(r.timings.RejectedBackoff)
+		r.invalidate(r.blockedUntil)
 	default:
-		r.doubtful = append(r.doubtful, doubtfulOrder{Order: order, until: now.Add(r.timings.Settle)})
-		r.doubt(now.Add(r.timings.UnknownPause))
+		r.uncertain = append(r.uncertain, uncertainOrder{Order: order, expiresAt: now.Add(r.timings.MaxOrderLifetime)})
+		r.invalidate(now.Add(r.timings.UnknownFateDelay))
 	}
 }
 
 // accept goes on to the next sequence: the order was taken at the one it named, so no other order decided on that
 // sequence ever will be.
-func (r *Replica) accept(now time.Time) {
+func (r *Replica) advance(now time.Time) {
 	r.sequence++
-	r.await(now)
+	r.awaitCompletion(now)
 }
 
 // await waits for reports that show the order carried out.
-func (r *Replica) await(now time.Time) {
+func (r *Replica) awaitCompletion(now time.Time) {
 	r.phase = Changing
 	r.mismatches = 0
-	r.askAt = now.Add(r.timings.ReportLag)
+	r.pollAt = now.Add(r.timings.ReportLag)
 }
 
 // doubt forgets that the replica is known, and has it asked from the time given.
-func (r *Replica) doubt(askAt time.Time) {
+func (r *Replica) invalidate(pollAt time.Time) {
 	r.phase = Unknown
-	r.askAt = askAt
+	r.pollAt = pollAt
 }
 
 // Recheck has an idle replica asked again, since something else contradicts what is known of it.
 func (r *Replica) Recheck(now time.Time) {
-	if r.phase == Idle && !r.asking {
-		r.doubt(now)
+	if r.phase == Idle && !r.polling {
+		r.invalidate(now)
 	}
 }
 
-// mayArrive are the doubtful orders that the replica may have carried out unseen or may still carry out: it has not gone
+// unresolved are the doubtful orders that the replica may have carried out unseen or may still carry out: it has not gone
 // past their sequence. The others are kept too until they can no longer arrive, since a replica that restarts counts from
 // zero again and would take them.
-func (r *Replica) mayArrive() []doubtfulOrder {
-	var open []doubtfulOrder
-	for _, order := range r.doubtful {
+func (r *Replica) unresolved() []uncertainOrder {
+	var unresolved []uncertainOrder
+	for _, order := range r.uncertain {
 		if order.Expected >= r.sequence {
-			open = append(open, order)
+			unresolved = append(unresolved, order)
 		}
 	}
-	return open
+	return unresolved
 }
 
-// settleShown drops the doubtful orders whose fate a report shows that was asked for at a time and came now.
-func (r *Replica) settleShown(askedAt, now time.Time) {
-	shown := askedAt.Add(-r.timings.ReportAge)
-	r.doubtful = slices.DeleteFunc(r.doubtful, func(order doubtfulOrder) bool { return order.settledBy(shown) })
-	for index := range r.doubtful {
-		order := &r.doubtful[index]
-		if order.awake.IsZero() && !askedAt.Before(order.until) {
-			order.awake = now
+// resolveReported drops the doubtful orders whose fate a report shows that was asked for at a time and came now.
+func (r *Replica) resolveReported(polledAt, now time.Time) {
+	shownAt := polledAt.Add(-r.timings.MaxReportAge)
+	r.uncertain = slices.DeleteFunc(r.uncertain, func(order uncertainOrder) bool { return order.resolvedBy(shownAt) })
+	for index := range r.uncertain {
+		order := &r.uncertain[index]
+		if order.runningAt.IsZero() && !polledAt.Before(order.expiresAt) {
+			order.runningAt = now
 		}
 	}
 }
 
-// settleDue tells whether a report that is asked for now would bring the end of a doubtful order nearer that counts.
-func (r *Replica) settleDue(now time.Time) bool {
-	shown := now.Add(-r.timings.ReportAge)
-	return slices.ContainsFunc(r.doubtful, func(order doubtfulOrder) bool {
-		return r.counts(order) && (order.awake.IsZero() && !now.Before(order.until) || order.settledBy(shown))
+// resolutionDue tells whether a report that is asked for now would bring the end of a doubtful order nearer that counts.
+func (r *Replica) resolutionDue(now time.Time) bool {
+	shownAt := now.Add(-r.timings.MaxReportAge)
+	return slices.ContainsFunc(r.uncertain, func(order uncertainOrder) bool {
+		return r.matters(order) && (order.runningAt.IsZero() && !now.Before(order.expiresAt) || order.resolvedBy(shownAt))
 	})
 }
 
 // counts tells whether a doubtful order makes a difference: the replica may carry it out, or receive a load that it
 // refuses and that takes room beside what it holds.
-func (r *Replica) counts(order doubtfulOrder) bool {
-	return order.Expected >= r.sequence || order.Load && !r.held[order.Reference]
+func (r *Replica) matters(order uncertainOrder) bool {
+	return order.Expected >= r.sequence || order.Load && !r.loaded[order.Reference]
 }
--- a/internal/replicastate/report.go
+++ b/internal/replicastate/report.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// AskDue tells whether the replica should be asked for a report now. One that carries an order out is asked from the
+// PollDue tells whether the replica should be asked for a report now. One that carries an order out is asked from the
 // moment that ExpectDone has named, an idle one once that settles what became of an order without an answer.
-func (r *Replica) AskDue(now time.Time) bool {
-	if r.asking || now.Before(r.askAt) || now.Before(r.blocked) || now.Before(r.trustFrom) {
+func (r *Replica) PollDue(now time.Time) bool {
+	if r.polling || now.Before(r.pollAt) || now.Before(r.blockedUntil) || now.Before(r.trustFrom) {
 		return false
 	}
-	return r.phase == Unknown || r.phase == Changing || r.phase == Idle && r.settleDue(now)
+	return r.phase == Unknown || r.phase == Changing || r.phase == Idle && r.resolutionDue(now)
 }
 
 // ExpectDone puts off the question of a replica that has just accepted an order to the moment when it should be done.
 func (r *Replica) ExpectDone(at time.Time) {
-	if r.phase == Changing && at.After(r.askAt) {
-		r.askAt = at
+	if r.phase == Changing && at.After(r.pollAt) {
+		r.pollAt = at
 	}
 }
 
-// AskStarted notes that a report was asked for. Until it comes, nothing is known for sure.
-func (r *Replica) AskStarted(now time.Time) {
-	r.asking, r.askedAt = true, now
+// PollStarted notes that a report was asked for. Until it comes, nothing is known for sure.
+func (r *Replica) PollStarted(now time.Time) {
+	r.polling, r.polledAt = true, now
 	if r.phase == Idle {
 		r.phase = Unknown
 	}
 }
 
 // Asking tells whether a report was asked for and has not come.
-func (r *Replica) Asking() bool { return r.asking }
+func (r *Replica) IsPolling() bool { return r.polling }
 
-// AskFailed notes that the report did not come.
-func (r *Replica) AskFailed(now time.Time) {
-	r.asking = false
-	r.askAt = now.Add(2 * r.timings.BusyPause)
+// PollFailed notes that the report did not come.
+func (r *Replica) PollFailed(now time.Time) {
+	r.polling = false
+	r.pollAt = now.Add(2 * r.timings.PollInterval)
 }
 
 // Reported takes in a report, and tells whether it was adopted: one that may be older than what is known is not, and
 // the replica is asked again.
-func (r *Replica) Reported(report Report, now time.Time) bool {
-	r.asking = false
-	r.askAt = now.Add(r.timings.BusyPause)
+func (r *Replica) HandleReport(report Report, now time.Time) bool {
+	r.polling = false
+	r.pollAt = now.Add(r.timings.PollInterval)
 	if r.phase != Unknown && r.phase != Changing {
 		return false
 	}
 	if report.Busy || r.isOutdated(report, now) || r.contradictsOrder(report) {
 		return false
 	}
-	r.lowerSince = time.Time{}
-	r.refused = refusal{}
+	r.lowerSequenceSince = time.Time{}
+	r.rejected = rejection{}
 	r.mismatches = 0
 	r.sequence = report.Sequence
-	r.held = report.Held
+	r.loaded = report.Loaded
 	r.phase = Idle
-	r.settleShown(r.askedAt, now)
+	r.resolveReported(r.polledAt, now)
 	return true
 }
 
@@ -60,87 +60,87 @@
 // the very sequence at which an order was refused. Either is believed once it has lasted, since a replica that has
 // restarted counts from zero again; an order decided on a wrong sequence is refused by the replica.
 func (r *Replica) isOutdated(report Report, now time.Time) bool {
-	if report.Sequence == r.refused.sequence && now.Before(r.refused.until) {
+	if report.Sequence == r.rejected.sequence && now.Before(r.rejected.until) {
 		return true
 	}
 	if report.Sequence >= r.sequence {
 		return false
 	}
-	if r.lowerSince.IsZero() {
-		r.lowerSince = now
+	if r.lowerSequenceSince.IsZero() {
+		r.lowerSequenceSince = now
 	}
-	return now.Sub(r.lowerSince) < r.timings.Distrust
+	return now.Sub(r.lowerSequenceSince) < r.timings.DistrustPeriod
 }
 
 // contradictsOrder tells whether the report lacks what an accepted order should have brought, and has not come often
 // enough to be believed.
 func (r *Replica) contradictsOrder(report Report) bool {
-	if r.phase != Changing || report.Held[r.current.Reference] == r.current.Load {
+	if r.phase != Changing || report.Loaded[r.current.Reference] == r.current.Load {
 		return false
 	}
 	r.mismatches++
-	return r.mismatches < mismatchesNeeded
+	return r.mismatches < maxMismatches
 }
 
-// CarriesOut tells whether a report shows the replica busy with the order that it has accepted.
-func (r *Replica) CarriesOut(report Report) bool {
+// IsCarryingOut tells whether a report shows the replica busy with the order that it has accepted.
+func (r *Replica) IsCarryingOut(report Report) bool {
 	return r.phase == Changing && report.Busy && report.Sequence >= r.sequence
 }
 
-// MayBegin tells whether an order that was decided may yet be taken.
-func (r *Replica) MayBegin() bool {
-	return r.phase == Ordered || len(r.mayArrive()) > 0
+// MayStart tells whether an order that was decided may yet be taken.
+func (r *Replica) MayStart() bool {
+	return r.phase == Ordered || len(r.unresolved()) > 0
 }
 
-// SurelyHeld is the lower bound of what the replica holds: what it reported, without what an order that was decided or
+// CertainlyLoaded is the lower bound of what the replica holds: what it reported, without what an order that was decided or
 // may yet arrive unloads. The set must not be changed.
-func (r *Replica) SurelyHeld() map[string]bool {
-	held := r.held
-	for _, order := range r.mayArrive() {
+func (r *Replica) CertainlyLoaded() map[string]bool {
+	loaded := r.loaded
+	for _, order := range r.unresolved() {
 		if !order.Load {
-			held = after(held, order.Change)
+			loaded = applyChange(loaded, order.Change)
 		}
 	}
-	if change, under := r.Under(); under && !change.Load {
-		held = after(held, change)
+	if change, pending := r.PendingChange(); pending && !change.Load {
+		loaded = applyChange(loaded, change)
 	}
-	return held
+	return loaded
 }
 
-// MayHold is what the replica may hold beyond what it surely holds: what it reported and an order may have unloaded
+// PossiblyLoaded is what the replica may hold beyond what it surely holds: what it reported and an order may have unloaded
 // since, and what an order that was decided or may yet arrive loads. A load that would be refused counts too: no other
 // may be ordered that finds no room beside it, whichever comes first. It is nil where there is nothing of the kind.
-func (r *Replica) MayHold() map[string]bool {
-	change, under := r.Under()
-	if len(r.doubtful) == 0 && !under {
+func (r *Replica) PossiblyLoaded() map[string]bool {
+	change, pending := r.PendingChange()
+	if len(r.uncertain) == 0 && !pending {
 		return nil
 	}
-	sure := r.SurelyHeld()
-	found := map[string]bool{}
-	for reference := range r.held {
-		if !sure[reference] {
-			found[reference] = true
+	certain := r.CertainlyLoaded()
+	possible := map[string]bool{}
+	for reference := range r.loaded {
+		if !certain[reference] {
+			possible[reference] = true
 		}
 	}
-	if under && change.Load && !sure[change.Reference] {
-		found[change.Reference] = true
+	if pending && change.Load && !certain[change.Reference] {
+		possible[change.Reference] = true
 	}
-	for _, order := range r.doubtful {
-		if order.Load && !sure[order.Reference] {
-			found[order.Reference] = true
+	for _, order := range r.uncertain {
+		if order.Load && !certain[order.Reference] {
+			possible[order.Reference] = true
 		}
 	}
-	return found
+	return possible
 }
 
 // Doubtful lists the changes whose orders may yet arrive.
-func (r *Replica) Doubtful() []Change {
+func (r *Replica) UncertainChanges() []Change {
 	var changes []Change
-	for _, order := range r.mayArrive() {
+	for _, order := range r.unresolved() {
 		changes = append(changes, order.Change)
 	}
 	return changes
 }
 
 // Held is what the replica reported last, or what the platform's list said before. The set must not be changed.
-func (r *Replica) Held() map[string]bool { return r.held }
+func (r *Replica) Loaded() map[string]bool { return r.loaded }
--- a/internal/replicastate/simulation/daemon_test.go
+++ b/internal/replicastate/simulation/daemon_test.go
@@ -9,198 +9,198 @@
 )
 
 const (
-	planEvery = 100 * time.Millisecond
-	barTime   = 220 * time.Millisecond
-	reportAge = 500 * time.Millisecond
-	// reportAge, orderSettle, refusedPause and reportDistrust are those of the control plane.
-	orderSettle    = 3 * time.Second
-	refusedPause   = 4 * time.Second
-	reportDistrust = 2 * time.Second
-	// longestDelivery is how long a configuration takes to reach a daemon.
-	longestDelivery = 300 * time.Millisecond
-	// slowThread is how long a goroutine may wait for a processor after a freeze.
-	slowThread = 600 * time.Millisecond
+	planInterval   = 100 * time.Millisecond
+	cordonLeadTime = 220 * time.Millisecond
+	maxReportAge   = 500 * time.Millisecond
+	// maxReportAge, maxOrderLifetime, rejectedBackoff and distrustPeriod are those of the control plane.
+	maxOrderLifetime = 3 * time.Second
+	rejectedBackoff  = 4 * time.Second
+	distrustPeriod   = 2 * time.Second
+	// maxConfigurationDelay is how long a configuration takes to reach a daemon.
+	maxConfigurationDelay = 300 * time.Millisecond
+	// maxThawDelay is how long a goroutine may wait for a processor after a freeze.
+	maxThawDelay = 600 * time.Millisecond
 )
 
-// daemon is a simulated daemon that places models while it holds the lease.
-type daemon struct {
-	world         *world
-	name          string
-	life          int
-	alive         bool
-	frozen        bool
-	freezeNext    time.Duration // freeze for so long right after the next decision
-	deferred      []func()
-	storeCutUntil time.Time
-	started       time.Time
-	heardAt       time.Time
-	keeper        *lease.Manager
-	hold          *lease.Grant
-	grant         *lease.Grant
-	written       uint64 // fence of the grant whose record was written to since it settled
-	table         *configuration.Table
-	sizes         *place.SizeHistory
-	known         map[string]*knownReplica
-	calls         []*call
+// node is a simulated daemon that places models while it holds the lease.
+type node struct {
+	world                 *world
+	name                  string
+	incarnation           int
+	alive                 bool
+	frozen                bool
+	freezeAfterDecision   time.Duration // freeze for so long right after the next decision
+	deferred              []func()
+	storePartitionedUntil time.Time
+	started               time.Time
+	leaseHolderSeenAt     time.Time
+	leaseManager          *lease.Manager
+	currentGrant          *lease.Grant
+	trackedGrant          *lease.Grant
+	settledFence          uint64 // fence of the grant whose record was written to since it settled
+	table                 *configuration.Table
+	sizes                 *place.SizeHistory
+	tracked               map[string]*trackedReplica
+	calls                 []*call
 }
 
 // after has this life of the daemon do something later: not before its thaw if it is frozen then.
-func (d *daemon) after(pause time.Duration, run func()) {
-	life := d.life
-	d.world.after(pause, func() {
+func (n *node) after(delay time.Duration, run func()) {
+	incarnation := n.incarnation
+	n.world.after(delay, func() {
 		switch {
-		case !d.alive || d.life != life:
-		case d.frozen:
-			d.deferred = append(d.deferred, run)
+		case !n.alive || n.incarnation != incarnation:
+		case n.frozen:
+			n.deferred = append(n.deferred, run)
 		default:
 			run()
 		}
 	})
 }
 
-func (d *daemon) start() {
-	if d.alive {
+func (n *node) start() {
+	if n.alive {
 		return
 	}
-	d.life++
-	d.alive, d.frozen, d.deferred = true, false, nil
-	d.started, d.heardAt = d.world.now, time.Time{}
-	d.keeper, d.hold, d.grant, d.written = d.newKeeper(), nil, nil, 0
-	d.known, d.calls = map[string]*knownReplica{}, nil
-	d.table = d.world.table
-	d.after(d.world.between(0, mostPatience), d.keepLease)
-	d.after(d.world.between(0, planEvery), d.run)
+	n.incarnation++
+	n.alive, n.frozen, n.deferred = true, false, nil
+	n.started, n.leaseHolderSeenAt = n.world.now, time.Time{}
+	n.leaseManager, n.currentGrant, n.trackedGrant, n.settledFence = n.newLeaseManager(), nil, nil, 0
+	n.tracked, n.calls = map[string]*trackedReplica{}, nil
+	n.table = n.world.table
+	n.after(n.world.between(0, maxStartDelay), n.keepLease)
+	n.after(n.world.between(0, planInterval), n.planLoop)
 }
 
-func (d *daemon) kill() {
-	d.alive = false
-	for _, one := range d.calls {
-		if !one.ended {
-			one.ended, one.endedAt = true, d.world.now
+func (n *node) kill() {
+	n.alive = false
+	for _, sent := range n.calls {
+		if !sent.ended {
+			sent.ended, sent.endedAt = true, n.world.now
 		}
 	}
 }
 
-func (d *daemon) freeze(pause time.Duration) {
-	if d.frozen || !d.alive {
+func (n *node) freeze(duration time.Duration) {
+	if n.frozen || !n.alive {
 		return
 	}
-	d.frozen = true
-	life := d.life
-	d.world.after(pause, func() {
-		if d.life == life && d.alive {
-			d.thaw()
+	n.frozen = true
+	incarnation := n.incarnation
+	n.world.after(duration, func() {
+		if n.incarnation == incarnation && n.alive {
+			n.thaw()
 		}
 	})
 }
 
 // thaw does what was due meanwhile, some of it a little later.
-func (d *daemon) thaw() {
-	d.frozen = false
-	due := d.deferred
-	d.deferred = nil
+func (n *node) thaw() {
+	n.frozen = false
+	due := n.deferred
+	n.deferred = nil
 	for _, run := range due {
-		pause := time.Duration(0)
-		if d.world.random.IntN(4) == 0 {
-			pause = d.world.between(0, slowThread)
+		delay := time.Duration(0)
+		if n.world.random.IntN(4) == 0 {
+			delay = n.world.between(0, maxThawDelay)
 		}
-		d.after(pause, run)
+		n.after(delay, run)
 	}
 }
 
 // adopt takes a configuration into force once it is delivered, unless a newer one was.
-func (d *daemon) adopt(table *configuration.Table) {
-	d.after(d.world.between(0, longestDelivery), func() {
-		if table.Configuration.Revision > d.table.Configuration.Revision {
-			d.table = table
+func (n *node) adoptConfiguration(table *configuration.Table) {
+	n.after(n.world.between(0, maxConfigurationDelay), func() {
+		if table.Configuration.Revision > n.table.Configuration.Revision {
+			n.table = table
 		}
 	})
 }
 
 // run is one round of the scheduler's loop.
-func (d *daemon) run() {
-	d.after(planEvery, d.run)
-	d.adoptGrant()
-	if d.hold.Allows(d.world.now, orderNeeds) {
-		d.step()
+func (n *node) planLoop() {
+	n.after(planInterval, n.planLoop)
+	n.adoptGrant()
+	if n.currentGrant.Allows(n.world.now, orderLeaseMargin) {
+		n.syncOnce()
 	}
 }
 
 // adoptGrant forgets what was learned under another grant. While none is held nothing is forgotten.
-func (d *daemon) adoptGrant() {
-	if d.hold == nil || !d.world.now.Before(d.hold.ExpiresAt) {
+func (n *node) adoptGrant() {
+	if n.currentGrant == nil || !n.world.now.Before(n.currentGrant.ExpiresAt) {
 		return
 	}
-	same := d.grant.SameAs(d.hold)
-	d.grant = d.hold
+	same := n.trackedGrant.SameAs(n.currentGrant)
+	n.trackedGrant = n.currentGrant
 	if same {
 		return
 	}
-	d.sizes = place.NewSizeHistory()
-	if d.world.variant != keptAcrossGrants {
-		d.known = map[string]*knownReplica{}
+	n.sizes = place.NewSizeHistory()
+	if n.world.mutation != keptAcrossGrants {
+		n.tracked = map[string]*trackedReplica{}
 	}
 }
 
-func (d *daemon) step() {
-	d.followList()
-	for _, one := range d.inOrder() {
-		if one.state.AskDue(d.world.now) {
-			d.poll(one)
+func (n *node) syncOnce() {
+	n.adoptReplicaList()
+	for _, replica := range n.trackedInOrder() {
+		if replica.state.PollDue(n.world.now) {
+			n.poll(replica)
 		}
 	}
-	d.plan()
+	n.plan()
 }
 
-// followList manages the replicas of the platform's list.
-func (d *daemon) followList() {
+// adoptReplicaList manages the replicas of the platform's list.
+func (n *node) adoptReplicaList() {
 	listed := map[string]bool{}
-	for _, server := range d.world.servers {
+	for _, server := range n.world.servers {
 		id, held := server.listed()
 		listed[id] = true
-		if d.known[id] == nil {
-			d.known[id] = d.newKnown(id, server, held)
+		if n.tracked[id] == nil {
+			n.tracked[id] = n.track(id, server, held)
 		}
-		d.known[id].recheckContradicted(held)
+		n.tracked[id].recheckContradicted(held)
 	}
-	for id := range d.known {
+	for id := range n.tracked {
 		if !listed[id] {
-			delete(d.known, id)
+			delete(n.tracked, id)
 		}
 	}
 }
 
-// inOrder are the known replicas in the order of their servers.
-func (d *daemon) inOrder() []*knownReplica {
-	var ordered []*knownReplica
-	for _, server := range d.world.servers {
+// trackedInOrder are the known replicas in the order of their servers.
+func (n *node) trackedInOrder() []*trackedReplica {
+	var ordered []*trackedReplica
+	for _, server := range n.world.servers {
 		id, _ := server.listed()
-		ordered = append(ordered, d.known[id])
+		ordered = append(ordered, n.tracked[id])
 	}
 	return ordered
 }
 
-func (d *daemon) plan() {
-	view := d.world.view(d)
-	for _, one := range d.inOrder() {
-		if one.pending != nil && one.pending.Load {
-			view.Loading[place.ModelKey(backendName, one.pending.Model)]++
+func (n *node) plan() {
+	view := n.world.view(n)
+	for _, replica := range n.trackedInOrder() {
+		if replica.pendingAction != nil && replica.pendingAction.Load {
+			view.Loading[place.ModelKey(backendName, replica.pendingAction.Model)]++
 		}
 		view.Servers = append(view.Servers, &place.Server{
-			ID:          one.id,
+			ID:          replica.id,
 			Backend:     backendName,
 			Zone:        "north",
-			Loaded:      one.state.SurelyHeld(),
-			MaybeLoaded: one.state.MayHold(),
-			OnDisk:      one.server.disk,
-			Intent:      one.intent,
-			Ready:       one.state.Ready(d.world.now),
+			Loaded:      replica.state.CertainlyLoaded(),
+			MaybeLoaded: replica.state.PossiblyLoaded(),
+			OnDisk:      replica.server.disk,
+			Intent:      replica.intent,
+			Ready:       replica.state.IsReady(n.world.now),
 		})
 	}
 	for _, action := range place.Plan(view) {
-		d.known[action.Server].order(action)
+		n.tracked[action.Server].order(action)
 	}
 	for _, server := range view.Servers {
-		d.known[server.ID].intent = server.Intent
+		n.tracked[server.ID].intent = server.Intent
 	}
 }
--- a/internal/replicastate/simulation/engine_test.go
+++ b/internal/replicastate/simulation/engine_test.go
@@ -49,14 +49,14 @@
 }
 
 // after has something happen once a time has passed.
-func (e *engine) after(pause time.Duration, run func()) {
+func (e *engine) after(delay time.Duration, run func()) {
 	e.number++
-	heap.Push(&e.queue, event{e.now.Add(max(pause, 0)), e.number, run})
+	heap.Push(&e.queue, event{e.now.Add(max(delay, 0)), e.number, run})
 }
 
 // between draws a time.
-func (e *engine) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(e.random.Int64N(int64(most-least)+1))
+func (e *engine) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(e.random.Int64N(int64(maximum-minimum)+1))
 }
 
 // runUntil lets time pass up to a moment, or until stopped reports true.
--- a/internal/replicastate/simulation/judge_test.go
+++ b/internal/replicastate/simulation/judge_test.go
@@ -7,30 +7,30 @@
 	"ferryspar/internal/replicastate"
 )
 
-// rule is what a play may break.
-type rule string
+// invariant is what a play may break.
+type invariant string
 
 const (
-	// overRoom is an accepted load beyond room or places.
-	overRoom rule = "LIMIT"
-	// refusedOverRoom is such a load, refused or not, by a holder that could know better: all orders taken since its
+	// capacityExceeded is an accepted load beyond room or places.
+	capacityExceeded invariant = "LIMIT"
+	// rejectedOverCapacity is such a load, refused or not, by a holder that could know better: all orders taken since its
 	// grant began are its own, and nothing arrived later than the bounds.
-	refusedOverRoom rule = "LIMIT although refused"
-	// turns is a holder that orders too soon after another, or under a lower fence.
-	turns rule = "ONE"
-	// grantMixed is an order under another grant than it was decided under.
-	grantMixed rule = "grant mixed"
-	// impatient is an order to a replica that has just refused one for its fence.
-	impatient rule = "ordered on after a refusal for the fence"
-	// notLoaded is something wanted that is not loaded in the end.
-	notLoaded rule = "not loaded in the end"
+	rejectedOverCapacity invariant = "LIMIT although refused"
+	// holdersOverlap is a holder that orders too soon after another, or under a lower fence.
+	holdersOverlap invariant = "ONE"
+	// grantMismatch is an order under another grant than it was decided under.
+	grantMismatch invariant = "grant mixed"
+	// orderedDuringBackoff is an order to a replica that has just refused one for its fence.
+	orderedDuringBackoff invariant = "ordered on after a refusal for the fence"
+	// neverLoaded is something wanted that is not loaded in the end.
+	neverLoaded invariant = "not loaded in the end"
 )
 
 // fits tells whether a load finds room and a place beside what is there and on its way.
 func (s *server) fits(change replicastate.Change) bool {
-	total, places := 0.0, 0
+	total, adapters := 0.0, 0
 	counted := map[string]bool{change.Reference: true}
-	for reference := range s.held {
+	for reference := range s.loaded {
 		counted[reference] = true
 	}
 	if s.busy != nil && s.busy.Load {
@@ -39,80 +39,80 @@
 	for reference := range counted {
 		total += sizeOf(reference)
 		if strings.Contains(reference, "/") {
-			places++
+			adapters++
 		}
 	}
-	return total <= serverRoom && (places <= serverPlaces || !strings.Contains(change.Reference, "/"))
+	return total <= serverCapacity && (adapters <= serverAdapterCapacity || !strings.Contains(change.Reference, "/"))
 }
 
 // judge checks the rules for every order that arrives.
-func (w *world) judge(s *server, order instruction) {
-	if order.Fence != order.decided {
-		w.fail(grantMixed, "%s: decided under %d, sent under %d", s.id, order.decided, order.Fence)
+func (w *world) checkArrival(s *server, order sentOrder) {
+	if order.Fence != order.decidedFence {
+		w.fail(grantMismatch, "%s: decided under %d, sent under %d", s.id, order.decidedFence, order.Fence)
 	}
-	w.judgeTurns(s, order)
+	w.checkHolders(s, order)
 	if !order.Load || s.fits(order.Change) {
 		return
 	}
 	switch {
-	case s.takenFromOthers(order):
-		w.refusedUnaware++
-	case w.bounds.beyond:
-		w.refusedBeyond++
+	case s.acceptedFromOthers(order):
+		w.rejectedUnaware++
+	case w.allowances.unboundedDelay:
+		w.rejectedBeyond++
 	default:
-		w.fail(refusedOverRoom, "%s: %+v holding %v", s.id, order, s.held)
+		w.fail(rejectedOverCapacity, "%s: %+v holding %v", s.id, order, s.loaded)
 	}
 }
 
 // count notes an order that arrived.
-func (w *world) count(order instruction, status int) {
-	w.answers[status]++
+func (w *world) recordResponse(order sentOrder, status int) {
+	w.responses[status]++
 	if order.late {
-		w.lateAnswers[status]++
+		w.lateResponses[status]++
 	}
 }
 
-// takenFromOthers tells whether the server has taken orders of another grant since that of the order began.
-func (s *server) takenFromOthers(order instruction) bool {
-	for _, one := range s.taken {
-		if one.fence != order.Fence && !one.at.Before(order.since) {
+// acceptedFromOthers tells whether the server has taken orders of another grant since that of the order began.
+func (s *server) acceptedFromOthers(order sentOrder) bool {
+	for _, earlier := range s.accepted {
+		if earlier.fence != order.Fence && !earlier.at.Before(order.grantedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// judgePatience checks that a replica is left alone for a while once it has refused an order for its fence.
-func (k *knownReplica) judgePatience() {
-	if !k.fencedAt.IsZero() && k.now().Sub(k.fencedAt) < refusedPause {
-		k.daemon.world.fail(impatient, "%s: under fence %d", k.id, k.fence)
+// checkBackoff checks that a replica is left alone for a while once it has refused an order for its fence.
+func (t *trackedReplica) checkBackoff() {
+	if !t.fencedAt.IsZero() && t.now().Sub(t.fencedAt) < rejectedBackoff {
+		t.node.world.fail(orderedDuringBackoff, "%s: under fence %d", t.id, t.fence)
 	}
 }
 
-// judgeTurns checks that no two holders order within the length of a lease and that fences rise. What a cut has
+// checkHolders checks that no two holders order within the length of a lease and that fences rise. What a cut has
 // released doesn't count.
-func (w *world) judgeTurns(s *server, order instruction) {
-	if order.released || s.last == nil || s.last.released || w.bounds.rushed {
+func (w *world) checkHolders(s *server, order sentOrder) {
+	if order.delayed || s.lastOrder == nil || s.lastOrder.delayed || w.allowances.overlappingHolders {
 		return
 	}
-	if order.Fence < s.last.Fence || order.Fence == s.last.Fence && order.holder != s.last.holder {
-		w.fail(turns, "%s: %+v after %+v", s.id, order, *s.last)
+	if order.Fence < s.lastOrder.Fence || order.Fence == s.lastOrder.Fence && order.holder != s.lastOrder.holder {
+		w.fail(holdersOverlap, "%s: %+v after %+v", s.id, order, *s.lastOrder)
 	}
-	if order.holder != s.last.holder && w.now.Sub(s.lastAt) < leaseTime {
-		w.fail(turns, "%s: %+v %s after %+v", s.id, order, w.now.Sub(s.lastAt), *s.last)
+	if order.holder != s.lastOrder.holder && w.now.Sub(s.lastOrderAt) < leaseTime {
+		w.fail(holdersOverlap, "%s: %+v %s after %+v", s.id, order, w.now.Sub(s.lastOrderAt), *s.lastOrder)
 	}
 }
 
-// judgeAccepted checks that an accepted load finds room.
-func (w *world) judgeAccepted(s *server, order instruction) {
+// checkAccepted checks that an accepted load finds room.
+func (w *world) checkAccepted(s *server, order sentOrder) {
 	if order.Load && !s.fits(order.Change) {
-		w.fail(overRoom, "%s: %+v holding %v", s.id, order, s.held)
+		w.fail(capacityExceeded, "%s: %+v holding %v", s.id, order, s.loaded)
 	}
 }
 
-// judgeEnd checks that all that is wanted is loaded.
-func (w *world) judgeEnd() {
+// checkAllLoaded checks that all that is wanted is loaded.
+func (w *world) checkAllLoaded() {
 	for _, reference := range w.missing() {
-		w.fail(notLoaded, "%s, %s after the last trouble", reference, w.now.Sub(w.troublesEnd).Round(time.Millisecond))
+		w.fail(neverLoaded, "%s, %s after the last trouble", reference, w.now.Sub(w.faultsEnd).Round(time.Millisecond))
 	}
 }
--- a/internal/replicastate/simulation/known_test.go
+++ b/internal/replicastate/simulation/known_test.go
@@ -10,135 +10,135 @@
 )
 
 var timings = &replicastate.Timings{
-	ReportLag:    250 * time.Millisecond,
-	BusyPause:    250 * time.Millisecond,
-	UnknownPause: 1500 * time.Millisecond,
-	RefusedPause: refusedPause,
-	Settle:       orderSettle,
-	ReportAge:    reportAge,
-	Distrust:     reportDistrust,
+	ReportLag:        250 * time.Millisecond,
+	PollInterval:     250 * time.Millisecond,
+	UnknownFateDelay: 1500 * time.Millisecond,
+	RejectedBackoff:  rejectedBackoff,
+	MaxOrderLifetime: maxOrderLifetime,
+	MaxReportAge:     maxReportAge,
+	DistrustPeriod:   distrustPeriod,
 }
 
-// knownReplica is what a daemon knows of a replica, with the copy of what the scheduler does with it.
-type knownReplica struct {
-	daemon       *daemon
-	id           string
-	server       *server
-	fence        uint64
-	trustFrom    time.Time
-	state        *replicastate.Replica
-	pending      *place.Action
-	intent       string
-	reportedAt   time.Time
-	contradicted time.Time
-	fencedAt     time.Time // last refusal for the fence
-	highest      int64     // sequence reported, for a variant
+// trackedReplica is what a daemon knows of a replica, with the copy of what the scheduler does with it.
+type trackedReplica struct {
+	node              *node
+	id                string
+	server            *server
+	fence             uint64
+	trustFrom         time.Time
+	state             *replicastate.Replica
+	pendingAction     *place.Action
+	intent            string
+	reportedAt        time.Time
+	contradictedSince time.Time
+	fencedAt          time.Time // last refusal for the fence
+	highestSequence   int64     // sequence reported, for a variant
 }
 
-func (d *daemon) newKnown(id string, server *server, listed map[string]bool) *knownReplica {
-	one := &knownReplica{daemon: d, id: id, server: server, fence: d.grant.Record.Fence}
-	if !d.grant.IsFirst() {
-		one.trustFrom = d.grant.GrantedAt.Add(reportAge)
+func (n *node) track(id string, server *server, listed map[string]bool) *trackedReplica {
+	replica := &trackedReplica{node: n, id: id, server: server, fence: n.trackedGrant.Record.Fence}
+	if !n.trackedGrant.IsFirst() {
+		replica.trustFrom = n.trackedGrant.GrantedAt.Add(maxReportAge)
 	}
-	one.forget(listed)
-	return one
+	replica.reset(listed)
+	return replica
 }
 
 // forget begins to know the replica under its grant.
-func (k *knownReplica) forget(listed map[string]bool) {
-	k.state = replicastate.New(timings, k.fence, k.trustFrom, listed)
+func (t *trackedReplica) reset(listed map[string]bool) {
+	t.state = replicastate.New(timings, t.fence, t.trustFrom, listed)
 }
 
-func (k *knownReplica) now() time.Time { return k.daemon.world.now }
+func (t *trackedReplica) now() time.Time { return t.node.world.now }
 
 // recheckContradicted has the replica asked again that the list has long shown with other models.
-func (k *knownReplica) recheckContradicted(listed map[string]bool) {
-	recent := !k.now().Add(-listLag).After(k.reportedAt)
-	if k.state.Phase() != replicastate.Idle || recent || maps.Equal(k.state.Held(), listed) {
-		k.contradicted = time.Time{}
+func (t *trackedReplica) recheckContradicted(listed map[string]bool) {
+	recent := !t.now().Add(-listLag).After(t.reportedAt)
+	if t.state.Phase() != replicastate.Idle || recent || maps.Equal(t.state.Loaded(), listed) {
+		t.contradictedSince = time.Time{}
 		return
 	}
-	if k.contradicted.IsZero() {
-		k.contradicted = k.now()
+	if t.contradictedSince.IsZero() {
+		t.contradictedSince = t.now()
 	}
-	if k.now().Sub(k.contradicted) >= reportDistrust {
-		k.contradicted = time.Time{}
-		k.state.Recheck(k.now())
+	if t.now().Sub(t.contradictedSince) >= distrustPeriod {
+		t.contradictedSince = time.Time{}
+		t.state.Recheck(t.now())
 	}
 }
 
-func (d *daemon) poll(one *knownReplica) {
-	one.state.AskStarted(d.world.now)
-	d.world.ask(d, one.server, one.id, func(report *replicastate.Report) {
+func (n *node) poll(replica *trackedReplica) {
+	replica.state.PollStarted(n.world.now)
+	n.world.requestReport(n, replica.server, replica.id, func(report *replicastate.Report) {
 		if report == nil {
-			one.state.AskFailed(d.world.now)
+			replica.state.PollFailed(n.world.now)
 			return
 		}
-		if one.takeReport(*report) {
-			one.reportedAt, one.pending = d.world.now, nil
+		if replica.applyReport(*report) {
+			replica.reportedAt, replica.pendingAction = n.world.now, nil
 		}
 	})
 }
 
 // order decides on an action and sends it, an unload after a pause.
-func (k *knownReplica) order(action place.Action) {
-	d := k.daemon
-	order, possible := k.state.Decide(replicastate.Change{Load: action.Load, Reference: action.Model}, k.now())
+func (t *trackedReplica) order(action place.Action) {
+	node := t.node
+	order, possible := t.state.Decide(replicastate.Change{Load: action.Load, Reference: action.Model}, t.now())
 	if !possible {
 		return
 	}
-	k.judgePatience()
-	k.pending = &action
-	pause := d.world.between(0, 2*time.Millisecond)
+	t.checkBackoff()
+	t.pendingAction = &action
+	pause := node.world.between(0, 2*time.Millisecond)
 	if !action.Load {
-		pause += barTime
+		pause += cordonLeadTime
 	}
-	d.after(pause, func() { k.send(order) })
-	if d.freezeNext > 0 {
-		d.freeze(d.freezeNext)
-		d.freezeNext = 0
+	node.after(pause, func() { t.send(order) })
+	if node.freezeAfterDecision > 0 {
+		node.freeze(node.freezeAfterDecision)
+		node.freezeAfterDecision = 0
 	}
 }
 
 // send sends an order if the grant under which it was decided still allows that.
-func (k *knownReplica) send(order replicastate.Order) {
-	d := k.daemon
-	grant := d.hold
-	allowed := grant.Allows(k.now(), orderNeeds)
-	if !allowed || grant.Record.Fence != order.Fence && !d.world.variant.mixesGrants() {
-		k.answered(order, replicastate.NotSent)
+func (t *trackedReplica) send(order replicastate.Order) {
+	node := t.node
+	grant := node.currentGrant
+	allowed := grant.Allows(t.now(), orderLeaseMargin)
+	if !allowed || grant.Record.Fence != order.Fence && !node.world.mutation.mixesGrants() {
+		t.handleResponse(order, replicastate.NotSent)
 		return
 	}
-	sent := instruction{
-		Order: order, target: k.id, holder: d.name, decided: order.Fence, since: grant.GrantedAt,
-		unbound: d.world.variant == noExpectedSequence,
+	sent := sentOrder{
+		Order: order, target: t.id, holder: node.name, decidedFence: order.Fence, grantedAt: grant.GrantedAt,
+		withoutSequence: node.world.mutation == noExpectedSequence,
 	}
 	sent.Fence = grant.Record.Fence
-	if d.world.variant == keptAcrossGrants {
-		sent.decided = sent.Fence
+	if node.world.mutation == keptAcrossGrants {
+		sent.decidedFence = sent.Fence
 	}
 	transmit := func() {
-		d.world.send(d, k.server, sent, func(status int) { k.answered(order, outcomeOf(status)) })
+		node.world.send(node, t.server, sent, func(status int) { t.handleResponse(order, outcomeOf(status)) })
 	}
-	if d.world.bounds.beyond {
-		d.after(d.world.between(0, time.Millisecond), transmit)
+	if node.world.allowances.unboundedDelay {
+		node.after(node.world.between(0, time.Millisecond), transmit)
 		return
 	}
 	transmit()
 }
 
-func (k *knownReplica) answered(order replicastate.Order, outcome replicastate.Outcome) {
-	k.takeAnswer(order, outcome)
-	if k.state.Phase() == replicastate.Changing {
-		k.state.ExpectDone(k.now().Add(timings.ReportLag))
+func (t *trackedReplica) handleResponse(order replicastate.Order, outcome replicastate.Outcome) {
+	t.applyResponse(order, outcome)
+	if t.state.Phase() == replicastate.Changing {
+		t.state.ExpectDone(t.now().Add(timings.ReportLag))
 		return
 	}
-	k.pending = nil
+	t.pendingAction = nil
 }
 
 func outcomeOf(status int) replicastate.Outcome {
 	outcomes := map[int]replicastate.Outcome{
-		unreached:                     replicastate.Unreached,
+		statusUnreached:               replicastate.Unreached,
 		http.StatusAccepted:           replicastate.Accepted,
 		http.StatusOK:                 replicastate.AlreadyDone,
 		http.StatusConflict:           replicastate.Conflict,
--- a/internal/replicastate/simulation/lease_test.go
+++ b/internal/replicastate/simulation/lease_test.go
@@ -13,144 +13,144 @@
 )
 
 const (
-	leaseTime    = 3 * time.Second
-	grantLength  = leaseTime / 2
-	grantSettle  = leaseTime + 100*time.Millisecond
-	orderNeeds   = 800 * time.Millisecond
-	renewEvery   = 300 * time.Millisecond
-	tryMargin    = 200 * time.Millisecond
-	headStart    = 400 * time.Millisecond
-	mostPatience = 250 * time.Millisecond
+	leaseTime               = 3 * time.Second
+	grantLength             = leaseTime / 2
+	takeoverDelay           = leaseTime + 100*time.Millisecond
+	orderLeaseMargin        = 800 * time.Millisecond
+	renewInterval           = 300 * time.Millisecond
+	acquireMargin           = 200 * time.Millisecond
+	previousHolderHeadStart = 400 * time.Millisecond
+	maxStartDelay           = 250 * time.Millisecond
 )
 
 // register is the majority's value of the lease.
 type register struct {
-	value  json.RawMessage
-	holder string
-	owner  *daemon
-	life   int
-	until  time.Time // nobody else is granted the lease before
-	split  time.Time // until then whoever thinks that it holds the lease is believed
+	value       json.RawMessage
+	holder      string
+	owner       *node
+	incarnation int
+	ownedUntil  time.Time // nobody else is granted the lease before
+	splitUntil  time.Time // until then whoever thinks that it holds the lease is believed
 }
 
 var errUnreachable = errors.New("no majority granted it")
 
 // registerClient is the register as one life of a daemon sees it.
 type registerClient struct {
-	daemon *daemon
-	life   int
+	node        *node
+	incarnation int
 }
 
 // Seize takes the lease.
 func (c registerClient) Acquire(_ context.Context, _ string, decide func(keystore.Register) json.RawMessage) (keystore.Register, error) {
-	d := c.daemon
-	if d.storeCut() {
+	node := c.node
+	if node.isStorePartitioned() {
 		return keystore.Register{}, errUnreachable
 	}
-	kept := d.world.register
-	if d.world.now.Before(kept.until) && (kept.owner != d || kept.life != c.life) {
+	register := node.world.register
+	if node.world.now.Before(register.ownedUntil) && (register.owner != node || register.incarnation != c.incarnation) {
 		return keystore.Register{}, errUnreachable
 	}
-	kept.until = d.world.now.Add(grantLength)
-	kept.value = decide(keystore.Register{Value: kept.value})
-	kept.holder, kept.owner, kept.life = d.name, d, c.life
-	return keystore.Register{Value: kept.value}, nil
+	register.ownedUntil = node.world.now.Add(grantLength)
+	register.value = decide(keystore.Register{Value: register.value})
+	register.holder, register.owner, register.incarnation = node.name, node, c.incarnation
+	return keystore.Register{Value: register.value}, nil
 }
 
 // owned tells whether the lease is still this life's.
-func (c registerClient) owned() bool {
-	kept := c.daemon.world.register
-	return kept.owner == c.daemon && kept.life == c.life || c.daemon.world.now.Before(kept.split)
+func (c registerClient) isOwner() bool {
+	register := c.node.world.register
+	return register.owner == c.node && register.incarnation == c.incarnation || c.node.world.now.Before(register.splitUntil)
 }
 
 // Rewrite writes the record again.
 func (c registerClient) Update(_ context.Context, _ string, decide keystore.Decide) error {
-	if c.daemon.storeCut() || !c.owned() {
+	if c.node.isStorePartitioned() || !c.isOwner() {
 		return errUnreachable
 	}
-	kept := c.daemon.world.register
-	value, err := decide(keystore.Register{Value: kept.value})
+	register := c.node.world.register
+	value, err := decide(keystore.Register{Value: register.value})
 	if err == nil {
-		kept.value = value
+		register.value = value
 	}
 	return err
 }
 
 // Renew tells whether the lease is still this life's.
 func (c registerClient) Renew(context.Context, string) error {
-	kept := c.daemon.world.register
-	if c.daemon.storeCut() || !c.owned() {
+	register := c.node.world.register
+	if c.node.isStorePartitioned() || !c.isOwner() {
 		return errUnreachable
 	}
-	kept.until = c.daemon.world.now.Add(grantLength)
+	register.ownedUntil = c.node.world.now.Add(grantLength)
 	return nil
 }
 
 // Release is not used.
 func (c registerClient) Release(context.Context, string) error { return nil }
 
-func (d *daemon) storeCut() bool { return d.world.now.Before(d.storeCutUntil) }
+func (n *node) isStorePartitioned() bool { return n.world.now.Before(n.storePartitionedUntil) }
 
-// newKeeper makes the lease of one life of a daemon.
-func (d *daemon) newKeeper() *lease.Manager {
+// newLeaseManager makes the lease of one life of a daemon.
+func (n *node) newLeaseManager() *lease.Manager {
 	return &lease.Manager{
 		Key:           "placement",
-		Holder:        d.name,
-		Address:       d.name,
+		Holder:        n.name,
+		Address:       n.name,
 		TTL:           grantLength,
-		TakeoverDelay: grantSettle,
-		Store:         registerClient{d, d.life},
-		Clock:         func() time.Time { return d.world.now },
+		TakeoverDelay: takeoverDelay,
+		Store:         registerClient{n, n.incarnation},
+		Clock:         func() time.Time { return n.world.now },
 	}
 }
 
 // keepLease renews the lease or tries to take it, as the scheduler does.
-func (d *daemon) keepLease() {
-	d.after(renewEvery, d.keepLease)
-	if d.hold != nil {
-		d.hold = d.keeper.Renew(context.Background(), d.hold)
-		d.noteSettled()
-		d.spreadHolder()
+func (n *node) keepLease() {
+	n.after(renewInterval, n.keepLease)
+	if n.currentGrant != nil {
+		n.currentGrant = n.leaseManager.Renew(context.Background(), n.currentGrant)
+		n.recordSettled()
+		n.announceHolder()
 		return
 	}
-	if !d.mayTry() {
+	if !n.mayAcquire() {
 		return
 	}
-	if hold, err := d.keeper.Acquire(context.Background()); err == nil {
-		d.hold = hold
+	if grant, err := n.leaseManager.Acquire(context.Background()); err == nil {
+		n.currentGrant = grant
 	}
 }
 
-// noteSettled writes to the record once the lease of the holder before has surely run out, as the scheduler does with its
+// recordSettled writes to the record once the lease of the holder before has surely run out, as the scheduler does with its
 // reservation of loads.
-func (d *daemon) noteSettled() {
-	if d.hold == nil || d.written == d.hold.Record.Fence || d.world.now.Before(d.hold.EffectiveFrom) {
+func (n *node) recordSettled() {
+	if n.currentGrant == nil || n.settledFence == n.currentGrant.Record.Fence || n.world.now.Before(n.currentGrant.EffectiveFrom) {
 		return
 	}
-	if d.keeper.Reserve(context.Background(), d.hold, loadbudget.Reservation{}) == nil {
-		d.written = d.hold.Record.Fence
+	if n.leaseManager.Reserve(context.Background(), n.currentGrant, loadbudget.Reservation{}) == nil {
+		n.settledFence = n.currentGrant.Record.Fence
 	}
 }
 
-// spreadHolder has the other daemons hear of the holder.
-func (d *daemon) spreadHolder() {
-	if d.hold == nil || d.storeCut() {
+// announceHolder has the other daemons hear of the holder.
+func (n *node) announceHolder() {
+	if n.currentGrant == nil || n.isStorePartitioned() {
 		return
 	}
-	for _, other := range d.world.daemons {
-		if !other.storeCut() {
-			other.heardAt = d.world.now
+	for _, other := range n.world.nodes {
+		if !other.isStorePartitioned() {
+			other.leaseHolderSeenAt = n.world.now
 		}
 	}
 }
 
-func (d *daemon) mayTry() bool {
-	since, patience := d.heardAt, d.keeper.TTL+tryMargin
-	if holder := d.world.register.holder; holder != "" && holder != d.name {
-		patience += headStart
-		if since.Before(d.started) {
-			since = d.started
+func (n *node) mayAcquire() bool {
+	lastSeen, timeout := n.leaseHolderSeenAt, n.leaseManager.TTL+acquireMargin
+	if holder := n.world.register.holder; holder != "" && holder != n.name {
+		timeout += previousHolderHeadStart
+		if lastSeen.Before(n.started) {
+			lastSeen = n.started
 		}
 	}
-	return d.world.now.Sub(since) > patience
+	return n.world.now.Sub(lastSeen) > timeout
 }
--- a/internal/replicastate/simulation/network_test.go
+++ b/internal/replicastate/simulation/network_test.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	callBound    = 700 * time.Millisecond
-	quickest     = time.Millisecond
-	slowest      = 30 * time.Millisecond
-	noAnswer     = -1
-	unreached    = -2
-	fastRefusal  = 5 * time.Millisecond
-	doubledAfter = 2 * time.Second
+	callTimeout            = 700 * time.Millisecond
+	minLatency             = time.Millisecond
+	maxLatency             = 30 * time.Millisecond
+	statusNoAnswer         = -1
+	statusUnreached        = -2
+	connectionRefusedDelay = 5 * time.Millisecond
+	maxDuplicateDelay      = 2 * time.Second
 )
 
 // link is the way between a daemon and a server.
 type link struct {
-	heldUntil    time.Time // requests are held up until then
-	answersUntil time.Time // answers are lost until then
-	held         []func()
+	delayedUntil       time.Time // requests are held up until then
+	responsesLostUntil time.Time // answers are lost until then
+	delayed            []func()
 }
 
 // call is one request of a daemon to a server.
@@ -30,7 +30,7 @@
 	endedAt time.Time
 }
 
-func (w *world) link(from *daemon, to *server) *link {
+func (w *world) link(from *node, to *server) *link {
 	key := [2]string{from.name, to.id}
 	if w.links[key] == nil {
 		w.links[key] = &link{}
@@ -39,119 +39,119 @@
 }
 
 // cut holds up requests between a daemon and a server for a while.
-func (w *world) cut(from *daemon, to *server, pause time.Duration) {
-	way := w.link(from, to)
-	until := w.now.Add(pause)
-	if until.After(way.heldUntil) {
-		way.heldUntil = until
+func (w *world) delayRequests(from *node, to *server, duration time.Duration) {
+	link := w.link(from, to)
+	until := w.now.Add(duration)
+	if until.After(link.delayedUntil) {
+		link.delayedUntil = until
 	}
-	w.after(pause, func() {
-		if w.now.Before(way.heldUntil) {
+	w.after(duration, func() {
+		if w.now.Before(link.delayedUntil) {
 			return
 		}
-		released := way.held
-		way.held = nil
-		for _, arrive := range released {
-			w.after(w.between(0, slowest), arrive)
+		delayed := link.delayed
+		link.delayed = nil
+		for _, arrive := range delayed {
+			w.after(w.between(0, maxLatency), arrive)
 		}
 	})
 }
 
-// send carries an order to a server; done gets the status, noAnswer for none or unreached. Held up, it still arrives when the cut
+// send carries an order to a server; done gets the status, statusNoAnswer for none or unreached. Held up, it still arrives when the cut
 // ends, also after its call was given up, unless that is longer ago than the bounds of the play allow.
-func (w *world) send(from *daemon, to *server, order instruction, done func(status int)) {
-	one := &call{}
-	finish := from.ending(one, done)
-	w.applyAimed(from, to)
-	way := w.link(from, to)
-	life := to.life
+func (w *world) send(from *node, to *server, order sentOrder, done func(status int)) {
+	sent := &call{}
+	finish := from.endOnce(sent, done)
+	w.applyOnNextOrder(from, to)
+	link := w.link(from, to)
+	incarnation := to.incarnation
 	deliver := func() {
-		if one.ended && !w.mayArrive(one, to.life != life) {
+		if sent.ended && !w.mayArrive(sent, to.incarnation != incarnation) {
 			return
 		}
 		if to.down {
-			from.after(fastRefusal, func() { finish(unreached) })
+			from.after(connectionRefusedDelay, func() { finish(statusUnreached) })
 			return
 		}
-		order.released = order.released || w.now.Before(to.frozen)
+		order.delayed = order.delayed || w.now.Before(to.frozenUntil)
 		to.whenAwake(func() {
-			order.late = one.ended
-			status := to.take(order)
-			if w.now.Before(way.answersUntil) {
+			order.late = sent.ended
+			status := to.handleOrder(order)
+			if w.now.Before(link.responsesLostUntil) {
 				return
 			}
-			from.after(w.between(quickest, slowest), func() { finish(status) })
+			from.after(w.between(minLatency, maxLatency), func() { finish(status) })
 		})
 	}
-	w.after(w.between(quickest, slowest), func() {
-		if !w.now.Before(way.heldUntil) {
+	w.after(w.between(minLatency, maxLatency), func() {
+		if !w.now.Before(link.delayedUntil) {
 			deliver()
 			return
 		}
-		order.released = true
-		way.held = append(way.held, deliver)
-		if w.bounds.beyond {
-			way.held = append(way.held, func() { w.after(w.between(0, doubledAfter), deliver) })
+		order.delayed = true
+		link.delayed = append(link.delayed, deliver)
+		if w.allowances.unboundedDelay {
+			link.delayed = append(link.delayed, func() { w.after(w.between(0, maxDuplicateDelay), deliver) })
 		}
 	})
-	from.after(callBound, func() { finish(noAnswer) })
-	from.calls = append(from.calls, one)
+	from.after(callTimeout, func() { finish(statusNoAnswer) })
+	from.calls = append(from.calls, sent)
 }
 
 // mayArrive tells whether the request of a call that has ended may still arrive.
-func (w *world) mayArrive(one *call, restarted bool) bool {
-	if w.bounds.beyond {
+func (w *world) mayArrive(sent *call, restarted bool) bool {
+	if w.allowances.unboundedDelay {
 		return true
 	}
-	if restarted && !w.bounds.survivesRestart {
+	if restarted && !w.allowances.survivesRestart {
 		return false
 	}
-	return w.now.Sub(one.endedAt) < orderSettle && w.random.IntN(4) > 0
+	return w.now.Sub(sent.endedAt) < maxOrderLifetime && w.random.IntN(4) > 0
 }
 
 // ask carries a question for a report to a server; done gets nil if no report comes.
-func (w *world) ask(from *daemon, to *server, id string, done func(report *replicastate.Report)) {
-	one := &call{}
+func (w *world) requestReport(from *node, to *server, id string, done func(report *replicastate.Report)) {
+	sent := &call{}
 	var report *replicastate.Report
-	finish := from.ending(one, func(status int) {
+	finish := from.endOnce(sent, func(status int) {
 		if status != http.StatusOK {
 			report = nil
 		}
 		done(report)
 	})
-	way := w.link(from, to)
-	w.after(w.between(quickest, slowest), func() {
-		if w.now.Before(way.heldUntil) || w.now.Before(way.answersUntil) {
+	link := w.link(from, to)
+	w.after(w.between(minLatency, maxLatency), func() {
+		if w.now.Before(link.delayedUntil) || w.now.Before(link.responsesLostUntil) {
 			return
 		}
 		if to.down || to.id != id {
-			from.after(fastRefusal, func() { finish(noAnswer) })
+			from.after(connectionRefusedDelay, func() { finish(statusNoAnswer) })
 			return
 		}
 		to.whenAwake(func() {
-			shown := to.reportOf(w.between(0, longestLag))
+			shown := to.reportOf(w.between(0, maxReportLag))
 			report = &shown
-			from.after(w.answerTime(), func() { finish(http.StatusOK) })
+			from.after(w.responseLatency(), func() { finish(http.StatusOK) })
 		})
 	})
-	from.after(callBound, func() { finish(noAnswer) })
+	from.after(callTimeout, func() { finish(statusNoAnswer) })
 }
 
-// answerTime is how long the answer to a question takes: now and then nearly as long as the call may.
-func (w *world) answerTime() time.Duration {
+// responseLatency is how long the answer to a question takes: now and then nearly as long as the call may.
+func (w *world) responseLatency() time.Duration {
 	if w.random.IntN(8) == 0 {
-		return w.between(slowest, callBound-slowest)
+		return w.between(maxLatency, callTimeout-maxLatency)
 	}
-	return w.between(quickest, slowest)
+	return w.between(minLatency, maxLatency)
 }
 
 // ending ends a call once.
-func (d *daemon) ending(one *call, done func(status int)) func(status int) {
+func (n *node) endOnce(sent *call, done func(status int)) func(status int) {
 	return func(status int) {
-		if one.ended {
+		if sent.ended {
 			return
 		}
-		one.ended, one.endedAt = true, d.world.now
+		sent.ended, sent.endedAt = true, n.world.now
 		done(status)
 	}
 }
--- a/internal/replicastate/simulation/play_test.go
+++ b/internal/replicastate/simulation/play_test.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	// warmUp is the time before the first trouble, calmTime that after the last one, within which all must be loaded.
-	warmUp   = 8 * time.Second
-	calmTime = 40 * time.Second
+	// warmUp is the time before the first trouble, recoveryTime that after the last one, within which all must be loaded.
+	warmUp       = 8 * time.Second
+	recoveryTime = 40 * time.Second
 )
 
-// play plays a schedule to its end or until a rule is broken.
-func play(plan schedule, allowed bounds, planted variant, verbose bool) *world {
+// simulate plays a schedule to its end or until a rule is broken.
+func simulate(planned schedule, allowances allowances, mutation mutation, verbose bool) *world {
 	w := &world{
-		engine: newEngine(plan.seed), bounds: allowed, variant: planted, fencing: plan.fencing, verbose: verbose,
+		engine: newEngine(planned.seed), allowances: allowances, mutation: mutation, fencing: planned.fencing, verbose: verbose,
 		register: &register{}, links: map[[2]string]*link{}, table: newTable(1, modelNames),
-		answers: map[int]int{}, lateAnswers: map[int]int{},
+		responses: map[int]int{}, lateResponses: map[int]int{},
 	}
-	held := [][]string{{"m1", "m3"}, {"m2", "m4"}}
-	for index := range plan.servers {
-		w.servers = append(w.servers, newServer(w, fmt.Sprintf("i-%d", index+1), held[index]...))
+	loaded := [][]string{{"m1", "m3"}, {"m2", "m4"}}
+	for index := range planned.servers {
+		w.servers = append(w.servers, newServer(w, fmt.Sprintf("i-%d", index+1), loaded[index]...))
 	}
-	for index := range plan.daemons {
-		w.daemons = append(w.daemons, &daemon{world: w, name: fmt.Sprintf("daemon-%d", index+1)})
+	for index := range planned.nodes {
+		w.nodes = append(w.nodes, &node{world: w, name: fmt.Sprintf("daemon-%d", index+1)})
 	}
-	for index, one := range w.daemons {
-		w.after(time.Duration(index)*mostPatience, one.start)
+	for index, node := range w.nodes {
+		w.after(time.Duration(index)*maxStartDelay, node.start)
 	}
-	w.want(plan.wanted)
+	w.want(planned.wanted)
 	at := warmUp
-	w.troublesEnd = start.Add(warmUp)
-	for _, next := range plan.troubles {
-		at += next.after
-		w.after(at, func() { w.apply(next) })
-		if end := start.Add(at + next.pause); end.After(w.troublesEnd) {
-			w.troublesEnd = end
+	w.faultsEnd = start.Add(warmUp)
+	for _, fault := range planned.faults {
+		at += fault.delay
+		w.after(at, func() { w.applyFault(fault) })
+		if end := start.Add(at + fault.duration); end.After(w.faultsEnd) {
+			w.faultsEnd = end
 		}
 	}
-	w.runUntil(w.troublesEnd, w.failed)
-	for end := w.troublesEnd.Add(calmTime); !w.failed() && len(w.missing()) > 0 && w.now.Before(end); {
+	w.runUntil(w.faultsEnd, w.failed)
+	for end := w.faultsEnd.Add(recoveryTime); !w.failed() && len(w.missing()) > 0 && w.now.Before(end); {
 		w.runUntil(w.now.Add(time.Second), w.failed)
-		w.now = maxTime(w.now, w.troublesEnd)
+		w.now = maxTime(w.now, w.faultsEnd)
 		if w.queue[0].at.After(w.now) {
 			w.now = w.queue[0].at
 		}
 	}
 	if !w.failed() {
-		w.judgeEnd()
+		w.checkAllLoaded()
 	}
 	return w
 }
@@ -63,94 +63,94 @@
 }
 
 // holder is the daemon that holds the lease, or else the one with a number.
-func (w *world) holder(number int) *daemon {
+func (w *world) holder(number int) *node {
 	if owner := w.register.owner; owner != nil {
 		return owner
 	}
-	return w.daemons[number%len(w.daemons)]
+	return w.nodes[number%len(w.nodes)]
 }
 
 // apply does a trouble.
-func (w *world) apply(next trouble) {
-	w.log("%s", next)
-	daemon, server, holder := w.daemons[next.daemon%len(w.daemons)], w.servers[next.server%len(w.servers)], w.holder(next.daemon)
-	if len(next.names) > 0 && next.kind != configureOther {
-		w.want(next.names)
+func (w *world) applyFault(fault fault) {
+	w.log("%s", fault)
+	node, server, holder := w.nodes[fault.node%len(w.nodes)], w.servers[fault.server%len(w.servers)], w.holder(fault.node)
+	if len(fault.names) > 0 && fault.kind != configureOther {
+		w.want(fault.names)
 	}
-	switch next.kind {
+	switch fault.kind {
 	case killHolder:
-		w.killFor(holder, next.pause)
+		w.killFor(holder, fault.duration)
 	case killAny:
-		w.killFor(daemon, next.pause)
+		w.killFor(node, fault.duration)
 	case freezeHolder:
-		holder.freeze(next.pause)
+		holder.freeze(fault.duration)
 	case freezeDeciding:
-		holder.freezeNext = next.pause
-	case cutStore:
-		holder.storeCutUntil = w.now.Add(next.pause)
-	case cutRequests:
-		w.cut(holder, server, next.pause)
-	case loseAnswers:
-		w.link(holder, server).answersUntil = w.now.Add(next.pause)
+		holder.freezeAfterDecision = fault.duration
+	case partitionStore:
+		holder.storePartitionedUntil = w.now.Add(fault.duration)
+	case delayHolderRequests:
+		w.delayRequests(holder, server, fault.duration)
+	case loseResponses:
+		w.link(holder, server).responsesLostUntil = w.now.Add(fault.duration)
 	case freezeServer:
-		server.freeze(next.pause)
+		server.freeze(fault.duration)
 	case restartSame:
-		w.restart(server, server.id, next.pause)
+		w.restart(server, server.id, fault.duration)
 	case restartOther:
-		w.restart(server, server.id+"'", next.pause)
-	case holdOrder, loseOrderAnswer, killOrdering, freezeOrdering, restartOrdered, freezeOrdered:
-		w.aimed = append(w.aimed, next)
+		w.restart(server, server.id+"'", fault.duration)
+	case delayOrder, loseOrderResponse, killSender, freezeSender, restartReceiver, freezeReceiver:
+		w.onNextOrder = append(w.onNextOrder, fault)
 	case configureOther:
-		w.configure(next.names)
-	case rushedSeizure:
-		w.rush(daemon, next.pause)
+		w.configure(fault.names)
+	case storeForgetsHolder:
+		w.forceGrant(node, fault.duration)
 	}
 }
 
-// applyAimed does the troubles that were to happen with the next order, as it is sent.
-func (w *world) applyAimed(from *daemon, to *server) {
-	aimed := w.aimed
-	w.aimed = nil
-	for _, next := range aimed {
-		w.log("now: %s", next)
-		switch next.kind {
-		case holdOrder:
-			w.cut(from, to, next.pause)
-		case loseOrderAnswer:
-			w.link(from, to).answersUntil = w.now.Add(next.pause)
-		case killOrdering:
-			w.after(w.between(0, slowest), func() { w.killFor(from, next.pause) })
-		case freezeOrdering:
-			w.after(w.between(0, slowest), func() { from.freeze(next.pause) })
-		case freezeOrdered:
-			to.freeze(next.pause)
-		case restartOrdered:
-			w.after(w.between(0, callBound), func() { w.restart(to, to.id, next.pause) })
+// applyOnNextOrder does the troubles that were to happen with the next order, as it is sent.
+func (w *world) applyOnNextOrder(from *node, to *server) {
+	aimed := w.onNextOrder
+	w.onNextOrder = nil
+	for _, fault := range aimed {
+		w.log("now: %s", fault)
+		switch fault.kind {
+		case delayOrder:
+			w.delayRequests(from, to, fault.duration)
+		case loseOrderResponse:
+			w.link(from, to).responsesLostUntil = w.now.Add(fault.duration)
+		case killSender:
+			w.after(w.between(0, maxLatency), func() { w.killFor(from, fault.duration) })
+		case freezeSender:
+			w.after(w.between(0, maxLatency), func() { from.freeze(fault.duration) })
+		case freezeReceiver:
+			to.freeze(fault.duration)
+		case restartReceiver:
+			w.after(w.between(0, callTimeout), func() { w.restart(to, to.id, fault.duration) })
 		}
 	}
 }
 
-func (w *world) killFor(one *daemon, pause time.Duration) {
-	one.kill()
-	w.after(pause, one.start)
+func (w *world) killFor(node *node, downtime time.Duration) {
+	node.kill()
+	w.after(downtime, node.start)
 }
 
-func (w *world) restart(one *server, id string, pause time.Duration) {
-	if !one.down {
-		one.restart(id, pause)
+func (w *world) restart(restarted *server, id string, downtime time.Duration) {
+	if !restarted.down {
+		restarted.restart(id, downtime)
 	}
 }
 
 // rush has a daemon take the lease and act at once beside the holder, as after a store that has lost what it knew.
-func (w *world) rush(one *daemon, pause time.Duration) {
-	if !one.alive || one.frozen || w.register.owner == one {
+func (w *world) forceGrant(node *node, duration time.Duration) {
+	if !node.alive || node.frozen || w.register.owner == node {
 		return
 	}
 	var last lease.Record
 	_ = json.Unmarshal(w.register.value, &last)
-	record := lease.Record{Holder: one.name, Address: one.name, Fence: last.Fence + 1}
+	record := lease.Record{Holder: node.name, Address: node.name, Fence: last.Fence + 1}
 	w.register.value, _ = json.Marshal(record)
-	w.register.split = w.now.Add(pause)
-	w.register.holder, w.register.owner, w.register.life = one.name, one, one.life
-	one.hold = &lease.Grant{Record: record, GrantedAt: w.now, ExpiresAt: w.now.Add(grantLength), EffectiveFrom: w.now}
+	w.register.splitUntil = w.now.Add(duration)
+	w.register.holder, w.register.owner, w.register.incarnation = node.name, node, node.incarnation
+	node.currentGrant = &lease.Grant{Record: record, GrantedAt: w.now, ExpiresAt: w.now.Add(grantLength), EffectiveFrom: w.now}
 }
--- a/internal/replicastate/simulation/schedule_test.go
+++ b/internal/replicastate/simulation/schedule_test.go
@@ -8,87 +8,87 @@
 	"pgregory.net/rapid"
 )
 
-// troubleKind is what a trouble does.
-type troubleKind string
+// faultKind is what a trouble does.
+type faultKind string
 
 const (
-	killHolder     troubleKind = "kill the holder, back after"
-	killAny        troubleKind = "kill, back after"
-	freezeHolder   troubleKind = "freeze the holder for"
-	freezeDeciding troubleKind = "freeze at the next decision for"
-	cutStore       troubleKind = "cut from the store for"
-	cutRequests    troubleKind = "hold up the holder's requests for"
-	loseAnswers    troubleKind = "lose the holder's answers for"
-	restartSame    troubleKind = "restart under the same id, down for"
-	restartOther   troubleKind = "restart under another id, down for"
-	freezeServer   troubleKind = "freeze a replica for"
-	wantOthers     troubleKind = "other wants"
-	configureOther troubleKind = "another configuration"
-	rushedSeizure  troubleKind = "the store forgets, another daemon holds the lease too for"
+	killHolder          faultKind = "kill the holder, back after"
+	killAny             faultKind = "kill, back after"
+	freezeHolder        faultKind = "freeze the holder for"
+	freezeDeciding      faultKind = "freeze at the next decision for"
+	partitionStore      faultKind = "cut from the store for"
+	delayHolderRequests faultKind = "hold up the holder's requests for"
+	loseResponses       faultKind = "lose the holder's answers for"
+	restartSame         faultKind = "restart under the same id, down for"
+	restartOther        faultKind = "restart under another id, down for"
+	freezeServer        faultKind = "freeze a replica for"
+	wantOthers          faultKind = "other wants"
+	configureOther      faultKind = "another configuration"
+	storeForgetsHolder  faultKind = "the store forgets, another daemon holds the lease too for"
 	// The following happen with the next order that is sent.
-	holdOrder       troubleKind = "hold up the next order for"
-	loseOrderAnswer troubleKind = "lose the answer of the next order and others for"
-	killOrdering    troubleKind = "kill the sender of the next order, back after"
-	freezeOrdering  troubleKind = "freeze the sender of the next order for"
-	freezeOrdered   troubleKind = "freeze the receiver of the next order for"
-	restartOrdered  troubleKind = "restart the receiver of the next order under the same id, down for"
+	delayOrder        faultKind = "hold up the next order for"
+	loseOrderResponse faultKind = "lose the answer of the next order and others for"
+	killSender        faultKind = "kill the sender of the next order, back after"
+	freezeSender      faultKind = "freeze the sender of the next order for"
+	freezeReceiver    faultKind = "freeze the receiver of the next order for"
+	restartReceiver   faultKind = "restart the receiver of the next order under the same id, down for"
 )
 
-// trouble is one change of the world.
-type trouble struct {
-	kind   troubleKind
-	after  time.Duration // since the trouble before
-	daemon int
-	server int
-	pause  time.Duration
-	names  []string // of models in a configuration, or else what is wanted from then on
+// fault is one change of the world.
+type fault struct {
+	kind     faultKind
+	delay    time.Duration // since the trouble before
+	node     int
+	server   int
+	duration time.Duration
+	names    []string // of models in a configuration, or else what is wanted from then on
 }
 
-func (t trouble) String() string {
-	return fmt.Sprintf("+%s %s %s (daemon %d, server %d) %v", t.after, t.kind, t.pause, t.daemon, t.server, t.names)
+func (f fault) String() string {
+	return fmt.Sprintf("+%s %s %s (daemon %d, server %d) %v", f.delay, f.kind, f.duration, f.node, f.server, f.names)
 }
 
 // schedule is one play before its small delays are drawn by the seed.
 type schedule struct {
-	seed     uint64
-	daemons  int
-	servers  int
-	fencing  bool
-	wanted   []string
-	troubles []trouble
+	seed    uint64
+	nodes   int
+	servers int
+	fencing bool
+	wanted  []string
+	faults  []fault
 }
 
 func (s schedule) String() string {
-	lines := []string{fmt.Sprintf("seed %d, %d daemons, %d servers, fencing %t, wanted %v", s.seed, s.daemons, s.servers, s.fencing, s.wanted)}
-	for _, one := range s.troubles {
-		lines = append(lines, one.String())
+	lines := []string{fmt.Sprintf("seed %d, %d daemons, %d servers, fencing %t, wanted %v", s.seed, s.nodes, s.servers, s.fencing, s.wanted)}
+	for _, fault := range s.faults {
+		lines = append(lines, fault.String())
 	}
 	return strings.Join(lines, "\n")
 }
 
-var ordinaryTroubles = []troubleKind{
-	wantOthers, wantOthers, wantOthers, killHolder, killAny, freezeHolder, freezeDeciding, cutStore, cutRequests, loseAnswers,
-	freezeServer, restartSame, restartOther, configureOther, holdOrder, holdOrder, holdOrder, loseOrderAnswer, loseOrderAnswer,
-	killOrdering, killOrdering, freezeOrdering, restartOrdered, freezeOrdered, freezeOrdered,
+var ordinaryFaults = []faultKind{
+	wantOthers, wantOthers, wantOthers, killHolder, killAny, freezeHolder, freezeDeciding, partitionStore, delayHolderRequests, loseResponses,
+	freezeServer, restartSame, restartOther, configureOther, delayOrder, delayOrder, delayOrder, loseOrderResponse, loseOrderResponse,
+	killSender, killSender, freezeSender, restartReceiver, freezeReceiver, freezeReceiver,
 }
 
-// longestCalms are bounds of the time between two troubles: some come close together, others once a holder has
+// maxFaultDelays are bounds of the time between two troubles: some come close together, others once a holder has
 // taken over and placed.
-var longestCalms = []time.Duration{500 * time.Millisecond, 2 * time.Second, 10 * time.Second}
+var maxFaultDelays = []time.Duration{500 * time.Millisecond, 2 * time.Second, 10 * time.Second}
 
 const (
 	// A play has so many troubles; those that only change what is wanted are among them.
-	leastTroubles = 12
-	mostTroubles  = 30
+	minFaults = 12
+	maxFaults = 30
 )
 
 // without are the kinds of trouble less some.
-func without(kinds []troubleKind, left ...troubleKind) []troubleKind {
-	var kept []troubleKind
+func without(kinds []faultKind, excluded ...faultKind) []faultKind {
+	var kept []faultKind
 	for _, kind := range kinds {
 		dropped := false
-		for _, one := range left {
-			dropped = dropped || kind == one
+		for _, other := range excluded {
+			dropped = dropped || kind == other
 		}
 		if !dropped {
 			kept = append(kept, kind)
@@ -97,25 +97,25 @@
 	return kept
 }
 
-var pauses = map[troubleKind][2]time.Duration{
-	killHolder:     {20 * time.Millisecond, 3 * time.Second},
-	killAny:        {20 * time.Millisecond, 8 * time.Second},
-	freezeHolder:   {50 * time.Millisecond, 10 * time.Second},
-	freezeDeciding: {50 * time.Millisecond, 3 * time.Second},
-	cutStore:       {200 * time.Millisecond, 12 * time.Second},
-	cutRequests:    {100 * time.Millisecond, 10 * time.Second},
-	loseAnswers:    {100 * time.Millisecond, 2 * time.Second},
-	restartSame:    {100 * time.Millisecond, 600 * time.Millisecond},
-	restartOther:   {100 * time.Millisecond, 600 * time.Millisecond},
-
-	holdOrder:       {100 * time.Millisecond, 8 * time.Second},
-	loseOrderAnswer: {50 * time.Millisecond, time.Second},
-	killOrdering:    {20 * time.Millisecond, 3 * time.Second},
-	freezeOrdering:  {50 * time.Millisecond, 10 * time.Second},
-	restartOrdered:  {100 * time.Millisecond, 600 * time.Millisecond},
-	freezeServer:    {100 * time.Millisecond, 8 * time.Second},
-	freezeOrdered:   {100 * time.Millisecond, 8 * time.Second},
-	rushedSeizure:   {500 * time.Millisecond, 6 * time.Second},
+var durationRanges = map[faultKind][2]time.Duration{
+	killHolder:          {20 * time.Millisecond, 3 * time.Second},
+	killAny:             {20 * time.Millisecond, 8 * time.Second},
+	freezeHolder:        {50 * time.Millisecond, 10 * time.Second},
+	freezeDeciding:      {50 * time.Millisecond, 3 * time.Second},
+	partitionStore:      {200 * time.Millisecond, 12 * time.Second},
+	delayHolderRequests: {100 * time.Millisecond, 10 * time.Second},
+	loseResponses:       {100 * time.Millisecond, 2 * time.Second},
+	restartSame:         {100 * time.Millisecond, 600 * time.Millisecond},
+	restartOther:        {100 * time.Millisecond, 600 * time.Millisecond},
+
+	delayOrder:         {100 * time.Millisecond, 8 * time.Second},
+	loseOrderResponse:  {50 * time.Millisecond, time.Second},
+	killSender:         {20 * time.Millisecond, 3 * time.Second},
+	freezeSender:       {50 * time.Millisecond, 10 * time.Second},
+	restartReceiver:    {100 * time.Millisecond, 600 * time.Millisecond},
+	freezeServer:       {100 * time.Millisecond, 8 * time.Second},
+	freezeReceiver:     {100 * time.Millisecond, 8 * time.Second},
+	storeForgetsHolder: {500 * time.Millisecond, 6 * time.Second},
 }
 
 var (
@@ -129,8 +129,8 @@
 	wanted := rapid.SliceOfNDistinct(rapid.SampledFrom(modelNames), 1, 2, rapid.ID[string]).Draw(t, "models")
 	for _, adapter := range rapid.SliceOfNDistinct(rapid.SampledFrom(adapterNames), 0, 2, rapid.ID[string]).Draw(t, "adapters") {
 		model, _, _ := strings.Cut(adapter, "/")
-		for _, one := range wanted {
-			if one == model {
+		for _, chosen := range wanted {
+			if chosen == model {
 				wanted = append(wanted, adapter)
 				break
 			}
@@ -139,40 +139,40 @@
 	return wanted
 }
 
-// drawTrouble draws one trouble of some kinds.
-func drawTrouble(kinds []troubleKind) func(t *rapid.T) trouble {
-	return func(t *rapid.T) trouble {
-		one := trouble{kind: rapid.SampledFrom(kinds).Draw(t, "kind")}
-		one.after = drawTime(t, "after", 0, rapid.SampledFrom(longestCalms).Draw(t, "longest"))
-		one.daemon = rapid.IntRange(0, 2).Draw(t, "daemon")
-		one.server = rapid.IntRange(0, 1).Draw(t, "server")
-		if between, known := pauses[one.kind]; known {
-			one.pause = drawTime(t, "pause", between[0], between[1])
+// drawFault draws one trouble of some kinds.
+func drawFault(kinds []faultKind) func(t *rapid.T) fault {
+	return func(t *rapid.T) fault {
+		fault := fault{kind: rapid.SampledFrom(kinds).Draw(t, "kind")}
+		fault.delay = drawDuration(t, "after", 0, rapid.SampledFrom(maxFaultDelays).Draw(t, "longest"))
+		fault.node = rapid.IntRange(0, 2).Draw(t, "daemon")
+		fault.server = rapid.IntRange(0, 1).Draw(t, "server")
+		if between, known := durationRanges[fault.kind]; known {
+			fault.duration = drawDuration(t, "pause", between[0], between[1])
 		}
 		switch {
-		case one.kind == configureOther:
-			one.names = rapid.SampledFrom(configurations).Draw(t, "configuration")
-		case one.kind == wantOthers || rapid.IntRange(0, 3).Draw(t, "wants too") > 0:
-			one.names = drawWanted(t)
+		case fault.kind == configureOther:
+			fault.names = rapid.SampledFrom(configurations).Draw(t, "configuration")
+		case fault.kind == wantOthers || rapid.IntRange(0, 3).Draw(t, "wants too") > 0:
+			fault.names = drawWanted(t)
 		}
-		return one
+		return fault
 	}
 }
 
-func drawTime(t *rapid.T, label string, least, most time.Duration) time.Duration {
-	return time.Duration(rapid.IntRange(int(least/time.Millisecond), int(most/time.Millisecond)).Draw(t, label)) * time.Millisecond
+func drawDuration(t *rapid.T, label string, minimum, maximum time.Duration) time.Duration {
+	return time.Duration(rapid.IntRange(int(minimum/time.Millisecond), int(maximum/time.Millisecond)).Draw(t, label)) * time.Millisecond
 }
 
 // schedules generates plays with troubles of some kinds.
-func schedules(kinds []troubleKind) *rapid.Generator[schedule] {
+func schedules(kinds []faultKind) *rapid.Generator[schedule] {
 	return rapid.Custom(func(t *rapid.T) schedule {
 		return schedule{
-			seed:     rapid.Uint64Max(1<<20).Draw(t, "seed"),
-			daemons:  rapid.IntRange(2, 3).Draw(t, "daemons"),
-			servers:  rapid.IntRange(1, 2).Draw(t, "servers"),
-			fencing:  rapid.Bool().Draw(t, "fencing"),
-			wanted:   drawWanted(t),
-			troubles: rapid.SliceOfN(rapid.Custom(drawTrouble(kinds)), leastTroubles, mostTroubles).Draw(t, "troubles"),
+			seed:    rapid.Uint64Max(1<<20).Draw(t, "seed"),
+			nodes:   rapid.IntRange(2, 3).Draw(t, "daemons"),
+			servers: rapid.IntRange(1, 2).Draw(t, "servers"),
+			fencing: rapid.Bool().Draw(t, "fencing"),
+			wanted:  drawWanted(t),
+			faults:  rapid.SliceOfN(rapid.Custom(drawFault(kinds)), minFaults, maxFaults).Draw(t, "troubles"),
 		}
 	})
 }
--- a/internal/replicastate/simulation/variant_test.go
+++ b/internal/replicastate/simulation/variant_test.go
@@ -4,64 +4,64 @@
 	"ferryspar/internal/replicastate"
 )
 
-// variant is a fault planted into what daemons do with their knowledge of replicas.
-type variant string
+// mutation is a fault planted into what daemons do with their knowledge of replicas.
+type mutation string
 
 const (
-	sound variant = ""
+	noMutation mutation = ""
 	// noExpectedSequence sends orders that name no sequence.
-	noExpectedSequence variant = "no expected sequence"
+	noExpectedSequence mutation = "no expected sequence"
 	// everyReportBelieved takes each report for newer than all that is known, also at a sequence that was refused.
-	everyReportBelieved variant = "every report believed"
+	everyReportBelieved mutation = "every report believed"
 	// keptAcrossGrants keeps what was learned under one grant under the next ones.
-	keptAcrossGrants variant = "kept across grants"
+	keptAcrossGrants mutation = "kept across grants"
 	// unknownCountsAsFree takes an order without answer for one that was never sent.
-	unknownCountsAsFree variant = "unknown fate counts as free"
+	unknownCountsAsFree mutation = "unknown fate counts as free"
 	// restartUnnoticed drops reports of lower sequences for ever.
-	restartUnnoticed variant = "restart unnoticed"
+	restartUnnoticed mutation = "restart unnoticed"
 	// fenceRefusalIgnored keeps what is known after a refusal for the fence.
-	fenceRefusalIgnored variant = "refusal for the fence ignored"
+	fenceRefusalIgnored mutation = "refusal for the fence ignored"
 	// sentUnderLaterGrant sends an order under whatever grant is held.
-	sentUnderLaterGrant variant = "sent under a later grant"
+	sentUnderLaterGrant mutation = "sent under a later grant"
 )
 
-var faults = []variant{
+var mutations = []mutation{
 	noExpectedSequence, everyReportBelieved, keptAcrossGrants, unknownCountsAsFree,
 	restartUnnoticed, fenceRefusalIgnored, sentUnderLaterGrant,
 }
 
 // mixesGrants tells whether orders go out under another grant than they were decided under.
-func (v variant) mixesGrants() bool { return v == sentUnderLaterGrant || v == keptAcrossGrants }
+func (m mutation) mixesGrants() bool { return m == sentUnderLaterGrant || m == keptAcrossGrants }
 
-// takeAnswer has the replica's state learn of an answer, as the variant falsifies it.
-func (k *knownReplica) takeAnswer(order replicastate.Order, outcome replicastate.Outcome) {
+// applyResponse has the replica's state learn of an answer, as the variant falsifies it.
+func (t *trackedReplica) applyResponse(order replicastate.Order, outcome replicastate.Outcome) {
 	if outcome == replicastate.Fenced {
-		k.fencedAt = k.now()
+		t.fencedAt = t.now()
 	}
-	falsified := map[variant]replicastate.Outcome{
+	falsified := map[mutation]replicastate.Outcome{
 		unknownCountsAsFree: replicastate.NoAnswer,
 		fenceRefusalIgnored: replicastate.Fenced,
 	}
-	if falsified[k.daemon.world.variant] == outcome {
+	if falsified[t.node.world.mutation] == outcome {
 		outcome = replicastate.NotSent
 	}
-	k.state.Answer(order, outcome, k.now())
+	t.state.HandleResponse(order, outcome, t.now())
 }
 
-// takeReport has the replica's state learn of a report, as the variant falsifies it.
-func (k *knownReplica) takeReport(report replicastate.Report) bool {
-	switch k.daemon.world.variant {
+// applyReport has the replica's state learn of a report, as the variant falsifies it.
+func (t *trackedReplica) applyReport(report replicastate.Report) bool {
+	switch t.node.world.mutation {
 	case everyReportBelieved:
 		if !report.Busy {
-			k.forget(report.Held)
-			k.state.AskStarted(k.now())
+			t.reset(report.Loaded)
+			t.state.PollStarted(t.now())
 		}
 	case restartUnnoticed:
-		if report.Sequence < k.highest {
-			k.state.AskFailed(k.now())
+		if report.Sequence < t.highestSequence {
+			t.state.PollFailed(t.now())
 			return false
 		}
-		k.highest = report.Sequence
+		t.highestSequence = report.Sequence
 	}
-	return k.state.Reported(report, k.now())
+	return t.state.HandleReport(report, t.now())
 }
--- a/internal/replicastate/simulation/world_test.go
+++ b/internal/replicastate/simulation/world_test.go
@@ -30,7 +30,7 @@
 
 // newTable is a configuration that names some models; the first two have adapters.
 func newTable(revision int64, models []string) *configuration.Table {
-	runtime := &configuration.Runtime{Slots: 8, WeightSizeMb: serverRoom, AdapterCapacity: serverPlaces, LoadsPerS: 1}
+	runtime := &configuration.Runtime{Slots: 8, WeightSizeMb: serverCapacity, AdapterCapacity: serverAdapterCapacity, LoadsPerS: 1}
 	for _, name := range models {
 		model := configuration.Model{Name: name, WeightSizeMb: sizes[name], LoadTimeS: 1, AdapterSizeMb: adapterSize}
 		if name == "m1" || name == "m2" {
@@ -44,44 +44,44 @@
 	}, nil)
 }
 
-// bounds are what a play allows beyond the ordinary.
-type bounds struct {
-	beyond          bool // orders arrive later than any bound, twice too, and freezes fall between check and write
-	survivesRestart bool // orders that were held up reach the next process of a replica
-	rushed          bool // another holder orders without having waited for the end of the lease before
+// allowances are what a play allows beyond the ordinary.
+type allowances struct {
+	unboundedDelay     bool // orders arrive later than any bound, twice too, and freezes fall between check and write
+	survivesRestart    bool // orders that were held up reach the next process of a replica
+	overlappingHolders bool // another holder orders without having waited for the end of the lease before
 }
 
 // failure is a rule that was broken.
 type failure struct {
-	rule   rule
-	detail string
+	invariant invariant
+	detail    string
 }
 
 // world is one play.
 type world struct {
 	*engine
-	bounds
-	variant        variant
-	fencing        bool
-	servers        []*server
-	daemons        []*daemon
-	register       *register
-	links          map[[2]string]*link
-	table          *configuration.Table
-	wanted         []string
-	aimed          []trouble // to happen with the next order
-	waitingSince   map[string]time.Time
-	troublesEnd    time.Time
-	failures       []failure
-	refusedUnaware int
-	refusedBeyond  int
-	answers        map[int]int // orders that arrived, by status
-	lateAnswers    map[int]int // those of them whose call had ended
-	journal        []string
-	verbose        bool
+	allowances
+	mutation        mutation
+	fencing         bool
+	servers         []*server
+	nodes           []*node
+	register        *register
+	links           map[[2]string]*link
+	table           *configuration.Table
+	wanted          []string
+	onNextOrder     []fault // to happen with the next order
+	waitingSince    map[string]time.Time
+	faultsEnd       time.Time
+	failures        []failure
+	rejectedUnaware int
+	rejectedBeyond  int
+	responses       map[int]int // orders that arrived, by status
+	lateResponses   map[int]int // those of them whose call had ended
+	trace           []string
+	verbose         bool
 }
 
-func (w *world) fail(broken rule, format string, values ...any) {
+func (w *world) fail(broken invariant, format string, values ...any) {
 	w.failures = append(w.failures, failure{broken, w.stamp() + fmt.Sprintf(format, values...)})
 	w.log("%s broken: "+format, append([]any{broken}, values...)...)
 }
@@ -92,7 +92,7 @@
 
 func (w *world) log(format string, values ...any) {
 	if w.verbose {
-		w.journal = append(w.journal, w.stamp()+fmt.Sprintf(format, values...))
+		w.trace = append(w.trace, w.stamp()+fmt.Sprintf(format, values...))
 	}
 }
 
@@ -108,8 +108,8 @@
 }
 
 func (w *world) loaded(reference string) bool {
-	for _, one := range w.servers {
-		if one.held[reference] && !one.down {
+	for _, server := range w.servers {
+		if server.loaded[reference] && !server.down {
 			return true
 		}
 	}
@@ -117,9 +117,9 @@
 }
 
 // view is a planner's input without servers: what is wanted is asked for, and waits where it is loaded nowhere.
-func (w *world) view(d *daemon) *place.View {
+func (w *world) view(node *node) *place.View {
 	view := &place.View{
-		Now: w.now, Table: d.table, SizeHistory: d.sizes, Demand: map[string]*place.Demand{}, Loading: map[string]int{},
+		Now: w.now, Table: node.table, SizeHistory: node.sizes, Demand: map[string]*place.Demand{}, Loading: map[string]int{},
 		DrainedZones: map[string]bool{}, StoreTokens: loadTokens, DemandKnown: true,
 	}
 	for _, reference := range w.wanted {
@@ -146,8 +146,8 @@
 // configure puts a configuration that names some models into force.
 func (w *world) configure(models []string) {
 	w.table = newTable(w.table.Configuration.Revision+1, models)
-	for _, one := range w.daemons {
-		one.adopt(w.table)
+	for _, node := range w.nodes {
+		node.adoptConfiguration(w.table)
 	}
 	w.log("configured: %v", models)
 }
--- a/internal/replicastate/walk_test.go
+++ b/internal/replicastate/walk_test.go
@@ -9,30 +9,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// walkCalm is how many ticks without troubles make a replica ready for orders.
-const walkCalm = 16
+// settleTicks is how many ticks without troubles make a replica ready for orders.
+const settleTicks = 16
 
-// walked is what a walk has found.
-type walked struct {
-	states int
-	broken string
-	path   []string // to where it broke
+// walkResult is what a walk has found.
+type walkResult struct {
+	states    int
+	violation string
+	path      []string // to where it broke
 }
 
 // walk visits all states breadth first, until a rule is broken or the bound is reached.
-func walk(left walkBudget, fault walkFault, most int) walked {
-	first := newWalkWorld(left)
+func walk(budget walkBudget, fault plantedFault, limit int) walkResult {
+	first := newWalkWorld(budget)
 	seen := map[string]bool{first.key(): true}
 	level := []*walkWorld{first}
 	for len(level) > 0 {
 		var next []*walkWorld
 		for _, world := range level {
-			if !world.calmsDown(fault) {
-				return walked{len(seen), "never ready again", world.path()}
+			if !world.recovers(fault) {
+				return walkResult{len(seen), "never ready again", world.path()}
 			}
 			for _, successor := range world.successors(fault) {
-				if successor.broken != "" {
-					return walked{len(seen), successor.broken, successor.path()}
+				if successor.violation != "" {
+					return walkResult{len(seen), successor.violation, successor.path()}
 				}
 				if key := successor.key(); !seen[key] {
 					seen[key] = true
@@ -41,38 +41,38 @@
 			}
 		}
 		level = next
-		if len(seen) > most {
-			return walked{states: len(seen), broken: "too many states"}
+		if len(seen) > limit {
+			return walkResult{states: len(seen), violation: "too many states"}
 		}
 	}
-	return walked{states: len(seen)}
+	return walkResult{states: len(seen)}
 }
 
-// calmsDown tells whether the replica gets ready for orders once the network delivers everything and nothing else
+// recovers tells whether the replica gets ready for orders once the network delivers everything and nothing else
 // happens.
-func (w *walkWorld) calmsDown(fault walkFault) bool {
-	calm := w.clone()
-	for len(calm.messages) > 0 {
-		message := calm.messages[0]
+func (w *walkWorld) recovers(fault plantedFault) bool {
+	settled := w.clone()
+	for len(settled.messages) > 0 {
+		message := settled.messages[0]
 		switch {
 		case !message.arrived && !message.open:
-			calm.lose(0)
+			settled.drop(0)
 		case !message.arrived:
-			calm.arrive(0, fault)
+			settled.arrive(0, fault)
 		default:
-			calm.end(0, message.outcome, fault)
+			settled.endCall(0, message.outcome, fault)
 		}
 	}
-	for range walkCalm {
-		if calm.known.Ready(calm.now) {
+	for range settleTicks {
+		if settled.tracked.IsReady(settled.now) {
 			return true
 		}
-		if calm.replica.busy {
-			calm.replica.finish()
+		if settled.replica.busy {
+			settled.replica.finish()
 		}
-		calm.tick()
-		if calm.known.AskDue(calm.now) {
-			calm.tell(calm.replica, fault)
+		settled.tick()
+		if settled.tracked.PollDue(settled.now) {
+			settled.poll(settled.replica, fault)
 		}
 	}
 	return false
@@ -93,9 +93,9 @@
 	"orders and a stranger":  {orders: 3, strangers: 1},
 }
 
-const mostWalked = 4_000_000
+const maxWalkedStates = 4_000_000
 
-func walksNow() map[string]walkBudget {
+func selectedWalkBudgets() map[string]walkBudget {
 	budgets := maps.Clone(walkBudgets)
 	if os.Getenv("FERRYSPAR_SWEEP") != "" {
 		maps.Copy(budgets, largeWalkBudgets)
@@ -103,30 +103,30 @@
 	return budgets
 }
 
-func TestGivenEveryStateOfASmallWorldThenNothingIsOrderedBeyondRoomAndTheReplicaGetsReadyAgain(t *testing.T) {
-	for name, budget := range walksNow() {
+func TestWalk_EveryStateStaysWithinCapacityAndRecovers(t *testing.T) {
+	for name, budget := range selectedWalkBudgets() {
 		t.Run(name, func(t *testing.T) {
-			found := walk(budget, walkSound, mostWalked)
-			assert.Equal(t, found.broken, "", "%s", strings.Join(found.path, "\n"))
+			found := walk(budget, noFault, maxWalkedStates)
+			assert.Equal(t, found.violation, "", "%s", strings.Join(found.path, "\n"))
 			t.Logf("%d states", found.states)
 		})
 	}
 }
 
-func TestGivenAPlantedFaultThenTheWalkFindsIt(t *testing.T) {
-	faults := map[walkFault]walkBudget{
-		walkNoExpectedSequence:  {orders: 3, grants: 1},
-		walkEveryReportBelieved: {orders: 2},
-		walkKeptAcrossGrants:    {orders: 2, grants: 1},
-		walkUnknownCountsAsFree: {orders: 3},
-		walkRestartUnnoticed:    {orders: 2, restarts: 1},
-		walkFenceIgnored:        {orders: 3, strangers: 1},
+func TestWalk_FindsEveryPlantedFault(t *testing.T) {
+	faults := map[plantedFault]walkBudget{
+		faultNoExpectedSequence:  {orders: 3, grants: 1},
+		faultEveryReportBelieved: {orders: 2},
+		faultKeptAcrossGrants:    {orders: 2, grants: 1},
+		faultUnknownCountsAsFree: {orders: 3},
+		faultRestartUnnoticed:    {orders: 2, restarts: 1},
+		faultFenceIgnored:        {orders: 3, strangers: 1},
 	}
 	for fault, budget := range faults {
 		t.Run(string(fault), func(t *testing.T) {
-			found := walk(budget, fault, mostWalked)
-			assert.Assert(t, found.broken != "" && found.broken != "too many states", "%+v", found)
-			t.Logf("%s after %d states", found.broken, found.states)
+			found := walk(budget, fault, maxWalkedStates)
+			assert.Assert(t, found.violation != "" && found.violation != "too many states", "%+v", found)
+			t.Logf("%s after %d states", found.violation, found.states)
 		})
 	}
 }
--- a/internal/replicastate/walkmoves_test.go
+++ b/internal/replicastate/walkmoves_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// walkFault is a fault planted into what the holder of the walk does with its knowledge.
-type walkFault string
+// plantedFault is a fault planted into what the holder of the walk does with its knowledge.
+type plantedFault string
 
 const (
-	walkSound               walkFault = ""
-	walkNoExpectedSequence  walkFault = "no expected sequence"
-	walkEveryReportBelieved walkFault = "every report believed"
-	walkKeptAcrossGrants    walkFault = "kept across grants"
-	walkUnknownCountsAsFree walkFault = "unknown fate counts as free"
-	walkRestartUnnoticed    walkFault = "restart unnoticed"
-	walkFenceIgnored        walkFault = "refusal for the fence ignored"
+	noFault                  plantedFault = ""
+	faultNoExpectedSequence  plantedFault = "no expected sequence"
+	faultEveryReportBelieved plantedFault = "every report believed"
+	faultKeptAcrossGrants    plantedFault = "kept across grants"
+	faultUnknownCountsAsFree plantedFault = "unknown fate counts as free"
+	faultRestartUnnoticed    plantedFault = "restart unnoticed"
+	faultFenceIgnored        plantedFault = "refusal for the fence ignored"
 )
 
 // successors are the states that one move leads to.
-func (w *walkWorld) successors(fault walkFault) []*walkWorld {
+func (w *walkWorld) successors(fault plantedFault) []*walkWorld {
 	var next []*walkWorld
 	move := func(label string, apply func(w *walkWorld)) {
 		copied := w.clone()
@@ -28,68 +28,68 @@
 		apply(copied)
 		next = append(next, copied)
 	}
-	w.decisions(fault, move)
+	w.addDecisionMoves(fault, move)
 	for index, message := range w.messages {
 		if !message.arrived {
 			move(fmt.Sprintf("arrives: %+v", message.order), func(w *walkWorld) { w.arrive(index, fault) })
-			move("no answer", func(w *walkWorld) { w.end(index, NoAnswer, fault) })
+			move("no answer", func(w *walkWorld) { w.endCall(index, NoAnswer, fault) })
 			if !message.open {
-				move("order lost", func(w *walkWorld) { w.lose(index) })
+				move("order lost", func(w *walkWorld) { w.drop(index) })
 			}
 			continue
 		}
-		move(fmt.Sprint("answer ", message.outcome), func(w *walkWorld) { w.end(index, message.outcome, fault) })
-		move("no answer", func(w *walkWorld) { w.end(index, NoAnswer, fault) })
+		move(fmt.Sprint("answer ", message.outcome), func(w *walkWorld) { w.endCall(index, message.outcome, fault) })
+		move("no answer", func(w *walkWorld) { w.endCall(index, NoAnswer, fault) })
 	}
-	if w.known.AskDue(w.now) {
-		move("report", func(w *walkWorld) { w.tell(w.replica, fault) })
-		if w.before != w.replica {
-			move("old report", func(w *walkWorld) { w.tell(w.before, fault) })
+	if w.tracked.PollDue(w.now) {
+		move("report", func(w *walkWorld) { w.poll(w.replica, fault) })
+		if w.previous != w.replica {
+			move("old report", func(w *walkWorld) { w.poll(w.previous, fault) })
 		}
 	}
 	if w.replica.busy {
 		move("carried out", func(w *walkWorld) { w.replica.finish() })
 	}
 	move("tick", func(w *walkWorld) { w.tick() })
-	w.troubles(fault, move)
+	w.addFaultMoves(fault, move)
 	return next
 }
 
 // decisions are the orders that the bounds allow now.
-func (w *walkWorld) decisions(fault walkFault, move func(string, func(w *walkWorld))) {
-	if w.left.orders == 0 || !w.known.Ready(w.now) {
+func (w *walkWorld) addDecisionMoves(fault plantedFault, move func(string, func(w *walkWorld))) {
+	if w.remaining.orders == 0 || !w.tracked.IsReady(w.now) {
 		return
 	}
-	sure, may := maskOf(w.known.SurelyHeld()), maskOf(w.known.MayHold())
+	certain, possible := maskFor(w.tracked.CertainlyLoaded()), maskFor(w.tracked.PossiblyLoaded())
 	for index, reference := range walkReferences {
-		change := Change{Load: sure&(1<<index) == 0, Reference: reference}
-		lacksModel := walkAdapters&(1<<index) != 0 && sure&1 == 0
-		if change.Load && (lacksModel || !(sure | may | 1<<index).fits()) {
+		change := Change{Load: certain&(1<<index) == 0, Reference: reference}
+		lacksModel := walkAdapters&(1<<index) != 0 && certain&1 == 0
+		if change.Load && (lacksModel || !(certain | possible | 1<<index).fits()) {
 			continue
 		}
 		move(fmt.Sprintf("decided: %+v", change), func(w *walkWorld) {
-			if !w.fenced.IsZero() && w.now.Sub(w.fenced) < walkTimings.RefusedPause {
-				w.broken = "ordered on after a refusal for the fence"
+			if !w.fencedAt.IsZero() && w.now.Sub(w.fencedAt) < walkTimings.RejectedBackoff {
+				w.violation = "ordered on after a refusal for the fence"
 			}
-			order, _ := w.known.Decide(change, w.now)
-			w.left.orders--
+			order, _ := w.tracked.Decide(change, w.now)
+			w.remaining.orders--
 			w.messages = append(w.messages, walkMessage{order: order, open: true})
 		})
 	}
 }
 
 // troubles are the ends of grants, restarts and orders of others with a higher fence.
-func (w *walkWorld) troubles(fault walkFault, move func(string, func(w *walkWorld))) {
-	if w.left.grants > 0 {
+func (w *walkWorld) addFaultMoves(fault plantedFault, move func(string, func(w *walkWorld))) {
+	if w.remaining.grants > 0 {
 		move("takeover", func(w *walkWorld) { w.takeOver(fault) })
 	}
-	if w.left.restarts > 0 {
+	if w.remaining.restarts > 0 {
 		move("restart", func(w *walkWorld) { w.restart() })
 	}
-	if w.left.strangers > 0 && !w.replica.busy {
+	if w.remaining.strangers > 0 && !w.replica.busy {
 		for index := range walkReferences[:3] {
-			if taken := w.replica.held | 1<<index; taken != w.replica.held && taken.fits() {
-				move("order of a stranger", func(w *walkWorld) { w.strange(taken) })
+			if taken := w.replica.loaded | 1<<index; taken != w.replica.loaded && taken.fits() {
+				move("order of a stranger", func(w *walkWorld) { w.loadByStranger(taken) })
 			}
 		}
 	}
@@ -97,138 +97,138 @@
 
 // arrive has the replica take an order or refuse it. An order whose call has ended is forgotten, for nobody waits for its
 // answer.
-func (w *walkWorld) arrive(index int, fault walkFault) {
+func (w *walkWorld) arrive(index int, fault plantedFault) {
 	message := &w.messages[index]
-	w.judge(*message)
-	message.outcome = w.replica.take(message.order, fault == walkNoExpectedSequence)
+	w.checkArrival(*message)
+	message.outcome = w.replica.handleOrder(message.order, fault == faultNoExpectedSequence)
 	message.arrived = true
 	if message.outcome == Accepted {
 		if message.order.Load && !w.replica.next.fits() {
-			w.broken = "loaded beyond room"
+			w.violation = "loaded beyond room"
 		}
-		w.foreign = w.foreign || message.order.Fence != w.known.fence
+		w.foreignOrderTaken = w.foreignOrderTaken || message.order.Fence != w.tracked.fence
 	}
 	if !message.open {
-		w.lose(index)
+		w.drop(index)
 	}
 }
 
 // judge checks an order that arrives as package simulation does.
-func (w *walkWorld) judge(message walkMessage) {
+func (w *walkWorld) checkArrival(message walkMessage) {
 	order := message.order
-	if order.Fence != w.known.fence {
+	if order.Fence != w.tracked.fence {
 		return
 	}
-	held := w.replica.held
+	loaded := w.replica.loaded
 	if w.replica.busy {
-		held |= w.replica.next
+		loaded |= w.replica.next
 	}
-	if order.Load && !w.foreign && !held.changed(order.Change).fits() {
-		w.broken = "ordered beyond room"
+	if order.Load && !w.foreignOrderTaken && !loaded.changed(order.Change).fits() {
+		w.violation = "ordered beyond room"
 	}
 }
 
-func (r *walkReplica) take(order Order, anySequence bool) Outcome {
+func (r *walkReplica) handleOrder(order Order, anySequence bool) Outcome {
 	index := slices.Index(walkReferences, order.Reference)
 	switch {
-	case order.Fence < r.highest:
+	case order.Fence < r.highestFence:
 		return Fenced
-	case !r.busy && (r.held&(1<<index) != 0) == order.Load:
+	case !r.busy && (r.loaded&(1<<index) != 0) == order.Load:
 		return AlreadyDone
 	case r.busy || r.sequence != order.Expected && !anySequence:
 		return Conflict
-	case order.Load && walkAdapters&(1<<index) != 0 && r.held&1 == 0:
+	case order.Load && walkAdapters&(1<<index) != 0 && r.loaded&1 == 0:
 		return Rejected
 	}
-	r.highest = order.Fence
+	r.highestFence = order.Fence
 	r.sequence++
-	r.busy, r.next = true, r.held.changed(order.Change)
+	r.busy, r.next = true, r.loaded.changed(order.Change)
 	return Accepted
 }
 
-func (r *walkReplica) finish() { r.held, r.next, r.busy = r.next, 0, false }
+func (r *walkReplica) finish() { r.loaded, r.next, r.busy = r.next, 0, false }
 
 // end has the holder hear how its call ended. Without an answer the order may still arrive.
-func (w *walkWorld) end(index int, outcome Outcome, fault walkFault) {
+func (w *walkWorld) endCall(index int, outcome Outcome, fault plantedFault) {
 	message := &w.messages[index]
 	if !message.open {
 		return
 	}
-	message.open, message.ended = false, w.now
-	told := outcome
-	if fault == walkUnknownCountsAsFree && outcome == NoAnswer || fault == walkFenceIgnored && outcome == Fenced {
-		told = NotSent
+	message.open, message.endedAt = false, w.now
+	reported := outcome
+	if fault == faultUnknownCountsAsFree && outcome == NoAnswer || fault == faultFenceIgnored && outcome == Fenced {
+		reported = NotSent
 	}
 	if outcome == Fenced {
-		w.fenced = w.now
+		w.fencedAt = w.now
 	}
-	w.known.Answer(message.order, told, w.now)
+	w.tracked.HandleResponse(message.order, reported, w.now)
 	if message.arrived {
-		w.lose(index)
+		w.drop(index)
 	}
 }
 
-func (w *walkWorld) lose(index int) { w.messages = slices.Delete(w.messages, index, index+1) }
+func (w *walkWorld) drop(index int) { w.messages = slices.Delete(w.messages, index, index+1) }
 
-// tell has the holder ask and hear a report.
-func (w *walkWorld) tell(shown walkReplica, fault walkFault) {
-	w.known.AskStarted(w.now)
+// report has the holder ask and hear a report.
+func (w *walkWorld) poll(shown walkReplica, fault plantedFault) {
+	w.tracked.PollStarted(w.now)
 	report := shown.report()
 	switch {
-	case fault == walkEveryReportBelieved && !report.Busy:
-		w.known = *New(walkTimings, w.known.fence, time.Time{}, nil)
-	case fault == walkRestartUnnoticed && report.Sequence < w.known.sequence:
-		w.known.AskFailed(w.now)
+	case fault == faultEveryReportBelieved && !report.Busy:
+		w.tracked = *New(walkTimings, w.tracked.fence, time.Time{}, nil)
+	case fault == faultRestartUnnoticed && report.Sequence < w.tracked.sequence:
+		w.tracked.PollFailed(w.now)
 		return
 	}
-	w.known.Reported(report, w.now)
+	w.tracked.HandleReport(report, w.now)
 }
 
 // tick lets time pass. Orders whose calls have ended long ago are lost.
 func (w *walkWorld) tick() {
 	w.now = w.now.Add(walkTick)
-	w.before = w.replica
-	w.messages = slices.DeleteFunc(w.messages, func(one walkMessage) bool {
-		return !one.open && w.now.Sub(one.ended) >= walkTimings.Settle
+	w.previous = w.replica
+	w.messages = slices.DeleteFunc(w.messages, func(message walkMessage) bool {
+		return !message.open && w.now.Sub(message.endedAt) >= walkTimings.MaxOrderLifetime
 	})
 }
 
 // takeOver ends the grant and begins the next one; what was sent under the one before may still arrive.
-func (w *walkWorld) takeOver(fault walkFault) {
-	w.left.grants--
-	w.messages = slices.DeleteFunc(w.messages, func(one walkMessage) bool { return one.arrived })
+func (w *walkWorld) takeOver(fault plantedFault) {
+	w.remaining.grants--
+	w.messages = slices.DeleteFunc(w.messages, func(message walkMessage) bool { return message.arrived })
 	for index := range w.messages {
 		w.messages[index].open = false
-		if w.messages[index].ended.IsZero() {
-			w.messages[index].ended = w.now
+		if w.messages[index].endedAt.IsZero() {
+			w.messages[index].endedAt = w.now
 		}
 	}
-	w.foreign, w.fenced = false, time.Time{}
-	fence := w.known.fence + 1
-	if fault == walkKeptAcrossGrants {
-		w.known.fence = fence
-		w.known.Answer(w.known.current, NotSent, w.now)
+	w.foreignOrderTaken, w.fencedAt = false, time.Time{}
+	fence := w.tracked.fence + 1
+	if fault == faultKeptAcrossGrants {
+		w.tracked.fence = fence
+		w.tracked.HandleResponse(w.tracked.current, NotSent, w.now)
 		return
 	}
-	w.known = *New(walkTimings, fence, w.now.Add(walkTick), w.replica.held.set())
+	w.tracked = *New(walkTimings, fence, w.now.Add(walkTick), w.replica.loaded.set())
 }
 
 // restart empties the replica. Orders in the network are lost with the connections to its process.
 func (w *walkWorld) restart() {
-	w.left.restarts--
-	w.replica, w.before = walkReplica{}, walkReplica{}
+	w.remaining.restarts--
+	w.replica, w.previous = walkReplica{}, walkReplica{}
 	for index := len(w.messages) - 1; index >= 0; index-- {
 		if !w.messages[index].arrived && !w.messages[index].open {
-			w.lose(index)
+			w.drop(index)
 		}
 	}
 }
 
 // strange has someone with a higher fence load something.
-func (w *walkWorld) strange(taken references) {
-	w.left.strangers--
+func (w *walkWorld) loadByStranger(taken references) {
+	w.remaining.strangers--
 	w.replica.sequence++
-	w.replica.highest = w.known.fence + 1
-	w.replica.held = taken
-	w.foreign = true
+	w.replica.highestFence = w.tracked.fence + 1
+	w.replica.loaded = taken
+	w.foreignOrderTaken = true
 }
--- a/internal/replicastate/walkworld_test.go
+++ b/internal/replicastate/walkworld_test.go
@@ -20,8 +20,8 @@
 
 // walkTimings are in ticks; a report shows the present or the state before the last tick.
 var walkTimings = &Timings{
-	ReportLag: walkTick, BusyPause: walkTick, UnknownPause: walkTick,
-	RefusedPause: 2 * walkTick, Settle: 2 * walkTick, ReportAge: walkTick, Distrust: 2 * walkTick,
+	ReportLag: walkTick, PollInterval: walkTick, UnknownFateDelay: walkTick,
+	RejectedBackoff: 2 * walkTick, MaxOrderLifetime: 2 * walkTick, MaxReportAge: walkTick, DistrustPeriod: 2 * walkTick,
 }
 
 // references is a set of walkReferences.
@@ -37,7 +37,7 @@
 	return found
 }
 
-func maskOf(set map[string]bool) references {
+func maskFor(set map[string]bool) references {
 	var mask references
 	for index, reference := range walkReferences {
 		if set[reference] {
@@ -66,14 +66,14 @@
 
 // walkReplica is the replica's own state. Busy tells that an order is being carried out: next is what it holds then.
 type walkReplica struct {
-	held, next references
-	busy       bool
-	sequence   int64
-	highest    uint64
+	loaded, next references
+	busy         bool
+	sequence     int64
+	highestFence uint64
 }
 
 func (r walkReplica) report() Report {
-	return Report{Sequence: r.sequence, Busy: r.busy, Held: r.held.set()}
+	return Report{Sequence: r.sequence, Busy: r.busy, Loaded: r.loaded.set()}
 }
 
 // walkMessage is an order in the network. The call is open until its end has been told to the holder.
@@ -82,7 +82,7 @@
 	open    bool
 	arrived bool
 	outcome Outcome // once arrived
-	ended   time.Time
+	endedAt time.Time
 }
 
 // walkBudget bounds the world.
@@ -91,17 +91,17 @@
 // walkWorld is one state of the world. Foreign tells that an order of another grant was taken since the present one
 // began, fenced when the holder heard last that an order was refused for its fence.
 type walkWorld struct {
-	now      time.Time
-	replica  walkReplica
-	before   walkReplica // as of the last tick
-	known    Replica
-	messages []walkMessage
-	left     walkBudget
-	foreign  bool
-	fenced   time.Time
-	broken   string
-	parent   *walkWorld
-	label    string // of the move that led here
+	now               time.Time
+	replica           walkReplica
+	previous          walkReplica // as of the last tick
+	tracked           Replica
+	messages          []walkMessage
+	remaining         walkBudget
+	foreignOrderTaken bool
+	fencedAt          time.Time
+	violation         string
+	parent            *walkWorld
+	label             string // of the move that led here
 }
 
 // path lists the moves that led to a state.
@@ -112,17 +112,17 @@
 	return append(w.parent.path(), w.label)
 }
 
-func newWalkWorld(left walkBudget) *walkWorld {
-	w := &walkWorld{now: start, left: left, known: *New(walkTimings, 1, time.Time{}, nil)}
-	w.replica.held = references(0b00011)
-	w.before = w.replica
+func newWalkWorld(budget walkBudget) *walkWorld {
+	w := &walkWorld{now: testStart, remaining: budget, tracked: *New(walkTimings, 1, time.Time{}, nil)}
+	w.replica.loaded = references(0b00011)
+	w.previous = w.replica
 	return w
 }
 
 func (w *walkWorld) clone() *walkWorld {
 	copied := *w
 	copied.messages = slices.Clone(w.messages)
-	copied.known.doubtful = slices.Clone(w.known.doubtful)
+	copied.tracked.uncertain = slices.Clone(w.tracked.uncertain)
 	return &copied
 }
 
@@ -154,34 +154,34 @@
 		flag(one.Load)
 		number(int64(slices.Index(walkReferences, one.Reference)))
 	}
-	for _, one := range []walkReplica{w.replica, w.before} {
-		number(int64(one.held), int64(one.next), one.sequence, int64(one.highest))
+	for _, one := range []walkReplica{w.replica, w.previous} {
+		number(int64(one.loaded), int64(one.next), one.sequence, int64(one.highestFence))
 		flag(one.busy)
 	}
-	known := &w.known
-	number(int64(known.phase), known.sequence, int64(known.fence), int64(maskOf(known.held)), known.refused.sequence)
-	number(int64(known.mismatches), int64(len(known.doubtful)), int64(len(w.messages)))
+	known := &w.tracked
+	number(int64(known.phase), known.sequence, int64(known.fence), int64(maskFor(known.loaded)), known.rejected.sequence)
+	number(int64(known.mismatches), int64(len(known.uncertain)), int64(len(w.messages)))
 	moment(known.trustFrom)
-	moment(known.askAt)
-	moment(known.askedAt)
-	moment(known.blocked)
-	moment(known.refused.until)
-	moment(known.lowerSince)
+	moment(known.pollAt)
+	moment(known.polledAt)
+	moment(known.blockedUntil)
+	moment(known.rejected.until)
+	moment(known.lowerSequenceSince)
 	change(known.current.Change)
-	for _, one := range known.doubtful {
+	for _, one := range known.uncertain {
 		change(one.Change)
 		number(one.Expected)
-		moment(one.until)
-		moment(one.awake)
+		moment(one.expiresAt)
+		moment(one.runningAt)
 	}
 	for _, one := range w.messages {
 		change(one.order.Change)
 		number(one.order.Expected, int64(one.order.Fence), int64(one.outcome))
 		flag(one.open, one.arrived)
-		moment(one.ended)
+		moment(one.endedAt)
 	}
-	number(int64(w.left.orders), int64(w.left.grants), int64(w.left.restarts), int64(w.left.strangers))
-	flag(w.foreign)
-	moment(w.fenced)
+	number(int64(w.remaining.orders), int64(w.remaining.grants), int64(w.remaining.restarts), int64(w.remaining.strangers))
+	flag(w.foreignOrderTaken)
+	moment(w.fencedAt)
 	return string(key)
 }
