--- a/internal/emulator/demo/demo_test.go
+++ b/internal/emulator/demo/demo_test.go
@@ -22,7 +22,7 @@
 	return folder
 }
 
-func TestGivenBothProgramsThenTheDemoServesEveryStreamAndLeavesNothingBehind(t *testing.T) {
+func TestDemo_ServesEveryStreamAndCleansUp(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	planned, err := readPlan()
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestGivenNoProgramsThenTheDemoSaysWhatToBuild(t *testing.T) {
+func TestDemo_NamesMissingPrograms(t *testing.T) {
 	_, err := Run(t.Context(), Options{
 		Programs: t.TempDir(),
 		Controls: 1,
@@ -57,7 +57,7 @@
 	assert.ErrorContains(t, err, "build it beside this program")
 }
 
-func TestGivenAnInterruptThenTheDemoThatStaysUpEnds(t *testing.T) {
+func TestDemo_EndsOnInterrupt(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	told := &teller{awaited: "Ctrl-C ends it", act: cancel}
 	_, err := Run(ctx, Options{
--- a/internal/emulator/recorded_test.go
+++ b/internal/emulator/recorded_test.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/record"
 )
 
-func TestGivenARecordThenItsRequestsAreServedInItsOrder(t *testing.T) {
+func TestWorld_ServesRecordedRequestsInOrder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day")
 	file, err := os.Create(path)
 	assert.NilError(t, err)
--- a/internal/emulator/standin/standin_test.go
+++ b/internal/emulator/standin/standin_test.go
@@ -64,7 +64,7 @@
 	return call(one, http.MethodPost, "/ferryspar/order", body, nil).Code
 }
 
-func TestGivenOrdersThenAStandInAnswersAsThePageSays(t *testing.T) {
+func TestReplica_AnswersOrdersAsDocumented(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one := stand("r-1", "swift")
 		assert.Equal(t, order(one, replica.OperationLoad, "rare", "", 5), http.StatusAccepted)
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestGivenRequestsThenAStandInServesOrPromisesThatItDidNotRun(t *testing.T) {
+func TestReplica_ServesOrProvesNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one := stand("r-1", "swift")
 		header := func(model, target string) map[string]string {
@@ -114,7 +114,7 @@
 	})
 }
 
-func TestGivenPagesThenTheListIsReadWhole(t *testing.T) {
+func TestPlatform_ListIsReadCompletely(t *testing.T) {
 	list := &List{PageSize: 2, Replicas: []*Replica{stand("r-1"), stand("r-2"), stand("r-3")}}
 	server := httptest.NewServer(list)
 	defer server.Close()
--- a/internal/emulator/world_test.go
+++ b/internal/emulator/world_test.go
@@ -73,7 +73,7 @@
 	return scenario
 }
 
-func TestGivenAnyTroublesThenEachOrderEndsOnceAndNoBoundIsCrossed(t *testing.T) {
+func TestWorld_EachRequestEndsOnceUnderAnyFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		world, err := NewWorld(troubled(seed))
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestGivenARegionsLossThenLongReportsReachTheirClientsExactlyOnce(t *testing.T) {
+func TestWorld_LongStreamsDeliveredExactlyOnceAfterRegionLoss(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		scenario := sample(seed)
@@ -133,14 +133,14 @@
 	}
 }
 
-func TestGivenReplicasThatRepeatAnEventOnResumptionThenTheCountShowsIt(t *testing.T) {
+func TestWorld_CountsEventsRepeatedOnResume(t *testing.T) {
 	scenario := sample(1)
 	scenario.Losses = []Loss{{Region: "south", AtS: 25, BackS: 45}}
 	scenario.Replica.Repeats = 1
 	assert.Assert(t, len(play(t, scenario).Violations) > 0, "the check must bite")
 }
 
-func TestGivenADoubledOrMissingEventThenItIsAFault(t *testing.T) {
+func TestWorld_ReportsDuplicateAndMissingEvents(t *testing.T) {
 	for _, wrong := range []int{1, 3} {
 		world, err := NewWorld(sample(1))
 		assert.NilError(t, err)
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestGivenTheSameSeedThenTheResultIsTheSameByteForByte(t *testing.T) {
+func TestWorld_SameSeedGivesSameResult(t *testing.T) {
 	t.Parallel()
 	written := func(seed uint64) string {
 		content, err := json.Marshal(play(t, troubled(seed)))
@@ -172,7 +172,7 @@
 	assert.Assert(t, written(4) != first)
 }
 
-func TestGivenASteadyFleetThenLittlesLawHolds(t *testing.T) {
+func TestWorld_SteadyStateObeysLittlesLaw(t *testing.T) {
 	t.Parallel()
 	world, err := NewWorld(sample(2))
 	assert.NilError(t, err)
@@ -198,7 +198,7 @@
 	assert.Assert(t, math.Abs(present-expected) < 0.02*expected, "%f inside on average, %f by arrivals and times", present, expected)
 }
 
-func TestGivenABadScenarioThenEveryFaultOfItIsNamed(t *testing.T) {
+func TestScenario_NamesEveryInvalidField(t *testing.T) {
 	scenario := troubled(1)
 	scenario.Losses[0].Region = "nowhere"
 	scenario.Classes[0].AimMs = 0
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -25,7 +25,7 @@
 	return byName
 }
 
-func TestGivenAForecastThenItsErrorIsMeasuredAndABrokenOneIsSeen(t *testing.T) {
+func TestCompare_MeasuresForecastErrorAndFlagsBrokenForecast(t *testing.T) {
 	sound := judge(t, emulator.CountByLoad)
 	broken := judge(t, func(before emulator.Snapshot) emulator.Forecast {
 		told := emulator.CountByLoad(before)
@@ -40,7 +40,7 @@
 	assert.Equal(t, len(sound[MethodOtherSeeds+" quick: share slowed"].Truth), 3)
 }
 
-func TestGivenAForecasterThenTheRunItselfIsTheSame(t *testing.T) {
+func TestCompare_ForecastDoesNotChangeTheRun(t *testing.T) {
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
 	played := func(forecaster emulator.Forecaster) string {
@@ -59,7 +59,7 @@
 	assert.Assert(t, played(nil) == played(emulator.ByMatchers(read.AfterS)))
 }
 
-func TestGivenNoLossThenThereIsNothingToForecast(t *testing.T) {
+func TestCompare_NothingToForecastWithoutLoss(t *testing.T) {
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
 	read.Built[0].Losses = nil
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -48,7 +48,7 @@
 parameters.delta = 0.8
 `
 
-func TestGivenAFileThenVariantsChangeJustWhatTheyName(t *testing.T) {
+func TestConfiguration_VariantsChangeOnlyWhatTheyName(t *testing.T) {
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
 	given, spare := read.Built[0], read.Built[1]
@@ -61,7 +61,7 @@
 	assert.DeepEqual(t, given, spare)
 }
 
-func TestGivenFaultyFilesThenEachSaysWhatIsWrong(t *testing.T) {
+func TestConfiguration_NamesFaultsOfInvalidFiles(t *testing.T) {
 	cases := map[string][3]string{
 		"unknown key":      {"lengthS = 30", "length = 30", "has unknown keys: length"},
 		"unknown in list":  {"replicas = 3, clients", "copies = 3, clients", "copies"},
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestGivenTheSameFileThenParallelRunsGiveTheSameBytes(t *testing.T) {
+func TestRun_ParallelRunsGiveSameBytes(t *testing.T) {
 	written := func(atOnce int) string {
 		read, err := Parse([]byte(small))
 		assert.NilError(t, err)
@@ -92,7 +92,7 @@
 	assert.Assert(t, written(1) == written(4))
 }
 
-func TestGivenResultsThenTableAndReadablePlotsAreWritten(t *testing.T) {
+func TestWrite_TableAndPlots(t *testing.T) {
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
 	all, err := Run(t.Context(), read, 2, io.Discard)
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestGivenValuesThenTheIntervalIsStudents(t *testing.T) {
+func TestSummary_UsesStudentsInterval(t *testing.T) {
 	found := estimate([]float64{1, 2, 3, 4})
 	assert.Equal(t, found.Mean, 2.5)
 	assert.Assert(t, math.Abs(found.Half-2.0543) < 0.001, "%f", found.Half)
--- a/internal/experiment/foretold_test.go
+++ b/internal/experiment/foretold_test.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/emulator"
 )
 
-func TestGivenTheDaemonsForecastThenItIsHeldAgainstTheLossAndABrokenOneIsFlagged(t *testing.T) {
+func TestCompare_ChecksDaemonForecastAgainstLoss(t *testing.T) {
 	busier := strings.NewReplacer("perS = 6", "perS = 30", "retryCount = 2", "retryCount = 2\nresumable = true")
 	read, err := Parse([]byte(busier.Replace(small)))
 	assert.NilError(t, err)
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -35,7 +35,7 @@
 	return plan
 }
 
-func TestAHollowFleetAdoptsEveryConfigurationIsCountedAndEndsClean(t *testing.T) {
+func TestFleet_AdoptsEveryConfigurationAndEndsCleanly(t *testing.T) {
 	var progress bytes.Buffer
 	bounded, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -80,7 +80,7 @@
 	assert.Assert(t, os.IsNotExist(err), "temporary folder is left")
 }
 
-func TestAFleetBeyondItsMemoryIsEndedWithAClearMessage(t *testing.T) {
+func TestFleet_EndsWithClearMessageBeyondMemoryLimit(t *testing.T) {
 	plan := smallPlan()
 	plan.Data = 1
 
@@ -89,14 +89,14 @@
 	assert.ErrorContains(t, err, "more than the 0 MB allowed")
 }
 
-func TestPlansOutOfBoundsAreRefused(t *testing.T) {
+func TestPlan_RejectsValuesOutOfRange(t *testing.T) {
 	plan := smallPlan()
 	plan.Members, plan.Data = 4, 0
 
 	assert.Error(t, plan.Check(), "data planes must be 1 to 1000; members must be 3 or 5")
 }
 
-func TestExponentsComeFromBenchmarkLines(t *testing.T) {
+func TestSlopes_ReadExponentsFromBenchmarkLines(t *testing.T) {
 	output := "goos: linux\nBenchmarkHear/edges=8-4  100  1000 ns/op  64 B/op\nBenchmarkHear/edges=80-4  100  100000 ns/op  640 B/op\nPASS\n"
 
 	slopes, err := ReadBench(strings.NewReader(output))
--- a/internal/story/answers_test.go
+++ b/internal/story/answers_test.go
@@ -43,34 +43,34 @@
 		replica.HeaderAttempt, attempt, replica.HeaderSeal, attempt, len(attempt), attempt)
 }
 
-func TestGivenReplicasWhoseAnswersAreSpoiledThenARequestRunsOnceAndTheClientGetsA502OfOurOwn(t *testing.T) {
+func TestProxy_InvalidReplicaAnswerBecomes502WithoutRetry(t *testing.T) {
 	for _, trouble := range []string{"swapped", "nameless", "unproved", "garbled", "reset"} {
 		t.Run(trouble, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				one, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-				f := settled(t, 1, one, two)
-				one.turn(trouble, 1)
-				two.turn(trouble, 1)
-				got := f.ask(1, "attempt-1", "/quick/", "swift")
+				standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+				f := startSettledFleet(t, 1, standIn, two)
+				standIn.setFailing(trouble, 1)
+				two.setFailing(trouble, 1)
+				got := f.request(1, "attempt-1", "/quick/", "swift")
 				assert.Equal(t, got.status, http.StatusBadGateway)
 				assert.Equal(t, got.header.Get(replica.HeaderSeal), "")
-				assert.Equal(t, len(one.ran())+len(two.ran()), 1)
+				assert.Equal(t, len(standIn.executed())+len(two.executed()), 1)
 			})
 		})
 	}
 }
 
-func TestGivenReplicasThatSendMoreThanOneAnswerThenEveryClientGetsItsOwnOrNone(t *testing.T) {
+func TestProxy_SurplusAnswersNeverReachAnotherClient(t *testing.T) {
 	for _, trouble := range []string{"doubled", "endless"} {
 		t.Run(trouble, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-				f := settled(t, 1, one)
-				one.turn(trouble, 1)
+				standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+				f := startSettledFleet(t, 1, standIn)
+				standIn.setFailing(trouble, 1)
 				served := 0
 				for number := range 6 {
 					attempt := fmt.Sprintf("attempt-%d", number)
-					got := f.ask(1, attempt, "/quick/", "swift")
+					got := f.request(1, attempt, "/quick/", "swift")
 					if got.status != http.StatusOK {
 						continue
 					}
@@ -80,7 +80,7 @@
 				}
 				assert.Assert(t, served > 0, "no request was served")
 				seen := map[string]bool{}
-				for _, run := range one.ran() {
+				for _, run := range standIn.executed() {
 					assert.Assert(t, !seen[run.attempt], "%s ran twice", run.attempt)
 					seen[run.attempt] = true
 				}
--- a/internal/story/control_test.go
+++ b/internal/story/control_test.go
@@ -13,16 +13,16 @@
 
 const newRoute = `,{"name":"added","hostname":"shop.example","pathPrefix":"/added/","routeType":"streaming","timeoutMs":20000,"targetLatencyMs":600,"priority":1,"backend":"scribes","retryCount":1}`
 
-func TestGivenTwoOperatorsWhenTheyBuildOnOneVersionThenOneWins(t *testing.T) {
+func TestConfiguration_ConcurrentPutsOnOneVersionHaveOneWinner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		answers := make(chan reply, 2)
 		go func() { answers <- f.put(1, 1, 2, document(2, "")) }()
 		go func() { answers <- f.put(2, 1, 3, document(3, newRoute)) }()
 		first, second := <-answers, <-answers
 		won := 0
-		for _, one := range []reply{first, second} {
-			if one.status == http.StatusOK {
+		for _, answer := range []reply{first, second} {
+			if answer.status == http.StatusOK {
 				won++
 			}
 		}
@@ -31,9 +31,9 @@
 	})
 }
 
-func TestGivenInvalidConfigurationsThenEachIsRefusedWithItsReason(t *testing.T) {
+func TestConfiguration_RejectsInvalidDocumentsWithReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 1)
+		f := startSettledFleet(t, 1)
 		cases := map[string]string{
 			strings.Replace(document(2, ""), `"backend":"scribes"`, `"backend":"nobody"`, 1):                                "nobody",
 			strings.Replace(document(2, ""), `"timeoutMs":20000`, `"timeoutMs":0`, 1):                                       "timeoutMs",
@@ -52,17 +52,17 @@
 	})
 }
 
-func TestGivenAPatchThenEdgesFollowWhatItAddsAndRemoves(t *testing.T) {
+func TestConfiguration_PatchReachesDataPlanes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := settled(t, 2, one)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startSettledFleet(t, 2, standIn)
 		patch := fmt.Sprintf(`{"revision":5,"upsert":{"routeTable":[%s]},"remove":{"routeTable":["patient"]}}`, newRoute[1:])
 		got := f.call(http.MethodPatch, coreHost(2)+":8166", "/ferryspar/config", patch, map[string]string{"If-Match": "1"})
 		assert.Equal(t, got.status, http.StatusOK)
 		time.Sleep(200 * time.Millisecond)
 		for edge := 1; edge <= 2; edge++ {
-			assert.Equal(t, f.ask(edge, "attempt", "/added/x", "swift").status, http.StatusOK)
-			assert.Equal(t, f.ask(edge, "attempt", "/patient/", "swift").status, http.StatusNotFound)
+			assert.Equal(t, f.request(edge, "attempt", "/added/x", "swift").status, http.StatusOK)
+			assert.Equal(t, f.request(edge, "attempt", "/patient/", "swift").status, http.StatusNotFound)
 		}
 		read := f.call(http.MethodGet, coreHost(3)+":8166", "/ferryspar/config", "", nil)
 		assert.Equal(t, read.status, http.StatusOK)
@@ -70,33 +70,33 @@
 	})
 }
 
-func TestGivenHundredsOfAddedRoutesThenAllAreServed(t *testing.T) {
+func TestConfiguration_HundredsOfAddedRoutesAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := settled(t, 1, one)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startSettledFleet(t, 1, standIn)
 		var extra strings.Builder
 		for number := range 350 {
 			extra.WriteString(strings.NewReplacer("added", fmt.Sprintf("added-%d", number)).Replace(newRoute))
 		}
 		assert.Equal(t, f.put(1, 1, 2, document(2, extra.String())).status, http.StatusOK)
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, f.ask(1, "attempt", "/added-349/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.request(1, "attempt", "/added-349/", "swift").status, http.StatusOK)
 	})
 }
 
-func TestGivenAMemberCutFromTheOthersThenItRefusesAndTheRestGoOn(t *testing.T) {
+func TestCluster_PartitionedMemberRejectsAndMajorityContinues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := settled(t, 1, one)
-		f.network.cut(coreHost(1), coreHost(2), true)
-		f.network.cut(coreHost(1), coreHost(3), true)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startSettledFleet(t, 1, standIn)
+		f.network.partition(coreHost(1), coreHost(2), true)
+		f.network.partition(coreHost(1), coreHost(3), true)
 		alone := f.put(1, 1, 2, document(2, newRoute))
 		assert.Assert(t, alone.status >= 500 || alone.cut, "no majority: %d", alone.status)
 		assert.Equal(t, f.put(2, 1, 3, document(3, newRoute)).status, http.StatusOK)
 		time.Sleep(1900 * time.Millisecond)
-		assert.Equal(t, f.ask(1, "attempt", "/added/", "swift").status, http.StatusOK)
-		f.network.cut(coreHost(1), coreHost(2), false)
-		f.network.cut(coreHost(1), coreHost(3), false)
+		assert.Equal(t, f.request(1, "attempt", "/added/", "swift").status, http.StatusOK)
+		f.network.partition(coreHost(1), coreHost(2), false)
+		f.network.partition(coreHost(1), coreHost(3), false)
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.put(1, 1, 2, document(2, newRoute)).status, http.StatusPreconditionFailed)
 		read := f.call(http.MethodGet, coreHost(1)+":8166", "/ferryspar/config", "", nil)
@@ -104,9 +104,9 @@
 	})
 }
 
-func TestGivenAllMembersKilledAtOnceThenWhatWasAcknowledgedIsThere(t *testing.T) {
+func TestCluster_AcknowledgedStateSurvivesKillOfAllMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		assert.Equal(t, f.put(2, 1, 4, document(4, newRoute)).status, http.StatusOK)
 		assert.Equal(t, f.call(http.MethodPost, coreHost(2)+":8166", "/ferryspar/drain-zone/south", "", nil).status, http.StatusOK)
 		for number := 1; number <= 3; number++ {
@@ -121,13 +121,13 @@
 		time.Sleep(3 * time.Second)
 		read := f.call(http.MethodGet, coreHost(1)+":8166", "/ferryspar/config", "", nil)
 		assert.Assert(t, strings.Contains(read.body, `"revision":4`), "%d %s", read.status, read.body)
-		assert.Equal(t, f.ask(1, "attempt", "/added/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.request(1, "attempt", "/added/", "swift").status, http.StatusOK)
 	})
 }
 
-func TestGivenAMemberWithoutItsDiskThenItCatchesUpBeforeItVotes(t *testing.T) {
+func TestCluster_WipedMemberCatchesUpBeforeVoting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 1)
+		f := startSettledFleet(t, 1)
 		assert.Equal(t, f.put(1, 1, 2, document(2, newRoute)).status, http.StatusOK)
 		f.kill(coreHost(1))
 		f.wipe(coreHost(1))
@@ -139,9 +139,9 @@
 	})
 }
 
-func TestGivenALostMemberThenAnEmptyMachineTakesItsPlace(t *testing.T) {
+func TestCluster_LostMemberReplacedBySpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		f.kill(coreHost(1))
 		f.startCore(coreHost(4), false, 2, 3, 4)
 		time.Sleep(6 * time.Second)
@@ -158,31 +158,31 @@
 		assert.Equal(t, f.put(3, 1, 2, document(2, newRoute)).status, http.StatusOK, "the newcomer counts towards the majority")
 		assert.Equal(t, f.put(4, 2, 3, document(3, newRoute)).status, http.StatusOK)
 		time.Sleep(1500 * time.Millisecond)
-		assert.Equal(t, f.ask(1, "attempt", "/added/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.request(1, "attempt", "/added/", "swift").status, http.StatusOK)
 	})
 }
 
-func TestGivenTheHolderOfPlacementLostThenTheNextWaitsOutTheLease(t *testing.T) {
+func TestCluster_NextLeaseHolderWaitsOutTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift", "other")
-		f := settled(t, 1, one)
-		assert.Equal(t, f.ask(1, "attempt-1", "/patient/", "rare").status, http.StatusOK)
-		first := one.told()
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift", "other")
+		f := startSettledFleet(t, 1, standIn)
+		assert.Equal(t, f.request(1, "attempt-1", "/patient/", "rare").status, http.StatusOK)
+		first := standIn.receivedOrders()
 		last := first[len(first)-1]
 		f.kill(strings.TrimPrefix(last.LeaseHolder, "daemon-"))
-		go f.ask(1, "attempt-2", "/patient/", "other")
+		go f.request(1, "attempt-2", "/patient/", "other")
 		time.Sleep(12 * time.Second)
-		all := one.told()
+		all := standIn.receivedOrders()
 		assert.Assert(t, len(all) > len(first), "a successor places again")
 		next := all[len(first)]
 		assert.Assert(t, next.LeaseHolder != last.LeaseHolder)
 		assert.Assert(t, next.Fence > last.Fence)
 		assert.Assert(t, next.at.Sub(last.at) >= 3*time.Second, "turns within the lease: %s", next.at.Sub(last.at))
-		assert.Assert(t, !one.overfull, "%+v", all)
+		assert.Assert(t, !standIn.overfull, "%+v", all)
 	})
 }
 
-func TestGivenFiveControlDaemonsAndTwoLossesToBearThenAllBecomeMembersAndTwoMayGo(t *testing.T) {
+func TestCluster_FiveMembersTolerateTwoLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		f.losses = 2
@@ -200,6 +200,6 @@
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, f.put(4, 1, 2, document(2, newRoute)).status, http.StatusOK, "three of five are a majority")
 		time.Sleep(1500 * time.Millisecond)
-		assert.Equal(t, f.ask(1, "attempt", "/added/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.request(1, "attempt", "/added/", "swift").status, http.StatusOK)
 	})
 }
--- a/internal/story/cutoff_edges_test.go
+++ b/internal/story/cutoff_edges_test.go
@@ -14,8 +14,8 @@
 
 const runningEdges = 2
 
-// cutStory is the run of one cut: operators at the other side, data planes old and new, and what went wrong.
-type cutStory struct {
+// partitionScenario is the run of one cut: operators at the other side, data planes old and new, and what went wrong.
+type partitionScenario struct {
 	f           *fleet
 	o           *operators
 	elsewhere   *operators
@@ -29,14 +29,14 @@
 	over        chan struct{}
 }
 
-func newCutStory(t *testing.T, cores int) *cutStory {
-	one, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-	f := startFleetOf(t, cores, (cores-1)/2, runningEdges, one, two)
+func newPartitionScenario(t *testing.T, cores int) *partitionScenario {
+	standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+	f := startFleetOf(t, cores, (cores-1)/2, runningEdges, standIn, two)
 	numbers := make([]int, 0, cores)
 	for number := 1; number <= cores; number++ {
 		numbers = append(numbers, number)
 	}
-	c := &cutStory{f: f, o: newOperators(f, 1, numbers...), over: make(chan struct{})}
+	c := &partitionScenario{f: f, o: newOperators(f, 1, numbers...), over: make(chan struct{})}
 	c.elsewhere = newOperators(f, 2, numbers[1:]...)
 	time.Sleep(3 * time.Second)
 	assert.Assert(t, c.o.waitMembers(coreHost(1), cores, 30*time.Second), "members never come together")
@@ -45,29 +45,31 @@
 	return c
 }
 
-func (c *cutStory) note(problems ...string) {
+func (c *partitionScenario) note(problems ...string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.problems = append(c.problems, problems...)
 }
 
 // now sets one of the moments of the story.
-func (c *cutStory) now(moment *time.Time) {
+func (c *partitionScenario) now(moment *time.Time) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	*moment = time.Now()
 }
 
-func (c *cutStory) get(moment *time.Time) time.Time {
+func (c *partitionScenario) get(moment *time.Time) time.Time {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return *moment
 }
 
-func (c *cutStory) sleepUntil(sinceCut time.Duration) { time.Sleep(time.Until(c.cutAt.Add(sinceCut))) }
+func (c *partitionScenario) sleepUntil(sinceCut time.Duration) {
+	time.Sleep(time.Until(c.cutAt.Add(sinceCut)))
+}
 
 // send sends a change at the other side, where a majority is in touch, and keeps the calls with the others.
-func (c *cutStory) send(change operatorChange) {
+func (c *partitionScenario) send(change operatorChange) {
 	said := c.elsewhere.send(change, zoneResendBound)
 	c.elsewhere.lock.Lock()
 	calls := c.elsewhere.record
@@ -81,15 +83,15 @@
 	}
 }
 
-func (c *cutStory) zone(zone string, drained bool, occasion string) {
+func (c *partitionScenario) zone(zone string, drained bool, occasion string) {
 	c.send(evacuate(zone, drained, occasion))
 }
 
 // startLonely starts a data plane that can reach no control daemon but the one that is cut off.
-func (c *cutStory) startLonely(edge int) {
+func (c *partitionScenario) startLonely(edge int) {
 	for number := 1; number <= c.f.cores; number++ {
 		if number != cutCore {
-			c.f.network.cut(edgeHost(edge), coreHost(number), true)
+			c.f.network.partition(edgeHost(edge), coreHost(number), true)
 		}
 	}
 	c.f.startEdge(edgeHost(edge))
@@ -98,7 +100,7 @@
 }
 
 // watchEdge sends requests to a data plane and notes every one that only an older state allows.
-func (c *cutStory) watchEdge(edge int, started bool) {
+func (c *partitionScenario) watchEdge(edge int, started bool) {
 	go func() {
 		seen := started
 		for number := 0; ; number++ {
@@ -108,25 +110,25 @@
 			case <-time.After(probeEvery):
 			}
 			changed, evacuatedAt := c.get(&c.changedAt), c.get(&c.evacuatedAt)
-			added := c.f.ask(edge, fmt.Sprintf("added-%d-%d", edge, number), "/fresh/", "swift")
+			added := c.f.request(edge, fmt.Sprintf("added-%d-%d", edge, number), "/fresh/", "swift")
 			if added.status == http.StatusOK {
 				seen = true
 			}
 			if seen && !changed.IsZero() {
-				c.judge(edge, added, c.f.ask(edge, fmt.Sprintf("removed-%d-%d", edge, number), "/patient/", "swift"))
+				c.judge(edge, added, c.f.request(edge, fmt.Sprintf("removed-%d-%d", edge, number), "/patient/", "swift"))
 			}
 			bound := 5 * time.Second
 			if started {
 				bound = 0
 			}
 			if !evacuatedAt.IsZero() && time.Since(evacuatedAt) > bound {
-				c.judgeZone(edge, c.f.ask(edge, fmt.Sprintf("zone-%d-%d", edge, number), "/quick/", "swift"))
+				c.judgeZone(edge, c.f.request(edge, fmt.Sprintf("zone-%d-%d", edge, number), "/quick/", "swift"))
 			}
 		}
 	}()
 }
 
-func (c *cutStory) moment() string {
+func (c *partitionScenario) moment() string {
 	return fmt.Sprintf("%s after the cut", time.Since(c.cutAt).Round(time.Millisecond))
 }
 
@@ -138,7 +140,7 @@
 	return fmt.Sprint("data plane ", edge)
 }
 
-func (c *cutStory) judge(edge int, added, removed reply) {
+func (c *partitionScenario) judge(edge int, added, removed reply) {
 	if added.status == http.StatusNotFound {
 		c.note(fmt.Sprintf("%s refuses the new route %s", label(edge), c.moment()))
 	}
@@ -147,7 +149,7 @@
 	}
 }
 
-func (c *cutStory) judgeZone(edge int, got reply) {
+func (c *partitionScenario) judgeZone(edge int, got reply) {
 	if got.status == http.StatusOK && got.header.Get(replica.HeaderSeal) == replicaGone {
 		c.note(fmt.Sprintf("%s sends to the evacuated zone %s", label(edge), c.moment()))
 	}
@@ -155,11 +157,11 @@
 
 // askPatiently asks again after a refusal for want of a place: the data planes that are watched
 // fill the few places of the one replica that is left, which says nothing of the configuration.
-func (c *cutStory) askPatiently(edge int, path string) reply {
+func (c *partitionScenario) askPatiently(edge int, path string) reply {
 	const tries = 10
 	var last reply
 	for try := range tries {
-		last = c.f.ask(edge, fmt.Sprint("last-", path, edge, "-", try), path, "swift")
+		last = c.f.request(edge, fmt.Sprint("last-", path, edge, "-", try), path, "swift")
 		if last.status != http.StatusServiceUnavailable {
 			return last
 		}
@@ -168,10 +170,10 @@
 	return last
 }
 
-func (c *cutStory) edgesServeTheNewest() {
+func (c *partitionScenario) edgesServeTheNewest() {
 	for _, edge := range append([]int{1, 2}, c.lonely...) {
 		added := c.askPatiently(edge, "/fresh/")
-		removed := c.f.ask(edge, fmt.Sprint("last-removed-", edge), "/patient/", "swift")
+		removed := c.f.request(edge, fmt.Sprint("last-removed-", edge), "/patient/", "swift")
 		if added.status != http.StatusOK || removed.status != http.StatusNotFound {
 			c.note(fmt.Sprintf("%s answers %d and %d 8 s after the heal", label(edge), added.status, removed.status))
 		}
--- a/internal/story/cutoff_test.go
+++ b/internal/story/cutoff_test.go
@@ -19,8 +19,8 @@
 	replicaGone = "seal-i-2"
 )
 
-// cutKind is one way in which a control daemon loses contact.
-type cutKind struct {
+// partitionKind is one way in which a control daemon loses contact.
+type partitionKind struct {
 	name  string
 	apply func(f *fleet, on bool)
 }
@@ -33,43 +33,43 @@
 	}
 }
 
-var cutKinds = []cutKind{
+var cutKinds = []partitionKind{
 	{"from the control daemons, bytes wait", func(f *fleet, on bool) {
-		eachOther(f, func(alone, other string) { f.network.holdBoth(alone, other, on) })
+		eachOther(f, func(alone, other string) { f.network.delayBoth(alone, other, on) })
 	}},
 	{"from the control daemons, writers wait", func(f *fleet, on bool) {
-		eachOther(f, func(alone, other string) { f.network.cut(alone, other, on) })
+		eachOther(f, func(alone, other string) { f.network.partition(alone, other, on) })
 	}},
 	{"one way, it is not heard", func(f *fleet, on bool) {
-		eachOther(f, func(alone, other string) { f.network.hold(alone, other, on) })
+		eachOther(f, func(alone, other string) { f.network.delay(alone, other, on) })
 	}},
 	{"one way, it does not hear", func(f *fleet, on bool) {
-		eachOther(f, func(alone, other string) { f.network.hold(other, alone, on) })
+		eachOther(f, func(alone, other string) { f.network.delay(other, alone, on) })
 	}},
 	{"frozen", func(f *fleet, on bool) { f.network.freeze(coreHost(cutCore), on) }},
 	{"from everything", func(f *fleet, on bool) {
-		eachOther(f, func(alone, other string) { f.network.holdBoth(alone, other, on) })
+		eachOther(f, func(alone, other string) { f.network.delayBoth(alone, other, on) })
 		for number := 1; number <= 9; number++ {
-			f.network.holdBoth(coreHost(cutCore), edgeHost(number), on)
+			f.network.delayBoth(coreHost(cutCore), edgeHost(number), on)
 		}
-		f.network.holdBoth(coreHost(cutCore), operatorHost, on)
-		f.network.holdBoth(coreHost(cutCore), "10.200.0.1", on)
+		f.network.delayBoth(coreHost(cutCore), operatorHost, on)
+		f.network.delayBoth(coreHost(cutCore), "10.200.0.1", on)
 	}},
 }
 
-func TestGivenAControlDaemonCutOffForTwentySecondsThenItProvesWhatItSaysOrSaysNothing(t *testing.T) {
+func TestMember_PartitionedForTwentySecondsAnswersOnlyWithProof(t *testing.T) {
 	for _, cores := range []int{3, 5} {
-		for index := 0; index < len(cutKinds); index += bySweep(1+3*(cores-3)/2, 1) {
+		for index := 0; index < len(cutKinds); index += casesFor(1+3*(cores-3)/2, 1) {
 			kind := cutKinds[index]
 			t.Run(fmt.Sprintf("%d daemons, %s", cores, kind.name), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playCut(t, cores, kind) })
+				synctest.Test(t, func(t *testing.T) { runPartition(t, cores, kind) })
 			})
 		}
 	}
 }
 
-func playCut(t *testing.T, cores int, kind cutKind) {
-	c := newCutStory(t, cores)
+func runPartition(t *testing.T, cores int, kind partitionKind) {
+	c := newPartitionScenario(t, cores)
 	kind.apply(c.f, true)
 	c.now(&c.cutAt)
 	go c.pressTheCutOne()
@@ -97,7 +97,7 @@
 	assert.Equal(t, len(c.problems), 0, listed(c.problems))
 }
 
-func (c *cutStory) changeElsewhere() {
+func (c *partitionScenario) changeElsewhere() {
 	c.send(replaceRoute(1, 2, "fresh", "patient"))
 	c.now(&c.changedAt)
 	c.startLonely(3)
@@ -114,7 +114,7 @@
 }
 
 // lateCopies leaves a copy of a withdrawal with the daemon that is cut off; the zone is evacuated again after it.
-func (c *cutStory) lateCopies(occasion, zone string) {
+func (c *partitionScenario) lateCopies(occasion, zone string) {
 	c.zone(zone, true, "before "+occasion)
 	withdrawal := evacuate(zone, false, occasion)
 	c.o.attempt(withdrawal, coreHost(cutCore))
@@ -123,7 +123,7 @@
 }
 
 // lateEvacuation leaves a copy of an evacuation there shortly before the heal; it is withdrawn after it.
-func (c *cutStory) lateEvacuation(occasion, zone string) {
+func (c *partitionScenario) lateEvacuation(occasion, zone string) {
 	change := evacuate(zone, true, occasion)
 	c.o.attempt(change, coreHost(cutCore))
 	c.send(change)
@@ -131,7 +131,7 @@
 }
 
 // pressTheCutOne calls the daemon that is cut off; nothing that it can say then is proven.
-func (c *cutStory) pressTheCutOne() {
+func (c *partitionScenario) pressTheCutOne() {
 	host := coreHost(cutCore)
 	for number := 0; ; number++ {
 		time.Sleep(300 * time.Millisecond)
@@ -155,7 +155,7 @@
 	}
 }
 
-func (c *cutStory) allServeTheNewest() {
+func (c *partitionScenario) allServeTheNewest() {
 	for _, host := range c.o.hosts {
 		status, content := c.o.read(host)
 		if status != http.StatusOK || revisionIn(content) != c.o.newest() {
@@ -165,7 +165,7 @@
 	c.zonesAreAsAcknowledged("3 s after the heal")
 }
 
-func (c *cutStory) zonesAreAsAcknowledged(when string) {
+func (c *partitionScenario) zonesAreAsAcknowledged(when string) {
 	for _, host := range c.o.hosts {
 		for _, problem := range c.o.zoneViolations(host) {
 			c.note(when + " " + problem)
--- a/internal/story/disk_test.go
+++ b/internal/story/disk_test.go
@@ -13,13 +13,13 @@
 // firstRingFile holds the first generation of a member's state.
 const firstRingFile = "ring-1"
 
-func TestGivenAMemberWhoseNewestFileIsGoneThenItDoesNotVoteUntilItHasReadTheOthers(t *testing.T) {
+func TestMember_LostNewestSegmentSuspendsVoteUntilCatchUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		assert.Equal(t, f.put(1, 1, 2, document(2, "")).status, http.StatusOK)
 		f.kill(coreHost(1))
 		f.kill(coreHost(3))
-		f.folders[coreHost(3)].(*memoryFolder).remove(firstRingFile)
+		f.folders[coreHost(3)].(*memoryDirectory).remove(firstRingFile)
 		f.startCore(coreHost(3), true, 1, 2, 3)
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, f.put(2, 2, 3, document(3, newRoute)).status != http.StatusOK, "a member without its state made a majority")
--- a/internal/story/drill_test.go
+++ b/internal/story/drill_test.go
@@ -17,13 +17,13 @@
 
 var southDrill = drill.Request{Kind: drill.KindDrill, Scope: drill.Scope{Zone: "south"}, Share: 1, ForMs: 8000}
 
-func (f *fleet) drill(core int, wish drill.Request) (drill.Status, int) {
-	got, _ := f.rehearse(core, wish)
+func (f *fleet) drill(core int, request drill.Request) (drill.Status, int) {
+	got, _ := f.rehearse(core, request)
 	return readStatus(got), got.status
 }
 
-func (f *fleet) begin(core int, wish drill.Request) drill.Status {
-	begun, status := f.drill(core, wish)
+func (f *fleet) startDrill(core int, request drill.Request) drill.Status {
+	begun, status := f.drill(core, request)
 	assert.Equal(f.t, status, http.StatusOK)
 	return begun
 }
@@ -67,7 +67,7 @@
 					default:
 					}
 					attempt := fmt.Sprintf("%d%s%s-%d", edge, path, model, number)
-					got := f.talk(edge, attempt, path, model, fmt.Sprintf("aa:100,b%d:200", number%7))
+					got := f.requestWithPrefix(edge, attempt, path, model, fmt.Sprintf("aa:100,b%d:200", number%7))
 					running.lock.Lock()
 					running.replies[attempt] = got
 					running.lock.Unlock()
@@ -82,7 +82,7 @@
 func (r *traffic) check(t *testing.T, stands map[string]*standInReplica) {
 	ran := map[string]int{}
 	for _, stand := range stands {
-		for _, run := range stand.ran() {
+		for _, run := range stand.executed() {
 			ran[run.attempt]++
 		}
 	}
@@ -95,7 +95,7 @@
 
 func runsSince(stand *standInReplica, at time.Time) map[string]int {
 	seen := map[string]int{}
-	for _, run := range stand.ran() {
+	for _, run := range stand.executed() {
 		if run.at.After(at) {
 			seen[strings.Split(run.attempt, "-")[0][1:]]++
 		}
@@ -105,9 +105,9 @@
 
 var mixed = map[string]string{"/quick/": "swift", "/patient/": "swift", "/quick/a": "other", "/homely/": "swift"}
 
-func TestGivenADrillThenNewWorkDoesWithoutTheRegionButForLastCopiesAndHomesAndReturnsAtItsEnd(t *testing.T) {
+func TestDrill_MovesNewWorkAwayAndBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stands := twoRegions(t, 2)
+		f, stands := startTwoRegions(t, 2)
 		work := f.flow([]int{1, 2}, mixed)
 		from := time.Now()
 		time.Sleep(2 * time.Second)
@@ -119,9 +119,9 @@
 			return seen
 		}
 		assert.Assert(t, landRuns()["/quick/swift"] > 20, "%v", landRuns())
-		wish := southDrill
-		wish.Scope = drill.Scope{Region: "land"}
-		begun := f.begin(2, wish)
+		request := southDrill
+		request.Scope = drill.Scope{Region: "land"}
+		begun := f.startDrill(2, request)
 		assert.Assert(t, begun.Running)
 		time.Sleep(200 * time.Millisecond)
 		from = time.Now()
@@ -137,8 +137,8 @@
 		assert.Assert(t, !ended.Running && !ended.EndedByGuard, "%+v", ended)
 		assert.Equal(t, ended.EndReason, drill.EndedByTime)
 		counted := map[string]drill.RouteOutcomes{}
-		for _, one := range ended.Routes {
-			counted[one.Name] = one
+		for _, route := range ended.Routes {
+			counted[route.Name] = route
 		}
 		quick := counted["quick"]
 		assert.Assert(t, quick.Drilled.WithinTarget > 50 && quick.Drilled.Late+quick.Drilled.Rejected+quick.Drilled.Exempted == 0, "%+v", quick)
@@ -151,22 +151,22 @@
 	})
 }
 
-func TestGivenStagesThenTheSmallerShareLiesInTheLarger(t *testing.T) {
+func TestDrill_SmallerStageIsSubsetOfLarger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stands := twoRegions(t, 1)
+		f, stands := startTwoRegions(t, 1)
 		f.put(1, 2, 3, strings.Replace(document(3, ""), `"slots":8`, `"slots":64`, 1))
 		shares := map[float64]int{}
 		for _, share := range []float64{0.1, 0.5} {
-			wish := southDrill
-			wish.Share = share
-			f.begin(1, wish)
+			request := southDrill
+			request.Share = share
+			f.startDrill(1, request)
 			time.Sleep(200 * time.Millisecond)
 			work := f.flow([]int{1}, map[string]string{"/quick/": "swift"})
 			time.Sleep(6 * time.Second)
 			work.end()
 			work.check(t, stands)
-			for _, one := range f.drillState(1, http.MethodDelete).Routes {
-				shares[share] = 100 * one.Drilled.WithinTarget / (one.Drilled.WithinTarget + one.Rest.WithinTarget)
+			for _, route := range f.drillState(1, http.MethodDelete).Routes {
+				shares[share] = 100 * route.Drilled.WithinTarget / (route.Drilled.WithinTarget + route.Rest.WithinTarget)
 			}
 			time.Sleep(500 * time.Millisecond)
 			for _, stand := range stands {
@@ -179,13 +179,13 @@
 	})
 }
 
-func TestGivenADrillThenASecondIsRefusedAnyMemberStopsItAndAnEvacuationWins(t *testing.T) {
+func TestDrill_OnlyOneAtATimeAndEvacuationWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := twoRegions(t, 1)
-		wish := southDrill
-		wish.IdempotencyKey = "once"
-		f.begin(1, wish)
-		again := f.begin(3, wish)
+		f, _ := startTwoRegions(t, 1)
+		request := southDrill
+		request.IdempotencyKey = "once"
+		f.startDrill(1, request)
+		again := f.startDrill(3, request)
 		assert.Equal(t, again.Number, uint64(1))
 		_, status := f.drill(2, southDrill)
 		assert.Equal(t, status, http.StatusConflict)
@@ -194,7 +194,7 @@
 		assert.Assert(t, !stopped.Running && !stopped.EndedByGuard && stopped.EndReason == drill.EndedByOperator, "%+v", stopped)
 		f.startCore(coreHost(1), false, 1, 2, 3)
 		time.Sleep(8 * time.Second)
-		second := f.begin(2, southDrill)
+		second := f.startDrill(2, southDrill)
 		assert.Equal(t, second.Number, uint64(2))
 		time.Sleep(time.Second)
 		assert.Equal(t, f.call(http.MethodPost, coreHost(1)+":8166", "/ferryspar/drain-zone/south", "", nil).status, http.StatusOK)
@@ -206,15 +206,15 @@
 	})
 }
 
-func TestGivenSenselessDrillsThenEachIsRefused(t *testing.T) {
+func TestDrill_RejectsInvalidRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := twoRegions(t, 1)
+		f, _ := startTwoRegions(t, 1)
 		zone := drill.Scope{Zone: "south"}
 		cases := []drill.Request{{Scope: zone, Share: 1.5}, {Scope: zone, Share: -1}, {Scope: zone, ForMs: 1}, {Scope: zone, ForMs: 3600000}, {Scope: zone, Margin: 2}, {Scope: drill.Scope{Zone: "east"}}, {}}
-		for _, wish := range cases {
-			wish.Kind = drill.KindDrill
-			_, status := f.drill(1, wish)
-			assert.Equal(t, status, http.StatusBadRequest, "%+v", wish)
+		for _, request := range cases {
+			request.Kind = drill.KindDrill
+			_, status := f.drill(1, request)
+			assert.Equal(t, status, http.StatusBadRequest, "%+v", request)
 		}
 		assert.Equal(t, f.drillState(1, http.MethodGet).Number, uint64(0))
 		assert.Equal(t, f.drillState(1, http.MethodDelete).Number, uint64(0))
--- a/internal/story/fleet_test.go
+++ b/internal/story/fleet_test.go
@@ -24,31 +24,31 @@
 )
 
 const (
-	serviceName      = "scribes"
-	placesPerReplica = 2
+	serviceName     = "scribes"
+	slotsPerReplica = 2
 )
 
-type running struct {
+type runningNode struct {
 	stop   chan os.Signal
 	cancel context.CancelFunc
 	done   chan error
 }
 
 type fleet struct {
-	t        *testing.T
-	network  *memoryNetwork
-	lock     sync.Mutex
-	replicas []*standInReplica
-	daemons  map[string]*running
-	folders  map[string]keystore.Directory
-	client   *http.Client
-	listed   int
-	listTook time.Duration
-	pageSize int
-	paged    func(from int)
-	losses   int
-	cores    int
-	adjust   func(settings *nodesettings.Settings)
+	t            *testing.T
+	network      *memoryNetwork
+	lock         sync.Mutex
+	replicas     []*standInReplica
+	nodes        map[string]*runningNode
+	folders      map[string]keystore.Directory
+	client       *http.Client
+	listed       int
+	listDuration time.Duration
+	pageSize     int
+	paged        func(from int)
+	losses       int
+	cores        int
+	adjust       func(settings *nodesettings.Settings)
 }
 
 var zones = map[string]string{"north": "land", "south": "land", "east": "land", "abroad": "far"}
@@ -63,13 +63,13 @@
 // startFleetOf starts control daemons that are to bear a number of losses, and data planes.
 func startFleetOf(t *testing.T, cores, losses, edges int, replicas ...*standInReplica) *fleet {
 	logrus.SetOutput(io.Discard)
-	f := &fleet{t: t, network: newMemoryNetwork(), daemons: map[string]*running{}, folders: map[string]keystore.Directory{}, losses: losses, cores: cores}
+	f := &fleet{t: t, network: newMemoryNetwork(), nodes: map[string]*runningNode{}, folders: map[string]keystore.Directory{}, losses: losses, cores: cores}
 	transport := peer.NewTransport(f.network.machine("10.9.9.9"), time.Second, time.Minute, 0)
 	transport.DisableKeepAlives = true
 	f.client = &http.Client{Transport: transport}
 	f.serve("10.200.0.1", "10.200.0.1:80", http.HandlerFunc(f.list))
-	for _, one := range replicas {
-		f.add(one)
+	for _, standIn := range replicas {
+		f.add(standIn)
 	}
 	for number := 1; number <= cores; number++ {
 		f.startCore(coreHost(number), true, 1, 2, 3)
@@ -79,22 +79,22 @@
 	}
 	t.Cleanup(func() {
 		f.network.healAll()
-		for _, one := range f.daemons {
-			one.cancel()
+		for _, node := range f.nodes {
+			node.cancel()
 		}
 		f.lock.Lock()
 		listening := map[string]bool{}
-		for _, one := range f.replicas {
-			listening[hostOf(one.listed.Address)] = true
+		for _, standIn := range f.replicas {
+			listening[hostOf(standIn.listed.Address)] = true
 		}
 		f.lock.Unlock()
 		for host := range listening {
-			f.network.breakOff(host)
+			f.network.resetAll(host)
 		}
-		f.network.breakOff("10.200.0.1")
+		f.network.resetAll("10.200.0.1")
 		for number := 1; number <= 9; number++ {
-			f.network.breakOff(coreHost(number))
-			f.network.breakOff(edgeHost(number))
+			f.network.resetAll(coreHost(number))
+			f.network.resetAll(edgeHost(number))
 		}
 		time.Sleep(2 * time.Minute)
 	})
@@ -112,18 +112,18 @@
 	go func() { _ = http.Serve(listener, handler) }()
 }
 
-func (f *fleet) add(one *standInReplica) {
+func (f *fleet) add(standIn *standInReplica) {
 	f.lock.Lock()
-	f.replicas = append(f.replicas, one)
+	f.replicas = append(f.replicas, standIn)
 	f.lock.Unlock()
-	f.serve(hostOf(one.listed.Address), one.listed.Address, one)
+	f.serve(hostOf(standIn.listed.Address), standIn.listed.Address, standIn)
 }
 
 func (f *fleet) list(writer http.ResponseWriter, request *http.Request) {
 	f.lock.Lock()
 	replicas := append([]*standInReplica(nil), f.replicas...)
 	f.listed++
-	took := f.listTook
+	took := f.listDuration
 	f.lock.Unlock()
 	time.Sleep(took)
 	_ = json.NewEncoder(writer).Encode(f.pageOf(replicas, request.URL.Query().Get("pageToken")))
@@ -154,19 +154,19 @@
 
 func (f *fleet) launch(host string, run func(ctx context.Context, signals nodesettings.Signals) error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	one := &running{stop: make(chan os.Signal, 1), cancel: cancel, done: make(chan error, 1)}
+	node := &runningNode{stop: make(chan os.Signal, 1), cancel: cancel, done: make(chan error, 1)}
 	f.lock.Lock()
-	f.daemons[host] = one
+	f.nodes[host] = node
 	f.lock.Unlock()
-	go func() { one.done <- run(ctx, nodesettings.Signals{Stop: one.stop}) }()
+	go func() { node.done <- run(ctx, nodesettings.Signals{Stop: node.stop}) }()
 }
 
 func (f *fleet) startCore(host string, bootstrap bool, seeds ...int) {
 	f.lock.Lock()
 	if f.folders[host] == nil {
-		f.folders[host] = &memoryFolder{files: map[string][]byte{}}
+		f.folders[host] = &memoryDirectory{files: map[string][]byte{}}
 	}
-	folder := guardedFolder{f.folders[host], f.network, host}
+	folder := freezableDirectory{f.folders[host], f.network, host}
 	f.lock.Unlock()
 	daemon, err := controlplane.New(f.settings(host, bootstrap, seeds...), "", f.network.machine(host), folder)
 	assert.NilError(f.t, err)
@@ -181,17 +181,17 @@
 	f.launch(host, dataplane.New(f.settings(host, true, seeds...), "", f.network.machine(host)).Run)
 }
 
-func (f *fleet) daemon(host string) *running {
+func (f *fleet) runningNode(host string) *runningNode {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.daemons[host]
+	return f.nodes[host]
 }
 
 func (f *fleet) kill(host string) {
-	f.daemon(host).cancel()
-	f.network.breakOff(host)
+	f.runningNode(host).cancel()
+	f.network.resetAll(host)
 	time.Sleep(10 * time.Millisecond)
-	f.network.breakOff(host)
+	f.network.resetAll(host)
 }
 
 type reply struct {
@@ -225,7 +225,7 @@
 	return f.call(http.MethodPut, coreHost(core)+":8166", "/ferryspar/config", document, map[string]string{"If-Match": fmt.Sprint(condition)})
 }
 
-func (f *fleet) ask(edge int, attempt, path, model string) reply {
+func (f *fleet) request(edge int, attempt, path, model string) reply {
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
 		"Host": "shop.example", replica.HeaderAttempt: attempt, replica.HeaderModel: model, replica.HeaderTokens: "100,20",
 		replica.HeaderPrefix: "aa:60,bb:40", replica.HeaderRemaining: "20000",
--- a/internal/story/folder_test.go
+++ b/internal/story/folder_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// memoryFolder is a member's data folder. All that is written to it lasts, unless losePower is called:
+// memoryDirectory is a member's data folder. All that is written to it lasts, unless losePower is called:
 // then the content of each file is what it was when it was last synced.
-type memoryFolder struct {
+type memoryDirectory struct {
 	lock   sync.Mutex
 	files  map[string][]byte
 	synced map[string][]byte
 }
 
-func (m *memoryFolder) losePower() {
+func (m *memoryDirectory) losePower() {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	for name := range m.files {
@@ -23,19 +23,19 @@
 	}
 }
 
-func (m *memoryFolder) List() ([]string, error) {
+func (m *memoryDirectory) List() ([]string, error) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
-func (m *memoryFolder) Read(name string) ([]byte, error) {
+func (m *memoryDirectory) Read(name string) ([]byte, error) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return append([]byte(nil), m.files[name]...), nil
 }
 
-func (m *memoryFolder) Prepare(name string, size int64) error {
+func (m *memoryDirectory) Prepare(name string, size int64) error {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if _, exists := m.files[name]; !exists {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func (m *memoryFolder) Write(name string, offset int64, content []byte) error {
+func (m *memoryDirectory) Write(name string, offset int64, content []byte) error {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	held := m.files[name]
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func (m *memoryFolder) Sync(name string) error {
+func (m *memoryDirectory) Sync(name string) error {
 	time.Sleep(5 * time.Millisecond)
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -67,13 +67,13 @@
 	return nil
 }
 
-func (m *memoryFolder) SyncDirectory() error {
+func (m *memoryDirectory) SyncDirectory() error {
 	time.Sleep(5 * time.Millisecond)
 	return nil
 }
 
 // remove takes a file away, as a lost name does.
-func (m *memoryFolder) remove(name string) {
+func (m *memoryDirectory) remove(name string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	delete(m.files, name)
@@ -83,12 +83,12 @@
 func (f *fleet) wipe(host string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.folders[host] = &memoryFolder{files: map[string][]byte{}}
+	f.folders[host] = &memoryDirectory{files: map[string][]byte{}}
 }
 
 // losePower loses what a dead machine's disk had not synced.
 func (f *fleet) losePower(host string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.folders[host].(*memoryFolder).losePower()
+	f.folders[host].(*memoryDirectory).losePower()
 }
--- a/internal/story/founding_fleet_test.go
+++ b/internal/story/founding_fleet_test.go
@@ -21,8 +21,8 @@
 	killed bool
 }
 
-// foundingStory is a fleet whose control daemons are killed while the system starts for the first time.
-type foundingStory struct {
+// bootstrapScenario is a fleet whose control daemons are killed while the system starts for the first time.
+type bootstrapScenario struct {
 	f         *fleet
 	seeds     []int
 	disks     map[string]*membersim.Disk
@@ -31,8 +31,8 @@
 	draw      *rand.Rand
 }
 
-func newFoundingStory(t *testing.T, cores, losses int, seeds []int, seed uint64) *foundingStory {
-	s := &foundingStory{
+func newBootstrapScenario(t *testing.T, cores, losses int, seeds []int, seed uint64) *bootstrapScenario {
+	s := &bootstrapScenario{
 		f: startFleetOf(t, 0, losses, 0), seeds: seeds, disks: map[string]*membersim.Disk{}, processes: map[string]*coreProcess{},
 		draw: rand.New(rand.NewPCG(seed, 1)),
 	}
@@ -42,16 +42,16 @@
 	return s
 }
 
-func (s *foundingStory) cores() int { return len(s.disks) }
+func (s *bootstrapScenario) cores() int { return len(s.disks) }
 
 // start begins a life of every daemon, in drawn order, one shortly after the other.
-func (s *foundingStory) start(bootstrap bool) {
+func (s *bootstrapScenario) start(bootstrap bool) {
 	for position, number := range s.draw.Perm(s.cores()) {
 		s.startOne(coreHost(number+1), bootstrap, time.Duration(position)*startStagger)
 	}
 }
 
-func (s *foundingStory) startOne(host string, bootstrap bool, delay time.Duration) {
+func (s *bootstrapScenario) startOne(host string, bootstrap bool, delay time.Duration) {
 	process := &coreProcess{handle: s.disks[host].Attach()}
 	s.lock.Lock()
 	s.processes[host] = process
@@ -74,7 +74,7 @@
 }
 
 // kill ends daemons at the same instant; with power their unsynced writes meet the fate that is drawn.
-func (s *foundingStory) kill(power bool, hosts ...string) {
+func (s *bootstrapScenario) kill(power bool, hosts ...string) {
 	for _, host := range hosts {
 		s.lock.Lock()
 		process := s.processes[host]
@@ -82,15 +82,15 @@
 		process.handle.Kill()
 		process.lock.Lock()
 		process.killed = true
-		if running := s.f.daemon(host); running != nil {
+		if running := s.f.runningNode(host); running != nil {
 			running.cancel()
 		}
 		process.lock.Unlock()
-		s.f.network.breakOff(host)
+		s.f.network.resetAll(host)
 	}
 	time.Sleep(10 * time.Millisecond)
 	for _, host := range hosts {
-		s.f.network.breakOff(host)
+		s.f.network.resetAll(host)
 		if power {
 			s.lock.Lock()
 			s.disks[host].LosePower(s.draw)
@@ -100,15 +100,15 @@
 }
 
 // cutStandbys cuts the daemons that are no founders from the three that are, or heals that.
-func (s *foundingStory) cutStandbys(cut bool) {
+func (s *bootstrapScenario) cutStandbys(cut bool) {
 	for founder := 1; founder <= 3; founder++ {
 		for standby := 4; standby <= s.cores(); standby++ {
-			s.f.network.cut(coreHost(founder), coreHost(standby), cut)
+			s.f.network.partition(coreHost(founder), coreHost(standby), cut)
 		}
 	}
 }
 
-func (s *foundingStory) hosts() []string {
+func (s *bootstrapScenario) hosts() []string {
 	var hosts []string
 	for number := 1; number <= s.cores(); number++ {
 		hosts = append(hosts, coreHost(number))
@@ -117,7 +117,7 @@
 }
 
 // checkFounded expects the first configuration to be acknowledged soon, and all daemons to be one system.
-func (s *foundingStory) checkFounded(t *testing.T, members int) {
+func (s *bootstrapScenario) checkFounded(t *testing.T, members int) {
 	t.Helper()
 	began, last := time.Now(), reply{}
 	for last.status != http.StatusOK && time.Since(began) < foundedWithin {
@@ -142,7 +142,7 @@
 var lifeBounds = []time.Duration{60 * time.Millisecond, 150 * time.Millisecond, foundingSweep}
 
 // lives kills and starts one daemon at drawn moments until the bound has passed, and leaves it running.
-func (s *foundingStory) lives(host string, draw *rand.Rand, bound time.Duration) {
+func (s *bootstrapScenario) lives(host string, draw *rand.Rand, bound time.Duration) {
 	for end := time.Now().Add(bound); time.Now().Before(end); {
 		time.Sleep(time.Duration(draw.IntN(int(lifeBounds[draw.IntN(len(lifeBounds))]))))
 		s.kill(draw.IntN(2) == 0, host)
--- a/internal/story/founding_test.go
+++ b/internal/story/founding_test.go
@@ -23,18 +23,18 @@
 	foundingStride = 8
 )
 
-// foundingMoments are the moments after the start at which all daemons are killed.
-func foundingMoments(offset int) []time.Duration {
+// bootstrapMoments are the moments after the start at which all daemons are killed.
+func bootstrapMoments(offset int) []time.Duration {
 	var found []time.Duration
-	stride := bySweep(foundingStride, 1)
+	stride := casesFor(foundingStride, 1)
 	for step := offset % stride; time.Duration(step)*foundingStep <= foundingSweep; step += stride {
 		found = append(found, time.Duration(step)*foundingStep)
 	}
 	return found
 }
 
-// foundingCase is a deployment and how often all its daemons are killed before they stay.
-type foundingCase struct {
+// bootstrapCase is a deployment and how often all its daemons are killed before they stay.
+type bootstrapCase struct {
 	name    string
 	cores   int
 	losses  int
@@ -44,7 +44,7 @@
 	power   bool
 }
 
-var foundingCases = []foundingCase{
+var foundingCases = []bootstrapCase{
 	{"three", 3, 1, []int{1, 2, 3}, 3, 1, false},
 	{"three without power", 3, 1, []int{1, 2, 3}, 3, 1, true},
 	{"three, four times", 3, 1, []int{1, 2, 3}, 3, 4, true},
@@ -54,31 +54,31 @@
 	{"two, twice", 2, 0, []int{1, 2}, 2, 2, true},
 }
 
-func TestGivenAllControlDaemonsKilledWhileTheyFoundTheSystemThenOneSystemIsFounded(t *testing.T) {
-	for index, one := range foundingCases {
-		for _, moment := range foundingMoments(3 * index) {
-			t.Run(fmt.Sprintf("%s, %s", one.name, moment), func(t *testing.T) {
+func TestBootstrap_FoundsOneClusterWhenAllMembersAreKilledMeanwhile(t *testing.T) {
+	for index, test := range foundingCases {
+		for _, moment := range bootstrapMoments(3 * index) {
+			t.Run(fmt.Sprintf("%s, %s", test.name, moment), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newFoundingStory(t, one.cores, one.losses, one.seeds, uint64(moment))
-					for life := range one.kills {
+					s := newBootstrapScenario(t, test.cores, test.losses, test.seeds, uint64(moment))
+					for life := range test.kills {
 						s.start(life == 0)
 						time.Sleep(moment)
-						s.kill(one.power, s.hosts()...)
+						s.kill(test.power, s.hosts()...)
 						time.Sleep(restartDelay)
 					}
 					s.start(false)
-					s.checkFounded(t, one.members)
+					s.checkFounded(t, test.members)
 				})
 			})
 		}
 	}
 }
 
-func TestGivenControlDaemonsThatDieAtAnyMomentsWhileTheyFoundTheSystemThenOneSystemIsFounded(t *testing.T) {
-	for seed := range bySweep(12, 400) {
+func TestBootstrap_FoundsOneClusterWhenMembersDieAtAnyMoment(t *testing.T) {
+	for seed := range casesFor(12, 400) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newFoundingStory(t, 3, 1, []int{1, 2, 3}, uint64(seed))
+				s := newBootstrapScenario(t, 3, 1, []int{1, 2, 3}, uint64(seed))
 				s.start(true)
 				var playing sync.WaitGroup
 				for number, host := range s.hosts() {
@@ -91,9 +91,9 @@
 	}
 }
 
-func TestGivenAFoundedSystemAndMoreDisksLostThanItBearsThenItWaitsAndNoSecondOneIsFounded(t *testing.T) {
+func TestBootstrap_NotRepeatedWhenTooManyDisksAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFoundingStory(t, 3, 1, []int{1, 2, 3}, 1)
+		s := newBootstrapScenario(t, 3, 1, []int{1, 2, 3}, 1)
 		s.start(true)
 		s.checkFounded(t, 3)
 		s.kill(false, s.hosts()...)
@@ -108,10 +108,10 @@
 	})
 }
 
-func TestGivenOneDiskLostAndAllKilledRightAfterTheFirstConfigurationThenItIsStillThere(t *testing.T) {
+func TestBootstrap_KeepsFirstConfigurationAfterDiskLossAndKill(t *testing.T) {
 	for lost := 1; lost <= 3; lost++ {
 		synctest.Test(t, func(t *testing.T) {
-			s := newFoundingStory(t, 3, 1, []int{1, 2, 3}, uint64(lost))
+			s := newBootstrapScenario(t, 3, 1, []int{1, 2, 3}, uint64(lost))
 			s.start(true)
 			for s.f.put(1, 0, 1, document(1, "")).status != http.StatusOK {
 				time.Sleep(10 * time.Millisecond)
@@ -129,10 +129,10 @@
 	}
 }
 
-func TestGivenMachinesThatNeverVotedAndNameOneAnotherAsSeedsThenTheyFoundNoSecondSystem(t *testing.T) {
+func TestBootstrap_NotRepeatedByNonVotersThatAreEachOthersSeeds(t *testing.T) {
 	for _, apart := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			s := newFoundingStory(t, 6, 1, []int{1, 2, 3}, 1)
+			s := newBootstrapScenario(t, 6, 1, []int{1, 2, 3}, 1)
 			s.cutStandbys(apart)
 			s.start(true)
 			time.Sleep(2 * restartDelay)
--- a/internal/story/guard_test.go
+++ b/internal/story/guard_test.go
@@ -13,14 +13,14 @@
 )
 
 func longDrill() drill.Request {
-	wish := southDrill
-	wish.ForMs = 60000
-	return wish
+	request := southDrill
+	request.ForMs = 60000
+	return request
 }
 
-func TestGivenReplicasOutsideThatCannotTakeItThenNobodyIsRefusedAndTheGuardEndsTheDrill(t *testing.T) {
+func TestDrill_GuardEndsItWhenRemainingReplicasLackCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stands := twoRegions(t, 2)
+		f, stands := startTwoRegions(t, 2)
 		for _, id := range []string{"i-1", "i-3"} {
 			stands[id].lock.Lock()
 			stands[id].slow = 750 * time.Millisecond
@@ -28,7 +28,7 @@
 		}
 		work := f.flow([]int{1, 2}, map[string]string{"/quick/": "swift", "/quick/a": "swift", "/quick/b": "swift"})
 		time.Sleep(6 * time.Second)
-		f.begin(1, longDrill())
+		f.startDrill(1, longDrill())
 		time.Sleep(30 * time.Second)
 		ended := f.drillState(2, http.MethodGet)
 		assert.Assert(t, !ended.Running && ended.EndedByGuard, "%+v", ended)
@@ -41,14 +41,14 @@
 	})
 }
 
-func TestGivenACutOffEdgeThenItEndsTheDrillItselfAndTheOthersFollow(t *testing.T) {
+func TestDrill_EndedByDataPlaneThatIsPartitioned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stands := twoRegions(t, 2)
+		f, stands := startTwoRegions(t, 2)
 		work := f.flow([]int{2}, map[string]string{"/quick/": "swift", "/quick/a": "swift", "/quick/b": "swift"})
 		time.Sleep(time.Second)
-		f.begin(1, longDrill())
+		f.startDrill(1, longDrill())
 		for core := 1; core <= 3; core++ {
-			f.network.cut(edgeHost(2), coreHost(core), true)
+			f.network.partition(edgeHost(2), coreHost(core), true)
 		}
 		time.Sleep(3 * time.Second)
 		from := time.Now()
@@ -57,7 +57,7 @@
 		ended := f.drillState(2, http.MethodGet)
 		assert.Assert(t, !ended.Running && ended.EndedByGuard && strings.Contains(ended.EndReason, "silent"), "%+v", ended)
 		for core := 1; core <= 3; core++ {
-			f.network.cut(edgeHost(2), coreHost(core), false)
+			f.network.partition(edgeHost(2), coreHost(core), false)
 		}
 		time.Sleep(3 * time.Second)
 		from = time.Now()
@@ -68,10 +68,10 @@
 	})
 }
 
-func TestGivenAnEdgeThatRestartsMidwayThenItTakesTheTimeThatIsLeft(t *testing.T) {
+func TestDrill_RestartedDataPlaneUsesRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stands := twoRegions(t, 2)
-		f.begin(1, southDrill)
+		f, stands := startTwoRegions(t, 2)
+		f.startDrill(1, southDrill)
 		time.Sleep(3 * time.Second)
 		f.kill(edgeHost(2))
 		f.startEdge(edgeHost(2))
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestGivenARealLossDuringADrillThenItTakesPrecedence(t *testing.T) {
+func TestDrill_RealLossTakesPrecedence(t *testing.T) {
 	losses := map[string]func(f *fleet){
 		"replica i-1": func(f *fleet) { f.lose("10.1.2.1", "i-1") },
 		"member ":     func(f *fleet) { f.kill(coreHost(3)) },
@@ -99,8 +99,8 @@
 	}
 	for named, lose := range losses {
 		synctest.Test(t, func(t *testing.T) {
-			f, stands := twoRegions(t, 2)
-			f.begin(1, longDrill())
+			f, stands := startTwoRegions(t, 2)
+			f.startDrill(1, longDrill())
 			time.Sleep(2 * time.Second)
 			lose(f)
 			time.Sleep(5 * time.Second)
@@ -114,10 +114,10 @@
 	}
 }
 
-func TestGivenTheHolderLostMidwayThenTheDrillEndsEverywhereAndAnotherMayBegin(t *testing.T) {
+func TestDrill_EndsEverywhereWhenLeaseHolderIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stands := twoRegions(t, 2)
-		f.begin(1, longDrill())
+		f, stands := startTwoRegions(t, 2)
+		f.startDrill(1, longDrill())
 		time.Sleep(1500 * time.Millisecond)
 		f.kill(coreHost(1))
 		work := f.flow([]int{1, 2}, map[string]string{"/quick/": "swift", "/patient/": "swift", "/bound/": "swift"})
@@ -127,7 +127,7 @@
 		from := time.Now()
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, runsSince(stands["i-2"], from)["/quick/swift"] > 0)
-		again := f.begin(3, longDrill())
+		again := f.startDrill(3, longDrill())
 		assert.Equal(t, again.Number, uint64(2))
 		time.Sleep(300 * time.Millisecond)
 		assert.Assert(t, !f.drillState(2, http.MethodDelete).Running, "two of three are a majority")
@@ -136,12 +136,12 @@
 	})
 }
 
-func TestGivenAllMembersGoneMidwayThenEveryEdgeEndsItAndNoRestartBringsItBack(t *testing.T) {
+func TestDrill_EndsWhenAllMembersAreLostAndStaysEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stands := twoRegions(t, 2)
+		f, stands := startTwoRegions(t, 2)
 		work := f.flow([]int{1, 2}, map[string]string{"/quick/": "swift", "/bound/": "swift"})
 		time.Sleep(time.Second)
-		f.begin(1, longDrill())
+		f.startDrill(1, longDrill())
 		time.Sleep(time.Second)
 		for core := 1; core <= 3; core++ {
 			f.kill(coreHost(core))
--- a/internal/story/health_test.go
+++ b/internal/story/health_test.go
@@ -14,20 +14,20 @@
 
 var replicaZones = []string{"north", "south", "east"}
 
-type askedFor struct {
+type streamResult struct {
 	served, asked int
 }
 
-func (f *fleet) stream(edges int, path string, span time.Duration) askedFor {
+func (f *fleet) stream(edges int, path string, span time.Duration) streamResult {
 	const pause = 40 * time.Millisecond
 	f.client.Timeout = 2400 * time.Millisecond
 	total := int(span / pause)
 	done := make(chan reply, total)
 	for number := range total {
-		go func() { done <- f.askNew(number%edges+1, number, path) }()
+		go func() { done <- f.requestNew(number%edges+1, number, path) }()
 		time.Sleep(pause)
 	}
-	seen := askedFor{asked: total}
+	seen := streamResult{asked: total}
 	for range total {
 		if got := <-done; got.status == http.StatusOK && got.body == allEvents() {
 			seen.served++
@@ -36,7 +36,7 @@
 	return seen
 }
 
-func (f *fleet) askNew(edge, number int, path string) reply {
+func (f *fleet) requestNew(edge, number int, path string) reply {
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
 		"Host": "shop.example", replica.HeaderAttempt: fmt.Sprintf("attempt-%d", number), replica.HeaderModel: "swift", replica.HeaderTokens: "100,20",
 		replica.HeaderPrefix: fmt.Sprintf("%x:100", time.Now().UnixNano()+int64(number)), replica.HeaderRemaining: "20000",
@@ -46,7 +46,7 @@
 func (f *fleet) rush(edges, total int) {
 	done := make(chan reply, total)
 	for number := range total {
-		go func() { done <- f.askNew(number%edges+1, number, "/quick/") }()
+		go func() { done <- f.requestNew(number%edges+1, number, "/quick/") }()
 	}
 	for range total {
 		<-done
@@ -57,16 +57,16 @@
 	var list []*standInReplica
 	for number := 1; number <= 4; number++ {
 		zone := (number-1)%3 + 1
-		one := newStandInReplica(fmt.Sprintf("i-%d", number), fmt.Sprintf("10.%d.2.%d", zone, number), replicaZones[zone-1], "swift")
-		one.listed.Slots = 3
-		list = append(list, one)
+		standIn := newStandInReplica(fmt.Sprintf("i-%d", number), fmt.Sprintf("10.%d.2.%d", zone, number), replicaZones[zone-1], "swift")
+		standIn.listed.Slots = 3
+		list = append(list, standIn)
 	}
 	return list
 }
 
-func (s *standInReplica) ranSince(from time.Time) int {
+func (s *standInReplica) executedSince(from time.Time) int {
 	amount := 0
-	for _, run := range s.ran() {
+	for _, run := range s.executed() {
 		if run.at.After(from) {
 			amount++
 		}
@@ -74,91 +74,91 @@
 	return amount
 }
 
-func TestGivenAReplicaThatFailsEverySecondRequestThenItGetsATrickleAndComesBackWhenWell(t *testing.T) {
+func TestHealth_FailingReplicaIsThrottledAndReturns(t *testing.T) {
 	for _, how := range []string{"errors", "reset", "hang", "shed"} {
 		t.Run(how, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				replicas := fourReplicas()
-				f := settled(t, 6, replicas...)
+				f := startSettledFleet(t, 6, replicas...)
 				grey := replicas[0]
 				f.stream(6, "/quick/", 3*time.Second)
-				assert.Assert(t, len(grey.ran()) > 8, "well at first: %d", len(grey.ran()))
-				grey.turn(how, 2)
+				assert.Assert(t, len(grey.executed()) > 8, "well at first: %d", len(grey.executed()))
+				grey.setFailing(how, 2)
 				f.stream(6, "/quick/", 3*time.Second)
 				late := time.Now()
 				seen := f.stream(6, "/quick/", 6*time.Second)
 				f.rush(6, 20)
 				fairShare := (seen.asked + 20) / len(replicas)
-				assert.Assert(t, grey.ranSince(late) <= fairShare/2, "ran %d of a fair %d", grey.ranSince(late), fairShare)
+				assert.Assert(t, grey.executedSince(late) <= fairShare/2, "ran %d of a fair %d", grey.executedSince(late), fairShare)
 				assert.Assert(t, seen.served >= seen.asked-8, "served %d of %d", seen.served, seen.asked)
-				grey.turn("", 0)
+				grey.setFailing("", 0)
 				f.stream(6, "/quick/", 16*time.Second)
 				well := time.Now()
 				for range 3 {
 					f.rush(6, 28)
 				}
-				assert.Assert(t, grey.ranSince(well) >= 2, "back in: %d", grey.ranSince(well))
+				assert.Assert(t, grey.executedSince(well) >= 2, "back in: %d", grey.executedSince(well))
 			})
 		})
 	}
 }
 
-func TestGivenAllReplicasFailAlikeThenNoneIsLeftOut(t *testing.T) {
+func TestHealth_NoEjectionWhenAllReplicasFailAlike(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := fourReplicas()
-		f := settled(t, 2, replicas...)
-		for _, one := range replicas {
-			one.turn("errors", 3)
+		f := startSettledFleet(t, 2, replicas...)
+		for _, standIn := range replicas {
+			standIn.setFailing("errors", 3)
 		}
 		f.stream(2, "/quick/", 4*time.Second)
 		late := time.Now()
 		seen := f.stream(2, "/quick/", 4*time.Second)
 		assert.Assert(t, seen.served >= seen.asked/2, "served %d of %d", seen.served, seen.asked)
-		for _, one := range replicas {
-			assert.Assert(t, one.ranSince(late) > 4, "%s ran %d", one.listed.ID, one.ranSince(late))
+		for _, standIn := range replicas {
+			assert.Assert(t, standIn.executedSince(late) > 4, "%s ran %d", standIn.listed.ID, standIn.executedSince(late))
 		}
 	})
 }
 
-func TestGivenTheOnlyHolderFailsPartThenItGoesOnBeingAsked(t *testing.T) {
+func TestHealth_OnlyReplicaOfModelIsNeverEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := fourReplicas()
-		f := settled(t, 2, replicas[0], newStandInReplica("i-9", "10.3.2.1", "east", "rare", "other"))
-		replicas[0].turn("errors", 2)
+		f := startSettledFleet(t, 2, replicas[0], newStandInReplica("i-9", "10.3.2.1", "east", "rare", "other"))
+		replicas[0].setFailing("errors", 2)
 		f.stream(2, "/quick/", 6*time.Second)
-		assert.Assert(t, len(replicas[0].ran()) > 100, "ran %d", len(replicas[0].ran()))
+		assert.Assert(t, len(replicas[0].executed()) > 100, "ran %d", len(replicas[0].executed()))
 		seen := f.stream(2, "/patient/", 3*time.Second)
 		assert.Assert(t, seen.served >= seen.asked*4/5, "a second try is served: %d of %d", seen.served, seen.asked)
 	})
 }
 
-func TestGivenHealthAnswersThatLieThenOutcomesDecide(t *testing.T) {
+func TestHealth_OutcomesOutweighHealthChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := fourReplicas()
 		liar, modest := replicas[0], replicas[1]
 		liar.healthy = true
-		f := settled(t, 6, replicas...)
-		liar.turn("errors", 1)
+		f := startSettledFleet(t, 6, replicas...)
+		liar.setFailing("errors", 1)
 		f.stream(6, "/quick/", 3*time.Second)
 		late := time.Now()
 		seen := f.stream(6, "/quick/", 4*time.Second)
 		assert.Assert(t, seen.served >= seen.asked-4, "served %d of %d", seen.served, seen.asked)
-		assert.Assert(t, modest.ranSince(late) > 8, "says ill and is well: ran %d", modest.ranSince(late))
+		assert.Assert(t, modest.executedSince(late) > 8, "says ill and is well: ran %d", modest.executedSince(late))
 		assert.Equal(t, liar.probed+modest.probed, 0)
 	})
 }
 
-func TestGivenAReplicaDownAndUpByTurnsThenItsReturnTakesLongerEachTime(t *testing.T) {
+func TestHealth_FlappingReplicaReturnsWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := fourReplicas()
-		f := settled(t, 6, replicas...)
+		f := startSettledFleet(t, 6, replicas...)
 		flapping := hostOf(replicas[0].listed.Address)
 		lost := func(rounds int) int {
 			gone := 0
 			for range rounds {
-				f.network.darken(flapping, true)
+				f.network.blackhole(flapping, true)
 				seen := f.stream(6, "/quick/", 1400*time.Millisecond)
-				f.network.darken(flapping, false)
+				f.network.blackhole(flapping, false)
 				back := f.stream(6, "/quick/", 1400*time.Millisecond)
 				gone += seen.asked + back.asked - seen.served - back.served
 			}
@@ -172,54 +172,54 @@
 	})
 }
 
-func TestGivenAnIdleConnectionDroppedWithoutAWordThenARequestThatMayRunOnceDoesNotFindOut(t *testing.T) {
+func TestProxy_NonIdempotentRequestAvoidsDroppedIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := settled(t, 1, one)
-		f.network.drop("10.1.2.1", 400*time.Millisecond)
-		assert.Equal(t, f.ask(1, "a", "/patient/", "swift").body, allEvents())
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startSettledFleet(t, 1, standIn)
+		f.network.dropSilently("10.1.2.1", 400*time.Millisecond)
+		assert.Equal(t, f.request(1, "a", "/patient/", "swift").body, allEvents())
 		time.Sleep(600 * time.Millisecond)
-		assert.Assert(t, f.ask(1, "b", "/patient/", "swift").status != http.StatusServiceUnavailable)
+		assert.Assert(t, f.request(1, "b", "/patient/", "swift").status != http.StatusServiceUnavailable)
 		for number := range 6 {
 			time.Sleep(600 * time.Millisecond)
-			assert.Equal(t, f.ask(1, fmt.Sprintf("once-%d", number), "/quick/", "swift").body, allEvents())
+			assert.Equal(t, f.request(1, fmt.Sprintf("once-%d", number), "/quick/", "swift").body, allEvents())
 		}
 		dialed := f.network.dialed("10.1.2.1")
 		for number := range 6 {
 			time.Sleep(50 * time.Millisecond)
-			assert.Equal(t, f.ask(1, fmt.Sprintf("soon-%d", number), "/quick/", "swift").body, allEvents())
+			assert.Equal(t, f.request(1, fmt.Sprintf("soon-%d", number), "/quick/", "swift").body, allEvents())
 		}
 		assert.Assert(t, f.network.dialed("10.1.2.1")-dialed <= 1, "sessions just used are used again")
 	})
 }
 
-func TestGivenResetIdleConnectionsWhenARequestThatMayRunOnceComesThenItRunsOnceAndNobodyIsSuspected(t *testing.T) {
+func TestProxy_NonIdempotentRequestRunsOnceAfterIdleResets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := settled(t, 1, one)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startSettledFleet(t, 1, standIn)
 		for number := range 5 {
-			assert.Equal(t, f.ask(1, fmt.Sprintf("once-%d", number), "/quick/", "swift").body, allEvents())
+			assert.Equal(t, f.request(1, fmt.Sprintf("once-%d", number), "/quick/", "swift").body, allEvents())
 			f.network.breakConnections("10.1.2.1")
-			got := f.ask(1, fmt.Sprintf("next-%d", number), "/quick/", "swift")
+			got := f.request(1, fmt.Sprintf("next-%d", number), "/quick/", "swift")
 			assert.Equal(t, got.body, allEvents())
 			assert.Assert(t, got.took < 300*time.Millisecond, "took %s", got.took)
 		}
-		assert.Equal(t, len(one.ran()), 10)
+		assert.Equal(t, len(standIn.executed()), 10)
 	})
 }
 
-func TestGivenAZoneWithoutPowerThenQuickRequestsGoToOthersAtOnceAndComeBackWithNewLives(t *testing.T) {
+func TestHealth_ZonePowerLossFailsOverAndReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var replicas []*standInReplica
 		for number := 1; number <= 9; number++ {
 			zone := number%3 + 1
 			replicas = append(replicas, newStandInReplica(fmt.Sprintf("i-%d", number), fmt.Sprintf("10.%d.2.%d", zone, number), replicaZones[zone-1], "swift"))
 		}
-		f := settled(t, 6, replicas...)
+		f := startSettledFleet(t, 6, replicas...)
 		f.stream(6, "/quick/", 3*time.Second)
-		for _, one := range replicas {
-			if one.listed.Zone == "south" {
-				f.network.darken(hostOf(one.listed.Address), true)
+		for _, standIn := range replicas {
+			if standIn.listed.Zone == "south" {
+				f.network.blackhole(hostOf(standIn.listed.Address), true)
 			}
 		}
 		f.stream(6, "/quick/", 1500*time.Millisecond)
@@ -230,7 +230,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		seen = f.stream(2, "/quick/", 3*time.Second)
 		assert.Equal(t, seen.served, seen.asked)
-		assert.Assert(t, len(fresh.ran()) > 1, "the new life is used: %d", len(fresh.ran()))
+		assert.Assert(t, len(fresh.executed()) > 1, "the new life is used: %d", len(fresh.executed()))
 		assert.Assert(t, f.call(http.MethodGet, edgeHost(1)+":8167", "/ferryspar/readyz", "", nil).status == http.StatusOK)
 	})
 }
--- a/internal/story/hold_network_test.go
+++ b/internal/story/hold_network_test.go
@@ -15,23 +15,23 @@
 	calledHost = "10.200.0.9"
 )
 
-// heard is what a plain server has seen of one call.
-type heard struct {
+// received is what a plain server has seen of one call.
+type received struct {
 	at        time.Time
 	callerWas error
 }
 
-func callThrough(t *testing.T, f *fleet, cut func(on bool), reset bool) (time.Time, []heard) {
-	calls := make(chan heard, 4)
+func callThrough(t *testing.T, f *fleet, cut func(on bool), reset bool) (time.Time, []received) {
+	calls := make(chan received, 4)
 	f.serve(calledHost, calledHost+":80", http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		began := time.Now()
 		select {
 		case <-request.Context().Done():
 		case <-time.After(2 * time.Second):
 		}
-		calls <- heard{began, request.Context().Err()}
+		calls <- received{began, request.Context().Err()}
 	}))
-	t.Cleanup(func() { f.network.breakOff(calledHost) })
+	t.Cleanup(func() { f.network.resetAll(calledHost) })
 	connection, err := f.network.machine(callerHost).DialFunc(time.Second, time.Minute)(context.Background(), "tcp", calledHost+":80")
 	assert.NilError(t, err)
 	cut(true)
@@ -47,18 +47,18 @@
 	healed := time.Now()
 	time.Sleep(5 * time.Second)
 	close(calls)
-	var all []heard
-	for one := range calls {
-		all = append(all, one)
+	var all []received
+	for answer := range calls {
+		all = append(all, answer)
 	}
 	return healed, all
 }
 
-func TestGivenBytesInTheSocketsOfAFrozenOrCutMachineThenTheyArriveAfterItsReturnUnlessTheirSenderResets(t *testing.T) {
+func TestMemoryNetwork_BufferedBytesArriveUnlessSenderResets(t *testing.T) {
 	ways := map[string]func(f *fleet) func(on bool){
 		"frozen": func(f *fleet) func(on bool) { return func(on bool) { f.network.freeze(calledHost, on) } },
-		"cut":    func(f *fleet) func(on bool) { return func(on bool) { f.network.holdBoth(callerHost, calledHost, on) } },
-		"oneway": func(f *fleet) func(on bool) { return func(on bool) { f.network.hold(callerHost, calledHost, on) } },
+		"cut":    func(f *fleet) func(on bool) { return func(on bool) { f.network.delayBoth(callerHost, calledHost, on) } },
+		"oneway": func(f *fleet) func(on bool) { return func(on bool) { f.network.delay(callerHost, calledHost, on) } },
 	}
 	for name, way := range ways {
 		for _, reset := range []bool{false, true} {
@@ -79,10 +79,10 @@
 	}
 }
 
-func TestGivenACutInTheOtherDirectionThenBytesStillArriveAndTheAnswerWaits(t *testing.T) {
+func TestMemoryNetwork_ReversePartitionDelaysOnlyTheAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetOf(t, 0, 0, 0)
-		_, all := callThrough(t, f, func(on bool) { f.network.hold(calledHost, callerHost, on) }, false)
+		_, all := callThrough(t, f, func(on bool) { f.network.delay(calledHost, callerHost, on) }, false)
 		assert.Equal(t, len(all), 1)
 		assert.Equal(t, all[0].callerWas, context.Canceled)
 	})
--- a/internal/story/hold_test.go
+++ b/internal/story/hold_test.go
@@ -34,15 +34,15 @@
 }
 
 // hold cuts the path from one machine to another; bytes wait for the heal, as long as the sender does not reset.
-func (n *memoryNetwork) hold(from, to string, held bool) {
+func (n *memoryNetwork) delay(from, to string, held bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.holds[[2]string{from, to}] = held
 }
 
-func (n *memoryNetwork) holdBoth(left, right string, held bool) {
-	n.hold(left, right, held)
-	n.hold(right, left, held)
+func (n *memoryNetwork) delayBoth(left, right string, held bool) {
+	n.delay(left, right, held)
+	n.delay(right, left, held)
 }
 
 func (n *memoryNetwork) healAll() {
@@ -209,19 +209,19 @@
 	return s.Conn.SetReadDeadline(deadline)
 }
 
-// guardedFolder holds up the disk of a frozen machine.
-type guardedFolder struct {
+// freezableDirectory holds up the disk of a frozen machine.
+type freezableDirectory struct {
 	keystore.Directory
 	network *memoryNetwork
 	host    string
 }
 
-func (g guardedFolder) Write(name string, offset int64, content []byte) error {
+func (g freezableDirectory) Write(name string, offset int64, content []byte) error {
 	g.network.waitThawed(g.host)
 	return g.Directory.Write(name, offset, content)
 }
 
-func (g guardedFolder) Sync(name string) error {
+func (g freezableDirectory) Sync(name string) error {
 	g.network.waitThawed(g.host)
 	return g.Directory.Sync(name)
 }
--- a/internal/story/leaving_test.go
+++ b/internal/story/leaving_test.go
@@ -9,11 +9,11 @@
 
 // A third member missed changes behind a cut. The leaving member and one other hold the only copies of them. The
 // successor was started syncTimeS before the SIGTERM, and the other loses its disk once the process has ended.
-func TestGivenALeavingMemberWithOneOfTwoCopiesWhenTheOtherIsWipedThenNothingIsLost(t *testing.T) {
-	for moment := time.Duration(0); moment <= 4*time.Second; moment += time.Duration(bySweep(5, 1)) * sweepStep {
+func TestMembership_LeavingMemberVotesUntilItsDataIsCopied(t *testing.T) {
+	for moment := time.Duration(0); moment <= 4*time.Second; moment += time.Duration(casesFor(5, 1)) * sweepStep {
 		t.Run(fmt.Sprint("wiped ", moment, " after the end of the process"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newLossStory(t, 3)
+				s := newLossScenario(t, 3)
 				s.missChanges(3)
 				time.Sleep(syncTime)
 				s.join([]int{4})
@@ -30,11 +30,11 @@
 }
 
 // Two members hold the only copies of what a third missed; each of the two is wiped in turn, syncTimeS apart.
-func TestGivenAMemberThatMissedChangesWhenTheTwoOthersAreWipedInTurnThenNothingIsLost(t *testing.T) {
+func TestMembership_LaggingMemberRepairedBeforeOthersAreWiped(t *testing.T) {
 	for _, rest := range []time.Duration{0, time.Second} {
 		t.Run(fmt.Sprint(rest, " more than syncTimeS between"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newLossStory(t, 3)
+				s := newLossScenario(t, 3)
 				s.missChanges(3)
 				for _, member := range []int{1, 2} {
 					time.Sleep(syncTime + rest)
@@ -48,11 +48,11 @@
 }
 
 // missChanges cuts a member off for some seconds; meanwhile a zone is evacuated that nobody touches again.
-func (s *lossStory) missChanges(member int) {
+func (s *lossScenario) missChanges(member int) {
 	isolate := func(cut bool) {
 		for _, host := range s.hosts {
 			if host != coreHost(member) {
-				s.f.network.holdBoth(coreHost(member), host, cut)
+				s.f.network.delayBoth(coreHost(member), host, cut)
 			}
 		}
 	}
--- a/internal/story/limits_test.go
+++ b/internal/story/limits_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestGivenASlowHeadThenItGets408AndAWholeOneIsUntouched(t *testing.T) {
+func TestListener_SlowRequestHeadGets408(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := settled(t, 1, one)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startSettledFleet(t, 1, standIn)
 		dial := f.network.machine("10.9.9.9").DialFunc(time.Second, time.Minute)
 		connection, err := dial(t.Context(), "tcp", edgeHost(1)+":8161")
 		assert.NilError(t, err)
@@ -38,13 +38,13 @@
 		assert.NilError(t, err)
 		assert.Equal(t, answer.StatusCode, http.StatusRequestTimeout)
 		assert.Assert(t, time.Since(began) >= 2*time.Second && time.Since(began) <= 4*time.Second, "%s", time.Since(began))
-		assert.Equal(t, len(one.ran()), 2)
+		assert.Equal(t, len(standIn.executed()), 2)
 	})
 }
 
-func TestGivenAnIdleConnectionThenItIsClosedAfterTheConfigurationsTimeWithoutAWord(t *testing.T) {
+func TestListener_ClosesIdleConnectionSilentlyAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		connection, err := f.network.machine("10.9.9.9").DialFunc(time.Second, time.Minute)(t.Context(), "tcp", edgeHost(1)+":8161")
 		assert.NilError(t, err)
 		defer connection.Close()
--- a/internal/story/loadrate_test.go
+++ b/internal/story/loadrate_test.go
@@ -35,10 +35,10 @@
 // mostLoads is the highest number of loads from the store that began within any period.
 func mostLoads(replicas []*standInReplica) int {
 	var began []time.Time
-	for _, one := range replicas {
-		one.lock.Lock()
-		began = append(began, one.storeLoads...)
-		one.lock.Unlock()
+	for _, standIn := range replicas {
+		standIn.lock.Lock()
+		began = append(began, standIn.storeLoads...)
+		standIn.lock.Unlock()
 	}
 	slices.SortFunc(began, time.Time.Compare)
 	most := 0
@@ -57,18 +57,18 @@
 // modelsLoaded counts the models that were loaded by a replica, be they held still or not.
 func modelsLoaded(replicas []*standInReplica) int {
 	loaded := map[string]bool{}
-	for _, one := range replicas {
-		one.lock.Lock()
-		for model := range one.disk {
+	for _, standIn := range replicas {
+		standIn.lock.Lock()
+		for model := range standIn.disk {
 			loaded[model] = true
 		}
-		one.lock.Unlock()
+		standIn.lock.Unlock()
 	}
 	return len(loaded)
 }
 
-// holderTrouble is something that happens to the holder of the placement lease and is soon over.
-type holderTrouble func(f *fleet, holder string, draw *rand.Rand)
+// leaseHolderFault is something that happens to the holder of the placement lease and is soon over.
+type leaseHolderFault func(f *fleet, holder string, draw *rand.Rand)
 
 func killAndStart(f *fleet, holder string, draw *rand.Rand) {
 	f.kill(holder)
@@ -97,8 +97,8 @@
 	f.network.freeze(holder, false)
 }
 
-// troubleHolders has troubles meet whoever holds the placement lease, over and over.
-func (f *fleet) troubleHolders(draw *rand.Rand, least, spread time.Duration, trouble holderTrouble) {
+// injectLeaseHolderFaults has troubles meet whoever holds the placement lease, over and over.
+func (f *fleet) injectLeaseHolderFaults(draw *rand.Rand, least, spread time.Duration, trouble leaseHolderFault) {
 	watcher := newOperators(f, 1, 1, 2, 3)
 	for until := time.Now().Add(troublesEnd); time.Now().Before(until); {
 		time.Sleep(least + time.Duration(draw.Int64N(int64(spread))))
@@ -112,21 +112,21 @@
 func emptyReplicas() []*standInReplica {
 	var replicas []*standInReplica
 	for number := range storedModels {
-		one := newStandInReplica(fmt.Sprint("i-", number), fmt.Sprintf("10.1.2.%d", number+1), "north")
-		one.loadTime = 300 * time.Millisecond
-		replicas = append(replicas, one)
+		standIn := newStandInReplica(fmt.Sprint("i-", number), fmt.Sprintf("10.1.2.%d", number+1), "north")
+		standIn.loadTime = 300 * time.Millisecond
+		replicas = append(replicas, standIn)
 	}
 	return replicas
 }
 
-// askFor asks for models, each until it has been served, for as long as the bound allows.
-func (f *fleet) askFor(from, to int, bound time.Duration) {
+// requestModels asks for models, each until it has been served, for as long as the bound allows.
+func (f *fleet) requestModels(from, to int, bound time.Duration) {
 	began := time.Now()
 	for number := from; number < to; number++ {
 		go func() {
 			status := 0
 			for status != http.StatusOK && time.Since(began) < bound {
-				status = f.ask(1, fmt.Sprint("attempt-", number), "/patient/", fmt.Sprintf("m%02d", number)).status
+				status = f.request(1, fmt.Sprint("attempt-", number), "/patient/", fmt.Sprintf("m%02d", number)).status
 				time.Sleep(200 * time.Millisecond)
 			}
 		}()
@@ -141,39 +141,39 @@
 	return modelsLoaded(replicas)
 }
 
-func playTroubledHolders(t *testing.T, seed uint64, least, spread time.Duration, trouble holderTrouble) {
+func runLeaseHolderFaults(t *testing.T, seed uint64, least, spread time.Duration, trouble leaseHolderFault) {
 	draw := rand.New(rand.NewPCG(seed, 83))
 	replicas := emptyReplicas()
 	f := startFleet(t, 1, replicas...)
 	time.Sleep(3*time.Second + time.Duration(draw.Int64N(int64(3*time.Second))))
 	assert.Equal(t, f.put(1, 0, 1, manyModels()).status, http.StatusOK)
-	f.askFor(0, storedModels, everythingStood)
-	f.troubleHolders(draw, least, spread, trouble)
+	f.requestModels(0, storedModels, everythingStood)
+	f.injectLeaseHolderFaults(draw, least, spread, trouble)
 	loaded := waitLoaded(replicas, storedModels, everythingStood-troublesEnd)
 	assert.Equal(t, loaded, storedModels, "every model that is asked for is loaded in the end")
 	assert.Assert(t, mostLoads(replicas) <= storeLoads, "seed %d: %d loads began within %s", seed, mostLoads(replicas), storePeriod)
 }
 
-func TestGivenAHolderOfPlacementInTroubleAgainAndAgainThenLoadsFromTheStoreKeepToTheirRate(t *testing.T) {
+func TestLoadRate_KeptWhileLeaseHolderFailsRepeatedly(t *testing.T) {
 	paces := map[string]struct{ least, spread time.Duration }{
 		"every 0.6 to 1.7 s": {600 * time.Millisecond, 1100 * time.Millisecond},
 		"every 1.6 to 3.1 s": {1600 * time.Millisecond, 1500 * time.Millisecond},
 	}
-	troubles := map[string]holderTrouble{
+	troubles := map[string]leaseHolderFault{
 		"killed": killAndStart, "killed without power": killWithoutPower, "killed or frozen": killOrFreeze,
 	}
 	for often, pace := range paces {
 		for name, trouble := range troubles {
-			for seed := range uint64(bySweep(4, 40)) {
+			for seed := range uint64(casesFor(4, 40)) {
 				t.Run(fmt.Sprintf("%s %s, seed %d", name, often, seed), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { playTroubledHolders(t, seed, pace.least, pace.spread, trouble) })
+					synctest.Test(t, func(t *testing.T) { runLeaseHolderFaults(t, seed, pace.least, pace.spread, trouble) })
 				})
 			}
 		}
 	}
 }
 
-func TestGivenAMemberThatLosesItsDiskThenTheHolderOfPlacementGoesOnLoadingAtFullRate(t *testing.T) {
+func TestLoadRate_FullAfterAnotherMemberLosesItsDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := emptyReplicas()
 		f := startFleet(t, 1, replicas...)
@@ -189,7 +189,7 @@
 				time.Sleep(2 * syncTime)
 			}
 		}
-		f.askFor(0, storedModels, everythingStood)
+		f.requestModels(0, storedModels, everythingStood)
 		loaded := waitLoaded(replicas, storedModels, storedModels*time.Second)
 		assert.Equal(t, loaded, storedModels, "a load a second, and some at once")
 	})
--- a/internal/story/losses_test.go
+++ b/internal/story/losses_test.go
@@ -22,8 +22,8 @@
 	newcomerAfter = 500 * time.Millisecond
 )
 
-// lossStory is one run with two losses; losses and returns are its steps.
-type lossStory struct {
+// lossScenario is one run with two losses; losses and returns are its steps.
+type lossScenario struct {
 	f        *fleet
 	o        *operators
 	w        *writer
@@ -34,11 +34,11 @@
 // firstLoss takes members away and gives the moment at which the last of their successors was started.
 type firstLoss struct {
 	name string
-	play func(s *lossStory, members, newcomers []int) time.Time
+	play func(s *lossScenario, members, newcomers []int) time.Time
 }
 
 var firstLosses = []firstLoss{
-	{"killed for good", func(s *lossStory, members, newcomers []int) time.Time {
+	{"killed for good", func(s *lossScenario, members, newcomers []int) time.Time {
 		for _, member := range members {
 			s.f.kill(coreHost(member))
 			s.drop(member)
@@ -47,7 +47,7 @@
 		s.join(newcomers)
 		return time.Now()
 	}},
-	{"wiped", func(s *lossStory, members, newcomers []int) time.Time {
+	{"wiped", func(s *lossScenario, members, newcomers []int) time.Time {
 		for _, member := range members {
 			s.f.kill(coreHost(member))
 			s.f.wipe(coreHost(member))
@@ -58,7 +58,7 @@
 		}
 		return time.Now()
 	}},
-	{"leaving", func(s *lossStory, members, newcomers []int) time.Time {
+	{"leaving", func(s *lossScenario, members, newcomers []int) time.Time {
 		s.join(newcomers)
 		started := time.Now()
 		time.Sleep(1500 * time.Millisecond)
@@ -70,14 +70,14 @@
 	}},
 }
 
-func (s *lossStory) join(newcomers []int) {
+func (s *lossScenario) join(newcomers []int) {
 	for _, newcomer := range newcomers {
 		s.f.startCore(coreHost(newcomer), false, 2, 3, newcomer)
 		s.hosts = append(s.hosts, coreHost(newcomer))
 	}
 }
 
-func (s *lossStory) drop(member int) {
+func (s *lossScenario) drop(member int) {
 	kept := []string{}
 	for _, host := range s.hosts {
 		if host != coreHost(member) {
@@ -91,11 +91,11 @@
 type secondLoss struct {
 	name string
 	from time.Duration
-	play func(s *lossStory, members []int)
+	play func(s *lossScenario, members []int)
 }
 
 var secondLosses = []secondLoss{
-	{"killed with its disk kept", 0, func(s *lossStory, members []int) {
+	{"killed with its disk kept", 0, func(s *lossScenario, members []int) {
 		for _, member := range members {
 			s.f.kill(coreHost(member))
 		}
@@ -104,7 +104,7 @@
 			s.f.startCore(coreHost(member), false, 1, 2, 3)
 		}
 	}},
-	{"wiped after syncTimeS", syncTime, func(s *lossStory, members []int) {
+	{"wiped after syncTimeS", syncTime, func(s *lossScenario, members []int) {
 		for _, member := range members {
 			s.f.kill(coreHost(member))
 			s.f.wipe(coreHost(member))
@@ -116,8 +116,8 @@
 	}},
 }
 
-func newLossStory(t *testing.T, cores int) *lossStory {
-	s := &lossStory{f: startFleetOf(t, cores, (cores-1)/2, 0)}
+func newLossScenario(t *testing.T, cores int) *lossScenario {
+	s := &lossScenario{f: startFleetOf(t, cores, (cores-1)/2, 0)}
 	numbers := make([]int, 0, cores+2)
 	for number := 1; number <= cores; number++ {
 		numbers = append(numbers, number)
@@ -136,8 +136,8 @@
 	return s
 }
 
-// bySweep is the first bound in an ordinary run and the second where FERRYSPAR_SWEEP asks for whole sweeps.
-func bySweep(ordinary, whole int) int {
+// casesFor is the first bound in an ordinary run and the second where FERRYSPAR_SWEEP asks for whole sweeps.
+func casesFor(ordinary, whole int) int {
 	if os.Getenv("FERRYSPAR_SWEEP") != "" {
 		return whole
 	}
@@ -145,7 +145,7 @@
 }
 
 func moments(offset int) []time.Duration {
-	stride := bySweep(sweepStride, 1)
+	stride := casesFor(sweepStride, 1)
 	if stride == 1 {
 		offset = 0
 	}
@@ -156,26 +156,26 @@
 	return found
 }
 
-func TestGivenAMemberReplacedWhenASecondIsLostAtAnyMomentThenNothingIsLostAndChangesGoOn(t *testing.T) {
+func TestMembership_SecondLossDuringReplacementLosesNothing(t *testing.T) {
 	for index, first := range firstLosses {
 		for _, second := range secondLosses {
 			for _, moment := range moments(3 * index) {
 				t.Run(fmt.Sprintf("%s, another %s, %s", first.name, second.name, moment), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { playLosses(t, 3, first, second, moment, []int{1}, []int{4}, []int{2}) })
+					synctest.Test(t, func(t *testing.T) { runLosses(t, 3, first, second, moment, []int{1}, []int{4}, []int{2}) })
 				})
 			}
 		}
 	}
 }
 
-func TestGivenTwoOfFiveMembersLostAtOnceWhenTwoMoreFollowThenNothingIsLostAndChangesGoOn(t *testing.T) {
+func TestMembership_TwoOfFiveLostThenTwoMoreLosesNothing(t *testing.T) {
 	for index, first := range firstLosses {
 		for _, second := range secondLosses {
 			all := moments(3 * index)
-			for position := 0; position < len(all); position += bySweep(2, 1) {
+			for position := 0; position < len(all); position += casesFor(2, 1) {
 				t.Run(fmt.Sprintf("%s, others %s, %s", first.name, second.name, all[position]), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						playLosses(t, 5, first, second, all[position], []int{1, 2}, []int{6, 7}, []int{3, 4})
+						runLosses(t, 5, first, second, all[position], []int{1, 2}, []int{6, 7}, []int{3, 4})
 					})
 				})
 			}
@@ -183,8 +183,8 @@
 	}
 }
 
-func playLosses(t *testing.T, cores int, first firstLoss, second secondLoss, moment time.Duration, lost, newcomers, lostNext []int) {
-	s := newLossStory(t, cores)
+func runLosses(t *testing.T, cores int, first firstLoss, second secondLoss, moment time.Duration, lost, newcomers, lostNext []int) {
+	s := newLossScenario(t, cores)
 	began := time.Now()
 	if second.from == 0 {
 		began = began.Add(moment)
@@ -197,7 +197,7 @@
 	s.finish(t)
 }
 
-func (s *lossStory) finish(t *testing.T) {
+func (s *lossScenario) finish(t *testing.T) {
 	again := s.w.waitAcknowledged(changesAgain)
 	if !again {
 		s.problems = append(s.problems, "no change is possible 10 s after the last return")
@@ -206,13 +206,13 @@
 	}
 	time.Sleep(syncTime)
 	s.problems = append(s.problems, s.w.end()...)
-	s.problems = append(s.problems, s.o.judge(s.hosts...)...)
+	s.problems = append(s.problems, s.o.violationsAt(s.hosts...)...)
 	s.problems = append(s.problems, s.absentMembers()...)
 	assert.Equal(t, len(s.problems), 0, "%s%s", listed(s.problems), s.o.describe(s.hosts...))
 }
 
 // absentMembers names members that are no longer there although a successor is.
-func (s *lossStory) absentMembers() []string {
+func (s *lossScenario) absentMembers() []string {
 	var problems []string
 	for _, member := range s.o.status(s.hosts[0]).Members {
 		if !slices.Contains(s.hosts, hostOf(member)) {
--- a/internal/story/network_test.go
+++ b/internal/story/network_test.go
@@ -165,7 +165,7 @@
 	return n.dials[host]
 }
 
-func (n *memoryNetwork) drop(host string, bound time.Duration) {
+func (n *memoryNetwork) dropSilently(host string, bound time.Duration) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.drops[host] = bound
@@ -200,7 +200,7 @@
 	return s.Conn.Close()
 }
 
-func (n *memoryNetwork) breakOff(host string) {
+func (n *memoryNetwork) resetAll(host string) {
 	n.lock.Lock()
 	var closed []*memoryListener
 	for address, listener := range n.listeners {
@@ -215,14 +215,14 @@
 	n.breakConnections(host)
 }
 
-func (n *memoryNetwork) cut(left, right string, cut bool) {
+func (n *memoryNetwork) partition(left, right string, cut bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.cuts[[2]string{left, right}] = cut
 	n.cuts[[2]string{right, left}] = cut
 }
 
-func (n *memoryNetwork) darken(host string, dark bool) {
+func (n *memoryNetwork) blackhole(host string, dark bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.dark[host] = dark
--- a/internal/story/operators_test.go
+++ b/internal/story/operators_test.go
@@ -111,23 +111,23 @@
 	return operatorChange{name: name, method: method, path: "/ferryspar/drain-zone/" + zone, zone: zone, drained: drained}
 }
 
-func (o *operators) drawn() float64 {
+func (o *operators) randomFloat() float64 {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	return o.draw.Float64()
 }
 
-func (o *operators) pick() string { return o.pickOther("") }
+func (o *operators) pickMember() string { return o.pickOtherMember("") }
 
-// pickOther draws a daemon that is not the one that was tried last.
-func (o *operators) pickOther(last string) string {
+// pickOtherMember draws a daemon that is not the one that was tried last.
+func (o *operators) pickOtherMember(last string) string {
 	others := []string{}
 	for _, host := range o.hosts {
 		if host != last {
 			others = append(others, host)
 		}
 	}
-	return others[int(o.drawn()*float64(len(others)))]
+	return others[int(o.randomFloat()*float64(len(others)))]
 }
 
 func (o *operators) request(ctx context.Context, method, host, path, body, condition string) (int, string) {
@@ -164,7 +164,7 @@
 	call.status, call.reason = o.request(ctx, change.method, host, change.path, change.body, condition)
 	call.ended = time.Now()
 	call.outcome = outcomeOf(call.status)
-	if call.status != 0 && o.drawn() < o.lossShare {
+	if call.status != 0 && o.randomFloat() < o.lossShare {
 		call.lost, call.outcome = true, unclear
 	}
 	o.lock.Lock()
@@ -187,7 +187,7 @@
 func (o *operators) send(change operatorChange, bound time.Duration) outcome {
 	began, pause, host := time.Now(), firstPause, ""
 	for {
-		host = o.pickOther(host)
+		host = o.pickOtherMember(host)
 		call := o.attempt(change, host)
 		if call.outcome != unclear || time.Since(began) > bound {
 			return call.outcome
@@ -212,7 +212,7 @@
 func (o *operators) readBack(bound time.Duration) string {
 	began := time.Now()
 	for {
-		status, content := o.read(o.pick())
+		status, content := o.read(o.pickMember())
 		if status == http.StatusOK {
 			return content
 		}
--- a/internal/story/order_troubles_test.go
+++ b/internal/story/order_troubles_test.go
@@ -29,21 +29,21 @@
 
 // tightFleet is a fleet with one replica that has few places for adapters, loads them slowly and reports late.
 func tightFleet(t *testing.T) (*fleet, *standInReplica) {
-	one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-	one.holding.places, one.holding.adapterTime, one.holding.reportLag = fewPlaces, 300*time.Millisecond, 300*time.Millisecond
-	f := startFleet(t, 1, one)
+	standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+	standIn.holding.places, standIn.holding.adapterTime, standIn.holding.reportLag = fewPlaces, 300*time.Millisecond, 300*time.Millisecond
+	f := startFleet(t, 1, standIn)
 	time.Sleep(3 * time.Second)
 	assert.Equal(t, f.put(1, 0, 1, tightDocument(1)).status, http.StatusOK)
 	time.Sleep(1500 * time.Millisecond)
-	return f, one
+	return f, standIn
 }
 
 // waitHolder is the host whose daemon has sent an order, once there is one.
 func (s *standInReplica) waitHolder(t *testing.T) string {
 	t.Helper()
 	for range 200 {
-		if told := s.told(); len(told) > 0 {
-			return strings.TrimPrefix(told[len(told)-1].LeaseHolder, "daemon-")
+		if orders := s.receivedOrders(); len(orders) > 0 {
+			return strings.TrimPrefix(orders[len(orders)-1].LeaseHolder, "daemon-")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -56,122 +56,122 @@
 	t.Helper()
 	for _, model := range models {
 		end := time.Now().Add(servedWithin)
-		for f.ask(1, "again-"+model, "/patient/", model).status != http.StatusOK {
+		for f.request(1, "again-"+model, "/patient/", model).status != http.StatusOK {
 			assert.Assert(t, time.Now().Before(end), "%s is never served", model)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
 }
 
-// askAll asks for some models at once, without waiting for answers.
-func (f *fleet) askAll(models ...string) {
+// requestAll asks for some models at once, without waiting for answers.
+func (f *fleet) requestAll(models ...string) {
 	for _, model := range models {
-		go f.ask(1, "attempt-"+model, "/patient/", model)
+		go f.request(1, "attempt-"+model, "/patient/", model)
 	}
 }
 
 // killPauses are how long a killed daemon stays away, the first one twice for whole sweeps.
 var killPauses = []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 20 * time.Millisecond}
 
-func TestGivenAHolderKilledAndBackAtOnceWhileAdaptersLoadThenRoomAndPlacesAreKept(t *testing.T) {
-	for index := range bySweep(6, 30) {
-		moment := 1500 * time.Millisecond * time.Duration(index) / time.Duration(bySweep(5, 29))
-		for _, pause := range killPauses[index%2 : index%2+bySweep(1, 2)] {
+func TestReplicaOrders_KeepCapacityWhenLeaseHolderRestartsDuringAdapterLoad(t *testing.T) {
+	for index := range casesFor(6, 30) {
+		moment := 1500 * time.Millisecond * time.Duration(index) / time.Duration(casesFor(5, 29))
+		for _, pause := range killPauses[index%2 : index%2+casesFor(1, 2)] {
 			t.Run(fmt.Sprintf("killed after %s for %s", moment, pause), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f, one := tightFleet(t)
-					f.askAll("swift/a1", "swift/a2", "swift/a3", "rare")
-					holder := one.waitHolder(t)
+					f, standIn := tightFleet(t)
+					f.requestAll("swift/a1", "swift/a2", "swift/a3", "rare")
+					holder := standIn.waitHolder(t)
 					time.Sleep(moment)
 					f.kill(holder)
 					time.Sleep(pause)
 					f.startCore(holder, false, 1, 2, 3)
-					f.askAll("swift/a4", "other")
+					f.requestAll("swift/a4", "other")
 					f.waitServed(t, "swift/a4", "other", "rare", "swift/a1")
-					assert.Assert(t, one.withinRoom(), "%+v", one.told())
+					assert.Assert(t, standIn.withinCapacity(), "%+v", standIn.receivedOrders())
 				})
 			})
 		}
 	}
 }
 
-func TestGivenAnOrderHeldUpPastItsHoldersLeaseWhenItsSuccessorLoadsThenRoomIsKept(t *testing.T) {
+func TestReplicaOrders_KeepCapacityWhenOrderOutlivesItsLease(t *testing.T) {
 	for _, released := range []time.Duration{2 * time.Second, 5500 * time.Millisecond, 7 * time.Second} {
 		for _, way := range []string{"frozen", "cut off"} {
 			t.Run(fmt.Sprintf("%s, released after %s", way, released), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f, one := tightFleet(t)
-					f.askAll("swift/a1")
-					holder := one.waitHolder(t)
+					f, standIn := tightFleet(t)
+					f.requestAll("swift/a1")
+					holder := standIn.waitHolder(t)
 					time.Sleep(2 * time.Second)
-					f.network.freeze(hostOf(one.listed.Address), true)
-					f.askAll("rare")
+					f.network.freeze(hostOf(standIn.listed.Address), true)
+					f.requestAll("rare")
 					time.Sleep(500 * time.Millisecond)
-					f.outOfReach(holder, way, true)
-					f.askAll("other")
+					f.setUnreachable(holder, way, true)
+					f.requestAll("other")
 					time.Sleep(released)
-					f.network.freeze(hostOf(one.listed.Address), false)
+					f.network.freeze(hostOf(standIn.listed.Address), false)
 					time.Sleep(4 * time.Second)
-					f.outOfReach(holder, way, false)
+					f.setUnreachable(holder, way, false)
 					f.waitServed(t, "other", "rare", "swift/a2")
-					assert.Assert(t, one.withinRoom(), "%+v", one.told())
+					assert.Assert(t, standIn.withinCapacity(), "%+v", standIn.receivedOrders())
 				})
 			})
 		}
 	}
 }
 
-// outOfReach freezes a control daemon's machine or cuts it off from the others, or ends that.
-func (f *fleet) outOfReach(host, way string, away bool) {
+// setUnreachable freezes a control daemon's machine or cuts it off from the others, or ends that.
+func (f *fleet) setUnreachable(host, way string, away bool) {
 	if way == "frozen" {
 		f.network.freeze(host, away)
 		return
 	}
 	for number := 1; number <= f.cores; number++ {
 		if other := coreHost(number); other != host {
-			f.network.holdBoth(host, other, away)
+			f.network.delayBoth(host, other, away)
 		}
 	}
 }
 
-func TestGivenOrdersWhoseAnswersAreLostThenRoomAndPlacesAreKept(t *testing.T) {
+func TestReplicaOrders_KeepCapacityWhenAnswersAreLost(t *testing.T) {
 	for _, amount := range []int{1, 3} {
 		t.Run(fmt.Sprint(amount), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, one := tightFleet(t)
-				one.lock.Lock()
-				one.holding.loseAnswers = amount
-				one.lock.Unlock()
-				f.askAll("rare", "swift/a1", "swift/a2")
+				f, standIn := tightFleet(t)
+				standIn.lock.Lock()
+				standIn.holding.loseAnswers = amount
+				standIn.lock.Unlock()
+				f.requestAll("rare", "swift/a1", "swift/a2")
 				time.Sleep(time.Second)
-				f.askAll("other", "swift/a3")
+				f.requestAll("other", "swift/a3")
 				f.waitServed(t, "other", "rare", "swift/a3", "swift/a4")
-				assert.Assert(t, one.withinRoom(), "%+v", one.told())
-				assert.Equal(t, len(one.refused()), 0, "%+v", one.told())
+				assert.Assert(t, standIn.withinCapacity(), "%+v", standIn.receivedOrders())
+				assert.Equal(t, len(standIn.refused()), 0, "%+v", standIn.receivedOrders())
 			})
 		})
 	}
 }
 
 // refused are the loads beyond room that were refused.
-func (s *standInReplica) refused() []ordered {
+func (s *standInReplica) refused() []receivedOrder {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return append([]ordered(nil), s.holding.refusedOverfull...)
+	return append([]receivedOrder(nil), s.holding.refusedOverfull...)
 }
 
-func TestGivenAReplicaRestartedUnderItsAddressThenItIsNoticedAndAllIsLoadedAgain(t *testing.T) {
+func TestReplicaOrders_ReloadAfterReplicaRestartsAtItsAddress(t *testing.T) {
 	for _, moment := range []time.Duration{0, 700 * time.Millisecond, 5 * time.Second} {
 		t.Run(moment.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, one := tightFleet(t)
-				f.askAll("rare", "swift/a1")
-				one.waitHolder(t)
+				f, standIn := tightFleet(t)
+				f.requestAll("rare", "swift/a1")
+				standIn.waitHolder(t)
 				time.Sleep(moment)
-				one.restart()
+				standIn.restart()
 				f.waitServed(t, "swift", "swift/a1", "rare", "other", "swift/a2")
-				assert.Assert(t, one.withinRoom(), "%+v", one.told())
-				assert.Equal(t, len(one.refused()), 0, "%+v", one.told())
+				assert.Assert(t, standIn.withinCapacity(), "%+v", standIn.receivedOrders())
+				assert.Equal(t, len(standIn.refused()), 0, "%+v", standIn.receivedOrders())
 			})
 		})
 	}
--- a/internal/story/parts_test.go
+++ b/internal/story/parts_test.go
@@ -10,13 +10,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestGivenEdgesAtDifferentMembersWhenARareModelIsAskedForThenEachServesItOnceItIsLoaded(t *testing.T) {
+func TestSubscriptions_RareModelServedByDataPlanesOfAllMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := settled(t, 3, one, two)
+		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 3, standIn, two)
 		for round := range 2 {
 			for edge := 1; edge <= 3; edge++ {
-				answer := f.ask(edge, fmt.Sprintf("attempt-%d-%d", round, edge), "/patient/", "rare")
+				answer := f.request(edge, fmt.Sprintf("attempt-%d-%d", round, edge), "/patient/", "rare")
 				assert.Equal(t, answer.status, http.StatusOK)
 				assert.Assert(t, answer.took < 4*time.Second, "round %d edge %d took %s", round, edge, answer.took)
 			}
@@ -24,16 +24,16 @@
 	})
 }
 
-func TestGivenAllMembersRestartWhenAReplicaDrainsThenNoDataPlaneSendsItMore(t *testing.T) {
+func TestSubscriptions_DrainingReplicaGetsNothingAfterAllMembersRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := settled(t, 3, one, two)
+		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 3, standIn, two)
 		for round := range 12 {
-			one.drain(round%2 == 0)
+			standIn.drain(round%2 == 0)
 			time.Sleep(time.Second)
-			f.ask(1+round%3, fmt.Sprint("before-", round), "/quick/", "swift")
+			f.request(1+round%3, fmt.Sprint("before-", round), "/quick/", "swift")
 		}
-		one.drain(false)
+		standIn.drain(false)
 		time.Sleep(time.Second)
 		for core := 1; core <= 3; core++ {
 			f.kill(coreHost(core))
@@ -43,16 +43,16 @@
 		}
 		time.Sleep(3 * time.Second)
 		for edge := 1; edge <= 3; edge++ {
-			assert.Equal(t, f.ask(edge, fmt.Sprint("after-", edge), "/quick/", "swift").status, http.StatusOK)
+			assert.Equal(t, f.request(edge, fmt.Sprint("after-", edge), "/quick/", "swift").status, http.StatusOK)
 		}
-		one.drain(true)
+		standIn.drain(true)
 		time.Sleep(2 * time.Second)
-		ran := len(one.ran())
+		ran := len(standIn.executed())
 		for edge := 1; edge <= 3; edge++ {
 			for number := range 4 {
-				assert.Equal(t, f.ask(edge, fmt.Sprintf("late-%d-%d", edge, number), "/quick/", "swift").status, http.StatusOK)
+				assert.Equal(t, f.request(edge, fmt.Sprintf("late-%d-%d", edge, number), "/quick/", "swift").status, http.StatusOK)
 			}
 		}
-		assert.Equal(t, len(one.ran()), ran, "a draining replica was sent orders")
+		assert.Equal(t, len(standIn.executed()), ran, "a draining replica was sent orders")
 	})
 }
--- a/internal/story/quota_test.go
+++ b/internal/story/quota_test.go
@@ -15,8 +15,8 @@
 
 var quotaBounds = quota.Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// limited is a configuration whose tenant "one" has the limit.
-func limited(revision int, limit quota.Limit) string {
+// limitedDocument is a configuration whose tenant "one" has the limit.
+func limitedDocument(revision int, limit quota.Limit) string {
 	tenants := fmt.Sprintf(`[{"name":"one","apiKeys":["%s"],"ratePerS":%g,"burst":%g},{"name":"other","apiKeys":["%s"]}]`,
 		oldKey, limit.RatePerS, limit.Burst, otherKey)
 	return documentOf(revision, tenants)
@@ -24,7 +24,7 @@
 
 const storySpan = 20 * time.Second
 
-func TestGivenATenantBeyondItsLimitThenAllDataPlanesTogetherKeepToItAndItGetsIt(t *testing.T) {
+func TestQuota_AllDataPlanesTogetherEnforceLimitExactly(t *testing.T) {
 	inTurn := func(stop func(q *quotaFleet, host string)) func(q *quotaFleet) {
 		return func(q *quotaFleet) {
 			for number := 1; number <= 4; number++ {
@@ -94,15 +94,15 @@
 				q.send(40, storySpan, story.edge)
 				time.Sleep(4 * time.Second)
 				got := float64(q.between(time.Second, storySpan)) / (q.limit.RatePerS * (storySpan - time.Second).Seconds())
-				t.Logf("%.3f of the limit, %d in the worst window of %.0f allowed, statuses %s", got, q.worst(0), quotaBounds.Allowed(q.limit), q.seen())
-				assert.Assert(t, float64(q.worst(0)) <= quotaBounds.Allowed(q.limit))
+				t.Logf("%.3f of the limit, %d in the worst window of %.0f allowed, statuses %s", got, q.maxPerWindow(0), quotaBounds.Allowed(q.limit), q.seen())
+				assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
 				assert.Assert(t, got >= story.least, "got %.3f", got)
 			})
 		})
 	}
 }
 
-func TestGivenALimitLoweredUnderLoadThenItBindsAWindowAfterItIsInForce(t *testing.T) {
+func TestQuota_LoweredLimitBindsAfterOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := startQuota(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
 		held := 0.0
@@ -110,8 +110,8 @@
 			var status struct{ Holds []quota.TenantBalance }
 			shown := q.call(http.MethodGet, edgeHost(number)+":8167", "/ferryspar/quota", "", nil)
 			assert.NilError(t, json.Unmarshal([]byte(shown.body), &status))
-			for _, one := range status.Holds {
-				held += one.Share
+			for _, holding := range status.Holds {
+				held += holding.Share
 			}
 		}
 		assert.Assert(t, held > 0.99 && held < 1.01, "all of the limit is at some home: %.3f", held)
@@ -119,18 +119,18 @@
 		var acknowledged time.Duration
 		go func() {
 			time.Sleep(5 * time.Second)
-			assert.Check(t, q.put(2, 1, 2, limited(2, low)).status == http.StatusOK)
+			assert.Check(t, q.put(2, 1, 2, limitedDocument(2, low)).status == http.StatusOK)
 			acknowledged = q.since()
 		}()
 		q.send(40, storySpan, func(after time.Duration) int { return 1 + int(after/time.Millisecond/25)%3 })
 		time.Sleep(4 * time.Second)
-		t.Logf("%d in the worst window before, %d after", q.worst(0), q.worst(acknowledged+applyBound))
-		assert.Assert(t, float64(q.worst(0)) <= quotaBounds.Allowed(q.limit))
-		assert.Assert(t, float64(q.worst(acknowledged+applyBound)) <= quotaBounds.Allowed(low))
+		t.Logf("%d in the worst window before, %d after", q.maxPerWindow(0), q.maxPerWindow(acknowledged+applyBound))
+		assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
+		assert.Assert(t, float64(q.maxPerWindow(acknowledged+applyBound)) <= quotaBounds.Allowed(low))
 	})
 }
 
-func TestGivenAllMachinesLosePowerThenTenantsWithLimitsAreServedSoonAfterTheyAreBack(t *testing.T) {
+func TestQuota_ServedSoonAfterPowerLossOfAllMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := startQuota(t, 4, quota.Limit{RatePerS: 20, Burst: 10})
 		for number := 1; number <= 4; number++ {
@@ -152,24 +152,24 @@
 		t.Logf("%d in the 4 s that begin 4 s after, statuses %s", q.between(back+4*time.Second, back+8*time.Second), q.seen())
 		assert.Assert(t, q.between(back+4*time.Second, back+8*time.Second) >= 72, "nine tenths of what came")
 		assert.Assert(t, q.statuses[http.StatusServiceUnavailable].Load() <= 30, "refused for at most 1.5 s")
-		assert.Assert(t, float64(q.worst(0)) <= quotaBounds.Allowed(q.limit))
+		assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
 	})
 }
 
-func TestGivenADataPlaneOutOfTouchThenItsTenantsWithoutLimitsAreServedOn(t *testing.T) {
+func TestQuota_UnlimitedTenantsServedDuringPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := startQuota(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
-		assert.Equal(t, q.askWith(3, otherKey, "/quick/", "swift").status, http.StatusOK, "it follows the model from now on")
+		assert.Equal(t, q.requestWithKey(3, otherKey, "/quick/", "swift").status, http.StatusOK, "it follows the model from now on")
 		q.cutEdge(3, true)
 		q.cutEdges([]int{1, 2}, []int{3}, true)
 		time.Sleep(12 * time.Second)
-		refused := q.askWith(3, oldKey, "/quick/", "swift")
+		refused := q.requestWithKey(3, oldKey, "/quick/", "swift")
 		assert.Equal(t, refused.status, http.StatusServiceUnavailable, "what it held is the others' by now")
-		assert.Equal(t, q.askWith(3, otherKey, "/quick/", "swift").status, http.StatusOK)
-		assert.Equal(t, q.askWith(1, oldKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, q.requestWithKey(3, otherKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, q.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
 		q.cutEdge(3, false)
 		q.cutEdges([]int{1, 2}, []int{3}, false)
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, q.askWith(3, oldKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, q.requestWithKey(3, oldKey, "/quick/", "swift").status, http.StatusOK)
 	})
 }
--- a/internal/story/quotafleet_test.go
+++ b/internal/story/quotafleet_test.go
@@ -40,7 +40,7 @@
 		q.startEdge(edgeHost(number))
 	}
 	time.Sleep(3 * time.Second)
-	assert.Equal(t, q.put(1, 0, 1, limited(1, limit)).status, http.StatusOK)
+	assert.Equal(t, q.put(1, 0, 1, limitedDocument(1, limit)).status, http.StatusOK)
 	time.Sleep(14 * time.Second)
 	q.began = time.Now()
 	return q
@@ -64,10 +64,10 @@
 }
 
 // times are when requests of the tenant came to replicas, after the start, in order.
-func (q *quotaFleet) times() []time.Duration {
+func (q *quotaFleet) executionTimes() []time.Duration {
 	var times []time.Duration
-	for _, one := range q.replicas {
-		for _, run := range one.ran() {
+	for _, standIn := range q.replicas {
+		for _, run := range standIn.executed() {
 			if run.header.Get(replica.HeaderTenant) == "one" {
 				times = append(times, run.at.Sub(q.began))
 			}
@@ -80,7 +80,7 @@
 // between counts the requests that came to replicas in a span.
 func (q *quotaFleet) between(from, to time.Duration) int {
 	count := 0
-	for _, at := range q.times() {
+	for _, at := range q.executionTimes() {
 		if at >= from && at < to {
 			count++
 		}
@@ -89,8 +89,8 @@
 }
 
 // worst is the largest number of requests that came to replicas within one window that begins at the time given or later.
-func (q *quotaFleet) worst(since time.Duration) int {
-	times, most := q.times(), 0
+func (q *quotaFleet) maxPerWindow(since time.Duration) int {
+	times, most := q.executionTimes(), 0
 	for first, began := range times {
 		if began < since {
 			continue
@@ -119,7 +119,7 @@
 func (q *quotaFleet) cutEdges(left, right []int, cut bool) {
 	for _, one := range left {
 		for _, other := range right {
-			q.network.cut(edgeHost(one), edgeHost(other), cut)
+			q.network.partition(edgeHost(one), edgeHost(other), cut)
 		}
 	}
 }
--- a/internal/story/race_test.go
+++ b/internal/story/race_test.go
@@ -14,7 +14,7 @@
 
 const lostAnswers = 0.3
 
-func (o *operators) verify(t *testing.T) {
+func (o *operators) checkViolations(t *testing.T) {
 	t.Helper()
 	problems := o.violations()
 	assert.Equal(t, len(problems), 0, listed(problems))
@@ -22,11 +22,11 @@
 	assert.Equal(t, len(problems), 0, listed(problems))
 }
 
-func TestGivenTwoOperatorsOnOneNumberAtAllPairsOfDaemonsWithLostAnswersThenOneWinsAndResendsAgree(t *testing.T) {
+func TestConfigurationRace_OneWinnerAndResendsAgree(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := settled(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+				f := startSettledFleet(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 				o := newOperators(f, seed, 1, 2, 3)
 				o.lossShare = lostAnswers
 				version := 1
@@ -38,7 +38,7 @@
 						version = o.newest()
 					}
 				}
-				o.verify(t)
+				o.checkViolations(t)
 			})
 		})
 	}
@@ -48,11 +48,11 @@
 func (o *operators) race(version, first, second int) []operatorChange {
 	changes := []operatorChange{
 		addRoute(version, version+3, fmt.Sprintf("left-%d", version)),
-		addRoute(version, version+3+int(2*o.drawn()), fmt.Sprintf("right-%d", version)),
+		addRoute(version, version+3+int(2*o.randomFloat()), fmt.Sprintf("right-%d", version)),
 	}
 	var group sync.WaitGroup
 	for index, host := range []string{coreHost(first), coreHost(second)} {
-		delay := time.Duration(o.drawn() * float64(30*time.Millisecond))
+		delay := time.Duration(o.randomFloat() * float64(30*time.Millisecond))
 		group.Go(func() {
 			time.Sleep(delay)
 			if o.attempt(changes[index], host).outcome == unclear {
@@ -72,9 +72,9 @@
 	}
 }
 
-func TestGivenRacesWhileAMemberIsCutOffThenResendsAfterEveryOutcomeAgree(t *testing.T) {
+func TestConfigurationRace_ResendsAgreeDuringPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		o := newOperators(f, 5, 1, 2, 3)
 		o.lossShare = lostAnswers
 		version := 1
@@ -83,7 +83,7 @@
 			isolate := func(cut bool) {
 				for _, host := range o.hosts {
 					if host != alone {
-						f.network.holdBoth(alone, host, cut)
+						f.network.delayBoth(alone, host, cut)
 					}
 				}
 			}
@@ -100,11 +100,11 @@
 			assert.Assert(t, o.newest() > version, "nobody wins at version %d", version)
 			version = o.newest()
 		}
-		o.verify(t)
+		o.checkViolations(t)
 	})
 }
 
-func TestGivenAThousandFurtherChangesThenAResendIsNotRefused(t *testing.T) {
+func TestConfigurationRace_ResendRecognisedAfterThousandChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetOf(t, 3, 0, 0)
 		time.Sleep(3 * time.Second)
@@ -126,16 +126,16 @@
 	})
 }
 
-func TestGivenEightCallsUnderWayAtOnceThenEachNumberIsTakenOnceAndNothingIsUndone(t *testing.T) {
+func TestConfigurationRace_ConcurrentCallsTakeEachVersionOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startSettledFleet(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		o := newOperators(f, 7, 1, 2, 3)
 		o.lossShare = lostAnswers
 		var group sync.WaitGroup
 		for caller := range callsAtOnce {
 			group.Go(func() {
 				for round := range 8 {
-					status, content := o.read(o.pick())
+					status, content := o.read(o.pickMember())
 					if status != http.StatusOK {
 						continue
 					}
@@ -147,7 +147,7 @@
 		}
 		group.Wait()
 		assert.Assert(t, o.newest() > 8, "changes go on: %d", o.newest())
-		o.verify(t)
+		o.checkViolations(t)
 	})
 }
 
--- a/internal/story/replica_orders_test.go
+++ b/internal/story/replica_orders_test.go
@@ -18,25 +18,25 @@
 	keptMoments = 16
 )
 
-// ordered is an instruction as it came. Expected is nil where the sender named no sequence.
-type ordered struct {
+// receivedOrder is an instruction as it came. Expected is nil where the sender named no sequence.
+type receivedOrder struct {
 	replica.Order
 	Expected *int64 `json:"expectedCount"`
 	at       time.Time
 	status   int
 }
 
-func (o ordered) reference() string {
+func (o receivedOrder) reference() string {
 	if o.Adapter == "" {
 		return o.Model
 	}
 	return o.Model + "/" + o.Adapter
 }
 
-func (o ordered) load() bool { return o.Operation == replica.OperationLoad }
+func (o receivedOrder) load() bool { return o.Operation == replica.OperationLoad }
 
-// standInOrders is how a stand-in carries out orders, and what it tells of that. The stand-in's lock guards it.
-type standInOrders struct {
+// orderBehaviour is how a stand-in carries out orders, and what it tells of that. The stand-in's lock guards it.
+type orderBehaviour struct {
 	places      int           // of adapters
 	adapterTime time.Duration // to load or unload an adapter
 	reportLag   time.Duration // how old the moment is that reports show
@@ -45,25 +45,25 @@
 	highest     uint64
 	busyUntil   time.Time
 	life        int
-	past        []standInMoment
+	past        []reportedMoment
 	// refusedOverfull holds the loads beyond room that were refused for their sequence or another order.
-	refusedOverfull []ordered
+	refusedOverfull []receivedOrder
 }
 
-// standInMoment is what a stand-in would have reported from a time on.
-type standInMoment struct {
+// reportedMoment is what a stand-in would have reported from a time on.
+type reportedMoment struct {
 	at    time.Time
 	state replica.Report
 }
 
-func ordinaryOrders() standInOrders {
-	return standInOrders{places: adapterPlaces, adapterTime: 10 * time.Millisecond}
+func ordinaryOrders() orderBehaviour {
+	return orderBehaviour{places: adapterPlaces, adapterTime: 10 * time.Millisecond}
 }
 
 // note remembers what reports show from now on. The caller holds the lock.
-func (s *standInReplica) note() {
+func (s *standInReplica) recordMoment() {
 	state := replica.Report{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.holding.sequence}
-	s.holding.past = append(s.holding.past, standInMoment{time.Now(), state})
+	s.holding.past = append(s.holding.past, reportedMoment{time.Now(), state})
 	if extra := len(s.holding.past) - keptMoments; extra > 0 {
 		s.holding.past = s.holding.past[extra:]
 	}
@@ -96,10 +96,10 @@
 }
 
 func (s *standInReplica) order(writer http.ResponseWriter, request *http.Request) {
-	instruction := ordered{at: time.Now()}
+	instruction := receivedOrder{at: time.Now()}
 	_ = json.NewDecoder(request.Body).Decode(&instruction)
 	s.lock.Lock()
-	instruction.status = s.take(instruction)
+	instruction.status = s.accept(instruction)
 	s.orders = append(s.orders, instruction)
 	lost := instruction.status == http.StatusAccepted && s.holding.loseAnswers > 0
 	if lost {
@@ -113,12 +113,12 @@
 }
 
 // take decides on an order and begins it if it is accepted; the caller holds the lock.
-func (s *standInReplica) take(instruction ordered) int {
+func (s *standInReplica) accept(instruction receivedOrder) int {
 	if instruction.Fence < s.holding.highest {
 		return http.StatusPreconditionFailed
 	}
 	s.holding.highest = instruction.Fence
-	beyond := instruction.load() && !s.hasRoom(instruction)
+	beyond := instruction.load() && !s.hasCapacity(instruction)
 	if s.busy() || instruction.Expected != nil && *instruction.Expected != s.holding.sequence {
 		if beyond {
 			s.holding.refusedOverfull = append(s.holding.refusedOverfull, instruction)
@@ -136,8 +136,8 @@
 	return http.StatusAccepted
 }
 
-// hasRoom tells whether a load has room and a place beside what is held; the caller holds the lock.
-func (s *standInReplica) hasRoom(instruction ordered) bool {
+// hasCapacity tells whether a load has room and a place beside what is held; the caller holds the lock.
+func (s *standInReplica) hasCapacity(instruction receivedOrder) bool {
 	held := maps.Clone(s.models)
 	held[instruction.reference()] = true
 	models, adapters := 0, 0
@@ -148,19 +148,19 @@
 			models++
 		}
 	}
-	return models <= placesPerReplica && adapters <= s.holding.places
+	return models <= slotsPerReplica && adapters <= s.holding.places
 }
 
 // begin carries an order out; the caller holds the lock.
-func (s *standInReplica) begin(instruction ordered) {
+func (s *standInReplica) begin(instruction receivedOrder) {
 	taking := s.loadTime
 	if instruction.Adapter != "" {
 		taking = s.holding.adapterTime
 	}
-	s.note()
+	s.recordMoment()
 	s.holding.sequence++
 	s.holding.busyUntil = time.Now().Add(taking)
-	s.note()
+	s.recordMoment()
 	life := s.holding.life
 	time.AfterFunc(taking, func() {
 		s.lock.Lock()
@@ -172,7 +172,7 @@
 		if !instruction.load() {
 			s.models.Drop(instruction.reference())
 		}
-		s.note()
+		s.recordMoment()
 	})
 }
 
@@ -183,11 +183,11 @@
 	s.models = standin.NewHoldings()
 	s.holding.life++
 	s.holding.sequence, s.holding.highest, s.holding.busyUntil, s.holding.past = 0, 0, time.Time{}, nil
-	s.note()
+	s.recordMoment()
 }
 
-// withinRoom tells whether no accepted load was beyond room or places.
-func (s *standInReplica) withinRoom() bool {
+// withinCapacity tells whether no accepted load was beyond room or places.
+func (s *standInReplica) withinCapacity() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return !s.overfull
--- a/internal/story/replica_test.go
+++ b/internal/story/replica_test.go
@@ -25,8 +25,8 @@
 	listed    platform.Replica
 	models    standin.Holdings
 	runs      []arrival
-	orders    []ordered
-	holding   standInOrders
+	orders    []receivedOrder
+	holding   orderBehaviour
 	cutAfter  int
 	full      bool
 	events    int
@@ -59,7 +59,7 @@
 	},
 }
 
-func (s *standInReplica) turn(fails string, every int) {
+func (s *standInReplica) setFailing(fails string, every int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.fails, s.failEvery = fails, every
@@ -91,7 +91,7 @@
 	}
 }
 
-func (s *standInReplica) cool(until time.Time) {
+func (s *standInReplica) setWarmingUntil(until time.Time) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.coldUntil = until
@@ -106,16 +106,16 @@
 	return listed
 }
 
-func (s *standInReplica) ran() []arrival {
+func (s *standInReplica) executed() []arrival {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return append([]arrival(nil), s.runs...)
 }
 
-func (s *standInReplica) told() []ordered {
+func (s *standInReplica) receivedOrders() []receivedOrder {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return append([]ordered(nil), s.orders...)
+	return append([]receivedOrder(nil), s.orders...)
 }
 
 func (s *standInReplica) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
--- a/internal/story/returned_test.go
+++ b/internal/story/returned_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// quietFleet is a fleet with one configuration and no calls under way; nothing but its own loops brings a member up to date.
-func quietFleet(t *testing.T) (*fleet, *operators) {
+// startQuietFleet is a fleet with one configuration and no calls under way; nothing but its own loops brings a member up to date.
+func startQuietFleet(t *testing.T) (*fleet, *operators) {
 	f := startFleetOf(t, 3, 1, 0)
 	time.Sleep(3 * time.Second)
 	assert.Equal(t, f.put(1, 0, 1, document(1, "")).status, http.StatusOK)
@@ -28,12 +28,12 @@
 	assert.Equal(t, len(problems), 0, listed(problems))
 }
 
-func TestGivenAMemberCutOffWhileAnEvacuationPassesItByThenItKnowsItThreeSecondsAfterTheHeal(t *testing.T) {
+func TestMember_LearnsMissedEvacuationAfterPartitionHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, o := quietFleet(t)
+		f, o := startQuietFleet(t)
 		isolate := func(cut bool) {
-			f.network.holdBoth(coreHost(1), coreHost(2), cut)
-			f.network.holdBoth(coreHost(1), coreHost(3), cut)
+			f.network.delayBoth(coreHost(1), coreHost(2), cut)
+			f.network.delayBoth(coreHost(1), coreHost(3), cut)
 		}
 		isolate(true)
 		time.Sleep(time.Second)
@@ -45,9 +45,9 @@
 	})
 }
 
-func TestGivenAMemberRestartedWithItsDiskAfterChangesPassedItByThenItKnowsThemWithinSyncTime(t *testing.T) {
+func TestMember_LearnsMissedChangesAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, o := quietFleet(t)
+		f, o := startQuietFleet(t)
 		f.kill(coreHost(1))
 		assert.Equal(t, o.sendZone("south", true, "missed"), acknowledged)
 		assert.Equal(t, o.send(addRoute(1, 2, "missed"), zoneResendBound), acknowledged)
--- a/internal/story/revocation_test.go
+++ b/internal/story/revocation_test.go
@@ -11,31 +11,31 @@
 	"ferryspar/internal/nodesettings"
 )
 
-func TestGivenADataPlaneCutOffWhenAKeyIsNewThenItAsksToComeAgainInsteadOfRefusing(t *testing.T) {
+func TestRevocation_PartitionedDataPlaneAnswersUnknownKeyWithRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startTenants(t, false, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		f.cutEdge(2, true)
 		assert.Equal(t, f.changeKeys(1, newKey).status, http.StatusOK)
 		acknowledged := time.Now()
 		for time.Since(acknowledged) < 15*time.Second {
-			got := f.askWith(2, newKey, "/quick/", "swift")
+			got := f.requestWithKey(2, newKey, "/quick/", "swift")
 			if time.Since(acknowledged) > applyBound+time.Second {
 				assert.Equal(t, got.status, http.StatusServiceUnavailable)
 				assert.Assert(t, got.header.Get("Retry-After") != "")
 			}
-			kept := f.askWith(2, oldKey, "/quick/", "swift")
+			kept := f.requestWithKey(2, oldKey, "/quick/", "swift")
 			assert.Equal(t, kept.status, http.StatusOK, "%s %s after", kept.body, time.Since(acknowledged))
-			assert.Equal(t, f.askWith(2, otherKey, "/quick/", "swift").status, http.StatusOK)
+			assert.Equal(t, f.requestWithKey(2, otherKey, "/quick/", "swift").status, http.StatusOK)
 			time.Sleep(probeEvery)
 		}
 		f.cutEdge(2, false)
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, f.askWith(2, newKey, "/quick/", "swift").status, http.StatusOK)
-		assert.Equal(t, f.askWith(2, oldKey, "/quick/", "swift").status, http.StatusUnauthorized)
+		assert.Equal(t, f.requestWithKey(2, newKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.requestWithKey(2, oldKey, "/quick/", "swift").status, http.StatusUnauthorized)
 	})
 }
 
-func TestGivenRevocationClosedWhenADataPlaneIsCutOffThenItStopsServingKeysInTime(t *testing.T) {
+func TestRevocation_FailClosedStopsServingAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startTenants(t, true, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		f.cutEdge(2, true)
@@ -44,36 +44,36 @@
 		served := 0
 		for time.Since(acknowledged) < 15*time.Second {
 			late := time.Since(acknowledged) > revokeBound
-			got := f.askWith(2, oldKey, "/quick/", "swift")
+			got := f.requestWithKey(2, oldKey, "/quick/", "swift")
 			if got.status == http.StatusOK {
 				served++
 			}
 			assert.Assert(t, !late || got.status == http.StatusServiceUnavailable, "%d %s after", got.status, time.Since(acknowledged))
-			assert.Equal(t, f.askWith(2, "", "/open/", "swift").status, http.StatusOK, "public routes go on")
-			assert.Equal(t, f.askWith(1, newKey, "/quick/", "swift").status, http.StatusOK, "the other is in touch")
+			assert.Equal(t, f.requestWithKey(2, "", "/open/", "swift").status, http.StatusOK, "public routes go on")
+			assert.Equal(t, f.requestWithKey(1, newKey, "/quick/", "swift").status, http.StatusOK, "the other is in touch")
 			time.Sleep(probeEvery)
 		}
 		assert.Assert(t, served > 5, "it stops no sooner than it must, served %d", served)
 		f.cutEdge(2, false)
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, f.askWith(2, newKey, "/quick/", "swift").status, http.StatusOK)
-		assert.Equal(t, f.askWith(2, oldKey, "/quick/", "swift").status, http.StatusUnauthorized)
+		assert.Equal(t, f.requestWithKey(2, newKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.requestWithKey(2, oldKey, "/quick/", "swift").status, http.StatusUnauthorized)
 	})
 }
 
-func TestGivenRevocationClosedWhenOnlyAMinorityIsReachedThenItProvesNothing(t *testing.T) {
+func TestRevocation_FailClosedNotRenewedByMinority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startTenants(t, true, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		for number := 2; number <= 3; number++ {
-			f.network.cut(edgeHost(1), coreHost(number), true)
-			f.network.cut(coreHost(1), coreHost(number), true)
+			f.network.partition(edgeHost(1), coreHost(number), true)
+			f.network.partition(coreHost(1), coreHost(number), true)
 		}
 		time.Sleep(revokeBound)
-		assert.Equal(t, f.askWith(1, oldKey, "/quick/", "swift").status, http.StatusServiceUnavailable)
+		assert.Equal(t, f.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusServiceUnavailable)
 	})
 }
 
-func TestGivenRevocationClosedInCalmTimesThenKeysAreServedAllTheTimeAlsoWithAShortBound(t *testing.T) {
+func TestRevocation_FailClosedServesWithoutFaults(t *testing.T) {
 	for _, bound := range []time.Duration{revokeBound, 2 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			f := startTenants(t, true, 0, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
@@ -85,8 +85,8 @@
 			f.startEdge(edgeHost(1))
 			time.Sleep(2 * time.Second)
 			for range 150 {
-				assert.Equal(t, f.askWith(1, oldKey, "/quick/", "swift").status, http.StatusOK)
-				assert.Equal(t, f.askWith(1, newKey, "/quick/", "swift").status, http.StatusUnauthorized)
+				assert.Equal(t, f.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
+				assert.Equal(t, f.requestWithKey(1, newKey, "/quick/", "swift").status, http.StatusUnauthorized)
 				time.Sleep(probeEvery / 2)
 			}
 		})
--- a/internal/story/rollout_test.go
+++ b/internal/story/rollout_test.go
@@ -14,28 +14,28 @@
 	longestNoChange = 3 * time.Second
 )
 
-func TestGivenARollOutOfOneControlDaemonAfterAnotherThenChangesGoOnAllTheTime(t *testing.T) {
+func TestRollout_ChangesContinueDuringRollingRestart(t *testing.T) {
 	gaps := []time.Duration{500 * time.Millisecond, 900 * time.Millisecond, 1300 * time.Millisecond, 2 * time.Second, 3 * time.Second}
 	for _, cores := range []int{3, 5} {
-		for index := 0; index < len(gaps); index += bySweep(cores-2, 1) {
+		for index := 0; index < len(gaps); index += casesFor(cores-2, 1) {
 			gap := gaps[index]
 			t.Run(fmt.Sprintf("%d daemons, %s between", cores, gap), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playRollOut(t, cores, gap, nil) })
+				synctest.Test(t, func(t *testing.T) { runRollout(t, cores, gap, nil) })
 			})
 		}
 	}
 }
 
-func TestGivenARollOutWithANewcomerAtHandThenNothingIsLost(t *testing.T) {
+func TestRollout_NothingLostWithSpareMember(t *testing.T) {
 	for _, gap := range []time.Duration{600 * time.Millisecond, 1800 * time.Millisecond} {
 		t.Run(fmt.Sprint(gap, " between"), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playRollOut(t, 3, gap, []int{4}) })
+			synctest.Test(t, func(t *testing.T) { runRollout(t, 3, gap, []int{4}) })
 		})
 	}
 }
 
-func playRollOut(t *testing.T, cores int, gap time.Duration, newcomers []int) {
-	s := newLossStory(t, cores)
+func runRollout(t *testing.T, cores int, gap time.Duration, newcomers []int) {
+	s := newLossScenario(t, cores)
 	s.join(newcomers)
 	ended := make(chan time.Duration, cores)
 	for number := 1; number <= cores; number++ {
@@ -60,9 +60,9 @@
 	t.Logf("longest without an acknowledged change: %s", s.w.longest)
 }
 
-func TestGivenSeedsThatNoLongerListenWhenDaemonsStartLaterThenTheyFindTheOthers(t *testing.T) {
+func TestRollout_LateNodesFindMembersWhenSeedsAreGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newLossStory(t, 5)
+		s := newLossScenario(t, 5)
 		s.f.kill(coreHost(1))
 		s.f.kill(coreHost(2))
 		s.drop(1)
@@ -74,13 +74,13 @@
 		s.f.kill(coreHost(3))
 		time.Sleep(restartAfter)
 		s.f.startCore(coreHost(3), false, 1, 2, 6)
-		s.f.network.cut(coreHost(4), coreHost(6), true)
+		s.f.network.partition(coreHost(4), coreHost(6), true)
 		time.Sleep(syncTime)
 		s.f.kill(coreHost(4))
 		time.Sleep(restartAfter)
 		s.f.startCore(coreHost(4), false, 1, 6, 2)
 		time.Sleep(2 * time.Second)
-		s.f.network.cut(coreHost(4), coreHost(6), false)
+		s.f.network.partition(coreHost(4), coreHost(6), false)
 		s.f.startEdgeWith(edgeHost(1), 1, 2, 6)
 		s.f.startEdgeWith(edgeHost(2), 4, 1, 2)
 		s.finish(t)
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestGivenTheFirstStartInAnyOrderWithNoSeedListeningThenTheFleetComesTogether(t *testing.T) {
+func TestRollout_FirstStartInAnyOrderFormsCluster(t *testing.T) {
 	orders := [][]int{{1, 2, 3, 4, 5}, {5, 4, 3, 2, 1}, {4, 1, 5, 3, 2}, {3, 5, 1, 4, 2}}
 	for _, order := range orders {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
@@ -109,10 +109,10 @@
 				assert.Assert(t, o.waitMembers(coreHost(order[0]), 5, 20*time.Second), o.describe(o.hosts...))
 				assert.Equal(t, o.send(addRoute(1, 2, "added"), 4*time.Second), acknowledged)
 				time.Sleep(2 * time.Second)
-				problems := o.judge(o.hosts...)
+				problems := o.violationsAt(o.hosts...)
 				assert.Equal(t, len(problems), 0, listed(problems))
 				for edge := 1; edge <= 2; edge++ {
-					assert.Equal(t, f.ask(edge, "attempt", "/added/", "swift").status, 200, "data plane %d", edge)
+					assert.Equal(t, f.request(edge, "attempt", "/added/", "swift").status, 200, "data plane %d", edge)
 				}
 			})
 		})
--- a/internal/story/roster_test.go
+++ b/internal/story/roster_test.go
@@ -23,21 +23,21 @@
 
 // stateListed is what a control daemon says of a replica's state; empty if it lists none of that id.
 func (o *operators) stateListed(host, id string) string {
-	for _, one := range o.status(host).Replicas {
-		if one.ID == id {
-			return one.State
+	for _, listed := range o.status(host).Replicas {
+		if listed.ID == id {
+			return listed.State
 		}
 	}
 	return ""
 }
 
-func TestGivenALeaseHolderCutOffFromThePlatformThenNoOtherMemberGoesBackToItsOlderList(t *testing.T) {
+func TestRoster_StaleListOfLeaseHolderNeverReplacesNewerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := settled(t, 1, one, two)
+		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 1, standIn, two)
 		o := newOperators(f, 1, 1, 2, 3)
 		holder := o.holderHost(coreHost(1))
-		f.network.holdBoth(holder, platformHost, true)
+		f.network.delayBoth(holder, platformHost, true)
 		time.Sleep(500 * time.Millisecond)
 		two.drain(true)
 		time.Sleep(4 * time.Second)
@@ -53,22 +53,22 @@
 	})
 }
 
-func TestGivenAListThatTakesLongToReadThenNoColdReplicaIsTakenForWarmTooEarly(t *testing.T) {
+func TestRoster_SlowReadDoesNotEndWarmUpEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := settled(t, 1, one)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startSettledFleet(t, 1, standIn)
 		o := newOperators(f, 1, 1, 2, 3)
 		f.lock.Lock()
-		f.listTook = 800 * time.Millisecond
+		f.listDuration = 800 * time.Millisecond
 		f.lock.Unlock()
 		coldUntil := time.Now().Add(12 * time.Second)
-		one.cool(coldUntil)
+		standIn.setWarmingUntil(coldUntil)
 		time.Sleep(4 * time.Second)
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
 			for number := 1; number <= 3; number++ {
-				told := o.status(coreHost(number))
-				left := time.Duration(told.Replicas[0].WarmUpRemainingMs-float64(told.ListAgeMs)) * time.Millisecond
+				status := o.status(coreHost(number))
+				left := time.Duration(status.Replicas[0].WarmUpRemainingMs-float64(status.ListAgeMs)) * time.Millisecond
 				assert.Assert(t, !time.Now().Add(left).Before(coldUntil.Add(-time.Millisecond)), "%s early at %d", coldUntil.Sub(time.Now().Add(left)), number)
 			}
 		}
@@ -76,21 +76,21 @@
 }
 
 // hide leaves a replica out of the platform's list, as pages do that are read while the list changes.
-func (f *fleet) hide(one *standInReplica, hidden bool) {
+func (f *fleet) hide(standIn *standInReplica, hidden bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.replicas = slices.DeleteFunc(f.replicas, func(listed *standInReplica) bool { return listed == one })
+	f.replicas = slices.DeleteFunc(f.replicas, func(listed *standInReplica) bool { return listed == standIn })
 	if !hidden {
-		f.replicas = append(f.replicas, one)
+		f.replicas = append(f.replicas, standIn)
 	}
 }
 
-func TestGivenAReplicaThatTheListLeavesOutForAMomentThenItsContextIsStillForgotten(t *testing.T) {
+func TestRoster_BrieflyUnlistedReplicaStillForgetsContext(t *testing.T) {
 	for name, moment := range map[string]time.Duration{"before it is counted": -600 * time.Millisecond, "after": 300 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				one, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-				f := settled(t, 1, one, two)
+				standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+				f := startSettledFleet(t, 1, standIn, two)
 				time.Sleep(3 * time.Second)
 				if moment < 0 {
 					f.hide(two, true)
@@ -108,7 +108,7 @@
 				done := f.forgets(1)[0]
 				assert.Assert(t, done.Complete, "%v", done)
 				assert.Equal(t, states(done, "replica")["i-2swift"], retention.Done)
-				assert.Assert(t, one.unloads("swift") >= 1 && two.unloads("swift") >= 1, "%d and %d", one.unloads("swift"), two.unloads("swift"))
+				assert.Assert(t, standIn.unloads("swift") >= 1 && two.unloads("swift") >= 1, "%d and %d", standIn.unloads("swift"), two.unloads("swift"))
 			})
 		})
 	}
@@ -127,8 +127,8 @@
 		next := fmt.Sprintf("p-%d", end)
 		page.NextToken = &next
 	}
-	for _, one := range replicas[min(from, end):end] {
-		page.Instances = append(page.Instances, one.entry())
+	for _, standIn := range replicas[min(from, end):end] {
+		page.Instances = append(page.Instances, standIn.entry())
 	}
 	if paged != nil {
 		paged(from)
@@ -136,12 +136,12 @@
 	return page
 }
 
-func TestGivenAListThatChangesBetweenItsPagesThenNoReplicaIsLeftOut(t *testing.T) {
+func TestRoster_ChangeBetweenPagesLosesNoReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
 		three, four := newStandInReplica("i-3", "10.3.2.1", "east", "swift"), newStandInReplica("i-4", "10.3.2.2", "east", "swift")
-		f := startFleet(t, 1, one, two, three, four)
-		defer f.network.breakOff("10.1.2.1")
+		f := startFleet(t, 1, standIn, two, three, four)
+		defer f.network.resetAll("10.1.2.1")
 		f.lock.Lock()
 		f.pageSize = 2
 		f.lock.Unlock()
@@ -152,7 +152,7 @@
 		f.paged = func(from int) {
 			if !ended && from == 0 {
 				ended = true
-				f.hide(one, true)
+				f.hide(standIn, true)
 			}
 		}
 		f.lock.Unlock()
--- a/internal/story/schedule_test.go
+++ b/internal/story/schedule_test.go
@@ -13,39 +13,39 @@
 	"ferryspar/internal/drill"
 )
 
-type trouble func(f *fleet, draw *rand.Rand) (heal func())
+type fault func(f *fleet, draw *rand.Rand) (heal func())
 
-func restart(host func(int) string, hosts int, start func(f *fleet, host string)) trouble {
+func restart(host func(int) string, hosts int, start func(f *fleet, host string)) fault {
 	return func(f *fleet, draw *rand.Rand) func() {
-		one := host(1 + draw.IntN(hosts))
-		f.kill(one)
+		name := host(1 + draw.IntN(hosts))
+		f.kill(name)
 		time.Sleep(time.Duration(draw.IntN(1500)) * time.Millisecond)
-		start(f, one)
+		start(f, name)
 		return func() {}
 	}
 }
 
-func darken(host func(int) string, hosts int) trouble {
+func darken(host func(int) string, hosts int) fault {
 	return func(f *fleet, draw *rand.Rand) func() {
-		one := host(1 + draw.IntN(hosts))
-		f.network.darken(one, true)
-		return func() { f.network.darken(one, false) }
+		name := host(1 + draw.IntN(hosts))
+		f.network.blackhole(name, true)
+		return func() { f.network.blackhole(name, false) }
 	}
 }
 
-var troubles = []trouble{
+var troubles = []fault{
 	darken(edgeHost, 2), darken(coreHost, 3),
 	restart(edgeHost, 2, (*fleet).startEdge),
 	restart(coreHost, 3, func(f *fleet, host string) { f.startCore(host, false, 1, 2, 3) }),
 	func(f *fleet, draw *rand.Rand) func() {
 		edge, core := edgeHost(1+draw.IntN(2)), coreHost(1+draw.IntN(3))
-		f.network.cut(edge, core, true)
-		return func() { f.network.cut(edge, core, false) }
+		f.network.partition(edge, core, true)
+		return func() { f.network.partition(edge, core, false) }
 	},
 	func(f *fleet, draw *rand.Rand) func() {
-		one, other := coreHost(1), coreHost(2+draw.IntN(2))
-		f.network.cut(one, other, true)
-		return func() { f.network.cut(one, other, false) }
+		name, other := coreHost(1), coreHost(2+draw.IntN(2))
+		f.network.partition(name, other, true)
+		return func() { f.network.partition(name, other, false) }
 	},
 	func(f *fleet, draw *rand.Rand) func() {
 		f.call(http.MethodDelete, coreHost(1+draw.IntN(3))+":8166", "/ferryspar/rehearsal", "", nil)
@@ -57,14 +57,14 @@
 	},
 }
 
-func TestGivenSeededTroublesThenNoDrillOutlivesItsTimeAndTheNextOneCanBegin(t *testing.T) {
+func TestDrill_EndsInTimeUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
 			draw := rand.New(rand.NewPCG(seed, 3))
-			f, stands := twoRegions(t, 2)
-			wish := southDrill
-			wish.ForMs = 6000
-			f.begin(1, wish)
+			f, stands := startTwoRegions(t, 2)
+			request := southDrill
+			request.ForMs = 6000
+			f.startDrill(1, request)
 			until := time.Now().Add(6500 * time.Millisecond)
 			work := f.flow([]int{1, 2}, map[string]string{"/patient/": "swift"})
 			var heals []func()
@@ -91,7 +91,7 @@
 			time.Sleep(12 * time.Second)
 			last := f.drillState(2, http.MethodGet)
 			assert.Assert(t, !last.Running && last.EndReason != "", "seed %d: %+v", seed, last)
-			again := f.begin(3, wish)
+			again := f.startDrill(3, request)
 			assert.Assert(t, again.Number > last.Number)
 			time.Sleep(300 * time.Millisecond)
 			assert.Equal(t, f.drillState(1, http.MethodDelete).EndReason, drill.EndedByOperator, "seed %d", seed)
@@ -104,7 +104,7 @@
 func (r *traffic) onceEach(t *testing.T, stands map[string]*standInReplica, name string) {
 	begun := map[string]int{}
 	for _, stand := range stands {
-		for _, run := range stand.ran() {
+		for _, run := range stand.executed() {
 			if run.lastEvent == "" {
 				begun[run.attempt]++
 			}
--- a/internal/story/storm_test.go
+++ b/internal/story/storm_test.go
@@ -13,9 +13,9 @@
 
 func routeNamed(name string) string { return strings.ReplaceAll(newRoute, "added", name) }
 
-func TestGivenConfigurationsInQuickSuccessionThenTheLastIsInForceEverywhereAndNoneGoesBack(t *testing.T) {
+func TestConfiguration_RapidChangesConvergeAndNeverGoBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 3, newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
+		f := startSettledFleet(t, 3, newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
 		for revision := 2; revision <= 16; revision++ {
 			patch := fmt.Sprintf(`{"revision":%d,"upsert":{"routeTable":[%s]}}`, revision, routeNamed(fmt.Sprintf("storm-%d", revision))[1:])
 			got := f.call(http.MethodPatch, coreHost(1+revision%3)+":8166", "/ferryspar/config", patch, map[string]string{"If-Match": fmt.Sprint(revision - 1)})
@@ -24,23 +24,23 @@
 			for edge := 1; edge <= 3; edge++ {
 				path := fmt.Sprintf("/storm-%d/", revision-1)
 				if revision > 2 {
-					assert.Equal(t, f.ask(edge, "attempt", path, "swift").status, http.StatusOK, "edge %d goes back at %d", edge, revision)
+					assert.Equal(t, f.request(edge, "attempt", path, "swift").status, http.StatusOK, "edge %d goes back at %d", edge, revision)
 				}
 			}
 		}
 		time.Sleep(time.Second)
 		for edge := 1; edge <= 3; edge++ {
-			assert.Equal(t, f.ask(edge, "attempt", "/storm-16/", "swift").status, http.StatusOK)
+			assert.Equal(t, f.request(edge, "attempt", "/storm-16/", "swift").status, http.StatusOK)
 		}
 	})
 }
 
-func TestGivenTwoMembersThatCannotReachEachOtherWhileAThirdReachesBothThenChangesAndRequestsGoOn(t *testing.T) {
+func TestCluster_PartialPartitionKeepsServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
-		f.network.cut(coreHost(1), coreHost(2), true)
-		f.network.cut(edgeHost(1), coreHost(2), true)
-		f.network.cut(edgeHost(2), coreHost(1), true)
+		f := startSettledFleet(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
+		f.network.partition(coreHost(1), coreHost(2), true)
+		f.network.partition(edgeHost(1), coreHost(2), true)
+		f.network.partition(edgeHost(2), coreHost(1), true)
 		current := 1
 		for round := range 6 {
 			revision := current + 1
@@ -56,10 +56,10 @@
 			current = revision
 			time.Sleep(2500 * time.Millisecond)
 			for edge := 1; edge <= 2; edge++ {
-				assert.Equal(t, f.ask(edge, "attempt", fmt.Sprintf("/bridge-%d/", round), "swift").status, http.StatusOK, "edge %d", edge)
+				assert.Equal(t, f.request(edge, "attempt", fmt.Sprintf("/bridge-%d/", round), "swift").status, http.StatusOK, "edge %d", edge)
 			}
 		}
-		f.network.cut(coreHost(1), coreHost(2), false)
+		f.network.partition(coreHost(1), coreHost(2), false)
 		time.Sleep(3 * time.Second)
 		for core := 1; core <= 3; core++ {
 			read := f.call(http.MethodGet, coreHost(core)+":8166", "/ferryspar/config", "", nil)
@@ -68,9 +68,9 @@
 	})
 }
 
-func TestGivenDataPlanesAddedDuringTheDayThenTheyServeAndTheOthersGoOn(t *testing.T) {
+func TestCluster_AddedDataPlanesServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
+		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
 		for added := 2; added <= 5; added++ {
 			f.startEdge(edgeHost(added))
 		}
@@ -78,7 +78,7 @@
 		for edge := 1; edge <= 5; edge++ {
 			ready := f.call(http.MethodGet, edgeHost(edge)+":8167", "/ferryspar/readyz", "", nil)
 			assert.Equal(t, ready.status, http.StatusOK)
-			assert.Equal(t, f.ask(edge, fmt.Sprintf("attempt-%d", edge), "/quick/", "swift").status, http.StatusOK)
+			assert.Equal(t, f.request(edge, fmt.Sprintf("attempt-%d", edge), "/quick/", "swift").status, http.StatusOK)
 		}
 	})
 }
--- a/internal/story/tenants_test.go
+++ b/internal/story/tenants_test.go
@@ -54,12 +54,12 @@
 	assert.Equal(t, f.put(1, 0, 1, documentOf(1, tenantsOf(oldKey))).status, http.StatusOK)
 	time.Sleep(1500 * time.Millisecond)
 	for number := 1; number <= edges; number++ {
-		assert.Equal(t, f.askWith(number, otherKey, "/quick/", "swift").status, http.StatusOK, "it follows the model from now on")
+		assert.Equal(t, f.requestWithKey(number, otherKey, "/quick/", "swift").status, http.StatusOK, "it follows the model from now on")
 	}
 	return f
 }
 
-func (f *fleet) askWith(edge int, key, path, model string) reply {
+func (f *fleet) requestWithKey(edge int, key, path, model string) reply {
 	header := map[string]string{
 		"Host": "shop.example", replica.HeaderAttempt: "attempt", replica.HeaderModel: model, replica.HeaderTokens: "100,20",
 		replica.HeaderRemaining: "20000", replica.HeaderTenant: "forged",
@@ -78,22 +78,22 @@
 
 func (f *fleet) cutEdge(edge int, cut bool) {
 	for number := 1; number <= f.cores; number++ {
-		f.network.cut(edgeHost(edge), coreHost(number), cut)
+		f.network.partition(edgeHost(edge), coreHost(number), cut)
 	}
 }
 
-func TestGivenTenantsThenReplicasSeeWhoseARequestIsAndNeverAKey(t *testing.T) {
+func TestTenants_ReplicaSeesTenantNameButNoKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := startTenants(t, false, 1, one)
-		assert.Equal(t, f.askWith(1, oldKey, "/quick/", "swift").status, http.StatusOK)
-		assert.Equal(t, f.askWith(1, otherKey, "/quick/", "swift").status, http.StatusOK)
-		assert.Equal(t, f.askWith(1, "", "/open/", "swift").status, http.StatusOK)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startTenants(t, false, 1, standIn)
+		assert.Equal(t, f.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.requestWithKey(1, otherKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.requestWithKey(1, "", "/open/", "swift").status, http.StatusOK)
 		for _, key := range []string{"", newKey, "forged"} {
-			assert.Equal(t, f.askWith(1, key, "/quick/", "swift").status, http.StatusUnauthorized)
+			assert.Equal(t, f.requestWithKey(1, key, "/quick/", "swift").status, http.StatusUnauthorized)
 		}
 		told := []string{}
-		for _, run := range one.ran() {
+		for _, run := range standIn.executed() {
 			told = append(told, run.header.Get(replica.HeaderTenant)+" "+run.header.Get(replica.HeaderUrgency))
 			assert.Equal(t, len(run.header.Values(replica.HeaderAPIKey)), 0)
 		}
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestGivenANewKeyRolledOutThenNoDataPlaneRefusesItOnceItIsInForceNorAnOldOneBefore(t *testing.T) {
+func TestTenants_KeyRotationNeverRejectsKeyInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startTenants(t, false, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		revision := 1
@@ -110,26 +110,26 @@
 			revision++
 			time.Sleep(applyBound)
 			for edge := 1; edge <= 2; edge++ {
-				assert.Equal(t, f.askWith(edge, newKey, "/quick/", "swift").status, http.StatusOK)
+				assert.Equal(t, f.requestWithKey(edge, newKey, "/quick/", "swift").status, http.StatusOK)
 				left := map[int]int{2: http.StatusOK, 1: http.StatusUnauthorized}[len(keys)]
-				assert.Equal(t, f.askWith(edge, oldKey, "/quick/", "swift").status, left)
+				assert.Equal(t, f.requestWithKey(edge, oldKey, "/quick/", "swift").status, left)
 			}
 		}
 		removed := f.call(http.MethodPatch, coreHost(1)+":8166", "/ferryspar/config", `{"revision":4,"remove":{"tenants":["one"]}}`, map[string]string{"If-Match": "3"})
 		assert.Equal(t, removed.status, http.StatusOK)
 		time.Sleep(applyBound)
-		assert.Equal(t, f.askWith(1, newKey, "/quick/", "swift").status, http.StatusUnauthorized)
-		assert.Equal(t, f.askWith(1, otherKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.requestWithKey(1, newKey, "/quick/", "swift").status, http.StatusUnauthorized)
+		assert.Equal(t, f.requestWithKey(1, otherKey, "/quick/", "swift").status, http.StatusOK)
 	})
 }
 
-func TestGivenARequestThatWaitsWhenItsKeyIsTakenAwayThenNoReplicaRunsIt(t *testing.T) {
+func TestTenants_QueuedRequestNotRunAfterKeyIsRevoked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := startTenants(t, false, 1, one)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startTenants(t, false, 1, standIn)
 		done := make(chan reply, 2)
 		for _, key := range []string{oldKey, otherKey} {
-			go func() { done <- f.askWith(1, key, "/patient/", "rare") }()
+			go func() { done <- f.requestWithKey(1, key, "/patient/", "rare") }()
 		}
 		time.Sleep(500 * time.Millisecond)
 		assert.Equal(t, f.changeKeys(1, newKey).status, http.StatusOK)
@@ -138,31 +138,31 @@
 			statuses[(<-done).status]++
 		}
 		assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: 1, http.StatusUnauthorized: 1})
-		runs := one.ran()
+		runs := standIn.executed()
 		assert.Equal(t, len(runs), 2)
 		assert.Equal(t, runs[1].header.Get(replica.HeaderTenant), "other")
 	})
 }
 
-func TestGivenARestartWithoutAConfigurationThenNoKeyIsRefused(t *testing.T) {
+func TestTenants_NoKeyRejectedBeforeConfigurationIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := startTenants(t, true, 1, one)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startTenants(t, true, 1, standIn)
 		f.cutEdge(1, true)
 		f.kill(edgeHost(1))
 		f.startEdge(edgeHost(1))
 		time.Sleep(time.Second)
 		for _, key := range []string{"", oldKey, newKey} {
-			assert.Equal(t, f.askWith(1, key, "/quick/", "swift").status, http.StatusServiceUnavailable)
+			assert.Equal(t, f.requestWithKey(1, key, "/quick/", "swift").status, http.StatusServiceUnavailable)
 		}
 		f.cutEdge(1, false)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, f.askWith(1, oldKey, "/quick/", "swift").status, http.StatusOK)
-		assert.Equal(t, len(one.ran()), 2)
+		assert.Equal(t, f.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, len(standIn.executed()), 2)
 	})
 }
 
-func TestGivenInvalidTenantsThenTheAnswerTellsWhyAndNoKey(t *testing.T) {
+func TestTenants_InvalidConfigurationErrorNamesReasonButNoKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startTenants(t, false, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		for _, tenants := range []string{
@@ -174,14 +174,14 @@
 			assert.Equal(t, answer.status, http.StatusBadRequest)
 			assert.Assert(t, strings.Contains(answer.body, "tenants") && !strings.Contains(answer.body, newKey), answer.body)
 		}
-		assert.Equal(t, f.askWith(1, oldKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
 	})
 }
 
-func TestGivenLogsRecordsAndStatusInFullDetailThenTheyHoldNoKey(t *testing.T) {
+func TestTenants_NoKeyInLogsRecordsOrStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := startFleet(t, 0, one)
+		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		f := startFleet(t, 0, standIn)
 		var logged, recorded bytes.Buffer
 		logrus.SetOutput(&logged)
 		logrus.SetFormatter(&logrus.JSONFormatter{})
@@ -194,8 +194,8 @@
 		assert.Equal(t, f.put(1, 0, 1, documentOf(1, tenantsOf(oldKey))).status, http.StatusOK)
 		assert.Equal(t, f.put(1, 1, 2, documentOf(2, `[{"name":"a","apiKeys":"`+oldKey+`"}]`)).status, http.StatusBadRequest)
 		time.Sleep(time.Second)
-		assert.Equal(t, f.askWith(1, oldKey, "/quick/", "swift").status, http.StatusOK)
-		assert.Equal(t, f.askWith(1, newKey, "/quick/", "swift").status, http.StatusUnauthorized)
+		assert.Equal(t, f.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
+		assert.Equal(t, f.requestWithKey(1, newKey, "/quick/", "swift").status, http.StatusUnauthorized)
 		assert.Equal(t, f.changeKeys(1, newKey).status, http.StatusOK)
 		refusals := f.call(http.MethodGet, edgeHost(1)+":8167", "/ferryspar/refusals", "", nil).body
 		status := f.call(http.MethodGet, coreHost(1)+":8166", "/ferryspar/status", "", nil).body
--- a/internal/story/writer_test.go
+++ b/internal/story/writer_test.go
@@ -59,17 +59,17 @@
 		call := w.o.attempt(change, w.o.hosts[w.turn%len(w.o.hosts)])
 		switch call.outcome {
 		case acknowledged:
-			w.noteAcknowledged()
+			w.recordAcknowledged()
 			return true
 		case refused:
-			w.noteRefused(call)
+			w.recordRejected(call)
 			time.Sleep(writerEvery)
 		}
 		time.Sleep(writerPause)
 	}
 }
 
-func (w *writer) noteAcknowledged() {
+func (w *writer) recordAcknowledged() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	now := time.Now()
@@ -79,7 +79,7 @@
 	w.acked = now
 }
 
-func (w *writer) noteRefused(call operatorCall) {
+func (w *writer) recordRejected(call operatorCall) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.problems = append(w.problems, "the only writer is refused: "+call.String())
@@ -113,21 +113,21 @@
 
 // terminate sends SIGTERM, waits for the end of the process and says how long that took.
 func (f *fleet) terminate(host string) time.Duration {
-	began, one := time.Now(), f.daemon(host)
-	one.stop <- syscall.SIGTERM
+	began, node := time.Now(), f.runningNode(host)
+	node.stop <- syscall.SIGTERM
 	select {
-	case <-one.done:
+	case <-node.done:
 	case <-time.After(processGrace):
 	}
-	one.cancel()
-	f.network.breakOff(host)
+	node.cancel()
+	f.network.resetAll(host)
 	time.Sleep(networkPoll)
-	f.network.breakOff(host)
+	f.network.resetAll(host)
 	return time.Since(began)
 }
 
 // judge collects what is wrong once all is calm: the record, what each daemon reads and what it says of zones.
-func (o *operators) judge(hosts ...string) []string {
+func (o *operators) violationsAt(hosts ...string) []string {
 	problems := o.violations()
 	for _, host := range hosts {
 		status, content := o.read(host)
