--- a/cmd/ferryspar-control-plane/main.go
+++ b/cmd/ferryspar-control-plane/main.go
@@ -7,15 +7,15 @@
 	"context"
 	"os"
 
+	"ferryspar/internal/cli"
 	"ferryspar/internal/controlplane"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/launch"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
 )
 
 func main() {
-	os.Exit(launch.RunDaemon(launch.Daemon{
+	os.Exit(cli.RunDaemon(cli.Daemon{
 		Name: "ferryspar-control-plane", Service: "control",
 		Summary: "knows the replicas and daemons, keeps the configuration and delivers it",
 		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
--- a/cmd/ferryspar-data-plane/main.go
+++ b/cmd/ferryspar-data-plane/main.go
@@ -1,6 +1,6 @@
 // Ferryspar-data-plane takes clients' requests and carries them to model replicas.
 //
-// It keeps nothing on disk. Start reading at main, then internal/dataplane and internal/client.
+// It keeps nothing on disk. Start reading at main, then internal/dataplane and internal/proxy.
 package main
 
 import (
@@ -10,11 +10,11 @@
 
 	"github.com/pkg/errors"
 
+	"ferryspar/internal/cli"
 	"ferryspar/internal/dataplane"
-	"ferryspar/internal/launch"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/record"
+	"ferryspar/internal/requestlog"
 )
 
 type recording struct {
@@ -24,7 +24,7 @@
 
 func main() {
 	var chosen recording
-	os.Exit(launch.RunDaemon(launch.Daemon{
+	os.Exit(cli.RunDaemon(cli.Daemon{
 		Name: "ferryspar-data-plane", Service: "edge", ExtraOptions: &chosen,
 		Summary: "carries clients' requests to model replicas",
 		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
@@ -35,7 +35,7 @@
 					return errors.Wrap(err, "record")
 				}
 				defer file.Close()
-				daemon.RecordTo(record.NewWriter(file, chosen.RecordMb<<20, time.Now))
+				daemon.RecordTo(requestlog.NewWriter(file, chosen.RecordMb<<20, time.Now))
 			}
 			return daemon.Run(ctx, signals)
 		},
--- a/cmd/ferryspar-emulator/demo.go
+++ b/cmd/ferryspar-emulator/demo.go
@@ -6,8 +6,8 @@
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/emulator/demo"
-	"ferryspar/internal/launch"
+	"ferryspar/internal/cli"
+	"ferryspar/internal/sim/emulator/demo"
 )
 
 type demonstrate struct {
@@ -23,7 +23,7 @@
 
 func (d *demonstrate) Execute([]string) error {
 	if d.Streams < 1 || d.Streams > mostStreams {
-		return launch.NewUsageError(errors.Errorf("--streams must lie between 1 and %d", mostStreams))
+		return cli.NewUsageError(errors.Errorf("--streams must lie between 1 and %d", mostStreams))
 	}
 	if d.Programs == "" {
 		self, err := os.Executable()
--- a/cmd/ferryspar-emulator/experiment.go
+++ b/cmd/ferryspar-emulator/experiment.go
@@ -8,8 +8,8 @@
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/experiment"
-	"ferryspar/internal/launch"
+	"ferryspar/internal/cli"
+	"ferryspar/internal/sim/experiment"
 )
 
 type experimentOn struct {
@@ -26,11 +26,11 @@
 
 func (e *experimentOn) Execute([]string) error {
 	if e.Seeds < 0 || e.AtOnce < 0 {
-		return launch.NewUsageError(errors.New("--seeds and --at-once must be above 0"))
+		return cli.NewUsageError(errors.New("--seeds and --at-once must be above 0"))
 	}
 	wanted, err := experiment.Load(e.Rest.File)
 	if err != nil {
-		return launch.NewUsageError(err)
+		return cli.NewUsageError(err)
 	}
 	if e.Seeds > 0 {
 		wanted.Seeds = e.Seeds
--- a/cmd/ferryspar-emulator/forecast.go
+++ b/cmd/ferryspar-emulator/forecast.go
@@ -7,9 +7,9 @@
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/emulator"
-	"ferryspar/internal/experiment"
-	"ferryspar/internal/launch"
+	"ferryspar/internal/cli"
+	"ferryspar/internal/sim/emulator"
+	"ferryspar/internal/sim/experiment"
 )
 
 type forecastOn struct {
@@ -31,15 +31,15 @@
 func (f *forecastOn) Execute([]string) error {
 	wanted, err := experiment.Load(f.Rest.File)
 	if err != nil {
-		return launch.NewUsageError(err)
+		return cli.NewUsageError(err)
 	}
 	for _, size := range f.Sizes {
 		if size < 1 || size > mostSize {
-			return launch.NewUsageError(errors.Errorf("--size must lie between 1 and %d", mostSize))
+			return cli.NewUsageError(errors.Errorf("--size must lie between 1 and %d", mostSize))
 		}
 	}
 	if f.Seeds < 2 {
-		return launch.NewUsageError(errors.New("--seeds must be at least 2"))
+		return cli.NewUsageError(errors.New("--seeds must be at least 2"))
 	}
 	wanted.Seeds = f.Seeds
 	if f.AtOnce <= 0 {
--- a/cmd/ferryspar-emulator/main.go
+++ b/cmd/ferryspar-emulator/main.go
@@ -1,6 +1,6 @@
 // Ferryspar-emulator shows ferryspar without a fleet: a demonstration on loopback, and experiments in simulated time.
 //
-// It never talks to a real fleet. Start reading at commands, then internal/emulator and internal/experiment.
+// It never talks to a real fleet. Start reading at commands, then internal/sim/emulator and internal/sim/experiment.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"ferryspar/internal/launch"
+	"ferryspar/internal/cli"
 )
 
 type command struct {
@@ -38,13 +38,13 @@
 	parser := flags.NewParser(&struct{}{}, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = "ferryspar-emulator"
 	parser.LongDescription = "Runs ferryspar without a fleet: shows it on this machine, or emulates fleets in made-up time. " +
-		"Version " + launch.Version + "."
+		"Version " + cli.Version + "."
 	for _, one := range commands {
 		if _, err := parser.AddCommand(one.name, one.short, one.short, one.data); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return launch.ExitFailed
+			return cli.ExitFailed
 		}
 	}
 	_, err := parser.ParseArgs(arguments)
-	return launch.ReportError(parser.Name, err)
+	return cli.ReportError(parser.Name, err)
 }
--- a/cmd/ferryspar-hollow/main.go
+++ b/cmd/ferryspar-hollow/main.go
@@ -1,7 +1,7 @@
 // Ferryspar-hollow measures what the daemons cost at fleet sizes that one machine cannot run in full: it runs the
 // daemons' own code for many data planes over loopback.
 //
-// It never talks to a real fleet. Start reading at options.measure, then internal/hollow.
+// It never talks to a real fleet. Start reading at options.measure, then internal/sim/hollow.
 package main
 
 import (
@@ -19,8 +19,8 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
-	"ferryspar/internal/hollow"
-	"ferryspar/internal/launch"
+	"ferryspar/internal/cli"
+	"ferryspar/internal/sim/hollow"
 )
 
 type options struct {
@@ -57,7 +57,7 @@
 func main() {
 	if hollow.IsChild() {
 		if hollow.ServeChild(os.Stdin, os.Stdout) != nil {
-			os.Exit(launch.ExitFailed)
+			os.Exit(cli.ExitFailed)
 		}
 		return
 	}
@@ -74,7 +74,7 @@
 	rest, err := parser.Parse()
 	if flags.WroteHelp(err) {
 		fmt.Println(err)
-		return launch.ExitSuccess
+		return cli.ExitSuccess
 	}
 	if err == nil && len(rest) > 0 && rest[0] == "slopes" {
 		return slopes(rest[1:], chosen.JSON)
@@ -91,11 +91,11 @@
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "ferryspar-hollow:", err)
-		return launch.ExitUsage
+		return cli.ExitUsage
 	}
 	if chosen.Version {
-		fmt.Println("ferryspar-hollow", launch.Version)
-		return launch.ExitSuccess
+		fmt.Println("ferryspar-hollow", cli.Version)
+		return cli.ExitSuccess
 	}
 	logrus.SetOutput(os.Stderr)
 	results, err := chosen.measure(plans)
@@ -106,9 +106,9 @@
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "ferryspar-hollow:", err)
-		return launch.ExitFailed
+		return cli.ExitFailed
 	}
-	return launch.ExitSuccess
+	return cli.ExitSuccess
 }
 
 func (o options) plans() ([]hollow.Plan, error) {
--- a/cmd/ferryspar-explore/main.go
+++ b/cmd/ferryspar-modelcheck/main.go
@@ -1,4 +1,4 @@
-// Command ferryspar-explore walks every order of events in small fleets of the control state,
+// Command ferryspar-modelcheck walks every order of events in small fleets of the control state,
 // within stated bounds, and says whether the agreement holds in each.
 package main
 
@@ -13,8 +13,8 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"ferryspar/internal/explore"
-	"ferryspar/internal/launch"
+	"ferryspar/internal/cli"
+	"ferryspar/internal/test/modelcheck"
 )
 
 const (
@@ -38,58 +38,58 @@
 func run() int {
 	var chosen options
 	parser := flags.NewParser(&chosen, flags.HelpFlag|flags.PassDoubleDash)
-	parser.Name = "ferryspar-explore"
+	parser.Name = "ferryspar-modelcheck"
 	parser.LongDescription = "Walks every order of events in small fleets of the control state. " +
 		"Status 0: all visited, nothing violated; 1: violated; 4: stopped before the bound."
 	if _, err := parser.Parse(); err != nil {
 		if flags.WroteHelp(err) {
 			fmt.Println(err)
-			return launch.ExitSuccess
+			return cli.ExitSuccess
 		}
-		fmt.Fprintln(os.Stderr, "ferryspar-explore:", err)
-		return launch.ExitUsage
+		fmt.Fprintln(os.Stderr, "ferryspar-modelcheck:", err)
+		return cli.ExitUsage
 	}
 	switch {
 	case chosen.Version:
-		fmt.Println("ferryspar-explore", launch.Version)
-		return launch.ExitSuccess
+		fmt.Println("ferryspar-modelcheck", cli.Version)
+		return cli.ExitSuccess
 	case chosen.List:
-		for _, scenario := range explore.Scenarios() {
+		for _, scenario := range modelcheck.Scenarios() {
 			fmt.Printf("%-24s %s\n", scenario.Name, scenario.Summary)
 		}
-		return launch.ExitSuccess
+		return cli.ExitSuccess
 	}
 	scenarios := selectScenarios(chosen.Scenario)
 	if len(scenarios) == 0 {
-		fmt.Fprintf(os.Stderr, "ferryspar-explore: no scenario %q, see --list\n", chosen.Scenario)
-		return launch.ExitUsage
+		fmt.Fprintf(os.Stderr, "ferryspar-modelcheck: no scenario %q, see --list\n", chosen.Scenario)
+		return cli.ExitUsage
 	}
 	return searchAll(chosen, scenarios)
 }
 
-func selectScenarios(name string) []explore.Scenario {
+func selectScenarios(name string) []modelcheck.Scenario {
 	switch name {
 	case "all":
-		return explore.Scenarios()
+		return modelcheck.Scenarios()
 	case "short":
-		return explore.ShortScenarios()
+		return modelcheck.ShortScenarios()
 	}
-	for _, scenario := range explore.Scenarios() {
+	for _, scenario := range modelcheck.Scenarios() {
 		if scenario.Name == name {
-			return []explore.Scenario{scenario}
+			return []modelcheck.Scenario{scenario}
 		}
 	}
 	return nil
 }
 
 // searchAll goes through the scenarios; the status is that of the worst of them.
-func searchAll(chosen options, scenarios []explore.Scenario) int {
+func searchAll(chosen options, scenarios []modelcheck.Scenario) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	violated, stopped := false, false
-	limits := explore.Limits{Depth: chosen.Depth, States: chosen.States, For: chosen.For, Progress: printProgress}
+	limits := modelcheck.Limits{Depth: chosen.Depth, States: chosen.States, For: chosen.For, Progress: printProgress}
 	for _, scenario := range scenarios {
-		report := explore.Search(ctx, scenario, explore.ProductRules(), limits)
+		report := modelcheck.Search(ctx, scenario, modelcheck.ProductRules(), limits)
 		printReport(report, chosen.JSON)
 		violated = violated || report.Violation != ""
 		stopped = stopped || !report.Exhausted
@@ -100,10 +100,10 @@
 	case stopped:
 		return exitStopped
 	}
-	return launch.ExitSuccess
+	return cli.ExitSuccess
 }
 
-func printReport(report explore.Report, asJSON bool) {
+func printReport(report modelcheck.Report, asJSON bool) {
 	if !asJSON {
 		fmt.Println(report)
 		return
@@ -112,7 +112,7 @@
 	fmt.Println(string(line))
 }
 
-func printProgress(report explore.Report) {
+func printProgress(report modelcheck.Report) {
 	line, _, _ := strings.Cut(report.String(), "\n")
 	fmt.Fprintln(os.Stderr, line)
 }
--- a/cmd/ferryspar-operator/commands.go
+++ b/cmd/ferryspar-operator/commands.go
@@ -10,8 +10,8 @@
 
 	"github.com/pkg/errors"
 
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/operator"
 	"ferryspar/internal/retention"
 )
 
@@ -170,7 +170,7 @@
 		fmt.Println(string(content))
 		return nil
 	}
-	var fleet operator.FleetStatus
+	var fleet adminapi.FleetStatus
 	if err := json.Unmarshal(content, &fleet); err != nil {
 		return err
 	}
--- a/cmd/ferryspar-operator/each.go
+++ b/cmd/ferryspar-operator/each.go
@@ -9,13 +9,13 @@
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/operator"
+	"ferryspar/internal/adminapi"
 )
 
 // daemonStatus is what one control daemon told, or why it told nothing.
 type daemonStatus struct {
 	Address string                `json:"address"`
-	Status  *operator.FleetStatus `json:"status,omitempty"`
+	Status  *adminapi.FleetStatus `json:"status,omitempty"`
 	Error   string                `json:"error,omitempty"`
 }
 
@@ -48,12 +48,12 @@
 }
 
 func fetchStatus(address string) daemonStatus {
-	client := &operator.Client{Addresses: []string{address}, HTTPClient: operator.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.PerAddressTimeout}
+	client := &adminapi.Client{Addresses: []string{address}, HTTPClient: adminapi.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.PerAddressTimeout}
 	response, err := client.Call(context.Background(), http.MethodGet, "/ferryspar/status", "", nil)
 	if err != nil {
 		return daemonStatus{Address: address, Error: err.Error()}
 	}
-	var status operator.FleetStatus
+	var status adminapi.FleetStatus
 	if err := json.Unmarshal(response.Body, &status); err != nil {
 		return daemonStatus{Address: address, Error: err.Error()}
 	}
@@ -77,7 +77,7 @@
 	return line
 }
 
-func votingState(status *operator.FleetStatus) string {
+func votingState(status *adminapi.FleetStatus) string {
 	switch {
 	case status.Leaving:
 		return "leaving"
@@ -89,7 +89,7 @@
 	return "votes"
 }
 
-func confirmationAge(status *operator.FleetStatus) string {
+func confirmationAge(status *adminapi.FleetStatus) string {
 	if status.ConfirmedAgeMs < 0 {
 		return "never"
 	}
--- a/cmd/ferryspar-operator/each_test.go
+++ b/cmd/ferryspar-operator/each_test.go
@@ -10,11 +10,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/operator"
+	"ferryspar/internal/adminapi"
 )
 
 func TestDaemonStatus_String(t *testing.T) {
-	cases := map[string]operator.FleetStatus{
+	cases := map[string]adminapi.FleetStatus{
 		"a: votes, confirmed 80 ms ago, revision 7, member list 3 [x y z]": {
 			IsMember: true, Voting: true, Fresh: true, ConfirmedAgeMs: 80, Revision: 7, MembershipVersion: 3, Members: []string{"x", "y", "z"},
 		},
@@ -35,7 +35,7 @@
 
 func TestPrintStatusOfAll_ListsUnreachable(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		_ = json.NewEncoder(writer).Encode(operator.FleetStatus{Member: "x", Revision: 9})
+		_ = json.NewEncoder(writer).Encode(adminapi.FleetStatus{Member: "x", Revision: 9})
 	}))
 	defer server.Close()
 	before := options
--- a/cmd/ferryspar-operator/inspect_test.go
+++ b/cmd/ferryspar-operator/inspect_test.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/cli"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/launch"
 )
 
 const testSegmentBytes = 64 << 10
@@ -103,12 +103,12 @@
 	for path, wanted := range cases {
 		_, err := runInspect(t, path, false)
 		assert.Assert(t, errors.Is(err, wanted), "%s: %v", path, err)
-		assert.Equal(t, launch.ReportError("ferryspar-operator", err), launch.ExitFailed)
+		assert.Equal(t, cli.ReportError("ferryspar-operator", err), cli.ExitFailed)
 	}
 	assert.Equal(t, len(readFiles(t, empty)), 0)
 }
 
 func TestStatus_RequiresAddress(t *testing.T) {
 	options = globalOptions{}
-	assert.Equal(t, launch.ReportError("ferryspar-operator", (&statusCommand{}).Execute(nil)), launch.ExitUsage)
+	assert.Equal(t, cli.ReportError("ferryspar-operator", (&statusCommand{}).Execute(nil)), cli.ExitUsage)
 }
--- a/cmd/ferryspar-operator/main.go
+++ b/cmd/ferryspar-operator/main.go
@@ -1,6 +1,6 @@
 // Ferryspar-operator speaks to the control plane as its operator does.
 //
-// It keeps no state. Start reading at commands, then internal/operator.
+// It keeps no state. Start reading at commands, then internal/adminapi.
 package main
 
 import (
@@ -11,8 +11,8 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"ferryspar/internal/launch"
-	"ferryspar/internal/operator"
+	"ferryspar/internal/adminapi"
+	"ferryspar/internal/cli"
 )
 
 type globalOptions struct {
@@ -24,12 +24,12 @@
 
 var options globalOptions
 
-func newClient() *operator.Client {
-	return &operator.Client{Addresses: options.Control, HTTPClient: operator.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.Timeout}
+func newClient() *adminapi.Client {
+	return &adminapi.Client{Addresses: options.Control, HTTPClient: adminapi.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.Timeout}
 }
 
 type rejectedError struct {
-	response operator.Response
+	response adminapi.Response
 }
 
 func (e rejectedError) Error() string {
@@ -53,13 +53,13 @@
 func main() {
 	parser := flags.NewParser(&options, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = "ferryspar-operator"
-	parser.LongDescription = "Speaks to the control plane as its operator does. Version " + launch.Version + "."
+	parser.LongDescription = "Speaks to the control plane as its operator does. Version " + cli.Version + "."
 	for _, command := range subcommands {
 		if _, err := parser.AddCommand(command.name, command.short, command.short, command.handler); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			os.Exit(launch.ExitFailed)
+			os.Exit(cli.ExitFailed)
 		}
 	}
 	_, err := parser.Parse()
-	os.Exit(launch.ReportError(parser.Name, err))
+	os.Exit(cli.ReportError(parser.Name, err))
 }
--- a/cmd/ferryspar-operator/query.go
+++ b/cmd/ferryspar-operator/query.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/operator"
 	"ferryspar/internal/query"
 )
 
@@ -23,7 +23,7 @@
 }
 
 func (q *queryCommand) Execute(rest []string) error {
-	var fleet operator.FleetStatus
+	var fleet adminapi.FleetStatus
 	content, err := call(http.MethodGet, "/ferryspar/status", "", nil)
 	if err != nil {
 		return err
--- a/cmd/ferryspar-operator/rehearse.go
+++ b/cmd/ferryspar-operator/rehearse.go
@@ -13,8 +13,8 @@
 
 	"github.com/pkg/errors"
 
+	"ferryspar/internal/cli"
 	"ferryspar/internal/drill"
-	"ferryspar/internal/launch"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 func (e exitError) ExitStatus() int { return e.status }
 
-func usageError(message string) error { return exitError{launch.ExitUsage, message} }
+func usageError(message string) error { return exitError{cli.ExitUsage, message} }
 
 func (e exitError) Error() string { return e.message }
 
--- a/cmd/ferryspar-operator/rehearse_test.go
+++ b/cmd/ferryspar-operator/rehearse_test.go
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/cli"
 	"ferryspar/internal/drill"
-	"ferryspar/internal/launch"
 )
 
 func captureOutput(t *testing.T, run func() error) (string, error) {
@@ -101,7 +101,7 @@
 		assert.Equal(t, exitStatus(err), testCase.exit, "%d: %v", testCase.code, err)
 		assert.Assert(t, strings.Contains(shown, testCase.shows), shown)
 	}
-	assert.Equal(t, exitStatus((&rehearseCommand{}).Execute(nil)), launch.ExitUsage, "neither region nor zone")
+	assert.Equal(t, exitStatus((&rehearseCommand{}).Execute(nil)), cli.ExitUsage, "neither region nor zone")
 	calls := serveAnswers(t, http.StatusOK, good)
 	_, err := captureOutput(t, func() error { return (&rehearseCommand{Stop: true}).Execute(nil) })
 	assert.NilError(t, err)
--- a/cmd/ferryspar-replay/main.go
+++ b/cmd/ferryspar-replay/main.go
@@ -1,6 +1,6 @@
 // Ferryspar-replay plays a data plane's record again through the matching code and prints the outcomes.
 //
-// It talks to no daemon. Start reading at run, then internal/replay.
+// It talks to no daemon. Start reading at run, then internal/sim/replay.
 package main
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/jessevdk/go-flags"
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/launch"
-	"ferryspar/internal/match"
-	"ferryspar/internal/record"
-	"ferryspar/internal/replay"
+	"ferryspar/internal/cli"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
+	"ferryspar/internal/sim/replay"
 )
 
 const program = "ferryspar-replay"
@@ -43,20 +43,20 @@
 	parser.Name = program
 	parser.LongDescription = "Plays a recorded day again through the matching and waiting code of the data plane, in made-up time."
 	if _, err := parser.Parse(); err != nil {
-		return launch.ReportError(program, err)
+		return cli.ReportError(program, err)
 	}
 	if parsed.Version {
-		fmt.Println(program, launch.Version)
-		return launch.ExitSuccess
+		fmt.Println(program, cli.Version)
+		return cli.ExitSuccess
 	}
 	if err := parsed.check(); err != nil {
-		return launch.ReportError(program, launch.NewUsageError(err))
+		return cli.ReportError(program, cli.NewUsageError(err))
 	}
 	damaged, err := parsed.play()
 	if err == nil && parsed.Strict && damaged > 0 {
-		return launch.ExitFailed
+		return cli.ExitFailed
 	}
-	return launch.ReportError(program, err)
+	return cli.ReportError(program, err)
 }
 
 func (o options) check() error {
@@ -87,17 +87,17 @@
 	return len(damages), nil
 }
 
-func readRecord(path string) ([]record.Entry, []record.DamagedLine, error) {
+func readRecord(path string) ([]requestlog.Entry, []requestlog.DamagedLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer file.Close()
-	return record.Read(file)
+	return requestlog.Read(file)
 }
 
-func (o options) engine(entries []record.Entry) *replay.Engine {
-	parameters := match.DefaultParameters()
+func (o options) engine(entries []requestlog.Entry) *replay.Engine {
+	parameters := routing.DefaultParameters()
 	parameters.BatchSize = o.Batch
 	parameters.BatchWait = time.Duration(o.WaitMs * float64(time.Millisecond))
 	parameters.Delta = o.Delta
@@ -108,7 +108,7 @@
 }
 
 // zone returns the zone of the data plane that recorded: the option's, or the first that is named.
-func (o options) zone(entries []record.Entry) string {
+func (o options) zone(entries []requestlog.Entry) string {
 	if o.Zone != "" {
 		return o.Zone
 	}
--- a/internal/operator/guard_test.go
+++ b/internal/adminapi/guard_test.go
@@ -1,4 +1,4 @@
-package operator
+package adminapi
 
 import (
 	"strings"
--- a/internal/operator/status.go
+++ b/internal/adminapi/status.go
@@ -1,10 +1,10 @@
-package operator
+package adminapi
 
 import (
 	"encoding/json"
 	"net/http"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 // FleetStatus is what one control daemon tells of the fleet.
@@ -28,12 +28,12 @@
 	// MembershipChange is the last change of the member list that the daemon itself committed in this life.
 	MembershipChange *MembershipChange `json:"membersChange,omitempty"`
 	// Silent lists the members that the daemon does not hear.
-	SilentMembers   []string           `json:"silent,omitempty"`
-	PlacementHolder string             `json:"placementHolder"`
-	DrainedZones    []string           `json:"drainedZones"`
-	DataPlanes      []string           `json:"edges"`
-	ControlPlanes   []string           `json:"control"`
-	Replicas        []platform.Replica `json:"replicas"`
+	SilentMembers   []string            `json:"silent,omitempty"`
+	PlacementHolder string              `json:"placementHolder"`
+	DrainedZones    []string            `json:"drainedZones"`
+	DataPlanes      []string            `json:"edges"`
+	ControlPlanes   []string            `json:"control"`
+	Replicas        []discovery.Replica `json:"replicas"`
 	// ListAgeMs is the age of the platform's list of replicas (-1: never read).
 	ListAgeMs int64 `json:"listAgeMs"`
 }
--- a/internal/portion/portion.go
+++ b/internal/apportion/portion.go
@@ -1,8 +1,8 @@
-// Package portion divides a whole between daemons that can't ask one another: by stable hashes,
+// Package apportion divides a whole between daemons that can't ask one another: by stable hashes,
 // with bounds on what their parts may sum to.
 //
 // Everything in it is a pure function. Start reading at HashFraction.
-package portion
+package apportion
 
 import (
 	"math"
--- a/internal/launch/exit.go
+++ b/internal/cli/exit.go
@@ -1,4 +1,4 @@
-package launch
+package cli
 
 import (
 	"fmt"
--- a/internal/launch/launch.go
+++ b/internal/cli/launch.go
@@ -1,8 +1,8 @@
-// Package launch is what the programs have in common at their start and end: options, logging,
+// Package cli is what the programs have in common at their start and end: options, logging,
 // settings, signals, exit statuses.
 //
 // It knows nothing of what the programs do. Start reading at RunDaemon.
-package launch
+package cli
 
 import (
 	"context"
--- a/internal/controlplane/configurations.go
+++ b/internal/controlplane/configurations.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/controlstate"
-	"ferryspar/internal/event"
+	"ferryspar/internal/eventbus"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/peer"
 )
@@ -89,7 +89,7 @@
 // while until the data planes in touch have taken it in.
 func (n *Node) announceChange(ctx context.Context, register keystore.Register) {
 	n.apply(register)
-	_ = n.bus.Publish(event.TopicCommitted, peer.KeyUpdate{Register: register.WithoutValue()})
+	_ = n.bus.Publish(eventbus.TopicCommitted, peer.KeyUpdate{Register: register.WithoutValue()})
 	bounded, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
 	ticker := time.NewTicker(10 * time.Millisecond)
--- a/internal/controlplane/copyages.go
+++ b/internal/controlplane/copyages.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
 )
 
 // removalTimeout is how long the list must leave a replica out before it counts as ended. A list read in
@@ -24,7 +24,7 @@
 // shows its replica without it; a replica that is left out keeps its copies until it counts as ended.
 // It is not safe for concurrent use; the scheduler's lock guards it.
 type copyAges struct {
-	byCopy map[place.ServerModel]copyAge
+	byCopy map[placement.ServerModel]copyAge
 	// absentSince is by replicas that were listed once, firstListAt the moment of the first list.
 	absentSince map[string]time.Time
 	firstListAt time.Time
@@ -32,22 +32,22 @@
 
 // newCopyAges knows of no copies yet.
 func newCopyAges() *copyAges {
-	return &copyAges{byCopy: map[place.ServerModel]copyAge{}, absentSince: map[string]time.Time{}}
+	return &copyAges{byCopy: map[placement.ServerModel]copyAge{}, absentSince: map[string]time.Time{}}
 }
 
 // note takes in a list.
-func (a *copyAges) update(replicas []platform.Replica, now time.Time) {
+func (a *copyAges) update(replicas []discovery.Replica, now time.Time) {
 	first := a.firstListAt.IsZero()
 	if first && len(replicas) > 0 {
 		a.firstListAt = now
 	}
 	listed := make(map[string]bool, len(replicas))
-	present := map[place.ServerModel]bool{}
+	present := map[placement.ServerModel]bool{}
 	for _, replica := range replicas {
 		listed[replica.ID] = true
 		delete(a.absentSince, replica.ID)
 		for _, model := range replica.Models {
-			modelCopy := place.ServerModel{Server: replica.ID, Model: model.Name}
+			modelCopy := placement.ServerModel{Server: replica.ID, Model: model.Name}
 			present[modelCopy] = true
 			if _, known := a.byCopy[modelCopy]; !known {
 				a.byCopy[modelCopy] = copyAge{since: now, unknownAge: first}
@@ -87,8 +87,8 @@
 }
 
 // absent are the copies at replicas that the newest list leaves out but that have not ended.
-func (a *copyAges) absent(now time.Time) []place.ServerModel {
-	var absent []place.ServerModel
+func (a *copyAges) absent(now time.Time) []placement.ServerModel {
+	var absent []placement.ServerModel
 	for modelCopy := range a.byCopy {
 		if _, isAbsent := a.absentSince[modelCopy.Server]; isAbsent && !a.isRemoved(modelCopy.Server, now) {
 			absent = append(absent, modelCopy)
@@ -98,8 +98,8 @@
 }
 
 // due are the copies that are older than a share of the life, the oldest first.
-func (a *copyAges) due(life time.Duration, now time.Time) []place.ServerModel {
-	var due []place.ServerModel
+func (a *copyAges) due(life time.Duration, now time.Time) []placement.ServerModel {
+	var due []placement.ServerModel
 	for modelCopy, age := range a.byCopy {
 		if age.unknownAge || now.Sub(age.since) > time.Duration(dueAgeShare*float64(life)) {
 			due = append(due, modelCopy)
--- a/internal/controlplane/copyages_test.go
+++ b/internal/controlplane/copyages_test.go
@@ -6,18 +6,18 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/retention"
 )
 
 func TestScheduler_CopyAgeSurvivesBriefAbsence(t *testing.T) {
 	now := rosterTestStart
 	scheduler := &Scheduler{node: &Node{clock: func() time.Time { return now }}, eviction: newContextEviction()}
-	other := platform.Replica{ID: "i-1"}
-	loaded := platform.Replica{ID: "i-2", Models: []platform.LoadedModel{{Name: "swift"}}}
-	emptied := platform.Replica{ID: "i-2"}
+	other := discovery.Replica{ID: "i-1"}
+	loaded := discovery.Replica{ID: "i-2", Models: []discovery.LoadedModel{{Name: "swift"}}}
+	emptied := discovery.Replica{ID: "i-2"}
 	policy := retention.Policy{Version: 1, LifetimeMs: 60_000}
-	at := func(seconds int, listed ...platform.Replica) int {
+	at := func(seconds int, listed ...discovery.Replica) int {
 		now = rosterTestStart.Add(time.Duration(seconds) * time.Second)
 		scheduler.recordCopies(listed)
 		return len(scheduler.dueCopies(policy, now))
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -13,14 +13,14 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/controlstate"
-	"ferryspar/internal/event"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/eventbus"
 	"ferryspar/internal/heartbeat"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/operator"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 	"ferryspar/internal/retention"
 )
 
@@ -55,11 +55,11 @@
 	lastHeartbeats     map[string]peer.Heartbeat
 	dataPlaneAddresses map[string]string
 	dataPlaneRetention map[string]retention.DataPlaneView
-	discovery          *platform.Client
-	listMerger         platform.Merger
+	discovery          *discovery.Client
+	listMerger         discovery.Merger
 	scheduler          *Scheduler
 	roster             rosterState
-	bus                *event.Bus
+	bus                *eventbus.Bus
 	leaving            chan struct{}
 	caughtUp           chan struct{}
 	startedAt          time.Time
@@ -67,7 +67,7 @@
 	forecasts          forecasts
 	drills             drillReports
 	// membershipChange is the last change of the members that this daemon committed.
-	membershipChange atomic.Pointer[operator.MembershipChange]
+	membershipChange atomic.Pointer[adminapi.MembershipChange]
 	// founding holds the last keystore.BootstrapVerdict.
 	bootstrapVerdict atomic.Value
 }
@@ -114,7 +114,7 @@
 	node := &Node{
 		settings: settings, path: path, self: self, incarnation: strconv.FormatUint(incarnation, 36), clock: time.Now, peers: peer.NewClient(network),
 		wal: wal, publisher: NewPublisher(), endpoints: NewEndpointPublisher(), loads: NewLoadAggregator(), appliedRegisters: map[string]keystore.Register{}, lastHeartbeats: map[string]peer.Heartbeat{}, dataPlaneAddresses: map[string]string{}, dataPlaneRetention: map[string]retention.DataPlaneView{},
-		dataPlanes: heartbeat.NewRegistry(10 * time.Second), controlNodes: heartbeat.NewRegistry(30 * time.Second), leaving: make(chan struct{}), caughtUp: make(chan struct{}, 1), bus: event.New(), startedAt: time.Now(), network: network,
+		dataPlanes: heartbeat.NewRegistry(10 * time.Second), controlNodes: heartbeat.NewRegistry(30 * time.Second), leaving: make(chan struct{}), caughtUp: make(chan struct{}, 1), bus: eventbus.New(), startedAt: time.Now(), network: network,
 	}
 	config := keystore.AcceptorConfig{LeaseDuration: node.leaseLength(), Clock: time.Now, Seeds: seeds}
 	node.acceptor = keystore.NewAcceptor(self, wal, config, fresh)
@@ -126,7 +126,7 @@
 	node.store = keystore.NewStore(self, incarnation, transport, members)
 	node.state = &controlstate.State{Store: node.store, Zones: settings.Zones, Clock: time.Now}
 	node.confirmer = newConfirmer(node)
-	node.discovery = &platform.Client{Address: settings.CloudAPI.Address, HTTPClient: &http.Client{Transport: peer.NewTransport(network, 500*time.Millisecond, 1500*time.Millisecond, 2)}}
+	node.discovery = &discovery.Client{Address: settings.CloudAPI.Address, HTTPClient: &http.Client{Transport: peer.NewTransport(network, 500*time.Millisecond, 1500*time.Millisecond, 2)}}
 	node.scheduler = NewScheduler(node)
 	return node, nil
 }
--- a/internal/controlplane/daemon_bench_test.go
+++ b/internal/controlplane/daemon_bench_test.go
@@ -11,10 +11,10 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 func newBenchNode(b *testing.B) *Node {
@@ -34,12 +34,12 @@
 	return node
 }
 
-func benchRoster(replicas, turn int) []platform.Replica {
-	var list []platform.Replica
+func benchRoster(replicas, turn int) []discovery.Replica {
+	var list []discovery.Replica
 	for index := range replicas {
-		replica := platform.Replica{ID: fmt.Sprintf("i-%08x", index), Backend: "writers", Address: fmt.Sprintf("10.1.%d.%d:8080", index/200, index%200), Zone: "north", Revision: "v1", Slots: 64, State: "ready", Phase: "unified"}
+		replica := discovery.Replica{ID: fmt.Sprintf("i-%08x", index), Backend: "writers", Address: fmt.Sprintf("10.1.%d.%d:8080", index/200, index%200), Zone: "north", Revision: "v1", Slots: 64, State: "ready", Phase: "unified"}
 		for slot := range 2 {
-			replica.Models = append(replica.Models, platform.LoadedModel{Name: fmt.Sprintf("model%04d", 2*index+slot), Revision: 1, Adapters: []string{"a1", "a2"}})
+			replica.Models = append(replica.Models, discovery.LoadedModel{Name: fmt.Sprintf("model%04d", 2*index+slot), Revision: 1, Adapters: []string{"a1", "a2"}})
 		}
 		list = append(list, replica)
 	}
@@ -168,7 +168,7 @@
 	for _, replicas := range []int{9, 140, 720} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			node, turn := newBenchNode(b), 0
-			rosters := [][]platform.Replica{benchRoster(replicas, 0), benchRoster(replicas, 1)}
+			rosters := [][]discovery.Replica{benchRoster(replicas, 0), benchRoster(replicas, 1)}
 			for b.Loop() {
 				turn++
 				node.roster.set(rosters[turn%2], time.Now())
--- a/internal/controlplane/demand.go
+++ b/internal/controlplane/demand.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 // handleDemand takes in a control plane's share of the demand, its arrivals unless they were heard
@@ -19,7 +19,7 @@
 	names := make([]string, len(share.Models))
 	isNew := s.aggregator.isNewBatch(share)
 	for index, model := range share.Models {
-		names[index] = place.ModelKey(model.Backend, model.Model)
+		names[index] = placement.ModelKey(model.Backend, model.Model)
 		if !isNew {
 			continue
 		}
@@ -52,7 +52,7 @@
 	slowShare := min(span/slowRateTimeConstant, 1)
 	for name, amount := range s.arrivals {
 		if s.demand[name] == nil {
-			s.demand[name] = &place.Demand{}
+			s.demand[name] = &placement.Demand{}
 		}
 		if amount > 0 {
 			s.demand[name].LastSeen = now
--- a/internal/controlplane/demandshare.go
+++ b/internal/controlplane/demandshare.go
@@ -5,7 +5,7 @@
 	"maps"
 
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 // Demand is this daemon's share of the demand, for the placement holder: arrivals since the last
@@ -28,7 +28,7 @@
 	waiting := map[string]bool{}
 	for _, report := range a.reports {
 		for _, model := range report.load.Models {
-			key := place.ModelKey(model.Backend, model.Model)
+			key := placement.ModelKey(model.Backend, model.Model)
 			if model.Waiting > 0 {
 				waiting[key] = true
 			}
@@ -46,7 +46,7 @@
 	a.waiting = waiting
 	clear(a.newlyWaiting)
 	for key, model := range models {
-		model.Backend, model.Model = place.SplitModelKey(key)
+		model.Backend, model.Model = placement.SplitModelKey(key)
 		summary.Models = append(summary.Models, model)
 	}
 	if !partial {
@@ -71,7 +71,7 @@
 	defer a.lock.Unlock()
 	a.arrivals.resolve(summary.Batch, false)
 	for _, model := range summary.Models {
-		delete(a.waiting, place.ModelKey(model.Backend, model.Model))
+		delete(a.waiting, placement.ModelKey(model.Backend, model.Model))
 	}
 }
 
--- a/internal/controlplane/demandshare_test.go
+++ b/internal/controlplane/demandshare_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 func TestScheduler_CountsResentArrivalsOnce(t *testing.T) {
@@ -18,7 +18,7 @@
 	arrive := func(amount int) {
 		sums.AddReport(peer.LoadReport{DataPlane: "edge", Models: []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}}}, rosterTestStart)
 	}
-	counted := func() float64 { return holder.arrivals[place.ModelKey("s", "m")] }
+	counted := func() float64 { return holder.arrivals[placement.ModelKey("s", "m")] }
 	arrive(10)
 	lost := sums.DemandSummary("a", false)
 	holder.handleDemand(lost)
--- a/internal/controlplane/dense.go
+++ b/internal/controlplane/dense.go
@@ -6,8 +6,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 // tokenUnit is the unit, in tokens, that packed sums are rounded up to.
@@ -18,14 +18,14 @@
 type loadPacker struct {
 	lock sync.Mutex
 	// of is the first entry of the list adopted last, by which it is known again.
-	firstReplica *platform.Replica
+	firstReplica *discovery.Replica
 	replicaCount int
 	digest       uint64
 	replicaIDs   []string
 }
 
 // adopt orders by a list, unless it is the one adopted last. The caller holds the lock.
-func (p *loadPacker) setReplicas(replicas []platform.Replica) {
+func (p *loadPacker) setReplicas(replicas []discovery.Replica) {
 	if len(replicas) == 0 || len(replicas) == p.replicaCount && &replicas[0] == p.firstReplica {
 		return
 	}
@@ -41,7 +41,7 @@
 
 // pack packs a share, or returns it as it is if the list lacks one of its replicas. Any goroutine
 // may call it.
-func (p *loadPacker) pack(summary peer.LoadSummary, replicas []platform.Replica) peer.LoadSummary {
+func (p *loadPacker) pack(summary peer.LoadSummary, replicas []discovery.Replica) peer.LoadSummary {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.setReplicas(replicas)
@@ -82,7 +82,7 @@
 
 // open unpacks sums into loads by replica, and reports whether they fit the list held here. Any
 // goroutine may call it.
-func (p *loadPacker) unpack(packed *peer.PackedLoads, replicas []platform.Replica) (map[string]peer.ReplicaLoad, bool) {
+func (p *loadPacker) unpack(packed *peer.PackedLoads, replicas []discovery.Replica) (map[string]peer.ReplicaLoad, bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.setReplicas(replicas)
--- a/internal/controlplane/disks.go
+++ b/internal/controlplane/disks.go
@@ -6,8 +6,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/platform"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/replicastate"
 )
@@ -18,7 +18,7 @@
 
 // diskKey names the disk that a listed replica is taken to have: a replica that starts again at its
 // address keeps its disk, one of another service that gets the address later has its own.
-func diskKey(listed platform.Replica) string { return listed.Backend + " " + listed.Address }
+func diskKey(listed discovery.Replica) string { return listed.Backend + " " + listed.Address }
 
 // verifyDiskLoad looks whether a load that was taken for one from the replica's own disk comes from the
 // store after all, as at a replica that took the place of another at its address: then the load
--- a/internal/controlplane/disks_test.go
+++ b/internal/controlplane/disks_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/loadbudget"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/replicastate"
 )
@@ -37,8 +37,8 @@
 		table:        table,
 	}
 	scheduler.currentGrant.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: &full}, GrantedAt: now.Add(-time.Hour)})
-	scheduler.recordListedModels(platform.Replica{ID: "old", Backend: "s", Address: "here", Models: []platform.LoadedModel{{Name: "m"}, {Name: "n"}}})
-	scheduler.adoptReplicaList([]platform.Replica{{ID: "new", Backend: "s", Address: "here"}, {ID: "other", Backend: "t", Address: "here"}}, *now)
+	scheduler.recordListedModels(discovery.Replica{ID: "old", Backend: "s", Address: "here", Models: []discovery.LoadedModel{{Name: "m"}, {Name: "n"}}})
+	scheduler.adoptReplicaList([]discovery.Replica{{ID: "new", Backend: "s", Address: "here"}, {ID: "other", Backend: "t", Address: "here"}}, *now)
 	return scheduler, scheduler.tracked["new"]
 }
 
@@ -55,7 +55,7 @@
 	order, decided := tracked.state.Decide(replicastate.Change{Load: true, Reference: "m"}, now)
 	assert.Assert(t, decided)
 	tracked.state.HandleResponse(order, replicastate.Accepted, now)
-	tracked.pendingAction, tracked.startedAt = &place.Action{Server: "new", Model: "m", Load: true}, now
+	tracked.pendingAction, tracked.startedAt = &placement.Action{Server: "new", Model: "m", Load: true}, now
 }
 
 func TestScheduler_CountsSlowDiskLoadAsStoreLoad(t *testing.T) {
@@ -81,7 +81,7 @@
 	scheduler, tracked := newDiskScheduler(&now)
 	startDiskLoad(t, tracked, now)
 	now = now.Add(4 * time.Second)
-	scheduler.verifyDiskLoad(tracked, replica.Report{Sequence: 1, Models: []platform.LoadedModel{{Name: "m"}}}, now)
+	scheduler.verifyDiskLoad(tracked, replica.Report{Sequence: 1, Models: []discovery.LoadedModel{{Name: "m"}}}, now)
 	scheduler.verifyDiskLoad(tracked, replica.Report{Busy: true, Sequence: 1}, tracked.startedAt.Add(time.Second))
 	assert.Equal(t, countedLoads(scheduler, now), 0)
 	assert.Assert(t, scheduler.modelsOnDisk[diskKey(tracked.listed)]["n"])
--- a/internal/controlplane/drill.go
+++ b/internal/controlplane/drill.go
@@ -10,10 +10,10 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/apierror"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/platform"
 )
 
 const (
@@ -105,7 +105,7 @@
 	inside, outside := 0, 0
 	for _, replica := range snapshot.Replicas {
 		switch {
-		case replica.State == platform.Draining:
+		case replica.State == discovery.Draining:
 		case request.Scope.Covers(replica.Zone, n.settings.Zones[replica.Zone]):
 			inside++
 		default:
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -4,14 +4,14 @@
 	"context"
 	"encoding/json"
 
-	"ferryspar/internal/event"
+	"ferryspar/internal/eventbus"
 	"ferryspar/internal/peer"
 )
 
 func (n *Node) subscribeEvents(ctx context.Context) error {
 	followers := map[string]func(payload []byte){
-		event.TopicCommitted: func(payload []byte) { n.notifyCommitted(ctx, payload) },
-		event.TopicPlacementChanged: func(payload []byte) {
+		eventbus.TopicCommitted: func(payload []byte) { n.notifyCommitted(ctx, payload) },
+		eventbus.TopicPlacementChanged: func(payload []byte) {
 			if n.scheduler.HoldsLease() {
 				n.sendRoster(ctx, false)
 			}
--- a/internal/controlplane/eviction.go
+++ b/internal/controlplane/eviction.go
@@ -10,8 +10,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replicastate"
 	"ferryspar/internal/retention"
 )
@@ -48,7 +48,7 @@
 }
 
 // recordCopies takes in a list that changed. Any goroutine may call it.
-func (s *Scheduler) recordCopies(replicas []platform.Replica) {
+func (s *Scheduler) recordCopies(replicas []discovery.Replica) {
 	now := s.node.clock()
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -57,7 +57,7 @@
 
 // planEviction brings the forget items up to date and tells the planner which copies to evict:
 // those that items name, then those past their share of the context's life.
-func (s *Scheduler) planEviction(ctx context.Context, snapshot *Snapshot, view *place.View) {
+func (s *Scheduler) planEviction(ctx context.Context, snapshot *Snapshot, view *placement.View) {
 	s.checkRunningEviction(view.Now)
 	view.ContextEvictionInProgress = s.eviction.running != ""
 	for _, item := range snapshot.Forgets.Purges {
@@ -71,7 +71,7 @@
 		s.updateItemProgress(ctx, item)
 		for _, pair := range item.Targets {
 			if pair.State == retention.Pending && !s.eviction.evicted[pairKey(item.Number, pair)] {
-				view.ContextEvictions = append(view.ContextEvictions, place.ServerModel{Server: pair.Replica, Model: pair.Model})
+				view.ContextEvictions = append(view.ContextEvictions, placement.ServerModel{Server: pair.Replica, Model: pair.Model})
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // dueCopies are the copies that the policy's life makes due, the oldest first.
-func (s *Scheduler) dueCopies(policy retention.Policy, now time.Time) []place.ServerModel {
+func (s *Scheduler) dueCopies(policy retention.Policy, now time.Time) []placement.ServerModel {
 	if policy.LifetimeMs <= 0 {
 		return nil
 	}
@@ -113,7 +113,7 @@
 }
 
 // absentCopies are the copies at replicas that the newest list leaves out and that may still be there.
-func (s *Scheduler) absentCopies() []place.ServerModel {
+func (s *Scheduler) absentCopies() []placement.ServerModel {
 	now := s.node.clock()
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -133,7 +133,7 @@
 func (s *Scheduler) storeItemPairs(ctx context.Context, item retention.Purge) {
 	var pairs []retention.Target
 	for id, tracked := range s.tracked {
-		if !tracked.state.IsKnown() && tracked.listed.State != platform.Draining {
+		if !tracked.state.IsKnown() && tracked.listed.State != discovery.Draining {
 			return
 		}
 		loaded := maps.Clone(tracked.state.Loaded())
--- a/internal/controlplane/explain.go
+++ b/internal/controlplane/explain.go
@@ -6,14 +6,14 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 // starvationLogInterval is how often at most, and from what wait on, a model waited for is explained.
 const starvationLogInterval = 2 * time.Second
 
 // explain logs, with every replica's state, a model that requests have long been waiting for.
-func (s *Scheduler) logStarvingModel(view *place.View, now time.Time) {
+func (s *Scheduler) logStarvingModel(view *placement.View, now time.Time) {
 	if now.Sub(s.starvationLoggedAt) < starvationLogInterval {
 		return
 	}
--- a/internal/controlplane/feed.go
+++ b/internal/controlplane/feed.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/placement"
 )
 
 const (
@@ -20,9 +20,9 @@
 type planInputs struct {
 	aggregator     *DemandAggregator
 	receivedRates  map[string]peer.Rate
-	catalog        *place.Catalog
+	catalog        *placement.Catalog
 	sortedIDs      []string
-	adoptedList    *platform.Replica
+	adoptedList    *discovery.Replica
 	dirty          bool
 	plannedVersion uint64
 	plannedAt      time.Time
@@ -46,9 +46,9 @@
 	return changed
 }
 
-func (s *Scheduler) currentCatalog(table *configuration.Table) *place.Catalog {
+func (s *Scheduler) currentCatalog(table *configuration.Table) *placement.Catalog {
 	if !s.catalog.IsFor(table) {
-		s.catalog = place.NewCatalog(table)
+		s.catalog = placement.NewCatalog(table)
 	}
 	return s.catalog
 }
--- a/internal/controlplane/feed_bench_test.go
+++ b/internal/controlplane/feed_bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/placement"
 )
 
 func BenchmarkScheduler_DemandAndReplicas(b *testing.B) {
@@ -17,20 +17,20 @@
 			now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 			scheduler := &Scheduler{
 				node:         &Node{clock: func() time.Time { return now }},
-				demand:       map[string]*place.Demand{},
+				demand:       map[string]*placement.Demand{},
 				arrivals:     map[string]float64{},
 				prefillMs:    map[string]float64{},
 				modelsOnDisk: map[string]map[string]bool{},
 				tracked:      map[string]*trackedReplica{},
 				planInputs:   planInputs{aggregator: NewDemandAggregator()},
 			}
-			var listed []platform.Replica
+			var listed []discovery.Replica
 			for index := range size[0] {
-				loaded := []platform.LoadedModel{{
+				loaded := []discovery.LoadedModel{{
 					Name:     fmt.Sprint("m", index),
 					Adapters: []string{"a1", "a2", "a3"},
 				}, {Name: fmt.Sprint("m", index/2)}}
-				listed = append(listed, platform.Replica{
+				listed = append(listed, discovery.Replica{
 					ID:      fmt.Sprintf("r%04d", index),
 					Address: fmt.Sprint("at", index),
 					Backend: "s",
@@ -60,13 +60,13 @@
 				now = now.Add(100 * time.Millisecond)
 				for _, report := range reports[:max(len(reports)/10, 1)] {
 					for index, model := range report.Models {
-						names[index] = place.ModelKey(model.Backend, model.Model)
+						names[index] = placement.ModelKey(model.Backend, model.Model)
 					}
 					scheduler.aggregator.Add(report, append([]string{}, names...), now)
 				}
 				scheduler.updateDemand()
 				scheduler.adoptReplicaList(listed, now)
-				scheduler.addServers(&place.View{Table: table}, now)
+				scheduler.addServers(&placement.View{Table: table}, now)
 			}
 		})
 	}
--- a/internal/controlplane/forecastplan.go
+++ b/internal/controlplane/forecastplan.go
@@ -5,7 +5,7 @@
 	"sort"
 
 	"ferryspar/internal/drill"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 // addPlacementForecast adds to a forecast what the placement holder would do; the forecast is partial if it
@@ -53,7 +53,7 @@
 	view := s.planningView(snapshot, s.table, s.node.clock()).Clone()
 	view.RemoveZones(func(zone string) bool { return scope.Covers(zone, s.node.settings.Zones[zone]) })
 	plan := drill.PlacementPlan{HoldsLease: true, Steps: []drill.PlacementStep{}}
-	for _, action := range place.Forecast(view) {
+	for _, action := range placement.Forecast(view) {
 		plan.Steps = append(plan.Steps, drill.PlacementStep{
 			Replica: action.Server,
 			Load:    action.Load,
--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -5,10 +5,10 @@
 	"encoding/json"
 	"time"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/membership"
-	"ferryspar/internal/platform"
 )
 
 const (
@@ -89,7 +89,7 @@
 	}
 	n.watchLock.Unlock()
 	for _, replica := range snapshot.Replicas {
-		if replica.State != platform.Draining && !n.scheduler.isSuspected(replica.ID) {
+		if replica.State != discovery.Draining && !n.scheduler.isSuspected(replica.ID) {
 			base.replicas = append(base.replicas, replica.ID)
 		}
 	}
@@ -133,7 +133,7 @@
 	}
 	present := map[string]bool{}
 	for _, replica := range snapshot.Replicas {
-		present[replica.ID] = replica.State != platform.Draining
+		present[replica.ID] = replica.State != discovery.Draining
 	}
 	for _, id := range base.replicas {
 		if !present[id] {
--- a/internal/controlplane/instructions.go
+++ b/internal/controlplane/instructions.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/replicastate"
 )
@@ -20,7 +20,7 @@
 
 // startAction ties the planner's action to what is known of its replica and sends the order, an unload only after the data
 // planes had time to stop using the model.
-func (s *Scheduler) startAction(ctx context.Context, action place.Action, now time.Time) {
+func (s *Scheduler) startAction(ctx context.Context, action placement.Action, now time.Time) {
 	tracked := s.tracked[action.Server]
 	order, possible := tracked.state.Decide(replicastate.Change{Load: action.Load, Reference: action.Model}, now)
 	if !possible {
--- a/internal/controlplane/loads_test.go
+++ b/internal/controlplane/loads_test.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/lease"
 	"ferryspar/internal/loadbudget"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 func TestScheduler_LoadsFromStoreStayWithinRate(t *testing.T) {
@@ -33,7 +33,7 @@
 		for range 1200 {
 			now = now.Add(time.Duration(random.IntN(60)) * time.Millisecond)
 			for tokens := scheduler.loadTokens(now, table); tokens >= 1; tokens-- {
-				scheduler.recordOrderedLoad(place.Action{Server: "r", Model: "m", Load: true, FromStore: true}, now)
+				scheduler.recordOrderedLoad(placement.Action{Server: "r", Model: "m", Load: true, FromStore: true}, now)
 				scheduler.recordStartedLoads("r", now)
 				began = append(began, now.Add(time.Duration(random.IntN(int(maxLoadStartDelay)))))
 			}
--- a/internal/controlplane/managed.go
+++ b/internal/controlplane/managed.go
@@ -7,14 +7,14 @@
 	"strings"
 	"time"
 
-	"ferryspar/internal/event"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/eventbus"
+	"ferryspar/internal/placement"
 )
 
 // adoptReplicaList follows the replicas of the platform's list: new ones are managed, their reports still
 // unknown, and those that are gone are let go. A list seen before is skipped by its identity.
-func (s *Scheduler) adoptReplicaList(listed []platform.Replica, readAt time.Time) {
+func (s *Scheduler) adoptReplicaList(listed []discovery.Replica, readAt time.Time) {
 	if len(listed) > 0 && s.adoptedList == &listed[0] && len(s.tracked) == len(listed) {
 		return
 	}
@@ -65,7 +65,7 @@
 
 // recordListedModels notes that a listed replica's disk holds its models, if any is new. Any
 // goroutine may call it.
-func (s *Scheduler) recordListedModels(listed platform.Replica) {
+func (s *Scheduler) recordListedModels(listed discovery.Replica) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	known := s.modelsOnDisk[diskKey(listed)]
@@ -101,7 +101,7 @@
 	s.lock.Unlock()
 	s.unpublished, s.publishedAt = false, now
 	s.node.publishRoster()
-	_ = s.node.bus.Publish(event.TopicPlacementChanged, len(s.tracked))
+	_ = s.node.bus.Publish(eventbus.TopicPlacementChanged, len(s.tracked))
 }
 
 // withdrawObserved takes back what publishObserved has given: another daemon may know better.
@@ -115,11 +115,11 @@
 	}
 	s.unpublished = true
 	s.node.publishRoster()
-	_ = s.node.bus.Publish(event.TopicPlacementChanged, 0)
+	_ = s.node.bus.Publish(eventbus.TopicPlacementChanged, 0)
 }
 
 // loadedModels lists a set of references as the platform's list does, ordered by name.
-func loadedModels(models map[string]bool) []platform.LoadedModel {
+func loadedModels(models map[string]bool) []discovery.LoadedModel {
 	adapters := map[string][]string{}
 	for reference := range models {
 		model, adapter, _ := strings.Cut(reference, "/")
@@ -130,10 +130,10 @@
 			adapters[model] = append(adapters[model], adapter)
 		}
 	}
-	var list []platform.LoadedModel
+	var list []discovery.LoadedModel
 	for model, names := range adapters {
 		sort.Strings(names)
-		list = append(list, platform.LoadedModel{Name: model, Revision: 1, Adapters: names})
+		list = append(list, discovery.LoadedModel{Name: model, Revision: 1, Adapters: names})
 	}
 	sort.Slice(list, func(left, right int) bool { return list[left].Name < list[right].Name })
 	return list
@@ -141,7 +141,7 @@
 
 // remember adds models to those that a replica once held, so that its disk may have them; the set
 // is replaced, never changed, because planner inputs keep it. The caller holds the lock.
-func (s *Scheduler) recordModelsOnDisk(listed platform.Replica, models map[string]bool) {
+func (s *Scheduler) recordModelsOnDisk(listed discovery.Replica, models map[string]bool) {
 	disk := diskKey(listed)
 	known := s.modelsOnDisk[disk]
 	var next map[string]bool
@@ -160,7 +160,7 @@
 }
 
 // addServers adds the managed replicas to the planner's input.
-func (s *Scheduler) addServers(view *place.View, now time.Time) {
+func (s *Scheduler) addServers(view *placement.View, now time.Time) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, id := range s.sortedIDs {
@@ -168,11 +168,11 @@
 		if !isPlacementTarget(view.Table, tracked.listed.Backend) {
 			continue
 		}
-		view.Servers = append(view.Servers, &place.Server{
+		view.Servers = append(view.Servers, &placement.Server{
 			ID:          id,
 			Backend:     tracked.listed.Backend,
 			Zone:        tracked.listed.Zone,
-			Draining:    tracked.listed.State == platform.Draining,
+			Draining:    tracked.listed.State == discovery.Draining,
 			Lost:        s.aggregator.IsSuspected(id),
 			Loaded:      tracked.state.CertainlyLoaded(),
 			MaybeLoaded: tracked.state.PossiblyLoaded(),
@@ -184,12 +184,12 @@
 }
 
 // loadedReferences is the set of references of a replica's models and adapters.
-func loadedReferences(models []platform.LoadedModel) map[string]bool {
+func loadedReferences(models []discovery.LoadedModel) map[string]bool {
 	found := map[string]bool{}
 	for _, model := range models {
 		found[model.Name] = true
 		for _, adapter := range model.Adapters {
-			found[place.Reference(model.Name, adapter)] = true
+			found[placement.Reference(model.Name, adapter)] = true
 		}
 	}
 	return found
--- a/internal/controlplane/managedreplica.go
+++ b/internal/controlplane/managedreplica.go
@@ -3,18 +3,18 @@
 import (
 	"time"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replicastate"
 )
 
 // trackedReplica is a replica that the scheduler places models on. The scheduler's own goroutine alone uses it.
 type trackedReplica struct {
-	listed platform.Replica
+	listed discovery.Replica
 	state  *replicastate.Replica
 	// pending is the planner's action behind the order that is under way, if there is one.
-	pendingAction *place.Action
+	pendingAction *placement.Action
 	// began is when that order was decided or, once it is accepted, when that was heard.
 	startedAt time.Time
 	// reportedAt is when the replica's last report was adopted.
@@ -65,7 +65,7 @@
 )
 
 // manage begins to know a listed replica under the present grant.
-func (s *Scheduler) track(listed *platform.Replica) *trackedReplica {
+func (s *Scheduler) track(listed *discovery.Replica) *trackedReplica {
 	var fence uint64
 	var trustFrom time.Time
 	if s.trackedGrant != nil {
@@ -106,14 +106,14 @@
 }
 
 // hasExactlyLoaded tells whether a set of references is that of the listed models and adapters.
-func hasExactlyLoaded(loaded map[string]bool, models []platform.LoadedModel) bool {
+func hasExactlyLoaded(loaded map[string]bool, models []discovery.LoadedModel) bool {
 	count := 0
 	for _, model := range models {
 		if !loaded[model.Name] {
 			return false
 		}
 		for _, adapter := range model.Adapters {
-			if !loaded[place.Reference(model.Name, adapter)] {
+			if !loaded[placement.Reference(model.Name, adapter)] {
 				return false
 			}
 		}
--- a/internal/controlplane/managedreplica_test.go
+++ b/internal/controlplane/managedreplica_test.go
@@ -6,26 +6,26 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/event"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/eventbus"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replicastate"
 )
 
 // newPlacingScheduler holds the lease by a grant of the fence given and manages one replica that holds "m".
-func newPlacingScheduler(now *time.Time, fence uint64) (*Scheduler, []platform.Replica) {
+func newPlacingScheduler(now *time.Time, fence uint64) (*Scheduler, []discovery.Replica) {
 	settings := nodesettings.Settings{CloudAPI: nodesettings.CloudAPI{MaxLagMs: 800}}
 	scheduler := &Scheduler{
 		node:         &Node{clock: func() time.Time { return *now }, settings: settings, publisher: NewPublisher(), endpoints: NewEndpointPublisher()},
 		modelsOnDisk: map[string]map[string]bool{},
 		tracked:      map[string]*trackedReplica{},
 		observed:     map[string]observedState{},
-		sizes:        place.NewSizeHistory(),
+		sizes:        placement.NewSizeHistory(),
 	}
 	scheduler.trackedGrant = &lease.Grant{Record: lease.Record{Fence: fence}, GrantedAt: *now, ExpiresAt: now.Add(time.Hour)}
-	listed := []platform.Replica{{ID: "r", Backend: "s", Address: "here", Models: []platform.LoadedModel{{Name: "m"}}}}
+	listed := []discovery.Replica{{ID: "r", Backend: "s", Address: "here", Models: []discovery.LoadedModel{{Name: "m"}}}}
 	scheduler.adoptReplicaList(listed, *now)
 	return scheduler, listed
 }
@@ -57,7 +57,7 @@
 	for range 3 {
 		now = now.Add(time.Second)
 		assert.Assert(t, !tracked.state.PollDue(now), "the list may lag")
-		scheduler.adoptReplicaList(append([]platform.Replica{}, listed...), now)
+		scheduler.adoptReplicaList(append([]discovery.Replica{}, listed...), now)
 	}
 	assert.Assert(t, tracked.state.PollDue(now))
 }
@@ -78,7 +78,7 @@
 	assert.Assert(t, tracked.state.HandleReport(replicastate.Report{Loaded: map[string]bool{"m": true}}, now))
 	order, decided := tracked.state.Decide(replicastate.Change{Load: true, Reference: "n"}, now)
 	assert.Assert(t, decided)
-	scheduler.node.scheduler, scheduler.node.bus = scheduler, event.New()
+	scheduler.node.scheduler, scheduler.node.bus = scheduler, eventbus.New()
 	renewed := *scheduler.trackedGrant
 	now = scheduler.trackedGrant.ExpiresAt
 	scheduler.adoptGrant(scheduler.trackedGrant)
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
-	"ferryspar/internal/event"
+	"ferryspar/internal/adminapi"
+	"ferryspar/internal/eventbus"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/membership"
-	"ferryspar/internal/operator"
 	"ferryspar/internal/peer"
 )
 
@@ -116,7 +116,7 @@
 	logrus.WithFields(logrus.Fields{
 		"why": change.Reason, "present": change.Membership.Current, "next": change.Membership.Next, "number": change.Membership.Version,
 	}).Info("members change committed")
-	n.membershipChange.Store(&operator.MembershipChange{Version: change.Membership.Version, Reason: change.Reason})
+	n.membershipChange.Store(&adminapi.MembershipChange{Version: change.Membership.Version, Reason: change.Reason})
 	n.apply(register)
-	_ = n.bus.Publish(event.TopicCommitted, peer.KeyUpdate{Register: register.WithoutValue()})
+	_ = n.bus.Publish(eventbus.TopicCommitted, peer.KeyUpdate{Register: register.WithoutValue()})
 }
--- a/internal/controlplane/parts.go
+++ b/internal/controlplane/parts.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 // endpointSet is the replicas that hold one model of a backend; the empty model stands for all of the
@@ -46,7 +46,7 @@
 
 // Publish adopts a roster as of a moment and wakes the followers of parts that changed. Barred
 // holds "replica reference" of what must no longer be used.
-func (p *EndpointPublisher) Publish(replicas []platform.Replica, cordoned []string, at time.Time) {
+func (p *EndpointPublisher) Publish(replicas []discovery.Replica, cordoned []string, at time.Time) {
 	cordonedOf := map[string]map[string]bool{}
 	for _, entry := range cordoned {
 		id, reference, _ := strings.Cut(entry, " ")
@@ -87,7 +87,7 @@
 
 // adopt adopts a replica's entry and adds the parts that it changes to touched.
 func (p *EndpointPublisher) update(
-	listed platform.Replica,
+	listed discovery.Replica,
 	cordoned map[string]bool,
 	at time.Time,
 	changed map[peer.EndpointKey]bool,
@@ -186,7 +186,7 @@
 			Address:  replica.listed.Address,
 			Zone:     replica.listed.Zone,
 			Slots:    replica.listed.Slots,
-			Draining: replica.listed.State == platform.Draining,
+			Draining: replica.listed.State == discovery.Draining,
 			Adapters: replica.usable[key.Model],
 		}
 		if left := replica.warmUpUntil.Sub(now); left > 0 {
--- a/internal/controlplane/parts_test.go
+++ b/internal/controlplane/parts_test.go
@@ -10,18 +10,18 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 var testStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func modelKey(model string) peer.EndpointKey { return peer.EndpointKey{Backend: "s", Model: model} }
 
-func replicaWith(id string, models ...string) platform.Replica {
-	replica := platform.Replica{ID: id, Backend: "s", Address: "at-" + id, Zone: "north", State: "ready", Slots: 4}
+func replicaWith(id string, models ...string) discovery.Replica {
+	replica := discovery.Replica{ID: id, Backend: "s", Address: "at-" + id, Zone: "north", State: "ready", Slots: 4}
 	for _, model := range models {
-		replica.Models = append(replica.Models, platform.LoadedModel{Name: model, Revision: 1})
+		replica.Models = append(replica.Models, discovery.LoadedModel{Name: model, Revision: 1})
 	}
 	return replica
 }
@@ -36,12 +36,12 @@
 
 func TestEndpointPublisher_KeepsKeysWhenOthersAreAdded(t *testing.T) {
 	parts := NewEndpointPublisher()
-	parts.Publish([]platform.Replica{replicaWith("i-1", "one")}, nil, testStart)
+	parts.Publish([]discovery.Replica{replicaWith("i-1", "one")}, nil, testStart)
 	first := parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 1, Reset: true, Add: []peer.EndpointKey{modelKey("one"), modelKey("two")}}, testStart)
 	assert.DeepEqual(t, endpointIDs(first.EndpointSets[0]), []string{"i-1"})
 	assert.Equal(t, len(first.EndpointSets[1].Endpoints), 0)
 	parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 2, Add: []peer.EndpointKey{modelKey("three")}}, testStart)
-	parts.Publish([]platform.Replica{replicaWith("i-1", "one"), replicaWith("i-2", "two")}, nil, testStart)
+	parts.Publish([]discovery.Replica{replicaWith("i-1", "one"), replicaWith("i-2", "two")}, nil, testStart)
 	told, version, refollow := parts.Changes(peer.WatchRequest{DataPlane: "edge", Incarnation: "a", SubscriptionSequence: 2, RosterVersion: first.RosterVersion}, "a", testStart)
 	assert.Assert(t, !refollow && version > first.RosterVersion)
 	assert.Equal(t, len(told), 1)
@@ -52,7 +52,7 @@
 	parts := NewEndpointPublisher()
 	parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 1, Reset: true, Add: []peer.EndpointKey{modelKey("one"), modelKey("two")}}, testStart)
 	parts.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 2, Remove: []peer.EndpointKey{modelKey("one")}}, testStart)
-	parts.Publish([]platform.Replica{replicaWith("i-1", "one", "two")}, nil, testStart)
+	parts.Publish([]discovery.Replica{replicaWith("i-1", "one", "two")}, nil, testStart)
 	told, _, _ := parts.Changes(peer.WatchRequest{DataPlane: "edge", Incarnation: "a", SubscriptionSequence: 2}, "a", testStart)
 	assert.Equal(t, len(told), 1)
 	assert.Equal(t, told[0].Model, "two")
@@ -77,16 +77,16 @@
 	parts := NewEndpointPublisher()
 	one := replicaWith("i-1", "one")
 	one.Models[0].Adapters = []string{"a1", "a2"}
-	parts.Publish([]platform.Replica{one}, nil, testStart)
+	parts.Publish([]discovery.Replica{one}, nil, testStart)
 	before := parts.version
 	other := replicaWith("i-1", "one")
 	other.Models[0].Adapters = []string{"a2", "a1"}
-	parts.Publish([]platform.Replica{other}, nil, testStart)
+	parts.Publish([]discovery.Replica{other}, nil, testStart)
 	assert.Equal(t, parts.version, before)
-	parts.Publish([]platform.Replica{other}, []string{"i-1 one/a2"}, testStart)
+	parts.Publish([]discovery.Replica{other}, []string{"i-1 one/a2"}, testStart)
 	assert.Equal(t, parts.version, before+1)
 	assert.DeepEqual(t, parts.compose(modelKey("one"), testStart).Endpoints[0].Adapters, []string{"a1"})
-	parts.Publish([]platform.Replica{other}, []string{"i-1 one"}, testStart)
+	parts.Publish([]discovery.Replica{other}, []string{"i-1 one"}, testStart)
 	assert.Equal(t, len(parts.compose(modelKey("one"), testStart).Endpoints), 0)
 }
 
@@ -95,7 +95,7 @@
 		random := rand.New(rand.NewPCG(seed, 11))
 		parts, held := NewEndpointPublisher(), map[peer.EndpointKey]peer.EndpointSet{}
 		followed, number, told := map[peer.EndpointKey]bool{}, uint64(0), uint64(0)
-		fleet := map[string]platform.Replica{}
+		fleet := map[string]discovery.Replica{}
 		for step := range 120 {
 			id := fmt.Sprint("i-", random.IntN(12))
 			if random.IntN(5) == 0 {
@@ -103,7 +103,7 @@
 			} else {
 				one := replicaWith(id, fmt.Sprint("m", random.IntN(6)), fmt.Sprint("m", 6+random.IntN(6)))
 				if random.IntN(6) == 0 {
-					one.State = platform.Draining
+					one.State = discovery.Draining
 				}
 				fleet[id] = one
 			}
@@ -111,7 +111,7 @@
 			if random.IntN(4) == 0 {
 				barred = []string{id + " m" + fmt.Sprint(random.IntN(12))}
 			}
-			listed := slices.SortedFunc(maps.Values(fleet), func(left, right platform.Replica) int {
+			listed := slices.SortedFunc(maps.Values(fleet), func(left, right discovery.Replica) int {
 				if left.ID < right.ID {
 					return -1
 				}
@@ -155,7 +155,7 @@
 
 func TestEndpointPublisher_SamplesLargeBackendsStably(t *testing.T) {
 	parts := NewEndpointPublisher()
-	var listed []platform.Replica
+	var listed []discovery.Replica
 	for index := range 120 {
 		one := replicaWith(fmt.Sprintf("i-%03d", index), "one")
 		if one.Zone = "north"; index >= 100 {
@@ -174,7 +174,7 @@
 	assert.Assert(t, len(first.Endpoints) == sampleSize && zones["far"] >= samplePerZone && zones["north"] >= samplePerZone)
 	for index := range listed {
 		if !held[listed[index].ID] {
-			listed[index].State = platform.Draining
+			listed[index].State = discovery.Draining
 			break
 		}
 	}
@@ -182,7 +182,7 @@
 	assert.Equal(t, parts.compose(modelKey(""), testStart).Version, first.Version, "one outside the sample changes nothing")
 	for index := range listed {
 		if held[listed[index].ID] {
-			listed[index].State = platform.Draining
+			listed[index].State = discovery.Draining
 			break
 		}
 	}
--- a/internal/controlplane/planning.go
+++ b/internal/controlplane/planning.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
 )
 
 // currentTable is the table of the configuration in force, built once for each revision, or nil if
@@ -59,8 +59,8 @@
 }
 
 // view is the planner's input at the moment.
-func (s *Scheduler) planningView(snapshot *Snapshot, table *configuration.Table, now time.Time) *place.View {
-	view := &place.View{
+func (s *Scheduler) planningView(snapshot *Snapshot, table *configuration.Table, now time.Time) *placement.View {
+	view := &placement.View{
 		Now:          now,
 		Table:        table,
 		Catalog:      s.currentCatalog(table),
@@ -70,7 +70,7 @@
 		DrainedZones: map[string]bool{},
 		StoreTokens:  s.loadTokens(now, table),
 		DemandKnown:  s.hasLearnedDemand(now),
-		Servers:      make([]*place.Server, 0, len(s.sortedIDs)),
+		Servers:      make([]*placement.Server, 0, len(s.sortedIDs)),
 	}
 	for zone, state := range snapshot.Zones {
 		view.DrainedZones[zone] = state.Drained
@@ -80,8 +80,8 @@
 		if !isPlacementTarget(table, tracked.listed.Backend) {
 			continue
 		}
-		if tracked.pendingAction != nil && tracked.pendingAction.Load && tracked.listed.State != platform.Draining {
-			view.Loading[place.ModelKey(tracked.listed.Backend, tracked.pendingAction.Model)]++
+		if tracked.pendingAction != nil && tracked.pendingAction.Load && tracked.listed.State != discovery.Draining {
+			view.Loading[placement.ModelKey(tracked.listed.Backend, tracked.pendingAction.Model)]++
 		}
 	}
 	s.addServers(view, now)
@@ -92,8 +92,8 @@
 func (s *Scheduler) plan(ctx context.Context, snapshot *Snapshot, table *configuration.Table, now time.Time) {
 	view := s.planningView(snapshot, table, now)
 	s.planEviction(ctx, snapshot, view)
-	for _, action := range place.Plan(view) {
-		if action.Reason == place.ContextEvictionReason {
+	for _, action := range placement.Plan(view) {
+		if action.Reason == placement.ContextEvictionReason {
 			s.eviction.running = action.Server + " " + action.Model
 			s.eviction.startedAt = now
 		}
--- a/internal/controlplane/publisher.go
+++ b/internal/controlplane/publisher.go
@@ -4,9 +4,9 @@
 	"sync"
 	"time"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 	"ferryspar/internal/retention"
 )
 
@@ -23,7 +23,7 @@
 	ZoneVersion         uint64
 	RosterVersion       uint64
 	RosterAsOf          time.Time
-	Replicas            []platform.Replica
+	Replicas            []discovery.Replica
 	Cordoned            []string
 	LeaseHolder         string
 	ControlPlanes       []string
--- a/internal/controlplane/rates.go
+++ b/internal/controlplane/rates.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 // adoptReceivedRates adopts the rates that another holder has shared; rates that it did not name are
@@ -24,7 +24,7 @@
 	}
 	for name, rate := range rates {
 		if s.demand[name] == nil {
-			s.demand[name] = &place.Demand{}
+			s.demand[name] = &placement.Demand{}
 		}
 		s.demand[name].Rate = rate.RequestsPerS
 		s.demand[name].PrefillLoad = rate.PrefillLoad
--- a/internal/controlplane/replicafacts.go
+++ b/internal/controlplane/replicafacts.go
@@ -4,20 +4,20 @@
 	"slices"
 	"time"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 // endpointSource is what the list says of a replica and which models and adapters it may be used for.
 // Entries are replaced, not changed, but for what does not show in parts.
 type endpointSource struct {
-	listed      platform.Replica
+	listed      discovery.Replica
 	warmUpUntil time.Time
 	// usableModels are the adapters by model; the empty model stands for the replica itself.
 	usable map[string][]string
 }
 
 // usableModels are a replica's usable models and adapters, without those being unloaded.
-func usableModels(listed platform.Replica, cordoned map[string]bool) map[string][]string {
+func usableModels(listed discovery.Replica, cordoned map[string]bool) map[string][]string {
 	usable := make(map[string][]string, len(listed.Models)+1)
 	usable[""] = nil
 	for _, model := range listed.Models {
@@ -50,7 +50,7 @@
 }
 
 // sameListing tells whether the list says the same of the replica as before.
-func (s *endpointSource) sameListing(listed platform.Replica, warmUpUntil time.Time) bool {
+func (s *endpointSource) sameListing(listed discovery.Replica, warmUpUntil time.Time) bool {
 	return sameReplica(s.listed, listed) && closeTimes(s.warmUpUntil, warmUpUntil) && sameModels(s.listed.Models, listed.Models)
 }
 
@@ -68,7 +68,7 @@
 }
 
 // sameReplica tells whether two entries say the same of a replica apart from its models and times.
-func sameReplica(left, right platform.Replica) bool {
+func sameReplica(left, right discovery.Replica) bool {
 	return left.ID == right.ID &&
 		left.Backend == right.Backend &&
 		left.Address == right.Address &&
@@ -80,8 +80,8 @@
 }
 
 // sameModels tells whether two lists of models are the same, in order too.
-func sameModels(former, latter []platform.LoadedModel) bool {
-	return slices.EqualFunc(former, latter, func(left, right platform.LoadedModel) bool {
+func sameModels(former, latter []discovery.LoadedModel) bool {
+	return slices.EqualFunc(former, latter, func(left, right discovery.LoadedModel) bool {
 		return left.Name == right.Name && left.Revision == right.Revision && slices.Equal(left.Adapters, right.Adapters)
 	})
 }
--- a/internal/controlplane/reportpolls.go
+++ b/internal/controlplane/reportpolls.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/replicastate"
 )
@@ -49,7 +49,7 @@
 	for _, id := range ids {
 		tracked := s.tracked[id]
 		for model := range s.modelsOnDisk[diskKey(tracked.listed)] {
-			if demand := s.demand[place.ModelKey(tracked.listed.Backend, model)]; demand != nil {
+			if demand := s.demand[placement.ModelKey(tracked.listed.Backend, model)]; demand != nil {
 				waiting[id] += demand.Waiting
 			}
 		}
--- a/internal/controlplane/reportpolls_test.go
+++ b/internal/controlplane/reportpolls_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replicastate"
 )
 
@@ -21,15 +21,15 @@
 	}}}, nil)
 	scheduler := &Scheduler{
 		node:         &Node{clock: func() time.Time { return now }},
-		demand:       map[string]*place.Demand{},
+		demand:       map[string]*placement.Demand{},
 		modelsOnDisk: map[string]map[string]bool{},
 		tracked:      map[string]*trackedReplica{},
 		planInputs:   planInputs{aggregator: NewDemandAggregator()},
 	}
-	var listed []platform.Replica
+	var listed []discovery.Replica
 	for index := range 3 * maxConcurrentPolls {
-		loaded := []platform.LoadedModel{{Name: fmt.Sprint("m", index)}}
-		listed = append(listed, platform.Replica{
+		loaded := []discovery.LoadedModel{{Name: fmt.Sprint("m", index)}}
+		listed = append(listed, discovery.Replica{
 			ID:      fmt.Sprintf("r%04d", index),
 			Address: fmt.Sprint("at", index),
 			Backend: "s",
@@ -38,7 +38,7 @@
 	}
 	scheduler.adoptReplicaList(listed, now)
 	last := listed[len(listed)-1]
-	scheduler.demand[place.ModelKey("s", last.Models[0].Name)] = &place.Demand{Waiting: 3}
+	scheduler.demand[placement.ModelKey("s", last.Models[0].Name)] = &placement.Demand{Waiting: 3}
 	changing := scheduler.tracked[listed[100].ID].state
 	assert.Assert(t, changing.HandleReport(replicastate.Report{}, now))
 	order, decided := changing.Decide(replicastate.Change{Load: true, Reference: "m"}, now)
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -8,7 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 const (
@@ -80,7 +80,7 @@
 
 // addWarmUpElapsed makes the cold times left those of the moment when the question began. The platform
 // may have told them as late as now, so they are lengthened by the time that the reading took.
-func addWarmUpElapsed(replicas []platform.Replica, elapsed time.Duration) {
+func addWarmUpElapsed(replicas []discovery.Replica, elapsed time.Duration) {
 	for index := range replicas {
 		if left := &replicas[index].WarmUpRemainingMs; *left > 0 {
 			*left += float64(elapsed) / float64(time.Millisecond)
@@ -102,7 +102,7 @@
 }
 
 // postJSON publishes a list and what is barred, as of a moment.
-func (n *Node) publishReplicas(replicas []platform.Replica, cordoned []string, at time.Time) {
+func (n *Node) publishReplicas(replicas []discovery.Replica, cordoned []string, at time.Time) {
 	changed := false
 	n.publisher.UpdateQuietly(func(next *Snapshot) {
 		changed = !sameReplicas(next.Replicas, replicas) || !slices.Equal(next.Cordoned, cordoned)
@@ -119,17 +119,17 @@
 }
 
 // sameReplicas tells whether two lists say the same, to a second of cold time.
-func sameReplicas(left, right []platform.Replica) bool {
-	return slices.EqualFunc(left, right, func(one, other platform.Replica) bool {
+func sameReplicas(left, right []discovery.Replica) bool {
+	return slices.EqualFunc(left, right, func(one, other discovery.Replica) bool {
 		return sameReplica(one, other) && sameModels(one.Models, other.Models) && int(one.WarmUpRemainingMs+999)/1000 == int(other.WarmUpRemainingMs+999)/1000
 	})
 }
 
 // observedState is the list with the models that the scheduler knows of from later reports, and what it
 // bars.
-func (s *Scheduler) withObserved(replicas []platform.Replica, at time.Time) ([]platform.Replica, []string) {
+func (s *Scheduler) withObserved(replicas []discovery.Replica, at time.Time) ([]discovery.Replica, []string) {
 	lag := s.listLag()
-	result := make([]platform.Replica, len(replicas))
+	result := make([]discovery.Replica, len(replicas))
 	var cordoned []string
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/controlplane/rosterstate.go
+++ b/internal/controlplane/rosterstate.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 // rosterState is the platform's list as this daemon holds it, and what is known of the lists that the
@@ -14,7 +14,7 @@
 	lock sync.Mutex
 	// publishing is held from reading the list until it is published, so that the newest stays.
 	publishLock sync.Mutex
-	replicas    []platform.Replica
+	replicas    []discovery.Replica
 	// at is a moment at or before which the list was made, by this daemon's steady clock.
 	at time.Time
 	// from is the lease holder whose share the list is, under that stamp, or empty for an own list.
@@ -45,7 +45,7 @@
 }
 
 // listed is the list as it is held.
-func (r *rosterState) replicaList() []platform.Replica {
+func (r *rosterState) replicaList() []discovery.Replica {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.replicas
@@ -53,7 +53,7 @@
 
 // set adopts a list that did not come by a share, made at that moment or later, unless the one held
 // is as new. It says whether it did.
-func (r *rosterState) set(replicas []platform.Replica, at time.Time) bool {
+func (r *rosterState) set(replicas []discovery.Replica, at time.Time) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if !at.After(r.at) {
@@ -136,7 +136,7 @@
 }
 
 // held is the list and the moment at or before which it was made.
-func (r *rosterState) current() ([]platform.Replica, time.Time) {
+func (r *rosterState) current() ([]discovery.Replica, time.Time) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.replicas, r.at
--- a/internal/controlplane/rosterstate_test.go
+++ b/internal/controlplane/rosterstate_test.go
@@ -6,14 +6,14 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 var rosterTestStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestRosterState_AdoptsOlderListOnlyFromSender(t *testing.T) {
-	old, next := []platform.Replica{{ID: "old"}}, []platform.Replica{{ID: "next"}}
+	old, next := []discovery.Replica{{ID: "old"}}, []discovery.Replica{{ID: "next"}}
 	at := func(seconds int) time.Time { return rosterTestStart.Add(time.Duration(seconds) * time.Second) }
 	state := rosterState{}
 	assert.Assert(t, state.set(next, at(5)))
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -7,9 +7,9 @@
 
 	"github.com/go-chi/chi/v5"
 
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/heartbeat"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/operator"
 	"ferryspar/internal/peer"
 	"ferryspar/internal/retention"
 )
@@ -131,5 +131,5 @@
 }
 
 func (n *Node) adminRoutes() http.Handler {
-	return operator.NewHandler(n, operator.NewReplayGuard(n.settings.BindAddresses.ControlPlane, n.clock))
+	return adminapi.NewHandler(n, adminapi.NewReplayGuard(n.settings.BindAddresses.ControlPlane, n.clock))
 }
--- a/internal/controlplane/scheduler.go
+++ b/internal/controlplane/scheduler.go
@@ -10,16 +10,16 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replica"
 )
 
 type observedState struct {
 	reportedAt time.Time
-	models     []platform.LoadedModel
+	models     []discovery.LoadedModel
 	cordoned   []string
 }
 
@@ -31,7 +31,7 @@
 	released      chan struct{}
 	commander     *replica.Client
 	lock          sync.Mutex
-	demand        map[string]*place.Demand
+	demand        map[string]*placement.Demand
 	arrivals      map[string]float64
 	prefillMs     map[string]float64
 	learningSince time.Time
@@ -42,7 +42,7 @@
 	// grant is the one that managed was learned under.
 	trackedGrant *lease.Grant
 	// sizes are those that models had in earlier configurations under the grant.
-	sizes              *place.SizeHistory
+	sizes              *placement.SizeHistory
 	loadBudget         loadBudget
 	table              *configuration.Table
 	ratesUpdatedAt     time.Time
@@ -63,8 +63,8 @@
 			TakeoverDelay: nodesettings.Milliseconds(bounds.LeaseMs) + 100*time.Millisecond, Store: daemon.store, Clock: daemon.clock,
 		},
 		loadBudget: newLoadBudget(), released: make(chan struct{}), commander: replica.NewClient(daemon.network),
-		demand: map[string]*place.Demand{}, arrivals: map[string]float64{}, prefillMs: map[string]float64{}, modelsOnDisk: map[string]map[string]bool{},
-		wake: make(chan struct{}, 1), callbacks: make(chan func(), 64), tracked: map[string]*trackedReplica{}, observed: map[string]observedState{}, eviction: newContextEviction(), sizes: place.NewSizeHistory(), planInputs: planInputs{aggregator: NewDemandAggregator()}, ratesUpdatedAt: daemon.clock(),
+		demand: map[string]*placement.Demand{}, arrivals: map[string]float64{}, prefillMs: map[string]float64{}, modelsOnDisk: map[string]map[string]bool{},
+		wake: make(chan struct{}, 1), callbacks: make(chan func(), 64), tracked: map[string]*trackedReplica{}, observed: map[string]observedState{}, eviction: newContextEviction(), sizes: placement.NewSizeHistory(), planInputs: planInputs{aggregator: NewDemandAggregator()}, ratesUpdatedAt: daemon.clock(),
 	}
 }
 
@@ -118,7 +118,7 @@
 		return
 	}
 	s.trackedGrant = grant
-	s.sizes = place.NewSizeHistory()
+	s.sizes = placement.NewSizeHistory()
 	s.adoptedList = nil
 	if len(s.tracked) > 0 {
 		s.tracked = map[string]*trackedReplica{}
--- a/internal/controlplane/share.go
+++ b/internal/controlplane/share.go
@@ -6,15 +6,15 @@
 	"strconv"
 	"time"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 // sentRoster is what a control plane has last been told of the roster, under a stamp.
 type sentRoster struct {
 	version  string
-	replicas []platform.Replica
+	replicas []discovery.Replica
 }
 
 // resendInterval is the wait before a share that was asked for meanwhile.
@@ -23,14 +23,14 @@
 // rosterAck says whether the receiver now has the roster of the share. Where that is old and the
 // receiver holds a newer list, Replicas is that one, as old as AgeMs.
 type rosterAck struct {
-	Adopted  bool               `json:"has"`
-	Replicas []platform.Replica `json:"replicas,omitempty"`
-	AgeMs    int64              `json:"ageMs,omitempty"`
+	Adopted  bool                `json:"has"`
+	Replicas []discovery.Replica `json:"replicas,omitempty"`
+	AgeMs    int64               `json:"ageMs,omitempty"`
 }
 
 // rosterDiff is what changed from base to next, and the ids that are gone.
-func rosterDiff(base, next []platform.Replica) (changed []platform.Replica, removed []string) {
-	previous := map[string]platform.Replica{}
+func rosterDiff(base, next []discovery.Replica) (changed []discovery.Replica, removed []string) {
+	previous := map[string]discovery.Replica{}
 	for _, replica := range base {
 		previous[replica.ID] = replica
 	}
@@ -48,7 +48,7 @@
 }
 
 // sameEntry tells whether two entries are the same in every respect.
-func sameEntry(left, right platform.Replica) bool {
+func sameEntry(left, right discovery.Replica) bool {
 	if (left.TimeLeftMs == nil) != (right.TimeLeftMs == nil) {
 		return false
 	}
@@ -59,15 +59,15 @@
 }
 
 // applyRosterDiff applies a difference to a base, ordered by id.
-func applyRosterDiff(base, changed []platform.Replica, removed []string) []platform.Replica {
-	merged := map[string]platform.Replica{}
-	for _, replica := range append(append([]platform.Replica{}, base...), changed...) {
+func applyRosterDiff(base, changed []discovery.Replica, removed []string) []discovery.Replica {
+	merged := map[string]discovery.Replica{}
+	for _, replica := range append(append([]discovery.Replica{}, base...), changed...) {
 		merged[replica.ID] = replica
 	}
 	for _, id := range removed {
 		delete(merged, id)
 	}
-	result := make([]platform.Replica, 0, len(merged))
+	result := make([]discovery.Replica, 0, len(merged))
 	for _, replica := range merged {
 		result = append(result, replica)
 	}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -4,16 +4,16 @@
 	"sort"
 	"time"
 
-	"ferryspar/internal/operator"
+	"ferryspar/internal/adminapi"
 )
 
 // Status tells what this daemon knows of the fleet and how sure it is of it.
-func (n *Node) Status() operator.FleetStatus {
+func (n *Node) Status() adminapi.FleetStatus {
 	snapshot := n.publisher.Current()
 	members := n.store.Membership()
 	now := n.clock()
 	self := n.acceptor.LocalState()
-	status := operator.FleetStatus{
+	status := adminapi.FleetStatus{
 		Member: n.self, IsMember: members.Contains(n.self), Voting: self.Voting, Leaving: n.isLeaving(),
 		Fresh: snapshot.IsFresh(now), ConfirmedAgeMs: age(now, snapshot.ConfirmedAt),
 		Revision: snapshot.Revision, Members: members.Current, NextMembers: members.Next, MembershipVersion: members.Version,
--- a/internal/controlplane/storebudget.go
+++ b/internal/controlplane/storebudget.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/lease"
 	"ferryspar/internal/loadbudget"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 const (
@@ -114,12 +114,12 @@
 }
 
 // loadsFromStore says whether an action loads weights from the store.
-func loadsFromStore(action place.Action) bool {
+func loadsFromStore(action placement.Action) bool {
 	return action.Load && action.FromStore && !strings.Contains(action.Model, "/")
 }
 
 // recordOrderedLoad counts a load that is about to be ordered.
-func (s *Scheduler) recordOrderedLoad(action place.Action, now time.Time) {
+func (s *Scheduler) recordOrderedLoad(action placement.Action, now time.Time) {
 	if !loadsFromStore(action) {
 		return
 	}
@@ -130,7 +130,7 @@
 }
 
 // recordRejectedLoad takes a load back that its replica refused, or that was not sent.
-func (s *Scheduler) recordRejectedLoad(action place.Action) {
+func (s *Scheduler) recordRejectedLoad(action placement.Action) {
 	if !loadsFromStore(action) {
 		return
 	}
--- a/internal/controlplane/sums.go
+++ b/internal/controlplane/sums.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 // dataPlaneReport is a data plane's load and when it came.
@@ -68,7 +68,7 @@
 	a.reports[load.DataPlane] = dataPlaneReport{now, load}
 	a.applyReport(load, 1)
 	for _, model := range load.Models {
-		key := place.ModelKey(model.Backend, model.Model)
+		key := placement.ModelKey(model.Backend, model.Model)
 		if model.Arrivals > 0 || model.PrefillMs > 0 {
 			a.arrivals.add(key, model)
 		}
--- a/internal/controlplane/sums_test.go
+++ b/internal/controlplane/sums_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 func reportOutcomes(dataPlane, zone string, served, failed float64, running int) peer.LoadReport {
@@ -147,11 +147,11 @@
 func TestLoadPacker_UnpacksOnlyWithSameReplicas(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 7))
-		var listed []platform.Replica
+		var listed []discovery.Replica
 		share := peer.LoadSummary{Replicas: map[string]peer.ReplicaLoad{}}
 		for index := range 1 + random.IntN(40) {
 			id := fmt.Sprintf("i-%03d", index)
-			listed = append(listed, platform.Replica{ID: id})
+			listed = append(listed, discovery.Replica{ID: id})
 			if random.IntN(2) == 0 {
 				share.Replicas[id] = peer.ReplicaLoad{
 					Running:       1 + random.IntN(12),
@@ -162,10 +162,10 @@
 		}
 		sender, receiver := &loadPacker{}, &loadPacker{}
 		packed := sender.pack(share, listed)
-		opened, known := receiver.unpack(packed.Packed, append([]platform.Replica{}, listed...))
+		opened, known := receiver.unpack(packed.Packed, append([]discovery.Replica{}, listed...))
 		assert.Assert(t, known)
 		assert.DeepEqual(t, opened, share.Replicas)
-		_, known = (&loadPacker{}).unpack(packed.Packed, append(listed, platform.Replica{ID: "i-999"}))
+		_, known = (&loadPacker{}).unpack(packed.Packed, append(listed, discovery.Replica{ID: "i-999"}))
 		assert.Assert(t, !known)
 		share.Replicas["unlisted"] = peer.ReplicaLoad{Running: 1}
 		assert.Assert(t, sender.pack(share, listed).Packed == nil, "all are told by name when one is not listed")
--- a/internal/controlplane/tally.go
+++ b/internal/controlplane/tally.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 const (
@@ -215,12 +215,12 @@
 }
 
 // WriteTo writes the sums that changed into the demand.
-func (a *DemandAggregator) WriteTo(demands map[string]*place.Demand, now time.Time) {
+func (a *DemandAggregator) WriteTo(demands map[string]*placement.Demand, now time.Time) {
 	for key := range a.changed {
 		sum := a.demand[key]
 		demand := demands[key]
 		if demand == nil {
-			demand = &place.Demand{}
+			demand = &placement.Demand{}
 			demands[key] = demand
 		}
 		demand.Waiting = sum.waiting
--- a/internal/controlplane/tally_test.go
+++ b/internal/controlplane/tally_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 type receivedSummary struct {
@@ -17,14 +17,14 @@
 	summary    peer.LoadSummary
 }
 
-func expectedDemand(received map[string]receivedSummary, now time.Time) map[string]place.Demand {
-	demands := map[string]place.Demand{}
+func expectedDemand(received map[string]receivedSummary, now time.Time) map[string]placement.Demand {
+	demands := map[string]placement.Demand{}
 	for _, entry := range received {
 		if now.Sub(entry.receivedAt) > demandTTL {
 			continue
 		}
 		for _, model := range entry.summary.Models {
-			key := place.ModelKey(model.Backend, model.Model)
+			key := placement.ModelKey(model.Backend, model.Model)
 			demand := demands[key]
 			demand.Waiting += model.Waiting
 			demand.Running += float64(model.Running)
@@ -68,14 +68,14 @@
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-		tally, heard, demands := NewDemandAggregator(), map[string]receivedSummary{}, map[string]*place.Demand{}
+		tally, heard, demands := NewDemandAggregator(), map[string]receivedSummary{}, map[string]*placement.Demand{}
 		for range 200 {
 			now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond)
 			if random.IntN(3) > 0 {
 				report := randomReport(random)
 				names := make([]string, len(report.Models))
 				for index, model := range report.Models {
-					names[index] = place.ModelKey(model.Backend, model.Model)
+					names[index] = placement.ModelKey(model.Backend, model.Model)
 				}
 				heard[report.Member] = receivedSummary{now, report}
 				tally.Add(report, names, now)
@@ -84,7 +84,7 @@
 			tally.WriteTo(demands, now)
 			plain := expectedDemand(heard, now)
 			for name, demand := range demands {
-				got := place.Demand{Waiting: demand.Waiting, Running: demand.Running, OldestWaitMs: demand.OldestWaitMs}
+				got := placement.Demand{Waiting: demand.Waiting, Running: demand.Running, OldestWaitMs: demand.OldestWaitMs}
 				assert.Equal(t, got, plain[name], "seed %d: %s", seed, name)
 				assert.Equal(t, tally.waiting[name], demand.Waiting > 0, "seed %d: %s", seed, name)
 			}
--- a/internal/controlplane/unloadbars_test.go
+++ b/internal/controlplane/unloadbars_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/replicastate"
 )
@@ -22,13 +22,13 @@
 	}}}, nil)
 	scheduler := &Scheduler{
 		node:         &Node{clock: func() time.Time { return now }},
-		demand:       map[string]*place.Demand{},
+		demand:       map[string]*placement.Demand{},
 		modelsOnDisk: map[string]map[string]bool{},
 		tracked:      map[string]*trackedReplica{},
 		planInputs:   planInputs{aggregator: NewDemandAggregator()},
 	}
-	loaded := []platform.LoadedModel{{Name: "m"}}
-	scheduler.adoptReplicaList([]platform.Replica{{ID: "i-1", Address: "at", Backend: "s", Models: loaded}}, now)
+	loaded := []discovery.LoadedModel{{Name: "m"}}
+	scheduler.adoptReplicaList([]discovery.Replica{{ID: "i-1", Address: "at", Backend: "s", Models: loaded}}, now)
 	tracked := scheduler.tracked["i-1"]
 	report := func() {
 		assert.DeepEqual(t, scheduler.duePolls(table, now), []string{"i-1"})
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"ferryspar/internal/apierror"
-	"ferryspar/internal/client"
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/proxy"
 	"ferryspar/internal/quota"
 )
 
@@ -21,7 +21,7 @@
 
 // Take spends a token of the tenant, and asks a home for some where there is none here. Requests of a tenant that come while
 // a home is asked share the next call. Where no home can tell, it looks again until the patience is over.
-func (q *Quotas) Take(ctx context.Context, tenant *configuration.Tenant, timeouts client.QuotaTimeouts) error {
+func (q *Quotas) Take(ctx context.Context, tenant *configuration.Tenant, timeouts proxy.QuotaTimeouts) error {
 	if limitOf(tenant).Unlimited() {
 		return nil
 	}
--- a/internal/dataplane/context.go
+++ b/internal/dataplane/context.go
@@ -5,8 +5,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ferryspar/internal/match"
 	"ferryspar/internal/peer"
+	"ferryspar/internal/routing"
 )
 
 // contactTimeout is how long after the last confirmed news a data plane with context rules no longer
@@ -36,7 +36,7 @@
 	}
 	last := s.lastForgetNumber
 	s.hasContextRules.Store(true)
-	s.updateLedger(func(ledger *match.PrefixLedger) {
+	s.updateLedger(func(ledger *routing.PrefixLedger) {
 		now := s.clock()
 		dropped := 0
 		for _, forget := range rules.Forgets {
--- a/internal/dataplane/daemon.go
+++ b/internal/dataplane/daemon.go
@@ -10,12 +10,12 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
-	"ferryspar/internal/client"
-	"ferryspar/internal/match"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/record"
+	"ferryspar/internal/proxy"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
 )
 
 // Node is one data plane: the client side, the matcher, the state that control planes tell, and
@@ -25,11 +25,11 @@
 	// path is the settings file, read again at a hangup signal.
 	settingsPath string
 	// fleet is what the matcher and the client side see, replaced as a whole.
-	fleet     atomic.Pointer[match.Snapshot]
-	matcher   *match.Matcher
+	fleet     atomic.Pointer[routing.Snapshot]
+	matcher   *routing.Matcher
 	state     *FleetState
 	watcher   *Watcher
-	handler   *client.Handler
+	handler   *proxy.Handler
 	peers     *peer.Client
 	forwarder *replica.Forwarder
 	quotas    *Quotas
@@ -44,12 +44,12 @@
 	node := &Node{settings: settings, settingsPath: path, network: network, peers: peer.NewClient(network)}
 	bounds := settings.TimingBounds
 	startedAt := incarnationStart(settings)
-	parameters := match.DefaultParameters()
+	parameters := routing.DefaultParameters()
 	parameters.Daemon, parameters.LifeBegan = settings.NodeName, startedAt
 	parameters.ColdOverage = bounds.ColdOverage
 	parameters.ColdSlack = bounds.ColdSlack
-	node.fleet.Store(&match.Snapshot{})
-	node.matcher = match.NewMatcher(parameters, settings.Zone, time.Now, &node.fleet)
+	node.fleet.Store(&routing.Snapshot{})
+	node.matcher = routing.NewMatcher(parameters, settings.Zone, time.Now, &node.fleet)
 	node.state = NewFleetState(settings, time.Now, &node.fleet, node.matcher.SnapshotChanged)
 	node.state.updateLedger = node.matcher.UpdateLedger
 	node.state.drills.answerForecast = node.answerForecast
@@ -62,11 +62,11 @@
 	ackTimeout := nodesettings.Milliseconds(bounds.ContactMs)
 	node.forwarder = replica.NewForwarder(network, time.Now, connectTimeout, ackTimeout)
 	node.matcher.OnSuspect = node.forwarder.CloseIdle
-	budgets := &client.RetryBudgets{
+	budgets := &proxy.RetryBudgets{
 		Node: settings.NodeName, StartedAt: startedAt, Period: nodesettings.Seconds(bounds.BudgetPeriodS),
 		Ratio: bounds.RetryBudgetRatio, Slack: bounds.RetryBudgetSlack,
 	}
-	node.handler = client.NewHandler(&node.fleet, node.matcher, node.forwarder, budgets, time.Now, rand.Float64)
+	node.handler = proxy.NewHandler(&node.fleet, node.matcher, node.forwarder, budgets, time.Now, rand.Float64)
 	node.handler.Freshness = node.state.freshness
 	node.handler.Quota = node.quotas
 	return node
@@ -76,7 +76,7 @@
 const connectTimeout = 400 * time.Millisecond
 
 // Record has requests, configurations and fleets recorded to the writer. Call it before Run.
-func (n *Node) RecordTo(writer *record.Writer) {
+func (n *Node) RecordTo(writer *requestlog.Writer) {
 	n.state.Recorder = writer
 	n.handler.Recorder = writer
 }
@@ -117,7 +117,7 @@
 	cleanup = append(cleanup, func() { readinessListener.Close() })
 	server := n.newServer()
 	failures := make(chan error, 3)
-	limited := client.NewLimitedListener(clientListener, n.maxClientConnections(), n.clientLimits)
+	limited := proxy.NewLimitedListener(clientListener, n.maxClientConnections(), n.clientLimits)
 	go func() { failures <- server.Serve(limited) }()
 	go func() { failures <- http.Serve(readinessListener, n.statusRoutes()) }()
 	peerServer := &http.Server{Handler: n.quotas.routes(), IdleTimeout: time.Minute, ErrorLog: discardLog()}
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/drill"
-	"ferryspar/internal/match"
+	"ferryspar/internal/routing"
 )
 
 // drillState is the drill that this data plane follows, and the questions that it has answered.
@@ -16,7 +16,7 @@
 	answerForecast func(address string, question drill.ForecastRequest)
 	// subscribeResult is the number of the last question by control plane.
 	answeredNumbers map[string]uint64
-	drill           *match.Drill
+	drill           *routing.Drill
 	// last is the number of the last drill that ended; it is not followed again.
 	lastEnded uint64
 	// shown is what is reported, until the end is known at the control planes.
@@ -25,7 +25,7 @@
 
 // reportedDrill is a drill and why it ended here, if it did.
 type reportedDrill struct {
-	drill     *match.Drill
+	drill     *routing.Drill
 	endReason string
 }
 
@@ -120,7 +120,7 @@
 	if drills.drill != nil && drills.drill.Number > notice.Number {
 		return false
 	}
-	drills.drill = match.NewDrill(*notice, now, contactTimeout)
+	drills.drill = routing.NewDrill(*notice, now, contactTimeout)
 	if reason := s.drillEndReason(now); reason != "" {
 		return s.endDrill(reason)
 	}
--- a/internal/dataplane/drill_test.go
+++ b/internal/dataplane/drill_test.go
@@ -8,14 +8,14 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/drill"
-	"ferryspar/internal/match"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
+	"ferryspar/internal/routing"
 )
 
 func TestFleetState_FollowsDrillToItsEndOnce(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	var fleet atomic.Pointer[match.Snapshot]
+	var fleet atomic.Pointer[routing.Snapshot]
 	state := NewFleetState(nodesettings.Settings{}, func() time.Time { return now }, &fleet, func() {})
 	number := uint64(1)
 	notify := func(running bool, zones map[string]peer.ZoneState) bool {
--- a/internal/dataplane/parts.go
+++ b/internal/dataplane/parts.go
@@ -5,9 +5,9 @@
 	"sort"
 	"time"
 
-	"ferryspar/internal/match"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/routing"
 )
 
 // subscription is which state of the parts the daemon has from which life of a control plane.
@@ -174,23 +174,23 @@
 // rebuild makes the fleet's replicas from a control plane's parts.
 func (s *FleetState) rebuildReplicas(control *controlPeer) {
 	listed := control.mergeReplicas()
-	s.listedReplicas = make([]platform.Replica, 0, len(listed))
+	s.listedReplicas = make([]discovery.Replica, 0, len(listed))
 	for _, replica := range listed {
 		s.listedReplicas = append(s.listedReplicas, replica)
 	}
 	sort.Slice(s.listedReplicas, func(left, right int) bool { return s.listedReplicas[left].ID < s.listedReplicas[right].ID })
 	now := s.clock()
-	s.replicas = make([]*match.Replica, len(s.listedReplicas))
+	s.replicas = make([]*routing.Replica, len(s.listedReplicas))
 	for index, replica := range s.listedReplicas {
-		s.replicas[index] = match.NewReplica(index, replica, now, nil)
+		s.replicas[index] = routing.NewReplica(index, replica, now, nil)
 		s.replicas[index].Region = s.settings.Zones[replica.Zone]
 	}
 }
 
 // replicas merges the parts into entries by replica id. Where parts differ about a replica itself,
 // the newest counts.
-func (p *controlPeer) mergeReplicas() map[string]platform.Replica {
-	listed := map[string]platform.Replica{}
+func (p *controlPeer) mergeReplicas() map[string]discovery.Replica {
+	listed := map[string]discovery.Replica{}
 	versions := map[string]uint64{}
 	for name, set := range p.endpointSets {
 		for _, endpoint := range set.Endpoints {
@@ -202,7 +202,7 @@
 				replica.Models = models
 			}
 			if name.Model != "" {
-				replica.Models = append(replica.Models, platform.LoadedModel{
+				replica.Models = append(replica.Models, discovery.LoadedModel{
 					Name:     name.Model,
 					Revision: 1,
 					Adapters: endpoint.Adapters,
@@ -215,12 +215,12 @@
 }
 
 // replicaFromEndpoint is a holder as an entry of the list, without models.
-func replicaFromEndpoint(backend string, endpoint peer.Endpoint) platform.Replica {
+func replicaFromEndpoint(backend string, endpoint peer.Endpoint) discovery.Replica {
 	state := "ready"
 	if endpoint.Draining {
-		state = platform.Draining
+		state = discovery.Draining
 	}
-	return platform.Replica{
+	return discovery.Replica{
 		ID:                endpoint.ID,
 		Backend:           backend,
 		Address:           endpoint.Address,
--- a/internal/dataplane/parts_test.go
+++ b/internal/dataplane/parts_test.go
@@ -7,19 +7,19 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/match"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
+	"ferryspar/internal/routing"
 )
 
 type stateHarness struct {
 	state *FleetState
-	fleet *atomic.Pointer[match.Snapshot]
+	fleet *atomic.Pointer[routing.Snapshot]
 	now   time.Time
 }
 
 func newStateHarness() *stateHarness {
-	harness := &stateHarness{fleet: &atomic.Pointer[match.Snapshot]{}, now: time.Unix(1000, 0)}
+	harness := &stateHarness{fleet: &atomic.Pointer[routing.Snapshot]{}, now: time.Unix(1000, 0)}
 	settings := nodesettings.Settings{NodeName: "edge", Zone: "north", Zones: map[string]string{"north": "land", "south": "land"}}
 	harness.state = NewFleetState(settings, func() time.Time { return harness.now }, harness.fleet, func() {})
 	return harness
--- a/internal/dataplane/recording.go
+++ b/internal/dataplane/recording.go
@@ -2,8 +2,8 @@
 
 import (
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/match"
-	"ferryspar/internal/record"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
 )
 
 // redacted is the packed configuration as records hold it: without keys. Where that fails it is empty.
@@ -16,12 +16,12 @@
 }
 
 // record writes the fleet to the recording, if there is one.
-func (s *FleetState) recordFleet(fleet *match.Snapshot) {
+func (s *FleetState) recordFleet(fleet *routing.Snapshot) {
 	if s.Recorder == nil || s.endpointsFrom == "" {
 		return
 	}
-	entry := record.Entry{
-		Kind:      record.KindFleet,
+	entry := requestlog.Entry{
+		Kind:      requestlog.KindFleet,
 		AtMs:      s.Recorder.OffsetMs(s.clock()),
 		Replicas:  s.listedReplicas,
 		EdgeCount: fleet.DataPlanes,
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
-	"ferryspar/internal/client"
 	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/proxy"
 )
 
 // newServer is the HTTP server for clients.
@@ -17,8 +17,8 @@
 		ReadHeaderTimeout:            10 * time.Second,
 		IdleTimeout:                  60 * time.Second,
 		ErrorLog:                     discardLog(),
-		ConnState:                    client.ConnState,
-		ConnContext:                  client.ConnContext,
+		ConnState:                    proxy.ConnState,
+		ConnContext:                  proxy.ConnContext,
 	}
 }
 
--- a/internal/dataplane/state.go
+++ b/internal/dataplane/state.go
@@ -8,11 +8,11 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/match"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
-	"ferryspar/internal/record"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
 )
 
 type controlPeer struct {
@@ -32,11 +32,11 @@
 }
 
 // FleetState owns what the data plane knows: configuration, evacuations, replicas, others' load. Its
-// run loop merges what control daemons tell and swaps in a new match.Snapshot for the request path.
+// run loop merges what control daemons tell and swaps in a new routing.Snapshot for the request path.
 type FleetState struct {
 	settings         nodesettings.Settings
 	clock            func() time.Time
-	fleet            *atomic.Pointer[match.Snapshot]
+	fleet            *atomic.Pointer[routing.Snapshot]
 	position         watchPosition
 	controlPeers     map[string]*controlPeer
 	zones            map[string]peer.ZoneState
@@ -50,14 +50,14 @@
 	interest         *Interest
 	subscribing      bool
 	subscribeResults chan subscribeResult
-	listedReplicas   []platform.Replica
-	replicas         []*match.Replica
+	listedReplicas   []discovery.Replica
+	replicas         []*routing.Replica
 	contextNumber    uint64
 	lastForgetNumber uint64
-	Recorder         *record.Writer
+	Recorder         *requestlog.Writer
 	lastConfirmed    atomic.Pointer[time.Time]
 	hasContextRules  atomic.Bool
-	updateLedger     func(func(*match.PrefixLedger))
+	updateLedger     func(func(*routing.PrefixLedger))
 	repoll           func(address string)
 	behindSince      time.Time
 	knownEdgeCount   int
@@ -68,13 +68,13 @@
 }
 
 // NewFleetState starts empty; notify is called after each swap.
-func NewFleetState(settings nodesettings.Settings, clock func() time.Time, fleet *atomic.Pointer[match.Snapshot], notify func()) *FleetState {
+func NewFleetState(settings nodesettings.Settings, clock func() time.Time, fleet *atomic.Pointer[routing.Snapshot], notify func()) *FleetState {
 	state := &FleetState{
 		settings: settings, clock: clock, fleet: fleet, controlPeers: map[string]*controlPeer{}, zones: map[string]peer.ZoneState{},
 		fleetLoads: make(chan peer.FleetLoad, 4), onChange: notify, repoll: func(string) {}, interest: NewInterest(clock), subscribeResults: make(chan subscribeResult, 4),
 		freshness: newFreshness(settings),
 	}
-	fleet.Store(&match.Snapshot{})
+	fleet.Store(&routing.Snapshot{})
 	nobody := ""
 	state.position.primary.Store(&nobody)
 	state.position.subscription.Store(&subscription{})
@@ -196,7 +196,7 @@
 		}
 		s.position.revision.Store(decoded.Revision)
 		if s.Recorder != nil {
-			s.Recorder.Write(record.Entry{Kind: record.KindConfiguration, AtMs: s.Recorder.OffsetMs(s.clock()), PackedConfiguration: redacted(document)})
+			s.Recorder.Write(requestlog.Entry{Kind: requestlog.KindConfiguration, AtMs: s.Recorder.OffsetMs(s.clock()), PackedConfiguration: redacted(document)})
 		}
 		logrus.WithField("revision", decoded.Revision).Info("configuration adopted")
 		changed = true
@@ -220,7 +220,7 @@
 }
 
 func (s *FleetState) publish() {
-	fleet := &match.Snapshot{Table: s.table, DrainedZones: map[string]bool{}, DataPlanes: s.edgeCount(), ListedAt: s.endpointsAsOf, PeerLoads: s.fleetLoad.Replicas, PeerLoadsAt: s.fleetLoadAt, PeerOutcomes: s.fleetLoad.Total, Drill: s.drills.drill}
+	fleet := &routing.Snapshot{Table: s.table, DrainedZones: map[string]bool{}, DataPlanes: s.edgeCount(), ListedAt: s.endpointsAsOf, PeerLoads: s.fleetLoad.Replicas, PeerLoadsAt: s.fleetLoadAt, PeerOutcomes: s.fleetLoad.Total, Drill: s.drills.drill}
 	for zone, state := range s.zones {
 		fleet.DrainedZones[zone] = state.Drained
 	}
--- a/internal/dataplane/state_bench_test.go
+++ b/internal/dataplane/state_bench_test.go
@@ -10,16 +10,16 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/match"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
+	"ferryspar/internal/routing"
 )
 
-func newBenchState(b *testing.B) (*FleetState, *atomic.Pointer[match.Snapshot]) {
+func newBenchState(b *testing.B) (*FleetState, *atomic.Pointer[routing.Snapshot]) {
 	settings, err := nodesettings.Parse(nil)
 	assert.NilError(b, err)
 	settings.Zone, settings.Zones = "north", map[string]string{"north": "land"}
-	fleet := &atomic.Pointer[match.Snapshot]{}
+	fleet := &atomic.Pointer[routing.Snapshot]{}
 	return NewFleetState(settings, time.Now, fleet, func() {}), fleet
 }
 
--- a/internal/platform/list.go
+++ b/internal/discovery/list.go
@@ -1,6 +1,6 @@
-// Package platform reads the platform's list of replicas. Reading changes nothing, so it may be repeated; a list counts
+// Package discovery reads the platform's list of replicas. Reading changes nothing, so it may be repeated; a list counts
 // only if every page of it came whole.
-package platform
+package discovery
 
 import (
 	"context"
--- a/internal/platform/pinned_test.go
+++ b/internal/discovery/pinned_test.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"net/http"
--- a/internal/platform/replica.go
+++ b/internal/discovery/replica.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 // LoadedModel is a model that a replica holds, with its adapters.
 type LoadedModel struct {
--- a/internal/drill/fleetview.go
+++ b/internal/drill/fleetview.go
@@ -4,7 +4,7 @@
 	"sort"
 	"strings"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 func (v FleetView) controlForecast() ControlForecast {
@@ -106,7 +106,7 @@
 func (v FleetView) replicasLeft(backend string) int {
 	count := 0
 	for _, replica := range v.Replicas {
-		if replica.Backend == backend && !v.lost(replica.Zone) && replica.State != platform.Draining {
+		if replica.Backend == backend && !v.lost(replica.Zone) && replica.State != discovery.Draining {
 			count++
 		}
 	}
--- a/internal/drill/forecast.go
+++ b/internal/drill/forecast.go
@@ -2,7 +2,7 @@
 
 import (
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 // FleetView is what the control plane knows when a forecast is made. Zones, Edges and MemberZones
@@ -10,7 +10,7 @@
 type FleetView struct {
 	Scope       Scope
 	Zones       map[string]string
-	Replicas    []platform.Replica
+	Replicas    []discovery.Replica
 	Table       *configuration.Table
 	Demand      map[string]float64
 	DataPlanes  map[string]string
--- a/internal/drill/forecast_test.go
+++ b/internal/drill/forecast_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 func fleetView() FleetView {
@@ -16,10 +16,10 @@
 		{Name: "idle", LoadTimeS: 1},
 	}}
 	backends := []configuration.Backend{{Name: "s", Runtime: runtime}}
-	replica := func(id, zone string, models ...string) platform.Replica {
-		listed := platform.Replica{ID: id, Backend: "s", Zone: zone, Slots: 2}
+	replica := func(id, zone string, models ...string) discovery.Replica {
+		listed := discovery.Replica{ID: id, Backend: "s", Zone: zone, Slots: 2}
 		for _, model := range models {
-			listed.Models = append(listed.Models, platform.LoadedModel{Name: model, Adapters: []string{"a1"}})
+			listed.Models = append(listed.Models, discovery.LoadedModel{Name: model, Adapters: []string{"a1"}})
 		}
 		return listed
 	}
@@ -27,10 +27,10 @@
 		Scope:      Scope{Zone: "isle"},
 		Zones:      map[string]string{"isle": "sea", "reef": "sea", "east": "land"},
 		DataPlanes: map[string]string{"one": "east", "two": "isle"},
-		Replicas: []platform.Replica{
+		Replicas: []discovery.Replica{
 			replica("r1", "isle", "big", "small", "idle"),
 			replica("r2", "east", "other"),
-			{ID: "r3", Backend: "s", Zone: "reef", State: platform.Draining, Models: []platform.LoadedModel{{Name: "small"}}},
+			{ID: "r3", Backend: "s", Zone: "reef", State: discovery.Draining, Models: []discovery.LoadedModel{{Name: "small"}}},
 		},
 		Table:       configuration.NewTable(configuration.Configuration{Backends: backends}, nil),
 		Demand:      map[string]float64{"s big/a1": 2, "s small": 1},
--- a/internal/drill/lostmodels.go
+++ b/internal/drill/lostmodels.go
@@ -4,7 +4,7 @@
 	"sort"
 	"strings"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 // modelKey is a model or adapter ("model/adapter") of a backend.
@@ -38,14 +38,14 @@
 		switch {
 		case v.lost(replica.Zone):
 			addCopies(lost, replica)
-		case replica.State != platform.Draining:
+		case replica.State != discovery.Draining:
 			addCopies(remaining, replica)
 		}
 	}
 	return remaining, lost
 }
 
-func addCopies(into map[modelKey]bool, replica platform.Replica) {
+func addCopies(into map[modelKey]bool, replica discovery.Replica) {
 	for _, loaded := range replica.Models {
 		into[modelKey{replica.Backend, loaded.Name}] = true
 		for _, adapter := range loaded.Adapters {
--- a/internal/drill/merge.go
+++ b/internal/drill/merge.go
@@ -5,7 +5,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 // Merge joins the answers of the data planes with the view of the control plane. It changes the
@@ -116,7 +116,7 @@
 			merged.ReplicasLost = append(merged.ReplicasLost, replica.ID)
 			continue
 		}
-		if replica.State == platform.Draining {
+		if replica.State == discovery.Draining {
 			continue
 		}
 		merged.ReplicasLeft++
--- a/internal/event/bus.go
+++ b/internal/eventbus/bus.go
@@ -1,8 +1,8 @@
-// Package event carries notices between the parts of one control daemon.
+// Package eventbus carries notices between the parts of one control daemon.
 //
 // Events stay in the process, aren't kept, and never are on the path of a request. Start reading
 // at Bus.
-package event
+package eventbus
 
 import (
 	"context"
--- a/internal/event/bus_test.go
+++ b/internal/eventbus/bus_test.go
@@ -1,4 +1,4 @@
-package event
+package eventbus
 
 import (
 	"context"
--- a/internal/heartbeat/simulation_test.go
+++ b/internal/heartbeat/simulation_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/heartbeat"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 const (
@@ -209,7 +209,7 @@
 }
 
 func TestRegistry_SuspectsOnlyWithCauseUnderFaults(t *testing.T) {
-	from, to := membersim.SeedRange(60)
+	from, to := keystoresim.SeedRange(60)
 	for seed := from; seed < to; seed++ {
 		assert.NilError(t, runSimulation(uint64(seed), dataPlaneExpiry, suspectAfter), "FERRYSPAR_SEED=%d replays this schedule", seed)
 	}
--- a/internal/keystore/conclusions.go
+++ b/internal/keystore/conclusions.go
@@ -1,7 +1,7 @@
 package keystore
 
 // The functions here are the pure conclusions of a Store from replies, for callers that play
-// proposers without a transport (internal/explore).
+// proposers without a transport (internal/test/modelcheck).
 
 // CountVotes says whether a quorum of the members agrees, and whether one still may.
 func CountVotes(membership Membership, replies map[string]Reply, agrees func(address string, reply Reply) bool) (agreed, possible bool) {
--- a/internal/keystore/disk_test.go
+++ b/internal/keystore/disk_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 const (
@@ -29,10 +29,10 @@
 
 // diskRun plays one journal over a disk and keeps what was acknowledged.
 type diskRun struct {
-	disk    *membersim.Disk
+	disk    *keystoresim.Disk
 	random  *rand.Rand
 	wrap    wrapFunc
-	variant func(handle *membersim.Handle)
+	variant func(handle *keystoresim.Handle)
 	folder  *faultyDirectory
 	journal *keystore.WAL
 	// acked is the newest sequence of each key that was acknowledged or given as good at a start.
@@ -49,7 +49,7 @@
 
 func newDiskRun(seed uint64, wrap wrapFunc) *diskRun {
 	return &diskRun{
-		disk: membersim.NewDisk(), random: rand.New(rand.NewPCG(seed, 41)), wrap: wrap, variant: func(*membersim.Handle) {},
+		disk: keystoresim.NewDisk(), random: rand.New(rand.NewPCG(seed, 41)), wrap: wrap, variant: func(*keystoresim.Handle) {},
 		acked: map[string]uint64{}, removed: map[string]bool{},
 	}
 }
@@ -184,7 +184,7 @@
 	}
 }
 
-func runDisk(t *testing.T, seed uint64, wrap wrapFunc, variant func(handle *membersim.Handle)) (run *diskRun, failed error) {
+func runDisk(t *testing.T, seed uint64, wrap wrapFunc, variant func(handle *keystoresim.Handle)) (run *diskRun, failed error) {
 	synctest.Test(t, func(t *testing.T) {
 		run = newDiskRun(seed, wrap)
 		if variant != nil {
@@ -197,7 +197,7 @@
 
 func TestWAL_KeepsAcknowledgedAppendsThroughDiskFaults(t *testing.T) {
 	damages, appended := 0, uint64(0)
-	from, to := membersim.SeedRange(1500)
+	from, to := keystoresim.SeedRange(1500)
 	for seed := from; seed < to; seed++ {
 		run, failed := runDisk(t, uint64(seed), unwrapped, nil)
 		assert.NilError(t, failed, "FERRYSPAR_SEED=%d replays this schedule", seed)
@@ -208,7 +208,7 @@
 }
 
 // findFailingSeed returns the first seed at which a broken variant breaks the rules, and how.
-func findFailingSeed(t *testing.T, wrap wrapFunc, variant func(handle *membersim.Handle)) (int, error) {
+func findFailingSeed(t *testing.T, wrap wrapFunc, variant func(handle *keystoresim.Handle)) (int, error) {
 	for seed := 1; seed < 1500; seed++ {
 		if _, failed := runDisk(t, uint64(seed), wrap, variant); failed != nil {
 			return seed, failed
@@ -221,9 +221,9 @@
 	cases := []struct {
 		name    string
 		wrap    wrapFunc
-		variant func(handle *membersim.Handle)
+		variant func(handle *keystoresim.Handle)
 	}{
-		{"names never synced", unwrapped, func(handle *membersim.Handle) { handle.SkipsDirectorySync = true }},
+		{"names never synced", unwrapped, func(handle *keystoresim.Handle) { handle.SkipsDirectorySync = true }},
 		{"missing file unnoticed", func(directory keystore.Directory) keystore.Directory { return &hidesMissingSegments{directory} }, nil},
 		{"failed rotation moves on through the ring", func(directory keystore.Directory) keystore.Directory {
 			return &skipsAheadOnFailure{Directory: directory}
--- a/internal/keystore/diskfaults_test.go
+++ b/internal/keystore/diskfaults_test.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 var errFault = errors.New("fault of the disk")
@@ -17,14 +17,14 @@
 // faultyDirectory refuses some writes and syncs, of which a part or all may have been done, and dies after a drawn
 // number of them, in the middle of one.
 type faultyDirectory struct {
-	handle         *membersim.Handle
+	handle         *keystoresim.Handle
 	random         *rand.Rand
 	operationsLeft int
 	dead           bool
 	failOneIn      int
 }
 
-func newFaultyDirectory(handle *membersim.Handle, random *rand.Rand) *faultyDirectory {
+func newFaultyDirectory(handle *keystoresim.Handle, random *rand.Rand) *faultyDirectory {
 	directory := &faultyDirectory{handle: handle, random: random, operationsLeft: 1 + random.IntN(120)}
 	if random.IntN(3) == 0 {
 		directory.failOneIn = 2 + random.IntN(8)
--- a/internal/keystore/five_test.go
+++ b/internal/keystore/five_test.go
@@ -8,21 +8,21 @@
 	"time"
 
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 var zoneSizes = [][]int{{2, 2, 1}, {2, 1, 1, 1}, {1, 2, 1, 1}}
 
 type schedule struct {
 	seed            uint64
-	faults          []membersim.Fault
+	faults          []keystoresim.Fault
 	replacesMembers bool
 	retransmits     bool
-	breakCluster    func(cluster *membersim.Cluster)
+	breakCluster    func(cluster *keystoresim.Cluster)
 }
 
 func (s schedule) run() (map[string]*clientReport, error) {
-	cluster := membersim.New(s.seed, 5)
+	cluster := keystoresim.New(s.seed, 5)
 	random := rand.New(rand.NewPCG(s.seed, 23))
 	cluster.AssignZones(zoneSizes[s.seed%3]...)
 	cluster.Lossy, cluster.Retransmits = s.seed%2 == 0, s.retransmits
@@ -72,7 +72,7 @@
 	return reports, nil
 }
 
-func (s schedule) injectFaults(cluster *membersim.Cluster, random *rand.Rand, turn int) error {
+func (s schedule) injectFaults(cluster *keystoresim.Cluster, random *rand.Rand, turn int) error {
 	time.Sleep(time.Duration(random.Int64N(int64(700*time.Millisecond))) + 50*time.Millisecond)
 	var together sync.WaitGroup
 	for _, fault := range s.faults {
@@ -96,25 +96,25 @@
 	return nil
 }
 
-func (s schedule) replaceDuringZoneLoss(cluster *membersim.Cluster, random *rand.Rand, turn int) error {
+func (s schedule) replaceDuringZoneLoss(cluster *keystoresim.Cluster, random *rand.Rand, turn int) error {
 	lost := pick(cluster.MemberNames(), random)
 	var together sync.WaitGroup
 	source := rand.New(rand.NewPCG(random.Uint64(), 31))
 	duration := time.Duration(random.Int64N(int64(3*time.Second))) + time.Second
-	together.Go(func() { membersim.LoseOtherZone(cluster, lost, source, duration) })
+	together.Go(func() { keystoresim.LoseOtherZone(cluster, lost, source, duration) })
 	err := cluster.Replace(lost, fmt.Sprintf("newcomer-%d", turn), random)
 	together.Wait()
 	return err
 }
 
-func (s schedule) shutDown(cluster *membersim.Cluster) {
+func (s schedule) shutDown(cluster *keystoresim.Cluster) {
 	for _, name := range cluster.MemberNames() {
 		cluster.Kill(name)
 	}
 	time.Sleep(time.Minute)
 }
 
-func readAfterRestart(cluster *membersim.Cluster, key string, random *rand.Rand) (document, error) {
+func readAfterRestart(cluster *keystoresim.Cluster, key string, random *rand.Rand) (document, error) {
 	cluster.Lossy = false
 	for _, name := range cluster.MemberNames() {
 		cluster.Kill(name)
@@ -127,7 +127,7 @@
 }
 
 // readBack reads a key at a machine once a majority is there.
-func readBack(cluster *membersim.Cluster, name, key string) (document, error) {
+func readBack(cluster *keystoresim.Cluster, name, key string) (document, error) {
 	for range 20 {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		register, err := cluster.StoreOf(name).Read(ctx, key)
--- a/internal/keystore/main_test.go
+++ b/internal/keystore/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
-func TestMain(m *testing.M) { membersim.Main(m.Run) }
+func TestMain(m *testing.M) { keystoresim.Main(m.Run) }
--- a/internal/keystore/members_test.go
+++ b/internal/keystore/members_test.go
@@ -11,11 +11,11 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 func runReplacements(seed uint64) error {
-	cluster := membersim.New(seed, 3)
+	cluster := keystoresim.New(seed, 3)
 	random := rand.New(rand.NewPCG(seed, 17))
 	for _, name := range cluster.Names {
 		cluster.Start(name, true)
@@ -35,7 +35,7 @@
 		if random.IntN(2) == 0 {
 			failed = cluster.Replace(lost, fmt.Sprintf("newcomer-%d", turn), random)
 		} else {
-			membersim.MachineFaults[random.IntN(len(membersim.MachineFaults))](cluster, lost, random, time.Duration(random.IntN(800)+20)*time.Millisecond)
+			keystoresim.MachineFaults[random.IntN(len(keystoresim.MachineFaults))](cluster, lost, random, time.Duration(random.IntN(800)+20)*time.Millisecond)
 		}
 		if failed == nil && !cluster.WaitUntilAllVote(time.Minute) {
 			failed = fmt.Errorf("a member never voted again")
@@ -60,7 +60,7 @@
 }
 
 func TestStore_KeepsAcknowledgedWritesWhileMembersReplaced(t *testing.T) {
-	from, to := membersim.SeedRange(250)
+	from, to := keystoresim.SeedRange(250)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			assert.NilError(t, runReplacements(uint64(seed)), "FERRYSPAR_SEED=%d replays this schedule", seed)
--- a/internal/keystore/operators_test.go
+++ b/internal/keystore/operators_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 var (
@@ -86,7 +86,7 @@
 	})
 }
 
-func runOperator(cluster *membersim.Cluster, key string, number int, random *rand.Rand, until time.Time, told *clientReport) {
+func runOperator(cluster *keystoresim.Cluster, key string, number int, random *rand.Rand, until time.Time, told *clientReport) {
 	version, first := 0, random.IntN(5)
 	for turn := 0; time.Now().Before(until); turn++ {
 		thinkTime := time.Duration(random.Int64N(int64(30 * time.Millisecond)))
@@ -122,7 +122,7 @@
 	}
 }
 
-func followKey(cluster *membersim.Cluster, name, key string, every time.Duration, until time.Time) error {
+func followKey(cluster *keystoresim.Cluster, name, key string, every time.Duration, until time.Time) error {
 	var currentStore *keystore.Store
 	var shown keystore.Register
 	for time.Now().Before(until) {
--- a/internal/keystore/replay_test.go
+++ b/internal/keystore/replay_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 func TestSchedule_SameSeedReplaysExactly(t *testing.T) {
-	from, to := membersim.SeedRange(12)
+	from, to := keystoresim.SeedRange(12)
 	for seed := from; seed < to; seed++ {
 		var histories [2]string
 		for turn := range histories {
 			synctest.Test(t, func(t *testing.T) {
-				reports, err := schedule{seed: uint64(seed), faults: []membersim.Fault{membersim.RestartFaults, membersim.LinkFaults, membersim.DiskFaults}}.run()
+				reports, err := schedule{seed: uint64(seed), faults: []keystoresim.Fault{keystoresim.RestartFaults, keystoresim.LinkFaults, keystoresim.DiskFaults}}.run()
 				assert.NilError(t, err)
 				histories[turn] = reports[keystore.ConfigurationKey].print()
 			})
--- a/internal/keystore/ring_test.go
+++ b/internal/keystore/ring_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 const testSegmentBytes = 64 << 10
@@ -73,7 +73,7 @@
 }
 
 // dyingDirectory returns a folder whose process dies in the middle of an operation.
-func dyingDirectory(handle *membersim.Handle, random *rand.Rand, operation int) *faultyDirectory {
+func dyingDirectory(handle *keystoresim.Handle, random *rand.Rand, operation int) *faultyDirectory {
 	return &faultyDirectory{handle: handle, random: random, operationsLeft: operation}
 }
 
@@ -82,7 +82,7 @@
 	for step := 1; step <= steps; step++ {
 		for seed := range uint64(draws) {
 			synctest.Test(t, func(t *testing.T) {
-				random, disk := rand.New(rand.NewPCG(seed, uint64(step))), membersim.NewDisk()
+				random, disk := rand.New(rand.NewPCG(seed, uint64(step))), keystoresim.NewDisk()
 				handle := disk.Attach()
 				acknowledged := uint64(0)
 				log, err := keystore.OpenWAL(dyingDirectory(handle, random, step), keystore.SegmentCount, smallSegment)
--- a/internal/keystore/simulation_test.go
+++ b/internal/keystore/simulation_test.go
@@ -4,7 +4,7 @@
 	"context"
 	"encoding/json"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 	"fmt"
 	"math/rand/v2"
 	"sync"
@@ -75,7 +75,7 @@
 	return value
 }
 
-func runClient(cluster *membersim.Cluster, number int, random *rand.Rand, until time.Time, recorded *history) {
+func runClient(cluster *keystoresim.Cluster, number int, random *rand.Rand, until time.Time, recorded *history) {
 	for turn := 0; time.Now().Before(until); turn++ {
 		time.Sleep(time.Duration(random.IntN(400)+1) * time.Millisecond)
 		store := cluster.StoreOf(pick(cluster.MemberNames(), random))
@@ -103,7 +103,7 @@
 }
 
 func runSchedule(seed uint64, size int, wild bool) error {
-	cluster := membersim.New(seed, size)
+	cluster := keystoresim.New(seed, size)
 	random := rand.New(rand.NewPCG(seed, 7))
 	cluster.Lossy = seed%2 == 0
 	for _, name := range cluster.Names {
@@ -120,7 +120,7 @@
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(random.IntN(700)+50) * time.Millisecond)
 		name := cluster.Names[random.IntN(size)]
-		membersim.MachineFaults[random.IntN(len(membersim.MachineFaults))](cluster, name, random, time.Duration(random.IntN(1500)+20)*time.Millisecond)
+		keystoresim.MachineFaults[random.IntN(len(keystoresim.MachineFaults))](cluster, name, random, time.Duration(random.IntN(1500)+20)*time.Millisecond)
 		if !cluster.WaitUntilAllVote(time.Minute) {
 			return fmt.Errorf("a member never voted again")
 		}
@@ -148,7 +148,7 @@
 }
 
 func TestStore_KeepsAcknowledgedWritesUnderFaults(t *testing.T) {
-	from, to := membersim.SeedRange(1200)
+	from, to := keystoresim.SeedRange(1200)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			size := 3 + 2*(seed%4/3)
--- a/internal/keystore/zones_test.go
+++ b/internal/keystore/zones_test.go
@@ -8,15 +8,15 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 func TestStore_FiveMembersKeepAcknowledgedWritesUnderCombinedFaults(t *testing.T) {
-	mixes := [][]membersim.Fault{
-		{membersim.RestartFaults}, {membersim.LinkFaults}, {membersim.DiskFaults},
-		{membersim.RestartFaults, membersim.LinkFaults}, {membersim.LinkFaults, membersim.DiskFaults}, {membersim.RestartFaults, membersim.LinkFaults, membersim.DiskFaults},
+	mixes := [][]keystoresim.Fault{
+		{keystoresim.RestartFaults}, {keystoresim.LinkFaults}, {keystoresim.DiskFaults},
+		{keystoresim.RestartFaults, keystoresim.LinkFaults}, {keystoresim.LinkFaults, keystoresim.DiskFaults}, {keystoresim.RestartFaults, keystoresim.LinkFaults, keystoresim.DiskFaults},
 	}
-	from, to := membersim.SeedRange(120)
+	from, to := keystoresim.SeedRange(120)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			_, err := schedule{seed: uint64(seed), faults: mixes[seed%len(mixes)]}.run()
@@ -29,10 +29,10 @@
 	const answerBound = 4 * time.Second
 	var latencies []time.Duration
 	moved, changed, slowest, slowestSeed := 0, 0, time.Duration(0), 0
-	from, to := membersim.SeedRange(30)
+	from, to := keystoresim.SeedRange(30)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			reports, err := schedule{seed: uint64(seed), retransmits: true, faults: []membersim.Fault{membersim.ConnectedMajorityFaults}}.run()
+			reports, err := schedule{seed: uint64(seed), retransmits: true, faults: []keystoresim.Fault{keystoresim.ConnectedMajorityFaults}}.run()
 			assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
 			for _, report := range reports {
 				latencies = append(latencies, report.latencies...)
@@ -51,27 +51,27 @@
 }
 
 func TestStore_KeepsAcknowledgedWritesWhileMemberReplacedAndZoneLost(t *testing.T) {
-	from, to := membersim.SeedRange(60)
+	from, to := keystoresim.SeedRange(60)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			_, err := schedule{seed: uint64(seed), replacesMembers: true, faults: []membersim.Fault{membersim.LinkFaults}}.run()
+			_, err := schedule{seed: uint64(seed), replacesMembers: true, faults: []keystoresim.Fault{keystoresim.LinkFaults}}.run()
 			assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
 		})
 	}
 }
 
 func TestStore_BrokenVariantsAreCaught(t *testing.T) {
-	variants := map[string]func(cluster *membersim.Cluster){
-		"a wiped member that votes at once":           func(cluster *membersim.Cluster) { cluster.VotesWithoutCatchUp = true },
-		"a member that answers before its disk syncs": func(cluster *membersim.Cluster) { cluster.SkipsSync = true },
-		"silence counted as agreement":                func(cluster *membersim.Cluster) { cluster.CountsSilenceAsGrant = true },
+	variants := map[string]func(cluster *keystoresim.Cluster){
+		"a wiped member that votes at once":           func(cluster *keystoresim.Cluster) { cluster.VotesWithoutCatchUp = true },
+		"a member that answers before its disk syncs": func(cluster *keystoresim.Cluster) { cluster.SkipsSync = true },
+		"silence counted as agreement":                func(cluster *keystoresim.Cluster) { cluster.CountsSilenceAsGrant = true },
 	}
 	for name, spoil := range variants {
 		t.Run(name, func(t *testing.T) {
 			caught := 0
 			for seed := 1; seed < 60 && caught == 0; seed++ {
 				synctest.Test(t, func(t *testing.T) {
-					reports, err := schedule{seed: uint64(seed), breakCluster: spoil, faults: []membersim.Fault{membersim.OneOf(membersim.WipeTwoDisks, membersim.LoseZone), membersim.LinkFaults}}.run()
+					reports, err := schedule{seed: uint64(seed), breakCluster: spoil, faults: []keystoresim.Fault{keystoresim.OneOf(keystoresim.WipeTwoDisks, keystoresim.LoseZone), keystoresim.LinkFaults}}.run()
 					if reports != nil && err != nil {
 						caught = seed
 						t.Log(seed, err)
--- a/internal/lease/reserve_test.go
+++ b/internal/lease/reserve_test.go
@@ -16,7 +16,7 @@
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/loadbudget"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 // reservationLog is what was reserved under each granted fence, in order: the first is inherited, and
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func runReservingHolder(fleet *membersim.Cluster, name string, random *rand.Rand, until time.Time, log *reservationLog) {
+func runReservingHolder(fleet *keystoresim.Cluster, name string, random *rand.Rand, until time.Time, log *reservationLog) {
 	var grant *lease.Grant
 	var held *keystore.Store
 	var manager *lease.Manager
@@ -91,7 +91,7 @@
 		if store != held {
 			grant, held = nil, store
 			manager = &lease.Manager{
-				Key: keystore.LeasePrefix + "duty", Holder: name, Address: name, TTL: membersim.LeaseDuration,
+				Key: keystore.LeasePrefix + "duty", Holder: name, Address: name, TTL: keystoresim.LeaseDuration,
 				Store: store, Clock: fleet.Clock(name),
 			}
 		}
@@ -110,12 +110,12 @@
 	}
 }
 
-func runReservationSchedule(seed uint64, zones []int, faults []membersim.Fault) (*reservationLog, error) {
+func runReservationSchedule(seed uint64, zones []int, faults []keystoresim.Fault) (*reservationLog, error) {
 	size := 0
 	for _, members := range zones {
 		size += members
 	}
-	fleet := membersim.New(seed, size)
+	fleet := keystoresim.New(seed, size)
 	fleet.AssignZones(zones...)
 	random := rand.New(rand.NewPCG(seed, 11))
 	for _, name := range fleet.Names {
@@ -150,15 +150,15 @@
 	fleets := map[string]struct {
 		schedules int
 		zones     []int
-		troubles  []membersim.Fault
+		troubles  []keystoresim.Fault
 	}{
-		"three members":         {80, threeZones, membersim.MachineFaults},
+		"three members":         {80, threeZones, keystoresim.MachineFaults},
 		"five members in zones": {40, fiveMembersInThreeZones, allFaults},
 	}
 	for name, fleet := range fleets {
 		t.Run(name, func(t *testing.T) {
 			certain, grants := 0, 0
-			from, to := membersim.SeedRange(fleet.schedules)
+			from, to := keystoresim.SeedRange(fleet.schedules)
 			for seed := from; seed < to; seed++ {
 				synctest.Test(t, func(t *testing.T) {
 					log, err := runReservationSchedule(uint64(seed), fleet.zones, fleet.troubles)
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -14,7 +14,7 @@
 
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/lease"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 type action struct {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func runHolder(fleet *membersim.Cluster, name string, length, takeoverDelay time.Duration, random *rand.Rand, until time.Time, log *actionLog) {
+func runHolder(fleet *keystoresim.Cluster, name string, length, takeoverDelay time.Duration, random *rand.Rand, until time.Time, log *actionLog) {
 	var grant *lease.Grant
 	var held *keystore.Store
 	for time.Now().Before(until) {
@@ -89,7 +89,7 @@
 type schedule struct {
 	seed          uint64
 	zones         []int
-	faults        []membersim.Fault
+	faults        []keystoresim.Fault
 	ttlOverrun    time.Duration
 	takeoverDelay time.Duration
 	wallClocks    bool
@@ -100,7 +100,7 @@
 	for _, members := range s.zones {
 		size += members
 	}
-	fleet := membersim.New(s.seed, size)
+	fleet := keystoresim.New(s.seed, size)
 	fleet.AssignZones(s.zones...)
 	fleet.UsesWallClock = s.wallClocks
 	random := rand.New(rand.NewPCG(s.seed, 11))
@@ -113,7 +113,7 @@
 	for index, name := range fleet.Names {
 		source := rand.New(rand.NewPCG(s.seed, uint64(50+index)))
 		holders.Go(func() {
-			runHolder(fleet, name, membersim.LeaseDuration+s.ttlOverrun, s.takeoverDelay, source, until, log)
+			runHolder(fleet, name, keystoresim.LeaseDuration+s.ttlOverrun, s.takeoverDelay, source, until, log)
 		})
 	}
 	for time.Now().Before(until) {
@@ -135,22 +135,22 @@
 var (
 	threeZones              = []int{1, 1, 1}
 	fiveMembersInThreeZones = []int{2, 2, 1}
-	allFaults               = append([]membersim.Fault{membersim.RestartFaults, membersim.LinkFaults, membersim.DiskFaults, membersim.StepWallClock}, membersim.MachineFaults...)
+	allFaults               = append([]keystoresim.Fault{keystoresim.RestartFaults, keystoresim.LinkFaults, keystoresim.DiskFaults, keystoresim.StepWallClock}, keystoresim.MachineFaults...)
 )
 
 func TestManager_OneActiveHolderUnderFaults(t *testing.T) {
 	fleets := map[string]struct {
 		schedules int
 		zones     []int
-		troubles  []membersim.Fault
+		troubles  []keystoresim.Fault
 	}{
-		"three members":         {300, threeZones, membersim.MachineFaults},
+		"three members":         {300, threeZones, keystoresim.MachineFaults},
 		"five members in zones": {120, fiveMembersInThreeZones, allFaults},
 	}
 	for name, fleet := range fleets {
 		t.Run(name, func(t *testing.T) {
 			actions, handovers := 0, 0
-			from, to := membersim.SeedRange(fleet.schedules)
+			from, to := keystoresim.SeedRange(fleet.schedules)
 			for seed := from; seed < to; seed++ {
 				synctest.Test(t, func(t *testing.T) {
 					log, err := schedule{seed: uint64(seed), zones: fleet.zones, faults: fleet.troubles, takeoverDelay: takeoverDelay}.run()
@@ -171,8 +171,8 @@
 
 func TestSimulation_CatchesBrokenHolders(t *testing.T) {
 	variants := map[string]schedule{
-		"overstays":             {seed: 1, zones: threeZones, faults: membersim.MachineFaults, ttlOverrun: 4 * time.Second},
-		"goes by the day clock": {seed: 700, zones: fiveMembersInThreeZones, faults: append(allFaults, membersim.StepWallClock, membersim.StepWallClock), takeoverDelay: takeoverDelay, wallClocks: true},
+		"overstays":             {seed: 1, zones: threeZones, faults: keystoresim.MachineFaults, ttlOverrun: 4 * time.Second},
+		"goes by the day clock": {seed: 700, zones: fiveMembersInThreeZones, faults: append(allFaults, keystoresim.StepWallClock, keystoresim.StepWallClock), takeoverDelay: takeoverDelay, wallClocks: true},
 	}
 	for name, variant := range variants {
 		t.Run(name, func(t *testing.T) {
@@ -194,16 +194,16 @@
 
 func TestSteppedClock_MovesOnlyTimeOfDay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		before := membersim.OffsetWallClock(time.Now(), 0)
+		before := keystoresim.OffsetWallClock(time.Now(), 0)
 		time.Sleep(time.Second)
-		after := membersim.OffsetWallClock(time.Now(), -time.Hour)
+		after := keystoresim.OffsetWallClock(time.Now(), -time.Hour)
 		assert.Equal(t, after.Sub(before), time.Second)
 		assert.Equal(t, after.Unix()-before.Unix(), int64(1-3600))
 	})
 }
 
 func TestSimulation_ReplaysExactlyFromSeed(t *testing.T) {
-	from, to := membersim.SeedRange(20)
+	from, to := keystoresim.SeedRange(20)
 	for seed := from; seed < to; seed++ {
 		var played [2][]action
 		for turn := range played {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -7,9 +7,9 @@
 package peer
 
 import (
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/platform"
 	"ferryspar/internal/retention"
 )
 
@@ -198,14 +198,14 @@
 // RosterUpdate shares the list of replicas with another member: all of it, or what changed since
 // the list named Base.
 type RosterUpdate struct {
-	Member      string             `json:"member"`
-	AgeMs       int64              `json:"ageMs"`
-	Replicas    []platform.Replica `json:"replicas"`
-	Cordoned    []string           `json:"barred,omitempty"`
-	BaseVersion string             `json:"base,omitempty"`
-	Version     string             `json:"stamp"`
-	Removed     []string           `json:"gone,omitempty"`
-	Rates       map[string]Rate    `json:"rates,omitempty"`
+	Member      string              `json:"member"`
+	AgeMs       int64               `json:"ageMs"`
+	Replicas    []discovery.Replica `json:"replicas"`
+	Cordoned    []string            `json:"barred,omitempty"`
+	BaseVersion string              `json:"base,omitempty"`
+	Version     string              `json:"stamp"`
+	Removed     []string            `json:"gone,omitempty"`
+	Rates       map[string]Rate     `json:"rates,omitempty"`
 	// Fence is that of the sender's lease; Number rises with each share of the sender's life. A
 	// share that is not above the newest one heard was late on its way.
 	Fence    uint64 `json:"fence"`
--- a/internal/place/doc.go
+++ b/internal/placement/doc.go
@@ -1,4 +1,4 @@
-// Package place decides which model or adapter is loaded at which replica, and what is unloaded
+// Package placement decides which model or adapter is loaded at which replica, and what is unloaded
 // for it. Plan is a pure function of a View: what the replicas hold, what is asked for, and what may be
 // ordered now.
 //
@@ -18,4 +18,4 @@
 //
 // The IEMAS paper that package match follows has no placement; this policy is the project's own and
 // is described in docs/design.md, "Placement".
-package place
+package placement
--- a/internal/place/evictcontext.go
+++ b/internal/placement/evictcontext.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 const (
 	// adapterDemand is the rate from which an adapter, or a model with its adapters, counts as in
--- a/internal/place/plain_adapters_test.go
+++ b/internal/placement/plain_adapters_test.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"math"
--- a/internal/place/plain_addcopy_test.go
+++ b/internal/placement/plain_addcopy_test.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 func (p *referencePlanner) addCopy(model, reason string) bool {
 	var best *Server
--- a/internal/place/plan.go
+++ b/internal/placement/plan.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 // Plan returns what to load and unload now, one action at most for each server. It changes the view
 // as documented there, so that the next plan continues from it. Equal views give equal plans.
--- a/internal/client/access.go
+++ b/internal/proxy/access.go
@@ -1,4 +1,4 @@
-package client
+package proxy
 
 import (
 	"net/http"
@@ -7,8 +7,8 @@
 
 	"ferryspar/internal/apierror"
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/match"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/routing"
 )
 
 // Freshness tells how sure the data plane is that the configuration it holds is the newest. Any goroutine may call it.
@@ -79,7 +79,7 @@
 
 // admit finds what the configuration allows the request. It is refused for good only where the configuration is known
 // to be new: what a newer one may allow waits for it briefly, and is then asked to come again.
-func (h *Handler) authorize(request *http.Request, arrived time.Time) (*match.Snapshot, authorization, error) {
+func (h *Handler) authorize(request *http.Request, arrived time.Time) (*routing.Snapshot, authorization, error) {
 	presented := credentialFrom(request.Header)
 	for {
 		keysHold := h.keysValid()
--- a/internal/client/access_test.go
+++ b/internal/proxy/access_test.go
@@ -1,4 +1,4 @@
-package client
+package proxy
 
 import (
 	"context"
--- a/internal/client/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -1,4 +1,4 @@
-package client
+package proxy
 
 import (
 	"context"
@@ -182,7 +182,7 @@
 // unreachableNetwork is a network on which connections neither come up nor fail.
 type unreachableNetwork struct{ peer.HostNetwork }
 
-func (unreachableNetwork) Dial(time.Duration, time.Duration) peer.DialFunc {
+func (unreachableNetwork) DialFunc(time.Duration, time.Duration) peer.DialFunc {
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
 		select {
 		case <-ctx.Done():
--- a/internal/client/budget.go
+++ b/internal/proxy/budget.go
@@ -1,11 +1,11 @@
-package client
+package proxy
 
 import (
 	"strconv"
 	"sync"
 	"time"
 
-	"ferryspar/internal/portion"
+	"ferryspar/internal/apportion"
 )
 
 const (
@@ -94,7 +94,7 @@
 	if b.StartedAt.IsZero() || now.Sub(b.StartedAt) > b.period {
 		allowed += b.slackShare(edges)
 	}
-	if retries >= portion.RoundByFraction(allowed, b.epochFraction(now)) {
+	if retries >= apportion.RoundByFraction(allowed, b.epochFraction(now)) {
 		return false
 	}
 	b.bucketAt(last).retries++
@@ -104,12 +104,12 @@
 // slackShare is this daemon's share of the slack, with a margin for what the draws of all may differ.
 func (b *RetryBudget) slackShare(edges int) float64 {
 	count := float64(max(edges, 1))
-	margin := min(count, portion.SpreadMargin(count), b.slack-portion.MaxMeanWithin(b.slack)) + uncountedShare*b.slack
+	margin := min(count, apportion.SpreadMargin(count), b.slack-apportion.MaxMeanWithin(b.slack)) + uncountedShare*b.slack
 	return max(min(usableShare*b.slack, b.slack-margin), 0) / count
 }
 
 // draw is this daemon's draw for the epoch. The caller holds the lock.
 func (b *RetryBudget) epochFraction(now time.Time) float64 {
-	epoch := float64(b.elapsed(now))/float64(periodsPerEpoch*b.period) + portion.HashFraction(b.Node, "")
-	return portion.HashFraction(b.Node, strconv.FormatInt(int64(epoch), 10))
+	epoch := float64(b.elapsed(now))/float64(periodsPerEpoch*b.period) + apportion.HashFraction(b.Node, "")
+	return apportion.HashFraction(b.Node, strconv.FormatInt(int64(epoch), 10))
 }
--- a/internal/client/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -1,4 +1,4 @@
-package client
+package proxy
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 func TestRetryBudget_SharesStayWithinTotal(t *testing.T) {
@@ -110,12 +110,12 @@
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, step := range []time.Duration{-time.Hour, -11 * time.Second, 11 * time.Second, time.Hour} {
 		budget := NewRetryBudget(10*time.Second, 0.2, 50)
-		for budget.Allow(membersim.OffsetWallClock(now, 0), 2) {
+		for budget.Allow(keystoresim.OffsetWallClock(now, 0), 2) {
 		}
 		for passed := range 9 {
-			assert.Assert(t, !budget.Allow(membersim.OffsetWallClock(now.Add(time.Duration(passed)*time.Second), step), 2), "step %s, after %d s", step, passed)
+			assert.Assert(t, !budget.Allow(keystoresim.OffsetWallClock(now.Add(time.Duration(passed)*time.Second), step), 2), "step %s, after %d s", step, passed)
 		}
-		assert.Assert(t, budget.Allow(membersim.OffsetWallClock(now.Add(11*time.Second), step), 2), "step %s", step)
+		assert.Assert(t, budget.Allow(keystoresim.OffsetWallClock(now.Add(11*time.Second), step), 2), "step %s", step)
 	}
 }
 
--- a/internal/client/explain.go
+++ b/internal/proxy/explain.go
@@ -1,10 +1,10 @@
-package client
+package proxy
 
 import (
 	"github.com/sirupsen/logrus"
 
-	"ferryspar/internal/record"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/requestlog"
 )
 
 func (e *exchange) failureText() string {
@@ -20,8 +20,8 @@
 		return
 	}
 	request := e.parsed.request
-	entry := record.Entry{
-		Kind: record.KindRequest, AtMs: writer.OffsetMs(request.Arrived), AttemptID: request.Attempt,
+	entry := requestlog.Entry{
+		Kind: requestlog.KindRequest, AtMs: writer.OffsetMs(request.Arrived), AttemptID: request.Attempt,
 		Route: e.parsed.route.Name, Backend: request.Backend, Model: request.Model, Tenant: e.parsed.upstream.Tenant,
 		Prefix: e.parsed.upstream.Header.Get(replica.HeaderPrefix), PromptTokens: request.PromptTokens, OutputTokens: request.OutputTokens,
 		TimeoutMs: float64(request.Deadline.Sub(request.Arrived).Milliseconds()), Error: e.failureText(),
--- a/internal/client/handler.go
+++ b/internal/proxy/handler.go
@@ -1,6 +1,6 @@
-// Package client is the side of a data plane that clients see: it reads their requests, has a replica chosen for each,
+// Package proxy is the side of a data plane that clients see: it reads their requests, has a replica chosen for each,
 // passes the answer on, and refuses what can't be served.
-package client
+package proxy
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 	"time"
 
 	"ferryspar/internal/apierror"
-	"ferryspar/internal/match"
-	"ferryspar/internal/record"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
 )
 
 // Handler serves clients: it takes a request, has a replica chosen for it, forwards it and passes the answer on.
 type Handler struct {
-	fleet        *atomic.Pointer[match.Snapshot]
-	matcher      *match.Matcher
+	fleet        *atomic.Pointer[routing.Snapshot]
+	matcher      *routing.Matcher
 	forwarder    *replica.Forwarder
 	retryBudgets *RetryBudgets
 	clock        func() time.Time
@@ -26,7 +26,7 @@
 	inFlight     atomic.Int64
 
 	// Recorder, if set before the first request, writes down how each request went.
-	Recorder *record.Writer
+	Recorder *requestlog.Writer
 	// Freshness, if set before the first request, tells how new the configuration is. Without it, it counts as the newest.
 	Freshness Freshness
 	// Quota, if set before the first request, may turn away requests of tenants beyond their limit.
@@ -38,7 +38,7 @@
 // NewHandler returns a handler that reads the fleet as it stands at each request. draw gives numbers from 0 to 1 for
 // the split of traffic over services.
 func NewHandler(
-	fleet *atomic.Pointer[match.Snapshot], matcher *match.Matcher, forwarder *replica.Forwarder, budgets *RetryBudgets,
+	fleet *atomic.Pointer[routing.Snapshot], matcher *routing.Matcher, forwarder *replica.Forwarder, budgets *RetryBudgets,
 	clock func() time.Time, draw func() float64,
 ) *Handler {
 	return &Handler{fleet: fleet, matcher: matcher, forwarder: forwarder, retryBudgets: budgets, clock: clock, random: draw}
@@ -105,13 +105,13 @@
 	failure     *apierror.Error
 }
 
-var outcomeByVerdict = map[replica.Verdict]match.Outcome{
-	replica.VerdictRejected:  match.OutcomeFull,
-	replica.VerdictNotLoaded: match.OutcomeModelMissing,
-	replica.VerdictReplaced:  match.OutcomeShuttingDown,
-	replica.VerdictNotSent:   match.OutcomeUnreachable,
-	replica.VerdictUnknown:   match.OutcomeTruncated,
-	replica.VerdictReset:     match.OutcomeConnectionReset,
+var outcomeByVerdict = map[replica.Verdict]routing.Outcome{
+	replica.VerdictRejected:  routing.OutcomeFull,
+	replica.VerdictNotLoaded: routing.OutcomeModelMissing,
+	replica.VerdictReplaced:  routing.OutcomeShuttingDown,
+	replica.VerdictNotSent:   routing.OutcomeUnreachable,
+	replica.VerdictUnknown:   routing.OutcomeTruncated,
+	replica.VerdictReset:     routing.OutcomeConnectionReset,
 }
 
 const maxUnreached = 4
@@ -126,12 +126,12 @@
 			return
 		}
 		if rejection := e.reauthorize(); rejection != nil {
-			e.handler.matcher.Report(assignment.Ticket, match.OutcomeCancelled)
+			e.handler.matcher.Report(assignment.Ticket, routing.OutcomeCancelled)
 			e.fail(rejection)
 			return
 		}
 		if e.attempts > 0 && !e.handler.retryBudgets.ForBackend(request.Backend).Allow(e.handler.clock(), e.handler.fleet.Load().DataPlanes) {
-			e.handler.matcher.Report(assignment.Ticket, match.OutcomeCancelled)
+			e.handler.matcher.Report(assignment.Ticket, routing.OutcomeCancelled)
 			e.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
 			return
 		}
@@ -146,8 +146,8 @@
 	}
 }
 
-func (e *exchange) attempt(assignment match.Decision) (bool, *apierror.Error) {
-	report := func(outcome match.Outcome) { e.handler.matcher.Report(assignment.Ticket, outcome) }
+func (e *exchange) attempt(assignment routing.Decision) (bool, *apierror.Error) {
+	report := func(outcome routing.Outcome) { e.handler.matcher.Report(assignment.Ticket, outcome) }
 	upstream := e.parsed.upstream
 	e.replicaID, e.sentAt = assignment.Replica.ID, e.handler.clock()
 	if e.headerSent {
@@ -162,7 +162,7 @@
 	e.notLoaded = verdict == replica.VerdictNotLoaded || verdict == replica.VerdictReplaced
 	if verdict != replica.VerdictAnswered {
 		if e.ctx.Err() != nil {
-			report(match.OutcomeCancelled)
+			report(routing.OutcomeCancelled)
 			return false, e.deadlineError(replica.NotExecuted[verdict])
 		}
 		report(outcomeByVerdict[verdict])
--- a/internal/client/parse.go
+++ b/internal/proxy/parse.go
@@ -1,4 +1,4 @@
-package client
+package proxy
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 
 	"ferryspar/internal/apierror"
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/match"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/routing"
 )
 
 type parsedRequest struct {
 	route         *configuration.Route
 	authorization authorization
-	request       match.Request
+	request       routing.Request
 	upstream      replica.UpstreamRequest
 }
 
@@ -66,11 +66,11 @@
 	if err != nil {
 		return nil, err
 	}
-	prompt, output, valid := match.ParseTokens(request.Header.Get(replica.HeaderTokens))
+	prompt, output, valid := routing.ParseTokens(request.Header.Get(replica.HeaderTokens))
 	if !valid {
 		return nil, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderTokens)
 	}
-	parts, valid := match.ParsePrefix(request.Header.Get(replica.HeaderPrefix))
+	parts, valid := routing.ParsePrefix(request.Header.Get(replica.HeaderPrefix))
 	if !valid {
 		return nil, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderPrefix)
 	}
@@ -79,8 +79,8 @@
 	deadline := arrived.Add(min(remaining, timeout))
 	return &parsedRequest{
 		route: route, authorization: allowed,
-		request: match.Request{
-			Attempt: attempt, Backend: backend, Model: model, Parts: parts, PrefixHashes: match.HashPrefixes(parts), PromptTokens: prompt, OutputTokens: output,
+		request: routing.Request{
+			Attempt: attempt, Backend: backend, Model: model, Parts: parts, PrefixHashes: routing.HashPrefixes(parts), PromptTokens: prompt, OutputTokens: output,
 			Arrived: arrived, Deadline: deadline, LatencyTarget: time.Duration(route.TargetLatencyMs * float64(time.Millisecond)), Priority: priority,
 			AllowedRegions: tenant.IntersectRegions(route.AllowedRegions), ExcludedReplicas: map[string]bool{}, ClientRetry: remaining < timeout-returnedTolerance,
 			Idempotent: route.IsIdempotent(), Route: route.Name, Tenant: allowed.tenant,
@@ -120,7 +120,7 @@
 	configurationPollInterval = 15 * time.Millisecond
 )
 
-func (h *Handler) awaitConfiguration(request *http.Request, arrived time.Time) *match.Snapshot {
+func (h *Handler) awaitConfiguration(request *http.Request, arrived time.Time) *routing.Snapshot {
 	for {
 		fleet := h.fleet.Load()
 		if fleet.Table != nil || h.clock().Sub(arrived) > configurationTimeout || h.Draining() {
@@ -144,7 +144,7 @@
 	}
 }
 
-func connectionsPerEdge(fleet *match.Snapshot, backend string) int {
+func connectionsPerEdge(fleet *routing.Snapshot, backend string) int {
 	if stated, _, known := fleet.Table.Backend(backend); known && stated.MaxConns > 0 {
 		return max(stated.MaxConns/max(fleet.DataPlanes, 1), 1)
 	}
--- a/internal/client/relay.go
+++ b/internal/proxy/relay.go
@@ -1,4 +1,4 @@
-package client
+package proxy
 
 import (
 	"io"
@@ -8,8 +8,8 @@
 	"time"
 
 	"ferryspar/internal/apierror"
-	"ferryspar/internal/match"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/routing"
 )
 
 const (
@@ -24,22 +24,22 @@
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-func (e *exchange) copyResponse(response *http.Response, report func(match.Outcome)) (bool, *apierror.Error) {
+func (e *exchange) copyResponse(response *http.Response, report func(routing.Outcome)) (bool, *apierror.Error) {
 	defer response.Body.Close()
 	if notExecutedStatuses[response.StatusCode] || response.StatusCode >= 300 && e.headerSent {
-		report(match.OutcomeFailed)
+		report(routing.OutcomeFailed)
 		e.mayHaveRun = true
 		return e.retryOrFail(false)
 	}
 	if isServerFailure(response) && e.parsed.route.IsIdempotent() && e.canRetry() {
-		report(match.OutcomeFailed)
+		report(routing.OutcomeFailed)
 		e.mayHaveRun = true
 		return true, nil
 	}
 	resumable := e.parsed.route.RouteType == "streaming" && e.parsed.route.Resumable && response.StatusCode < 300 &&
 		strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
 	if e.headerSent && !resumable {
-		report(match.OutcomeFailed)
+		report(routing.OutcomeFailed)
 		e.mayHaveRun = true
 		return e.retryOrFail(false)
 	}
@@ -52,17 +52,17 @@
 			gap := e.recordRead(now)
 			if !first && !lagging && e.exceedsTokenGap(gap) {
 				lagging = true
-				report(match.OutcomeStalled)
+				report(routing.OutcomeStalled)
 			}
 			if first {
-				report(match.OutcomeFirstEvent)
+				report(routing.OutcomeFirstEvent)
 				first, lastTold = false, now
 			} else if now.Sub(lastTold) > progressInterval {
-				report(match.OutcomeProgress)
+				report(routing.OutcomeProgress)
 				lastTold = now
 			}
 			if !e.writeContent(response, buffer[:amount], resumable) {
-				report(match.OutcomeCancelled)
+				report(routing.OutcomeCancelled)
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -132,30 +132,30 @@
 	return http.NewResponseController(e.writer).Flush() == nil
 }
 
-func (e *exchange) finish(response *http.Response, report func(match.Outcome), resumable bool) (bool, *apierror.Error) {
+func (e *exchange) finish(response *http.Response, report func(routing.Outcome), resumable bool) (bool, *apierror.Error) {
 	if resumable && !e.events.Complete() {
 		return e.handleBrokenBody(report, resumable)
 	}
 	e.writeHeader(response)
 	if response.StatusCode < 300 {
-		report(match.OutcomeServed)
+		report(routing.OutcomeServed)
 	} else if isServerFailure(response) {
-		report(match.OutcomeFailed)
+		report(routing.OutcomeFailed)
 	} else {
-		report(match.OutcomeCancelled)
+		report(routing.OutcomeCancelled)
 	}
 	return false, nil
 }
 
-func (e *exchange) handleBrokenBody(report func(match.Outcome), resumable bool) (bool, *apierror.Error) {
+func (e *exchange) handleBrokenBody(report func(routing.Outcome), resumable bool) (bool, *apierror.Error) {
 	if e.ctx.Err() != nil {
-		report(match.OutcomeCancelled)
+		report(routing.OutcomeCancelled)
 		if e.headerSent {
 			panic(http.ErrAbortHandler)
 		}
 		return false, apierror.New(apierror.ReplicaTimeout, "")
 	}
-	report(match.OutcomeTruncated)
+	report(routing.OutcomeTruncated)
 	e.mayHaveRun = true
 	e.events.Resume()
 	if e.headerSent && !(resumable && e.events.LastID != "") {
--- a/internal/client/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -1,4 +1,4 @@
-package client
+package proxy
 
 import (
 	"io"
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/match"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/routing"
 )
 
 // requestWithBody composes a request with the given lines in the place of its length, and its body as it stands.
@@ -115,7 +115,7 @@
 	var server *testServer
 	upstream := startReplica(t, "i-1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, responseHead("200 OK", request, "seal-1", "Content-Length: 8")+"part")
-		server.fleet.Store(&match.Snapshot{Table: configuration.NewTable(configuration.Configuration{Revision: 2}, nil), DataPlanes: 1})
+		server.fleet.Store(&routing.Snapshot{Table: configuration.NewTable(configuration.Configuration{Revision: 2}, nil), DataPlanes: 1})
 		server.handler.matcher.SnapshotChanged()
 		time.Sleep(50 * time.Millisecond)
 		_, _ = io.WriteString(connection, "part")
--- a/internal/client/server_test.go
+++ b/internal/proxy/server_test.go
@@ -1,4 +1,4 @@
-package client
+package proxy
 
 import (
 	"bufio"
@@ -17,10 +17,10 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/match"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/routing"
 )
 
 // script answers one request on a connection that its replica accepted; false ends the connection.
@@ -110,7 +110,7 @@
 type testServer struct {
 	address string
 	handler *Handler
-	fleet   *atomic.Pointer[match.Snapshot]
+	fleet   *atomic.Pointer[routing.Snapshot]
 }
 
 func startServer(t *testing.T, idle, headTime time.Duration, replicas ...*scriptedReplica) *testServer {
@@ -120,17 +120,17 @@
 func startServerOver(t *testing.T, network peer.Network, idle, headTime time.Duration, replicas ...*scriptedReplica) *testServer {
 	read, err := configuration.Decode([]byte(testDocument))
 	assert.NilError(t, err)
-	state := &match.Snapshot{Table: configuration.NewTable(read, nil), DataPlanes: 1, ListedAt: time.Now(), DrainedZones: map[string]bool{}}
+	state := &routing.Snapshot{Table: configuration.NewTable(read, nil), DataPlanes: 1, ListedAt: time.Now(), DrainedZones: map[string]bool{}}
 	for index, upstream := range replicas {
-		listed := platform.Replica{
+		listed := discovery.Replica{
 			ID: upstream.id, Backend: "scribes", Address: upstream.address, Zone: "north", Slots: 8, State: "ready",
-			Models: []platform.LoadedModel{{Name: "swift"}},
+			Models: []discovery.LoadedModel{{Name: "swift"}},
 		}
-		state.Replicas = append(state.Replicas, match.NewReplica(index, listed, time.Now(), nil))
+		state.Replicas = append(state.Replicas, routing.NewReplica(index, listed, time.Now(), nil))
 	}
-	var fleet atomic.Pointer[match.Snapshot]
+	var fleet atomic.Pointer[routing.Snapshot]
 	fleet.Store(state)
-	matcher := match.NewMatcher(match.DefaultParameters(), "north", time.Now, &fleet)
+	matcher := routing.NewMatcher(routing.DefaultParameters(), "north", time.Now, &fleet)
 	ctx, cancel := context.WithCancel(context.Background())
 	go matcher.Run(ctx)
 	forwarder := replica.NewForwarder(network, time.Now, time.Second, time.Second)
--- a/internal/query/pinned_test.go
+++ b/internal/query/pinned_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/operator"
 	"ferryspar/internal/test/pinned"
 )
 
@@ -19,7 +19,7 @@
 }
 
 func TestTables_NamesAndColumnsStayTheSame(t *testing.T) {
-	var fleet operator.FleetStatus
+	var fleet adminapi.FleetStatus
 	var current configuration.Configuration
 	pinned.Fill(&fleet)
 	pinned.Fill(&current)
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -8,17 +8,17 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/operator"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 func testTables() []Table {
-	loaded := []platform.LoadedModel{{Name: "big", Revision: 2, Adapters: []string{"a1", "a2"}}}
-	status := operator.FleetStatus{
+	loaded := []discovery.LoadedModel{{Name: "big", Revision: 2, Adapters: []string{"a1", "a2"}}}
+	status := adminapi.FleetStatus{
 		Member: "10.0.0.1:9000", Fresh: true, Members: []string{"10.0.0.1:9000", "10.0.0.2:9000"}, NextMembers: []string{"10.0.0.3:9000"},
 		PlacementHolder: "10.0.0.2:9000", DrainedZones: []string{"b"}, DataPlanes: []string{"edge-1"},
-		Replicas: []platform.Replica{
+		Replicas: []discovery.Replica{
 			{ID: "r1", Backend: "chat", Zone: "a", State: "ready", Slots: 8, Models: loaded},
 			{ID: "r2", Backend: "chat", Zone: "b", State: "ready", Slots: 8, Models: loaded},
 			{ID: "r3", Backend: "chat", Zone: "a", State: "starting", Slots: 4},
--- a/internal/query/tables.go
+++ b/internal/query/tables.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/operator"
 )
 
 // Table is one table to ask, with rows in the order of the columns.
@@ -16,11 +16,11 @@
 }
 
 // Tables returns the tables of a fleet and its configuration, with digests in the place of keys.
-func Tables(fleet operator.FleetStatus, current configuration.Configuration) []Table {
+func Tables(fleet adminapi.FleetStatus, current configuration.Configuration) []Table {
 	return []Table{replicas(fleet), models(fleet), adapters(fleet), zones(fleet), dataPlanes(fleet), routes(current), tenants(current), members(fleet), leases(fleet)}
 }
 
-func replicas(fleet operator.FleetStatus) Table {
+func replicas(fleet adminapi.FleetStatus) Table {
 	table := Table{
 		Name: "replicas",
 		Columns: []string{
@@ -37,7 +37,7 @@
 	return table
 }
 
-func models(fleet operator.FleetStatus) Table {
+func models(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: "models", Columns: []string{"replica", "backend", "zone", "model", "revision", "adapters"}}
 	for _, replica := range fleet.Replicas {
 		for _, loaded := range replica.Models {
@@ -47,7 +47,7 @@
 	return table
 }
 
-func adapters(fleet operator.FleetStatus) Table {
+func adapters(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: "adapters", Columns: []string{"replica", "model", "adapter"}}
 	for _, replica := range fleet.Replicas {
 		for _, loaded := range replica.Models {
@@ -59,7 +59,7 @@
 	return table
 }
 
-func zones(fleet operator.FleetStatus) Table {
+func zones(fleet adminapi.FleetStatus) Table {
 	drained := map[string]bool{}
 	for _, replica := range fleet.Replicas {
 		drained[replica.Zone] = false
@@ -74,7 +74,7 @@
 	return table
 }
 
-func dataPlanes(fleet operator.FleetStatus) Table {
+func dataPlanes(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: "edges", Columns: []string{"name"}}
 	for _, name := range fleet.DataPlanes {
 		table.Rows = append(table.Rows, []any{name})
@@ -123,7 +123,7 @@
 	return table
 }
 
-func members(fleet operator.FleetStatus) Table {
+func members(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: "members", Columns: []string{"address", "part"}}
 	for _, address := range fleet.Members {
 		table.Rows = append(table.Rows, []any{address, "present"})
@@ -134,7 +134,7 @@
 	return table
 }
 
-func leases(fleet operator.FleetStatus) Table {
+func leases(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: "tenures", Columns: []string{"duty", "holder", "seen_by", "fresh", "layout_revision", "list_age_ms"}}
 	table.Rows = append(table.Rows, []any{"placement", fleet.PlacementHolder, fleet.Member, fleet.Fresh, fleet.Revision, fleet.ListAgeMs})
 	return table
--- a/internal/replica/orders.go
+++ b/internal/replica/orders.go
@@ -12,8 +12,8 @@
 
 	"github.com/pkg/errors"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 // Order is the body of a placement order. Holder and Fence are those of the lease it is sent under. Expected is the
@@ -35,14 +35,14 @@
 
 // Report is what a replica reports of itself.
 type Report struct {
-	Phase    string                 `json:"phase"`
-	Models   []platform.LoadedModel `json:"modelList"`
-	Busy     bool                   `json:"utilization"`
-	Sequence int64                  `json:"sequence"`
-	Queued   int                    `json:"queuedRequests"`
-	Active   int                    `json:"activeRequests"`
-	KvUsed   float64                `json:"kvCacheUsed"`
-	KvTotal  float64                `json:"kvCacheTotal"`
+	Phase    string                  `json:"phase"`
+	Models   []discovery.LoadedModel `json:"modelList"`
+	Busy     bool                    `json:"utilization"`
+	Sequence int64                   `json:"sequence"`
+	Queued   int                     `json:"queuedRequests"`
+	Active   int                     `json:"activeRequests"`
+	KvUsed   float64                 `json:"kvCacheUsed"`
+	KvTotal  float64                 `json:"kvCacheTotal"`
 }
 
 // Client sends placement orders to replicas and asks for their reports. Orders may not be repeated, so each is the
--- a/internal/replicastate/simulation/daemon_test.go
+++ b/internal/replicastate/simulation/daemon_test.go
@@ -5,7 +5,7 @@
 
 	"ferryspar/internal/configuration"
 	"ferryspar/internal/lease"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 const (
@@ -39,7 +39,7 @@
 	trackedGrant          *lease.Grant
 	settledFence          uint64 // fence of the grant whose record was written to since it settled
 	table                 *configuration.Table
-	sizes                 *place.SizeHistory
+	sizes                 *placement.SizeHistory
 	tracked               map[string]*trackedReplica
 	calls                 []*call
 }
@@ -136,7 +136,7 @@
 	if same {
 		return
 	}
-	n.sizes = place.NewSizeHistory()
+	n.sizes = placement.NewSizeHistory()
 	if n.world.mutation != keptAcrossGrants {
 		n.tracked = map[string]*trackedReplica{}
 	}
@@ -184,9 +184,9 @@
 	view := n.world.view(n)
 	for _, replica := range n.trackedInOrder() {
 		if replica.pendingAction != nil && replica.pendingAction.Load {
-			view.Loading[place.ModelKey(backendName, replica.pendingAction.Model)]++
+			view.Loading[placement.ModelKey(backendName, replica.pendingAction.Model)]++
 		}
-		view.Servers = append(view.Servers, &place.Server{
+		view.Servers = append(view.Servers, &placement.Server{
 			ID:          replica.id,
 			Backend:     backendName,
 			Zone:        "north",
@@ -197,7 +197,7 @@
 			Ready:       replica.state.IsReady(n.world.now),
 		})
 	}
-	for _, action := range place.Plan(view) {
+	for _, action := range placement.Plan(view) {
 		n.tracked[action.Server].order(action)
 	}
 	for _, server := range view.Servers {
--- a/internal/replicastate/simulation/known_test.go
+++ b/internal/replicastate/simulation/known_test.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 	"ferryspar/internal/replicastate"
 )
 
@@ -27,7 +27,7 @@
 	fence             uint64
 	trustFrom         time.Time
 	state             *replicastate.Replica
-	pendingAction     *place.Action
+	pendingAction     *placement.Action
 	intent            string
 	reportedAt        time.Time
 	contradictedSince time.Time
@@ -81,7 +81,7 @@
 }
 
 // order decides on an action and sends it, an unload after a pause.
-func (t *trackedReplica) order(action place.Action) {
+func (t *trackedReplica) order(action placement.Action) {
 	node := t.node
 	order, possible := t.state.Decide(replicastate.Change{Load: action.Load, Reference: action.Model}, t.now())
 	if !possible {
--- a/internal/replicastate/simulation/world_test.go
+++ b/internal/replicastate/simulation/world_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 const backendName = "s"
@@ -117,18 +117,18 @@
 }
 
 // view is a planner's input without servers: what is wanted is asked for, and waits where it is loaded nowhere.
-func (w *world) view(node *node) *place.View {
-	view := &place.View{
-		Now: w.now, Table: node.table, SizeHistory: node.sizes, Demand: map[string]*place.Demand{}, Loading: map[string]int{},
+func (w *world) view(node *node) *placement.View {
+	view := &placement.View{
+		Now: w.now, Table: node.table, SizeHistory: node.sizes, Demand: map[string]*placement.Demand{}, Loading: map[string]int{},
 		DrainedZones: map[string]bool{}, StoreTokens: loadTokens, DemandKnown: true,
 	}
 	for _, reference := range w.wanted {
-		demand := &place.Demand{Rate: 1, LongTermRate: 1, LastSeen: w.now, LatencyTargetMs: 2000}
+		demand := &placement.Demand{Rate: 1, LongTermRate: 1, LastSeen: w.now, LatencyTargetMs: 2000}
 		if !w.loaded(reference) {
 			demand.Waiting = 2
 			demand.OldestWaitMs = float64(w.now.Sub(w.waitingSince[reference]).Milliseconds())
 		}
-		view.Demand[place.ModelKey(backendName, reference)] = demand
+		view.Demand[placement.ModelKey(backendName, reference)] = demand
 	}
 	return view
 }
--- a/internal/record/pinned_test.go
+++ b/internal/requestlog/pinned_test.go
@@ -1,4 +1,4 @@
-package record
+package requestlog
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/test/pinned"
 )
 
@@ -20,7 +20,7 @@
 		{Kind: KindConfiguration, AtMs: 0.5, PackedConfiguration: []byte{1, 2, 253, 254}},
 		{
 			Kind: KindFleet, AtMs: 1.25, EdgeCount: 2, Zone: "north", DrainedZones: []string{"south"},
-			Replicas: []platform.Replica{{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: []platform.LoadedModel{{Name: "m"}}}},
+			Replicas: []discovery.Replica{{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: []discovery.LoadedModel{{Name: "m"}}}},
 		},
 		{
 			Kind: KindRequest, AtMs: 100, AttemptID: "attempt-1", Route: "quick", Backend: "s", Model: "m", Tenant: "shop",
--- a/internal/record/record.go
+++ b/internal/requestlog/record.go
@@ -1,7 +1,7 @@
-// Package record writes and reads what a data plane saw, as JSON lines, for ferryspar-replay.
+// Package requestlog writes and reads what a data plane saw, as JSON lines, for ferryspar-replay.
 //
 // A record holds ids, sizes and times, never bodies. Start reading at Entry.
-package record
+package requestlog
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 // Kinds of entries.
@@ -25,26 +25,26 @@
 // Entry is one line. AtMs counts from the start of the record; which other fields are set depends
 // on Kind.
 type Entry struct {
-	Kind                string             `json:"kind"`
-	AtMs                float64            `json:"atMs"`
-	PackedConfiguration []byte             `json:"packed,omitempty"`
-	Replicas            []platform.Replica `json:"replicas,omitempty"`
-	DrainedZones        []string           `json:"drained,omitempty"`
-	EdgeCount           int                `json:"edges,omitempty"`
-	Zone                string             `json:"area,omitempty"`
-	AttemptID           string             `json:"attempt,omitempty"`
-	Route               string             `json:"route,omitempty"`
-	Backend             string             `json:"backend,omitempty"`
-	Model               string             `json:"model,omitempty"`
-	Tenant              string             `json:"tenant,omitempty"`
-	Prefix              string             `json:"prefix,omitempty"`
-	PromptTokens        float64            `json:"prompt,omitempty"`
-	OutputTokens        float64            `json:"output,omitempty"`
-	TimeoutMs           float64            `json:"leftMs,omitempty"`
-	QueuedMs            float64            `json:"waitedMs,omitempty"`
-	FirstByteMs         float64            `json:"firstMs,omitempty"`
-	DurationMs          float64            `json:"tookMs,omitempty"`
-	Error               string             `json:"problem,omitempty"`
+	Kind                string              `json:"kind"`
+	AtMs                float64             `json:"atMs"`
+	PackedConfiguration []byte              `json:"packed,omitempty"`
+	Replicas            []discovery.Replica `json:"replicas,omitempty"`
+	DrainedZones        []string            `json:"drained,omitempty"`
+	EdgeCount           int                 `json:"edges,omitempty"`
+	Zone                string              `json:"area,omitempty"`
+	AttemptID           string              `json:"attempt,omitempty"`
+	Route               string              `json:"route,omitempty"`
+	Backend             string              `json:"backend,omitempty"`
+	Model               string              `json:"model,omitempty"`
+	Tenant              string              `json:"tenant,omitempty"`
+	Prefix              string              `json:"prefix,omitempty"`
+	PromptTokens        float64             `json:"prompt,omitempty"`
+	OutputTokens        float64             `json:"output,omitempty"`
+	TimeoutMs           float64             `json:"leftMs,omitempty"`
+	QueuedMs            float64             `json:"waitedMs,omitempty"`
+	FirstByteMs         float64             `json:"firstMs,omitempty"`
+	DurationMs          float64             `json:"tookMs,omitempty"`
+	Error               string              `json:"problem,omitempty"`
 }
 
 // Writer writes entries up to a bound of bytes. A nil Writer writes nothing. It is safe for
--- a/internal/match/adopt.go
+++ b/internal/routing/adopt.go
@@ -1,10 +1,10 @@
-package match
+package routing
 
 import (
 	"slices"
 	"time"
 
-	"ferryspar/internal/portion"
+	"ferryspar/internal/apportion"
 )
 
 // adopt takes the newest snapshot into use. States of replicas outlive it; those of replicas that
@@ -51,7 +51,7 @@
 func (m *Matcher) state(id string) *replicaState {
 	if m.states[id] == nil {
 		state := newReplicaState(NewPredictor())
-		state.hashFraction = portion.HashFraction(m.parameters.Daemon, id)
+		state.hashFraction = apportion.HashFraction(m.parameters.Daemon, id)
 		m.states[id] = state
 	}
 	return m.states[id]
--- a/internal/match/cold.go
+++ b/internal/routing/cold.go
@@ -1,9 +1,9 @@
-package match
+package routing
 
 import (
 	"time"
 
-	"ferryspar/internal/portion"
+	"ferryspar/internal/apportion"
 )
 
 // warmUpLimit is what the backend allows at a cold replica, by all data planes together.
@@ -42,13 +42,13 @@
 // share divides the rule over the data planes (edges, counted high while uncertain). While there
 // are no more of them than the rate, each sends its whole share a second. Otherwise each replica has
 // few designated data planes: up to half the bound where all sending at once stay within it, else so
-// few that more designates than the bound are a matter of 1 in 100,000 (portion.Tail).
+// few that more designates than the bound are a matter of 1 in 100,000 (apportion.Tail).
 func (r warmUpLimit) share(dataPlanes int) warmUpShare {
 	count := float64(max(dataPlanes, 1))
 	if count <= r.perSecond {
 		return warmUpShare{chance: 1, allowed: int(r.perSecond / count), window: time.Second}
 	}
-	mean := portion.MaxMeanWithin(r.maxPerSecond)
+	mean := apportion.MaxMeanWithin(r.maxPerSecond)
 	if count <= r.maxPerSecond {
 		mean = min(count, r.maxPerSecond/warmUpReserve)
 	}
--- a/internal/match/cold_test.go
+++ b/internal/routing/cold_test.go
@@ -1,4 +1,4 @@
-package match
+package routing
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/portion"
+	"ferryspar/internal/apportion"
 )
 
 var warmUpLimits = []warmUpLimit{{5.5, 5.5*1.5 + 5}, {2, 2*1.5 + 5}, {12, 12*1.5 + 5}, {0.5, 0.5*1.5 + 5}, {40, 40*1.5 + 5}}
@@ -23,7 +23,7 @@
 				continue
 			}
 			over := distuv.Binomial{N: float64(dataPlanes), P: share.chance}.Survival(rule.maxPerSecond)
-			assert.Assert(t, over < portion.TailProbability, "%v, %d daemons: %g", rule, dataPlanes, over)
+			assert.Assert(t, over < apportion.TailProbability, "%v, %d daemons: %g", rule, dataPlanes, over)
 			assert.Assert(t, share.chance*float64(dataPlanes) >= min(1, rule.perSecond/2), "%v, %d daemons: starved", rule, dataPlanes)
 		}
 	}
@@ -50,7 +50,7 @@
 func sendsOfAll(rule warmUpLimit, dataPlanes int, replica string) []time.Time {
 	share, states := rule.share(dataPlanes), make([]replicaState, 0, dataPlanes)
 	for dataPlane := range dataPlanes {
-		state := replicaState{hashFraction: portion.HashFraction("edge-"+strconv.Itoa(dataPlane), replica)}
+		state := replicaState{hashFraction: apportion.HashFraction("edge-"+strconv.Itoa(dataPlane), replica)}
 		if state.hashFraction < share.chance {
 			states = append(states, state)
 		}
--- a/internal/match/doc.go
+++ b/internal/routing/doc.go
@@ -1,4 +1,4 @@
-// Package match decides which replica serves a request. It is the routing policy of one data
+// Package routing decides which replica serves a request. It is the routing policy of one data
 // plane: the micro-batch, the ledger of cached prefixes, the latency predictors, the assignment
 // by min-cost max-flow, the queue of requests that no replica can take yet, and the records of
 // which replicas fail.
@@ -24,4 +24,4 @@
 // figure 2, the affinity of eq. 4, the predictor inputs of eq. 5 with the update loop of §4.1, the
 // value and weight of eq. 1 and 7, and the exact assignment of §4.2 and theorem 4.1. What was kept
 // and what was changed is described in docs/design.md, "The policy".
-package match
+package routing
--- a/internal/match/drill_test.go
+++ b/internal/routing/drill_test.go
@@ -1,4 +1,4 @@
-package match
+package routing
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
-	"ferryspar/internal/platform"
 )
 
 // drillOutcome is how a drilled fleet fared.
@@ -103,12 +103,12 @@
 	simulated := newSimulatedFleet(1, 0)
 	fleet := *simulated.snapshot.Load()
 	for index, zone := range []string{"east", "isle"} {
-		fleet.Replicas = append(fleet.Replicas, NewReplica(index, platform.Replica{
+		fleet.Replicas = append(fleet.Replicas, NewReplica(index, discovery.Replica{
 			ID:      zone,
 			Backend: "s",
 			Zone:    zone,
 			Slots:   4,
-			Models:  []platform.LoadedModel{{Name: "m"}},
+			Models:  []discovery.LoadedModel{{Name: "m"}},
 		}, simulated.now, nil))
 	}
 	fleet.Drill = NewDrill(drill.Notice{
--- a/internal/match/fleet.go
+++ b/internal/routing/fleet.go
@@ -1,4 +1,4 @@
-package match
+package routing
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 // Replica is one replica in a snapshot of the fleet. It is not changed once the snapshot is stored.
@@ -40,7 +40,7 @@
 
 // NewReplica makes a replica of the platform's list. fetched is when the list was heard of; barred
 // holds "replica reference" pairs that are about to be unloaded and must not be used.
-func NewReplica(index int, listed platform.Replica, fetched time.Time, cordoned map[string]bool) *Replica {
+func NewReplica(index int, listed discovery.Replica, fetched time.Time, cordoned map[string]bool) *Replica {
 	replica := &Replica{
 		Index:    index,
 		ID:       listed.ID,
@@ -48,7 +48,7 @@
 		Address:  listed.Address,
 		Zone:     listed.Zone,
 		Slots:    listed.Slots,
-		Draining: listed.State == platform.Draining,
+		Draining: listed.State == discovery.Draining,
 		Models:   map[string]bool{},
 	}
 	if listed.WarmUpRemainingMs > 0 {
--- a/internal/match/forecast_test.go
+++ b/internal/routing/forecast_test.go
@@ -1,4 +1,4 @@
-package match
+package routing
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
-	"ferryspar/internal/platform"
 )
 
 // simulatedFleet is a matcher amid a random fleet of three zones, with requests that begin and end as
@@ -45,9 +45,9 @@
 	}
 	zones := []string{"east", "west", "isle"}
 	for index := range replicas {
-		models := []platform.LoadedModel{{Name: fmt.Sprint("m", simulated.random.IntN(3))}, {Name: fmt.Sprint("m", 3+simulated.random.IntN(3))}}
+		models := []discovery.LoadedModel{{Name: fmt.Sprint("m", simulated.random.IntN(3))}, {Name: fmt.Sprint("m", 3+simulated.random.IntN(3))}}
 		zone := zones[index%3]
-		replica := NewReplica(index, platform.Replica{
+		replica := NewReplica(index, discovery.Replica{
 			ID:      fmt.Sprint("r", index),
 			Backend: "s",
 			Zone:    zone,
--- a/internal/match/predictor.go
+++ b/internal/routing/predictor.go
@@ -1,4 +1,4 @@
-package match
+package routing
 
 // Positions in Features.
 const (
--- a/internal/match/replicastate.go
+++ b/internal/routing/replicastate.go
@@ -1,4 +1,4 @@
-package match
+package routing
 
 import "time"
 
--- a/internal/match/reports.go
+++ b/internal/routing/reports.go
@@ -1,4 +1,4 @@
-package match
+package routing
 
 // reportHandler applies one kind of outcome to the replica's state.
 type reportHandler func(m *Matcher, state *replicaState, report Report)
--- a/internal/match/scale_test.go
+++ b/internal/routing/scale_test.go
@@ -1,4 +1,4 @@
-package match
+package routing
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 )
 
 const (
@@ -50,15 +50,15 @@
 		PeerLoadsAt:  now,
 		PeerLoads:    map[string]peer.ReplicaLoad{},
 	}
-	loadedModels := make([][]platform.LoadedModel, replicas)
+	loadedModels := make([][]discovery.LoadedModel, replicas)
 	for model := range models {
 		for copied := range fixtureCopies {
 			at := (model + copied*(replicas/fixtureCopies)) % replicas
-			loadedModels[at] = append(loadedModels[at], platform.LoadedModel{Name: "model-" + strconv.Itoa(model)})
+			loadedModels[at] = append(loadedModels[at], discovery.LoadedModel{Name: "model-" + strconv.Itoa(model)})
 		}
 	}
 	for index := range replicas {
-		listed := platform.Replica{
+		listed := discovery.Replica{
 			ID:      "i-" + strconv.Itoa(index),
 			Backend: "service",
 			Zone:    "north",
--- a/internal/match/share.go
+++ b/internal/routing/share.go
@@ -1,9 +1,9 @@
-package match
+package routing
 
 import (
 	"time"
 
-	"ferryspar/internal/portion"
+	"ferryspar/internal/apportion"
 )
 
 const (
@@ -30,7 +30,7 @@
 	slots := float64(n.replica.Slots)
 	share := min(blindShareFactor*slots/float64(max(dataPlanes, 1)), slots)
 	known := slots - float64(n.peerLoad.Running)
-	allowed := portion.RoundByFraction(trust*known+(1-trust)*share, n.state.hashFraction)
+	allowed := apportion.RoundByFraction(trust*known+(1-trust)*share, n.state.hashFraction)
 	n.capacity = max(allowed-n.state.running, 0)
 	n.fallback = allowed == 0 && trust < 1 && share < 1 && (known > 0 || trust == 0)
 	n.designated = allowed > 0
--- a/internal/emulator/attempt.go
+++ b/internal/sim/emulator/attempt.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ferryspar/internal/apierror"
-	"ferryspar/internal/match"
+	"ferryspar/internal/routing"
 )
 
 // attempt is one try of a call at one edge; the edge may forward it to several replicas in turn.
@@ -15,9 +15,9 @@
 	// life is the edge's life in which the attempt arrived; a restarted edge knows nothing of it.
 	life    int
 	try     int
-	request match.Request
+	request routing.Request
 	// pending is the request while the matcher holds it, or nil.
-	pending *match.Request
+	pending *routing.Request
 	// forwardNumber tells the answers of the current forward from those of earlier ones.
 	forwardNumber int
 	// forwards counts the forwards that reached a replica.
@@ -31,7 +31,7 @@
 	// lastID is the last event sent to the client, or the one it resumes after.
 	lastID    int
 	replicaID string
-	ticket    *match.Ticket
+	ticket    *routing.Ticket
 	execution *execution
 	lastByte  time.Time
 	// lastReported is when the matcher last heard that the stream is alive.
@@ -68,7 +68,7 @@
 }
 
 // onCommand follows the matcher's decision: to forward to a replica, or to fail.
-func (p *attempt) onCommand(command match.Decision) {
+func (p *attempt) onCommand(command routing.Decision) {
 	p.pending = nil
 	if command.Error != nil {
 		p.fail(command.Error)
@@ -78,7 +78,7 @@
 	p.ticket = command.Ticket
 	p.noteForward(command.Replica.ID)
 	if p.forwards > 0 && !p.edge.budget.Allow(w.now(), p.edge.fleet.Load().DataPlanes) {
-		p.edge.reportOutcome(p.ticket, match.OutcomeCancelled)
+		p.edge.reportOutcome(p.ticket, routing.OutcomeCancelled)
 		p.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
 		return
 	}
@@ -86,19 +86,19 @@
 }
 
 // neverRan holds the outcomes that prove that the replica executed nothing of the request.
-var neverRan = map[match.Outcome]bool{
-	match.OutcomeFull:         true,
-	match.OutcomeModelMissing: true,
-	match.OutcomeUnreachable:  true,
+var neverRan = map[routing.Outcome]bool{
+	routing.OutcomeFull:         true,
+	routing.OutcomeModelMissing: true,
+	routing.OutcomeUnreachable:  true,
 }
 
 // onOutcome handles the failure of a forward. Another replica is tried only if nothing was executed
 // or the class is resumable, and only within the retry count.
-func (p *attempt) onOutcome(number int, outcome match.Outcome) {
+func (p *attempt) onOutcome(number int, outcome routing.Outcome) {
 	if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 		return
 	}
-	if outcome == match.OutcomeUnreachable {
+	if outcome == routing.OutcomeUnreachable {
 		p.unreached++
 	} else {
 		p.forwards++
@@ -122,7 +122,7 @@
 }
 
 // reportOutcome gives the forward's final outcome to the matcher.
-func (p *attempt) reportOutcome(outcome match.Outcome) {
+func (p *attempt) reportOutcome(outcome routing.Outcome) {
 	ticket := p.ticket
 	p.ticket = nil
 	p.edge.reportOutcome(ticket, outcome)
@@ -158,7 +158,7 @@
 		p.edge.matcher.Cancel(p.pending)
 		p.pending = nil
 	} else if p.ticket != nil {
-		p.reportOutcome(match.OutcomeCancelled)
+		p.reportOutcome(routing.OutcomeCancelled)
 		p.hangUp()
 	}
 	p.edge.collectAnswers()
--- a/internal/emulator/call.go
+++ b/internal/sim/emulator/call.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"ferryspar/internal/match"
+	"ferryspar/internal/routing"
 )
 
 // call is one request as its client sees it, over all the attempts made for it.
@@ -109,16 +109,16 @@
 }
 
 // matchRequest describes this request as the given edge's matcher sees it on arrival now.
-func (c *call) matchRequest(at *edge, try int) match.Request {
+func (c *call) matchRequest(at *edge, try int) routing.Request {
 	now := c.world.now()
 	remaining := c.deadline.Sub(now)
 	firstRemaining := milliseconds(c.class.TimeoutMs) - returnedSlack - c.world.linkDelay(at.zone, c.request.Zone)
-	return match.Request{
+	return routing.Request{
 		Attempt:          fmt.Sprintf("%d.%d", c.request.Number, try),
 		Backend:          backendName,
 		Model:            c.request.Model,
 		Parts:            c.request.Parts,
-		PrefixHashes:     match.HashPrefixes(c.request.Parts),
+		PrefixHashes:     routing.HashPrefixes(c.request.Parts),
 		PromptTokens:     c.request.Prompt,
 		OutputTokens:     float64(c.request.Output),
 		Arrived:          now,
--- a/internal/emulator/controlplane.go
+++ b/internal/sim/emulator/controlplane.go
@@ -3,19 +3,19 @@
 import (
 	"time"
 
-	"ferryspar/internal/emulator/standin"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
+	"ferryspar/internal/sim/emulator/standin"
 )
 
 // managedReplica is what the control plane knows of a replica that it places models on.
 type managedReplica struct {
-	listed platform.Replica
+	listed discovery.Replica
 	models map[string]bool
 	// known is set once the replica has reported what it holds.
 	known bool
 	// pending is the load or unload under way, or nil.
-	pending *place.Action
+	pending *placement.Action
 	// barred holds "replica reference" pairs that edges must no longer use.
 	barred map[string]bool
 	// intent is the planner's own note for its next run.
@@ -130,12 +130,12 @@
 }
 
 // holdings lists a set of references as the platform's list does.
-func holdings(models map[string]bool) []platform.LoadedModel {
+func holdings(models map[string]bool) []discovery.LoadedModel {
 	return standin.Holdings(models).List()
 }
 
 // publishRoster sends the replicas and what is barred to every edge.
-func (c *controlPlane) publishRoster(listing []platform.Replica, now time.Time) {
+func (c *controlPlane) publishRoster(listing []discovery.Replica, now time.Time) {
 	update := roster{
 		replicas: listing,
 		fetched:  now,
--- a/internal/emulator/demand.go
+++ b/internal/sim/emulator/demand.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 // loadReport is an edge's load and when it was heard.
@@ -26,7 +26,7 @@
 	// readMs sums the time spent reading prompts since the last measure, by key.
 	readMs map[string]float64
 	// byKey is the demand by backend and model.
-	byKey map[string]*place.Demand
+	byKey map[string]*placement.Demand
 	// learningSince is when demand was first heard; zero before.
 	learningSince time.Time
 	measuredAt    time.Time
@@ -60,7 +60,7 @@
 		reports:    map[int]loadReport{},
 		arrivals:   map[string]float64{},
 		readMs:     map[string]float64{},
-		byKey:      map[string]*place.Demand{},
+		byKey:      map[string]*placement.Demand{},
 		measuredAt: now,
 	}
 }
@@ -98,7 +98,7 @@
 		d.learningSince = now
 	}
 	for _, model := range load.Models {
-		name := place.ModelKey(model.Backend, model.Model)
+		name := placement.ModelKey(model.Backend, model.Model)
 		d.arrivals[name] += float64(model.Arrivals)
 		d.readMs[name] += model.PrefillMs
 	}
@@ -120,9 +120,9 @@
 }
 
 // entry is the demand for a key, made on first use.
-func (d *demand) entry(name string) *place.Demand {
+func (d *demand) entry(name string) *placement.Demand {
 	if d.byKey[name] == nil {
-		d.byKey[name] = &place.Demand{}
+		d.byKey[name] = &placement.Demand{}
 	}
 	return d.byKey[name]
 }
@@ -170,7 +170,7 @@
 			continue
 		}
 		for _, model := range heard.load.Models {
-			one := d.entry(place.ModelKey(model.Backend, model.Model))
+			one := d.entry(placement.ModelKey(model.Backend, model.Model))
 			one.Waiting += model.Waiting
 			one.Running += float64(model.Running)
 			one.LatencyTargetMs = max(one.LatencyTargetMs, model.LatencyTargetMs)
@@ -183,8 +183,8 @@
 }
 
 // copied is a deep copy of the demand.
-func (d *demand) copied() map[string]*place.Demand {
-	copies := make(map[string]*place.Demand, len(d.byKey))
+func (d *demand) copied() map[string]*placement.Demand {
+	copies := make(map[string]*placement.Demand, len(d.byKey))
 	for name, one := range d.byKey {
 		same := *one
 		copies[name] = &same
