--- a/internal/emulator/demo/deployment.go
+++ b/internal/sim/emulator/demo/deployment.go
@@ -11,9 +11,9 @@
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/emulator/standin"
-	"ferryspar/internal/operator"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/adminapi"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/sim/emulator/standin"
 )
 
 // deployment is the running demo: its addresses, its children and what must be undone at the end.
@@ -60,7 +60,7 @@
 	backend := s.plan.configuration.Backends[0]
 	list := &standin.List{PageSize: 3}
 	for _, planned := range s.plan.Replicas {
-		listed := platform.Replica{ID: planned.ID, Zone: planned.Zone, Revision: "v1"}
+		listed := discovery.Replica{ID: planned.ID, Zone: planned.Zone, Revision: "v1"}
 		one := standin.NewReplica(listed, backend, standin.DefaultPace(), planned.Models...)
 		address, err := s.serve(one.Routes(backend.HealthPath))
 		if err != nil {
@@ -190,9 +190,9 @@
 
 // configure sends the embedded configuration as an operator does.
 func (s *deployment) configure(ctx context.Context) error {
-	caller := &operator.Client{
+	caller := &adminapi.Client{
 		Addresses:         s.controls,
-		HTTPClient:        operator.NewHTTPClient(),
+		HTTPClient:        adminapi.NewHTTPClient(),
 		PerAddressTimeout: 2 * time.Second,
 		Timeout:           15 * time.Second,
 	}
--- a/internal/emulator/edge.go
+++ b/internal/sim/emulator/edge.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 	"time"
 
-	"ferryspar/internal/client"
-	"ferryspar/internal/match"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/proxy"
+	"ferryspar/internal/routing"
 )
 
 // edge is a data plane: the project's matcher, its retry budget, and the soft state it is told.
@@ -23,9 +23,9 @@
 	alive bool
 	// routable tells whether clients are still routed here; it lags behind alive.
 	routable bool
-	fleet    atomic.Pointer[match.Snapshot]
-	matcher  *match.Matcher
-	budget   *client.RetryBudget
+	fleet    atomic.Pointer[routing.Snapshot]
+	matcher  *routing.Matcher
+	budget   *proxy.RetryBudget
 	roster   roster
 	// othersLoad is the summed load of the other edges, by replica.
 	othersLoad   map[string]peer.ReplicaLoad
@@ -40,7 +40,7 @@
 
 // roster is what the control plane tells the edges of the replicas.
 type roster struct {
-	replicas []platform.Replica
+	replicas []discovery.Replica
 	fetched  time.Time
 	// barred holds "replica reference" pairs that are being unloaded.
 	barred map[string]bool
@@ -69,10 +69,10 @@
 	e.othersLoad = nil
 	e.othersLoadAt = time.Time{}
 	e.wakeAt = time.Time{}
-	e.fleet = atomic.Pointer[match.Snapshot]{}
-	e.fleet.Store(&match.Snapshot{})
-	e.matcher = match.NewMatcher(e.world.scenario.Parameters, e.world.scenario.Zones[e.zone].Name, e.world.now, &e.fleet)
-	e.budget = client.NewRetryBudget(budgetPeriod, budgetRatio, budgetSlack)
+	e.fleet = atomic.Pointer[routing.Snapshot]{}
+	e.fleet.Store(&routing.Snapshot{})
+	e.matcher = routing.NewMatcher(e.world.scenario.Parameters, e.world.scenario.Zones[e.zone].Name, e.world.now, &e.fleet)
+	e.budget = proxy.NewRetryBudget(budgetPeriod, budgetRatio, budgetSlack)
 	phase := time.Duration(e.number%10) * loadReportEvery / 10
 	e.reportEvery(e.life, phase)
 }
@@ -132,7 +132,7 @@
 	if e.roster.fetched.IsZero() {
 		return
 	}
-	fleet := &match.Snapshot{
+	fleet := &routing.Snapshot{
 		Table:        e.world.table,
 		DrainedZones: map[string]bool{},
 		DataPlanes:   e.roster.edges,
@@ -141,7 +141,7 @@
 		PeerLoadsAt:  e.othersLoadAt,
 	}
 	for index, listed := range e.roster.replicas {
-		one := match.NewReplica(index, listed, e.roster.fetched, e.roster.barred)
+		one := routing.NewReplica(index, listed, e.roster.fetched, e.roster.barred)
 		one.Region = e.world.regionOf(listed.Zone)
 		fleet.Replicas = append(fleet.Replicas, one)
 	}
@@ -217,6 +217,6 @@
 }
 
 // reportOutcome tells the matcher how the ticket's request went.
-func (e *edge) reportOutcome(ticket *match.Ticket, outcome match.Outcome) {
-	e.matcher.HandleReport(match.Report{Ticket: ticket, Outcome: outcome, At: e.world.now()})
+func (e *edge) reportOutcome(ticket *routing.Ticket, outcome routing.Outcome) {
+	e.matcher.HandleReport(routing.Report{Ticket: ticket, Outcome: outcome, At: e.world.now()})
 }
--- a/internal/emulator/failures.go
+++ b/internal/sim/emulator/failures.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"ferryspar/internal/match"
+	"ferryspar/internal/routing"
 )
 
 // scheduleFailures schedules the scenario's losses, crashes and slowdowns.
@@ -99,7 +99,7 @@
 		return
 	}
 	for _, held := range append(slices.Clone(one.queue), one.running...) {
-		held.attempt.edge.afterLink(one.machine.zone, func() { held.attempt.onOutcome(held.forwardNumber, match.OutcomeTruncated) })
+		held.attempt.edge.afterLink(one.machine.zone, func() { held.attempt.onOutcome(held.forwardNumber, routing.OutcomeTruncated) })
 	}
 }
 
--- a/internal/emulator/forecast.go
+++ b/internal/sim/emulator/forecast.go
@@ -5,9 +5,9 @@
 	"slices"
 	"strings"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/placement"
 )
 
 // The figures of the daemons' forecast, beside those that CountByLoad tells too.
@@ -75,7 +75,7 @@
 	merged := drill.Merge(basis, answers)
 	view := s.View.Clone()
 	view.RemoveZones(func(zone string) bool { return s.Loss.Covers(zone, s.Loss.Regions[zone]) })
-	for _, action := range place.Forecast(view) {
+	for _, action := range placement.Forecast(view) {
 		merged.Placement = append(merged.Placement, drill.PlacementStep{
 			Replica: action.Server,
 			Load:    action.Load,
@@ -87,7 +87,7 @@
 }
 
 // replicasAsKnown is the platform's list with the models that the planner knows of.
-func (s Snapshot) replicasAsKnown() []platform.Replica {
+func (s Snapshot) replicasAsKnown() []discovery.Replica {
 	listed := slices.Clone(s.Listed)
 	for _, one := range s.View.Servers {
 		for index := range listed {
--- a/internal/emulator/forward.go
+++ b/internal/sim/emulator/forward.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ferryspar/internal/match"
+	"ferryspar/internal/routing"
 )
 
 // forward sends the request to a server and watches for its answer.
@@ -31,7 +31,7 @@
 		if !to.dark {
 			wait = 2 * w.linkDelay(p.edge.zone, to.machine.zone)
 		}
-		w.events.After(wait, func() { p.onOutcome(number, match.OutcomeUnreachable) })
+		w.events.After(wait, func() { p.onOutcome(number, routing.OutcomeUnreachable) })
 		return
 	}
 	w.observer.forwarded()
@@ -46,7 +46,7 @@
 	p.edge.afterLink(to.machine.zone, func() {
 		if to.dead {
 			if !to.dark {
-				p.edge.afterLink(to.machine.zone, func() { p.onOutcome(number, match.OutcomeTruncated) })
+				p.edge.afterLink(to.machine.zone, func() { p.onOutcome(number, routing.OutcomeTruncated) })
 			}
 			return
 		}
@@ -57,9 +57,9 @@
 }
 
 // rejectionOutcomes tells the outcome of each admission that is a rejection.
-var rejectionOutcomes = map[admission]match.Outcome{
-	admissionFull:    match.OutcomeFull,
-	admissionMissing: match.OutcomeModelMissing,
+var rejectionOutcomes = map[admission]routing.Outcome{
+	admissionFull:    routing.OutcomeFull,
+	admissionMissing: routing.OutcomeModelMissing,
 }
 
 // watchSilence takes the forward for broken once no byte came for the silence bound.
@@ -72,7 +72,7 @@
 			p.watchSilence(number, left)
 			return
 		}
-		p.onOutcome(number, match.OutcomeTruncated)
+		p.onOutcome(number, routing.OutcomeTruncated)
 	})
 }
 
@@ -96,16 +96,16 @@
 	p.lastByte, p.edge.lastUsed[p.replicaID] = now, now
 	if !p.firstSeen {
 		p.firstSeen, p.lastReported = true, now
-		p.edge.reportOutcome(p.ticket, match.OutcomeFirstEvent)
+		p.edge.reportOutcome(p.ticket, routing.OutcomeFirstEvent)
 	} else if now.Sub(p.lastReported) > aliveEvery {
 		p.lastReported = now
-		p.edge.reportOutcome(p.ticket, match.OutcomeProgress)
+		p.edge.reportOutcome(p.ticket, routing.OutcomeProgress)
 	}
 	p.headSent, p.lastID = true, id
 	p.toClient(func() { p.call.receiveEvent(p.try, id) })
 	if last {
 		p.closed = true
-		p.reportOutcome(match.OutcomeServed)
+		p.reportOutcome(routing.OutcomeServed)
 	}
 	p.edge.collectAnswers()
 }
--- a/internal/emulator/loss.go
+++ b/internal/sim/emulator/loss.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
-	"ferryspar/internal/match"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/place"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/placement"
+	"ferryspar/internal/routing"
 )
 
 // Forecast holds foretold figures by name.
@@ -25,8 +25,8 @@
 	Zone    string
 	Lost    bool
 	Load    peer.LoadReport
-	Matcher *match.Matcher
-	Fleet   *match.Snapshot
+	Matcher *routing.Matcher
+	Fleet   *routing.Snapshot
 }
 
 // Snapshot is what the daemons know just before a loss; forecasters may read it but not keep or
@@ -37,14 +37,14 @@
 	// Lost names the zones about to be lost.
 	Lost map[string]bool
 	// Listed is the platform's list.
-	Listed []platform.Replica
+	Listed []discovery.Replica
 	Edges  []EdgeState
-	Demand map[string]*place.Demand
+	Demand map[string]*placement.Demand
 	// Held tells what each address has held, by reference.
 	Held map[string]map[string]bool
 	Loss drill.Loss
 	// View is the planner's input.
-	View *place.View
+	View *placement.View
 }
 
 // snapshot gathers what the daemons know now.
--- a/internal/emulator/modelchange.go
+++ b/internal/sim/emulator/modelchange.go
@@ -4,12 +4,12 @@
 	"strings"
 	"time"
 
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 // modelChange is a load or unload under way at a server.
 type modelChange struct {
-	action place.Action
+	action placement.Action
 	// waiting is set while an unload waits for requests to end.
 	waiting bool
 	done    func(held bool)
@@ -31,7 +31,7 @@
 
 // startChange begins a load or unload and reports false if another is under way. done is called
 // once it has taken effect.
-func (s *server) startChange(action place.Action, done func(held bool)) bool {
+func (s *server) startChange(action placement.Action, done func(held bool)) bool {
 	if s.change != nil {
 		return false
 	}
--- a/internal/emulator/planning.go
+++ b/internal/sim/emulator/planning.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"ferryspar/internal/place"
+	"ferryspar/internal/placement"
 )
 
 // planOnce runs the planner and starts its actions.
@@ -14,7 +14,7 @@
 	now := c.world.now()
 	c.demand.measure(now)
 	view := c.view(now)
-	for _, action := range place.Plan(view) {
+	for _, action := range placement.Plan(view) {
 		c.startAction(action, now)
 	}
 	for _, one := range view.Servers {
@@ -23,8 +23,8 @@
 }
 
 // view is the planner's input at the given moment.
-func (c *controlPlane) view(now time.Time) *place.View {
-	view := &place.View{
+func (c *controlPlane) view(now time.Time) *placement.View {
+	view := &placement.View{
 		Now:          now,
 		Table:        c.world.table,
 		Demand:       c.demand.copied(),
@@ -41,9 +41,9 @@
 	for _, id := range ids {
 		one := c.managed[id]
 		if one.pending != nil && one.pending.Load {
-			view.Loading[place.ModelKey(backendName, one.pending.Model)]++
+			view.Loading[placement.ModelKey(backendName, one.pending.Model)]++
 		}
-		view.Servers = append(view.Servers, &place.Server{
+		view.Servers = append(view.Servers, &placement.Server{
 			ID:      id,
 			Backend: backendName,
 			Zone:    one.listed.Zone,
@@ -73,7 +73,7 @@
 }
 
 // startAction sends a load or unload to a replica; an unload is barred at the edges first.
-func (c *controlPlane) startAction(action place.Action, now time.Time) {
+func (c *controlPlane) startAction(action placement.Action, now time.Time) {
 	one := c.managed[action.Server]
 	one.pending = &action
 	if action.Load && action.FromStore && !strings.Contains(action.Model, "/") {
--- a/internal/emulator/platformlist.go
+++ b/internal/sim/emulator/platformlist.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 // listLater puts the server's present entry into the platform's list after the list's lag.
@@ -26,11 +26,11 @@
 }
 
 // listedReplicas is the platform's list, ordered by id.
-func (w *World) listedReplicas() []platform.Replica {
-	entries := make([]platform.Replica, 0, len(w.listed))
+func (w *World) listedReplicas() []discovery.Replica {
+	entries := make([]discovery.Replica, 0, len(w.listed))
 	for _, one := range w.listed {
 		entries = append(entries, one)
 	}
-	slices.SortFunc(entries, func(one, other platform.Replica) int { return cmp.Compare(one.ID, other.ID) })
+	slices.SortFunc(entries, func(one, other discovery.Replica) int { return cmp.Compare(one.ID, other.ID) })
 	return entries
 }
--- a/internal/emulator/recorded.go
+++ b/internal/sim/emulator/recorded.go
@@ -9,8 +9,8 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"ferryspar/internal/match"
-	"ferryspar/internal/record"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
 )
 
 // readRecord makes the requests of a recorded file; a damaged file is an error.
@@ -20,7 +20,7 @@
 		return nil, errors.Wrap(err, "traffic.record")
 	}
 	defer file.Close()
-	entries, damages, err := record.Read(file)
+	entries, damages, err := requestlog.Read(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "traffic.record")
 	}
@@ -32,7 +32,7 @@
 
 // requestsFromRecord maps recorded models and routes to those of the scenario, in the sequence in
 // which they appear, and draws what the record does not tell.
-func requestsFromRecord(scenario Scenario, entries []record.Entry) ([]Request, error) {
+func requestsFromRecord(scenario Scenario, entries []requestlog.Entry) ([]Request, error) {
 	from := randomSource(scenario.Seed, streamTraffic)
 	chance := rand.New(from)
 	zones := distuv.NewCategorical(weights(scenario.Zones, func(a Zone) float64 { return a.Clients }), from)
@@ -41,7 +41,7 @@
 	next := 0
 	var requests []Request
 	for _, entry := range entries {
-		if entry.Kind != record.KindRequest || entry.AtMs < 0 || entry.AtMs >= scenario.LengthS*1000 {
+		if entry.Kind != requestlog.KindRequest || entry.AtMs < 0 || entry.AtMs >= scenario.LengthS*1000 {
 			continue
 		}
 		if _, known := models[entry.Model]; !known {
@@ -54,7 +54,7 @@
 				next++
 			}
 		}
-		parts, sound := match.ParsePrefix(entry.Prefix)
+		parts, sound := routing.ParsePrefix(entry.Prefix)
 		if !sound {
 			return nil, errors.Errorf("traffic.record: prefix %q cannot be read", entry.Prefix)
 		}
--- a/internal/emulator/recorded_test.go
+++ b/internal/sim/emulator/recorded_test.go
@@ -8,17 +8,17 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/record"
+	"ferryspar/internal/requestlog"
 )
 
 func TestWorld_ServesRecordedRequestsInOrder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day")
 	file, err := os.Create(path)
 	assert.NilError(t, err)
-	writer := record.NewWriter(file, 1<<20, time.Now)
+	writer := requestlog.NewWriter(file, 1<<20, time.Now)
 	for number, route := range []string{"report", "quick", "quick", "elsewhere"} {
-		writer.Write(record.Entry{
-			Kind:         record.KindRequest,
+		writer.Write(requestlog.Entry{
+			Kind:         requestlog.KindRequest,
 			AtMs:         float64(4000 - 1000*number),
 			AttemptID:    "a",
 			Route:        route,
--- a/internal/emulator/replica.go
+++ b/internal/sim/emulator/replica.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"ferryspar/internal/emulator/standin"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/sim/emulator/standin"
 )
 
 // machine is a host; its servers follow each other, its disk and speed stay.
@@ -65,8 +65,8 @@
 }
 
 // entry is the server as the platform's list tells it.
-func (s *server) entry() platform.Replica {
-	listed := platform.Replica{
+func (s *server) entry() discovery.Replica {
+	listed := discovery.Replica{
 		ID:      s.id,
 		Backend: backendName,
 		Address: fmt.Sprintf("machine-%03d", s.machine.number),
--- a/internal/emulator/scenario.go
+++ b/internal/sim/emulator/scenario.go
@@ -1,6 +1,6 @@
 package emulator
 
-import "ferryspar/internal/match"
+import "ferryspar/internal/routing"
 
 // Scenario describes a fleet, its traffic and its failures, as a file gives them. Names end in the
 // unit: S for seconds, Ms for milliseconds.
@@ -13,18 +13,18 @@
 	BucketS float64 `koanf:"bucketS"`
 	Zones   []Zone  `koanf:"zones"`
 	// SpareReplicas are added to every zone.
-	SpareReplicas int              `koanf:"spareReplicas"`
-	Links         Links            `koanf:"links"`
-	Replica       Performance      `koanf:"replica"`
-	Models        Models           `koanf:"models"`
-	Traffic       Traffic          `koanf:"traffic"`
-	Classes       []Class          `koanf:"classes"`
-	Losses        []Loss           `koanf:"losses"`
-	Crashes       []Crash          `koanf:"crashes"`
-	Slowdowns     []Slowdown       `koanf:"slowdowns"`
-	Platform      Platform         `koanf:"platform"`
-	Placement     Placement        `koanf:"placement"`
-	Parameters    match.Parameters `koanf:"parameters"`
+	SpareReplicas int                `koanf:"spareReplicas"`
+	Links         Links              `koanf:"links"`
+	Replica       Performance        `koanf:"replica"`
+	Models        Models             `koanf:"models"`
+	Traffic       Traffic            `koanf:"traffic"`
+	Classes       []Class            `koanf:"classes"`
+	Losses        []Loss             `koanf:"losses"`
+	Crashes       []Crash            `koanf:"crashes"`
+	Slowdowns     []Slowdown         `koanf:"slowdowns"`
+	Platform      Platform           `koanf:"platform"`
+	Placement     Placement          `koanf:"placement"`
+	Parameters    routing.Parameters `koanf:"parameters"`
 }
 
 // Zone is a zone with its share of the clients, as a weight.
@@ -201,6 +201,6 @@
 		Traffic:    Traffic{PerS: 20, BurstFactor: 1, Turns: 3, ThinkS: 6},
 		Platform:   Platform{LagMs: 300, RefreshMs: 250, GoneS: 4, NoticeS: 2, TakeoverS: 4},
 		Placement:  Placement{Copies: CopiesSpread, BusyShare: 0.75},
-		Parameters: match.DefaultParameters(),
+		Parameters: routing.DefaultParameters(),
 	}
 }
--- a/internal/emulator/standin/holdings.go
+++ b/internal/sim/emulator/standin/holdings.go
@@ -4,7 +4,7 @@
 	"sort"
 	"strings"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 // Holdings is a set of references, each a model or "model/adapter".
@@ -30,17 +30,17 @@
 
 // List is the set as the platform's list tells it, ordered by name; adapters without their model
 // are left out.
-func (h Holdings) List() []platform.LoadedModel {
+func (h Holdings) List() []discovery.LoadedModel {
 	references := make([]string, 0, len(h))
 	for reference := range h {
 		references = append(references, reference)
 	}
 	sort.Strings(references)
-	list := []platform.LoadedModel{}
+	list := []discovery.LoadedModel{}
 	for _, reference := range references {
 		model, adapter, adapted := strings.Cut(reference, "/")
 		if !adapted {
-			list = append(list, platform.LoadedModel{Name: model, Revision: 1, Adapters: []string{}})
+			list = append(list, discovery.LoadedModel{Name: model, Revision: 1, Adapters: []string{}})
 			continue
 		}
 		for position := range list {
--- a/internal/emulator/standin/list.go
+++ b/internal/sim/emulator/standin/list.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"strconv"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 )
 
 // List serves the platform's list of the given replicas, in pages.
@@ -21,7 +21,7 @@
 		return
 	}
 	query := request.URL.Query()
-	entries := []platform.Replica{}
+	entries := []discovery.Replica{}
 	for _, one := range l.Replicas {
 		if entry := one.Entry(); query.Get("zone") == "" || query.Get("zone") == entry.Zone {
 			entries = append(entries, entry)
@@ -30,7 +30,7 @@
 	start, _ := strconv.Atoi(query.Get("pageToken"))
 	start = min(max(start, 0), len(entries))
 	end := min(start+max(l.PageSize, 1), len(entries))
-	page := platform.Page{Instances: entries[start:end]}
+	page := discovery.Page{Instances: entries[start:end]}
 	if end < len(entries) {
 		next := strconv.Itoa(end)
 		page.NextToken = &next
--- a/internal/emulator/standin/replica.go
+++ b/internal/sim/emulator/standin/replica.go
@@ -14,7 +14,7 @@
 	"github.com/go-chi/chi/v5"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/replica"
 )
 
@@ -40,7 +40,7 @@
 // Replica is a stand-in replica; any goroutine may call its methods.
 type Replica struct {
 	lock    sync.Mutex
-	entry   platform.Replica
+	entry   discovery.Replica
 	pace    Pace
 	runtime configuration.Runtime
 	models  map[string]configuration.Model
@@ -61,7 +61,7 @@
 
 // NewReplica makes a replica of the backend that holds the given references. SetAddress must be
 // called before it is listed.
-func NewReplica(listed platform.Replica, backend configuration.Backend, pace Pace, references ...string) *Replica {
+func NewReplica(listed discovery.Replica, backend configuration.Backend, pace Pace, references ...string) *Replica {
 	one := &Replica{
 		entry:          listed,
 		pace:           pace,
@@ -87,7 +87,7 @@
 func (r *Replica) SetAddress(address string) { r.entry.Address = address }
 
 // Entry is the replica as the platform's list tells it.
-func (r *Replica) Entry() platform.Replica {
+func (r *Replica) Entry() discovery.Replica {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	listed := r.entry
--- a/internal/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/replica"
 )
 
@@ -46,7 +46,7 @@
 }
 
 func stand(id string, references ...string) *Replica {
-	return NewReplica(platform.Replica{ID: id, Zone: "east"}, backend(), DefaultPace(), references...)
+	return NewReplica(discovery.Replica{ID: id, Zone: "east"}, backend(), DefaultPace(), references...)
 }
 
 func call(one *Replica, method, path, body string, header map[string]string) *httptest.ResponseRecorder {
@@ -118,7 +118,7 @@
 	list := &List{PageSize: 2, Replicas: []*Replica{stand("r-1"), stand("r-2"), stand("r-3")}}
 	server := httptest.NewServer(list)
 	defer server.Close()
-	reader := &platform.Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
+	reader := &discovery.Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
 	read, err := reader.List(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(read), 3)
--- a/internal/emulator/world.go
+++ b/internal/sim/emulator/world.go
@@ -18,9 +18,9 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/emulator/eventqueue"
-	"ferryspar/internal/emulator/standin"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/sim/emulator/eventqueue"
+	"ferryspar/internal/sim/emulator/standin"
 )
 
 // backendName is the one backend of an emulated fleet.
@@ -43,7 +43,7 @@
 	// lost marks the indices of the zones that are down.
 	lost map[int]bool
 	// listed is what the platform's list tells, which lags behind the servers.
-	listed map[string]platform.Replica
+	listed map[string]discovery.Replica
 	// storeLoads counts the loads from the model store under way.
 	storeLoads int
 	observer   *observer
@@ -78,7 +78,7 @@
 		servers:         map[string]*server{},
 		lost:            map[int]bool{},
 		startedAttempts: map[string]bool{},
-		listed:          map[string]platform.Replica{},
+		listed:          map[string]discovery.Replica{},
 		observer:        newObserver(scenario),
 	}
 	w.buildFleet()
--- a/internal/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -10,7 +10,7 @@
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/emulator"
+	"ferryspar/internal/sim/emulator"
 )
 
 // Comparison holds a method's forecast of a figure against the truth, value by value over the
--- a/internal/experiment/compare_test.go
+++ b/internal/sim/experiment/compare_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/emulator"
+	"ferryspar/internal/sim/emulator"
 )
 
 func judge(t *testing.T, forecaster emulator.Forecaster) map[string]Comparison {
--- a/internal/experiment/configuration.go
+++ b/internal/sim/experiment/configuration.go
@@ -15,7 +15,7 @@
 	"github.com/knadh/koanf/v2"
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/emulator"
+	"ferryspar/internal/sim/emulator"
 )
 
 // Configuration is an experiment as its file gives it. Variants change parts of the scenario; Built
--- a/internal/experiment/figures.go
+++ b/internal/sim/experiment/figures.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"ferryspar/internal/emulator"
+	"ferryspar/internal/sim/emulator"
 )
 
 // Estimate is the mean over the seeds, the standard deviation, and half of the 95% confidence
--- a/internal/experiment/foretold_test.go
+++ b/internal/sim/experiment/foretold_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/emulator"
+	"ferryspar/internal/sim/emulator"
 )
 
 func TestCompare_ChecksDaemonForecastAgainstLoss(t *testing.T) {
--- a/internal/experiment/run.go
+++ b/internal/sim/experiment/run.go
@@ -9,7 +9,7 @@
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/emulator"
+	"ferryspar/internal/sim/emulator"
 )
 
 // Runs are the results of a variant, one for each seed.
--- a/internal/experiment/summary.go
+++ b/internal/sim/experiment/summary.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"ferryspar/internal/emulator"
+	"ferryspar/internal/sim/emulator"
 )
 
 // Point is a value at a moment.
--- a/internal/experiment/truth.go
+++ b/internal/sim/experiment/truth.go
@@ -4,7 +4,7 @@
 	"math"
 	"strings"
 
-	"ferryspar/internal/emulator"
+	"ferryspar/internal/sim/emulator"
 )
 
 const (
--- a/internal/experiment/window.go
+++ b/internal/sim/experiment/window.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ferryspar/internal/emulator"
+	"ferryspar/internal/sim/emulator"
 )
 
 // shortestWaitMs is the wait in an edge beyond which a request counts as waiting.
--- a/internal/hollow/standin_replica.go
+++ b/internal/sim/hollow/standin_replica.go
@@ -5,15 +5,15 @@
 	"sync/atomic"
 	"time"
 
-	"ferryspar/internal/emulator/standin"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/sim/emulator/standin"
 )
 
 // standIn is a replica that the fleet's daemons see; its lock guards it.
 type standIn struct {
 	lock      sync.Mutex
-	listed    platform.Replica
+	listed    discovery.Replica
 	held      standin.Holdings
 	busyUntil time.Time
 	sequence  int64
@@ -29,7 +29,7 @@
 const staysListed = 2 * time.Second
 
 // entry is the replica as the list tells it, and whether it does.
-func (s *standIn) entry() (platform.Replica, bool) {
+func (s *standIn) entry() (discovery.Replica, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	listed := s.listed
--- a/internal/hollow/standins.go
+++ b/internal/sim/hollow/standins.go
@@ -9,10 +9,10 @@
 	"sync/atomic"
 	"time"
 
-	"ferryspar/internal/emulator/standin"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/platform"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/sim/emulator/standin"
 )
 
 // StandIns serves the replicas and the platform list of a fleet over HTTP.
@@ -33,7 +33,7 @@
 	for index := range plan.Replicas {
 		host := plan.replicaHost(index)
 		one := &standIn{held: standin.NewHoldings()}
-		one.listed = platform.Replica{
+		one.listed = discovery.Replica{
 			ID:       fmt.Sprintf("i-%08x", index+1),
 			Backend:  serviceName,
 			Address:  plan.at(host, replicaPort),
@@ -90,7 +90,7 @@
 	w.pages.Add(1)
 	from, _ := strconv.Atoi(request.URL.Query().Get("pageToken"))
 	to := min(from+pageSize, len(w.replicas))
-	page := platform.Page{Instances: []platform.Replica{}}
+	page := discovery.Page{Instances: []discovery.Replica{}}
 	for _, one := range w.replicas[min(from, to):to] {
 		if listed, shown := one.entry(); shown {
 			page.Instances = append(page.Instances, listed)
--- a/internal/replay/engine.go
+++ b/internal/sim/replay/engine.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/emulator/eventqueue"
-	"ferryspar/internal/match"
-	"ferryspar/internal/platform"
-	"ferryspar/internal/record"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
+	"ferryspar/internal/sim/emulator/eventqueue"
 )
 
 // TimingModel is how long a replica takes: to read 1000 prompt tokens, before anything else, and to
@@ -29,8 +29,8 @@
 }
 
 type pendingRequest struct {
-	request *match.Request
-	entry   record.Entry
+	request *routing.Request
+	entry   requestlog.Entry
 }
 
 // Engine plays one record. It is not safe for concurrent use.
@@ -38,10 +38,10 @@
 	startedAt    time.Time
 	model        TimingModel
 	events       *eventqueue.Queue
-	snapshot     atomic.Pointer[match.Snapshot]
-	matcher      *match.Matcher
+	snapshot     atomic.Pointer[routing.Snapshot]
+	matcher      *routing.Matcher
 	table        *configuration.Table
-	replicas     []platform.Replica
+	replicas     []discovery.Replica
 	dataPlanes   int
 	drainedZones map[string]bool
 	prefillUntil map[string]time.Time
@@ -51,12 +51,12 @@
 }
 
 // NewEngine returns an engine that matches with parameters as a data plane in zone does.
-func NewEngine(parameters match.Parameters, zone string, model TimingModel) *Engine {
+func NewEngine(parameters routing.Parameters, zone string, model TimingModel) *Engine {
 	engine := &Engine{model: model, prefillUntil: map[string]time.Time{}, drainedZones: map[string]bool{}, Summary: newSummary()}
 	engine.startedAt = time.Unix(0, 0).UTC()
 	engine.events = eventqueue.New(engine.startedAt)
-	engine.snapshot.Store(&match.Snapshot{})
-	engine.matcher = match.NewMatcher(parameters, zone, engine.events.Now, &engine.snapshot)
+	engine.snapshot.Store(&routing.Snapshot{})
+	engine.matcher = routing.NewMatcher(parameters, zone, engine.events.Now, &engine.snapshot)
 	return engine
 }
 
@@ -65,14 +65,14 @@
 }
 
 // Play plays all entries to their end; Summary then holds the outcome.
-func (e *Engine) Play(entries []record.Entry) error {
-	steps := map[string]func(entry record.Entry){
-		record.KindConfiguration: e.setConfiguration,
-		record.KindFleet:         e.setFleet,
-		record.KindRequest:       e.submitRequest,
+func (e *Engine) Play(entries []requestlog.Entry) error {
+	steps := map[string]func(entry requestlog.Entry){
+		requestlog.KindConfiguration: e.setConfiguration,
+		requestlog.KindFleet:         e.setFleet,
+		requestlog.KindRequest:       e.submitRequest,
 	}
 	for _, entry := range entries {
-		if entry.Kind == record.KindConfiguration {
+		if entry.Kind == requestlog.KindConfiguration {
 			if _, err := configuration.Decompress(entry.PackedConfiguration); err != nil {
 				return err
 			}
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (e *Engine) setConfiguration(entry record.Entry) {
+func (e *Engine) setConfiguration(entry requestlog.Entry) {
 	document, _ := configuration.Decompress(entry.PackedConfiguration)
 	if read, err := configuration.Decode(document); err == nil {
 		e.table = configuration.NewTable(read, nil)
@@ -93,7 +93,7 @@
 	}
 }
 
-func (e *Engine) setFleet(entry record.Entry) {
+func (e *Engine) setFleet(entry requestlog.Entry) {
 	e.replicas, e.dataPlanes, e.drainedZones = entry.Replicas, max(entry.EdgeCount, 1), map[string]bool{}
 	for _, zone := range entry.DrainedZones {
 		e.drainedZones[zone] = true
@@ -102,22 +102,22 @@
 }
 
 func (e *Engine) storeSnapshot() {
-	fleet := &match.Snapshot{Table: e.table, DrainedZones: e.drainedZones, DataPlanes: e.dataPlanes, ListedAt: e.events.Now()}
+	fleet := &routing.Snapshot{Table: e.table, DrainedZones: e.drainedZones, DataPlanes: e.dataPlanes, ListedAt: e.events.Now()}
 	for index, listed := range e.replicas {
-		fleet.Replicas = append(fleet.Replicas, match.NewReplica(index, listed, e.events.Now(), nil))
+		fleet.Replicas = append(fleet.Replicas, routing.NewReplica(index, listed, e.events.Now(), nil))
 	}
 	e.snapshot.Store(fleet)
 	e.matcher.Wake()
 }
 
-func (e *Engine) submitRequest(entry record.Entry) {
-	parts, _ := match.ParsePrefix(entry.Prefix)
-	request := &match.Request{
+func (e *Engine) submitRequest(entry requestlog.Entry) {
+	parts, _ := routing.ParsePrefix(entry.Prefix)
+	request := &routing.Request{
 		Attempt:          entry.AttemptID,
 		Backend:          entry.Backend,
 		Model:            entry.Model,
 		Parts:            parts,
-		PrefixHashes:     match.HashPrefixes(parts),
+		PrefixHashes:     routing.HashPrefixes(parts),
 		PromptTokens:     entry.PromptTokens,
 		OutputTokens:     entry.OutputTokens,
 		Arrived:          e.events.Now(),
@@ -160,7 +160,7 @@
 	e.events.At(at, func() { e.matcher.Wake() })
 }
 
-func (e *Engine) applyDecision(request *match.Request, entry record.Entry, decision match.Decision) {
+func (e *Engine) applyDecision(request *routing.Request, entry requestlog.Entry, decision routing.Decision) {
 	if decision.Error != nil {
 		e.Summary.recordRejection(entry.Route)
 		return
@@ -178,10 +178,10 @@
 	}
 	e.Summary.recordSend(entry.Route, ticket.CachedTokens()/max(1, entry.PromptTokens))
 	e.events.At(first, func() {
-		e.matcher.HandleReport(match.Report{Ticket: ticket, Outcome: match.OutcomeFirstEvent, At: e.events.Now()})
+		e.matcher.HandleReport(routing.Report{Ticket: ticket, Outcome: routing.OutcomeFirstEvent, At: e.events.Now()})
 		e.Summary.recordServed(entry.Route, first.Sub(request.Arrived), request.LatencyTarget)
 	})
 	e.events.At(first.Add(milliseconds(decode)), func() {
-		e.matcher.HandleReport(match.Report{Ticket: ticket, Outcome: match.OutcomeServed, At: e.events.Now()})
+		e.matcher.HandleReport(routing.Report{Ticket: ticket, Outcome: routing.OutcomeServed, At: e.events.Now()})
 	})
 }
--- a/internal/replay/engine_test.go
+++ b/internal/sim/replay/engine_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
-	"ferryspar/internal/match"
-	"ferryspar/internal/platform"
-	"ferryspar/internal/record"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
 )
 
 const document = `{"revision":1,"routeTable":[{"name":"quick","hostname":"a","pathPrefix":"/","routeType":"streaming",
@@ -22,14 +22,14 @@
 func recordedDay(t *testing.T, requests int, model string) *bytes.Buffer {
 	var written bytes.Buffer
 	now := time.Unix(0, 0)
-	writer := record.NewWriter(&written, 1<<20, func() time.Time { return now })
-	writer.Write(record.Entry{Kind: record.KindConfiguration, PackedConfiguration: configuration.Compress([]byte(document))})
-	loaded := []platform.LoadedModel{{Name: "m"}}
-	writer.Write(record.Entry{Kind: record.KindFleet, EdgeCount: 1, Zone: "north", Replicas: []platform.Replica{
+	writer := requestlog.NewWriter(&written, 1<<20, func() time.Time { return now })
+	writer.Write(requestlog.Entry{Kind: requestlog.KindConfiguration, PackedConfiguration: configuration.Compress([]byte(document))})
+	loaded := []discovery.LoadedModel{{Name: "m"}}
+	writer.Write(requestlog.Entry{Kind: requestlog.KindFleet, EdgeCount: 1, Zone: "north", Replicas: []discovery.Replica{
 		{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: loaded}, {ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: loaded}}})
 	for number := range requests {
-		writer.Write(record.Entry{
-			Kind:         record.KindRequest,
+		writer.Write(requestlog.Entry{
+			Kind:         requestlog.KindRequest,
 			AtMs:         float64(100 + number*40),
 			AttemptID:    fmt.Sprint(number),
 			Route:        "quick",
@@ -47,10 +47,10 @@
 }
 
 func replayRecord(t *testing.T, from *bytes.Buffer) string {
-	entries, damages, err := record.Read(from)
+	entries, damages, err := requestlog.Read(from)
 	assert.NilError(t, err)
 	assert.Equal(t, len(damages), 0)
-	engine := NewEngine(match.DefaultParameters(), "north", DefaultTimingModel())
+	engine := NewEngine(routing.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
 	var printed bytes.Buffer
 	engine.Summary.Print(&printed)
@@ -68,24 +68,24 @@
 }
 
 func TestEngine_RejectsRequestsOfModelNotLoaded(t *testing.T) {
-	entries, _, err := record.Read(recordedDay(t, 5, "other"))
+	entries, _, err := requestlog.Read(recordedDay(t, 5, "other"))
 	assert.NilError(t, err)
-	engine := NewEngine(match.DefaultParameters(), "north", DefaultTimingModel())
+	engine := NewEngine(routing.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
 	assert.Equal(t, engine.Summary.Routes()[0].Rejected, 5)
 }
 
 func TestEngine_SharedPromptsShowAffinity(t *testing.T) {
-	entries, _, err := record.Read(recordedDay(t, 50, "m"))
+	entries, _, err := requestlog.Read(recordedDay(t, 50, "m"))
 	assert.NilError(t, err)
-	engine := NewEngine(match.DefaultParameters(), "north", DefaultTimingModel())
+	engine := NewEngine(routing.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
 	assert.Assert(t, engine.Summary.Routes()[0].Affinity > 0.5)
 }
 
 func TestEngine_DamagedLinesAreReported(t *testing.T) {
 	damaged := recordedDay(t, 2, "m").String() + "{broken\n" + `{"kind":"order","atMs":5}` + "\n" + `{"kind":"tea"}` + "\n"
-	entries, damages, err := record.Read(strings.NewReader(damaged))
+	entries, damages, err := requestlog.Read(strings.NewReader(damaged))
 	assert.NilError(t, err)
 	assert.Equal(t, len(entries), 4)
 	assert.Equal(t, len(damages), 3)
@@ -95,12 +95,12 @@
 
 func TestWriter_StopsAtSizeLimit(t *testing.T) {
 	var written bytes.Buffer
-	writer := record.NewWriter(&written, 300, time.Now)
+	writer := requestlog.NewWriter(&written, 300, time.Now)
 	for range 100 {
-		writer.Write(record.Entry{Kind: record.KindRequest, Route: "quick", Backend: "s"})
+		writer.Write(requestlog.Entry{Kind: requestlog.KindRequest, Route: "quick", Backend: "s"})
 	}
 	assert.Assert(t, written.Len() > 0 && written.Len() <= 300)
-	_, damages, err := record.Read(&written)
+	_, damages, err := requestlog.Read(&written)
 	assert.NilError(t, err)
 	assert.Equal(t, len(damages), 0)
 }
--- a/internal/replay/pinned_test.go
+++ b/internal/sim/replay/pinned_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/match"
-	"ferryspar/internal/record"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
 	"ferryspar/internal/test/pinned"
 )
 
@@ -22,11 +22,11 @@
 	file, err := os.Open(pinnedDay)
 	assert.NilError(t, err)
 	defer file.Close()
-	entries, damages, err := record.Read(file)
+	entries, damages, err := requestlog.Read(file)
 	assert.NilError(t, err)
 	assert.Equal(t, len(damages), 0)
 	assert.Equal(t, len(entries), 22)
-	engine := NewEngine(match.DefaultParameters(), "north", DefaultTimingModel())
+	engine := NewEngine(routing.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
 	var printed bytes.Buffer
 	engine.Summary.Print(&printed)
--- a/internal/story/founding_fleet_test.go
+++ b/internal/test/integration/founding_fleet_test.go
@@ -1,4 +1,4 @@
-package story
+package integration
 
 import (
 	"math/rand/v2"
@@ -11,13 +11,13 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/controlplane"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 // coreProcess is one life of a control daemon, which may be killed before it has opened its disk.
 type coreProcess struct {
 	lock   sync.Mutex
-	handle *membersim.Handle
+	handle *keystoresim.Handle
 	killed bool
 }
 
@@ -25,7 +25,7 @@
 type bootstrapScenario struct {
 	f         *fleet
 	seeds     []int
-	disks     map[string]*membersim.Disk
+	disks     map[string]*keystoresim.Disk
 	lock      sync.Mutex
 	processes map[string]*coreProcess
 	draw      *rand.Rand
@@ -33,11 +33,11 @@
 
 func newBootstrapScenario(t *testing.T, cores, losses int, seeds []int, seed uint64) *bootstrapScenario {
 	s := &bootstrapScenario{
-		f: startFleetOf(t, 0, losses, 0), seeds: seeds, disks: map[string]*membersim.Disk{}, processes: map[string]*coreProcess{},
+		f: startFleetOf(t, 0, losses, 0), seeds: seeds, disks: map[string]*keystoresim.Disk{}, processes: map[string]*coreProcess{},
 		draw: rand.New(rand.NewPCG(seed, 1)),
 	}
 	for number := 1; number <= cores; number++ {
-		s.disks[coreHost(number)] = membersim.NewDisk()
+		s.disks[coreHost(number)] = keystoresim.NewDisk()
 	}
 	return s
 }
--- a/internal/story/founding_test.go
+++ b/internal/test/integration/founding_test.go
@@ -1,4 +1,4 @@
-package story
+package integration
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 const (
@@ -98,7 +98,7 @@
 		s.checkFounded(t, 3)
 		s.kill(false, s.hosts()...)
 		for _, host := range []string{coreHost(1), coreHost(2)} {
-			s.disks[host] = membersim.NewDisk()
+			s.disks[host] = keystoresim.NewDisk()
 		}
 		s.start(false)
 		time.Sleep(10 * time.Second)
@@ -117,7 +117,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			s.kill(true, s.hosts()...)
-			s.disks[coreHost(lost)] = membersim.NewDisk()
+			s.disks[coreHost(lost)] = keystoresim.NewDisk()
 			time.Sleep(restartDelay)
 			s.start(false)
 			time.Sleep(syncTime)
--- a/internal/story/record_test.go
+++ b/internal/test/integration/record_test.go
@@ -1,4 +1,4 @@
-package story
+package integration
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"ferryspar/internal/operator"
+	"ferryspar/internal/adminapi"
 )
 
 // violations judges all calls so far by the rules for operators' changes.
@@ -110,9 +110,9 @@
 	return found
 }
 
-func (o *operators) status(host string) operator.FleetStatus {
+func (o *operators) status(host string) adminapi.FleetStatus {
 	got := o.f.call(http.MethodGet, host+":8166", "/ferryspar/status", "", nil)
-	var status operator.FleetStatus
+	var status adminapi.FleetStatus
 	_ = json.Unmarshal([]byte(got.body), &status)
 	return status
 }
--- a/internal/story/replica_orders_test.go
+++ b/internal/test/integration/replica_orders_test.go
@@ -1,4 +1,4 @@
-package story
+package integration
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"ferryspar/internal/emulator/standin"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/sim/emulator/standin"
 )
 
 const (
--- a/internal/story/replica_test.go
+++ b/internal/test/integration/replica_test.go
@@ -1,4 +1,4 @@
-package story
+package integration
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"ferryspar/internal/emulator/standin"
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/sim/emulator/standin"
 )
 
 type arrival struct {
@@ -22,7 +22,7 @@
 
 type standInReplica struct {
 	lock      sync.Mutex
-	listed    platform.Replica
+	listed    discovery.Replica
 	models    standin.Holdings
 	runs      []arrival
 	orders    []receivedOrder
@@ -78,7 +78,7 @@
 
 func newStandInReplica(id, host, zone string, models ...string) *standInReplica {
 	stand := &standInReplica{models: standin.NewHoldings(models...), events: 5, loadTime: 2 * time.Second, holding: ordinaryOrders()}
-	stand.listed = platform.Replica{ID: id, Backend: serviceName, Address: host + ":8080", Zone: zone, Revision: "v1", Slots: 8, State: "ready"}
+	stand.listed = discovery.Replica{ID: id, Backend: serviceName, Address: host + ":8080", Zone: zone, Revision: "v1", Slots: 8, State: "ready"}
 	return stand
 }
 
@@ -97,7 +97,7 @@
 	s.coldUntil = until
 }
 
-func (s *standInReplica) entry() platform.Replica {
+func (s *standInReplica) entry() discovery.Replica {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	listed := s.listed
--- a/internal/story/roster_test.go
+++ b/internal/test/integration/roster_test.go
@@ -1,4 +1,4 @@
-package story
+package integration
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/platform"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/retention"
 )
 
@@ -115,11 +115,11 @@
 }
 
 // pageOf is a page of the list. As on the platform, tokens are offsets in the list of the moment.
-func (f *fleet) pageOf(replicas []*standInReplica, token string) platform.Page {
+func (f *fleet) pageOf(replicas []*standInReplica, token string) discovery.Page {
 	f.lock.Lock()
 	size, paged := f.pageSize, f.paged
 	f.lock.Unlock()
-	page, from := platform.Page{Instances: []platform.Replica{}}, 0
+	page, from := discovery.Page{Instances: []discovery.Replica{}}, 0
 	_, _ = fmt.Sscanf(token, "p-%d", &from)
 	end := len(replicas)
 	if size > 0 && from+size < end {
--- a/internal/story/tenants_test.go
+++ b/internal/test/integration/tenants_test.go
@@ -1,4 +1,4 @@
-package story
+package integration
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"ferryspar/internal/configuration"
 	"ferryspar/internal/dataplane"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/record"
 	"ferryspar/internal/replica"
+	"ferryspar/internal/requestlog"
 )
 
 const (
@@ -188,7 +188,7 @@
 		logrus.SetLevel(logrus.DebugLevel)
 		defer logrus.SetLevel(logrus.InfoLevel)
 		edge := dataplane.New(f.settings(edgeHost(1), true, 1, 2, 3), "", f.network.machine(edgeHost(1)))
-		edge.RecordTo(record.NewWriter(&recorded, 1<<20, time.Now))
+		edge.RecordTo(requestlog.NewWriter(&recorded, 1<<20, time.Now))
 		f.launch(edgeHost(1), edge.Run)
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.put(1, 0, 1, documentOf(1, tenantsOf(oldKey))).status, http.StatusOK)
@@ -216,12 +216,12 @@
 // unpackedRecord is all that a record holds, with its configurations unpacked and the tenants of its requests.
 func unpackedRecord(t *testing.T, recorded *bytes.Buffer) string {
 	whole := recorded.String()
-	entries, damages, err := record.Read(recorded)
+	entries, damages, err := requestlog.Read(recorded)
 	assert.NilError(t, err)
 	assert.Equal(t, len(damages), 0)
 	for _, entry := range entries {
 		document, err := configuration.Decompress(entry.PackedConfiguration)
-		if entry.Kind == record.KindConfiguration {
+		if entry.Kind == requestlog.KindConfiguration {
 			assert.NilError(t, err)
 		}
 		whole += string(document) + "/" + entry.Tenant + "\n"
--- a/internal/story/writer_test.go
+++ b/internal/test/integration/writer_test.go
@@ -1,4 +1,4 @@
-package story
+package integration
 
 import (
 	"encoding/json"
--- a/internal/membersim/newcomers.go
+++ b/internal/test/keystoresim/newcomers.go
@@ -1,4 +1,4 @@
-package membersim
+package keystoresim
 
 import (
 	"fmt"
--- a/internal/membersim/zones.go
+++ b/internal/test/keystoresim/zones.go
@@ -1,4 +1,4 @@
-package membersim
+package keystoresim
 
 import (
 	"math/rand/v2"
--- a/internal/histories/calls_test.go
+++ b/internal/test/linearizability/calls_test.go
@@ -1,4 +1,4 @@
-package histories_test
+package linearizability_test
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 
 	"github.com/pkg/errors"
 
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/apierror"
 	"ferryspar/internal/controlstate"
-	"ferryspar/internal/operator"
 )
 
 const (
@@ -167,7 +167,7 @@
 	if s.now() >= sent.started+attemptTimeout && !s.variant.ignoresTokenExpiry {
 		return 0, errCallerGone
 	}
-	before := state.Clock().Add(operator.CallerTimeout)
+	before := state.Clock().Add(adminapi.CallerTimeout)
 	time.Sleep(call.delay)
 	s.waitWhileFrozen(daemon)
 	if s.variant.ignoresTokenExpiry {
--- a/internal/histories/histories_test.go
+++ b/internal/test/linearizability/histories_test.go
@@ -1,4 +1,4 @@
-package histories_test
+package linearizability_test
 
 import (
 	"os"
@@ -10,12 +10,12 @@
 	"github.com/sirupsen/logrus"
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 func TestMain(m *testing.M) {
 	logrus.SetLevel(logrus.ErrorLevel)
-	membersim.Main(m.Run)
+	keystoresim.Main(m.Run)
 }
 
 // SchedulesVariable asks for a longer run.
@@ -66,7 +66,7 @@
 }
 
 func TestSimulation_HistoriesAreLinearizable(t *testing.T) {
-	from, to := membersim.SeedRange(schedulesInCI)
+	from, to := keystoresim.SeedRange(schedulesInCI)
 	if amount, err := strconv.Atoi(os.Getenv(SchedulesVariable)); err == nil {
 		to = from + amount
 	}
@@ -78,7 +78,7 @@
 		done, err := runAndCheck(t, planned, variant{})
 		if err != nil {
 			smallest, why := shrink(t, planned, variant{}, err)
-			t.Fatalf("%s=%d replays this schedule; smaller:\n%s%s", membersim.SeedVariable, seed, smallest, why)
+			t.Fatalf("%s=%d replays this schedule; smaller:\n%s%s", keystoresim.SeedVariable, seed, smallest, why)
 		}
 		sum.add(done)
 		if time.Since(lastProgress) > progressEvery {
@@ -91,7 +91,7 @@
 }
 
 func TestSimulation_SameSeedReplaysExactly(t *testing.T) {
-	from, to := membersim.SeedRange(6)
+	from, to := keystoresim.SeedRange(6)
 	for seed := from; seed < to; seed++ {
 		var histories [2]string
 		for turn := range histories {
@@ -101,6 +101,6 @@
 				histories[turn] = formatHistory(done.history)
 			})
 		}
-		assert.Equal(t, histories[0], histories[1], "%s=%d plays in two ways", membersim.SeedVariable, seed)
+		assert.Equal(t, histories[0], histories[1], "%s=%d plays in two ways", keystoresim.SeedVariable, seed)
 	}
 }
--- a/internal/histories/judge_test.go
+++ b/internal/test/linearizability/judge_test.go
@@ -1,4 +1,4 @@
-package histories_test
+package linearizability_test
 
 import (
 	"slices"
--- a/internal/histories/lease_test.go
+++ b/internal/test/linearizability/lease_test.go
@@ -1,4 +1,4 @@
-package histories_test
+package linearizability_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/lease"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 const (
@@ -60,7 +60,7 @@
 			continue
 		}
 		manager := &lease.Manager{
-			Key: keystore.LeasePrefix + "placement", Holder: name, TTL: membersim.LeaseDuration, TakeoverDelay: takeoverDelay,
+			Key: keystore.LeasePrefix + "placement", Holder: name, TTL: keystoresim.LeaseDuration, TakeoverDelay: takeoverDelay,
 			Store: store, Clock: s.fleet.Clock(name),
 		}
 		ctx, cancel := withTimeout(acquireTimeout)
--- a/internal/histories/play_test.go
+++ b/internal/test/linearizability/play_test.go
@@ -1,4 +1,4 @@
-package histories_test
+package linearizability_test
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 // variant spoils one thing, so that the checks can show that they notice. The zero variant is
 // the product as it is.
 type variant struct {
-	fleet func(cluster *membersim.Cluster)
+	fleet func(cluster *keystoresim.Cluster)
 	// store wraps what the control state decides on.
 	store func(store controlstate.Store) controlstate.Store
 	// ignoresTokenExpiry lets every copy of an evacuation begin, however late it comes.
@@ -31,7 +31,7 @@
 type simulation struct {
 	schedule     schedule
 	variant      variant
-	fleet        *membersim.Cluster
+	fleet        *keystoresim.Cluster
 	startedAt    time.Time
 	standbyCount int
 
@@ -69,7 +69,7 @@
 
 func runSimulation(planned schedule, spoiled variant) (simulationResult, error) {
 	p := &simulation{
-		schedule: planned, variant: spoiled, fleet: membersim.New(planned.seed, planned.size), startedAt: time.Now(),
+		schedule: planned, variant: spoiled, fleet: keystoresim.New(planned.seed, planned.size), startedAt: time.Now(),
 		faulted: map[string]bool{}, diskLost: map[string]bool{}, lastHeartbeat: map[[2]string]time.Time{}, startedMachines: map[string]time.Time{},
 		followers: map[string]*follower{},
 		committed: map[uint64]keystore.Membership{}, callSlots: make(chan struct{}, maxConcurrentCalls), acknowledgements: newAcknowledgements(),
--- a/internal/histories/troubles_test.go
+++ b/internal/test/linearizability/troubles_test.go
@@ -1,4 +1,4 @@
-package histories_test
+package linearizability_test
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"time"
 
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
-// The order of membersim.MachineFaults.
+// The order of keystoresim.MachineFaults.
 const (
 	machineFaultRestart = iota
 	machineFaultPowerLoss
@@ -19,11 +19,11 @@
 	machineFaultRejectWrites
 )
 
-var faultFunctions = map[faultKind]membersim.Fault{
-	faultKill: membersim.MachineFaults[machineFaultRestart], faultPowerLoss: membersim.MachineFaults[machineFaultPowerLoss], faultWipe: membersim.MachineFaults[machineFaultWipe],
-	faultIsolate: membersim.MachineFaults[machineFaultIsolate], faultStallDisk: membersim.MachineFaults[machineFaultStallDisk],
-	faultRejectWrites: membersim.MachineFaults[machineFaultRejectWrites], faultFreeze: membersim.Freeze, faultCutZoneLink: membersim.CutZoneLink,
-	faultLoseZone: membersim.LoseZone, faultStepClock: membersim.StepWallClock,
+var faultFunctions = map[faultKind]keystoresim.Fault{
+	faultKill: keystoresim.MachineFaults[machineFaultRestart], faultPowerLoss: keystoresim.MachineFaults[machineFaultPowerLoss], faultWipe: keystoresim.MachineFaults[machineFaultWipe],
+	faultIsolate: keystoresim.MachineFaults[machineFaultIsolate], faultStallDisk: keystoresim.MachineFaults[machineFaultStallDisk],
+	faultRejectWrites: keystoresim.MachineFaults[machineFaultRejectWrites], faultFreeze: keystoresim.Freeze, faultCutZoneLink: keystoresim.CutZoneLink,
+	faultLoseZone: keystoresim.LoseZone, faultStepClock: keystoresim.StepWallClock,
 }
 
 // stopsProcess says that a trouble ends a process or holds its disk. A machine bears one of these
--- a/internal/histories/variants_test.go
+++ b/internal/test/linearizability/variants_test.go
@@ -1,4 +1,4 @@
-package histories_test
+package linearizability_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membersim"
+	"ferryspar/internal/test/keystoresim"
 )
 
 // rejectsOnRememberedState refuses on what it saw last, without asking a majority.
@@ -90,7 +90,7 @@
 	build func() variant
 }
 
-func clusterVariant(spoil func(cluster *membersim.Cluster)) func() variant {
+func clusterVariant(spoil func(cluster *keystoresim.Cluster)) func() variant {
 	return func() variant { return variant{fleet: spoil} }
 }
 
@@ -99,9 +99,9 @@
 }
 
 var variants = []brokenVariant{
-	{"a wiped member that votes at once", 126, clusterVariant(func(cluster *membersim.Cluster) { cluster.VotesWithoutCatchUp = true })},
-	{"answers before the sync", 4, clusterVariant(func(cluster *membersim.Cluster) { cluster.SkipsSync = true })},
-	{"silence counted as agreement", 2, clusterVariant(func(cluster *membersim.Cluster) { cluster.CountsSilenceAsGrant = true })},
+	{"a wiped member that votes at once", 126, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.VotesWithoutCatchUp = true })},
+	{"answers before the sync", 4, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.SkipsSync = true })},
+	{"silence counted as agreement", 2, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.CountsSilenceAsGrant = true })},
 	{"a refusal decided on remembered ownership", 1, func() variant { return variant{store: withRememberedState()} }},
 	{"resends not recognised", 5, func() variant { return variant{store: withoutAppliedCalls} }},
 	{"freshness without a deadline", 2, func() variant { return variant{staysFreshUntilFailure: true} }},
--- a/internal/explore/doc.go
+++ b/internal/test/modelcheck/doc.go
@@ -1,4 +1,4 @@
-// Package explore walks every order of events in small fleets of the control state and checks
+// Package modelcheck walks every order of events in small fleets of the control state and checks
 // that the agreement holds in each.
 //
 // It is a model checker: a World is the members, the proposers and the messages between them;
@@ -13,4 +13,4 @@
 // what makes millions of worlds a minute possible.
 //
 // Start reading with Scenario, then Search.
-package explore
+package modelcheck
--- a/internal/explore/faults_test.go
+++ b/internal/test/modelcheck/faults_test.go
@@ -1,4 +1,4 @@
-package explore_test
+package modelcheck_test
 
 import (
 	"maps"
@@ -7,46 +7,46 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/explore"
 	"ferryspar/internal/keystore"
+	"ferryspar/internal/test/modelcheck"
 )
 
 // plantedFault is a broken rule and the scenario that must show it.
 type plantedFault struct {
 	name     string
-	scenario explore.Scenario
-	plant    func(rules *explore.Rules)
+	scenario modelcheck.Scenario
+	plant    func(rules *modelcheck.Rules)
 }
 
 const (
 	localMembershipKey = "!members"
 )
 
-func votesRightAfterWipe(rules *explore.Rules) {
+func votesRightAfterWipe(rules *modelcheck.Rules) {
 	rules.Wiped = func(incarnation uint64, membership keystore.Membership) []keystore.Register {
 		return keystore.BootstrapRegisters(membership, incarnation)
 	}
 }
 
-func answersBeforeSync(rules *explore.Rules) {
+func answersBeforeSync(rules *modelcheck.Rules) {
 	rules.WaitsForSync = func([]keystore.Register) bool { return false }
 }
 
-func countsOnlyCurrentMajority(rules *explore.Rules) {
+func countsOnlyCurrentMajority(rules *modelcheck.Rules) {
 	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees func(string, keystore.Reply) bool) (bool, bool) {
 		membership.Next = nil
 		return keystore.CountVotes(membership, replies, agrees)
 	}
 }
 
-func countsSilenceAsAgreement(rules *explore.Rules) {
+func countsSilenceAsAgreement(rules *modelcheck.Rules) {
 	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees func(string, keystore.Reply) bool) (bool, bool) {
 		_, possible := keystore.CountVotes(membership, replies, agrees)
 		return possible && len(replies) > 0, possible
 	}
 }
 
-func installsStaleMembership(rules *explore.Rules) {
+func installsStaleMembership(rules *modelcheck.Rules) {
 	rules.Install = func(state *keystore.AcceptorState, read keystore.CatchUpResult, now time.Time) (keystore.Reply, []keystore.Register) {
 		blind := state.Clone()
 		delete(blind.Registers, localMembershipKey)
@@ -54,32 +54,32 @@
 	}
 }
 
-func reusesProposalNumbers(rules *explore.Rules) {
+func reusesProposalNumbers(rules *modelcheck.Rules) {
 	rules.ProposalNumber = func(round uint64, member string, _ uint64) keystore.ProposalNumber {
 		return keystore.ProposalNumber{Round: round, Proposer: member}
 	}
 }
 
-func countsFreshnessFromReply(rules *explore.Rules) {
+func countsFreshnessFromReply(rules *modelcheck.Rules) {
 	rules.IsFresh = func(_, answered, now time.Time, length time.Duration) bool { return now.Before(answered.Add(length)) }
 }
 
-func keepsFreshnessOverFreeze(rules *explore.Rules) {
+func keepsFreshnessOverFreeze(rules *modelcheck.Rules) {
 	rules.IsFresh = func(_, _, _ time.Time, _ time.Duration) bool { return true }
 }
 
-func countsLeasesByWallClock(rules *explore.Rules) {
+func countsLeasesByWallClock(rules *modelcheck.Rules) {
 	rules.Clock = func(steady time.Time, dayOffset time.Duration) time.Time { return steady.Add(dayOffset) }
 }
 
-func countsAnyAcceptance(rules *explore.Rules) {
+func countsAnyAcceptance(rules *modelcheck.Rules) {
 	rules.CountsAcceptance = func(owner keystore.Ownership, address string, reply keystore.Reply) bool {
 		promised, counted := owner.AcceptMessage(keystore.Register{}).DiskIncarnations[address]
 		return reply.Granted && (!counted || promised == reply.DiskIncarnation)
 	}
 }
 
-func ignoresOwnDiskLoss(rules *explore.Rules) {
+func ignoresOwnDiskLoss(rules *modelcheck.Rules) {
 	rules.Step = func(
 		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
 	) (keystore.Reply, []keystore.Register) {
@@ -89,7 +89,7 @@
 	}
 }
 
-func ignoresDiskIncarnations(rules *explore.Rules) {
+func ignoresDiskIncarnations(rules *modelcheck.Rules) {
 	rules.Step = func(
 		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
 	) (keystore.Reply, []keystore.Register) {
@@ -98,11 +98,11 @@
 	}
 }
 
-func skipsRecommit(rules *explore.Rules) {
+func skipsRecommit(rules *modelcheck.Rules) {
 	rules.NeedsRecommit = func(keystore.Ownership) bool { return false }
 }
 
-func promisesLeasesAfterInstall(rules *explore.Rules) {
+func promisesLeasesAfterInstall(rules *modelcheck.Rules) {
 	rules.Install = func(state *keystore.AcceptorState, read keystore.CatchUpResult, now time.Time) (keystore.Reply, []keystore.Register) {
 		reply, changes := state.Install(read, now)
 		state.LeasesBlockedUntil = time.Time{}
@@ -111,7 +111,7 @@
 }
 
 // readsUnconfirmed lets an owner read again without the word of a majority.
-func readsUnconfirmed(rules *explore.Rules) {
+func readsUnconfirmed(rules *modelcheck.Rules) {
 	rules.Step = func(
 		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
 	) (keystore.Reply, []keystore.Register) {
@@ -124,7 +124,7 @@
 }
 
 // judgesChangedReplies changes the answers on which founding is judged; silent founders count as given by blank.
-func judgesChangedReplies(rules *explore.Rules, change func(address string, reply keystore.Reply) keystore.Reply) {
+func judgesChangedReplies(rules *modelcheck.Rules, change func(address string, reply keystore.Reply) keystore.Reply) {
 	rules.JudgeBootstrap = func(self string, founding keystore.Membership, replies map[string]keystore.Reply) keystore.BootstrapVerdict {
 		judged := map[string]keystore.Reply{}
 		for _, address := range founding.Current {
@@ -136,23 +136,23 @@
 }
 
 // bootstrapsWithoutUnanswered takes a founder that did not answer for one that never voted.
-func bootstrapsWithoutUnanswered(rules *explore.Rules) {
+func bootstrapsWithoutUnanswered(rules *modelcheck.Rules) {
 	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
 		if reply.DiskIncarnation == 0 {
-			return keystore.Reply{Rejection: keystore.RejectedNotVoting, NeverVoted: true, Seeds: explore.BootstrapWithoutOne().Membership.Current}
+			return keystore.Reply{Rejection: keystore.RejectedNotVoting, NeverVoted: true, Seeds: modelcheck.BootstrapWithoutOne().Membership.Current}
 		}
 		return reply
 	})
 }
 
-func bootstrapsAfterCompletion(rules *explore.Rules) {
+func bootstrapsAfterCompletion(rules *modelcheck.Rules) {
 	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
 		reply.BootstrapCompleted = false
 		return reply
 	})
 }
 
-func bootstrapsUnderAnyMembership(rules *explore.Rules) {
+func bootstrapsUnderAnyMembership(rules *modelcheck.Rules) {
 	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
 		if reply.Membership.Version > 0 {
 			reply.Membership.Version = keystore.BootstrapVersion
@@ -162,7 +162,7 @@
 }
 
 // answersWithoutRecordingIncarnation leaves it unnoted who was told that this member never voted.
-func answersWithoutRecordingIncarnation(rules *explore.Rules) {
+func answersWithoutRecordingIncarnation(rules *modelcheck.Rules) {
 	rules.Step = func(
 		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
 	) (keystore.Reply, []keystore.Register) {
@@ -175,33 +175,33 @@
 }
 
 var plantedFaults = []plantedFault{
-	{"silent founder counted as one that never voted", explore.BootstrapWithoutOne(), bootstrapsWithoutUnanswered},
-	{"second founding after the first was completed", explore.BootstrapLongAgo(), bootstrapsAfterCompletion},
-	{"founding under a later member list", explore.BootstrapMembershipChanged(), bootstrapsUnderAnyMembership},
-	{"testimony not tied to a life", explore.BootstrapWithWipe(), answersWithoutRecordingIncarnation},
-	{"vote after a wipe at once", explore.WipeSeen(), votesRightAfterWipe},
-	{"answer before the sync", explore.CrashBetweenWrites(), answersBeforeSync},
-	{"one majority in a joint change", explore.JointMajorities(), countsOnlyCurrentMajority},
-	{"silence as agreement", explore.TwoProposers(), countsSilenceAsAgreement},
-	{"stale member list installed at catch-up", explore.MembershipDuringCatchUp(), installsStaleMembership},
-	{"ballot reused by the next life", explore.Restart(), reusesProposalNumbers},
-	{"freshness counted from the answer", explore.FreshDigest(), countsFreshnessFromReply},
-	{"freshness kept over a freeze", explore.FreshDigest(), keepsFreshnessOverFreeze},
-	{"renewal granted under a higher promise", explore.OwnerReads(), readsUnconfirmed},
-	{"lease by the time of day", explore.LeaseReleased(), countsLeasesByWallClock},
-	{"accept that ignores incarnations", explore.WipeSeen(), ignoresDiskIncarnations},
-	{"write counted at members that promised nothing", explore.WipeBetweenWrites(), countsAnyAcceptance},
-	{"member that does not know its own lost disk", explore.WipeHalfWritten(), ignoresOwnDiskLoss},
-	{"owner that skips the recommit", explore.ThreeProposers(), skipsRecommit},
-	{"newcomer that promises leases at once", explore.LeaseWiped(), promisesLeasesAfterInstall},
+	{"silent founder counted as one that never voted", modelcheck.BootstrapWithoutOne(), bootstrapsWithoutUnanswered},
+	{"second founding after the first was completed", modelcheck.BootstrapLongAgo(), bootstrapsAfterCompletion},
+	{"founding under a later member list", modelcheck.BootstrapMembershipChanged(), bootstrapsUnderAnyMembership},
+	{"testimony not tied to a life", modelcheck.BootstrapWithWipe(), answersWithoutRecordingIncarnation},
+	{"vote after a wipe at once", modelcheck.WipeSeen(), votesRightAfterWipe},
+	{"answer before the sync", modelcheck.CrashBetweenWrites(), answersBeforeSync},
+	{"one majority in a joint change", modelcheck.JointMajorities(), countsOnlyCurrentMajority},
+	{"silence as agreement", modelcheck.TwoProposers(), countsSilenceAsAgreement},
+	{"stale member list installed at catch-up", modelcheck.MembershipDuringCatchUp(), installsStaleMembership},
+	{"ballot reused by the next life", modelcheck.Restart(), reusesProposalNumbers},
+	{"freshness counted from the answer", modelcheck.FreshDigest(), countsFreshnessFromReply},
+	{"freshness kept over a freeze", modelcheck.FreshDigest(), keepsFreshnessOverFreeze},
+	{"renewal granted under a higher promise", modelcheck.OwnerReads(), readsUnconfirmed},
+	{"lease by the time of day", modelcheck.LeaseReleased(), countsLeasesByWallClock},
+	{"accept that ignores incarnations", modelcheck.WipeSeen(), ignoresDiskIncarnations},
+	{"write counted at members that promised nothing", modelcheck.WipeBetweenWrites(), countsAnyAcceptance},
+	{"member that does not know its own lost disk", modelcheck.WipeHalfWritten(), ignoresOwnDiskLoss},
+	{"owner that skips the recommit", modelcheck.ThreeProposers(), skipsRecommit},
+	{"newcomer that promises leases at once", modelcheck.LeaseWiped(), promisesLeasesAfterInstall},
 }
 
 func TestSearch_FindsPlantedFaults(t *testing.T) {
 	for _, planted := range plantedFaults {
 		t.Run(planted.name, func(t *testing.T) {
-			rules := explore.ProductRules()
+			rules := modelcheck.ProductRules()
 			planted.plant(&rules)
-			report := explore.Search(t.Context(), planted.scenario, rules, explore.Limits{})
+			report := modelcheck.Search(t.Context(), planted.scenario, rules, modelcheck.Limits{})
 			t.Log(report)
 			assert.Assert(t, report.Violation != "", "not found in all %d states", report.States)
 		})
--- a/internal/explore/rounds.go
+++ b/internal/test/modelcheck/rounds.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"ferryspar/internal/keystore"
--- a/internal/explore/scenarios.go
+++ b/internal/test/modelcheck/scenarios.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"encoding/json"
--- a/internal/explore/scenarios_lease.go
+++ b/internal/test/modelcheck/scenarios_lease.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 // LeaseTaken is a lease that two want, one of which renews and releases it, over steps of time,
 // with a crash and a step of a machine's time of day.
--- a/internal/explore/scenarios_members.go
+++ b/internal/test/modelcheck/scenarios_members.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 // MemberReplaced is c replaced by d while a proposer that knows only the old list writes.
 func MemberReplaced() Scenario {
