--- a/internal/controlplane/drill.go
+++ b/internal/controlplane/drill.go
@@ -21,8 +21,6 @@
 	drillCheckInterval = 400 * time.Millisecond
 	// drillRenewInterval is how often the holder renews a running drill.
 	drillRenewInterval = time.Second
-	// drillLeaseDuration is how long a drill goes on without renewal.
-	drillLeaseDuration = 5 * time.Second
 )
 
 // applyDrill adopts a committed drill record. A renewal does not put off the end that was promised
@@ -34,16 +32,9 @@
 	}
 	now := n.clock()
 	n.publisher.Update(func(next *Snapshot) bool {
-		current := next.Drill
-		if record.Number < current.Number || record.Number == current.Number && record.Renewals <= current.Renewals && current.Number > 0 {
-			return false
-		}
-		view := drillState{record, now.Add(time.Duration(record.LeftMs) * time.Millisecond), now.Add(drillLeaseDuration)}
-		if record.Number == current.Number && current.deadline.Before(view.deadline) {
-			view.deadline = current.deadline
-		}
-		next.Drill = view
-		return true
+		state, changed := next.Drill.Adopt(record, now)
+		next.Drill = state
+		return changed
 	})
 }
 
@@ -65,7 +56,7 @@
 			started = previous
 			return nil, errUnchanged
 		}
-		if previous.Running && (view.Number != previous.Number || view.isRunning(n.clock())) {
+		if previous.Running && (view.Number != previous.Number || view.IsRunning(n.clock())) {
 			return nil, apierror.New(apierror.DrillInProgress, "drill %d of %s runs", previous.Number, previous.Scope)
 		}
 		next, err := request.NewRecord(previous)
--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -64,7 +64,7 @@
 }
 
 // renewDrill stores that the drill goes on, with the time left.
-func (n *Node) renewDrill(ctx context.Context, state drillState, now time.Time) {
+func (n *Node) renewDrill(ctx context.Context, state drill.State, now time.Time) {
 	bounded, cancel := context.WithTimeout(ctx, guardWriteTimeout)
 	defer cancel()
 	_ = n.changeKey(bounded, keystore.DrillKey, func(current keystore.Register) (any, error) {
@@ -73,7 +73,7 @@
 		if !record.Running || record.Number != state.Number {
 			return nil, errUnchanged
 		}
-		return record.Renew(state.deadline.Sub(now)), nil
+		return record.Renew(state.Deadline.Sub(now)), nil
 	})
 }
 
@@ -100,10 +100,10 @@
 // own time.
 func (n *Node) checkDrillGuard(base *baseline, snapshot *Snapshot, now time.Time) (string, bool) {
 	view := snapshot.Drill
-	if !now.Before(view.deadline) {
+	if !now.Before(view.Deadline) {
 		return drill.EndedByTime, false
 	}
-	if !now.Before(view.leaseExpiresAt) {
+	if !now.Before(view.LeaseExpiresAt) {
 		return drill.EndedWithoutRenewal, true
 	}
 	for zone, state := range snapshot.Zones {
--- a/internal/controlplane/publisher.go
+++ b/internal/controlplane/publisher.go
@@ -33,7 +33,7 @@
 	Retention           retention.Policy
 	Forgets             retention.Record
 	Forecast            *drill.ForecastRequest
-	Drill               drillState
+	Drill               drill.State
 	changed             chan struct{}
 	confirmed           chan struct{}
 }
@@ -127,7 +127,7 @@
 		response.Zones = s.Zones
 	}
 	response.Context = s.contextUpdate(request)
-	response.Forecast, response.Drill = s.Forecast, s.Drill.notice(request.Drill, now)
+	response.Forecast, response.Drill = s.Forecast, s.Drill.Notice(request.Drill, now)
 	if request.Primary && s.Revision > request.Revision {
 		response.PackedConfiguration = s.PackedConfiguration
 	}
