--- /dev/null
+++ b/internal/lease/manager.go
@@ -0,0 +1,186 @@
+package lease
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"ferryspar/internal/keystore"
+	"ferryspar/internal/loadbudget"
+)
+
+// logKeyLease is the log field that names the lease.
+const logKeyLease = "lease"
+
+// ErrSuperseded is returned by Manager.Reserve for a grant that is no longer the last one.
+var ErrSuperseded = errors.New("the lease was granted anew")
+
+// Store is the part of the keystore that a Manager needs.
+type Store interface {
+	// Acquire becomes the owner of a key by a higher proposal number and writes what decide returns for
+	// the value found.
+	Acquire(ctx context.Context, name string, decide func(current keystore.Register) json.RawMessage) (keystore.Register, error)
+	// Update writes the key again while this process still owns it.
+	Update(ctx context.Context, name string, decide keystore.Decide) error
+	// Renew asks a majority whether this process still owns the key.
+	Renew(ctx context.Context, name string) error
+	// Release gives up the ownership of the key.
+	Release(ctx context.Context, name string) error
+}
+
+// Manager acquires and renews one lease for this process. Set the exported fields before the first call.
+// Acquire must not be called concurrently with itself; the other methods may be called at any time.
+type Manager struct {
+	// Key is the keystore key of the lease.
+	Key string
+	// Holder and Address are written to the record as the holder's name and address.
+	Holder  string
+	Address string
+	// TTL is how long a grant lasts, counted from before the request to the majority: counted from the
+	// answer, the holder would believe in its lease for longer than the members that granted it.
+	TTL time.Duration
+	// TakeoverDelay is how long a new holder waits before it acts if another daemon held the lease before.
+	// It must cover the TTL; with a shorter one, two holders can act at once.
+	TakeoverDelay time.Duration
+	Store         Store
+	// Clock returns readings of the monotonic clock.
+	Clock func() time.Time
+
+	// lastFence is the fence of the last grant, 0 before the first.
+	lastFence uint64
+	// highestProposedFence is the highest fence that was requested. A record with a higher one was
+	// written by another process.
+	highestProposedFence uint64
+	// lastEffectiveFrom is the EffectiveFrom of the last grant.
+	lastEffectiveFrom time.Time
+	// interrupted is set once a record of another holder, or of another incarnation of this one, was
+	// seen since the last grant.
+	interrupted bool
+}
+
+// Acquire acquires the lease with the next fence. The caller must act only as far as the returned Grant
+// allows. An error means that no majority is known to have granted the lease.
+func (m *Manager) Acquire(ctx context.Context) (*Grant, error) {
+	requestedAt := m.Clock()
+	var record Record
+	_, err := m.Store.Acquire(ctx, m.Key, func(current keystore.Register) json.RawMessage {
+		record = m.propose(current)
+		value, _ := json.Marshal(record)
+		return value
+	})
+	if err != nil {
+		return nil, err
+	}
+	grant := m.adopt(record, requestedAt, m.Clock())
+	logrus.WithFields(logrus.Fields{logKeyLease: m.Key, "fence": record.Fence}).Info("lease taken")
+	return grant, nil
+}
+
+// propose returns the record to write over the one found. The store may call it several times for one
+// Acquire, each time with what it found then.
+func (m *Manager) propose(current keystore.Register) Record {
+	var last Record
+	// A key that was never written has no value, which reads as a lease that nobody has held.
+	_ = json.Unmarshal(current.Value, &last)
+	record := m.nextRecord(last)
+	if !record.sameHolder(last) || last.Fence < m.lastFence || last.Fence > m.highestProposedFence {
+		m.interrupted = true
+	}
+	m.highestProposedFence = record.Fence
+	return record
+}
+
+// nextRecord is the record of this holder's next grant. The reservation is carried over, since what it
+// bounds outlives the grant; the very first grant has nothing to carry.
+func (m *Manager) nextRecord(last Record) Record {
+	record := Record{
+		Holder:   m.Holder,
+		Address:  m.Address,
+		Fence:    last.Fence + 1,
+		Reserved: last.Reserved,
+	}
+	if last.Fence == 0 {
+		record.Reserved = new(loadbudget.Reservation)
+		return record
+	}
+	record.TakeoverPending = last.TakeoverPending || !record.sameHolder(last)
+	return record
+}
+
+// adopt makes a record that a majority accepted the last grant of this process.
+func (m *Manager) adopt(record Record, requestedAt, now time.Time) *Grant {
+	grant := &Grant{
+		Record:        record,
+		GrantedAt:     now,
+		ExpiresAt:     requestedAt.Add(m.TTL),
+		EffectiveFrom: now,
+	}
+	if !m.interrupted {
+		grant.ContinuesFence = m.lastFence
+	}
+	if record.TakeoverPending {
+		grant.EffectiveFrom = m.takeoverEndsAt(grant.ContinuesFence, now)
+	}
+	m.lastFence = record.Fence
+	m.interrupted = false
+	m.lastEffectiveFrom = grant.EffectiveFrom
+	return grant
+}
+
+// takeoverEndsAt is when the lease of an earlier holder has surely expired. A grant that continues one of
+// this process ends the wait that began with that one.
+func (m *Manager) takeoverEndsAt(continuesFence uint64, now time.Time) time.Time {
+	if continuesFence == 0 {
+		return now.Add(m.TakeoverDelay)
+	}
+	if m.lastEffectiveFrom.After(now) {
+		return m.lastEffectiveFrom
+	}
+	return now
+}
+
+// Reserve writes a reservation into the record of a grant. It returns an error that wraps ErrSuperseded if
+// the lease was granted again since. After any other error a successor may find this reservation or an
+// earlier one.
+func (m *Manager) Reserve(ctx context.Context, grant *Grant, reserved loadbudget.Reservation) error {
+	return m.Store.Update(ctx, m.Key, func(current keystore.Register) (json.RawMessage, error) {
+		var last Record
+		if err := json.Unmarshal(current.Value, &last); err != nil {
+			return nil, errors.Wrapf(err, "decode the record of lease %q", m.Key)
+		}
+		if !last.sameHolder(grant.Record) || last.Fence != grant.Record.Fence {
+			return nil, errors.Wrapf(ErrSuperseded, "lease %q, fence %d", m.Key, grant.Record.Fence)
+		}
+		last.Reserved = &reserved
+		if !m.Clock().Before(grant.EffectiveFrom) {
+			last.TakeoverPending = false
+		}
+		return json.Marshal(last)
+	})
+}
+
+// Renew extends a grant, counted from the moment before the request. It returns the same grant if that
+// still runs but no majority answered, and nil once the lease is lost.
+func (m *Manager) Renew(ctx context.Context, grant *Grant) *Grant {
+	requestedAt := m.Clock()
+	if !requestedAt.Before(grant.ExpiresAt) {
+		return nil
+	}
+	if err := m.Store.Renew(ctx, m.Key); err != nil {
+		if m.Clock().Before(grant.ExpiresAt) {
+			return grant
+		}
+		logrus.WithError(err).WithField(logKeyLease, m.Key).Warn("lease lost")
+		return nil
+	}
+	renewed := *grant
+	renewed.ExpiresAt = requestedAt.Add(m.TTL)
+	return &renewed
+}
+
+// Release gives up the lease early, so that a successor need not wait until it expires. The holder must have
+// completed its last action under it.
+func (m *Manager) Release(ctx context.Context) error { return m.Store.Release(ctx, m.Key) }
