--- a/internal/sim/emulator/check.go
+++ b/internal/sim/emulator/check.go
@@ -180,7 +180,10 @@
 		)
 	}
 	for _, crash := range s.Crashes {
-		rules = append(rules, rule{crash.Replica < 1 || crash.Replica > replicas, fmt.Sprintf("crashes: there is no replica %d", crash.Replica)})
+		rules = append(rules, rule{
+			crash.Replica < 1 || crash.Replica > replicas,
+			fmt.Sprintf("crashes: there is no replica %d", crash.Replica),
+		})
 	}
 	for _, slow := range s.Slowdowns {
 		rules = append(rules,
--- a/internal/sim/emulator/loadcount.go
+++ b/internal/sim/emulator/loadcount.go
@@ -16,38 +16,51 @@
 // CountByLoad is the simplest forecaster: it counts from the list and the load reports alone what
 // is in the lost zones.
 func CountByLoad(before Snapshot) Forecast {
-	lost := map[string]bool{}
+	lost, withoutCopy := lostReplicas(before)
+	moving := 0
+	for _, edge := range before.Edges {
+		moving += movingRequests(edge, lost)
+	}
+	return Forecast{FigureMoving: float64(moving), FigureWithoutCopy: float64(withoutCopy)}
+}
+
+// lostReplicas are the listed replicas of the lost zones, and the number of models and adapters that only they have loaded.
+func lostReplicas(before Snapshot) (lost map[string]bool, withoutCopy int) {
+	lost = map[string]bool{}
 	kept, gone := map[string]bool{}, map[string]bool{}
 	for _, listed := range before.Listed {
 		into := kept
 		if before.Lost[listed.Zone] {
 			lost[listed.ID], into = true, gone
 		}
-		for _, held := range listed.Models {
-			into[held.Name] = true
-			for _, adapter := range held.Adapters {
-				into[held.Name+"/"+adapter] = true
+		for _, model := range listed.Models {
+			into[model.Name] = true
+			for _, adapter := range model.Adapters {
+				into[model.Name+"/"+adapter] = true
 			}
 		}
 	}
-	moving, alone := 0, 0
-	for _, one := range before.Edges {
-		for id, load := range one.Load.Replicas {
-			if lost[id] || one.Lost {
-				moving += load.Running
-			}
-		}
-		if !one.Lost {
-			continue
-		}
-		for _, model := range one.Load.Models {
-			moving += model.Waiting
-		}
-	}
 	for reference := range gone {
 		if !kept[reference] {
-			alone++
+			withoutCopy++
 		}
 	}
-	return Forecast{FigureMoving: float64(moving), FigureWithoutCopy: float64(alone)}
+	return lost, withoutCopy
+}
+
+// movingRequests counts the requests of a data plane that go elsewhere once the replicas, or the data plane itself, are lost.
+func movingRequests(edge EdgeState, lost map[string]bool) int {
+	moving := 0
+	for id, load := range edge.Load.Replicas {
+		if lost[id] || edge.Lost {
+			moving += load.Running
+		}
+	}
+	if !edge.Lost {
+		return moving
+	}
+	for _, model := range edge.Load.Models {
+		moving += model.Waiting
+	}
+	return moving
 }
--- a/internal/sim/emulator/standin/replica.go
+++ b/internal/sim/emulator/standin/replica.go
@@ -123,13 +123,13 @@
 }
 
 // serveHealth answers a health check.
-func (r *Replica) serveHealth(writer http.ResponseWriter, request *http.Request) {
+func (r *Replica) serveHealth(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set(replica.HeaderReplicaID, r.entry.ID)
 	writer.WriteHeader(http.StatusOK)
 }
 
 // serveReport answers with the replica's state.
-func (r *Replica) serveReport(writer http.ResponseWriter, request *http.Request) {
+func (r *Replica) serveReport(writer http.ResponseWriter, _ *http.Request) {
 	r.lock.Lock()
 	state := replica.Report{
 		Phase:    "unified",
--- a/internal/sim/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -60,7 +60,13 @@
 }
 
 func order(one *Replica, operation, model, adapter string, fence int) int {
-	body := fmt.Sprintf(`{"operation":%q,"modelId":%q,"adapterId":%q,"leaseHolder":"node","fenceToken":%d}`, operation, model, adapter, fence)
+	body := fmt.Sprintf(
+		`{"operation":%q,"modelId":%q,"adapterId":%q,"leaseHolder":"node","fenceToken":%d}`,
+		operation,
+		model,
+		adapter,
+		fence,
+	)
 	return call(one, http.MethodPost, "/ferryspar/order", body, nil).Code
 }
 
--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -130,9 +130,9 @@
 
 // newComparison compares a forecast with the truth.
 func newComparison(name, method string, size int, truth, foretold []float64) Comparison {
-	errors := differences(foretold, truth)
-	absolute := make([]float64, len(errors))
-	for index, value := range errors {
+	deviations := differences(foretold, truth)
+	absolute := make([]float64, len(deviations))
+	for index, value := range deviations {
 		absolute[index] = math.Abs(value)
 	}
 	return Comparison{
@@ -141,7 +141,7 @@
 		Size:     size,
 		Truth:    truth,
 		Forecast: foretold,
-		Error:    estimate(errors),
+		Error:    estimate(deviations),
 	}.withErrors(absolute)
 }
 
--- a/internal/sim/experiment/truth.go
+++ b/internal/sim/experiment/truth.go
@@ -84,10 +84,10 @@
 			if !known {
 				return nil
 			}
-			real := float64(loss.MovedTo[replica])
-			truth += real
+			moved := float64(loss.MovedTo[replica])
+			truth += moved
 			forecast += value
-			apart += math.Abs(value - real)
+			apart += math.Abs(value - moved)
 		}
 		left := float64(max(len(loss.Surviving), 1))
 		one.Truth = append(one.Truth, truth/left)
--- a/internal/sim/hollow/child.go
+++ b/internal/sim/hollow/child.go
@@ -149,7 +149,7 @@
 		return err
 	}
 	network := NewNetwork(c.plan, host, c.counter, &c.cut)
-	run := func(ctx context.Context, signals nodesettings.Signals) error { return nil }
+	run := func(_ context.Context, _ nodesettings.Signals) error { return nil }
 	if c.role == roleMember {
 		folder, err := keystore.NewDirectory(filepath.Join(c.folder, host))
 		if err != nil {
--- a/internal/sim/hollow/hollow_test.go
+++ b/internal/sim/hollow/hollow_test.go
@@ -97,7 +97,8 @@
 }
 
 func TestSlopes_ReadExponentsFromBenchmarkLines(t *testing.T) {
-	output := "goos: linux\nBenchmarkHear/edges=8-4  100  1000 ns/op  64 B/op\nBenchmarkHear/edges=80-4  100  100000 ns/op  640 B/op\nPASS\n"
+	output := "goos: linux\nBenchmarkHear/edges=8-4  100  1000 ns/op  64 B/op\n" +
+		"BenchmarkHear/edges=80-4  100  100000 ns/op  640 B/op\nPASS\n"
 
 	slopes, err := ReadBench(strings.NewReader(output))
 
--- a/internal/sim/hollow/network.go
+++ b/internal/sim/hollow/network.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// Dial returns a function that dials from the host's address; across a partition it runs into the
+// DialFunc returns a function that dials from the host's address; across a partition it runs into the
 // bound.
 func (n *Network) DialFunc(connectBound, silence time.Duration) peer.DialFunc {
 	dialer := peer.NewDialer(connectBound, silence)
--- a/internal/sim/hollow/standins.go
+++ b/internal/sim/hollow/standins.go
@@ -153,7 +153,7 @@
 }
 
 // serveReport answers with the replica's state.
-func (w *StandIns) serveReport(one *standIn, writer http.ResponseWriter, request *http.Request) {
+func (w *StandIns) serveReport(one *standIn, writer http.ResponseWriter, _ *http.Request) {
 	w.reports.Add(1)
 	one.lock.Lock()
 	state := replica.Report{
--- a/internal/sim/replay/engine_test.go
+++ b/internal/sim/replay/engine_test.go
@@ -19,14 +19,20 @@
 "timeoutMs":15000,"targetLatencyMs":600,"backend":"s","priority":1}],
 "backends":[{"name":"s","runtime":{"slots":8,"kvCacheTokens":100000,"modelList":[{"name":"m","weightSizeMb":1,"loadTimeS":1}]}}]}`
 
-func recordedDay(t *testing.T, requests int, model string) *bytes.Buffer {
+func recordedDay(_ *testing.T, requests int, model string) *bytes.Buffer {
 	var written bytes.Buffer
 	now := time.Unix(0, 0)
 	writer := requestlog.NewWriter(&written, 1<<20, func() time.Time { return now })
 	writer.Write(requestlog.Entry{Kind: requestlog.KindConfiguration, PackedConfiguration: configuration.Compress([]byte(document))})
 	loaded := []discovery.LoadedModel{{Name: "m"}}
 	writer.Write(requestlog.Entry{Kind: requestlog.KindFleet, EdgeCount: 1, Zone: "north", Replicas: []discovery.Replica{
-		{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: loaded}, {ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: loaded}}})
+		{
+			ID:      "a",
+			Backend: "s",
+			Zone:    "north",
+			Slots:   8,
+			Models:  loaded,
+		}, {ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: loaded}}})
 	for number := range requests {
 		writer.Write(requestlog.Entry{
 			Kind:         requestlog.KindRequest,
--- a/internal/test/integration/answers_test.go
+++ b/internal/test/integration/answers_test.go
@@ -13,14 +13,14 @@
 )
 
 func init() {
-	failings["swapped"] = raw(func(attempt string) string { return sealed("of-another") })
-	failings["nameless"] = raw(func(attempt string) string {
+	failings["swapped"] = raw(func(_ string) string { return sealed("of-another") })
+	failings["nameless"] = raw(func(_ string) string {
 		return "HTTP/1.1 408 Late\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	})
 	failings["unproved"] = raw(func(attempt string) string {
 		return "HTTP/1.1 503 Full\r\n" + replica.HeaderAttempt + ": " + attempt + "\r\nContent-Length: 0\r\n\r\n"
 	})
-	failings["garbled"] = raw(func(attempt string) string { return "no answer\r\n\r\n" })
+	failings["garbled"] = raw(func(_ string) string { return "no answer\r\n\r\n" })
 	failings["doubled"] = raw(func(attempt string) string { return sealed(attempt) + sealed(attempt) })
 	failings["endless"] = raw(func(attempt string) string { return sealed(attempt) + "and more that belongs to nothing" })
 }
@@ -47,7 +47,8 @@
 	for _, trouble := range []string{"swapped", "nameless", "unproved", "garbled", "reset"} {
 		t.Run(trouble, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+				standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+				two := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
 				f := startSettledFleet(t, 1, standIn, two)
 				standIn.setFailing(trouble, 1)
 				two.setFailing(trouble, 1)
--- a/internal/test/integration/control_test.go
+++ b/internal/test/integration/control_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-const newRoute = `,{"name":"added","hostname":"shop.example","pathPrefix":"/added/","routeType":"streaming","timeoutMs":20000,"targetLatencyMs":600,"priority":1,"backend":"scribes","retryCount":1}`
+const newRoute = `,{"name":"added","hostname":"shop.example","pathPrefix":"/added/","routeType":"streaming",
+	"timeoutMs":20000,"targetLatencyMs":600,"priority":1,"backend":"scribes","retryCount":1}`
 
 func TestConfiguration_ConcurrentPutsOnOneVersionHaveOneWinner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -27,7 +28,12 @@
 			}
 		}
 		assert.Equal(t, won, 1, "%d and %d", first.status, second.status)
-		assert.Equal(t, f.put(3, 1, 2, document(2, "")).status+f.put(3, 1, 3, document(3, newRoute)).status, http.StatusOK+http.StatusPreconditionFailed, "a resend is taken, the loser is not")
+		assert.Equal(
+			t,
+			f.put(3, 1, 2, document(2, "")).status+f.put(3, 1, 3, document(3, newRoute)).status,
+			http.StatusOK+http.StatusPreconditionFailed,
+			"a resend is taken, the loser is not",
+		)
 	})
 }
 
--- a/internal/test/integration/document_test.go
+++ b/internal/test/integration/document_test.go
@@ -4,10 +4,17 @@
 
 func document(revision int, extra string) string {
 	return fmt.Sprintf(`{"revision":%d,"routeTable":[
-	{"name":"quick","hostname":"shop.example","pathPrefix":"/quick/","routeType":"streaming","timeoutMs":20000,"targetLatencyMs":600,"priority":1,"backend":"scribes","retryCount":1,"sticky":true,"resumable":false,"tokenGapMs":300},
-	{"name":"patient","hostname":"shop.example","pathPrefix":"/patient/","routeType":"streaming","timeoutMs":30000,"targetLatencyMs":8000,"priority":0,"backend":"scribes","retryCount":2,"sticky":true,"resumable":true,"tokenGapMs":300}%s],
-	"backends":[{"name":"scribes","healthPath":"/healthz","maxConns":64,"coldStartS":3,"coldPerS":2,"runtime":{"slots":8,"kvCacheTokens":10000,"modelList":[
-	{"name":"swift","weightSizeMb":100,"loadTimeS":2,"adapterList":2,"adapterSizeMb":1},{"name":"rare","weightSizeMb":100,"loadTimeS":2,"adapterList":0,"adapterSizeMb":1},{"name":"other","weightSizeMb":100,"loadTimeS":2,"adapterList":0,"adapterSizeMb":1}],
+	{"name":"quick","hostname":"shop.example","pathPrefix":"/quick/","routeType":"streaming","timeoutMs":20000,
+	"targetLatencyMs":600,"priority":1,"backend":"scribes","retryCount":1,"sticky":true,"resumable":false,
+	"tokenGapMs":300},
+	{"name":"patient","hostname":"shop.example","pathPrefix":"/patient/","routeType":"streaming","timeoutMs":30000,
+	"targetLatencyMs":8000,"priority":0,"backend":"scribes","retryCount":2,"sticky":true,"resumable":true,
+	"tokenGapMs":300}%s],
+	"backends":[{"name":"scribes","healthPath":"/healthz","maxConns":64,"coldStartS":3,"coldPerS":2,"runtime":{"slots":8,
+	"kvCacheTokens":10000,"modelList":[
+	{"name":"swift","weightSizeMb":100,"loadTimeS":2,"adapterList":2,"adapterSizeMb":1},{"name":"rare",
+	"weightSizeMb":100,"loadTimeS":2,"adapterList":0,"adapterSizeMb":1},{"name":"other","weightSizeMb":100,"loadTimeS":2,
+	"adapterList":0,"adapterSizeMb":1}],
 	"weightSizeMb":210,"adapterCapacity":4,"loadsPerS":1}}],
 	"limits":{"maxHeaderBytes":16384,"maxBodyBytes":1000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`, revision, extra)
 }
--- a/internal/test/integration/drill_test.go
+++ b/internal/test/integration/drill_test.go
@@ -131,7 +131,11 @@
 		assert.Assert(t, seen["/quick/aother"] > 0 && seen["/homely/swift"] > 0, "the last copy and home-bound work go on: %v", seen)
 		midway := f.drillState(3, http.MethodGet)
 		assert.Assert(t, midway.Running && midway.LeftMs < 4500 && midway.LeftMs > 2500, "%+v", midway)
-		assert.DeepEqual(t, midway.DataPlanes, map[string]string{"daemon-" + edgeHost(1): drill.DataPlaneFollows, "daemon-" + edgeHost(2): drill.DataPlaneFollows})
+		assert.DeepEqual(
+			t,
+			midway.DataPlanes,
+			map[string]string{"daemon-" + edgeHost(1): drill.DataPlaneFollows, "daemon-" + edgeHost(2): drill.DataPlaneFollows},
+		)
 		time.Sleep(5 * time.Second)
 		ended := f.drillState(1, http.MethodGet)
 		assert.Assert(t, !ended.Running && !ended.EndedByGuard, "%+v", ended)
@@ -141,7 +145,12 @@
 			counted[route.Name] = route
 		}
 		quick := counted["quick"]
-		assert.Assert(t, quick.Drilled.WithinTarget > 50 && quick.Drilled.Late+quick.Drilled.Rejected+quick.Drilled.Exempted == 0, "%+v", quick)
+		assert.Assert(
+			t,
+			quick.Drilled.WithinTarget > 50 && quick.Drilled.Late+quick.Drilled.Rejected+quick.Drilled.Exempted == 0,
+			"%+v",
+			quick,
+		)
 		assert.Assert(t, quick.KeptInScope > 5 && counted["homely"].KeptInScope > 50 && quick.FirstTokenDrilled.Count > 50, "%+v", counted)
 		from = time.Now()
 		time.Sleep(time.Second)
@@ -210,7 +219,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := startTwoRegions(t, 1)
 		zone := drill.Scope{Zone: "south"}
-		cases := []drill.Request{{Scope: zone, Share: 1.5}, {Scope: zone, Share: -1}, {Scope: zone, ForMs: 1}, {Scope: zone, ForMs: 3600000}, {Scope: zone, Margin: 2}, {Scope: drill.Scope{Zone: "east"}}, {}}
+		cases := []drill.Request{
+			{Scope: zone, Share: 1.5},
+			{Scope: zone, Share: -1},
+			{Scope: zone, ForMs: 1},
+			{Scope: zone, ForMs: 3600000},
+			{Scope: zone, Margin: 2},
+			{Scope: drill.Scope{Zone: "east"}},
+			{},
+		}
 		for _, request := range cases {
 			request.Kind = drill.KindDrill
 			_, status := f.drill(1, request)
--- a/internal/test/integration/fleet_test.go
+++ b/internal/test/integration/fleet_test.go
@@ -63,7 +63,14 @@
 // startFleetOf starts control daemons that are to bear a number of losses, and data planes.
 func startFleetOf(t *testing.T, cores, losses, edges int, replicas ...*standInReplica) *fleet {
 	logrus.SetOutput(io.Discard)
-	f := &fleet{t: t, network: newMemoryNetwork(), nodes: map[string]*runningNode{}, folders: map[string]keystore.Directory{}, losses: losses, cores: cores}
+	f := &fleet{
+		t:       t,
+		network: newMemoryNetwork(),
+		nodes:   map[string]*runningNode{},
+		folders: map[string]keystore.Directory{},
+		losses:  losses,
+		cores:   cores,
+	}
 	transport := peer.NewTransport(f.network.machine("10.9.9.9"), time.Second, time.Minute, 0)
 	transport.DisableKeepAlives = true
 	f.client = &http.Client{Transport: transport}
@@ -221,8 +228,14 @@
 	return reply{answer.StatusCode, string(content), answer.Header, err != nil, time.Since(began)}
 }
 
-func (f *fleet) put(core, condition, revision int, document string) reply {
-	return f.call(http.MethodPut, coreHost(core)+":8166", "/ferryspar/config", document, map[string]string{"If-Match": fmt.Sprint(condition)})
+func (f *fleet) put(core, condition, _ int, document string) reply {
+	return f.call(
+		http.MethodPut,
+		coreHost(core)+":8166",
+		"/ferryspar/config",
+		document,
+		map[string]string{"If-Match": fmt.Sprint(condition)},
+	)
 }
 
 func (f *fleet) request(edge int, attempt, path, model string) reply {
--- a/internal/test/integration/folder_test.go
+++ b/internal/test/integration/folder_test.go
@@ -35,7 +35,7 @@
 	return append([]byte(nil), m.files[name]...), nil
 }
 
-func (m *memoryDirectory) Prepare(name string, size int64) error {
+func (m *memoryDirectory) Prepare(name string, _ int64) error {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if _, exists := m.files[name]; !exists {
--- a/internal/test/integration/founding_test.go
+++ b/internal/test/integration/founding_test.go
@@ -103,7 +103,12 @@
 		s.start(false)
 		time.Sleep(10 * time.Second)
 		for number := 1; number <= 3; number++ {
-			assert.Assert(t, s.f.put(number, 0, 1, document(1, "")).status != http.StatusOK, "core %d takes a first configuration again", number)
+			assert.Assert(
+				t,
+				s.f.put(number, 0, 1, document(1, "")).status != http.StatusOK,
+				"core %d takes a first configuration again",
+				number,
+			)
 		}
 	})
 }
--- a/internal/test/integration/health_test.go
+++ b/internal/test/integration/health_test.go
@@ -38,8 +38,12 @@
 
 func (f *fleet) requestNew(edge, number int, path string) reply {
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
-		"Host": "shop.example", replica.HeaderAttempt: fmt.Sprintf("attempt-%d", number), replica.HeaderModel: "swift", replica.HeaderTokens: "100,20",
-		replica.HeaderPrefix: fmt.Sprintf("%x:100", time.Now().UnixNano()+int64(number)), replica.HeaderRemaining: "20000",
+		"Host":                  "shop.example",
+		replica.HeaderAttempt:   fmt.Sprintf("attempt-%d", number),
+		replica.HeaderModel:     "swift",
+		replica.HeaderTokens:    "100,20",
+		replica.HeaderPrefix:    fmt.Sprintf("%x:100", time.Now().UnixNano()+int64(number)),
+		replica.HeaderRemaining: "20000",
 	})
 }
 
@@ -213,7 +217,10 @@
 		var replicas []*standInReplica
 		for number := 1; number <= 9; number++ {
 			zone := number%3 + 1
-			replicas = append(replicas, newStandInReplica(fmt.Sprintf("i-%d", number), fmt.Sprintf("10.%d.2.%d", zone, number), replicaZones[zone-1], "swift"))
+			replicas = append(
+				replicas,
+				newStandInReplica(fmt.Sprintf("i-%d", number), fmt.Sprintf("10.%d.2.%d", zone, number), replicaZones[zone-1], "swift"),
+			)
 		}
 		f := startSettledFleet(t, 6, replicas...)
 		f.stream(6, "/quick/", 3*time.Second)
--- a/internal/test/integration/hold_network_test.go
+++ b/internal/test/integration/hold_network_test.go
@@ -23,7 +23,7 @@
 
 func callThrough(t *testing.T, f *fleet, cut func(on bool), reset bool) (time.Time, []received) {
 	calls := make(chan received, 4)
-	f.serve(calledHost, calledHost+":80", http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+	f.serve(calledHost, calledHost+":80", http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 		began := time.Now()
 		select {
 		case <-request.Context().Done():
--- a/internal/test/integration/logs_test.go
+++ b/internal/test/integration/logs_test.go
@@ -27,6 +27,9 @@
 		assert.Equal(t, f.request(1, "refused", "/quick/", "swift").status, http.StatusServiceUnavailable)
 		synctest.Wait()
 		logrus.SetLevel(logrus.InfoLevel)
-		assert.Assert(t, strings.Contains(written.String(), `"attempt":"served"`) && strings.Contains(written.String(), "did not run the request"))
+		assert.Assert(
+			t,
+			strings.Contains(written.String(), `"attempt":"served"`) && strings.Contains(written.String(), "did not run the request"),
+		)
 	})
 }
--- a/internal/test/integration/losses_test.go
+++ b/internal/test/integration/losses_test.go
@@ -47,7 +47,7 @@
 		s.join(newcomers)
 		return time.Now()
 	}},
-	{"wiped", func(s *lossScenario, members, newcomers []int) time.Time {
+	{"wiped", func(s *lossScenario, members, _ []int) time.Time {
 		for _, member := range members {
 			s.f.kill(coreHost(member))
 			s.f.wipe(coreHost(member))
--- a/internal/test/integration/network_test.go
+++ b/internal/test/integration/network_test.go
@@ -25,7 +25,16 @@
 }
 
 func newMemoryNetwork() *memoryNetwork {
-	return &memoryNetwork{listeners: map[string]*memoryListener{}, dark: map[string]bool{}, cuts: map[[2]string]bool{}, connections: map[*memoryConnection]bool{}, drops: map[string]time.Duration{}, dials: map[string]int{}, frozen: map[string]chan struct{}{}, holds: map[[2]string]bool{}}
+	return &memoryNetwork{
+		listeners:   map[string]*memoryListener{},
+		dark:        map[string]bool{},
+		cuts:        map[[2]string]bool{},
+		connections: map[*memoryConnection]bool{},
+		drops:       map[string]time.Duration{},
+		dials:       map[string]int{},
+		frozen:      map[string]chan struct{}{},
+		holds:       map[[2]string]bool{},
+	}
 }
 
 func (n *memoryNetwork) machine(host string) peer.Network { return &memoryMachine{n, host} }
--- a/internal/test/integration/operators_test.go
+++ b/internal/test/integration/operators_test.go
@@ -76,7 +76,7 @@
 	for _, number := range cores {
 		o.hosts = append(o.hosts, coreHost(number))
 	}
-	o.client = &http.Client{Transport: f.client.Transport, CheckRedirect: func(request *http.Request, via []*http.Request) error {
+	o.client = &http.Client{Transport: f.client.Transport, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > redirectsAllowed {
 			return http.ErrUseLastResponse
 		}
@@ -98,7 +98,12 @@
 }
 
 func replaceRoute(condition, revision int, added, removed string) operatorChange {
-	body := fmt.Sprintf(`{"revision":%d,"upsert":{"routeTable":[%s]},"remove":{"routeTable":[%q]}}`, revision, routeNamed(added)[1:], removed)
+	body := fmt.Sprintf(
+		`{"revision":%d,"upsert":{"routeTable":[%s]},"remove":{"routeTable":[%q]}}`,
+		revision,
+		routeNamed(added)[1:],
+		removed,
+	)
 	return configurationChange(condition, revision, added, body)
 }
 
--- a/internal/test/integration/quota_test.go
+++ b/internal/test/integration/quota_test.go
@@ -94,7 +94,13 @@
 				q.send(40, storySpan, story.edge)
 				time.Sleep(4 * time.Second)
 				got := float64(q.between(time.Second, storySpan)) / (q.limit.RatePerS * (storySpan - time.Second).Seconds())
-				t.Logf("%.3f of the limit, %d in the worst window of %.0f allowed, statuses %s", got, q.maxPerWindow(0), quotaBounds.Allowed(q.limit), q.seen())
+				t.Logf(
+					"%.3f of the limit, %d in the worst window of %.0f allowed, statuses %s",
+					got,
+					q.maxPerWindow(0),
+					quotaBounds.Allowed(q.limit),
+					q.seen(),
+				)
 				assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
 				assert.Assert(t, got >= story.least, "got %.3f", got)
 			})
--- a/internal/test/integration/quotafleet_test.go
+++ b/internal/test/integration/quotafleet_test.go
@@ -29,7 +29,10 @@
 func startQuota(t *testing.T, edges int, limit quota.Limit) *quotaFleet {
 	q := &quotaFleet{limit: limit}
 	for number := range 4 {
-		q.replicas = append(q.replicas, newStandInReplica(fmt.Sprintf("i-%d", number), fmt.Sprintf("10.1.2.%d", number+1), "north", "swift"))
+		q.replicas = append(
+			q.replicas,
+			newStandInReplica(fmt.Sprintf("i-%d", number), fmt.Sprintf("10.1.2.%d", number+1), "north", "swift"),
+		)
 	}
 	q.fleet = startFleet(t, 0, q.replicas...)
 	q.adjust = func(settings *nodesettings.Settings) {
--- a/internal/test/integration/record_test.go
+++ b/internal/test/integration/record_test.go
@@ -20,24 +20,36 @@
 	winners := map[int]string{}
 	for index, call := range o.record {
 		if outcomeOf(call.status) == acknowledged && call.change.zone == "" {
-			if winner, known := winners[call.change.condition]; known && winner != call.change.name {
-				found = append(found, fmt.Sprintf("%q and %q are both acknowledged on version %d", winner, call.change.name, call.change.condition))
+			winner, known := winners[call.change.condition]
+			if known && winner != call.change.name {
+				found = append(
+					found,
+					fmt.Sprintf("%q and %q are both acknowledged on version %d", winner, call.change.name, call.change.condition),
+				)
 			}
 			winners[call.change.condition] = call.change.name
 		}
 		if outcomeOf(call.status) == refused && call.change.zone != "" {
 			found = append(found, "an evacuation is refused: "+call.String())
 		}
-		for _, later := range o.record[index+1:] {
-			if later.change.name != call.change.name || later.began.Before(call.ended) {
-				continue
-			}
-			if outcomeOf(call.status) == acknowledged && outcomeOf(later.status) == refused {
-				found = append(found, "acknowledged, then refused: "+call.String()+" / "+later.String())
-			}
-			if outcomeOf(call.status) == refused && outcomeOf(later.status) == acknowledged {
-				found = append(found, "refused, then acknowledged: "+call.String()+" / "+later.String())
-			}
+		found = append(found, contradictions(call, o.record[index+1:])...)
+	}
+	return found
+}
+
+// contradictions are the later resends of a call whose outcome can't stand beside the call's own.
+func contradictions(call operatorCall, following []operatorCall) []string {
+	var found []string
+	for _, later := range following {
+		if later.change.name != call.change.name || later.began.Before(call.ended) {
+			continue
+		}
+		first, second := outcomeOf(call.status), outcomeOf(later.status)
+		if first == acknowledged && second == refused {
+			found = append(found, "acknowledged, then refused: "+call.String()+" / "+later.String())
+		}
+		if first == refused && second == acknowledged {
+			found = append(found, "refused, then acknowledged: "+call.String()+" / "+later.String())
 		}
 	}
 	return found
--- a/internal/test/integration/rehearse_test.go
+++ b/internal/test/integration/rehearse_test.go
@@ -39,7 +39,10 @@
 	f.network.resetAll(host)
 }
 
-const boundRoute = `,{"name":"bound","hostname":"shop.example","pathPrefix":"/bound/","routeType":"streaming","timeoutMs":20000,"targetLatencyMs":600,"priority":2,"backend":"scribes","retryCount":1,"allowedRegions":["far"]},{"name":"homely","hostname":"shop.example","pathPrefix":"/homely/","routeType":"streaming","timeoutMs":20000,"targetLatencyMs":600,"priority":2,"backend":"scribes","retryCount":1,"allowedRegions":["land"]}`
+const boundRoute = `,{"name":"bound","hostname":"shop.example","pathPrefix":"/bound/","routeType":"streaming",
+	"timeoutMs":20000,"targetLatencyMs":600,"priority":2,"backend":"scribes","retryCount":1,"allowedRegions":["far"]},
+	{"name":"homely","hostname":"shop.example","pathPrefix":"/homely/","routeType":"streaming","timeoutMs":20000,
+	"targetLatencyMs":600,"priority":2,"backend":"scribes","retryCount":1,"allowedRegions":["land"]}`
 
 func startTwoRegions(t *testing.T, edges int) (*fleet, map[string]*standInReplica) {
 	stands := map[string]*standInReplica{
@@ -71,7 +74,17 @@
 		for round := range 4 {
 			for number := range 8 {
 				edge := number%2 + 1
-				assert.Equal(t, f.requestWithPrefix(edge, fmt.Sprint("warm-", round, "-", number), "/quick/", "swift", fmt.Sprintf("aa:100,b%d:100,c%d:100", number, round)).status, http.StatusOK)
+				assert.Equal(
+					t,
+					f.requestWithPrefix(
+						edge,
+						fmt.Sprint("warm-", round, "-", number),
+						"/quick/",
+						"swift",
+						fmt.Sprintf("aa:100,b%d:100,c%d:100", number, round),
+					).status,
+					http.StatusOK,
+				)
 			}
 		}
 		for number := range 6 {
@@ -99,13 +112,33 @@
 		assert.Equal(t, bound.Sampled, 6)
 		assert.Equal(t, bound.BoundToLost, 6)
 		assert.Assert(t, quick.FirstTokenNow.Count == 38 && quick.FirstTokenAfterLoss.Count == 32, "%+v", quick)
-		assert.Assert(t, forecast.Cached["rare"].Lost == 300 && forecast.Cached["rare"].OnlyInScope == 300 && forecast.Cached["rare"].Kept == 0, "%+v", forecast.Cached)
+		assert.Assert(
+			t,
+			forecast.Cached["rare"].Lost == 300 && forecast.Cached["rare"].OnlyInScope == 300 && forecast.Cached["rare"].Kept == 0,
+			"%+v",
+			forecast.Cached,
+		)
 
 		f.lose("10.7.2.1", "i-3")
 		time.Sleep(1500 * time.Millisecond)
-		assert.Equal(t, f.requestWithPrefix(2, "bound-then", "/bound/", "swift", "ee:300").status, http.StatusServiceUnavailable, "bound to what is lost: refused, as forecast")
+		assert.Equal(
+			t,
+			f.requestWithPrefix(2, "bound-then", "/bound/", "swift", "ee:300").status,
+			http.StatusServiceUnavailable,
+			"bound to what is lost: refused, as forecast",
+		)
 		for number := range 8 {
-			assert.Equal(t, f.requestWithPrefix(number%2+1, fmt.Sprint("then-", number), "/quick/", "swift", fmt.Sprintf("aa:100,b%d:100,c9:100", number)).status, http.StatusOK)
+			assert.Equal(
+				t,
+				f.requestWithPrefix(
+					number%2+1,
+					fmt.Sprint("then-", number),
+					"/quick/",
+					"swift",
+					fmt.Sprintf("aa:100,b%d:100,c9:100", number),
+				).status,
+				http.StatusOK,
+			)
 		}
 		asked := time.Now()
 		assert.Assert(t, !bringer.entry().HasLoaded("rare", ""))
@@ -113,7 +146,14 @@
 		assert.Equal(t, late.status, http.StatusOK)
 		took := time.Since(asked)
 		assert.Assert(t, bringer.entry().HasLoaded("rare", ""), "loaded where the forecast said: %+v", forecast.Placement)
-		assert.Assert(t, took >= nodesettings.Milliseconds(forecast.LoadEstimate.MinMs) && took < nodesettings.Milliseconds(forecast.LoadEstimate.MinMs)+4*time.Second, "loaded again in %s, forecast at least %v", took, forecast.LoadEstimate.MinMs)
+		estimate := nodesettings.Milliseconds(forecast.LoadEstimate.MinMs)
+		assert.Assert(
+			t,
+			took >= estimate && took < estimate+4*time.Second,
+			"loaded again in %s, forecast at least %v",
+			took,
+			forecast.LoadEstimate.MinMs,
+		)
 	})
 }
 
@@ -176,7 +216,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := startTwoRegions(t, 1)
 		cases := map[int]drill.Request{
-			http.StatusNotFound: {Kind: drill.KindForecast, Scope: drill.Scope{Region: "nowhere"}}, http.StatusBadRequest: {Kind: drill.KindForecast},
+			http.StatusNotFound: {
+				Kind:  drill.KindForecast,
+				Scope: drill.Scope{Region: "nowhere"},
+			}, http.StatusBadRequest: {Kind: drill.KindForecast},
 		}
 		for status, request := range cases {
 			got, _ := f.rehearse(1, request)
--- a/internal/test/integration/replica_orders_test.go
+++ b/internal/test/integration/replica_orders_test.go
@@ -71,7 +71,7 @@
 
 func (s *standInReplica) busy() bool { return time.Now().Before(s.holding.busyUntil) }
 
-func (s *standInReplica) report(writer http.ResponseWriter, request *http.Request) {
+func (s *standInReplica) report(writer http.ResponseWriter, _ *http.Request) {
 	s.lock.Lock()
 	state := replica.Report{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.holding.sequence}
 	if s.holding.reportLag > 0 {
--- a/internal/test/integration/replica_test.go
+++ b/internal/test/integration/replica_test.go
@@ -45,15 +45,15 @@
 }
 
 var failings = map[string]func(writer http.ResponseWriter, request *http.Request){
-	"errors": func(writer http.ResponseWriter, request *http.Request) {
+	"errors": func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusInternalServerError)
 	},
-	"reset": func(writer http.ResponseWriter, request *http.Request) { panic(http.ErrAbortHandler) },
-	"hang": func(writer http.ResponseWriter, request *http.Request) {
+	"reset": func(_ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) },
+	"hang": func(_ http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		<-request.Context().Done()
 	},
-	"shed": func(writer http.ResponseWriter, request *http.Request) {
+	"shed": func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set(replica.HeaderNotExecuted, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	},
@@ -65,7 +65,7 @@
 	s.fails, s.failEvery = fails, every
 }
 
-func (s *standInReplica) health(writer http.ResponseWriter, request *http.Request) {
+func (s *standInReplica) health(writer http.ResponseWriter, _ *http.Request) {
 	s.lock.Lock()
 	s.probed++
 	healthy := s.healthy
@@ -78,7 +78,15 @@
 
 func newStandInReplica(id, host, zone string, models ...string) *standInReplica {
 	stand := &standInReplica{models: standin.NewHoldings(models...), events: 5, loadTime: 2 * time.Second, holding: ordinaryOrders()}
-	stand.listed = discovery.Replica{ID: id, Backend: serviceName, Address: host + ":8080", Zone: zone, Revision: "v1", Slots: 8, State: "ready"}
+	stand.listed = discovery.Replica{
+		ID:       id,
+		Backend:  serviceName,
+		Address:  host + ":8080",
+		Zone:     zone,
+		Revision: "v1",
+		Slots:    8,
+		State:    "ready",
+	}
 	return stand
 }
 
@@ -160,7 +168,13 @@
 	}
 	from := 0
 	_, _ = fmt.Sscanf(request.Header.Get(replica.HeaderLastEventID), "%d", &from)
-	s.runs = append(s.runs, arrival{attempt, request.Header.Get(replica.HeaderLastEventID), request.RequestURI, time.Now(), request.Header.Clone()})
+	s.runs = append(s.runs, arrival{
+		attempt,
+		request.Header.Get(replica.HeaderLastEventID),
+		request.RequestURI,
+		time.Now(),
+		request.Header.Clone(),
+	})
 	cutAfter, events, slow := s.cutAfter, s.events, s.slow
 	fail := failings[s.fails]
 	failing := fail != nil && len(s.runs)%max(s.failEvery, 1) == 0
--- a/internal/test/integration/retention_test.go
+++ b/internal/test/integration/retention_test.go
@@ -63,7 +63,12 @@
 					return
 				default:
 				}
-				if got := f.request(number%2+1, fmt.Sprint("flow-", number), "/quick/", "swift"); got.status == http.StatusOK && got.body == allEvents() {
+				if got := f.request(
+					number%2+1,
+					fmt.Sprint("flow-", number),
+					"/quick/",
+					"swift",
+				); got.status == http.StatusOK && got.body == allEvents() {
 					served++
 				} else {
 					failed++
@@ -108,7 +113,13 @@
 
 func TestRetention_ForgetSurvivesRestartOfAllMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift", "other"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		standIn, two := newStandInReplica(
+			"i-1",
+			"10.1.2.1",
+			"north",
+			"swift",
+			"other",
+		), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
 		f := startSettledFleet(t, 1, standIn, two)
 		_, status := f.forget(1, `{"model":"swift"}`)
 		assert.Equal(t, status, http.StatusOK)
@@ -151,7 +162,11 @@
 		f := startSettledFleet(t, 1, standIn, two)
 		refused := f.call(http.MethodPut, coreHost(1)+":8166", "/ferryspar/retention", `{"lifeMs":5}`, nil)
 		assert.Equal(t, refused.status, http.StatusBadRequest)
-		assert.Equal(t, f.call(http.MethodPut, coreHost(1)+":8166", "/ferryspar/retention", `{"life":5}`, nil).status, http.StatusBadRequest)
+		assert.Equal(
+			t,
+			f.call(http.MethodPut, coreHost(1)+":8166", "/ferryspar/retention", `{"life":5}`, nil).status,
+			http.StatusBadRequest,
+		)
 		assert.Equal(t, f.call(http.MethodPut, coreHost(1)+":8166", "/ferryspar/retention", `{"lifeMs":60000}`, nil).status, http.StatusOK)
 		for range 60 {
 			assert.Equal(t, f.request(1, "attempt", "/quick/", "swift").status, http.StatusOK)
--- a/internal/test/integration/rollout_test.go
+++ b/internal/test/integration/rollout_test.go
@@ -104,7 +104,14 @@
 				}
 				f.startEdge(edgeHost(2))
 				o := newOperators(f, 1, order...)
-				first := operatorChange{name: "first", route: "quick", method: "PUT", path: "/ferryspar/config", body: document(1, ""), revision: 1}
+				first := operatorChange{
+					name:     "first",
+					route:    "quick",
+					method:   "PUT",
+					path:     "/ferryspar/config",
+					body:     document(1, ""),
+					revision: 1,
+				}
 				assert.Equal(t, o.send(first, 10*time.Second), acknowledged)
 				assert.Assert(t, o.waitMembers(coreHost(order[0]), 5, 20*time.Second), o.describe(o.hosts...))
 				assert.Equal(t, o.send(addRoute(1, 2, "added"), 4*time.Second), acknowledged)
--- a/internal/test/integration/roster_test.go
+++ b/internal/test/integration/roster_test.go
@@ -69,7 +69,13 @@
 			for number := 1; number <= 3; number++ {
 				status := o.status(coreHost(number))
 				left := time.Duration(status.Replicas[0].WarmUpRemainingMs-float64(status.ListAgeMs)) * time.Millisecond
-				assert.Assert(t, !time.Now().Add(left).Before(coldUntil.Add(-time.Millisecond)), "%s early at %d", coldUntil.Sub(time.Now().Add(left)), number)
+				assert.Assert(
+					t,
+					!time.Now().Add(left).Before(coldUntil.Add(-time.Millisecond)),
+					"%s early at %d",
+					coldUntil.Sub(time.Now().Add(left)),
+					number,
+				)
 			}
 		}
 	})
@@ -89,7 +95,8 @@
 	for name, moment := range map[string]time.Duration{"before it is counted": -600 * time.Millisecond, "after": 300 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+				standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+				two := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
 				f := startSettledFleet(t, 1, standIn, two)
 				time.Sleep(3 * time.Second)
 				if moment < 0 {
@@ -108,7 +115,13 @@
 				done := f.forgets(1)[0]
 				assert.Assert(t, done.Complete, "%v", done)
 				assert.Equal(t, states(done, "replica")["i-2swift"], retention.Done)
-				assert.Assert(t, standIn.unloads("swift") >= 1 && two.unloads("swift") >= 1, "%d and %d", standIn.unloads("swift"), two.unloads("swift"))
+				assert.Assert(
+					t,
+					standIn.unloads("swift") >= 1 && two.unloads("swift") >= 1,
+					"%d and %d",
+					standIn.unloads("swift"),
+					two.unloads("swift"),
+				)
 			})
 		})
 	}
--- a/internal/test/integration/schedule_test.go
+++ b/internal/test/integration/schedule_test.go
@@ -51,7 +51,7 @@
 		f.call(http.MethodDelete, coreHost(1+draw.IntN(3))+":8166", "/ferryspar/rehearsal", "", nil)
 		return func() {}
 	},
-	func(f *fleet, draw *rand.Rand) func() {
+	func(f *fleet, _ *rand.Rand) func() {
 		f.lose("10.7.2.1", "i-3")
 		return func() {}
 	},
--- a/internal/test/integration/serving_test.go
+++ b/internal/test/integration/serving_test.go
@@ -72,11 +72,29 @@
 		f := startSettledFleet(t, 1, standIn)
 		assert.Equal(t, f.request(1, "", "/quick/", "swift").status, http.StatusBadRequest)
 		assert.Equal(t, f.request(1, "attempt", "/unknown/", "swift").status, http.StatusNotFound)
-		large := f.call(http.MethodPost, edgeHost(1)+":8161", "/quick/", strings.Repeat("x", 2000), map[string]string{"Host": "shop.example", replica.HeaderAttempt: "a", replica.HeaderModel: "swift"})
+		large := f.call(
+			http.MethodPost,
+			edgeHost(1)+":8161",
+			"/quick/",
+			strings.Repeat("x", 2000),
+			map[string]string{"Host": "shop.example", replica.HeaderAttempt: "a", replica.HeaderModel: "swift"},
+		)
 		assert.Equal(t, large.status, http.StatusRequestEntityTooLarge)
-		head := f.call(http.MethodPost, edgeHost(1)+":8161", "/quick/", "x", map[string]string{"Host": "shop.example", replica.HeaderAttempt: "a", "Filler": strings.Repeat("x", 20000)})
+		head := f.call(
+			http.MethodPost,
+			edgeHost(1)+":8161",
+			"/quick/",
+			"x",
+			map[string]string{"Host": "shop.example", replica.HeaderAttempt: "a", "Filler": strings.Repeat("x", 20000)},
+		)
 		assert.Equal(t, head.status, http.StatusRequestHeaderFieldsTooLarge)
-		garbled := f.call(http.MethodPost, edgeHost(1)+":8161", "/quick/", "x", map[string]string{"Host": "shop.example", replica.HeaderAttempt: "a", replica.HeaderTokens: "many"})
+		garbled := f.call(
+			http.MethodPost,
+			edgeHost(1)+":8161",
+			"/quick/",
+			"x",
+			map[string]string{"Host": "shop.example", replica.HeaderAttempt: "a", replica.HeaderTokens: "many"},
+		)
 		assert.Equal(t, garbled.status, http.StatusBadRequest)
 		assert.Equal(t, f.call(http.MethodGet, coreHost(1)+":8166", "/ferryspar/nothing", "", nil).status, http.StatusNotFound)
 		assert.Equal(t, f.call(http.MethodPost, coreHost(1)+":8166", "/ferryspar/config", "", nil).status, http.StatusMethodNotAllowed)
@@ -157,7 +175,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		near, home := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.4.2.1", "abroad", "swift")
 		f := startSettledFleet(t, 1, near, home)
-		routed := `,{"name":"homes","hostname":"shop.example","pathPrefix":"/homes/","routeType":"streaming","timeoutMs":20000,"targetLatencyMs":600,"backend":"scribes","retryCount":1,"allowedRegions":["far"]}`
+		routed := `,{"name":"homes","hostname":"shop.example","pathPrefix":"/homes/","routeType":"streaming",
+	"timeoutMs":20000,"targetLatencyMs":600,"backend":"scribes","retryCount":1,"allowedRegions":["far"]}`
 		assert.Equal(t, f.put(1, 1, 2, document(2, routed)).status, http.StatusOK)
 		time.Sleep(200 * time.Millisecond)
 		for range 3 {
--- a/internal/test/integration/storm_test.go
+++ b/internal/test/integration/storm_test.go
@@ -15,16 +15,38 @@
 
 func TestConfiguration_RapidChangesConvergeAndNeverGoBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startSettledFleet(t, 3, newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
+		f := startSettledFleet(
+			t,
+			3,
+			newStandInReplica("i-1", "10.1.2.1", "north", "swift"),
+			newStandInReplica("i-2", "10.2.2.1", "south", "swift"),
+		)
 		for revision := 2; revision <= 16; revision++ {
-			patch := fmt.Sprintf(`{"revision":%d,"upsert":{"routeTable":[%s]}}`, revision, routeNamed(fmt.Sprintf("storm-%d", revision))[1:])
-			got := f.call(http.MethodPatch, coreHost(1+revision%3)+":8166", "/ferryspar/config", patch, map[string]string{"If-Match": fmt.Sprint(revision - 1)})
+			patch := fmt.Sprintf(
+				`{"revision":%d,"upsert":{"routeTable":[%s]}}`,
+				revision,
+				routeNamed(fmt.Sprintf("storm-%d", revision))[1:],
+			)
+			got := f.call(
+				http.MethodPatch,
+				coreHost(1+revision%3)+":8166",
+				"/ferryspar/config",
+				patch,
+				map[string]string{"If-Match": fmt.Sprint(revision - 1)},
+			)
 			assert.Equal(t, got.status, http.StatusOK, "revision %d", revision)
 			time.Sleep(150 * time.Millisecond)
 			for edge := 1; edge <= 3; edge++ {
 				path := fmt.Sprintf("/storm-%d/", revision-1)
 				if revision > 2 {
-					assert.Equal(t, f.request(edge, "attempt", path, "swift").status, http.StatusOK, "edge %d goes back at %d", edge, revision)
+					assert.Equal(
+						t,
+						f.request(edge, "attempt", path, "swift").status,
+						http.StatusOK,
+						"edge %d goes back at %d",
+						edge,
+						revision,
+					)
 				}
 			}
 		}
@@ -37,7 +59,12 @@
 
 func TestCluster_PartialPartitionKeepsServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startSettledFleet(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
+		f := startSettledFleet(
+			t,
+			2,
+			newStandInReplica("i-1", "10.1.2.1", "north", "swift"),
+			newStandInReplica("i-2", "10.2.2.1", "south", "swift"),
+		)
 		f.network.partition(coreHost(1), coreHost(2), true)
 		f.network.partition(edgeHost(1), coreHost(2), true)
 		f.network.partition(edgeHost(2), coreHost(1), true)
@@ -46,7 +73,13 @@
 			revision := current + 1
 			patch := fmt.Sprintf(`{"revision":%d,"upsert":{"routeTable":[%s]}}`, revision, routeNamed(fmt.Sprintf("bridge-%d", round))[1:])
 			for attempt := range 12 {
-				got := f.call(http.MethodPatch, coreHost(1+(round+attempt)%3)+":8166", "/ferryspar/config", patch, map[string]string{"If-Match": fmt.Sprint(current)})
+				got := f.call(
+					http.MethodPatch,
+					coreHost(1+(round+attempt)%3)+":8166",
+					"/ferryspar/config",
+					patch,
+					map[string]string{"If-Match": fmt.Sprint(current)},
+				)
 				if got.status == http.StatusOK {
 					break
 				}
@@ -56,7 +89,13 @@
 			current = revision
 			time.Sleep(2500 * time.Millisecond)
 			for edge := 1; edge <= 2; edge++ {
-				assert.Equal(t, f.request(edge, "attempt", fmt.Sprintf("/bridge-%d/", round), "swift").status, http.StatusOK, "edge %d", edge)
+				assert.Equal(
+					t,
+					f.request(edge, "attempt", fmt.Sprintf("/bridge-%d/", round), "swift").status,
+					http.StatusOK,
+					"edge %d",
+					edge,
+				)
 			}
 		}
 		f.network.partition(coreHost(1), coreHost(2), false)
@@ -70,7 +109,12 @@
 
 func TestCluster_AddedDataPlanesServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
+		f := startSettledFleet(
+			t,
+			1,
+			newStandInReplica("i-1", "10.1.2.1", "north", "swift"),
+			newStandInReplica("i-2", "10.2.2.1", "south", "swift"),
+		)
 		for added := 2; added <= 5; added++ {
 			f.startEdge(edgeHost(added))
 		}
--- a/internal/test/integration/tenants_test.go
+++ b/internal/test/integration/tenants_test.go
@@ -24,7 +24,8 @@
 	newKey   = "irth5mgjy5rcpihh"
 	otherKey = "k3n1q0w7x5zz4y2b"
 	// publicRoute is a route of document that needs no key.
-	publicRoute = `,{"name":"open","hostname":"shop.example","pathPrefix":"/open/","routeType":"streaming","timeoutMs":20000,"targetLatencyMs":600,"backend":"scribes","retryCount":1,"public":true}`
+	publicRoute = `,{"name":"open","hostname":"shop.example","pathPrefix":"/open/","routeType":"streaming",
+	"timeoutMs":20000,"targetLatencyMs":600,"backend":"scribes","retryCount":1,"public":true}`
 	// applyBound is configApplyMs of the stories, revokeBound revokeMs.
 	applyBound  = 2 * time.Second
 	revokeBound = 5 * time.Second
@@ -32,7 +33,11 @@
 
 // tenantsOf lists a tenant "one" with the keys and a tenant "other".
 func tenantsOf(keys ...string) string {
-	return fmt.Sprintf(`[{"name":"one","apiKeys":["%s"],"priority":2},{"name":"other","apiKeys":["%s"],"priority":1}]`, strings.Join(keys, `","`), otherKey)
+	return fmt.Sprintf(
+		`[{"name":"one","apiKeys":["%s"],"priority":2},{"name":"other","apiKeys":["%s"],"priority":1}]`,
+		strings.Join(keys, `","`),
+		otherKey,
+	)
 }
 
 func documentOf(revision int, tenants string) string {
@@ -115,7 +120,13 @@
 				assert.Equal(t, f.requestWithKey(edge, oldKey, "/quick/", "swift").status, left)
 			}
 		}
-		removed := f.call(http.MethodPatch, coreHost(1)+":8166", "/ferryspar/config", `{"revision":4,"remove":{"tenants":["one"]}}`, map[string]string{"If-Match": "3"})
+		removed := f.call(
+			http.MethodPatch,
+			coreHost(1)+":8166",
+			"/ferryspar/config",
+			`{"revision":4,"remove":{"tenants":["one"]}}`,
+			map[string]string{"If-Match": "3"},
+		)
 		assert.Equal(t, removed.status, http.StatusOK)
 		time.Sleep(applyBound)
 		assert.Equal(t, f.requestWithKey(1, newKey, "/quick/", "swift").status, http.StatusUnauthorized)
--- a/internal/test/pinned/pinned_test.go
+++ b/internal/test/pinned/pinned_test.go
@@ -22,7 +22,8 @@
 }
 
 const sampleGolden = `{"sample": {"zero": {"name":""}, "filled": ` +
-	`{"name":"text1","count":2,"raw":{"raw":3},"inner":{"ratio":4.5,"on":true},"texts":{"text5":"text6"},"list":[{"ratio":7.5,"on":true}]}}}`
+	`{"name":"text1","count":2,"raw":{"raw":3},"inner":{"ratio":4.5,"on":true},` +
+	`"texts":{"text5":"text6"},"list":[{"ratio":7.5,"on":true}]}}}`
 
 func TestFill_SetsEveryFieldAlikeEachTime(t *testing.T) {
 	var first, second sample
