--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -30,7 +30,7 @@
 	now := n.clock()
 	self := n.acceptor.LocalState()
 	view := membership.View{
-		Current: n.store.Membership(), Self: n.self, DesiredMembers: 2*n.settings.FaultTolerance.MachineLoss + 1, Peers: map[string]membership.Peer{},
+		Membership: n.store.Membership(), Self: n.self, DesiredMembers: 2*n.settings.FaultTolerance.MachineLoss + 1, Peers: map[string]membership.Peer{},
 	}
 	n.watchLock.Lock()
 	defer n.watchLock.Unlock()
@@ -94,7 +94,7 @@
 		}
 		due.observe(change, now)
 		if now.Sub(due.since) >= membership.ProposalDelay(view) {
-			n.commitMembership(ctx, view.Current, change)
+			n.commitMembership(ctx, view.Membership, change)
 		}
 	}
 }
--- a/internal/test/linearizability/membership_test.go
+++ b/internal/test/linearizability/membership_test.go
@@ -46,7 +46,7 @@
 }
 
 func (s *simulation) membershipView(self string, store *keystore.Store) membership.View {
-	view := membership.View{Current: store.Membership(), Self: self, DesiredMembers: s.schedule.size, Peers: map[string]membership.Peer{}}
+	view := membership.View{Membership: store.Membership(), Self: self, DesiredMembers: s.schedule.size, Peers: map[string]membership.Peer{}}
 	for _, name := range s.fleet.MemberNames() {
 		acceptor := s.fleet.AcceptorOf(name)
 		s.lock.Lock()
@@ -111,7 +111,7 @@
 			due, since = change, time.Now()
 		}
 		if time.Since(since) >= membership.ProposalDelay(view) {
-			s.changeMembership(name, store, view.Current, change)
+			s.changeMembership(name, store, view.Membership, change)
 		}
 	}
 }
