--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -89,7 +89,7 @@
 
 func (n *Node) recordWatch(request peer.WatchRequest, receivedAt time.Time) {
 	n.watchLock.Lock()
-	n.dataPlanes.Record(request.DataPlane, heartbeat.Heartbeat{ReportedAt: receivedAt, Zone: request.Zone, Revision: request.Revision, ZoneChanges: request.ZoneVersion})
+	n.dataPlanes.Record(request.DataPlane, heartbeat.Heartbeat{ReportedAt: receivedAt, Zone: request.Zone, Revision: request.Revision, ZoneVersion: request.ZoneVersion})
 	n.dataPlaneRetention[request.DataPlane] = retention.DataPlaneView{Applied: request.AppliedForget, Left: request.Leaving}
 	if request.Address != "" {
 		n.dataPlaneAddresses[request.DataPlane] = request.Address
--- a/internal/heartbeat/simulation_test.go
+++ b/internal/heartbeat/simulation_test.go
@@ -15,213 +15,286 @@
 )
 
 const (
+	controlCount   = 5
+	dataPlaneCount = 8
+	watcherCount   = 3
+
 	heartbeatInterval = 400 * time.Millisecond
 	heartbeatTimeout  = 600 * time.Millisecond
 	reportInterval    = 500 * time.Millisecond
-	suspectAfter      = 1600 * time.Millisecond
 	reportTimeout     = 3 * time.Second
-	dataPlaneExpiry   = 10 * time.Second
+	checkInterval     = 97 * time.Millisecond
+	controlExpiry     = 30 * time.Second
 	startupTime       = 4 * time.Second
 	recoveryTime      = 2 * time.Second
-	memberCount       = 5
-)
+	maxFaultDuration  = 8 * time.Second
+	simulatedTime     = 5 * time.Minute
 
-type event struct {
-	at    time.Time
-	order int
-	run   func(now time.Time)
-}
+	maxLossPercent   = 6
+	retransmitDelay  = 200 * time.Millisecond
+	maxNetworkDelay  = 3 * time.Millisecond
+	maxSlowDelay     = 250 * time.Millisecond
+	maxWakeUpDelay   = time.Millisecond
+	controlFreezeFor = 3 // times as long as data planes
+)
 
-type eventQueue []event
+var startTime = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(left, right int) bool {
-	return a[left].at.Before(a[right].at) || a[left].at.Equal(a[right].at) && a[left].order < a[right].order
-}
-func (a eventQueue) Swap(left, right int) { a[left], a[right] = a[right], a[left] }
-func (a *eventQueue) Push(one any)        { *a = append(*a, one.(event)) }
-func (a *eventQueue) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
-	return last
+// timeouts are what the daemons of a simulation go by.
+type timeouts struct {
+	dataPlaneExpiry time.Duration
+	suspectAfter    time.Duration
 }
 
+var defaultTimeouts = timeouts{dataPlaneExpiry: 10 * time.Second, suspectAfter: 1600 * time.Millisecond}
+
+// machine is a simulated machine with its daemon.
 type machine struct {
 	name        string
 	frozenUntil time.Time
 	controls    *heartbeat.Registry
 	dataPlanes  *heartbeat.Registry
-	suspicions  map[string]int
-	suspected   map[string]bool
+	// suspicions counts how often each peer came to be suspected, suspected are those that are now.
+	suspicions map[string]int
+	suspected  map[string]bool
+	// faults counts the faults that may be a cause to suspect the machine.
+	faults int
 }
 
+// link is one direction of the network between two machines.
+type link struct{ from, to string }
+
+// simulation plays daemons that report to each other over a lossy network while faults befall the machines. It is
+// determined by its seed.
 type simulation struct {
-	random       *rand.Rand
-	events       eventQueue
-	order        int
-	now          time.Time
-	lossPercent  int
-	suspectAfter time.Duration
-	slow         string
-	cutUntil     map[[2]string]time.Time
-	machines     map[string]*machine
-	control      []string
-	dataPlanes   []string
-	failure      error
-}
-
-func (s *simulation) schedule(delay time.Duration, act func(now time.Time)) {
-	s.order++
-	heap.Push(&s.events, event{s.now.Add(delay), s.order, act})
-}
-
-func (s *simulation) send(from, to string, bound time.Duration, act func(now time.Time)) {
-	delay := time.Duration(s.random.Int64N(int64(3 * time.Millisecond)))
-	for again := 200 * time.Millisecond; s.random.IntN(100) < s.lossPercent; again *= 2 {
-		delay += again
+	timeouts
+	random      *rand.Rand
+	events      eventQueue
+	eventCount  int
+	now         time.Time
+	lossPercent int
+	slow        string
+	cutUntil    map[link]time.Time
+	machines    map[string]*machine
+	controls    []string
+	dataPlanes  []string
+	failure     error
+}
+
+func newSimulation(seed uint64, timeouts timeouts) *simulation {
+	random := rand.New(rand.NewPCG(seed, 41))
+	s := &simulation{
+		timeouts:    timeouts,
+		random:      random,
+		now:         startTime,
+		lossPercent: random.IntN(maxLossPercent),
+		cutUntil:    map[link]time.Time{},
+		machines:    map[string]*machine{},
 	}
-	if from == s.slow || to == s.slow {
-		delay += time.Duration(s.random.Int64N(int64(250 * time.Millisecond)))
+	for index := range controlCount {
+		s.controls = append(s.controls, s.addMachine(fmt.Sprintf("control-%d", index)))
 	}
-	if delay > bound || s.now.Before(s.cutUntil[[2]string{from, to}]) {
-		return
+	for index := range dataPlaneCount {
+		s.dataPlanes = append(s.dataPlanes, s.addMachine(fmt.Sprintf("edge-%d", index)))
+	}
+	s.slow = s.controls[random.IntN(controlCount)]
+	return s
+}
+
+func (s *simulation) addMachine(name string) string {
+	s.machines[name] = &machine{
+		name:        name,
+		frozenUntil: startTime,
+		controls:    heartbeat.NewRegistry(controlExpiry),
+		dataPlanes:  heartbeat.NewRegistry(s.dataPlaneExpiry),
+		suspicions:  map[string]int{},
+		suspected:   map[string]bool{},
+	}
+	return name
+}
+
+func (s *simulation) run() error {
+	for _, name := range s.controls {
+		s.startControl(s.machines[name])
+	}
+	s.schedule(startupTime, s.injectFault)
+	for s.events.Len() > 0 && s.elapsed() < simulatedTime && s.failure == nil {
+		next := heap.Pop(&s.events).(event)
+		s.now = next.at
+		next.run(s.now)
 	}
-	s.schedule(delay, func(now time.Time) { s.whenAwake(to, act) })
+	if err := s.checkSuspicionCounts(); err != nil {
+		return err
+	}
+	return s.failure
+}
+
+// startControl has a control daemon send heartbeats, check its peers, and receive the reports of all data planes.
+func (s *simulation) startControl(control *machine) {
+	s.schedule(s.randomDuration(heartbeatInterval), func(time.Time) {
+		s.repeat(control.name, heartbeatInterval, func() { s.sendHeartbeats(control) })
+		s.repeat(control.name, checkInterval, func() { s.check(control) })
+	})
+	for _, dataPlane := range s.dataPlanes {
+		s.schedule(s.randomDuration(reportInterval), func(time.Time) {
+			s.repeat(dataPlane, reportInterval, func() { s.sendReport(dataPlane, control) })
+		})
+	}
+}
+
+func (s *simulation) elapsed() time.Duration { return s.now.Sub(startTime) }
+
+func (s *simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(limit)))
+}
+
+func (s *simulation) schedule(delay time.Duration, run func(now time.Time)) {
+	s.eventCount++
+	heap.Push(&s.events, event{s.now.Add(delay), s.eventCount, run})
 }
 
-func (s *simulation) whenAwake(name string, act func(now time.Time)) {
+// repeat runs a daemon's activity now and again after each interval, later where its machine is frozen.
+func (s *simulation) repeat(name string, interval time.Duration, run func()) {
+	s.whenAwake(name, func(time.Time) {
+		run()
+		s.schedule(interval, func(time.Time) { s.repeat(name, interval, run) })
+	})
+}
+
+func (s *simulation) whenAwake(name string, run func(now time.Time)) {
 	if wait := s.machines[name].frozenUntil.Sub(s.now); wait > 0 {
-		s.schedule(wait+time.Duration(s.random.Int64N(int64(time.Millisecond))), act)
+		s.schedule(wait+s.randomDuration(maxWakeUpDelay), run)
 		return
 	}
-	act(s.now)
+	run(s.now)
 }
 
-func (s *simulation) repeat(name string, every time.Duration, act func(now time.Time)) {
-	s.whenAwake(name, func(now time.Time) {
-		act(now)
-		s.schedule(every, func(time.Time) { s.repeat(name, every, act) })
+// send delivers a message after the delay of the network and its retransmissions, unless that takes longer than the
+// timeout or the link is cut.
+func (s *simulation) send(from, to string, timeout time.Duration, deliver func(now time.Time)) {
+	delay := s.randomDuration(maxNetworkDelay)
+	for retransmit := retransmitDelay; s.random.IntN(100) < s.lossPercent; retransmit *= 2 {
+		delay += retransmit
+	}
+	if from == s.slow || to == s.slow {
+		delay += s.randomDuration(maxSlowDelay)
+	}
+	if delay > timeout || s.now.Before(s.cutUntil[link{from, to}]) {
+		return
+	}
+	s.schedule(delay, func(time.Time) { s.whenAwake(to, deliver) })
+}
+
+func (s *simulation) sendReport(dataPlane string, control *machine) {
+	s.send(dataPlane, control.name, reportTimeout, func(now time.Time) {
+		control.dataPlanes.Record(dataPlane, heartbeat.Heartbeat{ReportedAt: now})
 	})
 }
 
-func (s *simulation) sendHeartbeats(one *machine) {
-	dataPlanes := one.dataPlanes.Live(s.now, reportTimeout)
-	targets := heartbeat.Watchers(one.name, s.control, 3)
-	for _, name := range s.control {
-		if name == one.name || !slices.Contains(targets, name) && !slices.Contains(s.control[:memberCount], name) {
+// sendHeartbeats has a control daemon tell its watchers, and all members, of itself and of the data planes that it
+// hears. All control daemons are members here.
+func (s *simulation) sendHeartbeats(sender *machine) {
+	dataPlanes := sender.dataPlanes.Live(s.now, reportTimeout)
+	members := s.controls
+	watchers := heartbeat.Watchers(sender.name, s.controls, watcherCount)
+	for _, name := range s.controls {
+		if name == sender.name || !slices.Contains(watchers, name) && !slices.Contains(members, name) {
 			continue
 		}
-		s.send(one.name, name, heartbeatTimeout, func(now time.Time) {
-			hearer := s.machines[name]
-			hearer.controls.Record(one.name, heartbeat.Heartbeat{ReportedAt: now})
+		s.send(sender.name, name, heartbeatTimeout, func(now time.Time) {
+			receiver := s.machines[name]
+			receiver.controls.Record(sender.name, heartbeat.Heartbeat{ReportedAt: now})
 			for _, dataPlane := range dataPlanes {
-				hearer.dataPlanes.RecordContact(dataPlane, now)
+				receiver.dataPlanes.RecordContact(dataPlane, now)
 			}
 		})
 	}
 }
 
-func (s *simulation) checkSuspicions(one *machine) {
-	total := one.dataPlanes.Count(s.now)
-	if total < len(s.dataPlanes) && s.now.Sub(startTime) > startupTime {
-		s.failure = fmt.Errorf("%s counts %d of %d edges at %s", one.name, total, len(s.dataPlanes), s.now.Sub(startTime))
+// check fails the simulation if a control daemon counts too few data planes or suspects a peer without a cause.
+func (s *simulation) check(observer *machine) {
+	total := observer.dataPlanes.Count(s.now)
+	if total < len(s.dataPlanes) && s.elapsed() > startupTime {
+		s.failure = fmt.Errorf("%s counts %d of %d data planes at %s", observer.name, total, len(s.dataPlanes), s.elapsed())
 	}
-	for _, name := range s.control {
-		if name == one.name || s.now.Sub(startTime) < startupTime || s.now.Sub(one.frozenUntil) < startupTime {
-			continue
-		}
-		doubted := s.now.Sub(one.controls.LastReport(name)) > s.suspectAfter
-		if doubted && !one.suspected[name] {
-			one.suspicions[name]++
-		}
-		one.suspected[name] = doubted
-		troubled := s.now.Sub(s.machines[name].frozenUntil) < recoveryTime || s.now.Before(s.cutUntil[[2]string{name, one.name}].Add(recoveryTime))
-		if doubted && !troubled {
-			s.failure = fmt.Errorf("%s suspects %s without a cause at %s", one.name, name, s.now.Sub(startTime))
+	if s.elapsed() < startupTime || s.now.Sub(observer.frozenUntil) < startupTime {
+		return
+	}
+	for _, name := range s.controls {
+		if name != observer.name {
+			s.checkPeer(observer, name)
 		}
 	}
 }
 
-var startTime = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-
-func runSimulation(seed uint64, expireAfter, suspects time.Duration) error {
-	s := &simulation{random: rand.New(rand.NewPCG(seed, 41)), now: startTime, cutUntil: map[[2]string]time.Time{}, machines: map[string]*machine{}, suspectAfter: suspects}
-	s.lossPercent = s.random.IntN(6)
-	add := func(name string) *machine {
-		one := &machine{name: name, frozenUntil: startTime, controls: heartbeat.NewRegistry(30 * time.Second), dataPlanes: heartbeat.NewRegistry(expireAfter), suspicions: map[string]int{}, suspected: map[string]bool{}}
-		s.machines[name] = one
-		return one
-	}
-	for index := range 5 {
-		s.control = append(s.control, add(fmt.Sprintf("control-%d", index)).name)
-	}
-	for index := range 8 {
-		s.dataPlanes = append(s.dataPlanes, add(fmt.Sprintf("edge-%d", index)).name)
-	}
-	s.slow = s.control[s.random.IntN(5)]
-	freezes := map[string]int{}
-	for _, name := range s.control {
-		one := s.machines[name]
-		s.schedule(time.Duration(s.random.Int64N(int64(heartbeatInterval))), func(time.Time) {
-			s.repeat(name, heartbeatInterval, func(time.Time) { s.sendHeartbeats(one) })
-			s.repeat(name, 97*time.Millisecond, func(time.Time) { s.checkSuspicions(one) })
-		})
-		for _, dataPlane := range s.dataPlanes {
-			s.schedule(time.Duration(s.random.Int64N(int64(reportInterval))), func(time.Time) {
-				s.repeat(dataPlane, reportInterval, func(time.Time) {
-					s.send(dataPlane, name, reportTimeout, func(now time.Time) { one.dataPlanes.Record(dataPlane, heartbeat.Heartbeat{ReportedAt: now}) })
-				})
-			})
-		}
+func (s *simulation) checkPeer(observer *machine, peer string) {
+	suspected := s.now.Sub(observer.controls.LastReport(peer)) > s.suspectAfter
+	if suspected && !observer.suspected[peer] {
+		observer.suspicions[peer]++
 	}
-	var trouble func(time.Time)
-	trouble = func(now time.Time) {
-		lasting := time.Duration(s.random.Int64N(int64(8 * time.Second)))
-		all := append(append([]string{}, s.control...), s.dataPlanes...)
-		name, other := all[s.random.IntN(len(all))], all[s.random.IntN(len(all))]
-		if s.random.IntN(2) == 0 {
-			if slices.Contains(s.control, name) {
-				lasting *= 3
+	observer.suspected[peer] = suspected
+	frozen := s.now.Sub(s.machines[peer].frozenUntil) < recoveryTime
+	cut := s.now.Before(s.cutUntil[link{peer, observer.name}].Add(recoveryTime))
+	if suspected && !frozen && !cut {
+		s.failure = fmt.Errorf("%s suspects %s without a cause at %s", observer.name, peer, s.elapsed())
+	}
+}
+
+// checkSuspicionCounts fails if a peer was suspected more often than faults gave a cause.
+func (s *simulation) checkSuspicionCounts() error {
+	for _, observer := range s.machines {
+		for peer, times := range observer.suspicions {
+			if faults := s.machines[peer].faults; times > faults {
+				return fmt.Errorf("%s suspected %s %d times for %d faults", observer.name, peer, times, faults)
 			}
-			s.machines[name].frozenUntil = now.Add(lasting)
-			freezes[name]++
-		} else if name != other {
-			s.cutUntil[[2]string{name, other}], s.cutUntil[[2]string{other, name}] = now.Add(lasting), now.Add(lasting)
-			freezes[name]++
-			freezes[other]++
 		}
-		s.schedule(lasting+startupTime+time.Second, trouble)
-	}
-	s.schedule(startupTime, trouble)
-	for s.events.Len() > 0 && s.now.Before(startTime.Add(5*time.Minute)) && s.failure == nil {
-		next := heap.Pop(&s.events).(event)
-		s.now = next.at
-		next.run(s.now)
 	}
-	for _, one := range s.machines {
-		for name, times := range one.suspicions {
-			if times > freezes[name] {
-				return fmt.Errorf("%s suspected %s %d times for %d troubles", one.name, name, times, freezes[name])
-			}
+	return nil
+}
+
+// injectFault freezes a machine or cuts the links between two, and schedules the next fault for after the recovery.
+func (s *simulation) injectFault(now time.Time) {
+	duration := s.randomDuration(maxFaultDuration)
+	all := slices.Concat(s.controls, s.dataPlanes)
+	name, other := all[s.random.IntN(len(all))], all[s.random.IntN(len(all))]
+	if s.random.IntN(2) == 0 {
+		if slices.Contains(s.controls, name) {
+			duration *= controlFreezeFor
 		}
+		s.machines[name].frozenUntil = now.Add(duration)
+		s.machines[name].faults++
+	} else if name != other {
+		s.cutUntil[link{name, other}] = now.Add(duration)
+		s.cutUntil[link{other, name}] = now.Add(duration)
+		s.machines[name].faults++
+		s.machines[other].faults++
 	}
-	return s.failure
+	s.schedule(duration+startupTime+time.Second, s.injectFault)
 }
 
 func TestRegistry_SuspectsOnlyWithCauseUnderFaults(t *testing.T) {
 	from, to := keystoresim.SeedRange(60)
 	for seed := from; seed < to; seed++ {
-		assert.NilError(t, runSimulation(uint64(seed), dataPlaneExpiry, suspectAfter), "FERRYSPAR_SEED=%d replays this schedule", seed)
+		err := newSimulation(uint64(seed), defaultTimeouts).run()
+		assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
 	}
 }
 
 func TestSimulation_CatchesHastyWatchers(t *testing.T) {
-	for name, spoilt := range map[string][2]time.Duration{"forgets too soon": {2 * time.Second, suspectAfter}, "suspects too soon": {dataPlaneExpiry, 2 * heartbeatInterval}} {
-		var caught error
-		for seed := 1; seed < 60 && caught == nil; seed++ {
-			caught = runSimulation(uint64(seed), spoilt[0], spoilt[1])
-		}
-		assert.Assert(t, caught != nil, name)
-		t.Log(caught)
+	expiresTooSoon, suspectsTooSoon := defaultTimeouts, defaultTimeouts
+	expiresTooSoon.dataPlaneExpiry = 2 * time.Second
+	suspectsTooSoon.suspectAfter = 2 * heartbeatInterval
+	for name, hasty := range map[string]timeouts{
+		"expires too soon":  expiresTooSoon,
+		"suspects too soon": suspectsTooSoon,
+	} {
+		t.Run(name, func(t *testing.T) {
+			var caught error
+			for seed := uint64(1); seed < 60 && caught == nil; seed++ {
+				caught = newSimulation(seed, hasty).run()
+			}
+			assert.Assert(t, caught != nil)
+			t.Log(caught)
+		})
 	}
 }
