--- a/internal/controlplane/configurations.go
+++ b/internal/controlplane/configurations.go
@@ -21,8 +21,6 @@
 	unconfirmedTimeout = 700 * time.Millisecond
 	// ackTimeout is how long an acknowledgement waits for data planes to take the change in.
 	ackTimeout = 350 * time.Millisecond
-	// inContactWindow is how recently a data plane must have polled to be waited for.
-	inContactWindow = 1500 * time.Millisecond
 )
 
 // bounded limits an operator's call.
@@ -96,10 +94,7 @@
 	defer ticker.Stop()
 	for {
 		snapshot := n.publisher.Current()
-		n.watchLock.Lock()
-		behind := n.dataPlanes.CountBehind(n.clock(), inContactWindow, snapshot.Revision, snapshot.ZoneVersion)
-		n.watchLock.Unlock()
-		if behind == 0 {
+		if n.dataPlanes.Behind(n.clock(), snapshot.Revision, snapshot.ZoneVersion) == 0 {
 			return
 		}
 		select {
--- a/internal/controlplane/context.go
+++ b/internal/controlplane/context.go
@@ -105,7 +105,7 @@
 	if n.clock().Sub(n.startedAt) < dataPlaneCountDelay {
 		return retention.Status{}, apierror.New(apierror.NoMajority, "this daemon has just started and may not know all data planes")
 	}
-	dataPlanes := n.knownDataPlanes()
+	dataPlanes := n.dataPlanes.Known()
 	var added retention.Purge
 	err := n.changeKey(ctx, keystore.ForgetKey, func(current keystore.Register) (any, error) {
 		var record retention.Record
@@ -123,7 +123,7 @@
 		"part":   scope.PromptPart,
 		"edges":  len(dataPlanes),
 	}).Info("context is to be forgotten")
-	return added.Status(n.retentionViews()), nil
+	return added.Status(n.dataPlanes.RetentionViews()), nil
 }
 
 // ReadRetention reads the policy with a majority's confirmation.
@@ -145,7 +145,7 @@
 	}
 	var record retention.Record
 	_ = json.Unmarshal(register.Value, &record)
-	views := n.retentionViews()
+	views := n.dataPlanes.RetentionViews()
 	statuses := []retention.Status{}
 	for _, item := range record.Purges {
 		statuses = append(statuses, item.Status(views))
@@ -161,30 +161,6 @@
 	return register, controlstate.Translate(err)
 }
 
-// knownDataPlanes are the data planes that have not left.
-func (n *Node) knownDataPlanes() []string {
-	n.watchLock.Lock()
-	defer n.watchLock.Unlock()
-	names := make([]string, 0, len(n.dataPlaneRetention))
-	for name, view := range n.dataPlaneRetention {
-		if !view.Left {
-			names = append(names, name)
-		}
-	}
-	return names
-}
-
-// retentionViews copies what is known of each data plane's forgetting.
-func (n *Node) retentionViews() map[string]retention.DataPlaneView {
-	n.watchLock.Lock()
-	defer n.watchLock.Unlock()
-	views := make(map[string]retention.DataPlaneView, len(n.dataPlaneRetention))
-	for name, view := range n.dataPlaneRetention {
-		views[name] = view
-	}
-	return views
-}
-
 // changeForget changes one forget item, and reports whether the store did not fail.
 func (n *Node) changeForget(ctx context.Context, number uint64, change func(item *retention.Purge) bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
--- a/internal/controlplane/drillstatus.go
+++ b/internal/controlplane/drillstatus.go
@@ -66,7 +66,7 @@
 			status.EndReason = drill.EndedWithoutRenewal
 		}
 	}
-	for _, dataPlane := range n.knownDataPlanes() {
+	for _, dataPlane := range n.dataPlanes.Known() {
 		status.DataPlanes[dataPlane] = drill.DataPlaneSilent
 	}
 	for dataPlane, report := range n.drillReports(record.Number) {
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -30,7 +30,7 @@
 	if json.Unmarshal(payload, &update) != nil {
 		return
 	}
-	for _, address := range n.otherControlNodes() {
+	for _, address := range n.members.Others() {
 		go func() { _ = n.peers.Call(ctx, "learn", address, update, nil) }()
 	}
 }
--- a/internal/controlplane/exchange.go
+++ b/internal/controlplane/exchange.go
@@ -66,7 +66,7 @@
 func (n *Node) sendSummaries(ctx context.Context) {
 	full := n.loads.Summary(n.self, n.clock())
 	packed := n.dense.pack(full, n.roster.replicaList())
-	for _, address := range n.otherControlNodes() {
+	for _, address := range n.members.Others() {
 		summary := packed
 		if n.exchanged.needsUnpacked(address) {
 			summary = full
--- a/internal/controlplane/follow.go
+++ b/internal/controlplane/follow.go
@@ -139,7 +139,7 @@
 
 func (n *Node) handleSubscribe(_ context.Context, request peer.SubscribeRequest) peer.SubscribeResponse {
 	snapshot := n.publisher.Current()
-	if !snapshot.IsFresh(n.clock()) || n.isLeaving() {
+	if !snapshot.IsFresh(n.clock()) || n.members.IsLeaving() {
 		return peer.SubscribeResponse{Incarnation: n.incarnation}
 	}
 	response := n.endpoints.Subscribe(request, n.clock())
--- a/internal/controlplane/forecast.go
+++ b/internal/controlplane/forecast.go
@@ -145,19 +145,9 @@
 		Table:       configuration.NewTable(read, nil),
 		Demand:      n.scheduler.demandRates(),
 		Members:     n.store.Membership().Current,
-		MemberZones: map[string]string{n.self: n.settings.Zone},
+		MemberZones: n.members.Zones(),
+		DataPlanes:  n.dataPlanes.Zones(n.clock()),
 		LeaseHolder: snapshot.LeaseHolder,
 	}
-	n.watchLock.Lock()
-	defer n.watchLock.Unlock()
-	fleet.DataPlanes = n.dataPlanes.Zones(n.clock())
-	for name, view := range n.dataPlaneRetention {
-		if view.Left {
-			delete(fleet.DataPlanes, name)
-		}
-	}
-	for address, last := range n.lastHeartbeats {
-		fleet.MemberZones[address] = last.Zone
-	}
 	return fleet, nil
 }
--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -8,7 +8,6 @@
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membership"
 )
 
 const (
@@ -80,14 +79,12 @@
 // baseline notes which data planes, members and replicas are alive now.
 func (n *Node) newBaseline(snapshot *Snapshot, now time.Time) *baseline {
 	base := &baseline{number: snapshot.Drill.Number, takenOver: snapshot.Drill.Renewals > 0}
-	n.watchLock.Lock()
 	base.dataPlanes = n.dataPlanes.Live(now, dataPlaneTimeout)
 	for _, member := range n.store.Membership().Current {
 		if member != n.self {
 			base.members = append(base.members, member)
 		}
 	}
-	n.watchLock.Unlock()
 	for _, replica := range snapshot.Replicas {
 		if replica.State != discovery.Draining && !n.scheduler.isSuspected(replica.ID) {
 			base.replicas = append(base.replicas, replica.ID)
@@ -148,17 +145,11 @@
 
 // silentSince says which data plane or member has fallen silent, or nothing.
 func (n *Node) silentSince(base *baseline, now time.Time) string {
-	n.watchLock.Lock()
-	defer n.watchLock.Unlock()
-	for _, dataPlane := range base.dataPlanes {
-		if !n.dataPlaneRetention[dataPlane].Left && now.Sub(n.dataPlanes.LastReport(dataPlane)) > dataPlaneTimeout {
-			return "edge " + dataPlane + " is silent"
-		}
+	if silent := n.dataPlanes.Silent(base.dataPlanes, now, dataPlaneTimeout); silent != "" {
+		return "edge " + silent + " is silent"
 	}
-	for _, member := range base.members {
-		if n.store.Membership().IsCurrent(member) && now.Sub(n.controlNodes.LastReport(member)) > membership.SuspectAfter {
-			return "member " + member + " is silent"
-		}
+	if silent := n.members.Silent(base.members, now); silent != "" {
+		return "member " + silent + " is silent"
 	}
 	return ""
 }
--- /dev/null
+++ b/internal/controlplane/members/changes.go
@@ -0,0 +1,106 @@
+package members
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"ferryspar/internal/keystore"
+	"ferryspar/internal/membership"
+)
+
+const (
+	changeCheckInterval = 150 * time.Millisecond
+	// startDelay is how long a node that has just started listens before it changes the membership:
+	// for as long as it takes until a member that it does not hear is suspected.
+	startDelay = membership.SuspectAfter + heartbeatInterval
+	// changeTimeout is how long committing a change may take.
+	changeTimeout = 2500 * time.Millisecond
+)
+
+// errSuperseded ends a change that another node's change has overtaken.
+var errSuperseded = errors.New("members: a newer membership is committed")
+
+// dueChange remembers since when a change has been due in this node's view.
+type dueChange struct {
+	change membership.Change
+	since  time.Time
+}
+
+// observe notes that a change is due now. It restarts the time if that is another change than before.
+func (d *dueChange) observe(change membership.Change, now time.Time) {
+	isOther := d.change.Membership.Version != change.Membership.Version || d.change.Reason != change.Reason
+	if isOther {
+		*d = dueChange{change, now}
+	}
+}
+
+// runChanges replaces lost members until ctx ends. Every voting member with a confirmed state takes
+// part: the first by address acts at once, each further one if those before it do not get it done.
+func (m *Manager) runChanges(ctx context.Context) {
+	ticker := time.NewTicker(changeCheckInterval)
+	defer ticker.Stop()
+	var due dueChange
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		m.completeBootstrap(ctx)
+		m.changeIfDue(ctx, &due)
+	}
+}
+
+// changeIfDue commits a change of the membership that has been due for long enough.
+func (m *Manager) changeIfDue(ctx context.Context, due *dueChange) {
+	now := m.config.Clock()
+	if !m.mayChange(now) {
+		*due = dueChange{}
+		return
+	}
+	view := m.View()
+	change, needed := membership.NextChange(view)
+	if !needed {
+		*due = dueChange{}
+		return
+	}
+	due.observe(change, now)
+	if now.Sub(due.since) >= membership.ProposalDelay(view) {
+		m.commitChange(ctx, view.Current, change)
+	}
+}
+
+// mayChange tells whether this node knows enough to change the membership.
+func (m *Manager) mayChange(now time.Time) bool {
+	return now.Sub(m.config.StartedAt) >= startDelay && m.acceptor.LocalState().Voting && m.host.IsConfirmed(now)
+}
+
+// commitChange commits a change unless a newer membership than current was committed meanwhile.
+// Failures are not reported: the change is still due at the next check, here or elsewhere.
+func (m *Manager) commitChange(ctx context.Context, current keystore.Membership, change membership.Change) {
+	bounded, cancel := context.WithTimeout(ctx, changeTimeout)
+	defer cancel()
+	register, err := m.store.Change(bounded, keystore.MembershipKey, func(register keystore.Register) (json.RawMessage, error) {
+		var committed keystore.Membership
+		_ = json.Unmarshal(register.Value, &committed)
+		if committed.Version > current.Version {
+			return nil, errSuperseded
+		}
+		return json.Marshal(change.Membership)
+	})
+	if err != nil {
+		return
+	}
+	logrus.WithFields(logrus.Fields{
+		"reason":  change.Reason,
+		"members": change.Membership.Current,
+		"next":    change.Membership.Next,
+		"version": change.Membership.Version,
+	}).Info("membership change committed")
+	m.lastChange.Store(&change)
+	m.host.MembershipCommitted(register)
+}
--- /dev/null
+++ b/internal/controlplane/node.go
@@ -0,0 +1,228 @@
+package controlplane
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/binary"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"ferryspar/internal/controlplane/dataplanes"
+	"ferryspar/internal/controlplane/members"
+	"ferryspar/internal/controlstate"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/eventbus"
+	"ferryspar/internal/keystore"
+	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/peer"
+)
+
+const placementLease = keystore.LeasePrefix + "placement"
+
+// Node is one control-plane node: member of the keystore, source of updates for data planes, server of
+// the admin API, and, while it holds the placement lease, the one that places models. It puts its parts
+// together and runs them; each part owns its state.
+type Node struct {
+	settings     nodesettings.Settings
+	settingsPath string
+	// self is the address at which other nodes reach this one.
+	self string
+	// incarnation names this start of the process.
+	incarnation string
+	clock       func() time.Time
+	startedAt   time.Time
+	network     peer.Network
+	peers       *peer.Client
+
+	wal      *keystore.WAL
+	acceptor *keystore.Acceptor
+	store    *keystore.Store
+	state    *controlstate.State
+	// applyLock guards appliedRegisters, the newest register of each key that is published.
+	applyLock        sync.Mutex
+	appliedRegisters map[string]keystore.Register
+	confirmer        *confirmer
+
+	publisher  *Publisher
+	endpoints  *EndpointPublisher
+	loads      *LoadAggregator
+	dense      loadPacker
+	exchanged  unpackedPeers
+	dataPlanes *dataplanes.Registry
+	members    *members.Manager
+	scheduler  *Scheduler
+	bus        *eventbus.Bus
+
+	rosterUpdates atomic.Uint64
+	discovery     *discovery.Client
+	listMerger    discovery.Merger
+	roster        rosterState
+	forecasts     forecasts
+	drills        drillReports
+}
+
+// nonce returns a random number that names a disk, an incarnation or a request.
+func nonce() uint64 {
+	var content [8]byte
+	_, _ = rand.Read(content[:])
+	return binary.BigEndian.Uint64(content[:])
+}
+
+// New opens the disk and puts the node together. A disk that is empty, or has lost a file, makes a
+// member without a vote, unless the whole system starts for the first time. Such a member catches up
+// from the others, or bootstraps the system with them if all of them are in the same state. The
+// settings are read again from settingsPath at a hangup signal.
+func New(settings nodesettings.Settings, settingsPath string, network peer.Network, directory keystore.Directory) (*Node, error) {
+	wal, err := openWAL(directory, segmentBytes(settings.Limits.DiskMb))
+	if err != nil {
+		return nil, errors.Wrap(err, "write-ahead log")
+	}
+	isBootstrapping, err := initializeWAL(wal, settings)
+	if err != nil {
+		return nil, err
+	}
+	incarnation := nonce()
+	node := &Node{
+		settings:         settings,
+		settingsPath:     settingsPath,
+		self:             settings.PeerAddress(),
+		incarnation:      strconv.FormatUint(incarnation, 36),
+		clock:            time.Now,
+		startedAt:        time.Now(),
+		network:          network,
+		peers:            peer.NewClient(network),
+		wal:              wal,
+		appliedRegisters: map[string]keystore.Register{},
+		publisher:        NewPublisher(),
+		endpoints:        NewEndpointPublisher(),
+		loads:            NewLoadAggregator(),
+		dataPlanes:       dataplanes.NewRegistry(),
+		bus:              eventbus.New(),
+	}
+	node.openKeystore(incarnation, isBootstrapping)
+	node.confirmer = newConfirmer(node)
+	node.members = node.newMembers()
+	node.discovery = &discovery.Client{
+		Address:    settings.CloudAPI.Address,
+		HTTPClient: &http.Client{Transport: peer.NewTransport(network, listConnectTimeout, listAckTimeout, listIdleConnections)},
+	}
+	node.scheduler = NewScheduler(node)
+	return node, nil
+}
+
+const (
+	// listConnectTimeout and listAckTimeout bound how long the platform's list may take to accept a
+	// connection, and to acknowledge what was sent on it.
+	listConnectTimeout  = 500 * time.Millisecond
+	listAckTimeout      = 1500 * time.Millisecond
+	listIdleConnections = 2
+)
+
+// initializeWAL writes the first registers of a member whose log is empty, and returns whether it takes
+// part in bootstrapping the system: a disk that lost its state does not, whatever the settings say.
+func initializeWAL(wal *keystore.WAL, settings nodesettings.Settings) (isBootstrapping bool, err error) {
+	if len(wal.State()) > 0 {
+		return false, nil
+	}
+	isBootstrapping = settings.Bootstrap && wal.Damage() == nil
+	membership := keystore.BootstrapMembership(settings.SeedPeers())
+	first := keystore.WipedRegisters(nonce())
+	if isBootstrapping && membership.Contains(settings.PeerAddress()) {
+		first = keystore.BootstrapRegisters(membership, nonce())
+	}
+	return isBootstrapping, errors.Wrap(wal.Append(first), "first write")
+}
+
+// openKeystore makes the acceptor and the store over the write-ahead log.
+func (n *Node) openKeystore(incarnation uint64, isBootstrapping bool) {
+	seeds := n.settings.SeedPeers()
+	config := keystore.AcceptorConfig{
+		LeaseDuration: n.leaseDuration(),
+		Clock:         n.clock,
+		Seeds:         seeds,
+	}
+	n.acceptor = keystore.NewAcceptor(n.self, n.wal, config, isBootstrapping)
+	membership := n.acceptor.Membership()
+	if membership.Version == 0 && isBootstrapping {
+		membership = keystore.BootstrapMembership(seeds)
+	}
+	transport := &peer.KeystoreTransport{Self: n.self, Client: n.peers, Acceptor: n.acceptor}
+	n.store = keystore.NewStore(n.self, incarnation, transport, membership)
+	n.state = &controlstate.State{Store: n.store, Zones: n.settings.Zones, Clock: n.clock}
+}
+
+func (n *Node) newMembers() *members.Manager {
+	config := members.Config{
+		Self:           n.self,
+		NodeName:       n.settings.NodeName,
+		Zone:           n.settings.Zone,
+		Seeds:          n.settings.SeedPeers(),
+		DesiredMembers: 2*n.settings.FaultTolerance.MachineLoss + 1,
+		Clock:          n.clock,
+		StartedAt:      n.startedAt,
+	}
+	return members.NewManager(config, n.store, n.acceptor, n.peers, n.dataPlanes, membersHost{n})
+}
+
+// minLeaseDuration is the shortest time that a lease is granted for.
+const minLeaseDuration = 500 * time.Millisecond
+
+// leaseDuration is how long a lease lasts: half of the settings' leaseMs.
+func (n *Node) leaseDuration() time.Duration {
+	return max(nodesettings.Milliseconds(n.settings.TimingBounds.LeaseMs)/2, minLeaseDuration)
+}
+
+// Run serves until the parent ends, a server fails, or a signal to stop has been obeyed.
+func (n *Node) Run(parent context.Context, signals nodesettings.Signals) error {
+	ctx, cancel := context.WithCancel(parent)
+	var cleanup []func()
+	defer func() {
+		for index := len(cleanup) - 1; index >= 0; index-- {
+			cleanup[index]()
+		}
+	}()
+	cleanup = append(cleanup, cancel)
+	go n.acceptor.Run(ctx, n.wal)
+	peerListener, err := n.network.Listen(n.self)
+	if err != nil {
+		return errors.Wrap(err, "internal address")
+	}
+	cleanup = append(cleanup, func() { peerListener.Close() })
+	adminListener, err := n.network.Listen(n.settings.BindAddresses.ControlPlane)
+	if err != nil {
+		return errors.Wrap(err, "control plane address")
+	}
+	cleanup = append(cleanup, func() { adminListener.Close() })
+	failures := make(chan error, 2)
+	peerServer := &http.Server{Handler: n.peerRoutes(), IdleTimeout: time.Minute}
+	adminServer := &http.Server{Handler: n.adminRoutes(), IdleTimeout: time.Minute, ReadHeaderTimeout: 10 * time.Second}
+	go func() { failures <- peerServer.Serve(peerListener) }()
+	go func() { failures <- adminServer.Serve(adminListener) }()
+	if err := n.subscribeEvents(ctx); err != nil {
+		return err
+	}
+	cleanup = append(cleanup, n.bus.Close)
+	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.runRoster, n.scheduler.Run, n.runLoadExchange, n.runDrillGuard,
+		func(ctx context.Context) {
+			nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(fresh nodesettings.Settings) { n.members.Introduce(fresh.SeedPeers()) })
+		}}
+	for _, loop := range loops {
+		go loop(ctx)
+	}
+	logrus.WithFields(logrus.Fields{"control_plane": adminListener.Addr().String(), "partner": n.self, "members": n.store.Membership().Current}).Info("control plane listens")
+	select {
+	case <-parent.Done():
+		return nil
+	case err := <-failures:
+		return err
+	case <-signals.Stop:
+		n.shutdown(adminServer, peerServer)
+		return nil
+	}
+}
--- a/internal/controlplane/pinned_test.go
+++ b/internal/controlplane/pinned_test.go
@@ -7,13 +7,14 @@
 	"github.com/go-chi/chi/v5"
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/controlplane/members"
 	"ferryspar/internal/test/pinned"
 )
 
 func TestReplies_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
 		"answer to a share of the roster": new(rosterAck),
-		"answer to a greeting":            new(heartbeatReply),
+		"answer to a greeting":            new(members.HeartbeatReply),
 	})
 }
 
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -8,10 +8,9 @@
 	"github.com/go-chi/chi/v5"
 
 	"ferryspar/internal/adminapi"
-	"ferryspar/internal/heartbeat"
+	"ferryspar/internal/controlplane/dataplanes"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/retention"
 )
 
 func (n *Node) peerRoutes() http.Handler {
@@ -23,7 +22,7 @@
 	router.Post(peer.Methods["follow"].Path, peer.Handler(n.handleSubscribe))
 	router.Post(peer.Methods["sums"].Path, peer.Handler(n.handleLoadSummary))
 	router.Post(peer.Methods["roster"].Path, peer.Handler(n.handleRosterUpdate))
-	router.Post(peer.Methods["greet"].Path, peer.Handler(n.handleHeartbeat))
+	router.Post(peer.Methods["greet"].Path, peer.Handler(n.members.HandleHeartbeat))
 	router.Post(peer.Methods["forecast"].Path, peer.Handler(n.handleForecast))
 	router.Post(peer.Methods["plan"].Path, peer.Handler(n.handlePlanRequest))
 	return router
@@ -88,13 +87,7 @@
 }
 
 func (n *Node) recordWatch(request peer.WatchRequest, receivedAt time.Time) {
-	n.watchLock.Lock()
-	n.dataPlanes.Record(request.DataPlane, heartbeat.Heartbeat{ReportedAt: receivedAt, Zone: request.Zone, Revision: request.Revision, ZoneChanges: request.ZoneVersion})
-	n.dataPlaneRetention[request.DataPlane] = retention.DataPlaneView{Applied: request.AppliedForget, Left: request.Leaving}
-	if request.Address != "" {
-		n.dataPlaneAddresses[request.DataPlane] = request.Address
-	}
-	n.watchLock.Unlock()
+	n.dataPlanes.RecordWatch(request, receivedAt)
 	if request.Drill != nil {
 		n.recordDrillReport(request.DataPlane, *request.Drill)
 	}
@@ -117,14 +110,12 @@
 		answers = response.Linearizable
 	}
 	if response.FreshMs > 0 {
-		n.watchLock.Lock()
-		if since := n.dataPlanes.FirstSeen(request.DataPlane); !since.IsZero() {
-			response.CountedForMs = now.Sub(since).Milliseconds()
+		if duration, isCounted := n.dataPlanes.CountedFor(request.DataPlane, now); isCounted {
+			response.CountedForMs = duration.Milliseconds()
 		}
-		response.CountReliable = now.Sub(n.startedAt) > n.dataPlanes.ExpireAfter
-		n.watchLock.Unlock()
+		response.CountReliable = now.Sub(n.startedAt) > dataplanes.ExpireAfter
 	}
-	if n.isLeaving() {
+	if n.members.IsLeaving() {
 		response.FreshMs, response.Linearizable = 0, false
 	}
 	return response, answers
--- a/internal/controlplane/scheduler.go
+++ b/internal/controlplane/scheduler.go
@@ -59,7 +59,7 @@
 	return &Scheduler{
 		node: daemon,
 		leaseManager: &lease.Manager{
-			Key: placementLease, Holder: daemon.settings.NodeName, Address: daemon.self, TTL: daemon.leaseLength(),
+			Key: placementLease, Holder: daemon.settings.NodeName, Address: daemon.self, TTL: daemon.leaseDuration(),
 			TakeoverDelay: nodesettings.Milliseconds(bounds.LeaseMs) + 100*time.Millisecond, Store: daemon.store, Clock: daemon.clock,
 		},
 		loadBudget: newLoadBudget(), released: make(chan struct{}), commander: replica.NewClient(daemon.network),
@@ -140,7 +140,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.node.leaving:
+		case <-s.node.members.Leaving():
 			s.releaseLease(ctx)
 			return
 		case stuck := <-s.loadBudget.unwritable:
@@ -198,7 +198,7 @@
 	lastSeen := s.leaseHolderSeenAt
 	s.lock.Unlock()
 	timeout := s.leaseManager.TTL + acquireMargin
-	if s.node.isReachable(snapshot.LeaseHolder, now) {
+	if s.node.members.IsReachable(snapshot.LeaseHolder, now) {
 		timeout += previousHolderHeadStart
 		if lastSeen.Before(s.node.startedAt) {
 			lastSeen = s.node.startedAt
--- a/internal/controlplane/share.go
+++ b/internal/controlplane/share.go
@@ -78,7 +78,7 @@
 // sendRoster sends the holder's roster to the other control planes; periodic shares carry rates
 // too.
 func (n *Node) sendRoster(ctx context.Context, periodic bool) {
-	for _, address := range n.otherControlNodes() {
+	for _, address := range n.members.Others() {
 		if n.roster.beginSend(address) {
 			go n.sendRosterTo(ctx, address, periodic)
 		}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -5,21 +5,34 @@
 	"time"
 
 	"ferryspar/internal/adminapi"
+	"ferryspar/internal/controlplane/dataplanes"
 )
 
-// Status tells what this daemon knows of the fleet and how sure it is of it.
+// Status returns what this node knows of the fleet and how sure it is of it. Any goroutine may call it.
 func (n *Node) Status() adminapi.FleetStatus {
 	snapshot := n.publisher.Current()
 	members := n.store.Membership()
 	now := n.clock()
-	self := n.acceptor.LocalState()
+	local := n.acceptor.LocalState()
 	status := adminapi.FleetStatus{
-		Member: n.self, IsMember: members.Contains(n.self), Voting: self.Voting, Leaving: n.isLeaving(),
-		Fresh: snapshot.IsFresh(now), ConfirmedAgeMs: age(now, snapshot.ConfirmedAt),
-		Revision: snapshot.Revision, Members: members.Current, NextMembers: members.Next, MembershipVersion: members.Version,
-		MembershipChange: n.membershipChange.Load(), PlacementHolder: snapshot.LeaseHolder,
-		ControlPlanes: snapshot.ControlPlanes, Replicas: snapshot.Replicas, ListAgeMs: age(now, snapshot.RosterAsOf), DrainedZones: []string{},
-		SilentMembers: n.membershipView().Suspects(),
+		Member:            n.self,
+		IsMember:          members.Contains(n.self),
+		Voting:            local.Voting,
+		Leaving:           n.members.IsLeaving(),
+		Fresh:             snapshot.IsFresh(now),
+		ConfirmedAgeMs:    ageMs(now, snapshot.ConfirmedAt),
+		Revision:          snapshot.Revision,
+		Members:           members.Current,
+		NextMembers:       members.Next,
+		MembershipVersion: members.Version,
+		MembershipChange:  n.lastMembershipChange(),
+		PlacementHolder:   snapshot.LeaseHolder,
+		ControlPlanes:     snapshot.ControlPlanes,
+		DataPlanes:        n.dataPlanes.Live(now, dataplanes.LiveWindow),
+		Replicas:          snapshot.Replicas,
+		ListAgeMs:         ageMs(now, snapshot.RosterAsOf),
+		DrainedZones:      []string{},
+		SilentMembers:     n.members.View().Suspects(),
 	}
 	for zone, state := range snapshot.Zones {
 		if state.Drained {
@@ -27,18 +40,24 @@
 		}
 	}
 	sort.Strings(status.DrainedZones)
-	n.watchLock.Lock()
-	status.DataPlanes = n.dataPlanes.Live(n.clock(), 2*inContactWindow)
-	n.watchLock.Unlock()
 	return status
 }
 
-// unknownAge is the age told of what has not happened yet.
-const unknownAge = -1
+// lastMembershipChange is the last change of the membership that this node committed, or nil.
+func (n *Node) lastMembershipChange() *adminapi.MembershipChange {
+	change := n.members.LastChange()
+	if change == nil {
+		return nil
+	}
+	return &adminapi.MembershipChange{Version: change.Membership.Version, Reason: change.Reason}
+}
+
+// unknownAgeMs is the age of what has not happened yet.
+const unknownAgeMs = -1
 
-func age(now, at time.Time) int64 {
+func ageMs(now, at time.Time) int64 {
 	if at.IsZero() {
-		return unknownAge
+		return unknownAgeMs
 	}
 	return now.Sub(at).Milliseconds()
 }
