--- /dev/null
+++ b/internal/requestlog/validate.go
@@ -0,0 +1,58 @@
+package requestlog
+
+import "github.com/pkg/errors"
+
+// Errors of entries that can't be used.
+var (
+	errNegativeTime         = errors.New("time below 0")
+	errNoDocument           = errors.New("configuration without its document")
+	errNegativeEdgeCount    = errors.New("edges below 0")
+	errNoRouteOrBackend     = errors.New("order without route or backend")
+	errNegativeRequestValue = errors.New("order with a number below 0")
+)
+
+// validators check the fields of an entry by its kind.
+var validators = map[Kind]func(entry Entry) error{
+	KindConfiguration: validateConfiguration,
+	KindFleet:         validateFleet,
+	KindRequest:       validateRequest,
+}
+
+// validate says what is wrong with an entry, or nil if it can be used.
+func (e Entry) validate() error {
+	validateKind := validators[e.Kind]
+	if validateKind == nil {
+		return errors.Errorf("unknown kind %q", e.Kind)
+	}
+	if err := validateKind(e); err != nil {
+		return err
+	}
+	if e.AtMs < 0 {
+		return errNegativeTime
+	}
+	return nil
+}
+
+func validateConfiguration(entry Entry) error {
+	if len(entry.PackedConfiguration) == 0 {
+		return errNoDocument
+	}
+	return nil
+}
+
+func validateFleet(entry Entry) error {
+	if entry.EdgeCount < 0 {
+		return errNegativeEdgeCount
+	}
+	return nil
+}
+
+func validateRequest(entry Entry) error {
+	if entry.Route == "" || entry.Backend == "" {
+		return errNoRouteOrBackend
+	}
+	if entry.TimeoutMs < 0 || entry.PromptTokens < 0 || entry.OutputTokens < 0 {
+		return errNegativeRequestValue
+	}
+	return nil
+}
--- a/internal/sim/replay/engine.go
+++ b/internal/sim/replay/engine.go
@@ -66,7 +66,7 @@
 
 // Play plays all entries to their end; Summary then holds the outcome.
 func (e *Engine) Play(entries []requestlog.Entry) error {
-	steps := map[string]func(entry requestlog.Entry){
+	steps := map[requestlog.Kind]func(entry requestlog.Entry){
 		requestlog.KindConfiguration: e.setConfiguration,
 		requestlog.KindFleet:         e.setFleet,
 		requestlog.KindRequest:       e.submitRequest,
