--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -1,10 +1,9 @@
-// Package dataplane is the data-plane daemon. It serves clients' requests by way of the matcher and
-// the forwarder, follows the news of the control planes, and reports its load to one of them.
+// Package dataplane is the data-plane node: it accepts clients' requests, routes each to a replica, watches the control
+// plane for configuration and endpoints, and reports its load.
 //
-// It never changes the configuration, the zones or what replicas have loaded, stores nothing but an
-// optional recording, and is not ready before it has a configuration that a majority of the control
-// planes has confirmed.
+// It never changes the configuration, the zones or what replicas have loaded. It stores nothing but an optional request
+// log, and is not ready before it has adopted a configuration that a majority of the control plane has confirmed.
 //
-// Start reading at New and Node.Run. FleetState turns the news into the fleet that the matcher
-// sees, Watcher asks the control planes for news, and Interest tells which models to follow.
+// Start reading at New and Node.Run. Watcher keeps a long poll open at every control-plane node; FleetState turns the
+// responses into the routing.Snapshot that requests are routed by; Quotas admits requests of tenants with a rate limit.
 package dataplane
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -11,15 +12,21 @@
 	"ferryspar/internal/routing"
 )
 
-// drillState is the drill that this data plane follows, and the questions that it has answered.
-type drillState struct {
-	answerForecast func(address string, question drill.ForecastRequest)
-	// subscribeResult is the number of the last question by control plane.
+// endedByNotice is the reason of a drill that the control plane has ended.
+const endedByNotice = "told to"
+
+// drillFollower takes part in drills that the control plane announces, and answers its questions for forecasts. It belongs
+// to the goroutine of FleetState.Run, but for report.
+type drillFollower struct {
+	// answerForecast sends a forecast; nil where there is nothing to forecast with.
+	answerForecast func(ctx context.Context, address string, question drill.ForecastRequest)
+	// answeredNumbers is the number of the last question by control-plane node.
 	answeredNumbers map[string]uint64
-	drill           *routing.Drill
-	// last is the number of the last drill that ended; it is not followed again.
+	// current is the drill in force, or nil.
+	current *routing.Drill
+	// lastEnded is the number of the last drill that ended; it is not followed again.
 	lastEnded uint64
-	// shown is what is reported, until the end is known at the control planes.
+	// reported is what polls report, until the control plane knows of the end. Any goroutine may load it.
 	reported atomic.Pointer[reportedDrill]
 }
 
@@ -29,8 +36,8 @@
 	endReason string
 }
 
-// report is what is reported of the drill, or nil. Any goroutine may call it.
-func (d *drillState) report(now time.Time) *drill.Report {
+// report is what polls report of the drill, or nil. Any goroutine may call it.
+func (d *drillFollower) report(now time.Time) *drill.Report {
 	reported := d.reported.Load()
 	if reported == nil {
 		return nil
@@ -38,9 +45,22 @@
 	return reported.drill.Report(reported.endReason, now)
 }
 
-// answerOnce answers a question of a control plane on a goroutine of its own, unless it was the last
-// one answered there.
-func (d *drillState) answerOnce(address string, question drill.ForecastRequest) {
+// handle answers the question of a response and follows its drill, and reports whether the drill in force changed. calls
+// counts the goroutine that answers.
+func (d *drillFollower) handle(ctx context.Context, calls *sync.WaitGroup, result watchResult, evacuating bool) bool {
+	if question := result.response.Forecast; question != nil {
+		d.answerOnce(ctx, calls, result.address, *question)
+	}
+	notice, now := result.response.Drill, result.receivedAt
+	if d.current == nil && notice == nil {
+		return false
+	}
+	ended := d.end(d.endReason(now, evacuating))
+	return d.follow(notice, now, evacuating) || ended
+}
+
+// answerOnce answers a question on a goroutine of its own, unless it was the last one answered at the address.
+func (d *drillFollower) answerOnce(ctx context.Context, calls *sync.WaitGroup, address string, question drill.ForecastRequest) {
 	if d.answerForecast == nil || d.answeredNumbers[address] == question.Number {
 		return
 	}
@@ -48,107 +68,91 @@
 		d.answeredNumbers = map[string]uint64{}
 	}
 	d.answeredNumbers[address] = question.Number
-	go d.answerForecast(address, question)
+	calls.Go(func() { d.answerForecast(ctx, address, question) })
 }
 
-// rehearse answers a question and follows the drill of the news, and reports whether the fleet
-// changed.
-func (s *FleetState) handleDrill(result watchResult) bool {
-	drills := &s.drills
-	if question := result.response.Forecast; question != nil {
-		drills.answerOnce(result.address, *question)
-	}
-	if drills.drill == nil && result.response.Drill == nil {
-		return false
-	}
-	ended := s.endDrill(s.drillEndReason(result.receivedAt))
-	return s.followDrill(result.response.Drill, result.receivedAt) || ended
+// check ends the drill in force if it must end now, and reports whether it did.
+func (d *drillFollower) check(now time.Time, evacuating bool) bool {
+	return d.end(d.endReason(now, evacuating))
 }
 
-// drillEndReason says why the drill must end now, or nothing.
-func (s *FleetState) drillEndReason(now time.Time) string {
-	drills := &s.drills
-	if drills.drill == nil {
+// endReason says why the drill in force must end now; empty if there is none or it goes on.
+func (d *drillFollower) endReason(now time.Time, evacuating bool) string {
+	if d.current == nil {
 		return ""
 	}
-	for _, state := range s.zones {
-		if state.Drained {
-			return drill.EndedByEvacuation
-		}
+	if evacuating {
+		return drill.EndedByEvacuation
 	}
-	return drills.drill.EndReason(now)
+	return d.current.EndReason(now)
 }
 
-// endDrill ends the drill here if a reason is given, and reports whether it did.
-func (s *FleetState) endDrill(reason string) bool {
-	drills := &s.drills
-	if reason == "" || drills.drill == nil {
+// end ends the drill in force if a reason is given, and reports whether it did.
+func (d *drillFollower) end(reason string) bool {
+	if reason == "" || d.current == nil {
 		return false
 	}
-	logrus.WithFields(logrus.Fields{"number": drills.drill.Number, "why": reason}).Info("drill ended here")
-	drills.reported.Store(&reportedDrill{drills.drill, reason})
-	drills.lastEnded, drills.drill = drills.drill.Number, nil
+	logrus.WithFields(logrus.Fields{"number": d.current.Number, "reason": reason}).Info("drill ended on this node")
+	d.reported.Store(&reportedDrill{drill: d.current, endReason: reason})
+	d.lastEnded, d.current = d.current.Number, nil
 	return true
 }
 
-// followDrill begins, goes on with or ends a drill as control planes tell, and reports whether the
-// fleet changed.
-func (s *FleetState) followDrill(notice *drill.Notice, now time.Time) bool {
-	drills := &s.drills
-	if notice == nil || notice.Number < drills.lastEnded {
+// follow starts, goes on with or ends a drill as a notice says, and reports whether the drill in force changed.
+func (d *drillFollower) follow(notice *drill.Notice, now time.Time, evacuating bool) bool {
+	if notice == nil || notice.Number < d.lastEnded {
 		return false
 	}
 	if !notice.Running {
-		ended := false
-		if drills.drill != nil && notice.Number >= drills.drill.Number {
-			ended = s.endDrill("told to")
-		}
-		if reported := drills.reported.Load(); reported != nil && notice.Number >= reported.drill.Number {
-			drills.reported.Store(nil)
-		}
-		drills.lastEnded = max(drills.lastEnded, notice.Number)
-		return ended
-	}
-	if notice.Number == drills.lastEnded {
+		return d.followEnd(notice)
+	}
+	if notice.Number == d.lastEnded {
 		return false
 	}
-	left := time.Duration(notice.LeftMs) * time.Millisecond
-	if drills.drill != nil && drills.drill.Number == notice.Number {
-		drills.drill.KeepAlive(now, left)
+	if d.current != nil && d.current.Number == notice.Number {
+		d.current.KeepAlive(now, time.Duration(notice.LeftMs)*time.Millisecond)
 		return false
 	}
-	if drills.drill != nil && drills.drill.Number > notice.Number {
+	if d.current != nil && d.current.Number > notice.Number {
 		return false
 	}
-	drills.drill = routing.NewDrill(*notice, now, contactTimeout)
-	if reason := s.drillEndReason(now); reason != "" {
-		return s.endDrill(reason)
+	return d.start(notice, now, evacuating)
+}
+
+// followEnd ends the drill of a notice that it has ended, and stops reporting it.
+func (d *drillFollower) followEnd(notice *drill.Notice) bool {
+	ended := false
+	if d.current != nil && notice.Number >= d.current.Number {
+		ended = d.end(endedByNotice)
+	}
+	if reported := d.reported.Load(); reported != nil && notice.Number >= reported.drill.Number {
+		d.reported.Store(nil)
 	}
-	drills.reported.Store(&reportedDrill{drills.drill, ""})
+	d.lastEnded = max(d.lastEnded, notice.Number)
+	return ended
+}
+
+func (d *drillFollower) start(notice *drill.Notice, now time.Time, evacuating bool) bool {
+	d.current = routing.NewDrill(*notice, now, contactTimeout)
+	if reason := d.endReason(now, evacuating); reason != "" {
+		return d.end(reason)
+	}
+	d.reported.Store(&reportedDrill{drill: d.current})
 	logrus.WithFields(logrus.Fields{
 		"number":  notice.Number,
 		"scope":   notice.Scope.String(),
 		"share":   notice.Share,
 		"left_ms": notice.LeftMs,
-	}).Info("drill followed")
+	}).Info("drill joined")
 	return true
 }
 
-// checkDrill ends the drill without any news if its time is up or control planes are out of
-// touch.
-func (s *FleetState) checkDrill() {
-	if s.drills.drill != nil && s.endDrill(s.drillEndReason(s.clock())) {
-		s.publish()
-	}
-}
-
-// forecastTimeout is how long an answer to a question may take.
+// forecastTimeout is how long the answer to a question may take.
 const forecastTimeout = 1500 * time.Millisecond
 
-// answerForecast has the matcher forecast a loss and sends the answer to the control plane that
-// asked.
-func (n *Node) answerForecast(address string, question drill.ForecastRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), forecastTimeout)
+// answerForecast has the matcher forecast a loss and sends the answer to the control-plane node that asked.
+func (n *Node) answerForecast(parent context.Context, address string, question drill.ForecastRequest) {
+	ctx, cancel := context.WithTimeout(parent, forecastTimeout)
 	defer cancel()
 	answer, err := n.matcher.Forecast(ctx, drill.Loss{Scope: question.Scope, Regions: n.settings.Zones})
 	if err == nil {
@@ -157,9 +161,8 @@
 		answer.Zone = n.settings.Zone
 		err = n.peers.Call(ctx, "forecast", address, answer, nil)
 	}
-	logrus.WithFields(logrus.Fields{
-		"scope":   question.Scope.String(),
-		"routes":  len(answer.Routes),
-		"problem": err,
+	logrus.WithError(err).WithFields(logrus.Fields{
+		"scope":  question.Scope.String(),
+		"routes": len(answer.Routes),
 	}).Info("forecast answered")
 }
--- /dev/null
+++ b/internal/dataplane/endpoints.go
@@ -0,0 +1,144 @@
+package dataplane
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/peer"
+	"ferryspar/internal/routing"
+)
+
+// stateReady is the state of a listed replica that takes requests.
+const stateReady = "ready"
+
+// endpointTable is the list of replicas in use and where it is from. It belongs to the goroutine of FleetState.Run.
+type endpointTable struct {
+	// regions are the regions of the zones.
+	regions map[string]string
+	clock   func() time.Time
+
+	// source is the address of the control-plane node that the list is from, empty before the first.
+	source string
+	// asOf is how old the list is that the endpoints were made from.
+	asOf     time.Time
+	listed   []discovery.Replica
+	replicas []*routing.Replica
+}
+
+// use makes a node's endpoints the fleet's, and reports whether that changed it; changed says whether the node's own
+// endpoints have changed. Another node's older endpoints are not used until the present ones are too old themselves.
+func (t *endpointTable) use(address string, control *controlPeer, changed bool) bool {
+	if !control.complete {
+		return false
+	}
+	older := control.fetchedAt.Before(t.asOf) && address != t.source
+	if older && t.clock().Sub(t.asOf) < controlPeerTimeout {
+		return false
+	}
+	t.asOf = control.fetchedAt
+	if t.source != address || t.replicas == nil {
+		t.source = address
+		changed = true
+	}
+	if changed {
+		t.rebuild(control)
+	}
+	return changed
+}
+
+// rebuild makes the list of replicas from a node's endpoints.
+func (t *endpointTable) rebuild(control *controlPeer) {
+	t.listed = control.listReplicas()
+	now := t.clock()
+	t.replicas = make([]*routing.Replica, len(t.listed))
+	for index, listed := range t.listed {
+		t.replicas[index] = routing.NewReplica(index, listed, now, nil)
+		t.replicas[index].Region = t.regions[listed.Zone]
+	}
+}
+
+// resetOnRestart forgets a node's endpoints if they are from another incarnation.
+func (p *controlPeer) resetOnRestart(incarnation string) {
+	if p.incarnation != incarnation || p.endpointSets == nil {
+		p.incarnation = incarnation
+		p.complete = false
+		p.endpointSets = map[peer.EndpointKey]peer.EndpointSet{}
+	}
+}
+
+// retainOnly forgets the endpoint sets that are no longer followed.
+func (p *controlPeer) retainOnly(names []peer.EndpointKey) {
+	followed := make(map[peer.EndpointKey]bool, len(names))
+	for _, name := range names {
+		followed[name] = true
+	}
+	for name := range p.endpointSets {
+		if !followed[name] {
+			delete(p.endpointSets, name)
+		}
+	}
+}
+
+// merge adopts endpoint sets that are not older than those known, and reports whether there were any.
+func (p *controlPeer) merge(sets []peer.EndpointSet) bool {
+	merged := false
+	for _, set := range sets {
+		if known, found := p.endpointSets[set.EndpointKey]; found && known.Version > set.Version {
+			continue
+		}
+		p.endpointSets[set.EndpointKey] = set
+		merged = true
+	}
+	return merged
+}
+
+// listReplicas joins the endpoint sets into one entry a replica, in order of ids. Where sets differ about a replica itself,
+// the newest counts.
+func (p *controlPeer) listReplicas() []discovery.Replica {
+	byID := map[string]discovery.Replica{}
+	versions := map[string]uint64{}
+	for name, set := range p.endpointSets {
+		for _, endpoint := range set.Endpoints {
+			replica := byID[endpoint.ID]
+			if set.Version >= versions[endpoint.ID] {
+				models := replica.Models
+				replica = replicaFromEndpoint(name.Backend, endpoint)
+				replica.Models = models
+				versions[endpoint.ID] = set.Version
+			}
+			if name.Model != "" {
+				replica.Models = append(replica.Models, discovery.LoadedModel{
+					Name:     name.Model,
+					Revision: 1,
+					Adapters: endpoint.Adapters,
+				})
+			}
+			byID[endpoint.ID] = replica
+		}
+	}
+	listed := make([]discovery.Replica, 0, len(byID))
+	for _, replica := range byID {
+		listed = append(listed, replica)
+	}
+	slices.SortFunc(listed, func(left, right discovery.Replica) int { return cmp.Compare(left.ID, right.ID) })
+	return listed
+}
+
+// replicaFromEndpoint is an endpoint as an entry of the list, without models.
+func replicaFromEndpoint(backend string, endpoint peer.Endpoint) discovery.Replica {
+	state := stateReady
+	if endpoint.Draining {
+		state = discovery.Draining
+	}
+	return discovery.Replica{
+		ID:                endpoint.ID,
+		Backend:           backend,
+		Address:           endpoint.Address,
+		Zone:              endpoint.Zone,
+		Slots:             endpoint.Slots,
+		State:             state,
+		WarmUpRemainingMs: endpoint.WarmUpRemainingMs,
+	}
+}
--- a/internal/dataplane/interest.go
+++ b/internal/dataplane/interest.go
@@ -1,25 +1,14 @@
 package dataplane
 
 import (
-	"sort"
+	"slices"
+	"strings"
 	"sync"
 	"time"
 
 	"ferryspar/internal/peer"
 )
 
-// Interest tells which models requests have asked for lately, and so which parts to follow. Any
-// goroutine may use it.
-type Interest struct {
-	lock        sync.Mutex
-	clock       func() time.Time
-	requestedAt map[peer.EndpointKey]time.Time
-	// fresh are the models newly asked for.
-	added []peer.EndpointKey
-	// wake is signalled when there are some.
-	wake chan struct{}
-}
-
 const (
 	// interestTimeout is how long a model is followed after the last request for it.
 	interestTimeout = 40 * time.Second
@@ -27,12 +16,29 @@
 	maxInterest = 512
 )
 
-// NewInterest is interested in nothing yet.
+// Interest is which models requests have asked for lately, and so which endpoints to follow. Any goroutine may use it.
+type Interest struct {
+	clock func() time.Time
+	// wake is signalled when a model is added.
+	wake chan struct{}
+
+	// lock guards what follows.
+	lock        sync.Mutex
+	requestedAt map[peer.EndpointKey]time.Time
+	// added are the models that have been requested since the last call of TakeChanges or All.
+	added []peer.EndpointKey
+}
+
+// NewInterest returns an interest in no model.
 func NewInterest(clock func() time.Time) *Interest {
-	return &Interest{clock: clock, requestedAt: map[peer.EndpointKey]time.Time{}, wake: make(chan struct{}, 1)}
+	return &Interest{
+		clock:       clock,
+		wake:        make(chan struct{}, 1),
+		requestedAt: map[peer.EndpointKey]time.Time{},
+	}
 }
 
-// Want notes a request for a model.
+// RecordRequest records a request for a model of a backend.
 func (i *Interest) RecordRequest(backend, model string) {
 	name := peer.EndpointKey{Backend: backend, Model: model}
 	i.lock.Lock()
@@ -51,8 +57,8 @@
 	}
 }
 
-// Take is what to follow in addition since the last call, and what to let go; without anything to
-// add, nothing is let go either.
+// TakeChanges returns what to follow in addition since the last call, and what to drop; without anything to add, nothing
+// is dropped either.
 func (i *Interest) TakeChanges() (add, drop []peer.EndpointKey) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
@@ -63,7 +69,7 @@
 	return add, i.dropExpired()
 }
 
-// Whole is everything to follow, in order.
+// All returns everything to follow, in order of names.
 func (i *Interest) All() []peer.EndpointKey {
 	i.lock.Lock()
 	defer i.lock.Unlock()
@@ -73,43 +79,41 @@
 	for name := range i.requestedAt {
 		names = append(names, name)
 	}
-	sort.Slice(names, func(left, right int) bool {
-		return names[left].Backend+names[left].Model < names[right].Backend+names[right].Model
+	slices.SortFunc(names, func(left, right peer.EndpointKey) int {
+		return strings.Compare(left.Backend+left.Model, right.Backend+right.Model)
 	})
 	return names
 }
 
-// dropExpired lets go of models not asked for lately and of those beyond the bound, and returns them.
-// The caller holds the lock.
+// dropExpired drops models not requested lately and those beyond maxInterest, and returns them. The caller holds the lock.
 func (i *Interest) dropExpired() []peer.EndpointKey {
 	now := i.clock()
 	var dropped []peer.EndpointKey
 	for name, at := range i.requestedAt {
 		if now.Sub(at) > interestTimeout {
 			dropped = append(dropped, name)
+			delete(i.requestedAt, name)
 		}
 	}
-	if excess := len(i.requestedAt) - len(dropped) - maxInterest; excess > 0 {
-		dropped = append(dropped, i.leastRecentlyRequested(excess, dropped)...)
-	}
-	for _, name := range dropped {
+	excess := max(len(i.requestedAt)-maxInterest, 0)
+	for _, name := range i.leastRecentlyRequested(excess) {
+		dropped = append(dropped, name)
 		delete(i.requestedAt, name)
 	}
 	return dropped
 }
 
-// leastRecentlyRequested are the models asked for longest ago. The caller holds the lock.
-func (i *Interest) leastRecentlyRequested(amount int, excluded []peer.EndpointKey) []peer.EndpointKey {
-	skipped := map[peer.EndpointKey]bool{}
-	for _, name := range excluded {
-		skipped[name] = true
+// leastRecentlyRequested returns that many of the models, those requested longest ago. The caller holds the lock.
+func (i *Interest) leastRecentlyRequested(count int) []peer.EndpointKey {
+	if count == 0 {
+		return nil
 	}
 	names := make([]peer.EndpointKey, 0, len(i.requestedAt))
 	for name := range i.requestedAt {
-		if !skipped[name] {
-			names = append(names, name)
-		}
+		names = append(names, name)
 	}
-	sort.Slice(names, func(left, right int) bool { return i.requestedAt[names[left]].Before(i.requestedAt[names[right]]) })
-	return names[:min(amount, len(names))]
+	slices.SortFunc(names, func(left, right peer.EndpointKey) int {
+		return i.requestedAt[left].Compare(i.requestedAt[right])
+	})
+	return names[:count]
 }
--- /dev/null
+++ b/internal/dataplane/loadreport.go
@@ -0,0 +1,42 @@
+package dataplane
+
+import (
+	"context"
+	"time"
+
+	"ferryspar/internal/peer"
+)
+
+// loadReportInterval is how often the load is reported, beside the times when the matcher asks for it.
+const loadReportInterval = 300 * time.Millisecond
+
+// reportLoad reports the load to the primary control-plane node, and hands the response, the load of the other data
+// planes, to the state. An empty load is reported once.
+func (n *Node) reportLoad(ctx context.Context) {
+	ticker := time.NewTicker(loadReportInterval)
+	defer ticker.Stop()
+	reportedEmpty := false
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		case <-n.matcher.LoadReportDue:
+		}
+		primary := n.state.Primary()
+		if primary == "" {
+			continue
+		}
+		report := n.matcher.LoadReport(ctx)
+		report.DataPlane = n.settings.NodeName
+		empty := len(report.Models) == 0 && len(report.Replicas) == 0
+		if empty && reportedEmpty {
+			continue
+		}
+		reportedEmpty = empty
+		var fleetLoad peer.FleetLoad
+		if n.peers.Call(ctx, "pressure", primary, report, &fleetLoad) == nil {
+			n.state.AdoptFleetLoad(ctx, fleetLoad)
+		}
+	}
+}
--- /dev/null
+++ b/internal/dataplane/node.go
@@ -0,0 +1,224 @@
+package dataplane
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/peer"
+	"ferryspar/internal/proxy"
+	"ferryspar/internal/replica"
+	"ferryspar/internal/requestlog"
+	"ferryspar/internal/routing"
+)
+
+// Node is one data plane: the proxy for clients, the matcher, the state watched from the control plane, and the
+// forwarder to replicas.
+type Node struct {
+	settings nodesettings.Settings
+	// settingsPath is the settings file, read again at a hangup signal; empty if there is none.
+	settingsPath string
+	network      peer.Network
+	// fleet is what the matcher and the proxy route by. FleetState replaces it as a whole.
+	fleet     atomic.Pointer[routing.Snapshot]
+	matcher   *routing.Matcher
+	state     *FleetState
+	watcher   *Watcher
+	proxy     *proxy.Handler
+	peers     *peer.Client
+	forwarder *replica.Forwarder
+	quotas    *Quotas
+	// draining is set once a graceful shutdown has begun.
+	draining atomic.Bool
+}
+
+// replicaConnectTimeout is how long a connection to a replica may take to come up.
+const replicaConnectTimeout = 400 * time.Millisecond
+
+// New puts a data plane together; nothing runs or listens before Run. settingsPath is the settings file, or empty if
+// there is none.
+func New(settings nodesettings.Settings, settingsPath string, network peer.Network) *Node {
+	node := &Node{
+		settings:     settings,
+		settingsPath: settingsPath,
+		network:      network,
+		peers:        peer.NewClient(network),
+	}
+	startedAt := incarnationStart(settings)
+	node.fleet.Store(&routing.Snapshot{})
+	node.matcher = routing.NewMatcher(matcherParameters(settings, startedAt), settings.Zone, time.Now, &node.fleet)
+	node.quotas = NewQuotas(settings, node.peers, time.Now)
+	node.state = NewFleetState(FleetStateOptions{
+		Settings:       settings,
+		Clock:          time.Now,
+		Fleet:          &node.fleet,
+		OnChange:       node.matcher.SnapshotChanged,
+		UpdateLedger:   node.matcher.UpdateLedger,
+		AnswerForecast: node.answerForecast,
+		Repoll:         func(address string) { node.watcher.Repoll(address) },
+		Quotas:         node.quotas,
+	})
+	node.watcher = NewWatcher(node.peers, time.Now, node.state)
+
+	ackTimeout := nodesettings.Milliseconds(settings.TimingBounds.ContactMs)
+	node.forwarder = replica.NewForwarder(network, time.Now, replicaConnectTimeout, ackTimeout)
+	node.matcher.OnDemand = node.state.interest.RecordRequest
+	node.matcher.LedgerTrusted = node.state.TrustsContext
+	node.matcher.OnSuspect = node.forwarder.CloseIdle
+
+	budgets := retryBudgets(settings, startedAt)
+	node.proxy = proxy.NewHandler(&node.fleet, node.matcher, node.forwarder, budgets, time.Now, rand.Float64)
+	node.proxy.Freshness = node.state.freshness
+	node.proxy.Quota = node.quotas
+	return node
+}
+
+// incarnationStart is when this incarnation of the node began: now, or zero at the first start of the whole system,
+// before which there was none.
+func incarnationStart(settings nodesettings.Settings) time.Time {
+	if settings.Bootstrap {
+		return time.Time{}
+	}
+	return time.Now()
+}
+
+func matcherParameters(settings nodesettings.Settings, startedAt time.Time) routing.Parameters {
+	parameters := routing.DefaultParameters()
+	parameters.Daemon = settings.NodeName
+	parameters.LifeBegan = startedAt
+	parameters.ColdOverage = settings.TimingBounds.ColdOverage
+	parameters.ColdSlack = settings.TimingBounds.ColdSlack
+	return parameters
+}
+
+func retryBudgets(settings nodesettings.Settings, startedAt time.Time) *proxy.RetryBudgets {
+	bounds := settings.TimingBounds
+	return proxy.NewRetryBudgets(proxy.RetryBudgetOptions{
+		Node:      settings.NodeName,
+		StartedAt: startedAt,
+		Period:    nodesettings.Seconds(bounds.BudgetPeriodS),
+		Ratio:     bounds.RetryBudgetRatio,
+		Slack:     bounds.RetryBudgetSlack,
+	})
+}
+
+// RecordTo has requests, configurations and fleets written to the request log. Call it before Run.
+func (n *Node) RecordTo(writer *requestlog.Writer) {
+	n.state.requestLog = writer
+	n.proxy.Recorder = writer
+}
+
+// Run listens and serves until the context ends, the stop signal comes, or a listener fails. Ending the context ends
+// at once; the stop signal lets requests in flight finish within the grace period. Every goroutine that Run started to
+// follow the control plane has ended when it returns.
+func (n *Node) Run(parent context.Context, signals nodesettings.Signals) error {
+	peerListener, err := n.listenForPeers()
+	if err != nil {
+		return errors.Wrap(err, "internal address")
+	}
+	defer peerListener.Close()
+	stop := n.startWorkers(parent, signals)
+	defer stop()
+
+	clientListener, err := n.network.Listen(n.settings.BindAddresses.DataPlane)
+	if err != nil {
+		return errors.Wrap(err, "data plane address")
+	}
+	defer clientListener.Close()
+	statusListener, err := n.network.Listen(n.settings.BindAddresses.Readiness)
+	if err != nil {
+		return errors.Wrap(err, "readiness address")
+	}
+	defer statusListener.Close()
+
+	clientServer := n.newClientServer()
+	failures := make(chan error, 3)
+	go func() { failures <- clientServer.Serve(n.limitConnections(clientListener)) }()
+	go func() { failures <- http.Serve(statusListener, n.statusRoutes()) }()
+	go func() { failures <- n.newPeerServer().Serve(peerListener) }()
+	n.logListening(clientListener)
+
+	select {
+	case <-parent.Done():
+		return nil
+	case err := <-failures:
+		return err
+	case <-signals.Stop:
+		n.shutDown(clientServer)
+		return nil
+	}
+}
+
+func (n *Node) logListening(clientListener net.Listener) {
+	logrus.WithFields(logrus.Fields{
+		"data_plane": clientListener.Addr().String(),
+		"zone":       n.settings.Zone,
+	}).Info("data plane listening")
+}
+
+// startWorkers starts the matcher and everything that follows the control plane. The function returned ends them and
+// waits: first those that hand work to the matcher, then the matcher, so that none of them is left waiting for it. For the
+// same reason the matcher's context does not end with the parent's.
+func (n *Node) startWorkers(parent context.Context, signals nodesettings.Signals) (stop func()) {
+	matcherContext, stopMatcher := context.WithCancel(context.WithoutCancel(parent))
+	var matcher sync.WaitGroup
+	matcher.Go(func() { n.matcher.Run(matcherContext) })
+
+	ctx, stopWorkers := context.WithCancel(parent)
+	var workers sync.WaitGroup
+	n.watcher.Watch(ctx, n.settings.SeedPeers())
+	workers.Go(func() { n.state.Run(ctx, n.watcher, n.peers) })
+	workers.Go(func() { n.reportLoad(ctx) })
+	workers.Go(func() { n.quotas.Run(ctx) })
+	workers.Go(func() {
+		watchSeeds := func(fresh nodesettings.Settings) { n.watcher.Watch(ctx, fresh.SeedPeers()) }
+		nodesettings.Watch(ctx, n.settingsPath, "edge", signals.Hangup, watchSeeds)
+	})
+	return func() {
+		stopWorkers()
+		workers.Wait()
+		n.watcher.Wait()
+		stopMatcher()
+		matcher.Wait()
+	}
+}
+
+const (
+	// drainNotice is how long load balancers are given to route clients elsewhere before the server closes.
+	drainNotice = 2300 * time.Millisecond
+	// closeReserve is the part of the grace period kept for closing.
+	closeReserve = 300 * time.Millisecond
+)
+
+// shutDown becomes unready, waits for load balancers to notice, and lets requests in flight end within the grace period.
+func (n *Node) shutDown(server *http.Server) {
+	logrus.Info("shutting down: not ready from now on")
+	n.drain()
+	startedAt := time.Now()
+	grace := nodesettings.Seconds(n.settings.TimingBounds.GraceS) - closeReserve
+	time.Sleep(min(drainNotice, grace/2))
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(grace))
+	defer cancel()
+	if err := server.Shutdown(ctx); err != nil {
+		logrus.WithError(err).WithField("in_flight", n.proxy.InFlight()).Warn("grace period over with requests in flight")
+		server.Close()
+	}
+	logrus.WithField("duration_ms", time.Since(startedAt).Milliseconds()).Info("shutdown complete")
+}
+
+// drain makes every part that answers others say that this node is leaving.
+func (n *Node) drain() {
+	n.draining.Store(true)
+	n.proxy.Drain()
+	n.matcher.StartDraining()
+	n.quotas.Drain()
+	n.state.Drain()
+}
--- a/internal/dataplane/pinned_test.go
+++ b/internal/dataplane/pinned_test.go
@@ -28,10 +28,10 @@
 	return paths
 }
 
-func TestDaemon_PathsOfReadinessStayTheSame(t *testing.T) {
+func TestNode_StatusPathsStayTheSame(t *testing.T) {
 	pinned.CheckJSON(t, "testdata/readiness.json", pathsOf(t, (&Node{}).statusRoutes()))
 }
 
-func TestQuotas_PathsForPeersStayTheSame(t *testing.T) {
+func TestQuotas_PeerPathsStayTheSame(t *testing.T) {
 	pinned.CheckJSON(t, "testdata/peer_paths.json", pathsOf(t, (&Quotas{}).routes()))
 }
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/quotaadmission.go
@@ -13,14 +13,15 @@
 const (
 	// minQuotaTimeout is how long any request may wait for calls to its tenant's homes.
 	minQuotaTimeout = 600 * time.Millisecond
-	// homeRetryInterval is the pause after which homes are looked for again that can tell what the tenant may send.
+	// homeRetryInterval is how long after no home could be asked they are looked at again.
 	homeRetryInterval = 50 * time.Millisecond
-	// unknownRetryAfter is when a request may try again whose tenant's homes give no answer.
+	// unknownRetryAfter is when a client may try again if its tenant's homes gave no response.
 	unknownRetryAfter = 200 * time.Millisecond
 )
 
-// Take spends a token of the tenant, and asks a home for some where there is none here. Requests of a tenant that come while
-// a home is asked share the next call. Where no home can tell, it looks again until the patience is over.
+// Take spends a token of the tenant, and borrows some from a home where there is none here. Requests of a tenant that come
+// while a call is pending share the next one. Where no home can tell, it looks again until the timeout. The errors are of
+// the kinds apierror.TenantRateLimited and apierror.QuotaUnknown.
 func (q *Quotas) Take(ctx context.Context, tenant *configuration.Tenant, timeouts proxy.QuotaTimeouts) error {
 	if limitOf(tenant).Unlimited() {
 		return nil
@@ -31,56 +32,57 @@
 	q.borrower.RecordRequest(tenant.Name, startedAt)
 	q.addWaiting(tenant.Name, 1)
 	defer q.addWaiting(tenant.Name, -1)
-	for now := startedAt; now.Sub(startedAt) < max(timeouts.Fleet, minQuotaTimeout) && ctx.Err() == nil; now = q.clock() {
+	timeout := max(timeouts.Fleet, minQuotaTimeout)
+	for now := startedAt; now.Sub(startedAt) < timeout && ctx.Err() == nil; now = q.clock() {
 		if q.borrower.TakeToken(tenant.Name, now) {
 			return nil
 		}
-		reply := q.requestTokens(tenant.Name, now)
-		if retryAfter := q.borrower.OverLimitFor(tenant.Name, now); reply == nil && retryAfter > 0 {
+		replied := q.requestTokens(tenant.Name, now)
+		if retryAfter := q.borrower.OverLimitFor(tenant.Name, now); replied == nil && retryAfter > 0 {
 			return apierror.NewRetryable(apierror.TenantRateLimited, retryAfter)
 		}
-		if reply == nil && now.Sub(startedAt) > timeouts.Local && !q.lender.HasFreshFleetSize(now) {
+		if replied == nil && now.Sub(startedAt) > timeouts.Local && !q.lender.HasFreshFleetSize(now) {
 			break
 		}
 		q.lock.Unlock()
-		awaitReply(ctx, reply)
+		awaitReply(ctx, replied)
 		q.lock.Lock()
 	}
 	return apierror.NewRetryable(apierror.QuotaUnknown, unknownRetryAfter)
 }
 
-// awaitReply waits for the answer that is under way, or for a short while where there is none.
-func awaitReply(ctx context.Context, reply <-chan struct{}) {
+// awaitReply waits for the pending call, or for homeRetryInterval where there is none.
+func awaitReply(ctx context.Context, replied <-chan struct{}) {
 	timer := time.NewTimer(homeRetryInterval)
 	defer timer.Stop()
 	timeout := timer.C
-	if reply != nil {
+	if replied != nil {
 		timeout = nil
 	}
 	select {
-	case <-reply:
+	case <-replied:
 	case <-timeout:
 	case <-ctx.Done():
 	}
 }
 
-// wait counts the requests of the tenant that wait for tokens. The caller holds the lock.
-func (q *Quotas) addWaiting(tenant string, more int) {
-	q.waiting[tenant] += more
+// addWaiting counts the requests of the tenant that wait for tokens. The caller holds the lock.
+func (q *Quotas) addWaiting(tenant string, change int) {
+	q.waiting[tenant] += change
 	if q.waiting[tenant] == 0 {
 		delete(q.waiting, tenant)
 	}
 }
 
-// closedChannel is what ask returns where nobody had to be waited for.
-var closedChannel = func() chan struct{} {
+// alreadyReplied is what requestTokens returns where nobody had to be waited for.
+var alreadyReplied = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }()
 
-// ask asks a home for tokens, unless a call is under way for the tenant, and returns what is closed when it was
-// subscribeResult; nil where no home is to be asked now. The caller holds the lock.
+// requestTokens borrows tokens from a home, unless a call for the tenant is pending, and returns what is closed when the
+// home has replied; nil where no home can be asked now. The caller holds the lock.
 func (q *Quotas) requestTokens(tenant string, now time.Time) <-chan struct{} {
 	if replied := q.borrowing[tenant]; replied != nil {
 		return replied
@@ -90,9 +92,9 @@
 		return nil
 	}
 	request := quota.BorrowRequest{Tenant: tenant, Want: q.borrower.TokensToRequest(tenant, q.waiting[tenant], now)}
-	if home == q.name {
+	if home == q.node {
 		q.borrower.HandleReply(tenant, home, q.pool.Borrow(request, now), now, now)
-		return closedChannel
+		return alreadyReplied
 	}
 	replied := make(chan struct{})
 	q.borrowing[tenant] = replied
@@ -100,7 +102,8 @@
 	return replied
 }
 
-// borrow calls a home. It isn't bound to the request that it began with, since others wait for it too.
+// sendBorrow calls a home. It isn't bound to the request that it began with, since others wait for it too; the timeout of
+// the call ends it.
 func (q *Quotas) sendBorrow(home, address string, request quota.BorrowRequest, replied chan struct{}) {
 	sentAt := q.clock()
 	var reply quota.BorrowReply
@@ -115,3 +118,10 @@
 	delete(q.borrowing, request.Tenant)
 	close(replied)
 }
+
+// handleBorrow gives another node tokens from this one's pool as a home.
+func (q *Quotas) handleBorrow(_ context.Context, request quota.BorrowRequest) quota.BorrowReply {
+	q.lock.Lock()
+	defer q.lock.Unlock()
+	return q.pool.Borrow(request, q.clock())
+}
--- a/internal/dataplane/quotastatus.go
+++ b/internal/dataplane/quotastatus.go
@@ -2,20 +2,18 @@
 
 import (
 	"cmp"
-	"encoding/json"
-	"net/http"
 	"slices"
 
 	"ferryspar/internal/quota"
 )
 
-// quotaStatus is what operators see of the limits of tenants at one data plane: what is lent to it and what it lent.
+// quotaStatus is what operators see of tenants' limits at one data plane: what is lent to it and what it has lent.
 type quotaStatus struct {
 	Holdings []quota.TenantBalance `json:"holds"`
 	Lent     []quota.LeasedShare   `json:"lent"`
 }
 
-// status tells the present state, in order of names.
+// status is the present state, in order of names.
 func (q *Quotas) status() quotaStatus {
 	q.lock.Lock()
 	now := q.clock()
@@ -27,9 +25,3 @@
 	})
 	return status
 }
-
-// serveStatus answers with the status.
-func (q *Quotas) serveStatus(writer http.ResponseWriter, _ *http.Request) {
-	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(q.status())
-}
--- a/internal/dataplane/recording.go
+++ b/internal/dataplane/recording.go
@@ -6,24 +6,36 @@
 	"ferryspar/internal/routing"
 )
 
-// redacted is the packed configuration as records hold it: without keys. Where that fails it is empty.
-func redacted(document []byte) []byte {
-	redactedDocument, err := configuration.RedactDocument(document)
+// recordConfiguration writes a configuration, without its keys, to the request log, if there is one.
+func (s *FleetState) recordConfiguration(document []byte) {
+	if s.requestLog == nil {
+		return
+	}
+	s.requestLog.Write(requestlog.Entry{
+		Kind:                requestlog.KindConfiguration,
+		AtMs:                s.requestLog.OffsetMs(s.clock()),
+		PackedConfiguration: packWithoutKeys(document),
+	})
+}
+
+// packWithoutKeys is the packed configuration as request logs hold it. Where the keys can't be taken out it is empty.
+func packWithoutKeys(document []byte) []byte {
+	redacted, err := configuration.RedactDocument(document)
 	if err != nil {
 		return nil
 	}
-	return configuration.Compress(redactedDocument)
+	return configuration.Compress(redacted)
 }
 
-// record writes the fleet to the recording, if there is one.
+// recordFleet writes the fleet to the request log, if there is one, once endpoints are known.
 func (s *FleetState) recordFleet(fleet *routing.Snapshot) {
-	if s.Recorder == nil || s.endpointsFrom == "" {
+	if s.requestLog == nil || s.endpoints.source == "" {
 		return
 	}
 	entry := requestlog.Entry{
 		Kind:      requestlog.KindFleet,
-		AtMs:      s.Recorder.OffsetMs(s.clock()),
-		Replicas:  s.listedReplicas,
+		AtMs:      s.requestLog.OffsetMs(s.clock()),
+		Replicas:  s.endpoints.listed,
 		EdgeCount: fleet.DataPlanes,
 		Zone:      s.settings.Zone,
 	}
@@ -32,5 +44,5 @@
 			entry.DrainedZones = append(entry.DrainedZones, zone)
 		}
 	}
-	s.Recorder.Write(entry)
+	s.requestLog.Write(entry)
 }
--- /dev/null
+++ b/internal/dataplane/subscribe.go
@@ -0,0 +1,127 @@
+package dataplane
+
+import (
+	"context"
+	"time"
+
+	"ferryspar/internal/peer"
+)
+
+// subscribeResult is how one subscribe request went.
+type subscribeResult struct {
+	address    string
+	request    peer.SubscribeRequest
+	response   peer.SubscribeResponse
+	sentAt     time.Time
+	receivedAt time.Time
+	// err, if any, says that there is no response.
+	err error
+}
+
+// fresh tells whether the response was confirmed by a majority lately enough to be believed.
+func (r subscribeResult) fresh() bool {
+	return r.err == nil && r.response.IsFresh(r.sentAt, r.receivedAt)
+}
+
+// subscribe asks the primary for the endpoints of models newly requested, or for those of all models if it must begin anew.
+// One request at a time is pending.
+func (s *FleetState) subscribe(ctx context.Context, peers *peer.Client) {
+	address := s.Primary()
+	control := s.controlPeers.byAddress[address]
+	if control == nil || s.subscribing {
+		return
+	}
+	request := peer.SubscribeRequest{
+		DataPlane: s.settings.NodeName,
+		Sequence:  control.subscriptionNumber + 1,
+	}
+	if control.complete {
+		request.Add, request.Remove = s.interest.TakeChanges()
+		if len(request.Add) == 0 {
+			return
+		}
+	} else {
+		request.Reset = true
+		request.Add = s.interest.All()
+	}
+	control.subscriptionNumber++
+	s.subscribing = true
+	s.calls.Go(func() { s.sendSubscribe(ctx, peers, address, request) })
+}
+
+// sendSubscribe sends a subscribe request and hands the result to Run.
+func (s *FleetState) sendSubscribe(ctx context.Context, peers *peer.Client, address string, request peer.SubscribeRequest) {
+	result := subscribeResult{address: address, request: request, sentAt: s.clock()}
+	result.err = peers.Call(ctx, "follow", address, request, &result.response)
+	result.receivedAt = s.clock()
+	select {
+	case s.subscribeResults <- result:
+	case <-ctx.Done():
+	}
+}
+
+// handleSubscribeResult adopts the endpoints of a response, and reports whether the fleet changed. After a failure
+// everything is subscribed to anew.
+func (s *FleetState) handleSubscribeResult(result subscribeResult) bool {
+	s.subscribing = false
+	control := s.controlPeers.byAddress[result.address]
+	request, response := result.request, result.response
+	if response.Resubscribe || !result.fresh() {
+		control.complete = false
+		return false
+	}
+	control.resetOnRestart(response.Incarnation)
+	if request.Reset {
+		control.complete = true
+		control.retainOnly(request.Add)
+	}
+	s.acknowledgeSubscription(result)
+	for _, name := range request.Remove {
+		delete(control.endpointSets, name)
+	}
+	if len(request.Remove) > 0 && result.address == s.endpoints.source {
+		s.endpoints.rebuild(control)
+	}
+	control.fetchedAt = fetchedAt(result.receivedAt, response.RosterAgeMs)
+	return s.endpoints.use(result.address, control, control.merge(response.EndpointSets))
+}
+
+// acknowledgeSubscription has polls say what is followed from now on.
+func (s *FleetState) acknowledgeSubscription(result subscribeResult) {
+	followed := *s.position.subscription.Load()
+	followed.number = result.request.Sequence
+	if result.request.Reset {
+		followed.address = result.address
+		followed.incarnation = result.response.Incarnation
+		followed.roster = result.response.RosterVersion
+	}
+	s.position.subscription.Store(&followed)
+}
+
+// completeFrom tells whether the address is the primary and all that is followed there is known.
+func (s *FleetState) completeFrom(address string) bool {
+	control := s.controlPeers.byAddress[address]
+	return control != nil && control.complete && address == s.Primary()
+}
+
+// handleEndpointSets adopts the endpoint sets of a poll's response, and reports whether the fleet changed.
+func (s *FleetState) handleEndpointSets(control *controlPeer, result watchResult) bool {
+	response := result.response
+	control.resetOnRestart(response.Incarnation)
+	if response.Resubscribe {
+		control.complete = false
+	}
+	if !result.fresh() {
+		return false
+	}
+	control.fetchedAt = fetchedAt(result.receivedAt, response.RosterAgeMs)
+	if result.address != s.Primary() {
+		control.complete = false
+	}
+	return s.endpoints.use(result.address, control, control.merge(response.EndpointSets))
+}
+
+// fetchedAt is when the list of replicas was read from the platform that was of the age, in milliseconds, when a response came.
+func fetchedAt(receivedAt time.Time, ageMs int64) time.Time {
+	return receivedAt.Add(-time.Duration(ageMs) * time.Millisecond)
+}
--- a/internal/proxy/access.go
+++ b/internal/proxy/authorization.go
@@ -11,16 +11,23 @@
 	"ferryspar/internal/routing"
 )
 
-// Freshness tells how sure the data plane is that the configuration it holds is the newest. Any goroutine may call it.
+// Freshness tells how sure the data plane is that the configuration in use is the newest. Any goroutine may call it.
 type Freshness interface {
 	// Behind tells whether a newer configuration is known of that has not been adopted yet.
 	Behind() bool
-	// Current tells whether nothing newer can have been in force for long, so that what is unknown here may be refused.
+	// Current tells whether nothing newer can have been in force for long, so that what is unknown here may be rejected.
 	Current(now time.Time) bool
-	// KeysValid tells whether no key can have been taken away longer ago than the settings allow it to be served.
+	// KeysValid tells whether no key can have been revoked longer ago than the settings allow it to be served.
 	KeysValid(now time.Time) bool
 }
 
+const (
+	// newerConfigurationTimeout is how long a request waits for a newer configuration that is known of and may allow it.
+	newerConfigurationTimeout = 400 * time.Millisecond
+	// staleRetryAfter is when a client may try again if a newer configuration may allow its request.
+	staleRetryAfter = 200 * time.Millisecond
+)
+
 // credential is the key that a request carries. Only its hash is kept.
 type credential struct {
 	hash    configuration.KeyHash
@@ -33,10 +40,10 @@
 	if len(keys) != 1 || keys[0] == "" {
 		return credential{}
 	}
-	return credential{configuration.HashKey(keys[0]), true}
+	return credential{hash: configuration.HashKey(keys[0]), present: true}
 }
 
-// authorization is what one version of the configuration allows a request: its route and the tenant whose it is.
+// authorization is what one version of the configuration allows a request: its route, and the tenant that it belongs to.
 type authorization struct {
 	table      *configuration.Table
 	route      *configuration.Route
@@ -46,8 +53,7 @@
 
 // resolveAccess finds the route and the tenant of a request in a table.
 func resolveAccess(table *configuration.Table, host, uri string, presented credential) (authorization, *apierror.Error) {
-	path, _, _ := strings.Cut(uri, "?")
-	route, found := table.FindRoute(host, path)
+	route, found := table.FindRoute(host, pathOf(uri))
 	if !found {
 		return authorization{}, apierror.New(apierror.UnknownRoute, "")
 	}
@@ -55,7 +61,7 @@
 	return authorization{table: table, route: route, credential: presented, tenant: tenant}, rejection
 }
 
-// findTenant finds whose the key is. Public routes need none, but belong to its tenant where one is known.
+// findTenant finds whose the key is. Public routes need none, but a request belongs to the tenant of a known one.
 func findTenant(table *configuration.Table, public bool, presented credential) (configuration.TenantNumber, *apierror.Error) {
 	if !table.RequiresKeys() {
 		return configuration.NoTenant, nil
@@ -70,22 +76,15 @@
 	return tenant, nil
 }
 
-const (
-	// newerConfigurationTimeout is how long a request waits for a newer configuration that is known of and may allow it.
-	newerConfigurationTimeout = 400 * time.Millisecond
-	// staleRetryAfter is when a request may try again that a newer configuration may allow.
-	staleRetryAfter = 200 * time.Millisecond
-)
-
-// admit finds what the configuration allows the request. It is refused for good only where the configuration is known
+// authorize finds what the configuration allows the request. It is rejected for good only where the configuration is known
 // to be new: what a newer one may allow waits for it briefly, and is then asked to come again.
 func (h *Handler) authorize(request *http.Request, arrived time.Time) (*routing.Snapshot, authorization, error) {
 	presented := credentialFrom(request.Header)
 	for {
-		keysHold := h.keysValid()
+		keysValid := h.keysValid()
 		fleet := h.fleet.Load()
 		allowed, rejection := resolveAccess(fleet.Table, request.Host, request.RequestURI, presented)
-		if rejection == nil && allowed.tenant != configuration.NoTenant && !keysHold {
+		if rejection == nil && allowed.tenant != configuration.NoTenant && !keysValid {
 			return nil, authorization{}, apierror.NewRetryable(apierror.OutdatedKeys, staleRetryAfter)
 		}
 		if rejection == nil {
@@ -97,7 +96,7 @@
 	}
 }
 
-// certain returns the refusal where the configuration is known to be new, else the request to come again.
+// confirmRejection returns the rejection where the configuration is known to be new, else the request to come again.
 func (h *Handler) confirmRejection(rejection *apierror.Error) *apierror.Error {
 	if h.Freshness == nil || !h.behind() && h.Freshness.Current(h.clock()) {
 		return rejection
@@ -107,21 +106,22 @@
 
 func (h *Handler) behind() bool { return h.Freshness != nil && h.Freshness.Behind() }
 
-// keysValid must be asked before the table is read: news that comes in between then only makes it stricter.
+// keysValid must be called before the table is read: a configuration that is adopted in between then only makes the
+// decision stricter.
 func (h *Handler) keysValid() bool { return h.Freshness == nil || h.Freshness.KeysValid(h.clock()) }
 
-// readmit checks the key again before the request is sent to a replica: it may have been taken away while the request
-// waited. An answer that has begun goes on.
+// reauthorize checks the key again before the request is sent to a replica: it may have been revoked while the request was
+// queued. A response that has begun goes on.
 func (e *exchange) reauthorize() *apierror.Error {
 	if e.headerSent {
 		return nil
 	}
-	keysHold := e.handler.keysValid()
+	keysValid := e.handler.keysValid()
 	table := e.handler.fleet.Load().Table
 	parsed := e.parsed
 	if table != parsed.authorization.table {
 		public := parsed.route.Public
-		if route, found := table.FindRoute(parsed.upstream.Host, parsed.path()); found {
+		if route, found := table.FindRoute(parsed.upstream.Host, pathOf(parsed.upstream.URI)); found {
 			public = public || route.Public
 		}
 		tenant, rejection := findTenant(table, public, parsed.authorization.credential)
@@ -130,14 +130,15 @@
 		}
 		parsed.assignTenant(table, tenant)
 	}
-	if parsed.authorization.tenant != configuration.NoTenant && !keysHold {
+	if parsed.authorization.tenant != configuration.NoTenant && !keysValid {
 		return apierror.NewRetryable(apierror.OutdatedKeys, staleRetryAfter)
 	}
 	return nil
 }
 
-func (p *parsedRequest) path() string {
-	path, _, _ := strings.Cut(p.upstream.URI, "?")
+// pathOf is the path of a request target.
+func pathOf(uri string) string {
+	path, _, _ := strings.Cut(uri, "?")
 	return path
 }
 
--- a/internal/proxy/access_test.go
+++ b/internal/proxy/authorization_test.go
@@ -39,7 +39,7 @@
 // startServerWithTenants starts a server with the tenants and one replica that answers.
 func startServerWithTenants(t *testing.T) (*testServer, *scriptedReplica) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
-	server := startServer(t, time.Second, time.Second, upstream)
+	server := startServer(t, upstream)
 	server.configure(t, tenants)
 	return server, upstream
 }
@@ -50,7 +50,7 @@
 	forged := []string{replica.HeaderTenant + ": two", "ferryspar-tenant: three", "Connection: Ferryspar-Tenant, X-Api-Key"}
 	for _, name := range []string{"X-Api-Key", "x-api-key", "X-API-KEY", "x-aPi-keY"} {
 		server, upstream := startServerWithTenants(t)
-		response := server.connect(t).exchange("POST", post("/once/", "a", append(forged, name+": "+firstKey)...))
+		response := server.send(t, post("/once/", "a", append(forged, name+": "+firstKey)...))
 		assert.Equal(t, response.status, http.StatusOK)
 		seen := upstream.requests[0].Header
 		assert.DeepEqual(t, seen.Values(replica.HeaderTenant), []string{"one"})
@@ -61,7 +61,7 @@
 
 func TestHandler_ForwardsNoTenantWhereNoneIsConfigured(t *testing.T) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
-	response := startServer(t, time.Second, time.Second, upstream).connect(t).exchange("POST", post("/once/", "a", keyHeader(firstKey), replica.HeaderTenant+": one"))
+	response := startServer(t, upstream).send(t, post("/once/", "a", keyHeader(firstKey), replica.HeaderTenant+": one"))
 	assert.Equal(t, response.status, http.StatusOK)
 	assert.Equal(t, len(upstream.requests[0].Header.Values(replica.HeaderTenant)), 0)
 	assert.Equal(t, len(upstream.requests[0].Header.Values(replica.HeaderAPIKey)), 0)
@@ -70,12 +70,20 @@
 func TestHandler_RejectsRequestWithoutOneKnownKey(t *testing.T) {
 	server, upstream := startServerWithTenants(t)
 	cases := [][]string{
-		{}, {keyHeader("")}, {keyHeader("unknown")}, {keyHeader(firstKey), keyHeader(firstKey)}, {keyHeader(firstKey), keyHeader(secondKey)},
-		{keyHeader(firstKey), "x-api-key: unknown"}, {keyHeader(firstKey + ", " + secondKey)}, {keyHeader(strings.ToUpper(firstKey))},
-		{keyHeader(configuration.APIKey(firstKey).Digest())}, {replica.HeaderTenant + ": one"}, {"Authorization: " + firstKey},
+		{},
+		{keyHeader("")},
+		{keyHeader("unknown")},
+		{keyHeader(firstKey), keyHeader(firstKey)},
+		{keyHeader(firstKey), keyHeader(secondKey)},
+		{keyHeader(firstKey), "x-api-key: unknown"},
+		{keyHeader(firstKey + ", " + secondKey)},
+		{keyHeader(strings.ToUpper(firstKey))},
+		{keyHeader(configuration.APIKey(firstKey).Digest())},
+		{replica.HeaderTenant + ": one"},
+		{"Authorization: " + firstKey},
 	}
 	for _, lines := range cases {
-		response := server.connect(t).exchange("POST", post("/once/", "a", lines...))
+		response := server.send(t, post("/once/", "a", lines...))
 		assert.Equal(t, response.status, http.StatusUnauthorized, "%q", lines)
 		assert.Assert(t, !strings.Contains(response.body, firstKey))
 	}
@@ -88,13 +96,13 @@
 		"": {replica.HeaderTenant + ": one"}, "one": {keyHeader(firstKey)}, "two": {keyHeader(secondKey), replica.HeaderTenant + ": one"},
 	} {
 		server, upstream := startServerWithTenants(t)
-		response := server.connect(t).exchange("POST", post("/open/", "a", lines...))
+		response := server.send(t, post("/open/", "a", lines...))
 		assert.Equal(t, response.status, http.StatusOK)
 		assert.Equal(t, upstream.requests[0].Header.Get(replica.HeaderTenant), tenant)
 	}
 	server, upstream := startServerWithTenants(t)
 	for _, lines := range [][]string{{keyHeader("unknown")}, {keyHeader(firstKey), keyHeader(secondKey)}} {
-		assert.Equal(t, server.connect(t).exchange("POST", post("/open/", "a", lines...)).status, http.StatusOK)
+		assert.Equal(t, server.send(t, post("/open/", "a", lines...)).status, http.StatusOK)
 	}
 	for _, read := range upstream.requests {
 		assert.Equal(t, len(read.Header.Values(replica.HeaderTenant))+len(read.Header.Values(replica.HeaderAPIKey)), 0)
@@ -105,8 +113,8 @@
 func TestHandler_EmptyTenantListServesOnlyPublicRoutes(t *testing.T) {
 	server, _ := startServerWithTenants(t)
 	server.configure(t, "[]")
-	assert.Equal(t, server.connect(t).exchange("POST", post("/once/", "a", keyHeader(firstKey))).status, http.StatusUnauthorized)
-	assert.Equal(t, server.connect(t).exchange("POST", post("/open/", "a", keyHeader(firstKey))).status, http.StatusOK)
+	assert.Equal(t, server.send(t, post("/once/", "a", keyHeader(firstKey))).status, http.StatusUnauthorized)
+	assert.Equal(t, server.send(t, post("/open/", "a", keyHeader(firstKey))).status, http.StatusOK)
 }
 
 func TestHandler_DoesNotRetryAfterKeyRevoked(t *testing.T) {
@@ -115,12 +123,12 @@
 		server.configure(t, strings.Replace(tenants, firstKey, "another", 1))
 		return respondWith("500 No", "seal", "words")(connection, request)
 	}
-	upstream, secondUpstream := startReplica(t, "i-1", failing), startReplica(t, "i-2", failing)
-	server = startServer(t, time.Second, time.Second, upstream, secondUpstream)
+	upstream, second := startReplica(t, "i-1", failing), startReplica(t, "i-2", failing)
+	server = startServer(t, upstream, second)
 	server.configure(t, tenants)
-	response := server.connect(t).exchange("POST", post("/again/", "a", keyHeader(firstKey)))
+	response := server.send(t, post("/again/", "a", keyHeader(firstKey)))
 	assert.Equal(t, response.status, http.StatusBadGateway, "it may have run")
-	assert.Equal(t, upstream.requestCount()+secondUpstream.requestCount(), 1)
+	assert.Equal(t, upstream.requestCount()+second.requestCount(), 1)
 }
 
 func TestHandler_RetriesUnderKeysNewTenant(t *testing.T) {
@@ -129,12 +137,12 @@
 		server.configure(t, `[{"name":"three","apiKeys":["`+firstKey+`"]}]`)
 		return respondWith("500 No", "seal", "words")(connection, request)
 	}
-	upstream, secondUpstream := startReplica(t, "i-1", failing), startReplica(t, "i-2", failing)
-	server = startServer(t, time.Second, time.Second, upstream, secondUpstream)
+	upstream, second := startReplica(t, "i-1", failing), startReplica(t, "i-2", failing)
+	server = startServer(t, upstream, second)
 	server.configure(t, tenants)
-	server.connect(t).exchange("POST", post("/again/", "a", keyHeader(firstKey)))
+	server.send(t, post("/again/", "a", keyHeader(firstKey)))
 	seen := map[string]int{}
-	for _, read := range append(append([]*http.Request(nil), upstream.requests...), secondUpstream.requests...) {
+	for _, read := range append(append([]*http.Request(nil), upstream.requests...), second.requests...) {
 		seen[read.Header.Get(replica.HeaderTenant)]++
 	}
 	assert.DeepEqual(t, seen, map[string]int{"one": 1, "three": 1})
@@ -143,9 +151,9 @@
 // testFreshness is a data plane's knowledge of how new its configuration is.
 type testFreshness struct{ behind, stale, staleKeys atomic.Bool }
 
-func (c *testFreshness) Behind() bool             { return c.behind.Load() }
-func (c *testFreshness) Current(time.Time) bool   { return !c.stale.Load() }
-func (c *testFreshness) KeysValid(time.Time) bool { return !c.staleKeys.Load() }
+func (f *testFreshness) Behind() bool             { return f.behind.Load() }
+func (f *testFreshness) Current(time.Time) bool   { return !f.stale.Load() }
+func (f *testFreshness) KeysValid(time.Time) bool { return !f.staleKeys.Load() }
 
 func TestHandler_StaleConfigurationRejectsOnlyTemporarily(t *testing.T) {
 	server, _ := startServerWithTenants(t)
@@ -154,16 +162,16 @@
 	unknown := map[string]string{"key": post("/once/", "a", keyHeader("new")), "route": post("/new/", "a", keyHeader(firstKey))}
 	certain := map[string]int{"key": http.StatusUnauthorized, "route": http.StatusNotFound}
 	for name, raw := range unknown {
-		assert.Equal(t, server.connect(t).exchange("POST", raw).status, certain[name])
+		assert.Equal(t, server.send(t, raw).status, certain[name])
 	}
 	for _, doubt := range []*atomic.Bool{&freshness.behind, &freshness.stale} {
 		doubt.Store(true)
 		for name, raw := range unknown {
-			response := server.connect(t).exchange("POST", raw)
+			response := server.send(t, raw)
 			assert.Equal(t, response.status, http.StatusServiceUnavailable, name)
 			assert.Assert(t, response.header.Get("Retry-After") != "", name)
 		}
-		assert.Equal(t, server.connect(t).exchange("POST", post("/once/", "a", keyHeader(firstKey))).status, http.StatusOK)
+		assert.Equal(t, server.send(t, post("/once/", "a", keyHeader(firstKey))).status, http.StatusOK)
 		doubt.Store(false)
 	}
 }
@@ -177,7 +185,7 @@
 		server.configure(t, strings.Replace(tenants, secondKey, "new", 1))
 		freshness.behind.Store(false)
 	})
-	assert.Equal(t, server.connect(t).exchange("POST", post("/once/", "a", keyHeader("new"))).status, http.StatusOK)
+	assert.Equal(t, server.send(t, post("/once/", "a", keyHeader("new"))).status, http.StatusOK)
 }
 
 func TestHandler_StaleKeysServeOnlyRequestsWithoutTenant(t *testing.T) {
@@ -186,15 +194,15 @@
 	freshness.staleKeys.Store(true)
 	server.handler.Freshness = freshness
 	for _, route := range []string{"/once/", "/open/"} {
-		response := server.connect(t).exchange("POST", post(route, "a", keyHeader(firstKey)))
+		response := server.send(t, post(route, "a", keyHeader(firstKey)))
 		assert.Equal(t, response.status, http.StatusServiceUnavailable)
 		assert.Assert(t, response.header.Get("Retry-After") != "")
 	}
 	assert.Equal(t, upstream.requestCount(), 0)
-	assert.Equal(t, server.connect(t).exchange("POST", post("/open/", "a")).status, http.StatusOK)
+	assert.Equal(t, server.send(t, post("/open/", "a")).status, http.StatusOK)
 }
 
-// testQuota lets no request of one tenant pass and notes who asked.
+// testQuota lets no request of one tenant pass and records who asked.
 type testQuota struct {
 	rejects   string
 	requested []string
@@ -212,12 +220,12 @@
 	server, upstream := startServerWithTenants(t)
 	quota := &testQuota{rejects: "two"}
 	server.handler.Quota = quota
-	response := server.connect(t).exchange("POST", post("/once/", "a", keyHeader(secondKey)))
+	response := server.send(t, post("/once/", "a", keyHeader(secondKey)))
 	assert.Equal(t, response.status, http.StatusTooManyRequests)
 	assert.Equal(t, response.header.Get("Retry-After"), "0.250")
 	assert.Equal(t, upstream.requestCount(), 0)
-	assert.Equal(t, server.connect(t).exchange("POST", post("/once/", "a", keyHeader(firstKey))).status, http.StatusOK)
-	assert.Equal(t, server.connect(t).exchange("POST", post("/open/", "a")).status, http.StatusOK)
+	assert.Equal(t, server.send(t, post("/once/", "a", keyHeader(firstKey))).status, http.StatusOK)
+	assert.Equal(t, server.send(t, post("/open/", "a")).status, http.StatusOK)
 	assert.DeepEqual(t, quota.requested, []string{"two", "one"})
 	assert.DeepEqual(t, server.handler.Rejections.Counts(), map[string]uint64{"tenant is beyond its limit": 1})
 }
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -9,23 +9,24 @@
 
 // Quota decides whether a tenant may send one more request. Any goroutine may call it.
 type Quota interface {
-	// Take takes one request from what the tenant may still send over all data planes. It may wait for the answer of
-	// another one, and for as long as the patience where that can't be told. The error is what the client is answered
-	// where it may not be sent.
-	Take(ctx context.Context, tenant *configuration.Tenant, patience QuotaTimeouts) error
+	// Take takes one request from what the tenant may still send over all data planes. It may wait for the decision on
+	// another request, and until a timeout where none can be made. The error is what the client is answered if its request
+	// may not be sent.
+	Take(ctx context.Context, tenant *configuration.Tenant, timeouts QuotaTimeouts) error
 }
 
-// QuotaTimeouts is how long a request may wait to learn whether it is within its quota: Alone where only this data plane
-// can't tell, so that the client can still try elsewhere in time, and Together where others can't either.
+// QuotaTimeouts are how long a request may wait to learn whether it is within its quota.
 type QuotaTimeouts struct {
+	// Local is the timeout where only this data plane can't tell, so that the client can still try elsewhere in time.
 	Local time.Duration
+	// Fleet is the timeout where the others can't tell either.
 	Fleet time.Duration
 }
 
-// quotaTimeoutDivisor makes the parts of a request's aim and of its time that are its patience.
+// quotaTimeoutDivisor makes the parts of a request's latency target and of its time that are its timeouts.
 const quotaTimeoutDivisor = 5
 
-// checkQuota is asked once for each request of a client, after it has been read whole and before it is queued.
+// checkQuota is called once for each request of a client, after it has been read whole and before it is queued.
 func (h *Handler) checkQuota(ctx context.Context, parsed *parsedRequest) error {
 	if h.Quota == nil || parsed.authorization.tenant == configuration.NoTenant {
 		return nil
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -23,7 +23,7 @@
 
 func TestHandler_ForwardsRequestUnchanged(t *testing.T) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
-	clientConn := startServer(t, time.Second, time.Second, upstream).connect(t)
+	clientConn := startServer(t, upstream).connect(t)
 	for number, raw := range []string{
 		post("/once/a/../b", "a"),
 		post("/once//b%2Fc?", "a"),
@@ -51,14 +51,15 @@
 }
 
 func TestHandler_RejectsRequestSmuggling(t *testing.T) {
+	const noChunks, chunked = "0\r\n\r\n", "Transfer-Encoding: chunked"
 	hidden := post("/once/hidden", "hidden")
 	for name, raw := range map[string]string{
 		"two hosts":            post("/once/", "a", "Host: other.example"),
 		"two ids":              post("/once/", "a", replica.HeaderAttempt+": b"),
 		"two lengths":          post("/once/", "a", "Content-Length: 7"),
-		"length and chunks":    post("/once/", "a", "Transfer-Encoding: chunked") + "\r\n",
-		"chunks of two kinds":  requestWithBody("/once/", "a", "0\r\n\r\n"+hidden, "Transfer-Encoding: chunked", "Transfer-Encoding: identity"),
-		"space before colon":   requestWithBody("/once/", "a", "0\r\n\r\n", "Transfer-Encoding : chunked"),
+		"length and chunks":    post("/once/", "a", chunked) + "\r\n",
+		"chunks of two kinds":  requestWithBody("/once/", "a", noChunks+hidden, chunked, "Transfer-Encoding: identity"),
+		"space before colon":   requestWithBody("/once/", "a", noChunks, "Transfer-Encoding : chunked"),
 		"absolute target":      post("http://shop.example/once/", "a"),
 		"line break in target": post("/once/\r\nX: y", "a"),
 		"no target":            post("*", "a"),
@@ -66,7 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
-			response := startServer(t, time.Second, time.Second, upstream).connect(t).exchange("POST", raw)
+			response := startServer(t, upstream).send(t, raw)
 			assert.Assert(t, response.status >= 400 || response.broken, "status %d", response.status)
 			assert.Equal(t, upstream.requestCount(), 0)
 		})
@@ -75,7 +76,7 @@
 
 func TestHandler_LengthBesideChunksIsFramedOnce(t *testing.T) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
-	clientConn := startServer(t, time.Second, time.Second, upstream).connect(t)
+	clientConn := startServer(t, upstream).connect(t)
 	raw := requestWithBody("/once/", "a", "6\r\nprompt\r\n0\r\n\r\n", "Content-Length: 3", "Transfer-Encoding: chunked")
 	response := clientConn.exchange("POST", raw)
 	assert.Assert(t, response.status == http.StatusOK || response.status == http.StatusBadRequest, "status %d", response.status)
@@ -88,7 +89,7 @@
 
 func TestHandler_UnfoldsHeader(t *testing.T) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
-	response := startServer(t, time.Second, time.Second, upstream).connect(t).exchange("POST", post("/once/", "a", "Note: one", " Two: three"))
+	response := startServer(t, upstream).send(t, post("/once/", "a", "Note: one", " Two: three"))
 	if response.status == http.StatusOK {
 		assert.Equal(t, upstream.requests[0].Header.Get("Note"), "one Two: three")
 		assert.Equal(t, upstream.requests[0].Header.Get("Two"), "")
@@ -98,7 +99,7 @@
 func TestLimitedListener_KeepsConnectionWithinIdleTimeout(t *testing.T) {
 	const idle = 400 * time.Millisecond
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
-	clientConn := startServer(t, idle, 50*time.Millisecond, upstream).connect(t)
+	clientConn := startServerWith(t, serverOptions{head: 50 * time.Millisecond, idle: idle}, upstream).connect(t)
 	for range 2 {
 		time.Sleep(idle * 4 / 5)
 		response := clientConn.exchange("POST", post("/once/", "a"))
@@ -121,7 +122,7 @@
 		_, _ = io.WriteString(connection, "part")
 		return true
 	})
-	server = startServer(t, time.Second, time.Second, upstream)
+	server = startServer(t, upstream)
 	clientConn := server.connect(t)
 	response := clientConn.exchange("POST", post("/once/", "a"))
 	assert.Equal(t, response.status, http.StatusOK)
@@ -131,7 +132,7 @@
 }
 
 func TestLimitedListener_IncompleteHeadTimesOut(t *testing.T) {
-	clientConn := startServer(t, 2*time.Second, 80*time.Millisecond).connect(t)
+	clientConn := startServerWith(t, serverOptions{head: 80 * time.Millisecond, idle: 2 * time.Second}).connect(t)
 	start := time.Now()
 	response := clientConn.exchange("POST", "POST /once/ HTTP/1.1\r\nHost: shop")
 	assert.Equal(t, response.status, http.StatusRequestTimeout)
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/responses_test.go
@@ -21,7 +21,7 @@
 		t.Run(status, func(t *testing.T) {
 			t.Parallel()
 			upstream := startReplica(t, "i-1", respondWith(status, "seal-1", "words"))
-			response := startServer(t, time.Second, time.Second, upstream).connect(t).exchange("POST", post("/once/", "a"))
+			response := startServer(t, upstream).send(t, post("/once/", "a"))
 			assert.Equal(t, response.status, http.StatusBadGateway)
 			assert.Equal(t, response.header.Get(replica.HeaderSeal), "")
 			assert.Equal(t, upstream.requestCount(), 1)
@@ -34,7 +34,7 @@
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			t.Parallel()
 			upstream := startReplica(t, "i-1", respondWith(fmt.Sprintf("%d Status", status), "seal-1", "words"))
-			response := startServer(t, time.Second, time.Second, upstream).connect(t).exchange("POST", post("/once/", "a"))
+			response := startServer(t, upstream).send(t, post("/once/", "a"))
 			assert.Equal(t, response.status, status)
 			assert.Equal(t, response.header.Get(replica.HeaderSeal), "seal-1")
 			assert.Equal(t, response.body, "words")
@@ -49,7 +49,7 @@
 		seal := fmt.Sprintf("seal-%d", number)
 		replicas = append(replicas, startReplica(t, fmt.Sprintf("i-%d", number), respondWith(fmt.Sprintf("50%d No", 4+number), seal, seal)))
 	}
-	response := startServer(t, time.Second, time.Second, replicas...).connect(t).exchange("POST", post("/again/", "a"))
+	response := startServer(t, replicas...).send(t, post("/again/", "a"))
 	runs := 0
 	for _, upstream := range replicas {
 		runs += upstream.requestCount()
@@ -69,7 +69,7 @@
 				fmt.Fprintf(connection, "%s%s", responseHead("200 OK", request, "seal-1", rest.framing), rest.sent)
 				return false
 			})
-			response := startServer(t, time.Second, time.Second, upstream).connect(t).exchange("POST", post("/once/", "a"))
+			response := startServer(t, upstream).send(t, post("/once/", "a"))
 			assert.Assert(t, response.broken, "status %d", response.status)
 			assert.Equal(t, upstream.requestCount(), 1)
 		})
@@ -85,7 +85,7 @@
 		}
 		return true
 	})
-	clientConn := startServer(t, time.Second, time.Second, upstream).connect(t)
+	clientConn := startServer(t, upstream).connect(t)
 	_, _ = io.WriteString(clientConn, post("/once/", "a"))
 	raw := ""
 	for !strings.HasSuffix(raw, "\r\n\r\n") {
@@ -136,7 +136,7 @@
 				return brokenStream("seal-1", begun)(connection, request)
 			}
 			first, second := startReplica(t, "i-1", resumes), startReplica(t, "i-2", resumes)
-			response := startServer(t, time.Second, time.Second, first, second).connect(t).exchange("POST", post("/events/", "a"))
+			response := startServer(t, first, second).send(t, post("/events/", "a"))
 			assert.Equal(t, response.header.Get(replica.HeaderSeal), "seal-1")
 			assert.Equal(t, response.broken, !test.whole)
 			want := begun
@@ -152,7 +152,7 @@
 func TestHandler_SilentReplicaTimesOut(t *testing.T) {
 	upstream := startReplica(t, "i-1", func(net.Conn, *http.Request) bool { time.Sleep(time.Second); return false })
 	start := time.Now()
-	response := startServer(t, time.Second, time.Second, upstream).connect(t).exchange("POST", post("/once/", "a"))
+	response := startServer(t, upstream).send(t, post("/once/", "a"))
 	assert.Equal(t, response.status, http.StatusGatewayTimeout)
 	assert.Assert(t, time.Since(start) < 700*time.Millisecond, "held %s", time.Since(start))
 	assert.Equal(t, upstream.requestCount(), 1)
@@ -169,7 +169,7 @@
 		}
 		return true
 	})
-	server := startServer(t, time.Second, time.Second, upstream)
+	server := startServer(t, upstream)
 	clientConn := server.connect(t)
 	start := time.Now()
 	_, _ = io.WriteString(clientConn, post("/once/", "a"))
@@ -194,8 +194,8 @@
 
 func TestHandler_ConnectTimeoutIsNotExecuted(t *testing.T) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
-	server := startServerOver(t, unreachableNetwork{}, time.Second, time.Second, upstream)
-	response := server.connect(t).exchange("POST", post("/once/", "a"))
+	server := startServerWith(t, serverOptions{network: unreachableNetwork{}}, upstream)
+	response := server.send(t, post("/once/", "a"))
 	assert.Equal(t, response.status, http.StatusServiceUnavailable)
 	assert.Assert(t, response.header.Get("Retry-After") != "")
 	assert.Equal(t, upstream.requestCount(), 0)
@@ -206,7 +206,7 @@
 	assert.NilError(t, err)
 	nobody := &scriptedReplica{id: "i-1", address: listener.Addr().String()}
 	listener.Close()
-	response := startServer(t, time.Second, time.Second, nobody).connect(t).exchange("POST", post("/once/", "a"))
+	response := startServer(t, nobody).send(t, post("/once/", "a"))
 	assert.Equal(t, response.status, http.StatusServiceUnavailable)
 	assert.Equal(t, response.header.Get(replica.HeaderSeal), "")
 }
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"context"
 	"fmt"
 	"io"
@@ -113,36 +114,44 @@
 	fleet   *atomic.Pointer[routing.Snapshot]
 }
 
-func startServer(t *testing.T, idle, headTime time.Duration, replicas ...*scriptedReplica) *testServer {
-	return startServerOver(t, peer.HostNetwork{}, idle, headTime, replicas...)
+// serverOptions are what tests change of a testServer; zero values stand for a second and the network of the host.
+type serverOptions struct {
+	network    peer.Network
+	head, idle time.Duration
 }
 
-func startServerOver(t *testing.T, network peer.Network, idle, headTime time.Duration, replicas ...*scriptedReplica) *testServer {
-	read, err := configuration.Decode([]byte(testDocument))
-	assert.NilError(t, err)
-	state := &routing.Snapshot{Table: configuration.NewTable(read, nil), DataPlanes: 1, ListedAt: time.Now(), DrainedZones: map[string]bool{}}
-	for index, upstream := range replicas {
-		listed := discovery.Replica{
-			ID: upstream.id, Backend: "scribes", Address: upstream.address, Zone: "north", Slots: 8, State: "ready",
-			Models: []discovery.LoadedModel{{Name: "swift"}},
-		}
-		state.Replicas = append(state.Replicas, routing.NewReplica(index, listed, time.Now(), nil))
+func startServer(t *testing.T, replicas ...*scriptedReplica) *testServer {
+	return startServerWith(t, serverOptions{}, replicas...)
+}
+
+func startServerWith(t *testing.T, options serverOptions, replicas ...*scriptedReplica) *testServer {
+	if options.network == nil {
+		options.network = peer.HostNetwork{}
+	}
+	timeouts := ConnectionTimeouts{
+		Head: cmp.Or(options.head, time.Second),
+		Idle: cmp.Or(options.idle, time.Second),
 	}
+	state := testFleet(t, replicas)
 	var fleet atomic.Pointer[routing.Snapshot]
 	fleet.Store(state)
 	matcher := routing.NewMatcher(routing.DefaultParameters(), "north", time.Now, &fleet)
 	ctx, cancel := context.WithCancel(context.Background())
 	go matcher.Run(ctx)
-	forwarder := replica.NewForwarder(network, time.Now, time.Second, time.Second)
-	handler := NewHandler(&fleet, matcher, forwarder, &RetryBudgets{Period: time.Second, Ratio: 1, Slack: 100}, time.Now, rand.Float64)
+	forwarder := replica.NewForwarder(options.network, time.Now, time.Second, time.Second)
+	budgets := NewRetryBudgets(RetryBudgetOptions{Period: time.Second, Ratio: 1, Slack: 100})
+	handler := NewHandler(&fleet, matcher, forwarder, budgets, time.Now, rand.Float64)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: 40 * time.Millisecond, IdleTimeout: 40 * time.Millisecond,
-		ConnState: ConnState, ConnContext: ConnContext,
+		Handler:           handler,
+		ReadHeaderTimeout: 40 * time.Millisecond,
+		IdleTimeout:       40 * time.Millisecond,
+		ConnState:         ConnState,
+		ConnContext:       ConnContext,
 	}
-	limits := func() (time.Duration, time.Duration) { return headTime, idle }
-	go func() { _ = server.Serve(NewLimitedListener(listener, 100, limits)) }()
+	limited := NewLimitedListener(listener, 100, func() ConnectionTimeouts { return timeouts })
+	go func() { _ = server.Serve(limited) }()
 	t.Cleanup(func() {
 		server.Close()
 		cancel()
@@ -150,6 +159,31 @@
 	return &testServer{listener.Addr().String(), handler, &fleet}
 }
 
+// testFleet is a fleet with the configuration of testDocument and the replicas.
+func testFleet(t *testing.T, replicas []*scriptedReplica) *routing.Snapshot {
+	decoded, err := configuration.Decode([]byte(testDocument))
+	assert.NilError(t, err)
+	fleet := &routing.Snapshot{
+		Table:        configuration.NewTable(decoded, nil),
+		DataPlanes:   1,
+		ListedAt:     time.Now(),
+		DrainedZones: map[string]bool{},
+	}
+	for index, upstream := range replicas {
+		listed := discovery.Replica{
+			ID:      upstream.id,
+			Backend: "scribes",
+			Address: upstream.address,
+			Zone:    "north",
+			Slots:   8,
+			State:   "ready",
+			Models:  []discovery.LoadedModel{{Name: "swift"}},
+		}
+		fleet.Replicas = append(fleet.Replicas, routing.NewReplica(index, listed, time.Now(), nil))
+	}
+	return fleet
+}
+
 // testClient is a client with one connection.
 type testClient struct {
 	net.Conn
@@ -164,6 +198,12 @@
 	return &testClient{connection, bufio.NewReader(connection)}
 }
 
+// send sends a POST request over a connection of its own.
+func (s *testServer) send(t *testing.T, raw string) clientResponse {
+	return s.connect(t).exchange(http.MethodPost, raw)
+}
+
+// clientResponse is a response as a client read it; broken says that it was not complete.
 type clientResponse struct {
 	status int
 	header http.Header
@@ -171,15 +211,15 @@
 	broken bool
 }
 
-// ask writes raw bytes and reads one answer to a request of the method.
+// exchange writes raw bytes and reads one response to a request of the method.
 func (c *testClient) exchange(method, raw string) clientResponse {
 	_, _ = io.WriteString(c, raw)
-	answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
 		return clientResponse{broken: true}
 	}
-	body, err := io.ReadAll(answer.Body)
-	return clientResponse{answer.StatusCode, answer.Header, string(body), err != nil}
+	body, err := io.ReadAll(response.Body)
+	return clientResponse{response.StatusCode, response.Header, string(body), err != nil}
 }
 
 func post(target, attempt string, more ...string) string {
--- a/internal/replica/orders_test.go
+++ b/internal/replica/client_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"net"
 	"net/http"
-	"strings"
 	"testing"
 	"time"
 
@@ -15,19 +14,19 @@
 	"ferryspar/internal/peer"
 )
 
-func sendOrder(t *testing.T, commander *Client, server *scriptedServer, model string) (int, error) {
+func sendOrder(t *testing.T, client *Client, server *scriptedServer, model string) (int, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	return commander.SendOrder(ctx, server.address, "i-1", Order{Operation: OperationLoad, Model: model, LeaseHolder: "node", Fence: 7})
+	return client.SendOrder(ctx, server.address, "i-1", Order{Operation: OperationLoad, Model: model, LeaseHolder: "node", Fence: 7})
 }
 
 // orderCount counts the orders for a model that a scripted replica has read.
 func (s *scriptedServer) orderCount(model string) int {
 	count := 0
-	for _, request := range s.received() {
+	for _, read := range s.received() {
 		var order Order
-		if json.Unmarshal([]byte(request.body), &order) == nil && order.Model == model {
+		if json.Unmarshal([]byte(read.body), &order) == nil && order.Model == model {
 			count++
 		}
 	}
@@ -37,8 +36,8 @@
 func TestClient_SendsOrderAtMostOnce(t *testing.T) {
 	moved := "HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"
 	for name, test := range map[string]struct {
-		trouble func(connection *scriptedConnection)
-		status  int
+		fault  func(connection *scriptedConnection)
+		status int
 	}{
 		"reset before reading": {func(connection *scriptedConnection) { connection.reset() }, 0},
 		"close before reading": {func(connection *scriptedConnection) { connection.Close() }, 0},
@@ -51,18 +50,18 @@
 			connection.write("%s", moved)
 			connection.next()
 		}, 302},
-		"answer cut": {func(connection *scriptedConnection) {
+		"response cut": {func(connection *scriptedConnection) {
 			connection.next()
 			connection.write("HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\n{")
 		}, 202},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := startServer(t, test.trouble)
+			server := startServer(t, test.fault)
 			status, err := sendOrder(t, NewClient(peer.HostNetwork{}), server, "swift")
 			assert.Assert(t, err != nil || status == test.status, "status %d", status)
 			assert.Assert(t, len(server.received()) <= 1, "read %d times", len(server.received()))
-			assert.Assert(t, test.status != http.StatusAccepted || err != nil, "an answer that was cut must not count")
+			assert.Assert(t, test.status != http.StatusAccepted || err != nil, "a truncated response must not count")
 		})
 	}
 }
@@ -90,14 +89,14 @@
 			connection.write("HTTP/1.1 200 OK\r\nContent-Length: 32\r\n\r\n{\"phase\":\"unified\",\"sequence\":1}")
 		}
 	})
-	commander := NewClient(peer.HostNetwork{})
+	client := NewClient(peer.HostNetwork{})
 	report := func() {
-		_, err := commander.FetchReport(t.Context(), server.address, "i-1")
+		_, err := client.FetchReport(t.Context(), server.address, "i-1")
 		assert.NilError(t, err)
 	}
 	report()
 	for _, model := range []string{"swift", "rare"} {
-		_, err := sendOrder(t, commander, server, model)
+		_, err := sendOrder(t, client, server, model)
 		assert.NilError(t, err)
 		report()
 		assert.Equal(t, server.orderCount(model), 1)
@@ -109,7 +108,7 @@
 	assert.DeepEqual(t, connections, []int{1, 2, 2, 3, 3})
 }
 
-// acceptFirstOrderTwice takes the first order of all, with two answers, and refuses those that follow.
+// acceptFirstOrderTwice takes the first order of all, with two responses, and rejects those that follow.
 func acceptFirstOrderTwice(connection *scriptedConnection) {
 	const accepted, conflict = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"
 	first := connection.number == 1
@@ -127,11 +126,11 @@
 
 func TestClient_DuplicateResponseDoesNotReachNextOrder(t *testing.T) {
 	server := startServer(t, acceptFirstOrderTwice)
-	commander := NewClient(peer.HostNetwork{})
-	status, err := sendOrder(t, commander, server, "swift")
+	client := NewClient(peer.HostNetwork{})
+	status, err := sendOrder(t, client, server, "swift")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusAccepted)
-	status, err = sendOrder(t, commander, server, "rare")
+	status, err = sendOrder(t, client, server, "rare")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusConflict)
 	assert.Equal(t, server.orderCount("swift"), 1)
@@ -148,17 +147,17 @@
 	for _, model := range []string{"swift", "rare"} {
 		body, err := json.Marshal(Order{Operation: OperationLoad, Model: model, LeaseHolder: "node", Fence: 7})
 		assert.NilError(t, err)
-		status, _, err = shared.call(t.Context(), "order", server.address, "i-1", body)
+		status, _, err = shared.call(t.Context(), OrderEndpoint, server.address, "i-1", body)
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, status, http.StatusAccepted)
 }
 
 func TestClient_RejectsInvalidReport(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"cut":         "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{\"sequence\":2",
 		"of no kind":  "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwords",
-		"a refusal":   "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n",
+		"a rejection": "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n",
 		"of an order": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
 		"surplus":     "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n",
 	} {
@@ -166,57 +165,10 @@
 			t.Parallel()
 			server := startServer(t, func(connection *scriptedConnection) {
 				connection.next()
-				connection.write("%s", answer)
+				connection.write("%s", response)
 			})
 			_, err := NewClient(peer.HostNetwork{}).FetchReport(t.Context(), server.address, "i-1")
 			assert.Assert(t, err != nil)
 		})
 	}
 }
-
-func TestForwarder_PreservesRequestTarget(t *testing.T) {
-	server := startServer(t, func(connection *scriptedConnection) {
-		for request := connection.next(); request != nil; request = connection.next() {
-			connection.answer(request.Header.Get(HeaderAttempt))
-		}
-	})
-	forwarder := testForwarder()
-	for number, target := range []string{
-		"/a/../b", "/./a/", "/a//b", "/a%2Fb", "/%2e%2e/", "/a?", "/a?x=%20&y=a+b", "/a?x?y", "/a;b=c", "/a:b@c", "//a/b", "//a%2Fb?x", "//a?",
-	} {
-		assert.Assert(t, ValidTarget(target), target)
-		upstream := testRequest(http.MethodPost, string(rune('a'+number)), "prompt")
-		upstream.URI = target
-		verdict, _ := send(t, forwarder, server, upstream)
-		assert.Equal(t, verdict, VerdictAnswered)
-		assert.Equal(t, server.received()[number].request.RequestURI, target)
-		assert.Equal(t, server.received()[number].body, "prompt")
-	}
-	for _, target := range []string{"*", "http://shop.example/a", "//a%ZZ", `//a"b`} {
-		assert.Assert(t, !ValidTarget(target), target)
-	}
-}
-
-func TestForwarder_DropsHopByHopHeaders(t *testing.T) {
-	server := startServer(t, func(connection *scriptedConnection) {
-		connection.next()
-		connection.answer("a")
-	})
-	upstream := testRequest(http.MethodPost, "a", "prompt")
-	for name, value := range map[string]string{
-		"Connection": "Filler, ferryspar-attempt-id, close", "Filler": "x", "Transfer-Encoding": "chunked", "Content-Length": "99",
-		"Expect": "100-continue", "Upgrade": "h2c", "Te": "trailers", HeaderTarget: "i-9", "Kept": "y",
-	} {
-		upstream.Header.Set(name, value)
-	}
-	verdict, _ := send(t, testForwarder(), server, upstream)
-	assert.Equal(t, verdict, VerdictAnswered)
-	got := server.received()[0].request
-	for _, name := range strings.Fields("Connection Filler Transfer-Encoding Expect Upgrade Te") {
-		assert.Equal(t, got.Header.Get(name), "", name)
-	}
-	assert.Equal(t, got.ContentLength, int64(len("prompt")))
-	assert.DeepEqual(t, got.Header.Values(HeaderTarget), []string{"i-1"})
-	assert.Equal(t, got.Header.Get(HeaderAttempt), "a")
-	assert.Equal(t, got.Header.Get("Kept"), "y")
-}
--- a/internal/replica/answers_test.go
+++ b/internal/replica/forwarder_test.go
@@ -32,10 +32,10 @@
 	const seal = HeaderSeal + ": s\r\n"
 	const empty = "Content-Length: 0\r\n\r\n"
 	for name, test := range map[string]struct {
-		answer string
-		want   Verdict
+		response string
+		want     Verdict
 	}{
-		"sound":                {validResponse("a"), VerdictAnswered},
+		"valid":                {validResponse("a"), VerdictAnswered},
 		"of another":           {validResponse("b"), VerdictUnknown},
 		"two ids":              {"HTTP/1.1 200 OK\r\n" + own + HeaderAttempt + ": b\r\n" + seal + empty, VerdictUnknown},
 		"no id":                {"HTTP/1.1 200 OK\r\n" + seal + empty, VerdictUnknown},
@@ -54,14 +54,14 @@
 		"421 of another":       {"HTTP/1.1 421 No\r\n" + HeaderAttempt + ": b\r\n" + empty, VerdictUnknown},
 		"421 of a new replica": {"HTTP/1.1 421 No\r\n" + own + HeaderReplicaID + ": i-2\r\n" + empty, VerdictReplaced},
 		"421 without id":       {"HTTP/1.1 421 No\r\n" + empty, VerdictNotLoaded},
-		"no answer at all":     {"\x00\x01garbage\r\n\r\n", VerdictUnknown},
+		"no response":          {"\x00\x01garbage\r\n\r\n", VerdictUnknown},
 		"head cut":             {"HTTP/1.1 200 OK\r\nFerry", VerdictUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := startServer(t, func(connection *scriptedConnection) {
 				if connection.next() != nil {
-					connection.write("%s", test.answer)
+					connection.write("%s", test.response)
 				}
 			})
 			verdict, _ := send(t, testForwarder(), server, testRequest(http.MethodPost, "a", "prompt"))
@@ -82,8 +82,7 @@
 		"reset after reading": func(connection *scriptedConnection) { connection.next(); connection.reset() },
 		"close after reading": func(connection *scriptedConnection) { connection.next(); connection.Close() },
 		"silence": func(connection *scriptedConnection) {
-			for connection.next() != nil {
-			}
+			connection.readAll()
 		},
 	} {
 		for shape, compose := range nonIdempotentShapes {
@@ -93,7 +92,7 @@
 				verdict, _ := send(t, testForwarder(), server, compose("a"))
 				assert.Assert(t, verdict != VerdictAnswered)
 				assert.Assert(t, server.countOf("a") <= 1, "read %d times", server.countOf("a"))
-				assert.Assert(t, server.countOf("a") == 0 || !NotExecuted[verdict], "a request that was read must not count as never run")
+				assert.Assert(t, server.countOf("a") == 0 || !verdict.NotExecuted(), "a request that was read must not count as never run")
 			})
 		}
 	}
@@ -103,7 +102,7 @@
 func breakSecondRequest(end func(connection *scriptedConnection)) func(connection *scriptedConnection) {
 	return func(connection *scriptedConnection) {
 		if request := connection.next(); request != nil {
-			connection.answer(request.Header.Get(HeaderAttempt))
+			connection.respond(request.Header.Get(HeaderAttempt))
 		}
 		if connection.next() != nil {
 			end(connection)
@@ -129,7 +128,7 @@
 				verdict, _ := send(t, forwarder, server, testRequest(http.MethodPost, "first", "prompt"))
 				assert.Equal(t, verdict, VerdictAnswered)
 				verdict, _ = send(t, forwarder, server, compose("once"))
-				assert.Assert(t, !NotExecuted[verdict] && verdict != VerdictAnswered, "verdict %d", verdict)
+				assert.Assert(t, !verdict.NotExecuted() && verdict != VerdictAnswered, "verdict %d", verdict)
 				assert.Equal(t, server.countOf("once"), 1)
 			})
 		}
@@ -165,10 +164,10 @@
 
 func TestForwarder_ReplacesClosedIdleConnection(t *testing.T) {
 	for name, ending := range map[string]string{
-		"without a word":         "",
-		"with 408":               "HTTP/1.1 408 Late\r\nContent-Length: 0\r\n\r\n",
-		"after more bytes":       "stray bytes",
-		"after a surplus answer": validResponse("first"),
+		"without a word":           "",
+		"with 408":                 "HTTP/1.1 408 Late\r\nContent-Length: 0\r\n\r\n",
+		"after more bytes":         "stray bytes",
+		"after a surplus response": validResponse("first"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -177,7 +176,7 @@
 				if request == nil {
 					return
 				}
-				connection.answer(request.Header.Get(HeaderAttempt))
+				connection.respond(request.Header.Get(HeaderAttempt))
 				connection.write("%s", ending)
 			})
 			forwarder := testForwarder()
--- /dev/null
+++ b/internal/replica/messages.go
@@ -0,0 +1,38 @@
+package replica
+
+import "ferryspar/internal/discovery"
+
+// Operations of an Order.
+const (
+	OperationLoad   = "model_load"
+	OperationUnload = "model_unload"
+)
+
+// Order is the body of a placement order.
+type Order struct {
+	Operation string `json:"operation"`
+	Model     string `json:"modelId"`
+	Adapter   string `json:"adapterId,omitempty"`
+	// LeaseHolder and Fence are those of the lease that the order is sent under.
+	LeaseHolder string `json:"leaseHolder"`
+	Fence       uint64 `json:"fenceToken"`
+	// ExpectedCount is the replica's sequence number that the order was decided on: the replica rejects it at any other. It
+	// is always sent, 0 too.
+	ExpectedCount int64 `json:"expectedCount"`
+}
+
+// Report is what a replica says of itself.
+type Report struct {
+	// Phase is whether it does prefill, decode or both; every report has one.
+	Phase  string                  `json:"phase"`
+	Models []discovery.LoadedModel `json:"modelList"`
+	Busy   bool                    `json:"utilization"`
+	// Sequence counts the orders that the replica has taken.
+	Sequence int64 `json:"sequence"`
+	// Queued and Active are numbers of requests.
+	Queued int `json:"queuedRequests"`
+	Active int `json:"activeRequests"`
+	// KvUsed and KvTotal are tokens of KV memory.
+	KvUsed  float64 `json:"kvCacheUsed"`
+	KvTotal float64 `json:"kvCacheTotal"`
+}
--- a/internal/replica/pinned_test.go
+++ b/internal/replica/pinned_test.go
@@ -6,20 +6,20 @@
 	"ferryspar/internal/test/pinned"
 )
 
-func TestInstruction_JSONStaysTheSame(t *testing.T) {
+func TestMessages_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
 		"placement order": new(Order),
 		"report":          new(Report),
 	})
 }
 
-func TestCalls_PathsHeadersAndWordsStayTheSame(t *testing.T) {
-	told := map[string]string{}
-	for name, call := range Endpoints {
-		told[name] = call.Method + " " + call.Path + " within " + call.Timeout.String()
+func TestProtocol_PathsHeadersAndWordsStayTheSame(t *testing.T) {
+	endpoints := map[string]string{}
+	for name, endpoint := range map[string]Endpoint{"order": OrderEndpoint, "report": ReportEndpoint} {
+		endpoints[name] = endpoint.Method + " " + endpoint.Path + " within " + endpoint.Timeout.String()
 	}
 	pinned.CheckJSON(t, "testdata/calls.json", map[string]any{
-		"calls":      told,
+		"calls":      endpoints,
 		"operations": []string{OperationLoad, OperationUnload},
 		"headers": map[string]string{
 			"attempt": HeaderAttempt, "seal": HeaderSeal, "target": HeaderTarget, "not executed": HeaderNotExecuted,
@@ -27,6 +27,6 @@
 			"tokens": HeaderTokens, "prefix": HeaderPrefix, "last event": HeaderLastEventID, "cold": HeaderWarmUpRemaining,
 			"tenant": HeaderTenant, "key": HeaderAPIKey, "own": protocolPrefix,
 		},
-		"headers of a hop": hopHeaders,
+		"headers of a hop": hopByHopHeaders,
 	})
 }
--- a/internal/replica/raw_test.go
+++ b/internal/replica/scriptedserver_test.go
@@ -90,6 +90,13 @@
 	return request
 }
 
+// readAll reads requests until the caller closes.
+func (c *scriptedConnection) readAll() {
+	for request := c.next(); request != nil; {
+		request = c.next()
+	}
+}
+
 // reset ends the connection with a reset instead of an orderly close.
 func (c *scriptedConnection) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
@@ -100,8 +107,8 @@
 	fmt.Fprintf(c, format, arguments...)
 }
 
-// answer writes the answer that a sound replica gives to the attempt.
-func (c *scriptedConnection) answer(attempt string) { c.write("%s", validResponse(attempt)) }
+// respond writes the response that a healthy replica gives to the attempt.
+func (c *scriptedConnection) respond(attempt string) { c.write("%s", validResponse(attempt)) }
 
 func validResponse(attempt string) string {
 	body := "body for " + attempt
@@ -120,11 +127,11 @@
 	return append([]receivedRequest(nil), s.read...)
 }
 
-// times is how often the attempt was read whole.
+// countOf is how often the attempt was read whole.
 func (s *scriptedServer) countOf(attempt string) int {
 	count := 0
-	for _, request := range s.received() {
-		if request.request.Header.Get(HeaderAttempt) == attempt {
+	for _, read := range s.received() {
+		if read.request.Header.Get(HeaderAttempt) == attempt {
 			count++
 		}
 	}
@@ -137,14 +144,21 @@
 
 func testRequest(method, attempt, body string) UpstreamRequest {
 	return UpstreamRequest{
-		Method: method, URI: "/path", Host: "shop.example", Body: []byte(body), AttemptID: attempt, NonIdempotent: true, Backend: "scribes",
-		Header: http.Header{HeaderAttempt: {attempt}}, Deadline: time.Now().Add(time.Minute),
+		Method:        method,
+		URI:           "/path",
+		Host:          "shop.example",
+		Header:        http.Header{HeaderAttempt: {attempt}},
+		Body:          []byte(body),
+		AttemptID:     attempt,
+		Deadline:      time.Now().Add(time.Minute),
+		Backend:       "scribes",
+		NonIdempotent: true,
 	}
 }
 
 const testTimeout = 400 * time.Millisecond
 
-// send forwards a job and reads the answer's body, if any counts.
+// send forwards a request and reads the response's body, if one counts.
 func send(t *testing.T, forwarder *Forwarder, server *scriptedServer, upstream UpstreamRequest) (Verdict, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
--- a/internal/replica/surplus_test.go
+++ b/internal/replica/surplus_test.go
@@ -10,15 +10,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// respondTwice answers each request twice; the second answer comes where the next one on the connection is due.
+// respondTwice answers each request twice; the second response comes where the next one on the connection is due.
 func respondTwice(connection *scriptedConnection) {
 	before := ""
 	for request := connection.next(); request != nil; request = connection.next() {
 		attempt := request.Header.Get(HeaderAttempt)
 		if before != "" {
-			connection.answer(before)
+			connection.respond(before)
 		}
-		connection.answer(attempt)
+		connection.respond(attempt)
 		before = attempt
 	}
 }
@@ -38,7 +38,7 @@
 	assert.Assert(t, read[1].connection != read[2].connection, "a connection out of step was used again")
 }
 
-// respondOneBehind answers each request of a connection after the first with the answer of the one before it.
+// respondOneBehind answers each request of a connection after the first with the response to the one before it.
 func respondOneBehind(connection *scriptedConnection) {
 	before := ""
 	for request := connection.next(); request != nil; request = connection.next() {
@@ -46,7 +46,7 @@
 		if before == "" {
 			before = attempt
 		}
-		connection.answer(before)
+		connection.respond(before)
 		before = attempt
 	}
 }
@@ -62,12 +62,12 @@
 	}
 }
 
-// The variant without the look at the id: the library hands the first request's answer to the second.
+// The variant without the check of the id: the library hands the first request's response to the second.
 func TestHTTPTransport_DeliversSurplusResponseToNextRequest(t *testing.T) {
 	server := startServer(t, respondTwice)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	got := ""
+	delivered := ""
 	for _, attempt := range []string{"first", "second"} {
 		request, err := http.NewRequest(http.MethodPost, "http://"+server.address, strings.NewReader("prompt"))
 		assert.NilError(t, err)
@@ -76,9 +76,9 @@
 		assert.NilError(t, err)
 		_, _ = response.Body.Read(make([]byte, 100))
 		response.Body.Close()
-		got = response.Header.Get(HeaderAttempt)
+		delivered = response.Header.Get(HeaderAttempt)
 	}
-	assert.Equal(t, got, "first")
+	assert.Equal(t, delivered, "first")
 }
 
 func TestForwarder_DuplicateRejectionProvesNothing(t *testing.T) {
@@ -93,7 +93,7 @@
 			}
 			return
 		}
-		connection.answer("a")
+		connection.respond("a")
 	})
 	forwarder := testForwarder()
 	verdict, _ := send(t, forwarder, server, testRequest(http.MethodPost, "a", "prompt"))
@@ -109,7 +109,7 @@
 func TestForwarder_RejectionWithoutIDOnReusedConnectionProvesNothing(t *testing.T) {
 	server := startServer(t, func(connection *scriptedConnection) {
 		if request := connection.next(); request != nil {
-			connection.answer(request.Header.Get(HeaderAttempt))
+			connection.respond(request.Header.Get(HeaderAttempt))
 		}
 		if connection.next() != nil {
 			connection.write("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n")
--- a/internal/replica/forward.go
+++ b/internal/replica/upstreamrequest.go
@@ -8,8 +8,6 @@
 	"strconv"
 	"strings"
 	"time"
-
-	"ferryspar/internal/peer"
 )
 
 // UpstreamRequest is a client's request as it is to be sent to a replica.
@@ -20,7 +18,7 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Attempt is the client's id of this try, which its answer has to bear.
+	// AttemptID is the client's id of this attempt, which its response has to bear.
 	AttemptID string
 	// Urgency is the rank told to the replica, from 0 (first) to 9.
 	Urgency int
@@ -28,60 +26,63 @@
 	Deadline time.Time
 	// LastEventID, if any, is the id of the event after which a stream goes on.
 	LastEventID string
-	Backend     string
+	// Backend is the name of the replica's backend; its replicas are taken to keep idle connections equally long.
+	Backend string
 	// Tenant is the name told to the replica, empty for a request of no tenant.
 	Tenant string
-	// Once says that the request may not be repeated.
+	// NonIdempotent says that the request may not run twice.
 	NonIdempotent bool
-	// Connections bounds the idle connections kept to the replica; 0 leaves it to the forwarder.
+	// MaxIdleConnections limits the idle connections kept to the replica; 0 leaves it to the forwarder.
 	MaxIdleConnections int
 }
 
-// Forwarder sends clients' requests to replicas. It may be used by any number of goroutines.
-type Forwarder struct{ transportPool }
-
-// NewForwarder returns a forwarder over the network. A connection that doesn't come up within connectTimeout, or whose
-// other end acknowledges nothing for the time of silence, is given up.
-func NewForwarder(network peer.Network, clock func() time.Time, connectTimeout, ackTimeout time.Duration) *Forwarder {
-	return &Forwarder{transportPool{
-		transports: map[string]*pooledTransport{}, idleEstimates: map[string]*idleEstimate{}, connectTimeout: connectTimeout, ackTimeout: ackTimeout,
-		clock: clock, network: network,
-	}}
-}
-
 // unrewindableBody hides the kind of reader from the library, which then can't read the body a second time by itself.
 type unrewindableBody struct{ *bytes.Reader }
 
+// Close does nothing: the body is in memory.
 func (unrewindableBody) Close() error { return nil }
 
-func (f *Forwarder) newRequest(ctx context.Context, address, identity string, upstream UpstreamRequest) *http.Request {
+// newRequest composes the HTTP request for a replica.
+func (f *Forwarder) newRequest(ctx context.Context, address, replicaID string, upstream UpstreamRequest) *http.Request {
 	request := &http.Request{
-		Method: upstream.Method, Host: upstream.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		URL: &url.URL{Scheme: "http", Host: address}, Header: forwardedHeader(upstream.Header),
+		Method:     upstream.Method,
+		Host:       upstream.Host,
+		Proto:      "HTTP/1.1",
+		ProtoMajor: 1,
+		ProtoMinor: 1,
+		URL:        &url.URL{Scheme: "http", Host: address},
+		Header:     forwardedHeader(upstream.Header),
 	}
 	request = request.WithContext(ctx)
 	setTarget(request.URL, upstream.URI)
-	if len(upstream.Body) > 0 || upstream.Method == http.MethodPost || upstream.Method == http.MethodPut {
-		request.Body = unrewindableBody{bytes.NewReader(upstream.Body)}
-		request.ContentLength = int64(len(upstream.Body))
-		if len(upstream.Body) == 0 {
-			request.Body = http.NoBody
-		}
-	}
+	setBody(request, upstream.Body)
 	remaining := upstream.Deadline.Sub(f.clock()).Milliseconds()
 	request.Header.Set(HeaderRemaining, strconv.FormatInt(max(remaining, 1), 10))
-	request.Header.Set(HeaderTarget, identity)
+	request.Header.Set(HeaderTarget, replicaID)
 	request.Header.Set(HeaderUrgency, strconv.Itoa(upstream.Urgency))
 	setTenant(request.Header, upstream.Tenant)
 	if upstream.LastEventID != "" {
 		request.Header.Set(HeaderLastEventID, upstream.LastEventID)
 	}
-	if _, named := request.Header["User-Agent"]; !named {
+	if _, stated := request.Header["User-Agent"]; !stated {
+		// An empty value keeps the transport from adding its own.
 		request.Header["User-Agent"] = []string{""}
 	}
 	return request
 }
 
+// setBody gives the request its body, so that it is framed by a length where its method usually has one.
+func setBody(request *http.Request, body []byte) {
+	if len(body) > 0 {
+		request.Body = unrewindableBody{bytes.NewReader(body)}
+		request.ContentLength = int64(len(body))
+		return
+	}
+	if request.Method == http.MethodPost || request.Method == http.MethodPut {
+		request.Body = http.NoBody
+	}
+}
+
 // setTenant names the tenant whatever the client claimed, and takes the client's key away.
 func setTenant(header http.Header, tenant string) {
 	header.Del(HeaderAPIKey)
@@ -101,22 +102,23 @@
 	return composed.RequestURI() == uri
 }
 
-// setTarget makes the URL write the request target exactly as given. Opaque does so for all but a target that begins
-// with two slashes, which the library would take for a host.
+// setTarget makes the URL write the request target exactly as given. Opaque does so for all but a target that begins with
+// two slashes, which the library would take for a host.
 func setTarget(composed *url.URL, uri string) {
 	path, query, found := strings.Cut(uri, "?")
 	if !strings.HasPrefix(path, "//") {
 		composed.Opaque = uri
 		return
 	}
-	composed.Path, composed.RawPath, composed.RawQuery, composed.ForceQuery = path, path, query, found && query == ""
+	composed.Path, composed.RawPath = path, path
+	composed.RawQuery, composed.ForceQuery = query, found && query == ""
 	if decoded, err := url.PathUnescape(path); err == nil {
 		composed.Path = decoded
 	}
 }
 
 // forwardedHeader returns the headers that concern more than one connection. Headers of the protocol stay, whatever
-// Connection lists: the attempt id and the seal are what ties an answer to its request.
+// Connection lists: the attempt id and the seal are what ties a response to its request.
 func forwardedHeader(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, listed := range header.Values("Connection") {
@@ -127,7 +129,7 @@
 			}
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		kept.Del(name)
 	}
 	kept.Del("Expect")
@@ -135,7 +137,7 @@
 	return kept
 }
 
-// CopyResponseHeader copies the headers of a replica's answer that its client is to see.
+// CopyResponseHeader copies the headers of a replica's response that its client is to see.
 func CopyResponseHeader(target, source http.Header) {
 	for name, values := range forwardedHeader(source) {
 		target[name] = values
--- a/internal/sim/emulator/edge.go
+++ b/internal/sim/emulator/edge.go
@@ -72,7 +72,7 @@
 	e.fleet = atomic.Pointer[routing.Snapshot]{}
 	e.fleet.Store(&routing.Snapshot{})
 	e.matcher = routing.NewMatcher(e.world.scenario.Parameters, e.world.scenario.Zones[e.zone].Name, e.world.now, &e.fleet)
-	e.budget = proxy.NewRetryBudget(budgetPeriod, budgetRatio, budgetSlack)
+	e.budget = proxy.NewRetryBudget(proxy.RetryBudgetOptions{Period: budgetPeriod, Ratio: budgetRatio, Slack: budgetSlack})
 	phase := time.Duration(e.number%10) * loadReportEvery / 10
 	e.reportEvery(e.life, phase)
 }
--- a/internal/sim/hollow/standins.go
+++ b/internal/sim/hollow/standins.go
@@ -142,8 +142,8 @@
 		return
 	}
 	handlers := map[string]func(*standIn, http.ResponseWriter, *http.Request){
-		replica.Endpoints["report"].Path: w.serveReport,
-		replica.Endpoints["order"].Path:  w.serveInstruction,
+		replica.ReportEndpoint.Path: w.serveReport,
+		replica.OrderEndpoint.Path:  w.serveInstruction,
 	}
 	if handle, known := handlers[request.URL.Path]; known {
 		handle(one, writer, request)
