--- a/internal/controlplane/managedreplica_test.go
+++ b/internal/controlplane/managedreplica_test.go
@@ -6,7 +6,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/configuration"
 	"ferryspar/internal/discovery"
+	"ferryspar/internal/drill"
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/nodesettings"
@@ -90,3 +92,23 @@
 	assert.Assert(t, scheduler.tracked["r"].state.PossiblyLoaded()["n"])
 	assert.Equal(t, scheduler.trackedGrant.ExpiresAt, renewed.ExpiresAt)
 }
+
+func TestScheduler_ForecastsWithoutReplicasRightAfterTakeover(t *testing.T) {
+	now := testStart
+	scheduler, _ := newPlacingScheduler(&now, 1)
+	scheduler.node.scheduler, scheduler.node.bus = scheduler, eventbus.New()
+	scheduler.table = configuration.NewTable(configuration.Configuration{
+		Revision: 1,
+		Backends: []configuration.Backend{{Name: "s", Runtime: &configuration.Runtime{Slots: 12}}},
+	}, nil)
+	scheduler.node.publisher.Update(func(next *Snapshot) bool {
+		next.Revision = 1
+		return true
+	})
+	takenOver := &lease.Grant{Record: lease.Record{Fence: 3}, GrantedAt: now, ExpiresAt: now.Add(time.Hour)}
+	scheduler.currentGrant.Store(takenOver)
+	scheduler.adoptGrant(takenOver)
+	plan := scheduler.forecastPlan(drill.Scope{Zone: "north"})
+	assert.Assert(t, plan.HoldsLease)
+	assert.Equal(t, len(plan.Steps), 0)
+}
--- a/internal/controlplane/scheduler.go
+++ b/internal/controlplane/scheduler.go
@@ -119,7 +119,7 @@
 	}
 	s.trackedGrant = grant
 	s.sizes = placement.NewSizeHistory()
-	s.adoptedList = nil
+	s.adoptedList, s.sortedIDs = nil, nil
 	if len(s.tracked) > 0 {
 		s.tracked = map[string]*trackedReplica{}
 		s.publishObserved()
