--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -14,6 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/adminapi"
+	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/eventbus"
@@ -57,7 +58,7 @@
 	dataPlaneRetention map[string]retention.DataPlaneView
 	discovery          *discovery.Client
 	listMerger         discovery.Merger
-	scheduler          *Scheduler
+	scheduler          *scheduler.Scheduler
 	roster             rosterState
 	bus                *eventbus.Bus
 	leaving            chan struct{}
@@ -127,7 +128,7 @@
 	node.state = &controlstate.State{Store: node.store, Zones: settings.Zones, Clock: time.Now}
 	node.confirmer = newConfirmer(node)
 	node.discovery = &discovery.Client{Address: settings.CloudAPI.Address, HTTPClient: &http.Client{Transport: peer.NewTransport(network, 500*time.Millisecond, 1500*time.Millisecond, 2)}}
-	node.scheduler = NewScheduler(node)
+	node.scheduler = node.newScheduler()
 	return node, nil
 }
 
--- a/internal/controlplane/daemon_bench_test.go
+++ b/internal/controlplane/daemon_bench_test.go
@@ -188,8 +188,8 @@
 			share := node.loads.DemandSummary(node.self, false)
 			share.Batch = 0 // heard as new each time
 			for b.Loop() {
-				node.scheduler.handleDemand(share)
-				node.scheduler.updateDemand()
+				node.scheduler.Demand().HandleSummary(share)
+				node.scheduler.Demand().Update()
 			}
 		})
 	}
--- a/internal/controlplane/demandshare.go
+++ b/internal/controlplane/demandshare.go
@@ -102,7 +102,7 @@
 		n.loads.AddSummary(summary, now)
 	}
 	if summary.IsDemand {
-		n.scheduler.handleDemand(summary)
+		n.scheduler.Demand().HandleSummary(summary)
 	}
 	return peer.LoadSummaryReply{}
 }
--- a/internal/controlplane/demandshare_test.go
+++ b/internal/controlplane/demandshare_test.go
@@ -2,42 +2,50 @@
 
 import (
 	"testing"
+	"time"
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/peer"
 	"ferryspar/internal/placement"
 )
 
-func TestScheduler_CountsResentArrivalsOnce(t *testing.T) {
+// averagingSpan is the time after which an averaged rate is the arrivals since the last update divided by it, in seconds.
+const averagingSpan = 8
+
+func TestDemandView_CountsResentArrivalsOnce(t *testing.T) {
+	now, total := testStart, 0.0
 	sums := NewLoadAggregator()
-	holder := &Scheduler{
-		node: &Node{clock: rosterTestStart.Local}, wake: make(chan struct{}, 1),
-		arrivals: map[string]float64{}, prefillMs: map[string]float64{}, planInputs: planInputs{aggregator: NewDemandAggregator()},
+	holder := scheduler.NewDemandView(NewDemandAggregator(), func() time.Time { return now }, func() {})
+	counted := func() float64 {
+		now = now.Add(averagingSpan * time.Second)
+		holder.Update()
+		total += averagingSpan * holder.Rates()[placement.ModelKey("s", "m")]
+		return total
 	}
 	arrive := func(amount int) {
 		sums.AddReport(peer.LoadReport{DataPlane: "edge", Models: []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}}}, rosterTestStart)
 	}
-	counted := func() float64 { return holder.arrivals[placement.ModelKey("s", "m")] }
 	arrive(10)
 	lost := sums.DemandSummary("a", false)
-	holder.handleDemand(lost)
+	holder.HandleSummary(lost)
 	sums.markUncertain(lost)
 	arrive(5)
 	again := sums.DemandSummary("a", false)
-	holder.handleDemand(again)
+	holder.HandleSummary(again)
 	assert.Equal(t, counted(), 10.0, "told again, counted once")
 	next := sums.DemandSummary("a", false)
-	holder.handleDemand(next)
+	holder.HandleSummary(next)
 	sums.markDelivered(next)
 	sums.markUncertain(again)
-	holder.handleDemand(sums.DemandSummary("a", false))
+	holder.HandleSummary(sums.DemandSummary("a", false))
 	assert.Equal(t, counted(), 15.0)
-	holder.handleDemand(sums.DemandSummary("a", false))
+	holder.HandleSummary(sums.DemandSummary("a", false))
 	assert.Equal(t, counted(), 15.0, "nothing is left")
 	restarted := lost
 	restarted.Incarnation = "next"
-	holder.handleDemand(restarted)
+	holder.HandleSummary(restarted)
 	assert.Equal(t, counted(), 25.0, "numbers begin anew with a life")
 }
 
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -12,7 +12,7 @@
 	followers := map[string]func(payload []byte){
 		eventbus.TopicCommitted: func(payload []byte) { n.notifyCommitted(ctx, payload) },
 		eventbus.TopicPlacementChanged: func(payload []byte) {
-			if n.scheduler.HoldsLease() {
+			if n.scheduler.Lease().Holds() {
 				n.sendRoster(ctx, false)
 			}
 		},
--- a/internal/controlplane/exchange.go
+++ b/internal/controlplane/exchange.go
@@ -93,7 +93,7 @@
 	}
 	summary.Incarnation = n.incarnation
 	if leaseHolder == n.self {
-		n.scheduler.handleDemand(summary)
+		n.scheduler.Demand().HandleSummary(summary)
 		n.loads.markDelivered(summary)
 		return
 	}
--- a/internal/controlplane/forecast.go
+++ b/internal/controlplane/forecast.go
@@ -143,7 +143,7 @@
 		Zones:       n.settings.Zones,
 		Replicas:    snapshot.Replicas,
 		Table:       configuration.NewTable(read, nil),
-		Demand:      n.scheduler.demandRates(),
+		Demand:      n.scheduler.Demand().Rates(),
 		Members:     n.store.Membership().Current,
 		MemberZones: map[string]string{n.self: n.settings.Zone},
 		LeaseHolder: snapshot.LeaseHolder,
--- a/internal/controlplane/greetings.go
+++ b/internal/controlplane/greetings.go
@@ -153,7 +153,7 @@
 	n.controlNodes.Record(message.Address, heartbeat.Heartbeat{ReportedAt: now})
 	n.lastHeartbeats[message.Address] = message
 	if message.Leaving && message.Address == n.publisher.Current().LeaseHolder {
-		n.scheduler.forgetLeaseHolder()
+		n.scheduler.Lease().ForgetHolder()
 	}
 	for _, dataPlane := range message.DataPlanes {
 		n.dataPlanes.RecordContact(dataPlane, now)
--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -42,7 +42,7 @@
 		case <-ticker.C:
 		}
 		snapshot := n.publisher.Current()
-		if !snapshot.Drill.Running || !n.scheduler.HoldsLease() {
+		if !snapshot.Drill.Running || !n.scheduler.Lease().Holds() {
 			base = nil
 			continue
 		}
@@ -89,7 +89,7 @@
 	}
 	n.watchLock.Unlock()
 	for _, replica := range snapshot.Replicas {
-		if replica.State != discovery.Draining && !n.scheduler.isSuspected(replica.ID) {
+		if replica.State != discovery.Draining && !n.scheduler.Demand().IsSuspected(replica.ID) {
 			base.replicas = append(base.replicas, replica.ID)
 		}
 	}
@@ -139,7 +139,7 @@
 		if !present[id] {
 			return "replica " + id + " is gone"
 		}
-		if n.scheduler.isSuspected(id) {
+		if n.scheduler.Demand().IsSuspected(id) {
 			return "replica " + id + " does not answer"
 		}
 	}
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -34,7 +34,7 @@
 	logrus.Info("leaving")
 	deadline := startedAt.Add(nodesettings.Seconds(n.settings.TimingBounds.GraceS) - exitMargin)
 	select {
-	case <-n.scheduler.released:
+	case <-n.scheduler.Lease().Released():
 	case <-time.After(releaseTimeout):
 	}
 	for n.clock().Before(deadline) && (n.clock().Sub(startedAt) < minLeaveDuration || !membership.MayLeave(n.membershipView())) {
--- /dev/null
+++ b/internal/controlplane/placement.go
@@ -0,0 +1,121 @@
+package controlplane
+
+import (
+	"context"
+	"slices"
+	"sort"
+	"time"
+
+	"ferryspar/internal/controlplane/scheduler"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/drill"
+	"ferryspar/internal/eventbus"
+	"ferryspar/internal/lease"
+	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/replica"
+	"ferryspar/internal/retention"
+)
+
+// takeoverMargin is added to the lease length of the settings for the time that a new lease holder waits.
+const takeoverMargin = 100 * time.Millisecond
+
+// newScheduler returns the scheduler of the node.
+func (n *Node) newScheduler() *scheduler.Scheduler {
+	host := schedulerHost{node: n}
+	return scheduler.New(scheduler.Config{
+		Settings: scheduler.Settings{
+			ListLag:      nodesettings.Milliseconds(n.settings.CloudAPI.MaxLagMs),
+			OriginPeriod: nodesettings.Seconds(n.settings.TimingBounds.OriginPeriodS),
+			Zones:        n.settings.Zones,
+		},
+		Clock:     n.clock,
+		StartedAt: n.startedAt,
+		Lease: scheduler.LeaseConfig{
+			Manager: &lease.Manager{
+				Key:           placementLease,
+				Holder:        n.settings.NodeName,
+				Address:       n.self,
+				TTL:           n.leaseLength(),
+				TakeoverDelay: nodesettings.Milliseconds(n.settings.TimingBounds.LeaseMs) + takeoverMargin,
+				Store:         n.store,
+				Clock:         n.clock,
+			},
+			Cluster:  host,
+			SeedRank: max(slices.Index(n.settings.SeedPeers(), n.self), 0),
+			Leaving:  n.leaving,
+		},
+		State:      host,
+		Roster:     host,
+		Purges:     host,
+		Replicas:   replica.NewClient(n.network),
+		Aggregator: NewDemandAggregator(),
+	})
+}
+
+// schedulerHost is the node as its scheduler sees it.
+type schedulerHost struct{ node *Node }
+
+// State implements scheduler.StateReader.
+func (h schedulerHost) State() scheduler.State {
+	snapshot := h.node.publisher.Current()
+	return scheduler.State{
+		Version:             snapshot.Version + snapshot.RosterVersion,
+		Revision:            snapshot.Revision,
+		PackedConfiguration: snapshot.PackedConfiguration,
+		Zones:               snapshot.Zones,
+		RosterAsOf:          snapshot.RosterAsOf,
+		Retention:           snapshot.Retention,
+		Purges:              snapshot.Forgets.Purges,
+	}
+}
+
+// Current implements scheduler.Roster.
+func (h schedulerHost) Current() ([]discovery.Replica, time.Time) { return h.node.roster.current() }
+
+// PublishPlacement implements scheduler.Roster.
+func (h schedulerHost) PublishPlacement(replicas int) {
+	h.node.publishRoster()
+	_ = h.node.bus.Publish(eventbus.TopicPlacementChanged, replicas)
+}
+
+// UpdatePurge implements scheduler.PurgeStore.
+func (h schedulerHost) UpdatePurge(ctx context.Context, number uint64, change func(purge *retention.Purge) bool) bool {
+	return h.node.changeForget(ctx, number, change)
+}
+
+// MayAcquireLease implements scheduler.Cluster.
+func (h schedulerHost) MayAcquireLease(now time.Time) bool {
+	return h.node.acceptor.LocalState().Voting &&
+		h.node.publisher.Current().IsFresh(now) &&
+		h.node.store.Membership().Contains(h.node.self)
+}
+
+// IsLeaseHolderReachable implements scheduler.Cluster.
+func (h schedulerHost) IsLeaseHolderReachable(now time.Time) bool {
+	return h.node.isReachable(h.node.publisher.Current().LeaseHolder, now)
+}
+
+// addPlacementForecast adds to a forecast what the lease holder would place and remove; the forecast is partial if the
+// holder cannot be asked.
+func (n *Node) addPlacementForecast(ctx context.Context, merged *drill.Forecast, request drill.ForecastRequest) {
+	var plan drill.PlacementPlan
+	holder := n.publisher.Current().LeaseHolder
+	if holder == n.self {
+		plan = n.handlePlanRequest(ctx, request)
+	} else if holder != "" {
+		_ = n.peers.Call(ctx, "plan", holder, request, &plan)
+	}
+	if !plan.HoldsLease {
+		merged.Partial = true
+		merged.Missing = append(merged.Missing, "placement holder "+holder)
+		sort.Strings(merged.Missing)
+		return
+	}
+	merged.Placement = plan.Steps
+}
+
+// handlePlanRequest answers what this node would place and remove as the lease holder. The plan does not hold if it is not
+// the holder.
+func (n *Node) handlePlanRequest(ctx context.Context, request drill.ForecastRequest) drill.PlacementPlan {
+	return n.scheduler.Forecast(ctx, request.Scope)
+}
--- /dev/null
+++ b/internal/controlplane/replicatracker/models.go
@@ -0,0 +1,71 @@
+package replicatracker
+
+import (
+	"slices"
+	"sort"
+	"strings"
+
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
+)
+
+// References returns the set of references of a replica's models and adapters.
+func References(models []discovery.LoadedModel) map[string]bool {
+	references := map[string]bool{}
+	for _, model := range models {
+		references[model.Name] = true
+		for _, adapter := range model.Adapters {
+			references[placement.Reference(model.Name, adapter)] = true
+		}
+	}
+	return references
+}
+
+// isAdapter tells whether a reference names an adapter, which lies on no disk of its own and is never counted as a load
+// from the store.
+func isAdapter(reference string) bool { return strings.Contains(reference, "/") }
+
+// loadedModels lists a set of references as the platform's list does, ordered by name.
+func loadedModels(references map[string]bool) []discovery.LoadedModel {
+	adapters := map[string][]string{}
+	for reference := range references {
+		model, adapter, _ := strings.Cut(reference, "/")
+		if adapters[model] == nil {
+			adapters[model] = []string{}
+		}
+		if adapter != "" {
+			adapters[model] = append(adapters[model], adapter)
+		}
+	}
+	var list []discovery.LoadedModel
+	for model, names := range adapters {
+		sort.Strings(names)
+		list = append(list, discovery.LoadedModel{Name: model, Revision: 1, Adapters: names})
+	}
+	sort.Slice(list, func(left, right int) bool { return list[left].Name < list[right].Name })
+	return list
+}
+
+// hasExactlyLoaded tells whether a set of references is that of the listed models and adapters.
+func hasExactlyLoaded(loaded map[string]bool, models []discovery.LoadedModel) bool {
+	count := 0
+	for _, model := range models {
+		if !loaded[model.Name] {
+			return false
+		}
+		for _, adapter := range model.Adapters {
+			if !loaded[placement.Reference(model.Name, adapter)] {
+				return false
+			}
+		}
+		count += 1 + len(model.Adapters)
+	}
+	return count == len(loaded)
+}
+
+// sameModels tells whether two lists of models are the same, in order too.
+func sameModels(former, latter []discovery.LoadedModel) bool {
+	return slices.EqualFunc(former, latter, func(left, right discovery.LoadedModel) bool {
+		return left.Name == right.Name && left.Revision == right.Revision && slices.Equal(left.Adapters, right.Adapters)
+	})
+}
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -44,7 +44,7 @@
 	defer timer.Stop()
 	for {
 		startedAt, perSecond := n.clock(), n.settings.CloudAPI.RatePerS
-		holding := n.scheduler.HoldsLease()
+		holding := n.scheduler.Lease().Holds()
 		if holding || n.roster.age(startedAt) > staleAge(perSecond, n.discovery.PageCount()) {
 			n.refreshRoster(ctx, startedAt)
 		}
@@ -95,8 +95,8 @@
 	defer n.roster.publishLock.Unlock()
 	replicas, at := n.roster.current()
 	cordoned := n.roster.cordonedReplicas(n.clock())
-	if n.scheduler.HoldsLease() {
-		replicas, cordoned = n.scheduler.withObserved(replicas, at)
+	if n.scheduler.Lease().Holds() {
+		replicas, cordoned = n.scheduler.Observations().Apply(replicas, at)
 	}
 	n.publishReplicas(replicas, cordoned, at)
 }
@@ -113,7 +113,7 @@
 		next.RosterAsOf = at
 	})
 	if changed {
-		n.scheduler.recordCopies(replicas)
+		n.scheduler.Copies().AdoptList(replicas, n.clock())
 	}
 	n.endpoints.Publish(replicas, cordoned, at)
 }
@@ -124,26 +124,3 @@
 		return sameReplica(one, other) && sameModels(one.Models, other.Models) && int(one.WarmUpRemainingMs+999)/1000 == int(other.WarmUpRemainingMs+999)/1000
 	})
 }
-
-// observedState is the list with the models that the scheduler knows of from later reports, and what it
-// bars.
-func (s *Scheduler) withObserved(replicas []discovery.Replica, at time.Time) ([]discovery.Replica, []string) {
-	lag := s.listLag()
-	result := make([]discovery.Replica, len(replicas))
-	var cordoned []string
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	for index, listed := range replicas {
-		result[index] = listed
-		observed, isObserved := s.observed[listed.ID]
-		if !isObserved {
-			continue
-		}
-		cordoned = append(cordoned, observed.cordoned...)
-		if !observed.reportedAt.IsZero() && at.Add(-lag).Before(observed.reportedAt) {
-			result[index].Models = observed.models
-		}
-	}
-	sort.Strings(cordoned)
-	return result, cordoned
-}
--- /dev/null
+++ b/internal/controlplane/scheduler/copyages.go
@@ -0,0 +1,143 @@
+package scheduler
+
+import (
+	"sort"
+	"strings"
+	"sync"
+	"time"
+
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
+)
+
+const (
+	// removalTimeout is how long the list must leave a replica out before it counts as removed. A list read in pages
+	// while it changes, or by a reader that lags, may leave one out for a moment.
+	removalTimeout = 5 * time.Second
+	// dueAgeShare is the share of the context's lifetime after which a copy is due for eviction.
+	dueAgeShare = 0.75
+)
+
+// copyAge is since when a replica is known to have a model loaded. The age of copies found in the first list is unknown, so
+// they are due at once.
+type copyAge struct {
+	since      time.Time
+	unknownAge bool
+}
+
+// CopyAges remembers the copies of models at replicas over lists. A copy's age ends with a list that shows its replica
+// without it; a replica that is left out keeps its copies until it counts as removed. Any goroutine may use it.
+type CopyAges struct {
+	lock   sync.Mutex
+	byCopy map[placement.ServerModel]copyAge
+	// absentSince holds the replicas that were listed once and that the newest list leaves out.
+	absentSince map[string]time.Time
+	// firstListAt is the moment of the first list that was not empty.
+	firstListAt time.Time
+}
+
+func newCopyAges() *CopyAges {
+	return &CopyAges{byCopy: map[placement.ServerModel]copyAge{}, absentSince: map[string]time.Time{}}
+}
+
+// AdoptList follows a list that differs from the one before.
+func (a *CopyAges) AdoptList(replicas []discovery.Replica, now time.Time) {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	isFirst := a.firstListAt.IsZero()
+	if isFirst && len(replicas) > 0 {
+		a.firstListAt = now
+	}
+	listed := make(map[string]bool, len(replicas))
+	present := map[placement.ServerModel]bool{}
+	for _, replica := range replicas {
+		listed[replica.ID] = true
+		delete(a.absentSince, replica.ID)
+		for _, model := range replica.Models {
+			modelCopy := placement.ServerModel{Server: replica.ID, Model: model.Name}
+			present[modelCopy] = true
+			if _, known := a.byCopy[modelCopy]; !known {
+				a.byCopy[modelCopy] = copyAge{since: now, unknownAge: isFirst}
+			}
+		}
+	}
+	a.dropMissing(listed, present, now)
+}
+
+// dropMissing drops the copies that are gone: those that a listed replica is listed without, and those of removed replicas.
+// The caller holds the lock.
+func (a *CopyAges) dropMissing(listed map[string]bool, present map[placement.ServerModel]bool, now time.Time) {
+	for modelCopy := range a.byCopy {
+		if !listed[modelCopy.Server] {
+			a.recordAbsence(modelCopy.Server, now)
+		}
+		if !present[modelCopy] && (listed[modelCopy.Server] || a.isRemoved(modelCopy.Server, now)) {
+			delete(a.byCopy, modelCopy)
+		}
+	}
+	for id := range a.absentSince {
+		if a.isRemoved(id, now) {
+			delete(a.absentSince, id)
+		}
+	}
+}
+
+// recordAbsence records that a list leaves a replica out, unless one before did. The caller holds the lock.
+func (a *CopyAges) recordAbsence(id string, now time.Time) {
+	if _, known := a.absentSince[id]; !known {
+		a.absentSince[id] = now
+	}
+}
+
+// IsRemoved tells whether a replica that the newest list leaves out has been left out for long enough to count as removed.
+// One that no list has shown counts from the first list on.
+func (a *CopyAges) IsRemoved(id string, now time.Time) bool {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	return a.isRemoved(id, now)
+}
+
+// isRemoved is IsRemoved for a caller that holds the lock.
+func (a *CopyAges) isRemoved(id string, now time.Time) bool {
+	since, known := a.absentSince[id]
+	if !known {
+		since = a.firstListAt
+	}
+	return !since.IsZero() && now.Sub(since) >= removalTimeout
+}
+
+// absent returns the copies at replicas that the newest list leaves out but that do not count as removed.
+func (a *CopyAges) absent(now time.Time) []placement.ServerModel {
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	var absent []placement.ServerModel
+	for modelCopy := range a.byCopy {
+		if _, isAbsent := a.absentSince[modelCopy.Server]; isAbsent && !a.isRemoved(modelCopy.Server, now) {
+			absent = append(absent, modelCopy)
+		}
+	}
+	return absent
+}
+
+// due returns the copies that are older than dueAgeShare of a lifetime, the oldest first. A lifetime of 0 is unlimited.
+func (a *CopyAges) due(lifetime time.Duration, now time.Time) []placement.ServerModel {
+	if lifetime <= 0 {
+		return nil
+	}
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	var due []placement.ServerModel
+	for modelCopy, age := range a.byCopy {
+		if age.unknownAge || now.Sub(age.since) > time.Duration(dueAgeShare*float64(lifetime)) {
+			due = append(due, modelCopy)
+		}
+	}
+	sort.Slice(due, func(left, right int) bool {
+		leftAge, rightAge := a.byCopy[due[left]], a.byCopy[due[right]]
+		if !leftAge.since.Equal(rightAge.since) {
+			return leftAge.since.Before(rightAge.since)
+		}
+		return strings.Compare(due[left].Server+due[left].Model, due[right].Server+due[right].Model) < 0
+	})
+	return due
+}
--- /dev/null
+++ b/internal/controlplane/scheduler/demand.go
@@ -0,0 +1,244 @@
+package scheduler
+
+import (
+	"math"
+	"sync"
+	"time"
+
+	"ferryspar/internal/peer"
+	"ferryspar/internal/placement"
+)
+
+const (
+	// ratesInterval is the least time over which arrivals are averaged.
+	ratesInterval = 250 * time.Millisecond
+	// rateTimeConstantS and longTermTimeConstantS are the time constants, in seconds, of the averages of rates.
+	rateTimeConstantS     = 8.0
+	longTermTimeConstantS = 120.0
+	// minRate is the rate, in requests a second, below which a model counts as not asked for.
+	minRate = 0.003
+	// minSharedRate is the rate, in requests a second, from which a model's rate is shared.
+	minSharedRate = 0.3
+	// learningPeriod is how long a lease holder watches the demand before it unloads by it.
+	learningPeriod = 6 * time.Second
+	// idleModelExpiry is how long a model without demand is remembered.
+	idleModelExpiry = 6 * time.Minute
+)
+
+// DemandAggregator sums what the control planes report of demand and of suspected replicas. It need not be safe for
+// concurrent use.
+type DemandAggregator interface {
+	// MarkBatchReceived records the batch of arrivals in a summary, and tells whether it is new.
+	MarkBatchReceived(summary peer.LoadSummary) bool
+	// Add replaces what the sender of a summary reported before; keys are those of the summary's models, in order. It
+	// tells whether requests wait for a model that none waited for before.
+	Add(summary peer.LoadSummary, keys []string, now time.Time) (newlyWaiting bool)
+	// Expire drops what is too old.
+	Expire(now time.Time)
+	// WriteTo writes the sums that have changed into the demand, by model key.
+	WriteTo(demand map[string]*placement.Demand, now time.Time)
+	// TakeDirty tells whether anything that may call for a new plan has changed since the last call.
+	TakeDirty() bool
+	// HasWaiting tells whether requests wait for any model.
+	HasWaiting() bool
+	// IsSuspected tells whether enough data planes suspect a replica.
+	IsSuspected(id string) bool
+}
+
+// DemandView is the demand of all data planes, by model key: what waits and runs now, and averaged rates. Any goroutine may
+// use it.
+type DemandView struct {
+	clock func() time.Time
+	// onNewlyWaiting is called when requests begin to wait for a model.
+	onNewlyWaiting func()
+
+	// lock guards all below. The planning loop alone changes demand, so it may read it without the lock.
+	lock       sync.Mutex
+	aggregator DemandAggregator
+	demand     map[string]*placement.Demand
+	// arrivals and prefillMs are sums since ratesUpdatedAt, by model key.
+	arrivals       map[string]float64
+	prefillMs      map[string]float64
+	ratesUpdatedAt time.Time
+	// receivedRates are the rates that another lease holder shared and that were not adopted yet.
+	receivedRates map[string]peer.Rate
+	// learningSince is since when demand has been reported, zero before.
+	learningSince time.Time
+}
+
+// NewDemandView returns a view of no demand. It calls onNewlyWaiting, which must not block nor call the view, whenever requests
+// begin to wait for a model.
+func NewDemandView(aggregator DemandAggregator, clock func() time.Time, onNewlyWaiting func()) *DemandView {
+	return &DemandView{
+		clock:          clock,
+		onNewlyWaiting: onNewlyWaiting,
+		aggregator:     aggregator,
+		demand:         map[string]*placement.Demand{},
+		arrivals:       map[string]float64{},
+		prefillMs:      map[string]float64{},
+		ratesUpdatedAt: clock(),
+	}
+}
+
+// HandleSummary takes in a control plane's summary of its demand; its arrivals count unless they were received before.
+func (d *DemandView) HandleSummary(summary peer.LoadSummary) {
+	now := d.clock()
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	if d.learningSince.IsZero() && len(summary.Models) > 0 {
+		d.learningSince = now
+	}
+	keys := make([]string, len(summary.Models))
+	isNew := d.aggregator.MarkBatchReceived(summary)
+	for index, model := range summary.Models {
+		keys[index] = placement.ModelKey(model.Backend, model.Model)
+		if !isNew {
+			continue
+		}
+		d.arrivals[keys[index]] += float64(model.Arrivals)
+		d.prefillMs[keys[index]] += model.PrefillMs
+	}
+	if d.aggregator.Add(summary, keys, now) {
+		d.onNewlyWaiting()
+	}
+}
+
+// Update brings the demand up to date: what waits and runs at once, averaged rates once per ratesInterval. Models that were
+// not asked for in idleModelExpiry are forgotten. The planning loop alone calls it.
+func (d *DemandView) Update() {
+	now := d.clock()
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	d.adoptReceivedRates(now)
+	d.aggregator.Expire(now)
+	d.aggregator.WriteTo(d.demand, now)
+	if span := now.Sub(d.ratesUpdatedAt); span >= ratesInterval {
+		d.ratesUpdatedAt = now
+		d.updateRates(span.Seconds(), now)
+	}
+}
+
+// updateRates averages the arrivals of the last spanS seconds into the rates. The caller holds the lock.
+func (d *DemandView) updateRates(spanS float64, now time.Time) {
+	for key, arrivals := range d.arrivals {
+		if d.demand[key] == nil {
+			d.demand[key] = &placement.Demand{}
+		}
+		if arrivals > 0 {
+			d.demand[key].LastSeen = now
+		}
+	}
+	weight := min(spanS/rateTimeConstantS, 1)
+	longTermWeight := min(spanS/longTermTimeConstantS, 1)
+	for key, demand := range d.demand {
+		demand.Rate += weight * (d.arrivals[key]/spanS - demand.Rate)
+		demand.LongTermRate += longTermWeight * (d.arrivals[key]/spanS - demand.LongTermRate)
+		demand.PrefillLoad += weight * (d.prefillMs[key]/spanS/1000 - demand.PrefillLoad)
+		if demand.Rate < minRate {
+			demand.Rate = 0
+		}
+		idle := demand.Rate == 0 && demand.Waiting == 0 && demand.Running == 0
+		if idle && now.Sub(demand.LastSeen) > idleModelExpiry {
+			delete(d.demand, key)
+		}
+	}
+	clear(d.arrivals)
+	clear(d.prefillMs)
+}
+
+// adoptReceivedRates adopts the rates that another lease holder has shared; rates that it did not name are bounded by the
+// least rate that is shared. The caller holds the lock.
+func (d *DemandView) adoptReceivedRates(now time.Time) {
+	rates := d.receivedRates
+	d.receivedRates = nil
+	if len(rates) == 0 {
+		return
+	}
+	for key, demand := range d.demand {
+		if _, known := rates[key]; !known {
+			demand.Rate = min(demand.Rate, minSharedRate)
+			demand.PrefillLoad = 0
+		}
+	}
+	for key, rate := range rates {
+		if d.demand[key] == nil {
+			d.demand[key] = &placement.Demand{}
+		}
+		d.demand[key].Rate = rate.RequestsPerS
+		d.demand[key].PrefillLoad = rate.PrefillLoad
+		d.demand[key].LastSeen = now
+	}
+}
+
+// SharedRates returns the rates worth sharing with the other control planes, by model key.
+func (d *DemandView) SharedRates() map[string]peer.Rate {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	rates := map[string]peer.Rate{}
+	for key, demand := range d.demand {
+		if demand.Rate >= minSharedRate {
+			rates[key] = peer.Rate{
+				RequestsPerS: math.Round(demand.Rate*100) / 100,
+				PrefillLoad:  math.Round(demand.PrefillLoad*1000) / 1000,
+			}
+		}
+	}
+	return rates
+}
+
+// HandleRates takes in the rates that the lease holder shares, which spares this node the learning period.
+func (d *DemandView) HandleRates(rates map[string]peer.Rate) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	if len(rates) == 0 {
+		return
+	}
+	d.learningSince = d.clock().Add(-learningPeriod)
+	d.receivedRates = rates
+}
+
+// Rates returns the averaged rates in requests a second, by model key.
+func (d *DemandView) Rates() map[string]float64 {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	rates := make(map[string]float64, len(d.demand))
+	for key, demand := range d.demand {
+		rates[key] = demand.Rate
+	}
+	return rates
+}
+
+// IsSuspected tells whether enough data planes suspect a replica.
+func (d *DemandView) IsSuspected(id string) bool {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	return d.aggregator.IsSuspected(id)
+}
+
+// isLearned tells whether the demand has been watched long enough to unload by it.
+func (d *DemandView) isLearned(now time.Time) bool {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learningPeriod
+}
+
+// takeChanged tells whether the demand calls for a new plan: requests wait, or something has changed since the last call.
+func (d *DemandView) takeChanged() bool {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	return d.aggregator.TakeDirty() || d.aggregator.HasWaiting()
+}
+
+// waiting counts the requests of a backend that wait for any of some models. The planning loop alone calls it.
+func (d *DemandView) waiting(backend string, models map[string]bool) int {
+	waiting := 0
+	for model := range models {
+		if demand := d.demand[placement.ModelKey(backend, model)]; demand != nil {
+			waiting += demand.Waiting
+		}
+	}
+	return waiting
+}
+
+// planned returns the demand for a plan. The planning loop alone calls it; the map goes on changing by Update.
+func (d *DemandView) planned() map[string]*placement.Demand { return d.demand }
--- /dev/null
+++ b/internal/controlplane/scheduler/fixtures_test.go
@@ -0,0 +1,85 @@
+package scheduler
+
+import (
+	"context"
+	"time"
+
+	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/lease"
+	"ferryspar/internal/peer"
+	"ferryspar/internal/placement"
+	"ferryspar/internal/replica"
+	"ferryspar/internal/retention"
+)
+
+var testStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+
+// fakeHost is the node of a scheduler under test.
+type fakeHost struct {
+	state     State
+	list      []discovery.Replica
+	published int
+}
+
+func (h *fakeHost) State() State { return h.state }
+
+func (h *fakeHost) Current() ([]discovery.Replica, time.Time) { return h.list, h.state.RosterAsOf }
+
+func (h *fakeHost) PublishPlacement(int) { h.published++ }
+
+func (h *fakeHost) UpdatePurge(context.Context, uint64, func(*retention.Purge) bool) bool {
+	return false
+}
+
+func (h *fakeHost) MayAcquireLease(time.Time) bool { return false }
+
+func (h *fakeHost) IsLeaseHolderReachable(time.Time) bool { return false }
+
+func (h *fakeHost) SendOrder(context.Context, string, string, replica.Order) (int, error) {
+	return statusNotSent, nil
+}
+
+func (h *fakeHost) FetchReport(context.Context, string, string) (replica.Report, error) {
+	return replica.Report{}, context.Canceled
+}
+
+// noDemand is an aggregator of no demand.
+type noDemand struct{}
+
+func (noDemand) MarkBatchReceived(peer.LoadSummary) bool { return false }
+
+func (noDemand) Add(peer.LoadSummary, []string, time.Time) bool { return false }
+
+func (noDemand) Expire(time.Time) {}
+
+func (noDemand) WriteTo(map[string]*placement.Demand, time.Time) {}
+
+func (noDemand) TakeDirty() bool { return false }
+
+func (noDemand) HasWaiting() bool { return false }
+
+func (noDemand) IsSuspected(string) bool { return false }
+
+// newTestScheduler returns a scheduler without a lease whose clock shows what now holds. Its list may lag by 800 ms, its
+// store of weights bounds loads over 5 s.
+func newTestScheduler(now *time.Time) (*Scheduler, *fakeHost) {
+	host := &fakeHost{}
+	return New(Config{
+		Settings:   Settings{ListLag: 800 * time.Millisecond, OriginPeriod: 5 * time.Second},
+		Clock:      func() time.Time { return *now },
+		Lease:      LeaseConfig{Manager: &lease.Manager{}, Cluster: host},
+		State:      host,
+		Roster:     host,
+		Purges:     host,
+		Replicas:   host,
+		Aggregator: noDemand{},
+	}), host
+}
+
+// newTestTable is a configuration of one backend "s" with the runtime given.
+func newTestTable(runtime configuration.Runtime) *configuration.Table {
+	return configuration.NewTable(configuration.Configuration{
+		Backends: []configuration.Backend{{Name: "s", Runtime: &runtime}},
+	}, nil)
+}
--- /dev/null
+++ b/internal/controlplane/scheduler/loadbudget_test.go
@@ -0,0 +1,59 @@
+package scheduler
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/configuration"
+	"ferryspar/internal/lease"
+	"ferryspar/internal/loadbudget"
+	"ferryspar/internal/placement"
+)
+
+func TestLoadBudget_LoadsFromStoreStayWithinRate(t *testing.T) {
+	for seed := range uint64(60) {
+		random := rand.New(rand.NewPCG(seed, 29))
+		rate, span, overage := 0.5+float64(random.IntN(20)), 5.0, 1+float64(random.IntN(3))/10
+		table := newTestTable(configuration.Runtime{LoadsPerS: rate})
+		now := testStart
+		scheduler, _ := newTestScheduler(&now)
+		budget := scheduler.budget
+		scheduler.lease.current.Store(&lease.Grant{Record: lease.Record{Fence: 1, Reserved: new(loadbudget.Reservation)}})
+		neverPending := func(string) bool { return false }
+		var startedAt []time.Time
+		for range 1200 {
+			now = now.Add(time.Duration(random.IntN(60)) * time.Millisecond)
+			for tokens := budget.available(now, table, neverPending); tokens >= 1; tokens-- {
+				budget.recordOrdered(placement.Action{Server: "r", Model: "m", Load: true, FromStore: true}, now)
+				budget.recordStarted("r", now)
+				startedAt = append(startedAt, now.Add(time.Duration(random.IntN(int(maxLoadStartDelay)))))
+			}
+			select {
+			case written := <-budget.pending:
+				budget.budget.CompleteWrite(written.grant.Record.Fence, written.reservation, true, now)
+			default:
+			}
+		}
+		most := mostWithin(startedAt, time.Duration(span*float64(time.Second)))
+		assert.Assert(t, float64(most) <= rate*span*overage+3, "seed %d: %d loads of %f a second", seed, most, rate)
+		assert.Assert(t, float64(len(startedAt)) >= 0.7*rate*now.Sub(testStart).Seconds(), "seed %d: only %d", seed, len(startedAt))
+	}
+}
+
+// mostWithin is the largest number of moments within any window of a length that begins with one of them.
+func mostWithin(moments []time.Time, length time.Duration) int {
+	most := 0
+	for _, from := range moments {
+		within := 0
+		for _, at := range moments {
+			if !at.Before(from) && at.Sub(from) < length {
+				within++
+			}
+		}
+		most = max(most, within)
+	}
+	return most
+}
--- /dev/null
+++ b/internal/controlplane/scheduler/orders.go
@@ -0,0 +1,160 @@
+package scheduler
+
+import (
+	"context"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"ferryspar/internal/controlplane/replicatracker"
+	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/placement"
+	"ferryspar/internal/replica"
+	"ferryspar/internal/replicastate"
+)
+
+const (
+	// cordonLeadTime is how long data planes are given to stop using a model before it is unloaded.
+	cordonLeadTime = 220 * time.Millisecond
+	// diskLoadTimeShare is the expected share of a model's load time that a load from the replica's own disk takes.
+	diskLoadTimeShare = 0.2
+	// loadTimeMargin is added to the expected time of a load.
+	loadTimeMargin = 100 * time.Millisecond
+	// statusNotSent stands for the status of an order that was not sent, since the lease no longer allowed it.
+	statusNotSent = 0
+)
+
+// startAction ties a planner's action to what is known of its replica and sends the order, an unload only after the data
+// planes had time to stop using the model.
+func (s *Scheduler) startAction(ctx context.Context, action placement.Action, now time.Time) {
+	order, possible := s.tracker.Decide(action, now)
+	if !possible {
+		return
+	}
+	s.budget.recordOrdered(action, now)
+	delay := time.Duration(0)
+	if !action.Load {
+		delay = cordonLeadTime
+	}
+	tracked := s.tracker.Replica(action.Server)
+	id, address := tracked.ID(), tracked.Address()
+	s.inBackground(func() func() {
+		nodesettings.Sleep(ctx, delay)
+		status, err := s.sendOrder(ctx, address, id, order)
+		return func() { s.handleOrderResponse(tracked, order, status, err) }
+	})
+}
+
+// sendOrder sends an order under the grant that it was decided under, and returns the status of the response, statusNotSent
+// if that grant no longer allows it. It runs outside of the planning loop.
+func (s *Scheduler) sendOrder(ctx context.Context, address, id string, order replicastate.Order) (int, error) {
+	grant := s.lease.Grant()
+	if !grant.Allows(s.clock(), orderLeaseMargin) || grant.Record.Fence != order.Fence {
+		return statusNotSent, nil
+	}
+	model, adapter, _ := strings.Cut(order.Reference, "/")
+	operation := replica.OperationUnload
+	if order.Load {
+		operation = replica.OperationLoad
+	}
+	return s.replicas.SendOrder(ctx, address, id, replica.Order{
+		Operation:     operation,
+		Model:         model,
+		Adapter:       adapter,
+		LeaseHolder:   grant.Record.Holder,
+		Fence:         grant.Record.Fence,
+		ExpectedCount: order.Expected,
+	})
+}
+
+// outcomeByStatus holds what each status says of an order; any other status is no clear answer.
+var outcomeByStatus = map[int]replicastate.Outcome{
+	statusNotSent:                 replicastate.NotSent,
+	http.StatusAccepted:           replicastate.Accepted,
+	http.StatusOK:                 replicastate.AlreadyDone,
+	http.StatusConflict:           replicastate.Conflict,
+	http.StatusPreconditionFailed: replicastate.Fenced,
+	http.StatusBadRequest:         replicastate.Rejected,
+	http.StatusMisdirectedRequest: replicastate.Rejected,
+}
+
+// outcomeOf is what the end of an order's call says of the order; an error says nothing, unless it is that nothing was sent.
+func outcomeOf(status int, err error) replicastate.Outcome {
+	if errors.Is(err, replica.ErrNotSent) {
+		return replicastate.Unreached
+	}
+	outcome, known := outcomeByStatus[status]
+	if err != nil || !known {
+		return replicastate.NoAnswer
+	}
+	return outcome
+}
+
+// handleOrderResponse handles the end of an order's call.
+func (s *Scheduler) handleOrderResponse(tracked *replicatracker.Replica, order replicastate.Order, status int, err error) {
+	s.pacer.markDirty()
+	now := s.clock()
+	logOrder(tracked, order, status, err)
+	outcome := outcomeOf(status, err)
+	s.recordLoadOutcome(tracked, outcome, now)
+	s.tracker.HandleResponse(tracked, order, outcome, now)
+	if tracked.State().Phase() == replicastate.Changing {
+		tracked.State().ExpectDone(now.Add(s.expectedDuration(tracked)))
+	}
+}
+
+// recordLoadOutcome counts a load from the store from its acceptance on, and takes it back where the replica rejected it or
+// nothing was sent. Without a clear answer it goes on counting as one that may start. Answers that belong to an earlier
+// grant change nothing: the budget counts their loads as started.
+func (s *Scheduler) recordLoadOutcome(tracked *replicatracker.Replica, outcome replicastate.Outcome, now time.Time) {
+	action := tracked.Action()
+	if action == nil || !loadsFromStore(*action) || !s.tracker.Tracks(tracked) {
+		return
+	}
+	switch outcome {
+	case replicastate.NoAnswer:
+	case replicastate.Accepted:
+		s.budget.recordStarted(tracked.ID(), now)
+	default:
+		s.budget.recordRejected(action.Server)
+	}
+}
+
+// expectedDuration is how long the order that a replica has accepted should take.
+func (s *Scheduler) expectedDuration(tracked *replicatracker.Replica) time.Duration {
+	action := tracked.Action()
+	if action == nil || !action.Load {
+		return replicatracker.ReportLag
+	}
+	name, adapter, _ := strings.Cut(action.Model, "/")
+	model, known := s.findModel(tracked.Backend(), name)
+	if !known || adapter != "" {
+		return replicatracker.ReportLag
+	}
+	expected := nodesettings.Seconds(model.LoadTimeS)
+	if !action.FromStore {
+		expected = time.Duration(float64(expected) * diskLoadTimeShare)
+	}
+	return max(expected+loadTimeMargin, replicatracker.ReportLag)
+}
+
+// logOrder logs an order with the end of its call.
+func logOrder(tracked *replicatracker.Replica, order replicastate.Order, status int, err error) {
+	reason := ""
+	if action := tracked.Action(); action != nil {
+		reason = action.Reason
+	}
+	logrus.WithFields(logrus.Fields{
+		"replica":       tracked.ID(),
+		"load":          order.Load,
+		"model":         order.Reference,
+		"reason":        reason,
+		"status":        status,
+		"fence":         order.Fence,
+		"expected":      order.Expected,
+		logrus.ErrorKey: err,
+	}).Info("placement order sent")
+}
--- /dev/null
+++ b/internal/controlplane/scheduler/polls.go
@@ -0,0 +1,110 @@
+package scheduler
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/replicatracker"
+	"ferryspar/internal/replica"
+	"ferryspar/internal/replicastate"
+)
+
+const (
+	// maxConcurrentPolls is how many reports are requested at once.
+	maxConcurrentPolls = 48
+	// storeLoadTimeShare is the share of a model's load time after which a load that still runs cannot come from the
+	// replica's own disk: it lies well above diskLoadTimeShare.
+	storeLoadTimeShare = 0.5
+)
+
+// duePolls returns the replicas to poll now: those with a change under way first, then those whose state is unknown, by how
+// many requests wait for models that their disks may hold.
+func (s *Scheduler) duePolls(table *configuration.Table, now time.Time) []*replicatracker.Replica {
+	var pending, unknown []*replicatracker.Replica
+	polling := 0
+	for _, tracked := range s.tracker.Listed() {
+		switch {
+		case !isPlacementTarget(table, tracked.Backend()):
+		case tracked.State().IsPolling():
+			polling++
+		case !tracked.State().PollDue(now):
+		case tracked.State().IsKnown():
+			pending = append(pending, tracked)
+		default:
+			unknown = append(unknown, tracked)
+		}
+	}
+	free := max(maxConcurrentPolls-polling-len(pending), 0)
+	if len(unknown) > free {
+		s.sortByWaiting(unknown)
+		unknown = unknown[:free]
+	}
+	return append(pending, unknown...)
+}
+
+// sortByWaiting sorts replicas by how many requests wait for models that their disks may hold, the most first.
+func (s *Scheduler) sortByWaiting(replicas []*replicatracker.Replica) {
+	waiting := make(map[string]int, len(replicas))
+	for _, tracked := range replicas {
+		waiting[tracked.ID()] = s.demand.waiting(tracked.Backend(), s.disks.Models(tracked.Listed()))
+	}
+	slices.SortStableFunc(replicas, func(left, right *replicatracker.Replica) int {
+		return waiting[right.ID()] - waiting[left.ID()]
+	})
+}
+
+// poll requests a replica's report.
+func (s *Scheduler) poll(ctx context.Context, tracked *replicatracker.Replica) {
+	id, address, polledAt := tracked.ID(), tracked.Address(), s.clock()
+	tracked.State().PollStarted(polledAt)
+	s.inBackground(func() func() {
+		report, err := s.replicas.FetchReport(ctx, address, id)
+		return func() { s.handlePoll(tracked, report, polledAt, err) }
+	})
+}
+
+// handlePoll handles the end of a poll that was begun at polledAt.
+func (s *Scheduler) handlePoll(tracked *replicatracker.Replica, report replica.Report, polledAt time.Time, err error) {
+	s.pacer.markDirty()
+	now := s.clock()
+	reported := replicastate.Report{
+		Sequence: report.Sequence,
+		Busy:     report.Busy,
+		Loaded:   replicatracker.References(report.Models),
+	}
+	s.verifyDiskLoad(tracked, reported, polledAt)
+	if err != nil {
+		tracked.State().PollFailed(now)
+		return
+	}
+	if s.tracker.HandleReport(tracked, reported, now) && now.Sub(s.publishedAt) >= publishInterval {
+		s.publishObservations()
+	}
+}
+
+// verifyDiskLoad checks whether a load that was taken for one from the replica's own disk comes from the store after all, as
+// at a replica that took the place of another at its address: then it still runs when one from a disk is long done. It
+// counts from its start, and what the disk was taken to hold is forgotten, so that further loads are counted before they
+// start.
+func (s *Scheduler) verifyDiskLoad(tracked *replicatracker.Replica, report replicastate.Report, polledAt time.Time) {
+	elapsed, running := tracked.RunningDiskLoad(report, polledAt)
+	if !running {
+		return
+	}
+	name := tracked.Action().Model
+	model, known := s.findModel(tracked.Backend(), name)
+	if !known || elapsed.Seconds() < storeLoadTimeShare*model.LoadTimeS {
+		return
+	}
+	s.tracker.ReclassifyDiskLoad(tracked)
+	s.budget.addStarted(tracked.StartedAt())
+	logrus.WithFields(logrus.Fields{
+		"replica":     tracked.ID(),
+		"model":       name,
+		"duration_ms": elapsed.Milliseconds(),
+	}).Info("model load comes from the store, not from the replica's disk")
+}
--- /dev/null
+++ b/internal/controlplane/scheduler/scheduler.go
@@ -0,0 +1,198 @@
+package scheduler
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/replicatracker"
+	"ferryspar/internal/lease"
+	"ferryspar/internal/placement"
+)
+
+const (
+	// planInterval is the longest time between two turns of the planning loop.
+	planInterval = 100 * time.Millisecond
+	// callbackBacklog is how many results of calls may wait for the planning loop.
+	callbackBacklog = 64
+)
+
+// Scheduler is the planning loop. It is made by New and runs once.
+type Scheduler struct {
+	settings Settings
+	clock    func() time.Time
+	state    StateReader
+	roster   Roster
+	replicas ReplicaClient
+
+	lease        *LeaseKeeper
+	demand       *DemandView
+	copies       *CopyAges
+	disks        *replicatracker.DiskInventory
+	observations *replicatracker.Observations
+	budget       *loadBudget
+
+	// wake has a turn of the planning loop begin at once, callbacks has functions run in it.
+	wake      chan struct{}
+	callbacks chan func()
+	// workers counts the goroutines whose results come back as callbacks.
+	workers sync.WaitGroup
+	// done is closed when the planning loop ends: callbacks are dropped from then on.
+	done chan struct{}
+
+	// The planning loop alone uses all below.
+
+	tracker  *replicatracker.Tracker
+	eviction *contextEviction
+	pacer    planPacer
+	// grant is the one that the tracked replicas were learned under.
+	grant *lease.Grant
+	// sizes are those that models had in earlier configurations under the grant.
+	sizes *placement.SizeHistory
+	// table and catalog are those of the newest configuration that could be read.
+	table   *configuration.Table
+	catalog *placement.Catalog
+	// publishedAt is when observations were published last.
+	publishedAt time.Time
+	// starvationLoggedAt is when a model that requests wait for was logged last.
+	starvationLoggedAt time.Time
+}
+
+// New returns a scheduler that holds no lease and tracks no replicas.
+func New(config Config) *Scheduler {
+	s := &Scheduler{
+		settings:     config.Settings,
+		clock:        config.Clock,
+		state:        config.State,
+		roster:       config.Roster,
+		replicas:     config.Replicas,
+		lease:        newLeaseKeeper(config.Lease, config.Clock, config.StartedAt),
+		copies:       newCopyAges(),
+		disks:        replicatracker.NewDiskInventory(),
+		observations: replicatracker.NewObservations(config.Settings.ListLag),
+		wake:         make(chan struct{}, 1),
+		callbacks:    make(chan func(), callbackBacklog),
+		done:         make(chan struct{}),
+		sizes:        placement.NewSizeHistory(),
+	}
+	s.demand = NewDemandView(config.Aggregator, config.Clock, s.wakeUp)
+	s.budget = newLoadBudget(s.lease, config.Clock, config.StartedAt, config.Settings.OriginPeriod, s.wakeUp)
+	s.tracker = replicatracker.New(config.Settings.ListLag, s.disks, s.observations)
+	s.eviction = &contextEviction{
+		tracker:      s.tracker,
+		copies:       s.copies,
+		purges:       config.Purges,
+		clock:        config.Clock,
+		inBackground: s.inBackground,
+		evicted:      map[purgeTarget]bool{},
+	}
+	return s
+}
+
+// Lease is the keeper of the placement lease.
+func (s *Scheduler) Lease() *LeaseKeeper { return s.lease }
+
+// Demand is the demand of all data planes.
+func (s *Scheduler) Demand() *DemandView { return s.demand }
+
+// Copies is the ages of the copies of models.
+func (s *Scheduler) Copies() *CopyAges { return s.copies }
+
+// Disks is what the replicas' disks may hold.
+func (s *Scheduler) Disks() *replicatracker.DiskInventory { return s.disks }
+
+// Observations is what the scheduler knows better than the platform's list while it holds the lease.
+func (s *Scheduler) Observations() *replicatracker.Observations { return s.observations }
+
+// Run keeps or seeks the lease, and plans while it is held, until the context ends. It returns once its goroutines have
+// ended.
+func (s *Scheduler) Run(ctx context.Context) {
+	var loops sync.WaitGroup
+	loops.Go(func() { s.lease.run(ctx) })
+	loops.Go(func() { s.budget.run(ctx) })
+	s.runPlanning(ctx)
+	close(s.done)
+	loops.Wait()
+	s.workers.Wait()
+}
+
+// runPlanning is the planning loop.
+func (s *Scheduler) runPlanning(ctx context.Context) {
+	ticker := time.NewTicker(planInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		case <-s.wake:
+		case callback := <-s.callbacks:
+			callback()
+			continue
+		}
+		s.demand.Update()
+		grant := s.lease.Grant()
+		s.adoptGrant(grant)
+		if grant.Allows(s.clock(), orderLeaseMargin) {
+			s.syncOnce(ctx)
+		}
+	}
+}
+
+// wakeUp has a turn of the planning loop begin at once. Any goroutine may call it.
+func (s *Scheduler) wakeUp() {
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// inBackground runs a task on a goroutine of its own, and then what it returns in the planning loop unless that has ended.
+func (s *Scheduler) inBackground(task func() func()) {
+	s.workers.Go(func() {
+		callback := task()
+		select {
+		case s.callbacks <- callback:
+		case <-s.done:
+		}
+	})
+}
+
+// adoptGrant forgets all that is known of replicas unless it was learned under this very grant: under any other, someone
+// else may have ordered there since, even if this node held the lease before and holds it now. While none is held nothing is
+// forgotten: a renewal under way may save the grant, and its orders of unknown fate still count then.
+func (s *Scheduler) adoptGrant(grant *lease.Grant) {
+	if grant == nil || !s.clock().Before(grant.ExpiresAt) {
+		s.withdrawObservations()
+		return
+	}
+	same := s.grant.SameAs(grant)
+	s.grant = grant
+	if same {
+		return
+	}
+	s.sizes = placement.NewSizeHistory()
+	var trustFrom time.Time
+	if !grant.IsFirst() {
+		trustFrom = grant.GrantedAt.Add(replicatracker.MaxReportAge)
+	}
+	if s.tracker.Reset(grant.Record.Fence, trustFrom) {
+		s.publishObservations()
+	}
+}
+
+// publishObservations publishes what is known better than the list: the models reported since and the references being
+// unloaded.
+func (s *Scheduler) publishObservations() {
+	s.tracker.PublishObservations()
+	s.publishedAt = s.clock()
+	s.roster.PublishPlacement(s.tracker.Len())
+}
+
+// withdrawObservations takes back what publishObservations has published: another node may know better.
+func (s *Scheduler) withdrawObservations() {
+	if s.tracker.WithdrawObservations() {
+		s.roster.PublishPlacement(0)
+	}
+}
--- a/internal/controlplane/share.go
+++ b/internal/controlplane/share.go
@@ -89,7 +89,7 @@
 // once more if it was to be shared again meanwhile.
 func (n *Node) sendRosterTo(ctx context.Context, address string, periodic bool) {
 	for resend := true; resend && ctx.Err() == nil; periodic = false {
-		grant := n.scheduler.currentGrant.Load()
+		grant := n.scheduler.Lease().Grant()
 		if grant == nil {
 			n.roster.endSend(address, sentRoster{}, false)
 			return
@@ -106,7 +106,7 @@
 			Version:  n.incarnation + "/" + strconv.FormatUint(sequence, 10),
 		}
 		if periodic {
-			update.Rates = n.scheduler.sharedRates()
+			update.Rates = n.scheduler.Demand().SharedRates()
 		}
 		if sent, known := n.roster.acknowledgedBy(address); known {
 			update.BaseVersion = sent.version
@@ -144,8 +144,8 @@
 	if !n.roster.advance(update.Fence, update.Sequence) {
 		return rosterAck{}
 	}
-	n.scheduler.recordLeaseHolderSeen()
-	n.scheduler.handleRates(update.Rates)
+	n.scheduler.Lease().RecordHolderSeen()
+	n.scheduler.Demand().HandleRates(update.Rates)
 	now := n.clock()
 	result := n.roster.adopt(update, now.Add(-time.Duration(update.AgeMs)*time.Millisecond), now)
 	if result == baseMismatch {
@@ -154,7 +154,7 @@
 	n.publishRoster()
 	if result == adopted {
 		for _, replica := range update.Replicas {
-			n.scheduler.recordListedModels(replica)
+			n.scheduler.Disks().RecordListed(replica)
 		}
 		return rosterAck{Adopted: true}
 	}
--- a/internal/controlplane/tally.go
+++ b/internal/controlplane/tally.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// isNewBatch notes the batch of arrivals in a share and tells whether it was not heard before.
-func (a *DemandAggregator) isNewBatch(summary peer.LoadSummary) bool {
+// MarkBatchReceived notes the batch of arrivals in a share and tells whether it was not heard before.
+func (a *DemandAggregator) MarkBatchReceived(summary peer.LoadSummary) bool {
 	if summary.Batch == 0 {
 		return true
 	}
@@ -246,3 +246,6 @@
 	a.dirty = false
 	return dirty
 }
+
+// HasWaiting tells whether requests wait for any model.
+func (a *DemandAggregator) HasWaiting() bool { return len(a.waiting) > 0 }
