--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -61,7 +61,7 @@
 // MemberLeaving makes the placement lease worth trying for at once if its holder is about to end.
 func (h membersHost) MemberLeaving(address string) {
 	if address == h.node.publisher.Current().LeaseHolder {
-		h.node.scheduler.forgetLeaseHolder()
+		h.node.scheduler.Lease().ForgetHolder()
 	}
 }
 
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -15,6 +15,7 @@
 
 	"ferryspar/internal/controlplane/dataplanes"
 	"ferryspar/internal/controlplane/members"
+	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/eventbus"
@@ -56,7 +57,7 @@
 	exchanged  unpackedPeers
 	dataPlanes *dataplanes.Registry
 	members    *members.Manager
-	scheduler  *Scheduler
+	scheduler  *scheduler.Scheduler
 	bus        *eventbus.Bus
 
 	rosterUpdates atomic.Uint64
@@ -112,7 +113,7 @@
 		Address:    settings.CloudAPI.Address,
 		HTTPClient: &http.Client{Transport: peer.NewTransport(network, listConnectTimeout, listAckTimeout, listIdleConnections)},
 	}
-	node.scheduler = NewScheduler(node)
+	node.scheduler = node.newScheduler()
 	return node, nil
 }
 
