--- a/internal/controlplane/cost_test.go
+++ b/internal/controlplane/cost_test.go
@@ -92,7 +92,7 @@
 		assert.NilError(b, err)
 		assert.NilError(b, journal.Append(keystore.BootstrapRegisters(members, 1)))
 		acceptor := keystore.NewAcceptor(name, journal, keystore.AcceptorConfig{Clock: time.Now}, true)
-		go acceptor.Run(ctx, journal)
+		go acceptor.Run(ctx)
 		wire.members[name] = acceptor
 		disks = append(disks, disk)
 	}
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -36,7 +36,6 @@
 	clock              func() time.Time
 	peers              *peer.Client
 	acceptor           *keystore.Acceptor
-	wal                *keystore.WAL
 	store              *keystore.Store
 	state              *controlstate.State
 	publisher          *Publisher
@@ -113,7 +112,7 @@
 	incarnation := nonce()
 	node := &Node{
 		settings: settings, path: path, self: self, incarnation: strconv.FormatUint(incarnation, 36), clock: time.Now, peers: peer.NewClient(network),
-		wal: wal, publisher: NewPublisher(), endpoints: NewEndpointPublisher(), loads: NewLoadAggregator(), appliedRegisters: map[string]keystore.Register{}, lastHeartbeats: map[string]peer.Heartbeat{}, dataPlaneAddresses: map[string]string{}, dataPlaneRetention: map[string]retention.DataPlaneView{},
+		publisher: NewPublisher(), endpoints: NewEndpointPublisher(), loads: NewLoadAggregator(), appliedRegisters: map[string]keystore.Register{}, lastHeartbeats: map[string]peer.Heartbeat{}, dataPlaneAddresses: map[string]string{}, dataPlaneRetention: map[string]retention.DataPlaneView{},
 		dataPlanes: heartbeat.NewRegistry(10 * time.Second), controlNodes: heartbeat.NewRegistry(30 * time.Second), leaving: make(chan struct{}), caughtUp: make(chan struct{}, 1), bus: eventbus.New(), startedAt: time.Now(), network: network,
 	}
 	config := keystore.AcceptorConfig{LeaseDuration: node.leaseLength(), Clock: time.Now, Seeds: seeds}
@@ -145,7 +144,7 @@
 		}
 	}()
 	cleanup = append(cleanup, cancel)
-	go n.acceptor.Run(ctx, n.wal)
+	go n.acceptor.Run(ctx)
 	peerListener, err := n.network.Listen(n.self)
 	if err != nil {
 		return errors.Wrap(err, "internal address")
--- a/internal/keystore/member_state_test.go
+++ b/internal/keystore/acceptor_state_test.go
@@ -16,7 +16,12 @@
 )
 
 func newAcceptorState(registers ...Register) *AcceptorState {
-	member := &AcceptorState{Address: "a", LeaseDuration: testLeaseDuration, Registers: map[string]Register{}, Grants: map[string]time.Time{}}
+	member := &AcceptorState{
+		Address:       "a",
+		LeaseDuration: testLeaseDuration,
+		Registers:     map[string]Register{},
+		Grants:        map[string]time.Time{},
+	}
 	member.Apply(registers)
 	return member
 }
@@ -40,24 +45,37 @@
 func value(text string) json.RawMessage { return json.RawMessage(`"` + text + `"`) }
 
 func acceptedRegister(key string, round uint64, text string) Register {
-	return Register{Key: key, Promised: proposalNumber(round), AcceptedProposal: proposalNumber(round), Sequence: 1, Value: value(text)}
+	return Register{
+		Key:      key,
+		Promised: proposalNumber(round),
+		Accepted: proposalNumber(round),
+		Sequence: 1,
+		Value:    value(text),
+	}
 }
 
 func TestAcceptorState_InstallRejectedAfterNewerMembership(t *testing.T) {
 	member := newAcceptorState(WipedRegisters(7)...)
-	read := CatchUpResult{Membership: testMembership, DiskIncarnation: 7, Registers: []Register{acceptedRegister("x", 4, "read")}}
+	read := CatchUpResult{
+		Membership:      testMembership,
+		DiskIncarnation: 7,
+		Registers:       []Register{acceptedRegister("x", 4, "read")},
+	}
 	newer := Membership{Version: 3, Current: []string{"b", "c", "d"}}
 	_, changes := member.Step(Message{Operation: OperationDigest, Membership: newer}, testNow, nil)
 	member.Apply(changes)
 	reply, changes := member.Install(read, testNow)
 	assert.Equal(t, reply.Rejection, RejectedStateChanged)
 	assert.Equal(t, len(changes), 0)
-	assert.Equal(t, readMembership(member.Registers).Version, uint64(3))
-	assert.Assert(t, !readLocalState(member.Registers).Voting)
+	assert.Equal(t, MembershipOf(member.Registers).Version, uint64(3))
+	assert.Assert(t, !LocalStateOf(member.Registers).Voting)
 }
 
 func TestAcceptorState_InstallRejectedForOtherIncarnationOrVoter(t *testing.T) {
-	reply, _ := newAcceptorState(WipedRegisters(7)...).Install(CatchUpResult{Membership: testMembership, DiskIncarnation: 6}, testNow)
+	reply, _ := newAcceptorState(WipedRegisters(7)...).Install(CatchUpResult{
+		Membership:      testMembership,
+		DiskIncarnation: 6,
+	}, testNow)
 	assert.Equal(t, reply.Rejection, RejectedStateChanged, "read by an earlier life")
 	reply, _ = votingAcceptor().Install(CatchUpResult{Membership: testMembership, DiskIncarnation: 11}, testNow)
 	assert.Equal(t, reply.Rejection, RejectedStateChanged, "it votes already")
@@ -77,15 +95,25 @@
 
 func TestAcceptorState_InstallKeepsHigherPromise(t *testing.T) {
 	member := newAcceptorState(append(WipedRegisters(7), Register{Key: "x", Promised: proposalNumber(8)})...)
-	_, changes := member.Install(CatchUpResult{Membership: testMembership, DiskIncarnation: 7, Registers: []Register{acceptedRegister("x", 4, "read")}}, testNow)
+	_, changes := member.Install(CatchUpResult{
+		Membership:      testMembership,
+		DiskIncarnation: 7,
+		Registers:       []Register{acceptedRegister("x", 4, "read")},
+	}, testNow)
 	member.Apply(changes)
 	assert.Equal(t, member.Registers["x"].Promised, proposalNumber(8))
-	assert.Equal(t, member.Registers["x"].AcceptedProposal, proposalNumber(4))
+	assert.Equal(t, member.Registers["x"].Accepted, proposalNumber(4))
 }
 
 func TestAcceptorState_LearnKeepsPromise(t *testing.T) {
 	member := votingAcceptor()
-	member.Apply([]Register{{Key: "x", Promised: proposalNumber(9), AcceptedProposal: proposalNumber(2), Sequence: 1, Value: value("old")}})
+	member.Apply([]Register{{
+		Key:      "x",
+		Promised: proposalNumber(9),
+		Accepted: proposalNumber(2),
+		Sequence: 1,
+		Value:    value("old"),
+	}})
 	reply, changes := member.Learn(acceptedRegister("x", 5, "chosen"))
 	assert.Assert(t, reply.Granted)
 	member.Apply(changes)
@@ -100,28 +128,60 @@
 func TestAcceptorState_LeaseBlocksOthersUntilEndOrRelease(t *testing.T) {
 	member := votingAcceptor()
 	key := LeasePrefix + "duty"
-	assert.Assert(t, member.stepAndApply(Message{Operation: OperationPrepare, Key: key, Proposal: proposalNumber(1)}, testNow).Granted)
-	assert.Assert(t, member.stepAndApply(Message{Operation: OperationAccept, Key: key, Proposal: proposalNumber(1), Sequence: 1}, testNow).Granted)
+	assert.Assert(t, member.stepAndApply(Message{
+		Operation: OperationPrepare,
+		Key:       key,
+		Proposal:  proposalNumber(1),
+	}, testNow).Granted)
+	assert.Assert(t, member.stepAndApply(Message{
+		Operation: OperationAccept,
+		Key:       key,
+		Proposal:  proposalNumber(1),
+		Sequence:  1,
+	}, testNow).Granted)
 	next := Message{Operation: OperationPrepare, Key: key, Proposal: proposalNumber(2)}
 	assert.Equal(t, member.stepAndApply(next, testNow.Add(testLeaseDuration/2)).Rejection, RejectedLeaseActive)
-	assert.Equal(t, member.stepAndApply(Message{Operation: OperationRelease, Key: key, Proposal: proposalNumber(2)}, testNow).Rejection, RejectedPromised, "not the holder")
-	assert.Assert(t, member.stepAndApply(Message{Operation: OperationRelease, Key: key, Proposal: proposalNumber(1)}, testNow).Granted)
+	assert.Equal(t, member.stepAndApply(Message{
+		Operation: OperationRelease,
+		Key:       key,
+		Proposal:  proposalNumber(2),
+	}, testNow).Rejection, RejectedPromised, "not the holder")
+	assert.Assert(t, member.stepAndApply(Message{
+		Operation: OperationRelease,
+		Key:       key,
+		Proposal:  proposalNumber(1),
+	}, testNow).Granted)
 	assert.Assert(t, member.stepAndApply(next, testNow.Add(testLeaseDuration/2)).Granted)
 }
 
 func TestAcceptorState_LosesVoteWhenDroppedFromMembership(t *testing.T) {
 	member := votingAcceptor()
-	message := Message{Operation: OperationPrepare, Key: "x", Proposal: proposalNumber(1), Membership: Membership{Version: 3, Current: []string{"b", "c", "d"}}}
+	message := Message{
+		Operation:  OperationPrepare,
+		Key:        "x",
+		Proposal:   proposalNumber(1),
+		Membership: Membership{Version: 3, Current: []string{"b", "c", "d"}},
+	}
 	reply, changes := member.Step(message, testNow, member.Registers)
 	assert.Equal(t, reply.Rejection, RejectedNotVoting)
 	member.Apply(changes)
-	assert.Assert(t, !readLocalState(member.Registers).Voting)
+	assert.Assert(t, !LocalStateOf(member.Registers).Voting)
 }
 
 func TestAcceptorState_RejectsWriteCountingLostDisk(t *testing.T) {
 	member := votingAcceptor()
-	assert.Assert(t, member.stepAndApply(Message{Operation: OperationCatchUp, Sender: "b", DiskIncarnation: 22}, testNow).Granted)
-	write := Message{Operation: OperationAccept, Key: "x", Proposal: proposalNumber(1), Sequence: 1, DiskIncarnations: map[string]uint64{"b": 21}}
+	assert.Assert(t, member.stepAndApply(Message{
+		Operation:       OperationCatchUp,
+		Sender:          "b",
+		DiskIncarnation: 22,
+	}, testNow).Granted)
+	write := Message{
+		Operation:        OperationAccept,
+		Key:              "x",
+		Proposal:         proposalNumber(1),
+		Sequence:         1,
+		DiskIncarnations: map[string]uint64{"b": 21},
+	}
 	assert.Equal(t, member.stepAndApply(write, testNow).Rejection, RejectedDiskLost)
 	write.DiskIncarnations["b"] = 22
 	assert.Assert(t, member.stepAndApply(write, testNow).Granted)
--- a/internal/keystore/steps.go
+++ b/internal/keystore/acceptor_steps.go
@@ -3,16 +3,10 @@
 import (
 	"maps"
 	"slices"
-	"time"
 )
 
-// stepEnvironment is what a step may look at besides the member's state.
-type stepEnvironment struct {
-	now     time.Time
-	durable map[string]Register
-}
-
-type stepFunc func(m *AcceptorState, message Message, reply Reply, at stepEnvironment) (Reply, []Register)
+// stepFunc answers one operation. reply is filled in with what every reply holds.
+type stepFunc func(s *AcceptorState, message Message, reply Reply, environment stepEnvironment) (Reply, []Register)
 
 var stepsByOperation = map[Operation]stepFunc{
 	OperationPrepare: (*AcceptorState).prepare,
@@ -24,14 +18,11 @@
 	OperationCatchUp: (*AcceptorState).catchUp,
 }
 
-func (s *AcceptorState) register(key string) Register {
-	register := s.Registers[key]
-	register.Key = key
-	return register
-}
-
-// promise tells with each answer which incarnations of others this member knows, so that nobody counts the promise of a
-// member that has lost its disk since.
+// prepare promises to accept no proposal below the message's number, and replies with what was accepted so far. A member
+// that broke the promise would let an earlier owner finish a write that the new one has not seen.
+//
+// The reply tells, with or without a promise, which disk incarnations of others this member knows, so that nobody counts
+// the promise of a member that has lost its disk since.
 func (s *AcceptorState) prepare(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	register := s.register(message.Key)
 	reply.Register, reply.KnownDiskIncarnations = register, knownDiskIncarnations(s.Registers)
@@ -48,6 +39,7 @@
 	return reply, []Register{register}
 }
 
+// accept keeps a value unless a higher number was promised. To accept a number is to promise it.
 func (s *AcceptorState) accept(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	register := s.register(message.Key)
 	reply.Register = register.WithoutValue()
@@ -55,25 +47,25 @@
 		reply.Rejection = RejectedDiskLost
 		return reply, nil
 	}
-	superseded := message.Proposal == register.AcceptedProposal && message.Sequence < register.Sequence
+	superseded := message.Proposal == register.Accepted && message.Sequence < register.Sequence
 	if message.Proposal.Less(register.Promised) || superseded {
 		reply.Rejection = RejectedPromised
 		return reply, nil
 	}
-	register.Promised, register.AcceptedProposal = message.Proposal, message.Proposal
+	register.Promised, register.Accepted = message.Proposal, message.Proposal
 	register.Sequence, register.Value = message.Sequence, message.Value
 	reply.Register, reply.Granted = register.WithoutValue(), true
 	s.extendLease(message.Key, environment.now)
 	return reply, []Register{register}
 }
 
-// knowsLostDisk says that a member whose promise is counted has lost its disk since, be it this
-// member or one that caught up here.
+// knowsLostDisk says that a member whose promise is counted has lost its disk since, be it this member or one that caught
+// up here. The write would count a promise that nobody keeps.
 func (s *AcceptorState) knowsLostDisk(counted map[string]uint64) bool {
 	for member, diskIncarnation := range counted {
 		known := knownDiskIncarnation(s.Registers, member)
 		if member == s.Address {
-			known = readLocalState(s.Registers).DiskIncarnation
+			known = LocalStateOf(s.Registers).DiskIncarnation
 		}
 		if known != 0 && known != diskIncarnation {
 			return true
@@ -82,8 +74,8 @@
 	return false
 }
 
-// renew may be granted on a promise that the disk does not have yet: whoever took the key by a
-// higher ballot since needs this member's promise later, or had it already and is seen here.
+// renew may be granted on a promise that the disk does not have yet: whoever took the key by a higher number since needs
+// this member's promise later, or had it already and is seen here.
 func (s *AcceptorState) renew(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	register := s.Registers[message.Key]
 	reply.Register = register.WithoutValue()
@@ -96,7 +88,8 @@
 	return reply, nil
 }
 
-func (s *AcceptorState) release(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
+// release ends the grant of a lease for its owner only: another's lease must run its time.
+func (s *AcceptorState) release(message Message, reply Reply, _ stepEnvironment) (Reply, []Register) {
 	register := s.Registers[message.Key]
 	reply.Register = register.WithoutValue()
 	if register.Promised != message.Proposal {
@@ -108,18 +101,24 @@
 	return reply, nil
 }
 
+// digest lists what is accepted and on the disk.
 func (s *AcceptorState) digest(_ Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	for _, key := range slices.Sorted(maps.Keys(environment.durable)) {
 		register := environment.durable[key]
 		if isReserved(key) || !register.IsAccepted() {
 			continue
 		}
-		reply.Registers = append(reply.Registers, Register{Key: key, AcceptedProposal: register.AcceptedProposal, Sequence: register.Sequence})
+		reply.Registers = append(reply.Registers, Register{
+			Key:      key,
+			Accepted: register.Accepted,
+			Sequence: register.Sequence,
+		})
 	}
 	reply.Granted, reply.KnownDiskIncarnations = true, knownDiskIncarnations(s.Registers)
 	return reply, nil
 }
 
+// fetch gives a value that is on the disk.
 func (s *AcceptorState) fetch(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	reply.Register = environment.durable[message.Key]
 	reply.Granted = reply.Register.IsAccepted()
@@ -129,16 +128,23 @@
 	return reply, nil
 }
 
-// catchUp tells a member without a vote all that this one decided. The sender's incarnation is
-// on this member's disk before the answer goes out: from then on no write is taken that counts
-// a promise of an earlier incarnation.
+// catchUp tells a member without a vote all that this one decided. The sender's disk incarnation is on this member's disk
+// before the reply goes out: from then on no write is accepted here that counts a promise of an earlier one.
 func (s *AcceptorState) catchUp(message Message, reply Reply, _ stepEnvironment) (Reply, []Register) {
-	for _, key := range s.sortedKeys() {
+	for _, key := range slices.Sorted(maps.Keys(s.Registers)) {
 		if !isReserved(key) {
 			reply.Registers = append(reply.Registers, s.Registers[key])
 		}
 	}
-	known := diskIncarnationRegister(s.Registers[diskIncarnationPrefix+message.Sender], message.Sender, message.DiskIncarnation)
-	reply.Granted, reply.DiskIncarnationCount, reply.BootstrapCompleted = true, known.Sequence, readLocalState(s.Registers).BootstrapCompleted
-	return reply, []Register{known}
+	incarnation := s.recordDiskIncarnation(message)
+	reply.Granted = true
+	reply.DiskIncarnationCount = incarnation.Sequence
+	reply.BootstrapCompleted = LocalStateOf(s.Registers).BootstrapCompleted
+	return reply, []Register{incarnation}
+}
+
+// recordDiskIncarnation is the register that records the disk incarnation of a member that catches up.
+func (s *AcceptorState) recordDiskIncarnation(message Message) Register {
+	previous := s.Registers[diskIncarnationPrefix+message.Sender]
+	return diskIncarnationRegister(previous, message.Sender, message.DiskIncarnation)
 }
--- a/internal/keystore/founding_test.go
+++ b/internal/keystore/bootstrap_test.go
@@ -73,7 +73,14 @@
 	installed, changes := member.Install(CatchUpResult{Membership: testBootstrap, DiskIncarnation: 7}, testNow)
 	assert.Assert(t, installed.Granted)
 	member.Apply(changes)
-	write := Message{Operation: OperationAccept, Key: "x", Proposal: proposalNumber(1), Sequence: 1, Membership: testBootstrap, DiskIncarnations: map[string]uint64{"b": 21}}
+	write := Message{
+		Operation:        OperationAccept,
+		Key:              "x",
+		Proposal:         proposalNumber(1),
+		Sequence:         1,
+		Membership:       testBootstrap,
+		DiskIncarnations: map[string]uint64{"b": 21},
+	}
 	rejected, _ := member.Step(write, testNow, member.Registers)
 	assert.Equal(t, rejected.Rejection, RejectedDiskLost, "it counts a promise of b's lost disk")
 }
@@ -83,7 +90,12 @@
 	reply, changes := member.CompleteBootstrap()
 	assert.Assert(t, reply.Granted)
 	member.Apply(changes)
-	told, _ := member.Step(Message{Operation: OperationCatchUp, Sender: "b", DiskIncarnation: 22, Membership: testBootstrap}, testNow, nil)
+	told, _ := member.Step(Message{
+		Operation:       OperationCatchUp,
+		Sender:          "b",
+		DiskIncarnation: 22,
+		Membership:      testBootstrap,
+	}, testNow, nil)
 	assert.Assert(t, told.Granted && told.BootstrapCompleted)
 	_, changes = member.CompleteBootstrap()
 	assert.Equal(t, len(changes), 0)
--- a/internal/keystore/digest_test.go
+++ b/internal/keystore/digest_test.go
@@ -14,18 +14,25 @@
 }
 
 func digestOf(replies map[string]Reply) Digest {
-	result := &round{members: testMembership, replies: replies}
+	result := &replySet{membership: testMembership, replies: replies}
 	return result.digest()
 }
 
 func TestDigest_ValueOnMajorityIsCommitted(t *testing.T) {
-	found := digestOf(map[string]Reply{"a": digestReply(1, acceptedRegister("x", 5, "v")), "b": digestReply(2, acceptedRegister("x", 5, "v")), "c": digestReply(3, acceptedRegister("x", 4, "u"))})
+	found := digestOf(map[string]Reply{
+		"a": digestReply(1, acceptedRegister("x", 5, "v")),
+		"b": digestReply(2, acceptedRegister("x", 5, "v")),
+		"c": digestReply(3, acceptedRegister("x", 4, "u")),
+	})
 	assert.Assert(t, found.Committed["x"].SameProposal(acceptedRegister("x", 5, "v")))
 	assert.Equal(t, len(found.Undecided), 0)
 }
 
 func TestDigest_NewerValueOnMinorityIsUndecided(t *testing.T) {
-	found := digestOf(map[string]Reply{"a": digestReply(1, acceptedRegister("x", 6, "w")), "c": digestReply(3, acceptedRegister("x", 5, "v"))})
+	found := digestOf(map[string]Reply{
+		"a": digestReply(1, acceptedRegister("x", 6, "w")),
+		"c": digestReply(3, acceptedRegister("x", 5, "v")),
+	})
 	assert.Equal(t, len(found.Committed), 0)
 	assert.Assert(t, found.Undecided["x"].SameProposal(acceptedRegister("x", 6, "w")))
 }
--- a/internal/keystore/folder.go
+++ b/internal/keystore/directory.go
@@ -11,11 +11,11 @@
 	"github.com/pkg/errors"
 )
 
-// Directory is the folder on a member's disk that holds its ring files. After a loss of power a name may be gone, by
-// itself, unless SyncDirectory has returned nil since it was made; of what was written since a file's last Sync, each
-// write may be there, missing or torn.
+// Directory is the directory on a member's disk that holds the segments of its write-ahead log. After a loss of power a
+// name may be gone, by itself, unless SyncDirectory has returned nil since it was made; of what was written since a file's
+// last Sync, each write may be there, missing or torn.
 type Directory interface {
-	// List returns the names in the folder.
+	// List returns the names in the directory.
 	List() ([]string, error)
 	// Read returns a file's content, and nothing for a name that doesn't exist. It may leave out what follows
 	// zeroRunBytes zeros: no record holds as many, so none is found behind them.
@@ -27,7 +27,7 @@
 	Write(name string, offset int64, content []byte) error
 	// Sync returns once all that was written to the file is on the disk.
 	Sync(name string) error
-	// SyncDirectory returns once the names in the folder, and the folder's own, are on the disk.
+	// SyncDirectory returns once the names in the directory, and the directory's own, are on the disk.
 	SyncDirectory() error
 }
 
@@ -35,23 +35,24 @@
 	directoryMode = 0o755
 	fileMode      = 0o644
 	// reservedBytes is how much of each file is written with zeros when it is made, so that a disk that is full
-	// later still takes a new generation there. The rest is only lengthened: an append that a full disk refuses
-	// there makes the journal go on at the start of the next file. Bounded because it is a part of the first start.
+	// later still takes a new generation there. The rest is only lengthened: an append that a full disk rejects
+	// there makes the log go on at the start of the next segment. Limited because it is a part of the first start.
 	reservedBytes = 1 << 20
-	// zeroChunkBytes bounds one write of zeros.
+	// zeroChunkBytes is the length of one write of zeros.
 	zeroChunkBytes = 256 << 10
 	// zeroRunBytes is how many zeros end what is read of a file. Records are text but for their headers.
 	zeroRunBytes = 64 << 10
 )
 
+// osDirectory is a Directory of the operating system.
 type osDirectory struct {
 	path  string
 	files map[string]*os.File
-	// made are the folders that were made here, whose parents must be synced too.
+	// created are the directories that were made here, whose parents must be synced too.
 	created []string
 }
 
-// NewDirectory returns the folder at a path, which is made if it doesn't exist.
+// NewDirectory returns the directory at a path, which is made if it doesn't exist.
 func NewDirectory(path string) (Directory, error) {
 	directory := &osDirectory{path: path, files: map[string]*os.File{}}
 	for ancestor := filepath.Clean(path); ; ancestor = filepath.Dir(ancestor) {
@@ -61,11 +62,12 @@
 		directory.created = append(directory.created, ancestor)
 	}
 	if err := os.MkdirAll(path, directoryMode); err != nil {
-		return nil, errors.Wrap(err, "data folder")
+		return nil, errors.Wrap(err, "data directory")
 	}
 	return directory, nil
 }
 
+// List implements Directory.
 func (d *osDirectory) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -78,6 +80,7 @@
 	return names, nil
 }
 
+// Read implements Directory.
 func (d *osDirectory) Read(name string) ([]byte, error) {
 	file, err := os.Open(filepath.Join(d.path, name))
 	if os.IsNotExist(err) {
@@ -99,7 +102,7 @@
 		content = slices.Grow(content, zeroRunBytes)[:from+zeroRunBytes]
 		read, err := io.ReadFull(file, content[from:])
 		content = content[:from+read]
-		if err == io.EOF || err == io.ErrUnexpectedEOF {
+		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return content, nil
 		}
 		if err != nil || bytes.Equal(content[from:], zeros) {
@@ -108,6 +111,7 @@
 	}
 }
 
+// Prepare implements Directory.
 func (d *osDirectory) Prepare(name string, size int64) error {
 	file, err := d.open(name)
 	if err != nil {
@@ -117,7 +121,7 @@
 	if err != nil || information.Size() >= size {
 		return err
 	}
-	if err := reserve(file, information.Size(), min(size, reservedBytes)); err != nil {
+	if err := writeZeros(file, information.Size(), min(size, reservedBytes)); err != nil {
 		return err
 	}
 	if err := file.Truncate(size); err != nil {
@@ -138,8 +142,8 @@
 	return file, nil
 }
 
-// reserve writes zeros from the file's end to the end that is asked for, so that the disk holds room for them.
-func reserve(file io.WriterAt, from, to int64) error {
+// writeZeros writes zeros from one offset to another, so that the disk allocates blocks for them.
+func writeZeros(file io.WriterAt, from, to int64) error {
 	zeros := make([]byte, zeroChunkBytes)
 	for from < to {
 		written, err := file.WriteAt(zeros[:min(to-from, zeroChunkBytes)], from)
@@ -151,21 +155,23 @@
 	return nil
 }
 
+// Write implements Directory.
 func (d *osDirectory) Write(name string, offset int64, content []byte) error {
 	_, err := d.files[name].WriteAt(content, offset)
 	return err
 }
 
+// Sync implements Directory.
 func (d *osDirectory) Sync(name string) error { return d.files[name].Sync() }
 
-// SyncDirectory syncs the parent of a folder that it didn't make as well, since an earlier life may have made it and
-// died before the sync; there a parent that can't be synced is no error.
+// SyncDirectory implements Directory. It syncs the parent of a directory that it didn't make as well, since an earlier
+// process may have made it and died before the sync; there a parent that can't be synced is no error.
 func (d *osDirectory) SyncDirectory() error {
 	if err := syncDirectoryPath(d.path); err != nil {
 		return err
 	}
-	for _, made := range d.created {
-		if err := syncDirectoryPath(filepath.Dir(made)); err != nil {
+	for _, created := range d.created {
+		if err := syncDirectoryPath(filepath.Dir(created)); err != nil {
 			return err
 		}
 	}
@@ -175,7 +181,7 @@
 	return nil
 }
 
-// syncDirectoryPath syncs a folder; a file system that has no such sync is passed over.
+// syncDirectoryPath syncs a directory; a file system that has no such sync is passed over.
 func syncDirectoryPath(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
--- a/internal/keystore/five_test.go
+++ b/internal/keystore/five_test.go
@@ -32,7 +32,10 @@
 	for _, name := range cluster.Names {
 		cluster.Start(name, true)
 	}
-	reports := map[string]*clientReport{keystore.ConfigurationKey: newClientReport(), keystore.ZonePrefix + "a": newClientReport()}
+	reports := map[string]*clientReport{
+		keystore.ConfigurationKey: newClientReport(),
+		keystore.ZonePrefix + "a": newClientReport(),
+	}
 	until := time.Now().Add(12 * time.Second)
 	var working sync.WaitGroup
 	failures := make(chan error, 16)
--- a/internal/keystore/inspect.go
+++ b/internal/keystore/inspect.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// The reasons for which a path is not a member's data folder.
+// The reasons for which a path is not a member's data directory.
 var (
 	ErrNoDirectory      = errors.New("no such folder")
 	ErrNotDirectory     = errors.New("not a folder")
@@ -18,35 +18,38 @@
 	ErrForeignDirectory = errors.New("folder holds no ring files of a control-plane member")
 )
 
-// Inspection is what a stopped member's data folder holds.
+// Inspection is what a stopped member's data directory holds.
 type Inspection struct {
 	Files []SegmentInspection `json:"files"`
-	// Generation is the newest whole generation, and Base the first of its life. 0: none.
+	// Generation is the newest complete generation, 0 if there is none.
 	Generation uint64 `json:"generation"`
-	Base       uint64 `json:"base"`
-	// Damage says why a member would not use this state; the slots are then those of what can still be read.
+	// Base is the first generation since the log was made, or since damage was found.
+	Base uint64 `json:"base"`
+	// Damage says why a member would not use this state; the registers are then those of what can still be read.
 	Damage *Damage `json:"damage,omitempty"`
-	// LocalState and Membership are the member's own records, as they stand on the disk.
+	// LocalState and Membership are the member's own registers, as they stand on the disk.
 	LocalState json.RawMessage      `json:"self,omitempty"`
 	Membership json.RawMessage      `json:"members,omitempty"`
 	Registers  []RegisterInspection `json:"slots"`
-	// Undecodable is how many records are whole by their checksum but are not slots.
+	// Undecodable is how many records are complete by their checksum but are not registers.
 	Undecodable int `json:"undecodable,omitempty"`
 }
 
-// SegmentInspection is what one ring file holds.
+// SegmentInspection is what one segment holds.
 type SegmentInspection struct {
-	Name       string       `json:"name"`
-	State      SegmentState `json:"state"`
-	Bytes      int64        `json:"bytes"`
-	Used       int64        `json:"used"`
-	Generation uint64       `json:"generation,omitempty"`
-	Base       uint64       `json:"base,omitempty"`
-	Records    int          `json:"records"`
+	Name  string       `json:"name"`
+	State SegmentState `json:"state"`
+	// Bytes is the file's length, Used that of its records.
+	Bytes      int64  `json:"bytes"`
+	Used       int64  `json:"used"`
+	Generation uint64 `json:"generation,omitempty"`
+	Base       uint64 `json:"base,omitempty"`
+	// Records is how many of them hold registers.
+	Records int `json:"records"`
 }
 
-// RegisterInspection is one key. Fields are the slot's JSON members but for its key and value, as they stand on the
-// disk: ballots, promises and sequence.
+// RegisterInspection is one key. Fields are the register's JSON fields but for its key and value, as they stand on the
+// disk: proposal numbers and sequence.
 type RegisterInspection struct {
 	Key        string                     `json:"key"`
 	Fields     map[string]json.RawMessage `json:"fields"`
@@ -54,19 +57,15 @@
 	Value      json.RawMessage            `json:"value,omitempty"`
 }
 
-// DropValues takes the values of slots away, which may hold secrets.
+// DropValues takes the values of registers away, which may hold secrets.
 func (i *Inspection) DropValues() {
 	for position := range i.Registers {
 		i.Registers[position].Value = nil
 	}
 }
 
-const (
-	keyField   = "key"
-	valueField = "value"
-)
-
-// Inspect reads the data folder of a stopped member. It opens files for reading only, and makes none.
+// Inspect reads the data directory of a stopped member. It opens files for reading only, and makes none. It returns
+// ErrNoDirectory, ErrNotDirectory, ErrEmptyDirectory or ErrForeignDirectory for a path that is none.
 func Inspect(path string) (Inspection, error) {
 	directory, err := openForReading(path)
 	if err != nil {
@@ -80,18 +79,28 @@
 		return Inspection{}, errors.Wrap(ErrForeignDirectory, path)
 	}
 	newest := read.newest()
-	inspection := Inspection{Damage: read.damage(), Generation: newest.generation, Base: newest.base, Registers: []RegisterInspection{}}
-	for _, file := range read {
+	inspection := Inspection{
+		Damage:     read.damage(),
+		Generation: newest.generation,
+		Base:       newest.base,
+		Registers:  []RegisterInspection{},
+	}
+	for _, segment := range read {
 		inspection.Files = append(inspection.Files, SegmentInspection{
-			Name: file.name, State: file.state, Bytes: fileSize(path, file.name), Used: file.usedBytes,
-			Generation: file.generation, Base: file.knownBase(), Records: len(file.payloads),
+			Name:       segment.name,
+			State:      segment.state,
+			Bytes:      fileSize(path, segment.name),
+			Used:       segment.usedBytes,
+			Generation: segment.generation,
+			Base:       segment.knownBase(),
+			Records:    len(segment.payloads),
 		})
 	}
 	inspection.addRegisters(newest)
 	return inspection, nil
 }
 
-// openForReading returns a folder, or says why the path can't be one.
+// openForReading returns a directory, or says why the path can't be one.
 func openForReading(path string) (directoryReader, error) {
 	information, err := os.Stat(path)
 	if os.IsNotExist(err) {
@@ -114,7 +123,7 @@
 	return directory, nil
 }
 
-// fileSize returns a file's length, 0 if there is none.
+// fileSize returns a file's length in bytes, 0 if there is none.
 func fileSize(path, name string) int64 {
 	information, err := os.Stat(filepath.Join(path, name))
 	if err != nil {
@@ -123,13 +132,6 @@
 	return information.Size()
 }
 
-// recognized tells whether any file was made by a journal. A file that is blank counts: a start that was cut short
-// leaves no more; one that is only unreadable doesn't.
-func (s segments) isRecognized() bool {
-	_, ours := s.firstIn(SegmentBlank, SegmentReady, SegmentComplete, SegmentTorn, SegmentDamaged)
-	return ours
-}
-
 // knownBase returns the base, or 0 where it can't be read.
 func (s segment) knownBase() uint64 {
 	if s.base == unreadableBase {
@@ -138,10 +140,10 @@
 	return s.base
 }
 
-// addRegisters adds the newest record of each key in a file, in the order of the keys.
-func (i *Inspection) addRegisters(file segment) {
+// addRegisters adds the newest record of each key in a segment, in the order of the keys.
+func (i *Inspection) addRegisters(read segment) {
 	newest := map[string]RegisterInspection{}
-	for _, payload := range file.payloads {
+	for _, payload := range read.payloads {
 		register, err := inspectRegister(payload)
 		if err != nil {
 			i.Undecodable++
@@ -160,12 +162,12 @@
 	if err := json.Unmarshal(payload, &register.Fields); err != nil {
 		return register, err
 	}
-	if err := json.Unmarshal(register.Fields[keyField], &register.Key); err != nil {
+	if err := json.Unmarshal(register.Fields[registerKeyField], &register.Key); err != nil {
 		return register, err
 	}
-	register.Value = register.Fields[valueField]
+	register.Value = register.Fields[registerValueField]
 	register.ValueBytes = len(register.Value)
-	delete(register.Fields, keyField)
-	delete(register.Fields, valueField)
+	delete(register.Fields, registerKeyField)
+	delete(register.Fields, registerValueField)
 	return register, nil
 }
--- /dev/null
+++ b/internal/keystore/local_state.go
@@ -0,0 +1,103 @@
+package keystore
+
+import (
+	"encoding/json"
+	"strings"
+)
+
+// LocalState is what a member stores of itself.
+type LocalState struct {
+	// DiskIncarnation is a random number that is drawn anew with each loss of the disk. It tells a promise that was
+	// given before the loss from one given after it; without that, a proposer could count a promise that the member
+	// does not remember, and a value that was acknowledged could be replaced.
+	DiskIncarnation uint64 `json:"incarnation"`
+	// Voting: a member without a vote promises, accepts and grants nothing. It has no vote until it has caught up.
+	Voting bool `json:"voting"`
+	// MembershipVersion is that of the membership under which the member caught up, 0 if it never voted.
+	MembershipVersion uint64 `json:"number"`
+	// BootstrapCompleted says that the member has seen every initial member vote under the first membership.
+	BootstrapCompleted bool `json:"completed,omitempty"`
+}
+
+// LocalStateOf reads what a member stores of itself from its registers.
+func LocalStateOf(registers map[string]Register) LocalState {
+	var state LocalState
+	_ = json.Unmarshal(registers[localStateKey].Value, &state)
+	return state
+}
+
+// MembershipOf reads the newest membership that a member knows from its registers.
+func MembershipOf(registers map[string]Register) Membership {
+	var membership Membership
+	_ = json.Unmarshal(registers[localMembershipKey].Value, &membership)
+	return membership
+}
+
+// BootstrapRegisters is the first state of an initial member of a system that starts for the first time.
+func BootstrapRegisters(membership Membership, diskIncarnation uint64) []Register {
+	state := LocalState{
+		DiskIncarnation:   diskIncarnation,
+		Voting:            true,
+		MembershipVersion: membership.Version,
+	}
+	return []Register{membershipRegister(membership), localStateRegister(state)}
+}
+
+// WipedRegisters is the first state of a member that has no state on disk, or may have lost a part of it: it has no vote
+// until it has read enough of the others.
+func WipedRegisters(diskIncarnation uint64) []Register {
+	return []Register{localStateRegister(LocalState{DiskIncarnation: diskIncarnation})}
+}
+
+func localStateRegister(state LocalState) Register {
+	value, _ := json.Marshal(state)
+	return Register{Key: localStateKey, Value: value}
+}
+
+func membershipRegister(membership Membership) Register {
+	value, _ := json.Marshal(membership)
+	return Register{Key: localMembershipKey, Value: value}
+}
+
+// diskIncarnationRegister records the disk incarnation of another member that catches up here. Its sequence counts the
+// incarnations of that member that did so.
+func diskIncarnationRegister(previous Register, member string, diskIncarnation uint64) Register {
+	value, _ := json.Marshal(diskIncarnation)
+	register := Register{
+		Key:      diskIncarnationPrefix + member,
+		Sequence: max(previous.Sequence, 1),
+		Value:    value,
+	}
+	if known := readDiskIncarnation(previous); known != 0 && known != diskIncarnation {
+		register.Sequence++
+	}
+	return register
+}
+
+// readDiskIncarnation returns 0 for a register that holds none.
+func readDiskIncarnation(register Register) uint64 {
+	var diskIncarnation uint64
+	_ = json.Unmarshal(register.Value, &diskIncarnation)
+	return diskIncarnation
+}
+
+// knownDiskIncarnation is the newest disk incarnation of another member that is known here, 0 if none is.
+func knownDiskIncarnation(registers map[string]Register, member string) uint64 {
+	return readDiskIncarnation(registers[diskIncarnationPrefix+member])
+}
+
+// knownDiskIncarnations gives all of them, by member, and nil if none is known.
+func knownDiskIncarnations(registers map[string]Register) map[string]uint64 {
+	var known map[string]uint64
+	for key := range registers {
+		member, found := strings.CutPrefix(key, diskIncarnationPrefix)
+		if !found {
+			continue
+		}
+		if known == nil {
+			known = map[string]uint64{}
+		}
+		known[member] = knownDiskIncarnation(registers, member)
+	}
+	return known
+}
--- a/internal/keystore/lostpromise_test.go
+++ b/internal/keystore/lost_disk_test.go
@@ -24,7 +24,12 @@
 }
 
 func (f instantCluster) start(address string, registers []Register) {
-	f[address] = &AcceptorState{Address: address, LeaseDuration: testLeaseDuration, Registers: map[string]Register{}, Grants: map[string]time.Time{}}
+	f[address] = &AcceptorState{
+		Address:       address,
+		LeaseDuration: testLeaseDuration,
+		Registers:     map[string]Register{},
+		Grants:        map[string]time.Time{},
+	}
 	f[address].Apply(registers)
 }
 
--- a/internal/keystore/operators_test.go
+++ b/internal/keystore/operators_test.go
@@ -40,7 +40,7 @@
 	r.latencies = append(r.latencies, call.ended.Sub(call.started))
 	r.history.add(call)
 	if !call.read {
-		r.proposals[call.version] = register.AcceptedProposal
+		r.proposals[call.version] = register.Accepted
 	}
 }
 
--- a/internal/keystore/ownership.go
+++ b/internal/keystore/ownership.go
@@ -5,13 +5,15 @@
 	"maps"
 )
 
-// Ownership is what a proposer knows of a key that it took: the ballot under which a majority
-// promised, the value in force, the incarnations of the members that promised, and the sequence of
-// the last proposal that was uncertain. All its functions are pure.
+// Ownership is what a proposer knows of a key that it owns, that is, for which a quorum promised its proposal number. All
+// its methods are pure.
 type Ownership struct {
-	proposal          ProposalNumber
-	register          Register
-	diskIncarnations  map[string]uint64
+	proposal ProposalNumber
+	// register holds the value in force.
+	register Register
+	// diskIncarnations are those of the members that promised, by address.
+	diskIncarnations map[string]uint64
+	// uncertainSequence is that of the last proposal with an unknown outcome.
 	uncertainSequence uint64
 }
 
@@ -20,9 +22,11 @@
 	return Message{Operation: OperationPrepare, Key: key, Proposal: proposal}
 }
 
-// NewOwnership concludes from promises of a quorum which value the new owner carries on.
+// NewOwnership concludes from the promises of a quorum which value the new owner adopts: the newest that any of the
+// members has accepted. A value that was chosen was accepted by a quorum, which shares a member with this one, so the new
+// owner finds it or a newer one. If it adopted anything else, an acknowledged value would be lost.
 func NewOwnership(key string, proposal ProposalNumber, replies map[string]Reply) Ownership {
-	prepared := round{replies: replies}
+	prepared := replySet{replies: replies}
 	newest := Register{Key: key}
 	diskIncarnations := map[string]uint64{}
 	for address, reply := range replies {
@@ -34,44 +38,56 @@
 			newest = reply.Register
 		}
 	}
-	adopted := Register{Key: key, Promised: proposal, AcceptedProposal: proposal, Sequence: newest.Sequence, Value: newest.Value}
+	adopted := Register{
+		Key:      key,
+		Promised: proposal,
+		Accepted: proposal,
+		Sequence: newest.Sequence,
+		Value:    newest.Value,
+	}
 	if !newest.IsAccepted() {
-		adopted.AcceptedProposal = ProposalNumber{}
+		adopted.Accepted = ProposalNumber{}
 	}
 	return Ownership{proposal: proposal, register: adopted, diskIncarnations: diskIncarnations}
 }
 
-// Carries says whether there is an earlier value that must be committed anew before anything
-// is decided on it.
+// NeedsRecommit says whether there is an adopted value, which must be committed under this owner's number before anything
+// is decided on it. It may stand on a minority: another owner that does not find it would go on from an older value,
+// after this owner has acted on it.
 func (o Ownership) NeedsRecommit() bool { return o.register.IsAccepted() }
 
-// Next is the proposal that follows the value in force.
+// NextProposal is the proposal that follows the value in force.
 func (o Ownership) NextProposal(value json.RawMessage) Register {
-	register := o.register
-	register.Promised, register.AcceptedProposal = o.proposal, o.proposal
-	register.Sequence = max(register.Sequence, o.uncertainSequence) + 1
-	register.Value = value
-	return register
+	next := o.register
+	next.Promised, next.Accepted = o.proposal, o.proposal
+	next.Sequence = max(next.Sequence, o.uncertainSequence) + 1
+	next.Value = value
+	return next
 }
 
-// AcceptMessage asks members to keep a proposal of this owner.
-func (o Ownership) AcceptMessage(register Register) Message {
+// AcceptMessage asks members to accept a proposal of this owner. It names the disk incarnations of all members whose
+// promises are counted, so that a member that knows of a later loss of such a disk rejects it.
+func (o Ownership) AcceptMessage(proposal Register) Message {
 	return Message{
-		Operation: OperationAccept, Key: register.Key, Proposal: register.AcceptedProposal, Sequence: register.Sequence, Value: register.Value,
+		Operation:        OperationAccept,
+		Key:              proposal.Key,
+		Proposal:         proposal.Accepted,
+		Sequence:         proposal.Sequence,
+		Value:            proposal.Value,
 		DiskIncarnations: o.diskIncarnations,
 	}
 }
 
-// Accepts says whether a reply counts towards the majority that makes a write certain: only that
-// of a member that promised, and has not lost its disk since. The write names the incarnations
-// of all that are counted, so that members which know of a later loss of a disk refuse it.
+// CountsAcceptance says whether a reply counts towards the majority that makes a write certain: only that of a member that
+// promised, and has not lost its disk since. A member that did not promise may have promised a lower number to another
+// owner, whose value would then be chosen beside this one.
 func (o Ownership) CountsAcceptance(address string, reply Reply) bool {
 	promised, counted := o.diskIncarnations[address]
 	return reply.Granted && counted && promised == reply.DiskIncarnation
 }
 
-// Joined is the ownership after one more member's promise of the same ballot has come in: from
-// then on its votes count too.
+// WithPromise is the ownership after one more member's promise of the same number has come in: from then on its
+// acceptances count too.
 func (o Ownership) WithPromise(address string, reply Reply) Ownership {
 	if !reply.Granted {
 		return o
@@ -81,23 +97,21 @@
 	return o
 }
 
-// Current is the value on which the owner decides: the one carried on, or the last one it wrote.
+// Current is the value on which the owner decides: the one that it adopted, or the last one that it wrote.
 func (o Ownership) Current() Register { return o.register }
 
-// Wrote is the ownership after a proposal of Next became certain.
-func (o Ownership) WithCommitted(next Register) Ownership {
-	o.register = next
+// WithCommitted is the ownership after a proposal of NextProposal became certain.
+func (o Ownership) WithCommitted(proposal Register) Ownership {
+	o.register = proposal
 	return o
 }
 
-// Unclear is the ownership after a proposal of Next that may or may not be in force: the next one
+// WithUncertain is the ownership after a proposal of NextProposal that may or may not be in force: the next one
 // supersedes it.
-func (o Ownership) WithUncertain(next Register) Ownership {
-	o.uncertainSequence = next.Sequence
+func (o Ownership) WithUncertain(proposal Register) Ownership {
+	o.uncertainSequence = proposal.Sequence
 	return o
 }
 
-// Certain says whether Current is known to be the value in force.
+// IsCertain says whether Current is known to be the value in force.
 func (o Ownership) IsCertain() bool { return o.uncertainSequence <= o.register.Sequence }
-
-func isGranted(_ string, reply Reply) bool { return reply.Granted }
--- a/internal/keystore/ownership_test.go
+++ b/internal/keystore/ownership_test.go
@@ -10,14 +10,17 @@
 )
 
 func TestOwnership_NextProposalSupersedesUncertainOne(t *testing.T) {
-	owner := keystore.NewOwnership("k", keystore.ProposalNumber{Round: 3, Proposer: "a"}, map[string]keystore.Reply{"a": {Granted: true, DiskIncarnation: 1}})
+	owner := keystore.NewOwnership("k", keystore.ProposalNumber{
+		Round:    3,
+		Proposer: "a",
+	}, map[string]keystore.Reply{"a": {Granted: true, DiskIncarnation: 1}})
 	first := owner.NextProposal(json.RawMessage(`1`))
 	assert.Assert(t, owner.IsCertain())
 	owner = owner.WithUncertain(first)
 	assert.Assert(t, !owner.IsCertain(), "the first may be in force")
 	assert.Assert(t, !owner.Current().IsAccepted(), "and may not")
 	second := owner.NextProposal(json.RawMessage(`2`))
-	assert.Assert(t, second.NewerThan(first) && second.AcceptedProposal == first.AcceptedProposal)
+	assert.Assert(t, second.NewerThan(first) && second.Accepted == first.Accepted)
 	owner = owner.WithCommitted(second)
 	assert.Assert(t, owner.IsCertain())
 	assert.Assert(t, owner.NextProposal(json.RawMessage(`3`)).NewerThan(second))
--- a/internal/keystore/pinned_messages_test.go
+++ b/internal/keystore/pinned_messages_test.go
@@ -13,7 +13,13 @@
 )
 
 func TestEncodeRecord_WritesFixedBytes(t *testing.T) {
-	register := Register{Key: "layout", Promised: pinnedBallot(9), AcceptedProposal: pinnedBallot(8), Sequence: 7, Value: json.RawMessage(`{"a":1}`)}
+	register := Register{
+		Key:      "layout",
+		Promised: pinnedProposal(9),
+		Accepted: pinnedProposal(8),
+		Sequence: 7,
+		Value:    json.RawMessage(`{"a":1}`),
+	}
 	var lines strings.Builder
 	add := func(label string, kind recordKind, payload any) {
 		content, err := encodeRecord(0x0102030405060708, 0x1112131415161718, kind, payload)
@@ -24,9 +30,9 @@
 	add("begin", recordBegin, beginPayload{Base: 5})
 	add("end", recordEnd, struct{}{})
 	add("damage", recordDamageMarker, damagePayload{Base: 6, Reason: DamageFileBlank})
-	mark, err := encodeDamageMarker(damagePayload{Base: 6, Reason: DamageFileBlank})
+	marker, err := encodeDamageMarker(damagePayload{Base: 6, Reason: DamageFileBlank})
 	assert.NilError(t, err)
-	fmt.Fprintf(&lines, "mark %s\nstamp %s\n", hex.EncodeToString(mark), hex.EncodeToString(readyMarker))
+	fmt.Fprintf(&lines, "mark %s\nstamp %s\n", hex.EncodeToString(marker), hex.EncodeToString(readyMarker))
 	pinned.CheckFile(t, "testdata/records.txt", []byte(lines.String()))
 }
 
@@ -47,7 +53,7 @@
 	})
 }
 
-func TestBallot_ReadsTheNumberOfFormerVersions(t *testing.T) {
+func TestProposalNumber_ReadsEarlierForms(t *testing.T) {
 	var proposal ProposalNumber
 	assert.NilError(t, json.Unmarshal([]byte(`12884901893`), &proposal))
 	assert.Equal(t, proposal, ProposalNumber{Round: 3, Incarnation: 5})
@@ -55,22 +61,60 @@
 	assert.Equal(t, proposal, ProposalNumber{Round: 3, Incarnation: 255, Proposer: "10.0.0.1:7000"})
 }
 
-func TestSlot_KeysAndWordsStayTheSame(t *testing.T) {
+func TestNames_StayTheSame(t *testing.T) {
 	pinned.CheckJSON(t, "testdata/words.json", map[string]any{
 		"operations": []Operation{
-			OperationPrepare, OperationAccept, OperationRenew, OperationRelease, OperationDigest, OperationFetch, OperationCatchUp,
+			OperationPrepare,
+			OperationAccept,
+			OperationRenew,
+			OperationRelease,
+			OperationDigest,
+			OperationFetch,
+			OperationCatchUp,
 		},
 		"refusals": []Rejection{
-			RejectedNotVoting, RejectedOlderMembership, RejectedPromised, RejectedLeaseActive, RejectedDiskLost, RejectedNoValue,
-			RejectedUnknownOperation, RejectedDiskError, RejectedDiskQueueFull, RejectedStateChanged, RejectedUnreachable,
+			RejectedNotVoting,
+			RejectedOlderMembership,
+			RejectedPromised,
+			RejectedLeaseActive,
+			RejectedDiskLost,
+			RejectedNoValue,
+			RejectedUnknownOperation,
+			RejectedDiskError,
+			RejectedDiskQueueFull,
+			RejectedStateChanged,
+			RejectedUnreachable,
 		},
 		"keys": []string{
-			LeasePrefix, MembershipKey, ConfigurationKey, ZonePrefix, RetentionKey, ForgetKey, DrillKey, reservedPrefix, localStateKey, localMembershipKey, diskIncarnationPrefix,
+			LeasePrefix,
+			MembershipKey,
+			ConfigurationKey,
+			ZonePrefix,
+			RetentionKey,
+			ForgetKey,
+			DrillKey,
+			reservedPrefix,
+			localStateKey,
+			localMembershipKey,
+			diskIncarnationPrefix,
 		},
 		"damage": []DamageReason{
-			DamageFileMissing, DamageFileBlank, DamageGenerationMissing, DamageMisplaced, DamageUndecodable, DamageGivenUp,
+			DamageFileMissing,
+			DamageFileBlank,
+			DamageGenerationMissing,
+			DamageMisplaced,
+			DamageUndecodable,
+			DamageGivenUp,
+		},
+		"file states": []SegmentState{
+			SegmentMissing,
+			SegmentBlank,
+			SegmentReady,
+			SegmentComplete,
+			SegmentTorn,
+			SegmentUnreadable,
+			SegmentDamaged,
 		},
-		"file states": []SegmentState{SegmentMissing, SegmentBlank, SegmentReady, SegmentComplete, SegmentTorn, SegmentUnreadable, SegmentDamaged},
-		"ring files":  SegmentCount,
+		"ring files": SegmentCount,
 	})
 }
--- a/internal/keystore/pinned_test.go
+++ b/internal/keystore/pinned_test.go
@@ -18,34 +18,38 @@
 )
 
 const (
-	pinnedAddress  = "10.0.0.1:7000"
-	pinnedRingSize = 4 << 10
-	pinnedFolder   = "testdata/member"
-	damagedFolder  = "testdata/damaged"
-	pinnedSlots    = "testdata/member_slots.json"
-	pinnedRevision = 30
+	pinnedAddress      = "10.0.0.1:7000"
+	pinnedSegmentBytes = 4 << 10
+	pinnedDirectory    = "testdata/member"
+	damagedDirectory   = "testdata/damaged"
+	pinnedRegisters    = "testdata/member_slots.json"
+	pinnedRevision     = 30
 )
 
-var pinnedMembers = Membership{Version: 1, Current: []string{pinnedAddress, "10.0.1.1:7000", "10.0.2.1:7000"}}
+var pinnedMembership = Membership{Version: 1, Current: []string{pinnedAddress, "10.0.1.1:7000", "10.0.2.1:7000"}}
 
-func pinnedBallot(round uint64) ProposalNumber {
+func pinnedProposal(round uint64) ProposalNumber {
 	return ProposalNumber{Round: round, Proposer: "10.0.1.1:7000", Incarnation: 0xfeedbeef}
 }
 
 // runMember opens the journal in a folder and runs a member on it until the test's part is done.
-func runMember(t *testing.T, path string, founding bool, use func(acceptor *Acceptor)) {
+func runMember(t *testing.T, path string, bootstrapping bool, use func(acceptor *Acceptor)) {
 	t.Helper()
 	log := openPinned(t, path)
-	if founding {
-		assert.NilError(t, log.Append(BootstrapRegisters(pinnedMembers, 11)))
+	if bootstrapping {
+		assert.NilError(t, log.Append(BootstrapRegisters(pinnedMembership, 11)))
 	}
-	rules := AcceptorConfig{LeaseDuration: testLeaseDuration, Clock: func() time.Time { return testNow }, Seeds: pinnedMembers.Current}
-	acceptor := NewAcceptor(pinnedAddress, log, rules, founding)
+	rules := AcceptorConfig{
+		LeaseDuration: testLeaseDuration,
+		Clock:         func() time.Time { return testNow },
+		Seeds:         pinnedMembership.Current,
+	}
+	acceptor := NewAcceptor(pinnedAddress, log, rules, bootstrapping)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		acceptor.Run(ctx, log)
+		acceptor.Run(ctx)
 	}()
 	use(acceptor)
 	cancel()
@@ -56,7 +60,7 @@
 	t.Helper()
 	directory, err := NewDirectory(path)
 	assert.NilError(t, err)
-	log, err := OpenWAL(directory, SegmentCount, pinnedRingSize)
+	log, err := OpenWAL(directory, SegmentCount, pinnedSegmentBytes)
 	assert.NilError(t, err)
 	return log
 }
@@ -64,7 +68,13 @@
 // put has the acceptor promise and accept a value.
 func put(t *testing.T, acceptor *Acceptor, key string, round uint64, value string) {
 	t.Helper()
-	message := Message{Operation: OperationPrepare, Sender: "10.0.1.1:7000", Key: key, Proposal: pinnedBallot(round), Membership: acceptor.Membership()}
+	message := Message{
+		Operation:  OperationPrepare,
+		Sender:     "10.0.1.1:7000",
+		Key:        key,
+		Proposal:   pinnedProposal(round),
+		Membership: acceptor.Membership(),
+	}
 	for _, operation := range []Operation{OperationPrepare, OperationAccept} {
 		message.Operation = operation
 		if operation == OperationAccept {
@@ -88,12 +98,19 @@
 		put(t, acceptor, ForgetKey, 4, `{"number":5,"items":[{"number":5,"scope":{"model":"m"},"edges":["edge-1"],"counted":true}]}`)
 		put(t, acceptor, DrillKey, 5, `{"number":1}`)
 		caughtUp, err := acceptor.Call(t.Context(), Message{
-			Operation: OperationCatchUp, Sender: "10.0.2.1:7000", DiskIncarnation: 22, Membership: pinnedMembers,
+			Operation:       OperationCatchUp,
+			Sender:          "10.0.2.1:7000",
+			DiskIncarnation: 22,
+			Membership:      pinnedMembership,
 		})
 		assert.NilError(t, err)
 		assert.Assert(t, caughtUp.Granted)
 		assert.NilError(t, acceptor.CompleteBootstrap(t.Context()))
-		joint := Membership{Version: 2, Current: pinnedMembers.Current, Next: []string{pinnedAddress, "10.0.1.1:7000", "10.0.3.1:7000"}}
+		joint := Membership{
+			Version: 2,
+			Current: pinnedMembership.Current,
+			Next:    []string{pinnedAddress, "10.0.1.1:7000", "10.0.3.1:7000"},
+		}
 		assert.NilError(t, acceptor.AdoptMembership(t.Context(), joint))
 		put(t, acceptor, MembershipKey, 6, `{"number":3,"present":["10.0.0.1:7000","10.0.1.1:7000","10.0.3.1:7000"]}`)
 		for revision := uint64(1); revision <= pinnedRevision; revision++ {
@@ -106,7 +123,7 @@
 // writeDamaged writes a data folder whose ring lost a file, and was given up at the next start.
 func writeDamaged(t *testing.T, path string) {
 	t.Helper()
-	assert.NilError(t, openPinned(t, path).Append(BootstrapRegisters(pinnedMembers, 11)))
+	assert.NilError(t, openPinned(t, path).Append(BootstrapRegisters(pinnedMembership, 11)))
 	assert.NilError(t, openPinned(t, path).Append([]Register{{Key: ConfigurationKey, Sequence: 1}}))
 	assert.NilError(t, os.Remove(filepath.Join(path, "ring-1")))
 	assert.Equal(t, openPinned(t, path).Damage().Reason, DamageFileMissing)
@@ -154,47 +171,61 @@
 	return result[:used]
 }
 
-func TestOpenJournal_ReadsADataFolderOfAnEarlierVersion(t *testing.T) {
-	makeFixture(t, pinnedFolder, writePinned)
+func TestOpenWAL_ReadsDataDirectoryOfEarlierVersion(t *testing.T) {
+	makeFixture(t, pinnedDirectory, writePinned)
 	t.Run("its state", func(t *testing.T) {
-		log := openPinned(t, copyOf(t, pinnedFolder))
+		log := openPinned(t, copyOf(t, pinnedDirectory))
 		assert.Assert(t, log.Damage() == nil)
 		assert.Assert(t, log.Generation() > SegmentCount, "the fixture must have written over each file")
-		pinned.CheckJSON(t, pinnedSlots, log.State())
+		pinned.CheckJSON(t, pinnedRegisters, log.State())
 	})
 	t.Run("its inspection", func(t *testing.T) {
-		inspection, err := Inspect(pinnedFolder)
+		inspection, err := Inspect(pinnedDirectory)
 		assert.NilError(t, err)
 		pinned.CheckJSON(t, "testdata/member_inspection.json", inspection)
 	})
 	t.Run("a damaged ring", func(t *testing.T) {
-		makeFixture(t, damagedFolder, writeDamaged)
-		inspection, err := Inspect(damagedFolder)
+		makeFixture(t, damagedDirectory, writeDamaged)
+		inspection, err := Inspect(damagedDirectory)
 		assert.NilError(t, err)
 		pinned.CheckJSON(t, "testdata/damaged_inspection.json", inspection)
-		assert.Equal(t, openPinned(t, copyOf(t, damagedFolder)).Damage().Reason, DamageGivenUp)
+		assert.Equal(t, openPinned(t, copyOf(t, damagedDirectory)).Damage().Reason, DamageGivenUp)
 	})
 }
 
-func TestAcceptor_GoesOnFromADataFolderOfAnEarlierVersion(t *testing.T) {
-	makeFixture(t, pinnedFolder, writePinned)
-	path := copyOf(t, pinnedFolder)
+func TestAcceptor_ContinuesFromDataDirectoryOfEarlierVersion(t *testing.T) {
+	makeFixture(t, pinnedDirectory, writePinned)
+	path := copyOf(t, pinnedDirectory)
 	before := openPinned(t, path).State()
 	generation := openPinned(t, path).Generation()
 	runMember(t, path, false, func(acceptor *Acceptor) {
-		assert.DeepEqual(t, acceptor.LocalState(), LocalState{DiskIncarnation: 11, Voting: true, MembershipVersion: 1, BootstrapCompleted: true})
+		assert.DeepEqual(t, acceptor.LocalState(), LocalState{
+			DiskIncarnation:    11,
+			Voting:             true,
+			MembershipVersion:  1,
+			BootstrapCompleted: true,
+		})
 		assert.Equal(t, acceptor.Membership().Version, uint64(2))
-		late := Message{Operation: OperationPrepare, Key: ConfigurationKey, Proposal: pinnedBallot(10 + pinnedRevision), Membership: acceptor.Membership()}
-		refused, err := acceptor.Call(t.Context(), late)
+		late := Message{
+			Operation:  OperationPrepare,
+			Key:        ConfigurationKey,
+			Proposal:   pinnedProposal(10 + pinnedRevision),
+			Membership: acceptor.Membership(),
+		}
+		rejected, err := acceptor.Call(t.Context(), late)
 		assert.NilError(t, err)
-		assert.Equal(t, refused.Rejection, RejectedPromised)
+		assert.Equal(t, rejected.Rejection, RejectedPromised)
 		wiped := Message{
-			Operation: OperationAccept, Key: ConfigurationKey, Proposal: pinnedBallot(99), Sequence: 1, Membership: acceptor.Membership(),
+			Operation:        OperationAccept,
+			Key:              ConfigurationKey,
+			Proposal:         pinnedProposal(99),
+			Sequence:         1,
+			Membership:       acceptor.Membership(),
 			DiskIncarnations: map[string]uint64{"10.0.2.1:7000": 21},
 		}
-		refused, err = acceptor.Call(t.Context(), wiped)
+		rejected, err = acceptor.Call(t.Context(), wiped)
 		assert.NilError(t, err)
-		assert.Equal(t, refused.Rejection, RejectedDiskLost)
+		assert.Equal(t, rejected.Rejection, RejectedDiskLost)
 		put(t, acceptor, ConfigurationKey, 100, `{"revision":31}`)
 		put(t, acceptor, ZonePrefix+"south", 101, `{"number":1,"drained":false}`)
 	})
@@ -203,15 +234,18 @@
 	assert.Assert(t, again.Generation() > generation)
 	after := again.State()
 	assert.Equal(t, string(after[ConfigurationKey].Value), `{"revision":31}`)
-	assert.Equal(t, after[ZonePrefix+"south"].AcceptedProposal, pinnedBallot(101))
+	assert.Equal(t, after[ZonePrefix+"south"].Accepted, pinnedProposal(101))
 	before[ConfigurationKey], before[ZonePrefix+"south"] = after[ConfigurationKey], after[ZonePrefix+"south"]
 	assert.DeepEqual(t, after, before)
 }
 
-func TestJournal_WritesTheSameBytesAsTheEarlierVersion(t *testing.T) {
-	makeFixture(t, pinnedFolder, writePinned)
-	makeFixture(t, damagedFolder, writeDamaged)
-	for fixture, write := range map[string]func(t *testing.T, path string){pinnedFolder: writePinned, damagedFolder: writeDamaged} {
+func TestWAL_WritesSameBytesAsEarlierVersion(t *testing.T) {
+	makeFixture(t, pinnedDirectory, writePinned)
+	makeFixture(t, damagedDirectory, writeDamaged)
+	for fixture, write := range map[string]func(t *testing.T, path string){
+		pinnedDirectory:  writePinned,
+		damagedDirectory: writeDamaged,
+	} {
 		t.Run(fixture, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "fresh")
 			write(t, path)
--- a/internal/keystore/ballot_test.go
+++ b/internal/keystore/proposal_number_test.go
@@ -10,7 +10,11 @@
 
 func TestProposalNumber_OrderedByRoundProposerIncarnation(t *testing.T) {
 	ordered := []ProposalNumber{
-		{}, {Round: 1, Proposer: "a", Incarnation: 1}, {Round: 1, Proposer: "a", Incarnation: 2}, {Round: 1, Proposer: "b", Incarnation: 1}, {Round: 2, Proposer: "a", Incarnation: 1},
+		{},
+		{Round: 1, Proposer: "a", Incarnation: 1},
+		{Round: 1, Proposer: "a", Incarnation: 2},
+		{Round: 1, Proposer: "b", Incarnation: 1},
+		{Round: 2, Proposer: "a", Incarnation: 1},
 	}
 	assert.Assert(t, slices.IsSortedFunc(ordered, ProposalNumber.Compare))
 	for position := range ordered[1:] {
@@ -20,7 +24,11 @@
 }
 
 func TestProposalNumber_JSONRoundTrip(t *testing.T) {
-	for _, proposal := range []ProposalNumber{{}, {Round: 7, Proposer: "10.0.0.1:7000", Incarnation: 1 << 63}, {Round: 1, Proposer: "a.b", Incarnation: 10}} {
+	for _, proposal := range []ProposalNumber{
+		{},
+		{Round: 7, Proposer: "10.0.0.1:7000", Incarnation: 1 << 63},
+		{Round: 1, Proposer: "a.b", Incarnation: 10},
+	} {
 		content, err := json.Marshal(proposal)
 		assert.NilError(t, err)
 		var read ProposalNumber
--- a/internal/keystore/change.go
+++ b/internal/keystore/proposer.go
@@ -7,12 +7,21 @@
 	"time"
 )
 
-// Decide says what follows the current value: the next one, or an error that refuses the
-// change. It may be asked several times, each time on a value that a majority holds.
+const (
+	// initialBackoff and maxBackoff bound the pauses between attempts to own a key.
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 320 * time.Millisecond
+)
+
+// Decide says what follows the current value: the next one, or an error that rejects the change. It may be called several
+// times, each time on a value that a majority holds.
 type Decide func(current Register) (json.RawMessage, error)
 
-// Change writes a key. The slot returned is the one written, or with a refusal of decide the
-// committed one that it refused on. ErrUncertain says that the write may take effect.
+// Change writes a key. The register returned is the one written, or with an error of decide the committed one that it was
+// decided on. ErrUncertain says that the write may take effect.
+//
+// An error of decide is returned only once a majority has confirmed the value that it was decided on: a rejection must
+// never be caused by a value that is out of date.
 func (s *Store) Change(ctx context.Context, name string, decide Decide) (Register, error) {
 	key := s.keyState(name)
 	if err := key.lock(ctx); err != nil {
@@ -20,9 +29,10 @@
 	}
 	defer key.unlock()
 	if !key.owned || !key.IsCertain() {
-		if register, known := s.readCommitted(ctx, name); known {
-			if _, rejected := decide(register); rejected != nil {
-				return register, rejected
+		// A change that is to be rejected need not take the key from its owner.
+		if committed, known := s.readCommitted(ctx, name); known {
+			if _, rejected := decide(committed); rejected != nil {
+				return committed, rejected
 			}
 		}
 		if err := s.becomeOwnerWithRetry(ctx, key); err != nil {
@@ -31,7 +41,7 @@
 	}
 	value, rejected := decide(key.register)
 	if rejected != nil {
-		if s.confirm(ctx, key) == nil {
+		if s.confirmWith(ctx, key, OperationRenew) == nil {
 			return key.register, rejected
 		}
 		if err := s.becomeOwnerWithRetry(ctx, key); err != nil {
@@ -44,8 +54,8 @@
 	return s.writeValue(ctx, key, value, decide)
 }
 
-// write commits a value. After an uncertain outcome the key is taken anew: what is committed
-// then tells whether the write took effect.
+// writeValue commits a value. After an uncertain outcome it becomes the owner anew: what is committed then tells whether
+// the write took effect.
 func (s *Store) writeValue(ctx context.Context, key *keyState, value json.RawMessage, decide Decide) (Register, error) {
 	for {
 		next := key.NextProposal(value)
@@ -68,8 +78,10 @@
 	}
 }
 
-// Seize takes a lease's key once, without trying again, and writes what decide says.
-func (s *Store) Acquire(ctx context.Context, name string, decide func(current Register) json.RawMessage) (Register, error) {
+// Acquire becomes the owner of a lease's key, by one attempt, and writes what decide says.
+func (s *Store) Acquire(
+	ctx context.Context, name string, decide func(current Register) json.RawMessage,
+) (Register, error) {
 	key := s.keyState(name)
 	if err := key.lock(ctx); err != nil {
 		return Register{}, err
@@ -86,12 +98,12 @@
 	return next, nil
 }
 
-// Rewrite writes a lease's key once more under the ownership that Seize brought, without taking it
-// anew: decide returns the next value for the last one that this owner knows to be in force, or
-// refuses. After ErrUncertain the key is still owned, and a later Rewrite supersedes the proposal;
-// until then a successor may find either value. After ErrContended no write can succeed under this
-// ownership any more, though Renew may: another daemon took the key, or a member whose promise is
-// counted has lost its disk.
+// Update writes a lease's key once more under the ownership that Acquire brought, without becoming the owner anew: decide
+// returns the next value for the last one that this owner knows to be in force, or rejects.
+//
+// After ErrUncertain the key is still owned, and a later Update supersedes the proposal; until then a successor may find
+// either value. After ErrContended no write can succeed under this ownership any more, though Renew may: another process
+// owns the key, or a member whose promise is counted has lost its disk.
 func (s *Store) Update(ctx context.Context, name string, decide Decide) error {
 	key := s.keyState(name)
 	if err := key.lock(ctx); err != nil {
@@ -113,14 +125,14 @@
 		return nil
 	}
 	key.Ownership = key.WithUncertain(next)
-	return key.addAcceptingMembers(result)
+	return key.addAcceptingMembers(&result.replySet)
 }
 
-// addAcceptingMembers counts the members that accepted a proposal from now on, also those that never
-// promised: to accept a ballot is to promise it. It returns what is known of the proposal's fate.
-func (k *keyState) addAcceptingMembers(result *round) error {
+// addAcceptingMembers counts the members that accepted a proposal from now on, also those that never promised: to accept
+// a proposal is to promise its number. It returns what is known of the proposal's outcome.
+func (k *keyState) addAcceptingMembers(accepted *replySet) error {
 	outcome := ErrUncertain
-	for address, reply := range result.replies {
+	for address, reply := range accepted.replies {
 		switch {
 		case reply.Rejection == RejectedDiskLost || reply.Rejection == RejectedPromised:
 			outcome = ErrContended
@@ -131,7 +143,7 @@
 	return outcome
 }
 
-// Renew confirms at a majority that the key is still owned, which prolongs a lease.
+// Renew confirms at a majority that the key is still owned, which extends a lease.
 func (s *Store) Renew(ctx context.Context, name string) error {
 	return s.callAsOwner(ctx, name, OperationRenew)
 }
@@ -150,10 +162,7 @@
 	return s.confirmWith(ctx, key, operation)
 }
 
-func (s *Store) confirm(ctx context.Context, key *keyState) error {
-	return s.confirmWith(ctx, key, OperationRenew)
-}
-
+// confirmWith has a majority confirm that the key is still owned.
 func (s *Store) confirmWith(ctx context.Context, key *keyState, operation Operation) error {
 	if !key.owned {
 		return ErrContended
@@ -165,15 +174,17 @@
 	return nil
 }
 
-// take makes one attempt to own the key.
+// becomeOwner makes one attempt to own the key: it prepares at a quorum, and commits the value that it adopts.
 func (s *Store) becomeOwner(ctx context.Context, key *keyState) error {
 	key.owned = false
 	proposal := s.nextProposalNumber()
-	promised, agreed := s.queryQuorumWith(ctx, PrepareMessage(key.name, proposal), func(r *round) voteFunc { return r.countsPromise })
+	countsPromise := func(replies *replySet) VoteFunc { return replies.countsPromise }
+	prepared, agreed := s.queryQuorumWith(ctx, PrepareMessage(key.name, proposal), countsPromise)
 	if !agreed {
-		return promised.prepareError()
+		return prepared.prepareError()
 	}
-	key.Ownership, key.latePromises = NewOwnership(key.name, proposal, promised.replies), promised.lateReplies
+	key.Ownership = NewOwnership(key.name, proposal, prepared.replies)
+	key.latePromises = prepared.lateReplies
 	if key.NeedsRecommit() {
 		if err := s.commit(ctx, key, key.register); err != nil {
 			return err
@@ -183,57 +194,45 @@
 	return nil
 }
 
-// addLatePromises counts the promises that came in after a quorum was reached, so that a write
-// does not hang on the members that were quickest when the key was taken.
-func (k *keyState) addLatePromises() {
+// becomeOwnerWithRetry makes attempts, with a jittered backoff between them, for as long as the context lasts.
+func (s *Store) becomeOwnerWithRetry(ctx context.Context, key *keyState) error {
+	backoff := initialBackoff
 	for {
-		select {
-		case late := <-k.latePromises:
-			k.Ownership = k.WithPromise(late.address, late.reply)
-		default:
-			return
+		err := s.becomeOwner(ctx, key)
+		if err == nil || ctx.Err() != nil {
+			return err
 		}
-	}
-}
-
-func (r *round) prepareError() error {
-	for _, reply := range r.replies {
-		if !reply.Granted && reply.Rejection.isContended() {
-			return ErrContended
+		timer := time.NewTimer(backoff/2 + s.jitter(backoff))
+		select {
+		case <-timer.C:
+		case <-ctx.Done():
+			timer.Stop()
+			return err
 		}
+		backoff = min(2*backoff, maxBackoff)
 	}
-	return ErrNoMajority
 }
 
-func (s *Store) commit(ctx context.Context, key *keyState, register Register) error {
+// commit has a quorum accept a proposal. After an error the key counts as owned no more, since the proposal may or may not
+// be in force.
+func (s *Store) commit(ctx context.Context, key *keyState, proposal Register) error {
 	key.addLatePromises()
-	if _, agreed := s.queryQuorum(ctx, key.AcceptMessage(register), key.CountsAcceptance); agreed {
+	if _, agreed := s.queryQuorum(ctx, key.AcceptMessage(proposal), key.CountsAcceptance); agreed {
 		return nil
 	}
 	key.owned = false
 	return ErrUncertain
 }
 
-const (
-	initialBackoff = 20 * time.Millisecond
-	maxBackoff     = 320 * time.Millisecond
-)
-
-// becomeOwnerWithRetry tries to own the key, at drawn intervals, for as long as the context lasts.
-func (s *Store) becomeOwnerWithRetry(ctx context.Context, key *keyState) error {
-	backoff := initialBackoff
+// addLatePromises counts the promises that came in after a quorum was reached, so that a write does not depend on the
+// members that happened to be the quickest.
+func (k *keyState) addLatePromises() {
 	for {
-		err := s.becomeOwner(ctx, key)
-		if err == nil || ctx.Err() != nil {
-			return err
-		}
-		timer := time.NewTimer(backoff/2 + s.jitter(backoff))
 		select {
-		case <-timer.C:
-		case <-ctx.Done():
-			timer.Stop()
-			return err
+		case late := <-k.latePromises:
+			k.Ownership = k.WithPromise(late.address, late.reply)
+		default:
+			return
 		}
-		backoff = min(2*backoff, maxBackoff)
 	}
 }
--- /dev/null
+++ b/internal/keystore/quorum.go
@@ -0,0 +1,47 @@
+package keystore
+
+import "slices"
+
+// HasQuorum says whether those that agreed are a majority of the current list and, during a change, of the next one too.
+// Any two quorums of one membership share a member. Everything else rests on that: a proposer that prepares with a quorum
+// hears from at least one member of every quorum that accepted before.
+func (m Membership) HasQuorum(agreed map[string]bool) bool {
+	return isMajority(m.Current, agreed) && (!m.IsJoint() || isMajority(m.Next, agreed))
+}
+
+// CoversLostVotes says whether a member without a vote has read enough of the others to vote again: so many of each list
+// that it is in that among them is a member of every majority that could have been formed with its lost vote. If it voted
+// after reading fewer, a value that was accepted by it and by others that it did not read would be forgotten.
+//
+// A member that is only to become one has read a majority of the current members: they hold all that was chosen before
+// the change began. It has no vote to lose in the next list, unless an earlier disk incarnation of it may have caught up
+// already.
+func (m Membership) CoversLostVotes(self string, read map[string]bool, hasEarlierIncarnation bool) bool {
+	if !m.IsCurrent(self) {
+		return isMajority(m.Current, read) && (!hasEarlierIncarnation || coversMajorities(m.Next, self, read))
+	}
+	return coversMajorities(m.Current, self, read) &&
+		(!slices.Contains(m.Next, self) || coversMajorities(m.Next, self, read))
+}
+
+func isMajority(group []string, agreed map[string]bool) bool {
+	return len(group) > 0 && countMarked(group, "", agreed) >= majoritySize(group)
+}
+
+func majoritySize(group []string) int { return len(group)/2 + 1 }
+
+// coversMajorities says whether the members read, self left out, share a member with every majority of the group.
+func coversMajorities(group []string, self string, read map[string]bool) bool {
+	needed := len(group) - majoritySize(group) + 1
+	return countMarked(group, self, read) >= needed
+}
+
+func countMarked(group []string, except string, marked map[string]bool) int {
+	total := 0
+	for _, member := range group {
+		if member != except && marked[member] {
+			total++
+		}
+	}
+	return total
+}
--- a/internal/keystore/replay_test.go
+++ b/internal/keystore/replay_test.go
@@ -16,7 +16,10 @@
 		var histories [2]string
 		for turn := range histories {
 			synctest.Test(t, func(t *testing.T) {
-				reports, err := schedule{seed: uint64(seed), faults: []keystoresim.Fault{keystoresim.RestartFaults, keystoresim.LinkFaults, keystoresim.DiskFaults}}.run()
+				reports, err := schedule{
+					seed:   uint64(seed),
+					faults: []keystoresim.Fault{keystoresim.RestartFaults, keystoresim.LinkFaults, keystoresim.DiskFaults},
+				}.run()
 				assert.NilError(t, err)
 				histories[turn] = reports[keystore.ConfigurationKey].print()
 			})
--- a/internal/keystore/store.go
+++ b/internal/keystore/store.go
@@ -10,59 +10,61 @@
 	"github.com/pkg/errors"
 )
 
-// Transport carries a message to a member and brings its reply back. A message may arrive
-// twice or late; no step minds.
-type Transport interface {
-	Send(ctx context.Context, address string, message Message) (Reply, error)
-}
+// Errors of a Store. A caller may try again after each.
+var (
+	// ErrNoMajority says that nothing was decided: too few members replied.
+	ErrNoMajority = errors.New("no majority of members reached")
+	// ErrContended says that nothing was decided: another process owns the key.
+	ErrContended = errors.New("another daemon holds the key")
+	// ErrUncertain says that a write may or may not have taken effect.
+	ErrUncertain = errors.New("outcome of the write not known")
+)
 
-// Store changes and reads keys on behalf of one daemon. Any goroutine may call its methods;
-// calls on one key follow each other.
+// Store reads and changes keys on behalf of one process: it is a proposer for each key that it writes. Any goroutine may
+// call its methods; calls on one key follow each other.
 type Store struct {
 	self        string
 	incarnation uint64
 	transport   Transport
 	membership  atomic.Pointer[Membership]
-	round       atomic.Uint64
-	lock        sync.Mutex
-	random      *rand.Rand
-	keys        map[string]*keyState
+	// round is the highest of any proposal number that this store has used or seen.
+	round  atomic.Uint64
+	lock   sync.Mutex
+	random *rand.Rand
+	keys   map[string]*keyState
 }
 
-// keyState is what the store remembers of one key: whether it owns it, and as what.
+// keyState is what the store remembers of one key.
 type keyState struct {
-	name      string
+	name string
+	// semaphore has room for one: whoever has put its token there may use the fields below.
 	semaphore chan struct{}
-	owned     bool
+	// owned says that the Ownership is believed to stand. Another proposer may have ended it meanwhile: every use of it
+	// asks a majority.
+	owned bool
 	Ownership
 	latePromises <-chan memberReply
 }
 
-// Errors of Store. A caller may try again after each.
-var (
-	// ErrNoMajority says that nothing was decided: too few members answered.
-	ErrNoMajority = errors.New("no majority of members reached")
-	// ErrContended says that nothing was decided: another daemon owns the key.
-	ErrContended = errors.New("another daemon holds the key")
-	// ErrUncertain says that a write may or may not have taken effect.
-	ErrUncertain = errors.New("outcome of the write not known")
-)
-
-// NewStore makes the proposer of the daemon at address self. life must differ from that of
-// every other life of this daemon: 64 bits from the system's source of randomness do, but for
-// one chance in 2^64 a pair of lives. members is the newest list known.
+// NewStore makes the proposer of the process at address self. incarnation must differ from that of every other process at
+// that address: 64 bits from the system's source of randomness do, but for one chance in 2^64 for each pair of them.
+// membership is the newest that is known.
 func NewStore(self string, incarnation uint64, transport Transport, membership Membership) *Store {
 	store := &Store{
-		self: self, incarnation: incarnation, transport: transport, random: rand.New(rand.NewPCG(incarnation, 0)), keys: map[string]*keyState{},
+		self:        self,
+		incarnation: incarnation,
+		transport:   transport,
+		random:      rand.New(rand.NewPCG(incarnation, 0)),
+		keys:        map[string]*keyState{},
 	}
 	store.membership.Store(&membership)
 	return store
 }
 
-// Membership is the newest list that the store knows.
+// Membership is the newest that the store knows.
 func (s *Store) Membership() Membership { return *s.membership.Load() }
 
-// Adopt takes over a newer list and says whether it was newer.
+// AdoptMembership takes over a newer membership and says whether it was newer.
 func (s *Store) AdoptMembership(membership Membership) bool {
 	for {
 		current := s.membership.Load()
@@ -79,11 +81,16 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.keys[name] == nil {
-		s.keys[name] = &keyState{name: name, semaphore: make(chan struct{}, 1), Ownership: Ownership{register: Register{Key: name}}}
+		s.keys[name] = &keyState{
+			name:      name,
+			semaphore: make(chan struct{}, 1),
+			Ownership: Ownership{register: Register{Key: name}},
+		}
 	}
 	return s.keys[name]
 }
 
+// lock waits for other calls on the key, and returns ErrNoMajority if the context ends before they do.
 func (k *keyState) lock(ctx context.Context) error {
 	select {
 	case k.semaphore <- struct{}{}:
@@ -95,11 +102,12 @@
 
 func (k *keyState) unlock() { <-k.semaphore }
 
-// nextProposalNumber is above every ballot that this store has seen, and is given to no other attempt.
+// nextProposalNumber is above every proposal number that this store has seen, and is given to no other attempt.
 func (s *Store) nextProposalNumber() ProposalNumber {
 	return ProposalNumber{Round: s.round.Add(1), Proposer: s.self, Incarnation: s.incarnation}
 }
 
+// observeProposalNumber raises the round to one that a member has told of.
 func (s *Store) observeProposalNumber(proposal ProposalNumber) {
 	for {
 		seen := s.round.Load()
@@ -109,6 +117,7 @@
 	}
 }
 
+// jitter draws a duration below the limit.
 func (s *Store) jitter(limit time.Duration) time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/keystore/journal_bench_test.go
+++ b/internal/keystore/wal_bench_test.go
@@ -41,7 +41,12 @@
 			sequence := uint64(0)
 			for b.Loop() {
 				sequence++
-				assert.NilError(b, log.Append([]Register{{Key: ConfigurationKey, AcceptedProposal: ProposalNumber{Round: 1, Incarnation: 1}, Sequence: sequence, Value: value}}))
+				assert.NilError(b, log.Append([]Register{{
+					Key:      ConfigurationKey,
+					Accepted: ProposalNumber{Round: 1, Incarnation: 1},
+					Sequence: sequence,
+					Value:    value,
+				}}))
 			}
 			b.ReportMetric(float64(directory.bytes)/float64(b.N), "bytes/message")
 			b.ReportMetric(float64(directory.syncs)/float64(b.N), "syncs/op")
--- a/internal/keystore/disk_test.go
+++ b/internal/keystore/wal_faults_test.go
@@ -49,8 +49,12 @@
 
 func newDiskRun(seed uint64, wrap wrapFunc) *diskRun {
 	return &diskRun{
-		disk: keystoresim.NewDisk(), random: rand.New(rand.NewPCG(seed, 41)), wrap: wrap, variant: func(*keystoresim.Handle) {},
-		acked: map[string]uint64{}, removed: map[string]bool{},
+		disk:    keystoresim.NewDisk(),
+		random:  rand.New(rand.NewPCG(seed, 41)),
+		wrap:    wrap,
+		variant: func(*keystoresim.Handle) {},
+		acked:   map[string]uint64{},
+		removed: map[string]bool{},
 	}
 }
 
@@ -138,7 +142,11 @@
 	for range 1 + r.random.IntN(3) {
 		r.sequence++
 		value, _ := json.Marshal(strings.Repeat("v", r.random.IntN(maxValueBytes)))
-		registers = append(registers, keystore.Register{Key: diskKeys[r.random.IntN(len(diskKeys))], Sequence: r.sequence, Value: value})
+		registers = append(registers, keystore.Register{
+			Key:      diskKeys[r.random.IntN(len(diskKeys))],
+			Sequence: r.sequence,
+			Value:    value,
+		})
 	}
 	before := r.journal.State()
 	r.triedAppend = true
--- a/internal/keystore/ring_test.go
+++ b/internal/keystore/wal_test.go
@@ -29,7 +29,10 @@
 func writeGenerations(t *testing.T, generations int) string {
 	path := filepath.Join(t.TempDir(), "member")
 	for generation := range generations {
-		assert.NilError(t, openWALAt(t, path, testSegmentBytes).Append([]keystore.Register{{Key: "old", Sequence: uint64(generation + 1)}}))
+		assert.NilError(t, openWALAt(t, path, testSegmentBytes).Append([]keystore.Register{{
+			Key:      "old",
+			Sequence: uint64(generation + 1),
+		}}))
 	}
 	return path
 }
@@ -87,7 +90,11 @@
 				acknowledged := uint64(0)
 				log, err := keystore.OpenWAL(dyingDirectory(handle, random, step), keystore.SegmentCount, smallSegment)
 				for sequence := uint64(1); err == nil && sequence < steps; sequence++ {
-					if err = log.Append([]keystore.Register{{Key: "a", Sequence: sequence, Value: []byte(`"` + fmt.Sprintf("%0400d", sequence) + `"`)}}); err == nil {
+					if err = log.Append([]keystore.Register{{
+						Key:      "a",
+						Sequence: sequence,
+						Value:    []byte(`"` + fmt.Sprintf("%0400d", sequence) + `"`),
+					}}); err == nil {
 						acknowledged = sequence
 					}
 				}
--- a/internal/keystore/zones_test.go
+++ b/internal/keystore/zones_test.go
@@ -13,8 +13,12 @@
 
 func TestStore_FiveMembersKeepAcknowledgedWritesUnderCombinedFaults(t *testing.T) {
 	mixes := [][]keystoresim.Fault{
-		{keystoresim.RestartFaults}, {keystoresim.LinkFaults}, {keystoresim.DiskFaults},
-		{keystoresim.RestartFaults, keystoresim.LinkFaults}, {keystoresim.LinkFaults, keystoresim.DiskFaults}, {keystoresim.RestartFaults, keystoresim.LinkFaults, keystoresim.DiskFaults},
+		{keystoresim.RestartFaults},
+		{keystoresim.LinkFaults},
+		{keystoresim.DiskFaults},
+		{keystoresim.RestartFaults, keystoresim.LinkFaults},
+		{keystoresim.LinkFaults, keystoresim.DiskFaults},
+		{keystoresim.RestartFaults, keystoresim.LinkFaults, keystoresim.DiskFaults},
 	}
 	from, to := keystoresim.SeedRange(120)
 	for seed := from; seed < to; seed++ {
@@ -32,7 +36,11 @@
 	from, to := keystoresim.SeedRange(30)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			reports, err := schedule{seed: uint64(seed), retransmits: true, faults: []keystoresim.Fault{keystoresim.ConnectedMajorityFaults}}.run()
+			reports, err := schedule{
+				seed:        uint64(seed),
+				retransmits: true,
+				faults:      []keystoresim.Fault{keystoresim.ConnectedMajorityFaults},
+			}.run()
 			assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
 			for _, report := range reports {
 				latencies = append(latencies, report.latencies...)
@@ -54,7 +62,11 @@
 	from, to := keystoresim.SeedRange(60)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			_, err := schedule{seed: uint64(seed), replacesMembers: true, faults: []keystoresim.Fault{keystoresim.LinkFaults}}.run()
+			_, err := schedule{
+				seed:            uint64(seed),
+				replacesMembers: true,
+				faults:          []keystoresim.Fault{keystoresim.LinkFaults},
+			}.run()
 			assert.NilError(t, err, "FERRYSPAR_SEED=%d replays this schedule", seed)
 		})
 	}
@@ -71,7 +83,14 @@
 			caught := 0
 			for seed := 1; seed < 60 && caught == 0; seed++ {
 				synctest.Test(t, func(t *testing.T) {
-					reports, err := schedule{seed: uint64(seed), breakCluster: spoil, faults: []keystoresim.Fault{keystoresim.OneOf(keystoresim.WipeTwoDisks, keystoresim.LoseZone), keystoresim.LinkFaults}}.run()
+					reports, err := schedule{
+						seed:         uint64(seed),
+						breakCluster: spoil,
+						faults: []keystoresim.Fault{
+							keystoresim.OneOf(keystoresim.WipeTwoDisks, keystoresim.LoseZone),
+							keystoresim.LinkFaults,
+						},
+					}.run()
 					if reports != nil && err != nil {
 						caught = seed
 						t.Log(seed, err)
