--- a/internal/test/keystoresim/clock.go
+++ b/internal/test/keystoresim/clock.go
@@ -8,6 +8,8 @@
 	"ferryspar/internal/keystore"
 )
 
+// timeLayout is the memory layout of a time.Time. The package time offers no way to move the wall clock reading of a time
+// without its monotonic one, as happens to a machine whose clock is set.
 type timeLayout struct {
 	wall     uint64
 	ext      int64
@@ -15,14 +17,17 @@
 }
 
 const (
-	monotonicBit      = uint64(1) << 63
-	secondsShift      = 30
+	// monotonicBit says that ext holds a monotonic reading and wall holds seconds and nanoseconds.
+	monotonicBit = uint64(1) << 63
+	secondsShift = 30
+	// unixToWallSeconds leads from seconds since 1970 to those since 1885, from which wall counts.
 	unixToWallSeconds = 2682288000
 )
 
+// monotonicOrigin is where the fake time of testing/synctest begins.
 var monotonicOrigin = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// OffsetWallClock is a time whose day is moved by the step and whose steady reading is not.
+// OffsetWallClock returns a time whose wall clock reading is moved by the offset and whose monotonic reading is not.
 func OffsetWallClock(now time.Time, offset time.Duration) time.Time {
 	wall := now.Add(offset)
 	result := time.Time{}
@@ -37,18 +42,18 @@
 	return func() time.Time {
 		c.lock.Lock()
 		defer c.lock.Unlock()
-		made := OffsetWallClock(time.Now(), c.clockOffsets[name])
+		now := OffsetWallClock(time.Now(), c.clockOffsets[name])
 		if c.UsesWallClock {
-			return made.Round(0)
+			return now.Round(0)
 		}
-		return made
+		return now
 	}
 }
 
-// StepWallClock moves a machine's time of day by up to an hour either way.
-func StepWallClock(f *Cluster, name string, random *rand.Rand, duration time.Duration) {
-	f.lock.Lock()
-	f.clockOffsets[name] += time.Duration(random.Int64N(int64(2*time.Hour))) - time.Hour
-	f.lock.Unlock()
+// StepWallClock is a Fault that moves a machine's wall clock by up to an hour either way.
+func StepWallClock(cluster *Cluster, name string, random *rand.Rand, duration time.Duration) {
+	cluster.lock.Lock()
+	cluster.clockOffsets[name] += time.Duration(random.Int64N(int64(2*time.Hour))) - time.Hour
+	cluster.lock.Unlock()
 	time.Sleep(duration)
 }
--- a/internal/test/keystoresim/disk.go
+++ b/internal/test/keystoresim/disk.go
@@ -7,28 +7,29 @@
 	"time"
 
 	"github.com/pkg/errors"
-
-	"ferryspar/internal/keystore"
 )
 
-// Disk is a simulated disk with one folder. It outlives the processes that use it. Each write that isn't synced may
-// be lost or torn by a loss of power, and each name that was made without a sync of the folder may be lost by itself,
+// Disk is a simulated disk with one directory. It outlives the processes that use it. Each write that isn't synced may
+// be lost or torn by a loss of power, and each name that was made without a sync of the directory may be lost by itself,
 // with whatever the file holds.
 type Disk struct {
-	lock          sync.Mutex
-	synced        map[string][]byte
-	unsynced      map[string][]unsyncedWrite
-	names         map[string]nameState
+	lock     sync.Mutex
+	synced   map[string][]byte
+	unsynced map[string][]unsyncedWrite
+	names    map[string]nameState
+	// stallDuration is added to the time of each operation.
 	stallDuration time.Duration
-	rejecting     int
+	// rejecting counts the faults that have the disk reject writes at present.
+	rejecting int
 }
 
-// nameState tells whether a name was made only, or the folder was synced since.
-type nameState bool
+// nameState tells whether a name is on the disk.
+type nameState int
 
 const (
-	nameCreated nameState = false
-	nameSynced  nameState = true
+	// nameCreated: the directory was not synced since the name was made.
+	nameCreated nameState = iota
+	nameSynced
 )
 
 type unsyncedWrite struct {
@@ -36,6 +37,12 @@
 	content []byte
 }
 
+// Errors of a Handle.
+var (
+	errRejected = errors.New("disk rejects writes")
+	errKilled   = errors.New("process was killed")
+)
+
 // operationTime is how long a write or a sync takes.
 const operationTime = 5 * time.Millisecond
 
@@ -44,33 +51,20 @@
 	return &Disk{synced: map[string][]byte{}, unsynced: map[string][]unsyncedWrite{}, names: map[string]nameState{}}
 }
 
-// Attach returns the folder as a new process has it.
+// Attach returns the directory as a new process has it.
 func (d *Disk) Attach() *Handle { return &Handle{disk: d} }
 
-func (d *Disk) attach() *Handle { return d.Attach() }
-
-// Handle is the folder of a disk as one process has it. It implements keystore.Directory.
+// Handle is the directory of a disk as one process has it. It implements keystore.Directory.
 type Handle struct {
-	disk      *Disk
-	killed    bool
+	disk   *Disk
+	killed bool
+	// skipsSync makes Sync return at once with nothing done: a broken variant.
 	skipsSync bool
-	// SkipsDirectorySync makes SyncFolder return at once with nothing done: a fault for tests to find.
+	// SkipsDirectorySync makes SyncDirectory return at once with nothing done: a broken variant.
 	SkipsDirectorySync bool
 }
 
-const segmentBytes = 64 << 10
-
-// openWAL opens the journal on a disk, and tries again while the disk refuses.
-func openWAL(handle *Handle) *keystore.WAL {
-	for {
-		log, err := keystore.OpenWAL(handle, keystore.SegmentCount, segmentBytes)
-		if err == nil {
-			return log
-		}
-		time.Sleep(100 * time.Millisecond)
-	}
-}
-
+// applyWrite writes over content, which is lengthened with zeros where it is too short.
 func applyWrite(content []byte, write unsyncedWrite) []byte {
 	end := int(write.offset) + len(write.content)
 	if len(content) < end {
@@ -106,7 +100,7 @@
 }
 
 // Prepare makes a name; files have no length of their own here.
-func (h *Handle) Prepare(name string, size int64) error {
+func (h *Handle) Prepare(name string, _ int64) error {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
 	if _, exists := h.disk.names[name]; exists {
@@ -122,18 +116,14 @@
 	return nil
 }
 
-var (
-	errRejected = errors.New("disk refuses")
-	errKilled   = errors.New("process is dead")
-)
-
-func (h *Handle) startOperation() error {
+// waitForDisk takes the time of one operation, and fails as the disk or the process does meanwhile.
+func (h *Handle) waitForDisk() error {
 	h.disk.lock.Lock()
 	stall := h.disk.stallDuration
-	refuses := h.disk.rejecting
+	rejecting := h.disk.rejecting
 	h.disk.lock.Unlock()
 	time.Sleep(operationTime + stall)
-	if refuses > 0 {
+	if rejecting > 0 {
 		return errRejected
 	}
 	h.disk.lock.Lock()
@@ -144,23 +134,26 @@
 	return nil
 }
 
-// Write takes operationTime, and fails on a disk that refuses and in a process that was killed meanwhile.
+// Write takes operationTime, and fails on a disk that rejects it and in a process that was killed meanwhile.
 func (h *Handle) Write(name string, offset int64, content []byte) error {
-	if err := h.startOperation(); err != nil {
+	if err := h.waitForDisk(); err != nil {
 		return err
 	}
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
-	h.disk.unsynced[name] = append(h.disk.unsynced[name], unsyncedWrite{offset, append([]byte(nil), content...)})
+	h.disk.unsynced[name] = append(h.disk.unsynced[name], unsyncedWrite{
+		offset:  offset,
+		content: slices.Clone(content),
+	})
 	return nil
 }
 
-// Sync has a file's writes last, but not its name. It returns at once if nothing was written since the last one.
+// Sync makes a file's writes durable, but not its name. It returns at once if nothing was written since the last one.
 func (h *Handle) Sync(name string) error {
 	if h.skipsSync || h.isClean(name) {
 		return nil
 	}
-	if err := h.startOperation(); err != nil {
+	if err := h.waitForDisk(); err != nil {
 		return err
 	}
 	h.disk.lock.Lock()
@@ -178,12 +171,12 @@
 	return len(h.disk.unsynced[name]) == 0 && !h.killed
 }
 
-// SyncFolder has all names last.
+// SyncDirectory makes all names durable.
 func (h *Handle) SyncDirectory() error {
 	if h.SkipsDirectorySync {
 		return nil
 	}
-	if err := h.startOperation(); err != nil {
+	if err := h.waitForDisk(); err != nil {
 		return err
 	}
 	h.disk.lock.Lock()
--- a/internal/test/keystoresim/power.go
+++ b/internal/test/keystoresim/disk_power.go
@@ -11,7 +11,7 @@
 const sectorBytes = 512
 
 // LosePower draws the fate of each write that isn't synced and, apart from that, of each name that was made since the
-// folder was synced. The process must have been killed.
+// directory was synced. The process must have been killed.
 func (d *Disk) LosePower(random *rand.Rand) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -48,7 +48,7 @@
 		for from := 0; from < len(write.content); from += sectorBytes {
 			if random.IntN(2) == 0 {
 				sector := write.content[from:min(from+sectorBytes, len(write.content))]
-				kept = append(kept, unsyncedWrite{write.offset + int64(from), sector})
+				kept = append(kept, unsyncedWrite{offset: write.offset + int64(from), content: sector})
 			}
 		}
 		return kept
@@ -63,21 +63,40 @@
 	d.removeLocked(name)
 }
 
+// removeLocked is Remove under the lock.
 func (d *Disk) removeLocked(name string) {
 	delete(d.names, name)
 	delete(d.synced, name)
 	delete(d.unsynced, name)
 }
 
+// wipe takes everything away.
 func (d *Disk) wipe() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.synced, d.unsynced, d.names = map[string][]byte{}, map[string][]unsyncedWrite{}, map[string]nameState{}
+	d.synced = map[string][]byte{}
+	d.unsynced = map[string][]unsyncedWrite{}
+	d.names = map[string]nameState{}
+}
+
+// slowDown adds to the time of each operation, for a duration.
+func (d *Disk) slowDown(by, duration time.Duration) {
+	d.adjustFaults(by, 0)
+	time.Sleep(duration)
+	d.adjustFaults(-by, 0)
+}
+
+// rejectWrites has the disk reject every operation for a duration.
+func (d *Disk) rejectWrites(duration time.Duration) {
+	d.adjustFaults(0, 1)
+	time.Sleep(duration)
+	d.adjustFaults(0, -1)
 }
 
-func (d *Disk) adjustFaults(stall time.Duration, refuses int) {
+// adjustFaults adds up faults that overlap.
+func (d *Disk) adjustFaults(stall time.Duration, rejecting int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.stallDuration += stall
-	d.rejecting += refuses
+	d.rejecting += rejecting
 }
--- a/internal/test/keystoresim/members.go
+++ b/internal/test/keystoresim/replacement.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"github.com/pkg/errors"
@@ -11,32 +12,32 @@
 	"ferryspar/internal/keystore"
 )
 
-// Present lists the machines that are, or are to be, members.
-func (c *Cluster) MemberNames() []string {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	return append([]string(nil), c.Names...)
-}
+// Errors of a replacement.
+var (
+	errNeverMember       = errors.New("the newcomer never became a member")
+	errMembershipChanged = errors.New("the membership has changed")
+)
+
+const (
+	// replacementAttempts bounds how often drivers try to go on with a replacement.
+	replacementAttempts = 200
+	// replacementTimeout is how long one attempt takes at most.
+	replacementTimeout = 2 * time.Second
+)
 
-// Replace takes a member away for good and drives the change to an empty newcomer, by drivers that
-// may stop between the steps.
+// Replace takes a member away for good and drives the change to an empty newcomer, by drivers that may stop between the
+// steps.
 func (c *Cluster) Replace(lost, newcomer string, random *rand.Rand) error {
 	c.Kill(lost)
 	c.lock.Lock()
-	c.members[newcomer] = &Member{name: newcomer, disk: NewDisk(), zone: c.members[lost].zone}
-	var names []string
-	for _, name := range c.Names {
-		if name == lost {
-			name = newcomer
-		}
-		names = append(names, name)
-	}
-	left := append([]string(nil), c.Names...)
+	c.members[newcomer] = &member{disk: NewDisk(), zone: c.members[lost].zone}
+	names := replaced(c.Names, lost, newcomer)
+	drivers := slices.Clone(c.Names)
 	c.lock.Unlock()
 	c.Start(newcomer, false)
-	for range 200 {
+	for range replacementAttempts {
 		time.Sleep(time.Duration(50+random.IntN(200)) * time.Millisecond)
-		driver := left[random.IntN(len(left))]
+		driver := drivers[random.IntN(len(drivers))]
 		if driver == lost {
 			continue
 		}
@@ -48,77 +49,92 @@
 			return nil
 		}
 	}
-	return errors.New("the newcomer never became a member")
+	return errNeverMember
 }
 
-func (c *Cluster) refreshMemberships() {
-	for _, name := range c.MemberNames() {
-		store := c.StoreOf(name)
-		if store == nil {
-			continue
+func replaced(names []string, lost, newcomer string) []string {
+	result := slices.Clone(names)
+	for position, name := range result {
+		if name == lost {
+			result[position] = newcomer
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		adoptCommittedMembership(ctx, store)
-		_, _ = store.Digest(ctx)
-		cancel()
-	}
-}
-
-func adoptCommittedMembership(ctx context.Context, store *keystore.Store) {
-	register, err := store.Read(ctx, keystore.MembershipKey)
-	if err != nil {
-		return
-	}
-	var committed keystore.Membership
-	if json.Unmarshal(register.Value, &committed) == nil {
-		store.AdoptMembership(committed)
 	}
+	return result
 }
 
+// driveReplacement has a driver take the next step, and says whether the newcomer is a member already.
 func (c *Cluster) driveReplacement(driver, lost, newcomer string, random *rand.Rand) bool {
 	store := c.StoreOf(driver)
 	if store == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), replacementTimeout)
 	defer cancel()
 	adoptCommittedMembership(ctx, store)
 	current := store.Membership()
 	if !current.IsJoint() && current.IsCurrent(newcomer) {
 		return true
 	}
-	next := keystore.Membership{Version: current.Version + 1, Current: current.Next}
-	if !current.IsJoint() {
-		next.Current, next.Next = current.Current, nil
-		for _, member := range current.Current {
-			if member == lost {
-				member = newcomer
-			}
-			next.Next = append(next.Next, member)
-		}
-	} else if !c.hasCaughtUp(newcomer, current) {
+	next := keystore.Membership{Version: current.Version + 1}
+	switch {
+	case !current.IsJoint():
+		next.Current = current.Current
+		next.Next = replaced(current.Current, lost, newcomer)
+	case c.hasCaughtUp(newcomer, current):
+		next.Current = current.Next
+	default:
 		return false
 	}
+	err := commitMembership(ctx, store, next)
+	if err == nil && random.IntN(2) == 0 {
+		store.AdoptMembership(next)
+	}
+	return false
+}
+
+func commitMembership(ctx context.Context, store *keystore.Store, next keystore.Membership) error {
 	_, err := store.Change(ctx, keystore.MembershipKey, func(register keystore.Register) (json.RawMessage, error) {
 		var committed keystore.Membership
 		_ = json.Unmarshal(register.Value, &committed)
 		if committed.Version >= next.Version {
-			return nil, errors.New("members moved on")
+			return nil, errMembershipChanged
 		}
 		return json.Marshal(next)
 	})
-	if err == nil && random.IntN(2) == 0 {
-		store.AdoptMembership(next)
-	}
-	return false
+	return err
 }
 
 func (c *Cluster) hasCaughtUp(newcomer string, current keystore.Membership) bool {
-	store, acceptor := c.StoreOf(newcomer), c.runningAcceptor(newcomer)
+	store, acceptor := c.StoreOf(newcomer), c.AcceptorOf(newcomer)
 	if store == nil || acceptor == nil {
 		return false
 	}
 	store.AdoptMembership(current)
-	self := acceptor.LocalState()
-	return self.Voting && self.MembershipVersion == current.Version
+	local := acceptor.LocalState()
+	return local.Voting && local.MembershipVersion == current.Version
+}
+
+// refreshMemberships has every process learn the committed membership.
+func (c *Cluster) refreshMemberships() {
+	for _, name := range c.MemberNames() {
+		store := c.StoreOf(name)
+		if store == nil {
+			continue
+		}
+		ctx, cancel := context.WithTimeout(context.Background(), replacementTimeout)
+		adoptCommittedMembership(ctx, store)
+		_, _ = store.Digest(ctx)
+		cancel()
+	}
+}
+
+func adoptCommittedMembership(ctx context.Context, store *keystore.Store) {
+	register, err := store.Read(ctx, keystore.MembershipKey)
+	if err != nil {
+		return
+	}
+	var committed keystore.Membership
+	if json.Unmarshal(register.Value, &committed) == nil {
+		store.AdoptMembership(committed)
+	}
 }
