--- a/internal/test/modelcheck/moves.go
+++ b/internal/test/modelcheck/actions.go
@@ -5,8 +5,10 @@
 	"slices"
 )
 
+// actionKind is what may happen in a world.
 type actionKind uint8
 
+// The kinds of actions. The subject of an action is a packet, a machine or a proposer.
 const (
 	actionDeliver actionKind = iota
 	actionDuplicate
@@ -28,7 +30,7 @@
 	choice  stateID
 }
 
-// moves lists all events that may come next.
+// actions lists all that may happen next.
 func (m *model) actions(w *world) []action {
 	var found []action
 	for index, id := range w.network {
@@ -58,11 +60,12 @@
 // replyLost is the choice of a delivery or sync whose reply never arrives.
 const replyLost = 1
 
-// mayLoseReply says whether the loss of the reply alone is an event of its own. Where the
-// question changes nothing at the member, it is the same as the loss of the question.
+// mayLoseReply says whether the loss of the reply alone is an action of its own. Where the request changes nothing at the
+// member, it is the same as the loss of the request.
 func (m *model) mayLoseReply(w *world, id stateID) bool {
 	message := m.packets.get(id)
-	if m.scenario.DelaysReplies || message.Request == nil || !isCurrent(m.proposers.get(w.proposers[message.Proposer]), message) {
+	sender := m.proposers.get(w.proposers[message.Proposer])
+	if m.scenario.DelaysReplies || message.Request == nil || !isCurrent(sender, message) {
 		return false
 	}
 	index := m.machine(message.Member)
@@ -100,7 +103,7 @@
 		return found
 	}
 	if client.Phase == phaseIdle {
-		if m.mayBegin(w, client) {
+		if m.mayStartTask(w, client) {
 			found = append(found, action{kind: actionStartTask, subject: stateID(index)})
 		}
 	} else if !client.onLastAttempt() || client.mayEndDigest(m.rules) {
@@ -112,15 +115,19 @@
 	if client.task().Kind == taskCatchUp {
 		for other, id := range w.proposers {
 			if m.proposers.get(id).Membership.Version > client.Membership.Version {
-				found = append(found, action{kind: actionAdoptMembership, subject: stateID(index), choice: stateID(other)})
+				found = append(found, action{
+					kind:    actionAdoptMembership,
+					subject: stateID(index),
+					choice:  stateID(other),
+				})
 			}
 		}
 	}
 	return found
 }
 
-// mayBegin holds back a change of the list that waits for a newcomer to vote.
-func (m *model) mayBegin(w *world, client *proposer) bool {
+// mayStartTask holds back a task that waits for something.
+func (m *model) mayStartTask(w *world, client *proposer) bool {
 	task := client.task()
 	own := m.members.get(w.members[m.machine(client.Machine)])
 	switch {
@@ -131,11 +138,11 @@
 	case task.AfterVote == "":
 		return true
 	}
-	self := m.members.get(w.members[m.machine(task.AfterVote)]).localState
-	return self.Voting && self.MembershipVersion == client.Membership.Version
+	newcomer := m.members.get(w.members[m.machine(task.AfterVote)]).localState
+	return newcomer.Voting && newcomer.MembershipVersion == client.Membership.Version
 }
 
-// describe is a move as a trace shows it.
+// describe is an action as a trace shows it.
 func (m *model) describe(w *world, event action) string {
 	subject := int(event.subject)
 	switch event.kind {
--- a/internal/test/modelcheck/history.go
+++ b/internal/test/modelcheck/history.go
@@ -10,30 +10,43 @@
 	"ferryspar/internal/keystore"
 )
 
-// committedValue is a value that somebody may hold for committed: a proposer that recommitted,
-// wrote or looked, or a look that a majority would answer at this moment.
+// committedValue is a value that somebody may take for committed: a proposer that recommitted, wrote or made a digest, or
+// a digest that a majority would answer at this moment.
 type committedValue struct {
 	Key      string
-	Ballot   keystore.ProposalNumber
+	Proposal keystore.ProposalNumber
 	Sequence uint64
 	Value    json.RawMessage
 }
 
+func newCommittedValue(key string, register keystore.Register) committedValue {
+	return committedValue{
+		Key:      key,
+		Proposal: register.Accepted,
+		Sequence: register.Sequence,
+		Value:    register.Value,
+	}
+}
+
 func (v committedValue) register() keystore.Register {
-	return keystore.Register{Key: v.Key, AcceptedProposal: v.Ballot, Sequence: v.Sequence, Value: v.Value}
+	return keystore.Register{Key: v.Key, Accepted: v.Proposal, Sequence: v.Sequence, Value: v.Value}
 }
 
 func (v committedValue) compare(other committedValue) int {
-	return cmp.Or(cmp.Compare(v.Key, other.Key), v.Ballot.Compare(other.Ballot), cmp.Compare(v.Sequence, other.Sequence))
+	return cmp.Or(
+		cmp.Compare(v.Key, other.Key),
+		v.Proposal.Compare(other.Proposal),
+		cmp.Compare(v.Sequence, other.Sequence),
+	)
 }
 
-// acknowledgement is a change that its caller was told is in force.
+// acknowledgement is a change whose caller was answered that it is in force.
 type acknowledgement struct {
 	Label string
 	Tick  int
 }
 
-// history is what an observer of the whole fleet has noted; no decision depends on it. Its
+// history is what an observer of the whole fleet has recorded; no decision depends on it. Its
 // lists are sorted, so that histories that say the same are one.
 type history struct {
 	Committed    []committedValue
@@ -44,8 +57,8 @@
 	return &history{Committed: slices.Clone(h.Committed), Acknowledged: slices.Clone(h.Acknowledged)}
 }
 
-// conclude notes a conclusion and checks that all those of the key form one chain: in the order
-// of (ballot, sequence) each follows from the one before.
+// addCommitted records a value and checks that all those of the key form one chain: in the order of (proposal number,
+// sequence) each follows from the one before.
 func (h *history) addCommitted(value committedValue) error {
 	for _, other := range h.Committed {
 		if other.Key != value.Key {
@@ -53,7 +66,8 @@
 		}
 		if other.register().SameProposal(value.register()) {
 			if string(other.Value) != string(value.Value) {
-				return errors.Errorf("%s: %s and %s share ballot %s and sequence %d", value.Key, other.Value, value.Value, value.Ballot, value.Sequence)
+				return errors.Errorf("%s: %s and %s share ballot %s and sequence %d",
+					value.Key, other.Value, value.Value, value.Proposal, value.Sequence)
 			}
 			return nil
 		}
@@ -63,7 +77,7 @@
 		}
 		if !extends(earlier, later) {
 			return errors.Errorf("%s: committed %s under %s.%d is replaced by %s under %s.%d, which does not follow from it",
-				value.Key, earlier.Value, earlier.Ballot, earlier.Sequence, later.Value, later.Ballot, later.Sequence)
+				value.Key, earlier.Value, earlier.Proposal, earlier.Sequence, later.Value, later.Proposal, later.Sequence)
 		}
 	}
 	h.Committed = append(h.Committed, value)
@@ -71,14 +85,22 @@
 	return nil
 }
 
-// acknowledge notes a change whose caller was answered.
+// contains says whether a proposal is recorded already.
+func (h *history) contains(register keystore.Register) bool {
+	return slices.ContainsFunc(h.Committed, func(value committedValue) bool {
+		return value.Key == register.Key && value.register().SameProposal(register)
+	})
+}
+
+// acknowledge records a change whose caller was answered.
 func (h *history) acknowledge(label string, tick int) {
-	h.Acknowledged = append(h.Acknowledged, acknowledgement{label, tick})
+	h.Acknowledged = append(h.Acknowledged, acknowledgement{Label: label, Tick: tick})
 	slices.SortFunc(h.Acknowledged, func(left, right acknowledgement) int {
 		return cmp.Or(cmp.Compare(left.Tick, right.Tick), cmp.Compare(left.Label, right.Label))
 	})
 }
 
+// labelsUntil lists the labels of the changes that were acknowledged by a tick.
 func (h *history) labelsUntil(until int) []string {
 	var labels []string
 	for _, acknowledged := range h.Acknowledged {
@@ -89,8 +111,8 @@
 	return labels
 }
 
-// extends says whether a later value follows from an earlier one: values of changes are the
-// marks of all changes so far, member lists are numbered.
+// extends says whether a later value follows from an earlier one: values of changes are the labels of all changes so far,
+// memberships have versions.
 func extends(earlier, later committedValue) bool {
 	if earlier.Key == keystore.MembershipKey {
 		from, to := decodeMembership(earlier.Value), decodeMembership(later.Value)
@@ -112,6 +134,7 @@
 	return membership
 }
 
+// missingLabel is the first label that a value lacks, or empty.
 func missingLabel(value json.RawMessage, labels []string) string {
 	present := decodeLabels(value)
 	for _, label := range labels {
--- a/internal/test/modelcheck/check.go
+++ b/internal/test/modelcheck/invariants.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"maps"
+	"math"
 	"slices"
 	"time"
 
@@ -11,8 +12,8 @@
 	"ferryspar/internal/keystore"
 )
 
-// observe notes what a look by anyone would conclude at this moment: a proposal that a quorum
-// of voting members hold alike on their disks, under any list that one of them knows.
+// observeCommitted records what a digest by anyone would conclude at this moment: a proposal that a quorum of voting
+// members hold alike on their disks, under any membership that one of them knows.
 func (m *model) observeCommitted(w *world) error {
 	observed := m.histories.get(w.history)
 	var next *history
@@ -25,7 +26,7 @@
 			if next == nil {
 				next = observed.clone()
 			}
-			if err := next.addCommitted(committedValue{key, register.AcceptedProposal, register.Sequence, register.Value}); err != nil {
+			if err := next.addCommitted(newCommittedValue(key, register)); err != nil {
 				return err
 			}
 		}
@@ -36,18 +37,18 @@
 	return nil
 }
 
+// isCommitted says whether a quorum of the membership hold the proposal on their disks.
 func (m *model) isCommitted(w *world, membership keystore.Membership, register keystore.Register) bool {
 	alike := map[string]bool{}
 	for index, id := range w.members {
 		other := m.members.get(id)
-		if other.localState.Voting && other.membership.Version <= membership.Version && other.Durable[register.Key].SameProposal(register) {
-			alike[m.machines[index]] = true
-		}
+		counts := other.localState.Voting && other.membership.Version <= membership.Version
+		alike[m.machines[index]] = counts && other.Durable[register.Key].SameProposal(register)
 	}
 	return membership.HasQuorum(alike)
 }
 
-// check looks at what must hold in each world at each time.
+// check checks what must hold in each world at each time.
 func (m *model) check(w *world) error {
 	if m.scenario.LeaseTicks > 0 {
 		if err := m.checkLeases(w); err != nil {
@@ -60,10 +61,11 @@
 	return nil
 }
 
-// checkMemberships: a member never goes back to an older list.
+// checkMemberships: a member never goes back to an older membership.
 func (m *model) checkMemberships(before, after *world) error {
 	for index, id := range after.members {
-		former, present := m.members.get(before.members[index]).membership, m.members.get(id).membership
+		former := m.members.get(before.members[index]).membership
+		present := m.members.get(id).membership
 		if present.Version < former.Version {
 			return errors.Errorf("%s goes back from list %d to %d", m.machines[index], former.Version, present.Version)
 		}
@@ -87,28 +89,28 @@
 	return nil
 }
 
-// checkDigests: an answer from a look lacks nothing that was acknowledged longer ago than looks
-// are valid.
+// checkDigests: an answer from a digest lacks nothing that was acknowledged longer ago than digests are valid.
 func (m *model) checkDigests(w *world) error {
 	for _, id := range w.proposers {
 		client := m.proposers.get(id)
 		if client.LastDigest == nil || client.LastDigest.Key == "" {
 			continue
 		}
-		validity := m.scenario.DigestValidityTicks
+		ticks := m.scenario.DigestValidityTicks
 		now := m.now(w, m.machine(client.Machine))
-		if !m.rules.IsFresh(client.LastDigest.Started, client.LastDigest.Answered, now, time.Duration(validity)*Tick) {
+		if !m.rules.IsFresh(client.LastDigest.Started, client.LastDigest.Answered, now, time.Duration(ticks)*Tick) {
 			continue
 		}
-		if label := missingLabel(client.LastDigest.Value, m.histories.get(w.history).labelsUntil(w.tick-validity)); label != "" {
+		acknowledged := m.histories.get(w.history).labelsUntil(w.tick - ticks)
+		if label := missingLabel(client.LastDigest.Value, acknowledged); label != "" {
 			return errors.Errorf("%s answers %s at time %d, %s was acknowledged %d steps or more before",
-				client.Machine, client.LastDigest.Value, w.tick, label, validity)
+				client.Machine, client.LastDigest.Value, w.tick, label, ticks)
 		}
 	}
 	return nil
 }
 
-// frontierEntry names the marks acknowledged in any world, and the lists on any disk.
+// reached names the labels acknowledged in any world, and the memberships on any disk.
 func (m *model) reached() []string {
 	found := map[string]bool{}
 	for _, value := range m.histories.values {
@@ -122,4 +124,5 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-const noTick = int(^uint(0) >> 1)
+// noTick is later than any tick.
+const noTick = math.MaxInt
--- a/internal/test/modelcheck/member.go
+++ b/internal/test/modelcheck/member.go
@@ -19,20 +19,27 @@
 	Durable map[string]keystore.Register
 	Staged  []batch
 
-	// self and list are read from Durable once.
+	// localState and membership are read from Durable once.
 	localState keystore.LocalState
 	membership keystore.Membership
 }
 
-// read notes what the disk says of the member and the list.
+// refreshDerived reads what the disk says of the member and the membership.
 func (m *member) refreshDerived() {
 	m.localState, m.membership = keystore.LocalStateOf(m.Durable), keystore.MembershipOf(m.Durable)
 }
 
-func newMember(address string, seeds []string, lease time.Duration, registers []keystore.Register, quietUntil time.Time) *member {
+func newMember(
+	address string, seeds []string, lease time.Duration, registers []keystore.Register, leasesBlockedUntil time.Time,
+) *member {
 	result := &member{Durable: map[string]keystore.Register{}}
 	result.State = keystore.AcceptorState{
-		Address: address, Seeds: seeds, LeaseDuration: lease, Registers: map[string]keystore.Register{}, Grants: map[string]time.Time{}, LeasesBlockedUntil: quietUntil,
+		Address:            address,
+		Seeds:              seeds,
+		LeaseDuration:      lease,
+		Registers:          map[string]keystore.Register{},
+		Grants:             map[string]time.Time{},
+		LeasesBlockedUntil: leasesBlockedUntil,
 	}
 	for _, register := range registers {
 		result.Durable[register.Key] = register
@@ -42,7 +49,7 @@
 	return result
 }
 
-// completeBootstrap is the member after it has seen every founder vote.
+// completeBootstrap is the member after it has seen every initial member vote.
 func (m *member) completeBootstrap() *member {
 	next := m.clone()
 	_, changes := next.State.CompleteBootstrap()
@@ -59,8 +66,8 @@
 	return &copied
 }
 
-// forget drops grants and a quiet time that have run out: they answer every later question as
-// none would, so members that differ only in them are one state.
+// dropExpired drops grants and a time without leases that have run out: every later request is answered as though there
+// were none, so members that differ only in them are one state.
 func (m *member) dropExpired(now time.Time) {
 	for key, until := range m.State.Grants {
 		if !now.Before(until) {
@@ -118,8 +125,8 @@
 	return next, done.Replies
 }
 
-// crash is a kill or a loss of power and the start after it. The first kept batches had reached
-// the disk; replies that waited are lost. Grants are in memory only: none is made for one lease.
+// crash is a kill or a loss of power and the start after it. The first kept batches had reached the disk; replies that
+// waited are lost. Grants are in memory only: none is made for as long as a lease lasts.
 func (m *member) crash(kept int, now time.Time) *member {
 	durable := m.Durable
 	for _, staged := range m.Staged[:kept] {
--- a/internal/test/modelcheck/fleet.go
+++ b/internal/test/modelcheck/model.go
@@ -18,7 +18,7 @@
 	histories *table[history]
 	handled   map[handleKey]handleResult
 	received  map[receiveKey]receiveResult
-	// relists says that a task changes the member list.
+	// changesMembership says that a task changes the membership.
 	changesMembership bool
 }
 
@@ -47,14 +47,20 @@
 	replies []stateID
 }
 
+// epoch is the time at which every walk begins.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newModel(scenario Scenario, rules Rules) *model {
 	result := &model{
-		scenario: scenario, rules: rules, machines: scenario.machines(),
-		members: newTable[member](nil), proposers: newTable(unencodedProposerState), packets: newTable[packet](nil),
-		histories: newTable[history](nil), handled: map[handleKey]handleResult{},
-		received: map[receiveKey]receiveResult{},
+		scenario:  scenario,
+		rules:     rules,
+		machines:  scenario.machines(),
+		members:   newTable[member](nil),
+		proposers: newTable(unencodedProposerState),
+		packets:   newTable[packet](nil),
+		histories: newTable[history](nil),
+		handled:   map[handleKey]handleResult{},
+		received:  map[receiveKey]receiveResult{},
 	}
 	for _, client := range scenario.Clients {
 		for _, task := range client.Tasks {
@@ -64,46 +70,59 @@
 	return result
 }
 
+// initialWorld is the world in which every walk begins.
 func (m *model) initialWorld() *world {
+	first := &world{remaining: m.scenario.Faults, wallClockOffsets: make([]int, len(m.machines))}
+	m.addMembers(first)
+	m.addProposers(first)
+	first.history = m.histories.add(&history{})
+	for index, client := range m.scenario.Clients {
+		if client.StartsImmediately {
+			_ = m.startTask(first, index)
+		}
+	}
+	return first
+}
+
+func (m *model) addMembers(first *world) {
 	scenario := m.scenario
-	first := &world{remaining: scenario.Faults, wallClockOffsets: make([]int, len(m.machines))}
+	seeds, lease := scenario.Membership.Current, scenario.leaseDuration()
 	for _, address := range scenario.Membership.Current {
 		registers := append(keystore.BootstrapRegisters(scenario.Membership, 1), scenario.InitialRegisters[address]...)
 		if slices.Contains(scenario.NotBootstrapped, address) {
 			registers = keystore.WipedRegisters(1)
 		}
-		state := newMember(address, scenario.Membership.Current, scenario.leaseDuration(), registers, time.Time{})
+		state := newMember(address, seeds, lease, registers, time.Time{})
 		if scenario.BootstrapCompleted {
 			state = state.completeBootstrap()
 		}
 		first.members = append(first.members, m.members.add(state))
 	}
 	for _, address := range scenario.Newcomers {
-		wiped := newMember(address, scenario.Membership.Current, scenario.leaseDuration(), m.rules.Wiped(1, scenario.Membership), epoch.Add(scenario.leaseDuration()))
+		wiped := newMember(address, seeds, lease, m.rules.Wiped(1, scenario.Membership), epoch.Add(lease))
 		first.members = append(first.members, m.members.add(wiped))
 	}
+}
+
+func (m *model) addProposers(first *world) {
+	scenario := m.scenario
 	for index, client := range scenario.Clients {
-		membership := scenario.Membership
-		if client.Membership.Version > 0 {
-			membership = client.Membership
-		}
-		if scenario.forgetsMembership(client) && slices.Contains(scenario.NotBootstrapped, client.Machine) && client.Membership.Version == 0 {
-			membership = keystore.Membership{}
-		}
 		first.proposers = append(first.proposers, m.proposers.add(&proposer{
-			Machine: client.Machine, Index: index, Incarnation: 1, Membership: membership, Tasks: client.Tasks, Phase: phaseIdle,
-			bootstrapMembership: scenario.Membership, leaseDuration: scenario.leaseDuration(), reachable: client.Reachable, keepsDigests: scenario.DigestValidityTicks > 0,
+			Machine:             client.Machine,
+			Index:               index,
+			Incarnation:         1,
+			Membership:          scenario.initialMembership(client),
+			Tasks:               client.Tasks,
+			Phase:               phaseIdle,
+			bootstrapMembership: scenario.Membership,
+			leaseDuration:       scenario.leaseDuration(),
+			reachable:           client.Reachable,
+			keepsDigests:        scenario.DigestValidityTicks > 0,
 		}))
 	}
-	first.history = m.histories.add(&history{})
-	for index, client := range scenario.Clients {
-		if client.StartsImmediately {
-			_ = m.startTask(first, index)
-		}
-	}
-	return first
 }
 
+// machine is the position of a machine.
 func (m *model) machine(address string) int { return slices.Index(m.machines, address) }
 
 // now is the time by which a machine counts leases.
@@ -112,6 +131,7 @@
 	return m.rules.Clock(epoch.Add(time.Duration(w.tick)*Tick), offset)
 }
 
+// view is what a proposer sees of the world.
 func (m *model) view(w *world, client *proposer) view {
 	machine := m.machine(client.Machine)
 	result := view{rules: m.rules, now: m.now(w, machine), own: m.members.get(w.members[machine])}
--- a/internal/test/modelcheck/settle.go
+++ b/internal/test/modelcheck/outcomes.go
@@ -8,24 +8,25 @@
 	"ferryspar/internal/keystore"
 )
 
-// begin starts the next task of a proposer.
+// startTask starts the next task of a proposer.
 func (m *model) startTask(w *world, index int) error {
 	client := m.proposers.get(w.proposers[index])
 	next, result, able := client.start(m.view(w, client))
 	if !able {
-		return errNothing
+		return errCannotStart
 	}
 	return m.applyOutcome(w, index, next, result)
 }
 
-var errNothing = errors.New("nothing happens")
+// errCannotStart says that a task was started that mayStartTask holds back.
+var errCannotStart = errors.New("nothing happens")
 
-// settle puts a proposer's new state and what follows from it into the world.
+// applyOutcome puts a proposer's new state and what follows from it into the world.
 func (m *model) applyOutcome(w *world, index int, next *proposer, result outcome) error {
 	for _, message := range result.packets {
 		w.send(m.packets.add(&message))
 	}
-	if result.proposal != (keystore.ProposalNumber{}) {
+	if !result.proposal.IsZero() {
 		if err := m.checkProposalUnused(w, index, next, result.proposal); err != nil {
 			return err
 		}
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// unused checks that no other attempt, of this proposer or another, had the ballot.
+// checkProposalUnused checks that no other attempt, of this proposer or another, had the number.
 func (m *model) checkProposalUnused(w *world, index int, next *proposer, proposal keystore.ProposalNumber) error {
 	used := next.Proposals[:len(next.Proposals)-1]
 	for other, id := range w.proposers {
@@ -64,15 +65,14 @@
 	return nil
 }
 
-// looked fetches what a digest calls committed, checks it, and lets the member beside learn it.
+// applyDigest fetches what a digest calls committed, checks it, and lets the member beside learn it.
 func (m *model) applyDigest(w *world, next *proposer, observed *history, result outcome) error {
 	for _, proposal := range result.digested {
 		fetched, found := m.fetch(w, proposal)
 		if !found {
 			continue
 		}
-		value := committedValue{Key: fetched.Key, Ballot: fetched.AcceptedProposal, Sequence: fetched.Sequence, Value: fetched.Value}
-		if err := observed.addCommitted(value); err != nil {
+		if err := observed.addCommitted(newCommittedValue(fetched.Key, fetched)); err != nil {
 			return errors.Wrap(err, "a look")
 		}
 		if fetched.Key == keystore.MembershipKey {
@@ -84,16 +84,26 @@
 		if next.LastDigest != nil {
 			next.LastDigest.Key, next.LastDigest.Value = fetched.Key, fetched.Value
 		}
-		own := m.members.get(w.members[m.machine(next.Machine)])
-		if m.scenario.Learns && own.localState.Voting && fetched.NewerThan(own.Durable[fetched.Key]) {
-			learned := fetched
-			learned.Promised = keystore.ProposalNumber{}
-			w.send(m.packets.add(&packet{Member: next.Machine, Proposer: next.Index, Incarnation: next.Incarnation, Learn: &learned}))
-		}
+		m.learn(w, next, fetched)
 	}
 	return nil
 }
 
+// learn hands a chosen value to the member beside a proposer, if that one lacks it.
+func (m *model) learn(w *world, beside *proposer, chosen keystore.Register) {
+	own := m.members.get(w.members[m.machine(beside.Machine)])
+	if !m.scenario.Learns || !own.localState.Voting || !chosen.NewerThan(own.Durable[chosen.Key]) {
+		return
+	}
+	chosen.Promised = keystore.ProposalNumber{}
+	w.send(m.packets.add(&packet{
+		Member:      beside.Machine,
+		Proposer:    beside.Index,
+		Incarnation: beside.Incarnation,
+		Learn:       &chosen,
+	}))
+}
+
 // fetch finds the value of a proposal on any disk, see keystore.Store.Fetch.
 func (m *model) fetch(w *world, proposal keystore.Register) (keystore.Register, bool) {
 	for _, member := range w.members {
--- a/internal/test/modelcheck/packet.go
+++ b/internal/test/modelcheck/packet.go
@@ -7,12 +7,12 @@
 	"ferryspar/internal/keystore"
 )
 
-// packet is a message under way: a question to a member, its reply to a proposer, or what a
-// proposer hands to the member on its own machine.
+// packet is a message under way: a request to a member, its reply to a proposer, or what a proposer hands to the member on
+// its own machine. One of the pointers is set.
 type packet struct {
 	Member   string
 	Proposer int
-	// Life and Round say which round of which life of the proposer the packet belongs to.
+	// Incarnation and Round say which round of which incarnation of the proposer the packet belongs to.
 	Incarnation uint64
 	Round       int
 
@@ -32,7 +32,7 @@
 	case p.Install != nil:
 		return fmt.Sprintf("install of list %d at %s", p.Install.Membership.Version, p.Member)
 	default:
-		return fmt.Sprintf("learning of %s at %s", p.Learn.AcceptedProposal, p.Member)
+		return fmt.Sprintf("learning of %s at %s", p.Learn.Accepted, p.Member)
 	}
 }
 
@@ -40,7 +40,8 @@
 	request := p.Request
 	text := fmt.Sprintf("%s %s from %s to %s", request.Operation, request.Proposal, request.Sender, p.Member)
 	if request.Operation == keystore.OperationAccept {
-		text += fmt.Sprintf(" of %d=%s counting %v", request.Sequence, strings.ReplaceAll(string(request.Value), `"`, ""), request.DiskIncarnations)
+		value := strings.ReplaceAll(string(request.Value), `"`, "")
+		text += fmt.Sprintf(" of %d=%s counting %v", request.Sequence, value, request.DiskIncarnations)
 	}
 	return text
 }
--- a/internal/test/modelcheck/faults_test.go
+++ b/internal/test/modelcheck/planted_faults_test.go
@@ -33,14 +33,14 @@
 }
 
 func countsOnlyCurrentMajority(rules *modelcheck.Rules) {
-	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees func(string, keystore.Reply) bool) (bool, bool) {
+	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees keystore.VoteFunc) (bool, bool) {
 		membership.Next = nil
 		return keystore.CountVotes(membership, replies, agrees)
 	}
 }
 
 func countsSilenceAsAgreement(rules *modelcheck.Rules) {
-	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees func(string, keystore.Reply) bool) (bool, bool) {
+	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees keystore.VoteFunc) (bool, bool) {
 		_, possible := keystore.CountVotes(membership, replies, agrees)
 		return possible && len(replies) > 0, possible
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-// readsUnconfirmed lets an owner read again without the word of a majority.
+// readsUnconfirmed lets an owner read again without a majority's confirmation.
 func readsUnconfirmed(rules *modelcheck.Rules) {
 	rules.Step = func(
 		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
@@ -123,7 +123,7 @@
 	}
 }
 
-// judgesChangedReplies changes the answers on which founding is judged; silent founders count as given by blank.
+// judgesChangedReplies changes the replies on which a bootstrap is judged; members without one count with an empty one.
 func judgesChangedReplies(rules *modelcheck.Rules, change func(address string, reply keystore.Reply) keystore.Reply) {
 	rules.JudgeBootstrap = func(self string, founding keystore.Membership, replies map[string]keystore.Reply) keystore.BootstrapVerdict {
 		judged := map[string]keystore.Reply{}
@@ -135,11 +135,15 @@
 	}
 }
 
-// bootstrapsWithoutUnanswered takes a founder that did not answer for one that never voted.
+// bootstrapsWithoutUnanswered takes a member that did not answer for one that never voted.
 func bootstrapsWithoutUnanswered(rules *modelcheck.Rules) {
 	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
 		if reply.DiskIncarnation == 0 {
-			return keystore.Reply{Rejection: keystore.RejectedNotVoting, NeverVoted: true, Seeds: modelcheck.BootstrapWithoutOne().Membership.Current}
+			return keystore.Reply{
+				Rejection:  keystore.RejectedNotVoting,
+				NeverVoted: true,
+				Seeds:      modelcheck.BootstrapWithoutOne().Membership.Current,
+			}
 		}
 		return reply
 	})
@@ -161,7 +165,7 @@
 	})
 }
 
-// answersWithoutRecordingIncarnation leaves it unnoted who was told that this member never voted.
+// answersWithoutRecordingIncarnation does not record who was answered that this member never voted.
 func answersWithoutRecordingIncarnation(rules *modelcheck.Rules) {
 	rules.Step = func(
 		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
--- a/internal/test/modelcheck/proposer.go
+++ b/internal/test/modelcheck/proposer.go
@@ -10,19 +10,20 @@
 	"ferryspar/internal/keystore"
 )
 
+// phase is where a proposer is in its task.
 type phase string
 
+// The phases, as traces show them.
 const (
 	phaseIdle         phase = "idle"
 	phasePreparing    phase = "promising"
 	phaseRecommitting phase = "recommitting"
 	phaseWriting      phase = "writing"
-	// phaseQuerying is a question of one round: a look, a read, a renewal, a release, a catch-up.
+	// phaseQuerying is a query of one round: a digest, a read, a renewal, a release, a catch-up.
 	phaseQuerying phase = "asking"
 )
 
-// validity is a lease as its holder counts it, or the validity of a look. The times are by the
-// clock that Rules.Clock gives.
+// validity is that of a lease as its holder counts it, or of a digest. The times are by the clock that Rules.Clock gives.
 type validity struct {
 	Started  time.Time
 	Answered time.Time
@@ -31,14 +32,14 @@
 	Value    json.RawMessage
 }
 
-// proposer is one life of a daemon's Store, with the calls that are still to come.
+// proposer is one incarnation of a keystore.Store, with the calls that are still to come.
 type proposer struct {
 	Machine     string
 	Index       int
 	Incarnation uint64
-	// Ballots holds those used so far, of former lives too.
+	// Proposals holds the numbers used so far, of former incarnations too.
 	Proposals []keystore.ProposalNumber
-	// Seen is the highest round of a ballot that this life has seen.
+	// HighestRound is that of any proposal number that this incarnation has seen.
 	HighestRound uint64
 	Membership   keystore.Membership
 	Tasks        []Task
@@ -46,34 +47,35 @@
 	Phase   phase
 	Round   int
 	Queried keystore.Membership
-	// VersionAtStart is the number of the list known when a catch-up began.
+	// VersionAtStart is that of the membership known when a catch-up began.
 	VersionAtStart uint64
 	Replies        map[string]keystore.Reply
 	Started        time.Time
-	// Floor is what was acknowledged when the present look or read began.
+	// AcknowledgedAtStart is what was acknowledged when the present digest or read began.
 	AcknowledgedAtStart []string
 
 	OwnedKey  string
 	Ownership keystore.Ownership `json:"-"`
 	Proposed  keystore.Register
 	Lease     *validity
-	// Looked is the last look, kept where its freshness is judged.
+	// LastDigest is kept where its freshness is judged.
 	LastDigest *validity
 
-	// founding is the list that is asked while none is known.
+	// bootstrapMembership is the one that is queried while none is known.
 	bootstrapMembership keystore.Membership
 	leaseDuration       time.Duration
 	reachable           []string
 	keepsDigests        bool
 }
 
+// unencodedProposerState is what tells proposers apart besides their JSON.
 func unencodedProposerState(p *proposer) string { return fmt.Sprint(p.Ownership) }
 
 // outcome is what follows from an event at a proposer besides its new state.
 type outcome struct {
 	packets   []packet
 	committed []committedValue
-	// looked holds proposals that a digest calls committed, to be fetched.
+	// digested holds proposals that a digest calls committed, to be fetched.
 	digested            []keystore.Register
 	acknowledgedAtStart []string
 	acknowledged        string
@@ -85,7 +87,7 @@
 	rules Rules
 	// now is by the clock of the proposer's machine.
 	now time.Time
-	// acknowledged lists the marks of the changes acknowledged so far.
+	// acknowledged lists the labels of the changes acknowledged so far.
 	acknowledged []string
 	// own is the member on the proposer's machine, if there is one.
 	own *member
@@ -102,13 +104,15 @@
 
 func (p *proposer) done() bool { return len(p.Tasks) == 0 }
 
-// idle leaves the round; replies to it count no more.
+// resetRound leaves the round; replies to it count no more.
 func (p *proposer) resetRound() {
 	p.Phase, p.Replies, p.Queried = phaseIdle, nil, keystore.Membership{}
 	p.VersionAtStart = 0
 	p.Started, p.AcknowledgedAtStart, p.Proposed = time.Time{}, nil, keystore.Register{}
 }
 
+// finishTask goes on to the next task. After the last one nothing is remembered, so that proposers that are done are one
+// state.
 func (p *proposer) finishTask() {
 	p.resetRound()
 	p.Tasks = p.Tasks[1:]
@@ -118,7 +122,7 @@
 	}
 }
 
-// fail ends an attempt; the task is dropped once its attempts are used up.
+// failAttempt ends an attempt; the task is dropped once its attempts are used up.
 func (p *proposer) failAttempt() {
 	p.resetRound()
 	p.OwnedKey, p.Ownership = "", keystore.Ownership{}
@@ -131,11 +135,20 @@
 	p.Tasks = append([]Task{current}, p.Tasks[1:]...)
 }
 
-// restart is the next life: it knows its calls, since callers send them again, and the list.
+// restart is the next incarnation: it knows its calls, since callers send them again, and the membership.
 func (p *proposer) restart(membership keystore.Membership) *proposer {
 	next := &proposer{
-		Machine: p.Machine, Index: p.Index, Incarnation: p.Incarnation + 1, Proposals: p.Proposals, Membership: p.Membership, Tasks: p.Tasks,
-		Phase: phaseIdle, bootstrapMembership: p.bootstrapMembership, leaseDuration: p.leaseDuration, reachable: p.reachable, keepsDigests: p.keepsDigests,
+		Machine:             p.Machine,
+		Index:               p.Index,
+		Incarnation:         p.Incarnation + 1,
+		Proposals:           p.Proposals,
+		Membership:          p.Membership,
+		Tasks:               p.Tasks,
+		Phase:               phaseIdle,
+		bootstrapMembership: p.bootstrapMembership,
+		leaseDuration:       p.leaseDuration,
+		reachable:           p.reachable,
+		keepsDigests:        p.keepsDigests,
 	}
 	if membership.Version > 0 {
 		next.Membership = membership
@@ -149,12 +162,12 @@
 	}
 }
 
-// ask begins a round: one question to each member.
+// startRound begins a round: one request to each member.
 func (p *proposer) startRound(next phase, message keystore.Message) []packet {
 	return p.startRoundWith(p.Membership, next, message)
 }
 
-// startRoundWith puts the question to a list that need not be the one known to be in force.
+// startRoundWith sends the request to the members of a membership that need not be the one known to be in force.
 func (p *proposer) startRoundWith(queried keystore.Membership, next phase, message keystore.Message) []packet {
 	p.Phase, p.Queried, p.Replies = next, queried, map[string]keystore.Reply{}
 	p.Round++
@@ -164,7 +177,13 @@
 		if len(p.reachable) > 0 && !slices.Contains(p.reachable, address) {
 			continue
 		}
-		packets = append(packets, packet{Member: address, Proposer: p.Index, Incarnation: p.Incarnation, Round: p.Round, Request: &message})
+		packets = append(packets, packet{
+			Member:      address,
+			Proposer:    p.Index,
+			Incarnation: p.Incarnation,
+			Round:       p.Round,
+			Request:     &message,
+		})
 	}
 	return packets
 }
--- a/internal/test/modelcheck/asking.go
+++ b/internal/test/modelcheck/queries.go
@@ -7,14 +7,17 @@
 	"ferryspar/internal/keystore"
 )
 
-// answered ends a question of one round that a quorum agreed to. A look that leaves something
-// unsettled may wait for more replies, as Store does; patient says that it waits no more.
-func (p *proposer) completeQuery(at view, patient bool) outcome {
+// completeQuery ends a query of one round that a quorum agreed to. A digest that leaves something undecided may wait for
+// more replies, as keystore.Store does; lingered says that it waits no more.
+func (p *proposer) completeQuery(at view, lingered bool) outcome {
 	switch p.task().Kind {
 	case taskDigest:
-		return p.completeDigest(at, patient)
+		return p.completeDigest(at, lingered)
 	case taskRead:
-		result := outcome{committed: p.committedValues(p.Ownership.Current().AcceptedProposal), acknowledgedAtStart: p.AcknowledgedAtStart}
+		result := outcome{
+			committed:           p.committedValues(p.Ownership.Current().Accepted),
+			acknowledgedAtStart: p.AcknowledgedAtStart,
+		}
 		p.finishTask()
 		return result
 	case taskRenew:
@@ -28,9 +31,9 @@
 	return outcome{}
 }
 
-func (p *proposer) completeDigest(at view, patient bool) outcome {
+func (p *proposer) completeDigest(at view, lingered bool) outcome {
 	digest := keystore.EvaluateDigest(p.Queried, p.Replies)
-	if len(digest.Undecided) > 0 && !patient {
+	if len(digest.Undecided) > 0 && !lingered {
 		return outcome{}
 	}
 	result := outcome{acknowledgedAtStart: p.AcknowledgedAtStart}
@@ -44,7 +47,7 @@
 	return result
 }
 
-// settles says whether a look may end now although something is unsettled.
+// mayEndDigest says whether a digest may end now although something is undecided.
 func (p *proposer) mayEndDigest(rules Rules) bool {
 	if p.Phase != phaseQuerying || p.task().Kind != taskDigest {
 		return false
@@ -53,6 +56,7 @@
 	return agreed
 }
 
+// evaluateCatchUp looks at the replies to a catch-up so far.
 func (p *proposer) evaluateCatchUp(at view) outcome {
 	incarnation := at.own.localState.DiskIncarnation
 	request := keystore.CatchUpRequest{Self: p.Machine, DiskIncarnation: incarnation, Membership: p.Queried}
@@ -64,7 +68,13 @@
 		p.failAttempt()
 		return outcome{}
 	}
-	install := packet{Member: p.Machine, Proposer: p.Index, Incarnation: p.Incarnation, Round: p.Round, Install: &read}
+	install := packet{
+		Member:      p.Machine,
+		Proposer:    p.Index,
+		Incarnation: p.Incarnation,
+		Round:       p.Round,
+		Install:     &read,
+	}
 	p.failAttempt()
 	return outcome{packets: []packet{install}}
 }
--- a/internal/test/modelcheck/receive.go
+++ b/internal/test/modelcheck/receive.go
@@ -1,11 +1,5 @@
 package modelcheck
 
-import (
-	"slices"
-
-	"ferryspar/internal/keystore"
-)
-
 // receive gives a reply to its proposer.
 func (m *model) receive(w *world, id stateID) error {
 	message := m.packets.get(id)
@@ -30,13 +24,14 @@
 	if err := m.applyOutcome(w, index, next, result); err != nil {
 		return err
 	}
-	if result.proposal == (keystore.ProposalNumber{}) && len(result.digested) == 0 && w.wallClockOffsets[machine] == 0 {
+	hasOtherEffects := !result.proposal.IsZero() || len(result.digested) > 0
+	if !hasOtherEffects && w.wallClockOffsets[machine] == 0 {
 		m.cacheResult(cacheKey, w, result, index)
 	}
 	return nil
 }
 
-// remember keeps a result that depends on nothing but what receiving names.
+// cacheResult keeps a result that depends on nothing but what receiveKey names.
 func (m *model) cacheResult(cacheKey receiveKey, w *world, result outcome, index int) {
 	kept := receiveResult{proposer: w.proposers[index], history: w.history}
 	for _, sent := range result.packets {
@@ -44,10 +39,3 @@
 	}
 	m.received[cacheKey] = kept
 }
-
-// told says whether a history holds a proposal already.
-func (h *history) contains(register keystore.Register) bool {
-	return slices.ContainsFunc(h.Committed, func(value committedValue) bool {
-		return value.Key == register.Key && value.register().SameProposal(register)
-	})
-}
--- a/internal/test/modelcheck/rounds.go
+++ b/internal/test/modelcheck/rounds.go
@@ -15,7 +15,8 @@
 		return next.startCatchUp(at)
 	case taskDigest:
 		next.AcknowledgedAtStart = at.acknowledged
-		return next, outcome{packets: next.startRound(phaseQuerying, keystore.Message{Operation: keystore.OperationDigest})}, true
+		packets := next.startRound(phaseQuerying, keystore.Message{Operation: keystore.OperationDigest})
+		return next, outcome{packets: packets}, true
 	case taskRead, taskRenew, taskRelease:
 		if !owned {
 			next.finishTask()
@@ -35,13 +36,16 @@
 	if at.own == nil || at.own.localState.Voting || !queried.Contains(p.Machine) {
 		return nil, outcome{}, false
 	}
-	message := keystore.Message{Operation: keystore.OperationCatchUp, DiskIncarnation: at.own.localState.DiskIncarnation}
+	message := keystore.Message{
+		Operation:       keystore.OperationCatchUp,
+		DiskIncarnation: at.own.localState.DiskIncarnation,
+	}
 	packets := p.startRoundWith(queried, phaseQuerying, message)
 	p.VersionAtStart = p.Membership.Version
 	return p, outcome{packets: packets}, true
 }
 
-// catchUpMembership is the list known or, while there is none, that of the founders.
+// catchUpMembership is the one known or, while there is none, that of the bootstrap.
 func (p *proposer) catchUpMembership() keystore.Membership {
 	if p.Membership.Version == 0 {
 		return p.bootstrapMembership
@@ -63,16 +67,19 @@
 	return p, outcome{packets: p.startRound(phaseQuerying, message)}, true
 }
 
-// take makes one attempt to own the key.
+// prepare makes one attempt to own the key.
 func (p *proposer) prepare(at view) outcome {
 	p.HighestRound++
 	proposal := at.rules.ProposalNumber(p.HighestRound, p.Machine, p.Incarnation)
 	p.Proposals = append(p.Proposals, proposal)
 	p.OwnedKey = ""
-	return outcome{proposal: proposal, packets: p.startRound(phasePreparing, keystore.PrepareMessage(p.task().Key, proposal))}
+	return outcome{
+		proposal: proposal,
+		packets:  p.startRound(phasePreparing, keystore.PrepareMessage(p.task().Key, proposal)),
+	}
 }
 
-// receive takes a reply; one to an earlier round only tells of ballots and of the list.
+// receive takes a reply; one to an earlier round only tells of proposal numbers and of the membership.
 func (p *proposer) receive(at view, message packet) (*proposer, outcome) {
 	next := p.clone()
 	if !next.onLastAttempt() {
@@ -86,8 +93,7 @@
 	return next, next.evaluateReplies(at)
 }
 
-// relevant leaves out what the round does not look at, so that replies that differ only there
-// make one state.
+// normalizeReply leaves out what the round does not look at, so that replies that differ only there make one state.
 func (p *proposer) normalizeReply(reply keystore.Reply) keystore.Reply {
 	if p.task().Kind != taskCatchUp {
 		reply.Membership = keystore.Membership{}
@@ -99,13 +105,13 @@
 	return reply
 }
 
-// onLastAttempt says that the proposer takes no key any more, and that nothing follows if it gives
-// up: to all others that is the same as waiting on for replies that never come.
+// onLastAttempt says that the proposer becomes the owner of no key any more, and that nothing follows if it gives up: to
+// all others that is the same as waiting on for replies that never come.
 func (p *proposer) onLastAttempt() bool {
 	return len(p.Tasks) == 1 && p.Tasks[0].Attempts <= 1 && p.Phase != phaseIdle
 }
 
-// judge looks at the replies so far.
+// evaluateReplies looks at the replies so far.
 func (p *proposer) evaluateReplies(at view) outcome {
 	task := p.task()
 	if task.Kind == taskCatchUp {
@@ -123,7 +129,8 @@
 	return outcome{}
 }
 
-func (p *proposer) voteFunc(at view) func(string, keystore.Reply) bool {
+// voteFunc says which replies count as agreement in the present phase.
+func (p *proposer) voteFunc(at view) keystore.VoteFunc {
 	if p.Phase == phaseRecommitting || p.Phase == phaseWriting {
 		return func(address string, reply keystore.Reply) bool {
 			return at.rules.CountsAcceptance(p.Ownership, address, reply)
@@ -135,6 +142,7 @@
 	return func(_ string, reply keystore.Reply) bool { return reply.Granted }
 }
 
+// completePhase goes on after a quorum has agreed.
 func (p *proposer) completePhase(at view) outcome {
 	switch p.Phase {
 	case phasePreparing:
@@ -147,25 +155,30 @@
 		return p.propose(at, outcome{committed: p.committedValues(proposal)})
 	case phaseRecommitting:
 		p.OwnedKey = p.task().Key
-		return p.propose(at, outcome{committed: p.committedValues(p.Ownership.Current().AcceptedProposal)})
+		return p.propose(at, outcome{committed: p.committedValues(p.Ownership.Current().Accepted)})
 	default:
 		p.Ownership = p.Ownership.WithCommitted(p.Proposed)
-		result := outcome{committed: p.committedValues(p.Proposed.AcceptedProposal)}
+		result := outcome{committed: p.committedValues(p.Proposed.Accepted)}
 		return p.acknowledge(at, result)
 	}
 }
 
-// concludes is the value in force as something to be held against all others. That there is none
-// is not held against them: a value of a lower ballot may still become certain before this
-// owner writes, in which case the write fails.
+// committedValues is the value in force as something to be compared with all others. That there is none is not compared: a
+// value of a lower proposal number may still become certain before this owner writes, in which case the write fails.
 func (p *proposer) committedValues(proposal keystore.ProposalNumber) []committedValue {
 	register := p.Ownership.Current()
 	if !register.IsAccepted() {
 		return nil
 	}
-	return []committedValue{{Key: register.Key, Ballot: proposal, Sequence: register.Sequence, Value: register.Value}}
+	return []committedValue{{
+		Key:      register.Key,
+		Proposal: proposal,
+		Sequence: register.Sequence,
+		Value:    register.Value,
+	}}
 }
 
+// propose writes what the task makes of the value in force, if that is still to be done.
 func (p *proposer) propose(at view, result outcome) outcome {
 	value, done, rejected := p.task().nextValue(p.Ownership.Current().Value)
 	switch {
@@ -180,7 +193,7 @@
 	return result
 }
 
-// complete acknowledges the task whose value is in force.
+// acknowledge ends the task whose value is in force.
 func (p *proposer) acknowledge(at view, result outcome) outcome {
 	task := p.task()
 	switch task.Kind {
@@ -190,7 +203,12 @@
 		p.adopt(task.Membership)
 	case taskAcquire:
 		result.acknowledged = task.Label
-		p.Lease = &validity{Started: p.Started, Answered: at.now, Until: p.Started.Add(p.leaseDuration), Key: task.Key}
+		p.Lease = &validity{
+			Started:  p.Started,
+			Answered: at.now,
+			Until:    p.Started.Add(p.leaseDuration),
+			Key:      task.Key,
+		}
 	}
 	p.finishTask()
 	return result
--- a/internal/test/modelcheck/scenarios.go
+++ b/internal/test/modelcheck/scenarios.go
@@ -13,7 +13,7 @@
 
 var three = keystore.Membership{Version: 1, Current: []string{"a", "b", "c"}}
 
-// joint takes in d for c, replaced is the list after it.
+// joint replaces c by d, replaced is the membership after it.
 var (
 	joint    = keystore.Membership{Version: 2, Current: []string{"a", "b", "c"}, Next: []string{"a", "b", "d"}}
 	replaced = keystore.Membership{Version: 3, Current: []string{"a", "b", "d"}}
@@ -31,16 +31,33 @@
 // ShortScenarios lists those that are exhausted within seconds.
 func ShortScenarios() []Scenario {
 	return []Scenario{
-		TwoProposers(), ThreeProposers(), OwnerReads(), Restart(), CrashBetweenWrites(), WipeBetweenWrites(), WipeSeen(), WipeHalfWritten(),
-		JointMajorities(), MembershipDuringCatchUp(), LeaseReleased(), LeaseWiped(), DigestDuringWrites(), FreshDigest(),
-		BootstrapFromNothing(), BootstrapWithWipe(), BootstrapWithoutOne(), BootstrapLongAgo(), BootstrapMembershipChanged(),
+		TwoProposers(),
+		ThreeProposers(),
+		OwnerReads(),
+		Restart(),
+		CrashBetweenWrites(),
+		WipeBetweenWrites(),
+		WipeSeen(),
+		WipeHalfWritten(),
+		JointMajorities(),
+		MembershipDuringCatchUp(),
+		LeaseReleased(),
+		LeaseWiped(),
+		DigestDuringWrites(),
+		FreshDigest(),
+		BootstrapFromNothing(),
+		BootstrapWithWipe(),
+		BootstrapWithoutOne(),
+		BootstrapLongAgo(),
+		BootstrapMembershipChanged(),
 	}
 }
 
 // TwoProposers is two proposers with one change each on one key.
 func TwoProposers() Scenario {
 	return Scenario{
-		Name: "two-proposers", Summary: "two proposers change one key, each once",
+		Name:       "two-proposers",
+		Summary:    "two proposers change one key, each once",
 		Membership: three,
 		Clients: []Client{
 			{Machine: "a", StartsImmediately: true, Tasks: []Task{Change(configurationKey, "x", 1)}},
@@ -49,7 +66,7 @@
 	}
 }
 
-// TwoProposersTwice is the same with a second attempt of one and a question that comes twice.
+// TwoProposersTwice is the same with a second attempt of one and a request that comes twice.
 func TwoProposersTwice() Scenario {
 	scenario := TwoProposers()
 	scenario.Name, scenario.Summary = "two-proposers-twice", "two proposers change one key; one duplicate, one further attempt"
@@ -61,12 +78,28 @@
 // ThreeProposers is three proposers of which each two meet at one member.
 func ThreeProposers() Scenario {
 	return Scenario{
-		Name: "three-proposers", Summary: "three proposers change one key; each two of them meet at one member",
+		Name:       "three-proposers",
+		Summary:    "three proposers change one key; each two of them meet at one member",
 		Membership: three,
 		Clients: []Client{
-			{Machine: "a", StartsImmediately: true, Reachable: []string{"a", "b"}, Tasks: []Task{Change(configurationKey, "x", 1)}},
-			{Machine: "b", StartsImmediately: true, Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "y", 1)}},
-			{Machine: "c", StartsImmediately: true, Reachable: []string{"b", "c"}, Tasks: []Task{Change(configurationKey, "z", 1)}},
+			{
+				Machine:           "a",
+				StartsImmediately: true,
+				Reachable:         []string{"a", "b"},
+				Tasks:             []Task{Change(configurationKey, "x", 1)},
+			},
+			{
+				Machine:           "b",
+				StartsImmediately: true,
+				Reachable:         []string{"a", "c"},
+				Tasks:             []Task{Change(configurationKey, "y", 1)},
+			},
+			{
+				Machine:           "c",
+				StartsImmediately: true,
+				Reachable:         []string{"b", "c"},
+				Tasks:             []Task{Change(configurationKey, "z", 1)},
+			},
 		},
 	}
 }
@@ -76,19 +109,31 @@
 func OwnerReads() Scenario {
 	scenario := TwoProposers()
 	scenario.Name, scenario.Summary = "owner-reads", "an owner reads again what it wrote, beside another change"
-	scenario.Clients[0] = Client{Machine: "a", StartsImmediately: true, Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "x", 1), Read(configurationKey)}}
+	scenario.Clients[0] = Client{
+		Machine:           "a",
+		StartsImmediately: true,
+		Reachable:         []string{"a", "c"},
+		Tasks:             []Task{Change(configurationKey, "x", 1), Read(configurationKey)},
+	}
 	scenario.Clients[1].Reachable = []string{"b", "c"}
 	scenario.Faults, scenario.FaultyMachines, scenario.SeparatesSync = Faults{Crashes: 1}, []string{"c"}, true
 	return scenario
 }
 
-// Restart is a proposer with a second life, over a key that holds a value.
+// Restart is a proposer that restarts, over a key that holds a value.
 func Restart() Scenario {
 	return Scenario{
-		Name: "restart", Summary: "a proposer begins a new life during its change; one duplicate",
-		Membership: three, InitialRegisters: onAllMembers(three, configurationKey, "o"),
-		Clients: []Client{{Machine: "a", StartsImmediately: true, Tasks: []Task{Change(configurationKey, "x", 1)}, Reachable: []string{"a", "b"}}},
-		Faults:  Faults{Restarts: 1, Duplicates: 1},
+		Name:             "restart",
+		Summary:          "a proposer begins a new life during its change; one duplicate",
+		Membership:       three,
+		InitialRegisters: onAllMembers(three, configurationKey, "o"),
+		Clients: []Client{{
+			Machine:           "a",
+			StartsImmediately: true,
+			Tasks:             []Task{Change(configurationKey, "x", 1)},
+			Reachable:         []string{"a", "b"},
+		}},
+		Faults: Faults{Restarts: 1, Duplicates: 1},
 	}
 }
 
@@ -109,26 +154,39 @@
 	return scenario
 }
 
-// DigestDuringWrites is a look while a value is written and a member loses its disk; what the
-// look found is learned by the member beside.
+// DigestDuringWrites is a digest while a value is written and a member loses its disk; what the digest found is learned
+// by the member beside.
 func DigestDuringWrites() Scenario {
 	return Scenario{
-		Name: "looks-during-writes", Summary: "a look during a change and the loss of a disk; its finding is learned",
-		Membership: three, InitialRegisters: onAllMembers(three, configurationKey, "o"),
+		Name:             "looks-during-writes",
+		Summary:          "a look during a change and the loss of a disk; its finding is learned",
+		Membership:       three,
+		InitialRegisters: onAllMembers(three, configurationKey, "o"),
 		Clients: []Client{
-			{Machine: "a", StartsImmediately: true, Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "x", 1)}},
+			{
+				Machine:           "a",
+				StartsImmediately: true,
+				Reachable:         []string{"a", "c"},
+				Tasks:             []Task{Change(configurationKey, "x", 1)},
+			},
 			{Machine: "b", Tasks: []Task{Digest()}},
 			{Machine: "c", Tasks: []Task{CatchUp(1)}},
 		},
-		Faults: Faults{Wipes: 1}, FaultyMachines: []string{"c"}, Learns: true,
+		Faults:         Faults{Wipes: 1},
+		FaultyMachines: []string{"c"},
+		Learns:         true,
 	}
 }
 
-// FreshDigest is a look answered from later, beside a change, over steps of time.
+// FreshDigest is a digest that is answered from later, beside a change, over steps of time.
 func FreshDigest() Scenario {
 	return Scenario{
-		Name: "fresh-looks", Summary: "a look is answered from while it is fresh, beside a change and a freeze",
-		Membership: three, DigestValidityTicks: 1, DelaysReplies: true, InitialRegisters: onAllMembers(three, configurationKey, "o"),
+		Name:                "fresh-looks",
+		Summary:             "a look is answered from while it is fresh, beside a change and a freeze",
+		Membership:          three,
+		DigestValidityTicks: 1,
+		DelaysReplies:       true,
+		InitialRegisters:    onAllMembers(three, configurationKey, "o"),
 		Clients: []Client{
 			{Machine: "a", Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "x", 1)}},
 			{Machine: "b", Reachable: []string{"b", "c"}, Tasks: []Task{Digest()}},
@@ -137,13 +195,19 @@
 	}
 }
 
-// onAllMembers gives each member one value, under a ballot below all others.
+// onAllMembers gives each member one value, under a proposal number below all others.
 func onAllMembers(membership keystore.Membership, name, label string) map[string][]keystore.Register {
 	value, _ := json.Marshal([]string{label})
 	proposal := keystore.ProposalNumber{Round: 1, Incarnation: 1}
 	registers := map[string][]keystore.Register{}
 	for _, address := range membership.All() {
-		registers[address] = []keystore.Register{{Key: name, Promised: proposal, AcceptedProposal: proposal, Sequence: 1, Value: value}}
+		registers[address] = []keystore.Register{{
+			Key:      name,
+			Promised: proposal,
+			Accepted: proposal,
+			Sequence: 1,
+			Value:    value,
+		}}
 	}
 	return registers
 }
--- a/internal/test/modelcheck/scenarios_lease.go
+++ b/internal/test/modelcheck/scenarios_lease.go
@@ -1,20 +1,23 @@
 package modelcheck
 
-// LeaseTaken is a lease that two want, one of which renews and releases it, over steps of time,
-// with a crash and a step of a machine's time of day.
+// LeaseTaken is a lease that two want, one of which renews and releases it, over steps of time, with a crash and a step of
+// a machine's wall clock.
 func LeaseTaken() Scenario {
 	return Scenario{
-		Name: "lease-taken", Summary: "a lease is taken, renewed and released or runs out; another takes it; a crash",
-		Membership: three, LeaseTicks: 2,
+		Name:       "lease-taken",
+		Summary:    "a lease is taken, renewed and released or runs out; another takes it; a crash",
+		Membership: three,
+		LeaseTicks: 2,
 		Clients: []Client{
 			{Machine: "a", Tasks: []Task{Acquire(leaseKey, "x"), Renew(leaseKey), Release(leaseKey)}},
 			{Machine: "b", Tasks: []Task{Acquire(leaseKey, "y")}},
 		},
-		Faults: Faults{Ticks: 2, Crashes: 1, WallClockSteps: 1}, FaultyMachines: []string{"c"},
+		Faults:         Faults{Ticks: 2, Crashes: 1, WallClockSteps: 1},
+		FaultyMachines: []string{"c"},
 	}
 }
 
-// LeaseReleased narrows it: the two meet at c, whose time of day is stepped.
+// LeaseReleased narrows it: the two meet at c, whose wall clock is stepped.
 func LeaseReleased() Scenario {
 	scenario := LeaseTaken()
 	scenario.Name, scenario.Summary = "lease-released", "a lease is taken and released or runs out; another that meets it at c takes it"
@@ -37,11 +40,22 @@
 // LeaseDuringReplacement is a lease held while a member is replaced by a newcomer.
 func LeaseDuringReplacement() Scenario {
 	return Scenario{
-		Name: "lease-members", Summary: "a lease is held while a member is replaced; another daemon wants it",
-		Membership: three, Newcomers: []string{"d"}, LeaseTicks: 1,
+		Name:       "lease-members",
+		Summary:    "a lease is held while a member is replaced; another daemon wants it",
+		Membership: three,
+		Newcomers:  []string{"d"},
+		LeaseTicks: 1,
 		Clients: []Client{
 			{Machine: "a", Tasks: []Task{Acquire(leaseKey, "x")}},
-			{Machine: "b", StartsImmediately: true, Tasks: []Task{ChangeMembership(joint, "", 1), ChangeMembership(replaced, "d", 1), Acquire(leaseKey, "y")}},
+			{
+				Machine:           "b",
+				StartsImmediately: true,
+				Tasks: []Task{
+					ChangeMembership(joint, "", 1),
+					ChangeMembership(replaced, "d", 1),
+					Acquire(leaseKey, "y"),
+				},
+			},
 			{Machine: "d", Tasks: []Task{CatchUp(1)}},
 		},
 		Faults: Faults{Ticks: 1},
--- a/internal/test/modelcheck/scenarios_wipe.go
+++ b/internal/test/modelcheck/scenarios_wipe.go
@@ -16,7 +16,11 @@
 func WipeBetweenWrites() Scenario {
 	scenario := WipeDuringWrite()
 	scenario.Name, scenario.Summary = "wipe-between-writes", "a member loses its disk during a change; another follows"
-	scenario.Clients[1] = Client{Machine: "b", Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "y", 1).After("x")}}
+	scenario.Clients[1] = Client{
+		Machine:   "b",
+		Reachable: []string{"a", "c"},
+		Tasks:     []Task{Change(configurationKey, "y", 1).After("x")},
+	}
 	return scenario
 }
 
@@ -28,19 +32,32 @@
 	return scenario
 }
 
-// WipeThreeWriters is the loss of a disk between promise and write of one proposer, while
-// another writes under an older ballot; a third follows.
+// WipeThreeWriters is the loss of a disk between promise and write of one proposer, while another writes under a lower
+// proposal number; a third follows.
 func WipeThreeWriters() Scenario {
 	return Scenario{
-		Name: "wipe-three-writers", Summary: "a member loses its disk between promise and write; two more proposers write",
-		Membership: three, Newcomers: []string{"z"},
+		Name:       "wipe-three-writers",
+		Summary:    "a member loses its disk between promise and write; two more proposers write",
+		Membership: three,
+		Newcomers:  []string{"z"},
 		Clients: []Client{
-			{Machine: "a", StartsImmediately: true, Reachable: []string{"a", "b"}, Tasks: []Task{Change(configurationKey, "x", 1)}},
-			{Machine: "b", StartsImmediately: true, Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "y", 1)}},
+			{
+				Machine:           "a",
+				StartsImmediately: true,
+				Reachable:         []string{"a", "b"},
+				Tasks:             []Task{Change(configurationKey, "x", 1)},
+			},
+			{
+				Machine:           "b",
+				StartsImmediately: true,
+				Reachable:         []string{"a", "c"},
+				Tasks:             []Task{Change(configurationKey, "y", 1)},
+			},
 			{Machine: "c", Tasks: []Task{CatchUp(1)}},
 			{Machine: "z", Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "z", 1)}},
 		},
-		Faults: Faults{Wipes: 1}, FaultyMachines: []string{"c"},
+		Faults:         Faults{Wipes: 1},
+		FaultyMachines: []string{"c"},
 	}
 }
 
--- a/internal/test/modelcheck/search.go
+++ b/internal/test/modelcheck/search.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Limits bound a search. Zero leaves a bound out.
+// Limits bound a search. Zero leaves a limit out.
 type Limits struct {
-	// Depth is the greatest number of events in a row.
+	// Depth is the greatest number of actions in a row.
 	Depth int
 	// States is how many worlds are visited.
 	States int
 	// For is how long the search may take, by the real clock.
 	For time.Duration
-	// Progress, if set, is told about the search after each level.
+	// Progress, if set, is called after each level.
 	Progress func(Report)
 }
 
-// Report is what a search found.
+// Report is what a search found, also as JSON on the command line.
 type Report struct {
 	Scenario    string        `json:"scenario"`
 	States      int           `json:"states"`
@@ -29,8 +29,8 @@
 	Duration    time.Duration `json:"tookNs"`
 	// Exhausted says that every world within the scenario was visited.
 	Exhausted bool `json:"exhausted"`
-	// Reached lists what was acknowledged in some world, and the member lists adopted: a scenario
-	// that never gets anywhere proves nothing.
+	// Reached lists what was acknowledged in some world, and the memberships adopted: a scenario that never gets anywhere
+	// proves nothing.
 	Reached []string `json:"reached"`
 	// Violation is the invariant that failed, Trace a shortest way there.
 	Violation string   `json:"violation,omitempty"`
@@ -51,12 +51,12 @@
 // pathStep is how a world was reached first.
 type pathStep struct {
 	parent int32
-	move   action
+	action action
 }
 
 // search is one walk: the worlds of one level, and of all how they were reached.
 type search struct {
-	fleet   *model
+	model   *model
 	limits  Limits
 	started time.Time
 	steps   []pathStep
@@ -64,6 +64,7 @@
 	report  Report
 }
 
+// frontierEntry is a world of the level that is expanded; at is its place among the steps.
 type frontierEntry struct {
 	world *world
 	at    int32
@@ -73,20 +74,23 @@
 // or met a limit. It uses one processor.
 func Search(ctx context.Context, scenario Scenario, rules Rules, limits Limits) Report {
 	walk := &search{
-		fleet: newModel(scenario, rules), limits: limits, started: time.Now(), visited: map[uint64]struct{}{},
-		report: Report{Scenario: scenario.Name},
+		model:   newModel(scenario, rules),
+		limits:  limits,
+		started: time.Now(),
+		visited: map[uint64]struct{}{},
+		report:  Report{Scenario: scenario.Name},
 	}
 	walk.run(ctx)
-	walk.report.Reached = walk.fleet.reached()
+	walk.report.Reached = walk.model.reached()
 	walk.report.States, walk.report.Duration = len(walk.steps), time.Since(walk.started)
 	return walk.report
 }
 
 func (s *search) run(ctx context.Context) {
-	first := s.fleet.initialWorld()
+	first := s.model.initialWorld()
 	s.visited[first.hash()] = struct{}{}
 	s.steps = append(s.steps, pathStep{parent: -1})
-	level := []frontierEntry{{first, 0}}
+	level := []frontierEntry{{world: first}}
 	for len(level) > 0 {
 		if s.limits.Depth > 0 && s.report.Depth >= s.limits.Depth {
 			return
@@ -130,8 +134,8 @@
 }
 
 func (s *search) expand(from frontierEntry) (found []frontierEntry, violated bool) {
-	for _, event := range s.fleet.actions(from.world) {
-		next, err := s.fleet.apply(from.world, event)
+	for _, event := range s.model.actions(from.world) {
+		next, err := s.model.apply(from.world, event)
 		s.report.Transitions++
 		if err != nil {
 			s.report.Violation = err.Error()
@@ -143,24 +147,24 @@
 			continue
 		}
 		s.visited[hash] = struct{}{}
-		s.steps = append(s.steps, pathStep{from.at, event})
-		found = append(found, frontierEntry{next, int32(len(s.steps) - 1)})
+		s.steps = append(s.steps, pathStep{parent: from.at, action: event})
+		found = append(found, frontierEntry{world: next, at: int32(len(s.steps) - 1)})
 	}
 	return found, false
 }
 
-// trace plays the way to a world again, to describe each event in it.
+// trace plays the way to a world again, to describe each action on it.
 func (s *search) trace(at int32, last action) []string {
 	moves := []action{last}
 	for ; at > 0; at = s.steps[at].parent {
-		moves = append(moves, s.steps[at].move)
+		moves = append(moves, s.steps[at].action)
 	}
 	slices.Reverse(moves)
-	world := s.fleet.initialWorld()
+	world := s.model.initialWorld()
 	var lines []string
 	for _, step := range moves {
-		lines = append(lines, s.fleet.describe(world, step))
-		world, _ = s.fleet.apply(world, step)
+		lines = append(lines, s.model.describe(world, step))
+		world, _ = s.model.apply(world, step)
 	}
 	return lines
 }
--- a/internal/test/modelcheck/explore_test.go
+++ b/internal/test/modelcheck/search_test.go
@@ -20,7 +20,12 @@
 func TestSearch_ShortScenariosHoldAgreement(t *testing.T) {
 	for _, scenario := range modelcheck.ShortScenarios() {
 		t.Run(scenario.Name, func(t *testing.T) {
-			if testing.Short() && slices.Contains([]string{"lease-wiped", "two-proposers", "founding-from-nothing", "founding-with-wipe"}, scenario.Name) {
+			if testing.Short() && slices.Contains([]string{
+				"lease-wiped",
+				"two-proposers",
+				"founding-from-nothing",
+				"founding-with-wipe",
+			}, scenario.Name) {
 				t.Skip("takes seconds")
 			}
 			searchExhaustively(t, scenario, modelcheck.ProductRules())
--- a/internal/test/modelcheck/apply.go
+++ b/internal/test/modelcheck/step.go
@@ -6,7 +6,7 @@
 	"ferryspar/internal/keystore"
 )
 
-// apply is the world after a move. The error says which invariant fails there.
+// apply is the world after an action. The error says which invariant fails there.
 func (m *model) apply(w *world, event action) (*world, error) {
 	next := w.clone()
 	err := m.execute(next, event)
@@ -22,6 +22,7 @@
 	return next, err
 }
 
+// execute changes the world by an action.
 func (m *model) execute(w *world, event action) error {
 	subject := int(event.subject)
 	switch event.kind {
@@ -64,6 +65,7 @@
 	return nil
 }
 
+// deliver gives a packet to its receiver. Unless the scenario tells a step from its sync, the disk syncs at once.
 func (m *model) deliver(w *world, id stateID, lost bool) error {
 	message := m.packets.get(id)
 	if message.Reply != nil {
@@ -81,10 +83,10 @@
 	return nil
 }
 
-// answer brings replies on their way. But in scenarios with late ones they arrive at once or
-// not at all. That leaves nothing out where no step depends on when a reply arrives: until it
-// does its proposer stands still, and what the proposer sends on it may be under way for as long
-// as the reply could have been. A late refusal is a late question: neither changes the member.
+// sendReplies sends replies on their way. Unless the scenario delays replies they arrive at once or not at all. That
+// leaves nothing out where no step depends on when a reply arrives: until it does its proposer stands still, and what the
+// proposer sends on it may be under way for as long as the reply could have been. A late rejection is a late request:
+// neither changes the member.
 func (m *model) sendReplies(w *world, replies []stateID, lost bool) error {
 	for _, reply := range replies {
 		if m.scenario.DelaysReplies {
@@ -101,6 +103,7 @@
 	return nil
 }
 
+// handleAtMember is what a member makes of a packet.
 func (m *model) handleAtMember(w *world, index int, id stateID) handleResult {
 	now := m.now(w, index)
 	cacheKey := handleKey{w.members[index], id, int(now.Sub(epoch) / Tick)}
@@ -116,6 +119,7 @@
 	return result
 }
 
+// sync brings the oldest batch of a member to its disk.
 func (m *model) sync(w *world, index int, lost bool) error {
 	cacheKey := handleKey{w.members[index], syncPacket, 0}
 	synced, known := m.handled[cacheKey]
@@ -134,6 +138,7 @@
 	return m.sendReplies(w, synced.replies, lost)
 }
 
+// abandonAttempt has a proposer wait no longer.
 func (m *model) abandonAttempt(w *world, index int) error {
 	at := m.proposers.get(w.proposers[index])
 	next := at.clone()
@@ -146,8 +151,8 @@
 	return m.applyOutcome(w, index, next, result)
 }
 
-// restartMachine is the next life of a machine: its member as given, its proposers anew. One
-// whose member lost its disk first brings that to vote again.
+// restartMachine starts a machine again: its member as given, its proposers anew. A proposer whose member lost its disk
+// first brings that to vote again.
 func (m *model) restartMachine(w *world, index int, next *member) error {
 	w.members[index] = m.members.add(next)
 	for number, id := range w.proposers {
@@ -159,7 +164,7 @@
 	return m.observeCommitted(w)
 }
 
-// resetMembership leaves a proposer that is to catch up without a list where its disk holds none.
+// resetMembership leaves a proposer that is to catch up without a membership where its disk holds none.
 func (m *model) resetMembership(w *world, index int, own *member) {
 	if own.membership.Version > 0 || !m.scenario.forgetsMembership(m.scenario.Clients[index]) {
 		return
@@ -173,6 +178,7 @@
 	w.proposers[index] = m.proposers.add(m.proposers.get(w.proposers[index]).restart(membership))
 }
 
+// dropExpired drops what has run out in each member.
 func (m *model) dropExpired(w *world) {
 	for index, id := range w.members {
 		next := m.members.get(id).clone()
--- a/internal/test/modelcheck/table.go
+++ b/internal/test/modelcheck/table.go
@@ -5,22 +5,23 @@
 	"fmt"
 )
 
-// stateID names an entry of a table.
+// stateID identifies an entry of a table.
 type stateID = uint32
 
 // table keeps each distinct value once. Values are told apart by a canonical encoding: JSON
 // with sorted maps, and the printed form of what JSON leaves out.
 type table[T any] struct {
-	values    []*T
-	ids       map[string]stateID
+	values []*T
+	ids    map[string]stateID
+	// unencoded gives what JSON leaves out, and may be nil.
 	unencoded func(value *T) string
 }
 
-func newTable[T any](hidden func(value *T) string) *table[T] {
-	return &table[T]{ids: map[string]stateID{}, unencoded: hidden}
+func newTable[T any](unencoded func(value *T) string) *table[T] {
+	return &table[T]{ids: map[string]stateID{}, unencoded: unencoded}
 }
 
-// add gives the number of a value. The value must not be changed afterwards.
+// add gives the identifier of a value. The value must not be changed afterwards.
 func (t *table[T]) add(value *T) stateID {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/test/modelcheck/task.go
+++ b/internal/test/modelcheck/task.go
@@ -7,18 +7,20 @@
 	"ferryspar/internal/keystore"
 )
 
+// taskKind is what a task does.
 type taskKind string
 
+// The kinds of tasks, as traces show them.
 const (
-	// taskChange adds a mark to the key's value.
+	// taskChange adds a label to the key's value.
 	taskChange taskKind = "change"
-	// taskMembership commits a member list.
+	// taskMembership commits a membership.
 	taskMembership taskKind = "members"
 	// taskDigest asks a majority what is committed.
 	taskDigest taskKind = "look"
 	// taskRead confirms an owned value at a majority.
 	taskRead taskKind = "read"
-	// taskAcquire takes a lease once; taskRenew and taskRelease end it later or earlier.
+	// taskAcquire acquires a lease once; taskRenew and taskRelease end it later or earlier.
 	taskAcquire taskKind = "seize"
 	taskRenew   taskKind = "renew"
 	taskRelease taskKind = "release"
@@ -28,40 +30,48 @@
 
 // Task is one thing that a proposer does.
 type Task struct {
-	Kind       taskKind
-	Key        string
-	Label      string
+	Kind taskKind
+	Key  string
+	// Label names a change; the value of a key is the list of the labels of all its changes.
+	Label string
+	// Membership is the one that a taskMembership commits.
 	Membership keystore.Membership
-	// AfterVote names a member that must vote under the proposer's list before the task begins.
+	// AfterVote names a member that must vote under the proposer's membership before the task begins.
 	AfterVote string
 	// AfterLabel names a change that must be acknowledged before the task begins.
 	AfterLabel string
-	// Attempts bounds how often the key is taken, or the question asked.
+	// Attempts bounds how often the proposer tries to own the key, or sends the query.
 	Attempts int
 }
 
-// Change adds a mark to a key's value, taking the key at most so many times.
+// Change adds a label to a key's value, in at most so many attempts to own the key.
 func Change(key, label string, attempts int) Task {
 	return Task{Kind: taskChange, Key: key, Label: label, Attempts: attempts}
 }
 
-// ChangeMembership commits a member list.
+// ChangeMembership commits a membership.
 func ChangeMembership(membership keystore.Membership, afterVote string, attempts int) Task {
-	return Task{Kind: taskMembership, Key: keystore.MembershipKey, Membership: membership, AfterVote: afterVote, Attempts: attempts}
+	return Task{
+		Kind:       taskMembership,
+		Key:        keystore.MembershipKey,
+		Membership: membership,
+		AfterVote:  afterVote,
+		Attempts:   attempts,
+	}
 }
 
-// Digest asks a majority what it holds, without taking any key.
+// Digest asks a majority what it holds, without owning any key.
 func Digest() Task { return Task{Kind: taskDigest, Attempts: 1} }
 
 // Read confirms the value of a key that is owned.
 func Read(key string) Task { return Task{Kind: taskRead, Key: key, Attempts: 1} }
 
-// Acquire takes a lease once; Renew and Release confirm and end it.
+// Acquire acquires a lease in one attempt; Renew and Release confirm and end it.
 func Acquire(key, label string) Task {
 	return Task{Kind: taskAcquire, Key: key, Label: label, Attempts: 1}
 }
 
-// Renew prolongs a lease that is held.
+// Renew extends a lease that is held.
 func Renew(key string) Task { return Task{Kind: taskRenew, Key: key, Attempts: 1} }
 
 // Release ends a lease that is held.
@@ -76,8 +86,8 @@
 	return t
 }
 
-// decide is what the task makes of the value in force: the next one, or done if it has taken
-// effect already, or refused.
+// nextValue is what the task makes of the value in force: the next one, or done if it has taken effect already, or
+// rejected.
 func (t Task) nextValue(current json.RawMessage) (next json.RawMessage, done, rejected bool) {
 	if t.Kind == taskMembership {
 		committed := decodeMembership(current)
--- a/internal/test/modelcheck/world.go
+++ b/internal/test/modelcheck/world.go
@@ -7,17 +7,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// world is a state of the whole fleet, by the numbers of its parts.
+// world is a state of the whole fleet, by the identifiers of its parts.
 type world struct {
 	tick      int
 	members   []stateID
 	proposers []stateID
-	// network holds the packets under way, in order of their numbers; one may be there twice.
+	// network holds the packets under way, in order of their identifiers; one may be there twice.
 	network []stateID
 	history stateID
-	// wallClockOffsets says by how many ticks each machine's time of day was stepped.
+	// wallClockOffsets says by how many ticks each machine's wall clock was stepped.
 	wallClockOffsets []int
-	remaining        Faults
+	// remaining are the faults that may still happen.
+	remaining Faults
 }
 
 func (w *world) clone() *world {
@@ -29,18 +30,26 @@
 	return &copied
 }
 
+// send puts a packet on the network.
 func (w *world) send(id stateID) {
 	at, _ := slices.BinarySearch(w.network, id)
 	w.network = slices.Insert(w.network, at, id)
 }
 
-// hash is that of the canonical encoding: counts, then numbers, all in a fixed order. Two of
+// hash is that of the canonical encoding: counts, then identifiers, all in a fixed order. Two of
 // ten million worlds share one of 64 bits with a chance of 3 in a million.
 func (w *world) hash() uint64 {
 	var buffer [256]byte
 	encoded := buffer[:0]
 	counts := []int{
-		w.tick, len(w.network), w.remaining.Crashes, w.remaining.Wipes, w.remaining.Restarts, w.remaining.Duplicates, w.remaining.Ticks, w.remaining.WallClockSteps,
+		w.tick,
+		len(w.network),
+		w.remaining.Crashes,
+		w.remaining.Wipes,
+		w.remaining.Restarts,
+		w.remaining.Duplicates,
+		w.remaining.Ticks,
+		w.remaining.WallClockSteps,
 	}
 	for _, count := range counts {
 		encoded = append(encoded, byte(count))
