--- a/internal/test/linearizability/calls_test.go
+++ b/internal/test/linearizability/calls_test.go
@@ -91,7 +91,11 @@
 // refresh reads what is in force after a refusal.
 func (s *simulation) readRevision(call operatorCall) {
 	names := s.fleet.MemberNames()
-	read := s.attempt(operatorCall{number: call.number, operator: call.operator, kind: callGet}, 0, names[call.daemon%len(names)])
+	read := s.attempt(operatorCall{
+		number:   call.number,
+		operator: call.operator,
+		kind:     callGet,
+	}, 0, names[call.daemon%len(names)])
 	if read.result == acknowledged {
 		s.learnRevision(call.operator, read.readRevision)
 		s.record(read)
--- a/internal/test/linearizability/follower_test.go
+++ b/internal/test/linearizability/follower_test.go
@@ -40,7 +40,12 @@
 }
 
 func newFollower(p *simulation, name string) *follower {
-	return &follower{simulation: p, name: name, registers: map[string]keystore.Register{}, versions: map[string]uint64{}}
+	return &follower{
+		simulation: p,
+		name:       name,
+		registers:  map[string]keystore.Register{},
+		versions:   map[string]uint64{},
+	}
 }
 
 func (f *follower) run() {
@@ -201,7 +206,11 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	until := max(f.requestedAt, f.simulation.now()-confirmationTTL)
-	for _, key := range []string{keystore.ConfigurationKey, keystore.ZonePrefix + zoneNames[0], keystore.ZonePrefix + zoneNames[1]} {
+	for _, key := range []string{
+		keystore.ConfigurationKey,
+		keystore.ZonePrefix + zoneNames[0],
+		keystore.ZonePrefix + zoneNames[1],
+	} {
 		if acknowledged := f.simulation.acknowledgements.highestBefore(key, until); f.versions[key] < acknowledged {
 			return fmt.Errorf("%s at %s shows %s %d as confirmed, %d was acknowledged before %s",
 				f.name, f.simulation.now().Round(time.Millisecond), key, f.versions[key], acknowledged, until.Round(time.Millisecond))
--- a/internal/test/linearizability/lease_test.go
+++ b/internal/test/linearizability/lease_test.go
@@ -60,8 +60,12 @@
 			continue
 		}
 		manager := &lease.Manager{
-			Key: keystore.LeasePrefix + "placement", Holder: name, TTL: keystoresim.LeaseDuration, TakeoverDelay: takeoverDelay,
-			Store: store, Clock: s.fleet.Clock(name),
+			Key:           keystore.LeasePrefix + "placement",
+			Holder:        name,
+			TTL:           keystoresim.LeaseDuration,
+			TakeoverDelay: takeoverDelay,
+			Store:         store,
+			Clock:         s.fleet.Clock(name),
 		}
 		ctx, cancel := withTimeout(acquireTimeout)
 		if grant != nil {
--- a/internal/test/linearizability/membership_test.go
+++ b/internal/test/linearizability/membership_test.go
@@ -46,7 +46,12 @@
 }
 
 func (s *simulation) membershipView(self string, store *keystore.Store) membership.View {
-	view := membership.View{Current: store.Membership(), Self: self, DesiredMembers: s.schedule.size, Peers: map[string]membership.Peer{}}
+	view := membership.View{
+		Current:        store.Membership(),
+		Self:           self,
+		DesiredMembers: s.schedule.size,
+		Peers:          map[string]membership.Peer{},
+	}
 	for _, name := range s.fleet.MemberNames() {
 		acceptor := s.fleet.AcceptorOf(name)
 		s.lock.Lock()
--- a/internal/test/linearizability/model_test.go
+++ b/internal/test/linearizability/model_test.go
@@ -128,7 +128,13 @@
 	}
 	var each []callRecord
 	for _, started := range r.earlierAttempts {
-		each = append(each, callRecord{call: r.call, result: unknown, started: started, ended: r.ended, noLateEffect: r.result == acknowledged})
+		each = append(each, callRecord{
+			call:         r.call,
+			result:       unknown,
+			started:      started,
+			ended:        r.ended,
+			noLateEffect: r.result == acknowledged,
+		})
 	}
 	if r.result == acknowledged || len(each) == 0 {
 		each = append(each, r)
@@ -153,7 +159,10 @@
 	for _, key := range append([]string{"configuration"}, zoneNames[:]...) {
 		model := porcupine.NondeterministicModel{Init: func() []any { return []any{false} }, Step: stepZone}
 		if key == "configuration" {
-			model = porcupine.NondeterministicModel{Init: func() []any { return []any{configurationState{}} }, Step: stepConfiguration}
+			model = porcupine.NondeterministicModel{
+				Init: func() []any { return []any{configurationState{}} },
+				Step: stepConfiguration,
+			}
 		}
 		if err := checkKey(model, key, keys[key]); err != nil {
 			return err
--- a/internal/test/linearizability/play_test.go
+++ b/internal/test/linearizability/play_test.go
@@ -69,10 +69,18 @@
 
 func runSimulation(planned schedule, spoiled variant) (simulationResult, error) {
 	p := &simulation{
-		schedule: planned, variant: spoiled, fleet: keystoresim.New(planned.seed, planned.size), startedAt: time.Now(),
-		faulted: map[string]bool{}, diskLost: map[string]bool{}, lastHeartbeat: map[[2]string]time.Time{}, startedMachines: map[string]time.Time{},
-		followers: map[string]*follower{},
-		committed: map[uint64]keystore.Membership{}, callSlots: make(chan struct{}, maxConcurrentCalls), acknowledgements: newAcknowledgements(),
+		schedule:         planned,
+		variant:          spoiled,
+		fleet:            keystoresim.New(planned.seed, planned.size),
+		startedAt:        time.Now(),
+		faulted:          map[string]bool{},
+		diskLost:         map[string]bool{},
+		lastHeartbeat:    map[[2]string]time.Time{},
+		startedMachines:  map[string]time.Time{},
+		followers:        map[string]*follower{},
+		committed:        map[uint64]keystore.Membership{},
+		callSlots:        make(chan struct{}, maxConcurrentCalls),
+		acknowledgements: newAcknowledgements(),
 	}
 	p.fleet.Lossy = planned.lossy
 	if planned.size == 3 {
--- a/internal/test/linearizability/schedule_test.go
+++ b/internal/test/linearizability/schedule_test.go
@@ -54,7 +54,17 @@
 )
 
 var faultNames = [...]string{
-	"kill", "lose power", "wipe", "isolate", "stall disk", "refuse writes", "freeze", "cut bridge", "lose zone", "step clock", "lose machine",
+	"kill",
+	"lose power",
+	"wipe",
+	"isolate",
+	"stall disk",
+	"refuse writes",
+	"freeze",
+	"cut bridge",
+	"lose zone",
+	"step clock",
+	"lose machine",
 }
 
 // plannedFault is one trouble of a schedule; steps overlap.
@@ -107,8 +117,11 @@
 
 func drawFault(random *rand.Rand) plannedFault {
 	fault := plannedFault{
-		at: 200*time.Millisecond + drawTime(random, simulationLength), kind: faultKind(random.IntN(int(faultKinds))), machine: random.IntN(60),
-		duration: 20*time.Millisecond + drawTime(random, 3*time.Second), seed: random.Uint64(),
+		at:       200*time.Millisecond + drawTime(random, simulationLength),
+		kind:     faultKind(random.IntN(int(faultKinds))),
+		machine:  random.IntN(60),
+		duration: 20*time.Millisecond + drawTime(random, 3*time.Second),
+		seed:     random.Uint64(),
 	}
 	if fault.kind == faultFreeze && random.IntN(4) == 0 {
 		fault.duration = drawTime(random, longFreeze)
@@ -118,10 +131,25 @@
 
 func drawCall(random *rand.Rand, number int, burst time.Duration) operatorCall {
 	call := operatorCall{
-		number: number, at: burst + drawTime(random, 900*time.Millisecond), operator: random.IntN(2), daemon: random.IntN(60),
-		zone: zoneNames[random.IntN(zoneCount)], drained: random.IntN(2) == 0,
+		number:   number,
+		at:       burst + drawTime(random, 900*time.Millisecond),
+		operator: random.IntN(2),
+		daemon:   random.IntN(60),
+		zone:     zoneNames[random.IntN(zoneCount)],
+		drained:  random.IntN(2) == 0,
+	}
+	kinds := []callKind{
+		callPut,
+		callPut,
+		callPatch,
+		callPatch,
+		callGet,
+		callGet,
+		callDrain,
+		callDrain,
+		callDrain,
+		callReadZone,
 	}
-	kinds := []callKind{callPut, callPut, callPatch, callPatch, callGet, callGet, callDrain, callDrain, callDrain, callReadZone}
 	call.kind = kinds[random.IntN(len(kinds))]
 	if random.IntN(4) == 0 {
 		call.lostReplies = 1 + random.IntN(2)
--- a/internal/test/linearizability/troubles_test.go
+++ b/internal/test/linearizability/troubles_test.go
@@ -20,10 +20,16 @@
 )
 
 var faultFunctions = map[faultKind]keystoresim.Fault{
-	faultKill: keystoresim.MachineFaults[machineFaultRestart], faultPowerLoss: keystoresim.MachineFaults[machineFaultPowerLoss], faultWipe: keystoresim.MachineFaults[machineFaultWipe],
-	faultIsolate: keystoresim.MachineFaults[machineFaultIsolate], faultStallDisk: keystoresim.MachineFaults[machineFaultStallDisk],
-	faultRejectWrites: keystoresim.MachineFaults[machineFaultRejectWrites], faultFreeze: keystoresim.Freeze, faultCutZoneLink: keystoresim.CutZoneLink,
-	faultLoseZone: keystoresim.LoseZone, faultStepClock: keystoresim.StepWallClock,
+	faultKill:         keystoresim.MachineFaults[machineFaultRestart],
+	faultPowerLoss:    keystoresim.MachineFaults[machineFaultPowerLoss],
+	faultWipe:         keystoresim.MachineFaults[machineFaultWipe],
+	faultIsolate:      keystoresim.MachineFaults[machineFaultIsolate],
+	faultStallDisk:    keystoresim.MachineFaults[machineFaultStallDisk],
+	faultRejectWrites: keystoresim.MachineFaults[machineFaultRejectWrites],
+	faultFreeze:       keystoresim.Freeze,
+	faultCutZoneLink:  keystoresim.CutZoneLink,
+	faultLoseZone:     keystoresim.LoseZone,
+	faultStepClock:    keystoresim.StepWallClock,
 }
 
 // stopsProcess says that a trouble ends a process or holds its disk. A machine bears one of these
