--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -41,7 +41,6 @@
 	network     peer.Network
 	peers       *peer.Client
 
-	wal      *keystore.WAL
 	acceptor *keystore.Acceptor
 	store    *keystore.Store
 	state    *controlstate.State
@@ -98,7 +97,6 @@
 		startedAt:        time.Now(),
 		network:          network,
 		peers:            peer.NewClient(network),
-		wal:              wal,
 		appliedRegisters: map[string]keystore.Register{},
 		publisher:        NewPublisher(),
 		endpoints:        NewEndpointPublisher(),
@@ -106,7 +104,7 @@
 		dataPlanes:       dataplanes.NewRegistry(),
 		bus:              eventbus.New(),
 	}
-	node.openKeystore(incarnation, isBootstrapping)
+	node.openKeystore(wal, incarnation, isBootstrapping)
 	node.confirmer = newConfirmer(node)
 	node.members = node.newMembers()
 	node.discovery = &discovery.Client{
@@ -141,14 +139,14 @@
 }
 
 // openKeystore makes the acceptor and the store over the write-ahead log.
-func (n *Node) openKeystore(incarnation uint64, isBootstrapping bool) {
+func (n *Node) openKeystore(wal *keystore.WAL, incarnation uint64, isBootstrapping bool) {
 	seeds := n.settings.SeedPeers()
 	config := keystore.AcceptorConfig{
 		LeaseDuration: n.leaseDuration(),
 		Clock:         n.clock,
 		Seeds:         seeds,
 	}
-	n.acceptor = keystore.NewAcceptor(n.self, n.wal, config, isBootstrapping)
+	n.acceptor = keystore.NewAcceptor(n.self, wal, config, isBootstrapping)
 	membership := n.acceptor.Membership()
 	if membership.Version == 0 && isBootstrapping {
 		membership = keystore.BootstrapMembership(seeds)
@@ -189,7 +187,7 @@
 		}
 	}()
 	cleanup = append(cleanup, cancel)
-	go n.acceptor.Run(ctx, n.wal)
+	go n.acceptor.Run(ctx)
 	peerListener, err := n.network.Listen(n.self)
 	if err != nil {
 		return errors.Wrap(err, "internal address")
