--- a/internal/controlstate/pinned_test.go
+++ b/internal/controlstate/pinned_test.go
@@ -19,21 +19,21 @@
 	})
 }
 
-func TestTakenCalls_BytesStayTheSame(t *testing.T) {
-	var taken AppliedCalls
-	marks := map[string]string{}
-	versions := []int64{0, 1, 300}
+func TestAppliedCalls_BytesStayTheSame(t *testing.T) {
+	var calls AppliedCalls
+	digests := map[string]string{}
+	revisions := []int64{0, 1, 300}
 	for position, method := range []string{"PUT", "PATCH", "PUT"} {
-		call := newCallDigest(method, versions[position], []byte(`{"revision":1}`))
-		marks[method+" "+string(rune('0'+position))] = hex.EncodeToString(call[:])
-		taken = taken.add(versions[position], call)
+		call := newCallDigest(method, revisions[position], []byte(`{"revision":1}`))
+		digests[method+" "+string(rune('0'+position))] = hex.EncodeToString(call[:])
+		calls = calls.add(revisions[position], call)
 	}
-	pinned.CheckJSON(t, "testdata/taken.json", map[string]any{"marks": marks, "taken": taken, "bound": maxAppliedCalls})
+	pinned.CheckJSON(t, "testdata/taken.json", map[string]any{"marks": digests, "taken": calls, "bound": maxAppliedCalls})
 }
 
-func TestDecodeConfiguration_ReadsTheFormerMemoryOfCalls(t *testing.T) {
-	former := json.RawMessage(`{"revision":8,"packed":"AQI=","marks":["a","b"]}`)
-	record, err := DecodeConfiguration(keystore.Register{Value: former})
+func TestDecodeConfiguration_ReadsLegacyRecord(t *testing.T) {
+	legacy := json.RawMessage(`{"revision":8,"packed":"AQI=","marks":["a","b"]}`)
+	record, err := DecodeConfiguration(keystore.Register{Value: legacy})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, record, ConfigurationRecord{Revision: 8, Packed: []byte{1, 2}, AppliedCalls: AppliedCalls{ForgottenUpTo: 7}})
 }
--- a/internal/controlstate/records.go
+++ b/internal/controlstate/records.go
@@ -3,21 +3,23 @@
 import (
 	"encoding/json"
 
+	"ferryspar/internal/apierror"
 	"ferryspar/internal/configuration"
 	"ferryspar/internal/keystore"
 )
 
-// ConfigurationRecord is the value of the configuration's key: the document in force, packed,
-// and the memory of the calls that were carried out.
+// ConfigurationRecord is the value of the configuration's key. The JSON names are a storage format.
 type ConfigurationRecord struct {
-	Revision     int64        `json:"revision"`
-	Packed       []byte       `json:"packed"`
+	Revision int64 `json:"revision"`
+	// Packed is the document in force, compressed.
+	Packed []byte `json:"packed"`
+	// AppliedCalls remembers the calls that were carried out.
 	AppliedCalls AppliedCalls `json:"taken"`
-	// LegacyDigests was the memory of calls in an earlier format.
+	// LegacyDigests remembered the calls in an earlier format. It is read, never written.
 	LegacyDigests []string `json:"marks,omitempty"`
 }
 
-// DecodeConfiguration reads a slot of the configuration's key; an empty one is revision 0.
+// DecodeConfiguration reads a register of the configuration's key; an empty one is revision 0.
 func DecodeConfiguration(register keystore.Register) (ConfigurationRecord, error) {
 	var record ConfigurationRecord
 	if len(register.Value) == 0 {
@@ -25,22 +27,48 @@
 	}
 	err := json.Unmarshal(register.Value, &record)
 	if len(record.LegacyDigests) > 0 {
-		record.LegacyDigests, record.AppliedCalls.ForgottenUpTo = nil, record.Revision-1
+		// Which calls these digests stand for cannot be told any more, so that all of them count as forgotten.
+		record.LegacyDigests = nil
+		record.AppliedCalls.ForgottenUpTo = record.Revision - 1
 	}
 	return record, err
 }
 
-func (r ConfigurationRecord) next(revision int64, document []byte, call callDigest) ConfigurationRecord {
-	return ConfigurationRecord{Revision: revision, Packed: configuration.Compress(document), AppliedCalls: r.AppliedCalls.add(r.Revision, call)}
+// check reports whether a call may build on the record. It returns errAlreadyApplied if the call was carried out, a
+// rejection if another revision is in force, and an error that promises neither if the call is older than
+// the memory of calls: it may have been applied, so that a rejection could be wrong.
+func (r ConfigurationRecord) check(baseRevision int64, call callDigest) error {
+	switch {
+	case r.AppliedCalls.contains(call):
+		return errAlreadyApplied
+	case baseRevision == r.Revision:
+		return nil
+	case r.AppliedCalls.mayHaveForgotten(baseRevision):
+		return apierror.New(
+			apierror.CallTooOld,
+			"calls that built on versions up to %d are not remembered",
+			r.AppliedCalls.ForgottenUpTo,
+		)
+	}
+	return apierror.New(apierror.VersionConflict, "revision %d is current", r.Revision)
+}
+
+// next is the record that a call writes.
+func (r ConfigurationRecord) next(document document, call callDigest) ConfigurationRecord {
+	return ConfigurationRecord{
+		Revision:     document.revision,
+		Packed:       configuration.Compress(document.content),
+		AppliedCalls: r.AppliedCalls.add(r.Revision, call),
+	}
 }
 
-// ZoneRecord is the value of a zone's key. Number rises with each change.
+// ZoneRecord is the value of a zone's key. Version rises with each change.
 type ZoneRecord struct {
 	Version uint64 `json:"number"`
 	Drained bool   `json:"drained"`
 }
 
-// DecodeZone reads a slot of a zone's key; an empty one is a zone that was never drained.
+// DecodeZone reads a register of a zone's key; an empty one is a zone that was never drained.
 func DecodeZone(register keystore.Register) (ZoneRecord, error) {
 	var record ZoneRecord
 	if len(register.Value) == 0 {
--- /dev/null
+++ b/internal/controlstate/state_test.go
@@ -0,0 +1,68 @@
+package controlstate_test
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/pkg/errors"
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/apierror"
+	"ferryspar/internal/controlstate"
+	"ferryspar/internal/keystore"
+)
+
+// memoryStore holds the registers that one daemon owns; interfere stands in for another daemon that changes the key
+// between two calls of a decision.
+type memoryStore struct {
+	registers map[string]keystore.Register
+	interfere func(store *memoryStore)
+}
+
+func newMemoryStore() *memoryStore { return &memoryStore{registers: map[string]keystore.Register{}} }
+
+func (s *memoryStore) Read(_ context.Context, name string) (keystore.Register, error) {
+	return s.registers[name], nil
+}
+
+func (s *memoryStore) Change(_ context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
+	value, err := decide(s.registers[name])
+	if err == nil && s.interfere != nil {
+		interfere := s.interfere
+		s.interfere = nil
+		interfere(s)
+		value, err = decide(s.registers[name])
+	}
+	if err != nil {
+		return s.registers[name], err
+	}
+	s.set(name, value)
+	return s.registers[name], nil
+}
+
+func (s *memoryStore) set(name string, value json.RawMessage) {
+	s.registers[name] = keystore.Register{Key: name, Sequence: s.registers[name].Sequence + 1, Value: value}
+}
+
+func newState(store *memoryStore) *controlstate.State {
+	return &controlstate.State{Store: store, Zones: map[string]string{"north": "land"}, Clock: time.Now}
+}
+
+func kindOf(err error) apierror.Kind { return apierror.From(err).Kind }
+
+func TestTranslate(t *testing.T) {
+	for _, err := range []error{
+		keystore.ErrNoMajority,
+		keystore.ErrContended,
+		keystore.ErrUncertain,
+		errors.Wrap(keystore.ErrUncertain, "x"),
+	} {
+		t.Run(err.Error(), func(t *testing.T) {
+			assert.Equal(t, kindOf(controlstate.Translate(err)).Status(), http.StatusServiceUnavailable)
+		})
+	}
+	assert.NilError(t, controlstate.Translate(nil))
+}
--- /dev/null
+++ b/internal/controlstate/zones.go
@@ -0,0 +1,39 @@
+package controlstate
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"ferryspar/internal/apierror"
+	"ferryspar/internal/keystore"
+)
+
+// DrainZone asks that no requests be sent to a zone's replicas, or withdraws that.
+//
+// The call names no version, so a copy of it that arrives late must not undo what was acknowledged after it. It
+// is decided before the deadline, while its caller still waits for the answer, and only as long as the
+// zone hasn't changed since it was first read for this call; otherwise the error is of kind
+// apierror.CallExpired.
+func (s *State) DrainZone(ctx context.Context, zone string, drained bool, deadline time.Time) (Change, error) {
+	if _, known := s.Zones[zone]; !known {
+		return Change{}, apierror.New(apierror.UnknownZone, "%s", zone)
+	}
+	var first *ZoneRecord
+	return s.applyChange(ctx, keystore.ZonePrefix+zone, func(current keystore.Register) (json.RawMessage, error) {
+		record, err := DecodeZone(current)
+		if err != nil {
+			return nil, err
+		}
+		if record.Version > 0 && record.Drained == drained {
+			return nil, errAlreadyApplied
+		}
+		if first == nil {
+			first = &record
+		}
+		if !s.Clock().Before(deadline) || first.Version != record.Version {
+			return nil, apierror.New(apierror.CallExpired, "")
+		}
+		return json.Marshal(ZoneRecord{Version: record.Version + 1, Drained: drained})
+	})
+}
