--- a/internal/controlplane/context.go
+++ b/internal/controlplane/context.go
@@ -9,6 +9,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/apierror"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/retention"
@@ -23,7 +24,7 @@
 	if json.Unmarshal(register.Value, &policy) != nil {
 		return
 	}
-	n.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *watch.Snapshot) bool {
 		if policy.Version <= next.Retention.Version {
 			return false
 		}
@@ -38,7 +39,7 @@
 	if json.Unmarshal(register.Value, &record) != nil {
 		return
 	}
-	n.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *watch.Snapshot) bool {
 		if record.Number < next.Forgets.Number {
 			return false
 		}
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -14,6 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/adminapi"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/eventbus"
@@ -39,9 +40,10 @@
 	wal                *keystore.WAL
 	store              *keystore.Store
 	state              *controlstate.State
-	publisher          *Publisher
+	publisher          *watch.Publisher
 	confirmer          *confirmer
-	endpoints          *EndpointPublisher
+	endpoints          *watch.EndpointPublisher
+	watchServer        *watch.Server
 	loads              *LoadAggregator
 	dense              loadPacker
 	exchanged          unpackedPeers
@@ -113,7 +115,7 @@
 	incarnation := nonce()
 	node := &Node{
 		settings: settings, path: path, self: self, incarnation: strconv.FormatUint(incarnation, 36), clock: time.Now, peers: peer.NewClient(network),
-		wal: wal, publisher: NewPublisher(), endpoints: NewEndpointPublisher(), loads: NewLoadAggregator(), appliedRegisters: map[string]keystore.Register{}, lastHeartbeats: map[string]peer.Heartbeat{}, dataPlaneAddresses: map[string]string{}, dataPlaneRetention: map[string]retention.DataPlaneView{},
+		wal: wal, publisher: watch.NewPublisher(), endpoints: watch.NewEndpointPublisher(), loads: NewLoadAggregator(), appliedRegisters: map[string]keystore.Register{}, lastHeartbeats: map[string]peer.Heartbeat{}, dataPlaneAddresses: map[string]string{}, dataPlaneRetention: map[string]retention.DataPlaneView{},
 		dataPlanes: heartbeat.NewRegistry(10 * time.Second), controlNodes: heartbeat.NewRegistry(30 * time.Second), leaving: make(chan struct{}), caughtUp: make(chan struct{}, 1), bus: eventbus.New(), startedAt: time.Now(), network: network,
 	}
 	config := keystore.AcceptorConfig{LeaseDuration: node.leaseLength(), Clock: time.Now, Seeds: seeds}
@@ -126,6 +128,8 @@
 	node.store = keystore.NewStore(self, incarnation, transport, members)
 	node.state = &controlstate.State{Store: node.store, Zones: settings.Zones, Clock: time.Now}
 	node.confirmer = newConfirmer(node)
+	identity := watch.Identity{Member: self, Zone: settings.Zone, Incarnation: node.incarnation}
+	node.watchServer = watch.NewServer(identity, watchedNode{node}, node.publisher, node.endpoints, node.clock)
 	node.discovery = &discovery.Client{Address: settings.CloudAPI.Address, HTTPClient: &http.Client{Transport: peer.NewTransport(network, 500*time.Millisecond, 1500*time.Millisecond, 2)}}
 	node.scheduler = NewScheduler(node)
 	return node, nil
--- a/internal/controlplane/daemon_bench_test.go
+++ b/internal/controlplane/daemon_bench_test.go
@@ -11,6 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/nodesettings"
@@ -27,7 +28,7 @@
 	assert.NilError(b, err)
 	node, err := New(settings, "", peer.HostNetwork{}, directory)
 	assert.NilError(b, err)
-	node.publisher.Update(func(next *Snapshot) bool {
+	node.publisher.Update(func(next *watch.Snapshot) bool {
 		next.ConfirmedAt, next.DataPlaneCount, next.LeaseHolder, next.ControlPlanes = time.Now().Add(time.Hour), 80, "10.0.0.1:7000", []string{"10.0.0.1:7000"}
 		return true
 	})
--- a/internal/controlplane/drill.go
+++ b/internal/controlplane/drill.go
@@ -10,6 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/apierror"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
@@ -33,14 +34,18 @@
 		return
 	}
 	now := n.clock()
-	n.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *watch.Snapshot) bool {
 		current := next.Drill
 		if record.Number < current.Number || record.Number == current.Number && record.Renewals <= current.Renewals && current.Number > 0 {
 			return false
 		}
-		view := drillState{record, now.Add(time.Duration(record.LeftMs) * time.Millisecond), now.Add(drillLeaseDuration)}
-		if record.Number == current.Number && current.deadline.Before(view.deadline) {
-			view.deadline = current.deadline
+		view := watch.DrillState{
+			Record:         record,
+			Deadline:       now.Add(time.Duration(record.LeftMs) * time.Millisecond),
+			LeaseExpiresAt: now.Add(drillLeaseDuration),
+		}
+		if record.Number == current.Number && current.Deadline.Before(view.Deadline) {
+			view.Deadline = current.Deadline
 		}
 		next.Drill = view
 		return true
@@ -65,7 +70,7 @@
 			started = previous
 			return nil, errUnchanged
 		}
-		if previous.Running && (view.Number != previous.Number || view.isRunning(n.clock())) {
+		if previous.Running && (view.Number != previous.Number || view.IsRunning(n.clock())) {
 			return nil, apierror.New(apierror.DrillInProgress, "drill %d of %s runs", previous.Number, previous.Scope)
 		}
 		next, err := request.NewRecord(previous)
--- a/internal/controlplane/drillstatus.go
+++ b/internal/controlplane/drillstatus.go
@@ -2,41 +2,10 @@
 
 import (
 	"sync"
-	"time"
 
 	"ferryspar/internal/drill"
 )
 
-// drillState is a drill with its deadlines by this daemon's own clock.
-type drillState struct {
-	drill.Record
-	// until is when the time asked for is up.
-	deadline time.Time
-	// lease is when the drill lapses without renewal.
-	leaseExpiresAt time.Time
-}
-
-// isRunning tells whether the drill goes on at the moment.
-func (v drillState) isRunning(now time.Time) bool {
-	return v.Running && now.Before(v.deadline) && now.Before(v.leaseExpiresAt)
-}
-
-// notice is what a data plane that has reported so is told of the drill, or nil if there is nothing
-// to tell.
-func (v drillState) notice(report *drill.Report, now time.Time) *drill.Notice {
-	if v.Number == 0 || !v.Running && report == nil {
-		return nil
-	}
-	remaining := max(v.deadline.Sub(now), 0)
-	return &drill.Notice{
-		Number:  v.Number,
-		Scope:   v.Scope,
-		Share:   v.Share,
-		LeftMs:  remaining.Milliseconds(),
-		Running: v.isRunning(now),
-	}
-}
-
 // drillReports holds the last report of each data plane.
 type drillReports struct {
 	lock        sync.Mutex
@@ -87,11 +56,11 @@
 	}
 	if view.Number == record.Number {
 		now := n.clock()
-		status.LeftMs = max(view.deadline.Sub(now), 0).Milliseconds()
-		status.Running = view.isRunning(now)
+		status.LeftMs = max(view.Deadline.Sub(now), 0).Milliseconds()
+		status.Running = view.IsRunning(now)
 		if !status.Running {
 			status.EndReason = drill.EndedByTime
-			status.EndedByGuard = now.Before(view.deadline)
+			status.EndedByGuard = now.Before(view.Deadline)
 		}
 		if status.EndedByGuard {
 			status.EndReason = drill.EndedWithoutRenewal
--- a/internal/controlplane/eviction.go
+++ b/internal/controlplane/eviction.go
@@ -10,6 +10,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/placement"
 	"ferryspar/internal/replicastate"
@@ -57,7 +58,7 @@
 
 // planEviction brings the forget items up to date and tells the planner which copies to evict:
 // those that items name, then those past their share of the context's life.
-func (s *Scheduler) planEviction(ctx context.Context, snapshot *Snapshot, view *placement.View) {
+func (s *Scheduler) planEviction(ctx context.Context, snapshot *watch.Snapshot, view *placement.View) {
 	s.checkRunningEviction(view.Now)
 	view.ContextEvictionInProgress = s.eviction.running != ""
 	for _, item := range snapshot.Forgets.Purges {
--- a/internal/controlplane/feed.go
+++ b/internal/controlplane/feed.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
 	"ferryspar/internal/placement"
@@ -31,7 +32,7 @@
 	publishedAt    time.Time
 }
 
-func (s *Scheduler) planDue(snapshot *Snapshot, now time.Time) bool {
+func (s *Scheduler) planDue(snapshot *watch.Snapshot, now time.Time) bool {
 	since := now.Sub(s.plannedAt)
 	if since < min(max(minPlanPause, planCostFactor*s.planDuration), maxPlanPause) {
 		return false
--- a/internal/controlplane/forecast.go
+++ b/internal/controlplane/forecast.go
@@ -9,6 +9,7 @@
 
 	"ferryspar/internal/apierror"
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/drill"
 )
 
@@ -92,7 +93,7 @@
 		return drill.Forecast{}, apierror.New(apierror.DrillInProgress, "a forecast is being gathered here")
 	}
 	publishRequest := func(open *drill.ForecastRequest) {
-		n.publisher.Update(func(next *Snapshot) bool {
+		n.publisher.Update(func(next *watch.Snapshot) bool {
 			next.Forecast = open
 			return true
 		})
--- a/internal/controlplane/greetings.go
+++ b/internal/controlplane/greetings.go
@@ -6,6 +6,7 @@
 	"sort"
 	"time"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/heartbeat"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/peer"
@@ -137,11 +138,11 @@
 	}
 	control := append(others, n.self)
 	sort.Strings(control)
-	update := func(next *Snapshot) {
+	update := func(next *watch.Snapshot) {
 		next.DataPlaneCount, next.EarlyDataPlaneCount, next.ControlPlanes, next.Neighbours = count, present, control, neighbours
 	}
 	if firstCount := present > 0 && n.publisher.Current().EarlyDataPlaneCount == 0; firstCount {
-		n.publisher.Update(func(next *Snapshot) bool { update(next); return true })
+		n.publisher.Update(func(next *watch.Snapshot) bool { update(next); return true })
 		return
 	}
 	n.publisher.UpdateQuietly(update)
--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"time"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
@@ -64,7 +65,7 @@
 }
 
 // renewDrill stores that the drill goes on, with the time left.
-func (n *Node) renewDrill(ctx context.Context, state drillState, now time.Time) {
+func (n *Node) renewDrill(ctx context.Context, state watch.DrillState, now time.Time) {
 	bounded, cancel := context.WithTimeout(ctx, guardWriteTimeout)
 	defer cancel()
 	_ = n.changeKey(bounded, keystore.DrillKey, func(current keystore.Register) (any, error) {
@@ -73,12 +74,12 @@
 		if !record.Running || record.Number != state.Number {
 			return nil, errUnchanged
 		}
-		return record.Renew(state.deadline.Sub(now)), nil
+		return record.Renew(state.Deadline.Sub(now)), nil
 	})
 }
 
 // baseline notes which data planes, members and replicas are alive now.
-func (n *Node) newBaseline(snapshot *Snapshot, now time.Time) *baseline {
+func (n *Node) newBaseline(snapshot *watch.Snapshot, now time.Time) *baseline {
 	base := &baseline{number: snapshot.Drill.Number, takenOver: snapshot.Drill.Renewals > 0}
 	n.watchLock.Lock()
 	base.dataPlanes = n.dataPlanes.Live(now, dataPlaneTimeout)
@@ -98,12 +99,12 @@
 
 // guard says why the drill must end now, or nothing, and whether the guard ends it rather than its
 // own time.
-func (n *Node) checkDrillGuard(base *baseline, snapshot *Snapshot, now time.Time) (string, bool) {
+func (n *Node) checkDrillGuard(base *baseline, snapshot *watch.Snapshot, now time.Time) (string, bool) {
 	view := snapshot.Drill
-	if !now.Before(view.deadline) {
+	if !now.Before(view.Deadline) {
 		return drill.EndedByTime, false
 	}
-	if !now.Before(view.leaseExpiresAt) {
+	if !now.Before(view.LeaseExpiresAt) {
 		return drill.EndedWithoutRenewal, true
 	}
 	for zone, state := range snapshot.Zones {
@@ -127,7 +128,7 @@
 }
 
 // lossSince says what was lost since the baseline, or nothing.
-func (n *Node) lossSince(base *baseline, snapshot *Snapshot, now time.Time) string {
+func (n *Node) lossSince(base *baseline, snapshot *watch.Snapshot, now time.Time) string {
 	if silent := n.silentSince(base, now); silent != "" {
 		return silent
 	}
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -7,6 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/membership"
 	"ferryspar/internal/nodesettings"
 )
@@ -30,7 +31,7 @@
 func (n *Node) shutdown(adminServer, peerServer *http.Server) {
 	startedAt := n.clock()
 	close(n.leaving)
-	n.publisher.Update(func(*Snapshot) bool { return true })
+	n.publisher.Update(func(*watch.Snapshot) bool { return true })
 	logrus.Info("leaving")
 	deadline := startedAt.Add(nodesettings.Seconds(n.settings.TimingBounds.GraceS) - exitMargin)
 	select {
--- a/internal/controlplane/managed.go
+++ b/internal/controlplane/managed.go
@@ -32,7 +32,7 @@
 			known = s.track(listedReplica)
 			s.tracked[listedReplica.ID] = known
 		}
-		known.confirmedByList = known.confirmedByList && sameModels(known.listed.Models, listedReplica.Models)
+		known.confirmedByList = known.confirmedByList && discovery.SameModels(known.listed.Models, listedReplica.Models)
 		known.listed = *listedReplica
 		s.recheckContradicted(known, readAt, now)
 		s.recordListedModels(*listedReplica)
--- a/internal/controlplane/managedreplica_test.go
+++ b/internal/controlplane/managedreplica_test.go
@@ -6,6 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/lease"
@@ -18,7 +19,7 @@
 func newPlacingScheduler(now *time.Time, fence uint64) (*Scheduler, []discovery.Replica) {
 	settings := nodesettings.Settings{CloudAPI: nodesettings.CloudAPI{MaxLagMs: 800}}
 	scheduler := &Scheduler{
-		node:         &Node{clock: func() time.Time { return *now }, settings: settings, publisher: NewPublisher(), endpoints: NewEndpointPublisher()},
+		node:         &Node{clock: func() time.Time { return *now }, settings: settings, publisher: watch.NewPublisher(), endpoints: watch.NewEndpointPublisher()},
 		modelsOnDisk: map[string]map[string]bool{},
 		tracked:      map[string]*trackedReplica{},
 		observed:     map[string]observedState{},
--- a/internal/controlplane/planning.go
+++ b/internal/controlplane/planning.go
@@ -5,13 +5,14 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/placement"
 )
 
 // currentTable is the table of the configuration in force, built once for each revision, or nil if
 // there is none. One that cannot be read leaves the last in place.
-func (s *Scheduler) currentTable(snapshot *Snapshot) *configuration.Table {
+func (s *Scheduler) currentTable(snapshot *watch.Snapshot) *configuration.Table {
 	if snapshot.Revision == 0 {
 		return nil
 	}
@@ -59,7 +60,7 @@
 }
 
 // view is the planner's input at the moment.
-func (s *Scheduler) planningView(snapshot *Snapshot, table *configuration.Table, now time.Time) *placement.View {
+func (s *Scheduler) planningView(snapshot *watch.Snapshot, table *configuration.Table, now time.Time) *placement.View {
 	view := &placement.View{
 		Now:          now,
 		Table:        table,
@@ -89,7 +90,7 @@
 }
 
 // plan runs the planner and starts its actions.
-func (s *Scheduler) plan(ctx context.Context, snapshot *Snapshot, table *configuration.Table, now time.Time) {
+func (s *Scheduler) plan(ctx context.Context, snapshot *watch.Snapshot, table *configuration.Table, now time.Time) {
 	view := s.planningView(snapshot, table, now)
 	s.planEviction(ctx, snapshot, view)
 	for _, action := range placement.Plan(view) {
--- a/internal/controlplane/records.go
+++ b/internal/controlplane/records.go
@@ -6,6 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/lease"
@@ -29,7 +30,7 @@
 	case register.Key == placementLease:
 		var record lease.Record
 		if json.Unmarshal(register.Value, &record) == nil {
-			n.publisher.Update(func(next *Snapshot) bool {
+			n.publisher.Update(func(next *watch.Snapshot) bool {
 				changed := next.LeaseHolder != record.Address
 				next.LeaseHolder = record.Address
 				return changed
@@ -52,7 +53,7 @@
 	if err != nil {
 		return
 	}
-	n.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *watch.Snapshot) bool {
 		if record.Revision <= next.Revision {
 			return false
 		}
@@ -67,7 +68,7 @@
 	if err != nil {
 		return
 	}
-	n.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *watch.Snapshot) bool {
 		if record.Version <= next.Zones[zone].Version {
 			return false
 		}
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -8,6 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 )
 
@@ -104,7 +105,7 @@
 // postJSON publishes a list and what is barred, as of a moment.
 func (n *Node) publishReplicas(replicas []discovery.Replica, cordoned []string, at time.Time) {
 	changed := false
-	n.publisher.UpdateQuietly(func(next *Snapshot) {
+	n.publisher.UpdateQuietly(func(next *watch.Snapshot) {
 		changed = !sameReplicas(next.Replicas, replicas) || !slices.Equal(next.Cordoned, cordoned)
 		if changed {
 			next.RosterVersion++
@@ -121,7 +122,7 @@
 // sameReplicas tells whether two lists say the same, to a second of cold time.
 func sameReplicas(left, right []discovery.Replica) bool {
 	return slices.EqualFunc(left, right, func(one, other discovery.Replica) bool {
-		return sameReplica(one, other) && sameModels(one.Models, other.Models) && int(one.WarmUpRemainingMs+999)/1000 == int(other.WarmUpRemainingMs+999)/1000
+		return discovery.SameReplica(one, other) && discovery.SameModels(one.Models, other.Models) && int(one.WarmUpRemainingMs+999)/1000 == int(other.WarmUpRemainingMs+999)/1000
 	})
 }
 
--- a/internal/controlplane/share.go
+++ b/internal/controlplane/share.go
@@ -55,7 +55,7 @@
 	if left.TimeLeftMs != nil && *left.TimeLeftMs != *right.TimeLeftMs {
 		return false
 	}
-	return sameReplica(left, right) && left.WarmUpRemainingMs == right.WarmUpRemainingMs && sameModels(left.Models, right.Models)
+	return discovery.SameReplica(left, right) && left.WarmUpRemainingMs == right.WarmUpRemainingMs && discovery.SameModels(left.Models, right.Models)
 }
 
 // applyRosterDiff applies a difference to a base, ordered by id.
--- /dev/null
+++ b/internal/controlplane/watch/endpoints.go
@@ -0,0 +1,194 @@
+package watch
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/peer"
+)
+
+// EndpointPublisher cuts the roster into endpoint sets, one for each model of a backend and one for the backend as a
+// whole, and keeps which data plane has subscribed to which. It is safe for concurrent use.
+type EndpointPublisher struct {
+	// lock guards all fields and everything that they refer to.
+	lock sync.Mutex
+	// version rises with each roster that changes any set.
+	version  uint64
+	replicas map[string]*endpointSource
+	sets     map[peer.EndpointKey]*endpointSet
+	// subscribers holds the subscriptions by set, subscriptions those by data plane.
+	subscribers   map[peer.EndpointKey]map[*subscription]bool
+	subscriptions map[string]*subscription
+}
+
+// endpointSet is the replicas that serve a key.
+type endpointSet struct {
+	// version is that of the roster in which the set last changed.
+	version uint64
+	// endpoints holds the replicas by id.
+	endpoints map[string]*endpointSource
+	// sample, if not nil, is what subscribers are sent instead of all endpoints.
+	sample map[string]*endpointSource
+}
+
+// changedKeys collects the sets that a roster changes.
+type changedKeys map[peer.EndpointKey]bool
+
+// NewEndpointPublisher returns a publisher of an empty roster.
+func NewEndpointPublisher() *EndpointPublisher {
+	return &EndpointPublisher{
+		replicas:      map[string]*endpointSource{},
+		sets:          map[peer.EndpointKey]*endpointSet{},
+		subscribers:   map[peer.EndpointKey]map[*subscription]bool{},
+		subscriptions: map[string]*subscription{},
+	}
+}
+
+// Publish adopts a roster as of a moment and wakes the subscribers of the sets that it changes. Cordoned lists what must
+// get no new requests, as "replica model" or "replica model/adapter".
+func (p *EndpointPublisher) Publish(replicas []discovery.Replica, cordoned []string, asOf time.Time) {
+	cordonedByReplica := groupByReplica(cordoned)
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	changed := changedKeys{}
+	present := make(map[string]bool, len(replicas))
+	for index := range replicas {
+		listed := replicas[index]
+		present[listed.ID] = true
+		p.update(listed, cordonedByReplica[listed.ID], asOf, changed)
+	}
+	for id, replica := range p.replicas {
+		if !present[id] {
+			p.remove(replica, changed)
+			delete(p.replicas, id)
+		}
+	}
+	p.resample(changed)
+	if len(changed) == 0 {
+		return
+	}
+	p.version++
+	for key := range changed {
+		if set := p.sets[key]; set != nil {
+			set.version = p.version
+		}
+		for subscriber := range p.subscribers[key] {
+			subscriber.notify()
+		}
+	}
+}
+
+// groupByReplica returns the cordoned references ("model" or "model/adapter") by replica id.
+func groupByReplica(cordoned []string) map[string]map[string]bool {
+	byReplica := map[string]map[string]bool{}
+	for _, entry := range cordoned {
+		id, reference, _ := strings.Cut(entry, " ")
+		if byReplica[id] == nil {
+			byReplica[id] = map[string]bool{}
+		}
+		byReplica[id][reference] = true
+	}
+	return byReplica
+}
+
+// update adopts a replica's entry in the roster and adds the sets that it changes to changed.
+func (p *EndpointPublisher) update(listed discovery.Replica, cordoned map[string]bool, asOf time.Time, changed changedKeys) {
+	warmUpUntil := time.Time{}
+	if listed.WarmUpRemainingMs > 0 {
+		warmUpUntil = asOf.Add(time.Duration(listed.WarmUpRemainingMs * float64(time.Millisecond)))
+	}
+	previous := p.replicas[listed.ID]
+	if previous != nil && len(cordoned) == 0 && previous.isFullyUsable() && previous.sameListing(listed, warmUpUntil) {
+		return
+	}
+	next := &endpointSource{
+		listed:      listed,
+		warmUpUntil: warmUpUntil,
+		usable:      usableModels(listed, cordoned),
+	}
+	changesAll := previous == nil || !previous.sameEndpoint(next)
+	if !changesAll && sameUsable(previous.usable, next.usable) {
+		previous.listed = listed
+		return
+	}
+	if previous != nil {
+		p.removeFromChanged(previous, next, changesAll, changed)
+	}
+	p.addToChanged(previous, next, changesAll, changed)
+	p.replicas[listed.ID] = next
+}
+
+// removeFromChanged removes the replica from the sets in which it changes or to which it no longer belongs; all of them
+// if changesAll is set.
+func (p *EndpointPublisher) removeFromChanged(previous, next *endpointSource, changesAll bool, changed changedKeys) {
+	for model, adapters := range previous.usable {
+		nextAdapters, stays := next.usable[model]
+		if changesAll || !stays || !slices.Equal(adapters, nextAdapters) {
+			p.setEndpoint(previous.key(model), previous.listed.ID, nil, changed)
+		}
+	}
+}
+
+// addToChanged adds the replica to its sets. Those in which nothing changes don't count as changed.
+func (p *EndpointPublisher) addToChanged(previous, next *endpointSource, changesAll bool, changed changedKeys) {
+	id := next.listed.ID
+	for model, adapters := range next.usable {
+		var previousAdapters []string
+		known := false
+		if previous != nil {
+			previousAdapters, known = previous.usable[model]
+		}
+		key := next.key(model)
+		if changesAll || !known || !slices.Equal(adapters, previousAdapters) {
+			p.setEndpoint(key, id, next, changed)
+		} else {
+			p.sets[key].endpoints[id] = next
+		}
+	}
+}
+
+// remove takes a replica that is no longer listed out of its sets.
+func (p *EndpointPublisher) remove(replica *endpointSource, changed changedKeys) {
+	for model := range replica.usable {
+		p.setEndpoint(replica.key(model), replica.listed.ID, nil, changed)
+	}
+}
+
+// setEndpoint puts a replica into a set or, if it is nil, takes the one with the id out.
+func (p *EndpointPublisher) setEndpoint(key peer.EndpointKey, id string, replica *endpointSource, changed changedKeys) {
+	set := p.sets[key]
+	if set == nil {
+		set = &endpointSet{endpoints: map[string]*endpointSource{}}
+		p.sets[key] = set
+	}
+	if replica == nil {
+		delete(set.endpoints, id)
+	} else {
+		set.endpoints[id] = replica
+	}
+	changed[key] = true
+}
+
+// compose returns a set as a subscriber is sent it, ordered by id, with warm-up times that remain at the moment. The
+// caller holds the lock.
+func (p *EndpointPublisher) compose(key peer.EndpointKey, now time.Time) peer.EndpointSet {
+	composed := peer.EndpointSet{EndpointKey: key}
+	set := p.sets[key]
+	if set == nil {
+		return composed
+	}
+	composed.Version = set.version
+	endpoints := set.endpoints
+	if set.sample != nil {
+		endpoints = set.sample
+	}
+	for _, replica := range endpoints {
+		composed.Endpoints = append(composed.Endpoints, replica.endpoint(key.Model, now))
+	}
+	slices.SortFunc(composed.Endpoints, func(left, right peer.Endpoint) int { return cmp.Compare(left.ID, right.ID) })
+	return composed
+}
--- /dev/null
+++ b/internal/controlplane/watch/sample.go
@@ -0,0 +1,69 @@
+package watch
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	// sampleSize is the number of replicas in a sample, and the size of a set from which on a sample is taken.
+	sampleSize = 16
+	// samplePerZone is how many replicas of a zone are put into a sample before the rest is filled up.
+	samplePerZone = 4
+	// stateReady is the state of a replica that takes requests, as the platform's list names it.
+	stateReady = "ready"
+)
+
+// resample renews the samples of backends as a whole. A set whose sample stays the same no longer counts as changed: in
+// a large fleet some replica of a backend changes all the time, and each change would be sent to every subscriber.
+func (p *EndpointPublisher) resample(changed changedKeys) {
+	for key := range changed {
+		set := p.sets[key]
+		if key.Model != "" || set == nil {
+			continue
+		}
+		next := chooseSample(set.endpoints)
+		if set.sample != nil && next != nil && maps.EqualFunc(set.sample, next, (*endpointSource).sameEndpoint) {
+			delete(changed, key)
+		}
+		set.sample = next
+	}
+}
+
+// chooseSample returns a sample of replicas that are ready, warmed up and have a model loaded, spread over zones. The
+// choice is stable, by the hash of the replicas' ids. It is nil if there are too few endpoints, or too few that qualify.
+func chooseSample(endpoints map[string]*endpointSource) map[string]*endpointSource {
+	if len(endpoints) <= sampleSize {
+		return nil
+	}
+	var eligible []*endpointSource
+	for _, replica := range endpoints {
+		if len(replica.listed.Models) > 0 && replica.listed.State == stateReady && replica.warmUpUntil.IsZero() {
+			eligible = append(eligible, replica)
+		}
+	}
+	if len(eligible) < sampleSize {
+		return nil
+	}
+	slices.SortFunc(eligible, func(left, right *endpointSource) int {
+		return cmp.Compare(xxhash.Sum64String(left.listed.ID), xxhash.Sum64String(right.listed.ID))
+	})
+	chosen := make(map[string]*endpointSource, sampleSize)
+	perZone := map[string]int{}
+	for _, replica := range eligible {
+		zone := replica.listed.Zone
+		if perZone[zone]++; perZone[zone] <= samplePerZone {
+			chosen[replica.listed.ID] = replica
+		}
+	}
+	for _, replica := range eligible {
+		if len(chosen) >= sampleSize {
+			break
+		}
+		chosen[replica.listed.ID] = replica
+	}
+	return chosen
+}
--- /dev/null
+++ b/internal/controlplane/watch/server.go
@@ -0,0 +1,195 @@
+package watch
+
+import (
+	"context"
+	"time"
+
+	"ferryspar/internal/peer"
+)
+
+// minWaitMs and maxWaitMs bound how long, in milliseconds, a watch request is held: less than the timeout of
+// peer.MethodWatch.
+const (
+	minWaitMs = 1
+	maxWaitMs = 2000
+)
+
+// Node is what a Server needs of the control plane that it belongs to.
+type Node interface {
+	// RecordWatch takes in what a data plane says of itself in a request.
+	RecordWatch(request peer.WatchRequest, receivedAt time.Time)
+	// CountedSince returns since when the data plane has been counted among the live ones, zero if it isn't.
+	CountedSince(dataPlane string) time.Time
+	// CountReliable says whether the node has run for long enough to know all live data planes.
+	CountReliable(now time.Time) bool
+	// RequestConfirmation has the state confirmed by a majority in a round that begins after the call.
+	RequestConfirmation()
+	// IsLeaving says whether the node shuts down.
+	IsLeaving() bool
+}
+
+// Identity is what a control plane says of itself in each response.
+type Identity struct {
+	// Member is the address at which it serves other daemons.
+	Member string
+	Zone   string
+	// Incarnation is different for each process of the member.
+	Incarnation string
+}
+
+// Server answers the watch and subscribe requests of data planes. It has no state of its own and is safe for concurrent
+// use.
+type Server struct {
+	identity  Identity
+	node      Node
+	publisher *Publisher
+	endpoints *EndpointPublisher
+	clock     func() time.Time
+}
+
+// NewServer returns a server of the publishers' state. The clock must be monotonic.
+func NewServer(identity Identity, node Node, publisher *Publisher, endpoints *EndpointPublisher, clock func() time.Time) *Server {
+	return &Server{
+		identity:  identity,
+		node:      node,
+		publisher: publisher,
+		endpoints: endpoints,
+		clock:     clock,
+	}
+}
+
+// HandleWatch answers a data plane's request once there is something that it hasn't been sent, or after the time for
+// which the request may be held. A request for a linearizable response waits for a confirmation that began after it was
+// received. If the context ends first, the response is empty and thus not fresh.
+func (s *Server) HandleWatch(ctx context.Context, request peer.WatchRequest) peer.WatchResponse {
+	receivedAt := s.clock()
+	s.node.RecordWatch(request, receivedAt)
+	waitMs := min(max(request.MaxWaitMs, minWaitMs), maxWaitMs)
+	timer := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
+	defer timer.Stop()
+	var endpointsChanged <-chan struct{}
+	if request.Primary {
+		endpointsChanged = s.endpoints.wakeChannel(request.DataPlane)
+	}
+	if request.Linearizable {
+		s.node.RequestConfirmation()
+	}
+	for {
+		snapshot := s.publisher.Current()
+		response, due := s.respond(snapshot, request, receivedAt)
+		if due {
+			return response
+		}
+		select {
+		case <-snapshot.changed:
+		case <-awaitedConfirmation(snapshot, request):
+		case <-endpointsChanged:
+		case <-timer.C:
+			response, _ = s.respond(s.publisher.Current(), request, receivedAt)
+			return response
+		case <-ctx.Done():
+			return peer.WatchResponse{}
+		}
+	}
+}
+
+// awaitedConfirmation returns the channel that is closed at the next confirmation, or nil if the request needs none.
+func awaitedConfirmation(snapshot *Snapshot, request peer.WatchRequest) <-chan struct{} {
+	if request.Linearizable {
+		return snapshot.confirmed
+	}
+	return nil
+}
+
+// respond returns the response to a request that was received at receivedAt, and whether it is due now. A node that
+// shuts down sends nothing as confirmed, so that data planes change over to another one while it still serves them.
+func (s *Server) respond(snapshot *Snapshot, request peer.WatchRequest, receivedAt time.Time) (response peer.WatchResponse, due bool) {
+	now := s.clock()
+	response = s.compose(snapshot, request, now)
+	due = s.hasUpdate(snapshot, request, now)
+	if request.Primary && response.FreshMs > 0 {
+		changes := s.endpoints.Changes(request, s.identity.Incarnation, now)
+		response.EndpointSets, response.RosterVersion, response.Resubscribe = changes.Sets, changes.Version, changes.Resubscribe
+		due = due || len(changes.Sets) > 0 || changes.Resubscribe
+	}
+	response.WaitedMs = now.Sub(receivedAt).Milliseconds()
+	if request.Linearizable {
+		response.Linearizable = snapshot.ConfirmedAt.After(receivedAt)
+		due = response.Linearizable
+	}
+	if response.FreshMs > 0 {
+		if since := s.node.CountedSince(request.DataPlane); !since.IsZero() {
+			response.CountedForMs = now.Sub(since).Milliseconds()
+		}
+		response.CountReliable = s.node.CountReliable(now)
+	}
+	if s.node.IsLeaving() {
+		response.FreshMs, response.Linearizable = 0, false
+	}
+	return response, due
+}
+
+// compose returns the response to a request without the endpoint sets that the data plane has subscribed to. Versions
+// and addresses are sent in any case, the rest only while the state is confirmed.
+func (s *Server) compose(snapshot *Snapshot, request peer.WatchRequest, now time.Time) peer.WatchResponse {
+	response := peer.WatchResponse{
+		Member:        s.identity.Member,
+		Zone:          s.identity.Zone,
+		Incarnation:   s.identity.Incarnation,
+		FreshMs:       snapshot.FreshFor(now).Milliseconds(),
+		Version:       snapshot.Version,
+		Revision:      snapshot.Revision,
+		ZoneVersion:   snapshot.ZoneVersion,
+		RosterAgeMs:   now.Sub(snapshot.RosterAsOf).Milliseconds(),
+		LeaseHolder:   snapshot.LeaseHolder,
+		ControlPlanes: snapshot.ControlPlanes,
+	}
+	if response.FreshMs == 0 {
+		return response
+	}
+	response.DataPlaneCount = snapshot.DataPlaneCount
+	response.EarlyDataPlaneCount = snapshot.EarlyDataPlaneCount
+	if snapshot.ZoneVersion > request.ZoneVersion {
+		response.Zones = snapshot.Zones
+	}
+	response.Context = snapshot.contextUpdate(request.ContextVersion)
+	response.Forecast = snapshot.Forecast
+	response.Drill = snapshot.Drill.notice(request.Drill, now)
+	if !request.Primary {
+		return response
+	}
+	if snapshot.Neighbours != nil && snapshot.Neighbours.Version != request.NeighboursVersion {
+		response.Neighbours = snapshot.Neighbours
+	}
+	if snapshot.Revision > request.Revision {
+		response.PackedConfiguration = snapshot.PackedConfiguration
+	}
+	return response
+}
+
+// hasUpdate says whether the snapshot has something for the data plane that it hasn't been sent.
+func (s *Server) hasUpdate(snapshot *Snapshot, request peer.WatchRequest, now time.Time) bool {
+	fresh := snapshot.IsFresh(now)
+	if fresh && snapshot.contextVersion() > request.ContextVersion {
+		return true
+	}
+	if request.Incarnation != s.identity.Incarnation || request.Version != snapshot.Version {
+		return true
+	}
+	return request.Primary && fresh && snapshot.Revision > request.Revision
+}
+
+// HandleSubscribe changes which endpoint sets a data plane watches and answers with those that it adds. While the state
+// isn't confirmed, or the node shuts down, it changes nothing and the response isn't fresh.
+func (s *Server) HandleSubscribe(_ context.Context, request peer.SubscribeRequest) peer.SubscribeResponse {
+	snapshot := s.publisher.Current()
+	if !snapshot.IsFresh(s.clock()) || s.node.IsLeaving() {
+		return peer.SubscribeResponse{Incarnation: s.identity.Incarnation}
+	}
+	response := s.endpoints.Subscribe(request, s.clock())
+	now := s.clock()
+	response.Incarnation = s.identity.Incarnation
+	response.FreshMs = snapshot.FreshFor(now).Milliseconds()
+	response.RosterAgeMs = now.Sub(snapshot.RosterAsOf).Milliseconds()
+	return response
+}
--- /dev/null
+++ b/internal/controlplane/watch/snapshot.go
@@ -0,0 +1,82 @@
+package watch
+
+import (
+	"time"
+
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/drill"
+	"ferryspar/internal/peer"
+	"ferryspar/internal/retention"
+)
+
+// Snapshot is the state that a control plane publishes. It is immutable: the Publisher replaces it as a whole, and
+// readers may keep it without a lock.
+type Snapshot struct {
+	// Version rises with each change that data planes are to be sent, within the incarnation of the control plane.
+	Version uint64
+	// ConfirmedAt is a moment, by the monotonic clock, at or before which a majority of members confirmed that nothing
+	// newer than this state was in force. It is zero before the first confirmation.
+	ConfirmedAt time.Time
+
+	// Revision is that of the configuration in force, zero for none. PackedConfiguration is its compressed document.
+	Revision            int64
+	PackedConfiguration []byte
+	// Zones holds the zones' states by name; ZoneVersion is the sum of their versions.
+	Zones       map[string]peer.ZoneState
+	ZoneVersion uint64
+
+	// RosterVersion rises with each change of Replicas or Cordoned. RosterAsOf is a moment at or before which the list
+	// was made, zero if there is none yet.
+	RosterVersion uint64
+	RosterAsOf    time.Time
+	Replicas      []discovery.Replica
+	// Cordoned lists what must get no new requests, as "replica model" or "replica model/adapter".
+	Cordoned []string
+
+	// LeaseHolder is the address of the placement lease's holder, ControlPlanes those of all control planes known.
+	LeaseHolder   string
+	ControlPlanes []string
+	// DataPlaneCount and EarlyDataPlaneCount are how many data planes are live, zero while that isn't known; see
+	// peer.WatchResponse.
+	DataPlaneCount      int
+	EarlyDataPlaneCount int
+	Neighbours          *peer.Neighbours
+
+	// Retention is how long cached context may be kept, Forgets what of it was ordered to be forgotten.
+	Retention retention.Policy
+	Forgets   retention.Record
+	// Forecast is the forecast question that is open, or nil.
+	Forecast *drill.ForecastRequest
+	Drill    DrillState
+
+	// changed is closed when the next version replaces this one, confirmed at the next confirmation.
+	changed   chan struct{}
+	confirmed chan struct{}
+}
+
+// FreshFor returns how much longer the state counts as confirmed by a majority; zero if it doesn't.
+func (s *Snapshot) FreshFor(now time.Time) time.Duration {
+	if s.ConfirmedAt.IsZero() {
+		return 0
+	}
+	return max(peer.ConfirmationLease-now.Sub(s.ConfirmedAt), 0)
+}
+
+// IsFresh says whether a majority confirmed the state recently enough to rely on it.
+func (s *Snapshot) IsFresh(now time.Time) bool { return s.FreshFor(now) > 0 }
+
+// contextVersion is the version of what data planes are sent about cached context.
+func (s *Snapshot) contextVersion() uint64 { return s.Retention.Version + s.Forgets.Number }
+
+// contextUpdate returns what a data plane with an older version is sent about cached context, or nil.
+func (s *Snapshot) contextUpdate(appliedVersion uint64) *peer.ContextUpdate {
+	version := s.contextVersion()
+	if version <= appliedVersion {
+		return nil
+	}
+	update := &peer.ContextUpdate{Version: version, MaxAgeMs: s.Retention.LifetimeMs}
+	for _, item := range s.Forgets.Purges {
+		update.Forgets = append(update.Forgets, peer.ForgetOrder{Number: item.Number, Scope: item.Scope})
+	}
+	return update
+}
--- a/internal/controlplane/follow.go
+++ b/internal/controlplane/watch/subscriptions.go
@@ -1,19 +1,29 @@
-package controlplane
+package watch
 
 import (
-	"context"
 	"time"
 
 	"ferryspar/internal/peer"
 )
 
+const (
+	// subscriptionTTL is how long the subscriptions of a data plane are kept after its last request.
+	subscriptionTTL = 20 * time.Second
+	// maxSubscribedKeys bounds the sets that one data plane is sent.
+	maxSubscribedKeys = 4096
+)
+
+// subscription is the endpoint sets that a data plane has subscribed to. The publisher's lock guards it.
 type subscription struct {
-	keys     map[peer.EndpointKey]bool
+	keys map[peer.EndpointKey]bool
+	// sequence is that of the last request taken in.
 	sequence uint64
 	lastSeen time.Time
-	wake     chan struct{}
+	// wake holds a value while a change of a set waits to be sent.
+	wake chan struct{}
 }
 
+// notify wakes the data plane's watch request, now or when it comes.
 func (s *subscription) notify() {
 	select {
 	case s.wake <- struct{}{}:
@@ -21,13 +31,17 @@
 	}
 }
 
-const (
-	subscriptionTTL   = 20 * time.Second
-	maxSubscribedKeys = 4096
-)
+// Changes are the changed endpoint sets that a data plane is to be sent.
+type Changes struct {
+	Sets []peer.EndpointSet
+	// Version is the roster's version that the data plane has once it has taken the sets in.
+	Version uint64
+	// Resubscribe asks the data plane to send all its subscriptions anew.
+	Resubscribe bool
+}
 
-// Follow notes which parts a data plane follows and answers with those it adds. A question that does
-// not continue the last one heard is answered with the request to begin anew.
+// Subscribe changes which sets a data plane watches and answers with those that it adds. A request that doesn't continue
+// the last one is answered by asking for all subscriptions anew.
 func (p *EndpointPublisher) Subscribe(request peer.SubscribeRequest, now time.Time) peer.SubscribeResponse {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -52,20 +66,18 @@
 		if len(subscriber.keys) >= maxSubscribedKeys {
 			break
 		}
-		subscriber.keys[key] = true
-		if p.subscribers[key] == nil {
-			p.subscribers[key] = map[*subscription]bool{}
-		}
-		p.subscribers[key][subscriber] = true
+		p.subscribe(subscriber, key)
 		response.EndpointSets = append(response.EndpointSets, p.compose(key, now))
 	}
 	return response
 }
 
-func (p *EndpointPublisher) unsubscribeAll(subscriber *subscription) {
-	for key := range subscriber.keys {
-		p.unsubscribe(subscriber, key)
+func (p *EndpointPublisher) subscribe(subscriber *subscription, key peer.EndpointKey) {
+	subscriber.keys[key] = true
+	if p.subscribers[key] == nil {
+		p.subscribers[key] = map[*subscription]bool{}
 	}
+	p.subscribers[key][subscriber] = true
 }
 
 func (p *EndpointPublisher) unsubscribe(subscriber *subscription, key peer.EndpointKey) {
@@ -76,6 +88,12 @@
 	}
 }
 
+func (p *EndpointPublisher) unsubscribeAll(subscriber *subscription) {
+	for key := range subscriber.keys {
+		p.unsubscribe(subscriber, key)
+	}
+}
+
 func (p *EndpointPublisher) removeExpired(now time.Time) {
 	for dataPlane, subscriber := range p.subscriptions {
 		if now.Sub(subscriber.lastSeen) > subscriptionTTL {
@@ -85,30 +103,36 @@
 	}
 }
 
-// News lists the followed parts that changed since the poll's version, and says whether the data plane
-// must name its parts anew.
-func (p *EndpointPublisher) Changes(request peer.WatchRequest, incarnation string, now time.Time) (changed []peer.EndpointSet, version uint64, resubscribe bool) {
+// Changes returns the sets that changed since the roster version of the request, or all that the data plane has
+// subscribed to if that version is another incarnation's. A data plane whose subscriptions aren't known up to the
+// request's sequence is asked for them, and its version stays as it is.
+func (p *EndpointPublisher) Changes(request peer.WatchRequest, incarnation string, now time.Time) Changes {
 	p.lock.Lock()
 	defer p.lock.Unlock()
+	knownVersion := request.RosterVersion
+	sameIncarnation := request.Incarnation == incarnation
+	if !sameIncarnation {
+		knownVersion = 0
+	}
 	subscriber := p.subscriptions[request.DataPlane]
 	if subscriber == nil || request.SubscriptionSequence == 0 || request.SubscriptionSequence > subscriber.sequence {
-		if request.Incarnation != incarnation {
-			request.RosterVersion = 0
-		}
-		return nil, request.RosterVersion, request.SubscriptionSequence > 0
+		return Changes{Version: knownVersion, Resubscribe: request.SubscriptionSequence > 0}
 	}
 	subscriber.lastSeen = now
-	if request.Incarnation == incarnation && request.RosterVersion >= p.version {
-		return nil, p.version, false
+	changes := Changes{Version: p.version}
+	if sameIncarnation && knownVersion >= p.version {
+		return changes
 	}
 	for key := range subscriber.keys {
-		if set := p.sets[key]; set != nil && (set.version > request.RosterVersion || request.Incarnation != incarnation) {
-			changed = append(changed, p.compose(key, now))
+		if set := p.sets[key]; set != nil && (!sameIncarnation || set.version > knownVersion) {
+			changes.Sets = append(changes.Sets, p.compose(key, now))
 		}
 	}
-	return changed, p.version, false
+	return changes
 }
 
+// wakeChannel returns the channel that receives a value when a set changes that the data plane has subscribed to, or
+// nil, which blocks forever, if it has no subscriptions.
 func (p *EndpointPublisher) wakeChannel(dataPlane string) <-chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -118,7 +142,8 @@
 	return nil
 }
 
-// Followed names the replicas in the parts that a data plane follows.
+// SubscribedReplicas returns the ids of the replicas in the sets that a data plane has subscribed to, or nil if it has
+// no subscriptions.
 func (p *EndpointPublisher) SubscribedReplicas(dataPlane string) map[string]bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -136,15 +161,3 @@
 	}
 	return replicas
 }
-
-func (n *Node) handleSubscribe(_ context.Context, request peer.SubscribeRequest) peer.SubscribeResponse {
-	snapshot := n.publisher.Current()
-	if !snapshot.IsFresh(n.clock()) || n.isLeaving() {
-		return peer.SubscribeResponse{Incarnation: n.incarnation}
-	}
-	response := n.endpoints.Subscribe(request, n.clock())
-	now := n.clock()
-	response.Incarnation, response.FreshMs = n.incarnation, snapshot.FreshFor(now).Milliseconds()
-	response.RosterAgeMs = now.Sub(snapshot.RosterAsOf).Milliseconds()
-	return response
-}
