--- a/internal/controlplane/drill.go
+++ b/internal/controlplane/drill.go
@@ -22,8 +22,6 @@
 	drillCheckInterval = 400 * time.Millisecond
 	// drillRenewInterval is how often the holder renews a running drill.
 	drillRenewInterval = time.Second
-	// drillLeaseDuration is how long a drill goes on without renewal.
-	drillLeaseDuration = 5 * time.Second
 )
 
 // applyDrill adopts a committed drill record. A renewal does not put off the end that was promised
@@ -35,20 +33,9 @@
 	}
 	now := n.clock()
 	n.publisher.Update(func(next *watch.Snapshot) bool {
-		current := next.Drill
-		if record.Number < current.Number || record.Number == current.Number && record.Renewals <= current.Renewals && current.Number > 0 {
-			return false
-		}
-		view := watch.DrillState{
-			Record:         record,
-			Deadline:       now.Add(time.Duration(record.LeftMs) * time.Millisecond),
-			LeaseExpiresAt: now.Add(drillLeaseDuration),
-		}
-		if record.Number == current.Number && current.Deadline.Before(view.Deadline) {
-			view.Deadline = current.Deadline
-		}
-		next.Drill = view
-		return true
+		state, changed := next.Drill.Adopt(record, now)
+		next.Drill = state
+		return changed
 	})
 }
 
--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -65,7 +65,7 @@
 }
 
 // renewDrill stores that the drill goes on, with the time left.
-func (n *Node) renewDrill(ctx context.Context, state watch.DrillState, now time.Time) {
+func (n *Node) renewDrill(ctx context.Context, state drill.State, now time.Time) {
 	bounded, cancel := context.WithTimeout(ctx, guardWriteTimeout)
 	defer cancel()
 	_ = n.changeKey(bounded, keystore.DrillKey, func(current keystore.Register) (any, error) {
--- a/internal/controlplane/watch/endpoints_test.go
+++ b/internal/controlplane/watch/endpoints_test.go
@@ -160,6 +160,15 @@
 	}
 }
 
+// assertSets checks that the sets subscribed to are those of the full roster.
+func (s *testSubscriber) assertSets(t *testing.T, listed []discovery.Replica, cordoned []string, step string) {
+	t.Helper()
+	for key := range s.subscribed {
+		assert.DeepEqual(t, endpointIDs(s.sets[key]), listedWithModel(listed, key.Model, cordoned))
+	}
+	assert.Equal(t, len(s.sets), len(s.subscribed), step)
+}
+
 func TestEndpointPublisher_MatchesFullRosterOnRandomFleets(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 11))
@@ -191,10 +200,7 @@
 				continue
 			}
 			subscriber.poll(publisher)
-			for key := range subscriber.subscribed {
-				assert.DeepEqual(t, endpointIDs(subscriber.sets[key]), listedWithModel(listed, key.Model, cordoned))
-			}
-			assert.Equal(t, len(subscriber.sets), len(subscriber.subscribed), "seed %d step %d", seed, step)
+			subscriber.assertSets(t, listed, cordoned, fmt.Sprintf("seed %d step %d", seed, step))
 		}
 	}
 }
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -154,7 +154,7 @@
 	}
 	response.Context = snapshot.contextUpdate(request.ContextVersion)
 	response.Forecast = snapshot.Forecast
-	response.Drill = snapshot.Drill.notice(request.Drill, now)
+	response.Drill = snapshot.Drill.Notice(request.Drill, now)
 	if !request.Primary {
 		return response
 	}
--- a/internal/controlplane/watch/snapshot.go
+++ b/internal/controlplane/watch/snapshot.go
@@ -47,7 +47,7 @@
 	Forgets   retention.Record
 	// Forecast is the forecast question that is open, or nil.
 	Forecast *drill.ForecastRequest
-	Drill    DrillState
+	Drill    drill.State
 
 	// changed is closed when the next version replaces this one, confirmed at the next confirmation.
 	changed   chan struct{}
