--- a/internal/controlplane/daemon_bench_test.go
+++ b/internal/controlplane/daemon_bench_test.go
@@ -50,11 +50,11 @@
 	return list
 }
 
-func postJSON(b *testing.B, routes http.Handler, name string, message any) int {
+func postJSON(b *testing.B, routes http.Handler, method peer.Method, message any) int {
 	content, err := json.Marshal(message)
 	assert.NilError(b, err)
 	writer := httptest.NewRecorder()
-	routes.ServeHTTP(writer, httptest.NewRequest(http.MethodPost, peer.Methods[name].Path, bytes.NewReader(content)))
+	routes.ServeHTTP(writer, httptest.NewRequest(http.MethodPost, method.Path(), bytes.NewReader(content)))
 	assert.Equal(b, writer.Code, http.StatusOK)
 	return writer.Body.Len()
 }
@@ -65,7 +65,7 @@
 		for _, model := range testReport(edge, replicas).Models {
 			request.Add = append(request.Add, peer.EndpointKey{Backend: model.Backend, Model: model.Model})
 		}
-		postJSON(b, routes, "follow", request)
+		postJSON(b, routes, peer.MethodSubscribe, request)
 	}
 }
 
@@ -94,11 +94,11 @@
 			routes := node.peerRoutes()
 			subscribeAll(b, routes, edges, replicas)
 			for edge := range edges {
-				postJSON(b, routes, "pressure", testReport(edge, replicas))
+				postJSON(b, routes, peer.MethodReportLoad, testReport(edge, replicas))
 			}
 			size, turn := 0, 0
 			for b.Loop() {
-				size = postJSON(b, routes, "pressure", testReport(turn%edges, replicas))
+				size = postJSON(b, routes, peer.MethodReportLoad, testReport(turn%edges, replicas))
 				turn++
 			}
 			b.ReportMetric(float64(size), "bytes/answer")
@@ -120,7 +120,7 @@
 			routes, size := node.peerRoutes(), 0
 			subscribeAll(b, routes, 1, replicas)
 			for b.Loop() {
-				size = postJSON(b, routes, "news", peer.WatchRequest{DataPlane: "edge-000", Zone: "north", Primary: true, MaxWaitMs: 1, SubscriptionSequence: 1})
+				size = postJSON(b, routes, peer.MethodWatch, peer.WatchRequest{DataPlane: "edge-000", Zone: "north", Primary: true, MaxWaitMs: 1, SubscriptionSequence: 1})
 			}
 			b.ReportMetric(float64(size), "bytes/answer")
 		})
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -31,6 +31,6 @@
 		return
 	}
 	for _, address := range n.otherControlNodes() {
-		go func() { _ = n.peers.Call(ctx, "learn", address, update, nil) }()
+		go func() { _ = n.peers.Call(ctx, peer.MethodLearn, address, update, nil) }()
 	}
 }
--- a/internal/controlplane/exchange.go
+++ b/internal/controlplane/exchange.go
@@ -73,7 +73,7 @@
 		}
 		go func() {
 			var reply peer.LoadSummaryReply
-			if n.peers.Call(ctx, "sums", address, summary, &reply) == nil {
+			if n.peers.Call(ctx, peer.MethodShareLoad, address, summary, &reply) == nil {
 				n.exchanged.record(address, reply.UnknownVersion)
 			}
 		}()
@@ -98,7 +98,7 @@
 		return
 	}
 	go func() {
-		if err := n.peers.Call(ctx, "sums", leaseHolder, summary, nil); err != nil {
+		if err := n.peers.Call(ctx, peer.MethodShareLoad, leaseHolder, summary, nil); err != nil {
 			n.loads.markUncertain(summary)
 			return
 		}
--- a/internal/controlplane/forecastplan.go
+++ b/internal/controlplane/forecastplan.go
@@ -5,6 +5,7 @@
 	"sort"
 
 	"ferryspar/internal/drill"
+	"ferryspar/internal/peer"
 	"ferryspar/internal/placement"
 )
 
@@ -16,7 +17,7 @@
 	if holder == n.self {
 		plan = n.handlePlanRequest(ctx, request)
 	} else if holder != "" {
-		_ = n.peers.Call(ctx, "plan", holder, request, &plan)
+		_ = n.peers.Call(ctx, peer.MethodForecastPlan, holder, request, &plan)
 	}
 	if !plan.HoldsLease {
 		merged.Partial = true
--- a/internal/controlplane/greetings.go
+++ b/internal/controlplane/greetings.go
@@ -114,7 +114,7 @@
 	for _, address := range targets {
 		go func() {
 			var reply heartbeatReply
-			if n.peers.Call(ctx, "greet", address, message, &reply) == nil {
+			if n.peers.Call(ctx, peer.MethodHeartbeat, address, message, &reply) == nil {
 				n.store.AdoptMembership(reply.Members)
 				n.addControlNodes(reply.Control)
 			}
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -13,16 +13,16 @@
 
 func (n *Node) peerRoutes() http.Handler {
 	router := chi.NewRouter()
-	router.Post(peer.Methods["keystore"].Path, peer.Handler(n.handleKeystore))
-	router.Post(peer.Methods["learn"].Path, peer.Handler(n.handleKeyUpdate))
-	router.Post(peer.Methods["news"].Path, peer.Handler(n.watchServer.HandleWatch))
-	router.Post(peer.Methods["pressure"].Path, peer.Handler(n.handleLoadReport))
-	router.Post(peer.Methods["follow"].Path, peer.Handler(n.watchServer.HandleSubscribe))
-	router.Post(peer.Methods["sums"].Path, peer.Handler(n.handleLoadSummary))
-	router.Post(peer.Methods["roster"].Path, peer.Handler(n.handleRosterUpdate))
-	router.Post(peer.Methods["greet"].Path, peer.Handler(n.handleHeartbeat))
-	router.Post(peer.Methods["forecast"].Path, peer.Handler(n.handleForecast))
-	router.Post(peer.Methods["plan"].Path, peer.Handler(n.handlePlanRequest))
+	router.Post(peer.MethodKeystore.Path(), peer.Handler(n.handleKeystore))
+	router.Post(peer.MethodLearn.Path(), peer.Handler(n.handleKeyUpdate))
+	router.Post(peer.MethodWatch.Path(), peer.Handler(n.watchServer.HandleWatch))
+	router.Post(peer.MethodReportLoad.Path(), peer.Handler(n.handleLoadReport))
+	router.Post(peer.MethodSubscribe.Path(), peer.Handler(n.watchServer.HandleSubscribe))
+	router.Post(peer.MethodShareLoad.Path(), peer.Handler(n.handleLoadSummary))
+	router.Post(peer.MethodShareRoster.Path(), peer.Handler(n.handleRosterUpdate))
+	router.Post(peer.MethodHeartbeat.Path(), peer.Handler(n.handleHeartbeat))
+	router.Post(peer.MethodForecast.Path(), peer.Handler(n.handleForecast))
+	router.Post(peer.MethodForecastPlan.Path(), peer.Handler(n.handlePlanRequest))
 	return router
 }
 
--- a/internal/controlplane/share.go
+++ b/internal/controlplane/share.go
@@ -114,7 +114,7 @@
 		}
 		var reply rosterAck
 		sentAt := n.clock()
-		err := n.peers.Call(ctx, "roster", address, update, &reply)
+		err := n.peers.Call(ctx, peer.MethodShareRoster, address, update, &reply)
 		if err == nil {
 			n.adoptNewerRoster(reply, sentAt)
 		}
--- a/internal/dataplane/admission.go
+++ b/internal/dataplane/admission.go
@@ -6,6 +6,7 @@
 
 	"ferryspar/internal/apierror"
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/peer"
 	"ferryspar/internal/proxy"
 	"ferryspar/internal/quota"
 )
@@ -104,7 +105,7 @@
 func (q *Quotas) sendBorrow(home, address string, request quota.BorrowRequest, replied chan struct{}) {
 	sentAt := q.clock()
 	var reply quota.BorrowReply
-	err := q.peers.Call(context.Background(), "borrow", address, request, &reply)
+	err := q.peers.Call(context.Background(), peer.MethodBorrow, address, request, &reply)
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if now := q.clock(); err != nil {
--- a/internal/dataplane/daemon.go
+++ b/internal/dataplane/daemon.go
@@ -194,7 +194,7 @@
 		}
 		reportedEmpty = empty
 		var fleetLoad peer.FleetLoad
-		if n.peers.Call(ctx, "pressure", primary, report, &fleetLoad) == nil {
+		if n.peers.Call(ctx, peer.MethodReportLoad, primary, report, &fleetLoad) == nil {
 			n.state.fleetLoads <- fleetLoad
 		}
 	}
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -8,6 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/drill"
+	"ferryspar/internal/peer"
 	"ferryspar/internal/routing"
 )
 
@@ -155,7 +156,7 @@
 		answer.Number = question.Number
 		answer.DataPlane = n.settings.NodeName
 		answer.Zone = n.settings.Zone
-		err = n.peers.Call(ctx, "forecast", address, answer, nil)
+		err = n.peers.Call(ctx, peer.MethodForecast, address, answer, nil)
 	}
 	logrus.WithFields(logrus.Fields{
 		"scope":   question.Scope.String(),
--- a/internal/dataplane/listener.go
+++ b/internal/dataplane/listener.go
@@ -82,7 +82,7 @@
 			return nil, true
 		}
 	}
-	err = w.peers.Call(pollContext, "news", address, request, response)
+	err = w.peers.Call(pollContext, peer.MethodWatch, address, request, response)
 	return err, err != nil && pollContext.Err() != nil && ctx.Err() == nil
 }
 
--- a/internal/dataplane/parts.go
+++ b/internal/dataplane/parts.go
@@ -51,7 +51,7 @@
 	go func() {
 		var response peer.SubscribeResponse
 		sentAt := s.clock()
-		err := peers.Call(ctx, "follow", primary, request, &response)
+		err := peers.Call(ctx, peer.MethodSubscribe, primary, request, &response)
 		select {
 		case s.subscribeResults <- subscribeResult{primary, request, response, sentAt, s.clock(), err != nil}:
 		case <-ctx.Done():
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -196,7 +196,7 @@
 
 func (q *Quotas) sendOffer(ctx context.Context, offer addressedOffer) {
 	var reply quota.LendReply
-	err := q.peers.Call(ctx, "lend", offer.address, offer.Request, &reply)
+	err := q.peers.Call(ctx, peer.MethodLend, offer.address, offer.Request, &reply)
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if err != nil {
@@ -213,8 +213,8 @@
 // routes answers other data planes.
 func (q *Quotas) routes() http.Handler {
 	router := chi.NewRouter()
-	router.Post(peer.Methods["lend"].Path, peer.Handler(q.handleLend))
-	router.Post(peer.Methods["borrow"].Path, peer.Handler(q.handleBorrow))
+	router.Post(peer.MethodLend.Path(), peer.Handler(q.handleLend))
+	router.Post(peer.MethodBorrow.Path(), peer.Handler(q.handleBorrow))
 	return router
 }
 
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// scriptedPeer is a scripted daemon on a loopback socket. It answers the number-th question of a connection, from 1, with
-// what the script gives, and breaks off where that is empty.
+// scriptedPeer serves a loopback socket. It answers the number-th request of a connection, both from 1, with what the
+// script returns, and closes the connection where that is empty. It counts the requests that it read.
 func scriptedPeer(t *testing.T, script func(connection, number int) string) (address string, read *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -27,41 +27,44 @@
 			if err != nil {
 				return
 			}
-			go func(order int) {
-				defer connection.Close()
-				reader := bufio.NewReader(connection)
-				for number := 1; ; number++ {
-					request, err := http.ReadRequest(reader)
-					if err != nil {
-						return
-					}
-					_, _ = io.Copy(io.Discard, request.Body)
-					read.Add(1)
-					reply := script(order, number)
-					if _, err := io.WriteString(connection, reply); err != nil || reply == "" {
-						return
-					}
-				}
-			}(accepted)
+			go serveScript(connection, read, func(number int) string { return script(accepted, number) })
 		}
 	}()
 	return listener.Addr().String(), read
 }
 
+// serveScript answers the requests of a connection until the script returns nothing or the connection ends.
+func serveScript(connection net.Conn, read *atomic.Int64, script func(number int) string) {
+	defer connection.Close()
+	reader := bufio.NewReader(connection)
+	for number := 1; ; number++ {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		_, _ = io.Copy(io.Discard, request.Body)
+		read.Add(1)
+		reply := script(number)
+		if _, err := io.WriteString(connection, reply); err != nil || reply == "" {
+			return
+		}
+	}
+}
+
 func httpReply(status, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-func callPeer(t *testing.T, client *Client, name, address string) error {
+func callPeer(t *testing.T, client *Client, method Method, address string) error {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	var answer map[string]int
-	return client.Call(ctx, name, address, map[string]int{"n": 1}, &answer)
+	var reply map[string]int
+	return client.Call(ctx, method, address, map[string]int{"n": 1}, &reply)
 }
 
 func TestClient_SendsOnceWhenReusedConnectionBreaks(t *testing.T) {
-	for name := range Methods {
-		t.Run(name, func(t *testing.T) {
+	for method := range timeouts {
+		t.Run(string(method), func(t *testing.T) {
 			t.Parallel()
 			address, read := scriptedPeer(t, func(_, number int) string {
 				if number == 2 {
@@ -70,15 +73,15 @@
 				return httpReply("200 OK", "{}")
 			})
 			client := NewClient(HostNetwork{})
-			assert.NilError(t, callPeer(t, client, name, address))
-			assert.Assert(t, callPeer(t, client, name, address) != nil)
+			assert.NilError(t, callPeer(t, client, method, address))
+			assert.Assert(t, callPeer(t, client, method, address) != nil)
 			assert.Equal(t, read.Load(), int64(2))
 		})
 	}
 }
 
 func TestClient_FailsOnInvalidReply(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, invalidReply := range map[string]string{
 		"cut":            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{",
 		"no document":    httpReply("200 OK", "words"),
 		"a failure":      httpReply("503 No", "{}"),
@@ -92,16 +95,16 @@
 				if number > 1 {
 					return ""
 				}
-				return answer
+				return invalidReply
 			})
-			assert.Assert(t, callPeer(t, NewClient(HostNetwork{}), "follow", address) != nil)
+			assert.Assert(t, callPeer(t, NewClient(HostNetwork{}), MethodSubscribe, address) != nil)
 			assert.Equal(t, read.Load(), int64(1))
 		})
 	}
 }
 
-// The variant with a body that the library can read again, which the first test is there to catch when a question
-// bears a key: it is sent twice.
+// The broken variant that TestClient_SendsOnceWhenReusedConnectionBreaks is there to catch: net/http sends a request twice
+// if it bears an idempotency key and its body can be read again.
 func TestTransport_ResendsRereadableBodyWithKey(t *testing.T) {
 	address, read := scriptedPeer(t, func(_, number int) string {
 		if number == 2 {
@@ -115,10 +118,10 @@
 		request, err := http.NewRequest(http.MethodPost, "http://"+address, http.NoBody)
 		assert.NilError(t, err)
 		request.Header.Set("Idempotency-Key", "key")
-		answer, err := transport.RoundTrip(request)
+		response, err := transport.RoundTrip(request)
 		assert.NilError(t, err)
-		_, _ = io.Copy(io.Discard, answer.Body)
-		answer.Body.Close()
+		_, _ = io.Copy(io.Discard, response.Body)
+		response.Body.Close()
 	}
 	assert.Equal(t, read.Load(), int64(3))
 }
--- /dev/null
+++ b/internal/peer/load.go
@@ -0,0 +1,99 @@
+package peer
+
+// LoadReport is the load that a data plane reports to its control plane.
+type LoadReport struct {
+	DataPlane string      `json:"daemon"`
+	Zone      string      `json:"area"`
+	Models    []ModelLoad `json:"models,omitempty"`
+	// Replicas holds the data plane's own load on replicas by their id.
+	Replicas map[string]ReplicaLoad `json:"replicas,omitempty"`
+}
+
+// ModelLoad is the demand for one model.
+type ModelLoad struct {
+	Backend string `json:"b"`
+	Model   string `json:"m"`
+	// Waiting and Running count requests now; OldestWaitMs is how long, in milliseconds, the oldest has waited.
+	Waiting      int     `json:"w,omitempty"`
+	OldestWaitMs float64 `json:"o,omitempty"`
+	// Arrivals counts the requests that arrived since the last report.
+	Arrivals int `json:"a,omitempty"`
+	Running  int `json:"r,omitempty"`
+	// LatencyTargetMs is the latency target, in milliseconds, of the last request for the model.
+	LatencyTargetMs float64 `json:"t,omitempty"`
+	// PrefillMs is the time, in milliseconds, that replicas spent on prompts of the model since the last report.
+	PrefillMs float64 `json:"d,omitempty"`
+}
+
+// Outcomes counts attempts that were served and that failed. Older ones count for less.
+type Outcomes struct {
+	Served float64 `json:"y,omitempty"`
+	Failed float64 `json:"x,omitempty"`
+}
+
+// ReplicaLoad is the load on one replica and how attempts there ended.
+type ReplicaLoad struct {
+	Outcomes
+	// Running counts requests, Tokens the tokens that they take up, PrefillTokens those of them still to be read.
+	Running       int     `json:"r,omitempty"`
+	Tokens        float64 `json:"k,omitempty"`
+	PrefillTokens float64 `json:"p,omitempty"`
+	// Suspected says that the reporting data plane suspects the replica of having failed.
+	Suspected bool `json:"s,omitempty"`
+	// ZoneServed and ZoneFailed count the outcomes at data planes of the receiver's zone.
+	ZoneServed float64 `json:"v,omitempty"`
+	ZoneFailed float64 `json:"u,omitempty"`
+}
+
+// FleetLoad answers a LoadReport with the load of all other data planes.
+type FleetLoad struct {
+	Total Outcomes `json:"total,omitzero"`
+	// Replicas holds the replicas that the data plane has subscribed to, by id.
+	Replicas map[string]ReplicaLoad `json:"replicas,omitempty"`
+}
+
+// LoadSummary is what a control plane tells the others of the data planes that report to it: the load on replicas, or,
+// to the placement lease's holder, the demand for models (IsDemand).
+type LoadSummary struct {
+	// Member is the sender's address, DataPlaneCount how many data planes report to it.
+	Member         string `json:"member"`
+	DataPlaneCount int    `json:"daemons"`
+
+	Total    Outcomes               `json:"total,omitzero"`
+	Replicas map[string]ReplicaLoad `json:"replicas,omitempty"`
+	// OutcomesByZone holds, by the zone of the data planes, the outcomes at replicas that had failures.
+	OutcomesByZone map[string]ZoneOutcomes `json:"near,omitempty"`
+	// Packed, if set, holds the numbers of Replicas in a shorter form; Replicas holds just outcomes then.
+	Packed *PackedLoads `json:"dense,omitempty"`
+
+	// SuspectCounts is how many data planes suspect each replica.
+	SuspectCounts map[string]int `json:"suspects,omitempty"`
+	Models        []ModelLoad    `json:"models,omitempty"`
+	IsDemand      bool           `json:"demand,omitempty"`
+	// Partial says that Models holds only some models; the others stay as they were reported last.
+	Partial bool `json:"partial,omitempty"`
+	// Batch numbers the arrivals and prefill times in Models within the sender's Incarnation. They are sent again under
+	// the same number until they are known to have been received, and must be counted once.
+	Incarnation string `json:"life,omitempty"`
+	Batch       uint64 `json:"batch,omitempty"`
+}
+
+// ZoneOutcomes holds the outcomes of one zone's data planes by replica id.
+type ZoneOutcomes map[string]Outcomes
+
+// PackedLoads holds loads as lists in the order of the roster's replica ids. Zeros at the end are left out. Tokens and
+// PrefillTokens are in hundreds of tokens.
+type PackedLoads struct {
+	// Version is a digest of the replica ids in their order.
+	Version       uint64 `json:"m"`
+	Running       []int  `json:"r,omitempty"`
+	Tokens        []int  `json:"k,omitempty"`
+	PrefillTokens []int  `json:"p,omitempty"`
+}
+
+// LoadSummaryReply answers a LoadSummary.
+type LoadSummaryReply struct {
+	// UnknownVersion says that the receiver has no roster of the version in PackedLoads and took nothing in; it asks
+	// for summaries that aren't packed.
+	UnknownVersion bool `json:"unknown,omitempty"`
+}
--- a/internal/peer/messages_bench_test.go
+++ b/internal/peer/messages_bench_test.go
@@ -38,9 +38,17 @@
 }
 
 func BenchmarkWatchResponse_JSON(b *testing.B) {
-	for _, followed := range []int{5, 20, 100} {
-		b.Run(fmt.Sprintf("parts=%d", followed), func(b *testing.B) {
-			benchmarkRoundTrip[WatchResponse](b, WatchResponse{Member: "10.0.0.1:7000", Linearizable: true, FreshMs: 1000, Version: 3, RosterVersion: 5, EndpointSets: endpointSets(followed, 3), DataPlaneCount: 80})
+	for _, subscribed := range []int{5, 20, 100} {
+		b.Run(fmt.Sprintf("parts=%d", subscribed), func(b *testing.B) {
+			benchmarkRoundTrip(b, WatchResponse{
+				Member:         "10.0.0.1:7000",
+				Linearizable:   true,
+				FreshMs:        1000,
+				Version:        3,
+				RosterVersion:  5,
+				EndpointSets:   endpointSets(subscribed, 3),
+				DataPlaneCount: 80,
+			})
 		})
 	}
 }
@@ -48,7 +56,7 @@
 func BenchmarkLoadSummary_JSON(b *testing.B) {
 	for _, replicas := range replicaCounts {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			benchmarkRoundTrip[LoadSummary](b, LoadSummary{Member: "10.0.0.1:7000", DataPlaneCount: 80, Replicas: replicaLoads(replicas)})
+			benchmarkRoundTrip(b, LoadSummary{Member: "10.0.0.1:7000", DataPlaneCount: 80, Replicas: replicaLoads(replicas)})
 		})
 	}
 }
@@ -56,17 +64,17 @@
 func BenchmarkFleetLoad_JSON(b *testing.B) {
 	for _, replicas := range replicaCounts {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			benchmarkRoundTrip[FleetLoad](b, FleetLoad{Replicas: replicaLoads(replicas)})
+			benchmarkRoundTrip(b, FleetLoad{Replicas: replicaLoads(replicas)})
 		})
 	}
 }
 
-func benchmarkRoundTrip[Word any](b *testing.B, message Word) {
+func benchmarkRoundTrip[Message any](b *testing.B, message Message) {
 	size := 0
 	for b.Loop() {
 		content, err := json.Marshal(message)
 		assert.NilError(b, err)
-		var decoded Word
+		var decoded Message
 		assert.NilError(b, json.Unmarshal(content, &decoded))
 		size = len(content)
 	}
--- a/internal/peer/pinned_test.go
+++ b/internal/peer/pinned_test.go
@@ -36,10 +36,10 @@
 	})
 }
 
-func TestCalls_PathsAndBoundsStayTheSame(t *testing.T) {
-	told := map[string]string{}
-	for name, call := range Methods {
-		told[name] = call.Path + " within " + call.Timeout.String()
+func TestMethods_PathsAndTimeoutsStayTheSame(t *testing.T) {
+	described := map[string]string{}
+	for method := range timeouts {
+		described[string(method)] = method.Path() + " within " + method.Timeout().String()
 	}
-	pinned.CheckJSON(t, "testdata/calls.json", told)
+	pinned.CheckJSON(t, "testdata/calls.json", described)
 }
--- a/internal/sim/hollow/failures.go
+++ b/internal/sim/hollow/failures.go
@@ -207,7 +207,7 @@
 		if err != nil {
 			continue
 		}
-		for _, flow := range answer.Snapshot.Flows[peer.Methods["roster"].Path] {
+		for _, flow := range answer.Snapshot.Flows[peer.MethodShareRoster.Path()] {
 			counts[index] += flow.Messages
 		}
 	}
