--- a/internal/controlplane/watchers.go
+++ b/internal/controlplane/adapters.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/heartbeat"
 	"ferryspar/internal/peer"
 	"ferryspar/internal/retention"
@@ -54,3 +55,22 @@
 
 // IsLeaving says whether the node shuts down.
 func (w watchedNode) IsLeaving() bool { return w.node.isLeaving() }
+
+// exchangeFleet is what the load exchange sees of the fleet. It implements demand.Fleet.
+type exchangeFleet struct {
+	node *Node
+}
+
+// OtherControlPlanes returns the addresses of the other control planes that are known.
+func (f exchangeFleet) OtherControlPlanes() []string { return f.node.otherControlNodes() }
+
+// LeaseHolder returns the address of the placement lease's holder, or "" if none is known.
+func (f exchangeFleet) LeaseHolder() string { return f.node.publisher.Current().LeaseHolder }
+
+// Roster returns the list of replicas as this node has it.
+func (f exchangeFleet) Roster() []discovery.Replica { return f.node.roster.replicaList() }
+
+// SubscribedReplicas returns the replicas that a data plane is sent.
+func (f exchangeFleet) SubscribedReplicas(dataPlane string) map[string]bool {
+	return f.node.endpoints.SubscribedReplicas(dataPlane)
+}
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -14,6 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/adminapi"
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/discovery"
@@ -44,9 +45,8 @@
 	confirmer          *confirmer
 	endpoints          *watch.EndpointPublisher
 	watchServer        *watch.Server
-	loads              *LoadAggregator
-	dense              loadPacker
-	exchanged          unpackedPeers
+	loads              *demand.LoadAggregator
+	loadExchange       *demand.Exchange
 	heartbeatsSent     uint64
 	rosterUpdates      atomic.Uint64
 	applyLock          sync.Mutex
@@ -115,7 +115,7 @@
 	incarnation := nonce()
 	node := &Node{
 		settings: settings, path: path, self: self, incarnation: strconv.FormatUint(incarnation, 36), clock: time.Now, peers: peer.NewClient(network),
-		wal: wal, publisher: watch.NewPublisher(), endpoints: watch.NewEndpointPublisher(), loads: NewLoadAggregator(), appliedRegisters: map[string]keystore.Register{}, lastHeartbeats: map[string]peer.Heartbeat{}, dataPlaneAddresses: map[string]string{}, dataPlaneRetention: map[string]retention.DataPlaneView{},
+		wal: wal, publisher: watch.NewPublisher(), endpoints: watch.NewEndpointPublisher(), loads: demand.NewLoadAggregator(), appliedRegisters: map[string]keystore.Register{}, lastHeartbeats: map[string]peer.Heartbeat{}, dataPlaneAddresses: map[string]string{}, dataPlaneRetention: map[string]retention.DataPlaneView{},
 		dataPlanes: heartbeat.NewRegistry(10 * time.Second), controlNodes: heartbeat.NewRegistry(30 * time.Second), leaving: make(chan struct{}), caughtUp: make(chan struct{}, 1), bus: eventbus.New(), startedAt: time.Now(), network: network,
 	}
 	config := keystore.AcceptorConfig{LeaseDuration: node.leaseLength(), Clock: time.Now, Seeds: seeds}
@@ -132,6 +132,8 @@
 	node.watchServer = watch.NewServer(identity, watchedNode{node}, node.publisher, node.endpoints, node.clock)
 	node.discovery = &discovery.Client{Address: settings.CloudAPI.Address, HTTPClient: &http.Client{Transport: peer.NewTransport(network, 500*time.Millisecond, 1500*time.Millisecond, 2)}}
 	node.scheduler = NewScheduler(node)
+	sender := demand.Sender{Member: self, Incarnation: node.incarnation}
+	node.loadExchange = demand.NewExchange(sender, exchangeFleet{node}, node.peers, node.loads, node.scheduler.handleDemand, node.clock)
 	return node, nil
 }
 
@@ -169,7 +171,7 @@
 		return err
 	}
 	cleanup = append(cleanup, n.bus.Close)
-	loops := []func(context.Context){n.confirmer.run, n.runHeartbeats, n.runMembership, n.runRoster, n.scheduler.Run, n.runLoadExchange, n.runDrillGuard,
+	loops := []func(context.Context){n.confirmer.run, n.runHeartbeats, n.runMembership, n.runRoster, n.scheduler.Run, n.loadExchange.Run, n.runDrillGuard,
 		func(ctx context.Context) {
 			nodesettings.Watch(ctx, n.path, "control", signals.Hangup, func(fresh nodesettings.Settings) { n.addControlNodes(fresh.SeedPeers()) })
 		}}
--- a/internal/controlplane/demand.go
+++ b/internal/controlplane/demand.go
@@ -17,7 +17,7 @@
 		s.learningSince = now
 	}
 	names := make([]string, len(share.Models))
-	isNew := s.aggregator.isNewBatch(share)
+	isNew := s.aggregator.IsNewBatch(share)
 	for index, model := range share.Models {
 		names[index] = placement.ModelKey(model.Backend, model.Model)
 		if !isNew {
--- a/internal/controlplane/tally.go
+++ b/internal/controlplane/demand/demand_aggregator.go
@@ -1,4 +1,4 @@
-package controlplane
+package demand
 
 import (
 	"maps"
@@ -17,45 +17,47 @@
 	demandTTL = 1500 * time.Millisecond
 )
 
-// memberReport is a control plane's last share of the demand; suspecting and counted tell whether
-// it is part of the sums.
+// DemandAggregator sums, at the placement lease's holder, the demand and the suspicions that the control planes report.
+// It isn't safe for concurrent use: its owner's lock guards it.
+type DemandAggregator struct {
+	// reports holds the last report by member, demand the sums by model key.
+	reports map[string]*memberReport
+	demand  map[string]*modelDemand
+	// changed holds the keys of the sums that changed since they were last written.
+	changed map[string]bool
+	// waiting holds the keys of the models that requests wait for.
+	waiting map[string]bool
+	// suspects counts the data planes that suspect each replica, dataPlaneCount all whose suspicions count now.
+	suspects       map[string]int
+	dataPlaneCount int
+	// dirty is set by what may call for a new plan.
+	dirty bool
+	// batches are those received, by member.
+	batches map[string]*receivedBatches
+}
+
+// memberReport is a control plane's last report of its demand. Its suspicions expire before its demand.
 type memberReport struct {
-	receivedAt        time.Time
-	keys              []string
-	models            []peer.ModelLoad
-	suspects          map[string]int
-	dataPlaneCount    int
+	receivedAt     time.Time
+	keys           []string
+	models         []peer.ModelLoad
+	suspects       map[string]int
+	dataPlaneCount int
+	// suspicionsCounted and demandCounted say whether the report is part of the sums.
 	suspicionsCounted bool
 	demandCounted     bool
 }
 
-// modelDemand is a model's demand over all control planes; oldest is the longest wait by control
-// plane, in milliseconds.
+// modelDemand is a model's demand over all control planes.
 type modelDemand struct {
 	waiting         int
 	running         int
 	latencyTargetMs float64
-	oldestWaitMs    map[string]float64
-}
-
-// DemandAggregator sums the demand and the suspicions that the control planes share, at the placement holder.
-// It is not safe for concurrent use; the scheduler's lock guards it.
-type DemandAggregator struct {
-	reports map[string]*memberReport
-	demand  map[string]*modelDemand
-	// touched marks the sums that changed since they were last written.
-	changed  map[string]bool
-	waiting  map[string]bool
-	suspects map[string]int
-	// suspecting counts the data planes behind the suspicions that count now.
-	dataPlaneCount int
-	// stirred is set by what may call for a new plan.
-	dirty bool
-	// batches are those heard, by member.
-	batches map[string]*receivedBatches
+	// oldestWaitMs holds the longest wait by member.
+	oldestWaitMs map[string]float64
 }
 
-// NewDemandAggregator is an empty tally.
+// NewDemandAggregator returns an aggregator without reports.
 func NewDemandAggregator() *DemandAggregator {
 	return &DemandAggregator{
 		reports:  map[string]*memberReport{},
@@ -67,21 +69,22 @@
 	}
 }
 
-// isNewBatch notes the batch of arrivals in a share and tells whether it was not heard before.
-func (a *DemandAggregator) isNewBatch(summary peer.LoadSummary) bool {
+// IsNewBatch records the batch of arrivals in a summary and says whether it must be counted: it was not received before.
+// A summary without a batch number counts as new.
+func (a *DemandAggregator) IsNewBatch(summary peer.LoadSummary) bool {
 	if summary.Batch == 0 {
 		return true
 	}
 	received := a.batches[summary.Member]
 	if received == nil || received.incarnation != summary.Incarnation {
-		received = &receivedBatches{incarnation: summary.Incarnation, numbers: map[uint64]bool{}}
+		received = newReceivedBatches(summary.Incarnation)
 		a.batches[summary.Member] = received
 	}
 	return received.markReceived(summary.Batch)
 }
 
-// Hear takes in a share, whose models' keys are given, and reports whether a model is newly waited
-// for. A partial share replaces only the models that it names.
+// Add takes in a summary, whose models' keys are given in the same order, and says whether requests have come to wait
+// for another model. A partial summary replaces only the models that it names.
 func (a *DemandAggregator) Add(summary peer.LoadSummary, keys []string, now time.Time) (newlyWaiting bool) {
 	next := &memberReport{
 		receivedAt:        now,
@@ -95,28 +98,26 @@
 	previous := a.reports[summary.Member]
 	if summary.Partial && previous != nil && previous.demandCounted {
 		next = previous.merged(next)
-		keys, summary.Models = next.keys, next.models
 	}
-	for index, key := range keys {
-		newlyWaiting = newlyWaiting || summary.Models[index].Waiting > 0 && !a.waiting[key]
+	for index, key := range next.keys {
+		newlyWaiting = newlyWaiting || next.models[index].Waiting > 0 && !a.waiting[key]
+	}
+	if newlyWaiting || previous == nil || !previous.suspicionsCounted || !maps.Equal(previous.suspects, next.suspects) {
+		a.dirty = true
 	}
-	a.dirty = a.dirty || newlyWaiting || previous == nil || !previous.suspicionsCounted || !maps.Equal(previous.suspects, next.suspects)
 	if previous != nil {
 		a.removeSuspects(previous)
 		a.removeDemand(summary.Member, previous)
 	}
 	a.reports[summary.Member] = next
-	a.dataPlaneCount += next.dataPlaneCount
-	for id, count := range next.suspects {
-		a.suspects[id] += count
-	}
-	for index, key := range keys {
-		a.addDemand(summary.Member, key, summary.Models[index])
+	a.addSuspects(next)
+	for index, key := range next.keys {
+		a.addDemand(summary.Member, key, next.models[index])
 	}
 	return newlyWaiting
 }
 
-// merged is this report with the models of the next, partial one in place.
+// merged returns this report with the models of the next, partial one in their place.
 func (r *memberReport) merged(next *memberReport) *memberReport {
 	merged := &memberReport{
 		receivedAt:        next.receivedAt,
@@ -140,66 +141,76 @@
 	return merged
 }
 
-// addDemand adds a model's demand.
+// addSuspects adds a report's suspicions to the sums.
+func (a *DemandAggregator) addSuspects(report *memberReport) {
+	a.dataPlaneCount += report.dataPlaneCount
+	for id, count := range report.suspects {
+		a.suspects[id] += count
+	}
+}
+
+// removeSuspects takes a report's suspicions out of the sums, unless that has been done.
+func (a *DemandAggregator) removeSuspects(report *memberReport) {
+	if !report.suspicionsCounted {
+		return
+	}
+	report.suspicionsCounted = false
+	a.dataPlaneCount -= report.dataPlaneCount
+	for id, count := range report.suspects {
+		if a.suspects[id] -= count; a.suspects[id] <= 0 {
+			delete(a.suspects, id)
+		}
+	}
+}
+
+// addDemand adds a model's demand to the sums.
 func (a *DemandAggregator) addDemand(member, key string, model peer.ModelLoad) {
-	demand := a.demand[key]
-	if demand == nil {
-		demand = &modelDemand{oldestWaitMs: map[string]float64{}}
-		a.demand[key] = demand
-	}
-	demand.waiting += model.Waiting
-	demand.running += model.Running
-	demand.latencyTargetMs = max(demand.latencyTargetMs, model.LatencyTargetMs)
+	sum := a.demand[key]
+	if sum == nil {
+		sum = &modelDemand{oldestWaitMs: map[string]float64{}}
+		a.demand[key] = sum
+	}
+	sum.waiting += model.Waiting
+	sum.running += model.Running
+	sum.latencyTargetMs = max(sum.latencyTargetMs, model.LatencyTargetMs)
 	if model.Waiting > 0 {
-		demand.oldestWaitMs[member] = max(demand.oldestWaitMs[member], model.OldestWaitMs)
+		sum.oldestWaitMs[member] = max(sum.oldestWaitMs[member], model.OldestWaitMs)
 		a.waiting[key] = true
 	}
 	a.changed[key] = true
 }
 
-// removeDemand takes a report's demand away, if it counts.
+// removeDemand takes a report's demand out of the sums, unless that has been done.
 func (a *DemandAggregator) removeDemand(member string, report *memberReport) {
 	if !report.demandCounted {
 		return
 	}
 	report.demandCounted = false
 	for index, key := range report.keys {
-		demand := a.demand[key]
-		if demand == nil {
+		sum := a.demand[key]
+		if sum == nil {
 			continue
 		}
-		demand.waiting -= report.models[index].Waiting
-		demand.running -= report.models[index].Running
-		delete(demand.oldestWaitMs, member)
-		if demand.waiting == 0 {
+		sum.waiting -= report.models[index].Waiting
+		sum.running -= report.models[index].Running
+		delete(sum.oldestWaitMs, member)
+		if sum.waiting == 0 {
 			delete(a.waiting, key)
 		}
 		a.changed[key] = true
 	}
 }
 
-// removeSuspects takes a report's suspicions away, if they count.
-func (a *DemandAggregator) removeSuspects(report *memberReport) {
-	if !report.suspicionsCounted {
-		return
-	}
-	report.suspicionsCounted = false
-	a.dataPlaneCount -= report.dataPlaneCount
-	for id, count := range report.suspects {
-		if a.suspects[id] -= count; a.suspects[id] <= 0 {
-			delete(a.suspects, id)
-		}
-	}
-}
-
-// Expire takes away what is too old, suspicions before demand.
+// Expire removes what is too old, suspicions before demand.
 func (a *DemandAggregator) Expire(now time.Time) {
 	for member, report := range a.reports {
 		age := now.Sub(report.receivedAt)
 		if age <= suspicionTTL {
 			continue
 		}
-		a.dirty = a.dirty || report.suspicionsCounted && len(report.suspects) > 0
+		if report.suspicionsCounted && len(report.suspects) > 0 {
+			a.dirty = true
+		}
 		a.removeSuspects(report)
 		if age > demandTTL {
 			a.removeDemand(member, report)
@@ -208,13 +219,24 @@
 	}
 }
 
-// Suspected tells whether enough data planes suspect the replica: two, or all that are heard.
+// IsSuspected says whether enough data planes suspect the replica: two, or all that report.
 func (a *DemandAggregator) IsSuspected(id string) bool {
-	suspected := a.suspects[id]
-	return suspected >= minSuspecting || suspected > 0 && suspected == a.dataPlaneCount
+	suspecting := a.suspects[id]
+	return suspecting >= minSuspecting || suspecting > 0 && suspecting == a.dataPlaneCount
 }
 
-// WriteTo writes the sums that changed into the demand.
+// HasWaiting says whether requests wait for any model.
+func (a *DemandAggregator) HasWaiting() bool { return len(a.waiting) > 0 }
+
+// TakeDirty says whether anything may call for a new plan since the last call.
+func (a *DemandAggregator) TakeDirty() bool {
+	dirty := a.dirty
+	a.dirty = false
+	return dirty
+}
+
+// WriteTo writes the sums that changed since the last call into the demands by model key, and marks the models that are
+// waited for as seen now.
 func (a *DemandAggregator) WriteTo(demands map[string]*placement.Demand, now time.Time) {
 	for key := range a.changed {
 		sum := a.demand[key]
@@ -239,10 +261,3 @@
 		demands[key].LastSeen = now
 	}
 }
-
-// Stirred tells whether something may call for a new plan since it was last asked.
-func (a *DemandAggregator) TakeDirty() bool {
-	dirty := a.dirty
-	a.dirty = false
-	return dirty
-}
--- /dev/null
+++ b/internal/controlplane/demand/exchange.go
@@ -0,0 +1,200 @@
+package demand
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/peer"
+)
+
+const (
+	// summaryInterval is how often load summaries are sent to the other control planes.
+	summaryInterval = 250 * time.Millisecond
+	// summariesPerDemand is how many of them there are to one demand summary.
+	summariesPerDemand = 2
+	// minDemandInterval is the shortest time between two partial demand summaries.
+	minDemandInterval = 20 * time.Millisecond
+)
+
+// Fleet is what an Exchange needs to know of the fleet.
+type Fleet interface {
+	// OtherControlPlanes returns the addresses of all other control planes that are known.
+	OtherControlPlanes() []string
+	// LeaseHolder returns the address of the placement lease's holder, or "" if none is known.
+	LeaseHolder() string
+	// Roster returns the list of replicas. The slice is never changed in place.
+	Roster() []discovery.Replica
+	// SubscribedReplicas returns the ids of the replicas that a data plane may use.
+	SubscribedReplicas(dataPlane string) map[string]bool
+}
+
+// Caller calls other daemons, as a peer.Client does.
+type Caller interface {
+	Call(ctx context.Context, method peer.Method, address string, request, reply any) error
+}
+
+// Sender is what an Exchange says of its control plane in each summary.
+type Sender struct {
+	// Member is the address at which it serves other daemons.
+	Member string
+	// Incarnation is different for each process of the member; batches are numbered within it.
+	Incarnation string
+}
+
+// Exchange serves the load reports of data planes, and exchanges load and demand with the other control planes. It is
+// safe for concurrent use.
+type Exchange struct {
+	sender Sender
+	fleet  Fleet
+	caller Caller
+	clock  func() time.Time
+	// onDemand takes in a demand summary while this control plane holds the placement lease, or may do so.
+	onDemand func(summary peer.LoadSummary)
+	loads    *LoadAggregator
+	packer   packer
+	unpacked unpackedPeers
+	// calls are those under way; Run waits for them.
+	calls sync.WaitGroup
+}
+
+// NewExchange returns an exchange over the aggregator. It passes demand summaries, the own ones included, to onDemand.
+func NewExchange(
+	sender Sender,
+	fleet Fleet,
+	caller Caller,
+	loads *LoadAggregator,
+	onDemand func(summary peer.LoadSummary),
+	clock func() time.Time,
+) *Exchange {
+	return &Exchange{
+		sender:   sender,
+		fleet:    fleet,
+		caller:   caller,
+		clock:    clock,
+		onDemand: onDemand,
+		loads:    loads,
+		unpacked: unpackedPeers{addresses: map[string]bool{}},
+	}
+}
+
+// Run sends summaries of load and demand until the context ends, and demand at once when requests have come to wait for
+// another model.
+func (e *Exchange) Run(ctx context.Context) {
+	defer e.calls.Wait()
+	ticker := time.NewTicker(summaryInterval)
+	defer ticker.Stop()
+	for turn := 0; ; {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			e.sendLoad(ctx)
+			if turn++; turn%summariesPerDemand == 0 {
+				e.sendDemand(ctx, false)
+			}
+		case <-e.loads.wake:
+			e.sendDemand(ctx, true)
+			nodesettings.Sleep(ctx, minDemandInterval)
+		}
+	}
+}
+
+// sendLoad sends the load summary to every other control plane, without waiting for replies.
+func (e *Exchange) sendLoad(ctx context.Context) {
+	full := e.loads.Summary(e.sender.Member, e.clock())
+	packed := e.packer.pack(full, e.fleet.Roster())
+	for _, address := range e.fleet.OtherControlPlanes() {
+		summary := packed
+		if e.unpacked.contains(address) {
+			summary = full
+		}
+		e.calls.Go(func() {
+			var reply peer.LoadSummaryReply
+			if e.caller.Call(ctx, peer.MethodShareLoad, address, summary, &reply) == nil {
+				e.unpacked.set(address, reply.UnknownVersion)
+			}
+		})
+	}
+}
+
+// sendDemand sends the demand summary to the placement lease's holder, which may be this control plane, without waiting
+// for the reply.
+func (e *Exchange) sendDemand(ctx context.Context, partial bool) {
+	leaseHolder := e.fleet.LeaseHolder()
+	if leaseHolder == "" {
+		return
+	}
+	summary := e.loads.DemandSummary(e.sender.Member, partial)
+	if partial && len(summary.Models) == 0 {
+		return
+	}
+	summary.Incarnation = e.sender.Incarnation
+	if leaseHolder == e.sender.Member {
+		e.onDemand(summary)
+		e.loads.MarkDelivered(summary)
+		return
+	}
+	e.calls.Go(func() {
+		if err := e.caller.Call(ctx, peer.MethodShareLoad, leaseHolder, summary, nil); err != nil {
+			e.loads.MarkUncertain(summary)
+			return
+		}
+		e.loads.MarkDelivered(summary)
+	})
+}
+
+// HandleLoadReport takes in a data plane's load and answers with the load of all others on the replicas that it may use.
+func (e *Exchange) HandleLoadReport(_ context.Context, report peer.LoadReport) peer.FleetLoad {
+	e.loads.AddReport(report, e.clock())
+	return e.loads.FleetLoadFor(report.DataPlane, e.fleet.SubscribedReplicas(report.DataPlane))
+}
+
+// HandleLoadSummary takes in another control plane's summary. If its loads are packed by a roster that isn't the one
+// here, nothing is taken in and the sender is asked for summaries that aren't packed.
+func (e *Exchange) HandleLoadSummary(_ context.Context, summary peer.LoadSummary) peer.LoadSummaryReply {
+	now := e.clock()
+	if summary.Packed != nil {
+		loads, known := e.packer.unpack(summary.Packed, e.fleet.Roster())
+		if !known {
+			return peer.LoadSummaryReply{UnknownVersion: true}
+		}
+		for id, load := range summary.Replicas {
+			unpacked := loads[id]
+			unpacked.Outcomes = load.Outcomes
+			loads[id] = unpacked
+		}
+		summary.Replicas = loads
+	}
+	if summary.Replicas != nil {
+		e.loads.AddSummary(summary, now)
+	}
+	if summary.IsDemand {
+		e.onDemand(summary)
+	}
+	return peer.LoadSummaryReply{}
+}
+
+// unpackedPeers are the control planes that have another roster, and so can't unpack loads. It is safe for concurrent
+// use.
+type unpackedPeers struct {
+	// lock guards addresses.
+	lock      sync.Mutex
+	addresses map[string]bool
+}
+
+// contains says whether the control plane needs summaries that aren't packed.
+func (u *unpackedPeers) contains(address string) bool {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	return u.addresses[address]
+}
+
+// set records whether the control plane could not unpack the last summary.
+func (u *unpackedPeers) set(address string, unpacked bool) {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	u.addresses[address] = unpacked
+}
--- a/internal/controlplane/dense.go
+++ b/internal/controlplane/demand/packer.go
@@ -1,4 +1,4 @@
-package controlplane
+package demand
 
 import (
 	"math"
@@ -10,22 +10,28 @@
 	"ferryspar/internal/peer"
 )
 
-// tokenUnit is the unit, in tokens, that packed sums are rounded up to.
-const tokenUnit = 100
+const (
+	// tokenUnit is the unit, in tokens, that packed loads are rounded up to.
+	tokenUnit = 100
+	// digestShift leaves 52 bits of a digest, which survive JSON readers that keep numbers as floats.
+	digestShift = 12
+)
 
-// loadPacker packs sums as arrays in the order of the replicas' list, in place of a map by id. Both
-// sides must hold the same list, which the digest of its ids tells.
-type loadPacker struct {
+// packer packs loads by replica into lists in the order of the roster, which are much shorter than a map by id. Both
+// sides must have the same roster, which is told by a digest of its replica ids. It is safe for concurrent use.
+type packer struct {
+	// lock guards all fields.
 	lock sync.Mutex
-	// of is the first entry of the list adopted last, by which it is known again.
+	// firstReplica and replicaCount tell whether a roster is the one that digest and replicaIDs were made of: a roster's
+	// slice is never changed in place.
 	firstReplica *discovery.Replica
 	replicaCount int
 	digest       uint64
 	replicaIDs   []string
 }
 
-// adopt orders by a list, unless it is the one adopted last. The caller holds the lock.
-func (p *loadPacker) setReplicas(replicas []discovery.Replica) {
+// setRoster adopts a roster unless it is the one adopted last. The caller holds the lock.
+func (p *packer) setRoster(replicas []discovery.Replica) {
 	if len(replicas) == 0 || len(replicas) == p.replicaCount && &replicas[0] == p.firstReplica {
 		return
 	}
@@ -36,15 +42,14 @@
 		p.replicaIDs[index] = replicas[index].ID
 		_, _ = hash.WriteString(replicas[index].ID)
 	}
-	p.digest = hash.Sum64() >> 12
+	p.digest = hash.Sum64() >> digestShift
 }
 
-// pack packs a share, or returns it as it is if the list lacks one of its replicas. Any goroutine
-// may call it.
-func (p *loadPacker) pack(summary peer.LoadSummary, replicas []discovery.Replica) peer.LoadSummary {
+// pack returns the summary with packed loads, or as it is if the roster lacks one of its replicas.
+func (p *packer) pack(summary peer.LoadSummary, replicas []discovery.Replica) peer.LoadSummary {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.setReplicas(replicas)
+	p.setRoster(replicas)
 	packed := &peer.PackedLoads{Version: p.digest}
 	outcomes := map[string]peer.ReplicaLoad{}
 	found := 0
@@ -68,25 +73,13 @@
 	return summary
 }
 
-// setAt sets a value in an array that grows as needed; zeros at the end are left out.
-func setAt(values []int, index, value int) []int {
-	if value == 0 {
-		return values
-	}
-	for len(values) <= index {
-		values = append(values, 0)
-	}
-	values[index] = value
-	return values
-}
-
-// open unpacks sums into loads by replica, and reports whether they fit the list held here. Any
-// goroutine may call it.
-func (p *loadPacker) unpack(packed *peer.PackedLoads, replicas []discovery.Replica) (map[string]peer.ReplicaLoad, bool) {
+// unpack returns packed loads by replica id, or false if they were packed by another roster.
+func (p *packer) unpack(packed *peer.PackedLoads, replicas []discovery.Replica) (map[string]peer.ReplicaLoad, bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.setReplicas(replicas)
-	if packed.Version != p.digest || max(len(packed.Running), len(packed.Tokens), len(packed.PrefillTokens)) > len(p.replicaIDs) {
+	p.setRoster(replicas)
+	length := max(len(packed.Running), len(packed.Tokens), len(packed.PrefillTokens))
+	if packed.Version != p.digest || length > len(p.replicaIDs) {
 		return nil, false
 	}
 	loads := map[string]peer.ReplicaLoad{}
@@ -103,7 +96,19 @@
 	return loads, true
 }
 
-// valueAt is an array's value at the index, or 0 beyond its end.
+// setAt sets a value in a list, which grows as needed. Zeros at the end are left out.
+func setAt(values []int, index, value int) []int {
+	if value == 0 {
+		return values
+	}
+	for len(values) <= index {
+		values = append(values, 0)
+	}
+	values[index] = value
+	return values
+}
+
+// valueAt returns the value at the index, or 0 beyond the list's end.
 func valueAt(values []int, index int) int {
 	if index < len(values) {
 		return values[index]
--- a/internal/controlplane/feed.go
+++ b/internal/controlplane/feed.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
@@ -19,7 +20,7 @@
 )
 
 type planInputs struct {
-	aggregator     *DemandAggregator
+	aggregator     *demand.DemandAggregator
 	receivedRates  map[string]peer.Rate
 	catalog        *placement.Catalog
 	sortedIDs      []string
@@ -38,7 +39,7 @@
 		return false
 	}
 	s.lock.Lock()
-	demandChanged := s.aggregator.TakeDirty() || len(s.aggregator.waiting) > 0
+	demandChanged := s.aggregator.TakeDirty() || s.aggregator.HasWaiting()
 	s.lock.Unlock()
 	changed := demandChanged || s.dirty || s.plannedVersion != snapshot.Version+snapshot.RosterVersion || since >= idlePlanInterval
 	if changed {
--- a/internal/controlplane/feed_bench_test.go
+++ b/internal/controlplane/feed_bench_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
 	"ferryspar/internal/placement"
@@ -22,7 +23,7 @@
 				prefillMs:    map[string]float64{},
 				modelsOnDisk: map[string]map[string]bool{},
 				tracked:      map[string]*trackedReplica{},
-				planInputs:   planInputs{aggregator: NewDemandAggregator()},
+				planInputs:   planInputs{aggregator: demand.NewDemandAggregator()},
 			}
 			var listed []discovery.Replica
 			for index := range size[0] {
--- a/internal/controlplane/reportpolls_test.go
+++ b/internal/controlplane/reportpolls_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/placement"
 	"ferryspar/internal/replicastate"
@@ -24,7 +25,7 @@
 		demand:       map[string]*placement.Demand{},
 		modelsOnDisk: map[string]map[string]bool{},
 		tracked:      map[string]*trackedReplica{},
-		planInputs:   planInputs{aggregator: NewDemandAggregator()},
+		planInputs:   planInputs{aggregator: demand.NewDemandAggregator()},
 	}
 	var listed []discovery.Replica
 	for index := range 3 * maxConcurrentPolls {
--- a/internal/controlplane/scheduler.go
+++ b/internal/controlplane/scheduler.go
@@ -10,6 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/nodesettings"
@@ -64,7 +65,7 @@
 		},
 		loadBudget: newLoadBudget(), released: make(chan struct{}), commander: replica.NewClient(daemon.network),
 		demand: map[string]*placement.Demand{}, arrivals: map[string]float64{}, prefillMs: map[string]float64{}, modelsOnDisk: map[string]map[string]bool{},
-		wake: make(chan struct{}, 1), callbacks: make(chan func(), 64), tracked: map[string]*trackedReplica{}, observed: map[string]observedState{}, eviction: newContextEviction(), sizes: placement.NewSizeHistory(), planInputs: planInputs{aggregator: NewDemandAggregator()}, ratesUpdatedAt: daemon.clock(),
+		wake: make(chan struct{}, 1), callbacks: make(chan func(), 64), tracked: map[string]*trackedReplica{}, observed: map[string]observedState{}, eviction: newContextEviction(), sizes: placement.NewSizeHistory(), planInputs: planInputs{aggregator: demand.NewDemandAggregator()}, ratesUpdatedAt: daemon.clock(),
 	}
 }
 
--- a/internal/controlplane/unloadbars_test.go
+++ b/internal/controlplane/unloadbars_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/placement"
 	"ferryspar/internal/replica"
@@ -25,7 +26,7 @@
 		demand:       map[string]*placement.Demand{},
 		modelsOnDisk: map[string]map[string]bool{},
 		tracked:      map[string]*trackedReplica{},
-		planInputs:   planInputs{aggregator: NewDemandAggregator()},
+		planInputs:   planInputs{aggregator: demand.NewDemandAggregator()},
 	}
 	loaded := []discovery.LoadedModel{{Name: "m"}}
 	scheduler.adoptReplicaList([]discovery.Replica{{ID: "i-1", Address: "at", Backend: "s", Models: loaded}}, now)
