--- a/internal/controlplane/demand/exchange.go
+++ b/internal/controlplane/demand/exchange.go
@@ -19,8 +19,8 @@
 	minDemandInterval = 20 * time.Millisecond
 )
 
-// Fleet is what an Exchange needs to know of the fleet.
-type Fleet interface {
+// Host is what an Exchange needs to know of the fleet from the control plane that it belongs to.
+type Host interface {
 	// OtherControlPlanes returns the addresses of all other control planes that are known.
 	OtherControlPlanes() []string
 	// LeaseHolder returns the address of the placement lease's holder, or "" if none is known.
@@ -48,7 +48,7 @@
 // safe for concurrent use.
 type Exchange struct {
 	sender Sender
-	fleet  Fleet
+	host   Host
 	caller Caller
 	clock  func() time.Time
 	// onDemand takes in a demand summary while this control plane holds the placement lease, or may do so.
@@ -63,7 +63,7 @@
 // NewExchange returns an exchange over the aggregator. It passes demand summaries, the own ones included, to onDemand.
 func NewExchange(
 	sender Sender,
-	fleet Fleet,
+	host Host,
 	caller Caller,
 	loads *LoadAggregator,
 	onDemand func(summary peer.LoadSummary),
@@ -71,7 +71,7 @@
 ) *Exchange {
 	return &Exchange{
 		sender:   sender,
-		fleet:    fleet,
+		host:     host,
 		caller:   caller,
 		clock:    clock,
 		onDemand: onDemand,
@@ -105,8 +105,8 @@
 // sendLoad sends the load summary to every other control plane, without waiting for replies.
 func (e *Exchange) sendLoad(ctx context.Context) {
 	full := e.loads.Summary(e.sender.Member, e.clock())
-	packed := e.packer.pack(full, e.fleet.Roster())
-	for _, address := range e.fleet.OtherControlPlanes() {
+	packed := e.packer.pack(full, e.host.Roster())
+	for _, address := range e.host.OtherControlPlanes() {
 		summary := packed
 		if e.unpacked.contains(address) {
 			summary = full
@@ -123,7 +123,7 @@
 // sendDemand sends the demand summary to the placement lease's holder, which may be this control plane, without waiting
 // for the reply.
 func (e *Exchange) sendDemand(ctx context.Context, partial bool) {
-	leaseHolder := e.fleet.LeaseHolder()
+	leaseHolder := e.host.LeaseHolder()
 	if leaseHolder == "" {
 		return
 	}
@@ -149,7 +149,7 @@
 // HandleLoadReport takes in a data plane's load and answers with the load of all others on the replicas that it may use.
 func (e *Exchange) HandleLoadReport(_ context.Context, report peer.LoadReport) peer.FleetLoad {
 	e.loads.AddReport(report, e.clock())
-	return e.loads.FleetLoadFor(report.DataPlane, e.fleet.SubscribedReplicas(report.DataPlane))
+	return e.loads.FleetLoadFor(report.DataPlane, e.host.SubscribedReplicas(report.DataPlane))
 }
 
 // HandleLoadSummary takes in another control plane's summary. If its loads are packed by a roster that isn't the one
@@ -157,7 +157,7 @@
 func (e *Exchange) HandleLoadSummary(_ context.Context, summary peer.LoadSummary) peer.LoadSummaryReply {
 	now := e.clock()
 	if summary.Packed != nil {
-		loads, known := e.packer.unpack(summary.Packed, e.fleet.Roster())
+		loads, known := e.packer.unpack(summary.Packed, e.host.Roster())
 		if !known {
 			return peer.LoadSummaryReply{UnknownVersion: true}
 		}
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -14,12 +14,12 @@
 	maxWaitMs = 2000
 )
 
-// Node is what a Server needs of the control plane that it belongs to.
-type Node interface {
+// Host is what a Server needs of the control plane that it belongs to.
+type Host interface {
 	// RecordWatch takes in what a data plane says of itself in a request.
 	RecordWatch(request peer.WatchRequest, receivedAt time.Time)
-	// CountedSince returns since when the data plane has been counted among the live ones, zero if it isn't.
-	CountedSince(dataPlane string) time.Time
+	// CountedFor returns for how long the data plane has been counted among the live ones, and false if it isn't.
+	CountedFor(dataPlane string, now time.Time) (time.Duration, bool)
 	// CountReliable says whether the node has run for long enough to know all live data planes.
 	CountReliable(now time.Time) bool
 	// RequestConfirmation has the state confirmed by a majority in a round that begins after the call.
@@ -41,17 +41,17 @@
 // use.
 type Server struct {
 	identity  Identity
-	node      Node
+	host      Host
 	publisher *Publisher
 	endpoints *EndpointPublisher
 	clock     func() time.Time
 }
 
 // NewServer returns a server of the publishers' state. The clock must be monotonic.
-func NewServer(identity Identity, node Node, publisher *Publisher, endpoints *EndpointPublisher, clock func() time.Time) *Server {
+func NewServer(identity Identity, host Host, publisher *Publisher, endpoints *EndpointPublisher, clock func() time.Time) *Server {
 	return &Server{
 		identity:  identity,
-		node:      node,
+		host:      host,
 		publisher: publisher,
 		endpoints: endpoints,
 		clock:     clock,
@@ -63,7 +63,7 @@
 // received. If the context ends first, the response is empty and thus not fresh.
 func (s *Server) HandleWatch(ctx context.Context, request peer.WatchRequest) peer.WatchResponse {
 	receivedAt := s.clock()
-	s.node.RecordWatch(request, receivedAt)
+	s.host.RecordWatch(request, receivedAt)
 	waitMs := min(max(request.MaxWaitMs, minWaitMs), maxWaitMs)
 	timer := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
 	defer timer.Stop()
@@ -72,7 +72,7 @@
 		endpointsChanged = s.endpoints.wakeChannel(request.DataPlane)
 	}
 	if request.Linearizable {
-		s.node.RequestConfirmation()
+		s.host.RequestConfirmation()
 	}
 	for {
 		snapshot := s.publisher.Current()
@@ -118,12 +118,12 @@
 		due = response.Linearizable
 	}
 	if response.FreshMs > 0 {
-		if since := s.node.CountedSince(request.DataPlane); !since.IsZero() {
-			response.CountedForMs = now.Sub(since).Milliseconds()
+		if duration, counted := s.host.CountedFor(request.DataPlane, now); counted {
+			response.CountedForMs = duration.Milliseconds()
 		}
-		response.CountReliable = s.node.CountReliable(now)
+		response.CountReliable = s.host.CountReliable(now)
 	}
-	if s.node.IsLeaving() {
+	if s.host.IsLeaving() {
 		response.FreshMs, response.Linearizable = 0, false
 	}
 	return response, due
@@ -183,7 +183,7 @@
 // isn't confirmed, or the node shuts down, it changes nothing and the response isn't fresh.
 func (s *Server) HandleSubscribe(_ context.Context, request peer.SubscribeRequest) peer.SubscribeResponse {
 	snapshot := s.publisher.Current()
-	if !snapshot.IsFresh(s.clock()) || s.node.IsLeaving() {
+	if !snapshot.IsFresh(s.clock()) || s.host.IsLeaving() {
 		return peer.SubscribeResponse{Incarnation: s.identity.Incarnation}
 	}
 	response := s.endpoints.Subscribe(request, s.clock())
