--- a/internal/controlplane/members/heartbeats.go
+++ b/internal/controlplane/members/heartbeats.go
@@ -81,7 +81,7 @@
 
 func (m *Manager) sendHeartbeat(ctx context.Context, address string, message peer.Heartbeat) {
 	var reply HeartbeatReply
-	if m.caller.Call(ctx, "greet", address, message, &reply) != nil {
+	if m.caller.Call(ctx, peer.MethodHeartbeat, address, message, &reply) != nil {
 		return
 	}
 	m.store.AdoptMembership(reply.Membership)
--- a/internal/controlplane/members/manager.go
+++ b/internal/controlplane/members/manager.go
@@ -46,7 +46,7 @@
 
 // Caller calls a method of another node (peer.Client).
 type Caller interface {
-	Call(ctx context.Context, method, address string, message, reply any) error
+	Call(ctx context.Context, method peer.Method, address string, message, reply any) error
 }
 
 // DataPlanes is what heartbeats exchange about data planes (dataplanes.Registry).
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -7,6 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/nodesettings"
 )
 
@@ -26,7 +27,7 @@
 	startedAt := n.clock()
 	deadline := startedAt.Add(nodesettings.Seconds(n.settings.TimingBounds.GraceS) - exitMargin)
 	n.members.StartLeaving()
-	n.publisher.Update(func(*Snapshot) bool { return true })
+	n.publisher.Update(func(*watch.Snapshot) bool { return true })
 	logrus.Info("leaving")
 	select {
 	case <-n.scheduler.Lease().Released():
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -9,6 +9,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/drill"
+	"ferryspar/internal/peer"
 	"ferryspar/internal/routing"
 )
 
@@ -159,7 +160,7 @@
 		answer.Number = question.Number
 		answer.DataPlane = n.settings.NodeName
 		answer.Zone = n.settings.Zone
-		err = n.peers.Call(ctx, "forecast", address, answer, nil)
+		err = n.peers.Call(ctx, peer.MethodForecast, address, answer, nil)
 	}
 	logrus.WithError(err).WithFields(logrus.Fields{
 		"scope":  question.Scope.String(),
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -136,7 +136,7 @@
 // routes answers other data planes.
 func (q *Quotas) routes() http.Handler {
 	router := chi.NewRouter()
-	router.Post(peer.Methods["lend"].Path, peer.Handler(q.handleLend))
-	router.Post(peer.Methods["borrow"].Path, peer.Handler(q.handleBorrow))
+	router.Post(peer.MethodLend.Path(), peer.Handler(q.handleLend))
+	router.Post(peer.MethodBorrow.Path(), peer.Handler(q.handleBorrow))
 	return router
 }
