--- a/internal/controlplane/dataplanes/registry.go
+++ b/internal/controlplane/dataplanes/registry.go
@@ -59,7 +59,7 @@
 		ReportedAt:  receivedAt,
 		Zone:        request.Zone,
 		Revision:    request.Revision,
-		ZoneChanges: request.ZoneVersion,
+		ZoneVersion: request.ZoneVersion,
 	})
 	r.retention[request.DataPlane] = retention.DataPlaneView{Applied: request.AppliedForget, Left: request.Leaving}
 	if request.Address != "" {
