--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -6,6 +6,7 @@
 	"sort"
 	"time"
 
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
@@ -48,7 +49,7 @@
 		Roster:     host,
 		Purges:     host,
 		Replicas:   replica.NewClient(n.network),
-		Aggregator: NewDemandAggregator(),
+		Aggregator: demand.NewDemandAggregator(),
 	})
 }
 
--- a/internal/dataplane/quotalending.go
+++ b/internal/dataplane/quotalending.go
@@ -8,6 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/peer"
 	"ferryspar/internal/quota"
 )
 
@@ -84,7 +85,7 @@
 // sendOffer lends to another node.
 func (q *Quotas) sendOffer(ctx context.Context, offer addressedOffer) {
 	var reply quota.LendReply
-	err := q.peers.Call(ctx, "lend", offer.address, offer.Request, &reply)
+	err := q.peers.Call(ctx, peer.MethodLend, offer.address, offer.Request, &reply)
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if err != nil {
