--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -29,7 +29,7 @@
 	n.publisher.Update(func(*Snapshot) bool { return true })
 	logrus.Info("leaving")
 	select {
-	case <-n.scheduler.released:
+	case <-n.scheduler.Lease().Released():
 	case <-time.After(releaseTimeout):
 	}
 	n.members.AwaitDispensable(startedAt, deadline)
