--- /dev/null
+++ b/internal/controlplane/demand_test.go
@@ -0,0 +1,54 @@
+package controlplane
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/controlplane/demand"
+	"ferryspar/internal/controlplane/scheduler"
+	"ferryspar/internal/peer"
+	"ferryspar/internal/placement"
+)
+
+// averagingSpan is the time after which an averaged rate is the arrivals since the last update divided by it, in seconds.
+const averagingSpan = 8
+
+func TestDemandView_CountsResentArrivalsOnce(t *testing.T) {
+	loads := demand.NewLoadAggregator()
+	now, total := testStart, 0.0
+	holder := scheduler.NewDemandView(demand.NewDemandAggregator(), func() time.Time { return now }, func() {})
+	arrive := func(amount int) {
+		loads.AddReport(peer.LoadReport{
+			DataPlane: "edge",
+			Models:    []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}},
+		}, rosterTestStart)
+	}
+	counted := func() float64 {
+		now = now.Add(averagingSpan * time.Second)
+		holder.Update()
+		total += averagingSpan * holder.Rates()[placement.ModelKey("s", "m")]
+		return total
+	}
+	arrive(10)
+	lost := loads.DemandSummary("a", false)
+	holder.HandleSummary(lost)
+	loads.MarkUncertain(lost)
+	arrive(5)
+	again := loads.DemandSummary("a", false)
+	holder.HandleSummary(again)
+	assert.Equal(t, counted(), 10.0, "sent again, counted once")
+	next := loads.DemandSummary("a", false)
+	holder.HandleSummary(next)
+	loads.MarkDelivered(next)
+	loads.MarkUncertain(again)
+	holder.HandleSummary(loads.DemandSummary("a", false))
+	assert.Equal(t, counted(), 15.0)
+	holder.HandleSummary(loads.DemandSummary("a", false))
+	assert.Equal(t, counted(), 15.0, "nothing is left to send")
+	restarted := lost
+	restarted.Incarnation = "next"
+	holder.HandleSummary(restarted)
+	assert.Equal(t, counted(), 25.0, "numbers begin anew with an incarnation")
+}
