--- a/internal/controlplane/members/manager.go
+++ b/internal/controlplane/members/manager.go
@@ -189,7 +189,7 @@
 	now := m.config.Clock()
 	local := m.acceptor.LocalState()
 	view := membership.View{
-		Current:        m.store.Membership(),
+		Membership:     m.store.Membership(),
 		Self:           m.config.Self,
 		DesiredMembers: m.config.DesiredMembers,
 		Peers:          map[string]membership.Peer{},
