--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -17,12 +17,16 @@
 // candidateAdapter is an adapter with too few copies.
 type candidateAdapter struct {
 	number  int
-	waiting int
-	copies  int
-	rate    float64
+	waiting int     // requests
+	copies  int     // loaded or being loaded
+	rate    float64 // requests per second
 }
 
-// compareCandidateAdapters sorts the fewest copies first, then the most who wait, then the highest rate.
+// isRequested reports whether the adapter has no copy although it is asked for.
+func (c candidateAdapter) isRequested() bool { return c.copies == 0 && (c.waiting > 0 || c.rate > 0) }
+
+// compareCandidateAdapters orders the fewest copies first, then the most waiting requests, then the
+// highest rate.
 func compareCandidateAdapters(left, right candidateAdapter) int {
 	return cmp.Or(
 		left.copies-right.copies,
@@ -32,38 +36,39 @@
 	)
 }
 
-// addAdapters loads adapters of models that are loaded: with pressing, those waited for, or asked for and
-// nowhere loaded; without, the others that have too few copies.
-func (p *planner) addAdapters(urgentOnly bool) {
+// addAdapters loads adapters of loaded models that have too few copies. Urgent are those that requests wait
+// for, and those asked for and nowhere loaded.
+func (p *planner) addAdapters(handled priority) {
 	var candidates []candidateAdapter
-	for model, adapters := range p.catalog.adapters {
-		if len(adapters) == 0 || p.copies[model] == 0 {
+	for model, adapters := range p.items.catalog.adapters {
+		if len(adapters) == 0 || p.counts.loaded(model) == 0 {
 			continue
 		}
 		for _, number := range adapters {
-			copies := p.copies[number]
+			copies := p.counts.loaded(number)
 			if copies < adapterCopies {
 				copies += p.loadsPending(number)
 			}
-			demand := p.ownDemand(number)
-			urgent := demand.Waiting > 0 || copies == 0 && demand.Rate > 0
-			if copies < adapterCopies && urgent == urgentOnly {
+			demand := p.demand.of(number)
+			isUrgent := demand.Waiting > 0 || copies == 0 && demand.Rate > 0
+			if copies < adapterCopies && priorityOf(isUrgent) == handled {
 				candidates = append(candidates, candidateAdapter{number, demand.Waiting, copies, demand.Rate})
 			}
 		}
 	}
 	slices.SortFunc(candidates, compareCandidateAdapters)
-	for _, adapter := range candidates {
-		p.addAdapter(adapter.number, adapter.copies == 0 && (adapter.waiting > 0 || adapter.rate > 0))
+	for _, candidate := range candidates {
+		p.addAdapter(candidate.number, candidate.isRequested())
 	}
 }
 
-// addAdapter loads an adapter at the holder of its model with the fewest adapters. Where no holder
-// has room, an urgent one has another adapter or an unwanted model unloaded, and one waited for a copy of
-// its model added elsewhere.
-func (p *planner) addAdapter(number int, urgent bool) {
+// addAdapter loads an adapter at the host of its model with the fewest adapters. If no host has room, an
+// adapter that is requested has another adapter or an unwanted model unloaded, and one that requests wait
+// for has a copy of its model added elsewhere.
+func (p *planner) addAdapter(number int, isRequested bool) {
+	model := p.items.at(number).model
 	var best *serverState
-	for _, position := range p.serversForAdapter(p.item(number).model) {
+	for _, position := range p.serversForAdapter(model) {
 		state := &p.servers[position]
 		if !state.hasLoaded(number) && (best == nil || len(state.adapters) < len(best.adapters)) {
 			best = state
@@ -73,8 +78,8 @@
 		p.load(best, number, adapterLoadReason)
 		return
 	}
-	hasWaiting := p.ownDemand(number).Waiting > 0
-	if !urgent || p.swapAdapter(p.item(number).model, hasWaiting) || p.evictForAdapter(number, hasWaiting) {
+	hasWaiting := p.demand.of(number).Waiting > 0
+	if !isRequested || p.swapAdapter(adapterSwap{model, hasWaiting}) || p.evictForAdapter(number, hasWaiting) {
 		return
 	}
 	if hasWaiting {
@@ -82,31 +87,29 @@
 	}
 }
 
-// serversForAdapter are the idle holders of a model with room for one more of its adapters.
+// serversForAdapter returns the positions of the idle hosts of a model with room for one more of its
+// adapters.
 func (p *planner) serversForAdapter(model int) []int {
-	list, known := p.adapterCandidates[model]
-	if !known && model < len(p.hosts) {
-		for _, position := range p.hosts[model] {
+	positions, known := p.searches.adapterCandidates[model]
+	if !known && p.items.isConfiguredModel(model) {
+		for _, position := range p.counts.hosts[model] {
 			if p.fitsAnotherAdapter(&p.servers[position], model) {
-				list = append(list, position)
+				positions = append(positions, position)
 			}
 		}
 	}
-	rest := list[:0]
-	for _, position := range list {
+	idle := positions[:0]
+	for _, position := range positions {
 		if p.servers[position].isIdle() {
-			rest = append(rest, position)
+			idle = append(idle, position)
 		}
 	}
-	p.adapterCandidates[model] = rest
-	return rest
-}
-
-// adapterSize is the size of each adapter of a listed model.
-func (p *planner) adapterSize(model int) memoryUnits {
-	return p.item(p.catalog.adapters[model][0]).size
+	p.searches.adapterCandidates[model] = idle
+	return idle
 }
 
+// fitsAnotherAdapter reports whether a server has memory and a slot for one more adapter of a model.
 func (p *planner) fitsAnotherAdapter(state *serverState, model int) bool {
-	return state.adapterSlotsUsed < p.runtime.AdapterCapacity && state.memoryUsed+p.adapterSize(model) <= p.capacity
+	return state.adapterSlotsUsed < p.runtime.AdapterCapacity &&
+		state.memoryUsed+p.items.adapterSize(model) <= p.capacity
 }
--- a/internal/placement/catalog.go
+++ b/internal/placement/catalog.go
@@ -6,36 +6,38 @@
 	"ferryspar/internal/configuration"
 )
 
-// catalogItem is a model or an adapter. Within a plan it is known by its number: models come first,
-// with the numbers of the runtime's list, then all adapters, then what servers hold or clients ask
-// for without being in the configuration.
+// adapterNamePrefix and a number, counted from 1, name the adapters of a model.
+const adapterNamePrefix = "a"
+
+// catalogItem is a model or an adapter.
 type catalogItem struct {
-	name    string // reference
-	key     string // ModelKey of it
-	model   int    // number of its model, of a model its own
-	adapter bool
-	size    memoryUnits // unknownSize where the configuration has none
+	name    string      // reference
+	key     string      // ModelKey of it
+	model   int         // number of its model; a model's own number
+	adapter bool        // it is an adapter
+	size    memoryUnits // unknownSize if the configuration gives none
 }
 
-// backendCatalog numbers the models and adapters of one backend.
+// backendCatalog numbers the models and adapters of one backend: first the models, with their positions
+// in the runtime's list, then all adapters.
 type backendCatalog struct {
 	backend  *configuration.Backend
 	runtime  *configuration.Runtime
 	items    []catalogItem
 	names    map[string]int // reference to number
 	keys     map[string]int // ModelKey to number
-	adapters [][]int        // by model
-	smallest memoryUnits    // of the smallest model
+	adapters [][]int        // numbers of the adapters, by model
+	smallest memoryUnits    // size of the smallest model
 }
 
-// Catalog numbers all models and adapters of a configuration, so that plans need not look them up
-// by name. It is read-only once made.
+// Catalog numbers all models and adapters of a configuration, so that plans need not look them up by
+// name. It is immutable and may be shared by plans.
 type Catalog struct {
 	table    *configuration.Table
 	backends []*backendCatalog // those with a runtime
 }
 
-// NewCatalog makes the catalog of a table.
+// NewCatalog builds the catalog of a table.
 func NewCatalog(table *configuration.Table) *Catalog {
 	catalog := &Catalog{table: table}
 	for index := range table.Configuration.Backends {
@@ -47,10 +49,10 @@
 	return catalog
 }
 
-// Of reports whether the catalog was made of that table. A nil catalog was made of none.
+// IsFor reports whether the catalog was built from that table. A nil catalog was built from none.
 func (c *Catalog) IsFor(table *configuration.Table) bool { return c != nil && c.table == table }
 
-// backend is the catalog of a backend, nil where it has no runtime.
+// backend returns the catalog of a backend, nil if it has no runtime.
 func (c *Catalog) backend(name string) *backendCatalog {
 	for _, backend := range c.backends {
 		if backend.backend.Name == name {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// newBackendCatalog numbers all models of a backend, then all their adapters, named a1 and on.
+// newBackendCatalog numbers all models of a backend, then all their adapters.
 func newBackendCatalog(backend *configuration.Backend) *backendCatalog {
 	models := backend.Runtime.Models
 	catalog := &backendCatalog{
@@ -80,7 +82,7 @@
 	for index, model := range models {
 		for adapter := range model.Adapters {
 			number := catalog.add(catalogItem{
-				name:    Reference(model.Name, "a"+strconv.Itoa(adapter+1)),
+				name:    Reference(model.Name, adapterNamePrefix+strconv.Itoa(adapter+1)),
 				model:   index,
 				adapter: true,
 				size:    sizeOf(model.AdapterSizeMb),
@@ -101,8 +103,8 @@
 	return number
 }
 
-// sizeOf is the size that the configuration gives a reference. An adapter of a listed model has that
-// model's size of adapters, also beyond the adapters listed.
+// sizeOf returns the size that the configuration gives a reference. Any adapter of a configured model has
+// that model's adapter size, also one with a number beyond the model's count of adapters.
 func (c *backendCatalog) sizeOf(reference string) memoryUnits {
 	if c == nil {
 		return unknownSize
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -1,130 +1,112 @@
 package placement
 
 import (
-	"cmp"
 	"math"
-	"slices"
+	"sort"
 )
 
 const (
-	// hotRate, in requests a second, is the rate beyond which a model is to have two copies;
-	// below rareRate one is seldom asked for.
+	// hotRate, in requests per second, is the rate beyond which a model is to have two copies; below
+	// rareRate one is seldom asked for.
 	hotRate  = 1.5
 	rareRate = 0.3
-	// maxPrefillLoad is the share of its time that a copy is to spend on reading prompts.
+	// maxPrefillLoad is the share of its time that a copy is to spend on prefill.
 	maxPrefillLoad = 0.2
+	// minHotCopies is how many copies a model beyond hotRate is to have.
+	minHotCopies = 2
 )
 
-// needed is how many copies the running requests of a model need, if each carries targetUtilization of its
-// slots.
-func (p *planner) copiesNeeded(demand *Demand) float64 {
-	if demand.Running == 0 {
-		return 0
-	}
-	return 1 + math.Floor(demand.Running/(p.targetUtilization*float64(max(p.runtime.Slots, 1))))
+// demandIndex holds the demands of one backend by item number.
+type demandIndex struct {
+	own    []*Demand // of a model or adapter alone; nil for none
+	totals []*Demand // of a model with its adapters; nil for none
+	models []int     // models with a total, ascending
 }
 
-// target is how many copies a model is to have: as many as needed, two if it is hot, and enough that
-// all its adapters have room and one copy is to spare. It is never more than all serving servers but
-// one.
-func (p *planner) targetCopies(model int) float64 {
-	demand := p.totalDemand(model)
-	target := max(1, p.copiesNeeded(demand))
-	if demand.Rate > hotRate {
-		target = max(target, 2)
-		if adapters := p.adapterCount(model); adapters > 0 && p.runtime.AdapterCapacity > 0 {
-			target = max(target, 1+math.Ceil(float64(adapters)/float64(p.runtime.AdapterCapacity)))
-		}
-	}
-	return min(target, float64(max(p.servingCount-1, 1)))
-}
-
-// candidateModel is a model to be loaded; the higher urgency goes first.
-type candidateModel struct {
-	model   int
-	urgency float64
-}
+// noDemand stands for the demand of an item that nobody asks for. It must not be changed.
+var noDemand = &Demand{}
 
-func compareUrgency(left, right candidateModel) int {
-	return cmp.Or(cmp.Compare(right.urgency, left.urgency), left.model-right.model)
+func newDemandIndex(items int) demandIndex {
+	return demandIndex{own: make([]*Demand, items), totals: make([]*Demand, items)}
 }
 
-// missingModels are the models that are waited for, not surely loaded and not surely on their way anywhere,
-// the most urgent first.
-func (p *planner) missingModels() []candidateModel {
-	var candidates []candidateModel
-	for _, model := range p.demandedModels {
-		demand := p.totalDemand(model)
-		if !p.isConfigured(model) || demand.Waiting <= 0 || p.copies[model] != 0 || p.isLoading(model) {
-			continue
-		}
-		candidates = append(candidates, candidateModel{model, p.urgency(model, demand)})
+// growTo extends the index to that many items.
+func (d *demandIndex) growTo(items int) {
+	for len(d.own) < items {
+		d.own = append(d.own, nil)
+		d.totals = append(d.totals, nil)
 	}
-	slices.SortFunc(candidates, compareUrgency)
-	return candidates
 }
 
-// isMaybeLoading reports whether a model is or may be being loaded, or has room made for it.
-func (p *planner) isMaybeLoading(model int) bool {
-	return p.uncertain[model] != 0 || p.isLoading(model)
+// of is the demand of a model or adapter alone.
+func (d *demandIndex) of(number int) *Demand {
+	if own := d.own[number]; own != nil {
+		return own
+	}
+	return noDemand
 }
 
-// isLoading is isMaybeLoading without the loads of which nobody knows whether they are done.
-func (p *planner) isLoading(model int) bool {
-	return p.loadsOrdered(model) != 0 || p.intended[p.item(model).name] != 0
+// total is the demand of a model with its adapters.
+func (d *demandIndex) total(model int) *Demand {
+	if total := d.totals[model]; total != nil {
+		return total
+	}
+	return noDemand
 }
 
-// loadMissingModels loads what no earlier step has.
-func (p *planner) loadMissingModels(candidates []candidateModel) {
-	for _, next := range candidates {
-		switch {
-		case p.isLoading(next.model):
-		case p.uncertain[next.model] > 0:
-			p.retryUncertainLoad(next.model)
-		default:
-			p.addCopy(next.model, "asked for and nowhere loaded")
+// indexDemand orders the view's demands by item number and sums them by model. Unconfigured references
+// are numbered in the order of their names, so that equal views give equal plans.
+func (p *planner) indexDemand() {
+	catalog := p.items.catalog
+	var unconfigured []string
+	for key, demand := range p.view.Demand {
+		if number, known := catalog.keys[key]; known {
+			p.demand.own[number] = demand
+		} else if backend, reference := SplitModelKey(key); backend == catalog.backend.Name {
+			unconfigured = append(unconfigured, reference)
 		}
 	}
-}
-
-// retryUncertainLoad orders a load again at a server that may have done it: there it is done once only.
-// Elsewhere the model would take room a second time.
-func (p *planner) retryUncertainLoad(model int) {
-	for position := range p.servers {
-		state := &p.servers[position]
-		if !state.isFree() || !state.maybeLoaded(model) {
+	sort.Strings(unconfigured)
+	for _, reference := range unconfigured {
+		number := p.itemNumber(reference)
+		p.demand.own[number] = p.view.Demand[ModelKey(catalog.backend.Name, reference)]
+	}
+	sums := make([]Demand, 0, len(p.view.Demand))
+	for number, demand := range p.demand.own {
+		if demand == nil {
 			continue
 		}
-		mayLoad := state.server.OnDisk[p.item(model).name] || p.tokens-p.reservedTokens >= 1
-		if mayLoad && p.load(state, model, "it is not known whether it was loaded") {
-			return
+		model := p.items.at(number).model
+		if p.demand.totals[model] == nil {
+			sums = append(sums, Demand{})
+			p.demand.totals[model] = &sums[len(sums)-1]
+			p.demand.models = append(p.demand.models, model)
 		}
+		p.demand.totals[model].add(demand)
 	}
+	sort.Ints(p.demand.models)
 }
 
-const (
-	// urgencyGrowth is how much the urgency rises until the oldest waiting request can only just be
-	// served in time.
-	urgencyGrowth = 0.5
-	// lateValue is the worth of serving a request late, of serving it in time.
-	lateValue = 0.4
-	// maxLateness: beyond so many aims the urgency does not climb with the oldest request's age.
-	maxLateness = 4
-)
-
-// urgency is the worth of loading a model for those who wait: their count, more as their time runs
-// out. Once the oldest can no longer be served in time, those late count lateValue each, and
-// the urgency climbs with the oldest one's age.
-func (p *planner) urgency(model int, demand *Demand) float64 {
-	if demand.Waiting == 0 {
+// copiesNeeded is how many copies the running requests of a model need, if each copy carries
+// targetUtilization of its slots.
+func (p *planner) copiesNeeded(demand *Demand) float64 {
+	if demand.Running == 0 {
 		return 0
 	}
-	left := max(demand.LatencyTargetMs-p.loadTime(model)*1000, 0)
-	if demand.LatencyTargetMs <= 0 || demand.OldestWaitMs <= left {
-		return float64(demand.Waiting) * (1 + urgencyGrowth*demand.OldestWaitMs/max(left, 1))
+	return 1 + math.Floor(demand.Running/(p.targetUtilization*float64(max(p.runtime.Slots, 1))))
+}
+
+// targetCopies is how many copies a model is to have: as many as needed, minHotCopies if it is hot, and
+// enough that all its adapters have slots and one copy is to spare. It is never more than all serving
+// servers but one.
+func (p *planner) targetCopies(model int) float64 {
+	demand := p.demand.total(model)
+	target := max(1, p.copiesNeeded(demand))
+	if demand.Rate > hotRate {
+		target = max(target, minHotCopies)
+		if adapters := p.items.adapterCount(model); adapters > 0 && p.runtime.AdapterCapacity > 0 {
+			target = max(target, 1+math.Ceil(float64(adapters)/float64(p.runtime.AdapterCapacity)))
+		}
 	}
-	others := float64(demand.Waiting - 1)
-	inTime := others * left / demand.OldestWaitMs
-	climb := lateValue * min(demand.OldestWaitMs/demand.LatencyTargetMs, maxLateness)
-	return inTime + (others-inTime)*lateValue + climb
+	return min(target, float64(max(p.counts.servingServers-1, 1)))
 }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,21 +1,31 @@
 // Package placement decides which model or adapter is loaded at which replica, and what is unloaded
-// for it. Plan is a pure function of a View: what the replicas hold, what is asked for, and what may be
-// ordered now.
+// to make room for it. Plan is a pure function of a View: what the replicas have loaded, what clients
+// ask for, and how many loads the model store allows now.
 //
-// It performs no input or output and keeps no state between plans but what the caller carries over
-// in the View. It sends no load or unload: the control plane's scheduler carries the actions out,
-// one at a time for each replica, and reports the results in the next View. It never loads what does
-// not fit, never takes the last copy of a model in demand, and stays within the rate of loads
-// from the store.
+// It performs no input or output and keeps no state between plans except what the caller carries over
+// in the View. It sends no load or unload: the control plane's scheduler carries the actions out, one
+// at a time for each replica, and reports the results in the next View. It never loads what does not
+// fit, never unloads the last copy of a model in demand, and stays within the rate of the model store.
 //
-// Where to start reading: view.go (what a plan is made from, and what comes out), plan.go (the steps
-// of a plan in their sequence), demand.go (how many copies a model needs, and which is the more
-// urgent), room.go (what fits; every load is recorded there) and sizebook.go (sizes of what the
-// configuration no longer names). Then the steps: intents.go (room made earlier), adapters.go and
-// adapterroom.go, addcopy.go and hotcopies.go (copies), evict.go (what is unloaded), evictcontext.go
-// (cached context that must go, docs/retention.md). planner.go and index.go hold the indexes of one
-// plan, catalog.go those of a configuration, forecast.go the plan after a loss (docs/rehearsal.md).
+// In this package a server is a replica of a backend, and a copy is one model or adapter loaded at one
+// server. An item is a model or an adapter; within a plan items are known by number (see itemTable)
+// and servers by position.
 //
-// The IEMAS paper that package match follows has no placement; this policy is the project's own and
+// Where to start reading: view.go (input and output of a plan), plan.go (its steps in order) and
+// planner.go (what a plan reads, counts and decides). The steps:
+//
+//   - intents.go uses memory that earlier plans freed;
+//   - adapters.go and adaptereviction.go load adapters;
+//   - hotcopies.go adds copies of models in high demand;
+//   - missing.go loads models that are waited for and loaded nowhere;
+//   - contexteviction.go unloads models whose cached context must go (docs/retention.md);
+//   - restore.go loads models again that a server still has on its disk.
+//
+// They share addcopy.go (the cheapest server for one more copy), evict.go (what may be unloaded and at
+// what cost), memory.go (what fits; every load passes through planner.load) and sizehistory.go (sizes
+// of what the configuration no longer names). forecast.go plans after the loss of zones
+// (docs/rehearsal.md).
+//
+// The IEMAS paper that package routing follows has no placement; this policy is the project's own and
 // is described in docs/design.md, "Placement".
 package placement
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -8,90 +8,96 @@
 )
 
 const (
-	// adapterDisruption is the disturbance, for each request a second, of a model with adapters.
+	// adapterDisruption is the disruption, for each request per second, of a model with adapters.
 	adapterDisruption = 3.0
-	// recentDemandWindow is how long ago a request may be for the loss of its model to count it.
+	// recentDemandWindow is how long ago a model's last request may be to add to its unload cost.
 	recentDemandWindow = 20 * time.Second
-	// rateWeight and longTermRateWeight weigh Demand.Rate and Demand.LongTermRate in the loss of a copy.
+	// rateWeight and longTermRateWeight weigh Demand.Rate and Demand.LongTermRate in the unload cost.
 	rateWeight         = 4
 	longTermRateWeight = 15.0
-	// adaptersCost is what a copy of a model with adapters is worth beside.
+	// otherCopiesWeight is how fast further copies of a model lower the unload cost of each.
+	otherCopiesWeight = 4
+	// adaptersCost is added to the unload cost of a model with adapters.
 	adaptersCost = 3
-	// unconfiguredCost is that of a model which the configuration does not name: the first to go.
+	// unconfiguredCost is the unload cost of an unconfigured model: it is unloaded first.
 	unconfiguredCost = -1
+	// maxDisruptedRate limits the rate that counts as disrupted for a model with adapters.
+	maxDisruptedRate = 1
 )
 
-// rankVictims works out a server's disturbance and victims, once for each plan.
+// rankVictims computes a server's disruption and victims, once for each plan.
 func (p *planner) rankVictims(state *serverState) {
 	if state.victimsRanked {
 		return
 	}
 	state.victimsRanked = true
 	for _, model := range state.models {
-		demand, copies := p.totalDemand(model), float64(max(p.copies[model], 1))
+		demand := p.demand.total(model)
+		copies := float64(max(p.counts.loaded(model), 1))
 		state.disruption += demand.PrefillLoad / copies
-		if p.adapterCount(model) > 0 {
-			state.disruption += adapterDisruption * min(demand.Rate, 1) / copies
+		if p.items.adapterCount(model) > 0 {
+			state.disruption += adapterDisruption * min(demand.Rate, maxDisruptedRate) / copies
 		}
-		if p.canEvict(state, model, p.copiesLoaded) {
+		if p.canEvict(state, model, p.counts.loaded) {
 			state.victims = append(state.victims, victim{model, p.unloadCost(model), p.freedMemory(state, model)})
 		}
 	}
 	slices.SortFunc(state.victims, func(left, right victim) int {
-		names := cmp.Compare(p.item(left.model).name, p.item(right.model).name)
+		names := cmp.Compare(p.items.at(left.model).name, p.items.at(right.model).name)
 		return cmp.Or(cmp.Compare(left.cost, right.cost), names)
 	})
 }
 
-// freed is the room that a model leaves with its adapters, as they count at the server.
+// freedMemory is the memory that unloading a model with its adapters frees at a server.
 func (p *planner) freedMemory(state *serverState, model int) memoryUnits {
 	total := p.loadedSize(state, model)
 	for _, adapter := range state.adapters {
-		if p.item(adapter).model == model {
+		if p.items.at(adapter).model == model {
 			total += p.loadedSize(state, adapter)
 		}
 	}
 	return total
 }
 
-// loss is what unloading one copy of a model costs: less the longer ago it was asked for, and the
-// more other copies it has.
+// unloadCost is the cost of unloading one copy of a model: lower the longer ago it was asked for, and
+// the more other copies it has.
 func (p *planner) unloadCost(model int) float64 {
-	if !p.isConfigured(model) {
+	if !p.items.isConfigured(model) {
 		return unconfiguredCost
 	}
-	demand := p.totalDemand(model)
-	others := p.copies[model] - 1
+	demand := p.demand.total(model)
+	otherCopies := p.counts.loaded(model) - 1
 	cost := 0.0
 	unseen := p.view.Now.Sub(demand.LastSeen)
 	if !demand.LastSeen.IsZero() && unseen < recentDemandWindow {
 		cost += 1 - unseen.Seconds()/recentDemandWindow.Seconds()
 	}
-	cost += (demand.Rate*rateWeight + demand.LongTermRate*longTermRateWeight) / float64(1+others*others*4)
-	if p.adapterCount(model) > 0 {
+	rates := demand.Rate*rateWeight + demand.LongTermRate*longTermRateWeight
+	cost += rates / float64(1+otherCopies*otherCopies*otherCopiesWeight)
+	if p.items.adapterCount(model) > 0 {
 		cost += adaptersCost
 	}
 	return cost
 }
 
-// expendable reports whether a server's copy of a model may be unloaded. count returns how many copies
-// a model or adapter has: those there are, or those that the plan leaves. The last copy in demand
-// stays, and so does one with the last copy of an adapter of a hot model; what is left must be as
-// many as the target, or for a model seldom asked for as many as its runs need. Before the demand
-// is learned, only single copies go. A model that the configuration does not name may always go.
-func (p *planner) canEvict(state *serverState, model int, count func(number int) int) bool {
-	if !p.isConfigured(model) {
+// canEvict reports whether a server's copy of a model may be unloaded. countCopies returns how many copies
+// an item has: counts.loaded or counts.remaining. The last copy of a model in demand stays, and so does
+// one beside the last copy of an adapter of a hot model. Otherwise the copies left must reach the target,
+// or for a rarely used model be enough for its running requests. Before the demand is known, only
+// models with a single copy go. An unconfigured model may always go.
+func (p *planner) canEvict(state *serverState, model int, countCopies func(number int) int) bool {
+	if !p.items.isConfigured(model) {
 		return true
 	}
-	demand := p.totalDemand(model)
-	copies := count(model)
+	demand := p.demand.total(model)
+	copies := countCopies(model)
 	if copies <= 1 && (demand.Waiting > 0 || demand.Running > 0 || demand.Rate > hotRate) {
 		return false
 	}
 	if !p.view.DemandKnown && copies >= 2 {
 		return false
 	}
-	if demand.Rate > hotRate && p.hasLastAdapterCopy(state, model, count) {
+	if demand.Rate > hotRate && p.hasLastAdapterCopy(state, model, countCopies) {
 		return false
 	}
 	rest := float64(copies - 1)
@@ -101,39 +107,44 @@
 	return demand.Rate < rareRate && rest >= p.copiesNeeded(demand)
 }
 
-// hasLastAdapterCopy reports whether a server holds the last copy of a listed adapter of the model.
-func (p *planner) hasLastAdapterCopy(state *serverState, model int, count func(number int) int) bool {
+// hasLastAdapterCopy reports whether a server has the last copy of a configured adapter of the model.
+func (p *planner) hasLastAdapterCopy(state *serverState, model int, countCopies func(number int) int) bool {
 	for _, adapter := range state.adapters {
-		if p.item(adapter).model == model && p.isConfigured(adapter) && count(adapter) <= 1 {
+		isOfModel := p.items.at(adapter).model == model && p.items.isConfigured(adapter)
+		if isOfModel && countCopies(adapter) <= 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// evict unloads the first victim for a model that is to be loaded at the server. It reports false,
-// and drops the intent, if what may still go does not make room enough.
+// evict unloads the first victim for a model that is to be loaded at the server. It reports false, and
+// drops the intent, if unloading all that may still go would not free enough memory.
 func (p *planner) evict(state *serverState, model int) bool {
 	p.rankVictims(state)
 	need := p.excess(state, model)
 	first := -1
 	for _, next := range state.victims {
-		if p.canEvict(state, next.model, p.copiesRemaining) {
-			need -= next.freedMemory
-			if first < 0 {
-				first = next.model
-			}
+		if !p.canEvict(state, next.model, p.counts.remaining) {
+			continue
+		}
+		need -= next.freedMemory
+		if first < 0 {
+			first = next.model
 		}
 	}
 	if first < 0 || need > 0 {
 		p.setIntent(state, "")
 		return false
 	}
-	modelName := p.item(model).name
+	name := p.items.at(model).name
 	p.recordAction(state, Action{
-		Model:  p.item(first).name,
-		Intent: modelName,
-		Reason: "makes way for " + modelName,
+		Model:  p.items.at(first).name,
+		Intent: name,
+		Reason: makeRoomReason + name,
 	})
 	return true
 }
+
+// makeRoomReason and the name of a model or adapter is the Action.Reason of an unload for it.
+const makeRoomReason = "makes way for "
--- a/internal/placement/fleetshape_test.go
+++ b/internal/placement/fleetshape_test.go
@@ -8,7 +8,7 @@
 	"ferryspar/internal/configuration"
 )
 
-// fleetShape makes random views: how many replicas, models and adapters, and the shares of models that
+// fleetShape generates random views: how many replicas, models and adapters, and the shares of models that
 // are asked for and of those that are waited for.
 type fleetShape struct {
 	replicas, models, adapters int
@@ -63,30 +63,31 @@
 }
 
 func (s fleetShape) server(random *rand.Rand, runtime *configuration.Runtime, index int) *Server {
-	one := newServer(fmt.Sprintf("r%03d", index))
-	one.Zone = string(rune('a' + random.IntN(3)))
+	server := newServer(fmt.Sprintf("r%03d", index))
+	server.Zone = string(rune('a' + random.IntN(3)))
 	skewed := func() configuration.Model {
 		share := random.Float64()
 		return runtime.Models[int(share*share*float64(len(runtime.Models)))]
 	}
 	for range 1 + random.IntN(4) {
 		model := skewed()
-		if one.Loaded[model.Name] || one.configuredSize(runtime)+model.WeightSizeMb > runtime.WeightSizeMb {
+		if server.Loaded[model.Name] || server.configuredSize(runtime)+model.WeightSizeMb > runtime.WeightSizeMb {
 			continue
 		}
-		one.Loaded[model.Name], one.OnDisk[model.Name] = true, true
+		server.Loaded[model.Name], server.OnDisk[model.Name] = true, true
 		for range min(model.Adapters, random.IntN(6)) {
 			adapter := adapterNames(model)[random.IntN(model.Adapters)]
-			if one.adapterCount() < runtime.AdapterCapacity && one.configuredSize(runtime)+model.AdapterSizeMb <= runtime.WeightSizeMb {
-				one.Loaded[Reference(model.Name, adapter)] = true
+			fits := server.configuredSize(runtime)+model.AdapterSizeMb <= runtime.WeightSizeMb
+			if fits && server.adapterCount() < runtime.AdapterCapacity {
+				server.Loaded[Reference(model.Name, adapter)] = true
 			}
 		}
 	}
 	for range random.IntN(12) {
-		one.OnDisk[skewed().Name] = true
+		server.OnDisk[skewed().Name] = true
 	}
-	one.Ready = random.IntN(8) > 0
-	return one
+	server.Ready = random.IntN(8) > 0
+	return server
 }
 
 func (s fleetShape) addDemand(random *rand.Rand, view *View, reference string) {
--- a/internal/placement/forecast.go
+++ b/internal/placement/forecast.go
@@ -6,63 +6,50 @@
 	"strings"
 )
 
-// Copy copies the view with its servers and demands. All else is shared: plans only read it, but for
-// Loading, which Without replaces.
+// Clone returns a copy of the view with its own servers, demands and size history. All else is shared:
+// plans only read it, except Loading, which RemoveZones replaces.
 func (v *View) Clone() *View {
-	copied := *v
-	copied.SizeHistory = v.SizeHistory.Clone()
-	copied.Servers = make([]*Server, len(v.Servers))
+	clone := *v
+	clone.SizeHistory = v.SizeHistory.Clone()
+	clone.Servers = make([]*Server, len(v.Servers))
 	for index, server := range v.Servers {
-		copiedServer := *server
-		copiedServer.Loaded = maps.Clone(server.Loaded)
-		copiedServer.MaybeLoaded = maps.Clone(server.MaybeLoaded)
-		copied.Servers[index] = &copiedServer
+		clonedServer := *server
+		clonedServer.Loaded = maps.Clone(server.Loaded)
+		clonedServer.MaybeLoaded = maps.Clone(server.MaybeLoaded)
+		clone.Servers[index] = &clonedServer
 	}
-	copied.Demand = make(map[string]*Demand, len(v.Demand))
-	for name, demand := range v.Demand {
-		copiedDemand := *demand
-		copied.Demand[name] = &copiedDemand
+	clone.Demand = make(map[string]*Demand, len(v.Demand))
+	for key, demand := range v.Demand {
+		clonedDemand := *demand
+		clone.Demand[key] = &clonedDemand
 	}
-	return &copied
+	return &clone
 }
 
-// servedKeys are the Keys of all that serving servers hold.
-func (v *View) servedKeys() map[string]bool {
-	found := map[string]bool{}
-	for _, server := range v.Servers {
-		if !server.isServing(v) {
-			continue
-		}
-		for reference := range server.Loaded {
-			found[ModelKey(server.Backend, reference)] = true
-		}
-	}
-	return found
-}
-
-// Without takes the servers of lost zones out of a copied view. What is asked for and has no copy left
-// is waited for by as many requests as come in a second. Loads under way are left out.
+// RemoveZones removes the servers of lost zones from a cloned view. A model or adapter that is asked for
+// and has no copy left gets as many waiting requests as arrive in a second. Loads in progress are
+// dropped.
 func (v *View) RemoveZones(lost func(zone string) bool) {
-	kept := v.Servers[:0]
-	before := map[string]bool{}
+	remaining := v.Servers[:0]
+	lostKeys := map[string]bool{}
 	for _, server := range v.Servers {
 		if lost(server.Zone) {
 			for reference := range server.Loaded {
-				before[ModelKey(server.Backend, reference)] = true
+				lostKeys[ModelKey(server.Backend, reference)] = true
 			}
 			continue
 		}
 		server.Ready = true
-		kept = append(kept, server)
+		remaining = append(remaining, server)
 	}
-	v.Servers = kept
+	v.Servers = remaining
 	v.Loading = map[string]int{}
 	v.ContextEvictions = nil
 	v.ContextEvictionInProgress = false
 	served := v.servedKeys()
-	for name := range before {
-		demand := v.Demand[name]
-		if demand == nil || demand.Rate == 0 || served[name] {
+	for key := range lostKeys {
+		demand := v.Demand[key]
+		if demand == nil || demand.Rate == 0 || served[key] {
 			continue
 		}
 		demand.Waiting = max(demand.Waiting, int(math.Ceil(demand.Rate)))
@@ -70,14 +57,28 @@
 	}
 }
 
-// forecastRounds is how many plans a forecast joins at most.
-const forecastRounds = 6
+// servedKeys returns the ModelKeys of all that serving servers have loaded.
+func (v *View) servedKeys() map[string]bool {
+	served := map[string]bool{}
+	for _, server := range v.Servers {
+		if !server.isServing(v) {
+			continue
+		}
+		for reference := range server.Loaded {
+			served[ModelKey(server.Backend, reference)] = true
+		}
+	}
+	return served
+}
+
+// maxForecastPlans is how many plans a forecast joins at most.
+const maxForecastPlans = 6
 
-// Forecast plans on a copied view several times, each time as though all actions of the last plan
-// were done and one load from the store were allowed, and returns all actions in their sequence.
+// Forecast plans on a cloned view several times, each time as if all actions of the last plan were done
+// and one load from the model store were allowed, and returns all actions in order.
 func Forecast(view *View) []Action {
 	var planned []Action
-	for range forecastRounds {
+	for range maxForecastPlans {
 		view.StoreTokens = max(view.StoreTokens, 1)
 		actions := Plan(view)
 		if len(actions) == 0 {
@@ -92,7 +93,7 @@
 	return planned
 }
 
-// applyActions does an action. A model takes its adapters along when it is unloaded.
+// apply carries out an action. Unloading a model unloads its adapters too.
 func (v *View) apply(action Action) {
 	for _, server := range v.Servers {
 		if server.ID != action.Server {
@@ -102,8 +103,9 @@
 			server.Loaded[action.Model] = true
 			continue
 		}
+		adapters := action.Model + adapterSeparator
 		for reference := range server.Loaded {
-			if reference == action.Model || strings.HasPrefix(reference, action.Model+"/") {
+			if reference == action.Model || strings.HasPrefix(reference, adapters) {
 				delete(server.Loaded, reference)
 			}
 		}
--- a/internal/placement/intents.go
+++ b/internal/placement/intents.go
@@ -5,15 +5,28 @@
 	"slices"
 )
 
-// intendedLoad is a server that makes room for a model.
+// intendedLoad is a server that frees memory for a model.
 type intendedLoad struct {
 	state *serverState
 	candidateModel
 }
 
-// fulfilIntents uses room that was made earlier, for the most urgent model first, and drops intents
-// that nobody needs any longer.
+// fulfilIntents uses memory that was freed earlier, for the most urgent model first, and drops intents
+// that are obsolete. It reserves store tokens for the intents that remain.
 func (p *planner) fulfilIntents() {
+	for _, load := range p.intendedLoads() {
+		p.fulfilIntent(load.state, load.model)
+	}
+	for index := range p.servers {
+		state := &p.servers[index]
+		if intent := state.server.Intent; intent != "" && state.isServing && !state.server.OnDisk[intent] {
+			p.decisions.reservedTokens++
+		}
+	}
+}
+
+// intendedLoads returns the intents of idle servers, the most urgent first, and drops obsolete ones.
+func (p *planner) intendedLoads() []intendedLoad {
 	var loads []intendedLoad
 	for index := range p.servers {
 		state := &p.servers[index]
@@ -25,24 +38,16 @@
 			p.setIntent(state, "")
 			continue
 		}
-		candidate := candidateModel{model, p.urgency(model, p.totalDemand(model))}
+		candidate := candidateModel{model, p.urgency(model, p.demand.total(model))}
 		loads = append(loads, intendedLoad{state, candidate})
 	}
 	slices.SortStableFunc(loads, func(left, right intendedLoad) int {
 		return cmp.Compare(right.urgency, left.urgency)
 	})
-	for _, load := range loads {
-		p.fulfilIntent(load.state, load.model)
-	}
-	for index := range p.servers {
-		state := &p.servers[index]
-		if intent := state.server.Intent; intent != "" && state.isServing && !state.server.OnDisk[intent] {
-			p.reservedTokens++
-		}
-	}
+	return loads
 }
 
-// fulfilIntent loads what fits now, or unloads one more model where it does not. An earlier load of
+// fulfilIntent loads a model that fits now, or unloads one more model if it does not. An earlier load of
 // the same plan may have made the intent obsolete.
 func (p *planner) fulfilIntent(state *serverState, model int) {
 	switch {
@@ -55,18 +60,18 @@
 	}
 }
 
-// intentObsolete reports whether a model from the store is no longer worth the room made for it:
-// nobody asks for it, or it has copies enough. A load from the server's own disk is always worth it,
-// unless the configuration does not name the model.
+// intentObsolete reports whether a load from the model store is no longer worth the memory freed for it:
+// nobody asks for the model, or it has copies enough. A load from the server's own disk is always worth
+// it, unless the model is unconfigured.
 func (p *planner) intentObsolete(state *serverState, model int) bool {
-	if !p.isConfigured(model) {
+	if !p.items.isConfigured(model) {
 		return true
 	}
-	if state.server.OnDisk[p.item(model).name] {
+	if state.server.OnDisk[p.items.at(model).name] {
 		return false
 	}
-	demand := p.totalDemand(model)
-	present := float64(p.copies[model] + p.loadsPending(model))
+	demand := p.demand.total(model)
+	present := float64(p.counts.loaded(model) + p.loadsPending(model))
 	unwanted := present == 0 && demand.Waiting == 0 && demand.Rate < rareRate
 	return unwanted || present >= p.targetCopies(model)
 }
--- a/internal/placement/bound_test.go
+++ b/internal/placement/loadcheck_test.go
@@ -10,8 +10,8 @@
 	"ferryspar/internal/configuration"
 )
 
-// checkLoad checks the bound of a load: beside all that the server holds or may hold, by exact sums, the
-// room and the places of adapters suffice, and an adapter has its model.
+// checkLoad checks a load by exact sums: beside all that is or may be loaded at the server, the memory and
+// the adapter slots suffice, and an adapter has its model.
 func checkLoad(t *testing.T, view *View, server *Server, action Action, note string) {
 	t.Helper()
 	runtime := view.Table.Configuration.Backends[0].Runtime
--- a/internal/placement/room_test.go
+++ b/internal/placement/memory_test.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/configuration"
 )
 
-// singleServerView is a view of one replica with 100 MB and two places for adapters.
+// singleServerView is a view of one replica with 100 MB and two adapter slots.
 func singleServerView(server *Server, models ...configuration.Model) *View {
 	view := smallView(server)
 	view.setCapacity(100, 2, models...)
@@ -84,7 +84,7 @@
 	server.MaybeLoaded = map[string]bool{"maybe": true}
 	view := singleServerView(server, modelOfSize("maybe", 60), modelOfSize("new", 60))
 	view.addWaitingRequest("new")
-	assert.Equal(t, len(Plan(view)), 0, "neither room for new nor a victim")
+	assert.Equal(t, len(Plan(view)), 0, "neither memory for new nor a victim")
 	view.addWaitingRequest("maybe")
 	assert.Equal(t, len(actionsFor(Plan(view), true, "maybe")), 1, "the same load again is harmless")
 }
@@ -99,29 +99,31 @@
 }
 
 func TestPlanner_LoadsAdapterOnlyBesideLoadedModel(t *testing.T) {
-	type held = map[string]bool
+	type references = map[string]bool
 	for name, testCase := range map[string]struct {
-		models, mayHold held
-		capacity        int
-		fits            bool
+		loaded, maybeLoaded references
+		adapterSlots        int
+		fits                bool
 	}{
-		"model held":                  {held{"old": true}, nil, 2, true},
-		"model may be held":           {nil, held{"old": true}, 2, false},
-		"places may be taken":         {held{"old": true}, held{"old/a2": true, "old/a3": true}, 2, false},
-		"its own place may be taken":  {held{"old": true}, held{"old/a1": true, "old/a3": true}, 2, true},
-		"places of unlisted adapters": {held{"old": true, "old/a8": true, "old/a9": true}, nil, 2, false},
+		"model loaded":                   {references{"old": true}, nil, 2, true},
+		"model may be loaded":            {nil, references{"old": true}, 2, false},
+		"slots may be taken":             {references{"old": true}, references{"old/a2": true, "old/a3": true}, 2, false},
+		"its own slot may be taken":      {references{"old": true}, references{"old/a1": true, "old/a3": true}, 2, true},
+		"slots of unconfigured adapters": {references{"old": true, "old/a8": true, "old/a9": true}, nil, 2, false},
 		"an adapter without its model": {
-			held{"old": true}, held{"new/a1": true}, 1, false,
+			references{"old": true}, references{"new/a1": true}, 1, false,
 		},
-		"capacity shrunk":            {held{"old": true, "old/a2": true, "old/a3": true}, nil, 1, false},
-		"an adapter of unknown size": {held{"old": true}, held{"gone/a1": true}, 3, false},
+		"fewer slots than adapters":  {references{"old": true, "old/a2": true, "old/a3": true}, nil, 1, false},
+		"an adapter of unknown size": {references{"old": true}, references{"gone/a1": true}, 3, false},
 	} {
-		server := newServer("a")
-		server.Loaded, server.MaybeLoaded = testCase.models, testCase.mayHold
-		view := singleServerView(server, modelOfSize("old", 60), modelOfSize("new", 30))
-		view.Table.Configuration.Backends[0].Runtime.AdapterCapacity = testCase.capacity
-		p := newPlanner(view, NewCatalog(view.Table).backends[0])
-		assert.Equal(t, p.load(&p.servers[0], p.itemNumber("old/a1"), ""), testCase.fits, name)
+		t.Run(name, func(t *testing.T) {
+			server := newServer("a")
+			server.Loaded, server.MaybeLoaded = testCase.loaded, testCase.maybeLoaded
+			view := singleServerView(server, modelOfSize("old", 60), modelOfSize("new", 30))
+			view.Table.Configuration.Backends[0].Runtime.AdapterCapacity = testCase.adapterSlots
+			p := newPlanner(view, NewCatalog(view.Table).backends[0])
+			assert.Equal(t, p.load(&p.servers[0], p.itemNumber("old/a1"), ""), testCase.fits)
+		})
 	}
 }
 
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -1,9 +1,8 @@
 package placement
 
-// Plan returns what to load and unload now, one action at most for each server. It changes the view
-// as documented there, so that the next plan continues from it. Equal views give equal plans.
+// Plan returns what to load and unload now, at most one action for each server. It changes the view as
+// documented there, so that the next plan continues from it. Equal views give equal plans.
 func Plan(view *View) []Action {
-	var actions []Action
 	if view.Table == nil {
 		return nil
 	}
@@ -11,23 +10,41 @@
 		view.Catalog = NewCatalog(view.Table)
 	}
 	view.SizeHistory.observe(view.Catalog, view.Servers)
+	var actions []Action
 	for _, catalog := range view.Catalog.backends {
 		p := newPlanner(view, catalog)
 		p.plan()
-		actions = append(actions, p.actions...)
-		view.StoreTokens = p.tokens
+		actions = append(actions, p.decisions.actions...)
+		view.StoreTokens = p.decisions.storeTokens
 	}
 	return actions
 }
 
 const (
-	// targetUtilization is the share of its slots that a copy is to carry, tightUtilization that while models
-	// wait that are loaded nowhere.
+	// targetUtilization is the share of its slots that a copy is meant to carry; tightUtilization is
+	// that share while models are waited for that are loaded nowhere.
 	targetUtilization = 0.4
 	tightUtilization  = 0.45
 )
 
-// plan takes the steps of a plan, the most urgent first: each leaves servers and tokens to the next.
+// priority selects the candidates that a step handles.
+type priority int
+
+const (
+	urgent    priority = iota // requests wait for the candidate, or it lacks copies for what runs
+	nonUrgent                 // all others
+)
+
+// priorityOf returns the priority of a candidate.
+func priorityOf(isUrgent bool) priority {
+	if isUrgent {
+		return urgent
+	}
+	return nonUrgent
+}
+
+// plan takes the steps of a plan, the most urgent first: each leaves servers and store tokens to the
+// next.
 func (p *planner) plan() {
 	missing := p.missingModels()
 	p.targetUtilization = targetUtilization
@@ -35,17 +52,11 @@
 		p.targetUtilization = tightUtilization
 	}
 	p.fulfilIntents()
-	p.addAdapters(true)
-	p.addHotCopies(true)
+	p.addAdapters(urgent)
+	p.addHotCopies(urgent)
 	p.loadMissingModels(missing)
-	p.addAdapters(false)
-	p.addHotCopies(false)
+	p.addAdapters(nonUrgent)
+	p.addHotCopies(nonUrgent)
 	p.evictContexts()
 	p.restoreFromDisk()
 }
-
-// loadable reports whether a model may be loaded now: from the server's disk always, from the store
-// within its rate.
-func (p *planner) mayLoad(state *serverState, model int) bool {
-	return state.server.OnDisk[p.item(model).name] || p.tokens >= 1
-}
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -93,7 +93,7 @@
 	view := smallView(newServer("a", "hot", "hot/a1", "old"), newServer("b", "hot", "old"))
 	view.Demand[ModelKey("s", "hot")] = &Demand{Rate: 3, LastSeen: now}
 	p := newPlanner(view, NewCatalog(view.Table).backends[0])
-	assert.Assert(t, !p.canEvict(&p.servers[0], p.itemNumber("hot"), p.copiesLoaded))
+	assert.Assert(t, !p.canEvict(&p.servers[0], p.itemNumber("hot"), p.counts.loaded))
 }
 
 func TestPlan_LoadsOnlyFromDiskWithoutStoreTokens(t *testing.T) {
@@ -108,21 +108,32 @@
 	assert.Assert(t, !loads[0].FromStore)
 }
 
+// subset returns the elements whose bits are set in the mask.
+func subset(elements []string, mask int) []string {
+	var chosen []string
+	for bit, element := range elements {
+		if mask>>bit&1 == 1 {
+			chosen = append(chosen, element)
+		}
+	}
+	return chosen
+}
+
+// exceeds reports whether what the server has loaded exceeds its memory or adapter slots.
+func (s *Server) exceeds(runtime *configuration.Runtime) bool {
+	return s.configuredSize(runtime) > runtime.WeightSizeMb || s.adapterCount() > runtime.AdapterCapacity
+}
+
 func TestPlan_NeverExceedsCapacityOrAdapterSlots(t *testing.T) {
 	for shape := range 64 {
-		var models []string
-		for bit, name := range []string{"hot", "rare", "hot/a1", "hot/a2", "old", "hot/a3"} {
-			if shape>>bit&1 == 1 {
-				models = append(models, name)
-			}
-		}
+		models := subset([]string{"hot", "rare", "hot/a1", "hot/a2", "old", "hot/a3"}, shape)
 		server := newServer("a", models...)
 		view := smallView(server, newServer("b", "hot"))
 		for _, name := range []string{"hot/a4", "rare", "old", "hot"} {
 			view.Demand[ModelKey("s", name)] = &Demand{Waiting: 1, OldestWaitMs: 10, Rate: 2, LastSeen: now}
 		}
 		runtime := view.Table.Configuration.Backends[0].Runtime
-		if server.configuredSize(runtime) > runtime.WeightSizeMb || server.adapterCount() > runtime.AdapterCapacity {
+		if server.exceeds(runtime) {
 			continue
 		}
 		for _, action := range Plan(view) {
@@ -130,7 +141,7 @@
 				continue
 			}
 			server.Loaded[action.Model] = true
-			if server.configuredSize(runtime) > runtime.WeightSizeMb || server.adapterCount() > runtime.AdapterCapacity {
+			if server.exceeds(runtime) {
 				t.Fatalf("shape %d: %s does not fit %v", shape, action.Model, models)
 			}
 		}
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -1,223 +1,141 @@
 package placement
 
 import (
-	"slices"
+	"strings"
 
 	"ferryspar/internal/configuration"
 )
 
-// planner holds one plan of one backend in the making. Slices and maps over models and adapters go by
-// their numbers in the catalog, those over servers by position in servers.
+// planner makes one plan of one backend.
 type planner struct {
-	view                *View
-	catalog             *backendCatalog
-	runtime             *configuration.Runtime
-	capacity            memoryUnits    // of each server
-	unconfigured        []catalogItem  // numbered behind the catalog's items
-	unconfiguredNumbers map[string]int // reference to number
-
-	servers      []serverState // sorted by id
-	serverByID   map[string]int
-	servingCount int // servers whose copies count
-
-	demands        []*Demand // own ones, nil for none
-	totals         []*Demand // by model, with its adapters; nil for none
-	demandedModels []int     // models with a total, ascending
-
-	copies         []int          // at serving servers
-	uncertain      map[int]int    // serving servers that may hold it, beyond those that View.Loading counts
-	plannedUnloads map[int]int    // copies taken by the actions so far
-	intended       map[string]int // servers that make room, by the model they make it for
-	hosts          [][]int        // servers that hold a model with adapters
-	freeHosts      []int          // how many of those are free
-
-	// Indexes made on demand: servers by cost for each size, copies on disk as linked lists,
-	// servers with room for an adapter by model, and models none of whose adapters may be unloaded.
-	rankedBySize          map[memoryUnits][]rankedServer
-	diskCopies            []diskCopy
-	firstDiskCopy         []int
-	adapterCandidates     map[int][]int
-	adapterSwapImpossible map[int]bool
-
-	actions           []Action
-	tokens            float64 // loads from the store that are left
-	reservedTokens    float64 // of those, for servers that make room
-	targetUtilization float64 // share of its slots that a copy is to carry
+	// What the plan reads. Only Intent of the view's servers, Loading and ContextEvictionInProgress
+	// are written.
+	view     *View
+	runtime  *configuration.Runtime
+	capacity memoryUnits // of each server
+	items    itemTable
+	demand   demandIndex
+	servers  []serverState // sorted by id
+
+	// What the plan counts; setIntent and recordAction keep it up to date.
+	counts copyCounts
+
+	// What the plan decides.
+	decisions         decisions
+	targetUtilization float64 // share of its slots that a copy is meant to carry
+
+	// Indexes for searches, made on demand.
+	searches serverSearches
 }
 
-// serverState is a server within a plan.
-type serverState struct {
-	server           *Server
-	position         int
-	models           []int                  // loaded
-	adapters         []int                  // loaded
-	maybeLoadedItems []int                  // what it may hold beside
-	pastSizes        map[string]memoryUnits // sizes by earlier configurations, by reference
-	memoryUsed       memoryUnits            // of all that it holds or may hold
-	adapterSlotsUsed int                    // of adapters that it holds or may hold
-	isServing        bool                   // its copies count
-	hasAction        bool                   // the plan has an action for it
-	exhausted        bool                   // no room could be made at it
-
-	// What rankVictims works out.
-	victimsRanked bool
-	disruption    float64 // what a load there costs the models that are served
-	victims       []victim
+// decisions are the actions of a plan and what is left of the model store's rate.
+type decisions struct {
+	actions        []Action
+	storeTokens    float64 // loads from the store that are left
+	reservedTokens float64 // of those, reserved for servers that free memory for a load from the store
 }
 
-// victim is a model that could be unloaded.
-type victim struct {
-	model       int
-	cost        float64
-	freedMemory memoryUnits
-}
+// mayLoadFromStore reports whether the store allows a load now.
+func (d *decisions) mayLoadFromStore() bool { return d.storeTokens >= 1 }
 
-var noDemand = &Demand{}
+// mayReserveStoreLoad reports whether the store allows one more load beside the reserved ones.
+func (d *decisions) mayReserveStoreLoad() bool { return d.storeTokens-d.reservedTokens >= 1 }
 
 // newPlanner indexes the view for a backend.
 func newPlanner(view *View, catalog *backendCatalog) *planner {
-	items, models := len(catalog.items), len(catalog.adapters)
 	p := &planner{
-		view:                  view,
-		catalog:               catalog,
-		runtime:               catalog.runtime,
-		capacity:              capacityOf(catalog.runtime.WeightSizeMb),
-		unconfiguredNumbers:   map[string]int{},
-		demands:               make([]*Demand, items),
-		totals:                make([]*Demand, items),
-		copies:                make([]int, items),
-		uncertain:             map[int]int{},
-		plannedUnloads:        map[int]int{},
-		intended:              map[string]int{},
-		hosts:                 make([][]int, models),
-		freeHosts:             make([]int, models),
-		rankedBySize:          map[memoryUnits][]rankedServer{},
-		adapterCandidates:     map[int][]int{},
-		adapterSwapImpossible: map[int]bool{},
-		tokens:                view.StoreTokens,
+		view:      view,
+		runtime:   catalog.runtime,
+		capacity:  capacityOf(catalog.runtime.WeightSizeMb),
+		items:     newItemTable(catalog),
+		demand:    newDemandIndex(len(catalog.items)),
+		counts:    newCopyCounts(len(catalog.items), len(catalog.adapters)),
+		decisions: decisions{storeTokens: view.StoreTokens},
+		searches:  newServerSearches(),
 	}
 	p.indexDemand()
 	p.indexServers()
 	return p
 }
 
-// item is the item of a number. The pointer is valid until the next call of number.
-func (p *planner) item(number int) *catalogItem {
-	if number < len(p.catalog.items) {
-		return &p.catalog.items[number]
-	}
-	return &p.unconfigured[number-len(p.catalog.items)]
-}
-
-// adapterCount is how many adapters a model has in the configuration.
-func (p *planner) adapterCount(model int) int {
-	if model < len(p.catalog.adapters) {
-		return len(p.catalog.adapters[model])
-	}
-	return 0
-}
-
-// loadTime is the time to load a model from the store in seconds, 0 where not known.
-func (p *planner) loadTime(model int) float64 {
-	if model < len(p.runtime.Models) {
-		return p.runtime.Models[model].LoadTimeS
-	}
-	return 0
-}
-
-// totalDemand is the demand of a model with its adapters.
-func (p *planner) totalDemand(model int) *Demand {
-	if total := p.totals[model]; total != nil {
-		return total
-	}
-	return noDemand
+// itemNumber returns the number of a reference, and makes room for an unconfigured one in the indexes
+// by item.
+func (p *planner) itemNumber(reference string) int {
+	number := p.items.number(reference)
+	count := p.items.count()
+	p.demand.growTo(count)
+	p.counts.growTo(count)
+	return number
 }
 
-// ownDemand is the demand of a model or adapter alone.
-func (p *planner) ownDemand(number int) *Demand {
-	if own := p.demands[number]; own != nil {
-		return own
-	}
-	return noDemand
-}
-
-// ordered is how many loads of a model or adapter are under way or planned.
-func (p *planner) loadsOrdered(number int) int { return p.view.Loading[p.item(number).key] }
-
-// loading is ordered, and the servers that may hold the model or adapter.
-func (p *planner) loadsPending(number int) int { return p.loadsOrdered(number) + p.uncertain[number] }
+// loadsOrdered is how many loads of an item are in progress or planned.
+func (p *planner) loadsOrdered(number int) int { return p.view.Loading[p.items.at(number).key] }
 
-// copiesLoaded is how many serving servers hold a model or adapter.
-func (p *planner) copiesLoaded(number int) int { return p.copies[number] }
-
-// remaining is copiesLoaded less what the plan unloads.
-func (p *planner) copiesRemaining(number int) int { return p.copies[number] - p.plannedUnloads[number] }
-
-func (s *serverState) hasLoaded(number int) bool {
-	return slices.Contains(s.models, number) || slices.Contains(s.adapters, number)
+// loadsPending is loadsOrdered plus the servers that may have the item loaded.
+func (p *planner) loadsPending(number int) int {
+	return p.loadsOrdered(number) + p.counts.uncertain[number]
 }
 
-// maybeLoaded reports whether a server may hold a model or adapter that it does not surely hold.
-func (s *serverState) maybeLoaded(number int) bool {
-	return slices.Contains(s.maybeLoadedItems, number)
-}
-
-// idle reports whether the plan may still act at the server.
-func (s *serverState) isIdle() bool { return s.isServing && s.server.Ready && !s.hasAction }
-
-// free reports whether it is idle and makes room for nothing.
-func (s *serverState) isFree() bool { return s.isIdle() && s.server.Intent == "" }
-
-// update changes a server and keeps freeHosts right.
-func (p *planner) updateServer(state *serverState, change func()) {
-	before := state.isFree()
-	change()
-	after := state.isFree()
-	if before == after {
-		return
-	}
-	step := 1
-	if before {
-		step = -1
-	}
-	for _, model := range state.models {
-		if p.adapterCount(model) > 0 {
-			p.freeHosts[model] += step
-		}
-	}
+// mayLoad reports whether a model may be loaded at a server now: from the server's disk always, from the
+// store within its rate.
+func (p *planner) mayLoad(state *serverState, model int) bool {
+	return state.server.OnDisk[p.items.at(model).name] || p.decisions.mayLoadFromStore()
 }
 
-// setIntent has a server make room for a model, or for none.
+// setIntent makes a server free memory for a model, or for none.
 func (p *planner) setIntent(state *serverState, model string) {
 	if state.server.Intent == model {
 		return
 	}
 	if state.isServing {
-		p.intended[state.server.Intent]--
-		p.intended[model]++
+		p.counts.intents[state.server.Intent]--
+		p.counts.intents[model]++
 	}
-	p.updateServer(state, func() { state.server.Intent = model })
+	wasFree := state.isFree()
+	state.server.Intent = model
+	p.updateFreeHosts(state, wasFree)
 }
 
-// record adds an action at a server, the only one of the plan there.
+// recordAction adds an action at a server, the only one of the plan there.
 func (p *planner) recordAction(state *serverState, action Action) {
 	action.Server = state.server.ID
-	p.updateServer(state, func() { state.hasAction = true })
+	wasFree := state.isFree()
+	state.hasAction = true
+	p.updateFreeHosts(state, wasFree)
 	if action.Load && action.FromStore {
-		p.tokens--
+		p.decisions.storeTokens--
 	}
 	if !action.Load {
-		p.countUnloaded(state, p.itemNumber(action.Model))
+		p.countUnload(state, p.itemNumber(action.Model))
+	}
+	p.decisions.actions = append(p.decisions.actions, action)
+}
+
+// updateFreeHosts corrects counts.freeHosts after a change of a server.
+func (p *planner) updateFreeHosts(state *serverState, wasFree bool) {
+	isFree := state.isFree()
+	if wasFree == isFree {
+		return
+	}
+	step := 1
+	if wasFree {
+		step = -1
+	}
+	for _, model := range state.models {
+		if p.items.adapterCount(model) > 0 {
+			p.counts.freeHosts[model] += step
+		}
 	}
-	p.actions = append(p.actions, action)
 }
 
-// countUnloaded counts a model or adapter as gone, and with a model its adapters at the server.
-func (p *planner) countUnloaded(state *serverState, number int) {
-	p.plannedUnloads[number]++
+// countUnload counts the copy of an item as unloaded, and with a model its adapters at the server.
+func (p *planner) countUnload(state *serverState, number int) {
+	p.counts.plannedUnloads[number]++
 	for _, adapter := range state.adapters {
-		if p.item(adapter).model == number {
-			p.plannedUnloads[adapter]++
+		if p.items.at(adapter).model == number {
+			p.counts.plannedUnloads[adapter]++
 		}
 	}
 }
+
+func compareID(left, right serverState) int { return strings.Compare(left.server.ID, right.server.ID) }
--- a/internal/placement/plain_adapters_test.go
+++ b/internal/placement/reference_adapters_test.go
@@ -43,11 +43,12 @@
 }
 
 func (p *referencePlanner) fitsAnotherAdapter(server *Server, model string) bool {
-	return p.adapterSlotsUsed(server) < p.runtime.AdapterCapacity && p.memoryUsed(server)+roundUpUnits(p.sizes[model].AdapterSizeMb) <= p.capacity()
+	size := roundUpUnits(p.sizes[model].AdapterSizeMb)
+	return p.adapterSlotsUsed(server) < p.runtime.AdapterCapacity && p.memoryUsed(server)+size <= p.capacity()
 }
 
-// usageAfterAdapterUnloads is what room an adapter of the model needs beyond that of a server, and how many places are
-// taken there, once all adapters that may go are gone.
+// usageAfterAdapterUnloads is the memory that an adapter of the model lacks at a server, and the slots used
+// there, after the unload of all adapters that may go.
 func (p *referencePlanner) usageAfterAdapterUnloads(server *Server, model string, toleratedRate float64) (need int64, adapterSlots int) {
 	need, adapterSlots = p.memoryUsed(server)+roundUpUnits(p.sizes[model].AdapterSizeMb)-p.capacity(), p.adapterSlotsUsed(server)
 	for reference := range server.Loaded {
@@ -72,12 +73,12 @@
 				continue
 			}
 			copies := float64(p.copiesRemaining(reference))
-			loss := p.view.ownDemand(p.backend.Name, reference).Rate/copies - copies
+			cost := p.view.ownDemand(p.backend.Name, reference).Rate/copies - copies
 			if !p.isConfigured(reference) {
-				loss = math.Inf(-1)
+				cost = math.Inf(-1)
 			}
-			if best == nil || loss < lowest || loss == lowest && reference < victim {
-				best, victim, lowest = server, reference, loss
+			if best == nil || cost < lowest || cost == lowest && reference < victim {
+				best, victim, lowest = server, reference, cost
 			}
 		}
 	}
@@ -125,7 +126,7 @@
 				first = next
 			}
 			need -= p.freedMemory(server, next)
-			cost += p.unloadCost(server, next)
+			cost += p.unloadCost(next)
 		}
 	}
 	return first, cost, need <= 0 && first != ""
--- a/internal/placement/plain_addcopy_test.go
+++ b/internal/placement/reference_addcopy_test.go
@@ -65,7 +65,7 @@
 			break
 		}
 		need -= p.freedMemory(server, victim)
-		cost += p.unloadCost(server, victim)
+		cost += p.unloadCost(victim)
 	}
 	return cost, need <= 0
 }
--- a/internal/placement/plain_copies_test.go
+++ b/internal/placement/reference_copies_test.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-func (p *referencePlanner) addHotCopies(urgentOnly bool) {
+func (p *referencePlanner) addHotCopies(handled priority) {
 	type want struct {
 		model string
 		rate  float64
@@ -12,14 +12,15 @@
 		demand := p.view.totalDemand(p.backend.Name, model.Name)
 		copies := len(p.view.copies(p.backend.Name, model.Name))
 		present := float64(copies + p.loadsPending(model.Name))
-		urgent := demand.Waiting > 0 || present < p.copiesNeeded(demand)
-		if present < p.targetCopies(model.Name) && urgent == urgentOnly && (demand.Rate > hotRate || copies > 0) && !p.isIntended(model.Name) {
+		isHandled := priorityOf(demand.Waiting > 0 || present < p.copiesNeeded(demand)) == handled
+		isCandidate := (demand.Rate > hotRate || copies > 0) && !p.isIntended(model.Name)
+		if present < p.targetCopies(model.Name) && isHandled && isCandidate {
 			candidates = append(candidates, want{model.Name, demand.Rate})
 		}
 	}
 	sort.SliceStable(candidates, func(left, right int) bool { return candidates[left].rate > candidates[right].rate })
-	for _, server := range candidates {
-		p.addCopy(server.model, "in high demand")
+	for _, candidate := range candidates {
+		p.addCopy(candidate.model, "in high demand")
 	}
 }
 
@@ -48,7 +49,7 @@
 	}
 }
 
-func (p *referencePlanner) addAdapters(urgentOnly bool) {
+func (p *referencePlanner) addAdapters(handled priority) {
 	type want struct {
 		reference string
 		waiting   int
@@ -64,23 +65,24 @@
 			reference := Reference(model.Name, adapter)
 			demand := p.view.ownDemand(p.backend.Name, reference)
 			copies := len(p.view.copies(p.backend.Name, reference)) + p.loadsPending(reference)
-			urgent := demand.Waiting > 0 || copies == 0 && demand.Rate > 0
-			if copies < 2 && urgent == urgentOnly {
+			isUrgent := demand.Waiting > 0 || copies == 0 && demand.Rate > 0
+			if copies < 2 && priorityOf(isUrgent) == handled {
 				candidates = append(candidates, want{reference, demand.Waiting, copies, demand.Rate})
 			}
 		}
 	}
 	sort.SliceStable(candidates, func(left, right int) bool {
-		server, other := candidates[left], candidates[right]
-		if server.copies != other.copies {
-			return server.copies < other.copies
+		first, second := candidates[left], candidates[right]
+		if first.copies != second.copies {
+			return first.copies < second.copies
 		}
-		if server.waiting != other.waiting {
-			return server.waiting > other.waiting
+		if first.waiting != second.waiting {
+			return first.waiting > second.waiting
 		}
-		return server.rate > other.rate
+		return first.rate > second.rate
 	})
-	for _, server := range candidates {
-		p.addAdapter(server.reference, server.copies == 0 && (server.waiting > 0 || server.rate > 0))
+	for _, candidate := range candidates {
+		isRequested := candidate.copies == 0 && (candidate.waiting > 0 || candidate.rate > 0)
+		p.addAdapter(candidate.reference, isRequested)
 	}
 }
--- a/internal/placement/equal_test.go
+++ b/internal/placement/reference_equal_test.go
@@ -50,8 +50,8 @@
 	return view
 }
 
-// addUncertainty gives the view a book of sizes, a configuration that drops and resizes models and changes
-// the room, and orders of unknown fate.
+// addUncertainty gives the view a size history, a configuration that removes and resizes models and changes
+// the capacity, and orders of unknown outcome.
 func addUncertainty(view *View, random *rand.Rand) {
 	view.SizeHistory = NewSizeHistory()
 	earlier := view.Table
--- a/internal/placement/plain_evict_test.go
+++ b/internal/placement/reference_evict_test.go
@@ -32,21 +32,21 @@
 	return total
 }
 
-func (p *referencePlanner) unloadCost(server *Server, model string) float64 {
+func (p *referencePlanner) unloadCost(model string) float64 {
 	if !p.isConfigured(model) {
 		return -1
 	}
 	demand := p.view.totalDemand(p.backend.Name, model)
 	others := len(p.view.copies(p.backend.Name, model)) - 1
-	loss := 0.0
+	cost := 0.0
 	if !demand.LastSeen.IsZero() && p.view.Now.Sub(demand.LastSeen) < recentDemandWindow {
-		loss += 1 - p.view.Now.Sub(demand.LastSeen).Seconds()/recentDemandWindow.Seconds()
+		cost += 1 - p.view.Now.Sub(demand.LastSeen).Seconds()/recentDemandWindow.Seconds()
 	}
-	loss += (demand.Rate*4 + demand.LongTermRate*longTermRateWeight) / float64(1+others*others*4)
+	cost += (demand.Rate*4 + demand.LongTermRate*longTermRateWeight) / float64(1+others*others*4)
 	if p.sizes[model].Adapters > 0 {
-		loss += 3
+		cost += 3
 	}
-	return loss
+	return cost
 }
 
 func (p *referencePlanner) victims(server *Server, modelToLoad string) []string {
@@ -59,7 +59,7 @@
 		found = append(found, model)
 	}
 	sort.Slice(found, func(left, right int) bool {
-		first, second := p.unloadCost(server, found[left]), p.unloadCost(server, found[right])
+		first, second := p.unloadCost(found[left]), p.unloadCost(found[right])
 		if first != second {
 			return first < second
 		}
@@ -84,7 +84,10 @@
 		return false
 	}
 	rest := float64(copies - 1)
-	return rest >= max(p.targetCopies(model), math.Ceil(demand.PrefillLoad/maxPrefillLoad)) || demand.Rate < rareRate && rest >= p.copiesNeeded(demand)
+	if rest >= max(p.targetCopies(model), math.Ceil(demand.PrefillLoad/maxPrefillLoad)) {
+		return true
+	}
+	return demand.Rate < rareRate && rest >= p.copiesNeeded(demand)
 }
 
 func (p *referencePlanner) hasLastAdapterCopy(server *Server, model string, count func(reference string) int) bool {
@@ -173,7 +176,7 @@
 
 func (p *referencePlanner) ensureSpareCopies(server *Server, model string) bool {
 	demand := p.view.totalDemand(p.backend.Name, model)
-	if !p.isConfigured(model) || demand.Waiting == 0 && demand.Running == 0 && demand.Rate < adapterDemand {
+	if !p.isConfigured(model) || demand.Waiting == 0 && demand.Running == 0 && demand.Rate < minDemandRate {
 		return true
 	}
 	if p.copiesRemaining(model) < 2 {
@@ -187,7 +190,7 @@
 			continue
 		}
 		requested := p.view.ownDemand(p.backend.Name, reference)
-		inDemand := requested.Waiting > 0 || requested.Running > 0 || requested.Rate >= adapterDemand
+		inDemand := requested.Waiting > 0 || requested.Running > 0 || requested.Rate >= minDemandRate
 		if inDemand && p.copiesRemaining(reference) < 2 {
 			if p.loadsPending(reference) == 0 {
 				p.addAdapter(reference, true)
--- a/internal/placement/plain_room_test.go
+++ b/internal/placement/reference_memory_test.go
@@ -7,13 +7,13 @@
 	"ferryspar/internal/configuration"
 )
 
-// roundUpUnits and roundDownUnits are sizes and room in whole units.
+// roundUpUnits and roundDownUnits are sizes and capacity in whole units.
 func roundUpUnits(megabytes float64) int64   { return int64(math.Ceil(megabytes * 1048576)) }
 func roundDownUnits(megabytes float64) int64 { return int64(math.Floor(megabytes * 1048576)) }
 
 func (p *referencePlanner) capacity() int64 { return roundDownUnits(p.runtime.WeightSizeMb) }
 
-// listed reports whether the configuration names a reference.
+// isConfigured reports whether the configuration names a reference.
 func (p *referencePlanner) isConfigured(reference string) bool {
 	return isConfiguredReference(p.runtime, reference)
 }
@@ -90,7 +90,7 @@
 	return roundUpUnits(p.sizes[model].AdapterSizeMb)
 }
 
-// subtractOrderedLoads counts the serving servers that may hold a reference, beyond the loads under way.
+// countUncertain counts the serving servers that may have a reference loaded, beyond the loads in progress.
 func (p *referencePlanner) countUncertain() {
 	p.uncertain = map[string]int{}
 	for _, server := range p.view.serving(p.backend.Name) {
--- a/internal/placement/plain_plan_test.go
+++ b/internal/placement/reference_plan_test.go
@@ -52,11 +52,11 @@
 			p.targetUtilization = tightUtilization
 		}
 		p.fulfilIntents()
-		p.addAdapters(true)
-		p.addHotCopies(true)
+		p.addAdapters(urgent)
+		p.addHotCopies(urgent)
 		p.loadMissingModels(missing)
-		p.addAdapters(false)
-		p.addHotCopies(false)
+		p.addAdapters(nonUrgent)
+		p.addHotCopies(nonUrgent)
 		p.evictContexts()
 		p.restoreFromDisk()
 		actions = append(actions, p.actions...)
--- a/internal/placement/plain_view_test.go
+++ b/internal/placement/reference_view_test.go
@@ -78,7 +78,7 @@
 	return total
 }
 
-// size is what the configuration says of the models and adapters that are surely held.
+// configuredSize is the configured size of the models and adapters that are certainly loaded.
 func (s *Server) configuredSize(runtime *configuration.Runtime) float64 {
 	total := 0.0
 	for reference := range s.Loaded {
--- /dev/null
+++ b/internal/placement/serverstate.go
@@ -0,0 +1,157 @@
+package placement
+
+import (
+	"maps"
+	"slices"
+	"sort"
+)
+
+// serverState is a server within a plan.
+type serverState struct {
+	server           *Server
+	position         int                    // in planner.servers
+	models           []int                  // numbers of the models certainly loaded
+	adapters         []int                  // numbers of the adapters certainly loaded
+	maybeLoadedItems []int                  // numbers of the further items that may be loaded
+	pastSizes        map[string]memoryUnits // sizes in earlier configurations, by reference
+	memoryUsed       memoryUnits            // by all that is or may be loaded
+	adapterSlotsUsed int                    // by all adapters that are or may be loaded
+	isServing        bool                   // its copies count
+	hasAction        bool                   // the plan has an action for it
+	exhausted        bool                   // no memory could be freed at it
+
+	// Results of rankVictims.
+	victimsRanked bool
+	disruption    float64 // what a load there costs the models that are served
+	victims       []victim
+}
+
+// victim is a model that could be unloaded.
+type victim struct {
+	model       int
+	cost        float64
+	freedMemory memoryUnits
+}
+
+// hasLoaded reports whether the server certainly has an item loaded.
+func (s *serverState) hasLoaded(number int) bool {
+	return slices.Contains(s.models, number) || slices.Contains(s.adapters, number)
+}
+
+// maybeLoaded reports whether the server may have an item loaded that it does not certainly have.
+func (s *serverState) maybeLoaded(number int) bool {
+	return slices.Contains(s.maybeLoadedItems, number)
+}
+
+// isIdle reports whether the plan may still act at the server.
+func (s *serverState) isIdle() bool { return s.isServing && s.server.Ready && !s.hasAction }
+
+// isFree reports whether it is idle and frees memory for nothing.
+func (s *serverState) isFree() bool { return s.isIdle() && s.server.Intent == "" }
+
+// indexServers fills the planner's servers, sorted by id, and counts what they have loaded.
+func (p *planner) indexServers() {
+	p.servers = make([]serverState, 0, len(p.view.Servers))
+	for _, server := range p.view.Servers {
+		if server.Backend == p.items.catalog.backend.Name {
+			p.servers = append(p.servers, serverState{server: server, isServing: server.isServing(p.view)})
+		}
+	}
+	if !slices.IsSortedFunc(p.servers, compareID) {
+		slices.SortStableFunc(p.servers, compareID)
+	}
+	for position := range p.servers {
+		state := &p.servers[position]
+		state.position = position
+		state.pastSizes = p.view.SizeHistory.sizesAt(state.server.ID)
+		p.indexLoaded(state)
+		p.indexMaybeLoaded(state)
+		p.countLoaded(state)
+		if state.server.Intent != "" && state.isServing {
+			p.counts.intents[state.server.Intent]++
+		}
+	}
+	p.subtractOrderedLoads()
+}
+
+// indexLoaded lists what a server has loaded by number, models and adapters apart.
+func (p *planner) indexLoaded(state *serverState) {
+	var unconfigured []string
+	numbers := make([]int, 0, len(state.server.Loaded))
+	for reference := range state.server.Loaded {
+		if number, known := p.items.catalog.names[reference]; known {
+			numbers = append(numbers, number)
+		} else {
+			unconfigured = append(unconfigured, reference)
+		}
+	}
+	slices.Sort(numbers) // models come first in the catalog
+	if len(unconfigured) > 0 {
+		sort.Strings(unconfigured)
+		for _, reference := range unconfigured {
+			numbers = append(numbers, p.itemNumber(reference))
+		}
+		slices.SortFunc(numbers, p.items.compareModelsFirst)
+	}
+	models := 0
+	for _, number := range numbers {
+		state.memoryUsed += p.loadedSize(state, number)
+		if !p.items.at(number).adapter {
+			models++
+		}
+	}
+	state.models = numbers[:models]
+	state.adapters = numbers[models:]
+	state.adapterSlotsUsed = len(state.adapters)
+}
+
+// indexMaybeLoaded lists what else a server may have loaded, and adds it to the memory and slots used.
+func (p *planner) indexMaybeLoaded(state *serverState) {
+	if len(state.server.MaybeLoaded) == 0 {
+		return
+	}
+	for _, reference := range slices.Sorted(maps.Keys(state.server.MaybeLoaded)) {
+		if state.server.Loaded[reference] || !state.server.MaybeLoaded[reference] {
+			continue
+		}
+		number := p.itemNumber(reference)
+		state.maybeLoadedItems = append(state.maybeLoadedItems, number)
+		state.memoryUsed += p.loadedSize(state, number)
+		if p.items.at(number).adapter {
+			state.adapterSlotsUsed++
+		}
+		if state.isServing {
+			p.counts.uncertain[number]++
+		}
+	}
+}
+
+// subtractOrderedLoads leaves in counts.uncertain what View.Loading does not count already.
+func (p *planner) subtractOrderedLoads() {
+	for number, servers := range p.counts.uncertain {
+		p.counts.uncertain[number] = max(servers-p.loadsOrdered(number), 0)
+	}
+}
+
+// countLoaded counts the copies at a server if they count.
+func (p *planner) countLoaded(state *serverState) {
+	if !state.isServing {
+		return
+	}
+	p.counts.servingServers++
+	for _, number := range state.models {
+		p.counts.loadedCopies[number]++
+	}
+	for _, number := range state.adapters {
+		p.counts.loadedCopies[number]++
+	}
+	for _, model := range state.models {
+		if p.items.adapterCount(model) == 0 {
+			continue
+		}
+		p.counts.hosts[model] = append(p.counts.hosts[model], state.position)
+		if state.isFree() {
+			p.counts.freeHosts[model]++
+		}
+	}
+}
--- a/internal/placement/simulation_plan_test.go
+++ b/internal/placement/simulation_plan_test.go
@@ -5,17 +5,17 @@
 const (
 	simulatedUnload      = 600 * time.Millisecond
 	simulatedAdapterLoad = 300 * time.Millisecond
-	// simulatedDiskTime is the time of a load from disk, of that from the store.
+	// simulatedDiskTime is the time of a load from disk relative to one from the store.
 	simulatedDiskTime = 0.2
 	// simulatedCallTime is added to each load, in seconds.
 	simulatedCallTime = 0.3
 )
 
-// plan ends loads and unloads, and begins those of the next plan.
+// runPlanner ends loads and unloads, and starts those of the next plan.
 func (s *simulation) runPlanner() {
 	now := s.view.Now
 	clear(s.view.Loading)
-	stored := 0 // loads from the store under way
+	stored := 0 // loads from the store in progress
 	for _, server := range s.servers {
 		if server.action != nil && !now.Before(server.endsAt) {
 			server.finish()
@@ -28,14 +28,14 @@
 			}
 		}
 	}
-	kept := s.storeLoads[:0]
+	recent := s.storeLoads[:0]
 	for _, at := range s.storeLoads {
 		if now.Sub(at) < 6*time.Second {
-			kept = append(kept, at)
+			recent = append(recent, at)
 		}
 	}
-	s.storeLoads = kept
-	s.view.StoreTokens = s.loadsPerS*5 + 1 - float64(len(kept))
+	s.storeLoads = recent
+	s.view.StoreTokens = s.loadsPerS*5 + 1 - float64(len(recent))
 	for _, action := range Plan(s.view) {
 		for _, server := range s.servers {
 			if server.server.ID == action.Server {
@@ -46,7 +46,7 @@
 	}
 }
 
-// finish does what the action said.
+// finish completes the action.
 func (s *simulatedServer) finish() {
 	model := s.action.Model
 	if s.action.Load {
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -18,7 +18,7 @@
 	endsAt    time.Time
 }
 
-// simulatedServer is a server with the action under way there.
+// simulatedServer is a server with the action in progress there.
 type simulatedServer struct {
 	server  *Server
 	action  *Action
@@ -26,8 +26,8 @@
 	running int
 }
 
-// simulationSetup is a fleet with its requests: their rate, the skew of their models (Zipf), their aim and
-// time at a server in seconds, and the store's rate.
+// simulationSetup is a fleet with its requests: their rate, the skew of their models (Zipf), their latency target and
+// service time in seconds, and the store's rate.
 type simulationSetup struct {
 	fleetShape
 	perS, zipf, latencyTargetS, serviceS, loadsPerS float64
@@ -50,20 +50,25 @@
 	counts     map[string]int
 }
 
-func newSimulation(t simulationSetup, seed uint64) *simulation {
-	view := t.view(seed)
-	s := &simulation{simulationSetup: t, view: view, random: rand.New(rand.NewPCG(seed, 29)), counts: map[string]int{}}
+func newSimulation(setup simulationSetup, seed uint64) *simulation {
+	view := setup.view(seed)
+	s := &simulation{
+		simulationSetup: setup,
+		view:            view,
+		random:          rand.New(rand.NewPCG(seed, 29)),
+		counts:          map[string]int{},
+	}
 	runtime := view.Table.Configuration.Backends[0].Runtime
 	runtime.Slots = simulatedSlots
-	runtime.LoadsPerS = t.loadsPerS
+	runtime.LoadsPerS = setup.loadsPerS
 	clear(view.Demand)
 	for _, server := range view.Servers {
 		server.Ready = true
 		s.servers = append(s.servers, &simulatedServer{server: server})
 	}
 	total := 0.0
-	for index := range t.models {
-		total += math.Pow(float64(index+1), -t.zipf)
+	for index := range setup.models {
+		total += math.Pow(float64(index+1), -setup.zipf)
 		s.shares = append(s.shares, total)
 	}
 	for index := range s.shares {
@@ -72,12 +77,12 @@
 	return s
 }
 
-// before reports whether a server is to be preferred: it runs less, or its id is lower.
+// isPreferredTo reports whether a server is to be preferred: it runs less, or its id is lower.
 func (s *simulatedServer) isPreferredTo(other *simulatedServer) bool {
 	return s.running < other.running || s.running == other.running && s.server.ID < other.server.ID
 }
 
-// arrive adds the requests of a step.
+// addRequests adds the requests of a step.
 func (s *simulation) addRequests(step time.Duration) {
 	amount := s.perS * step.Seconds()
 	for amount > s.random.Float64() {
@@ -98,53 +103,77 @@
 	}
 }
 
-// serve ends requests, and starts those that find a slot.
+// serveRequests ends requests that are due, and starts those that find a slot.
 func (s *simulation) serveRequests() {
-	now := s.view.Now
+	s.endRequests()
+	hosts := s.hostsByReference()
+	waiting := s.waiting[:0]
+	for _, request := range s.waiting {
+		if !s.startRequest(request, hosts[request.reference]) {
+			waiting = append(waiting, request)
+		}
+	}
+	s.waiting = waiting
+}
+
+func (s *simulation) endRequests() {
 	running := s.running[:0]
-	for _, server := range s.running {
-		if now.Before(server.endsAt) {
-			running = append(running, server)
+	for _, request := range s.running {
+		if s.view.Now.Before(request.endsAt) {
+			running = append(running, request)
 		} else {
-			server.server.running--
+			request.server.running--
 		}
 	}
 	s.running = running
+}
+
+// hostsByReference returns the servers that serve each reference now.
+func (s *simulation) hostsByReference() map[string][]*simulatedServer {
 	hosts := map[string][]*simulatedServer{}
 	for _, server := range s.servers {
 		for reference := range server.server.Loaded {
-			base, _ := splitReference(reference)
-			if server.action == nil || server.action.Load || server.action.Model != reference && server.action.Model != base {
+			if !server.isUnloading(reference) {
 				hosts[reference] = append(hosts[reference], server)
 			}
 		}
 	}
-	waiting := s.waiting[:0]
-	for _, server := range s.waiting {
-		var best *simulatedServer
-		for _, host := range hosts[server.reference] {
-			if host.running < simulatedSlots && (best == nil || host.isPreferredTo(best)) {
-				best = host
-			}
+	return hosts
+}
+
+// isUnloading reports whether a reference, or its model, is being unloaded.
+func (s *simulatedServer) isUnloading(reference string) bool {
+	base, _ := splitReference(reference)
+	return s.action != nil && !s.action.Load && (s.action.Model == reference || s.action.Model == base)
+}
+
+// startRequest runs a request at the best of the hosts, or gives it up, and reports whether it did either.
+func (s *simulation) startRequest(request *simulatedRequest, hosts []*simulatedServer) bool {
+	var best *simulatedServer
+	for _, host := range hosts {
+		if host.running < simulatedSlots && (best == nil || host.isPreferredTo(best)) {
+			best = host
 		}
-		hasWaiting := now.Sub(server.arrivedAt).Seconds()
-		switch {
-		case best != nil:
-			best.running++
-			server.server, server.endsAt = best, now.Add(time.Duration(s.serviceS*(0.5+s.random.Float64())*float64(time.Second)))
-			s.running = append(s.running, server)
-			if hasWaiting <= s.latencyTargetS {
-				s.outcome.inTime++
-			} else {
-				s.outcome.late++
-			}
-		case hasWaiting > 3*s.latencyTargetS:
+	}
+	waitedS := s.view.Now.Sub(request.arrivedAt).Seconds()
+	if best == nil {
+		isLost := waitedS > 3*s.latencyTargetS
+		if isLost {
 			s.outcome.lost++
-		default:
-			waiting = append(waiting, server)
 		}
+		return isLost
 	}
-	s.waiting = waiting
+	best.running++
+	request.server = best
+	service := time.Duration(s.serviceS * (0.5 + s.random.Float64()) * float64(time.Second))
+	request.endsAt = s.view.Now.Add(service)
+	s.running = append(s.running, request)
+	if waitedS <= s.latencyTargetS {
+		s.outcome.inTime++
+	} else {
+		s.outcome.late++
+	}
+	return true
 }
 
 func (s *simulation) number(reference string) int {
@@ -157,27 +186,27 @@
 // updateDemand sets the view's demand, as the control plane does.
 func (s *simulation) updateDemand(step time.Duration) {
 	now := s.view.Now
-	for _, server := range s.view.Demand {
-		server.Waiting, server.OldestWaitMs, server.Running = 0, 0, 0
+	for _, demand := range s.view.Demand {
+		demand.Waiting, demand.OldestWaitMs, demand.Running = 0, 0, 0
 	}
-	of := func(reference string) *Demand {
+	demandOf := func(reference string) *Demand {
 		name := ModelKey("s", reference)
 		if s.view.Demand[name] == nil {
 			s.view.Demand[name] = &Demand{LatencyTargetMs: s.latencyTargetS * 1000}
 		}
 		return s.view.Demand[name]
 	}
-	for _, server := range s.waiting {
-		demand := of(server.reference)
+	for _, request := range s.waiting {
+		demand := demandOf(request.reference)
 		demand.Waiting++
-		demand.OldestWaitMs = max(demand.OldestWaitMs, float64(now.Sub(server.arrivedAt).Milliseconds()))
+		demand.OldestWaitMs = max(demand.OldestWaitMs, float64(now.Sub(request.arrivedAt).Milliseconds()))
 		demand.LastSeen = now
 	}
-	for _, server := range s.running {
-		of(server.reference).Running++
+	for _, request := range s.running {
+		demandOf(request.reference).Running++
 	}
 	for reference := range s.counts {
-		of(reference).LastSeen = now
+		demandOf(reference).LastSeen = now
 	}
 	for name, demand := range s.view.Demand {
 		updateRates(demand, float64(s.counts[name[2:]])/step.Seconds(), step)
--- a/internal/placement/sizebook.go
+++ b/internal/placement/sizehistory.go
@@ -2,35 +2,38 @@
 
 import "maps"
 
-// SizeHistory remembers sizes of what servers hold that the configuration in force no longer gives: of
-// models and adapters that were dropped, and of those made smaller. For each server and reference it
-// keeps the largest size of all configurations that were planned with while the server held or might
-// hold it, and forgets it once the server does neither.
+// SizeHistory remembers sizes of loaded items that the configuration in force no longer gives: of models
+// and adapters that were removed from it, and of those made smaller. For each server and reference it
+// keeps the largest size of all configurations that were planned with while the item was or might be
+// loaded at the server, and forgets it once it is not. Without it a load could exceed the replica's
+// memory after a configuration change.
 //
-// A book belongs to one grant of the placement lease: who plans anew starts with an empty one, for
-// others may have loaded by configurations that were not seen here. It goes from view to view and
-// is not safe for concurrent use. A nil book remembers nothing.
+// A history belongs to one grant of the placement lease: a new lease holder starts with an empty one,
+// because others may have loaded by configurations it never saw. It is passed from view to view and is
+// not safe for concurrent use. A nil history remembers nothing.
 type SizeHistory struct {
 	last    *Catalog                          // of the last plan
 	servers map[string]map[string]memoryUnits // by server id and reference
 }
 
-// NewSizeHistory makes an empty book.
-func NewSizeHistory() *SizeHistory { return &SizeHistory{servers: map[string]map[string]memoryUnits{}} }
+// NewSizeHistory returns an empty history.
+func NewSizeHistory() *SizeHistory {
+	return &SizeHistory{servers: map[string]map[string]memoryUnits{}}
+}
 
-// Copy makes a book that changes independently.
+// Clone returns a history that changes independently of the original.
 func (h *SizeHistory) Clone() *SizeHistory {
 	if h == nil {
 		return nil
 	}
-	copied := &SizeHistory{last: h.last, servers: make(map[string]map[string]memoryUnits, len(h.servers))}
+	clone := &SizeHistory{last: h.last, servers: make(map[string]map[string]memoryUnits, len(h.servers))}
 	for server, sizes := range h.servers {
-		copied.servers[server] = maps.Clone(sizes)
+		clone.servers[server] = maps.Clone(sizes)
 	}
-	return copied
+	return clone
 }
 
-// of is what is remembered of a server, by reference.
+// sizesAt returns the remembered sizes of a server, by reference.
 func (h *SizeHistory) sizesAt(server string) map[string]memoryUnits {
 	if h == nil {
 		return nil
@@ -38,7 +41,7 @@
 	return h.servers[server]
 }
 
-// observe takes in what the servers hold under a catalog.
+// observe records what the servers have loaded under a catalog.
 func (h *SizeHistory) observe(catalog *Catalog, servers []*Server) {
 	if h == nil {
 		return
@@ -55,26 +58,26 @@
 	h.last = catalog
 }
 
-// forgetUnloaded drops what no server holds or may hold any longer.
+// forgetUnloaded drops the sizes of what is certainly not loaded any longer.
 func (h *SizeHistory) forgetUnloaded(servers []*Server) {
 	if len(h.servers) == 0 {
 		return
 	}
-	kept := make(map[string]map[string]memoryUnits, len(h.servers))
+	remaining := make(map[string]map[string]memoryUnits, len(h.servers))
 	for _, server := range servers {
 		sizes := h.servers[server.ID]
 		maps.DeleteFunc(sizes, func(reference string, _ memoryUnits) bool {
 			return !server.Loaded[reference] && !server.MaybeLoaded[reference]
 		})
 		if len(sizes) > 0 {
-			kept[server.ID] = sizes
+			remaining[server.ID] = sizes
 		}
 	}
-	h.servers = kept
+	h.servers = remaining
 }
 
-// remember notes the sizes by the last catalog that the next one does not give or gives smaller. Either
-// is nil where the backend has no models placed.
+// remember records the sizes of the last catalog that the next one omits or makes smaller. A catalog is
+// nil if the backend has no runtime in that configuration.
 func (h *SizeHistory) remember(server *Server, last, next *backendCatalog) {
 	for _, loaded := range []map[string]bool{server.Loaded, server.MaybeLoaded} {
 		for reference := range loaded {
--- a/internal/placement/worlds_test.go
+++ b/internal/placement/world_test.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/configuration"
 )
 
-// worldOrder is an order on its way. Its fate is one of several: done at once or late, or never done. The
+// worldOrder is an order in progress. Its outcome is one of several: done at once or late, or never done. The
 // planner learns it at a later step; until then the replica is busy or, where unclear, may have new orders.
 type worldOrder struct {
 	action      Action
@@ -25,15 +25,15 @@
 
 const neverDone = -1
 
-// worldReplica is what a replica truly holds. Each reference counts with the largest size that a
-// configuration gave it while it was held.
+// worldReplica is what a replica has actually loaded. Each reference counts with the largest size that a
+// configuration gave it while it was loaded.
 type worldReplica struct {
 	server *Server
 	loaded map[string]float64 // MB by reference
 	orders []*worldOrder
 }
 
-// world plays configurations and orders of unknown fate against the planner.
+// world plays configurations and orders of unknown outcome against the planner.
 type world struct {
 	t        *testing.T
 	note     string
@@ -65,7 +65,7 @@
 	return w
 }
 
-// configure puts the next configuration in force: the last one names all models and has ample room.
+// configure puts the next configuration in force: the last one names all models and has ample memory.
 func (w *world) configure(last bool) {
 	var models []configuration.Model
 	for index := range w.models {
@@ -92,7 +92,7 @@
 	return w.view.Table.Configuration.Backends[0].Runtime
 }
 
-// ask has requests wait for references that no replica surely holds, and run where one does.
+// setDemand has requests wait for references that no replica certainly has loaded, and run on the others.
 func (w *world) setDemand(references []string) {
 	clear(w.view.Demand)
 	for _, reference := range references {
@@ -133,7 +133,7 @@
 	}
 }
 
-// order gives an action its fate.
+// scheduleOrder draws the outcome of an action.
 func (w *world) scheduleOrder(action Action, step int, withFaults bool) *worldOrder {
 	size, _ := configuredSize(w.runtime(), action.Model)
 	order := &worldOrder{action: action, doneAt: step + 1 + w.random.IntN(4), plannedSize: size}
@@ -148,7 +148,7 @@
 	return order
 }
 
-// check checks a load in the world in which all that may be carried out is.
+// checkLoad checks a load assuming that all orders of unknown outcome are carried out.
 func (w *world) checkLoad(replica *worldReplica, action Action) {
 	if !action.Load {
 		assert.Assert(w.t, replica.server.Loaded[action.Model], "%s: %v", w.note, action)
@@ -223,7 +223,7 @@
 	return references
 }
 
-// sizeHistoryIsBounded reports whether the book names only what the servers hold or may hold.
+// sizeHistoryIsBounded reports whether the history names only what is or may be loaded.
 func (w *world) sizeHistoryIsBounded() bool {
 	w.view.SizeHistory.forgetUnloaded(w.view.Servers)
 	for _, replica := range w.replicas {
--- a/internal/placement/worldreplica_test.go
+++ b/internal/placement/worldreplica_test.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/configuration"
 )
 
-// advance carries out the orders that are due, and forgets those whose fate is known.
+// advance carries out the orders that are due, and forgets those whose outcome is known.
 func (r *worldReplica) advance(step int, runtime *configuration.Runtime) {
 	var left []*worldOrder
 	for _, order := range r.orders {
@@ -39,7 +39,7 @@
 	}
 }
 
-// show gives the planner's view of the replica the bounds of what it holds in all possible worlds.
+// updateView sets the bounds of what the replica has loaded, as the planner may know them.
 func (r *worldReplica) updateView(loading map[string]int) {
 	server := r.server
 	server.Loaded, server.MaybeLoaded, server.Ready = map[string]bool{}, map[string]bool{}, true
@@ -74,7 +74,7 @@
 
 // describe is the state of the world, for a failing test.
 func (w *world) describe() string {
-	text := fmt.Sprintf("%s, room %v, %v", w.note, w.runtime().WeightSizeMb, w.runtime().Models)
+	text := fmt.Sprintf("%s, memory %v, %v", w.note, w.runtime().WeightSizeMb, w.runtime().Models)
 	for _, replica := range w.replicas {
 		server := replica.server
 		text += fmt.Sprintf("\n%s ready %v intent %q holds %v may hold %v remembered %v",
