--- a/cmd/ferryspar-replay/main.go
+++ b/cmd/ferryspar-replay/main.go
@@ -101,7 +101,7 @@
 	parameters.BatchSize = o.Batch
 	parameters.BatchWait = time.Duration(o.WaitMs * float64(time.Millisecond))
 	parameters.Delta = o.Delta
-	parameters.CrossPrice = o.Cross
+	parameters.CrossZoneCost = o.Cross
 	model := replay.DefaultTimingModel()
 	model.PrefillMsPerThousand = o.ReadMs
 	return replay.NewEngine(parameters, o.zone(entries), model)
--- a/internal/dataplane/daemon.go
+++ b/internal/dataplane/daemon.go
@@ -45,9 +45,9 @@
 	bounds := settings.TimingBounds
 	startedAt := incarnationStart(settings)
 	parameters := routing.DefaultParameters()
-	parameters.Daemon, parameters.LifeBegan = settings.NodeName, startedAt
-	parameters.ColdOverage = bounds.ColdOverage
-	parameters.ColdSlack = bounds.ColdSlack
+	parameters.NodeName, parameters.StartedAt = settings.NodeName, startedAt
+	parameters.WarmUpOverage = bounds.ColdOverage
+	parameters.WarmUpSlack = bounds.ColdSlack
 	node.fleet.Store(&routing.Snapshot{})
 	node.matcher = routing.NewMatcher(parameters, settings.Zone, time.Now, &node.fleet)
 	node.state = NewFleetState(settings, time.Now, &node.fleet, node.matcher.SnapshotChanged)
--- a/internal/routing/graph.go
+++ b/internal/routing/graph.go
@@ -148,5 +148,5 @@
 // up. What an earlier incarnation of the data plane sent is unknown, so its whole share counts as used
 // when this one started.
 func (m *Matcher) mayUseWarmingUp(state *replicaState, share warmUpShare, now time.Time) bool {
-	return now.Sub(m.parameters.LifeBegan) >= share.window && state.maySendDuringWarmUp(now, share)
+	return now.Sub(m.parameters.StartedAt) >= share.window && state.maySendDuringWarmUp(now, share)
 }
--- a/internal/routing/ledger_test.go
+++ b/internal/routing/ledger_test.go
@@ -115,7 +115,7 @@
 
 func BenchmarkPrefixLedger_Request(b *testing.B) {
 	b.ReportAllocs()
-	limit := DefaultParameters().LedgerBound
+	limit := DefaultParameters().LedgerLimit
 	ledger, number := filledLedger(limit), limit
 	names, models := make([]string, 720), make([]string, 1600)
 	for index := range names {
@@ -137,7 +137,7 @@
 func BenchmarkPrefixLedger_Fill(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		filledLedger(DefaultParameters().LedgerBound)
+		filledLedger(DefaultParameters().LedgerLimit)
 	}
 }
 
@@ -146,7 +146,7 @@
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		ledger := filledLedger(DefaultParameters().LedgerBound)
+		ledger := filledLedger(DefaultParameters().LedgerLimit)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		runtime.KeepAlive(ledger)
--- /dev/null
+++ b/internal/routing/parameters_test.go
@@ -0,0 +1,20 @@
+package routing
+
+import (
+	"reflect"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// The keys of scenario files in docs/experiments must not change with the names of the fields.
+func TestParameters_ScenarioKeysStayTheSame(t *testing.T) {
+	var keys []string
+	for _, field := range reflect.VisibleFields(reflect.TypeFor[Parameters]()) {
+		keys = append(keys, field.Tag.Get("koanf"))
+	}
+	assert.DeepEqual(t, keys, []string{
+		"batchSize", "batchWait", "delta", "tokenPrice", "crossPrice", "lateWorth", "latencyBound", "queueBound",
+		"ledgerBound", "ledgerLife", "hitAffinity", "hitMargin", "daemon", "coldOverage", "coldSlack", "lifeBegan",
+	})
+}
--- a/internal/routing/queue.go
+++ b/internal/routing/queue.go
@@ -21,7 +21,7 @@
 	wasIdle := m.queue.len() == 0
 	m.queue.insert(request)
 	m.queue.unbatched++
-	if m.queue.len() > m.parameters.QueueBound {
+	if m.queue.len() > m.parameters.QueueLimit {
 		m.rejectLowest()
 	}
 	if m.queue.unbatched == 1 {
--- a/internal/routing/reports.go
+++ b/internal/routing/reports.go
@@ -117,14 +117,14 @@
 func (m *Matcher) checkCacheHit(state *replicaState, report Report, observedMs float64) {
 	ticket := report.Ticket
 	request := ticket.request
-	if ticket.cachedTokens/max(1, request.PromptTokens) < m.parameters.HitAffinity {
+	if ticket.cachedTokens/max(1, request.PromptTokens) < m.parameters.HitCheckAffinity {
 		return
 	}
 	uncached := ticket.features
 	uncached[featureUncached] = request.PromptTokens / tokensPerThousand * ticket.pace
 	uncached[featureAffinity] = 0
 	missMs := state.predictor.Latency(uncached)
-	if missMs-ticket.predictedMs > m.parameters.HitMargin && observedMs > missMs {
+	if missMs-ticket.predictedMs > m.parameters.HitCheckMarginMs && observedMs > missMs {
 		m.ledger.RecordMiss(ticket.replica, request.prompt())
 		m.ledger.RecordPrompt(ticket.replica, request.prompt(), request.Arrived, report.At)
 	}
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -41,12 +41,12 @@
 	predictedMs := state.predictor.Latency(features)
 	latencyTargetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
 	quality := m.quality(request, state.predictor.SuccessRate(), predictedMs, latencyTargetMs, now)
-	cost := m.parameters.TokenPrice * uncachedTokens * row.pace
+	cost := m.parameters.TokenCost * uncachedTokens * row.pace
 	if replica.Zone != m.zone {
-		cost += m.parameters.CrossPrice
+		cost += m.parameters.CrossZoneCost
 	}
 	delta := m.parameters.Delta
-	latency := min(predictedMs/latencyTargetMs, m.parameters.LatencyBound)
+	latency := min(predictedMs/latencyTargetMs, m.parameters.MaxLatencyRatio)
 	value := delta*quality - (1-delta)*latency
 	return scoredPair{
 		weight:         value - cost,
@@ -82,7 +82,7 @@
 	elapsedMs := float64(now.Sub(request.Arrived).Milliseconds())
 	excessMs := elapsedMs + predictedMs - latencyTargetMs*inTimeMidpoint
 	inTime := 1 / (1 + math.Exp(excessMs/(latencyTargetMs*inTimeWidth)))
-	late := m.parameters.LateWorth
+	late := m.parameters.LateValue
 	return successRate * (late + (1-late)*inTime)
 }
 
--- a/internal/routing/snapshot_test.go
+++ b/internal/routing/snapshot_test.go
@@ -63,7 +63,7 @@
 	fixture := newTestFleet(1, 1, 1, func(int) int { return 0 })
 	fixture.snapshot.Load().Replicas[0].WarmUpUntil = fixture.now.Add(time.Minute)
 	startedAt := fixture.now
-	fixture.matcher.parameters.LifeBegan = startedAt
+	fixture.matcher.parameters.StartedAt = startedAt
 	request := fixture.request()
 	fixture.matcher.Enqueue(request)
 	fixture.now = startedAt.Add(time.Second - 1)
--- a/internal/routing/warmup.go
+++ b/internal/routing/warmup.go
@@ -16,7 +16,7 @@
 func (p Parameters) warmUpLimit(perSecond float64) warmUpLimit {
 	return warmUpLimit{
 		perSecond:    perSecond,
-		maxPerSecond: perSecond*p.ColdOverage + p.ColdSlack,
+		maxPerSecond: perSecond*p.WarmUpOverage + p.WarmUpSlack,
 	}
 }
 
--- a/internal/routing/warmup_test.go
+++ b/internal/routing/warmup_test.go
@@ -93,8 +93,8 @@
 		fixture := newTestFleet(1, 1, dataPlanes, func(int) int { return 0 })
 		parameters := &fixture.matcher.parameters
 		fixture.matcher.replicas.nodeName = strconv.Itoa(dataPlane)
-		parameters.ColdOverage = 1.5
-		parameters.ColdSlack = 5
+		parameters.WarmUpOverage = 1.5
+		parameters.WarmUpSlack = 5
 		fixture.snapshot.Load().Replicas[0].WarmUpUntil = fixture.now.Add(3 * time.Second)
 		first, second := fixture.request(), fixture.request()
 		fixture.matcher.Enqueue(first)
