--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -6,6 +6,7 @@
 	"ferryspar/internal/apierror"
 )
 
+// invalid returns an error that names the section and item that cannot be used.
 func invalid(format string, arguments ...any) error {
 	return apierror.New(apierror.InvalidConfiguration, format, arguments...)
 }
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -1,8 +1,9 @@
-// Package configuration reads, checks, patches and packs the operator's configuration, and answers
+// Package configuration parses, checks, patches and compresses the operator's configuration, and answers
 // look-ups in it.
 //
-// It keeps nothing on disk and decides nothing about versions: that is the control plane's. Start
-// reading at Configuration, then Parse for the way in and Table for the way it is used.
+// It keeps nothing on disk and decides nothing about versions: that is the control plane's. Start reading at
+// Configuration, then Parse for the way in and Table for the way it is used. The JSON names are the
+// operator's API; Parse and Decode must read the same document alike, since data planes only decode.
 package configuration
 
 import (
@@ -16,7 +17,7 @@
 	"ferryspar/internal/apierror"
 )
 
-// The types of routes: whether a request may be sent again after a failure.
+// The types of routes: whether a request may be executed again after a failure.
 const (
 	Idempotent    = "idempotent"
 	NonIdempotent = "non_idempotent"
@@ -25,75 +26,101 @@
 
 // Configuration is one version of what may be served.
 type Configuration struct {
+	// Revision is the operator's number of the version, above 0.
 	Revision int64     `json:"revision" koanf:"revision"`
 	Routes   []Route   `json:"routeTable" koanf:"routeTable"`
 	Backends []Backend `json:"backends" koanf:"backends"`
 	Limits   Limits    `json:"limits" koanf:"limits"`
-	// Tenants is nil where no request needs a key. An empty list lets only public routes be used.
+	// Tenants is nil if no request needs a key. An empty list allows only public routes.
 	Tenants []Tenant `json:"tenants,omitzero" koanf:"-"`
 }
 
-// Route maps a host and path prefix to backends, with the bounds its requests must keep. Times are
-// milliseconds.
+// Route maps a host and path prefix to backends, with the limits that its requests must keep.
 type Route struct {
-	Name            string   `json:"name" koanf:"name"`
-	Hostname        string   `json:"hostname" koanf:"hostname"`
-	PathPrefix      string   `json:"pathPrefix" koanf:"pathPrefix"`
-	RouteType       string   `json:"routeType" koanf:"routeType"`
-	TimeoutMs       float64  `json:"timeoutMs" koanf:"timeoutMs"`
-	TargetLatencyMs float64  `json:"targetLatencyMs" koanf:"targetLatencyMs"`
-	Priority        int      `json:"priority" koanf:"priority"`
-	Backend         string   `json:"backend" koanf:"backend"`
-	TrafficSplit    []Split  `json:"trafficSplit" koanf:"trafficSplit"`
-	RetryCount      int      `json:"retryCount" koanf:"retryCount"`
-	Sticky          bool     `json:"sticky" koanf:"sticky"`
-	Resumable       bool     `json:"resumable" koanf:"resumable"`
-	TokenGapMs      float64  `json:"tokenGapMs" koanf:"tokenGapMs"`
-	AllowedRegions  []string `json:"allowedRegions" koanf:"allowedRegions"`
-	// Public routes take requests without a key.
+	Name     string `json:"name" koanf:"name"`
+	Hostname string `json:"hostname" koanf:"hostname"`
+	// PathPrefix starts and ends with a slash. The longest matching prefix wins.
+	PathPrefix string `json:"pathPrefix" koanf:"pathPrefix"`
+	// RouteType is Idempotent, NonIdempotent or Streaming.
+	RouteType string `json:"routeType" koanf:"routeType"`
+	// TimeoutMs is the time for a whole request in ms, above 0.
+	TimeoutMs float64 `json:"timeoutMs" koanf:"timeoutMs"`
+	// TargetLatencyMs is the latency target for the first event in ms; 0 for none.
+	TargetLatencyMs float64 `json:"targetLatencyMs" koanf:"targetLatencyMs"`
+	// Priority of the requests; 0 is the highest.
+	Priority int `json:"priority" koanf:"priority"`
+	// Backend gets all requests if TrafficSplit is empty.
+	Backend      string  `json:"backend" koanf:"backend"`
+	TrafficSplit []Split `json:"trafficSplit" koanf:"trafficSplit"`
+	// RetryCount is how many replicas a request may be sent to; 0 counts as 1.
+	RetryCount int `json:"retryCount" koanf:"retryCount"`
+	// Sticky marks routes whose requests name a model and the parts of their prompts. Informational: every
+	// request that does is routed by its cached prefix.
+	Sticky bool `json:"sticky" koanf:"sticky"`
+	// Resumable streams continue at Last-Event-Id on another replica.
+	Resumable bool `json:"resumable" koanf:"resumable"`
+	// TokenGapMs is the longest gap between two events of a stream in ms; 0 for no limit.
+	TokenGapMs float64 `json:"tokenGapMs" koanf:"tokenGapMs"`
+	// AllowedRegions are the regions whose replicas may serve; empty for all.
+	AllowedRegions []string `json:"allowedRegions" koanf:"allowedRegions"`
+	// Public routes accept requests without a key.
 	Public bool `json:"public" koanf:"public"`
 }
 
-// Split is one backend's part of a route's traffic, relative to the other weights.
+// Split is one backend's share of a route's traffic, relative to the other weights.
 type Split struct {
 	Backend string  `json:"backend" koanf:"backend"`
 	Weight  float64 `json:"weight" koanf:"weight"`
 }
 
-// Backend is a service: a set of alike replicas and the limits that hold for each of them.
+// Backend is a service: a set of identical replicas and the limits of each of them.
 type Backend struct {
-	Name       string   `json:"name" koanf:"name"`
-	HealthPath string   `json:"healthPath" koanf:"healthPath"`
-	MaxConns   int      `json:"maxConns" koanf:"maxConns"`
-	ColdStartS float64  `json:"coldStartS" koanf:"coldStartS"`
-	ColdPerS   float64  `json:"coldPerS" koanf:"coldPerS"`
-	Runtime    *Runtime `json:"runtime" koanf:"runtime"`
+	Name string `json:"name" koanf:"name"`
+	// HealthPath is the path of health checks.
+	HealthPath string `json:"healthPath" koanf:"healthPath"`
+	// MaxConns is the limit of connections to a replica, from all data planes together.
+	MaxConns int `json:"maxConns" koanf:"maxConns"`
+	// ColdStartS is how long a replica warms up after its start in seconds, and ColdPerS the requests per
+	// second it takes until then, from all data planes together.
+	ColdStartS float64 `json:"coldStartS" koanf:"coldStartS"`
+	ColdPerS   float64 `json:"coldPerS" koanf:"coldPerS"`
+	// Runtime is nil if the replicas load no models.
+	Runtime *Runtime `json:"runtime" koanf:"runtime"`
 }
 
-// Runtime is what the replicas of a backend can hold. KvCacheTokens is the room for running
-// requests in tokens, LoadsPerS the loads that the backend's store takes a second.
+// Runtime is what each replica of a backend can load and run.
 type Runtime struct {
-	Slots           int     `json:"slots" koanf:"slots"`
-	KvCacheTokens   float64 `json:"kvCacheTokens" koanf:"kvCacheTokens"`
-	KvTokenBytes    float64 `json:"kvTokenBytes" koanf:"kvTokenBytes"`
-	StepSize        float64 `json:"stepSize" koanf:"stepSize"`
-	Models          []Model `json:"modelList" koanf:"modelList"`
-	WeightSizeMb    float64 `json:"weightSizeMb" koanf:"weightSizeMb"`
-	AdapterCapacity int     `json:"adapterCapacity" koanf:"adapterCapacity"`
-	LoadsPerS       float64 `json:"loadsPerS" koanf:"loadsPerS"`
+	// Slots is how many requests a replica runs at once.
+	Slots int `json:"slots" koanf:"slots"`
+	// KvCacheTokens is the KV memory for running requests in tokens; 0 for no limit.
+	KvCacheTokens float64 `json:"kvCacheTokens" koanf:"kvCacheTokens"`
+	// KvTokenBytes (the size of a token in bytes) and StepSize are informational.
+	KvTokenBytes float64 `json:"kvTokenBytes" koanf:"kvTokenBytes"`
+	StepSize     float64 `json:"stepSize" koanf:"stepSize"`
+	// Models are those that may be loaded.
+	Models []Model `json:"modelList" koanf:"modelList"`
+	// WeightSizeMb is the memory for weights of models and adapters in MB.
+	WeightSizeMb float64 `json:"weightSizeMb" koanf:"weightSizeMb"`
+	// AdapterCapacity is how many adapters may be loaded at once.
+	AdapterCapacity int `json:"adapterCapacity" koanf:"adapterCapacity"`
+	// LoadsPerS is how many loads per second the backend's model store allows, over all replicas.
+	LoadsPerS float64 `json:"loadsPerS" koanf:"loadsPerS"`
 }
 
-// Model is a model that replicas of a backend may load. Adapters is a count: the adapters are
-// parseNamedItems a1, a2 and so on.
+// Model is a model that replicas of a backend may load.
 type Model struct {
-	Name          string  `json:"name" koanf:"name"`
-	WeightSizeMb  float64 `json:"weightSizeMb" koanf:"weightSizeMb"`
-	LoadTimeS     float64 `json:"loadTimeS" koanf:"loadTimeS"`
-	Adapters      int     `json:"adapterList" koanf:"adapterList"`
+	Name string `json:"name" koanf:"name"`
+	// WeightSizeMb is the memory it takes in MB.
+	WeightSizeMb float64 `json:"weightSizeMb" koanf:"weightSizeMb"`
+	// LoadTimeS is the time of a load from the model store in seconds.
+	LoadTimeS float64 `json:"loadTimeS" koanf:"loadTimeS"`
+	// Adapters is a count; the adapters have the names a1, a2 and so on.
+	Adapters int `json:"adapterList" koanf:"adapterList"`
+	// AdapterSizeMb is the memory that each adapter takes in MB.
 	AdapterSizeMb float64 `json:"adapterSizeMb" koanf:"adapterSizeMb"`
 }
 
-// Limits bounds what clients may send.
+// Limits are what clients may send: sizes in bytes, times in ms.
 type Limits struct {
 	MaxHeaderBytes  int     `json:"maxHeaderBytes" koanf:"maxHeaderBytes"`
 	MaxBodyBytes    int64   `json:"maxBodyBytes" koanf:"maxBodyBytes"`
@@ -101,13 +128,13 @@
 	IdleTimeoutMs   float64 `json:"idleTimeoutMs" koanf:"idleTimeoutMs"`
 }
 
-// Repeatable tells whether a request may be sent to a second replica after the first may have run
+// IsIdempotent reports whether a request may be sent to a second replica after the first may have executed
 // it.
 func (r Route) IsIdempotent() bool {
 	return r.RouteType == Idempotent || r.RouteType == Streaming && r.Resumable
 }
 
-// Splits returns the traffic split, with the single backend as its only part where there is none.
+// Splits returns the traffic split, with the single backend as its only element if there is none.
 func (r Route) Splits() []Split {
 	if len(r.TrafficSplit) > 0 {
 		return r.TrafficSplit
@@ -115,7 +142,7 @@
 	return []Split{{Backend: r.Backend, Weight: 1}}
 }
 
-// Parse parses and checks a whole configuration as an operator sends it. Errors are of kind
+// Parse parses and checks a complete configuration as an operator sends it. Errors are of kind
 // apierror.InvalidConfiguration.
 func Parse(document []byte) (Configuration, error) {
 	var parsed Configuration
@@ -140,8 +167,8 @@
 	return parsed, parsed.Check()
 }
 
-// decodeError names the part of a configuration that data planes could not decode, and nothing of its content: that
-// may be a key.
+// decodeError names the field of a configuration that data planes could not decode, and nothing of its
+// content: that may be a key.
 func decodeError(err error) error {
 	field := "configuration"
 	var wrongType *json.UnmarshalTypeError
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -60,7 +60,7 @@
 	f.Add([]byte(`{"revision":"x"}`))
 	f.Add([]byte(`{"revision":1,"routeTable":{}}`))
 	f.Add([]byte(`[]`))
-	f.Fuzz(func(t *testing.T, content []byte) {
+	f.Fuzz(func(_ *testing.T, content []byte) {
 		if read, err := Parse(content); err == nil {
 			NewTable(read, content).FindRoute("a", "/")
 		}
--- a/internal/configuration/keys.go
+++ b/internal/configuration/keys.go
@@ -9,26 +9,27 @@
 	"strings"
 )
 
-// APIKey is the secret by which a request shows whose it is. However it is formatted, only its digest is seen; the
-// key itself is written by encoding/json alone, where a configuration is stored or sent.
+// APIKey is the secret by which a request proves its tenant. However it is formatted, only its digest is
+// shown; the key itself is written by encoding/json alone, where a configuration is stored or sent.
 type APIKey string
 
-// KeyHash stands for a key in look-ups, so that no key needs to be kept.
+// KeyHash replaces a key in look-ups, so that no key needs to be kept.
 type KeyHash [sha256.Size]byte
 
 const (
-	// tenantsSection is the configuration's member that holds tenants and so keys.
+	// tenantsSection is the member of a document that contains tenants and so keys.
 	tenantsSection = "tenants"
-	// digestPrefix begins a key's digest, so that neither is taken for the other.
+	// digestPrefix begins a key's digest, so that neither can be mistaken for the other.
 	digestPrefix = "sha256:"
-	// digestBytes is how much of the hash a digest shows: enough to tell keys apart, too little to confirm a guess.
+	// digestBytes is how much of the hash a digest shows: enough to distinguish keys, too little to confirm a
+	// guess.
 	digestBytes = 4
 )
 
 // HashKey returns the hash of a key as a client sent it.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// Digest is what logs and status show for the key. That of a digest is the digest itself.
+// Digest returns what logs and status show for the key. That of a digest is the digest itself.
 func (k APIKey) Digest() string {
 	if k.isDigest() {
 		return string(k)
@@ -42,7 +43,7 @@
 // Format writes the digest for every verb.
 func (k APIKey) Format(state fmt.State, _ rune) { _, _ = io.WriteString(state, k.Digest()) }
 
-// fault says why the key cannot be used, without telling it.
+// invalidReason says why the key cannot be used, without revealing it; empty for a valid one.
 func (k APIKey) invalidReason() string {
 	switch {
 	case k == "":
@@ -56,7 +57,7 @@
 	}
 }
 
-// Redacted returns a copy of the configuration with a digest in the place of each key.
+// Redacted returns a copy of the configuration with a digest in place of each key.
 func (c Configuration) Redacted() Configuration {
 	if c.Tenants == nil {
 		return c
@@ -69,7 +70,7 @@
 	return c
 }
 
-// RedactDocument returns a configuration's document with a digest in the place of each key.
+// RedactDocument returns a configuration's document with a digest in place of each key.
 func RedactDocument(document []byte) ([]byte, error) {
 	decoded, err := Decode(document)
 	if err != nil {
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -5,6 +5,9 @@
 	"sort"
 )
 
+// revisionSection is the member of a document that holds its revision.
+const revisionSection = "revision"
+
 // Patch is a change of a configuration: items to add or replace and names to remove, by section.
 type Patch struct {
 	Revision json.RawMessage            `json:"revision"`
@@ -12,8 +15,23 @@
 	Remove   map[string][]string        `json:"remove"`
 }
 
-// ApplyPatch returns document with the change made to it, unchecked. Errors are of kind
-// apierror.InvalidConfiguration when the change cannot be read.
+// sections returns the names of the changed sections, sorted.
+func (p Patch) sections() []string {
+	names := make([]string, 0, len(p.Upsert)+len(p.Remove))
+	for section := range p.Upsert {
+		names = append(names, section)
+	}
+	for section := range p.Remove {
+		if _, listed := p.Upsert[section]; !listed {
+			names = append(names, section)
+		}
+	}
+	sort.Strings(names)
+	return names
+}
+
+// ApplyPatch returns the document with the change made to it, unchecked: members that the change does not
+// name stay byte for byte. Errors are of kind apierror.InvalidConfiguration if the change cannot be read.
 func ApplyPatch(document, change []byte) ([]byte, error) {
 	var patch Patch
 	if err := json.Unmarshal(change, &patch); err != nil {
@@ -28,20 +46,8 @@
 			return nil, err
 		}
 	}
-	result["revision"] = patch.Revision
-	sections := map[string]bool{}
-	for section := range patch.Upsert {
-		sections[section] = true
-	}
-	for section := range patch.Remove {
-		sections[section] = true
-	}
-	ordered := make([]string, 0, len(sections))
-	for section := range sections {
-		ordered = append(ordered, section)
-	}
-	sort.Strings(ordered)
-	for _, section := range ordered {
+	result[revisionSection] = patch.Revision
+	for _, section := range patch.sections() {
 		merged, err := mergeSection(section, result[section], patch.Upsert[section], patch.Remove[section])
 		if err != nil {
 			return nil, err
@@ -51,64 +57,72 @@
 	return json.Marshal(result)
 }
 
+// mergeSection returns a section with items added or replaced by name, and then items removed. A section that
+// is not a list of named items can only be replaced as a whole.
 func mergeSection(section string, present, upsert json.RawMessage, remove []string) (json.RawMessage, error) {
-	items, names, err := parseNamedItems(section, present)
+	items, err := parseNamedItems(section, present)
 	if err != nil {
 		if len(upsert) > 0 && len(remove) == 0 {
 			return upsert, nil
 		}
 		return nil, err
 	}
-	added, addedNames, err := parseNamedItems(section, upsert)
+	added, err := parseNamedItems(section, upsert)
 	if err != nil {
 		if len(remove) == 0 && len(items) == 0 {
 			return upsert, nil
 		}
 		return nil, err
 	}
-	positions := make(map[string]int, len(names))
-	for position, name := range names {
-		positions[name] = position
-	}
-	removed := make(map[string]bool, len(remove))
-	for _, name := range remove {
-		removed[name] = true
+	positions := make(map[string]int, len(items))
+	for position, item := range items {
+		positions[item.name] = position
 	}
-	for index, item := range added {
-		if position, known := positions[addedNames[index]]; known {
+	for _, item := range added {
+		if position, known := positions[item.name]; known {
 			items[position] = item
 			continue
 		}
-		positions[addedNames[index]] = len(items)
+		positions[item.name] = len(items)
 		items = append(items, item)
-		names = append(names, addedNames[index])
+	}
+	removed := make(map[string]bool, len(remove))
+	for _, name := range remove {
+		removed[name] = true
 	}
 	remaining := make([]json.RawMessage, 0, len(items))
-	for position, item := range items {
-		if !removed[names[position]] {
-			remaining = append(remaining, item)
+	for _, item := range items {
+		if !removed[item.name] {
+			remaining = append(remaining, item.content)
 		}
 	}
 	return json.Marshal(remaining)
 }
 
-func parseNamedItems(section string, list json.RawMessage) ([]json.RawMessage, []string, error) {
+// namedItem is an item of a section.
+type namedItem struct {
+	name    string
+	content json.RawMessage
+}
+
+// parseNamedItems splits a section into its items. Each must have a name.
+func parseNamedItems(section string, list json.RawMessage) ([]namedItem, error) {
 	if len(list) == 0 {
-		return nil, nil, nil
+		return nil, nil
 	}
-	var items []json.RawMessage
-	if err := json.Unmarshal(list, &items); err != nil {
-		return nil, nil, invalid("%s is no list", section)
+	var contents []json.RawMessage
+	if err := json.Unmarshal(list, &contents); err != nil {
+		return nil, invalid("%s is no list", section)
 	}
-	names := make([]string, len(items))
-	for position, item := range items {
+	items := make([]namedItem, len(contents))
+	for position, content := range contents {
 		var label struct {
 			Name string `json:"name"`
 		}
-		if err := json.Unmarshal(item, &label); err != nil || label.Name == "" {
-			return nil, nil, invalid("%s[%d]: name is missing", section, position)
+		if err := json.Unmarshal(content, &label); err != nil || label.Name == "" {
+			return nil, invalid("%s[%d]: name is missing", section, position)
 		}
-		names[position] = label.Name
+		items[position] = namedItem{label.Name, content}
 	}
-	return items, names, nil
+	return items, nil
 }
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -6,21 +6,25 @@
 	"strings"
 )
 
-// Table answers look-ups in one configuration. It is read-only once built and safe for concurrent
-// use.
+// Table answers look-ups in one configuration. It is immutable and safe for concurrent use.
 type Table struct {
-	Configuration Configuration
-	Document      []byte
-	hosts         map[string]map[string]int
-	backends      map[string]int
-	models        []map[string]int
+	Configuration Configuration             // with digests in place of keys
+	Document      []byte                    // it was read from, or nil
+	hosts         map[string]map[string]int // route position by host and path prefix
+	backends      map[string]int            // position by name
+	models        []map[string]int          // position by backend position and name
 	tenants       map[KeyHash]TenantNumber
 }
 
-// NewTable returns the table of a configuration. Document is what it was read from, nil where nobody
-// asks for it. The table keeps hashes of keys only.
+// NewTable returns the table of a configuration. document is what it was read from, nil if nobody needs it.
+// The table keeps only hashes of keys.
 func NewTable(source Configuration, document []byte) *Table {
-	table := &Table{Configuration: source, Document: document, hosts: map[string]map[string]int{}, backends: map[string]int{}}
+	table := &Table{
+		Configuration: source,
+		Document:      document,
+		hosts:         map[string]map[string]int{},
+		backends:      map[string]int{},
+	}
 	for index, route := range source.Routes {
 		host := strings.ToLower(route.Hostname)
 		if table.hosts[host] == nil {
@@ -53,7 +57,7 @@
 	}
 }
 
-// TenantByName returns the tenant of a name, nil where there is none.
+// TenantByName returns the tenant of a name, nil if there is none.
 func (t *Table) TenantByName(name string) *Tenant {
 	for index := range t.Configuration.Tenants {
 		if t.Configuration.Tenants[index].Name == name {
@@ -63,7 +67,7 @@
 	return nil
 }
 
-// RequiresKeys tells whether requests must carry a key, but for public routes.
+// RequiresKeys reports whether requests must carry a key, except on public routes.
 func (t *Table) RequiresKeys() bool { return t.Configuration.Tenants != nil }
 
 // FindTenant returns the number of the tenant that holds a key, or NoTenant.
@@ -107,8 +111,7 @@
 	return &t.Configuration.Backends[index], index, true
 }
 
-// HasModel tells whether the backend at the index lists the reference, "model" or
-// "model/adapter".
+// HasModel reports whether the backend at the index lists the reference, "model" or "model/adapter".
 func (t *Table) HasModel(backend int, reference string) bool {
 	model, adapter, _ := strings.Cut(reference, "/")
 	position, found := t.models[backend][model]
@@ -131,7 +134,7 @@
 	return &t.Configuration.Backends[backend].Runtime.Models[position], true
 }
 
-// PickBackend returns the backend that a draw from 0 up to 1 falls on by the weights.
+// PickBackend returns the backend that a draw in [0, 1) falls on by the weights.
 func (r *Route) PickBackend(draw float64) string {
 	splits := r.Splits()
 	total := 0.0
--- a/internal/configuration/tenants.go
+++ b/internal/configuration/tenants.go
@@ -8,28 +8,28 @@
 	"unicode"
 )
 
-// Tenant is a customer whose requests are told from those of others by their key. RatePerS and Burst bound its
-// requests over all data planes; 0 for no bound. Priority, if set, takes the place of the route's. AllowedRegions bind
-// beside those of the route.
+// Tenant is a customer whose requests are recognized by their key.
 type Tenant struct {
-	Name     string   `json:"name"`
-	Keys     []APIKey `json:"apiKeys"`
-	Priority *int     `json:"priority"`
-	RatePerS float64  `json:"ratePerS"`
-	Burst    float64  `json:"burst"`
-
+	Name string   `json:"name"`
+	Keys []APIKey `json:"apiKeys"`
+	// Priority, if set, replaces the route's; 0 is the highest.
+	Priority *int `json:"priority"`
+	// RatePerS and Burst limit the requests over all data planes, per second and at once; 0 for no limit.
+	RatePerS float64 `json:"ratePerS"`
+	Burst    float64 `json:"burst"`
+	// AllowedRegions restrict requests in addition to those of the route; empty for all.
 	AllowedRegions []string `json:"allowedRegions,omitempty"`
 }
 
-// TenantNumber is a tenant's place in its configuration, counted from 1, so that it can index dense tables. It holds
-// for one version of the configuration only.
+// TenantNumber is a tenant's position in its configuration, counted from 1, so that it can index dense
+// tables. It is valid for one version of the configuration only.
 type TenantNumber int
 
 // NoTenant is the number of requests that belong to no tenant.
 const NoTenant TenantNumber = 0
 
-// PriorityOr is the tenant's priority, or the given one where it states none or there is no tenant; never below 0, which
-// is the highest.
+// PriorityOr returns the tenant's priority, or the given one if it has none or there is no tenant; never
+// below 0, which is the highest.
 func (t *Tenant) PriorityOr(priority int) int {
 	if t != nil && t.Priority != nil {
 		priority = *t.Priority
@@ -37,10 +37,11 @@
 	return max(priority, 0)
 }
 
-// noRegion is the name of no region: where a route's and a tenant's regions have nothing in common.
+// noRegion is the name of no region: an empty list would allow all.
 const noRegion = "\x00"
 
-// IntersectRegions returns the regions allowed by both the tenant and a route that allows the given ones, empty for all.
+// IntersectRegions returns the regions allowed by both the tenant and a route that allows the given ones;
+// empty for all.
 func (t *Tenant) IntersectRegions(regions []string) []string {
 	if t == nil || len(t.AllowedRegions) == 0 {
 		return regions
@@ -60,7 +61,7 @@
 	return common
 }
 
-// PriorityText is the tenant's priority in words.
+// PriorityText returns the tenant's priority for tables.
 func (t *Tenant) PriorityText() string {
 	if t.Priority == nil {
 		return "of the route"
@@ -68,7 +69,7 @@
 	return strconv.Itoa(*t.Priority)
 }
 
-// Called is the tenant's name, empty where there is no tenant.
+// NameOrEmpty returns the tenant's name, empty if there is no tenant.
 func (t *Tenant) NameOrEmpty() string {
 	if t == nil {
 		return ""
@@ -119,10 +120,11 @@
 	return nil
 }
 
+// isNonNegative reports whether a value is a finite number not below 0.
 func isNonNegative(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 
-// isHeaderValue tells whether a text arrives unchanged as the value of a header: it has no control characters and neither
-// begins nor ends with a space.
+// isHeaderValue reports whether a text arrives unchanged as the value of a header: it has no control
+// characters and neither begins nor ends with a space.
 func isHeaderValue(text string) bool {
 	return text != "" && strings.Trim(text, " ") == text && strings.IndexFunc(text, unicode.IsControl) < 0
 }
--- a/internal/configuration/tenants_test.go
+++ b/internal/configuration/tenants_test.go
@@ -15,7 +15,8 @@
 	return []byte(strings.Replace(sample, `"backends":`, `"tenants":`+tenants+`,"backends":`, 1))
 }
 
-const twoTenants = `[{"name":"one","apiKeys":["` + secret + `","second"],"priority":0,"ratePerS":42,"burst":7},{"name":"two","apiKeys":["third"]}]`
+const twoTenants = `[{"name":"one","apiKeys":["` + secret + `","second"],"priority":0,"ratePerS":42,"burst":7},` +
+	`{"name":"two","apiKeys":["third"]}]`
 
 func TestTable_FindTenantByKeyHash(t *testing.T) {
 	read, err := Parse(withTenants(twoTenants))
@@ -64,9 +65,10 @@
 }
 
 func TestParse_RejectsInvalidTenantsWithoutLeakingKeys(t *testing.T) {
+	sharedKey := `[{"name":"a","apiKeys":["` + secret + `"]},{"name":"b","apiKeys":["` + secret + `"]}]`
 	for tenants, reason := range map[string]string{
-		`[{"name":"a","apiKeys":["` + secret + `"]},{"name":"b","apiKeys":["` + secret + `"]}]`: `tenants "b": a key is held by "a" already`,
-		`[{"apiKeys":["` + secret + `"]}]`:                                        "tenants[0]: name is missing",
+		sharedKey:                          `tenants "b": a key is held by "a" already`,
+		`[{"apiKeys":["` + secret + `"]}]`: "tenants[0]: name is missing",
 		`[{"name":"a","apiKeys":["` + secret + `"]},{"name":"a","apiKeys":[]}]`:   "name stands twice",
 		`[{"name":"a\r\nb","apiKeys":["` + secret + `"]}]`:                        "cannot stand in a header",
 		`[{"name":"a","apiKeys":["` + secret + `",""]}]`:                          "apiKeys[1] is empty",
@@ -77,7 +79,7 @@
 		`[{"name":"a","apiKeys":"` + secret + `"}]`:                               "cannot be read",
 		`[{"name":"a","apiKeys":[{"` + secret + `":1}]}]`:                         "cannot be read",
 		`[{"name":"a","apiKeys":["` + secret + `"],"ratePerS":"` + secret + `"}]`: "cannot be read",
-		`{"` + secret + `":1}`:                                                    "cannot be read",
+		`{"` + secret + `":1}`: "cannot be read",
 	} {
 		_, err := Parse(withTenants(tenants))
 		assert.ErrorContains(t, err, reason, tenants)
@@ -93,7 +95,8 @@
 func TestApplyPatch_AddsAndChangesTenantsByName(t *testing.T) {
 	patched, err := ApplyPatch([]byte(sample), []byte(`{"revision":4,"upsert":{"tenants":`+twoTenants+`}}`))
 	assert.NilError(t, err)
-	patched, err = ApplyPatch(patched, []byte(`{"revision":5,"upsert":{"tenants":[{"name":"two","apiKeys":["fourth"]}]},"remove":{"tenants":["one"]}}`))
+	change := `{"revision":5,"upsert":{"tenants":[{"name":"two","apiKeys":["fourth"]}]},"remove":{"tenants":["one"]}}`
+	patched, err = ApplyPatch(patched, []byte(change))
 	assert.NilError(t, err)
 	unpacked, err := Decompress(Compress(patched))
 	assert.NilError(t, err)
