--- a/cmd/ferryspar-control-plane/main.go
+++ b/cmd/ferryspar-control-plane/main.go
@@ -1,4 +1,5 @@
-// Ferryspar-control-plane keeps the configuration on a majority of disks, follows replicas and daemons, and places models.
+// Ferryspar-control-plane keeps the configuration on a majority of disks, tracks replicas and nodes, and places
+// models.
 //
 // It never carries clients' requests. Start reading at main, then internal/controlplane.
 package main
@@ -16,18 +17,22 @@
 
 func main() {
 	os.Exit(cli.RunDaemon(cli.Daemon{
-		Name: "ferryspar-control-plane", Service: "control",
+		Name:    "ferryspar-control-plane",
 		Summary: "knows the replicas and daemons, keeps the configuration and delivers it",
-		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
-			folder, err := keystore.NewDirectory(settings.DataDir)
-			if err != nil {
-				return err
-			}
-			daemon, err := controlplane.New(settings, path, peer.HostNetwork{}, folder)
-			if err != nil {
-				return err
-			}
-			return daemon.Run(ctx, signals)
-		},
+		Service: nodesettings.ServiceControl,
+		Run:     run,
 	}))
 }
+
+// run runs a control-plane node until a signal stops it.
+func run(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
+	directory, err := keystore.NewDirectory(settings.DataDir)
+	if err != nil {
+		return err
+	}
+	node, err := controlplane.New(settings, path, peer.HostNetwork{}, directory)
+	if err != nil {
+		return err
+	}
+	return node.Run(ctx, signals)
+}
--- a/cmd/ferryspar-data-plane/main.go
+++ b/cmd/ferryspar-data-plane/main.go
@@ -1,4 +1,4 @@
-// Ferryspar-data-plane takes clients' requests and carries them to model replicas.
+// Ferryspar-data-plane accepts clients' requests and forwards them to model replicas.
 //
 // It keeps nothing on disk. Start reading at main, then internal/dataplane and internal/proxy.
 package main
@@ -17,27 +17,40 @@
 	"ferryspar/internal/requestlog"
 )
 
-type recording struct {
+// bytesPerMb converts the size limit of a record.
+const bytesPerMb = 1 << 20
+
+// recordOptions are the options of this program beside those of every daemon.
+type recordOptions struct {
 	Record   string `long:"record" description:"write what this daemon sees (no bodies) to this file, for ferryspar-replay"`
 	RecordMb int64  `long:"record-mb" default:"64" description:"end the record at this size"`
 }
 
 func main() {
-	var chosen recording
+	var options recordOptions
 	os.Exit(cli.RunDaemon(cli.Daemon{
-		Name: "ferryspar-data-plane", Service: "edge", ExtraOptions: &chosen,
-		Summary: "carries clients' requests to model replicas",
+		Name:         "ferryspar-data-plane",
+		Summary:      "carries clients' requests to model replicas",
+		Service:      nodesettings.ServiceEdge,
+		ExtraOptions: &options,
 		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
-			daemon := dataplane.New(settings, path, peer.HostNetwork{})
-			if chosen.Record != "" {
-				file, err := os.Create(chosen.Record)
-				if err != nil {
-					return errors.Wrap(err, "record")
-				}
-				defer file.Close()
-				daemon.RecordTo(requestlog.NewWriter(file, chosen.RecordMb<<20, time.Now))
-			}
-			return daemon.Run(ctx, signals)
+			return run(ctx, settings, path, signals, options)
 		},
 	}))
 }
+
+// run runs a data-plane node until a signal stops it.
+func run(
+	ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals, options recordOptions,
+) error {
+	node := dataplane.New(settings, path, peer.HostNetwork{})
+	if options.Record != "" {
+		file, err := os.Create(options.Record)
+		if err != nil {
+			return errors.Wrap(err, "record")
+		}
+		defer file.Close()
+		node.RecordTo(requestlog.NewWriter(file, options.RecordMb*bytesPerMb, time.Now))
+	}
+	return node.Run(ctx, signals)
+}
--- a/cmd/ferryspar-replay/main.go
+++ b/cmd/ferryspar-replay/main.go
@@ -1,6 +1,6 @@
-// Ferryspar-replay plays a data plane's record again through the matching code and prints the outcomes.
+// Ferryspar-replay plays a data plane's record again through the routing code and prints the outcomes.
 //
-// It talks to no daemon. Start reading at run, then internal/sim/replay.
+// It connects to no node. Start reading at run, then internal/sim/replay.
 package main
 
 import (
@@ -20,6 +20,7 @@
 
 const program = "ferryspar-replay"
 
+// options are the command line. The defaults of the policy are those of routing.DefaultParameters.
 type options struct {
 	Zone    string  `long:"zone" description:"zone of the data plane that recorded (default: the record's)"`
 	Batch   int     `long:"batch" default:"16" description:"requests in a batch at most"`
@@ -37,6 +38,7 @@
 
 func main() { os.Exit(run()) }
 
+// run parses the command line, plays the record and returns the exit status.
 func run() int {
 	var parsed options
 	parser := flags.NewParser(&parsed, flags.HelpFlag|flags.PassDoubleDash)
@@ -59,6 +61,7 @@
 	return cli.ReportError(program, err)
 }
 
+// check returns the first reason why the options cannot be used.
 func (o options) check() error {
 	if o.Rest.File == "" || o.Batch < 1 || o.Delta < 0 || o.Delta > 1 {
 		return errors.New("name a FILE; --batch is at least 1, --delta between 0 and 1")
@@ -87,6 +90,7 @@
 	return len(damages), nil
 }
 
+// readRecord reads the entries of a record and lists its damaged lines.
 func readRecord(path string) ([]requestlog.Entry, []requestlog.DamagedLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -96,6 +100,7 @@
 	return requestlog.Read(file)
 }
 
+// engine returns an engine with the parameters of the options.
 func (o options) engine(entries []requestlog.Entry) *replay.Engine {
 	parameters := routing.DefaultParameters()
 	parameters.BatchSize = o.Batch
@@ -107,7 +112,7 @@
 	return replay.NewEngine(parameters, o.zone(entries), model)
 }
 
-// zone returns the zone of the data plane that recorded: the option's, or the first that is named.
+// zone returns the zone of the data plane that recorded: the option's, or the first one in the record.
 func (o options) zone(entries []requestlog.Entry) string {
 	if o.Zone != "" {
 		return o.Zone
--- a/internal/cli/launch.go
+++ b/internal/cli/daemon.go
@@ -1,7 +1,3 @@
-// Package cli is what the programs have in common at their start and end: options, logging,
-// settings, signals, exit statuses.
-//
-// It knows nothing of what the programs do. Start reading at RunDaemon.
 package cli
 
 import (
@@ -21,31 +17,28 @@
 	"ferryspar/internal/nodesettings"
 )
 
-// Version is the version that every program prints.
-const Version = "0.1.0"
-
-// ReportError statuses of every program.
-const (
-	ExitSuccess  = 0
-	ExitFailed   = 1
-	ExitUsage    = 2
-	ExitSettings = 3
-)
-
-// Daemon describes a daemon. Serves is the service that its settings must allow ("edge" or
-// "control"), Extra an optional struct of further go-flags options, Run its work until it is told
-// to stop.
+// Daemon describes a program that runs until it is stopped.
 type Daemon struct {
-	Name         string
-	Summary      string
-	Service      string
+	Name    string
+	Summary string // what it does, as a verb phrase
+	// Service is the service that the settings must allow.
+	Service nodesettings.Service
+	// ExtraOptions, if not nil, points to a struct of further go-flags options.
 	ExtraOptions any
-	Run          func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error
+	// Run does the daemon's work until a signal stops it. path is that of the settings file, as given.
+	Run func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error
 }
 
-// heapLimitFraction is the part of the memory limit that the garbage collector may fill.
+// heapLimitFraction is the share of the memory limit that the garbage collector may fill.
 const heapLimitFraction = 0.8
 
+// Capacities of the signal channels.
+const (
+	stopBuffer   = 2
+	hangupBuffer = 1
+)
+
+// options are the options of every daemon.
 type options struct {
 	Settings string `short:"s" long:"settings" description:"path of the settings file (default: FERRYSPAR_SETTINGS)"`
 	Check    bool   `long:"check" description:"check the settings and end"`
@@ -53,27 +46,27 @@
 	Version  bool   `long:"version" description:"print the version and end"`
 }
 
-// RunDaemon parses the command line, reads and checks the settings, runs the program and returns its
-// exit status.
+// RunDaemon parses the command line, reads and checks the settings, runs the daemon and returns its exit
+// status.
 func RunDaemon(daemon Daemon) int {
-	parsed, err := parseOptions(daemon)
+	parsed, err := daemon.parseOptions()
 	if flags.WroteHelp(err) {
 		fmt.Println(err)
 		return ExitSuccess
 	}
 	if err != nil {
-		return daemon.reportFailure(err, ExitUsage)
+		return daemon.fail(err, ExitUsage)
 	}
 	if parsed.Version {
 		fmt.Println(daemon.Name, Version)
 		return ExitSuccess
 	}
 	if err := configureLogging(parsed.Level); err != nil {
-		return daemon.reportFailure(err, ExitUsage)
+		return daemon.fail(err, ExitUsage)
 	}
 	settings, err := readSettings(parsed.Settings, daemon.Service)
 	if err != nil {
-		return daemon.reportFailure(err, ExitSettings)
+		return daemon.fail(err, ExitSettings)
 	}
 	if parsed.Check {
 		fmt.Println("settings are sound")
@@ -87,21 +80,22 @@
 	return ExitSuccess
 }
 
-func (d Daemon) reportFailure(err error, status int) int {
-	fmt.Fprintf(os.Stderr, "%s: %s\n", d.Name, err)
+// fail prints err and returns the status.
+func (d Daemon) fail(err error, status int) int {
+	printError(d.Name, err)
 	return status
 }
 
-func parseOptions(daemon Daemon) (options, error) {
+func (d Daemon) parseOptions() (options, error) {
 	var parsed options
-	parser := flags.NewNamedParser(daemon.Name, flags.HelpFlag|flags.PassDoubleDash)
-	parser.ShortDescription = daemon.Summary
-	parser.LongDescription = daemon.Name + " " + daemon.Summary + "."
+	parser := flags.NewNamedParser(d.Name, flags.HelpFlag|flags.PassDoubleDash)
+	parser.ShortDescription = d.Summary
+	parser.LongDescription = d.Name + " " + d.Summary + "."
 	if _, err := parser.AddGroup("Options", "", &parsed); err != nil {
 		return parsed, err
 	}
-	if daemon.ExtraOptions != nil {
-		if _, err := parser.AddGroup(daemon.Name, "", daemon.ExtraOptions); err != nil {
+	if d.ExtraOptions != nil {
+		if _, err := parser.AddGroup(d.Name, "", d.ExtraOptions); err != nil {
 			return parsed, err
 		}
 	}
@@ -112,6 +106,8 @@
 	return parsed, err
 }
 
+// configureLogging writes logs as JSON to standard output, from that level on. The standard library's log,
+// which net/http writes to, is discarded: what it says of clients' connections is no news to operators.
 func configureLogging(levelName string) error {
 	level, err := logrus.ParseLevel(levelName)
 	if err != nil {
@@ -124,7 +120,7 @@
 	return nil
 }
 
-func readSettings(path, service string) (nodesettings.Settings, error) {
+func readSettings(path string, service nodesettings.Service) (nodesettings.Settings, error) {
 	settings, err := nodesettings.Load(path)
 	if err != nil {
 		return settings, err
@@ -133,12 +129,14 @@
 }
 
 func notifySignals() nodesettings.Signals {
-	stop, hangup := make(chan os.Signal, 2), make(chan os.Signal, 1)
+	stop := make(chan os.Signal, stopBuffer)
+	hangup := make(chan os.Signal, hangupBuffer)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(hangup, syscall.SIGHUP)
 	return nodesettings.Signals{Stop: stop, Hangup: hangup}
 }
 
+// applyLimits keeps the Go runtime within the limits of the process.
 func applyLimits(limits nodesettings.Limits) {
 	runtime.GOMAXPROCS(max(limits.CPUCores, 1))
 	if limits.MemoryMb > 0 {
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -1,15 +1,14 @@
-// Package nodesettings reads and checks the settings file that each daemon is started with, and
-// follows its changes.
+// Package nodesettings reads and checks the settings file that each node is started with, and follows its
+// changes.
 //
-// It never writes the file and starts nothing. Times stand in the file as numbers; Milliseconds
-// and Seconds turn them into durations. Start reading at Load and Settings.
+// It never writes the file and starts nothing. Times are numbers in the file; Milliseconds and Seconds
+// convert them to durations. Start reading at Load and Settings.
 package nodesettings
 
 import (
 	"fmt"
 	"net"
 	"os"
-	"strings"
 	"time"
 
 	"github.com/knadh/koanf/parsers/toml/v2"
@@ -18,116 +17,199 @@
 	"github.com/pkg/errors"
 )
 
-// PathVariable is the environment variable that names the settings file where no option does.
+// PathVariable is the environment variable that names the settings file if no option does.
 const PathVariable = "FERRYSPAR_SETTINGS"
 
-// Settings are the contents of a settings file. Fields the program doesn't know are passed over.
+// Service is a service of a node to the outside.
+type Service string
+
+// The services, as named in the settings file.
+const (
+	ServiceEdge    Service = "edge"    // requests of clients: the data plane
+	ServiceControl Service = "control" // replicas and operators: the control plane
+)
+
+// Settings are the contents of a settings file. Unknown fields of the file are ignored. A field without a
+// stated default is empty or 0 if the file omits it. Informational fields describe the deployment; no
+// program depends on them.
 type Settings struct {
-	NodeName       string            `koanf:"nodeName"`
-	Role           string            `koanf:"role"`
-	MachineClass   string            `koanf:"machineClass"`
-	Serves         []string          `koanf:"serves"`
-	IPAddress      string            `koanf:"ipAddress"`
-	Zone           string            `koanf:"zone"`
-	Region         string            `koanf:"region"`
-	InternalPorts  []int             `koanf:"internalPorts"`
-	SeedNodes      []string          `koanf:"seedNodes"`
-	Bootstrap      bool              `koanf:"bootstrap"`
-	QuorumMember   bool              `koanf:"quorumMember"`
-	DataDir        string            `koanf:"dataDir"`
-	HeartbeatMs    float64           `koanf:"heartbeatMs"`
-	Zones          map[string]string `koanf:"zones"`
-	BindAddresses  BindAddresses     `koanf:"bindAddresses"`
-	Limits         Limits            `koanf:"limits"`
-	FaultTolerance FaultTolerance    `koanf:"faultTolerance"`
-	TimingBounds   TimingBounds      `koanf:"timingBounds"`
-	CloudAPI       CloudAPI          `koanf:"cloudApi"`
+	// NodeName identifies the node among all nodes. Required.
+	NodeName string `koanf:"nodeName"`
+	// Role and MachineClass name the role of the process and the class of its machine in the deployment.
+	// Informational.
+	Role         string `koanf:"role"`
+	MachineClass string `koanf:"machineClass"`
+	// Serves lists the services that the node may offer. Informational.
+	Serves []string `koanf:"serves"`
+	// IPAddress is the address at which other nodes reach this one. Required.
+	IPAddress string `koanf:"ipAddress"`
+	// Zone is the failure domain of the machine. Required.
+	Zone string `koanf:"zone"`
+	// Region is the group of zones that Zone belongs to. Informational: see Zones.
+	Region string `koanf:"region"`
+	// InternalPorts are the first and the last port for traffic between nodes. Required. Two processes of
+	// one machine share them.
+	InternalPorts []int `koanf:"internalPorts"`
+	// SeedNodes are control-plane addresses (host:port) by which the node finds the others. At least one is
+	// required; some may be down.
+	SeedNodes []string `koanf:"seedNodes"`
+	// Bootstrap is true only when the whole system starts for the first time, on empty disks. A node that
+	// takes it for true later could start a second keystore.
+	Bootstrap bool `koanf:"bootstrap"`
+	// QuorumMember tells whether the machine counts towards FaultTolerance.MachineLoss. Informational.
+	QuorumMember bool `koanf:"quorumMember"`
+	// DataDir is the directory of the control plane's files. Required for ServiceControl.
+	DataDir string `koanf:"dataDir"`
+	// HeartbeatMs is the interval of heartbeats between nodes in ms. Default 1000.
+	HeartbeatMs float64 `koanf:"heartbeatMs"`
+	// Zones maps each zone to its region.
+	Zones map[string]string `koanf:"zones"`
+
+	BindAddresses  BindAddresses  `koanf:"bindAddresses"`
+	Limits         Limits         `koanf:"limits"`
+	FaultTolerance FaultTolerance `koanf:"faultTolerance"`
+	TimingBounds   TimingBounds   `koanf:"timingBounds"`
+	CloudAPI       CloudAPI       `koanf:"cloudApi"`
 }
 
-// Signals are the operating system's signals that a daemon obeys: Stop ends it after a drain,
-// Hangup makes it read its settings again.
+// Signals are the operating system's signals that a node obeys: Stop ends it after a drain, Hangup makes it
+// reload its settings.
 type Signals struct {
 	Stop   <-chan os.Signal
 	Hangup <-chan os.Signal
 }
 
-// BindAddresses are the host:port pairs to listen on, empty for what the daemon doesn't serve.
+// BindAddresses are the host:port pairs to listen on, empty for what the node does not serve.
 type BindAddresses struct {
-	DataPlane    string `koanf:"dataPlane"`
-	Readiness    string `koanf:"readiness"`
+	// DataPlane takes requests of clients. Required for ServiceEdge.
+	DataPlane string `koanf:"dataPlane"`
+	// Readiness answers readiness checks of the data plane. Required for ServiceEdge.
+	Readiness string `koanf:"readiness"`
+	// ControlPlane takes calls of replicas and operators. Required for ServiceControl.
 	ControlPlane string `koanf:"controlPlane"`
 }
 
-// Limits is what the machine grants a process.
+// Limits are the resources that the machine grants the process.
 type Limits struct {
+	// CPUShare is the share of one core. Informational.
 	CPUShare float64 `koanf:"cpuShare"`
-	CPUCores int     `koanf:"cpuCores"`
+	// CPUCores is the count of cores; GOMAXPROCS is set to it, at least 1.
+	CPUCores int `koanf:"cpuCores"`
+	// MemoryMb is the memory in MB beyond which the process is killed; 0 is unlimited.
 	MemoryMb float64 `koanf:"memoryMb"`
-	MaxFds   int     `koanf:"maxFds"`
+	// MaxFds is the limit of open file descriptors.
+	MaxFds int `koanf:"maxFds"`
+	// LinkMbps is the bandwidth of the machine's network link in Mbit/s. Informational.
 	LinkMbps float64 `koanf:"linkMbps"`
-	DiskMb   float64 `koanf:"diskMb"`
+	// DiskMb is the size of the disk in MB; the write-ahead log is sized by it.
+	DiskMb float64 `koanf:"diskMb"`
 }
 
-// FaultTolerance is what may be lost at once while every rule is kept.
+// FaultTolerance is what may be lost at once while all guarantees are kept.
 type FaultTolerance struct {
+	// MachineLoss is a count of quorum members; the keystore has 2*MachineLoss+1 members.
 	MachineLoss int `koanf:"machineLoss"`
-	Zones       int `koanf:"zones"`
-	RegionLoss  int `koanf:"regionLoss"`
+	// Zones and RegionLoss are counts of whole zones and of whole regions. Informational.
+	Zones      int `koanf:"zones"`
+	RegionLoss int `koanf:"regionLoss"`
 }
 
-// TimingBounds are the figures of the rules in force: names ending in Ms are milliseconds, in S
-// seconds, the others ratios or counts.
+// TimingBounds are the limits that the deployment guarantees or demands. Names ending in Ms are
+// milliseconds, in S seconds, the others ratios or counts.
 type TimingBounds struct {
-	SeedLagS         float64 `koanf:"seedLagS"`
-	AddrReuseS       float64 `koanf:"addrReuseS"`
-	ContactMs        float64 `koanf:"contactMs"`
-	AckTimeoutMs     float64 `koanf:"ackTimeoutMs"`
-	SyncTimeS        float64 `koanf:"syncTimeS"`
-	DrainMs          float64 `koanf:"drainMs"`
-	GraceS           float64 `koanf:"graceS"`
-	LossSlackMs      float64 `koanf:"lossSlackMs"`
-	ConfigApplyMs    float64 `koanf:"configApplyMs"`
-	RollbackSlackMs  float64 `koanf:"rollbackSlackMs"`
-	MaxStretchMs     float64 `koanf:"maxStretchMs"`
+	// SeedLagS is how old the lists of control-plane addresses given to callers may be. Informational.
+	SeedLagS float64 `koanf:"seedLagS"`
+	// AddrReuseS is the shortest time after which the address of a replica that has ended may be given to
+	// another one. Informational.
+	AddrReuseS float64 `koanf:"addrReuseS"`
+	// ContactMs is the time after which a node that has heard no majority of the control plane counts as out
+	// of touch. Default 3000.
+	ContactMs float64 `koanf:"contactMs"`
+	// AckTimeoutMs is how long an operator's change waits for acknowledgements of data planes. Informational;
+	// default 4000.
+	AckTimeoutMs float64 `koanf:"ackTimeoutMs"`
+	// SyncTimeS is how long after its return a machine still counts as lost. Informational.
+	SyncTimeS float64 `koanf:"syncTimeS"`
+	// DrainMs is the time after the notice that a replica drains after which no request may arrive there.
+	// Informational; default 3000.
+	DrainMs float64 `koanf:"drainMs"`
+	// GraceS is the time between SIGTERM and the end of the process. Default 8.
+	GraceS float64 `koanf:"graceS"`
+	// LossSlackMs is how late after its last byte an open request may still be lost. Informational.
+	LossSlackMs float64 `koanf:"lossSlackMs"`
+	// ConfigApplyMs is the time after the acknowledgement of a configuration within which data planes must
+	// apply it. Default 2000.
+	ConfigApplyMs float64 `koanf:"configApplyMs"`
+	// RollbackSlackMs is how long after the first effect of a configuration an older one may still show.
+	// Informational.
+	RollbackSlackMs float64 `koanf:"rollbackSlackMs"`
+	// MaxStretchMs is by how much an unsettled control plane extends the limits of configuration and
+	// evacuation at most. Informational.
+	MaxStretchMs float64 `koanf:"maxStretchMs"`
+	// RevocationClosed makes a data plane reject requests whose key it cannot prove unrevoked within
+	// RevokeMs (docs/tenants.md). RevokeMs must then be above 0; its default is 5000.
 	RevocationClosed bool    `koanf:"revocationClosed"`
 	RevokeMs         float64 `koanf:"revokeMs"`
+	// Within any BudgetPeriodS, retries are at most RetryBudgetRatio times the requests plus
+	// RetryBudgetSlack, over all data planes. BudgetPeriodS is 10 by default.
 	RetryBudgetRatio float64 `koanf:"retryBudgetRatio"`
 	BudgetPeriodS    float64 `koanf:"budgetPeriodS"`
 	RetryBudgetSlack float64 `koanf:"retryBudgetSlack"`
-	QuotaWindowS     float64 `koanf:"quotaWindowS"`
-	QuotaOverage     float64 `koanf:"quotaOverage"`
-	QuotaSlack       float64 `koanf:"quotaSlack"`
-	ColdOverage      float64 `koanf:"coldOverage"`
-	ColdSlack        float64 `koanf:"coldSlack"`
-	EvacuateMs       float64 `koanf:"evacuateMs"`
-	RecoveryS        float64 `koanf:"recoveryS"`
-	StepTimeMs       float64 `koanf:"stepTimeMs"`
-	Fencing          bool    `koanf:"fencing"`
-	LeaseMs          float64 `koanf:"leaseMs"`
-	ThawSlackMs      float64 `koanf:"thawSlackMs"`
-	OriginPeriodS    float64 `koanf:"originPeriodS"`
-	OriginOverage    float64 `koanf:"originOverage"`
+	// Within any QuotaWindowS, the requests of a tenant may exceed its quota by the factor 1+QuotaOverage and
+	// by QuotaSlack requests (docs/quota.md). QuotaWindowS is 5 by default.
+	QuotaWindowS float64 `koanf:"quotaWindowS"`
+	QuotaOverage float64 `koanf:"quotaOverage"`
+	QuotaSlack   float64 `koanf:"quotaSlack"`
+	// A replica that is warming up gets at most coldPerS times ColdOverage plus ColdSlack requests in any
+	// second, from all data planes together. ColdOverage is 1 by default.
+	ColdOverage float64 `koanf:"coldOverage"`
+	ColdSlack   float64 `koanf:"coldSlack"`
+	// EvacuateMs is the time after the acknowledgement of a zone's evacuation after which no request may
+	// arrive there. Informational; default 5000.
+	EvacuateMs float64 `koanf:"evacuateMs"`
+	// RecoveryS is the time after the return of all machines within which requests must be served
+	// again. Informational.
+	RecoveryS float64 `koanf:"recoveryS"`
+	// StepTimeMs is the delay that forwarding may add to an event of a stream. Informational.
+	StepTimeMs float64 `koanf:"stepTimeMs"`
+	// Fencing tells whether replicas check the fencing token of orders. Informational: orders always
+	// carry one.
+	Fencing bool `koanf:"fencing"`
+	// LeaseMs is the duration of a lease, and the time that a new lease holder waits for the end of the old
+	// one. Default 3000.
+	LeaseMs float64 `koanf:"leaseMs"`
+	// ThawSlackMs is how long after a pause of its sender an outdated order may still arrive.
+	// Informational.
+	ThawSlackMs float64 `koanf:"thawSlackMs"`
+	// Within any OriginPeriodS, loads from the model store are at most loadsPerS times OriginPeriodS times
+	// OriginOverage plus 3 (docs/load-budget.md). OriginPeriodS is 5 by default. OriginOverage is
+	// informational: the control plane stays below the limit without it; its default is 1.
+	OriginPeriodS float64 `koanf:"originPeriodS"`
+	OriginOverage float64 `koanf:"originOverage"`
 }
 
-// CloudAPI says where the platform's list of replicas is and how often all daemons together may
-// call it.
+// CloudAPI tells where the platform's list of replicas is and how often all nodes together may call it.
 type CloudAPI struct {
-	Address  string   `koanf:"address"`
-	RatePerS float64  `koanf:"ratePerS"`
-	Duties   []string `koanf:"duties"`
-	MaxLagMs float64  `koanf:"maxLagMs"`
+	// Address is host:port. Required.
+	Address string `koanf:"address"`
+	// RatePerS is the limit of calls per second over all nodes. Default 10.
+	RatePerS float64 `koanf:"ratePerS"`
+	// Duties are the singleton duties that the platform expects of a node. Informational.
+	Duties []string `koanf:"duties"`
+	// MaxLagMs is how old the list may be when it is read. Default 1000.
+	MaxLagMs float64 `koanf:"maxLagMs"`
 }
 
-// Milliseconds turns a number of milliseconds into a duration.
+// Milliseconds converts a number of milliseconds to a duration.
 func Milliseconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(value float64) time.Duration { return Milliseconds(value * 1000) }
 
-// Load reads the settings file at path, or the one that PathVariable names if path is empty. It
-// doesn't check the values; see Settings.Check.
+// Load reads the settings file at path, or the one that PathVariable names if path is empty. It does not
+// check the values; see Settings.Check.
 func Load(path string) (Settings, error) {
 	if path == "" {
 		path = os.Getenv(PathVariable)
@@ -159,64 +241,34 @@
 	return Settings{
 		HeartbeatMs: 1000,
 		TimingBounds: TimingBounds{
-			ContactMs: 3000, AckTimeoutMs: 4000, DrainMs: 3000, GraceS: 8, ConfigApplyMs: 2000, RevokeMs: 5000,
-			BudgetPeriodS: 10, QuotaWindowS: 5, ColdOverage: 1, EvacuateMs: 5000, LeaseMs: 3000, OriginPeriodS: 5, OriginOverage: 1,
+			ContactMs:     3000,
+			AckTimeoutMs:  4000,
+			DrainMs:       3000,
+			GraceS:        8,
+			ConfigApplyMs: 2000,
+			RevokeMs:      5000,
+			BudgetPeriodS: 10,
+			QuotaWindowS:  5,
+			ColdOverage:   1,
+			EvacuateMs:    5000,
+			LeaseMs:       3000,
+			OriginPeriodS: 5,
+			OriginOverage: 1,
+		},
+		CloudAPI: CloudAPI{
+			RatePerS: 10,
+			MaxLagMs: 1000,
 		},
-		CloudAPI: CloudAPI{RatePerS: 10, MaxLagMs: 1000},
-	}
-}
-
-type fieldCheck struct {
-	failed  bool
-	message string
-}
-
-// Check returns one error that names everything a daemon serving "edge" or "control" cannot start
-// with.
-func (s Settings) Check(service string) error {
-	checks := []fieldCheck{
-		{s.NodeName == "", "nodeName is missing"},
-		{net.ParseIP(s.IPAddress) == nil, fmt.Sprintf("ipAddress %q is no IP address", s.IPAddress)},
-		{len(s.InternalPorts) != 2, "internalPorts must name a first and a last port"},
-		{len(s.SeedNodes) == 0, "seedNodes names no daemon"},
-		{s.Zone == "", "zone is missing"},
-		{s.CloudAPI.Address == "", "cloudApi.address is missing"},
-		{s.TimingBounds.LeaseMs <= 0, "timingBounds.leaseMs must be above 0"},
-		{s.TimingBounds.ContactMs <= 0, "timingBounds.contactMs must be above 0"},
-		{s.TimingBounds.RevocationClosed && s.TimingBounds.RevokeMs <= 0, "timingBounds.revokeMs must be above 0"},
-		{s.TimingBounds.QuotaWindowS <= 0, "timingBounds.quotaWindowS must be above 0"},
-		{s.TimingBounds.QuotaOverage < 0 || s.TimingBounds.QuotaSlack < 0, "timingBounds.quotaOverage and quotaSlack must not be below 0"},
-		{s.HeartbeatMs <= 0, "heartbeatMs must be above 0"},
-		{service == "edge" && s.BindAddresses.DataPlane == "", "bindAddresses.dataPlane is missing"},
-		{service == "edge" && s.BindAddresses.Readiness == "", "bindAddresses.readiness is missing"},
-		{service == "control" && s.BindAddresses.ControlPlane == "", "bindAddresses.controlPlane is missing"},
-		{service == "control" && s.DataDir == "", "dataDir is missing"},
-	}
-	if len(s.InternalPorts) == 2 && (s.InternalPorts[0] <= 0 || s.InternalPorts[1] < s.InternalPorts[0] || s.InternalPorts[1] > 65535) {
-		checks = append(checks, fieldCheck{true, "internalPorts must rise and lie between 1 and 65535"})
-	}
-	for _, seed := range s.SeedNodes {
-		_, _, err := net.SplitHostPort(seed)
-		checks = append(checks, fieldCheck{err != nil, fmt.Sprintf("seedNodes: %q is no address", seed)})
-	}
-	var messages []string
-	for _, fieldCheck := range checks {
-		if fieldCheck.failed {
-			messages = append(messages, fieldCheck.message)
-		}
-	}
-	if len(messages) > 0 {
-		return errors.New("settings: " + strings.Join(messages, "; "))
 	}
-	return nil
 }
 
-// PeerAddress returns the address at which this daemon answers other daemons.
+// PeerAddress returns the address at which this node answers other nodes.
 func (s Settings) PeerAddress() string {
 	return net.JoinHostPort(s.IPAddress, fmt.Sprint(s.InternalPorts[0]))
 }
 
-// PeerAddresses returns all addresses at which this daemon may answer other daemons, from the last port to the first.
+// PeerAddresses returns all addresses at which this node may answer other nodes, from the last port to the
+// first.
 func (s Settings) PeerAddresses() []string {
 	var addresses []string
 	for port := s.InternalPorts[1]; port >= s.InternalPorts[0]; port-- {
@@ -225,8 +277,8 @@
 	return addresses
 }
 
-// PeerAddressOf returns the peer address of the daemon whose control address is given, empty if
-// that is no address.
+// PeerAddressOf returns the peer address of the node whose control address is given, empty if that is not
+// an address.
 func (s Settings) PeerAddressOf(controlAddress string) string {
 	host, _, err := net.SplitHostPort(controlAddress)
 	if err != nil {
--- a/internal/nodesettings/watch.go
+++ b/internal/nodesettings/watch.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
+// watchInterval is how often the settings file is read without a signal.
 const watchInterval = 2 * time.Second
 
-// Watch calls use with sound settings whenever a hangup arrives and every two seconds, until ctx
-// ends. Files that cannot be read or don't pass the check are passed over.
-func Watch(ctx context.Context, path, service string, hangups <-chan os.Signal, onChange func(settings Settings)) {
+// Watch calls onChange with valid settings whenever a hangup arrives and every watchInterval, until ctx ends.
+// Files that cannot be read or do not pass the check are ignored.
+func Watch(ctx context.Context, path string, service Service, hangups <-chan os.Signal, onChange func(settings Settings)) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
@@ -26,7 +27,7 @@
 	}
 }
 
-// Sleep waits for pause or until ctx ends.
+// Sleep waits for that duration or until ctx ends.
 func Sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
