--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,5 +1,7 @@
-// Package apierror is the closed list of errors that callers are answered with, and the table from each to its status
-// and reason. An answer written here never bears a replica's seal.
+// Package apierror is the closed list of errors that callers are answered with, and the table from each to
+// its HTTP status and reason.
+//
+// A response written here never carries a replica's seal. Start reading at Kind.
 package apierror
 
 import (
@@ -12,48 +14,51 @@
 	"github.com/pkg/errors"
 )
 
-// Kind names an error.
+// Kind is what went wrong. It decides the HTTP status and the reason that a caller reads.
 type Kind int
 
-// The kinds of errors. Those with status 503 promise that a request has not run and never will.
+// The kinds of errors. Those with status 503 promise that a request was not executed and never will be.
 const (
-	Internal Kind = iota
-	MalformedRequest
-	InvalidAttemptID
-	UnknownRoute
-	UnknownPath
-	MethodNotAllowed
-	RequestTooSlow
-	BodyTooLarge
-	HeaderTooLarge
-	InvalidConfiguration
-	VersionConflict
-	UncertainWrite
-	NoMajority
-	UnknownZone
-	CallTooOld
-	CallExpired
-	Overloaded
-	ModelNotLoaded
-	NotExecuted
-	ReplicaFailed
-	ReplicaTimeout
-	ShuttingDown
-	NoConfiguration
-	InvalidRetention
-	InvalidDrill
-	UnknownRegion
-	DrillInProgress
-	UnknownKey
-	TenantRateLimited
-	OutdatedConfiguration
-	OutdatedKeys
-	QuotaUnknown
+	Internal              Kind = iota // a fault of this program
+	MalformedRequest                  // the request cannot be parsed
+	InvalidAttemptID                  // Ferryspar-Attempt-Id is missing or malformed
+	UnknownRoute                      // no route matches host and path
+	UnknownPath                       // the API has no such path
+	MethodNotAllowed                  // the API has the path, but not with this method
+	RequestTooSlow                    // the request did not arrive within its limit
+	BodyTooLarge                      // the body exceeds the limit
+	HeaderTooLarge                    // the header exceeds the limit
+	InvalidConfiguration              // the configuration sent cannot be used
+	VersionConflict                   // If-Match names a version that is not the committed one
+	UncertainWrite                    // a write may or may not take effect
+	NoMajority                        // too few members of the keystore answer
+	UnknownZone                       // the configuration names no such zone
+	CallTooOld                        // whether the call was accepted before is no longer known
+	CallExpired                       // the call arrived after its deadline
+	Overloaded                        // no replica is free in time
+	ModelNotLoaded                    // no replica loads the model in time
+	NotExecuted                       // the replica proved that it did not execute the request
+	ReplicaFailed                     // the replica ended its response early
+	ReplicaTimeout                    // the replica did not answer in time
+	ShuttingDown                      // the process is draining
+	NoConfiguration                   // no configuration has arrived yet
+	InvalidRetention                  // a retention request cannot be used
+	InvalidDrill                      // a drill request cannot be used
+	UnknownRegion                     // the configuration names no such region
+	DrillInProgress                   // only one drill may run at a time
+	UnknownKey                        // the API key is missing or belongs to no tenant
+	TenantRateLimited                 // the tenant is above its rate limit
+	OutdatedConfiguration             // a newer configuration may allow what this one does not
+	OutdatedKeys                      // keys may have been revoked since the last contact
+	QuotaUnknown                      // the node does not know the tenant's remaining quota
+
+	kindCount // of the kinds above
 )
 
+// response is how a kind is answered.
 type response struct {
-	Status int
-	Reason string
+	status int
+	reason string
 }
 
 var responses = map[Kind]response{
@@ -91,6 +96,19 @@
 	QuotaUnknown:          {http.StatusServiceUnavailable, "what the tenant may still send is not known here"},
 }
 
+// Status is the HTTP status that the kind is answered with.
+func (k Kind) Status() int { return responses[k].status }
+
+// Reason is the text that the kind is answered with.
+func (k Kind) Reason() string { return responses[k].reason }
+
+// GuaranteesNotExecuted reports whether the response lets its caller rely on it that the request was not
+// executed and never will be. Answering with such a kind after a request was sent would make clients
+// execute it twice.
+func (k Kind) GuaranteesNotExecuted() bool {
+	return k == UnknownKey || k == TenantRateLimited || k.Status() == http.StatusServiceUnavailable
+}
+
 // Error is an error with what its caller is to know.
 type Error struct {
 	Kind   Kind
@@ -107,28 +125,17 @@
 	return e.Kind.Reason() + ": " + e.Detail
 }
 
-// Status is the HTTP status that the kind is answered with.
-func (k Kind) Status() int { return responses[k].Status }
-
-// GuaranteesNotExecuted tells whether the answer lets its caller believe that the request has not run and never will.
-func (k Kind) GuaranteesNotExecuted() bool {
-	return k == UnknownKey || k == TenantRateLimited || k.Status() == http.StatusServiceUnavailable
-}
-
-// Reason says in words what went wrong.
-func (k Kind) Reason() string { return responses[k].Reason }
-
 // New returns an error with a detail, formatted as by fmt.Sprintf.
 func New(kind Kind, format string, arguments ...any) *Error {
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, arguments...)}
 }
 
-// NewRetryable returns an error that asks its caller to wait before it tries again.
+// NewRetryable returns an error that asks its caller to wait before it retries.
 func NewRetryable(kind Kind, retryAfter time.Duration) *Error {
 	return &Error{Kind: kind, RetryAfter: retryAfter}
 }
 
-// From finds the Error in a chain; any other error counts as Internal.
+// From returns the Error in a chain; any other error counts as Internal.
 func From(err error) *Error {
 	var found *Error
 	if errors.As(err, &found) {
@@ -137,20 +144,26 @@
 	return &Error{Kind: Internal, Detail: err.Error()}
 }
 
-// sealHeader marks the answers of replicas.
+// sealHeader marks the responses of replicas.
 const sealHeader = "Ferryspar-Server-Seal"
 
-// Write answers with the error, and without a replica's seal whatever the headers held before.
+// body is the JSON body of an error response.
+type body struct {
+	Error string `json:"error"`
+}
+
+// Write answers with the error, and without a replica's seal whatever the header held before: a sealed
+// response would count as the replica's own.
 func Write(writer http.ResponseWriter, err error) {
 	found := From(err)
-	body, _ := json.Marshal(map[string]string{"error": found.Error()})
+	content, _ := json.Marshal(body{Error: found.Error()})
 	header := writer.Header()
 	header.Del(sealHeader)
 	header.Set("Content-Type", "application/json")
-	header.Set("Content-Length", strconv.Itoa(len(body)))
+	header.Set("Content-Length", strconv.Itoa(len(content)))
 	if found.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(found.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	writer.WriteHeader(found.Kind.Status())
-	_, _ = writer.Write(body)
+	_, _ = writer.Write(content)
 }
--- a/internal/apierror/apierror_test.go
+++ b/internal/apierror/apierror_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestKind_HasStatusAndReason(t *testing.T) {
-	for kind := Internal; kind <= DrillInProgress; kind++ {
+	for kind := Internal; kind < kindCount; kind++ {
 		assert.Assert(t, kind.Status() >= http.StatusBadRequest, "kind %d", kind)
 		assert.Assert(t, kind.Reason() != "", "kind %d", kind)
 	}
--- a/internal/apierror/pinned_test.go
+++ b/internal/apierror/pinned_test.go
@@ -71,7 +71,8 @@
 	for name := range plain.Header() {
 		headers[name] = plain.Header().Get(name)
 	}
-	return written{plain.Code, plain.Body.String(), headers, kind.GuaranteesNotExecuted(), detailed.Body.String(), later.Header().Get("Retry-After")}
+	retryAfter := later.Header().Get("Retry-After")
+	return written{plain.Code, plain.Body.String(), headers, kind.GuaranteesNotExecuted(), detailed.Body.String(), retryAfter}
 }
 
 func TestWrite_AnswersStayTheSame(t *testing.T) {
--- a/internal/sim/replay/engine.go
+++ b/internal/sim/replay/engine.go
@@ -1,7 +1,7 @@
-// Package replay plays a record again through the matching code, in simulated time.
+// Package replay plays a recorded day again through the routing code, in simulated time.
 //
-// It talks to no replica: a simple model of reading and decoding times stands in for them. Start
-// reading at Engine.Play.
+// It calls no replica: a simple model of prefill and decode times replaces them. Equal records give equal
+// outcomes. Start reading at Engine.Play.
 package replay
 
 import (
@@ -15,19 +15,19 @@
 	"ferryspar/internal/sim/emulator/eventqueue"
 )
 
-// TimingModel is how long a replica takes: to read 1000 prompt tokens, before anything else, and to
-// decode where the record doesn't say. All are milliseconds.
+// TimingModel is how long a replica takes, in ms.
 type TimingModel struct {
-	PrefillMsPerThousand float64
-	BaseMs               float64
-	DecodeMs             float64
+	PrefillMsPerThousand float64 // for 1000 prompt tokens that are not cached
+	BaseMs               float64 // for every request, before its prefill
+	DecodeMs             float64 // from the first event to the last, unless the record tells
 }
 
-// DefaultTimingModel returns the times of a middling replica.
+// DefaultTimingModel returns the times of an average replica.
 func DefaultTimingModel() TimingModel {
 	return TimingModel{PrefillMsPerThousand: 60, BaseMs: 15, DecodeMs: 1000}
 }
 
+// pendingRequest is a request that the matcher has not decided.
 type pendingRequest struct {
 	request *routing.Request
 	entry   requestlog.Entry
@@ -35,26 +35,37 @@
 
 // Engine plays one record. It is not safe for concurrent use.
 type Engine struct {
-	startedAt    time.Time
-	model        TimingModel
-	events       *eventqueue.Queue
-	snapshot     atomic.Pointer[routing.Snapshot]
-	matcher      *routing.Matcher
+	// Summary holds the outcomes of what was played so far.
+	Summary *Summary
+
+	startedAt time.Time // of simulated time
+	model     TimingModel
+	events    *eventqueue.Queue
+	matcher   *routing.Matcher
+	snapshot  atomic.Pointer[routing.Snapshot]
+
+	// What the record told last; storeSnapshot makes snapshots of it.
 	table        *configuration.Table
 	replicas     []discovery.Replica
 	dataPlanes   int
 	drainedZones map[string]bool
-	prefillUntil map[string]time.Time
+
 	pending      []pendingRequest
-	wakeAt       time.Time
-	Summary      *Summary
+	wakeAt       time.Time            // of the last event that wakes the matcher
+	prefillUntil map[string]time.Time // by replica: end of its last prefill; they run one after the other
 }
 
-// NewEngine returns an engine that matches with parameters as a data plane in zone does.
+// NewEngine returns an engine that routes with parameters as a data plane in zone does.
 func NewEngine(parameters routing.Parameters, zone string, model TimingModel) *Engine {
-	engine := &Engine{model: model, prefillUntil: map[string]time.Time{}, drainedZones: map[string]bool{}, Summary: newSummary()}
-	engine.startedAt = time.Unix(0, 0).UTC()
-	engine.events = eventqueue.New(engine.startedAt)
+	startedAt := time.Unix(0, 0).UTC()
+	engine := &Engine{
+		Summary:      newSummary(),
+		startedAt:    startedAt,
+		model:        model,
+		events:       eventqueue.New(startedAt),
+		drainedZones: map[string]bool{},
+		prefillUntil: map[string]time.Time{},
+	}
 	engine.snapshot.Store(&routing.Snapshot{})
 	engine.matcher = routing.NewMatcher(parameters, zone, engine.events.Now, &engine.snapshot)
 	return engine
@@ -64,9 +75,10 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// Play plays all entries to their end; Summary then holds the outcome.
+// Play plays all entries to their end; Summary then holds the outcomes. It fails if a recorded configuration
+// cannot be decompressed.
 func (e *Engine) Play(entries []requestlog.Entry) error {
-	steps := map[string]func(entry requestlog.Entry){
+	handlers := map[string]func(entry requestlog.Entry){
 		requestlog.KindConfiguration: e.setConfiguration,
 		requestlog.KindFleet:         e.setFleet,
 		requestlog.KindRequest:       e.submitRequest,
@@ -77,7 +89,7 @@
 				return err
 			}
 		}
-		e.events.At(e.startedAt.Add(milliseconds(entry.AtMs)), func() { steps[entry.Kind](entry) })
+		e.events.At(e.startedAt.Add(milliseconds(entry.AtMs)), func() { handlers[entry.Kind](entry) })
 	}
 	for e.events.Step() {
 		e.collectDecisions()
@@ -87,26 +99,35 @@
 
 func (e *Engine) setConfiguration(entry requestlog.Entry) {
 	document, _ := configuration.Decompress(entry.PackedConfiguration)
-	if read, err := configuration.Decode(document); err == nil {
-		e.table = configuration.NewTable(read, nil)
+	if decoded, err := configuration.Decode(document); err == nil {
+		e.table = configuration.NewTable(decoded, nil)
 		e.storeSnapshot()
 	}
 }
 
 func (e *Engine) setFleet(entry requestlog.Entry) {
-	e.replicas, e.dataPlanes, e.drainedZones = entry.Replicas, max(entry.EdgeCount, 1), map[string]bool{}
+	e.replicas = entry.Replicas
+	e.dataPlanes = max(entry.EdgeCount, 1)
+	e.drainedZones = map[string]bool{}
 	for _, zone := range entry.DrainedZones {
 		e.drainedZones[zone] = true
 	}
 	e.storeSnapshot()
 }
 
+// storeSnapshot gives the matcher a snapshot of what the record told last.
 func (e *Engine) storeSnapshot() {
-	fleet := &routing.Snapshot{Table: e.table, DrainedZones: e.drainedZones, DataPlanes: e.dataPlanes, ListedAt: e.events.Now()}
+	snapshot := &routing.Snapshot{
+		Table:        e.table,
+		DrainedZones: e.drainedZones,
+		DataPlanes:   e.dataPlanes,
+		ListedAt:     e.events.Now(),
+	}
 	for index, listed := range e.replicas {
-		fleet.Replicas = append(fleet.Replicas, routing.NewReplica(index, listed, e.events.Now(), nil))
+		replica := routing.NewReplica(index, listed, e.events.Now(), nil)
+		snapshot.Replicas = append(snapshot.Replicas, replica)
 	}
-	e.snapshot.Store(fleet)
+	e.snapshot.Store(snapshot)
 	e.matcher.Wake()
 }
 
@@ -124,30 +145,38 @@
 		Deadline:         e.events.Now().Add(milliseconds(entry.TimeoutMs)),
 		ExcludedReplicas: map[string]bool{},
 	}
-	if e.table != nil {
-		for _, route := range e.table.Configuration.Routes {
-			if route.Name == entry.Route {
-				request.LatencyTarget = milliseconds(route.TargetLatencyMs)
-				tenant := e.table.TenantByName(entry.Tenant)
-				request.Priority = tenant.PriorityOr(route.Priority)
-				request.AllowedRegions = tenant.IntersectRegions(route.AllowedRegions)
-				request.ClientRetry = entry.TimeoutMs < route.TimeoutMs-1
-			}
-		}
-	}
+	e.applyRoute(request, entry)
 	e.pending = append(e.pending, pendingRequest{request, entry})
 	e.Summary.recordRequest(entry.Route)
 	e.matcher.Enqueue(request)
 }
 
+// applyRoute sets what a request has from its route and its tenant.
+func (e *Engine) applyRoute(request *routing.Request, entry requestlog.Entry) {
+	if e.table == nil {
+		return
+	}
+	for _, route := range e.table.Configuration.Routes {
+		if route.Name != entry.Route {
+			continue
+		}
+		tenant := e.table.TenantByName(entry.Tenant)
+		request.LatencyTarget = milliseconds(route.TargetLatencyMs)
+		request.Priority = tenant.PriorityOr(route.Priority)
+		request.AllowedRegions = tenant.IntersectRegions(route.AllowedRegions)
+		request.ClientRetry = entry.TimeoutMs < route.TimeoutMs-1
+	}
+}
+
+// collectDecisions applies the decisions made, and schedules the matcher's next wake-up.
 func (e *Engine) collectDecisions() {
 	undecided := e.pending[:0]
-	for _, entry := range e.pending {
+	for _, pending := range e.pending {
 		select {
-		case decision := <-entry.request.Decided:
-			e.applyDecision(entry.request, entry.entry, decision)
+		case decision := <-pending.request.Decided:
+			e.applyDecision(pending, decision)
 		default:
-			undecided = append(undecided, entry)
+			undecided = append(undecided, pending)
 		}
 	}
 	e.pending = undecided
@@ -160,28 +189,44 @@
 	e.events.At(at, func() { e.matcher.Wake() })
 }
 
-func (e *Engine) applyDecision(request *routing.Request, entry requestlog.Entry, decision routing.Decision) {
+// applyDecision counts a decision, and schedules the events of the response if the request was sent.
+func (e *Engine) applyDecision(pending pendingRequest, decision routing.Decision) {
+	request, entry := pending.request, pending.entry
 	if decision.Error != nil {
 		e.Summary.recordRejection(entry.Route)
 		return
 	}
-	id, ticket := decision.Replica.ID, decision.Ticket
+	ticket := decision.Ticket
+	e.Summary.recordSend(entry.Route, ticket.CachedTokens()/max(1, entry.PromptTokens))
+	firstEventAt := e.prefill(decision.Replica.ID, ticket.UncachedTokens())
+	e.events.At(firstEventAt, func() {
+		e.report(ticket, routing.OutcomeFirstEvent)
+		e.Summary.recordServed(entry.Route, firstEventAt.Sub(request.Arrived), request.LatencyTarget)
+	})
+	e.events.At(firstEventAt.Add(milliseconds(e.decodeMs(entry))), func() {
+		e.report(ticket, routing.OutcomeServed)
+	})
+}
+
+// prefill occupies a replica with a prompt and returns when its first event comes.
+func (e *Engine) prefill(replica string, uncachedTokens float64) time.Time {
 	start := e.events.Now()
-	if e.prefillUntil[id].After(start) {
-		start = e.prefillUntil[id]
+	if e.prefillUntil[replica].After(start) {
+		start = e.prefillUntil[replica]
 	}
-	first := start.Add(milliseconds(e.model.BaseMs + ticket.UncachedTokens()/1000*e.model.PrefillMsPerThousand))
-	e.prefillUntil[id] = first
-	decode := e.model.DecodeMs
+	end := start.Add(milliseconds(e.model.BaseMs + uncachedTokens/1000*e.model.PrefillMsPerThousand))
+	e.prefillUntil[replica] = end
+	return end
+}
+
+// decodeMs is the recorded time from the first event to the last, or the model's if there is none.
+func (e *Engine) decodeMs(entry requestlog.Entry) float64 {
 	if entry.DurationMs > entry.FirstByteMs && entry.FirstByteMs > 0 {
-		decode = entry.DurationMs - entry.FirstByteMs
+		return entry.DurationMs - entry.FirstByteMs
 	}
-	e.Summary.recordSend(entry.Route, ticket.CachedTokens()/max(1, entry.PromptTokens))
-	e.events.At(first, func() {
-		e.matcher.HandleReport(routing.Report{Ticket: ticket, Outcome: routing.OutcomeFirstEvent, At: e.events.Now()})
-		e.Summary.recordServed(entry.Route, first.Sub(request.Arrived), request.LatencyTarget)
-	})
-	e.events.At(first.Add(milliseconds(decode)), func() {
-		e.matcher.HandleReport(routing.Report{Ticket: ticket, Outcome: routing.OutcomeServed, At: e.events.Now()})
-	})
+	return e.model.DecodeMs
+}
+
+func (e *Engine) report(ticket *routing.Ticket, outcome routing.Outcome) {
+	e.matcher.HandleReport(routing.Report{Ticket: ticket, Outcome: outcome, At: e.events.Now()})
 }
--- a/internal/sim/replay/engine_test.go
+++ b/internal/sim/replay/engine_test.go
@@ -17,16 +17,24 @@
 
 const document = `{"revision":1,"routeTable":[{"name":"quick","hostname":"a","pathPrefix":"/","routeType":"streaming",
 "timeoutMs":15000,"targetLatencyMs":600,"backend":"s","priority":1}],
-"backends":[{"name":"s","runtime":{"slots":8,"kvCacheTokens":100000,"modelList":[{"name":"m","weightSizeMb":1,"loadTimeS":1}]}}]}`
+"backends":[{"name":"s","runtime":{"slots":8,"kvCacheTokens":100000,
+"modelList":[{"name":"m","weightSizeMb":1,"loadTimeS":1}]}}]}`
 
-func recordedDay(t *testing.T, requests int, model string) *bytes.Buffer {
+func recordedDay(requests int, model string) *bytes.Buffer {
 	var written bytes.Buffer
 	now := time.Unix(0, 0)
 	writer := requestlog.NewWriter(&written, 1<<20, func() time.Time { return now })
 	writer.Write(requestlog.Entry{Kind: requestlog.KindConfiguration, PackedConfiguration: configuration.Compress([]byte(document))})
-	loaded := []discovery.LoadedModel{{Name: "m"}}
-	writer.Write(requestlog.Entry{Kind: requestlog.KindFleet, EdgeCount: 1, Zone: "north", Replicas: []discovery.Replica{
-		{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: loaded}, {ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: loaded}}})
+	models := []discovery.LoadedModel{{Name: "m"}}
+	writer.Write(requestlog.Entry{
+		Kind:      requestlog.KindFleet,
+		EdgeCount: 1,
+		Zone:      "north",
+		Replicas: []discovery.Replica{
+			{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: models},
+			{ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: models},
+		},
+	})
 	for number := range requests {
 		writer.Write(requestlog.Entry{
 			Kind:         requestlog.KindRequest,
@@ -60,15 +68,15 @@
 }
 
 func TestEngine_PlayIsDeterministic(t *testing.T) {
-	first := replayRecord(t, recordedDay(t, 200, "m"))
+	first := replayRecord(t, recordedDay(200, "m"))
 	for range 3 {
-		assert.Equal(t, replayRecord(t, recordedDay(t, 200, "m")), first)
+		assert.Equal(t, replayRecord(t, recordedDay(200, "m")), first)
 	}
 	assert.Assert(t, strings.Contains(first, "quick"))
 }
 
 func TestEngine_RejectsRequestsOfModelNotLoaded(t *testing.T) {
-	entries, _, err := requestlog.Read(recordedDay(t, 5, "other"))
+	entries, _, err := requestlog.Read(recordedDay(5, "other"))
 	assert.NilError(t, err)
 	engine := NewEngine(routing.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
@@ -76,7 +84,7 @@
 }
 
 func TestEngine_SharedPromptsShowAffinity(t *testing.T) {
-	entries, _, err := requestlog.Read(recordedDay(t, 50, "m"))
+	entries, _, err := requestlog.Read(recordedDay(50, "m"))
 	assert.NilError(t, err)
 	engine := NewEngine(routing.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
@@ -84,7 +92,7 @@
 }
 
 func TestEngine_DamagedLinesAreReported(t *testing.T) {
-	damaged := recordedDay(t, 2, "m").String() + "{broken\n" + `{"kind":"order","atMs":5}` + "\n" + `{"kind":"tea"}` + "\n"
+	damaged := recordedDay(2, "m").String() + "{broken\n" + `{"kind":"order","atMs":5}` + "\n" + `{"kind":"tea"}` + "\n"
 	entries, damages, err := requestlog.Read(strings.NewReader(damaged))
 	assert.NilError(t, err)
 	assert.Equal(t, len(entries), 4)
--- a/internal/sim/replay/pinned_test.go
+++ b/internal/sim/replay/pinned_test.go
@@ -17,7 +17,7 @@
 
 func TestEngine_PlaysARecordOfAnEarlierVersion(t *testing.T) {
 	if _, err := os.Stat(pinnedDay); pinned.Updating() && os.IsNotExist(err) {
-		pinned.CheckFile(t, pinnedDay, recordedDay(t, 20, "m").Bytes())
+		pinned.CheckFile(t, pinnedDay, recordedDay(20, "m").Bytes())
 	}
 	file, err := os.Open(pinnedDay)
 	assert.NilError(t, err)
--- a/internal/sim/replay/summary.go
+++ b/internal/sim/replay/summary.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// RouteSummary counts what became of the requests of a route. Affinity is the mean part of a
-// prompt that was cached where it was sent.
+// RouteSummary counts what became of the requests of a route.
 type RouteSummary struct {
-	Route    string  `json:"route"`
-	Requests int     `json:"asked"`
-	Served   int     `json:"served"`
-	Late     int     `json:"late"`
-	Rejected int     `json:"refused"`
+	Route    string `json:"route"`
+	Requests int    `json:"asked"`
+	Served   int    `json:"served"` // within the latency target
+	Late     int    `json:"late"`
+	Rejected int    `json:"refused"`
+	// Affinity is the mean share of a prompt that was cached at the replica it was sent to.
 	Affinity float64 `json:"affinity"`
-	MeanMs   float64 `json:"meanMs"`
+	MeanMs   float64 `json:"meanMs"` // time to the first event
 	sent     int
 }
 
@@ -27,47 +27,56 @@
 
 func newSummary() *Summary { return &Summary{routes: map[string]*RouteSummary{}} }
 
-func (s *Summary) outcome(route string) *RouteSummary {
-	if s.routes[route] == nil {
-		s.routes[route] = &RouteSummary{Route: route}
+// route returns the summary of a route, a new one if there is none yet.
+func (s *Summary) route(name string) *RouteSummary {
+	if s.routes[name] == nil {
+		s.routes[name] = &RouteSummary{Route: name}
 	}
-	return s.routes[route]
+	return s.routes[name]
 }
 
-func (s *Summary) recordRequest(route string)   { s.outcome(route).Requests++ }
-func (s *Summary) recordRejection(route string) { s.outcome(route).Rejected++ }
+func (s *Summary) recordRequest(route string)   { s.route(route).Requests++ }
+func (s *Summary) recordRejection(route string) { s.route(route).Rejected++ }
 
 func (s *Summary) recordSend(route string, affinity float64) {
-	outcome := s.outcome(route)
-	outcome.sent++
-	outcome.Affinity += (affinity - outcome.Affinity) / float64(outcome.sent)
+	summary := s.route(route)
+	summary.sent++
+	summary.Affinity += (affinity - summary.Affinity) / float64(summary.sent)
 }
 
 func (s *Summary) recordServed(route string, duration, latencyTarget time.Duration) {
-	outcome := s.outcome(route)
+	summary := s.route(route)
 	if latencyTarget > 0 && duration > latencyTarget {
-		outcome.Late++
+		summary.Late++
 	} else {
-		outcome.Served++
+		summary.Served++
 	}
-	outcome.MeanMs += (float64(duration.Milliseconds()) - outcome.MeanMs) / float64(outcome.Served+outcome.Late)
+	answered := float64(summary.Served + summary.Late)
+	summary.MeanMs += (float64(duration.Milliseconds()) - summary.MeanMs) / answered
 }
 
-// Routes returns the outcomes sorted by name of the route.
+// Routes returns the summaries sorted by name of the route.
 func (s *Summary) Routes() []RouteSummary {
-	outcomes := make([]RouteSummary, 0, len(s.routes))
-	for _, outcome := range s.routes {
-		outcomes = append(outcomes, *outcome)
+	summaries := make([]RouteSummary, 0, len(s.routes))
+	for _, summary := range s.routes {
+		summaries = append(summaries, *summary)
 	}
-	sort.Slice(outcomes, func(left, right int) bool { return outcomes[left].Route < outcomes[right].Route })
-	return outcomes
+	sort.Slice(summaries, func(left, right int) bool { return summaries[left].Route < summaries[right].Route })
+	return summaries
 }
 
-// Print writes the outcomes as a table.
+// Print writes the summaries as a table.
 func (s *Summary) Print(to io.Writer) {
 	fmt.Fprintf(to, "%-24s %7s %7s %7s %8s %9s %9s\n", "route", "asked", "in aim", "late", "refused", "affinity", "mean ms")
 	for _, summary := range s.Routes() {
 		fmt.Fprintf(to, "%-24s %7d %7d %7d %8d %9.3f %9.1f\n",
-			summary.Route, summary.Requests, summary.Served, summary.Late, summary.Rejected, summary.Affinity, summary.MeanMs)
+			summary.Route,
+			summary.Requests,
+			summary.Served,
+			summary.Late,
+			summary.Rejected,
+			summary.Affinity,
+			summary.MeanMs,
+		)
 	}
 }
