--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -8,7 +8,6 @@
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/membership"
 )
 
 const (
@@ -42,7 +41,7 @@
 		case <-ticker.C:
 		}
 		snapshot := n.publisher.Current()
-		if !snapshot.Drill.Running || !n.scheduler.HoldsLease() {
+		if !snapshot.Drill.Running || !n.scheduler.Lease().Holds() {
 			base = nil
 			continue
 		}
@@ -64,7 +63,7 @@
 }
 
 // renewDrill stores that the drill goes on, with the time left.
-func (n *Node) renewDrill(ctx context.Context, state drillState, now time.Time) {
+func (n *Node) renewDrill(ctx context.Context, state drill.State, now time.Time) {
 	bounded, cancel := context.WithTimeout(ctx, guardWriteTimeout)
 	defer cancel()
 	_ = n.changeKey(bounded, keystore.DrillKey, func(current keystore.Register) (any, error) {
@@ -73,23 +72,21 @@
 		if !record.Running || record.Number != state.Number {
 			return nil, errUnchanged
 		}
-		return record.Renew(state.deadline.Sub(now)), nil
+		return record.Renew(state.Deadline.Sub(now)), nil
 	})
 }
 
 // baseline notes which data planes, members and replicas are alive now.
 func (n *Node) newBaseline(snapshot *Snapshot, now time.Time) *baseline {
 	base := &baseline{number: snapshot.Drill.Number, takenOver: snapshot.Drill.Renewals > 0}
-	n.watchLock.Lock()
 	base.dataPlanes = n.dataPlanes.Live(now, dataPlaneTimeout)
 	for _, member := range n.store.Membership().Current {
 		if member != n.self {
 			base.members = append(base.members, member)
 		}
 	}
-	n.watchLock.Unlock()
 	for _, replica := range snapshot.Replicas {
-		if replica.State != discovery.Draining && !n.scheduler.isSuspected(replica.ID) {
+		if replica.State != discovery.Draining && !n.scheduler.Demand().IsSuspected(replica.ID) {
 			base.replicas = append(base.replicas, replica.ID)
 		}
 	}
@@ -100,10 +97,10 @@
 // own time.
 func (n *Node) checkDrillGuard(base *baseline, snapshot *Snapshot, now time.Time) (string, bool) {
 	view := snapshot.Drill
-	if !now.Before(view.deadline) {
+	if !now.Before(view.Deadline) {
 		return drill.EndedByTime, false
 	}
-	if !now.Before(view.leaseExpiresAt) {
+	if !now.Before(view.LeaseExpiresAt) {
 		return drill.EndedWithoutRenewal, true
 	}
 	for zone, state := range snapshot.Zones {
@@ -139,7 +136,7 @@
 		if !present[id] {
 			return "replica " + id + " is gone"
 		}
-		if n.scheduler.isSuspected(id) {
+		if n.scheduler.Demand().IsSuspected(id) {
 			return "replica " + id + " does not answer"
 		}
 	}
@@ -148,17 +145,11 @@
 
 // silentSince says which data plane or member has fallen silent, or nothing.
 func (n *Node) silentSince(base *baseline, now time.Time) string {
-	n.watchLock.Lock()
-	defer n.watchLock.Unlock()
-	for _, dataPlane := range base.dataPlanes {
-		if !n.dataPlaneRetention[dataPlane].Left && now.Sub(n.dataPlanes.LastReport(dataPlane)) > dataPlaneTimeout {
-			return "edge " + dataPlane + " is silent"
-		}
+	if silent := n.dataPlanes.Silent(base.dataPlanes, now, dataPlaneTimeout); silent != "" {
+		return "edge " + silent + " is silent"
 	}
-	for _, member := range base.members {
-		if n.store.Membership().IsCurrent(member) && now.Sub(n.controlNodes.LastReport(member)) > membership.SuspectAfter {
-			return "member " + member + " is silent"
-		}
+	if silent := n.members.Silent(base.members, now); silent != "" {
+		return "member " + silent + " is silent"
 	}
 	return ""
 }
