--- a/internal/keystore/bootstrap_test.go
+++ b/internal/keystore/bootstrap_test.go
@@ -11,12 +11,12 @@
 	testBootstrap = BootstrapMembership(testSeeds)
 )
 
-// neverVotedReply is the answer of a founder that never voted on its present disk.
+// neverVotedReply is the reply of a member that never voted on its present disk.
 func neverVotedReply() Reply {
 	return Reply{Rejection: RejectedNotVoting, NeverVoted: true, DiskIncarnation: 5, Seeds: []string{"c", "a", "b"}}
 }
 
-// votingReply is the answer of a founder that votes under the founding list.
+// votingReply is the reply of a member that votes under the first membership.
 func votingReply() Reply { return Reply{Granted: true, DiskIncarnation: 6, Membership: testBootstrap} }
 
 func withChange(reply Reply, change func(reply *Reply)) Reply {
@@ -27,34 +27,100 @@
 func TestJudgeBootstrap_ReadyOnlyIfNoMemberKnowsMore(t *testing.T) {
 	later := Membership{Version: 2, Current: testSeeds, Next: []string{"a", "b", "d"}}
 	other := []string{"a", "b", "d"}
-	cases := map[string]struct {
-		answer  *Reply
+	neverVoted := func(change func(reply *Reply)) *Reply { return new(withChange(neverVotedReply(), change)) }
+	voting := func(change func(reply *Reply)) *Reply { return new(withChange(votingReply(), change)) }
+	unchanged := func(*Reply) {}
+	completed := func(reply *Reply) { reply.BootstrapCompleted = true }
+	acceptedChange := []Register{acceptedRegister(MembershipKey, 1, "list")}
+	cases := []struct {
+		name string
+		// reply is that of c, and nil if it has not answered; b is silent, too, where bSilent is set.
+		reply   *Reply
+		bSilent bool
 		verdict BootstrapVerdict
 	}{
-		"it never voted":                        {new(neverVotedReply()), BootstrapReady},
-		"it never voted and was told the list":  {new(withChange(neverVotedReply(), func(r *Reply) { r.Membership, r.Seeds = testBootstrap, other })), BootstrapReady},
-		"it votes":                              {new(votingReply()), BootstrapReady},
-		"it has not answered":                   {nil, BootstrapNoAnswer},
-		"it was not reached":                    {&Reply{Rejection: RejectedUnreachable}, BootstrapNoAnswer},
-		"its disk refuses":                      {&Reply{Rejection: RejectedDiskError}, BootstrapRejected},
-		"it names other seeds":                  {new(withChange(neverVotedReply(), func(r *Reply) { r.Seeds = other })), BootstrapSeedMismatch},
-		"it holds another founding list":        {new(withChange(votingReply(), func(r *Reply) { r.Membership.Current = other })), BootstrapSeedMismatch},
-		"it holds a later list":                 {new(withChange(votingReply(), func(r *Reply) { r.Membership = later })), BootstrapMembershipChanged},
-		"it never voted and was told a later":   {new(withChange(neverVotedReply(), func(r *Reply) { r.Membership = later })), BootstrapMembershipChanged},
-		"it voted and was dropped":              {new(withChange(neverVotedReply(), func(r *Reply) { r.NeverVoted = false })), BootstrapMembershipChanged},
-		"it accepted a change of members":       {new(withChange(votingReply(), func(r *Reply) { r.Registers = []Register{acceptedRegister(MembershipKey, 1, "list")} })), BootstrapMembershipChanged},
-		"it saw the founding completed":         {new(withChange(votingReply(), func(r *Reply) { r.BootstrapCompleted = true })), BootstrapAlreadyCompleted},
-		"it saw that, and another stays silent": {new(withChange(votingReply(), func(r *Reply) { r.BootstrapCompleted = true })), BootstrapAlreadyCompleted},
+		{
+			name:    "it never voted",
+			reply:   neverVoted(unchanged),
+			verdict: BootstrapReady,
+		},
+		{
+			name:    "it never voted and knows the first membership",
+			reply:   neverVoted(func(reply *Reply) { reply.Membership, reply.Seeds = testBootstrap, other }),
+			verdict: BootstrapReady,
+		},
+		{
+			name:    "it votes",
+			reply:   voting(unchanged),
+			verdict: BootstrapReady,
+		},
+		{
+			name:    "it has not answered",
+			verdict: BootstrapNoAnswer,
+		},
+		{
+			name:    "it was not reached",
+			reply:   &Reply{Rejection: RejectedUnreachable},
+			verdict: BootstrapNoAnswer,
+		},
+		{
+			name:    "its disk rejects writes",
+			reply:   &Reply{Rejection: RejectedDiskError},
+			verdict: BootstrapRejected,
+		},
+		{
+			name:    "it names other seeds",
+			reply:   neverVoted(func(reply *Reply) { reply.Seeds = other }),
+			verdict: BootstrapSeedMismatch,
+		},
+		{
+			name:    "it holds another first membership",
+			reply:   voting(func(reply *Reply) { reply.Membership.Current = other }),
+			verdict: BootstrapSeedMismatch,
+		},
+		{
+			name:    "it holds a later membership",
+			reply:   voting(func(reply *Reply) { reply.Membership = later }),
+			verdict: BootstrapMembershipChanged,
+		},
+		{
+			name:    "it never voted and knows a later membership",
+			reply:   neverVoted(func(reply *Reply) { reply.Membership = later }),
+			verdict: BootstrapMembershipChanged,
+		},
+		{
+			name:    "it voted and was dropped",
+			reply:   neverVoted(func(reply *Reply) { reply.NeverVoted = false }),
+			verdict: BootstrapMembershipChanged,
+		},
+		{
+			name:    "it accepted a change of the membership",
+			reply:   voting(func(reply *Reply) { reply.Registers = acceptedChange }),
+			verdict: BootstrapMembershipChanged,
+		},
+		{
+			name:    "it saw the bootstrap completed",
+			reply:   voting(completed),
+			verdict: BootstrapAlreadyCompleted,
+		},
+		{
+			name:    "it saw that, and another stays silent",
+			reply:   voting(completed),
+			bSilent: true,
+			verdict: BootstrapAlreadyCompleted,
+		},
 	}
-	for name, testCase := range cases {
-		replies := map[string]Reply{"a": neverVotedReply(), "b": neverVotedReply()}
-		if testCase.answer != nil {
-			replies["c"] = *testCase.answer
-		}
-		if name == "it saw that, and another stays silent" {
-			delete(replies, "b")
-		}
-		assert.Equal(t, JudgeBootstrap("a", testBootstrap, replies), testCase.verdict, name)
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
+			replies := map[string]Reply{"a": neverVotedReply(), "b": neverVotedReply()}
+			if testCase.reply != nil {
+				replies["c"] = *testCase.reply
+			}
+			if testCase.bSilent {
+				delete(replies, "b")
+			}
+			assert.Equal(t, JudgeBootstrap("a", testBootstrap, replies), testCase.verdict)
+		})
 	}
 	all := map[string]Reply{"a": neverVotedReply(), "b": neverVotedReply(), "c": neverVotedReply()}
 	assert.Equal(t, JudgeBootstrap("d", testBootstrap, all), BootstrapNotInitialMember)
--- a/internal/keystore/faulty_directory_test.go
+++ b/internal/keystore/faulty_directory_test.go
@@ -14,7 +14,7 @@
 
 var errFault = errors.New("fault of the disk")
 
-// faultyDirectory refuses some writes and syncs, of which a part or all may have been done, and dies after a drawn
+// faultyDirectory rejects some writes and syncs, of which a part or all may have been done, and dies after a drawn
 // number of them, in the middle of one.
 type faultyDirectory struct {
 	handle         *keystoresim.Handle
@@ -78,7 +78,7 @@
 	return f.handle.SyncDirectory()
 }
 
-// hidesMissingSegments makes a missing ring file look like the remains of a write.
+// hidesMissingSegments makes a missing segment look like the remains of a write.
 type hidesMissingSegments struct{ keystore.Directory }
 
 func (h *hidesMissingSegments) List() ([]string, error) {
@@ -141,7 +141,7 @@
 	return copied
 }
 
-// skipsStartupSync syncs only files that were written in this life.
+// skipsStartupSync syncs only files that this process has written.
 type skipsStartupSync struct {
 	keystore.Directory
 	written map[string]bool
--- a/internal/keystore/pinned_test.go
+++ b/internal/keystore/pinned_test.go
@@ -32,7 +32,7 @@
 	return ProposalNumber{Round: round, Proposer: "10.0.1.1:7000", Incarnation: 0xfeedbeef}
 }
 
-// runMember opens the journal in a folder and runs a member on it until the test's part is done.
+// runMember opens the log in a directory and runs a member on it until the test's part is done.
 func runMember(t *testing.T, path string, bootstrapping bool, use func(acceptor *Acceptor)) {
 	t.Helper()
 	log := openPinned(t, path)
@@ -86,13 +86,14 @@
 	}
 }
 
-// writePinned writes the data folder of the fixture: every kind of record, and enough of them that each ring file is
-// document over at least once.
+// writePinned writes the data directory of the fixture: every kind of record, and enough of them that each segment is
+// written over at least once.
 func writePinned(t *testing.T, path string) {
 	t.Helper()
 	runMember(t, path, true, func(acceptor *Acceptor) {
 		put(t, acceptor, LeasePrefix+"placement", 1,
-			`{"holder":"control-1","address":"10.0.0.1:7000","fence":7,"reserved":{"loads":3,"aged":[{"loads":1,"ageMs":250}]},"settling":true}`)
+			`{"holder":"control-1","address":"10.0.0.1:7000","fence":7,`+
+				`"reserved":{"loads":3,"aged":[{"loads":1,"ageMs":250}]},"settling":true}`)
 		put(t, acceptor, ZonePrefix+"north", 2, `{"number":4,"drained":true}`)
 		put(t, acceptor, RetentionKey, 3, `{"number":2,"lifeMs":90000}`)
 		put(t, acceptor, ForgetKey, 4, `{"number":5,"items":[{"number":5,"scope":{"model":"m"},"edges":["edge-1"],"counted":true}]}`)
@@ -120,7 +121,7 @@
 	})
 }
 
-// writeDamaged writes a data folder whose ring lost a file, and was given up at the next start.
+// writeDamaged writes a data directory whose log lost a segment, and was given up at the next start.
 func writeDamaged(t *testing.T, path string) {
 	t.Helper()
 	assert.NilError(t, openPinned(t, path).Append(BootstrapRegisters(pinnedMembership, 11)))
@@ -129,7 +130,7 @@
 	assert.Equal(t, openPinned(t, path).Damage().Reason, DamageFileMissing)
 }
 
-// makeFixture writes a fixture that is to be updated and isn't there: delete the folder to have it written anew.
+// makeFixture writes a fixture that is to be updated and isn't there: delete the directory to have it written anew.
 func makeFixture(t *testing.T, path string, write func(t *testing.T, path string)) {
 	t.Helper()
 	if _, err := os.Stat(path); pinned.Updating() && os.IsNotExist(err) {
@@ -144,7 +145,7 @@
 	return copied
 }
 
-// unsalted returns the records of a ring file with the random half of each one's index set to zero, and its checksum to
+// unsalted returns the records of a segment with the random half of each one's index set to zero, and its checksum to
 // fit: two writings of the same records then are the same bytes. What follows the records, the remains of an earlier
 // generation or zeros, is left out; a file that begins with no record is returned as it is. The function knows the file
 // format by itself, so that a change of it in the code is seen.
--- a/internal/keystore/wal_bench_test.go
+++ b/internal/keystore/wal_bench_test.go
@@ -9,13 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
+// countingDirectory counts what a WAL writes, and keeps nothing.
 type countingDirectory struct{ bytes, syncs int }
 
 func (c *countingDirectory) List() ([]string, error)     { return nil, nil }
 func (c *countingDirectory) SyncDirectory() error        { return nil }
 func (c *countingDirectory) Read(string) ([]byte, error) { return nil, nil }
 func (c *countingDirectory) Prepare(string, int64) error { return nil }
-func (c *countingDirectory) Write(name string, offset int64, content []byte) error {
+func (c *countingDirectory) Write(_ string, _ int64, content []byte) error {
 	c.bytes += len(content)
 	return nil
 }
@@ -25,6 +26,7 @@
 	return nil
 }
 
+// The length of a packed configuration.
 const (
 	packedBytesPerModel = 5
 	packedBaseBytes     = 600
--- a/internal/keystore/wal_faults_test.go
+++ b/internal/keystore/wal_faults_test.go
@@ -22,12 +22,12 @@
 
 var diskKeys = []string{"a", "b", "c", "d"}
 
-// wrapFunc returns the folder that a journal is opened on; a broken variant puts its fault between.
+// wrapFunc returns the directory that a log is opened on; a broken variant puts its fault between.
 type wrapFunc func(directory keystore.Directory) keystore.Directory
 
 func unwrapped(directory keystore.Directory) keystore.Directory { return directory }
 
-// diskRun plays one journal over a disk and keeps what was acknowledged.
+// diskRun plays one log over a disk and keeps what was acknowledged.
 type diskRun struct {
 	disk    *keystoresim.Disk
 	random  *rand.Rand
@@ -42,7 +42,7 @@
 	// taken: a file was removed since the last start. reportedDamage: damage was reported, and no append acknowledged since;
 	// tried: but one was tried.
 	removedSinceStart, reportedDamage, triedAppend bool
-	// removed are the names taken since the journal was last opened: never all, which would be a wiped disk.
+	// removed are the names removed since the log was last opened: never all, which would be a wiped disk.
 	removed map[string]bool
 	damages int
 }
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// open opens the journal once; a refusal leaves it closed.
+// open opens the log once; a rejection leaves it closed.
 func (r *diskRun) open() error {
 	handle := r.disk.Attach()
 	r.variant(handle)
@@ -93,10 +93,10 @@
 		return r.checkDamage()
 	}
 	if r.removedSinceStart && len(r.acked) > 0 {
-		return fmt.Errorf("a file of a ring in use was taken and nothing was said")
+		return fmt.Errorf("a segment of a log in use was removed and no damage reported")
 	}
 	if r.reportedDamage && !r.triedAppend {
-		return fmt.Errorf("a ring that was given up came back without a write")
+		return fmt.Errorf("a log that was given up came back without a write")
 	}
 	state := log.State()
 	if err := r.checkState(state); err != nil {
@@ -112,10 +112,10 @@
 func (r *diskRun) checkDamage() error {
 	damage := r.journal.Damage()
 	if !r.removedSinceStart && !r.reportedDamage {
-		return fmt.Errorf("nothing was taken, and yet: %s", damage)
+		return fmt.Errorf("nothing was removed, and yet: %s", damage)
 	}
 	if len(r.journal.State()) > 0 {
-		return fmt.Errorf("state of a damaged ring is given out: %s", damage)
+		return fmt.Errorf("state of a damaged log is given out: %s", damage)
 	}
 	r.damages++
 	r.acked, r.discardedUpTo = map[string]uint64{}, r.sequence
@@ -153,7 +153,7 @@
 	if r.journal.Append(registers) != nil {
 		for key, register := range r.journal.State() {
 			if before[key].Sequence != register.Sequence {
-				return fmt.Errorf("a refused append changed the journal's state")
+				return fmt.Errorf("a rejected append changed the log's state")
 			}
 		}
 		return nil
@@ -193,7 +193,7 @@
 }
 
 func runDisk(t *testing.T, seed uint64, wrap wrapFunc, variant func(handle *keystoresim.Handle)) (run *diskRun, failed error) {
-	synctest.Test(t, func(t *testing.T) {
+	synctest.Test(t, func(*testing.T) {
 		run = newDiskRun(seed, wrap)
 		if variant != nil {
 			run.variant = variant
@@ -212,7 +212,7 @@
 		damages += run.damages
 		appended += run.sequence
 	}
-	t.Logf("%d schedules, %d slots tried, %d rings found damaged", to-from, appended, damages)
+	t.Logf("%d schedules, %d registers tried, %d logs found damaged", to-from, appended, damages)
 }
 
 // findFailingSeed returns the first seed at which a broken variant breaks the rules, and how.
@@ -232,7 +232,9 @@
 		variant func(handle *keystoresim.Handle)
 	}{
 		{"names never synced", unwrapped, func(handle *keystoresim.Handle) { handle.SkipsDirectorySync = true }},
-		{"missing file unnoticed", func(directory keystore.Directory) keystore.Directory { return &hidesMissingSegments{directory} }, nil},
+		{"missing file unnoticed", func(directory keystore.Directory) keystore.Directory {
+			return &hidesMissingSegments{directory}
+		}, nil},
 		{"failed rotation moves on through the ring", func(directory keystore.Directory) keystore.Directory {
 			return &skipsAheadOnFailure{Directory: directory}
 		}, nil},
--- a/internal/keystore/wal_test.go
+++ b/internal/keystore/wal_test.go
@@ -25,7 +25,7 @@
 	return log
 }
 
-// writeGenerations opens and appends once for each life, and returns the folder.
+// writeGenerations opens and appends once for each generation, and returns the path.
 func writeGenerations(t *testing.T, generations int) string {
 	path := filepath.Join(t.TempDir(), "member")
 	for generation := range generations {
@@ -47,15 +47,16 @@
 			assert.NilError(t, os.Remove(name))
 
 			log := openWALAt(t, path, testSegmentBytes)
-			assert.Equal(t, log.Damage().Reason, keystore.DamageFileMissing, "life %d, file %d", generations, position)
+			assert.Equal(t, log.Damage().Reason, keystore.DamageFileMissing, "generation %d, segment %d", generations, position)
 			assert.Equal(t, len(log.State()), 0)
-			assert.Equal(t, openWALAt(t, path, testSegmentBytes).Damage().Reason, keystore.DamageGivenUp, "a start that wrote nothing mends nothing")
+			unwritten := openWALAt(t, path, testSegmentBytes)
+			assert.Equal(t, unwritten.Damage().Reason, keystore.DamageGivenUp, "a start that wrote nothing mends nothing")
 
 			log = openWALAt(t, path, testSegmentBytes)
 			assert.NilError(t, log.Append([]keystore.Register{{Key: "new", Sequence: 1}}))
 			assert.Assert(t, log.Generation() > uint64(generations))
 			again := openWALAt(t, path, testSegmentBytes)
-			assert.Assert(t, again.Damage() == nil, "life %d, file %d: %v", generations, position, again.Damage())
+			assert.Assert(t, again.Damage() == nil, "generation %d, segment %d: %v", generations, position, again.Damage())
 			assert.Equal(t, len(again.State()), 1)
 
 			assert.NilError(t, os.WriteFile(name, removed, 0o644))
@@ -75,7 +76,7 @@
 	}
 }
 
-// dyingDirectory returns a folder whose process dies in the middle of an operation.
+// dyingDirectory returns a directory whose process dies in the middle of an operation.
 func dyingDirectory(handle *keystoresim.Handle, random *rand.Rand, operation int) *faultyDirectory {
 	return &faultyDirectory{handle: handle, random: random, operationsLeft: operation}
 }
@@ -135,7 +136,7 @@
 	}
 }
 
-// fullDisk refuses writes beyond what was reserved.
+// fullDisk rejects writes beyond what was reserved.
 type fullDisk struct {
 	keystore.Directory
 	reserved       int64
