--- a/internal/controlplane/guard.go
+++ b/internal/controlplane/guard.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"time"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
@@ -77,7 +78,7 @@
 }
 
 // baseline notes which data planes, members and replicas are alive now.
-func (n *Node) newBaseline(snapshot *Snapshot, now time.Time) *baseline {
+func (n *Node) newBaseline(snapshot *watch.Snapshot, now time.Time) *baseline {
 	base := &baseline{number: snapshot.Drill.Number, takenOver: snapshot.Drill.Renewals > 0}
 	base.dataPlanes = n.dataPlanes.Live(now, dataPlaneTimeout)
 	for _, member := range n.store.Membership().Current {
@@ -95,7 +96,7 @@
 
 // guard says why the drill must end now, or nothing, and whether the guard ends it rather than its
 // own time.
-func (n *Node) checkDrillGuard(base *baseline, snapshot *Snapshot, now time.Time) (string, bool) {
+func (n *Node) checkDrillGuard(base *baseline, snapshot *watch.Snapshot, now time.Time) (string, bool) {
 	view := snapshot.Drill
 	if !now.Before(view.Deadline) {
 		return drill.EndedByTime, false
@@ -124,7 +125,7 @@
 }
 
 // lossSince says what was lost since the baseline, or nothing.
-func (n *Node) lossSince(base *baseline, snapshot *Snapshot, now time.Time) string {
+func (n *Node) lossSince(base *baseline, snapshot *watch.Snapshot, now time.Time) string {
 	if silent := n.silentSince(base, now); silent != "" {
 		return silent
 	}
--- a/internal/controlplane/members/manager.go
+++ b/internal/controlplane/members/manager.go
@@ -46,7 +46,7 @@
 
 // Caller calls a method of another node (peer.Client).
 type Caller interface {
-	Call(ctx context.Context, method, address string, message, reply any) error
+	Call(ctx context.Context, method peer.Method, address string, message, reply any) error
 }
 
 // DataPlanes is what heartbeats exchange about data planes (dataplanes.Registry).
@@ -189,7 +189,7 @@
 	now := m.config.Clock()
 	local := m.acceptor.LocalState()
 	view := membership.View{
-		Current:        m.store.Membership(),
+		Membership:     m.store.Membership(),
 		Self:           m.config.Self,
 		DesiredMembers: m.config.DesiredMembers,
 		Peers:          map[string]membership.Peer{},
--- a/internal/controlplane/placement_bench_test.go
+++ b/internal/controlplane/placement_bench_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/replicatracker"
 	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/discovery"
@@ -19,7 +20,7 @@
 	for _, size := range []struct{ replicas, dataPlanes int }{{9, 6}, {140, 80}, {720, 400}} {
 		b.Run(fmt.Sprintf("%dx%d", size.replicas, size.dataPlanes), func(b *testing.B) {
 			now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-			demand := scheduler.NewDemandView(NewDemandAggregator(), func() time.Time { return now }, func() {})
+			demand := scheduler.NewDemandView(demand.NewDemandAggregator(), func() time.Time { return now }, func() {})
 			tracker := replicatracker.New(0, replicatracker.NewDiskInventory(), replicatracker.NewObservations(0))
 			var listed []discovery.Replica
 			for index := range size.replicas {
--- a/internal/controlplane/share.go
+++ b/internal/controlplane/share.go
@@ -55,7 +55,7 @@
 	if left.TimeLeftMs != nil && *left.TimeLeftMs != *right.TimeLeftMs {
 		return false
 	}
-	return sameReplica(left, right) && left.WarmUpRemainingMs == right.WarmUpRemainingMs && sameModels(left.Models, right.Models)
+	return discovery.SameReplica(left, right) && left.WarmUpRemainingMs == right.WarmUpRemainingMs && discovery.SameModels(left.Models, right.Models)
 }
 
 // applyRosterDiff applies a difference to a base, ordered by id.
@@ -114,7 +114,7 @@
 		}
 		var reply rosterAck
 		sentAt := n.clock()
-		err := n.peers.Call(ctx, "roster", address, update, &reply)
+		err := n.peers.Call(ctx, peer.MethodShareRoster, address, update, &reply)
 		if err == nil {
 			n.adoptNewerRoster(reply, sentAt)
 		}
