--- a/cmd/ferryspar-operator/forget.go
+++ b/cmd/ferryspar-operator/forget.go
@@ -77,7 +77,7 @@
 		fmt.Println(string(content))
 		return
 	}
-	counts := map[string]int{}
+	counts := map[retention.State]int{}
 	for _, node := range status.Nodes {
 		counts[node.State]++
 	}
--- a/internal/controlplane/scheduler/eviction.go
+++ b/internal/controlplane/scheduler/eviction.go
@@ -141,7 +141,7 @@
 // updateProgress stores which of a purge's copies have been evicted, or are gone with a removed replica; one that the list
 // has just left out stays pending.
 func (e *contextEviction) updateProgress(ctx context.Context, purge retention.Purge) {
-	states := map[retention.Target]string{}
+	states := map[retention.Target]retention.State{}
 	for _, target := range purge.Targets {
 		if target.State != retention.Pending {
 			continue
--- a/internal/retention/status.go
+++ b/internal/retention/status.go
@@ -1,14 +1,20 @@
 package retention
 
-// NodeStatus is a data plane or replica that has something to forget.
+// Kinds of nodes in a Status.
+const (
+	kindDataPlane = "edge"
+	kindReplica   = "replica"
+)
+
+// NodeStatus is the state of a data plane, or of a model at a replica.
 type NodeStatus struct {
 	Node  string `json:"node"`
 	Kind  string `json:"kind"`
 	Model string `json:"model,omitempty"`
-	State string `json:"state"`
+	State State  `json:"state"`
 }
 
-// Status is what an operator sees of an order to forget.
+// Status is what operators see of a purge.
 type Status struct {
 	Number   uint64       `json:"number"`
 	Scope    Scope        `json:"scope"`
@@ -16,33 +22,43 @@
 	Nodes    []NodeStatus `json:"nodes"`
 }
 
-// DataPlaneView is what is known of a data plane: the newest order it has carried out, and whether it
-// left.
+// DataPlaneView is what is known of a data plane: the newest purge that it has applied, and whether it left.
 type DataPlaneView struct {
 	Applied uint64
 	Left    bool
 }
 
-// Status returns the status of the order, given the views of the data planes by name.
+// Status returns the status of the purge, given the views of the data planes by name.
 func (p Purge) Status(dataPlanes map[string]DataPlaneView) Status {
 	status := Status{Number: p.Number, Scope: p.Scope, Complete: p.TargetsListed, Nodes: []NodeStatus{}}
 	for _, name := range p.DataPlanes {
-		node := NodeStatus{Node: name, Kind: "edge", State: Pending}
-		if view, known := dataPlanes[name]; known {
-			switch {
-			case view.Applied >= p.Number:
-				node.State = Done
-			case view.Left:
-				node.State = Gone
-			}
-		}
-		status.Nodes = append(status.Nodes, node)
+		status.Nodes = append(status.Nodes, NodeStatus{
+			Node:  name,
+			Kind:  kindDataPlane,
+			State: p.dataPlaneState(dataPlanes[name]),
+		})
 	}
 	for _, target := range p.Targets {
-		status.Nodes = append(status.Nodes, NodeStatus{Node: target.Replica, Kind: "replica", Model: target.Model, State: target.State})
+		status.Nodes = append(status.Nodes, NodeStatus{
+			Node:  target.Replica,
+			Kind:  kindReplica,
+			Model: target.Model,
+			State: target.State,
+		})
 	}
 	for _, node := range status.Nodes {
 		status.Complete = status.Complete && node.State != Pending
 	}
 	return status
 }
+
+// dataPlaneState is how far a data plane has come; of an unknown one nothing was applied.
+func (p Purge) dataPlaneState(view DataPlaneView) State {
+	switch {
+	case view.Applied >= p.Number:
+		return Done
+	case view.Left:
+		return Gone
+	}
+	return Pending
+}
--- a/internal/test/integration/retention_test.go
+++ b/internal/test/integration/retention_test.go
@@ -28,8 +28,8 @@
 	return all.Forgets
 }
 
-func states(status retention.Status, kind string) map[string]string {
-	found := map[string]string{}
+func states(status retention.Status, kind string) map[string]retention.State {
+	found := map[string]retention.State{}
 	for _, node := range status.Nodes {
 		if node.Kind == kind {
 			found[node.Node+node.Model] = node.State
