--- a/internal/controlplane/daemon_bench_test.go
+++ b/internal/controlplane/daemon_bench_test.go
@@ -17,6 +17,9 @@
 	"ferryspar/internal/peer"
 )
 
+// rosterTestStart is the time at which tests start.
+var rosterTestStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+
 func newBenchNode(b *testing.B) *Node {
 	settings, err := nodesettings.Parse(nil)
 	assert.NilError(b, err)
@@ -89,7 +92,7 @@
 	run := func(edges, replicas int) func(b *testing.B) {
 		return func(b *testing.B) {
 			node := newBenchNode(b)
-			node.publishReplicas(benchRoster(replicas, 0), nil, time.Now())
+			rosterHost{node: node}.PublishRoster(benchRoster(replicas, 0), nil, time.Now())
 			routes := node.peerRoutes()
 			subscribeAll(b, routes, edges, replicas)
 			for edge := range edges {
@@ -115,7 +118,7 @@
 	for _, replicas := range []int{9, 140, 720} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			node := newBenchNode(b)
-			node.publishReplicas(benchRoster(replicas, 0), nil, time.Now())
+			rosterHost{node: node}.PublishRoster(benchRoster(replicas, 0), nil, time.Now())
 			routes, size := node.peerRoutes(), 0
 			subscribeAll(b, routes, 1, replicas)
 			for b.Loop() {
@@ -130,7 +133,7 @@
 	for _, edges := range []int{8, 80, 400} {
 		b.Run(fmt.Sprintf("edges=%d", edges), func(b *testing.B) {
 			node := newBenchNode(b)
-			node.publishReplicas(benchRoster(140, 0), nil, time.Now())
+			rosterHost{node: node}.PublishRoster(benchRoster(140, 0), nil, time.Now())
 			routes := node.peerRoutes()
 			subscribeAll(b, routes, edges, 140)
 			for b.Loop() {
@@ -171,8 +174,7 @@
 			rosters := [][]discovery.Replica{benchRoster(replicas, 0), benchRoster(replicas, 1)}
 			for b.Loop() {
 				turn++
-				node.roster.set(rosters[turn%2], time.Now())
-				node.publishRoster()
+				node.roster.Adopt(rosters[turn%2], time.Now())
 			}
 		})
 	}
--- a/internal/controlplane/demandshare.go
+++ b/internal/controlplane/demandshare.go
@@ -87,7 +87,7 @@
 func (n *Node) handleLoadSummary(ctx context.Context, summary peer.LoadSummary) peer.LoadSummaryReply {
 	now := n.clock()
 	if summary.Packed != nil {
-		loads, known := n.dense.unpack(summary.Packed, n.roster.replicaList())
+		loads, known := n.dense.unpack(summary.Packed, n.roster.Replicas())
 		if !known {
 			return peer.LoadSummaryReply{UnknownVersion: true}
 		}
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -10,12 +10,8 @@
 
 func (n *Node) subscribeEvents(ctx context.Context) error {
 	followers := map[string]func(payload []byte){
-		eventbus.TopicCommitted: func(payload []byte) { n.notifyCommitted(ctx, payload) },
-		eventbus.TopicPlacementChanged: func(payload []byte) {
-			if n.scheduler.HoldsLease() {
-				n.sendRoster(ctx, false)
-			}
-		},
+		eventbus.TopicCommitted:        func(payload []byte) { n.notifyCommitted(ctx, payload) },
+		eventbus.TopicPlacementChanged: func([]byte) { n.roster.RequestSend() },
 	}
 	for topic, handle := range followers {
 		if err := n.bus.Subscribe(ctx, topic, handle); err != nil {
--- a/internal/controlplane/exchange.go
+++ b/internal/controlplane/exchange.go
@@ -65,7 +65,7 @@
 // exchange sends this daemon's sums to every other control plane and does not wait for the answers.
 func (n *Node) sendSummaries(ctx context.Context) {
 	full := n.loads.Summary(n.self, n.clock())
-	packed := n.dense.pack(full, n.roster.replicaList())
+	packed := n.dense.pack(full, n.roster.Replicas())
 	for _, address := range n.members.Others() {
 		summary := packed
 		if n.exchanged.needsUnpacked(address) {
--- a/internal/controlplane/managed.go
+++ b/internal/controlplane/managed.go
@@ -100,7 +100,7 @@
 	}
 	s.lock.Unlock()
 	s.unpublished, s.publishedAt = false, now
-	s.node.publishRoster()
+	s.node.roster.Publish()
 	_ = s.node.bus.Publish(eventbus.TopicPlacementChanged, len(s.tracked))
 }
 
@@ -114,7 +114,7 @@
 		return
 	}
 	s.unpublished = true
-	s.node.publishRoster()
+	s.node.roster.Publish()
 	_ = s.node.bus.Publish(eventbus.TopicPlacementChanged, 0)
 }
 
--- a/internal/controlplane/members/manager.go
+++ b/internal/controlplane/members/manager.go
@@ -94,7 +94,9 @@
 }
 
 // NewManager returns a manager that has heard of nobody.
-func NewManager(config Config, store *keystore.Store, acceptor *keystore.Acceptor, caller Caller, dataPlanes DataPlanes, host Host) *Manager {
+func NewManager(
+	config Config, store *keystore.Store, acceptor *keystore.Acceptor, caller Caller, dataPlanes DataPlanes, host Host,
+) *Manager {
 	return &Manager{
 		config:     config,
 		store:      store,
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -7,7 +7,6 @@
 	"net/http"
 	"strconv"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/pkg/errors"
@@ -15,6 +14,7 @@
 
 	"ferryspar/internal/controlplane/dataplanes"
 	"ferryspar/internal/controlplane/members"
+	"ferryspar/internal/controlplane/roster"
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/eventbus"
@@ -59,12 +59,9 @@
 	scheduler  *Scheduler
 	bus        *eventbus.Bus
 
-	rosterUpdates atomic.Uint64
-	discovery     *discovery.Client
-	listMerger    discovery.Merger
-	roster        rosterState
-	forecasts     forecasts
-	drills        drillReports
+	roster    *roster.Roster
+	forecasts forecasts
+	drills    drillReports
 }
 
 // nonce returns a random number that names a disk, an incarnation or a request.
@@ -108,10 +105,7 @@
 	node.openKeystore(incarnation, isBootstrapping)
 	node.confirmer = newConfirmer(node)
 	node.members = node.newMembers()
-	node.discovery = &discovery.Client{
-		Address:    settings.CloudAPI.Address,
-		HTTPClient: &http.Client{Transport: peer.NewTransport(network, listConnectTimeout, listAckTimeout, listIdleConnections)},
-	}
+	node.roster = node.newRoster()
 	node.scheduler = NewScheduler(node)
 	return node, nil
 }
@@ -170,6 +164,22 @@
 	return members.NewManager(config, n.store, n.acceptor, n.peers, n.dataPlanes, membersHost{n})
 }
 
+func (n *Node) newRoster() *roster.Roster {
+	transport := peer.NewTransport(n.network, listConnectTimeout, listAckTimeout, listIdleConnections)
+	lister := &discovery.Client{
+		Address:    n.settings.CloudAPI.Address,
+		HTTPClient: &http.Client{Transport: transport},
+	}
+	config := roster.Config{
+		Self:           n.self,
+		Incarnation:    n.incarnation,
+		CallsPerSecond: n.settings.CloudAPI.RatePerS,
+		Clock:          n.clock,
+	}
+	host := rosterHost{Client: n.peers, node: n}
+	return roster.New(config, lister, host, host, host)
+}
+
 // minLeaseDuration is the shortest time that a lease is granted for.
 const minLeaseDuration = 500 * time.Millisecond
 
@@ -208,7 +218,7 @@
 		return err
 	}
 	cleanup = append(cleanup, n.bus.Close)
-	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.runRoster, n.scheduler.Run, n.runLoadExchange, n.runDrillGuard,
+	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.roster.Run, n.scheduler.Run, n.runLoadExchange, n.runDrillGuard,
 		func(ctx context.Context) {
 			nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(fresh nodesettings.Settings) { n.members.Introduce(fresh.SeedPeers()) })
 		}}
--- a/internal/controlplane/pinned_test.go
+++ b/internal/controlplane/pinned_test.go
@@ -8,12 +8,13 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/controlplane/members"
+	"ferryspar/internal/controlplane/roster"
 	"ferryspar/internal/test/pinned"
 )
 
 func TestReplies_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
-		"answer to a share of the roster": new(rosterAck),
+		"answer to a share of the roster": new(roster.Reply),
 		"answer to a greeting":            new(members.HeartbeatReply),
 	})
 }
--- a/internal/controlplane/planning.go
+++ b/internal/controlplane/planning.go
@@ -36,7 +36,7 @@
 	if table == nil || snapshot.RosterAsOf.IsZero() || now.Sub(snapshot.RosterAsOf) > 3*time.Second {
 		return
 	}
-	listed, readAt := s.node.roster.current()
+	listed, readAt := s.node.roster.Current()
 	s.adoptReplicaList(listed, readAt)
 	for _, id := range s.duePolls(table, now) {
 		s.pollReport(ctx, id)
--- a/internal/controlplane/roster_test.go
+++ b/internal/controlplane/roster/intervals_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package roster
 
 import (
 	"testing"
--- a/internal/controlplane/rosterstate_test.go
+++ b/internal/controlplane/roster/list_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package roster
 
 import (
 	"testing"
@@ -12,26 +12,27 @@
 
 var rosterTestStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestRosterState_AdoptsOlderListOnlyFromSender(t *testing.T) {
+func TestList_AdoptsOlderListOnlyFromSender(t *testing.T) {
 	old, next := []discovery.Replica{{ID: "old"}}, []discovery.Replica{{ID: "next"}}
 	at := func(seconds int) time.Time { return rosterTestStart.Add(time.Duration(seconds) * time.Second) }
-	state := rosterState{}
+	state := list{}
 	assert.Assert(t, state.set(next, at(5)))
 	assert.Assert(t, !state.set(old, at(4)), "a question that began before")
 	update := peer.RosterUpdate{Member: "a", Replicas: old, Version: "a/1"}
 	assert.Equal(t, state.adopt(update, at(4), at(6)), superseded)
-	assert.Equal(t, state.replicaList()[0].ID, "next")
+	assert.Equal(t, state.replicas[0].ID, "next")
 	assert.Equal(t, state.adopt(update, at(6), at(7)), adopted)
-	assert.Equal(t, state.adopt(peer.RosterUpdate{Member: "b", Replicas: next}, at(5), at(8)), superseded, "the next holder's list is older")
+	successor := peer.RosterUpdate{Member: "b", Replicas: next}
+	assert.Equal(t, state.adopt(successor, at(5), at(8)), superseded, "the next lease holder's list is older")
 	diff := peer.RosterUpdate{Member: "a", BaseVersion: "a/1", Removed: []string{"old"}, Version: "a/2"}
 	assert.Equal(t, state.adopt(diff, at(5), at(8)), adopted, "shares of one member come in order, whatever their way took")
 	assert.Equal(t, state.adopt(diff, at(9), at(9)), baseMismatch)
 }
 
-func TestRosterState_KeepsCordonsForTheirLifetime(t *testing.T) {
-	state := rosterState{}
+func TestList_KeepsCordonsForTheirLifetime(t *testing.T) {
+	state := list{}
 	state.adopt(peer.RosterUpdate{Member: "a", Cordoned: []string{"i-1 swift"}}, rosterTestStart, rosterTestStart)
 	assert.Assert(t, state.set(nil, rosterTestStart.Add(time.Second)))
-	assert.DeepEqual(t, state.cordonedReplicas(rosterTestStart.Add(cordonLifetime)), []string{"i-1 swift"})
-	assert.Equal(t, len(state.cordonedReplicas(rosterTestStart.Add(cordonLifetime+1))), 0)
+	assert.DeepEqual(t, state.cordonedModels(rosterTestStart.Add(cordonLifetime)), []string{"i-1 swift"})
+	assert.Equal(t, len(state.cordonedModels(rosterTestStart.Add(cordonLifetime+1))), 0)
 }
--- /dev/null
+++ b/internal/controlplane/roster_host.go
@@ -0,0 +1,80 @@
+package controlplane
+
+import (
+	"slices"
+	"time"
+
+	"ferryspar/internal/controlplane/roster"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/peer"
+)
+
+// rosterHost is a node as its roster.Roster sees it: its scheduler, its publishers, and the other
+// control-plane nodes.
+type rosterHost struct {
+	*peer.Client
+	node *Node
+}
+
+// HoldsLease implements roster.Placement.
+func (h rosterHost) HoldsLease() bool { return h.node.scheduler.HoldsLease() }
+
+// Fence implements roster.Placement.
+func (h rosterHost) Fence() (uint64, bool) {
+	grant := h.node.scheduler.currentGrant.Load()
+	if grant == nil {
+		return 0, false
+	}
+	return grant.Record.Fence, true
+}
+
+// WithObserved implements roster.Placement.
+func (h rosterHost) WithObserved(replicas []discovery.Replica, asOf time.Time) ([]discovery.Replica, []string) {
+	return h.node.scheduler.withObserved(replicas, asOf)
+}
+
+// DemandRates implements roster.Placement.
+func (h rosterHost) DemandRates() map[string]peer.Rate { return h.node.scheduler.sharedRates() }
+
+// AdoptUpdate implements roster.Placement.
+func (h rosterHost) AdoptUpdate(update peer.RosterUpdate) {
+	h.node.scheduler.recordLeaseHolderSeen()
+	h.node.scheduler.handleRates(update.Rates)
+}
+
+// RecordListed implements roster.Placement.
+func (h rosterHost) RecordListed(replicas []discovery.Replica) {
+	for _, replica := range replicas {
+		h.node.scheduler.recordListedModels(replica)
+	}
+}
+
+// PublishRoster implements roster.Publisher.
+func (h rosterHost) PublishRoster(replicas []discovery.Replica, cordoned []string, asOf time.Time) {
+	changed := false
+	h.node.publisher.UpdateQuietly(func(next *Snapshot) {
+		changed = !roster.SameContent(next.Replicas, replicas) || !slices.Equal(next.Cordoned, cordoned)
+		if changed {
+			next.RosterVersion++
+			next.Replicas = replicas
+			next.Cordoned = cordoned
+		}
+		next.RosterAsOf = asOf
+	})
+	if changed {
+		h.node.scheduler.recordCopies(replicas)
+	}
+	h.node.endpoints.Publish(replicas, cordoned, asOf)
+}
+
+// PublishedRoster implements roster.Publisher.
+func (h rosterHost) PublishedRoster() ([]discovery.Replica, []string, time.Time) {
+	snapshot := h.node.publisher.Current()
+	return snapshot.Replicas, snapshot.Cordoned, snapshot.RosterAsOf
+}
+
+// Others implements roster.Cluster.
+func (h rosterHost) Others() []string { return h.node.members.Others() }
+
+// OtherCount implements roster.Cluster.
+func (h rosterHost) OtherCount() int { return len(h.node.publisher.Current().ControlPlanes) - 1 }
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -21,7 +21,7 @@
 	router.Post(peer.Methods["pressure"].Path, peer.Handler(n.handleLoadReport))
 	router.Post(peer.Methods["follow"].Path, peer.Handler(n.handleSubscribe))
 	router.Post(peer.Methods["sums"].Path, peer.Handler(n.handleLoadSummary))
-	router.Post(peer.Methods["roster"].Path, peer.Handler(n.handleRosterUpdate))
+	router.Post(peer.Methods["roster"].Path, peer.Handler(n.roster.HandleUpdate))
 	router.Post(peer.Methods["greet"].Path, peer.Handler(n.members.HandleHeartbeat))
 	router.Post(peer.Methods["forecast"].Path, peer.Handler(n.handleForecast))
 	router.Post(peer.Methods["plan"].Path, peer.Handler(n.handlePlanRequest))
