--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/peer"
@@ -41,7 +42,7 @@
 	}
 	controlPlanes := append(others, n.self)
 	slices.Sort(controlPlanes)
-	update := func(next *Snapshot) {
+	update := func(next *watch.Snapshot) {
 		next.DataPlaneCount = count
 		next.EarlyDataPlaneCount = early
 		next.ControlPlanes = controlPlanes
@@ -49,7 +50,7 @@
 	}
 	isFirstCount := early > 0 && n.publisher.Current().EarlyDataPlaneCount == 0
 	if isFirstCount {
-		n.publisher.Update(func(next *Snapshot) bool {
+		n.publisher.Update(func(next *watch.Snapshot) bool {
 			update(next)
 			return true
 		})
@@ -61,7 +62,7 @@
 // MemberLeaving makes the placement lease worth trying for at once if its holder is about to end.
 func (h membersHost) MemberLeaving(address string) {
 	if address == h.node.publisher.Current().LeaseHolder {
-		h.node.scheduler.forgetLeaseHolder()
+		h.node.scheduler.Lease().ForgetHolder()
 	}
 }
 
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -13,8 +13,11 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/controlplane/dataplanes"
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/members"
 	"ferryspar/internal/controlplane/roster"
+	"ferryspar/internal/controlplane/scheduler"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/controlstate"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/eventbus"
@@ -40,7 +43,6 @@
 	network     peer.Network
 	peers       *peer.Client
 
-	wal      *keystore.WAL
 	acceptor *keystore.Acceptor
 	store    *keystore.Store
 	state    *controlstate.State
@@ -49,15 +51,15 @@
 	appliedRegisters map[string]keystore.Register
 	confirmer        *confirmer
 
-	publisher  *Publisher
-	endpoints  *EndpointPublisher
-	loads      *LoadAggregator
-	dense      loadPacker
-	exchanged  unpackedPeers
-	dataPlanes *dataplanes.Registry
-	members    *members.Manager
-	scheduler  *Scheduler
-	bus        *eventbus.Bus
+	publisher    *watch.Publisher
+	endpoints    *watch.EndpointPublisher
+	watchServer  *watch.Server
+	loads        *demand.LoadAggregator
+	loadExchange *demand.Exchange
+	dataPlanes   *dataplanes.Registry
+	members      *members.Manager
+	scheduler    *scheduler.Scheduler
+	bus          *eventbus.Bus
 
 	roster    *roster.Roster
 	forecasts forecasts
@@ -94,19 +96,20 @@
 		startedAt:        time.Now(),
 		network:          network,
 		peers:            peer.NewClient(network),
-		wal:              wal,
 		appliedRegisters: map[string]keystore.Register{},
-		publisher:        NewPublisher(),
-		endpoints:        NewEndpointPublisher(),
-		loads:            NewLoadAggregator(),
+		publisher:        watch.NewPublisher(),
+		endpoints:        watch.NewEndpointPublisher(),
+		loads:            demand.NewLoadAggregator(),
 		dataPlanes:       dataplanes.NewRegistry(),
 		bus:              eventbus.New(),
 	}
-	node.openKeystore(incarnation, isBootstrapping)
+	node.openKeystore(wal, incarnation, isBootstrapping)
 	node.confirmer = newConfirmer(node)
 	node.members = node.newMembers()
+	node.watchServer = node.newWatchServer()
 	node.roster = node.newRoster()
-	node.scheduler = NewScheduler(node)
+	node.scheduler = node.newScheduler()
+	node.loadExchange = node.newLoadExchange()
 	return node, nil
 }
 
@@ -134,14 +137,14 @@
 }
 
 // openKeystore makes the acceptor and the store over the write-ahead log.
-func (n *Node) openKeystore(incarnation uint64, isBootstrapping bool) {
+func (n *Node) openKeystore(wal *keystore.WAL, incarnation uint64, isBootstrapping bool) {
 	seeds := n.settings.SeedPeers()
 	config := keystore.AcceptorConfig{
 		LeaseDuration: n.leaseDuration(),
 		Clock:         n.clock,
 		Seeds:         seeds,
 	}
-	n.acceptor = keystore.NewAcceptor(n.self, n.wal, config, isBootstrapping)
+	n.acceptor = keystore.NewAcceptor(n.self, wal, config, isBootstrapping)
 	membership := n.acceptor.Membership()
 	if membership.Version == 0 && isBootstrapping {
 		membership = keystore.BootstrapMembership(seeds)
@@ -198,7 +201,7 @@
 		}
 	}()
 	cleanup = append(cleanup, cancel)
-	go n.acceptor.Run(ctx, n.wal)
+	go n.acceptor.Run(ctx)
 	peerListener, err := n.network.Listen(n.self)
 	if err != nil {
 		return errors.Wrap(err, "internal address")
@@ -218,7 +221,7 @@
 		return err
 	}
 	cleanup = append(cleanup, n.bus.Close)
-	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.roster.Run, n.scheduler.Run, n.runLoadExchange, n.runDrillGuard,
+	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.roster.Run, n.scheduler.Run, n.loadExchange.Run, n.runDrillGuard,
 		func(ctx context.Context) {
 			nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(fresh nodesettings.Settings) { n.members.Introduce(fresh.SeedPeers()) })
 		}}
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -61,7 +61,7 @@
 	// OtherCount is how many of them may read the platform's list beside this node.
 	OtherCount() int
 	// Call calls a method of another node.
-	Call(ctx context.Context, method, address string, message, reply any) error
+	Call(ctx context.Context, method peer.Method, address string, message, reply any) error
 }
 
 // Config is what a roster needs beside its collaborators.
--- a/internal/controlplane/roster/updates.go
+++ b/internal/controlplane/roster/updates.go
@@ -111,7 +111,7 @@
 func (r *Roster) sendUpdate(ctx context.Context, address string, update peer.RosterUpdate) bool {
 	var reply Reply
 	sentAt := r.config.Clock()
-	if r.cluster.Call(ctx, "roster", address, update, &reply) != nil {
+	if r.cluster.Call(ctx, peer.MethodShareRoster, address, update, &reply) != nil {
 		return false
 	}
 	r.adoptNewer(reply, sentAt)
--- a/internal/controlplane/roster_host.go
+++ b/internal/controlplane/roster_host.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ferryspar/internal/controlplane/roster"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
 )
@@ -17,11 +18,11 @@
 }
 
 // HoldsLease implements roster.Placement.
-func (h rosterHost) HoldsLease() bool { return h.node.scheduler.HoldsLease() }
+func (h rosterHost) HoldsLease() bool { return h.node.scheduler.Lease().Holds() }
 
 // Fence implements roster.Placement.
 func (h rosterHost) Fence() (uint64, bool) {
-	grant := h.node.scheduler.currentGrant.Load()
+	grant := h.node.scheduler.Lease().Grant()
 	if grant == nil {
 		return 0, false
 	}
@@ -30,29 +31,29 @@
 
 // WithObserved implements roster.Placement.
 func (h rosterHost) WithObserved(replicas []discovery.Replica, asOf time.Time) ([]discovery.Replica, []string) {
-	return h.node.scheduler.withObserved(replicas, asOf)
+	return h.node.scheduler.Observations().Apply(replicas, asOf)
 }
 
 // DemandRates implements roster.Placement.
-func (h rosterHost) DemandRates() map[string]peer.Rate { return h.node.scheduler.sharedRates() }
+func (h rosterHost) DemandRates() map[string]peer.Rate { return h.node.scheduler.Demand().SharedRates() }
 
 // AdoptUpdate implements roster.Placement.
 func (h rosterHost) AdoptUpdate(update peer.RosterUpdate) {
-	h.node.scheduler.recordLeaseHolderSeen()
-	h.node.scheduler.handleRates(update.Rates)
+	h.node.scheduler.Lease().RecordHolderSeen()
+	h.node.scheduler.Demand().HandleRates(update.Rates)
 }
 
 // RecordListed implements roster.Placement.
 func (h rosterHost) RecordListed(replicas []discovery.Replica) {
 	for _, replica := range replicas {
-		h.node.scheduler.recordListedModels(replica)
+		h.node.scheduler.Disks().RecordListed(replica)
 	}
 }
 
 // PublishRoster implements roster.Publisher.
 func (h rosterHost) PublishRoster(replicas []discovery.Replica, cordoned []string, asOf time.Time) {
 	changed := false
-	h.node.publisher.UpdateQuietly(func(next *Snapshot) {
+	h.node.publisher.UpdateQuietly(func(next *watch.Snapshot) {
 		changed = !roster.SameContent(next.Replicas, replicas) || !slices.Equal(next.Cordoned, cordoned)
 		if changed {
 			next.RosterVersion++
@@ -62,7 +63,7 @@
 		next.RosterAsOf = asOf
 	})
 	if changed {
-		h.node.scheduler.recordCopies(replicas)
+		h.node.scheduler.Copies().AdoptList(replicas, h.node.clock())
 	}
 	h.node.endpoints.Publish(replicas, cordoned, asOf)
 }
