--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -7,7 +7,6 @@
 	"net/http"
 	"strconv"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/pkg/errors"
@@ -16,6 +15,7 @@
 	"ferryspar/internal/controlplane/dataplanes"
 	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/members"
+	"ferryspar/internal/controlplane/roster"
 	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/controlstate"
@@ -61,12 +61,9 @@
 	scheduler    *scheduler.Scheduler
 	bus          *eventbus.Bus
 
-	rosterUpdates atomic.Uint64
-	discovery     *discovery.Client
-	listMerger    discovery.Merger
-	roster        rosterState
-	forecasts     forecasts
-	drills        drillReports
+	roster    *roster.Roster
+	forecasts forecasts
+	drills    drillReports
 }
 
 // nonce returns a random number that names a disk, an incarnation or a request.
@@ -110,10 +107,7 @@
 	node.confirmer = newConfirmer(node)
 	node.members = node.newMembers()
 	node.watchServer = node.newWatchServer()
-	node.discovery = &discovery.Client{
-		Address:    settings.CloudAPI.Address,
-		HTTPClient: &http.Client{Transport: peer.NewTransport(network, listConnectTimeout, listAckTimeout, listIdleConnections)},
-	}
+	node.roster = node.newRoster()
 	node.scheduler = node.newScheduler()
 	node.loadExchange = node.newLoadExchange()
 	return node, nil
@@ -173,6 +167,22 @@
 	return members.NewManager(config, n.store, n.acceptor, n.peers, n.dataPlanes, membersHost{n})
 }
 
+func (n *Node) newRoster() *roster.Roster {
+	transport := peer.NewTransport(n.network, listConnectTimeout, listAckTimeout, listIdleConnections)
+	lister := &discovery.Client{
+		Address:    n.settings.CloudAPI.Address,
+		HTTPClient: &http.Client{Transport: transport},
+	}
+	config := roster.Config{
+		Self:           n.self,
+		Incarnation:    n.incarnation,
+		CallsPerSecond: n.settings.CloudAPI.RatePerS,
+		Clock:          n.clock,
+	}
+	host := rosterHost{Client: n.peers, node: n}
+	return roster.New(config, lister, host, host, host)
+}
+
 // minLeaseDuration is the shortest time that a lease is granted for.
 const minLeaseDuration = 500 * time.Millisecond
 
@@ -211,7 +221,7 @@
 		return err
 	}
 	cleanup = append(cleanup, n.bus.Close)
-	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.runRoster, n.scheduler.Run, n.loadExchange.Run, n.runDrillGuard,
+	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.roster.Run, n.scheduler.Run, n.loadExchange.Run, n.runDrillGuard,
 		func(ctx context.Context) {
 			nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(fresh nodesettings.Settings) { n.members.Introduce(fresh.SeedPeers()) })
 		}}
