--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -6,13 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Borrower is the part of a data plane that admits requests: it holds the tokens that were borrowed and what homes
-// refused, by tenant.
+const (
+	// failureBackoff is how long a home shard that gave no reply isn't asked again.
+	failureBackoff = 500 * time.Millisecond
+	// unavailableBackoff is how long a home shard that was unavailable for a tenant isn't asked for it again.
+	unavailableBackoff = 100 * time.Millisecond
+	// accountTTL is how long the account of a tenant without requests is kept.
+	accountTTL = 30 * time.Second
+)
+
+// Borrower is the part of a data plane that admits requests: it holds the tokens that were borrowed, and which home
+// shards had none, by tenant.
 type Borrower struct {
 	parameters Parameters
 	dataPlane  string
 	accounts   map[string]*account
-	// silent holds the homes that gave no answer, and when they are asked again.
+	// unresponsiveUntil holds when home shards that gave no reply are asked again.
 	unresponsiveUntil map[string]time.Time
 }
 
@@ -20,43 +29,50 @@
 type account struct {
 	tokens    int
 	expiresAt time.Time
-	// refused tells when homes are asked again that had no token. Until denied one of them had none because the tenant
-	// is beyond its limit.
-	rejectedUntil  map[string]time.Time
+	// rejectedUntil holds when home shards that had no tokens are asked again.
+	rejectedUntil map[string]time.Time
+	// overLimitUntil is until when a home shard has no tokens because the tenant is over its limit.
 	overLimitUntil time.Time
-	// recent counts the requests since the moment, the last ones of the span before in earlier.
+	// requests counts the tenant's requests since countingSince, previousRequests those of the period before.
 	requests, previousRequests int
 	countingSince              time.Time
 }
 
-// NewBorrower returns a borrower of a data plane without tokens.
-func NewBorrower(parameters Parameters, daemon string) *Borrower {
-	return &Borrower{parameters: parameters, dataPlane: daemon, accounts: map[string]*account{}, unresponsiveUntil: map[string]time.Time{}}
+// NewBorrower returns the borrower of a data plane, without tokens.
+func NewBorrower(parameters Parameters, dataPlane string) *Borrower {
+	return &Borrower{
+		parameters:        parameters,
+		dataPlane:         dataPlane,
+		accounts:          map[string]*account{},
+		unresponsiveUntil: map[string]time.Time{},
+	}
 }
 
-func (b *Borrower) account(tenant string, now time.Time) *account {
-	held := b.accounts[tenant]
-	if held == nil {
-		held = &account{rejectedUntil: map[string]time.Time{}, countingSince: now}
-		b.accounts[tenant] = held
+// accountOf returns the account of a tenant, a new one if there is none.
+func (b *Borrower) accountOf(tenant string, now time.Time) *account {
+	if b.accounts[tenant] == nil {
+		b.accounts[tenant] = &account{rejectedUntil: map[string]time.Time{}, countingSince: now}
 	}
-	return held
+	return b.accounts[tenant]
 }
 
-// Arrived counts a request of the tenant, for the number of tokens to ask for.
+// RecordRequest counts a request of the tenant, for the number of tokens to request.
 func (b *Borrower) RecordRequest(tenant string, now time.Time) {
-	account := b.account(tenant, now)
-	if passed := now.Sub(account.countingSince); passed >= b.parameters.TokenTTL {
-		account.previousRequests = account.requests
-		if passed >= 2*b.parameters.TokenTTL {
-			account.previousRequests = 0
+	b.accountOf(tenant, now).recordRequest(now, b.parameters.TokenTTL)
+}
+
+func (a *account) recordRequest(now time.Time, period time.Duration) {
+	if passed := now.Sub(a.countingSince); passed >= period {
+		a.previousRequests = a.requests
+		if passed >= 2*period {
+			a.previousRequests = 0
 		}
-		account.requests, account.countingSince = 0, now
+		a.requests, a.countingSince = 0, now
 	}
-	account.requests++
+	a.requests++
 }
 
-// Take spends a token of the tenant, if there is one that may still be spent.
+// TakeToken spends a token of the tenant and reports whether there was one that may still be spent.
 func (b *Borrower) TakeToken(tenant string, now time.Time) bool {
 	account := b.accounts[tenant]
 	if account == nil || account.tokens == 0 {
@@ -70,13 +86,14 @@
 	return true
 }
 
-// Home picks the home to be asked for the tenant next: of those that didn't refuse lately the first in an order
-// that differs between data planes. There is none while all refuse.
-func (b *Borrower) NextHomeShard(tenant string, homeShards []string, now time.Time) (string, bool) {
+// NextHomeShard picks the home shard to be asked for the tenant's tokens next: of those that weren't without tokens
+// lately the first, in an order that differs between data planes so that they spread their requests. It returns
+// false while there is none.
+func (b *Borrower) NextHomeShard(tenant string, homeShards []string, now time.Time) (homeShard string, found bool) {
 	if len(homeShards) == 0 {
 		return "", false
 	}
-	account := b.account(tenant, now)
+	account := b.accountOf(tenant, now)
 	first := int(xxhash.Sum64String(b.dataPlane+"\x00"+tenant) % uint64(len(homeShards)))
 	for offset := range homeShards {
 		homeShard := homeShards[(first+offset)%len(homeShards)]
@@ -87,16 +104,16 @@
 	return "", false
 }
 
-// Want is how many tokens to ask for with the given number of requests waiting: a busy tenant gets some more, for those
-// that are likely to come within half the life of tokens.
+// TokensToRequest is how many tokens to request while a number of requests is waiting: for a busy tenant some more, for
+// those requests that are likely to come within half the tokens' time to live.
 func (b *Borrower) TokensToRequest(tenant string, waiting int, now time.Time) int {
-	account := b.account(tenant, now)
+	account := b.accountOf(tenant, now)
 	return waiting + max(account.requests, account.previousRequests)/2
 }
 
-// Answered notes what a home gave in answer to a question put at the time given.
+// HandleReply records what a home shard gave in reply to a request that was sent at requestedAt.
 func (b *Borrower) HandleReply(tenant, homeShard string, reply BorrowReply, requestedAt, now time.Time) {
-	account := b.account(tenant, now)
+	account := b.accountOf(tenant, now)
 	if reply.Unavailable {
 		account.rejectedUntil[homeShard] = now.Add(unavailableBackoff)
 		return
@@ -105,26 +122,24 @@
 		account.overLimitUntil = now.Add(time.Duration(reply.RetryAfterMs) * time.Millisecond)
 		account.rejectedUntil[homeShard] = account.overLimitUntil
 	}
-	until := requestedAt.Add(b.parameters.TokenTTL)
-	if reply.Tokens <= 0 || !now.Before(until) {
+	account.addTokens(reply.Tokens, requestedAt.Add(b.parameters.TokenTTL), now)
+}
+
+// addTokens adds tokens that may be spent until expiresAt. All tokens of an account expire at once, with the oldest of
+// them: kept for longer, they could be spent in a later window than the bounds count them in.
+func (a *account) addTokens(tokens int, expiresAt, now time.Time) {
+	if tokens <= 0 || !now.Before(expiresAt) {
 		return
 	}
-	if account.tokens > 0 && now.Before(account.expiresAt) {
-		account.tokens += reply.Tokens
-		account.expiresAt = earliest(account.expiresAt, until)
+	if a.tokens > 0 && now.Before(a.expiresAt) {
+		a.tokens += tokens
+		a.expiresAt = earliest(a.expiresAt, expiresAt)
 		return
 	}
-	account.tokens, account.expiresAt = reply.Tokens, until
+	a.tokens, a.expiresAt = tokens, expiresAt
 }
 
-func earliest(left, right time.Time) time.Time {
-	if left.Before(right) {
-		return left
-	}
-	return right
-}
-
-// Denied returns how much longer the tenant counts as beyond its limit, zero where it doesn't.
+// OverLimitFor returns for how much longer the tenant counts as over its limit, zero if it doesn't.
 func (b *Borrower) OverLimitFor(tenant string, now time.Time) time.Duration {
 	account := b.accounts[tenant]
 	if account == nil {
@@ -133,22 +148,12 @@
 	return max(account.overLimitUntil.Sub(now), 0)
 }
 
-const (
-	// failureBackoff is how long a home that gave no answer isn't asked again.
-	failureBackoff = 500 * time.Millisecond
-	// unavailableBackoff is how long a home that can't tell of a tenant isn't asked for it again.
-	unavailableBackoff = 100 * time.Millisecond
-)
-
-// Failed notes that a home gave no answer. What it may have given is lost.
+// HandleFailure records that a home shard gave no reply. What it may have given is lost.
 func (b *Borrower) HandleFailure(homeShard string, now time.Time) {
 	b.unresponsiveUntil[homeShard] = now.Add(failureBackoff)
 }
 
-// accountTTL is how long an account without requests is kept.
-const accountTTL = 30 * time.Second
-
-// Forget drops the accounts of tenants that sent nothing lately.
+// DropIdleAccounts drops the accounts of tenants that sent nothing lately.
 func (b *Borrower) DropIdleAccounts(now time.Time) {
 	for tenant, account := range b.accounts {
 		if now.Sub(account.countingSince) > accountTTL {
--- /dev/null
+++ b/internal/quota/homeshards.go
@@ -0,0 +1,46 @@
+package quota
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// candidatesPerGroup is how many data planes are announced as possible home shards of a group.
+const candidatesPerGroup = 8
+
+// Group returns the group that a tenant belongs to.
+func (p Parameters) Group(tenant string) int {
+	return int(xxhash.Sum64String(tenant) % uint64(p.groupCount()))
+}
+
+func (p Parameters) groupCount() int { return max(p.Groups, 1) }
+
+// Candidates returns the data planes, sorted by name, that rank first for some group: who knows these picks the same
+// home shards as who knows all, unless most of them are gone.
+func (p Parameters) Candidates(dataPlanes []string) []string {
+	var candidates []string
+	for group := range p.groupCount() {
+		ranked := Rank(group, dataPlanes)
+		candidates = append(candidates, ranked[:min(len(ranked), candidatesPerGroup)]...)
+	}
+	slices.Sort(candidates)
+	return slices.Compact(candidates)
+}
+
+// Rank orders the data planes by preference as home shards of a group, by rendezvous hashing: where two lists differ,
+// the data planes in both keep their order, so that few shares move.
+func Rank(group int, dataPlanes []string) []string {
+	prefix := strconv.Itoa(group) + "\x00"
+	weights := make(map[string]uint64, len(dataPlanes))
+	for _, dataPlane := range dataPlanes {
+		weights[dataPlane] = xxhash.Sum64String(prefix + dataPlane)
+	}
+	ranked := slices.Clone(dataPlanes)
+	slices.SortFunc(ranked, func(left, right string) int {
+		return cmp.Or(cmp.Compare(weights[right], weights[left]), cmp.Compare(left, right))
+	})
+	return ranked
+}
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -1,227 +1,174 @@
 package quota
 
-import (
-	"time"
+import "time"
+
+const (
+	// maxStampAge is the part of a loan term after which a stamp is too old to lend on: little would be left of the
+	// loan.
+	maxStampAge = 0.7
+	// toleratedFailures is how many calls in a row may fail before a home shard counts as unresponsive: a busy one may
+	// be late once.
+	toleratedFailures = 1
+	// probeIntervals is the time, in renewal intervals, after which an unresponsive home shard is asked again.
+	probeIntervals = 2
 )
 
-// Lender is the part of a data plane that owns a share of the limits of all tenants and lends it to homes. It keeps
-// in its books what it may still have lent to whom, so that no part of the share is ever at two places.
+// Lender is the part of a data plane that owns a share of the limits of all tenants and lends it to home shards.
 type Lender struct {
 	parameters Parameters
-	// life names this process of the data plane daemon, which began when it was born.
-	dataPlane    string
+	dataPlane  string
+	// incarnation names this process of the data plane, which started at startedAt.
 	incarnation  string
 	startedAt    time.Time
 	lastSequence uint64
-	// share is the data plane's part of every limit, believed until touched + Touch. It has been counted among the
-	// data planes since countedSince; joining tells that others may count it later than that.
-	share        float64
-	fleetSizeAt  time.Time
+	// share is the data plane's part of every limit. It was confirmed at fleetSizeAt, zero if never, and holds for the
+	// FleetSizeTTL.
+	share       float64
+	fleetSizeAt time.Time
+	// countedSince is since when the data plane has been counted among all data planes. joining reports that others
+	// may count it only later than that.
 	countedSince time.Time
 	joining      bool
-	// anew is set where the control daemons have all started anew, like this process.
+	// fleetRestarted is set if all control daemons started anew, like this process.
 	fleetRestarted bool
-	leases         map[leaseKey][]lease
+	leases         leaseTable
 	homeShards     map[string]*homeShard
-	chosen         [][]string
-	// releasedAt tells when a home last released its part of a group.
-	releasedAt map[int]time.Time
-	// begun holds the groups that were lent of.
-	hasLent map[int]bool
+	groups         []lentGroup
 }
 
-type leaseKey struct {
-	homeShard string
-	group     int
+// lentGroup is what a lender knows of a group.
+type lentGroup struct {
+	// homeShards are those that the share was last lent to.
+	homeShards []string
+	// releasedAt is when a home shard last released its part of the group, zero if none did.
+	releasedAt time.Time
+	// hasLent is set once the share of the group was lent.
+	hasLent bool
 }
 
-// lease is a share that may be lent until a moment.
-type lease struct {
-	share float64
-	until time.Time
-}
-
-// homeShard is what a lender knows of another data plane as a home.
+// homeShard is what a lender knows of a data plane as a home shard.
 type homeShard struct {
+	// stamp is the last one received, answeredAt when that was. Without a stamp nothing can be lent.
 	stamp      Stamp
 	answeredAt time.Time
-	// failures counts the calls without an answer since the last one; skipUntil is when a home that doesn't answer is
-	// asked again.
-	failures  int
+	// failures counts the calls without a reply since the last one.
+	failures int
+	// skipUntil is when a home shard that doesn't reply is asked again.
 	skipUntil time.Time
 }
 
-// Offer is a request to be sent to a home.
-type Offer struct {
-	HomeShard string
-	Request   LendRequest
-}
-
-// NewLender returns a lender without a share. It lends nothing for a term, since what an earlier process of the daemon
-// lent may not have ended; homes that it asks end that at once, and after a start of all that is relied upon.
-func NewLender(parameters Parameters, daemon, incarnation string, now time.Time) *Lender {
+// NewLender returns a lender without a share. It lends nothing for a term, since what an earlier process of the data
+// plane lent may still be in force. Home shards that it asks end that at once, and after a restart of the whole fleet
+// the lender relies on it.
+func NewLender(parameters Parameters, dataPlane, incarnation string, now time.Time) *Lender {
 	return &Lender{
 		parameters:  parameters,
-		dataPlane:   daemon,
+		dataPlane:   dataPlane,
 		incarnation: incarnation,
 		startedAt:   now,
-		leases:      map[leaseKey][]lease{},
+		leases:      leaseTable{},
 		homeShards:  map[string]*homeShard{},
-		chosen:      make([][]string, max(parameters.Groups, 1)),
-		releasedAt:  map[int]time.Time{},
-		hasLent:     map[int]bool{},
+		groups:      make([]lentGroup, parameters.groupCount()),
 	}
 }
 
-// FleetSize is what control daemons tell a data plane of how many there are. Sure says that the number holds for longer
-// than the control daemons have run, Since how long this data plane has been one of them.
+// FleetSize is what control daemons tell a data plane of the number of data planes.
 type FleetSize struct {
-	DataPlanes  int
-	CountedFor  time.Duration
+	DataPlanes int
+	// CountedFor is how long this data plane has been counted among them.
+	CountedFor time.Duration
+	// Established reports that the number holds for longer than the control daemons have run.
 	Established bool
 }
 
-// Touch notes the count that was confirmed in answer to a question put at the time given. Where the last such answer is so
-// old that this data plane may not have been counted meanwhile, it joins anew. After a start of all control daemons all
-// data planes are new, and nobody can be waited for.
-func (l *Lender) UpdateFleetSize(count FleetSize, requestedAt time.Time) {
+// UpdateFleetSize records the fleet size that was confirmed in reply to a request sent at requestedAt. If the last
+// such reply is so old that this data plane may not have been counted meanwhile, it joins anew. After a restart of all
+// control daemons all data planes are new, and there is nobody to wait for.
+func (l *Lender) UpdateFleetSize(size FleetSize, requestedAt time.Time) {
 	if requestedAt.Before(l.fleetSizeAt) {
 		return
 	}
-	l.fleetRestarted = l.fleetRestarted || l.fleetSizeAt.IsZero() && !count.Established
-	if l.fleetSizeAt.IsZero() || requestedAt.Sub(l.fleetSizeAt) >= l.parameters.SilentExpiry {
-		l.countedSince, l.joining = requestedAt, count.Established
+	isFirst := l.fleetSizeAt.IsZero()
+	if isFirst && !size.Established {
+		l.fleetRestarted = true
 	}
-	l.countedSince = earliest(l.countedSince, requestedAt.Add(-count.CountedFor))
-	l.share, l.fleetSizeAt = 1/float64(max(count.DataPlanes, 1)), requestedAt
+	if isFirst || requestedAt.Sub(l.fleetSizeAt) >= l.parameters.SilentExpiry {
+		l.countedSince, l.joining = requestedAt, size.Established
+	}
+	l.countedSince = earliest(l.countedSince, requestedAt.Add(-size.CountedFor))
+	l.share = 1 / float64(max(size.DataPlanes, 1))
+	l.fleetSizeAt = requestedAt
 }
 
-// HasFreshFleetSize says whether the count was confirmed lately.
+// HasFreshFleetSize reports whether the fleet size was confirmed lately.
 func (l *Lender) HasFreshFleetSize(now time.Time) bool {
 	return !l.fleetSizeAt.IsZero() && now.Sub(l.fleetSizeAt) < l.parameters.FleetSizeTTL
 }
 
-// lends says whether the share may be lent now.
+// mayLend reports whether the share may be lent now. Lent too early, it would add to shares that others still divide
+// among themselves, or to those that an earlier process of this data plane lent.
 func (l *Lender) mayLend(now time.Time) bool {
-	if !l.HasFreshFleetSize(now) {
-		return false
-	}
-	joined := !l.joining || now.Sub(l.countedSince) > l.parameters.JoinDelay()
-	return joined && (l.fleetRestarted || now.Sub(l.startedAt) > l.parameters.leaseDuration())
-}
-
-// Plan returns the requests to be sent now, and notes what they lend as lent. Members are the names of the data planes
-// that may be homes, this one among them.
-func (l *Lender) Plan(members []string, now time.Time) []Offer {
-	l.expireLeases(now)
-	requests := map[string]*LendRequest{}
-	var order []string
-	request := func(homeShard string) *LendRequest {
-		if requests[homeShard] == nil {
-			l.lastSequence++
-			requests[homeShard] = &LendRequest{DataPlane: l.dataPlane, LenderIncarnation: l.incarnation, Sequence: l.lastSequence, Stamp: l.homeShard(homeShard).stamp}
-			order = append(order, homeShard)
-		}
-		return requests[homeShard]
-	}
-	for group := range l.chosen {
-		chosen, probed := l.chooseHomeShards(Rank(group, members), now)
-		l.chosen[group] = chosen
-		for _, homeShard := range probed {
-			request(homeShard)
-		}
-		for _, homeShard := range chosen {
-			one := request(homeShard)
-			if share := l.leaseShare(homeShard, group, len(chosen), now); share > 0 {
-				one.Loans = append(one.Loans, Loan{
-					Group:       group,
-					Share:       share,
-					HomeShards:  len(chosen),
-					Transferred: l.recentlyReleased(group, now),
-					IdleMs:      l.idleTime(group, now).Milliseconds(),
-				})
-			}
-		}
-		l.hasLent[group] = l.hasLent[group] || l.mayLend(now) && len(chosen) > 0
-	}
-	offers := make([]Offer, 0, len(order))
-	for _, homeShard := range order {
-		offers = append(offers, Offer{HomeShard: homeShard, Request: *requests[homeShard]})
-	}
-	return offers
-}
-
-// maxStampAge is the part of a term after which a stamp is too old to lend on: little would be left of the loan.
-const maxStampAge = 0.7
-
-// choose picks the first ranked homes that answer, and those to be asked whether they do.
-func (l *Lender) chooseHomeShards(ranked []string, now time.Time) (chosen, probed []string) {
-	for _, name := range ranked {
-		if len(chosen) >= l.parameters.HomeShardsPerGroup {
-			break
-		}
-		known := l.homeShard(name)
-		answers := known.stamp.Incarnation != "" && now.Sub(known.answeredAt) < time.Duration(maxStampAge*float64(l.parameters.LoanTerm))
-		switch {
-		case answers:
-			chosen = append(chosen, name)
-		case len(probed) < l.parameters.HomeShardsPerGroup && !now.Before(known.skipUntil):
-			probed = append(probed, name)
-		}
-	}
-	return chosen, probed
+	hasJoined := !l.joining || now.Sub(l.countedSince) > l.parameters.JoinDelay()
+	formerLoansEnded := l.fleetRestarted || now.Sub(l.startedAt) > l.parameters.leaseDuration()
+	return l.HasFreshFleetSize(now) && hasJoined && formerLoansEnded
 }
 
-func (l *Lender) homeShard(name string) *homeShard {
-	if l.homeShards[name] == nil {
-		l.homeShards[name] = &homeShard{}
-	}
-	return l.homeShards[name]
+// HomeShards returns the home shards of a tenant's group that shares were last lent to.
+func (l *Lender) HomeShards(tenant string) []string {
+	return l.groups[l.parameters.Group(tenant)].homeShards
 }
 
-// Answered notes a home's answer. It says whether the home is newly known to answer, so that a plan is due at once.
-func (l *Lender) HandleReply(name string, reply LendReply, now time.Time) bool {
-	known := l.homeShard(name)
+// HandleReply records the reply of a home shard. It reports whether Plan is due at once, because the home shard is
+// newly known to reply, or has released its part.
+func (l *Lender) HandleReply(name string, reply LendReply, now time.Time) (planDue bool) {
 	if reply.Released {
 		return l.handleRelease(name, reply.Stamp.Incarnation, now)
 	}
-	if known.stamp.Incarnation == reply.Stamp.Incarnation && reply.Stamp.At <= known.stamp.At {
+	shard := l.homeShard(name)
+	isSameIncarnation := shard.stamp.Incarnation == reply.Stamp.Incarnation
+	if isSameIncarnation && reply.Stamp.At <= shard.stamp.At {
 		return false
 	}
-	fresh := known.stamp.Incarnation != reply.Stamp.Incarnation
-	known.stamp, known.answeredAt, known.failures, known.skipUntil = reply.Stamp, now, 0, time.Time{}
-	return fresh
+	*shard = homeShard{stamp: reply.Stamp, answeredAt: now}
+	return !isSameIncarnation
 }
 
-// released takes what a home released out of the books, if that is the life of the home that has it. The home leaves, so
-// it isn't asked again soon.
+// handleRelease takes what a home shard released out of the lease table, if it was leased to that incarnation of it.
+// The home shard is shutting down, so it isn't asked again soon.
 func (l *Lender) handleRelease(name, incarnation string, now time.Time) bool {
-	known := l.homeShard(name)
-	known.skipUntil = now.Add(l.parameters.SilentExpiry)
-	if known.stamp.Incarnation != incarnation {
+	shard := l.homeShard(name)
+	shard.skipUntil = now.Add(l.parameters.SilentExpiry)
+	if shard.stamp.Incarnation != incarnation {
 		return false
 	}
-	known.stamp = Stamp{}
-	for key := range l.leases {
-		if key.homeShard == name {
-			l.releasedAt[key.group] = now
-			delete(l.leases, key)
-		}
+	shard.stamp = Stamp{}
+	for _, group := range l.leases.release(name) {
+		l.groups[group].releasedAt = now
 	}
 	return true
 }
 
-// toleratedFailures is how many calls in a row may fail before a home counts as silent: a busy one may be late once.
-const toleratedFailures = 1
-
-// Failed notes that a home gave no answer. After more than one in a row it isn't lent to before it answers again.
+// HandleFailure records that a home shard gave no reply. After too many in a row nothing is lent to it before it
+// replies again.
 func (l *Lender) HandleFailure(name string, now time.Time) {
-	known := l.homeShard(name)
-	known.failures++
-	if known.failures > toleratedFailures || known.stamp.Incarnation == "" {
-		known.stamp, known.skipUntil = Stamp{}, now.Add(2*l.parameters.RenewalInterval)
+	shard := l.homeShard(name)
+	shard.failures++
+	if shard.failures > toleratedFailures || shard.stamp.Incarnation == "" {
+		shard.stamp = Stamp{}
+		shard.skipUntil = now.Add(probeIntervals * l.parameters.RenewalInterval)
 	}
 }
 
-// Homes returns the homes of a tenant's group that shares were last lent to.
-func (l *Lender) HomeShards(tenant string) []string { return l.chosen[l.parameters.Group(tenant)] }
+func (l *Lender) homeShard(name string) *homeShard {
+	if l.homeShards[name] == nil {
+		l.homeShards[name] = &homeShard{}
+	}
+	return l.homeShards[name]
+}
+
+func earliest(left, right time.Time) time.Time {
+	if left.Before(right) {
+		return left
+	}
+	return right
+}
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -1,51 +1,58 @@
 package quota
 
-// Stamp is a moment of the steady clock of one life of a home, in nanoseconds since the life began.
+// Stamp is a moment of the clock of one incarnation of a home shard, in nanoseconds since that started. A lender sends
+// it back, so that the home shard counts the term of a loan from a moment before the loan was sent.
 type Stamp struct {
 	Incarnation string `json:"life"`
 	At          int64  `json:"at"`
 }
 
-// Loan is a share of the limits of a group of tenants. Homes is how many homes the lender divides its share
-// of the group between. Moved says that it comes from a home that released it, and so brings no tokens with it. IdleMs is
-// how long nobody could use it before.
+// Loan is a share of the limits of a group of tenants.
 type Loan struct {
-	Group       int     `json:"g"`
-	Share       float64 `json:"s"`
-	HomeShards  int     `json:"h"`
-	Transferred bool    `json:"m,omitempty"`
-	IdleMs      int64   `json:"i,omitempty"`
+	Group int     `json:"g"`
+	Share float64 `json:"s"`
+	// HomeShards is how many home shards the lender divides its share of the group between.
+	HomeShards int `json:"h"`
+	// Transferred reports that the share comes from a home shard that released it, which may have given tokens for
+	// it. It brings no tokens with it, since they could be given twice.
+	Transferred bool `json:"m,omitempty"`
+	// IdleMs is for how many milliseconds nobody could use the share before.
+	IdleMs int64 `json:"i,omitempty"`
 }
 
-// LendRequest lends shares to a home until a term after the stamp, in place of what the same life of
-// the lender lent to it before. Daemon is the name of the lending data plane, Lender that of its life; Number rises with
-// each request of a life.
+// LendRequest lends shares to a home shard until a term after the stamp, in place of what the same incarnation of the
+// lender lent to it before.
 type LendRequest struct {
+	// DataPlane is the name of the lending data plane, LenderIncarnation that of its process.
 	DataPlane         string `json:"daemon"`
 	LenderIncarnation string `json:"lender"`
-	Sequence          uint64 `json:"number"`
-	Stamp             Stamp  `json:"stamp,omitzero"`
-	Loans             []Loan `json:"loans,omitempty"`
+	// Sequence rises with each request of an incarnation. Requests that arrive out of order are recognised by it.
+	Sequence uint64 `json:"number"`
+	Stamp    Stamp  `json:"stamp,omitzero"`
+	Loans    []Loan `json:"loans,omitempty"`
 }
 
-// LendReply tells the home's present stamp, which the next request must name. Released says that this life of the home
-// has nothing of the lender any more and will take nothing.
+// LendReply carries the home shard's present stamp, which the next request must name.
 type LendReply struct {
-	Stamp    Stamp `json:"stamp"`
-	Released bool  `json:"released,omitempty"`
+	Stamp Stamp `json:"stamp"`
+	// Released reports that this incarnation of the home shard holds nothing of the lender any more and will
+	// accept nothing.
+	Released bool `json:"released,omitempty"`
 }
 
-// BorrowRequest asks a home for tokens of a tenant.
+// BorrowRequest asks a home shard for tokens of a tenant.
 type BorrowRequest struct {
 	Tenant string `json:"tenant"`
-	Want   int    `json:"want"`
+	// Want is how many tokens are requested.
+	Want int `json:"want"`
 }
 
-// BorrowReply gives tokens. RetryAfterMs is how long none will be left, where fewer were given than wanted. Unable says that
-// the home can't tell what the tenant may send: it doesn't know it, or nothing is lent to it
-// yet, or too little so shortly after the first loan.
+// BorrowReply gives tokens.
 type BorrowReply struct {
-	Tokens       int   `json:"tokens"`
+	Tokens int `json:"tokens"`
+	// RetryAfterMs is for how many milliseconds no token will be available, if fewer were given than requested.
 	RetryAfterMs int64 `json:"retryMs,omitempty"`
-	Unavailable  bool  `json:"unable,omitempty"`
+	// Unavailable reports that the home shard cannot tell what the tenant may send: it doesn't know the tenant, or
+	// nothing is lent to it yet, or too little so shortly after the first loan.
+	Unavailable bool `json:"unable,omitempty"`
 }
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// TenantBalance is what a home holds for one tenant.
+// TenantBalance is what a home shard holds for one tenant: the part of its limit, and the tokens.
 type TenantBalance struct {
 	Tenant string  `json:"tenant"`
 	Share  float64 `json:"share"`
 	Tokens float64 `json:"tokens"`
 }
 
-// Holdings lists the tenants of the groups that something is lent of, with the part of the limit and the tokens that are here.
+// TenantBalances returns the balance of each tenant whose group is lent to this home shard, in no order.
 func (p *Pool) TenantBalances(now time.Time) []TenantBalance {
 	p.expireLoans(now)
-	p.accrueAll(now)
-	var held []TenantBalance
+	var balances []TenantBalance
 	for _, group := range p.groups {
+		group.accrue(now)
 		if group.share <= 0 {
 			continue
 		}
 		for tenant, bucket := range group.buckets {
-			held = append(held, TenantBalance{Tenant: tenant, Share: group.share, Tokens: bucket.tokens})
+			balances = append(balances, TenantBalance{Tenant: tenant, Share: group.share, Tokens: bucket.tokens})
 		}
 	}
-	return held
+	return balances
 }
 
-// LeasedShare is what a home may have of a lender's share of a group.
+// LeasedShare is what a home shard may hold of a lender's share of a group.
 type LeasedShare struct {
 	HomeShard string  `json:"home"`
 	Group     int     `json:"group"`
 	Share     float64 `json:"share"`
 }
 
-// Debts lists what may be lent now.
+// LeasedShares returns what may be leased now, in no order.
 func (l *Lender) LeasedShares(now time.Time) []LeasedShare {
-	l.expireLeases(now)
-	var debts []LeasedShare
-	for key, entries := range l.leases {
-		debts = append(debts, LeasedShare{HomeShard: key.homeShard, Group: key.group, Share: largestShare(entries)})
+	l.leases.expire(now)
+	var shares []LeasedShare
+	for key, leases := range l.leases {
+		shares = append(shares, LeasedShare{HomeShard: key.homeShard, Group: key.group, Share: largestShare(leases)})
 	}
-	return debts
+	return shares
 }
