--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -15,7 +15,7 @@
 	"ferryspar/internal/quota"
 )
 
-// Quotas keeps tenants to their limits over all data planes together, see docs/quota.md: it lends this node's share of
+// Quotas keeps tenants to their limits over all data planes together, see docs/design/quota.md: it lends this node's share of
 // the limits to home nodes, is a home itself, and borrows tokens for requests. Any goroutine may use it.
 type Quotas struct {
 	parameters quota.Parameters
--- a/internal/keystore/doc.go
+++ b/internal/keystore/doc.go
@@ -23,5 +23,5 @@
 //     that of a stopped member.
 //
 // names.go holds every name that is stored or sent. Start reading with AcceptorState.Step, then Ownership, then
-// Store.Change. docs/keystore.md has the argument why the whole is safe.
+// Store.Change. docs/design/keystore.md has the argument why the whole is safe.
 package keystore
--- a/internal/loadbudget/doc.go
+++ b/internal/loadbudget/doc.go
@@ -7,5 +7,5 @@
 // arguments, and the caller writes the reservations that Budget.Propose asks for.
 //
 // The package never writes a record, never reads a clock and knows nothing of replicas. No type is safe
-// for concurrent use. docs/load-budget.md argues why the bound holds. Start reading at Budget.
+// for concurrent use. docs/design/load-budget.md argues why the bound holds. Start reading at Budget.
 package loadbudget
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -67,7 +67,7 @@
 
 // NewTransport returns a transport without compression and proxies that keeps up to idle connections to each host. As
 // every http.Transport, it resends a request that it takes for idempotent and whose body it can read again when a reused
-// connection breaks; docs/answers.md says what keeps it from that.
+// connection breaks; docs/design/answers.md says what keeps it from that.
 func NewTransport(network Network, connectTimeout, ackTimeout time.Duration, idle int) *http.Transport {
 	return &http.Transport{
 		DialContext:         network.DialFunc(connectTimeout, ackTimeout),
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -13,9 +13,9 @@
 // urgent), room.go (what fits; every load is recorded there) and sizebook.go (sizes of what the
 // configuration no longer names). Then the steps: intents.go (room made earlier), adapters.go and
 // adapterroom.go, addcopy.go and hotcopies.go (copies), evict.go (what is unloaded), evictcontext.go
-// (cached context that must go, docs/retention.md). planner.go and index.go hold the indexes of one
-// plan, catalog.go those of a configuration, forecast.go the plan after a loss (docs/rehearsal.md).
+// (cached context that must go, docs/design/retention.md). planner.go and index.go hold the indexes of one
+// plan, catalog.go those of a configuration, forecast.go the plan after a loss (docs/design/rehearsal.md).
 //
 // The IEMAS paper that package match follows has no placement; this policy is the project's own and
-// is described in docs/design.md, "Placement".
+// is described in docs/design/placement.md.
 package placement
--- a/internal/placement/evictcontext.go
+++ b/internal/placement/evictcontext.go
@@ -11,7 +11,7 @@
 )
 
 // evictContexts unloads the first of the copies whose context must go that can be spared, one at a
-// time over all plans. Replicas drop context only with the model (docs/retention.md).
+// time over all plans. Replicas drop context only with the model (docs/design/retention.md).
 func (p *planner) evictContexts() {
 	if p.view.ContextEvictionInProgress {
 		return
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -3,7 +3,7 @@
 //
 // It ties each response to the request that it answers, and sends nothing twice that may have arrived: an answer counts only
 // with the attempt's id on a connection where no other can be due, and a request is sent again only if no byte of it was
-// written. docs/answers.md says how.
+// written. docs/design/answers.md says how.
 //
 // Start reading at Forwarder.Send and Client.SendOrder, then Verdict.
 package replica
--- a/internal/routing/breaker.go
+++ b/internal/routing/breaker.go
@@ -6,7 +6,7 @@
 	"ferryspar/internal/peer"
 )
 
-// breakerState is the state of a replica's circuit breaker (docs/health.md).
+// breakerState is the state of a replica's circuit breaker (docs/design/health.md).
 type breakerState int
 
 const (
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -17,11 +17,11 @@
 // pair of request and replica), reports.go (what a report changes). The rest by job: ledger.go
 // (cached prefixes), predictor.go (first-token latency), share.go and cold.go (this data plane's
 // part of a replica's slots and of its cold rate), health.go, tally.go, breaker.go, ejection.go and
-// zones.go (failing replicas, docs/health.md), forecast.go and drill.go (the loss of a region
-// worked out and rehearsed, docs/rehearsal.md).
+// zones.go (failing replicas, docs/design/health.md), forecast.go and drill.go (the loss of a region
+// worked out and rehearsed, docs/design/rehearsal.md).
 //
 // Of the IEMAS paper (arXiv 2603.17302) it implements the micro-batch and joint decision of §4 and
 // figure 2, the affinity of eq. 4, the predictor inputs of eq. 5 with the update loop of §4.1, the
 // value and weight of eq. 1 and 7, and the exact assignment of §4.2 and theorem 4.1. What was kept
-// and what was changed is described in docs/design.md, "The policy".
+// and what was changed is described in docs/design/routing-policy.md.
 package routing
--- a/internal/routing/drill.go
+++ b/internal/routing/drill.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/drill"
 )
 
-// Drill is a rehearsed loss in force at this data plane (docs/rehearsal.md): for a share of the
+// Drill is a rehearsed loss in force at this data plane (docs/design/rehearsal.md): for a share of the
 // requests the replicas of a region or zone are no candidates, unless the request could not be
 // served elsewhere. What is in flight is left alone. A Drill is made once for each number and kept
 // from snapshot to snapshot; Touch, Over and Report may be called from any goroutine.
--- a/internal/routing/forecast.go
+++ b/internal/routing/forecast.go
@@ -12,7 +12,7 @@
 // ZoneFilter reports whether a zone of a region belongs to a loss that is forecast or rehearsed.
 type ZoneFilter func(zone, region string) bool
 
-// Forecast works out what this data plane would do if replicas were lost (docs/rehearsal.md). It
+// Forecast works out what this data plane would do if replicas were lost (docs/design/rehearsal.md). It
 // decides on a copy of the matcher with the ordinary code, so nothing changes; Run pauses only
 // for the copy. Any goroutine may call it.
 func (m *Matcher) Forecast(ctx context.Context, loss drill.Loss) (drill.ForecastResponse, error) {
--- a/internal/routing/forecast_route.go
+++ b/internal/routing/forecast_route.go
@@ -9,7 +9,7 @@
 )
 
 // demandTTL: a request of a model that nobody holds is left out of a forecast when it is older,
-// since this data plane may have stopped to follow the model (docs/parts.md).
+// since this data plane may have stopped to follow the model (docs/design/parts.md).
 const demandTTL = 30 * time.Second
 
 // routeForecaster decides the recent requests of routes again, with the loss and without.
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -22,7 +22,7 @@
 	halfServed  = 0.5
 )
 
-// health is what the outcomes of requests say of the replicas (docs/health.md). It belongs to the
+// health is what the outcomes of requests say of the replicas (docs/design/health.md). It belongs to the
 // matcher's goroutine.
 type health struct {
 	outcomes      map[string]*outcomeCounter // own outcomes by replica id
--- a/internal/routing/matcher.go
+++ b/internal/routing/matcher.go
@@ -59,7 +59,7 @@
 	OnSuspect func(replica string)
 	// OnDemand, if set, is called from Run with the model of every request that arrives or waits.
 	OnDemand func(backend, model string)
-	// Trusts, if set, reports whether the ledger may be used now (docs/retention.md).
+	// Trusts, if set, reports whether the ledger may be used now (docs/design/retention.md).
 	LedgerTrusted func(now time.Time) bool
 }
 
--- a/internal/routing/parameters.go
+++ b/internal/routing/parameters.go
@@ -22,7 +22,7 @@
 	LifeBegan    time.Time     // of a data plane that may have sent requests in a life before; or zero
 }
 
-// DefaultParameters are those of the policy in docs/design.md. Daemon and the cold bounds come from
+// DefaultParameters are those of the policy in docs/design/routing-policy.md. Daemon and the cold bounds come from
 // the settings of the node.
 func DefaultParameters() Parameters {
 	return Parameters{
--- a/internal/routing/predictor.go
+++ b/internal/routing/predictor.go
@@ -15,7 +15,7 @@
 type Features [featureCount]float64
 
 // Predictor predicts a replica's time to the first token in milliseconds and learns from every
-// observed one: recursive least squares with a forgetting factor (docs/design.md explains why not
+// observed one: recursive least squares with a forgetting factor (docs/design/routing-policy.md explains why not
 // the paper's trees). It also keeps the replica's success rate. Not safe for concurrent use.
 type Predictor struct {
 	weights     Features
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -22,7 +22,7 @@
 	pace           float64 // of the model
 }
 
-// score weighs a pair of request and replica (eq. 1, 4, 5 and 7, changed as docs/design.md explains):
+// score weighs a pair of request and replica (eq. 1, 4, 5 and 7, changed as docs/design/routing-policy.md explains):
 // v = δP − (1−δ)L from the chance of full worth P and the predicted latency L as a share of the aim,
 // less the cost of the tokens to be read and of crossing zones.
 func (m *Matcher) score(row requestRow, node *replicaNode, now time.Time) scoredPair {
