--- a/internal/controlplane/demand_host.go
+++ b/internal/controlplane/demand_host.go
@@ -22,7 +22,7 @@
 func (h demandHost) LeaseHolder() string { return h.node.publisher.Current().LeaseHolder }
 
 // Roster returns the list of replicas as this node has it.
-func (h demandHost) Roster() []discovery.Replica { return h.node.roster.replicaList() }
+func (h demandHost) Roster() []discovery.Replica { return h.node.roster.Replicas() }
 
 // SubscribedReplicas returns the replicas that a data plane is sent.
 func (h demandHost) SubscribedReplicas(dataPlane string) map[string]bool {
--- a/internal/controlplane/demand_test.go
+++ b/internal/controlplane/demand_test.go
@@ -23,7 +23,7 @@
 		loads.AddReport(peer.LoadReport{
 			DataPlane: "edge",
 			Models:    []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}},
-		}, rosterTestStart)
+		}, testStart)
 	}
 	counted := func() float64 {
 		now = now.Add(averagingSpan * time.Second)
