--- a/internal/routing/parameters.go
+++ b/internal/routing/parameters.go
@@ -44,7 +44,7 @@
 	StartedAt time.Time `koanf:"lifeBegan"`
 }
 
-// DefaultParameters returns the parameters described in docs/design.md, "The policy". NodeName and the
+// DefaultParameters returns the parameters described in docs/design/routing-policy.md. NodeName and the
 // warm-up limits come from the settings of the node.
 func DefaultParameters() Parameters {
 	return Parameters{
