--- a/internal/replicastate/fixtures_test.go
+++ b/internal/replicastate/fixtures_test.go
@@ -37,15 +37,15 @@
 	return testStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// idle is a replica that has reported a sequence and what it holds at the start.
-func idle(t *testing.T, sequence int64, held ...string) *Replica {
+// idle returns a replica that has reported a sequence and what it has loaded at the start.
+func idle(t *testing.T, sequence int64, loaded ...string) *Replica {
 	t.Helper()
 	replica := New(testTimings, testFence, time.Time{}, nil)
-	report(t, replica, true, Report{Sequence: sequence, Loaded: set(held...)}, testStart)
+	report(t, replica, true, Report{Sequence: sequence, Loaded: set(loaded...)}, testStart)
 	return replica
 }
 
-// report asks for a report, has it come at once and checks whether it is adopted.
+// report requests a report, has it received at once and checks whether it is adopted.
 func report(t *testing.T, replica *Replica, adopted bool, report Report, now time.Time) {
 	t.Helper()
 	replica.PollStarted(now)
@@ -69,7 +69,7 @@
 	return order
 }
 
-// checkBounds checks what the replica surely and what it may hold.
+// checkBounds checks what the replica certainly and what it possibly has loaded.
 func checkBounds(t *testing.T, replica *Replica, certain, possible map[string]bool) {
 	t.Helper()
 	assert.DeepEqual(t, replica.CertainlyLoaded(), certain)
--- a/internal/replicastate/order.go
+++ b/internal/replicastate/order.go
@@ -12,12 +12,12 @@
 	Reference string
 }
 
-// Order is a change that was decided on what a replica held at one sequence, under one grant of the lease.
+// Order is a change that was decided on what a replica had loaded at one sequence, under one grant of the lease.
 type Order struct {
 	Change
-	// Expected is the replica's sequence on which the change was decided.
+	// Expected is the replica's sequence that the change was decided on.
 	Expected int64
-	// Fence is that of the grant under which it was decided; it may be sent under no other.
+	// Fence is that of the grant under which the order was decided; it may be sent under no other.
 	Fence uint64
 }
 
@@ -29,11 +29,11 @@
 	NotSent Outcome = iota + 1
 	// Accepted says that the replica carries the order out.
 	Accepted
-	// AlreadyDone says that what was ordered holds already.
+	// AlreadyDone says that what was ordered is so already.
 	AlreadyDone
 	// Conflict says that another order is under way or the sequence differs.
 	Conflict
-	// Fenced says that the replica has heard of a grant with a higher fence.
+	// Fenced says that the replica has seen a grant with a higher fence.
 	Fenced
 	// Rejected says that there is no such order or no such replica at the address.
 	Rejected
@@ -43,28 +43,31 @@
 	NoAnswer
 )
 
-// Report is what a replica tells of itself. It shows one moment, which may lie before the question.
+// Report is what a replica says of itself. It shows one moment, which may lie before the request for it.
 type Report struct {
+	// Sequence counts the orders that the replica's process has accepted.
 	Sequence int64
-	Busy     bool
-	Loaded   map[string]bool
+	// Busy is set while an order is being carried out.
+	Busy bool
+	// Loaded holds the references of models and adapters.
+	Loaded map[string]bool
 }
 
-// uncertainOrder is an order whose fate is unknown. Until is when the network can no longer hold it. A replica that stands
-// still may even then find it in its sockets when it goes on, also once the connection was reset. So only a report tells
-// what became of it that shows a moment after the replica was seen to run: awake, zero before.
+// uncertainOrder is an order of unknown fate. The network can hold it no longer than until expiresAt. A replica whose process
+// stands still may even then find it in its sockets when it goes on, also once the connection was reset. So only a report
+// resolves it that shows a moment after the replica was seen to run at expiresAt or later: runningAt, zero before.
 type uncertainOrder struct {
 	Order
 	expiresAt time.Time
 	runningAt time.Time
 }
 
-// resolvedBy tells whether a report of that moment tells what became of the order.
+// resolvedBy tells whether a report that shows a moment tells what became of the order.
 func (o *uncertainOrder) resolvedBy(shownAt time.Time) bool {
 	return !o.runningAt.IsZero() && !shownAt.Before(o.runningAt)
 }
 
-// applyChange is what a replica holds once the change is done. The set that was given is left alone.
+// applyChange returns what a replica has loaded once a change is done. The set given is not changed.
 func applyChange(loaded map[string]bool, change Change) map[string]bool {
 	next := maps.Clone(loaded)
 	if next == nil {
--- a/internal/replicastate/report.go
+++ b/internal/replicastate/report.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// PollDue tells whether the replica should be asked for a report now. One that carries an order out is asked from the
-// moment that ExpectDone has named, an idle one once that settles what became of an order without an answer.
+// PollDue tells whether the replica should be polled for a report now. One that carries an order out is polled from the
+// moment that ExpectDone has named, an idle one once that resolves an order of unknown fate.
 func (r *Replica) PollDue(now time.Time) bool {
 	if r.polling || now.Before(r.pollAt) || now.Before(r.blockedUntil) || now.Before(r.trustFrom) {
 		return false
@@ -11,14 +11,14 @@
 	return r.phase == Unknown || r.phase == Changing || r.phase == Idle && r.resolutionDue(now)
 }
 
-// ExpectDone puts off the question of a replica that has just accepted an order to the moment when it should be done.
+// ExpectDone puts off the poll of a replica that has just accepted an order to the moment when it should be done.
 func (r *Replica) ExpectDone(at time.Time) {
 	if r.phase == Changing && at.After(r.pollAt) {
 		r.pollAt = at
 	}
 }
 
-// PollStarted notes that a report was asked for. Until it comes, nothing is known for sure.
+// PollStarted records that a report was requested. Until it is received, nothing is known for sure.
 func (r *Replica) PollStarted(now time.Time) {
 	r.polling, r.polledAt = true, now
 	if r.phase == Idle {
@@ -26,17 +26,17 @@
 	}
 }
 
-// Asking tells whether a report was asked for and has not come.
+// IsPolling tells whether a report was requested and has not been received.
 func (r *Replica) IsPolling() bool { return r.polling }
 
-// PollFailed notes that the report did not come.
+// PollFailed records that the requested report will not be received.
 func (r *Replica) PollFailed(now time.Time) {
 	r.polling = false
 	r.pollAt = now.Add(2 * r.timings.PollInterval)
 }
 
-// Reported takes in a report, and tells whether it was adopted: one that may be older than what is known is not, and
-// the replica is asked again.
+// HandleReport applies a report, and tells whether it was adopted: one that may be older than what is known is not, and the
+// replica is polled again.
 func (r *Replica) HandleReport(report Report, now time.Time) bool {
 	r.polling = false
 	r.pollAt = now.Add(r.timings.PollInterval)
@@ -56,9 +56,9 @@
 	return true
 }
 
-// isOutdated tells whether the report shows a moment before something that is known: a sequence below the known one, or
-// the very sequence at which an order was refused. Either is believed once it has lasted, since a replica that has
-// restarted counts from zero again; an order decided on a wrong sequence is refused by the replica.
+// isOutdated tells whether the report shows a moment before something that is known: a sequence below the known one, or the
+// very sequence at which an order met a conflict. Either is believed once it has lasted, since a replica that has restarted
+// counts from zero again; an order decided on a wrong sequence is rejected by the replica.
 func (r *Replica) isOutdated(report Report, now time.Time) bool {
 	if report.Sequence == r.rejected.sequence && now.Before(r.rejected.until) {
 		return true
@@ -72,8 +72,8 @@
 	return now.Sub(r.lowerSequenceSince) < r.timings.DistrustPeriod
 }
 
-// contradictsOrder tells whether the report lacks what an accepted order should have brought, and has not come often
-// enough to be believed.
+// contradictsOrder tells whether the report lacks what an accepted order should have brought, and that has not been reported
+// often enough to be believed.
 func (r *Replica) contradictsOrder(report Report) bool {
 	if r.phase != Changing || report.Loaded[r.current.Reference] == r.current.Load {
 		return false
@@ -92,8 +92,8 @@
 	return r.phase == Ordered || len(r.unresolved()) > 0
 }
 
-// CertainlyLoaded is the lower bound of what the replica holds: what it reported, without what an order that was decided or
-// may yet arrive unloads. The set must not be changed.
+// CertainlyLoaded is the lower bound of what the replica has loaded: what it reported, without what an order that was decided
+// or may yet arrive unloads. The set must not be changed.
 func (r *Replica) CertainlyLoaded() map[string]bool {
 	loaded := r.loaded
 	for _, order := range r.unresolved() {
@@ -107,9 +107,9 @@
 	return loaded
 }
 
-// PossiblyLoaded is what the replica may hold beyond what it surely holds: what it reported and an order may have unloaded
-// since, and what an order that was decided or may yet arrive loads. A load that would be refused counts too: no other
-// may be ordered that finds no room beside it, whichever comes first. It is nil where there is nothing of the kind.
+// PossiblyLoaded is what the replica may have loaded beyond what it certainly has: what it reported and an order may have
+// unloaded since, and what an order that was decided or may yet arrive loads. A load that would be rejected counts too: no
+// other may be ordered that does not fit beside it, whichever arrives first. It is nil where there is nothing of the kind.
 func (r *Replica) PossiblyLoaded() map[string]bool {
 	change, pending := r.PendingChange()
 	if len(r.uncertain) == 0 && !pending {
@@ -133,7 +133,7 @@
 	return possible
 }
 
-// Doubtful lists the changes whose orders may yet arrive.
+// UncertainChanges returns the changes whose orders may yet arrive.
 func (r *Replica) UncertainChanges() []Change {
 	var changes []Change
 	for _, order := range r.unresolved() {
@@ -142,5 +142,6 @@
 	return changes
 }
 
-// Held is what the replica reported last, or what the platform's list said before. The set must not be changed.
+// Loaded is what the replica reported last, or what the platform's list said before the first report. The set must not be
+// changed.
 func (r *Replica) Loaded() map[string]bool { return r.loaded }
--- a/internal/replicastate/report_test.go
+++ b/internal/replicastate/report_test.go
@@ -9,7 +9,7 @@
 func TestReplica_IdleReplicaIsPolledOnlyAfterRecheck(t *testing.T) {
 	replica := idle(t, 4, "a")
 	assert.Assert(t, !replica.PollDue(at(60)))
-	assert.Assert(t, !replica.HandleReport(Report{Sequence: 5, Loaded: set("b")}, at(1)), "a report that nobody asked for")
+	assert.Assert(t, !replica.HandleReport(Report{Sequence: 5, Loaded: set("b")}, at(1)), "a report that nobody requested")
 	checkBounds(t, replica, set("a"), nil)
 	replica.Recheck(at(2))
 	assert.Assert(t, !replica.IsKnown() && replica.PollDue(at(2)))
--- a/internal/replicastate/simulation/judge_test.go
+++ b/internal/replicastate/simulation/invariants_test.go
@@ -7,26 +7,26 @@
 	"ferryspar/internal/replicastate"
 )
 
-// invariant is what a play may break.
+// invariant is a rule that a run may break.
 type invariant string
 
 const (
-	// capacityExceeded is an accepted load beyond room or places.
+	// capacityExceeded is an accepted load beyond the capacity for models or adapters.
 	capacityExceeded invariant = "LIMIT"
-	// rejectedOverCapacity is such a load, refused or not, by a holder that could know better: all orders taken since its
-	// grant began are its own, and nothing arrived later than the bounds.
-	rejectedOverCapacity invariant = "LIMIT although refused"
-	// holdersOverlap is a holder that orders too soon after another, or under a lower fence.
+	// rejectedOverCapacity is such a load, rejected or not, by a holder that could know better: all orders accepted since
+	// its grant began are its own, and nothing arrived later than the network allows.
+	rejectedOverCapacity invariant = "LIMIT although rejected"
+	// holdersOverlap is a holder that sends orders too soon after another one, or under a lower fence.
 	holdersOverlap invariant = "ONE"
 	// grantMismatch is an order under another grant than it was decided under.
 	grantMismatch invariant = "grant mixed"
-	// orderedDuringBackoff is an order to a replica that has just refused one for its fence.
-	orderedDuringBackoff invariant = "ordered on after a refusal for the fence"
+	// orderedDuringBackoff is an order to a replica that has just rejected one for its fence.
+	orderedDuringBackoff invariant = "order sent after a rejection for the fence"
 	// neverLoaded is something wanted that is not loaded in the end.
 	neverLoaded invariant = "not loaded in the end"
 )
 
-// fits tells whether a load finds room and a place beside what is there and on its way.
+// fits tells whether a load fits beside what is loaded and being loaded.
 func (s *server) fits(change replicastate.Change) bool {
 	total, adapters := 0.0, 0
 	counted := map[string]bool{change.Reference: true}
@@ -45,7 +45,7 @@
 	return total <= serverCapacity && (adapters <= serverAdapterCapacity || !strings.Contains(change.Reference, "/"))
 }
 
-// judge checks the rules for every order that arrives.
+// checkArrival checks the invariants for an order that arrives.
 func (w *world) checkArrival(s *server, order sentOrder) {
 	if order.Fence != order.decidedFence {
 		w.fail(grantMismatch, "%s: decided under %d, sent under %d", s.id, order.decidedFence, order.Fence)
@@ -64,7 +64,7 @@
 	}
 }
 
-// count notes an order that arrived.
+// recordResponse counts an order that arrived, by the status of its response.
 func (w *world) recordResponse(order sentOrder, status int) {
 	w.responses[status]++
 	if order.late {
@@ -72,7 +72,7 @@
 	}
 }
 
-// acceptedFromOthers tells whether the server has taken orders of another grant since that of the order began.
+// acceptedFromOthers tells whether the server has accepted orders of another grant since the order's own grant began.
 func (s *server) acceptedFromOthers(order sentOrder) bool {
 	for _, earlier := range s.accepted {
 		if earlier.fence != order.Fence && !earlier.at.Before(order.grantedAt) {
@@ -82,15 +82,15 @@
 	return false
 }
 
-// checkBackoff checks that a replica is left alone for a while once it has refused an order for its fence.
+// checkBackoff checks that a replica is left alone for a while once it has rejected an order for its fence.
 func (t *trackedReplica) checkBackoff() {
-	if !t.fencedAt.IsZero() && t.now().Sub(t.fencedAt) < rejectedBackoff {
+	if !t.fencedAt.IsZero() && t.now().Sub(t.fencedAt) < timings.RejectedBackoff {
 		t.node.world.fail(orderedDuringBackoff, "%s: under fence %d", t.id, t.fence)
 	}
 }
 
-// checkHolders checks that no two holders order within the length of a lease and that fences rise. What a cut has
-// released doesn't count.
+// checkHolders checks that no two holders send orders within the length of a lease and that fences rise. Orders that the
+// network has delayed do not count.
 func (w *world) checkHolders(s *server, order sentOrder) {
 	if order.delayed || s.lastOrder == nil || s.lastOrder.delayed || w.allowances.overlappingHolders {
 		return
@@ -103,16 +103,16 @@
 	}
 }
 
-// checkAccepted checks that an accepted load finds room.
+// checkAccepted checks that an accepted load fits.
 func (w *world) checkAccepted(s *server, order sentOrder) {
 	if order.Load && !s.fits(order.Change) {
 		w.fail(capacityExceeded, "%s: %+v holding %v", s.id, order, s.loaded)
 	}
 }
 
-// checkAllLoaded checks that all that is wanted is loaded.
+// checkAllLoaded checks that everything wanted is loaded.
 func (w *world) checkAllLoaded() {
 	for _, reference := range w.missing() {
-		w.fail(neverLoaded, "%s, %s after the last trouble", reference, w.now.Sub(w.faultsEnd).Round(time.Millisecond))
+		w.fail(neverLoaded, "%s, %s after the last fault", reference, w.now.Sub(w.faultsEnd).Round(time.Millisecond))
 	}
 }
--- a/internal/replicastate/simulation/lease_test.go
+++ b/internal/replicastate/simulation/lease_test.go
@@ -23,25 +23,25 @@
 	maxStartDelay           = 250 * time.Millisecond
 )
 
-// register is the majority's value of the lease.
+// register is the lease's record as a majority has it.
 type register struct {
 	value       json.RawMessage
 	holder      string
 	owner       *node
 	incarnation int
 	ownedUntil  time.Time // nobody else is granted the lease before
-	splitUntil  time.Time // until then whoever thinks that it holds the lease is believed
+	splitUntil  time.Time // until then every node that thinks that it holds the lease is believed
 }
 
 var errUnreachable = errors.New("no majority granted it")
 
-// registerClient is the register as one life of a daemon sees it.
+// registerClient is the register as one incarnation of a node sees it.
 type registerClient struct {
 	node        *node
 	incarnation int
 }
 
-// Seize takes the lease.
+// Acquire takes the lease.
 func (c registerClient) Acquire(_ context.Context, _ string, decide func(keystore.Register) json.RawMessage) (keystore.Register, error) {
 	node := c.node
 	if node.isStorePartitioned() {
@@ -57,13 +57,13 @@
 	return keystore.Register{Value: register.value}, nil
 }
 
-// owned tells whether the lease is still this life's.
+// isOwner tells whether the lease still belongs to this incarnation.
 func (c registerClient) isOwner() bool {
 	register := c.node.world.register
 	return register.owner == c.node && register.incarnation == c.incarnation || c.node.world.now.Before(register.splitUntil)
 }
 
-// Rewrite writes the record again.
+// Update writes the record again.
 func (c registerClient) Update(_ context.Context, _ string, decide keystore.Decide) error {
 	if c.node.isStorePartitioned() || !c.isOwner() {
 		return errUnreachable
@@ -76,7 +76,7 @@
 	return err
 }
 
-// Renew tells whether the lease is still this life's.
+// Renew tells whether the lease still belongs to this incarnation.
 func (c registerClient) Renew(context.Context, string) error {
 	register := c.node.world.register
 	if c.node.isStorePartitioned() || !c.isOwner() {
@@ -91,7 +91,7 @@
 
 func (n *node) isStorePartitioned() bool { return n.world.now.Before(n.storePartitionedUntil) }
 
-// newLeaseManager makes the lease of one life of a daemon.
+// newLeaseManager returns the lease manager of one incarnation of a node.
 func (n *node) newLeaseManager() *lease.Manager {
 	return &lease.Manager{
 		Key:           "placement",
@@ -121,7 +121,7 @@
 	}
 }
 
-// recordSettled writes to the record once the lease of the holder before has surely run out, as the scheduler does with its
+// recordSettled writes to the record once the previous holder's lease has surely expired, as the scheduler does with its
 // reservation of loads.
 func (n *node) recordSettled() {
 	if n.currentGrant == nil || n.settledFence == n.currentGrant.Record.Fence || n.world.now.Before(n.currentGrant.EffectiveFrom) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// announceHolder has the other daemons hear of the holder.
+// announceHolder tells the other nodes of the holder.
 func (n *node) announceHolder() {
 	if n.currentGrant == nil || n.isStorePartitioned() {
 		return
--- a/internal/replicastate/simulation/network_test.go
+++ b/internal/replicastate/simulation/network_test.go
@@ -17,28 +17,31 @@
 	maxDuplicateDelay      = 2 * time.Second
 )
 
-// link is the way between a daemon and a server.
+// link is the network between a node and a server.
 type link struct {
-	delayedUntil       time.Time // requests are held up until then
-	responsesLostUntil time.Time // answers are lost until then
+	delayedUntil       time.Time // requests are delayed until then
+	responsesLostUntil time.Time // responses are lost until then
 	delayed            []func()
 }
 
-// call is one request of a daemon to a server.
+// linkKey names a link by its ends.
+type linkKey struct{ node, server string }
+
+// call is one request of a node to a server.
 type call struct {
 	ended   bool
 	endedAt time.Time
 }
 
 func (w *world) link(from *node, to *server) *link {
-	key := [2]string{from.name, to.id}
+	key := linkKey{node: from.name, server: to.id}
 	if w.links[key] == nil {
 		w.links[key] = &link{}
 	}
 	return w.links[key]
 }
 
-// cut holds up requests between a daemon and a server for a while.
+// delayRequests holds up requests between a node and a server for a while.
 func (w *world) delayRequests(from *node, to *server, duration time.Duration) {
 	link := w.link(from, to)
 	until := w.now.Add(duration)
@@ -57,8 +60,8 @@
 	})
 }
 
-// send carries an order to a server; done gets the status, statusNoAnswer for none or unreached. Held up, it still arrives when the cut
-// ends, also after its call was given up, unless that is longer ago than the bounds of the play allow.
+// send carries an order to a server; done gets the status of the response, statusNoAnswer or statusUnreached. A delayed order
+// still arrives when the delay ends, also after its call was given up, unless that is longer ago than the run allows.
 func (w *world) send(from *node, to *server, order sentOrder, done func(status int)) {
 	sent := &call{}
 	finish := from.endOnce(sent, done)
@@ -106,10 +109,10 @@
 	if restarted && !w.allowances.survivesRestart {
 		return false
 	}
-	return w.now.Sub(sent.endedAt) < maxOrderLifetime && w.random.IntN(4) > 0
+	return w.now.Sub(sent.endedAt) < timings.MaxOrderLifetime && w.random.IntN(4) > 0
 }
 
-// ask carries a question for a report to a server; done gets nil if no report comes.
+// requestReport requests a report from a server; done gets nil if none is received.
 func (w *world) requestReport(from *node, to *server, id string, done func(report *replicastate.Report)) {
 	sent := &call{}
 	var report *replicastate.Report
@@ -137,7 +140,7 @@
 	from.after(callTimeout, func() { finish(statusNoAnswer) })
 }
 
-// responseLatency is how long the answer to a question takes: now and then nearly as long as the call may.
+// responseLatency is how long a report takes to arrive: now and then nearly as long as the call may.
 func (w *world) responseLatency() time.Duration {
 	if w.random.IntN(8) == 0 {
 		return w.between(maxLatency, callTimeout-maxLatency)
@@ -145,7 +148,7 @@
 	return w.between(minLatency, maxLatency)
 }
 
-// ending ends a call once.
+// endOnce returns a function that ends a call the first time it is called.
 func (n *node) endOnce(sent *call, done func(status int)) func(status int) {
 	return func(status int) {
 		if sent.ended {
--- a/internal/replicastate/simulation/daemon_test.go
+++ b/internal/replicastate/simulation/node_test.go
@@ -11,25 +11,20 @@
 const (
 	planInterval   = 100 * time.Millisecond
 	cordonLeadTime = 220 * time.Millisecond
-	maxReportAge   = 500 * time.Millisecond
-	// maxReportAge, maxOrderLifetime, rejectedBackoff and distrustPeriod are those of the control plane.
-	maxOrderLifetime = 3 * time.Second
-	rejectedBackoff  = 4 * time.Second
-	distrustPeriod   = 2 * time.Second
-	// maxConfigurationDelay is how long a configuration takes to reach a daemon.
+	// maxConfigurationDelay is how long a configuration takes to reach a node.
 	maxConfigurationDelay = 300 * time.Millisecond
 	// maxThawDelay is how long a goroutine may wait for a processor after a freeze.
 	maxThawDelay = 600 * time.Millisecond
 )
 
-// node is a simulated daemon that places models while it holds the lease.
+// node is a simulated control-plane node that places models while it holds the lease.
 type node struct {
 	world                 *world
 	name                  string
 	incarnation           int
 	alive                 bool
 	frozen                bool
-	freezeAfterDecision   time.Duration // freeze for so long right after the next decision
+	freezeAfterDecision   time.Duration // freeze for this long right after the next decision
 	deferred              []func()
 	storePartitionedUntil time.Time
 	started               time.Time
@@ -37,14 +32,14 @@
 	leaseManager          *lease.Manager
 	currentGrant          *lease.Grant
 	trackedGrant          *lease.Grant
-	settledFence          uint64 // fence of the grant whose record was written to since it settled
+	settledFence          uint64 // fence of the grant whose record was written to since it took effect
 	table                 *configuration.Table
 	sizes                 *placement.SizeHistory
 	tracked               map[string]*trackedReplica
 	calls                 []*call
 }
 
-// after has this life of the daemon do something later: not before its thaw if it is frozen then.
+// after has this incarnation of the node run something later: not before its thaw if it is frozen then.
 func (n *node) after(delay time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.world.after(delay, func() {
@@ -94,7 +89,7 @@
 	})
 }
 
-// thaw does what was due meanwhile, some of it a little later.
+// thaw runs what was due meanwhile, some of it a little later.
 func (n *node) thaw() {
 	n.frozen = false
 	due := n.deferred
@@ -108,7 +103,7 @@
 	}
 }
 
-// adopt takes a configuration into force once it is delivered, unless a newer one was.
+// adoptConfiguration puts a configuration into force once it is delivered, unless a newer one was.
 func (n *node) adoptConfiguration(table *configuration.Table) {
 	n.after(n.world.between(0, maxConfigurationDelay), func() {
 		if table.Configuration.Revision > n.table.Configuration.Revision {
@@ -117,7 +112,7 @@
 	})
 }
 
-// run is one round of the scheduler's loop.
+// planLoop is one turn of the planning loop.
 func (n *node) planLoop() {
 	n.after(planInterval, n.planLoop)
 	n.adoptGrant()
@@ -126,7 +121,7 @@
 	}
 }
 
-// adoptGrant forgets what was learned under another grant. While none is held nothing is forgotten.
+// adoptGrant forgets what was learned under another grant. While the lease is not held nothing is forgotten.
 func (n *node) adoptGrant() {
 	if n.currentGrant == nil || !n.world.now.Before(n.currentGrant.ExpiresAt) {
 		return
@@ -152,16 +147,16 @@
 	n.plan()
 }
 
-// adoptReplicaList manages the replicas of the platform's list.
+// adoptReplicaList tracks the replicas of the platform's list.
 func (n *node) adoptReplicaList() {
 	listed := map[string]bool{}
 	for _, server := range n.world.servers {
-		id, held := server.listed()
+		id, loaded := server.listed()
 		listed[id] = true
 		if n.tracked[id] == nil {
-			n.tracked[id] = n.track(id, server, held)
+			n.tracked[id] = n.track(id, server, loaded)
 		}
-		n.tracked[id].recheckContradicted(held)
+		n.tracked[id].recheckContradicted(loaded)
 	}
 	for id := range n.tracked {
 		if !listed[id] {
@@ -170,7 +165,7 @@
 	}
 }
 
-// trackedInOrder are the known replicas in the order of their servers.
+// trackedInOrder returns the tracked replicas in the order of their servers.
 func (n *node) trackedInOrder() []*trackedReplica {
 	var ordered []*trackedReplica
 	for _, server := range n.world.servers {
--- a/internal/replicastate/simulation/schedule_test.go
+++ b/internal/replicastate/simulation/schedule_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// faultKind is what a trouble does.
+// faultKind is what a fault does.
 type faultKind string
 
 const (
@@ -24,7 +24,7 @@
 	freezeServer        faultKind = "freeze a replica for"
 	wantOthers          faultKind = "other wants"
 	configureOther      faultKind = "another configuration"
-	storeForgetsHolder  faultKind = "the store forgets, another daemon holds the lease too for"
+	storeForgetsHolder  faultKind = "the store forgets, another node holds the lease too for"
 	// The following happen with the next order that is sent.
 	delayOrder        faultKind = "hold up the next order for"
 	loseOrderResponse faultKind = "lose the answer of the next order and others for"
@@ -37,7 +37,7 @@
 // fault is one change of the world.
 type fault struct {
 	kind     faultKind
-	delay    time.Duration // since the trouble before
+	delay    time.Duration // since the fault before
 	node     int
 	server   int
 	duration time.Duration
@@ -45,10 +45,10 @@
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("+%s %s %s (daemon %d, server %d) %v", f.delay, f.kind, f.duration, f.node, f.server, f.names)
+	return fmt.Sprintf("+%s %s %s (node %d, server %d) %v", f.delay, f.kind, f.duration, f.node, f.server, f.names)
 }
 
-// schedule is one play before its small delays are drawn by the seed.
+// schedule is one run before its small delays are drawn by the seed.
 type schedule struct {
 	seed    uint64
 	nodes   int
@@ -59,7 +59,9 @@
 }
 
 func (s schedule) String() string {
-	lines := []string{fmt.Sprintf("seed %d, %d daemons, %d servers, fencing %t, wanted %v", s.seed, s.nodes, s.servers, s.fencing, s.wanted)}
+	lines := []string{
+		fmt.Sprintf("seed %d, %d nodes, %d servers, fencing %t, wanted %v", s.seed, s.nodes, s.servers, s.fencing, s.wanted),
+	}
 	for _, fault := range s.faults {
 		lines = append(lines, fault.String())
 	}
@@ -67,34 +69,36 @@
 }
 
 var ordinaryFaults = []faultKind{
-	wantOthers, wantOthers, wantOthers, killHolder, killAny, freezeHolder, freezeDeciding, partitionStore, delayHolderRequests, loseResponses,
-	freezeServer, restartSame, restartOther, configureOther, delayOrder, delayOrder, delayOrder, loseOrderResponse, loseOrderResponse,
+	wantOthers, wantOthers, wantOthers,
+	killHolder, killAny, freezeHolder, freezeDeciding, partitionStore, delayHolderRequests, loseResponses,
+	freezeServer, restartSame, restartOther, configureOther,
+	delayOrder, delayOrder, delayOrder, loseOrderResponse, loseOrderResponse,
 	killSender, killSender, freezeSender, restartReceiver, freezeReceiver, freezeReceiver,
 }
 
-// maxFaultDelays are bounds of the time between two troubles: some come close together, others once a holder has
-// taken over and placed.
+// maxFaultDelays are the longest times between two faults: some come close together, others once a holder has taken over and
+// placed models.
 var maxFaultDelays = []time.Duration{500 * time.Millisecond, 2 * time.Second, 10 * time.Second}
 
 const (
-	// A play has so many troubles; those that only change what is wanted are among them.
+	// minFaults and maxFaults bound the faults of a run; those that only change what is wanted are among them.
 	minFaults = 12
 	maxFaults = 30
 )
 
-// without are the kinds of trouble less some.
+// without returns the kinds of fault less some.
 func without(kinds []faultKind, excluded ...faultKind) []faultKind {
-	var kept []faultKind
+	var result []faultKind
 	for _, kind := range kinds {
 		dropped := false
 		for _, other := range excluded {
 			dropped = dropped || kind == other
 		}
 		if !dropped {
-			kept = append(kept, kind)
+			result = append(result, kind)
 		}
 	}
-	return kept
+	return result
 }
 
 var durationRanges = map[faultKind][2]time.Duration{
@@ -139,15 +143,15 @@
 	return wanted
 }
 
-// drawFault draws one trouble of some kinds.
+// drawFault draws one fault of some kinds.
 func drawFault(kinds []faultKind) func(t *rapid.T) fault {
 	return func(t *rapid.T) fault {
 		fault := fault{kind: rapid.SampledFrom(kinds).Draw(t, "kind")}
 		fault.delay = drawDuration(t, "after", 0, rapid.SampledFrom(maxFaultDelays).Draw(t, "longest"))
-		fault.node = rapid.IntRange(0, 2).Draw(t, "daemon")
+		fault.node = rapid.IntRange(0, 2).Draw(t, "node")
 		fault.server = rapid.IntRange(0, 1).Draw(t, "server")
 		if between, known := durationRanges[fault.kind]; known {
-			fault.duration = drawDuration(t, "pause", between[0], between[1])
+			fault.duration = drawDuration(t, "duration", between[0], between[1])
 		}
 		switch {
 		case fault.kind == configureOther:
@@ -163,16 +167,16 @@
 	return time.Duration(rapid.IntRange(int(minimum/time.Millisecond), int(maximum/time.Millisecond)).Draw(t, label)) * time.Millisecond
 }
 
-// schedules generates plays with troubles of some kinds.
+// schedules generates runs with faults of some kinds.
 func schedules(kinds []faultKind) *rapid.Generator[schedule] {
 	return rapid.Custom(func(t *rapid.T) schedule {
 		return schedule{
 			seed:    rapid.Uint64Max(1<<20).Draw(t, "seed"),
-			nodes:   rapid.IntRange(2, 3).Draw(t, "daemons"),
+			nodes:   rapid.IntRange(2, 3).Draw(t, "nodes"),
 			servers: rapid.IntRange(1, 2).Draw(t, "servers"),
 			fencing: rapid.Bool().Draw(t, "fencing"),
 			wanted:  drawWanted(t),
-			faults:  rapid.SliceOfN(rapid.Custom(drawFault(kinds)), minFaults, maxFaults).Draw(t, "troubles"),
+			faults:  rapid.SliceOfN(rapid.Custom(drawFault(kinds)), minFaults, maxFaults).Draw(t, "faults"),
 		}
 	})
 }
--- a/internal/replicastate/simulation/server_test.go
+++ b/internal/replicastate/simulation/server_test.go
@@ -19,7 +19,7 @@
 	listedAfterEnd = 1500 * time.Millisecond
 )
 
-// sentOrder is an order on the wire, with what the rules need to judge it by.
+// sentOrder is an order on the wire, with what the invariants need to check it by.
 type sentOrder struct {
 	replicastate.Order
 	target          string
@@ -27,8 +27,8 @@
 	holder          string
 	decidedFence    uint64    // fence under which it was decided
 	grantedAt       time.Time // of the grant under which it was sent
-	delayed         bool      // held up by a cut and released
-	late            bool      // released after its call had ended
+	delayed         bool      // held up by the network
+	late            bool      // arrived after its call had ended
 }
 
 // moment is what a server was like from a time on.
@@ -37,7 +37,7 @@
 	report replicastate.Report
 }
 
-// acceptedOrder is an order that a server has taken.
+// acceptedOrder is an order that a server has accepted.
 type acceptedOrder struct {
 	at    time.Time
 	fence uint64
@@ -73,7 +73,7 @@
 	return created
 }
 
-// note adds the present to what reports may show.
+// recordMoment adds the present to what reports may show.
 func (s *server) recordMoment() {
 	report := replicastate.Report{Sequence: s.sequence, Busy: s.busy != nil, Loaded: maps.Clone(s.loaded)}
 	s.history = append(s.history, moment{s.world.now, report})
@@ -91,7 +91,7 @@
 	return shown
 }
 
-// take answers an order.
+// handleOrder returns the status of the response to an order.
 func (s *server) handleOrder(order sentOrder) int {
 	if order.target != s.id {
 		return http.StatusMisdirectedRequest
@@ -100,7 +100,7 @@
 	status := s.decide(order)
 	s.world.recordResponse(order, status)
 	s.lastOrder, s.lastOrderAt = &order, s.world.now
-	s.world.log("%s: %s %+v expected %d fence %d late %t: %d (sequence %d, held %v)",
+	s.world.log("%s: %s %+v expected %d fence %d late %t: %d (sequence %d, loaded %v)",
 		s.id, order.holder, order.Change, order.Expected, order.Fence, order.late, status, s.sequence, s.loaded)
 	if status == http.StatusAccepted {
 		s.world.checkAccepted(s, order)
--- a/internal/replicastate/simulation/play_test.go
+++ b/internal/replicastate/simulation/simulate_test.go
@@ -9,24 +9,31 @@
 )
 
 const (
-	// warmUp is the time before the first trouble, recoveryTime that after the last one, within which all must be loaded.
+	// warmUp is the time before the first fault, recoveryTime that after the last one, within which all must be loaded.
 	warmUp       = 8 * time.Second
 	recoveryTime = 40 * time.Second
 )
 
-// simulate plays a schedule to its end or until a rule is broken.
+// simulate runs a schedule to its end or until an invariant is broken.
 func simulate(planned schedule, allowances allowances, mutation mutation, verbose bool) *world {
 	w := &world{
-		engine: newEngine(planned.seed), allowances: allowances, mutation: mutation, fencing: planned.fencing, verbose: verbose,
-		register: &register{}, links: map[[2]string]*link{}, table: newTable(1, modelNames),
-		responses: map[int]int{}, lateResponses: map[int]int{},
+		engine:        newEngine(planned.seed),
+		allowances:    allowances,
+		mutation:      mutation,
+		fencing:       planned.fencing,
+		verbose:       verbose,
+		register:      &register{},
+		links:         map[linkKey]*link{},
+		table:         newTable(1, modelNames),
+		responses:     map[int]int{},
+		lateResponses: map[int]int{},
 	}
 	loaded := [][]string{{"m1", "m3"}, {"m2", "m4"}}
 	for index := range planned.servers {
 		w.servers = append(w.servers, newServer(w, fmt.Sprintf("i-%d", index+1), loaded[index]...))
 	}
 	for index := range planned.nodes {
-		w.nodes = append(w.nodes, &node{world: w, name: fmt.Sprintf("daemon-%d", index+1)})
+		w.nodes = append(w.nodes, &node{world: w, name: fmt.Sprintf("node-%d", index+1)})
 	}
 	for index, node := range w.nodes {
 		w.after(time.Duration(index)*maxStartDelay, node.start)
@@ -62,7 +69,7 @@
 	return right
 }
 
-// holder is the daemon that holds the lease, or else the one with a number.
+// holder is the node that holds the lease, or else the one with a number.
 func (w *world) holder(number int) *node {
 	if owner := w.register.owner; owner != nil {
 		return owner
@@ -70,7 +77,7 @@
 	return w.nodes[number%len(w.nodes)]
 }
 
-// apply does a trouble.
+// applyFault injects a fault.
 func (w *world) applyFault(fault fault) {
 	w.log("%s", fault)
 	node, server, holder := w.nodes[fault.node%len(w.nodes)], w.servers[fault.server%len(w.servers)], w.holder(fault.node)
@@ -107,11 +114,11 @@
 	}
 }
 
-// applyOnNextOrder does the troubles that were to happen with the next order, as it is sent.
+// applyOnNextOrder injects the faults that were to happen with the next order, as it is sent.
 func (w *world) applyOnNextOrder(from *node, to *server) {
-	aimed := w.onNextOrder
+	due := w.onNextOrder
 	w.onNextOrder = nil
-	for _, fault := range aimed {
+	for _, fault := range due {
 		w.log("now: %s", fault)
 		switch fault.kind {
 		case delayOrder:
@@ -141,7 +148,7 @@
 	}
 }
 
-// rush has a daemon take the lease and act at once beside the holder, as after a store that has lost what it knew.
+// forceGrant has a node take the lease and act at once beside the holder, as after a store that has lost what it knew.
 func (w *world) forceGrant(node *node, duration time.Duration) {
 	if !node.alive || node.frozen || w.register.owner == node {
 		return
--- a/internal/replicastate/simulation/simulation_test.go
+++ b/internal/replicastate/simulation/simulation_test.go
@@ -11,11 +11,11 @@
 
 func init() { logrus.SetOutput(io.Discard) }
 
-// statistics is what happened in some plays.
+// statistics counts what happened in some runs.
 type statistics struct {
 	runs int
-	// Loads beyond room that were refused: those of a holder that could not know of another's order, and those in plays
-	// with orders that come later than any bound.
+	// Loads beyond capacity that were rejected: those of a holder that could not know of another's order, and those in
+	// runs with orders that arrive later than any bound.
 	rejectedUnaware, rejectedBeyond int
 	orders, lateOrders              map[int]int // by status
 }
@@ -32,17 +32,17 @@
 	}
 }
 
-// check plays schedules and requires that no rule is broken.
+// check runs schedules and requires that no invariant is broken.
 func check(t *testing.T, kinds []faultKind, allowed allowances) {
 	counted := statistics{orders: map[int]int{}, lateOrders: map[int]int{}}
 	generator := schedules(kinds)
 	rapid.Check(t, func(t *rapid.T) {
-		plan := generator.Draw(t, "schedule")
-		w := simulate(plan, allowed, noMutation, false)
+		planned := generator.Draw(t, "schedule")
+		w := simulate(planned, allowed, noMutation, false)
 		counted.add(w)
 		if w.failed() {
-			told := simulate(plan, allowed, noMutation, true)
-			t.Fatalf("%v\n%s\n%s", told.failures, plan, strings.Join(told.trace, "\n"))
+			traced := simulate(planned, allowed, noMutation, true)
+			t.Fatalf("%v\n%s\n%s", traced.failures, planned, strings.Join(traced.trace, "\n"))
 		}
 	})
 	t.Logf("%+v", counted)
@@ -53,40 +53,44 @@
 }
 
 // A replica's sequence begins anew with its process, so beyond all bounds an order may meet its number again there: such
-// plays have no restarts.
+// runs have no restarts.
 func TestSimulation_UnboundedDelayKeepsCapacity(t *testing.T) {
 	check(t, without(ordinaryFaults, restartSame, restartOther), allowances{unboundedDelay: true})
 }
 
 func TestSimulation_OverlappingHoldersKeepCapacity(t *testing.T) {
-	check(t, append(without(ordinaryFaults), storeForgetsHolder, storeForgetsHolder, storeForgetsHolder), allowances{overlappingHolders: true})
+	kinds := append(without(ordinaryFaults), storeForgetsHolder, storeForgetsHolder, storeForgetsHolder)
+	check(t, kinds, allowances{overlappingHolders: true})
 }
 
-// maxMutationRuns is how many schedules are played for a planted fault at most.
+// maxMutationRuns is how many schedules are run for a mutation at most.
 const maxMutationRuns = 600
 
-// mutationFaults are the troubles that bring a planted fault out, where those of every kind rarely do.
+// mutationFaults are the faults that bring a mutation out, where those of every kind rarely do.
 var mutationFaults = map[mutation][]faultKind{
-	noExpectedSequence:  {wantOthers, delayOrder, delayHolderRequests},
-	keptAcrossGrants:    {wantOthers, wantOthers, freezeHolder, partitionStore},
-	unknownCountsAsFree: {wantOthers, delayOrder, loseOrderResponse},
-	fenceRefusalIgnored: {wantOthers, storeForgetsHolder},
-	sentUnderLaterGrant: {wantOthers, freezeDeciding},
+	noExpectedSequence:    {wantOthers, delayOrder, delayHolderRequests},
+	keptAcrossGrants:      {wantOthers, wantOthers, freezeHolder, partitionStore},
+	unknownCountsAsFree:   {wantOthers, delayOrder, loseOrderResponse},
+	fenceRejectionIgnored: {wantOthers, storeForgetsHolder},
+	sentUnderLaterGrant:   {wantOthers, freezeDeciding},
 }
 
 func TestSimulation_CatchesEveryMutation(t *testing.T) {
-	for _, planted := range mutations {
-		t.Run(string(planted), func(t *testing.T) {
-			kinds, known := mutationFaults[planted]
+	for _, mutation := range mutations {
+		t.Run(string(mutation), func(t *testing.T) {
+			kinds, known := mutationFaults[mutation]
 			if !known {
 				kinds = ordinaryFaults
 			}
-			allowed := allowances{overlappingHolders: planted == fenceRefusalIgnored, unboundedDelay: planted == noExpectedSequence}
+			allowed := allowances{
+				overlappingHolders: mutation == fenceRejectionIgnored,
+				unboundedDelay:     mutation == noExpectedSequence,
+			}
 			for seed := range maxMutationRuns {
-				plan := schedules(kinds).Example(seed)
-				if w := simulate(plan, allowed, planted, false); w.failed() {
+				planned := schedules(kinds).Example(seed)
+				if w := simulate(planned, allowed, mutation, false); w.failed() {
 					t.Logf("caught by schedule %d: %v", seed, w.failures[0])
-					assertHoldsUnmutated(t, plan, allowed)
+					assertHoldsUnmutated(t, planned, allowed)
 					return
 				}
 			}
@@ -95,10 +99,10 @@
 	}
 }
 
-// assertHoldsUnmutated checks that a schedule breaks no rule without a planted fault.
-func assertHoldsUnmutated(t *testing.T, plan schedule, allowed allowances) {
+// assertHoldsUnmutated checks that a schedule breaks no invariant without a mutation.
+func assertHoldsUnmutated(t *testing.T, planned schedule, allowed allowances) {
 	t.Helper()
-	if w := simulate(plan, allowed, noMutation, false); w.failed() {
-		t.Fatalf("without the fault too: %v", w.failures)
+	if w := simulate(planned, allowed, noMutation, false); w.failed() {
+		t.Fatalf("without the mutation too: %v", w.failures)
 	}
 }
--- a/internal/replicastate/simulation/known_test.go
+++ b/internal/replicastate/simulation/trackedreplica_test.go
@@ -5,21 +5,15 @@
 	"net/http"
 	"time"
 
+	"ferryspar/internal/controlplane/replicatracker"
 	"ferryspar/internal/placement"
 	"ferryspar/internal/replicastate"
 )
 
-var timings = &replicastate.Timings{
-	ReportLag:        250 * time.Millisecond,
-	PollInterval:     250 * time.Millisecond,
-	UnknownFateDelay: 1500 * time.Millisecond,
-	RejectedBackoff:  rejectedBackoff,
-	MaxOrderLifetime: maxOrderLifetime,
-	MaxReportAge:     maxReportAge,
-	DistrustPeriod:   distrustPeriod,
-}
+// timings are those of the control plane.
+var timings = replicatracker.Timings()
 
-// trackedReplica is what a daemon knows of a replica, with the copy of what the scheduler does with it.
+// trackedReplica is what a node knows of a replica, with a copy of what the scheduler does with it.
 type trackedReplica struct {
 	node              *node
 	id                string
@@ -31,27 +25,27 @@
 	intent            string
 	reportedAt        time.Time
 	contradictedSince time.Time
-	fencedAt          time.Time // last refusal for the fence
-	highestSequence   int64     // sequence reported, for a variant
+	fencedAt          time.Time // last rejection for the fence
+	highestSequence   int64     // reported, for a mutation
 }
 
 func (n *node) track(id string, server *server, listed map[string]bool) *trackedReplica {
 	replica := &trackedReplica{node: n, id: id, server: server, fence: n.trackedGrant.Record.Fence}
 	if !n.trackedGrant.IsFirst() {
-		replica.trustFrom = n.trackedGrant.GrantedAt.Add(maxReportAge)
+		replica.trustFrom = n.trackedGrant.GrantedAt.Add(timings.MaxReportAge)
 	}
 	replica.reset(listed)
 	return replica
 }
 
-// forget begins to know the replica under its grant.
+// reset begins to track the replica under its grant.
 func (t *trackedReplica) reset(listed map[string]bool) {
 	t.state = replicastate.New(timings, t.fence, t.trustFrom, listed)
 }
 
 func (t *trackedReplica) now() time.Time { return t.node.world.now }
 
-// recheckContradicted has the replica asked again that the list has long shown with other models.
+// recheckContradicted has a replica polled again that the list has long shown with other models.
 func (t *trackedReplica) recheckContradicted(listed map[string]bool) {
 	recent := !t.now().Add(-listLag).After(t.reportedAt)
 	if t.state.Phase() != replicastate.Idle || recent || maps.Equal(t.state.Loaded(), listed) {
@@ -61,7 +55,7 @@
 	if t.contradictedSince.IsZero() {
 		t.contradictedSince = t.now()
 	}
-	if t.now().Sub(t.contradictedSince) >= distrustPeriod {
+	if t.now().Sub(t.contradictedSince) >= timings.DistrustPeriod {
 		t.contradictedSince = time.Time{}
 		t.state.Recheck(t.now())
 	}
@@ -80,7 +74,7 @@
 	})
 }
 
-// order decides on an action and sends it, an unload after a pause.
+// order decides on an action and sends it, an unload after cordonLeadTime.
 func (t *trackedReplica) order(action placement.Action) {
 	node := t.node
 	order, possible := t.state.Decide(replicastate.Change{Load: action.Load, Reference: action.Model}, t.now())
@@ -89,11 +83,11 @@
 	}
 	t.checkBackoff()
 	t.pendingAction = &action
-	pause := node.world.between(0, 2*time.Millisecond)
+	delay := node.world.between(0, 2*time.Millisecond)
 	if !action.Load {
-		pause += cordonLeadTime
+		delay += cordonLeadTime
 	}
-	node.after(pause, func() { t.send(order) })
+	node.after(delay, func() { t.send(order) })
 	if node.freezeAfterDecision > 0 {
 		node.freeze(node.freezeAfterDecision)
 		node.freezeAfterDecision = 0
--- a/internal/replicastate/simulation/world_test.go
+++ b/internal/replicastate/simulation/world_test.go
@@ -44,20 +44,20 @@
 	}, nil)
 }
 
-// allowances are what a play allows beyond the ordinary.
+// allowances are what a run allows beyond the ordinary.
 type allowances struct {
 	unboundedDelay     bool // orders arrive later than any bound, twice too, and freezes fall between check and write
 	survivesRestart    bool // orders that were held up reach the next process of a replica
-	overlappingHolders bool // another holder orders without having waited for the end of the lease before
+	overlappingHolders bool // a holder sends orders without having waited for the end of the previous lease
 }
 
-// failure is a rule that was broken.
+// failure is an invariant that was broken.
 type failure struct {
 	invariant invariant
 	detail    string
 }
 
-// world is one play.
+// world is one run.
 type world struct {
 	*engine
 	allowances
@@ -66,7 +66,7 @@
 	servers         []*server
 	nodes           []*node
 	register        *register
-	links           map[[2]string]*link
+	links           map[linkKey]*link
 	table           *configuration.Table
 	wanted          []string
 	onNextOrder     []fault // to happen with the next order
--- a/internal/replicastate/walk_test.go
+++ b/internal/replicastate/walk_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// settleTicks is how many ticks without troubles make a replica ready for orders.
+// settleTicks is how many ticks without faults make a replica ready for orders.
 const settleTicks = 16
 
 // walkResult is what a walk has found.
@@ -19,7 +19,7 @@
 	path      []string // to where it broke
 }
 
-// walk visits all states breadth first, until a rule is broken or the bound is reached.
+// walk visits all states breadth first, until an invariant is broken or the limit is reached.
 func walk(budget walkBudget, fault plantedFault, limit int) walkResult {
 	first := newWalkWorld(budget)
 	seen := map[string]bool{first.key(): true}
@@ -78,7 +78,7 @@
 	return false
 }
 
-// walkBudgets are the worlds that are walked whole, the large ones where FERRYSPAR_SWEEP asks for it.
+// walkBudgets are the worlds that are explored exhaustively, the large ones only if FERRYSPAR_SWEEP is set.
 var walkBudgets = map[string]walkBudget{
 	"takeover": {orders: 2, grants: 1},
 	"restart":  {orders: 2, restarts: 1},
--- a/internal/replicastate/walkmoves_test.go
+++ b/internal/replicastate/walkmoves_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// plantedFault is a fault planted into what the holder of the walk does with its knowledge.
+// plantedFault is a defect planted into what the lease holder does with its knowledge.
 type plantedFault string
 
 const (
@@ -16,10 +16,13 @@
 	faultKeptAcrossGrants    plantedFault = "kept across grants"
 	faultUnknownCountsAsFree plantedFault = "unknown fate counts as free"
 	faultRestartUnnoticed    plantedFault = "restart unnoticed"
-	faultFenceIgnored        plantedFault = "refusal for the fence ignored"
+	faultFenceIgnored        plantedFault = "rejection for the fence ignored"
 )
 
-// successors are the states that one move leads to.
+// addMove adds the state that a move leads to; apply changes a copy of the present state.
+type addMove func(label string, apply func(w *walkWorld))
+
+// successors returns the states that one move leads to.
 func (w *walkWorld) successors(fault plantedFault) []*walkWorld {
 	var next []*walkWorld
 	move := func(label string, apply func(w *walkWorld)) {
@@ -28,19 +31,8 @@
 		apply(copied)
 		next = append(next, copied)
 	}
-	w.addDecisionMoves(fault, move)
-	for index, message := range w.messages {
-		if !message.arrived {
-			move(fmt.Sprintf("arrives: %+v", message.order), func(w *walkWorld) { w.arrive(index, fault) })
-			move("no answer", func(w *walkWorld) { w.endCall(index, NoAnswer, fault) })
-			if !message.open {
-				move("order lost", func(w *walkWorld) { w.drop(index) })
-			}
-			continue
-		}
-		move(fmt.Sprint("answer ", message.outcome), func(w *walkWorld) { w.endCall(index, message.outcome, fault) })
-		move("no answer", func(w *walkWorld) { w.endCall(index, NoAnswer, fault) })
-	}
+	w.addDecisionMoves(move)
+	w.addMessageMoves(fault, move)
 	if w.tracked.PollDue(w.now) {
 		move("report", func(w *walkWorld) { w.poll(w.replica, fault) })
 		if w.previous != w.replica {
@@ -55,8 +47,24 @@
 	return next
 }
 
-// decisions are the orders that the bounds allow now.
-func (w *walkWorld) addDecisionMoves(fault plantedFault, move func(string, func(w *walkWorld))) {
+// addMessageMoves adds the arrivals and losses of orders and of their answers.
+func (w *walkWorld) addMessageMoves(fault plantedFault, move addMove) {
+	for index, message := range w.messages {
+		if !message.arrived {
+			move(fmt.Sprintf("arrives: %+v", message.order), func(w *walkWorld) { w.arrive(index, fault) })
+			move("no answer", func(w *walkWorld) { w.endCall(index, NoAnswer, fault) })
+			if !message.open {
+				move("order lost", func(w *walkWorld) { w.drop(index) })
+			}
+			continue
+		}
+		move(fmt.Sprint("answer ", message.outcome), func(w *walkWorld) { w.endCall(index, message.outcome, fault) })
+		move("no answer", func(w *walkWorld) { w.endCall(index, NoAnswer, fault) })
+	}
+}
+
+// addDecisionMoves adds the orders that the bounds allow now.
+func (w *walkWorld) addDecisionMoves(move addMove) {
 	if w.remaining.orders == 0 || !w.tracked.IsReady(w.now) {
 		return
 	}
@@ -69,7 +77,7 @@
 		}
 		move(fmt.Sprintf("decided: %+v", change), func(w *walkWorld) {
 			if !w.fencedAt.IsZero() && w.now.Sub(w.fencedAt) < walkTimings.RejectedBackoff {
-				w.violation = "ordered on after a refusal for the fence"
+				w.violation = "sent an order after a rejection for the fence"
 			}
 			order, _ := w.tracked.Decide(change, w.now)
 			w.remaining.orders--
@@ -78,8 +86,8 @@
 	}
 }
 
-// troubles are the ends of grants, restarts and orders of others with a higher fence.
-func (w *walkWorld) addFaultMoves(fault plantedFault, move func(string, func(w *walkWorld))) {
+// addFaultMoves adds the ends of grants, restarts and orders of others with a higher fence.
+func (w *walkWorld) addFaultMoves(fault plantedFault, move addMove) {
 	if w.remaining.grants > 0 {
 		move("takeover", func(w *walkWorld) { w.takeOver(fault) })
 	}
@@ -95,8 +103,8 @@
 	}
 }
 
-// arrive has the replica take an order or refuse it. An order whose call has ended is forgotten, for nobody waits for its
-// answer.
+// arrive has the replica accept or reject an order. An order whose call has ended is forgotten, for nobody waits for its
+// response.
 func (w *walkWorld) arrive(index int, fault plantedFault) {
 	message := &w.messages[index]
 	w.checkArrival(*message)
@@ -104,7 +112,7 @@
 	message.arrived = true
 	if message.outcome == Accepted {
 		if message.order.Load && !w.replica.next.fits() {
-			w.violation = "loaded beyond room"
+			w.violation = "loaded beyond capacity"
 		}
 		w.foreignOrderTaken = w.foreignOrderTaken || message.order.Fence != w.tracked.fence
 	}
@@ -113,7 +121,7 @@
 	}
 }
 
-// judge checks an order that arrives as package simulation does.
+// checkArrival checks an order that arrives as package simulation does.
 func (w *walkWorld) checkArrival(message walkMessage) {
 	order := message.order
 	if order.Fence != w.tracked.fence {
@@ -124,7 +132,7 @@
 		loaded |= w.replica.next
 	}
 	if order.Load && !w.foreignOrderTaken && !loaded.changed(order.Change).fits() {
-		w.violation = "ordered beyond room"
+		w.violation = "ordered beyond capacity"
 	}
 }
 
@@ -148,7 +156,7 @@
 
 func (r *walkReplica) finish() { r.loaded, r.next, r.busy = r.next, 0, false }
 
-// end has the holder hear how its call ended. Without an answer the order may still arrive.
+// endCall ends an order's call at the holder. Without an answer the order may still arrive.
 func (w *walkWorld) endCall(index int, outcome Outcome, fault plantedFault) {
 	message := &w.messages[index]
 	if !message.open {
@@ -170,7 +178,7 @@
 
 func (w *walkWorld) drop(index int) { w.messages = slices.Delete(w.messages, index, index+1) }
 
-// report has the holder ask and hear a report.
+// poll has the holder request and receive a report.
 func (w *walkWorld) poll(shown walkReplica, fault plantedFault) {
 	w.tracked.PollStarted(w.now)
 	report := shown.report()
@@ -224,7 +232,7 @@
 	}
 }
 
-// strange has someone with a higher fence load something.
+// loadByStranger has someone with a higher fence load something.
 func (w *walkWorld) loadByStranger(taken references) {
 	w.remaining.strangers--
 	w.replica.sequence++
--- a/internal/replicastate/walkworld_test.go
+++ b/internal/replicastate/walkworld_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The walk visits every state that a small world can reach: one replica with room for two of three models and a place for
+// The walk visits every state that a small world can reach: one replica with capacity for two of three models and for
 // one of two adapters, one grant of the lease after another, and what the network may do with orders and answers.
 var walkReferences = []string{"a", "b", "c", "a/1", "a/2"}
 
@@ -51,7 +51,7 @@
 	return bits.OnesCount8(uint8(s&walkModels)) <= 2 && bits.OnesCount8(uint8(s&walkAdapters)) <= 1
 }
 
-// changed is the set after a change.
+// changed returns the set after a change.
 func (s references) changed(change Change) references {
 	if change.Load {
 		return s | 1<<slices.Index(walkReferences, change.Reference)
@@ -64,7 +64,7 @@
 	return s
 }
 
-// walkReplica is the replica's own state. Busy tells that an order is being carried out: next is what it holds then.
+// walkReplica is the replica's own state. Busy is set while an order is carried out: next is what it has loaded then.
 type walkReplica struct {
 	loaded, next references
 	busy         bool
@@ -76,7 +76,7 @@
 	return Report{Sequence: r.sequence, Busy: r.busy, Loaded: r.loaded.set()}
 }
 
-// walkMessage is an order in the network. The call is open until its end has been told to the holder.
+// walkMessage is an order in the network. The call is open until the holder has learned of its end.
 type walkMessage struct {
 	order   Order
 	open    bool
@@ -85,11 +85,11 @@
 	endedAt time.Time
 }
 
-// walkBudget bounds the world.
+// walkBudget bounds the moves of a world.
 type walkBudget struct{ orders, grants, restarts, strangers int }
 
-// walkWorld is one state of the world. Foreign tells that an order of another grant was taken since the present one
-// began, fenced when the holder heard last that an order was refused for its fence.
+// walkWorld is one state of the world. foreignOrderTaken is set once an order of another grant was accepted since the present
+// one began, fencedAt is when the holder learned last that an order was rejected for its fence.
 type walkWorld struct {
 	now               time.Time
 	replica           walkReplica
@@ -150,13 +150,13 @@
 		}
 		number(max(int64(at.Sub(w.now)/walkTick), -4))
 	}
-	change := func(one Change) {
-		flag(one.Load)
-		number(int64(slices.Index(walkReferences, one.Reference)))
+	change := func(change Change) {
+		flag(change.Load)
+		number(int64(slices.Index(walkReferences, change.Reference)))
 	}
-	for _, one := range []walkReplica{w.replica, w.previous} {
-		number(int64(one.loaded), int64(one.next), one.sequence, int64(one.highestFence))
-		flag(one.busy)
+	for _, replica := range []walkReplica{w.replica, w.previous} {
+		number(int64(replica.loaded), int64(replica.next), replica.sequence, int64(replica.highestFence))
+		flag(replica.busy)
 	}
 	known := &w.tracked
 	number(int64(known.phase), known.sequence, int64(known.fence), int64(maskFor(known.loaded)), known.rejected.sequence)
@@ -168,17 +168,17 @@
 	moment(known.rejected.until)
 	moment(known.lowerSequenceSince)
 	change(known.current.Change)
-	for _, one := range known.uncertain {
-		change(one.Change)
-		number(one.Expected)
-		moment(one.expiresAt)
-		moment(one.runningAt)
+	for _, order := range known.uncertain {
+		change(order.Change)
+		number(order.Expected)
+		moment(order.expiresAt)
+		moment(order.runningAt)
 	}
-	for _, one := range w.messages {
-		change(one.order.Change)
-		number(one.order.Expected, int64(one.order.Fence), int64(one.outcome))
-		flag(one.open, one.arrived)
-		moment(one.endedAt)
+	for _, message := range w.messages {
+		change(message.order.Change)
+		number(message.order.Expected, int64(message.order.Fence), int64(message.outcome))
+		flag(message.open, message.arrived)
+		moment(message.endedAt)
 	}
 	number(int64(w.remaining.orders), int64(w.remaining.grants), int64(w.remaining.restarts), int64(w.remaining.strangers))
 	flag(w.foreignOrderTaken)
