--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -7,6 +7,6 @@
 // data planes' part. It does not answer from state that a majority has not confirmed lately, and
 // sends no instruction to a replica without a lease that lasts long enough.
 //
-// Start reading at New and Node.Run. Scheduler is the placement duty, Publisher and EndpointPublisher are what
-// data planes are told, LoadAggregator and DemandAggregator are what they report.
+// Start reading at New and Node.Run. Package scheduler places models while this node holds the lease; Publisher and
+// EndpointPublisher are what data planes are told, LoadAggregator and DemandAggregator are what they report.
 package controlplane
