--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -35,14 +35,14 @@
 				Key:           placementLease,
 				Holder:        n.settings.NodeName,
 				Address:       n.self,
-				TTL:           n.leaseLength(),
+				TTL:           n.leaseDuration(),
 				TakeoverDelay: nodesettings.Milliseconds(n.settings.TimingBounds.LeaseMs) + takeoverMargin,
 				Store:         n.store,
 				Clock:         n.clock,
 			},
 			Cluster:  host,
 			SeedRank: max(slices.Index(n.settings.SeedPeers(), n.self), 0),
-			Leaving:  n.leaving,
+			Leaving:  n.members.Leaving(),
 		},
 		State:      host,
 		Roster:     host,
@@ -92,7 +92,7 @@
 
 // IsLeaseHolderReachable implements scheduler.Cluster.
 func (h schedulerHost) IsLeaseHolderReachable(now time.Time) bool {
-	return h.node.isReachable(h.node.publisher.Current().LeaseHolder, now)
+	return h.node.members.IsReachable(h.node.publisher.Current().LeaseHolder, now)
 }
 
 // addPlacementForecast adds to a forecast what the lease holder would place and remove; the forecast is partial if the
