--- /dev/null
+++ b/internal/controlplane/scheduler/configuration.go
@@ -0,0 +1,55 @@
+package scheduler
+
+import (
+	"ferryspar/internal/configuration"
+	"ferryspar/internal/placement"
+)
+
+// currentConfiguration is the newest configuration that could be read, in the forms that plans need. The planning loop alone
+// uses it.
+type currentConfiguration struct {
+	table   *configuration.Table
+	catalog *placement.Catalog
+}
+
+// update returns the table of the configuration in force, built once for each revision, or nil if there is none. A
+// configuration that cannot be read leaves the last one in place.
+func (c *currentConfiguration) update(state *State) *configuration.Table {
+	if state.Revision == 0 {
+		return nil
+	}
+	if c.table != nil && c.table.Configuration.Revision == state.Revision {
+		return c.table
+	}
+	document, err := configuration.Decompress(state.PackedConfiguration)
+	if err != nil {
+		return c.table
+	}
+	if decoded, err := configuration.Decode(document); err == nil {
+		c.table = configuration.NewTable(decoded, nil)
+	}
+	return c.table
+}
+
+// catalogOf returns the planner's catalog of a table, built once for each table.
+func (c *currentConfiguration) catalogOf(table *configuration.Table) *placement.Catalog {
+	if !c.catalog.IsFor(table) {
+		c.catalog = placement.NewCatalog(table)
+	}
+	return c.catalog
+}
+
+// findModel finds a backend's model.
+func (c *currentConfiguration) findModel(backend, name string) (*configuration.Model, bool) {
+	_, index, found := c.table.Backend(backend)
+	if !found {
+		return nil, false
+	}
+	return c.table.Model(index, name)
+}
+
+// isPlacementTarget tells whether models are placed on a backend's replicas: those of backends that declare a runtime.
+func isPlacementTarget(table *configuration.Table, backend string) bool {
+	found, _, known := table.Backend(backend)
+	return known && found.Runtime != nil
+}
--- a/internal/controlplane/scheduler/cordons_test.go
+++ b/internal/controlplane/scheduler/cordons_test.go
@@ -27,20 +27,20 @@
 		return cordoned
 	}
 	report := func() {
-		due := scheduler.duePolls(table, now)
+		due := scheduler.poller.due(table, now)
 		assert.Equal(t, len(due), 1)
 		assert.Equal(t, due[0], tracked)
 		tracked.State().PollStarted(now)
-		scheduler.handlePoll(tracked, replica.Report{Phase: "unified", Models: loaded}, now, nil)
+		scheduler.poller.handlePoll(tracked, replica.Report{Phase: "unified", Models: loaded}, now, nil)
 	}
 	report()
 	order, decided := scheduler.tracker.Decide(placement.Action{Server: "i-1", Model: "m"}, now)
 	assert.Assert(t, decided)
-	scheduler.handleOrderResponse(tracked, order, 0, errors.New("no answer"))
+	scheduler.orders.handleResponse(tracked, order, 0, errors.New("no answer"))
 	now = now.Add(replicatracker.UnknownFateDelay)
 	report()
 	assert.DeepEqual(t, cordoned(), []string{"i-1 m"})
-	assert.Equal(t, len(scheduler.duePolls(table, now)), 0, "it may yet be unloaded")
+	assert.Equal(t, len(scheduler.poller.due(table, now)), 0, "it may yet be unloaded")
 	now = now.Add(replicatracker.MaxOrderLifetime - replicatracker.UnknownFateDelay)
 	report()
 	assert.DeepEqual(t, cordoned(), []string{"i-1 m"})
--- a/internal/controlplane/scheduler/diskloads_test.go
+++ b/internal/controlplane/scheduler/diskloads_test.go
@@ -18,7 +18,7 @@
 // newDiskScheduler holds the lease and tracks a replica at an address at which "m" and "n" were loaded once.
 func newDiskScheduler(now *time.Time) (*Scheduler, *replicatracker.Replica) {
 	scheduler, _ := newTestScheduler(now)
-	scheduler.table = newTestTable(configuration.Runtime{
+	scheduler.configuration.table = newTestTable(configuration.Runtime{
 		LoadsPerS: 1,
 		Models:    []configuration.Model{{Name: "m", LoadTimeS: 4}, {Name: "n", LoadTimeS: 4}},
 	})
@@ -42,7 +42,7 @@
 
 // countedLoads is how many loads from the store may have started within the window.
 func countedLoads(scheduler *Scheduler, now time.Time) int {
-	scheduler.budget.available(now, scheduler.table, scheduler.mayStart)
+	scheduler.budget.available(now, scheduler.configuration.table, scheduler.mayStart)
 	return scheduler.budget.budget.Count(now, scheduler.budget.bounds)
 }
 
@@ -63,7 +63,7 @@
 	startedAt := tracked.StartedAt()
 	for _, elapsed := range []time.Duration{time.Second, 2 * time.Second, 2300 * time.Millisecond, 3 * time.Second} {
 		now = startedAt.Add(elapsed + time.Second)
-		scheduler.verifyDiskLoad(tracked, replicastate.Report{Busy: true, Sequence: 1}, startedAt.Add(elapsed))
+		scheduler.poller.verifyDiskLoad(tracked, replicastate.Report{Busy: true, Sequence: 1}, startedAt.Add(elapsed))
 		counted := 0
 		if elapsed > 2*time.Second+replicatracker.ReportLag {
 			counted = 1
@@ -82,8 +82,8 @@
 	startedAt := tracked.StartedAt()
 	now = now.Add(4 * time.Second)
 	done := replicastate.Report{Sequence: 1, Loaded: map[string]bool{"m": true}}
-	scheduler.verifyDiskLoad(tracked, done, now)
-	scheduler.verifyDiskLoad(tracked, replicastate.Report{Busy: true, Sequence: 1}, startedAt.Add(time.Second))
+	scheduler.poller.verifyDiskLoad(tracked, done, now)
+	scheduler.poller.verifyDiskLoad(tracked, replicastate.Report{Busy: true, Sequence: 1}, startedAt.Add(time.Second))
 	assert.Equal(t, countedLoads(scheduler, now), 0)
 	assert.Assert(t, scheduler.disks.Models(tracked.Listed())["n"])
 }
--- a/internal/controlplane/scheduler/eviction.go
+++ b/internal/controlplane/scheduler/eviction.go
@@ -36,12 +36,11 @@
 // contextEviction is the work on purging cached context at replicas. A replica's context goes with its copy of the model, so
 // copies are unloaded and loaded again, one at a time. The planning loop alone uses it.
 type contextEviction struct {
-	tracker *replicatracker.Tracker
-	copies  *CopyAges
-	purges  PurgeStore
-	clock   func() time.Time
-	// inBackground runs a task on a goroutine of its own and then what it returns in the planning loop.
-	inBackground func(task func() func())
+	tracker    *replicatracker.Tracker
+	copies     *CopyAges
+	purges     PurgeStore
+	clock      func() time.Time
+	background *background
 
 	// evicted holds the targets evicted whose state is not stored yet.
 	evicted map[purgeTarget]bool
@@ -181,7 +180,7 @@
 		return
 	}
 	e.writing, e.writtenAt = true, now
-	e.inBackground(func() func() {
+	e.background.run(func() func() {
 		stored := e.purges.UpdatePurge(ctx, number, change)
 		return func() {
 			e.writing = false
--- a/internal/controlplane/scheduler/forecast.go
+++ b/internal/controlplane/scheduler/forecast.go
@@ -12,7 +12,7 @@
 func (s *Scheduler) Forecast(ctx context.Context, scope drill.Scope) drill.PlacementPlan {
 	reply := make(chan drill.PlacementPlan, 1)
 	select {
-	case s.callbacks <- func() { reply <- s.forecast(scope) }:
+	case s.background.callbacks <- func() { reply <- s.forecast(scope) }:
 	case <-ctx.Done():
 		return drill.PlacementPlan{}
 	}
@@ -27,7 +27,7 @@
 // forecast plans on a copy of the present state, without the zones of the scope.
 func (s *Scheduler) forecast(scope drill.Scope) drill.PlacementPlan {
 	state := s.state.State()
-	table := s.currentTable(&state)
+	table := s.configuration.update(&state)
 	if table == nil || !s.lease.Holds() {
 		return drill.PlacementPlan{}
 	}
--- a/internal/controlplane/scheduler/grants_test.go
+++ b/internal/controlplane/scheduler/grants_test.go
@@ -65,9 +65,9 @@
 func TestScheduler_ForecastsWithoutReplicasRightAfterTakeover(t *testing.T) {
 	now := testStart
 	scheduler, host := newTestScheduler(&now)
-	scheduler.table = newTestTable(configuration.Runtime{Slots: 12})
+	scheduler.configuration.table = newTestTable(configuration.Runtime{Slots: 12})
 	host.state.Revision = 1
-	scheduler.table.Configuration.Revision = host.state.Revision
+	scheduler.configuration.table.Configuration.Revision = host.state.Revision
 	scheduler.adoptGrant(&lease.Grant{Record: lease.Record{Fence: 1}, GrantedAt: now, ExpiresAt: now.Add(time.Hour)})
 	scheduler.tracker.AdoptList([]discovery.Replica{{ID: "r", Backend: "s"}}, now, now)
 	takenOver := &lease.Grant{Record: lease.Record{Fence: 3}, GrantedAt: now, ExpiresAt: now.Add(time.Hour)}
--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -27,9 +27,22 @@
 	statusNotSent = 0
 )
 
-// startAction ties a planner's action to what is known of its replica and sends the order, an unload only after the data
-// planes had time to stop using the model.
-func (s *Scheduler) startAction(ctx context.Context, action placement.Action, now time.Time) {
+// orderSender decides on the planner's actions, sends the orders and handles their responses. The planning loop alone uses
+// it; send runs on goroutines of its own.
+type orderSender struct {
+	clock         func() time.Time
+	lease         *LeaseKeeper
+	client        ReplicaClient
+	tracker       *replicatracker.Tracker
+	budget        *loadBudget
+	configuration *currentConfiguration
+	pacer         *planPacer
+	background    *background
+}
+
+// start ties a planner's action to what is known of its replica and sends the order, an unload only after the data planes
+// had time to stop using the model.
+func (s *orderSender) start(ctx context.Context, action placement.Action, now time.Time) {
 	order, possible := s.tracker.Decide(action, now)
 	if !possible {
 		return
@@ -41,16 +54,16 @@
 	}
 	tracked := s.tracker.Replica(action.Server)
 	id, address := tracked.ID(), tracked.Address()
-	s.inBackground(func() func() {
+	s.background.run(func() func() {
 		nodesettings.Sleep(ctx, delay)
-		status, err := s.sendOrder(ctx, address, id, order)
-		return func() { s.handleOrderResponse(tracked, order, status, err) }
+		status, err := s.send(ctx, address, id, order)
+		return func() { s.handleResponse(tracked, order, status, err) }
 	})
 }
 
-// sendOrder sends an order under the grant that it was decided under, and returns the status of the response, statusNotSent
+// send sends an order under the grant that it was decided under, and returns the status of the response, statusNotSent
 // if that grant no longer allows it. It runs outside of the planning loop.
-func (s *Scheduler) sendOrder(ctx context.Context, address, id string, order replicastate.Order) (int, error) {
+func (s *orderSender) send(ctx context.Context, address, id string, order replicastate.Order) (int, error) {
 	grant := s.lease.Grant()
 	if !grant.Allows(s.clock(), orderLeaseMargin) || grant.Record.Fence != order.Fence {
 		return statusNotSent, nil
@@ -60,7 +73,7 @@
 	if order.Load {
 		operation = replica.OperationLoad
 	}
-	return s.replicas.SendOrder(ctx, address, id, replica.Order{
+	return s.client.SendOrder(ctx, address, id, replica.Order{
 		Operation:     operation,
 		Model:         model,
 		Adapter:       adapter,
@@ -93,8 +106,8 @@
 	return outcome
 }
 
-// handleOrderResponse handles the end of an order's call.
-func (s *Scheduler) handleOrderResponse(tracked *replicatracker.Replica, order replicastate.Order, status int, err error) {
+// handleResponse handles the end of an order's call.
+func (s *orderSender) handleResponse(tracked *replicatracker.Replica, order replicastate.Order, status int, err error) {
 	s.pacer.markDirty()
 	now := s.clock()
 	logOrder(tracked, order, status, err)
@@ -109,7 +122,7 @@
 // recordLoadOutcome counts a load from the store from its acceptance on, and takes it back where the replica rejected it or
 // nothing was sent. Without a clear answer it goes on counting as one that may start. Answers that belong to an earlier
 // grant change nothing: the budget counts their loads as started.
-func (s *Scheduler) recordLoadOutcome(tracked *replicatracker.Replica, outcome replicastate.Outcome, now time.Time) {
+func (s *orderSender) recordLoadOutcome(tracked *replicatracker.Replica, outcome replicastate.Outcome, now time.Time) {
 	action := tracked.Action()
 	if action == nil || !loadsFromStore(*action) || !s.tracker.Tracks(tracked) {
 		return
@@ -124,13 +137,13 @@
 }
 
 // expectedDuration is how long the order that a replica has accepted should take.
-func (s *Scheduler) expectedDuration(tracked *replicatracker.Replica) time.Duration {
+func (s *orderSender) expectedDuration(tracked *replicatracker.Replica) time.Duration {
 	action := tracked.Action()
 	if action == nil || !action.Load {
 		return replicatracker.ReportLag
 	}
 	name, adapter, _ := strings.Cut(action.Model, "/")
-	model, known := s.findModel(tracked.Backend(), name)
+	model, known := s.configuration.findModel(tracked.Backend(), name)
 	if !known || adapter != "" {
 		return replicatracker.ReportLag
 	}
--- a/internal/controlplane/scheduler/polls.go
+++ b/internal/controlplane/scheduler/polls.go
@@ -21,12 +21,33 @@
 	storeLoadTimeShare = 0.5
 )
 
-// duePolls returns the replicas to poll now: those with a change under way first, then those whose state is unknown, by how
-// many requests wait for models that their disks may hold.
-func (s *Scheduler) duePolls(table *configuration.Table, now time.Time) []*replicatracker.Replica {
+// reportPoller polls replicas for reports. The planning loop alone uses it; the calls run on goroutines of their own.
+type reportPoller struct {
+	clock         func() time.Time
+	client        ReplicaClient
+	tracker       *replicatracker.Tracker
+	disks         *replicatracker.DiskInventory
+	demand        *DemandView
+	budget        *loadBudget
+	configuration *currentConfiguration
+	pacer         *planPacer
+	publisher     *observationPublisher
+	background    *background
+}
+
+// pollDue polls the replicas that are due.
+func (p *reportPoller) pollDue(ctx context.Context, table *configuration.Table, now time.Time) {
+	for _, tracked := range p.due(table, now) {
+		p.poll(ctx, tracked)
+	}
+}
+
+// due returns the replicas to poll now: those with a change under way first, then those whose state is unknown, by how many
+// requests wait for models that their disks may hold.
+func (p *reportPoller) due(table *configuration.Table, now time.Time) []*replicatracker.Replica {
 	var pending, unknown []*replicatracker.Replica
 	polling := 0
-	for _, tracked := range s.tracker.Listed() {
+	for _, tracked := range p.tracker.Listed() {
 		switch {
 		case !isPlacementTarget(table, tracked.Backend()):
 		case tracked.State().IsPolling():
@@ -40,17 +61,17 @@
 	}
 	free := max(maxConcurrentPolls-polling-len(pending), 0)
 	if len(unknown) > free {
-		s.sortByWaiting(unknown)
+		p.sortByWaiting(unknown)
 		unknown = unknown[:free]
 	}
 	return append(pending, unknown...)
 }
 
 // sortByWaiting sorts replicas by how many requests wait for models that their disks may hold, the most first.
-func (s *Scheduler) sortByWaiting(replicas []*replicatracker.Replica) {
+func (p *reportPoller) sortByWaiting(replicas []*replicatracker.Replica) {
 	waiting := make(map[string]int, len(replicas))
 	for _, tracked := range replicas {
-		waiting[tracked.ID()] = s.demand.waiting(tracked.Backend(), s.disks.Models(tracked.Listed()))
+		waiting[tracked.ID()] = p.demand.waiting(tracked.Backend(), p.disks.Models(tracked.Listed()))
 	}
 	slices.SortStableFunc(replicas, func(left, right *replicatracker.Replica) int {
 		return waiting[right.ID()] - waiting[left.ID()]
@@ -58,31 +79,31 @@
 }
 
 // poll requests a replica's report.
-func (s *Scheduler) poll(ctx context.Context, tracked *replicatracker.Replica) {
-	id, address, polledAt := tracked.ID(), tracked.Address(), s.clock()
+func (p *reportPoller) poll(ctx context.Context, tracked *replicatracker.Replica) {
+	id, address, polledAt := tracked.ID(), tracked.Address(), p.clock()
 	tracked.State().PollStarted(polledAt)
-	s.inBackground(func() func() {
-		report, err := s.replicas.FetchReport(ctx, address, id)
-		return func() { s.handlePoll(tracked, report, polledAt, err) }
+	p.background.run(func() func() {
+		report, err := p.client.FetchReport(ctx, address, id)
+		return func() { p.handlePoll(tracked, report, polledAt, err) }
 	})
 }
 
 // handlePoll handles the end of a poll that was begun at polledAt.
-func (s *Scheduler) handlePoll(tracked *replicatracker.Replica, report replica.Report, polledAt time.Time, err error) {
-	s.pacer.markDirty()
-	now := s.clock()
+func (p *reportPoller) handlePoll(tracked *replicatracker.Replica, report replica.Report, polledAt time.Time, err error) {
+	p.pacer.markDirty()
+	now := p.clock()
 	reported := replicastate.Report{
 		Sequence: report.Sequence,
 		Busy:     report.Busy,
 		Loaded:   replicatracker.References(report.Models),
 	}
-	s.verifyDiskLoad(tracked, reported, polledAt)
+	p.verifyDiskLoad(tracked, reported, polledAt)
 	if err != nil {
 		tracked.State().PollFailed(now)
 		return
 	}
-	if s.tracker.HandleReport(tracked, reported, now) && now.Sub(s.publishedAt) >= publishInterval {
-		s.publishObservations()
+	if p.tracker.HandleReport(tracked, reported, now) && p.publisher.intervalOver(now) {
+		p.publisher.publish()
 	}
 }
 
@@ -90,18 +111,18 @@
 // at a replica that took the place of another at its address: then it still runs when one from a disk is long done. It
 // counts from its start, and what the disk was taken to hold is forgotten, so that further loads are counted before they
 // start.
-func (s *Scheduler) verifyDiskLoad(tracked *replicatracker.Replica, report replicastate.Report, polledAt time.Time) {
+func (p *reportPoller) verifyDiskLoad(tracked *replicatracker.Replica, report replicastate.Report, polledAt time.Time) {
 	elapsed, running := tracked.RunningDiskLoad(report, polledAt)
 	if !running {
 		return
 	}
 	name := tracked.Action().Model
-	model, known := s.findModel(tracked.Backend(), name)
+	model, known := p.configuration.findModel(tracked.Backend(), name)
 	if !known || elapsed.Seconds() < storeLoadTimeShare*model.LoadTimeS {
 		return
 	}
-	s.tracker.ReclassifyDiskLoad(tracked)
-	s.budget.addStarted(tracked.StartedAt())
+	p.tracker.ReclassifyDiskLoad(tracked)
+	p.budget.addStarted(tracked.StartedAt())
 	logrus.WithFields(logrus.Fields{
 		"replica":     tracked.ID(),
 		"model":       name,
--- a/internal/controlplane/scheduler/polls_test.go
+++ b/internal/controlplane/scheduler/polls_test.go
@@ -36,7 +36,7 @@
 	assert.Assert(t, decided)
 	changing.HandleResponse(order, replicastate.Accepted, now)
 	now = now.Add(replicatracker.ReportLag)
-	due := scheduler.duePolls(table, now)
+	due := scheduler.poller.due(table, now)
 	assert.Equal(t, len(due), maxConcurrentPolls)
 	first := []string{due[0].ID(), due[1].ID(), due[2].ID()}
 	assert.DeepEqual(t, first, []string{list[100].ID, last.ID, list[0].ID})
@@ -49,13 +49,13 @@
 func pollAll(t *testing.T, scheduler *Scheduler, table *configuration.Table, now time.Time) int {
 	t.Helper()
 	seen := map[string]bool{}
-	for due := scheduler.duePolls(table, now); len(due) > 0; due = scheduler.duePolls(table, now) {
+	for due := scheduler.poller.due(table, now); len(due) > 0; due = scheduler.poller.due(table, now) {
 		for _, tracked := range due {
 			assert.Assert(t, !seen[tracked.ID()])
 			seen[tracked.ID()] = true
 			tracked.State().PollStarted(now)
 		}
-		assert.Equal(t, len(scheduler.duePolls(table, now)), 0, "no more than that at once")
+		assert.Equal(t, len(scheduler.poller.due(table, now)), 0, "no more than that at once")
 		for _, tracked := range due {
 			report := replicastate.Report{Sequence: 1, Loaded: map[string]bool{"m": true}}
 			assert.Assert(t, tracked.State().HandleReport(report, now))
--- a/internal/controlplane/scheduler/scheduler.go
+++ b/internal/controlplane/scheduler/scheduler.go
@@ -5,18 +5,13 @@
 	"sync"
 	"time"
 
-	"ferryspar/internal/configuration"
 	"ferryspar/internal/controlplane/replicatracker"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/placement"
 )
 
-const (
-	// planInterval is the longest time between two turns of the planning loop.
-	planInterval = 100 * time.Millisecond
-	// callbackBacklog is how many results of calls may wait for the planning loop.
-	callbackBacklog = 64
-)
+// planInterval is the longest time between two turns of the planning loop.
+const planInterval = 100 * time.Millisecond
 
 // Scheduler is the planning loop. It is made by New and runs once.
 type Scheduler struct {
@@ -24,7 +19,8 @@
 	clock    func() time.Time
 	state    StateReader
 	roster   Roster
-	replicas ReplicaClient
+
+	// Any goroutine may use these parts; each has a lock of its own.
 
 	lease        *LeaseKeeper
 	demand       *DemandView
@@ -33,28 +29,23 @@
 	observations *replicatracker.Observations
 	budget       *loadBudget
 
-	// wake has a turn of the planning loop begin at once, callbacks has functions run in it.
-	wake      chan struct{}
-	callbacks chan func()
-	// workers counts the goroutines whose results come back as callbacks.
-	workers sync.WaitGroup
-	// done is closed when the planning loop ends: callbacks are dropped from then on.
-	done chan struct{}
+	// wake has a turn of the planning loop begin at once.
+	wake       chan struct{}
+	background *background
 
 	// The planning loop alone uses all below.
 
-	tracker  *replicatracker.Tracker
-	eviction *contextEviction
-	pacer    planPacer
+	tracker       *replicatracker.Tracker
+	configuration *currentConfiguration
+	publisher     *observationPublisher
+	pacer         *planPacer
+	orders        *orderSender
+	poller        *reportPoller
+	eviction      *contextEviction
 	// grant is the one that the tracked replicas were learned under.
 	grant *lease.Grant
 	// sizes are those that models had in earlier configurations under the grant.
 	sizes *placement.SizeHistory
-	// table and catalog are those of the newest configuration that could be read.
-	table   *configuration.Table
-	catalog *placement.Catalog
-	// publishedAt is when observations were published last.
-	publishedAt time.Time
 	// starvationLoggedAt is when a model that requests wait for was logged last.
 	starvationLoggedAt time.Time
 }
@@ -62,30 +53,53 @@
 // New returns a scheduler that holds no lease and tracks no replicas.
 func New(config Config) *Scheduler {
 	s := &Scheduler{
-		settings:     config.Settings,
-		clock:        config.Clock,
-		state:        config.State,
-		roster:       config.Roster,
-		replicas:     config.Replicas,
-		lease:        newLeaseKeeper(config.Lease, config.Clock, config.StartedAt),
-		copies:       newCopyAges(),
-		disks:        replicatracker.NewDiskInventory(),
-		observations: replicatracker.NewObservations(config.Settings.ListLag),
-		wake:         make(chan struct{}, 1),
-		callbacks:    make(chan func(), callbackBacklog),
-		done:         make(chan struct{}),
-		sizes:        placement.NewSizeHistory(),
+		settings:      config.Settings,
+		clock:         config.Clock,
+		state:         config.State,
+		roster:        config.Roster,
+		lease:         newLeaseKeeper(config.Lease, config.Clock, config.StartedAt),
+		copies:        newCopyAges(),
+		disks:         replicatracker.NewDiskInventory(),
+		observations:  replicatracker.NewObservations(config.Settings.ListLag),
+		wake:          make(chan struct{}, 1),
+		background:    newBackground(),
+		configuration: &currentConfiguration{},
+		pacer:         &planPacer{},
+		sizes:         placement.NewSizeHistory(),
 	}
 	s.demand = NewDemandView(config.Aggregator, config.Clock, s.wakeUp)
 	s.budget = newLoadBudget(s.lease, config.Clock, config.StartedAt, config.Settings.OriginPeriod, s.wakeUp)
 	s.tracker = replicatracker.New(config.Settings.ListLag, s.disks, s.observations)
+	s.publisher = &observationPublisher{tracker: s.tracker, roster: config.Roster, clock: config.Clock}
+	s.orders = &orderSender{
+		clock:         config.Clock,
+		lease:         s.lease,
+		client:        config.Replicas,
+		tracker:       s.tracker,
+		budget:        s.budget,
+		configuration: s.configuration,
+		pacer:         s.pacer,
+		background:    s.background,
+	}
+	s.poller = &reportPoller{
+		clock:         config.Clock,
+		client:        config.Replicas,
+		tracker:       s.tracker,
+		disks:         s.disks,
+		demand:        s.demand,
+		budget:        s.budget,
+		configuration: s.configuration,
+		pacer:         s.pacer,
+		publisher:     s.publisher,
+		background:    s.background,
+	}
 	s.eviction = &contextEviction{
-		tracker:      s.tracker,
-		copies:       s.copies,
-		purges:       config.Purges,
-		clock:        config.Clock,
-		inBackground: s.inBackground,
-		evicted:      map[purgeTarget]bool{},
+		tracker:    s.tracker,
+		copies:     s.copies,
+		purges:     config.Purges,
+		clock:      config.Clock,
+		background: s.background,
+		evicted:    map[purgeTarget]bool{},
 	}
 	return s
 }
@@ -112,9 +126,8 @@
 	loops.Go(func() { s.lease.run(ctx) })
 	loops.Go(func() { s.budget.run(ctx) })
 	s.runPlanning(ctx)
-	close(s.done)
+	s.background.close()
 	loops.Wait()
-	s.workers.Wait()
 }
 
 // runPlanning is the planning loop.
@@ -127,7 +140,7 @@
 			return
 		case <-ticker.C:
 		case <-s.wake:
-		case callback := <-s.callbacks:
+		case callback := <-s.background.callbacks:
 			callback()
 			continue
 		}
@@ -148,23 +161,12 @@
 	}
 }
 
-// inBackground runs a task on a goroutine of its own, and then what it returns in the planning loop unless that has ended.
-func (s *Scheduler) inBackground(task func() func()) {
-	s.workers.Go(func() {
-		callback := task()
-		select {
-		case s.callbacks <- callback:
-		case <-s.done:
-		}
-	})
-}
-
 // adoptGrant forgets all that is known of replicas unless it was learned under this very grant: under any other, someone
 // else may have ordered there since, even if this node held the lease before and holds it now. While none is held nothing is
 // forgotten: a renewal under way may save the grant, and its orders of unknown fate still count then.
 func (s *Scheduler) adoptGrant(grant *lease.Grant) {
 	if grant == nil || !s.clock().Before(grant.ExpiresAt) {
-		s.withdrawObservations()
+		s.publisher.withdraw()
 		return
 	}
 	same := s.grant.SameAs(grant)
@@ -178,21 +180,6 @@
 		trustFrom = grant.GrantedAt.Add(replicatracker.MaxReportAge)
 	}
 	if s.tracker.Reset(grant.Record.Fence, trustFrom) {
-		s.publishObservations()
-	}
-}
-
-// publishObservations publishes what is known better than the list: the models reported since and the references being
-// unloaded.
-func (s *Scheduler) publishObservations() {
-	s.tracker.PublishObservations()
-	s.publishedAt = s.clock()
-	s.roster.PublishPlacement(s.tracker.Len())
-}
-
-// withdrawObservations takes back what publishObservations has published: another node may know better.
-func (s *Scheduler) withdrawObservations() {
-	if s.tracker.WithdrawObservations() {
-		s.roster.PublishPlacement(0)
+		s.publisher.publish()
 	}
 }
--- a/internal/controlplane/scheduler/sync.go
+++ b/internal/controlplane/scheduler/sync.go
@@ -8,19 +8,15 @@
 	"ferryspar/internal/placement"
 )
 
-const (
-	// maxRosterAge is how old the list may be for replicas to be placed on by it.
-	maxRosterAge = 3 * time.Second
-	// publishInterval is the least time between two publications of observations outside of plans.
-	publishInterval = 50 * time.Millisecond
-)
+// maxRosterAge is how old the list may be for models to be placed by it.
+const maxRosterAge = 3 * time.Second
 
 // syncOnce follows the list, polls the replicas that are due, publishes what is known and plans, if there is reason to. It
 // does nothing without a configuration and a fresh list.
 func (s *Scheduler) syncOnce(ctx context.Context) {
 	now := s.clock()
 	state := s.state.State()
-	table := s.currentTable(&state)
+	table := s.configuration.update(&state)
 	if table == nil || state.RosterAsOf.IsZero() || now.Sub(state.RosterAsOf) > maxRosterAge {
 		return
 	}
@@ -28,11 +24,9 @@
 	if s.tracker.AdoptList(listed, asOf, now) {
 		s.pacer.markDirty()
 	}
-	for _, replica := range s.duePolls(table, now) {
-		s.poll(ctx, replica)
-	}
-	if s.tracker.HasUnpublished() && now.Sub(s.publishedAt) >= publishInterval {
-		s.publishObservations()
+	s.poller.pollDue(ctx, table, now)
+	if s.publisher.intervalOver(now) {
+		s.publisher.publishChanges()
 	}
 	if s.pacer.planDue(s.demand, state.Version, now) {
 		s.plan(ctx, &state, table, now)
@@ -40,62 +34,18 @@
 	}
 }
 
-// currentTable is the table of the configuration in force, built once for each revision, or nil if there is none. A
-// configuration that cannot be read leaves the last one in place.
-func (s *Scheduler) currentTable(state *State) *configuration.Table {
-	if state.Revision == 0 {
-		return nil
-	}
-	if s.table != nil && s.table.Configuration.Revision == state.Revision {
-		return s.table
-	}
-	document, err := configuration.Decompress(state.PackedConfiguration)
-	if err != nil {
-		return s.table
-	}
-	if decoded, err := configuration.Decode(document); err == nil {
-		s.table = configuration.NewTable(decoded, nil)
-	}
-	return s.table
-}
-
-// currentCatalog is the planner's catalog of the table, built once for each table.
-func (s *Scheduler) currentCatalog(table *configuration.Table) *placement.Catalog {
-	if !s.catalog.IsFor(table) {
-		s.catalog = placement.NewCatalog(table)
-	}
-	return s.catalog
-}
-
-// findModel finds a backend's model in the newest configuration.
-func (s *Scheduler) findModel(backend, name string) (*configuration.Model, bool) {
-	_, index, found := s.table.Backend(backend)
-	if !found {
-		return nil, false
-	}
-	return s.table.Model(index, name)
-}
-
-// isPlacementTarget tells whether models are placed on a backend's replicas: those of backends that declare a runtime.
-func isPlacementTarget(table *configuration.Table, backend string) bool {
-	found, _, known := table.Backend(backend)
-	return known && found.Runtime != nil
-}
-
 // plan runs the planner and starts its actions.
 func (s *Scheduler) plan(ctx context.Context, state *State, table *configuration.Table, now time.Time) {
 	view := s.planningView(state, table, now)
 	s.eviction.plan(ctx, state, view)
 	for _, action := range placement.Plan(view) {
 		s.eviction.recordAction(action, now)
-		s.startAction(ctx, action, now)
+		s.orders.start(ctx, action, now)
 	}
 	for _, server := range view.Servers {
 		s.tracker.Replica(server.ID).SetIntent(server.Intent)
 	}
-	if s.tracker.HasUnpublished() {
-		s.publishObservations()
-	}
+	s.publisher.publishChanges()
 	s.logStarvingModel(view, now)
 }
 
@@ -105,7 +55,7 @@
 	view := &placement.View{
 		Now:          now,
 		Table:        table,
-		Catalog:      s.currentCatalog(table),
+		Catalog:      s.configuration.catalogOf(table),
 		Demand:       s.demand.planned(),
 		SizeHistory:  s.sizes,
 		Loading:      s.loadsUnderWay(isTarget),
