--- a/internal/controlplane/configuration_bench_test.go
+++ b/internal/controlplane/configuration_bench_test.go
@@ -129,7 +129,7 @@
 		assert.NilError(b, err)
 		assert.NilError(b, wal.Append(keystore.BootstrapRegisters(members, 1)))
 		acceptor := keystore.NewAcceptor(name, wal, keystore.AcceptorConfig{Clock: time.Now}, true)
-		go acceptor.Run(ctx, wal)
+		go acceptor.Run(ctx)
 		network.members[name] = acceptor
 		disks = append(disks, disk)
 	}
--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/peer"
@@ -41,7 +42,7 @@
 	}
 	controlPlanes := append(others, n.self)
 	slices.Sort(controlPlanes)
-	update := func(next *Snapshot) {
+	update := func(next *watch.Snapshot) {
 		next.DataPlaneCount = count
 		next.EarlyDataPlaneCount = early
 		next.ControlPlanes = controlPlanes
@@ -49,7 +50,7 @@
 	}
 	isFirstCount := early > 0 && n.publisher.Current().EarlyDataPlaneCount == 0
 	if isFirstCount {
-		n.publisher.Update(func(next *Snapshot) bool {
+		n.publisher.Update(func(next *watch.Snapshot) bool {
 			update(next)
 			return true
 		})
--- a/internal/controlplane/scheduler/doc.go
+++ b/internal/controlplane/scheduler/doc.go
@@ -1,9 +1,10 @@
 // Package scheduler places models and adapters on replicas while this node holds the placement lease.
 //
-// Four goroutines share the work. LeaseKeeper takes, renews and releases the lease. The load budget writes its reservations
+// Three goroutines share the work. LeaseKeeper takes, renews and releases the lease. The load budget writes its reservations
 // into the lease's record. Scheduler.Run is the planning loop: each turn brings the demand up to date and calls syncOnce,
-// which follows the platform's list, polls replicas for reports, plans and sends orders. Calls to replicas run on goroutines
-// of their own; their results come back to the planning loop as callbacks (background), so that what is known of replicas needs no lock.
+// which follows the platform's list, polls replicas for reports, plans and sends orders. Calls to replicas run in the
+// background, on goroutines of their own; their results come back to the planning loop as callbacks, so that what is known of
+// replicas needs no lock.
 //
 // Each part owns its state:
 //
