--- a/internal/controlplane/scheduler/config.go
+++ b/internal/controlplane/scheduler/config.go
@@ -67,15 +67,14 @@
 
 // Config is what a scheduler is made of. Every field is needed.
 type Config struct {
-	Settings   Settings
-	Clock      func() time.Time
-	StartedAt  time.Time
-	Lease      LeaseConfig
-	State      StateReader
-	Roster     Roster
-	Purges     PurgeStore
-	Replicas   ReplicaClient
-	Aggregator DemandAggregator
+	Settings  Settings
+	Clock     func() time.Time
+	StartedAt time.Time
+	Lease     LeaseConfig
+	State     StateReader
+	Roster    Roster
+	Purges    PurgeStore
+	Replicas  ReplicaClient
 }
 
 // LeaseConfig is what a LeaseKeeper is made of.
--- a/internal/controlplane/scheduler/demand.go
+++ b/internal/controlplane/scheduler/demand.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/peer"
 	"ferryspar/internal/placement"
 )
@@ -25,26 +26,6 @@
 	idleModelExpiry = 6 * time.Minute
 )
 
-// DemandAggregator sums what the control planes report of demand and of suspected replicas. It need not be safe for
-// concurrent use.
-type DemandAggregator interface {
-	// MarkBatchReceived records the batch of arrivals in a summary, and tells whether it is new.
-	MarkBatchReceived(summary peer.LoadSummary) bool
-	// Add replaces what the sender of a summary reported before; keys are those of the summary's models, in order. It
-	// tells whether requests wait for a model that none waited for before.
-	Add(summary peer.LoadSummary, keys []string, now time.Time) (newlyWaiting bool)
-	// Expire drops what is too old.
-	Expire(now time.Time)
-	// WriteTo writes the sums that have changed into the demand, by model key.
-	WriteTo(demand map[string]*placement.Demand, now time.Time)
-	// TakeDirty tells whether anything that may call for a new plan has changed since the last call.
-	TakeDirty() bool
-	// HasWaiting tells whether requests wait for any model.
-	HasWaiting() bool
-	// IsSuspected tells whether enough data planes suspect a replica.
-	IsSuspected(id string) bool
-}
-
 // DemandView is the demand of all data planes, by model key: what waits and runs now, and averaged rates. Any goroutine may
 // use it.
 type DemandView struct {
@@ -52,10 +33,10 @@
 	// onNewlyWaiting is called when requests begin to wait for a model.
 	onNewlyWaiting func()
 
-	// lock guards all below. The planning loop alone changes demand, so it may read it without the lock.
+	// lock guards all below. The planning loop alone changes byModel, so it may read it without the lock.
 	lock       sync.Mutex
-	aggregator DemandAggregator
-	demand     map[string]*placement.Demand
+	aggregator *demand.DemandAggregator
+	byModel    map[string]*placement.Demand
 	// arrivals and prefillMs are sums since ratesUpdatedAt, by model key.
 	arrivals       map[string]float64
 	prefillMs      map[string]float64
@@ -68,12 +49,12 @@
 
 // NewDemandView returns a view of no demand. It calls onNewlyWaiting, which must not block nor call the view, whenever requests
 // begin to wait for a model.
-func NewDemandView(aggregator DemandAggregator, clock func() time.Time, onNewlyWaiting func()) *DemandView {
+func NewDemandView(clock func() time.Time, onNewlyWaiting func()) *DemandView {
 	return &DemandView{
 		clock:          clock,
 		onNewlyWaiting: onNewlyWaiting,
-		aggregator:     aggregator,
-		demand:         map[string]*placement.Demand{},
+		aggregator:     demand.NewDemandAggregator(),
+		byModel:        map[string]*placement.Demand{},
 		arrivals:       map[string]float64{},
 		prefillMs:      map[string]float64{},
 		ratesUpdatedAt: clock(),
@@ -111,7 +92,7 @@
 	defer d.lock.Unlock()
 	d.adoptReceivedRates(now)
 	d.aggregator.Expire(now)
-	d.aggregator.WriteTo(d.demand, now)
+	d.aggregator.WriteTo(d.byModel, now)
 	if span := now.Sub(d.ratesUpdatedAt); span >= ratesInterval {
 		d.ratesUpdatedAt = now
 		d.updateRates(span.Seconds(), now)
@@ -121,25 +102,25 @@
 // updateRates averages the arrivals of the last spanS seconds into the rates. The caller holds the lock.
 func (d *DemandView) updateRates(spanS float64, now time.Time) {
 	for key, arrivals := range d.arrivals {
-		if d.demand[key] == nil {
-			d.demand[key] = &placement.Demand{}
+		if d.byModel[key] == nil {
+			d.byModel[key] = &placement.Demand{}
 		}
 		if arrivals > 0 {
-			d.demand[key].LastSeen = now
+			d.byModel[key].LastSeen = now
 		}
 	}
 	weight := min(spanS/rateTimeConstantS, 1)
 	longTermWeight := min(spanS/longTermTimeConstantS, 1)
-	for key, demand := range d.demand {
-		demand.Rate += weight * (d.arrivals[key]/spanS - demand.Rate)
-		demand.LongTermRate += longTermWeight * (d.arrivals[key]/spanS - demand.LongTermRate)
-		demand.PrefillLoad += weight * (d.prefillMs[key]/spanS/1000 - demand.PrefillLoad)
-		if demand.Rate < minRate {
-			demand.Rate = 0
+	for key, modelDemand := range d.byModel {
+		modelDemand.Rate += weight * (d.arrivals[key]/spanS - modelDemand.Rate)
+		modelDemand.LongTermRate += longTermWeight * (d.arrivals[key]/spanS - modelDemand.LongTermRate)
+		modelDemand.PrefillLoad += weight * (d.prefillMs[key]/spanS/1000 - modelDemand.PrefillLoad)
+		if modelDemand.Rate < minRate {
+			modelDemand.Rate = 0
 		}
-		idle := demand.Rate == 0 && demand.Waiting == 0 && demand.Running == 0
-		if idle && now.Sub(demand.LastSeen) > idleModelExpiry {
-			delete(d.demand, key)
+		idle := modelDemand.Rate == 0 && modelDemand.Waiting == 0 && modelDemand.Running == 0
+		if idle && now.Sub(modelDemand.LastSeen) > idleModelExpiry {
+			delete(d.byModel, key)
 		}
 	}
 	clear(d.arrivals)
@@ -154,19 +135,19 @@
 	if len(rates) == 0 {
 		return
 	}
-	for key, demand := range d.demand {
+	for key, modelDemand := range d.byModel {
 		if _, known := rates[key]; !known {
-			demand.Rate = min(demand.Rate, minSharedRate)
-			demand.PrefillLoad = 0
+			modelDemand.Rate = min(modelDemand.Rate, minSharedRate)
+			modelDemand.PrefillLoad = 0
 		}
 	}
 	for key, rate := range rates {
-		if d.demand[key] == nil {
-			d.demand[key] = &placement.Demand{}
+		if d.byModel[key] == nil {
+			d.byModel[key] = &placement.Demand{}
 		}
-		d.demand[key].Rate = rate.RequestsPerS
-		d.demand[key].PrefillLoad = rate.PrefillLoad
-		d.demand[key].LastSeen = now
+		d.byModel[key].Rate = rate.RequestsPerS
+		d.byModel[key].PrefillLoad = rate.PrefillLoad
+		d.byModel[key].LastSeen = now
 	}
 }
 
@@ -175,11 +156,11 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	rates := map[string]peer.Rate{}
-	for key, demand := range d.demand {
-		if demand.Rate >= minSharedRate {
+	for key, modelDemand := range d.byModel {
+		if modelDemand.Rate >= minSharedRate {
 			rates[key] = peer.Rate{
-				RequestsPerS: math.Round(demand.Rate*100) / 100,
-				PrefillLoad:  math.Round(demand.PrefillLoad*1000) / 1000,
+				RequestsPerS: math.Round(modelDemand.Rate*100) / 100,
+				PrefillLoad:  math.Round(modelDemand.PrefillLoad*1000) / 1000,
 			}
 		}
 	}
@@ -201,9 +182,9 @@
 func (d *DemandView) Rates() map[string]float64 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	rates := make(map[string]float64, len(d.demand))
-	for key, demand := range d.demand {
-		rates[key] = demand.Rate
+	rates := make(map[string]float64, len(d.byModel))
+	for key, modelDemand := range d.byModel {
+		rates[key] = modelDemand.Rate
 	}
 	return rates
 }
@@ -233,12 +214,12 @@
 func (d *DemandView) waiting(backend string, models map[string]bool) int {
 	waiting := 0
 	for model := range models {
-		if demand := d.demand[placement.ModelKey(backend, model)]; demand != nil {
-			waiting += demand.Waiting
+		if modelDemand := d.byModel[placement.ModelKey(backend, model)]; modelDemand != nil {
+			waiting += modelDemand.Waiting
 		}
 	}
 	return waiting
 }
 
 // planned returns the demand for a plan. The planning loop alone calls it; the map goes on changing by Update.
-func (d *DemandView) planned() map[string]*placement.Demand { return d.demand }
+func (d *DemandView) planned() map[string]*placement.Demand { return d.byModel }
--- a/internal/controlplane/demand_test.go
+++ b/internal/controlplane/scheduler/demand_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package scheduler
 
 import (
 	"testing"
@@ -7,7 +7,6 @@
 	"gotest.tools/v3/assert"
 
 	"ferryspar/internal/controlplane/demand"
-	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/peer"
 	"ferryspar/internal/placement"
 )
@@ -18,12 +17,12 @@
 func TestDemandView_CountsResentArrivalsOnce(t *testing.T) {
 	loads := demand.NewLoadAggregator()
 	now, total := testStart, 0.0
-	holder := scheduler.NewDemandView(demand.NewDemandAggregator(), func() time.Time { return now }, func() {})
+	holder := NewDemandView(func() time.Time { return now }, func() {})
 	arrive := func(amount int) {
 		loads.AddReport(peer.LoadReport{
 			DataPlane: "edge",
 			Models:    []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: amount}},
-		}, rosterTestStart)
+		}, testStart)
 	}
 	counted := func() float64 {
 		now = now.Add(averagingSpan * time.Second)
--- a/internal/controlplane/scheduler/fixtures_test.go
+++ b/internal/controlplane/scheduler/fixtures_test.go
@@ -7,8 +7,6 @@
 	"ferryspar/internal/configuration"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/lease"
-	"ferryspar/internal/peer"
-	"ferryspar/internal/placement"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/retention"
 )
@@ -44,36 +42,18 @@
 	return replica.Report{}, context.Canceled
 }
 
-// noDemand is an aggregator of no demand.
-type noDemand struct{}
-
-func (noDemand) MarkBatchReceived(peer.LoadSummary) bool { return false }
-
-func (noDemand) Add(peer.LoadSummary, []string, time.Time) bool { return false }
-
-func (noDemand) Expire(time.Time) {}
-
-func (noDemand) WriteTo(map[string]*placement.Demand, time.Time) {}
-
-func (noDemand) TakeDirty() bool { return false }
-
-func (noDemand) HasWaiting() bool { return false }
-
-func (noDemand) IsSuspected(string) bool { return false }
-
 // newTestScheduler returns a scheduler without a lease whose clock shows what now holds. Its list may lag by 800 ms, its
 // store of weights bounds loads over 5 s.
 func newTestScheduler(now *time.Time) (*Scheduler, *fakeHost) {
 	host := &fakeHost{}
 	return New(Config{
-		Settings:   Settings{ListLag: 800 * time.Millisecond, OriginPeriod: 5 * time.Second},
-		Clock:      func() time.Time { return *now },
-		Lease:      LeaseConfig{Manager: &lease.Manager{}, Cluster: host},
-		State:      host,
-		Roster:     host,
-		Purges:     host,
-		Replicas:   host,
-		Aggregator: noDemand{},
+		Settings: Settings{ListLag: 800 * time.Millisecond, OriginPeriod: 5 * time.Second},
+		Clock:    func() time.Time { return *now },
+		Lease:    LeaseConfig{Manager: &lease.Manager{}, Cluster: host},
+		State:    host,
+		Roster:   host,
+		Purges:   host,
+		Replicas: host,
 	}), host
 }
 
--- /dev/null
+++ b/internal/controlplane/scheduler/inputs_bench_test.go
@@ -0,0 +1,73 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"ferryspar/internal/controlplane/replicatracker"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/peer"
+)
+
+// modelsPerReport is how many models each summary of benchSummaries asks for.
+const modelsPerReport = 40
+
+// BenchmarkScheduler_DemandAndReplicas measures what a turn of the planning loop does before it plans.
+func BenchmarkScheduler_DemandAndReplicas(b *testing.B) {
+	for _, size := range []struct{ replicas, dataPlanes int }{{9, 6}, {140, 80}, {720, 400}} {
+		b.Run(fmt.Sprintf("%dx%d", size.replicas, size.dataPlanes), func(b *testing.B) {
+			now := testStart
+			demand := NewDemandView(func() time.Time { return now }, func() {})
+			tracker := replicatracker.New(0, replicatracker.NewDiskInventory(), replicatracker.NewObservations(0))
+			listed := benchList(size.replicas)
+			summaries := benchSummaries(size.dataPlanes, size.replicas)
+			all := func(string) bool { return true }
+			b.ReportAllocs()
+			for b.Loop() {
+				now = now.Add(100 * time.Millisecond)
+				for _, summary := range summaries[:max(len(summaries)/10, 1)] {
+					demand.HandleSummary(summary)
+				}
+				demand.Update()
+				tracker.AdoptList(listed, now, now)
+				tracker.Servers(all, demand.IsSuspected, now)
+			}
+		})
+	}
+}
+
+// benchList is a list of replicas with two models each.
+func benchList(replicas int) []discovery.Replica {
+	var listed []discovery.Replica
+	for index := range replicas {
+		listed = append(listed, discovery.Replica{
+			ID:      fmt.Sprintf("r%04d", index),
+			Address: fmt.Sprint("at", index),
+			Backend: "s",
+			Models: []discovery.LoadedModel{
+				{Name: fmt.Sprint("m", index), Adapters: []string{"a1", "a2", "a3"}},
+				{Name: fmt.Sprint("m", index/2)},
+			},
+		})
+	}
+	return listed
+}
+
+// benchSummaries are summaries of members with a data plane each, which ask for some of a number of models.
+func benchSummaries(members, models int) []peer.LoadSummary {
+	var summaries []peer.LoadSummary
+	for member := range members {
+		summary := peer.LoadSummary{Member: fmt.Sprint("member", member), DataPlaneCount: 1}
+		for index := range modelsPerReport {
+			summary.Models = append(summary.Models, peer.ModelLoad{
+				Backend: "s",
+				Model:   fmt.Sprint("m", (member*7+index)%models),
+				Running: 1,
+				Waiting: index % 2,
+			})
+		}
+		summaries = append(summaries, summary)
+	}
+	return summaries
+}
--- a/internal/controlplane/scheduler/polls_test.go
+++ b/internal/controlplane/scheduler/polls_test.go
@@ -29,7 +29,7 @@
 	}
 	scheduler.tracker.AdoptList(list, now, now)
 	last := list[len(list)-1]
-	scheduler.demand.demand[placement.ModelKey("s", last.Models[0].Name)] = &placement.Demand{Waiting: 3}
+	scheduler.demand.byModel[placement.ModelKey("s", last.Models[0].Name)] = &placement.Demand{Waiting: 3}
 	changing := scheduler.tracker.Replica(list[100].ID).State()
 	assert.Assert(t, changing.HandleReport(replicastate.Report{}, now))
 	order, decided := changing.Decide(replicastate.Change{Load: true, Reference: "m"}, now)
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/scheduler_host.go
@@ -6,7 +6,6 @@
 	"sort"
 	"time"
 
-	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
@@ -45,11 +44,10 @@
 			SeedRank: max(slices.Index(n.settings.SeedPeers(), n.self), 0),
 			Leaving:  n.members.Leaving(),
 		},
-		State:      host,
-		Roster:     host,
-		Purges:     host,
-		Replicas:   replica.NewClient(n.network),
-		Aggregator: demand.NewDemandAggregator(),
+		State:    host,
+		Roster:   host,
+		Purges:   host,
+		Replicas: replica.NewClient(n.network),
 	})
 }
 
