--- a/internal/controlplane/members/changes.go
+++ b/internal/controlplane/members/changes.go
@@ -70,7 +70,7 @@
 	}
 	due.observe(change, now)
 	if now.Sub(due.since) >= membership.ProposalDelay(view) {
-		m.commitChange(ctx, view.Current, change)
+		m.commitChange(ctx, view.Membership, change)
 	}
 }
 
