--- a/internal/keystore/simulation_test.go
+++ b/internal/keystore/simulation_test.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"ferryspar/internal/keystore"
-	"ferryspar/internal/test/keystoresim"
 	"fmt"
 	"math/rand/v2"
 	"sync"
@@ -12,6 +10,9 @@
 	"testing/synctest"
 	"time"
 
+	"ferryspar/internal/keystore"
+	"ferryspar/internal/test/keystoresim"
+
 	"gotest.tools/v3/assert"
 )
 
--- a/internal/placement/plain_view_test.go
+++ b/internal/placement/plain_view_test.go
@@ -1,10 +1,11 @@
 package placement
 
 import (
-	"ferryspar/internal/configuration"
 	"sort"
 	"strconv"
 	"strings"
+
+	"ferryspar/internal/configuration"
 )
 
 // referenceView looks all up in the view itself.
