--- a/internal/quota/quota_bench_test.go
+++ b/internal/quota/bench_test.go
@@ -10,7 +10,7 @@
 // sizes are the fleets that costs are measured at.
 var sizes = []struct{ dataPlanes, tenants int }{{80, 83}, {380, 83}, {380, 10000}}
 
-// filledPool is a home that all data planes lend their part of one group to.
+// filledPool is a home shard that all data planes lend their part of one group to.
 func filledPool(dataPlanes, tenants int) (pool *Pool, requests []LendRequest, limits map[string]Limit, now time.Time) {
 	parameters, now := DefaultParameters(testBounds), epoch
 	pool = NewPool(parameters, "home", now)
@@ -23,7 +23,13 @@
 	stamp := pool.Lend(LendRequest{}, now).Stamp
 	for number := range dataPlanes {
 		loans := []Loan{{Group: 0, Share: 1 / float64(2*dataPlanes), HomeShards: 2}}
-		requests = append(requests, LendRequest{DataPlane: fmt.Sprintf("data-%d", number), LenderIncarnation: fmt.Sprintf("data-%d/x", number), Sequence: 1, Stamp: stamp, Loans: loans})
+		requests = append(requests, LendRequest{
+			DataPlane:         fmt.Sprintf("data-%d", number),
+			LenderIncarnation: fmt.Sprintf("data-%d/x", number),
+			Sequence:          1,
+			Stamp:             stamp,
+			Loans:             loans,
+		})
 		pool.Lend(requests[number], now)
 	}
 	return pool, requests, limits, now
@@ -50,31 +56,32 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("dataPlanes=%d/tenants=%d", size.dataPlanes, size.tenants), func(b *testing.B) {
 			pool, _, limits, now := filledPool(size.dataPlanes, size.tenants)
-			question := BorrowRequest{Want: 1}
+			request := BorrowRequest{Want: 1}
 			for tenant := range limits {
 				if pool.parameters.Group(tenant) == 0 {
-					question.Tenant = tenant
+					request.Tenant = tenant
 				}
 			}
 			for b.Loop() {
-				pool.Borrow(question, now)
+				pool.Borrow(request, now)
 			}
 		})
 	}
 }
 
-// The homes' work is part of it.
+// BenchmarkLender_Plan includes the work of the home shards.
 func BenchmarkLender_Plan(b *testing.B) {
-	for _, members := range []int{8, 32} {
-		b.Run(fmt.Sprintf("candidates=%d", members), func(b *testing.B) {
-			fleet := newReliableFleet(Limit{RatePerS: 1}, members)
-			node, names := fleet.nodes[0], fleet.members()
+	for _, candidates := range []int{8, 32} {
+		b.Run(fmt.Sprintf("candidates=%d", candidates), func(b *testing.B) {
+			fleet := newReliableFleet(Limit{RatePerS: 1}, candidates)
+			node, names := fleet.nodes[0], fleet.names()
 			for b.Loop() {
 				fleet.now += fleet.parameters.RenewalInterval
 				fleet.updateFleetSize()
 				for _, offer := range node.lender.Plan(names, fleet.clock(node)) {
 					homeShard := fleet.find(offer.HomeShard)
-					node.lender.HandleReply(homeShard.name, homeShard.pool.Lend(offer.Request, fleet.clock(homeShard)), fleet.clock(node))
+					reply := homeShard.pool.Lend(offer.Request, fleet.clock(homeShard))
+					node.lender.HandleReply(homeShard.name, reply, fleet.clock(node))
 				}
 			}
 		})
--- a/internal/quota/bound_simulation_test.go
+++ b/internal/quota/bound_simulation_test.go
@@ -8,83 +8,98 @@
 	"pgregory.net/rapid"
 )
 
-var testBounds = Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+const (
+	minNodes = 2
+	maxNodes = 9
+	// maxStepMs is the longest time, in milliseconds, between two steps of a history.
+	maxStepMs = 1200
+)
 
-// trouble does one thing to the fleet.
-func (f *fleet) injectFault(kind int, one *node) {
-	switch kind {
-	case 0:
-		f.start(one)
-	case 1:
-		one.frozen = true
-	case 2:
-		one.frozen = false
-	case 3:
-		one.partitioned = true
-	case 4:
-		one.partitioned = false
-	case 5:
-		if len(f.nodes) > 2 {
-			f.leave(one)
+// fleetFaults are what may befall a node in a history.
+var fleetFaults = []func(f *fleet, node *node){
+	(*fleet).start,
+	func(_ *fleet, node *node) { node.frozen = true },
+	func(_ *fleet, node *node) { node.frozen = false },
+	func(_ *fleet, node *node) { node.partitioned = true },
+	func(_ *fleet, node *node) { node.partitioned = false },
+	func(f *fleet, node *node) {
+		if len(f.nodes) > minNodes {
+			f.leave(node)
 		}
-	case 6:
-		if len(f.nodes) < 9 {
+	},
+	func(f *fleet, _ *node) {
+		if len(f.nodes) < maxNodes {
 			f.join()
 		}
-	case 7:
-		f.setLimit(one, Limit{RatePerS: f.limit.RatePerS * f.random.Float64(), Burst: f.limit.Burst * f.random.Float64()})
-	case 8:
-		f.setLimit(one, f.limit)
-	case 9:
-		one.pool.Drain()
-	}
+	},
+	func(f *fleet, node *node) {
+		f.setLimit(node, Limit{
+			RatePerS: f.limit.RatePerS * f.random.Float64(),
+			Burst:    f.limit.Burst * f.random.Float64(),
+		})
+	},
+	func(f *fleet, node *node) { f.setLimit(node, f.limit) },
+	func(_ *fleet, node *node) { node.pool.Drain() },
 }
 
-const faultKinds = 10
-
-func (f *fleet) setLimit(one *node, limit Limit) {
-	one.limit = limit
-	one.pool.SetLimits(map[string]Limit{testTenant: limit}, f.clock(one))
+// history is a random course of events, determined by the seeds of its steps.
+type history struct {
+	limit Limit
+	size  int
+	steps []uint64
 }
 
-// violation plays a random history and says what went beyond the bounds.
-func violation(planted plantedFault, limit Limit, size int, steps []uint64) string {
-	fleet := newFleet(DefaultParameters(testBounds), limit, size, planted, steps[0])
-	for _, step := range steps {
-		choice := rand.New(rand.NewPCG(step, 2))
-		if choice.IntN(6) == 0 {
-			fleet.injectFault(choice.IntN(faultKinds), fleet.nodes[choice.IntN(len(fleet.nodes))])
+// violation plays the history and returns what exceeded the bounds, or nothing.
+func (h history) violation(planted plantedFault) string {
+	fleet := newFleet(DefaultParameters(testBounds), h.limit, h.size, planted, h.steps[0])
+	for _, step := range h.steps {
+		random := rand.New(rand.NewPCG(step, 2))
+		if random.IntN(6) == 0 {
+			inject := fleetFaults[random.IntN(len(fleetFaults))]
+			inject(fleet, fleet.nodes[random.IntN(len(fleet.nodes))])
 		}
-		if choice.IntN(8) == 0 {
+		if random.IntN(8) == 0 {
 			fleet.requesting = !fleet.requesting
 		}
-		fleet.step(time.Duration(choice.IntN(1200)+1) * time.Millisecond)
+		fleet.step(time.Duration(random.IntN(maxStepMs)+1) * time.Millisecond)
 		if fleet.totalShare() > 1+rounding {
 			return "the shares sum to more than the limit"
 		}
 	}
-	if float64(fleet.largestWindow(0)) > testBounds.Allowed(limit) {
+	if !fleet.keepsBounds(h.limit, 0) {
 		return "a window has more requests than allowed"
 	}
 	return ""
 }
 
-func drawHistory(t *rapid.T) (Limit, int, []uint64) {
-	limit := Limit{RatePerS: rapid.Float64Range(0.1, 300).Draw(t, "rate"), Burst: rapid.Float64Range(0, 300).Draw(t, "burst")}
-	size := rapid.IntRange(2, 8).Draw(t, "size")
-	return limit, size, rapid.SliceOfN(rapid.Uint64(), 60, 200).Draw(t, "steps")
+func drawHistory(t *rapid.T) history {
+	rate := rapid.Float64Range(0.1, 300).Draw(t, "rate")
+	burst := rapid.Float64Range(0, 300).Draw(t, "burst")
+	return history{
+		limit: Limit{RatePerS: rate, Burst: burst},
+		size:  rapid.IntRange(2, 8).Draw(t, "size"),
+		steps: rapid.SliceOfN(rapid.Uint64(), 60, 200).Draw(t, "steps"),
+	}
+}
+
+func randomHistory(random *rand.Rand) history {
+	steps := make([]uint64, 150)
+	for index := range steps {
+		steps[index] = random.Uint64()
+	}
+	return history{limit: Limit{RatePerS: 20, Burst: 300}, size: 4, steps: steps}
 }
 
 func TestFleet_NeverExceedsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit, size, steps := drawHistory(t)
-		if found := violation(noFault, limit, size, steps); found != "" {
+		if found := drawHistory(t).violation(noFault); found != "" {
 			t.Fatal(found)
 		}
 	})
 }
 
 func TestFleet_CatchesPlantedFaults(t *testing.T) {
+	const histories = 300
 	for name, planted := range map[string]plantedFault{
 		"a loan counted from its receipt": loansCountFromReceipt,
 		"a loan counted twice":            repeatsCountTwice,
@@ -95,16 +110,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			random := rand.New(rand.NewPCG(7, 7))
-			for range 300 {
-				steps := make([]uint64, 150)
-				for position := range steps {
-					steps[position] = random.Uint64()
-				}
-				if violation(planted, Limit{RatePerS: 20, Burst: 300}, 4, steps) != "" {
+			for index := range histories {
+				if found := randomHistory(random).violation(planted); found != "" {
+					t.Logf("history %d: %s", index, found)
 					return
 				}
 			}
-			t.Fatal("not found in 300 histories")
+			t.Fatalf("not found in %d histories", histories)
 		})
 	}
 }
--- /dev/null
+++ b/internal/quota/fleet_limits_test.go
@@ -0,0 +1,146 @@
+package quota
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestFleet_AdmitsFullLimitWhereverRequestsArrive(t *testing.T) {
+	for name, demandOn := range map[string]func(fleet *reliableFleet) demand{
+		"at one data plane": func(*reliableFleet) demand {
+			return func(position int) int {
+				if position == 3 {
+					return 5
+				}
+				return 0
+			}
+		},
+		"spread over all": func(fleet *reliableFleet) demand {
+			return onceIf(func(position int) bool { return (int(fleet.now/tick)+position)%16 == 0 })
+		},
+		"moving from zone to zone": func(fleet *reliableFleet) demand {
+			return onceIf(func(position int) bool {
+				return position%3 == int(fleet.now/time.Second)%3 && position < 15
+			})
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			for _, limit := range []Limit{{RatePerS: 100, Burst: 50}, {RatePerS: 2, Burst: 3}} {
+				fleet := newReliableFleet(limit, 40)
+				fleet.admittedFraction(time.Second, demandOn(fleet))
+				got := fleet.admittedFraction(30*time.Second, demandOn(fleet))
+				t.Logf("rate %v: %.3f of the limit, %d calls", limit.RatePerS, got, fleet.calls)
+				assert.Assert(t, got >= 0.97, "got %.3f", got)
+				assert.Assert(t, fleet.keepsBounds(limit, 0))
+			}
+		})
+	}
+}
+
+// withAndWithout runs a test on the fleet as it is, where a property must hold, and with a planted fault, where it must
+// not.
+func withAndWithout(t *testing.T, fault plantedFault, test func(t *testing.T, planted plantedFault, holds bool)) {
+	t.Helper()
+	t.Run("without fault", func(t *testing.T) { test(t, noFault, true) })
+	t.Run("with fault", func(t *testing.T) { test(t, fault, false) })
+}
+
+func TestBorrower_LosesExpiredTokensAfterFreeze(t *testing.T) {
+	limit := Limit{RatePerS: 20, Burst: 300}
+	withAndWithout(t, tokensNeverExpire, func(t *testing.T, planted plantedFault, holds bool) {
+		fleet := newReliableFleet(limit, 4)
+		fleet.fault = planted
+		fleet.advance(20*time.Second, noDemand)
+		frozen, now := fleet.nodes[0], fleet.clock(fleet.nodes[0])
+		for _, homeShard := range frozen.lender.HomeShards(testTenant) {
+			reply := fleet.find(homeShard).pool.Borrow(BorrowRequest{Tenant: testTenant, Want: 1000}, now)
+			frozen.borrower.HandleReply(testTenant, homeShard, reply, now, now)
+		}
+		fleet.advance(20*time.Second, noDemand)
+		fleet.spend()
+		fleet.advance(time.Second, floodAt(1))
+		assert.Equal(t, fleet.keepsBounds(limit, 0), holds)
+	})
+}
+
+func TestPool_LowerLimitBindsOnceAllHaveIt(t *testing.T) {
+	high, low := Limit{RatePerS: 100, Burst: 50}, Limit{RatePerS: 20, Burst: 5}
+	withAndWithout(t, lowerLimitMissedByOne, func(t *testing.T, planted plantedFault, holds bool) {
+		fleet := newReliableFleet(high, 8)
+		fleet.advance(5*time.Second, floodAt(1))
+		homeShards := fleet.nodes[1].lender.HomeShards(testTenant)
+		for _, node := range fleet.nodes {
+			if planted != lowerLimitMissedByOne || node.name != homeShards[0] {
+				fleet.setLimit(node, low)
+			}
+		}
+		lowered := fleet.now
+		fleet.advance(15*time.Second, floodAt(1))
+		assert.Equal(t, fleet.keepsBounds(low, lowered), holds)
+	})
+}
+
+func TestFleet_RedistributesSharesOfLeavers(t *testing.T) {
+	withAndWithout(t, leaversNeverExpire, func(t *testing.T, planted plantedFault, holds bool) {
+		fleet := newReliableFleet(Limit{RatePerS: 100, Burst: 50}, 12)
+		fleet.fault = planted
+		for range 4 {
+			fleet.leave(fleet.nodes[len(fleet.nodes)-1])
+		}
+		fleet.advance(fleet.parameters.SilentExpiry+fleet.parameters.LoanTerm+2*time.Second, floodAt(1))
+		got := fleet.admittedFraction(10*time.Second, floodAt(1))
+		assert.Equal(t, got >= 0.97, holds, "got %.3f", got)
+	})
+}
+
+func TestFleet_ReplacesDeadHomeShardAfterTerm(t *testing.T) {
+	fleet := newReliableFleet(Limit{RatePerS: 100, Burst: 50}, 12)
+	borrower := fleet.nodes[1]
+	homeShards := borrower.lender.HomeShards(testTenant)
+	homeShard := fleet.find(homeShards[0])
+	if homeShard == borrower {
+		borrower, homeShard = fleet.nodes[2], fleet.find(homeShards[1])
+	}
+	homeShard.frozen = true
+	flood := floodAt(slices.Index(fleet.nodes, borrower))
+	during := fleet.admittedFraction(fleet.parameters.LoanTerm, flood)
+	fleet.advance(fleet.parameters.RenewalInterval, flood)
+	after := fleet.admittedFraction(5*time.Second, flood)
+	t.Logf("%.3f of the limit in the term, %.3f after it", during, after)
+	assert.Assert(t, during >= 0.45)
+	assert.Assert(t, after >= 0.97*11/12, "the dead data plane is still counted")
+}
+
+func TestFleet_KeepsFullLimitWhileHomeShardDrains(t *testing.T) {
+	fleet := newReliableFleet(Limit{RatePerS: 100, Burst: 50}, 12)
+	fleet.advance(time.Second, floodAt(1))
+	for _, homeShard := range fleet.nodes[1].lender.HomeShards(testTenant) {
+		fleet.find(homeShard).pool.Drain()
+	}
+	got := fleet.admittedFraction(5*time.Second, floodAt(1))
+	t.Logf("%.3f of the limit", got)
+	assert.Assert(t, got >= 0.97, "got %.3f", got)
+	assert.Assert(t, fleet.keepsBounds(fleet.limit, 0))
+}
+
+func TestPool_FreshHomeShardIsUnavailableNotOverLimit(t *testing.T) {
+	pool := NewPool(DefaultParameters(testBounds), "home", epoch)
+	pool.SetLimits(map[string]Limit{testTenant: {RatePerS: 2, Burst: 3}}, epoch)
+	lend := LendRequest{
+		DataPlane:         "a",
+		LenderIncarnation: "a/1",
+		Sequence:          1,
+		Stamp:             pool.Lend(LendRequest{}, epoch).Stamp,
+		Loans:             []Loan{{Group: pool.parameters.Group(testTenant), Share: 0.01, HomeShards: 2}},
+	}
+	borrow := BorrowRequest{Tenant: testTenant, Want: 1}
+	lend.Stamp = pool.Lend(lend, epoch).Stamp
+	assert.DeepEqual(t, pool.Borrow(borrow, epoch), BorrowReply{Unavailable: true})
+	later := epoch.Add(pool.parameters.LoanTerm)
+	lend.Sequence, lend.Stamp.At = 2, int64(time.Second)
+	pool.Lend(lend, epoch.Add(time.Second))
+	assert.Assert(t, pool.Borrow(borrow, later).RetryAfterMs > 0)
+}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -12,141 +12,169 @@
 
 const (
 	noFault plantedFault = iota
-	// loansCountFromReceipt: a home that was frozen takes an old loan for a fresh one.
+	// loansCountFromReceipt: a home shard that was frozen counts the term of an old loan from its receipt.
 	loansCountFromReceipt
-	// repeatsCountTwice: a doubled message is taken for a second loan.
+	// repeatsCountTwice: a repeated message is taken for a second loan.
 	repeatsCountTwice
-	// restartForgets: a restarted lender lends at once what its last life still has lent.
+	// restartForgets: a restarted lender lends at once what its last incarnation still has lent.
 	restartForgets
 	// silentExpiredAtOnce: a data plane that falls silent isn't counted any more at once.
 	silentExpiredAtOnce
-	// tokensNeverExpire: a thawed borrower spends tokens of any age.
+	// tokensNeverExpire: a borrower that was frozen spends tokens of any age.
 	tokensNeverExpire
-	// lowerLimitMissedByOne: a lower limit reaches only every second data plane.
+	// lowerLimitMissedByOne: a lower limit doesn't reach one home shard.
 	lowerLimitMissedByOne
-	// keepsReleasedShare: a home that leaves goes on with what it released.
+	// keepsReleasedShare: a home shard that drains keeps using what it released.
 	keepsReleasedShare
-	// leaversNeverExpire: the share of a data plane that left is never given again.
+	// leaversNeverExpire: a data plane that left is counted for ever.
 	leaversNeverExpire
 )
 
 const testTenant = "tenant"
 
+var (
+	testBounds = Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+	epoch      = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+)
+
+// node is a simulated data plane. Its clock runs at a speed of its own.
 type node struct {
-	name                string
-	incarnation         int
-	speed               float64
-	frozen, partitioned bool
-	lender              *Lender
-	pool                *Pool
-	borrower            *Borrower
-	limit               Limit
-}
-
-// message is under way until it is delivered to the life that it is for; the answer is made on delivery.
-type message struct {
-	to          *node
+	name        string
 	incarnation int
-	from        *node
-	deliver     func(repeated bool)
+	clockSpeed  float64
+	frozen      bool
+	partitioned bool
+	lender      *Lender
+	pool        *Pool
+	borrower    *Borrower
+	limit       Limit
 }
 
+// isConnected reports whether the node exchanges messages with the control daemons.
+func (n *node) isConnected() bool { return !n.partitioned && !n.frozen }
+
+// spentTokens is a number of requests that ran at a time.
 type spentTokens struct {
 	at     time.Duration
 	tokens int
 }
 
-// fleet is a simulated fleet of data planes with steady clocks of slightly different speeds, over a network that
-// loses, delays and doubles messages.
+// fleet is a simulated fleet of data planes with clocks of slightly different speeds, over a network that loses,
+// delays and repeats messages.
 type fleet struct {
-	parameters   Parameters
-	fault        plantedFault
-	random       *rand.Rand
-	now          time.Duration
-	nodes        []*node
-	inFlight     []message
+	parameters Parameters
+	fault      plantedFault
+	random     *rand.Rand
+	now        time.Duration
+	nodes      []*node
+	nodesMade  int
+	inFlight   []message
+	// lastSeen and countedSince are what the control daemons know of the data planes that they count.
 	lastSeen     map[string]time.Duration
 	countedSince map[string]time.Duration
 	spends       []spentTokens
-	lastName     int
 	limit        Limit
-	// wanted is set while the tenant sends requests, more than its limit.
+	// requesting is set while the tenant sends requests, more than its limit.
 	requesting bool
 }
 
 func newFleet(parameters Parameters, limit Limit, size int, planted plantedFault, seed uint64) *fleet {
-	made := &fleet{parameters: parameters, fault: planted, random: rand.New(rand.NewPCG(seed, 1)), lastSeen: map[string]time.Duration{}, countedSince: map[string]time.Duration{}, limit: limit}
+	f := &fleet{
+		parameters:   parameters,
+		fault:        planted,
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		lastSeen:     map[string]time.Duration{},
+		countedSince: map[string]time.Duration{},
+		limit:        limit,
+	}
 	for range size {
-		made.join()
+		f.join()
 	}
-	return made
+	return f
 }
 
-var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-
-func (f *fleet) clock(one *node) time.Time {
-	return epoch.Add(time.Duration(float64(f.now) * one.speed))
+func (f *fleet) clock(node *node) time.Time {
+	return epoch.Add(time.Duration(float64(f.now) * node.clockSpeed))
 }
 
 func (f *fleet) join() {
-	f.lastName++
-	half := f.parameters.MaxClockDrift / 2
-	one := &node{name: fmt.Sprintf("node-%d", f.lastName), speed: 1 + half*(2*f.random.Float64()-1), limit: f.limit}
-	f.nodes = append(f.nodes, one)
-	f.start(one)
-}
-
-// start begins a new life of a data plane, without anything that the last one knew.
-func (f *fleet) start(one *node) {
-	one.incarnation++
-	one.frozen = false
-	incarnation := fmt.Sprintf("%s/%d", one.name, one.incarnation)
-	now := f.clock(one)
-	one.lender = NewLender(f.parameters, one.name, incarnation, now)
+	f.nodesMade++
+	maxDeviation := f.parameters.MaxClockDrift / 2
+	joined := &node{
+		name:       fmt.Sprintf("node-%d", f.nodesMade),
+		clockSpeed: 1 + maxDeviation*(2*f.random.Float64()-1),
+		limit:      f.limit,
+	}
+	f.nodes = append(f.nodes, joined)
+	f.start(joined)
+}
+
+// start starts a new incarnation of a data plane, without anything that the last one knew.
+func (f *fleet) start(node *node) {
+	node.incarnation++
+	node.frozen = false
+	incarnation := fmt.Sprintf("%s/%d", node.name, node.incarnation)
+	now := f.clock(node)
+	node.lender = NewLender(f.parameters, node.name, incarnation, now)
 	if f.fault == restartForgets {
-		one.lender.startedAt = now.Add(-time.Minute)
+		node.lender.startedAt = now.Add(-time.Minute)
 	}
-	one.pool = NewPool(f.parameters, incarnation, now)
-	one.pool.SetLimits(map[string]Limit{testTenant: one.limit}, now)
-	one.borrower = NewBorrower(f.parameters, one.name)
+	node.pool = NewPool(f.parameters, incarnation, now)
+	node.pool.SetLimits(map[string]Limit{testTenant: node.limit}, now)
+	node.borrower = NewBorrower(f.parameters, node.name)
+}
+
+func (f *fleet) leave(left *node) {
+	f.nodes = slices.DeleteFunc(f.nodes, func(node *node) bool { return node == left })
 }
 
-func (f *fleet) leave(one *node) {
-	f.nodes = slices.DeleteFunc(f.nodes, func(other *node) bool { return other == one })
+func (f *fleet) setLimit(node *node, limit Limit) {
+	node.limit = limit
+	node.pool.SetLimits(map[string]Limit{testTenant: limit}, f.clock(node))
 }
 
-// touch counts the data planes that are in touch with the control daemons, and tells them the number.
+// updateFleetSize has the control daemons count the data planes that are in contact with them, and tell these the
+// number.
 func (f *fleet) updateFleetSize() {
 	for _, node := range f.nodes {
-		if !node.partitioned && !node.frozen {
-			f.lastSeen[node.name] = f.now
-			if _, counted := f.countedSince[node.name]; !counted {
-				f.countedSince[node.name] = f.now
-			}
+		if !node.isConnected() {
+			continue
 		}
-	}
-	count := 0
-	for name, at := range f.lastSeen {
-		lifetime := f.parameters.SilentExpiry + f.parameters.SilentExpiry/100
-		if f.fault == silentExpiredAtOnce {
-			lifetime = time.Second
+		f.lastSeen[node.name] = f.now
+		if _, counted := f.countedSince[node.name]; !counted {
+			f.countedSince[node.name] = f.now
 		}
-		if f.now-at < lifetime || f.fault == leaversNeverExpire {
-			count++
+	}
+	f.expireSilent()
+	count := len(f.lastSeen)
+	for _, node := range f.nodes {
+		if !node.isConnected() {
 			continue
 		}
-		delete(f.lastSeen, name)
-		delete(f.countedSince, name)
+		size := FleetSize{
+			DataPlanes:  count,
+			CountedFor:  f.now - f.countedSince[node.name],
+			Established: true,
+		}
+		node.lender.UpdateFleetSize(size, f.clock(node))
+		node.pool.SetDataPlaneCount(count)
 	}
-	for _, node := range f.nodes {
-		if !node.partitioned && !node.frozen {
-			node.lender.UpdateFleetSize(FleetSize{DataPlanes: count, CountedFor: f.now - f.countedSince[node.name], Established: true}, f.clock(node))
-			node.pool.SetDataPlaneCount(count)
+}
+
+func (f *fleet) expireSilent() {
+	expiry := f.parameters.SilentExpiry + f.parameters.SilentExpiry/100
+	if f.fault == silentExpiredAtOnce {
+		expiry = time.Second
+	}
+	for name, at := range f.lastSeen {
+		if f.now-at >= expiry && f.fault != leaversNeverExpire {
+			delete(f.lastSeen, name)
+			delete(f.countedSince, name)
 		}
 	}
 }
 
-func (f *fleet) members() []string {
+func (f *fleet) names() []string {
 	var names []string
 	for _, node := range f.nodes {
 		names = append(names, node.name)
@@ -154,16 +182,17 @@
 	return names
 }
 
+// find returns the node of a name, nil if it left.
 func (f *fleet) find(name string) *node {
-	for _, one := range f.nodes {
-		if one.name == name {
-			return one
+	for _, node := range f.nodes {
+		if node.name == name {
+			return node
 		}
 	}
 	return nil
 }
 
-// round lets the fleet go on for a while.
+// step lets some time pass.
 func (f *fleet) step(passed time.Duration) {
 	f.now += passed
 	f.spend()
@@ -179,7 +208,7 @@
 	}
 }
 
-// lent sums the shares of the tenant's group over all homes.
+// totalShare sums the shares of the tenant's group over all home shards.
 func (f *fleet) totalShare() float64 {
 	sum := 0.0
 	for _, node := range f.nodes {
@@ -188,21 +217,26 @@
 	return sum
 }
 
-// worst is the largest number of tokens spent in a window since the time given.
+// largestWindow is the largest number of tokens spent in a window that begins at the given time or later.
 func (f *fleet) largestWindow(since time.Duration) int {
-	most := 0
-	for first := range f.spends {
-		if f.spends[first].at < since {
+	largest := 0
+	for first, begin := range f.spends {
+		if begin.at < since {
 			continue
 		}
 		sum := 0
-		for _, one := range f.spends[first:] {
-			if one.at-f.spends[first].at > f.parameters.Bounds.Window {
+		for _, spent := range f.spends[first:] {
+			if spent.at-begin.at > f.parameters.Bounds.Window {
 				break
 			}
-			sum += one.tokens
+			sum += spent.tokens
 		}
-		most = max(most, sum)
+		largest = max(largest, sum)
 	}
-	return most
+	return largest
+}
+
+// keepsBounds reports whether no window that begins at the given time or later has more requests than a limit allows.
+func (f *fleet) keepsBounds(limit Limit, since time.Duration) bool {
+	return float64(f.largestWindow(since)) <= f.parameters.Bounds.Allowed(limit)
 }
