--- a/internal/placement/contexteviction.go
+++ b/internal/placement/contexteviction.go
@@ -13,7 +13,7 @@
 )
 
 // evictContexts unloads the first of the copies whose context must go that can be spared, one at a time
-// over all plans. Replicas drop cached context only with the model (docs/retention.md).
+// over all plans. Replicas drop cached context only with the model (docs/design/retention.md).
 func (p *planner) evictContexts() {
 	if p.view.ContextEvictionInProgress || len(p.view.ContextEvictions) == 0 {
 		return
--- a/internal/routing/forecast_route.go
+++ b/internal/routing/forecast_route.go
@@ -9,7 +9,7 @@
 )
 
 // demandTTL: an older request of a model that is loaded nowhere is left out of a forecast, since this data
-// plane may have stopped following the model (docs/parts.md).
+// plane may have stopped following the model (docs/design/parts.md).
 const demandTTL = 30 * time.Second
 
 // forecastDecision is where a request would go and its score; a nil replica is nowhere.
