--- a/internal/test/linearizability/acknowledgements_test.go
+++ b/internal/test/linearizability/acknowledgements_test.go
@@ -7,13 +7,13 @@
 	"ferryspar/internal/keystore"
 )
 
-// acknowledgement is a number that an operator was told of, and when.
+// acknowledgement is a version that an operator was answered with, and when.
 type acknowledgement struct {
 	version uint64
 	at      time.Duration
 }
 
-// acknowledgements keeps, for each key, what operators were told.
+// acknowledgements keeps, for each key, what operators were answered.
 type acknowledgements struct {
 	lock  *sync.Mutex
 	byKey map[string][]acknowledgement
@@ -27,17 +27,17 @@
 	a.add(keystore.ConfigurationKey, uint64(revision), at)
 }
 
-func (a acknowledgements) zone(zone string, number uint64, at time.Duration) {
-	a.add(keystore.ZonePrefix+zone, number, at)
+func (a acknowledgements) zone(zone string, version uint64, at time.Duration) {
+	a.add(keystore.ZonePrefix+zone, version, at)
 }
 
-func (a acknowledgements) add(key string, number uint64, at time.Duration) {
+func (a acknowledgements) add(key string, version uint64, at time.Duration) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	a.byKey[key] = append(a.byKey[key], acknowledgement{number, at})
+	a.byKey[key] = append(a.byKey[key], acknowledgement{version: version, at: at})
 }
 
-// before is the highest number of a key that an operator was told before a time.
+// highestBefore is the highest version of a key that an operator was answered with before a time.
 func (a acknowledgements) highestBefore(key string, until time.Duration) uint64 {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/internal/test/linearizability/calls_test.go
+++ b/internal/test/linearizability/calls_test.go
@@ -13,26 +13,28 @@
 )
 
 const (
-	// attemptTimeout is the silence after which an operator goes on to another daemon.
+	// attemptTimeout is how long an operator waits for an answer before it goes on to another node.
 	attemptTimeout = time.Second
 	// drainRetryTimeout is how long an evacuation is sent again.
 	drainRetryTimeout = 6 * time.Second
-	// changeTimeout is how long a daemon works on a call, as in internal/controlplane.
-	changeTimeout        = 2500 * time.Millisecond
-	initialBackoff       = 100 * time.Millisecond
-	maxBackoff           = 2 * time.Second
+	// configurationTimeout is how long a configuration is sent again.
 	configurationTimeout = 60 * time.Second
+	// changeTimeout is how long a node works on a call, as in internal/controlplane.
+	changeTimeout = 2500 * time.Millisecond
+	// initialBackoff and maxBackoff bound the pauses between the attempts of one call.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 2 * time.Second
 )
 
-// errNoAnswer says that the members, of which a majority was there again, did not answer. It is
-// a fault of liveness; all other failures are of safety.
+// errNoAnswer says that the members, of which a majority was there again, did not answer. It is a failure of liveness; all
+// others are of safety.
 var errNoAnswer = errors.New("no clear answer in time")
 
 // errCallerGone says that nobody was there any more to come back with a token.
 var errCallerGone = errors.New("the caller left before it had its token")
 
-// send carries out one call of an operator: the very same copy goes to one daemon after the
-// other until an answer is clear.
+// sendCall carries out one call of an operator: the very same request goes to one node after the other until an answer is
+// clear.
 func (s *simulation) sendCall(call operatorCall) {
 	condition := s.knownRevision(call.operator)
 	if call.kind == callPatch && condition == 0 {
@@ -46,12 +48,12 @@
 	combined := callRecord{call: call, condition: condition, result: unknown, started: started, ended: started}
 	var last callRecord
 	for attempt := 0; s.now() < started+timeout; attempt++ {
-		names := s.fleet.MemberNames()
+		names := s.cluster.MemberNames()
 		copied := call
 		if attempt > 0 {
 			copied.delay = 0
 		}
-		last = s.attempt(copied, condition, names[(call.daemon+attempt)%len(names)])
+		last = s.attempt(copied, condition, names[(call.node+attempt)%len(names)])
 		combined.ended = last.ended
 		if last.result != unknown && attempt >= call.lostReplies {
 			combined = s.combineAttempts(combined, last)
@@ -70,8 +72,8 @@
 	}
 }
 
-// conclude joins the copies: an acknowledged configuration took force at some time since its
-// first copy was sent; all else speaks of the time of the copy that was answered.
+// combineAttempts makes one record of all attempts: an acknowledged configuration took force at some time since its first
+// attempt; all else speaks of the time of the attempt that was answered.
 func (s *simulation) combineAttempts(combined, last callRecord) callRecord {
 	last.call, last.earlierAttempts = combined.call, combined.earlierAttempts
 	if last.result == acknowledged && (last.call.kind == callPut || last.call.kind == callPatch) {
@@ -83,19 +85,19 @@
 		s.learnRevision(last.call.operator, last.readRevision)
 	}
 	if last.result == acknowledged && last.call.kind == callDrain {
-		s.acknowledgements.zone(last.call.zone, last.zoneNumber, last.ended)
+		s.acknowledgements.zone(last.call.zone, last.zoneVersion, last.ended)
 	}
 	return last
 }
 
-// refresh reads what is in force after a refusal.
+// readRevision reads what is in force after a rejection.
 func (s *simulation) readRevision(call operatorCall) {
-	names := s.fleet.MemberNames()
+	names := s.cluster.MemberNames()
 	read := s.attempt(operatorCall{
 		number:   call.number,
 		operator: call.operator,
 		kind:     callGet,
-	}, 0, names[call.daemon%len(names)])
+	}, 0, names[call.node%len(names)])
 	if read.result == acknowledged {
 		s.learnRevision(call.operator, read.readRevision)
 		s.record(read)
@@ -114,33 +116,33 @@
 	s.knownRevisions[operator] = max(s.knownRevisions[operator], revision)
 }
 
-// attempt sends one copy to one daemon and waits for its answer as long as an operator does.
-func (s *simulation) attempt(call operatorCall, condition int64, daemon string) callRecord {
+// attempt sends a call to one node and waits for its answer as long as an operator does.
+func (s *simulation) attempt(call operatorCall, condition int64, node string) callRecord {
 	record := callRecord{call: call, condition: condition, result: unknown, started: s.now()}
 	answers := make(chan callRecord, 1)
-	go func() { answers <- s.handleCall(record, daemon) }()
+	go func() { answers <- s.handleCall(record, node) }()
 	timer := time.NewTimer(attemptTimeout)
 	defer timer.Stop()
 	select {
 	case answer := <-answers:
 		record = answer
 	case <-timer.C:
-		record.note = "no answer of " + daemon
+		record.note = "no answer of " + node
 	}
 	record.ended = s.now()
 	return record
 }
 
-// serve is what a daemon does with a copy. A frozen daemon takes it up when it thaws.
-func (s *simulation) handleCall(result callRecord, daemon string) callRecord {
-	s.waitWhileFrozen(daemon)
-	store := s.fleet.StoreOf(daemon)
+// handleCall is what a node does with a call. A frozen node takes it up when it thaws.
+func (s *simulation) handleCall(result callRecord, node string) callRecord {
+	s.waitWhileFrozen(node)
+	store := s.cluster.StoreOf(node)
 	if store == nil {
 		return result
 	}
 	ctx, cancel := withTimeout(changeTimeout)
 	defer cancel()
-	state := s.controlState(store, daemon)
+	state := s.controlState(store, node)
 	var err error
 	switch result.call.kind {
 	case callPut:
@@ -151,29 +153,31 @@
 	case callGet:
 		result.readRevision, result.readContent, err = readConfiguration(ctx, state)
 	case callDrain:
-		result.zoneNumber, err = s.drain(ctx, state, result, daemon)
+		result.zoneVersion, err = s.drain(ctx, state, result, node)
 	case callReadZone:
 		result.readDrained, err = readZone(ctx, state, result.call.zone)
 	}
-	s.waitWhileFrozen(daemon)
+	s.waitWhileFrozen(node)
 	result.result = resultOf(err)
-	result.note = daemon
+	result.note = node
 	if err != nil {
 		result.note += ": " + err.Error()
 	}
 	return result
 }
 
-// drain begins no later than CallPatience after the daemon gave the caller its token, for which
-// the caller must still have been there; late is how long the copy lay about with the token.
-func (s *simulation) drain(ctx context.Context, state *controlstate.State, sent callRecord, daemon string) (uint64, error) {
+// drain begins no later than adminapi.CallerTimeout after the node gave the caller its token, for which the caller must
+// still have been there. The delay of the call is how long it lay about with the token.
+func (s *simulation) drain(
+	ctx context.Context, state *controlstate.State, sent callRecord, node string,
+) (zoneVersion uint64, err error) {
 	call := sent.call
 	if s.now() >= sent.started+attemptTimeout && !s.variant.ignoresTokenExpiry {
 		return 0, errCallerGone
 	}
 	before := state.Clock().Add(adminapi.CallerTimeout)
 	time.Sleep(call.delay)
-	s.waitWhileFrozen(daemon)
+	s.waitWhileFrozen(node)
 	if s.variant.ignoresTokenExpiry {
 		before = state.Clock().Add(changeTimeout)
 	}
@@ -190,6 +194,7 @@
 	return record.Version, err
 }
 
+// resultOf is what an operator concludes from an answer.
 func resultOf(err error) callResult {
 	if err == nil {
 		return acknowledged
--- a/internal/test/linearizability/judge_test.go
+++ b/internal/test/linearizability/check_test.go
@@ -109,7 +109,7 @@
 }
 
 // The operator of the first call sends it again while another operator undoes what an earlier
-// copy did: seed 241 of an earlier draw plays this.
+// attempt did: seed 241 of an earlier draw plays this.
 func TestCheckHistory_DrainAttemptsCountUntilAcknowledged(t *testing.T) {
 	again := drainRecord(true, acknowledged, 8, 9)
 	again.earlierAttempts = []time.Duration{1}
@@ -125,7 +125,7 @@
 		again,
 		late,
 		zoneReadRecord(true, 12, 13),
-	}) != nil, "a copy took force after the answer")
+	}) != nil, "an attempt took force after the answer")
 }
 
 func TestReduce_KeepsOnlyWhatFails(t *testing.T) {
--- a/internal/test/linearizability/troubles_test.go
+++ b/internal/test/linearizability/faults_test.go
@@ -9,31 +9,21 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
-// The order of keystoresim.MachineFaults.
-const (
-	machineFaultRestart = iota
-	machineFaultPowerLoss
-	machineFaultWipe
-	machineFaultIsolate
-	machineFaultStallDisk
-	machineFaultRejectWrites
-)
-
 var faultFunctions = map[faultKind]keystoresim.Fault{
-	faultKill:         keystoresim.MachineFaults[machineFaultRestart],
-	faultPowerLoss:    keystoresim.MachineFaults[machineFaultPowerLoss],
-	faultWipe:         keystoresim.MachineFaults[machineFaultWipe],
-	faultIsolate:      keystoresim.MachineFaults[machineFaultIsolate],
-	faultStallDisk:    keystoresim.MachineFaults[machineFaultStallDisk],
-	faultRejectWrites: keystoresim.MachineFaults[machineFaultRejectWrites],
+	faultKill:         keystoresim.Restart,
+	faultPowerLoss:    keystoresim.LosePower,
+	faultWipe:         keystoresim.WipeDisk,
+	faultIsolate:      keystoresim.Isolate,
+	faultStallDisk:    keystoresim.StallDisk,
+	faultRejectWrites: keystoresim.RejectWrites,
 	faultFreeze:       keystoresim.Freeze,
 	faultCutZoneLink:  keystoresim.CutZoneLink,
 	faultLoseZone:     keystoresim.LoseZone,
 	faultStepClock:    keystoresim.StepWallClock,
 }
 
-// stopsProcess says that a trouble ends a process or holds its disk. A machine bears one of these
-// at a time; links, freezes and clocks come on top.
+// stopsProcess says that a fault ends a process or holds its disk. A machine bears one of these at a time; links, freezes
+// and clocks come on top.
 func (k faultKind) stopsProcess() bool {
 	switch k {
 	case faultKill, faultPowerLoss, faultWipe, faultStallDisk, faultRejectWrites, faultLoseZone, faultLoseMachine:
@@ -43,12 +33,12 @@
 }
 
 func (s *simulation) injectFault(fault plannedFault) {
-	names := s.fleet.MemberNames()
+	names := s.cluster.MemberNames()
 	name := names[fault.machine%len(names)]
 	random := rand.New(rand.NewPCG(fault.seed, 47))
 	affected := []string{name}
 	if fault.kind == faultLoseZone {
-		affected = s.sameZone(name)
+		affected = s.namesInZoneOf(name)
 	}
 	if fault.kind.stopsProcess() {
 		if !s.reserveMachines(affected) {
@@ -66,16 +56,16 @@
 		s.loseMachine(name, fault.duration)
 		return
 	}
-	faultFunctions[fault.kind](s.fleet, name, random, fault.duration)
+	faultFunctions[fault.kind](s.cluster, name, random, fault.duration)
 	if fault.kind.stopsProcess() {
 		s.recordRestart(affected)
 	}
 }
 
-func (s *simulation) sameZone(name string) []string {
+func (s *simulation) namesInZoneOf(name string) []string {
 	var found []string
-	for _, other := range s.fleet.MemberNames() {
-		if s.fleet.Zone(other) == s.fleet.Zone(name) {
+	for _, other := range s.cluster.MemberNames() {
+		if s.cluster.Zone(other) == s.cluster.Zone(name) {
 			found = append(found, other)
 		}
 	}
@@ -86,12 +76,12 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, name := range names {
-		if s.faulted[name] {
+		if s.faultyMachines[name] {
 			return false
 		}
 	}
 	for _, name := range names {
-		s.faulted[name] = true
+		s.faultyMachines[name] = true
 	}
 	return true
 }
@@ -100,7 +90,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, name := range names {
-		delete(s.faulted, name)
+		delete(s.faultyMachines, name)
 	}
 }
 
@@ -108,12 +98,12 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, name := range names {
-		s.startedMachines[name] = time.Now()
+		s.startedAtByMachine[name] = time.Now()
 	}
 }
 
-// spare takes a disk from the number that may be lost at once, in the newest list of members
-// and, during a change, in the next one. It says whether the loss is borne.
+// tolerateDiskLoss takes a disk from the number that may be lost at once, in the newest membership and, during a change, in
+// the next one. It says whether the loss may happen.
 func (s *simulation) tolerateDiskLoss(name string) bool {
 	newest := s.newestMembership()
 	s.lock.Lock()
@@ -122,7 +112,7 @@
 	for _, group := range [][]string{newest.Current, newest.Next} {
 		lost := 0
 		for _, member := range group {
-			acceptor := s.fleet.AcceptorOf(member)
+			acceptor := s.cluster.AcceptorOf(member)
 			if s.diskLost[member] || acceptor != nil && !acceptor.LocalState().Voting {
 				lost++
 			}
@@ -135,11 +125,11 @@
 	return true
 }
 
-// newestMembership is the newest list that a running machine knows.
+// newestMembership is the newest that a running machine knows.
 func (s *simulation) newestMembership() keystore.Membership {
 	var newest keystore.Membership
-	for _, name := range s.fleet.MemberNames() {
-		if store := s.fleet.StoreOf(name); store != nil && store.Membership().Version >= newest.Version {
+	for _, name := range s.cluster.MemberNames() {
+		if store := s.cluster.StoreOf(name); store != nil && store.Membership().Version >= newest.Version {
 			newest = store.Membership()
 		}
 	}
@@ -148,7 +138,7 @@
 
 // loseMachine ends a machine for good; an empty one in the same zone stands by after a while.
 func (s *simulation) loseMachine(name string, after time.Duration) {
-	s.fleet.Retire(name)
+	s.cluster.Retire(name)
 	time.Sleep(after)
 	s.startStandby(name)
 }
@@ -160,6 +150,6 @@
 	newcomer := fmt.Sprintf("newcomer-%d", s.standbyCount)
 	s.diskLost[newcomer] = true
 	s.lock.Unlock()
-	s.fleet.Join(newcomer, like)
+	s.cluster.Join(newcomer, like)
 	s.startMachine(newcomer)
 }
--- a/internal/test/linearizability/follower_test.go
+++ b/internal/test/linearizability/follower_test.go
@@ -16,6 +16,7 @@
 // confirmationTTL is how long a confirmation counts, as in internal/controlplane.
 const confirmationTTL = 1100 * time.Millisecond
 
+// The times by which a follower runs.
 const (
 	refreshInterval            = 350 * time.Millisecond
 	unconfirmedRefreshInterval = 120 * time.Millisecond
@@ -23,8 +24,8 @@
 	refreshTimeout             = 2 * time.Second
 )
 
-// follower shows the control state as a daemon does for its data planes: it looks at a digest
-// again and again and counts as confirmed by the rule of internal/controlplane/confirm.go.
+// follower shows the control state as a node does for its data planes: it makes a digest again and again and counts as
+// confirmed by the rule of internal/controlplane.
 type follower struct {
 	simulation  *simulation
 	name        string
@@ -33,15 +34,15 @@
 	registers   map[string]keystore.Register
 	versions    map[string]uint64
 	confirmedAt time.Time
-	// asked is when the question was put that confirmedAt stems from.
+	// requestedAt is when the digest that confirmedAt stems from was requested.
 	requestedAt time.Duration
 	undecided   map[string]keystore.Register
 	refreshes   int
 }
 
-func newFollower(p *simulation, name string) *follower {
+func newFollower(s *simulation, name string) *follower {
 	return &follower{
-		simulation: p,
+		simulation: s,
 		name:       name,
 		registers:  map[string]keystore.Register{},
 		versions:   map[string]uint64{},
@@ -51,15 +52,15 @@
 func (f *follower) run() {
 	for !f.simulation.isStopped() {
 		f.simulation.waitWhileFrozen(f.name)
-		backoff := unconfirmedRefreshInterval
+		interval := unconfirmedRefreshInterval
 		if f.refresh() {
-			backoff = refreshInterval
+			interval = refreshInterval
 		}
-		time.Sleep(backoff + time.Duration(len(f.name)*101))
+		time.Sleep(interval + time.Duration(len(f.name)*101))
 	}
 }
 
-// begin forgets all when the process is a new one.
+// resetForProcess forgets all when the process is a new one.
 func (f *follower) resetForProcess(store *keystore.Store) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -69,13 +70,14 @@
 	}
 }
 
+// refresh makes a digest and says whether all of it was learned.
 func (f *follower) refresh() bool {
-	store, acceptor := f.simulation.fleet.StoreOf(f.name), f.simulation.fleet.AcceptorOf(f.name)
+	store, acceptor := f.simulation.cluster.StoreOf(f.name), f.simulation.cluster.AcceptorOf(f.name)
 	if store == nil {
 		return false
 	}
 	f.resetForProcess(store)
-	startedAt, requestedAt := f.simulation.fleet.Clock(f.name)(), f.simulation.now()
+	startedAt, requestedAt := f.simulation.cluster.Clock(f.name)(), f.simulation.now()
 	ctx, cancel := withTimeout(refreshTimeout)
 	defer cancel()
 	digest, err := store.Digest(ctx)
@@ -96,7 +98,7 @@
 		f.dropConfirmation()
 		return false
 	}
-	if learned && f.simulation.fleet.StoreOf(f.name) == store {
+	if learned && f.simulation.cluster.StoreOf(f.name) == store {
 		f.lock.Lock()
 		f.confirmedAt, f.requestedAt = startedAt, requestedAt
 		f.lock.Unlock()
@@ -104,14 +106,14 @@
 	return learned
 }
 
-// withoutLeases leaves out what data planes are not told by digests.
-func withoutLeases(unsettled map[string]keystore.Register) map[string]keystore.Register {
-	open := maps.Clone(unsettled)
-	maps.DeleteFunc(open, func(key string, _ keystore.Register) bool { return strings.HasPrefix(key, keystore.LeasePrefix) })
-	return open
+// withoutLeases leaves out what data planes do not learn by digests.
+func withoutLeases(undecided map[string]keystore.Register) map[string]keystore.Register {
+	rest := maps.Clone(undecided)
+	maps.DeleteFunc(rest, func(key string, _ keystore.Register) bool { return strings.HasPrefix(key, keystore.LeasePrefix) })
+	return rest
 }
 
-// doubt ends the confirmation of the variant that keeps no deadline; the product's runs out.
+// dropConfirmation ends the confirmation of the variant that keeps no deadline; the product's runs out.
 func (f *follower) dropConfirmation() {
 	if f.simulation.variant.staysFreshUntilFailure {
 		f.lock.Lock()
@@ -151,7 +153,7 @@
 	}
 }
 
-// settle reads proposals that were found on a minority twice, at every second look.
+// resolveUndecided reads proposals that were found on a minority twice, at every second refresh.
 func (f *follower) resolveUndecided(undecided map[string]keystore.Register) {
 	before := f.undecided
 	f.undecided = undecided
@@ -169,19 +171,19 @@
 	}
 }
 
-// fresh says whether the state counts as confirmed now.
+// isConfirmed says whether the state counts as confirmed now.
 func (f *follower) isConfirmed() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if f.confirmedAt.IsZero() || f.simulation.fleet.StoreOf(f.name) != f.store {
+	if f.confirmedAt.IsZero() || f.simulation.cluster.StoreOf(f.name) != f.store {
 		return false
 	}
-	return f.simulation.variant.staysFreshUntilFailure || f.simulation.fleet.Clock(f.name)().Sub(f.confirmedAt) < confirmationTTL
+	age := f.simulation.cluster.Clock(f.name)().Sub(f.confirmedAt)
+	return f.simulation.variant.staysFreshUntilFailure || age < confirmationTTL
 }
 
-// poll asks as data planes do, at the times when the machine is awake, and compares what is
-// shown as confirmed with what operators had been told before the question, which is at most
-// one lease ago.
+// pollConfirmed polls as data planes do, at the times when the machine is not frozen, and compares what is shown as
+// confirmed with what operators had been answered before the digest was requested, at most confirmationTTL ago.
 func (f *follower) pollConfirmed() {
 	for !f.simulation.isStopped() {
 		time.Sleep(pollInterval + time.Duration(len(f.name)*17))
@@ -202,6 +204,7 @@
 	s.polls++
 }
 
+// checkAcknowledged says whether what is shown lacks something that was acknowledged in time.
 func (f *follower) checkAcknowledged() error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -211,10 +214,13 @@
 		keystore.ZonePrefix + zoneNames[0],
 		keystore.ZonePrefix + zoneNames[1],
 	} {
-		if acknowledged := f.simulation.acknowledgements.highestBefore(key, until); f.versions[key] < acknowledged {
-			return fmt.Errorf("%s at %s shows %s %d as confirmed, %d was acknowledged before %s",
-				f.name, f.simulation.now().Round(time.Millisecond), key, f.versions[key], acknowledged, until.Round(time.Millisecond))
+		acknowledged := f.simulation.acknowledgements.highestBefore(key, until)
+		if f.versions[key] >= acknowledged {
+			continue
 		}
+		now := f.simulation.now().Round(time.Millisecond)
+		return fmt.Errorf("%s at %s shows %s %d as confirmed, %d was acknowledged before %s",
+			f.name, now, key, f.versions[key], acknowledged, until.Round(time.Millisecond))
 	}
 	return nil
 }
--- a/internal/test/linearizability/lease_test.go
+++ b/internal/test/linearizability/lease_test.go
@@ -9,6 +9,7 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
+// The times by which a lease is held.
 const (
 	leaseInterval  = 170 * time.Millisecond
 	acquireTimeout = 1200 * time.Millisecond
@@ -45,14 +46,14 @@
 	return nil
 }
 
-// holdLease seizes and renews one lease as long as the machine votes, and acts under it.
+// holdLease acquires and renews one lease as long as the machine votes, and acts under it.
 func (s *simulation) holdLease(name string, position int) {
 	var grant *lease.Grant
 	var currentStore *keystore.Store
 	for !s.isStopped() {
 		time.Sleep(leaseInterval + time.Duration(position*1303))
 		s.waitWhileFrozen(name)
-		store, acceptor := s.fleet.StoreOf(name), s.fleet.AcceptorOf(name)
+		store, acceptor := s.cluster.StoreOf(name), s.cluster.AcceptorOf(name)
 		if store != currentStore {
 			grant, currentStore = nil, store
 		}
@@ -65,7 +66,7 @@
 			TTL:           keystoresim.LeaseDuration,
 			TakeoverDelay: takeoverDelay,
 			Store:         store,
-			Clock:         s.fleet.Clock(name),
+			Clock:         s.cluster.Clock(name),
 		}
 		ctx, cancel := withTimeout(acquireTimeout)
 		if grant != nil {
@@ -74,8 +75,8 @@
 			grant, _ = manager.Acquire(ctx)
 		}
 		cancel()
-		if !s.fleet.Frozen(name) && s.fleet.StoreOf(name) == store && grant.Allows(s.fleet.Clock(name)(), 0) {
-			s.recordAct(leaseAct{s.now(), name, grant.Record.Fence})
+		if !s.cluster.Frozen(name) && s.cluster.StoreOf(name) == store && grant.Allows(s.cluster.Clock(name)(), 0) {
+			s.recordAct(leaseAct{at: s.now(), holder: name, fence: grant.Record.Fence})
 		}
 	}
 }
--- a/internal/test/linearizability/histories_test.go
+++ b/internal/test/linearizability/linearizability_test.go
@@ -1,6 +1,7 @@
 package linearizability_test
 
 import (
+	"fmt"
 	"os"
 	"strconv"
 	"testing"
@@ -18,7 +19,7 @@
 	keystoresim.Main(m.Run)
 }
 
-// SchedulesVariable asks for a longer run.
+// SchedulesVariable names the environment variable that asks for a longer run.
 const SchedulesVariable = "FERRYSPAR_SCHEDULES"
 
 const (
@@ -26,11 +27,11 @@
 	progressEvery = 5 * time.Second
 )
 
-// runAndCheck plays a schedule in fake time and judges its history.
-func runAndCheck(t *testing.T, planned schedule, spoiled variant) (simulationResult, error) {
+// runAndCheck plays a schedule in fake time and checks its history.
+func runAndCheck(t *testing.T, planned schedule, broken variant) (simulationResult, error) {
 	var done simulationResult
 	var err error
-	synctest.Test(t, func(*testing.T) { done, err = runSimulation(planned, spoiled) })
+	synctest.Test(t, func(*testing.T) { done, err = runSimulation(planned, broken) })
 	if err != nil {
 		return done, err
 	}
@@ -42,7 +43,7 @@
 
 // runTotals counts what was played, so that a run shows that something happened in it.
 type runTotals struct {
-	outcomes          map[string]int
+	results           map[string]int
 	membershipChanges uint64
 	polls             int
 	faults            int
@@ -50,9 +51,14 @@
 	holderChanges     int
 }
 
+func (t runTotals) String() string {
+	return fmt.Sprintf("%d faults, %d changes of the membership, %d confirmed polls, %d acts under a lease in %d turns, calls %v",
+		t.faults, t.membershipChanges, t.polls, t.acts, t.holderChanges, t.results)
+}
+
 func (t *runTotals) add(done simulationResult) {
 	for _, record := range done.history {
-		t.outcomes[callNames[record.call.kind]+" "+resultNames[record.result]]++
+		t.results[callNames[record.call.kind]+" "+resultNames[record.result]]++
 	}
 	t.membershipChanges += done.membershipChanges
 	t.acts += len(done.acts)
@@ -72,7 +78,7 @@
 	}
 	started := time.Now()
 	lastProgress := started
-	sum := runTotals{outcomes: map[string]int{}}
+	sum := runTotals{results: map[string]int{}}
 	for seed := from; seed < to; seed++ {
 		planned := drawSchedule(uint64(seed))
 		done, err := runAndCheck(t, planned, variant{})
@@ -86,8 +92,7 @@
 			t.Logf("%d schedules in %s", seed-from+1, time.Since(started).Round(time.Second))
 		}
 	}
-	t.Logf("%d schedules in %s: %d troubles, %d changes of members, %d confirmed polls, %d acts under a lease in %d turns, calls %v",
-		to-from, time.Since(started).Round(time.Second), sum.faults, sum.membershipChanges, sum.polls, sum.acts, sum.holderChanges, sum.outcomes)
+	t.Logf("%d schedules in %s: %s", to-from, time.Since(started).Round(time.Second), sum)
 }
 
 func TestSimulation_SameSeedReplaysExactly(t *testing.T) {
--- a/internal/test/linearizability/membership_test.go
+++ b/internal/test/linearizability/membership_test.go
@@ -18,15 +18,14 @@
 	membershipStartDelay = 2500 * time.Millisecond
 )
 
-// heartbeats carries who is there, and the newest member list, between all machines that reach
-// each other.
+// exchangeHeartbeats carries who is there, and the newest membership, between all machines that reach each other.
 func (s *simulation) exchangeHeartbeats() {
 	for !s.isStopped() {
 		time.Sleep(heartbeatInterval + 13*time.Nanosecond)
-		names := s.fleet.MemberNames()
+		names := s.cluster.MemberNames()
 		for _, from := range names {
 			for _, to := range names {
-				if from != to && s.fleet.CanReach(from, to) {
+				if from != to && s.cluster.CanReach(from, to) {
 					s.deliverHeartbeat(from, to)
 				}
 			}
@@ -35,7 +34,7 @@
 }
 
 func (s *simulation) deliverHeartbeat(from, to string) {
-	sender, receiver := s.fleet.StoreOf(from), s.fleet.StoreOf(to)
+	sender, receiver := s.cluster.StoreOf(from), s.cluster.StoreOf(to)
 	if sender == nil || receiver == nil {
 		return
 	}
@@ -52,31 +51,32 @@
 		DesiredMembers: s.schedule.size,
 		Peers:          map[string]membership.Peer{},
 	}
-	for _, name := range s.fleet.MemberNames() {
-		acceptor := s.fleet.AcceptorOf(name)
+	for _, name := range s.cluster.MemberNames() {
+		acceptor := s.cluster.AcceptorOf(name)
 		s.lock.Lock()
 		lastSeen, known := s.lastHeartbeat[[2]string{self, name}]
 		s.lock.Unlock()
 		if name != self && (!known || acceptor == nil) {
 			continue
 		}
-		peer := membership.Peer{Address: name, Zone: s.fleet.Zone(name)}
+		peer := membership.Peer{Address: name, Zone: s.cluster.Zone(name)}
 		if name != self {
 			peer.SinceLastHeard = time.Since(lastSeen)
 		}
 		if acceptor != nil {
-			peer.Joining, peer.MembershipVersion = !acceptor.LocalState().Voting, acceptor.LocalState().MembershipVersion
+			local := acceptor.LocalState()
+			peer.Joining, peer.MembershipVersion = !local.Voting, local.MembershipVersion
 		}
 		view.Peers[name] = peer
 	}
 	return view
 }
 
-// membershipViewWithPeers adds whom the peers do not hear.
+// membershipViewWithPeers adds whom the peers suspect.
 func (s *simulation) membershipViewWithPeers(self string, store *keystore.Store) membership.View {
 	view := s.membershipView(self, store)
 	for name, peer := range view.Peers {
-		if otherStore := s.fleet.StoreOf(name); otherStore != nil && name != self {
+		if otherStore := s.cluster.StoreOf(name); otherStore != nil && name != self {
 			peer.Suspects = s.membershipView(name, otherStore).Suspects()
 			view.Peers[name] = peer
 		}
@@ -84,22 +84,22 @@
 	return view
 }
 
-// manageMembership replaces lost members as internal/controlplane/membership.go does, and lets a
-// machine that lost its vote catch up once it is wanted again.
+// manageMembership replaces lost members as internal/controlplane does, and lets a machine that lost its vote catch up once
+// it is a member again.
 func (s *simulation) manageMembership(name string, position int) {
 	var due membership.Change
 	var since time.Time
 	for !s.isStopped() {
 		time.Sleep(membershipInterval + time.Duration(position*1009))
 		s.waitWhileFrozen(name)
-		store, acceptor := s.fleet.StoreOf(name), s.fleet.AcceptorOf(name)
+		store, acceptor := s.cluster.StoreOf(name), s.cluster.AcceptorOf(name)
 		if store == nil || acceptor == nil {
 			due = membership.Change{}
 			continue
 		}
 		s.rejoin(name, store, acceptor)
 		s.lock.Lock()
-		listening := time.Since(s.startedMachines[name]) < membershipStartDelay
+		listening := time.Since(s.startedAtByMachine[name]) < membershipStartDelay
 		follower := s.followers[name]
 		s.lock.Unlock()
 		if listening || !acceptor.LocalState().Voting || !follower.isConfirmed() {
@@ -107,8 +107,8 @@
 			continue
 		}
 		view := s.membershipViewWithPeers(name, store)
-		change, wanted := membership.NextChange(view)
-		if !wanted {
+		change, desired := membership.NextChange(view)
+		if !desired {
 			due = membership.Change{}
 			continue
 		}
@@ -131,14 +131,17 @@
 	}
 }
 
-func (s *simulation) changeMembership(name string, store *keystore.Store, current keystore.Membership, change membership.Change) {
+// changeMembership commits a change, unless another has come before it.
+func (s *simulation) changeMembership(
+	name string, store *keystore.Store, current keystore.Membership, change membership.Change,
+) {
 	ctx, cancel := withTimeout(changeTimeout)
 	defer cancel()
 	register, err := store.Change(ctx, keystore.MembershipKey, func(register keystore.Register) (json.RawMessage, error) {
 		var committed keystore.Membership
 		_ = json.Unmarshal(register.Value, &committed)
 		if committed.Version > current.Version {
-			return nil, errors.New("members moved on")
+			return nil, errors.New("the membership has changed")
 		}
 		return json.Marshal(change.Membership)
 	})
@@ -153,7 +156,7 @@
 	}
 }
 
-// recordMembership checks that no two acknowledged lists share a number.
+// recordMembership checks that no two acknowledged memberships share a version.
 func (s *simulation) recordMembership(committed keystore.Membership) {
 	s.lock.Lock()
 	other, known := s.committed[committed.Version]
--- a/internal/test/linearizability/model_test.go
+++ b/internal/test/linearizability/model_test.go
@@ -26,8 +26,8 @@
 // content is what the documents of the schedules differ in: one item for each of two routes.
 type content struct{ first, second int }
 
-// callRecord is one call as its operator saw it. The interval of a configuration that was
-// acknowledged spans all its copies; otherwise it is that of the copy that was answered.
+// callRecord is one call as its operator saw it. The interval of a configuration that was acknowledged spans all its
+// attempts; otherwise it is that of the attempt that was answered.
 type callRecord struct {
 	call           operatorCall
 	condition      int64
@@ -37,18 +37,19 @@
 	readRevision int64
 	readContent  content
 	readDrained  bool
-	// zoneNumber is that of the record which an acknowledged evacuation names.
-	zoneNumber uint64
-	// earlier says when the copies of an evacuation were sent that got no clear answer.
+	// zoneVersion is that of the record that an acknowledged evacuation names.
+	zoneVersion uint64
+	// earlierAttempts says when the attempts of an evacuation were sent that got no clear answer.
 	earlierAttempts []time.Duration
-	// withTimeout says that an unclear call has no effect after its end.
+	// noLateEffect says that an unknown result has no effect after its end.
 	noLateEffect bool
 	note         string
 }
 
 func (r callRecord) String() string {
-	text := fmt.Sprintf("%9s..%9s operator %d call %2d %s", r.started.Round(time.Millisecond), r.ended.Round(time.Millisecond),
-		r.call.operator, r.call.number, callNames[r.call.kind])
+	started, ended := r.started.Round(time.Millisecond), r.ended.Round(time.Millisecond)
+	text := fmt.Sprintf("%9s..%9s operator %d call %2d %s",
+		started, ended, r.call.operator, r.call.number, callNames[r.call.kind])
 	switch r.call.kind {
 	case callPut, callPatch:
 		text += fmt.Sprintf(" on %d", r.condition)
@@ -65,7 +66,7 @@
 // valueOf is what a call writes into its documents; no two calls share it.
 func valueOf(call operatorCall) int { return 1000 + call.number }
 
-// configurationState is the model of the configuration's key. taken holds a bit for each call.
+// configurationState is the model of the configuration's key. applied holds a bit for each call.
 type configurationState struct {
 	revision int64
 	content  content
@@ -81,6 +82,7 @@
 	return next
 }
 
+// stepConfiguration gives the states that may follow a call on the configuration.
 func stepConfiguration(state, input, _ any) []any {
 	current, op := state.(configurationState), input.(callRecord)
 	if op.call.kind == callGet {
@@ -89,16 +91,16 @@
 		}
 		return nil
 	}
-	taken := current.applied&(1<<op.call.number) != 0
-	fits := !taken && op.condition == current.revision
+	applied := current.applied&(1<<op.call.number) != 0
+	fits := !applied && op.condition == current.revision
 	switch {
-	case op.result == rejected && !taken && !fits:
+	case op.result == rejected && !applied && !fits:
 		return []any{current}
 	case op.result == rejected:
 		return nil
 	case op.result == unknown && fits:
 		return []any{current, current.after(op)}
-	case op.result == unknown || taken:
+	case op.result == unknown || applied:
 		return []any{current}
 	case fits:
 		return []any{current.after(op)}
@@ -106,6 +108,7 @@
 	return nil
 }
 
+// stepZone gives the states that may follow a call on a zone, which is drained or not.
 func stepZone(state, input, _ any) []any {
 	current, op := state.(bool), input.(callRecord)
 	switch {
@@ -119,9 +122,9 @@
 	return []any{op.call.drained}
 }
 
-// copies takes an evacuation apart. It names no version, so a copy that its operator sends
-// again is carried out again if another operator undid the one before: each copy may take
-// force once, as long as its operator has no answer. After an acknowledgement none may.
+// attempts takes an evacuation apart. It names no version, so an attempt that its operator repeats is carried out again if
+// another operator undid the one before: each attempt may take force once, as long as its operator has no answer. After
+// an acknowledgement none may.
 func (r callRecord) attempts() []callRecord {
 	if r.call.kind != callDrain {
 		return []callRecord{r}
@@ -142,8 +145,8 @@
 	return each
 }
 
-// checkHistory asks the checker about each key on its own: a call touches one key, and a history is
-// linearizable if that of each key is.
+// checkHistory has the checker judge each key on its own: a call touches one key, and a history is linearizable if that of
+// each key is.
 func checkHistory(history []callRecord) error {
 	keys := map[string][]callRecord{}
 	for _, record := range history {
@@ -171,8 +174,8 @@
 	return nil
 }
 
-// errCheckTimedOut says that the checker came to no end: neither a pass nor a fault found.
-var errCheckTimedOut = errors.New("not judged")
+// errCheckTimedOut says that the checker came to no end: it neither passed the history nor found a fault.
+var errCheckTimedOut = errors.New("check timed out")
 
 // checkTimeout is how long the checker may take for one key.
 const checkTimeout = 20 * time.Second
--- a/internal/test/linearizability/schedule_test.go
+++ b/internal/test/linearizability/schedule_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// callKind is what an operator asks.
+// callKind is what an operator calls.
 type callKind int
 
 const (
@@ -27,15 +27,15 @@
 	kind     callKind
 	zone     string
 	drained  bool
-	// daemon is the position of the daemon that gets the first copy; further ones go to the next.
-	daemon int
-	// lostReplies is how many copies lose their answers on the way.
+	// node is the position of the node that gets the first attempt; further ones go to the next.
+	node int
+	// lostReplies is how many attempts lose their answers on the way.
 	lostReplies int
-	// late delays the carrying out of the first copy of an evacuation.
+	// delay is that of the first attempt of an evacuation, with the token in hand.
 	delay time.Duration
 }
 
-// faultKind is a trouble.
+// faultKind is what happens to a machine.
 type faultKind int
 
 const (
@@ -67,7 +67,7 @@
 	"lose machine",
 }
 
-// plannedFault is one trouble of a schedule; steps overlap.
+// plannedFault is one fault of a schedule; faults overlap.
 type plannedFault struct {
 	at       time.Duration
 	kind     faultKind
@@ -76,7 +76,7 @@
 	seed     uint64
 }
 
-// schedule is all that a play depends on. Any of its steps and calls may be left out.
+// schedule is all that a simulation depends on. Any of its faults and calls may be left out.
 type schedule struct {
 	seed  uint64
 	size  int
@@ -95,6 +95,7 @@
 
 var zoneNames = [zoneCount]string{"north", "south"}
 
+// drawSchedule draws all of a schedule from the seed.
 func drawSchedule(seed uint64) schedule {
 	random := rand.New(rand.NewPCG(seed, 41))
 	planned := schedule{seed: seed, size: 3 + 2*int(seed%4/3), lossy: seed%2 == 0, standby: seed%3 == 0}
@@ -134,7 +135,7 @@
 		number:   number,
 		at:       burst + drawTime(random, 900*time.Millisecond),
 		operator: random.IntN(2),
-		daemon:   random.IntN(60),
+		node:     random.IntN(60),
 		zone:     zoneNames[random.IntN(zoneCount)],
 		drained:  random.IntN(2) == 0,
 	}
@@ -167,8 +168,8 @@
 		text += fmt.Sprintf("  %7s %s machine %d for %s\n", at, faultNames[item.kind], item.machine, duration)
 	}
 	for _, item := range s.calls {
-		text += fmt.Sprintf("  %7s call %d: operator %d, %s at daemon %d",
-			item.at.Round(time.Millisecond), item.number, item.operator, callNames[item.kind], item.daemon)
+		text += fmt.Sprintf("  %7s call %d: operator %d, %s at node %d",
+			item.at.Round(time.Millisecond), item.number, item.operator, callNames[item.kind], item.node)
 		if item.kind == callDrain {
 			text += fmt.Sprintf(" %s %t late %s", item.zone, item.drained, item.delay.Round(time.Millisecond))
 		}
--- a/internal/test/linearizability/shrink_test.go
+++ b/internal/test/linearizability/shrink_test.go
@@ -15,10 +15,10 @@
 	failure error
 }
 
-// shrink leaves out steps and calls of a failing schedule while it still fails, and returns
+// shrink leaves out faults and calls of a failing schedule while it still fails, and returns
 // the smallest one found with its failure.
-func shrink(t *testing.T, failing schedule, spoiled variant, failure error) (schedule, error) {
-	s := &shrinker{test: t, variant: spoiled, failure: failure}
+func shrink(t *testing.T, failing schedule, broken variant, failure error) (schedule, error) {
+	s := &shrinker{test: t, variant: broken, failure: failure}
 	for before := -1; before != len(failing.faults)+len(failing.calls); {
 		before = len(failing.faults) + len(failing.calls)
 		failing.calls = reduce(failing.calls, func(calls []operatorCall) bool {
@@ -26,9 +26,9 @@
 			smaller.calls = calls
 			return s.fails(smaller)
 		})
-		failing.faults = reduce(failing.faults, func(steps []plannedFault) bool {
+		failing.faults = reduce(failing.faults, func(faults []plannedFault) bool {
 			smaller := failing
-			smaller.faults = steps
+			smaller.faults = faults
 			return s.fails(smaller)
 		})
 	}
--- a/internal/test/linearizability/play_test.go
+++ b/internal/test/linearizability/simulation_test.go
@@ -13,15 +13,14 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
-// variant spoils one thing, so that the checks can show that they notice. The zero variant is
-// the product as it is.
+// variant breaks one thing, so that the checks can show that they notice. The zero variant is the product as it is.
 type variant struct {
-	fleet func(cluster *keystoresim.Cluster)
-	// store wraps what the control state decides on.
-	store func(store controlstate.Store) controlstate.Store
-	// ignoresTokenExpiry lets every copy of an evacuation begin, however late it comes.
+	breakCluster func(cluster *keystoresim.Cluster)
+	// wrapStore wraps what the control state decides on.
+	wrapStore func(store controlstate.Store) controlstate.Store
+	// ignoresTokenExpiry lets every attempt of an evacuation begin, however late it comes.
 	ignoresTokenExpiry bool
-	// staysFreshUntilFailure counts a confirmation until a look fails, however long ago it was asked.
+	// staysFreshUntilFailure counts a confirmation until a digest fails, however long ago it was requested.
 	staysFreshUntilFailure bool
 	// ignoresUndecided confirms in spite of a newer proposal on a minority.
 	ignoresUndecided bool
@@ -31,34 +30,34 @@
 type simulation struct {
 	schedule     schedule
 	variant      variant
-	fleet        *keystoresim.Cluster
+	cluster      *keystoresim.Cluster
 	startedAt    time.Time
 	standbyCount int
 
 	lock sync.Mutex
-	// busy machines have a trouble of their process or disk; no second one begins there.
-	faulted map[string]bool
-	// empty machines lost their disk or never had one; they count as lost until they vote.
-	diskLost        map[string]bool
-	machines        []string
-	lastHeartbeat   map[[2]string]time.Time
-	startedMachines map[string]time.Time
-	followers       map[string]*follower
-	// committed are the member lists that were acknowledged, by number.
+	// faultyMachines have a fault of their process or disk; no second one begins there.
+	faultyMachines map[string]bool
+	// diskLost are the machines that lost their disk or never had one; they count as lost until they vote.
+	diskLost           map[string]bool
+	machines           []string
+	lastHeartbeat      map[[2]string]time.Time
+	startedAtByMachine map[string]time.Time
+	followers          map[string]*follower
+	// committed are the memberships that were acknowledged, by version.
 	committed      map[uint64]keystore.Membership
 	knownRevisions [2]int64
 	simulationResult
 	acknowledgements acknowledgements
-	failed           error
+	failure          error
 	stopped          bool
 	callSlots        chan struct{}
-	running          sync.WaitGroup
+	work             sync.WaitGroup
 }
 
 // maxConcurrentCalls is how many calls may be under way.
 const maxConcurrentCalls = 8
 
-// simulationResult is what came of a play.
+// simulationResult is what came of a simulation.
 type simulationResult struct {
 	history           []callRecord
 	membershipChanges uint64
@@ -67,43 +66,44 @@
 	faults            int
 }
 
-func runSimulation(planned schedule, spoiled variant) (simulationResult, error) {
-	p := &simulation{
-		schedule:         planned,
-		variant:          spoiled,
-		fleet:            keystoresim.New(planned.seed, planned.size),
-		startedAt:        time.Now(),
-		faulted:          map[string]bool{},
-		diskLost:         map[string]bool{},
-		lastHeartbeat:    map[[2]string]time.Time{},
-		startedMachines:  map[string]time.Time{},
-		followers:        map[string]*follower{},
-		committed:        map[uint64]keystore.Membership{},
-		callSlots:        make(chan struct{}, maxConcurrentCalls),
-		acknowledgements: newAcknowledgements(),
+// runSimulation plays a schedule in fake time. The error is the first failure, if any.
+func runSimulation(planned schedule, broken variant) (simulationResult, error) {
+	s := &simulation{
+		schedule:           planned,
+		variant:            broken,
+		cluster:            keystoresim.New(planned.seed, planned.size),
+		startedAt:          time.Now(),
+		faultyMachines:     map[string]bool{},
+		diskLost:           map[string]bool{},
+		lastHeartbeat:      map[[2]string]time.Time{},
+		startedAtByMachine: map[string]time.Time{},
+		followers:          map[string]*follower{},
+		committed:          map[uint64]keystore.Membership{},
+		callSlots:          make(chan struct{}, maxConcurrentCalls),
+		acknowledgements:   newAcknowledgements(),
 	}
-	p.fleet.Lossy = planned.lossy
+	s.cluster.Lossy = planned.lossy
 	if planned.size == 3 {
-		p.fleet.AssignZones(1, 1, 1)
+		s.cluster.AssignZones(1, 1, 1)
 	} else {
-		p.fleet.AssignZones(2, 2, 1)
+		s.cluster.AssignZones(2, 2, 1)
 	}
-	if spoiled.fleet != nil {
-		spoiled.fleet(p.fleet)
+	if broken.breakCluster != nil {
+		broken.breakCluster(s.cluster)
 	}
-	for _, name := range p.fleet.Names {
-		p.fleet.Start(name, true)
-		p.startMachine(name)
+	for _, name := range s.cluster.Names {
+		s.cluster.Start(name, true)
+		s.startMachine(name)
 	}
 	if planned.standby {
-		p.startStandby(p.fleet.Names[0])
+		s.startStandby(s.cluster.Names[0])
 	}
-	go p.exchangeHeartbeats()
-	p.runSchedule()
-	err := p.finish()
-	done := p.simulationResult
-	done.membershipChanges = p.newestMembership().Version - 1
-	p.shutDown()
+	go s.exchangeHeartbeats()
+	s.runSchedule()
+	err := s.finish()
+	done := s.simulationResult
+	done.membershipChanges = s.newestMembership().Version - 1
+	s.shutDown()
 	return done, err
 }
 
@@ -112,8 +112,8 @@
 func (s *simulation) fail(err error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.failed == nil {
-		s.failed = err
+	if s.failure == nil {
+		s.failure = err
 	}
 }
 
@@ -123,30 +123,30 @@
 	return s.stopped
 }
 
-// work plays all steps and calls and returns once each has ended.
+// runSchedule plays all faults and calls and returns once each has ended.
 func (s *simulation) runSchedule() {
 	for index, item := range s.schedule.faults {
-		s.running.Go(func() {
+		s.work.Go(func() {
 			time.Sleep(item.at + time.Duration(index*211))
 			s.injectFault(item)
 		})
 	}
 	for _, item := range s.schedule.calls {
-		s.running.Go(func() {
+		s.work.Go(func() {
 			time.Sleep(item.at + time.Duration(item.number*337))
 			s.callSlots <- struct{}{}
 			s.sendCall(item)
 			<-s.callSlots
 		})
 	}
-	s.running.Wait()
+	s.work.Wait()
 }
 
-// attend starts what a machine does besides answering messages.
+// startMachine starts what a machine does besides answering messages.
 func (s *simulation) startMachine(name string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.startedMachines[name] = time.Now()
+	s.startedAtByMachine[name] = time.Now()
 	s.followers[name] = newFollower(s, name)
 	s.machines = append(s.machines, name)
 	go s.followers[name].run()
@@ -155,18 +155,18 @@
 	go s.holdLease(name, len(s.followers))
 }
 
-// settle ends all troubles, takes the power from all machines at once, and reads what is left.
+// finish ends all faults, takes the power from all machines at once, and reads what is left.
 func (s *simulation) finish() error {
-	s.fleet.Lossy = false
+	s.cluster.Lossy = false
 	random := rand.New(rand.NewPCG(s.schedule.seed, 43))
-	names := s.fleet.MemberNames()
+	names := s.cluster.MemberNames()
 	for _, name := range names {
-		s.fleet.Kill(name)
-		s.fleet.LosePower(name, random)
+		s.cluster.Kill(name)
+		s.cluster.LosePower(name, random)
 	}
 	time.Sleep(time.Second)
 	for _, name := range names {
-		s.fleet.Start(name, false)
+		s.cluster.Start(name, false)
 	}
 	if err := s.readBack(names); err != nil {
 		return err
@@ -174,10 +174,10 @@
 	s.resendAcknowledged(names)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.failed
+	return s.failure
 }
 
-// readBackRounds is how often the final read goes round all daemons.
+// readBackRounds is how often the final read goes round all nodes.
 const readBackRounds = 12
 
 func (s *simulation) readBack(names []string) error {
@@ -228,26 +228,26 @@
 	names := s.machines
 	s.lock.Unlock()
 	for _, name := range names {
-		s.fleet.Kill(name)
+		s.cluster.Kill(name)
 	}
 	time.Sleep(time.Minute)
 }
 
 func (s *simulation) controlState(store *keystore.Store, name string) *controlstate.State {
 	var decided controlstate.Store = store
-	if s.variant.store != nil {
-		decided = s.variant.store(decided)
+	if s.variant.wrapStore != nil {
+		decided = s.variant.wrapStore(decided)
 	}
 	zones := map[string]string{}
 	for _, zone := range zoneNames {
 		zones[zone] = "land"
 	}
-	return &controlstate.State{Store: decided, Zones: zones, Clock: s.fleet.Clock(name)}
+	return &controlstate.State{Store: decided, Zones: zones, Clock: s.cluster.Clock(name)}
 }
 
 // waitWhileFrozen holds back a step of a machine's process while the machine is frozen.
 func (s *simulation) waitWhileFrozen(name string) {
-	for s.fleet.Frozen(name) {
+	for s.cluster.Frozen(name) {
 		time.Sleep(3*time.Millisecond + 11*time.Nanosecond)
 	}
 }
--- a/internal/test/linearizability/variants_test.go
+++ b/internal/test/linearizability/variants_test.go
@@ -14,28 +14,28 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
-// rejectsOnRememberedState refuses on what it saw last, without asking a majority.
+// rejectsOnRememberedState rejects on what it saw last, without a majority's confirmation.
 type rejectsOnRememberedState struct {
 	controlstate.Store
 	memory *storeMemory
 }
 
 type storeMemory struct {
-	lock  sync.Mutex
-	slots map[string]keystore.Register
+	lock      sync.Mutex
+	registers map[string]keystore.Register
 }
 
 func (s *storeMemory) get(name string) (keystore.Register, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	register, known := s.slots[name]
+	register, known := s.registers[name]
 	return register, known
 }
 
 func (s *storeMemory) put(name string, register keystore.Register) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.slots[name] = register
+	s.registers[name] = register
 }
 
 func (r rejectsOnRememberedState) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
@@ -51,7 +51,7 @@
 	return register, err
 }
 
-// withRememberedState gives each store of a daemon its own memory.
+// withRememberedState gives each store its own memory.
 func withRememberedState() func(store controlstate.Store) controlstate.Store {
 	memories := map[controlstate.Store]*storeMemory{}
 	var lock sync.Mutex
@@ -59,17 +59,17 @@
 		lock.Lock()
 		defer lock.Unlock()
 		if memories[store] == nil {
-			memories[store] = &storeMemory{slots: map[string]keystore.Register{}}
+			memories[store] = &storeMemory{registers: map[string]keystore.Register{}}
 		}
-		return rejectsOnRememberedState{store, memories[store]}
+		return rejectsOnRememberedState{Store: store, memory: memories[store]}
 	}
 }
 
-// appliedCallsHidden hides from decisions which calls were taken.
+// appliedCallsHidden hides from decisions which calls were applied.
 type appliedCallsHidden struct{ controlstate.Store }
 
-func (f appliedCallsHidden) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
-	return f.Store.Change(ctx, name, func(current keystore.Register) (json.RawMessage, error) {
+func (h appliedCallsHidden) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
+	return h.Store.Change(ctx, name, func(current keystore.Register) (json.RawMessage, error) {
 		if name == keystore.ConfigurationKey && len(current.Value) > 0 {
 			record, err := controlstate.DecodeConfiguration(current)
 			if err != nil {
@@ -82,16 +82,16 @@
 	})
 }
 
-// brokenVariant is a fault that the checks must notice, and the seed from which a schedule that
-// shows it is searched: that of the first one found, so that the search is short.
+// brokenVariant is a fault that the checks must notice, and the seed from which a schedule that shows it is searched: that
+// of the first one found, so that the search is short.
 type brokenVariant struct {
 	name  string
 	from  uint64
 	build func() variant
 }
 
-func clusterVariant(spoil func(cluster *keystoresim.Cluster)) func() variant {
-	return func() variant { return variant{fleet: spoil} }
+func clusterVariant(breakCluster func(cluster *keystoresim.Cluster)) func() variant {
+	return func() variant { return variant{breakCluster: breakCluster} }
 }
 
 func withoutAppliedCalls(store controlstate.Store) controlstate.Store {
@@ -102,11 +102,11 @@
 	{"a wiped member that votes at once", 126, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.VotesWithoutCatchUp = true })},
 	{"answers before the sync", 4, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.SkipsSync = true })},
 	{"silence counted as agreement", 2, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.CountsSilenceAsGrant = true })},
-	{"a refusal decided on remembered ownership", 1, func() variant { return variant{store: withRememberedState()} }},
-	{"resends not recognised", 5, func() variant { return variant{store: withoutAppliedCalls} }},
+	{"a refusal decided on remembered ownership", 1, func() variant { return variant{wrapStore: withRememberedState()} }},
+	{"resends not recognised", 5, func() variant { return variant{wrapStore: withoutAppliedCalls} }},
 	{"freshness without a deadline", 2, func() variant { return variant{staysFreshUntilFailure: true} }},
 	{"a digest that counts as confirmed in spite of an open one", 2, func() variant { return variant{ignoresUndecided: true} }},
-	{"a late copy of an evacuation carried out", 88, func() variant { return variant{ignoresTokenExpiry: true} }},
+	{"a late attempt of an evacuation carried out", 88, func() variant { return variant{ignoresTokenExpiry: true} }},
 }
 
 // variantSeeds bounds the search for a schedule that shows a fault.
