--- a/cmd/ferryspar-modelcheck/main.go
+++ b/cmd/ferryspar-modelcheck/main.go
@@ -17,12 +17,22 @@
 	"ferryspar/internal/test/modelcheck"
 )
 
+const programName = "ferryspar-modelcheck"
+
+// The exit statuses besides those of every program.
 const (
+	// exitViolated says that an invariant failed in some scenario.
 	exitViolated = 1
-	// exitStopped says that a limit came before the bound of the scenario.
+	// exitStopped says that a limit came before the bound of a scenario.
 	exitStopped = 4
 )
 
+// The names that stand for several scenarios.
+const (
+	allScenarios   = "all"
+	shortScenarios = "short"
+)
+
 type options struct {
 	Scenario string        `long:"scenario" default:"all" description:"name of a scenario, short for those that take seconds, or all"`
 	Depth    int           `long:"depth" description:"events in a row at most (default: no bound)"`
@@ -33,45 +43,54 @@
 	Version  bool          `long:"version" description:"print the version and end"`
 }
 
-func main() { os.Exit(run()) }
+func main() { os.Exit(run(os.Args[1:])) }
 
-func run() int {
+// run carries out the command line and returns the exit status.
+func run(arguments []string) int {
 	var chosen options
 	parser := flags.NewParser(&chosen, flags.HelpFlag|flags.PassDoubleDash)
-	parser.Name = "ferryspar-modelcheck"
+	parser.Name = programName
 	parser.LongDescription = "Walks every order of events in small fleets of the control state. " +
 		"Status 0: all visited, nothing violated; 1: violated; 4: stopped before the bound."
-	if _, err := parser.Parse(); err != nil {
+	if _, err := parser.ParseArgs(arguments); err != nil {
 		if flags.WroteHelp(err) {
 			fmt.Println(err)
 			return cli.ExitSuccess
 		}
-		fmt.Fprintln(os.Stderr, "ferryspar-modelcheck:", err)
-		return cli.ExitUsage
+		return usageError(err.Error())
 	}
 	switch {
 	case chosen.Version:
-		fmt.Println("ferryspar-modelcheck", cli.Version)
+		fmt.Println(programName, cli.Version)
 		return cli.ExitSuccess
 	case chosen.List:
-		for _, scenario := range modelcheck.Scenarios() {
-			fmt.Printf("%-24s %s\n", scenario.Name, scenario.Summary)
-		}
+		listScenarios()
 		return cli.ExitSuccess
 	}
 	scenarios := selectScenarios(chosen.Scenario)
 	if len(scenarios) == 0 {
-		fmt.Fprintf(os.Stderr, "ferryspar-modelcheck: no scenario %q, see --list\n", chosen.Scenario)
-		return cli.ExitUsage
+		return usageError(fmt.Sprintf("no scenario %q, see --list", chosen.Scenario))
 	}
 	return searchAll(chosen, scenarios)
 }
 
+func usageError(message string) int {
+	fmt.Fprintf(os.Stderr, "%s: %s\n", programName, message)
+	return cli.ExitUsage
+}
+
+func listScenarios() {
+	for _, scenario := range modelcheck.Scenarios() {
+		fmt.Printf("%-24s %s\n", scenario.Name, scenario.Summary)
+	}
+}
+
+// selectScenarios returns nothing for a name that stands for none.
 func selectScenarios(name string) []modelcheck.Scenario {
 	switch name {
-	case "all":
+	case allScenarios:
 		return modelcheck.Scenarios()
-	case "short":
+	case shortScenarios:
 		return modelcheck.ShortScenarios()
 	}
 	for _, scenario := range modelcheck.Scenarios() {
