--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -19,7 +19,7 @@
 	router.Post(peer.MethodReportLoad.Path(), peer.Handler(n.loadExchange.HandleLoadReport))
 	router.Post(peer.MethodSubscribe.Path(), peer.Handler(n.watchServer.HandleSubscribe))
 	router.Post(peer.MethodShareLoad.Path(), peer.Handler(n.loadExchange.HandleLoadSummary))
-	router.Post(peer.MethodShareRoster.Path(), peer.Handler(n.handleRosterUpdate))
+	router.Post(peer.MethodShareRoster.Path(), peer.Handler(n.roster.HandleUpdate))
 	router.Post(peer.MethodHeartbeat.Path(), peer.Handler(n.members.HandleHeartbeat))
 	router.Post(peer.MethodForecast.Path(), peer.Handler(n.handleForecast))
 	router.Post(peer.MethodForecastPlan.Path(), peer.Handler(n.handlePlanRequest))
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -19,7 +19,7 @@
 //   - PrefixLedger: which replica should have which prompt prefix cached (ledger.go, samples.go);
 //   - demandCounters: the demand by model for load reports (loadreport.go);
 //   - health: outcomes, circuit breakers and suspected zones (health.go, outcomecounter.go, breaker.go,
-//     ejection.go, zones.go, review.go; docs/health.md);
+//     ejection.go, zones.go, review.go; docs/design/health.md);
 //   - assignmentGraph and flowSolver: one batch being decided (graph.go, flow.go);
 //   - modelPaces: how fast models read prompts (pace.go).
 //
@@ -27,11 +27,11 @@
 // (one batch is decided), score.go (the weight of one pair of request and replica) and reports.go (what an
 // outcome changes). slotshare.go and warmup.go compute this data plane's share of a replica's slots and
 // of its warm-up rate. forecast.go, forecast_route.go and fork.go compute the loss of a region, drill.go and
-// drill_record.go rehearse it (docs/rehearsal.md).
+// drill_record.go rehearse it (docs/design/rehearsal.md).
 //
 // Of the IEMAS paper (arXiv 2603.17302) the package implements the micro-batch and joint decision of §4 and
 // figure 2, the affinity of §4.1 eq. 4, the predictor inputs of eq. 5 with the update loop of §4.1, the
 // value and weight of eq. 1 and 7, and the exact assignment of §4.2 and theorem 4.1 under the capacities
 // of eq. 2. It has no auction: there are no bids and no payments (eq. 8). What was changed and why is
-// described in docs/design.md, "The policy".
+// described in docs/design/routing-policy.md.
 package routing
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -29,7 +29,7 @@
 //	w = v − Ĉ, v = δP − (1−δ)L   (IEMAS §3 eq. 1, §4.2 eq. 7; §4.1 for the predicted P, L and Ĉ)
 //
 // P is the expected quality, L the predicted latency as a share of the latency target, and Ĉ the cost of
-// the tokens to be read and of crossing zones. docs/design.md says what differs from the paper.
+// the tokens to be read and of crossing zones. docs/design/routing-policy.md says what differs from the paper.
 func (m *Matcher) score(row requestRow, node *replicaNode, now time.Time) scoredPair {
 	request, replica, state := row.request, node.replica, node.state
 	cachedTokens := 0.0
