--- a/internal/dataplane/contextrules.go
+++ b/internal/dataplane/contextrules.go
@@ -31,7 +31,7 @@
 	lastConfirmed atomic.Pointer[time.Time]
 }
 
-// trusted tells whether cached context may be used: always without rules, otherwise only with a confirmed response lately,
+// trusted reports whether cached context may be used: always without rules, otherwise only with a confirmed response lately,
 // since an order to forget may have been given that has not arrived here. Any goroutine may call it.
 func (c *contextRules) trusted(now time.Time) bool {
 	if !c.inForce.Load() {
@@ -42,7 +42,7 @@
 }
 
 // adopt adopts rules newer than those in force, and has the ledger forget what they name. The position acknowledges them
-// only once the ledger has done so: operators are told then that it is forgotten.
+// only once the ledger has done so: operators learn from that that it is forgotten.
 func (c *contextRules) adopt(rules peer.ContextUpdate, position *watchPosition) {
 	if rules.Version <= c.number || c.updateLedger == nil {
 		return
--- a/internal/dataplane/controlpeers.go
+++ b/internal/dataplane/controlpeers.go
@@ -39,7 +39,7 @@
 	// secondary says that the last poll was one of those that are held for longer.
 	secondary bool
 	// edgeCount is the number of data planes in touch, and presentEdges that of those that may hold quota, which is
-	// the whole truth only if presentKnown.
+	// exact only if presentKnown.
 	edgeCount    int
 	presentEdges int
 	presentKnown bool
@@ -65,7 +65,7 @@
 	p.presentKnown = result.response.CountReliable
 }
 
-// usable tells whether endpoints may be followed at the node.
+// usable reports whether endpoints may be followed at the node.
 func (p *controlPeer) usable(now time.Time) bool {
 	timeout := controlPeerTimeout
 	if p.secondary {
@@ -153,7 +153,7 @@
 
 // presentEdgeCount is the number of data planes, without those that have been silent for so long that what they lent of
 // tenants' limits has expired. Where no control-plane node has run for long enough to know that, it is the number that is
-// kept high, and 0 if none was ever told.
+// kept high, and 0 if none was ever reported.
 func (c *controlPeers) presentEdgeCount(now time.Time) (count int, known bool) {
 	highest := 0
 	for _, control := range c.byAddress {
--- a/internal/dataplane/drill_test.go
+++ b/internal/dataplane/drill_test.go
@@ -14,7 +14,7 @@
 func TestFleetState_FollowsDrillToItsEndOnce(t *testing.T) {
 	harness := newStateHarness(t, nodesettings.Settings{})
 	number := uint64(1)
-	// notify hands the state a notice of the drill, and tells whether a drill is in force then.
+	// notify hands the state a notice of the drill, and reports whether a drill is in force then.
 	notify := func(running bool, zones map[string]peer.ZoneState) bool {
 		notice := &drill.Notice{Number: number, Scope: drill.Scope{Zone: "south"}, Share: 1, LeftMs: 60000, Running: running}
 		harness.respond("one", peer.WatchResponse{Linearizable: true, FreshMs: 1000, Drill: notice, Zones: zones})
--- a/internal/dataplane/fleetstate.go
+++ b/internal/dataplane/fleetstate.go
@@ -46,13 +46,11 @@
 	drills       drillFollower
 
 	// The parts below belong to the goroutine of Run, without a lock; other goroutines hand it results by channels.
-	adopted          adoptedState
-	controlPeers     controlPeers
-	endpoints        endpointTable
-	subscribing      bool
-	subscribeResults chan subscribeResult
-	others           othersLoad
-	othersReports    chan peer.FleetLoad
+	adopted       adoptedState
+	controlPeers  controlPeers
+	subscriptions subscriptions
+	endpoints     endpointTable
+	others        othersLoad
 	// calls are the goroutines that Run has started.
 	calls sync.WaitGroup
 }
@@ -63,9 +61,11 @@
 	zones map[string]peer.ZoneState
 }
 
-// othersLoad is the summed load of the other data planes. It belongs to the goroutine of FleetState.Run.
+// othersLoad is the summed load of the other data planes. It belongs to the goroutine of FleetState.Run, but for reports.
 type othersLoad struct {
-	load       peer.FleetLoad
+	// reports are those on their way to Run.
+	reports    chan peer.FleetLoad
+	latest     peer.FleetLoad
 	receivedAt time.Time
 }
 
@@ -105,22 +105,22 @@
 			zone:      options.Settings.Zone,
 			byAddress: map[string]*controlPeer{},
 		},
-		endpoints:        endpointTable{regions: options.Settings.Zones, clock: options.Clock},
-		subscribeResults: make(chan subscribeResult, pendingResults),
-		othersReports:    make(chan peer.FleetLoad, pendingResults),
+		subscriptions: subscriptions{results: make(chan subscribeResult, pendingResults)},
+		endpoints:     endpointTable{regions: options.Settings.Zones, clock: options.Clock},
+		others:        othersLoad{reports: make(chan peer.FleetLoad, pendingResults)},
 	}
 	state.position.init()
 	options.Fleet.Store(&routing.Snapshot{})
 	return state
 }
 
-// Ready tells whether a configuration has been adopted. Any goroutine may call it.
+// Ready reports whether a configuration has been adopted. Any goroutine may call it.
 func (s *FleetState) Ready() bool { return s.fleet.Load().Table != nil }
 
 // Primary is the address of the control-plane node that endpoints are followed at, or empty. Any goroutine may call it.
 func (s *FleetState) Primary() string { return *s.position.primary.Load() }
 
-// TrustsContext tells whether the prefixes that replicas are taken to have cached may still be used. Any goroutine may
+// TrustsContext reports whether the prefixes that replicas are taken to have cached may still be used. Any goroutine may
 // call it.
 func (s *FleetState) TrustsContext(now time.Time) bool { return s.contextRules.trusted(now) }
 
@@ -130,7 +130,7 @@
 // AdoptFleetLoad hands the load of the other data planes to Run, or gives up when the context ends.
 func (s *FleetState) AdoptFleetLoad(ctx context.Context, load peer.FleetLoad) {
 	select {
-	case s.othersReports <- load:
+	case s.others.reports <- load:
 	case <-ctx.Done():
 	}
 }
@@ -151,15 +151,15 @@
 			}
 		case <-s.interest.wake:
 			s.subscribe(ctx, peers)
-		case result := <-s.subscribeResults:
+		case result := <-s.subscriptions.results:
 			if s.handleSubscribeResult(result) {
 				s.publish()
 			}
 			if s.completeFrom(result.address) {
 				s.subscribe(ctx, peers)
 			}
-		case load := <-s.othersReports:
-			s.others = othersLoad{load: load, receivedAt: s.clock()}
+		case load := <-s.others.reports:
+			s.others.latest, s.others.receivedAt = load, s.clock()
 			s.publish()
 		case <-ticker.C:
 			s.choosePrimary()
@@ -204,7 +204,7 @@
 	return s.handleEndpointSets(control, result) || changed
 }
 
-// acceptable tells whether a response may bring the first configuration of this incarnation: only if contact with a
+// acceptable reports whether a response may bring the first configuration of this incarnation: only if contact with a
 // majority was proven after this data plane polled, or a configuration from before its start could be older than the one
 // it served then. Later ones only ever rise.
 func (s *FleetState) acceptable(response peer.WatchResponse) bool {
@@ -242,7 +242,7 @@
 	return changed
 }
 
-// evacuating tells whether any zone is evacuated.
+// evacuating reports whether any zone is evacuated.
 func (s *FleetState) evacuating() bool {
 	for _, state := range s.adopted.zones {
 		if state.Drained {
@@ -267,9 +267,9 @@
 		DataPlanes:   s.controlPeers.edgeCount(s.clock()),
 		ListedAt:     s.endpoints.asOf,
 		Replicas:     s.endpoints.replicas,
-		PeerLoads:    s.others.load.Replicas,
+		PeerLoads:    s.others.latest.Replicas,
 		PeerLoadsAt:  s.others.receivedAt,
-		PeerOutcomes: s.others.load.Total,
+		PeerOutcomes: s.others.latest.Total,
 		Drill:        s.drills.current,
 	}
 	for zone, state := range s.adopted.zones {
--- a/internal/dataplane/freshness.go
+++ b/internal/dataplane/freshness.go
@@ -22,7 +22,7 @@
 type freshness struct {
 	// provenAt is when a majority confirmed, at the latest, that no configuration newer than the one in use is in force.
 	provenAt atomic.Pointer[time.Time]
-	// adopted is the revision in use, and newestKnown the newest that any control-plane node with confirmed state has told of.
+	// adopted is the revision in use, and newestKnown the newest that any control-plane node with confirmed state has reported.
 	adopted     atomic.Int64
 	newestKnown atomic.Int64
 
@@ -64,13 +64,13 @@
 	return proven != nil && now.Sub(*proven) < window
 }
 
-// Behind tells whether a newer configuration is known of that has not been adopted yet.
+// Behind reports whether a newer configuration is known of that has not been adopted yet.
 func (f *freshness) Behind() bool { return f.newestKnown.Load() > f.adopted.Load() }
 
-// Current tells whether a configuration newer than the one in use can't have been in force for long.
+// Current reports whether a configuration newer than the one in use can't have been in force for long.
 func (f *freshness) Current(now time.Time) bool { return f.provenWithin(f.rejectionWindow, now) }
 
-// KeysValid tells whether the keys in use may be served: always where the settings let nodes out of touch serve them, else
+// KeysValid reports whether the keys in use may be served: always where the settings let nodes out of touch serve them, else
 // while they are proven to be new.
 func (f *freshness) KeysValid(now time.Time) bool {
 	return f.keyWindow == 0 || f.provenWithin(f.keyWindow, now)
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -113,7 +113,7 @@
 // RecordTo has requests, configurations and fleets written to the request log. Call it before Run.
 func (n *Node) RecordTo(writer *requestlog.Writer) {
 	n.state.requestLog = writer
-	n.proxy.Recorder = writer
+	n.proxy.RequestLog = writer
 }
 
 // Run listens and serves until the context ends, the stop signal comes, or a listener fails. Ending the context ends
@@ -214,7 +214,7 @@
 	logrus.WithField("duration_ms", time.Since(startedAt).Milliseconds()).Info("shutdown complete")
 }
 
-// drain makes every part that answers others say that this node is leaving.
+// drain has every part of the node begin its graceful shutdown.
 func (n *Node) drain() {
 	n.draining.Store(true)
 	n.proxy.Drain()
--- a/internal/dataplane/subscribe.go
+++ b/internal/dataplane/subscribe.go
@@ -7,6 +7,14 @@
 	"ferryspar/internal/peer"
 )
 
+// subscriptions are the requests for endpoints, one at a time. They belong to the goroutine of FleetState.Run, but for
+// results.
+type subscriptions struct {
+	// pending says that a request has no result yet.
+	pending bool
+	results chan subscribeResult
+}
+
 // subscribeResult is how one subscribe request went.
 type subscribeResult struct {
 	address    string
@@ -18,7 +26,7 @@
 	err error
 }
 
-// fresh tells whether the response was confirmed by a majority lately enough to be believed.
+// fresh reports whether the response was confirmed by a majority lately enough to be believed.
 func (r subscribeResult) fresh() bool {
 	return r.err == nil && r.response.IsFresh(r.sentAt, r.receivedAt)
 }
@@ -28,7 +36,7 @@
 func (s *FleetState) subscribe(ctx context.Context, peers *peer.Client) {
 	address := s.Primary()
 	control := s.controlPeers.byAddress[address]
-	if control == nil || s.subscribing {
+	if control == nil || s.subscriptions.pending {
 		return
 	}
 	request := peer.SubscribeRequest{
@@ -45,7 +53,7 @@
 		request.Add = s.interest.All()
 	}
 	control.subscriptionNumber++
-	s.subscribing = true
+	s.subscriptions.pending = true
 	s.calls.Go(func() { s.sendSubscribe(ctx, peers, address, request) })
 }
 
@@ -55,7 +63,7 @@
 	result.err = peers.Call(ctx, "follow", address, request, &result.response)
 	result.receivedAt = s.clock()
 	select {
-	case s.subscribeResults <- result:
+	case s.subscriptions.results <- result:
 	case <-ctx.Done():
 	}
 }
@@ -63,7 +71,7 @@
 // handleSubscribeResult adopts the endpoints of a response, and reports whether the fleet changed. After a failure
 // everything is subscribed to anew.
 func (s *FleetState) handleSubscribeResult(result subscribeResult) bool {
-	s.subscribing = false
+	s.subscriptions.pending = false
 	control := s.controlPeers.byAddress[result.address]
 	request, response := result.request, result.response
 	if response.Resubscribe || !result.fresh() {
@@ -98,7 +106,7 @@
 	s.position.subscription.Store(&followed)
 }
 
-// completeFrom tells whether the address is the primary and all that is followed there is known.
+// completeFrom reports whether the address is the primary and all that is followed there is known.
 func (s *FleetState) completeFrom(address string) bool {
 	control := s.controlPeers.byAddress[address]
 	return control != nil && control.complete && address == s.Primary()
@@ -121,7 +129,7 @@
 	return s.endpoints.use(result.address, control, control.merge(response.EndpointSets))
 }
 
-// fetchedAt is when the list of replicas was read from the platform that was of the age, in milliseconds, when a response came.
+// fetchedAt is when a list of replicas was read from the platform, by its age in milliseconds when the response came.
 func fetchedAt(receivedAt time.Time, ageMs int64) time.Time {
 	return receivedAt.Add(-time.Duration(ageMs) * time.Millisecond)
 }
--- a/internal/dataplane/watcher.go
+++ b/internal/dataplane/watcher.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// fresh tells whether the response was confirmed by a majority lately enough to be believed.
+// fresh reports whether the response was confirmed by a majority lately enough to be believed.
 func (r watchResult) fresh() bool { return r.err == nil && r.response.IsFresh(r.sentAt, r.receivedAt) }
 
 // Watcher keeps a long poll open at every control-plane node that is known and passes the results on.
@@ -165,7 +165,7 @@
 	}
 }
 
-// acknowledge writes into the next poll what this response has told.
+// acknowledge writes into the next poll what this response has brought.
 func acknowledge(request *peer.WatchRequest, response peer.WatchResponse) {
 	if request.Incarnation != response.Incarnation {
 		request.RosterVersion = 0
--- a/internal/proxy/authorization.go
+++ b/internal/proxy/authorization.go
@@ -11,13 +11,13 @@
 	"ferryspar/internal/routing"
 )
 
-// Freshness tells how sure the data plane is that the configuration in use is the newest. Any goroutine may call it.
+// Freshness says how sure the data plane is that the configuration in use is the newest. Any goroutine may call it.
 type Freshness interface {
-	// Behind tells whether a newer configuration is known of that has not been adopted yet.
+	// Behind reports whether a newer configuration is known of that has not been adopted yet.
 	Behind() bool
-	// Current tells whether nothing newer can have been in force for long, so that what is unknown here may be rejected.
+	// Current reports whether nothing newer can have been in force for long, so that what is unknown here may be rejected.
 	Current(now time.Time) bool
-	// KeysValid tells whether no key can have been revoked longer ago than the settings allow it to be served.
+	// KeysValid reports whether no key can have been revoked longer ago than the settings allow it to be served.
 	KeysValid(now time.Time) bool
 }
 
@@ -77,7 +77,7 @@
 }
 
 // authorize finds what the configuration allows the request. It is rejected for good only where the configuration is known
-// to be new: what a newer one may allow waits for it briefly, and is then asked to come again.
+// to be new: what a newer one may allow waits for it briefly, and the client is then asked to retry later.
 func (h *Handler) authorize(request *http.Request, arrived time.Time) (*routing.Snapshot, authorization, error) {
 	presented := credentialFrom(request.Header)
 	for {
@@ -96,7 +96,7 @@
 	}
 }
 
-// confirmRejection returns the rejection where the configuration is known to be new, else the request to come again.
+// confirmRejection returns the rejection where the configuration is known to be new, else asks the client to retry later.
 func (h *Handler) confirmRejection(rejection *apierror.Error) *apierror.Error {
 	if h.Freshness == nil || !h.behind() && h.Freshness.Current(h.clock()) {
 		return rejection
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -24,7 +24,7 @@
 	// attempts counts those that may have reached a replica, unreached those that didn't.
 	attempts  int
 	unreached int
-	// mayHaveRun says that an attempt may have run, so that the client must not be told that none has.
+	// mayHaveRun says that an attempt may have run, so that the client must not be answered that none has.
 	mayHaveRun bool
 	// notLoaded says that the last replica didn't have the model loaded.
 	notLoaded bool
@@ -118,7 +118,7 @@
 	return e.retryOrFail(notExecuted)
 }
 
-// report tells the matcher how the attempt goes.
+// report reports to the matcher how the attempt goes.
 func (e *exchange) report(outcome routing.Outcome) { e.handler.matcher.Report(e.ticket, outcome) }
 
 // fail answers the client with an error, or aborts a response that has begun.
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -27,9 +27,9 @@
 	draining     atomic.Bool
 	inFlight     atomic.Int64
 
-	// Recorder, if set before the first request, writes down how each request went.
-	Recorder *requestlog.Writer
-	// Freshness, if set before the first request, tells how new the configuration is. Without it, it counts as the newest.
+	// RequestLog, if set before the first request, writes down how each request went.
+	RequestLog *requestlog.Writer
+	// Freshness, if set before the first request, says how new the configuration is. Without it, it counts as the newest.
 	Freshness Freshness
 	// Quota, if set before the first request, may reject requests of tenants beyond their limit.
 	Quota Quota
@@ -60,7 +60,7 @@
 // Drain asks clients from now on to close their connections.
 func (h *Handler) Drain() { h.draining.Store(true) }
 
-// Draining tells whether Drain was called.
+// Draining reports whether Drain was called.
 func (h *Handler) Draining() bool { return h.draining.Load() }
 
 // InFlight is the number of requests being served.
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -17,7 +17,7 @@
 
 // recordRequest writes how the request went to the request log, if there is one.
 func (e *exchange) recordRequest() {
-	writer := e.handler.Recorder
+	writer := e.handler.RequestLog
 	if writer == nil {
 		return
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -103,7 +103,7 @@
 	return parsed, nil
 }
 
-// applyRoute sets what the matcher is told of the route and of the tenant.
+// applyRoute sets what the matcher gets to know of the route and of the tenant.
 func (p *parsedRequest) applyRoute(fleet *routing.Snapshot) {
 	tenant := fleet.Table.Tenant(p.authorization.tenant)
 	p.request.LatencyTarget = milliseconds(p.route.TargetLatencyMs)
--- a/internal/proxy/retries.go
+++ b/internal/proxy/retries.go
@@ -42,7 +42,7 @@
 	return apierror.New(apierror.ReplicaFailed, "")
 }
 
-// canRetry tells whether the route allows one more attempt.
+// canRetry reports whether the route allows one more attempt.
 func (e *exchange) canRetry() bool {
 	return e.attempts < max(e.parsed.route.RetryCount, 1) && e.unreached < maxUnreached
 }
--- a/internal/proxy/streaming.go
+++ b/internal/proxy/streaming.go
@@ -16,7 +16,7 @@
 const (
 	// copyBufferSize is how many bytes of a response are passed on at once.
 	copyBufferSize = 4 << 10
-	// progressInterval is how often the matcher is told that a response goes on.
+	// progressInterval is how often it is reported to the matcher that a response goes on.
 	progressInterval = 250 * time.Millisecond
 	// eventStream is the content type of a stream that may be resumed.
 	eventStream = "text/event-stream"
@@ -33,7 +33,7 @@
 	http.StatusMisdirectedRequest: true,
 }
 
-// streamProgress is what the matcher has been told of one response.
+// streamProgress is what has been reported to the matcher of one response.
 type streamProgress struct {
 	started      bool
 	lagging      bool
@@ -74,14 +74,14 @@
 	}
 }
 
-// resumable tells whether the response may be continued by another replica if it breaks off.
+// resumable reports whether the response may be continued by another replica if it breaks off.
 func (e *exchange) resumable(response *http.Response) bool {
 	route := e.parsed.route
 	return route.RouteType == routeTypeStreaming && route.Resumable && isSuccess(response) &&
 		strings.HasPrefix(response.Header.Get("Content-Type"), eventStream)
 }
 
-// passable tells whether the client may get the response: a promise that nothing has run needs a proof, and after a head
+// passable reports whether the client may get the response: a promise that nothing has run needs a proof, and after a head
 // has been sent only the continuation of its stream may follow.
 func (e *exchange) passable(response *http.Response, resumable bool) bool {
 	return !notExecutedStatuses[response.StatusCode] && (!e.headerSent || resumable)
@@ -89,12 +89,12 @@
 
 func isSuccess(response *http.Response) bool { return response.StatusCode < http.StatusMultipleChoices }
 
-// isServerFailure tells whether the replica failed, rather than that it ran out of time.
+// isServerFailure reports whether the replica failed, rather than that it ran out of time.
 func isServerFailure(response *http.Response) bool {
 	return response.StatusCode >= http.StatusInternalServerError && response.StatusCode != http.StatusGatewayTimeout
 }
 
-// reportProgress tells the matcher of the first bytes, of a gap that is too long, and now and then that there are more.
+// reportProgress reports to the matcher the first bytes, of a gap that is too long, and now and then that there are more.
 func (e *exchange) reportProgress(progress *streamProgress) {
 	now := e.handler.clock()
 	gap := e.timing.recordRead(now)
@@ -111,7 +111,7 @@
 	}
 }
 
-// exceedsTokenGap tells whether the route calls a gap in the stream too long.
+// exceedsTokenGap reports whether the route calls a gap in the stream too long.
 func (e *exchange) exceedsTokenGap(gap time.Duration) bool {
 	limit := e.parsed.route.TokenGapMs
 	return limit > 0 && float64(gap.Milliseconds()) > limit
@@ -150,7 +150,7 @@
 	e.writer.WriteHeader(response.StatusCode)
 }
 
-// hasContentLength tells whether the client is to see the length that the replica stated.
+// hasContentLength reports whether the client is to see the length that the replica stated.
 func hasContentLength(response *http.Response) bool {
 	_, stated := response.Header["Content-Length"]
 	return stated && response.ContentLength >= 0 && response.StatusCode != http.StatusNoContent
--- a/internal/replica/attempttrace.go
+++ b/internal/replica/attempttrace.go
@@ -13,7 +13,7 @@
 var errEarlyResponse = errors.New("response before its request was written")
 
 // attemptTrace follows one sending of a request through the transport: which connections it was given and what was written
-// to and read from them. It is how a request that left nothing on the wire is told from one that may have run.
+// to and read from them. It is how a request that left nothing on the wire is distinguished from one that may have run.
 type attemptTrace struct {
 	id string
 	// maxIdle is for how long a reused connection may have been idle.
@@ -62,28 +62,28 @@
 	}
 }
 
-// nothingWritten tells that no byte of the request can have left: no connection was written to.
+// nothingWritten reports whether it is certain that no byte of the request can have left: no connection was written to.
 func (a *attemptTrace) nothingWritten() bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return !a.mayHaveWritten && (a.connection == nil || a.connection.written.Load() == a.writtenBefore)
 }
 
-// nothingRead tells that nothing came back on a reused connection, and how long that had been idle before.
+// nothingRead reports whether nothing came back on a reused connection, and how long that had been idle before.
 func (a *attemptTrace) nothingRead() (idleFor time.Duration, nothing bool) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.idleFor, a.connection != nil && a.reused && a.connection.read.Load() == a.readBefore
 }
 
-// onReusedConnection tells that the last connection had been used before this attempt.
+// onReusedConnection reports whether the last connection had been used before this attempt.
 func (a *attemptTrace) onReusedConnection() bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.connection != nil && a.reused
 }
 
-// firstOnConnection tells that the last connection carried nothing before this attempt, so that no response on it can be a
+// firstOnConnection reports whether the last connection carried nothing before this attempt, so that no response on it can be a
 // surplus one.
 func (a *attemptTrace) firstOnConnection() bool {
 	a.lock.Lock()
@@ -91,7 +91,7 @@
 	return a.connection != nil && a.firstUse && !a.mayHaveWritten
 }
 
-// answeredEarly tells that a response came before the request was written, or on a connection that had been retired: it
+// answeredEarly reports whether a response came before the request was written, or on a connection that had been retired: it
 // belongs to another request. The connection is abandoned before that is judged, so that the request can't follow.
 func (a *attemptTrace) answeredEarly() bool {
 	a.lock.Lock()
--- a/internal/replica/connection.go
+++ b/internal/replica/connection.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// recordAttempt records an attempt and tells whether the connection carried any, and this one, before.
+// recordAttempt records an attempt and reports whether the connection carried any, and this one, before.
 func (c *countedConnection) recordAttempt(id string) (usedBefore, carriedThis bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/replica/eventbuffer.go
+++ b/internal/replica/eventbuffer.go
@@ -38,14 +38,14 @@
 	return complete, len(b.pending) <= maxEventBytes
 }
 
-// Complete tells that no part of an event is pending.
+// Complete reports whether no part of an event is pending.
 func (b *EventBuffer) Complete() bool { return len(bytes.TrimSpace(b.pending)) == 0 }
 
 // Resume drops the part of an event that is pending. What is fed next comes from another replica, which has to go on after
 // LastID.
 func (b *EventBuffer) Resume() { b.pending, b.resuming = b.pending[:0], true }
 
-// follows tells whether the event of an id may follow another. Only ids that are numbers are compared.
+// follows reports whether the event of an id may follow another. Only ids that are numbers are compared.
 func follows(before, after string) bool {
 	earlier, err := strconv.ParseUint(before, 10, 64)
 	if err != nil {
--- a/internal/replica/upstreamrequest.go
+++ b/internal/replica/upstreamrequest.go
@@ -20,7 +20,7 @@
 	Body   []byte
 	// AttemptID is the client's id of this attempt, which its response has to bear.
 	AttemptID string
-	// Urgency is the rank told to the replica, from 0 (first) to 9.
+	// Urgency is the rank sent to the replica, from 0 (first) to 9.
 	Urgency int
 	// Deadline is when the client or the route gives the request up.
 	Deadline time.Time
@@ -28,7 +28,7 @@
 	LastEventID string
 	// Backend is the name of the replica's backend; its replicas are taken to keep idle connections equally long.
 	Backend string
-	// Tenant is the name told to the replica, empty for a request of no tenant.
+	// Tenant is the name sent to the replica, empty for a request of no tenant.
 	Tenant string
 	// NonIdempotent says that the request may not run twice.
 	NonIdempotent bool
@@ -92,7 +92,7 @@
 	}
 }
 
-// ValidTarget tells whether a request target, as a client sent it, can be passed on unchanged.
+// ValidTarget reports whether a request target, as a client sent it, can be passed on unchanged.
 func ValidTarget(uri string) bool {
 	if !strings.HasPrefix(uri, "/") {
 		return false
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -25,7 +25,7 @@
 	VerdictReset
 )
 
-// NotExecuted tells whether the verdict proves that the request didn't run and never will, so that it may be sent to another
+// NotExecuted reports whether the verdict proves that the request didn't run and never will, so that it may be sent to another
 // replica whatever its method.
 func (v Verdict) NotExecuted() bool {
 	switch v {
@@ -59,7 +59,7 @@
 	return VerdictAnswered
 }
 
-// trustworthy tells whether a response may be passed on: its status is final, its end can be seen, its body is the replica's
+// trustworthy reports whether a response may be passed on: its status is final, its end can be seen, its body is the replica's
 // own bytes, and a success bears the seal.
 func trustworthy(response *http.Response) bool {
 	if response.StatusCode < http.StatusOK || response.Header.Get("Content-Encoding") != "" {
@@ -72,7 +72,7 @@
 	return response.Header.Get(HeaderNotExecuted) == "" && hasFraming(response)
 }
 
-// hasFraming tells whether the end of the body can be told from a connection that broke off.
+// hasFraming reports whether the end of the body can be told from a connection that broke off.
 func hasFraming(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || response.Body == http.NoBody
 }
