--- a/internal/proxy/authorization_test.go
+++ b/internal/proxy/authorization_test.go
@@ -49,13 +49,15 @@
 func TestHandler_ForwardsTenantButNeverTheKey(t *testing.T) {
 	forged := []string{replica.HeaderTenant + ": two", "ferryspar-tenant: three", "Connection: Ferryspar-Tenant, X-Api-Key"}
 	for _, name := range []string{"X-Api-Key", "x-api-key", "X-API-KEY", "x-aPi-keY"} {
-		server, upstream := startServerWithTenants(t)
-		response := server.send(t, post("/once/", "a", append(forged, name+": "+firstKey)...))
-		assert.Equal(t, response.status, http.StatusOK)
-		seen := upstream.requests[0].Header
-		assert.DeepEqual(t, seen.Values(replica.HeaderTenant), []string{"one"})
-		assert.Equal(t, seen.Get(replica.HeaderUrgency), "3", "the tenant's priority")
-		assert.Assert(t, !strings.Contains(fmt.Sprint(seen), firstKey))
+		t.Run(name, func(t *testing.T) {
+			server, upstream := startServerWithTenants(t)
+			response := server.send(t, post("/once/", "a", append(forged, name+": "+firstKey)...))
+			assert.Equal(t, response.status, http.StatusOK)
+			header := upstream.requests[0].Header
+			assert.DeepEqual(t, header.Values(replica.HeaderTenant), []string{"one"})
+			assert.Equal(t, header.Get(replica.HeaderUrgency), "3", "the tenant's priority")
+			assert.Assert(t, !strings.Contains(fmt.Sprint(header), firstKey))
+		})
 	}
 }
 
@@ -69,37 +71,46 @@
 
 func TestHandler_RejectsRequestWithoutOneKnownKey(t *testing.T) {
 	server, upstream := startServerWithTenants(t)
-	cases := [][]string{
-		{},
-		{keyHeader("")},
-		{keyHeader("unknown")},
-		{keyHeader(firstKey), keyHeader(firstKey)},
-		{keyHeader(firstKey), keyHeader(secondKey)},
-		{keyHeader(firstKey), "x-api-key: unknown"},
-		{keyHeader(firstKey + ", " + secondKey)},
-		{keyHeader(strings.ToUpper(firstKey))},
-		{keyHeader(configuration.APIKey(firstKey).Digest())},
-		{replica.HeaderTenant + ": one"},
-		{"Authorization: " + firstKey},
+	cases := map[string][]string{
+		"no key":             {},
+		"empty key":          {keyHeader("")},
+		"unknown key":        {keyHeader("unknown")},
+		"same key twice":     {keyHeader(firstKey), keyHeader(firstKey)},
+		"two known keys":     {keyHeader(firstKey), keyHeader(secondKey)},
+		"unknown beside":     {keyHeader(firstKey), "x-api-key: unknown"},
+		"list of keys":       {keyHeader(firstKey + ", " + secondKey)},
+		"key in capitals":    {keyHeader(strings.ToUpper(firstKey))},
+		"digest of key":      {keyHeader(configuration.APIKey(firstKey).Digest())},
+		"claimed tenant":     {replica.HeaderTenant + ": one"},
+		"authorization line": {"Authorization: " + firstKey},
 	}
-	for _, lines := range cases {
-		response := server.send(t, post("/once/", "a", lines...))
-		assert.Equal(t, response.status, http.StatusUnauthorized, "%q", lines)
-		assert.Assert(t, !strings.Contains(response.body, firstKey))
+	for name, lines := range cases {
+		t.Run(name, func(t *testing.T) {
+			response := server.send(t, post("/once/", "a", lines...))
+			assert.Equal(t, response.status, http.StatusUnauthorized)
+			assert.Assert(t, !strings.Contains(response.body, firstKey))
+		})
 	}
 	assert.Equal(t, upstream.requestCount(), 0)
 	assert.DeepEqual(t, server.handler.Rejections.Counts(), map[string]uint64{"one known key is needed": uint64(len(cases))})
 }
 
-func TestHandler_PublicRouteNeedsNoKey(t *testing.T) {
+func TestHandler_PublicRouteTakesTenantOfKnownKey(t *testing.T) {
 	for tenant, lines := range map[string][]string{
-		"": {replica.HeaderTenant + ": one"}, "one": {keyHeader(firstKey)}, "two": {keyHeader(secondKey), replica.HeaderTenant + ": one"},
+		"":    {replica.HeaderTenant + ": one"},
+		"one": {keyHeader(firstKey)},
+		"two": {keyHeader(secondKey), replica.HeaderTenant + ": one"},
 	} {
-		server, upstream := startServerWithTenants(t)
-		response := server.send(t, post("/open/", "a", lines...))
-		assert.Equal(t, response.status, http.StatusOK)
-		assert.Equal(t, upstream.requests[0].Header.Get(replica.HeaderTenant), tenant)
+		t.Run("tenant "+tenant, func(t *testing.T) {
+			server, upstream := startServerWithTenants(t)
+			response := server.send(t, post("/open/", "a", lines...))
+			assert.Equal(t, response.status, http.StatusOK)
+			assert.Equal(t, upstream.requests[0].Header.Get(replica.HeaderTenant), tenant)
+		})
 	}
+}
+
+func TestHandler_PublicRouteNeedsNoKey(t *testing.T) {
 	server, upstream := startServerWithTenants(t)
 	for _, lines := range [][]string{{keyHeader("unknown")}, {keyHeader(firstKey), keyHeader(secondKey)}} {
 		assert.Equal(t, server.send(t, post("/open/", "a", lines...)).status, http.StatusOK)
@@ -141,11 +152,11 @@
 	server = startServer(t, upstream, second)
 	server.configure(t, tenants)
 	server.send(t, post("/again/", "a", keyHeader(firstKey)))
-	seen := map[string]int{}
+	byTenant := map[string]int{}
 	for _, read := range append(append([]*http.Request(nil), upstream.requests...), second.requests...) {
-		seen[read.Header.Get(replica.HeaderTenant)]++
+		byTenant[read.Header.Get(replica.HeaderTenant)]++
 	}
-	assert.DeepEqual(t, seen, map[string]int{"one": 1, "three": 1})
+	assert.DeepEqual(t, byTenant, map[string]int{"one": 1, "three": 1})
 }
 
 // testFreshness is a data plane's knowledge of how new its configuration is.
@@ -160,19 +171,21 @@
 	freshness := &testFreshness{}
 	server.handler.Freshness = freshness
 	unknown := map[string]string{"key": post("/once/", "a", keyHeader("new")), "route": post("/new/", "a", keyHeader(firstKey))}
-	certain := map[string]int{"key": http.StatusUnauthorized, "route": http.StatusNotFound}
+	final := map[string]int{"key": http.StatusUnauthorized, "route": http.StatusNotFound}
 	for name, raw := range unknown {
-		assert.Equal(t, server.send(t, raw).status, certain[name])
+		assert.Equal(t, server.send(t, raw).status, final[name])
 	}
-	for _, doubt := range []*atomic.Bool{&freshness.behind, &freshness.stale} {
-		doubt.Store(true)
-		for name, raw := range unknown {
-			response := server.send(t, raw)
-			assert.Equal(t, response.status, http.StatusServiceUnavailable, name)
-			assert.Assert(t, response.header.Get("Retry-After") != "", name)
-		}
-		assert.Equal(t, server.send(t, post("/once/", "a", keyHeader(firstKey))).status, http.StatusOK)
-		doubt.Store(false)
+	for doubt, flag := range map[string]*atomic.Bool{"behind": &freshness.behind, "stale": &freshness.stale} {
+		t.Run(doubt, func(t *testing.T) {
+			flag.Store(true)
+			defer flag.Store(false)
+			for name, raw := range unknown {
+				response := server.send(t, raw)
+				assert.Equal(t, response.status, http.StatusServiceUnavailable, name)
+				assert.Assert(t, response.header.Get("Retry-After") != "", name)
+			}
+			assert.Equal(t, server.send(t, post("/once/", "a", keyHeader(firstKey))).status, http.StatusOK)
+		})
 	}
 }
 
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -15,50 +15,55 @@
 	"ferryspar/internal/routing"
 )
 
+// chunkedEncoding is the line of a head whose body comes in chunks.
+const chunkedEncoding = "Transfer-Encoding: chunked"
+
 // requestWithBody composes a request with the given lines in the place of its length, and its body as it stands.
 func requestWithBody(target, attempt, body string, lines ...string) string {
-	whole := strings.Replace(post(target, attempt, lines...), "Content-Length: 6\r\n", "", 1)
-	return strings.TrimSuffix(whole, "prompt") + body
+	withBody := strings.Replace(post(target, attempt, lines...), "Content-Length: 6\r\n", "", 1)
+	return strings.TrimSuffix(withBody, "prompt") + body
 }
 
 func TestHandler_ForwardsRequestUnchanged(t *testing.T) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
 	clientConn := startServer(t, upstream).connect(t)
-	for number, raw := range []string{
-		post("/once/a/../b", "a"),
-		post("/once//b%2Fc?", "a"),
-		post("/once/?x=%20&&y", "a"),
-		post("/once/", "a", "Expect: 100-continue"),
-		post("/once/", "a", "Idempotency-Key: k"),
-		requestWithBody("/once/", "a", "3\r\npro\r\n3\r\nmpt\r\n0\r\n\r\n", "Transfer-Encoding: chunked"),
-		requestWithBody("/once/", "a", "6\r\nprompt\r\n0\r\nSum: 1\r\n\r\n", "Transfer-Encoding: chunked", "Trailer: Sum"),
+	for number, test := range []struct{ name, raw string }{
+		{"dots in path", post("/once/a/../b", "a")},
+		{"encoded path", post("/once//b%2Fc?", "a")},
+		{"odd query", post("/once/?x=%20&&y", "a")},
+		{"expects continue", post("/once/", "a", "Expect: 100-continue")},
+		{"idempotency key", post("/once/", "a", "Idempotency-Key: k")},
+		{"chunks", requestWithBody("/once/", "a", "3\r\npro\r\n3\r\nmpt\r\n0\r\n\r\n", chunkedEncoding)},
+		{"trailer", requestWithBody("/once/", "a", "6\r\nprompt\r\n0\r\nSum: 1\r\n\r\n", chunkedEncoding, "Trailer: Sum")},
 	} {
-		wanted := strings.Fields(raw)[1]
-		response := clientConn.exchange("POST", raw)
-		if response.status == http.StatusContinue {
-			response = clientConn.exchange("POST", "")
-		}
-		assert.Equal(t, response.status, http.StatusOK, raw)
-		assert.Equal(t, response.body, "words")
-		assert.Equal(t, upstream.requestCount(), number+1)
-		request := upstream.requests[number]
-		assert.Equal(t, request.RequestURI, wanted)
-		assert.Equal(t, request.Host, "shop.example")
-		assert.Equal(t, upstream.bodies[number], "prompt")
-		assert.Equal(t, request.ContentLength, int64(len("prompt")))
-		assert.Equal(t, len(request.TransferEncoding), 0)
+		t.Run(test.name, func(t *testing.T) {
+			target := strings.Fields(test.raw)[1]
+			response := clientConn.exchange("POST", test.raw)
+			if response.status == http.StatusContinue {
+				response = clientConn.exchange("POST", "")
+			}
+			assert.Equal(t, response.status, http.StatusOK)
+			assert.Equal(t, response.body, "words")
+			assert.Equal(t, upstream.requestCount(), number+1)
+			request := upstream.requests[number]
+			assert.Equal(t, request.RequestURI, target)
+			assert.Equal(t, request.Host, "shop.example")
+			assert.Equal(t, upstream.bodies[number], "prompt")
+			assert.Equal(t, request.ContentLength, int64(len("prompt")))
+			assert.Equal(t, len(request.TransferEncoding), 0)
+		})
 	}
 }
 
 func TestHandler_RejectsRequestSmuggling(t *testing.T) {
-	const noChunks, chunked = "0\r\n\r\n", "Transfer-Encoding: chunked"
+	const noChunks = "0\r\n\r\n"
 	hidden := post("/once/hidden", "hidden")
 	for name, raw := range map[string]string{
 		"two hosts":            post("/once/", "a", "Host: other.example"),
 		"two ids":              post("/once/", "a", replica.HeaderAttempt+": b"),
 		"two lengths":          post("/once/", "a", "Content-Length: 7"),
-		"length and chunks":    post("/once/", "a", chunked) + "\r\n",
-		"chunks of two kinds":  requestWithBody("/once/", "a", noChunks+hidden, chunked, "Transfer-Encoding: identity"),
+		"length and chunks":    post("/once/", "a", chunkedEncoding) + "\r\n",
+		"chunks of two kinds":  requestWithBody("/once/", "a", noChunks+hidden, chunkedEncoding, "Transfer-Encoding: identity"),
 		"space before colon":   requestWithBody("/once/", "a", noChunks, "Transfer-Encoding : chunked"),
 		"absolute target":      post("http://shop.example/once/", "a"),
 		"line break in target": post("/once/\r\nX: y", "a"),
@@ -77,7 +82,7 @@
 func TestHandler_LengthBesideChunksIsFramedOnce(t *testing.T) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
 	clientConn := startServer(t, upstream).connect(t)
-	raw := requestWithBody("/once/", "a", "6\r\nprompt\r\n0\r\n\r\n", "Content-Length: 3", "Transfer-Encoding: chunked")
+	raw := requestWithBody("/once/", "a", "6\r\nprompt\r\n0\r\n\r\n", "Content-Length: 3", chunkedEncoding)
 	response := clientConn.exchange("POST", raw)
 	assert.Assert(t, response.status == http.StatusOK || response.status == http.StatusBadRequest, "status %d", response.status)
 	for _, body := range upstream.bodies {
--- a/internal/proxy/responses_test.go
+++ b/internal/proxy/responses_test.go
@@ -54,7 +54,7 @@
 	for _, upstream := range replicas {
 		runs += upstream.requestCount()
 	}
-	assert.Equal(t, runs, 2, "retryCount bounds the replicas of one try")
+	assert.Equal(t, runs, 2, "retryCount limits the replicas of one request")
 	assert.Equal(t, response.header.Get(replica.HeaderSeal), fmt.Sprintf("seal-%d", response.status-504))
 	assert.Equal(t, response.body, response.header.Get(replica.HeaderSeal))
 }
@@ -100,7 +100,7 @@
 	assert.Equal(t, response.header.Get("Content-Length"), "12")
 }
 
-// brokenStream sends events and breaks off; the resumed run starts again at the event that it is told to start at.
+// brokenStream sends events and breaks off.
 func brokenStream(seal, events string) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		lines := responseHead("200 OK", request, seal, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
@@ -109,6 +109,7 @@
 	}
 }
 
+// completeStream sends events of a content type and ends.
 func completeStream(seal, kind, events string) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		lines := responseHead("200 OK", request, seal, "Content-Type: "+kind, "Transfer-Encoding: chunked")
@@ -118,13 +119,13 @@
 }
 
 func TestHandler_ResumedStreamContinuesAfterLastEvent(t *testing.T) {
-	const begun = "id: 1\ndata: x\n\nid: 2\ndata: x\n\n"
+	const firstEvents = "id: 1\ndata: x\n\nid: 2\ndata: x\n\n"
 	for name, test := range map[string]struct {
 		kind, rest string
-		whole      bool
+		complete   bool
 	}{
 		"goes on":           {"text/event-stream", "id: 3\ndata: x\n\n", true},
-		"begins once more":  {"text/event-stream", begun, false},
+		"starts again":      {"text/event-stream", firstEvents, false},
 		"is something else": {"application/json", "{}", false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -133,14 +134,14 @@
 				if request.Header.Get(replica.HeaderLastEventID) == "2" {
 					return completeStream("seal-2", test.kind, test.rest)(connection, request)
 				}
-				return brokenStream("seal-1", begun)(connection, request)
+				return brokenStream("seal-1", firstEvents)(connection, request)
 			}
 			first, second := startReplica(t, "i-1", resumes), startReplica(t, "i-2", resumes)
 			response := startServer(t, first, second).send(t, post("/events/", "a"))
 			assert.Equal(t, response.header.Get(replica.HeaderSeal), "seal-1")
-			assert.Equal(t, response.broken, !test.whole)
-			want := begun
-			if test.whole {
+			assert.Equal(t, response.broken, !test.complete)
+			want := firstEvents
+			if test.complete {
 				want += test.rest
 			}
 			assert.Equal(t, response.body, want)
@@ -154,7 +155,7 @@
 	start := time.Now()
 	response := startServer(t, upstream).send(t, post("/once/", "a"))
 	assert.Equal(t, response.status, http.StatusGatewayTimeout)
-	assert.Assert(t, time.Since(start) < 700*time.Millisecond, "held %s", time.Since(start))
+	assert.Assert(t, time.Since(start) < 700*time.Millisecond, "served for %s", time.Since(start))
 	assert.Equal(t, upstream.requestCount(), 1)
 }
 
@@ -174,7 +175,7 @@
 	start := time.Now()
 	_, _ = io.WriteString(clientConn, post("/once/", "a"))
 	for upstream.requestCount() == 0 || server.handler.InFlight() > 0 {
-		assert.Assert(t, time.Since(start) < 900*time.Millisecond, "still held")
+		assert.Assert(t, time.Since(start) < 900*time.Millisecond, "still served")
 		time.Sleep(10 * time.Millisecond)
 	}
 }
