--- a/internal/dataplane/configuration.go
+++ b/internal/dataplane/configuration.go
@@ -10,7 +10,7 @@
 
 // adoptConfiguration adopts the configuration of a response if it is newer than the one in use, and reports whether it
 // was. An error names the revision that can't be read; the one in use stays.
-func (s *FleetState) adoptConfiguration(response peer.WatchResponse) (bool, error) {
+func (s *FleetState) adoptConfiguration(response *peer.WatchResponse) (bool, error) {
 	if len(response.PackedConfiguration) == 0 || response.Revision <= s.position.revision.Load() {
 		return false, nil
 	}
--- a/internal/dataplane/contextrules.go
+++ b/internal/dataplane/contextrules.go
@@ -41,6 +41,9 @@
 	return confirmed != nil && now.Sub(*confirmed) < contactTimeout
 }
 
+// confirm records when a confirmed response came. Any goroutine may call it.
+func (c *contextRules) confirm(receivedAt time.Time) { c.lastConfirmed.Store(&receivedAt) }
+
 // adopt adopts rules newer than those in force, and has the ledger forget what they name. The position acknowledges them
 // only once the ledger has done so: operators learn from that that it is forgotten.
 func (c *contextRules) adopt(rules peer.ContextUpdate, position *watchPosition) {
--- a/internal/dataplane/controlpeers.go
+++ b/internal/dataplane/controlpeers.go
@@ -54,7 +54,7 @@
 }
 
 // update stores what a response says of the node and of the data planes that it knows.
-func (p *controlPeer) update(result watchResult) {
+func (p *controlPeer) update(result *watchResult) {
 	p.fresh = result.fresh()
 	p.lastSeen = result.receivedAt
 	p.revision = result.response.Revision
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -47,7 +47,7 @@
 
 // handle answers the question of a response and follows its drill, and reports whether the drill in force changed. calls
 // counts the goroutine that answers.
-func (d *drillFollower) handle(ctx context.Context, calls *sync.WaitGroup, result watchResult, evacuating bool) bool {
+func (d *drillFollower) handle(ctx context.Context, calls *sync.WaitGroup, result *watchResult, evacuating bool) bool {
 	if question := result.response.Forecast; question != nil {
 		d.answerOnce(ctx, calls, result.address, *question)
 	}
--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -1,7 +1,6 @@
 package dataplane
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
@@ -118,11 +117,15 @@
 			byID[endpoint.ID] = replica
 		}
 	}
-	listed := make([]discovery.Replica, 0, len(byID))
-	for _, replica := range byID {
-		listed = append(listed, replica)
+	ids := make([]string, 0, len(byID))
+	for id := range byID {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	listed := make([]discovery.Replica, len(ids))
+	for index, id := range ids {
+		listed[index] = byID[id]
 	}
-	slices.SortFunc(listed, func(left, right discovery.Replica) int { return cmp.Compare(left.ID, right.ID) })
 	return listed
 }
 
--- a/internal/dataplane/fleetstate.go
+++ b/internal/dataplane/fleetstate.go
@@ -145,14 +145,14 @@
 		case <-ctx.Done():
 			return
 		case result := <-watcher.results:
-			s.useWatchResult(ctx, result)
+			s.useWatchResult(ctx, &result)
 			if result.err == nil {
 				watcher.Watch(ctx, result.response.ControlPlanes)
 			}
 		case <-s.interest.wake:
 			s.subscribe(ctx, peers)
 		case result := <-s.subscriptions.results:
-			if s.handleSubscribeResult(result) {
+			if s.handleSubscribeResult(&result) {
 				s.publish()
 			}
 			if s.completeFrom(result.address) {
@@ -170,30 +170,30 @@
 }
 
 // useWatchResult adopts a result, publishes what it changed and lets the next poll begin, which then acknowledges it.
-func (s *FleetState) useWatchResult(ctx context.Context, result watchResult) {
+func (s *FleetState) useWatchResult(ctx context.Context, result *watchResult) {
 	if s.handleWatchResult(ctx, result) {
 		s.publish()
 	}
 	if result.err == nil {
-		s.freshness.observe(result.response, result.sentAt, s.position.revision.Load(), result.fresh())
+		s.freshness.observe(&result.response, result.sentAt, s.position.revision.Load(), result.fresh())
 	}
 	result.markHandled()
 }
 
 // handleWatchResult adopts a result and reports whether the fleet changed.
-func (s *FleetState) handleWatchResult(ctx context.Context, result watchResult) bool {
+func (s *FleetState) handleWatchResult(ctx context.Context, result *watchResult) bool {
 	control := s.controlPeers.at(result.address)
 	if result.err != nil {
 		control.fresh = false
 		s.choosePrimary()
 		return false
 	}
-	response, fresh := result.response, result.fresh()
+	response, fresh := &result.response, result.fresh()
 	control.update(result)
 	changed := false
 	if fresh && s.acceptable(response) {
 		changed = s.adopt(response)
-		s.contextRules.lastConfirmed.Store(&result.receivedAt)
+		s.contextRules.confirm(result.receivedAt)
 		changed = s.drills.handle(ctx, &s.calls, result, s.evacuating()) || changed
 	}
 	if fresh && s.quotas != nil {
@@ -207,12 +207,12 @@
 // acceptable reports whether a response may bring the first configuration of this incarnation: only if contact with a
 // majority was proven after this data plane polled, or a configuration from before its start could be older than the one
 // it served then. Later ones only ever rise.
-func (s *FleetState) acceptable(response peer.WatchResponse) bool {
+func (s *FleetState) acceptable(response *peer.WatchResponse) bool {
 	return response.Linearizable || s.position.revision.Load() > 0
 }
 
 // adopt adopts what is newer in a response and reports whether the fleet changed.
-func (s *FleetState) adopt(response peer.WatchResponse) bool {
+func (s *FleetState) adopt(response *peer.WatchResponse) bool {
 	changed, err := s.adoptConfiguration(response)
 	if err != nil {
 		logrus.WithError(err).Error("configuration from control plane rejected")
--- a/internal/dataplane/fleetstate_bench_test.go
+++ b/internal/dataplane/fleetstate_bench_test.go
@@ -64,20 +64,20 @@
 // useBenchResponse is what a response costs the state.
 func useBenchResponse(b *testing.B, state *FleetState, response peer.WatchResponse) {
 	now := time.Now()
-	result := watchResult{address: benchSource, sentAt: now, receivedAt: time.Now(), response: response}
+	result := &watchResult{address: benchSource, sentAt: now, receivedAt: time.Now(), response: response}
 	if state.handleWatchResult(b.Context(), result) {
 		state.publish()
 	}
 }
 
 func subscribeBench(b *testing.B, state *FleetState, sets []peer.EndpointSet) {
-	state.handleWatchResult(b.Context(), watchResult{
+	state.handleWatchResult(b.Context(), &watchResult{
 		address:    benchSource,
 		sentAt:     time.Now(),
 		receivedAt: time.Now(),
 		response:   benchResponse(80),
 	})
-	state.handleSubscribeResult(subscribeResult{
+	state.handleSubscribeResult(&subscribeResult{
 		address:    benchSource,
 		request:    peer.SubscribeRequest{Sequence: 1, Reset: true},
 		response:   peer.SubscribeResponse{Incarnation: "1", FreshMs: 1000, EndpointSets: sets},
--- a/internal/dataplane/freshness.go
+++ b/internal/dataplane/freshness.go
@@ -45,7 +45,7 @@
 
 // observe takes in the response to a poll sent at that time, once the configuration of the adopted revision is in use;
 // confirmed says whether the response still counts as confirmed by a majority.
-func (f *freshness) observe(response peer.WatchResponse, sentAt time.Time, adopted int64, confirmed bool) {
+func (f *freshness) observe(response *peer.WatchResponse, sentAt time.Time, adopted int64, confirmed bool) {
 	f.adopted.Store(adopted)
 	if confirmed && response.Revision > f.newestKnown.Load() {
 		f.newestKnown.Store(response.Revision)
--- a/internal/dataplane/freshness_test.go
+++ b/internal/dataplane/freshness_test.go
@@ -35,7 +35,7 @@
 			fresh := newFreshness(closedSettings(testRevoke))
 			assert.Assert(t, !fresh.KeysValid(start) && !fresh.Current(start), "nothing is proven yet")
 			response := peer.WatchResponse{Revision: test.told, FreshMs: test.freshMs, WaitedMs: 500}
-			fresh.observe(response, start, test.adopted, response.IsFresh(start, start))
+			fresh.observe(&response, start, test.adopted, response.IsFresh(start, start))
 			assert.Equal(t, fresh.KeysValid(start), test.proves)
 			assert.Equal(t, fresh.Behind(), test.behind)
 		})
@@ -45,9 +45,9 @@
 func TestFreshness_KeysValidUntilConfirmationExpires(t *testing.T) {
 	start := time.Now()
 	fresh := newFreshness(closedSettings(testRevoke))
-	fresh.observe(peer.WatchResponse{Revision: 7, FreshMs: 700, WaitedMs: 1000}, start, 7, true)
+	fresh.observe(&peer.WatchResponse{Revision: 7, FreshMs: 700, WaitedMs: 1000}, start, 7, true)
 	confirmed := start.Add(600 * time.Millisecond)
-	fresh.observe(peer.WatchResponse{Revision: 7, FreshMs: 100, WaitedMs: 0}, start, 7, true)
+	fresh.observe(&peer.WatchResponse{Revision: 7, FreshMs: 100, WaitedMs: 0}, start, 7, true)
 	assert.Assert(t, fresh.KeysValid(confirmed.Add(4899*time.Millisecond)), "an older proof takes nothing away")
 	assert.Assert(t, !fresh.KeysValid(confirmed.Add(4900*time.Millisecond)), "less the drift of clocks")
 	assert.Assert(t, fresh.Current(confirmed.Add(2499*time.Millisecond)) && !fresh.Current(confirmed.Add(2500*time.Millisecond)))
@@ -135,7 +135,7 @@
 			}
 			if trial.draw.IntN(4) > 0 {
 				confirmed := response.IsFresh(trial.local(sentAt), trial.local(now))
-				fresh.observe(response, trial.local(sentAt), adopted, confirmed)
+				fresh.observe(&response, trial.local(sentAt), adopted, confirmed)
 			}
 			for range 20 {
 				later := now.Add(trial.span(8 * time.Second))
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -41,7 +41,7 @@
 
 // respond hands the state a response of a control-plane node to a poll, and publishes what it changes.
 func (h *stateHarness) respond(address string, response peer.WatchResponse) {
-	result := watchResult{address: address, response: response, sentAt: h.now, receivedAt: h.now}
+	result := &watchResult{address: address, response: response, sentAt: h.now, receivedAt: h.now}
 	if h.state.handleWatchResult(h.t.Context(), result) {
 		h.state.publish()
 	}
@@ -66,7 +66,7 @@
 	for _, set := range sets {
 		request.Add = append(request.Add, set.EndpointKey)
 	}
-	changed := h.state.handleSubscribeResult(subscribeResult{
+	changed := h.state.handleSubscribeResult(&subscribeResult{
 		address:    address,
 		request:    request,
 		response:   peer.SubscribeResponse{Incarnation: "life-" + address, FreshMs: 1000, RosterVersion: 9, EndpointSets: sets},
--- a/internal/dataplane/subscribe.go
+++ b/internal/dataplane/subscribe.go
@@ -27,7 +27,7 @@
 }
 
 // fresh reports whether the response was confirmed by a majority lately enough to be believed.
-func (r subscribeResult) fresh() bool {
+func (r *subscribeResult) fresh() bool {
 	return r.err == nil && r.response.IsFresh(r.sentAt, r.receivedAt)
 }
 
@@ -70,10 +70,10 @@
 
 // handleSubscribeResult adopts the endpoints of a response, and reports whether the fleet changed. After a failure
 // everything is subscribed to anew.
-func (s *FleetState) handleSubscribeResult(result subscribeResult) bool {
+func (s *FleetState) handleSubscribeResult(result *subscribeResult) bool {
 	s.subscriptions.pending = false
 	control := s.controlPeers.byAddress[result.address]
-	request, response := result.request, result.response
+	request, response := &result.request, &result.response
 	if response.Resubscribe || !result.fresh() {
 		control.complete = false
 		return false
@@ -95,7 +95,7 @@
 }
 
 // acknowledgeSubscription has polls say what is followed from now on.
-func (s *FleetState) acknowledgeSubscription(result subscribeResult) {
+func (s *FleetState) acknowledgeSubscription(result *subscribeResult) {
 	followed := *s.position.subscription.Load()
 	followed.number = result.request.Sequence
 	if result.request.Reset {
@@ -113,8 +113,8 @@
 }
 
 // handleEndpointSets adopts the endpoint sets of a poll's response, and reports whether the fleet changed.
-func (s *FleetState) handleEndpointSets(control *controlPeer, result watchResult) bool {
-	response := result.response
+func (s *FleetState) handleEndpointSets(control *controlPeer, result *watchResult) bool {
+	response := &result.response
 	control.resetOnRestart(response.Incarnation)
 	if response.Resubscribe {
 		control.complete = false
--- a/internal/dataplane/watcher.go
+++ b/internal/dataplane/watcher.go
@@ -41,14 +41,14 @@
 	handled chan struct{}
 }
 
-func (r watchResult) markHandled() {
+func (r *watchResult) markHandled() {
 	if r.handled != nil {
 		close(r.handled)
 	}
 }
 
 // fresh reports whether the response was confirmed by a majority lately enough to be believed.
-func (r watchResult) fresh() bool { return r.err == nil && r.response.IsFresh(r.sentAt, r.receivedAt) }
+func (r *watchResult) fresh() bool { return r.err == nil && r.response.IsFresh(r.sentAt, r.receivedAt) }
 
 // Watcher keeps a long poll open at every control-plane node that is known and passes the results on.
 type Watcher struct {
@@ -123,7 +123,7 @@
 			continue
 		}
 		backoff = minPollBackoff
-		acknowledge(&request, result.response)
+		acknowledge(&request, &result.response)
 		if !result.fresh() || result.response.Resubscribe {
 			nodesettings.Sleep(ctx, minPollBackoff)
 		}
@@ -166,7 +166,7 @@
 }
 
 // acknowledge writes into the next poll what this response has brought.
-func acknowledge(request *peer.WatchRequest, response peer.WatchResponse) {
+func acknowledge(request *peer.WatchRequest, response *peer.WatchResponse) {
 	if request.Incarnation != response.Incarnation {
 		request.RosterVersion = 0
 	}
