--- /dev/null
+++ b/internal/controlplane/demand_host.go
@@ -0,0 +1,30 @@
+package controlplane
+
+import (
+	"ferryspar/internal/controlplane/demand"
+	"ferryspar/internal/discovery"
+)
+
+// demandHost is a node as its demand.Exchange sees it.
+type demandHost struct {
+	node *Node
+}
+
+func (n *Node) newLoadExchange() *demand.Exchange {
+	sender := demand.Sender{Member: n.self, Incarnation: n.incarnation}
+	return demand.NewExchange(sender, demandHost{n}, n.peers, n.loads, n.scheduler.Demand().HandleSummary, n.clock)
+}
+
+// OtherControlPlanes returns the addresses of the other control planes that are known.
+func (h demandHost) OtherControlPlanes() []string { return h.node.members.Others() }
+
+// LeaseHolder returns the address of the placement lease's holder, or "" if none is known.
+func (h demandHost) LeaseHolder() string { return h.node.publisher.Current().LeaseHolder }
+
+// Roster returns the list of replicas as this node has it.
+func (h demandHost) Roster() []discovery.Replica { return h.node.roster.replicaList() }
+
+// SubscribedReplicas returns the replicas that a data plane is sent.
+func (h demandHost) SubscribedReplicas(dataPlane string) map[string]bool {
+	return h.node.endpoints.SubscribedReplicas(dataPlane)
+}
--- a/internal/controlplane/drill.go
+++ b/internal/controlplane/drill.go
@@ -10,6 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/apierror"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
@@ -31,7 +32,7 @@
 		return
 	}
 	now := n.clock()
-	n.publisher.Update(func(next *Snapshot) bool {
+	n.publisher.Update(func(next *watch.Snapshot) bool {
 		state, changed := next.Drill.Adopt(record, now)
 		next.Drill = state
 		return changed
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -12,7 +12,7 @@
 	followers := map[string]func(payload []byte){
 		eventbus.TopicCommitted: func(payload []byte) { n.notifyCommitted(ctx, payload) },
 		eventbus.TopicPlacementChanged: func(payload []byte) {
-			if n.scheduler.HoldsLease() {
+			if n.scheduler.Lease().Holds() {
 				n.sendRoster(ctx, false)
 			}
 		},
@@ -30,7 +30,7 @@
 	if json.Unmarshal(payload, &update) != nil {
 		return
 	}
-	for _, address := range n.otherControlNodes() {
-		go func() { _ = n.peers.Call(ctx, "learn", address, update, nil) }()
+	for _, address := range n.members.Others() {
+		go func() { _ = n.peers.Call(ctx, peer.MethodLearn, address, update, nil) }()
 	}
 }
--- a/internal/dataplane/subscribe.go
+++ b/internal/dataplane/subscribe.go
@@ -60,7 +60,7 @@
 // sendSubscribe sends a subscribe request and hands the result to Run.
 func (s *FleetState) sendSubscribe(ctx context.Context, peers *peer.Client, address string, request peer.SubscribeRequest) {
 	result := subscribeResult{address: address, request: request, sentAt: s.clock()}
-	result.err = peers.Call(ctx, "follow", address, request, &result.response)
+	result.err = peers.Call(ctx, peer.MethodSubscribe, address, request, &result.response)
 	result.receivedAt = s.clock()
 	select {
 	case s.subscriptions.results <- result:
--- a/internal/dataplane/watcher.go
+++ b/internal/dataplane/watcher.go
@@ -143,7 +143,7 @@
 			return result, true
 		}
 	}
-	result.err = w.peers.Call(pollContext, "news", address, request, &result.response)
+	result.err = w.peers.Call(pollContext, peer.MethodWatch, address, request, &result.response)
 	result.receivedAt = w.clock()
 	repolled = result.err != nil && pollContext.Err() != nil && ctx.Err() == nil
 	return result, repolled
