--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/scheduler_host.go
@@ -6,13 +6,13 @@
 	"sort"
 	"time"
 
-	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/peer"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/retention"
 )
@@ -45,11 +45,10 @@
 			SeedRank: max(slices.Index(n.settings.SeedPeers(), n.self), 0),
 			Leaving:  n.members.Leaving(),
 		},
-		State:      host,
-		Roster:     host,
-		Purges:     host,
-		Replicas:   replica.NewClient(n.network),
-		Aggregator: demand.NewDemandAggregator(),
+		State:    host,
+		Roster:   host,
+		Purges:   host,
+		Replicas: replica.NewClient(n.network),
 	})
 }
 
@@ -71,11 +70,11 @@
 }
 
 // Current implements scheduler.Roster.
-func (h schedulerHost) Current() ([]discovery.Replica, time.Time) { return h.node.roster.current() }
+func (h schedulerHost) Current() ([]discovery.Replica, time.Time) { return h.node.roster.Current() }
 
 // PublishPlacement implements scheduler.Roster.
 func (h schedulerHost) PublishPlacement(replicas int) {
-	h.node.publishRoster()
+	h.node.roster.Publish()
 	_ = h.node.bus.Publish(eventbus.TopicPlacementChanged, replicas)
 }
 
@@ -104,7 +103,7 @@
 	if holder == n.self {
 		plan = n.handlePlanRequest(ctx, request)
 	} else if holder != "" {
-		_ = n.peers.Call(ctx, "plan", holder, request, &plan)
+		_ = n.peers.Call(ctx, peer.MethodForecastPlan, holder, request, &plan)
 	}
 	if !plan.HoldsLease {
 		merged.Partial = true
