--- /dev/null
+++ b/internal/controlplane/drill_host.go
@@ -0,0 +1,130 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+
+	"github.com/pkg/errors"
+
+	"ferryspar/internal/controlplane/drillcontrol"
+	"ferryspar/internal/controlplane/watch"
+	"ferryspar/internal/drill"
+	"ferryspar/internal/keystore"
+	"ferryspar/internal/peer"
+)
+
+// drillHost is a node as its drillcontrol.Controller and drillcontrol.Forecaster see it.
+type drillHost struct {
+	node *Node
+}
+
+func (n *Node) drillConfig() drillcontrol.Config {
+	return drillcontrol.Config{
+		Self:  n.self,
+		Zones: n.settings.Zones,
+		Clock: n.clock,
+		NewID: nonce,
+	}
+}
+
+func (n *Node) newDrills() *drillcontrol.Controller {
+	host := drillHost{n}
+	return drillcontrol.NewController(n.drillConfig(), host, host, n.dataPlanes, n.members)
+}
+
+func (n *Node) newForecaster() *drillcontrol.Forecaster {
+	return drillcontrol.NewForecaster(n.drillConfig(), drillHost{n})
+}
+
+// StartDrill starts a drill if nothing speaks against it. Any goroutine may call it.
+func (n *Node) StartDrill(ctx context.Context, request drill.Request) (drill.Status, error) {
+	return n.drills.Start(ctx, request)
+}
+
+// StopDrill ends the running drill. Any goroutine may call it.
+func (n *Node) StopDrill(ctx context.Context) (drill.Status, error) { return n.drills.Stop(ctx) }
+
+// ReadDrill reads the newest drill with a majority's confirmation. Any goroutine may call it.
+func (n *Node) ReadDrill(ctx context.Context) (drill.Status, error) { return n.drills.Read(ctx) }
+
+// Forecast predicts the loss of a scope. Any goroutine may call it.
+func (n *Node) Forecast(ctx context.Context, scope drill.Scope) (drill.Forecast, error) {
+	return n.forecaster.Forecast(ctx, scope)
+}
+
+// State returns the part of the published state that drills and forecasts go by.
+func (h drillHost) State() drillcontrol.State {
+	snapshot := h.node.publisher.Current()
+	return drillcontrol.State{
+		IsConfirmed:         snapshot.IsFresh(h.node.clock()),
+		Revision:            snapshot.Revision,
+		PackedConfiguration: snapshot.PackedConfiguration,
+		Zones:               snapshot.Zones,
+		Replicas:            snapshot.Replicas,
+		Drill:               snapshot.Drill,
+		LeaseHolder:         snapshot.LeaseHolder,
+	}
+}
+
+// Members lists the addresses of the keystore's members.
+func (h drillHost) Members() []string { return h.node.store.Membership().Current }
+
+// MemberZones returns the zone of each known control-plane node.
+func (h drillHost) MemberZones() map[string]string { return h.node.members.Zones() }
+
+// DataPlaneZones returns the zone of each data plane that has not left.
+func (h drillHost) DataPlaneZones() map[string]string { return h.node.dataPlanes.Zones(h.node.clock()) }
+
+// HoldsLease tells whether this node holds the placement lease now.
+func (h drillHost) HoldsLease() bool { return h.node.scheduler.Lease().Holds() }
+
+// IsSuspected tells whether data planes suspect the replica.
+func (h drillHost) IsSuspected(replica string) bool { return h.node.scheduler.Demand().IsSuspected(replica) }
+
+// DemandRates are requests a second by "backend model".
+func (h drillHost) DemandRates() map[string]float64 { return h.node.scheduler.Demand().Rates() }
+
+// ReadDrill reads the record of the newest drill with a majority's confirmation.
+func (h drillHost) ReadDrill(ctx context.Context) (drill.Record, error) {
+	var record drill.Record
+	register, err := h.node.readKey(ctx, keystore.DrillKey)
+	if err != nil {
+		return record, err
+	}
+	_ = json.Unmarshal(register.Value, &record)
+	return record, nil
+}
+
+// ChangeDrill replaces the record of the newest drill and announces that.
+func (h drillHost) ChangeDrill(ctx context.Context, decide func(current drill.Record) (drill.Record, error)) error {
+	return h.node.changeKey(ctx, keystore.DrillKey, func(register keystore.Register) (any, error) {
+		var current drill.Record
+		_ = json.Unmarshal(register.Value, &current)
+		next, err := decide(current)
+		if errors.Is(err, drillcontrol.ErrUnchanged) {
+			return nil, errUnchanged
+		}
+		return next, err
+	})
+}
+
+// PublishForecastRequest has a request sent to all data planes, or none any more if it is nil.
+func (h drillHost) PublishForecastRequest(request *drill.ForecastRequest) {
+	h.node.publisher.Update(func(next *watch.Snapshot) bool {
+		next.Forecast = request
+		return true
+	})
+}
+
+// PlanPlacement asks the lease holder, which may be this node, what it would place.
+func (h drillHost) PlanPlacement(ctx context.Context, leaseHolder string, request drill.ForecastRequest) drill.PlacementPlan {
+	var plan drill.PlacementPlan
+	switch leaseHolder {
+	case "":
+	case h.node.self:
+		plan = h.node.handlePlanRequest(ctx, request)
+	default:
+		_ = h.node.peers.Call(ctx, peer.MethodForecastPlan, leaseHolder, request, &plan)
+	}
+	return plan
+}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -14,6 +14,7 @@
 
 	"ferryspar/internal/controlplane/dataplanes"
 	"ferryspar/internal/controlplane/demand"
+	"ferryspar/internal/controlplane/drillcontrol"
 	"ferryspar/internal/controlplane/members"
 	"ferryspar/internal/controlplane/roster"
 	"ferryspar/internal/controlplane/scheduler"
@@ -61,9 +62,9 @@
 	scheduler    *scheduler.Scheduler
 	bus          *eventbus.Bus
 
-	roster    *roster.Roster
-	forecasts forecasts
-	drills    drillReports
+	roster     *roster.Roster
+	drills     *drillcontrol.Controller
+	forecaster *drillcontrol.Forecaster
 }
 
 // nonce returns a random number that names a disk, an incarnation or a request.
@@ -110,6 +111,8 @@
 	node.roster = node.newRoster()
 	node.scheduler = node.newScheduler()
 	node.loadExchange = node.newLoadExchange()
+	node.drills = node.newDrills()
+	node.forecaster = node.newForecaster()
 	return node, nil
 }
 
@@ -221,7 +224,7 @@
 		return err
 	}
 	cleanup = append(cleanup, n.bus.Close)
-	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.roster.Run, n.scheduler.Run, n.loadExchange.Run, n.runDrillGuard,
+	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.roster.Run, n.scheduler.Run, n.loadExchange.Run, n.drills.Run,
 		func(ctx context.Context) {
 			nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(fresh nodesettings.Settings) { n.members.Introduce(fresh.SeedPeers()) })
 		}}
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"slices"
-	"sort"
 	"time"
 
 	"ferryspar/internal/controlplane/demand"
@@ -13,7 +12,6 @@
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/peer"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/retention"
 )
@@ -97,25 +95,6 @@
 	return h.node.members.IsReachable(h.node.publisher.Current().LeaseHolder, now)
 }
 
-// addPlacementForecast adds to a forecast what the lease holder would place and remove; the forecast is partial if the
-// holder cannot be asked.
-func (n *Node) addPlacementForecast(ctx context.Context, merged *drill.Forecast, request drill.ForecastRequest) {
-	var plan drill.PlacementPlan
-	holder := n.publisher.Current().LeaseHolder
-	if holder == n.self {
-		plan = n.handlePlanRequest(ctx, request)
-	} else if holder != "" {
-		_ = n.peers.Call(ctx, peer.MethodForecastPlan, holder, request, &plan)
-	}
-	if !plan.HoldsLease {
-		merged.Partial = true
-		merged.Missing = append(merged.Missing, "placement holder "+holder)
-		sort.Strings(merged.Missing)
-		return
-	}
-	merged.Placement = plan.Steps
-}
-
 // handlePlanRequest answers what this node would place and remove as the lease holder. The plan does not hold if it is not
 // the holder.
 func (n *Node) handlePlanRequest(ctx context.Context, request drill.ForecastRequest) drill.PlacementPlan {
--- a/internal/controlplane/records.go
+++ b/internal/controlplane/records.go
@@ -8,6 +8,7 @@
 
 	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/controlstate"
+	"ferryspar/internal/drill"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/peer"
@@ -48,6 +49,20 @@
 	n.appliedRegisters[register.Key] = register.WithoutValue()
 }
 
+// applyDrill adopts a committed drill record.
+func (n *Node) applyDrill(register keystore.Register) {
+	var record drill.Record
+	if json.Unmarshal(register.Value, &record) != nil {
+		return
+	}
+	now := n.clock()
+	n.publisher.Update(func(next *watch.Snapshot) bool {
+		state, changed := next.Drill.Adopt(record, now)
+		next.Drill = state
+		return changed
+	})
+}
+
 func (n *Node) applyConfiguration(register keystore.Register) {
 	record, err := controlstate.DecodeConfiguration(register)
 	if err != nil {
--- a/internal/controlplane/roster_host.go
+++ b/internal/controlplane/roster_host.go
@@ -35,7 +35,9 @@
 }
 
 // DemandRates implements roster.Placement.
-func (h rosterHost) DemandRates() map[string]peer.Rate { return h.node.scheduler.Demand().SharedRates() }
+func (h rosterHost) DemandRates() map[string]peer.Rate {
+	return h.node.scheduler.Demand().SharedRates()
+}
 
 // AdoptUpdate implements roster.Placement.
 func (h rosterHost) AdoptUpdate(update peer.RosterUpdate) {
--- a/internal/controlplane/watch_host.go
+++ b/internal/controlplane/watch_host.go
@@ -23,7 +23,7 @@
 func (h watchHost) RecordWatch(request peer.WatchRequest, receivedAt time.Time) {
 	h.node.dataPlanes.RecordWatch(request, receivedAt)
 	if request.Drill != nil {
-		h.node.recordDrillReport(request.DataPlane, *request.Drill)
+		h.node.drills.RecordReport(request.DataPlane, *request.Drill)
 	}
 	if !request.Primary {
 		h.node.loads.RemoveReport(request.DataPlane)
