--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -92,10 +92,10 @@
 
 func matcherParameters(settings nodesettings.Settings, startedAt time.Time) routing.Parameters {
 	parameters := routing.DefaultParameters()
-	parameters.Daemon = settings.NodeName
-	parameters.LifeBegan = startedAt
-	parameters.ColdOverage = settings.TimingBounds.ColdOverage
-	parameters.ColdSlack = settings.TimingBounds.ColdSlack
+	parameters.NodeName = settings.NodeName
+	parameters.StartedAt = startedAt
+	parameters.WarmUpOverage = settings.TimingBounds.ColdOverage
+	parameters.WarmUpSlack = settings.TimingBounds.ColdSlack
 	return parameters
 }
 
