--- a/internal/apierror/pinned_test.go
+++ b/internal/apierror/pinned_test.go
@@ -77,13 +77,13 @@
 
 func TestWrite_AnswersStayTheSame(t *testing.T) {
 	assert.Equal(t, len(labelled), len(responses), "a kind is missing here")
-	told := map[string]written{}
-	for position, one := range labelled {
-		assert.Equal(t, int(one.kind), position, one.label)
-		told[fmt.Sprintf("%02d %s", position, one.label)] = writtenOf(one.kind)
+	answers := map[string]written{}
+	for position, entry := range labelled {
+		assert.Equal(t, int(entry.kind), position, entry.label)
+		answers[fmt.Sprintf("%02d %s", position, entry.label)] = writtenOf(entry.kind)
 	}
-	assert.Equal(t, len(told), len(responses))
-	pinned.CheckJSON(t, "testdata/answers.json", told)
+	assert.Equal(t, len(answers), len(responses))
+	pinned.CheckJSON(t, "testdata/answers.json", answers)
 }
 
 func TestWrite_AnyOtherErrorIsInternal(t *testing.T) {
--- a/internal/cli/pinned_test.go
+++ b/internal/cli/pinned_test.go
@@ -16,7 +16,7 @@
 
 func (statusError) ExitStatus() int { return 7 }
 
-func TestExit_StatusesStayTheSame(t *testing.T) {
+func TestReportError_StatusesStayTheSame(t *testing.T) {
 	assert.DeepEqual(t, []int{ExitSuccess, ExitFailed, ExitUsage, ExitSettings}, []int{0, 1, 2, 3})
 	cases := map[string]struct {
 		err    error
@@ -29,18 +29,18 @@
 		"a wrong call":             {NewUsageError(errors.New("wrong")), 2},
 		"an error with its status": {errors.Wrap(statusError{errors.New("own")}, "wrapped"), 7},
 	}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, ReportError("program", one.err), one.status)
+			assert.Equal(t, ReportError("program", testCase.err), testCase.status)
 		})
 	}
 }
 
-func TestMain_OptionsStayTheSame(t *testing.T) {
+func TestOptions_StayTheSame(t *testing.T) {
 	var names []string
-	part := reflect.TypeFor[options]()
-	for position := range part.NumField() {
-		tag := part.Field(position).Tag
+	optionsType := reflect.TypeFor[options]()
+	for position := range optionsType.NumField() {
+		tag := optionsType.Field(position).Tag
 		names = append(names, tag.Get("short")+" "+tag.Get("long")+" "+tag.Get("default"))
 	}
 	pinned.CheckJSON(t, "testdata/options.json", names)
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -50,9 +50,9 @@
 	assert.Equal(t, len(read.Routes), 2)
 	assert.Equal(t, read.Routes[0].Hostname, "new.example")
 	assert.Equal(t, read.Routes[1].Name, "c")
-	var whole map[string]json.RawMessage
-	assert.NilError(t, json.Unmarshal(patched, &whole))
-	assert.Equal(t, string(whole["extra"]), `{"kept":1.50}`)
+	var members map[string]json.RawMessage
+	assert.NilError(t, json.Unmarshal(patched, &members))
+	assert.Equal(t, string(members["extra"]), `{"kept":1.50}`)
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -16,7 +16,7 @@
 //   - waitQueue: the undecided requests, and when they must be tried (waitqueue.go);
 //   - replicaTable and replicaState: what runs at each replica, from this data plane's requests
 //     (replicatable.go, replicastate.go), with its Predictor (predictor.go);
-//   - PrefixLedger: which replica should have which prompt prefix cached (ledger.go, samples.go);
+//   - PrefixLedger: which replica should have which prompt prefix cached (ledger.go, forget.go, samples.go);
 //   - demandCounters: the demand by model for load reports (loadreport.go);
 //   - health: outcomes, circuit breakers and suspected zones (health.go, outcomecounter.go, breaker.go,
 //     ejection.go, zones.go, review.go; docs/health.md);
--- a/internal/routing/drill_test.go
+++ b/internal/routing/drill_test.go
@@ -33,34 +33,34 @@
 			simulated.step(10000 + number)
 		}
 	}
-	var found drillOutcome
+	var outcome drillOutcome
 	for _, decision := range drilled.running {
 		if request := decision.Ticket.request; decision.Replica.Zone == "isle" && request.underDrill && request.drill != nil {
-			found.atLost++
+			outcome.atLost++
 		}
 	}
 	for index, request := range drilled.requests {
 		if request.modelNotLoaded && !plain.requests[index].modelNotLoaded {
-			found.harmedAttempts = append(found.harmedAttempts, request.Attempt)
+			outcome.harmedAttempts = append(outcome.harmedAttempts, request.Attempt)
 		}
 	}
-	found.routes = active.Report("", drilled.now).Routes
-	return found
+	outcome.routes = active.Report("", drilled.now).Routes
+	return outcome
 }
 
 func TestDrill_NeverTakesLastCopy(t *testing.T) {
-	caught, kept := 0, 0
+	caught, keptInScope := 0, 0
 	for seed := range uint64(20) {
 		found := runDrill(seed, 1, func(*Drill) {})
 		assert.Equal(t, found.atLost, 0, "seed %d", seed)
 		assert.Equal(t, len(found.harmedAttempts), 0, "seed %d: %v", seed, found.harmedAttempts)
-		kept += found.routes["quick"].KeptInScope
+		keptInScope += found.routes["quick"].KeptInScope
 		faulty := runDrill(seed, 1, func(active *Drill) {
 			active.servableElsewhere = func(*Matcher, *Request, time.Time) bool { return true }
 		})
 		caught += min(len(faulty.harmedAttempts), 1)
 	}
-	assert.Assert(t, kept > 0)
+	assert.Assert(t, keptInScope > 0)
 	assert.Assert(t, caught >= 10, "a drill that takes last copies is seen at %d of 20 seeds", caught)
 }
 
@@ -96,7 +96,7 @@
 	assert.Equal(t, active.EndReason(now.Add(4200*time.Millisecond)), drill.EndedByTime)
 	early := &Request{Attempt: "a", Arrived: now.Add(-time.Second)}
 	active.admit(early, now)
-	assert.Assert(t, early.drill == nil, "what came before is left alone")
+	assert.Assert(t, early.drill == nil, "earlier requests are not affected")
 }
 
 func TestDrill_ExemptsRequestBeforeRejection(t *testing.T) {
@@ -130,7 +130,7 @@
 	}
 	simulated.matcher.Enqueue(request)
 	for range 3 {
-		assert.Equal(t, len(request.Decided), 0, "it does without at first")
+		assert.Equal(t, len(request.Decided), 0, "drilled replicas are excluded at first")
 		simulated.now = simulated.now.Add(25 * time.Millisecond)
 		simulated.matcher.Wake()
 	}
--- a/internal/routing/ledger.go
+++ b/internal/routing/ledger.go
@@ -24,18 +24,8 @@
 
 func (e *ledgerEntry) less(other *ledgerEntry) bool { return e.sequence < other.sequence }
 
-// forgetRule keeps requests that arrived before a forget from adding matching entries again.
-type forgetRule struct {
-	arrivedBefore time.Time
-	matches       func(model string, part uint64) bool
-}
-
-const (
-	// maxForgetRules is how many of the last forgets are remembered.
-	maxForgetRules = 64
-	// ledgerTreeDegree is the branching of the tree of entries by age.
-	ledgerTreeDegree = 16
-)
+// ledgerTreeDegree is the branching of the tree of entries by age.
+const ledgerTreeDegree = 16
 
 // PrefixLedger records which prompt prefixes the caches of which replicas should contain (IEMAS §4.1
 // "Prefix-Locality", for the affinity of eq. 4). Instead of the last prompt of a dialogue it records every
@@ -48,7 +38,7 @@
 	ttl      time.Duration
 	sequence uint64
 	entries  map[ledgerKey]*ledgerEntry
-	forgets  []forgetRule
+	forgets  forgetRules
 	byAge    *btree.BTreeG[*ledgerEntry]
 	samples  requestSamples
 }
@@ -81,7 +71,7 @@
 // RecordPrompt records that the replica was sent the prompt of a request that arrived at that time (IEMAS
 // algorithm 1 line 30).
 func (l *PrefixLedger) RecordPrompt(replica string, prompt Prompt, arrived, now time.Time) {
-	if l.forgetApplies(prompt.Model, prompt.Parts, arrived) {
+	if l.forgets.apply(prompt.Model, prompt.Parts, arrived) {
 		return
 	}
 	for position, prefixHash := range prompt.PrefixHashes {
@@ -129,24 +119,9 @@
 	l.Expire(now)
 }
 
-// forgetApplies reports whether a prompt of a request that arrived at that time was forgotten since.
-func (l *PrefixLedger) forgetApplies(model string, parts []Part, arrived time.Time) bool {
-	for _, rule := range l.forgets {
-		if !arrived.Before(rule.arrivedBefore) {
-			continue
-		}
-		for _, part := range parts {
-			if rule.matches(model, part.ID) {
-				return true
-			}
-		}
-	}
-	return false
-}
-
 // addSample keeps a request for forecasts unless it was forgotten.
 func (l *PrefixLedger) addSample(request *Request) {
-	if !l.forgetApplies(request.Model, request.Parts, request.Arrived) {
+	if !l.forgets.apply(request.Model, request.Parts, request.Arrived) {
 		l.samples.add(request)
 	}
 }
@@ -174,10 +149,7 @@
 // Forget drops all entries that end with a matching part, and keeps requests that arrived before that time
 // from adding such ones again. It returns how many entries it dropped.
 func (l *PrefixLedger) Forget(matches func(model string, part uint64) bool, at time.Time) int {
-	l.forgets = append(l.forgets, forgetRule{at, matches})
-	if len(l.forgets) > maxForgetRules {
-		l.forgets = l.forgets[1:]
-	}
+	l.forgets.add(forgetRule{at, matches})
 	l.samples.forget(matches)
 	return l.dropAll(func(entry *ledgerEntry) bool { return matches(entry.key.model, entry.lastPart) })
 }
--- a/internal/routing/ledger_test.go
+++ b/internal/routing/ledger_test.go
@@ -19,14 +19,14 @@
 
 func TestPrefixLedger_CountsCommonPrefix(t *testing.T) {
 	ledger := NewPrefixLedger(100, 0)
-	first, firstDialogues := parseTestPrefix(t, "a:200,b:100,c:50")
-	ledger.RecordPrompt("r1", Prompt{"m", first, firstDialogues}, noon, noon)
-	next, nextDialogues := parseTestPrefix(t, "a:200,b:100,d:70")
-	assert.Equal(t, ledger.CachedTokens("r1", Prompt{"m", next, nextDialogues}, noon), 300.0)
-	assert.Equal(t, ledger.CachedTokens("r2", Prompt{"m", next, nextDialogues}, noon), 0.0)
-	assert.Equal(t, ledger.CachedTokens("r1", Prompt{"other", next, nextDialogues}, noon), 0.0)
-	moved, movedDialogues := parseTestPrefix(t, "b:100,a:200")
-	assert.Equal(t, ledger.CachedTokens("r1", Prompt{"m", moved, movedDialogues}, noon), 0.0)
+	first, firstHashes := parseTestPrefix(t, "a:200,b:100,c:50")
+	ledger.RecordPrompt("r1", Prompt{"m", first, firstHashes}, noon, noon)
+	next, nextHashes := parseTestPrefix(t, "a:200,b:100,d:70")
+	assert.Equal(t, ledger.CachedTokens("r1", Prompt{"m", next, nextHashes}, noon), 300.0)
+	assert.Equal(t, ledger.CachedTokens("r2", Prompt{"m", next, nextHashes}, noon), 0.0)
+	assert.Equal(t, ledger.CachedTokens("r1", Prompt{"other", next, nextHashes}, noon), 0.0)
+	moved, movedHashes := parseTestPrefix(t, "b:100,a:200")
+	assert.Equal(t, ledger.CachedTokens("r1", Prompt{"m", moved, movedHashes}, noon), 0.0)
 }
 
 func TestPrefixLedger_EvictsLeastRecentlyUsed(t *testing.T) {
@@ -35,11 +35,11 @@
 		parts, prefixHashes := parseTestPrefix(t, value)
 		ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon, noon)
 	}
-	kept, keptDialogues := parseTestPrefix(t, "a:1")
-	gone, goneDialogues := parseTestPrefix(t, "b:1")
+	recent, recentHashes := parseTestPrefix(t, "a:1")
+	evicted, evictedHashes := parseTestPrefix(t, "b:1")
 	assert.Equal(t, ledger.Len(), 3)
-	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", kept, keptDialogues}, noon), 1.0)
-	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", gone, goneDialogues}, noon), 0.0)
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", recent, recentHashes}, noon), 1.0)
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", evicted, evictedHashes}, noon), 0.0)
 }
 
 func TestPrefixLedger_IgnoresExpiredEntries(t *testing.T) {
@@ -77,17 +77,17 @@
 func TestPrefixLedger_ForgetExcludesEarlierRequests(t *testing.T) {
 	ledger := NewPrefixLedger(10, 0)
 	parts, prefixHashes := parseTestPrefix(t, "a:5,b:6")
-	other, otherDialogues := parseTestPrefix(t, "c:5")
+	other, otherHashes := parseTestPrefix(t, "c:5")
 	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon, noon)
-	ledger.RecordPrompt("r", Prompt{"m", other, otherDialogues}, noon, noon)
+	ledger.RecordPrompt("r", Prompt{"m", other, otherHashes}, noon, noon)
 	dropped := ledger.Forget(func(_ string, part uint64) bool { return part == 0xb }, noon.Add(time.Second))
 	assert.Equal(t, dropped, 1)
 	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon), 5.0)
-	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", other, otherDialogues}, noon), 5.0)
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", other, otherHashes}, noon), 5.0)
 	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon, noon.Add(2*time.Second))
-	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(2*time.Second)), 5.0, "begun before the forget")
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(2*time.Second)), 5.0, "arrived before the forget")
 	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon.Add(3*time.Second), noon.Add(3*time.Second))
-	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(3*time.Second)), 11.0, "begun after it")
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(3*time.Second)), 11.0, "arrived after it")
 }
 
 func TestPrefixLedger_SetTTLExpiresAtOnce(t *testing.T) {
--- a/internal/routing/slotshare_test.go
+++ b/internal/routing/slotshare_test.go
@@ -57,7 +57,7 @@
 		assert.Equal(t, len(first.Decided), 1)
 		both += len(second.Decided)
 	}
-	assert.Assert(t, both < 20, "%d daemons took a second place", both)
+	assert.Assert(t, both < 20, "%d data planes took a second slot", both)
 }
 
 func TestReplicaNode_NoFallbackWhenKnownFull(t *testing.T) {
