--- a/internal/controlplane/forecast.go
+++ b/internal/controlplane/forecast.go
@@ -9,6 +9,7 @@
 
 	"ferryspar/internal/apierror"
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/drill"
 )
 
@@ -92,7 +93,7 @@
 		return drill.Forecast{}, apierror.New(apierror.DrillInProgress, "a forecast is being gathered here")
 	}
 	publishRequest := func(open *drill.ForecastRequest) {
-		n.publisher.Update(func(next *Snapshot) bool {
+		n.publisher.Update(func(next *watch.Snapshot) bool {
 			next.Forecast = open
 			return true
 		})
@@ -143,21 +144,11 @@
 		Zones:       n.settings.Zones,
 		Replicas:    snapshot.Replicas,
 		Table:       configuration.NewTable(read, nil),
-		Demand:      n.scheduler.demandRates(),
+		Demand:      n.scheduler.Demand().Rates(),
 		Members:     n.store.Membership().Current,
-		MemberZones: map[string]string{n.self: n.settings.Zone},
+		MemberZones: n.members.Zones(),
+		DataPlanes:  n.dataPlanes.Zones(n.clock()),
 		LeaseHolder: snapshot.LeaseHolder,
 	}
-	n.watchLock.Lock()
-	defer n.watchLock.Unlock()
-	fleet.DataPlanes = n.dataPlanes.Zones(n.clock())
-	for name, view := range n.dataPlaneRetention {
-		if view.Left {
-			delete(fleet.DataPlanes, name)
-		}
-	}
-	for address, last := range n.lastHeartbeats {
-		fleet.MemberZones[address] = last.Zone
-	}
 	return fleet, nil
 }
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -8,6 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/discovery"
 )
 
@@ -44,7 +45,7 @@
 	defer timer.Stop()
 	for {
 		startedAt, perSecond := n.clock(), n.settings.CloudAPI.RatePerS
-		holding := n.scheduler.HoldsLease()
+		holding := n.scheduler.Lease().Holds()
 		if holding || n.roster.age(startedAt) > staleAge(perSecond, n.discovery.PageCount()) {
 			n.refreshRoster(ctx, startedAt)
 		}
@@ -95,8 +96,8 @@
 	defer n.roster.publishLock.Unlock()
 	replicas, at := n.roster.current()
 	cordoned := n.roster.cordonedReplicas(n.clock())
-	if n.scheduler.HoldsLease() {
-		replicas, cordoned = n.scheduler.withObserved(replicas, at)
+	if n.scheduler.Lease().Holds() {
+		replicas, cordoned = n.scheduler.Observations().Apply(replicas, at)
 	}
 	n.publishReplicas(replicas, cordoned, at)
 }
@@ -104,7 +105,7 @@
 // postJSON publishes a list and what is barred, as of a moment.
 func (n *Node) publishReplicas(replicas []discovery.Replica, cordoned []string, at time.Time) {
 	changed := false
-	n.publisher.UpdateQuietly(func(next *Snapshot) {
+	n.publisher.UpdateQuietly(func(next *watch.Snapshot) {
 		changed = !sameReplicas(next.Replicas, replicas) || !slices.Equal(next.Cordoned, cordoned)
 		if changed {
 			next.RosterVersion++
@@ -113,7 +114,7 @@
 		next.RosterAsOf = at
 	})
 	if changed {
-		n.scheduler.recordCopies(replicas)
+		n.scheduler.Copies().AdoptList(replicas, n.clock())
 	}
 	n.endpoints.Publish(replicas, cordoned, at)
 }
@@ -121,29 +122,6 @@
 // sameReplicas tells whether two lists say the same, to a second of cold time.
 func sameReplicas(left, right []discovery.Replica) bool {
 	return slices.EqualFunc(left, right, func(one, other discovery.Replica) bool {
-		return sameReplica(one, other) && sameModels(one.Models, other.Models) && int(one.WarmUpRemainingMs+999)/1000 == int(other.WarmUpRemainingMs+999)/1000
+		return discovery.SameReplica(one, other) && discovery.SameModels(one.Models, other.Models) && int(one.WarmUpRemainingMs+999)/1000 == int(other.WarmUpRemainingMs+999)/1000
 	})
 }
-
-// observedState is the list with the models that the scheduler knows of from later reports, and what it
-// bars.
-func (s *Scheduler) withObserved(replicas []discovery.Replica, at time.Time) ([]discovery.Replica, []string) {
-	lag := s.listLag()
-	result := make([]discovery.Replica, len(replicas))
-	var cordoned []string
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	for index, listed := range replicas {
-		result[index] = listed
-		observed, isObserved := s.observed[listed.ID]
-		if !isObserved {
-			continue
-		}
-		cordoned = append(cordoned, observed.cordoned...)
-		if !observed.reportedAt.IsZero() && at.Add(-lag).Before(observed.reportedAt) {
-			result[index].Models = observed.models
-		}
-	}
-	sort.Strings(cordoned)
-	return result, cordoned
-}
--- a/internal/sim/replay/engine.go
+++ b/internal/sim/replay/engine.go
@@ -78,7 +78,7 @@
 // Play plays all entries to their end; Summary then holds the outcomes. It fails if a recorded configuration
 // cannot be decompressed.
 func (e *Engine) Play(entries []requestlog.Entry) error {
-	handlers := map[string]func(entry requestlog.Entry){
+	handlers := map[requestlog.Kind]func(entry requestlog.Entry){
 		requestlog.KindConfiguration: e.setConfiguration,
 		requestlog.KindFleet:         e.setFleet,
 		requestlog.KindRequest:       e.submitRequest,
