--- a/internal/test/integration/founding_test.go
+++ b/internal/test/integration/bootstrap_test.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	startStagger   = 15 * time.Millisecond
-	restartDelay   = 300 * time.Millisecond
-	foundedWithin  = 4 * time.Second
-	foundingSweep  = 600 * time.Millisecond
-	foundingStep   = 5 * time.Millisecond
-	foundingStride = 8
+	startStagger     = 15 * time.Millisecond
+	restartDelay     = 300 * time.Millisecond
+	bootstrapTimeout = 4 * time.Second
+	bootstrapSweep   = 600 * time.Millisecond
+	bootstrapStep    = 5 * time.Millisecond
+	bootstrapStride  = 8
 )
 
-// bootstrapMoments are the moments after the start at which all daemons are killed.
+// bootstrapMoments are the moments after the start at which all members are killed.
 func bootstrapMoments(offset int) []time.Duration {
 	var found []time.Duration
-	stride := casesFor(foundingStride, 1)
-	for step := offset % stride; time.Duration(step)*foundingStep <= foundingSweep; step += stride {
-		found = append(found, time.Duration(step)*foundingStep)
+	stride := casesFor(bootstrapStride, 1)
+	for step := offset % stride; time.Duration(step)*bootstrapStep <= bootstrapSweep; step += stride {
+		found = append(found, time.Duration(step)*bootstrapStep)
 	}
 	return found
 }
 
-// bootstrapCase is a deployment and how often all its daemons are killed before they stay.
+// bootstrapCase is a deployment and how often all its members are killed before they keep running.
 type bootstrapCase struct {
 	name    string
 	cores   int
@@ -44,30 +44,86 @@
 	power   bool
 }
 
-var foundingCases = []bootstrapCase{
-	{"three", 3, 1, []int{1, 2, 3}, 3, 1, false},
-	{"three without power", 3, 1, []int{1, 2, 3}, 3, 1, true},
-	{"three, four times", 3, 1, []int{1, 2, 3}, 3, 4, true},
-	{"five", 5, 2, []int{1, 2, 3}, 5, 1, false},
-	{"five, without power, twice", 5, 2, []int{1, 2, 3}, 5, 2, true},
-	{"one", 1, 0, []int{1}, 1, 1, true},
-	{"two, twice", 2, 0, []int{1, 2}, 2, 2, true},
+var bootstrapCases = []bootstrapCase{
+	{
+		name:    "three",
+		cores:   3,
+		losses:  1,
+		seeds:   []int{1, 2, 3},
+		members: 3,
+		kills:   1,
+		power:   false,
+	},
+	{
+		name:    "three without power",
+		cores:   3,
+		losses:  1,
+		seeds:   []int{1, 2, 3},
+		members: 3,
+		kills:   1,
+		power:   true,
+	},
+	{
+		name:    "three, four times",
+		cores:   3,
+		losses:  1,
+		seeds:   []int{1, 2, 3},
+		members: 3,
+		kills:   4,
+		power:   true,
+	},
+	{
+		name:    "five",
+		cores:   5,
+		losses:  2,
+		seeds:   []int{1, 2, 3},
+		members: 5,
+		kills:   1,
+		power:   false,
+	},
+	{
+		name:    "five, without power, twice",
+		cores:   5,
+		losses:  2,
+		seeds:   []int{1, 2, 3},
+		members: 5,
+		kills:   2,
+		power:   true,
+	},
+	{
+		name:    "one",
+		cores:   1,
+		losses:  0,
+		seeds:   []int{1},
+		members: 1,
+		kills:   1,
+		power:   true,
+	},
+	{
+		name:    "two, twice",
+		cores:   2,
+		losses:  0,
+		seeds:   []int{1, 2},
+		members: 2,
+		kills:   2,
+		power:   true,
+	},
 }
 
 func TestBootstrap_FoundsOneClusterWhenAllMembersAreKilledMeanwhile(t *testing.T) {
-	for index, test := range foundingCases {
+	for index, test := range bootstrapCases {
 		for _, moment := range bootstrapMoments(3 * index) {
 			t.Run(fmt.Sprintf("%s, %s", test.name, moment), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s := newBootstrapScenario(t, test.cores, test.losses, test.seeds, uint64(moment))
-					for life := range test.kills {
-						s.start(life == 0)
+					for start := range test.kills {
+						s.startMembers(start == 0)
 						time.Sleep(moment)
-						s.kill(test.power, s.hosts()...)
+						s.killMembers(test.power, s.hosts()...)
 						time.Sleep(restartDelay)
 					}
-					s.start(false)
-					s.checkFounded(t, test.members)
+					s.startMembers(false)
+					s.checkOneCluster(t, test.members)
 				})
 			})
 		}
@@ -79,13 +135,13 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newBootstrapScenario(t, 3, 1, []int{1, 2, 3}, uint64(seed))
-				s.start(true)
-				var playing sync.WaitGroup
+				s.startMembers(true)
+				var group sync.WaitGroup
 				for number, host := range s.hosts() {
-					playing.Go(func() { s.lives(host, rand.New(rand.NewPCG(uint64(seed), uint64(number))), 3*time.Second) })
+					group.Go(func() { s.restartRandomly(host, rand.New(rand.NewPCG(uint64(seed), uint64(number))), 3*time.Second) })
 				}
-				playing.Wait()
-				s.checkFounded(t, 3)
+				group.Wait()
+				s.checkOneCluster(t, 3)
 			})
 		})
 	}
@@ -94,18 +150,18 @@
 func TestBootstrap_NotRepeatedWhenTooManyDisksAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newBootstrapScenario(t, 3, 1, []int{1, 2, 3}, 1)
-		s.start(true)
-		s.checkFounded(t, 3)
-		s.kill(false, s.hosts()...)
+		s.startMembers(true)
+		s.checkOneCluster(t, 3)
+		s.killMembers(false, s.hosts()...)
 		for _, host := range []string{coreHost(1), coreHost(2)} {
 			s.disks[host] = keystoresim.NewDisk()
 		}
-		s.start(false)
+		s.startMembers(false)
 		time.Sleep(10 * time.Second)
 		for number := 1; number <= 3; number++ {
 			assert.Assert(
 				t,
-				s.f.put(number, 0, 1, document(1, "")).status != http.StatusOK,
+				s.fleet.putConfiguration(number, 0, document(1, "")).status != http.StatusOK,
 				"core %d takes a first configuration again",
 				number,
 			)
@@ -117,17 +173,17 @@
 	for lost := 1; lost <= 3; lost++ {
 		synctest.Test(t, func(t *testing.T) {
 			s := newBootstrapScenario(t, 3, 1, []int{1, 2, 3}, uint64(lost))
-			s.start(true)
-			for s.f.put(1, 0, 1, document(1, "")).status != http.StatusOK {
+			s.startMembers(true)
+			for s.fleet.putConfiguration(1, 0, document(1, "")).status != http.StatusOK {
 				time.Sleep(10 * time.Millisecond)
 			}
-			s.kill(true, s.hosts()...)
+			s.killMembers(true, s.hosts()...)
 			s.disks[coreHost(lost)] = keystoresim.NewDisk()
 			time.Sleep(restartDelay)
-			s.start(false)
+			s.startMembers(false)
 			time.Sleep(syncTime)
 			for number := 1; number <= 3; number++ {
-				read := s.f.call(http.MethodGet, coreHost(number)+":8166", "/ferryspar/config", "", nil)
+				read := s.fleet.call(http.MethodGet, coreHost(number)+":8166", "/ferryspar/config", "", nil)
 				assert.Equal(t, read.status, http.StatusOK, "core %d without the disk of %d: %s", number, lost, read.body)
 			}
 		})
@@ -138,24 +194,24 @@
 	for _, apart := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newBootstrapScenario(t, 6, 1, []int{1, 2, 3}, 1)
-			s.cutStandbys(apart)
-			s.start(true)
+			s.partitionStandbys(apart)
+			s.startMembers(true)
 			time.Sleep(2 * restartDelay)
-			s.kill(true, s.hosts()...)
-			s.cutStandbys(false)
+			s.killMembers(true, s.hosts()...)
+			s.partitionStandbys(false)
 			s.seeds = []int{4, 5, 6}
 			for number := 4; number <= 6; number++ {
-				s.startOne(coreHost(number), false, 0)
+				s.startMember(coreHost(number), false, 0)
 			}
 			time.Sleep(10 * time.Second)
 			for number := 4; number <= 6; number++ {
-				put := s.f.put(number, 0, 1, document(1, ""))
+				put := s.fleet.putConfiguration(number, 0, document(1, ""))
 				assert.Assert(t, put.status != http.StatusOK, "core %d takes a configuration, apart before: %t", number, apart)
 			}
 			for number := 1; number <= 3; number++ {
-				s.startOne(coreHost(number), false, 0)
+				s.startMember(coreHost(number), false, 0)
 			}
-			s.checkFounded(t, 3)
+			s.checkOneCluster(t, 3)
 		})
 	}
 }
--- a/internal/test/integration/race_test.go
+++ b/internal/test/integration/configuration_race_test.go
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/assert"
 )
 
-const lostAnswers = 0.3
+const answerLossShare = 0.3
 
 func (o *operators) checkViolations(t *testing.T) {
 	t.Helper()
 	problems := o.violations()
-	assert.Equal(t, len(problems), 0, listed(problems))
-	problems = o.readViolations(o.readBack(5 * time.Second))
-	assert.Equal(t, len(problems), 0, listed(problems))
+	assert.Equal(t, len(problems), 0, summarizeProblems(problems))
+	problems = o.readViolations(o.waitConfiguration(5 * time.Second))
+	assert.Equal(t, len(problems), 0, summarizeProblems(problems))
 }
 
 func TestConfigurationRace_OneWinnerAndResendsAgree(t *testing.T) {
@@ -28,14 +28,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := startSettledFleet(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 				o := newOperators(f, seed, 1, 2, 3)
-				o.lossShare = lostAnswers
+				o.lossShare = answerLossShare
 				version := 1
 				for first := 1; first <= 3; first++ {
 					for second := 1; second <= 3; second++ {
-						changes := o.race(version, first, second)
+						changes := o.raceChanges(version, first, second)
 						o.resendEverywhere(changes)
-						assert.Assert(t, o.newest() > version, "nobody wins at version %d", version)
-						version = o.newest()
+						assert.Assert(t, o.newestAcknowledged() > version, "nobody wins at version %d", version)
+						version = o.newestAcknowledged()
 					}
 				}
 				o.checkViolations(t)
@@ -44,8 +44,9 @@
 	}
 }
 
-// race sends two changes on one version at two daemons at drawn moments and gives both back once they are answered.
-func (o *operators) race(version, first, second int) []operatorChange {
+// raceChanges sends two changes of one version to two members at random moments and returns both once each has
+// a definite outcome.
+func (o *operators) raceChanges(version, first, second int) []operatorChange {
 	changes := []operatorChange{
 		addRoute(version, version+3, fmt.Sprintf("left-%d", version)),
 		addRoute(version, version+3+int(2*o.randomFloat()), fmt.Sprintf("right-%d", version)),
@@ -55,7 +56,7 @@
 		delay := time.Duration(o.randomFloat() * float64(30*time.Millisecond))
 		group.Go(func() {
 			time.Sleep(delay)
-			if o.attempt(changes[index], host).outcome == unclear {
+			if o.attempt(changes[index], host).outcome == unknown {
 				o.send(changes[index], 6*time.Second)
 			}
 		})
@@ -76,14 +77,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		o := newOperators(f, 5, 1, 2, 3)
-		o.lossShare = lostAnswers
+		o.lossShare = answerLossShare
 		version := 1
 		for round := range 9 {
 			alone := coreHost(1 + round%3)
-			isolate := func(cut bool) {
+			isolate := func(isolated bool) {
 				for _, host := range o.hosts {
 					if host != alone {
-						f.network.delayBoth(alone, host, cut)
+						f.network.delayBoth(alone, host, isolated)
 					}
 				}
 			}
@@ -93,12 +94,12 @@
 				time.Sleep(1200 * time.Millisecond)
 				isolate(false)
 			}()
-			changes := o.race(version, 1+round%3, 1+(round+1)%3)
+			changes := o.raceChanges(version, 1+round%3, 1+(round+1)%3)
 			o.resendEverywhere(changes)
 			time.Sleep(1500 * time.Millisecond)
 			o.resendEverywhere(changes)
-			assert.Assert(t, o.newest() > version, "nobody wins at version %d", version)
-			version = o.newest()
+			assert.Assert(t, o.newestAcknowledged() > version, "nobody wins at version %d", version)
+			version = o.newestAcknowledged()
 		}
 		o.checkViolations(t)
 	})
@@ -108,7 +109,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetOf(t, 3, 0, 0)
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, f.put(1, 0, 1, document(1, "")).status, http.StatusOK)
+		assert.Equal(t, f.putConfiguration(1, 0, document(1, "")).status, http.StatusOK)
 		o := newOperators(f, 6, 1, 2, 3)
 		first := addRoute(1, 2, "kept")
 		assert.Equal(t, o.send(first, 4*time.Second), acknowledged)
@@ -121,7 +122,7 @@
 		}
 		for _, host := range o.hosts {
 			again := o.attempt(first, host)
-			assert.Assert(t, again.outcome != refused, "a resend after 1,000 changes: %s", again)
+			assert.Assert(t, again.outcome != rejected, "a resend after 1,000 changes: %s", again)
 		}
 	})
 }
@@ -130,9 +131,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := startSettledFleet(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		o := newOperators(f, 7, 1, 2, 3)
-		o.lossShare = lostAnswers
+		o.lossShare = answerLossShare
 		var group sync.WaitGroup
-		for caller := range callsAtOnce {
+		for caller := range maxConcurrentCalls {
 			group.Go(func() {
 				for round := range 8 {
 					status, content := o.read(o.pickMember())
@@ -146,7 +147,7 @@
 			})
 		}
 		group.Wait()
-		assert.Assert(t, o.newest() > 8, "changes go on: %d", o.newest())
+		assert.Assert(t, o.newestAcknowledged() > 8, "changes go on: %d", o.newestAcknowledged())
 		o.checkViolations(t)
 	})
 }
--- a/internal/test/integration/fleet_test.go
+++ b/internal/test/integration/fleet_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
 	"os"
+	"slices"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -20,7 +21,6 @@
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
-	"ferryspar/internal/replica"
 )
 
 const (
@@ -28,55 +28,61 @@
 	slotsPerReplica = 2
 )
 
+// runningNode is a node under test: stop takes its signals, cancel kills it, done gets the result of its Run.
 type runningNode struct {
 	stop   chan os.Signal
 	cancel context.CancelFunc
 	done   chan error
 }
 
+// fleet is an in-memory deployment: control-plane nodes ("cores"), data planes ("edges"), stand-in replicas and the
+// platform that lists them. The machines are hosts of a memoryNetwork.
 type fleet struct {
-	t            *testing.T
-	network      *memoryNetwork
-	lock         sync.Mutex
-	replicas     []*standInReplica
-	nodes        map[string]*runningNode
-	folders      map[string]keystore.Directory
-	client       *http.Client
-	listed       int
-	listDuration time.Duration
-	pageSize     int
-	paged        func(from int)
-	losses       int
-	cores        int
-	adjust       func(settings *nodesettings.Settings)
+	t              *testing.T
+	network        *memoryNetwork
+	lock           sync.Mutex
+	replicas       []*standInReplica
+	nodes          map[string]*runningNode
+	directories    map[string]keystore.Directory
+	client         *http.Client
+	listCalls      int
+	listDuration   time.Duration
+	pageSize       int
+	onPage         func(from int)
+	machineLoss    int
+	cores          int
+	adjustSettings func(settings *nodesettings.Settings)
 }
 
+// zones maps each zone to its region.
 var zones = map[string]string{"north": "land", "south": "land", "east": "land", "abroad": "far"}
 
+// coreHost is the address of the numbered control-plane node; edgeHost that of the numbered data plane.
 func coreHost(number int) string { return fmt.Sprintf("10.%d.0.1", number) }
 func edgeHost(number int) string { return fmt.Sprintf("10.%d.1.1", number) }
 
+// startFleet starts three control-plane nodes and data planes, without a configuration.
 func startFleet(t *testing.T, edges int, replicas ...*standInReplica) *fleet {
 	return startFleetOf(t, 3, 0, edges, replicas...)
 }
 
-// startFleetOf starts control daemons that are to bear a number of losses, and data planes.
+// startFleetOf starts control-plane nodes that tolerate a number of machine losses, and data planes.
 func startFleetOf(t *testing.T, cores, losses, edges int, replicas ...*standInReplica) *fleet {
 	logrus.SetOutput(io.Discard)
 	f := &fleet{
-		t:       t,
-		network: newMemoryNetwork(),
-		nodes:   map[string]*runningNode{},
-		folders: map[string]keystore.Directory{},
-		losses:  losses,
-		cores:   cores,
+		t:           t,
+		network:     newMemoryNetwork(),
+		nodes:       map[string]*runningNode{},
+		directories: map[string]keystore.Directory{},
+		machineLoss: losses,
+		cores:       cores,
 	}
 	transport := peer.NewTransport(f.network.machine("10.9.9.9"), time.Second, time.Minute, 0)
 	transport.DisableKeepAlives = true
 	f.client = &http.Client{Transport: transport}
-	f.serve("10.200.0.1", "10.200.0.1:80", http.HandlerFunc(f.list))
+	f.serve("10.200.0.1", "10.200.0.1:80", http.HandlerFunc(f.serveReplicaList))
 	for _, standIn := range replicas {
-		f.add(standIn)
+		f.addReplica(standIn)
 	}
 	for number := 1; number <= cores; number++ {
 		f.startCore(coreHost(number), true, 1, 2, 3)
@@ -96,12 +102,12 @@
 		}
 		f.lock.Unlock()
 		for host := range listening {
-			f.network.resetAll(host)
+			f.network.resetHost(host)
 		}
-		f.network.resetAll("10.200.0.1")
+		f.network.resetHost("10.200.0.1")
 		for number := 1; number <= 9; number++ {
-			f.network.resetAll(coreHost(number))
-			f.network.resetAll(edgeHost(number))
+			f.network.resetHost(coreHost(number))
+			f.network.resetHost(edgeHost(number))
 		}
 		time.Sleep(2 * time.Minute)
 	})
@@ -119,23 +125,13 @@
 	go func() { _ = http.Serve(listener, handler) }()
 }
 
-func (f *fleet) add(standIn *standInReplica) {
+func (f *fleet) addReplica(standIn *standInReplica) {
 	f.lock.Lock()
 	f.replicas = append(f.replicas, standIn)
 	f.lock.Unlock()
 	f.serve(hostOf(standIn.listed.Address), standIn.listed.Address, standIn)
 }
 
-func (f *fleet) list(writer http.ResponseWriter, request *http.Request) {
-	f.lock.Lock()
-	replicas := append([]*standInReplica(nil), f.replicas...)
-	f.listed++
-	took := f.listDuration
-	f.lock.Unlock()
-	time.Sleep(took)
-	_ = json.NewEncoder(writer).Encode(f.pageOf(replicas, request.URL.Query().Get("pageToken")))
-}
-
 func (f *fleet) settings(host string, bootstrap bool, seeds ...int) nodesettings.Settings {
 	settings, err := nodesettings.Parse([]byte(""))
 	assert.NilError(f.t, err)
@@ -149,12 +145,12 @@
 		settings.SeedNodes = append(settings.SeedNodes, coreHost(seed)+":8166")
 	}
 	settings.DataDir = "memory"
-	settings.FaultTolerance.MachineLoss = f.losses
+	settings.FaultTolerance.MachineLoss = f.machineLoss
 	settings.BindAddresses = nodesettings.BindAddresses{DataPlane: host + ":8161", Readiness: host + ":8167", ControlPlane: host + ":8166"}
 	settings.CloudAPI = nodesettings.CloudAPI{Address: "10.200.0.1:80", RatePerS: 40, MaxLagMs: 100}
 	settings.TimingBounds.RetryBudgetRatio, settings.TimingBounds.RetryBudgetSlack = 0.2, 50
-	if f.adjust != nil {
-		f.adjust(&settings)
+	if f.adjustSettings != nil {
+		f.adjustSettings(&settings)
 	}
 	return settings
 }
@@ -168,14 +164,15 @@
 	go func() { node.done <- run(ctx, nodesettings.Signals{Stop: node.stop}) }()
 }
 
+// startCore starts a control-plane node on the disk that its machine had before, if any.
 func (f *fleet) startCore(host string, bootstrap bool, seeds ...int) {
 	f.lock.Lock()
-	if f.folders[host] == nil {
-		f.folders[host] = &memoryDirectory{files: map[string][]byte{}}
+	if f.directories[host] == nil {
+		f.directories[host] = &memoryDirectory{files: map[string][]byte{}}
 	}
-	folder := freezableDirectory{f.folders[host], f.network, host}
+	directory := freezableDirectory{f.directories[host], f.network, host}
 	f.lock.Unlock()
-	daemon, err := controlplane.New(f.settings(host, bootstrap, seeds...), "", f.network.machine(host), folder)
+	daemon, err := controlplane.New(f.settings(host, bootstrap, seeds...), "", f.network.machine(host), directory)
 	assert.NilError(f.t, err)
 	f.launch(host, daemon.Run)
 }
@@ -194,61 +191,69 @@
 	return f.nodes[host]
 }
 
+// kill ends a node at once, without a graceful shutdown, and resets its connections.
 func (f *fleet) kill(host string) {
 	f.runningNode(host).cancel()
-	f.network.resetAll(host)
+	f.network.resetHost(host)
 	time.Sleep(10 * time.Millisecond)
-	f.network.resetAll(host)
+	f.network.resetHost(host)
 }
 
-type reply struct {
-	status int
-	body   string
-	header http.Header
-	cut    bool
-	took   time.Duration
+// wipe gives a killed machine an empty disk.
+func (f *fleet) wipe(host string) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.directories[host] = &memoryDirectory{files: map[string][]byte{}}
 }
 
-func (f *fleet) call(method, address, path, body string, header map[string]string) reply {
-	began := time.Now()
-	request, err := http.NewRequest(method, "http://"+address+path, strings.NewReader(body))
-	assert.NilError(f.t, err)
-	for name, value := range header {
-		request.Header.Set(name, value)
-	}
-	if host := header["Host"]; host != "" {
-		request.Host = host
-	}
-	answer, err := f.client.Do(request)
-	if err != nil {
-		return reply{cut: true, took: time.Since(began)}
-	}
-	defer answer.Body.Close()
-	content, err := io.ReadAll(answer.Body)
-	return reply{answer.StatusCode, string(content), answer.Header, err != nil, time.Since(began)}
+// losePower discards what a killed machine had not synced to its disk.
+func (f *fleet) losePower(host string) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.directories[host].(*memoryDirectory).losePower()
 }
 
-func (f *fleet) put(core, condition, _ int, document string) reply {
-	return f.call(
-		http.MethodPut,
-		coreHost(core)+":8166",
-		"/ferryspar/config",
-		document,
-		map[string]string{"If-Match": fmt.Sprint(condition)},
-	)
+// terminate sends SIGTERM, waits for the process to end, for at most shutdownTimeout, and returns the time it took.
+func (f *fleet) terminate(host string) time.Duration {
+	began, node := time.Now(), f.runningNode(host)
+	node.stop <- syscall.SIGTERM
+	select {
+	case <-node.done:
+	case <-time.After(shutdownTimeout):
+	}
+	node.cancel()
+	f.network.resetHost(host)
+	time.Sleep(networkPoll)
+	f.network.resetHost(host)
+	return time.Since(began)
 }
 
-func (f *fleet) request(edge int, attempt, path, model string) reply {
-	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
-		"Host": "shop.example", replica.HeaderAttempt: attempt, replica.HeaderModel: model, replica.HeaderTokens: "100,20",
-		replica.HeaderPrefix: "aa:60,bb:40", replica.HeaderRemaining: "20000",
-	})
+// loseReplicas removes replicas from the platform list and resets the connections of their machine.
+func (f *fleet) loseReplicas(host string, ids ...string) {
+	f.lock.Lock()
+	f.replicas = slices.DeleteFunc(f.replicas, func(standIn *standInReplica) bool { return slices.Contains(ids, standIn.listed.ID) })
+	f.lock.Unlock()
+	f.network.resetHost(host)
 }
 
-func allEvents() string {
-	var whole strings.Builder
-	for number := 1; number <= 5; number++ {
-		fmt.Fprintf(&whole, "id: %d\ndata: piece %d\n\n", number, number)
+// startTwoRegions starts a settled fleet with two replicas in region "land" and one in "far", and region-bound routes.
+func startTwoRegions(t *testing.T, edges int) (*fleet, map[string]*standInReplica) {
+	replicas := map[string]*standInReplica{
+		"i-1": newStandInReplica("i-1", "10.1.2.1", "north", "swift", "other"),
+		"i-2": newStandInReplica("i-2", "10.2.2.1", "south", "swift"),
+		"i-3": newStandInReplica("i-3", "10.7.2.1", "abroad", "swift", "rare"),
 	}
-	return whole.String()
+	f := startSettledFleet(t, edges, replicas["i-1"], replicas["i-2"], replicas["i-3"])
+	assert.Equal(t, f.putConfiguration(1, 1, document(2, regionRoutes)).status, http.StatusOK)
+	time.Sleep(time.Second)
+	return f, replicas
+}
+
+// startSettledFleet starts a fleet and waits until its first configuration is in force.
+func startSettledFleet(t *testing.T, edges int, replicas ...*standInReplica) *fleet {
+	f := startFleet(t, edges, replicas...)
+	time.Sleep(3 * time.Second)
+	assert.Equal(t, f.putConfiguration(1, 0, document(1, "")).status, http.StatusOK)
+	time.Sleep(1500 * time.Millisecond)
+	return f
 }
--- a/internal/test/integration/rehearse_test.go
+++ b/internal/test/integration/forecast_test.go
@@ -1,7 +1,6 @@
 package integration
 
 import (
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"slices"
@@ -14,48 +13,8 @@
 
 	"ferryspar/internal/drill"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/replica"
 )
 
-func (f *fleet) rehearse(core int, request drill.Request) (reply, drill.Forecast) {
-	body, _ := json.Marshal(request)
-	got := f.call(http.MethodPost, coreHost(core)+":8166", "/ferryspar/rehearsal", string(body), nil)
-	var forecast drill.Forecast
-	_ = json.Unmarshal([]byte(got.body), &forecast)
-	return got, forecast
-}
-
-func (f *fleet) requestWithPrefix(edge int, attempt, path, model, prefix string) reply {
-	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
-		"Host": "shop.example", replica.HeaderAttempt: attempt, replica.HeaderModel: model, replica.HeaderTokens: "300,20",
-		replica.HeaderPrefix: prefix, replica.HeaderRemaining: "20000",
-	})
-}
-
-func (f *fleet) lose(host string, ids ...string) {
-	f.lock.Lock()
-	f.replicas = slices.DeleteFunc(f.replicas, func(standIn *standInReplica) bool { return slices.Contains(ids, standIn.listed.ID) })
-	f.lock.Unlock()
-	f.network.resetAll(host)
-}
-
-const boundRoute = `,{"name":"bound","hostname":"shop.example","pathPrefix":"/bound/","routeType":"streaming",
-	"timeoutMs":20000,"targetLatencyMs":600,"priority":2,"backend":"scribes","retryCount":1,"allowedRegions":["far"]},
-	{"name":"homely","hostname":"shop.example","pathPrefix":"/homely/","routeType":"streaming","timeoutMs":20000,
-	"targetLatencyMs":600,"priority":2,"backend":"scribes","retryCount":1,"allowedRegions":["land"]}`
-
-func startTwoRegions(t *testing.T, edges int) (*fleet, map[string]*standInReplica) {
-	stands := map[string]*standInReplica{
-		"i-1": newStandInReplica("i-1", "10.1.2.1", "north", "swift", "other"),
-		"i-2": newStandInReplica("i-2", "10.2.2.1", "south", "swift"),
-		"i-3": newStandInReplica("i-3", "10.7.2.1", "abroad", "swift", "rare"),
-	}
-	f := startSettledFleet(t, edges, stands["i-1"], stands["i-2"], stands["i-3"])
-	assert.Equal(t, f.put(1, 1, 2, document(2, boundRoute)).status, http.StatusOK)
-	time.Sleep(time.Second)
-	return f, stands
-}
-
 func findRoute(t *testing.T, forecast drill.Forecast, name string) drill.RouteForecast {
 	for _, route := range forecast.Routes {
 		if route.Name == name {
@@ -66,11 +25,11 @@
 	return drill.RouteForecast{}
 }
 
-const demandTravels = 1500 * time.Millisecond
+const demandPropagation = 1500 * time.Millisecond
 
 func TestForecast_MatchesRealLossOfRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stands := startTwoRegions(t, 2)
+		f, replicas := startTwoRegions(t, 2)
 		for round := range 4 {
 			for number := range 8 {
 				edge := number%2 + 1
@@ -91,8 +50,8 @@
 			assert.Equal(t, f.requestWithPrefix(1, fmt.Sprint("rare-", number), "/quick/", "rare", "dd:300").status, http.StatusOK)
 			assert.Equal(t, f.requestWithPrefix(2, fmt.Sprint("bound-", number), "/bound/", "swift", "ee:300").status, http.StatusOK)
 		}
-		time.Sleep(demandTravels)
-		got, forecast := f.rehearse(2, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Region: "far"}})
+		time.Sleep(demandPropagation)
+		got, forecast := f.postRehearsal(2, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Region: "far"}})
 		assert.Equal(t, got.status, http.StatusOK, got.body)
 		assert.Assert(t, !forecast.Partial && len(forecast.Answered) == 2, got.body)
 		assert.DeepEqual(t, forecast.ReplicasLost, []string{"i-3"})
@@ -103,7 +62,7 @@
 		assert.Equal(t, forecast.LoadEstimate.MinMs, 2000.0)
 		where := slices.IndexFunc(forecast.Placement, func(step drill.PlacementStep) bool { return step.Load && step.Model == "rare" })
 		assert.Assert(t, where >= 0, "%+v", forecast.Placement)
-		bringer := stands[forecast.Placement[where].Replica]
+		bringer := replicas[forecast.Placement[where].Replica]
 		assert.Assert(t, forecast.Control.KeepsMajority && len(forecast.Control.Lost) == 0)
 		quick, bound := findRoute(t, forecast, "quick"), findRoute(t, forecast, "bound")
 		assert.Equal(t, quick.Sampled, 38)
@@ -119,13 +78,13 @@
 			forecast.Cached,
 		)
 
-		f.lose("10.7.2.1", "i-3")
+		f.loseReplicas("10.7.2.1", "i-3")
 		time.Sleep(1500 * time.Millisecond)
 		assert.Equal(
 			t,
 			f.requestWithPrefix(2, "bound-then", "/bound/", "swift", "ee:300").status,
 			http.StatusServiceUnavailable,
-			"bound to what is lost: refused, as forecast",
+			"bound to what is lost: rejected, as forecast",
 		)
 		for number := range 8 {
 			assert.Equal(
@@ -140,18 +99,18 @@
 				http.StatusOK,
 			)
 		}
-		asked := time.Now()
-		assert.Assert(t, !bringer.entry().HasLoaded("rare", ""))
+		began := time.Now()
+		assert.Assert(t, !bringer.listEntry().HasLoaded("rare", ""))
 		late := f.requestWithPrefix(1, "rare-then", "/patient/", "rare", "dd:300")
 		assert.Equal(t, late.status, http.StatusOK)
-		took := time.Since(asked)
-		assert.Assert(t, bringer.entry().HasLoaded("rare", ""), "loaded where the forecast said: %+v", forecast.Placement)
+		duration := time.Since(began)
+		assert.Assert(t, bringer.listEntry().HasLoaded("rare", ""), "loaded where the forecast said: %+v", forecast.Placement)
 		estimate := nodesettings.Milliseconds(forecast.LoadEstimate.MinMs)
 		assert.Assert(
 			t,
-			took >= estimate && took < estimate+4*time.Second,
+			duration >= estimate && duration < estimate+4*time.Second,
 			"loaded again in %s, forecast at least %v",
-			took,
+			duration,
 			forecast.LoadEstimate.MinMs,
 		)
 	})
@@ -159,8 +118,8 @@
 
 func TestForecast_NamesFateOfRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stands := startTwoRegions(t, 1)
-		for _, standIn := range stands {
+		f, replicas := startTwoRegions(t, 1)
+		for _, standIn := range replicas {
 			standIn.lock.Lock()
 			standIn.events = 200
 			standIn.lock.Unlock()
@@ -179,10 +138,10 @@
 			ask(fmt.Sprint("patient-", number), "/patient/")
 		}
 		inNorth := map[string]int{}
-		for _, run := range stands["i-1"].executed() {
+		for _, run := range replicas["i-1"].executed() {
 			inNorth[run.path]++
 		}
-		_, forecast := f.rehearse(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Zone: "north"}})
+		_, forecast := f.postRehearsal(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Zone: "north"}})
 		assert.Equal(t, forecast.InFlight.Running, 12)
 		assert.Equal(t, forecast.InFlight.OnLostReplicas, inNorth["/quick/"]+inNorth["/patient/"])
 		assert.Equal(t, forecast.InFlight.Resumable, inNorth["/patient/"])
@@ -190,7 +149,7 @@
 		moved := 0
 		for _, forecast := range forecast.Replicas {
 			moved += forecast.Moved
-			assert.Equal(t, forecast.Running, len(stands[forecast.Replica].executed()))
+			assert.Equal(t, forecast.Running, len(replicas[forecast.Replica].executed()))
 		}
 		assert.Equal(t, moved+forecast.InFlight.StillWaiting, forecast.InFlight.OnLostReplicas)
 		assert.DeepEqual(t, forecast.DataPlanesLost, []string{"daemon-" + edgeHost(1)})
@@ -205,7 +164,7 @@
 		f, _ := startTwoRegions(t, 2)
 		f.network.blackhole(edgeHost(2), true)
 		time.Sleep(2 * time.Second)
-		_, forecast := f.rehearse(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Zone: "south"}})
+		_, forecast := f.postRehearsal(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Zone: "south"}})
 		assert.Assert(t, forecast.Partial)
 		assert.DeepEqual(t, forecast.Missing, []string{"daemon-" + edgeHost(2)})
 		assert.DeepEqual(t, forecast.Answered, []string{"daemon-" + edgeHost(1)})
@@ -222,23 +181,23 @@
 			}, http.StatusBadRequest: {Kind: drill.KindForecast},
 		}
 		for status, request := range cases {
-			got, _ := f.rehearse(1, request)
+			got, _ := f.postRehearsal(1, request)
 			assert.Equal(t, got.status, status, got.body)
 		}
-		got, _ := f.rehearse(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Zone: "nowhere"}})
+		got, _ := f.postRehearsal(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Zone: "nowhere"}})
 		assert.Equal(t, got.status, http.StatusNotFound, got.body)
-		got, _ = f.rehearse(1, drill.Request{Kind: "wish", Scope: drill.Scope{Zone: "north"}})
+		got, _ = f.postRehearsal(1, drill.Request{Kind: "wish", Scope: drill.Scope{Zone: "north"}})
 		assert.Equal(t, got.status, http.StatusBadRequest, got.body)
 		f.network.blackhole(edgeHost(1), true)
 		answers := make(chan reply, 2)
 		for range 2 {
 			go func() {
-				got, _ := f.rehearse(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Region: "far"}})
+				got, _ := f.postRehearsal(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Region: "far"}})
 				answers <- got
 			}()
 		}
 		first, second := <-answers, <-answers
-		assert.Equal(t, first.status, http.StatusConflict, "two at once: one is refused")
+		assert.Equal(t, first.status, http.StatusConflict, "two at once: one is rejected")
 		assert.Equal(t, second.status, http.StatusOK)
 	})
 }
--- a/internal/test/integration/health_test.go
+++ b/internal/test/integration/health_test.go
@@ -8,17 +8,15 @@
 	"time"
 
 	"gotest.tools/v3/assert"
-
-	"ferryspar/internal/replica"
 )
 
 var replicaZones = []string{"north", "south", "east"}
 
-type streamResult struct {
-	served, asked int
+type trafficResult struct {
+	served, sent int
 }
 
-func (f *fleet) stream(edges int, path string, span time.Duration) streamResult {
+func (f *fleet) sendSteadily(edges int, path string, span time.Duration) trafficResult {
 	const pause = 40 * time.Millisecond
 	f.client.Timeout = 2400 * time.Millisecond
 	total := int(span / pause)
@@ -27,27 +25,16 @@
 		go func() { done <- f.requestNew(number%edges+1, number, path) }()
 		time.Sleep(pause)
 	}
-	seen := streamResult{asked: total}
+	result := trafficResult{sent: total}
 	for range total {
 		if got := <-done; got.status == http.StatusOK && got.body == allEvents() {
-			seen.served++
+			result.served++
 		}
 	}
-	return seen
+	return result
 }
 
-func (f *fleet) requestNew(edge, number int, path string) reply {
-	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
-		"Host":                  "shop.example",
-		replica.HeaderAttempt:   fmt.Sprintf("attempt-%d", number),
-		replica.HeaderModel:     "swift",
-		replica.HeaderTokens:    "100,20",
-		replica.HeaderPrefix:    fmt.Sprintf("%x:100", time.Now().UnixNano()+int64(number)),
-		replica.HeaderRemaining: "20000",
-	})
-}
-
-func (f *fleet) rush(edges, total int) {
+func (f *fleet) sendBurst(edges, total int) {
 	done := make(chan reply, total)
 	for number := range total {
 		go func() { done <- f.requestNew(number%edges+1, number, "/quick/") }()
@@ -68,40 +55,36 @@
 	return list
 }
 
-func (s *standInReplica) executedSince(from time.Time) int {
-	amount := 0
-	for _, run := range s.executed() {
-		if run.at.After(from) {
-			amount++
-		}
-	}
-	return amount
-}
-
 func TestHealth_FailingReplicaIsThrottledAndReturns(t *testing.T) {
-	for _, how := range []string{"errors", "reset", "hang", "shed"} {
-		t.Run(how, func(t *testing.T) {
+	for _, failureMode := range []string{"errors", "reset", "hang", "shed"} {
+		t.Run(failureMode, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				replicas := fourReplicas()
 				f := startSettledFleet(t, 6, replicas...)
-				grey := replicas[0]
-				f.stream(6, "/quick/", 3*time.Second)
-				assert.Assert(t, len(grey.executed()) > 8, "well at first: %d", len(grey.executed()))
-				grey.setFailing(how, 2)
-				f.stream(6, "/quick/", 3*time.Second)
-				late := time.Now()
-				seen := f.stream(6, "/quick/", 6*time.Second)
-				f.rush(6, 20)
-				fairShare := (seen.asked + 20) / len(replicas)
-				assert.Assert(t, grey.executedSince(late) <= fairShare/2, "ran %d of a fair %d", grey.executedSince(late), fairShare)
-				assert.Assert(t, seen.served >= seen.asked-8, "served %d of %d", seen.served, seen.asked)
-				grey.setFailing("", 0)
-				f.stream(6, "/quick/", 16*time.Second)
-				well := time.Now()
+				failing := replicas[0]
+				f.sendSteadily(6, "/quick/", 3*time.Second)
+				assert.Assert(t, len(failing.executed()) > 8, "used at first: %d", len(failing.executed()))
+				failing.setFailureMode(failureMode, 2)
+				f.sendSteadily(6, "/quick/", 3*time.Second)
+				ejectedAt := time.Now()
+				result := f.sendSteadily(6, "/quick/", 6*time.Second)
+				f.sendBurst(6, 20)
+				fairShare := (result.sent + 20) / len(replicas)
+				assert.Assert(
+					t,
+					failing.executedSince(ejectedAt) <= fairShare/2,
+					"ran %d of a fair %d",
+					failing.executedSince(ejectedAt),
+					fairShare,
+				)
+				assert.Assert(t, result.served >= result.sent-8, "served %d of %d", result.served, result.sent)
+				failing.setFailureMode("", 0)
+				f.sendSteadily(6, "/quick/", 16*time.Second)
+				recoveredAt := time.Now()
 				for range 3 {
-					f.rush(6, 28)
+					f.sendBurst(6, 28)
 				}
-				assert.Assert(t, grey.executedSince(well) >= 2, "back in: %d", grey.executedSince(well))
+				assert.Assert(t, failing.executedSince(recoveredAt) >= 2, "back in: %d", failing.executedSince(recoveredAt))
 			})
 		})
 	}
@@ -112,12 +95,12 @@
 		replicas := fourReplicas()
 		f := startSettledFleet(t, 2, replicas...)
 		for _, standIn := range replicas {
-			standIn.setFailing("errors", 3)
+			standIn.setFailureMode("errors", 3)
 		}
-		f.stream(2, "/quick/", 4*time.Second)
+		f.sendSteadily(2, "/quick/", 4*time.Second)
 		late := time.Now()
-		seen := f.stream(2, "/quick/", 4*time.Second)
-		assert.Assert(t, seen.served >= seen.asked/2, "served %d of %d", seen.served, seen.asked)
+		result := f.sendSteadily(2, "/quick/", 4*time.Second)
+		assert.Assert(t, result.served >= result.sent/2, "served %d of %d", result.served, result.sent)
 		for _, standIn := range replicas {
 			assert.Assert(t, standIn.executedSince(late) > 4, "%s ran %d", standIn.listed.ID, standIn.executedSince(late))
 		}
@@ -128,27 +111,32 @@
 	synctest.Test(t, func(t *testing.T) {
 		replicas := fourReplicas()
 		f := startSettledFleet(t, 2, replicas[0], newStandInReplica("i-9", "10.3.2.1", "east", "rare", "other"))
-		replicas[0].setFailing("errors", 2)
-		f.stream(2, "/quick/", 6*time.Second)
+		replicas[0].setFailureMode("errors", 2)
+		f.sendSteadily(2, "/quick/", 6*time.Second)
 		assert.Assert(t, len(replicas[0].executed()) > 100, "ran %d", len(replicas[0].executed()))
-		seen := f.stream(2, "/patient/", 3*time.Second)
-		assert.Assert(t, seen.served >= seen.asked*4/5, "a second try is served: %d of %d", seen.served, seen.asked)
+		result := f.sendSteadily(2, "/patient/", 3*time.Second)
+		assert.Assert(t, result.served >= result.sent*4/5, "a second try is served: %d of %d", result.served, result.sent)
 	})
 }
 
 func TestHealth_OutcomesOutweighHealthChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := fourReplicas()
-		liar, modest := replicas[0], replicas[1]
-		liar.healthy = true
+		falselyHealthy, falselyUnhealthy := replicas[0], replicas[1]
+		falselyHealthy.healthy = true
 		f := startSettledFleet(t, 6, replicas...)
-		liar.setFailing("errors", 1)
-		f.stream(6, "/quick/", 3*time.Second)
-		late := time.Now()
-		seen := f.stream(6, "/quick/", 4*time.Second)
-		assert.Assert(t, seen.served >= seen.asked-4, "served %d of %d", seen.served, seen.asked)
-		assert.Assert(t, modest.executedSince(late) > 8, "says ill and is well: ran %d", modest.executedSince(late))
-		assert.Equal(t, liar.probed+modest.probed, 0)
+		falselyHealthy.setFailureMode("errors", 1)
+		f.sendSteadily(6, "/quick/", 3*time.Second)
+		since := time.Now()
+		result := f.sendSteadily(6, "/quick/", 4*time.Second)
+		assert.Assert(t, result.served >= result.sent-4, "served %d of %d", result.served, result.sent)
+		assert.Assert(
+			t,
+			falselyUnhealthy.executedSince(since) > 8,
+			"fails its health checks and serves: ran %d",
+			falselyUnhealthy.executedSince(since),
+		)
+		assert.Equal(t, falselyHealthy.healthChecks+falselyUnhealthy.healthChecks, 0)
 	})
 }
 
@@ -161,18 +149,18 @@
 			gone := 0
 			for range rounds {
 				f.network.blackhole(flapping, true)
-				seen := f.stream(6, "/quick/", 1400*time.Millisecond)
+				result := f.sendSteadily(6, "/quick/", 1400*time.Millisecond)
 				f.network.blackhole(flapping, false)
-				back := f.stream(6, "/quick/", 1400*time.Millisecond)
-				gone += seen.asked + back.asked - seen.served - back.served
+				back := f.sendSteadily(6, "/quick/", 1400*time.Millisecond)
+				gone += result.sent + back.sent - result.served - back.served
 			}
 			return gone
 		}
 		lost(1)
-		began := f.network.dialed(flapping)
+		began := f.network.dialCount(flapping)
 		gone := lost(3)
 		assert.Assert(t, gone <= 6, "lost %d", gone)
-		assert.Assert(t, f.network.dialed(flapping)-began <= 12, "dialed %d", f.network.dialed(flapping)-began)
+		assert.Assert(t, f.network.dialCount(flapping)-began <= 12, "dialed %d", f.network.dialCount(flapping)-began)
 	})
 }
 
@@ -180,7 +168,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
 		f := startSettledFleet(t, 1, standIn)
-		f.network.dropSilently("10.1.2.1", 400*time.Millisecond)
+		f.network.dropIdleConnections("10.1.2.1", 400*time.Millisecond)
 		assert.Equal(t, f.request(1, "a", "/patient/", "swift").body, allEvents())
 		time.Sleep(600 * time.Millisecond)
 		assert.Assert(t, f.request(1, "b", "/patient/", "swift").status != http.StatusServiceUnavailable)
@@ -188,12 +176,12 @@
 			time.Sleep(600 * time.Millisecond)
 			assert.Equal(t, f.request(1, fmt.Sprintf("once-%d", number), "/quick/", "swift").body, allEvents())
 		}
-		dialed := f.network.dialed("10.1.2.1")
+		dialed := f.network.dialCount("10.1.2.1")
 		for number := range 6 {
 			time.Sleep(50 * time.Millisecond)
 			assert.Equal(t, f.request(1, fmt.Sprintf("soon-%d", number), "/quick/", "swift").body, allEvents())
 		}
-		assert.Assert(t, f.network.dialed("10.1.2.1")-dialed <= 1, "sessions just used are used again")
+		assert.Assert(t, f.network.dialCount("10.1.2.1")-dialed <= 1, "sessions just used are used again")
 	})
 }
 
@@ -206,7 +194,7 @@
 			f.network.breakConnections("10.1.2.1")
 			got := f.request(1, fmt.Sprintf("next-%d", number), "/quick/", "swift")
 			assert.Equal(t, got.body, allEvents())
-			assert.Assert(t, got.took < 300*time.Millisecond, "took %s", got.took)
+			assert.Assert(t, got.duration < 300*time.Millisecond, "took %s", got.duration)
 		}
 		assert.Equal(t, len(standIn.executed()), 10)
 	})
@@ -223,21 +211,21 @@
 			)
 		}
 		f := startSettledFleet(t, 6, replicas...)
-		f.stream(6, "/quick/", 3*time.Second)
+		f.sendSteadily(6, "/quick/", 3*time.Second)
 		for _, standIn := range replicas {
 			if standIn.listed.Zone == "south" {
 				f.network.blackhole(hostOf(standIn.listed.Address), true)
 			}
 		}
-		f.stream(6, "/quick/", 1500*time.Millisecond)
-		seen := f.stream(6, "/quick/", 4*time.Second)
-		assert.Assert(t, seen.served >= seen.asked-6, "served %d of %d", seen.served, seen.asked)
+		f.sendSteadily(6, "/quick/", 1500*time.Millisecond)
+		result := f.sendSteadily(6, "/quick/", 4*time.Second)
+		assert.Assert(t, result.served >= result.sent-6, "served %d of %d", result.served, result.sent)
 		fresh := newStandInReplica("i-new", "10.2.2.77", "south", "swift")
-		f.add(fresh)
+		f.addReplica(fresh)
 		time.Sleep(1500 * time.Millisecond)
-		seen = f.stream(2, "/quick/", 3*time.Second)
-		assert.Equal(t, seen.served, seen.asked)
-		assert.Assert(t, len(fresh.executed()) > 1, "the new life is used: %d", len(fresh.executed()))
+		result = f.sendSteadily(2, "/quick/", 3*time.Second)
+		assert.Equal(t, result.served, result.sent)
+		assert.Assert(t, len(fresh.executed()) > 1, "the new replica is used: %d", len(fresh.executed()))
 		assert.Assert(t, f.call(http.MethodGet, edgeHost(1)+":8167", "/ferryspar/readyz", "", nil).status == http.StatusOK)
 	})
 }
--- a/internal/test/integration/limits_test.go
+++ b/internal/test/integration/listener_test.go
@@ -19,10 +19,10 @@
 		connection, err := dial(t.Context(), "tcp", edgeHost(1)+":8161")
 		assert.NilError(t, err)
 		defer connection.Close()
-		whole := "POST /quick/ HTTP/1.1\r\nHost: shop.example\r\n" +
+		message := "POST /quick/ HTTP/1.1\r\nHost: shop.example\r\n" +
 			"Ferryspar-Attempt-Id: a\r\nFerryspar-Model: swift\r\nContent-Length: 1\r\n\r\nx"
 		for range 2 {
-			_, err = connection.Write([]byte(whole))
+			_, err = connection.Write([]byte(message))
 			assert.NilError(t, err)
 			answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
 			assert.NilError(t, err)
--- a/internal/test/integration/hold_network_test.go
+++ b/internal/test/integration/memory_network_delay_test.go
@@ -15,26 +15,28 @@
 	calledHost = "10.200.0.9"
 )
 
-// received is what a plain server has seen of one call.
-type received struct {
-	at        time.Time
-	callerWas error
+// receivedCall is what a plain HTTP server has seen of one call: when it arrived, and whether its context was canceled.
+type receivedCall struct {
+	at         time.Time
+	contextErr error
 }
 
-func callThrough(t *testing.T, f *fleet, cut func(on bool), reset bool) (time.Time, []received) {
-	calls := make(chan received, 4)
+// callThroughPartition writes a request while the path is faulty, closes or resets the connection, and returns the moment
+// of the heal with what the server received.
+func callThroughPartition(t *testing.T, f *fleet, partition func(on bool), reset bool) (time.Time, []receivedCall) {
+	calls := make(chan receivedCall, 4)
 	f.serve(calledHost, calledHost+":80", http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 		began := time.Now()
 		select {
 		case <-request.Context().Done():
 		case <-time.After(2 * time.Second):
 		}
-		calls <- received{began, request.Context().Err()}
+		calls <- receivedCall{began, request.Context().Err()}
 	}))
-	t.Cleanup(func() { f.network.resetAll(calledHost) })
+	t.Cleanup(func() { f.network.resetHost(calledHost) })
 	connection, err := f.network.machine(callerHost).DialFunc(time.Second, time.Minute)(context.Background(), "tcp", calledHost+":80")
 	assert.NilError(t, err)
-	cut(true)
+	partition(true)
 	go func() { _, _ = connection.Write([]byte("POST /late HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")) }()
 	time.Sleep(time.Second)
 	if reset {
@@ -43,11 +45,11 @@
 		_ = connection.Close()
 	}
 	time.Sleep(19 * time.Second)
-	cut(false)
+	partition(false)
 	healed := time.Now()
 	time.Sleep(5 * time.Second)
 	close(calls)
-	var all []received
+	var all []receivedCall
 	for answer := range calls {
 		all = append(all, answer)
 	}
@@ -57,7 +59,7 @@
 func TestMemoryNetwork_BufferedBytesArriveUnlessSenderResets(t *testing.T) {
 	ways := map[string]func(f *fleet) func(on bool){
 		"frozen": func(f *fleet) func(on bool) { return func(on bool) { f.network.freeze(calledHost, on) } },
-		"cut":    func(f *fleet) func(on bool) { return func(on bool) { f.network.delayBoth(callerHost, calledHost, on) } },
+		"both":   func(f *fleet) func(on bool) { return func(on bool) { f.network.delayBoth(callerHost, calledHost, on) } },
 		"oneway": func(f *fleet) func(on bool) { return func(on bool) { f.network.delay(callerHost, calledHost, on) } },
 	}
 	for name, way := range ways {
@@ -65,14 +67,14 @@
 			t.Run(name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := startFleetOf(t, 0, 0, 0)
-					healed, all := callThrough(t, f, way(f), reset)
+					healed, all := callThroughPartition(t, f, way(f), reset)
 					if reset {
 						assert.Equal(t, len(all), 0)
 						return
 					}
 					assert.Equal(t, len(all), 1)
-					assert.Assert(t, !all[0].at.Before(healed), "heard while it was out of reach")
-					assert.Equal(t, all[0].callerWas, context.Canceled, "the close follows the bytes")
+					assert.Assert(t, !all[0].at.Before(healed), "received while it was unreachable")
+					assert.Equal(t, all[0].contextErr, context.Canceled, "the close follows the bytes")
 				})
 			})
 		}
@@ -82,8 +84,8 @@
 func TestMemoryNetwork_ReversePartitionDelaysOnlyTheAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetOf(t, 0, 0, 0)
-		_, all := callThrough(t, f, func(on bool) { f.network.delay(calledHost, callerHost, on) }, false)
+		_, all := callThroughPartition(t, f, func(on bool) { f.network.delay(calledHost, callerHost, on) }, false)
 		assert.Equal(t, len(all), 1)
-		assert.Equal(t, all[0].callerWas, context.Canceled)
+		assert.Equal(t, all[0].contextErr, context.Canceled)
 	})
 }
--- a/internal/test/integration/record_test.go
+++ b/internal/test/integration/operator_violations_test.go
@@ -3,22 +3,18 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net/http"
 	"regexp"
 	"slices"
 	"strings"
-	"time"
-
-	"ferryspar/internal/adminapi"
 )
 
-// violations judges all calls so far by the rules for operators' changes.
+// violations checks all calls so far: a version has one winner, and resends agree.
 func (o *operators) violations() []string {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	var found []string
 	winners := map[int]string{}
-	for index, call := range o.record {
+	for index, call := range o.calls {
 		if outcomeOf(call.status) == acknowledged && call.change.zone == "" {
 			winner, known := winners[call.change.condition]
 			if known && winner != call.change.name {
@@ -29,15 +25,15 @@
 			}
 			winners[call.change.condition] = call.change.name
 		}
-		if outcomeOf(call.status) == refused && call.change.zone != "" {
-			found = append(found, "an evacuation is refused: "+call.String())
+		if outcomeOf(call.status) == rejected && call.change.zone != "" {
+			found = append(found, "an evacuation is rejected: "+call.String())
 		}
-		found = append(found, contradictions(call, o.record[index+1:])...)
+		found = append(found, contradictions(call, o.calls[index+1:])...)
 	}
 	return found
 }
 
-// contradictions are the later resends of a call whose outcome can't stand beside the call's own.
+// contradictions lists later resends of a call with an outcome that contradicts the call's own.
 func contradictions(call operatorCall, following []operatorCall) []string {
 	var found []string
 	for _, later := range following {
@@ -45,17 +41,17 @@
 			continue
 		}
 		first, second := outcomeOf(call.status), outcomeOf(later.status)
-		if first == acknowledged && second == refused {
-			found = append(found, "acknowledged, then refused: "+call.String()+" / "+later.String())
+		if first == acknowledged && second == rejected {
+			found = append(found, "acknowledged, then rejected: "+call.String()+" / "+later.String())
 		}
-		if first == refused && second == acknowledged {
-			found = append(found, "refused, then acknowledged: "+call.String()+" / "+later.String())
+		if first == rejected && second == acknowledged {
+			found = append(found, "rejected, then acknowledged: "+call.String()+" / "+later.String())
 		}
 	}
 	return found
 }
 
-// readViolations judges a configuration that was read back when no call was under way.
+// readViolations checks a configuration that was read when no call was in flight.
 func (o *operators) readViolations(content string) []string {
 	var document struct {
 		Revision   int
@@ -67,41 +63,41 @@
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	newest, under, routes := 0, map[string]outcome{}, map[string]string{}
-	for _, call := range o.record {
+	for _, call := range o.calls {
 		if call.change.zone != "" {
 			continue
 		}
-		said := outcomeOf(call.status)
-		if said == acknowledged {
+		result := outcomeOf(call.status)
+		if result == acknowledged {
 			newest = max(newest, call.change.revision)
 		}
 		if call.change.revision == document.Revision && under[call.change.name] != acknowledged {
-			under[call.change.name], routes[call.change.name] = said, call.change.route
+			under[call.change.name], routes[call.change.name] = result, call.change.route
 		}
 	}
 	if document.Revision < newest {
 		return []string{fmt.Sprintf("revision %d is read back, %d was acknowledged", document.Revision, newest)}
 	}
-	for name, said := range under {
-		there := slices.ContainsFunc(document.RouteTable, func(one struct{ Name string }) bool { return one.Name == routes[name] })
-		if said == acknowledged && !there {
+	for name, result := range under {
+		there := slices.ContainsFunc(document.RouteTable, func(route struct{ Name string }) bool { return route.Name == routes[name] })
+		if result == acknowledged && !there {
 			return []string{fmt.Sprintf("%q was acknowledged as revision %d, which is another's", name, document.Revision)}
 		}
-		if said == refused && there {
-			return []string{fmt.Sprintf("%q was refused and is in force", name)}
+		if result == rejected && there {
+			return []string{fmt.Sprintf("%q was rejected and is in force", name)}
 		}
 	}
 	return nil
 }
 
-// zoneViolations compares what a control daemon says of the zones with the last acknowledged calls.
+// zoneViolations compares the drained zones that a member reports with the last acknowledged calls.
 func (o *operators) zoneViolations(host string) []string {
 	status := o.status(host)
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	last := map[string]operatorCall{}
 	open := map[string]bool{}
-	for _, call := range o.record {
+	for _, call := range o.calls {
 		zone := call.change.zone
 		if zone == "" {
 			continue
@@ -122,41 +118,10 @@
 	return found
 }
 
-func (o *operators) status(host string) adminapi.FleetStatus {
-	got := o.f.call(http.MethodGet, host+":8166", "/ferryspar/status", "", nil)
-	var status adminapi.FleetStatus
-	_ = json.Unmarshal([]byte(got.body), &status)
-	return status
-}
-
-// newest is the highest acknowledged revision.
-func (o *operators) newest() int {
-	o.lock.Lock()
-	defer o.lock.Unlock()
-	newest := 0
-	for _, call := range o.record {
-		if call.change.zone == "" && outcomeOf(call.status) == acknowledged {
-			newest = max(newest, call.change.revision)
-		}
-	}
-	return newest
-}
-
-// waitMembers waits until a daemon shows so many members and no change of members under way.
-func (o *operators) waitMembers(host string, amount int, bound time.Duration) bool {
-	for began := time.Now(); time.Since(began) < bound; time.Sleep(firstPause) {
-		status := o.status(host)
-		if len(status.Members) == amount && len(status.NextMembers) == 0 && status.Fresh {
-			return true
-		}
-	}
-	return false
-}
-
 var digits = regexp.MustCompile(`[0-9.]+[mµ]?s?`)
 
-// listed shows the first problem of each kind and how many there are of it.
-func listed(problems []string) string {
+// summarizeProblems shows the first problem of each kind and how many there are of it.
+func summarizeProblems(problems []string) string {
 	counts, first := map[string]int{}, []string{}
 	for _, problem := range problems {
 		kind := digits.ReplaceAllString(problem[:min(len(problem), 60)], "#")
@@ -172,3 +137,39 @@
 	}
 	return text.String()
 }
+
+// violationsAt collects all violations once no call is in flight: of the calls, of what each member reads, and of its zones.
+func (o *operators) violationsAt(hosts ...string) []string {
+	problems := o.violations()
+	for _, host := range hosts {
+		status, content := o.read(host)
+		if status != 200 {
+			problems = append(problems, fmt.Sprintf("%s reads %d %.80s", host, status, content))
+			continue
+		}
+		for _, problem := range o.readViolations(content) {
+			problems = append(problems, host+": "+problem)
+		}
+		problems = append(problems, o.zoneViolations(host)...)
+	}
+	return problems
+}
+
+func (o *operators) describe(hosts ...string) string {
+	text := ""
+	for _, host := range hosts {
+		content, _ := json.Marshal(o.shortStatus(host))
+		text += fmt.Sprintf("%s: %s\n", host, content)
+	}
+	return text
+}
+
+func (o *operators) shortStatus(host string) any {
+	status := o.status(host)
+	return struct {
+		Fresh         bool
+		Revision      int64
+		Members, Next []string
+		Drained       []string
+	}{status.Fresh, status.Revision, status.Members, status.NextMembers, status.DrainedZones}
+}
--- a/internal/test/integration/operators_test.go
+++ b/internal/test/integration/operators_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -9,27 +10,30 @@
 	"strings"
 	"sync"
 	"time"
+
+	"ferryspar/internal/adminapi"
 )
 
 const (
-	operatorHost     = "10.9.9.9"
-	operatorSilence  = time.Second
-	firstPause       = 100 * time.Millisecond
-	longestPause     = time.Second
-	callsAtOnce      = 8
-	redirectsAllowed = 2
-	zoneResendBound  = 4 * time.Second
+	operatorHost       = "10.9.9.9"
+	operatorTimeout    = time.Second
+	initialBackoff     = 100 * time.Millisecond
+	maxBackoff         = time.Second
+	maxConcurrentCalls = 8
+	redirectsAllowed   = 2
+	zoneResendBound    = 4 * time.Second
 )
 
+// outcome is what an operator knows of a change after a call.
 type outcome int
 
 const (
-	unclear outcome = iota
+	unknown outcome = iota
 	acknowledged
-	refused
+	rejected
 )
 
-// operatorChange is one change as an operator means it; it is resent unchanged.
+// operatorChange is one change that an operator intends; it is resent unchanged.
 type operatorChange struct {
 	name      string
 	route     string
@@ -42,37 +46,37 @@
 	drained   bool
 }
 
-// operatorCall is one try of a change at one daemon. status holds what the daemon said, also when the answer was lost.
+// operatorCall is one attempt of a change at one member. status is what the member answered, also if the answer was lost.
 type operatorCall struct {
-	change  operatorChange
-	host    string
-	began   time.Time
-	ended   time.Time
-	status  int
-	reason  string
-	lost    bool
-	outcome outcome
+	change     operatorChange
+	host       string
+	began      time.Time
+	ended      time.Time
+	status     int
+	reason     string
+	answerLost bool
+	outcome    outcome
 }
 
 func (c operatorCall) String() string {
 	return fmt.Sprintf("%s (If-Match %d) at %s, %s to %s: %d lost=%t %.120s", c.change.name, c.change.condition, c.host,
-		c.began.Format("05.000"), c.ended.Format("05.000"), c.status, c.lost, c.reason)
+		c.began.Format("05.000"), c.ended.Format("05.000"), c.status, c.answerLost, c.reason)
 }
 
-// operators stands for the people and scripts that call the control daemons.
+// operators simulates the people and scripts that call the control plane, with lost answers and resends.
 type operators struct {
-	f         *fleet
+	fleet     *fleet
 	client    *http.Client
 	hosts     []string
 	lossShare float64
-	places    chan struct{}
+	inFlight  chan struct{}
 	lock      sync.Mutex
-	draw      *rand.Rand
-	record    []operatorCall
+	rng       *rand.Rand
+	calls     []operatorCall
 }
 
 func newOperators(f *fleet, seed uint64, cores ...int) *operators {
-	o := &operators{f: f, places: make(chan struct{}, callsAtOnce), draw: rand.New(rand.NewPCG(seed, 1))}
+	o := &operators{fleet: f, inFlight: make(chan struct{}, maxConcurrentCalls), rng: rand.New(rand.NewPCG(seed, 1))}
 	for _, number := range cores {
 		o.hosts = append(o.hosts, coreHost(number))
 	}
@@ -119,12 +123,12 @@
 func (o *operators) randomFloat() float64 {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	return o.draw.Float64()
+	return o.rng.Float64()
 }
 
 func (o *operators) pickMember() string { return o.pickOtherMember("") }
 
-// pickOtherMember draws a daemon that is not the one that was tried last.
+// pickOtherMember returns a random member other than the last one.
 func (o *operators) pickOtherMember(last string) string {
 	others := []string{}
 	for _, host := range o.hosts {
@@ -155,11 +159,11 @@
 	return answer.StatusCode, string(content)
 }
 
-// attempt sends a change to one daemon once.
+// attempt sends a change to one member once.
 func (o *operators) attempt(change operatorChange, host string) operatorCall {
-	o.places <- struct{}{}
-	defer func() { <-o.places }()
-	ctx, cancel := context.WithTimeout(context.Background(), operatorSilence)
+	o.inFlight <- struct{}{}
+	defer func() { <-o.inFlight }()
+	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	condition := ""
 	if change.zone == "" {
@@ -170,10 +174,10 @@
 	call.ended = time.Now()
 	call.outcome = outcomeOf(call.status)
 	if call.status != 0 && o.randomFloat() < o.lossShare {
-		call.lost, call.outcome = true, unclear
+		call.answerLost, call.outcome = true, unknown
 	}
 	o.lock.Lock()
-	o.record = append(o.record, call)
+	o.calls = append(o.calls, call)
 	o.lock.Unlock()
 	return call
 }
@@ -183,22 +187,22 @@
 	case status >= 200 && status < 300:
 		return acknowledged
 	case status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status < 400 || status >= 500:
-		return unclear
+		return unknown
 	}
-	return refused
+	return rejected
 }
 
-// send repeats a change until there is a clear answer or the bound has passed.
-func (o *operators) send(change operatorChange, bound time.Duration) outcome {
-	began, pause, host := time.Now(), firstPause, ""
+// send resends a change until it has a definite outcome or the timeout is over.
+func (o *operators) send(change operatorChange, timeout time.Duration) outcome {
+	began, backoff, host := time.Now(), initialBackoff, ""
 	for {
 		host = o.pickOtherMember(host)
 		call := o.attempt(change, host)
-		if call.outcome != unclear || time.Since(began) > bound {
+		if call.outcome != unknown || time.Since(began) > timeout {
 			return call.outcome
 		}
-		time.Sleep(pause)
-		pause = min(2*pause, longestPause)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
@@ -206,24 +210,70 @@
 	return o.send(evacuate(zone, drained, occasion), zoneResendBound)
 }
 
-// read asks one daemon for the configuration.
+// read gets the configuration from one member.
 func (o *operators) read(host string) (int, string) {
-	ctx, cancel := context.WithTimeout(context.Background(), operatorSilence)
+	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	return o.request(ctx, http.MethodGet, host, "/ferryspar/config", "", "")
 }
 
-// readBack asks daemons until one answers, as at the end of a day.
-func (o *operators) readBack(bound time.Duration) string {
+// waitConfiguration reads from random members until one answers with the configuration.
+func (o *operators) waitConfiguration(timeout time.Duration) string {
 	began := time.Now()
 	for {
 		status, content := o.read(o.pickMember())
 		if status == http.StatusOK {
 			return content
 		}
-		if time.Since(began) > bound {
-			return fmt.Sprintf("nothing within %s, last %d %s", bound, status, content)
+		if time.Since(began) > timeout {
+			return fmt.Sprintf("nothing within %s, last %d %s", timeout, status, content)
+		}
+		time.Sleep(initialBackoff)
+	}
+}
+
+func (o *operators) status(host string) adminapi.FleetStatus {
+	got := o.fleet.call(http.MethodGet, host+":8166", "/ferryspar/status", "", nil)
+	var status adminapi.FleetStatus
+	_ = json.Unmarshal([]byte(got.body), &status)
+	return status
+}
+
+// newestAcknowledged is the highest acknowledged revision.
+func (o *operators) newestAcknowledged() int {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	newest := 0
+	for _, call := range o.calls {
+		if call.change.zone == "" && outcomeOf(call.status) == acknowledged {
+			newest = max(newest, call.change.revision)
+		}
+	}
+	return newest
+}
+
+// waitMembers waits until a member reports this amount of members and no membership change in progress.
+func (o *operators) waitMembers(host string, amount int, timeout time.Duration) bool {
+	for began := time.Now(); time.Since(began) < timeout; time.Sleep(initialBackoff) {
+		status := o.status(host)
+		if len(status.Members) == amount && len(status.NextMembers) == 0 && status.Fresh {
+			return true
+		}
+	}
+	return false
+}
+
+// leaseHolderHost is the host that holds the placement lease, according to a member.
+func (o *operators) leaseHolderHost(member string) string {
+	return hostOf(o.status(member).PlacementHolder)
+}
+
+// replicaState is the state of a replica according to a member; empty if it lists none of that id.
+func (o *operators) replicaState(host, id string) string {
+	for _, listed := range o.status(host).Replicas {
+		if listed.ID == id {
+			return listed.State
 		}
-		time.Sleep(firstPause)
 	}
+	return ""
 }
--- /dev/null
+++ b/internal/test/integration/platform_list_test.go
@@ -0,0 +1,56 @@
+package integration
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+
+	"ferryspar/internal/discovery"
+)
+
+const platformHost = "10.200.0.1"
+
+// hide leaves a replica out of the platform list, as paging does when the list changes meanwhile.
+func (f *fleet) hide(standIn *standInReplica, hidden bool) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.replicas = slices.DeleteFunc(f.replicas, func(listed *standInReplica) bool { return listed == standIn })
+	if !hidden {
+		f.replicas = append(f.replicas, standIn)
+	}
+}
+
+// pageOf is a page of the platform list. As on the platform, tokens are offsets in the current list.
+func (f *fleet) pageOf(replicas []*standInReplica, token string) discovery.Page {
+	f.lock.Lock()
+	size, paged := f.pageSize, f.onPage
+	f.lock.Unlock()
+	page, from := discovery.Page{Instances: []discovery.Replica{}}, 0
+	_, _ = fmt.Sscanf(token, "p-%d", &from)
+	end := len(replicas)
+	if size > 0 && from+size < end {
+		end = from + size
+		next := fmt.Sprintf("p-%d", end)
+		page.NextToken = &next
+	}
+	for _, standIn := range replicas[min(from, end):end] {
+		page.Instances = append(page.Instances, standIn.listEntry())
+	}
+	if paged != nil {
+		paged(from)
+	}
+	return page
+}
+
+// serveReplicaList answers a list call of the control plane after listDuration.
+func (f *fleet) serveReplicaList(writer http.ResponseWriter, request *http.Request) {
+	f.lock.Lock()
+	replicas := append([]*standInReplica(nil), f.replicas...)
+	f.listCalls++
+	duration := f.listDuration
+	f.lock.Unlock()
+	time.Sleep(duration)
+	_ = json.NewEncoder(writer).Encode(f.pageOf(replicas, request.URL.Query().Get("pageToken")))
+}
--- a/internal/test/integration/quotafleet_test.go
+++ b/internal/test/integration/quota_fleet_test.go
@@ -16,7 +16,7 @@
 	"ferryspar/internal/replica"
 )
 
-// quotaFleet is a fleet with the limit in force, and a tenant that may send more than that.
+// quotaFleet is a fleet with a rate limit in force and a tenant that may send more than that.
 type quotaFleet struct {
 	*fleet
 	replicas []*standInReplica
@@ -35,7 +35,7 @@
 		)
 	}
 	q.fleet = startFleet(t, 0, q.replicas...)
-	q.adjust = func(settings *nodesettings.Settings) {
+	q.adjustSettings = func(settings *nodesettings.Settings) {
 		bounds := &settings.TimingBounds
 		bounds.QuotaWindowS, bounds.QuotaOverage, bounds.QuotaSlack = quotaBounds.Window.Seconds(), quotaBounds.Overage, quotaBounds.Slack
 	}
@@ -43,16 +43,16 @@
 		q.startEdge(edgeHost(number))
 	}
 	time.Sleep(3 * time.Second)
-	assert.Equal(t, q.put(1, 0, 1, limitedDocument(1, limit)).status, http.StatusOK)
+	assert.Equal(t, q.putConfiguration(1, 0, limitedDocument(1, limit)).status, http.StatusOK)
 	time.Sleep(14 * time.Second)
 	q.began = time.Now()
 	return q
 }
 
-// send has the tenant send a number of requests a second for a while, to the data planes that the function names.
-func (q *quotaFleet) send(perS int, passed time.Duration, edge func(after time.Duration) int) {
+// send sends a number of requests a second for a duration, each to the data plane that the function returns.
+func (q *quotaFleet) send(perS int, duration time.Duration, edge func(after time.Duration) int) {
 	began := time.Now()
-	for time.Since(began) < passed {
+	for time.Since(began) < duration {
 		number := edge(time.Since(began))
 		go func() {
 			attempt := fmt.Sprintf("a-%d", q.attempts.Add(1))
@@ -66,7 +66,7 @@
 	}
 }
 
-// times are when requests of the tenant came to replicas, after the start, in order.
+// executionTimes are when replicas received requests of the tenant, since the start, in order.
 func (q *quotaFleet) executionTimes() []time.Duration {
 	var times []time.Duration
 	for _, standIn := range q.replicas {
@@ -80,7 +80,7 @@
 	return times
 }
 
-// between counts the requests that came to replicas in a span.
+// between counts the requests that replicas received in a span of time.
 func (q *quotaFleet) between(from, to time.Duration) int {
 	count := 0
 	for _, at := range q.executionTimes() {
@@ -91,7 +91,7 @@
 	return count
 }
 
-// worst is the largest number of requests that came to replicas within one window that begins at the time given or later.
+// maxPerWindow is the largest number of requests that replicas received within a window that starts at since or later.
 func (q *quotaFleet) maxPerWindow(since time.Duration) int {
 	times, most := q.executionTimes(), 0
 	for first, began := range times {
@@ -109,7 +109,7 @@
 
 func (q *quotaFleet) since() time.Duration { return time.Since(q.began) }
 
-func (q *quotaFleet) seen() string {
+func (q *quotaFleet) statusSummary() string {
 	var seen []string
 	for status := range q.statuses {
 		if amount := q.statuses[status].Load(); amount > 0 {
@@ -119,10 +119,10 @@
 	return strings.Join(seen, ", ")
 }
 
-func (q *quotaFleet) cutEdges(left, right []int, cut bool) {
-	for _, one := range left {
-		for _, other := range right {
-			q.network.partition(edgeHost(one), edgeHost(other), cut)
+func (q *quotaFleet) partitionEdges(left, right []int, partitioned bool) {
+	for _, leftEdge := range left {
+		for _, rightEdge := range right {
+			q.network.partition(edgeHost(leftEdge), edgeHost(rightEdge), partitioned)
 		}
 	}
 }
--- a/internal/test/integration/quota_test.go
+++ b/internal/test/integration/quota_test.go
@@ -19,10 +19,10 @@
 func limitedDocument(revision int, limit quota.Limit) string {
 	tenants := fmt.Sprintf(`[{"name":"one","apiKeys":["%s"],"ratePerS":%g,"burst":%g},{"name":"other","apiKeys":["%s"]}]`,
 		oldKey, limit.RatePerS, limit.Burst, otherKey)
-	return documentOf(revision, tenants)
+	return documentWithTenants(revision, tenants)
 }
 
-const storySpan = 20 * time.Second
+const trafficDuration = 20 * time.Second
 
 func TestQuota_AllDataPlanesTogetherEnforceLimitExactly(t *testing.T) {
 	inTurn := func(stop func(q *quotaFleet, host string)) func(q *quotaFleet) {
@@ -35,20 +35,20 @@
 			}
 		}
 	}
-	stories := map[string]struct {
-		edge    func(after time.Duration) int
-		trouble func(q *quotaFleet)
-		least   float64
+	cases := map[string]struct {
+		edge   func(after time.Duration) int
+		inject func(q *quotaFleet)
+		least  float64
 	}{
 		"at one data plane":   {func(time.Duration) int { return 1 }, nil, 0.97},
 		"at all":              {func(after time.Duration) int { return 1 + int(after/time.Millisecond/25)%4 }, nil, 0.97},
 		"moving between them": {func(after time.Duration) int { return 1 + int(after/time.Second)%4 }, nil, 0.97},
-		"halves cut from each other": {
+		"halves partitioned from each other": {
 			func(after time.Duration) int { return 1 + int(after/time.Millisecond/25)%4 },
-			func(q *quotaFleet) { q.cutEdges([]int{1, 2}, []int{3, 4}, true) },
+			func(q *quotaFleet) { q.partitionEdges([]int{1, 2}, []int{3, 4}, true) },
 			0.8,
 		},
-		"all control daemons away for three seconds": {
+		"all control-plane nodes down for three seconds": {
 			func(time.Duration) int { return 1 },
 			func(q *quotaFleet) {
 				time.Sleep(2 * time.Second)
@@ -84,25 +84,25 @@
 			0.7,
 		},
 	}
-	for name, story := range stories {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				q := startQuota(t, 4, quota.Limit{RatePerS: 10, Burst: 10})
-				if story.trouble != nil {
-					go story.trouble(q)
+				if test.inject != nil {
+					go test.inject(q)
 				}
-				q.send(40, storySpan, story.edge)
+				q.send(40, trafficDuration, test.edge)
 				time.Sleep(4 * time.Second)
-				got := float64(q.between(time.Second, storySpan)) / (q.limit.RatePerS * (storySpan - time.Second).Seconds())
+				got := float64(q.between(time.Second, trafficDuration)) / (q.limit.RatePerS * (trafficDuration - time.Second).Seconds())
 				t.Logf(
 					"%.3f of the limit, %d in the worst window of %.0f allowed, statuses %s",
 					got,
 					q.maxPerWindow(0),
 					quotaBounds.Allowed(q.limit),
-					q.seen(),
+					q.statusSummary(),
 				)
 				assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
-				assert.Assert(t, got >= story.least, "got %.3f", got)
+				assert.Assert(t, got >= test.least, "got %.3f", got)
 			})
 		})
 	}
@@ -111,28 +111,28 @@
 func TestQuota_LoweredLimitBindsAfterOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := startQuota(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
-		held := 0.0
+		total := 0.0
 		for number := 1; number <= 3; number++ {
 			var status struct{ Holds []quota.TenantBalance }
 			shown := q.call(http.MethodGet, edgeHost(number)+":8167", "/ferryspar/quota", "", nil)
 			assert.NilError(t, json.Unmarshal([]byte(shown.body), &status))
 			for _, holding := range status.Holds {
-				held += holding.Share
+				total += holding.Share
 			}
 		}
-		assert.Assert(t, held > 0.99 && held < 1.01, "all of the limit is at some home: %.3f", held)
+		assert.Assert(t, total > 0.99 && total < 1.01, "all of the limit is at some home: %.3f", total)
 		low := quota.Limit{RatePerS: 4, Burst: 2}
 		var acknowledged time.Duration
 		go func() {
 			time.Sleep(5 * time.Second)
-			assert.Check(t, q.put(2, 1, 2, limitedDocument(2, low)).status == http.StatusOK)
+			assert.Check(t, q.putConfiguration(2, 1, limitedDocument(2, low)).status == http.StatusOK)
 			acknowledged = q.since()
 		}()
-		q.send(40, storySpan, func(after time.Duration) int { return 1 + int(after/time.Millisecond/25)%3 })
+		q.send(40, trafficDuration, func(after time.Duration) int { return 1 + int(after/time.Millisecond/25)%3 })
 		time.Sleep(4 * time.Second)
-		t.Logf("%d in the worst window before, %d after", q.maxPerWindow(0), q.maxPerWindow(acknowledged+applyBound))
+		t.Logf("%d in the worst window before, %d after", q.maxPerWindow(0), q.maxPerWindow(acknowledged+applyTimeout))
 		assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
-		assert.Assert(t, float64(q.maxPerWindow(acknowledged+applyBound)) <= quotaBounds.Allowed(low))
+		assert.Assert(t, float64(q.maxPerWindow(acknowledged+applyTimeout)) <= quotaBounds.Allowed(low))
 	})
 }
 
@@ -155,9 +155,9 @@
 		back := q.since()
 		q.send(20, 10*time.Second, func(time.Duration) int { return 1 })
 		time.Sleep(4 * time.Second)
-		t.Logf("%d in the 4 s that begin 4 s after, statuses %s", q.between(back+4*time.Second, back+8*time.Second), q.seen())
+		t.Logf("%d in the 4 s that begin 4 s after, statuses %s", q.between(back+4*time.Second, back+8*time.Second), q.statusSummary())
 		assert.Assert(t, q.between(back+4*time.Second, back+8*time.Second) >= 72, "nine tenths of what came")
-		assert.Assert(t, q.statuses[http.StatusServiceUnavailable].Load() <= 30, "refused for at most 1.5 s")
+		assert.Assert(t, q.statuses[http.StatusServiceUnavailable].Load() <= 30, "rejected for at most 1.5 s")
 		assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
 	})
 }
@@ -166,15 +166,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		q := startQuota(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
 		assert.Equal(t, q.requestWithKey(3, otherKey, "/quick/", "swift").status, http.StatusOK, "it follows the model from now on")
-		q.cutEdge(3, true)
-		q.cutEdges([]int{1, 2}, []int{3}, true)
+		q.partitionEdge(3, true)
+		q.partitionEdges([]int{1, 2}, []int{3}, true)
 		time.Sleep(12 * time.Second)
-		refused := q.requestWithKey(3, oldKey, "/quick/", "swift")
-		assert.Equal(t, refused.status, http.StatusServiceUnavailable, "what it held is the others' by now")
+		rejected := q.requestWithKey(3, oldKey, "/quick/", "swift")
+		assert.Equal(t, rejected.status, http.StatusServiceUnavailable, "its share has gone to the others by now")
 		assert.Equal(t, q.requestWithKey(3, otherKey, "/quick/", "swift").status, http.StatusOK)
 		assert.Equal(t, q.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
-		q.cutEdge(3, false)
-		q.cutEdges([]int{1, 2}, []int{3}, false)
+		q.partitionEdge(3, false)
+		q.partitionEdges([]int{1, 2}, []int{3}, false)
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, q.requestWithKey(3, oldKey, "/quick/", "swift").status, http.StatusOK)
 	})
--- a/internal/test/integration/retention_test.go
+++ b/internal/test/integration/retention_test.go
@@ -10,7 +10,6 @@
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/replica"
 	"ferryspar/internal/retention"
 )
 
@@ -21,14 +20,14 @@
 	return status, got.status
 }
 
-func (f *fleet) forgets(core int) []retention.Status {
+func (f *fleet) forgetStatuses(core int) []retention.Status {
 	got := f.call(http.MethodGet, coreHost(core)+":8166", "/ferryspar/forget", "", nil)
 	var all struct{ Forgets []retention.Status }
 	assert.NilError(f.t, json.Unmarshal([]byte(got.body), &all), got.body)
 	return all.Forgets
 }
 
-func states(status retention.Status, kind string) map[string]retention.State {
+func nodeStates(status retention.Status, kind string) map[string]retention.State {
 	found := map[string]retention.State{}
 	for _, node := range status.Nodes {
 		if node.Kind == kind {
@@ -38,20 +37,11 @@
 	return found
 }
 
-func (s *standInReplica) unloads(model string) int {
-	amount := 0
-	for _, order := range s.receivedOrders() {
-		if order.Operation == replica.OperationUnload && order.Model == model && order.Adapter == "" {
-			amount++
-		}
-	}
-	return amount
-}
-
 func TestRetention_ForgetReachesEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := startSettledFleet(t, 2, standIn, two)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 2, firstReplica, secondReplica)
 		served, failed := 0, 0
 		stop := make(chan struct{})
 		finished := make(chan struct{})
@@ -83,11 +73,15 @@
 		time.Sleep(25 * time.Second)
 		close(stop)
 		<-finished
-		all := f.forgets(3)
+		all := f.forgetStatuses(3)
 		assert.Equal(t, len(all), 1)
 		assert.Assert(t, all[0].Complete, "%v", all[0])
-		assert.Assert(t, standIn.unloads("swift") >= 1 && two.unloads("swift") >= 1, "both replicas dropped what they kept")
-		assert.Assert(t, standIn.entry().HasLoaded("swift", "") && two.entry().HasLoaded("swift", ""), "both serve again")
+		assert.Assert(t, firstReplica.unloads("swift") >= 1 && secondReplica.unloads("swift") >= 1, "both replicas dropped what they kept")
+		assert.Assert(
+			t,
+			firstReplica.listEntry().HasLoaded("swift", "") && secondReplica.listEntry().HasLoaded("swift", ""),
+			"both serve again",
+		)
 		assert.Equal(t, failed, 0, "served %d", served)
 		assert.Assert(t, served > 50)
 	})
@@ -101,26 +95,27 @@
 		_, status := f.forget(2, `{}`)
 		assert.Equal(t, status, http.StatusOK)
 		time.Sleep(12 * time.Second)
-		held := f.forgets(2)[0]
-		assert.Assert(t, !held.Complete)
-		assert.Equal(t, states(held, "edge")["daemon-"+edgeHost(2)], retention.Pending)
-		assert.Equal(t, states(held, "edge")["daemon-"+edgeHost(1)], retention.Done)
+		pending := f.forgetStatuses(2)[0]
+		assert.Assert(t, !pending.Complete)
+		assert.Equal(t, nodeStates(pending, "edge")["daemon-"+edgeHost(2)], retention.Pending)
+		assert.Equal(t, nodeStates(pending, "edge")["daemon-"+edgeHost(1)], retention.Done)
 		f.network.blackhole(edgeHost(2), false)
 		time.Sleep(6 * time.Second)
-		assert.Equal(t, states(f.forgets(2)[0], "edge")["daemon-"+edgeHost(2)], retention.Done)
+		assert.Equal(t, nodeStates(f.forgetStatuses(2)[0], "edge")["daemon-"+edgeHost(2)], retention.Done)
 	})
 }
 
 func TestRetention_ForgetSurvivesRestartOfAllMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica(
+		firstReplica := newStandInReplica(
 			"i-1",
 			"10.1.2.1",
 			"north",
 			"swift",
 			"other",
-		), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := startSettledFleet(t, 1, standIn, two)
+		)
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
 		_, status := f.forget(1, `{"model":"swift"}`)
 		assert.Equal(t, status, http.StatusOK)
 		time.Sleep(300 * time.Millisecond)
@@ -132,36 +127,38 @@
 			f.startCore(coreHost(number), false, 1, 2, 3)
 		}
 		time.Sleep(30 * time.Second)
-		assert.Assert(t, f.forgets(1)[0].Complete, "%v", f.forgets(1)[0])
-		assert.Assert(t, standIn.unloads("swift") >= 1 && two.unloads("swift") >= 1)
-		assert.Equal(t, standIn.unloads("other"), 0, "what was not asked for stays")
+		assert.Assert(t, f.forgetStatuses(1)[0].Complete, "%v", f.forgetStatuses(1)[0])
+		assert.Assert(t, firstReplica.unloads("swift") >= 1 && secondReplica.unloads("swift") >= 1)
+		assert.Equal(t, firstReplica.unloads("other"), 0, "what was not requested stays")
 	})
 }
 
 func TestRetention_EndedReplicaCountsAsForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := startSettledFleet(t, 1, standIn, two)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
 		_, status := f.forget(1, `{"model":"swift"}`)
 		assert.Equal(t, status, http.StatusOK)
 		time.Sleep(500 * time.Millisecond)
 		f.lock.Lock()
 		f.replicas = f.replicas[:1]
 		f.lock.Unlock()
-		f.network.resetAll("10.2.2.1")
+		f.network.resetHost("10.2.2.1")
 		time.Sleep(15 * time.Second)
-		status2 := f.forgets(1)[0]
-		assert.Assert(t, status2.Complete, "%v", status2)
-		assert.Equal(t, states(status2, "replica")["i-2swift"], retention.Gone)
+		final := f.forgetStatuses(1)[0]
+		assert.Assert(t, final.Complete, "%v", final)
+		assert.Equal(t, nodeStates(final, "replica")["i-2swift"], retention.Gone)
 	})
 }
 
 func TestRetention_CopiesReloadedOnSchedule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := startSettledFleet(t, 1, standIn, two)
-		refused := f.call(http.MethodPut, coreHost(1)+":8166", "/ferryspar/retention", `{"lifeMs":5}`, nil)
-		assert.Equal(t, refused.status, http.StatusBadRequest)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
+		rejected := f.call(http.MethodPut, coreHost(1)+":8166", "/ferryspar/retention", `{"lifeMs":5}`, nil)
+		assert.Equal(t, rejected.status, http.StatusBadRequest)
 		assert.Equal(
 			t,
 			f.call(http.MethodPut, coreHost(1)+":8166", "/ferryspar/retention", `{"life":5}`, nil).status,
@@ -172,8 +169,12 @@
 			assert.Equal(t, f.request(1, "attempt", "/quick/", "swift").status, http.StatusOK)
 			time.Sleep(time.Second)
 		}
-		assert.Assert(t, standIn.unloads("swift") >= 1 && two.unloads("swift") >= 1, "within one life every copy has let go")
-		assert.Assert(t, standIn.unloads("swift") <= 3 && two.unloads("swift") <= 3)
+		assert.Assert(
+			t,
+			firstReplica.unloads("swift") >= 1 && secondReplica.unloads("swift") >= 1,
+			"every replica has dropped its copy within the lifetime",
+		)
+		assert.Assert(t, firstReplica.unloads("swift") <= 3 && secondReplica.unloads("swift") <= 3)
 		read := f.call(http.MethodGet, coreHost(2)+":8166", "/ferryspar/retention", "", nil)
 		assert.Equal(t, read.body, `{"number":1,"lifeMs":60000}`)
 	})
@@ -190,6 +191,6 @@
 			assert.Assert(t, time.Since(began) < 10*time.Second, "%d", code)
 			time.Sleep(50 * time.Millisecond)
 		}
-		assert.Equal(t, len(states(status, "edge")), 2, "%v", status)
+		assert.Equal(t, len(nodeStates(status, "edge")), 2, "%v", status)
 	})
 }
--- a/internal/test/integration/revocation_test.go
+++ b/internal/test/integration/revocation_test.go
@@ -14,21 +14,21 @@
 func TestRevocation_PartitionedDataPlaneAnswersUnknownKeyWithRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startTenants(t, false, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
-		f.cutEdge(2, true)
-		assert.Equal(t, f.changeKeys(1, newKey).status, http.StatusOK)
+		f.partitionEdge(2, true)
+		assert.Equal(t, f.patchKeys(1, newKey).status, http.StatusOK)
 		acknowledged := time.Now()
 		for time.Since(acknowledged) < 15*time.Second {
 			got := f.requestWithKey(2, newKey, "/quick/", "swift")
-			if time.Since(acknowledged) > applyBound+time.Second {
+			if time.Since(acknowledged) > applyTimeout+time.Second {
 				assert.Equal(t, got.status, http.StatusServiceUnavailable)
 				assert.Assert(t, got.header.Get("Retry-After") != "")
 			}
 			kept := f.requestWithKey(2, oldKey, "/quick/", "swift")
 			assert.Equal(t, kept.status, http.StatusOK, "%s %s after", kept.body, time.Since(acknowledged))
 			assert.Equal(t, f.requestWithKey(2, otherKey, "/quick/", "swift").status, http.StatusOK)
-			time.Sleep(probeEvery)
+			time.Sleep(probeInterval)
 		}
-		f.cutEdge(2, false)
+		f.partitionEdge(2, false)
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.requestWithKey(2, newKey, "/quick/", "swift").status, http.StatusOK)
 		assert.Equal(t, f.requestWithKey(2, oldKey, "/quick/", "swift").status, http.StatusUnauthorized)
@@ -38,12 +38,12 @@
 func TestRevocation_FailClosedStopsServingAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startTenants(t, true, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
-		f.cutEdge(2, true)
-		assert.Equal(t, f.changeKeys(1, newKey).status, http.StatusOK)
+		f.partitionEdge(2, true)
+		assert.Equal(t, f.patchKeys(1, newKey).status, http.StatusOK)
 		acknowledged := time.Now()
 		served := 0
 		for time.Since(acknowledged) < 15*time.Second {
-			late := time.Since(acknowledged) > revokeBound
+			late := time.Since(acknowledged) > revokeTimeout
 			got := f.requestWithKey(2, oldKey, "/quick/", "swift")
 			if got.status == http.StatusOK {
 				served++
@@ -51,10 +51,10 @@
 			assert.Assert(t, !late || got.status == http.StatusServiceUnavailable, "%d %s after", got.status, time.Since(acknowledged))
 			assert.Equal(t, f.requestWithKey(2, "", "/open/", "swift").status, http.StatusOK, "public routes go on")
 			assert.Equal(t, f.requestWithKey(1, newKey, "/quick/", "swift").status, http.StatusOK, "the other is in touch")
-			time.Sleep(probeEvery)
+			time.Sleep(probeInterval)
 		}
 		assert.Assert(t, served > 5, "it stops no sooner than it must, served %d", served)
-		f.cutEdge(2, false)
+		f.partitionEdge(2, false)
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.requestWithKey(2, newKey, "/quick/", "swift").status, http.StatusOK)
 		assert.Equal(t, f.requestWithKey(2, oldKey, "/quick/", "swift").status, http.StatusUnauthorized)
@@ -68,17 +68,17 @@
 			f.network.partition(edgeHost(1), coreHost(number), true)
 			f.network.partition(coreHost(1), coreHost(number), true)
 		}
-		time.Sleep(revokeBound)
+		time.Sleep(revokeTimeout)
 		assert.Equal(t, f.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusServiceUnavailable)
 	})
 }
 
 func TestRevocation_FailClosedServesWithoutFaults(t *testing.T) {
-	for _, bound := range []time.Duration{revokeBound, 2 * time.Second} {
+	for _, bound := range []time.Duration{revokeTimeout, 2 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			f := startTenants(t, true, 0, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
-			adjust := f.adjust
-			f.adjust = func(settings *nodesettings.Settings) {
+			adjust := f.adjustSettings
+			f.adjustSettings = func(settings *nodesettings.Settings) {
 				adjust(settings)
 				settings.TimingBounds.RevokeMs = float64(bound.Milliseconds())
 			}
@@ -87,7 +87,7 @@
 			for range 150 {
 				assert.Equal(t, f.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
 				assert.Equal(t, f.requestWithKey(1, newKey, "/quick/", "swift").status, http.StatusUnauthorized)
-				time.Sleep(probeEvery / 2)
+				time.Sleep(probeInterval / 2)
 			}
 		})
 	}
--- a/internal/test/integration/rollout_test.go
+++ b/internal/test/integration/rollout_test.go
@@ -36,56 +36,56 @@
 
 func runRollout(t *testing.T, cores int, gap time.Duration, newcomers []int) {
 	s := newLossScenario(t, cores)
-	s.join(newcomers)
+	s.startNewcomers(newcomers)
 	ended := make(chan time.Duration, cores)
 	for number := 1; number <= cores; number++ {
 		go func() {
-			took := s.f.terminate(coreHost(number))
+			took := s.fleet.terminate(coreHost(number))
 			time.Sleep(restartAfter)
-			s.f.startCore(coreHost(number), false, 1, 2, 3)
+			s.fleet.startCore(coreHost(number), false, 1, 2, 3)
 			ended <- took
 		}()
 		time.Sleep(gap)
 	}
 	for range cores {
-		if took := <-ended; took > processGrace {
+		if took := <-ended; took > shutdownTimeout {
 			s.problems = append(s.problems, fmt.Sprintf("a process took %s to leave", took))
 		}
 	}
 	time.Sleep(syncTime)
 	s.finish(t)
-	if s.w.longest > longestNoChange {
-		t.Errorf("no change was acknowledged for %s, from %s on", s.w.longest, s.w.longAt.Format("05.000"))
+	if s.writer.longestGap > longestNoChange {
+		t.Errorf("no change was acknowledged for %s, from %s on", s.writer.longestGap, s.writer.longestGapStart.Format("05.000"))
 	}
-	t.Logf("longest without an acknowledged change: %s", s.w.longest)
+	t.Logf("longest without an acknowledged change: %s", s.writer.longestGap)
 }
 
 func TestRollout_LateNodesFindMembersWhenSeedsAreGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newLossScenario(t, 5)
-		s.f.kill(coreHost(1))
-		s.f.kill(coreHost(2))
-		s.drop(1)
-		s.drop(2)
-		s.f.startCore(coreHost(6), false, 1, 2, 3)
-		s.f.startCore(coreHost(7), false, 2, 4, 1)
+		s.fleet.kill(coreHost(1))
+		s.fleet.kill(coreHost(2))
+		s.removeHost(1)
+		s.removeHost(2)
+		s.fleet.startCore(coreHost(6), false, 1, 2, 3)
+		s.fleet.startCore(coreHost(7), false, 2, 4, 1)
 		s.hosts = append(s.hosts, coreHost(6), coreHost(7))
 		time.Sleep(10 * time.Second)
-		s.f.kill(coreHost(3))
+		s.fleet.kill(coreHost(3))
 		time.Sleep(restartAfter)
-		s.f.startCore(coreHost(3), false, 1, 2, 6)
-		s.f.network.partition(coreHost(4), coreHost(6), true)
+		s.fleet.startCore(coreHost(3), false, 1, 2, 6)
+		s.fleet.network.partition(coreHost(4), coreHost(6), true)
 		time.Sleep(syncTime)
-		s.f.kill(coreHost(4))
+		s.fleet.kill(coreHost(4))
 		time.Sleep(restartAfter)
-		s.f.startCore(coreHost(4), false, 1, 6, 2)
+		s.fleet.startCore(coreHost(4), false, 1, 6, 2)
 		time.Sleep(2 * time.Second)
-		s.f.network.partition(coreHost(4), coreHost(6), false)
-		s.f.startEdgeWith(edgeHost(1), 1, 2, 6)
-		s.f.startEdgeWith(edgeHost(2), 4, 1, 2)
+		s.fleet.network.partition(coreHost(4), coreHost(6), false)
+		s.fleet.startEdgeWith(edgeHost(1), 1, 2, 6)
+		s.fleet.startEdgeWith(edgeHost(2), 4, 1, 2)
 		s.finish(t)
 		for edge := 1; edge <= 2; edge++ {
-			ready := s.f.call("GET", edgeHost(edge)+":8167", "/ferryspar/readyz", "", nil)
+			ready := s.fleet.call("GET", edgeHost(edge)+":8167", "/ferryspar/readyz", "", nil)
 			assert.Equal(t, ready.status, 200, "data plane %d", edge)
 		}
 	})
@@ -117,7 +117,7 @@
 				assert.Equal(t, o.send(addRoute(1, 2, "added"), 4*time.Second), acknowledged)
 				time.Sleep(2 * time.Second)
 				problems := o.violationsAt(o.hosts...)
-				assert.Equal(t, len(problems), 0, listed(problems))
+				assert.Equal(t, len(problems), 0, summarizeProblems(problems))
 				for edge := 1; edge <= 2; edge++ {
 					assert.Equal(t, f.request(edge, "attempt", "/added/", "swift").status, 200, "data plane %d", edge)
 				}
--- a/internal/test/integration/roster_test.go
+++ b/internal/test/integration/roster_test.go
@@ -1,52 +1,33 @@
 package integration
 
 import (
-	"fmt"
 	"net/http"
-	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"gotest.tools/v3/assert"
 
-	"ferryspar/internal/discovery"
 	"ferryspar/internal/retention"
 )
 
-const platformHost = "10.200.0.1"
-
-// holderHost is the host of the daemon that holds the placement lease, as another one tells.
-func (o *operators) holderHost(asked string) string {
-	return hostOf(o.status(asked).PlacementHolder)
-}
-
-// stateListed is what a control daemon says of a replica's state; empty if it lists none of that id.
-func (o *operators) stateListed(host, id string) string {
-	for _, listed := range o.status(host).Replicas {
-		if listed.ID == id {
-			return listed.State
-		}
-	}
-	return ""
-}
-
 func TestRoster_StaleListOfLeaseHolderNeverReplacesNewerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := startSettledFleet(t, 1, standIn, two)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
 		o := newOperators(f, 1, 1, 2, 3)
-		holder := o.holderHost(coreHost(1))
-		f.network.delayBoth(holder, platformHost, true)
+		leaseHolder := o.leaseHolderHost(coreHost(1))
+		f.network.delayBoth(leaseHolder, platformHost, true)
 		time.Sleep(500 * time.Millisecond)
-		two.drain(true)
+		secondReplica.drain(true)
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, o.stateListed(holder, "i-2"), "draining", "the holder is told by those that it tells")
+		assert.Equal(t, o.replicaState(leaseHolder, "i-2"), "draining", "the lease holder learns it from its peers")
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
 			for number := 1; number <= 3; number++ {
-				if host := coreHost(number); host != holder {
-					assert.Equal(t, o.stateListed(host, "i-2"), "draining", "%s, cut off: %s", host, holder)
+				if host := coreHost(number); host != leaseHolder {
+					assert.Equal(t, o.replicaState(host, "i-2"), "draining", "%s, partitioned: %s", host, leaseHolder)
 				}
 			}
 		}
@@ -81,80 +62,50 @@
 	})
 }
 
-// hide leaves a replica out of the platform's list, as pages do that are read while the list changes.
-func (f *fleet) hide(standIn *standInReplica, hidden bool) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	f.replicas = slices.DeleteFunc(f.replicas, func(listed *standInReplica) bool { return listed == standIn })
-	if !hidden {
-		f.replicas = append(f.replicas, standIn)
-	}
-}
-
 func TestRoster_BrieflyUnlistedReplicaStillForgetsContext(t *testing.T) {
 	for name, moment := range map[string]time.Duration{"before it is counted": -600 * time.Millisecond, "after": 300 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-				two := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-				f := startSettledFleet(t, 1, standIn, two)
+				firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+				secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+				f := startSettledFleet(t, 1, firstReplica, secondReplica)
 				time.Sleep(3 * time.Second)
 				if moment < 0 {
-					f.hide(two, true)
+					f.hide(secondReplica, true)
 					time.Sleep(-moment)
 				}
 				_, status := f.forget(1, `{"model":"swift"}`)
 				assert.Equal(t, status, http.StatusOK)
 				if moment > 0 {
 					time.Sleep(moment)
-					f.hide(two, true)
+					f.hide(secondReplica, true)
 				}
 				time.Sleep(700 * time.Millisecond)
-				f.hide(two, false)
+				f.hide(secondReplica, false)
 				time.Sleep(20 * time.Second)
-				done := f.forgets(1)[0]
+				done := f.forgetStatuses(1)[0]
 				assert.Assert(t, done.Complete, "%v", done)
-				assert.Equal(t, states(done, "replica")["i-2swift"], retention.Done)
+				assert.Equal(t, nodeStates(done, "replica")["i-2swift"], retention.Done)
 				assert.Assert(
 					t,
-					standIn.unloads("swift") >= 1 && two.unloads("swift") >= 1,
+					firstReplica.unloads("swift") >= 1 && secondReplica.unloads("swift") >= 1,
 					"%d and %d",
-					standIn.unloads("swift"),
-					two.unloads("swift"),
+					firstReplica.unloads("swift"),
+					secondReplica.unloads("swift"),
 				)
 			})
 		})
 	}
 }
 
-// pageOf is a page of the list. As on the platform, tokens are offsets in the list of the moment.
-func (f *fleet) pageOf(replicas []*standInReplica, token string) discovery.Page {
-	f.lock.Lock()
-	size, paged := f.pageSize, f.paged
-	f.lock.Unlock()
-	page, from := discovery.Page{Instances: []discovery.Replica{}}, 0
-	_, _ = fmt.Sscanf(token, "p-%d", &from)
-	end := len(replicas)
-	if size > 0 && from+size < end {
-		end = from + size
-		next := fmt.Sprintf("p-%d", end)
-		page.NextToken = &next
-	}
-	for _, standIn := range replicas[min(from, end):end] {
-		page.Instances = append(page.Instances, standIn.entry())
-	}
-	if paged != nil {
-		paged(from)
-	}
-	return page
-}
-
 func TestRoster_ChangeBetweenPagesLosesNoReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		three, four := newStandInReplica("i-3", "10.3.2.1", "east", "swift"), newStandInReplica("i-4", "10.3.2.2", "east", "swift")
-		f := startFleet(t, 1, standIn, two, three, four)
-		defer f.network.resetAll("10.1.2.1")
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		thirdReplica := newStandInReplica("i-3", "10.3.2.1", "east", "swift")
+		fourthReplica := newStandInReplica("i-4", "10.3.2.2", "east", "swift")
+		f := startFleet(t, 1, firstReplica, secondReplica, thirdReplica, fourthReplica)
+		defer f.network.resetHost("10.1.2.1")
 		f.lock.Lock()
 		f.pageSize = 2
 		f.lock.Unlock()
@@ -162,19 +113,19 @@
 		o := newOperators(f, 1, 1, 2, 3)
 		ended := false
 		f.lock.Lock()
-		f.paged = func(from int) {
+		f.onPage = func(from int) {
 			if !ended && from == 0 {
 				ended = true
-				f.hide(standIn, true)
+				f.hide(firstReplica, true)
 			}
 		}
 		f.lock.Unlock()
 		for range 400 {
 			time.Sleep(10 * time.Millisecond)
 			for number := 1; number <= 3; number++ {
-				assert.Equal(t, o.stateListed(coreHost(number), "i-3"), "ready", "at %d", number)
+				assert.Equal(t, o.replicaState(coreHost(number), "i-3"), "ready", "at %d", number)
 			}
 		}
-		assert.Equal(t, o.stateListed(coreHost(1), "i-1"), "", "the one that ended is gone")
+		assert.Equal(t, o.replicaState(coreHost(1), "i-1"), "", "the one that ended is gone")
 	})
 }
--- a/internal/test/integration/disk_test.go
+++ b/internal/test/integration/segment_loss_test.go
@@ -10,19 +10,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// firstRingFile holds the first generation of a member's state.
-const firstRingFile = "ring-1"
+// firstSegmentFile is the first segment of a member's write-ahead log.
+const firstSegmentFile = "ring-1"
 
 func TestMember_LostNewestSegmentSuspendsVoteUntilCatchUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
-		assert.Equal(t, f.put(1, 1, 2, document(2, "")).status, http.StatusOK)
+		assert.Equal(t, f.putConfiguration(1, 1, document(2, "")).status, http.StatusOK)
 		f.kill(coreHost(1))
 		f.kill(coreHost(3))
-		f.folders[coreHost(3)].(*memoryDirectory).remove(firstRingFile)
+		f.directories[coreHost(3)].(*memoryDirectory).remove(firstSegmentFile)
 		f.startCore(coreHost(3), true, 1, 2, 3)
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, f.put(2, 2, 3, document(3, newRoute)).status != http.StatusOK, "a member without its state made a majority")
+		assert.Assert(t, f.putConfiguration(2, 2, document(3, newRoute)).status != http.StatusOK, "a member without its state voted")
 		f.startCore(coreHost(1), false, 1, 2, 3)
 		time.Sleep(5 * time.Second)
 		for core := 1; core <= 3; core++ {
@@ -32,7 +32,7 @@
 		}
 		f.kill(coreHost(1))
 		time.Sleep(time.Second)
-		got := f.put(2, 2, 3, document(3, newRoute)).status
+		got := f.putConfiguration(2, 2, document(3, newRoute)).status
 		assert.Assert(t, got == http.StatusOK || got == http.StatusPreconditionFailed, "having caught up it votes: %d", got)
 	})
 }
--- a/internal/test/integration/serving_test.go
+++ b/internal/test/integration/serving_test.go
@@ -13,14 +13,6 @@
 	"ferryspar/internal/replica"
 )
 
-func startSettledFleet(t *testing.T, edges int, replicas ...*standInReplica) *fleet {
-	f := startFleet(t, edges, replicas...)
-	time.Sleep(3 * time.Second)
-	assert.Equal(t, f.put(1, 0, 1, document(1, "")).status, http.StatusOK)
-	time.Sleep(1500 * time.Millisecond)
-	return f
-}
-
 func TestServing_RequestRunsOnOneReplicaAndStreamsAllEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
@@ -109,8 +101,8 @@
 		got := f.request(1, "attempt-1", "/patient/", "rare")
 		assert.Equal(t, got.status, http.StatusOK)
 		assert.Equal(t, got.body, allEvents())
-		assert.Assert(t, got.took < 8*time.Second, "took %s", got.took)
-		assert.Assert(t, !standIn.overfull, "the replica was ordered beyond its room")
+		assert.Assert(t, got.duration < 8*time.Second, "took %s", got.duration)
+		assert.Assert(t, !standIn.overCapacity, "the replica was ordered beyond its capacity")
 		got = f.request(1, "attempt-2", "/patient/", "other")
 		assert.Equal(t, got.status, http.StatusOK, "the intent for the first model must have ended")
 	})
@@ -118,66 +110,71 @@
 
 func TestServing_NonRepeatableStreamShowsTheBreak(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		standIn.cutAfter, two.cutAfter = 2, 2
-		f := startSettledFleet(t, 1, standIn, two)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		firstReplica.breakStreamAfter, secondReplica.breakStreamAfter = 2, 2
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
 		got := f.request(1, "attempt-1", "/quick/", "swift")
-		assert.Assert(t, got.cut, "an answer that ended early must not look whole")
-		assert.Equal(t, len(standIn.executed())+len(two.executed()), 1)
+		assert.Assert(t, got.broken, "an answer that ended early must not look complete")
+		assert.Equal(t, len(firstReplica.executed())+len(secondReplica.executed()), 1)
 	})
 }
 
 func TestServing_ResumableStreamContinuesOnAnotherReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		standIn.cutAfter = 2
-		f := startSettledFleet(t, 1, standIn, two)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		firstReplica.breakStreamAfter = 2
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
 		got := f.request(1, "attempt-1", "/patient/", "swift")
 		assert.Equal(t, got.status, http.StatusOK)
 		assert.Equal(t, got.body, allEvents())
 		assert.Equal(t, got.header.Get(replica.HeaderSeal), "seal-i-1")
-		assert.Equal(t, two.executed()[0].lastEvent, "2")
+		assert.Equal(t, secondReplica.executed()[0].lastEvent, "2")
 	})
 }
 
 func TestServing_NotExecutedProofPassedOnWhenNoRetryIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		standIn.full, two.full = true, true
-		f := startSettledFleet(t, 1, standIn, two)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		firstReplica.full, secondReplica.full = true, true
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
 		got := f.request(1, "attempt-1", "/quick/", "swift")
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
 		assert.Assert(t, got.header.Get("Retry-After") != "")
-		assert.Equal(t, len(standIn.executed())+len(two.executed()), 0)
+		assert.Equal(t, len(firstReplica.executed())+len(secondReplica.executed()), 0)
 	})
 }
 
 func TestServing_DrainedZoneGetsNothingUntilUndrained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := startSettledFleet(t, 1, standIn, two)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
 		assert.Equal(t, f.call(http.MethodPost, coreHost(2)+":8166", "/ferryspar/drain-zone/north", "", nil).status, http.StatusOK)
 		assert.Equal(t, f.call(http.MethodPost, coreHost(2)+":8166", "/ferryspar/drain-zone/nowhere", "", nil).status, http.StatusNotFound)
 		for range 5 {
 			assert.Equal(t, f.request(1, "attempt", "/quick/", "swift").status, http.StatusOK)
 		}
-		assert.Equal(t, len(standIn.executed()), 0)
+		assert.Equal(t, len(firstReplica.executed()), 0)
 		assert.Equal(t, f.call(http.MethodDelete, coreHost(3)+":8166", "/ferryspar/drain-zone/north", "", nil).status, http.StatusOK)
 		time.Sleep(time.Second)
 		for range 5 {
 			assert.Equal(t, f.request(1, "attempt", "/quick/", "swift").status, http.StatusOK)
 		}
-		assert.Assert(t, len(standIn.executed()) > 0, "the zone is near and open again")
+		assert.Assert(t, len(firstReplica.executed()) > 0, "the zone is near and open again")
 	})
 }
 
 func TestServing_HomeRegionsAreRespected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		near, home := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.4.2.1", "abroad", "swift")
+		near := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		home := newStandInReplica("i-2", "10.4.2.1", "abroad", "swift")
 		f := startSettledFleet(t, 1, near, home)
 		routed := `,{"name":"homes","hostname":"shop.example","pathPrefix":"/homes/","routeType":"streaming",
 	"timeoutMs":20000,"targetLatencyMs":600,"backend":"scribes","retryCount":1,"allowedRegions":["far"]}`
-		assert.Equal(t, f.put(1, 1, 2, document(2, routed)).status, http.StatusOK)
+		assert.Equal(t, f.putConfiguration(1, 1, document(2, routed)).status, http.StatusOK)
 		time.Sleep(200 * time.Millisecond)
 		for range 3 {
 			assert.Equal(t, f.request(1, "attempt", "/homes/", "swift").status, http.StatusOK)
@@ -189,21 +186,23 @@
 
 func TestServing_DrainingReplicaGetsNothingNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := startSettledFleet(t, 1, standIn, two)
-		standIn.drain(true)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
+		firstReplica.drain(true)
 		time.Sleep(1500 * time.Millisecond)
 		for range 4 {
 			assert.Equal(t, f.request(1, "attempt", "/quick/", "swift").status, http.StatusOK)
 		}
-		assert.Equal(t, len(standIn.executed()), 0)
+		assert.Equal(t, len(firstReplica.executed()), 0)
 	})
 }
 
 func TestServing_UnreachableReplicaIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		standIn, two := newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift")
-		f := startSettledFleet(t, 1, standIn, two)
+		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
+		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
+		f := startSettledFleet(t, 1, firstReplica, secondReplica)
 		f.network.blackhole("10.1.2.1", true)
 		served := 0
 		for range 6 {
@@ -254,7 +253,7 @@
 		assert.Equal(t, got.body, allEvents())
 		late := f.request(1, "attempt-2", "/patient/", "rare")
 		assert.Equal(t, late.status, http.StatusServiceUnavailable)
-		assert.Assert(t, late.took < time.Second, "what cannot be placed is refused at once")
+		assert.Assert(t, late.duration < time.Second, "what cannot be placed is rejected at once")
 		assert.NilError(t, <-f.nodes[edgeHost(1)].done)
 	})
 }
--- /dev/null
+++ b/internal/test/integration/standin_failures_test.go
@@ -0,0 +1,62 @@
+package integration
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"ferryspar/internal/replica"
+)
+
+// failureModes are the ways in which a stand-in can fail a request, by name.
+var failureModes = map[string]func(writer http.ResponseWriter, request *http.Request){
+	"errors": func(writer http.ResponseWriter, _ *http.Request) {
+		writer.WriteHeader(http.StatusInternalServerError)
+	},
+	"reset": func(_ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) },
+	"hang": func(_ http.ResponseWriter, request *http.Request) {
+		_, _ = io.Copy(io.Discard, request.Body)
+		<-request.Context().Done()
+	},
+	"shed": func(writer http.ResponseWriter, _ *http.Request) {
+		writer.Header().Set(replica.HeaderNotExecuted, "1")
+		writer.WriteHeader(http.StatusServiceUnavailable)
+	},
+	"swapped": raw(func(_ string) string { return sealed("of-another") }),
+	"nameless": raw(func(_ string) string {
+		return "HTTP/1.1 408 Late\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	}),
+	"unproved": raw(func(attempt string) string {
+		return "HTTP/1.1 503 Full\r\n" + replica.HeaderAttempt + ": " + attempt + "\r\nContent-Length: 0\r\n\r\n"
+	}),
+	"garbled": raw(func(_ string) string { return "no answer\r\n\r\n" }),
+	"doubled": raw(func(attempt string) string { return sealed(attempt) + sealed(attempt) }),
+	"endless": raw(func(attempt string) string { return sealed(attempt) + "and more that belongs to nothing" }),
+}
+
+// setFailureMode fails one of so many requests in the named way; the empty name ends that.
+func (s *standInReplica) setFailureMode(fails string, every int) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.failureMode, s.failEvery = fails, every
+}
+
+// raw writes bytes to the connection as they are and leaves it open for a moment.
+func raw(compose func(attempt string) string) func(writer http.ResponseWriter, request *http.Request) {
+	return func(writer http.ResponseWriter, request *http.Request) {
+		connection, _, err := http.NewResponseController(writer).Hijack()
+		if err != nil {
+			return
+		}
+		defer connection.Close()
+		_, _ = fmt.Fprint(connection, compose(request.Header.Get(replica.HeaderAttempt)))
+		time.Sleep(time.Second)
+	}
+}
+
+// sealed is a complete answer to an attempt.
+func sealed(attempt string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\nContent-Length: %d\r\n\r\n%s",
+		replica.HeaderAttempt, attempt, replica.HeaderSeal, attempt, len(attempt), attempt)
+}
--- /dev/null
+++ b/internal/test/integration/standin_orders_test.go
@@ -0,0 +1,232 @@
+package integration
+
+import (
+	"encoding/json"
+	"maps"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"ferryspar/internal/replica"
+	"ferryspar/internal/sim/emulator/standin"
+)
+
+const (
+	// defaultAdapterSlots is the adapterCapacity of the document.
+	defaultAdapterSlots = 4
+	// maxHistory bounds the reports that a stand-in keeps for reportLag.
+	maxHistory = 16
+)
+
+// receivedOrder is an order as it was received. Expected is nil if the sender named no sequence.
+type receivedOrder struct {
+	replica.Order
+	Expected   *int64 `json:"expectedCount"`
+	receivedAt time.Time
+	status     int
+}
+
+func (o receivedOrder) reference() string {
+	if o.Adapter == "" {
+		return o.Model
+	}
+	return o.Model + "/" + o.Adapter
+}
+
+func (o receivedOrder) isLoad() bool { return o.Operation == replica.OperationLoad }
+
+// orderState is how a stand-in executes orders and reports on them. The lock of the stand-in guards it.
+type orderState struct {
+	adapterSlots  int           // of adapters
+	adapterTime   time.Duration // to load or unload an adapter
+	reportLag     time.Duration // the age of the state that reports show
+	answersToLose int           // the number of next accepted orders whose answers are lost
+	sequence      int64
+	highestFence  uint64
+	busyUntil     time.Time
+	incarnation   int
+	history       []pastReport
+	// rejectedOverCapacity are the loads that would not have fitted and were rejected for their sequence or another order.
+	rejectedOverCapacity []receivedOrder
+}
+
+// pastReport is what a stand-in would have reported from a time on.
+type pastReport struct {
+	at    time.Time
+	state replica.Report
+}
+
+func newOrderState() orderState {
+	return orderState{adapterSlots: defaultAdapterSlots, adapterTime: 10 * time.Millisecond}
+}
+
+// recordReport adds the present report to the history. The caller holds the lock.
+func (s *standInReplica) recordReport() {
+	state := replica.Report{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.orderState.sequence}
+	s.orderState.history = append(s.orderState.history, pastReport{time.Now(), state})
+	if extra := len(s.orderState.history) - maxHistory; extra > 0 {
+		s.orderState.history = s.orderState.history[extra:]
+	}
+}
+
+func (s *standInReplica) busy() bool { return time.Now().Before(s.orderState.busyUntil) }
+
+func (s *standInReplica) handleReport(writer http.ResponseWriter, _ *http.Request) {
+	s.lock.Lock()
+	state := replica.Report{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.orderState.sequence}
+	if s.orderState.reportLag > 0 {
+		state = s.laggedReport(state)
+	}
+	s.lock.Unlock()
+	_ = json.NewEncoder(writer).Encode(state)
+}
+
+// laggedReport is the report of reportLag ago, or the oldest in the history. The caller holds the lock.
+func (s *standInReplica) laggedReport(present replica.Report) replica.Report {
+	if len(s.orderState.history) == 0 {
+		return present
+	}
+	shown := s.orderState.history[0].state
+	for _, moment := range s.orderState.history {
+		if !moment.at.After(time.Now().Add(-s.orderState.reportLag)) {
+			shown = moment.state
+		}
+	}
+	return shown
+}
+
+func (s *standInReplica) handleOrder(writer http.ResponseWriter, request *http.Request) {
+	instruction := receivedOrder{receivedAt: time.Now()}
+	_ = json.NewDecoder(request.Body).Decode(&instruction)
+	s.lock.Lock()
+	instruction.status = s.decideOrder(instruction)
+	s.orders = append(s.orders, instruction)
+	lost := instruction.status == http.StatusAccepted && s.orderState.answersToLose > 0
+	if lost {
+		s.orderState.answersToLose--
+	}
+	s.lock.Unlock()
+	if lost {
+		panic(http.ErrAbortHandler)
+	}
+	writer.WriteHeader(instruction.status)
+}
+
+// decideOrder accepts or rejects an order and starts it if it is accepted. The caller holds the lock.
+func (s *standInReplica) decideOrder(instruction receivedOrder) int {
+	if instruction.Fence < s.orderState.highestFence {
+		return http.StatusPreconditionFailed
+	}
+	s.orderState.highestFence = instruction.Fence
+	overCapacity := instruction.isLoad() && !s.hasCapacity(instruction)
+	if s.busy() || instruction.Expected != nil && *instruction.Expected != s.orderState.sequence {
+		if overCapacity {
+			s.orderState.rejectedOverCapacity = append(s.orderState.rejectedOverCapacity, instruction)
+		}
+		return http.StatusConflict
+	}
+	if s.models[instruction.reference()] == instruction.isLoad() {
+		return http.StatusOK
+	}
+	s.overCapacity = s.overCapacity || overCapacity
+	if instruction.isLoad() && instruction.Adapter == "" {
+		s.countStoreLoad(instruction.Model)
+	}
+	s.startOrder(instruction)
+	return http.StatusAccepted
+}
+
+// hasCapacity reports whether a load fits beside what is loaded. The caller holds the lock.
+func (s *standInReplica) hasCapacity(instruction receivedOrder) bool {
+	loaded := maps.Clone(s.models)
+	loaded[instruction.reference()] = true
+	models, adapters := 0, 0
+	for reference := range loaded {
+		if strings.Contains(reference, "/") {
+			adapters++
+		} else {
+			models++
+		}
+	}
+	return models <= slotsPerReplica && adapters <= s.orderState.adapterSlots
+}
+
+// startOrder executes an accepted order. The caller holds the lock.
+func (s *standInReplica) startOrder(instruction receivedOrder) {
+	duration := s.loadTime
+	if instruction.Adapter != "" {
+		duration = s.orderState.adapterTime
+	}
+	s.recordReport()
+	s.orderState.sequence++
+	s.orderState.busyUntil = time.Now().Add(duration)
+	s.recordReport()
+	incarnation := s.orderState.incarnation
+	time.AfterFunc(duration, func() {
+		s.lock.Lock()
+		defer s.lock.Unlock()
+		if s.orderState.incarnation != incarnation {
+			return
+		}
+		s.models[instruction.reference()] = true
+		if !instruction.isLoad() {
+			s.models.Drop(instruction.reference())
+		}
+		s.recordReport()
+	})
+}
+
+// restart replaces the process at the same address: nothing is loaded, and sequence and fences are unknown.
+func (s *standInReplica) restart() {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.models = standin.NewHoldings()
+	s.orderState.incarnation++
+	s.orderState.sequence, s.orderState.highestFence, s.orderState.busyUntil, s.orderState.history = 0, 0, time.Time{}, nil
+	s.recordReport()
+}
+
+// withinCapacity reports whether every accepted load fitted.
+func (s *standInReplica) withinCapacity() bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return !s.overCapacity
+}
+
+// orderCount is how many orders the replica has accepted.
+func (s *standInReplica) orderCount() int64 {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.orderState.sequence
+}
+
+func (s *standInReplica) unloads(model string) int {
+	amount := 0
+	for _, order := range s.receivedOrders() {
+		if order.Operation == replica.OperationUnload && order.Model == model && order.Adapter == "" {
+			amount++
+		}
+	}
+	return amount
+}
+
+// rejectedOverCapacity are the rejected loads that would not have fitted.
+func (s *standInReplica) rejectedOverCapacity() []receivedOrder {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return append([]receivedOrder(nil), s.orderState.rejectedOverCapacity...)
+}
+
+// waitLeaseHolder waits for an order and returns the host of the node that has sent it.
+func (s *standInReplica) waitLeaseHolder(t *testing.T) string {
+	t.Helper()
+	for range 200 {
+		if orders := s.receivedOrders(); len(orders) > 0 {
+			return strings.TrimPrefix(orders[len(orders)-1].LeaseHolder, "daemon-")
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	t.Fatal("no order was sent")
+	return ""
+}
--- a/internal/test/integration/replica_test.go
+++ b/internal/test/integration/standin_replica_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net/http"
 	"sync"
 	"time"
@@ -12,7 +11,8 @@
 	"ferryspar/internal/sim/emulator/standin"
 )
 
-type arrival struct {
+// execution is one request that a stand-in has run.
+type execution struct {
 	attempt   string
 	lastEvent string
 	path      string
@@ -20,54 +20,34 @@
 	header    http.Header
 }
 
+// standInReplica is a replica with the HTTP interface of a real one: requests, reports, orders and health checks.
 type standInReplica struct {
-	lock      sync.Mutex
-	listed    discovery.Replica
-	models    standin.Holdings
-	runs      []arrival
-	orders    []receivedOrder
-	holding   orderBehaviour
-	cutAfter  int
-	full      bool
-	events    int
-	loadTime  time.Duration
-	overfull  bool
-	slow      time.Duration
-	fails     string
-	failEvery int
-	probed    int
-	coldUntil time.Time
-	healthy   bool
-
-	// disk are the models that were loaded before, storeLoads the beginnings of loads of others.
-	disk       map[string]bool
-	storeLoads []time.Time
+	lock             sync.Mutex
+	listed           discovery.Replica
+	models           standin.Holdings
+	executions       []execution
+	orders           []receivedOrder
+	orderState       orderState
+	breakStreamAfter int
+	full             bool
+	events           int
+	loadTime         time.Duration
+	overCapacity     bool
+	firstTokenDelay  time.Duration
+	failureMode      string
+	failEvery        int
+	healthChecks     int
+	warmingUntil     time.Time
+	healthy          bool
+
+	// modelsOnDisk are the models that were loaded before; storeLoads the start times of loads from the model store.
+	modelsOnDisk map[string]bool
+	storeLoads   []time.Time
 }
 
-var failings = map[string]func(writer http.ResponseWriter, request *http.Request){
-	"errors": func(writer http.ResponseWriter, _ *http.Request) {
-		writer.WriteHeader(http.StatusInternalServerError)
-	},
-	"reset": func(_ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) },
-	"hang": func(_ http.ResponseWriter, request *http.Request) {
-		_, _ = io.Copy(io.Discard, request.Body)
-		<-request.Context().Done()
-	},
-	"shed": func(writer http.ResponseWriter, _ *http.Request) {
-		writer.Header().Set(replica.HeaderNotExecuted, "1")
-		writer.WriteHeader(http.StatusServiceUnavailable)
-	},
-}
-
-func (s *standInReplica) setFailing(fails string, every int) {
+func (s *standInReplica) handleHealth(writer http.ResponseWriter, _ *http.Request) {
 	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.fails, s.failEvery = fails, every
-}
-
-func (s *standInReplica) health(writer http.ResponseWriter, _ *http.Request) {
-	s.lock.Lock()
-	s.probed++
+	s.healthChecks++
 	healthy := s.healthy
 	s.lock.Unlock()
 	writer.Header().Set(replica.HeaderReplicaID, s.listed.ID)
@@ -77,8 +57,8 @@
 }
 
 func newStandInReplica(id, host, zone string, models ...string) *standInReplica {
-	stand := &standInReplica{models: standin.NewHoldings(models...), events: 5, loadTime: 2 * time.Second, holding: ordinaryOrders()}
-	stand.listed = discovery.Replica{
+	standIn := &standInReplica{models: standin.NewHoldings(models...), events: 5, loadTime: 2 * time.Second, orderState: newOrderState()}
+	standIn.listed = discovery.Replica{
 		ID:       id,
 		Backend:  serviceName,
 		Address:  host + ":8080",
@@ -87,14 +67,14 @@
 		Slots:    8,
 		State:    "ready",
 	}
-	return stand
+	return standIn
 }
 
-func (s *standInReplica) drain(leaving bool) {
+func (s *standInReplica) drain(draining bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.listed.State = "ready"
-	if leaving {
+	if draining {
 		s.listed.State = "draining"
 	}
 }
@@ -102,22 +82,22 @@
 func (s *standInReplica) setWarmingUntil(until time.Time) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.coldUntil = until
+	s.warmingUntil = until
 }
 
-func (s *standInReplica) entry() discovery.Replica {
+func (s *standInReplica) listEntry() discovery.Replica {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	listed := s.listed
 	listed.Models = s.models.List()
-	listed.WarmUpRemainingMs = max(listed.WarmUpRemainingMs, float64(time.Until(s.coldUntil).Milliseconds()))
+	listed.WarmUpRemainingMs = max(listed.WarmUpRemainingMs, float64(time.Until(s.warmingUntil).Milliseconds()))
 	return listed
 }
 
-func (s *standInReplica) executed() []arrival {
+func (s *standInReplica) executed() []execution {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return append([]arrival(nil), s.runs...)
+	return append([]execution(nil), s.executions...)
 }
 
 func (s *standInReplica) receivedOrders() []receivedOrder {
@@ -132,26 +112,30 @@
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	handlers := map[string]http.HandlerFunc{"/ferryspar/report": s.report, "/ferryspar/order": s.order, "/healthz": s.health}
+	handlers := map[string]http.HandlerFunc{
+		"/ferryspar/report": s.handleReport,
+		"/ferryspar/order":  s.handleOrder,
+		"/healthz":          s.handleHealth,
+	}
 	if handle, known := handlers[request.URL.Path]; known {
 		handle(writer, request)
 		return
 	}
-	s.serve(writer, request)
+	s.handleRequest(writer, request)
 }
 
-// countStoreLoad notes a load of a model that the disk doesn't have. The caller holds the lock.
+// countStoreLoad records a load of a model that is not on the disk. The caller holds the lock.
 func (s *standInReplica) countStoreLoad(model string) {
-	if s.disk == nil {
-		s.disk = map[string]bool{}
+	if s.modelsOnDisk == nil {
+		s.modelsOnDisk = map[string]bool{}
 	}
-	if !s.disk[model] && !s.models[model] {
+	if !s.modelsOnDisk[model] && !s.models[model] {
 		s.storeLoads = append(s.storeLoads, time.Now())
 	}
-	s.disk[model] = true
+	s.modelsOnDisk[model] = true
 }
 
-func (s *standInReplica) serve(writer http.ResponseWriter, request *http.Request) {
+func (s *standInReplica) handleRequest(writer http.ResponseWriter, request *http.Request) {
 	attempt := request.Header.Get(replica.HeaderAttempt)
 	writer.Header().Set(replica.HeaderAttempt, attempt)
 	s.lock.Lock()
@@ -168,16 +152,16 @@
 	}
 	from := 0
 	_, _ = fmt.Sscanf(request.Header.Get(replica.HeaderLastEventID), "%d", &from)
-	s.runs = append(s.runs, arrival{
-		attempt,
-		request.Header.Get(replica.HeaderLastEventID),
-		request.RequestURI,
-		time.Now(),
-		request.Header.Clone(),
+	s.executions = append(s.executions, execution{
+		attempt:   attempt,
+		lastEvent: request.Header.Get(replica.HeaderLastEventID),
+		path:      request.RequestURI,
+		at:        time.Now(),
+		header:    request.Header.Clone(),
 	})
-	cutAfter, events, slow := s.cutAfter, s.events, s.slow
-	fail := failings[s.fails]
-	failing := fail != nil && len(s.runs)%max(s.failEvery, 1) == 0
+	breakAfter, events, firstTokenDelay := s.breakStreamAfter, s.events, s.firstTokenDelay
+	fail := failureModes[s.failureMode]
+	failing := fail != nil && len(s.executions)%max(s.failEvery, 1) == 0
 	s.lock.Unlock()
 	if failing {
 		fail(writer, request)
@@ -185,13 +169,23 @@
 	}
 	writer.Header().Set(replica.HeaderSeal, "seal-"+s.listed.ID)
 	writer.Header().Set("Content-Type", "text/event-stream")
-	time.Sleep(slow)
+	time.Sleep(firstTokenDelay)
 	for number := from + 1; number <= events; number++ {
 		time.Sleep(20 * time.Millisecond)
 		fmt.Fprintf(writer, "id: %d\ndata: piece %d\n\n", number, number)
 		_ = http.NewResponseController(writer).Flush()
-		if cutAfter > 0 && number == cutAfter {
+		if breakAfter > 0 && number == breakAfter {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
+
+func (s *standInReplica) executedSince(from time.Time) int {
+	amount := 0
+	for _, run := range s.executed() {
+		if run.at.After(from) {
+			amount++
+		}
+	}
+	return amount
+}
