--- a/internal/controlplane/drill_host.go
+++ b/internal/controlplane/drill_host.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 
 	"github.com/pkg/errors"
 
@@ -86,23 +85,15 @@
 
 // ReadDrill reads the record of the newest drill with a majority's confirmation.
 func (h drillHost) ReadDrill(ctx context.Context) (drill.Record, error) {
-	var record drill.Record
-	register, err := h.node.readKey(ctx, keystore.DrillKey)
-	if err != nil {
-		return record, err
-	}
-	_ = json.Unmarshal(register.Value, &record)
-	return record, nil
+	return readRecord[drill.Record](ctx, h.node, keystore.DrillKey)
 }
 
 // ChangeDrill replaces the record of the newest drill and announces that.
 func (h drillHost) ChangeDrill(ctx context.Context, decide func(current drill.Record) (drill.Record, error)) error {
-	return h.node.changeKey(ctx, keystore.DrillKey, func(register keystore.Register) (any, error) {
-		var current drill.Record
-		_ = json.Unmarshal(register.Value, &current)
+	return changeRecord(ctx, h.node, keystore.DrillKey, func(current drill.Record) (drill.Record, error) {
 		next, err := decide(current)
 		if errors.Is(err, drillcontrol.ErrUnchanged) {
-			return nil, errUnchanged
+			return current, errUnchanged
 		}
 		return next, err
 	})
--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -5,9 +5,7 @@
 	"time"
 
 	"ferryspar/internal/controlplane/watch"
-	"ferryspar/internal/eventbus"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/peer"
 )
 
 const (
@@ -68,6 +66,5 @@
 
 // MembershipCommitted applies a change here and notifies the other control planes of it.
 func (h membersHost) MembershipCommitted(register keystore.Register) {
-	h.node.apply(register)
-	_ = h.node.bus.Publish(eventbus.TopicCommitted, peer.KeyUpdate{Register: register.WithoutValue()})
+	h.node.publishCommitted(register)
 }
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -1,17 +1,15 @@
 package controlplane
 
 import (
-	"context"
 	"crypto/rand"
 	"encoding/binary"
 	"net/http"
 	"strconv"
-	"sync"
 	"time"
 
 	"github.com/pkg/errors"
-	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/controlplane/applier"
 	"ferryspar/internal/controlplane/dataplanes"
 	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/drillcontrol"
@@ -27,8 +25,6 @@
 	"ferryspar/internal/peer"
 )
 
-const placementLease = keystore.LeasePrefix + "placement"
-
 // Node is one control-plane node: member of the keystore, source of updates for data planes, server of
 // the admin API, and, while it holds the placement lease, the one that places models. It puts its parts
 // together and runs them; each part owns its state.
@@ -47,10 +43,7 @@
 	acceptor *keystore.Acceptor
 	store    *keystore.Store
 	state    *controlstate.State
-	// applyLock guards appliedRegisters, the newest register of each key that is published.
-	applyLock        sync.Mutex
-	appliedRegisters map[string]keystore.Register
-	confirmer        *confirmer
+	applier  *applier.Applier
 
 	publisher    *watch.Publisher
 	endpoints    *watch.EndpointPublisher
@@ -89,23 +82,22 @@
 	}
 	incarnation := nonce()
 	node := &Node{
-		settings:         settings,
-		settingsPath:     settingsPath,
-		self:             settings.PeerAddress(),
-		incarnation:      strconv.FormatUint(incarnation, 36),
-		clock:            time.Now,
-		startedAt:        time.Now(),
-		network:          network,
-		peers:            peer.NewClient(network),
-		appliedRegisters: map[string]keystore.Register{},
-		publisher:        watch.NewPublisher(),
-		endpoints:        watch.NewEndpointPublisher(),
-		loads:            demand.NewLoadAggregator(),
-		dataPlanes:       dataplanes.NewRegistry(),
-		bus:              eventbus.New(),
+		settings:     settings,
+		settingsPath: settingsPath,
+		self:         settings.PeerAddress(),
+		incarnation:  strconv.FormatUint(incarnation, 36),
+		clock:        time.Now,
+		startedAt:    time.Now(),
+		network:      network,
+		peers:        peer.NewClient(network),
+		publisher:    watch.NewPublisher(),
+		endpoints:    watch.NewEndpointPublisher(),
+		loads:        demand.NewLoadAggregator(),
+		dataPlanes:   dataplanes.NewRegistry(),
+		bus:          eventbus.New(),
 	}
 	node.openKeystore(wal, incarnation, isBootstrapping)
-	node.confirmer = newConfirmer(node)
+	node.applier = applier.New(node.store, node.acceptor, node.publisher, node.clock)
 	node.members = node.newMembers()
 	node.watchServer = node.newWatchServer()
 	node.roster = node.newRoster()
@@ -193,52 +185,3 @@
 func (n *Node) leaseDuration() time.Duration {
 	return max(nodesettings.Milliseconds(n.settings.TimingBounds.LeaseMs)/2, minLeaseDuration)
 }
-
-// Run serves until the parent ends, a server fails, or a signal to stop has been obeyed.
-func (n *Node) Run(parent context.Context, signals nodesettings.Signals) error {
-	ctx, cancel := context.WithCancel(parent)
-	var cleanup []func()
-	defer func() {
-		for index := len(cleanup) - 1; index >= 0; index-- {
-			cleanup[index]()
-		}
-	}()
-	cleanup = append(cleanup, cancel)
-	go n.acceptor.Run(ctx)
-	peerListener, err := n.network.Listen(n.self)
-	if err != nil {
-		return errors.Wrap(err, "internal address")
-	}
-	cleanup = append(cleanup, func() { peerListener.Close() })
-	adminListener, err := n.network.Listen(n.settings.BindAddresses.ControlPlane)
-	if err != nil {
-		return errors.Wrap(err, "control plane address")
-	}
-	cleanup = append(cleanup, func() { adminListener.Close() })
-	failures := make(chan error, 2)
-	peerServer := &http.Server{Handler: n.peerRoutes(), IdleTimeout: time.Minute}
-	adminServer := &http.Server{Handler: n.adminRoutes(), IdleTimeout: time.Minute, ReadHeaderTimeout: 10 * time.Second}
-	go func() { failures <- peerServer.Serve(peerListener) }()
-	go func() { failures <- adminServer.Serve(adminListener) }()
-	if err := n.subscribeEvents(ctx); err != nil {
-		return err
-	}
-	cleanup = append(cleanup, n.bus.Close)
-	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.roster.Run, n.scheduler.Run, n.loadExchange.Run, n.drills.Run,
-		func(ctx context.Context) {
-			nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(fresh nodesettings.Settings) { n.members.Introduce(fresh.SeedPeers()) })
-		}}
-	for _, loop := range loops {
-		go loop(ctx)
-	}
-	logrus.WithFields(logrus.Fields{"control_plane": adminListener.Addr().String(), "partner": n.self, "members": n.store.Membership().Current}).Info("control plane listens")
-	select {
-	case <-parent.Done():
-		return nil
-	case err := <-failures:
-		return err
-	case <-signals.Stop:
-		n.shutdown(adminServer, peerServer)
-		return nil
-	}
-}
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -35,7 +35,7 @@
 }
 
 func (n *Node) handleKeyUpdate(ctx context.Context, update peer.KeyUpdate) struct{} {
-	n.applyCommitted(ctx, update.Register)
+	n.applier.ApplyCommitted(ctx, update.Register)
 	return struct{}{}
 }
 
--- /dev/null
+++ b/internal/controlplane/run.go
@@ -0,0 +1,91 @@
+package controlplane
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"ferryspar/internal/nodesettings"
+)
+
+const (
+	idleTimeout       = time.Minute
+	readHeaderTimeout = 10 * time.Second
+)
+
+// Run serves until parent ends, a server fails, or a signal to stop has been handled. It returns once
+// its loops have ended, but does not wait for a write that the disk does not finish.
+func (n *Node) Run(parent context.Context, signals nodesettings.Signals) error {
+	ctx, cancel := context.WithCancel(parent)
+	var loops sync.WaitGroup
+	defer loops.Wait()
+	defer cancel()
+	go n.acceptor.Run(ctx)
+	peerListener, err := n.network.Listen(n.self)
+	if err != nil {
+		return errors.Wrapf(err, "internal address %s", n.self)
+	}
+	defer peerListener.Close()
+	adminAddress := n.settings.BindAddresses.ControlPlane
+	adminListener, err := n.network.Listen(adminAddress)
+	if err != nil {
+		return errors.Wrapf(err, "control plane address %s", adminAddress)
+	}
+	defer adminListener.Close()
+	peerServer := &http.Server{Handler: n.peerRoutes(), IdleTimeout: idleTimeout}
+	adminServer := &http.Server{Handler: n.adminRoutes(), IdleTimeout: idleTimeout, ReadHeaderTimeout: readHeaderTimeout}
+	failures := make(chan error, 2)
+	go func() { failures <- peerServer.Serve(peerListener) }()
+	go func() { failures <- adminServer.Serve(adminListener) }()
+	if err := n.subscribeEvents(ctx); err != nil {
+		return err
+	}
+	defer n.bus.Close()
+	n.startLoops(ctx, &loops, signals)
+	n.logListening(adminListener)
+	select {
+	case <-parent.Done():
+		return nil
+	case err := <-failures:
+		return err
+	case <-signals.Stop:
+		n.shutdown(adminServer, peerServer)
+		return nil
+	}
+}
+
+// startLoops runs the node's parts, each until ctx ends.
+func (n *Node) startLoops(ctx context.Context, loops *sync.WaitGroup, signals nodesettings.Signals) {
+	parts := []func(context.Context){
+		n.applier.Run,
+		n.members.Run,
+		n.roster.Run,
+		n.scheduler.Run,
+		n.loadExchange.Run,
+		n.drills.Run,
+		func(ctx context.Context) { n.watchSettings(ctx, signals) },
+	}
+	for _, run := range parts {
+		loops.Go(func() { run(ctx) })
+	}
+}
+
+// watchSettings reads the settings again at each hangup signal. Only the seeds of a running node change.
+func (n *Node) watchSettings(ctx context.Context, signals nodesettings.Signals) {
+	nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(changed nodesettings.Settings) {
+		n.members.Introduce(changed.SeedPeers())
+	})
+}
+
+func (n *Node) logListening(adminListener net.Listener) {
+	logrus.WithFields(logrus.Fields{
+		"control_plane": adminListener.Addr().String(),
+		"peer":          n.self,
+		"members":       n.store.Membership().Current,
+	}).Info("control plane listens")
+}
--- a/internal/controlplane/scheduler_host.go
+++ b/internal/controlplane/scheduler_host.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"ferryspar/internal/controlplane/applier"
 	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
@@ -31,7 +32,7 @@
 		StartedAt: n.startedAt,
 		Lease: scheduler.LeaseConfig{
 			Manager: &lease.Manager{
-				Key:           placementLease,
+				Key:           applier.PlacementLeaseKey,
 				Holder:        n.settings.NodeName,
 				Address:       n.self,
 				TTL:           n.leaseDuration(),
@@ -78,7 +79,7 @@
 
 // UpdatePurge implements scheduler.PurgeStore.
 func (h schedulerHost) UpdatePurge(ctx context.Context, number uint64, change func(purge *retention.Purge) bool) bool {
-	return h.node.changeForget(ctx, number, change)
+	return h.node.updatePurge(ctx, number, change)
 }
 
 // MayAcquireLease implements scheduler.Cluster.
--- a/internal/controlplane/watch_host.go
+++ b/internal/controlplane/watch_host.go
@@ -41,7 +41,7 @@
 }
 
 // RequestConfirmation has the state confirmed in a round that begins after the call.
-func (h watchHost) RequestConfirmation() { h.node.confirmer.Request() }
+func (h watchHost) RequestConfirmation() { h.node.applier.RequestConfirmation() }
 
 // IsLeaving says whether the node shuts down.
 func (h watchHost) IsLeaving() bool { return h.node.members.IsLeaving() }
