--- a/internal/controlstate/records.go
+++ b/internal/controlstate/records.go
@@ -27,7 +27,7 @@
 	}
 	err := json.Unmarshal(register.Value, &record)
 	if len(record.LegacyDigests) > 0 {
-		// Which calls these digests stand for cannot be told any more, so that all of them count as forgotten.
+		// Which calls these digests stand for can no longer be determined, so all of them count as forgotten.
 		record.LegacyDigests = nil
 		record.AppliedCalls.ForgottenUpTo = record.Revision - 1
 	}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -16,7 +16,7 @@
 const logKeyLease = "lease"
 
 // ErrSuperseded is returned by Manager.Reserve for a grant that is no longer the last one.
-var ErrSuperseded = errors.New("the lease was granted anew")
+var ErrSuperseded = errors.New("superseded by a later grant")
 
 // Store is the part of the keystore that a Manager needs.
 type Store interface {
--- a/internal/loadbudget/simulation_test.go
+++ b/internal/loadbudget/simulation_test.go
@@ -276,7 +276,7 @@
 	holder.write = write
 }
 
-// order sends a load; one in four has no clear answer, and a report tells its fate much later.
+// order sends a load; one in four has no clear answer, and a report shows its outcome much later.
 func (s *simulation) order(holder *process) {
 	s.unorderedLoads--
 	sent := order{
