--- a/internal/dataplane/controlpeers.go
+++ b/internal/dataplane/controlpeers.go
@@ -13,13 +13,13 @@
 	controlPeerTimeout = 1700 * time.Millisecond
 	// behindTolerance is how long another node may know a newer configuration before that makes it the better primary.
 	behindTolerance = 150 * time.Millisecond
-	// assumedEdgeCount is how many data planes there are taken to be while nobody knows: shares of the fleet's limits
+	// assumedDataPlaneCount is how many data planes there are taken to be while nobody knows: shares of the fleet's limits
 	// must not be taken too large.
-	assumedEdgeCount = 512
-	// edgeCountRetention is how long a number of data planes is kept after lower ones have been reported.
-	edgeCountRetention = 10 * time.Second
-	// edgeCountTimeout is how long after its last response a node's number of data planes counts.
-	edgeCountTimeout = 5 * time.Second
+	assumedDataPlaneCount = 512
+	// countRetention is how long a number of data planes is kept after lower ones have been reported.
+	countRetention = 10 * time.Second
+	// countTimeout is how long after its last response a node's number of data planes counts.
+	countTimeout = 5 * time.Second
 )
 
 // The ranks of a node as the primary, from the one that weighs most. They add up.
@@ -38,11 +38,11 @@
 	revision int64
 	// secondary says that the last poll was one of those that are held for longer.
 	secondary bool
-	// edgeCount is the number of data planes in touch, and presentEdges that of those that may hold quota, which is
-	// exact only if presentKnown.
-	edgeCount    int
-	presentEdges int
-	presentKnown bool
+	// dataPlaneCount is how many data planes the node knows to be live, earlyDataPlaneCount how many it has heard from, which
+	// it knows sooner after a start. countReliable says that no live one can be missing.
+	dataPlaneCount      int
+	earlyDataPlaneCount int
+	countReliable       bool
 
 	// incarnation is that which endpointSets are from; they are all that is followed only if complete.
 	incarnation  string
@@ -58,11 +58,11 @@
 	p.fresh = result.fresh()
 	p.lastSeen = result.receivedAt
 	p.revision = result.response.Revision
-	p.edgeCount = result.response.DataPlaneCount
+	p.dataPlaneCount = result.response.DataPlaneCount
 	p.secondary = result.secondary
 	p.zone = result.response.Zone
-	p.presentEdges = result.response.EarlyDataPlaneCount
-	p.presentKnown = result.response.CountReliable
+	p.earlyDataPlaneCount = result.response.EarlyDataPlaneCount
+	p.countReliable = result.response.CountReliable
 }
 
 // usable reports whether endpoints may be followed at the node.
@@ -81,9 +81,9 @@
 	byAddress map[string]*controlPeer
 	// behindSince is since when a node knows a newer configuration than the one in use, or zero.
 	behindSince time.Time
-	// knownEdgeCount is the number of data planes in use, and when it was last confirmed.
-	knownEdgeCount   int
-	knownEdgeCountAt time.Time
+	// lastCount is the number of data planes in use, and lastCountAt when it was last reported.
+	lastCount   int
+	lastCountAt time.Time
 }
 
 // at returns the node at the address, a new one if it is not known yet.
@@ -133,38 +133,43 @@
 	return best
 }
 
-// edgeCount is the number of data planes that share the fleet's limits. It is kept high: a lower number counts only after
-// edgeCountRetention, since a node that has just started has not heard of all of them yet.
-func (c *controlPeers) edgeCount(now time.Time) int {
+// dataPlaneCount is the number of data planes that share the fleet's limits.
+func (c *controlPeers) dataPlaneCount(now time.Time) int {
+	c.refreshCount(now)
+	if c.lastCount == 0 {
+		return assumedDataPlaneCount
+	}
+	return c.lastCount
+}
+
+// refreshCount takes the highest number that a node has reported lately. A lower one than the last counts only after
+// countRetention, since a node that has just started has not heard from all data planes yet.
+func (c *controlPeers) refreshCount(now time.Time) {
 	highest := 0
 	for _, control := range c.byAddress {
-		if now.Sub(control.lastSeen) < edgeCountTimeout {
-			highest = max(highest, control.edgeCount)
+		if now.Sub(control.lastSeen) < countTimeout {
+			highest = max(highest, control.dataPlaneCount)
 		}
 	}
-	if highest >= c.knownEdgeCount || highest > 0 && now.Sub(c.knownEdgeCountAt) > edgeCountRetention {
-		c.knownEdgeCount, c.knownEdgeCountAt = highest, now
-	}
-	if c.knownEdgeCount == 0 {
-		return assumedEdgeCount
+	if highest >= c.lastCount || highest > 0 && now.Sub(c.lastCountAt) > countRetention {
+		c.lastCount, c.lastCountAt = highest, now
 	}
-	return c.knownEdgeCount
 }
 
-// presentEdgeCount is the number of data planes, without those that have been silent for so long that what they lent of
-// tenants' limits has expired. Where no control-plane node has run for long enough to know that, it is the number that is
-// kept high, and 0 if none was ever reported.
-func (c *controlPeers) presentEdgeCount(now time.Time) (count int, known bool) {
+// reliableDataPlaneCount is the number of data planes, without those that have been silent for so long that what they lent
+// of tenants' limits has expired. Where no control-plane node has run for long enough to know that, it is the number that
+// is kept high, and 0 if none was ever reported.
+func (c *controlPeers) reliableDataPlaneCount(now time.Time) (count int, reliable bool) {
 	highest := 0
 	for _, control := range c.byAddress {
-		if now.Sub(control.lastSeen) < edgeCountTimeout {
-			highest = max(highest, control.edgeCount, control.presentEdges)
-			known = known || control.presentKnown
+		if now.Sub(control.lastSeen) < countTimeout {
+			highest = max(highest, control.dataPlaneCount, control.earlyDataPlaneCount)
+			reliable = reliable || control.countReliable
 		}
 	}
-	c.edgeCount(now)
-	if !known {
-		return max(c.knownEdgeCount, highest), false
+	c.refreshCount(now)
+	if !reliable {
+		return max(c.lastCount, highest), false
 	}
 	return highest, true
 }
--- a/internal/dataplane/drill_test.go
+++ b/internal/dataplane/drill_test.go
@@ -18,7 +18,7 @@
 	notify := func(running bool, zones map[string]peer.ZoneState) bool {
 		notice := &drill.Notice{Number: number, Scope: drill.Scope{Zone: "south"}, Share: 1, LeftMs: 60000, Running: running}
 		harness.respond("one", peer.WatchResponse{Linearizable: true, FreshMs: 1000, Drill: notice, Zones: zones})
-		return harness.fleet.Load().Drill != nil
+		return harness.snapshot.Load().Drill != nil
 	}
 	state := harness.state
 	ended := func() string { return state.drills.report(harness.now).Ended }
@@ -40,7 +40,7 @@
 	number = 2
 	harness.advance(contactTimeout)
 	state.checkDrill()
-	assert.Assert(t, harness.fleet.Load().Drill == nil, "without any response as well")
+	assert.Assert(t, harness.snapshot.Load().Drill == nil, "without any response as well")
 
 	number = 3
 	assert.Assert(t, notify(true, nil))
--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -26,7 +26,7 @@
 	replicas []*routing.Replica
 }
 
-// use makes a node's endpoints the fleet's, and reports whether that changed it; changed says whether the node's own
+// use makes a node's endpoints those in use, and reports whether the snapshot changes by it; changed says whether the node's own
 // endpoints have changed. Another node's older endpoints are not used until the present ones are too old themselves.
 func (t *endpointTable) use(address string, control *controlPeer, changed bool) bool {
 	if !control.complete {
--- a/internal/dataplane/fleetstate.go
+++ b/internal/dataplane/fleetstate.go
@@ -31,7 +31,7 @@
 type FleetState struct {
 	settings nodesettings.Settings
 	clock    func() time.Time
-	fleet    *atomic.Pointer[routing.Snapshot]
+	snapshot *atomic.Pointer[routing.Snapshot]
 	onChange func()
 	repoll   func(address string)
 	// requestLog, if set before Run, has configurations and fleets written to it.
@@ -69,14 +69,14 @@
 	receivedAt time.Time
 }
 
-// FleetStateOptions are what a FleetState works with. Settings, Clock and Fleet are needed; a nil function or part is
+// FleetStateOptions are what a FleetState works with. Settings, Clock and Snapshot are needed; a nil function or part is
 // left out.
 type FleetStateOptions struct {
 	Settings nodesettings.Settings
 	Clock    func() time.Time
-	// Fleet is replaced as a whole whenever something changes.
-	Fleet *atomic.Pointer[routing.Snapshot]
-	// OnChange is called after each swap of Fleet.
+	// Snapshot is replaced as a whole whenever something changes.
+	Snapshot *atomic.Pointer[routing.Snapshot]
+	// OnChange is called after each swap of Snapshot.
 	OnChange func()
 	// UpdateLedger has the change made by the goroutine that owns the prefix ledger, now or later.
 	UpdateLedger func(change func(*routing.PrefixLedger))
@@ -87,12 +87,12 @@
 	Quotas *Quotas
 }
 
-// NewFleetState returns a state that knows nothing yet, and stores an empty fleet.
+// NewFleetState returns a state that knows nothing yet, and stores an empty snapshot.
 func NewFleetState(options FleetStateOptions) *FleetState {
 	state := &FleetState{
 		settings:     options.Settings,
 		clock:        options.Clock,
-		fleet:        options.Fleet,
+		snapshot:     options.Snapshot,
 		onChange:     options.OnChange,
 		repoll:       options.Repoll,
 		freshness:    newFreshness(options.Settings),
@@ -110,12 +110,12 @@
 		others:        othersLoad{reports: make(chan peer.FleetLoad, pendingResults)},
 	}
 	state.position.init()
-	options.Fleet.Store(&routing.Snapshot{})
+	options.Snapshot.Store(&routing.Snapshot{})
 	return state
 }
 
 // Ready reports whether a configuration has been adopted. Any goroutine may call it.
-func (s *FleetState) Ready() bool { return s.fleet.Load().Table != nil }
+func (s *FleetState) Ready() bool { return s.snapshot.Load().Table != nil }
 
 // Primary is the address of the control-plane node that endpoints are followed at, or empty. Any goroutine may call it.
 func (s *FleetState) Primary() string { return *s.position.primary.Load() }
@@ -180,7 +180,7 @@
 	result.markHandled()
 }
 
-// handleWatchResult adopts a result and reports whether the fleet changed.
+// handleWatchResult adopts a result and reports whether the snapshot changes by it.
 func (s *FleetState) handleWatchResult(ctx context.Context, result *watchResult) bool {
 	control := s.controlPeers.at(result.address)
 	if result.err != nil {
@@ -197,8 +197,8 @@
 		changed = s.drills.handle(ctx, &s.calls, result, s.evacuating()) || changed
 	}
 	if fresh && s.quotas != nil {
-		count, known := s.controlPeers.presentEdgeCount(s.clock())
-		s.quotas.handleUpdate(response, count, known, result.sentAt)
+		count, reliable := s.controlPeers.reliableDataPlaneCount(s.clock())
+		s.quotas.handleUpdate(response, count, reliable, result.sentAt)
 	}
 	s.choosePrimary()
 	return s.handleEndpointSets(control, result) || changed
@@ -211,7 +211,7 @@
 	return response.Linearizable || s.position.revision.Load() > 0
 }
 
-// adopt adopts what is newer in a response and reports whether the fleet changed.
+// adopt adopts what is newer in a response and reports whether the snapshot changes by it.
 func (s *FleetState) adopt(response *peer.WatchResponse) bool {
 	changed, err := s.adoptConfiguration(response)
 	if err != nil {
@@ -259,12 +259,12 @@
 	}
 }
 
-// publish swaps in the fleet as it is now.
+// publish swaps in a snapshot of what is known now.
 func (s *FleetState) publish() {
-	fleet := &routing.Snapshot{
+	snapshot := &routing.Snapshot{
 		Table:        s.adopted.table,
 		DrainedZones: make(map[string]bool, len(s.adopted.zones)),
-		DataPlanes:   s.controlPeers.edgeCount(s.clock()),
+		DataPlanes:   s.controlPeers.dataPlaneCount(s.clock()),
 		ListedAt:     s.endpoints.asOf,
 		Replicas:     s.endpoints.replicas,
 		PeerLoads:    s.others.latest.Replicas,
@@ -273,10 +273,10 @@
 		Drill:        s.drills.current,
 	}
 	for zone, state := range s.adopted.zones {
-		fleet.DrainedZones[zone] = state.Drained
+		snapshot.DrainedZones[zone] = state.Drained
 	}
-	s.fleet.Store(fleet)
-	s.recordFleet(fleet)
+	s.snapshot.Store(snapshot)
+	s.recordSnapshot(snapshot)
 	if s.onChange != nil {
 		s.onChange()
 	}
--- a/internal/dataplane/fleetstate_bench_test.go
+++ b/internal/dataplane/fleetstate_bench_test.go
@@ -25,8 +25,8 @@
 	settings, err := nodesettings.Parse(nil)
 	assert.NilError(b, err)
 	settings.Zone, settings.Zones = "north", map[string]string{"north": "land"}
-	fleet := &atomic.Pointer[routing.Snapshot]{}
-	return NewFleetState(FleetStateOptions{Settings: settings, Clock: time.Now, Fleet: fleet}), fleet
+	snapshot := &atomic.Pointer[routing.Snapshot]{}
+	return NewFleetState(FleetStateOptions{Settings: settings, Clock: time.Now, Snapshot: snapshot}), snapshot
 }
 
 func benchEndpointSets(count, endpoints int, version uint64) []peer.EndpointSet {
@@ -49,7 +49,7 @@
 }
 
 // benchResponse is a confirmed response to a poll that tells nothing new.
-func benchResponse(edges int) peer.WatchResponse {
+func benchResponse(dataPlanes int) peer.WatchResponse {
 	return peer.WatchResponse{
 		Member:         benchSource,
 		Zone:           "north",
@@ -57,7 +57,7 @@
 		Linearizable:   true,
 		FreshMs:        1000,
 		Version:        1,
-		DataPlaneCount: edges,
+		DataPlaneCount: dataPlanes,
 	}
 }
 
@@ -87,20 +87,20 @@
 }
 
 func benchResponses(b *testing.B, response func(turn uint64) peer.WatchResponse) {
-	state, fleet := newBenchState(b)
+	state, snapshot := newBenchState(b)
 	subscribeBench(b, state, benchEndpointSets(subscribedSets, endpointsPerSet, 1))
 	turn := uint64(1)
 	for b.Loop() {
 		turn++
 		useBenchResponse(b, state, response(turn))
 	}
-	assert.Assert(b, fleet.Load() != nil)
+	assert.Assert(b, snapshot.Load() != nil)
 }
 
 func BenchmarkFleetState_EndpointSetChange(b *testing.B) {
 	run := func(sets, endpoints int) func(b *testing.B) {
 		return func(b *testing.B) {
-			state, fleet := newBenchState(b)
+			state, snapshot := newBenchState(b)
 			subscribeBench(b, state, benchEndpointSets(sets, endpoints, 1))
 			changed, turn := benchEndpointSets(1, endpoints, 1), uint64(1)
 			for b.Loop() {
@@ -110,7 +110,7 @@
 				response.RosterVersion, response.EndpointSets = turn, changed
 				useBenchResponse(b, state, response)
 			}
-			assert.Equal(b, len(fleet.Load().Replicas), sets*endpoints)
+			assert.Equal(b, len(snapshot.Load().Replicas), sets*endpoints)
 		}
 	}
 	for _, sets := range []int{5, 20, 100} {
@@ -122,9 +122,9 @@
 }
 
 func BenchmarkFleetState_UnchangedResponse(b *testing.B) {
-	for _, edges := range []int{8, 80, 400} {
-		b.Run(fmt.Sprintf("edges=%d", edges), func(b *testing.B) {
-			benchResponses(b, func(uint64) peer.WatchResponse { return benchResponse(edges) })
+	for _, dataPlanes := range []int{8, 80, 400} {
+		b.Run(fmt.Sprintf("edges=%d", dataPlanes), func(b *testing.B) {
+			benchResponses(b, func(uint64) peer.WatchResponse { return benchResponse(dataPlanes) })
 		})
 	}
 }
--- a/internal/dataplane/fleetstate_test.go
+++ b/internal/dataplane/fleetstate_test.go
@@ -22,7 +22,7 @@
 	harness.respondWithEndpoints("near", "north", 7)
 	harness.subscribed("near", endpointSetOf("one", 8, true, "i-1"))
 	harness.respondWithEndpoints("near", "north", 7, endpointSetOf("one", 6, false, "i-1"))
-	assert.Assert(t, harness.fleet.Load().Replicas[0].Draining)
+	assert.Assert(t, harness.snapshot.Load().Replicas[0].Draining)
 	harness.respondWithEndpoints("near", "north", 12, endpointSetOf("one", 12, false, "i-1", "i-2"))
 	assert.Equal(t, len(harness.replicasByModel()["one"]), 2)
 }
@@ -31,9 +31,9 @@
 	harness := newZonedHarness(t)
 	harness.respondWithEndpoints("near", "north", 7)
 	harness.subscribed("near", endpointSetOf("one", 4, false, "i-1"), endpointSetOf("two", 8, true, "i-1"))
-	assert.Equal(t, len(harness.fleet.Load().Replicas), 1)
-	assert.Assert(t, harness.fleet.Load().Replicas[0].Draining)
-	assert.Equal(t, len(harness.fleet.Load().Replicas[0].Models), 2)
+	assert.Equal(t, len(harness.snapshot.Load().Replicas), 1)
+	assert.Assert(t, harness.snapshot.Load().Replicas[0].Draining)
+	assert.Equal(t, len(harness.snapshot.Load().Replicas[0].Models), 2)
 }
 
 func TestFleetState_SwitchesPrimaryOnlyOnceComplete(t *testing.T) {
@@ -63,22 +63,22 @@
 	assert.Equal(t, harness.state.Primary(), "far", "the near one stays behind")
 }
 
-func TestFleetState_KeepsEdgeCountWhileMembersAreNew(t *testing.T) {
+func TestFleetState_KeepsDataPlaneCountWhileMembersAreNew(t *testing.T) {
 	harness := newZonedHarness(t)
-	respond := func(address string, edges int) {
-		harness.respond(address, peer.WatchResponse{Incarnation: address, Linearizable: true, FreshMs: 1000, DataPlaneCount: edges})
+	respond := func(address string, dataPlanes int) {
+		harness.respond(address, peer.WatchResponse{Incarnation: address, Linearizable: true, FreshMs: 1000, DataPlaneCount: dataPlanes})
 	}
-	edgeCount := func() int { return harness.state.controlPeers.edgeCount(harness.now) }
-	assert.Equal(t, edgeCount(), assumedEdgeCount, "nobody told it")
+	dataPlaneCount := func() int { return harness.state.controlPeers.dataPlaneCount(harness.now) }
+	assert.Equal(t, dataPlaneCount(), assumedDataPlaneCount, "nobody told it")
 	respond("near", 80)
 	respond("far", 79)
-	assert.Equal(t, edgeCount(), 80)
+	assert.Equal(t, dataPlaneCount(), 80)
 	respond("near", 0)
 	respond("far", 0)
-	assert.Equal(t, edgeCount(), 80, "all members are new")
+	assert.Equal(t, dataPlaneCount(), 80, "all members are new")
 	respond("near", 3)
-	assert.Equal(t, edgeCount(), 80, "they have not heard of all yet")
-	harness.advance(edgeCountRetention + time.Second)
+	assert.Equal(t, dataPlaneCount(), 80, "they have not heard of all yet")
+	harness.advance(countRetention + time.Second)
 	respond("near", 60)
-	assert.Equal(t, edgeCount(), 60)
+	assert.Equal(t, dataPlaneCount(), 60)
 }
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -12,18 +12,18 @@
 
 // stateHarness is a FleetState with a clock of its own, and the control plane that it watches.
 type stateHarness struct {
-	t     *testing.T
-	state *FleetState
-	fleet *atomic.Pointer[routing.Snapshot]
-	now   time.Time
+	t        *testing.T
+	state    *FleetState
+	snapshot *atomic.Pointer[routing.Snapshot]
+	now      time.Time
 }
 
 func newStateHarness(t *testing.T, settings nodesettings.Settings) *stateHarness {
-	harness := &stateHarness{t: t, fleet: &atomic.Pointer[routing.Snapshot]{}, now: time.Unix(1000, 0)}
+	harness := &stateHarness{t: t, snapshot: &atomic.Pointer[routing.Snapshot]{}, now: time.Unix(1000, 0)}
 	harness.state = NewFleetState(FleetStateOptions{
 		Settings: settings,
 		Clock:    func() time.Time { return harness.now },
-		Fleet:    harness.fleet,
+		Snapshot: harness.snapshot,
 	})
 	return harness
 }
@@ -81,7 +81,7 @@
 // replicasByModel are the ids of the replicas in use by the models that they have loaded.
 func (h *stateHarness) replicasByModel() map[string][]string {
 	loaded := map[string][]string{}
-	for _, replica := range h.fleet.Load().Replicas {
+	for _, replica := range h.snapshot.Load().Replicas {
 		for model := range replica.Models {
 			loaded[model] = append(loaded[model], replica.ID)
 		}
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -27,8 +27,8 @@
 	// settingsPath is the settings file, read again at a hangup signal; empty if there is none.
 	settingsPath string
 	network      peer.Network
-	// fleet is what the matcher and the proxy route by. FleetState replaces it as a whole.
-	fleet     atomic.Pointer[routing.Snapshot]
+	// snapshot is what the matcher and the proxy route by. FleetState replaces it as a whole.
+	snapshot  atomic.Pointer[routing.Snapshot]
 	matcher   *routing.Matcher
 	state     *FleetState
 	watcher   *Watcher
@@ -53,13 +53,13 @@
 		peers:        peer.NewClient(network),
 	}
 	startedAt := incarnationStart(settings)
-	node.fleet.Store(&routing.Snapshot{})
-	node.matcher = routing.NewMatcher(matcherParameters(settings, startedAt), settings.Zone, time.Now, &node.fleet)
+	node.snapshot.Store(&routing.Snapshot{})
+	node.matcher = routing.NewMatcher(matcherParameters(settings, startedAt), settings.Zone, time.Now, &node.snapshot)
 	node.quotas = NewQuotas(settings, node.peers, time.Now)
 	node.state = NewFleetState(FleetStateOptions{
 		Settings:       settings,
 		Clock:          time.Now,
-		Fleet:          &node.fleet,
+		Snapshot:       &node.snapshot,
 		OnChange:       node.matcher.SnapshotChanged,
 		UpdateLedger:   node.matcher.UpdateLedger,
 		AnswerForecast: node.answerForecast,
@@ -75,7 +75,7 @@
 	node.matcher.OnSuspect = node.forwarder.CloseIdle
 
 	budgets := retryBudgets(settings, startedAt)
-	node.proxy = proxy.NewHandler(&node.fleet, node.matcher, node.forwarder, budgets, time.Now, rand.Float64)
+	node.proxy = proxy.NewHandler(&node.snapshot, node.matcher, node.forwarder, budgets, time.Now, rand.Float64)
 	node.proxy.Freshness = node.state.freshness
 	node.proxy.Quota = node.quotas
 	return node
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -70,7 +70,7 @@
 
 // handleUpdate adopts a confirmed response to a poll sent at that time: the number of data planes that divide the limits (0
 // while it isn't known), whether that is all of them, and those that may be homes.
-func (q *Quotas) handleUpdate(response *peer.WatchResponse, count int, known bool, sentAt time.Time) {
+func (q *Quotas) handleUpdate(response *peer.WatchResponse, count int, reliable bool, sentAt time.Time) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	if count > 0 {
@@ -78,7 +78,7 @@
 			q.wakeLending()
 		}
 		since := time.Duration(response.CountedForMs) * time.Millisecond
-		q.lender.UpdateFleetSize(quota.FleetSize{DataPlanes: count, CountedFor: since, Established: known}, sentAt)
+		q.lender.UpdateFleetSize(quota.FleetSize{DataPlanes: count, CountedFor: since, Established: reliable}, sentAt)
 		q.pool.SetDataPlaneCount(count)
 	}
 	if response.Neighbours == nil {
--- a/internal/dataplane/recording.go
+++ b/internal/dataplane/recording.go
@@ -27,19 +27,19 @@
 	return configuration.Compress(redacted)
 }
 
-// recordFleet writes the fleet to the request log, if there is one, once endpoints are known.
-func (s *FleetState) recordFleet(fleet *routing.Snapshot) {
+// recordSnapshot writes the snapshot to the request log, if there is one, once endpoints are known.
+func (s *FleetState) recordSnapshot(snapshot *routing.Snapshot) {
 	if s.requestLog == nil || s.endpoints.source == "" {
 		return
 	}
 	entry := requestlog.Entry{
-		Kind:      requestlog.KindFleet,
-		AtMs:      s.requestLog.OffsetMs(s.clock()),
-		Replicas:  s.endpoints.listed,
-		EdgeCount: fleet.DataPlanes,
-		Zone:      s.settings.Zone,
+		Kind:           requestlog.KindFleet,
+		AtMs:           s.requestLog.OffsetMs(s.clock()),
+		Replicas:       s.endpoints.listed,
+		DataPlaneCount: snapshot.DataPlanes,
+		Zone:           s.settings.Zone,
 	}
-	for zone, drained := range fleet.DrainedZones {
+	for zone, drained := range snapshot.DrainedZones {
 		if drained {
 			entry.DrainedZones = append(entry.DrainedZones, zone)
 		}
--- a/internal/dataplane/servers.go
+++ b/internal/dataplane/servers.go
@@ -63,7 +63,7 @@
 
 // clientTimeouts are the configuration's timeouts for clients' connections; 0 before there is a configuration.
 func (n *Node) clientTimeouts() proxy.ConnectionTimeouts {
-	table := n.fleet.Load().Table
+	table := n.snapshot.Load().Table
 	if table == nil {
 		return proxy.ConnectionTimeouts{}
 	}
--- a/internal/dataplane/subscribe.go
+++ b/internal/dataplane/subscribe.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// handleSubscribeResult adopts the endpoints of a response, and reports whether the fleet changed. After a failure
+// handleSubscribeResult adopts the endpoints of a response, and reports whether the snapshot changes by it. After a failure
 // everything is subscribed to anew.
 func (s *FleetState) handleSubscribeResult(result *subscribeResult) bool {
 	s.subscriptions.pending = false
@@ -112,7 +112,7 @@
 	return control != nil && control.complete && address == s.Primary()
 }
 
-// handleEndpointSets adopts the endpoint sets of a poll's response, and reports whether the fleet changed.
+// handleEndpointSets adopts the endpoint sets of a poll's response, and reports whether the snapshot changes by it.
 func (s *FleetState) handleEndpointSets(control *controlPeer, result *watchResult) bool {
 	response := &result.response
 	control.resetOnRestart(response.Incarnation)
--- a/internal/proxy/authorization.go
+++ b/internal/proxy/authorization.go
@@ -82,13 +82,13 @@
 	presented := credentialFrom(request.Header)
 	for {
 		keysValid := h.keysValid()
-		fleet := h.fleet.Load()
-		allowed, rejection := resolveAccess(fleet.Table, request.Host, request.RequestURI, presented)
+		snapshot := h.snapshot.Load()
+		allowed, rejection := resolveAccess(snapshot.Table, request.Host, request.RequestURI, presented)
 		if rejection == nil && allowed.tenant != configuration.NoTenant && !keysValid {
 			return nil, authorization{}, apierror.NewRetryable(apierror.OutdatedKeys, staleRetryAfter)
 		}
 		if rejection == nil {
-			return fleet, allowed, nil
+			return snapshot, allowed, nil
 		}
 		if !h.behind() || h.clock().Sub(arrived) > newerConfigurationTimeout || !awaitPollInterval(request.Context()) {
 			return nil, authorization{}, h.confirmRejection(rejection)
@@ -117,7 +117,7 @@
 		return nil
 	}
 	keysValid := e.handler.keysValid()
-	table := e.handler.fleet.Load().Table
+	table := e.handler.snapshot.Load().Table
 	parsed := e.parsed
 	if table != parsed.authorization.table {
 		public := parsed.route.Public
--- a/internal/proxy/authorization_test.go
+++ b/internal/proxy/authorization_test.go
@@ -31,9 +31,9 @@
 	document := strings.Replace(testDocument, `"routeTable":[`, `"tenants":`+tenants+`,"routeTable":[`+openRoute, 1)
 	read, err := configuration.Parse([]byte(document))
 	assert.NilError(t, err)
-	next := *s.fleet.Load()
+	next := *s.snapshot.Load()
 	next.Table = configuration.NewTable(read, nil)
-	s.fleet.Store(&next)
+	s.snapshot.Store(&next)
 }
 
 // startServerWithTenants starts a server with the tenants and one replica that answers.
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -84,7 +84,7 @@
 		e.report(routing.OutcomeCancelled)
 		return assignment, rejection
 	}
-	if e.attempts > 0 && !handler.retryBudgets.ForBackend(request.Backend).Allow(handler.clock(), handler.fleet.Load().DataPlanes) {
+	if e.attempts > 0 && !handler.retryBudgets.ForBackend(request.Backend).Allow(handler.clock(), handler.snapshot.Load().DataPlanes) {
 		e.report(routing.OutcomeCancelled)
 		return assignment, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
 	}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -18,7 +18,7 @@
 // Handler serves clients: it parses a request, has a replica assigned to it, forwards it and streams the response back.
 // It may be used by any number of goroutines.
 type Handler struct {
-	fleet        *atomic.Pointer[routing.Snapshot]
+	snapshot     *atomic.Pointer[routing.Snapshot]
 	matcher      *routing.Matcher
 	forwarder    *replica.Forwarder
 	retryBudgets *RetryBudgets
@@ -37,10 +37,10 @@
 	Rejections Rejections
 }
 
-// NewHandler returns a handler that reads the fleet as it stands at each request. random gives numbers from 0 up to 1 for
+// NewHandler returns a handler that reads the snapshot as it stands at each request. random gives numbers from 0 up to 1 for
 // the split of traffic over backends.
 func NewHandler(
-	fleet *atomic.Pointer[routing.Snapshot],
+	snapshot *atomic.Pointer[routing.Snapshot],
 	matcher *routing.Matcher,
 	forwarder *replica.Forwarder,
 	retryBudgets *RetryBudgets,
@@ -48,7 +48,7 @@
 	random func() float64,
 ) *Handler {
 	return &Handler{
-		fleet:        fleet,
+		snapshot:     snapshot,
 		matcher:      matcher,
 		forwarder:    forwarder,
 		retryBudgets: retryBudgets,
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -58,21 +58,21 @@
 	if !validAttemptID(attemptID) || len(request.Header.Values(replica.HeaderAttempt)) != 1 {
 		return nil, apierror.New(apierror.InvalidAttemptID, "")
 	}
-	fleet := h.awaitConfiguration(request, arrived)
-	if fleet.Table == nil {
+	snapshot := h.awaitConfiguration(request, arrived)
+	if snapshot.Table == nil {
 		return nil, apierror.NewRetryable(apierror.NoConfiguration, noConfigurationRetryAfter)
 	}
-	if limit := fleet.Table.Configuration.Limits.MaxHeaderBytes; limit > 0 && headerBytes(request) > limit {
+	if limit := snapshot.Table.Configuration.Limits.MaxHeaderBytes; limit > 0 && headerBytes(request) > limit {
 		return nil, apierror.New(apierror.HeaderTooLarge, "")
 	}
-	fleet, allowed, err := h.authorize(request, arrived)
+	snapshot, allowed, err := h.authorize(request, arrived)
 	if err != nil {
 		return nil, err
 	}
 	if !replica.ValidTarget(request.RequestURI) {
 		return nil, apierror.New(apierror.MalformedRequest, "request target cannot be passed on unchanged")
 	}
-	body, err := readBody(request, fleet.Table.Configuration.Limits.MaxBodyBytes)
+	body, err := readBody(request, snapshot.Table.Configuration.Limits.MaxBodyBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -98,14 +98,14 @@
 		Deadline:     arrived.Add(min(remaining, timeout)),
 		ClientRetry:  remaining < timeout-clientRetryTolerance,
 	}
-	parsed.applyRoute(fleet)
-	parsed.setUpstream(request, body, fleet)
+	parsed.applyRoute(snapshot)
+	parsed.setUpstream(request, body, snapshot)
 	return parsed, nil
 }
 
 // applyRoute sets what the matcher gets to know of the route and of the tenant.
-func (p *parsedRequest) applyRoute(fleet *routing.Snapshot) {
-	tenant := fleet.Table.Tenant(p.authorization.tenant)
+func (p *parsedRequest) applyRoute(snapshot *routing.Snapshot) {
+	tenant := snapshot.Table.Tenant(p.authorization.tenant)
 	p.request.LatencyTarget = milliseconds(p.route.TargetLatencyMs)
 	p.request.Priority = tenant.PriorityOr(p.route.Priority)
 	p.request.AllowedRegions = tenant.IntersectRegions(p.route.AllowedRegions)
@@ -116,7 +116,7 @@
 }
 
 // setUpstream sets what the replica gets.
-func (p *parsedRequest) setUpstream(request *http.Request, body []byte, fleet *routing.Snapshot) {
+func (p *parsedRequest) setUpstream(request *http.Request, body []byte, snapshot *routing.Snapshot) {
 	p.upstream = replica.UpstreamRequest{
 		Method:             request.Method,
 		URI:                request.RequestURI,
@@ -129,8 +129,8 @@
 		LastEventID:        request.Header.Get(replica.HeaderLastEventID),
 		Backend:            p.request.Backend,
 		NonIdempotent:      !p.route.IsIdempotent(),
-		MaxIdleConnections: connectionsPerEdge(fleet, p.request.Backend),
-		Tenant:             fleet.Table.Tenant(p.authorization.tenant).NameOrEmpty(),
+		MaxIdleConnections: connectionsPerDataPlane(snapshot, p.request.Backend),
+		Tenant:             snapshot.Table.Tenant(p.authorization.tenant).NameOrEmpty(),
 	}
 }
 
@@ -176,15 +176,15 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// awaitConfiguration returns the fleet as soon as it has a configuration, or without one after configurationTimeout.
+// awaitConfiguration returns the snapshot as soon as it has a configuration, or without one after configurationTimeout.
 func (h *Handler) awaitConfiguration(request *http.Request, arrived time.Time) *routing.Snapshot {
 	for {
-		fleet := h.fleet.Load()
-		if fleet.Table != nil || h.clock().Sub(arrived) > configurationTimeout || h.Draining() {
-			return fleet
+		snapshot := h.snapshot.Load()
+		if snapshot.Table != nil || h.clock().Sub(arrived) > configurationTimeout || h.Draining() {
+			return snapshot
 		}
 		if !awaitPollInterval(request.Context()) {
-			return fleet
+			return snapshot
 		}
 	}
 }
@@ -201,13 +201,13 @@
 	}
 }
 
-// connectionsPerEdge is this data plane's share of the connections that a replica of the backend takes; 0 is no limit.
-func connectionsPerEdge(fleet *routing.Snapshot, name string) int {
-	backend, _, known := fleet.Table.Backend(name)
+// connectionsPerDataPlane is this data plane's share of the connections that a replica of the backend takes; 0 is no limit.
+func connectionsPerDataPlane(snapshot *routing.Snapshot, name string) int {
+	backend, _, known := snapshot.Table.Backend(name)
 	if !known || backend.MaxConns <= 0 {
 		return 0
 	}
-	return max(backend.MaxConns/max(fleet.DataPlanes, 1), 1)
+	return max(backend.MaxConns/max(snapshot.DataPlanes, 1), 1)
 }
 
 // headerBytes is how many bytes the head of a request takes, without its framing.
--- a/internal/proxy/retries.go
+++ b/internal/proxy/retries.go
@@ -58,10 +58,10 @@
 // exclude keeps the replica out of further attempts, unless no other replica serves the request and this one has the model
 // loaded.
 func (e *exchange) exclude(id string) {
-	request, fleet := &e.parsed.request, e.handler.fleet.Load()
+	request, snapshot := &e.parsed.request, e.handler.snapshot.Load()
 	request.ExcludedReplicas[id] = true
-	for _, candidate := range fleet.Replicas {
-		if candidate.Serves(request) && !request.ExcludedReplicas[candidate.ID] && !fleet.DrainedZones[candidate.Zone] {
+	for _, candidate := range snapshot.Replicas {
+		if candidate.Serves(request) && !request.ExcludedReplicas[candidate.ID] && !snapshot.DrainedZones[candidate.Zone] {
 			return
 		}
 	}
--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -62,14 +62,14 @@
 }
 
 // Allow reports whether one more retry may be sent, and counts it. edges is the number of nodes that share the budget.
-func (b *RetryBudget) Allow(now time.Time, edges int) bool {
+func (b *RetryBudget) Allow(now time.Time, dataPlanes int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	last := b.bucketIndex(now)
 	requests, retries := b.countSince(last)
 	allowed := usableShare * b.options.Ratio * float64(requests)
 	if startedAt := b.options.StartedAt; startedAt.IsZero() || now.Sub(startedAt) > b.options.Period {
-		allowed += b.slackShare(edges)
+		allowed += b.slackShare(dataPlanes)
 	}
 	if retries >= apportion.RoundByFraction(allowed, b.epochFraction(now)) {
 		return false
@@ -118,9 +118,9 @@
 }
 
 // slackShare is this node's share of the slack, with a margin for what the rounding of all nodes may add up to.
-func (b *RetryBudget) slackShare(edges int) float64 {
+func (b *RetryBudget) slackShare(dataPlanes int) float64 {
 	slack := b.options.Slack
-	count := float64(max(edges, 1))
+	count := float64(max(dataPlanes, 1))
 	margin := min(count, apportion.SpreadMargin(count), slack-apportion.MaxMeanWithin(slack)) + uncountedShare*slack
 	return max(min(usableShare*slack, slack-margin), 0) / count
 }
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -22,9 +22,9 @@
 }
 
 // newNodeBudget is the budget of one of the nodes.
-func newNodeBudget(edge int, startedAt time.Time) *RetryBudget {
+func newNodeBudget(index int, startedAt time.Time) *RetryBudget {
 	return NewRetryBudget(RetryBudgetOptions{
-		Node:      "edge-" + strconv.Itoa(edge),
+		Node:      "edge-" + strconv.Itoa(index),
 		StartedAt: startedAt,
 		Period:    10 * time.Second,
 		Ratio:     0.2,
@@ -33,10 +33,10 @@
 }
 
 // newNodeBudgets are those of that many nodes.
-func newNodeBudgets(edges int) []*RetryBudget {
-	budgets := make([]*RetryBudget, edges)
-	for edge := range budgets {
-		budgets[edge] = newNodeBudget(edge, time.Time{})
+func newNodeBudgets(dataPlanes int) []*RetryBudget {
+	budgets := make([]*RetryBudget, dataPlanes)
+	for index := range budgets {
+		budgets[index] = newNodeBudget(index, time.Time{})
 	}
 	return budgets
 }
@@ -67,25 +67,25 @@
 }
 
 // useAll retries as often as the budget allows.
-func useAll(budget *RetryBudget, now time.Time, edges int) int {
+func useAll(budget *RetryBudget, now time.Time, dataPlanes int) int {
 	retries := 0
-	for budget.Allow(now, edges) {
+	for budget.Allow(now, dataPlanes) {
 		retries++
 	}
 	return retries
 }
 
 func TestRetryBudget_SharesStayWithinTotal(t *testing.T) {
-	edges, requests, total := 8, 40, 0
-	for range edges {
+	dataPlanes, requests, total := 8, 40, 0
+	for range dataPlanes {
 		budget := newBudget(50)
 		for range requests {
 			budget.RecordRequest(budgetStart)
 		}
-		total += useAll(budget, budgetStart, edges)
-		assert.Assert(t, !budget.Allow(budgetStart.Add(9*time.Second), edges))
+		total += useAll(budget, budgetStart, dataPlanes)
+		assert.Assert(t, !budget.Allow(budgetStart.Add(9*time.Second), dataPlanes))
 	}
-	assert.Assert(t, total > 0 && float64(total) <= 0.2*float64(edges*requests)+50)
+	assert.Assert(t, total > 0 && float64(total) <= 0.2*float64(dataPlanes*requests)+50)
 }
 
 func TestRetryBudget_RefillsAfterPeriod(t *testing.T) {
@@ -96,10 +96,10 @@
 
 func TestRetryBudget_NoPeriodExceedsTotal(t *testing.T) {
 	draw := rand.New(rand.NewPCG(11, 12))
-	for _, edges := range []int{1, 8, 81, 400} {
+	for _, dataPlanes := range []int{1, 8, 81, 400} {
 		for _, perSecond := range []float64{0, 0.05, 0.3, 2} {
-			budgets, counted := newNodeBudgets(edges), max(edges*10/11, 1)
-			setting := strconv.Itoa(edges) + " nodes, " + strconv.FormatFloat(perSecond, 'g', -1, 64) + " requests a second"
+			budgets, counted := newNodeBudgets(dataPlanes), max(dataPlanes*10/11, 1)
+			setting := strconv.Itoa(dataPlanes) + " nodes, " + strconv.FormatFloat(perSecond, 'g', -1, 64) + " requests a second"
 			var history retryHistory
 			for step := range 400 {
 				now := budgetStart.Add(time.Duration(step+1) * historyStep)
@@ -166,23 +166,23 @@
 
 func TestRetryBudget_RestartsStayWithinTotal(t *testing.T) {
 	draw := rand.New(rand.NewPCG(13, 14))
-	for _, edges := range []int{1, 3, 8, 81} {
-		budgets := newNodeBudgets(edges)
+	for _, dataPlanes := range []int{1, 3, 8, 81} {
+		budgets := newNodeBudgets(dataPlanes)
 		var history retryHistory
 		for step := range 400 {
 			now := budgetStart.Add(time.Duration(step+1) * historyStep)
 			requests, retries := 0, 0
-			for edge := range budgets {
+			for index := range budgets {
 				if draw.IntN(20) == 0 || step%100 == 50 {
-					budgets[edge] = newNodeBudget(edge, now)
+					budgets[index] = newNodeBudget(index, now)
 				}
 				if draw.IntN(4) == 0 {
-					budgets[edge].RecordRequest(now)
+					budgets[index].RecordRequest(now)
 					requests++
 				}
-				retries += useAll(budgets[edge], now, edges)
+				retries += useAll(budgets[index], now, dataPlanes)
 			}
-			history.add(t, requests, retries, strconv.Itoa(edges)+" nodes")
+			history.add(t, requests, retries, strconv.Itoa(dataPlanes)+" nodes")
 		}
 	}
 }
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -109,9 +109,9 @@
 
 // testServer is what clients connect to: the handler behind a server on a loopback socket.
 type testServer struct {
-	address string
-	handler *Handler
-	fleet   *atomic.Pointer[routing.Snapshot]
+	address  string
+	handler  *Handler
+	snapshot *atomic.Pointer[routing.Snapshot]
 }
 
 // serverOptions are what tests change of a testServer; zero values stand for a second and the network of the host.
@@ -133,14 +133,14 @@
 		Idle: cmp.Or(options.idle, time.Second),
 	}
 	state := testFleet(t, replicas)
-	var fleet atomic.Pointer[routing.Snapshot]
-	fleet.Store(state)
-	matcher := routing.NewMatcher(routing.DefaultParameters(), "north", time.Now, &fleet)
+	var snapshot atomic.Pointer[routing.Snapshot]
+	snapshot.Store(state)
+	matcher := routing.NewMatcher(routing.DefaultParameters(), "north", time.Now, &snapshot)
 	ctx, cancel := context.WithCancel(context.Background())
 	go matcher.Run(ctx)
 	forwarder := replica.NewForwarder(options.network, time.Now, time.Second, time.Second)
 	budgets := NewRetryBudgets(RetryBudgetOptions{Period: time.Second, Ratio: 1, Slack: 100})
-	handler := NewHandler(&fleet, matcher, forwarder, budgets, time.Now, rand.Float64)
+	handler := NewHandler(&snapshot, matcher, forwarder, budgets, time.Now, rand.Float64)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{
@@ -156,14 +156,14 @@
 		server.Close()
 		cancel()
 	})
-	return &testServer{listener.Addr().String(), handler, &fleet}
+	return &testServer{listener.Addr().String(), handler, &snapshot}
 }
 
 // testFleet is a fleet with the configuration of testDocument and the replicas.
 func testFleet(t *testing.T, replicas []*scriptedReplica) *routing.Snapshot {
 	decoded, err := configuration.Decode([]byte(testDocument))
 	assert.NilError(t, err)
-	fleet := &routing.Snapshot{
+	snapshot := &routing.Snapshot{
 		Table:        configuration.NewTable(decoded, nil),
 		DataPlanes:   1,
 		ListedAt:     time.Now(),
@@ -179,9 +179,9 @@
 			State:   "ready",
 			Models:  []discovery.LoadedModel{{Name: "swift"}},
 		}
-		fleet.Replicas = append(fleet.Replicas, routing.NewReplica(index, listed, time.Now(), nil))
+		snapshot.Replicas = append(snapshot.Replicas, routing.NewReplica(index, listed, time.Now(), nil))
 	}
-	return fleet
+	return snapshot
 }
 
 // testClient is a client with one connection.
--- a/internal/requestlog/entry.go
+++ b/internal/requestlog/entry.go
@@ -26,8 +26,8 @@
 
 	Replicas     []discovery.Replica `json:"replicas,omitempty"`
 	DrainedZones []string            `json:"drained,omitempty"`
-	// EdgeCount is the number of data planes that share the fleet's limits.
-	EdgeCount int `json:"edges,omitempty"`
+	// DataPlaneCount is the number of data planes that share the fleet's limits.
+	DataPlaneCount int `json:"edges,omitempty"`
 	// Zone is that of the data plane.
 	Zone string `json:"area,omitempty"`
 
--- a/internal/requestlog/pinned_test.go
+++ b/internal/requestlog/pinned_test.go
@@ -19,11 +19,11 @@
 	return []Entry{
 		{Kind: KindConfiguration, AtMs: 0.5, PackedConfiguration: []byte{1, 2, 253, 254}},
 		{
-			Kind:         KindFleet,
-			AtMs:         1.25,
-			EdgeCount:    2,
-			Zone:         "north",
-			DrainedZones: []string{"south"},
+			Kind:           KindFleet,
+			AtMs:           1.25,
+			DataPlaneCount: 2,
+			Zone:           "north",
+			DrainedZones:   []string{"south"},
 			Replicas: []discovery.Replica{
 				{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: []discovery.LoadedModel{{Name: "m"}}},
 			},
--- a/internal/requestlog/validate.go
+++ b/internal/requestlog/validate.go
@@ -4,11 +4,11 @@
 
 // Errors of entries that can't be used.
 var (
-	errNegativeTime         = errors.New("time below 0")
-	errNoDocument           = errors.New("configuration without its document")
-	errNegativeEdgeCount    = errors.New("edges below 0")
-	errNoRouteOrBackend     = errors.New("order without route or backend")
-	errNegativeRequestValue = errors.New("order with a number below 0")
+	errNegativeTime           = errors.New("time below 0")
+	errNoDocument             = errors.New("configuration without its document")
+	errNegativeDataPlaneCount = errors.New("edges below 0")
+	errNoRouteOrBackend       = errors.New("order without route or backend")
+	errNegativeRequestValue   = errors.New("order with a number below 0")
 )
 
 // validators check the fields of an entry by its kind.
@@ -41,8 +41,8 @@
 }
 
 func validateFleet(entry Entry) error {
-	if entry.EdgeCount < 0 {
-		return errNegativeEdgeCount
+	if entry.DataPlaneCount < 0 {
+		return errNegativeDataPlaneCount
 	}
 	return nil
 }
--- a/internal/sim/replay/engine.go
+++ b/internal/sim/replay/engine.go
@@ -107,7 +107,7 @@
 
 func (e *Engine) setFleet(entry requestlog.Entry) {
 	e.replicas = entry.Replicas
-	e.dataPlanes = max(entry.EdgeCount, 1)
+	e.dataPlanes = max(entry.DataPlaneCount, 1)
 	e.drainedZones = map[string]bool{}
 	for _, zone := range entry.DrainedZones {
 		e.drainedZones[zone] = true
--- a/internal/sim/replay/engine_test.go
+++ b/internal/sim/replay/engine_test.go
@@ -27,9 +27,9 @@
 	writer.Write(requestlog.Entry{Kind: requestlog.KindConfiguration, PackedConfiguration: configuration.Compress([]byte(document))})
 	models := []discovery.LoadedModel{{Name: "m"}}
 	writer.Write(requestlog.Entry{
-		Kind:      requestlog.KindFleet,
-		EdgeCount: 1,
-		Zone:      "north",
+		Kind:           requestlog.KindFleet,
+		DataPlaneCount: 1,
+		Zone:           "north",
 		Replicas: []discovery.Replica{
 			{ID: "a", Backend: "s", Zone: "north", Slots: 8, Models: models},
 			{ID: "b", Backend: "s", Zone: "south", Slots: 8, Models: models},
