--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -121,7 +121,8 @@
 	var server *testServer
 	upstream := startReplica(t, "i-1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, responseHead("200 OK", request, "seal-1", "Content-Length: 8")+"part")
-		server.snapshot.Store(&routing.Snapshot{Table: configuration.NewTable(configuration.Configuration{Revision: 2}, nil), DataPlanes: 1})
+		withoutRoutes := configuration.NewTable(configuration.Configuration{Revision: 2}, nil)
+		server.snapshot.Store(&routing.Snapshot{Table: withoutRoutes, DataPlanes: 1})
 		server.handler.matcher.SnapshotChanged()
 		time.Sleep(50 * time.Millisecond)
 		_, _ = io.WriteString(connection, "part")
