--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -12,18 +12,18 @@
 
 // stateHarness is a FleetState with a clock of its own, and the control plane that it watches.
 type stateHarness struct {
-	t     *testing.T
-	state *FleetState
-	fleet *atomic.Pointer[routing.Snapshot]
-	now   time.Time
+	t        *testing.T
+	state    *FleetState
+	snapshot *atomic.Pointer[routing.Snapshot]
+	now      time.Time
 }
 
 func newStateHarness(t *testing.T, settings nodesettings.Settings) *stateHarness {
-	harness := &stateHarness{t: t, fleet: &atomic.Pointer[routing.Snapshot]{}, now: time.Unix(1000, 0)}
+	harness := &stateHarness{t: t, snapshot: &atomic.Pointer[routing.Snapshot]{}, now: time.Unix(1000, 0)}
 	harness.state = NewFleetState(FleetStateOptions{
 		Settings: settings,
 		Clock:    func() time.Time { return harness.now },
-		Fleet:    harness.fleet,
+		Snapshot: harness.snapshot,
 	})
 	return harness
 }
@@ -41,7 +41,7 @@
 
 // respond hands the state a response of a control-plane node to a poll, and publishes what it changes.
 func (h *stateHarness) respond(address string, response peer.WatchResponse) {
-	result := watchResult{address: address, response: response, sentAt: h.now, receivedAt: h.now}
+	result := &watchResult{address: address, response: response, sentAt: h.now, receivedAt: h.now}
 	if h.state.handleWatchResult(h.t.Context(), result) {
 		h.state.publish()
 	}
@@ -66,7 +66,7 @@
 	for _, set := range sets {
 		request.Add = append(request.Add, set.EndpointKey)
 	}
-	changed := h.state.handleSubscribeResult(subscribeResult{
+	changed := h.state.handleSubscribeResult(&subscribeResult{
 		address:    address,
 		request:    request,
 		response:   peer.SubscribeResponse{Incarnation: "life-" + address, FreshMs: 1000, RosterVersion: 9, EndpointSets: sets},
@@ -81,7 +81,7 @@
 // replicasByModel are the ids of the replicas in use by the models that they have loaded.
 func (h *stateHarness) replicasByModel() map[string][]string {
 	loaded := map[string][]string{}
-	for _, replica := range h.fleet.Load().Replicas {
+	for _, replica := range h.snapshot.Load().Replicas {
 		for model := range replica.Models {
 			loaded[model] = append(loaded[model], replica.ID)
 		}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -18,7 +18,7 @@
 // Handler serves clients: it parses a request, has a replica assigned to it, forwards it and streams the response back.
 // It may be used by any number of goroutines.
 type Handler struct {
-	fleet        *atomic.Pointer[routing.Snapshot]
+	snapshot     *atomic.Pointer[routing.Snapshot]
 	matcher      *routing.Matcher
 	forwarder    *replica.Forwarder
 	retryBudgets *RetryBudgets
@@ -27,9 +27,9 @@
 	draining     atomic.Bool
 	inFlight     atomic.Int64
 
-	// Recorder, if set before the first request, writes down how each request went.
-	Recorder *requestlog.Writer
-	// Freshness, if set before the first request, tells how new the configuration is. Without it, it counts as the newest.
+	// RequestLog, if set before the first request, writes down how each request went.
+	RequestLog *requestlog.Writer
+	// Freshness, if set before the first request, says how new the configuration is. Without it, it counts as the newest.
 	Freshness Freshness
 	// Quota, if set before the first request, may reject requests of tenants beyond their limit.
 	Quota Quota
@@ -37,10 +37,10 @@
 	Rejections Rejections
 }
 
-// NewHandler returns a handler that reads the fleet as it stands at each request. random gives numbers from 0 up to 1 for
+// NewHandler returns a handler that reads the snapshot as it stands at each request. random gives numbers from 0 up to 1 for
 // the split of traffic over backends.
 func NewHandler(
-	fleet *atomic.Pointer[routing.Snapshot],
+	snapshot *atomic.Pointer[routing.Snapshot],
 	matcher *routing.Matcher,
 	forwarder *replica.Forwarder,
 	retryBudgets *RetryBudgets,
@@ -48,7 +48,7 @@
 	random func() float64,
 ) *Handler {
 	return &Handler{
-		fleet:        fleet,
+		snapshot:     snapshot,
 		matcher:      matcher,
 		forwarder:    forwarder,
 		retryBudgets: retryBudgets,
@@ -60,7 +60,7 @@
 // Drain asks clients from now on to close their connections.
 func (h *Handler) Drain() { h.draining.Store(true) }
 
-// Draining tells whether Drain was called.
+// Draining reports whether Drain was called.
 func (h *Handler) Draining() bool { return h.draining.Load() }
 
 // InFlight is the number of requests being served.
