--- a/internal/controlplane/scheduler_host.go
+++ b/internal/controlplane/scheduler_host.go
@@ -12,6 +12,7 @@
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/peer"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/retention"
 )
@@ -69,11 +70,11 @@
 }
 
 // Current implements scheduler.Roster.
-func (h schedulerHost) Current() ([]discovery.Replica, time.Time) { return h.node.roster.current() }
+func (h schedulerHost) Current() ([]discovery.Replica, time.Time) { return h.node.roster.Current() }
 
 // PublishPlacement implements scheduler.Roster.
 func (h schedulerHost) PublishPlacement(replicas int) {
-	h.node.publishRoster()
+	h.node.roster.Publish()
 	_ = h.node.bus.Publish(eventbus.TopicPlacementChanged, replicas)
 }
 
@@ -102,7 +103,7 @@
 	if holder == n.self {
 		plan = n.handlePlanRequest(ctx, request)
 	} else if holder != "" {
-		_ = n.peers.Call(ctx, "plan", holder, request, &plan)
+		_ = n.peers.Call(ctx, peer.MethodForecastPlan, holder, request, &plan)
 	}
 	if !plan.HoldsLease {
 		merged.Partial = true
