--- a/internal/controlplane/replicatracker/disks.go
+++ b/internal/controlplane/replicatracker/disks.go
@@ -38,6 +38,17 @@
 	return d.models[diskOf(listed)]
 }
 
+// modelsOf returns what Models does for each of some replicas, under one lock.
+func (d *DiskInventory) modelsOf(replicas []*Replica) []map[string]bool {
+	models := make([]map[string]bool, len(replicas))
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	for index, replica := range replicas {
+		models[index] = d.models[diskOf(replica.listed)]
+	}
+	return models
+}
+
 // RecordListed records that the disk of a listed replica holds the models that the list names.
 func (d *DiskInventory) RecordListed(listed discovery.Replica) {
 	d.lock.Lock()
--- a/internal/controlplane/replicatracker/tracker.go
+++ b/internal/controlplane/replicatracker/tracker.go
@@ -129,12 +129,14 @@
 // next list.
 func (t *Tracker) Listed() []*Replica { return t.listed }
 
-// Servers returns the planner's view of the listed replicas that belong to certain backends.
-func (t *Tracker) Servers(isTarget, isSuspected func(name string) bool, now time.Time) []*placement.Server {
+// Servers returns the planner's view of the listed replicas that belong to certain backends. The set holds the ids of
+// replicas that data planes suspect.
+func (t *Tracker) Servers(isTarget func(backend string) bool, suspected map[string]bool, now time.Time) []*placement.Server {
 	servers := make([]*placement.Server, 0, len(t.listed))
-	for _, replica := range t.listed {
+	onDisk := t.disks.modelsOf(t.listed)
+	for index, replica := range t.listed {
 		if isTarget(replica.Backend()) {
-			servers = append(servers, replica.server(isSuspected(replica.ID()), t.disks.Models(replica.listed), now))
+			servers = append(servers, replica.server(suspected[replica.ID()], onDisk[index], now))
 		}
 	}
 	return servers
--- a/internal/controlplane/scheduler/demand.go
+++ b/internal/controlplane/scheduler/demand.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ferryspar/internal/controlplane/demand"
+	"ferryspar/internal/controlplane/replicatracker"
 	"ferryspar/internal/peer"
 	"ferryspar/internal/placement"
 )
@@ -196,6 +197,23 @@
 	return d.aggregator.IsSuspected(id)
 }
 
+// suspectedAmong returns the ids of those of some replicas that enough data planes suspect.
+func (d *DemandView) suspectedAmong(replicas []*replicatracker.Replica) map[string]bool {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	var suspected map[string]bool
+	for _, replica := range replicas {
+		if !d.aggregator.IsSuspected(replica.ID()) {
+			continue
+		}
+		if suspected == nil {
+			suspected = map[string]bool{}
+		}
+		suspected[replica.ID()] = true
+	}
+	return suspected
+}
+
 // isLearned tells whether the demand has been watched long enough to unload by it.
 func (d *DemandView) isLearned(now time.Time) bool {
 	d.lock.Lock()
--- a/internal/controlplane/scheduler/inputs_bench_test.go
+++ b/internal/controlplane/scheduler/inputs_bench_test.go
@@ -8,6 +8,7 @@
 	"ferryspar/internal/controlplane/replicatracker"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/peer"
+	"ferryspar/internal/placement"
 )
 
 // modelsPerReport is how many models each summary of benchSummaries asks for.
@@ -27,16 +28,25 @@
 			for b.Loop() {
 				now = now.Add(100 * time.Millisecond)
 				for _, summary := range summaries[:max(len(summaries)/10, 1)] {
-					demand.HandleSummary(summary)
+					demand.aggregator.Add(summary, modelKeys(summary), now)
 				}
 				demand.Update()
 				tracker.AdoptList(listed, now, now)
-				tracker.Servers(all, demand.IsSuspected, now)
+				tracker.Servers(all, demand.suspectedAmong(tracker.Listed()), now)
 			}
 		})
 	}
 }
 
+// modelKeys are the keys of a summary's models.
+func modelKeys(summary peer.LoadSummary) []string {
+	keys := make([]string, len(summary.Models))
+	for index, model := range summary.Models {
+		keys[index] = placement.ModelKey(model.Backend, model.Model)
+	}
+	return keys
+}
+
 // benchList is a list of replicas with two models each.
 func benchList(replicas int) []discovery.Replica {
 	var listed []discovery.Replica
--- a/internal/controlplane/scheduler/sync.go
+++ b/internal/controlplane/scheduler/sync.go
@@ -62,7 +62,7 @@
 		DrainedZones: map[string]bool{},
 		StoreTokens:  s.budget.available(now, table, s.mayStart),
 		DemandKnown:  s.demand.isLearned(now),
-		Servers:      s.tracker.Servers(isTarget, s.demand.IsSuspected, now),
+		Servers:      s.tracker.Servers(isTarget, s.demand.suspectedAmong(s.tracker.Listed()), now),
 	}
 	for zone, zoneState := range state.Zones {
 		view.DrainedZones[zone] = zoneState.Drained
