--- /dev/null
+++ b/internal/controlplane/demand/exchange_test.go
@@ -0,0 +1,180 @@
+package demand
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pkg/errors"
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/peer"
+)
+
+// testHost is a fleet of two control planes, "a" and "b".
+type testHost struct {
+	self        string
+	leaseHolder string
+	roster      []discovery.Replica
+}
+
+func (h *testHost) OtherControlPlanes() []string {
+	if h.self == "a" {
+		return []string{"b"}
+	}
+	return []string{"a"}
+}
+
+func (h *testHost) LeaseHolder() string { return h.leaseHolder }
+
+func (h *testHost) Roster() []discovery.Replica { return h.roster }
+
+func (h *testHost) SubscribedReplicas(string) map[string]bool { return map[string]bool{"i-1": true} }
+
+// testCaller passes calls to another exchange, and keeps the summaries.
+type testCaller struct {
+	lock      sync.Mutex
+	receiver  *Exchange
+	summaries []peer.LoadSummary
+	// loseReplies has calls fail after they were carried out.
+	loseReplies bool
+	// delay is how long each call takes, unless its context ends before.
+	delay time.Duration
+}
+
+func (c *testCaller) Call(ctx context.Context, _ peer.Method, _ string, request, reply any) error {
+	summary := request.(peer.LoadSummary)
+	c.lock.Lock()
+	c.summaries = append(c.summaries, summary)
+	c.lock.Unlock()
+	select {
+	case <-time.After(c.delay):
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	answer := c.receiver.HandleLoadSummary(ctx, summary)
+	if c.loseReplies {
+		return errors.New("no reply")
+	}
+	if target, wanted := reply.(*peer.LoadSummaryReply); wanted {
+		*target = answer
+	}
+	return nil
+}
+
+// newPair returns the exchanges of control planes "a" and "b". Calls of "a" go to "b" by the caller, and the demand that
+// "b" is sent to demands.
+func newPair(demands *[]peer.LoadSummary) (first, second *Exchange, caller *testCaller) {
+	roster := []discovery.Replica{{ID: "i-1"}, {ID: "i-2"}}
+	caller = &testCaller{}
+	first = NewExchange(Sender{Member: "a", Incarnation: "a1"}, &testHost{self: "a", leaseHolder: "b", roster: roster}, caller,
+		NewLoadAggregator(), func(peer.LoadSummary) {}, time.Now)
+	second = NewExchange(Sender{Member: "b", Incarnation: "b1"}, &testHost{self: "b", leaseHolder: "b", roster: roster}, caller,
+		NewLoadAggregator(), func(summary peer.LoadSummary) { *demands = append(*demands, summary) }, time.Now)
+	caller.receiver = second
+	return first, second, caller
+}
+
+// runFor runs the exchange for the duration, and waits until it has stopped.
+func runFor(t *testing.T, exchange *Exchange, duration time.Duration) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), duration)
+	defer cancel()
+	exchange.Run(ctx)
+}
+
+func TestExchange_LoadReachesDataPlanesOfOthers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var demands []peer.LoadSummary
+		first, second, caller := newPair(&demands)
+		first.HandleLoadReport(t.Context(), reportOutcomes("one", "north", 1, 1, 3))
+		runFor(t, first, summaryInterval+time.Millisecond)
+		assert.Equal(t, len(caller.summaries), 1)
+		assert.Assert(t, caller.summaries[0].Packed != nil)
+		fleet := second.HandleLoadReport(t.Context(), reportOutcomes("two", "north", 0, 0, 5))
+		assert.DeepEqual(t, fleet.Replicas, map[string]peer.ReplicaLoad{"i-1": {
+			Running:    3,
+			Tokens:     100,
+			Outcomes:   peer.Outcomes{Served: 1, Failed: 1},
+			ZoneServed: 1,
+			ZoneFailed: 1,
+		}})
+	})
+}
+
+func TestExchange_SendsUnpackedToOtherRoster(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var demands []peer.LoadSummary
+		first, second, caller := newPair(&demands)
+		second.host.(*testHost).roster = []discovery.Replica{{ID: "i-1"}}
+		first.HandleLoadReport(t.Context(), reportOutcomes("one", "north", 0, 0, 3))
+		first.sendLoad(t.Context())
+		synctest.Wait()
+		assert.Equal(t, len(second.loads.members), 0, "another roster's packed loads mean nothing")
+		first.sendLoad(t.Context())
+		synctest.Wait()
+		assert.Assert(t, caller.summaries[0].Packed != nil && caller.summaries[1].Packed == nil)
+		fleet := second.HandleLoadReport(t.Context(), peer.LoadReport{DataPlane: "two"})
+		assert.Equal(t, fleet.Replicas["i-1"].Running, 3)
+	})
+}
+
+func TestExchange_SendsNewlyWaitingAtOnceAndLostBatchesAgain(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var demands []peer.LoadSummary
+		first, _, caller := newPair(&demands)
+		caller.loseReplies = true
+		first.HandleLoadReport(t.Context(), peer.LoadReport{
+			DataPlane: "one",
+			Models:    []peer.ModelLoad{{Backend: "s", Model: "m", Waiting: 1, Arrivals: 4}},
+		})
+		runFor(t, first, summaryInterval/2)
+		assert.Equal(t, len(demands), 1, "at once")
+		assert.Assert(t, demands[0].Partial)
+		runFor(t, first, (summariesPerDemand+1)*summaryInterval)
+		assert.Equal(t, len(demands), 2)
+		assert.Assert(t, !demands[1].Partial)
+		for _, summary := range demands {
+			assert.Equal(t, summary.Incarnation, "a1")
+			assert.Equal(t, summary.Batch, uint64(1), "the same batch, as its reply was lost")
+			assert.Equal(t, summary.Models[0].Arrivals, 4)
+		}
+	})
+}
+
+func TestExchange_HandsOwnDemandOverWithoutACall(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var demands []peer.LoadSummary
+		_, second, caller := newPair(&demands)
+		second.HandleLoadReport(t.Context(), peer.LoadReport{
+			DataPlane: "one",
+			Models:    []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: 4}},
+		})
+		second.sendDemand(t.Context(), false)
+		second.sendDemand(t.Context(), false)
+		assert.Equal(t, len(demands), 2)
+		assert.Equal(t, demands[0].Models[0].Arrivals, 4)
+		assert.Equal(t, demands[1].Batch, uint64(0), "delivered, so not sent again")
+		second.host.(*testHost).leaseHolder = ""
+		second.sendDemand(t.Context(), false)
+		assert.Equal(t, len(demands), 2, "nobody to send it to")
+		assert.Equal(t, len(caller.summaries), 0)
+	})
+}
+
+func TestExchange_RunWaitsForItsCalls(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var demands []peer.LoadSummary
+		first, second, caller := newPair(&demands)
+		caller.delay = time.Hour
+		first.HandleLoadReport(t.Context(), reportOutcomes("one", "north", 0, 0, 3))
+		startedAt := time.Now()
+		runFor(t, first, time.Second)
+		assert.Equal(t, time.Since(startedAt), time.Second, "the context ends the calls")
+		assert.Equal(t, len(second.loads.members), 0)
+		assert.Assert(t, len(caller.summaries) > 1, "one call does not hold up the next")
+	})
+}
--- a/internal/controlplane/watch/endpoints.go
+++ b/internal/controlplane/watch/endpoints.go
@@ -82,8 +82,11 @@
 	}
 }
 
-// groupByReplica returns the cordoned references ("model" or "model/adapter") by replica id.
+// groupByReplica returns the cordoned references ("model" or "model/adapter") by replica id, nil if there are none.
 func groupByReplica(cordoned []string) map[string]map[string]bool {
+	if len(cordoned) == 0 {
+		return nil
+	}
 	byReplica := map[string]map[string]bool{}
 	for _, entry := range cordoned {
 		id, reference, _ := strings.Cut(entry, " ")
--- /dev/null
+++ b/internal/controlplane/watch/publisher_test.go
@@ -0,0 +1,73 @@
+package watch
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/peer"
+)
+
+// isClosed says whether those that wait for the channel were woken.
+func isClosed(channel <-chan struct{}) bool {
+	select {
+	case <-channel:
+		return true
+	default:
+		return false
+	}
+}
+
+func TestPublisher_WakesByKindOfChange(t *testing.T) {
+	confirmedAt := testStart
+	lapsedAt := testStart.Add(peer.ConfirmationLease)
+	cases := map[string]struct {
+		change       func(publisher *Publisher)
+		wakesChanged bool
+		wakesConfirm bool
+	}{
+		"update": {
+			change:       func(publisher *Publisher) { publisher.Update(func(*Snapshot) bool { return true }) },
+			wakesChanged: true,
+		},
+		"update that changes nothing": {
+			change: func(publisher *Publisher) { publisher.Update(func(*Snapshot) bool { return false }) },
+		},
+		"quiet update": {
+			change: func(publisher *Publisher) { publisher.UpdateQuietly(func(*Snapshot) {}) },
+		},
+		"confirmation of a fresh state": {
+			change:       func(publisher *Publisher) { publisher.Confirm(confirmedAt, lapsedAt.Add(-time.Millisecond)) },
+			wakesConfirm: true,
+		},
+		"confirmation of a lapsed state": {
+			change:       func(publisher *Publisher) { publisher.Confirm(lapsedAt, lapsedAt) },
+			wakesChanged: true,
+			wakesConfirm: true,
+		},
+	}
+	for name, test := range cases {
+		t.Run(name, func(t *testing.T) {
+			publisher := NewPublisher()
+			publisher.Confirm(confirmedAt, confirmedAt)
+			before := publisher.Current()
+			test.change(publisher)
+			assert.Equal(t, isClosed(before.changed), test.wakesChanged)
+			assert.Equal(t, isClosed(before.confirmed), test.wakesConfirm)
+			assert.Equal(t, publisher.Current().Version > before.Version, test.wakesChanged)
+			assert.Assert(t, !isClosed(publisher.Current().changed) && !isClosed(publisher.Current().confirmed))
+		})
+	}
+}
+
+func TestPublisher_SnapshotsStayAsTheyWere(t *testing.T) {
+	publisher := NewPublisher()
+	before := publisher.Current()
+	publisher.Update(func(next *Snapshot) bool {
+		next.Revision = 3
+		return true
+	})
+	assert.Equal(t, before.Revision, int64(0))
+	assert.Equal(t, publisher.Current().Revision, int64(3))
+}
--- /dev/null
+++ b/internal/controlplane/watch/server_test.go
@@ -0,0 +1,217 @@
+package watch
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/peer"
+)
+
+// fakeHost is a control plane without data planes.
+type fakeHost struct {
+	recorded               []string
+	requestedConfirmations int
+	isLeaving              bool
+}
+
+func (h *fakeHost) RecordWatch(request peer.WatchRequest, _ time.Time) {
+	h.recorded = append(h.recorded, request.DataPlane)
+}
+
+func (h *fakeHost) CountedFor(string, time.Time) (time.Duration, bool) { return time.Second, true }
+
+func (h *fakeHost) CountReliable(time.Time) bool { return true }
+
+func (h *fakeHost) RequestConfirmation() { h.requestedConfirmations++ }
+
+func (h *fakeHost) IsLeaving() bool { return h.isLeaving }
+
+// testServer is a server of incarnation "a" and what it publishes.
+type testServer struct {
+	*Server
+	host      *fakeHost
+	publisher *Publisher
+	endpoints *EndpointPublisher
+}
+
+// newTestServer returns a server whose state is confirmed just now.
+func newTestServer() testServer {
+	host, publisher, endpoints := &fakeHost{}, NewPublisher(), NewEndpointPublisher()
+	publisher.Confirm(time.Now(), time.Now())
+	identity := Identity{Member: "10.0.0.1:7000", Zone: "north", Incarnation: "a"}
+	return testServer{
+		Server:    NewServer(identity, host, publisher, endpoints, time.Now),
+		host:      host,
+		publisher: publisher,
+		endpoints: endpoints,
+	}
+}
+
+// upToDate returns the request of a data plane that was sent the current snapshot.
+func (s testServer) upToDate() peer.WatchRequest {
+	return peer.WatchRequest{
+		DataPlane:   "edge",
+		Incarnation: "a",
+		Version:     s.publisher.Current().Version,
+		MaxWaitMs:   1000,
+		Primary:     true,
+	}
+}
+
+// waitFor returns how long the request was held, and its response.
+func (s testServer) waitFor(t *testing.T, request peer.WatchRequest) (time.Duration, peer.WatchResponse) {
+	t.Helper()
+	startedAt := time.Now()
+	response := s.HandleWatch(t.Context(), request)
+	return time.Since(startedAt), response
+}
+
+func TestServer_HoldsRequestUntilSomethingChanges(t *testing.T) {
+	const changeAfter = 300 * time.Millisecond
+	cases := map[string]struct {
+		request func(request *peer.WatchRequest)
+		change  func(server testServer)
+		expect  time.Duration
+	}{
+		"nothing": {
+			expect: time.Second,
+		},
+		"nothing, for longer than a request may be held": {
+			request: func(request *peer.WatchRequest) { request.MaxWaitMs = 60_000 },
+			expect:  maxWaitMs * time.Millisecond,
+		},
+		"nothing, without a time to hold it": {
+			request: func(request *peer.WatchRequest) { request.MaxWaitMs = 0 },
+			expect:  minWaitMs * time.Millisecond,
+		},
+		"the snapshot, before the request": {
+			request: func(request *peer.WatchRequest) { request.Version-- },
+		},
+		"the incarnation": {
+			request: func(request *peer.WatchRequest) { request.Incarnation = "before" },
+		},
+		"the snapshot": {
+			change: func(server testServer) {
+				server.publisher.Update(func(next *Snapshot) bool {
+					next.LeaseHolder = "10.0.0.2:7000"
+					return true
+				})
+			},
+			expect: changeAfter,
+		},
+		"the snapshot, quietly": {
+			change: func(server testServer) {
+				server.publisher.UpdateQuietly(func(next *Snapshot) { next.DataPlaneCount = 3 })
+			},
+			expect: time.Second,
+		},
+		"an endpoint set that is subscribed to": {
+			request: func(request *peer.WatchRequest) { request.SubscriptionSequence = 1 },
+			change: func(server testServer) {
+				server.endpoints.Publish([]discovery.Replica{replicaWith("i-1", "one")}, nil, time.Now())
+			},
+			expect: changeAfter,
+		},
+		"an endpoint set, of another control plane's subscriber": {
+			request: func(request *peer.WatchRequest) { request.Primary = false },
+			change: func(server testServer) {
+				server.endpoints.Publish([]discovery.Replica{replicaWith("i-1", "one")}, nil, time.Now())
+			},
+			expect: time.Second,
+		},
+	}
+	for name, test := range cases {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				server := newTestServer()
+				server.endpoints.Subscribe(subscribeTo(1, modelKey("one")), time.Now())
+				request := server.upToDate()
+				if test.request != nil {
+					test.request(&request)
+				}
+				if test.change != nil {
+					time.AfterFunc(changeAfter, func() { test.change(server) })
+				}
+				held, response := server.waitFor(t, request)
+				assert.Equal(t, held, test.expect)
+				assert.Equal(t, response.WaitedMs, held.Milliseconds())
+				assert.DeepEqual(t, server.host.recorded, []string{"edge"})
+			})
+		})
+	}
+}
+
+func TestServer_LinearizableWaitsForConfirmationAfterRequest(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		server := newTestServer()
+		request := server.upToDate()
+		request.Version-- // due at once, but for the confirmation
+		request.Linearizable = true
+		receivedAt := time.Now()
+		time.AfterFunc(100*time.Millisecond, func() { server.publisher.Confirm(receivedAt.Add(-time.Millisecond), time.Now()) })
+		time.AfterFunc(300*time.Millisecond, func() { server.publisher.Confirm(receivedAt.Add(time.Millisecond), time.Now()) })
+		held, response := server.waitFor(t, request)
+		assert.Equal(t, held, 300*time.Millisecond, "a confirmation that began before the request doesn't count")
+		assert.Assert(t, response.Linearizable)
+		assert.Equal(t, server.host.requestedConfirmations, 1)
+		held, response = server.waitFor(t, request)
+		assert.Equal(t, held, time.Second)
+		assert.Assert(t, !response.Linearizable, "none came while the request was held")
+	})
+}
+
+func TestServer_SendsStateOnlyWhileConfirmed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		server := newTestServer()
+		server.publisher.Update(func(next *Snapshot) bool {
+			next.Revision, next.PackedConfiguration = 7, []byte("packed")
+			next.ZoneVersion, next.Zones = 1, map[string]peer.ZoneState{"north": {Version: 1, Drained: true}}
+			return true
+		})
+		_, response := server.waitFor(t, peer.WatchRequest{DataPlane: "edge", Primary: true})
+		assert.Equal(t, string(response.PackedConfiguration), "packed")
+		assert.Assert(t, response.Zones["north"].Drained)
+		assert.Equal(t, response.FreshMs, peer.ConfirmationLease.Milliseconds())
+		assert.Equal(t, response.CountedForMs, int64(1000))
+		assert.Assert(t, response.CountReliable)
+
+		_, response = server.waitFor(t, peer.WatchRequest{DataPlane: "edge"})
+		assert.Assert(t, response.PackedConfiguration == nil, "only a data plane's primary sends the configuration")
+		assert.Assert(t, response.Zones["north"].Drained)
+
+		time.Sleep(peer.ConfirmationLease)
+		_, response = server.waitFor(t, peer.WatchRequest{DataPlane: "edge", Primary: true})
+		assert.Equal(t, response.Revision, int64(7))
+		assert.Equal(t, response.FreshMs, int64(0))
+		assert.Assert(t, response.PackedConfiguration == nil && response.Zones == nil)
+		assert.Assert(t, !server.HandleSubscribe(t.Context(), subscribeTo(1)).IsFresh(time.Now(), time.Now()))
+	})
+}
+
+func TestServer_NothingIsFreshWhileLeaving(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		server := newTestServer()
+		server.host.isLeaving = true
+		_, response := server.waitFor(t, peer.WatchRequest{DataPlane: "edge", Primary: true})
+		assert.Equal(t, response.FreshMs, int64(0))
+		subscribed := server.HandleSubscribe(t.Context(), subscribeTo(1, modelKey("one")))
+		assert.DeepEqual(t, subscribed, peer.SubscribeResponse{Incarnation: "a"})
+		assert.Assert(t, server.endpoints.SubscribedReplicas("edge") == nil)
+	})
+}
+
+func TestServer_RequestEndsWithItsContext(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		server := newTestServer()
+		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		defer cancel()
+		response := server.HandleWatch(ctx, server.upToDate())
+		assert.DeepEqual(t, response, peer.WatchResponse{})
+		assert.Assert(t, !response.IsFresh(time.Now(), time.Now()))
+	})
+}
