--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -147,7 +147,7 @@
 	// evacuation at most. Informational.
 	MaxStretchMs float64 `koanf:"maxStretchMs"`
 	// RevocationClosed makes a data plane reject requests whose key it cannot prove unrevoked within
-	// RevokeMs (docs/tenants.md). RevokeMs must then be above 0; its default is 5000.
+	// RevokeMs (docs/design/tenants.md). RevokeMs must then be above 0; its default is 5000.
 	RevocationClosed bool    `koanf:"revocationClosed"`
 	RevokeMs         float64 `koanf:"revokeMs"`
 	// Within any BudgetPeriodS, retries are at most RetryBudgetRatio times the requests plus
@@ -156,7 +156,7 @@
 	BudgetPeriodS    float64 `koanf:"budgetPeriodS"`
 	RetryBudgetSlack float64 `koanf:"retryBudgetSlack"`
 	// Within any QuotaWindowS, the requests of a tenant may exceed its quota by the factor 1+QuotaOverage and
-	// by QuotaSlack requests (docs/quota.md). QuotaWindowS is 5 by default.
+	// by QuotaSlack requests (docs/design/quota.md). QuotaWindowS is 5 by default.
 	QuotaWindowS float64 `koanf:"quotaWindowS"`
 	QuotaOverage float64 `koanf:"quotaOverage"`
 	QuotaSlack   float64 `koanf:"quotaSlack"`
@@ -182,7 +182,7 @@
 	// Informational.
 	ThawSlackMs float64 `koanf:"thawSlackMs"`
 	// Within any OriginPeriodS, loads from the model store are at most loadsPerS times OriginPeriodS times
-	// OriginOverage plus 3 (docs/load-budget.md). OriginPeriodS is 5 by default. OriginOverage is
+	// OriginOverage plus 3 (docs/design/load-budget.md). OriginPeriodS is 5 by default. OriginOverage is
 	// informational: the control plane stays below the limit without it; its default is 1.
 	OriginPeriodS float64 `koanf:"originPeriodS"`
 	OriginOverage float64 `koanf:"originOverage"`
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -18,14 +18,14 @@
 //   - adapters.go and adaptereviction.go load adapters;
 //   - hotcopies.go adds copies of models in high demand;
 //   - missing.go loads models that are waited for and loaded nowhere;
-//   - contexteviction.go unloads models whose cached context must go (docs/retention.md);
+//   - contexteviction.go unloads models whose cached context must go (docs/design/retention.md);
 //   - restore.go loads models again that a server still has on its disk.
 //
 // They share addcopy.go (the cheapest server for one more copy), evict.go (what may be unloaded and at
 // what cost), memory.go (what fits; every load passes through planner.load) and sizehistory.go (sizes
 // of what the configuration no longer names). forecast.go plans after the loss of zones
-// (docs/rehearsal.md).
+// (docs/design/rehearsal.md).
 //
 // The IEMAS paper that package routing follows has no placement; this policy is the project's own and
-// is described in docs/design.md, "Placement".
+// is described in docs/design/placement.md.
 package placement
