--- a/internal/controlplane/drill_host.go
+++ b/internal/controlplane/drill_host.go
@@ -78,7 +78,9 @@
 func (h drillHost) HoldsLease() bool { return h.node.scheduler.Lease().Holds() }
 
 // IsSuspected tells whether data planes suspect the replica.
-func (h drillHost) IsSuspected(replica string) bool { return h.node.scheduler.Demand().IsSuspected(replica) }
+func (h drillHost) IsSuspected(replica string) bool {
+	return h.node.scheduler.Demand().IsSuspected(replica)
+}
 
 // DemandRates are requests a second by "backend model".
 func (h drillHost) DemandRates() map[string]float64 { return h.node.scheduler.Demand().Rates() }
