--- a/cmd/ferryspar-operator/forget.go
+++ b/cmd/ferryspar-operator/forget.go
@@ -8,9 +8,11 @@
 
 	"github.com/pkg/errors"
 
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/retention"
 )
 
+// forgetCommand orders cached context to be forgotten.
 type forgetCommand struct {
 	Model string        `long:"model" description:"only context of this model"`
 	Part  string        `long:"part" description:"only context with this prompt part id (hex)"`
@@ -20,7 +22,8 @@
 	Limit time.Duration `long:"limit" default:"10m" description:"watch no longer than this"`
 }
 
-func (f *forgetCommand) Execute(rest []string) error {
+// Execute implements flags.Commander.
+func (f *forgetCommand) Execute([]string) error {
 	if f.List {
 		all, err := listForgets()
 		for _, status := range all {
@@ -32,7 +35,7 @@
 		return errors.New("name --model, --part or --all")
 	}
 	body, _ := json.Marshal(retention.Scope{Model: f.Model, PromptPart: f.Part})
-	content, err := call(http.MethodPost, "/ferryspar/forget", "", body)
+	content, err := call(http.MethodPost, adminapi.PathForget, "", body)
 	if err != nil {
 		return err
 	}
@@ -41,11 +44,19 @@
 		return err
 	}
 	printForget(status)
-	for deadline := time.Now().Add(f.Limit); f.Watch && !status.Complete; {
+	if f.Watch {
+		return f.watch(status)
+	}
+	return nil
+}
+
+// watch prints the state of an order until it is complete, and fails if that takes longer than the limit.
+func (f *forgetCommand) watch(status retention.Status) error {
+	for deadline := time.Now().Add(f.Limit); !status.Complete; {
 		if time.Now().After(deadline) {
 			return errors.Errorf("forget %d is not complete yet", status.Number)
 		}
-		time.Sleep(time.Second)
+		time.Sleep(watchInterval)
 		all, err := listForgets()
 		if err != nil {
 			return err
@@ -61,7 +72,7 @@
 }
 
 func listForgets() ([]retention.Status, error) {
-	content, err := call(http.MethodGet, "/ferryspar/forget", "", nil)
+	content, err := call(http.MethodGet, adminapi.PathForget, "", nil)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/ferryspar-operator/inspect.go
+++ b/cmd/ferryspar-operator/inspect.go
@@ -11,9 +11,6 @@
 	"ferryspar/internal/keystore"
 )
 
-// exitDamaged is the exit status of inspect for a folder whose state a member would not use.
-const exitDamaged = 7
-
 // inspectCommand reads a stopped member's data folder; it asks no daemon and writes nothing.
 type inspectCommand struct {
 	Values bool `long:"values" description:"print the values as well; that of the configuration holds tenants' keys"`
@@ -23,7 +20,7 @@
 }
 
 // Execute prints the folder, and ends with exitDamaged if damage was found in it.
-func (i *inspectCommand) Execute(rest []string) error {
+func (i *inspectCommand) Execute([]string) error {
 	inspection, err := keystore.Inspect(i.Args.Folder)
 	if err != nil {
 		return err
--- a/cmd/ferryspar-operator/main.go
+++ b/cmd/ferryspar-operator/main.go
@@ -1,65 +1,54 @@
-// Ferryspar-operator speaks to the control plane as its operator does.
+// Ferryspar-operator is the command line of the admin API: it reads and changes the configuration, zones'
+// evacuations, context rules and drills at the control planes, queries the fleet's state in SQL, and
+// inspects a stopped member's data directory.
 //
-// It keeps no state. Start reading at commands, then internal/adminapi.
+// It keeps no state and never speaks to data planes or replicas. Each command is a type with an Execute
+// method in a file of its own; start reading at subcommands, then at package adminapi, whose Client sends
+// the calls.
 package main
 
 import (
-	"context"
 	"fmt"
 	"os"
 	"time"
 
 	"github.com/jessevdk/go-flags"
 
-	"ferryspar/internal/adminapi"
 	"ferryspar/internal/cli"
 )
 
+// globalOptions are the options of all commands.
 type globalOptions struct {
-	Control           []string      `short:"c" long:"control" description:"address of a control daemon, for all commands that ask one; name several"`
-	PerAddressTimeout time.Duration `long:"patience" default:"1s" description:"silence after which the next daemon is asked"`
+	Control           []string      `short:"c" long:"control" description:"address of a control plane's admin API; name several to try them in turn"`
+	PerAddressTimeout time.Duration `long:"patience" default:"1s" description:"time for one control plane to answer before the next one is tried"`
 	Timeout           time.Duration `long:"bound" default:"15s" description:"time for the whole call"`
 	JSON              bool          `long:"json" description:"print the answer's JSON as it came"`
 }
 
+// options are those of this call of the program.
 var options globalOptions
 
-func newClient() *adminapi.Client {
-	return &adminapi.Client{Addresses: options.Control, HTTPClient: adminapi.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.Timeout}
-}
-
-type rejectedError struct {
-	response adminapi.Response
-}
+const programName = "ferryspar-operator"
 
-func (e rejectedError) Error() string {
-	return fmt.Sprintf("refused with %d by %s: %s", e.response.Status, e.response.Address, e.response.Body)
-}
-
-func call(method, path, condition string, body []byte) ([]byte, error) {
-	if len(options.Control) == 0 {
-		return nil, usageError("name a control daemon with -c, --control")
-	}
-	response, err := newClient().Call(context.Background(), method, path, condition, body)
-	if err != nil {
-		return nil, err
-	}
-	if response.Status >= 300 {
-		return nil, rejectedError{response}
+// newParser returns a parser of the command line with all commands.
+func newParser() (*flags.Parser, error) {
+	parser := flags.NewParser(&options, flags.HelpFlag|flags.PassDoubleDash)
+	parser.Name = programName
+	parser.LongDescription = "Reads and changes the state of a fleet at its control planes. Version " + cli.Version + "."
+	for _, command := range subcommands {
+		added, err := parser.AddCommand(command.name, command.short, command.long, command.handler)
+		if err != nil {
+			return nil, fmt.Errorf("command %s: %w", command.name, err)
+		}
+		added.Aliases = command.aliases
 	}
-	return response.Body, nil
+	return parser, nil
 }
 
 func main() {
-	parser := flags.NewParser(&options, flags.HelpFlag|flags.PassDoubleDash)
-	parser.Name = "ferryspar-operator"
-	parser.LongDescription = "Speaks to the control plane as its operator does. Version " + cli.Version + "."
-	for _, command := range subcommands {
-		if _, err := parser.AddCommand(command.name, command.short, command.short, command.handler); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(cli.ExitFailed)
-		}
+	parser, err := newParser()
+	if err == nil {
+		_, err = parser.Parse()
 	}
-	_, err := parser.Parse()
-	os.Exit(cli.ReportError(parser.Name, err))
+	os.Exit(cli.ReportError(programName, err))
 }
--- a/cmd/ferryspar-operator/query.go
+++ b/cmd/ferryspar-operator/query.go
@@ -14,6 +14,7 @@
 	"ferryspar/internal/query"
 )
 
+// queryCommand answers an SQL query about the fleet.
 type queryCommand struct {
 	Rows int           `long:"rows" default:"1000" description:"print no more rows than this"`
 	Time time.Duration `long:"time" default:"5s" description:"stop a query that takes longer"`
@@ -22,9 +23,10 @@
 	} `positional-args:"yes"`
 }
 
-func (q *queryCommand) Execute(rest []string) error {
+// Execute implements flags.Commander.
+func (q *queryCommand) Execute([]string) error {
 	var fleet adminapi.FleetStatus
-	content, err := call(http.MethodGet, "/ferryspar/status", "", nil)
+	content, err := call(http.MethodGet, adminapi.PathStatus, "", nil)
 	if err != nil {
 		return err
 	}
@@ -58,7 +60,7 @@
 
 // fetchConfiguration reads the newest configuration, with digests in the place of keys.
 func fetchConfiguration() (configuration.Configuration, error) {
-	content, err := call(http.MethodGet, "/ferryspar/config", "", nil)
+	content, err := call(http.MethodGet, adminapi.PathConfiguration, "", nil)
 	if err != nil {
 		return configuration.Configuration{}, err
 	}
--- a/cmd/ferryspar-operator/rehearse.go
+++ b/cmd/ferryspar-operator/rehearse.go
@@ -5,37 +5,20 @@
 	"fmt"
 	"maps"
 	"net/http"
-	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/cli"
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/drill"
 )
 
-const (
-	exitPartial  = 4
-	exitGuard    = 5
-	exitRejected = 6
-)
-
+// rehearsalTimeout is the least time for one control plane to answer: a forecast waits for data planes.
 const rehearsalTimeout = 4 * time.Second
 
-type exitError struct {
-	status  int
-	message string
-}
-
-func (e exitError) ExitStatus() int { return e.status }
-
-func usageError(message string) error { return exitError{cli.ExitUsage, message} }
-
-func (e exitError) Error() string { return e.message }
-
+// rehearseCommand forecasts or drills the loss of a region or zone.
 type rehearseCommand struct {
 	Zone     string        `long:"zone" description:"rehearse this zone's loss rather than a region's"`
 	Forecast bool          `long:"forecast" description:"only work out what would happen (the default)"`
@@ -59,7 +42,8 @@
 	return scope, nil
 }
 
-func (r *rehearseCommand) Execute(rest []string) error {
+// Execute implements flags.Commander.
+func (r *rehearseCommand) Execute([]string) error {
 	options.PerAddressTimeout = max(options.PerAddressTimeout, rehearsalTimeout)
 	if r.Stop || r.State {
 		return r.followDrill(r.Stop)
@@ -102,7 +86,7 @@
 	if request != nil {
 		body, _ = json.Marshal(request)
 	}
-	content, err := call(method, "/ferryspar/rehearsal", "", body)
+	content, err := call(method, adminapi.PathRehearsal, "", body)
 	var rejected rejectedError
 	if errors.As(err, &rejected) {
 		return nil, exitError{exitRejected, rejected.Error()}
@@ -110,20 +94,6 @@
 	return content, err
 }
 
-func printTable(title string, columns string, fill func(line func(cells ...any))) {
-	fmt.Println("\n" + title)
-	writer := tabwriter.NewWriter(os.Stdout, 2, 4, 2, ' ', 0)
-	defer writer.Flush()
-	fmt.Fprintln(writer, "  "+strings.ReplaceAll(columns, " ", "\t"))
-	fill(func(cells ...any) {
-		words := make([]string, len(cells))
-		for index, cell := range cells {
-			words[index] = fmt.Sprint(cell)
-		}
-		fmt.Fprintln(writer, "  "+strings.Join(words, "\t"))
-	})
-}
-
 func formatQuantiles(latency drill.Quantiles) string {
 	if latency.Count == 0 {
 		return "-"
--- a/cmd/ferryspar-operator/each.go
+++ b/cmd/ferryspar-operator/status_all.go
@@ -49,7 +49,7 @@
 
 func fetchStatus(address string) daemonStatus {
 	client := &adminapi.Client{Addresses: []string{address}, HTTPClient: adminapi.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.PerAddressTimeout}
-	response, err := client.Call(context.Background(), http.MethodGet, "/ferryspar/status", "", nil)
+	response, err := client.Call(context.Background(), http.MethodGet, adminapi.PathStatus, "", nil)
 	if err != nil {
 		return daemonStatus{Address: address, Error: err.Error()}
 	}
--- a/cmd/ferryspar-operator/tenants.go
+++ b/cmd/ferryspar-operator/tenants.go
@@ -15,7 +15,7 @@
 type tenantsCommand struct{}
 
 // Execute asks for the configuration and prints its tenants.
-func (l *tenantsCommand) Execute(rest []string) error {
+func (l *tenantsCommand) Execute([]string) error {
 	current, err := fetchConfiguration()
 	if err != nil {
 		return err
--- a/internal/adminapi/calls.go
+++ b/internal/adminapi/calls.go
@@ -47,19 +47,19 @@
 }
 
 var endpoints = []endpoint{
-	{method: http.MethodPut, path: "/ferryspar/config", handle: replaceConfiguration},
-	{method: http.MethodPatch, path: "/ferryspar/config", handle: patchConfiguration},
-	{method: http.MethodGet, path: "/ferryspar/config", handle: readConfiguration},
-	{method: http.MethodPost, path: "/ferryspar/drain-zone/{zone}", handle: drainZone(true), guarded: true},
-	{method: http.MethodDelete, path: "/ferryspar/drain-zone/{zone}", handle: drainZone(false), guarded: true},
-	{method: http.MethodGet, path: "/ferryspar/retention", handle: readRetention},
-	{method: http.MethodPut, path: "/ferryspar/retention", handle: setRetention, guarded: true},
-	{method: http.MethodGet, path: "/ferryspar/forget", handle: readForgets},
-	{method: http.MethodPost, path: "/ferryspar/forget", handle: forget, guarded: true},
-	{method: http.MethodPost, path: "/ferryspar/rehearsal", handle: startRehearsal, guarded: true},
-	{method: http.MethodGet, path: "/ferryspar/rehearsal", handle: drillHandler(State.ReadDrill)},
-	{method: http.MethodDelete, path: "/ferryspar/rehearsal", handle: drillHandler(State.StopDrill), guarded: true},
-	{method: http.MethodGet, path: "/ferryspar/status", handle: readStatus},
+	{method: http.MethodPut, path: PathConfiguration, handle: replaceConfiguration},
+	{method: http.MethodPatch, path: PathConfiguration, handle: patchConfiguration},
+	{method: http.MethodGet, path: PathConfiguration, handle: readConfiguration},
+	{method: http.MethodPost, path: PathDrainZone + "{zone}", handle: drainZone(true), guarded: true},
+	{method: http.MethodDelete, path: PathDrainZone + "{zone}", handle: drainZone(false), guarded: true},
+	{method: http.MethodGet, path: PathRetention, handle: readRetention},
+	{method: http.MethodPut, path: PathRetention, handle: setRetention, guarded: true},
+	{method: http.MethodGet, path: PathForget, handle: readForgets},
+	{method: http.MethodPost, path: PathForget, handle: forget, guarded: true},
+	{method: http.MethodPost, path: PathRehearsal, handle: startRehearsal, guarded: true},
+	{method: http.MethodGet, path: PathRehearsal, handle: drillHandler(State.ReadDrill)},
+	{method: http.MethodDelete, path: PathRehearsal, handle: drillHandler(State.StopDrill), guarded: true},
+	{method: http.MethodGet, path: PathStatus, handle: readStatus},
 }
 
 // NewHandler serves the operator's calls on a state.
--- /dev/null
+++ b/internal/adminapi/paths.go
@@ -0,0 +1,11 @@
+package adminapi
+
+// Paths of the admin API, which both ends use. A zone's name follows PathDrainZone.
+const (
+	PathConfiguration = "/ferryspar/config"
+	PathDrainZone     = "/ferryspar/drain-zone/"
+	PathRetention     = "/ferryspar/retention"
+	PathForget        = "/ferryspar/forget"
+	PathRehearsal     = "/ferryspar/rehearsal"
+	PathStatus        = "/ferryspar/status"
+)
