--- a/internal/adminapi/caller_test.go
+++ b/internal/adminapi/client_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 )
 
@@ -17,20 +18,29 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
+func newTestClient(addresses ...string) *Client {
+	return &Client{
+		Addresses:         addresses,
+		HTTPClient:        NewHTTPClient(),
+		PerAddressTimeout: time.Second,
+		Timeout:           5 * time.Second,
+	}
+}
+
 func TestClient_TriesAddressesAndFollowsRedirects(t *testing.T) {
 	seen := []string{}
 	good := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
 		seen = append(seen, request.Method+" "+request.URL.Path+" "+request.Header.Get("If-Match"))
 		_, _ = writer.Write([]byte("{}"))
 	})
-	busy := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
+	busy := newTestServer(t, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	})
 	redirecting := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("Location", "http://"+good+request.URL.Path)
 		writer.WriteHeader(http.StatusTemporaryRedirect)
 	})
-	client := &Client{Addresses: []string{"127.0.0.1:1", busy, redirecting}, HTTPClient: NewHTTPClient(), PerAddressTimeout: time.Second, Timeout: 5 * time.Second}
+	client := newTestClient("127.0.0.1:1", busy, redirecting)
 	response, err := client.Call(context.Background(), http.MethodPut, "/ferryspar/config", "4", []byte("{}"))
 	assert.NilError(t, err)
 	assert.Equal(t, response.Status, http.StatusOK)
@@ -39,11 +49,11 @@
 
 func TestClient_DoesNotRetryRejection(t *testing.T) {
 	calls := 0
-	address := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
+	address := newTestServer(t, func(writer http.ResponseWriter, _ *http.Request) {
 		calls++
 		writer.WriteHeader(http.StatusPreconditionFailed)
 	})
-	client := &Client{Addresses: []string{address}, HTTPClient: NewHTTPClient(), PerAddressTimeout: time.Second, Timeout: 5 * time.Second}
+	client := newTestClient(address)
 	response, err := client.Call(context.Background(), http.MethodPut, "/", "1", nil)
 	assert.NilError(t, err)
 	assert.Equal(t, response.Status, http.StatusPreconditionFailed)
@@ -51,9 +61,11 @@
 }
 
 func TestClient_ReportsWhyNoResponseCame(t *testing.T) {
-	client := &Client{Addresses: []string{"127.0.0.1:1"}, HTTPClient: NewHTTPClient(), PerAddressTimeout: time.Second, Timeout: 300 * time.Millisecond}
+	client := newTestClient("127.0.0.1:1")
+	client.Timeout = 300 * time.Millisecond
 	_, err := client.Call(context.Background(), http.MethodGet, "/", "", nil)
 	assert.ErrorContains(t, err, "no clear answer in time")
 	_, err = (&Client{Timeout: time.Second}).Call(context.Background(), http.MethodGet, "/", "", nil)
 	assert.ErrorContains(t, err, "no control daemon named")
+	assert.Assert(t, errors.Is(err, ErrNoAddress))
 }
--- a/internal/adminapi/doc.go
+++ b/internal/adminapi/doc.go
@@ -1,6 +1,8 @@
-// Package adminapi is both ends of the operator's calls: the table of calls that a control plane serves on a State
-// (calls.go), and a Client that goes from daemon to daemon until one answers clearly (caller.go).
+// Package adminapi is both ends of the admin API, which operators use to read and change the state of a
+// fleet: the handler that a control plane serves on a State, and the Client that goes from control plane
+// to control plane until one gives a clear response.
 //
-// It decides nothing about what is asked. Calls that change something and name no version pass a ReplayGuard
-// (guard.go) that proves their caller is still there. Start reading with NewHandler.
+// It decides nothing about what is asked; that is the State's part. Calls that change something and name
+// no version that they build on pass a ReplayGuard, which proves that their caller still waits. Start
+// reading with NewHandler and Client.
 package adminapi
--- a/internal/adminapi/calls.go
+++ b/internal/adminapi/handler.go
@@ -17,13 +17,14 @@
 	"ferryspar/internal/retention"
 )
 
-// State is what the operator's calls are carried out on. Its methods may be called from any goroutine.
+// State is what calls are carried out on. Its methods may be called from any goroutine; their errors are
+// of package apierror.
 type State interface {
 	ReplaceConfiguration(ctx context.Context, condition int64, method string, body []byte) error
 	PatchConfiguration(ctx context.Context, condition int64, method string, body []byte) error
 	ReadConfiguration(ctx context.Context) (json.RawMessage, error)
-	// DrainZone begins nothing from the time `before` on.
-	DrainZone(ctx context.Context, zone string, drained bool, before time.Time) error
+	// DrainZone starts nothing from the deadline on.
+	DrainZone(ctx context.Context, zone string, drained bool, deadline time.Time) error
 	SetRetention(ctx context.Context, wanted retention.Policy) (retention.Policy, error)
 	ReadRetention(ctx context.Context) (retention.Policy, error)
 	Forget(ctx context.Context, scope retention.Scope) (retention.Status, error)
@@ -62,7 +63,7 @@
 	{method: http.MethodGet, path: PathStatus, handle: readStatus},
 }
 
-// NewHandler serves the operator's calls on a state.
+// NewHandler returns the handler of the admin API on a state.
 func NewHandler(state State, guard *ReplayGuard) http.Handler {
 	router := chi.NewRouter()
 	router.NotFound(func(writer http.ResponseWriter, request *http.Request) {
@@ -84,6 +85,7 @@
 	return router
 }
 
+// serve returns the handler of an endpoint. A response without a document is "{}".
 func (e endpoint) serve(state State) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		content, err := e.handle(state, request)
@@ -100,8 +102,10 @@
 	}
 }
 
+// maxDocumentBytes is the size of the largest configuration that is read.
 const maxDocumentBytes = 32 << 20
 
+// readDocument reads a document and the version that it builds on.
 func readDocument(request *http.Request) (int64, []byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, maxDocumentBytes))
 	var large *http.MaxBytesError
--- a/internal/adminapi/guard.go
+++ b/internal/adminapi/replayguard.go
@@ -21,9 +21,9 @@
 const CallerTimeout = 900 * time.Millisecond
 
 // ReplayGuard proves that a call which names no version is not an old copy. Such a call is first
-// sent back to this daemon with a token in its path (307). Only a caller that is still there
-// brings the token, and only for CallerTimeout: a copy that lay in a socket while this machine
-// or a link stood still carries a token of long ago, or none.
+// redirected to this control plane with a token in its path (307). Only a caller that still waits brings
+// the token, and only for CallerTimeout: a copy that lay in a socket while this machine or a link stood
+// still carries an expired token, or none.
 type ReplayGuard struct {
 	address   string
 	clock     func() time.Time
@@ -31,8 +31,8 @@
 	secret    [32]byte
 }
 
-// NewReplayGuard makes the guard of one life of the daemon that serves calls at address. Tokens of
-// another life are not good.
+// NewReplayGuard returns the guard of one incarnation of the control plane that serves calls at address.
+// Tokens of another incarnation are invalid.
 func NewReplayGuard(address string, clock func() time.Time) *ReplayGuard {
 	guard := &ReplayGuard{address: address, clock: clock, startedAt: clock()}
 	_, _ = rand.Read(guard.secret[:])
@@ -58,8 +58,8 @@
 	return "http://" + g.address + path + "/" + token
 }
 
-// Before returns the time from which on the call may not be begun any more. A token that is
-// not good gives the zero time.
+// Deadline returns the time from which on the call may not be started any more. An invalid token gives
+// the zero time.
 func (g *ReplayGuard) Deadline(method, path, token string) time.Time {
 	content, err := base64.RawURLEncoding.DecodeString(token)
 	if err != nil || len(content) != ageBytes+signatureBytes {
@@ -81,7 +81,7 @@
 	return before
 }
 
-// admit lets calls with a good token through, and answers others that they come too late.
+// admit serves calls with a valid token, and answers others that they come too late.
 func (g *ReplayGuard) admit(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		token := chi.URLParam(request, "token")
--- a/internal/adminapi/once_test.go
+++ b/internal/adminapi/resend_test.go
@@ -25,40 +25,43 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer connection.Close()
-				reader := bufio.NewReader(connection)
-				for answered := false; ; answered = true {
-					request, err := http.ReadRequest(reader)
-					if err != nil {
-						return
-					}
-					_, _ = io.Copy(io.Discard, request.Body)
-					read.Add(1)
-					if answered {
-						_ = connection.(*net.TCPConn).SetLinger(0)
-						return
-					}
-					_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
-				}
-			}()
+			go answerOnce(connection, read)
 		}
 	}()
 	return listener.Addr().String(), read
 }
 
+// answerOnce answers the first call of a connection and resets the connection once it has read the second.
+func answerOnce(connection net.Conn, read *atomic.Int64) {
+	defer connection.Close()
+	reader := bufio.NewReader(connection)
+	for answered := false; ; answered = true {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		_, _ = io.Copy(io.Discard, request.Body)
+		read.Add(1)
+		if answered {
+			_ = connection.(*net.TCPConn).SetLinger(0)
+			return
+		}
+		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
+	}
+}
+
 func TestClient_NetHTTPDoesNotResendAfterBrokenConnection(t *testing.T) {
 	for _, method := range []string{http.MethodPut, http.MethodPatch, http.MethodPost, http.MethodDelete} {
 		for _, body := range []string{"", "{}"} {
 			t.Run(method+" "+body, func(t *testing.T) {
 				address, read := serveBreakingConnections(t)
-				client := NewHTTPClient()
-				client.Transport = &http.Transport{}
-				defer client.CloseIdleConnections()
-				caller := &Client{Addresses: []string{address}, HTTPClient: client, PerAddressTimeout: time.Second, Timeout: time.Second}
-				_, err := caller.send(t.Context(), address, http.MethodGet, "/", "", nil)
+				client := newTestClient(address)
+				client.HTTPClient.Transport = &http.Transport{}
+				defer client.HTTPClient.CloseIdleConnections()
+				client.Timeout = time.Second
+				_, err := client.send(t.Context(), address, call{method: http.MethodGet, path: "/"})
 				assert.NilError(t, err)
-				_, err = caller.send(t.Context(), address, method, "/", "1", []byte(body))
+				_, err = client.send(t.Context(), address, call{method: method, path: "/", condition: "1", body: []byte(body)})
 				assert.Assert(t, err != nil, "an answer that never came")
 				assert.Equal(t, read.Load(), int64(2))
 			})
@@ -69,14 +72,15 @@
 func TestClient_ResendsSameChangeWithoutResponse(t *testing.T) {
 	bodies := make(chan string, 10)
 	var calls atomic.Int64
-	address := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
+	address := newTestServer(t, func(_ http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		bodies <- request.Header.Get("If-Match") + " " + string(body)
 		if calls.Add(1) == 1 {
 			panic(http.ErrAbortHandler)
 		}
 	})
-	client := &Client{Addresses: []string{address}, HTTPClient: NewHTTPClient(), PerAddressTimeout: time.Second, Timeout: 2 * time.Second}
+	client := newTestClient(address)
+	client.Timeout = 2 * time.Second
 	response, err := client.Call(context.Background(), http.MethodPut, "/ferryspar/config", "4", []byte("whole"))
 	assert.NilError(t, err)
 	assert.Equal(t, response.Status, http.StatusOK)
--- a/internal/adminapi/context.go
+++ b/internal/adminapi/retention.go
@@ -8,8 +8,10 @@
 	"ferryspar/internal/retention"
 )
 
+// maxBodyBytes is the size of the largest other body that is read.
 const maxBodyBytes = 64 << 10
 
+// decodeBody decodes a JSON body. Errors are of that kind.
 func decodeBody(request *http.Request, target any, kind apierror.Kind) error {
 	reader := json.NewDecoder(http.MaxBytesReader(nil, request.Body, maxBodyBytes))
 	reader.DisallowUnknownFields()
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -7,11 +7,11 @@
 	"ferryspar/internal/discovery"
 )
 
-// FleetStatus is what one control daemon tells of the fleet.
+// FleetStatus is the state of the fleet as one control plane sees it. Ages are milliseconds.
 type FleetStatus struct {
-	// Member is the address of the daemon that answers.
+	// Member is the address of the control plane that answers.
 	Member string `json:"member"`
-	// IsMember says whether it is on the member list, Voting whether it counts towards a
+	// IsMember says whether it belongs to the membership, Voting whether it counts towards a
 	// majority, Leaving whether it is about to end.
 	IsMember bool `json:"isMember"`
 	Voting   bool `json:"voting"`
@@ -23,11 +23,11 @@
 	Revision       int64    `json:"revision"`
 	Members        []string `json:"members"`
 	NextMembers    []string `json:"nextMembers,omitempty"`
-	// MembershipVersion rises with each change of the member list.
+	// MembershipVersion rises with each change of the membership.
 	MembershipVersion uint64 `json:"membersNumber"`
-	// MembershipChange is the last change of the member list that the daemon itself committed in this life.
+	// MembershipChange is the last change of the membership that this process itself committed.
 	MembershipChange *MembershipChange `json:"membersChange,omitempty"`
-	// Silent lists the members that the daemon does not hear.
+	// SilentMembers lists the members that it has not heard from lately.
 	SilentMembers   []string            `json:"silent,omitempty"`
 	PlacementHolder string              `json:"placementHolder"`
 	DrainedZones    []string            `json:"drainedZones"`
@@ -38,12 +38,12 @@
 	ListAgeMs int64 `json:"listAgeMs"`
 }
 
-// MembershipChange is a change of the member list: the number of the list that it made, and why.
+// MembershipChange is a change of the membership: the version that it made, and why.
 type MembershipChange struct {
 	Version uint64 `json:"number"`
 	Reason  string `json:"reason"`
 }
 
-func readStatus(state State, request *http.Request) ([]byte, error) {
+func readStatus(state State, _ *http.Request) ([]byte, error) {
 	return json.Marshal(state.Status())
 }
