--- a/cmd/ferryspar-operator/drill.go
+++ b/cmd/ferryspar-operator/drill.go
@@ -92,14 +92,21 @@
 			fmt.Printf("  %s: %s\n", edge, status.DataPlanes[edge])
 		}
 	}
-	printTable("first token in ms: p50/p90/p99", "route side in_aim late refused spared broken kept first", func(line func(...any)) {
+	const title = "first token in ms: p50/p90/p99"
+	const columns = "route side in_aim late refused spared broken kept first"
+	printTable(title, columns, func(addRow func(...any)) {
 		for _, route := range status.Routes {
-			addOutcomeRow(line, route.Name, "drilled", route.Drilled, route.KeptInScope, route.FirstTokenDrilled)
-			addOutcomeRow(line, route.Name, "rest", route.Rest, 0, route.FirstTokenRest)
+			addOutcomeRow(addRow, route.Name, "drilled", route.Drilled, route.KeptInScope, route.FirstTokenDrilled)
+			addOutcomeRow(addRow, route.Name, "rest", route.Rest, 0, route.FirstTokenRest)
 		}
 	})
 }
 
-func addOutcomeRow(line func(...any), route, name string, counts drill.OutcomeCounts, kept int, firstToken drill.Quantiles) {
-	line(route, name, counts.WithinTarget, counts.Late, counts.Rejected, counts.Exempted, counts.Aborted, kept, formatQuantiles(firstToken))
+// addOutcomeRow adds the row of one side of a route, the drilled requests or the rest.
+func addOutcomeRow(addRow func(...any), route, name string, counts drill.OutcomeCounts, kept int, firstToken drill.Quantiles) {
+	addRow(
+		route, name,
+		counts.WithinTarget, counts.Late, counts.Rejected, counts.Exempted, counts.Aborted,
+		kept, formatQuantiles(firstToken),
+	)
 }
--- a/cmd/ferryspar-operator/inspect.go
+++ b/cmd/ferryspar-operator/inspect.go
@@ -46,14 +46,15 @@
 func (i *inspectCommand) print(inspection keystore.Inspection) {
 	fmt.Printf("generation %d (base %d)\n", inspection.Generation, inspection.Base)
 	fmt.Printf("self %s\nmembers %s\n", orNone(inspection.LocalState), orNone(inspection.Membership))
-	printTable("files", "name state generation base records used bytes", func(line func(...any)) {
+	printTable("files", "name state generation base records used bytes", func(addRow func(...any)) {
 		for _, file := range inspection.Files {
-			line(file.Name, strings.ReplaceAll(string(file.State), " ", "_"), file.Generation, file.Base, file.Records, file.Used, file.Bytes)
+			state := strings.ReplaceAll(string(file.State), " ", "_")
+			addRow(file.Name, state, file.Generation, file.Base, file.Records, file.Used, file.Bytes)
 		}
 	})
-	printTable("keys", "key value_bytes fields", func(line func(...any)) {
+	printTable("keys", "key value_bytes fields", func(addRow func(...any)) {
 		for _, slot := range inspection.Registers {
-			line(slot.Key, slot.ValueBytes, formatFields(slot.Fields))
+			addRow(slot.Key, slot.ValueBytes, formatFields(slot.Fields))
 		}
 	})
 	if i.Values {
--- a/cmd/ferryspar-operator/inspect_test.go
+++ b/cmd/ferryspar-operator/inspect_test.go
@@ -27,7 +27,11 @@
 		journal, err := keystore.OpenWAL(folder, keystore.SegmentCount, testSegmentBytes)
 		assert.NilError(t, err)
 		assert.NilError(t, journal.Append(keystore.BootstrapRegisters(members, 77)))
-		configuration := keystore.Register{Key: keystore.ConfigurationKey, Sequence: uint64(5 + incarnation), Value: json.RawMessage(`{"revision":9}`)}
+		configuration := keystore.Register{
+			Key:      keystore.ConfigurationKey,
+			Sequence: uint64(5 + incarnation),
+			Value:    json.RawMessage(`{"revision":9}`),
+		}
 		assert.NilError(t, journal.Append([]keystore.Register{configuration}))
 	}
 	return path
--- a/cmd/ferryspar-operator/main.go
+++ b/cmd/ferryspar-operator/main.go
@@ -19,8 +19,8 @@
 
 // globalOptions are the options of all commands.
 type globalOptions struct {
-	Control           []string      `short:"c" long:"control" description:"address of a control plane's admin API; name several to try them in turn"`
-	PerAddressTimeout time.Duration `long:"patience" default:"1s" description:"time for one control plane to answer before the next one is tried"`
+	Control           []string      `short:"c" long:"control" description:"address of a control plane; name several to try in turn"`
+	PerAddressTimeout time.Duration `long:"patience" default:"1s" description:"time after which the next control plane is tried"`
 	Timeout           time.Duration `long:"bound" default:"15s" description:"time for the whole call"`
 	JSON              bool          `long:"json" description:"print the answer's JSON as it came"`
 }
--- a/cmd/ferryspar-operator/query.go
+++ b/cmd/ferryspar-operator/query.go
@@ -39,7 +39,8 @@
 			return err
 		}
 	}
-	result, err := query.Run(context.Background(), query.Tables(fleet, current), q.Args.Statement, query.Limits{MaxRows: q.Rows, Timeout: q.Time})
+	limits := query.Limits{MaxRows: q.Rows, Timeout: q.Time}
+	result, err := query.Run(context.Background(), query.Tables(fleet, current), q.Args.Statement, limits)
 	if err != nil {
 		return err
 	}
--- a/cmd/ferryspar-operator/rehearse.go
+++ b/cmd/ferryspar-operator/rehearse.go
@@ -3,9 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
-	"maps"
 	"net/http"
-	"slices"
 	"strings"
 	"time"
 
@@ -93,56 +91,3 @@
 	}
 	return content, err
 }
-
-func formatQuantiles(latency drill.Quantiles) string {
-	if latency.Count == 0 {
-		return "-"
-	}
-	return fmt.Sprintf("%d/%d/%d", latency.P50, latency.P90, latency.P99)
-}
-
-func printForecast(forecast drill.Forecast) {
-	fmt.Printf("forecast: %s is lost; answered by %d of %d edges\n", forecast.Scope, len(forecast.Answered), len(forecast.Answered)+len(forecast.Missing))
-	if forecast.Partial {
-		fmt.Println("PARTIAL: no answer from", strings.Join(forecast.Missing, ", "))
-	}
-	fmt.Printf("lost: edges %v, replicas %v; replicas left: %d\n", forecast.DataPlanesLost, forecast.ReplicasLost, forecast.ReplicasLeft)
-	control := forecast.Control
-	fmt.Printf("control: members lost %v of %d, majority stays: %t, placement moves: %t\n",
-		control.Lost, len(control.Members), control.KeepsMajority, control.LeaseMoves)
-	flight := forecast.InFlight
-	fmt.Printf("in flight: %d of %d run at lost replicas (%d go on elsewhere, %d are cut); %d wait; "+
-		"of both %d find a place, %d wait on, %d are bound to what is lost\n",
-		flight.OnLostReplicas, flight.Running, flight.Resumable, flight.Aborted, flight.Waiting, flight.Placed, flight.StillWaiting, flight.BoundToLost)
-	const routeColumns = "route priority per_s sampled stay move wait nowhere bound late_now late_then first_now first_then read_again"
-	printTable("requests as of late, were they to come now (first token in ms: p50/p90/p99)", routeColumns, func(line func(...any)) {
-		for _, one := range forecast.Routes {
-			line(one.Name, one.Priority, fmt.Sprintf("%.1f", one.RatePerS), one.Sampled, one.Staying, one.Moved, one.Waiting, one.NowhereLoaded, one.BoundToLost,
-				one.LateNow, one.Late, formatQuantiles(one.FirstTokenNow), formatQuantiles(one.FirstTokenAfterLoss), int(one.RecomputedTokens))
-		}
-	})
-	printTable("warm prompt tokens", "model lost of_these_nowhere_else kept", func(line func(...any)) {
-		for _, name := range slices.Sorted(maps.Keys(forecast.Cached)) {
-			one := forecast.Cached[name]
-			line(name, int(one.Lost), int(one.OnlyInScope), int(one.Kept))
-		}
-	})
-	loading := forecast.LoadEstimate
-	title := fmt.Sprintf("no copy left (%d loads, at least %.1f s; the %d in demand at least %.1f s)",
-		loading.Loads, loading.MinMs/1000, loading.InDemand, loading.InDemandMinMs/1000)
-	printTable(title, "backend model per_s", func(line func(...any)) {
-		for _, one := range forecast.LostModels {
-			line(one.Backend, one.Model, fmt.Sprintf("%.2f", one.RatePerS))
-		}
-	})
-	printTable("what placement would do first", "replica model load why", func(line func(...any)) {
-		for _, one := range forecast.Placement {
-			line(one.Replica, one.Model, one.Load, one.Reason)
-		}
-	})
-	printTable("replicas left", "replica zone slots running moved_to full", func(line func(...any)) {
-		for _, one := range forecast.Replicas {
-			line(one.Replica, one.Zone, one.Slots, one.Running, one.Moved, one.Full)
-		}
-	})
-}
--- a/cmd/ferryspar-operator/rehearse_test.go
+++ b/cmd/ferryspar-operator/rehearse_test.go
@@ -38,7 +38,11 @@
 		_ = json.NewEncoder(writer).Encode(bodies[min(len(*requests), len(bodies))-1])
 	}))
 	t.Cleanup(server.Close)
-	options = globalOptions{Control: []string{strings.TrimPrefix(server.URL, "http://")}, PerAddressTimeout: time.Second, Timeout: 5 * time.Second}
+	options = globalOptions{
+		Control:           []string{strings.TrimPrefix(server.URL, "http://")},
+		PerAddressTimeout: time.Second,
+		Timeout:           5 * time.Second,
+	}
 	return requests
 }
 
--- a/cmd/ferryspar-operator/status.go
+++ b/cmd/ferryspar-operator/status.go
@@ -30,8 +30,9 @@
 	if err := json.Unmarshal(content, &fleet); err != nil {
 		return err
 	}
-	fmt.Printf("seen by %s (majority fresh: %t)\nrevision %d, members %v %v, placement by %s\ndrained zones %v\nedges %v\n",
-		fleet.Member, fleet.Fresh, fleet.Revision, fleet.Members, fleet.NextMembers, fleet.PlacementHolder, fleet.DrainedZones, fleet.DataPlanes)
+	fmt.Printf("seen by %s (majority fresh: %t)\n", fleet.Member, fleet.Fresh)
+	fmt.Printf("revision %d, members %v %v, placement by %s\n", fleet.Revision, fleet.Members, fleet.NextMembers, fleet.PlacementHolder)
+	fmt.Printf("drained zones %v\nedges %v\n", fleet.DrainedZones, fleet.DataPlanes)
 	for _, replica := range fleet.Replicas {
 		names := []string{}
 		for _, model := range replica.Models {
--- a/cmd/ferryspar-operator/status_all.go
+++ b/cmd/ferryspar-operator/status_all.go
@@ -12,14 +12,14 @@
 	"ferryspar/internal/adminapi"
 )
 
-// daemonStatus is what one control daemon told, or why it told nothing.
+// daemonStatus is the status that one control plane returned, or why there is none.
 type daemonStatus struct {
 	Address string                `json:"address"`
 	Status  *adminapi.FleetStatus `json:"status,omitempty"`
 	Error   string                `json:"error,omitempty"`
 }
 
-// printStatusOfAll asks every control daemon that was named for its status. It fails if none answers.
+// printStatusOfAll prints the status of every control plane that was named. It fails if none answers.
 func printStatusOfAll() error {
 	var statuses []daemonStatus
 	answered := 0
@@ -47,8 +47,11 @@
 	return nil
 }
 
+// fetchStatus reads the status of one control plane, without trying it again.
 func fetchStatus(address string) daemonStatus {
-	client := &adminapi.Client{Addresses: []string{address}, HTTPClient: adminapi.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.PerAddressTimeout}
+	client := newClient()
+	client.Addresses = []string{address}
+	client.Timeout = options.PerAddressTimeout
 	response, err := client.Call(context.Background(), http.MethodGet, adminapi.PathStatus, "", nil)
 	if err != nil {
 		return daemonStatus{Address: address, Error: err.Error()}
--- a/cmd/ferryspar-operator/status_all_test.go
+++ b/cmd/ferryspar-operator/status_all_test.go
@@ -16,7 +16,8 @@
 func TestDaemonStatus_String(t *testing.T) {
 	cases := map[string]adminapi.FleetStatus{
 		"a: votes, confirmed 80 ms ago, revision 7, member list 3 [x y z]": {
-			IsMember: true, Voting: true, Fresh: true, ConfirmedAgeMs: 80, Revision: 7, MembershipVersion: 3, Members: []string{"x", "y", "z"},
+			IsMember: true, Voting: true, Fresh: true, ConfirmedAgeMs: 80,
+			Revision: 7, MembershipVersion: 3, Members: []string{"x", "y", "z"},
 		},
 		"a: member without a vote, confirmed never, revision 0, member list 0 []": {IsMember: true, ConfirmedAgeMs: -1},
 		"a: leaving, confirmed 20000 ms ago, too long, revision 7, member list 4 [x] changing to [y], does not hear z": {
@@ -34,7 +35,7 @@
 }
 
 func TestPrintStatusOfAll_ListsUnreachable(t *testing.T) {
-	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(writer).Encode(adminapi.FleetStatus{Member: "x", Revision: 9})
 	}))
 	defer server.Close()
--- a/cmd/ferryspar-operator/subcommands.go
+++ b/cmd/ferryspar-operator/subcommands.go
@@ -19,7 +19,8 @@
 		name:    "configuration",
 		aliases: []string{"layout"},
 		short:   "print the newest configuration",
-		long:    "Prints the configuration in force as a majority of members confirms it. Tenants' keys are shown as digests unless --keys is given.",
+		long: "Prints the configuration in force as a majority of members confirms it. " +
+			"Tenants' keys are shown as digests unless --keys is given.",
 		handler: &configurationCommand{},
 	},
 	{
--- a/internal/discovery/list.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,9 @@
-// Package discovery reads the platform's list of replicas. Reading changes nothing, so it may be repeated; a list counts
-// only if every page of it came whole.
+// Package discovery reads the platform's list of replicas, page by page, and merges readings that were
+// made while the list changed. Reading changes nothing, so it may be repeated; a list counts only if every
+// page of it was read completely.
+//
+// It doesn't decide how often the list is read, nor what is done with it (internal/controlplane/roster).
+// Start reading at Client.List and Merger.
 package discovery
 
 import (
@@ -13,7 +17,7 @@
 	"github.com/pkg/errors"
 )
 
-// Client reads the list at an address. It is used by one goroutine at a time.
+// Client reads the list at an address (host:port). It is used by one goroutine at a time.
 type Client struct {
 	Address    string
 	HTTPClient *http.Client
@@ -21,18 +25,22 @@
 	pageCount int
 }
 
-// Pages is how many pages the last whole list had, one at least: each counts as a call to the platform.
+// PageCount is how many pages the last complete list had, one at least: each counts as a call to the platform.
 func (c *Client) PageCount() int { return max(c.pageCount, 1) }
 
-// ErrThrottled says that the platform was asked more often than it allows.
+// ErrThrottled is returned when the platform rejects a read since its rate limit is exceeded.
 var ErrThrottled = errors.New("platform list: over the rate")
 
+// ErrTooManyPages is returned for a list that does not end.
+var ErrTooManyPages = errors.New("platform list: pages without end")
+
 const (
 	listTimeout = 900 * time.Millisecond
 	maxPages    = 100
 )
 
-// Read returns the whole list, or an error if any page of it failed.
+// List returns the complete list, or an error if any page of it failed: ErrThrottled, ErrTooManyPages, or
+// that of the call.
 func (c *Client) List(ctx context.Context) ([]Replica, error) {
 	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -50,9 +58,10 @@
 		}
 		token = *page.NextToken
 	}
-	return nil, errors.New("platform list: pages without end")
+	return nil, ErrTooManyPages
 }
 
+// fetchPage reads the page of a token, the first one for "".
 func (c *Client) fetchPage(ctx context.Context, token string) (Page, error) {
 	var page Page
 	target := url.URL{Scheme: "http", Host: c.Address, Path: "/replicas"}
@@ -76,7 +85,7 @@
 		return page, ErrThrottled
 	}
 	if response.StatusCode != http.StatusOK {
-		return page, errors.Errorf("platform list: status %d", response.StatusCode)
+		return page, errors.Errorf("platform list at %s: status %d", c.Address, response.StatusCode)
 	}
-	return page, errors.Wrap(json.Unmarshal(content, &page), "platform list")
+	return page, errors.Wrapf(json.Unmarshal(content, &page), "platform list at %s", c.Address)
 }
--- a/internal/discovery/merge.go
+++ b/internal/discovery/merge.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// maxCarryOverAge is how old a reading may be for what it showed to be carried into the next one.
+// maxCarryOverAge is how old a reading may be for its entries to be carried over into the next one.
 const maxCarryOverAge = 10 * time.Second
 
-// Merger makes lists whole that are read in pages while they change. Pages are cut by position, so an
+// Merger completes lists that are read in pages while they change. Pages are cut by position, so an
 // entry that leaves moves those after it: one may be skipped, or one that comes doubles another. The
 // zero value has read nothing. It is used by one goroutine at a time.
 type Merger struct {
--- a/internal/discovery/replica.go
+++ b/internal/discovery/replica.go
@@ -7,7 +7,8 @@
 	Adapters []string `json:"adapterList"`
 }
 
-// Replica is an entry of the platform's list.
+// Replica is an entry of the platform's list. Times are milliseconds; TimeLeftMs is nil unless the
+// platform has announced the end of the replica.
 type Replica struct {
 	ID                string        `json:"id"`
 	Backend           string        `json:"backend"`
@@ -31,7 +32,7 @@
 	NextToken *string   `json:"nextToken"`
 }
 
-// Holds tells whether the replica holds the model and, unless that is empty, the adapter.
+// HasLoaded tells whether the replica has loaded the model and, unless that is empty, the adapter.
 func (r Replica) HasLoaded(model, adapter string) bool {
 	for _, loaded := range r.Models {
 		if loaded.Name != model {
--- a/internal/drill/fleetview.go
+++ b/internal/drill/fleetview.go
@@ -24,7 +24,7 @@
 	return forecast
 }
 
-// estimate returns the least time of loading the lost models, backend by backend, since each backend
+// estimateLoading returns the least time of loading the lost models, backend by backend, since each backend
 // has a store of its own.
 func (v FleetView) estimateLoading(lost []LostModel) LoadEstimate {
 	var estimate LoadEstimate
@@ -63,7 +63,7 @@
 	return bases
 }
 
-// inDemand returns the models that are asked for, by themselves or by one of their adapters.
+// inDemand returns the models that are requested, by themselves or by one of their adapters.
 func inDemand(bases, lost []LostModel) []LostModel {
 	var demanded []LostModel
 	for _, base := range bases {
--- a/internal/drill/forecast.go
+++ b/internal/drill/forecast.go
@@ -5,8 +5,8 @@
 	"ferryspar/internal/discovery"
 )
 
-// FleetView is what the control plane knows when a forecast is made. Zones, Edges and MemberZones
-// map a name to its region or zone; Demand is requests a second by "backend model".
+// FleetView is what the control plane knows when a forecast is made. Zones maps a zone to its region,
+// DataPlanes and MemberZones map a name to its zone; Demand is requests a second by "backend model".
 type FleetView struct {
 	Scope       Scope
 	Zones       map[string]string
@@ -40,8 +40,8 @@
 	LoadMs   float64 `json:"loadMs,omitempty"`
 }
 
-// LoadEstimate is the least time that loading the lost models takes, for all of them and for those
-// asked for.
+// LoadEstimate is the least time, in milliseconds, that loading the lost models takes: for all of them,
+// and for those in demand.
 type LoadEstimate struct {
 	Loads         int     `json:"loads"`
 	MinMs         float64 `json:"leastMs"`
@@ -67,8 +67,8 @@
 	Reason  string `json:"why"`
 }
 
-// PlacementPlan is the list of first placement steps. Holds tells whether this daemon holds the placement
-// lease and so could say.
+// PlacementPlan is the list of first placement steps. HoldsLease tells whether the node that
+// made it holds the placement lease; without it there are no steps.
 type PlacementPlan struct {
 	HoldsLease bool            `json:"holds"`
 	Steps      []PlacementStep `json:"steps"`
--- a/internal/drill/lostmodels.go
+++ b/internal/drill/lostmodels.go
@@ -31,7 +31,7 @@
 	return list
 }
 
-// copies returns what has a copy outside the scope, on a replica that stays, and what has one inside.
+// modelCopies returns what has a copy outside the scope, on a replica that stays, and what has one inside.
 func (v FleetView) modelCopies() (remaining, lost map[modelKey]bool) {
 	remaining, lost = map[modelKey]bool{}, map[modelKey]bool{}
 	for _, replica := range v.Replicas {
--- a/internal/drill/merge.go
+++ b/internal/drill/merge.go
@@ -9,7 +9,7 @@
 )
 
 // Merge joins the answers of the data planes with the view of the control plane. It changes the
-// view's Edges.
+// view's DataPlanes.
 func Merge(view FleetView, answers []ForecastResponse) Forecast {
 	merged := Forecast{
 		Scope:          view.Scope,
--- a/internal/drill/tally.go
+++ b/internal/drill/outcomes.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// OutcomeCounts counts requests by outcome. Spared are drilled requests that went into the scope after
-// all, since they would have been late.
+// OutcomeCounts counts requests by outcome. Exempted are drilled requests that
+// went into the scope after all, since they would have been late.
 type OutcomeCounts struct {
 	WithinTarget int `json:"inAim"`
 	Late         int `json:"late"`
@@ -15,7 +15,7 @@
 	Exempted     int `json:"spared"`
 }
 
-// Add adds other to the tally.
+// Add adds other to the counts.
 func (c *OutcomeCounts) Add(other OutcomeCounts) {
 	c.WithinTarget += other.WithinTarget
 	c.Late += other.Late
@@ -26,7 +26,7 @@
 
 func (c OutcomeCounts) total() int { return c.WithinTarget + c.Late + c.Rejected + c.Exempted }
 
-// FractionInTime returns the part of the requests that was served within its aim.
+// FractionInTime returns the part of the requests that was served within its latency target.
 func (c OutcomeCounts) FractionInTime() float64 {
 	return float64(c.WithinTarget) / float64(max(c.total(), 1))
 }
@@ -35,8 +35,9 @@
 	return float64(c.Rejected+c.Exempted) / float64(max(c.total(), 1))
 }
 
-// DataPlaneRouteOutcomes counts a route's requests at one data plane, the drilled ones and the rest. Kept are
-// drilled ones whose only replicas lie in the scope.
+// DataPlaneRouteOutcomes counts a route's requests at one data plane, the drilled ones and the rest.
+// KeptInScope are drilled ones whose only replicas lie in the scope. FirstTokenDrilled and FirstTokenRest
+// are encoded histograms of the time to the first token in milliseconds.
 type DataPlaneRouteOutcomes struct {
 	Drilled           OutcomeCounts `json:"drilled"`
 	Rest              OutcomeCounts `json:"rest"`
@@ -45,7 +46,7 @@
 	FirstTokenRest    string        `json:"firstRest,omitempty"`
 }
 
-// Report is what a data plane tells of the drill it takes part in. Ended is why it stopped, empty
+// Report is the state of a drill at a data plane that takes part in it. Ended is why it stopped, empty
 // while it goes on.
 type Report struct {
 	Number uint64                            `json:"number"`
@@ -99,6 +100,7 @@
 	return list
 }
 
+// minGuardSamples is how many drilled requests a route needs before the guard judges it.
 const minGuardSamples = 30
 
 // CheckGuard returns why a drill must end: a route, or all together, where the drilled requests do
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -30,7 +30,7 @@
 	DataPlaneSilent  = "silent"
 )
 
-// Record is what the key store keeps of the newest drill. Beat rises with each renewal; LeftMs is
+// Record is what the keystore keeps of the newest drill. Renewals rises with each renewal; LeftMs is
 // the time left at that moment, in milliseconds.
 type Record struct {
 	Number         uint64          `json:"number"`
@@ -47,7 +47,7 @@
 	Routes         []RouteOutcomes `json:"routes,omitempty"`
 }
 
-// Notice tells data planes of the newest drill.
+// Notice is what data planes are sent of the newest drill.
 type Notice struct {
 	Number  uint64  `json:"number"`
 	Scope   Scope   `json:"scope"`
@@ -62,7 +62,7 @@
 	DataPlanes map[string]string `json:"edges"`
 }
 
-// Record returns the record of a new drill that follows after, with defaults filled in. Errors are
+// NewRecord returns the record of a new drill that follows after, with defaults filled in. Errors are
 // of kind apierror.InvalidDrill.
 func (r Request) NewRecord(after Record) (Record, error) {
 	if r.Share == 0 {
@@ -96,8 +96,8 @@
 	}, nil
 }
 
-// End returns the record as ended, with the reason and the counts of each route. Guard tells that
-// it ended before its time by itself.
+// End returns the record as ended, with the reason and the counts of each route. guard tells that
+// a guard ended it before its time.
 func (r Record) End(reason string, guard bool, routes []RouteOutcomes) Record {
 	r.Running, r.EndReason, r.EndedByGuard, r.Routes, r.LeftMs = false, reason, guard, routes, 0
 	r.Renewals++
--- a/internal/drill/answer.go
+++ b/internal/drill/response.go
@@ -7,7 +7,7 @@
 }
 
 // RouteCounts counts sampled requests of a route by what the loss would do to them. Names ending in Now
-// are the same counts without the loss, Reread is tokens.
+// are the same counts without the loss; RecomputedTokens are prompt tokens whose cached prefix is lost.
 type RouteCounts struct {
 	Sampled          int     `json:"sampled"`
 	Staying          int     `json:"stay"`
@@ -51,8 +51,8 @@
 	FirstTokenAfterLoss string `json:"firstThen,omitempty"`
 }
 
-// CachedTokens counts cached prompt tokens of a model: lost with the scope, held nowhere else, and kept
-// outside.
+// CachedTokens counts cached prompt tokens of a model: lost with the scope, the part of those
+// that is cached nowhere else, and kept outside the scope.
 type CachedTokens struct {
 	Lost        float64 `json:"lostTokens"`
 	OnlyInScope float64 `json:"heldNowhereElse"`
@@ -65,7 +65,7 @@
 	Moved   int `json:"moved"`
 }
 
-// InFlight counts what is under way at the moment of the loss.
+// InFlight counts the requests in flight at the moment of the loss.
 type InFlight struct {
 	Running        int `json:"running"`
 	OnLostReplicas int `json:"atLost"`
--- a/internal/drill/scope.go
+++ b/internal/drill/scope.go
@@ -28,7 +28,7 @@
 	return "region " + s.Region
 }
 
-// Check returns an error unless the scope names exactly one zone or region of the given zones
+// Validate returns an error unless the scope names exactly one zone or region of the given zones
 // (zone to region).
 func (s Scope) Validate(zones map[string]string) error {
 	if (s.Region == "") == (s.Zone == "") {
--- a/internal/eventbus/bus.go
+++ b/internal/eventbus/bus.go
@@ -1,4 +1,4 @@
-// Package eventbus carries notices between the parts of one control daemon.
+// Package eventbus carries events between the parts of one control-plane node.
 //
 // Events stay in the process, aren't kept, and never are on the path of a request. Start reading
 // at Bus.
@@ -13,13 +13,14 @@
 	"github.com/ThreeDotsLabs/watermill/pubsub/gochannel"
 )
 
-// Topics. TopicCommitted tells of a key that was written on a majority, TopicPlacementChanged of a change of the
-// placement.
+// Topics. An event of TopicCommitted is a key that was written on a majority, one of
+// TopicPlacementChanged a change of what the scheduler observes of replicas.
 const (
 	TopicCommitted        = "committed"
 	TopicPlacementChanged = "placement"
 )
 
+// bufferSize is how many events wait for a slow subscriber to handle the earlier ones.
 const bufferSize = 64
 
 // Bus hands what is published on a topic to everyone who subscribed to it.
--- a/internal/query/print.go
+++ b/internal/query/print.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Table writes the rows as aligned text.
+// WriteTable writes the rows as aligned text.
 func (r Result) WriteTable(writer io.Writer) error {
 	aligned := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(aligned, strings.Join(r.Columns, "\t"))
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,7 +1,6 @@
-// Package query answers SQL questions about the fleet's state, over tables filled for one
-// question.
+// Package query answers SQL queries about the fleet's state, over tables that are filled for one query.
 //
-// It reads what the control plane told and changes nothing. Start reading at Run.
+// It reads the status that a control plane returned and changes nothing. Start reading at Run.
 package query
 
 import (
@@ -12,16 +11,16 @@
 	"time"
 
 	"github.com/pkg/errors"
-	_ "modernc.org/sqlite"
+	_ "modernc.org/sqlite" // registers the driver "sqlite"
 )
 
-// Limits limits an answer: rows returned and time taken.
+// Limits bound a query: the rows returned and the time taken.
 type Limits struct {
 	MaxRows int
 	Timeout time.Duration
 }
 
-// Result is an answer. Cut tells that there were more rows than the bound.
+// Result is an answer. Truncated tells that there were more rows than the limit.
 type Result struct {
 	Columns   []string
 	Rows      [][]any
@@ -52,6 +51,7 @@
 	return result, withSchemaHint(err, tables)
 }
 
+// validateSelect returns the statement without its end, and fails unless it is one SELECT.
 func validateSelect(statement string) (string, error) {
 	statement = strings.TrimRight(strings.TrimSpace(statement), "; \n\t")
 	first, _, _ := strings.Cut(strings.ToUpper(statement), " ")
@@ -65,9 +65,11 @@
 	return statement, nil
 }
 
+// createTables fills the tables and makes the database read-only.
 func createTables(ctx context.Context, database *sql.DB, tables []Table) error {
 	for _, table := range tables {
-		if _, err := database.ExecContext(ctx, fmt.Sprintf("CREATE TABLE %s (%s)", table.Name, strings.Join(table.Columns, ", "))); err != nil {
+		create := fmt.Sprintf("CREATE TABLE %s (%s)", table.Name, strings.Join(table.Columns, ", "))
+		if _, err := database.ExecContext(ctx, create); err != nil {
 			return err
 		}
 		placeholders := strings.TrimSuffix(strings.Repeat("?, ", len(table.Columns)), ", ")
@@ -88,6 +90,7 @@
 	return err
 }
 
+// runSelect reads up to maxRows rows.
 func runSelect(ctx context.Context, database *sql.DB, statement string, maxRows int) (Result, error) {
 	rows, err := database.QueryContext(ctx, statement)
 	if err != nil {
@@ -115,6 +118,7 @@
 	return result, rows.Err()
 }
 
+// withSchemaHint adds the tables and columns there are to an error about a wrong one.
 func withSchemaHint(err error, tables []Table) error {
 	if err == nil {
 		return nil
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -72,7 +72,8 @@
 		assert.NilError(t, result.WriteTable(&printed))
 		assert.Equal(t, printed.String(), testCase.wanted)
 	}
-	result, err := Run(context.Background(), testTables(), "SELECT id, slots FROM replicas ORDER BY id", Limits{MaxRows: 1, Timeout: wide.Timeout})
+	firstRow := Limits{MaxRows: 1, Timeout: wide.Timeout}
+	result, err := Run(context.Background(), testTables(), "SELECT id, slots FROM replicas ORDER BY id", firstRow)
 	assert.NilError(t, err)
 	var printed bytes.Buffer
 	assert.NilError(t, result.WriteJSON(&printed))
--- a/internal/query/tables.go
+++ b/internal/query/tables.go
@@ -17,7 +17,17 @@
 
 // Tables returns the tables of a fleet and its configuration, with digests in the place of keys.
 func Tables(fleet adminapi.FleetStatus, current configuration.Configuration) []Table {
-	return []Table{replicas(fleet), models(fleet), adapters(fleet), zones(fleet), dataPlanes(fleet), routes(current), tenants(current), members(fleet), leases(fleet)}
+	return []Table{
+		replicas(fleet),
+		models(fleet),
+		adapters(fleet),
+		zones(fleet),
+		dataPlanes(fleet),
+		routes(current),
+		tenants(current),
+		members(fleet),
+		leases(fleet),
+	}
 }
 
 func replicas(fleet adminapi.FleetStatus) Table {
@@ -41,7 +51,10 @@
 	table := Table{Name: "models", Columns: []string{"replica", "backend", "zone", "model", "revision", "adapters"}}
 	for _, replica := range fleet.Replicas {
 		for _, loaded := range replica.Models {
-			table.Rows = append(table.Rows, []any{replica.ID, replica.Backend, replica.Zone, loaded.Name, loaded.Revision, len(loaded.Adapters)})
+			table.Rows = append(table.Rows, []any{
+				replica.ID, replica.Backend, replica.Zone,
+				loaded.Name, loaded.Revision, len(loaded.Adapters),
+			})
 		}
 	}
 	return table
@@ -134,6 +147,7 @@
 	return table
 }
 
+// leases is the table "tenures", a name that operators' queries use; its columns keep theirs too.
 func leases(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: "tenures", Columns: []string{"duty", "holder", "seen_by", "fresh", "layout_revision", "list_age_ms"}}
 	table.Rows = append(table.Rows, []any{"placement", fleet.PlacementHolder, fleet.Member, fleet.Fresh, fleet.Revision, fleet.ListAgeMs})
