--- a/internal/dataplane/contextrules.go
+++ b/internal/dataplane/contextrules.go
@@ -20,9 +20,9 @@
 	// updateLedger has a change made by the goroutine that owns the prefix ledger; nil where there is no ledger.
 	updateLedger func(change func(*routing.PrefixLedger))
 
-	// number and lastForget are those of the newest rules and forget order seen. They belong to the goroutine of
+	// version and lastForget are those of the newest rules and forget order seen. They belong to the goroutine of
 	// FleetState.Run.
-	number     uint64
+	version    uint64
 	lastForget uint64
 
 	// inForce says that there are rules, and lastConfirmed is when the last confirmed response came. Any goroutine may
@@ -47,10 +47,10 @@
 // adopt adopts rules newer than those in force, and has the ledger forget what they name. The position acknowledges them
 // only once the ledger has done so: operators learn from that that it is forgotten.
 func (c *contextRules) adopt(rules peer.ContextUpdate, position *watchPosition) {
-	if rules.Version <= c.number || c.updateLedger == nil {
+	if rules.Version <= c.version || c.updateLedger == nil {
 		return
 	}
-	c.number = rules.Version
+	c.version = rules.Version
 	previous := c.lastForget
 	for _, forget := range rules.Forgets {
 		c.lastForget = max(c.lastForget, forget.Number)
--- a/internal/dataplane/controlpeers.go
+++ b/internal/dataplane/controlpeers.go
@@ -49,8 +49,8 @@
 	endpointSets map[peer.EndpointKey]peer.EndpointSet
 	complete     bool
 	// fetchedAt is how old the list of replicas is that the endpoints were made from.
-	fetchedAt          time.Time
-	subscriptionNumber uint64
+	fetchedAt            time.Time
+	subscriptionSequence uint64
 }
 
 // update stores what a response says of the node and of the data planes that it knows.
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -21,8 +21,8 @@
 type drillFollower struct {
 	// answerForecast sends a forecast; nil where there is nothing to forecast with.
 	answerForecast func(ctx context.Context, address string, question drill.ForecastRequest)
-	// answeredNumbers is the number of the last question by control-plane node.
-	answeredNumbers map[string]uint64
+	// lastAnswered is the number of the last question by control-plane node.
+	lastAnswered map[string]uint64
 	// current is the drill in force, or nil.
 	current *routing.Drill
 	// lastEnded is the number of the last drill that ended; it is not followed again.
@@ -62,13 +62,13 @@
 
 // answerOnce answers a question on a goroutine of its own, unless it was the last one answered at the address.
 func (d *drillFollower) answerOnce(ctx context.Context, calls *sync.WaitGroup, address string, question drill.ForecastRequest) {
-	if d.answerForecast == nil || d.answeredNumbers[address] == question.Number {
+	if d.answerForecast == nil || d.lastAnswered[address] == question.Number {
 		return
 	}
-	if d.answeredNumbers == nil {
-		d.answeredNumbers = map[string]uint64{}
+	if d.lastAnswered == nil {
+		d.lastAnswered = map[string]uint64{}
 	}
-	d.answeredNumbers[address] = question.Number
+	d.lastAnswered[address] = question.Number
 	calls.Go(func() { d.answerForecast(ctx, address, question) })
 }
 
--- a/internal/dataplane/recording.go
+++ b/internal/dataplane/recording.go
@@ -20,11 +20,11 @@
 
 // packWithoutKeys is the packed configuration as request logs hold it. Where the keys can't be taken out it is empty.
 func packWithoutKeys(document []byte) []byte {
-	redacted, err := configuration.RedactDocument(document)
+	withoutKeys, err := configuration.RedactDocument(document)
 	if err != nil {
 		return nil
 	}
-	return configuration.Compress(redacted)
+	return configuration.Compress(withoutKeys)
 }
 
 // recordSnapshot writes the snapshot to the request log, if there is one, once endpoints are known.
--- a/internal/dataplane/subscribe.go
+++ b/internal/dataplane/subscribe.go
@@ -41,7 +41,7 @@
 	}
 	request := peer.SubscribeRequest{
 		DataPlane: s.settings.NodeName,
-		Sequence:  control.subscriptionNumber + 1,
+		Sequence:  control.subscriptionSequence + 1,
 	}
 	if control.complete {
 		request.Add, request.Remove = s.interest.TakeChanges()
@@ -52,7 +52,7 @@
 		request.Reset = true
 		request.Add = s.interest.All()
 	}
-	control.subscriptionNumber++
+	control.subscriptionSequence++
 	s.subscriptions.pending = true
 	s.calls.Go(func() { s.sendSubscribe(ctx, peers, address, request) })
 }
@@ -97,11 +97,11 @@
 // acknowledgeSubscription has polls say what is followed from now on.
 func (s *FleetState) acknowledgeSubscription(result *subscribeResult) {
 	followed := *s.position.subscription.Load()
-	followed.number = result.request.Sequence
+	followed.sequence = result.request.Sequence
 	if result.request.Reset {
 		followed.address = result.address
 		followed.incarnation = result.response.Incarnation
-		followed.roster = result.response.RosterVersion
+		followed.rosterVersion = result.response.RosterVersion
 	}
 	s.position.subscription.Store(&followed)
 }
--- a/internal/dataplane/watchposition.go
+++ b/internal/dataplane/watchposition.go
@@ -28,10 +28,10 @@
 type subscription struct {
 	address     string
 	incarnation string
-	// number is that of the last subscribe request that was answered.
-	number uint64
-	// roster is the version of the fleet-wide list of replicas that the endpoints were made from.
-	roster uint64
+	// sequence is that of the last subscribe request that was answered.
+	sequence uint64
+	// rosterVersion is that of the fleet-wide list of replicas that the endpoints were made from.
+	rosterVersion uint64
 }
 
 // init makes the pointers safe to load.
@@ -57,8 +57,8 @@
 	if subscribed.address != address {
 		return
 	}
-	request.SubscriptionSequence = subscribed.number
+	request.SubscriptionSequence = subscribed.sequence
 	if subscribed.incarnation == request.Incarnation {
-		request.RosterVersion = max(request.RosterVersion, subscribed.roster)
+		request.RosterVersion = max(request.RosterVersion, subscribed.rosterVersion)
 	}
 }
