--- a/internal/keystore/acceptor.go
+++ b/internal/keystore/acceptor.go
@@ -46,7 +46,7 @@
 }
 
 // Acceptor runs one member: one goroutine owns the AcceptorState, a second one the write-ahead log. A reply that depends
-// on a write is held back until the disk has synced it; a disk that hangs holds up nothing else.
+// on a write waits until the disk has synced it; a disk that hangs delays nothing else.
 //
 // Were a reply given before the sync, a crash could take back a promise or a value that a proposer has counted.
 type Acceptor struct {
--- a/internal/keystore/acceptor_state.go
+++ b/internal/keystore/acceptor_state.go
@@ -6,7 +6,7 @@
 )
 
 // AcceptorState is all that a member's replies depend on. Its methods decide without any IO: they are functions of the
-// state, what was asked and the time. They return the registers that must be on the disk before the reply goes out, and
+// state, the request and the time. They return the registers that must be on the disk before the reply goes out, and
 // change nothing but the grants of leases, which live in memory only.
 type AcceptorState struct {
 	// Address is the member's own.
@@ -87,7 +87,7 @@
 }
 
 // adoptMembership takes over a newer membership. A member that the new one does not keep loses its vote, and must catch
-// up again should it be taken back: it hears of no writes meanwhile.
+// up again should it return: it receives no writes meanwhile.
 func (s *AcceptorState) adoptMembership(membership Membership) []Register {
 	if membership.Version <= MembershipOf(s.Registers).Version {
 		return nil
--- a/internal/keystore/acceptor_steps.go
+++ b/internal/keystore/acceptor_steps.go
@@ -21,7 +21,7 @@
 // prepare promises to accept no proposal below the message's number, and replies with what was accepted so far. A member
 // that broke the promise would let an earlier owner finish a write that the new one has not seen.
 //
-// The reply tells, with or without a promise, which disk incarnations of others this member knows, so that nobody counts
+// The reply names, with or without a promise, the disk incarnations of others that this member knows, so that nobody counts
 // the promise of a member that has lost its disk since.
 func (s *AcceptorState) prepare(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	register := s.register(message.Key)
@@ -74,31 +74,34 @@
 	return false
 }
 
-// renew may be granted on a promise that the disk does not have yet: whoever took the key by a higher number since needs
-// this member's promise later, or had it already and is seen here.
+// renew extends the lease of its owner. It may be granted on a promise that the disk does not have yet: a proposer that
+// became the owner by a higher number since needs this member's promise later, or had it already and is seen here.
 func (s *AcceptorState) renew(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
-	register := s.Registers[message.Key]
-	reply.Register = register.WithoutValue()
-	if register.Promised != message.Proposal {
-		reply.Rejection = RejectedPromised
-		return reply, nil
+	reply = s.confirmPromise(message, reply)
+	if reply.Granted {
+		s.extendLease(message.Key, environment.now)
 	}
-	reply.Granted = true
-	s.extendLease(message.Key, environment.now)
 	return reply, nil
 }
 
 // release ends the grant of a lease for its owner only: another's lease must run its time.
 func (s *AcceptorState) release(message Message, reply Reply, _ stepEnvironment) (Reply, []Register) {
+	reply = s.confirmPromise(message, reply)
+	if reply.Granted {
+		delete(s.Grants, message.Key)
+	}
+	return reply, nil
+}
+
+// confirmPromise grants a message of the proposer that has this member's promise.
+func (s *AcceptorState) confirmPromise(message Message, reply Reply) Reply {
 	register := s.Registers[message.Key]
 	reply.Register = register.WithoutValue()
-	if register.Promised != message.Proposal {
+	reply.Granted = register.Promised == message.Proposal
+	if !reply.Granted {
 		reply.Rejection = RejectedPromised
-		return reply, nil
 	}
-	reply.Granted = true
-	delete(s.Grants, message.Key)
-	return reply, nil
+	return reply
 }
 
 // digest lists what is accepted and on the disk.
@@ -128,7 +131,7 @@
 	return reply, nil
 }
 
-// catchUp tells a member without a vote all that this one decided. The sender's disk incarnation is on this member's disk
+// catchUp sends a member without a vote all that this one decided. The sender's disk incarnation is on this member's disk
 // before the reply goes out: from then on no write is accepted here that counts a promise of an earlier one.
 func (s *AcceptorState) catchUp(message Message, reply Reply, _ stepEnvironment) (Reply, []Register) {
 	for _, key := range slices.Sorted(maps.Keys(s.Registers)) {
--- a/internal/keystore/bootstrap.go
+++ b/internal/keystore/bootstrap.go
@@ -3,14 +3,14 @@
 import "slices"
 
 // A system that starts for the first time has no member with a vote to catch up from. Its members, the seeds of the
-// settings, may then vote under the first membership all the same, once each of them has told that it never voted, or
-// that it votes under that very membership. Two things must be kept apart from that:
+// settings, may then vote under the first membership all the same, once each of them has replied that it never voted, or
+// that it votes under that very membership. Two cases must be kept apart from that:
 //
 //   - A system that has run before and lost the disks of a majority. What was acknowledged may have stood on those disks
-//     alone, so it must not start again from nothing. BootstrapCompleted on any disk that is left tells of it, and so
-//     does any later membership.
-//   - A member that voted, lost its disk and asks again while others are still at it. Each member records the disk
-//     incarnation of a member that asks before it answers, and later accepts no write that counts a promise of an
+//     alone, so it must not start again from nothing. BootstrapCompleted on any disk that is left shows it, and so does
+//     any later membership.
+//   - A member that voted, lost its disk and catches up again while others still bootstrap. Each member records the disk
+//     incarnation of a member that catches up before it replies, and later accepts no write that counts a promise of an
 //     earlier one.
 
 // BootstrapVersion is the version of the first membership.
@@ -61,7 +61,7 @@
 type BootstrapJudge func(self string, initial Membership, replies map[string]Reply) BootstrapVerdict
 
 // JudgeBootstrap decides on the replies to one OperationCatchUp that went to every initial member, the asking one
-// included. Each reply tells of the present disk of its giver, and each giver has the disk incarnation of the asking
+// included. Each reply is about the present disk of its sender, and each sender has the disk incarnation of the asking
 // member on its disk before it replies.
 func JudgeBootstrap(self string, initial Membership, replies map[string]Reply) BootstrapVerdict {
 	if initial.Version != BootstrapVersion || initial.IsJoint() {
--- a/internal/keystore/catchup_state.go
+++ b/internal/keystore/catchup_state.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// CatchUpRequest says which member catches up, and from whom: the members of Membership are asked, which is the one in
-// force or, while none is known, that of the bootstrap.
+// CatchUpRequest says which member catches up, and from whom: the members of Membership, which is the one in force
+// or, while none is known, that of the bootstrap.
 type CatchUpRequest struct {
 	Self            string
 	DiskIncarnation uint64
@@ -18,7 +18,7 @@
 type CatchUpResult struct {
 	Membership      Membership
 	DiskIncarnation uint64
-	// Registers hold, for each key, the newest value and the highest promise that any of them told.
+	// Registers hold, for each key, the newest value and the highest promise of any of them.
 	Registers []Register
 }
 
@@ -40,8 +40,8 @@
 	return result, verdict, verdict == BootstrapReady
 }
 
-// coversLostVotes says whether enough members told the one that catches up what they hold. A majority that was read by an
-// earlier disk incarnation has a member in common with one that is read by this one, so one of the replies tells of it.
+// coversLostVotes says whether enough members have sent the one that catches up what they hold. A majority that was read by an
+// earlier disk incarnation has a member in common with one that is read by this one, so one of the replies counts it.
 func (r *replySet) coversLostVotes(self string) bool {
 	answered := map[string]bool{}
 	hasEarlierIncarnation := false
@@ -52,7 +52,7 @@
 	return r.membership.CoversLostVotes(self, answered, hasEarlierIncarnation)
 }
 
-// mergedRegisters combines what all members told of each key, in the order of the keys.
+// mergedRegisters combines what all members hold of each key, in the order of the keys.
 func (r *replySet) mergedRegisters() []Register {
 	merged := map[string]Register{}
 	for _, reply := range r.replies {
--- a/internal/keystore/digest.go
+++ b/internal/keystore/digest.go
@@ -1,11 +1,11 @@
 package keystore
 
-// Digest is what a majority of members told of all keys, without values.
+// Digest is what a majority of members hold of all keys, without values.
 type Digest struct {
 	// Committed holds the newest proposal of each key that a quorum holds.
 	Committed map[string]Register
 	// Undecided holds the newest proposal of each key where no quorum is known to hold it: it may have been chosen or
-	// not. No older value of such a key may be taken for the one in force.
+	// not. No older value of such a key may count as the one in force.
 	Undecided map[string]Register
 }
 
@@ -28,7 +28,7 @@
 	return digest
 }
 
-// newestProposals are the newest proposals that any member told of, by key.
+// newestProposals are the newest proposals that any member holds, by key.
 func (r *replySet) newestProposals() map[string]Register {
 	newest := map[string]Register{}
 	for address, reply := range r.replies {
--- a/internal/keystore/faulty_directory_test.go
+++ b/internal/keystore/faulty_directory_test.go
@@ -32,7 +32,7 @@
 	return directory
 }
 
-// fault tells whether the operation goes wrong.
+// fails draws whether the operation goes wrong.
 func (f *faultyDirectory) fails() bool {
 	f.operationsLeft--
 	f.dead = f.dead || f.operationsLeft <= 0
--- a/internal/keystore/local_state.go
+++ b/internal/keystore/local_state.go
@@ -7,8 +7,8 @@
 
 // LocalState is what a member stores of itself.
 type LocalState struct {
-	// DiskIncarnation is a random number that is drawn anew with each loss of the disk. It tells a promise that was
-	// given before the loss from one given after it; without that, a proposer could count a promise that the member
+	// DiskIncarnation is a random number that is drawn anew with each loss of the disk. It distinguishes a promise
+	// that was given before the loss from one given after it; without that, a proposer could count a promise that the member
 	// does not remember, and a value that was acknowledged could be replaced.
 	DiskIncarnation uint64 `json:"incarnation"`
 	// Voting: a member without a vote promises, accepts and grants nothing. It has no vote until it has caught up.
--- a/internal/keystore/message.go
+++ b/internal/keystore/message.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Operation names what a message asks of a member.
+// Operation names what a message requests of a member.
 type Operation string
 
 // Message is a request to a member.
@@ -22,7 +22,7 @@
 	DiskIncarnation uint64 `json:"incarnation,omitempty"`
 }
 
-// Rejection is the reason why a member did not grant what a message asked.
+// Rejection is the reason why a member did not grant a message.
 type Rejection string
 
 // isContended says that the key has, or may have, another owner: trying again may help.
@@ -51,8 +51,8 @@
 	// KnownDiskIncarnations are those of the members that caught up here, by address. They tell a reply of such a member
 	// from before the loss of its disk from one after it.
 	KnownDiskIncarnations map[string]uint64 `json:"known,omitempty"`
-	// DiskIncarnationCount is how many disk incarnations of the sender of an OperationCatchUp have asked here, this one
-	// counted.
+	// DiskIncarnationCount is how many disk incarnations of the sender of an OperationCatchUp have caught up here, this
+	// one counted.
 	DiskIncarnationCount uint64 `json:"lives,omitempty"`
 	// NeverVoted says that a member without a vote never had one on its present disk.
 	NeverVoted bool `json:"neverVoted,omitempty"`
--- a/internal/keystore/names.go
+++ b/internal/keystore/names.go
@@ -141,7 +141,7 @@
 	registerValueField = "value"
 
 	// readyMarkerByte and damageMarkerByte are the first bytes of the two markers. A record begins with 0, so the first
-	// byte of a segment tells the three apart, however little of them was written.
+	// byte of a segment distinguishes the three, however little of them was written.
 	readyMarkerByte  = 0xF5
 	damageMarkerByte = 0xDA
 	// readyMarkerText follows readyMarkerByte.
--- a/internal/keystore/proposer.go
+++ b/internal/keystore/proposer.go
@@ -54,7 +54,7 @@
 	return s.writeValue(ctx, key, value, decide)
 }
 
-// writeValue commits a value. After an uncertain outcome it becomes the owner anew: what is committed then tells whether
+// writeValue commits a value. After an uncertain outcome it becomes the owner anew: what is committed then shows whether
 // the write took effect.
 func (s *Store) writeValue(ctx context.Context, key *keyState, value json.RawMessage, decide Decide) (Register, error) {
 	for {
--- a/internal/keystore/quorum.go
+++ b/internal/keystore/quorum.go
@@ -4,7 +4,7 @@
 
 // HasQuorum says whether those that agreed are a majority of the current list and, during a change, of the next one too.
 // Any two quorums of one membership share a member. Everything else rests on that: a proposer that prepares with a quorum
-// hears from at least one member of every quorum that accepted before.
+// receives the reply of at least one member of every quorum that accepted before.
 func (m Membership) HasQuorum(agreed map[string]bool) bool {
 	return isMajority(m.Current, agreed) && (!m.IsJoint() || isMajority(m.Next, agreed))
 }
--- a/internal/keystore/read.go
+++ b/internal/keystore/read.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// localFetchTimeout is how long the member on the same machine is asked alone.
+// localFetchTimeout is how long the member on the same machine is queried alone.
 const localFetchTimeout = 100 * time.Millisecond
 
 // Read returns a key's committed value, confirmed at a majority after the call began.
@@ -42,7 +42,7 @@
 	return register, err == nil
 }
 
-// Digest asks the members what they hold, and waits a little longer where that leaves something undecided. It returns
+// Digest queries what the members hold, and waits a little longer where that leaves something undecided. It returns
 // ErrNoMajority if too few reply.
 func (s *Store) Digest(ctx context.Context) (Digest, error) {
 	result := s.query(ctx, Message{Operation: OperationDigest}, func(replies *replySet) progress {
@@ -61,7 +61,7 @@
 	return result.digest(), nil
 }
 
-// Fetch brings the value of a proposal that a digest named. It asks the member on the same machine first, and returns
+// Fetch brings the value of a proposal that a digest named. It queries the member on the same machine first, and returns
 // ErrNoMajority if no member that replies holds the proposal.
 func (s *Store) Fetch(ctx context.Context, proposal Register) (Register, error) {
 	message := Message{
--- a/internal/keystore/record.go
+++ b/internal/keystore/record.go
@@ -21,8 +21,8 @@
 	indexOffset       = 16
 	kindOffset        = 24
 
-	// maxPayloadBytes keeps the first byte of every record 0, so that the first byte of a segment tells a generation from
-	// a marker, however little of them was written.
+	// maxPayloadBytes keeps the first byte of every record 0, so that the first byte of a segment distinguishes a generation
+	// from a marker, however little of them was written.
 	maxPayloadBytes = 1<<24 - 1
 )
 
--- a/internal/keystore/replies.go
+++ b/internal/keystore/replies.go
@@ -33,14 +33,14 @@
 	return r.membership.HasQuorum(agreeing), r.membership.HasQuorum(undecided)
 }
 
-// countsPromise says that a reply is a promise that still binds its giver. A member that lost its disk has told so many
-// others before it votes again that one of any quorum either knows of the loss, or had promised before and was read by
-// that member. Without this check a proposer could own a key on a promise that its giver has forgotten.
+// countsPromise says that a reply is a promise that still binds its giver. A member that lost its disk catches up
+// from so many others before it votes again that one of any quorum either knows of the loss, or had promised before and
+// was read by that member. Without this check a proposer could own a key on a promise that its giver has forgotten.
 func (r *replySet) countsPromise(address string, reply Reply) bool {
 	return reply.Granted && !r.predatesDiskLoss(address)
 }
 
-// predatesDiskLoss says that a member replied before it lost its disk, as the reply of another one tells: the reply says
+// predatesDiskLoss says that a member replied before it lost its disk, as the reply of another one shows: the reply says
 // nothing about what that member holds now.
 func (r *replySet) predatesDiskLoss(address string) bool {
 	reply := r.replies[address]
--- a/internal/keystore/round.go
+++ b/internal/keystore/round.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// send brings a member's reply, and learns the membership and the proposal number that it tells.
+// send returns a member's reply, and learns the membership and the proposal number in it.
 func (s *Store) send(ctx context.Context, address string, message Message) Reply {
 	reply, err := s.transport.Send(ctx, address, message)
 	if err != nil {
--- a/internal/keystore/segment.go
+++ b/internal/keystore/segment.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// hasGeneration tells whether the start of a generation can be read in the segment.
+// hasGeneration says whether the start of a generation can be read in the segment.
 func (s segment) hasGeneration() bool { return s.state == SegmentComplete || s.state == SegmentTorn }
 
 // decodeRegisters returns the newest register of each key in the segment's records. A record that is complete but can't be
--- a/internal/keystore/segments.go
+++ b/internal/keystore/segments.go
@@ -22,7 +22,7 @@
 //  4. What was read at a start is synced before it is used, so it can't be lost later.
 //  5. When damage is found, a damage marker with a new base is synced over the start of one segment. A complete generation
 //     with that base ends the damage; generations below the base are void and rule 3 doesn't ask for them. Damage markers
-//     and ready markers begin with bytes of their own, so even a torn one is told from a torn generation. The base is
+//     and ready markers begin with bytes of their own, so even a torn one differs from a torn generation. The base is
 //     above anything that was seen or can have been lost, and it isn't written to the marked segment.
 //
 // An attempt draws a salt that is part of the index of each of its records. So the remains of one attempt at a generation
@@ -84,13 +84,13 @@
 	return segment{}, false
 }
 
-// inUse tells whether anything was ever written to a segment.
+// inUse says whether anything was ever written to a segment.
 func (s segments) inUse() bool {
 	_, used := s.firstIn(SegmentReady, SegmentComplete, SegmentTorn, SegmentUnreadable, SegmentDamaged)
 	return used
 }
 
-// isRecognized tells whether any file was made by a write-ahead log. A file that is blank counts: a start that was cut
+// isRecognized says whether any file was made by a write-ahead log. A file that is blank counts: a start that was cut
 // short leaves no more; one that is only unreadable doesn't.
 func (s segments) isRecognized() bool {
 	_, recognized := s.firstIn(SegmentBlank, SegmentReady, SegmentComplete, SegmentTorn, SegmentDamaged)
--- a/internal/keystore/store.go
+++ b/internal/keystore/store.go
@@ -40,7 +40,7 @@
 	// semaphore has room for one: whoever has put its token there may use the fields below.
 	semaphore chan struct{}
 	// owned says that the Ownership is believed to stand. Another proposer may have ended it meanwhile: every use of it
-	// asks a majority.
+	// is confirmed by a majority.
 	owned bool
 	Ownership
 	latePromises <-chan memberReply
@@ -107,7 +107,7 @@
 	return ProposalNumber{Round: s.round.Add(1), Proposer: s.self, Incarnation: s.incarnation}
 }
 
-// observeProposalNumber raises the round to one that a member has told of.
+// observeProposalNumber raises the round to that of a number that a member has seen.
 func (s *Store) observeProposalNumber(proposal ProposalNumber) {
 	for {
 		seen := s.round.Load()
--- a/internal/keystore/wal.go
+++ b/internal/keystore/wal.go
@@ -24,7 +24,7 @@
 
 // WAL is the write-ahead log of one member's registers. It is a ring of preallocated files, the segments. Each generation
 // begins with a full copy of the state in the next segment, which is followed by a record for each register that changes.
-// See segments for the rules by which they are written, and by which damage is told from a crash.
+// See segments for the rules by which they are written, and by which damage is distinguished from a crash.
 //
 // A WAL is used by one goroutine at a time.
 type WAL struct {
--- a/internal/keystore/wal_faults_test.go
+++ b/internal/keystore/wal_faults_test.go
@@ -39,9 +39,12 @@
 	acked map[string]uint64
 	// sequence is the newest that was ever tried; those up to discardedUpTo belong to a state that was given up.
 	sequence, discardedUpTo uint64
-	// taken: a file was removed since the last start. reportedDamage: damage was reported, and no append acknowledged since;
-	// tried: but one was tried.
-	removedSinceStart, reportedDamage, triedAppend bool
+	// removedSinceStart: a file was removed since the last start.
+	removedSinceStart bool
+	// reportedDamage: damage was reported, and no append acknowledged since.
+	reportedDamage bool
+	// triedAppend: an append was tried since damage was reported.
+	triedAppend bool
 	// removed are the names removed since the log was last opened: never all, which would be a wiped disk.
 	removed map[string]bool
 	damages int
--- a/internal/test/keystoresim/disk.go
+++ b/internal/test/keystoresim/disk.go
@@ -23,7 +23,7 @@
 	rejecting int
 }
 
-// nameState tells whether a name is on the disk.
+// nameState says whether a name is on the disk.
 type nameState int
 
 const (
--- a/internal/test/keystoresim/transport.go
+++ b/internal/test/keystoresim/transport.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// lostMessageTimeout is when the sender of a lost message hears of it.
+	// lostMessageTimeout is when the sender of a lost message gives up.
 	lostMessageTimeout = 10 * time.Second
 
 	// One of lossPeriod messages is lost where the network is lossy, and one of slowPeriod takes up to maxSlowLatency
--- a/internal/test/modelcheck/proposer.go
+++ b/internal/test/modelcheck/proposer.go
@@ -68,7 +68,7 @@
 	keepsDigests        bool
 }
 
-// unencodedProposerState is what tells proposers apart besides their JSON.
+// unencodedProposerState is what distinguishes proposers besides their JSON.
 func unencodedProposerState(p *proposer) string { return fmt.Sprint(p.Ownership) }
 
 // outcome is what follows from an event at a proposer besides its new state.
--- a/internal/test/modelcheck/rounds.go
+++ b/internal/test/modelcheck/rounds.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// receive takes a reply; one to an earlier round only tells of proposal numbers and of the membership.
+// receive takes a reply; one to an earlier round only counts for its proposal number and membership.
 func (p *proposer) receive(at view, message packet) (*proposer, outcome) {
 	next := p.clone()
 	if !next.onLastAttempt() {
--- a/internal/test/modelcheck/scenario.go
+++ b/internal/test/modelcheck/scenario.go
@@ -64,7 +64,7 @@
 	// LeaseTicks is how many ticks a lease lasts, DigestValidityTicks for how many a digest may be answered from.
 	LeaseTicks          int
 	DigestValidityTicks int
-	// SeparatesSync tells steps from their sync. Without it a step and its sync are one action, which leaves out only what a
+	// SeparatesSync separates steps from their sync. Without it a step and its sync are one action, which leaves out only what a
 	// member answers between the two.
 	SeparatesSync bool
 	// DelaysReplies keeps replies under way for any time. Without it one arrives at once or never, see model.sendReplies for
--- a/internal/test/modelcheck/scenarios_bootstrap.go
+++ b/internal/test/modelcheck/scenarios_bootstrap.go
@@ -141,9 +141,7 @@
 func BootstrapMembershipChanged() Scenario {
 	scenario := BootstrapLongAgo()
 	scenario.Name, scenario.Summary = "founding-list-changed", "two of three disks are lost after the founding list was changed"
-	scenario.Membership, scenario.BootstrapCompleted, scenario.ForgetsMembership = keystore.Membership{
-		Version: 3,
-		Current: three.Current,
-	}, false, false
+	scenario.Membership = keystore.Membership{Version: 3, Current: three.Current}
+	scenario.BootstrapCompleted, scenario.ForgetsMembership = false, false
 	return scenario
 }
--- a/internal/test/modelcheck/step.go
+++ b/internal/test/modelcheck/step.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// deliver gives a packet to its receiver. Unless the scenario tells a step from its sync, the disk syncs at once.
+// deliver gives a packet to its receiver. Unless the scenario separates a step from its sync, the disk syncs at once.
 func (m *model) deliver(w *world, id stateID, lost bool) error {
 	message := m.packets.get(id)
 	if message.Reply != nil {
--- a/internal/test/modelcheck/table.go
+++ b/internal/test/modelcheck/table.go
@@ -8,7 +8,7 @@
 // stateID identifies an entry of a table.
 type stateID = uint32
 
-// table keeps each distinct value once. Values are told apart by a canonical encoding: JSON
+// table keeps each distinct value once. Values are distinguished by a canonical encoding: JSON
 // with sorted maps, and the printed form of what JSON leaves out.
 type table[T any] struct {
 	values []*T
