--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/scheduler_host.go
@@ -3,17 +3,14 @@
 import (
 	"context"
 	"slices"
-	"sort"
 	"time"
 
-	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/drill"
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/lease"
 	"ferryspar/internal/nodesettings"
-	"ferryspar/internal/peer"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/retention"
 )
@@ -46,11 +43,10 @@
 			SeedRank: max(slices.Index(n.settings.SeedPeers(), n.self), 0),
 			Leaving:  n.members.Leaving(),
 		},
-		State:      host,
-		Roster:     host,
-		Purges:     host,
-		Replicas:   replica.NewClient(n.network),
-		Aggregator: demand.NewDemandAggregator(),
+		State:    host,
+		Roster:   host,
+		Purges:   host,
+		Replicas: replica.NewClient(n.network),
 	})
 }
 
@@ -97,25 +93,6 @@
 	return h.node.members.IsReachable(h.node.publisher.Current().LeaseHolder, now)
 }
 
-// addPlacementForecast adds to a forecast what the lease holder would place and remove; the forecast is partial if the
-// holder cannot be asked.
-func (n *Node) addPlacementForecast(ctx context.Context, merged *drill.Forecast, request drill.ForecastRequest) {
-	var plan drill.PlacementPlan
-	holder := n.publisher.Current().LeaseHolder
-	if holder == n.self {
-		plan = n.handlePlanRequest(ctx, request)
-	} else if holder != "" {
-		_ = n.peers.Call(ctx, peer.MethodForecastPlan, holder, request, &plan)
-	}
-	if !plan.HoldsLease {
-		merged.Partial = true
-		merged.Missing = append(merged.Missing, "placement holder "+holder)
-		sort.Strings(merged.Missing)
-		return
-	}
-	merged.Placement = plan.Steps
-}
-
 // handlePlanRequest answers what this node would place and remove as the lease holder. The plan does not hold if it is not
 // the holder.
 func (n *Node) handlePlanRequest(ctx context.Context, request drill.ForecastRequest) drill.PlacementPlan {
--- a/internal/dataplane/fleetstate.go
+++ b/internal/dataplane/fleetstate.go
@@ -31,7 +31,7 @@
 type FleetState struct {
 	settings nodesettings.Settings
 	clock    func() time.Time
-	fleet    *atomic.Pointer[routing.Snapshot]
+	snapshot *atomic.Pointer[routing.Snapshot]
 	onChange func()
 	repoll   func(address string)
 	// requestLog, if set before Run, has configurations and fleets written to it.
@@ -46,13 +46,11 @@
 	drills       drillFollower
 
 	// The parts below belong to the goroutine of Run, without a lock; other goroutines hand it results by channels.
-	adopted          adoptedState
-	controlPeers     controlPeers
-	endpoints        endpointTable
-	subscribing      bool
-	subscribeResults chan subscribeResult
-	others           othersLoad
-	othersReports    chan peer.FleetLoad
+	adopted       adoptedState
+	controlPeers  controlPeers
+	subscriptions subscriptions
+	endpoints     endpointTable
+	others        othersLoad
 	// calls are the goroutines that Run has started.
 	calls sync.WaitGroup
 }
@@ -63,20 +61,22 @@
 	zones map[string]peer.ZoneState
 }
 
-// othersLoad is the summed load of the other data planes. It belongs to the goroutine of FleetState.Run.
+// othersLoad is the summed load of the other data planes. It belongs to the goroutine of FleetState.Run, but for reports.
 type othersLoad struct {
-	load       peer.FleetLoad
+	// reports are those on their way to Run.
+	reports    chan peer.FleetLoad
+	latest     peer.FleetLoad
 	receivedAt time.Time
 }
 
-// FleetStateOptions are what a FleetState works with. Settings, Clock and Fleet are needed; a nil function or part is
+// FleetStateOptions are what a FleetState works with. Settings, Clock and Snapshot are needed; a nil function or part is
 // left out.
 type FleetStateOptions struct {
 	Settings nodesettings.Settings
 	Clock    func() time.Time
-	// Fleet is replaced as a whole whenever something changes.
-	Fleet *atomic.Pointer[routing.Snapshot]
-	// OnChange is called after each swap of Fleet.
+	// Snapshot is replaced as a whole whenever something changes.
+	Snapshot *atomic.Pointer[routing.Snapshot]
+	// OnChange is called after each swap of Snapshot.
 	OnChange func()
 	// UpdateLedger has the change made by the goroutine that owns the prefix ledger, now or later.
 	UpdateLedger func(change func(*routing.PrefixLedger))
@@ -87,12 +87,12 @@
 	Quotas *Quotas
 }
 
-// NewFleetState returns a state that knows nothing yet, and stores an empty fleet.
+// NewFleetState returns a state that knows nothing yet, and stores an empty snapshot.
 func NewFleetState(options FleetStateOptions) *FleetState {
 	state := &FleetState{
 		settings:     options.Settings,
 		clock:        options.Clock,
-		fleet:        options.Fleet,
+		snapshot:     options.Snapshot,
 		onChange:     options.OnChange,
 		repoll:       options.Repoll,
 		freshness:    newFreshness(options.Settings),
@@ -105,22 +105,22 @@
 			zone:      options.Settings.Zone,
 			byAddress: map[string]*controlPeer{},
 		},
-		endpoints:        endpointTable{regions: options.Settings.Zones, clock: options.Clock},
-		subscribeResults: make(chan subscribeResult, pendingResults),
-		othersReports:    make(chan peer.FleetLoad, pendingResults),
+		subscriptions: subscriptions{results: make(chan subscribeResult, pendingResults)},
+		endpoints:     endpointTable{regions: options.Settings.Zones, clock: options.Clock},
+		others:        othersLoad{reports: make(chan peer.FleetLoad, pendingResults)},
 	}
 	state.position.init()
-	options.Fleet.Store(&routing.Snapshot{})
+	options.Snapshot.Store(&routing.Snapshot{})
 	return state
 }
 
-// Ready tells whether a configuration has been adopted. Any goroutine may call it.
-func (s *FleetState) Ready() bool { return s.fleet.Load().Table != nil }
+// Ready reports whether a configuration has been adopted. Any goroutine may call it.
+func (s *FleetState) Ready() bool { return s.snapshot.Load().Table != nil }
 
 // Primary is the address of the control-plane node that endpoints are followed at, or empty. Any goroutine may call it.
 func (s *FleetState) Primary() string { return *s.position.primary.Load() }
 
-// TrustsContext tells whether the prefixes that replicas are taken to have cached may still be used. Any goroutine may
+// TrustsContext reports whether the prefixes that replicas are taken to have cached may still be used. Any goroutine may
 // call it.
 func (s *FleetState) TrustsContext(now time.Time) bool { return s.contextRules.trusted(now) }
 
@@ -130,7 +130,7 @@
 // AdoptFleetLoad hands the load of the other data planes to Run, or gives up when the context ends.
 func (s *FleetState) AdoptFleetLoad(ctx context.Context, load peer.FleetLoad) {
 	select {
-	case s.othersReports <- load:
+	case s.others.reports <- load:
 	case <-ctx.Done():
 	}
 }
@@ -145,21 +145,21 @@
 		case <-ctx.Done():
 			return
 		case result := <-watcher.results:
-			s.useWatchResult(ctx, result)
+			s.useWatchResult(ctx, &result)
 			if result.err == nil {
 				watcher.Watch(ctx, result.response.ControlPlanes)
 			}
 		case <-s.interest.wake:
 			s.subscribe(ctx, peers)
-		case result := <-s.subscribeResults:
-			if s.handleSubscribeResult(result) {
+		case result := <-s.subscriptions.results:
+			if s.handleSubscribeResult(&result) {
 				s.publish()
 			}
 			if s.completeFrom(result.address) {
 				s.subscribe(ctx, peers)
 			}
-		case load := <-s.othersReports:
-			s.others = othersLoad{load: load, receivedAt: s.clock()}
+		case load := <-s.others.reports:
+			s.others.latest, s.others.receivedAt = load, s.clock()
 			s.publish()
 		case <-ticker.C:
 			s.choosePrimary()
@@ -170,49 +170,49 @@
 }
 
 // useWatchResult adopts a result, publishes what it changed and lets the next poll begin, which then acknowledges it.
-func (s *FleetState) useWatchResult(ctx context.Context, result watchResult) {
+func (s *FleetState) useWatchResult(ctx context.Context, result *watchResult) {
 	if s.handleWatchResult(ctx, result) {
 		s.publish()
 	}
 	if result.err == nil {
-		s.freshness.observe(result.response, result.sentAt, s.position.revision.Load(), result.fresh())
+		s.freshness.observe(&result.response, result.sentAt, s.position.revision.Load(), result.fresh())
 	}
 	result.markHandled()
 }
 
-// handleWatchResult adopts a result and reports whether the fleet changed.
-func (s *FleetState) handleWatchResult(ctx context.Context, result watchResult) bool {
+// handleWatchResult adopts a result and reports whether the snapshot changes by it.
+func (s *FleetState) handleWatchResult(ctx context.Context, result *watchResult) bool {
 	control := s.controlPeers.at(result.address)
 	if result.err != nil {
 		control.fresh = false
 		s.choosePrimary()
 		return false
 	}
-	response, fresh := result.response, result.fresh()
+	response, fresh := &result.response, result.fresh()
 	control.update(result)
 	changed := false
 	if fresh && s.acceptable(response) {
 		changed = s.adopt(response)
-		s.contextRules.lastConfirmed.Store(&result.receivedAt)
+		s.contextRules.confirm(result.receivedAt)
 		changed = s.drills.handle(ctx, &s.calls, result, s.evacuating()) || changed
 	}
 	if fresh && s.quotas != nil {
-		count, known := s.controlPeers.presentEdgeCount(s.clock())
-		s.quotas.handleUpdate(response, count, known, result.sentAt)
+		count, reliable := s.controlPeers.reliableDataPlaneCount(s.clock())
+		s.quotas.handleUpdate(response, count, reliable, result.sentAt)
 	}
 	s.choosePrimary()
 	return s.handleEndpointSets(control, result) || changed
 }
 
-// acceptable tells whether a response may bring the first configuration of this incarnation: only if contact with a
+// acceptable reports whether a response may bring the first configuration of this incarnation: only if contact with a
 // majority was proven after this data plane polled, or a configuration from before its start could be older than the one
 // it served then. Later ones only ever rise.
-func (s *FleetState) acceptable(response peer.WatchResponse) bool {
+func (s *FleetState) acceptable(response *peer.WatchResponse) bool {
 	return response.Linearizable || s.position.revision.Load() > 0
 }
 
-// adopt adopts what is newer in a response and reports whether the fleet changed.
-func (s *FleetState) adopt(response peer.WatchResponse) bool {
+// adopt adopts what is newer in a response and reports whether the snapshot changes by it.
+func (s *FleetState) adopt(response *peer.WatchResponse) bool {
 	changed, err := s.adoptConfiguration(response)
 	if err != nil {
 		logrus.WithError(err).Error("configuration from control plane rejected")
@@ -242,7 +242,7 @@
 	return changed
 }
 
-// evacuating tells whether any zone is evacuated.
+// evacuating reports whether any zone is evacuated.
 func (s *FleetState) evacuating() bool {
 	for _, state := range s.adopted.zones {
 		if state.Drained {
@@ -259,24 +259,24 @@
 	}
 }
 
-// publish swaps in the fleet as it is now.
+// publish swaps in a snapshot of what is known now.
 func (s *FleetState) publish() {
-	fleet := &routing.Snapshot{
+	snapshot := &routing.Snapshot{
 		Table:        s.adopted.table,
 		DrainedZones: make(map[string]bool, len(s.adopted.zones)),
-		DataPlanes:   s.controlPeers.edgeCount(s.clock()),
+		DataPlanes:   s.controlPeers.dataPlaneCount(s.clock()),
 		ListedAt:     s.endpoints.asOf,
 		Replicas:     s.endpoints.replicas,
-		PeerLoads:    s.others.load.Replicas,
+		PeerLoads:    s.others.latest.Replicas,
 		PeerLoadsAt:  s.others.receivedAt,
-		PeerOutcomes: s.others.load.Total,
+		PeerOutcomes: s.others.latest.Total,
 		Drill:        s.drills.current,
 	}
 	for zone, state := range s.adopted.zones {
-		fleet.DrainedZones[zone] = state.Drained
+		snapshot.DrainedZones[zone] = state.Drained
 	}
-	s.fleet.Store(fleet)
-	s.recordFleet(fleet)
+	s.snapshot.Store(snapshot)
+	s.recordSnapshot(snapshot)
 	if s.onChange != nil {
 		s.onChange()
 	}
--- a/internal/proxy/authorization.go
+++ b/internal/proxy/authorization.go
@@ -11,13 +11,13 @@
 	"ferryspar/internal/routing"
 )
 
-// Freshness tells how sure the data plane is that the configuration in use is the newest. Any goroutine may call it.
+// Freshness says how sure the data plane is that the configuration in use is the newest. Any goroutine may call it.
 type Freshness interface {
-	// Behind tells whether a newer configuration is known of that has not been adopted yet.
+	// Behind reports whether a newer configuration is known of that has not been adopted yet.
 	Behind() bool
-	// Current tells whether nothing newer can have been in force for long, so that what is unknown here may be rejected.
+	// Current reports whether nothing newer can have been in force for long, so that what is unknown here may be rejected.
 	Current(now time.Time) bool
-	// KeysValid tells whether no key can have been revoked longer ago than the settings allow it to be served.
+	// KeysValid reports whether no key can have been revoked longer ago than the settings allow it to be served.
 	KeysValid(now time.Time) bool
 }
 
@@ -77,18 +77,18 @@
 }
 
 // authorize finds what the configuration allows the request. It is rejected for good only where the configuration is known
-// to be new: what a newer one may allow waits for it briefly, and is then asked to come again.
+// to be new: what a newer one may allow waits for it briefly, and the client is then asked to retry later.
 func (h *Handler) authorize(request *http.Request, arrived time.Time) (*routing.Snapshot, authorization, error) {
 	presented := credentialFrom(request.Header)
 	for {
 		keysValid := h.keysValid()
-		fleet := h.fleet.Load()
-		allowed, rejection := resolveAccess(fleet.Table, request.Host, request.RequestURI, presented)
+		snapshot := h.snapshot.Load()
+		allowed, rejection := resolveAccess(snapshot.Table, request.Host, request.RequestURI, presented)
 		if rejection == nil && allowed.tenant != configuration.NoTenant && !keysValid {
 			return nil, authorization{}, apierror.NewRetryable(apierror.OutdatedKeys, staleRetryAfter)
 		}
 		if rejection == nil {
-			return fleet, allowed, nil
+			return snapshot, allowed, nil
 		}
 		if !h.behind() || h.clock().Sub(arrived) > newerConfigurationTimeout || !awaitPollInterval(request.Context()) {
 			return nil, authorization{}, h.confirmRejection(rejection)
@@ -96,7 +96,7 @@
 	}
 }
 
-// confirmRejection returns the rejection where the configuration is known to be new, else the request to come again.
+// confirmRejection returns the rejection where the configuration is known to be new, else asks the client to retry later.
 func (h *Handler) confirmRejection(rejection *apierror.Error) *apierror.Error {
 	if h.Freshness == nil || !h.behind() && h.Freshness.Current(h.clock()) {
 		return rejection
@@ -117,7 +117,7 @@
 		return nil
 	}
 	keysValid := e.handler.keysValid()
-	table := e.handler.fleet.Load().Table
+	table := e.handler.snapshot.Load().Table
 	parsed := e.parsed
 	if table != parsed.authorization.table {
 		public := parsed.route.Public
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -24,7 +24,7 @@
 	// attempts counts those that may have reached a replica, unreached those that didn't.
 	attempts  int
 	unreached int
-	// mayHaveRun says that an attempt may have run, so that the client must not be told that none has.
+	// mayHaveRun says that an attempt may have run, so that the client must not be answered that none has.
 	mayHaveRun bool
 	// notLoaded says that the last replica didn't have the model loaded.
 	notLoaded bool
@@ -84,7 +84,7 @@
 		e.report(routing.OutcomeCancelled)
 		return assignment, rejection
 	}
-	if e.attempts > 0 && !handler.retryBudgets.ForBackend(request.Backend).Allow(handler.clock(), handler.fleet.Load().DataPlanes) {
+	if e.attempts > 0 && !handler.retryBudgets.ForBackend(request.Backend).Allow(handler.clock(), handler.snapshot.Load().DataPlanes) {
 		e.report(routing.OutcomeCancelled)
 		return assignment, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
 	}
@@ -118,7 +118,7 @@
 	return e.retryOrFail(notExecuted)
 }
 
-// report tells the matcher how the attempt goes.
+// report reports to the matcher how the attempt goes.
 func (e *exchange) report(outcome routing.Outcome) { e.handler.matcher.Report(e.ticket, outcome) }
 
 // fail answers the client with an error, or aborts a response that has begun.
