--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"ferryspar/internal/controlplane/members"
 	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/keystore"
 )
@@ -17,6 +18,20 @@
 	earlyDataPlaneCountDelay = time.Second
 )
 
+// newMembers returns the manager of the node's part in the control plane.
+func (n *Node) newMembers() *members.Manager {
+	config := members.Config{
+		Self:           n.self,
+		NodeName:       n.settings.NodeName,
+		Zone:           n.settings.Zone,
+		Seeds:          n.settings.SeedPeers(),
+		DesiredMembers: 2*n.settings.FaultTolerance.MachineLoss + 1,
+		Clock:          n.clock,
+		StartedAt:      n.startedAt,
+	}
+	return members.NewManager(config, n.store, n.acceptor, n.peers, n.dataPlanes, membersHost{n})
+}
+
 // membersHost is a node as its members.Manager sees it.
 type membersHost struct {
 	node *Node
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/rand"
 	"encoding/binary"
-	"net/http"
 	"strconv"
 	"time"
 
@@ -18,7 +17,6 @@
 	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/controlstate"
-	"ferryspar/internal/discovery"
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/nodesettings"
@@ -35,27 +33,33 @@
 	self string
 	// incarnation names this start of the process.
 	incarnation string
-	clock       func() time.Time
-	startedAt   time.Time
-	network     peer.Network
-	peers       *peer.Client
-
+	// clock is steady; startedAt is its reading at the start.
+	clock     func() time.Time
+	startedAt time.Time
+	network   peer.Network
+	// peers calls other nodes; bus carries events between the parts of this one.
+	peers *peer.Client
+	bus   *eventbus.Bus
+
+	// Committed state: this member's acceptor and the store over all members, the operators' changes of
+	// the configuration and zones, and what is published of the rest.
 	acceptor *keystore.Acceptor
 	store    *keystore.Store
 	state    *controlstate.State
 	applier  *applier.Applier
 
+	// The rest of the control plane and the data planes, and what they are sent and report.
+	members      *members.Manager
+	dataPlanes   *dataplanes.Registry
 	publisher    *watch.Publisher
 	endpoints    *watch.EndpointPublisher
 	watchServer  *watch.Server
 	loads        *demand.LoadAggregator
 	loadExchange *demand.Exchange
-	dataPlanes   *dataplanes.Registry
-	members      *members.Manager
-	scheduler    *scheduler.Scheduler
-	bus          *eventbus.Bus
 
+	// Replicas, and what operators rehearse with them.
 	roster     *roster.Roster
+	scheduler  *scheduler.Scheduler
 	drills     *drillcontrol.Controller
 	forecaster *drillcontrol.Forecaster
 }
@@ -108,14 +112,6 @@
 	return node, nil
 }
 
-const (
-	// listConnectTimeout and listAckTimeout bound how long the platform's list may take to accept a
-	// connection, and to acknowledge what was sent on it.
-	listConnectTimeout  = 500 * time.Millisecond
-	listAckTimeout      = 1500 * time.Millisecond
-	listIdleConnections = 2
-)
-
 // initializeWAL writes the first registers of a member whose log is empty, and returns whether it takes
 // part in bootstrapping the system: a disk that lost its state does not, whatever the settings say.
 func initializeWAL(wal *keystore.WAL, settings nodesettings.Settings) (isBootstrapping bool, err error) {
@@ -149,35 +145,6 @@
 	n.state = &controlstate.State{Store: n.store, Zones: n.settings.Zones, Clock: n.clock}
 }
 
-func (n *Node) newMembers() *members.Manager {
-	config := members.Config{
-		Self:           n.self,
-		NodeName:       n.settings.NodeName,
-		Zone:           n.settings.Zone,
-		Seeds:          n.settings.SeedPeers(),
-		DesiredMembers: 2*n.settings.FaultTolerance.MachineLoss + 1,
-		Clock:          n.clock,
-		StartedAt:      n.startedAt,
-	}
-	return members.NewManager(config, n.store, n.acceptor, n.peers, n.dataPlanes, membersHost{n})
-}
-
-func (n *Node) newRoster() *roster.Roster {
-	transport := peer.NewTransport(n.network, listConnectTimeout, listAckTimeout, listIdleConnections)
-	lister := &discovery.Client{
-		Address:    n.settings.CloudAPI.Address,
-		HTTPClient: &http.Client{Transport: transport},
-	}
-	config := roster.Config{
-		Self:           n.self,
-		Incarnation:    n.incarnation,
-		CallsPerSecond: n.settings.CloudAPI.RatePerS,
-		Clock:          n.clock,
-	}
-	host := rosterHost{Client: n.peers, node: n}
-	return roster.New(config, lister, host, host, host)
-}
-
 // minLeaseDuration is the shortest time that a lease is granted for.
 const minLeaseDuration = 500 * time.Millisecond
 
--- a/internal/controlplane/node_bench_test.go
+++ b/internal/controlplane/node_bench_test.go
@@ -21,15 +21,23 @@
 func newBenchNode(b *testing.B) *Node {
 	settings, err := nodesettings.Parse(nil)
 	assert.NilError(b, err)
-	settings.NodeName, settings.IPAddress, settings.InternalPorts, settings.Bootstrap = "daemon-1", "10.0.0.1", []int{7000, 7010}, true
-	settings.SeedNodes, settings.CloudAPI.Address = []string{"10.0.0.1:8166"}, "10.0.0.9:80"
-	settings.Zones, settings.Zone = map[string]string{"north": "land"}, "north"
+	settings.NodeName = "daemon-1"
+	settings.IPAddress = "10.0.0.1"
+	settings.InternalPorts = []int{7000, 7010}
+	settings.Bootstrap = true
+	settings.SeedNodes = []string{"10.0.0.1:8166"}
+	settings.CloudAPI.Address = "10.0.0.9:80"
+	settings.Zones = map[string]string{"north": "land"}
+	settings.Zone = "north"
 	directory, err := keystore.NewDirectory(b.TempDir())
 	assert.NilError(b, err)
 	node, err := New(settings, "", peer.HostNetwork{}, directory)
 	assert.NilError(b, err)
 	node.publisher.Update(func(next *watch.Snapshot) bool {
-		next.ConfirmedAt, next.DataPlaneCount, next.LeaseHolder, next.ControlPlanes = time.Now().Add(time.Hour), 80, "10.0.0.1:7000", []string{"10.0.0.1:7000"}
+		next.ConfirmedAt = time.Now().Add(time.Hour)
+		next.DataPlaneCount = 80
+		next.LeaseHolder = "10.0.0.1:7000"
+		next.ControlPlanes = []string{"10.0.0.1:7000"}
 		return true
 	})
 	return node
@@ -38,9 +46,22 @@
 func benchRoster(replicas, turn int) []discovery.Replica {
 	var list []discovery.Replica
 	for index := range replicas {
-		replica := discovery.Replica{ID: fmt.Sprintf("i-%08x", index), Backend: "writers", Address: fmt.Sprintf("10.1.%d.%d:8080", index/200, index%200), Zone: "north", Revision: "v1", Slots: 64, State: "ready", Phase: "unified"}
+		replica := discovery.Replica{
+			ID:       fmt.Sprintf("i-%08x", index),
+			Backend:  "writers",
+			Address:  fmt.Sprintf("10.1.%d.%d:8080", index/200, index%200),
+			Zone:     "north",
+			Revision: "v1",
+			Slots:    64,
+			State:    "ready",
+			Phase:    "unified",
+		}
 		for slot := range 2 {
-			replica.Models = append(replica.Models, discovery.LoadedModel{Name: fmt.Sprintf("model%04d", 2*index+slot), Revision: 1, Adapters: []string{"a1", "a2"}})
+			replica.Models = append(replica.Models, discovery.LoadedModel{
+				Name:     fmt.Sprintf("model%04d", 2*index+slot),
+				Revision: 1,
+				Adapters: []string{"a1", "a2"},
+			})
 		}
 		list = append(list, replica)
 	}
@@ -76,12 +97,24 @@
 )
 
 func testReport(dataPlane, replicas int) peer.LoadReport {
-	report := peer.LoadReport{DataPlane: fmt.Sprintf("edge-%03d", dataPlane), Zone: "north", Replicas: map[string]peer.ReplicaLoad{}}
+	report := peer.LoadReport{
+		DataPlane: fmt.Sprintf("edge-%03d", dataPlane),
+		Zone:      "north",
+		Replicas:  map[string]peer.ReplicaLoad{},
+	}
 	for index := range min(replicas, runningAt) {
-		report.Replicas[fmt.Sprintf("i-%08x", (dataPlane*7+index)%replicas)] = peer.ReplicaLoad{Running: 3, Tokens: 4200, PrefillTokens: 800}
+		replica := fmt.Sprintf("i-%08x", (dataPlane*7+index)%replicas)
+		report.Replicas[replica] = peer.ReplicaLoad{Running: 3, Tokens: 4200, PrefillTokens: 800}
 	}
 	for index := range fewModels {
-		report.Models = append(report.Models, peer.ModelLoad{Backend: "writers", Model: fmt.Sprintf("model%04d", (dataPlane*3+index)%(2*replicas)), Arrivals: 1, Running: 2, LatencyTargetMs: 600, PrefillMs: 20})
+		report.Models = append(report.Models, peer.ModelLoad{
+			Backend:         "writers",
+			Model:           fmt.Sprintf("model%04d", (dataPlane*3+index)%(2*replicas)),
+			Arrivals:        1,
+			Running:         2,
+			LatencyTargetMs: 600,
+			PrefillMs:       20,
+		})
 	}
 	return report
 }
@@ -120,7 +153,13 @@
 			routes, size := node.peerRoutes(), 0
 			subscribeAll(b, routes, 1, replicas)
 			for b.Loop() {
-				size = postJSON(b, routes, peer.MethodWatch, peer.WatchRequest{DataPlane: "edge-000", Zone: "north", Primary: true, MaxWaitMs: 1, SubscriptionSequence: 1})
+				size = postJSON(b, routes, peer.MethodWatch, peer.WatchRequest{
+					DataPlane:            "edge-000",
+					Zone:                 "north",
+					Primary:              true,
+					MaxWaitMs:            1,
+					SubscriptionSequence: 1,
+				})
 			}
 			b.ReportMetric(float64(size), "bytes/answer")
 		})
@@ -150,7 +189,10 @@
 			}
 			size := 0
 			for b.Loop() {
-				content, err := json.Marshal([]peer.LoadSummary{node.loads.Summary(node.self, time.Time{}), node.loads.DemandSummary(node.self, false)})
+				content, err := json.Marshal([]peer.LoadSummary{
+					node.loads.Summary(node.self, time.Time{}),
+					node.loads.DemandSummary(node.self, false),
+				})
 				assert.NilError(b, err)
 				size = len(content)
 			}
--- a/internal/controlplane/roster/list_test.go
+++ b/internal/controlplane/roster/list_test.go
@@ -10,11 +10,11 @@
 	"ferryspar/internal/peer"
 )
 
-var rosterTestStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestList_AdoptsOlderListOnlyFromSender(t *testing.T) {
 	old, next := []discovery.Replica{{ID: "old"}}, []discovery.Replica{{ID: "next"}}
-	at := func(seconds int) time.Time { return rosterTestStart.Add(time.Duration(seconds) * time.Second) }
+	at := func(seconds int) time.Time { return testStart.Add(time.Duration(seconds) * time.Second) }
 	state := list{}
 	assert.Assert(t, state.set(next, at(5)))
 	assert.Assert(t, !state.set(old, at(4)), "a question that began before")
@@ -31,8 +31,8 @@
 
 func TestList_KeepsCordonsForTheirLifetime(t *testing.T) {
 	state := list{}
-	state.adopt(peer.RosterUpdate{Member: "a", Cordoned: []string{"i-1 swift"}}, rosterTestStart, rosterTestStart)
-	assert.Assert(t, state.set(nil, rosterTestStart.Add(time.Second)))
-	assert.DeepEqual(t, state.cordonedModels(rosterTestStart.Add(cordonLifetime)), []string{"i-1 swift"})
-	assert.Equal(t, len(state.cordonedModels(rosterTestStart.Add(cordonLifetime+1))), 0)
+	state.adopt(peer.RosterUpdate{Member: "a", Cordoned: []string{"i-1 swift"}}, testStart, testStart)
+	assert.Assert(t, state.set(nil, testStart.Add(time.Second)))
+	assert.DeepEqual(t, state.cordonedModels(testStart.Add(cordonLifetime)), []string{"i-1 swift"})
+	assert.Equal(t, len(state.cordonedModels(testStart.Add(cordonLifetime+1))), 0)
 }
--- a/internal/controlplane/roster_host.go
+++ b/internal/controlplane/roster_host.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
@@ -10,6 +11,31 @@
 	"ferryspar/internal/peer"
 )
 
+const (
+	// listConnectTimeout and listAckTimeout bound how long the platform's list may take to accept a
+	// connection, and to acknowledge what was sent on it.
+	listConnectTimeout  = 500 * time.Millisecond
+	listAckTimeout      = 1500 * time.Millisecond
+	listIdleConnections = 2
+)
+
+// newRoster returns the roster of the node.
+func (n *Node) newRoster() *roster.Roster {
+	transport := peer.NewTransport(n.network, listConnectTimeout, listAckTimeout, listIdleConnections)
+	lister := &discovery.Client{
+		Address:    n.settings.CloudAPI.Address,
+		HTTPClient: &http.Client{Transport: transport},
+	}
+	config := roster.Config{
+		Self:           n.self,
+		Incarnation:    n.incarnation,
+		CallsPerSecond: n.settings.CloudAPI.RatePerS,
+		Clock:          n.clock,
+	}
+	host := rosterHost{Client: n.peers, node: n}
+	return roster.New(config, lister, host, host, host)
+}
+
 // rosterHost is a node as its roster.Roster sees it: its scheduler, its publishers, and the other
 // control-plane nodes.
 type rosterHost struct {
