--- a/internal/controlplane/replicatracker/models.go
+++ b/internal/controlplane/replicatracker/models.go
@@ -1,7 +1,6 @@
 package replicatracker
 
 import (
-	"slices"
 	"sort"
 	"strings"
 
@@ -62,10 +61,3 @@
 	}
 	return count == len(loaded)
 }
-
-// sameModels tells whether two lists of models are the same, in order too.
-func sameModels(former, latter []discovery.LoadedModel) bool {
-	return slices.EqualFunc(former, latter, func(left, right discovery.LoadedModel) bool {
-		return left.Name == right.Name && left.Revision == right.Revision && slices.Equal(left.Adapters, right.Adapters)
-	})
-}
--- a/internal/controlplane/replicatracker/tracker.go
+++ b/internal/controlplane/replicatracker/tracker.go
@@ -71,7 +71,7 @@
 			present[listed.ID] = true
 			t.listed = append(t.listed, replica)
 		}
-		replica.confirmedByList = replica.confirmedByList && sameModels(replica.listed.Models, listed.Models)
+		replica.confirmedByList = replica.confirmedByList && discovery.SameModels(replica.listed.Models, listed.Models)
 		replica.listed = *listed
 		replica.recheckContradicted(t.listLag, asOf, now)
 		t.disks.RecordListed(*listed)
