--- a/internal/controlplane/watch_host.go
+++ b/internal/controlplane/watch_host.go
@@ -23,7 +23,7 @@
 func (h watchHost) RecordWatch(request peer.WatchRequest, receivedAt time.Time) {
 	h.node.dataPlanes.RecordWatch(request, receivedAt)
 	if request.Drill != nil {
-		h.node.recordDrillReport(request.DataPlane, *request.Drill)
+		h.node.drills.RecordReport(request.DataPlane, *request.Drill)
 	}
 	if !request.Primary {
 		h.node.loads.RemoveReport(request.DataPlane)
@@ -41,7 +41,7 @@
 }
 
 // RequestConfirmation has the state confirmed in a round that begins after the call.
-func (h watchHost) RequestConfirmation() { h.node.confirmer.Request() }
+func (h watchHost) RequestConfirmation() { h.node.applier.RequestConfirmation() }
 
 // IsLeaving says whether the node shuts down.
 func (h watchHost) IsLeaving() bool { return h.node.members.IsLeaving() }
--- a/internal/dataplane/recording.go
+++ b/internal/dataplane/recording.go
@@ -20,26 +20,26 @@
 
 // packWithoutKeys is the packed configuration as request logs hold it. Where the keys can't be taken out it is empty.
 func packWithoutKeys(document []byte) []byte {
-	redacted, err := configuration.RedactDocument(document)
+	withoutKeys, err := configuration.RedactDocument(document)
 	if err != nil {
 		return nil
 	}
-	return configuration.Compress(redacted)
+	return configuration.Compress(withoutKeys)
 }
 
-// recordFleet writes the fleet to the request log, if there is one, once endpoints are known.
-func (s *FleetState) recordFleet(fleet *routing.Snapshot) {
+// recordSnapshot writes the snapshot to the request log, if there is one, once endpoints are known.
+func (s *FleetState) recordSnapshot(snapshot *routing.Snapshot) {
 	if s.requestLog == nil || s.endpoints.source == "" {
 		return
 	}
 	entry := requestlog.Entry{
-		Kind:      requestlog.KindFleet,
-		AtMs:      s.requestLog.OffsetMs(s.clock()),
-		Replicas:  s.endpoints.listed,
-		EdgeCount: fleet.DataPlanes,
-		Zone:      s.settings.Zone,
+		Kind:           requestlog.KindFleet,
+		AtMs:           s.requestLog.OffsetMs(s.clock()),
+		Replicas:       s.endpoints.listed,
+		DataPlaneCount: snapshot.DataPlanes,
+		Zone:           s.settings.Zone,
 	}
-	for zone, drained := range fleet.DrainedZones {
+	for zone, drained := range snapshot.DrainedZones {
 		if drained {
 			entry.DrainedZones = append(entry.DrainedZones, zone)
 		}
