--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -1,7 +1,6 @@
 package dataplane
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
@@ -27,7 +26,7 @@
 	replicas []*routing.Replica
 }
 
-// use makes a node's endpoints the fleet's, and reports whether that changed it; changed says whether the node's own
+// use makes a node's endpoints those in use, and reports whether the snapshot changes by it; changed says whether the node's own
 // endpoints have changed. Another node's older endpoints are not used until the present ones are too old themselves.
 func (t *endpointTable) use(address string, control *controlPeer, changed bool) bool {
 	if !control.complete {
@@ -118,11 +117,15 @@
 			byID[endpoint.ID] = replica
 		}
 	}
-	listed := make([]discovery.Replica, 0, len(byID))
-	for _, replica := range byID {
-		listed = append(listed, replica)
+	ids := make([]string, 0, len(byID))
+	for id := range byID {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	listed := make([]discovery.Replica, len(ids))
+	for index, id := range ids {
+		listed[index] = byID[id]
 	}
-	slices.SortFunc(listed, func(left, right discovery.Replica) int { return cmp.Compare(left.ID, right.ID) })
 	return listed
 }
 
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -27,8 +27,8 @@
 	// settingsPath is the settings file, read again at a hangup signal; empty if there is none.
 	settingsPath string
 	network      peer.Network
-	// fleet is what the matcher and the proxy route by. FleetState replaces it as a whole.
-	fleet     atomic.Pointer[routing.Snapshot]
+	// snapshot is what the matcher and the proxy route by. FleetState replaces it as a whole.
+	snapshot  atomic.Pointer[routing.Snapshot]
 	matcher   *routing.Matcher
 	state     *FleetState
 	watcher   *Watcher
@@ -53,13 +53,13 @@
 		peers:        peer.NewClient(network),
 	}
 	startedAt := incarnationStart(settings)
-	node.fleet.Store(&routing.Snapshot{})
-	node.matcher = routing.NewMatcher(matcherParameters(settings, startedAt), settings.Zone, time.Now, &node.fleet)
+	node.snapshot.Store(&routing.Snapshot{})
+	node.matcher = routing.NewMatcher(matcherParameters(settings, startedAt), settings.Zone, time.Now, &node.snapshot)
 	node.quotas = NewQuotas(settings, node.peers, time.Now)
 	node.state = NewFleetState(FleetStateOptions{
 		Settings:       settings,
 		Clock:          time.Now,
-		Fleet:          &node.fleet,
+		Snapshot:       &node.snapshot,
 		OnChange:       node.matcher.SnapshotChanged,
 		UpdateLedger:   node.matcher.UpdateLedger,
 		AnswerForecast: node.answerForecast,
@@ -75,7 +75,7 @@
 	node.matcher.OnSuspect = node.forwarder.CloseIdle
 
 	budgets := retryBudgets(settings, startedAt)
-	node.proxy = proxy.NewHandler(&node.fleet, node.matcher, node.forwarder, budgets, time.Now, rand.Float64)
+	node.proxy = proxy.NewHandler(&node.snapshot, node.matcher, node.forwarder, budgets, time.Now, rand.Float64)
 	node.proxy.Freshness = node.state.freshness
 	node.proxy.Quota = node.quotas
 	return node
@@ -113,7 +113,7 @@
 // RecordTo has requests, configurations and fleets written to the request log. Call it before Run.
 func (n *Node) RecordTo(writer *requestlog.Writer) {
 	n.state.requestLog = writer
-	n.proxy.Recorder = writer
+	n.proxy.RequestLog = writer
 }
 
 // Run listens and serves until the context ends, the stop signal comes, or a listener fails. Ending the context ends
@@ -214,7 +214,7 @@
 	logrus.WithField("duration_ms", time.Since(startedAt).Milliseconds()).Info("shutdown complete")
 }
 
-// drain makes every part that answers others say that this node is leaving.
+// drain has every part of the node begin its graceful shutdown.
 func (n *Node) drain() {
 	n.draining.Store(true)
 	n.proxy.Drain()
