--- a/internal/controlplane/demand/arrivals.go
+++ b/internal/controlplane/demand/arrivals.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// batchWindow is how many numbers below the highest a delayed batch may be and still be told from one received before.
+// batchWindow is how many numbers below the highest a delayed batch may be and still be distinguished from one received before.
 const batchWindow = 64
 
 // receivedBatches are the numbers of the batches received of one incarnation of a sender.
@@ -92,8 +92,8 @@
 	return &receivedBatches{incarnation: incarnation, numbers: map[uint64]bool{}}
 }
 
-// markReceived records a batch and says whether it is new. One below the window can't be told from one received before
-// and doesn't count as new: a lost count is better than a doubled one.
+// markReceived records a batch and says whether it is new. One below the window can't be distinguished from one received
+// before and doesn't count as new: a lost count is better than a doubled one.
 func (b *receivedBatches) markReceived(number uint64) (isNew bool) {
 	if b.numbers[number] || number+batchWindow <= b.highest {
 		return false
--- a/internal/controlplane/demand/arrivals_test.go
+++ b/internal/controlplane/demand/arrivals_test.go
@@ -13,6 +13,6 @@
 		assert.Assert(t, !received.markReceived(number))
 	}
 	assert.Assert(t, received.markReceived(batchWindow+4))
-	assert.Assert(t, !received.markReceived(4), "too old to tell")
+	assert.Assert(t, !received.markReceived(4), "below the window")
 	assert.Assert(t, len(received.numbers) <= batchWindow)
 }
--- a/internal/controlplane/demand/exchange.go
+++ b/internal/controlplane/demand/exchange.go
@@ -31,14 +31,14 @@
 	SubscribedReplicas(dataPlane string) map[string]bool
 }
 
-// Caller calls other daemons, as a peer.Client does.
+// Caller calls other nodes, as a peer.Client does.
 type Caller interface {
 	Call(ctx context.Context, method peer.Method, address string, request, reply any) error
 }
 
 // Sender is what an Exchange says of its control plane in each summary.
 type Sender struct {
-	// Member is the address at which it serves other daemons.
+	// Member is the address at which it serves other nodes.
 	Member string
 	// Incarnation is different for each process of the member; batches are numbered within it.
 	Incarnation string
--- a/internal/controlplane/demand/packer.go
+++ b/internal/controlplane/demand/packer.go
@@ -18,11 +18,11 @@
 )
 
 // packer packs loads by replica into lists in the order of the roster, which are much shorter than a map by id. Both
-// sides must have the same roster, which is told by a digest of its replica ids. It is safe for concurrent use.
+// sides must have the same roster, which is checked by a digest of its replica ids. It is safe for concurrent use.
 type packer struct {
 	// lock guards all fields.
 	lock sync.Mutex
-	// firstReplica and replicaCount tell whether a roster is the one that digest and replicaIDs were made of: a roster's
+	// firstReplica and replicaCount identify the roster that digest and replicaIDs were made of: a roster's
 	// slice is never changed in place.
 	firstReplica *discovery.Replica
 	replicaCount int
--- a/internal/controlplane/watch/endpoints.go
+++ b/internal/controlplane/watch/endpoints.go
@@ -35,6 +35,9 @@
 	sample map[string]*endpointSource
 }
 
+// cordons holds what of a replica must get no new requests, as "model" or "model/adapter".
+type cordons map[string]bool
+
 // changedKeys collects the sets that a roster changes.
 type changedKeys map[peer.EndpointKey]bool
 
@@ -51,7 +54,7 @@
 // Publish adopts a roster as of a moment and wakes the subscribers of the sets that it changes. Cordoned lists what must
 // get no new requests, as "replica model" or "replica model/adapter".
 func (p *EndpointPublisher) Publish(replicas []discovery.Replica, cordoned []string, asOf time.Time) {
-	cordonedByReplica := groupByReplica(cordoned)
+	cordonsByReplica := groupByReplica(cordoned)
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	changed := changedKeys{}
@@ -59,7 +62,7 @@
 	for index := range replicas {
 		listed := replicas[index]
 		present[listed.ID] = true
-		p.update(listed, cordonedByReplica[listed.ID], asOf, changed)
+		p.update(listed, cordonsByReplica[listed.ID], asOf, changed)
 	}
 	for id, replica := range p.replicas {
 		if !present[id] {
@@ -82,16 +85,16 @@
 	}
 }
 
-// groupByReplica returns the cordoned references ("model" or "model/adapter") by replica id, nil if there are none.
-func groupByReplica(cordoned []string) map[string]map[string]bool {
+// groupByReplica returns the cordons by replica id, nil if there are none.
+func groupByReplica(cordoned []string) map[string]cordons {
 	if len(cordoned) == 0 {
 		return nil
 	}
-	byReplica := map[string]map[string]bool{}
+	byReplica := map[string]cordons{}
 	for _, entry := range cordoned {
 		id, reference, _ := strings.Cut(entry, " ")
 		if byReplica[id] == nil {
-			byReplica[id] = map[string]bool{}
+			byReplica[id] = cordons{}
 		}
 		byReplica[id][reference] = true
 	}
@@ -99,7 +102,7 @@
 }
 
 // update adopts a replica's entry in the roster and adds the sets that it changes to changed.
-func (p *EndpointPublisher) update(listed discovery.Replica, cordoned map[string]bool, asOf time.Time, changed changedKeys) {
+func (p *EndpointPublisher) update(listed discovery.Replica, cordoned cordons, asOf time.Time, changed changedKeys) {
 	warmUpUntil := time.Time{}
 	if listed.WarmUpRemainingMs > 0 {
 		warmUpUntil = asOf.Add(time.Duration(listed.WarmUpRemainingMs * float64(time.Millisecond)))
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/peer"
 )
 
-// minWaitMs and maxWaitMs bound how long, in milliseconds, a watch request is held: less than the timeout of
+// minWaitMs and maxWaitMs bound how long, in milliseconds, a watch request is kept pending: less than the timeout of
 // peer.MethodWatch.
 const (
 	minWaitMs = 1
@@ -30,7 +30,7 @@
 
 // Identity is what a control plane says of itself in each response.
 type Identity struct {
-	// Member is the address at which it serves other daemons.
+	// Member is the address at which it serves other nodes.
 	Member string
 	Zone   string
 	// Incarnation is different for each process of the member.
@@ -59,7 +59,7 @@
 }
 
 // HandleWatch answers a data plane's request once there is something that it hasn't been sent, or after the time for
-// which the request may be held. A request for a linearizable response waits for a confirmation that began after it was
+// which the request may be pending. A request for a linearizable response waits for a confirmation that began after it was
 // received. If the context ends first, the response is empty and thus not fresh.
 func (s *Server) HandleWatch(ctx context.Context, request peer.WatchRequest) peer.WatchResponse {
 	receivedAt := s.clock()
--- a/internal/controlplane/watch/server_test.go
+++ b/internal/controlplane/watch/server_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// waitFor returns how long the request was held, and its response.
+// waitFor returns how long the request was pending, and its response.
 func (s testServer) waitFor(t *testing.T, request peer.WatchRequest) (time.Duration, peer.WatchResponse) {
 	t.Helper()
 	startedAt := time.Now()
@@ -71,7 +71,7 @@
 	return time.Since(startedAt), response
 }
 
-func TestServer_HoldsRequestUntilSomethingChanges(t *testing.T) {
+func TestServer_KeepsRequestPendingUntilChange(t *testing.T) {
 	const changeAfter = 300 * time.Millisecond
 	cases := map[string]struct {
 		request func(request *peer.WatchRequest)
@@ -81,11 +81,11 @@
 		"nothing": {
 			expect: time.Second,
 		},
-		"nothing, for longer than a request may be held": {
+		"nothing, for longer than a request may be pending": {
 			request: func(request *peer.WatchRequest) { request.MaxWaitMs = 60_000 },
 			expect:  maxWaitMs * time.Millisecond,
 		},
-		"nothing, without a time to hold it": {
+		"nothing, without a time to wait": {
 			request: func(request *peer.WatchRequest) { request.MaxWaitMs = 0 },
 			expect:  minWaitMs * time.Millisecond,
 		},
@@ -137,9 +137,9 @@
 				if test.change != nil {
 					time.AfterFunc(changeAfter, func() { test.change(server) })
 				}
-				held, response := server.waitFor(t, request)
-				assert.Equal(t, held, test.expect)
-				assert.Equal(t, response.WaitedMs, held.Milliseconds())
+				waited, response := server.waitFor(t, request)
+				assert.Equal(t, waited, test.expect)
+				assert.Equal(t, response.WaitedMs, waited.Milliseconds())
 				assert.DeepEqual(t, server.host.recorded, []string{"edge"})
 			})
 		})
@@ -155,13 +155,13 @@
 		receivedAt := time.Now()
 		time.AfterFunc(100*time.Millisecond, func() { server.publisher.Confirm(receivedAt.Add(-time.Millisecond), time.Now()) })
 		time.AfterFunc(300*time.Millisecond, func() { server.publisher.Confirm(receivedAt.Add(time.Millisecond), time.Now()) })
-		held, response := server.waitFor(t, request)
-		assert.Equal(t, held, 300*time.Millisecond, "a confirmation that began before the request doesn't count")
+		waited, response := server.waitFor(t, request)
+		assert.Equal(t, waited, 300*time.Millisecond, "a confirmation that began before the request doesn't count")
 		assert.Assert(t, response.Linearizable)
 		assert.Equal(t, server.host.requestedConfirmations, 1)
-		held, response = server.waitFor(t, request)
-		assert.Equal(t, held, time.Second)
-		assert.Assert(t, !response.Linearizable, "none came while the request was held")
+		waited, response = server.waitFor(t, request)
+		assert.Equal(t, waited, time.Second)
+		assert.Assert(t, !response.Linearizable, "none came while the request was pending")
 	})
 }
 
--- a/internal/controlplane/watch/source.go
+++ b/internal/controlplane/watch/source.go
@@ -23,7 +23,7 @@
 }
 
 // usableModels returns a replica's models and adapters without those that are cordoned.
-func usableModels(listed discovery.Replica, cordoned map[string]bool) map[string][]string {
+func usableModels(listed discovery.Replica, cordoned cordons) map[string][]string {
 	usable := make(map[string][]string, len(listed.Models)+1)
 	usable[""] = nil
 	for _, model := range listed.Models {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -29,16 +29,16 @@
 }
 
 const (
-	// connectTimeout is how long a connection to another daemon may take to be established.
+	// connectTimeout is how long a connection to another node may take to be established.
 	connectTimeout = 500 * time.Millisecond
-	// ackTimeout is how long sent bytes may stay unacknowledged before a connection to another daemon is given up.
+	// ackTimeout is how long sent bytes may stay unacknowledged before a connection to another node is given up.
 	ackTimeout = 1500 * time.Millisecond
-	// idleConnections is how many idle connections are kept to each daemon.
+	// idleConnections is how many idle connections are kept to each node.
 	idleConnections = 4
 	contentType     = "application/json"
 )
 
-// Client calls other daemons of the fleet. It is safe for concurrent use.
+// Client calls other nodes of the fleet. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
@@ -50,7 +50,7 @@
 	return &Client{http: NewHTTPClient(transport)}
 }
 
-// Call sends a request to the daemon at the address and decodes the reply into reply, unless that is nil. It gives up
+// Call sends a request to the node at the address and decodes the reply into reply, unless that is nil. It gives up
 // after the method's timeout or when the context ends.
 //
 // The request is sent at most once. After an error it is open whether the receiver got it and carried it out; a caller
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer holds the calls between the daemons of one fleet: control planes among each other, data planes to
+// Package peer holds the calls between the nodes of one fleet: control planes among each other, data planes to
 // control planes, and data planes among each other. It defines their messages, the client and the server side that
 // carry them as JSON over HTTP, and the network that connections are opened on.
 //
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -3,7 +3,7 @@
 // Heartbeat is sent between control planes.
 type Heartbeat struct {
 	NodeName string `json:"daemon"`
-	// Address is where the sender serves other daemons.
+	// Address is where the sender serves other nodes.
 	Address string `json:"address"`
 	// Control is always empty; it is part of the protocol between versions.
 	Control string `json:"control"`
--- a/internal/peer/keystore.go
+++ b/internal/peer/keystore.go
@@ -6,7 +6,7 @@
 	"ferryspar/internal/keystore"
 )
 
-// KeyUpdate tells another control plane of a committed key. The register comes without its value, which the receiver
+// KeyUpdate notifies another control plane of a committed key. The register comes without its value, which the receiver
 // reads from the keystore.
 type KeyUpdate struct {
 	Register keystore.Register `json:"slot"`
@@ -20,7 +20,7 @@
 	Acceptor *keystore.Acceptor
 }
 
-// Send gives the message to the member at the address and returns its reply. Members tell messages apart by their
+// Send gives the message to the member at the address and returns its reply. Members distinguish messages by their
 // proposal, so a message may be sent again after an error.
 func (t *KeystoreTransport) Send(ctx context.Context, address string, message keystore.Message) (keystore.Reply, error) {
 	if address == t.Self {
--- a/internal/peer/load.go
+++ b/internal/peer/load.go
@@ -52,7 +52,7 @@
 	Replicas map[string]ReplicaLoad `json:"replicas,omitempty"`
 }
 
-// LoadSummary is what a control plane tells the others of the data planes that report to it: the load on replicas, or,
+// LoadSummary is what a control plane sends the others about the data planes that report to it: the load on replicas, or,
 // to the placement lease's holder, the demand for models (IsDemand).
 type LoadSummary struct {
 	// Member is the sender's address, DataPlaneCount how many data planes report to it.
--- a/internal/peer/method.go
+++ b/internal/peer/method.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Method names a call between the daemons of one fleet. Its value is the last element of the call's path, and part of
+// Method names a call between the nodes of one fleet. Its value is the last element of the call's path, and part of
 // the protocol between versions.
 type Method string
 
-// The calls between daemons. The comments say who calls whom, and with which messages.
+// The calls between nodes. The comments say who calls whom, and with which messages.
 const (
 	// MethodKeystore carries the keystore's own protocol between control planes: keystore.Message, keystore.Reply.
 	MethodKeystore Method = "keystore"
-	// MethodLearn tells another control plane of a committed key: KeyUpdate, no reply.
+	// MethodLearn notifies another control plane of a committed key: KeyUpdate, no reply.
 	MethodLearn Method = "learn"
 	// MethodWatch is a data plane's long poll at a control plane: WatchRequest, WatchResponse.
 	MethodWatch Method = "news"
@@ -41,7 +41,7 @@
 var timeouts = map[Method]time.Duration{
 	MethodKeystore: 900 * time.Millisecond,
 	MethodLearn:    600 * time.Millisecond,
-	// MethodWatch includes the time for which a control plane may hold the request, see WatchRequest.MaxWaitMs.
+	// MethodWatch includes the time for which a control plane may keep the request pending, see WatchRequest.MaxWaitMs.
 	MethodWatch:        3 * time.Second,
 	MethodSubscribe:    600 * time.Millisecond,
 	MethodReportLoad:   600 * time.Millisecond,
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// NewHTTPClient returns a client that follows no redirects: a call goes to the daemon or replica that it was meant for.
+// NewHTTPClient returns a client that follows no redirects: a call goes to the node or replica that it was meant for.
 func NewHTTPClient(transport http.RoundTripper) *http.Client {
 	return &http.Client{
 		Transport:     transport,
--- a/internal/peer/transport_linux_test.go
+++ b/internal/peer/transport_linux_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A process that stands still accepts nothing, but its kernel does. What the kernel has received it hands over before it
-// tells of a reset, so a call that was given up can still be carried out, however long ago that was.
+// A suspended process accepts nothing, but its kernel does, and delivers what it received before it reports a reset. So a
+// call that was given up can still be carried out, however long ago that was.
 func TestResetOnClose_ReceiverStillReadsBufferedBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/peer/watch.go
+++ b/internal/peer/watch.go
@@ -23,7 +23,7 @@
 	// Primary says that the data plane takes the configuration and endpoint sets from this control plane. From the
 	// others it only takes versions and the state of zones.
 	Primary bool `json:"wants"`
-	// MaxWaitMs is how long, in milliseconds, the control plane may hold the request.
+	// MaxWaitMs is how long, in milliseconds, the control plane may keep the request pending.
 	MaxWaitMs int64  `json:"holdMs"`
 	Version   uint64 `json:"version"`
 	// ContextVersion is that of the last ContextUpdate applied, AppliedForget the number of the last ForgetOrder that
@@ -51,7 +51,7 @@
 	Zone        string `json:"area"`
 	Incarnation string `json:"life"`
 	// FreshMs is how much longer, in milliseconds, the state counted as confirmed by a majority when the response was
-	// made; zero if it did not. WaitedMs is how long the request had been held by then.
+	// made; zero if it did not. WaitedMs is how long the request had been pending by then.
 	FreshMs  int64 `json:"freshMs,omitempty"`
 	WaitedMs int64 `json:"heldMs,omitempty"`
 	// Linearizable says that the confirmation began after the request arrived.
@@ -85,7 +85,7 @@
 	// CountReliable says that no live data plane can be missing from DataPlaneCount: the control plane has run for
 	// longer than it remembers a silent one.
 	CountReliable bool `json:"edgesSure,omitempty"`
-	// EarlyDataPlaneCount is how many data planes were heard from by now. It is known sooner after a start than
+	// EarlyDataPlaneCount is how many data planes have sent a request by now. It is known sooner after a start than
 	// DataPlaneCount.
 	EarlyDataPlaneCount int `json:"present,omitempty"`
 	// Neighbours is sent to a data plane that has another version of it.
@@ -141,7 +141,7 @@
 }
 
 // IsFresh says whether the state still counts as confirmed by a majority. The rest of the lease is counted from when the
-// request was sent plus the time for which it was held, so that a response that was long on its way isn't taken for a
+// request was sent plus the time for which it was pending, so that a response that was long on its way isn't taken for a
 // fresh one.
 func (r WatchResponse) IsFresh(sentAt, now time.Time) bool {
 	return isFresh(sentAt, r.WaitedMs+r.FreshMs, r.FreshMs, now)
