--- a/internal/controlplane/demand/exchange_test.go
+++ b/internal/controlplane/demand/exchange_test.go
@@ -41,8 +41,9 @@
 	summaries []peer.LoadSummary
 	// loseReplies has calls fail after they were carried out.
 	loseReplies bool
-	// delay is how long each call takes, unless its context ends before.
-	delay time.Duration
+	// delay is how long each call takes, unless its context ends before; it then takes cancelDelay more.
+	delay       time.Duration
+	cancelDelay time.Duration
 }
 
 func (c *testCaller) Call(ctx context.Context, _ peer.Method, _ string, request, reply any) error {
@@ -53,6 +54,7 @@
 	select {
 	case <-time.After(c.delay):
 	case <-ctx.Done():
+		time.Sleep(c.cancelDelay)
 		return ctx.Err()
 	}
 	answer := c.receiver.HandleLoadSummary(ctx, summary)
@@ -158,6 +160,7 @@
 		assert.Equal(t, len(demands), 2)
 		assert.Equal(t, demands[0].Models[0].Arrivals, 4)
 		assert.Equal(t, demands[1].Batch, uint64(0), "delivered, so not sent again")
+		assert.Equal(t, len(second.loads.arrivals.inFlight), 0)
 		second.host.(*testHost).leaseHolder = ""
 		second.sendDemand(t.Context(), false)
 		assert.Equal(t, len(demands), 2, "nobody to send it to")
@@ -169,11 +172,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var demands []peer.LoadSummary
 		first, second, caller := newPair(&demands)
-		caller.delay = time.Hour
+		caller.delay, caller.cancelDelay = time.Hour, 10*time.Millisecond
 		first.HandleLoadReport(t.Context(), reportOutcomes("one", "north", 0, 0, 3))
 		startedAt := time.Now()
 		runFor(t, first, time.Second)
-		assert.Equal(t, time.Since(startedAt), time.Second, "the context ends the calls")
+		assert.Equal(t, time.Since(startedAt), time.Second+caller.cancelDelay, "the context ends the calls, and Run waits for that")
 		assert.Equal(t, len(second.loads.members), 0)
 		assert.Assert(t, len(caller.summaries) > 1, "one call does not hold up the next")
 	})
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 )
 
@@ -103,6 +104,22 @@
 	}
 }
 
+func TestClient_ErrorNamesCallAndStatus(t *testing.T) {
+	address, _ := scriptedPeer(t, func(int, int) string { return httpReply("503 No", "{}") })
+	err := callPeer(t, NewClient(HostNetwork{}), MethodSubscribe, address)
+	var status *StatusError
+	assert.Assert(t, errors.As(err, &status))
+	assert.Equal(t, *status, StatusError{Method: MethodSubscribe, Address: address, Status: http.StatusServiceUnavailable})
+	assert.Equal(t, err.Error(), "follow at "+address+": status 503")
+}
+
+func TestClient_RejectsUnknownMethod(t *testing.T) {
+	address, read := scriptedPeer(t, func(int, int) string { return httpReply("200 OK", "{}") })
+	err := callPeer(t, NewClient(HostNetwork{}), Method("unknown"), address)
+	assert.Assert(t, errors.Is(err, ErrUnknownMethod))
+	assert.Equal(t, read.Load(), int64(0))
+}
+
 // The broken variant that TestClient_SendsOnceWhenReusedConnectionBreaks is there to catch: net/http sends a request twice
 // if it bears an idempotency key and its body can be read again.
 func TestTransport_ResendsRereadableBodyWithKey(t *testing.T) {
