--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -132,7 +132,7 @@
 	case replicastate.Accepted:
 		s.budget.recordStarted(tracked.ID(), now)
 	default:
-		s.budget.recordRejected(action.Server)
+		s.budget.recordRejected(tracked.ID())
 	}
 }
 
--- a/internal/controlplane/scheduler/pacer.go
+++ b/internal/controlplane/scheduler/pacer.go
@@ -26,6 +26,7 @@
 func (p *planPacer) markDirty() { p.dirty = true }
 
 // planDue tells whether to plan now: something has changed and the last plan lies far enough back, or it lies very far back.
+// What it calls for a plan by counts as planned for from then on, so the caller must plan if it returns true.
 func (p *planPacer) planDue(demand *DemandView, version uint64, now time.Time) bool {
 	since := now.Sub(p.plannedAt)
 	if since < min(max(minPlanPause, planCostFactor*p.planDuration), maxPlanPause) {
--- a/internal/controlplane/watch/snapshot.go
+++ b/internal/controlplane/watch/snapshot.go
@@ -25,8 +25,9 @@
 	Zones       map[string]peer.ZoneState
 	ZoneVersion uint64
 
-	// RosterVersion rises with each change of Replicas or Cordoned. RosterAsOf is a moment at or before which the list
-	// was made, zero if there is none yet.
+	// RosterVersion rises with each change of Replicas or Cordoned. It stays in this process: data planes are sent the
+	// version of the EndpointPublisher. RosterAsOf is a moment at or before which the list was made, zero if there is
+	// none yet.
 	RosterVersion uint64
 	RosterAsOf    time.Time
 	Replicas      []discovery.Replica
--- a/internal/controlplane/watch/subscriptions.go
+++ b/internal/controlplane/watch/subscriptions.go
@@ -34,7 +34,8 @@
 // Changes are the changed endpoint sets that a data plane is to be sent.
 type Changes struct {
 	Sets []peer.EndpointSet
-	// Version is the roster's version that the data plane has once it has taken the sets in.
+	// Version is the EndpointPublisher's version that the data plane has once it has adopted the sets. On the wire it is the
+	// RosterVersion, which is another number than Snapshot.RosterVersion.
 	Version uint64
 	// Resubscribe asks the data plane to send all its subscriptions anew.
 	Resubscribe bool
--- a/internal/dataplane/controlpeers.go
+++ b/internal/dataplane/controlpeers.go
@@ -48,7 +48,7 @@
 	incarnation  string
 	endpointSets map[peer.EndpointKey]peer.EndpointSet
 	complete     bool
-	// fetchedAt is how old the list of replicas is that the endpoints were made from.
+	// fetchedAt is when the list of replicas that the endpoints were made from was read from the platform, by the clock here.
 	fetchedAt            time.Time
 	subscriptionSequence uint64
 }
--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -20,7 +20,7 @@
 
 	// source is the address of the control-plane node that the list is from, empty before the first.
 	source string
-	// asOf is how old the list is that the endpoints were made from.
+	// asOf is the controlPeer.fetchedAt of the endpoints in use.
 	asOf     time.Time
 	listed   []discovery.Replica
 	replicas []*routing.Replica
--- a/internal/dataplane/watchposition.go
+++ b/internal/dataplane/watchposition.go
@@ -30,7 +30,7 @@
 	incarnation string
 	// sequence is that of the last subscribe request that was answered.
 	sequence uint64
-	// rosterVersion is that of the fleet-wide list of replicas that the endpoints were made from.
+	// rosterVersion is that of the newest endpoint sets received by subscribing, see peer.WatchRequest.
 	rosterVersion uint64
 }
 
--- a/internal/keystore/names.go
+++ b/internal/keystore/names.go
@@ -23,9 +23,9 @@
 	ConfigurationKey = "layout"
 	// ZonePrefix begins the key of every zone that was evacuated or brought back.
 	ZonePrefix = "area/"
-	// RetentionKey holds how long request records are kept.
+	// RetentionKey holds how long replicas and data planes may keep cached context.
 	RetentionKey = "retention"
-	// ForgetKey holds which request records are to be erased.
+	// ForgetKey holds which cached context was ordered to be forgotten, and how far that has got.
 	ForgetKey = "forget"
 	// DrillKey holds the drill that is running.
 	DrillKey = "drill"
--- a/internal/keystore/proposer.go
+++ b/internal/keystore/proposer.go
@@ -148,7 +148,7 @@
 	return s.callAsOwner(ctx, name, OperationRenew)
 }
 
-// Release ends an owned lease early. It must not be called before the last act under it.
+// Release ends an owned lease early. The holder must have completed its last action under it.
 func (s *Store) Release(ctx context.Context, name string) error {
 	return s.callAsOwner(ctx, name, OperationRelease)
 }
--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -61,7 +61,8 @@
 	b.bucketAt(b.bucketIndex(now)).requests++
 }
 
-// Allow reports whether one more retry may be sent, and counts it. edges is the number of nodes that share the budget.
+// Allow reports whether one more retry may be sent, and counts it. dataPlanes is the number of nodes that share
+// the budget.
 func (b *RetryBudget) Allow(now time.Time, dataPlanes int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
