--- a/internal/controlplane/members/heartbeats.go
+++ b/internal/controlplane/members/heartbeats.go
@@ -112,7 +112,7 @@
 	now := m.config.Clock()
 	m.lock.Lock()
 	m.nodes.Record(message.Address, heartbeat.Heartbeat{ReportedAt: now})
-	m.last[message.Address] = message
+	m.lastHeartbeats[message.Address] = message
 	m.lock.Unlock()
 	if message.Leaving {
 		m.host.MemberLeaving(message.Address)
--- a/internal/controlplane/members/manager.go
+++ b/internal/controlplane/members/manager.go
@@ -74,8 +74,8 @@
 	// lock guards nodes and last.
 	lock sync.Mutex
 	// nodes holds when each other node was heard, last its last heartbeat.
-	nodes *heartbeat.Registry
-	last  map[string]peer.Heartbeat
+	nodes          *heartbeat.Registry
+	lastHeartbeats map[string]peer.Heartbeat
 
 	leaving     chan struct{}
 	caughtUp    chan struct{}
@@ -91,16 +91,16 @@
 	config Config, store *keystore.Store, acceptor *keystore.Acceptor, caller Caller, dataPlanes DataPlanes, host Host,
 ) *Manager {
 	return &Manager{
-		config:     config,
-		store:      store,
-		acceptor:   acceptor,
-		caller:     caller,
-		dataPlanes: dataPlanes,
-		host:       host,
-		nodes:      heartbeat.NewRegistry(expireAfter),
-		last:       map[string]peer.Heartbeat{},
-		leaving:    make(chan struct{}),
-		caughtUp:   make(chan struct{}, 1),
+		config:         config,
+		store:          store,
+		acceptor:       acceptor,
+		caller:         caller,
+		dataPlanes:     dataPlanes,
+		host:           host,
+		nodes:          heartbeat.NewRegistry(expireAfter),
+		lastHeartbeats: map[string]peer.Heartbeat{},
+		leaving:        make(chan struct{}),
+		caughtUp:       make(chan struct{}, 1),
 	}
 }
 
@@ -151,7 +151,7 @@
 	}
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	return now.Sub(m.nodes.LastReport(address)) < membership.SuspectAfter && !m.last[address].Leaving
+	return now.Sub(m.nodes.LastReport(address)) < membership.SuspectAfter && !m.lastHeartbeats[address].Leaving
 }
 
 // Silent returns the first of the named nodes that is a member and was not heard of for so long that
@@ -173,7 +173,7 @@
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	zones := map[string]string{m.config.Self: m.config.Zone}
-	for address, last := range m.last {
+	for address, last := range m.lastHeartbeats {
 		zones[address] = last.Zone
 	}
 	return zones
@@ -191,7 +191,7 @@
 	}
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	for address, last := range m.last {
+	for address, last := range m.lastHeartbeats {
 		view.Peers[address] = membership.Peer{
 			Address:           address,
 			Zone:              last.Zone,
--- a/internal/controlplane/replicatracker/disks.go
+++ b/internal/controlplane/replicatracker/disks.go
@@ -5,6 +5,7 @@
 	"sync"
 
 	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
 )
 
 // diskKey names the disk that a listed replica is taken to have: a replica that restarts at its address keeps its disk, one
@@ -77,13 +78,13 @@
 	d.add(listed, loaded)
 }
 
-// add adds models to a disk; adapters are left out. The caller holds the lock.
+// add adds models to a disk; adapters are left out, since they count as no load from the store. The caller holds the lock.
 func (d *DiskInventory) add(listed discovery.Replica, references map[string]bool) {
 	disk := diskOf(listed)
 	known := d.models[disk]
 	var next map[string]bool
 	for reference := range references {
-		if known[reference] || isAdapter(reference) {
+		if known[reference] || placement.IsAdapter(reference) {
 			continue
 		}
 		if next == nil {
--- a/internal/controlplane/replicatracker/models.go
+++ b/internal/controlplane/replicatracker/models.go
@@ -2,7 +2,6 @@
 
 import (
 	"sort"
-	"strings"
 
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/placement"
@@ -20,15 +19,11 @@
 	return references
 }
 
-// isAdapter tells whether a reference names an adapter, which lies on no disk of its own and is never counted as a load
-// from the store.
-func isAdapter(reference string) bool { return strings.Contains(reference, "/") }
-
 // loadedModels lists a set of references as the platform's list does, ordered by name.
 func loadedModels(references map[string]bool) []discovery.LoadedModel {
 	adapters := map[string][]string{}
 	for reference := range references {
-		model, adapter, _ := strings.Cut(reference, "/")
+		model, adapter := placement.SplitReference(reference)
 		if adapters[model] == nil {
 			adapters[model] = []string{}
 		}
--- a/internal/controlplane/replicatracker/replica.go
+++ b/internal/controlplane/replicatracker/replica.go
@@ -146,7 +146,7 @@
 // RunningDiskLoad returns how long a load that was taken for one from the replica's own disk has run at least, if a report
 // requested at a moment shows that it still runs.
 func (r *Replica) RunningDiskLoad(report replicastate.Report, polledAt time.Time) (elapsed time.Duration, running bool) {
-	if r.action == nil || !r.action.Load || r.action.FromStore || isAdapter(r.action.Model) {
+	if r.action == nil || !r.action.Load || r.action.FromStore || placement.IsAdapter(r.action.Model) {
 		return 0, false
 	}
 	return polledAt.Add(-ReportLag).Sub(r.startedAt), r.state.IsCarryingOut(report)
@@ -156,12 +156,12 @@
 func (r *Replica) PossibleModels() []string {
 	var models []string
 	for reference := range r.state.Loaded() {
-		if !isAdapter(reference) {
+		if !placement.IsAdapter(reference) {
 			models = append(models, reference)
 		}
 	}
 	for reference := range r.state.PossiblyLoaded() {
-		if !isAdapter(reference) && !r.state.Loaded()[reference] {
+		if !placement.IsAdapter(reference) && !r.state.Loaded()[reference] {
 			models = append(models, reference)
 		}
 	}
--- a/internal/controlplane/replicatracker/timings.go
+++ b/internal/controlplane/replicatracker/timings.go
@@ -17,8 +17,8 @@
 	// MaxReportAge is how far before its request the moment may lie that a report shows. Reports are requested this long
 	// after a grant that follows another one, so that none shows a moment before the previous holder's last order.
 	MaxReportAge = 500 * time.Millisecond
-	// AbsenceTimeout is how long a replica is kept that the platform's list leaves out.
-	AbsenceTimeout = 5 * time.Second
+	// absenceTimeout is how long a replica is kept that the platform's list leaves out.
+	absenceTimeout = 5 * time.Second
 
 	// pollInterval is the wait before a replica is polled again.
 	pollInterval = 250 * time.Millisecond
--- a/internal/controlplane/replicatracker/tracker.go
+++ b/internal/controlplane/replicatracker/tracker.go
@@ -53,7 +53,7 @@
 }
 
 // AdoptList follows a list that was made at a moment or after it: replicas new in it are tracked, their reports still
-// unknown, and those that have been left out for AbsenceTimeout are dropped. It returns false for the very list adopted last.
+// unknown, and those that have been left out for absenceTimeout are dropped. It returns false for the very list adopted last.
 func (t *Tracker) AdoptList(list []discovery.Replica, asOf, now time.Time) bool {
 	if len(list) > 0 && t.adoptedList == &list[0] && len(t.byID) == len(list) {
 		return false
@@ -97,7 +97,7 @@
 	return replica
 }
 
-// recordPresence drops a replica that the list has left out for AbsenceTimeout. Until then it is kept: its order and what is
+// recordPresence drops a replica that the list has left out for absenceTimeout. Until then it is kept: its order and what is
 // known of it still belong to it if a later list shows it again.
 func (t *Tracker) recordPresence(replica *Replica, present bool, now time.Time) {
 	if present {
@@ -107,7 +107,7 @@
 	if replica.absentSince.IsZero() {
 		replica.absentSince = now
 	}
-	if now.Sub(replica.absentSince) >= AbsenceTimeout {
+	if now.Sub(replica.absentSince) >= absenceTimeout {
 		delete(t.byID, replica.ID())
 		t.unpublished = true
 	}
--- a/internal/controlplane/scheduler/demand.go
+++ b/internal/controlplane/scheduler/demand.go
@@ -48,9 +48,9 @@
 	learningSince time.Time
 }
 
-// NewDemandView returns a view of no demand. It calls onNewlyWaiting, which must not block nor call the view, whenever requests
+// newDemandView returns a view of no demand. It calls onNewlyWaiting, which must not block nor call the view, whenever requests
 // begin to wait for a model.
-func NewDemandView(clock func() time.Time, onNewlyWaiting func()) *DemandView {
+func newDemandView(clock func() time.Time, onNewlyWaiting func()) *DemandView {
 	return &DemandView{
 		clock:          clock,
 		onNewlyWaiting: onNewlyWaiting,
--- a/internal/controlplane/scheduler/demand_test.go
+++ b/internal/controlplane/scheduler/demand_test.go
@@ -17,7 +17,7 @@
 func TestDemandView_CountsResentArrivalsOnce(t *testing.T) {
 	loads := demand.NewLoadAggregator()
 	now, total := testStart, 0.0
-	holder := NewDemandView(func() time.Time { return now }, func() {})
+	holder := newDemandView(func() time.Time { return now }, func() {})
 	arrive := func(amount int) {
 		loads.AddReport(peer.LoadReport{
 			DataPlane: "edge",
--- a/internal/controlplane/scheduler/inputs_bench_test.go
+++ b/internal/controlplane/scheduler/inputs_bench_test.go
@@ -19,7 +19,7 @@
 	for _, size := range []struct{ replicas, dataPlanes int }{{9, 6}, {140, 80}, {720, 400}} {
 		b.Run(fmt.Sprintf("%dx%d", size.replicas, size.dataPlanes), func(b *testing.B) {
 			now := testStart
-			demand := NewDemandView(func() time.Time { return now }, func() {})
+			demand := newDemandView(func() time.Time { return now }, func() {})
 			tracker := replicatracker.New(0, replicatracker.NewDiskInventory(), replicatracker.NewObservations(0))
 			listed := benchList(size.replicas)
 			summaries := benchSummaries(size.dataPlanes, size.replicas)
--- a/internal/controlplane/scheduler/loadbudget.go
+++ b/internal/controlplane/scheduler/loadbudget.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"strings"
 	"sync"
 	"time"
 
@@ -59,7 +58,7 @@
 
 // loadsFromStore tells whether an action loads weights from the store.
 func loadsFromStore(action placement.Action) bool {
-	return action.Load && action.FromStore && !strings.Contains(action.Model, "/")
+	return action.Load && action.FromStore && !placement.IsAdapter(action.Model)
 }
 
 // loadBounds are the bounds of loads from the store over a period, by the configuration.
--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net/http"
-	"strings"
 	"time"
 
 	"github.com/pkg/errors"
@@ -68,7 +67,7 @@
 	if !grant.Allows(s.clock(), orderLeaseMargin) || grant.Record.Fence != order.Fence {
 		return statusNotSent, nil
 	}
-	model, adapter, _ := strings.Cut(order.Reference, "/")
+	model, adapter := placement.SplitReference(order.Reference)
 	operation := replica.OperationUnload
 	if order.Load {
 		operation = replica.OperationLoad
@@ -142,7 +141,7 @@
 	if action == nil || !action.Load {
 		return replicatracker.ReportLag
 	}
-	name, adapter, _ := strings.Cut(action.Model, "/")
+	name, adapter := placement.SplitReference(action.Model)
 	model, known := s.configuration.findModel(tracked.Backend(), name)
 	if !known || adapter != "" {
 		return replicatracker.ReportLag
--- a/internal/controlplane/scheduler/scheduler.go
+++ b/internal/controlplane/scheduler/scheduler.go
@@ -67,7 +67,7 @@
 		pacer:         &planPacer{},
 		sizes:         placement.NewSizeHistory(),
 	}
-	s.demand = NewDemandView(config.Clock, s.wakeUp)
+	s.demand = newDemandView(config.Clock, s.wakeUp)
 	s.budget = newLoadBudget(s.lease, config.Clock, config.StartedAt, config.Settings.OriginPeriod, s.wakeUp)
 	s.tracker = replicatracker.New(config.Settings.ListLag, s.disks, s.observations)
 	s.publisher = &observationPublisher{tracker: s.tracker, roster: config.Roster, clock: config.Clock}
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -136,7 +136,7 @@
 		Member:        s.identity.Member,
 		Zone:          s.identity.Zone,
 		Incarnation:   s.identity.Incarnation,
-		FreshMs:       snapshot.FreshFor(now).Milliseconds(),
+		FreshMs:       snapshot.freshFor(now).Milliseconds(),
 		Version:       snapshot.Version,
 		Revision:      snapshot.Revision,
 		ZoneVersion:   snapshot.ZoneVersion,
@@ -189,7 +189,7 @@
 	response := s.endpoints.Subscribe(request, s.clock())
 	now := s.clock()
 	response.Incarnation = s.identity.Incarnation
-	response.FreshMs = snapshot.FreshFor(now).Milliseconds()
+	response.FreshMs = snapshot.freshFor(now).Milliseconds()
 	response.RosterAgeMs = now.Sub(snapshot.RosterAsOf).Milliseconds()
 	return response
 }
--- a/internal/controlplane/watch/snapshot.go
+++ b/internal/controlplane/watch/snapshot.go
@@ -55,8 +55,8 @@
 	confirmed chan struct{}
 }
 
-// FreshFor returns how much longer the state counts as confirmed by a majority; zero if it doesn't.
-func (s *Snapshot) FreshFor(now time.Time) time.Duration {
+// freshFor returns how much longer the state counts as confirmed by a majority; zero if it doesn't.
+func (s *Snapshot) freshFor(now time.Time) time.Duration {
 	if s.ConfirmedAt.IsZero() {
 		return 0
 	}
@@ -64,7 +64,7 @@
 }
 
 // IsFresh says whether a majority confirmed the state recently enough to rely on it.
-func (s *Snapshot) IsFresh(now time.Time) bool { return s.FreshFor(now) > 0 }
+func (s *Snapshot) IsFresh(now time.Time) bool { return s.freshFor(now) > 0 }
 
 // contextVersion is the version of what data planes are sent about cached context.
 func (s *Snapshot) contextVersion() uint64 { return s.Retention.Version + s.Forgets.Number }
--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -20,10 +20,10 @@
 
 	// source is the address of the control-plane node that the list is from, empty before the first.
 	source string
-	// asOf is the controlPeer.fetchedAt of the endpoints in use.
-	asOf     time.Time
-	listed   []discovery.Replica
-	replicas []*routing.Replica
+	// fetchedAt is the controlPeer.fetchedAt of the endpoints in use.
+	fetchedAt time.Time
+	listed    []discovery.Replica
+	replicas  []*routing.Replica
 }
 
 // use makes a node's endpoints those in use, and reports whether the snapshot changes by it; changed says whether the node's own
@@ -32,11 +32,11 @@
 	if !control.complete {
 		return false
 	}
-	older := control.fetchedAt.Before(t.asOf) && address != t.source
-	if older && t.clock().Sub(t.asOf) < controlPeerTimeout {
+	older := control.fetchedAt.Before(t.fetchedAt) && address != t.source
+	if older && t.clock().Sub(t.fetchedAt) < controlPeerTimeout {
 		return false
 	}
-	t.asOf = control.fetchedAt
+	t.fetchedAt = control.fetchedAt
 	if t.source != address || t.replicas == nil {
 		t.source = address
 		changed = true
--- a/internal/dataplane/fleetstate.go
+++ b/internal/dataplane/fleetstate.go
@@ -40,7 +40,7 @@
 	// The parts below may be used by any goroutine; each says by which lock or atomics.
 	position     watchPosition
 	freshness    *freshness
-	interest     *Interest
+	interest     *modelInterest
 	quotas       *Quotas
 	contextRules contextRules
 	drills       drillFollower
@@ -96,7 +96,7 @@
 		onChange:     options.OnChange,
 		repoll:       options.Repoll,
 		freshness:    newFreshness(options.Settings),
-		interest:     NewInterest(options.Clock),
+		interest:     newModelInterest(options.Clock),
 		quotas:       options.Quotas,
 		contextRules: contextRules{clock: options.Clock, updateLedger: options.UpdateLedger},
 		drills:       drillFollower{answerForecast: options.AnswerForecast},
@@ -265,7 +265,7 @@
 		Table:        s.adopted.table,
 		DrainedZones: make(map[string]bool, len(s.adopted.zones)),
 		DataPlanes:   s.controlPeers.dataPlaneCount(s.clock()),
-		ListedAt:     s.endpoints.asOf,
+		ListedAt:     s.endpoints.fetchedAt,
 		Replicas:     s.endpoints.replicas,
 		PeerLoads:    s.others.latest.Replicas,
 		PeerLoadsAt:  s.others.receivedAt,
--- a/internal/dataplane/interest.go
+++ b/internal/dataplane/interest.go
@@ -16,8 +16,8 @@
 	maxInterest = 512
 )
 
-// Interest is which models requests have asked for lately, and so which endpoints to follow. Any goroutine may use it.
-type Interest struct {
+// modelInterest is which models requests have asked for lately, and so which endpoints to follow. Any goroutine may use it.
+type modelInterest struct {
 	clock func() time.Time
 	// wake is signalled when a model is added.
 	wake chan struct{}
@@ -25,21 +25,21 @@
 	// lock guards what follows.
 	lock        sync.Mutex
 	requestedAt map[peer.EndpointKey]time.Time
-	// added are the models that have been requested since the last call of TakeChanges or All.
+	// added are the models that have been requested since the last call of takeChanges or All.
 	added []peer.EndpointKey
 }
 
-// NewInterest returns an interest in no model.
-func NewInterest(clock func() time.Time) *Interest {
-	return &Interest{
+// newModelInterest returns an interest in no model.
+func newModelInterest(clock func() time.Time) *modelInterest {
+	return &modelInterest{
 		clock:       clock,
 		wake:        make(chan struct{}, 1),
 		requestedAt: map[peer.EndpointKey]time.Time{},
 	}
 }
 
-// RecordRequest records a request for a model of a backend.
-func (i *Interest) RecordRequest(backend, model string) {
+// recordRequest records a request for a model of a backend.
+func (i *modelInterest) recordRequest(backend, model string) {
 	name := peer.EndpointKey{Backend: backend, Model: model}
 	i.lock.Lock()
 	_, known := i.requestedAt[name]
@@ -57,9 +57,9 @@
 	}
 }
 
-// TakeChanges returns what to follow in addition since the last call, and what to drop; without anything to add, nothing
+// takeChanges returns what to follow in addition since the last call, and what to drop; without anything to add, nothing
 // is dropped either.
-func (i *Interest) TakeChanges() (add, drop []peer.EndpointKey) {
+func (i *modelInterest) takeChanges() (add, drop []peer.EndpointKey) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
 	add, i.added = i.added, nil
@@ -70,7 +70,7 @@
 }
 
 // All returns everything to follow, in order of names.
-func (i *Interest) All() []peer.EndpointKey {
+func (i *modelInterest) all() []peer.EndpointKey {
 	i.lock.Lock()
 	defer i.lock.Unlock()
 	i.added = nil
@@ -86,7 +86,7 @@
 }
 
 // dropExpired drops models not requested lately and those beyond maxInterest, and returns them. The caller holds the lock.
-func (i *Interest) dropExpired() []peer.EndpointKey {
+func (i *modelInterest) dropExpired() []peer.EndpointKey {
 	now := i.clock()
 	var dropped []peer.EndpointKey
 	for name, at := range i.requestedAt {
@@ -104,7 +104,7 @@
 }
 
 // leastRecentlyRequested returns that many of the models, those requested longest ago. The caller holds the lock.
-func (i *Interest) leastRecentlyRequested(count int) []peer.EndpointKey {
+func (i *modelInterest) leastRecentlyRequested(count int) []peer.EndpointKey {
 	if count == 0 {
 		return nil
 	}
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -70,7 +70,7 @@
 
 	ackTimeout := nodesettings.Milliseconds(settings.TimingBounds.ContactMs)
 	node.forwarder = replica.NewForwarder(network, time.Now, replicaConnectTimeout, ackTimeout)
-	node.matcher.OnDemand = node.state.interest.RecordRequest
+	node.matcher.OnDemand = node.state.interest.recordRequest
 	node.matcher.LedgerTrusted = node.state.TrustsContext
 	node.matcher.OnSuspect = node.forwarder.CloseIdle
 
--- a/internal/dataplane/subscribe.go
+++ b/internal/dataplane/subscribe.go
@@ -44,13 +44,13 @@
 		Sequence:  control.subscriptionSequence + 1,
 	}
 	if control.complete {
-		request.Add, request.Remove = s.interest.TakeChanges()
+		request.Add, request.Remove = s.interest.takeChanges()
 		if len(request.Add) == 0 {
 			return
 		}
 	} else {
 		request.Reset = true
-		request.Add = s.interest.All()
+		request.Add = s.interest.all()
 	}
 	control.subscriptionSequence++
 	s.subscriptions.pending = true
--- a/internal/placement/catalog.go
+++ b/internal/placement/catalog.go
@@ -112,7 +112,7 @@
 	if number, known := c.names[reference]; known {
 		return c.items[number].size
 	}
-	base, adapter := splitReference(reference)
+	base, adapter := SplitReference(reference)
 	if model, known := c.names[base]; known && adapter != "" {
 		return sizeOf(c.runtime.Models[model].AdapterSizeMb)
 	}
--- a/internal/placement/invariants_test.go
+++ b/internal/placement/invariants_test.go
@@ -51,7 +51,7 @@
 
 func (c *planChecker) checkLoad(server *Server, action Action) {
 	c.t.Helper()
-	model, adapter := splitReference(action.Model)
+	model, adapter := SplitReference(action.Model)
 	assert.Assert(c.t, server.isServing(c.view) && !server.Loaded[action.Model], "%s: %v", c.note, action)
 	if action.FromStore && adapter == "" {
 		c.stored++
@@ -67,7 +67,7 @@
 func (c *planChecker) checkUnload(server *Server, action Action) {
 	c.t.Helper()
 	runtime := c.view.Table.Configuration.Backends[0].Runtime
-	model, adapter := splitReference(action.Model)
+	model, adapter := SplitReference(action.Model)
 	assert.Assert(c.t, server.Loaded[action.Model], "%s: %v", c.note, action)
 	c.unloads[action.Model]++
 	rest := len(c.reference.copies("s", action.Model)) - c.unloads[action.Model]
@@ -124,7 +124,7 @@
 				server.Loaded[action.Model] = true
 			} else if server.ID == action.Server {
 				for reference := range server.Loaded {
-					if base, _ := splitReference(reference); reference == action.Model || base == action.Model {
+					if base, _ := SplitReference(reference); reference == action.Model || base == action.Model {
 						delete(server.Loaded, reference)
 					}
 				}
--- a/internal/placement/items.go
+++ b/internal/placement/items.go
@@ -37,7 +37,7 @@
 		key:  ModelKey(t.catalog.backend.Name, reference),
 		size: t.catalog.sizeOf(reference),
 	}
-	if base, adapter := splitReference(reference); adapter != "" {
+	if base, adapter := SplitReference(reference); adapter != "" {
 		item.adapter = true
 		item.model = t.number(base)
 	}
--- a/internal/placement/loadcheck_test.go
+++ b/internal/placement/loadcheck_test.go
@@ -39,14 +39,14 @@
 	capacity := new(big.Rat).SetFloat64(runtime.WeightSizeMb)
 	assert.Assert(t, total.Cmp(capacity) <= 0, "%s: %v", note, action)
 	assert.Assert(t, isConfiguredReference(runtime, action.Model), "%s: %v", note, action)
-	if model, adapter := splitReference(action.Model); adapter != "" {
+	if model, adapter := SplitReference(action.Model); adapter != "" {
 		assert.Assert(t, adapters <= runtime.AdapterCapacity && server.Loaded[model], "%s: %v", note, action)
 	}
 }
 
 // configuredSize is the size of a reference in MB, and whether the configuration gives one.
 func configuredSize(runtime *configuration.Runtime, reference string) (float64, bool) {
-	name, adapter := splitReference(reference)
+	name, adapter := SplitReference(reference)
 	for _, model := range runtime.Models {
 		switch {
 		case model.Name != name:
--- a/internal/placement/reference.go
+++ b/internal/placement/reference.go
@@ -17,12 +17,15 @@
 	return model + adapterSeparator + adapter
 }
 
-// splitReference returns the model and the adapter of a reference; the adapter of a model is empty.
-func splitReference(reference string) (model, adapter string) {
+// SplitReference returns the model and the adapter of a reference; the adapter of a model is empty.
+func SplitReference(reference string) (model, adapter string) {
 	model, adapter, _ = strings.Cut(reference, adapterSeparator)
 	return model, adapter
 }
 
+// IsAdapter tells whether a reference names an adapter.
+func IsAdapter(reference string) bool { return strings.Contains(reference, adapterSeparator) }
+
 // ModelKey names a reference of a backend in View.Demand and View.Loading.
 func ModelKey(backend, reference string) string { return backend + backendSeparator + reference }
 
--- a/internal/placement/reference_adapters_test.go
+++ b/internal/placement/reference_adapters_test.go
@@ -6,7 +6,7 @@
 )
 
 func (p *referencePlanner) addAdapter(reference string, urgent bool) {
-	model, _ := splitReference(reference)
+	model, _ := SplitReference(reference)
 	var best *Server
 	for _, server := range p.idleServers() {
 		if !server.Loaded[model] || server.Loaded[reference] || !p.fitsAnotherAdapter(server, model) {
@@ -95,7 +95,7 @@
 }
 
 func (p *referencePlanner) evictForAdapter(adapter string, toleratedRate float64) bool {
-	model, _ := splitReference(adapter)
+	model, _ := SplitReference(adapter)
 	if p.isIntended(model) {
 		return true
 	}
@@ -118,7 +118,7 @@
 }
 
 func (p *referencePlanner) adapterEvictionCost(server *Server, adapter string) (first string, cost float64, possible bool) {
-	model, _ := splitReference(adapter)
+	model, _ := SplitReference(adapter)
 	need := p.memoryUsed(server) + p.addedSize(server, adapter) - p.capacity()
 	for _, next := range p.victims(server, model) {
 		if need > 0 && p.canEvict(server, next, p.copiesRemaining) {
--- a/internal/placement/reference_equal_test.go
+++ b/internal/placement/reference_equal_test.go
@@ -36,7 +36,7 @@
 			server.Loaded["gone"], server.Loaded["gone/a1"], server.Intent = true, true, "lost"
 		}
 		for _, reference := range slices.Sorted(maps.Keys(server.Loaded)) {
-			if model, adapter := splitReference(reference); adapter == "" && random.IntN(8) == 0 {
+			if model, adapter := SplitReference(reference); adapter == "" && random.IntN(8) == 0 {
 				view.ContextEvictions = append(view.ContextEvictions, ServerModel{Server: server.ID, Model: model})
 			}
 		}
--- a/internal/placement/reference_evict_test.go
+++ b/internal/placement/reference_evict_test.go
@@ -11,7 +11,7 @@
 func (p *referencePlanner) disruption(server *Server) float64 {
 	total := 0.0
 	for _, reference := range slices.Sorted(maps.Keys(server.Loaded)) {
-		if model, adapter := splitReference(reference); adapter == "" {
+		if model, adapter := SplitReference(reference); adapter == "" {
 			demand, copies := p.view.totalDemand(p.backend.Name, model), float64(max(p.copiesLoaded(model), 1))
 			total += demand.PrefillLoad / copies
 			if p.sizes[model].Adapters > 0 {
@@ -25,7 +25,7 @@
 func (p *referencePlanner) freedMemory(server *Server, model string) int64 {
 	total := int64(0)
 	for reference := range server.Loaded {
-		if base, _ := splitReference(reference); base == model {
+		if base, _ := SplitReference(reference); base == model {
 			total += p.loadedSize(server, reference)
 		}
 	}
@@ -52,7 +52,7 @@
 func (p *referencePlanner) victims(server *Server, modelToLoad string) []string {
 	var found []string
 	for reference := range server.Loaded {
-		model, adapter := splitReference(reference)
+		model, adapter := SplitReference(reference)
 		if adapter != "" || model == modelToLoad || !p.canEvict(server, model, p.copiesLoaded) {
 			continue
 		}
@@ -92,7 +92,7 @@
 
 func (p *referencePlanner) hasLastAdapterCopy(server *Server, model string, count func(reference string) int) bool {
 	for reference := range server.Loaded {
-		base, adapter := splitReference(reference)
+		base, adapter := SplitReference(reference)
 		if base == model && adapter != "" && p.isConfigured(reference) && count(reference) <= 1 {
 			return true
 		}
--- a/internal/placement/reference_memory_test.go
+++ b/internal/placement/reference_memory_test.go
@@ -31,7 +31,7 @@
 }
 
 func (p *referencePlanner) loadedSize(server *Server, reference string) int64 {
-	model, adapter := splitReference(reference)
+	model, adapter := SplitReference(reference)
 	listed, known := p.sizes[model]
 	earlier, remembered := p.view.SizeHistory.sizesAt(server.ID)[reference]
 	size := roundUpUnits(listed.WeightSizeMb)
@@ -80,7 +80,7 @@
 }
 
 func (p *referencePlanner) addedSize(server *Server, reference string) int64 {
-	model, adapter := splitReference(reference)
+	model, adapter := SplitReference(reference)
 	switch {
 	case server.maximumLoaded()[reference]:
 		return 0
--- a/internal/placement/reference_view_test.go
+++ b/internal/placement/reference_view_test.go
@@ -28,7 +28,7 @@
 	total := Demand{}
 	for name, server := range v.Demand {
 		owner, reference, _ := strings.Cut(name, " ")
-		base, _ := splitReference(reference)
+		base, _ := SplitReference(reference)
 		if owner != backend || base != model {
 			continue
 		}
--- a/internal/placement/simulation_plan_test.go
+++ b/internal/placement/simulation_plan_test.go
@@ -54,7 +54,7 @@
 		s.server.OnDisk[model] = true
 	}
 	for reference := range s.server.Loaded {
-		base, _ := splitReference(reference)
+		base, _ := SplitReference(reference)
 		if !s.action.Load && (reference == model || base == model) {
 			delete(s.server.Loaded, reference)
 		}
@@ -67,7 +67,7 @@
 	if !action.Load {
 		return simulatedUnload
 	}
-	if _, adapter := splitReference(action.Model); adapter != "" {
+	if _, adapter := SplitReference(action.Model); adapter != "" {
 		return simulatedAdapterLoad
 	}
 	runtime := s.view.Table.Configuration.Backends[0].Runtime
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -143,7 +143,7 @@
 
 // isUnloading reports whether a reference, or its model, is being unloaded.
 func (s *simulatedServer) isUnloading(reference string) bool {
-	base, _ := splitReference(reference)
+	base, _ := SplitReference(reference)
 	return s.action != nil && !s.action.Load && (s.action.Model == reference || s.action.Model == base)
 }
 
@@ -177,7 +177,7 @@
 }
 
 func (s *simulation) number(reference string) int {
-	base, _ := splitReference(reference)
+	base, _ := SplitReference(reference)
 	var number int
 	_, _ = fmt.Sscanf(base, "m%d", &number)
 	return number
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -175,7 +175,7 @@
 	}
 	runtime := w.runtime()
 	assert.Assert(w.t, total <= runtime.WeightSizeMb+1e-9, "%s: %v beside %v", w.note, action, worst)
-	if model, adapter := splitReference(action.Model); adapter != "" {
+	if model, adapter := SplitReference(action.Model); adapter != "" {
 		assert.Assert(w.t, adapters <= runtime.AdapterCapacity, "%s: %v beside %v", w.note, action, worst)
 		assert.Assert(w.t, replica.server.Loaded[model], "%s: %v", w.note, action)
 	}
--- a/internal/placement/worldreplica_test.go
+++ b/internal/placement/worldreplica_test.go
@@ -24,7 +24,7 @@
 
 // carryOut does a load once only, and refuses an adapter without its model.
 func (r *worldReplica) carryOut(order *worldOrder, runtime *configuration.Runtime) {
-	model, adapter := splitReference(order.action.Model)
+	model, adapter := SplitReference(order.action.Model)
 	_, modelHeld := r.loaded[model]
 	switch {
 	case !order.action.Load:
