--- a/internal/controlplane/scheduler/copyages.go
+++ b/internal/controlplane/scheduler/copyages.go
@@ -19,7 +19,7 @@
 )
 
 // copyAge is since when a replica is known to have a model loaded. The age of copies found in the first list is unknown, so
-// they are due at once.
+// that due returns them at once if cached context has a lifetime.
 type copyAge struct {
 	since      time.Time
 	unknownAge bool
--- a/internal/controlplane/scheduler/starvation.go
+++ b/internal/controlplane/scheduler/starvation.go
@@ -12,7 +12,8 @@
 // starvationLogInterval is how often at most, and from which wait on, a model that requests wait for is logged.
 const starvationLogInterval = 2 * time.Second
 
-// logStarvingModel logs, with every replica's state, a model that requests have been waiting for too long.
+// logStarvingModel logs, with every replica's state, a model that requests have been waiting for too long. If there are
+// several, which of them is logged is arbitrary.
 func (s *Scheduler) logStarvingModel(view *placement.View, now time.Time) {
 	if now.Sub(s.starvationLoggedAt) < starvationLogInterval {
 		return
--- a/internal/dataplane/fleetstate.go
+++ b/internal/dataplane/fleetstate.go
@@ -145,7 +145,7 @@
 		case <-ctx.Done():
 			return
 		case result := <-watcher.results:
-			s.useWatchResult(ctx, &result)
+			s.completePoll(ctx, &result)
 			if result.err == nil {
 				watcher.Watch(ctx, result.response.ControlPlanes)
 			}
@@ -169,8 +169,8 @@
 	}
 }
 
-// useWatchResult adopts a result, publishes what it changed and lets the next poll begin, which then acknowledges it.
-func (s *FleetState) useWatchResult(ctx context.Context, result *watchResult) {
+// completePoll adopts a result, publishes what it changed and lets the next poll begin, which then acknowledges it.
+func (s *FleetState) completePoll(ctx context.Context, result *watchResult) {
 	if s.handleWatchResult(ctx, result) {
 		s.publish()
 	}
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -15,7 +15,7 @@
 	// predecessor, whose own grant has surely expired only by then.
 	EffectiveFrom time.Time
 	// ContinuesFence is the fence of the previous grant of the same Manager if nobody else, and no other
-	// incarnation of this daemon, was granted the lease since, and 0 otherwise.
+	// incarnation of this control plane, was granted the lease since, and 0 otherwise.
 	ContinuesFence uint64
 }
 
@@ -33,7 +33,7 @@
 	return g.Record.Fence == other.Record.Fence && g.Record.sameHolder(other.Record)
 }
 
-// FollowsOwnRestart reports whether the previous holder was an earlier incarnation of this daemon, all of
+// FollowsOwnRestart reports whether the previous holder was an earlier incarnation of this control plane, all of
 // whose writes and actions came before this process started.
 func (g *Grant) FollowsOwnRestart() bool {
 	return !g.IsFirst() && g.ContinuesFence == 0 && !g.Record.TakeoverPending
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -42,7 +42,7 @@
 	// TTL is how long a grant lasts, counted from before the request to the majority: counted from the
 	// answer, the holder would believe in its lease for longer than the members that granted it.
 	TTL time.Duration
-	// TakeoverDelay is how long a new holder waits before it acts if another daemon held the lease before.
+	// TakeoverDelay is how long a new holder waits before it acts if another control plane held the lease before.
 	// It must cover the TTL; with a shorter one, two holders can act at once.
 	TakeoverDelay time.Duration
 	Store         Store
