--- a/cmd/ferryspar-hollow/main.go
+++ b/cmd/ferryspar-hollow/main.go
@@ -157,7 +157,15 @@
 	for _, plan := range plans {
 		bounded, cancel := context.WithTimeout(ctx, seconds(o.Bound))
 		result, err := hollow.Run(bounded, plan, hollow.Options{
-			Window: seconds(o.Seconds), Settle: seconds(o.Settle), Fill: seconds(o.Fill), Calm: calm, ChangeEach: seconds(o.ChangeEach), MemoryMb: o.MemoryMb, Failures: o.Troubles, FailureLength: seconds(o.Lasts), Progress: os.Stderr,
+			Window:        seconds(o.Seconds),
+			Settle:        seconds(o.Settle),
+			Fill:          seconds(o.Fill),
+			Calm:          calm,
+			ChangeEach:    seconds(o.ChangeEach),
+			MemoryMb:      o.MemoryMb,
+			Failures:      o.Troubles,
+			FailureLength: seconds(o.Lasts),
+			Progress:      os.Stderr,
 		})
 		cancel()
 		if err != nil {
