--- a/internal/controlplane/roster/intervals.go
+++ b/internal/controlplane/roster/intervals.go
@@ -5,6 +5,8 @@
 const (
 	// minListInterval is the shortest interval between two reads of the list.
 	minListInterval = 450 * time.Millisecond
+	// minReadPause is the shortest pause between the end of a read that took long and the next one.
+	minReadPause = minListInterval / 4
 	// staleListAge is how old a list may be before a node without the lease reads it itself.
 	staleListAge = 1300 * time.Millisecond
 	// listRateDivisor: one reader takes the platform's rate divided by this at most.
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -141,7 +141,7 @@
 		}
 		startedAt := r.config.Clock()
 		interval := r.readIfDue(ctx, startedAt)
-		timer.Reset(max(interval-r.config.Clock().Sub(startedAt), minListInterval/4))
+		timer.Reset(max(interval-r.config.Clock().Sub(startedAt), minReadPause))
 	}
 }
 
--- a/internal/controlplane/scheduler/lease.go
+++ b/internal/controlplane/scheduler/lease.go
@@ -99,6 +99,7 @@
 			k.release(ctx)
 			return
 		case grant := <-k.unwritable:
+			// What was given up is acquired anew below, without waiting for the next tick.
 			k.giveUp(ctx, grant)
 		case <-ticker.C:
 		}
@@ -138,6 +139,7 @@
 	if k.config.Cluster.IsLeaseHolderReachable(now) {
 		timeout += previousHolderHeadStart
 		if lastSeen.Before(k.startedAt) {
+			// A node that has just started can't have heard of the holder yet.
 			lastSeen = k.startedAt
 		}
 	}
--- a/internal/dataplane/watcher.go
+++ b/internal/dataplane/watcher.go
@@ -61,7 +61,7 @@
 	// lock guards what follows.
 	lock    sync.Mutex
 	watched map[string]bool
-	// pendingPolls ends the pending poll of an address, if it is a secondary one.
+	// pendingPolls ends the pending poll of an address, if it is a secondary one. That of a poll that is over does nothing.
 	pendingPolls map[string]context.CancelFunc
 }
 
@@ -140,6 +140,7 @@
 		w.pendingPolls[address] = cancel
 		w.lock.Unlock()
 		if w.state.Primary() == address {
+			// It became the primary after the request was filled in, perhaps before Repoll could find this poll.
 			return result, true
 		}
 	}
--- a/internal/keystore/proposer.go
+++ b/internal/keystore/proposer.go
@@ -68,6 +68,7 @@
 			return Register{}, err
 		}
 		if bytes.Equal(key.register.Value, value) {
+			// The write took effect after all, or another with the same value did.
 			return key.register, nil
 		}
 		again, rejected := decide(key.register)
