--- a/cmd/ferryspar-operator/inspect.go
+++ b/cmd/ferryspar-operator/inspect.go
@@ -11,9 +11,6 @@
 	"ferryspar/internal/keystore"
 )
 
-// exitDamaged is the exit status of inspect for a folder whose state a member would not use.
-const exitDamaged = 7
-
 // inspectCommand reads a stopped member's data folder; it asks no daemon and writes nothing.
 type inspectCommand struct {
 	Values bool `long:"values" description:"print the values as well; that of the configuration holds tenants' keys"`
@@ -23,7 +20,7 @@
 }
 
 // Execute prints the folder, and ends with exitDamaged if damage was found in it.
-func (i *inspectCommand) Execute(rest []string) error {
+func (i *inspectCommand) Execute([]string) error {
 	inspection, err := keystore.Inspect(i.Args.Folder)
 	if err != nil {
 		return err
@@ -49,14 +46,15 @@
 func (i *inspectCommand) print(inspection keystore.Inspection) {
 	fmt.Printf("generation %d (base %d)\n", inspection.Generation, inspection.Base)
 	fmt.Printf("self %s\nmembers %s\n", orNone(inspection.LocalState), orNone(inspection.Membership))
-	printTable("files", "name state generation base records used bytes", func(line func(...any)) {
+	printTable("files", "name state generation base records used bytes", func(addRow func(...any)) {
 		for _, file := range inspection.Files {
-			line(file.Name, strings.ReplaceAll(string(file.State), " ", "_"), file.Generation, file.Base, file.Records, file.Used, file.Bytes)
+			state := strings.ReplaceAll(string(file.State), " ", "_")
+			addRow(file.Name, state, file.Generation, file.Base, file.Records, file.Used, file.Bytes)
 		}
 	})
-	printTable("keys", "key value_bytes fields", func(line func(...any)) {
+	printTable("keys", "key value_bytes fields", func(addRow func(...any)) {
 		for _, slot := range inspection.Registers {
-			line(slot.Key, slot.ValueBytes, formatFields(slot.Fields))
+			addRow(slot.Key, slot.ValueBytes, formatFields(slot.Fields))
 		}
 	})
 	if i.Values {
--- a/cmd/ferryspar-operator/rehearse.go
+++ b/cmd/ferryspar-operator/rehearse.go
@@ -3,39 +3,20 @@
 import (
 	"encoding/json"
 	"fmt"
-	"maps"
 	"net/http"
-	"os"
-	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/cli"
+	"ferryspar/internal/adminapi"
 	"ferryspar/internal/drill"
 )
 
-const (
-	exitPartial  = 4
-	exitGuard    = 5
-	exitRejected = 6
-)
-
+// rehearsalTimeout is the least time for one control plane to answer: a forecast waits for data planes.
 const rehearsalTimeout = 4 * time.Second
 
-type exitError struct {
-	status  int
-	message string
-}
-
-func (e exitError) ExitStatus() int { return e.status }
-
-func usageError(message string) error { return exitError{cli.ExitUsage, message} }
-
-func (e exitError) Error() string { return e.message }
-
+// rehearseCommand forecasts or drills the loss of a region or zone.
 type rehearseCommand struct {
 	Zone     string        `long:"zone" description:"rehearse this zone's loss rather than a region's"`
 	Forecast bool          `long:"forecast" description:"only work out what would happen (the default)"`
@@ -59,7 +40,8 @@
 	return scope, nil
 }
 
-func (r *rehearseCommand) Execute(rest []string) error {
+// Execute implements flags.Commander.
+func (r *rehearseCommand) Execute([]string) error {
 	options.PerAddressTimeout = max(options.PerAddressTimeout, rehearsalTimeout)
 	if r.Stop || r.State {
 		return r.followDrill(r.Stop)
@@ -102,77 +84,10 @@
 	if request != nil {
 		body, _ = json.Marshal(request)
 	}
-	content, err := call(method, "/ferryspar/rehearsal", "", body)
+	content, err := call(method, adminapi.PathRehearsal, "", body)
 	var rejected rejectedError
 	if errors.As(err, &rejected) {
 		return nil, exitError{exitRejected, rejected.Error()}
 	}
 	return content, err
 }
-
-func printTable(title string, columns string, fill func(line func(cells ...any))) {
-	fmt.Println("\n" + title)
-	writer := tabwriter.NewWriter(os.Stdout, 2, 4, 2, ' ', 0)
-	defer writer.Flush()
-	fmt.Fprintln(writer, "  "+strings.ReplaceAll(columns, " ", "\t"))
-	fill(func(cells ...any) {
-		words := make([]string, len(cells))
-		for index, cell := range cells {
-			words[index] = fmt.Sprint(cell)
-		}
-		fmt.Fprintln(writer, "  "+strings.Join(words, "\t"))
-	})
-}
-
-func formatQuantiles(latency drill.Quantiles) string {
-	if latency.Count == 0 {
-		return "-"
-	}
-	return fmt.Sprintf("%d/%d/%d", latency.P50, latency.P90, latency.P99)
-}
-
-func printForecast(forecast drill.Forecast) {
-	fmt.Printf("forecast: %s is lost; answered by %d of %d edges\n", forecast.Scope, len(forecast.Answered), len(forecast.Answered)+len(forecast.Missing))
-	if forecast.Partial {
-		fmt.Println("PARTIAL: no answer from", strings.Join(forecast.Missing, ", "))
-	}
-	fmt.Printf("lost: edges %v, replicas %v; replicas left: %d\n", forecast.DataPlanesLost, forecast.ReplicasLost, forecast.ReplicasLeft)
-	control := forecast.Control
-	fmt.Printf("control: members lost %v of %d, majority stays: %t, placement moves: %t\n",
-		control.Lost, len(control.Members), control.KeepsMajority, control.LeaseMoves)
-	flight := forecast.InFlight
-	fmt.Printf("in flight: %d of %d run at lost replicas (%d go on elsewhere, %d are cut); %d wait; "+
-		"of both %d find a place, %d wait on, %d are bound to what is lost\n",
-		flight.OnLostReplicas, flight.Running, flight.Resumable, flight.Aborted, flight.Waiting, flight.Placed, flight.StillWaiting, flight.BoundToLost)
-	const routeColumns = "route priority per_s sampled stay move wait nowhere bound late_now late_then first_now first_then read_again"
-	printTable("requests as of late, were they to come now (first token in ms: p50/p90/p99)", routeColumns, func(line func(...any)) {
-		for _, one := range forecast.Routes {
-			line(one.Name, one.Priority, fmt.Sprintf("%.1f", one.RatePerS), one.Sampled, one.Staying, one.Moved, one.Waiting, one.NowhereLoaded, one.BoundToLost,
-				one.LateNow, one.Late, formatQuantiles(one.FirstTokenNow), formatQuantiles(one.FirstTokenAfterLoss), int(one.RecomputedTokens))
-		}
-	})
-	printTable("warm prompt tokens", "model lost of_these_nowhere_else kept", func(line func(...any)) {
-		for _, name := range slices.Sorted(maps.Keys(forecast.Cached)) {
-			one := forecast.Cached[name]
-			line(name, int(one.Lost), int(one.OnlyInScope), int(one.Kept))
-		}
-	})
-	loading := forecast.LoadEstimate
-	title := fmt.Sprintf("no copy left (%d loads, at least %.1f s; the %d in demand at least %.1f s)",
-		loading.Loads, loading.MinMs/1000, loading.InDemand, loading.InDemandMinMs/1000)
-	printTable(title, "backend model per_s", func(line func(...any)) {
-		for _, one := range forecast.LostModels {
-			line(one.Backend, one.Model, fmt.Sprintf("%.2f", one.RatePerS))
-		}
-	})
-	printTable("what placement would do first", "replica model load why", func(line func(...any)) {
-		for _, one := range forecast.Placement {
-			line(one.Replica, one.Model, one.Load, one.Reason)
-		}
-	})
-	printTable("replicas left", "replica zone slots running moved_to full", func(line func(...any)) {
-		for _, one := range forecast.Replicas {
-			line(one.Replica, one.Zone, one.Slots, one.Running, one.Moved, one.Full)
-		}
-	})
-}
