--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -18,6 +18,9 @@
 // ErrSuperseded is returned by Manager.Reserve for a grant that is no longer the last one.
 var ErrSuperseded = errors.New("superseded by a later grant")
 
+// errExpired is logged as the cause if a lease ran out between two renewals.
+var errExpired = errors.New("the lease expired before it was renewed")
+
 // Store is the part of the keystore that a Manager needs.
 type Store interface {
 	// Acquire becomes the owner of a key by a higher proposal number and writes what decide returns for
@@ -167,13 +170,14 @@
 func (m *Manager) Renew(ctx context.Context, grant *Grant) *Grant {
 	requestedAt := m.Clock()
 	if !requestedAt.Before(grant.ExpiresAt) {
+		m.logLoss(errExpired)
 		return nil
 	}
 	if err := m.Store.Renew(ctx, m.Key); err != nil {
 		if m.Clock().Before(grant.ExpiresAt) {
 			return grant
 		}
-		logrus.WithError(err).WithField(logKeyLease, m.Key).Warn("lease lost")
+		m.logLoss(err)
 		return nil
 	}
 	renewed := *grant
@@ -181,6 +185,10 @@
 	return &renewed
 }
 
+func (m *Manager) logLoss(cause error) {
+	logrus.WithError(cause).WithField(logKeyLease, m.Key).Warn("lease lost")
+}
+
 // Release gives up the lease early, so that a successor need not wait until it expires. The holder must have
 // completed its last action under it.
 func (m *Manager) Release(ctx context.Context) error { return m.Store.Release(ctx, m.Key) }
