--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -4,10 +4,9 @@
 	"slices"
 	"time"
 
+	"ferryspar/internal/controlplane/members"
 	"ferryspar/internal/controlplane/watch"
-	"ferryspar/internal/eventbus"
 	"ferryspar/internal/keystore"
-	"ferryspar/internal/peer"
 )
 
 const (
@@ -19,6 +18,20 @@
 	earlyDataPlaneCountDelay = time.Second
 )
 
+// newMembers returns the manager of the node's part in the control plane.
+func (n *Node) newMembers() *members.Manager {
+	config := members.Config{
+		Self:           n.self,
+		NodeName:       n.settings.NodeName,
+		Zone:           n.settings.Zone,
+		Seeds:          n.settings.SeedPeers(),
+		DesiredMembers: 2*n.settings.FaultTolerance.MachineLoss + 1,
+		Clock:          n.clock,
+		StartedAt:      n.startedAt,
+	}
+	return members.NewManager(config, n.store, n.acceptor, n.peers, n.dataPlanes, membersHost{n})
+}
+
 // membersHost is a node as its members.Manager sees it.
 type membersHost struct {
 	node *Node
@@ -68,6 +81,5 @@
 
 // MembershipCommitted applies a change here and notifies the other control planes of it.
 func (h membersHost) MembershipCommitted(register keystore.Register) {
-	h.node.apply(register)
-	_ = h.node.bus.Publish(eventbus.TopicCommitted, peer.KeyUpdate{Register: register.WithoutValue()})
+	h.node.publishCommitted(register)
 }
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -1,17 +1,14 @@
 package controlplane
 
 import (
-	"context"
 	"crypto/rand"
 	"encoding/binary"
-	"net/http"
 	"strconv"
-	"sync"
 	"time"
 
 	"github.com/pkg/errors"
-	"github.com/sirupsen/logrus"
 
+	"ferryspar/internal/controlplane/applier"
 	"ferryspar/internal/controlplane/dataplanes"
 	"ferryspar/internal/controlplane/demand"
 	"ferryspar/internal/controlplane/drillcontrol"
@@ -20,15 +17,12 @@
 	"ferryspar/internal/controlplane/scheduler"
 	"ferryspar/internal/controlplane/watch"
 	"ferryspar/internal/controlstate"
-	"ferryspar/internal/discovery"
 	"ferryspar/internal/eventbus"
 	"ferryspar/internal/keystore"
 	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/peer"
 )
 
-const placementLease = keystore.LeasePrefix + "placement"
-
 // Node is one control-plane node: member of the keystore, source of updates for data planes, server of
 // the admin API, and, while it holds the placement lease, the one that places models. It puts its parts
 // together and runs them; each part owns its state.
@@ -39,30 +33,33 @@
 	self string
 	// incarnation names this start of the process.
 	incarnation string
-	clock       func() time.Time
-	startedAt   time.Time
-	network     peer.Network
-	peers       *peer.Client
-
+	// clock is steady; startedAt is its reading at the start.
+	clock     func() time.Time
+	startedAt time.Time
+	network   peer.Network
+	// peers calls other nodes; bus carries events between the parts of this one.
+	peers *peer.Client
+	bus   *eventbus.Bus
+
+	// Committed state: this member's acceptor and the store over all members, the operators' changes of
+	// the configuration and zones, and what is published of the rest.
 	acceptor *keystore.Acceptor
 	store    *keystore.Store
 	state    *controlstate.State
-	// applyLock guards appliedRegisters, the newest register of each key that is published.
-	applyLock        sync.Mutex
-	appliedRegisters map[string]keystore.Register
-	confirmer        *confirmer
+	applier  *applier.Applier
 
+	// The rest of the control plane and the data planes, and what they are sent and report.
+	members      *members.Manager
+	dataPlanes   *dataplanes.Registry
 	publisher    *watch.Publisher
 	endpoints    *watch.EndpointPublisher
 	watchServer  *watch.Server
 	loads        *demand.LoadAggregator
 	loadExchange *demand.Exchange
-	dataPlanes   *dataplanes.Registry
-	members      *members.Manager
-	scheduler    *scheduler.Scheduler
-	bus          *eventbus.Bus
 
+	// Replicas, and what operators rehearse with them.
 	roster     *roster.Roster
+	scheduler  *scheduler.Scheduler
 	drills     *drillcontrol.Controller
 	forecaster *drillcontrol.Forecaster
 }
@@ -89,23 +86,22 @@
 	}
 	incarnation := nonce()
 	node := &Node{
-		settings:         settings,
-		settingsPath:     settingsPath,
-		self:             settings.PeerAddress(),
-		incarnation:      strconv.FormatUint(incarnation, 36),
-		clock:            time.Now,
-		startedAt:        time.Now(),
-		network:          network,
-		peers:            peer.NewClient(network),
-		appliedRegisters: map[string]keystore.Register{},
-		publisher:        watch.NewPublisher(),
-		endpoints:        watch.NewEndpointPublisher(),
-		loads:            demand.NewLoadAggregator(),
-		dataPlanes:       dataplanes.NewRegistry(),
-		bus:              eventbus.New(),
+		settings:     settings,
+		settingsPath: settingsPath,
+		self:         settings.PeerAddress(),
+		incarnation:  strconv.FormatUint(incarnation, 36),
+		clock:        time.Now,
+		startedAt:    time.Now(),
+		network:      network,
+		peers:        peer.NewClient(network),
+		publisher:    watch.NewPublisher(),
+		endpoints:    watch.NewEndpointPublisher(),
+		loads:        demand.NewLoadAggregator(),
+		dataPlanes:   dataplanes.NewRegistry(),
+		bus:          eventbus.New(),
 	}
 	node.openKeystore(wal, incarnation, isBootstrapping)
-	node.confirmer = newConfirmer(node)
+	node.applier = applier.New(node.store, node.acceptor, node.publisher, node.clock)
 	node.members = node.newMembers()
 	node.watchServer = node.newWatchServer()
 	node.roster = node.newRoster()
@@ -116,14 +112,6 @@
 	return node, nil
 }
 
-const (
-	// listConnectTimeout and listAckTimeout bound how long the platform's list may take to accept a
-	// connection, and to acknowledge what was sent on it.
-	listConnectTimeout  = 500 * time.Millisecond
-	listAckTimeout      = 1500 * time.Millisecond
-	listIdleConnections = 2
-)
-
 // initializeWAL writes the first registers of a member whose log is empty, and returns whether it takes
 // part in bootstrapping the system: a disk that lost its state does not, whatever the settings say.
 func initializeWAL(wal *keystore.WAL, settings nodesettings.Settings) (isBootstrapping bool, err error) {
@@ -157,35 +145,6 @@
 	n.state = &controlstate.State{Store: n.store, Zones: n.settings.Zones, Clock: n.clock}
 }
 
-func (n *Node) newMembers() *members.Manager {
-	config := members.Config{
-		Self:           n.self,
-		NodeName:       n.settings.NodeName,
-		Zone:           n.settings.Zone,
-		Seeds:          n.settings.SeedPeers(),
-		DesiredMembers: 2*n.settings.FaultTolerance.MachineLoss + 1,
-		Clock:          n.clock,
-		StartedAt:      n.startedAt,
-	}
-	return members.NewManager(config, n.store, n.acceptor, n.peers, n.dataPlanes, membersHost{n})
-}
-
-func (n *Node) newRoster() *roster.Roster {
-	transport := peer.NewTransport(n.network, listConnectTimeout, listAckTimeout, listIdleConnections)
-	lister := &discovery.Client{
-		Address:    n.settings.CloudAPI.Address,
-		HTTPClient: &http.Client{Transport: transport},
-	}
-	config := roster.Config{
-		Self:           n.self,
-		Incarnation:    n.incarnation,
-		CallsPerSecond: n.settings.CloudAPI.RatePerS,
-		Clock:          n.clock,
-	}
-	host := rosterHost{Client: n.peers, node: n}
-	return roster.New(config, lister, host, host, host)
-}
-
 // minLeaseDuration is the shortest time that a lease is granted for.
 const minLeaseDuration = 500 * time.Millisecond
 
@@ -193,52 +152,3 @@
 func (n *Node) leaseDuration() time.Duration {
 	return max(nodesettings.Milliseconds(n.settings.TimingBounds.LeaseMs)/2, minLeaseDuration)
 }
-
-// Run serves until the parent ends, a server fails, or a signal to stop has been obeyed.
-func (n *Node) Run(parent context.Context, signals nodesettings.Signals) error {
-	ctx, cancel := context.WithCancel(parent)
-	var cleanup []func()
-	defer func() {
-		for index := len(cleanup) - 1; index >= 0; index-- {
-			cleanup[index]()
-		}
-	}()
-	cleanup = append(cleanup, cancel)
-	go n.acceptor.Run(ctx)
-	peerListener, err := n.network.Listen(n.self)
-	if err != nil {
-		return errors.Wrap(err, "internal address")
-	}
-	cleanup = append(cleanup, func() { peerListener.Close() })
-	adminListener, err := n.network.Listen(n.settings.BindAddresses.ControlPlane)
-	if err != nil {
-		return errors.Wrap(err, "control plane address")
-	}
-	cleanup = append(cleanup, func() { adminListener.Close() })
-	failures := make(chan error, 2)
-	peerServer := &http.Server{Handler: n.peerRoutes(), IdleTimeout: time.Minute}
-	adminServer := &http.Server{Handler: n.adminRoutes(), IdleTimeout: time.Minute, ReadHeaderTimeout: 10 * time.Second}
-	go func() { failures <- peerServer.Serve(peerListener) }()
-	go func() { failures <- adminServer.Serve(adminListener) }()
-	if err := n.subscribeEvents(ctx); err != nil {
-		return err
-	}
-	cleanup = append(cleanup, n.bus.Close)
-	loops := []func(context.Context){n.confirmer.run, n.members.Run, n.roster.Run, n.scheduler.Run, n.loadExchange.Run, n.drills.Run,
-		func(ctx context.Context) {
-			nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(fresh nodesettings.Settings) { n.members.Introduce(fresh.SeedPeers()) })
-		}}
-	for _, loop := range loops {
-		go loop(ctx)
-	}
-	logrus.WithFields(logrus.Fields{"control_plane": adminListener.Addr().String(), "partner": n.self, "members": n.store.Membership().Current}).Info("control plane listens")
-	select {
-	case <-parent.Done():
-		return nil
-	case err := <-failures:
-		return err
-	case <-signals.Stop:
-		n.shutdown(adminServer, peerServer)
-		return nil
-	}
-}
--- a/internal/controlplane/replicatracker/disks.go
+++ b/internal/controlplane/replicatracker/disks.go
@@ -5,6 +5,7 @@
 	"sync"
 
 	"ferryspar/internal/discovery"
+	"ferryspar/internal/placement"
 )
 
 // diskKey names the disk that a listed replica is taken to have: a replica that restarts at its address keeps its disk, one
@@ -38,6 +39,17 @@
 	return d.models[diskOf(listed)]
 }
 
+// modelsOf returns what Models does for each of some replicas, under one lock.
+func (d *DiskInventory) modelsOf(replicas []*Replica) []map[string]bool {
+	models := make([]map[string]bool, len(replicas))
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	for index, replica := range replicas {
+		models[index] = d.models[diskOf(replica.listed)]
+	}
+	return models
+}
+
 // RecordListed records that the disk of a listed replica holds the models that the list names.
 func (d *DiskInventory) RecordListed(listed discovery.Replica) {
 	d.lock.Lock()
@@ -66,13 +78,13 @@
 	d.add(listed, loaded)
 }
 
-// add adds models to a disk; adapters are left out. The caller holds the lock.
+// add adds models to a disk; adapters are left out, since they count as no load from the store. The caller holds the lock.
 func (d *DiskInventory) add(listed discovery.Replica, references map[string]bool) {
 	disk := diskOf(listed)
 	known := d.models[disk]
 	var next map[string]bool
 	for reference := range references {
-		if known[reference] || isAdapter(reference) {
+		if known[reference] || placement.IsAdapter(reference) {
 			continue
 		}
 		if next == nil {
--- a/internal/controlplane/replicatracker/models.go
+++ b/internal/controlplane/replicatracker/models.go
@@ -1,9 +1,7 @@
 package replicatracker
 
 import (
-	"slices"
 	"sort"
-	"strings"
 
 	"ferryspar/internal/discovery"
 	"ferryspar/internal/placement"
@@ -21,15 +19,11 @@
 	return references
 }
 
-// isAdapter tells whether a reference names an adapter, which lies on no disk of its own and is never counted as a load
-// from the store.
-func isAdapter(reference string) bool { return strings.Contains(reference, "/") }
-
 // loadedModels lists a set of references as the platform's list does, ordered by name.
 func loadedModels(references map[string]bool) []discovery.LoadedModel {
 	adapters := map[string][]string{}
 	for reference := range references {
-		model, adapter, _ := strings.Cut(reference, "/")
+		model, adapter := placement.SplitReference(reference)
 		if adapters[model] == nil {
 			adapters[model] = []string{}
 		}
@@ -62,10 +56,3 @@
 	}
 	return count == len(loaded)
 }
-
-// sameModels tells whether two lists of models are the same, in order too.
-func sameModels(former, latter []discovery.LoadedModel) bool {
-	return slices.EqualFunc(former, latter, func(left, right discovery.LoadedModel) bool {
-		return left.Name == right.Name && left.Revision == right.Revision && slices.Equal(left.Adapters, right.Adapters)
-	})
-}
--- a/internal/dataplane/subscribe.go
+++ b/internal/dataplane/subscribe.go
@@ -41,18 +41,18 @@
 	}
 	request := peer.SubscribeRequest{
 		DataPlane: s.settings.NodeName,
-		Sequence:  control.subscriptionNumber + 1,
+		Sequence:  control.subscriptionSequence + 1,
 	}
 	if control.complete {
-		request.Add, request.Remove = s.interest.TakeChanges()
+		request.Add, request.Remove = s.interest.takeChanges()
 		if len(request.Add) == 0 {
 			return
 		}
 	} else {
 		request.Reset = true
-		request.Add = s.interest.All()
+		request.Add = s.interest.all()
 	}
-	control.subscriptionNumber++
+	control.subscriptionSequence++
 	s.subscriptions.pending = true
 	s.calls.Go(func() { s.sendSubscribe(ctx, peers, address, request) })
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-// handleSubscribeResult adopts the endpoints of a response, and reports whether the fleet changed. After a failure
+// handleSubscribeResult adopts the endpoints of a response, and reports whether the snapshot changes by it. After a failure
 // everything is subscribed to anew.
 func (s *FleetState) handleSubscribeResult(result *subscribeResult) bool {
 	s.subscriptions.pending = false
@@ -97,11 +97,11 @@
 // acknowledgeSubscription has polls say what is followed from now on.
 func (s *FleetState) acknowledgeSubscription(result *subscribeResult) {
 	followed := *s.position.subscription.Load()
-	followed.number = result.request.Sequence
+	followed.sequence = result.request.Sequence
 	if result.request.Reset {
 		followed.address = result.address
 		followed.incarnation = result.response.Incarnation
-		followed.roster = result.response.RosterVersion
+		followed.rosterVersion = result.response.RosterVersion
 	}
 	s.position.subscription.Store(&followed)
 }
@@ -112,7 +112,7 @@
 	return control != nil && control.complete && address == s.Primary()
 }
 
-// handleEndpointSets adopts the endpoint sets of a poll's response, and reports whether the fleet changed.
+// handleEndpointSets adopts the endpoint sets of a poll's response, and reports whether the snapshot changes by it.
 func (s *FleetState) handleEndpointSets(control *controlPeer, result *watchResult) bool {
 	response := &result.response
 	control.resetOnRestart(response.Incarnation)
--- a/internal/keystore/names.go
+++ b/internal/keystore/names.go
@@ -23,9 +23,9 @@
 	ConfigurationKey = "layout"
 	// ZonePrefix begins the key of every zone that was evacuated or brought back.
 	ZonePrefix = "area/"
-	// RetentionKey holds how long request records are kept.
+	// RetentionKey holds how long replicas and data planes may keep cached context.
 	RetentionKey = "retention"
-	// ForgetKey holds which request records are to be erased.
+	// ForgetKey holds which cached context was ordered to be forgotten, and how far that has got.
 	ForgetKey = "forget"
 	// DrillKey holds the drill that is running.
 	DrillKey = "drill"
@@ -141,7 +141,7 @@
 	registerValueField = "value"
 
 	// readyMarkerByte and damageMarkerByte are the first bytes of the two markers. A record begins with 0, so the first
-	// byte of a segment tells the three apart, however little of them was written.
+	// byte of a segment distinguishes the three, however little of them was written.
 	readyMarkerByte  = 0xF5
 	damageMarkerByte = 0xDA
 	// readyMarkerText follows readyMarkerByte.
--- a/internal/keystore/proposer.go
+++ b/internal/keystore/proposer.go
@@ -54,7 +54,7 @@
 	return s.writeValue(ctx, key, value, decide)
 }
 
-// writeValue commits a value. After an uncertain outcome it becomes the owner anew: what is committed then tells whether
+// writeValue commits a value. After an uncertain outcome it becomes the owner anew: what is committed then shows whether
 // the write took effect.
 func (s *Store) writeValue(ctx context.Context, key *keyState, value json.RawMessage, decide Decide) (Register, error) {
 	for {
@@ -68,6 +68,7 @@
 			return Register{}, err
 		}
 		if bytes.Equal(key.register.Value, value) {
+			// The write took effect after all, or another with the same value did.
 			return key.register, nil
 		}
 		again, rejected := decide(key.register)
@@ -148,7 +149,7 @@
 	return s.callAsOwner(ctx, name, OperationRenew)
 }
 
-// Release ends an owned lease early. It must not be called before the last act under it.
+// Release ends an owned lease early. The holder must have completed its last action under it.
 func (s *Store) Release(ctx context.Context, name string) error {
 	return s.callAsOwner(ctx, name, OperationRelease)
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -16,7 +16,10 @@
 const logKeyLease = "lease"
 
 // ErrSuperseded is returned by Manager.Reserve for a grant that is no longer the last one.
-var ErrSuperseded = errors.New("the lease was granted anew")
+var ErrSuperseded = errors.New("superseded by a later grant")
+
+// errExpired is logged as the cause if a lease ran out between two renewals.
+var errExpired = errors.New("the lease expired before it was renewed")
 
 // Store is the part of the keystore that a Manager needs.
 type Store interface {
@@ -42,7 +45,7 @@
 	// TTL is how long a grant lasts, counted from before the request to the majority: counted from the
 	// answer, the holder would believe in its lease for longer than the members that granted it.
 	TTL time.Duration
-	// TakeoverDelay is how long a new holder waits before it acts if another daemon held the lease before.
+	// TakeoverDelay is how long a new holder waits before it acts if another control plane held the lease before.
 	// It must cover the TTL; with a shorter one, two holders can act at once.
 	TakeoverDelay time.Duration
 	Store         Store
@@ -167,13 +170,14 @@
 func (m *Manager) Renew(ctx context.Context, grant *Grant) *Grant {
 	requestedAt := m.Clock()
 	if !requestedAt.Before(grant.ExpiresAt) {
+		m.logLoss(errExpired)
 		return nil
 	}
 	if err := m.Store.Renew(ctx, m.Key); err != nil {
 		if m.Clock().Before(grant.ExpiresAt) {
 			return grant
 		}
-		logrus.WithError(err).WithField(logKeyLease, m.Key).Warn("lease lost")
+		m.logLoss(err)
 		return nil
 	}
 	renewed := *grant
@@ -181,6 +185,10 @@
 	return &renewed
 }
 
+func (m *Manager) logLoss(cause error) {
+	logrus.WithError(cause).WithField(logKeyLease, m.Key).Warn("lease lost")
+}
+
 // Release gives up the lease early, so that a successor need not wait until it expires. The holder must have
 // completed its last action under it.
 func (m *Manager) Release(ctx context.Context) error { return m.Store.Release(ctx, m.Key) }
