--- a/cmd/ferryspar-emulator/main.go
+++ b/cmd/ferryspar-emulator/main.go
@@ -39,8 +39,8 @@
 	parser.Name = "ferryspar-emulator"
 	parser.LongDescription = "Runs ferryspar without a fleet: shows it on this machine, or emulates fleets in made-up time. " +
 		"Version " + cli.Version + "."
-	for _, one := range commands {
-		if _, err := parser.AddCommand(one.name, one.short, one.short, one.data); err != nil {
+	for _, command := range commands {
+		if _, err := parser.AddCommand(command.name, command.short, command.short, command.data); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return cli.ExitFailed
 		}
--- a/internal/sim/emulator/attempt.go
+++ b/internal/sim/emulator/attempt.go
@@ -8,17 +8,17 @@
 	"ferryspar/internal/routing"
 )
 
-// attempt is one try of a call at one edge; the edge may forward it to several replicas in turn.
+// attempt is one attempt of a call at one edge; the edge may forward it to several replicas in turn.
 type attempt struct {
 	call *call
 	edge *edge
-	// life is the edge's life in which the attempt arrived; a restarted edge knows nothing of it.
-	life    int
-	try     int
-	request routing.Request
-	// pending is the request while the matcher holds it, or nil.
+	// incarnation is the edge's incarnation in which the attempt arrived; a restarted edge knows nothing of it.
+	incarnation int
+	number      int
+	request     routing.Request
+	// pending is the request while the matcher has it queued, or nil.
 	pending *routing.Request
-	// forwardNumber tells the answers of the current forward from those of earlier ones.
+	// forwardNumber distinguishes the answers of the current forward from those of earlier ones.
 	forwardNumber int
 	// forwards counts the forwards that reached a replica.
 	forwards int
@@ -34,7 +34,7 @@
 	ticket    *routing.Ticket
 	execution *execution
 	lastByte  time.Time
-	// lastReported is when the matcher last heard that the stream is alive.
+	// lastReported is when the matcher was last notified that the stream is alive.
 	lastReported time.Time
 	// firstSeen is set once the current forward has answered.
 	firstSeen bool
@@ -43,20 +43,22 @@
 }
 
 const (
-	// connectBound is how long an edge waits for a connection to a replica that is dark.
-	connectBound = 400 * time.Millisecond
-	// silenceBound is how long an edge waits for the next byte of a replica.
-	silenceBound = 3 * time.Second
+	// connectTimeout is how long an edge waits for a connection to a replica that is dark.
+	connectTimeout = 400 * time.Millisecond
+	// silenceTimeout is how long an edge waits for the next byte of a replica.
+	silenceTimeout = 3 * time.Second
 	// idleTime is how long an unused connection to a replica is kept.
 	idleTime = 3 * time.Second
-	// aliveEvery is how often the matcher is told that a stream goes on.
+	// aliveEvery is how often the matcher is notified that a stream goes on.
 	aliveEvery = 250 * time.Millisecond
 	// unreachedBound is how many forwards without a connection an attempt may make.
 	unreachedBound = 4
 )
 
-// isOver tells whether the attempt is closed or its edge has died since.
-func (p *attempt) isOver() bool { return p.closed || !p.edge.alive || p.edge.life != p.life }
+// isOver reports whether the attempt is closed or its edge has died since.
+func (p *attempt) isOver() bool {
+	return p.closed || !p.edge.alive || p.edge.incarnation != p.incarnation
+}
 
 // enqueue gives the request to the matcher, for the first time or again.
 func (p *attempt) enqueue() {
@@ -76,7 +78,7 @@
 	}
 	w := p.edge.world
 	p.ticket = command.Ticket
-	p.noteForward(command.Replica.ID)
+	p.recordForward(command.Replica.ID)
 	if p.forwards > 0 && !p.edge.budget.Allow(w.now(), p.edge.fleet.Load().DataPlanes) {
 		p.edge.reportOutcome(p.ticket, routing.OutcomeCancelled)
 		p.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
@@ -131,20 +133,20 @@
 // toClient acts at the client after the link's delay.
 func (p *attempt) toClient(act func()) { p.edge.afterLink(p.call.request.Zone, act) }
 
-// refuse answers the client that nothing was executed and when to come back.
-func (p *attempt) refuse(wait time.Duration) {
+// reject answers the client that nothing was executed and when to come back.
+func (p *attempt) reject(wait time.Duration) {
 	p.closed = true
-	p.toClient(func() { p.call.onRefused(p.try, wait) })
+	p.toClient(func() { p.call.onRejected(p.number, wait) })
 }
 
-// fail answers with an error: a rejection if nothing was executed, a cut answer otherwise.
+// fail answers with an error: a rejection if nothing was executed, a truncated answer otherwise.
 func (p *attempt) fail(failure *apierror.Error) {
 	if p.headSent || p.mayHaveRun || failure.Kind.Status() != http.StatusServiceUnavailable {
 		p.closed = true
-		p.toClient(func() { p.call.onBroken(p.try) })
+		p.toClient(func() { p.call.onBroken(p.number) })
 		return
 	}
-	p.refuse(failure.RetryAfter)
+	p.reject(failure.RetryAfter)
 }
 
 // cancel ends the attempt at its client's wish.
--- a/internal/sim/emulator/call.go
+++ b/internal/sim/emulator/call.go
@@ -19,9 +19,9 @@
 	received  int
 	first     time.Time
 	lastEvent time.Time
-	// pause is the longest time between two events.
-	pause     time.Duration
-	lastHeard time.Time
+	// pause is the longest gap between two events.
+	pause        time.Duration
+	lastReceived time.Time
 	// reason is the outcome that counts if no further attempt is made.
 	reason string
 	// attempt is the one under way, or nil.
@@ -32,7 +32,7 @@
 	interrupted bool
 	// waitMs is how long the first forwarded attempt waited in its edge.
 	waitMs float64
-	// notLoaded tells that no replica held the model when the request arrived.
+	// notLoaded is set if no replica had the model loaded when the request arrived.
 	notLoaded bool
 	outcome   string
 }
@@ -40,9 +40,9 @@
 const (
 	// outcomeServed: every event arrived.
 	outcomeServed = "served"
-	// outcomeRefused: the last attempt was rejected before it ran.
-	outcomeRefused = "refused"
-	// outcomeBroken: the answer was cut and may not be asked for again.
+	// outcomeRejected: the last attempt was rejected before it ran.
+	outcomeRejected = "refused"
+	// outcomeBroken: the answer was truncated and may not be requested again.
 	outcomeBroken = "broken"
 	// outcomeSilent: no data plane answered in time.
 	outcomeSilent = "silent"
@@ -53,18 +53,18 @@
 const (
 	// clientConnect is how long a client waits for a connection to a dead edge.
 	clientConnect = time.Second
-	// brokenPause is how long a client waits before it resumes a cut stream.
+	// brokenPause is how long a client waits before it resumes a truncated stream.
 	brokenPause = 50 * time.Millisecond
 	// returnedSlack is how much of the timeout a first attempt may have lost on its way before it is
 	// taken for one that returns after a rejection.
 	returnedSlack = 20 * time.Millisecond
 )
 
-// targetLatency is the class's aim for the first token.
+// targetLatency is the class's target for the first token.
 func (c *call) targetLatency() time.Duration { return milliseconds(c.class.AimMs) }
 
-// silenceBound is how long the client waits without an event before it gives the attempt up.
-func (c *call) silenceBound() time.Duration {
+// silenceTimeout is how long the client waits without an event before it gives the attempt up.
+func (c *call) silenceTimeout() time.Duration {
 	return max(2*time.Second, 4*c.targetLatency(), 8*milliseconds(c.class.GapMs))
 }
 
@@ -78,7 +78,7 @@
 	c.sendAttempt()
 }
 
-// sendAttempt chooses an edge and sends the request there, unless the class's tries are used up.
+// sendAttempt chooses an edge and sends the request there, unless the class's attempts are used up.
 func (c *call) sendAttempt() {
 	if c.ended {
 		return
@@ -88,33 +88,33 @@
 		return
 	}
 	c.attemptsMade++
-	try := c.attemptsMade
-	chosen := c.world.chooseEdge(c.request.Zone, c.request.Draw, try)
+	attemptNumber := c.attemptsMade
+	chosen := c.world.chooseEdge(c.request.Zone, c.request.Draw, attemptNumber)
 	if chosen == nil || !chosen.alive {
 		c.reason = outcomeSilent
-		c.world.events.After(clientConnect, func() { c.retryIfCurrent(try) })
+		c.world.events.After(clientConnect, func() { c.retryIfCurrent(attemptNumber) })
 		return
 	}
-	c.lastHeard = c.world.now()
-	one := &attempt{call: c, edge: chosen, life: chosen.life, try: try, lastID: c.received}
-	c.attempt = one
+	c.lastReceived = c.world.now()
+	clientAttempt := &attempt{call: c, edge: chosen, incarnation: chosen.incarnation, number: attemptNumber, lastID: c.received}
+	c.attempt = clientAttempt
 	chosen.afterLink(c.request.Zone, func() {
-		if one.isOver() {
+		if clientAttempt.isOver() {
 			return
 		}
-		one.request = c.matchRequest(chosen, try)
-		chosen.accept(one)
+		clientAttempt.request = c.matchRequest(chosen, attemptNumber)
+		chosen.accept(clientAttempt)
 	})
-	c.watchSilence(try, c.silenceBound())
+	c.watchSilence(attemptNumber, c.silenceTimeout())
 }
 
 // matchRequest describes this request as the given edge's matcher sees it on arrival now.
-func (c *call) matchRequest(at *edge, try int) routing.Request {
+func (c *call) matchRequest(at *edge, attemptNumber int) routing.Request {
 	now := c.world.now()
 	remaining := c.deadline.Sub(now)
 	firstRemaining := milliseconds(c.class.TimeoutMs) - returnedSlack - c.world.linkDelay(at.zone, c.request.Zone)
 	return routing.Request{
-		Attempt:          fmt.Sprintf("%d.%d", c.request.Number, try),
+		Attempt:          fmt.Sprintf("%d.%d", c.request.Number, attemptNumber),
 		Backend:          backendName,
 		Model:            c.request.Model,
 		Parts:            c.request.Parts,
@@ -133,25 +133,25 @@
 	}
 }
 
-// isStale tells whether something of the given try comes too late to count.
-func (c *call) isStale(try int) bool { return c.ended || c.attemptsMade != try }
+// isStale reports whether something of the given attempt comes too late to count.
+func (c *call) isStale(attemptNumber int) bool { return c.ended || c.attemptsMade != attemptNumber }
 
-// retryIfCurrent makes the next attempt if the given try is still the last one.
-func (c *call) retryIfCurrent(try int) {
-	if !c.isStale(try) {
+// retryIfCurrent makes the next attempt if the given attempt is still the last one.
+func (c *call) retryIfCurrent(attemptNumber int) {
+	if !c.isStale(attemptNumber) {
 		c.sendAttempt()
 	}
 }
 
-// watchSilence gives the attempt up once nothing was heard for the silence bound; only resumable
-// classes try again.
-func (c *call) watchSilence(try int, wait time.Duration) {
+// watchSilence abandons the attempt once nothing was received for the silence timeout; only resumable
+// classes retry.
+func (c *call) watchSilence(attemptNumber int, wait time.Duration) {
 	c.world.events.After(wait, func() {
-		if c.isStale(try) || c.attempt == nil {
+		if c.isStale(attemptNumber) || c.attempt == nil {
 			return
 		}
-		if left := c.silenceBound() - c.world.now().Sub(c.lastHeard); left > 0 {
-			c.watchSilence(try, left)
+		if left := c.silenceTimeout() - c.world.now().Sub(c.lastReceived); left > 0 {
+			c.watchSilence(attemptNumber, left)
 			return
 		}
 		c.reason = outcomeSilent
@@ -166,20 +166,20 @@
 
 // abandonAttempt lets go of the attempt under way and cancels it at its edge.
 func (c *call) abandonAttempt() {
-	if one := c.attempt; one != nil {
+	if clientAttempt := c.attempt; clientAttempt != nil {
 		c.attempt = nil
-		one.edge.afterLink(c.request.Zone, one.cancel)
+		clientAttempt.edge.afterLink(c.request.Zone, clientAttempt.cancel)
 	}
 }
 
 // receiveEvent counts an event of the answer; ids must follow each other, over resumptions too.
-func (c *call) receiveEvent(try, id int) {
-	if c.isStale(try) || c.attempt == nil {
+func (c *call) receiveEvent(attemptNumber, id int) {
+	if c.isStale(attemptNumber) || c.attempt == nil {
 		return
 	}
 	now := c.world.now()
 	if id != c.received+1 {
-		c.world.noteViolation("request %d of %s: event %d after %d", c.request.Number, c.class.Name, id, c.received)
+		c.world.recordViolation("request %d of %s: event %d after %d", c.request.Number, c.class.Name, id, c.received)
 	}
 	if c.received == 0 {
 		c.first = now
@@ -188,25 +188,25 @@
 	}
 	c.received = id
 	c.lastEvent = now
-	c.lastHeard = now
+	c.lastReceived = now
 	if id == c.request.Output {
 		c.attempt = nil
 		c.finish(outcomeServed)
 	}
 }
 
-// onRefused tries again after the wait that the rejection names, at most a third of the time left.
-func (c *call) onRefused(try int, wait time.Duration) {
-	if c.isStale(try) {
+// onRejected retries after the wait that the rejection names, at most a third of the time left.
+func (c *call) onRejected(attemptNumber int, wait time.Duration) {
+	if c.isStale(attemptNumber) {
 		return
 	}
-	c.attempt, c.reason = nil, outcomeRefused
-	c.world.events.After(min(wait, c.deadline.Sub(c.world.now())/3), func() { c.retryIfCurrent(try) })
+	c.attempt, c.reason = nil, outcomeRejected
+	c.world.events.After(min(wait, c.deadline.Sub(c.world.now())/3), func() { c.retryIfCurrent(attemptNumber) })
 }
 
-// onBroken resumes a cut answer if the class allows it and ends the call otherwise.
-func (c *call) onBroken(try int) {
-	if c.isStale(try) {
+// onBroken resumes a truncated answer if the class allows it and ends the call otherwise.
+func (c *call) onBroken(attemptNumber int) {
+	if c.isStale(attemptNumber) {
 		return
 	}
 	c.attempt, c.reason = nil, outcomeBroken
@@ -214,10 +214,10 @@
 		c.finish(outcomeBroken)
 		return
 	}
-	c.world.events.After(brokenPause, func() { c.retryIfCurrent(try) })
+	c.world.events.After(brokenPause, func() { c.retryIfCurrent(attemptNumber) })
 }
 
-// finish ends the call once, with the given outcome, and tells the observer.
+// finish ends the call once, with the given outcome, and notifies the observer.
 func (c *call) finish(outcome string) {
 	if c.ended {
 		return
@@ -229,7 +229,7 @@
 	c.world.observer.requestEnded(c)
 }
 
-// inTime tells whether the call was served with its first token inside the aim and no pause beyond
+// inTime reports whether the call was served with its first token within the target and no gap beyond
 // the class's gap.
 func (c *call) inTime() bool {
 	return c.outcome == outcomeServed && c.first.Sub(c.began) <= c.targetLatency() && c.pause <= milliseconds(c.class.GapMs)
--- a/internal/sim/emulator/check.go
+++ b/internal/sim/emulator/check.go
@@ -24,9 +24,9 @@
 	rules = append(rules, s.classRules()...)
 	rules = append(rules, s.failureRules()...)
 	var wrong []string
-	for _, one := range rules {
-		if one.wrong {
-			wrong = append(wrong, one.message)
+	for _, condition := range rules {
+		if condition.wrong {
+			wrong = append(wrong, condition.message)
 		}
 	}
 	if len(wrong) > 0 {
--- a/internal/sim/emulator/controlplane.go
+++ b/internal/sim/emulator/controlplane.go
@@ -8,30 +8,30 @@
 	"ferryspar/internal/sim/emulator/standin"
 )
 
-// managedReplica is what the control plane knows of a replica that it places models on.
-type managedReplica struct {
+// trackedReplica is what the control plane knows of a replica that it places models on.
+type trackedReplica struct {
 	listed discovery.Replica
 	models map[string]bool
-	// known is set once the replica has reported what it holds.
+	// known is set once the replica has reported what it has loaded.
 	known bool
 	// pending is the load or unload under way, or nil.
 	pending *placement.Action
-	// barred holds "replica reference" pairs that edges must no longer use.
-	barred map[string]bool
+	// cordoned holds "replica reference" pairs that edges must no longer use.
+	cordoned map[string]bool
 	// intent is the planner's own note for its next run.
 	intent string
 }
 
-// controlPlane is the control plane that holds the duty to place, with the planner of the daemons.
+// controlPlane is the control plane that holds the placement lease, with the planner of the daemons.
 // The others are not emulated; a takeover time stands for them.
 type controlPlane struct {
 	world   *World
 	zone    int
 	alive   bool
 	demand  *demand
-	managed map[string]*managedReplica
-	// heldBefore holds the references that each address has once held, so that its disk may have them.
-	heldBefore map[string]map[string]bool
+	tracked map[string]*trackedReplica
+	// loadedBefore holds the references that each address has once loaded, so that its disk may have them.
+	loadedBefore map[string]map[string]bool
 	// loads are the moments of the last loads from the store, for the store's rate.
 	loads []time.Time
 }
@@ -41,8 +41,8 @@
 	planEvery = 100 * time.Millisecond
 	// reportLag is how long after a change a replica is asked for its report.
 	reportLag = 250 * time.Millisecond
-	// barTime is how long edges are given to hear of an unload before the replica does.
-	barTime = 220 * time.Millisecond
+	// cordonTime is how long edges are given to hear of an unload before the replica does.
+	cordonTime = 220 * time.Millisecond
 	// originPeriod is the period over which the store's rate of loads is kept.
 	originPeriod = 5 * time.Second
 )
@@ -51,16 +51,16 @@
 // loads.
 func newControlPlane(world *World, zone int, before *controlPlane) *controlPlane {
 	c := &controlPlane{
-		world:      world,
-		zone:       zone,
-		alive:      true,
-		demand:     newDemand(world.now()),
-		managed:    map[string]*managedReplica{},
-		heldBefore: map[string]map[string]bool{},
+		world:        world,
+		zone:         zone,
+		alive:        true,
+		demand:       newDemand(world.now()),
+		tracked:      map[string]*trackedReplica{},
+		loadedBefore: map[string]map[string]bool{},
 	}
 	if before != nil {
 		c.demand.inherit(before.demand, world.now())
-		c.heldBefore = before.heldBefore
+		c.loadedBefore = before.loadedBefore
 		c.loads = before.loads
 	}
 	c.scheduleRefresh()
@@ -93,9 +93,9 @@
 	c.alive = false
 	w := c.world
 	w.events.After(seconds(w.scenario.Platform.TakeoverS), func() {
-		for _, one := range w.edges {
-			if one.alive && !w.lost[one.zone] {
-				w.control = newControlPlane(w, one.zone, c)
+		for _, dataPlane := range w.edges {
+			if dataPlane.alive && !w.lost[dataPlane.zone] {
+				w.control = newControlPlane(w, dataPlane.zone, c)
 				w.control.refresh()
 				return
 			}
@@ -111,19 +111,19 @@
 	present := map[string]bool{}
 	for index, listed := range listing {
 		present[listed.ID] = true
-		if c.managed[listed.ID] == nil {
-			c.managed[listed.ID] = &managedReplica{barred: map[string]bool{}}
+		if c.tracked[listed.ID] == nil {
+			c.tracked[listed.ID] = &trackedReplica{cordoned: map[string]bool{}}
 			c.requestReport(listed.ID)
 		}
-		one := c.managed[listed.ID]
-		one.listed = listed
-		if one.known {
-			listing[index].Models = holdings(one.models)
+		replica := c.tracked[listed.ID]
+		replica.listed = listed
+		if replica.known {
+			listing[index].Models = holdings(replica.models)
 		}
 	}
-	for id := range c.managed {
+	for id := range c.tracked {
 		if !present[id] {
-			delete(c.managed, id)
+			delete(c.tracked, id)
 		}
 	}
 	c.publishRoster(listing, now)
@@ -134,25 +134,25 @@
 	return standin.Holdings(models).List()
 }
 
-// publishRoster sends the replicas and what is barred to every edge.
+// publishRoster sends the replicas and what is cordoned to every edge.
 func (c *controlPlane) publishRoster(listing []discovery.Replica, now time.Time) {
 	update := roster{
 		replicas: listing,
 		fetched:  now,
-		barred:   map[string]bool{},
+		cordoned: map[string]bool{},
 		edges:    max(c.demand.liveEdges(now), 1),
 	}
-	for _, one := range c.managed {
-		for pair := range one.barred {
-			update.barred[pair] = true
+	for _, replica := range c.tracked {
+		for pair := range replica.cordoned {
+			update.cordoned[pair] = true
 		}
 	}
-	for _, one := range c.world.edges {
-		one.afterLink(c.zone, func() { one.receiveRoster(update) })
+	for _, dataPlane := range c.world.edges {
+		dataPlane.afterLink(c.zone, func() { dataPlane.receiveRoster(update) })
 	}
 }
 
-// requestReport asks a replica for what it holds; a dead one gives no answer.
+// requestReport polls a replica for what it has loaded; a dead one gives no answer.
 func (c *controlPlane) requestReport(id string) {
 	target := c.world.servers[id]
 	wait := c.world.linkDelay(c.zone, target.machine.zone)
@@ -161,7 +161,7 @@
 			return
 		}
 		models := map[string]bool{}
-		for reference := range target.held {
+		for reference := range target.loaded {
 			models[reference] = true
 		}
 		c.world.events.After(reportLag+wait, func() { c.applyReport(id, models) })
@@ -170,19 +170,19 @@
 
 // applyReport adopts a replica's report, which ends its pending change.
 func (c *controlPlane) applyReport(id string, models map[string]bool) {
-	one := c.managed[id]
-	if one == nil || !c.alive {
+	replica := c.tracked[id]
+	if replica == nil || !c.alive {
 		return
 	}
-	one.models = models
-	one.known = true
-	one.pending = nil
-	one.barred = map[string]bool{}
-	address := one.listed.Address
-	if c.heldBefore[address] == nil {
-		c.heldBefore[address] = map[string]bool{}
+	replica.models = models
+	replica.known = true
+	replica.pending = nil
+	replica.cordoned = map[string]bool{}
+	address := replica.listed.Address
+	if c.loadedBefore[address] == nil {
+		c.loadedBefore[address] = map[string]bool{}
 	}
 	for reference := range models {
-		c.heldBefore[address][reference] = true
+		c.loadedBefore[address][reference] = true
 	}
 }
--- a/internal/sim/emulator/copies.go
+++ b/internal/sim/emulator/copies.go
@@ -11,12 +11,12 @@
 type copyPlacement struct {
 	scenario Scenario
 	zones    []int
-	held     [][]string
+	loaded   [][]string
 	copies   []int
 	inZone   []map[int]int
 }
 
-// spreadCopies tells the references that each machine holds at the beginning, by the machine's
+// spreadCopies returns the references that each machine has loaded at the beginning, by the machine's
 // index.
 func spreadCopies(scenario Scenario) [][]string {
 	l := &copyPlacement{scenario: scenario, copies: make([]int, scenario.Models.Count)}
@@ -25,7 +25,7 @@
 			l.zones = append(l.zones, index)
 		}
 	}
-	l.held = make([][]string, len(l.zones))
+	l.loaded = make([][]string, len(l.zones))
 	for range scenario.Models.Count {
 		l.inZone = append(l.inZone, map[int]int{})
 	}
@@ -34,16 +34,16 @@
 	}
 	l.addExtraCopies()
 	l.addAdapters()
-	return l.held
+	return l.loaded
 }
 
-// addExtraCopies fills the busy share of the room left after each model's first copy, each time
+// addExtraCopies fills the busy share of the capacity left after each model's first copy, each time
 // with the model whose popularity per copy is highest.
 func (l *copyPlacement) addExtraCopies() {
 	models := l.scenario.Models
 	shares := popularity(models)
-	room := len(l.zones)*models.PerReplica - models.Count
-	extra := int(math.Floor(l.scenario.Placement.BusyShare * float64(room)))
+	capacity := len(l.zones)*models.PerReplica - models.Count
+	extra := int(math.Floor(l.scenario.Placement.BusyShare * float64(capacity)))
 	perCopy := func(model int) float64 { return shares[model] / float64(l.copies[model]) }
 	for range extra {
 		best := -1
@@ -58,11 +58,11 @@
 	}
 }
 
-// place gives one more copy of the model to the best machine, and reports whether one had room.
+// place gives one more copy of the model to the best machine, and reports whether one had capacity.
 func (l *copyPlacement) place(model int) bool {
 	best := -1
 	for machine := range l.zones {
-		if len(l.held[machine]) >= l.scenario.Models.PerReplica || slices.Contains(l.held[machine], modelName(model)) {
+		if len(l.loaded[machine]) >= l.scenario.Models.PerReplica || slices.Contains(l.loaded[machine], modelName(model)) {
 			continue
 		}
 		if best < 0 || l.isBetter(model, machine, best) {
@@ -73,7 +73,7 @@
 		l.copies[model] = len(l.zones)
 		return false
 	}
-	l.held[best] = append(l.held[best], modelName(model))
+	l.loaded[best] = append(l.loaded[best], modelName(model))
 	l.copies[model]++
 	l.inZone[model][l.zones[best]]++
 	return true
@@ -87,20 +87,20 @@
 	if here != there {
 		return (here < there) == (l.scenario.Placement.Copies == CopiesSpread)
 	}
-	return len(l.held[machine]) < len(l.held[best])
+	return len(l.loaded[machine]) < len(l.loaded[best])
 }
 
 // addAdapters gives the first model's adapters to the machines that hold it, in turn.
 func (l *copyPlacement) addAdapters() {
 	models := l.scenario.Models
 	placed := 0
-	for machine, references := range l.held {
+	for machine, references := range l.loaded {
 		if !slices.Contains(references, modelName(0)) {
 			continue
 		}
 		for number := range min(models.Adapters, models.AdapterCapacity) {
 			adapter := (placed+number)%models.Adapters + 1
-			l.held[machine] = append(l.held[machine], fmt.Sprintf("%s/a%d", modelName(0), adapter))
+			l.loaded[machine] = append(l.loaded[machine], fmt.Sprintf("%s/a%d", modelName(0), adapter))
 		}
 		placed++
 	}
--- a/internal/sim/emulator/demand.go
+++ b/internal/sim/emulator/demand.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/placement"
 )
 
-// loadReport is an edge's load and when it was heard.
+// loadReport is an edge's load and when it was received.
 type loadReport struct {
 	at   time.Time
 	load peer.LoadReport
@@ -27,7 +27,7 @@
 	readMs map[string]float64
 	// byKey is the demand by backend and model.
 	byKey map[string]*placement.Demand
-	// learningSince is when demand was first heard; zero before.
+	// learningSince is when demand was first reported; zero before.
 	learningSince time.Time
 	measuredAt    time.Time
 }
@@ -37,14 +37,14 @@
 	rateSpan = 8.0
 	// learnTime is how long a new holder listens before it trusts its demand.
 	learnTime = 6 * time.Second
-	// outlookLife is how long an edge's load counts in what the others are told.
-	outlookLife = 2 * time.Second
-	// loadLife is how long an edge's waiting requests count.
-	loadLife = 1500 * time.Millisecond
+	// loadSumExpiry is how long an edge's load counts in the sums that the others receive.
+	loadSumExpiry = 2 * time.Second
+	// loadExpiry is how long an edge's waiting requests count.
+	loadExpiry = 1500 * time.Millisecond
 	// forgetAfter is how long a silent edge is remembered.
 	forgetAfter = 10 * time.Second
-	// suspectLife is how long an edge's suspicion of a replica counts.
-	suspectLife = time.Second
+	// suspicionExpiry is how long an edge's suspicion of a replica counts.
+	suspicionExpiry = time.Second
 	// suspectEnough is how many edges must suspect a replica.
 	suspectEnough = 2
 	// exactUnit is the grid that rates are rounded to, so that sums do not depend on their order.
@@ -71,16 +71,16 @@
 	d.learningSince = now.Add(-learnTime)
 }
 
-// learned tells whether the demand was heard for long enough to plan by.
+// learned reports whether the demand was reported for long enough to plan by.
 func (d *demand) learned(now time.Time) bool {
 	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learnTime
 }
 
-// liveEdges counts the edges heard of lately.
+// liveEdges counts the edges that have reported lately.
 func (d *demand) liveEdges(now time.Time) int {
 	live := 0
-	for _, one := range d.reports {
-		if now.Sub(one.at) < forgetAfter {
+	for _, report := range d.reports {
+		if now.Sub(report.at) < forgetAfter {
 			live++
 		}
 	}
@@ -105,14 +105,14 @@
 	outlook := map[string]peer.ReplicaLoad{}
 	for _, number := range d.reportingEdges() {
 		other := d.reports[number]
-		if number == edge || now.Sub(other.at) > outlookLife {
+		if number == edge || now.Sub(other.at) > loadSumExpiry {
 			continue
 		}
-		for id, one := range other.load.Replicas {
+		for id, reported := range other.load.Replicas {
 			sum := outlook[id]
-			sum.Running += one.Running
-			sum.Tokens += one.Tokens
-			sum.PrefillTokens += one.PrefillTokens
+			sum.Running += reported.Running
+			sum.Tokens += reported.Tokens
+			sum.PrefillTokens += reported.PrefillTokens
 			outlook[id] = sum
 		}
 	}
@@ -138,27 +138,27 @@
 	d.measuredAt = now
 	share := min(span/rateSpan, 1)
 	for name, amount := range d.arrivals {
-		if one := d.entry(name); amount > 0 {
-			one.LastSeen = now
+		if entry := d.entry(name); amount > 0 {
+			entry.LastSeen = now
 		}
 	}
-	for name, one := range d.byKey {
-		one.Rate = exact(one.Rate + share*(d.arrivals[name]/span-one.Rate))
-		one.PrefillLoad = exact(one.PrefillLoad + share*(d.readMs[name]/span/1000-one.PrefillLoad))
-		if one.Rate < 0.003 {
-			one.Rate = 0
+	for name, entry := range d.byKey {
+		entry.Rate = exact(entry.Rate + share*(d.arrivals[name]/span-entry.Rate))
+		entry.PrefillLoad = exact(entry.PrefillLoad + share*(d.readMs[name]/span/1000-entry.PrefillLoad))
+		if entry.Rate < 0.003 {
+			entry.Rate = 0
 		}
 	}
 	d.arrivals = map[string]float64{}
 	d.readMs = map[string]float64{}
 }
 
-// sumReports sums what waits and runs over the edges heard of lately.
+// sumReports sums what waits and runs over the edges that have reported lately.
 func (d *demand) sumReports(now time.Time) {
-	for _, one := range d.byKey {
-		one.Waiting = 0
-		one.OldestWaitMs = 0
-		one.Running = 0
+	for _, entry := range d.byKey {
+		entry.Waiting = 0
+		entry.OldestWaitMs = 0
+		entry.Running = 0
 	}
 	for _, number := range d.reportingEdges() {
 		heard := d.reports[number]
@@ -166,17 +166,17 @@
 		if age > forgetAfter {
 			delete(d.reports, number)
 		}
-		if age > loadLife {
+		if age > loadExpiry {
 			continue
 		}
 		for _, model := range heard.load.Models {
-			one := d.entry(placement.ModelKey(model.Backend, model.Model))
-			one.Waiting += model.Waiting
-			one.Running += float64(model.Running)
-			one.LatencyTargetMs = max(one.LatencyTargetMs, model.LatencyTargetMs)
+			entry := d.entry(placement.ModelKey(model.Backend, model.Model))
+			entry.Waiting += model.Waiting
+			entry.Running += float64(model.Running)
+			entry.LatencyTargetMs = max(entry.LatencyTargetMs, model.LatencyTargetMs)
 			if model.Waiting > 0 {
-				one.OldestWaitMs = max(one.OldestWaitMs, model.OldestWaitMs)
-				one.LastSeen = now
+				entry.OldestWaitMs = max(entry.OldestWaitMs, model.OldestWaitMs)
+				entry.LastSeen = now
 			}
 		}
 	}
@@ -185,22 +185,22 @@
 // copied is a deep copy of the demand.
 func (d *demand) copied() map[string]*placement.Demand {
 	copies := make(map[string]*placement.Demand, len(d.byKey))
-	for name, one := range d.byKey {
-		same := *one
+	for name, entry := range d.byKey {
+		same := *entry
 		copies[name] = &same
 	}
 	return copies
 }
 
-// isSuspect tells whether enough of the edges heard lately suspect the replica.
+// isSuspect reports whether enough of the edges that have reported lately suspect the replica.
 func (d *demand) isSuspect(id string, now time.Time) bool {
 	suspected, heard := 0, 0
-	for _, one := range d.reports {
-		if now.Sub(one.at) > suspectLife {
+	for _, report := range d.reports {
+		if now.Sub(report.at) > suspicionExpiry {
 			continue
 		}
 		heard++
-		if one.load.Replicas[id].Suspected {
+		if report.load.Replicas[id].Suspected {
 			suspected++
 		}
 	}
--- a/internal/sim/emulator/demo/address.go
+++ b/internal/sim/emulator/demo/address.go
@@ -37,7 +37,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(port)), err
 }
 
-// allFree tells whether an amount of ports in a row are free on all the hosts.
+// allFree reports whether an amount of ports in a row are free on all the hosts.
 func allFree(port, amount int, hosts []string) bool {
 	for _, host := range hosts {
 		for offset := range amount {
--- a/internal/sim/emulator/demo/child.go
+++ b/internal/sim/emulator/demo/child.go
@@ -22,8 +22,8 @@
 const (
 	controlProgram = "ferryspar-control-plane"
 	dataProgram    = "ferryspar-data-plane"
-	// endPatience is how long a child may take to end before it is killed.
-	endPatience = 4 * time.Second
+	// shutdownTimeout is how long a child may take to end before it is killed.
+	shutdownTimeout = 4 * time.Second
 	// tailBytes is how much of a child's log an error shows.
 	tailBytes = 1500
 )
@@ -34,25 +34,25 @@
 	if err := os.WriteFile(path, settings, 0o600); err != nil {
 		return nil, errors.Wrap(err, "settings of "+name)
 	}
-	one := &child{name: name, log: filepath.Join(folder, name+".log"), ended: make(chan struct{})}
-	log, err := os.Create(one.log)
+	process := &child{name: name, log: filepath.Join(folder, name+".log"), ended: make(chan struct{})}
+	log, err := os.Create(process.log)
 	if err != nil {
 		return nil, errors.Wrap(err, "log of "+name)
 	}
 	defer log.Close()
-	one.command = exec.Command(filepath.Join(programs, program), "--settings", path)
-	one.command.Stdout, one.command.Stderr = log, log
-	if err := one.command.Start(); err != nil {
+	process.command = exec.Command(filepath.Join(programs, program), "--settings", path)
+	process.command.Stdout, process.command.Stderr = log, log
+	if err := process.command.Start(); err != nil {
 		return nil, errors.Wrapf(err, "%s cannot be started; build it beside this program or name its folder with --programs", program)
 	}
 	go func() {
-		_ = one.command.Wait()
-		close(one.ended)
+		_ = process.command.Wait()
+		close(process.ended)
 	}()
-	return one, nil
+	return process, nil
 }
 
-// alive tells whether the process still runs.
+// alive reports whether the process still runs.
 func (c *child) alive() bool {
 	select {
 	case <-c.ended:
@@ -70,7 +70,7 @@
 	_ = c.command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-c.ended:
-	case <-time.After(endPatience):
+	case <-time.After(shutdownTimeout):
 		_ = c.command.Process.Kill()
 		<-c.ended
 	}
--- a/internal/sim/emulator/demo/client.go
+++ b/internal/sim/emulator/demo/client.go
@@ -29,41 +29,41 @@
 	Error    string  `json:"problem,omitempty"`
 }
 
-// streamBound is how long a stream may take as a whole.
+// streamBound is how long a complete stream may take.
 const streamBound = 30 * time.Second
 
 // milliseconds is a length in milliseconds, exact to a microsecond.
 func milliseconds(length time.Duration) float64 { return float64(length.Microseconds()) / 1000 }
 
 // headers are the request headers of a stream.
-func headers(wanted stream, attempt string) map[string]string {
+func headers(request stream, attempt string) map[string]string {
 	return map[string]string{
 		replica.HeaderAttempt:   attempt,
-		replica.HeaderModel:     wanted.Model,
-		replica.HeaderPrefix:    wanted.Prefix,
-		replica.HeaderTokens:    fmt.Sprintf("%.0f,%d", wanted.Prompt, wanted.Output),
+		replica.HeaderModel:     request.Model,
+		replica.HeaderPrefix:    request.Prefix,
+		replica.HeaderTokens:    fmt.Sprintf("%.0f,%d", request.Prompt, request.Output),
 		replica.HeaderRemaining: "15000",
 	}
 }
 
-// ask sends one request and reads its stream to the end; a failure is told in the result.
-func ask(ctx context.Context, client *http.Client, number int, address, host string, wanted stream) Served {
+// ask sends one request and reads its stream to the end; a failure is recorded in the result.
+func ask(ctx context.Context, client *http.Client, number int, address, host string, planned stream) Served {
 	result := Served{
 		Number:    number,
 		DataPlane: address,
-		Path:      wanted.Path,
-		Model:     wanted.Model,
-		Expected:  wanted.Output,
+		Path:      planned.Path,
+		Model:     planned.Model,
+		Expected:  planned.Output,
 	}
 	bounded, cancel := context.WithTimeout(ctx, streamBound)
 	defer cancel()
-	request, err := http.NewRequestWithContext(bounded, http.MethodPost, "http://"+address+wanted.Path, strings.NewReader("say something"))
+	request, err := http.NewRequestWithContext(bounded, http.MethodPost, "http://"+address+planned.Path, strings.NewReader("say something"))
 	if err != nil {
 		result.Error = err.Error()
 		return result
 	}
 	request.Host = host
-	for name, value := range headers(wanted, fmt.Sprintf("demo-%d", number)) {
+	for name, value := range headers(planned, fmt.Sprintf("demo-%d", number)) {
 		request.Header.Set(name, value)
 	}
 	began := time.Now()
--- a/internal/sim/emulator/demo/demo.go
+++ b/internal/sim/emulator/demo/demo.go
@@ -43,7 +43,7 @@
 
 // Run starts the fleet, sends the streams, prints the result and takes the fleet down again, after
 // the context ends if it is to stay. It fails if the fleet does not start or a stream was not
-// served whole.
+// served completely.
 func Run(ctx context.Context, options Options) (Result, error) {
 	var result Result
 	planned, err := readPlan()
@@ -93,8 +93,8 @@
 		places <- struct{}{}
 		group.Go(func() {
 			defer func() { <-places }()
-			wanted := s.plan.Streams[number%len(s.plan.Streams)]
-			served[number] = ask(ctx, http.DefaultClient, number+1, s.edges[number%len(s.edges)], s.host(), wanted)
+			request := s.plan.Streams[number%len(s.plan.Streams)]
+			served[number] = ask(ctx, http.DefaultClient, number+1, s.edges[number%len(s.edges)], s.host(), request)
 		})
 	}
 	group.Wait()
@@ -104,11 +104,11 @@
 // host is the hostname that the routes serve.
 func (s *deployment) host() string { return s.plan.configuration.Routes[0].Hostname }
 
-// fault is an error if a stream was not served whole.
+// fault is an error if a stream was not served completely.
 func (r Result) fault() error {
 	broken := 0
-	for _, one := range r.Streams {
-		if !one.Whole {
+	for _, served := range r.Streams {
+		if !served.Whole {
 			broken++
 		}
 	}
@@ -125,20 +125,20 @@
 	}
 	table := tabwriter.NewWriter(options.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "stream\tpath\tmodel\tdata plane\treplica\tstatus\tfirst event ms\tevents\ttook ms\t")
-	for _, one := range r.Streams {
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t", one.Number, one.Path, one.Model, one.DataPlane, one.Replica)
-		fmt.Fprintf(table, "%d\t%.1f\t%d of %d\t%.1f\t", one.Status, one.FirstMs, one.Events, one.Expected, one.TookMs)
-		fmt.Fprintf(table, "%s\n", one.Error)
+	for _, served := range r.Streams {
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t", served.Number, served.Path, served.Model, served.DataPlane, served.Replica)
+		fmt.Fprintf(table, "%d\t%.1f\t%d of %d\t%.1f\t", served.Status, served.FirstMs, served.Events, served.Expected, served.TookMs)
+		fmt.Fprintf(table, "%s\n", served.Error)
 	}
 	return table.Flush()
 }
 
 // printHints prints commands to try against the fleet that stays up.
 func (s *deployment) printHints(to io.Writer) {
-	wanted := s.plan.Streams[0]
+	request := s.plan.Streams[0]
 	fmt.Fprintf(to, "\nall of it stays up; Ctrl-C ends it. Try:\n\n")
-	fmt.Fprintf(to, "  curl -N http://%s%s -H 'Host: %s'", s.edges[0], wanted.Path, s.host())
-	own := headers(wanted, "mine-1")
+	fmt.Fprintf(to, "  curl -N http://%s%s -H 'Host: %s'", s.edges[0], request.Path, s.host())
+	own := headers(request, "mine-1")
 	for _, name := range slices.Sorted(maps.Keys(own)) {
 		fmt.Fprintf(to, " -H '%s: %s'", name, own[name])
 	}
--- a/internal/sim/emulator/demo/demo_test.go
+++ b/internal/sim/emulator/demo/demo_test.go
@@ -36,9 +36,9 @@
 		Progress: io.Discard,
 	})
 	assert.NilError(t, err, "%s", table.String())
-	for number, one := range result.Streams {
-		assert.Assert(t, one.Whole && one.Replica != "" && one.FirstMs > 0, "%+v", one)
-		assert.Equal(t, one.Model, planned.Streams[number].Model)
+	for number, served := range result.Streams {
+		assert.Assert(t, served.Whole && served.Replica != "" && served.FirstMs > 0, "%+v", served)
+		assert.Equal(t, served.Model, planned.Streams[number].Model)
 	}
 	assert.Equal(t, strings.Count(table.String(), "\n"), len(planned.Streams)+1)
 	for _, address := range append(result.Controls, result.Edges...) {
@@ -59,25 +59,25 @@
 
 func TestDemo_EndsOnInterrupt(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	told := &teller{awaited: "Ctrl-C ends it", act: cancel}
+	output := &outputWatcher{awaited: "Ctrl-C ends it", act: cancel}
 	_, err := Run(ctx, Options{
 		Programs: buildPrograms(t),
 		Controls: 1,
 		Streams:  1,
 		Stay:     true,
 		Out:      io.Discard,
-		Progress: told,
+		Progress: output,
 	})
 	assert.NilError(t, err)
 	assert.Assert(t, ctx.Err() != nil, "it stayed until it was told to end")
 }
 
-type teller struct {
+type outputWatcher struct {
 	awaited string
 	act     func()
 }
 
-func (t *teller) Write(content []byte) (int, error) {
+func (t *outputWatcher) Write(content []byte) (int, error) {
 	if bytes.Contains(content, []byte(t.awaited)) {
 		t.act()
 	}
--- a/internal/sim/emulator/demo/deployment.go
+++ b/internal/sim/emulator/demo/deployment.go
@@ -61,13 +61,13 @@
 	list := &standin.List{PageSize: 3}
 	for _, planned := range s.plan.Replicas {
 		listed := discovery.Replica{ID: planned.ID, Zone: planned.Zone, Revision: "v1"}
-		one := standin.NewReplica(listed, backend, standin.DefaultPace(), planned.Models...)
-		address, err := s.serve(one.Routes(backend.HealthPath))
+		replica := standin.NewReplica(listed, backend, standin.DefaultPace(), planned.Models...)
+		address, err := s.serve(replica.Routes(backend.HealthPath))
 		if err != nil {
 			return err
 		}
-		one.SetAddress(address)
-		list.Replicas = append(list.Replicas, one)
+		replica.SetAddress(address)
+		list.Replicas = append(list.Replicas, replica)
 	}
 	address, err := s.serve(list)
 	s.platform = address
@@ -82,7 +82,7 @@
 func (s *deployment) startAll(ctx context.Context, controls int) error {
 	folder := s.folder
 	defer func() { s.folder = folder }()
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		own, err := os.MkdirTemp(folder, "start-")
 		s.folder = own
 		if err == nil {
@@ -94,11 +94,11 @@
 		if err == nil {
 			err = s.awaitReady(ctx)
 		}
-		if err == nil || try == startTries || !s.lostChild() {
+		if err == nil || attempt == startTries || !s.lostChild() {
 			return err
 		}
-		for _, one := range s.children {
-			one.end()
+		for _, process := range s.children {
+			process.end()
 		}
 		s.children = nil
 		s.controls = nil
@@ -107,9 +107,9 @@
 	}
 }
 
-// lostChild tells whether a child has ended.
+// lostChild reports whether a child has ended.
 func (s *deployment) lostChild() bool {
-	return slices.ContainsFunc(s.children, func(one *child) bool { return !one.alive() })
+	return slices.ContainsFunc(s.children, func(process *child) bool { return !process.alive() })
 }
 
 // startDaemons starts the control planes and then the data planes.
@@ -133,14 +133,14 @@
 	for number, host := range hosts {
 		name := fmt.Sprintf("control-%d", number+1)
 		zone := s.plan.DataPlanes[number%len(s.plan.DataPlanes)]
-		one := daemon{
+		node := daemon{
 			name:     name,
 			host:     host,
 			zone:     zone,
 			bind:     map[string]any{"controlPlane": s.controls[number]},
 			dataPath: name,
 		}
-		if err := s.start(controlProgram, one); err != nil {
+		if err := s.start(controlProgram, node); err != nil {
 			return err
 		}
 	}
@@ -160,13 +160,13 @@
 		}
 		s.edges = append(s.edges, edge)
 		s.ready = append(s.ready, ready)
-		one := daemon{
+		node := daemon{
 			name: fmt.Sprintf("data-%d", number+1),
 			host: loopbackAddress(1),
 			zone: zone,
 			bind: map[string]any{"dataPlane": edge, "readiness": ready},
 		}
-		if err := s.start(dataProgram, one); err != nil {
+		if err := s.start(dataProgram, node); err != nil {
 			return err
 		}
 	}
@@ -174,17 +174,17 @@
 }
 
 // start starts one daemon.
-func (s *deployment) start(program string, one daemon) error {
-	settings, err := s.settings(one)
+func (s *deployment) start(program string, node daemon) error {
+	settings, err := s.settings(node)
 	if err != nil {
-		return errors.Wrap(err, "settings of "+one.name)
+		return errors.Wrap(err, "settings of "+node.name)
 	}
-	begun, err := startChild(s.programs, s.folder, program, one.name, settings)
+	process, err := startChild(s.programs, s.folder, program, node.name, settings)
 	if err != nil {
 		return err
 	}
-	s.children = append(s.children, begun)
-	s.onClose(begun.end)
+	s.children = append(s.children, process)
+	s.onClose(process.end)
 	return nil
 }
 
@@ -208,9 +208,9 @@
 
 // addChildLogs adds to an error the end of the log of every child that has ended.
 func (s *deployment) addChildLogs(err error) error {
-	for _, one := range s.children {
-		if !one.alive() {
-			err = errors.Wrapf(err, "%s has ended: %s", one.name, one.tail())
+	for _, process := range s.children {
+		if !process.alive() {
+			err = errors.Wrapf(err, "%s has ended: %s", process.name, process.tail())
 		}
 	}
 	return err
--- a/internal/sim/emulator/demo/ready.go
+++ b/internal/sim/emulator/demo/ready.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// readyBound is how long the data planes may take to be ready.
-	readyBound = 15 * time.Second
-	// readyPause is the wait between questions for readiness.
-	readyPause = 50 * time.Millisecond
+	// readyTimeout is how long the data planes may take to be ready.
+	readyTimeout = 15 * time.Second
+	// readyPollInterval is the wait between questions for readiness.
+	readyPollInterval = 50 * time.Millisecond
 )
 
 // awaitReady waits until every data plane is ready.
 func (s *deployment) awaitReady(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, readyBound)
+	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, address := range s.ready {
 		for !isReady(bounded, address) {
 			select {
 			case <-bounded.Done():
 				return s.addChildLogs(errors.Errorf("data plane %s is not ready in time", address))
-			case <-time.After(readyPause):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
--- a/internal/sim/emulator/demo/settings.go
+++ b/internal/sim/emulator/demo/settings.go
@@ -6,7 +6,7 @@
 	"github.com/knadh/koanf/parsers/toml/v2"
 )
 
-// daemon is what tells one daemon's settings from another's. dataPath is its data folder, or empty
+// daemon is what differs between the settings of daemons. dataPath is its data folder, or empty
 // if it has none.
 type daemon struct {
 	name     string
@@ -17,28 +17,28 @@
 }
 
 // settings is a daemon's settings file.
-func (s *deployment) settings(one daemon) ([]byte, error) {
+func (s *deployment) settings(node daemon) ([]byte, error) {
 	zones := map[string]any{}
 	for zone, region := range s.plan.Zones {
 		zones[zone] = region
 	}
 	tree := map[string]any{
-		"nodeName":       one.name,
-		"ipAddress":      one.host,
-		"zone":           one.zone,
-		"region":         s.plan.Zones[one.zone],
+		"nodeName":       node.name,
+		"ipAddress":      node.host,
+		"zone":           node.zone,
+		"region":         s.plan.Zones[node.zone],
 		"bootstrap":      true,
 		"internalPorts":  []int{s.internal, s.internal + len(s.plan.DataPlanes)},
 		"seedNodes":      s.controls,
 		"zones":          zones,
-		"bindAddresses":  one.bind,
+		"bindAddresses":  node.bind,
 		"limits":         map[string]any{"cpuCores": 2},
 		"faultTolerance": map[string]any{"machineLoss": len(s.controls) / 2},
 		"timingBounds":   map[string]any{"graceS": 1.0, "retryBudgetRatio": 0.2, "retryBudgetSlack": 50.0},
 		"cloudApi":       map[string]any{"address": s.platform, "ratePerS": 40.0, "maxLagMs": 200.0},
 	}
-	if one.dataPath != "" {
-		tree["dataDir"] = filepath.Join(s.folder, one.dataPath)
+	if node.dataPath != "" {
+		tree["dataDir"] = filepath.Join(s.folder, node.dataPath)
 	}
 	return toml.Parser().Marshal(tree)
 }
--- a/internal/sim/emulator/edge.go
+++ b/internal/sim/emulator/edge.go
@@ -11,17 +11,17 @@
 	"ferryspar/internal/routing"
 )
 
-// edge is a data plane: the project's matcher, its retry budget, and the soft state it is told.
+// edge is a data plane: the project's matcher, its retry budget, and the soft state that it receives.
 type edge struct {
 	world *World
 	// number is the index among the edges.
 	number int
 	// zone is the index of its zone.
 	zone int
-	// life counts the starts; what was scheduled in an earlier life has no effect.
-	life  int
-	alive bool
-	// routable tells whether clients are still routed here; it lags behind alive.
+	// incarnation counts the starts; what an earlier incarnation scheduled has no effect.
+	incarnation int
+	alive       bool
+	// routable reports whether clients are still routed here; it lags behind alive.
 	routable bool
 	fleet    atomic.Pointer[routing.Snapshot]
 	matcher  *routing.Matcher
@@ -38,12 +38,12 @@
 	wakeAt time.Time
 }
 
-// roster is what the control plane tells the edges of the replicas.
+// roster is what the control plane sends the edges about the replicas.
 type roster struct {
 	replicas []discovery.Replica
 	fetched  time.Time
-	// barred holds "replica reference" pairs that are being unloaded.
-	barred map[string]bool
+	// cordoned holds "replica reference" pairs that are being unloaded.
+	cordoned map[string]bool
 	// edges is how many data planes are alive, for shared budgets.
 	edges int
 }
@@ -59,9 +59,9 @@
 	budgetSlack = 50
 )
 
-// start begins a new life without any state; its load reports are spread over the period.
+// start starts a new incarnation without any state; its load reports are spread over the period.
 func (e *edge) start() {
-	e.life++
+	e.incarnation++
 	e.alive = true
 	e.waiting = nil
 	e.lastUsed = map[string]time.Time{}
@@ -74,17 +74,17 @@
 	e.matcher = routing.NewMatcher(e.world.scenario.Parameters, e.world.scenario.Zones[e.zone].Name, e.world.now, &e.fleet)
 	e.budget = proxy.NewRetryBudget(proxy.RetryBudgetOptions{Period: budgetPeriod, Ratio: budgetRatio, Slack: budgetSlack})
 	phase := time.Duration(e.number%10) * loadReportEvery / 10
-	e.reportEvery(e.life, phase)
+	e.reportEvery(e.incarnation, phase)
 }
 
-// reportEvery reports the load after the wait and then in every period, until this life ends.
-func (e *edge) reportEvery(life int, wait time.Duration) {
+// reportEvery reports the load after the wait and then in every period, until this incarnation ends.
+func (e *edge) reportEvery(incarnation int, wait time.Duration) {
 	e.world.events.After(wait, func() {
-		if !e.alive || e.life != life {
+		if !e.alive || e.incarnation != incarnation {
 			return
 		}
 		e.reportLoad()
-		e.reportEvery(life, loadReportEvery)
+		e.reportEvery(incarnation, loadReportEvery)
 	})
 }
 
@@ -95,7 +95,7 @@
 		return
 	}
 	report := e.matcher.CollectLoad()
-	life := e.life
+	incarnation := e.incarnation
 	core := e.world.control
 	e.lastReport = report
 	e.afterLink(core.zone, func() {
@@ -104,7 +104,7 @@
 		}
 		outlook := core.receiveLoad(e.number, report)
 		e.afterLink(core.zone, func() {
-			if e.alive && e.life == life {
+			if e.alive && e.incarnation == incarnation {
 				e.othersLoad = outlook
 				e.othersLoadAt = e.world.now()
 				e.publishFleet()
@@ -141,9 +141,9 @@
 		PeerLoadsAt:  e.othersLoadAt,
 	}
 	for index, listed := range e.roster.replicas {
-		one := routing.NewReplica(index, listed, e.roster.fetched, e.roster.barred)
-		one.Region = e.world.regionOf(listed.Zone)
-		fleet.Replicas = append(fleet.Replicas, one)
+		replica := routing.NewReplica(index, listed, e.roster.fetched, e.roster.cordoned)
+		replica.Region = e.world.regionOf(listed.Zone)
+		fleet.Replicas = append(fleet.Replicas, replica)
 	}
 	e.fleet.Store(fleet)
 	e.matcher.Wake()
@@ -152,22 +152,22 @@
 
 // regionOf is the region of a zone, or empty if the zone is unknown.
 func (w *World) regionOf(zone string) string {
-	for _, one := range w.scenario.Zones {
-		if one.Name == zone {
-			return one.Region
+	for _, known := range w.scenario.Zones {
+		if known.Name == zone {
+			return known.Region
 		}
 	}
 	return ""
 }
 
-// accept takes an attempt in; it is refused while the edge has no configuration.
-func (e *edge) accept(one *attempt) {
+// accept takes an attempt in; it is rejected while the edge has no configuration.
+func (e *edge) accept(clientAttempt *attempt) {
 	e.budget.RecordRequest(e.world.now())
 	if e.fleet.Load().Table == nil {
-		one.refuse(200 * time.Millisecond)
+		clientAttempt.reject(200 * time.Millisecond)
 		return
 	}
-	one.enqueue()
+	clientAttempt.enqueue()
 }
 
 // collectAnswers follows the matcher's decisions until there are none, reports the load if the
@@ -175,12 +175,12 @@
 func (e *edge) collectAnswers() {
 	for moved := true; moved; {
 		moved = false
-		for _, one := range slices.Clone(e.waiting) {
+		for _, clientAttempt := range slices.Clone(e.waiting) {
 			select {
-			case command := <-one.pending.Decided:
+			case command := <-clientAttempt.pending.Decided:
 				moved = true
-				e.removeWaiting(one)
-				one.onCommand(command)
+				e.removeWaiting(clientAttempt)
+				clientAttempt.onCommand(command)
 			default:
 			}
 		}
@@ -194,8 +194,8 @@
 }
 
 // removeWaiting takes an attempt out of those that wait for the matcher.
-func (e *edge) removeWaiting(one *attempt) {
-	e.waiting = slices.DeleteFunc(e.waiting, func(other *attempt) bool { return other == one })
+func (e *edge) removeWaiting(clientAttempt *attempt) {
+	e.waiting = slices.DeleteFunc(e.waiting, func(other *attempt) bool { return other == clientAttempt })
 }
 
 // scheduleWake wakes the matcher at the moment it asks for, if none earlier is scheduled.
@@ -207,16 +207,16 @@
 		return
 	}
 	e.wakeAt = at
-	life := e.life
+	incarnation := e.incarnation
 	e.world.events.At(at, func() {
-		if e.alive && e.life == life {
+		if e.alive && e.incarnation == incarnation {
 			e.matcher.Wake()
 			e.collectAnswers()
 		}
 	})
 }
 
-// reportOutcome tells the matcher how the ticket's request went.
+// reportOutcome reports to the matcher how the ticket's request went.
 func (e *edge) reportOutcome(ticket *routing.Ticket, outcome routing.Outcome) {
 	e.matcher.HandleReport(routing.Report{Ticket: ticket, Outcome: outcome, At: e.world.now()})
 }
--- a/internal/sim/emulator/execution.go
+++ b/internal/sim/emulator/execution.go
@@ -19,7 +19,7 @@
 	nextEvent      int
 	priority       int
 	queuedAt       time.Time
-	// promptRead is set once the whole prompt is read.
+	// promptRead is set once the complete prompt is read.
 	promptRead bool
 	pinned     bool
 	ended      bool
@@ -30,51 +30,51 @@
 // them.
 func (s *server) admit() {
 	for len(s.queue) > 0 && len(s.running) < s.world.scenario.Replica.Slots {
-		one := s.queue[0]
-		request := one.attempt.call.request
-		one.cachedParts = s.cache.cachedParts(one.model, one.dialogues)
-		s.cache.pin(one.model, one.dialogues[:one.cachedParts], 1)
-		one.unreadTokens = request.Prompt + float64(one.nextEvent-1) - totalTokens(request.Parts[:one.cachedParts])
-		needed := one.unreadTokens + float64(request.Output-one.nextEvent+1)
+		run := s.queue[0]
+		request := run.attempt.call.request
+		run.cachedParts = s.cache.cachedParts(run.model, run.dialogues)
+		s.cache.pin(run.model, run.dialogues[:run.cachedParts], 1)
+		run.unreadTokens = request.Prompt + float64(run.nextEvent-1) - totalTokens(request.Parts[:run.cachedParts])
+		needed := run.unreadTokens + float64(request.Output-run.nextEvent+1)
 		if !s.cache.reserve(needed) {
-			s.cache.pin(one.model, one.dialogues[:one.cachedParts], -1)
+			s.cache.pin(run.model, run.dialogues[:run.cachedParts], -1)
 			return
 		}
-		one.reservedTokens, one.pinned = needed, true
+		run.reservedTokens, run.pinned = needed, true
 		s.queue = s.queue[1:]
-		s.running = append(s.running, one)
-		s.world.observer.promptAdmitted(one.unreadTokens, request.Prompt)
+		s.running = append(s.running, run)
+		s.world.observer.promptAdmitted(run.unreadTokens, request.Prompt)
 	}
 }
 
 // emitEvent sends the execution's next event to its edge.
-func (s *server) emitEvent(one *execution) {
-	request := one.attempt.call.request
-	id := one.nextEvent
-	last := one.nextEvent >= request.Output
-	one.nextEvent++
-	one.attempt.deliverLater(one.forwardNumber, s, id, last)
+func (s *server) emitEvent(run *execution) {
+	request := run.attempt.call.request
+	id := run.nextEvent
+	last := run.nextEvent >= request.Output
+	run.nextEvent++
+	run.attempt.deliverLater(run.forwardNumber, s, id, last)
 	if last {
-		s.release(one)
+		s.release(run)
 	}
 }
 
 // release ends an execution and frees its slot and memory.
-func (s *server) release(one *execution) {
-	if one.ended {
+func (s *server) release(run *execution) {
+	if run.ended {
 		return
 	}
-	one.ended = true
-	keep := func(other *execution) bool { return other != one }
+	run.ended = true
+	keep := func(other *execution) bool { return other != run }
 	s.queue = filter(s.queue, keep)
 	s.running = filter(s.running, keep)
-	if one.pinned {
-		pinned := one.dialogues[:one.cachedParts]
-		if one.promptRead {
-			pinned = one.dialogues
+	if run.pinned {
+		pinned := run.dialogues[:run.cachedParts]
+		if run.promptRead {
+			pinned = run.dialogues
 		}
-		s.cache.pin(one.model, pinned, -1)
-		s.cache.release(one.reservedTokens)
+		s.cache.pin(run.model, pinned, -1)
+		s.cache.release(run.reservedTokens)
 	}
 	s.unloadIfIdle()
 	s.startStep()
@@ -91,13 +91,13 @@
 
 // filter is the items that are to be kept, in a new slice.
 func filter[T any](items []T, keep func(T) bool) []T {
-	return slices.DeleteFunc(slices.Clone(items), func(one T) bool { return !keep(one) })
+	return slices.DeleteFunc(slices.Clone(items), func(item T) bool { return !keep(item) })
 }
 
-// isInUse tells whether a request uses the model or an adapter of it.
+// isInUse reports whether a request uses the model or an adapter of it.
 func (s *server) isInUse(reference string) bool {
-	for _, one := range append(slices.Clone(s.queue), s.running...) {
-		if one.model == reference || strings.HasPrefix(one.model, reference+"/") {
+	for _, run := range append(slices.Clone(s.queue), s.running...) {
+		if run.model == reference || strings.HasPrefix(run.model, reference+"/") {
 			return true
 		}
 	}
--- a/internal/sim/emulator/failures.go
+++ b/internal/sim/emulator/failures.go
@@ -19,13 +19,13 @@
 		}
 	}
 	for _, crash := range w.scenario.Crashes {
-		one := w.machines[crash.Replica-1]
-		at(crash.AtS, func() { w.crash(one, seconds(crash.RestartS)) })
+		host := w.machines[crash.Replica-1]
+		at(crash.AtS, func() { w.crash(host, seconds(crash.RestartS)) })
 	}
 	for _, slow := range w.scenario.Slowdowns {
-		one := w.machines[slow.Replica-1]
-		at(slow.AtS, func() { one.slowdown = slow.Factor })
-		at(slow.BackS, func() { one.slowdown = 1 })
+		host := w.machines[slow.Replica-1]
+		at(slow.AtS, func() { host.slowdown = slow.Factor })
+		at(slow.BackS, func() { host.slowdown = 1 })
 	}
 }
 
@@ -43,20 +43,20 @@
 // loseZones takes the zones down. A closed loss ends connections at once; otherwise the lost side
 // just falls silent.
 func (w *World) loseZones(zones []int, loss Loss) {
-	w.noteLoss(zones, loss)
-	for _, one := range w.edges {
-		if !one.alive || !slices.Contains(zones, one.zone) {
+	w.recordLoss(zones, loss)
+	for _, dataPlane := range w.edges {
+		if !dataPlane.alive || !slices.Contains(zones, dataPlane.zone) {
 			continue
 		}
-		one.alive = false
-		w.noticeLater(one, one.life)
+		dataPlane.alive = false
+		w.noticeLater(dataPlane, dataPlane.incarnation)
 	}
 	for _, zone := range zones {
 		w.lost[zone] = true
 	}
-	for _, one := range w.machines {
-		if one.current != nil && slices.Contains(zones, one.zone) {
-			w.kill(one.current, !loss.Closed)
+	for _, host := range w.machines {
+		if host.current != nil && slices.Contains(zones, host.zone) {
+			w.kill(host.current, !loss.Closed)
 		}
 	}
 	if loss.Closed {
@@ -68,51 +68,54 @@
 }
 
 // noticeLater routes clients elsewhere once the platform has noticed the edge's death.
-func (w *World) noticeLater(one *edge, life int) {
+func (w *World) noticeLater(dataPlane *edge, incarnation int) {
 	w.events.After(seconds(w.scenario.Platform.NoticeS), func() {
-		if !one.alive && one.life == life {
-			one.routable = false
+		if !dataPlane.alive && dataPlane.incarnation == incarnation {
+			dataPlane.routable = false
 		}
 	})
 }
 
 // cutClients ends the connections of the clients whose edge has died.
 func (w *World) cutClients(zones []int) {
-	for _, one := range w.calls {
-		if one.ended || one.attempt == nil || !slices.Contains(zones, one.attempt.edge.zone) || one.attempt.edge.alive {
+	for _, clientCall := range w.calls {
+		if clientCall.ended || clientCall.attempt == nil {
 			continue
 		}
-		held := one.attempt
-		held.toClient(func() { one.onBroken(held.try) })
+		if dataPlane := clientCall.attempt.edge; dataPlane.alive || !slices.Contains(zones, dataPlane.zone) {
+			continue
+		}
+		clientAttempt := clientCall.attempt
+		clientAttempt.toClient(func() { clientCall.onBroken(clientAttempt.number) })
 	}
 }
 
 // kill ends a server. A dark one falls silent; otherwise its connections break.
-func (w *World) kill(one *server, dark bool) {
-	if one.dead {
+func (w *World) kill(replica *server, dark bool) {
+	if replica.dead {
 		return
 	}
-	one.dead, one.dark = true, dark
-	one.machine.current = nil
-	w.unlistLater(one)
+	replica.dead, replica.dark = true, dark
+	replica.machine.current = nil
+	w.unlistLater(replica)
 	if dark {
 		return
 	}
-	for _, held := range append(slices.Clone(one.queue), one.running...) {
-		held.attempt.edge.afterLink(one.machine.zone, func() { held.attempt.onOutcome(held.forwardNumber, routing.OutcomeTruncated) })
+	for _, run := range append(slices.Clone(replica.queue), replica.running...) {
+		run.attempt.edge.afterLink(replica.machine.zone, func() { run.attempt.onOutcome(run.forwardNumber, routing.OutcomeTruncated) })
 	}
 }
 
 // crash kills a machine's server and starts a new one after the given time, if it is above 0.
-func (w *World) crash(one *machine, restart time.Duration) {
-	if one.current == nil {
+func (w *World) crash(host *machine, restart time.Duration) {
+	if host.current == nil {
 		return
 	}
-	w.kill(one.current, false)
+	w.kill(host.current, false)
 	if restart > 0 {
 		w.events.After(restart, func() {
-			if one.current == nil && !w.lost[one.zone] {
-				w.listLater(w.start(one))
+			if host.current == nil && !w.lost[host.zone] {
+				w.listLater(w.start(host))
 			}
 		})
 	}
@@ -123,20 +126,20 @@
 	for _, zone := range zones {
 		w.lost[zone] = false
 	}
-	for _, one := range w.machines {
-		if slices.Contains(zones, one.zone) && one.current == nil {
-			w.listLater(w.start(one))
+	for _, host := range w.machines {
+		if slices.Contains(zones, host.zone) && host.current == nil {
+			w.listLater(w.start(host))
 		}
 	}
-	for _, one := range w.edges {
-		if !slices.Contains(zones, one.zone) || one.alive {
+	for _, dataPlane := range w.edges {
+		if !slices.Contains(zones, dataPlane.zone) || dataPlane.alive {
 			continue
 		}
-		one.start()
-		life := one.life
+		dataPlane.start()
+		incarnation := dataPlane.incarnation
 		w.events.After(seconds(w.scenario.Platform.NoticeS), func() {
-			if one.alive && one.life == life {
-				one.routable = true
+			if dataPlane.alive && dataPlane.incarnation == incarnation {
+				dataPlane.routable = true
 			}
 		})
 	}
@@ -145,31 +148,31 @@
 // checkServer checks that a server keeps to its slots and its memory.
 func (w *World) checkServer(s *server) {
 	if len(s.running) > w.scenario.Replica.Slots {
-		w.noteViolation("%s runs %d in %d slots", s.id, len(s.running), w.scenario.Replica.Slots)
+		w.recordViolation("%s runs %d in %d slots", s.id, len(s.running), w.scenario.Replica.Slots)
 	}
 	if s.cache.reserved+s.cache.cached > s.cache.total+1e-6 || s.cache.reserved < -1e-6 || s.cache.cached < -1e-6 {
-		w.noteViolation("%s holds %.1f reserved and %.1f kept of %.1f tokens", s.id, s.cache.reserved, s.cache.cached, s.cache.total)
+		w.recordViolation("%s holds %.1f reserved and %.1f kept of %.1f tokens", s.id, s.cache.reserved, s.cache.cached, s.cache.total)
 	}
 }
 
-// checkRoom checks that a load finds room on the server.
-func (w *World) checkRoom(s *server, loading string) {
+// checkCapacity checks that a load fits on the server.
+func (w *World) checkCapacity(s *server, loading string) {
 	models := 0
-	for reference := range s.held {
+	for reference := range s.loaded {
 		if !strings.Contains(reference, "/") {
 			models++
 		}
 	}
 	if !strings.Contains(loading, "/") && models >= w.scenario.Models.PerReplica {
-		w.noteViolation("%s is to load %s beyond its room", s.id, loading)
+		w.recordViolation("%s is to load %s beyond its room", s.id, loading)
 	}
 }
 
 // checkBegin checks that a request that may run once begins only once.
-func (w *World) checkBegin(one *execution) {
-	attempt := one.attempt.request.Attempt
-	if w.startedAttempts[attempt] && !one.attempt.call.class.Resumable {
-		w.noteViolation("attempt %s, which may run once, began again at %s", attempt, one.server.id)
+func (w *World) checkBegin(run *execution) {
+	attempt := run.attempt.request.Attempt
+	if w.startedAttempts[attempt] && !run.attempt.call.class.Resumable {
+		w.recordViolation("attempt %s, which may run once, began again at %s", attempt, run.server.id)
 	}
 	w.startedAttempts[attempt] = true
 }
--- a/internal/sim/emulator/forecast.go
+++ b/internal/sim/emulator/forecast.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/placement"
 )
 
-// The figures of the daemons' forecast, beside those that CountByLoad tells too.
+// The figures of the daemons' forecast, beside those of CountByLoad.
 const (
 	// FigureInterrupted counts the requests at lost replicas and those that wait in any data plane.
 	FigureInterrupted = "requests at lost replicas or waiting"
@@ -30,7 +30,7 @@
 
 // The figures of a route, whose name precedes them: Then for after the loss, Now for before it.
 const (
-	// ThenNotLoaded is the share of requests whose model no surviving replica holds.
+	// ThenNotLoaded is the share of requests whose model no surviving replica has loaded.
 	ThenNotLoaded = "share nowhere loaded"
 	// ThenWaits is the share of requests that wait for a place.
 	ThenWaits = "share waiting for a place"
@@ -61,15 +61,15 @@
 		Demand:     map[string]float64{},
 		DataPlanes: map[string]string{},
 	}
-	for name, one := range s.Demand {
-		basis.Demand[name] = one.Rate
+	for name, entry := range s.Demand {
+		basis.Demand[name] = entry.Rate
 	}
 	var answers []drill.ForecastResponse
-	for number, one := range s.Edges {
-		answer := one.Matcher.ForecastSync(s.Loss)
+	for number, state := range s.Edges {
+		answer := state.Matcher.ForecastSync(s.Loss)
 		answer.DataPlane = fmt.Sprintf("edge-%03d", number)
-		answer.Zone = one.Zone
-		basis.DataPlanes[answer.DataPlane] = one.Zone
+		answer.Zone = state.Zone
+		basis.DataPlanes[answer.DataPlane] = state.Zone
 		answers = append(answers, answer)
 	}
 	merged := drill.Merge(basis, answers)
@@ -89,10 +89,10 @@
 // replicasAsKnown is the platform's list with the models that the planner knows of.
 func (s Snapshot) replicasAsKnown() []discovery.Replica {
 	listed := slices.Clone(s.Listed)
-	for _, one := range s.View.Servers {
+	for _, planned := range s.View.Servers {
 		for index := range listed {
-			if listed[index].ID == one.ID && len(one.Loaded) > 0 {
-				listed[index].Models = holdings(one.Loaded)
+			if listed[index].ID == planned.ID && len(planned.Loaded) > 0 {
+				listed[index].Models = holdings(planned.Loaded)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 func ByMatchers(afterS float64) Forecaster {
 	return func(before Snapshot) Forecast {
 		merged, answers := before.Gather()
-		foretold := Forecast{
+		forecast := Forecast{
 			FigureWithoutCopy: float64(len(merged.LostModels)),
 			FigurePlaced:      float64(merged.InFlight.Placed),
 			FigureInterrupted: float64(merged.InFlight.OnLostReplicas + merged.InFlight.Waiting),
@@ -117,15 +117,15 @@
 			FigureReadAgain:   0,
 			FigureBack:        merged.LoadEstimate.InDemandMinMs / 1000,
 		}
-		foretold.addMoving(answers, before.Lost)
-		foretold.addReplicas(merged)
+		forecast.addMoving(answers, before.Lost)
+		forecast.addReplicas(merged)
 		for _, route := range merged.Routes {
 			if route.Sampled > 0 {
-				foretold[FigureReadAgain] += route.RecomputedTokens / float64(route.Sampled) * route.RatePerS * afterS
-				foretold.addRoute(route)
+				forecast[FigureReadAgain] += route.RecomputedTokens / float64(route.Sampled) * route.RatePerS * afterS
+				forecast.addRoute(route)
 			}
 		}
-		return foretold
+		return forecast
 	}
 }
 
@@ -143,12 +143,12 @@
 
 // addReplicas adds what the forecast says of caches, surviving replicas and loads.
 func (f Forecast) addReplicas(merged drill.Forecast) {
-	for _, one := range merged.Cached {
-		f[FigureWarm] += one.Lost
+	for _, cached := range merged.Cached {
+		f[FigureWarm] += cached.Lost
 	}
-	for _, one := range merged.Replicas {
-		f[FigureMovedTo+one.Replica] = float64(one.Moved)
-		if one.Full {
+	for _, replica := range merged.Replicas {
+		f[FigureMovedTo+replica.Replica] = float64(replica.Moved)
+		if replica.Full {
 			f[FigureFull]++
 		}
 	}
--- a/internal/sim/emulator/forward.go
+++ b/internal/sim/emulator/forward.go
@@ -27,7 +27,7 @@
 	}
 	connected := now.Sub(p.edge.lastUsed[to.id]) < idleTime
 	if to.dead && !(to.dark && connected) {
-		wait := connectBound
+		wait := connectTimeout
 		if !to.dark {
 			wait = 2 * w.linkDelay(p.edge.zone, to.machine.zone)
 		}
@@ -36,13 +36,13 @@
 	}
 	w.observer.forwarded()
 	p.deliver(to, p.execution)
-	p.watchSilence(number, silenceBound)
+	p.watchSilence(number, silenceTimeout)
 }
 
 // deliver hands the execution to the server after the link's delay. A dead server that closes its
-// connections fails it; a dark one leaves it to the silence bound.
-func (p *attempt) deliver(to *server, one *execution) {
-	number := one.forwardNumber
+// connections fails it; a dark one leaves it to the silence timeout.
+func (p *attempt) deliver(to *server, run *execution) {
+	number := run.forwardNumber
 	p.edge.afterLink(to.machine.zone, func() {
 		if to.dead {
 			if !to.dark {
@@ -50,25 +50,25 @@
 			}
 			return
 		}
-		if outcome, rejected := rejectionOutcomes[to.accept(one)]; rejected {
+		if outcome, rejected := rejectionOutcomes[to.accept(run)]; rejected {
 			p.edge.afterLink(to.machine.zone, func() { p.onOutcome(number, outcome) })
 		}
 	})
 }
 
-// rejectionOutcomes tells the outcome of each admission that is a rejection.
+// rejectionOutcomes is the outcome of each admission that is a rejection.
 var rejectionOutcomes = map[admission]routing.Outcome{
 	admissionFull:    routing.OutcomeFull,
 	admissionMissing: routing.OutcomeModelMissing,
 }
 
-// watchSilence takes the forward for broken once no byte came for the silence bound.
+// watchSilence treats the forward as broken once no byte came for the silence timeout.
 func (p *attempt) watchSilence(number int, wait time.Duration) {
 	p.edge.world.events.After(wait, func() {
 		if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 			return
 		}
-		if left := silenceBound - p.edge.world.now().Sub(p.lastByte); left > 0 {
+		if left := silenceTimeout - p.edge.world.now().Sub(p.lastByte); left > 0 {
 			p.watchSilence(number, left)
 			return
 		}
@@ -78,8 +78,8 @@
 
 // hangUp closes the connection to the replica, which then abandons the execution.
 func (p *attempt) hangUp() {
-	one := p.execution
-	p.edge.afterLink(p.edge.world.servers[p.replicaID].machine.zone, one.abandon)
+	run := p.execution
+	p.edge.afterLink(p.edge.world.servers[p.replicaID].machine.zone, run.abandon)
 }
 
 // deliverLater carries an event of a server to the edge, with the link's delay.
@@ -102,7 +102,7 @@
 		p.edge.reportOutcome(p.ticket, routing.OutcomeProgress)
 	}
 	p.headSent, p.lastID = true, id
-	p.toClient(func() { p.call.receiveEvent(p.try, id) })
+	p.toClient(func() { p.call.receiveEvent(p.number, id) })
 	if last {
 		p.closed = true
 		p.reportOutcome(routing.OutcomeServed)
--- a/internal/sim/emulator/kvcache.go
+++ b/internal/sim/emulator/kvcache.go
@@ -55,7 +55,7 @@
 }
 
 // reserve sets tokens aside for a request, evicting unpinned parts as needed, and reports whether
-// there was room.
+// there was capacity.
 func (m *kvCache) reserve(tokens float64) bool {
 	for element := m.byAge.Front(); element != nil && m.reserved+m.cached+tokens > m.total; {
 		next := element.Next()
@@ -94,10 +94,10 @@
 
 // evict drops one part.
 func (m *kvCache) evict(element *list.Element) {
-	one := element.Value.(*cachedPrefix)
+	prefix := element.Value.(*cachedPrefix)
 	m.byAge.Remove(element)
-	delete(m.parts, one.key)
-	m.cached -= one.tokens
+	delete(m.parts, prefix.key)
+	m.cached -= prefix.tokens
 }
 
 // evictModels drops all parts of the models that match.
--- a/internal/sim/emulator/loss.go
+++ b/internal/sim/emulator/loss.go
@@ -14,13 +14,13 @@
 	"ferryspar/internal/routing"
 )
 
-// Forecast holds foretold figures by name.
+// Forecast holds the forecast figures by name.
 type Forecast map[string]float64
 
-// Forecaster foretells the figures of a loss from what is known just before it.
+// Forecaster forecasts the figures of a loss from what is known just before it.
 type Forecaster func(before Snapshot) Forecast
 
-// EdgeState is what an edge knows and last told just before a loss.
+// EdgeState is what an edge knows and last reported just before a loss.
 type EdgeState struct {
 	Zone    string
 	Lost    bool
@@ -40,7 +40,7 @@
 	Listed []discovery.Replica
 	Edges  []EdgeState
 	Demand map[string]*placement.Demand
-	// Held tells what each address has held, by reference.
+	// Held is what each address has once loaded, by reference.
 	Held map[string]map[string]bool
 	Loss drill.Loss
 	// View is the planner's input.
@@ -55,31 +55,31 @@
 		Lost:   map[string]bool{},
 		Listed: w.listedReplicas(),
 		Demand: w.control.demand.copied(),
-		Held:   w.control.heldBefore,
+		Held:   w.control.loadedBefore,
 		Loss:   w.scope(from),
 		View:   w.control.view(w.now()),
 	}
 	for _, zone := range zones {
 		before.Lost[w.scenario.Zones[zone].Name] = true
 	}
-	for _, one := range w.edges {
-		if one.alive {
-			name := w.scenario.Zones[one.zone].Name
+	for _, dataPlane := range w.edges {
+		if dataPlane.alive {
+			name := w.scenario.Zones[dataPlane.zone].Name
 			before.Edges = append(before.Edges, EdgeState{
 				Zone:    name,
 				Lost:    before.Lost[name],
-				Load:    one.lastReport,
-				Matcher: one.matcher,
-				Fleet:   one.fleet.Load(),
+				Load:    dataPlane.lastReport,
+				Matcher: dataPlane.matcher,
+				Fleet:   dataPlane.fleet.Load(),
 			})
 		}
 	}
 	return before
 }
 
-// noteLoss counts what a loss is about to hit, asks the forecasters, and begins to watch what
+// recordLoss counts what a loss is about to hit, asks the forecasters, and begins to watch what
 // follows.
-func (w *World) noteLoss(zones []int, from Loss) {
+func (w *World) recordLoss(zones []int, from Loss) {
 	loss := LossResult{
 		AtS:        w.elapsed().Seconds(),
 		WarmTokens: map[string]float64{},
@@ -104,21 +104,21 @@
 // survive, and returns the references whose every copy is lost.
 func (w *World) countMachines(loss *LossResult, zones []int) map[string]bool {
 	kept, gone := map[string]bool{}, map[string]bool{}
-	for _, one := range w.machines {
-		if one.current == nil {
+	for _, host := range w.machines {
+		if host.current == nil {
 			continue
 		}
-		if !slices.Contains(zones, one.zone) {
-			maps.Copy(kept, one.current.held)
-			loss.Surviving = append(loss.Surviving, one.current.id)
+		if !slices.Contains(zones, host.zone) {
+			maps.Copy(kept, host.current.loaded)
+			loss.Surviving = append(loss.Surviving, host.current.id)
 			continue
 		}
-		maps.Copy(gone, one.current.held)
-		loss.addServer(one.current)
+		maps.Copy(gone, host.current.loaded)
+		loss.addServer(host.current)
 	}
-	for _, one := range w.edges {
-		if one.alive && slices.Contains(zones, one.zone) {
-			loss.Waiting += one.matcher.WaitingCount()
+	for _, dataPlane := range w.edges {
+		if dataPlane.alive && slices.Contains(zones, dataPlane.zone) {
+			loss.Waiting += dataPlane.matcher.WaitingCount()
 		}
 	}
 	maps.DeleteFunc(gone, func(reference string, _ bool) bool { return kept[reference] })
@@ -138,20 +138,20 @@
 
 // countCalls marks and counts the requests that the loss interrupts and those that must move.
 func (w *World) countCalls(loss *LossResult, zones []int, scope drill.Loss) {
-	for _, one := range w.calls {
-		if one.interrupted = one.isInterrupted(zones); one.interrupted {
+	for _, clientCall := range w.calls {
+		if clientCall.interrupted = clientCall.isInterrupted(zones); clientCall.interrupted {
 			loss.Interrupted++
-			if scope.LosesAllRegions(one.class.AllowedRegions) {
+			if scope.LosesAllRegions(clientCall.class.AllowedRegions) {
 				loss.RegionBound++
 			}
 		}
-		if one.moves(zones) {
-			loss.Moving[one.request.Class]++
+		if clientCall.moves(zones) {
+			loss.Moving[clientCall.request.Class]++
 		}
 	}
 }
 
-// moves tells whether the call's edge or its replica is in one of the zones.
+// moves reports whether the call's edge or its replica is in one of the zones.
 func (c *call) moves(zones []int) bool {
 	if c.ended || c.attempt == nil {
 		return false
--- a/internal/sim/emulator/losswatch.go
+++ b/internal/sim/emulator/losswatch.go
@@ -26,14 +26,14 @@
 	return loss
 }
 
-// isLoadedAnywhere tells whether any replica holds the reference.
+// isLoadedAnywhere reports whether any replica has the reference loaded.
 func (w *World) isLoadedAnywhere(reference string) bool {
-	return slices.ContainsFunc(w.machines, func(one *machine) bool {
-		return one.current != nil && one.current.held[reference]
+	return slices.ContainsFunc(w.machines, func(host *machine) bool {
+		return host.current != nil && host.current.loaded[reference]
 	})
 }
 
-// isInterrupted tells whether the loss of the zones hits the call at its replica, or finds it
+// isInterrupted reports whether the loss of the zones hits the call at its replica, or finds it
 // waiting in any edge.
 func (c *call) isInterrupted(zones []int) bool {
 	if c.ended || c.attempt == nil {
@@ -45,17 +45,17 @@
 	return slices.Contains(zones, c.world.servers[c.attempt.replicaID].machine.zone)
 }
 
-// noteForward records how long the call waited, and where an interrupted call goes on.
-func (p *attempt) noteForward(replica string) {
-	one := p.call
-	w := one.world
-	if one.waitMs == 0 {
-		one.waitMs = inMilliseconds(w.now().Sub(p.submitted))
+// recordForward records how long the call waited, and where an interrupted call goes on.
+func (p *attempt) recordForward(replica string) {
+	clientCall := p.call
+	w := clientCall.world
+	if clientCall.waitMs == 0 {
+		clientCall.waitMs = inMilliseconds(w.now().Sub(p.submitted))
 	}
-	if !one.interrupted || w.servers[replica].dead {
+	if !clientCall.interrupted || w.servers[replica].dead {
 		return
 	}
-	one.interrupted = false
+	clientCall.interrupted = false
 	w.observer.losses[len(w.observer.losses)-1].MovedTo[replica]++
 }
 
@@ -63,8 +63,8 @@
 func (w *World) watchFullReplicas(number int, began time.Duration, found map[string]bool) {
 	w.events.After(slotPollEvery, func() {
 		loss := &w.observer.losses[number]
-		for _, one := range w.machines {
-			up := one.current
+		for _, host := range w.machines {
+			up := host.current
 			if up == nil || !slices.Contains(loss.Surviving, up.id) {
 				continue
 			}
@@ -83,11 +83,11 @@
 func (w *World) watchCopies(number int, missing map[string]bool) {
 	w.events.After(copyPollEvery, func() {
 		loss := &w.observer.losses[number]
-		for _, one := range w.machines {
-			if one.current == nil {
+		for _, host := range w.machines {
+			if host.current == nil {
 				continue
 			}
-			for reference := range one.current.held {
+			for reference := range host.current.loaded {
 				if missing[reference] {
 					delete(missing, reference)
 					loss.LastCopyBackS = w.elapsed().Seconds() - loss.AtS
--- a/internal/sim/emulator/modelchange.go
+++ b/internal/sim/emulator/modelchange.go
@@ -12,10 +12,10 @@
 	action placement.Action
 	// waiting is set while an unload waits for requests to end.
 	waiting bool
-	done    func(held bool)
+	done    func(loaded bool)
 }
 
-// touches tells whether the change concerns the model or an adapter of it.
+// touches reports whether the change concerns the model or an adapter of it.
 func (c *modelChange) touches(model string) bool {
 	return model == c.action.Model || strings.HasPrefix(model, c.action.Model+"/")
 }
@@ -31,7 +31,7 @@
 
 // startChange begins a load or unload and reports false if another is under way. done is called
 // once it has taken effect.
-func (s *server) startChange(action placement.Action, done func(held bool)) bool {
+func (s *server) startChange(action placement.Action, done func(loaded bool)) bool {
 	if s.change != nil {
 		return false
 	}
@@ -41,14 +41,14 @@
 		s.unloadIfIdle()
 		return true
 	}
-	s.world.checkRoom(s, action.Model)
+	s.world.checkCapacity(s, action.Model)
 	taking := adapterTime
 	if !strings.Contains(action.Model, "/") {
 		taking = s.loadTime(action.Model)
 	}
 	s.world.events.After(taking, func() {
 		if !s.dead {
-			s.held[action.Model] = true
+			s.loaded[action.Model] = true
 			s.machine.onDisk[action.Model] = true
 			s.finishChange()
 		}
@@ -85,7 +85,7 @@
 		if s.dead {
 			return
 		}
-		s.held.Drop(s.change.action.Model)
+		s.loaded.Drop(s.change.action.Model)
 		s.cache.evictModels(s.change.touches)
 		s.finishChange()
 	})
--- a/internal/sim/emulator/observer.go
+++ b/internal/sim/emulator/observer.go
@@ -25,7 +25,7 @@
 	Outcome string
 	InTime  bool
 	WaitMs  float64
-	// NotLoaded tells that no replica held the model when the request arrived.
+	// NotLoaded is set if no replica had the model loaded when the request arrived.
 	NotLoaded bool
 }
 
@@ -103,15 +103,15 @@
 	o := &observer{scenario: scenario}
 	buckets := int(scenario.LengthS/scenario.BucketS) + 1
 	for _, class := range scenario.Classes {
-		one := ClassResult{Name: class.Name, Outcomes: map[string]int{}}
+		result := ClassResult{Name: class.Name, Outcomes: map[string]int{}}
 		for number := range buckets {
-			one.Buckets = append(one.Buckets, Bucket{
+			result.Buckets = append(result.Buckets, Bucket{
 				AtS:    float64(number) * scenario.BucketS,
 				Firsts: []float64{},
 				Pauses: []float64{},
 			})
 		}
-		o.classes = append(o.classes, one)
+		o.classes = append(o.classes, result)
 	}
 	return o
 }
@@ -138,53 +138,53 @@
 func inMilliseconds(length time.Duration) float64 { return float64(length.Microseconds()) / 1000 }
 
 // requestEnded records how a call went.
-func (o *observer) requestEnded(one *call) {
-	class := &o.classes[one.request.Class]
-	bucket := &class.Buckets[min(int(one.request.At.Seconds()/o.scenario.BucketS), len(class.Buckets)-1)]
-	o.requests[one.request.Number] = RequestOutcome{
-		Class:     one.request.Class,
-		AtS:       one.request.At.Seconds(),
-		FirstMs:   one.firstTokenMs(),
-		Outcome:   one.outcome,
-		InTime:    one.inTime(),
-		WaitMs:    one.waitMs,
-		NotLoaded: one.notLoaded,
+func (o *observer) requestEnded(clientCall *call) {
+	class := &o.classes[clientCall.request.Class]
+	bucket := &class.Buckets[min(int(clientCall.request.At.Seconds()/o.scenario.BucketS), len(class.Buckets)-1)]
+	o.requests[clientCall.request.Number] = RequestOutcome{
+		Class:     clientCall.request.Class,
+		AtS:       clientCall.request.At.Seconds(),
+		FirstMs:   clientCall.firstTokenMs(),
+		Outcome:   clientCall.outcome,
+		InTime:    clientCall.inTime(),
+		WaitMs:    clientCall.waitMs,
+		NotLoaded: clientCall.notLoaded,
 	}
 	class.Offered++
-	class.Outcomes[one.outcome]++
+	class.Outcomes[clientCall.outcome]++
 	bucket.Offered++
-	if one.inTime() {
+	if clientCall.inTime() {
 		class.InTime++
 		bucket.InTime++
 	}
-	if one.outcome == outcomeRefused {
+	if clientCall.outcome == outcomeRejected {
 		bucket.Refused++
 	}
-	if one.outcome == outcomeServed && one.attemptsMade > 1 {
+	if clientCall.outcome == outcomeServed && clientCall.attemptsMade > 1 {
 		class.Resumed++
 	}
-	if one.received > 0 {
-		bucket.Firsts = append(bucket.Firsts, one.firstTokenMs())
-		bucket.Pauses = append(bucket.Pauses, inMilliseconds(one.pause))
+	if clientCall.received > 0 {
+		bucket.Firsts = append(bucket.Firsts, clientCall.firstTokenMs())
+		bucket.Pauses = append(bucket.Pauses, inMilliseconds(clientCall.pause))
 	}
 }
 
 // takeSample records the state of the fleet.
 func (o *observer) takeSample(w *World) {
-	one := Sample{AtS: w.elapsed().Seconds(), Stored: o.stored, Disk: o.disk, Read: o.readTokens}
+	sample := Sample{AtS: w.elapsed().Seconds(), Stored: o.stored, Disk: o.disk, Read: o.readTokens}
 	for _, edge := range w.edges {
 		if edge.alive {
-			one.Waiting += edge.matcher.WaitingCount()
+			sample.Waiting += edge.matcher.WaitingCount()
 		}
 	}
 	for _, machine := range w.machines {
 		if up := machine.current; up != nil {
-			one.Queued += len(up.queue)
-			one.Running += len(up.running)
-			one.Warm += up.cache.cached
+			sample.Queued += len(up.queue)
+			sample.Running += len(up.running)
+			sample.Warm += up.cache.cached
 		}
 	}
-	o.samples = append(o.samples, one)
+	o.samples = append(o.samples, sample)
 }
 
 // result is what was observed so far.
--- a/internal/sim/emulator/planning.go
+++ b/internal/sim/emulator/planning.go
@@ -17,8 +17,8 @@
 	for _, action := range placement.Plan(view) {
 		c.startAction(action, now)
 	}
-	for _, one := range view.Servers {
-		c.managed[one.ID].intent = one.Intent
+	for _, planned := range view.Servers {
+		c.tracked[planned.ID].intent = planned.Intent
 	}
 }
 
@@ -33,25 +33,25 @@
 		StoreTokens:  c.loadTokens(now),
 		DemandKnown:  c.demand.learned(now),
 	}
-	ids := make([]string, 0, len(c.managed))
-	for id := range c.managed {
+	ids := make([]string, 0, len(c.tracked))
+	for id := range c.tracked {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		one := c.managed[id]
-		if one.pending != nil && one.pending.Load {
-			view.Loading[placement.ModelKey(backendName, one.pending.Model)]++
+		replica := c.tracked[id]
+		if replica.pending != nil && replica.pending.Load {
+			view.Loading[placement.ModelKey(backendName, replica.pending.Model)]++
 		}
 		view.Servers = append(view.Servers, &placement.Server{
 			ID:      id,
 			Backend: backendName,
-			Zone:    one.listed.Zone,
+			Zone:    replica.listed.Zone,
 			Lost:    c.demand.isSuspect(id, now),
-			Loaded:  cloneSet(one.models),
-			OnDisk:  c.heldBefore[one.listed.Address],
-			Intent:  one.intent,
-			Ready:   one.known && one.pending == nil,
+			Loaded:  cloneSet(replica.models),
+			OnDisk:  c.loadedBefore[replica.listed.Address],
+			Intent:  replica.intent,
+			Ready:   replica.known && replica.pending == nil,
 		})
 	}
 	return view
@@ -72,19 +72,19 @@
 	return c.world.scenario.Models.LoadsPerS*originPeriod.Seconds() + 1 - float64(len(c.loads))
 }
 
-// startAction sends a load or unload to a replica; an unload is barred at the edges first.
+// startAction sends a load or unload to a replica; an unload is cordoned at the edges first.
 func (c *controlPlane) startAction(action placement.Action, now time.Time) {
-	one := c.managed[action.Server]
-	one.pending = &action
+	replica := c.tracked[action.Server]
+	replica.pending = &action
 	if action.Load && action.FromStore && !strings.Contains(action.Model, "/") {
 		c.loads = append(c.loads, now)
 	}
 	pause := time.Duration(0)
 	if !action.Load {
-		pause = barTime
-		for reference := range one.models {
+		pause = cordonTime
+		for reference := range replica.models {
 			if reference == action.Model || strings.HasPrefix(reference, action.Model+"/") {
-				one.barred[action.Server+" "+reference] = true
+				replica.cordoned[action.Server+" "+reference] = true
 			}
 		}
 		c.refresh()
--- a/internal/sim/emulator/platformlist.go
+++ b/internal/sim/emulator/platformlist.go
@@ -28,9 +28,9 @@
 // listedReplicas is the platform's list, ordered by id.
 func (w *World) listedReplicas() []discovery.Replica {
 	entries := make([]discovery.Replica, 0, len(w.listed))
-	for _, one := range w.listed {
-		entries = append(entries, one)
+	for _, entry := range w.listed {
+		entries = append(entries, entry)
 	}
-	slices.SortFunc(entries, func(one, other discovery.Replica) int { return cmp.Compare(one.ID, other.ID) })
+	slices.SortFunc(entries, func(entry, other discovery.Replica) int { return cmp.Compare(entry.ID, other.ID) })
 	return entries
 }
--- a/internal/sim/emulator/recorded.go
+++ b/internal/sim/emulator/recorded.go
@@ -31,7 +31,7 @@
 }
 
 // requestsFromRecord maps recorded models and routes to those of the scenario, in the sequence in
-// which they appear, and draws what the record does not tell.
+// which they appear, and draws what the record does not contain.
 func requestsFromRecord(scenario Scenario, entries []requestlog.Entry) ([]Request, error) {
 	from := randomSource(scenario.Seed, streamTraffic)
 	chance := rand.New(from)
--- a/internal/sim/emulator/replica.go
+++ b/internal/sim/emulator/replica.go
@@ -12,10 +12,10 @@
 
 // machine is a host; its servers follow each other, its disk and speed stay.
 type machine struct {
-	number int
-	zone   int
-	speed  float64
-	life   int
+	number      int
+	zone        int
+	speed       float64
+	incarnation int
 	// onDisk holds the references that the disk has.
 	onDisk   standin.Holdings
 	slowdown float64
@@ -23,7 +23,7 @@
 	current *server
 }
 
-// server is one life of a replica.
+// server is one incarnation of a replica.
 type server struct {
 	world   *World
 	machine *machine
@@ -32,7 +32,7 @@
 	dead bool
 	// dark servers died without closing their connections.
 	dark      bool
-	held      standin.Holdings
+	loaded    standin.Holdings
 	cache     *kvCache
 	queue     []*execution
 	running   []*execution
@@ -43,28 +43,28 @@
 	unlisted bool
 }
 
-// start begins a new life of a machine's replica, holding the given references.
-func (w *World) start(one *machine, references ...string) *server {
-	one.life++
-	begun := &server{
+// start starts a new incarnation of a machine's replica with the given references loaded.
+func (w *World) start(host *machine, references ...string) *server {
+	host.incarnation++
+	started := &server{
 		world:   w,
-		machine: one,
-		id:      fmt.Sprintf("replica-%03d.%d", one.number, one.life),
-		held:    standin.NewHoldings(references...),
+		machine: host,
+		id:      fmt.Sprintf("replica-%03d.%d", host.number, host.incarnation),
+		loaded:  standin.NewHoldings(references...),
 		cache:   newKVCache(w.scenario.Replica.KvCacheTokens),
 	}
 	for _, reference := range references {
-		one.onDisk[reference] = true
+		host.onDisk[reference] = true
 	}
-	if one.life > 1 {
-		begun.coldUntil = w.now().Add(seconds(w.scenario.Replica.ColdStartS))
+	if host.incarnation > 1 {
+		started.coldUntil = w.now().Add(seconds(w.scenario.Replica.ColdStartS))
 	}
-	one.current = begun
-	w.servers[begun.id] = begun
-	return begun
+	host.current = started
+	w.servers[started.id] = started
+	return started
 }
 
-// entry is the server as the platform's list tells it.
+// entry is the server as the platform lists it.
 func (s *server) entry() discovery.Replica {
 	listed := discovery.Replica{
 		ID:      s.id,
@@ -73,7 +73,7 @@
 		Zone:    s.world.scenario.Zones[s.machine.zone].Name,
 		Slots:   s.world.scenario.Replica.Slots,
 		State:   "ready",
-		Models:  s.held.List(),
+		Models:  s.loaded.List(),
 	}
 	if left := s.coldUntil.Sub(s.world.now()); left > 0 {
 		listed.WarmUpRemainingMs = float64(left.Milliseconds())
@@ -90,26 +90,26 @@
 	admissionMissing
 )
 
-// accept queues an execution, by priority, or tells why not.
-func (s *server) accept(one *execution) admission {
-	if one.ended {
+// accept queues an execution, by priority, or returns why not.
+func (s *server) accept(run *execution) admission {
+	if run.ended {
 		return admissionQueued
 	}
-	if !s.held[one.model] {
+	if !s.loaded[run.model] {
 		return admissionMissing
 	}
-	if s.change != nil && s.change.touches(one.model) {
+	if s.change != nil && s.change.touches(run.model) {
 		return admissionFull
 	}
 	performance := s.world.scenario.Replica
 	if len(s.queue)+len(s.running) >= performance.Slots+performance.QueuePlaces {
 		return admissionFull
 	}
-	if one.attempt.request.TotalTokens() > s.cache.total {
+	if run.attempt.request.TotalTokens() > s.cache.total {
 		return admissionFull
 	}
-	one.server = s
-	s.queue = append(s.queue, one)
+	run.server = s
+	s.queue = append(s.queue, run)
 	slices.SortStableFunc(s.queue, func(left, right *execution) int { return cmp.Compare(left.priority, right.priority) })
 	s.startStep()
 	return admissionQueued
@@ -126,9 +126,9 @@
 	}
 	performance := s.world.scenario.Replica
 	budget, read := performance.ChunkTokens, 0.0
-	for _, one := range s.running {
-		taken := min(one.unreadTokens, budget-read)
-		one.unreadTokens -= taken
+	for _, run := range s.running {
+		taken := min(run.unreadTokens, budget-read)
+		run.unreadTokens -= taken
 		read += taken
 	}
 	s.stepping = true
@@ -154,16 +154,16 @@
 		return
 	}
 	s.world.checkServer(s)
-	for _, one := range slices.Clone(s.running) {
-		if one.ended || one.unreadTokens > 0 {
+	for _, run := range slices.Clone(s.running) {
+		if run.ended || run.unreadTokens > 0 {
 			continue
 		}
-		if !one.promptRead {
-			one.promptRead = true
-			s.world.checkBegin(one)
-			one.reservedTokens -= s.cache.add(one.model, one.dialogues, one.attempt.call.request.Parts, one.cachedParts)
+		if !run.promptRead {
+			run.promptRead = true
+			s.world.checkBegin(run)
+			run.reservedTokens -= s.cache.add(run.model, run.dialogues, run.attempt.call.request.Parts, run.cachedParts)
 		}
-		s.emitEvent(one)
+		s.emitEvent(run)
 	}
 	s.startStep()
 }
--- a/internal/sim/emulator/routing.go
+++ b/internal/sim/emulator/routing.go
@@ -7,12 +7,12 @@
 
 // linkDelay is the one-way delay between two zones, given by their indices.
 func (w *World) linkDelay(from, to int) time.Duration {
-	one := w.scenario.Zones[from]
+	zone := w.scenario.Zones[from]
 	other := w.scenario.Zones[to]
 	switch {
 	case from == to:
 		return milliseconds(w.scenario.Links.ZoneMs)
-	case one.Region == other.Region:
+	case zone.Region == other.Region:
 		return milliseconds(w.scenario.Links.RegionMs)
 	}
 	return milliseconds(w.scenario.Links.FarMs)
@@ -39,18 +39,18 @@
 }
 
 // chooseEdge picks an edge that clients are routed to, in the nearest zone that has one. The choice
-// follows from the request's draw and the number of the try alone. It is nil if no edge is
+// follows from the request's draw and the number of the attempt alone. It is nil if no edge is
 // routable.
-func (w *World) chooseEdge(zone int, draw float64, try int) *edge {
+func (w *World) chooseEdge(zone int, draw float64, attemptNumber int) *edge {
 	for _, other := range w.zonesByDistance(zone) {
 		var open []*edge
-		for _, one := range w.edges {
-			if one.zone == other && one.routable {
-				open = append(open, one)
+		for _, dataPlane := range w.edges {
+			if dataPlane.zone == other && dataPlane.routable {
+				open = append(open, dataPlane)
 			}
 		}
 		if len(open) > 0 {
-			chance := rand.New(randomSource(uint64(draw*(1<<52)), uint64(try)))
+			chance := rand.New(randomSource(uint64(draw*(1<<52)), uint64(attemptNumber)))
 			return open[chance.IntN(len(open))]
 		}
 	}
--- a/internal/sim/emulator/scenario.go
+++ b/internal/sim/emulator/scenario.go
@@ -105,7 +105,7 @@
 	// AimMs is the target for the first token.
 	AimMs     float64 `koanf:"aimMs"`
 	TimeoutMs float64 `koanf:"timeoutMs"`
-	// GapMs is the longest pause between tokens that still counts as in time.
+	// GapMs is the longest gap between tokens that still counts as in time.
 	GapMs      float64 `koanf:"tokenGapMs"`
 	Priority   int     `koanf:"priority"`
 	Resumable  bool    `koanf:"resumable"`
@@ -153,7 +153,7 @@
 }
 
 // Placement is how the first copies are placed: spread over zones or packed, and the share of the
-// room beyond the first copies that is filled.
+// capacity beyond the first copies that is filled.
 type Placement struct {
 	Copies    string  `koanf:"copies"`
 	BusyShare float64 `koanf:"busyShare"`
--- a/internal/sim/emulator/standin/holdings.go
+++ b/internal/sim/emulator/standin/holdings.go
@@ -12,23 +12,23 @@
 
 // NewHoldings is the set of the given references.
 func NewHoldings(references ...string) Holdings {
-	held := Holdings{}
+	set := Holdings{}
 	for _, reference := range references {
-		held[reference] = true
+		set[reference] = true
 	}
-	return held
+	return set
 }
 
 // Drop removes a reference and, if it is a model, its adapters.
 func (h Holdings) Drop(reference string) {
-	for held := range h {
-		if held == reference || strings.HasPrefix(held, reference+"/") {
-			delete(h, held)
+	for loaded := range h {
+		if loaded == reference || strings.HasPrefix(loaded, reference+"/") {
+			delete(h, loaded)
 		}
 	}
 }
 
-// List is the set as the platform's list tells it, ordered by name; adapters without their model
+// List is the set as the platform lists it, ordered by name; adapters without their model
 // are left out.
 func (h Holdings) List() []discovery.LoadedModel {
 	references := make([]string, 0, len(h))
--- a/internal/sim/emulator/standin/list.go
+++ b/internal/sim/emulator/standin/list.go
@@ -22,8 +22,8 @@
 	}
 	query := request.URL.Query()
 	entries := []discovery.Replica{}
-	for _, one := range l.Replicas {
-		if entry := one.Entry(); query.Get("zone") == "" || query.Get("zone") == entry.Zone {
+	for _, created := range l.Replicas {
+		if entry := created.Entry(); query.Get("zone") == "" || query.Get("zone") == entry.Zone {
 			entries = append(entries, entry)
 		}
 	}
--- a/internal/sim/emulator/standin/replica.go
+++ b/internal/sim/emulator/standin/replica.go
@@ -44,13 +44,13 @@
 	pace    Pace
 	runtime configuration.Runtime
 	models  map[string]configuration.Model
-	held    Holdings
+	loaded  Holdings
 	// onDisk holds what was loaded before, which loads faster.
 	onDisk Holdings
 	// cachedPrefixes holds "reference dialogue" of the prompts read.
 	cachedPrefixes map[string]bool
 	active         int
-	// sequence counts the changes, as the report tells them.
+	// sequence counts the changes, as the report shows them.
 	sequence int64
 	// fence is the highest fence token seen; instructions with a lower one are rejected.
 	fence uint64
@@ -59,39 +59,39 @@
 	busyUntil time.Time
 }
 
-// NewReplica makes a replica of the backend that holds the given references. SetAddress must be
+// NewReplica makes a replica of the backend with the given references loaded. SetAddress must be
 // called before it is listed.
 func NewReplica(listed discovery.Replica, backend configuration.Backend, pace Pace, references ...string) *Replica {
-	one := &Replica{
+	created := &Replica{
 		entry:          listed,
 		pace:           pace,
 		runtime:        *backend.Runtime,
 		models:         map[string]configuration.Model{},
-		held:           NewHoldings(references...),
+		loaded:         NewHoldings(references...),
 		onDisk:         NewHoldings(references...),
 		cachedPrefixes: map[string]bool{},
 	}
-	one.entry.Backend = backend.Name
-	one.entry.Slots = backend.Runtime.Slots
-	one.entry.State = "ready"
+	created.entry.Backend = backend.Name
+	created.entry.Slots = backend.Runtime.Slots
+	created.entry.State = "ready"
 	for _, model := range backend.Runtime.Models {
-		one.models[model.Name] = model
+		created.models[model.Name] = model
 	}
-	return one
+	return created
 }
 
 // ID is the replica's id.
 func (r *Replica) ID() string { return r.entry.ID }
 
-// SetAddress sets the address that the list tells; call it before the replica is served.
+// SetAddress sets the address in the list; call it before the replica is served.
 func (r *Replica) SetAddress(address string) { r.entry.Address = address }
 
-// Entry is the replica as the platform's list tells it.
+// Entry is the replica as the platform lists it.
 func (r *Replica) Entry() discovery.Replica {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	listed := r.entry
-	listed.Models = r.held.List()
+	listed.Models = r.loaded.List()
 	return listed
 }
 
@@ -100,7 +100,7 @@
 	router := chi.NewRouter()
 	router.Use(r.checkTarget)
 	router.Get("/ferryspar/report", r.serveReport)
-	router.Post("/ferryspar/order", r.serveInstruction)
+	router.Post("/ferryspar/order", r.serveOrder)
 	router.Get(healthPath, r.serveHealth)
 	router.NotFound(r.serveStream)
 	router.MethodNotAllowed(r.serveStream)
@@ -133,7 +133,7 @@
 	r.lock.Lock()
 	state := replica.Report{
 		Phase:    "unified",
-		Models:   r.held.List(),
+		Models:   r.loaded.List(),
 		Busy:     time.Now().Before(r.busyUntil),
 		Sequence: r.sequence,
 		Active:   r.active,
@@ -150,8 +150,8 @@
 	Expected *int64 `json:"expectedCount"`
 }
 
-// serveInstruction answers a load or unload instruction of the control plane.
-func (r *Replica) serveInstruction(writer http.ResponseWriter, request *http.Request) {
+// serveOrder answers a load or unload instruction of the control plane.
+func (r *Replica) serveOrder(writer http.ResponseWriter, request *http.Request) {
 	var instruction orderBody
 	if json.NewDecoder(request.Body).Decode(&instruction) != nil || instruction.LeaseHolder == "" || instruction.Fence == 0 {
 		writer.WriteHeader(http.StatusBadRequest)
@@ -159,12 +159,12 @@
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	writer.WriteHeader(r.applyInstruction(instruction, time.Now()))
+	writer.WriteHeader(r.applyOrder(instruction, time.Now()))
 }
 
-// applyInstruction begins a load or unload and is the HTTP status of the answer. The caller holds
+// applyOrder begins a load or unload and is the HTTP status of the answer. The caller holds
 // the lock.
-func (r *Replica) applyInstruction(instruction orderBody, now time.Time) int {
+func (r *Replica) applyOrder(instruction orderBody, now time.Time) int {
 	model, known := r.models[instruction.Model]
 	load := instruction.Operation == replica.OperationLoad
 	if !known || !load && instruction.Operation != replica.OperationUnload {
@@ -175,37 +175,37 @@
 	}
 	r.fence = instruction.Fence
 	reference := instruction.Model
-	taking := time.Duration(model.LoadTimeS * float64(time.Second))
+	duration := time.Duration(model.LoadTimeS * float64(time.Second))
 	if r.onDisk[reference] {
-		taking /= 5
+		duration /= 5
 	}
 	if instruction.Adapter != "" {
 		reference = reference + "/" + instruction.Adapter
-		taking = 20 * time.Millisecond
+		duration = 20 * time.Millisecond
 	}
 	if !load {
-		taking = 50 * time.Millisecond
+		duration = 50 * time.Millisecond
 	}
-	if r.held[reference] == load {
+	if r.loaded[reference] == load {
 		return http.StatusOK
 	}
 	if now.Before(r.busyUntil) || instruction.Expected != nil && *instruction.Expected != r.sequence {
 		return http.StatusConflict
 	}
-	if load && (instruction.Adapter != "" && !r.held[instruction.Model] || !r.fits(reference)) {
+	if load && (instruction.Adapter != "" && !r.loaded[instruction.Model] || !r.fits(reference)) {
 		return http.StatusBadRequest
 	}
 	r.sequence++
-	r.busyUntil, r.changing = now.Add(taking), reference
-	time.AfterFunc(taking, func() { r.finishChange(reference, load) })
+	r.busyUntil, r.changing = now.Add(duration), reference
+	time.AfterFunc(duration, func() { r.finishChange(reference, load) })
 	return http.StatusAccepted
 }
 
-// fits tells whether a model or adapter finds room. The caller holds the lock.
+// fits reports whether a model or adapter fits. The caller holds the lock.
 func (r *Replica) fits(reference string) bool {
 	total, adapters := 0.0, 0
-	for held := range r.held {
-		model, _, adapted := strings.Cut(held, "/")
+	for loaded := range r.loaded {
+		model, _, adapted := strings.Cut(loaded, "/")
 		if adapted {
 			total += r.models[model].AdapterSizeMb
 			adapters++
@@ -226,10 +226,10 @@
 	defer r.lock.Unlock()
 	r.changing = ""
 	if load {
-		r.held[reference], r.onDisk[reference] = true, true
+		r.loaded[reference], r.onDisk[reference] = true, true
 		return
 	}
-	r.held.Drop(reference)
+	r.loaded.Drop(reference)
 	for kept := range r.cachedPrefixes {
 		if strings.HasPrefix(kept, reference+" ") || strings.HasPrefix(kept, reference+"/") {
 			delete(r.cachedPrefixes, kept)
--- a/internal/sim/emulator/standin/serve.go
+++ b/internal/sim/emulator/standin/serve.go
@@ -70,7 +70,7 @@
 	if r.changing != "" && (reference == r.changing || strings.HasPrefix(reference, r.changing+"/")) {
 		return 0, &rejection{http.StatusServiceUnavailable, true}
 	}
-	if !r.held[reference] {
+	if !r.loaded[reference] {
 		return 0, &rejection{http.StatusMisdirectedRequest, true}
 	}
 	if r.active >= r.runtime.Slots {
--- a/internal/sim/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -49,17 +49,17 @@
 	return NewReplica(discovery.Replica{ID: id, Zone: "east"}, backend(), DefaultPace(), references...)
 }
 
-func call(one *Replica, method, path, body string, header map[string]string) *httptest.ResponseRecorder {
+func call(created *Replica, method, path, body string, header map[string]string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
 	answer := httptest.NewRecorder()
-	one.Routes("/healthz").ServeHTTP(answer, request)
+	created.Routes("/healthz").ServeHTTP(answer, request)
 	return answer
 }
 
-func order(one *Replica, operation, model, adapter string, fence int) int {
+func order(created *Replica, operation, model, adapter string, fence int) int {
 	body := fmt.Sprintf(
 		`{"operation":%q,"modelId":%q,"adapterId":%q,"leaseHolder":"node","fenceToken":%d}`,
 		operation,
@@ -67,33 +67,33 @@
 		adapter,
 		fence,
 	)
-	return call(one, http.MethodPost, "/ferryspar/order", body, nil).Code
+	return call(created, http.MethodPost, "/ferryspar/order", body, nil).Code
 }
 
 func TestReplica_AnswersOrdersAsDocumented(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := stand("r-1", "swift")
-		assert.Equal(t, order(one, replica.OperationLoad, "rare", "", 5), http.StatusAccepted)
-		assert.Equal(t, order(one, replica.OperationLoad, "swift", "a1", 5), http.StatusConflict)
-		assert.Equal(t, order(one, replica.OperationLoad, "swift", "", 5), http.StatusOK)
-		assert.Equal(t, order(one, replica.OperationLoad, "rare", "", 4), http.StatusPreconditionFailed)
-		assert.Equal(t, order(one, replica.OperationLoad, "rare", "", 0), http.StatusBadRequest)
-		assert.Equal(t, order(one, "model_dance", "rare", "", 5), http.StatusBadRequest)
+		created := stand("r-1", "swift")
+		assert.Equal(t, order(created, replica.OperationLoad, "rare", "", 5), http.StatusAccepted)
+		assert.Equal(t, order(created, replica.OperationLoad, "swift", "a1", 5), http.StatusConflict)
+		assert.Equal(t, order(created, replica.OperationLoad, "swift", "", 5), http.StatusOK)
+		assert.Equal(t, order(created, replica.OperationLoad, "rare", "", 4), http.StatusPreconditionFailed)
+		assert.Equal(t, order(created, replica.OperationLoad, "rare", "", 0), http.StatusBadRequest)
+		assert.Equal(t, order(created, "model_dance", "rare", "", 5), http.StatusBadRequest)
 		time.Sleep(1100 * time.Millisecond)
 		var state replica.Report
-		assert.NilError(t, json.Unmarshal(call(one, http.MethodGet, "/ferryspar/report", "", nil).Body.Bytes(), &state))
+		assert.NilError(t, json.Unmarshal(call(created, http.MethodGet, "/ferryspar/report", "", nil).Body.Bytes(), &state))
 		assert.Equal(t, len(state.Models), 2)
 		assert.Equal(t, state.Sequence, int64(1))
-		assert.Equal(t, order(one, replica.OperationLoad, "other", "", 5), http.StatusBadRequest, "beyond its room")
-		assert.Equal(t, order(one, replica.OperationUnload, "swift", "", 5), http.StatusAccepted)
+		assert.Equal(t, order(created, replica.OperationLoad, "other", "", 5), http.StatusBadRequest, "beyond its room")
+		assert.Equal(t, order(created, replica.OperationUnload, "swift", "", 5), http.StatusAccepted)
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, len(one.Entry().Models), 1)
+		assert.Equal(t, len(created.Entry().Models), 1)
 	})
 }
 
 func TestReplica_ServesOrProvesNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := stand("r-1", "swift")
+		created := stand("r-1", "swift")
 		header := func(model, target string) map[string]string {
 			return map[string]string{
 				replica.HeaderAttempt:     "try",
@@ -104,9 +104,9 @@
 			}
 		}
 		done := make(chan *httptest.ResponseRecorder)
-		go func() { done <- call(one, http.MethodPost, "/any", "", header("swift", "r-1")) }()
+		go func() { done <- call(created, http.MethodPost, "/any", "", header("swift", "r-1")) }()
 		synctest.Wait()
-		full := call(one, http.MethodPost, "/any", "", header("swift", "r-1"))
+		full := call(created, http.MethodPost, "/any", "", header("swift", "r-1"))
 		assert.Equal(t, full.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, full.Header().Get(replica.HeaderNotExecuted) != "")
 		served := <-done
@@ -114,9 +114,9 @@
 		assert.Equal(t, strings.Count(served.Body.String(), "id:"), 3, "events after the last one seen")
 		assert.Equal(t, served.Header().Get(replica.HeaderAttempt), "try")
 		assert.Assert(t, strings.HasPrefix(served.Header().Get(replica.HeaderSeal), "r-1."))
-		assert.Equal(t, call(one, http.MethodPost, "/any", "", header("rare", "r-1")).Code, http.StatusMisdirectedRequest)
-		assert.Equal(t, call(one, http.MethodPost, "/any", "", header("swift", "r-2")).Code, http.StatusMisdirectedRequest)
-		assert.Equal(t, call(one, http.MethodGet, "/healthz", "", nil).Header().Get(replica.HeaderReplicaID), "r-1")
+		assert.Equal(t, call(created, http.MethodPost, "/any", "", header("rare", "r-1")).Code, http.StatusMisdirectedRequest)
+		assert.Equal(t, call(created, http.MethodPost, "/any", "", header("swift", "r-2")).Code, http.StatusMisdirectedRequest)
+		assert.Equal(t, call(created, http.MethodGet, "/healthz", "", nil).Header().Get(replica.HeaderReplicaID), "r-1")
 	})
 }
 
--- a/internal/sim/emulator/traffic.go
+++ b/internal/sim/emulator/traffic.go
@@ -121,7 +121,7 @@
 			g.generateDialogue(at)
 		}
 	}
-	slices.SortStableFunc(g.requests, func(one, other Request) int { return cmp.Compare(one.At, other.At) })
+	slices.SortStableFunc(g.requests, func(left, other Request) int { return cmp.Compare(left.At, other.At) })
 	for number := range g.requests {
 		g.requests[number].Number = number
 	}
@@ -166,7 +166,7 @@
 const (
 	// adapterShare is the share of the first model's dialogues that use an adapter.
 	adapterShare = 0.5
-	// answerMark tells the part ids of answers from those of prompts.
+	// answerMark separates the part ids of answers from those of prompts.
 	answerMark = 1 << 40
 	// longestShare is the share of a replica's memory beyond which a dialogue ends.
 	longestShare = 0.2
--- a/internal/sim/emulator/world.go
+++ b/internal/sim/emulator/world.go
@@ -6,7 +6,7 @@
 // daemons: their listeners, key store and leases are replaced by delays and by a takeover time.
 // Figures from it are emulated, not measured.
 //
-// Start reading at World.Run; then call (a request as its client sees it), attempt (one try at a
+// Start reading at World.Run; then call (a request as its client sees it), attempt (one attempt at a
 // data plane), server (a replica) and controlPlane.
 package emulator
 
@@ -42,7 +42,7 @@
 	calls   []*call
 	// lost marks the indices of the zones that are down.
 	lost map[int]bool
-	// listed is what the platform's list tells, which lags behind the servers.
+	// listed is what the platform lists, which lags behind the servers.
 	listed map[string]discovery.Replica
 	// storeLoads counts the loads from the model store under way.
 	storeLoads int
@@ -84,9 +84,9 @@
 	w.buildFleet()
 	w.observer.requests = make([]RequestOutcome, len(requests))
 	for index := range requests {
-		one := &call{world: w, request: &requests[index], class: &w.scenario.Classes[requests[index].Class]}
-		w.calls = append(w.calls, one)
-		w.events.At(began.Add(one.request.At), one.begin)
+		clientCall := &call{world: w, request: &requests[index], class: &w.scenario.Classes[requests[index].Class]}
+		w.calls = append(w.calls, clientCall)
+		w.events.At(began.Add(clientCall.request.At), clientCall.begin)
 	}
 	w.scheduleFailures()
 	return w, nil
@@ -98,8 +98,8 @@
 // elapsed is the simulated time since the beginning of the run.
 func (w *World) elapsed() time.Duration { return w.now().Sub(w.began) }
 
-// noteViolation records, with the moment, that an invariant of the emulation is broken.
-func (w *World) noteViolation(format string, arguments ...any) {
+// recordViolation records, with the moment, that an invariant of the emulation is broken.
+func (w *World) recordViolation(format string, arguments ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%.3f s: ", w.elapsed().Seconds())+fmt.Sprintf(format, arguments...))
 }
 
@@ -117,8 +117,8 @@
 		w.observer.takeSample(w)
 	}
 	w.events.Until(end.Add(seconds(drainS)))
-	for _, one := range w.calls {
-		one.finish(outcomeExpired)
+	for _, clientCall := range w.calls {
+		clientCall.finish(outcomeExpired)
 	}
 	return w.observer.result(w)
 }
@@ -145,12 +145,12 @@
 		}
 	}
 	for number, references := range spreadCopies(w.scenario) {
-		begun := w.start(w.machines[number], references...)
-		w.listed[begun.id] = begun.entry()
+		started := w.start(w.machines[number], references...)
+		w.listed[started.id] = started.entry()
 	}
 	w.control = newControlPlane(w, w.edges[0].zone, nil)
-	for _, one := range w.edges {
-		one.start()
+	for _, dataPlane := range w.edges {
+		dataPlane.start()
 	}
 	w.control.refresh()
 }
@@ -207,6 +207,6 @@
 const (
 	// modelSize is the size of each model's weights, in MB.
 	modelSize = 1024
-	// spareSize is what a replica's room has beyond its models, in MB, for adapters.
+	// spareSize is what a replica's capacity has beyond its models, in MB, for adapters.
 	spareSize = 64
 )
--- a/internal/sim/emulator/world_test.go
+++ b/internal/sim/emulator/world_test.go
@@ -96,14 +96,14 @@
 		assert.Equal(t, offered, len(world.calls))
 		assert.Equal(t, buckets, offered)
 		assert.Assert(t, result.Samples[len(result.Samples)-1].Disk > 0, "what returned is loaded from its own disk")
-		for _, one := range world.servers {
-			if !one.dead {
-				assert.Equal(t, len(one.queue)+len(one.running), 0)
-				assert.Assert(t, one.cache.reserved < 1e-6, "%s keeps %f reserved", one.id, one.cache.reserved)
+		for _, replica := range world.servers {
+			if !replica.dead {
+				assert.Equal(t, len(replica.queue)+len(replica.running), 0)
+				assert.Assert(t, replica.cache.reserved < 1e-6, "%s keeps %f reserved", replica.id, replica.cache.reserved)
 			}
 		}
-		for _, one := range world.edges {
-			assert.Equal(t, len(one.waiting)+one.matcher.WaitingCount(), 0)
+		for _, dataPlane := range world.edges {
+			assert.Equal(t, len(dataPlane.waiting)+dataPlane.matcher.WaitingCount(), 0)
 		}
 	}
 }
@@ -118,12 +118,12 @@
 		result := world.Run()
 		assert.DeepEqual(t, result.Violations, []string{})
 		resumed := 0
-		for _, one := range world.calls {
-			if !one.class.Resumable || one.outcome != outcomeServed {
+		for _, clientCall := range world.calls {
+			if !clientCall.class.Resumable || clientCall.outcome != outcomeServed {
 				continue
 			}
-			assert.Equal(t, one.received, one.request.Output, "%d of %s", one.request.Number, one.class.Name)
-			if one.attemptsMade > 1 {
+			assert.Equal(t, clientCall.received, clientCall.request.Output, "%d of %s", clientCall.request.Number, clientCall.class.Name)
+			if clientCall.attemptsMade > 1 {
 				resumed++
 			}
 		}
@@ -144,16 +144,16 @@
 	for _, wrong := range []int{1, 3} {
 		world, err := NewWorld(sample(1))
 		assert.NilError(t, err)
-		one := &call{
+		clientCall := &call{
 			world:        world,
 			request:      &Request{Output: 9},
 			class:        &world.scenario.Classes[1],
 			attemptsMade: 1,
 			attempt:      &attempt{},
 		}
-		one.receiveEvent(1, 1)
+		clientCall.receiveEvent(1, 1)
 		assert.Equal(t, len(world.violations), 0)
-		one.receiveEvent(1, wrong)
+		clientCall.receiveEvent(1, wrong)
 		assert.Equal(t, len(world.violations), 1)
 	}
 }
@@ -182,16 +182,16 @@
 	for at := step; at <= 120*time.Second; at += step {
 		world.events.Until(world.began.Add(at))
 		looks++
-		for _, one := range world.calls {
-			if !one.began.IsZero() && !one.ended {
+		for _, clientCall := range world.calls {
+			if !clientCall.began.IsZero() && !clientCall.ended {
 				inside++
 			}
 		}
 	}
 	spent := 0.0
-	for _, one := range world.calls {
-		assert.Assert(t, one.ended)
-		spent += one.endedAt.Sub(one.began).Seconds()
+	for _, clientCall := range world.calls {
+		assert.Assert(t, clientCall.ended)
+		spent += clientCall.endedAt.Sub(clientCall.began).Seconds()
 	}
 	present := float64(inside) / float64(looks)
 	expected := spent / 120
--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -32,7 +32,7 @@
 
 const (
 	// MethodOtherSeeds forecasts the mean truth of the other seeds, which an emulation of the fleet
-	// could tell.
+	// could forecast.
 	MethodOtherSeeds = "emulated, other seeds"
 	// slowedShare is the share of the target latency beyond which a request counts as slowed.
 	slowedShare = 0.25
@@ -55,22 +55,22 @@
 // compares the forecasters with what happened. It fails if the variant has no loss.
 func CompareForecasts(
 	ctx context.Context,
-	wanted Configuration,
+	configuration Configuration,
 	sizes []int,
 	forecasters map[string]emulator.Forecaster,
 	atOnce int,
 	to io.Writer,
 ) ([]Comparison, error) {
 	var found []Comparison
-	if len(wanted.Built[0].Losses) == 0 {
+	if len(configuration.Built[0].Losses) == 0 {
 		return nil, errors.New("the first variant names no loss to forecast")
 	}
 	for _, size := range sizes {
-		fmt.Fprintf(to, "fleet size %d: %d seeds, each with and without the loss\n", size, wanted.Seeds)
-		lost := scaled(wanted.Built[0], size)
+		fmt.Fprintf(to, "fleet size %d: %d seeds, each with and without the loss\n", size, configuration.Seeds)
+		lost := scaled(configuration.Built[0], size)
 		spared := lost
 		spared.Losses = nil
-		pair := wanted
+		pair := configuration
 		pair.Variants = []Variant{{Name: "lost"}, {Name: "spared"}}
 		pair.Built = []emulator.Scenario{lost, spared}
 		all, err := run(ctx, pair, atOnce, to, forecasters)
@@ -90,12 +90,12 @@
 	for seed := range all[0].Results {
 		lost := all[0].Results[seed]
 		spared := all[1].Results[seed]
-		for _, one := range c.measuredTruth(lost, spared) {
-			if truths[one.name] == nil {
-				names = append(names, one.name)
+		for _, measured := range c.measuredTruth(lost, spared) {
+			if truths[measured.name] == nil {
+				names = append(names, measured.name)
 			}
-			truths[one.name] = append(truths[one.name], one.value)
-			seeds[one.name] = append(seeds[one.name], seed)
+			truths[measured.name] = append(truths[measured.name], measured.value)
+			seeds[measured.name] = append(seeds[measured.name], seed)
 		}
 	}
 	var found []Comparison
@@ -103,8 +103,8 @@
 		truth := truths[name]
 		base := newComparison(name, MethodOtherSeeds, size, truth, otherSeedsMeans(truth))
 		for _, method := range methods {
-			if foretold := forecastValues(all[0].Results, method, name, seeds[name]); foretold != nil {
-				found = append(found, newComparison(name, method, size, truth, foretold).withFlags(&base))
+			if forecast := forecastValues(all[0].Results, method, name, seeds[name]); forecast != nil {
+				found = append(found, newComparison(name, method, size, truth, forecast).withFlags(&base))
 			}
 		}
 		found = append(found, base)
@@ -121,16 +121,16 @@
 	for _, value := range truth {
 		total += value
 	}
-	foretold := make([]float64, len(truth))
+	forecast := make([]float64, len(truth))
 	for index, value := range truth {
-		foretold[index] = (total - value) / float64(max(len(truth)-1, 1))
+		forecast[index] = (total - value) / float64(max(len(truth)-1, 1))
 	}
-	return foretold
+	return forecast
 }
 
 // newComparison compares a forecast with the truth.
-func newComparison(name, method string, size int, truth, foretold []float64) Comparison {
-	deviations := differences(foretold, truth)
+func newComparison(name, method string, size int, truth, forecast []float64) Comparison {
+	deviations := differences(forecast, truth)
 	absolute := make([]float64, len(deviations))
 	for index, value := range deviations {
 		absolute[index] = math.Abs(value)
@@ -140,7 +140,7 @@
 		Method:   method,
 		Size:     size,
 		Truth:    truth,
-		Forecast: foretold,
+		Forecast: forecast,
 		Error:    estimate(deviations),
 	}.withErrors(absolute)
 }
@@ -172,8 +172,8 @@
 	for number, class := range lost.Classes {
 		found = append(found, c.firstTokenFigures(lost, spared, number)...)
 		slowdown := slowdownFigures(lost, spared, number, c.Built[0].Classes[number].AimMs, period{fromS: loss.AtS, toS: end})
-		for _, one := range slowdown {
-			found = append(found, measurement{class.Name + one.name, one.value})
+		for _, measured := range slowdown {
+			found = append(found, measurement{class.Name + measured.name, measured.value})
 		}
 	}
 	return found
@@ -196,32 +196,32 @@
 // slowdownFigures compares the requests of a class with their twins in the run without the loss;
 // the names lack the class's.
 func slowdownFigures(lost, spared emulator.Result, number int, aimMs float64, during period) []measurement {
-	asked, slow, missed := 0, 0, 0
+	sent, slow, missed := 0, 0, 0
 	late := newHistogram()
-	for index, one := range lost.Requests {
+	for index, request := range lost.Requests {
 		twin := spared.Requests[index]
-		if one.Class != number || !during.holds(one.AtS) {
+		if request.Class != number || !during.holds(request.AtS) {
 			continue
 		}
-		asked++
-		if twin.InTime && !one.InTime {
+		sent++
+		if twin.InTime && !request.InTime {
 			missed++
 		}
-		if one.FirstMs == 0 || twin.FirstMs == 0 {
+		if request.FirstMs == 0 || twin.FirstMs == 0 {
 			continue
 		}
-		by := max(one.FirstMs-twin.FirstMs, 0)
+		by := max(request.FirstMs-twin.FirstMs, 0)
 		fill(late, []float64{by})
 		if by > slowedShare*aimMs {
 			slow++
 		}
 	}
-	if asked == 0 {
+	if sent == 0 {
 		return nil
 	}
 	return []measurement{
-		{": share slowed", share(slow, asked)},
-		{": share no longer in time", share(missed, asked)},
+		{": share slowed", share(slow, sent)},
+		{": share no longer in time", share(missed, sent)},
 		{": slower by p50, ms", quantile(late, 50)},
 		{": slower by p95, ms", quantile(late, 95)},
 	}
--- a/internal/sim/experiment/compare_test.go
+++ b/internal/sim/experiment/compare_test.go
@@ -17,9 +17,9 @@
 	found, err := CompareForecasts(t.Context(), read, []int{1, 2}, map[string]emulator.Forecaster{"tried": forecaster}, 4, io.Discard)
 	assert.NilError(t, err)
 	byName := map[string]Comparison{}
-	for _, one := range found {
-		if one.Size == 2 {
-			byName[one.Method+" "+one.Figure] = one
+	for _, comparison := range found {
+		if comparison.Size == 2 {
+			byName[comparison.Method+" "+comparison.Figure] = comparison
 		}
 	}
 	return byName
@@ -28,9 +28,9 @@
 func TestCompare_MeasuresForecastErrorAndFlagsBrokenForecast(t *testing.T) {
 	sound := judge(t, emulator.CountByLoad)
 	broken := judge(t, func(before emulator.Snapshot) emulator.Forecast {
-		told := emulator.CountByLoad(before)
-		told[emulator.FigureWithoutCopy] += 5
-		return told
+		forecast := emulator.CountByLoad(before)
+		forecast[emulator.FigureWithoutCopy] += 5
+		return forecast
 	})
 	name := "tried " + emulator.FigureWithoutCopy
 	assert.Equal(t, sound[name].Error.Mean, 0.0)
--- a/internal/sim/experiment/configuration.go
+++ b/internal/sim/experiment/configuration.go
@@ -117,9 +117,9 @@
 	return scenario, scenario.Check()
 }
 
-// decode reads the tree into the target and refuses unknown keys; whole names the top level in
+// decode reads the tree into the target and rejects unknown keys; root names the top level in
 // errors.
-func decode(tree *koanf.Koanf, target any, whole string) error {
+func decode(tree *koanf.Koanf, target any, root string) error {
 	err := tree.UnmarshalWithConf("", target, koanf.UnmarshalConf{DecoderConfig: &mapstructure.DecoderConfig{
 		Result:      target,
 		TagName:     "koanf",
@@ -132,7 +132,7 @@
 	var parts []string
 	for _, line := range strings.Split(err.Error(), "\n") {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "decoding failed") {
-			parts = append(parts, strings.NewReplacer("has invalid keys", "has unknown keys", "'' ", whole+" ").Replace(line))
+			parts = append(parts, strings.NewReplacer("has invalid keys", "has unknown keys", "'' ", root+" ").Replace(line))
 		}
 	}
 	return errors.New(strings.Join(parts, "; "))
--- a/internal/sim/experiment/experiment_test.go
+++ b/internal/sim/experiment/experiment_test.go
@@ -73,9 +73,9 @@
 		"variant is named": {"spareReplicas = 1", "spareReplicas = -1", `variant "spare"`},
 		"no TOML":          {"name = \"small\"", "name = ", "cannot be read"},
 	}
-	for name, one := range cases {
-		_, err := Parse([]byte(strings.Replace(small, one[0], one[1], 1)))
-		assert.ErrorContains(t, err, one[2], name)
+	for name, test := range cases {
+		_, err := Parse([]byte(strings.Replace(small, test[0], test[1], 1)))
+		assert.ErrorContains(t, err, test[2], name)
 	}
 }
 
--- a/internal/sim/experiment/figures.go
+++ b/internal/sim/experiment/figures.go
@@ -63,7 +63,7 @@
 	toS   float64
 }
 
-// holds tells whether a moment lies in the period.
+// holds reports whether a moment lies in the period.
 func (p period) holds(atS float64) bool { return atS >= p.fromS && atS < p.toS }
 
 // periods are those that the first variant's first loss divides the run into.
@@ -81,11 +81,11 @@
 }
 
 // share is part of whole, or NaN without a whole.
-func share(part, whole int) float64 {
-	if whole == 0 {
+func share(part, total int) float64 {
+	if total == 0 {
 		return math.NaN()
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
 // measurement is one named value of a run.
--- a/internal/sim/experiment/foretold_test.go
+++ b/internal/sim/experiment/foretold_test.go
@@ -26,16 +26,16 @@
 	}, 4, io.Discard)
 	assert.NilError(t, err)
 	byName := map[string]Comparison{}
-	for _, one := range found {
-		byName[one.Method+" "+one.Figure] = one
+	for _, comparison := range found {
+		byName[comparison.Method+" "+comparison.Figure] = comparison
 	}
 	for _, name := range []string{emulator.FigurePlaced, emulator.FigureInterrupted, perReplicaOf} {
-		whole := byName["sound "+name]
+		correct := byName["sound "+name]
 		broken := byName["broken "+name]
-		assert.Assert(t, whole.Mean.Mean > 0, name)
-		assert.Assert(t, !slices.Contains(whole.Flags, flagBiased), "%s: %+v", name, whole)
+		assert.Assert(t, correct.Mean.Mean > 0, name)
+		assert.Assert(t, !slices.Contains(correct.Flags, flagBiased), "%s: %+v", name, correct)
 		assert.Assert(t, slices.Contains(broken.Flags, flagBiased), "%s: %+v", name, broken)
-		assert.Assert(t, whole.Absolute.Mean < broken.Absolute.Mean, name)
+		assert.Assert(t, correct.Absolute.Mean < broken.Absolute.Mean, name)
 	}
 	warm := byName["broken "+emulator.FigureWarm]
 	assert.Equal(t, warm.Relative.Mean, 1.0)
--- a/internal/sim/experiment/plots.go
+++ b/internal/sim/experiment/plots.go
@@ -16,11 +16,11 @@
 	// plotWidth and plotHeight are the size of a plot.
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
-	// legendRoom widens the time axis to leave room for the legend.
+	// legendRoom widens the time axis to leave space for the legend.
 	legendRoom = 1.35
 )
 
-// plotFiles tells the file that each series is drawn in; some share one.
+// plotFiles is the file that each series is drawn in; some share one.
 var plotFiles = map[string]string{
 	seriesInTime: "in-time",
 	seriesMedian: "first-token",
@@ -47,19 +47,19 @@
 	pictures := map[string]*picture{}
 	var order []string
 	for number, variant := range s.Variants {
-		for _, one := range variant.Series {
-			if len(one.Points) == 0 {
+		for _, line := range variant.Series {
+			if len(line.Points) == 0 {
 				continue
 			}
-			name := plotFiles[one.Name]
-			if one.Class != "" {
-				name += "-" + strings.ReplaceAll(one.Class, " ", "-")
+			name := plotFiles[line.Name]
+			if line.Class != "" {
+				name += "-" + strings.ReplaceAll(line.Class, " ", "-")
 			}
 			if pictures[name] == nil {
-				pictures[name] = s.picture(one)
+				pictures[name] = s.picture(line)
 				order = append(order, name)
 			}
-			if err := pictures[name].add(one, variant.Name, number); err != nil {
+			if err := pictures[name].add(line, variant.Name, number); err != nil {
 				return errors.Wrap(err, name)
 			}
 		}
@@ -76,32 +76,32 @@
 }
 
 // picture begins the plot that a series is drawn in.
-func (s Summary) picture(one Series) *picture {
+func (s Summary) picture(line Series) *picture {
 	drawn := plot.New()
-	drawn.Title.Text = s.Name + " (emulated): " + one.Name
-	if one.Class != "" {
-		drawn.Title.Text = s.Name + " (emulated), class " + one.Class + ": " + one.Name
+	drawn.Title.Text = s.Name + " (emulated): " + line.Name
+	if line.Class != "" {
+		drawn.Title.Text = s.Name + " (emulated), class " + line.Class + ": " + line.Name
 	}
-	if plotFiles[one.Name] == "first-token" {
-		drawn.Title.Text = s.Name + " (emulated), class " + one.Class + ": first token, ms"
+	if plotFiles[line.Name] == "first-token" {
+		drawn.Title.Text = s.Name + " (emulated), class " + line.Class + ": first token, ms"
 	}
 	drawn.X.Label.Text = "time of arrival or look, s"
-	drawn.Y.Label.Text = one.Name
-	if plotLabels[one.Name] != "" {
+	drawn.Y.Label.Text = line.Name
+	if plotLabels[line.Name] != "" {
 		drawn.Y.Label.Text = "first token, ms"
 	}
 	drawn.Y.Min = 0
 	drawn.X.Min = 0
-	drawn.X.Max = one.Points[len(one.Points)-1].AtS * legendRoom
+	drawn.X.Max = line.Points[len(line.Points)-1].AtS * legendRoom
 	drawn.Legend.Top = true
 	drawn.Add(plotter.NewGrid())
 	return &picture{plot: drawn}
 }
 
 // add draws a series in the colour of its variant.
-func (p *picture) add(one Series, variant string, number int) error {
-	points := make(plotter.XYs, len(one.Points))
-	for index, point := range one.Points {
+func (p *picture) add(curve Series, variant string, number int) error {
+	points := make(plotter.XYs, len(curve.Points))
+	for index, point := range curve.Points {
 		points[index] = plotter.XY{X: point.AtS, Y: point.Value}
 		p.highest = max(p.highest, point.Value)
 	}
@@ -111,11 +111,11 @@
 	}
 	line.Color = plotutil.Color(number)
 	line.Width = vg.Points(1.5)
-	if one.Name == seriesTail {
+	if curve.Name == seriesTail {
 		line.Dashes = plotutil.Dashes(1)
 	}
 	p.plot.Add(line)
-	p.plot.Legend.Add(variant+plotLabels[one.Name], line)
+	p.plot.Legend.Add(variant+plotLabels[curve.Name], line)
 	return nil
 }
 
--- a/internal/sim/experiment/run.go
+++ b/internal/sim/experiment/run.go
@@ -32,7 +32,7 @@
 const showEvery = 2 * time.Second
 
 // note counts a run that is done.
-func (p *progress) note() {
+func (p *progress) recordDone() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.done++
@@ -47,33 +47,33 @@
 
 // Run plays every variant with every seed, so many at once, and prints progress. It fails if the
 // context ends or a world cannot be built.
-func Run(ctx context.Context, wanted Configuration, atOnce int, to io.Writer) ([]Runs, error) {
-	return run(ctx, wanted, atOnce, to, nil)
+func Run(ctx context.Context, configuration Configuration, atOnce int, to io.Writer) ([]Runs, error) {
+	return run(ctx, configuration, atOnce, to, nil)
 }
 
 // run plays the variants with forecasters that are asked before each loss.
 func run(
 	ctx context.Context,
-	wanted Configuration,
+	configuration Configuration,
 	atOnce int,
 	to io.Writer,
 	forecasters map[string]emulator.Forecaster,
 ) ([]Runs, error) {
-	all := make([]Runs, len(wanted.Variants))
-	shown := &progress{to: to, began: time.Now(), total: len(wanted.Variants) * wanted.Seeds}
+	all := make([]Runs, len(configuration.Variants))
+	shown := &progress{to: to, began: time.Now(), total: len(configuration.Variants) * configuration.Seeds}
 	places := make(chan struct{}, max(atOnce, 1))
 	failures := make(chan error, shown.total)
 	var group sync.WaitGroup
-	for seed := range wanted.Seeds {
-		for number, variant := range wanted.Variants {
+	for seed := range configuration.Seeds {
+		for number, variant := range configuration.Variants {
 			if seed == 0 {
-				all[number] = Runs{Variant: variant.Name, Results: make([]emulator.Result, wanted.Seeds)}
+				all[number] = Runs{Variant: variant.Name, Results: make([]emulator.Result, configuration.Seeds)}
 			}
 			if ctx.Err() != nil {
 				break
 			}
-			scenario := wanted.Built[number]
-			scenario.Seed = wanted.FirstSeed + uint64(seed)
+			scenario := configuration.Built[number]
+			scenario.Seed = configuration.FirstSeed + uint64(seed)
 			target := &all[number].Results[seed]
 			places <- struct{}{}
 			group.Go(func() {
@@ -85,7 +85,7 @@
 				}
 				world.Forecasters = forecasters
 				*target = world.Run()
-				shown.note()
+				shown.recordDone()
 			})
 		}
 	}
--- a/internal/sim/experiment/summary.go
+++ b/internal/sim/experiment/summary.go
@@ -38,32 +38,32 @@
 }
 
 // Summarize sums the runs up, with differences to the first variant.
-func Summarize(wanted Configuration, all []Runs) Summary {
+func Summarize(configuration Configuration, all []Runs) Summary {
 	summary := Summary{
-		Name:      wanted.Name,
-		About:     wanted.About,
+		Name:      configuration.Name,
+		About:     configuration.About,
 		Emulated:  true,
-		Seeds:     wanted.Seeds,
-		FirstSeed: wanted.FirstSeed,
-		Losses:    wanted.Built[0].Losses,
+		Seeds:     configuration.Seeds,
+		FirstSeed: configuration.FirstSeed,
+		Losses:    configuration.Built[0].Losses,
 	}
 	var first map[string][]float64
 	for number, runs := range all {
-		scenario := wanted.Built[number]
-		names, values := gather(runs.Results, wanted.periods())
+		scenario := configuration.Built[number]
+		names, values := gather(runs.Results, configuration.periods())
 		if first == nil {
 			first = values
 		}
-		one := VariantSummary{Name: runs.Variant, Series: series(runs.Results, scenario)}
+		variant := VariantSummary{Name: runs.Variant, Series: series(runs.Results, scenario)}
 		for _, name := range names {
 			figure := Figure{Name: name, Values: values[name], Estimate: estimate(values[name])}
 			if base := first[name]; number > 0 && len(base) == len(values[name]) {
 				difference := estimate(differences(values[name], base))
 				figure.Difference = &difference
 			}
-			one.Figures = append(one.Figures, figure)
+			variant.Figures = append(variant.Figures, figure)
 		}
-		summary.Variants = append(summary.Variants, one)
+		summary.Variants = append(summary.Variants, variant)
 	}
 	return summary
 }
@@ -74,11 +74,11 @@
 	var names []string
 	values := map[string][]float64{}
 	for _, result := range results {
-		for _, one := range measure(result, spans) {
-			if values[one.name] == nil {
-				names = append(names, one.name)
+		for _, measured := range measure(result, spans) {
+			if values[measured.name] == nil {
+				names = append(names, measured.name)
 			}
-			values[one.name] = append(values[one.name], one.value)
+			values[measured.name] = append(values[measured.name], measured.value)
 		}
 	}
 	return names, values
@@ -109,13 +109,13 @@
 // series are the lines of a variant, pooled over the seeds.
 func series(results []emulator.Result, scenario emulator.Scenario) []Series {
 	var found []Series
-	for class, one := range results[0].Classes {
+	for class, result := range results[0].Classes {
 		lines := map[string]*Series{}
 		names := []string{seriesInTime, seriesMedian, seriesTail, seriesPauses, seriesRefuse}
 		for _, name := range names {
-			lines[name] = &Series{Name: name, Class: one.Name, Points: []Point{}}
+			lines[name] = &Series{Name: name, Class: result.Name, Points: []Point{}}
 		}
-		for number, bucket := range one.Buckets {
+		for number, bucket := range result.Buckets {
 			if bucket.AtS >= scenario.LengthS {
 				continue
 			}
--- a/internal/sim/experiment/truth.go
+++ b/internal/sim/experiment/truth.go
@@ -14,7 +14,7 @@
 	perReplicaOf = "requests moved to a replica, mean of all left"
 )
 
-// forecastValues is what a method foretold of a figure, for each of the seeds, or nil if it did
+// forecastValues is what a method forecast for a figure, for each of the seeds, or nil if it did
 // not.
 func forecastValues(results []emulator.Result, method, name string, seeds []int) []float64 {
 	var found []float64
@@ -51,7 +51,7 @@
 	flagWorse = "worse than other seeds"
 )
 
-// withFlags adds the flags; base, if given, is what the other seeds tell.
+// withFlags adds the flags; base, if given, is the forecast by the other seeds.
 func (j Comparison) withFlags(base *Comparison) Comparison {
 	if math.Abs(j.Error.Mean) > j.Error.Half {
 		j.Flags = append(j.Flags, flagBiased)
@@ -70,9 +70,9 @@
 }
 
 // perReplica compares where the interrupted requests went, replica by replica; it is empty if the
-// method does not tell.
+// method does not forecast it.
 func perReplica(results []emulator.Result, method string, size int) []Comparison {
-	one := Comparison{Figure: perReplicaOf, Method: method, Size: size}
+	comparison := Comparison{Figure: perReplicaOf, Method: method, Size: size}
 	var absolute, errors []float64
 	for _, result := range results {
 		loss := result.Losses[0]
@@ -90,13 +90,13 @@
 			apart += math.Abs(value - moved)
 		}
 		left := float64(max(len(loss.Surviving), 1))
-		one.Truth = append(one.Truth, truth/left)
-		one.Forecast = append(one.Forecast, forecast/left)
+		comparison.Truth = append(comparison.Truth, truth/left)
+		comparison.Forecast = append(comparison.Forecast, forecast/left)
 		absolute = append(absolute, apart/left)
 		errors = append(errors, (forecast-truth)/left)
 	}
-	one.Error = estimate(errors)
-	return []Comparison{one.withErrors(absolute).withFlags(nil)}
+	comparison.Error = estimate(errors)
+	return []Comparison{comparison.withErrors(absolute).withFlags(nil)}
 }
 
 // placementFigures are what became of the interrupted requests, and the loads until the end.
@@ -141,14 +141,14 @@
 		}
 	}
 	first := countWindow(lost, class, number, at, at+emulator.FirstPhaseS)
-	add(emulator.ThenNotLoaded, duringFirst, share(first.notLoaded, first.asked))
-	add(emulator.ThenWaits, duringFirst, share(first.waited, first.asked))
+	add(emulator.ThenNotLoaded, duringFirst, share(first.notLoaded, first.sent))
+	add(emulator.ThenWaits, duringFirst, share(first.waited, first.sent))
 	if len(class.AllowedRegions) > 0 {
-		add(emulator.ThenRegionBound, duringFirst, share(first.unserved, first.asked))
+		add(emulator.ThenRegionBound, duringFirst, share(first.unserved, first.sent))
 	}
 	before := countWindow(spared, class, number, at-c.BeforeS, at)
 	rest := countWindow(lost, class, number, at+emulator.FirstPhaseS, at+c.AfterS)
-	for _, one := range []struct {
+	for _, window := range []struct {
 		during string
 		found  windowCounts
 		names  quantileNames
@@ -157,13 +157,13 @@
 		{duringFirst, first, namesThen},
 		{duringRest, rest, namesThen},
 	} {
-		add(one.names.missed, one.during, share(one.found.missed, one.found.asked))
-		if one.found.firsts.TotalCount() == 0 {
+		add(window.names.missed, window.during, share(window.found.missed, window.found.sent))
+		if window.found.firsts.TotalCount() == 0 {
 			continue
 		}
-		add(one.names.median, one.during, quantile(one.found.firsts, 50))
-		add(one.names.tail, one.during, quantile(one.found.firsts, 90))
-		add(one.names.last, one.during, quantile(one.found.firsts, 99))
+		add(window.names.median, window.during, quantile(window.found.firsts, 50))
+		add(window.names.tail, window.during, quantile(window.found.firsts, 90))
+		add(window.names.last, window.during, quantile(window.found.firsts, 99))
 	}
 	return found
 }
--- a/internal/sim/experiment/window.go
+++ b/internal/sim/experiment/window.go
@@ -11,33 +11,33 @@
 
 // windowCounts counts a class's requests of some time.
 type windowCounts struct {
-	asked, notLoaded, waited, missed, unserved int
-	firsts                                     *hdrhistogram.Histogram
+	sent, notLoaded, waited, missed, unserved int
+	firsts                                    *hdrhistogram.Histogram
 }
 
 // countWindow counts the requests that arrived between two moments, in seconds.
 func countWindow(result emulator.Result, class emulator.Class, number int, from, to float64) windowCounts {
 	found := windowCounts{firsts: newHistogram()}
-	for _, one := range result.Requests {
-		if one.Class != number || one.AtS < from || one.AtS >= to {
+	for _, request := range result.Requests {
+		if request.Class != number || request.AtS < from || request.AtS >= to {
 			continue
 		}
-		found.asked++
+		found.sent++
 		switch {
-		case one.NotLoaded:
+		case request.NotLoaded:
 			found.notLoaded++
-		case one.WaitMs > shortestWaitMs:
+		case request.WaitMs > shortestWaitMs:
 			found.waited++
 		}
 		switch {
-		case one.FirstMs == 0:
+		case request.FirstMs == 0:
 			found.unserved++
 			found.missed++
-		case one.FirstMs > class.AimMs:
+		case request.FirstMs > class.AimMs:
 			found.missed++
 		}
-		if one.FirstMs > 0 {
-			fill(found.firsts, []float64{one.FirstMs})
+		if request.FirstMs > 0 {
+			fill(found.firsts, []float64{request.FirstMs})
 		}
 	}
 	return found
--- a/internal/sim/experiment/write.go
+++ b/internal/sim/experiment/write.go
@@ -100,17 +100,17 @@
 	fmt.Fprint(to, "forecast against an emulated loss; mean ± half of the 95% interval over seeds\n\n")
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "size\tfigure\tmethod\ttruth\terror\tabsolute error\trelative error\tflags")
-	for _, one := range found {
-		fmt.Fprintf(table, "%d\t%s\t%s", one.Size, one.Figure, one.Method)
-		for _, shown := range []Estimate{one.Mean, one.Error, one.Absolute} {
+	for _, comparison := range found {
+		fmt.Fprintf(table, "%d\t%s\t%s", comparison.Size, comparison.Figure, comparison.Method)
+		for _, shown := range []Estimate{comparison.Mean, comparison.Error, comparison.Absolute} {
 			fmt.Fprintf(table, "\t%s ± %s", number(shown.Mean), number(shown.Half))
 		}
-		if one.Relative == nil {
+		if comparison.Relative == nil {
 			fmt.Fprint(table, "\t-")
 		} else {
-			fmt.Fprintf(table, "\t%.0f%% ± %.0f%%", 100*one.Relative.Mean, 100*one.Relative.Half)
+			fmt.Fprintf(table, "\t%.0f%% ± %.0f%%", 100*comparison.Relative.Mean, 100*comparison.Relative.Half)
 		}
-		fmt.Fprintf(table, "\t%s\n", strings.Join(one.Flags, ", "))
+		fmt.Fprintf(table, "\t%s\n", strings.Join(comparison.Flags, ", "))
 	}
 	return table.Flush()
 }
--- a/internal/sim/hollow/addresses.go
+++ b/internal/sim/hollow/addresses.go
@@ -14,13 +14,13 @@
 	readyPort   = 8167
 	replicaPort = 8080
 	listPort    = 8100
-	// hostsPerNet is how many host addresses of a /24 network are used.
-	hostsPerNet  = 200
-	firstMember  = 10
-	firstDataNet = 1
-	firstModelAt = 100
-	serviceName  = "writers"
-	hostName     = "shop.example"
+	// hostsPerNetwork is how many host addresses of a /24 network are used.
+	hostsPerNetwork = 200
+	firstMember     = 10
+	firstDataNet    = 1
+	firstModelAt    = 100
+	serviceName     = "writers"
+	hostName        = "shop.example"
 )
 
 var (
@@ -44,12 +44,12 @@
 
 // dataHost is the host of a data plane.
 func (p Plan) dataHost(index int) string {
-	return p.host(firstDataNet+index/hostsPerNet, 1+index%hostsPerNet)
+	return p.host(firstDataNet+index/hostsPerNetwork, 1+index%hostsPerNetwork)
 }
 
 // replicaHost is the host of a replica.
 func (p Plan) replicaHost(index int) string {
-	return p.host(firstModelAt+index/hostsPerNet, 1+index%hostsPerNet)
+	return p.host(firstModelAt+index/hostsPerNetwork, 1+index%hostsPerNetwork)
 }
 
 // at is the address of a port on a host.
@@ -67,9 +67,9 @@
 	case network == 0:
 		return memberZones[(number-firstMember)%len(memberZones)]
 	case network >= firstModelAt:
-		return zones[((network-firstModelAt)*hostsPerNet+number-1)%len(zones)]
+		return zones[((network-firstModelAt)*hostsPerNetwork+number-1)%len(zones)]
 	}
-	return zones[((network-firstDataNet)*hostsPerNet+number-1)%len(zones)]
+	return zones[((network-firstDataNet)*hostsPerNetwork+number-1)%len(zones)]
 }
 
 // regionOf is the region of a host's address, or empty if it has none.
--- a/internal/sim/hollow/bench.go
+++ b/internal/sim/hollow/bench.go
@@ -93,11 +93,11 @@
 		return len(benchUnits)
 	}
 	sort.Slice(slopes, func(left, right int) bool {
-		one, other := slopes[left], slopes[right]
-		if one.Benchmark+one.Along != other.Benchmark+other.Along {
-			return one.Benchmark+one.Along < other.Benchmark+other.Along
+		fitted, other := slopes[left], slopes[right]
+		if fitted.Benchmark+fitted.Along != other.Benchmark+other.Along {
+			return fitted.Benchmark+fitted.Along < other.Benchmark+other.Along
 		}
-		return rank(one.Figure) < rank(other.Figure)
+		return rank(fitted.Figure) < rank(other.Figure)
 	})
 	return slopes
 }
@@ -106,12 +106,12 @@
 func PrintBench(output io.Writer, slopes []BenchSlope) {
 	table := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "benchmark\talong\tfigure\tsizes\tvalues\texponent\tfit")
-	for _, one := range slopes {
-		if one.Figure == "allocs/op" {
+	for _, fitted := range slopes {
+		if fitted.Figure == "allocs/op" {
 			continue
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%.4g", one.Benchmark, one.Along, one.Figure, one.Sizes, one.Values)
-		fmt.Fprintf(table, "\t%.2f\t%.2f\n", one.Exponent, one.Fit)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%.4g", fitted.Benchmark, fitted.Along, fitted.Figure, fitted.Sizes, fitted.Values)
+		fmt.Fprintf(table, "\t%.2f\t%.2f\n", fitted.Exponent, fitted.Fit)
 	}
 	_ = table.Flush()
 }
--- a/internal/sim/hollow/child.go
+++ b/internal/sim/hollow/child.go
@@ -23,16 +23,16 @@
 // ChildVariable is the environment variable that makes a program a child process of a fleet.
 const ChildVariable = "FERRYSPAR_HOLLOW_CHILD"
 
-// IsChild tells whether this process was started as a child; its program must then call ServeChild.
+// IsChild reports whether this process was started as a child; its program must then call ServeChild.
 func IsChild() bool { return os.Getenv(ChildVariable) != "" }
 
 const (
-	// doPlan and those below are the commands to a child.
-	doPlan     = "plan"
-	doStart    = "start"
-	doStop     = "stop"
-	doCut      = "cut"
-	doSnapshot = "snapshot"
+	// commandPlan and those below are the commands to a child.
+	commandPlan      = "plan"
+	commandStart     = "start"
+	commandStop      = "stop"
+	commandPartition = "cut"
+	commandSnapshot  = "snapshot"
 )
 
 // command is a line of JSON to a child.
@@ -58,14 +58,14 @@
 	roleAlone = "data plane alone"
 	// roleMember is a control plane; each has its own process.
 	roleMember = "control plane"
-	// roleHolder is the control plane that holds the duty to place.
+	// roleHolder is the control plane that holds the placement lease.
 	roleHolder = "control plane, holder"
-	// childBound ends a child whose parent has failed to.
-	childBound = 10 * time.Minute
-	// lineBound is the longest command in bytes.
-	lineBound = 1 << 20
-	// stopSettles is how long after a daemon's end late connections are closed once more.
-	stopSettles = 50 * time.Millisecond
+	// childTimeout ends a child whose parent has failed to.
+	childTimeout = 10 * time.Minute
+	// maxLineBytes is the longest command in bytes.
+	maxLineBytes = 1 << 20
+	// stopSettleTime is how long after a daemon's end late connections are closed once more.
+	stopSettleTime = 50 * time.Millisecond
 )
 
 // runningDaemon is a daemon that a child runs.
@@ -89,17 +89,17 @@
 func ServeChild(input io.Reader, output io.Writer) error {
 	logrus.SetFormatter(&logrus.JSONFormatter{})
 	logrus.SetOutput(io.Discard)
-	time.AfterFunc(childBound, func() { os.Exit(1) })
+	time.AfterFunc(childTimeout, func() { os.Exit(1) })
 	served := &child{counter: NewCounter(), daemons: map[string]*runningDaemon{}}
 	handlers := map[string]func(command) (reply, error){
-		doPlan:     served.setPlan,
-		doStart:    served.start,
-		doStop:     served.stop,
-		doCut:      served.setCut,
-		doSnapshot: served.snapshot,
+		commandPlan:      served.setPlan,
+		commandStart:     served.start,
+		commandStop:      served.stop,
+		commandPartition: served.setCut,
+		commandSnapshot:  served.snapshot,
 	}
 	lines := bufio.NewScanner(input)
-	lines.Buffer(nil, lineBound)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var received command
 		var answer reply
@@ -155,7 +155,7 @@
 		if err != nil {
 			return err
 		}
-		daemon, err := controlplane.New(settings, "", network, &countedFolder{folder, c.counter})
+		daemon, err := controlplane.New(settings, "", network, &countedDirectory{folder, c.counter})
 		if err != nil {
 			return err
 		}
@@ -164,26 +164,26 @@
 		run = dataplane.New(settings, "", network).Run
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	one := &runningDaemon{cancel: cancel, network: network, ended: make(chan error, 1)}
-	c.daemons[host] = one
-	go func() { one.ended <- run(ctx, nodesettings.Signals{}) }()
+	daemon := &runningDaemon{cancel: cancel, network: network, ended: make(chan error, 1)}
+	c.daemons[host] = daemon
+	go func() { daemon.ended <- run(ctx, nodesettings.Signals{}) }()
 	return nil
 }
 
 // stop ends the daemons of the hosts at once, with all their connections.
 func (c *child) stop(received command) (reply, error) {
 	for _, host := range received.Hosts {
-		one := c.daemons[host]
-		if one == nil {
+		daemon := c.daemons[host]
+		if daemon == nil {
 			continue
 		}
 		delete(c.daemons, host)
-		one.cancel()
-		one.network.CloseAll()
-		if err := <-one.ended; err != nil {
+		daemon.cancel()
+		daemon.network.CloseAll()
+		if err := <-daemon.ended; err != nil {
 			return reply{}, errors.Wrap(err, host)
 		}
-		time.AfterFunc(stopSettles, one.network.CloseAll)
+		time.AfterFunc(stopSettleTime, daemon.network.CloseAll)
 	}
 	return reply{}, nil
 }
@@ -196,9 +196,9 @@
 
 // snapshot reads the counters; it fails if a daemon has ended by itself.
 func (c *child) snapshot(command) (reply, error) {
-	for host, one := range c.daemons {
+	for host, daemon := range c.daemons {
 		select {
-		case err := <-one.ended:
+		case err := <-daemon.ended:
 			return reply{}, errors.Wrapf(err, "daemon %s ended", host)
 		default:
 		}
--- a/internal/sim/hollow/clients.go
+++ b/internal/sim/hollow/clients.go
@@ -54,14 +54,14 @@
 
 // Clients send requests to every data plane and count how they end.
 type Clients struct {
-	plan    Plan
-	client  *http.Client
-	first   *Latencies
-	asked   atomic.Int64
-	whole   atomic.Int64
-	refused atomic.Int64
-	cut     atomic.Int64
-	running sync.WaitGroup
+	plan     Plan
+	client   *http.Client
+	first    *Latencies
+	sent     atomic.Int64
+	complete atomic.Int64
+	rejected atomic.Int64
+	broken   atomic.Int64
+	running  sync.WaitGroup
 }
 
 // NewClients makes clients for the plan; Run starts them.
@@ -102,11 +102,11 @@
 	models := rand.NewZipf(draw, modelSkew, 4, uint64(c.plan.Models-1))
 	number := 0
 	for {
-		pause := time.Duration(draw.ExpFloat64() / c.plan.RequestsPerS * float64(time.Second))
+		wait := time.Duration(draw.ExpFloat64() / c.plan.RequestsPerS * float64(time.Second))
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(wait):
 		}
 		number++
 		attempt := fmt.Sprintf("h-%d-%d", index, number)
@@ -133,27 +133,27 @@
 	request.Header.Set(replica.HeaderPrefix, fmt.Sprintf("%x:%d,%x:%d", 1000+part, half, part+index*1000+100000, half))
 	request.Header.Set(replica.HeaderRemaining, "20000")
 	began := time.Now()
-	c.asked.Add(1)
+	c.sent.Add(1)
 	answer, err := c.client.Do(request)
 	if err != nil {
-		c.count(ctx, &c.cut)
+		c.count(ctx, &c.broken)
 		return
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, answer.Body)
-		c.count(ctx, &c.refused)
+		c.count(ctx, &c.rejected)
 		return
 	}
-	var one [1]byte
-	if _, err := io.ReadFull(answer.Body, one[:]); err == nil {
+	var firstByte [1]byte
+	if _, err := io.ReadFull(answer.Body, firstByte[:]); err == nil {
 		c.first.Add(time.Since(began))
 	}
 	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
-		c.count(ctx, &c.cut)
+		c.count(ctx, &c.broken)
 		return
 	}
-	c.whole.Add(1)
+	c.complete.Add(1)
 }
 
 // count counts an outcome, unless the run has ended meanwhile.
--- a/internal/sim/hollow/counter.go
+++ b/internal/sim/hollow/counter.go
@@ -46,30 +46,30 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	flows := map[string]map[string]Flow{}
-	for key, one := range c.flows {
+	for key, flow := range c.flows {
 		if flows[key[0]] == nil {
 			flows[key[0]] = map[string]Flow{}
 		}
-		flows[key[0]][key[1]] = Flow{one.messages.Load(), one.sent.Load(), one.received.Load()}
+		flows[key[0]][key[1]] = Flow{flow.messages.Load(), flow.sent.Load(), flow.received.Load()}
 	}
 	return flows
 }
 
-// countedFolder counts the writes and syncs of a control plane's disk.
-type countedFolder struct {
+// countedDirectory counts the writes and syncs of a control plane's disk.
+type countedDirectory struct {
 	keystore.Directory
 	counter *Counter
 }
 
 // Write counts and passes on a write.
-func (f *countedFolder) Write(name string, offset int64, content []byte) error {
+func (f *countedDirectory) Write(name string, offset int64, content []byte) error {
 	f.counter.writes.Add(1)
 	f.counter.disk.Add(int64(len(content)))
 	return f.Directory.Write(name, offset, content)
 }
 
 // Sync counts and passes on a sync.
-func (f *countedFolder) Sync(name string) error {
+func (f *countedDirectory) Sync(name string) error {
 	f.counter.sync.Add(1)
 	return f.Directory.Sync(name)
 }
--- a/internal/sim/hollow/failures.go
+++ b/internal/sim/hollow/failures.go
@@ -23,15 +23,15 @@
 	ChangeMs      float64   `json:"changeDuringMs"`
 	ChangeOutcome string    `json:"changeDuring"`
 	ChangeAfterMs float64   `json:"changeAfterMs"`
-	// OtherHolderMs is when another control plane began to place, or 0 if none did.
-	OtherHolderMs float64 `json:"otherHolderMs"`
-	// OtherSide is what a member on the cut-off side of a partition answered to a change.
-	OtherSide string `json:"cutOffSide"`
-	Replicas  int    `json:"replicas"`
+	// NextHolderMs is when another control plane began to place, or 0 if none did.
+	NextHolderMs float64 `json:"otherHolderMs"`
+	// CutOffAnswer is what a member on the cut-off side of a partition answered to a change.
+	CutOffAnswer string `json:"cutOffSide"`
+	Replicas     int    `json:"replicas"`
 	// CalmMs is when placement was calm after the end of the failure.
-	CalmMs  float64 `json:"calmAfterMs"`
-	Cut     int64   `json:"ordersCut"`
-	Refused int64   `json:"ordersRefused"`
+	CalmMs   float64 `json:"calmAfterMs"`
+	Broken   int64   `json:"ordersCut"`
+	Rejected int64   `json:"ordersRefused"`
 }
 
 // failureRun is one failure under way: whom it hits and what was measured of it so far.
@@ -39,7 +39,7 @@
 	fleet   *Fleet
 	options Options
 	result  Failure
-	targets targets
+	targets failureTargets
 	// lost are the indices of the data planes that end.
 	lost []int
 	// reachable and cutOff are the indices of the members still alive, on either side of a partition.
@@ -63,23 +63,23 @@
 	run.lost = f.dataIndices(run.targets.data)
 	run.result.Data = len(run.lost)
 	run.sortMembers()
-	cut, refused := f.clients.cut.Load(), f.clients.refused.Load()
+	cut, refused := f.clients.broken.Load(), f.clients.rejected.Load()
 	run.result.During, err = f.window(name+", during", 0, 0, func() error { return run.during(ctx) })
 	if err != nil {
 		return run.result, err
 	}
 	run.result.After, err = f.window(name+", after", 0, 0, func() error { return run.after(ctx) })
-	run.result.Cut = f.clients.cut.Load() - cut
-	run.result.Refused = f.clients.refused.Load() - refused
+	run.result.Broken = f.clients.broken.Load() - cut
+	run.result.Rejected = f.clients.rejected.Load() - refused
 	return run.result, err
 }
 
-// isReachable tells whether a host is on the operator's side of the partition, if there is one.
+// isReachable reports whether a host is on the operator's side of the partition, if there is one.
 func (r *failureRun) isReachable(host string) bool {
 	return !r.targets.partitioned || r.fleet.plan.regionOf(host) == regions[zones[0]]
 }
 
-// isSpared tells whether a data plane goes on and can be reached.
+// isSpared reports whether a data plane goes on and can be reached.
 func (r *failureRun) isSpared(host string) bool { return !r.targets.data(host) && r.isReachable(host) }
 
 // sortMembers counts the members that end and sorts the others by the side they are on.
@@ -101,15 +101,15 @@
 // configuration on either side, for the failure's length at least.
 func (r *failureRun) during(ctx context.Context) error {
 	f := r.fleet
-	if err := f.inject(r.targets, doStop, true); err != nil {
+	if err := f.inject(r.targets, commandStop, true); err != nil {
 		return err
 	}
 	r.result.Replicas = f.standIns.setLost(r.targets.replicas, true)
 	end := time.Now().Add(r.options.FailureLength)
 	taken := make(chan float64, 1)
 	go func() { taken <- f.awaitHolder(r.result.Phase.Holder, r.options.FailureLength) }()
-	defer func() { r.result.OtherHolderMs = <-taken }()
-	r.result.OtherSide = f.askCutOff(ctx, r.cutOff)
+	defer func() { r.result.NextHolderMs = <-taken }()
+	r.result.CutOffAnswer = f.changeAtCutOffMember(ctx, r.cutOff)
 	r.result.ChangeOutcome, r.result.ChangeMs = f.timeChange(ctx, f.dataIndices(r.isSpared), r.reachable)
 	sleep(time.Until(end))
 	return nil
@@ -120,11 +120,11 @@
 func (r *failureRun) after(ctx context.Context) error {
 	f := r.fleet
 	began := time.Now()
-	if err := f.inject(r.targets, doStart, false); err != nil {
+	if err := f.inject(r.targets, commandStart, false); err != nil {
 		return err
 	}
 	f.standIns.setLost(r.targets.replicas, false)
-	ready, err := f.operator.AwaitReady(ctx, r.lost, readyBound)
+	ready, err := f.operator.AwaitReady(ctx, r.lost, readyTimeout)
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 }
 
 // inject ends or starts again what the failure hits, or begins or ends its partition.
-func (f *Fleet) inject(hit targets, do string, severed bool) error {
+func (f *Fleet) inject(hit failureTargets, do string, severed bool) error {
 	if hit.partitioned {
 		return f.partition(severed)
 	}
@@ -147,22 +147,22 @@
 	return f.commandHosts(f.data, do, hit.data)
 }
 
-// timeChange makes a change of the configuration and tells how it went and how long it took in
+// timeChange makes a change of the configuration and returns how it went and how long it took in
 // milliseconds.
 func (f *Fleet) timeChange(ctx context.Context, daemons, members []int) (string, float64) {
 	began, missed := time.Now(), f.operator.missed
 	if err := f.operator.Change(ctx, daemons, members); err != nil {
 		return err.Error(), 0
 	}
-	took := float64(time.Since(began).Milliseconds())
+	durationMs := float64(time.Since(began).Milliseconds())
 	if f.operator.missed > missed {
-		return "acknowledged, not in force at all spared daemons within the bound", took
+		return "acknowledged, not in force at all spared daemons within the bound", durationMs
 	}
-	return "in force at all spared daemons", took
+	return "in force at all spared daemons", durationMs
 }
 
-// askCutOff asks a member on the cut-off side for a change and tells its answer.
-func (f *Fleet) askCutOff(ctx context.Context, members []int) string {
+// changeAtCutOffMember asks a member on the cut-off side for a change and returns its answer.
+func (f *Fleet) changeAtCutOffMember(ctx context.Context, members []int) string {
 	if len(members) == 0 {
 		return "-"
 	}
@@ -181,10 +181,10 @@
 
 // awaitHolder is the time in milliseconds until a control plane other than the former one shares a
 // roster, or 0 if none does.
-func (f *Fleet) awaitHolder(former string, bound time.Duration) float64 {
+func (f *Fleet) awaitHolder(former string, timeout time.Duration) float64 {
 	began := time.Now()
 	var first []int64
-	for time.Since(began) < bound {
+	for time.Since(began) < timeout {
 		counts := f.rosterCounts()
 		if first == nil {
 			first = counts
@@ -194,7 +194,7 @@
 				return float64(time.Since(began).Milliseconds())
 			}
 		}
-		sleep(probePause)
+		sleep(probeInterval)
 	}
 	return 0
 }
@@ -202,8 +202,8 @@
 // rosterCounts counts the rosters that each member has shared; a member that has ended counts 0.
 func (f *Fleet) rosterCounts() []int64 {
 	counts := make([]int64, len(f.members))
-	for index, one := range f.members {
-		answer, err := one.call(command{Do: doSnapshot})
+	for index, childProcess := range f.members {
+		answer, err := childProcess.call(command{Do: commandSnapshot})
 		if err != nil {
 			continue
 		}
--- a/internal/sim/hollow/failuretargets.go
+++ b/internal/sim/hollow/failuretargets.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// FailureHolder ends the control plane that holds the duty to place.
+	// FailureHolder ends the control plane that holds the placement lease.
 	FailureHolder = "holder"
 	// FailureMachine ends one data plane and one replica.
 	FailureMachine = "machine"
@@ -20,8 +20,8 @@
 	rackSize   = 10
 )
 
-// targets tells which hosts a failure hits.
-type targets struct {
+// failureTargets selects the hosts that a failure hits.
+type failureTargets struct {
 	data, members, replicas func(host string) bool
 	partitioned             bool
 }
@@ -30,9 +30,9 @@
 func noHost(string) bool { return false }
 
 // targetsOf is whom the named failure hits; the holder is the host of the placement holder.
-func (f *Fleet) targetsOf(name, holder string) (targets, error) {
+func (f *Fleet) targetsOf(name, holder string) (failureTargets, error) {
 	zone := func(host string) bool { return f.plan.zoneOf(host) == zones[1] }
-	cases := map[string]targets{
+	cases := map[string]failureTargets{
 		FailureHolder: {
 			data:     noHost,
 			members:  func(host string) bool { return host == holder },
--- a/internal/sim/hollow/fleet.go
+++ b/internal/sim/hollow/fleet.go
@@ -88,11 +88,11 @@
 		return err
 	}
 	for index := range f.plan.Members {
-		one, err := spawn(f.plan, roleMember, f.plan.Folder, []string{f.plan.memberHost(index)})
+		childProcess, err := spawn(f.plan, roleMember, f.plan.Folder, []string{f.plan.memberHost(index)})
 		if err != nil {
 			return err
 		}
-		f.members = append(f.members, one)
+		f.members = append(f.members, childProcess)
 	}
 	hosts := make([][]string, f.plan.Processes)
 	for index := 1; index < f.plan.Data; index++ {
@@ -106,11 +106,11 @@
 		if len(list) == 0 {
 			continue
 		}
-		one, err := spawn(f.plan, role, "", list)
+		childProcess, err := spawn(f.plan, role, "", list)
 		if err != nil {
 			return err
 		}
-		f.data = append(f.data, one)
+		f.data = append(f.data, childProcess)
 	}
 	return nil
 }
@@ -119,8 +119,8 @@
 // that failed.
 func (f *Fleet) End() error {
 	var first error
-	for _, one := range append(append([]*process{}, f.data...), f.members...) {
-		if err := one.end(); err != nil && first == nil {
+	for _, childProcess := range append(append([]*process{}, f.data...), f.members...) {
+		if err := childProcess.end(); err != nil && first == nil {
 			first = err
 		}
 	}
@@ -143,9 +143,9 @@
 
 // commandHosts sends a command to the processes, for those of their hosts that are chosen.
 func (f *Fleet) commandHosts(list []*process, do string, chosen func(host string) bool) error {
-	for _, one := range list {
+	for _, childProcess := range list {
 		sent := command{Do: do}
-		for _, host := range one.hosts {
+		for _, host := range childProcess.hosts {
 			if chosen(host) {
 				sent.Hosts = append(sent.Hosts, host)
 			}
@@ -153,7 +153,7 @@
 		if len(sent.Hosts) == 0 {
 			continue
 		}
-		if _, err := one.call(sent); err != nil {
+		if _, err := childProcess.call(sent); err != nil {
 			return err
 		}
 	}
@@ -167,8 +167,8 @@
 
 // partition begins or ends the partition between the regions.
 func (f *Fleet) partition(cut bool) error {
-	for _, one := range f.processes() {
-		if _, err := one.call(command{Do: doCut, Cut: cut}); err != nil {
+	for _, childProcess := range f.processes() {
+		if _, err := childProcess.call(command{Do: commandPartition, Cut: cut}); err != nil {
 			return err
 		}
 	}
@@ -186,8 +186,8 @@
 func (f *Fleet) observe() (observation, error) {
 	seen := observation{at: time.Now(), placed: f.standIns.instructions.Load()}
 	total := 0.0
-	for _, one := range f.processes() {
-		answer, err := one.call(command{Do: doSnapshot})
+	for _, childProcess := range f.processes() {
+		answer, err := childProcess.call(command{Do: commandSnapshot})
 		if err != nil {
 			return seen, err
 		}
@@ -216,25 +216,25 @@
 }
 
 const (
-	// membersBound is how long the control planes may take to acknowledge the first configuration.
-	membersBound = 15 * time.Second
-	// readyBound is how long data planes may take to be ready.
-	readyBound = 40 * time.Second
+	// membersTimeout is how long the control planes may take to acknowledge the first configuration.
+	membersTimeout = 15 * time.Second
+	// readyTimeout is how long data planes may take to be ready.
+	readyTimeout = 40 * time.Second
 )
 
 // Start starts the control planes, sends the first configuration, starts the data planes and
 // returns how long each took to be ready.
 func (f *Fleet) Start(ctx context.Context) (*Latencies, error) {
-	if err := f.commandHosts(f.members, doStart, anyHost); err != nil {
+	if err := f.commandHosts(f.members, commandStart, anyHost); err != nil {
 		return nil, err
 	}
-	bounded, cancel := context.WithTimeout(ctx, membersBound)
+	bounded, cancel := context.WithTimeout(ctx, membersTimeout)
 	defer cancel()
 	if err := f.operator.PutFirst(bounded); err != nil {
 		return nil, err
 	}
-	if err := f.commandHosts(f.data, doStart, anyHost); err != nil {
+	if err := f.commandHosts(f.data, commandStart, anyHost); err != nil {
 		return nil, err
 	}
-	return f.operator.AwaitReady(ctx, f.dataIndices(anyHost), readyBound)
+	return f.operator.AwaitReady(ctx, f.dataIndices(anyHost), readyTimeout)
 }
--- a/internal/sim/hollow/hollow_test.go
+++ b/internal/sim/hollow/hollow_test.go
@@ -56,7 +56,7 @@
 	assert.Assert(t, result.Changes.Made > 0)
 	assert.Equal(t, result.Changes.Missed, 0)
 	assert.Equal(t, result.Changes.InForce.Count, int64(6*result.Changes.Made))
-	assert.Assert(t, result.Requests.Whole > 0)
+	assert.Assert(t, result.Requests.Complete > 0)
 	assert.Equal(t, len(result.Phases), 5)
 	told := map[string]float64{}
 	for _, phase := range result.Phases[1:] {
--- a/internal/sim/hollow/network.go
+++ b/internal/sim/hollow/network.go
@@ -17,18 +17,18 @@
 	plan        Plan
 	host        string
 	counter     *Counter
-	cut         *atomic.Bool
+	partitioned *atomic.Bool
 	lock        sync.Mutex
 	connections map[*connection]bool
 	closed      bool
 }
 
-// NewNetwork makes the network of a host; cut tells whether the regions are partitioned.
+// NewNetwork makes the network of a host; cut reports whether the regions are partitioned.
 func NewNetwork(plan Plan, host string, counter *Counter, cut *atomic.Bool) *Network {
-	return &Network{plan: plan, host: host, counter: counter, cut: cut, connections: map[*connection]bool{}}
+	return &Network{plan: plan, host: host, counter: counter, partitioned: cut, connections: map[*connection]bool{}}
 }
 
-// crossesRegions tells whether the other host is in another region; hosts without one are never cut
+// crossesRegions reports whether the other host is in another region; hosts without one are never partitioned
 // off.
 func (n *Network) crossesRegions(host string) bool {
 	own, other := n.plan.regionOf(n.host), n.plan.regionOf(host)
@@ -36,12 +36,12 @@
 }
 
 // register remembers a connection for CloseAll; after that it is closed at once.
-func (n *Network) register(one *connection) {
+func (n *Network) register(counted *connection) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	n.connections[one] = true
+	n.connections[counted] = true
 	if n.closed {
-		go one.Close()
+		go counted.Close()
 	}
 }
 
@@ -50,25 +50,25 @@
 	n.lock.Lock()
 	n.closed = true
 	var broken []*connection
-	for one := range n.connections {
-		broken = append(broken, one)
+	for counted := range n.connections {
+		broken = append(broken, counted)
 	}
 	n.lock.Unlock()
-	for _, one := range broken {
-		one.Close()
+	for _, counted := range broken {
+		counted.Close()
 	}
 }
 
 // DialFunc returns a function that dials from the host's address; across a partition it runs into the
 // bound.
-func (n *Network) DialFunc(connectBound, silence time.Duration) peer.DialFunc {
-	dialer := peer.NewDialer(connectBound, silence)
+func (n *Network) DialFunc(connectTimeout, writeTimeout time.Duration) peer.DialFunc {
+	dialer := peer.NewDialer(connectTimeout, writeTimeout)
 	dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(n.host)}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		host, _, _ := net.SplitHostPort(address)
 		severed := n.crossesRegions(host)
-		if severed && n.cut.Load() {
-			bounded, cancel := context.WithTimeout(ctx, connectBound)
+		if severed && n.partitioned.Load() {
+			bounded, cancel := context.WithTimeout(ctx, connectTimeout)
 			defer cancel()
 			<-bounded.Done()
 			return nil, bounded.Err()
@@ -83,16 +83,16 @@
 		if strings.HasPrefix(host, n.plan.host(0, 1)[:len(n.plan.host(0, 1))-1]) {
 			target = host
 		}
-		one := &connection{
+		counted := &connection{
 			Conn:           raw,
 			network:        n,
 			crossesRegions: severed,
-			silence:        silence,
+			writeTimeout:   writeTimeout,
 			target:         target,
 			open:           &n.counter.outside,
 		}
-		n.register(one)
-		return one, nil
+		n.register(counted)
+		return counted, nil
 	}
 }
 
@@ -120,14 +120,14 @@
 	l.network.counter.accepted.Add(1)
 	l.network.counter.inside.Add(1)
 	host, _, _ := net.SplitHostPort(raw.RemoteAddr().String())
-	one := &connection{
+	counted := &connection{
 		Conn:           raw,
 		network:        l.network,
 		crossesRegions: l.network.crossesRegions(host),
-		silence:        time.Minute,
+		writeTimeout:   time.Minute,
 		open:           &l.network.counter.inside,
-		heard:          true,
+		isAccepted:     true,
 	}
-	l.network.register(one)
-	return one, nil
+	l.network.register(counted)
+	return counted, nil
 }
--- a/internal/sim/hollow/operator.go
+++ b/internal/sim/hollow/operator.go
@@ -42,22 +42,22 @@
 }
 
 const (
-	// sendBound is how long a change may take to be acknowledged.
-	sendBound = 15 * time.Second
-	// sendPause is the wait before the next member is asked.
-	sendPause = 100 * time.Millisecond
-	// probeBound is how long a change may take to be in force at a data plane.
-	probeBound = 10 * time.Second
-	// probePause is the wait between questions to a data plane.
-	probePause = 40 * time.Millisecond
-	// probeCall is how long one question may take.
-	probeCall = 2 * time.Second
+	// sendTimeout is how long a change may take to be acknowledged.
+	sendTimeout = 15 * time.Second
+	// sendRetryInterval is the wait before the next member is asked.
+	sendRetryInterval = 100 * time.Millisecond
+	// probeTimeout is how long a change may take to be in force at a data plane.
+	probeTimeout = 10 * time.Second
+	// probeInterval is the wait between questions to a data plane.
+	probeInterval = 40 * time.Millisecond
+	// probeCallTimeout is how long one question may take.
+	probeCallTimeout = 2 * time.Second
 )
 
 // send sends a configuration to the members in turn until one acknowledges it; condition is the
 // revision that it must follow.
 func (o *Operator) send(ctx context.Context, method string, condition int64, body []byte, members []int) error {
-	bounded, cancel := context.WithTimeout(ctx, sendBound)
+	bounded, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	last := errors.New("no member asked")
 	for turn := 0; bounded.Err() == nil; turn++ {
@@ -71,7 +71,7 @@
 		if last == nil {
 			last = errors.Errorf("status %d", status)
 		}
-		time.Sleep(sendPause)
+		time.Sleep(sendRetryInterval)
 	}
 	return errors.Wrap(last, "configuration not acknowledged")
 }
@@ -134,15 +134,15 @@
 	latest := time.Duration(0)
 	for _, index := range daemons {
 		waiting.Go(func() {
-			took, found := o.probe(ctx, index, probePath(next), began)
+			duration, found := o.probe(ctx, index, probePath(next), began)
 			lock.Lock()
 			defer lock.Unlock()
 			if !found {
 				o.missed++
 				return
 			}
-			o.inForce.Add(took)
-			latest = max(latest, took)
+			o.inForce.Add(duration)
+			latest = max(latest, duration)
 		})
 	}
 	waiting.Wait()
@@ -153,19 +153,19 @@
 // probe waits until a data plane serves the path, and is the time since the change began.
 func (o *Operator) probe(ctx context.Context, index int, path string, began time.Time) (time.Duration, bool) {
 	address := o.plan.at(o.plan.dataHost(index), dataPort)
-	for ctx.Err() == nil && time.Since(began) < probeBound {
+	for ctx.Err() == nil && time.Since(began) < probeTimeout {
 		if o.servesRoute(ctx, address, path) {
 			return time.Since(began), true
 		}
-		time.Sleep(probePause)
+		time.Sleep(probeInterval)
 	}
 	return 0, false
 }
 
-// servesRoute tells whether a data plane knows the path, by a request that is malformed on purpose:
+// servesRoute reports whether a data plane knows the path, by a request that is malformed on purpose:
 // it is answered with 400 by a route, and otherwise without one.
 func (o *Operator) servesRoute(ctx context.Context, address, path string) bool {
-	bounded, cancel := context.WithTimeout(ctx, probeCall)
+	bounded, cancel := context.WithTimeout(ctx, probeCallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(bounded, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -185,7 +185,7 @@
 
 // isReady asks a data plane for its readiness.
 func (o *Operator) isReady(ctx context.Context, index int) bool {
-	bounded, cancel := context.WithTimeout(ctx, probeCall)
+	bounded, cancel := context.WithTimeout(ctx, probeCallTimeout)
 	defer cancel()
 	address := o.plan.at(o.plan.dataHost(index), readyPort)
 	request, err := http.NewRequestWithContext(bounded, http.MethodGet, "http://"+address+"/ferryspar/readyz", nil)
@@ -201,24 +201,24 @@
 }
 
 // AwaitReady waits until the data planes are ready, and fails if some are not within the bound.
-func (o *Operator) AwaitReady(ctx context.Context, daemons []int, bound time.Duration) (*Latencies, error) {
+func (o *Operator) AwaitReady(ctx context.Context, daemons []int, timeout time.Duration) (*Latencies, error) {
 	began := time.Now()
 	spread := NewLatencies()
 	var waiting sync.WaitGroup
 	for _, index := range daemons {
 		waiting.Go(func() {
-			for ctx.Err() == nil && time.Since(began) < bound {
+			for ctx.Err() == nil && time.Since(began) < timeout {
 				if o.isReady(ctx, index) {
 					spread.Add(time.Since(began))
 					return
 				}
-				time.Sleep(probePause)
+				time.Sleep(probeInterval)
 			}
 		})
 	}
 	waiting.Wait()
 	if missing := int64(len(daemons)) - spread.Read().Count; missing > 0 {
-		return spread, errors.Errorf("%d of %d data planes not ready within %s", missing, len(daemons), bound)
+		return spread, errors.Errorf("%d of %d data planes not ready within %s", missing, len(daemons), timeout)
 	}
 	return spread, nil
 }
--- a/internal/sim/hollow/phases.go
+++ b/internal/sim/hollow/phases.go
@@ -93,19 +93,19 @@
 		}
 	}
 	phase.Holder = f.holder(from, to)
-	for index, one := range f.processes() {
-		role := one.role
-		if role == roleMember && one.hosts[0] == phase.Holder {
+	for index, childProcess := range f.processes() {
+		role := childProcess.role
+		if role == roleMember && childProcess.hosts[0] == phase.Holder {
 			role = roleHolder
 		}
 		if phase.Roles[role] == nil {
 			phase.Roles[role] = &Role{Calls: map[string]Call{}}
 		}
 		worked := (to.snapshots[index].ProcessorS - from.snapshots[index].ProcessorS) / span
-		if worked > fullShare*float64(f.plan.processors(one.role)) {
+		if worked > fullShare*float64(f.plan.processors(childProcess.role)) {
 			phase.Full = append(phase.Full, role)
 		}
-		phase.Roles[role].add(from.snapshots[index], to.snapshots[index], span, one, heard)
+		phase.Roles[role].add(from.snapshots[index], to.snapshots[index], span, childProcess, heard)
 	}
 	for _, role := range phase.Roles {
 		role.mean()
@@ -117,7 +117,7 @@
 // if none sent any.
 func (f *Fleet) holder(from, to observation) string {
 	most, holder := int64(0), ""
-	for index, one := range f.members {
+	for index, childProcess := range f.members {
 		sent := int64(0)
 		for _, path := range []string{"/partner/roster", "/ferryspar/report", "/ferryspar/order"} {
 			for target := range to.snapshots[index].Flows[path] {
@@ -125,15 +125,15 @@
 			}
 		}
 		if sent > most {
-			most, holder = sent, one.hosts[0]
+			most, holder = sent, childProcess.hosts[0]
 		}
 	}
 	return holder
 }
 
-// add adds a process's growth to its role; heard is what was sent to each host.
-func (r *Role) add(before, after Snapshot, span float64, one *process, heard map[string]Flow) {
-	r.Daemons += len(one.hosts)
+// add adds a process's growth to its role; received is what was sent to each host.
+func (r *Role) add(before, after Snapshot, span float64, childProcess *process, heard map[string]Flow) {
+	r.Daemons += len(childProcess.hosts)
 	r.ProcessorPart += 100 * (after.ProcessorS - before.ProcessorS) / span
 	r.HeapMb += after.HeapMb
 	r.HeldMb += after.HeldMb
@@ -155,10 +155,10 @@
 		}
 		r.Calls[path] = call
 	}
-	if one.role != roleMember {
+	if childProcess.role != roleMember {
 		return
 	}
-	for _, host := range one.hosts {
+	for _, host := range childProcess.hosts {
 		in := heard[host]
 		r.MessagesIn += float64(in.Messages) / span
 		r.InKbPerS += float64(in.Sent) / span / kilobytes
@@ -205,4 +205,4 @@
 }
 
 // sleep waits on the real clock.
-func sleep(pause time.Duration) { time.Sleep(pause) }
+func sleep(wait time.Duration) { time.Sleep(wait) }
--- a/internal/sim/hollow/plan.go
+++ b/internal/sim/hollow/plan.go
@@ -72,9 +72,9 @@
 		{p.Processors < 1 || p.Processes < 1 || p.Processes > 32, "processors must be above 0, processes 1 to 32"},
 	}
 	var wrong []string
-	for _, one := range checks {
-		if one.wrong {
-			wrong = append(wrong, one.message)
+	for _, check := range checks {
+		if check.wrong {
+			wrong = append(wrong, check.message)
 		}
 	}
 	if len(wrong) > 0 {
--- a/internal/sim/hollow/process.go
+++ b/internal/sim/hollow/process.go
@@ -28,22 +28,22 @@
 	if err != nil {
 		return nil, err
 	}
-	one := &process{role: role, hosts: hosts, program: exec.Command(path)}
-	one.program.Env = append(os.Environ(), ChildVariable+"=1")
-	one.program.Stderr = os.Stderr
-	if one.input, err = one.program.StdinPipe(); err != nil {
+	childProcess := &process{role: role, hosts: hosts, program: exec.Command(path)}
+	childProcess.program.Env = append(os.Environ(), ChildVariable+"=1")
+	childProcess.program.Stderr = os.Stderr
+	if childProcess.input, err = childProcess.program.StdinPipe(); err != nil {
 		return nil, err
 	}
-	output, err := one.program.StdoutPipe()
+	output, err := childProcess.program.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	one.answers = bufio.NewReader(output)
-	if err := one.program.Start(); err != nil {
+	childProcess.answers = bufio.NewReader(output)
+	if err := childProcess.program.Start(); err != nil {
 		return nil, errors.Wrap(err, "process for hollow daemons")
 	}
-	_, err = one.call(command{Do: doPlan, Plan: &plan, Role: role, Folder: folder})
-	return one, err
+	_, err = childProcess.call(command{Do: commandPlan, Plan: &plan, Role: role, Folder: folder})
+	return childProcess, err
 }
 
 // call sends a command and waits for its reply; a reply with an error is an error.
@@ -64,13 +64,13 @@
 	return answer, errors.Wrapf(err, "%s process, %s", p.role, sent.Do)
 }
 
-// endBound is how long a child may take to end before it is killed.
-const endBound = 5 * time.Second
+// shutdownTimeout is how long a child may take to end before it is killed.
+const shutdownTimeout = 5 * time.Second
 
 // end closes the child's input, on which it ends, and waits for it.
 func (p *process) end() error {
 	_ = p.input.Close()
-	overdue := time.AfterFunc(endBound, func() { _ = p.program.Process.Kill() })
+	overdue := time.AfterFunc(shutdownTimeout, func() { _ = p.program.Process.Kill() })
 	defer overdue.Stop()
 	return errors.Wrapf(p.program.Wait(), "%s process", p.role)
 }
--- a/internal/sim/hollow/report.go
+++ b/internal/sim/hollow/report.go
@@ -48,8 +48,8 @@
 	say("%d changes acknowledged in %.0f ms (median), ", r.Changes.Made, r.Changes.Acknowledged.P50Ms)
 	say("in force everywhere in %.0f ms (median) %.0f ms (most), ", r.Changes.Everywhere.P50Ms, r.Changes.Everywhere.MaxMs)
 	say("missed %d; ", r.Changes.Missed)
-	say("orders %d asked, %d whole, ", r.Requests.Asked, r.Requests.Whole)
-	say("%d refused, %d cut, ", r.Requests.Refused, r.Requests.Cut)
+	say("orders %d asked, %d whole, ", r.Requests.Sent, r.Requests.Complete)
+	say("%d refused, %d cut, ", r.Requests.Rejected, r.Requests.Broken)
 	say("first event %.1f ms (median) %.1f ms (95 of 100); ", r.Requests.First.P50Ms, r.Requests.First.P95Ms)
 	say("%d orders and %d reports at replicas; ", r.Placed.Instructions, r.Placed.Reports)
 	say("%d processes, %.0f MB, %.0f s\n", r.Processes, r.MemoryMb, r.TookS)
@@ -76,8 +76,8 @@
 	say("ready again in %.0f ms at most, ", f.Ready.MaxMs)
 	say("a change after it in force everywhere in %.0f ms; ", f.ChangeAfterMs)
 	say("control messages a second %.0f before, %.0f during, %.0f after; ", perS(f.Phase), perS(f.During), perS(f.After))
-	say("orders cut %d, refused %d; ", f.Cut, f.Refused)
-	say("told to another holder after %.0f ms; cut-off side answers %s; ", f.OtherHolderMs, f.OtherSide)
+	say("orders cut %d, refused %d; ", f.Broken, f.Rejected)
+	say("told to another holder after %.0f ms; cut-off side answers %s; ", f.NextHolderMs, f.CutOffAnswer)
 	say("placement orders %d during, %d after, calm after %.0f ms\n", f.During.Placed, f.After.Placed, f.CalmMs)
 }
 
--- a/internal/sim/hollow/result.go
+++ b/internal/sim/hollow/result.go
@@ -1,12 +1,12 @@
 package hollow
 
-// Requests counts the clients' requests: Whole streams, those refused before they began, those cut.
+// Requests counts the clients' requests: Complete streams, those Rejected before they began, those Broken.
 type Requests struct {
-	Asked   int64     `json:"asked"`
-	Whole   int64     `json:"whole"`
-	Refused int64     `json:"refused"`
-	Cut     int64     `json:"cut"`
-	First   Quantiles `json:"first"`
+	Sent     int64     `json:"asked"`
+	Complete int64     `json:"whole"`
+	Rejected int64     `json:"refused"`
+	Broken   int64     `json:"cut"`
+	First    Quantiles `json:"first"`
 }
 
 // Changes are the changes of the configuration and how long they took: until acknowledged, in force
@@ -50,11 +50,11 @@
 		Everywhere:   f.operator.everywhere.Read(),
 	}
 	result.Requests = Requests{
-		Asked:   f.clients.asked.Load(),
-		Whole:   f.clients.whole.Load(),
-		Refused: f.clients.refused.Load(),
-		Cut:     f.clients.cut.Load(),
-		First:   f.clients.first.Read(),
+		Sent:     f.clients.sent.Load(),
+		Complete: f.clients.complete.Load(),
+		Rejected: f.clients.rejected.Load(),
+		Broken:   f.clients.broken.Load(),
+		First:    f.clients.first.Read(),
 	}
 	result.Placed = Placed{
 		ListPages:    f.standIns.pages.Load(),
--- a/internal/sim/hollow/run.go
+++ b/internal/sim/hollow/run.go
@@ -152,12 +152,12 @@
 }
 
 const (
-	// holderBound is how long a placement holder may take to appear.
-	holderBound = 30 * time.Second
-	// fillPollEvery is how often the instructions are counted while placement goes on.
-	fillPollEvery = 50 * time.Millisecond
-	// holderPollEvery is how often a holder is looked for.
-	holderPollEvery = 200 * time.Millisecond
+	// holderTimeout is how long a placement holder may take to appear.
+	holderTimeout = 30 * time.Second
+	// fillPollInterval is how often the instructions are counted while placement goes on.
+	fillPollInterval = 50 * time.Millisecond
+	// holderPollInterval is how often a holder is looked for.
+	holderPollInterval = 200 * time.Millisecond
 )
 
 // awaitPlacement waits until no instruction came for the calm time, or the fill time is over.
@@ -169,7 +169,7 @@
 	placed := f.standIns.instructions.Load()
 	last := time.Now()
 	for time.Now().Before(end) && time.Since(last) < options.Calm && ctx.Err() == nil {
-		sleep(fillPollEvery)
+		sleep(fillPollInterval)
 		if now := f.standIns.instructions.Load(); now != placed {
 			placed, last = now, time.Now()
 		}
@@ -180,14 +180,14 @@
 // awaitFirstHolder waits until a control plane acts as the placement holder.
 func (f *Fleet) awaitFirstHolder(ctx context.Context) error {
 	from, err := f.observe()
-	for end := time.Now().Add(holderBound); err == nil && time.Now().Before(end) && ctx.Err() == nil; sleep(holderPollEvery) {
+	for end := time.Now().Add(holderTimeout); err == nil && time.Now().Before(end) && ctx.Err() == nil; sleep(holderPollInterval) {
 		var now observation
 		if now, err = f.observe(); err == nil && f.holder(from, now) != "" {
 			return nil
 		}
 	}
 	if err == nil {
-		err = errors.Errorf("no control plane holds the placement within %s", holderBound)
+		err = errors.Errorf("no control plane holds the placement within %s", holderTimeout)
 	}
 	return err
 }
--- a/internal/sim/hollow/standin_replica.go
+++ b/internal/sim/hollow/standin_replica.go
@@ -20,9 +20,9 @@
 	// highestFence is the highest fence seen; lower ones are rejected.
 	highestFence uint64
 	// life counts the restarts.
-	life   int
-	lostAt time.Time
-	active atomic.Int64
+	incarnation int
+	lostAt      time.Time
+	active      atomic.Int64
 }
 
 // staysListed is how long the list tells of a replica that has ended.
@@ -57,8 +57,8 @@
 	s.held.Drop(reference)
 }
 
-// holds tells whether the reference is loaded.
-func (s *standIn) holds(reference string) bool {
+// holds reports whether the reference is loaded.
+func (s *standIn) hasLoaded(reference string) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.held[reference]
--- a/internal/sim/hollow/standins.go
+++ b/internal/sim/hollow/standins.go
@@ -32,8 +32,8 @@
 	world := &StandIns{plan: plan, byHost: map[string]*standIn{}}
 	for index := range plan.Replicas {
 		host := plan.replicaHost(index)
-		one := &standIn{held: standin.NewHoldings()}
-		one.listed = discovery.Replica{
+		server := &standIn{held: standin.NewHoldings()}
+		server.listed = discovery.Replica{
 			ID:       fmt.Sprintf("i-%08x", index+1),
 			Backend:  serviceName,
 			Address:  plan.at(host, replicaPort),
@@ -44,31 +44,31 @@
 			Phase:    "unified",
 		}
 		for place := range min(plan.ModelsPerReplica, plan.Models) {
-			one.held[modelName((index*plan.ModelsPerReplica+place)%plan.Models)] = true
+			server.held[modelName((index*plan.ModelsPerReplica+place)%plan.Models)] = true
 		}
-		world.replicas = append(world.replicas, one)
-		world.byHost[host] = one
+		world.replicas = append(world.replicas, server)
+		world.byHost[host] = server
 	}
 	return world
 }
 
 // Open listens on every address.
-func (w *StandIns) Open() error {
+func (s *StandIns) Open() error {
 	open := func(address string, handler http.Handler) error {
 		listener, err := peer.HostNetwork{}.Listen(address)
 		if err != nil {
 			return err
 		}
 		server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
-		w.servers = append(w.servers, server)
+		s.servers = append(s.servers, server)
 		go func() { _ = server.Serve(listener) }()
 		return nil
 	}
-	if err := open(w.plan.listAddress(), http.HandlerFunc(w.serveList)); err != nil {
+	if err := open(s.plan.listAddress(), http.HandlerFunc(s.serveList)); err != nil {
 		return err
 	}
-	for _, one := range w.replicas {
-		if err := open(one.listed.Address, http.HandlerFunc(w.serveReplica)); err != nil {
+	for _, listening := range s.replicas {
+		if err := open(listening.listed.Address, http.HandlerFunc(s.serveReplica)); err != nil {
 			return err
 		}
 	}
@@ -76,8 +76,8 @@
 }
 
 // Close ends all listeners and connections.
-func (w *StandIns) Close() {
-	for _, server := range w.servers {
+func (s *StandIns) Close() {
+	for _, server := range s.servers {
 		_ = server.Close()
 	}
 }
@@ -86,17 +86,17 @@
 const pageSize = 50
 
 // serveList answers a page of the list.
-func (w *StandIns) serveList(writer http.ResponseWriter, request *http.Request) {
-	w.pages.Add(1)
+func (s *StandIns) serveList(writer http.ResponseWriter, request *http.Request) {
+	s.pages.Add(1)
 	from, _ := strconv.Atoi(request.URL.Query().Get("pageToken"))
-	to := min(from+pageSize, len(w.replicas))
+	to := min(from+pageSize, len(s.replicas))
 	page := discovery.Page{Instances: []discovery.Replica{}}
-	for _, one := range w.replicas[min(from, to):to] {
-		if listed, shown := one.entry(); shown {
+	for _, server := range s.replicas[min(from, to):to] {
+		if listed, shown := server.entry(); shown {
 			page.Instances = append(page.Instances, listed)
 		}
 	}
-	if to < len(w.replicas) {
+	if to < len(s.replicas) {
 		token := strconv.Itoa(to)
 		page.NextToken = &token
 	}
@@ -105,35 +105,35 @@
 
 // setLost ends the replicas of the chosen hosts or starts them again, empty and under a new id, and
 // counts them.
-func (w *StandIns) setLost(chosen func(host string) bool, lost bool) (count int) {
-	for host, one := range w.byHost {
+func (s *StandIns) setLost(chosen func(host string) bool, lost bool) (count int) {
+	for host, server := range s.byHost {
 		if !chosen(host) {
 			continue
 		}
 		count++
-		one.lock.Lock()
-		one.lostAt = time.Time{}
+		server.lock.Lock()
+		server.lostAt = time.Time{}
 		if lost {
-			one.lostAt = time.Now()
+			server.lostAt = time.Now()
 		} else {
-			one.life++
-			one.listed.ID = fmt.Sprintf("%s-%d", one.listed.ID, one.life)
-			one.held = standin.NewHoldings()
-			one.sequence = 0
-			one.highestFence = 0
-			one.busyUntil = time.Time{}
+			server.incarnation++
+			server.listed.ID = fmt.Sprintf("%s-%d", server.listed.ID, server.incarnation)
+			server.held = standin.NewHoldings()
+			server.sequence = 0
+			server.highestFence = 0
+			server.busyUntil = time.Time{}
 		}
-		one.lock.Unlock()
+		server.lock.Unlock()
 	}
 	return count
 }
 
 // serveReplica answers for the replica of the address that was asked; one that has ended breaks the
 // connection.
-func (w *StandIns) serveReplica(writer http.ResponseWriter, request *http.Request) {
+func (s *StandIns) serveReplica(writer http.ResponseWriter, request *http.Request) {
 	host, _, _ := net.SplitHostPort(request.Context().Value(http.LocalAddrContextKey).(net.Addr).String())
-	one := w.byHost[host]
-	identity, lives := one.identity()
+	server := s.byHost[host]
+	identity, lives := server.identity()
 	if !lives {
 		panic(http.ErrAbortHandler)
 	}
@@ -142,96 +142,96 @@
 		return
 	}
 	handlers := map[string]func(*standIn, http.ResponseWriter, *http.Request){
-		replica.ReportEndpoint.Path: w.serveReport,
-		replica.OrderEndpoint.Path:  w.serveInstruction,
+		replica.ReportEndpoint.Path: s.serveReport,
+		replica.OrderEndpoint.Path:  s.serveInstruction,
 	}
 	if handle, known := handlers[request.URL.Path]; known {
-		handle(one, writer, request)
+		handle(server, writer, request)
 		return
 	}
-	w.serveStream(one, writer, request)
+	s.serveStream(server, writer, request)
 }
 
 // serveReport answers with the replica's state.
-func (w *StandIns) serveReport(one *standIn, writer http.ResponseWriter, _ *http.Request) {
-	w.reports.Add(1)
-	one.lock.Lock()
+func (s *StandIns) serveReport(server *standIn, writer http.ResponseWriter, _ *http.Request) {
+	s.reports.Add(1)
+	server.lock.Lock()
 	state := replica.Report{
 		Phase:    "unified",
-		Models:   one.held.List(),
-		Busy:     time.Now().Before(one.busyUntil),
-		Sequence: one.sequence,
-		Active:   int(one.active.Load()),
+		Models:   server.held.List(),
+		Busy:     time.Now().Before(server.busyUntil),
+		Sequence: server.sequence,
+		Active:   int(server.active.Load()),
 		KvTotal:  114820,
 	}
-	one.lock.Unlock()
+	server.lock.Unlock()
 	_ = json.NewEncoder(writer).Encode(state)
 }
 
 const (
-	// loadTakes is how long a load or unload of a model takes.
-	loadTakes = 1500 * time.Millisecond
-	// adapterTakes is how long a load or unload of an adapter takes.
-	adapterTakes = 10 * time.Millisecond
+	// modelLoadTime is how long a load or unload of a model takes.
+	modelLoadTime = 1500 * time.Millisecond
+	// adapterLoadTime is how long a load or unload of an adapter takes.
+	adapterLoadTime = 10 * time.Millisecond
 )
 
 // serveInstruction answers a load or unload instruction.
-func (w *StandIns) serveInstruction(one *standIn, writer http.ResponseWriter, request *http.Request) {
-	w.instructions.Add(1)
+func (s *StandIns) serveInstruction(server *standIn, writer http.ResponseWriter, request *http.Request) {
+	s.instructions.Add(1)
 	var instruction replica.Order
 	if json.NewDecoder(request.Body).Decode(&instruction) != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	one.lock.Lock()
-	defer one.lock.Unlock()
-	if instruction.Fence < one.highestFence {
+	server.lock.Lock()
+	defer server.lock.Unlock()
+	if instruction.Fence < server.highestFence {
 		writer.WriteHeader(http.StatusPreconditionFailed)
 		return
 	}
-	one.highestFence = instruction.Fence
-	if time.Now().Before(one.busyUntil) || instruction.ExpectedCount != one.sequence {
+	server.highestFence = instruction.Fence
+	if time.Now().Before(server.busyUntil) || instruction.ExpectedCount != server.sequence {
 		writer.WriteHeader(http.StatusConflict)
 		return
 	}
-	takes := adapterTakes
+	takes := adapterLoadTime
 	if instruction.Adapter == "" {
-		takes = loadTakes
+		takes = modelLoadTime
 	}
-	one.sequence++
-	life := one.life
-	one.busyUntil = time.Now().Add(takes)
+	server.sequence++
+	incarnation := server.incarnation
+	server.busyUntil = time.Now().Add(takes)
 	time.AfterFunc(takes, func() {
-		one.lock.Lock()
-		defer one.lock.Unlock()
-		if one.life == life && one.lostAt.IsZero() {
-			one.applyInstruction(instruction)
+		server.lock.Lock()
+		defer server.lock.Unlock()
+		if server.incarnation == incarnation && server.lostAt.IsZero() {
+			server.applyInstruction(instruction)
 		}
 	})
 	writer.WriteHeader(http.StatusAccepted)
 }
 
 // serveStream answers a request with a stream of the plan's length.
-func (w *StandIns) serveStream(one *standIn, writer http.ResponseWriter, request *http.Request) {
+func (s *StandIns) serveStream(server *standIn, writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set(replica.HeaderAttempt, request.Header.Get(replica.HeaderAttempt))
-	if !one.holds(request.Header.Get(replica.HeaderModel)) {
+	if !server.hasLoaded(request.Header.Get(replica.HeaderModel)) {
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if one.active.Add(1); one.active.Load() > int64(w.plan.Slots) {
-		one.active.Add(-1)
+	if server.active.Add(1); server.active.Load() > int64(s.plan.Slots) {
+		server.active.Add(-1)
 		writer.Header().Set(replica.HeaderNotExecuted, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer one.active.Add(-1)
-	w.served.Add(1)
-	identity, _ := one.identity()
+	defer server.active.Add(-1)
+	s.served.Add(1)
+	identity, _ := server.identity()
 	writer.Header().Set(replica.HeaderSeal, "seal-"+identity)
 	writer.Header().Set("Content-Type", "text/event-stream")
 	from, _ := strconv.Atoi(request.Header.Get(replica.HeaderLastEventID))
-	gap := w.plan.StreamLength / time.Duration(w.plan.Events)
-	for number := from + 1; number <= w.plan.Events; number++ {
+	gap := s.plan.StreamLength / time.Duration(s.plan.Events)
+	for number := from + 1; number <= s.plan.Events; number++ {
 		fmt.Fprintf(writer, "id: %d\ndata: piece %d\n\n", number, number)
 		_ = http.NewResponseController(writer).Flush()
 		select {
@@ -239,7 +239,7 @@
 			return
 		case <-time.After(gap):
 		}
-		if now, lives := one.identity(); !lives || now != identity {
+		if now, lives := server.identity(); !lives || now != identity {
 			panic(http.ErrAbortHandler)
 		}
 	}
