--- a/internal/query/pinned_test.go
+++ b/internal/query/pinned_test.go
@@ -23,11 +23,11 @@
 	var current configuration.Configuration
 	pinned.Fill(&fleet)
 	pinned.Fill(&current)
-	var told []tableText
+	var actual []tableText
 	for _, table := range Tables(fleet, current) {
-		told = append(told, tableText{table.Name, table.Columns, table.Rows})
+		actual = append(actual, tableText{table.Name, table.Columns, table.Rows})
 	}
-	pinned.CheckJSON(t, "testdata/tables.json", told)
+	pinned.CheckJSON(t, "testdata/tables.json", actual)
 }
 
 func TestResult_JSONStaysTheSame(t *testing.T) {
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,7 +1,8 @@
-// Package query answers SQL questions about the fleet's state, over tables filled for one
-// question.
+// Package query answers SQL queries about the fleet's state. The state is copied into tables of a database in
+// memory, which lives for one query.
 //
-// It reads what the control plane told and changes nothing. Start reading at Run.
+// It reads what the caller got from the control plane, sends no requests and changes nothing. Start reading at Run;
+// the tables are in tables.go.
 package query
 
 import (
@@ -12,82 +13,102 @@
 	"time"
 
 	"github.com/pkg/errors"
-	_ "modernc.org/sqlite"
+	_ "modernc.org/sqlite" // registers the database/sql driver driverName
 )
 
-// Limits limits an answer: rows returned and time taken.
+const (
+	driverName     = "sqlite"
+	memoryDatabase = ":memory:"
+)
+
+// Errors of statements that Run rejects before it runs them.
+var (
+	// ErrNotSelect rejects a statement that begins with neither SELECT nor WITH.
+	ErrNotSelect = errors.New("only SELECT (or WITH ... SELECT) can be asked")
+	// ErrMultipleStatements rejects a statement with a semicolon before its end.
+	ErrMultipleStatements = errors.New("one statement at a time, without semicolons")
+)
+
+// Limits bounds what one query may cost.
 type Limits struct {
+	// MaxRows is the number of rows after which the result is truncated.
 	MaxRows int
+	// Timeout is how long it may take to fill the tables and run the statement.
 	Timeout time.Duration
 }
 
-// Result is an answer. Cut tells that there were more rows than the bound.
-type Result struct {
-	Columns   []string
-	Rows      [][]any
-	Truncated bool
-}
-
-// Run loads the tables into a database in memory and runs one SELECT statement on it.
+// Run loads the tables into a database in memory and runs one SELECT statement on them. The error for an unknown table
+// or column lists those that exist.
 func Run(ctx context.Context, tables []Table, statement string, limits Limits) (Result, error) {
 	statement, err := validateSelect(statement)
 	if err != nil {
 		return Result{}, err
 	}
-	bounded, cancel := context.WithTimeout(ctx, limits.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, limits.Timeout)
 	defer cancel()
-	database, err := sql.Open("sqlite", ":memory:")
+	database, err := sql.Open(driverName, memoryDatabase)
 	if err != nil {
-		return Result{}, err
+		return Result{}, errors.Wrap(err, "open the database in memory")
 	}
 	defer database.Close()
+	// Every connection to a database in memory has a database of its own.
 	database.SetMaxOpenConns(1)
-	if err := createTables(bounded, database, tables); err != nil {
+	if err := createTables(ctx, database, tables); err != nil {
 		return Result{}, errors.Wrap(err, "fleet's state")
 	}
-	result, err := runSelect(bounded, database, statement, limits.MaxRows)
-	if err != nil && bounded.Err() != nil {
+	result, err := runSelect(ctx, database, statement, limits.MaxRows)
+	if err != nil && ctx.Err() != nil {
 		return Result{}, errors.Errorf("stopped: the query took longer than %s", limits.Timeout)
 	}
 	return result, withSchemaHint(err, tables)
 }
 
+// validateSelect returns the statement without the semicolon at its end, or an error if it is no single SELECT. It is
+// there for clear errors: what keeps a statement from writing is the database, which createTables makes read-only.
 func validateSelect(statement string) (string, error) {
 	statement = strings.TrimRight(strings.TrimSpace(statement), "; \n\t")
-	first, _, _ := strings.Cut(strings.ToUpper(statement), " ")
-	first, _, _ = strings.Cut(first, "\n")
-	if first != "SELECT" && first != "WITH" {
-		return "", errors.New("only SELECT (or WITH ... SELECT) can be asked")
+	keyword, _, _ := strings.Cut(strings.ToUpper(statement), " ")
+	keyword, _, _ = strings.Cut(keyword, "\n")
+	if keyword != "SELECT" && keyword != "WITH" {
+		return "", ErrNotSelect
 	}
 	if strings.Contains(statement, ";") {
-		return "", errors.New("one statement at a time, without semicolons")
+		return "", ErrMultipleStatements
 	}
 	return statement, nil
 }
 
+// createTables creates and fills the tables, and then makes the connection read-only.
 func createTables(ctx context.Context, database *sql.DB, tables []Table) error {
 	for _, table := range tables {
-		if _, err := database.ExecContext(ctx, fmt.Sprintf("CREATE TABLE %s (%s)", table.Name, strings.Join(table.Columns, ", "))); err != nil {
-			return err
-		}
-		placeholders := strings.TrimSuffix(strings.Repeat("?, ", len(table.Columns)), ", ")
-		insert, err := database.PrepareContext(ctx, fmt.Sprintf("INSERT INTO %s VALUES (%s)", table.Name, placeholders))
-		if err != nil {
-			return err
-		}
-		for _, row := range table.Rows {
-			if _, err := insert.ExecContext(ctx, row...); err != nil {
-				return err
-			}
-		}
-		if err := insert.Close(); err != nil {
-			return err
+		if err := createTable(ctx, database, table); err != nil {
+			return errors.Wrapf(err, "table %s", table.Name)
 		}
 	}
 	_, err := database.ExecContext(ctx, "PRAGMA query_only = ON")
 	return err
 }
 
+func createTable(ctx context.Context, database *sql.DB, table Table) error {
+	create := fmt.Sprintf("CREATE TABLE %s (%s)", table.Name, strings.Join(table.Columns, ", "))
+	if _, err := database.ExecContext(ctx, create); err != nil {
+		return err
+	}
+	placeholders := strings.TrimSuffix(strings.Repeat("?, ", len(table.Columns)), ", ")
+	insert, err := database.PrepareContext(ctx, fmt.Sprintf("INSERT INTO %s VALUES (%s)", table.Name, placeholders))
+	if err != nil {
+		return err
+	}
+	defer insert.Close()
+	for _, row := range table.Rows {
+		if _, err := insert.ExecContext(ctx, row...); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// runSelect runs the statement and reads at most maxRows rows.
 func runSelect(ctx context.Context, database *sql.DB, statement string, maxRows int) (Result, error) {
 	rows, err := database.QueryContext(ctx, statement)
 	if err != nil {
@@ -103,9 +124,10 @@
 			result.Truncated = true
 			return result, nil
 		}
-		row, targets := make([]any, len(result.Columns)), make([]any, len(result.Columns))
-		for position := range row {
-			targets[position] = &row[position]
+		row := make([]any, len(result.Columns))
+		targets := make([]any, len(result.Columns))
+		for index := range row {
+			targets[index] = &row[index]
 		}
 		if err := rows.Scan(targets...); err != nil {
 			return Result{}, err
@@ -115,6 +137,7 @@
 	return result, rows.Err()
 }
 
+// withSchemaHint adds the tables and columns to an error about an unknown one. Other errors stay as they are.
 func withSchemaHint(err error, tables []Table) error {
 	if err == nil {
 		return nil
@@ -123,9 +146,9 @@
 	if !strings.Contains(message, "no such table") && !strings.Contains(message, "no such column") {
 		return err
 	}
-	var known []string
+	var schema []string
 	for _, table := range tables {
-		known = append(known, fmt.Sprintf("  %s (%s)", table.Name, strings.Join(table.Columns, ", ")))
+		schema = append(schema, fmt.Sprintf("  %s (%s)", table.Name, strings.Join(table.Columns, ", ")))
 	}
-	return errors.Errorf("%s; there are:\n%s", message, strings.Join(known, "\n"))
+	return fmt.Errorf("%w; there are:\n%s", err, strings.Join(schema, "\n"))
 }
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -30,7 +30,7 @@
 	}, Tenants: []configuration.Tenant{{Name: "one", Keys: []configuration.APIKey{"secret"}, RatePerS: 4}, {Name: "two"}}})
 }
 
-var wide = Limits{MaxRows: 100, Timeout: 10 * time.Second}
+var testLimits = Limits{MaxRows: 100, Timeout: 10 * time.Second}
 
 func TestRun_PrintsAsTableAndJSON(t *testing.T) {
 	cases := []struct{ statement, wanted string }{
@@ -66,13 +66,14 @@
 		},
 	}
 	for _, testCase := range cases {
-		result, err := Run(context.Background(), testTables(), testCase.statement, wide)
+		result, err := Run(context.Background(), testTables(), testCase.statement, testLimits)
 		assert.NilError(t, err, testCase.statement)
 		var printed bytes.Buffer
 		assert.NilError(t, result.WriteTable(&printed))
 		assert.Equal(t, printed.String(), testCase.wanted)
 	}
-	result, err := Run(context.Background(), testTables(), "SELECT id, slots FROM replicas ORDER BY id", Limits{MaxRows: 1, Timeout: wide.Timeout})
+	oneRow := Limits{MaxRows: 1, Timeout: testLimits.Timeout}
+	result, err := Run(context.Background(), testTables(), "SELECT id, slots FROM replicas ORDER BY id", oneRow)
 	assert.NilError(t, err)
 	var printed bytes.Buffer
 	assert.NilError(t, result.WriteJSON(&printed))
@@ -92,7 +93,7 @@
 		"WITH x AS (SELECT 1) INSERT INTO edges VALUES (1)": "readonly",
 		endless: "took longer than",
 	} {
-		limits := wide
+		limits := testLimits
 		if statement == endless {
 			limits.Timeout = 300 * time.Millisecond
 		}
--- a/internal/query/tables.go
+++ b/internal/query/tables.go
@@ -3,63 +3,109 @@
 import (
 	"maps"
 	"slices"
+	"strings"
 
 	"ferryspar/internal/adminapi"
 	"ferryspar/internal/configuration"
 )
 
-// Table is one table to ask, with rows in the order of the columns.
+// Names of the tables. They, the names of columns and the values of part are fixed, because operators' saved queries
+// use them, also where the code has another name for the thing.
+const (
+	tableReplicas   = "replicas"
+	tableModels     = "models"
+	tableAdapters   = "adapters"
+	tableZones      = "zones"
+	tableDataPlanes = "edges"
+	tableRoutes     = "routes"
+	tableTenants    = "tenants"
+	tableMembers    = "members"
+	tableLeases     = "tenures"
+)
+
+// Values of the column part of the members: of the membership in force, or of the one that it changes to.
+const (
+	partCurrent = "present"
+	partNext    = "next"
+)
+
+// leasePlacement is the value of the column duty of the placement lease.
+const leasePlacement = "placement"
+
+// Table is one table of a query's database.
 type Table struct {
 	Name    string
 	Columns []string
-	Rows    [][]any
+	// Rows have one value for each column, in the order of Columns.
+	Rows [][]any
 }
 
-// Tables returns the tables of a fleet and its configuration, with digests in the place of keys.
+// NeedsConfiguration says whether a statement may name a table that is made of the configuration. If it is false, Tables
+// can be given an empty configuration. The case of letters does not matter, as in SQL.
+func NeedsConfiguration(statement string) bool {
+	statement = strings.ToLower(statement)
+	return strings.Contains(statement, tableRoutes) || strings.Contains(statement, tableTenants)
+}
+
+// Tables returns the tables of a fleet and its configuration, with digests in the place of tenants' keys.
 func Tables(fleet adminapi.FleetStatus, current configuration.Configuration) []Table {
-	return []Table{replicas(fleet), models(fleet), adapters(fleet), zones(fleet), dataPlanes(fleet), routes(current), tenants(current), members(fleet), leases(fleet)}
+	return []Table{
+		newReplicaTable(fleet),
+		newModelTable(fleet),
+		newAdapterTable(fleet),
+		newZoneTable(fleet),
+		newDataPlaneTable(fleet),
+		newRouteTable(current),
+		newTenantTable(current),
+		newMemberTable(fleet),
+		newLeaseTable(fleet),
+	}
 }
 
-func replicas(fleet adminapi.FleetStatus) Table {
+// addRow appends a row, whose values are in the order of the columns.
+func (t *Table) addRow(values ...any) { t.Rows = append(t.Rows, values) }
+
+func newReplicaTable(fleet adminapi.FleetStatus) Table {
 	table := Table{
-		Name: "replicas",
+		Name: tableReplicas,
 		Columns: []string{
 			"id", "backend", "zone", "address", "revision", "slots",
 			"state", "phase", "cold_remaining_ms", "time_left_ms",
 		},
 	}
 	for _, replica := range fleet.Replicas {
-		table.Rows = append(table.Rows, []any{
+		table.addRow(
 			replica.ID, replica.Backend, replica.Zone, replica.Address, replica.Revision,
 			replica.Slots, replica.State, replica.Phase, replica.WarmUpRemainingMs, replica.TimeLeftMs,
-		})
+		)
 	}
 	return table
 }
 
-func models(fleet adminapi.FleetStatus) Table {
-	table := Table{Name: "models", Columns: []string{"replica", "backend", "zone", "model", "revision", "adapters"}}
+func newModelTable(fleet adminapi.FleetStatus) Table {
+	table := Table{Name: tableModels, Columns: []string{"replica", "backend", "zone", "model", "revision", "adapters"}}
 	for _, replica := range fleet.Replicas {
 		for _, loaded := range replica.Models {
-			table.Rows = append(table.Rows, []any{replica.ID, replica.Backend, replica.Zone, loaded.Name, loaded.Revision, len(loaded.Adapters)})
+			table.addRow(replica.ID, replica.Backend, replica.Zone, loaded.Name, loaded.Revision, len(loaded.Adapters))
 		}
 	}
 	return table
 }
 
-func adapters(fleet adminapi.FleetStatus) Table {
-	table := Table{Name: "adapters", Columns: []string{"replica", "model", "adapter"}}
+func newAdapterTable(fleet adminapi.FleetStatus) Table {
+	table := Table{Name: tableAdapters, Columns: []string{"replica", "model", "adapter"}}
 	for _, replica := range fleet.Replicas {
 		for _, loaded := range replica.Models {
 			for _, adapter := range loaded.Adapters {
-				table.Rows = append(table.Rows, []any{replica.ID, loaded.Name, adapter})
+				table.addRow(replica.ID, loaded.Name, adapter)
 			}
 		}
 	}
 	return table
 }
 
-func zones(fleet adminapi.FleetStatus) Table {
+// newZoneTable has the zones that have a replica or are drained.
+func newZoneTable(fleet adminapi.FleetStatus) Table {
 	drained := map[string]bool{}
 	for _, replica := range fleet.Replicas {
 		drained[replica.Zone] = false
@@ -67,24 +113,25 @@
 	for _, zone := range fleet.DrainedZones {
 		drained[zone] = true
 	}
-	table := Table{Name: "zones", Columns: []string{"zone", "drained"}}
+	table := Table{Name: tableZones, Columns: []string{"zone", "drained"}}
 	for _, zone := range slices.Sorted(maps.Keys(drained)) {
-		table.Rows = append(table.Rows, []any{zone, drained[zone]})
+		table.addRow(zone, drained[zone])
 	}
 	return table
 }
 
-func dataPlanes(fleet adminapi.FleetStatus) Table {
-	table := Table{Name: "edges", Columns: []string{"name"}}
+func newDataPlaneTable(fleet adminapi.FleetStatus) Table {
+	table := Table{Name: tableDataPlanes, Columns: []string{"name"}}
 	for _, name := range fleet.DataPlanes {
-		table.Rows = append(table.Rows, []any{name})
+		table.addRow(name)
 	}
 	return table
 }
 
-func routes(current configuration.Configuration) Table {
+// newRouteTable has one row for each backend that a route sends requests to.
+func newRouteTable(current configuration.Configuration) Table {
 	table := Table{
-		Name: "routes",
+		Name: tableRoutes,
 		Columns: []string{
 			"name", "hostname", "path_prefix", "route_type", "backend", "weight",
 			"timeout_ms", "target_latency_ms", "priority", "retry_count", "sticky", "resumable",
@@ -93,49 +140,50 @@
 	}
 	for _, route := range current.Routes {
 		for _, split := range route.Splits() {
-			table.Rows = append(table.Rows, []any{
+			table.addRow(
 				route.Name, route.Hostname, route.PathPrefix, route.RouteType, split.Backend,
 				split.Weight, route.TimeoutMs, route.TargetLatencyMs, route.Priority, route.RetryCount,
 				route.Sticky, route.Resumable, route.TokenGapMs, route.Public,
-			})
+			)
 		}
 	}
 	return table
 }
 
-// tenants has one row for each key, and one with an empty digest for a tenant without keys.
-func tenants(current configuration.Configuration) Table {
+// newTenantTable has one row for each key, and one with an empty digest for a tenant without keys.
+func newTenantTable(current configuration.Configuration) Table {
 	current = current.Redacted()
-	table := Table{Name: "tenants", Columns: []string{"name", "priority", "rate_per_s", "burst", "key_digest"}}
+	table := Table{Name: tableTenants, Columns: []string{"name", "priority", "rate_per_s", "burst", "key_digest"}}
 	for _, tenant := range current.Tenants {
 		var priority any
 		if tenant.Priority != nil {
 			priority = *tenant.Priority
 		}
-		row := []any{tenant.Name, priority, tenant.RatePerS, tenant.Burst}
 		for _, key := range tenant.Keys {
-			table.Rows = append(table.Rows, append(slices.Clone(row), string(key)))
+			table.addRow(tenant.Name, priority, tenant.RatePerS, tenant.Burst, string(key))
 		}
 		if len(tenant.Keys) == 0 {
-			table.Rows = append(table.Rows, append(row, ""))
+			table.addRow(tenant.Name, priority, tenant.RatePerS, tenant.Burst, "")
 		}
 	}
 	return table
 }
 
-func members(fleet adminapi.FleetStatus) Table {
-	table := Table{Name: "members", Columns: []string{"address", "part"}}
+// newMemberTable has a member twice while it is of both the current and the next membership.
+func newMemberTable(fleet adminapi.FleetStatus) Table {
+	table := Table{Name: tableMembers, Columns: []string{"address", "part"}}
 	for _, address := range fleet.Members {
-		table.Rows = append(table.Rows, []any{address, "present"})
+		table.addRow(address, partCurrent)
 	}
 	for _, address := range fleet.NextMembers {
-		table.Rows = append(table.Rows, []any{address, "next"})
+		table.addRow(address, partNext)
 	}
 	return table
 }
 
-func leases(fleet adminapi.FleetStatus) Table {
-	table := Table{Name: "tenures", Columns: []string{"duty", "holder", "seen_by", "fresh", "layout_revision", "list_age_ms"}}
-	table.Rows = append(table.Rows, []any{"placement", fleet.PlacementHolder, fleet.Member, fleet.Fresh, fleet.Revision, fleet.ListAgeMs})
+// newLeaseTable has the placement lease, which is the only one that a status tells of.
+func newLeaseTable(fleet adminapi.FleetStatus) Table {
+	table := Table{Name: tableLeases, Columns: []string{"duty", "holder", "seen_by", "fresh", "layout_revision", "list_age_ms"}}
+	table.addRow(leasePlacement, fleet.PlacementHolder, fleet.Member, fleet.Fresh, fleet.Revision, fleet.ListAgeMs)
 	return table
 }
