--- /dev/null
+++ b/cmd/ferryspar-operator/drain.go
@@ -0,0 +1,19 @@
+package main
+
+// drainCommand drains a zone, or ends that, as its method says.
+type drainCommand struct {
+	app    *application
+	method string
+	Args   struct {
+		Zone string `positional-arg-name:"ZONE" required:"yes"`
+	} `positional-args:"yes"`
+}
+
+// Execute sends the change.
+func (d *drainCommand) Execute([]string) error {
+	if _, err := d.app.call(apiRequest{method: d.method, path: pathDrainZone + d.Args.Zone}); err != nil {
+		return err
+	}
+	d.app.printLine(acknowledged)
+	return nil
+}
--- a/cmd/ferryspar-operator/forget.go
+++ b/cmd/ferryspar-operator/forget.go
@@ -1,9 +1,6 @@
 package main
 
 import (
-	"encoding/json"
-	"fmt"
-	"net/http"
 	"time"
 
 	"github.com/pkg/errors"
@@ -11,82 +8,109 @@
 	"ferryspar/internal/retention"
 )
 
+// errNoForgetScope is for a forget whose scope is not given. It is not a usage error: the command has always ended with
+// cli.ExitFailed for it.
+var errNoForgetScope = errors.New("name --model, --part or --all")
+
+// forgetCommand has cached context deleted on every node.
 type forgetCommand struct {
-	Model string        `long:"model" description:"only context of this model"`
-	Part  string        `long:"part" description:"only context with this prompt part id (hex)"`
-	All   bool          `long:"all" description:"all context; needed when neither model nor part is named"`
-	List  bool          `long:"list" description:"only list the forgets and how far they are"`
-	Watch bool          `long:"watch" description:"print progress until every node has let go"`
-	Limit time.Duration `long:"limit" default:"10m" description:"watch no longer than this"`
+	app        *application
+	Model      string        `long:"model" description:"delete only context of this model"`
+	PromptPart string        `long:"part" description:"delete only context with this prompt part id (hex)"`
+	All        bool          `long:"all" description:"delete all context; needed if neither --model nor --part is given"`
+	List       bool          `long:"list" description:"only list the forgets and how far they are"`
+	Watch      bool          `long:"watch" description:"print the progress until every node is done"`
+	Limit      time.Duration `long:"limit" default:"10m" description:"timeout of --watch"`
 }
 
-func (f *forgetCommand) Execute(rest []string) error {
+// Execute starts a forget and prints its progress, or lists those that were started before.
+func (f *forgetCommand) Execute([]string) error {
 	if f.List {
-		all, err := listForgets()
-		for _, status := range all {
-			printForget(status)
-		}
-		return err
+		return f.list()
 	}
-	if f.Model == "" && f.Part == "" && !f.All {
-		return errors.New("name --model, --part or --all")
+	if f.Model == "" && f.PromptPart == "" && !f.All {
+		return errNoForgetScope
 	}
-	body, _ := json.Marshal(retention.Scope{Model: f.Model, PromptPart: f.Part})
-	content, err := call(http.MethodPost, "/ferryspar/forget", "", body)
+	content, err := f.app.post(pathForget, retention.Scope{Model: f.Model, PromptPart: f.PromptPart})
 	if err != nil {
 		return err
 	}
 	var status retention.Status
-	if err := json.Unmarshal(content, &status); err != nil {
+	if err := decode("the forget", content, &status); err != nil {
 		return err
 	}
-	printForget(status)
-	for deadline := time.Now().Add(f.Limit); f.Watch && !status.Complete; {
+	if err := f.app.printForget(status); err != nil {
+		return err
+	}
+	if f.Watch {
+		return f.watch(status)
+	}
+	return nil
+}
+
+func (f *forgetCommand) list() error {
+	forgets, err := f.app.listForgets()
+	if err != nil {
+		return err
+	}
+	for _, status := range forgets {
+		if err := f.app.printForget(status); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// watch prints the progress of a forget until it is complete. It returns an error if that takes longer than the limit.
+func (f *forgetCommand) watch(status retention.Status) error {
+	deadline := time.Now().Add(f.Limit)
+	for !status.Complete {
 		if time.Now().After(deadline) {
 			return errors.Errorf("forget %d is not complete yet", status.Number)
 		}
-		time.Sleep(time.Second)
-		all, err := listForgets()
+		time.Sleep(watchInterval)
+		forgets, err := f.app.listForgets()
 		if err != nil {
 			return err
 		}
-		for _, listed := range all {
+		for _, listed := range forgets {
 			if listed.Number == status.Number {
 				status = listed
 			}
 		}
-		printForget(status)
+		if err := f.app.printForget(status); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-func listForgets() ([]retention.Status, error) {
-	content, err := call(http.MethodGet, "/ferryspar/forget", "", nil)
+func (a *application) listForgets() ([]retention.Status, error) {
+	content, err := a.get(pathForget)
 	if err != nil {
 		return nil, err
 	}
-	var all struct {
+	var response struct {
 		Forgets []retention.Status `json:"forgets"`
 	}
-	return all.Forgets, json.Unmarshal(content, &all)
+	return response.Forgets, decode("the list of forgets", content, &response)
 }
 
-func printForget(status retention.Status) {
-	if options.JSON {
-		content, _ := json.Marshal(status)
-		fmt.Println(string(content))
-		return
+func (a *application) printForget(status retention.Status) error {
+	if a.options.JSON {
+		return a.printJSON(status)
 	}
 	counts := map[retention.State]int{}
 	for _, node := range status.Nodes {
 		counts[node.State]++
 	}
-	fmt.Printf("forget %d (model %q part %q): %d done, %d gone, %d pending, complete %t\n",
+	a.printf("forget %d (model %q part %q): %d done, %d gone, %d pending, complete %t\n",
 		status.Number, status.Scope.Model, status.Scope.PromptPart,
 		counts[retention.Done], counts[retention.Gone], counts[retention.Pending], status.Complete)
 	for _, node := range status.Nodes {
 		if node.State == retention.Pending {
-			fmt.Printf("  pending: %s %s %s\n", node.Kind, node.Node, node.Model)
+			a.printf("  pending: %s %s %s\n", node.Kind, node.Node, node.Model)
 		}
 	}
+	return nil
 }
--- a/cmd/ferryspar-operator/inspect.go
+++ b/cmd/ferryspar-operator/inspect.go
@@ -4,77 +4,96 @@
 	"encoding/json"
 	"fmt"
 	"maps"
-	"os"
 	"slices"
 	"strings"
 
+	"github.com/pkg/errors"
+
 	"ferryspar/internal/keystore"
 )
 
-// exitDamaged is the exit status of inspect for a folder whose state a member would not use.
-const exitDamaged = 7
-
-// inspectCommand reads a stopped member's data folder; it asks no daemon and writes nothing.
+// inspectCommand reads a stopped member's data directory; it calls no daemon and writes no file.
 type inspectCommand struct {
+	app    *application
 	Values bool `long:"values" description:"print the values as well; that of the configuration holds tenants' keys"`
 	Args   struct {
-		Folder string `positional-arg-name:"DIR" required:"yes"`
+		Directory string `positional-arg-name:"DIR" required:"yes"`
 	} `positional-args:"yes"`
 }
 
-// Execute prints the folder, and ends with exitDamaged if damage was found in it.
-func (i *inspectCommand) Execute(rest []string) error {
-	inspection, err := keystore.Inspect(i.Args.Folder)
+// Execute prints what is in the directory. It returns an error with exitDamaged if its state is damaged.
+func (i *inspectCommand) Execute([]string) error {
+	inspection, err := keystore.Inspect(i.Args.Directory)
 	if err != nil {
-		return err
+		return errors.Wrap(err, "DIR")
 	}
-	if options.JSON {
-		if !i.Values {
-			inspection.DropValues()
-		}
-		content, err := json.Marshal(inspection)
-		if err != nil {
+	if !i.Values {
+		inspection.DropValues()
+	}
+	if i.app.options.JSON {
+		if err := i.app.printJSON(inspection); err != nil {
 			return err
 		}
-		fmt.Println(string(content))
 	} else {
-		i.print(inspection)
+		i.app.printInspection(inspection, i.Values)
 	}
 	if inspection.Damage != nil {
-		return exitError{exitDamaged, "damaged: " + inspection.Damage.Error()}
+		return newExitError(exitDamaged, "damaged: %s", inspection.Damage)
 	}
 	return nil
 }
 
-func (i *inspectCommand) print(inspection keystore.Inspection) {
-	fmt.Printf("generation %d (base %d)\n", inspection.Generation, inspection.Base)
-	fmt.Printf("self %s\nmembers %s\n", orNone(inspection.LocalState), orNone(inspection.Membership))
-	printTable("files", "name state generation base records used bytes", func(line func(...any)) {
-		for _, file := range inspection.Files {
-			line(file.Name, strings.ReplaceAll(string(file.State), " ", "_"), file.Generation, file.Base, file.Records, file.Used, file.Bytes)
-		}
-	})
-	printTable("keys", "key value_bytes fields", func(line func(...any)) {
-		for _, slot := range inspection.Registers {
-			line(slot.Key, slot.ValueBytes, formatFields(slot.Fields))
-		}
-	})
-	if i.Values {
-		for _, slot := range inspection.Registers {
-			fmt.Printf("\n%s\n%s\n", slot.Key, orNone(slot.Value))
-		}
+func (a *application) printInspection(inspection keystore.Inspection, withValues bool) {
+	a.printf("generation %d (base %d)\n", inspection.Generation, inspection.Base)
+	a.printf("self %s\n", orNone(inspection.LocalState))
+	a.printf("members %s\n", orNone(inspection.Membership))
+	newSegmentTable(inspection.Files).write(a.stdout)
+	newRegisterTable(inspection.Registers).write(a.stdout)
+	if withValues {
+		a.printValues(inspection.Registers)
 	}
 	if inspection.Undecodable > 0 {
-		fmt.Fprintf(os.Stderr, "%d records are whole but are not slots\n", inspection.Undecodable)
+		fmt.Fprintf(a.stderr, "%d records are complete but cannot be decoded\n", inspection.Undecodable)
+	}
+}
+
+func (a *application) printValues(registers []keystore.RegisterInspection) {
+	for _, register := range registers {
+		a.printf("\n%s\n%s\n", register.Key, orNone(register.Value))
+	}
+}
+
+func newSegmentTable(segments []keystore.SegmentInspection) *table {
+	files := newTable("files", "name", "state", "generation", "base", "records", "used", "bytes")
+	for _, segment := range segments {
+		files.addRow(
+			segment.Name,
+			strings.ReplaceAll(string(segment.State), " ", "_"),
+			segment.Generation,
+			segment.Base,
+			segment.Records,
+			segment.Used,
+			segment.Bytes,
+		)
+	}
+	return files
+}
+
+func newRegisterTable(registers []keystore.RegisterInspection) *table {
+	keys := newTable("keys", "key", "value_bytes", "fields")
+	for _, register := range registers {
+		keys.addRow(register.Key, register.ValueBytes, formatFields(register.Fields))
 	}
+	return keys
 }
 
+// formatFields returns the fields as name=value in the order of their names.
 func formatFields(fields map[string]json.RawMessage) string {
-	var words []string
+	var formatted []string
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
-		words = append(words, name+"="+string(fields[name]))
+		formatted = append(formatted, name+"="+string(fields[name]))
 	}
-	return strings.Join(words, " ")
+	return strings.Join(formatted, " ")
 }
 
 func orNone(content json.RawMessage) string {
--- a/cmd/ferryspar-operator/inspect_test.go
+++ b/cmd/ferryspar-operator/inspect_test.go
@@ -17,27 +17,33 @@
 
 const testSegmentBytes = 64 << 10
 
-// stoppedMember makes the data folder of a member that was started twice.
-func stoppedMember(t *testing.T) string {
+// writeStoppedMember writes the data directory of a member that was started twice.
+func writeStoppedMember(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "data", "member")
 	members := keystore.Membership{Version: 4, Current: []string{"10.1.0.1:7000", "10.2.0.1:7000"}}
 	for incarnation := range 2 {
-		folder, err := keystore.NewDirectory(path)
+		directory, err := keystore.NewDirectory(path)
 		assert.NilError(t, err)
-		journal, err := keystore.OpenWAL(folder, keystore.SegmentCount, testSegmentBytes)
+		wal, err := keystore.OpenWAL(directory, keystore.SegmentCount, testSegmentBytes)
 		assert.NilError(t, err)
-		assert.NilError(t, journal.Append(keystore.BootstrapRegisters(members, 77)))
-		configuration := keystore.Register{Key: keystore.ConfigurationKey, Sequence: uint64(5 + incarnation), Value: json.RawMessage(`{"revision":9}`)}
-		assert.NilError(t, journal.Append([]keystore.Register{configuration}))
+		assert.NilError(t, wal.Append(keystore.BootstrapRegisters(members, 77)))
+		configuration := keystore.Register{
+			Key:      keystore.ConfigurationKey,
+			Sequence: uint64(5 + incarnation),
+			Value:    json.RawMessage(`{"revision":9}`),
+		}
+		assert.NilError(t, wal.Append([]keystore.Register{configuration}))
 	}
 	return path
 }
 
-func runInspect(t *testing.T, path string, asJSON bool) (string, error) {
-	options = globalOptions{JSON: asJSON}
-	command := &inspectCommand{}
-	command.Args.Folder = path
-	return captureOutput(t, func() error { return command.Execute(nil) })
+func runInspect(path string, asJSON bool) (string, error) {
+	app, stdout := newTestApplication()
+	app.options.JSON = asJSON
+	command := &inspectCommand{app: app}
+	command.Args.Directory = path
+	err := command.Execute(nil)
+	return stdout.String(), err
 }
 
 func readFiles(t *testing.T, path string) map[string]string {
@@ -54,35 +60,35 @@
 }
 
 func TestInspect_PrintsKeysAndFilesWithoutWriting(t *testing.T) {
-	path := stoppedMember(t)
+	path := writeStoppedMember(t)
 	before := readFiles(t, path)
-	shown, err := runInspect(t, path, false)
+	shown, err := runInspect(path, false)
 	assert.NilError(t, err)
-	wantedTexts := []string{
+	expectedTexts := []string{
 		"generation 2 (base 1)", `self {"incarnation":77,"voting":true,"number":4}`,
 		`"present":["10.1.0.1:7000","10.2.0.1:7000"]`, "ring-2", keystore.ConfigurationKey, "sequence=6",
 	}
-	for _, wanted := range wantedTexts {
-		assert.Assert(t, strings.Contains(shown, wanted), "%s in %s", wanted, shown)
+	for _, expected := range expectedTexts {
+		assert.Assert(t, strings.Contains(shown, expected), "%s in %s", expected, shown)
 	}
-	output, err := runInspect(t, path, true)
+	output, err := runInspect(path, true)
 	assert.NilError(t, err)
 	var inspection keystore.Inspection
 	assert.NilError(t, json.Unmarshal([]byte(output), &inspection))
 	assert.Equal(t, inspection.Generation, uint64(2))
 	assert.Equal(t, len(inspection.Registers), 3)
-	for _, slot := range inspection.Registers {
-		assert.Equal(t, len(slot.Value), 0, "values may hold tenants' keys, so they must be asked for")
+	for _, register := range inspection.Registers {
+		assert.Equal(t, len(register.Value), 0, "values may hold tenants' keys, so they must be asked for")
 	}
 	assert.DeepEqual(t, readFiles(t, path), before)
 }
 
 func TestInspect_ReportsDamage(t *testing.T) {
-	path := stoppedMember(t)
+	path := writeStoppedMember(t)
 	assert.NilError(t, os.Remove(filepath.Join(path, "ring-2")))
 	before := readFiles(t, path)
 	for _, asJSON := range []bool{false, true} {
-		shown, err := runInspect(t, path, asJSON)
+		shown, err := runInspect(path, asJSON)
 		assert.Equal(t, exitStatus(err), exitDamaged)
 		assert.ErrorContains(t, err, "ring-2: file missing")
 		assert.Assert(t, strings.Contains(shown, "missing"), shown)
@@ -100,15 +106,10 @@
 		foreign:                      keystore.ErrForeignDirectory,
 		file:                         keystore.ErrNotDirectory,
 	}
-	for path, wanted := range cases {
-		_, err := runInspect(t, path, false)
-		assert.Assert(t, errors.Is(err, wanted), "%s: %v", path, err)
-		assert.Equal(t, cli.ReportError("ferryspar-operator", err), cli.ExitFailed)
+	for path, expected := range cases {
+		_, err := runInspect(path, false)
+		assert.Assert(t, errors.Is(err, expected), "%s: %v", path, err)
+		assert.Equal(t, exitStatus(err), cli.ExitFailed)
 	}
 	assert.Equal(t, len(readFiles(t, empty)), 0)
 }
-
-func TestStatus_RequiresAddress(t *testing.T) {
-	options = globalOptions{}
-	assert.Equal(t, cli.ReportError("ferryspar-operator", (&statusCommand{}).Execute(nil)), cli.ExitUsage)
-}
--- /dev/null
+++ b/cmd/ferryspar-operator/parser_test.go
@@ -0,0 +1,33 @@
+package main
+
+import (
+	"net/http"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/cli"
+)
+
+func TestParser_RunsConfigurationByItsOldName(t *testing.T) {
+	for _, name := range []string{"configuration", "layout"} {
+		t.Run(name, func(t *testing.T) {
+			control := startFakeControl(t, http.StatusOK, map[string]int{"revision": 9})
+			app, stdout := newTestApplication()
+			parser, err := newParser(app)
+			assert.NilError(t, err)
+			_, err = parser.ParseArgs([]string{"-c", control.address, name, "--keys"})
+			assert.NilError(t, err)
+			assert.DeepEqual(t, control.requests, []string{"GET /ferryspar/config "})
+			assert.Equal(t, stdout.String(), `{"revision":9}`+"\n\n")
+		})
+	}
+}
+
+func TestParser_RejectsUnknownCommands(t *testing.T) {
+	app, _ := newTestApplication()
+	parser, err := newParser(app)
+	assert.NilError(t, err)
+	_, err = parser.ParseArgs([]string{"configure"})
+	assert.Equal(t, exitStatus(err), cli.ExitUsage)
+}
--- a/cmd/ferryspar-operator/pinned_test.go
+++ b/cmd/ferryspar-operator/pinned_test.go
@@ -14,37 +14,38 @@
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{"status of a daemon": new(daemonStatus)})
 }
 
-func TestOutcome_ExitStatusesStayTheSame(t *testing.T) {
+func TestExitStatuses_StayTheSame(t *testing.T) {
 	assert.DeepEqual(t, []int{exitPartial, exitGuard, exitRejected, exitDamaged}, []int{4, 5, 6, 7})
 }
 
 // optionsOf lists the options of a group and of the groups within it.
 func optionsOf(group *flags.Group) []string {
-	var told []string
+	var described []string
 	for _, option := range group.Options() {
 		short := ""
 		if option.ShortName != 0 {
 			short = string(option.ShortName)
 		}
-		told = append(told, fmt.Sprintf("short=%s long=%s default=%v", short, option.LongName, option.Default))
+		described = append(described, fmt.Sprintf("short=%s long=%s default=%v", short, option.LongName, option.Default))
 	}
 	for _, inner := range group.Groups() {
-		told = append(told, optionsOf(inner)...)
+		described = append(described, optionsOf(inner)...)
 	}
-	return told
+	return described
 }
 
 func TestCommands_NamesAndOptionsStayTheSame(t *testing.T) {
-	parser := flags.NewParser(&globalOptions{}, flags.None)
-	told := map[string][]string{"all": optionsOf(parser.Group)}
-	for _, one := range subcommands {
-		added, err := parser.AddCommand(one.name, one.short, one.short, one.handler)
-		assert.NilError(t, err)
-		options := optionsOf(added.Group)
-		for _, argument := range added.Args() {
+	parser, err := newParser(&application{})
+	assert.NilError(t, err)
+	actual := map[string][]string{"all": optionsOf(parser.Group)}
+	for _, command := range parser.Commands() {
+		options := optionsOf(command.Group)
+		for _, argument := range command.Args() {
 			options = append(options, fmt.Sprintf("argument=%s required=%d", argument.Name, argument.Required))
 		}
-		told["command "+one.name] = options
+		for _, name := range append([]string{command.Name}, command.Aliases...) {
+			actual["command "+name] = options
+		}
 	}
-	pinned.CheckJSON(t, "testdata/commands.json", told)
+	pinned.CheckJSON(t, "testdata/commands.json", actual)
 }
--- a/cmd/ferryspar-operator/query.go
+++ b/cmd/ferryspar-operator/query.go
@@ -2,66 +2,49 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"net/http"
-	"os"
-	"strings"
 	"time"
 
-	"ferryspar/internal/adminapi"
 	"ferryspar/internal/configuration"
 	"ferryspar/internal/query"
 )
 
+// queryCommand runs a SQL query on the fleet's state.
 type queryCommand struct {
-	Rows int           `long:"rows" default:"1000" description:"print no more rows than this"`
-	Time time.Duration `long:"time" default:"5s" description:"stop a query that takes longer"`
-	Args struct {
+	app     *application
+	MaxRows int           `long:"rows" default:"1000" description:"largest number of rows to print"`
+	Timeout time.Duration `long:"time" default:"5s" description:"timeout of the query"`
+	Args    struct {
 		Statement string `positional-arg-name:"SELECT" required:"yes"`
 	} `positional-args:"yes"`
 }
 
-func (q *queryCommand) Execute(rest []string) error {
-	var fleet adminapi.FleetStatus
-	content, err := call(http.MethodGet, "/ferryspar/status", "", nil)
-	if err != nil {
-		return err
-	}
-	if err := json.Unmarshal(content, &fleet); err != nil {
-		return err
-	}
-	var current configuration.Configuration
-	if needsConfiguration(q.Args.Statement) {
-		if current, err = fetchConfiguration(); err != nil {
-			return err
-		}
-	}
-	result, err := query.Run(context.Background(), query.Tables(fleet, current), q.Args.Statement, query.Limits{MaxRows: q.Rows, Timeout: q.Time})
+// Execute reads what the statement needs from the control plane and prints the result.
+func (q *queryCommand) Execute([]string) error {
+	result, err := q.run()
 	if err != nil {
 		return err
 	}
 	if result.Truncated {
-		fmt.Fprintf(os.Stderr, "only the first %d rows\n", q.Rows)
+		fmt.Fprintf(q.app.stderr, "only the first %d rows\n", q.MaxRows)
 	}
-	if options.JSON {
-		return result.WriteJSON(os.Stdout)
+	if q.app.options.JSON {
+		return result.WriteJSON(q.app.stdout)
 	}
-	return result.WriteTable(os.Stdout)
-}
-
-// needsConfiguration tells whether a statement may name a table that is made of the configuration.
-func needsConfiguration(statement string) bool {
-	statement = strings.ToLower(statement)
-	return strings.Contains(statement, "routes") || strings.Contains(statement, "tenants")
+	return result.WriteTable(q.app.stdout)
 }
 
-// fetchConfiguration reads the newest configuration, with digests in the place of keys.
-func fetchConfiguration() (configuration.Configuration, error) {
-	content, err := call(http.MethodGet, "/ferryspar/config", "", nil)
+func (q *queryCommand) run() (query.Result, error) {
+	fleet, err := q.app.fetchStatus()
 	if err != nil {
-		return configuration.Configuration{}, err
+		return query.Result{}, err
+	}
+	var current configuration.Configuration
+	if query.NeedsConfiguration(q.Args.Statement) {
+		if current, err = q.app.fetchConfiguration(); err != nil {
+			return query.Result{}, err
+		}
 	}
-	current, err := configuration.Decode(content)
-	return current.Redacted(), err
+	limits := query.Limits{MaxRows: q.MaxRows, Timeout: q.Timeout}
+	return query.Run(context.Background(), query.Tables(fleet, current), q.Args.Statement, limits)
 }
--- /dev/null
+++ b/cmd/ferryspar-operator/status.go
@@ -0,0 +1,49 @@
+package main
+
+import (
+	"fmt"
+
+	"ferryspar/internal/adminapi"
+)
+
+// statusCommand prints the state of the fleet.
+type statusCommand struct {
+	app *application
+	All bool `long:"all" description:"ask each control daemon named, and print whether it votes and how recent its state is"`
+}
+
+// Execute prints the status of one control daemon, or a line for each.
+func (s *statusCommand) Execute([]string) error {
+	if s.All {
+		return s.app.printStatusOfAll()
+	}
+	content, err := s.app.get(pathStatus)
+	if err != nil {
+		return err
+	}
+	if s.app.options.JSON {
+		s.app.printRaw(content)
+		return nil
+	}
+	var fleet adminapi.FleetStatus
+	if err := decode("the status", content, &fleet); err != nil {
+		return err
+	}
+	s.app.printFleet(fleet)
+	return nil
+}
+
+func (a *application) printFleet(fleet adminapi.FleetStatus) {
+	a.printf("seen by %s (majority fresh: %t)\n", fleet.Member, fleet.Fresh)
+	a.printf("revision %d, members %v %v, placement by %s\n",
+		fleet.Revision, fleet.Members, fleet.NextMembers, fleet.PlacementHolder)
+	a.printf("drained zones %v\n", fleet.DrainedZones)
+	a.printf("edges %v\n", fleet.DataPlanes)
+	for _, replica := range fleet.Replicas {
+		models := []string{}
+		for _, model := range replica.Models {
+			models = append(models, fmt.Sprintf("%s+%d", model.Name, len(model.Adapters)))
+		}
+		a.printf("replica %s %s %s %s %v\n", replica.ID, replica.Backend, replica.Zone, replica.State, models)
+	}
+}
--- a/cmd/ferryspar-operator/each.go
+++ b/cmd/ferryspar-operator/status_all.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"strings"
@@ -12,55 +11,63 @@
 	"ferryspar/internal/adminapi"
 )
 
-// daemonStatus is what one control daemon told, or why it told nothing.
+// errNoAnswer is for a status of all daemons if none of them answered.
+var errNoAnswer = errors.New("no control daemon answered")
+
+// daemonStatus is the status that one control daemon sent, or why there is none.
 type daemonStatus struct {
 	Address string                `json:"address"`
 	Status  *adminapi.FleetStatus `json:"status,omitempty"`
 	Error   string                `json:"error,omitempty"`
 }
 
-// printStatusOfAll asks every control daemon that was named for its status. It fails if none answers.
-func printStatusOfAll() error {
+// printStatusOfAll prints the status of every control daemon that was named, also of those that do not answer. It
+// returns errNoAnswer if none does.
+func (a *application) printStatusOfAll() error {
 	var statuses []daemonStatus
 	answered := 0
-	for _, address := range options.Control {
-		status := fetchStatus(address)
+	for _, address := range a.options.Control {
+		status := a.fetchDaemonStatus(address)
 		if status.Status != nil {
 			answered++
 		}
 		statuses = append(statuses, status)
 	}
-	if options.JSON {
-		content, err := json.Marshal(statuses)
-		if err != nil {
-			return err
-		}
-		fmt.Println(string(content))
-	} else {
-		for _, status := range statuses {
-			fmt.Println(status)
-		}
+	if err := a.printDaemonStatuses(statuses); err != nil {
+		return err
 	}
 	if answered == 0 {
-		return errors.New("no control daemon answered")
+		return errNoAnswer
+	}
+	return nil
+}
+
+func (a *application) printDaemonStatuses(statuses []daemonStatus) error {
+	if a.options.JSON {
+		return a.printJSON(statuses)
+	}
+	for _, status := range statuses {
+		a.printLine(status)
 	}
 	return nil
 }
 
-func fetchStatus(address string) daemonStatus {
-	client := &adminapi.Client{Addresses: []string{address}, HTTPClient: adminapi.NewHTTPClient(), PerAddressTimeout: options.PerAddressTimeout, Timeout: options.PerAddressTimeout}
-	response, err := client.Call(context.Background(), http.MethodGet, "/ferryspar/status", "", nil)
+// fetchDaemonStatus asks one daemon only, so its timeout is that of one attempt.
+func (a *application) fetchDaemonStatus(address string) daemonStatus {
+	timeout := a.options.PerAddressTimeout
+	client := newClient([]string{address}, timeout, timeout)
+	response, err := client.Call(context.Background(), http.MethodGet, pathStatus, "", nil)
 	if err != nil {
 		return daemonStatus{Address: address, Error: err.Error()}
 	}
 	var status adminapi.FleetStatus
-	if err := json.Unmarshal(response.Body, &status); err != nil {
+	if err := decode("the status", response.Body, &status); err != nil {
 		return daemonStatus{Address: address, Error: err.Error()}
 	}
 	return daemonStatus{Address: address, Status: &status}
 }
 
-// String is one line: what the daemon is, how sure of its state it is, and what that state is.
+// String returns one line: whether the daemon votes, how recent its state is, and what that state is.
 func (d daemonStatus) String() string {
 	if d.Status == nil {
 		return d.Address + ": " + d.Error
@@ -89,13 +96,14 @@
 	return "votes"
 }
 
+// confirmationAge says how long ago a majority confirmed the daemon's state, and whether that is too long to act on it.
 func confirmationAge(status *adminapi.FleetStatus) string {
 	if status.ConfirmedAgeMs < 0 {
 		return "never"
 	}
-	word := "ago"
+	age := fmt.Sprintf("%d ms ago", status.ConfirmedAgeMs)
 	if !status.Fresh {
-		word = "ago, too long"
+		age += ", too long"
 	}
-	return fmt.Sprintf("%d ms %s", status.ConfirmedAgeMs, word)
+	return age
 }
--- a/cmd/ferryspar-operator/each_test.go
+++ b/cmd/ferryspar-operator/status_all_test.go
@@ -1,10 +1,7 @@
 package main
 
 import (
-	"encoding/json"
 	"net/http"
-	"net/http/httptest"
-	"strings"
 	"testing"
 	"time"
 
@@ -16,7 +13,8 @@
 func TestDaemonStatus_String(t *testing.T) {
 	cases := map[string]adminapi.FleetStatus{
 		"a: votes, confirmed 80 ms ago, revision 7, member list 3 [x y z]": {
-			IsMember: true, Voting: true, Fresh: true, ConfirmedAgeMs: 80, Revision: 7, MembershipVersion: 3, Members: []string{"x", "y", "z"},
+			IsMember: true, Voting: true, Fresh: true, ConfirmedAgeMs: 80, Revision: 7, MembershipVersion: 3,
+			Members: []string{"x", "y", "z"},
 		},
 		"a: member without a vote, confirmed never, revision 0, member list 0 []": {IsMember: true, ConfirmedAgeMs: -1},
 		"a: leaving, confirmed 20000 ms ago, too long, revision 7, member list 4 [x] changing to [y], does not hear z": {
@@ -34,17 +32,13 @@
 }
 
 func TestPrintStatusOfAll_ListsUnreachable(t *testing.T) {
-	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		_ = json.NewEncoder(writer).Encode(adminapi.FleetStatus{Member: "x", Revision: 9})
-	}))
-	defer server.Close()
-	before := options
-	defer func() { options = before }()
-	options.PerAddressTimeout = 300 * time.Millisecond
-	options.Control = []string{strings.TrimPrefix(server.URL, "http://"), "127.0.0.1:1"}
-	assert.Equal(t, fetchStatus(options.Control[0]).Status.Revision, int64(9))
-	assert.Assert(t, fetchStatus(options.Control[1]).Error != "")
-	assert.NilError(t, printStatusOfAll())
-	options.Control = options.Control[1:]
-	assert.ErrorContains(t, printStatusOfAll(), "no control daemon answered")
+	control := startFakeControl(t, http.StatusOK, adminapi.FleetStatus{Member: "x", Revision: 9})
+	unreachable := "127.0.0.1:1"
+	app, _ := newTestApplication(control.address, unreachable)
+	app.options.PerAddressTimeout = 300 * time.Millisecond
+	assert.Equal(t, app.fetchDaemonStatus(control.address).Status.Revision, int64(9))
+	assert.Assert(t, app.fetchDaemonStatus(unreachable).Error != "")
+	assert.NilError(t, app.printStatusOfAll())
+	app.options.Control = []string{unreachable}
+	assert.ErrorContains(t, app.printStatusOfAll(), "no control daemon answered")
 }
--- a/cmd/ferryspar-operator/tenants.go
+++ b/cmd/ferryspar-operator/tenants.go
@@ -1,10 +1,8 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
-	"os"
 	"strings"
 	"text/tabwriter"
 
@@ -12,31 +10,31 @@
 )
 
 // tenantsCommand prints the tenants of the newest configuration, never their keys.
-type tenantsCommand struct{}
+type tenantsCommand struct{ app *application }
 
-// Execute asks for the configuration and prints its tenants.
-func (l *tenantsCommand) Execute(rest []string) error {
-	current, err := fetchConfiguration()
+// Execute reads the configuration and prints its tenants.
+func (t *tenantsCommand) Execute([]string) error {
+	current, err := t.app.fetchConfiguration()
 	if err != nil {
 		return err
 	}
-	if options.JSON {
-		return json.NewEncoder(os.Stdout).Encode(current.Tenants)
+	if t.app.options.JSON {
+		return t.app.printJSON(current.Tenants)
 	}
-	return printTenants(os.Stdout, current.Tenants)
+	return printTenants(t.app.stdout, current.Tenants)
 }
 
-// printTenants writes one line for each tenant, whose keys are digests.
+// printTenants writes one line for each tenant. The keys of the tenants must be digests.
 func printTenants(target io.Writer, tenants []configuration.Tenant) error {
-	lines := tabwriter.NewWriter(target, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(lines, "name\tpriority\trate_per_s\tburst\tkeys\tdigests")
+	writer := tabwriter.NewWriter(target, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(writer, "name\tpriority\trate_per_s\tburst\tkeys\tdigests")
 	for _, tenant := range tenants {
 		digests := make([]string, len(tenant.Keys))
-		for position, key := range tenant.Keys {
-			digests[position] = string(key)
+		for index, key := range tenant.Keys {
+			digests[index] = string(key)
 		}
-		fmt.Fprintf(lines, "%s\t%s\t%g\t%g\t%d\t%s\n", tenant.Name, tenant.PriorityText(), tenant.RatePerS, tenant.Burst,
-			len(tenant.Keys), strings.Join(digests, " "))
+		fmt.Fprintf(writer, "%s\t%s\t%g\t%g\t%d\t%s\n",
+			tenant.Name, tenant.PriorityText(), tenant.RatePerS, tenant.Burst, len(tenant.Keys), strings.Join(digests, " "))
 	}
-	return lines.Flush()
+	return writer.Flush()
 }
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -101,3 +101,15 @@
 		assert.ErrorContains(t, err, wanted, statement)
 	}
 }
+
+func TestNeedsConfiguration(t *testing.T) {
+	for statement, expected := range map[string]bool{
+		"SELECT * FROM replicas":                     false,
+		"SELECT * FROM Routes":                       true,
+		"select count(*) from replicas, tenants t":   true,
+		"SELECT duty FROM tenures":                   false,
+		"SELECT id FROM replicas WHERE zone = 'ams'": false,
+	} {
+		assert.Equal(t, NeedsConfiguration(statement), expected, statement)
+	}
+}
