--- a/cmd/ferryspar-operator/parser_test.go
+++ b/cmd/ferryspar-operator/parser_test.go
@@ -16,6 +16,8 @@
 			app, stdout := newTestApplication()
 			parser, err := newParser(app)
 			assert.NilError(t, err)
+			assert.Assert(t, parser.Find(name) != nil)
+			assert.Equal(t, parser.Find(name), parser.Find("configuration"))
 			_, err = parser.ParseArgs([]string{"-c", control.address, name, "--keys"})
 			assert.NilError(t, err)
 			assert.DeepEqual(t, control.requests, []string{"GET /ferryspar/config "})
