--- a/cmd/ferryspar-operator/pinned_test.go
+++ b/cmd/ferryspar-operator/pinned_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
-	"strings"
 	"testing"
 
 	"github.com/jessevdk/go-flags"
@@ -16,57 +14,38 @@
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{"status of a daemon": new(daemonStatus)})
 }
 
-func TestOutcome_ExitStatusesStayTheSame(t *testing.T) {
+func TestExitStatuses_StayTheSame(t *testing.T) {
 	assert.DeepEqual(t, []int{exitPartial, exitGuard, exitRejected, exitDamaged}, []int{4, 5, 6, 7})
 }
 
 // optionsOf lists the options of a group and of the groups within it.
 func optionsOf(group *flags.Group) []string {
-	var listed []string
+	var described []string
 	for _, option := range group.Options() {
 		short := ""
 		if option.ShortName != 0 {
 			short = string(option.ShortName)
 		}
-		listed = append(listed, fmt.Sprintf("short=%s long=%s default=%v", short, option.LongName, option.Default))
+		described = append(described, fmt.Sprintf("short=%s long=%s default=%v", short, option.LongName, option.Default))
 	}
 	for _, inner := range group.Groups() {
-		listed = append(listed, optionsOf(inner)...)
+		described = append(described, optionsOf(inner)...)
 	}
-	return listed
+	return described
 }
 
 func TestCommands_NamesAndOptionsStayTheSame(t *testing.T) {
-	parser := flags.NewParser(&globalOptions{}, flags.None)
-	pinnedOptions := map[string][]string{"all": optionsOf(parser.Group)}
-	for _, command := range subcommands {
-		added, err := parser.AddCommand(command.name, command.short, command.long, command.handler)
-		assert.NilError(t, err)
-		options := optionsOf(added.Group)
-		for _, argument := range added.Args() {
+	parser, err := newParser(&application{})
+	assert.NilError(t, err)
+	actual := map[string][]string{"all": optionsOf(parser.Group)}
+	for _, command := range parser.Commands() {
+		options := optionsOf(command.Group)
+		for _, argument := range command.Args() {
 			options = append(options, fmt.Sprintf("argument=%s required=%d", argument.Name, argument.Required))
 		}
-		for _, name := range append([]string{command.name}, command.aliases...) {
-			pinnedOptions["command "+name] = options
+		for _, name := range append([]string{command.Name}, command.Aliases...) {
+			actual["command "+name] = options
 		}
 	}
-	pinned.CheckJSON(t, "testdata/commands.json", pinnedOptions)
-}
-
-func TestCommands_LayoutIsAnAliasOfConfiguration(t *testing.T) {
-	parser, err := newParser()
-	assert.NilError(t, err)
-	assert.Equal(t, parser.Find("layout"), parser.Find("configuration"))
-	assert.Assert(t, parser.Find("layout") != nil)
-	for _, name := range []string{"layout", "configuration"} {
-		requests := serveAnswers(t, http.StatusOK, map[string]int{"revision": 7})
-		control := options.Control[0]
-		printed, err := captureOutput(t, func() error {
-			_, err := parser.ParseArgs([]string{"-c", control, name})
-			return err
-		})
-		assert.NilError(t, err)
-		assert.Assert(t, strings.Contains(printed, `"revision":7`), printed)
-		assert.DeepEqual(t, *requests, []string{"GET /ferryspar/config "})
-	}
+	pinned.CheckJSON(t, "testdata/commands.json", actual)
 }
--- a/cmd/ferryspar-operator/rehearse.go
+++ b/cmd/ferryspar-operator/rehearse.go
@@ -4,25 +4,29 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"strings"
 	"time"
 
 	"github.com/pkg/errors"
 
-	"ferryspar/internal/adminapi"
+	"ferryspar/internal/cli"
 	"ferryspar/internal/drill"
 )
 
-// rehearsalTimeout is the least time for one control plane to answer: a forecast waits for data planes.
-const rehearsalTimeout = 4 * time.Second
+const (
+	// minRehearsalTimeout is the least timeout of one attempt, as the daemon asks every data plane before it answers.
+	minRehearsalTimeout = 4 * time.Second
+	// watchInterval is the time between two lines of progress of --watch.
+	watchInterval = time.Second
+)
 
-// rehearseCommand forecasts or drills the loss of a region or zone.
+// rehearseCommand forecasts the loss of a region or zone, or drills it.
 type rehearseCommand struct {
+	app      *application
 	Zone     string        `long:"zone" description:"rehearse this zone's loss rather than a region's"`
-	Forecast bool          `long:"forecast" description:"only work out what would happen (the default)"`
+	Forecast bool          `long:"forecast" description:"only forecast what would happen (the default)"`
 	Drill    bool          `long:"drill" description:"have every node do without it for a share of new requests"`
 	Share    float64       `long:"share" default:"0.1" description:"drill: share of new requests, above 0 to 1"`
-	For      time.Duration `long:"for" default:"1m" description:"drill: ends by itself after this, 5s to 10m"`
+	Duration time.Duration `long:"for" default:"1m" description:"drill: ends by itself after this, 5s to 10m"`
 	Margin   float64       `long:"margin" default:"0.1" description:"drill: ended when the share in time falls by more than this"`
 	Watch    bool          `long:"watch" description:"drill: print its state until it has ended"`
 	Stop     bool          `long:"stop" description:"end the drill that runs, wherever it is"`
@@ -32,22 +36,16 @@
 	} `positional-args:"yes"`
 }
 
-func (r *rehearseCommand) scope() (drill.Scope, error) {
-	scope := drill.Scope{Region: r.Args.Region, Zone: r.Zone}
-	if (scope.Region == "") == (scope.Zone == "") {
-		return scope, usageError("name either REGION or --zone ZONE")
-	}
-	return scope, nil
-}
-
-// Execute implements flags.Commander.
+// Execute prints a forecast, or starts, stops or prints a drill.
 func (r *rehearseCommand) Execute([]string) error {
-	options.PerAddressTimeout = max(options.PerAddressTimeout, rehearsalTimeout)
-	if r.Stop || r.State {
-		return r.followDrill(r.Stop)
+	if r.Stop {
+		return r.stopDrill()
+	}
+	if r.State {
+		return r.printLastDrill()
 	}
 	if r.Forecast && r.Drill {
-		return usageError("name either --forecast or --drill")
+		return cli.NewUsageError(errors.New("name either --forecast or --drill"))
 	}
 	scope, err := r.scope()
 	if err != nil {
@@ -59,35 +57,39 @@
 	return r.forecast(scope)
 }
 
-func (r *rehearseCommand) forecast(scope drill.Scope) error {
-	content, err := callRehearsal(http.MethodPost, drill.Request{Kind: drill.KindForecast, Scope: scope})
-	if err != nil {
-		return err
-	}
-	var result drill.Forecast
-	if err := json.Unmarshal(content, &result); err != nil {
-		return err
-	}
-	if options.JSON {
-		fmt.Println(string(content))
-	} else {
-		printForecast(result)
-	}
-	if result.Partial {
-		return exitError{exitPartial, "partial: no answer from " + strings.Join(result.Missing, ", ")}
+// scope returns the region or zone whose loss is rehearsed, or a usage error if there is not exactly one.
+func (r *rehearseCommand) scope() (drill.Scope, error) {
+	scope := drill.Scope{Region: r.Args.Region, Zone: r.Zone}
+	if (scope.Region == "") == (scope.Zone == "") {
+		return scope, cli.NewUsageError(errors.New("name either REGION or --zone ZONE"))
 	}
-	return nil
+	return scope, nil
 }
 
-func callRehearsal(method string, request any) ([]byte, error) {
-	var body []byte
-	if request != nil {
-		body, _ = json.Marshal(request)
+// postRehearsal starts a forecast or a drill and returns the answer.
+func (a *application) postRehearsal(request drill.Request) ([]byte, error) {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return nil, errors.Wrap(err, "encode the rehearsal")
 	}
-	content, err := call(method, adminapi.PathRehearsal, "", body)
+	return a.callRehearsal(http.MethodPost, body)
+}
+
+// callRehearsal returns the answer, or an error with exitRejected if the control plane rejected the request.
+func (a *application) callRehearsal(method string, body []byte) ([]byte, error) {
+	timeout := max(a.options.PerAddressTimeout, minRehearsalTimeout)
+	content, err := a.callWithin(timeout, apiRequest{method: method, path: pathRehearsal, body: body})
 	var rejected rejectedError
 	if errors.As(err, &rejected) {
-		return nil, exitError{exitRejected, rejected.Error()}
+		return nil, newExitError(exitRejected, "%s", rejected)
 	}
 	return content, err
 }
+
+// formatQuantiles returns p50/p90/p99 in milliseconds.
+func formatQuantiles(latency drill.Quantiles) string {
+	if latency.Count == 0 {
+		return "-"
+	}
+	return fmt.Sprintf("%d/%d/%d", latency.P50, latency.P90, latency.P99)
+}
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -30,7 +30,7 @@
 	}, Tenants: []configuration.Tenant{{Name: "one", Keys: []configuration.APIKey{"secret"}, RatePerS: 4}, {Name: "two"}}})
 }
 
-var wide = Limits{MaxRows: 100, Timeout: 10 * time.Second}
+var testLimits = Limits{MaxRows: 100, Timeout: 10 * time.Second}
 
 func TestRun_PrintsAsTableAndJSON(t *testing.T) {
 	cases := []struct{ statement, wanted string }{
@@ -66,14 +66,14 @@
 		},
 	}
 	for _, testCase := range cases {
-		result, err := Run(context.Background(), testTables(), testCase.statement, wide)
+		result, err := Run(context.Background(), testTables(), testCase.statement, testLimits)
 		assert.NilError(t, err, testCase.statement)
 		var printed bytes.Buffer
 		assert.NilError(t, result.WriteTable(&printed))
 		assert.Equal(t, printed.String(), testCase.wanted)
 	}
-	firstRow := Limits{MaxRows: 1, Timeout: wide.Timeout}
-	result, err := Run(context.Background(), testTables(), "SELECT id, slots FROM replicas ORDER BY id", firstRow)
+	oneRow := Limits{MaxRows: 1, Timeout: testLimits.Timeout}
+	result, err := Run(context.Background(), testTables(), "SELECT id, slots FROM replicas ORDER BY id", oneRow)
 	assert.NilError(t, err)
 	var printed bytes.Buffer
 	assert.NilError(t, result.WriteJSON(&printed))
@@ -93,7 +93,7 @@
 		"WITH x AS (SELECT 1) INSERT INTO edges VALUES (1)": "readonly",
 		endless: "took longer than",
 	} {
-		limits := wide
+		limits := testLimits
 		if statement == endless {
 			limits.Timeout = 300 * time.Millisecond
 		}
@@ -101,3 +101,15 @@
 		assert.ErrorContains(t, err, wanted, statement)
 	}
 }
+
+func TestNeedsConfiguration(t *testing.T) {
+	for statement, expected := range map[string]bool{
+		"SELECT * FROM replicas":                     false,
+		"SELECT * FROM Routes":                       true,
+		"select count(*) from replicas, tenants t":   true,
+		"SELECT duty FROM tenures":                   false,
+		"SELECT id FROM replicas WHERE zone = 'ams'": false,
+	} {
+		assert.Equal(t, NeedsConfiguration(statement), expected, statement)
+	}
+}
