--- a/cmd/ferryspar-operator/retention.go
+++ b/cmd/ferryspar-operator/retention.go
@@ -2,42 +2,56 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"net/http"
 	"time"
 
-	"ferryspar/internal/adminapi"
+	"github.com/pkg/errors"
+
 	"ferryspar/internal/retention"
 )
 
-// retentionCommand prints or sets how long cached context may live.
+// retentionCommand prints or sets the lifetime of cached context.
 type retentionCommand struct {
-	Life *time.Duration `long:"life" description:"set: how long context may live, 0 for no bound"`
+	app *application
+	// Lifetime is nil if it is only to be printed.
+	Lifetime *time.Duration `long:"life" description:"set the lifetime of cached context; 0 for no limit"`
+}
+
+// retentionRequest is the body that sets the lifetime.
+type retentionRequest struct {
+	LifetimeMs int64 `json:"lifeMs"`
 }
 
-// Execute implements flags.Commander.
+// Execute prints the retention policy, after changing it if a lifetime was given.
 func (r *retentionCommand) Execute([]string) error {
-	method, body := http.MethodGet, []byte(nil)
-	if r.Life != nil {
-		method = http.MethodPut
-		body, _ = json.Marshal(map[string]int64{"lifeMs": r.Life.Milliseconds()})
-	}
-	content, err := call(method, adminapi.PathRetention, "", body)
+	content, err := r.callRetention()
 	if err != nil {
 		return err
 	}
-	if options.JSON {
-		fmt.Println(string(content))
+	if r.app.options.JSON {
+		r.app.printRaw(content)
 		return nil
 	}
 	var policy retention.Policy
-	if err := json.Unmarshal(content, &policy); err != nil {
+	if err := decode("the retention policy", content, &policy); err != nil {
 		return err
 	}
 	if policy.LifetimeMs == 0 {
-		fmt.Println("context may live without bound")
+		r.app.printLine("context may live without bound")
 		return nil
 	}
-	fmt.Println("context may live", policy.Lifetime())
+	r.app.printLine("context may live", policy.Lifetime())
 	return nil
 }
+
+// callRetention reads or sets the policy and returns the one in force.
+func (r *retentionCommand) callRetention() ([]byte, error) {
+	if r.Lifetime == nil {
+		return r.app.get(pathRetention)
+	}
+	body, err := json.Marshal(retentionRequest{LifetimeMs: r.Lifetime.Milliseconds()})
+	if err != nil {
+		return nil, errors.Wrap(err, "encode --life")
+	}
+	return r.app.call(apiRequest{method: http.MethodPut, path: pathRetention, body: body})
+}
--- a/cmd/ferryspar-operator/status.go
+++ b/cmd/ferryspar-operator/status.go
@@ -1,44 +1,49 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
-	"net/http"
 
 	"ferryspar/internal/adminapi"
 )
 
 // statusCommand prints the state of the fleet.
 type statusCommand struct {
-	All bool `long:"all" description:"ask each control daemon named, and tell how sure each is of its state"`
+	app *application
+	All bool `long:"all" description:"ask each control daemon named, and print whether it votes and how recent its state is"`
 }
 
-// Execute implements flags.Commander.
+// Execute prints the status of one control daemon, or a line for each.
 func (s *statusCommand) Execute([]string) error {
 	if s.All {
-		return printStatusOfAll()
+		return s.app.printStatusOfAll()
 	}
-	content, err := call(http.MethodGet, adminapi.PathStatus, "", nil)
+	content, err := s.app.get(pathStatus)
 	if err != nil {
 		return err
 	}
-	if options.JSON {
-		fmt.Println(string(content))
+	if s.app.options.JSON {
+		s.app.printRaw(content)
 		return nil
 	}
 	var fleet adminapi.FleetStatus
-	if err := json.Unmarshal(content, &fleet); err != nil {
+	if err := decode("the status", content, &fleet); err != nil {
 		return err
 	}
-	fmt.Printf("seen by %s (majority fresh: %t)\n", fleet.Member, fleet.Fresh)
-	fmt.Printf("revision %d, members %v %v, placement by %s\n", fleet.Revision, fleet.Members, fleet.NextMembers, fleet.PlacementHolder)
-	fmt.Printf("drained zones %v\nedges %v\n", fleet.DrainedZones, fleet.DataPlanes)
+	s.app.printFleet(fleet)
+	return nil
+}
+
+func (a *application) printFleet(fleet adminapi.FleetStatus) {
+	a.printf("seen by %s (majority fresh: %t)\n", fleet.Member, fleet.Fresh)
+	a.printf("revision %d, members %v %v, placement by %s\n",
+		fleet.Revision, fleet.Members, fleet.NextMembers, fleet.PlacementHolder)
+	a.printf("drained zones %v\n", fleet.DrainedZones)
+	a.printf("edges %v\n", fleet.DataPlanes)
 	for _, replica := range fleet.Replicas {
-		names := []string{}
+		models := []string{}
 		for _, model := range replica.Models {
-			names = append(names, fmt.Sprintf("%s+%d", model.Name, len(model.Adapters)))
+			models = append(models, fmt.Sprintf("%s+%d", model.Name, len(model.Adapters)))
 		}
-		fmt.Printf("replica %s %s %s %s %v\n", replica.ID, replica.Backend, replica.Zone, replica.State, names)
+		a.printf("replica %s %s %s %s %v\n", replica.ID, replica.Backend, replica.Zone, replica.State, models)
 	}
-	return nil
 }
