--- a/internal/sim/emulator/call.go
+++ b/internal/sim/emulator/call.go
@@ -61,11 +61,11 @@
 )
 
 // targetLatency is the class's target for the first token.
-func (c *call) targetLatency() time.Duration { return milliseconds(c.class.AimMs) }
+func (c *call) targetLatency() time.Duration { return milliseconds(c.class.LatencyTargetMs) }
 
 // silenceTimeout is how long the client waits without an event before it gives the attempt up.
 func (c *call) silenceTimeout() time.Duration {
-	return max(2*time.Second, 4*c.targetLatency(), 8*milliseconds(c.class.GapMs))
+	return max(2*time.Second, 4*c.targetLatency(), 8*milliseconds(c.class.TokenGapMs))
 }
 
 // begin starts the request at the moment of its arrival.
@@ -83,7 +83,7 @@
 	if c.ended {
 		return
 	}
-	if c.attemptsMade >= c.class.Tries {
+	if c.attemptsMade >= c.class.Attempts {
 		c.finish(c.reason)
 		return
 	}
@@ -232,7 +232,7 @@
 // inTime reports whether the call was served with its first token within the target and no gap beyond
 // the class's gap.
 func (c *call) inTime() bool {
-	return c.outcome == outcomeServed && c.first.Sub(c.began) <= c.targetLatency() && c.pause <= milliseconds(c.class.GapMs)
+	return c.outcome == outcomeServed && c.first.Sub(c.began) <= c.targetLatency() && c.pause <= milliseconds(c.class.TokenGapMs)
 }
 
 // firstTokenMs is the time to the first token in milliseconds, or 0 if none came.
--- a/internal/sim/emulator/check.go
+++ b/internal/sim/emulator/check.go
@@ -143,12 +143,15 @@
 		rules = append(rules,
 			rule{class.Name == "" || names[class.Name], says("name is missing or stands twice")},
 			rule{class.Share < 0, says("share must not be below 0")},
-			rule{class.AimMs <= 0 || class.TimeoutMs <= 0 || class.GapMs <= 0, says("aimMs, timeoutMs and tokenGapMs must be above 0")},
-			rule{class.Tries < 1 || class.RetryCount < 1, says("tries and retryCount must be at least 1")},
+			rule{
+				class.LatencyTargetMs <= 0 || class.TimeoutMs <= 0 || class.TokenGapMs <= 0,
+				says("aimMs, timeoutMs and tokenGapMs must be above 0"),
+			},
+			rule{class.Attempts < 1 || class.RetryCount < 1, says("tries and retryCount must be at least 1")},
 			rule{class.Prompt.Median <= 0 || class.Output.Median <= 0, says("prompt.median and output.median must be above 0")},
 			rule{class.Prompt.Sigma < 0 || class.Output.Sigma < 0, says("sigma must not be below 0")},
 			rule{
-				class.Prompt.Most < class.Prompt.Median || class.Output.Most < class.Output.Median,
+				class.Prompt.Max < class.Prompt.Median || class.Output.Max < class.Output.Median,
 				says("prompt.most and output.most must not be below the median"),
 			},
 		)
--- a/internal/sim/emulator/demand.go
+++ b/internal/sim/emulator/demand.go
@@ -161,15 +161,15 @@
 		entry.Running = 0
 	}
 	for _, number := range d.reportingEdges() {
-		heard := d.reports[number]
-		age := now.Sub(heard.at)
+		report := d.reports[number]
+		age := now.Sub(report.at)
 		if age > forgetAfter {
 			delete(d.reports, number)
 		}
 		if age > loadExpiry {
 			continue
 		}
-		for _, model := range heard.load.Models {
+		for _, model := range report.load.Models {
 			entry := d.entry(placement.ModelKey(model.Backend, model.Model))
 			entry.Waiting += model.Waiting
 			entry.Running += float64(model.Running)
@@ -194,15 +194,15 @@
 
 // isSuspect reports whether enough of the edges that have reported lately suspect the replica.
 func (d *demand) isSuspect(id string, now time.Time) bool {
-	suspected, heard := 0, 0
+	suspected, reporting := 0, 0
 	for _, report := range d.reports {
 		if now.Sub(report.at) > suspicionExpiry {
 			continue
 		}
-		heard++
+		reporting++
 		if report.load.Replicas[id].Suspected {
 			suspected++
 		}
 	}
-	return suspected >= suspectEnough || suspected > 0 && suspected == heard
+	return suspected >= suspectEnough || suspected > 0 && suspected == reporting
 }
--- a/internal/sim/emulator/demo/client.go
+++ b/internal/sim/emulator/demo/client.go
@@ -25,12 +25,12 @@
 	TookMs   float64 `json:"tookMs"`
 	Events   int     `json:"events"`
 	Expected int     `json:"expectedEvents"`
-	Whole    bool    `json:"whole"`
+	Complete bool    `json:"whole"`
 	Error    string  `json:"problem,omitempty"`
 }
 
-// streamBound is how long a complete stream may take.
-const streamBound = 30 * time.Second
+// streamTimeout is how long a complete stream may take.
+const streamTimeout = 30 * time.Second
 
 // milliseconds is a length in milliseconds, exact to a microsecond.
 func milliseconds(length time.Duration) float64 { return float64(length.Microseconds()) / 1000 }
@@ -46,8 +46,8 @@
 	}
 }
 
-// ask sends one request and reads its stream to the end; a failure is recorded in the result.
-func ask(ctx context.Context, client *http.Client, number int, address, host string, planned stream) Served {
+// sendRequest sends one request and reads its stream to the end; a failure is recorded in the result.
+func sendRequest(ctx context.Context, client *http.Client, number int, address, host string, planned stream) Served {
 	result := Served{
 		Number:    number,
 		DataPlane: address,
@@ -55,7 +55,7 @@
 		Model:     planned.Model,
 		Expected:  planned.Output,
 	}
-	bounded, cancel := context.WithTimeout(ctx, streamBound)
+	bounded, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(bounded, http.MethodPost, "http://"+address+planned.Path, strings.NewReader("say something"))
 	if err != nil {
@@ -97,5 +97,5 @@
 	if lines.Err() != nil {
 		s.Error = lines.Err().Error()
 	}
-	s.Whole = s.Status == http.StatusOK && s.Events == s.Expected && s.Error == ""
+	s.Complete = s.Status == http.StatusOK && s.Events == s.Expected && s.Error == ""
 }
--- a/internal/sim/emulator/demo/demo.go
+++ b/internal/sim/emulator/demo/demo.go
@@ -85,7 +85,7 @@
 }
 
 // send sends the streams, to the data planes in turn.
-func (s *deployment) send(ctx context.Context, amount int) []Served {
+func (d *deployment) send(ctx context.Context, amount int) []Served {
 	served := make([]Served, amount)
 	places := make(chan struct{}, streamsAtOnce)
 	var group sync.WaitGroup
@@ -93,8 +93,8 @@
 		places <- struct{}{}
 		group.Go(func() {
 			defer func() { <-places }()
-			request := s.plan.Streams[number%len(s.plan.Streams)]
-			served[number] = ask(ctx, http.DefaultClient, number+1, s.edges[number%len(s.edges)], s.host(), request)
+			request := d.plan.Streams[number%len(d.plan.Streams)]
+			served[number] = sendRequest(ctx, http.DefaultClient, number+1, d.edges[number%len(d.edges)], d.host(), request)
 		})
 	}
 	group.Wait()
@@ -102,13 +102,13 @@
 }
 
 // host is the hostname that the routes serve.
-func (s *deployment) host() string { return s.plan.configuration.Routes[0].Hostname }
+func (d *deployment) host() string { return d.plan.configuration.Routes[0].Hostname }
 
 // fault is an error if a stream was not served completely.
 func (r Result) fault() error {
 	broken := 0
 	for _, served := range r.Streams {
-		if !served.Whole {
+		if !served.Complete {
 			broken++
 		}
 	}
@@ -134,17 +134,17 @@
 }
 
 // printHints prints commands to try against the fleet that stays up.
-func (s *deployment) printHints(to io.Writer) {
-	request := s.plan.Streams[0]
+func (d *deployment) printHints(to io.Writer) {
+	request := d.plan.Streams[0]
 	fmt.Fprintf(to, "\nall of it stays up; Ctrl-C ends it. Try:\n\n")
-	fmt.Fprintf(to, "  curl -N http://%s%s -H 'Host: %s'", s.edges[0], request.Path, s.host())
+	fmt.Fprintf(to, "  curl -N http://%s%s -H 'Host: %s'", d.edges[0], request.Path, d.host())
 	own := headers(request, "mine-1")
 	for _, name := range slices.Sorted(maps.Keys(own)) {
 		fmt.Fprintf(to, " -H '%s: %s'", name, own[name])
 	}
 	fmt.Fprintf(to, " -d 'say something'\n")
 	for _, command := range []string{"status", "layout", "drain east", "undrain east"} {
-		fmt.Fprintf(to, "  %s/ferryspar-operator -c %s %s\n", s.programs, s.controls[0], command)
+		fmt.Fprintf(to, "  %s/ferryspar-operator -c %s %s\n", d.programs, d.controls[0], command)
 	}
-	fmt.Fprintf(to, "  curl http://%s/replicas\n\n", s.platform)
+	fmt.Fprintf(to, "  curl http://%s/replicas\n\n", d.platform)
 }
--- a/internal/sim/emulator/demo/demo_test.go
+++ b/internal/sim/emulator/demo/demo_test.go
@@ -37,7 +37,7 @@
 	})
 	assert.NilError(t, err, "%s", table.String())
 	for number, served := range result.Streams {
-		assert.Assert(t, served.Whole && served.Replica != "" && served.FirstMs > 0, "%+v", served)
+		assert.Assert(t, served.Complete && served.Replica != "" && served.FirstMs > 0, "%+v", served)
 		assert.Equal(t, served.Model, planned.Streams[number].Model)
 	}
 	assert.Equal(t, strings.Count(table.String(), "\n"), len(planned.Streams)+1)
@@ -69,7 +69,7 @@
 		Progress: output,
 	})
 	assert.NilError(t, err)
-	assert.Assert(t, ctx.Err() != nil, "it stayed until it was told to end")
+	assert.Assert(t, ctx.Err() != nil, "it stayed until the interrupt")
 }
 
 type outputWatcher struct {
--- a/internal/sim/emulator/demo/deployment.go
+++ b/internal/sim/emulator/demo/deployment.go
@@ -33,44 +33,44 @@
 }
 
 // onClose adds something to undo at the end, last first.
-func (s *deployment) onClose(act func()) { s.cleanup = append(s.cleanup, act) }
+func (d *deployment) onClose(act func()) { d.cleanup = append(d.cleanup, act) }
 
 // close ends the children and everything else that was started.
-func (s *deployment) close() {
-	for position := len(s.cleanup) - 1; position >= 0; position-- {
-		s.cleanup[position]()
+func (d *deployment) close() {
+	for position := len(d.cleanup) - 1; position >= 0; position-- {
+		d.cleanup[position]()
 	}
-	s.cleanup = nil
+	d.cleanup = nil
 }
 
 // serve answers HTTP on a free loopback address until the end.
-func (s *deployment) serve(handler http.Handler) (string, error) {
+func (d *deployment) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "loopback")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
-	s.onClose(func() { server.Close() })
+	d.onClose(func() { server.Close() })
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
 }
 
 // startReplicas starts the stand-in replicas and the list.
-func (s *deployment) startReplicas() error {
-	backend := s.plan.configuration.Backends[0]
+func (d *deployment) startReplicas() error {
+	backend := d.plan.configuration.Backends[0]
 	list := &standin.List{PageSize: 3}
-	for _, planned := range s.plan.Replicas {
+	for _, planned := range d.plan.Replicas {
 		listed := discovery.Replica{ID: planned.ID, Zone: planned.Zone, Revision: "v1"}
 		replica := standin.NewReplica(listed, backend, standin.DefaultPace(), planned.Models...)
-		address, err := s.serve(replica.Routes(backend.HealthPath))
+		address, err := d.serve(replica.Routes(backend.HealthPath))
 		if err != nil {
 			return err
 		}
 		replica.SetAddress(address)
 		list.Replicas = append(list.Replicas, replica)
 	}
-	address, err := s.serve(list)
-	s.platform = address
+	address, err := d.serve(list)
+	d.platform = address
 	return err
 }
 
@@ -79,77 +79,77 @@
 const startTries = 3
 
 // startAll starts the daemons, sends the configuration and waits until all data planes are ready.
-func (s *deployment) startAll(ctx context.Context, controls int) error {
-	folder := s.folder
-	defer func() { s.folder = folder }()
+func (d *deployment) startAll(ctx context.Context, controls int) error {
+	folder := d.folder
+	defer func() { d.folder = folder }()
 	for attempt := 1; ; attempt++ {
 		own, err := os.MkdirTemp(folder, "start-")
-		s.folder = own
+		d.folder = own
 		if err == nil {
-			err = s.startDaemons(controls)
+			err = d.startDaemons(controls)
 		}
 		if err == nil {
-			err = s.configure(ctx)
+			err = d.configure(ctx)
 		}
 		if err == nil {
-			err = s.awaitReady(ctx)
+			err = d.awaitReady(ctx)
 		}
-		if err == nil || attempt == startTries || !s.lostChild() {
+		if err == nil || attempt == startTries || !d.lostChild() {
 			return err
 		}
-		for _, process := range s.children {
+		for _, process := range d.children {
 			process.end()
 		}
-		s.children = nil
-		s.controls = nil
-		s.edges = nil
-		s.ready = nil
+		d.children = nil
+		d.controls = nil
+		d.edges = nil
+		d.ready = nil
 	}
 }
 
 // lostChild reports whether a child has ended.
-func (s *deployment) lostChild() bool {
-	return slices.ContainsFunc(s.children, func(process *child) bool { return !process.alive() })
+func (d *deployment) lostChild() bool {
+	return slices.ContainsFunc(d.children, func(process *child) bool { return !process.alive() })
 }
 
 // startDaemons starts the control planes and then the data planes.
-func (s *deployment) startDaemons(controls int) error {
+func (d *deployment) startDaemons(controls int) error {
 	hosts := make([]string, controls)
 	for number := range hosts {
 		hosts[number] = loopbackAddress(number + 1)
 	}
-	port, err := freePorts(1+len(s.plan.DataPlanes), hosts...)
+	port, err := freePorts(1+len(d.plan.DataPlanes), hosts...)
 	if err != nil {
 		return err
 	}
-	s.internal = port
+	d.internal = port
 	for _, host := range hosts {
 		address, err := freeAddress(host)
 		if err != nil {
 			return err
 		}
-		s.controls = append(s.controls, address)
+		d.controls = append(d.controls, address)
 	}
 	for number, host := range hosts {
 		name := fmt.Sprintf("control-%d", number+1)
-		zone := s.plan.DataPlanes[number%len(s.plan.DataPlanes)]
+		zone := d.plan.DataPlanes[number%len(d.plan.DataPlanes)]
 		node := daemon{
 			name:     name,
 			host:     host,
 			zone:     zone,
-			bind:     map[string]any{"controlPlane": s.controls[number]},
+			bind:     map[string]any{"controlPlane": d.controls[number]},
 			dataPath: name,
 		}
-		if err := s.start(controlProgram, node); err != nil {
+		if err := d.start(controlProgram, node); err != nil {
 			return err
 		}
 	}
-	return s.startDataPlanes()
+	return d.startDataPlanes()
 }
 
 // startDataPlanes starts a data plane for each zone that the plan names.
-func (s *deployment) startDataPlanes() error {
-	for number, zone := range s.plan.DataPlanes {
+func (d *deployment) startDataPlanes() error {
+	for number, zone := range d.plan.DataPlanes {
 		edge, err := freeAddress(loopbackAddress(1))
 		if err != nil {
 			return err
@@ -158,15 +158,15 @@
 		if err != nil {
 			return err
 		}
-		s.edges = append(s.edges, edge)
-		s.ready = append(s.ready, ready)
+		d.edges = append(d.edges, edge)
+		d.ready = append(d.ready, ready)
 		node := daemon{
 			name: fmt.Sprintf("data-%d", number+1),
 			host: loopbackAddress(1),
 			zone: zone,
 			bind: map[string]any{"dataPlane": edge, "readiness": ready},
 		}
-		if err := s.start(dataProgram, node); err != nil {
+		if err := d.start(dataProgram, node); err != nil {
 			return err
 		}
 	}
@@ -174,41 +174,41 @@
 }
 
 // start starts one daemon.
-func (s *deployment) start(program string, node daemon) error {
-	settings, err := s.settings(node)
+func (d *deployment) start(program string, node daemon) error {
+	settings, err := d.settings(node)
 	if err != nil {
 		return errors.Wrap(err, "settings of "+node.name)
 	}
-	process, err := startChild(s.programs, s.folder, program, node.name, settings)
+	process, err := startChild(d.programs, d.folder, program, node.name, settings)
 	if err != nil {
 		return err
 	}
-	s.children = append(s.children, process)
-	s.onClose(process.end)
+	d.children = append(d.children, process)
+	d.onClose(process.end)
 	return nil
 }
 
 // configure sends the embedded configuration as an operator does.
-func (s *deployment) configure(ctx context.Context) error {
+func (d *deployment) configure(ctx context.Context) error {
 	caller := &adminapi.Client{
-		Addresses:         s.controls,
+		Addresses:         d.controls,
 		HTTPClient:        adminapi.NewHTTPClient(),
 		PerAddressTimeout: 2 * time.Second,
 		Timeout:           15 * time.Second,
 	}
 	outcome, err := caller.Call(ctx, http.MethodPut, "/ferryspar/config", "0", embeddedConfiguration)
 	if err != nil {
-		return s.addChildLogs(errors.Wrap(err, "configuration"))
+		return d.addChildLogs(errors.Wrap(err, "configuration"))
 	}
 	if outcome.Status != http.StatusOK {
-		return s.addChildLogs(errors.Errorf("configuration answered with %d: %s", outcome.Status, outcome.Body))
+		return d.addChildLogs(errors.Errorf("configuration answered with %d: %s", outcome.Status, outcome.Body))
 	}
 	return nil
 }
 
 // addChildLogs adds to an error the end of the log of every child that has ended.
-func (s *deployment) addChildLogs(err error) error {
-	for _, process := range s.children {
+func (d *deployment) addChildLogs(err error) error {
+	for _, process := range d.children {
 		if !process.alive() {
 			err = errors.Wrapf(err, "%s has ended: %s", process.name, process.tail())
 		}
@@ -217,13 +217,13 @@
 }
 
 // makeFolder makes the folder for settings, logs and data; a temporary one is removed at the end.
-func (s *deployment) makeFolder(keep string) error {
+func (d *deployment) makeFolder(keep string) error {
 	if keep != "" {
-		s.folder = keep
+		d.folder = keep
 		return errors.Wrap(os.MkdirAll(keep, 0o700), "folder")
 	}
 	folder, err := os.MkdirTemp("", "ferryspar-demo-")
-	s.folder = folder
-	s.onClose(func() { os.RemoveAll(folder) })
+	d.folder = folder
+	d.onClose(func() { os.RemoveAll(folder) })
 	return errors.Wrap(err, "temporary folder")
 }
--- a/internal/sim/emulator/demo/ready.go
+++ b/internal/sim/emulator/demo/ready.go
@@ -17,14 +17,14 @@
 )
 
 // awaitReady waits until every data plane is ready.
-func (s *deployment) awaitReady(ctx context.Context) error {
+func (d *deployment) awaitReady(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for _, address := range s.ready {
+	for _, address := range d.ready {
 		for !isReady(bounded, address) {
 			select {
 			case <-bounded.Done():
-				return s.addChildLogs(errors.Errorf("data plane %s is not ready in time", address))
+				return d.addChildLogs(errors.Errorf("data plane %s is not ready in time", address))
 			case <-time.After(readyPollInterval):
 			}
 		}
--- a/internal/sim/emulator/demo/settings.go
+++ b/internal/sim/emulator/demo/settings.go
@@ -17,28 +17,28 @@
 }
 
 // settings is a daemon's settings file.
-func (s *deployment) settings(node daemon) ([]byte, error) {
+func (d *deployment) settings(node daemon) ([]byte, error) {
 	zones := map[string]any{}
-	for zone, region := range s.plan.Zones {
+	for zone, region := range d.plan.Zones {
 		zones[zone] = region
 	}
 	tree := map[string]any{
 		"nodeName":       node.name,
 		"ipAddress":      node.host,
 		"zone":           node.zone,
-		"region":         s.plan.Zones[node.zone],
+		"region":         d.plan.Zones[node.zone],
 		"bootstrap":      true,
-		"internalPorts":  []int{s.internal, s.internal + len(s.plan.DataPlanes)},
-		"seedNodes":      s.controls,
+		"internalPorts":  []int{d.internal, d.internal + len(d.plan.DataPlanes)},
+		"seedNodes":      d.controls,
 		"zones":          zones,
 		"bindAddresses":  node.bind,
 		"limits":         map[string]any{"cpuCores": 2},
-		"faultTolerance": map[string]any{"machineLoss": len(s.controls) / 2},
+		"faultTolerance": map[string]any{"machineLoss": len(d.controls) / 2},
 		"timingBounds":   map[string]any{"graceS": 1.0, "retryBudgetRatio": 0.2, "retryBudgetSlack": 50.0},
-		"cloudApi":       map[string]any{"address": s.platform, "ratePerS": 40.0, "maxLagMs": 200.0},
+		"cloudApi":       map[string]any{"address": d.platform, "ratePerS": 40.0, "maxLagMs": 200.0},
 	}
 	if node.dataPath != "" {
-		tree["dataDir"] = filepath.Join(s.folder, node.dataPath)
+		tree["dataDir"] = filepath.Join(d.folder, node.dataPath)
 	}
 	return toml.Parser().Marshal(tree)
 }
--- a/internal/sim/emulator/loss.go
+++ b/internal/sim/emulator/loss.go
@@ -41,8 +41,8 @@
 	Edges  []EdgeState
 	Demand map[string]*placement.Demand
 	// Held is what each address has once loaded, by reference.
-	Held map[string]map[string]bool
-	Loss drill.Loss
+	LoadedBefore map[string]map[string]bool
+	Loss         drill.Loss
 	// View is the planner's input.
 	View *placement.View
 }
@@ -50,14 +50,14 @@
 // snapshot gathers what the daemons know now.
 func (w *World) snapshot(zones []int, from Loss) Snapshot {
 	before := Snapshot{
-		At:     w.now(),
-		Table:  w.table,
-		Lost:   map[string]bool{},
-		Listed: w.listedReplicas(),
-		Demand: w.control.demand.copied(),
-		Held:   w.control.loadedBefore,
-		Loss:   w.scope(from),
-		View:   w.control.view(w.now()),
+		At:           w.now(),
+		Table:        w.table,
+		Lost:         map[string]bool{},
+		Listed:       w.listedReplicas(),
+		Demand:       w.control.demand.copied(),
+		LoadedBefore: w.control.loadedBefore,
+		Loss:         w.scope(from),
+		View:         w.control.view(w.now()),
 	}
 	for _, zone := range zones {
 		before.Lost[w.scenario.Zones[zone].Name] = true
--- a/internal/sim/emulator/observer.go
+++ b/internal/sim/emulator/observer.go
@@ -31,12 +31,12 @@
 
 // Bucket sums the requests of a class that arrived in one bucket of time.
 type Bucket struct {
-	AtS     float64   `json:"atS"`
-	Offered int       `json:"offered"`
-	InTime  int       `json:"inTime"`
-	Refused int       `json:"refused"`
-	Firsts  []float64 `json:"firstTokenMs"`
-	Pauses  []float64 `json:"longestPauseMs"`
+	AtS      float64   `json:"atS"`
+	Offered  int       `json:"offered"`
+	InTime   int       `json:"inTime"`
+	Rejected int       `json:"refused"`
+	Firsts   []float64 `json:"firstTokenMs"`
+	Pauses   []float64 `json:"longestPauseMs"`
 }
 
 // ClassResult sums the requests of a class. Resumed counts those served after more than one
@@ -72,13 +72,13 @@
 
 // Result is everything observed in a run.
 type Result struct {
-	Seed       uint64        `json:"seed"`
-	Classes    []ClassResult `json:"classes"`
-	Samples    []Sample      `json:"samples"`
-	Losses     []LossResult  `json:"losses"`
-	ReadTokens float64       `json:"readTokens"`
-	KeptTokens float64       `json:"keptTokens"`
-	Forwards   int           `json:"dispatched"`
+	Seed         uint64        `json:"seed"`
+	Classes      []ClassResult `json:"classes"`
+	Samples      []Sample      `json:"samples"`
+	Losses       []LossResult  `json:"losses"`
+	ReadTokens   float64       `json:"readTokens"`
+	CachedTokens float64       `json:"keptTokens"`
+	Forwards     int           `json:"dispatched"`
 	// Violations are broken invariants of the emulation; a sound run has none.
 	Violations []string         `json:"faults"`
 	Requests   []RequestOutcome `json:"-"`
@@ -86,16 +86,16 @@
 
 // observer gathers the results while a world runs.
 type observer struct {
-	scenario   Scenario
-	classes    []ClassResult
-	samples    []Sample
-	losses     []LossResult
-	stored     int
-	disk       int
-	readTokens float64
-	keptTokens float64
-	forwards   int
-	requests   []RequestOutcome
+	scenario     Scenario
+	classes      []ClassResult
+	samples      []Sample
+	losses       []LossResult
+	stored       int
+	disk         int
+	readTokens   float64
+	cachedTokens float64
+	forwards     int
+	requests     []RequestOutcome
 }
 
 // newObserver makes an observer with an empty bucket for every span of the scenario.
@@ -119,7 +119,7 @@
 // promptAdmitted counts the tokens of a prompt that must be read and those that were cached.
 func (o *observer) promptAdmitted(unread, prompt float64) {
 	o.readTokens += unread
-	o.keptTokens += max(prompt-unread, 0)
+	o.cachedTokens += max(prompt-unread, 0)
 }
 
 // loaded counts a load, from the store or from a disk.
@@ -158,7 +158,7 @@
 		bucket.InTime++
 	}
 	if clientCall.outcome == outcomeRejected {
-		bucket.Refused++
+		bucket.Rejected++
 	}
 	if clientCall.outcome == outcomeServed && clientCall.attemptsMade > 1 {
 		class.Resumed++
@@ -190,14 +190,14 @@
 // result is what was observed so far.
 func (o *observer) result(w *World) Result {
 	return Result{
-		Seed:       o.scenario.Seed,
-		Classes:    o.classes,
-		Samples:    o.samples,
-		Losses:     append([]LossResult{}, o.losses...),
-		ReadTokens: o.readTokens,
-		KeptTokens: o.keptTokens,
-		Forwards:   o.forwards,
-		Violations: append([]string{}, w.violations...),
-		Requests:   o.requests,
+		Seed:         o.scenario.Seed,
+		Classes:      o.classes,
+		Samples:      o.samples,
+		Losses:       append([]LossResult{}, o.losses...),
+		ReadTokens:   o.readTokens,
+		CachedTokens: o.cachedTokens,
+		Forwards:     o.forwards,
+		Violations:   append([]string{}, w.violations...),
+		Requests:     o.requests,
 	}
 }
--- a/internal/sim/emulator/scenario.go
+++ b/internal/sim/emulator/scenario.go
@@ -95,23 +95,23 @@
 type LogNormal struct {
 	Median float64 `koanf:"median"`
 	Sigma  float64 `koanf:"sigma"`
-	Most   float64 `koanf:"most"`
+	Max    float64 `koanf:"most"`
 }
 
 // Class is a kind of request, served by a route of the same name.
 type Class struct {
 	Name  string  `koanf:"name"`
 	Share float64 `koanf:"share"`
-	// AimMs is the target for the first token.
-	AimMs     float64 `koanf:"aimMs"`
-	TimeoutMs float64 `koanf:"timeoutMs"`
-	// GapMs is the longest gap between tokens that still counts as in time.
-	GapMs      float64 `koanf:"tokenGapMs"`
+	// LatencyTargetMs is the target for the first token.
+	LatencyTargetMs float64 `koanf:"aimMs"`
+	TimeoutMs       float64 `koanf:"timeoutMs"`
+	// TokenGapMs is the longest gap between tokens that still counts as in time.
+	TokenGapMs float64 `koanf:"tokenGapMs"`
 	Priority   int     `koanf:"priority"`
 	Resumable  bool    `koanf:"resumable"`
 	RetryCount int     `koanf:"retryCount"`
 	// Tries is how many attempts a client makes, RetryCount how many forwards an edge makes.
-	Tries          int       `koanf:"tries"`
+	Attempts       int       `koanf:"tries"`
 	AllowedRegions []string  `koanf:"allowedRegions"`
 	Prompt         LogNormal `koanf:"prompt"`
 	Output         LogNormal `koanf:"output"`
--- a/internal/sim/emulator/standin/serve.go
+++ b/internal/sim/emulator/standin/serve.go
@@ -28,12 +28,12 @@
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	unread, refused := r.begin(reference, parts, prompt)
-	if refused != nil {
-		if refused.neverRan {
+	unread, rejected := r.begin(reference, parts, prompt)
+	if rejected != nil {
+		if rejected.neverRan {
 			writer.Header().Set(replica.HeaderNotExecuted, "1")
 		}
-		writer.WriteHeader(refused.status)
+		writer.WriteHeader(rejected.status)
 		return
 	}
 	defer r.end()
--- a/internal/sim/emulator/traffic.go
+++ b/internal/sim/emulator/traffic.go
@@ -68,7 +68,7 @@
 		return s.Median
 	}
 	drawn := distuv.LogNormal{Mu: math.Log(s.Median), Sigma: s.Sigma, Src: from}.Rand()
-	return math.Round(min(max(drawn, 1), s.Most))
+	return math.Round(min(max(drawn, 1), s.Max))
 }
 
 // rate is the requests a second at a moment, given in seconds.
--- a/internal/sim/emulator/world.go
+++ b/internal/sim/emulator/world.go
@@ -166,13 +166,13 @@
 			PathPrefix:      "/" + class.Name + "/",
 			RouteType:       configuration.Streaming,
 			TimeoutMs:       class.TimeoutMs,
-			TargetLatencyMs: class.AimMs,
+			TargetLatencyMs: class.LatencyTargetMs,
 			Priority:        class.Priority,
 			Backend:         backendName,
 			RetryCount:      class.RetryCount,
 			Sticky:          true,
 			Resumable:       class.Resumable,
-			TokenGapMs:      class.GapMs,
+			TokenGapMs:      class.TokenGapMs,
 			AllowedRegions:  class.AllowedRegions,
 		})
 	}
--- a/internal/sim/emulator/world_test.go
+++ b/internal/sim/emulator/world_test.go
@@ -22,28 +22,28 @@
 	s.Traffic = Traffic{PerS: 14, BurstEveryS: 20, BurstLengthS: 3, BurstFactor: 2, Turns: 3, ThinkS: 5}
 	s.Classes = []Class{
 		{
-			Name:       "quick",
-			Share:      0.6,
-			AimMs:      600,
-			TimeoutMs:  15000,
-			GapMs:      300,
-			Priority:   1,
-			RetryCount: 2,
-			Tries:      4,
-			Prompt:     LogNormal{Median: 400, Sigma: 0.7, Most: 3000},
-			Output:     LogNormal{Median: 40, Sigma: 0.5, Most: 200},
+			Name:            "quick",
+			Share:           0.6,
+			LatencyTargetMs: 600,
+			TimeoutMs:       15000,
+			TokenGapMs:      300,
+			Priority:        1,
+			RetryCount:      2,
+			Attempts:        4,
+			Prompt:          LogNormal{Median: 400, Sigma: 0.7, Max: 3000},
+			Output:          LogNormal{Median: 40, Sigma: 0.5, Max: 200},
 		},
 		{
-			Name:       "report",
-			Share:      0.4,
-			AimMs:      8000,
-			TimeoutMs:  45000,
-			GapMs:      300,
-			Resumable:  true,
-			RetryCount: 2,
-			Tries:      6,
-			Prompt:     LogNormal{Median: 900, Sigma: 0.6, Most: 4000},
-			Output:     LogNormal{Median: 200, Sigma: 0.5, Most: 600},
+			Name:            "report",
+			Share:           0.4,
+			LatencyTargetMs: 8000,
+			TimeoutMs:       45000,
+			TokenGapMs:      300,
+			Resumable:       true,
+			RetryCount:      2,
+			Attempts:        6,
+			Prompt:          LogNormal{Median: 900, Sigma: 0.6, Max: 4000},
+			Output:          LogNormal{Median: 200, Sigma: 0.5, Max: 600},
 		},
 	}
 	return s
@@ -201,7 +201,7 @@
 func TestScenario_NamesEveryInvalidField(t *testing.T) {
 	scenario := troubled(1)
 	scenario.Losses[0].Region = "nowhere"
-	scenario.Classes[0].AimMs = 0
+	scenario.Classes[0].LatencyTargetMs = 0
 	scenario.Placement.Copies = "all"
 	_, err := NewWorld(scenario)
 	for _, named := range []string{`unknown region "nowhere"`, `classes "quick"`, `not "all"`} {
--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -171,7 +171,7 @@
 	found = append(found, placementFigures(lost, end)...)
 	for number, class := range lost.Classes {
 		found = append(found, c.firstTokenFigures(lost, spared, number)...)
-		slowdown := slowdownFigures(lost, spared, number, c.Built[0].Classes[number].AimMs, period{fromS: loss.AtS, toS: end})
+		slowdown := slowdownFigures(lost, spared, number, c.Built[0].Classes[number].LatencyTargetMs, period{fromS: loss.AtS, toS: end})
 		for _, measured := range slowdown {
 			found = append(found, measurement{class.Name + measured.name, measured.value})
 		}
--- a/internal/sim/experiment/figures.go
+++ b/internal/sim/experiment/figures.go
@@ -96,8 +96,8 @@
 
 // bucketSums sums buckets of requests.
 type bucketSums struct {
-	offered, inTime, refused int
-	firsts, pauses           *hdrhistogram.Histogram
+	offered, inTime, rejected int
+	firsts, pauses            *hdrhistogram.Histogram
 }
 
 // newBucketSums is empty sums.
@@ -109,7 +109,7 @@
 func (s *bucketSums) add(bucket emulator.Bucket) {
 	s.offered += bucket.Offered
 	s.inTime += bucket.InTime
-	s.refused += bucket.Refused
+	s.rejected += bucket.Rejected
 	fill(s.firsts, bucket.Firsts)
 	fill(s.pauses, bucket.Pauses)
 }
@@ -132,7 +132,7 @@
 			}
 			at := class.Name + ", " + span.name + ": "
 			add(at+"share in time", share(sums.inTime, sums.offered))
-			add(at+"share refused", share(sums.refused, sums.offered))
+			add(at+"share refused", share(sums.rejected, sums.offered))
 			if sums.firsts.TotalCount() == 0 {
 				continue
 			}
@@ -165,7 +165,7 @@
 	found := []measurement{
 		{"longest queue", float64(waiting)},
 		{"prompt tokens read", result.ReadTokens},
-		{"prompt tokens kept", result.KeptTokens},
+		{"prompt tokens kept", result.CachedTokens},
 	}
 	if last := len(result.Samples) - 1; last >= 0 {
 		found = append(found,
--- a/internal/sim/experiment/plots.go
+++ b/internal/sim/experiment/plots.go
@@ -22,15 +22,15 @@
 
 // plotFiles is the file that each series is drawn in; some share one.
 var plotFiles = map[string]string{
-	seriesInTime: "in-time",
-	seriesMedian: "first-token",
-	seriesTail:   "first-token",
-	seriesPauses: "pauses",
-	seriesRefuse: "refusals",
-	seriesQueue:  "queues",
-	seriesRun:    "running",
-	seriesWarm:   "warm-tokens",
-	seriesLoads:  "loads",
+	seriesInTime:   "in-time",
+	seriesMedian:   "first-token",
+	seriesTail:     "first-token",
+	seriesPauses:   "pauses",
+	seriesRejected: "refusals",
+	seriesQueue:    "queues",
+	seriesRun:      "running",
+	seriesWarm:     "warm-tokens",
+	seriesLoads:    "loads",
 }
 
 // plotLabels ends the legend of series that share a plot.
--- a/internal/sim/experiment/summary.go
+++ b/internal/sim/experiment/summary.go
@@ -95,15 +95,15 @@
 
 const (
 	// seriesInTime and those below name the series.
-	seriesInTime = "share inside the aim"
-	seriesMedian = "first token p50, ms"
-	seriesTail   = "first token p95, ms"
-	seriesPauses = "longest pause p95, ms"
-	seriesRefuse = "share refused"
-	seriesQueue  = "requests waiting or queued"
-	seriesRun    = "streams running"
-	seriesWarm   = "warm tokens"
-	seriesLoads  = "loads so far (store and disk)"
+	seriesInTime   = "share inside the aim"
+	seriesMedian   = "first token p50, ms"
+	seriesTail     = "first token p95, ms"
+	seriesPauses   = "longest pause p95, ms"
+	seriesRejected = "share refused"
+	seriesQueue    = "requests waiting or queued"
+	seriesRun      = "streams running"
+	seriesWarm     = "warm tokens"
+	seriesLoads    = "loads so far (store and disk)"
 )
 
 // series are the lines of a variant, pooled over the seeds.
@@ -111,7 +111,7 @@
 	var found []Series
 	for class, result := range results[0].Classes {
 		lines := map[string]*Series{}
-		names := []string{seriesInTime, seriesMedian, seriesTail, seriesPauses, seriesRefuse}
+		names := []string{seriesInTime, seriesMedian, seriesTail, seriesPauses, seriesRejected}
 		for _, name := range names {
 			lines[name] = &Series{Name: name, Class: result.Name, Points: []Point{}}
 		}
@@ -139,8 +139,8 @@
 		sums.add(result.Classes[class].Buckets[number])
 	}
 	values := map[string]float64{
-		seriesInTime: share(sums.inTime, sums.offered),
-		seriesRefuse: share(sums.refused, sums.offered),
+		seriesInTime:   share(sums.inTime, sums.offered),
+		seriesRejected: share(sums.rejected, sums.offered),
 	}
 	if sums.firsts.TotalCount() > 0 {
 		values[seriesMedian] = quantile(sums.firsts, 50)
--- a/internal/sim/experiment/window.go
+++ b/internal/sim/experiment/window.go
@@ -33,7 +33,7 @@
 		case request.FirstMs == 0:
 			found.unserved++
 			found.missed++
-		case request.FirstMs > class.AimMs:
+		case request.FirstMs > class.LatencyTargetMs:
 			found.missed++
 		}
 		if request.FirstMs > 0 {
--- a/internal/sim/hollow/failures.go
+++ b/internal/sim/hollow/failures.go
@@ -63,14 +63,14 @@
 	run.lost = f.dataIndices(run.targets.data)
 	run.result.Data = len(run.lost)
 	run.sortMembers()
-	cut, refused := f.clients.broken.Load(), f.clients.rejected.Load()
+	broken, rejected := f.clients.broken.Load(), f.clients.rejected.Load()
 	run.result.During, err = f.window(name+", during", 0, 0, func() error { return run.during(ctx) })
 	if err != nil {
 		return run.result, err
 	}
 	run.result.After, err = f.window(name+", after", 0, 0, func() error { return run.after(ctx) })
-	run.result.Broken = f.clients.broken.Load() - cut
-	run.result.Rejected = f.clients.rejected.Load() - refused
+	run.result.Broken = f.clients.broken.Load() - broken
+	run.result.Rejected = f.clients.rejected.Load() - rejected
 	return run.result, err
 }
 
--- a/internal/sim/hollow/hollow_test.go
+++ b/internal/sim/hollow/hollow_test.go
@@ -58,18 +58,18 @@
 	assert.Equal(t, result.Changes.InForce.Count, int64(6*result.Changes.Made))
 	assert.Assert(t, result.Requests.Complete > 0)
 	assert.Equal(t, len(result.Phases), 5)
-	told := map[string]float64{}
+	rates := map[string]float64{}
 	for _, phase := range result.Phases[1:] {
 		assert.Equal(t, phase.Roles[roleData].Daemons+phase.Roles[roleAlone].Daemons, 6)
 		assert.Assert(t, phase.Roles[roleHolder] != nil)
 		for _, role := range phase.Roles {
 			for path, call := range role.Calls {
-				told[path] += call.PerS
+				rates[path] += call.PerS
 			}
 		}
 	}
 	for _, path := range []string{"/partner/news", "/partner/pressure", "/partner/keystore", "/partner/greet", "/replicas"} {
-		assert.Assert(t, told[path] > 0, path)
+		assert.Assert(t, rates[path] > 0, path)
 	}
 	busy := result.Phases[3]
 	assert.Assert(t, busy.Roles[roleMember].MessagesIn > 0)
--- a/internal/sim/hollow/phases.go
+++ b/internal/sim/hollow/phases.go
@@ -75,16 +75,16 @@
 func (f *Fleet) measure(name string, from, to observation) Phase {
 	span := to.at.Sub(from.at).Seconds()
 	phase := Phase{Name: name, Seconds: span, Placed: to.placed - from.placed, Roles: map[string]*Role{}}
-	heard := map[string]Flow{}
+	received := map[string]Flow{}
 	for index := range to.snapshots {
 		for path, targets := range to.snapshots[index].Flows {
 			for target := range targets {
 				moved := flowBetween(from.snapshots[index], to.snapshots[index], path, target)
-				sum := heard[target]
+				sum := received[target]
 				sum.Messages += moved.Messages
 				sum.Sent += moved.Sent
 				sum.Received += moved.Received
-				heard[target] = sum
+				received[target] = sum
 				if isControlPath(path) {
 					phase.Messages += moved.Messages
 					phase.Bytes += moved.Sent + moved.Received
@@ -105,7 +105,7 @@
 		if worked > fullShare*float64(f.plan.processors(childProcess.role)) {
 			phase.Full = append(phase.Full, role)
 		}
-		phase.Roles[role].add(from.snapshots[index], to.snapshots[index], span, childProcess, heard)
+		phase.Roles[role].add(from.snapshots[index], to.snapshots[index], span, childProcess, received)
 	}
 	for _, role := range phase.Roles {
 		role.mean()
@@ -132,7 +132,7 @@
 }
 
 // add adds a process's growth to its role; received is what was sent to each host.
-func (r *Role) add(before, after Snapshot, span float64, childProcess *process, heard map[string]Flow) {
+func (r *Role) add(before, after Snapshot, span float64, childProcess *process, received map[string]Flow) {
 	r.Daemons += len(childProcess.hosts)
 	r.ProcessorPart += 100 * (after.ProcessorS - before.ProcessorS) / span
 	r.HeapMb += after.HeapMb
@@ -159,7 +159,7 @@
 		return
 	}
 	for _, host := range childProcess.hosts {
-		in := heard[host]
+		in := received[host]
 		r.MessagesIn += float64(in.Messages) / span
 		r.InKbPerS += float64(in.Sent) / span / kilobytes
 		r.OutKbPerS += float64(in.Received) / span / kilobytes
--- a/internal/sim/hollow/standin_replica.go
+++ b/internal/sim/hollow/standin_replica.go
@@ -14,12 +14,12 @@
 type standIn struct {
 	lock      sync.Mutex
 	listed    discovery.Replica
-	held      standin.Holdings
+	loaded    standin.Holdings
 	busyUntil time.Time
 	sequence  int64
 	// highestFence is the highest fence seen; lower ones are rejected.
 	highestFence uint64
-	// life counts the restarts.
+	// incarnation counts the restarts.
 	incarnation int
 	lostAt      time.Time
 	active      atomic.Int64
@@ -33,7 +33,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	listed := s.listed
-	listed.Models = s.held.List()
+	listed.Models = s.loaded.List()
 	return listed, s.lostAt.IsZero() || time.Since(s.lostAt) < staysListed
 }
 
@@ -51,15 +51,15 @@
 		reference += "/" + instruction.Adapter
 	}
 	if instruction.Operation == replica.OperationLoad {
-		s.held[reference] = true
+		s.loaded[reference] = true
 		return
 	}
-	s.held.Drop(reference)
+	s.loaded.Drop(reference)
 }
 
 // holds reports whether the reference is loaded.
 func (s *standIn) hasLoaded(reference string) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.held[reference]
+	return s.loaded[reference]
 }
--- a/internal/sim/hollow/standins.go
+++ b/internal/sim/hollow/standins.go
@@ -32,7 +32,7 @@
 	world := &StandIns{plan: plan, byHost: map[string]*standIn{}}
 	for index := range plan.Replicas {
 		host := plan.replicaHost(index)
-		server := &standIn{held: standin.NewHoldings()}
+		server := &standIn{loaded: standin.NewHoldings()}
 		server.listed = discovery.Replica{
 			ID:       fmt.Sprintf("i-%08x", index+1),
 			Backend:  serviceName,
@@ -44,7 +44,7 @@
 			Phase:    "unified",
 		}
 		for place := range min(plan.ModelsPerReplica, plan.Models) {
-			server.held[modelName((index*plan.ModelsPerReplica+place)%plan.Models)] = true
+			server.loaded[modelName((index*plan.ModelsPerReplica+place)%plan.Models)] = true
 		}
 		world.replicas = append(world.replicas, server)
 		world.byHost[host] = server
@@ -118,7 +118,7 @@
 		} else {
 			server.incarnation++
 			server.listed.ID = fmt.Sprintf("%s-%d", server.listed.ID, server.incarnation)
-			server.held = standin.NewHoldings()
+			server.loaded = standin.NewHoldings()
 			server.sequence = 0
 			server.highestFence = 0
 			server.busyUntil = time.Time{}
@@ -158,7 +158,7 @@
 	server.lock.Lock()
 	state := replica.Report{
 		Phase:    "unified",
-		Models:   server.held.List(),
+		Models:   server.loaded.List(),
 		Busy:     time.Now().Before(server.busyUntil),
 		Sequence: server.sequence,
 		Active:   int(server.active.Load()),
