--- a/cmd/ferryspar-emulator/demo.go
+++ b/cmd/ferryspar-emulator/demo.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/sim/emulator/demo"
 )
 
-type demonstrate struct {
+type demoCommand struct {
 	Programs string `long:"programs" description:"folder of both programs (default: beside this one)"`
 	Controls int    `long:"control-planes" default:"1" choice:"1" choice:"3" description:"control planes; 3 need 127.0.0.2 and 127.0.0.3"`
 	Streams  int    `long:"streams" default:"12" description:"streams to send"`
@@ -19,11 +19,11 @@
 	JSON     bool   `long:"json" description:"print JSON"`
 }
 
-const mostStreams = 1000
+const maxStreams = 1000
 
-func (d *demonstrate) Execute([]string) error {
-	if d.Streams < 1 || d.Streams > mostStreams {
-		return cli.NewUsageError(errors.Errorf("--streams must lie between 1 and %d", mostStreams))
+func (d *demoCommand) Execute([]string) error {
+	if d.Streams < 1 || d.Streams > maxStreams {
+		return cli.NewUsageError(errors.Errorf("--streams must lie between 1 and %d", maxStreams))
 	}
 	if d.Programs == "" {
 		self, err := os.Executable()
--- a/cmd/ferryspar-emulator/experiment.go
+++ b/cmd/ferryspar-emulator/experiment.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/sim/experiment"
 )
 
-type experimentOn struct {
+type experimentCommand struct {
 	Out    string `long:"out" description:"folder for summary.json, table.txt and plots (default: none are written)"`
 	Seeds  int    `long:"seeds" description:"seeds of each variant instead of the file's"`
 	AtOnce int    `long:"at-once" description:"runs at the same time (default: half of the cores)"`
@@ -24,29 +24,29 @@
 	} `positional-args:"yes"`
 }
 
-func (e *experimentOn) Execute([]string) error {
+func (e *experimentCommand) Execute([]string) error {
 	if e.Seeds < 0 || e.AtOnce < 0 {
 		return cli.NewUsageError(errors.New("--seeds and --at-once must be above 0"))
 	}
-	wanted, err := experiment.Load(e.Rest.File)
+	configuration, err := experiment.Load(e.Rest.File)
 	if err != nil {
 		return cli.NewUsageError(err)
 	}
 	if e.Seeds > 0 {
-		wanted.Seeds = e.Seeds
+		configuration.Seeds = e.Seeds
 	}
 	if e.Check {
-		fmt.Printf("sound: %d variants, %d seeds\n", len(wanted.Variants), wanted.Seeds)
+		fmt.Printf("sound: %d variants, %d seeds\n", len(configuration.Variants), configuration.Seeds)
 		return nil
 	}
 	if e.AtOnce == 0 {
 		e.AtOnce = max(runtime.NumCPU()/2, 1)
 	}
-	all, err := experiment.Run(interrupted, wanted, e.AtOnce, os.Stderr)
+	all, err := experiment.Run(interrupted, configuration, e.AtOnce, os.Stderr)
 	if err != nil {
 		return err
 	}
-	summary := experiment.Summarize(wanted, all)
+	summary := experiment.Summarize(configuration, all)
 	if e.Out != "" {
 		if err := summary.Write(e.Out, all, e.Raw); err != nil {
 			return err
--- a/cmd/ferryspar-emulator/forecast.go
+++ b/cmd/ferryspar-emulator/forecast.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/sim/experiment"
 )
 
-type forecastOn struct {
+type forecastCommand struct {
 	Sizes  []int `long:"size" default:"1" default:"2" default:"3" description:"fleet size, as a multiple of the file's; name several"`
 	Seeds  int   `long:"seeds" default:"20" description:"seeds of each size"`
 	AtOnce int   `long:"at-once" description:"runs at the same time (default: half of the cores)"`
@@ -23,32 +23,32 @@
 }
 
 const (
-	mostSize         = 10
+	maxSize          = 10
 	methodByLoad     = "counted by pressures"
 	methodByMatchers = "the daemons' forecast"
 )
 
-func (f *forecastOn) Execute([]string) error {
-	wanted, err := experiment.Load(f.Rest.File)
+func (f *forecastCommand) Execute([]string) error {
+	configuration, err := experiment.Load(f.Rest.File)
 	if err != nil {
 		return cli.NewUsageError(err)
 	}
 	for _, size := range f.Sizes {
-		if size < 1 || size > mostSize {
-			return cli.NewUsageError(errors.Errorf("--size must lie between 1 and %d", mostSize))
+		if size < 1 || size > maxSize {
+			return cli.NewUsageError(errors.Errorf("--size must lie between 1 and %d", maxSize))
 		}
 	}
 	if f.Seeds < 2 {
 		return cli.NewUsageError(errors.New("--seeds must be at least 2"))
 	}
-	wanted.Seeds = f.Seeds
+	configuration.Seeds = f.Seeds
 	if f.AtOnce <= 0 {
 		f.AtOnce = max(runtime.NumCPU()/2, 1)
 	}
 	forecasters := map[string]emulator.Forecaster{
-		methodByLoad: emulator.CountByLoad, methodByMatchers: emulator.ByMatchers(wanted.AfterS),
+		methodByLoad: emulator.CountByLoad, methodByMatchers: emulator.ByMatchers(configuration.AfterS),
 	}
-	found, err := experiment.CompareForecasts(interrupted, wanted, f.Sizes, forecasters, f.AtOnce, os.Stderr)
+	found, err := experiment.CompareForecasts(interrupted, configuration, f.Sizes, forecasters, f.AtOnce, os.Stderr)
 	if err != nil {
 		return err
 	}
--- a/cmd/ferryspar-emulator/main.go
+++ b/cmd/ferryspar-emulator/main.go
@@ -22,9 +22,9 @@
 }
 
 var commands = []command{
-	{"demo", "start both programs with a small fleet of stand-ins on loopback, send streams, show how each was served", &demonstrate{}},
-	{"experiment", "emulate a fleet in made-up time: variants, seeds, a table and plots", &experimentOn{}},
-	{"forecast", "compare forecasts of a loss with the emulated loss, over seeds and fleet sizes", &forecastOn{}},
+	{"demo", "start both programs with a small fleet of stand-ins on loopback, send streams, show how each was served", &demoCommand{}},
+	{"experiment", "emulate a fleet in made-up time: variants, seeds, a table and plots", &experimentCommand{}},
+	{"forecast", "compare forecasts of a loss with the emulated loss, over seeds and fleet sizes", &forecastCommand{}},
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
--- a/internal/sim/emulator/demo/demo.go
+++ b/internal/sim/emulator/demo/demo.go
@@ -38,8 +38,8 @@
 	Streams  []Served `json:"streams"`
 }
 
-// streamsAtOnce is how many streams are under way together.
-const streamsAtOnce = 3
+// maxConcurrentStreams is how many streams are under way together.
+const maxConcurrentStreams = 3
 
 // Run starts the fleet, sends the streams, prints the result and takes the fleet down again, after
 // the context ends if it is to stay. It fails if the fleet does not start or a stream was not
@@ -87,7 +87,7 @@
 // send sends the streams, to the data planes in turn.
 func (d *deployment) send(ctx context.Context, amount int) []Served {
 	served := make([]Served, amount)
-	places := make(chan struct{}, streamsAtOnce)
+	places := make(chan struct{}, maxConcurrentStreams)
 	var group sync.WaitGroup
 	for number := range served {
 		places <- struct{}{}
--- a/internal/sim/experiment/figures.go
+++ b/internal/sim/experiment/figures.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// share is part of whole, or NaN without a whole.
+// share is part of total, or NaN if total is 0.
 func share(part, total int) float64 {
 	if total == 0 {
 		return math.NaN()
--- a/internal/sim/experiment/plots.go
+++ b/internal/sim/experiment/plots.go
@@ -16,8 +16,8 @@
 	// plotWidth and plotHeight are the size of a plot.
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
-	// legendRoom widens the time axis to leave space for the legend.
-	legendRoom = 1.35
+	// legendWidthFactor widens the time axis to leave space for the legend.
+	legendWidthFactor = 1.35
 )
 
 // plotFiles is the file that each series is drawn in; some share one.
@@ -92,7 +92,7 @@
 	}
 	drawn.Y.Min = 0
 	drawn.X.Min = 0
-	drawn.X.Max = line.Points[len(line.Points)-1].AtS * legendRoom
+	drawn.X.Max = line.Points[len(line.Points)-1].AtS * legendWidthFactor
 	drawn.Legend.Top = true
 	drawn.Add(plotter.NewGrid())
 	return &picture{plot: drawn}
--- a/internal/sim/hollow/clients.go
+++ b/internal/sim/hollow/clients.go
@@ -74,13 +74,13 @@
 const modelSkew = 1.1
 
 // reference draws a model, or in a tenth of the cases an adapter of it.
-func (c *Clients) reference(draw *rand.Rand, models *rand.Zipf) string {
+func (c *Clients) reference(rng *rand.Rand, models *rand.Zipf) string {
 	model := int(models.Uint64())
 	adapters := c.plan.adaptersOf(model)
-	if adapters == 0 || draw.IntN(10) > 0 {
+	if adapters == 0 || rng.IntN(10) > 0 {
 		return modelName(model)
 	}
-	return fmt.Sprintf("%s/a%d", modelName(model), 1+draw.IntN(adapters))
+	return fmt.Sprintf("%s/a%d", modelName(model), 1+rng.IntN(adapters))
 }
 
 // Run starts a client at each data plane and returns; they go on until the context ends.
@@ -96,13 +96,13 @@
 // Wait waits until all clients and their requests have ended.
 func (c *Clients) Wait() { c.running.Wait() }
 
-// runAt sends requests to one data plane, with exponential pauses.
+// runAt sends requests to one data plane, with exponentially distributed intervals.
 func (c *Clients) runAt(ctx context.Context, index int) {
-	draw := rand.New(rand.NewPCG(uint64(index), 1))
-	models := rand.NewZipf(draw, modelSkew, 4, uint64(c.plan.Models-1))
+	rng := rand.New(rand.NewPCG(uint64(index), 1))
+	models := rand.NewZipf(rng, modelSkew, 4, uint64(c.plan.Models-1))
 	number := 0
 	for {
-		wait := time.Duration(draw.ExpFloat64() / c.plan.RequestsPerS * float64(time.Second))
+		wait := time.Duration(rng.ExpFloat64() / c.plan.RequestsPerS * float64(time.Second))
 		select {
 		case <-ctx.Done():
 			return
@@ -110,9 +110,9 @@
 		}
 		number++
 		attempt := fmt.Sprintf("h-%d-%d", index, number)
-		reference := c.reference(draw, models)
-		route := draw.IntN(c.plan.Routes)
-		part := draw.IntN(1000)
+		reference := c.reference(rng, models)
+		route := rng.IntN(c.plan.Routes)
+		part := rng.IntN(1000)
 		c.running.Go(func() { c.sendRequest(ctx, index, attempt, reference, route, part) })
 	}
 }
