--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -60,7 +60,8 @@
 	QuorumMember bool `koanf:"quorumMember"`
 	// DataDir is the directory of the control plane's files. Required for ServiceControl.
 	DataDir string `koanf:"dataDir"`
-	// HeartbeatMs is the interval of heartbeats between nodes in ms. Default 1000.
+	// HeartbeatMs is how long, in ms, the long poll of a data plane at its primary control plane may stay
+	// unanswered. Heartbeats among control planes have an interval of their own. Default 1000.
 	HeartbeatMs float64 `koanf:"heartbeatMs"`
 	// Zones maps each zone to its region.
 	Zones map[string]string `koanf:"zones"`
@@ -175,8 +176,8 @@
 	// Fencing tells whether replicas check the fencing token of orders. Informational: orders always
 	// carry one.
 	Fencing bool `koanf:"fencing"`
-	// LeaseMs is the duration of a lease, and the time that a new lease holder waits for the end of the old
-	// one. Default 3000.
+	// LeaseMs is how long, in ms, a new holder of the placement lease waits for the end of the old one's
+	// grant; a grant lasts half of it. Default 3000.
 	LeaseMs float64 `koanf:"leaseMs"`
 	// ThawSlackMs is how long after a pause of its sender an outdated order may still arrive.
 	// Informational.
