--- a/internal/controlplane/watch/sample.go
+++ b/internal/controlplane/watch/sample.go
@@ -6,6 +6,8 @@
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
+
+	"ferryspar/internal/discovery"
 )
 
 const (
@@ -13,8 +15,6 @@
 	sampleSize = 16
 	// samplePerZone is how many replicas of a zone are put into a sample before the rest is filled up.
 	samplePerZone = 4
-	// stateReady is the state of a replica that takes requests, as the platform's list names it.
-	stateReady = "ready"
 )
 
 // resample renews the samples of backends as a whole. A set whose sample stays the same no longer counts as changed: in
@@ -41,7 +41,7 @@
 	}
 	var eligible []*endpointSource
 	for _, replica := range endpoints {
-		if len(replica.listed.Models) > 0 && replica.listed.State == stateReady && replica.warmUpUntil.IsZero() {
+		if len(replica.listed.Models) > 0 && replica.listed.State == discovery.Ready && replica.warmUpUntil.IsZero() {
 			eligible = append(eligible, replica)
 		}
 	}
--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -9,9 +9,6 @@
 	"ferryspar/internal/routing"
 )
 
-// stateReady is the state of a listed replica that takes requests.
-const stateReady = "ready"
-
 // endpointTable is the list of replicas in use and where it is from. It belongs to the goroutine of FleetState.Run.
 type endpointTable struct {
 	// regions are the regions of the zones.
@@ -131,7 +128,7 @@
 
 // replicaFromEndpoint is an endpoint as an entry of the list, without models.
 func replicaFromEndpoint(backend string, endpoint peer.Endpoint) discovery.Replica {
-	state := stateReady
+	state := discovery.Ready
 	if endpoint.Draining {
 		state = discovery.Draining
 	}
--- a/internal/discovery/replica.go
+++ b/internal/discovery/replica.go
@@ -23,8 +23,13 @@
 	Models            []LoadedModel `json:"modelList"`
 }
 
-// Draining is the state of a replica that is to end.
-const Draining = "draining"
+// States of a replica, as the platform's list names them.
+const (
+	// Ready is the state of a replica that takes requests.
+	Ready = "ready"
+	// Draining is the state of a replica that is to end.
+	Draining = "draining"
+)
 
 // Page is a part of the list; NextToken is nil on the last.
 type Page struct {
