--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -178,6 +178,7 @@
 	workers.Go(func() { n.state.Run(ctx, n.watcher, n.peers) })
 	workers.Go(func() { n.reportLoad(ctx) })
 	workers.Go(func() { n.quotas.Run(ctx) })
+	workers.Go(func() { n.logAttempts(ctx) })
 	workers.Go(func() {
 		watchSeeds := func(fresh nodesettings.Settings) { n.watcher.Watch(ctx, fresh.SeedPeers()) }
 		nodesettings.Watch(ctx, n.settingsPath, "edge", signals.Hangup, watchSeeds)
--- a/internal/dataplane/status.go
+++ b/internal/dataplane/status.go
@@ -1,22 +1,28 @@
 package dataplane
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
+	"time"
 
 	"github.com/go-chi/chi/v5"
+	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/apierror"
 )
 
-// statusRoutes answers load balancers whether this node is ready, and operators what it rejected since its start and
-// what it holds and has lent of tenants' limits.
+// statusRoutes answers load balancers whether this node is ready, and operators what it rejected since its start, how its
+// attempts at replicas ended, and what it holds and has lent of tenants' limits.
 func (n *Node) statusRoutes() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/ferryspar/readyz", n.serveReadiness)
 	router.Get("/ferryspar/refusals", func(writer http.ResponseWriter, _ *http.Request) {
 		writeJSON(writer, n.proxy.Rejections.Counts())
 	})
+	router.Get("/ferryspar/attempts", func(writer http.ResponseWriter, _ *http.Request) {
+		writeJSON(writer, n.proxy.Attempts.ByBackend())
+	})
 	router.Get("/ferryspar/quota", func(writer http.ResponseWriter, _ *http.Request) {
 		writeJSON(writer, n.quotas.status())
 	})
@@ -40,3 +46,32 @@
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(value)
 }
+
+// attemptLogInterval is how often the counts of attempts are logged, if any has come.
+const attemptLogInterval = 10 * time.Second
+
+// logAttempts logs how attempts at replicas ended, and how many requests were rejected, until the context ends.
+func (n *Node) logAttempts(ctx context.Context) {
+	ticker := time.NewTicker(attemptLogInterval)
+	defer ticker.Stop()
+	logged := uint64(0)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		total := uint64(0)
+		for _, count := range n.proxy.Attempts.Snapshot() {
+			total += count
+		}
+		if total == logged {
+			continue
+		}
+		logged = total
+		logrus.WithFields(logrus.Fields{
+			"attempts": n.proxy.Attempts.ByBackend(),
+			"rejected": n.proxy.Rejections.Counts(),
+		}).Info("attempts since start")
+	}
+}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -99,6 +99,7 @@
 		upstream.LastEventID = e.events.LastID
 	}
 	response, verdict := e.handler.forwarder.Send(ctx, assignment.Replica.Address, assignment.Replica.ID, upstream)
+	e.handler.Attempts.add(upstream.Backend, verdictNames[verdict])
 	if verdict == replica.VerdictNotSent {
 		e.unreached++
 	} else {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -35,6 +35,8 @@
 	Quota Quota
 	// Rejections counts what was answered with an error of this data plane's own.
 	Rejections Rejections
+	// Attempts counts how attempts at replicas ended.
+	Attempts AttemptCounts
 }
 
 // NewHandler returns a handler that reads the snapshot as it stands at each request. random gives numbers from 0 up to 1 for
