--- a/internal/discovery/replica.go
+++ b/internal/discovery/replica.go
@@ -19,7 +19,7 @@
 	State             string        `json:"state"`
 	WarmUpRemainingMs float64       `json:"coldRemainingMs"`
 	TimeLeftMs        *float64      `json:"timeLeftMs,omitempty"`
-	Phase             string        `json:"phase,omitempty"`
+	Phase             Phase         `json:"phase,omitempty"`
 	Models            []LoadedModel `json:"modelList"`
 }
 
@@ -31,6 +31,19 @@
 	Draining = "draining"
 )
 
+// Phase is the part of a generation that a replica does. It may change while the replica runs.
+type Phase string
+
+// The phases, as the platform's list and replicas' reports name them. An empty one counts as PhaseUnified.
+const (
+	// PhaseUnified replicas read prompts and make tokens.
+	PhaseUnified Phase = "unified"
+	// PhasePrefill replicas only read prompts, and hold what they read for a decode replica to fetch.
+	PhasePrefill Phase = "prefill"
+	// PhaseDecode replicas make tokens from what a prefill replica read, or read short prompts themselves at a slower pace.
+	PhaseDecode Phase = "decode"
+)
+
 // Page is a part of the list; NextToken is nil on the last.
 type Page struct {
 	Instances []Replica `json:"instances"`
--- a/internal/query/tables.go
+++ b/internal/query/tables.go
@@ -76,7 +76,7 @@
 	for _, replica := range fleet.Replicas {
 		table.addRow(
 			replica.ID, replica.Backend, replica.Zone, replica.Address, replica.Revision,
-			replica.Slots, replica.State, replica.Phase, replica.WarmUpRemainingMs, replica.TimeLeftMs,
+			replica.Slots, replica.State, string(replica.Phase), replica.WarmUpRemainingMs, replica.TimeLeftMs,
 		)
 	}
 	return table
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -24,7 +24,7 @@
 // Report is what a replica says of itself.
 type Report struct {
 	// Phase is whether it does prefill, decode or both; every report has one.
-	Phase  string                  `json:"phase"`
+	Phase  discovery.Phase         `json:"phase"`
 	Models []discovery.LoadedModel `json:"modelList"`
 	Busy   bool                    `json:"utilization"`
 	// Sequence counts the orders that the replica has taken.
--- a/internal/test/integration/standin_replica_test.go
+++ b/internal/test/integration/standin_replica_test.go
@@ -44,6 +44,8 @@
 	// modelsOnDisk are the models that were loaded before; storeLoads the start times of loads from the model store.
 	modelsOnDisk map[string]bool
 	storeLoads   []time.Time
+	// split, if set, is the split backend that the stand-in belongs to.
+	split *splitFleet
 }
 
 func (s *standInReplica) handleHealth(writer http.ResponseWriter, _ *http.Request) {
@@ -122,6 +124,9 @@
 		handle(writer, request)
 		return
 	}
+	if s.split != nil && !s.split.admit(s, writer, request) {
+		return
+	}
 	s.handleRequest(writer, request)
 }
 
