--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -94,9 +94,16 @@
 	Slots int `json:"slots" koanf:"slots"`
 	// KvCacheTokens is the KV memory for running requests in tokens; 0 for no limit.
 	KvCacheTokens float64 `json:"kvCacheTokens" koanf:"kvCacheTokens"`
-	// KvTokenBytes (the size of a token in bytes) and StepSize are informational.
+	// KvTokenBytes is the size of a token in KV memory in bytes, LinkMbps the bandwidth at which a replica fetches memory of
+	// another in Mbit/s; 0 for no limit.
 	KvTokenBytes float64 `json:"kvTokenBytes" koanf:"kvTokenBytes"`
-	StepSize     float64 `json:"stepSize" koanf:"stepSize"`
+	LinkMbps     float64 `json:"linkMbps,omitzero" koanf:"linkMbps"`
+	// StepSize is informational.
+	StepSize float64 `json:"stepSize" koanf:"stepSize"`
+	// PrefixHoldS is how long in seconds a prefill replica holds the memory of a prompt for a decode replica.
+	PrefixHoldS float64 `json:"prefixHoldS,omitzero" koanf:"prefixHoldS"`
+	// SwapTimeS is how long in seconds a replica takes to change its phase, after what it runs has ended.
+	SwapTimeS float64 `json:"swapTimeS,omitzero" koanf:"swapTimeS"`
 	// Models are those that may be loaded.
 	Models []Model `json:"modelList" koanf:"modelList"`
 	// WeightSizeMb is the memory for weights of models and adapters in MB.
--- a/internal/controlplane/watch/source.go
+++ b/internal/controlplane/watch/source.go
@@ -55,8 +55,12 @@
 		Zone:     s.listed.Zone,
 		Slots:    s.listed.Slots,
 		Draining: s.listed.State == discovery.Draining,
+		Phase:    s.listed.Phase,
 		Adapters: s.usable[model],
 	}
+	if endpoint.Phase == discovery.PhaseUnified {
+		endpoint.Phase = ""
+	}
 	if remaining := s.warmUpUntil.Sub(now); remaining > 0 {
 		// rounded up, so that zero means that it has ended
 		endpoint.WarmUpRemainingMs = float64(remaining.Milliseconds() + 1)
--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -147,6 +147,7 @@
 		Zone:              endpoint.Zone,
 		Slots:             endpoint.Slots,
 		State:             state,
+		Phase:             endpoint.Phase,
 		WarmUpRemainingMs: endpoint.WarmUpRemainingMs,
 	}
 }
--- a/internal/peer/subscribe.go
+++ b/internal/peer/subscribe.go
@@ -1,6 +1,10 @@
 package peer
 
-import "time"
+import (
+	"time"
+
+	"ferryspar/internal/discovery"
+)
 
 // EndpointKey names an endpoint set: a model of a backend, or all replicas of the backend where Model is empty.
 type EndpointKey struct {
@@ -23,6 +27,8 @@
 	Zone     string `json:"z"`
 	Slots    int    `json:"s"`
 	Draining bool   `json:"d,omitempty"`
+	// Phase is the part of a generation that the replica does; empty where replicas do both.
+	Phase discovery.Phase `json:"q,omitempty"`
 	// WarmUpRemainingMs is how much longer, in milliseconds, the replica warms up; zero if it doesn't.
 	WarmUpRemainingMs float64 `json:"c,omitempty"`
 	// Adapters are the adapters of the set's model that the replica has loaded.
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -62,6 +62,9 @@
 		if err == nil {
 			return
 		}
+		if errors.Is(err, errUnsplit) {
+			continue
+		}
 		if !errors.Is(err, errRetry) {
 			e.fail(apierror.From(err))
 			return
@@ -84,22 +87,22 @@
 		e.report(routing.OutcomeCancelled)
 		return assignment, rejection
 	}
-	if e.attempts > 0 && !handler.retryBudgets.ForBackend(request.Backend).Allow(handler.clock(), handler.snapshot.Load().DataPlanes) {
+	if e.attempts > 0 && !e.mayRetryWithinBudget() {
 		e.report(routing.OutcomeCancelled)
 		return assignment, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
 	}
 	return assignment, nil
 }
 
-// attempt sends the request to the replica and passes its response on. The error is errRetry or of package apierror.
+// attempt sends the request to the replica and passes its response on. The error is errRetry, errUnsplit or of package
+// apierror.
 func (e *exchange) attempt(ctx context.Context, assignment routing.Decision) error {
-	upstream := e.parsed.upstream
 	e.replicaID, e.timing.sentAt = assignment.Replica.ID, e.handler.clock()
-	if e.headerSent {
-		upstream.LastEventID = e.events.LastID
+	response, verdict, err := e.send(ctx, assignment)
+	if err != nil {
+		return err
 	}
-	response, verdict := e.handler.forwarder.Send(ctx, assignment.Replica.Address, assignment.Replica.ID, upstream)
-	e.handler.Attempts.add(upstream.Backend, verdictNames[verdict])
+	e.handler.Attempts.add(e.parsed.upstream.Backend, verdictNames[verdict])
 	if verdict == replica.VerdictNotSent {
 		e.unreached++
 	} else {
@@ -114,11 +117,20 @@
 		e.report(routing.OutcomeCancelled)
 		return e.deadlineError(notExecuted)
 	}
-	e.report(outcomeByVerdict[verdict])
+	e.report(attemptOutcome(verdict, assignment))
 	e.mayHaveRun = e.mayHaveRun || !notExecuted
 	return e.retryOrFail(notExecuted)
 }
 
+// attemptOutcome is what the matcher learns from an attempt without a response that counts. A rejection of an attempt that was
+// to continue from a handle may be for want of the handle's memory.
+func attemptOutcome(verdict replica.Verdict, assignment routing.Decision) routing.Outcome {
+	if verdict == replica.VerdictRejected && assignment.Prefill != nil {
+		return routing.OutcomeHandleGone
+	}
+	return outcomeByVerdict[verdict]
+}
+
 // report reports to the matcher how the attempt goes.
 func (e *exchange) report(outcome routing.Outcome) { e.handler.matcher.Report(e.ticket, outcome) }
 
--- /dev/null
+++ b/internal/proxy/prefill.go
@@ -0,0 +1,90 @@
+package proxy
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"ferryspar/internal/apierror"
+	"ferryspar/internal/replica"
+	"ferryspar/internal/routing"
+)
+
+// minPrefillTime is the least that a prefill step is given.
+const minPrefillTime = 100 * time.Millisecond
+
+// errUnsplit says that the prompt was not read apart and that nothing has run: the request goes on without that step.
+var errUnsplit = errors.New("prompt not read apart")
+
+// send sends the attempt: the prompt to the prefill replica first, if the assignment has one. The error, if any, is errUnsplit
+// or of package apierror; there is no response then.
+func (e *exchange) send(ctx context.Context, assignment routing.Decision) (*http.Response, replica.Verdict, error) {
+	upstream := e.parsed.upstream
+	if e.headerSent {
+		upstream.LastEventID = e.events.LastID
+	}
+	target := assignment.Replica
+	if assignment.Prefill == nil {
+		response, verdict := e.handler.forwarder.Send(ctx, target.Address, target.ID, upstream)
+		return response, verdict, nil
+	}
+	handle, err := e.prefill(ctx, assignment.Prefill, upstream)
+	if err != nil {
+		e.report(routing.OutcomeCancelled)
+		return nil, replica.VerdictUnknown, err
+	}
+	response, verdict := e.handler.forwarder.SendFrom(ctx, target.Address, target.ID, upstream, handle)
+	if verdict != replica.VerdictAnswered {
+		e.free(ctx, handle)
+	}
+	return response, verdict, nil
+}
+
+// prefill has the prompt read and returns the handle of its memory. Where that fails nothing has run, so the request may go on
+// without; what a replica turned away or left unanswered counts against the retry budget like any further attempt.
+func (e *exchange) prefill(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) (*replica.Handle, error) {
+	bounded, cancel := context.WithTimeout(ctx, max(step.Timeout, minPrefillTime))
+	defer cancel()
+	handle, verdict := e.handler.forwarder.Prefill(bounded, step.Replica.Address, step.Replica.ID, upstream)
+	e.handler.Attempts.add(upstream.Backend, prefillOutcome(verdict))
+	report := func(outcome routing.Outcome) { e.handler.matcher.Report(step.Ticket, outcome) }
+	if ctx.Err() != nil {
+		if handle != nil {
+			e.free(ctx, handle)
+		}
+		report(routing.OutcomeCancelled)
+		return nil, e.deadlineError(true)
+	}
+	if verdict == replica.VerdictAnswered {
+		report(routing.OutcomePrefilled)
+		return handle, nil
+	}
+	report(outcomeByVerdict[verdict])
+	e.parsed.request.Unsplit = true
+	if verdict != replica.VerdictNotSent && !e.mayRetryWithinBudget() {
+		return nil, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
+	}
+	return nil, errUnsplit
+}
+
+// prefillOutcome is how a prefill step is counted.
+func prefillOutcome(verdict replica.Verdict) string { return "prefill_" + verdictNames[verdict] }
+
+// mayRetryWithinBudget takes one retry of the request's backend from the budget, if there is one.
+func (e *exchange) mayRetryWithinBudget() bool {
+	budget := e.handler.retryBudgets.ForBackend(e.parsed.request.Backend)
+	return budget.Allow(e.handler.clock(), e.handler.snapshot.Load().DataPlanes)
+}
+
+// free frees a handle that will not be taken, without waiting for it.
+func (e *exchange) free(ctx context.Context, handle *replica.Handle) {
+	forwarder := e.handler.forwarder
+	go func() {
+		if err := forwarder.Free(ctx, handle); err != nil {
+			logrus.WithError(err).Debug("handle not freed")
+		}
+	}()
+}
--- a/internal/replica/forwarder.go
+++ b/internal/replica/forwarder.go
@@ -18,6 +18,8 @@
 	clock func() time.Time
 	pool  transportPool
 	idle  idleEstimates
+	// freeing makes the connections on which handles are freed.
+	freeing *http.Transport
 }
 
 // NewForwarder returns a forwarder over the network. A connection that doesn't come up within connectTimeout, or whose other
@@ -36,6 +38,7 @@
 			clock:     clock,
 			byBackend: map[string]*idleEstimate{},
 		},
+		freeing: peer.NewTransport(network, connectTimeout, ackTimeout, 0),
 	}
 }
 
@@ -46,6 +49,11 @@
 // a verdict. The response's body is open only with VerdictAnswered; the caller closes it. The request is written at most
 // once: it is tried afresh only after connections to which no byte of it was written.
 func (f *Forwarder) Send(ctx context.Context, address, replicaID string, upstream UpstreamRequest) (*http.Response, Verdict) {
+	return f.send(ctx, address, replicaID, upstream)
+}
+
+// send is Send for a request of any phase.
+func (f *Forwarder) send(ctx context.Context, address, replicaID string, upstream UpstreamRequest) (*http.Response, Verdict) {
 	for retry := 0; ; retry++ {
 		trace := &attemptTrace{
 			id:      upstream.AttemptID,
@@ -92,7 +100,7 @@
 func (f *Forwarder) judgeResponse(
 	trace *attemptTrace, response *http.Response, replicaID string, upstream UpstreamRequest,
 ) Verdict {
-	verdict := judge(response, upstream.AttemptID, replicaID, trace.firstOnConnection())
+	verdict := judge(response, upstream, replicaID, trace.firstOnConnection())
 	switch verdict {
 	case VerdictAnswered:
 		f.idle.recordResponse(upstream.Backend, response)
--- a/internal/replica/protocol.go
+++ b/internal/replica/protocol.go
@@ -33,6 +33,10 @@
 	HeaderWarmUpRemaining = "Ferryspar-Cold-Remaining"
 	// HeaderTenant is the name of the tenant that a request belongs to.
 	HeaderTenant = "Ferryspar-Tenant"
+	// HeaderServingPhase asks a prefill replica to read the prompt only. Clients must not set it.
+	HeaderServingPhase = "Ferryspar-Serving-Phase"
+	// HeaderKvFrom tells a decode replica which memory to continue from, as ADDRESS/HANDLE. Clients must not set it.
+	HeaderKvFrom = "Kv-From"
 	// HeaderAPIKey is the client's key, which never reaches a replica.
 	HeaderAPIKey = "X-Api-Key"
 )
@@ -53,6 +57,9 @@
 // ReportEndpoint answers with a Report.
 var ReportEndpoint = Endpoint{Method: http.MethodGet, Path: "/ferryspar/report", Timeout: 700 * time.Millisecond}
 
+// handlePath begins the paths of handles, which are freed by DELETE.
+const handlePath = "/ferryspar/kv-handle/"
+
 // hopByHopHeaders concern one connection only and are never passed on.
 var hopByHopHeaders = []string{
 	"Connection",
--- a/internal/replica/upstreamrequest.go
+++ b/internal/replica/upstreamrequest.go
@@ -8,6 +8,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"ferryspar/internal/discovery"
 )
 
 // UpstreamRequest is a client's request as it is to be sent to a replica.
@@ -34,6 +36,11 @@
 	NonIdempotent bool
 	// MaxIdleConnections limits the idle connections kept to the replica; 0 leaves it to the forwarder.
 	MaxIdleConnections int
+
+	// phase is PhasePrefill for a request of which only the prompt is to be read; set by Prefill alone.
+	phase discovery.Phase
+	// handleSource is the memory to continue from; set by SendFrom alone.
+	handleSource string
 }
 
 // unrewindableBody hides the kind of reader from the library, which then can't read the body a second time by itself.
@@ -61,6 +68,7 @@
 	request.Header.Set(HeaderTarget, replicaID)
 	request.Header.Set(HeaderUrgency, strconv.Itoa(upstream.Urgency))
 	setTenant(request.Header, upstream.Tenant)
+	setPhase(request.Header, upstream)
 	if upstream.LastEventID != "" {
 		request.Header.Set(HeaderLastEventID, upstream.LastEventID)
 	}
@@ -92,6 +100,19 @@
 	}
 }
 
+// setPhase states which part of the request is to be done, whatever the client claimed: a client must not reach another
+// request's memory.
+func setPhase(header http.Header, upstream UpstreamRequest) {
+	header.Del(HeaderServingPhase)
+	header.Del(HeaderKvFrom)
+	if upstream.phase == discovery.PhasePrefill {
+		header.Set(HeaderServingPhase, string(upstream.phase))
+	}
+	if upstream.handleSource != "" {
+		header.Set(HeaderKvFrom, upstream.handleSource)
+	}
+}
+
 // ValidTarget reports whether a request target, as a client sent it, can be passed on unchanged.
 func ValidTarget(uri string) bool {
 	if !strings.HasPrefix(uri, "/") {
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -3,6 +3,8 @@
 import (
 	"io"
 	"net/http"
+
+	"ferryspar/internal/discovery"
 )
 
 // Verdict says what a response of a replica, or its absence, proves about the request that was sent.
@@ -38,9 +40,9 @@
 
 // judge weighs a response against the attempt it was read for. A response counts only if it bears the attempt's own id. One
 // without any id counts as a rejection only if it is the first on its connection, where no other can be due.
-func judge(response *http.Response, attemptID, replicaID string, firstOnConnection bool) Verdict {
+func judge(response *http.Response, upstream UpstreamRequest, replicaID string, firstOnConnection bool) Verdict {
 	stated := response.Header.Values(HeaderAttempt)
-	own := len(stated) == 1 && stated[0] == attemptID
+	own := len(stated) == 1 && stated[0] == upstream.AttemptID
 	if !own && (len(stated) > 0 || !firstOnConnection) {
 		return VerdictUnknown
 	}
@@ -53,12 +55,24 @@
 	if response.Header.Get(HeaderNotExecuted) != "" && response.StatusCode >= http.StatusBadRequest {
 		return VerdictRejected
 	}
+	if upstream.phase == discovery.PhasePrefill {
+		return judgePrefill(response, own)
+	}
 	if !own || !trustworthy(response) {
 		return VerdictUnknown
 	}
 	return VerdictAnswered
 }
 
+// judgePrefill weighs an answer that is no rejection to a request whose prompt was to be read. It is for this node and bears
+// no seal.
+func judgePrefill(response *http.Response, own bool) Verdict {
+	if !own || response.StatusCode != http.StatusOK || !hasFraming(response) {
+		return VerdictUnknown
+	}
+	return VerdictAnswered
+}
+
 // trustworthy reports whether a response may be passed on: its status is final, its end can be seen, its body is the replica's
 // own bytes, and a success bears the seal.
 func trustworthy(response *http.Response) bool {
--- a/internal/routing/assign.go
+++ b/internal/routing/assign.go
@@ -24,6 +24,7 @@
 	graph.arcs = graph.arcs[:0]
 	graph.scored = graph.scored[:0]
 	graph.rowStarts = graph.rowStarts[:0]
+	graph.choices = graph.choices[:0]
 	useLedger := m.LedgerTrusted == nil || m.LedgerTrusted(now)
 	for _, request := range requests {
 		graph.rowStarts = append(graph.rowStarts, len(graph.arcs))
@@ -33,7 +34,7 @@
 			rank:      rankWeight(request, now),
 			useLedger: useLedger,
 		}
-		m.addRow(row, now)
+		m.addRow(&row, now)
 	}
 	if len(graph.arcs) == 0 {
 		return nil
@@ -45,12 +46,13 @@
 // addRow adds the arcs of one request: one for each host of its model that may be used and has a weight of
 // at least 0. Fallback replicas (see limitToShare) count only if this data plane has a share of no other;
 // then the one with the lowest hash fraction is used.
-func (m *Matcher) addRow(row requestRow, now time.Time) {
+func (m *Matcher) addRow(row *requestRow, now time.Time) {
 	graph, request := &m.graph, row.request
 	request.modelNotLoaded = true
 	hasDesignated := false
 	fallback := noNode
 	isExcluded := request.drill.excluded(m, request, now)
+	m.prepareSplit(row, isExcluded, now)
 	for _, position := range request.hostsIn(m.index) {
 		index := graph.nodeAt[position]
 		node := &graph.nodes[index]
@@ -88,7 +90,7 @@
 
 // addArc adds the arc between a request and a replica unless the replica has no slot or no memory for it,
 // or the pair's weight is below 0 (pruned, IEMAS algorithm 1 line 12).
-func (m *Matcher) addArc(row requestRow, index int, now time.Time) {
+func (m *Matcher) addArc(row *requestRow, index int, now time.Time) {
 	graph := &m.graph
 	node := &graph.nodes[index]
 	if node.capacity <= 0 || row.request.TotalTokens() > node.freeMemory {
@@ -120,8 +122,16 @@
 		if request.TotalTokens() > node.freeMemory {
 			continue
 		}
+		scored := graph.scored[at]
+		if scored.prefill != nil && !m.hasRoomToRead(scored.prefill, request) {
+			continue
+		}
 		node.freeMemory -= request.TotalTokens()
-		m.send(request, node, graph.scored[at], now)
+		if scored.prefill != nil {
+			m.sendPair(request, node, scored, now)
+		} else {
+			m.send(request, node, scored, now)
+		}
 	}
 }
 
@@ -137,16 +147,24 @@
 		uncachedTokens: scored.uncachedTokens,
 		pace:           scored.pace,
 		sentAt:         now,
+		key:            stepKeyOf(replica, stepWhole),
 	}
 	state.recordTicket(ticket)
 	request.recordCachedParts(scored.cachedTokens)
+	m.recordSend(request, node, scored.uncachedTokens*scored.pace, now)
+	m.resolve(request, Decision{Replica: replica, Ticket: ticket})
+}
+
+// recordSend counts a request that is sent to the replica which makes its tokens; so many tokens of its prompt are to be read,
+// there or elsewhere.
+func (m *Matcher) recordSend(request *Request, node *replicaNode, uncachedTokens float64, now time.Time) {
+	replica, state := node.replica, node.state
 	if request.drill != nil {
 		request.drill.recordSend(request, replica)
 	}
 	state.recordSend(now, node.warmUp.sendsToRemember())
 	m.replicas.watched[replica.ID] = state
-	prefillMs := scored.uncachedTokens / tokensPerThousand * scored.pace * state.predictor.PrefillMsPerThousand()
+	prefillMs := uncachedTokens / tokensPerThousand * state.predictor.PrefillMsPerThousand()
 	m.demand.recordSend(request, prefillMs)
 	m.ledger.RecordPrompt(replica.ID, request.prompt(), request.Arrived, now)
-	m.resolve(request, Decision{Replica: replica, Ticket: ticket})
 }
--- a/internal/routing/ejection.go
+++ b/internal/routing/ejection.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 	"time"
+
+	"ferryspar/internal/discovery"
 )
 
 const (
@@ -20,7 +22,7 @@
 		return true
 	}
 	replicaBreaker := m.health.breakers[replica.ID]
-	if replicaBreaker == nil || replicaBreaker.state == breakerClosed || !m.ejectableReplicas(request, now)[replica.ID] {
+	if replicaBreaker == nil || replicaBreaker.state == breakerClosed || !m.ejectableReplicas(request, replica.Phase, now)[replica.ID] {
 		return true
 	}
 	isIdle := m.replicas.state(replica.ID).running+m.snapshot.PeerLoads[replica.ID].Running == 0
@@ -34,18 +36,28 @@
 	}
 }
 
-// ejectableReplicas returns the replicas that may be withheld from a request: of the hosts of its model with a
-// breaker that is not closed, those with the most evidence, at most half of all hosts, or more if nearly
+// ejectionKey names the replicas of which at most a share is withheld.
+type ejectionKey struct {
+	modelKey
+	prefill bool
+}
+
+// ejectableReplicas returns the replicas that may be withheld from a request: of the hosts of its model, or the replicas of the
+// phase prefill that read prompts for it, with a breaker that is not closed, those with the most evidence, at most half of all hosts, or more if nearly
 // all their requests fail, but never all.
-func (m *Matcher) ejectableReplicas(request *Request, now time.Time) map[string]bool {
-	key := request.modelKey()
+func (m *Matcher) ejectableReplicas(request *Request, phase discovery.Phase, now time.Time) map[string]bool {
+	key := ejectionKey{modelKey: request.modelKey(), prefill: phase == discovery.PhasePrefill}
+	candidates := request.hostsIn(m.index)
+	if key.prefill {
+		candidates = request.prefillHostsIn(m.index)
+	}
 	isCacheable := len(request.AllowedRegions) == 0
 	if ejected, known := m.health.ejected[key]; known && isCacheable {
 		return ejected
 	}
 	var flagged []*Replica
 	hosts, certain := 0, 0
-	for _, position := range request.hostsIn(m.index) {
+	for _, position := range candidates {
 		replica := m.index.replicas[position]
 		if !replica.accepts(request) || m.snapshot.DrainedZones[replica.Zone] {
 			continue
--- a/internal/routing/fork.go
+++ b/internal/routing/fork.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 	"time"
 
 	"ferryspar/internal/peer"
@@ -59,6 +60,7 @@
 	clone.onlyCopyLost = false
 	clone.hostsIndex = nil
 	clone.hosts = nil
+	clone.prefillHosts = nil
 	return &clone
 }
 
@@ -71,6 +73,7 @@
 	fork.awaitingFirst = maps.Clone(s.awaitingFirst)
 	fork.inFlight = maps.Clone(s.inFlight)
 	fork.missingUntil = maps.Clone(s.missingUntil)
+	fork.held.lapsing = slices.Clone(s.held.lapsing)
 	return &fork
 }
 
@@ -135,6 +138,7 @@
 		health:        m.health.fork(),
 		ledger:        ledger,
 		paces:         maps.Clone(m.paces),
+		shared:        m.shared.fork(),
 		demand:        m.demand.fork(),
 		LedgerTrusted: m.LedgerTrusted,
 	}
--- a/internal/routing/graph.go
+++ b/internal/routing/graph.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"ferryspar/internal/configuration"
 	"ferryspar/internal/peer"
 )
 
@@ -12,6 +13,7 @@
 	position   int // in the index's list of replicas
 	replica    *Replica
 	state      *replicaState
+	runtime    *configuration.Runtime
 	peerLoad   peer.ReplicaLoad // what the other data planes run there
 	warmUp     warmUpLimit
 	capacity   int     // requests that may be sent there in this batch
@@ -30,6 +32,13 @@
 	pace      float64 // of the request's model, see modelPaces
 	rank      float64 // factor of the weights, see rankWeight
 	useLedger bool    // the ledger may be used
+
+	// What follows is used with a split backend: the hash of what the prompt shares with others, with its tokens, the homes
+	// of it among the hosts, and the best prefill replica of each zone.
+	prefix       uint64
+	sharedTokens float64
+	home         homes
+	prefills     []prefillChoice
 }
 
 // assignmentGraph is the bipartite graph of a batch (IEMAS §4.2): requests on one side, the hosts of their
@@ -47,6 +56,13 @@
 	// byPriority lists the requests that found a replica in the order of sending.
 	byPriority []int
 	solver     flowSolver
+
+	// prefills are the nodes of replicas that only read prompts, prefillPositions theirs in the index, ascending. They are no
+	// columns of the flow: nodeAt leads to them as well, since no replica is both.
+	prefills         []replicaNode
+	prefillPositions []int
+	// choices holds the prefill replicas that each request may use.
+	choices []prefillChoice
 }
 
 // noNode marks a replica without a node.
@@ -65,7 +81,11 @@
 	for _, position := range g.positions {
 		g.nodeAt[position] = noNode
 	}
+	for _, position := range g.prefillPositions {
+		g.nodeAt[position] = noNode
+	}
 	g.positions = g.positions[:0]
+	g.prefillPositions = g.prefillPositions[:0]
 }
 
 // divideRows cuts arcs into one row for each request.
@@ -91,6 +111,7 @@
 			}
 		}
 	}
+	m.buildPrefillNodes(requests, now)
 	slices.Sort(graph.positions)
 	graph.nodes = graph.nodes[:0]
 	graph.capacity = graph.capacity[:0]
@@ -102,6 +123,31 @@
 	}
 }
 
+// buildPrefillNodes adds every replica that may read a prompt of the batch, in the order of the index.
+func (m *Matcher) buildPrefillNodes(requests []*Request, now time.Time) {
+	graph := &m.graph
+	for _, request := range requests {
+		if request.Unsplit {
+			continue
+		}
+		for _, position := range request.prefillHostsIn(m.index) {
+			if graph.nodeAt[position] == noNode {
+				graph.nodeAt[position] = len(graph.prefillPositions)
+				graph.prefillPositions = append(graph.prefillPositions, position)
+			}
+		}
+	}
+	slices.Sort(graph.prefillPositions)
+	graph.prefills = graph.prefills[:0]
+	for index, position := range graph.prefillPositions {
+		graph.nodeAt[position] = index
+		node := m.buildNode(position, now)
+		node.peerLoad.PrefillTokens = node.state.peerPending.update(node.peerLoad.PrefillTokens, m.snapshot.PeerLoadsAt)
+		node.freeMemory -= node.state.held.tokens(now)
+		graph.prefills = append(graph.prefills, node)
+	}
+}
+
 // buildNode returns the node of the replica at a position of the index. Replicas of drained zones get no
 // capacity.
 func (m *Matcher) buildNode(position int, now time.Time) replicaNode {
@@ -112,6 +158,7 @@
 		state:    m.replicas.at(m.index, position),
 		peerLoad: m.snapshot.PeerLoads[replica.ID],
 	}
+	node.state.slowness.adoptPhase(replica.Phase)
 	if !m.snapshot.DrainedZones[replica.Zone] {
 		m.measureCapacity(&node, now)
 	}
@@ -129,6 +176,7 @@
 	if !known || state.isSuspected(now) || now.Before(state.fullUntil) {
 		return
 	}
+	node.runtime = backend.Runtime
 	node.warmUp = m.parameters.warmUpLimit(backend.ColdPerS)
 	memory := unlimitedMemory
 	if backend.Runtime != nil && backend.Runtime.KvCacheTokens > 0 {
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -35,7 +35,7 @@
 
 	// ejected are the replicas that may be withheld from requests for a model. It is computed on demand and cleared
 	// with each review.
-	ejected map[modelKey]map[string]bool
+	ejected map[ejectionKey]map[string]bool
 
 	zoneSuspectedUntil map[string]time.Time // by zone
 	firstListed        map[string]time.Time // by replica id
@@ -47,7 +47,7 @@
 		outcomes:           map[string]*outcomeCounter{},
 		breakers:           map[string]*breaker{},
 		breakerByAddress:   map[string]*breaker{},
-		ejected:            map[modelKey]map[string]bool{},
+		ejected:            map[ejectionKey]map[string]bool{},
 		zoneSuspectedUntil: map[string]time.Time{},
 		firstListed:        map[string]time.Time{},
 	}
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -1,6 +1,10 @@
 package routing
 
-import "slices"
+import (
+	"slices"
+
+	"ferryspar/internal/discovery"
+)
 
 // Index finds the replicas of a snapshot that have a model loaded (its hosts), so that a batch touches
 // only those. It is immutable, and may be shared by snapshots with the same list of replicas.
@@ -9,6 +13,8 @@
 	positions map[string]int            // replica id to position
 	groups    map[string]map[string]int // backend and model to a position in hosts
 	hosts     [][]int                   // positions of replicas, ascending
+	// prefillGroups are the groups of the replicas that only read prompts; they are no hosts.
+	prefillGroups map[string]map[string]int
 }
 
 // hosting says that the replica at a position belongs to a group of hosts.
@@ -23,12 +29,14 @@
 }
 
 // NewIndex indexes a list of replicas. Draining replicas host nothing. Every other one is also a host of
-// the empty model, for backends without models.
+// the empty model, for backends without models. Replicas of the phase prefill are kept apart: they serve no request whole.
 func NewIndex(replicas []*Replica) *Index {
 	index := &Index{
 		replicas:  replicas,
 		positions: make(map[string]int, len(replicas)),
 		groups:    map[string]map[string]int{},
+
+		prefillGroups: map[string]map[string]int{},
 	}
 	total := len(replicas)
 	for _, replica := range replicas {
@@ -43,11 +51,7 @@
 		if replica.Draining {
 			continue
 		}
-		groups := index.groups[replica.Backend]
-		if groups == nil {
-			groups = map[string]int{}
-			index.groups[replica.Backend] = groups
-		}
+		groups := index.groupsOf(replica)
 		builder.add(groups, "", position)
 		for model, isUsable := range replica.Models {
 			if isUsable && model != "" {
@@ -59,6 +63,18 @@
 	return index
 }
 
+// groupsOf returns the groups that a replica belongs to by its backend and phase.
+func (i *Index) groupsOf(replica *Replica) map[string]int {
+	byBackend := i.groups
+	if replica.Phase == discovery.PhasePrefill {
+		byBackend = i.prefillGroups
+	}
+	if byBackend[replica.Backend] == nil {
+		byBackend[replica.Backend] = map[string]int{}
+	}
+	return byBackend[replica.Backend]
+}
+
 // add makes the replica at a position a host of a model.
 func (b *indexBuilder) add(groups map[string]int, model string, position int) {
 	group, known := groups[model]
@@ -105,15 +121,31 @@
 	return nil
 }
 
+// PrefillHosts returns the positions of the replicas of a backend that read prompts for a model, ascending; nil for none.
+// The caller must not change them.
+func (i *Index) PrefillHosts(backend, model string) []int {
+	if group, known := i.prefillGroups[backend][model]; known {
+		return i.hosts[group]
+	}
+	return nil
+}
+
 // hostsIn returns the hosts of the request's model; they are looked up once for each index.
 func (r *Request) hostsIn(index *Index) []int {
 	if r.hostsIndex != index {
 		r.hostsIndex = index
 		r.hosts = index.Hosts(r.Backend, r.Model)
+		r.prefillHosts = index.PrefillHosts(r.Backend, r.Model)
 	}
 	return r.hosts
 }
 
+// prefillHostsIn returns the replicas that read prompts for the request's model.
+func (r *Request) prefillHostsIn(index *Index) []int {
+	r.hostsIn(index)
+	return r.prefillHosts
+}
+
 // isLoadedAt reports whether the replica at a position has the request's model loaded.
 func (r *Request) isLoadedAt(index *Index, position int) bool {
 	_, found := slices.BinarySearch(r.hostsIn(index), position)
--- a/internal/routing/matcher.go
+++ b/internal/routing/matcher.go
@@ -27,6 +27,7 @@
 	health   *health
 	ledger   *PrefixLedger
 	paces    modelPaces
+	shared   sharedPredictors
 	demand   demandCounters
 	graph    assignmentGraph
 
@@ -58,6 +59,7 @@
 		health:        newHealth(),
 		ledger:        NewPrefixLedger(parameters.LedgerLimit, parameters.LedgerTTL),
 		paces:         modelPaces{},
+		shared:        sharedPredictors{},
 		demand:        newDemandCounters(),
 		LoadReportDue: make(chan struct{}, 1),
 	}
--- a/internal/routing/parameters.go
+++ b/internal/routing/parameters.go
@@ -16,6 +16,13 @@
 	TokenCost float64 `koanf:"tokenPrice"`
 	// CrossZoneCost is the cost of a replica in another zone.
 	CrossZoneCost float64 `koanf:"crossPrice"`
+	// MoveCost is the cost of moving the memory of one prompt token between replicas of a zone.
+	MoveCost float64 `koanf:"moveCost"`
+	// DecodeReadCost is the cost, for each token and each request that runs there, of reading a prompt at a decode replica:
+	// the tokens of those requests come later.
+	DecodeReadCost float64 `koanf:"decodeReadCost"`
+	// SpreadCost is the most by which replicas of a split backend are preferred to others of equal weight.
+	SpreadCost float64 `koanf:"spreadCost"`
 	// LateValue is the value of an answer after the latency target, relative to one in time.
 	LateValue float64 `koanf:"lateWorth"`
 	// MaxLatencyRatio is how many latency targets the latency term of the value counts at most.
@@ -53,6 +60,9 @@
 		Delta:            0.7,
 		TokenCost:        0.00002,
 		CrossZoneCost:    0.03,
+		MoveCost:         0.000004,
+		DecodeReadCost:   0.000004,
+		SpreadCost:       0.05,
 		LateValue:        0.4,
 		QueueLimit:       512,
 		LedgerLimit:      20000,
--- a/internal/routing/queue.go
+++ b/internal/routing/queue.go
@@ -42,6 +42,9 @@
 	}
 	select {
 	case decision := <-request.Decided:
+		if decision.Prefill != nil {
+			m.withdrawPrefill(decision.Prefill.Ticket)
+		}
 		if decision.Ticket != nil {
 			m.handleReport(Report{Ticket: decision.Ticket, Outcome: OutcomeCancelled, At: m.clock()})
 		}
@@ -65,6 +68,7 @@
 	}
 	request.hostsIndex = nil
 	request.hosts = nil
+	request.prefillHosts = nil
 	request.Decided <- decision
 }
 
--- a/internal/routing/replicastate.go
+++ b/internal/routing/replicastate.go
@@ -20,6 +20,14 @@
 	fullUntil         time.Time            // it said that it is full; nothing is sent before
 	missingUntil      map[string]time.Time // by model: it said that the model is not loaded
 	unlistedAt        time.Time            // since when the snapshot omits it, zero if it is listed
+
+	idHash   uint64       // of the replica's id, to rank replicas for a prefix
+	slowness stepSlowness // of the steps of a split backend
+	held     heldMemory   // prompts read here and not fetched yet
+	// handlesGoneUntil is until when no prompt is read here, since memory held here could not be fetched lately.
+	handlesGoneUntil time.Time
+	// peerPending smooths the prompt tokens that the other data planes have waiting here.
+	peerPending smoothedLoad
 }
 
 const (
@@ -48,18 +56,31 @@
 // recordTicket counts a request that is sent with the ticket.
 func (s *replicaState) recordTicket(ticket *Ticket) {
 	s.running++
-	s.tokens += ticket.request.TotalTokens()
+	s.tokens += ticket.tokens()
 	s.pendingTokens += ticket.uncachedTokens * ticket.pace
 	s.awaitingFirst[ticket] = true
 	s.inFlight[ticket] = true
 }
 
+// reserve counts a request whose prompt is being read elsewhere, so that its place is kept.
+func (s *replicaState) reserve(ticket *Ticket) {
+	s.running++
+	s.tokens += ticket.request.TotalTokens()
+	s.inFlight[ticket] = true
+}
+
+// start counts a reserved request as sent.
+func (s *replicaState) start(ticket *Ticket, now time.Time) {
+	ticket.sentAt = now
+	s.awaitingFirst[ticket] = true
+}
+
 // finish removes a request that has ended.
 func (s *replicaState) finish(ticket *Ticket) {
 	s.stopAwaiting(ticket)
 	delete(s.inFlight, ticket)
 	s.running--
-	s.tokens -= ticket.request.TotalTokens()
+	s.tokens -= ticket.tokens()
 }
 
 // stopAwaiting records that a ticket's first event has come or will never come.
--- a/internal/routing/replicatable.go
+++ b/internal/routing/replicatable.go
@@ -4,6 +4,8 @@
 	"slices"
 	"time"
 
+	"github.com/cespare/xxhash/v2"
+
 	"ferryspar/internal/apportion"
 	"ferryspar/internal/peer"
 )
@@ -34,6 +36,7 @@
 	if t.states[id] == nil {
 		state := newReplicaState(NewPredictor())
 		state.hashFraction = apportion.HashFraction(t.nodeName, id)
+		state.idHash = xxhash.Sum64String(id)
 		t.states[id] = state
 	}
 	return t.states[id]
--- a/internal/routing/reports.go
+++ b/internal/routing/reports.go
@@ -16,6 +16,8 @@
 	OutcomeFailed:          (*Matcher).onFailed,
 	OutcomeConnectionReset: func(*Matcher, *replicaState, Report) {},
 	OutcomeStalled:         (*Matcher).onActivity,
+	OutcomePrefilled:       (*Matcher).onPrefilled,
+	OutcomeHandleGone:      (*Matcher).onHandleGone,
 }
 
 // isRunningAfter are the outcomes after which the request goes on.
@@ -23,6 +25,7 @@
 	OutcomeFirstEvent: true,
 	OutcomeProgress:   true,
 	OutcomeStalled:    true,
+	OutcomePrefilled:  true,
 }
 
 // isNotExecutedAfter are the outcomes after which the replica's cache cannot hold the prompt.
@@ -31,6 +34,7 @@
 	OutcomeModelMissing: true,
 	OutcomeShuttingDown: true,
 	OutcomeUnreachable:  true,
+	OutcomeHandleGone:   true,
 }
 
 // handleReport applies a report (the online feedback of IEMAS §4.1). If it ends the request, what waits for
@@ -43,8 +47,7 @@
 	if isRunningAfter[report.Outcome] {
 		return
 	}
-	state.finish(ticket)
-	m.demand.recordEnd(ticket.request)
+	m.finishTicket(state, report)
 	if isNotExecutedAfter[report.Outcome] {
 		m.ledger.RecordMiss(ticket.replica, ticket.request.prompt())
 	}
@@ -105,7 +108,15 @@
 		ticket.request.drill.recordFirstEvent(ticket.request, report.At)
 	}
 	state.stopAwaiting(ticket)
-	observedMs := float64(report.At.Sub(ticket.sentAt).Microseconds()) / 1000
+	observedMs := ticket.elapsedMs(report.At)
+	if ticket.prefill != nil {
+		m.releaseHeld(ticket.prefill)
+		m.health.record(ticket.prefill.replica, 1, 0, report.At)
+	}
+	if ticket.isOfSplit() {
+		m.learnStep(state, ticket, observedMs)
+		return
+	}
 	state.predictor.Observe(ticket.features, observedMs)
 	m.paces.learn(ticket.request.Model, observedMs/max(ticket.predictedMs, 1))
 	m.checkCacheHit(state, report, observedMs)
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -28,6 +28,8 @@
 	Route            string          // name; empty for requests that are not to be sampled
 	Tenant           configuration.TenantNumber
 	Resumed          bool // the client already has the response header and part of the stream
+	// Unsplit says that the prompt must not be read at a replica of its own.
+	Unsplit bool
 
 	// Decided receives exactly one decision. Submit and Enqueue make it.
 	Decided chan Decision
@@ -37,8 +39,9 @@
 	decided                 bool // decided or cancelled
 
 	// hostsIndex and hosts cache the index's hosts of the model while the request waits.
-	hostsIndex *Index
-	hosts      []int
+	hostsIndex   *Index
+	hosts        []int
+	prefillHosts []int
 
 	// wasSent and cachedParts tell forecasts how many parts were expected in the cache at the send.
 	wasSent     bool
@@ -73,9 +76,19 @@
 type Decision struct {
 	Replica *Replica
 	Ticket  *Ticket
+	// Prefill, if set, is to be done first: Replica continues from the memory of the prompt that is read by it.
+	Prefill *PrefillStep
 	Error   *apierror.Error
 }
 
+// PrefillStep is the replica that reads a request's prompt, chosen together with the one that continues.
+type PrefillStep struct {
+	Replica *Replica
+	Ticket  *Ticket
+	// Timeout is how long the step may take before the request goes on without it.
+	Timeout time.Duration
+}
+
 // Ticket stands for one request sent to one replica. The submitter only hands it back in reports.
 type Ticket struct {
 	request        *Request
@@ -87,16 +100,33 @@
 	pace           float64 // of the model, when sent
 	sentAt         time.Time
 
+	step servingStep
+	key  stepKey // of its latency model; unused with a replica that does both phases
+	// holdTime is how long memory that was read and is never taken is held.
+	holdTime time.Duration
+	// prefill, of a ticket of stepDecode, is that of the replica that reads the prompt; next is the way back.
+	prefill *Ticket
+	next    *Ticket
+	holding bool // of stepPrefill: the memory is held at the replica
+
 	firstEventSeen bool // a first event was reported
 	failureCounted bool // the replica's record holds a failure of this ticket, or must not
 	overdueCounted bool // that failure is an overdue first event; taken back when it comes
 }
 
+// tokens is the KV memory that the step needs.
+func (t *Ticket) tokens() float64 {
+	if t.step == stepPrefill {
+		return t.request.PromptTokens
+	}
+	return t.request.TotalTokens()
+}
+
 // Outcome is what a data plane saw of a request that it sent.
 type Outcome int
 
-// The outcomes. After OutcomeFirstEvent, OutcomeProgress and OutcomeStalled the request still runs; every
-// other one ends it.
+// The outcomes. After OutcomeFirstEvent, OutcomeProgress, OutcomeStalled and OutcomePrefilled the request still
+// runs; every other one ends it.
 const (
 	OutcomeFirstEvent      Outcome = iota // the first event of the answer
 	OutcomeServed                         // the complete answer
@@ -110,6 +140,8 @@
 	OutcomeFailed                         // an answer that reports a failure, or without its own id or seal
 	OutcomeConnectionReset                // a reused connection was reset before a byte of the answer
 	OutcomeStalled                        // a gap in the stream beyond the route's limit
+	OutcomePrefilled                      // the prompt was read, and its memory is held
+	OutcomeHandleGone                     // rejected without being full: the prompt's memory could not be fetched
 )
 
 // Report is an outcome with the time it was seen.
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"ferryspar/internal/discovery"
 )
 
 const (
@@ -10,6 +12,9 @@
 	// time to served late.
 	inTimeMidpoint = 0.9
 	inTimeWidth    = 0.12
+	// decodeHomeHitRate is how far the homes of a prefix among decode replicas are trusted to have it: it comes there only with
+	// requests that were sent there.
+	decodeHomeHitRate = 0.6
 	// tokensPerThousand converts tokens to the unit of the latency model.
 	tokensPerThousand = 1000
 )
@@ -22,6 +27,9 @@
 	cachedTokens   float64 // prompt tokens the ledger expects in the replica's cache
 	uncachedTokens float64 // prompt tokens to be read
 	pace           float64 // of the model
+
+	// prefill, if set, is where the prompt is to be read; the other fields are of the decode step then.
+	prefill *prefillChoice
 }
 
 // score computes the weight of a pair of request and replica:
@@ -29,27 +37,35 @@
 //	w = v − Ĉ, v = δP − (1−δ)L   (IEMAS §3 eq. 1, §4.2 eq. 7; §4.1 for the predicted P, L and Ĉ)
 //
 // P is the expected quality, L the predicted latency as a share of the latency target, and Ĉ the cost of
-// the tokens to be read and of crossing zones. docs/design/routing-policy.md says what differs from the paper.
-func (m *Matcher) score(row requestRow, node *replicaNode, now time.Time) scoredPair {
+// the tokens to be read and of crossing zones. At a decode replica it is the weight of the best way to serve the request
+// there: with the prompt read there, or at one of the row's prefill replicas. docs/design/routing-policy.md says what differs
+// from the paper.
+func (m *Matcher) score(row *requestRow, node *replicaNode, now time.Time) scoredPair {
+	if node.replica.Phase != discovery.PhaseDecode {
+		return m.scoreWhole(row, node, now)
+	}
+	best := m.scoreDecodeAlone(row, node, now)
+	for index := range row.prefills {
+		if pair := m.scorePair(row, &row.prefills[index], node, now); pair.weight > best.weight {
+			best = pair
+		}
+	}
+	return best
+}
+
+// scoreWhole computes the weight of serving a request at one replica that does both phases.
+func (m *Matcher) scoreWhole(row *requestRow, node *replicaNode, now time.Time) scoredPair {
 	request, replica, state := row.request, node.replica, node.state
 	cachedTokens := 0.0
 	if row.useLedger {
 		cachedTokens = m.ledger.CachedTokens(replica.ID, request.prompt(), now)
 	}
 	uncachedTokens := max(request.PromptTokens-cachedTokens, 0)
-	features := node.features(row, cachedTokens, uncachedTokens)
+	features := node.features(*row, cachedTokens, uncachedTokens)
 	predictedMs := state.predictor.Latency(features)
-	latencyTargetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
-	quality := m.quality(request, state.predictor.SuccessRate(), predictedMs, latencyTargetMs, now)
-	cost := m.parameters.TokenCost * uncachedTokens * row.pace
-	if replica.Zone != m.zone {
-		cost += m.parameters.CrossZoneCost
-	}
-	delta := m.parameters.Delta
-	latency := min(predictedMs/latencyTargetMs, m.parameters.MaxLatencyRatio)
-	value := delta*quality - (1-delta)*latency
+	cost := m.parameters.TokenCost*uncachedTokens*row.pace + m.crossingCost(replica)
 	return scoredPair{
-		weight:         value - cost,
+		weight:         m.value(request, state.predictor.SuccessRate(), predictedMs, now) - cost,
 		features:       features,
 		predictedMs:    predictedMs,
 		cachedTokens:   cachedTokens,
@@ -58,6 +74,35 @@
 	}
 }
 
+// scoreDecodeAlone computes the weight of reading a request's prompt at the decode replica that makes its tokens.
+func (m *Matcher) scoreDecodeAlone(row *requestRow, node *replicaNode, now time.Time) scoredPair {
+	request := row.request
+	expected := row.home.hitRate(m.graph.nodeAt[node.position]) * row.sharedTokens * decodeHomeHitRate
+	cached := m.cachedTokens(row, node, expected, now)
+	uncached := max(request.PromptTokens-cached, 0)
+	features := node.features(*row, cached, uncached)
+	predictedMs := m.predictStep(node, stepWhole, features)
+	running := float64(node.state.running + node.peerLoad.Running)
+	cost := m.parameters.TokenCost*uncached + m.parameters.DecodeReadCost*uncached*running
+	cost += m.crossingCost(node.replica) + m.spreadCost(row, node)
+	return scoredPair{
+		weight:         m.value(request, node.state.predictor.SuccessRate(), predictedMs, now) - cost,
+		features:       features,
+		predictedMs:    predictedMs,
+		cachedTokens:   cached,
+		uncachedTokens: uncached,
+		pace:           1,
+	}
+}
+
+// value is v of IEMAS eq. 1.
+func (m *Matcher) value(request *Request, successRate, predictedMs float64, now time.Time) float64 {
+	latencyTargetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
+	quality := m.quality(request, successRate, predictedMs, latencyTargetMs, now)
+	latency := min(predictedMs/latencyTargetMs, m.parameters.MaxLatencyRatio)
+	return m.parameters.Delta*quality - (1-m.parameters.Delta)*latency
+}
+
 // features returns the predictor's inputs for one pair (IEMAS §4.1 eq. 4 and 5): see Features.
 func (n *replicaNode) features(row requestRow, cachedTokens, uncachedTokens float64) Features {
 	running := float64(n.state.running + n.peerLoad.Running)
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -20,6 +20,7 @@
 	Region      string
 	Slots       int // requests it runs at once
 	Draining    bool
+	Phase       discovery.Phase
 	WarmUpUntil time.Time       // until then the warm-up rate limits what is sent to it
 	Models      map[string]bool // usable references, model or model/adapter
 }
@@ -49,6 +50,7 @@
 		Zone:     listed.Zone,
 		Slots:    listed.Slots,
 		Draining: listed.State == discovery.Draining,
+		Phase:    listed.Phase,
 		Models:   map[string]bool{},
 	}
 	if listed.WarmUpRemainingMs > 0 {
@@ -97,9 +99,9 @@
 	return len(request.AllowedRegions) == 0 || slices.Contains(request.AllowedRegions, r.Region)
 }
 
-// Serves reports whether the replica could serve the request, whatever its load.
+// Serves reports whether the replica could serve the request, whatever its load. One that only reads prompts does not.
 func (r *Replica) Serves(request *Request) bool {
-	if r.Backend != request.Backend || r.Draining {
+	if r.Backend != request.Backend || r.Draining || r.Phase == discovery.PhasePrefill {
 		return false
 	}
 	hasModel := request.Model == "" || r.Models[request.Model]
--- /dev/null
+++ b/internal/routing/split.go
@@ -0,0 +1,264 @@
+package routing
+
+import (
+	"time"
+
+	"ferryspar/internal/configuration"
+)
+
+// prefillChoice is a prefill replica that may read a request's prompt, with what that is expected to take.
+type prefillChoice struct {
+	node           int // in the graph's prefills
+	features       Features
+	predictedMs    float64 // until the prompt is read
+	cachedTokens   float64
+	uncachedTokens float64
+	cost           float64
+	badness        float64 // by which choices of one zone are compared: lower is better
+}
+
+// prepareSplit finds what the scores of a request at the replicas of a split backend need.
+func (m *Matcher) prepareSplit(row *requestRow, isExcluded func(zone, region string) bool, now time.Time) {
+	row.home = newHomes()
+	if len(row.request.prefillHostsIn(m.index)) == 0 {
+		return
+	}
+	row.prefix, row.sharedTokens = row.request.sharedPrefix()
+	for _, position := range row.request.hostsIn(m.index) {
+		index := m.graph.nodeAt[position]
+		if node := &m.graph.nodes[index]; node.capacity > 0 {
+			row.home.add(index, affinityHash(row.prefix, node.state.idHash))
+		}
+	}
+	m.addPrefillChoices(row, isExcluded, now)
+}
+
+// hasRoomToRead reports whether a prefill replica still has a slot and memory for the request, after those of the batch that
+// were sent before.
+func (m *Matcher) hasRoomToRead(choice *prefillChoice, request *Request) bool {
+	node := &m.graph.prefills[choice.node]
+	return node.capacity > 0 && request.PromptTokens <= node.freeMemory
+}
+
+// addPrefillChoices appends the best prefill replica of each zone for the request to the graph's choices. A pair of a prefill
+// and a decode replica is scored as a sum over both plus the move between their zones, so that for any decode replica the
+// best partner of a zone is the best of that zone alone: pairs need not be enumerated.
+func (m *Matcher) addPrefillChoices(row *requestRow, isExcluded func(zone, region string) bool, now time.Time) {
+	graph, request := &m.graph, row.request
+	start := len(graph.choices)
+	if request.Unsplit || request.Resumed {
+		return
+	}
+	positions := request.prefillHostsIn(m.index)
+	if len(positions) == 0 {
+		return
+	}
+	home := m.prefillHomes(positions, row.prefix, row.sharedTokens)
+	targetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
+	for _, position := range positions {
+		index := graph.nodeAt[position]
+		node := &graph.prefills[index]
+		if node.capacity <= 0 || request.PromptTokens > node.freeMemory || !m.isEligible(request, node, now) {
+			continue
+		}
+		if now.Before(node.state.handlesGoneUntil) || isExcluded != nil && isExcluded(node.replica.Zone, node.replica.Region) {
+			continue
+		}
+		if !m.breakerAdmits(request, node.replica, now) {
+			continue
+		}
+		choice := m.weighPrefill(row, index, home.hitRate(index)*row.sharedTokens, now)
+		choice.badness = choice.predictedMs/targetMs + choice.cost + m.spreadCost(row, node)
+		graph.keepBestOfZone(start, choice)
+	}
+	row.prefills = graph.choices[start:len(graph.choices):len(graph.choices)]
+}
+
+// prefillHomes returns the homes of a prefix among prefill replicas: those of the whole fleet if reading the prefix again costs
+// more than crossing zones twice, else those of this data plane's zone.
+func (m *Matcher) prefillHomes(positions []int, prefix uint64, sharedTokens float64) homes {
+	found := newHomes()
+	crossing := m.parameters.TokenCost*sharedTokens > 2*m.parameters.CrossZoneCost
+	for _, position := range positions {
+		index := m.graph.nodeAt[position]
+		node := &m.graph.prefills[index]
+		usable := node.capacity > 0 && !m.snapshot.DrainedZones[node.replica.Zone]
+		if usable && (crossing || node.replica.Zone == m.zone) {
+			found.add(index, affinityHash(prefix, node.state.idHash))
+		}
+	}
+	return found
+}
+
+// weighPrefill predicts what reading the prompt at a prefill replica takes.
+func (m *Matcher) weighPrefill(row *requestRow, index int, expectedCached float64, now time.Time) prefillChoice {
+	node := &m.graph.prefills[index]
+	cached := m.cachedTokens(row, node, expectedCached, now)
+	uncached := max(row.request.PromptTokens-cached, 0)
+	features := node.features(*row, cached, uncached)
+	cost := m.parameters.TokenCost * uncached
+	if node.replica.Zone != m.zone {
+		cost += m.parameters.CrossZoneCost
+	}
+	return prefillChoice{
+		node:           index,
+		features:       features,
+		predictedMs:    m.predictStep(node, stepPrefill, features),
+		cachedTokens:   cached,
+		uncachedTokens: uncached,
+		cost:           cost,
+	}
+}
+
+// cachedTokens returns how many of the prompt's tokens a replica should have cached: what this data plane knows of its own
+// requests, or expects since others send theirs there.
+func (m *Matcher) cachedTokens(row *requestRow, node *replicaNode, expected float64, now time.Time) float64 {
+	if !row.useLedger {
+		return 0
+	}
+	return max(m.ledger.CachedTokens(node.replica.ID, row.request.prompt(), now), expected)
+}
+
+// keepBestOfZone adds a choice to those from start on, or replaces the one of the same zone if it is better.
+func (g *assignmentGraph) keepBestOfZone(start int, choice prefillChoice) {
+	zone := g.prefills[choice.node].replica.Zone
+	for index := start; index < len(g.choices); index++ {
+		if g.prefills[g.choices[index].node].replica.Zone != zone {
+			continue
+		}
+		if choice.badness < g.choices[index].badness {
+			g.choices[index] = choice
+		}
+		return
+	}
+	g.choices = append(g.choices, choice)
+}
+
+// scorePair computes the weight of reading a request's prompt at one replica and making its tokens at another.
+func (m *Matcher) scorePair(row *requestRow, choice *prefillChoice, node *replicaNode, now time.Time) scoredPair {
+	request := row.request
+	source := &m.graph.prefills[choice.node]
+	distance := m.moveDistance(source.replica, node.replica)
+	features := m.decodeFeatures(row, node, distance)
+	decodeMs := m.predictStep(node, stepDecode, features)
+	predictedMs := choice.predictedMs + decodeMs
+	success := source.state.predictor.SuccessRate() * node.state.predictor.SuccessRate()
+	cost := choice.cost + m.parameters.MoveCost*request.PromptTokens*distance + m.spreadCost(row, node)
+	return scoredPair{
+		weight:      m.value(request, success, predictedMs, now) - cost - m.crossingCost(node.replica),
+		features:    features,
+		predictedMs: predictedMs,
+		pace:        1,
+		prefill:     choice,
+	}
+}
+
+// Distances of moves between replicas, relative to one within a zone.
+const (
+	sameZoneDistance    = 1.0
+	otherZoneDistance   = 2.0
+	otherRegionDistance = 10.0
+)
+
+// moveDistance is how much longer a move of memory between two replicas takes than within a zone.
+func (m *Matcher) moveDistance(from, to *Replica) float64 {
+	switch {
+	case from.Zone == to.Zone:
+		return sameZoneDistance
+	case from.Region == to.Region:
+		return otherZoneDistance
+	}
+	return otherRegionDistance
+}
+
+// bitsPerByte and kilobitsPerMegabit convert the sizes and bandwidths of a runtime.
+const (
+	bitsPerByte        = 8
+	kilobitsPerMegabit = 1000
+)
+
+// moveMs is how long the memory of so many tokens takes over an idle link within a zone.
+func moveMs(runtime *configuration.Runtime, tokens float64) float64 {
+	if runtime == nil || runtime.LinkMbps <= 0 {
+		return 0
+	}
+	return tokens * runtime.KvTokenBytes * bitsPerByte / (runtime.LinkMbps * kilobitsPerMegabit)
+}
+
+// decodeFeatures returns the inputs of a prediction of stepDecode.
+func (m *Matcher) decodeFeatures(row *requestRow, node *replicaNode, distance float64) Features {
+	features := node.features(*row, 0, 0)
+	features[featureMove] = moveMs(node.runtime, row.request.PromptTokens) * distance
+	features[featureFarMove] = 0
+	features[featurePaceLoad] = 0
+	if distance > sameZoneDistance {
+		features[featureFarMove] = 1
+	}
+	return features
+}
+
+// spreadCost prefers one replica over another of equal weight by the hash of the shared prefix, so that data planes which see
+// the same loads don't all choose the same replica, and a prefix comes to the same ones.
+func (m *Matcher) spreadCost(row *requestRow, node *replicaNode) float64 {
+	return m.parameters.SpreadCost * (1 - affinityFraction(affinityHash(row.prefix, node.state.idHash)))
+}
+
+// crossingCost is the cost of a replica in another zone.
+func (m *Matcher) crossingCost(replica *Replica) float64 {
+	if replica.Zone != m.zone {
+		return m.parameters.CrossZoneCost
+	}
+	return 0
+}
+
+// sendPair counts a request at both replicas of a pair and resolves it with the decision to go there.
+func (m *Matcher) sendPair(request *Request, node *replicaNode, scored scoredPair, now time.Time) {
+	choice := scored.prefill
+	source := &m.graph.prefills[choice.node]
+	read := &Ticket{
+		request:        request,
+		replica:        source.replica.ID,
+		step:           stepPrefill,
+		key:            stepKeyOf(source.replica, stepPrefill),
+		features:       choice.features,
+		predictedMs:    choice.predictedMs,
+		cachedTokens:   choice.cachedTokens,
+		uncachedTokens: choice.uncachedTokens,
+		pace:           1,
+		sentAt:         now,
+		holdTime:       holdTime(source.runtime),
+	}
+	decode := &Ticket{
+		request:     request,
+		replica:     node.replica.ID,
+		step:        stepDecode,
+		key:         stepKeyOf(node.replica, stepDecode),
+		features:    scored.features,
+		predictedMs: scored.predictedMs - choice.predictedMs,
+		pace:        1,
+		sentAt:      now,
+		prefill:     read,
+	}
+	read.next = decode
+	source.capacity--
+	source.freeMemory -= request.PromptTokens
+	source.state.recordTicket(read)
+	node.state.reserve(decode)
+	m.replicas.watched[source.replica.ID] = source.state
+	request.recordCachedParts(choice.cachedTokens)
+	m.recordSend(request, node, choice.uncachedTokens, now)
+	m.ledger.RecordPrompt(source.replica.ID, request.prompt(), request.Arrived, now)
+	m.resolve(request, Decision{
+		Replica: node.replica,
+		Ticket:  decode,
+		Prefill: &PrefillStep{Replica: source.replica, Ticket: read, Timeout: read.firstEventTimeout()},
+	})
+}
+
+// holdTime is how long a prefill replica holds memory that nobody takes.
+func holdTime(runtime *configuration.Runtime) time.Duration {
+	if runtime == nil {
+		return 0
+	}
+	return time.Duration(runtime.PrefixHoldS * float64(time.Second))
+}
