--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -100,6 +100,7 @@
 	}
 	parsed.applyRoute(snapshot)
 	parsed.setUpstream(request, body, snapshot)
+	parsed.request.Unsplit = parsed.upstream.LastEventID != ""
 	return parsed, nil
 }
 
@@ -107,6 +108,7 @@
 func (p *parsedRequest) applyRoute(snapshot *routing.Snapshot) {
 	tenant := snapshot.Table.Tenant(p.authorization.tenant)
 	p.request.LatencyTarget = milliseconds(p.route.TargetLatencyMs)
+	p.request.TokenGap = milliseconds(p.route.TokenGapMs)
 	p.request.Priority = tenant.PriorityOr(p.route.Priority)
 	p.request.AllowedRegions = tenant.IntersectRegions(p.route.AllowedRegions)
 	p.request.ExcludedReplicas = map[string]bool{}
--- a/internal/routing/parameters.go
+++ b/internal/routing/parameters.go
@@ -18,9 +18,9 @@
 	CrossZoneCost float64 `koanf:"crossPrice"`
 	// MoveCost is the cost of moving the memory of one prompt token between replicas of a zone.
 	MoveCost float64 `koanf:"moveCost"`
-	// DecodeReadCost is the cost, for each token and each request that runs there, of reading a prompt at a decode replica:
-	// the tokens of those requests come later.
-	DecodeReadCost float64 `koanf:"decodeReadCost"`
+	// InterferenceCost is the cost, for each stream that runs there, of reading a prompt at a decode replica for so long that
+	// the streams' events come too far apart.
+	InterferenceCost float64 `koanf:"interferenceCost"`
 	// SpreadCost is the most by which replicas of a split backend are preferred to others of equal weight.
 	SpreadCost float64 `koanf:"spreadCost"`
 	// LateValue is the value of an answer after the latency target, relative to one in time.
@@ -61,7 +61,7 @@
 		TokenCost:        0.00002,
 		CrossZoneCost:    0.03,
 		MoveCost:         0.000004,
-		DecodeReadCost:   0.000004,
+		InterferenceCost: 0.15,
 		SpreadCost:       0.05,
 		LateValue:        0.4,
 		QueueLimit:       512,
--- a/internal/routing/phase.go
+++ b/internal/routing/phase.go
@@ -98,15 +98,23 @@
 	return s[key]
 }
 
+// startSharedCovariance is the initial diagonal of a shared model's covariance: it sees enough requests to learn slowly, and
+// decides between ways to serve a request from the first one on.
+const startSharedCovariance = 0.5
+
 // newStepPredictor returns a model with the starting weights of its step.
 func newStepPredictor(key stepKey) *Predictor {
+	predictor := NewPredictor()
 	switch {
 	case key.step == stepDecode:
-		return newDecodePredictor()
+		predictor = newDecodePredictor()
 	case key.phase == discovery.PhaseDecode:
-		return newDecodeAlonePredictor()
+		predictor = newDecodeAlonePredictor()
 	}
-	return NewPredictor()
+	for index := range predictor.covariance {
+		predictor.covariance[index][index] = startSharedCovariance
+	}
+	return predictor
 }
 
 // fork copies the models.
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -20,6 +20,7 @@
 	Arrived          time.Time
 	Deadline         time.Time
 	LatencyTarget    time.Duration   // of the route, for the first event; 0 for none
+	TokenGap         time.Duration   // longest gap between events by the route; 0 for no limit
 	Priority         int             // of the tenant or the route, 0 is the highest
 	ExcludedReplicas map[string]bool // ids of replicas that must not be used again
 	AllowedRegions   []string        // regions allowed by the route; empty for all
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -82,9 +82,10 @@
 	uncached := max(request.PromptTokens-cached, 0)
 	features := node.features(*row, cached, uncached)
 	predictedMs := m.predictStep(node, stepWhole, features)
-	running := float64(node.state.running + node.peerLoad.Running)
-	cost := m.parameters.TokenCost*uncached + m.parameters.DecodeReadCost*uncached*running
-	cost += m.crossingCost(node.replica) + m.spreadCost(row, node)
+	cost := m.parameters.TokenCost*uncached + m.crossingCost(node.replica) + m.spreadCost(row, node)
+	if len(row.prefills) > 0 {
+		cost += m.interferenceCost(request, node, uncached)
+	}
 	return scoredPair{
 		weight:         m.value(request, node.state.predictor.SuccessRate(), predictedMs, now) - cost,
 		features:       features,
@@ -95,6 +96,31 @@
 	}
 }
 
+// Between these shares of a route's longest gap between events, the cost of reading a prompt beside running streams rises from
+// nothing to all of it.
+const (
+	harmlessGapShare = 0.2
+	harmfulGapShare  = 0.7
+)
+
+// interferenceCost is what reading so many tokens at a decode replica costs the streams that run there: their tokens wait until
+// each piece of the prompt is read, and a stream whose events come too far apart counts as late. It is left out where no prefill
+// replica could read the prompt instead.
+func (m *Matcher) interferenceCost(request *Request, node *replicaNode, uncached float64) float64 {
+	gapMs := float64(request.TokenGap.Milliseconds())
+	running := float64(node.state.running + node.peerLoad.Running)
+	if gapMs <= 0 || running <= 0 {
+		return 0
+	}
+	perThousand := m.shared.at(stepKeyOf(node.replica, stepWhole)).PrefillMsPerThousand()
+	readMs := (uncached + node.state.pendingTokens + node.peerLoad.PrefillTokens) / tokensPerThousand * perThousand
+	share := (readMs/gapMs - harmlessGapShare) / (harmfulGapShare - harmlessGapShare)
+	return m.parameters.InterferenceCost * min(running, maxInterferedStreams) * min(max(share, 0), 1)
+}
+
+// maxInterferedStreams bounds how many streams beside a prompt are counted.
+const maxInterferedStreams = 4
+
 // value is v of IEMAS eq. 1.
 func (m *Matcher) value(request *Request, successRate, predictedMs float64, now time.Time) float64 {
 	latencyTargetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
