--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -30,6 +30,8 @@
 
 	// prefill, if set, is where the prompt is to be read; the other fields are of the decode step then.
 	prefill *prefillChoice
+	// reachable, at a decode replica, says that the first event is predicted before the deadline.
+	reachable bool
 }
 
 // score computes the weight of a pair of request and replica:
@@ -50,9 +52,30 @@
 			best = pair
 		}
 	}
+	if best.reachable {
+		best.weight = servableWeight(best.weight)
+	}
 	return best
 }
 
+// lowWeight is the weight below which servableWeight bends.
+const lowWeight = 0.02
+
+// servableWeight keeps the order of weights and makes all of them positive. Prompts of a split backend may be so long that the
+// cost of reading one exceeds the value of a late answer, which grows with the prompt as well: pruning the pair would refuse
+// the largest requests alone.
+func servableWeight(weight float64) float64 {
+	if weight >= lowWeight {
+		return weight
+	}
+	return lowWeight * math.Exp(weight-lowWeight)
+}
+
+// isReachable reports whether a first event is predicted before the request's deadline.
+func isReachable(request *Request, predictedMs float64, now time.Time) bool {
+	return predictedMs <= float64(request.Deadline.Sub(now).Milliseconds())
+}
+
 // scoreWhole computes the weight of serving a request at one replica that does both phases.
 func (m *Matcher) scoreWhole(row *requestRow, node *replicaNode, now time.Time) scoredPair {
 	request, replica, state := row.request, node.replica, node.state
@@ -93,6 +116,7 @@
 		cachedTokens:   cached,
 		uncachedTokens: uncached,
 		pace:           1,
+		reachable:      isReachable(request, predictedMs, now),
 	}
 }
 
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -150,6 +150,7 @@
 		predictedMs: predictedMs,
 		pace:        1,
 		prefill:     choice,
+		reachable:   isReachable(request, predictedMs, now),
 	}
 }
 
