--- a/internal/controlplane/replicatracker/observations.go
+++ b/internal/controlplane/replicatracker/observations.go
@@ -12,6 +12,7 @@
 type observation struct {
 	reportedAt time.Time
 	models     []discovery.LoadedModel
+	phase      discovery.Phase
 	// cordoned are the references that data planes must not use, as cordonKey names them.
 	cordoned []string
 }
@@ -30,7 +31,7 @@
 	return &Observations{listLag: listLag, byID: map[string]observation{}}
 }
 
-// Apply returns a list that was made at a moment or after it with the models that were observed later, and the references
+// Apply returns a list that was made at a moment or after it with the models and phases that were observed later, and the references
 // that data planes must not use, in order. The list given is not changed.
 func (o *Observations) Apply(replicas []discovery.Replica, asOf time.Time) ([]discovery.Replica, []string) {
 	result := make([]discovery.Replica, len(replicas))
@@ -46,6 +47,9 @@
 		cordoned = append(cordoned, observed.cordoned...)
 		if !observed.reportedAt.IsZero() && asOf.Add(-o.listLag).Before(observed.reportedAt) {
 			result[index].Models = observed.models
+			if observed.phase != "" {
+				result[index].Phase = observed.phase
+			}
 		}
 	}
 	sort.Strings(cordoned)
--- a/internal/controlplane/replicatracker/replica.go
+++ b/internal/controlplane/replicatracker/replica.go
@@ -68,6 +68,19 @@
 // SetIntent keeps the planner's note for its next run.
 func (r *Replica) SetIntent(intent string) { r.intent = intent }
 
+// Phase is the part of a generation that the replica does, or will do once a change under way is done.
+func (r *Replica) Phase() discovery.Phase {
+	if target := r.state.TargetPhase(); target != "" {
+		return discovery.Phase(target)
+	}
+	return r.listed.Phase
+}
+
+// IsChangingPhase tells whether a change of the phase is under way or of unknown fate.
+func (r *Replica) IsChangingPhase() bool {
+	return r.state.TargetPhase() != r.state.ServingPhase()
+}
+
 // IsIdle tells whether the replica's state is known and neither an order is under way nor the planner makes room on it.
 func (r *Replica) IsIdle() bool {
 	return r.state.Phase() == replicastate.Idle && r.intent == ""
@@ -80,7 +93,11 @@
 
 // observation is what is known of the replica, for publication.
 func (r *Replica) observation() observation {
-	observed := observation{reportedAt: r.reportedAt, models: loadedModels(r.state.Loaded())}
+	observed := observation{
+		reportedAt: r.reportedAt,
+		models:     loadedModels(r.state.Loaded()),
+		phase:      discovery.Phase(r.state.ServingPhase()),
+	}
 	for key := range r.cordoned {
 		observed.cordoned = append(observed.cordoned, key)
 	}
@@ -118,11 +135,22 @@
 	r.unpublished = true
 }
 
+// cordonAll has data planes stop using all that the replica has loaded.
+func (r *Replica) cordonAll() {
+	for reference := range r.state.Loaded() {
+		r.cordoned[cordonKey(r.listed.ID, reference)] = true
+	}
+	r.unpublished = true
+}
+
 // refreshCordons lets data planes use again what no order unloads any more.
 func (r *Replica) refreshCordons() {
 	r.cordoned = map[string]bool{}
 	for _, change := range r.state.UncertainChanges() {
-		if !change.Load {
+		switch {
+		case change.ServingPhase != "":
+			r.cordonAll()
+		case !change.Load:
 			r.cordon(change.Reference)
 		}
 	}
--- a/internal/controlplane/replicatracker/tracker.go
+++ b/internal/controlplane/replicatracker/tracker.go
@@ -160,6 +160,25 @@
 	return order, true
 }
 
+// DecidePhase ties a change of the serving phase to what is known of the replica. It returns false where nothing may be ordered
+// now. All that the replica has loaded is cordoned from here on, since it rejects requests until the change is done.
+func (t *Tracker) DecidePhase(id string, phase discovery.Phase, now time.Time) (replicastate.Order, bool) {
+	replica := t.byID[id]
+	if replica == nil {
+		return replicastate.Order{}, false
+	}
+	order, possible := replica.state.Decide(replicastate.Change{ServingPhase: string(phase)}, now)
+	if !possible {
+		return replicastate.Order{}, false
+	}
+	replica.action = nil
+	replica.decidedAt = now
+	replica.startedAt = now
+	replica.cordonAll()
+	t.unpublished = true
+	return order, true
+}
+
 // HandleResponse applies the outcome of an order's call.
 func (t *Tracker) HandleResponse(replica *Replica, order replicastate.Order, outcome replicastate.Outcome, now time.Time) {
 	replica.state.HandleResponse(order, outcome, now)
--- a/internal/controlplane/scheduler/configuration.go
+++ b/internal/controlplane/scheduler/configuration.go
@@ -1,7 +1,10 @@
 package scheduler
 
 import (
+	"time"
+
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/nodesettings"
 	"ferryspar/internal/placement"
 )
 
@@ -48,6 +51,15 @@
 	return c.table.Model(index, name)
 }
 
+// swapTime is how long a replica of the backend takes to change its phase.
+func (c *currentConfiguration) swapTime(backend string) time.Duration {
+	found, _, known := c.table.Backend(backend)
+	if !known || found.Runtime == nil {
+		return 0
+	}
+	return nodesettings.Seconds(found.Runtime.SwapTimeS)
+}
+
 // isPlacementTarget tells whether models are placed on a backend's replicas: those of backends that declare a runtime.
 func isPlacementTarget(table *configuration.Table, backend string) bool {
 	found, _, known := table.Backend(backend)
--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -9,7 +9,9 @@
 	"github.com/sirupsen/logrus"
 
 	"ferryspar/internal/controlplane/replicatracker"
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/nodesettings"
+	"ferryspar/internal/phasebalance"
 	"ferryspar/internal/placement"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/replicastate"
@@ -54,6 +56,22 @@
 	if !action.Load && s.demand.isAskedFor(tracked.Backend(), action.Model) {
 		delay = cordonLeadTime
 	}
+	s.sendAfter(ctx, tracked, order, delay)
+}
+
+// startPhase has a replica take another phase, after the data planes had time to stop using it.
+func (s *orderSender) startPhase(ctx context.Context, change phasebalance.Change, now time.Time) {
+	order, possible := s.tracker.DecidePhase(change.Replica, change.Phase, now)
+	if !possible {
+		return
+	}
+	s.sendAfter(ctx, s.tracker.Replica(change.Replica), order, cordonLeadTime)
+}
+
+// sendAfter sends an order after a delay and handles its response.
+func (s *orderSender) sendAfter(
+	ctx context.Context, tracked *replicatracker.Replica, order replicastate.Order, delay time.Duration,
+) {
 	id, address := tracked.ID(), tracked.Address()
 	s.background.run(func() func() {
 		nodesettings.Sleep(ctx, delay)
@@ -70,20 +88,28 @@
 		return statusNotSent, nil
 	}
 	model, adapter := placement.SplitReference(order.Reference)
-	operation := replica.OperationUnload
-	if order.Load {
-		operation = replica.OperationLoad
-	}
 	return s.client.SendOrder(ctx, address, id, replica.Order{
-		Operation:     operation,
+		Operation:     operationOf(order),
 		Model:         model,
 		Adapter:       adapter,
+		Phase:         discovery.Phase(order.ServingPhase),
 		LeaseHolder:   grant.Record.Holder,
 		Fence:         grant.Record.Fence,
 		ExpectedCount: order.Expected,
 	})
 }
 
+// operationOf is the operation that an order is sent as.
+func operationOf(order replicastate.Order) string {
+	switch {
+	case order.ServingPhase != "":
+		return replica.OperationPhase
+	case order.Load:
+		return replica.OperationLoad
+	}
+	return replica.OperationUnload
+}
+
 // outcomeByStatus holds what each status says of an order; any other status is no clear answer.
 var outcomeByStatus = map[int]replicastate.Outcome{
 	statusNotSent:                 replicastate.NotSent,
@@ -139,6 +165,9 @@
 
 // expectedDuration is how long the order that a replica has accepted should take.
 func (s *orderSender) expectedDuration(tracked *replicatracker.Replica) time.Duration {
+	if change, pending := tracked.State().PendingChange(); pending && change.ServingPhase != "" {
+		return max(s.configuration.swapTime(tracked.Backend()), replicatracker.ReportLag)
+	}
 	action := tracked.Action()
 	if action == nil || !action.Load {
 		return replicatracker.ReportLag
@@ -165,6 +194,7 @@
 		"replica":       tracked.ID(),
 		"load":          order.Load,
 		"model":         order.Reference,
+		"phase":         order.ServingPhase,
 		"reason":        reason,
 		"status":        status,
 		"fence":         order.Fence,
--- /dev/null
+++ b/internal/controlplane/scheduler/phases.go
@@ -0,0 +1,141 @@
+package scheduler
+
+import (
+	"context"
+	"math"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"ferryspar/internal/controlplane/replicatracker"
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/phasebalance"
+	"ferryspar/internal/placement"
+)
+
+const (
+	// phasePlanInterval is the least time between two plans of the phases.
+	phasePlanInterval = 500 * time.Millisecond
+	// phaseLearningPeriod is how long the demand is watched before phases are changed by it.
+	phaseLearningPeriod = 1500 * time.Millisecond
+	// runningTimeConstantS is the time constant, in seconds, of the average of running requests.
+	runningTimeConstantS = 2.0
+)
+
+// phaseBalancer has replicas of split backends change their phase as the demand for reading prompts and for making tokens
+// moves. The planning loop alone uses it.
+type phaseBalancer struct {
+	tracker   *replicatracker.Tracker
+	demand    *DemandView
+	orders    *orderSender
+	plannedAt time.Time
+	byBackend map[string]*backendPhases
+}
+
+// backendPhases is what is kept of a backend from plan to plan.
+type backendPhases struct {
+	moving   bool
+	running  float64
+	countsAt time.Time
+}
+
+// newPhaseBalancer returns a balancer that has planned nothing yet.
+func newPhaseBalancer(tracker *replicatracker.Tracker, demand *DemandView, orders *orderSender) *phaseBalancer {
+	return &phaseBalancer{tracker: tracker, demand: demand, orders: orders, byBackend: map[string]*backendPhases{}}
+}
+
+// plan orders the changes of phases that are due.
+func (b *phaseBalancer) plan(ctx context.Context, view *placement.View) {
+	if view.Now.Sub(b.plannedAt) < phasePlanInterval {
+		return
+	}
+	b.plannedAt = view.Now
+	suspected := map[string]bool{}
+	for _, server := range view.Servers {
+		suspected[server.ID] = server.Lost
+	}
+	for _, backend := range b.splitBackends() {
+		b.planBackend(ctx, view, backend, suspected)
+	}
+}
+
+// splitBackends returns the backends that have replicas of a phase, in the order of their first replica.
+func (b *phaseBalancer) splitBackends() []string {
+	var names []string
+	found := map[string]bool{}
+	for _, tracked := range b.tracker.Listed() {
+		phase := tracked.Phase()
+		isSplit := phase == discovery.PhasePrefill || phase == discovery.PhaseDecode
+		if isSplit && !found[tracked.Backend()] {
+			found[tracked.Backend()] = true
+			names = append(names, tracked.Backend())
+		}
+	}
+	return names
+}
+
+// planBackend orders the changes of one backend's phases.
+func (b *phaseBalancer) planBackend(ctx context.Context, view *placement.View, name string, suspected map[string]bool) {
+	backend, _, known := view.Table.Backend(name)
+	if !known || backend.Runtime == nil {
+		return
+	}
+	phases := b.byBackend[name]
+	if phases == nil {
+		phases = &backendPhases{}
+		b.byBackend[name] = phases
+	}
+	prefillBusy, running, learned := b.demand.splitLoad(name, view.Now)
+	phases.averageRunning(running, view.Now)
+	if !learned {
+		return
+	}
+	input := phasebalance.View{
+		Load:   phasebalance.Load{PrefillBusy: prefillBusy, Running: phases.running},
+		Slots:  backend.Runtime.Slots,
+		Moving: phases.moving,
+	}
+	for _, tracked := range b.tracker.Listed() {
+		if tracked.Backend() == name {
+			input.Replicas = append(input.Replicas, balancedReplica(tracked, view, suspected[tracked.ID()]))
+		}
+	}
+	result := phasebalance.Plan(input)
+	phases.moving = result.Moving
+	if len(result.Changes) > 0 {
+		logrus.WithFields(logrus.Fields{
+			"backend":      name,
+			"prefill":      result.Prefill,
+			"replicas":     len(input.Replicas),
+			"prefill_busy": math.Round(input.Load.PrefillBusy*10) / 10,
+			"running":      math.Round(input.Load.Running),
+			"changes":      len(result.Changes),
+		}).Info("replicas change phase")
+	}
+	for _, change := range result.Changes {
+		b.orders.startPhase(ctx, change, view.Now)
+	}
+}
+
+// balancedReplica is a replica as the balance sees it.
+func balancedReplica(tracked *replicatracker.Replica, view *placement.View, suspected bool) phasebalance.Replica {
+	serving := !tracked.IsDraining() && !suspected && !view.DrainedZones[tracked.Listed().Zone]
+	return phasebalance.Replica{
+		ID:       tracked.ID(),
+		Zone:     tracked.Listed().Zone,
+		Phase:    tracked.Phase(),
+		Changing: tracked.IsChangingPhase(),
+		Movable:  serving && tracked.State().IsReady(view.Now),
+		Serving:  serving,
+	}
+}
+
+// averageRunning averages the number of running requests.
+func (p *backendPhases) averageRunning(running float64, now time.Time) {
+	weight := 1.0
+	if !p.countsAt.IsZero() {
+		weight = 1 - math.Exp(-now.Sub(p.countsAt).Seconds()/runningTimeConstantS)
+	}
+	p.running += weight * (running - p.running)
+	p.countsAt = now
+}
--- a/internal/controlplane/scheduler/polls.go
+++ b/internal/controlplane/scheduler/polls.go
@@ -99,9 +99,10 @@
 		return
 	}
 	reported := replicastate.Report{
-		Sequence: report.Sequence,
-		Busy:     report.Busy,
-		Loaded:   replicatracker.References(report.Models),
+		Sequence:     report.Sequence,
+		Busy:         report.Busy,
+		Loaded:       replicatracker.References(report.Models),
+		ServingPhase: string(report.Phase),
 	}
 	doneAt := p.verifyDiskLoad(tracked, reported, polledAt)
 	action, decidedAt, startedAt := tracked.Action(), tracked.DecidedAt(), tracked.StartedAt()
--- a/internal/controlplane/scheduler/scheduler.go
+++ b/internal/controlplane/scheduler/scheduler.go
@@ -42,6 +42,7 @@
 	orders        *orderSender
 	poller        *reportPoller
 	eviction      *contextEviction
+	phases        *phaseBalancer
 	// grant is the one that the tracked replicas were learned under.
 	grant *lease.Grant
 	// sizes are those that models had in earlier configurations under the grant.
@@ -94,6 +95,7 @@
 		publisher:     s.publisher,
 		background:    s.background,
 	}
+	s.phases = newPhaseBalancer(s.tracker, s.demand, s.orders)
 	s.eviction = &contextEviction{
 		tracker:    s.tracker,
 		copies:     s.copies,
--- a/internal/controlplane/scheduler/sync.go
+++ b/internal/controlplane/scheduler/sync.go
@@ -42,6 +42,7 @@
 		s.eviction.recordAction(action, now)
 		s.orders.start(ctx, action, now)
 	}
+	s.phases.plan(ctx, view)
 	for _, server := range view.Servers {
 		s.tracker.Replica(server.ID).SetIntent(server.Intent)
 	}
--- /dev/null
+++ b/internal/phasebalance/balance.go
@@ -0,0 +1,190 @@
+// Package phasebalance decides how many replicas of a split backend read prompts (prefill) and how many make tokens (decode),
+// and which of them change over.
+//
+// It is pure: it sends nothing, reads no clock and keeps no state. What is known of the fleet is passed in as a View, and what
+// is to be ordered now comes back as Changes; the caller orders them, and a change that is under way is part of the next View.
+// Start reading at Plan.
+package phasebalance
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"ferryspar/internal/discovery"
+)
+
+// Replica is a replica of the backend.
+type Replica struct {
+	ID   string
+	Zone string
+	// Phase is that which it has, or changes to if Changing is set.
+	Phase    discovery.Phase
+	Changing bool
+	// Movable says that its state is known, nothing is under way, and it is neither draining nor suspected.
+	Movable bool
+	// Serving says that it counts as a replica of its phase: it is neither draining nor suspected, and its zone is not
+	// evacuated.
+	Serving bool
+}
+
+// Load is what all data planes together ask of the backend, averaged over seconds.
+type Load struct {
+	// PrefillBusy is how many prefill replicas reading the prompts keeps busy.
+	PrefillBusy float64
+	// Running is how many requests run or are being read.
+	Running float64
+}
+
+// View is the input of a plan.
+type View struct {
+	Replicas []Replica
+	Load     Load
+	// Slots is how many requests a replica runs at once.
+	Slots int
+	// Moving says that the last plan found the phases out of balance, so that this one goes on until they are in balance.
+	Moving bool
+}
+
+// Change has a replica take another phase.
+type Change struct {
+	Replica string
+	Phase   discovery.Phase
+}
+
+// Result is a plan.
+type Result struct {
+	Changes []Change
+	// Moving is to be passed to the next plan.
+	Moving bool
+	// Prefill is how many replicas the plan would have read prompts.
+	Prefill int
+}
+
+const (
+	// targetPrefillUtilization is the share of its time that a prefill replica is meant to read.
+	targetPrefillUtilization = 0.35
+	// targetDecodeShare is the share of its slots that a decode replica is meant to have taken.
+	targetDecodeShare = 0.2
+	// minLoad is the sum of both needs, in replicas, below which the load says nothing.
+	minLoad = 0.5
+	// startShare is the share of all replicas by which the phases must be out of balance for a move to begin; minStart is the
+	// least number.
+	startShare = 0.08
+	minStart   = 2
+	// changingShare is the share of all replicas that may be changing over at once.
+	changingShare = 1.0 / 6
+	// keptHeadroom is how much more than it needs at full use the phase that gives replicas must keep.
+	keptHeadroom = 1.5
+)
+
+// Plan returns the changes to order now. Both phases get the same headroom over what the load needs of them; each zone keeps
+// at least one replica of each phase while it has two. A move begins only once the phases are clearly out of balance, and goes
+// on until they are within one replica of it, so that a load that swings does not move replicas to and fro.
+func Plan(view View) Result {
+	total, prefill := 0, 0
+	changing := 0
+	for _, replica := range view.Replicas {
+		if !replica.Serving {
+			continue
+		}
+		total++
+		if replica.Phase == discovery.PhasePrefill {
+			prefill++
+		}
+		if replica.Changing {
+			changing++
+		}
+	}
+	needPrefill := view.Load.PrefillBusy / targetPrefillUtilization
+	needDecode := view.Load.Running / (targetDecodeShare * float64(max(view.Slots, 1)))
+	if total < 2 || needPrefill+needDecode < minLoad {
+		return Result{Prefill: prefill}
+	}
+	desired := int(math.Round(float64(total) * needPrefill / (needPrefill + needDecode)))
+	desired = min(max(desired, 1), total-1)
+	gap := desired - prefill
+	result := Result{Prefill: desired}
+	threshold := max(minStart, int(math.Ceil(startShare*float64(total))))
+	if abs(gap) < threshold && !(view.Moving && abs(gap) > 1) {
+		return result
+	}
+	result.Moving = true
+	room := max(int(changingShare*float64(total)), 1) - changing
+	room = min(room, abs(gap), spare(view, total-prefill, prefill, gap))
+	result.Changes = chooseChanges(view.Replicas, desired, total, gap, room)
+	return result
+}
+
+// spare is how many replicas the phase that is to give some can do without until others have taken over.
+func spare(view View, decode, prefill, gap int) int {
+	if gap > 0 {
+		needed := keptHeadroom * view.Load.Running / float64(max(view.Slots, 1))
+		return decode - int(math.Ceil(needed))
+	}
+	return prefill - int(math.Ceil(keptHeadroom*view.Load.PrefillBusy))
+}
+
+// zoneCount is how many serving replicas a zone has in the phase that gives some, and in all.
+type zoneCount struct {
+	giving, total int
+}
+
+// chooseChanges picks up to room replicas of the phase that has too many, each from the zone that is furthest above its share.
+func chooseChanges(replicas []Replica, desired, total, gap, room int) []Change {
+	from, to, share := discovery.PhaseDecode, discovery.PhasePrefill, float64(total-desired)/float64(total)
+	if gap < 0 {
+		from, to, share = discovery.PhasePrefill, discovery.PhaseDecode, float64(desired)/float64(total)
+	}
+	zones := map[string]*zoneCount{}
+	movable := map[string][]string{}
+	for _, replica := range replicas {
+		if !replica.Serving {
+			continue
+		}
+		if zones[replica.Zone] == nil {
+			zones[replica.Zone] = &zoneCount{}
+		}
+		zones[replica.Zone].total++
+		if replica.Phase != from {
+			continue
+		}
+		zones[replica.Zone].giving++
+		if replica.Movable {
+			movable[replica.Zone] = append(movable[replica.Zone], replica.ID)
+		}
+	}
+	for _, ids := range movable {
+		slices.Sort(ids)
+	}
+	var changes []Change
+	for len(changes) < room {
+		zone, found := zoneAboveShare(zones, movable, share)
+		if !found {
+			break
+		}
+		changes = append(changes, Change{Replica: movable[zone][0], Phase: to})
+		movable[zone] = movable[zone][1:]
+		zones[zone].giving--
+	}
+	return changes
+}
+
+// zoneAboveShare is the zone with the most giving replicas above its share, of those that keep one and have one to give.
+func zoneAboveShare(zones map[string]*zoneCount, movable map[string][]string, share float64) (best string, found bool) {
+	names := make([]string, 0, len(zones))
+	for name, count := range zones {
+		if len(movable[name]) > 0 && count.giving > 1 {
+			names = append(names, name)
+		}
+	}
+	if len(names) == 0 {
+		return "", false
+	}
+	excess := func(name string) float64 { return float64(zones[name].giving) - share*float64(zones[name].total) }
+	return slices.MinFunc(names, func(left, right string) int {
+		return cmp.Or(cmp.Compare(excess(right), excess(left)), cmp.Compare(left, right))
+	}), true
+}
+
+func abs(value int) int { return max(value, -value) }
--- /dev/null
+++ b/internal/phasebalance/balance_test.go
@@ -0,0 +1,145 @@
+package phasebalance
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/discovery"
+)
+
+// fleet returns serving replicas over some zones, of which so many read prompts.
+func fleet(total, prefill, zones int) []Replica {
+	replicas := make([]Replica, total)
+	for index := range replicas {
+		replicas[index] = Replica{
+			ID:      fmt.Sprintf("i-%02d", index),
+			Zone:    fmt.Sprintf("zone-%d", index%zones),
+			Phase:   discovery.PhaseDecode,
+			Movable: true,
+			Serving: true,
+		}
+		if index < prefill {
+			replicas[index].Phase = discovery.PhasePrefill
+		}
+	}
+	return replicas
+}
+
+func count(replicas []Replica, phase discovery.Phase) int {
+	found := 0
+	for _, replica := range replicas {
+		if replica.Phase == phase {
+			found++
+		}
+	}
+	return found
+}
+
+// apply carries changes out at once.
+func apply(replicas []Replica, changes []Change) {
+	for _, change := range changes {
+		for index := range replicas {
+			if replicas[index].ID == change.Replica {
+				replicas[index].Phase = change.Phase
+			}
+		}
+	}
+}
+
+// settle plans until nothing is to be changed, and returns the number of changes.
+func settle(t *testing.T, replicas []Replica, load Load) int {
+	t.Helper()
+	changed, moving := 0, false
+	for range 50 {
+		result := Plan(View{Replicas: replicas, Load: load, Slots: 64, Moving: moving})
+		moving = result.Moving
+		if len(result.Changes) == 0 {
+			return changed
+		}
+		changed += len(result.Changes)
+		apply(replicas, result.Changes)
+	}
+	t.Fatal("the phases never settle")
+	return changed
+}
+
+func TestPlan_MovesReplicasToThePhaseInNeed(t *testing.T) {
+	for _, test := range []struct {
+		name            string
+		load            Load
+		lowest, highest int
+	}{
+		{"long prompts", Load{PrefillBusy: 22, Running: 200}, 68, 76},
+		{"long answers", Load{PrefillBusy: 4, Running: 900}, 10, 16},
+		{"no load", Load{}, 37, 37},
+		{"only prompts", Load{PrefillBusy: 20}, 85, 87},
+		{"only answers", Load{Running: 500}, 1, 4},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			replicas := fleet(90, 37, 3)
+			settle(t, replicas, test.load)
+			prefill := count(replicas, discovery.PhasePrefill)
+			assert.Assert(t, prefill >= test.lowest && prefill <= test.highest, "%d", prefill)
+		})
+	}
+}
+
+func TestPlan_LeavesSmallImbalancesAlone(t *testing.T) {
+	replicas := fleet(90, 70, 3)
+	result := Plan(View{Replicas: replicas, Load: Load{PrefillBusy: 22, Running: 200}, Slots: 64})
+	assert.Equal(t, len(result.Changes), 0)
+	assert.Assert(t, !result.Moving)
+	result = Plan(View{Replicas: replicas, Load: Load{PrefillBusy: 22, Running: 200}, Slots: 64, Moving: true})
+	assert.Assert(t, len(result.Changes) > 0, "a move that has begun goes on")
+}
+
+func TestPlan_ChangesFewAtOnce(t *testing.T) {
+	replicas := fleet(90, 37, 3)
+	for index := 40; index < 50; index++ {
+		replicas[index].Phase, replicas[index].Changing, replicas[index].Movable = discovery.PhasePrefill, true, false
+	}
+	result := Plan(View{Replicas: replicas, Load: Load{PrefillBusy: 22, Running: 200}, Slots: 64})
+	assert.Equal(t, len(result.Changes), 5)
+}
+
+func TestPlan_TakesNoneThatMayNotMoveOrDoesNotServe(t *testing.T) {
+	replicas := fleet(12, 4, 3)
+	for index := range replicas {
+		replicas[index].Movable = index >= 10
+	}
+	result := Plan(View{Replicas: replicas, Load: Load{PrefillBusy: 5, Running: 1}, Slots: 64})
+	for _, change := range result.Changes {
+		assert.Assert(t, change.Replica == "i-10" || change.Replica == "i-11", change.Replica)
+	}
+	assert.Assert(t, len(result.Changes) > 0)
+}
+
+// In random fleets, no zone loses its last replica of a phase, the phase that gives keeps what the load needs, and the phases
+// settle.
+func TestPlan_KeepsBothPhasesInEachZone(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
+	for range 2000 {
+		zones := 1 + random.IntN(4)
+		total := 2*zones + random.IntN(60)
+		replicas := fleet(total, zones+random.IntN(total-2*zones+1), zones)
+		before := zonesByPhase(replicas)
+		load := Load{PrefillBusy: random.Float64() * float64(total), Running: random.Float64() * float64(total) * 40}
+		settle(t, replicas, load)
+		after := zonesByPhase(replicas)
+		for key := range before {
+			assert.Assert(t, after[key] > 0, "%v lost its last replica", key)
+		}
+	}
+}
+
+// zonesByPhase counts replicas by zone and phase.
+func zonesByPhase(replicas []Replica) map[string]int {
+	counts := map[string]int{}
+	for _, replica := range replicas {
+		counts[replica.Zone+" "+string(replica.Phase)]++
+	}
+	return counts
+}
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -6,13 +6,16 @@
 const (
 	OperationLoad   = "model_load"
 	OperationUnload = "model_unload"
+	OperationPhase  = "phase"
 )
 
 // Order is the body of a placement order.
 type Order struct {
 	Operation string `json:"operation"`
-	Model     string `json:"modelId"`
-	Adapter   string `json:"adapterId,omitempty"`
+	// Model and Adapter are those to load or unload; Phase is the phase to take by OperationPhase.
+	Model   string          `json:"modelId,omitempty"`
+	Adapter string          `json:"adapterId,omitempty"`
+	Phase   discovery.Phase `json:"phase,omitempty"`
 	// LeaseHolder and Fence are those of the lease that the order is sent under.
 	LeaseHolder string `json:"leaseHolder"`
 	Fence       uint64 `json:"fenceToken"`
--- a/internal/replicastate/order.go
+++ b/internal/replicastate/order.go
@@ -6,12 +6,17 @@
 	"time"
 )
 
-// Change is a load or an unload of a model, or of an adapter written as model/adapter.
+// Change is a load or an unload of a model, or of an adapter written as model/adapter, or a change of the serving phase.
 type Change struct {
 	Load      bool
 	Reference string
+	// ServingPhase, if not empty, is the phase that the replica is to take; nothing is loaded or unloaded then.
+	ServingPhase string
 }
 
+// IsUnload tells whether the change unloads something.
+func (c Change) IsUnload() bool { return !c.Load && c.ServingPhase == "" }
+
 // Order is a change that was decided on what a replica had loaded at one sequence, under one grant of the lease.
 type Order struct {
 	Change
@@ -51,6 +56,8 @@
 	Busy bool
 	// Loaded holds the references of models and adapters.
 	Loaded map[string]bool
+	// ServingPhase is the part of a generation that the replica does.
+	ServingPhase string
 }
 
 // uncertainOrder is an order of unknown fate. The network can hold it no longer than until expiresAt. A replica whose process
@@ -77,6 +84,9 @@
 		next[change.Reference] = true
 		return next
 	}
+	if !change.IsUnload() {
+		return next
+	}
 	for reference := range loaded {
 		if reference == change.Reference || strings.HasPrefix(reference, change.Reference+"/") {
 			delete(next, reference)
--- a/internal/replicastate/replica.go
+++ b/internal/replicastate/replica.go
@@ -45,6 +45,8 @@
 	sequence int64
 	// loaded is what the replica reported last, or what the platform's list said before the first report.
 	loaded map[string]bool
+	// servingPhase is what the replica reported last, empty before.
+	servingPhase string
 	// current is the order under way in the phases Ordered and Changing.
 	current Order
 	// uncertain are the orders of unknown fate, those included that the replica has gone past the sequence of.
--- a/internal/replicastate/report.go
+++ b/internal/replicastate/report.go
@@ -51,6 +51,7 @@
 	r.mismatches = 0
 	r.sequence = report.Sequence
 	r.loaded = report.Loaded
+	r.servingPhase = report.ServingPhase
 	r.phase = Idle
 	r.resolveReported(r.polledAt, now)
 	return true
@@ -75,13 +76,37 @@
 // contradictsOrder tells whether the report lacks what an accepted order should have brought, and that has not been reported
 // often enough to be believed.
 func (r *Replica) contradictsOrder(report Report) bool {
-	if r.phase != Changing || report.Loaded[r.current.Reference] == r.current.Load {
+	if r.phase != Changing || r.shows(report, r.current.Change) {
 		return false
 	}
 	r.mismatches++
 	return r.mismatches < maxMismatches
 }
 
+// shows tells whether a report shows a change done.
+func (r *Replica) shows(report Report, change Change) bool {
+	if change.ServingPhase != "" {
+		return report.ServingPhase == change.ServingPhase
+	}
+	return report.Loaded[change.Reference] == change.Load
+}
+
+// ServingPhase is the part of a generation that the replica reported last that it does; empty before its first report.
+func (r *Replica) ServingPhase() string { return r.servingPhase }
+
+// TargetPhase is the phase that the replica has or may yet take: that of a change that is under way or of unknown fate.
+func (r *Replica) TargetPhase() string {
+	if change, pending := r.PendingChange(); pending && change.ServingPhase != "" {
+		return change.ServingPhase
+	}
+	for _, order := range r.unresolved() {
+		if order.ServingPhase != "" {
+			return order.ServingPhase
+		}
+	}
+	return r.servingPhase
+}
+
 // IsCarryingOut tells whether a report shows the replica busy with the order that it has accepted.
 func (r *Replica) IsCarryingOut(report Report) bool {
 	return r.phase == Changing && report.Busy && report.Sequence >= r.sequence
@@ -97,11 +122,11 @@
 func (r *Replica) CertainlyLoaded() map[string]bool {
 	loaded := r.loaded
 	for _, order := range r.unresolved() {
-		if !order.Load {
+		if order.IsUnload() {
 			loaded = applyChange(loaded, order.Change)
 		}
 	}
-	if change, pending := r.PendingChange(); pending && !change.Load {
+	if change, pending := r.PendingChange(); pending && change.IsUnload() {
 		loaded = applyChange(loaded, change)
 	}
 	return loaded
--- a/internal/routing/assign.go
+++ b/internal/routing/assign.go
@@ -164,7 +164,7 @@
 	}
 	state.recordSend(now, node.warmUp.sendsToRemember())
 	m.replicas.watched[replica.ID] = state
-	prefillMs := uncachedTokens / tokensPerThousand * state.predictor.PrefillMsPerThousand()
+	prefillMs := uncachedTokens / tokensPerThousand * m.prefillMsPerThousand(node)
 	m.demand.recordSend(request, prefillMs)
 	m.ledger.RecordPrompt(replica.ID, request.prompt(), request.Arrived, now)
 }
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ferryspar/internal/configuration"
+	"ferryspar/internal/discovery"
 )
 
 // prefillChoice is a prefill replica that may read a request's prompt, with what that is expected to take.
@@ -256,6 +257,16 @@
 	})
 }
 
+// prefillMsPerThousand is the learned time to read a thousand uncached tokens, by which the demand for reading is reported: at
+// a split backend that of its prefill replicas, wherever a prompt is read.
+func (m *Matcher) prefillMsPerThousand(node *replicaNode) float64 {
+	if node.replica.Phase != discovery.PhaseDecode {
+		return node.state.predictor.PrefillMsPerThousand()
+	}
+	key := stepKey{backend: node.replica.Backend, phase: discovery.PhasePrefill, step: stepPrefill}
+	return m.shared.at(key).PrefillMsPerThousand()
+}
+
 // holdTime is how long a prefill replica holds memory that nobody takes.
 func holdTime(runtime *configuration.Runtime) time.Duration {
 	if runtime == nil {
