--- a/internal/routing/fork.go
+++ b/internal/routing/fork.go
@@ -139,6 +139,7 @@
 		ledger:        ledger,
 		paces:         maps.Clone(m.paces),
 		shared:        m.shared.fork(),
+		speeds:        maps.Clone(m.speeds),
 		demand:        m.demand.fork(),
 		LedgerTrusted: m.LedgerTrusted,
 	}
--- a/internal/routing/graph.go
+++ b/internal/routing/graph.go
@@ -142,7 +142,6 @@
 	for index, position := range graph.prefillPositions {
 		graph.nodeAt[position] = index
 		node := m.buildNode(position, now)
-		node.peerLoad.PrefillTokens = node.state.peerPending.update(node.peerLoad.PrefillTokens, m.snapshot.PeerLoadsAt)
 		node.freeMemory -= node.state.held.tokens(now)
 		graph.prefills = append(graph.prefills, node)
 	}
@@ -159,6 +158,9 @@
 		peerLoad: m.snapshot.PeerLoads[replica.ID],
 	}
 	node.state.slowness.adoptPhase(replica.Phase)
+	if replica.Phase != "" {
+		node.peerLoad.PrefillTokens = node.state.peerPending.update(node.peerLoad.PrefillTokens, m.snapshot.PeerLoadsAt)
+	}
 	if !m.snapshot.DrainedZones[replica.Zone] {
 		m.measureCapacity(&node, now)
 	}
--- a/internal/routing/matcher.go
+++ b/internal/routing/matcher.go
@@ -28,6 +28,7 @@
 	ledger   *PrefixLedger
 	paces    modelPaces
 	shared   sharedPredictors
+	speeds   readSpeeds
 	demand   demandCounters
 	graph    assignmentGraph
 
@@ -60,6 +61,7 @@
 		ledger:        NewPrefixLedger(parameters.LedgerLimit, parameters.LedgerTTL),
 		paces:         modelPaces{},
 		shared:        sharedPredictors{},
+		speeds:        readSpeeds{},
 		demand:        newDemandCounters(),
 		LoadReportDue: make(chan struct{}, 1),
 	}
--- a/internal/routing/phase.go
+++ b/internal/routing/phase.go
@@ -127,6 +127,40 @@
 	return fork
 }
 
+const (
+	// minSpeedTokens is the least prompt by which the speed of reading is measured.
+	minSpeedTokens = 512
+	// speedFallRate and speedRiseRate are the weights of a faster and a slower reading than known. Slow ones are mostly those
+	// that waited for others, so the speed follows the fastest.
+	speedFallRate = 0.3
+	speedRiseRate = 0.01
+)
+
+// readSpeeds are the times, in ms, that an idle prefill replica takes to read a thousand tokens, by backend.
+type readSpeeds map[string]float64
+
+// observe learns from one prompt of which so many tokens were read.
+func (r readSpeeds) observe(backend string, tokens, latencyMs float64) {
+	if tokens < minSpeedTokens {
+		return
+	}
+	measured := latencyMs / tokens * tokensPerThousand
+	known := r.msPerThousand(backend)
+	rate := speedRiseRate
+	if measured < known {
+		rate = speedFallRate
+	}
+	r[backend] = known + rate*(measured-known)
+}
+
+// msPerThousand returns the time for a thousand tokens.
+func (r readSpeeds) msPerThousand(backend string) float64 {
+	if known, measured := r[backend]; measured {
+		return known
+	}
+	return startUncachedMsPerThousand
+}
+
 // stepKeyOf names the latency model of a step at a replica.
 func stepKeyOf(replica *Replica, of servingStep) stepKey {
 	return stepKey{backend: replica.Backend, phase: replica.Phase, step: of}
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -263,8 +263,7 @@
 	if node.replica.Phase != discovery.PhaseDecode {
 		return node.state.predictor.PrefillMsPerThousand()
 	}
-	key := stepKey{backend: node.replica.Backend, phase: discovery.PhasePrefill, step: stepPrefill}
-	return m.shared.at(key).PrefillMsPerThousand()
+	return m.speeds.msPerThousand(node.replica.Backend)
 }
 
 // holdTime is how long a prefill replica holds memory that nobody takes.
--- a/internal/routing/splitreports.go
+++ b/internal/routing/splitreports.go
@@ -38,6 +38,7 @@
 	ticket.firstEventSeen = true
 	state.recordActivity(report.At)
 	m.learnStep(state, ticket, ticket.elapsedMs(report.At))
+	m.speeds.observe(ticket.key.backend, ticket.uncachedTokens, ticket.elapsedMs(report.At))
 	state.finish(ticket)
 	state.held.add(ticket.tokens())
 	ticket.holding = true
