--- a/internal/controlplane/scheduler/phases.go
+++ b/internal/controlplane/scheduler/phases.go
@@ -17,7 +17,7 @@
 	// phasePlanInterval is the least time between two plans of the phases.
 	phasePlanInterval = 500 * time.Millisecond
 	// phaseLearningPeriod is how long the demand is watched before phases are changed by it.
-	phaseLearningPeriod = 1500 * time.Millisecond
+	phaseLearningPeriod = time.Second
 	// runningTimeConstantS is the time constant, in seconds, of the average of running requests.
 	runningTimeConstantS = 2.0
 )
--- a/internal/phasebalance/balance.go
+++ b/internal/phasebalance/balance.go
@@ -65,7 +65,7 @@
 	// targetPrefillUtilization is the share of its time that a prefill replica is meant to read.
 	targetPrefillUtilization = 0.35
 	// targetDecodeShare is the share of its slots that a decode replica is meant to have taken.
-	targetDecodeShare = 0.2
+	targetDecodeShare = 0.35
 	// minLoad is the sum of both needs, in replicas, below which the load says nothing.
 	minLoad = 0.5
 	// startShare is the share of all replicas by which the phases must be out of balance for a move to begin; minStart is the
@@ -73,7 +73,7 @@
 	startShare = 0.08
 	minStart   = 2
 	// changingShare is the share of all replicas that may be changing over at once.
-	changingShare = 1.0 / 6
+	changingShare = 1.0 / 3
 	// keptHeadroom is how much more than it needs at full use the phase that gives replicas must keep.
 	keptHeadroom = 1.5
 )
--- a/internal/routing/graph.go
+++ b/internal/routing/graph.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"math"
 	"slices"
 	"time"
 
@@ -159,7 +160,7 @@
 	}
 	node.state.slowness.adoptPhase(replica.Phase)
 	if replica.Phase != "" {
-		node.peerLoad.PrefillTokens = node.state.peerPending.update(node.peerLoad.PrefillTokens, m.snapshot.PeerLoadsAt)
+		node.smoothPeerLoad(m.snapshot.PeerLoadsAt)
 	}
 	if !m.snapshot.DrainedZones[replica.Zone] {
 		m.measureCapacity(&node, now)
@@ -167,6 +168,12 @@
 	return node
 }
 
+// smoothPeerLoad has the node's load of the other data planes averaged.
+func (n *replicaNode) smoothPeerLoad(at time.Time) {
+	n.peerLoad.PrefillTokens = n.state.peerPending.update(n.peerLoad.PrefillTokens, at)
+	n.peerLoad.Running = int(math.Round(n.state.peerRunning.update(float64(n.peerLoad.Running), at)))
+}
+
 // unlimitedMemory stands for the KV memory of a replica whose backend gives none, in tokens.
 const unlimitedMemory = 1e12
 
--- a/internal/routing/parameters.go
+++ b/internal/routing/parameters.go
@@ -61,7 +61,7 @@
 		TokenCost:        0.00002,
 		CrossZoneCost:    0.03,
 		MoveCost:         0.000004,
-		InterferenceCost: 0.15,
+		InterferenceCost: 0.3,
 		SpreadCost:       0.05,
 		LateValue:        0.4,
 		QueueLimit:       512,
--- a/internal/routing/phase.go
+++ b/internal/routing/phase.go
@@ -128,6 +128,8 @@
 }
 
 const (
+	// startReadMsPerThousand is taken before the first measurement.
+	startReadMsPerThousand = 30.0
 	// minSpeedTokens is the least prompt by which the speed of reading is measured.
 	minSpeedTokens = 512
 	// speedFallRate and speedRiseRate are the weights of a faster and a slower reading than known. Slow ones are mostly those
@@ -158,7 +160,7 @@
 	if known, measured := r[backend]; measured {
 		return known
 	}
-	return startUncachedMsPerThousand
+	return startReadMsPerThousand
 }
 
 // stepKeyOf names the latency model of a step at a replica.
--- a/internal/routing/replicastate.go
+++ b/internal/routing/replicastate.go
@@ -26,8 +26,9 @@
 	held     heldMemory   // prompts read here and not fetched yet
 	// handlesGoneUntil is until when no prompt is read here, since memory held here could not be fetched lately.
 	handlesGoneUntil time.Time
-	// peerPending smooths the prompt tokens that the other data planes have waiting here.
+	// peerPending and peerRunning smooth what the other data planes have waiting and running here.
 	peerPending smoothedLoad
+	peerRunning smoothedLoad
 }
 
 const (
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -143,7 +143,7 @@
 }
 
 // maxInterferedStreams bounds how many streams beside a prompt are counted.
-const maxInterferedStreams = 4
+const maxInterferedStreams = 16
 
 // value is v of IEMAS eq. 1.
 func (m *Matcher) value(request *Request, successRate, predictedMs float64, now time.Time) float64 {
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -97,10 +97,7 @@
 	cached := m.cachedTokens(row, node, expectedCached, now)
 	uncached := max(row.request.PromptTokens-cached, 0)
 	features := node.features(*row, cached, uncached)
-	cost := m.parameters.TokenCost * uncached
-	if node.replica.Zone != m.zone {
-		cost += m.parameters.CrossZoneCost
-	}
+	cost := m.parameters.TokenCost*uncached + m.crossingCost(node.replica) + m.congestionCost(row.request, node, uncached)
 	return prefillChoice{
 		node:           index,
 		features:       features,
@@ -111,6 +108,19 @@
 	}
 }
 
+// maxDelayedRequests bounds how many requests a reading is taken to delay.
+const maxDelayedRequests = 8
+
+// congestionCost is what reading so many tokens costs the other requests at a prefill replica: each that is there comes later by
+// the time it takes. Without it each request would leave a busy home of its prefix for a replica that has to read the prefix
+// again, which makes all of them busier.
+func (m *Matcher) congestionCost(request *Request, node *replicaNode, uncached float64) float64 {
+	readMs := uncached / tokensPerThousand * m.speeds.msPerThousand(node.replica.Backend)
+	delayed := min(float64(node.state.running+node.peerLoad.Running), maxDelayedRequests)
+	targetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
+	return (1 - m.parameters.Delta) * delayed * readMs / targetMs
+}
+
 // cachedTokens returns how many of the prompt's tokens a replica should have cached: what this data plane knows of its own
 // requests, or expects since others send theirs there.
 func (m *Matcher) cachedTokens(row *requestRow, node *replicaNode, expected float64, now time.Time) float64 {
