--- a/internal/phasebalance/balance.go
+++ b/internal/phasebalance/balance.go
@@ -66,6 +66,11 @@
 	targetPrefillUtilization = 0.35
 	// targetDecodeShare is the share of its slots that a decode replica is meant to have taken.
 	targetDecodeShare = 0.35
+	// minPhaseShare is the share of all replicas that each phase keeps whatever the load, for a burst of the other kind.
+	minPhaseShare = 0.2
+	// maxDecodeShare is the share of its slots up to which a decode replica may be planned: beyond its slots requests queue
+	// behind whole streams, while a busy prefill replica is only slower.
+	maxDecodeShare = 0.5
 	// minLoad is the sum of both needs, in replicas, below which the load says nothing.
 	minLoad = 0.5
 	// startShare is the share of all replicas by which the phases must be out of balance for a move to begin; minStart is the
@@ -101,8 +106,7 @@
 	if total < 2 || needPrefill+needDecode < minLoad {
 		return Result{Prefill: prefill}
 	}
-	desired := int(math.Round(float64(total) * needPrefill / (needPrefill + needDecode)))
-	desired = min(max(desired, 1), total-1)
+	desired := desiredPrefill(view, total, needPrefill/(needPrefill+needDecode))
 	gap := desired - prefill
 	result := Result{Prefill: desired}
 	threshold := max(minStart, int(math.Ceil(startShare*float64(total))))
@@ -116,6 +120,15 @@
 	return result
 }
 
+// desiredPrefill is how many of all replicas are to read prompts, if that share of the need is for reading.
+func desiredPrefill(view View, total int, share float64) int {
+	desired := int(math.Round(float64(total) * share))
+	least := max(int(math.Ceil(minPhaseShare*float64(total))), 1)
+	leastDecode := int(math.Ceil(view.Load.Running / (maxDecodeShare * float64(max(view.Slots, 1)))))
+	desired = min(desired, total-max(least, leastDecode))
+	return min(max(desired, least), total-1)
+}
+
 // spare is how many replicas the phase that is to give some can do without until others have taken over.
 func spare(view View, decode, prefill, gap int) int {
 	if gap > 0 {
--- a/internal/routing/assign.go
+++ b/internal/routing/assign.go
@@ -152,6 +152,7 @@
 	state.recordTicket(ticket)
 	request.recordCachedParts(scored.cachedTokens)
 	m.recordSend(request, node, scored.uncachedTokens*scored.pace, now)
+	m.demand.recordStart(request)
 	m.resolve(request, Decision{Replica: replica, Ticket: ticket})
 }
 
@@ -165,6 +166,6 @@
 	state.recordSend(now, node.warmUp.sendsToRemember())
 	m.replicas.watched[replica.ID] = state
 	prefillMs := uncachedTokens / tokensPerThousand * m.prefillMsPerThousand(node)
-	m.demand.recordSend(request, prefillMs)
+	m.demand.recordPrefill(request, prefillMs)
 	m.ledger.RecordPrompt(replica.ID, request.prompt(), request.Arrived, now)
 }
--- a/internal/routing/graph.go
+++ b/internal/routing/graph.go
@@ -34,11 +34,10 @@
 	rank      float64 // factor of the weights, see rankWeight
 	useLedger bool    // the ledger may be used
 
-	// What follows is used with a split backend: the hash of what the prompt shares with others, with its tokens, the homes
-	// of it among the hosts, and the best prefill replica of each zone.
+	// What follows is used with a split backend: the hash of what the prompt shares with others, with its tokens, and the best
+	// prefill replica of each zone.
 	prefix       uint64
 	sharedTokens float64
-	home         homes
 	prefills     []prefillChoice
 }
 
--- a/internal/routing/loadreport.go
+++ b/internal/routing/loadreport.go
@@ -37,10 +37,12 @@
 	c.latencyTargetMs[key] = float64(request.LatencyTarget.Milliseconds())
 }
 
-func (c *demandCounters) recordSend(request *Request, prefillMs float64) {
-	key := request.modelKey()
-	c.running[key]++
-	c.prefillMs[key] += prefillMs
+// recordStart counts a request that runs from now on.
+func (c *demandCounters) recordStart(request *Request) { c.running[request.modelKey()]++ }
+
+// recordPrefill counts the reading of a prompt, wherever it is read.
+func (c *demandCounters) recordPrefill(request *Request, prefillMs float64) {
+	c.prefillMs[request.modelKey()] += prefillMs
 }
 
 func (c *demandCounters) recordEnd(request *Request) {
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -108,7 +108,9 @@
 	// prefill, of a ticket of stepDecode, is that of the replica that reads the prompt; next is the way back.
 	prefill *Ticket
 	next    *Ticket
-	holding bool // of stepPrefill: the memory is held at the replica
+	// prefilled and holding, of stepPrefill, say that the prompt was read, and that its memory is held at the replica.
+	prefilled bool
+	holding   bool
 
 	firstEventSeen bool // a first event was reported
 	failureCounted bool // the replica's record holds a failure of this ticket, or must not
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -12,9 +12,6 @@
 	// time to served late.
 	inTimeMidpoint = 0.9
 	inTimeWidth    = 0.12
-	// decodeHomeHitRate is how far the homes of a prefix among decode replicas are trusted to have it: it comes there only with
-	// requests that were sent there.
-	decodeHomeHitRate = 0.6
 	// tokensPerThousand converts tokens to the unit of the latency model.
 	tokensPerThousand = 1000
 )
@@ -100,8 +97,7 @@
 // scoreDecodeAlone computes the weight of reading a request's prompt at the decode replica that makes its tokens.
 func (m *Matcher) scoreDecodeAlone(row *requestRow, node *replicaNode, now time.Time) scoredPair {
 	request := row.request
-	expected := row.home.hitRate(m.graph.nodeAt[node.position]) * row.sharedTokens * decodeHomeHitRate
-	cached := m.cachedTokens(row, node, expected, now)
+	cached := m.cachedTokens(row, node, 0, now)
 	uncached := max(request.PromptTokens-cached, 0)
 	features := node.features(*row, cached, uncached)
 	predictedMs := m.predictStep(node, stepWhole, features)
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -20,17 +20,10 @@
 
 // prepareSplit finds what the scores of a request at the replicas of a split backend need.
 func (m *Matcher) prepareSplit(row *requestRow, isExcluded func(zone, region string) bool, now time.Time) {
-	row.home = newHomes()
 	if len(row.request.prefillHostsIn(m.index)) == 0 {
 		return
 	}
 	row.prefix, row.sharedTokens = row.request.sharedPrefix()
-	for _, position := range row.request.hostsIn(m.index) {
-		index := m.graph.nodeAt[position]
-		if node := &m.graph.nodes[index]; node.capacity > 0 {
-			row.home.add(index, affinityHash(row.prefix, node.state.idHash))
-		}
-	}
 	m.addPrefillChoices(row, isExcluded, now)
 }
 
--- a/internal/routing/splitreports.go
+++ b/internal/routing/splitreports.go
@@ -35,7 +35,7 @@
 	if ticket.step != stepPrefill || ticket.firstEventSeen {
 		return
 	}
-	ticket.firstEventSeen = true
+	ticket.firstEventSeen, ticket.prefilled = true, true
 	state.recordActivity(report.At)
 	m.learnStep(state, ticket, ticket.elapsedMs(report.At))
 	m.speeds.observe(ticket.key.backend, ticket.uncachedTokens, ticket.elapsedMs(report.At))
@@ -43,6 +43,7 @@
 	state.held.add(ticket.tokens())
 	ticket.holding = true
 	m.replicas.watch(ticket.next.replica).start(ticket.next, report.At)
+	m.demand.recordStart(ticket.request)
 }
 
 // onHandleGone holds it against the prefill replica that the memory which it read could not be fetched, unless the decode
@@ -66,7 +67,9 @@
 		return
 	}
 	state.finish(ticket)
-	m.demand.recordEnd(ticket.request)
+	if ticket.prefill == nil || ticket.prefill.prefilled {
+		m.demand.recordEnd(ticket.request)
+	}
 	if ticket.prefill != nil {
 		m.releaseHeld(ticket.prefill)
 	}
