--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -94,12 +94,13 @@
 	}
 }
 
-// scoreDecodeAlone computes the weight of reading a request's prompt at the decode replica that makes its tokens.
+// scoreDecodeAlone computes the weight of reading a request's prompt at the decode replica that makes its tokens. Nothing of it
+// counts as cached there: running streams fill the memory of decode replicas, so that kept parts give way soon, and a long
+// prompt that was taken for a cached one holds up all of them.
 func (m *Matcher) scoreDecodeAlone(row *requestRow, node *replicaNode, now time.Time) scoredPair {
 	request := row.request
-	cached := m.cachedTokens(row, node, 0, now)
-	uncached := max(request.PromptTokens-cached, 0)
-	features := node.features(*row, cached, uncached)
+	uncached := request.PromptTokens
+	features := node.features(*row, 0, uncached)
 	predictedMs := m.predictStep(node, stepWhole, features)
 	cost := m.parameters.TokenCost*uncached + m.crossingCost(node.replica) + m.spreadCost(row, node)
 	if len(row.prefills) > 0 {
@@ -109,7 +110,6 @@
 		weight:         m.value(request, node.state.predictor.SuccessRate(), predictedMs, now) - cost,
 		features:       features,
 		predictedMs:    predictedMs,
-		cachedTokens:   cached,
 		uncachedTokens: uncached,
 		pace:           1,
 		reachable:      isReachable(request, predictedMs, now),
