--- a/internal/phasebalance/balance.go
+++ b/internal/phasebalance/balance.go
@@ -63,9 +63,9 @@
 
 const (
 	// targetPrefillUtilization is the share of its time that a prefill replica is meant to read.
-	targetPrefillUtilization = 0.35
+	targetPrefillUtilization = 0.5
 	// targetDecodeShare is the share of its slots that a decode replica is meant to have taken.
-	targetDecodeShare = 0.35
+	targetDecodeShare = 0.25
 	// minPhaseShare is the share of all replicas that each phase keeps whatever the load, for a burst of the other kind.
 	minPhaseShare = 0.2
 	// maxDecodeShare is the share of its slots up to which a decode replica may be planned: beyond its slots requests queue
@@ -129,13 +129,18 @@
 	return min(max(desired, least), total-1)
 }
 
-// spare is how many replicas the phase that is to give some can do without until others have taken over.
+// spare is how many replicas the phase that is to give some can do without until others have taken over. Prefill replicas are
+// given even if they are busy while decode replicas run out of slots.
 func spare(view View, decode, prefill, gap int) int {
 	if gap > 0 {
 		needed := keptHeadroom * view.Load.Running / float64(max(view.Slots, 1))
 		return decode - int(math.Ceil(needed))
 	}
-	return prefill - int(math.Ceil(keptHeadroom*view.Load.PrefillBusy))
+	kept := prefill - int(math.Ceil(keptHeadroom*view.Load.PrefillBusy))
+	if view.Load.Running > maxDecodeShare*float64(view.Slots*decode) {
+		return max(kept, int(math.Ceil(startShare*float64(decode+prefill))))
+	}
+	return kept
 }
 
 // zoneCount is how many serving replicas a zone has in the phase that gives some, and in all.
--- a/internal/routing/fork.go
+++ b/internal/routing/fork.go
@@ -138,8 +138,7 @@
 		health:        m.health.fork(),
 		ledger:        ledger,
 		paces:         maps.Clone(m.paces),
-		shared:        m.shared.fork(),
-		speeds:        maps.Clone(m.speeds),
+		models:        m.models.fork(),
 		demand:        m.demand.fork(),
 		LedgerTrusted: m.LedgerTrusted,
 	}
--- a/internal/routing/matcher.go
+++ b/internal/routing/matcher.go
@@ -27,8 +27,7 @@
 	health   *health
 	ledger   *PrefixLedger
 	paces    modelPaces
-	shared   sharedPredictors
-	speeds   readSpeeds
+	models   stepModels
 	demand   demandCounters
 	graph    assignmentGraph
 
@@ -60,8 +59,7 @@
 		health:        newHealth(),
 		ledger:        NewPrefixLedger(parameters.LedgerLimit, parameters.LedgerTTL),
 		paces:         modelPaces{},
-		shared:        sharedPredictors{},
-		speeds:        readSpeeds{},
+		models:        stepModels{},
 		demand:        newDemandCounters(),
 		LoadReportDue: make(chan struct{}, 1),
 	}
--- a/internal/routing/phase.go
+++ b/internal/routing/phase.go
@@ -16,10 +16,8 @@
 
 // Positions in the Features of stepDecode.
 const (
-	featureMove     = featureUncached // ms that the move takes on an idle link
-	featureFarMove  = featureAffinity // 1 if the move crosses zones
-	startMoveBaseMs = 12.0            // set-up of the move and the first token
-	startFarMoveMs  = 4.0
+	featureMove    = featureUncached // ms that the move takes on an idle link
+	featureFarMove = featureAffinity // 1 if the move crosses zones
 )
 
 // stepKey names a latency model that all replicas of a phase share.
@@ -29,31 +27,81 @@
 	step    servingStep
 }
 
-// newDecodePredictor returns a predictor of the time from the request to the first token of stepDecode.
-func newDecodePredictor() *Predictor {
-	predictor := NewPredictor()
-	predictor.weights = Features{
-		featureBase:        startMoveBaseMs,
-		featureMove:        1,
-		featureUtilization: startInflightMs,
-		featurePending:     startPendingMsPerThousand / 2,
-		featureFarMove:     startFarMoveMs,
+// weightLimits bound one weight of a step's model.
+type weightLimits struct {
+	start, least, most float64
+}
+
+// stepWeights are the weights that the models of the steps may have, by feature; a feature without limits is not used. What a
+// weight stands for bounds it: without limits, a regression over a few hundred requests of a loaded fleet takes the waiting of
+// some for the cost of others.
+var stepWeights = map[servingStep]map[int]weightLimits{
+	stepPrefill: {
+		featureBase:     {start: 25, least: 5, most: 100},
+		featureUncached: {start: 40, least: 10, most: 200},
+		featurePending:  {start: 30, least: 0, most: 200},
+	},
+	stepDecode: {
+		featureBase:        {start: 15, least: 5, most: 100},
+		featureMove:        {start: 1, least: 0.5, most: 20},
+		featureUtilization: {start: 40, least: 0, most: 400},
+		featurePending:     {start: 30, least: 0, most: 200},
+		featureFarMove:     {start: 4, least: 0, most: 100},
+	},
+	stepWhole: {
+		featureBase:        {start: 25, least: 5, most: 100},
+		featureUncached:    {start: 80, least: 20, most: 400},
+		featureUtilization: {start: 40, least: 0, most: 400},
+		featurePending:     {start: 60, least: 0, most: 400},
+	},
+}
+
+// startSharedCovariance is the initial diagonal of a shared model's covariance: it sees enough requests to learn slowly, and
+// decides between ways to serve a request from the first one on.
+const startSharedCovariance = 0.5
+
+// stepModel predicts the latency of a step by those features that its weights have limits for.
+type stepModel struct {
+	predictor *Predictor
+	limits    map[int]weightLimits
+}
+
+// newStepModel returns a model with the starting weights of its step.
+func newStepModel(of servingStep) *stepModel {
+	model := &stepModel{predictor: NewPredictor(), limits: stepWeights[of]}
+	model.predictor.weights = Features{}
+	for index := range featureCount {
+		model.predictor.weights[index] = model.limits[index].start
+		model.predictor.covariance[index][index] = startSharedCovariance
 	}
-	return predictor
+	return model
 }
 
-// decodeReadFactor is how much longer a decode replica reads a prompt than a prefill replica: by the replicas' protocol it
-// reads at half the pace.
-const decodeReadFactor = 2
+// used returns the features without those that the model doesn't use.
+func (s *stepModel) used(features Features) Features {
+	for index := range features {
+		if _, used := s.limits[index]; !used {
+			features[index] = 0
+		}
+	}
+	return features
+}
 
-// newDecodeAlonePredictor returns a predictor of the time to the first token at a decode replica that reads the prompt itself.
-func newDecodeAlonePredictor() *Predictor {
-	predictor := NewPredictor()
-	predictor.weights[featureUncached] *= decodeReadFactor
-	predictor.weights[featurePending] *= decodeReadFactor
-	return predictor
+// latency returns the predicted latency in ms, at least 1.
+func (s *stepModel) latency(features Features) float64 { return s.predictor.Latency(s.used(features)) }
+
+// observe learns from one measured latency in ms.
+func (s *stepModel) observe(features Features, latencyMs float64) {
+	s.predictor.Observe(s.used(features), latencyMs)
+	for index, limits := range s.limits {
+		weight := &s.predictor.weights[index]
+		*weight = min(max(*weight, limits.least), limits.most)
+	}
 }
 
+// perThousand returns the learned time, in ms, that a thousand uncached tokens add.
+func (s *stepModel) perThousand() float64 { return s.predictor.weights[featureUncached] }
+
 const (
 	// slownessRate is the weight of one observation in a replica's slowness; minSlowness and maxSlowness bound the observation.
 	slownessRate = 0.25
@@ -85,84 +133,28 @@
 	s.factor[of] += slownessRate * (ratio - s.factor[of])
 }
 
-// sharedPredictors are latency models that the replicas of a phase share. With hundreds of replicas behind as many data
-// planes, each pair of them meets too seldom for a model of its own: what is learned of one replica is only its slowness
-// against the shared model.
-type sharedPredictors map[stepKey]*Predictor
+// stepModels are the models that all replicas of a phase share. With hundreds of replicas behind as many data planes, each pair
+// of them meets too seldom for a model of its own: what is learned of one replica is only its slowness against the shared one.
+type stepModels map[stepKey]*stepModel
 
 // at returns the model of a step, a new one if there is none yet.
-func (s sharedPredictors) at(key stepKey) *Predictor {
+func (s stepModels) at(key stepKey) *stepModel {
 	if s[key] == nil {
-		s[key] = newStepPredictor(key)
+		s[key] = newStepModel(key.step)
 	}
 	return s[key]
 }
 
-// startSharedCovariance is the initial diagonal of a shared model's covariance: it sees enough requests to learn slowly, and
-// decides between ways to serve a request from the first one on.
-const startSharedCovariance = 0.5
-
-// newStepPredictor returns a model with the starting weights of its step.
-func newStepPredictor(key stepKey) *Predictor {
-	predictor := NewPredictor()
-	switch {
-	case key.step == stepDecode:
-		predictor = newDecodePredictor()
-	case key.phase == discovery.PhaseDecode:
-		predictor = newDecodeAlonePredictor()
-	}
-	for index := range predictor.covariance {
-		predictor.covariance[index][index] = startSharedCovariance
-	}
-	return predictor
-}
-
 // fork copies the models.
-func (s sharedPredictors) fork() sharedPredictors {
-	fork := make(sharedPredictors, len(s))
-	for key, predictor := range s {
-		copied := *predictor
-		fork[key] = &copied
+func (s stepModels) fork() stepModels {
+	fork := make(stepModels, len(s))
+	for key, model := range s {
+		predictor := *model.predictor
+		fork[key] = &stepModel{predictor: &predictor, limits: model.limits}
 	}
 	return fork
 }
 
-const (
-	// startReadMsPerThousand is taken before the first measurement.
-	startReadMsPerThousand = 30.0
-	// minSpeedTokens is the least prompt by which the speed of reading is measured.
-	minSpeedTokens = 512
-	// speedFallRate and speedRiseRate are the weights of a faster and a slower reading than known. Slow ones are mostly those
-	// that waited for others, so the speed follows the fastest.
-	speedFallRate = 0.3
-	speedRiseRate = 0.01
-)
-
-// readSpeeds are the times, in ms, that an idle prefill replica takes to read a thousand tokens, by backend.
-type readSpeeds map[string]float64
-
-// observe learns from one prompt of which so many tokens were read.
-func (r readSpeeds) observe(backend string, tokens, latencyMs float64) {
-	if tokens < minSpeedTokens {
-		return
-	}
-	measured := latencyMs / tokens * tokensPerThousand
-	known := r.msPerThousand(backend)
-	rate := speedRiseRate
-	if measured < known {
-		rate = speedFallRate
-	}
-	r[backend] = known + rate*(measured-known)
-}
-
-// msPerThousand returns the time for a thousand tokens.
-func (r readSpeeds) msPerThousand(backend string) float64 {
-	if known, measured := r[backend]; measured {
-		return known
-	}
-	return startReadMsPerThousand
-}
-
 // stepKeyOf names the latency model of a step at a replica.
 func stepKeyOf(replica *Replica, of servingStep) stepKey {
 	return stepKey{backend: replica.Backend, phase: replica.Phase, step: of}
@@ -170,5 +162,5 @@
 
 // predictStep returns the predicted latency of a step in ms.
 func (m *Matcher) predictStep(node *replicaNode, of servingStep, features Features) float64 {
-	return m.shared.at(stepKeyOf(node.replica, of)).Latency(features) * node.state.slowness.factor[of]
+	return m.models.at(stepKeyOf(node.replica, of)).latency(features) * node.state.slowness.factor[of]
 }
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -132,7 +132,7 @@
 	if gapMs <= 0 || running <= 0 {
 		return 0
 	}
-	perThousand := m.shared.at(stepKeyOf(node.replica, stepWhole)).PrefillMsPerThousand()
+	perThousand := m.models.at(stepKeyOf(node.replica, stepWhole)).perThousand()
 	readMs := (uncached + node.state.pendingTokens + node.peerLoad.PrefillTokens) / tokensPerThousand * perThousand
 	share := (readMs/gapMs - harmlessGapShare) / (harmfulGapShare - harmlessGapShare)
 	return m.parameters.InterferenceCost * min(running, maxInterferedStreams) * min(max(share, 0), 1)
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -108,7 +108,7 @@
 // the time it takes. Without it each request would leave a busy home of its prefix for a replica that has to read the prefix
 // again, which makes all of them busier.
 func (m *Matcher) congestionCost(request *Request, node *replicaNode, uncached float64) float64 {
-	readMs := uncached / tokensPerThousand * m.speeds.msPerThousand(node.replica.Backend)
+	readMs := uncached / tokensPerThousand * m.models.at(stepKeyOf(node.replica, stepPrefill)).perThousand()
 	delayed := min(float64(node.state.running+node.peerLoad.Running), maxDelayedRequests)
 	targetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
 	return (1 - m.parameters.Delta) * delayed * readMs / targetMs
@@ -195,7 +195,6 @@
 	features := node.features(*row, 0, 0)
 	features[featureMove] = moveMs(node.runtime, row.request.PromptTokens) * distance
 	features[featureFarMove] = 0
-	features[featurePaceLoad] = 0
 	if distance > sameZoneDistance {
 		features[featureFarMove] = 1
 	}
@@ -266,7 +265,8 @@
 	if node.replica.Phase != discovery.PhaseDecode {
 		return node.state.predictor.PrefillMsPerThousand()
 	}
-	return m.speeds.msPerThousand(node.replica.Backend)
+	key := stepKey{backend: node.replica.Backend, phase: discovery.PhasePrefill, step: stepPrefill}
+	return m.models.at(key).perThousand()
 }
 
 // holdTime is how long a prefill replica holds memory that nobody takes.
--- a/internal/routing/splitreports.go
+++ b/internal/routing/splitreports.go
@@ -21,11 +21,11 @@
 
 // learnStep trains the latency model of a step.
 func (m *Matcher) learnStep(state *replicaState, ticket *Ticket, observedMs float64) {
-	shared := m.shared.at(ticket.key)
+	model := m.models.at(ticket.key)
 	if state.slowness.phase == ticket.key.phase {
-		state.slowness.observe(ticket.step, observedMs, shared.Latency(ticket.features))
+		state.slowness.observe(ticket.step, observedMs, model.latency(ticket.features))
 	}
-	shared.Observe(ticket.features, observedMs)
+	model.observe(ticket.features, observedMs)
 }
 
 // onPrefilled goes from the first step of a split request to the second: the prompt's slot is free, its memory is held until
@@ -38,7 +38,6 @@
 	ticket.firstEventSeen, ticket.prefilled = true, true
 	state.recordActivity(report.At)
 	m.learnStep(state, ticket, ticket.elapsedMs(report.At))
-	m.speeds.observe(ticket.key.backend, ticket.uncachedTokens, ticket.elapsedMs(report.At))
 	state.finish(ticket)
 	state.held.add(ticket.tokens())
 	ticket.holding = true
