--- a/internal/controlplane/scheduler/demand.go
+++ b/internal/controlplane/scheduler/demand.go
@@ -47,8 +47,6 @@
 	receivedRates map[string]peer.Rate
 	// learningSince is since when demand has been reported, zero before.
 	learningSince time.Time
-	// averagedSince is since when the averages of rates have been formed here; zero if they were received.
-	averagedSince time.Time
 }
 
 // newDemandView returns a view of no demand. It calls onNewlyWaiting, which must not block nor call the view, whenever requests
@@ -71,7 +69,7 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if d.learningSince.IsZero() && len(summary.Models) > 0 {
-		d.learningSince, d.averagedSince = now, now
+		d.learningSince = now
 	}
 	keys := make([]string, len(summary.Models))
 	isNew := d.aggregator.MarkBatchReceived(summary)
@@ -178,7 +176,7 @@
 	if len(rates) == 0 {
 		return
 	}
-	d.learningSince, d.averagedSince = d.clock().Add(-learningPeriod), time.Time{}
+	d.learningSince = d.clock().Add(-learningPeriod)
 	d.receivedRates = rates
 }
 
@@ -224,23 +222,17 @@
 	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learningPeriod
 }
 
-// splitLoad returns how many replicas reading the prompts of a backend's models keeps busy, how many of its requests run or are
-// being read, and whether the demand has been watched long enough to change phases by it. An average that was begun here is
-// corrected for the time before. The planning loop alone calls it.
-func (d *DemandView) splitLoad(backend string, now time.Time) (prefillBusy, running float64, learned bool) {
+// splitLoad returns how many requests for a backend's models make tokens now, and whether the demand has been watched long enough
+// to change phases by it. The planning loop alone calls it.
+func (d *DemandView) splitLoad(backend string, now time.Time) (running float64, learned bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	for key, modelDemand := range d.byModel {
 		if name, _ := placement.SplitModelKey(key); name == backend {
-			prefillBusy += modelDemand.PrefillLoad
 			running += modelDemand.Running
 		}
 	}
-	if !d.averagedSince.IsZero() {
-		averaged := now.Sub(d.averagedSince).Seconds()
-		prefillBusy /= max(1-math.Exp(-averaged/rateTimeConstantS), ratesInterval.Seconds()/rateTimeConstantS)
-	}
-	return prefillBusy, running, !d.learningSince.IsZero() && now.Sub(d.learningSince) >= phaseLearningPeriod
+	return running, !d.learningSince.IsZero() && now.Sub(d.learningSince) >= phaseLearningPeriod
 }
 
 // takeChanged tells whether the demand calls for a new plan: requests wait, or something has changed since the last call.
--- a/internal/controlplane/scheduler/phases.go
+++ b/internal/controlplane/scheduler/phases.go
@@ -22,8 +22,7 @@
 	runningTimeConstantS = 2.0
 )
 
-// phaseBalancer has replicas of split backends change their phase as the demand for reading prompts and for making tokens
-// moves. The planning loop alone uses it.
+// phaseBalancer has replicas of split backends change their phase as the demand for making tokens moves. The planning loop alone uses it.
 type phaseBalancer struct {
 	tracker   *replicatracker.Tracker
 	demand    *DemandView
@@ -85,15 +84,15 @@
 		phases = &backendPhases{}
 		b.byBackend[name] = phases
 	}
-	prefillBusy, running, learned := b.demand.splitLoad(name, view.Now)
+	running, learned := b.demand.splitLoad(name, view.Now)
 	phases.averageRunning(running, view.Now)
 	if !learned {
 		return
 	}
 	input := phasebalance.View{
-		Load:   phasebalance.Load{PrefillBusy: prefillBusy, Running: phases.running},
-		Slots:  backend.Runtime.Slots,
-		Moving: phases.moving,
+		Running: phases.running,
+		Slots:   backend.Runtime.Slots,
+		Moving:  phases.moving,
 	}
 	for _, tracked := range b.tracker.Listed() {
 		if tracked.Backend() == name {
@@ -104,12 +103,11 @@
 	phases.moving = result.Moving
 	if len(result.Changes) > 0 {
 		logrus.WithFields(logrus.Fields{
-			"backend":      name,
-			"prefill":      result.Prefill,
-			"replicas":     len(input.Replicas),
-			"prefill_busy": math.Round(input.Load.PrefillBusy*10) / 10,
-			"running":      math.Round(input.Load.Running),
-			"changes":      len(result.Changes),
+			"backend":  name,
+			"prefill":  result.Prefill,
+			"replicas": len(input.Replicas),
+			"running":  math.Round(input.Running),
+			"changes":  len(result.Changes),
 		}).Info("replicas change phase")
 	}
 	for _, change := range result.Changes {
--- a/internal/phasebalance/balance.go
+++ b/internal/phasebalance/balance.go
@@ -28,18 +28,11 @@
 	Serving bool
 }
 
-// Load is what all data planes together ask of the backend, averaged over seconds.
-type Load struct {
-	// PrefillBusy is how many prefill replicas reading the prompts keeps busy.
-	PrefillBusy float64
-	// Running is how many requests run or are being read.
-	Running float64
-}
-
 // View is the input of a plan.
 type View struct {
 	Replicas []Replica
-	Load     Load
+	// Running is how many requests decode replicas run for all data planes together, averaged over seconds.
+	Running float64
 	// Slots is how many requests a replica runs at once.
 	Slots int
 	// Moving says that the last plan found the phases out of balance, so that this one goes on until they are in balance.
@@ -62,85 +55,80 @@
 }
 
 const (
-	// targetPrefillUtilization is the share of its time that a prefill replica is meant to read.
-	targetPrefillUtilization = 0.5
 	// targetDecodeShare is the share of its slots that a decode replica is meant to have taken.
 	targetDecodeShare = 0.25
-	// minPhaseShare is the share of all replicas that each phase keeps whatever the load, for a burst of the other kind.
-	minPhaseShare = 0.2
-	// maxDecodeShare is the share of its slots up to which a decode replica may be planned: beyond its slots requests queue
-	// behind whole streams, while a busy prefill replica is only slower.
-	maxDecodeShare = 0.5
-	// minLoad is the sum of both needs, in replicas, below which the load says nothing.
-	minLoad = 0.5
+	// minPhaseShare is the share of all replicas that each phase keeps whatever the load, for a burst of its kind.
+	minPhaseShare = 0.3
+	// minRunning is how many requests for each replica run at the least while the load says anything.
+	minRunning = 0.2
 	// startShare is the share of all replicas by which the phases must be out of balance for a move to begin; minStart is the
 	// least number.
 	startShare = 0.08
 	minStart   = 2
 	// changingShare is the share of all replicas that may be changing over at once.
 	changingShare = 1.0 / 3
-	// keptHeadroom is how much more than it needs at full use the phase that gives replicas must keep.
+	// keptHeadroom is how many times the slots that are taken decode replicas must keep while some of them change over.
 	keptHeadroom = 1.5
 )
 
-// Plan returns the changes to order now. Both phases get the same headroom over what the load needs of them; each zone keeps
-// at least one replica of each phase while it has two. A move begins only once the phases are clearly out of balance, and goes
-// on until they are within one replica of it, so that a load that swings does not move replicas to and fro.
+// Plan returns the changes to order now. Decode replicas are as many as keep targetDecodeShare of their slots taken, and all
+// others read prompts: a decode replica without a free slot makes requests wait behind whole streams, whereas reading only gets
+// faster with every replica that does it. How long a prompt takes to read is not told by replicas, and can't be learned from
+// requests that share a replica with others. Each zone keeps at least one replica of each phase while it has two. A move begins
+// only once the phases are clearly out of balance, and goes on until they are within one replica of it, so that a load that
+// swings does not move replicas to and fro.
 func Plan(view View) Result {
-	total, prefill := 0, 0
-	changing := 0
-	for _, replica := range view.Replicas {
-		if !replica.Serving {
-			continue
-		}
-		total++
-		if replica.Phase == discovery.PhasePrefill {
-			prefill++
-		}
-		if replica.Changing {
-			changing++
-		}
+	counts := countPhases(view.Replicas)
+	if counts.total < 2 || view.Running < minRunning*float64(counts.total) {
+		return Result{Prefill: counts.prefill}
 	}
-	needPrefill := view.Load.PrefillBusy / targetPrefillUtilization
-	needDecode := view.Load.Running / (targetDecodeShare * float64(max(view.Slots, 1)))
-	if total < 2 || needPrefill+needDecode < minLoad {
-		return Result{Prefill: prefill}
-	}
-	desired := desiredPrefill(view, total, needPrefill/(needPrefill+needDecode))
-	gap := desired - prefill
+	desired := desiredPrefill(view, counts.total)
+	gap := desired - counts.prefill
 	result := Result{Prefill: desired}
-	threshold := max(minStart, int(math.Ceil(startShare*float64(total))))
+	threshold := max(minStart, int(math.Ceil(startShare*float64(counts.total))))
 	if abs(gap) < threshold && !(view.Moving && abs(gap) > 1) {
 		return result
 	}
 	result.Moving = true
-	room := max(int(changingShare*float64(total)), 1) - changing
-	room = min(room, abs(gap), spare(view, total-prefill, prefill, gap))
-	result.Changes = chooseChanges(view.Replicas, desired, total, gap, room)
+	room := max(int(changingShare*float64(counts.total)), 1) - counts.changing
+	room = min(room, abs(gap))
+	if gap > 0 {
+		needed := int(math.Ceil(keptHeadroom * view.Running / float64(max(view.Slots, 1))))
+		room = min(room, counts.total-counts.prefill-needed)
+	}
+	result.Changes = chooseChanges(view.Replicas, desired, counts.total, gap, room)
 	return result
 }
 
-// desiredPrefill is how many of all replicas are to read prompts, if that share of the need is for reading.
-func desiredPrefill(view View, total int, share float64) int {
-	desired := int(math.Round(float64(total) * share))
-	least := max(int(math.Ceil(minPhaseShare*float64(total))), 1)
-	leastDecode := int(math.Ceil(view.Load.Running / (maxDecodeShare * float64(max(view.Slots, 1)))))
-	desired = min(desired, total-max(least, leastDecode))
-	return min(max(desired, least), total-1)
+// phaseCounts counts serving replicas.
+type phaseCounts struct {
+	total, prefill, changing int
 }
 
-// spare is how many replicas the phase that is to give some can do without until others have taken over. Prefill replicas are
-// given even if they are busy while decode replicas run out of slots.
-func spare(view View, decode, prefill, gap int) int {
-	if gap > 0 {
-		needed := keptHeadroom * view.Load.Running / float64(max(view.Slots, 1))
-		return decode - int(math.Ceil(needed))
-	}
-	kept := prefill - int(math.Ceil(keptHeadroom*view.Load.PrefillBusy))
-	if view.Load.Running > maxDecodeShare*float64(view.Slots*decode) {
-		return max(kept, int(math.Ceil(startShare*float64(decode+prefill))))
+// countPhases counts the serving replicas, those that change over by the phase to come.
+func countPhases(replicas []Replica) phaseCounts {
+	var counts phaseCounts
+	for _, replica := range replicas {
+		if !replica.Serving {
+			continue
+		}
+		counts.total++
+		if replica.Phase == discovery.PhasePrefill {
+			counts.prefill++
+		}
+		if replica.Changing {
+			counts.changing++
+		}
 	}
-	return kept
+	return counts
+}
+
+// desiredPrefill is how many of all replicas are to read prompts.
+func desiredPrefill(view View, total int) int {
+	decode := int(math.Ceil(view.Running / (targetDecodeShare * float64(max(view.Slots, 1)))))
+	least := max(int(math.Ceil(minPhaseShare*float64(total))), 1)
+	decode = min(max(decode, least), max(total-least, 1))
+	return total - decode
 }
 
 // zoneCount is how many serving replicas a zone has in the phase that gives some, and in all.
