--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -62,7 +62,11 @@
 		report(routing.OutcomePrefilled)
 		return handle, nil
 	}
-	report(outcomeByVerdict[verdict])
+	outcome := outcomeByVerdict[verdict]
+	if bounded.Err() != nil {
+		outcome = routing.OutcomeCancelled
+	}
+	report(outcome)
 	e.parsed.request.Unsplit = true
 	if verdict != replica.VerdictNotSent && !e.mayRetryWithinBudget() {
 		return nil, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -174,6 +174,15 @@
 	m.requestLoadReport()
 }
 
+// patience is how long a first event may be awaited from a replica that shows no activity before the replica is suspected. The
+// replicas of a split backend show little of it: one that reads prompts only that it has read one.
+func (t *Ticket) patience() time.Duration {
+	if t.isOfSplit() {
+		return t.firstEventTimeout()
+	}
+	return inactivityTimeout
+}
+
 // firstEventTimeout is how long after the send a first event is overdue.
 func (t *Ticket) firstEventTimeout() time.Duration {
 	predicted := time.Duration(t.predictedMs) * time.Millisecond
--- a/internal/routing/replicastate.go
+++ b/internal/routing/replicastate.go
@@ -99,19 +99,16 @@
 	if s.shuttingDown || now.Before(s.suspectUntil) {
 		return true
 	}
-	if s.running == 0 {
-		return false
-	}
-	oldest := now
 	for ticket := range s.awaitingFirst {
-		if ticket.sentAt.Before(oldest) {
-			oldest = ticket.sentAt
+		since := ticket.sentAt
+		if s.lastActivity.After(since) {
+			since = s.lastActivity
+		}
+		if now.Sub(since) > ticket.patience() {
+			return true
 		}
 	}
-	if s.lastActivity.After(oldest) {
-		oldest = s.lastActivity
-	}
-	return len(s.awaitingFirst) > 0 && now.Sub(oldest) > inactivityTimeout
+	return false
 }
 
 // suspect suspects the replica for a while, twice as long each time without activity between.
--- a/internal/routing/reports.go
+++ b/internal/routing/reports.go
@@ -80,7 +80,7 @@
 // onCancelled suspects a replica that a client gave up on before it showed any activity.
 func (*Matcher) onCancelled(state *replicaState, report Report) {
 	sentAt := report.Ticket.sentAt
-	isInactive := report.At.Sub(sentAt) > inactivityTimeout && state.lastActivity.Before(sentAt)
+	isInactive := report.At.Sub(sentAt) > report.Ticket.patience() && state.lastActivity.Before(sentAt)
 	if state.awaitingFirst[report.Ticket] && isInactive {
 		state.suspect(report.At)
 	}
