--- a/internal/routing/assign.go
+++ b/internal/routing/assign.go
@@ -53,6 +53,7 @@
 	fallback := noNode
 	isExcluded := request.drill.excluded(m, request, now)
 	m.prepareSplit(row, isExcluded, now)
+	decodes := zoneCandidates{}
 	for _, position := range request.hostsIn(m.index) {
 		index := graph.nodeAt[position]
 		node := &graph.nodes[index]
@@ -67,12 +68,20 @@
 			continue
 		}
 		hasDesignated = hasDesignated || node.designated
-		if !node.fallback {
+		switch {
+		case node.fallback:
+			if fallback == noNode || node.state.hashFraction < graph.nodes[fallback].state.hashFraction {
+				fallback = index
+			}
+		case row.isSplit:
+			decodes.add(node, index, row)
+		default:
 			m.addArc(row, index, now)
-		} else if fallback == noNode || node.state.hashFraction < graph.nodes[fallback].state.hashFraction {
-			fallback = index
 		}
 	}
+	for _, index := range decodes.nodes() {
+		m.addArc(row, index, now)
+	}
 	if !hasDesignated && fallback != noNode {
 		m.addArc(row, fallback, now)
 	}
--- a/internal/routing/graph.go
+++ b/internal/routing/graph.go
@@ -34,10 +34,12 @@
 	rank      float64 // factor of the weights, see rankWeight
 	useLedger bool    // the ledger may be used
 
-	// What follows is used with a split backend: the hash of what the prompt shares with others, with its tokens, and the best
-	// prefill replica of each zone.
+	// What follows is used with a split backend (isSplit): the hash of what the prompt shares with others, with its tokens, a
+	// hash of its own, and the best prefill replica of each zone.
+	isSplit      bool
 	prefix       uint64
 	sharedTokens float64
+	spreadHash   uint64
 	prefills     []prefillChoice
 }
 
--- a/internal/routing/parameters.go
+++ b/internal/routing/parameters.go
@@ -21,8 +21,6 @@
 	// InterferenceCost is the cost, for each stream that runs there, of reading a prompt at a decode replica for so long that
 	// the streams' events come too far apart.
 	InterferenceCost float64 `koanf:"interferenceCost"`
-	// SpreadCost is the most by which replicas of a split backend are preferred to others of equal weight.
-	SpreadCost float64 `koanf:"spreadCost"`
 	// LateValue is the value of an answer after the latency target, relative to one in time.
 	LateValue float64 `koanf:"lateWorth"`
 	// MaxLatencyRatio is how many latency targets the latency term of the value counts at most.
@@ -62,7 +60,6 @@
 		CrossZoneCost:    0.03,
 		MoveCost:         0.000004,
 		InterferenceCost: 0.3,
-		SpreadCost:       0.05,
 		LateValue:        0.4,
 		QueueLimit:       512,
 		LedgerLimit:      20000,
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -104,7 +104,7 @@
 	uncached := request.PromptTokens
 	features := node.features(*row, 0, uncached)
 	predictedMs, idleMs := m.predictStep(node, stepWhole, features)
-	cost := m.parameters.TokenCost*uncached + m.crossingCost(node.replica) + m.spreadCost(row, node)
+	cost := m.parameters.TokenCost*uncached + m.crossingCost(node.replica)
 	if len(row.prefills) > 0 {
 		cost += m.interferenceCost(request, node, uncached)
 	}
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -19,12 +19,14 @@
 	badness        float64 // by which choices of one zone are compared: lower is better
 }
 
-// prepareSplit finds what the scores of a request at the replicas of a split backend need.
+// prepareSplit finds the replicas of a split backend that are weighed for a request.
 func (m *Matcher) prepareSplit(row *requestRow, isExcluded func(zone, region string) bool, now time.Time) {
 	if len(row.request.prefillHostsIn(m.index)) == 0 {
 		return
 	}
+	row.isSplit = true
 	row.prefix, row.sharedTokens = row.request.sharedPrefix()
+	row.spreadHash = mixHash(row.request.ownHash())
 	m.addPrefillChoices(row, isExcluded, now)
 }
 
@@ -44,45 +46,48 @@
 	if request.Unsplit || request.Resumed {
 		return
 	}
-	positions := request.prefillHostsIn(m.index)
-	if len(positions) == 0 {
-		return
-	}
-	home := m.prefillHomes(positions, row.prefix, row.sharedTokens)
 	targetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
-	for _, position := range positions {
-		index := graph.nodeAt[position]
-		node := &graph.prefills[index]
-		if node.capacity <= 0 || request.PromptTokens > node.freeMemory || !m.isEligible(request, node, now) {
-			continue
-		}
-		if now.Before(node.state.handlesGoneUntil) || isExcluded != nil && isExcluded(node.replica.Zone, node.replica.Region) {
-			continue
-		}
-		if !m.breakerAdmits(request, node.replica, now) {
-			continue
-		}
-		choice := m.weighPrefill(row, index, home.hitRate(index)*row.sharedTokens, now)
-		choice.badness = choice.predictedMs/targetMs + choice.cost + m.spreadCost(row, node)
+	ranked := m.prefillCandidates(row, isExcluded, now)
+	for rank, index := range ranked.nodes[:ranked.count] {
+		choice := m.weighPrefill(row, index, homeHitRates[rank]*row.sharedTokens, now)
+		choice.badness = choice.predictedMs/targetMs + choice.cost
 		graph.keepBestOfZone(start, choice)
 	}
 	row.prefills = graph.choices[start:len(graph.choices):len(graph.choices)]
 }
 
-// prefillHomes returns the homes of a prefix among prefill replicas: those of the whole fleet if reading the prefix again costs
-// more than crossing zones twice, else those of this data plane's zone.
-func (m *Matcher) prefillHomes(positions []int, prefix uint64, sharedTokens float64) homes {
-	found := newHomes()
-	crossing := m.parameters.TokenCost*sharedTokens > 2*m.parameters.CrossZoneCost
-	for _, position := range positions {
+// prefillCandidates ranks the prefill replicas that may read a request's prompt now: those of the whole fleet if reading the
+// shared prefix again costs more than crossing zones twice, else those of this data plane's zone, if there are any.
+func (m *Matcher) prefillCandidates(row *requestRow, isExcluded func(zone, region string) bool, now time.Time) candidates {
+	var all, near candidates
+	crossing := m.parameters.TokenCost*row.sharedTokens > 2*m.parameters.CrossZoneCost
+	for _, position := range row.request.prefillHostsIn(m.index) {
 		index := m.graph.nodeAt[position]
 		node := &m.graph.prefills[index]
-		usable := node.capacity > 0 && !m.snapshot.DrainedZones[node.replica.Zone]
-		if usable && (crossing || node.replica.Zone == m.zone) {
-			found.add(index, affinityHash(prefix, node.state.idHash))
+		if !m.mayPrefill(row.request, node, isExcluded, now) {
+			continue
 		}
+		hash := affinityHash(row.prefix, node.state.idHash)
+		all.add(index, hash)
+		if node.replica.Zone == m.zone {
+			near.add(index, hash)
+		}
+	}
+	if crossing || near.count == 0 {
+		return all
+	}
+	return near
+}
+
+// mayPrefill reports whether a prefill replica may read a request's prompt now.
+func (m *Matcher) mayPrefill(request *Request, node *replicaNode, isExcluded func(zone, region string) bool, now time.Time) bool {
+	if node.capacity <= 0 || request.PromptTokens > node.freeMemory || !m.isEligible(request, node, now) {
+		return false
+	}
+	if now.Before(node.state.handlesGoneUntil) || isExcluded != nil && isExcluded(node.replica.Zone, node.replica.Region) {
+		return false
 	}
-	return found
+	return m.breakerAdmits(request, node.replica, now)
 }
 
 // weighPrefill predicts what reading the prompt at a prefill replica takes.
@@ -150,7 +155,7 @@
 	decodeMs, idleMs := m.predictStep(node, stepDecode, features)
 	predictedMs := choice.predictedMs + decodeMs
 	success := source.state.predictor.SuccessRate() * node.state.predictor.SuccessRate()
-	cost := choice.cost + m.parameters.MoveCost*request.PromptTokens*distance + m.spreadCost(row, node)
+	cost := choice.cost + m.parameters.MoveCost*request.PromptTokens*distance
 	return scoredPair{
 		weight:      m.value(request, success, predictedMs, now) - cost - m.crossingCost(node.replica),
 		features:    features,
@@ -205,12 +210,6 @@
 	return features
 }
 
-// spreadCost prefers one replica over another of equal weight by the hash of the shared prefix, so that data planes which see
-// the same loads don't all choose the same replica, and a prefix comes to the same ones.
-func (m *Matcher) spreadCost(row *requestRow, node *replicaNode) float64 {
-	return m.parameters.SpreadCost * (1 - affinityFraction(affinityHash(row.prefix, node.state.idHash)))
-}
-
 // crossingCost is the cost of a replica in another zone.
 func (m *Matcher) crossingCost(replica *Replica) float64 {
 	if replica.Zone != m.zone {
