--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -138,6 +138,10 @@
 	isFirstEvent := report.Outcome == OutcomeFirstEvent
 	isOverdue := isFirstEvent && !ticket.firstEventSeen && report.At.Sub(ticket.sentAt) > ticket.firstEventTimeout()
 	isLate := report.Outcome == OutcomeStalled || isOverdue
+	if isLate && ticket.isOfSplit() {
+		// Prompts that are read beside a stream hold it up at any load.
+		return
+	}
 	switch {
 	case isFirstEvent && ticket.overdueCounted:
 		ticket.overdueCounted = false
