--- a/internal/routing/review.go
+++ b/internal/routing/review.go
@@ -36,6 +36,10 @@
 				ticket.failureCounted = true
 				continue
 			}
+			if ticket.isOfSplit() {
+				// A replica of a split backend takes long under load, however few requests are there.
+				continue
+			}
 			isOverdue := !ticket.failureCounted && now.Sub(ticket.sentAt) > ticket.firstEventTimeout()
 			if isOverdue && !m.isBusy(ticket.replica, highLoad) {
 				ticket.overdueCounted = true
