--- a/internal/phasebalance/balance.go
+++ b/internal/phasebalance/balance.go
@@ -57,8 +57,11 @@
 const (
 	// targetDecodeShare is the share of its slots that a decode replica is meant to have taken.
 	targetDecodeShare = 0.25
-	// minPhaseShare is the share of all replicas that each phase keeps whatever the load, for a burst of its kind.
-	minPhaseShare = 0.3
+	// minDecodeShare is the share of all replicas that make tokens whatever the load, for a burst of long answers.
+	minDecodeShare = 0.3
+	// minPrefillShare is the same for prefill replicas: while they can't keep up, requests wait for them, and more of them
+	// run at once than the answers alone explain.
+	minPrefillShare = 0.5
 	// minRunning is how many requests for each replica run at the least while the load says anything.
 	minRunning = 0.2
 	// startShare is the share of all replicas by which the phases must be out of balance for a move to begin; minStart is the
@@ -126,9 +129,9 @@
 // desiredPrefill is how many of all replicas are to read prompts.
 func desiredPrefill(view View, total int) int {
 	decode := int(math.Ceil(view.Running / (targetDecodeShare * float64(max(view.Slots, 1)))))
-	least := max(int(math.Ceil(minPhaseShare*float64(total))), 1)
-	decode = min(max(decode, least), max(total-least, 1))
-	return total - decode
+	least := max(int(math.Ceil(minDecodeShare*float64(total))), 1)
+	most := total - max(int(math.Ceil(minPrefillShare*float64(total))), 1)
+	return total - max(min(max(decode, least), most), 1)
 }
 
 // zoneCount is how many serving replicas a zone has in the phase that gives some, and in all.
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -24,6 +24,8 @@
 	// attempts counts those that may have reached a replica, unreached those that didn't.
 	attempts  int
 	unreached int
+	// prefillFailures counts the replicas that failed to read the prompt.
+	prefillFailures int
 	// mayHaveRun says that an attempt may have run, so that the client must not be answered that none has.
 	mayHaveRun bool
 	// notLoaded says that the last replica didn't have the model loaded.
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -13,10 +13,16 @@
 	"ferryspar/internal/routing"
 )
 
-// minPrefillTime is the least that a prefill step is given.
-const minPrefillTime = 100 * time.Millisecond
+const (
+	// minPrefillTime is the least that a prefill step is given.
+	minPrefillTime = 100 * time.Millisecond
+	// maxTokensBesideStreams is the longest prompt that is read at a decode replica after reading it apart took too long.
+	maxTokensBesideStreams = 600
+	// maxPrefillFailures is after how many failures of prefill replicas a request goes on without one.
+	maxPrefillFailures = 2
+)
 
-// errUnsplit says that the prompt was not read apart and that nothing has run: the request goes on without that step.
+// errUnsplit says that the prompt was not read apart and that nothing has run: the request is assigned anew.
 var errUnsplit = errors.New("prompt not read apart")
 
 // send sends the attempt: the prompt to the prefill replica first, if the assignment has one. The error, if any, is errUnsplit
@@ -62,16 +68,33 @@
 		report(routing.OutcomePrefilled)
 		return handle, nil
 	}
-	outcome := outcomeByVerdict[verdict]
 	if bounded.Err() != nil {
-		outcome = routing.OutcomeCancelled
+		report(routing.OutcomeCancelled)
+		return nil, e.afterPrefillTimeout()
+	}
+	report(outcomeByVerdict[verdict])
+	return nil, e.afterPrefillFailure(step, verdict)
+}
+
+// afterPrefillTimeout goes on without the step if the prompt is short enough to be read beside running streams. A long one is
+// rejected: it would hold all of them up, and nothing has run.
+func (e *exchange) afterPrefillTimeout() error {
+	if e.parsed.request.PromptTokens > maxTokensBesideStreams || !e.mayRetryWithinBudget() {
+		return apierror.NewRetryable(apierror.Overloaded, budgetRetryAfter)
 	}
-	report(outcome)
 	e.parsed.request.Unsplit = true
+	return errUnsplit
+}
+
+// afterPrefillFailure goes on with another prefill replica, and after a second failure without the step.
+func (e *exchange) afterPrefillFailure(step *routing.PrefillStep, verdict replica.Verdict) error {
 	if verdict != replica.VerdictNotSent && !e.mayRetryWithinBudget() {
-		return nil, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
+		return apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
 	}
-	return nil, errUnsplit
+	e.prefillFailures++
+	e.parsed.request.ExcludedReplicas[step.Replica.ID] = true
+	e.parsed.request.Unsplit = e.prefillFailures >= maxPrefillFailures
+	return errUnsplit
 }
 
 // prefillOutcome is how a prefill step is counted.
