--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -16,8 +16,6 @@
 const (
 	// minPrefillTime is the least that a prefill step is given.
 	minPrefillTime = 100 * time.Millisecond
-	// maxTokensBesideStreams is the longest prompt that is read at a decode replica after reading it apart took too long.
-	maxTokensBesideStreams = 600
 	// maxPrefillFailures is after how many failures of prefill replicas a request goes on without one.
 	maxPrefillFailures = 2
 )
@@ -79,7 +77,7 @@
 // afterPrefillTimeout goes on without the step if the prompt is short enough to be read beside running streams. A long one is
 // rejected: it would hold all of them up, and nothing has run.
 func (e *exchange) afterPrefillTimeout() error {
-	if e.parsed.request.PromptTokens > maxTokensBesideStreams || !e.mayRetryWithinBudget() {
+	if e.parsed.request.PromptTokens > routing.MaxTokensBesideStreams || !e.mayRetryWithinBudget() {
 		return apierror.NewRetryable(apierror.Overloaded, budgetRetryAfter)
 	}
 	e.parsed.request.Unsplit = true
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -45,7 +45,10 @@
 	if node.replica.Phase != discovery.PhaseDecode {
 		return m.scoreWhole(row, node, now)
 	}
-	best := m.scoreDecodeAlone(row, node, now)
+	best := scoredPair{weight: math.Inf(-1)}
+	if len(row.prefills) == 0 || row.request.PromptTokens <= MaxTokensBesideStreams {
+		best = m.scoreDecodeAlone(row, node, now)
+	}
 	for index := range row.prefills {
 		if pair := m.scorePair(row, &row.prefills[index], node, now); pair.weight > best.weight {
 			best = pair
@@ -57,6 +60,10 @@
 	return best
 }
 
+// MaxTokensBesideStreams is the longest prompt that is read at a decode replica while a prefill replica may read it: every piece
+// that is read there holds up the tokens of all streams, and slower streams fill the replica's slots.
+const MaxTokensBesideStreams = 600
+
 // lowWeight is the weight below which servableWeight bends.
 const lowWeight = 0.02
 
