--- /dev/null
+++ b/internal/controlplane/replicatracker/phase_test.go
@@ -0,0 +1,54 @@
+package replicatracker
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"ferryspar/internal/discovery"
+	"ferryspar/internal/replicastate"
+)
+
+func TestTracker_ReplicaIsCordonedWhileItsPhaseChanges(t *testing.T) {
+	now := testStart
+	tracker, list := newTestTracker(now)
+	tracked := tracker.Replica("r")
+	report := replicastate.Report{Loaded: map[string]bool{"m": true}, ServingPhase: "decode"}
+	assert.Assert(t, tracker.HandleReport(tracked, report, now))
+	assert.Equal(t, tracked.Phase(), discovery.PhaseDecode)
+
+	order, possible := tracker.DecidePhase("r", discovery.PhasePrefill, now)
+	assert.Assert(t, possible)
+	assert.Assert(t, tracked.IsChangingPhase())
+	assert.Equal(t, tracked.Phase(), discovery.PhasePrefill, "it counts as one of the phase to come")
+	tracker.PublishObservations()
+	_, cordoned := tracker.observations.Apply(list, now)
+	assert.DeepEqual(t, cordoned, []string{"r m"})
+
+	tracker.HandleResponse(tracked, order, replicastate.Accepted, now)
+	now = now.Add(2 * time.Second)
+	tracked.State().PollStarted(now)
+	report = replicastate.Report{Sequence: 1, Loaded: map[string]bool{"m": true}, ServingPhase: "prefill"}
+	assert.Assert(t, tracker.HandleReport(tracked, report, now))
+	assert.Assert(t, !tracked.IsChangingPhase())
+	tracker.PublishObservations()
+	observed, cordoned := tracker.observations.Apply(list, now)
+	assert.Equal(t, len(cordoned), 0)
+	assert.Equal(t, observed[0].Phase, discovery.PhasePrefill, "the list lags behind the report")
+}
+
+func TestTracker_PhaseChangeOfUnknownFateKeepsTheCordon(t *testing.T) {
+	now := testStart
+	tracker, list := newTestTracker(now)
+	tracked := tracker.Replica("r")
+	report := replicastate.Report{Loaded: map[string]bool{"m": true}, ServingPhase: "decode"}
+	assert.Assert(t, tracker.HandleReport(tracked, report, now))
+	order, _ := tracker.DecidePhase("r", discovery.PhasePrefill, now)
+	tracker.HandleResponse(tracked, order, replicastate.NoAnswer, now)
+	tracker.PublishObservations()
+	_, cordoned := tracker.observations.Apply(list, now)
+	assert.DeepEqual(t, cordoned, []string{"r m"})
+	_, possible := tracker.DecidePhase("unknown", discovery.PhasePrefill, now)
+	assert.Assert(t, !possible)
+}
--- /dev/null
+++ b/internal/replica/handle_test.go
@@ -0,0 +1,114 @@
+package replica
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// prefillAnswer is a replica's answer to a request whose prompt it has read.
+func prefillAnswer(attempt, body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", HeaderAttempt, attempt, len(body), body)
+}
+
+// serveHandles answers prefills with handles and all else with a valid response.
+func serveHandles(connection *scriptedConnection) {
+	for request := connection.next(); request != nil; request = connection.next() {
+		attempt := request.Header.Get(HeaderAttempt)
+		switch {
+		case request.Method == http.MethodDelete:
+			connection.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		case request.Header.Get(HeaderServingPhase) == "prefill":
+			connection.write("%s", prefillAnswer(attempt, `{"prefixHandle":"h-`+attempt+`","tokenCount":3,"revision":1}`))
+		default:
+			connection.respond(attempt)
+		}
+	}
+}
+
+func TestForwarder_HandleIsTakenOnceAndByItsAttemptOnly(t *testing.T) {
+	server := startServer(t, serveHandles)
+	forwarder := testForwarder()
+	upstream := testRequest(http.MethodPost, "a", "prompt")
+	handle, verdict := forwarder.Prefill(context.Background(), server.address, "i-1", upstream)
+	assert.Equal(t, verdict, VerdictAnswered)
+
+	_, verdict = forwarder.SendFrom(context.Background(), server.address, "i-1", testRequest(http.MethodPost, "b", "prompt"), handle)
+	assert.Equal(t, verdict, VerdictNotSent, "another attempt must not continue from the memory")
+
+	response, verdict := forwarder.SendFrom(context.Background(), server.address, "i-1", upstream, handle)
+	assert.Equal(t, verdict, VerdictAnswered)
+	response.Body.Close()
+	_, verdict = forwarder.SendFrom(context.Background(), server.address, "i-1", upstream, handle)
+	assert.Equal(t, verdict, VerdictNotSent, "a handle is taken once")
+
+	received := server.received()
+	assert.Equal(t, len(received), 2)
+	assert.Equal(t, received[0].request.Header.Get(HeaderServingPhase), "prefill")
+	assert.Equal(t, received[0].body, "prompt")
+	assert.Equal(t, received[1].request.Header.Get(HeaderKvFrom), server.address+"/h-a")
+	assert.Equal(t, received[1].request.Header.Get(HeaderServingPhase), "")
+	assert.Equal(t, received[1].body, "prompt")
+}
+
+func TestForwarder_FreedHandleIsNotTaken(t *testing.T) {
+	server := startServer(t, serveHandles)
+	forwarder := testForwarder()
+	upstream := testRequest(http.MethodPost, "a", "prompt")
+	handle, _ := forwarder.Prefill(context.Background(), server.address, "i-1", upstream)
+	ended, cancel := context.WithCancel(context.Background())
+	cancel()
+	assert.NilError(t, forwarder.Free(ended, handle), "it is freed although its client has gone")
+	_, verdict := forwarder.SendFrom(context.Background(), server.address, "i-1", upstream, handle)
+	assert.Equal(t, verdict, VerdictNotSent)
+	freed := server.received()[1].request
+	assert.Equal(t, freed.Method, http.MethodDelete)
+	assert.Equal(t, freed.URL.Path, "/ferryspar/kv-handle/h-a")
+	assert.Equal(t, freed.Header.Get(HeaderTarget), "i-1")
+}
+
+func TestForwarder_ClientsCannotNameAHandleOrAPhase(t *testing.T) {
+	server := startServer(t, serveHandles)
+	upstream := testRequest(http.MethodPost, "a", "prompt")
+	upstream.Header.Set(HeaderKvFrom, "10.0.0.1:80/foreign")
+	upstream.Header.Set(HeaderServingPhase, "prefill")
+	verdict, _ := send(t, testForwarder(), server, upstream)
+	assert.Equal(t, verdict, VerdictAnswered)
+	sent := server.received()[0].request
+	assert.Equal(t, sent.Header.Get(HeaderKvFrom), "")
+	assert.Equal(t, sent.Header.Get(HeaderServingPhase), "")
+}
+
+func TestForwarder_PrefillAnswerMustBeItsOwn(t *testing.T) {
+	const valid = `{"prefixHandle":"h1","tokenCount":3,"revision":1}`
+	for name, test := range map[string]struct {
+		response string
+		want     Verdict
+	}{
+		"own":                  {prefillAnswer("a", valid), VerdictAnswered},
+		"of another":           {prefillAnswer("b", valid), VerdictUnknown},
+		"without id":           {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", VerdictUnknown},
+		"no handle":            {prefillAnswer("a", `{"tokenCount":3}`), VerdictUnknown},
+		"handle with a slash":  {prefillAnswer("a", `{"prefixHandle":"h/../x"}`), VerdictUnknown},
+		"handle with a break":  {prefillAnswer("a", `{"prefixHandle":"h\r\nX: y"}`), VerdictUnknown},
+		"no JSON":              {prefillAnswer("a", "event"), VerdictUnknown},
+		"a stream":             {validResponse("a"), VerdictUnknown},
+		"rejection":            {rejection("a"), VerdictRejected},
+		"other phase":          {"HTTP/1.1 421 No\r\n" + HeaderAttempt + ": a\r\nContent-Length: 0\r\n\r\n", VerdictNotLoaded},
+		"failure":              {"HTTP/1.1 500 No\r\n" + HeaderAttempt + ": a\r\nContent-Length: 0\r\n\r\n", VerdictUnknown},
+		"body that is cut off": {"HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": a\r\nContent-Length: 99\r\n\r\n" + valid, VerdictUnknown},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := startServer(t, func(connection *scriptedConnection) {
+				connection.next()
+				connection.write("%s", test.response)
+			})
+			handle, verdict := testForwarder().Prefill(context.Background(), server.address, "i-1", testRequest(http.MethodPost, "a", "p"))
+			assert.Equal(t, verdict, test.want)
+			assert.Equal(t, handle != nil, test.want == VerdictAnswered)
+		})
+	}
+}
