--- a/internal/routing/assign.go
+++ b/internal/routing/assign.go
@@ -94,6 +94,9 @@
 	if !node.replica.accepts(request) || m.snapshot.DrainedZones[node.replica.Zone] {
 		return false
 	}
+	if len(node.state.missingUntil) == 0 {
+		return true
+	}
 	until, missing := node.state.missingUntil[request.Model]
 	return !missing || !now.Before(until)
 }
--- a/internal/routing/graph.go
+++ b/internal/routing/graph.go
@@ -15,7 +15,8 @@
 	replica    *Replica
 	state      *replicaState
 	runtime    *configuration.Runtime
-	peerLoad   peer.ReplicaLoad // what the other data planes run there
+	peerLoad   peer.ReplicaLoad      // what the other data planes run there
+	models     [stepCount]*stepModel // of a replica of a split backend
 	warmUp     warmUpLimit
 	capacity   int     // requests that may be sent there in this batch
 	freeMemory float64 // tokens of KV memory left
@@ -35,7 +36,7 @@
 	useLedger bool    // the ledger may be used
 
 	// What follows is used with a split backend (isSplit): the hash of what the prompt shares with others, with its tokens, a
-	// hash of its own, and the best prefill replica of each zone.
+	// hash of its own, and the prefill replicas that are weighed.
 	isSplit      bool
 	prefix       uint64
 	sharedTokens float64
@@ -162,6 +163,9 @@
 	node.state.slowness.adoptPhase(replica.Phase)
 	if replica.Phase != "" {
 		node.smoothPeerLoad(m.snapshot.PeerLoadsAt)
+		for of := range node.models {
+			node.models[of] = m.models.at(stepKeyOf(replica, servingStep(of)))
+		}
 	}
 	if !m.snapshot.DrainedZones[replica.Zone] {
 		m.measureCapacity(&node, now)
--- a/internal/routing/phase.go
+++ b/internal/routing/phase.go
@@ -27,15 +27,15 @@
 	step    servingStep
 }
 
-// weightLimits bound one weight of a step's model.
+// weightLimits bound one weight of a step's model. A feature whose weight is limited to 0 is not used.
 type weightLimits struct {
 	start, least, most float64
 }
 
-// stepWeights are the weights that the models of the steps may have, by feature; a feature without limits is not used. What a
+// stepWeights are the weights that the models of the steps may have, by feature. What a
 // weight stands for bounds it: without limits, a regression over a few hundred requests of a loaded fleet takes the waiting of
 // some for the cost of others.
-var stepWeights = map[servingStep]map[int]weightLimits{
+var stepWeights = [stepCount][featureCount]weightLimits{
 	stepPrefill: {
 		featureBase:     {start: 25, least: 5, most: 100},
 		featureUncached: {start: 40, least: 10, most: 200},
@@ -63,12 +63,12 @@
 // stepModel predicts the latency of a step by those features that its weights have limits for.
 type stepModel struct {
 	predictor *Predictor
-	limits    map[int]weightLimits
+	limits    *[featureCount]weightLimits
 }
 
 // newStepModel returns a model with the starting weights of its step.
 func newStepModel(of servingStep) *stepModel {
-	model := &stepModel{predictor: NewPredictor(), limits: stepWeights[of]}
+	model := &stepModel{predictor: NewPredictor(), limits: &stepWeights[of]}
 	model.predictor.weights = Features{}
 	for index := range featureCount {
 		model.predictor.weights[index] = model.limits[index].start
@@ -80,7 +80,7 @@
 // used returns the features without those that the model doesn't use.
 func (s *stepModel) used(features Features) Features {
 	for index := range features {
-		if _, used := s.limits[index]; !used {
+		if s.limits[index].most == 0 {
 			features[index] = 0
 		}
 	}
@@ -88,7 +88,10 @@
 }
 
 // latency returns the predicted latency in ms, at least 1.
-func (s *stepModel) latency(features Features) float64 { return s.predictor.Latency(s.used(features)) }
+func (s *stepModel) latency(features Features) float64 {
+	// Weights of features that are not used are 0.
+	return s.predictor.Latency(features)
+}
 
 // observe learns from one measured latency in ms.
 func (s *stepModel) observe(features Features, latencyMs float64) {
@@ -161,10 +164,10 @@
 }
 
 // predictStep returns the predicted latency of a step in ms, and that at an idle replica.
-func (m *Matcher) predictStep(node *replicaNode, of servingStep, features Features) (predictedMs, idleMs float64) {
-	model := m.models.at(stepKeyOf(node.replica, of))
-	slowness := node.state.slowness.factor[of]
-	idle := features
+func (n *replicaNode) predictStep(of servingStep, features *Features) (predictedMs, idleMs float64) {
+	model := n.models[of]
+	slowness := n.state.slowness.factor[of]
+	idle := *features
 	idle[featurePending], idle[featureUtilization] = 0, 0
-	return model.latency(features) * slowness, model.latency(idle) * slowness
+	return model.latency(*features) * slowness, model.latency(idle) * slowness
 }
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -110,7 +110,7 @@
 	request := row.request
 	uncached := request.PromptTokens
 	features := node.features(*row, 0, uncached)
-	predictedMs, idleMs := m.predictStep(node, stepWhole, features)
+	predictedMs, idleMs := node.predictStep(stepWhole, &features)
 	cost := m.parameters.TokenCost*uncached + m.crossingCost(node.replica)
 	if len(row.prefills) > 0 {
 		cost += m.interferenceCost(request, node, uncached)
@@ -142,7 +142,7 @@
 	if gapMs <= 0 || running <= 0 {
 		return 0
 	}
-	perThousand := m.models.at(stepKeyOf(node.replica, stepWhole)).perThousand()
+	perThousand := node.models[stepWhole].perThousand()
 	readMs := (uncached + node.state.pendingTokens + node.peerLoad.PrefillTokens) / tokensPerThousand * perThousand
 	share := (readMs/gapMs - harmlessGapShare) / (harmfulGapShare - harmlessGapShare)
 	return m.parameters.InterferenceCost * min(running, maxInterferedStreams) * min(max(share, 0), 1)
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -16,7 +16,6 @@
 	cachedTokens   float64
 	uncachedTokens float64
 	cost           float64
-	badness        float64 // by which choices of one zone are compared: lower is better
 }
 
 // prepareSplit finds the replicas of a split backend that are weighed for a request.
@@ -37,21 +36,17 @@
 	return node.capacity > 0 && request.PromptTokens <= node.freeMemory
 }
 
-// addPrefillChoices appends the best prefill replica of each zone for the request to the graph's choices. A pair of a prefill
-// and a decode replica is scored as a sum over both plus the move between their zones, so that for any decode replica the
-// best partner of a zone is the best of that zone alone: pairs need not be enumerated.
+// addPrefillChoices weighs the prefill candidates of the request. Every pair of one of them and a decode candidate is then
+// scored: both are few, however many replicas there are.
 func (m *Matcher) addPrefillChoices(row *requestRow, isExcluded func(zone, region string) bool, now time.Time) {
 	graph, request := &m.graph, row.request
-	start := len(graph.choices)
 	if request.Unsplit || request.Resumed {
 		return
 	}
-	targetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
+	start := len(graph.choices)
 	ranked := m.prefillCandidates(row, isExcluded, now)
 	for rank, index := range ranked.nodes[:ranked.count] {
-		choice := m.weighPrefill(row, index, homeHitRates[rank]*row.sharedTokens, now)
-		choice.badness = choice.predictedMs/targetMs + choice.cost
-		graph.keepBestOfZone(start, choice)
+		graph.choices = append(graph.choices, m.weighPrefill(row, index, homeHitRates[rank]*row.sharedTokens, now))
 	}
 	row.prefills = graph.choices[start:len(graph.choices):len(graph.choices)]
 }
@@ -97,7 +92,7 @@
 	uncached := max(row.request.PromptTokens-cached, 0)
 	features := node.features(*row, cached, uncached)
 	cost := m.parameters.TokenCost*uncached + m.crossingCost(node.replica) + m.congestionCost(row.request, node, uncached)
-	predictedMs, idleMs := m.predictStep(node, stepPrefill, features)
+	predictedMs, idleMs := node.predictStep(stepPrefill, &features)
 	return prefillChoice{
 		node:           index,
 		features:       features,
@@ -116,7 +111,7 @@
 // the time it takes. Without it each request would leave a busy home of its prefix for a replica that has to read the prefix
 // again, which makes all of them busier.
 func (m *Matcher) congestionCost(request *Request, node *replicaNode, uncached float64) float64 {
-	readMs := uncached / tokensPerThousand * m.models.at(stepKeyOf(node.replica, stepPrefill)).perThousand()
+	readMs := uncached / tokensPerThousand * node.models[stepPrefill].perThousand()
 	delayed := min(float64(node.state.running+node.peerLoad.Running), maxDelayedRequests)
 	targetMs := max(float64(request.LatencyTarget.Milliseconds()), 1)
 	return (1 - m.parameters.Delta) * delayed * readMs / targetMs
@@ -131,28 +126,13 @@
 	return max(m.ledger.CachedTokens(node.replica.ID, row.request.prompt(), now), expected)
 }
 
-// keepBestOfZone adds a choice to those from start on, or replaces the one of the same zone if it is better.
-func (g *assignmentGraph) keepBestOfZone(start int, choice prefillChoice) {
-	zone := g.prefills[choice.node].replica.Zone
-	for index := start; index < len(g.choices); index++ {
-		if g.prefills[g.choices[index].node].replica.Zone != zone {
-			continue
-		}
-		if choice.badness < g.choices[index].badness {
-			g.choices[index] = choice
-		}
-		return
-	}
-	g.choices = append(g.choices, choice)
-}
-
 // scorePair computes the weight of reading a request's prompt at one replica and making its tokens at another.
 func (m *Matcher) scorePair(row *requestRow, choice *prefillChoice, node *replicaNode, now time.Time) scoredPair {
 	request := row.request
 	source := &m.graph.prefills[choice.node]
 	distance := m.moveDistance(source.replica, node.replica)
 	features := m.decodeFeatures(row, node, distance)
-	decodeMs, idleMs := m.predictStep(node, stepDecode, features)
+	decodeMs, idleMs := node.predictStep(stepDecode, &features)
 	predictedMs := choice.predictedMs + decodeMs
 	success := source.state.predictor.SuccessRate() * node.state.predictor.SuccessRate()
 	cost := choice.cost + m.parameters.MoveCost*request.PromptTokens*distance
