--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -26,6 +26,8 @@
 	unreached int
 	// prefillFailures counts the replicas that failed to read the prompt.
 	prefillFailures int
+	// prefilled says that a replica has read the prompt.
+	prefilled bool
 	// mayHaveRun says that an attempt may have run, so that the client must not be answered that none has.
 	mayHaveRun bool
 	// notLoaded says that the last replica didn't have the model loaded.
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -43,18 +43,25 @@
 	response, verdict := e.handler.forwarder.SendFrom(ctx, target.Address, target.ID, upstream, handle)
 	if verdict != replica.VerdictAnswered {
 		e.free(ctx, handle)
+		// Whether its memory could not be had or the request was lost on the way, another replica reads the prompt next.
+		e.parsed.request.ExcludedReplicas[assignment.Prefill.Replica.ID] = true
 	}
 	return response, verdict, nil
 }
 
 // prefill has the prompt read and returns the handle of its memory. Where that fails nothing has run, so the request may go on
-// without; what a replica turned away or left unanswered counts against the retry budget like any further attempt.
+// without. The first time that a replica reads the prompt is free; any further one, and what a replica turned away or left
+// unanswered, counts against the retry budget like a further attempt.
 func (e *exchange) prefill(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) (*replica.Handle, error) {
+	report := func(outcome routing.Outcome) { e.handler.matcher.Report(step.Ticket, outcome) }
+	if e.prefilled && !e.mayRetryWithinBudget() {
+		report(routing.OutcomeCancelled)
+		return nil, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
+	}
 	bounded, cancel := context.WithTimeout(ctx, max(step.Timeout, minPrefillTime))
 	defer cancel()
 	handle, verdict := e.handler.forwarder.Prefill(bounded, step.Replica.Address, step.Replica.ID, upstream)
 	e.handler.Attempts.add(upstream.Backend, prefillOutcome(verdict))
-	report := func(outcome routing.Outcome) { e.handler.matcher.Report(step.Ticket, outcome) }
 	if ctx.Err() != nil {
 		if handle != nil {
 			e.free(ctx, handle)
@@ -63,6 +70,7 @@
 		return nil, e.deadlineError(true)
 	}
 	if verdict == replica.VerdictAnswered {
+		e.prefilled = true
 		report(routing.OutcomePrefilled)
 		return handle, nil
 	}
--- a/internal/test/integration/split_test.go
+++ b/internal/test/integration/split_test.go
@@ -1,15 +1,19 @@
 package integration
 
 import (
+	"context"
 	"fmt"
 	"net/http"
 	"strconv"
+	"strings"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"gotest.tools/v3/assert"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/replica"
 )
 
@@ -87,3 +91,151 @@
 		}
 	})
 }
+
+// checkRunOnce expects every request to have run once, from its own handle if from any.
+func (f *splitFleet) checkRunOnce(t *testing.T, replicas map[string]*standInReplica, attempts int) {
+	t.Helper()
+	ran := map[string]int{}
+	for _, standIn := range replicas {
+		for _, run := range standIn.executed() {
+			ran[run.attempt]++
+		}
+	}
+	for attempt, times := range ran {
+		assert.Equal(t, times, 1, attempt)
+	}
+	assert.Equal(t, len(ran), attempts)
+	for _, run := range f.runs {
+		assert.Equal(t, run.attempt, run.handleAttempt)
+	}
+}
+
+func TestSplit_LapsedHandlesAreReadAtAnotherReplica(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f, split, replicas := startSplitFleet(t, 2)
+		split.lapseAtOnce["i-1"] = true
+		for number := range 12 {
+			got := f.requestPrompt(1+number%2, fmt.Sprintf("attempt-%d", number), "/patient/", 3000, number%5)
+			assert.Equal(t, got.status, http.StatusOK, "%d: %s", number, got.body)
+			assert.Equal(t, got.body, allEvents())
+		}
+		split.checkRunOnce(t, replicas, 12)
+		assert.Equal(t, split.heldHandles(), 0)
+	})
+}
+
+func TestSplit_FailingPrefillReplicasAreGoneAround(t *testing.T) {
+	for _, failure := range []string{"errors", "reset", "shed", "swapped", "garbled", "unproved"} {
+		t.Run(failure, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				f, split, replicas := startSplitFleet(t, 2)
+				replicas["i-1"].setFailureMode(failure, 1)
+				for number := range 12 {
+					got := f.requestPrompt(1+number%2, fmt.Sprintf("attempt-%d", number), "/quick/", 3000, number%5)
+					assert.Equal(t, got.status, http.StatusOK, "%d: %s", number, got.body)
+				}
+				split.checkRunOnce(t, replicas, 12)
+			})
+		})
+	}
+}
+
+func TestSplit_ClientThatLeavesBetweenTheStepsHoldsNothing(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f, split, replicas := startSplitFleet(t, 1)
+		ctx, leave := context.WithCancel(context.Background())
+		split.afterPrefill = func(string) { leave() }
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edgeHost(1)+":8161/quick/", strings.NewReader("prompt"))
+		assert.NilError(t, err)
+		request.Host = "shop.example"
+		request.Header.Set(replica.HeaderAttempt, "a")
+		request.Header.Set(replica.HeaderModel, "swift")
+		request.Header.Set(replica.HeaderTokens, "5000,20")
+		request.Header.Set(replica.HeaderPrefix, "1:4900,2:100")
+		_, err = f.client.Do(request)
+		assert.Assert(t, err != nil)
+		time.Sleep(500 * time.Millisecond)
+		assert.Equal(t, split.prefills, 1)
+		assert.Equal(t, split.heldHandles(), 0, "the memory is freed")
+		split.checkRunOnce(t, replicas, 0)
+	})
+}
+
+// startMixedFleet starts a fleet with so many replicas of each phase.
+func startMixedFleet(t *testing.T, prefill, decode int) (*fleet, *splitFleet, map[string]*standInReplica) {
+	split := newSplitFleet()
+	replicas := map[string]*standInReplica{}
+	var list []*standInReplica
+	for number := 1; number <= prefill+decode; number++ {
+		phase := "decode"
+		if number <= prefill {
+			phase = "prefill"
+		}
+		id, zone := fmt.Sprintf("i-%d", number), number%3
+		replicas[id] = split.newReplica(id, fmt.Sprintf("10.%d.2.%d", zone+1, number), replicaZones[zone], phase)
+		replicas[id].events = 40
+		list = append(list, replicas[id])
+	}
+	f := startFleet(t, 2, list...)
+	time.Sleep(3 * time.Second)
+	assert.Equal(t, f.putConfiguration(1, 0, splitDocument).status, http.StatusOK)
+	time.Sleep(1500 * time.Millisecond)
+	return f, split, replicas
+}
+
+// countPhase counts the stand-ins of a phase.
+func countPhase(replicas map[string]*standInReplica, phase discovery.Phase) int {
+	count := 0
+	for _, standIn := range replicas {
+		if standIn.listEntry().Phase == phase {
+			count++
+		}
+	}
+	return count
+}
+
+func TestSplit_PhasesFollowTheDemandThoughTheLeaseHolderIsLost(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f, split, replicas := startMixedFleet(t, 2, 10)
+		var clients sync.WaitGroup
+		var lock sync.Mutex
+		served := 0
+		for client := range 8 {
+			clients.Go(func() {
+				for number := range 20 {
+					attempt := fmt.Sprintf("c%d-%d", client, number)
+					got := f.requestPrompt(1+client%2, attempt, "/patient/", 2000, client)
+					lock.Lock()
+					if got.status == http.StatusOK {
+						served++
+					}
+					lock.Unlock()
+				}
+			})
+		}
+		time.Sleep(1800 * time.Millisecond)
+		for number := 1; number <= 3; number++ {
+			f.kill(coreHost(number))
+			f.startCore(coreHost(number), false, 1, 2, 3)
+		}
+		clients.Wait()
+		prefill := countPhase(replicas, discovery.PhasePrefill)
+		assert.Assert(t, prefill >= 6 && prefill <= 9, "%d read prompts", prefill)
+		assert.Assert(t, served >= 150, "%d of 160 served", served)
+		for id, standIn := range replicas {
+			accepted := map[int64]int{}
+			for _, order := range standIn.receivedOrders() {
+				assert.Equal(t, order.Operation, replica.OperationPhase, id)
+				if order.status == http.StatusAccepted {
+					accepted[*order.Expected]++
+				}
+			}
+			for sequence, times := range accepted {
+				assert.Equal(t, times, 1, "%s took two orders at %d", id, sequence)
+			}
+		}
+		for _, run := range split.runs {
+			assert.Equal(t, run.attempt, run.handleAttempt)
+		}
+	})
+}
--- a/internal/test/integration/standin_orders_test.go
+++ b/internal/test/integration/standin_orders_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"ferryspar/internal/discovery"
 	"ferryspar/internal/replica"
 	"ferryspar/internal/sim/emulator/standin"
 )
@@ -63,18 +64,27 @@
 
 // recordReport adds the present report to the history. The caller holds the lock.
 func (s *standInReplica) recordReport() {
-	state := replica.Report{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.orderState.sequence}
+	state := s.report()
 	s.orderState.history = append(s.orderState.history, pastReport{time.Now(), state})
 	if extra := len(s.orderState.history) - maxHistory; extra > 0 {
 		s.orderState.history = s.orderState.history[extra:]
 	}
 }
 
+// report is what the stand-in says of itself now. The caller holds the lock.
+func (s *standInReplica) report() replica.Report {
+	phase := s.listed.Phase
+	if phase == "" {
+		phase = discovery.PhaseUnified
+	}
+	return replica.Report{Phase: phase, Models: s.models.List(), Busy: s.busy(), Sequence: s.orderState.sequence}
+}
+
 func (s *standInReplica) busy() bool { return time.Now().Before(s.orderState.busyUntil) }
 
 func (s *standInReplica) handleReport(writer http.ResponseWriter, _ *http.Request) {
 	s.lock.Lock()
-	state := replica.Report{Phase: "unified", Models: s.models.List(), Busy: s.busy(), Sequence: s.orderState.sequence}
+	state := s.report()
 	if s.orderState.reportLag > 0 {
 		state = s.laggedReport(state)
 	}
@@ -126,6 +136,9 @@
 		}
 		return http.StatusConflict
 	}
+	if instruction.Operation == replica.OperationPhase {
+		return s.decidePhase(instruction)
+	}
 	if s.models[instruction.reference()] == instruction.isLoad() {
 		return http.StatusOK
 	}
@@ -135,6 +148,27 @@
 	return http.StatusAccepted
 }
 
+// swapTime is how long a stand-in takes to change its phase.
+const swapTime = 1200 * time.Millisecond
+
+// decidePhase starts a change of the phase. The caller holds the lock.
+func (s *standInReplica) decidePhase(instruction receivedOrder) int {
+	if s.listed.Phase == instruction.Phase {
+		return http.StatusOK
+	}
+	s.orderState.sequence++
+	s.orderState.busyUntil = time.Now().Add(swapTime)
+	incarnation := s.orderState.incarnation
+	time.AfterFunc(swapTime, func() {
+		s.lock.Lock()
+		defer s.lock.Unlock()
+		if s.orderState.incarnation == incarnation {
+			s.listed.Phase = instruction.Phase
+		}
+	})
+	return http.StatusAccepted
+}
+
 // hasCapacity reports whether a load fits beside what is loaded. The caller holds the lock.
 func (s *standInReplica) hasCapacity(instruction receivedOrder) bool {
 	loaded := maps.Clone(s.models)
--- a/internal/test/integration/standin_split_test.go
+++ b/internal/test/integration/standin_split_test.go
@@ -75,7 +75,15 @@
 		return false
 	}
 	wantsPrefill := request.Header.Get(headerServingPhase) == "prefill"
-	if wantsPrefill != (s.listed.Phase == "prefill") {
+	s.lock.Lock()
+	phase, changing := s.listed.Phase, s.busy()
+	s.lock.Unlock()
+	if changing {
+		writer.Header().Set(replica.HeaderNotExecuted, "1")
+		writer.WriteHeader(http.StatusServiceUnavailable)
+		return false
+	}
+	if wantsPrefill != (phase == "prefill") {
 		f.lock.Lock()
 		f.misdirected++
 		f.lock.Unlock()
