--- a/internal/routing/ejection.go
+++ b/internal/routing/ejection.go
@@ -22,7 +22,10 @@
 		return true
 	}
 	replicaBreaker := m.health.breakers[replica.ID]
-	if replicaBreaker == nil || replicaBreaker.state == breakerClosed || !m.ejectableReplicas(request, replica.Phase, now)[replica.ID] {
+	if replicaBreaker == nil || replicaBreaker.state == breakerClosed {
+		return true
+	}
+	if !m.ejectableReplicas(request, replica.Phase, now)[replica.ID] {
 		return true
 	}
 	isIdle := m.replicas.state(replica.ID).running+m.snapshot.PeerLoads[replica.ID].Running == 0
--- a/internal/routing/parameters_test.go
+++ b/internal/routing/parameters_test.go
@@ -14,7 +14,8 @@
 		keys = append(keys, field.Tag.Get("koanf"))
 	}
 	assert.DeepEqual(t, keys, []string{
-		"batchSize", "batchWait", "delta", "tokenPrice", "crossPrice", "moveCost", "interferenceCost", "lateWorth", "latencyBound", "queueBound",
+		"batchSize", "batchWait", "delta", "tokenPrice", "crossPrice", "moveCost", "interferenceCost",
+		"lateWorth", "latencyBound", "queueBound",
 		"ledgerBound", "ledgerLife", "hitAffinity", "hitMargin", "daemon", "coldOverage", "coldSlack", "lifeBegan",
 	})
 }
--- a/internal/routing/split_test.go
+++ b/internal/routing/split_test.go
@@ -390,6 +390,23 @@
 	}
 }
 
+// serveBatch has a matcher decide a batch and reports each request that was sent as served.
+func serveBatch(matcher *Matcher, requests []*Request) {
+	matcher.assign(requests, noon)
+	for _, request := range requests {
+		if len(request.Decided) == 0 {
+			continue
+		}
+		decision := <-request.Decided
+		if decision.Prefill != nil {
+			matcher.HandleReport(Report{Ticket: decision.Prefill.Ticket, Outcome: OutcomePrefilled, At: noon})
+		}
+		if decision.Ticket != nil {
+			matcher.HandleReport(Report{Ticket: decision.Ticket, Outcome: OutcomeServed, At: noon})
+		}
+	}
+}
+
 // BenchmarkMatcher_SplitBatch measures one batch of sixteen requests on a split backend of a site's size, and of the target's.
 func BenchmarkMatcher_SplitBatch(b *testing.B) {
 	for _, replicas := range []int{90, 720} {
@@ -404,19 +421,7 @@
 					requests[row] = splitRequest(number, 5000, 2000)
 					requests[row].Decided = make(chan Decision, 1)
 				}
-				matcher.assign(requests, noon)
-				for _, request := range requests {
-					if len(request.Decided) == 0 {
-						continue
-					}
-					decision := <-request.Decided
-					if decision.Prefill != nil {
-						matcher.HandleReport(Report{Ticket: decision.Prefill.Ticket, Outcome: OutcomePrefilled, At: noon})
-					}
-					if decision.Ticket != nil {
-						matcher.HandleReport(Report{Ticket: decision.Ticket, Outcome: OutcomeServed, At: noon})
-					}
-				}
+				serveBatch(matcher, requests)
 			}
 		})
 	}
--- a/internal/test/integration/split_test.go
+++ b/internal/test/integration/split_test.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -194,46 +195,53 @@
 	return count
 }
 
+// sendPrompts sends prompts from that many clients at once, so many each, and returns how many were served.
+func (f *fleet) sendPrompts(clients, each, promptTokens int) int {
+	var running sync.WaitGroup
+	var served atomic.Int64
+	for client := range clients {
+		running.Go(func() {
+			for number := range each {
+				attempt := fmt.Sprintf("c%d-%d", client, number)
+				if f.requestPrompt(1+client%2, attempt, "/patient/", promptTokens, client).status == http.StatusOK {
+					served.Add(1)
+				}
+			}
+		})
+	}
+	running.Wait()
+	return int(served.Load())
+}
+
+// checkPhaseOrders expects orders for phases only, and none that was accepted at the sequence of another.
+func checkPhaseOrders(t *testing.T, replicas map[string]*standInReplica) {
+	t.Helper()
+	for id, standIn := range replicas {
+		accepted := map[int64]bool{}
+		for _, order := range standIn.receivedOrders() {
+			assert.Equal(t, order.Operation, replica.OperationPhase, id)
+			if order.status == http.StatusAccepted {
+				assert.Assert(t, !accepted[*order.Expected], "%s took two orders at %d", id, *order.Expected)
+				accepted[*order.Expected] = true
+			}
+		}
+	}
+}
+
 func TestSplit_PhasesFollowTheDemandThoughTheLeaseHolderIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, split, replicas := startMixedFleet(t, 2, 10)
-		var clients sync.WaitGroup
-		var lock sync.Mutex
-		served := 0
-		for client := range 8 {
-			clients.Go(func() {
-				for number := range 20 {
-					attempt := fmt.Sprintf("c%d-%d", client, number)
-					got := f.requestPrompt(1+client%2, attempt, "/patient/", 2000, client)
-					lock.Lock()
-					if got.status == http.StatusOK {
-						served++
-					}
-					lock.Unlock()
-				}
-			})
-		}
+		served := make(chan int, 1)
+		go func() { served <- f.sendPrompts(8, 20, 2000) }()
 		time.Sleep(1800 * time.Millisecond)
 		for number := 1; number <= 3; number++ {
 			f.kill(coreHost(number))
 			f.startCore(coreHost(number), false, 1, 2, 3)
 		}
-		clients.Wait()
+		assert.Assert(t, <-served >= 150, "of 160")
 		prefill := countPhase(replicas, discovery.PhasePrefill)
 		assert.Assert(t, prefill >= 6 && prefill <= 9, "%d read prompts", prefill)
-		assert.Assert(t, served >= 150, "%d of 160 served", served)
-		for id, standIn := range replicas {
-			accepted := map[int64]int{}
-			for _, order := range standIn.receivedOrders() {
-				assert.Equal(t, order.Operation, replica.OperationPhase, id)
-				if order.status == http.StatusAccepted {
-					accepted[*order.Expected]++
-				}
-			}
-			for sequence, times := range accepted {
-				assert.Equal(t, times, 1, "%s took two orders at %d", id, sequence)
-			}
-		}
+		checkPhaseOrders(t, replicas)
 		for _, run := range split.runs {
 			assert.Equal(t, run.attempt, run.handleAttempt)
 		}
