--- a/internal/routing/ejection.go
+++ b/internal/routing/ejection.go
@@ -45,9 +45,9 @@
 	prefill bool
 }
 
-// ejectableReplicas returns the replicas that may be withheld from a request: of the hosts of its model, or the replicas of the
-// phase prefill that read prompts for it, with a breaker that is not closed, those with the most evidence, at most half of all hosts, or more if nearly
-// all their requests fail, but never all.
+// ejectableReplicas returns the replicas that may be withheld from a request: of the hosts of its model, or of
+// the prefill replicas that read prompts for it, with a breaker that is not closed, those with the most
+// evidence, at most half of all, or more if nearly all their requests fail, but never all.
 func (m *Matcher) ejectableReplicas(request *Request, phase discovery.Phase, now time.Time) map[string]bool {
 	key := ejectionKey{modelKey: request.modelKey(), prefill: phase == discovery.PhasePrefill}
 	candidates := request.hostsIn(m.index)
