--- a/internal/controlplane/replicatracker/observations.go
+++ b/internal/controlplane/replicatracker/observations.go
@@ -47,7 +47,7 @@
 		cordoned = append(cordoned, observed.cordoned...)
 		if !observed.reportedAt.IsZero() && asOf.Add(-o.listLag).Before(observed.reportedAt) {
 			result[index].Models = observed.models
-			if observed.phase != "" {
+			if listed.Phase != "" && observed.phase != "" {
 				result[index].Phase = observed.phase
 			}
 		}
--- a/internal/controlplane/replicatracker/phase_test.go
+++ b/internal/controlplane/replicatracker/phase_test.go
@@ -13,6 +13,7 @@
 func TestTracker_ReplicaIsCordonedWhileItsPhaseChanges(t *testing.T) {
 	now := testStart
 	tracker, list := newTestTracker(now)
+	list[0].Phase = discovery.PhaseDecode
 	tracked := tracker.Replica("r")
 	report := replicastate.Report{Loaded: map[string]bool{"m": true}, ServingPhase: "decode"}
 	assert.Assert(t, tracker.HandleReport(tracked, report, now))
@@ -52,3 +53,14 @@
 	_, possible := tracker.DecidePhase("unknown", discovery.PhasePrefill, now)
 	assert.Assert(t, !possible)
 }
+
+func TestTracker_ReportAddsNoPhaseToAListWithoutPhases(t *testing.T) {
+	now := testStart
+	tracker, list := newTestTracker(now)
+	tracked := tracker.Replica("r")
+	report := replicastate.Report{Loaded: map[string]bool{"m": true}, ServingPhase: "unified"}
+	assert.Assert(t, tracker.HandleReport(tracked, report, now))
+	tracker.PublishObservations()
+	observed, _ := tracker.observations.Apply(list, now)
+	assert.Equal(t, observed[0].Phase, discovery.Phase(""), "the endpoint must not change with each report")
+}
