--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -16,6 +16,8 @@
 const (
 	// minPrefillTime is the least that a prefill step is given.
 	minPrefillTime = 100 * time.Millisecond
+	// prefillGrace is how long the step goes on for its answer after the client has gone or the deadline has passed.
+	prefillGrace = 100 * time.Millisecond
 	// maxPrefillFailures is after how many failures of prefill replicas a request goes on without one.
 	maxPrefillFailures = 2
 )
@@ -58,7 +60,7 @@
 		report(routing.OutcomeCancelled)
 		return nil, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
 	}
-	bounded, cancel := context.WithTimeout(ctx, max(step.Timeout, minPrefillTime))
+	bounded, cancel := prefillContext(ctx, max(step.Timeout, minPrefillTime))
 	defer cancel()
 	handle, verdict := e.handler.forwarder.Prefill(bounded, step.Replica.Address, step.Replica.ID, upstream)
 	e.handler.Attempts.add(upstream.Backend, prefillOutcome(verdict))
@@ -82,6 +84,17 @@
 	return nil, e.afterPrefillFailure(step, verdict)
 }
 
+// prefillContext ends after the time-out, or shortly after its parent: an answer that is on its way then still names the handle, so
+// that its memory can be freed.
+func prefillContext(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+	bounded, cancel := context.WithTimeout(context.WithoutCancel(parent), timeout)
+	stop := context.AfterFunc(parent, func() { time.AfterFunc(prefillGrace, cancel) })
+	return bounded, func() {
+		stop()
+		cancel()
+	}
+}
+
 // afterPrefillTimeout goes on without the step if the prompt is short enough to be read beside running streams. A long one is
 // rejected: it would hold all of them up, and nothing has run.
 func (e *exchange) afterPrefillTimeout() error {
