--- a/internal/routing/replicastate.go
+++ b/internal/routing/replicastate.go
@@ -56,17 +56,15 @@
 
 // recordTicket counts a request that is sent with the ticket.
 func (s *replicaState) recordTicket(ticket *Ticket) {
-	s.running++
-	s.tokens += ticket.tokens()
+	s.reserve(ticket)
 	s.pendingTokens += ticket.uncachedTokens * ticket.pace
 	s.awaitingFirst[ticket] = true
-	s.inFlight[ticket] = true
 }
 
 // reserve counts a request whose prompt is being read elsewhere, so that its place is kept.
 func (s *replicaState) reserve(ticket *Ticket) {
 	s.running++
-	s.tokens += ticket.request.TotalTokens()
+	s.tokens += ticket.tokens()
 	s.inFlight[ticket] = true
 }
 
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -85,10 +85,7 @@
 // scoreWhole computes the weight of serving a request at one replica that does both phases.
 func (m *Matcher) scoreWhole(row *requestRow, node *replicaNode, now time.Time) scoredPair {
 	request, replica, state := row.request, node.replica, node.state
-	cachedTokens := 0.0
-	if row.useLedger {
-		cachedTokens = m.ledger.CachedTokens(replica.ID, request.prompt(), now)
-	}
+	cachedTokens := m.cachedTokens(row, node, 0, now)
 	uncachedTokens := max(request.PromptTokens-cachedTokens, 0)
 	features := node.features(*row, cachedTokens, uncachedTokens)
 	predictedMs := state.predictor.Latency(features)
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -130,7 +130,7 @@
 func (m *Matcher) scorePair(row *requestRow, choice *prefillChoice, node *replicaNode, now time.Time) scoredPair {
 	request := row.request
 	source := &m.graph.prefills[choice.node]
-	distance := m.moveDistance(source.replica, node.replica)
+	distance := moveDistance(source.replica, node.replica)
 	features := m.decodeFeatures(row, node, distance)
 	decodeMs, idleMs := node.predictStep(stepDecode, &features)
 	predictedMs := choice.predictedMs + decodeMs
@@ -155,7 +155,7 @@
 )
 
 // moveDistance is how much longer a move of memory between two replicas takes than within a zone.
-func (m *Matcher) moveDistance(from, to *Replica) float64 {
+func moveDistance(from, to *Replica) float64 {
 	switch {
 	case from.Zone == to.Zone:
 		return sameZoneDistance
--- a/internal/routing/splitreports.go
+++ b/internal/routing/splitreports.go
@@ -81,8 +81,7 @@
 	if ticket.firstEventSeen {
 		return
 	}
-	ticket.firstEventSeen = true
-	state.finish(ticket)
+	m.withdrawPrefill(ticket)
 	if !isNotExecutedAfter[report.Outcome] {
 		state.held.lapse(ticket.tokens(), report.At.Add(ticket.holdTime))
 	}
