--- a/internal/controlplane/capacityorder/orders.go
+++ b/internal/controlplane/capacityorder/orders.go
@@ -53,59 +53,59 @@
 	mustRepeat bool
 }
 
-// Orders is the singleton.Role of capacity. Its state belongs to the runner's goroutine.
-type Orders struct {
+// Controller is the singleton.Role of capacity. Its state belongs to the runner's goroutine.
+type Controller struct {
 	source    Source
 	plannedAt time.Time
 	planners  map[string]*autoscale.Planner
 	orders    map[subject]*order
 	// wanted is what Wanted returns.
-	wanted atomic.Pointer[[]Wanted]
+	wanted atomic.Pointer[[]DesiredReplicas]
 	// sending is the order that Next returned last, sentCount its number.
 	sending   subject
 	sentCount int
 	sentAt    time.Time
 }
 
-// Wanted is how many replicas are planned for a backend in a zone.
-type Wanted struct {
+// DesiredReplicas is how many replicas are planned for a backend in a zone.
+type DesiredReplicas struct {
 	Backend, Zone string
 	Replicas      int
 }
 
-// Wanted returns what was planned last. Any goroutine may call it.
-func (o *Orders) Wanted() []Wanted {
+// DesiredReplicas returns what was planned last. Any goroutine may call it.
+func (o *Controller) DesiredReplicas() []DesiredReplicas {
 	if wanted := o.wanted.Load(); wanted != nil {
 		return *wanted
 	}
 	return nil
 }
 
-func (o *Orders) publishWanted() {
-	var wanted []Wanted
+func (o *Controller) publishWanted() {
+	var wanted []DesiredReplicas
 	for key, order := range o.orders {
-		wanted = append(wanted, Wanted{Backend: key.backend, Zone: key.zone, Replicas: order.wanted})
+		wanted = append(wanted, DesiredReplicas{Backend: key.backend, Zone: key.zone, Replicas: order.wanted})
 	}
 	o.wanted.Store(&wanted)
 }
 
 // New returns the role.
-func New(source Source) *Orders {
-	orders := &Orders{source: source}
-	orders.Begin()
+func New(source Source) *Controller {
+	orders := &Controller{source: source}
+	orders.Reset()
 	return orders
 }
 
 // Name implements singleton.Role.
-func (*Orders) Name() string { return "capacity" }
+func (*Controller) Name() string { return "capacity" }
 
-// Begin implements singleton.Role: what others have ordered meanwhile shows in the list.
-func (o *Orders) Begin() {
+// Reset implements singleton.Role: what others have ordered meanwhile shows in the list.
+func (o *Controller) Reset() {
 	o.planners, o.orders = map[string]*autoscale.Planner{}, map[subject]*order{}
 }
 
 // Prepare implements singleton.Role.
-func (o *Orders) Prepare(_ context.Context, now time.Time) {
+func (o *Controller) Prepare(_ context.Context, now time.Time) {
 	if now.Sub(o.plannedAt) < planInterval {
 		return
 	}
@@ -120,7 +120,7 @@
 	o.publishWanted()
 }
 
-func (o *Orders) plan(backend Backend, now time.Time) {
+func (o *Controller) plan(backend Backend, now time.Time) {
 	planner := o.planners[backend.Name]
 	if planner == nil {
 		planner = autoscale.NewPlanner()
@@ -143,7 +143,7 @@
 }
 
 // Next implements singleton.Role.
-func (o *Orders) Next(now time.Time) (singleton.Call, bool) {
+func (o *Controller) Next(now time.Time) (singleton.Call, bool) {
 	var due []subject
 	for key, order := range o.orders {
 		isRepeated := order.mustRepeat && now.After(order.lateUntil)
@@ -166,8 +166,8 @@
 	return singleton.Call{Path: discovery.PathCapacity, Body: body}, true
 }
 
-// Answered implements singleton.Role.
-func (o *Orders) Answered(outcome singleton.Outcome, now time.Time) {
+// HandleOutcome implements singleton.Role.
+func (o *Controller) HandleOutcome(outcome singleton.Outcome, now time.Time) {
 	current := o.orders[o.sending]
 	if current == nil {
 		return
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -67,7 +67,7 @@
 		gauge(usagePending, float64(status.Pending))
 	}
 	if c.node.capacityOrders != nil && fence > 0 {
-		for _, wanted := range c.node.capacityOrders.Wanted() {
+		for _, wanted := range c.node.capacityOrders.DesiredReplicas() {
 			gauge(replicasWanted, float64(wanted.Replicas), wanted.Backend, wanted.Zone)
 		}
 	}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -79,7 +79,7 @@
 	roles *singleton.Runner
 	// usageReporter and capacityOrders are those of the roles that the platform wants; the others are nil.
 	usageReporter  *usagereport.Reporter
-	capacityOrders *capacityorder.Orders
+	capacityOrders *capacityorder.Controller
 
 	// Replicas, and what operators rehearse with them.
 	roster     *roster.Roster
--- a/internal/controlplane/replicatracker/timings.go
+++ b/internal/controlplane/replicatracker/timings.go
@@ -9,8 +9,8 @@
 const (
 	// ReportLag is how long after an accepted change a report may still show the state before it.
 	ReportLag = 250 * time.Millisecond
-	// UnknownFateDelay is the wait for a report after an order without a clear answer.
-	UnknownFateDelay = 1500 * time.Millisecond
+	// UnknownOutcomeDelay is the wait for a report after an order without a clear answer.
+	UnknownOutcomeDelay = 1500 * time.Millisecond
 	// MaxOrderLifetime is how long the network may still hold an order whose call was given up and whose connection was
 	// reset.
 	MaxOrderLifetime = 3 * time.Second
@@ -33,7 +33,7 @@
 	return &replicastate.Timings{
 		ReportLag:        ReportLag,
 		PollInterval:     pollInterval,
-		UnknownFateDelay: UnknownFateDelay,
+		UnknownFateDelay: UnknownOutcomeDelay,
 		RejectedBackoff:  rejectedBackoff,
 		MaxOrderLifetime: MaxOrderLifetime,
 		MaxReportAge:     MaxReportAge,
--- a/internal/controlplane/replicatracker/tracker.go
+++ b/internal/controlplane/replicatracker/tracker.go
@@ -116,8 +116,8 @@
 // Replica returns the tracked replica of an id, or nil.
 func (t *Tracker) Replica(id string) *Replica { return t.byID[id] }
 
-// Tracks tells whether a replica belongs to the present grant and has not been dropped.
-func (t *Tracker) Tracks(replica *Replica) bool { return t.byID[replica.ID()] == replica }
+// IsTracked tells whether a replica belongs to the present grant and has not been dropped.
+func (t *Tracker) IsTracked(replica *Replica) bool { return t.byID[replica.ID()] == replica }
 
 // Len is the number of tracked replicas, those that the newest list leaves out included.
 func (t *Tracker) Len() int { return len(t.byID) }
--- a/internal/controlplane/roster_host.go
+++ b/internal/controlplane/roster_host.go
@@ -73,7 +73,7 @@
 
 // RecordListed implements roster.Placement.
 func (h rosterHost) RecordListed(replicas []discovery.Replica) {
-	h.node.scheduler.Disks().RecordList(replicas, h.node.clock())
+	h.node.scheduler.DiskInventory().RecordList(replicas, h.node.clock())
 }
 
 // PublishRoster implements roster.Publisher.
@@ -89,7 +89,7 @@
 		next.RosterAsOf = asOf
 	})
 	if changed {
-		h.node.scheduler.Copies().AdoptList(replicas, h.node.clock())
+		h.node.scheduler.CopyAges().AdoptList(replicas, h.node.clock())
 	}
 	h.node.endpoints.Publish(replicas, cordoned, asOf)
 }
--- a/internal/controlplane/scheduler/config.go
+++ b/internal/controlplane/scheduler/config.go
@@ -81,7 +81,7 @@
 	Replicas  ReplicaClient
 }
 
-// LeaseConfig is what a LeaseKeeper is made of.
+// LeaseConfig is what a LeaseElector is made of.
 type LeaseConfig struct {
 	Manager *lease.Manager
 	Cluster Cluster
@@ -91,7 +91,7 @@
 	Leaving <-chan struct{}
 }
 
-// Cluster is what a LeaseKeeper asks about this node and the others before it takes the lease.
+// Cluster is what a LeaseElector asks about this node and the others before it takes the lease.
 type Cluster interface {
 	// MayAcquireLease tells whether this node votes, belongs to the membership and has state that a majority confirmed
 	// lately.
--- a/internal/controlplane/scheduler/fenced_test.go
+++ b/internal/controlplane/scheduler/fenced_test.go
@@ -22,11 +22,11 @@
 func (openCluster) MayAcquireLease(time.Time) bool        { return true }
 func (openCluster) IsLeaseHolderReachable(time.Time) bool { return false }
 
-// runKeeper runs the keeper of one node of a simulated cluster until the test ends.
-func runKeeper(t *testing.T, cluster *keystoresim.Cluster) *LeaseKeeper {
+// runElector runs the elector of one node of a simulated cluster until the test ends.
+func runElector(t *testing.T, cluster *keystoresim.Cluster) *LeaseElector {
 	name := cluster.Names[0]
 	clock := cluster.Clock(name)
-	keeper := newLeaseKeeper(LeaseConfig{
+	elector := newLeaseElector(LeaseConfig{
 		Manager: &lease.Manager{
 			Key:           keystore.LeasePrefix + "placement",
 			Holder:        name,
@@ -41,21 +41,21 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		keeper.run(ctx)
+		elector.run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return keeper
+	return elector
 }
 
-// awaitFenceAbove waits until the keeper holds the lease under a fence above the one given.
-func awaitFenceAbove(t *testing.T, keeper *LeaseKeeper, fence uint64) uint64 {
+// awaitFenceAbove waits until the elector holds the lease under a fence above the one given.
+func awaitFenceAbove(t *testing.T, elector *LeaseElector, fence uint64) uint64 {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		if grant := keeper.Grant(); grant != nil && grant.Record.Fence > fence && keeper.Holds() {
+		if grant := elector.Grant(); grant != nil && grant.Record.Fence > fence && elector.Holds() {
 			return grant.Record.Fence
 		}
 	}
@@ -63,7 +63,7 @@
 	return 0
 }
 
-func TestLeaseKeeper_TakesAHigherFenceAfterARefusal(t *testing.T) {
+func TestLeaseElector_TakesAHigherFenceAfterARefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := keystoresim.New(1, 3)
 		for _, name := range cluster.Names {
@@ -75,15 +75,15 @@
 			}
 			time.Sleep(time.Minute)
 		})
-		keeper := runKeeper(t, cluster)
-		fence := awaitFenceAbove(t, keeper, 0)
+		elector := runElector(t, cluster)
+		fence := awaitFenceAbove(t, elector, 0)
 		for range 3 {
-			keeper.ReportFenced(fence)
-			fence = awaitFenceAbove(t, keeper, fence)
+			elector.ReportFenced(fence)
+			fence = awaitFenceAbove(t, elector, fence)
 		}
-		keeper.ReportFenced(1)
+		elector.ReportFenced(1)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, keeper.Grant().Record.Fence, fence, "a refusal of an earlier fence says nothing of this one")
+		assert.Equal(t, elector.Grant().Record.Fence, fence, "a refusal of an earlier fence says nothing of this one")
 	})
 }
 
--- a/internal/controlplane/scheduler/lease.go
+++ b/internal/controlplane/scheduler/lease.go
@@ -34,8 +34,8 @@
 	maxRetryJitter = 300 * time.Millisecond
 )
 
-// LeaseKeeper takes, renews and releases the placement lease. Any goroutine may use it.
-type LeaseKeeper struct {
+// LeaseElector takes, renews and releases the placement lease. Any goroutine may use it.
+type LeaseElector struct {
 	config    LeaseConfig
 	clock     func() time.Time
 	startedAt time.Time
@@ -50,8 +50,8 @@
 	holderSeenAt time.Time
 }
 
-func newLeaseKeeper(config LeaseConfig, clock func() time.Time, startedAt time.Time) *LeaseKeeper {
-	return &LeaseKeeper{
+func newLeaseElector(config LeaseConfig, clock func() time.Time, startedAt time.Time) *LeaseElector {
+	return &LeaseElector{
 		config:    config,
 		clock:     clock,
 		startedAt: startedAt,
@@ -61,33 +61,33 @@
 }
 
 // Holds tells whether this node holds the lease now.
-func (k *LeaseKeeper) Holds() bool {
+func (k *LeaseElector) Holds() bool {
 	grant := k.current.Load()
 	return grant != nil && k.clock().Before(grant.ExpiresAt)
 }
 
 // Grant is the grant that this node has, renewed last; nil if it has none. It may have expired.
-func (k *LeaseKeeper) Grant() *lease.Grant { return k.current.Load() }
+func (k *LeaseElector) Grant() *lease.Grant { return k.current.Load() }
 
 // Released is closed once the lease has been given up because the node leaves.
-func (k *LeaseKeeper) Released() <-chan struct{} { return k.released }
+func (k *LeaseElector) Released() <-chan struct{} { return k.released }
 
 // RecordHolderSeen records that another holder of the lease was heard from now.
-func (k *LeaseKeeper) RecordHolderSeen() {
+func (k *LeaseElector) RecordHolderSeen() {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.holderSeenAt = k.clock()
 }
 
 // ForgetHolder makes the lease worth trying for at once: its holder has announced that it leaves.
-func (k *LeaseKeeper) ForgetHolder() {
+func (k *LeaseElector) ForgetHolder() {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.holderSeenAt = time.Time{}
 }
 
 // run takes the lease where nobody holds it and renews it, until the context ends or the node leaves.
-func (k *LeaseKeeper) run(ctx context.Context) {
+func (k *LeaseElector) run(ctx context.Context) {
 	nodesettings.Sleep(ctx, rand.N(maxStartJitter)+time.Duration(k.config.SeedRank)*seedStartDelay)
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
@@ -114,7 +114,7 @@
 }
 
 // acquire tries to take the lease once, and waits a little after a failure.
-func (k *LeaseKeeper) acquire(ctx context.Context) {
+func (k *LeaseElector) acquire(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, acquireTimeout)
 	grant, err := k.config.Manager.Acquire(bounded)
 	cancel()
@@ -127,7 +127,7 @@
 
 // mayAcquire tells whether this node should try to take the lease: the cluster allows it, and no holder was heard from for
 // longer than a lease lasts.
-func (k *LeaseKeeper) mayAcquire() bool {
+func (k *LeaseElector) mayAcquire() bool {
 	now := k.clock()
 	if !k.config.Cluster.MayAcquireLease(now) {
 		return false
@@ -147,7 +147,7 @@
 }
 
 // release gives the lease up for good.
-func (k *LeaseKeeper) release(ctx context.Context) {
+func (k *LeaseElector) release(ctx context.Context) {
 	defer close(k.released)
 	if k.current.Swap(nil) != nil {
 		k.releaseAfterOrders(ctx)
@@ -155,7 +155,7 @@
 }
 
 // reserve writes a reservation of loads into the record of a grant.
-func (k *LeaseKeeper) reserve(ctx context.Context, grant *lease.Grant, reservation loadbudget.Reservation) error {
+func (k *LeaseElector) reserve(ctx context.Context, grant *lease.Grant, reservation loadbudget.Reservation) error {
 	return k.config.Manager.Reserve(ctx, grant, reservation)
 }
 
@@ -167,17 +167,17 @@
 
 // reportUnwritable has the lease of a grant given up whose record cannot be written any more though it can be renewed, as when a
 // member that promised it has lost its disk, so that it can be taken under a new proposal number.
-func (k *LeaseKeeper) reportUnwritable(grant *lease.Grant) {
+func (k *LeaseElector) reportUnwritable(grant *lease.Grant) {
 	k.reportUnusable(unusableGrant{grant.Record.Fence, "its record cannot be written"})
 }
 
 // ReportFenced has the lease given up under whose fence an order was refused, since a higher one was seen. To order again under the
 // same fence would be refused for ever.
-func (k *LeaseKeeper) ReportFenced(fence uint64) {
+func (k *LeaseElector) ReportFenced(fence uint64) {
 	k.reportUnusable(unusableGrant{fence, "a higher fence was seen"})
 }
 
-func (k *LeaseKeeper) reportUnusable(found unusableGrant) {
+func (k *LeaseElector) reportUnusable(found unusableGrant) {
 	select {
 	case k.unusable <- found:
 	default:
@@ -185,7 +185,7 @@
 }
 
 // giveUp releases a lease so that it is acquired again, under a higher fence.
-func (k *LeaseKeeper) giveUp(ctx context.Context, found unusableGrant) {
+func (k *LeaseElector) giveUp(ctx context.Context, found unusableGrant) {
 	if current := k.current.Load(); current == nil || current.Record.Fence != found.fence {
 		return
 	}
@@ -195,7 +195,7 @@
 }
 
 // releaseAfterOrders releases the lease once no order under it can be under way.
-func (k *LeaseKeeper) releaseAfterOrders(ctx context.Context) {
+func (k *LeaseElector) releaseAfterOrders(ctx context.Context) {
 	nodesettings.Sleep(ctx, orderLeaseMargin)
 	if err := k.config.Manager.Release(ctx); err != nil {
 		logrus.WithError(err).Info("lease not released, it will expire")
--- a/internal/controlplane/scheduler/loadbudget.go
+++ b/internal/controlplane/scheduler/loadbudget.go
@@ -32,7 +32,7 @@
 // loadBudget is the budget of loads from the store of weights under the grant held, and the writer of its reservations. Any
 // goroutine may use it.
 type loadBudget struct {
-	lease     *LeaseKeeper
+	lease     *LeaseElector
 	clock     func() time.Time
 	startedAt time.Time
 	// limit is the store's, without its rate, which the configuration has.
@@ -49,10 +49,10 @@
 }
 
 func newLoadBudget(
-	keeper *LeaseKeeper, clock func() time.Time, startedAt time.Time, limit loadbudget.StoreLimit, onWritten func(),
+	elector *LeaseElector, clock func() time.Time, startedAt time.Time, limit loadbudget.StoreLimit, onWritten func(),
 ) *loadBudget {
 	return &loadBudget{
-		lease:     keeper,
+		lease:     elector,
 		clock:     clock,
 		startedAt: startedAt,
 		limit:     limit,
--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -32,7 +32,7 @@
 // it; send runs on goroutines of its own.
 type orderSender struct {
 	clock         func() time.Time
-	lease         *LeaseKeeper
+	lease         *LeaseElector
 	client        ReplicaClient
 	tracker       *replicatracker.Tracker
 	demand        *DemandView
@@ -154,7 +154,7 @@
 // grant change nothing: the budget counts their loads as started.
 func (s *orderSender) recordLoadOutcome(tracked *replicatracker.Replica, outcome replicastate.Outcome, now time.Time) {
 	action := tracked.Action()
-	if action == nil || !loadsFromStore(*action) || !s.tracker.Tracks(tracked) {
+	if action == nil || !loadsFromStore(*action) || !s.tracker.IsTracked(tracked) {
 		return
 	}
 	switch outcome {
--- a/internal/controlplane/scheduler/scheduler.go
+++ b/internal/controlplane/scheduler/scheduler.go
@@ -23,7 +23,7 @@
 
 	// Any goroutine may use these parts; each has a lock of its own.
 
-	lease        *LeaseKeeper
+	lease        *LeaseElector
 	demand       *DemandView
 	copies       *CopyAges
 	disks        *replicatracker.DiskInventory
@@ -60,7 +60,7 @@
 		clock:         config.Clock,
 		state:         config.State,
 		roster:        config.Roster,
-		lease:         newLeaseKeeper(config.Lease, config.Clock, config.StartedAt),
+		lease:         newLeaseElector(config.Lease, config.Clock, config.StartedAt),
 		copies:        newCopyAges(),
 		disks:         replicatracker.NewDiskInventory(),
 		observations:  replicatracker.NewObservations(config.Settings.ListLag),
@@ -110,8 +110,8 @@
 	return s
 }
 
-// Lease is the keeper of the placement lease.
-func (s *Scheduler) Lease() *LeaseKeeper { return s.lease }
+// Lease returns the elector of the placement lease.
+func (s *Scheduler) Lease() *LeaseElector { return s.lease }
 
 // Capacity tells what the replicas of backends are needed for, while this node places models.
 func (s *Scheduler) Capacity() capacityorder.Source { return s.capacity }
@@ -119,11 +119,11 @@
 // Demand is the demand of all data planes.
 func (s *Scheduler) Demand() *DemandView { return s.demand }
 
-// Copies is the ages of the copies of models.
-func (s *Scheduler) Copies() *CopyAges { return s.copies }
+// CopyAges returns the ages of the copies of models.
+func (s *Scheduler) CopyAges() *CopyAges { return s.copies }
 
-// Disks is what the replicas' disks may hold.
-func (s *Scheduler) Disks() *replicatracker.DiskInventory { return s.disks }
+// DiskInventory returns the inventory of the weights on the replicas' disks.
+func (s *Scheduler) DiskInventory() *replicatracker.DiskInventory { return s.disks }
 
 // Observations is what the scheduler knows better than the platform's list while it holds the lease.
 func (s *Scheduler) Observations() *replicatracker.Observations { return s.observations }
--- a/internal/controlplane/singleton/role.go
+++ b/internal/controlplane/singleton/role.go
@@ -51,14 +51,14 @@
 type Role interface {
 	// Name is the role's name in logs and metrics.
 	Name() string
-	// Begin starts anew under another grant of the lease: what others have said meanwhile is not known.
-	Begin()
+	// Reset starts anew under another grant of the lease: what others have said meanwhile is not known.
+	Reset()
 	// Prepare does what must be done before the next call, as storing what it will say. It may take until ctx ends.
 	Prepare(ctx context.Context, now time.Time)
 	// Next is the call that is due, or false.
 	Next(now time.Time) (Call, bool)
-	// Answered tells what came of the call that Next returned last.
-	Answered(outcome Outcome, now time.Time)
+	// HandleOutcome tells what came of the call that Next returned last.
+	HandleOutcome(outcome Outcome, now time.Time)
 }
 
 // Lease is what a Runner needs of the placement lease.
--- a/internal/controlplane/singleton/runner.go
+++ b/internal/controlplane/singleton/runner.go
@@ -111,7 +111,7 @@
 	}
 	if !r.grant.SameAs(grant) {
 		for _, state := range r.roles {
-			state.role.Begin()
+			state.role.Reset()
 			state.backoff, state.retryAt = 0, time.Time{}
 		}
 	}
@@ -130,7 +130,7 @@
 	now := r.config.Clock()
 	r.nextCallAt = now.Add(time.Duration(float64(time.Second) / (rateShare * max(r.config.CallsPerSecond, 1))))
 	outcome := outcomeOf(status, err)
-	state.role.Answered(outcome, now)
+	state.role.HandleOutcome(outcome, now)
 	if outcome == OutcomeAccepted {
 		state.backoff = 0
 		return
--- a/internal/controlplane/singleton/runner_test.go
+++ b/internal/controlplane/singleton/runner_test.go
@@ -23,7 +23,7 @@
 	calls  []discovery.RoleCall
 	callAt []time.Time
 
-	begun    int
+	resets   int
 	due      bool
 	prepare  func()
 	outcomes []Outcome
@@ -36,14 +36,14 @@
 	return w.answer(call)
 }
 func (*world) Name() string { return "test" }
-func (w *world) Begin()     { w.begun++ }
+func (w *world) Reset()     { w.resets++ }
 func (w *world) Prepare(context.Context, time.Time) {
 	if w.prepare != nil {
 		w.prepare()
 	}
 }
 func (w *world) Next(time.Time) (Call, bool) { return Call{Path: discovery.PathUsage}, w.due }
-func (w *world) Answered(outcome Outcome, _ time.Time) {
+func (w *world) HandleOutcome(outcome Outcome, _ time.Time) {
 	w.outcomes = append(w.outcomes, outcome)
 	w.due = outcome != OutcomeAccepted
 }
@@ -104,7 +104,7 @@
 		w.answer = status(http.StatusOK)
 		w.grantFor(5, time.Minute)
 	})
-	assert.Equal(t, w.begun, 2)
+	assert.Equal(t, w.resets, 2)
 	assert.Equal(t, w.calls[len(w.calls)-1].Fence, uint64(5))
 	assert.DeepEqual(t, w.outcomes, []Outcome{OutcomeFenced, OutcomeAccepted})
 }
--- a/internal/controlplane/usagereport/reporter.go
+++ b/internal/controlplane/usagereport/reporter.go
@@ -87,8 +87,8 @@
 // Name implements singleton.Role.
 func (*Reporter) Name() string { return "usage" }
 
-// Begin implements singleton.Role.
-func (r *Reporter) Begin() { r.isRead = false }
+// Reset implements singleton.Role.
+func (r *Reporter) Reset() { r.isRead = false }
 
 // Prepare implements singleton.Role: it closes the windows that are due.
 func (r *Reporter) Prepare(ctx context.Context, now time.Time) {
@@ -176,8 +176,8 @@
 	return singleton.Call{}, false
 }
 
-// Answered implements singleton.Role. A report that the platform rejects as such is not sent again.
-func (r *Reporter) Answered(outcome singleton.Outcome, _ time.Time) {
+// HandleOutcome implements singleton.Role. A report that the platform rejects as such is not sent again.
+func (r *Reporter) HandleOutcome(outcome singleton.Outcome, _ time.Time) {
 	if outcome == singleton.OutcomeAccepted || outcome == singleton.OutcomeRejected {
 		r.accepted[r.sending] = true
 		r.publishStatus()
