--- a/internal/controlplane/scheduler/background.go
+++ b/internal/controlplane/scheduler/background.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// callbackBacklog is how many callbacks may wait for the planning loop.
+// callbackBacklog is the capacity of the queue of callbacks to the planning loop.
 const callbackBacklog = 64
 
-// background runs tasks on goroutines of their own and hands what they return to the planning loop, so that what is known of
-// replicas is changed there alone.
+// background runs tasks on separate goroutines and passes the callbacks that they return to the planning loop, so that only
+// the planning loop changes replica state.
 type background struct {
-	// callbacks are functions for the planning loop to call.
+	// callbacks holds the functions that the planning loop has to call.
 	callbacks chan func()
 	// workers counts the running tasks.
 	workers sync.WaitGroup
-	// closed is closed when the planning loop ends: callbacks are dropped from then on.
+	// closed is closed when the planning loop ends; callbacks are dropped from then on.
 	closed chan struct{}
 }
 
@@ -20,8 +20,8 @@
 	return &background{callbacks: make(chan func(), callbackBacklog), closed: make(chan struct{})}
 }
 
-// run runs a task on a goroutine of its own, and then what it returns in the planning loop unless that has ended. The
-// planning loop alone calls it.
+// run runs a task on a new goroutine and then passes the callback that it returned to the planning loop, unless that has
+// ended. Only the planning loop calls it.
 func (b *background) run(task func() (callback func())) {
 	b.workers.Go(func() {
 		callback := task()
@@ -32,7 +32,7 @@
 	})
 }
 
-// close drops all further callbacks and waits for the running tasks.
+// close drops all further callbacks and waits for the running tasks to end.
 func (b *background) close() {
 	close(b.closed)
 	b.workers.Wait()
--- a/internal/controlplane/scheduler/capacity.go
+++ b/internal/controlplane/scheduler/capacity.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// capacityInterval is how often the demand for replicas is observed.
+	// capacityInterval is the interval between observations of the demand for replicas.
 	capacityInterval = time.Second
-	// capacityMaxAge is how old an observation may be that replicas are ordered by.
+	// capacityMaxAge is the age up to which an observation may be used to order replicas.
 	capacityMaxAge = 4 * time.Second
-	// askedWithin is for how long after its last request a model counts as one that is asked for.
-	askedWithin = 30 * time.Second
+	// recentDemandWindow is how long after its last request a model counts as in demand.
+	recentDemandWindow = 30 * time.Second
 )
 
-// capacityObserver observes what the replicas of backends are needed for. The planning loop alone calls observe.
+// capacityObserver observes the demand for the replicas of each backend. Only the planning loop calls observe.
 type capacityObserver struct {
 	tracker    *replicatracker.Tracker
 	observedAt time.Time
-	// busy averages the requests that run or wait, by model key.
+	// busy is the average number of running and waiting requests, by model key.
 	busy map[string]float64
-	// zones are those in which replicas of a backend were listed, by backend.
+	// zones holds the zones in which replicas of a backend have been listed, by backend.
 	zones  map[string]map[string]bool
 	latest atomic.Pointer[capacityObservation]
 }
 
-// capacityObservation is what was observed at a moment.
+// capacityObservation is the demand for replicas at one point in time.
 type capacityObservation struct {
 	at       time.Time
 	backends []capacityorder.Backend
@@ -52,7 +52,7 @@
 	return latest.backends, true
 }
 
-// observe takes in the planner's view.
+// observe updates the observation from the planner's view, at most once per capacityInterval.
 func (c *capacityObserver) observe(view *placement.View) {
 	passed := view.Now.Sub(c.observedAt)
 	if passed < capacityInterval || !view.DemandKnown {
@@ -116,9 +116,10 @@
 	return zones
 }
 
-// modelsOf are the models of a backend that requests have asked for lately, with their adapters' requests.
+// modelsOf returns the models of a backend that are running, waiting or were recently requested. Requests for a model's
+// adapters count as requests for the model.
 func (c *capacityObserver) modelsOf(backend *configuration.Backend, view *placement.View, weight float64) []autoscale.Model {
-	current, isAsked := map[string]float64{}, map[string]bool{}
+	current, isActive := map[string]float64{}, map[string]bool{}
 	for key, demand := range view.Demand {
 		name, reference := placement.SplitModelKey(key)
 		if name != backend.Name {
@@ -127,13 +128,13 @@
 		model, _ := placement.SplitReference(reference)
 		busy := demand.Running + float64(demand.Waiting)
 		current[model] += busy
-		isAsked[model] = isAsked[model] || busy > 0 || view.Now.Sub(demand.LastSeen) < askedWithin
+		isActive[model] = isActive[model] || busy > 0 || view.Now.Sub(demand.LastSeen) < recentDemandWindow
 	}
 	var models []autoscale.Model
 	for _, model := range backend.Runtime.Models {
 		key := placement.ModelKey(backend.Name, model.Name)
 		c.busy[key] += weight * (current[model.Name] - c.busy[key])
-		if isAsked[model.Name] {
+		if isActive[model.Name] {
 			models = append(models, autoscale.Model{SizeMb: model.WeightSizeMb, Busy: c.busy[key]})
 		}
 	}
--- a/internal/controlplane/scheduler/configuration.go
+++ b/internal/controlplane/scheduler/configuration.go
@@ -8,16 +8,16 @@
 	"ferryspar/internal/placement"
 )
 
-// currentConfiguration is the newest configuration that could be read, in the forms that plans need. The planning loop alone
-// uses it.
+// currentConfiguration is the newest configuration that could be decoded, in the forms that the planner needs. It is used only
+// by the planning loop.
 type currentConfiguration struct {
 	follower configuration.Follower
 	table    *configuration.Table
 	catalog  *placement.Catalog
 }
 
-// update returns the table of the configuration in force, built once for each revision, or nil if there is none. A
-// configuration that cannot be read leaves the last one in place.
+// update returns the table of the active configuration, built once per revision, or nil if there is none. If the active
+// configuration cannot be decoded, the previous table stays in use.
 func (c *currentConfiguration) update(state *State) *configuration.Table {
 	if state.Revision == 0 {
 		return nil
@@ -31,13 +31,14 @@
 	return c.table
 }
 
-// applyDifferences follows the differences to the configuration in force, if they begin at or before the one at hand.
+// applyDifferences applies the differences up to the active revision if they start at or before the present one, and reports
+// whether that succeeded.
 func (c *currentConfiguration) applyDifferences(state *State) bool {
 	known := c.follower.TakesDifferences() && len(state.Differences) > 0 && state.Differences[0].Base <= c.follower.Revision()
 	return known && c.follower.Apply(state.Differences) == nil && c.follower.Revision() == state.Revision
 }
 
-// catalogOf returns the planner's catalog of a table, built once for each table.
+// catalogOf returns the planner's catalog of a table, built once per table.
 func (c *currentConfiguration) catalogOf(table *configuration.Table) *placement.Catalog {
 	if !c.catalog.IsFor(table) {
 		c.catalog = placement.NewCatalog(table)
@@ -45,7 +46,7 @@
 	return c.catalog
 }
 
-// findModel finds a backend's model.
+// findModel returns a model of a backend by name.
 func (c *currentConfiguration) findModel(backend, name string) (*configuration.Model, bool) {
 	_, index, found := c.table.Backend(backend)
 	if !found {
@@ -54,7 +55,7 @@
 	return c.table.Model(index, name)
 }
 
-// swapTime is how long a replica of the backend takes to change its phase.
+// swapTime returns how long a replica of the backend takes to change its serving phase.
 func (c *currentConfiguration) swapTime(backend string) time.Duration {
 	found, _, known := c.table.Backend(backend)
 	if !known || found.Runtime == nil {
@@ -63,7 +64,8 @@
 	return nodesettings.Seconds(found.Runtime.SwapTimeS)
 }
 
-// isPlacementTarget tells whether models are placed on a backend's replicas: those of backends that declare a runtime.
+// isPlacementTarget reports whether models are placed on the replicas of a backend, which is so if the backend declares a
+// runtime.
 func isPlacementTarget(table *configuration.Table, backend string) bool {
 	found, _, known := table.Backend(backend)
 	return known && found.Runtime != nil
--- a/internal/controlplane/scheduler/copyages.go
+++ b/internal/controlplane/scheduler/copyages.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// removalTimeout is how long the list must leave a replica out before it counts as removed. A list read in pages
-	// while it changes, or by a reader that lags, may leave one out for a moment.
+	// removalTimeout is how long a replica must be missing from the list before it counts as removed. A list that was read in
+	// pages while it changed, or from a lagging reader, may omit a replica briefly.
 	removalTimeout = 5 * time.Second
-	// dueAgeShare is the share of the context's lifetime after which a copy is due for eviction.
+	// dueAgeShare is the fraction of the context lifetime after which a copy is due for eviction.
 	dueAgeShare = 0.75
 )
 
-// copyAge is since when a replica is known to have a model loaded. The age of copies found in the first list is unknown, so
-// that due returns them at once if cached context has a lifetime.
+// copyAge is when a model was first seen loaded on a replica. The age of copies in the first list is unknown; due returns them
+// at once if cached context has a lifetime.
 type copyAge struct {
 	since      time.Time
 	unknownAge bool
 }
 
-// CopyAges remembers the copies of models at replicas over lists. A copy's age ends with a list that shows its replica
-// without it; a replica that is left out keeps its copies until it counts as removed. Any goroutine may use it.
+// CopyAges tracks the age of each copy of a model across replica lists. A copy is dropped when a list shows its replica
+// without the model; a replica missing from the list keeps its copies until it counts as removed. It is safe for concurrent
+// use.
 type CopyAges struct {
 	lock   sync.Mutex
 	byCopy map[placement.ServerModel]copyAge
-	// absentSince holds the replicas that were listed once and that the newest list leaves out.
+	// absentSince holds the replicas that were listed earlier and are missing from the newest list.
 	absentSince map[string]time.Time
-	// firstListAt is the moment of the first list that was not empty.
+	// firstListAt is the time of the first non-empty list.
 	firstListAt time.Time
 }
 
@@ -40,7 +41,7 @@
 	return &CopyAges{byCopy: map[placement.ServerModel]copyAge{}, absentSince: map[string]time.Time{}}
 }
 
-// AdoptList follows a list that differs from the one before.
+// AdoptList updates the copies from a list that differs from the previous one.
 func (a *CopyAges) AdoptList(replicas []discovery.Replica, now time.Time) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -64,8 +65,8 @@
 	a.dropMissing(listed, present, now)
 }
 
-// dropMissing drops the copies that are gone: those that a listed replica is listed without, and those of removed replicas.
-// The caller holds the lock.
+// dropMissing drops the copies that no longer exist: those missing from the entry of a listed replica and those of removed
+// replicas. The caller holds the lock.
 func (a *CopyAges) dropMissing(listed map[string]bool, present map[placement.ServerModel]bool, now time.Time) {
 	for modelCopy := range a.byCopy {
 		if !listed[modelCopy.Server] {
@@ -82,15 +83,15 @@
 	}
 }
 
-// recordAbsence records that a list leaves a replica out, unless one before did. The caller holds the lock.
+// recordAbsence records that a replica is missing from the list, unless that is already recorded. The caller holds the lock.
 func (a *CopyAges) recordAbsence(id string, now time.Time) {
 	if _, known := a.absentSince[id]; !known {
 		a.absentSince[id] = now
 	}
 }
 
-// IsRemoved tells whether a replica that the newest list leaves out has been left out for long enough to count as removed.
-// One that no list has shown counts from the first list on.
+// IsRemoved reports whether a replica has been missing from the list for long enough to count as removed. For a replica that
+// was never listed, the time counts from the first list.
 func (a *CopyAges) IsRemoved(id string, now time.Time) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -106,7 +107,7 @@
 	return !since.IsZero() && now.Sub(since) >= removalTimeout
 }
 
-// absent returns the copies at replicas that the newest list leaves out but that do not count as removed.
+// absent returns the copies on replicas that are missing from the newest list but do not yet count as removed.
 func (a *CopyAges) absent(now time.Time) []placement.ServerModel {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -119,7 +120,7 @@
 	return absent
 }
 
-// due returns the copies that are older than dueAgeShare of a lifetime, the oldest first. A lifetime of 0 is unlimited.
+// due returns the copies that are older than dueAgeShare of the lifetime, oldest first. A lifetime of 0 means unlimited.
 func (a *CopyAges) due(lifetime time.Duration, now time.Time) []placement.ServerModel {
 	if lifetime <= 0 {
 		return nil
--- a/internal/controlplane/scheduler/copyages_test.go
+++ b/internal/controlplane/scheduler/copyages_test.go
@@ -26,9 +26,9 @@
 	assert.Equal(t, dueAt(40, other), 0)
 	assert.Equal(t, dueAt(41, other, loaded), 0)
 	assert.Equal(t, dueAt(47, other, loaded), 1, "45 of 60 seconds after the copy was first listed")
-	assert.Equal(t, dueAt(48, other, emptied), 0, "listed without the model: its context is gone")
+	assert.Equal(t, dueAt(48, other, emptied), 0, "listed without the model, so its context is gone")
 	assert.Equal(t, dueAt(49, other, loaded), 0)
 	assert.Equal(t, dueAt(60, other), 0)
 	assert.Equal(t, dueAt(66, other), 0)
-	assert.Equal(t, dueAt(100, other, loaded), 0, "left out for too long to be the same incarnation")
+	assert.Equal(t, dueAt(100, other, loaded), 0, "missing for too long to be the same incarnation")
 }
--- a/internal/controlplane/scheduler/demand.go
+++ b/internal/controlplane/scheduler/demand.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// ratesInterval is the least time over which arrivals are averaged.
+	// ratesInterval is the minimum interval over which arrivals are averaged.
 	ratesInterval = 250 * time.Millisecond
-	// rateTimeConstantS and longTermTimeConstantS are the time constants, in seconds, of the averages of rates.
+	// rateTimeConstantS and longTermTimeConstantS are the time constants, in seconds, of the rate averages.
 	rateTimeConstantS     = 8.0
 	longTermTimeConstantS = 120.0
-	// minRate is the rate, in requests a second, below which a model counts as not asked for.
+	// minRate is the rate, in requests per second, below which a rate is treated as 0.
 	minRate = 0.003
-	// minSharedRate is the rate, in requests a second, from which a model's rate is shared.
+	// minSharedRate is the lowest rate, in requests per second, that is shared with other control planes.
 	minSharedRate = 0.3
-	// learningPeriod is how long a lease holder watches the demand before it unloads by it.
+	// learningPeriod is how long a lease holder observes the demand before it unloads models based on it.
 	learningPeriod = 6 * time.Second
-	// idleModelExpiry is how long a model without demand is remembered.
+	// idleModelExpiry is how long a model without demand is kept.
 	idleModelExpiry = 6 * time.Minute
 )
 
-// DemandView is the demand of all data planes, by model key: what waits and runs now, and averaged rates. Any goroutine may
-// use it.
+// DemandView is the demand of all data planes, by model key: the requests that wait and run now, and average rates. It is safe
+// for concurrent use.
 type DemandView struct {
 	clock func() time.Time
 	// onNewlyWaiting is called when requests begin to wait for a model.
 	onNewlyWaiting func()
 
-	// lock guards all below. The planning loop alone changes byModel, so it may read it without the lock.
+	// lock guards the fields below. Only the planning loop modifies byModel, so it may read it without the lock.
 	lock       sync.Mutex
 	aggregator *demand.DemandAggregator
 	byModel    map[string]*placement.Demand
@@ -43,14 +43,14 @@
 	arrivals       map[string]float64
 	prefillMs      map[string]float64
 	ratesUpdatedAt time.Time
-	// receivedRates are the rates that another lease holder shared and that were not adopted yet.
+	// receivedRates holds rates shared by another lease holder that have not been applied yet.
 	receivedRates map[string]peer.Rate
-	// learningSince is since when demand has been reported, zero before.
+	// learningSince is when demand was first reported; zero before that.
 	learningSince time.Time
 }
 
-// newDemandView returns a view of no demand. It calls onNewlyWaiting, which must not block nor call the view, whenever requests
-// begin to wait for a model.
+// newDemandView returns an empty view. It calls onNewlyWaiting, which must neither block nor call the view, whenever requests
+// start to wait for a model.
 func newDemandView(clock func() time.Time, onNewlyWaiting func()) *DemandView {
 	return &DemandView{
 		clock:          clock,
@@ -63,7 +63,7 @@
 	}
 }
 
-// HandleSummary takes in a control plane's summary of its demand; its arrivals count unless they were received before.
+// HandleSummary applies a control plane's demand summary; its arrivals are counted unless they were received before.
 func (d *DemandView) HandleSummary(summary peer.LoadSummary) {
 	now := d.clock()
 	d.lock.Lock()
@@ -86,8 +86,8 @@
 	}
 }
 
-// Update brings the demand up to date: what waits and runs at once, averaged rates once per ratesInterval. Models that were
-// not asked for in idleModelExpiry are forgotten. The planning loop alone calls it.
+// Update refreshes the demand: waiting and running requests on each call, average rates at most once per ratesInterval. Models
+// without requests for idleModelExpiry are dropped. Only the planning loop calls it.
 func (d *DemandView) Update() {
 	now := d.clock()
 	d.lock.Lock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// updateRates averages the arrivals of the last spanS seconds into the rates. The caller holds the lock.
+// updateRates folds the arrivals of the last spanS seconds into the average rates. The caller holds the lock.
 func (d *DemandView) updateRates(spanS float64, now time.Time) {
 	for key, arrivals := range d.arrivals {
 		if d.byModel[key] == nil {
@@ -129,8 +129,8 @@
 	clear(d.prefillMs)
 }
 
-// adoptReceivedRates adopts the rates that another lease holder has shared; rates that it did not name are bounded by the
-// least rate that is shared. The caller holds the lock.
+// adoptReceivedRates applies the rates shared by another lease holder; rates that it did not include are capped at
+// minSharedRate, below which rates are not shared. The caller holds the lock.
 func (d *DemandView) adoptReceivedRates(now time.Time) {
 	rates := d.receivedRates
 	d.receivedRates = nil
@@ -153,7 +153,7 @@
 	}
 }
 
-// SharedRates returns the rates worth sharing with the other control planes, by model key.
+// SharedRates returns the rates to share with the other control planes, by model key: those of at least minSharedRate.
 func (d *DemandView) SharedRates() map[string]peer.Rate {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -169,7 +169,7 @@
 	return rates
 }
 
-// HandleRates takes in the rates that the lease holder shares, which spares this node the learning period.
+// HandleRates records the rates shared by the lease holder, with which this node can skip the learning period.
 func (d *DemandView) HandleRates(rates map[string]peer.Rate) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -180,7 +180,7 @@
 	d.receivedRates = rates
 }
 
-// Rates returns the averaged rates in requests a second, by model key.
+// Rates returns the average rates in requests per second, by model key.
 func (d *DemandView) Rates() map[string]float64 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -191,14 +191,14 @@
 	return rates
 }
 
-// IsSuspected tells whether enough data planes suspect a replica.
+// IsSuspected reports whether enough data planes suspect a replica.
 func (d *DemandView) IsSuspected(id string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.aggregator.IsSuspected(id)
 }
 
-// suspectedAmong returns the ids of those of some replicas that enough data planes suspect.
+// suspectedAmong returns the ids of the given replicas that enough data planes suspect.
 func (d *DemandView) suspectedAmong(replicas []*replicatracker.Replica) map[string]bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -215,15 +215,15 @@
 	return suspected
 }
 
-// isLearned tells whether the demand has been watched long enough to unload by it.
+// isLearned reports whether the demand has been observed for long enough to unload models based on it.
 func (d *DemandView) isLearned(now time.Time) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learningPeriod
 }
 
-// splitLoad returns how many requests for a backend's models make tokens now, and whether the demand has been watched long enough
-// to change phases by it. The planning loop alone calls it.
+// splitLoad returns the number of requests for a backend's models that are decoding now, and whether the demand has been
+// observed for long enough to change serving phases based on it. Only the planning loop calls it.
 func (d *DemandView) splitLoad(backend string, now time.Time) (running float64, learned bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -235,14 +235,14 @@
 	return running, !d.learningSince.IsZero() && now.Sub(d.learningSince) >= phaseLearningPeriod
 }
 
-// takeChanged tells whether the demand calls for a new plan: requests wait, or something has changed since the last call.
+// takeChanged reports whether the demand calls for a new plan: requests wait, or something has changed since the last call.
 func (d *DemandView) takeChanged() bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.aggregator.TakeDirty() || d.aggregator.HasWaiting()
 }
 
-// waiting counts the requests of a backend that wait for any of some models. The planning loop alone calls it.
+// waiting returns the number of requests of a backend that wait for any of the given models. Only the planning loop calls it.
 func (d *DemandView) waiting(backend string, models map[string]bool) int {
 	waiting := 0
 	for model := range models {
@@ -253,9 +253,9 @@
 	return waiting
 }
 
-// isAskedFor tells whether requests wait or run for a model or adapter, or for an adapter of the model, or have arrived lately.
-// While the demand is not known yet everything counts as asked for. The planning loop alone calls it.
-func (d *DemandView) isAskedFor(backend, reference string) bool {
+// isInDemand reports whether requests for a model or adapter, or for any adapter of the model, wait, run or have arrived
+// recently. Everything counts as in demand until the demand is known. Only the planning loop calls it.
+func (d *DemandView) isInDemand(backend, reference string) bool {
 	if !d.isLearned(d.clock()) {
 		return true
 	}
@@ -271,5 +271,5 @@
 	return false
 }
 
-// planned returns the demand for a plan. The planning loop alone calls it; the map goes on changing by Update.
+// planned returns the demand for a plan. Only the planning loop calls it; Update keeps modifying the returned map.
 func (d *DemandView) planned() map[string]*placement.Demand { return d.byModel }
--- a/internal/controlplane/scheduler/demand_test.go
+++ b/internal/controlplane/scheduler/demand_test.go
@@ -11,7 +11,8 @@
 	"ferryspar/internal/placement"
 )
 
-// averagingSpan is the time after which an averaged rate is the arrivals since the last update divided by it, in seconds.
+// averagingSpan is a time in seconds after which an average rate is the number of arrivals since the last update divided by
+// it.
 const averagingSpan = 8
 
 func TestDemandView_CountsResentArrivalsOnce(t *testing.T) {
@@ -37,7 +38,7 @@
 	arrive(5)
 	again := loads.DemandSummary("a", false)
 	holder.HandleSummary(again)
-	assert.Equal(t, counted(), 10.0, "sent again, counted once")
+	assert.Equal(t, counted(), 10.0, "resent arrivals are counted once")
 	next := loads.DemandSummary("a", false)
 	holder.HandleSummary(next)
 	loads.MarkDelivered(next)
@@ -45,14 +46,14 @@
 	holder.HandleSummary(loads.DemandSummary("a", false))
 	assert.Equal(t, counted(), 15.0)
 	holder.HandleSummary(loads.DemandSummary("a", false))
-	assert.Equal(t, counted(), 15.0, "nothing is left to send")
+	assert.Equal(t, counted(), 15.0, "nothing is left to resend")
 	restarted := lost
 	restarted.Incarnation = "next"
 	holder.HandleSummary(restarted)
-	assert.Equal(t, counted(), 25.0, "numbers begin anew with an incarnation")
+	assert.Equal(t, counted(), 25.0, "batch numbers restart with a new incarnation")
 }
 
-func TestDemandView_IsAskedFor(t *testing.T) {
+func TestDemandView_IsInDemand(t *testing.T) {
 	now := testStart
 	view := newDemandView(func() time.Time { return now }, func() {})
 	report := func(models ...peer.ModelLoad) {
@@ -60,15 +61,15 @@
 		now = now.Add(averagingSpan * time.Second)
 		view.Update()
 	}
-	t.Run("everything, before the demand is known", func(t *testing.T) {
-		assert.Assert(t, view.isAskedFor("s", "idle"))
+	t.Run("every model before the demand is known", func(t *testing.T) {
+		assert.Assert(t, view.isInDemand("s", "idle"))
 	})
 	report(peer.ModelLoad{Backend: "s", Model: "m", Arrivals: 3}, peer.ModelLoad{Backend: "s", Model: "base/a1", Arrivals: 1})
-	t.Run("what was asked for lately", func(t *testing.T) { assert.Assert(t, view.isAskedFor("s", "m")) })
-	t.Run("a model by its adapter", func(t *testing.T) { assert.Assert(t, view.isAskedFor("s", "base")) })
-	t.Run("not one that nobody asks for", func(t *testing.T) { assert.Assert(t, !view.isAskedFor("s", "idle")) })
-	t.Run("not one of another backend", func(t *testing.T) { assert.Assert(t, !view.isAskedFor("t", "m")) })
-	t.Run("not one whose name only begins alike", func(t *testing.T) { assert.Assert(t, !view.isAskedFor("s", "bas")) })
+	t.Run("a recently requested model", func(t *testing.T) { assert.Assert(t, view.isInDemand("s", "m")) })
+	t.Run("a model whose adapter was requested", func(t *testing.T) { assert.Assert(t, view.isInDemand("s", "base")) })
+	t.Run("not a model without requests", func(t *testing.T) { assert.Assert(t, !view.isInDemand("s", "idle")) })
+	t.Run("not a model of another backend", func(t *testing.T) { assert.Assert(t, !view.isInDemand("t", "m")) })
+	t.Run("not a model that only shares a name prefix", func(t *testing.T) { assert.Assert(t, !view.isInDemand("s", "bas")) })
 	report()
-	t.Run("not what was asked for long ago", func(t *testing.T) { assert.Assert(t, !view.isAskedFor("s", "m")) })
+	t.Run("not a model requested long ago", func(t *testing.T) { assert.Assert(t, !view.isInDemand("s", "m")) })
 }
--- a/internal/controlplane/scheduler/diskloads_test.go
+++ b/internal/controlplane/scheduler/diskloads_test.go
@@ -18,7 +18,7 @@
 	"ferryspar/internal/replicastate"
 )
 
-// newDiskScheduler holds the lease and tracks a replica at an address at which "m" and "n" were loaded once.
+// newDiskScheduler returns a scheduler that holds the lease and a replica at an address where "m" and "n" were loaded earlier.
 func newDiskScheduler(now *time.Time) (*Scheduler, *replicatracker.Replica) {
 	scheduler, _ := newTestScheduler(now)
 	scheduler.configuration.table = newTestTable(configuration.Runtime{
@@ -43,13 +43,13 @@
 	return scheduler, scheduler.tracker.Replica("new")
 }
 
-// countedLoads is how many loads from the store may have started within the window.
+// countedLoads returns how many loads from the store may have started within the window.
 func countedLoads(scheduler *Scheduler, now time.Time) int {
 	scheduler.budget.available(now, scheduler.configuration.table, scheduler.mayStart)
 	return scheduler.budget.budget.Count(now, scheduler.budget.bounds)
 }
 
-// startDiskLoad has a replica accept the load of a model that its disk certainly holds.
+// startDiskLoad has a replica accept the load of a model that is certainly on its disk.
 func startDiskLoad(t *testing.T, scheduler *Scheduler, tracked *replicatracker.Replica, now time.Time) {
 	t.Helper()
 	assert.Assert(t, tracked.State().HandleReport(replicastate.Report{}, now))
@@ -74,7 +74,7 @@
 		assert.Equal(t, countedLoads(scheduler, now), counted, "polled %s after its start", elapsed)
 		onDisk := scheduler.disks.Possible(tracked.Listed())
 		assert.Equal(t, onDisk["n"], counted == 0)
-		assert.Assert(t, onDisk["m"], "it has what it loads now")
+		assert.Assert(t, onDisk["m"], "the model being loaded will be on the disk")
 	}
 }
 
@@ -103,7 +103,7 @@
 }
 
 func TestScheduler_CountsLoadThatMayComeFromDisk(t *testing.T) {
-	t.Run("from before it begins until it has proven to come from the disk", func(t *testing.T) {
+	t.Run("from before its start until it turns out to come from the disk", func(t *testing.T) {
 		now := testStart
 		scheduler, tracked := newDiskScheduler(&now)
 		assert.Equal(t, countedLoads(scheduler, now), 0)
@@ -114,9 +114,9 @@
 		scheduler.poller.handlePoll(tracked, done, now, nil)
 		assert.Equal(t, countedLoads(scheduler, now), 0)
 		assert.Assert(t, scheduler.disks.Certain(tracked.Listed())["m"])
-		assert.Assert(t, !scheduler.disks.Certain(tracked.Listed())["n"], "one load proves nothing of another model")
+		assert.Assert(t, !scheduler.disks.Certain(tracked.Listed())["n"], "one load proves nothing about other models")
 	})
-	t.Run("as long as any load if it ends too late for one from the disk", func(t *testing.T) {
+	t.Run("like any store load if it ends too late for a disk load", func(t *testing.T) {
 		now := testStart
 		scheduler, tracked := newDiskScheduler(&now)
 		startPossibleDiskLoad(t, scheduler, tracked, now)
@@ -124,20 +124,20 @@
 		scheduler.poller.handlePoll(tracked, replica.Report{Sequence: 1, Models: []discovery.LoadedModel{{Name: "m"}}}, now, nil)
 		assert.Equal(t, countedLoads(scheduler, now), 1)
 	})
-	t.Run("once if it still runs when one from the disk is long done", func(t *testing.T) {
+	t.Run("once if it still runs when a disk load would be long done", func(t *testing.T) {
 		now := testStart
 		scheduler, tracked := newDiskScheduler(&now)
 		startPossibleDiskLoad(t, scheduler, tracked, now)
 		now = now.Add(2500 * time.Millisecond)
 		scheduler.poller.handlePoll(tracked, replica.Report{Sequence: 1, Busy: true}, now, nil)
 		assert.Equal(t, countedLoads(scheduler, now), 1)
-		assert.Assert(t, !scheduler.disks.Possible(tracked.Listed())["n"], "the disk is no longer taken to be the old one")
-		assert.Assert(t, !tracked.State().PollDue(testStart.Add(4*time.Second)), "polled when one from the store is done")
+		assert.Assert(t, !scheduler.disks.Possible(tracked.Listed())["n"], "the disk is no longer assumed to be that of the earlier incarnation")
+		assert.Assert(t, !tracked.State().PollDue(testStart.Add(4*time.Second)), "polled when a load from the store is done")
 		assert.Assert(t, tracked.State().PollDue(testStart.Add(4200*time.Millisecond)))
 	})
 }
 
-func TestScheduler_FailedReportSaysNothingOfDiskLoad(t *testing.T) {
+func TestScheduler_FailedPollDoesNotReclassifyDiskLoad(t *testing.T) {
 	now := testStart
 	scheduler, tracked := newDiskScheduler(&now)
 	startDiskLoad(t, scheduler, tracked, now)
--- a/internal/controlplane/scheduler/doc.go
+++ b/internal/controlplane/scheduler/doc.go
@@ -1,22 +1,21 @@
 // Package scheduler places models and adapters on replicas while this node holds the placement lease.
 //
-// Three goroutines share the work. LeaseElector takes, renews and releases the lease. The load budget writes its reservations
-// into the lease's record. Scheduler.Run is the planning loop: each turn brings the demand up to date and calls syncOnce,
-// which follows the platform's list, polls replicas for reports, plans and sends orders. Calls to replicas run in the
-// background, on goroutines of their own; their results come back to the planning loop as callbacks, so that what is known of
-// replicas needs no lock.
+// Three goroutines share the work. LeaseElector acquires, renews and releases the lease. The load budget writes its reservations
+// to the lease record. Scheduler.Run is the planning loop: each iteration updates the demand and calls syncOnce, which applies
+// the platform's replica list, polls replicas for reports, plans, and sends orders. Calls to replicas run on background
+// goroutines; their results return to the planning loop as callbacks, so that replica state needs no lock.
 //
-// Each part owns its state:
+// Each component owns its state:
 //
-//   - LeaseElector: the grant of the lease. Any goroutine may use it.
-//   - DemandView: what the data planes ask for. Any goroutine may use it.
-//   - CopyAges: since when each replica has had a model loaded. Any goroutine may use it.
-//   - loadBudget: the loads from the store of weights that may still start. Any goroutine may use it.
-//   - replicatracker.Tracker: what is known of replicas and their orders. The planning loop alone uses it, as all below.
+//   - LeaseElector: the current lease grant. Safe for concurrent use.
+//   - DemandView: the demand reported by the data planes. Safe for concurrent use.
+//   - CopyAges: how long each replica has had each model loaded. Safe for concurrent use.
+//   - loadBudget: how many loads from the weight store may still start. Safe for concurrent use.
+//   - replicatracker.Tracker: the state of replicas and their orders. Like everything below, used only by the planning loop.
 //   - orderSender and reportPoller: the calls to replicas.
-//   - contextEviction: the work on purging cached context.
-//   - currentConfiguration, planPacer, observationPublisher: the newest configuration, when to plan, what was published.
+//   - contextEviction: the eviction of cached context, on request or at the end of its lifetime.
+//   - currentConfiguration, planPacer, observationPublisher: the current configuration, when to plan, what was published.
 //
-// The package sends no order without a grant that lasts long enough, and none under another grant than it was decided under.
-// It never decides which replica a request goes to. Start reading at Scheduler.Run.
+// An order is sent only while the grant that it was decided under is still held and remains valid for long enough.
+// The package does not route requests to replicas. Start reading at Scheduler.Run.
 package scheduler
--- a/internal/controlplane/scheduler/eviction.go
+++ b/internal/controlplane/scheduler/eviction.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// evictionTimeout is how long an eviction may take before the next one begins.
+	// evictionTimeout is the maximum duration of an eviction; after it the next one may start.
 	evictionTimeout = 20 * time.Second
-	// reloadTimeout is how long an idle replica may be without the evicted model before the eviction counts as over.
+	// reloadTimeout is how long the evicted model may be missing from an idle replica before the eviction counts as finished.
 	reloadTimeout = time.Second
-	// purgeWriteInterval is the least time between two writes of a purge's progress.
+	// purgeWriteInterval is the minimum interval between two writes of purge progress.
 	purgeWriteInterval = 300 * time.Millisecond
 )
 
-// purgeTarget is one copy of a model that a purge concerns.
+// purgeTarget is one copy of a model that is covered by a purge.
 type purgeTarget struct {
 	purge   uint64
 	replica string
@@ -33,8 +33,8 @@
 	return purgeTarget{purge: purge, replica: target.Replica, model: target.Model}
 }
 
-// contextEviction is the work on purging cached context at replicas. A replica's context goes with its copy of the model, so
-// copies are unloaded and loaded again, one at a time. The planning loop alone uses it.
+// contextEviction evicts cached context from replicas. The context of a model is freed only by unloading the model, so copies
+// are unloaded and reloaded, one at a time. It is used only by the planning loop.
 type contextEviction struct {
 	tracker    *replicatracker.Tracker
 	copies     *CopyAges
@@ -42,18 +42,18 @@
 	clock      func() time.Time
 	background *background
 
-	// evicted holds the targets evicted whose state is not stored yet.
+	// evicted holds the evicted targets whose state has not been stored yet.
 	evicted map[purgeTarget]bool
-	// running is the copy being evicted, started at startedAt; empty if there is none.
+	// running is the copy being evicted since startedAt; empty if there is none.
 	running   placement.ServerModel
 	startedAt time.Time
-	// writing is set while a purge is being written, the last time from writtenAt on.
+	// writing is true while a purge is being written; writtenAt is when the last write started.
 	writing   bool
 	writtenAt time.Time
 }
 
-// plan brings the purges up to date and tells the planner which copies to evict: those that purges name, then those past
-// their share of the context's lifetime.
+// plan updates the progress of the purges and tells the planner which copies to evict: first those named by purges, then those
+// past dueAgeShare of the context lifetime.
 func (e *contextEviction) plan(ctx context.Context, state *State, view *placement.View) {
 	e.checkRunning(view.Now)
 	view.ContextEvictionInProgress = e.isRunning()
@@ -76,7 +76,7 @@
 	view.ContextEvictions = append(view.ContextEvictions, e.copies.due(state.Retention.Lifetime(), view.Now)...)
 }
 
-// recordAction notes an action that begins the eviction of a copy.
+// recordAction records an action that starts the eviction of a copy.
 func (e *contextEviction) recordAction(action placement.Action, now time.Time) {
 	if action.Reason != placement.ContextEvictionReason {
 		return
@@ -87,7 +87,7 @@
 
 func (e *contextEviction) isRunning() bool { return e.running != placement.ServerModel{} }
 
-// checkRunning ends the running eviction once its model is back, its replica is gone or its time is over.
+// checkRunning ends the running eviction when its model is loaded again, its replica is gone or it has timed out.
 func (e *contextEviction) checkRunning(now time.Time) {
 	if !e.isRunning() {
 		return
@@ -103,8 +103,8 @@
 	}
 }
 
-// storeTargets stores which copies a purge concerns, once it is known of every replica what it has loaded: those of its
-// scope's models, also at replicas that the list has just left out.
+// storeTargets stores the copies that a purge covers, as soon as the loaded models of every replica are known. It includes
+// copies on replicas that are briefly missing from the list.
 func (e *contextEviction) storeTargets(ctx context.Context, purge retention.Purge) {
 	var targets []retention.Target
 	add := func(replica, model string) {
@@ -137,8 +137,8 @@
 	})
 }
 
-// updateProgress stores which of a purge's copies have been evicted, or are gone with a removed replica; one that the list
-// has just left out stays pending.
+// updateProgress stores which of a purge's copies have been evicted or have disappeared with a removed replica. Copies on a
+// replica that is briefly missing from the list stay pending.
 func (e *contextEviction) updateProgress(ctx context.Context, purge retention.Purge) {
 	states := map[retention.Target]retention.State{}
 	for _, target := range purge.Targets {
@@ -172,8 +172,8 @@
 	})
 }
 
-// write changes a purge in the key store in the background, one change at a time; what it leaves out comes again with a
-// later plan.
+// write updates a purge in the key store in the background, one update at a time. An update that is skipped is made by a later
+// plan.
 func (e *contextEviction) write(ctx context.Context, number uint64, change func(purge *retention.Purge) bool) {
 	now := e.clock()
 	if e.writing || now.Sub(e.writtenAt) < purgeWriteInterval {
--- a/internal/controlplane/scheduler/fenced_test.go
+++ b/internal/controlplane/scheduler/fenced_test.go
@@ -16,11 +16,11 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
-// openCluster lets any node try for the lease.
-type openCluster struct{}
+// permissiveCluster allows any node to acquire the lease.
+type permissiveCluster struct{}
 
-func (openCluster) MayAcquireLease(time.Time) bool        { return true }
-func (openCluster) IsLeaseHolderReachable(time.Time) bool { return false }
+func (permissiveCluster) MayAcquireLease(time.Time) bool        { return true }
+func (permissiveCluster) IsLeaseHolderReachable(time.Time) bool { return false }
 
 // runElector runs the elector of one node of a simulated cluster until the test ends.
 func runElector(t *testing.T, cluster *keystoresim.Cluster) *LeaseElector {
@@ -36,7 +36,7 @@
 			Store:         cluster.StoreOf(name),
 			Clock:         clock,
 		},
-		Cluster: openCluster{},
+		Cluster: permissiveCluster{},
 	}, clock, clock())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -51,7 +51,7 @@
 	return elector
 }
 
-// awaitFenceAbove waits until the elector holds the lease under a fence above the one given.
+// awaitFenceAbove waits until the elector holds the lease under a fence above the given one.
 func awaitFenceAbove(t *testing.T, elector *LeaseElector, fence uint64) uint64 {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
@@ -63,7 +63,7 @@
 	return 0
 }
 
-func TestLeaseElector_TakesAHigherFenceAfterARefusal(t *testing.T) {
+func TestLeaseElector_AcquiresHigherFenceAfterRejection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := keystoresim.New(1, 3)
 		for _, name := range cluster.Names {
@@ -83,13 +83,13 @@
 		}
 		elector.ReportFenced(1)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, elector.Grant().Record.Fence, fence, "a refusal of an earlier fence says nothing of this one")
+		assert.Equal(t, elector.Grant().Record.Fence, fence, "a rejection of an earlier fence does not affect the current one")
 	})
 }
 
-func TestScheduler_GivesUpTheGrantUnderWhichAnOrderWasFenced(t *testing.T) {
+func TestScheduler_GivesUpGrantWhenOrderIsFenced(t *testing.T) {
 	now := testStart
-	scheduler, _ := newPlacingScheduler(&now, 7)
+	scheduler, _ := newLeaseHoldingScheduler(&now, 7)
 	tracked := scheduler.tracker.Replica("r")
 	assert.Assert(t, tracked.State().HandleReport(replicastate.Report{Loaded: map[string]bool{"m": true}}, now))
 	order, decided := scheduler.tracker.Decide(placement.Action{Server: "r", Load: true, Model: "n"}, now)
@@ -99,6 +99,6 @@
 	case found := <-scheduler.lease.unusable:
 		assert.Equal(t, found.fence, order.Fence)
 	default:
-		t.Fatal("the grant is not given up")
+		t.Fatal("the release of the grant was not requested")
 	}
 }
--- a/internal/controlplane/scheduler/fixtures_test.go
+++ b/internal/controlplane/scheduler/fixtures_test.go
@@ -14,7 +14,7 @@
 
 var testStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fakeHost is the node of a scheduler under test.
+// fakeHost implements all dependencies of a scheduler under test on its node.
 type fakeHost struct {
 	state     State
 	list      []discovery.Replica
@@ -43,8 +43,8 @@
 	return replica.Report{}, context.Canceled
 }
 
-// newTestScheduler returns a scheduler without a lease whose clock shows what now holds. Its list may lag by 800 ms, its
-// store of weights bounds loads over 5 s.
+// newTestScheduler returns a scheduler without a lease whose clock returns *now. Its list may lag by 800 ms, its weight store
+// limits loads over 5 s.
 func newTestScheduler(now *time.Time) (*Scheduler, *fakeHost) {
 	host := &fakeHost{}
 	return New(Config{
@@ -58,7 +58,7 @@
 	}), host
 }
 
-// newTestTable is a configuration of one backend "s" with the runtime given.
+// newTestTable returns the table of a configuration with one backend "s" that has the given runtime.
 func newTestTable(runtime configuration.Runtime) *configuration.Table {
 	return configuration.NewTable(configuration.Configuration{
 		Backends: []configuration.Backend{{Name: "s", Runtime: &runtime}},
--- a/internal/controlplane/scheduler/forecast.go
+++ b/internal/controlplane/scheduler/forecast.go
@@ -7,8 +7,8 @@
 	"ferryspar/internal/placement"
 )
 
-// Forecast returns what the planner would do without the zones of a scope. The plan does not hold if this node does not hold
-// the lease, or the context ends first. Any goroutine may call it; the planning loop works it out.
+// Forecast returns what the planner would do without the zones of a scope. The plan is empty, with HoldsLease false, if this
+// node does not hold the lease or the context ends first. Any goroutine may call it; the planning loop computes the forecast.
 func (s *Scheduler) Forecast(ctx context.Context, scope drill.Scope) drill.PlacementPlan {
 	reply := make(chan drill.PlacementPlan, 1)
 	select {
@@ -24,7 +24,7 @@
 	}
 }
 
-// forecast plans on a copy of the present state, without the zones of the scope.
+// forecast plans on a copy of the current state without the zones of the scope.
 func (s *Scheduler) forecast(scope drill.Scope) drill.PlacementPlan {
 	state := s.state.State()
 	table := s.configuration.update(&state)
--- a/internal/controlplane/scheduler/grants_test.go
+++ b/internal/controlplane/scheduler/grants_test.go
@@ -15,8 +15,9 @@
 	"ferryspar/internal/replicastate"
 )
 
-// newPlacingScheduler holds the lease by a grant of the fence given and tracks one replica "r" that the list shows with "m".
-func newPlacingScheduler(now *time.Time, fence uint64) (*Scheduler, []discovery.Replica) {
+// newLeaseHoldingScheduler returns a scheduler that holds the lease under the given fence, and a list with one replica "r",
+// which it tracks and which has "m" loaded.
+func newLeaseHoldingScheduler(now *time.Time, fence uint64) (*Scheduler, []discovery.Replica) {
 	scheduler, _ := newTestScheduler(now)
 	scheduler.adoptGrant(&lease.Grant{
 		Record:    lease.Record{Fence: fence},
@@ -36,7 +37,7 @@
 func TestScheduler_DelaysPollsAfterTakeover(t *testing.T) {
 	for fence, waits := range map[uint64]bool{1: false, 2: true} {
 		now := testStart
-		scheduler, _ := newPlacingScheduler(&now, fence)
+		scheduler, _ := newLeaseHoldingScheduler(&now, fence)
 		state := scheduler.tracker.Replica("r").State()
 		assert.Equal(t, state.PollDue(now), !waits)
 		assert.Assert(t, state.PollDue(now.Add(replicatracker.MaxReportAge)))
@@ -45,7 +46,7 @@
 
 func TestScheduler_KeepsOrdersWhenExpiredGrantIsRenewed(t *testing.T) {
 	now := testStart
-	scheduler, _ := newPlacingScheduler(&now, 1)
+	scheduler, _ := newLeaseHoldingScheduler(&now, 1)
 	tracked := scheduler.tracker.Replica("r")
 	assert.Assert(t, tracked.State().HandleReport(replicastate.Report{Loaded: map[string]bool{"m": true}}, now))
 	order, decided := scheduler.tracker.Decide(placement.Action{Server: "r", Load: true, Model: "n"}, now)
--- a/internal/controlplane/scheduler/inputs_bench_test.go
+++ b/internal/controlplane/scheduler/inputs_bench_test.go
@@ -11,10 +11,10 @@
 	"ferryspar/internal/placement"
 )
 
-// modelsPerReport is how many models each summary of benchSummaries asks for.
+// modelsPerReport is how many models each summary of benchSummaries reports demand for.
 const modelsPerReport = 40
 
-// BenchmarkScheduler_DemandAndReplicas measures what a turn of the planning loop does before it plans.
+// BenchmarkScheduler_DemandAndReplicas measures the work of one iteration of the planning loop before it plans.
 func BenchmarkScheduler_DemandAndReplicas(b *testing.B) {
 	for _, size := range []struct{ replicas, dataPlanes int }{{9, 6}, {140, 80}, {720, 400}} {
 		b.Run(fmt.Sprintf("%dx%d", size.replicas, size.dataPlanes), func(b *testing.B) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// modelKeys are the keys of a summary's models.
+// modelKeys returns the keys of a summary's models.
 func modelKeys(summary peer.LoadSummary) []string {
 	keys := make([]string, len(summary.Models))
 	for index, model := range summary.Models {
@@ -47,7 +47,7 @@
 	return keys
 }
 
-// benchList is a list of replicas with two models each.
+// benchList returns a list of replicas with two models each.
 func benchList(replicas int) []discovery.Replica {
 	var listed []discovery.Replica
 	for index := range replicas {
@@ -64,7 +64,7 @@
 	return listed
 }
 
-// benchSummaries are summaries of members with a data plane each, which ask for some of a number of models.
+// benchSummaries returns one summary per member, each with one data plane and demand for a varying subset of the models.
 func benchSummaries(members, models int) []peer.LoadSummary {
 	var summaries []peer.LoadSummary
 	for member := range members {
--- a/internal/controlplane/scheduler/lease.go
+++ b/internal/controlplane/scheduler/lease.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// orderLeaseMargin is how much longer the lease must last when an order is sent: no order may be under way once
-	// another node holds the lease.
+	// orderLeaseMargin is the minimum remaining validity of the lease when an order is sent, so that no order is in flight
+	// once another node holds the lease.
 	orderLeaseMargin = 800 * time.Millisecond
-	// renewInterval is the time between two renewals of the lease, or two attempts to take it.
+	// renewInterval is the interval between lease renewals, or between attempts to acquire the lease.
 	renewInterval = 300 * time.Millisecond
-	// acquireTimeout bounds one attempt to take the lease.
+	// acquireTimeout bounds one attempt to acquire the lease.
 	acquireTimeout = 1200 * time.Millisecond
-	// acquireMargin is added to the length of a lease before any other node tries to take it.
+	// acquireMargin is added to the lease duration before another node tries to acquire the lease.
 	acquireMargin = 200 * time.Millisecond
-	// previousHolderHeadStart is how much longer another node waits while the previous holder is reachable. That one
-	// need not wait for the end of another's orders, as every other successor must.
+	// previousHolderHeadStart is how much longer other nodes wait while the previous holder is reachable. Unlike any other
+	// successor, the previous holder need not wait for another node's orders to finish.
 	previousHolderHeadStart = 400 * time.Millisecond
-	// seedStartDelay is by how much each seed's first attempt follows that of the seed before it.
+	// seedStartDelay is the delay between the first attempts of consecutive seeds.
 	seedStartDelay = 250 * time.Millisecond
-	// maxStartJitter and maxRetryJitter bound the random delays of the first attempt and after a failed one.
+	// maxStartJitter and maxRetryJitter bound the random delays before the first attempt and after a failed one.
 	maxStartJitter = 200 * time.Millisecond
 	maxRetryJitter = 300 * time.Millisecond
 )
 
-// LeaseElector takes, renews and releases the placement lease. Any goroutine may use it.
+// LeaseElector acquires, renews and releases the placement lease. It is safe for concurrent use.
 type LeaseElector struct {
 	config    LeaseConfig
 	clock     func() time.Time
 	startedAt time.Time
 	current   atomic.Pointer[lease.Grant]
-	// released is closed once the lease has been given up because the node leaves.
+	// released is closed after the lease has been released because the node is shutting down.
 	released chan struct{}
-	// unusable has room for one grant that is to be given up and the lease acquired under a new fence.
+	// unusable is a queue of one grant to be released so that the lease is acquired under a new fence.
 	unusable chan unusableGrant
 
 	// lock guards holderSeenAt.
@@ -60,144 +60,144 @@
 	}
 }
 
-// Holds tells whether this node holds the lease now.
-func (k *LeaseElector) Holds() bool {
-	grant := k.current.Load()
-	return grant != nil && k.clock().Before(grant.ExpiresAt)
+// Holds reports whether this node holds the lease now.
+func (e *LeaseElector) Holds() bool {
+	grant := e.current.Load()
+	return grant != nil && e.clock().Before(grant.ExpiresAt)
 }
 
-// Grant is the grant that this node has, renewed last; nil if it has none. It may have expired.
-func (k *LeaseElector) Grant() *lease.Grant { return k.current.Load() }
+// Grant returns this node's most recently renewed grant, or nil if it has none. The grant may have expired.
+func (e *LeaseElector) Grant() *lease.Grant { return e.current.Load() }
 
-// Released is closed once the lease has been given up because the node leaves.
-func (k *LeaseElector) Released() <-chan struct{} { return k.released }
+// Released returns a channel that is closed after the lease has been released because the node is shutting down.
+func (e *LeaseElector) Released() <-chan struct{} { return e.released }
 
-// RecordHolderSeen records that another holder of the lease was heard from now.
-func (k *LeaseElector) RecordHolderSeen() {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	k.holderSeenAt = k.clock()
+// RecordHolderSeen records that another lease holder was heard from now.
+func (e *LeaseElector) RecordHolderSeen() {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	e.holderSeenAt = e.clock()
 }
 
-// ForgetHolder makes the lease worth trying for at once: its holder has announced that it leaves.
-func (k *LeaseElector) ForgetHolder() {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	k.holderSeenAt = time.Time{}
+// ForgetHolder allows an immediate attempt to acquire the lease, since its holder has announced that it is shutting down.
+func (e *LeaseElector) ForgetHolder() {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	e.holderSeenAt = time.Time{}
 }
 
-// run takes the lease where nobody holds it and renews it, until the context ends or the node leaves.
-func (k *LeaseElector) run(ctx context.Context) {
-	nodesettings.Sleep(ctx, rand.N(maxStartJitter)+time.Duration(k.config.SeedRank)*seedStartDelay)
+// run acquires the lease when nobody holds it and renews it, until the context ends or the node shuts down.
+func (e *LeaseElector) run(ctx context.Context) {
+	nodesettings.Sleep(ctx, rand.N(maxStartJitter)+time.Duration(e.config.SeedRank)*seedStartDelay)
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.config.Leaving:
-			k.release(ctx)
+		case <-e.config.Leaving:
+			e.release(ctx)
 			return
-		case found := <-k.unusable:
-			// What was given up is acquired anew below, without waiting for the next tick.
-			k.giveUp(ctx, found)
+		case found := <-e.unusable:
+			// The lease is acquired again below, without waiting for the next tick.
+			e.giveUp(ctx, found)
 		case <-ticker.C:
 		}
-		if grant := k.current.Load(); grant != nil {
-			k.current.Store(k.config.Manager.Renew(ctx, grant))
+		if grant := e.current.Load(); grant != nil {
+			e.current.Store(e.config.Manager.Renew(ctx, grant))
 			continue
 		}
-		if k.mayAcquire() {
-			k.acquire(ctx)
+		if e.mayAcquire() {
+			e.acquire(ctx)
 		}
 	}
 }
 
-// acquire tries to take the lease once, and waits a little after a failure.
-func (k *LeaseElector) acquire(ctx context.Context) {
+// acquire tries once to acquire the lease and pauses briefly after a failure.
+func (e *LeaseElector) acquire(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, acquireTimeout)
-	grant, err := k.config.Manager.Acquire(bounded)
+	grant, err := e.config.Manager.Acquire(bounded)
 	cancel()
 	if err != nil {
 		nodesettings.Sleep(ctx, rand.N(maxRetryJitter))
 		return
 	}
-	k.current.Store(grant)
+	e.current.Store(grant)
 }
 
-// mayAcquire tells whether this node should try to take the lease: the cluster allows it, and no holder was heard from for
-// longer than a lease lasts.
-func (k *LeaseElector) mayAcquire() bool {
-	now := k.clock()
-	if !k.config.Cluster.MayAcquireLease(now) {
+// mayAcquire reports whether this node should try to acquire the lease: the cluster allows it, and no holder has been heard
+// from for longer than the lease duration.
+func (e *LeaseElector) mayAcquire() bool {
+	now := e.clock()
+	if !e.config.Cluster.MayAcquireLease(now) {
 		return false
 	}
-	k.lock.Lock()
-	lastSeen := k.holderSeenAt
-	k.lock.Unlock()
-	timeout := k.config.Manager.TTL + acquireMargin
-	if k.config.Cluster.IsLeaseHolderReachable(now) {
+	e.lock.Lock()
+	lastSeen := e.holderSeenAt
+	e.lock.Unlock()
+	timeout := e.config.Manager.TTL + acquireMargin
+	if e.config.Cluster.IsLeaseHolderReachable(now) {
 		timeout += previousHolderHeadStart
-		if lastSeen.Before(k.startedAt) {
-			// A node that has just started can't have heard of the holder yet.
-			lastSeen = k.startedAt
+		if lastSeen.Before(e.startedAt) {
+			// A node that has just started cannot have heard from the holder yet.
+			lastSeen = e.startedAt
 		}
 	}
 	return now.Sub(lastSeen) > timeout
 }
 
-// release gives the lease up for good.
-func (k *LeaseElector) release(ctx context.Context) {
-	defer close(k.released)
-	if k.current.Swap(nil) != nil {
-		k.releaseAfterOrders(ctx)
+// release releases the lease permanently.
+func (e *LeaseElector) release(ctx context.Context) {
+	defer close(e.released)
+	if e.current.Swap(nil) != nil {
+		e.releaseAfterOrders(ctx)
 	}
 }
 
-// reserve writes a reservation of loads into the record of a grant.
-func (k *LeaseElector) reserve(ctx context.Context, grant *lease.Grant, reservation loadbudget.Reservation) error {
-	return k.config.Manager.Reserve(ctx, grant, reservation)
+// reserve writes a load reservation to the record of a grant.
+func (e *LeaseElector) reserve(ctx context.Context, grant *lease.Grant, reservation loadbudget.Reservation) error {
+	return e.config.Manager.Reserve(ctx, grant, reservation)
 }
 
-// unusableGrant is the fence of a grant that can be renewed and is of no use, and why.
+// unusableGrant identifies, by its fence, a grant that can be renewed but not used, and gives the reason.
 type unusableGrant struct {
 	fence  uint64
 	reason string
 }
 
-// reportUnwritable has the lease of a grant given up whose record cannot be written any more though it can be renewed, as when a
-// member that promised it has lost its disk, so that it can be taken under a new proposal number.
-func (k *LeaseElector) reportUnwritable(grant *lease.Grant) {
-	k.reportUnusable(unusableGrant{grant.Record.Fence, "its record cannot be written"})
+// reportUnwritable requests the release of a grant whose record can no longer be written although it can be renewed, as when a
+// member that promised it has lost its disk. The lease can then be acquired under a new proposal number.
+func (e *LeaseElector) reportUnwritable(grant *lease.Grant) {
+	e.reportUnusable(unusableGrant{grant.Record.Fence, "its record cannot be written"})
 }
 
-// ReportFenced has the lease given up under whose fence an order was refused, since a higher one was seen. To order again under the
-// same fence would be refused for ever.
-func (k *LeaseElector) ReportFenced(fence uint64) {
-	k.reportUnusable(unusableGrant{fence, "a higher fence was seen"})
+// ReportFenced requests the release of the lease because an order under the given fence was rejected in favour of a higher
+// fence. All further orders under the same fence would be rejected as well.
+func (e *LeaseElector) ReportFenced(fence uint64) {
+	e.reportUnusable(unusableGrant{fence, "a higher fence was seen"})
 }
 
-func (k *LeaseElector) reportUnusable(found unusableGrant) {
+func (e *LeaseElector) reportUnusable(found unusableGrant) {
 	select {
-	case k.unusable <- found:
+	case e.unusable <- found:
 	default:
 	}
 }
 
-// giveUp releases a lease so that it is acquired again, under a higher fence.
-func (k *LeaseElector) giveUp(ctx context.Context, found unusableGrant) {
-	if current := k.current.Load(); current == nil || current.Record.Fence != found.fence {
+// giveUp releases the lease so that it is acquired again under a higher fence.
+func (e *LeaseElector) giveUp(ctx context.Context, found unusableGrant) {
+	if current := e.current.Load(); current == nil || current.Record.Fence != found.fence {
 		return
 	}
-	logrus.WithFields(logrus.Fields{"fence": found.fence, "reason": found.reason}).Info("lease released to be acquired again")
-	k.current.Store(nil)
-	k.releaseAfterOrders(ctx)
+	logrus.WithFields(logrus.Fields{"fence": found.fence, "reason": found.reason}).Info("lease released for re-acquisition under a higher fence")
+	e.current.Store(nil)
+	e.releaseAfterOrders(ctx)
 }
 
-// releaseAfterOrders releases the lease once no order under it can be under way.
-func (k *LeaseElector) releaseAfterOrders(ctx context.Context) {
+// releaseAfterOrders releases the lease once no order under it can still be in flight.
+func (e *LeaseElector) releaseAfterOrders(ctx context.Context) {
 	nodesettings.Sleep(ctx, orderLeaseMargin)
-	if err := k.config.Manager.Release(ctx); err != nil {
+	if err := e.config.Manager.Release(ctx); err != nil {
 		logrus.WithError(err).Info("lease not released, it will expire")
 	}
 }
--- a/internal/controlplane/scheduler/loadbudget.go
+++ b/internal/controlplane/scheduler/loadbudget.go
@@ -15,31 +15,33 @@
 )
 
 const (
-	// maxLoadStartDelay is how much longer than the period a load counts: how long after its acceptance it may start.
+	// maxLoadStartDelay is the maximum time between the acceptance of a load and its start. A load counts this much longer
+	// than the limit's period.
 	maxLoadStartDelay = 250 * time.Millisecond
-	// maxUncertainDelay is how long after a lease holder has stopped a load without a clear answer may still start.
+	// maxUncertainDelay is how long after a lease holder has stopped ordering a load may still start if its order got no clear
+	// answer.
 	maxUncertainDelay = time.Second
-	// reservationTimeout bounds one write of a reservation, so that renewals of the lease do not wait long.
+	// reservationTimeout bounds one write of a reservation, so that lease renewals are not delayed for long.
 	reservationTimeout = 500 * time.Millisecond
 )
 
-// pendingReservation is a reservation that is to be written into the record of a grant.
+// pendingReservation is a reservation to be written to the record of a grant.
 type pendingReservation struct {
 	grant       *lease.Grant
 	reservation loadbudget.Reservation
 }
 
-// loadBudget is the budget of loads from the store of weights under the grant held, and the writer of its reservations. Any
-// goroutine may use it.
+// loadBudget limits the loads from the weight store under the current grant and writes the reservations for them. It is safe
+// for concurrent use.
 type loadBudget struct {
 	lease     *LeaseElector
 	clock     func() time.Time
 	startedAt time.Time
-	// limit is the store's, without its rate, which the configuration has.
+	// limit is the load limit of the store without its rate, which the configuration defines.
 	limit loadbudget.StoreLimit
-	// onWritten is called after each write of a reservation, since loads may wait for it.
+	// onWritten is called after each write of a reservation, since loads may be waiting for it.
 	onWritten func()
-	// pending has room for the one reservation that is proposed at a time.
+	// pending is a queue of one proposed reservation.
 	pending chan pendingReservation
 
 	// lock guards budget and bounds.
@@ -61,12 +63,12 @@
 	}
 }
 
-// loadsFromStore tells whether an action loads weights from the store.
+// loadsFromStore reports whether an action loads weights from the store.
 func loadsFromStore(action placement.Action) bool {
 	return action.Load && action.FromStore && !placement.IsAdapter(action.Model)
 }
 
-// loadBounds are the bounds of loads from the store: its limit with the rate that the configuration has.
+// loadBounds returns the bounds of loads from the store: its limit with the rate defined by the configuration.
 func loadBounds(table *configuration.Table, limit loadbudget.StoreLimit) loadbudget.Bounds {
 	limit.Rate = 0
 	for _, backend := range table.Configuration.Backends {
@@ -77,8 +79,8 @@
 	return loadbudget.NewBounds(limit, loadbudget.StartDelays{Accepted: maxLoadStartDelay, Uncertain: maxUncertainDelay})
 }
 
-// available is how many loads from the store may start now under the grant held; it may be below 0. mayStart tells whether
-// the order under way at a replica may yet be taken; loads of those that may not count as started.
+// available returns how many loads from the store may start now under the current grant; it may be negative. mayStart reports
+// whether the pending order of a replica may still be accepted; loads whose orders can no longer be accepted count as started.
 func (b *loadBudget) available(now time.Time, table *configuration.Table, mayStart func(id string) bool) float64 {
 	grant := b.lease.Grant()
 	if grant == nil {
@@ -97,7 +99,7 @@
 	return float64(b.budget.Available(now, b.bounds))
 }
 
-// adoptGrant begins the budget of a grant that was not seen before. The caller holds the lock.
+// adoptGrant starts the budget of a grant that was not seen before. The caller holds the lock.
 func (b *loadBudget) adoptGrant(grant *lease.Grant) {
 	if b.budget.Fence() == grant.Record.Fence {
 		return
@@ -110,7 +112,7 @@
 	}, b.bounds)
 }
 
-// predecessorStoppedAt is a moment after which no holder before the grant starts a load.
+// predecessorStoppedAt returns a time after which no holder before the grant starts a load.
 func (b *loadBudget) predecessorStoppedAt(grant *lease.Grant) time.Time {
 	if grant.FollowsOwnRestart() && b.startedAt.Before(grant.GrantedAt) {
 		return b.startedAt
@@ -118,7 +120,7 @@
 	return grant.GrantedAt
 }
 
-// propose has a reservation written if one is due. The caller holds the lock.
+// propose queues a reservation for writing if one is due. The caller holds the lock.
 func (b *loadBudget) propose(grant *lease.Grant, now time.Time) {
 	if grant == nil || b.budget.Fence() != grant.Record.Fence {
 		return
@@ -128,7 +130,7 @@
 		return
 	}
 	select {
-	case <-b.pending: // of an earlier grant: nobody needs it any more
+	case <-b.pending: // belongs to an earlier grant and is obsolete
 	default:
 	}
 	select {
@@ -148,28 +150,29 @@
 	b.propose(b.lease.Grant(), now)
 }
 
-// recordRejected takes back a load that its replica rejected or that was not sent.
+// recordRejected uncounts a load that its replica rejected or that was not sent.
 func (b *loadBudget) recordRejected(id string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.budget.MarkRejected(id)
 }
 
-// recordStarted records that every load ordered at a replica has started or never will: its order was accepted.
+// recordStarted records that an order of a replica was accepted: every load ordered there has started by now or never will.
 func (b *loadBudget) recordStarted(id string, now time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.budget.MarkStarted(id, now)
 }
 
-// spare is how many loads from the store may start now that no request waits for. It is asked after available.
+// spare returns how many loads from the store may start now for models that no request waits for. It is called after
+// available.
 func (b *loadBudget) spare(now time.Time) float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return float64(b.budget.SpareLoads(now, b.bounds))
 }
 
-// recordFromDisk takes back a load, counted as started at a moment, that has proven to come from the replica's disk.
+// recordFromDisk uncounts a load, counted as started at the given time, that turned out to come from the replica's disk.
 func (b *loadBudget) recordFromDisk(startedAt time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -177,7 +180,8 @@
 	b.propose(b.lease.Grant(), b.clock())
 }
 
-// addStarted counts a load, started at a moment or before it, that was not known to come from the store when it was ordered.
+// addStarted counts a load that started no later than the given time and was not known to come from the store when it was
+// ordered.
 func (b *loadBudget) addStarted(at time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -185,7 +189,7 @@
 	b.propose(b.lease.Grant(), b.clock())
 }
 
-// run writes the reservations that are due until the context ends.
+// run writes pending reservations until the context ends.
 func (b *loadBudget) run(ctx context.Context) {
 	for {
 		select {
@@ -197,10 +201,10 @@
 	}
 }
 
-// write writes a reservation into the record of its grant. A grant whose record cannot be written any more is given up.
+// write writes a reservation to the record of its grant. A grant whose record can no longer be written is released.
 func (b *loadBudget) write(ctx context.Context, pending pendingReservation) {
 	bounded, cancel := context.WithTimeout(ctx, reservationTimeout)
-	// Members that answer after the majority should still take the write, so the context outlives this call.
+	// The context outlives this call so that members that answer after the majority still store the write.
 	time.AfterFunc(reservationTimeout, cancel)
 	err := b.lease.reserve(bounded, pending.grant, pending.reservation)
 	b.lock.Lock()
--- a/internal/controlplane/scheduler/loadbudget_test.go
+++ b/internal/controlplane/scheduler/loadbudget_test.go
@@ -38,14 +38,14 @@
 			default:
 			}
 		}
-		most := mostWithin(startedAt, time.Duration(span*float64(time.Second)))
+		most := maxWithinWindow(startedAt, time.Duration(span*float64(time.Second)))
 		assert.Assert(t, float64(most) <= rate*span*overage+3, "seed %d: %d loads of %f a second", seed, most, rate)
 		assert.Assert(t, float64(len(startedAt)) >= 0.7*rate*now.Sub(testStart).Seconds(), "seed %d: only %d", seed, len(startedAt))
 	}
 }
 
-// mostWithin is the largest number of moments within any window of a length that begins with one of them.
-func mostWithin(moments []time.Time, length time.Duration) int {
+// maxWithinWindow returns the largest number of moments within any window of the given length that starts at one of them.
+func maxWithinWindow(moments []time.Time, length time.Duration) int {
 	most := 0
 	for _, from := range moments {
 		within := 0
--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// cordonLeadTime is how long data planes are given to stop using a model before it is unloaded.
+	// cordonLeadTime is how long before its unload a model is cordoned, so that data planes can stop using it.
 	cordonLeadTime = 220 * time.Millisecond
-	// diskLoadTimeShare is the expected share of a model's load time that a load from the replica's own disk takes.
+	// diskLoadTimeShare is the expected duration of a load from the replica's own disk as a fraction of the model's load time.
 	diskLoadTimeShare = 0.2
-	// loadTimeMargin is added to the expected time of a load.
+	// loadTimeMargin is added to the expected duration of a load.
 	loadTimeMargin = 100 * time.Millisecond
-	// statusNotSent stands for the status of an order that was not sent, since the lease no longer allowed it.
+	// statusNotSent is used as the status of an order that was not sent because the lease no longer allowed it.
 	statusNotSent = 0
 )
 
-// orderSender decides on the planner's actions, sends the orders and handles their responses. The planning loop alone uses
-// it; send runs on goroutines of its own.
+// orderSender turns the planner's actions into orders, sends them and handles the responses. It is used only by the planning
+// loop; send runs on separate goroutines.
 type orderSender struct {
 	clock         func() time.Time
 	lease         *LeaseElector
@@ -42,9 +42,9 @@
 	background    *background
 }
 
-// start ties a planner's action to what is known of its replica and sends the order, an unload of a model in demand only after
-// the data planes had time to stop using it. A request that still arrives for one that nobody has asked for lately gets a
-// proof that it was not run.
+// start decides a planner's action for its replica and sends the order. An unload of a model in demand is sent only after the
+// data planes had time to stop using it. A request that still arrives for a model not in demand is answered with proof that it
+// was not executed.
 func (s *orderSender) start(ctx context.Context, action placement.Action, now time.Time) {
 	order, possible := s.tracker.Decide(action, now)
 	if !possible {
@@ -53,13 +53,13 @@
 	s.budget.recordOrdered(action, now)
 	tracked := s.tracker.Replica(action.Server)
 	delay := time.Duration(0)
-	if !action.Load && s.demand.isAskedFor(tracked.Backend(), action.Model) {
+	if !action.Load && s.demand.isInDemand(tracked.Backend(), action.Model) {
 		delay = cordonLeadTime
 	}
 	s.sendAfter(ctx, tracked, order, delay)
 }
 
-// startPhase has a replica take another phase, after the data planes had time to stop using it.
+// startPhase orders a replica to change its serving phase, after the data planes had time to stop using it.
 func (s *orderSender) startPhase(ctx context.Context, change phasebalance.Change, now time.Time) {
 	order, possible := s.tracker.DecidePhase(change.Replica, change.Phase, now)
 	if !possible {
@@ -80,8 +80,8 @@
 	})
 }
 
-// send sends an order under the grant that it was decided under, and returns the status of the response, statusNotSent
-// if that grant no longer allows it. It runs outside of the planning loop.
+// send sends an order under the grant that it was decided under, and returns the status of the response, or statusNotSent if
+// the grant no longer allows it. It runs outside the planning loop.
 func (s *orderSender) send(ctx context.Context, address, id string, order replicastate.Order) (int, error) {
 	grant := s.lease.Grant()
 	if !grant.Allows(s.clock(), orderLeaseMargin) || grant.Record.Fence != order.Fence {
@@ -99,7 +99,7 @@
 	})
 }
 
-// operationOf is the operation that an order is sent as.
+// operationOf returns the operation name of an order.
 func operationOf(order replicastate.Order) string {
 	switch {
 	case order.ServingPhase != "":
@@ -110,7 +110,7 @@
 	return replica.OperationUnload
 }
 
-// outcomeByStatus holds what each status says of an order; any other status is no clear answer.
+// outcomeByStatus maps a response status to the outcome of the order; any other status leaves the outcome unknown.
 var outcomeByStatus = map[int]replicastate.Outcome{
 	statusNotSent:                 replicastate.NotSent,
 	http.StatusAccepted:           replicastate.Accepted,
@@ -121,7 +121,8 @@
 	http.StatusMisdirectedRequest: replicastate.Rejected,
 }
 
-// outcomeOf is what the end of an order's call says of the order; an error says nothing, unless it is that nothing was sent.
+// outcomeOf returns the outcome of an order from the end of its call. After an error the outcome is unknown, unless the error
+// is that nothing was sent.
 func outcomeOf(status int, err error) replicastate.Outcome {
 	if errors.Is(err, replica.ErrNotSent) {
 		return replicastate.Unreached
@@ -133,7 +134,7 @@
 	return outcome
 }
 
-// handleResponse handles the end of an order's call.
+// handleResponse processes the end of an order's call.
 func (s *orderSender) handleResponse(tracked *replicatracker.Replica, order replicastate.Order, status int, err error) {
 	s.pacer.markDirty()
 	now := s.clock()
@@ -149,9 +150,9 @@
 	}
 }
 
-// recordLoadOutcome counts a load from the store from its acceptance on, and takes it back where the replica rejected it or
-// nothing was sent. Without a clear answer it goes on counting as one that may start. Answers that belong to an earlier
-// grant change nothing: the budget counts their loads as started.
+// recordLoadOutcome counts a load from the store as started when it is accepted, and uncounts it if the replica rejected it or
+// nothing was sent. Without a clear answer it keeps counting as one that may start. Responses to orders of an earlier grant
+// are ignored: the budget already counts their loads as started.
 func (s *orderSender) recordLoadOutcome(tracked *replicatracker.Replica, outcome replicastate.Outcome, now time.Time) {
 	action := tracked.Action()
 	if action == nil || !loadsFromStore(*action) || !s.tracker.IsTracked(tracked) {
@@ -166,7 +167,7 @@
 	}
 }
 
-// expectedDuration is how long the order that a replica has accepted should take.
+// expectedDuration returns how long the order that a replica has accepted should take.
 func (s *orderSender) expectedDuration(tracked *replicatracker.Replica) time.Duration {
 	if change, pending := tracked.State().PendingChange(); pending && change.ServingPhase != "" {
 		return max(s.configuration.swapTime(tracked.Backend()), replicatracker.ReportLag)
@@ -187,7 +188,7 @@
 	return max(expected+loadTimeMargin, replicatracker.ReportLag)
 }
 
-// logOrder logs an order with the end of its call.
+// logOrder logs an order and the result of its call.
 func logOrder(tracked *replicatracker.Replica, order replicastate.Order, status int, err error) {
 	reason := ""
 	if action := tracked.Action(); action != nil {
--- a/internal/controlplane/scheduler/pacer.go
+++ b/internal/controlplane/scheduler/pacer.go
@@ -5,7 +5,7 @@
 const (
 	// idlePlanInterval is the longest time between two plans.
 	idlePlanInterval = 500 * time.Millisecond
-	// planCostFactor is how many times as long as the last plan took the next one waits, within minPlanPause and
+	// planCostFactor is the pause between two plans as a multiple of the duration of the last plan, within minPlanPause and
 	// maxPlanPause, so that planning takes a small share of a processor.
 	planCostFactor = 40
 	minPlanPause   = 20 * time.Millisecond
@@ -14,19 +14,19 @@
 
 // planPacer decides when to plan. The planning loop alone uses it.
 type planPacer struct {
-	// dirty is set by what is learned of replicas and may call for a new plan.
+	// dirty is set when something is learned of a replica that may call for a new plan.
 	dirty bool
-	// plannedVersion is the version of the published state that was planned for last.
+	// plannedVersion is the version of the published state used by the last plan.
 	plannedVersion uint64
 	plannedAt      time.Time
 	planDuration   time.Duration
 }
 
-// markDirty has a plan made soon.
+// markDirty requests a new plan.
 func (p *planPacer) markDirty() { p.dirty = true }
 
-// planDue tells whether to plan now: something has changed and the last plan lies far enough back, or it lies very far back.
-// What it calls for a plan by counts as planned for from then on, so the caller must plan if it returns true.
+// planDue reports whether to plan now: something has changed and the pause after the last plan is over, or idlePlanInterval
+// has passed. It also clears the recorded changes, so the caller must plan if it returns true.
 func (p *planPacer) planDue(demand *DemandView, version uint64, now time.Time) bool {
 	since := now.Sub(p.plannedAt)
 	if since < min(max(minPlanPause, planCostFactor*p.planDuration), maxPlanPause) {
@@ -39,7 +39,7 @@
 	return changed
 }
 
-// recordPlan records when a plan was begun and ended.
+// recordPlan records the start and end of a plan.
 func (p *planPacer) recordPlan(startedAt, endedAt time.Time) {
 	p.plannedAt = endedAt
 	p.planDuration = endedAt.Sub(startedAt)
--- a/internal/controlplane/scheduler/phases.go
+++ b/internal/controlplane/scheduler/phases.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// phasePlanInterval is the least time between two plans of the phases.
+	// phasePlanInterval is the minimum interval between two plans of the serving phases.
 	phasePlanInterval = 500 * time.Millisecond
-	// phaseLearningPeriod is how long the demand is watched before phases are changed by it.
+	// phaseLearningPeriod is how long the demand is observed before phases are changed based on it.
 	phaseLearningPeriod = time.Second
-	// runningTimeConstantS is the time constant, in seconds, of the average of running requests.
+	// runningTimeConstantS is the time constant, in seconds, of the average number of running requests.
 	runningTimeConstantS = 2.0
 )
 
-// phaseBalancer has replicas of split backends change their phase as the demand for making tokens moves. The planning loop alone uses it.
+// phaseBalancer moves replicas of split backends, which run prefill and decode on separate replicas, between the phases as the
+// decode demand changes. It is used only by the planning loop.
 type phaseBalancer struct {
 	tracker   *replicatracker.Tracker
 	demand    *DemandView
@@ -31,19 +32,18 @@
 	byBackend map[string]*backendPhases
 }
 
-// backendPhases is what is kept of a backend from plan to plan.
+// backendPhases is the state of one backend that is kept between plans.
 type backendPhases struct {
 	moving   bool
 	running  float64
 	countsAt time.Time
 }
 
-// newPhaseBalancer returns a balancer that has planned nothing yet.
 func newPhaseBalancer(tracker *replicatracker.Tracker, demand *DemandView, orders *orderSender) *phaseBalancer {
 	return &phaseBalancer{tracker: tracker, demand: demand, orders: orders, byBackend: map[string]*backendPhases{}}
 }
 
-// plan orders the changes of phases that are due.
+// plan orders the phase changes that are due.
 func (b *phaseBalancer) plan(ctx context.Context, view *placement.View) {
 	if view.Now.Sub(b.plannedAt) < phasePlanInterval {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// splitBackends returns the backends that have replicas of a phase, in the order of their first replica.
+// splitBackends returns the backends with prefill or decode replicas, in the order of their first replica.
 func (b *phaseBalancer) splitBackends() []string {
 	var names []string
 	found := map[string]bool{}
@@ -73,7 +73,7 @@
 	return names
 }
 
-// planBackend orders the changes of one backend's phases.
+// planBackend orders the phase changes of one backend.
 func (b *phaseBalancer) planBackend(ctx context.Context, view *placement.View, name string, suspected map[string]bool) {
 	backend, _, known := view.Table.Backend(name)
 	if !known || backend.Runtime == nil {
@@ -115,7 +115,7 @@
 	}
 }
 
-// balancedReplica is a replica as the balance sees it.
+// balancedReplica returns the phase balancer's view of a replica.
 func balancedReplica(tracked *replicatracker.Replica, view *placement.View, suspected bool) phasebalance.Replica {
 	serving := !tracked.IsDraining() && !suspected && !view.DrainedZones[tracked.Listed().Zone]
 	return phasebalance.Replica{
@@ -128,7 +128,7 @@
 	}
 }
 
-// averageRunning averages the number of running requests.
+// averageRunning folds the current number of running requests into the average.
 func (p *backendPhases) averageRunning(running float64, now time.Time) {
 	weight := 1.0
 	if !p.countsAt.IsZero() {
--- a/internal/controlplane/scheduler/polls.go
+++ b/internal/controlplane/scheduler/polls.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// maxConcurrentPolls is how many reports are requested at once.
+	// maxConcurrentPolls limits the polls in progress. Replicas with a pending change are polled even beyond it.
 	maxConcurrentPolls = 48
-	// storeLoadTimeShare is the share of a model's load time after which a load that still runs cannot come from the
-	// replica's own disk: it lies well above diskLoadTimeShare.
+	// storeLoadTimeShare is the fraction of a model's load time after which a load that is still running cannot come from the
+	// replica's own disk. It is well above diskLoadTimeShare.
 	storeLoadTimeShare = 0.5
 )
 
-// reportPoller polls replicas for reports. The planning loop alone uses it; the calls run on goroutines of their own.
+// reportPoller polls replicas for reports. It is used only by the planning loop; the calls run on separate goroutines.
 type reportPoller struct {
 	clock         func() time.Time
 	client        ReplicaClient
@@ -37,15 +37,15 @@
 	background    *background
 }
 
-// pollDue polls the replicas that are due.
+// pollDue polls the replicas that are due for a poll.
 func (p *reportPoller) pollDue(ctx context.Context, table *configuration.Table, now time.Time) {
 	for _, tracked := range p.due(table, now) {
 		p.poll(ctx, tracked)
 	}
 }
 
-// due returns the replicas to poll now: those with a change under way first, then those whose state is unknown, by how many
-// requests wait for models that their disks may hold.
+// due returns the replicas to poll now: first those with a pending change, then those of unknown state, ordered by the number
+// of requests waiting for models that may be on their disks.
 func (p *reportPoller) due(table *configuration.Table, now time.Time) []*replicatracker.Replica {
 	var pending, unknown []*replicatracker.Replica
 	polling := 0
@@ -69,7 +69,7 @@
 	return append(pending, unknown...)
 }
 
-// sortByWaiting sorts replicas by how many requests wait for models that their disks may hold, the most first.
+// sortByWaiting sorts replicas by the number of requests waiting for models that may be on their disks, highest first.
 func (p *reportPoller) sortByWaiting(replicas []*replicatracker.Replica) {
 	waiting := make(map[string]int, len(replicas))
 	for _, tracked := range replicas {
@@ -80,7 +80,7 @@
 	})
 }
 
-// poll requests a replica's report.
+// poll requests a report from a replica.
 func (p *reportPoller) poll(ctx context.Context, tracked *replicatracker.Replica) {
 	id, address, polledAt := tracked.ID(), tracked.Address(), p.clock()
 	tracked.State().PollStarted(polledAt)
@@ -90,7 +90,7 @@
 	})
 }
 
-// handlePoll handles the end of a poll that was begun at polledAt.
+// handlePoll processes the result of a poll that was started at polledAt.
 func (p *reportPoller) handlePoll(tracked *replicatracker.Replica, report replica.Report, polledAt time.Time, err error) {
 	p.pacer.markDirty()
 	now := p.clock()
@@ -118,10 +118,10 @@
 	}
 }
 
-// verifyDiskLoad checks whether a load that was expected to come from the replica's own disk comes from the store after all:
-// then it still runs when one from a disk is long done. It returns when one from the store should be done, the zero time if
-// nothing new was found. If the load was not counted before it began, it counts from its start, and what the disk was taken
-// to hold is forgotten, so that further loads are counted before they start.
+// verifyDiskLoad detects a load that was expected to come from the replica's own disk but comes from the store: it is still
+// running when a load from disk would be long done. It returns when a load from the store should be done, or the zero time if
+// nothing new was found. If the load was not counted before it started, it is counted from its start, and the models assumed
+// to be on the disk are forgotten, so that further loads are counted before they start.
 func (p *reportPoller) verifyDiskLoad(
 	tracked *replicatracker.Replica, report replicastate.Report, polledAt time.Time,
 ) (doneAt time.Time) {
@@ -147,8 +147,8 @@
 	return tracked.StartedAt().Add(nodesettings.Seconds(model.LoadTimeS) + loadTimeMargin)
 }
 
-// creditDiskLoad gives the token of a load back that has ended so soon after it was decided that it cannot have come from
-// the store. A load that was not accepted by a clear answer keeps its token, since nothing tells when it was counted.
+// creditDiskLoad returns the budget token of a load that finished so soon after it was decided that it cannot have come from
+// the store. A load whose acceptance was not confirmed keeps its token, since the time at which it was counted is unknown.
 func (p *reportPoller) creditDiskLoad(
 	tracked *replicatracker.Replica, action placement.Action, longest time.Duration, countedAt time.Time,
 ) {
--- a/internal/controlplane/scheduler/polls_test.go
+++ b/internal/controlplane/scheduler/polls_test.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/replicastate"
 )
 
-func TestScheduler_PollsMostWantedReplicasFirst(t *testing.T) {
+func TestScheduler_PollsReplicasWithMostWaitingRequestsFirst(t *testing.T) {
 	now := testStart
 	table := newTestTable(configuration.Runtime{Slots: 12})
 	scheduler, _ := newTestScheduler(&now)
@@ -44,8 +44,8 @@
 	assert.Equal(t, seen, len(list))
 }
 
-// pollAll polls whatever is due and has each poll answered, until nothing is due, and returns how many were polled. No
-// replica may be due twice, and none more while a batch of polls is under way.
+// pollAll polls the replicas that are due and answers each poll, until none is due, and returns how many were polled. It
+// checks that no replica is due twice, and none at all while a batch of polls is in progress.
 func pollAll(t *testing.T, scheduler *Scheduler, table *configuration.Table, now time.Time) int {
 	t.Helper()
 	seen := map[string]bool{}
@@ -55,7 +55,7 @@
 			seen[tracked.ID()] = true
 			tracked.State().PollStarted(now)
 		}
-		assert.Equal(t, len(scheduler.poller.due(table, now)), 0, "no more than that at once")
+		assert.Equal(t, len(scheduler.poller.due(table, now)), 0, "at the limit of concurrent polls")
 		for _, tracked := range due {
 			report := replicastate.Report{Sequence: 1, Loaded: map[string]bool{"m": true}}
 			assert.Assert(t, tracked.State().HandleReport(report, now))
--- a/internal/controlplane/scheduler/publish.go
+++ b/internal/controlplane/scheduler/publish.go
@@ -6,39 +6,38 @@
 	"ferryspar/internal/controlplane/replicatracker"
 )
 
-// publishInterval is the least time between two publications of observations outside of plans.
+// publishInterval is the minimum interval between publications of observations outside of plans.
 const publishInterval = 50 * time.Millisecond
 
-// observationPublisher publishes what is known of replicas better than the list says: the models reported since and the
-// references being unloaded. The planning loop alone uses it.
+// observationPublisher publishes replica state that is newer than the platform's list: the models reported since and the
+// references being unloaded. It is used only by the planning loop.
 type observationPublisher struct {
 	tracker *replicatracker.Tracker
 	roster  Roster
 	clock   func() time.Time
-	// publishedAt is when observations were published last.
+	// publishedAt is when the observations were last published.
 	publishedAt time.Time
 }
 
-// publish publishes the observations.
 func (p *observationPublisher) publish() {
 	p.tracker.PublishObservations()
 	p.publishedAt = p.clock()
 	p.roster.PublishPlacement(p.tracker.Len())
 }
 
-// publishChanges publishes the observations if any has changed.
+// publishChanges publishes the observations if any of them have changed.
 func (p *observationPublisher) publishChanges() {
 	if p.tracker.HasUnpublished() {
 		p.publish()
 	}
 }
 
-// intervalOver tells whether the last publication lies publishInterval back.
+// intervalOver reports whether publishInterval has passed since the last publication.
 func (p *observationPublisher) intervalOver(now time.Time) bool {
 	return now.Sub(p.publishedAt) >= publishInterval
 }
 
-// withdraw takes back what was published: another node may know better.
+// withdraw removes the published observations, since another node may have newer ones.
 func (p *observationPublisher) withdraw() {
 	if p.tracker.WithdrawObservations() {
 		p.roster.PublishPlacement(0)
--- a/internal/controlplane/scheduler/scheduler.go
+++ b/internal/controlplane/scheduler/scheduler.go
@@ -11,17 +11,17 @@
 	"ferryspar/internal/placement"
 )
 
-// planInterval is the longest time between two turns of the planning loop.
+// planInterval is the longest time between two iterations of the planning loop.
 const planInterval = 100 * time.Millisecond
 
-// Scheduler is the planning loop. It is made by New and runs once.
+// Scheduler runs the planning loop. Create it with New; Run may be called once.
 type Scheduler struct {
 	settings Settings
 	clock    func() time.Time
 	state    StateReader
 	roster   Roster
 
-	// Any goroutine may use these parts; each has a lock of its own.
+	// The following components do their own locking; any goroutine may use them.
 
 	lease        *LeaseElector
 	demand       *DemandView
@@ -30,11 +30,11 @@
 	observations *replicatracker.Observations
 	budget       *loadBudget
 
-	// wake has a turn of the planning loop begin at once.
+	// wake triggers an iteration of the planning loop.
 	wake       chan struct{}
 	background *background
 
-	// The planning loop alone uses all below.
+	// The following fields are used only by the planning loop.
 
 	tracker       *replicatracker.Tracker
 	configuration *currentConfiguration
@@ -45,11 +45,11 @@
 	eviction      *contextEviction
 	phases        *phaseBalancer
 	capacity      *capacityObserver
-	// grant is the one that the tracked replicas were learned under.
+	// grant is the grant under which the tracked replicas were learned.
 	grant *lease.Grant
-	// sizes are those that models had in earlier configurations under the grant.
+	// sizes holds the model sizes of earlier configurations under the grant.
 	sizes *placement.SizeHistory
-	// starvationLoggedAt is when a model that requests wait for was logged last.
+	// starvationLoggedAt is when a starving model was last logged.
 	starvationLoggedAt time.Time
 }
 
@@ -113,10 +113,10 @@
 // Lease returns the elector of the placement lease.
 func (s *Scheduler) Lease() *LeaseElector { return s.lease }
 
-// Capacity tells what the replicas of backends are needed for, while this node places models.
+// Capacity returns the observed demand for the replicas of each backend. It has no data while this node does not place models.
 func (s *Scheduler) Capacity() capacityorder.Source { return s.capacity }
 
-// Demand is the demand of all data planes.
+// Demand returns the demand of all data planes.
 func (s *Scheduler) Demand() *DemandView { return s.demand }
 
 // CopyAges returns the ages of the copies of models.
@@ -125,10 +125,10 @@
 // DiskInventory returns the inventory of the weights on the replicas' disks.
 func (s *Scheduler) DiskInventory() *replicatracker.DiskInventory { return s.disks }
 
-// Observations is what the scheduler knows better than the platform's list while it holds the lease.
+// Observations returns the replica state that the scheduler knows better than the platform's list while it holds the lease.
 func (s *Scheduler) Observations() *replicatracker.Observations { return s.observations }
 
-// Run keeps or seeks the lease, and plans while it is held, until the context ends. It returns once its goroutines have
+// Run acquires and renews the lease, and plans while it is held, until the context ends. It returns after its goroutines have
 // ended.
 func (s *Scheduler) Run(ctx context.Context) {
 	var loops sync.WaitGroup
@@ -139,7 +139,7 @@
 	loops.Wait()
 }
 
-// runPlanning is the planning loop.
+// runPlanning runs the planning loop until the context ends.
 func (s *Scheduler) runPlanning(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -162,7 +162,7 @@
 	}
 }
 
-// wakeUp has a turn of the planning loop begin at once. Any goroutine may call it.
+// wakeUp triggers an iteration of the planning loop. Any goroutine may call it.
 func (s *Scheduler) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -170,9 +170,9 @@
 	}
 }
 
-// adoptGrant forgets all that is known of replicas unless it was learned under this very grant: under any other, someone
-// else may have ordered there since, even if this node held the lease before and holds it now. While none is held nothing is
-// forgotten: a renewal under way may save the grant, and its orders of unknown fate still count then.
+// adoptGrant discards all replica state that was not learned under this grant: under any other grant another node may have
+// sent orders since, even if this node held the lease before and holds it now. While no grant is held nothing is discarded: a
+// renewal in progress may still extend the grant, and then its orders of unknown outcome still count.
 func (s *Scheduler) adoptGrant(grant *lease.Grant) {
 	if grant == nil || !s.clock().Before(grant.ExpiresAt) {
 		s.publisher.withdraw()
--- a/internal/controlplane/scheduler/starvation.go
+++ b/internal/controlplane/scheduler/starvation.go
@@ -9,11 +9,12 @@
 	"ferryspar/internal/placement"
 )
 
-// starvationLogInterval is how often at most, and from which wait on, a model that requests wait for is logged.
+// starvationLogInterval is both the minimum interval between logs of a starving model and the wait from which a model counts
+// as starving.
 const starvationLogInterval = 2 * time.Second
 
-// logStarvingModel logs, with every replica's state, a model that requests have been waiting for too long. If there are
-// several, which of them is logged is arbitrary.
+// logStarvingModel logs a model that requests have been waiting for too long, together with the state of every replica. If
+// there are several such models, an arbitrary one is logged.
 func (s *Scheduler) logStarvingModel(view *placement.View, now time.Time) {
 	if now.Sub(s.starvationLoggedAt) < starvationLogInterval {
 		return
@@ -37,5 +38,5 @@
 			server.Ready, state.IsKnown(), state.IsPolling(), tracked.Action(), tracked.Intent(), len(state.Loaded()),
 		)
 	}
-	logrus.WithFields(fields).Info("requests still wait for a model")
+	logrus.WithFields(fields).Info("requests have been waiting for a model for too long")
 }
--- a/internal/controlplane/scheduler/sync.go
+++ b/internal/controlplane/scheduler/sync.go
@@ -8,12 +8,12 @@
 	"ferryspar/internal/placement"
 )
 
-// maxRosterAge is how old the list may be for models to be placed by it. A long list is as old as its reading took when it is
-// complete, and twice as old just before the next one is.
+// maxRosterAge is the age up to which the replica list may be used for placement. When a long list is complete it is as old as
+// its reading took, and twice as old just before the next one is complete.
 const maxRosterAge = 6 * time.Second
 
-// syncOnce follows the list, polls the replicas that are due, publishes what is known and plans, if there is reason to. It
-// does nothing without a configuration and a fresh list.
+// syncOnce applies the replica list, polls the replicas that are due, publishes observations, and plans if necessary. It does
+// nothing without a configuration and a fresh list.
 func (s *Scheduler) syncOnce(ctx context.Context) {
 	now := s.clock()
 	state := s.state.State()
@@ -52,7 +52,7 @@
 	s.logStarvingModel(view, now)
 }
 
-// planningView is the planner's input at the moment.
+// planningView returns the planner's input at the given time.
 func (s *Scheduler) planningView(state *State, table *configuration.Table, now time.Time) *placement.View {
 	isTarget := func(backend string) bool { return isPlacementTarget(table, backend) }
 	view := &placement.View{
@@ -61,7 +61,7 @@
 		Catalog:      s.configuration.catalogOf(table),
 		Demand:       s.demand.planned(),
 		SizeHistory:  s.sizes,
-		Loading:      s.loadsUnderWay(isTarget),
+		Loading:      s.loadsInProgress(isTarget),
 		DrainedZones: map[string]bool{},
 		StoreTokens:  s.budget.available(now, table, s.mayStart),
 		DemandKnown:  s.demand.isLearned(now),
@@ -74,8 +74,8 @@
 	return view
 }
 
-// loadsUnderWay counts the loads under way at replicas of some backends, by model key.
-func (s *Scheduler) loadsUnderWay(isTarget func(backend string) bool) map[string]int {
+// loadsInProgress counts the loads in progress on replicas of the target backends, by model key.
+func (s *Scheduler) loadsInProgress(isTarget func(backend string) bool) map[string]int {
 	loading := map[string]int{}
 	for _, replica := range s.tracker.Listed() {
 		action := replica.Action()
@@ -86,7 +86,7 @@
 	return loading
 }
 
-// mayStart tells whether the order under way at a replica may yet be taken.
+// mayStart reports whether the pending order of a replica may still be accepted.
 func (s *Scheduler) mayStart(id string) bool {
 	replica := s.tracker.Replica(id)
 	return replica != nil && replica.State().MayStart()
