--- a/internal/controlplane/replicatracker/disks.go
+++ b/internal/controlplane/replicatracker/disks.go
@@ -9,12 +9,12 @@
 	"ferryspar/internal/placement"
 )
 
-// diskRetention is how long a disk is remembered whose replica no list has shown: well beyond the longest absence of a
-// replica that restarts.
+// diskRetention is how long the disk of a replica that no list shows is remembered, which is well beyond the longest absence
+// of a restarting replica.
 const diskRetention = 10 * time.Minute
 
-// diskKey names the disk that a listed replica may have: a replica that restarts at its address may keep its disk, one of
-// another backend that gets the address later has its own.
+// diskKey identifies the disk that a listed replica may have: a replica that restarts at its address may keep its disk,
+// whereas a replica of another backend that is assigned the address later has a disk of its own.
 type diskKey struct {
 	backend string
 	address string
@@ -24,52 +24,53 @@
 	return diskKey{backend: listed.Backend, address: listed.Address}
 }
 
-// diskModels are the models on one disk. The set is replaced, never changed, because planner inputs keep it.
+// diskModels is the set of models on one disk. The set is replaced rather than modified, because planner inputs keep
+// references to it.
 type diskModels struct {
 	models   map[string]bool
 	listedAt time.Time
 }
 
-// disk is what is known of the disk of one listed replica.
+// disk holds the models on the disk of one listed replica.
 type disk struct {
-	// certain are the models that this incarnation of the replica was itself seen to have loaded.
+	// certain holds the models that this incarnation of the replica was itself seen to have loaded.
 	certain map[string]bool
-	// possible are those that any incarnation at its address was seen to have loaded, certain ones included.
+	// possible holds the models that any incarnation at its address was seen to have loaded, including the certain ones.
 	possible map[string]bool
 }
 
-// DiskInventory remembers which models the replicas have had loaded, so that their disks hold the weights. Only what
-// an incarnation was itself seen to have loaded is certain: an address says nothing of the disk behind it, since a
-// replica may come back there with its disk, with an empty one or with part of what it held (docs/questions.md). It
-// outlives grants of the lease. Any goroutine may use it.
+// DiskInventory records which models the replicas have loaded, since their disks hold the weights of these models. Only what
+// an incarnation was itself seen to have loaded is certain: the address does not identify the disk, since a replica may come
+// back there with its disk, with an empty one or with part of its contents (docs/questions.md). The inventory outlives lease
+// grants. It is safe for concurrent use.
 type DiskInventory struct {
 	lock sync.Mutex
-	// byIncarnation is by replica id, which is new at each start.
+	// byIncarnation is keyed by replica id, which is new at each start of the replica.
 	byIncarnation map[string]diskModels
 	byAddress     map[diskKey]diskModels
 	prunedAt      time.Time
 }
 
-// NewDiskInventory returns an inventory that knows of no disk.
+// NewDiskInventory returns an empty inventory.
 func NewDiskInventory() *DiskInventory {
 	return &DiskInventory{byIncarnation: map[string]diskModels{}, byAddress: map[diskKey]diskModels{}}
 }
 
-// Possible returns the models that the disk of a listed replica may hold. The set must not be changed.
+// Possible returns the models that may be on the disk of a listed replica. The set must not be modified.
 func (d *DiskInventory) Possible(listed discovery.Replica) map[string]bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.byAddress[diskOf(listed)].models
 }
 
-// Certain returns the models that the disk of a listed replica certainly holds. The set must not be changed.
+// Certain returns the models that are certainly on the disk of a listed replica. The set must not be modified.
 func (d *DiskInventory) Certain(listed discovery.Replica) map[string]bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.byIncarnation[listed.ID].models
 }
 
-// disksOf returns what is known of the disks of some replicas, under one lock.
+// disksOf returns the disk contents of the given replicas, all read under one lock.
 func (d *DiskInventory) disksOf(replicas []*Replica) []disk {
 	disks := make([]disk, len(replicas))
 	d.lock.Lock()
@@ -83,8 +84,8 @@
 	return disks
 }
 
-// RecordList records that the disks of listed replicas hold the models that the list names, and forgets disks that no list
-// has shown for long.
+// RecordList records that the disks of listed replicas hold the models named by the list, and drops disks that have not been
+// listed for diskRetention.
 func (d *DiskInventory) RecordList(list []discovery.Replica, now time.Time) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -115,7 +116,7 @@
 	d.byIncarnation[listed.ID], d.byAddress[diskOf(*listed)] = incarnation, address
 }
 
-// recordLoaded records that the disk of a replica holds what it reported.
+// recordLoaded records that the disk of a replica holds the models that it reported as loaded.
 func (d *DiskInventory) recordLoaded(listed discovery.Replica, loaded map[string]bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -125,8 +126,8 @@
 	d.byIncarnation[listed.ID], d.byAddress[diskOf(listed)] = incarnation, address
 }
 
-// reset forgets what the disk of a replica was taken to hold but for the model that it loads and what it surely has
-// loaded.
+// reset drops the recorded disk contents of a replica except for the models that it certainly has loaded and, as a possible
+// one, the model that it is loading.
 func (d *DiskInventory) reset(listed discovery.Replica, model string, loaded map[string]bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -136,7 +137,7 @@
 	d.byIncarnation[listed.ID], d.byAddress[diskOf(listed)] = incarnation, address
 }
 
-// forgetPossible forgets what earlier incarnations at the address of a replica had loaded.
+// forgetPossible drops the models that only earlier incarnations at the address of a replica had loaded.
 func (d *DiskInventory) forgetPossible(listed discovery.Replica) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -145,8 +146,8 @@
 	d.byAddress[diskOf(listed)] = address
 }
 
-// withModels returns a set of models with those among some references; adapters are left out, since they count as no load
-// from the store. The set given is not changed.
+// withModels returns a set of models extended by the models among the references. Adapters are left out, since loading them
+// does not count as a load from the store. The given set is not modified.
 func withModels(models, references map[string]bool) map[string]bool {
 	next := models
 	copied := false
--- a/internal/controlplane/replicatracker/models.go
+++ b/internal/controlplane/replicatracker/models.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/placement"
 )
 
-// References returns the set of references of a replica's models and adapters.
+// References returns the references of a replica's models and adapters.
 func References(models []discovery.LoadedModel) map[string]bool {
 	references := map[string]bool{}
 	for _, model := range models {
@@ -19,7 +19,7 @@
 	return references
 }
 
-// loadedModels lists a set of references as the platform's list does, ordered by name.
+// loadedModels converts a set of references to the form of the platform's list, ordered by name.
 func loadedModels(references map[string]bool) []discovery.LoadedModel {
 	adapters := map[string][]string{}
 	for reference := range references {
@@ -40,7 +40,7 @@
 	return list
 }
 
-// hasExactlyLoaded tells whether a set of references is that of the listed models and adapters.
+// hasExactlyLoaded reports whether a set of references equals that of the listed models and adapters.
 func hasExactlyLoaded(loaded map[string]bool, models []discovery.LoadedModel) bool {
 	count := 0
 	for _, model := range models {
--- a/internal/controlplane/replicatracker/observations.go
+++ b/internal/controlplane/replicatracker/observations.go
@@ -8,31 +8,31 @@
 	"ferryspar/internal/discovery"
 )
 
-// observation is what the tracker knows better than the platform's list of one replica.
+// observation is the state of one replica that the tracker knows better than the platform's list.
 type observation struct {
 	reportedAt time.Time
 	models     []discovery.LoadedModel
 	phase      discovery.Phase
-	// cordoned are the references that data planes must not use, as cordonKey names them.
+	// cordoned holds the references that data planes must not use, in the form of cordonKey.
 	cordoned []string
 }
 
-// Observations is what the lease holder knows better than the platform's list: the models reported since, and the references
-// that are being unloaded. The tracker writes it; any goroutine may use it.
+// Observations holds what the lease holder knows better than the platform's list: the models reported since, and the
+// references being unloaded. The tracker updates it; it is safe for concurrent use.
 type Observations struct {
-	// listLag is how far the platform's list may lag behind the replicas.
+	// listLag is the maximum lag of the platform's list behind the replicas.
 	listLag time.Duration
 	lock    sync.Mutex
 	byID    map[string]observation
 }
 
-// NewObservations returns no observations yet, to be laid over lists that may lag as far as given.
+// NewObservations returns an empty set of observations, to be applied to lists with the given maximum lag.
 func NewObservations(listLag time.Duration) *Observations {
 	return &Observations{listLag: listLag, byID: map[string]observation{}}
 }
 
-// Apply returns a list that was made at a moment or after it with the models and phases that were observed later, and the references
-// that data planes must not use, in order. The list given is not changed.
+// Apply returns a copy of a list, made at asOf or later, with the models and phases that were observed later than the list can
+// show. It also returns the references that data planes must not use, in order. The given list is not modified.
 func (o *Observations) Apply(replicas []discovery.Replica, asOf time.Time) ([]discovery.Replica, []string) {
 	result := make([]discovery.Replica, len(replicas))
 	var cordoned []string
@@ -56,7 +56,7 @@
 	return result, cordoned
 }
 
-// update replaces the observations of replicas that have changed and drops those of replicas that are tracked no more.
+// update replaces the observations of replicas that have changed and removes those of replicas that are no longer tracked.
 func (o *Observations) update(replicas map[string]*Replica) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// clear drops all observations and tells whether there were any.
+// clear removes all observations and reports whether there were any.
 func (o *Observations) clear() bool {
 	o.lock.Lock()
 	defer o.lock.Unlock()
--- a/internal/controlplane/replicatracker/phase_test.go
+++ b/internal/controlplane/replicatracker/phase_test.go
@@ -22,7 +22,7 @@
 	order, possible := tracker.DecidePhase("r", discovery.PhasePrefill, now)
 	assert.Assert(t, possible)
 	assert.Assert(t, tracked.IsChangingPhase())
-	assert.Equal(t, tracked.Phase(), discovery.PhasePrefill, "it counts as one of the phase to come")
+	assert.Equal(t, tracked.Phase(), discovery.PhasePrefill, "it counts as a replica of the target phase")
 	tracker.PublishObservations()
 	_, cordoned := tracker.observations.Apply(list, now)
 	assert.DeepEqual(t, cordoned, []string{"r m"})
@@ -39,7 +39,7 @@
 	assert.Equal(t, observed[0].Phase, discovery.PhasePrefill, "the list lags behind the report")
 }
 
-func TestTracker_PhaseChangeOfUnknownFateKeepsTheCordon(t *testing.T) {
+func TestTracker_PhaseChangeOfUnknownOutcomeKeepsTheCordon(t *testing.T) {
 	now := testStart
 	tracker, list := newTestTracker(now)
 	tracked := tracker.Replica("r")
--- a/internal/controlplane/replicatracker/replica.go
+++ b/internal/controlplane/replicatracker/replica.go
@@ -9,66 +9,66 @@
 	"ferryspar/internal/replicastate"
 )
 
-// Replica is a tracked replica. It is used by the goroutine of its Tracker alone.
+// Replica is a tracked replica. It is used only by the goroutine of its Tracker.
 type Replica struct {
 	listed discovery.Replica
 	state  *replicastate.Replica
-	// action is the planner's action behind the order that is under way, if there is one.
+	// action is the planner's action that led to the order in progress, if there is one.
 	action *placement.Action
-	// decidedAt is when that order was decided, so it began no earlier; startedAt is the same or, once it is accepted, when
-	// its acceptance was received, so it began no later.
+	// decidedAt is when that order was decided, so its execution began no earlier. startedAt is the same until the order is
+	// accepted; then it is when the acceptance was received, so execution began no later.
 	decidedAt, startedAt time.Time
-	// reportedAt is when the replica's last report was adopted.
+	// reportedAt is when the replica's last report was applied.
 	reportedAt time.Time
-	// confirmedByList is set once the platform's list was seen to show what the replica reported; contradictedSince is
-	// since when it has shown something else.
+	// confirmedByList is true once the platform's list has matched the replica's report; contradictedSince is since when the
+	// list has differed from it.
 	confirmedByList   bool
 	contradictedSince time.Time
-	// absentSince is since when the platform's list has left the replica out.
+	// absentSince is since when the replica has been missing from the platform's list.
 	absentSince time.Time
-	// intent is the planner's own note for its next run.
+	// intent is a note that the planner keeps for its next run.
 	intent string
-	// cordoned holds what data planes must not use, as cordonKey names it.
+	// cordoned holds the references that data planes must not use, in the form of cordonKey.
 	cordoned map[string]bool
-	// unpublished is set while the observation published last differs from what is known.
+	// unpublished is true while the published observation is out of date.
 	unpublished bool
 }
 
-// ID is the replica's id in the platform's list.
+// ID returns the replica's id in the platform's list.
 func (r *Replica) ID() string { return r.listed.ID }
 
-// Listed is the replica's entry in the newest list that has it.
+// Listed returns the replica's entry in the newest list that includes it.
 func (r *Replica) Listed() discovery.Replica { return r.listed }
 
-// Backend is the backend that the replica belongs to.
+// Backend returns the backend that the replica belongs to.
 func (r *Replica) Backend() string { return r.listed.Backend }
 
-// Address is where the replica takes orders.
+// Address returns the address at which the replica accepts orders.
 func (r *Replica) Address() string { return r.listed.Address }
 
-// IsDraining tells whether the platform is about to end the replica.
+// IsDraining reports whether the platform is about to terminate the replica.
 func (r *Replica) IsDraining() bool { return r.listed.State == discovery.Draining }
 
-// State is the state machine of the replica. Orders, responses and reports reach it through the Tracker; everything else
-// may be asked of it directly.
+// State returns the replica's state machine. Orders, responses and reports must go through the Tracker; everything else may be
+// called on it directly.
 func (r *Replica) State() *replicastate.Replica { return r.state }
 
-// Action is the planner's action behind the order that is under way, or nil.
+// Action returns the planner's action that led to the order in progress, or nil.
 func (r *Replica) Action() *placement.Action { return r.action }
 
-// StartedAt is when the order under way was decided or, once it is accepted, when its acceptance was received.
+// StartedAt returns when the order in progress was decided or, once it is accepted, when its acceptance was received.
 func (r *Replica) StartedAt() time.Time { return r.startedAt }
 
-// DecidedAt is when the order under way was decided.
+// DecidedAt returns when the order in progress was decided.
 func (r *Replica) DecidedAt() time.Time { return r.decidedAt }
 
-// Intent is the planner's note of its last run.
+// Intent returns the note that the planner left in its last run.
 func (r *Replica) Intent() string { return r.intent }
 
-// SetIntent keeps the planner's note for its next run.
+// SetIntent stores the planner's note for its next run.
 func (r *Replica) SetIntent(intent string) { r.intent = intent }
 
-// Phase is the part of a generation that the replica does, or will do once a change under way is done.
+// Phase returns the replica's serving phase, or the phase that it will have once a change in progress is done.
 func (r *Replica) Phase() discovery.Phase {
 	if target := r.state.TargetPhase(); target != "" {
 		return discovery.Phase(target)
@@ -76,22 +76,22 @@
 	return r.listed.Phase
 }
 
-// IsChangingPhase tells whether a change of the phase is under way or of unknown fate.
+// IsChangingPhase reports whether a phase change is in progress or has an unknown outcome.
 func (r *Replica) IsChangingPhase() bool {
 	return r.state.TargetPhase() != r.state.ServingPhase()
 }
 
-// IsIdle tells whether the replica's state is known and neither an order is under way nor the planner makes room on it.
+// IsIdle reports whether the replica's state is known, no order is in progress and the planner is not making room on it.
 func (r *Replica) IsIdle() bool {
 	return r.state.Phase() == replicastate.Idle && r.intent == ""
 }
 
-// MayHaveLoaded tells whether the replica may have loaded a reference in any state that is still possible.
+// MayHaveLoaded reports whether the replica has a reference loaded in any state that is still possible.
 func (r *Replica) MayHaveLoaded(reference string) bool {
 	return r.state.Loaded()[reference] || r.state.PossiblyLoaded()[reference]
 }
 
-// observation is what is known of the replica, for publication.
+// observation returns the replica's state for publication.
 func (r *Replica) observation() observation {
 	observed := observation{
 		reportedAt: r.reportedAt,
@@ -104,7 +104,7 @@
 	return observed
 }
 
-// server is the replica as the planner sees it.
+// server returns the planner's view of the replica.
 func (r *Replica) server(suspected bool, known disk, now time.Time) *placement.Server {
 	return &placement.Server{
 		ID:          r.listed.ID,
@@ -121,10 +121,10 @@
 	}
 }
 
-// cordonKey names a reference at a replica in lists of what data planes must not use. The form goes on the wire.
+// cordonKey identifies a reference at a replica among those that data planes must not use. It is part of the wire format.
 func cordonKey(id, reference string) string { return id + " " + reference }
 
-// cordon has data planes stop using what is to be unloaded: the model or adapter, and a model's adapters with it.
+// cordon makes data planes stop using a model or adapter that is to be unloaded, and with a model its adapters.
 func (r *Replica) cordon(unloaded string) {
 	r.cordoned[cordonKey(r.listed.ID, unloaded)] = true
 	for reference := range r.state.Loaded() {
@@ -135,7 +135,7 @@
 	r.unpublished = true
 }
 
-// cordonAll has data planes stop using all that the replica has loaded.
+// cordonAll makes data planes stop using everything that the replica has loaded.
 func (r *Replica) cordonAll() {
 	for reference := range r.state.Loaded() {
 		r.cordoned[cordonKey(r.listed.ID, reference)] = true
@@ -143,7 +143,8 @@
 	r.unpublished = true
 }
 
-// refreshCordons lets data planes use again what no order unloads any more.
+// refreshCordons rebuilds the cordons from the changes that may still take effect, so that data planes can use all other
+// references again.
 func (r *Replica) refreshCordons() {
 	r.cordoned = map[string]bool{}
 	for _, change := range r.state.UncertainChanges() {
@@ -157,8 +158,8 @@
 	r.unpublished = true
 }
 
-// recheckContradicted has a replica polled again that the list has long shown with other models than its report: the list
-// was made later than the report by more than the list may lag, and keeps to it.
+// recheckContradicted schedules a poll of a replica if the list has differed from its last report for contradictionTimeout.
+// Only a list that is newer than the report by more than the maximum list lag counts.
 func (r *Replica) recheckContradicted(listLag time.Duration, asOf, now time.Time) {
 	if r.confirmedByList || r.state.Phase() != replicastate.Idle || !asOf.Add(-listLag).After(r.reportedAt) {
 		return
@@ -170,14 +171,14 @@
 	if r.contradictedSince.IsZero() {
 		r.contradictedSince = now
 	}
-	if now.Sub(r.contradictedSince) >= distrustPeriod {
+	if now.Sub(r.contradictedSince) >= contradictionTimeout {
 		r.contradictedSince = time.Time{}
 		r.state.Recheck(now)
 	}
 }
 
-// RunningDiskLoad returns how long a load that was expected to come from the replica's own disk has run at least, if a
-// report requested at a moment shows that it still runs.
+// RunningDiskLoad returns the minimum time that a load expected to come from the replica's own disk has been running, if a
+// report requested at polledAt shows that it still runs.
 func (r *Replica) RunningDiskLoad(report replicastate.Report, polledAt time.Time) (elapsed time.Duration, running bool) {
 	if !r.ExpectsDiskLoad() {
 		return 0, false
@@ -185,12 +186,12 @@
 	return polledAt.Add(-ReportLag).Sub(r.startedAt), r.state.IsCarryingOut(report)
 }
 
-// ExpectsDiskLoad tells whether the load under way is one of a model that is taken to come from the replica's own disk.
+// ExpectsDiskLoad reports whether the order in progress loads a model that is assumed to come from the replica's own disk.
 func (r *Replica) ExpectsDiskLoad() bool {
 	return r.action != nil && r.action.Load && !placement.IsAdapter(r.action.Model) && (!r.action.FromStore || r.action.MayBeDisk)
 }
 
-// PossibleModels returns the models that the replica may have loaded in any state that is still possible.
+// PossibleModels returns the models that the replica has loaded in any state that is still possible.
 func (r *Replica) PossibleModels() []string {
 	var models []string
 	for reference := range r.state.Loaded() {
--- a/internal/controlplane/replicatracker/timings.go
+++ b/internal/controlplane/replicatracker/timings.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// ReportLag is how long after an accepted change a report may still show the state before it.
+	// ReportLag is how long after a change was accepted a report may still show the previous state.
 	ReportLag = 250 * time.Millisecond
-	// UnknownOutcomeDelay is the wait for a report after an order without a clear answer.
+	// UnknownOutcomeDelay is the delay before a report is requested after an order without a clear answer.
 	UnknownOutcomeDelay = 1500 * time.Millisecond
-	// MaxOrderLifetime is how long the network may still hold an order whose call was given up and whose connection was
-	// reset.
+	// MaxOrderLifetime is how long an order may remain in the network after its call was abandoned and its connection reset.
 	MaxOrderLifetime = 3 * time.Second
-	// MaxReportAge is how far before its request the moment may lie that a report shows. Reports are requested this long
-	// after a grant that follows another one, so that none shows a moment before the previous holder's last order.
+	// MaxReportAge is the maximum age of the state in a report, relative to the time of its request. After a grant that
+	// follows another one, reports are requested only after this delay, so that none shows the state before the previous
+	// holder's last order.
 	MaxReportAge = 500 * time.Millisecond
-	// absenceTimeout is how long a replica is kept that the platform's list leaves out.
+	// absenceTimeout is how long a replica that is missing from the platform's list is kept.
 	absenceTimeout = 5 * time.Second
 
-	// pollInterval is the wait before a replica is polled again.
+	// pollInterval is the delay before a replica is polled again.
 	pollInterval = 250 * time.Millisecond
-	// rejectedBackoff is how long a replica that rejects an order is left alone.
+	// rejectedBackoff is how long no order is sent to a replica after it has rejected one.
 	rejectedBackoff = 4 * time.Second
-	// distrustPeriod is how long reports that contradict an answer are taken for outdated ones.
-	distrustPeriod = 2 * time.Second
+	// contradictionTimeout is how long reports that contradict the answer to an order, and lists that contradict a report, are
+	// assumed to be outdated.
+	contradictionTimeout = 2 * time.Second
 )
 
 // Timings returns the timings of tracked replicas.
@@ -37,9 +38,9 @@
 		RejectedBackoff:  rejectedBackoff,
 		MaxOrderLifetime: MaxOrderLifetime,
 		MaxReportAge:     MaxReportAge,
-		DistrustPeriod:   distrustPeriod,
+		DistrustPeriod:   contradictionTimeout,
 	}
 }
 
-// replicaTimings are the timings that all tracked replicas share.
+// replicaTimings is shared by all tracked replicas.
 var replicaTimings = Timings()
--- a/internal/controlplane/replicatracker/tracker.go
+++ b/internal/controlplane/replicatracker/tracker.go
@@ -12,36 +12,36 @@
 	"ferryspar/internal/replicastate"
 )
 
-// Tracker tracks the replicas of the platform's list under one grant of the placement lease at a time. Only one goroutine
-// may use it.
+// Tracker tracks the replicas of the platform's list under one grant of the placement lease at a time. It is not safe for
+// concurrent use.
 type Tracker struct {
-	// listLag is how far the platform's list may lag behind the replicas.
+	// listLag is the maximum lag of the platform's list behind the replicas.
 	listLag      time.Duration
 	disks        *DiskInventory
 	observations *Observations
-	// fence and trustFrom are those of the grant that the replicas are tracked under.
+	// fence and trustFrom belong to the grant under which the replicas are tracked.
 	fence     uint64
 	trustFrom time.Time
 	byID      map[string]*Replica
-	// listed are the replicas of the list adopted last, ordered by id.
+	// listed holds the replicas of the newest list, ordered by id.
 	listed []*Replica
 	// adoptedList identifies that list by its first entry; nil if it was empty.
 	adoptedList *discovery.Replica
-	// unpublished is set while the observations differ from what is known.
+	// unpublished is true while the observations are out of date.
 	unpublished bool
 }
 
-// New returns a tracker of no replicas. The platform's list may lag as far as given. The tracker writes what it learns to the
+// New returns a tracker without replicas. The platform's list may lag by listLag. The tracker records what it learns in the
 // inventory and the observations.
 func New(listLag time.Duration, disks *DiskInventory, observations *Observations) *Tracker {
 	return &Tracker{listLag: listLag, disks: disks, observations: observations, byID: map[string]*Replica{}}
 }
 
-// Reset forgets all replicas and goes on under a grant of the lease with the given fence. Reports requested before trustFrom
-// may show what orders of an earlier holder have changed since, so none is requested before it. Reset tells whether anything
-// was forgotten.
+// Reset drops all replicas and continues under a lease grant with the given fence. A report requested before trustFrom may not
+// yet show the effects of an earlier holder's orders, so none is requested before then. Reset reports whether any replica was
+// dropped.
 //
-// What was learned under one grant must not be used under another: someone else may have sent orders in between.
+// What was learned under one grant must not be used under another, because another node may have sent orders in between.
 func (t *Tracker) Reset(fence uint64, trustFrom time.Time) bool {
 	t.fence, t.trustFrom = fence, trustFrom
 	t.adoptedList, t.listed = nil, nil
@@ -52,8 +52,8 @@
 	return true
 }
 
-// AdoptList follows a list that was made at a moment or after it: replicas new in it are tracked, their reports still
-// unknown, and those that have been left out for absenceTimeout are dropped. It returns false for the very list adopted last.
+// AdoptList applies a list that was made at asOf or later: replicas that are new in the list are tracked, in an unknown state,
+// and replicas that have been missing for absenceTimeout are dropped. It returns false if the list is the one applied last.
 func (t *Tracker) AdoptList(list []discovery.Replica, asOf, now time.Time) bool {
 	if len(list) > 0 && t.adoptedList == &list[0] && len(t.byID) == len(list) {
 		return false
@@ -86,7 +86,7 @@
 	return true
 }
 
-// track starts to track a listed replica under the present grant.
+// track starts tracking a listed replica under the current grant.
 func (t *Tracker) track(listed *discovery.Replica) *Replica {
 	replica := &Replica{
 		state:       replicastate.New(replicaTimings, t.fence, t.trustFrom, References(listed.Models)),
@@ -97,8 +97,8 @@
 	return replica
 }
 
-// recordPresence drops a replica that the list has left out for absenceTimeout. Until then it is kept: its order and what is
-// known of it still belong to it if a later list shows it again.
+// recordPresence drops a replica that has been missing from the list for absenceTimeout. It is kept until then, since its
+// state and its order remain valid if a later list shows it again.
 func (t *Tracker) recordPresence(replica *Replica, present bool, now time.Time) {
 	if present {
 		replica.absentSince = time.Time{}
@@ -113,24 +113,24 @@
 	}
 }
 
-// Replica returns the tracked replica of an id, or nil.
+// Replica returns the tracked replica with the given id, or nil.
 func (t *Tracker) Replica(id string) *Replica { return t.byID[id] }
 
-// IsTracked tells whether a replica belongs to the present grant and has not been dropped.
+// IsTracked reports whether a replica is tracked under the current grant and has not been dropped.
 func (t *Tracker) IsTracked(replica *Replica) bool { return t.byID[replica.ID()] == replica }
 
-// Len is the number of tracked replicas, those that the newest list leaves out included.
+// Len returns the number of tracked replicas, including those missing from the newest list.
 func (t *Tracker) Len() int { return len(t.byID) }
 
-// All returns all tracked replicas in no order, those that the newest list leaves out included.
+// All returns all tracked replicas in no particular order, including those missing from the newest list.
 func (t *Tracker) All() iter.Seq[*Replica] { return maps.Values(t.byID) }
 
-// Listed returns the replicas of the list adopted last, ordered by id. The slice must not be changed, nor kept beyond the
-// next list.
+// Listed returns the replicas of the newest list, ordered by id. The slice must not be modified, nor used after the next call
+// of AdoptList.
 func (t *Tracker) Listed() []*Replica { return t.listed }
 
-// Servers returns the planner's view of the listed replicas that belong to certain backends. The set holds the ids of
-// replicas that data planes suspect.
+// Servers returns the planner's view of the listed replicas of the target backends. suspected holds the ids of the replicas
+// that data planes suspect.
 func (t *Tracker) Servers(isTarget func(backend string) bool, suspected map[string]bool, now time.Time) []*placement.Server {
 	servers := make([]*placement.Server, 0, len(t.listed))
 	disks := t.disks.disksOf(t.listed)
@@ -142,8 +142,8 @@
 	return servers
 }
 
-// Decide ties a planner's action to what is known of its replica. It returns false where nothing may be ordered now. The
-// references that the action unloads are cordoned from here on.
+// Decide records a planner's action for its replica and returns the order to send. It returns false if no order is possible
+// now. References that the action unloads are cordoned from then on.
 func (t *Tracker) Decide(action placement.Action, now time.Time) (replicastate.Order, bool) {
 	replica := t.byID[action.Server]
 	order, possible := replica.state.Decide(replicastate.Change{Load: action.Load, Reference: action.Model}, now)
@@ -160,8 +160,9 @@
 	return order, true
 }
 
-// DecidePhase ties a change of the serving phase to what is known of the replica. It returns false where nothing may be ordered
-// now. All that the replica has loaded is cordoned from here on, since it rejects requests until the change is done.
+// DecidePhase records a change of a replica's serving phase and returns the order to send. It returns false if no order is
+// possible now. Everything that the replica has loaded is cordoned from then on, since it rejects requests until the change is
+// done.
 func (t *Tracker) DecidePhase(id string, phase discovery.Phase, now time.Time) (replicastate.Order, bool) {
 	replica := t.byID[id]
 	if replica == nil {
@@ -192,7 +193,8 @@
 	}
 }
 
-// HandleReport applies a report, and tells whether it was adopted. Where it is, it ends the order under way.
+// HandleReport applies a report and returns whether replicastate.Replica.HandleReport accepted it. An accepted report ends the
+// order in progress.
 func (t *Tracker) HandleReport(replica *Replica, report replicastate.Report, now time.Time) bool {
 	if !replica.state.HandleReport(report, now) {
 		return false
@@ -205,9 +207,9 @@
 	return true
 }
 
-// ReclassifyDiskLoad marks the load under way as one from the store: it has run for too long to come from the replica's
-// disk. It tells whether the load was counted as one from the store before it began. What else the disk was taken to hold is
-// forgotten.
+// ReclassifyDiskLoad marks the load in progress as one from the store, since it has run for too long to come from the
+// replica's disk. It returns whether the load was counted as a store load before it started. Other models assumed to be on the
+// disk are dropped.
 func (t *Tracker) ReclassifyDiskLoad(replica *Replica) (wasCounted bool) {
 	wasCounted = replica.action.FromStore
 	replica.action.FromStore, replica.action.MayBeDisk = true, false
@@ -224,16 +226,16 @@
 	t.unpublished = true
 }
 
-// HasUnpublished tells whether the observations differ from what is known.
+// HasUnpublished reports whether the observations are out of date.
 func (t *Tracker) HasUnpublished() bool { return t.unpublished }
 
-// PublishObservations brings the observations up to date.
+// PublishObservations updates the observations.
 func (t *Tracker) PublishObservations() {
 	t.observations.update(t.byID)
 	t.unpublished = false
 }
 
-// WithdrawObservations drops the observations, since another node may know better, and tells whether there were any.
+// WithdrawObservations removes the observations, since another node may have newer ones, and reports whether there were any.
 func (t *Tracker) WithdrawObservations() bool {
 	if !t.observations.clear() {
 		return false
--- a/internal/controlplane/replicatracker/tracker_test.go
+++ b/internal/controlplane/replicatracker/tracker_test.go
@@ -15,7 +15,7 @@
 
 const testListLag = 800 * time.Millisecond
 
-// newTestTracker tracks one replica "r" that the list shows with "m", under a grant that follows no other.
+// newTestTracker returns a tracker, under a first grant, of one replica "r" that the list shows with "m", and that list.
 func newTestTracker(now time.Time) (*Tracker, []discovery.Replica) {
 	tracker := New(testListLag, NewDiskInventory(), NewObservations(testListLag))
 	tracker.Reset(1, time.Time{})
@@ -64,13 +64,13 @@
 	tracker, list := newTestTracker(testStart)
 	assert.Equal(t, len(tracker.Listed()), 1)
 	assert.Assert(t, tracker.Reset(2, testStart))
-	assert.Equal(t, len(tracker.Listed()), 0, "only replicas of this grant")
-	assert.Assert(t, tracker.AdoptList(list, testStart, testStart), "the same list counts anew under another grant")
+	assert.Equal(t, len(tracker.Listed()), 0, "only replicas of the current grant")
+	assert.Assert(t, tracker.AdoptList(list, testStart, testStart), "the same list is applied again under another grant")
 	assert.Equal(t, tracker.Listed()[0], tracker.Replica("r"))
-	assert.Assert(t, !tracker.AdoptList(list, testStart, testStart), "the very same list changes nothing")
+	assert.Assert(t, !tracker.AdoptList(list, testStart, testStart), "the same list under the same grant changes nothing")
 }
 
-func TestDiskInventory_AddressAloneProvesNothing(t *testing.T) {
+func TestDiskInventory_SameAddressDoesNotProveSameDisk(t *testing.T) {
 	disks := NewDiskInventory()
 	old := discovery.Replica{ID: "old", Backend: "s", Address: "here", Models: []discovery.LoadedModel{{Name: "m"}, {Name: "n"}}}
 	returned := discovery.Replica{ID: "new", Backend: "s", Address: "here"}
@@ -79,24 +79,24 @@
 		assert.Equal(t, len(disks.Certain(old)), 2)
 		assert.Equal(t, len(disks.Possible(old)), 2)
 	})
-	t.Run("the next one at its address", func(t *testing.T) {
+	t.Run("the next incarnation at its address", func(t *testing.T) {
 		assert.Equal(t, len(disks.Certain(returned)), 0)
 		assert.Equal(t, len(disks.Possible(returned)), 2)
 	})
-	t.Run("one of another backend at that address", func(t *testing.T) {
+	t.Run("a replica of another backend at that address", func(t *testing.T) {
 		assert.Equal(t, len(disks.Possible(discovery.Replica{ID: "other", Backend: "t", Address: "here"})), 0)
 	})
-	t.Run("once it has one of the models loaded", func(t *testing.T) {
+	t.Run("after it has loaded one of the models", func(t *testing.T) {
 		disks.recordLoaded(returned, map[string]bool{"m": true, "m/a1": true})
 		assert.DeepEqual(t, disks.Certain(returned), map[string]bool{"m": true})
 	})
-	t.Run("once a load there has come from the store", func(t *testing.T) {
+	t.Run("after a load there came from the store", func(t *testing.T) {
 		disks.forgetPossible(returned)
 		assert.DeepEqual(t, disks.Possible(returned), map[string]bool{"m": true})
 	})
 }
 
-func TestDiskInventory_ForgetsDisksThatNoListShows(t *testing.T) {
+func TestDiskInventory_DropsDisksOfUnlistedReplicas(t *testing.T) {
 	disks := NewDiskInventory()
 	gone := discovery.Replica{ID: "gone", Backend: "s", Address: "there", Models: []discovery.LoadedModel{{Name: "m"}}}
 	kept := discovery.Replica{ID: "kept", Backend: "s", Address: "here", Models: []discovery.LoadedModel{{Name: "m"}}}
