--- a/internal/controlplane/applier/registers.go
+++ b/internal/controlplane/applier/registers.go
@@ -51,7 +51,7 @@
 		}
 		next.AddDifference(record.Difference)
 		next.Revision = record.Revision
-		next.PackedConfiguration = record.Packed
+		next.PackedConfiguration = record.CompressedDocument
 		next.AppliedCalls = record.AppliedCalls
 		return true
 	})
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -66,7 +66,7 @@
 	var record T
 	register, err := n.store.Read(bounded, key)
 	if err != nil {
-		return record, controlstate.Translate(err)
+		return record, controlstate.ToAPIError(err)
 	}
 	_ = json.Unmarshal(register.Value, &record)
 	return record, nil
@@ -91,7 +91,7 @@
 		return nil
 	}
 	if err != nil {
-		return controlstate.Translate(err)
+		return controlstate.ToAPIError(err)
 	}
 	n.announce(ctx, register)
 	return nil
--- a/internal/controlplane/configuration_bench_test.go
+++ b/internal/controlplane/configuration_bench_test.go
@@ -177,7 +177,7 @@
 	}
 	per := func(now, before int64) float64 { return float64(now-before) / float64(changes) }
 	b.ReportMetric(float64(len(document)), "document-bytes")
-	b.ReportMetric(float64(len(record.Packed)), "packed-bytes")
+	b.ReportMetric(float64(len(record.CompressedDocument)), "packed-bytes")
 	b.ReportMetric(float64(len(entries)), "marks-bytes")
 	b.ReportMetric(float64(len(written.Register.Value)), "value-bytes")
 	b.ReportMetric(per(disks[1].written.Load(), bytesWritten), "disk-bytes/member")
--- a/internal/controlplane/members/changes.go
+++ b/internal/controlplane/members/changes.go
@@ -60,7 +60,7 @@
 		return
 	}
 	due.observe(change, now)
-	if now.Sub(due.since) >= membership.ProposalDelay(view)+change.Patience {
+	if now.Sub(due.since) >= membership.ProposalDelay(view)+change.StabilizationDelay {
 		m.commitChange(ctx, view.Membership, change)
 	}
 }
--- a/internal/controlplane/replicatracker/phase_test.go
+++ b/internal/controlplane/replicatracker/phase_test.go
@@ -46,7 +46,7 @@
 	report := replicastate.Report{Loaded: map[string]bool{"m": true}, ServingPhase: "decode"}
 	assert.Assert(t, tracker.HandleReport(tracked, report, now))
 	order, _ := tracker.DecidePhase("r", discovery.PhasePrefill, now)
-	tracker.HandleResponse(tracked, order, replicastate.NoAnswer, now)
+	tracker.HandleResponse(tracked, order, replicastate.NoResponse, now)
 	tracker.PublishObservations()
 	_, cordoned := tracker.observations.Apply(list, now)
 	assert.DeepEqual(t, cordoned, []string{"r m"})
--- a/internal/controlplane/replicatracker/replica.go
+++ b/internal/controlplane/replicatracker/replica.go
@@ -182,7 +182,7 @@
 	if !r.ExpectsDiskLoad() {
 		return 0, false
 	}
-	return polledAt.Add(-ReportLag).Sub(r.startedAt), r.state.IsCarryingOut(report)
+	return polledAt.Add(-ReportLag).Sub(r.startedAt), r.state.IsExecuting(report)
 }
 
 // ExpectsDiskLoad tells whether the load under way is one of a model that is taken to come from the replica's own disk.
--- a/internal/controlplane/replicatracker/timings.go
+++ b/internal/controlplane/replicatracker/timings.go
@@ -31,13 +31,13 @@
 // Timings returns the timings of tracked replicas.
 func Timings() *replicastate.Timings {
 	return &replicastate.Timings{
-		ReportLag:        ReportLag,
-		PollInterval:     pollInterval,
-		UnknownFateDelay: UnknownFateDelay,
-		RejectedBackoff:  rejectedBackoff,
-		MaxOrderLifetime: MaxOrderLifetime,
-		MaxReportAge:     MaxReportAge,
-		DistrustPeriod:   distrustPeriod,
+		ReportLag:           ReportLag,
+		PollInterval:        pollInterval,
+		UnknownOutcomeDelay: UnknownFateDelay,
+		RejectionBackoff:    rejectedBackoff,
+		MaxOrderLifetime:    MaxOrderLifetime,
+		MaxReportAge:        MaxReportAge,
+		StaleReportWindow:   distrustPeriod,
 	}
 }
 
--- a/internal/controlplane/replicatracker/tracker_test.go
+++ b/internal/controlplane/replicatracker/tracker_test.go
@@ -40,7 +40,7 @@
 	now = now.Add(absenceTimeout - time.Millisecond)
 	tracker.AdoptList(list, now, now)
 	assert.Equal(t, tracker.Replica("r"), tracked)
-	assert.Equal(t, tracked.State().Phase(), replicastate.Ordered)
+	assert.Equal(t, tracked.State().Phase(), replicastate.AwaitingResponse)
 	tracker.AdoptList(nil, now, now)
 	now = now.Add(absenceTimeout)
 	tracker.AdoptList(nil, now, now)
--- a/internal/controlplane/scheduler/grants_test.go
+++ b/internal/controlplane/scheduler/grants_test.go
@@ -54,7 +54,7 @@
 	now = scheduler.grant.ExpiresAt
 	scheduler.adoptGrant(scheduler.grant)
 	scheduler.adoptGrant(nil)
-	tracked.State().HandleResponse(order, replicastate.NoAnswer, now)
+	tracked.State().HandleResponse(order, replicastate.NoResponse, now)
 	renewed.ExpiresAt = now.Add(time.Second)
 	scheduler.adoptGrant(&renewed)
 	assert.Equal(t, scheduler.tracker.Replica("r"), tracked)
--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -95,7 +95,7 @@
 		Phase:         discovery.Phase(order.ServingPhase),
 		LeaseHolder:   grant.Record.Holder,
 		Fence:         grant.Record.Fence,
-		ExpectedCount: order.Expected,
+		ExpectedCount: order.ExpectedSequence,
 	})
 }
 
@@ -124,11 +124,11 @@
 // outcomeOf is what the end of an order's call says of the order; an error says nothing, unless it is that nothing was sent.
 func outcomeOf(status int, err error) replicastate.Outcome {
 	if errors.Is(err, replica.ErrNotSent) {
-		return replicastate.Unreached
+		return replicastate.Unreachable
 	}
 	outcome, known := outcomeByStatus[status]
 	if err != nil || !known {
-		return replicastate.NoAnswer
+		return replicastate.NoResponse
 	}
 	return outcome
 }
@@ -145,7 +145,7 @@
 	s.recordLoadOutcome(tracked, outcome, now)
 	s.tracker.HandleResponse(tracked, order, outcome, now)
 	if tracked.State().Phase() == replicastate.Changing {
-		tracked.State().ExpectDone(now.Add(s.expectedDuration(tracked)))
+		tracked.State().ExpectCompletion(now.Add(s.expectedDuration(tracked)))
 	}
 }
 
@@ -158,7 +158,7 @@
 		return
 	}
 	switch outcome {
-	case replicastate.NoAnswer:
+	case replicastate.NoResponse:
 	case replicastate.Accepted:
 		s.budget.recordStarted(tracked.ID(), now)
 	default:
@@ -201,7 +201,7 @@
 		"reason":        reason,
 		"status":        status,
 		"fence":         order.Fence,
-		"expected":      order.Expected,
+		"expected":      order.ExpectedSequence,
 		logrus.ErrorKey: err,
 	}).Info("placement order sent")
 }
--- a/internal/controlplane/scheduler/polls.go
+++ b/internal/controlplane/scheduler/polls.go
@@ -107,7 +107,7 @@
 	doneAt := p.verifyDiskLoad(tracked, reported, polledAt)
 	action, decidedAt, startedAt := tracked.Action(), tracked.DecidedAt(), tracked.StartedAt()
 	if !p.tracker.HandleReport(tracked, reported, now) {
-		tracked.State().ExpectDone(doneAt)
+		tracked.State().ExpectCompletion(doneAt)
 		return
 	}
 	if action != nil && reported.Loaded[action.Model] {
--- a/internal/controlplane/scheduler/sync.go
+++ b/internal/controlplane/scheduler/sync.go
@@ -89,5 +89,5 @@
 // mayStart tells whether the order under way at a replica may yet be taken.
 func (s *Scheduler) mayStart(id string) bool {
 	replica := s.tracker.Replica(id)
-	return replica != nil && replica.State().MayStart()
+	return replica != nil && replica.State().HasUnconfirmedOrder()
 }
--- a/internal/controlstate/appliedcalls.go
+++ b/internal/controlstate/appliedcalls.go
@@ -33,8 +33,8 @@
 	// Entries holds, for each call, a varint with the difference between the revision that it built on and the
 	// one that the call before it built on, and the call's digest: about ten bytes.
 	Entries []byte `json:"entries,omitempty"`
-	// ForgottenUpTo is the newest revision that a forgotten call built on.
-	ForgottenUpTo int64 `json:"forgotten,omitempty"`
+	// EvictedUpTo is the newest revision that a forgotten call built on.
+	EvictedUpTo int64 `json:"forgotten,omitempty"`
 }
 
 // appliedCall is an entry of AppliedCalls.
@@ -90,12 +90,12 @@
 	if oldest, found := c.oldest(); found && oldest.revisionStep == 0 {
 		return false
 	}
-	return baseRevision <= c.ForgottenUpTo
+	return baseRevision <= c.EvictedUpTo
 }
 
 // add remembers a call that built on baseRevision, and forgets the oldest one if there are too many.
 func (c AppliedCalls) add(baseRevision int64, digest callDigest) AppliedCalls {
-	lastRevision, count := c.ForgottenUpTo, 0
+	lastRevision, count := c.EvictedUpTo, 0
 	for call := range c.all() {
 		lastRevision += call.revisionStep
 		count++
@@ -106,12 +106,12 @@
 	}
 	entries := binary.AppendVarint(bytes.Clone(kept.Entries), baseRevision-lastRevision)
 	return AppliedCalls{
-		Entries:       append(entries, digest[:]...),
-		ForgottenUpTo: kept.ForgottenUpTo,
+		Entries:     append(entries, digest[:]...),
+		EvictedUpTo: kept.EvictedUpTo,
 	}
 }
 
-// withoutOldest forgets the first entry. The steps of the others are counted from ForgottenUpTo, which becomes the
+// withoutOldest forgets the first entry. The steps of the others are counted from EvictedUpTo, which becomes the
 // revision that the forgotten call built on.
 func (c AppliedCalls) withoutOldest() AppliedCalls {
 	oldest, found := c.oldest()
@@ -119,7 +119,7 @@
 		return c
 	}
 	return AppliedCalls{
-		Entries:       c.Entries[oldest.encodedBytes:],
-		ForgottenUpTo: c.ForgottenUpTo + oldest.revisionStep,
+		Entries:     c.Entries[oldest.encodedBytes:],
+		EvictedUpTo: c.EvictedUpTo + oldest.revisionStep,
 	}
 }
--- a/internal/controlstate/configuration.go
+++ b/internal/controlstate/configuration.go
@@ -95,7 +95,7 @@
 }
 
 func patchWhole(current ConfigurationRecord, body []byte) (document, error) {
-	content, err := configuration.Decompress(current.Packed)
+	content, err := configuration.Decompress(current.CompressedDocument)
 	if err != nil {
 		return document{}, err
 	}
@@ -151,7 +151,7 @@
 func (s *State) Configuration(ctx context.Context) (json.RawMessage, error) {
 	register, err := s.Store.Read(ctx, keystore.ConfigurationKey)
 	if err != nil {
-		return nil, Translate(err)
+		return nil, ToAPIError(err)
 	}
 	record, err := DecodeConfiguration(register)
 	if err != nil {
@@ -160,5 +160,5 @@
 	if record.Revision == 0 {
 		return nil, apierror.New(apierror.NoConfiguration, "")
 	}
-	return configuration.Decompress(record.Packed)
+	return configuration.Decompress(record.CompressedDocument)
 }
--- a/internal/controlstate/itemscache.go
+++ b/internal/controlstate/itemscache.go
@@ -24,7 +24,7 @@
 	if c.items != nil && bytes.Equal(c.value, value) {
 		return c.items, nil
 	}
-	content, err := configuration.Decompress(record.Packed)
+	content, err := configuration.Decompress(record.CompressedDocument)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlstate/records.go
+++ b/internal/controlstate/records.go
@@ -13,8 +13,8 @@
 // ConfigurationRecord is the value of the configuration's key. The JSON names are a storage format.
 type ConfigurationRecord struct {
 	Revision int64 `json:"revision"`
-	// Packed is the document in force, compressed.
-	Packed []byte `json:"packed"`
+	// CompressedDocument is the document in force, compressed.
+	CompressedDocument []byte `json:"packed"`
 	// Difference leads from the revision before to this one, if they differ in routes only and it is smaller than the document.
 	Difference *configuration.Difference `json:"difference,omitempty"`
 	// AppliedCalls remembers the calls that were carried out.
@@ -33,7 +33,7 @@
 	if len(record.LegacyDigests) > 0 {
 		// Which calls these digests stand for can no longer be determined, so all of them count as forgotten.
 		record.LegacyDigests = nil
-		record.AppliedCalls.ForgottenUpTo = record.Revision - 1
+		record.AppliedCalls.EvictedUpTo = record.Revision - 1
 	}
 	return record, err
 }
@@ -51,7 +51,7 @@
 		return apierror.New(
 			apierror.CallTooOld,
 			"calls that built on versions up to %d are not remembered",
-			r.AppliedCalls.ForgottenUpTo,
+			r.AppliedCalls.EvictedUpTo,
 		)
 	}
 	return apierror.New(apierror.VersionConflict, "revision %d is current", r.Revision)
@@ -74,11 +74,11 @@
 // next is the record that a call writes.
 func (r ConfigurationRecord) next(document document, call callDigest) ConfigurationRecord {
 	next := ConfigurationRecord{
-		Revision:     document.revision,
-		Packed:       configuration.Compress(document.content),
-		AppliedCalls: r.AppliedCalls.add(r.Revision, call),
+		Revision:           document.revision,
+		CompressedDocument: configuration.Compress(document.content),
+		AppliedCalls:       r.AppliedCalls.add(r.Revision, call),
 	}
-	if document.difference != nil && len(document.difference.Patch) < len(next.Packed) {
+	if document.difference != nil && len(document.difference.Patch) < len(next.CompressedDocument) {
 		next.Difference = document.difference
 	}
 	return next
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -50,13 +50,13 @@
 		return Change{Register: register}, nil
 	}
 	if err != nil {
-		return Change{}, Translate(err)
+		return Change{}, ToAPIError(err)
 	}
 	return Change{Register: register, Written: true}, nil
 }
 
-// Translate turns an error of the keystore into an apierror.Error; others pass.
-func Translate(err error) error {
+// ToAPIError turns an error of the keystore into an apierror.Error; others pass.
+func ToAPIError(err error) error {
 	switch {
 	case errors.Is(err, keystore.ErrNoMajority), errors.Is(err, keystore.ErrContended):
 		return apierror.New(apierror.NoMajority, "")
--- a/internal/controlstate/state_test.go
+++ b/internal/controlstate/state_test.go
@@ -66,8 +66,8 @@
 		errors.Wrap(keystore.ErrUncertain, "x"),
 	} {
 		t.Run(err.Error(), func(t *testing.T) {
-			assert.Equal(t, kindOf(controlstate.Translate(err)).Status(), http.StatusServiceUnavailable)
+			assert.Equal(t, kindOf(controlstate.ToAPIError(err)).Status(), http.StatusServiceUnavailable)
 		})
 	}
-	assert.NilError(t, controlstate.Translate(nil))
+	assert.NilError(t, controlstate.ToAPIError(nil))
 }
--- a/internal/membership/change.go
+++ b/internal/membership/change.go
@@ -19,8 +19,8 @@
 type Change struct {
 	Membership keystore.Membership
 	Reason     string
-	// Patience is how long the change must have been due before anybody proposes it.
-	Patience time.Duration
+	// StabilizationDelay is how long the change must have been due before anybody proposes it.
+	StabilizationDelay time.Duration
 }
 
 // NextChange returns the change of the membership that is due in this view, and whether there is one. Members
@@ -110,7 +110,7 @@
 }
 
 func (v View) takeBackChange(reason string, patience time.Duration) Change {
-	return Change{Membership: v.Membership.TakenBack(), Reason: reason, Patience: patience}
+	return Change{Membership: v.Membership.TakenBack(), Reason: reason, StabilizationDelay: patience}
 }
 
 // memberToReplace returns the member to replace, and why: a lost one before one that is leaving, because the latter
--- a/internal/replicastate/fixtures_test.go
+++ b/internal/replicastate/fixtures_test.go
@@ -10,13 +10,13 @@
 var testStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 var testTimings = &Timings{
-	ReportLag:        250 * time.Millisecond,
-	PollInterval:     250 * time.Millisecond,
-	UnknownFateDelay: 1500 * time.Millisecond,
-	RejectedBackoff:  4 * time.Second,
-	MaxOrderLifetime: 3 * time.Second,
-	MaxReportAge:     500 * time.Millisecond,
-	DistrustPeriod:   2 * time.Second,
+	ReportLag:           250 * time.Millisecond,
+	PollInterval:        250 * time.Millisecond,
+	UnknownOutcomeDelay: 1500 * time.Millisecond,
+	RejectionBackoff:    4 * time.Second,
+	MaxOrderLifetime:    3 * time.Second,
+	MaxReportAge:        500 * time.Millisecond,
+	StaleReportWindow:   2 * time.Second,
 }
 
 const testFence = 7
--- a/internal/replicastate/order.go
+++ b/internal/replicastate/order.go
@@ -20,8 +20,8 @@
 // Order is a change that was decided on what a replica had loaded at one sequence, under one grant of the lease.
 type Order struct {
 	Change
-	// Expected is the replica's sequence that the change was decided on.
-	Expected int64
+	// ExpectedSequence is the replica's sequence that the change was decided on.
+	ExpectedSequence int64
 	// Fence is that of the grant under which the order was decided; it may be sent under no other.
 	Fence uint64
 }
@@ -42,10 +42,10 @@
 	Fenced
 	// Rejected says that there is no such order or no such replica at the address.
 	Rejected
-	// Unreached says that nothing was written, since the replica could not be reached.
-	Unreached
-	// NoAnswer says that the order may or may not have been taken, and may yet arrive.
-	NoAnswer
+	// Unreachable says that nothing was written, since the replica could not be reached.
+	Unreachable
+	// NoResponse says that the order may or may not have been taken, and may yet arrive.
+	NoResponse
 )
 
 // Report is what a replica says of itself. It shows one moment, which may lie before the request for it.
--- a/internal/replicastate/phase_test.go
+++ b/internal/replicastate/phase_test.go
@@ -20,7 +20,7 @@
 	replica := idlePhase(t, 4, "decode")
 	assert.Equal(t, replica.ServingPhase(), "decode")
 	order := decide(t, replica, change("prefill"), at(1))
-	assert.Equal(t, order.Expected, int64(4))
+	assert.Equal(t, order.ExpectedSequence, int64(4))
 	assert.Equal(t, replica.TargetPhase(), "prefill")
 	checkBounds(t, replica, set("a"), nil)
 	replica.HandleResponse(order, Accepted, at(1))
@@ -35,7 +35,7 @@
 
 func TestReplica_PhaseChangeOfUnknownFateCountsUntilItIsResolved(t *testing.T) {
 	replica := idlePhase(t, 4, "decode")
-	decideAndEnd(t, replica, change("prefill"), NoAnswer, at(1))
+	decideAndEnd(t, replica, change("prefill"), NoResponse, at(1))
 	assert.Equal(t, replica.TargetPhase(), "prefill", "it may yet be taken")
 	assert.Equal(t, len(replica.UncertainChanges()), 1)
 	report(t, replica, true, Report{Sequence: 5, Loaded: set("a"), ServingPhase: "prefill"}, at(2.6))
--- a/internal/replicastate/replica.go
+++ b/internal/replicastate/replica.go
@@ -11,16 +11,16 @@
 	ReportLag time.Duration
 	// PollInterval is the wait before a replica is polled again.
 	PollInterval time.Duration
-	// UnknownFateDelay is the wait for a report after an order without a clear answer.
-	UnknownFateDelay time.Duration
-	// RejectedBackoff is how long a replica that rejects an order is left alone.
-	RejectedBackoff time.Duration
+	// UnknownOutcomeDelay is the wait for a report after an order without a clear answer.
+	UnknownOutcomeDelay time.Duration
+	// RejectionBackoff is how long a replica that rejects an order is left alone.
+	RejectionBackoff time.Duration
 	// MaxOrderLifetime is how long after the end of its call the network may hold an order.
 	MaxOrderLifetime time.Duration
 	// MaxReportAge is how far before its request the moment may lie that a report shows.
 	MaxReportAge time.Duration
-	// DistrustPeriod is how long reports that contradict what was learned from answers are taken for outdated ones.
-	DistrustPeriod time.Duration
+	// StaleReportWindow is how long reports that contradict what was learned from answers are taken for outdated ones.
+	StaleReportWindow time.Duration
 }
 
 // Phase says what may be done with a replica.
@@ -31,8 +31,8 @@
 	Unknown Phase = iota
 	// Idle is a replica that has reported what it has loaded and has no order under way.
 	Idle
-	// Ordered is a replica with an order that was decided and not answered yet.
-	Ordered
+	// AwaitingResponse is a replica with an order that was decided and not answered yet.
+	AwaitingResponse
 	// Changing is a replica that carries an order out.
 	Changing
 )
@@ -47,7 +47,7 @@
 	loaded map[string]bool
 	// servingPhase is what the replica reported last, empty before.
 	servingPhase string
-	// current is the order under way in the phases Ordered and Changing.
+	// current is the order under way in the phases AwaitingResponse and Changing.
 	current Order
 	// uncertain are the orders of unknown fate, those included that the replica has gone past the sequence of.
 	uncertain []uncertainOrder
@@ -92,7 +92,7 @@
 
 // PendingChange is the change that was decided and has not ended, if there is one.
 func (r *Replica) PendingChange() (change Change, pending bool) {
-	return r.current.Change, r.phase == Ordered || r.phase == Changing
+	return r.current.Change, r.phase == AwaitingResponse || r.phase == Changing
 }
 
 // IsReady tells whether an order may be decided now.
@@ -105,14 +105,14 @@
 	if !r.IsReady(now) {
 		return Order{}, false
 	}
-	r.phase = Ordered
-	r.current = Order{Change: change, Expected: r.sequence, Fence: r.fence}
+	r.phase = AwaitingResponse
+	r.current = Order{Change: change, ExpectedSequence: r.sequence, Fence: r.fence}
 	return r.current, true
 }
 
 // HandleResponse applies the outcome of an order's call. An order that is not the current one changes nothing.
 func (r *Replica) HandleResponse(order Order, outcome Outcome, now time.Time) {
-	if r.phase != Ordered || order != r.current {
+	if r.phase != AwaitingResponse || order != r.current {
 		return
 	}
 	switch outcome {
@@ -123,16 +123,16 @@
 	case AlreadyDone:
 		r.awaitCompletion(now)
 	case Conflict:
-		r.rejected = rejection{sequence: order.Expected, until: now.Add(r.timings.DistrustPeriod)}
+		r.rejected = rejection{sequence: order.ExpectedSequence, until: now.Add(r.timings.StaleReportWindow)}
 		r.invalidate(now.Add(r.timings.PollInterval))
-	case Unreached:
+	case Unreachable:
 		r.invalidate(now.Add(r.timings.PollInterval))
 	case Fenced, Rejected:
-		r.blockedUntil = now.Add(r.timings.RejectedBackoff)
+		r.blockedUntil = now.Add(r.timings.RejectionBackoff)
 		r.invalidate(r.blockedUntil)
 	default:
 		r.uncertain = append(r.uncertain, uncertainOrder{Order: order, expiresAt: now.Add(r.timings.MaxOrderLifetime)})
-		r.invalidate(now.Add(r.timings.UnknownFateDelay))
+		r.invalidate(now.Add(r.timings.UnknownOutcomeDelay))
 	}
 }
 
@@ -169,7 +169,7 @@
 func (r *Replica) unresolved() []uncertainOrder {
 	var unresolved []uncertainOrder
 	for _, order := range r.uncertain {
-		if order.Expected >= r.sequence {
+		if order.ExpectedSequence >= r.sequence {
 			unresolved = append(unresolved, order)
 		}
 	}
@@ -200,5 +200,5 @@
 // matters tells whether an uncertain order makes a difference: the replica may carry it out, or receive a load that it
 // rejects and that takes capacity beside what it has loaded.
 func (r *Replica) matters(order uncertainOrder) bool {
-	return order.Expected >= r.sequence || order.Load && !r.loaded[order.Reference]
+	return order.ExpectedSequence >= r.sequence || order.Load && !r.loaded[order.Reference]
 }
--- a/internal/replicastate/report.go
+++ b/internal/replicastate/report.go
@@ -3,7 +3,7 @@
 import "time"
 
 // PollDue tells whether the replica should be polled for a report now. One that carries an order out is polled from the
-// moment that ExpectDone has named, an idle one once that resolves an order of unknown fate.
+// moment that ExpectCompletion has named, an idle one once that resolves an order of unknown fate.
 func (r *Replica) PollDue(now time.Time) bool {
 	if r.polling || now.Before(r.pollAt) || now.Before(r.blockedUntil) || now.Before(r.trustFrom) {
 		return false
@@ -11,8 +11,8 @@
 	return r.phase == Unknown || r.phase == Changing || r.phase == Idle && r.resolutionDue(now)
 }
 
-// ExpectDone puts off the poll of a replica that has just accepted an order to the moment when it should be done.
-func (r *Replica) ExpectDone(at time.Time) {
+// ExpectCompletion puts off the poll of a replica that has just accepted an order to the moment when it should be done.
+func (r *Replica) ExpectCompletion(at time.Time) {
 	if r.phase == Changing && at.After(r.pollAt) {
 		r.pollAt = at
 	}
@@ -70,7 +70,7 @@
 	if r.lowerSequenceSince.IsZero() {
 		r.lowerSequenceSince = now
 	}
-	return now.Sub(r.lowerSequenceSince) < r.timings.DistrustPeriod
+	return now.Sub(r.lowerSequenceSince) < r.timings.StaleReportWindow
 }
 
 // contradictsOrder tells whether the report lacks what an accepted order should have brought, and that has not been reported
@@ -107,14 +107,14 @@
 	return r.servingPhase
 }
 
-// IsCarryingOut tells whether a report shows the replica busy with the order that it has accepted.
-func (r *Replica) IsCarryingOut(report Report) bool {
+// IsExecuting tells whether a report shows the replica busy with the order that it has accepted.
+func (r *Replica) IsExecuting(report Report) bool {
 	return r.phase == Changing && report.Busy && report.Sequence >= r.sequence
 }
 
-// MayStart tells whether an order that was decided may yet be taken.
-func (r *Replica) MayStart() bool {
-	return r.phase == Ordered || len(r.unresolved()) > 0
+// HasUnconfirmedOrder tells whether an order that was decided may yet be taken.
+func (r *Replica) HasUnconfirmedOrder() bool {
+	return r.phase == AwaitingResponse || len(r.unresolved()) > 0
 }
 
 // CertainlyLoaded is the lower bound of what the replica has loaded: what it reported, without what an order that was decided
--- a/internal/replicastate/report_test.go
+++ b/internal/replicastate/report_test.go
@@ -21,7 +21,7 @@
 	replica := idle(t, 4, "a")
 	order := decide(t, replica, load("b"), at(1))
 	replica.Recheck(at(1))
-	assert.Equal(t, replica.Phase(), Ordered)
+	assert.Equal(t, replica.Phase(), AwaitingResponse)
 	replica.HandleResponse(order, Accepted, at(1))
 	replica.Recheck(at(1))
 	assert.Equal(t, replica.Phase(), Changing)
@@ -43,7 +43,7 @@
 	report(t, replica, false, restarted, at(2.9))
 	report(t, replica, true, restarted, at(3))
 	checkBounds(t, replica, set(), nil)
-	assert.Equal(t, decide(t, replica, load("b"), at(3)).Expected, int64(0))
+	assert.Equal(t, decide(t, replica, load("b"), at(3)).ExpectedSequence, int64(0))
 }
 
 func TestReplica_RestartDuringOrderIsBelievedInTheEnd(t *testing.T) {
--- a/internal/replicastate/response_test.go
+++ b/internal/replicastate/response_test.go
@@ -9,8 +9,8 @@
 func TestReplica_DecideNamesSequenceAndFence(t *testing.T) {
 	replica := idle(t, 4, "a")
 	order := decide(t, replica, load("b"), at(1))
-	assert.Equal(t, order, Order{Change: load("b"), Expected: 4, Fence: testFence})
-	assert.Equal(t, replica.Phase(), Ordered)
+	assert.Equal(t, order, Order{Change: load("b"), ExpectedSequence: 4, Fence: testFence})
+	assert.Equal(t, replica.Phase(), AwaitingResponse)
 	change, under := replica.PendingChange()
 	assert.Assert(t, under)
 	assert.Equal(t, change, load("b"))
@@ -47,7 +47,7 @@
 	decideAndEnd(t, replica, load("b"), NotSent, at(1))
 	assert.Assert(t, replica.IsReady(at(1)))
 	checkBounds(t, replica, set("a"), nil)
-	assert.Equal(t, decide(t, replica, load("c"), at(1)).Expected, int64(4))
+	assert.Equal(t, decide(t, replica, load("c"), at(1)).ExpectedSequence, int64(4))
 }
 
 func TestReplica_AcceptedOrderEndsWithReportOfNextSequence(t *testing.T) {
@@ -61,18 +61,18 @@
 	report(t, replica, true, Report{Sequence: 5, Loaded: set()}, at(1.5))
 	assert.Assert(t, replica.IsReady(at(1.5)))
 	checkBounds(t, replica, set(), nil)
-	assert.Equal(t, decide(t, replica, load("b"), at(2)).Expected, int64(5))
+	assert.Equal(t, decide(t, replica, load("b"), at(2)).ExpectedSequence, int64(5))
 }
 
 func TestReplica_ExpectDonePutsOffPoll(t *testing.T) {
 	replica := idle(t, 4, "a")
 	decideAndEnd(t, replica, load("b"), Accepted, at(1))
-	replica.ExpectDone(at(6))
+	replica.ExpectCompletion(at(6))
 	assert.Assert(t, !replica.PollDue(at(5.9)) && replica.PollDue(at(6)))
-	replica.ExpectDone(at(2))
+	replica.ExpectCompletion(at(2))
 	assert.Assert(t, !replica.PollDue(at(5.9)), "an earlier moment does not count")
 	report(t, replica, true, Report{Sequence: 5, Loaded: set("a", "b")}, at(6))
-	replica.ExpectDone(at(20))
+	replica.ExpectCompletion(at(20))
 	decideAndEnd(t, replica, load("c"), Accepted, at(7))
 	assert.Assert(t, replica.PollDue(at(7.25)), "what is idle expects nothing")
 }
@@ -84,7 +84,7 @@
 	checkBounds(t, replica, set("a"), set("b"))
 	assert.Assert(t, replica.PollDue(at(1.25)))
 	report(t, replica, true, Report{Sequence: 4, Loaded: set("a", "b")}, at(1.3))
-	assert.Equal(t, decide(t, replica, load("c"), at(2)).Expected, int64(4))
+	assert.Equal(t, decide(t, replica, load("c"), at(2)).ExpectedSequence, int64(4))
 }
 
 func TestReplica_ConflictDistrustsReportsOfSameSequence(t *testing.T) {
@@ -97,7 +97,7 @@
 	report(t, replica, false, old, at(1.25))
 	report(t, replica, false, old, at(2.9))
 	report(t, replica, true, old, at(3))
-	assert.Equal(t, decide(t, replica, load("b"), at(3)).Expected, int64(4))
+	assert.Equal(t, decide(t, replica, load("b"), at(3)).ExpectedSequence, int64(4))
 }
 
 func TestReplica_ConflictBelievesHigherSequenceAtOnce(t *testing.T) {
@@ -116,14 +116,14 @@
 		checkBounds(t, replica, set("a"), nil)
 		report(t, replica, true, Report{Sequence: 6, Loaded: set("c")}, at(5))
 		assert.Assert(t, replica.IsReady(at(5)))
-		assert.Equal(t, decide(t, replica, load("b"), at(5)).Expected, int64(6))
+		assert.Equal(t, decide(t, replica, load("b"), at(5)).ExpectedSequence, int64(6))
 	}
 }
 
 func TestReplica_UnreachedOrderIsForgotten(t *testing.T) {
 	replica := idle(t, 4, "a")
-	decideAndEnd(t, replica, load("b"), Unreached, at(1))
-	assert.Assert(t, !replica.IsKnown() && !replica.MayStart())
+	decideAndEnd(t, replica, load("b"), Unreachable, at(1))
+	assert.Assert(t, !replica.IsKnown() && !replica.HasUnconfirmedOrder())
 	assert.Assert(t, !replica.PollDue(at(1.2)) && replica.PollDue(at(1.25)))
 	checkBounds(t, replica, set("a"), nil)
 	report(t, replica, true, Report{Sequence: 4, Loaded: set("a")}, at(1.25))
@@ -132,23 +132,23 @@
 
 func TestReplica_OrderMayStartUntilFateIsKnown(t *testing.T) {
 	replica := idle(t, 4, "a")
-	assert.Assert(t, !replica.MayStart())
+	assert.Assert(t, !replica.HasUnconfirmedOrder())
 	order := decide(t, replica, load("b"), at(1))
-	assert.Assert(t, replica.MayStart())
+	assert.Assert(t, replica.HasUnconfirmedOrder())
 	replica.HandleResponse(order, Accepted, at(1))
-	assert.Assert(t, !replica.MayStart())
-	assert.Assert(t, replica.IsCarryingOut(Report{Sequence: 5, Busy: true}))
-	assert.Assert(t, !replica.IsCarryingOut(Report{Sequence: 4, Busy: true}), "another order, or an old report")
-	assert.Assert(t, !replica.IsCarryingOut(Report{Sequence: 5}))
+	assert.Assert(t, !replica.HasUnconfirmedOrder())
+	assert.Assert(t, replica.IsExecuting(Report{Sequence: 5, Busy: true}))
+	assert.Assert(t, !replica.IsExecuting(Report{Sequence: 4, Busy: true}), "another order, or an old report")
+	assert.Assert(t, !replica.IsExecuting(Report{Sequence: 5}))
 	report(t, replica, true, Report{Sequence: 5, Loaded: set("a", "b")}, at(2))
-	decideAndEnd(t, replica, load("c"), NoAnswer, at(3))
-	assert.Assert(t, replica.MayStart())
+	decideAndEnd(t, replica, load("c"), NoResponse, at(3))
+	assert.Assert(t, replica.HasUnconfirmedOrder())
 	report(t, replica, true, Report{Sequence: 6, Loaded: set("a", "b", "c")}, at(4.5))
-	assert.Assert(t, !replica.MayStart())
+	assert.Assert(t, !replica.HasUnconfirmedOrder())
 }
 
 func TestReplica_IgnoresLateResponseToEarlierOrder(t *testing.T) {
-	for _, outcome := range []Outcome{NotSent, Accepted, AlreadyDone, Conflict, Fenced, Rejected, Unreached, NoAnswer} {
+	for _, outcome := range []Outcome{NotSent, Accepted, AlreadyDone, Conflict, Fenced, Rejected, Unreachable, NoResponse} {
 		replica := idle(t, 4, "a")
 		earlier := decideAndEnd(t, replica, load("b"), Accepted, at(1))
 		report(t, replica, true, Report{Sequence: 5, Loaded: set("a", "b")}, at(2))
@@ -156,7 +156,7 @@
 		assert.Assert(t, replica.IsReady(at(2.1)))
 		later := decide(t, replica, load("c"), at(3))
 		replica.HandleResponse(earlier, outcome, at(3))
-		assert.Equal(t, replica.Phase(), Ordered)
+		assert.Equal(t, replica.Phase(), AwaitingResponse)
 		checkBounds(t, replica, set("a", "b"), set("c"))
 		replica.HandleResponse(later, Accepted, at(3.1))
 		replica.HandleResponse(later, outcome, at(3.2))
--- a/internal/replicastate/simulation/invariants_test.go
+++ b/internal/replicastate/simulation/invariants_test.go
@@ -84,7 +84,7 @@
 
 // checkBackoff checks that a replica is left alone for a while once it has rejected an order for its fence.
 func (t *trackedReplica) checkBackoff() {
-	if !t.fencedAt.IsZero() && t.now().Sub(t.fencedAt) < timings.RejectedBackoff {
+	if !t.fencedAt.IsZero() && t.now().Sub(t.fencedAt) < timings.RejectionBackoff {
 		t.node.world.fail(orderedDuringBackoff, "%s: under fence %d", t.id, t.fence)
 	}
 }
--- a/internal/replicastate/simulation/mutation_test.go
+++ b/internal/replicastate/simulation/mutation_test.go
@@ -39,7 +39,7 @@
 		t.fencedAt = t.now()
 	}
 	falsified := map[mutation]replicastate.Outcome{
-		unknownCountsAsFree:   replicastate.NoAnswer,
+		unknownCountsAsFree:   replicastate.NoResponse,
 		fenceRejectionIgnored: replicastate.Fenced,
 	}
 	if falsified[t.node.world.mutation] == outcome {
--- a/internal/replicastate/simulation/server_test.go
+++ b/internal/replicastate/simulation/server_test.go
@@ -101,7 +101,7 @@
 	s.world.recordResponse(order, status)
 	s.lastOrder, s.lastOrderAt = &order, s.world.now
 	s.world.log("%s: %s %+v expected %d fence %d late %t: %d (sequence %d, loaded %v)",
-		s.id, order.holder, order.Change, order.Expected, order.Fence, order.late, status, s.sequence, s.loaded)
+		s.id, order.holder, order.Change, order.ExpectedSequence, order.Fence, order.late, status, s.sequence, s.loaded)
 	if status == http.StatusAccepted {
 		s.world.checkAccepted(s, order)
 		s.carryOut(order)
@@ -116,7 +116,7 @@
 		return http.StatusPreconditionFailed
 	case s.loaded[order.Reference] == order.Load && s.busy == nil:
 		return http.StatusOK
-	case s.busy != nil || !order.withoutSequence && order.Expected != s.sequence:
+	case s.busy != nil || !order.withoutSequence && order.ExpectedSequence != s.sequence:
 		return http.StatusConflict
 	case adapted && order.Load && !s.loaded[base]:
 		return http.StatusBadRequest
--- a/internal/replicastate/simulation/trackedreplica_test.go
+++ b/internal/replicastate/simulation/trackedreplica_test.go
@@ -55,7 +55,7 @@
 	if t.contradictedSince.IsZero() {
 		t.contradictedSince = t.now()
 	}
-	if t.now().Sub(t.contradictedSince) >= timings.DistrustPeriod {
+	if t.now().Sub(t.contradictedSince) >= timings.StaleReportWindow {
 		t.contradictedSince = time.Time{}
 		t.state.Recheck(t.now())
 	}
@@ -124,7 +124,7 @@
 func (t *trackedReplica) handleResponse(order replicastate.Order, outcome replicastate.Outcome) {
 	t.applyResponse(order, outcome)
 	if t.state.Phase() == replicastate.Changing {
-		t.state.ExpectDone(t.now().Add(timings.ReportLag))
+		t.state.ExpectCompletion(t.now().Add(timings.ReportLag))
 		return
 	}
 	t.pendingAction = nil
@@ -132,7 +132,7 @@
 
 func outcomeOf(status int) replicastate.Outcome {
 	outcomes := map[int]replicastate.Outcome{
-		statusUnreached:               replicastate.Unreached,
+		statusUnreached:               replicastate.Unreachable,
 		http.StatusAccepted:           replicastate.Accepted,
 		http.StatusOK:                 replicastate.AlreadyDone,
 		http.StatusConflict:           replicastate.Conflict,
@@ -143,5 +143,5 @@
 	if outcome, known := outcomes[status]; known {
 		return outcome
 	}
-	return replicastate.NoAnswer
+	return replicastate.NoResponse
 }
--- a/internal/replicastate/walkmoves_test.go
+++ b/internal/replicastate/walkmoves_test.go
@@ -52,14 +52,14 @@
 	for index, message := range w.messages {
 		if !message.arrived {
 			move(fmt.Sprintf("arrives: %+v", message.order), func(w *walkWorld) { w.arrive(index, fault) })
-			move("no answer", func(w *walkWorld) { w.endCall(index, NoAnswer, fault) })
+			move("no answer", func(w *walkWorld) { w.endCall(index, NoResponse, fault) })
 			if !message.open {
 				move("order lost", func(w *walkWorld) { w.drop(index) })
 			}
 			continue
 		}
 		move(fmt.Sprint("answer ", message.outcome), func(w *walkWorld) { w.endCall(index, message.outcome, fault) })
-		move("no answer", func(w *walkWorld) { w.endCall(index, NoAnswer, fault) })
+		move("no answer", func(w *walkWorld) { w.endCall(index, NoResponse, fault) })
 	}
 }
 
@@ -76,7 +76,7 @@
 			continue
 		}
 		move(fmt.Sprintf("decided: %+v", change), func(w *walkWorld) {
-			if !w.fencedAt.IsZero() && w.now.Sub(w.fencedAt) < walkTimings.RejectedBackoff {
+			if !w.fencedAt.IsZero() && w.now.Sub(w.fencedAt) < walkTimings.RejectionBackoff {
 				w.violation = "sent an order after a rejection for the fence"
 			}
 			order, _ := w.tracked.Decide(change, w.now)
@@ -143,7 +143,7 @@
 		return Fenced
 	case !r.busy && (r.loaded&(1<<index) != 0) == order.Load:
 		return AlreadyDone
-	case r.busy || r.sequence != order.Expected && !anySequence:
+	case r.busy || r.sequence != order.ExpectedSequence && !anySequence:
 		return Conflict
 	case order.Load && walkAdapters&(1<<index) != 0 && r.loaded&1 == 0:
 		return Rejected
@@ -164,7 +164,7 @@
 	}
 	message.open, message.endedAt = false, w.now
 	reported := outcome
-	if fault == faultUnknownCountsAsFree && outcome == NoAnswer || fault == faultFenceIgnored && outcome == Fenced {
+	if fault == faultUnknownCountsAsFree && outcome == NoResponse || fault == faultFenceIgnored && outcome == Fenced {
 		reported = NotSent
 	}
 	if outcome == Fenced {
--- a/internal/replicastate/walkworld_test.go
+++ b/internal/replicastate/walkworld_test.go
@@ -20,8 +20,8 @@
 
 // walkTimings are in ticks; a report shows the present or the state before the last tick.
 var walkTimings = &Timings{
-	ReportLag: walkTick, PollInterval: walkTick, UnknownFateDelay: walkTick,
-	RejectedBackoff: 2 * walkTick, MaxOrderLifetime: 2 * walkTick, MaxReportAge: walkTick, DistrustPeriod: 2 * walkTick,
+	ReportLag: walkTick, PollInterval: walkTick, UnknownOutcomeDelay: walkTick,
+	RejectionBackoff: 2 * walkTick, MaxOrderLifetime: 2 * walkTick, MaxReportAge: walkTick, StaleReportWindow: 2 * walkTick,
 }
 
 // references is a set of walkReferences.
@@ -170,13 +170,13 @@
 	change(known.current.Change)
 	for _, order := range known.uncertain {
 		change(order.Change)
-		number(order.Expected)
+		number(order.ExpectedSequence)
 		moment(order.expiresAt)
 		moment(order.runningAt)
 	}
 	for _, message := range w.messages {
 		change(message.order.Change)
-		number(message.order.Expected, int64(message.order.Fence), int64(message.outcome))
+		number(message.order.ExpectedSequence, int64(message.order.Fence), int64(message.outcome))
 		flag(message.open, message.arrived)
 		moment(message.endedAt)
 	}
--- a/internal/test/linearizability/documents_test.go
+++ b/internal/test/linearizability/documents_test.go
@@ -57,7 +57,7 @@
 func readZone(ctx context.Context, state *controlstate.State, zone string) (bool, error) {
 	register, err := state.Store.Read(ctx, keystore.ZonePrefix+zone)
 	if err != nil {
-		return false, controlstate.Translate(err)
+		return false, controlstate.ToAPIError(err)
 	}
 	record, err := controlstate.DecodeZone(register)
 	return record.Drained, err
--- a/internal/test/linearizability/membership_test.go
+++ b/internal/test/linearizability/membership_test.go
@@ -116,7 +116,7 @@
 		if due.Membership.Version != change.Membership.Version || due.Reason != change.Reason {
 			due, since = change, time.Now()
 		}
-		if time.Since(since) >= membership.ProposalDelay(view)+change.Patience {
+		if time.Since(since) >= membership.ProposalDelay(view)+change.StabilizationDelay {
 			s.changeMembership(name, store, view.Membership, change)
 		}
 	}
