--- a/internal/replicastate/doc.go
+++ b/internal/replicastate/doc.go
@@ -1,15 +1,15 @@
-// Package replicastate is what the holder of the placement lease knows of one replica: which models and adapters it certainly
-// has loaded, which it possibly has, and which order to it is under way.
+// Package replicastate tracks what the holder of the placement lease knows about one replica: which models and adapters are
+// certainly loaded, which are possibly loaded, and which order is in progress.
 //
-// A Replica belongs to one grant of the lease and ends with it: nothing that was learned under one grant is used under
-// another. It is pure: it sends nothing, reads no clock, and changes only by the calls of its owner, which passes in the
-// time. An Order names the replica's sequence that it was decided on, so that the replica itself rejects it when anything
-// else has been carried out since (compare-and-set). Two orders decided on one sequence therefore never both happen.
+// A Replica belongs to one grant of the lease and is discarded with it: nothing that was learned under one grant is used
+// under another. It performs no I/O and reads no clock; its owner passes in the time. An Order carries the replica's
+// sequence number that it was decided on, and the replica rejects it if it has accepted another order since
+// (compare-and-set). Of two orders decided on the same sequence, at most one is therefore executed.
 //
-// What a replica may have loaded is bounded from both sides, over every state that is still possible: loads go by the upper
-// bound (CertainlyLoaded and PossiblyLoaded together), so that no replica is loaded beyond its capacity; requests go by the
-// lower one.
+// What a replica has loaded is bounded from both sides, over every state that is still possible. Loads are planned against
+// the upper bound (CertainlyLoaded plus PossiblyLoaded), so that no replica is loaded beyond its capacity; requests are
+// routed by the lower bound.
 //
-// The package does not decide what to load; it says when something may be ordered and by which bounds. Start reading at
-// Replica.
+// The package does not decide what to load; it only determines when an order may be issued and within which bounds. Start
+// reading at Replica.
 package replicastate
--- a/internal/replicastate/fixtures_test.go
+++ b/internal/replicastate/fixtures_test.go
@@ -37,7 +37,7 @@
 	return testStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// idle returns a replica that has reported a sequence and what it has loaded at the start.
+// idle returns a replica that reported the given sequence number and loaded references at testStart.
 func idle(t *testing.T, sequence int64, loaded ...string) *Replica {
 	t.Helper()
 	replica := New(testTimings, testFence, time.Time{}, nil)
@@ -45,7 +45,7 @@
 	return replica
 }
 
-// report requests a report, has it received at once and checks whether it is adopted.
+// report passes a report to the replica as if it were requested and received now, and checks whether it is adopted.
 func report(t *testing.T, replica *Replica, adopted bool, report Report, now time.Time) {
 	t.Helper()
 	replica.PollStarted(now)
@@ -53,7 +53,7 @@
 	assert.Assert(t, !replica.IsPolling())
 }
 
-// decide decides on a change that must be possible.
+// decide decides on a change and checks that this is possible.
 func decide(t *testing.T, replica *Replica, change Change, now time.Time) Order {
 	t.Helper()
 	order, possible := replica.Decide(change, now)
@@ -61,7 +61,7 @@
 	return order
 }
 
-// decideAndEnd decides on a change and has its call end with an outcome.
+// decideAndEnd decides on a change and ends the call with an outcome.
 func decideAndEnd(t *testing.T, replica *Replica, change Change, outcome Outcome, now time.Time) Order {
 	t.Helper()
 	order := decide(t, replica, change, now)
@@ -69,7 +69,7 @@
 	return order
 }
 
-// checkBounds checks what the replica certainly and what it possibly has loaded.
+// checkBounds checks CertainlyLoaded and PossiblyLoaded.
 func checkBounds(t *testing.T, replica *Replica, certain, possible map[string]bool) {
 	t.Helper()
 	assert.DeepEqual(t, replica.CertainlyLoaded(), certain)
--- a/internal/replicastate/order.go
+++ b/internal/replicastate/order.go
@@ -6,75 +6,77 @@
 	"time"
 )
 
-// Change is a load or an unload of a model, or of an adapter written as model/adapter, or a change of the serving phase.
+// Change loads or unloads a model or an adapter, or switches the serving phase.
 type Change struct {
-	Load      bool
+	Load bool
+	// Reference names a model, or an adapter as model/adapter.
 	Reference string
-	// ServingPhase, if not empty, is the phase that the replica is to take; nothing is loaded or unloaded then.
+	// ServingPhase, if not empty, is the phase to switch to; nothing is loaded or unloaded then.
 	ServingPhase string
 }
 
-// IsUnload tells whether the change unloads something.
+// IsUnload reports whether the change unloads a model or an adapter.
 func (c Change) IsUnload() bool { return !c.Load && c.ServingPhase == "" }
 
-// Order is a change that was decided on what a replica had loaded at one sequence, under one grant of the lease.
+// Order is a change that was decided on the state of a replica at one sequence number, under one grant of the lease.
 type Order struct {
 	Change
-	// ExpectedSequence is the replica's sequence that the change was decided on.
+	// ExpectedSequence is the replica's sequence number that the change was decided on.
 	ExpectedSequence int64
-	// Fence is that of the grant under which the order was decided; it may be sent under no other.
+	// Fence is the fencing token of the grant under which the order was decided; it must not be sent under any other.
 	Fence uint64
 }
 
-// Outcome is what is known of an order once its call has ended.
+// Outcome is the result of the call that sends an order, as far as the sender knows it.
 type Outcome int
 
 const (
-	// NotSent says that nothing was written, since the lease no longer allowed it.
+	// NotSent means that the order was not sent, because the lease no longer allowed it.
 	NotSent Outcome = iota + 1
-	// Accepted says that the replica carries the order out.
+	// Accepted means that the replica executes the order.
 	Accepted
-	// AlreadyDone says that what was ordered is so already.
+	// AlreadyDone means that the replica is already in the ordered state.
 	AlreadyDone
-	// Conflict says that another order is under way or the sequence differs.
+	// Conflict means that the replica is executing another order or that its sequence number differs.
 	Conflict
-	// Fenced says that the replica has seen a grant with a higher fence.
+	// Fenced means that the replica has seen an order with a higher fencing token.
 	Fenced
-	// Rejected says that there is no such order or no such replica at the address.
+	// Rejected means that the replica considers the order invalid, or that another replica has this address.
 	Rejected
-	// Unreachable says that nothing was written, since the replica could not be reached.
+	// Unreachable means that nothing was sent, because the connection to the replica failed.
 	Unreachable
-	// NoResponse says that the order may or may not have been taken, and may yet arrive.
+	// NoResponse means that the order may or may not have been accepted, and may still arrive.
 	NoResponse
 )
 
-// Report is what a replica says of itself. It shows one moment, which may lie before the request for it.
+// Report is a replica's own description of its state at one moment, which may precede the request for the report.
 type Report struct {
-	// Sequence counts the orders that the replica's process has accepted.
+	// Sequence is the number of orders that the replica's process has accepted.
 	Sequence int64
-	// Busy is set while an order is being carried out.
+	// Busy is set while an order is being executed.
 	Busy bool
-	// Loaded holds the references of models and adapters.
+	// Loaded is the set of references of the loaded models and adapters.
 	Loaded map[string]bool
-	// ServingPhase is the part of a generation that the replica does.
+	// ServingPhase is the phase of a generation that the replica serves.
 	ServingPhase string
 }
 
-// uncertainOrder is an order of unknown fate. The network can hold it no longer than until expiresAt. A replica whose process
-// stands still may even then find it in its sockets when it goes on, also once the connection was reset. So only a report
-// resolves it that shows a moment after the replica was seen to run at expiresAt or later: runningAt, zero before.
+// uncertainOrder is an order whose outcome is unknown. The network can delay it until expiresAt at the longest. A replica
+// whose process is suspended may read it from its socket buffers even later, when it resumes, and even if the connection was
+// reset. Only a report that shows a moment after the replica was seen running at or after expiresAt therefore resolves the
+// order. That time is seenRunningAt, which is zero until then.
 type uncertainOrder struct {
 	Order
-	expiresAt time.Time
-	runningAt time.Time
+	expiresAt     time.Time
+	seenRunningAt time.Time
 }
 
-// resolvedBy tells whether a report that shows a moment tells what became of the order.
+// resolvedBy reports whether a report of the replica's state at shownAt determines the outcome of the order.
 func (o *uncertainOrder) resolvedBy(shownAt time.Time) bool {
-	return !o.runningAt.IsZero() && !shownAt.Before(o.runningAt)
+	return !o.seenRunningAt.IsZero() && !shownAt.Before(o.seenRunningAt)
 }
 
-// applyChange returns what a replica has loaded once a change is done. The set given is not changed.
+// applyChange returns the loaded set after a change. It does not modify its argument.
 func applyChange(loaded map[string]bool, change Change) map[string]bool {
 	next := maps.Clone(loaded)
 	if next == nil {
--- a/internal/replicastate/replica.go
+++ b/internal/replicastate/replica.go
@@ -5,102 +5,104 @@
 	"time"
 )
 
-// Timings are the delays and timeouts by which a Replica waits.
+// Timings are the delays and timeouts of a Replica.
 type Timings struct {
-	// ReportLag is how long after a change a replica is polled for a report that should show it.
+	// ReportLag is the delay between a change and the poll for a report that should show it.
 	ReportLag time.Duration
-	// PollInterval is the wait before a replica is polled again.
+	// PollInterval is the delay before a replica is polled again.
 	PollInterval time.Duration
-	// UnknownOutcomeDelay is the wait for a report after an order without a clear answer.
+	// UnknownOutcomeDelay is the delay before the poll that follows an order whose outcome is unknown.
 	UnknownOutcomeDelay time.Duration
-	// RejectionBackoff is how long a replica that rejects an order is left alone.
+	// RejectionBackoff is how long a replica that rejected an order is neither polled nor sent another one.
 	RejectionBackoff time.Duration
-	// MaxOrderLifetime is how long after the end of its call the network may hold an order.
+	// MaxOrderLifetime is how long after the end of its call an order may still be in the network.
 	MaxOrderLifetime time.Duration
-	// MaxReportAge is how far before its request the moment may lie that a report shows.
+	// MaxReportAge bounds the age of the state in a report at the time when the report was requested.
 	MaxReportAge time.Duration
-	// StaleReportWindow is how long reports that contradict what was learned from answers are taken for outdated ones.
+	// StaleReportWindow is how long reports that contradict earlier responses are considered stale.
 	StaleReportWindow time.Duration
 }
 
-// Phase says what may be done with a replica.
+// Phase is the phase of a replica in the cycle of polls and orders.
 type Phase int
 
 const (
-	// Unknown is a replica of which no report counts: it must be polled.
+	// Unknown means that the replica's state is not known and the replica must be polled.
 	Unknown Phase = iota
-	// Idle is a replica that has reported what it has loaded and has no order under way.
+	// Idle means that the replica has reported its state and has no order in progress.
 	Idle
-	// AwaitingResponse is a replica with an order that was decided and not answered yet.
+	// AwaitingResponse means that an order was decided and the response to it has not been received.
 	AwaitingResponse
-	// Changing is a replica that carries an order out.
+	// Changing means that the replica has accepted an order and no report has shown it done yet.
 	Changing
 )
 
-// Replica is the knowledge of one replica under one grant. Only one goroutine may use it.
+// Replica is what is known about one replica under one grant. It is not safe for concurrent use.
 type Replica struct {
 	timings  *Timings
 	fence    uint64
 	phase    Phase
 	sequence int64
-	// loaded is what the replica reported last, or what the platform's list said before the first report.
+	// loaded is the last reported set, or that of the platform's list before the first report.
 	loaded map[string]bool
-	// servingPhase is what the replica reported last, empty before.
+	// servingPhase is the last reported phase, empty before the first report.
 	servingPhase string
-	// current is the order under way in the phases AwaitingResponse and Changing.
+	// current is the order in progress in the phases AwaitingResponse and Changing.
 	current Order
-	// uncertain are the orders of unknown fate, those included that the replica has gone past the sequence of.
+	// uncertain lists the orders whose outcome is unknown, including those whose sequence number the replica has passed.
 	uncertain []uncertainOrder
 
-	// trustFrom is the moment before which no report is requested.
-	trustFrom time.Time
-	// pollAt is when the replica may be polled next; polling is set while a report is outstanding, requested at polledAt.
+	// earliestPollAt is the time before which no report is requested.
+	earliestPollAt time.Time
+	// pollAt is the earliest time of the next poll; polling is set while a report that was requested at polledAt is
+	// outstanding.
 	pollAt   time.Time
 	polling  bool
 	polledAt time.Time
-	// blockedUntil is when a replica that rejected an order may be ordered again.
+	// blockedUntil is the end of the backoff after a rejected order.
 	blockedUntil time.Time
 
-	rejected rejection
-	// lowerSequenceSince is since when reports have shown a lower sequence than the known one, zero while they do not.
+	lastConflict sequenceConflict
+	// lowerSequenceSince is when reports began to show a lower sequence number than the known one, zero while they do not.
 	lowerSequenceSince time.Time
-	// mismatches counts the reports in a row that lack what the order under way should have brought.
+	// mismatches counts the consecutive reports that do not show the current order done.
 	mismatches int
 }
 
-// rejection is a sequence at which an order met a conflict: until a moment, reports of it are taken for outdated ones.
-type rejection struct {
+// sequenceConflict is a sequence number at which an order ended with Conflict. Reports of it are considered stale until the
+// given time.
+type sequenceConflict struct {
 	sequence int64
 	until    time.Time
 }
 
-// maxMismatches is how many reports in a row that contradict an accepted order end it.
+// maxMismatches is how many consecutive reports must contradict an accepted order for the order to be given up.
 const maxMismatches = 3
 
-// New returns a replica of which nothing is known but what the platform's list says, by which nothing is ordered. Reports
-// requested before trustFrom may show what orders of an earlier lease holder have changed since, so none is requested before
-// it.
-func New(timings *Timings, fence uint64, trustFrom time.Time, listed map[string]bool) *Replica {
-	return &Replica{timings: timings, fence: fence, trustFrom: trustFrom, loaded: listed}
+// New returns a replica about which only the entry in the platform's list is known, which is no basis for orders. A report
+// requested before earliestPollAt could predate the effect of an earlier lease holder's orders, so none is requested until
+// then.
+func New(timings *Timings, fence uint64, earliestPollAt time.Time, listed map[string]bool) *Replica {
+	return &Replica{timings: timings, fence: fence, earliestPollAt: earliestPollAt, loaded: listed}
 }
 
-// Phase is what may be done with the replica.
+// Phase returns the replica's phase.
 func (r *Replica) Phase() Phase { return r.phase }
 
-// IsKnown tells whether what the replica has loaded was learned from itself and nothing has made it uncertain since.
+// IsKnown reports whether the replica has reported its state and nothing has invalidated that since.
 func (r *Replica) IsKnown() bool { return r.phase != Unknown }
 
-// PendingChange is the change that was decided and has not ended, if there is one.
+// PendingChange returns the change of the order in progress, if there is one.
 func (r *Replica) PendingChange() (change Change, pending bool) {
 	return r.current.Change, r.phase == AwaitingResponse || r.phase == Changing
 }
 
-// IsReady tells whether an order may be decided now.
+// IsReady reports whether an order may be decided now.
 func (r *Replica) IsReady(now time.Time) bool {
 	return r.phase == Idle && !r.polling && !now.Before(r.blockedUntil)
 }
 
-// Decide ties a change to what is known now. It returns false where nothing may be ordered.
+// Decide returns an order for a change, based on the current sequence number. It returns false if no order may be decided.
 func (r *Replica) Decide(change Change, now time.Time) (Order, bool) {
 	if !r.IsReady(now) {
 		return Order{}, false
@@ -110,7 +112,7 @@
 	return r.current, true
 }
 
-// HandleResponse applies the outcome of an order's call. An order that is not the current one changes nothing.
+// HandleResponse applies the outcome of the call that sent an order. It ignores orders other than the current one.
 func (r *Replica) HandleResponse(order Order, outcome Outcome, now time.Time) {
 	if r.phase != AwaitingResponse || order != r.current {
 		return
@@ -123,7 +125,7 @@
 	case AlreadyDone:
 		r.awaitCompletion(now)
 	case Conflict:
-		r.rejected = rejection{sequence: order.ExpectedSequence, until: now.Add(r.timings.StaleReportWindow)}
+		r.lastConflict = sequenceConflict{sequence: order.ExpectedSequence, until: now.Add(r.timings.StaleReportWindow)}
 		r.invalidate(now.Add(r.timings.PollInterval))
 	case Unreachable:
 		r.invalidate(now.Add(r.timings.PollInterval))
@@ -136,36 +138,36 @@
 	}
 }
 
-// advance goes on to the next sequence: the order was taken at the one it named, so no other order decided on that sequence
-// ever will be.
+// advance increments the sequence number: the replica accepted the order at the expected one, so it rejects every other
+// order that was decided on it.
 func (r *Replica) advance(now time.Time) {
 	r.sequence++
 	r.awaitCompletion(now)
 }
 
-// awaitCompletion waits for reports that show the order carried out.
+// awaitCompletion enters the phase Changing, which ends with a report that shows the order done.
 func (r *Replica) awaitCompletion(now time.Time) {
 	r.phase = Changing
 	r.mismatches = 0
 	r.pollAt = now.Add(r.timings.ReportLag)
 }
 
-// invalidate forgets that the replica is known, and has it polled from the time given.
+// invalidate marks the replica's state as unknown, to be polled from the given time on.
 func (r *Replica) invalidate(pollAt time.Time) {
 	r.phase = Unknown
 	r.pollAt = pollAt
 }
 
-// Recheck has an idle replica polled again, since something else contradicts what is known of it.
+// Recheck causes an idle replica to be polled again, because another source contradicts its known state.
 func (r *Replica) Recheck(now time.Time) {
 	if r.phase == Idle && !r.polling {
 		r.invalidate(now)
 	}
 }
 
-// unresolved returns the uncertain orders that the replica may have carried out unseen or may still carry out: it has not
-// gone past their sequence. The others are kept too until they can no longer arrive, since a replica that restarts counts
-// from zero again and would take them.
+// unresolved returns the uncertain orders that the replica may have executed unnoticed or may still execute, because it has
+// not passed their sequence number. The others are kept too until they can no longer arrive: a replica that restarts counts
+// from zero again and would accept them.
 func (r *Replica) unresolved() []uncertainOrder {
 	var unresolved []uncertainOrder
 	for _, order := range r.uncertain {
@@ -176,29 +178,30 @@
 	return unresolved
 }
 
-// resolveReported drops the uncertain orders whose fate is told by a report that was requested at polledAt and received now.
+// resolveReported drops the uncertain orders whose outcome is determined by a report that was requested at polledAt and
+// received now.
 func (r *Replica) resolveReported(polledAt, now time.Time) {
 	shownAt := polledAt.Add(-r.timings.MaxReportAge)
 	r.uncertain = slices.DeleteFunc(r.uncertain, func(order uncertainOrder) bool { return order.resolvedBy(shownAt) })
 	for index := range r.uncertain {
 		order := &r.uncertain[index]
-		if order.runningAt.IsZero() && !polledAt.Before(order.expiresAt) {
-			order.runningAt = now
+		if order.seenRunningAt.IsZero() && !polledAt.Before(order.expiresAt) {
+			order.seenRunningAt = now
 		}
 	}
 }
 
-// resolutionDue tells whether a report requested now would bring an uncertain order that matters nearer to its resolution.
-func (r *Replica) resolutionDue(now time.Time) bool {
+// pollHelpsResolve reports whether a report requested now would resolve a relevant uncertain order, or set its seenRunningAt.
+func (r *Replica) pollHelpsResolve(now time.Time) bool {
 	shownAt := now.Add(-r.timings.MaxReportAge)
 	return slices.ContainsFunc(r.uncertain, func(order uncertainOrder) bool {
-		expired := order.runningAt.IsZero() && !now.Before(order.expiresAt)
-		return r.matters(order) && (expired || order.resolvedBy(shownAt))
+		expired := order.seenRunningAt.IsZero() && !now.Before(order.expiresAt)
+		return r.isRelevant(order) && (expired || order.resolvedBy(shownAt))
 	})
 }
 
-// matters tells whether an uncertain order makes a difference: the replica may carry it out, or receive a load that it
-// rejects and that takes capacity beside what it has loaded.
-func (r *Replica) matters(order uncertainOrder) bool {
+// isRelevant reports whether an uncertain order affects decisions: the replica may still execute it, or it is a load that
+// PossiblyLoaded counts even though the replica would reject it.
+func (r *Replica) isRelevant(order uncertainOrder) bool {
 	return order.ExpectedSequence >= r.sequence || order.Load && !r.loaded[order.Reference]
 }
--- a/internal/replicastate/report.go
+++ b/internal/replicastate/report.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// PollDue tells whether the replica should be polled for a report now. One that carries an order out is polled from the
-// moment that ExpectCompletion has named, an idle one once that resolves an order of unknown fate.
+// PollDue reports whether a report should be requested from the replica now. A replica that executes an order is polled from
+// the time set by ExpectCompletion on, an idle one only if that helps to resolve an order whose outcome is unknown.
 func (r *Replica) PollDue(now time.Time) bool {
-	if r.polling || now.Before(r.pollAt) || now.Before(r.blockedUntil) || now.Before(r.trustFrom) {
+	if r.polling || now.Before(r.pollAt) || now.Before(r.blockedUntil) || now.Before(r.earliestPollAt) {
 		return false
 	}
-	return r.phase == Unknown || r.phase == Changing || r.phase == Idle && r.resolutionDue(now)
+	return r.phase == Unknown || r.phase == Changing || r.phase == Idle && r.pollHelpsResolve(now)
 }
 
-// ExpectCompletion puts off the poll of a replica that has just accepted an order to the moment when it should be done.
+// ExpectCompletion postpones the poll of a replica that has just accepted an order to the time when the order should be done.
 func (r *Replica) ExpectCompletion(at time.Time) {
 	if r.phase == Changing && at.After(r.pollAt) {
 		r.pollAt = at
 	}
 }
 
-// PollStarted records that a report was requested. Until it is received, nothing is known for sure.
+// PollStarted records that a report was requested. An idle replica's phase is Unknown until the report is adopted.
 func (r *Replica) PollStarted(now time.Time) {
 	r.polling, r.polledAt = true, now
 	if r.phase == Idle {
@@ -26,7 +26,7 @@
 	}
 }
 
-// IsPolling tells whether a report was requested and has not been received.
+// IsPolling reports whether a report was requested and has not been received.
 func (r *Replica) IsPolling() bool { return r.polling }
 
 // PollFailed records that the requested report will not be received.
@@ -35,19 +35,19 @@
 	r.pollAt = now.Add(2 * r.timings.PollInterval)
 }
 
-// HandleReport applies a report, and tells whether it was adopted: one that may be older than what is known is not, and the
-// replica is polled again.
+// HandleReport applies a report and returns whether it was adopted. A report that may be older than the known state is not;
+// the replica is polled again.
 func (r *Replica) HandleReport(report Report, now time.Time) bool {
 	r.polling = false
 	r.pollAt = now.Add(r.timings.PollInterval)
 	if r.phase != Unknown && r.phase != Changing {
 		return false
 	}
-	if report.Busy || r.isOutdated(report, now) || r.contradictsOrder(report) {
+	if report.Busy || r.isStale(report, now) || r.contradictsOrder(report) {
 		return false
 	}
 	r.lowerSequenceSince = time.Time{}
-	r.rejected = rejection{}
+	r.lastConflict = sequenceConflict{}
 	r.mismatches = 0
 	r.sequence = report.Sequence
 	r.loaded = report.Loaded
@@ -57,11 +57,11 @@
 	return true
 }
 
-// isOutdated tells whether the report shows a moment before something that is known: a sequence below the known one, or the
-// very sequence at which an order met a conflict. Either is believed once it has lasted, since a replica that has restarted
-// counts from zero again; an order decided on a wrong sequence is rejected by the replica.
-func (r *Replica) isOutdated(report Report, now time.Time) bool {
-	if report.Sequence == r.rejected.sequence && now.Before(r.rejected.until) {
+// isStale reports whether the report appears to predate the known state: its sequence number is below the known one, or is
+// the one at which an order met a conflict. Both are accepted once they have persisted for the stale report window, because a
+// replica that has restarted counts from zero again; the replica rejects an order that is decided on a wrong sequence number.
+func (r *Replica) isStale(report Report, now time.Time) bool {
+	if report.Sequence == r.lastConflict.sequence && now.Before(r.lastConflict.until) {
 		return true
 	}
 	if report.Sequence >= r.sequence {
@@ -73,28 +73,29 @@
 	return now.Sub(r.lowerSequenceSince) < r.timings.StaleReportWindow
 }
 
-// contradictsOrder tells whether the report lacks what an accepted order should have brought, and that has not been reported
-// often enough to be believed.
+// contradictsOrder reports whether the report does not show an accepted order done, and fewer than maxMismatches consecutive
+// reports have said so.
 func (r *Replica) contradictsOrder(report Report) bool {
-	if r.phase != Changing || r.shows(report, r.current.Change) {
+	if r.phase != Changing || r.showsDone(report, r.current.Change) {
 		return false
 	}
 	r.mismatches++
 	return r.mismatches < maxMismatches
 }
 
-// shows tells whether a report shows a change done.
-func (r *Replica) shows(report Report, change Change) bool {
+// showsDone reports whether a report shows a change done.
+func (r *Replica) showsDone(report Report, change Change) bool {
 	if change.ServingPhase != "" {
 		return report.ServingPhase == change.ServingPhase
 	}
 	return report.Loaded[change.Reference] == change.Load
 }
 
-// ServingPhase is the part of a generation that the replica reported last that it does; empty before its first report.
+// ServingPhase returns the last reported serving phase; it is empty before the first report.
 func (r *Replica) ServingPhase() string { return r.servingPhase }
 
-// TargetPhase is the phase that the replica has or may yet take: that of a change that is under way or of unknown fate.
+// TargetPhase returns the serving phase that the replica may switch to, by an order that is in progress or whose outcome is
+// unknown, or else the last reported one.
 func (r *Replica) TargetPhase() string {
 	if change, pending := r.PendingChange(); pending && change.ServingPhase != "" {
 		return change.ServingPhase
@@ -107,18 +108,18 @@
 	return r.servingPhase
 }
 
-// IsExecuting tells whether a report shows the replica busy with the order that it has accepted.
+// IsExecuting reports whether a report shows the replica busy with the order that it has accepted.
 func (r *Replica) IsExecuting(report Report) bool {
 	return r.phase == Changing && report.Busy && report.Sequence >= r.sequence
 }
 
-// HasUnconfirmedOrder tells whether an order that was decided may yet be taken.
+// HasUnconfirmedOrder reports whether the replica may still accept an order that was decided.
 func (r *Replica) HasUnconfirmedOrder() bool {
 	return r.phase == AwaitingResponse || len(r.unresolved()) > 0
 }
 
-// CertainlyLoaded is the lower bound of what the replica has loaded: what it reported, without what an order that was decided
-// or may yet arrive unloads. The set must not be changed.
+// CertainlyLoaded returns the lower bound of what the replica has loaded: the reported set, without what is unloaded by
+// orders that are in progress or may still arrive. The caller must not modify the set.
 func (r *Replica) CertainlyLoaded() map[string]bool {
 	loaded := r.loaded
 	for _, order := range r.unresolved() {
@@ -132,9 +133,10 @@
 	return loaded
 }
 
-// PossiblyLoaded is what the replica may have loaded beyond what it certainly has: what it reported and an order may have
-// unloaded since, and what an order that was decided or may yet arrive loads. A load that would be rejected counts too: no
-// other may be ordered that does not fit beside it, whichever arrives first. It is nil where there is nothing of the kind.
+// PossiblyLoaded returns what the replica may have loaded beyond CertainlyLoaded: what it reported and an order may have
+// unloaded since, and what is loaded by orders that are in progress or may still arrive. It includes loads that the replica
+// would reject, so that no other load is ordered that does not fit beside them, whichever arrives first. It is nil if there
+// are no such orders.
 func (r *Replica) PossiblyLoaded() map[string]bool {
 	change, pending := r.PendingChange()
 	if len(r.uncertain) == 0 && !pending {
@@ -158,7 +160,7 @@
 	return possible
 }
 
-// UncertainChanges returns the changes whose orders may yet arrive.
+// UncertainChanges returns the changes of the orders that the replica may still accept and whose outcome is unknown.
 func (r *Replica) UncertainChanges() []Change {
 	var changes []Change
 	for _, order := range r.unresolved() {
@@ -167,6 +169,5 @@
 	return changes
 }
 
-// Loaded is what the replica reported last, or what the platform's list said before the first report. The set must not be
-// changed.
+// Loaded returns the last reported set, or that of the platform's list before the first report. The caller must not modify it.
 func (r *Replica) Loaded() map[string]bool { return r.loaded }
--- a/internal/replicastate/report_test.go
+++ b/internal/replicastate/report_test.go
@@ -9,7 +9,7 @@
 func TestReplica_IdleReplicaIsPolledOnlyAfterRecheck(t *testing.T) {
 	replica := idle(t, 4, "a")
 	assert.Assert(t, !replica.PollDue(at(60)))
-	assert.Assert(t, !replica.HandleReport(Report{Sequence: 5, Loaded: set("b")}, at(1)), "a report that nobody requested")
+	assert.Assert(t, !replica.HandleReport(Report{Sequence: 5, Loaded: set("b")}, at(1)), "the report was not requested")
 	checkBounds(t, replica, set("a"), nil)
 	replica.Recheck(at(2))
 	assert.Assert(t, !replica.IsKnown() && replica.PollDue(at(2)))
@@ -27,7 +27,7 @@
 	assert.Equal(t, replica.Phase(), Changing)
 }
 
-func TestReplica_ReportOfPreviousSequenceIsOutdated(t *testing.T) {
+func TestReplica_ReportOfPreviousSequenceIsStale(t *testing.T) {
 	replica := idle(t, 4, "a")
 	decideAndEnd(t, replica, unload("a"), Accepted, at(1))
 	report(t, replica, false, Report{Sequence: 4, Loaded: set()}, at(1.3))
@@ -46,7 +46,7 @@
 	assert.Equal(t, decide(t, replica, load("b"), at(3)).ExpectedSequence, int64(0))
 }
 
-func TestReplica_RestartDuringOrderIsBelievedInTheEnd(t *testing.T) {
+func TestReplica_RestartDuringOrderIsEventuallyAdopted(t *testing.T) {
 	replica := idle(t, 4, "a")
 	decideAndEnd(t, replica, load("b"), Accepted, at(1))
 	restarted := Report{Sequence: 0, Loaded: set()}
@@ -60,7 +60,7 @@
 	checkBounds(t, replica, set(), nil)
 }
 
-func TestReplica_EachRestartIsDistrustedFirst(t *testing.T) {
+func TestReplica_EachLowerSequenceIsStaleAtFirst(t *testing.T) {
 	replica := idle(t, 4, "a")
 	replica.Recheck(at(1))
 	report(t, replica, false, Report{Sequence: 2, Loaded: set()}, at(1))
@@ -70,7 +70,7 @@
 	report(t, replica, true, Report{Sequence: 0, Loaded: set()}, at(12))
 }
 
-func TestReplica_ThirdMismatchIsBelieved(t *testing.T) {
+func TestReplica_ThirdConsecutiveMismatchIsAdopted(t *testing.T) {
 	for _, change := range []Change{load("b"), unload("a")} {
 		replica := idle(t, 4, "a")
 		decideAndEnd(t, replica, change, Accepted, at(1))
--- a/internal/replicastate/response_test.go
+++ b/internal/replicastate/response_test.go
@@ -6,13 +6,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestReplica_DecideNamesSequenceAndFence(t *testing.T) {
+func TestReplica_DecideRecordsSequenceAndFence(t *testing.T) {
 	replica := idle(t, 4, "a")
 	order := decide(t, replica, load("b"), at(1))
 	assert.Equal(t, order, Order{Change: load("b"), ExpectedSequence: 4, Fence: testFence})
 	assert.Equal(t, replica.Phase(), AwaitingResponse)
-	change, under := replica.PendingChange()
-	assert.Assert(t, under)
+	change, pending := replica.PendingChange()
+	assert.Assert(t, pending)
 	assert.Equal(t, change, load("b"))
 	_, possible := replica.Decide(load("c"), at(9))
 	assert.Assert(t, !possible)
@@ -20,7 +20,7 @@
 	checkBounds(t, replica, set("a"), set("b"))
 }
 
-func TestReplica_UnreportedReplicaTakesNoOrder(t *testing.T) {
+func TestReplica_ReplicaWithoutReportIsNotReady(t *testing.T) {
 	replica := New(testTimings, testFence, at(0.5), set("a"))
 	assert.Equal(t, replica.Phase(), Unknown)
 	assert.Assert(t, !replica.IsKnown() && !replica.IsReady(at(9)))
@@ -30,7 +30,7 @@
 	checkBounds(t, replica, set("a"), nil)
 }
 
-func TestReplica_PollUnderWayBlocksOrdersAndPolls(t *testing.T) {
+func TestReplica_OutstandingPollBlocksOrdersAndPolls(t *testing.T) {
 	replica := idle(t, 4, "a")
 	replica.Recheck(at(1))
 	assert.Assert(t, replica.PollDue(at(1)))
@@ -64,17 +64,17 @@
 	assert.Equal(t, decide(t, replica, load("b"), at(2)).ExpectedSequence, int64(5))
 }
 
-func TestReplica_ExpectDonePutsOffPoll(t *testing.T) {
+func TestReplica_ExpectCompletionPostponesPoll(t *testing.T) {
 	replica := idle(t, 4, "a")
 	decideAndEnd(t, replica, load("b"), Accepted, at(1))
 	replica.ExpectCompletion(at(6))
 	assert.Assert(t, !replica.PollDue(at(5.9)) && replica.PollDue(at(6)))
 	replica.ExpectCompletion(at(2))
-	assert.Assert(t, !replica.PollDue(at(5.9)), "an earlier moment does not count")
+	assert.Assert(t, !replica.PollDue(at(5.9)), "an earlier time has no effect")
 	report(t, replica, true, Report{Sequence: 5, Loaded: set("a", "b")}, at(6))
 	replica.ExpectCompletion(at(20))
 	decideAndEnd(t, replica, load("c"), Accepted, at(7))
-	assert.Assert(t, replica.PollDue(at(7.25)), "what is idle expects nothing")
+	assert.Assert(t, replica.PollDue(at(7.25)), "an idle replica ignores the expected time")
 }
 
 func TestReplica_AlreadyDoneOrderKeepsSequence(t *testing.T) {
@@ -87,7 +87,7 @@
 	assert.Equal(t, decide(t, replica, load("c"), at(2)).ExpectedSequence, int64(4))
 }
 
-func TestReplica_ConflictDistrustsReportsOfSameSequence(t *testing.T) {
+func TestReplica_ConflictMakesReportsOfSameSequenceStale(t *testing.T) {
 	replica := idle(t, 4, "a")
 	decideAndEnd(t, replica, load("b"), Conflict, at(1))
 	assert.Assert(t, !replica.IsKnown())
@@ -100,7 +100,7 @@
 	assert.Equal(t, decide(t, replica, load("b"), at(3)).ExpectedSequence, int64(4))
 }
 
-func TestReplica_ConflictBelievesHigherSequenceAtOnce(t *testing.T) {
+func TestReplica_ConflictAdoptsHigherSequenceImmediately(t *testing.T) {
 	replica := idle(t, 4, "a")
 	decideAndEnd(t, replica, load("b"), Conflict, at(1))
 	report(t, replica, true, Report{Sequence: 5, Loaded: set("a", "c")}, at(1.25))
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestReplica_UnreachedOrderIsForgotten(t *testing.T) {
+func TestReplica_OrderToUnreachableReplicaIsDropped(t *testing.T) {
 	replica := idle(t, 4, "a")
 	decideAndEnd(t, replica, load("b"), Unreachable, at(1))
 	assert.Assert(t, !replica.IsKnown() && !replica.HasUnconfirmedOrder())
@@ -130,7 +130,7 @@
 	assert.Assert(t, replica.IsReady(at(1.25)))
 }
 
-func TestReplica_OrderMayStartUntilFateIsKnown(t *testing.T) {
+func TestReplica_OrderIsUnconfirmedUntilOutcomeIsKnown(t *testing.T) {
 	replica := idle(t, 4, "a")
 	assert.Assert(t, !replica.HasUnconfirmedOrder())
 	order := decide(t, replica, load("b"), at(1))
@@ -138,7 +138,7 @@
 	replica.HandleResponse(order, Accepted, at(1))
 	assert.Assert(t, !replica.HasUnconfirmedOrder())
 	assert.Assert(t, replica.IsExecuting(Report{Sequence: 5, Busy: true}))
-	assert.Assert(t, !replica.IsExecuting(Report{Sequence: 4, Busy: true}), "another order, or an old report")
+	assert.Assert(t, !replica.IsExecuting(Report{Sequence: 4, Busy: true}), "the report is older, or shows another order")
 	assert.Assert(t, !replica.IsExecuting(Report{Sequence: 5}))
 	report(t, replica, true, Report{Sequence: 5, Loaded: set("a", "b")}, at(2))
 	decideAndEnd(t, replica, load("c"), NoResponse, at(3))
@@ -160,7 +160,7 @@
 		checkBounds(t, replica, set("a", "b"), set("c"))
 		replica.HandleResponse(later, Accepted, at(3.1))
 		replica.HandleResponse(later, outcome, at(3.2))
-		assert.Equal(t, replica.Phase(), Changing, "an order is answered once")
+		assert.Equal(t, replica.Phase(), Changing, "only the first response to an order counts")
 		assert.Equal(t, len(replica.UncertainChanges()), 0)
 	}
 }
--- a/internal/replicastate/uncertain_test.go
+++ b/internal/replicastate/uncertain_test.go
@@ -47,7 +47,7 @@
 	decideAndEnd(t, replica, load("b"), NoResponse, at(1))
 	report(t, replica, true, Report{Sequence: 4, Loaded: set("a")}, at(2.5))
 	replica.PollStarted(at(4.5))
-	assert.Assert(t, !replica.IsKnown(), "nothing is decided while it is polled")
+	assert.Assert(t, !replica.IsKnown(), "no order is decided during a poll")
 	replica.PollFailed(at(5.2))
 	assert.Assert(t, !replica.PollDue(at(5.6)) && replica.PollDue(at(5.7)))
 	report(t, replica, true, Report{Sequence: 5, Loaded: set("a", "b")}, at(5.7))
