--- a/internal/controlplane/replicatracker/replica.go
+++ b/internal/controlplane/replicatracker/replica.go
@@ -183,7 +183,7 @@
 	if !r.ExpectsDiskLoad() {
 		return 0, false
 	}
-	return polledAt.Add(-ReportLag).Sub(r.startedAt), r.state.IsCarryingOut(report)
+	return polledAt.Add(-ReportLag).Sub(r.startedAt), r.state.IsExecuting(report)
 }
 
 // ExpectsDiskLoad reports whether the order in progress loads a model that is assumed to come from the replica's own disk.
--- a/internal/controlplane/replicatracker/timings.go
+++ b/internal/controlplane/replicatracker/timings.go
@@ -32,13 +32,13 @@
 // Timings returns the timings of tracked replicas.
 func Timings() *replicastate.Timings {
 	return &replicastate.Timings{
-		ReportLag:        ReportLag,
-		PollInterval:     pollInterval,
-		UnknownFateDelay: UnknownOutcomeDelay,
-		RejectedBackoff:  rejectedBackoff,
-		MaxOrderLifetime: MaxOrderLifetime,
-		MaxReportAge:     MaxReportAge,
-		DistrustPeriod:   contradictionTimeout,
+		ReportLag:           ReportLag,
+		PollInterval:        pollInterval,
+		UnknownOutcomeDelay: UnknownOutcomeDelay,
+		RejectionBackoff:    rejectedBackoff,
+		MaxOrderLifetime:    MaxOrderLifetime,
+		MaxReportAge:        MaxReportAge,
+		StaleReportWindow:   contradictionTimeout,
 	}
 }
 
--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -95,7 +95,7 @@
 		Phase:         discovery.Phase(order.ServingPhase),
 		LeaseHolder:   grant.Record.Holder,
 		Fence:         grant.Record.Fence,
-		ExpectedCount: order.Expected,
+		ExpectedCount: order.ExpectedSequence,
 	})
 }
 
@@ -125,11 +125,11 @@
 // is that nothing was sent.
 func outcomeOf(status int, err error) replicastate.Outcome {
 	if errors.Is(err, replica.ErrNotSent) {
-		return replicastate.Unreached
+		return replicastate.Unreachable
 	}
 	outcome, known := outcomeByStatus[status]
 	if err != nil || !known {
-		return replicastate.NoAnswer
+		return replicastate.NoResponse
 	}
 	return outcome
 }
@@ -146,7 +146,7 @@
 	s.recordLoadOutcome(tracked, outcome, now)
 	s.tracker.HandleResponse(tracked, order, outcome, now)
 	if tracked.State().Phase() == replicastate.Changing {
-		tracked.State().ExpectDone(now.Add(s.expectedDuration(tracked)))
+		tracked.State().ExpectCompletion(now.Add(s.expectedDuration(tracked)))
 	}
 }
 
@@ -159,7 +159,7 @@
 		return
 	}
 	switch outcome {
-	case replicastate.NoAnswer:
+	case replicastate.NoResponse:
 	case replicastate.Accepted:
 		s.budget.recordStarted(tracked.ID(), now)
 	default:
@@ -202,7 +202,7 @@
 		"reason":        reason,
 		"status":        status,
 		"fence":         order.Fence,
-		"expected":      order.Expected,
+		"expected":      order.ExpectedSequence,
 		logrus.ErrorKey: err,
 	}).Info("placement order sent")
 }
--- a/internal/controlplane/scheduler/sync.go
+++ b/internal/controlplane/scheduler/sync.go
@@ -89,5 +89,5 @@
 // mayStart reports whether the pending order of a replica may still be accepted.
 func (s *Scheduler) mayStart(id string) bool {
 	replica := s.tracker.Replica(id)
-	return replica != nil && replica.State().MayStart()
+	return replica != nil && replica.State().HasUnconfirmedOrder()
 }
