--- a/internal/controlstate/pinned_test.go
+++ b/internal/controlstate/pinned_test.go
@@ -35,5 +35,9 @@
 	legacy := json.RawMessage(`{"revision":8,"packed":"AQI=","marks":["a","b"]}`)
 	record, err := DecodeConfiguration(keystore.Register{Value: legacy})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, record, ConfigurationRecord{Revision: 8, CompressedDocument: []byte{1, 2}, AppliedCalls: AppliedCalls{EvictedUpTo: 7}})
+	assert.DeepEqual(t, record, ConfigurationRecord{
+		Revision:           8,
+		CompressedDocument: []byte{1, 2},
+		AppliedCalls:       AppliedCalls{EvictedUpTo: 7},
+	})
 }
