--- a/internal/controlplane/fleetsize/record.go
+++ b/internal/controlplane/fleetsize/record.go
@@ -1,10 +1,10 @@
-// Package fleetsize keeps on a majority of disks how many data planes there are and which of them may be homes of tenants'
-// limits, so that after a restart of all control planes shares of what binds the fleet are known from the first response on.
-// Without the record every control plane has to listen for a while until it has heard of all data planes, and until then
-// nobody may use a share.
+// Package fleetsize stores on a majority of disks how many data planes there are and which of them may be homes of tenant
+// limits. After a restart of all control planes, the shares of fleet-wide limits are then known from the first response on.
+// Without the record every control plane must first listen until it has heard from all data planes, and until then no share
+// may be used.
 //
-// The record is a bound, not a count: it is raised at once and lowered late. Whoever has heard of more data planes than it
-// names goes by the higher number. Start reading at Recorder.
+// The recorded count is an upper bound: it is raised at once and lowered only after a delay. A control plane that has heard
+// from more data planes than recorded uses the higher number. Start reading at Recorder.
 package fleetsize
 
 import (
@@ -14,40 +14,40 @@
 	"ferryspar/internal/peer"
 )
 
-// Record is what is stored.
+// Record is the stored record.
 type Record struct {
-	// DataPlanes is how many data planes shared the fleet's limits.
+	// DataPlanes is the number of data planes that share the fleet-wide limits.
 	DataPlanes int `json:"dataPlanes"`
-	// Homes are the data planes that may be homes of tenants' limits, ordered by name.
+	// Homes holds the data planes that may be homes of tenant limits, ordered by name.
 	Homes []peer.Neighbour `json:"homes,omitempty"`
 }
 
-// Observation is what this control plane has heard.
+// Observation is what this control plane has heard from the data planes.
 type Observation struct {
-	// DataPlanes is how many data planes count now, those included that fell silent lately.
+	// DataPlanes is the current number of data planes, including those that fell silent recently.
 	DataPlanes int
 	Homes      []peer.Neighbour
-	// Complete says that no live data plane can be missing.
+	// Complete is true if no live data plane can be missing.
 	Complete bool
 }
 
 const (
-	// lowerAfter is for how long fewer data planes must have counted before the record is lowered: after a short absence of
-	// many of them it would be too low for their return.
-	lowerAfter = 30 * time.Second
-	// homesAfter is for how long other homes must have been observed before they are recorded: machines that restart in turn
-	// change them for a moment each.
-	homesAfter = 3 * time.Second
+	// lowerDelay is how long fewer data planes must have been observed before the record is lowered. If it were lowered during
+	// a short absence of many data planes, it would be too low when they return.
+	lowerDelay = 30 * time.Second
+	// homesDelay is how long different homes must have been observed before they are recorded, since a rolling restart of
+	// machines changes the homes briefly at each machine.
+	homesDelay = 3 * time.Second
 )
 
-// Decider decides what is to be recorded. It is not safe for concurrent use.
+// Decider decides when the record changes, and to what. It is not safe for concurrent use.
 type Decider struct {
 	lowerSince time.Time
 	homesSince time.Time
 	homes      []peer.Neighbour
 }
 
-// Next returns the record that should replace the present one, and whether it should now.
+// Next returns the record that should replace the current one, and whether it differs from it.
 func (d *Decider) Next(recorded Record, observed Observation, now time.Time) (Record, bool) {
 	next := recorded
 	next.DataPlanes = d.nextCount(recorded.DataPlanes, observed, now)
@@ -66,7 +66,7 @@
 	if d.lowerSince.IsZero() {
 		d.lowerSince = now
 	}
-	if now.Sub(d.lowerSince) < lowerAfter {
+	if now.Sub(d.lowerSince) < lowerDelay {
 		return recorded
 	}
 	return observed.DataPlanes
@@ -77,6 +77,6 @@
 	if !slices.Equal(d.homes, observed.Homes) || d.homesSince.IsZero() {
 		d.homes, d.homesSince = observed.Homes, now
 	}
-	isKnown := len(observed.Homes) > 0 && now.Sub(d.homesSince) >= homesAfter
+	isKnown := len(observed.Homes) > 0 && now.Sub(d.homesSince) >= homesDelay
 	return isKnown && !slices.Equal(recorded, observed.Homes)
 }
--- a/internal/controlplane/fleetsize/record_test.go
+++ b/internal/controlplane/fleetsize/record_test.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/peer"
 )
 
-var noon = time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
+var testStart = time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
 
 func homes(names ...string) []peer.Neighbour {
 	var list []peer.Neighbour
@@ -21,55 +21,55 @@
 	return list
 }
 
-func TestDecider_RaisesAtOnceAndLowersLate(t *testing.T) {
+func TestDecider_RaisesAtOnceAndLowersAfterDelay(t *testing.T) {
 	decider := &Decider{}
-	next, changed := decider.Next(Record{DataPlanes: 5}, Observation{DataPlanes: 7}, noon)
+	next, changed := decider.Next(Record{DataPlanes: 5}, Observation{DataPlanes: 7}, testStart)
 	assert.Assert(t, changed)
 	assert.Equal(t, next.DataPlanes, 7)
 
 	fewer := Observation{DataPlanes: 3, Complete: true}
-	_, changed = decider.Next(next, fewer, noon)
+	_, changed = decider.Next(next, fewer, testStart)
 	assert.Assert(t, !changed)
-	_, changed = decider.Next(next, fewer, noon.Add(lowerAfter-time.Second))
+	_, changed = decider.Next(next, fewer, testStart.Add(lowerDelay-time.Second))
 	assert.Assert(t, !changed)
-	lowered, changed := decider.Next(next, fewer, noon.Add(lowerAfter))
+	lowered, changed := decider.Next(next, fewer, testStart.Add(lowerDelay))
 	assert.Assert(t, changed)
 	assert.Equal(t, lowered.DataPlanes, 3)
 }
 
-func TestDecider_AnAbsenceInBetweenStartsTheWaitAnew(t *testing.T) {
+func TestDecider_RestartsDelayWhenCountRecovers(t *testing.T) {
 	decider := &Decider{}
 	recorded, fewer := Record{DataPlanes: 5}, Observation{DataPlanes: 3, Complete: true}
-	decider.Next(recorded, fewer, noon)
-	decider.Next(recorded, Observation{DataPlanes: 5, Complete: true}, noon.Add(lowerAfter/2))
-	decider.Next(recorded, fewer, noon.Add(lowerAfter/2+time.Second))
-	_, changed := decider.Next(recorded, fewer, noon.Add(lowerAfter+time.Second))
+	decider.Next(recorded, fewer, testStart)
+	decider.Next(recorded, Observation{DataPlanes: 5, Complete: true}, testStart.Add(lowerDelay/2))
+	decider.Next(recorded, fewer, testStart.Add(lowerDelay/2+time.Second))
+	_, changed := decider.Next(recorded, fewer, testStart.Add(lowerDelay+time.Second))
 	assert.Assert(t, !changed)
 }
 
-func TestDecider_NeverLowersWhatItMayNotHaveHeardOf(t *testing.T) {
+func TestDecider_NeverLowersOnIncompleteObservation(t *testing.T) {
 	decider := &Decider{}
 	for second := range 100 {
 		observed := Observation{DataPlanes: 3}
-		_, changed := decider.Next(Record{DataPlanes: 5}, observed, noon.Add(time.Duration(second)*time.Second))
+		_, changed := decider.Next(Record{DataPlanes: 5}, observed, testStart.Add(time.Duration(second)*time.Second))
 		assert.Assert(t, !changed)
 	}
 }
 
-func TestDecider_RecordsHomesThatStay(t *testing.T) {
+func TestDecider_RecordsStableHomes(t *testing.T) {
 	decider := &Decider{}
 	recorded := Record{DataPlanes: 2, Homes: homes("a", "b")}
-	moving := func(at time.Duration, names ...string) bool {
-		_, changed := decider.Next(recorded, Observation{DataPlanes: 2, Homes: homes(names...)}, noon.Add(at))
+	changedAt := func(at time.Duration, names ...string) bool {
+		_, changed := decider.Next(recorded, Observation{DataPlanes: 2, Homes: homes(names...)}, testStart.Add(at))
 		return changed
 	}
-	assert.Assert(t, !moving(0, "a", "b"))
-	assert.Assert(t, !moving(time.Second, "a"))
-	assert.Assert(t, !moving(2*time.Second, "a", "c"))
-	assert.Assert(t, !moving(4*time.Second, "a", "c"))
-	assert.Assert(t, moving(5*time.Second, "a", "c"))
-	assert.Assert(t, !moving(20*time.Second), "no homes are known: the recorded ones stay")
-	assert.Assert(t, !moving(40*time.Second))
+	assert.Assert(t, !changedAt(0, "a", "b"))
+	assert.Assert(t, !changedAt(time.Second, "a"))
+	assert.Assert(t, !changedAt(2*time.Second, "a", "c"))
+	assert.Assert(t, !changedAt(4*time.Second, "a", "c"))
+	assert.Assert(t, changedAt(5*time.Second, "a", "c"))
+	assert.Assert(t, !changedAt(20*time.Second), "no homes are known, so the recorded ones are kept")
+	assert.Assert(t, !changedAt(40*time.Second))
 }
 
 // fakeHost is a control plane that stores the record in memory.
--- a/internal/controlplane/fleetsize/recorder.go
+++ b/internal/controlplane/fleetsize/recorder.go
@@ -7,22 +7,22 @@
 	"github.com/sirupsen/logrus"
 )
 
-// checkInterval is how often the record is compared with what is observed; it is written no more often.
+// checkInterval is how often the record is compared with the observation, and the minimum interval between writes.
 const checkInterval = time.Second
 
-// Host is what a Recorder needs of the control plane that it belongs to.
+// Host is the control plane that a Recorder belongs to.
 type Host interface {
-	// IsRecorder says whether this control plane is the one that writes the record.
+	// IsRecorder reports whether this control plane is the one that writes the record.
 	IsRecorder(now time.Time) bool
-	// Recorded returns the record in force, zero if there is none.
+	// Recorded returns the current record, zero if there is none.
 	Recorded() Record
-	// Observe returns what this control plane has heard of the data planes.
+	// Observe returns what this control plane has heard from the data planes.
 	Observe(now time.Time) Observation
-	// Write replaces the record by what decide makes of it.
+	// Write replaces the record with the result of decide.
 	Write(ctx context.Context, decide func(current Record) Record) error
 }
 
-// Recorder keeps the record. Its state belongs to the goroutine of Run.
+// Recorder updates the record. It is used only by the goroutine of Run.
 type Recorder struct {
 	host    Host
 	clock   func() time.Time
@@ -34,7 +34,7 @@
 	return &Recorder{host: host, clock: clock}
 }
 
-// Run keeps the record until ctx ends.
+// Run updates the record until ctx ends.
 func (r *Recorder) Run(ctx context.Context) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -62,7 +62,7 @@
 	}
 	err := r.host.Write(ctx, func(current Record) Record {
 		if current.DataPlanes > recorded.DataPlanes {
-			// Another control plane has raised it meanwhile.
+			// Another control plane has raised the count in the meantime.
 			next.DataPlanes = max(next.DataPlanes, current.DataPlanes)
 		}
 		return next
--- a/internal/controlplane/scheduler/polls_test.go
+++ b/internal/controlplane/scheduler/polls_test.go
@@ -55,7 +55,7 @@
 			seen[tracked.ID()] = true
 			tracked.State().PollStarted(now)
 		}
-		assert.Equal(t, len(scheduler.poller.due(table, now)), 0, "at the limit of concurrent polls")
+		assert.Equal(t, len(scheduler.poller.due(table, now)), 0, "while the batch is in progress")
 		for _, tracked := range due {
 			report := replicastate.Report{Sequence: 1, Loaded: map[string]bool{"m": true}}
 			assert.Assert(t, tracked.State().HandleReport(report, now))
--- a/internal/controlplane/singleton/doc.go
+++ b/internal/controlplane/singleton/doc.go
@@ -1,9 +1,10 @@
-// Package singleton makes the calls at the platform that only one control plane may make at a time, under the placement lease.
+// Package singleton makes the platform calls that only one control plane may make at a time, under the placement lease.
 //
-// A Role decides what is to be said; a Runner says it, one call after the other, while the lease allows that. The rules that hold for
-// every role are kept here once: a call goes out only if the lease lasts long enough for it, checked right before it is sent; a new
-// grant has waited out the one before it; a role whose fence the platform has refused says nothing more under that fence; the
-// platform's rate is not exceeded, and unanswered calls are repeated with a growing backoff.
+// A Role decides which call to make next; a Runner makes the calls, one after the other, while the lease allows it. The Runner
+// enforces the rules common to all roles: a call is made only if the lease remains valid for long enough, which is checked
+// right before sending; a new grant takes effect only after the previous one has expired; a role makes no more calls under a
+// fence that the platform has rejected; the platform's rate limit is observed; and unanswered calls are retried with growing
+// backoff.
 //
 // Start reading at Runner.Run and Role.
 package singleton
--- a/internal/controlplane/singleton/role.go
+++ b/internal/controlplane/singleton/role.go
@@ -9,24 +9,25 @@
 	"ferryspar/internal/lease"
 )
 
-// Outcome is what is known of a call after it was made.
+// Outcome is the known result of a call.
 type Outcome int
 
 // The outcomes of a call.
 const (
-	// OutcomeUncertain: the call was not answered, or with a failure. It may have been carried out, or may be seconds later.
+	// OutcomeUncertain means that the call was not answered or was answered with a server error. It may have been executed, or
+	// may still be executed seconds later.
 	OutcomeUncertain Outcome = iota
-	// OutcomeAccepted: it was carried out.
+	// OutcomeAccepted means that the call was executed.
 	OutcomeAccepted
-	// OutcomeRejected: it was not carried out and never will be.
+	// OutcomeRejected means that the call was not executed and never will be.
 	OutcomeRejected
-	// OutcomeThrottled: the same, since the platform takes no more calls at the moment.
+	// OutcomeThrottled means that the call was rejected because the platform accepts no more calls at the moment.
 	OutcomeThrottled
-	// OutcomeFenced: the same, since another holder has used a higher fence.
+	// OutcomeFenced means that the call was rejected because another holder has used a higher fence.
 	OutcomeFenced
 )
 
-// outcomeOf judges the answer to a call.
+// outcomeOf returns the outcome of a call from its response.
 func outcomeOf(status int, err error) Outcome {
 	switch {
 	case err != nil || status >= http.StatusInternalServerError:
@@ -41,35 +42,36 @@
 	return OutcomeRejected
 }
 
-// Call is what a role has to say next.
+// Call is a call that a role wants to make.
 type Call struct {
 	Path string
 	Body []byte
 }
 
-// Role decides what is said at the platform in one matter. Its methods are called by one goroutine.
+// Role decides which platform calls to make for one purpose. Its methods are called from one goroutine.
 type Role interface {
-	// Name is the role's name in logs and metrics.
+	// Name returns the role's name in logs and metrics.
 	Name() string
-	// Reset starts anew under another grant of the lease: what others have said meanwhile is not known.
+	// Reset discards the role's state under a new lease grant, since calls made by other holders in the meantime are not
+	// known.
 	Reset()
-	// Prepare does what must be done before the next call, as storing what it will say. It may take until ctx ends.
+	// Prepare does what must precede the next call, such as storing its content. It may take until ctx ends.
 	Prepare(ctx context.Context, now time.Time)
-	// Next is the call that is due, or false.
+	// Next returns the call that is due, or false if there is none.
 	Next(now time.Time) (Call, bool)
-	// HandleOutcome tells what came of the call that Next returned last.
+	// HandleOutcome receives the outcome of the call that Next returned last.
 	HandleOutcome(outcome Outcome, now time.Time)
 }
 
-// Lease is what a Runner needs of the placement lease.
+// Lease is the placement lease as used by a Runner.
 type Lease interface {
-	// Grant is the present grant, or nil.
+	// Grant returns the current grant, or nil.
 	Grant() *lease.Grant
-	// ReportFenced has the lease given up and taken anew, under a higher fence.
+	// ReportFenced requests that the lease be released and acquired again under a higher fence.
 	ReportFenced(fence uint64)
 }
 
-// Platform makes calls (discovery.RoleClient).
+// Platform sends calls to the platform. It is implemented by discovery.RoleClient.
 type Platform interface {
 	Send(ctx context.Context, call discovery.RoleCall) (int, error)
 }
--- a/internal/controlplane/singleton/runner.go
+++ b/internal/controlplane/singleton/runner.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// checkInterval is how often roles are asked what is due.
+	// checkInterval is how often roles are checked for a due call.
 	checkInterval = 100 * time.Millisecond
-	// callMargin is how much longer the lease must last when a call is made.
+	// callMargin is the minimum remaining validity of the lease when a call is made.
 	callMargin = 800 * time.Millisecond
 	// prepareTimeout bounds the preparation of one call.
 	prepareTimeout = 1500 * time.Millisecond
-	// minBackoff and maxBackoff bound the pause before a call is repeated that was not accepted.
+	// minBackoff and maxBackoff bound the delay before a role whose call was not accepted calls again.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// rateShare is the part of the platform's rate that is used.
+	// rateShare is the fraction of the platform's rate limit that is used.
 	rateShare = 0.5
 )
 
-// Config is what a Runner is made of.
+// Config holds the settings and dependencies of a Runner.
 type Config struct {
-	// Holder names this node to the platform.
+	// Holder identifies this node to the platform.
 	Holder string
-	// CallsPerSecond is how many calls the platform accepts.
+	// CallsPerSecond is the platform's rate limit.
 	CallsPerSecond float64
 	Lease          Lease
 	Platform       Platform
 	Clock          func() time.Time
-	// Roles, those that matter most first.
+	// Roles holds the roles, most important first.
 	Roles []Role
 }
 
-// Runner makes the calls of all roles. Its state belongs to the goroutine of Run.
+// Runner makes the calls of all roles. It is used only by the goroutine of Run.
 type Runner struct {
 	config Config
 	roles  []*roleState
 	grant  *lease.Grant
-	// nextCallAt is when the platform's rate allows the next call.
+	// nextCallAt is when the platform's rate limit allows the next call.
 	nextCallAt time.Time
 }
 
-// roleState is what a runner keeps of one role.
+// roleState is a runner's state of one role.
 type roleState struct {
 	role Role
-	// fencedAt is the fence that the platform has refused, 0 for none.
+	// fencedAt is the fence that the platform has rejected, 0 if none.
 	fencedAt uint64
 	backoff  time.Duration
 	// retryAt is when the role may call again.
@@ -65,7 +65,7 @@
 	return runner
 }
 
-// Run makes calls while this node has the lease, until ctx ends.
+// Run makes calls while this node holds the lease, until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	if len(r.roles) == 0 {
 		return
@@ -79,13 +79,13 @@
 		case <-ticker.C:
 		}
 		for _, state := range r.roles {
-			r.turn(ctx, state)
+			r.runOnce(ctx, state)
 		}
 	}
 }
 
-// turn makes the call of a role that is due, if any.
-func (r *Runner) turn(ctx context.Context, state *roleState) {
+// runOnce makes the due call of a role, if there is one.
+func (r *Runner) runOnce(ctx context.Context, state *roleState) {
 	now := r.config.Clock()
 	if !r.adoptGrant(now) || state.fencedAt == r.grant.Record.Fence || now.Before(state.retryAt) {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-// adoptGrant says whether a call may be made now. Roles begin anew under a grant that is not the one before it.
+// adoptGrant reports whether a call may be made now. It resets the roles if the grant is a new one rather than a renewal.
 func (r *Runner) adoptGrant(now time.Time) bool {
 	grant := r.config.Lease.Grant()
 	if !grant.Allows(now, callMargin) {
--- a/internal/controlplane/singleton/runner_test.go
+++ b/internal/controlplane/singleton/runner_test.go
@@ -14,8 +14,8 @@
 	"ferryspar/internal/lease"
 )
 
-// world is the lease, the platform and the only role of a runner.
-type world struct {
+// fakeHost implements the lease, the platform and the only role of a runner.
+type fakeHost struct {
 	grant  *lease.Grant
 	fenced []uint64
 
@@ -29,109 +29,109 @@
 	outcomes []Outcome
 }
 
-func (w *world) Grant() *lease.Grant       { return w.grant }
-func (w *world) ReportFenced(fence uint64) { w.fenced = append(w.fenced, fence) }
-func (w *world) Send(_ context.Context, call discovery.RoleCall) (int, error) {
-	w.calls, w.callAt = append(w.calls, call), append(w.callAt, time.Now())
-	return w.answer(call)
+func (h *fakeHost) Grant() *lease.Grant       { return h.grant }
+func (h *fakeHost) ReportFenced(fence uint64) { h.fenced = append(h.fenced, fence) }
+func (h *fakeHost) Send(_ context.Context, call discovery.RoleCall) (int, error) {
+	h.calls, h.callAt = append(h.calls, call), append(h.callAt, time.Now())
+	return h.answer(call)
 }
-func (*world) Name() string { return "test" }
-func (w *world) Reset()     { w.resets++ }
-func (w *world) Prepare(context.Context, time.Time) {
-	if w.prepare != nil {
-		w.prepare()
+func (*fakeHost) Name() string { return "test" }
+func (h *fakeHost) Reset()     { h.resets++ }
+func (h *fakeHost) Prepare(context.Context, time.Time) {
+	if h.prepare != nil {
+		h.prepare()
 	}
 }
-func (w *world) Next(time.Time) (Call, bool) { return Call{Path: discovery.PathUsage}, w.due }
-func (w *world) HandleOutcome(outcome Outcome, _ time.Time) {
-	w.outcomes = append(w.outcomes, outcome)
-	w.due = outcome != OutcomeAccepted
+func (h *fakeHost) Next(time.Time) (Call, bool) { return Call{Path: discovery.PathUsage}, h.due }
+func (h *fakeHost) HandleOutcome(outcome Outcome, _ time.Time) {
+	h.outcomes = append(h.outcomes, outcome)
+	h.due = outcome != OutcomeAccepted
 }
 
-func (w *world) grantFor(fence uint64, duration time.Duration) {
-	w.grant = &lease.Grant{Record: lease.Record{Fence: fence}, EffectiveFrom: time.Now(), ExpiresAt: time.Now().Add(duration)}
+func (h *fakeHost) grantFor(fence uint64, duration time.Duration) {
+	h.grant = &lease.Grant{Record: lease.Record{Fence: fence}, EffectiveFrom: time.Now(), ExpiresAt: time.Now().Add(duration)}
 }
 
 func status(code int) func(discovery.RoleCall) (int, error) {
 	return func(discovery.RoleCall) (int, error) { return code, nil }
 }
 
-// play runs a runner for some time, in which the scene may change the world.
-func play(t *testing.T, duration time.Duration, scene func(w *world)) *world {
+// runFor runs the script while a runner is running, and then the runner alone for the given duration.
+func runFor(t *testing.T, duration time.Duration, script func(h *fakeHost)) *fakeHost {
 	t.Helper()
-	w := &world{due: true, answer: status(http.StatusOK)}
+	h := &fakeHost{due: true, answer: status(http.StatusOK)}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		config := Config{Holder: "core", CallsPerSecond: 10, Lease: w, Platform: w, Clock: time.Now, Roles: []Role{w}}
+		config := Config{Holder: "core", CallsPerSecond: 10, Lease: h, Platform: h, Clock: time.Now, Roles: []Role{h}}
 		ended := make(chan struct{})
 		go func() {
 			NewRunner(config).Run(ctx)
 			close(ended)
 		}()
-		scene(w)
+		script(h)
 		time.Sleep(duration)
 		cancel()
 		<-ended
 	})
-	return w
+	return h
 }
 
 func TestRunner_CallsOnlyWhileTheLeaseLastsLongEnough(t *testing.T) {
-	w := play(t, time.Second, func(*world) {})
-	assert.Equal(t, len(w.calls), 0, "without a lease")
-	w = play(t, time.Second, func(w *world) { w.grantFor(3, callMargin/2) })
-	assert.Equal(t, len(w.calls), 0, "it ends too soon")
-	w = play(t, time.Second, func(w *world) { w.grantFor(3, time.Minute) })
-	assert.DeepEqual(t, w.calls, []discovery.RoleCall{{Path: discovery.PathUsage, Holder: "core", Fence: 3}})
-	w = play(t, 3*time.Second, func(w *world) {
-		w.grantFor(3, 1500*time.Millisecond)
-		w.prepare = func() { time.Sleep(time.Second) }
+	h := runFor(t, time.Second, func(*fakeHost) {})
+	assert.Equal(t, len(h.calls), 0, "without a lease")
+	h = runFor(t, time.Second, func(h *fakeHost) { h.grantFor(3, callMargin/2) })
+	assert.Equal(t, len(h.calls), 0, "with a lease that ends too soon")
+	h = runFor(t, time.Second, func(h *fakeHost) { h.grantFor(3, time.Minute) })
+	assert.DeepEqual(t, h.calls, []discovery.RoleCall{{Path: discovery.PathUsage, Holder: "core", Fence: 3}})
+	h = runFor(t, 3*time.Second, func(h *fakeHost) {
+		h.grantFor(3, 1500*time.Millisecond)
+		h.prepare = func() { time.Sleep(time.Second) }
 	})
-	assert.Equal(t, len(w.calls), 0, "the preparation took too long")
+	assert.Equal(t, len(h.calls), 0, "the preparation took too long")
 }
 
-func TestRunner_SaysNothingMoreUnderAFenceThatWasRefused(t *testing.T) {
-	w := play(t, 5*time.Second, func(w *world) {
-		w.answer = status(http.StatusConflict)
-		w.grantFor(3, time.Minute)
+func TestRunner_MakesNoCallsUnderRejectedFence(t *testing.T) {
+	h := runFor(t, 5*time.Second, func(h *fakeHost) {
+		h.answer = status(http.StatusConflict)
+		h.grantFor(3, time.Minute)
 	})
-	assert.Equal(t, len(w.calls), 1)
-	assert.DeepEqual(t, w.fenced, []uint64{3})
-	w = play(t, 2*time.Second, func(w *world) {
-		w.answer = status(http.StatusConflict)
-		w.grantFor(3, time.Minute)
+	assert.Equal(t, len(h.calls), 1)
+	assert.DeepEqual(t, h.fenced, []uint64{3})
+	h = runFor(t, 2*time.Second, func(h *fakeHost) {
+		h.answer = status(http.StatusConflict)
+		h.grantFor(3, time.Minute)
 		time.Sleep(time.Second)
-		w.answer = status(http.StatusOK)
-		w.grantFor(5, time.Minute)
+		h.answer = status(http.StatusOK)
+		h.grantFor(5, time.Minute)
 	})
-	assert.Equal(t, w.resets, 2)
-	assert.Equal(t, w.calls[len(w.calls)-1].Fence, uint64(5))
-	assert.DeepEqual(t, w.outcomes, []Outcome{OutcomeFenced, OutcomeAccepted})
+	assert.Equal(t, h.resets, 2)
+	assert.Equal(t, h.calls[len(h.calls)-1].Fence, uint64(5))
+	assert.DeepEqual(t, h.outcomes, []Outcome{OutcomeFenced, OutcomeAccepted})
 }
 
-func TestRunner_RepeatsWithBackoffAndWithinTheRate(t *testing.T) {
+func TestRunner_RetriesWithBackoffAndWithinTheRate(t *testing.T) {
 	answers := map[string]struct {
 		answer func(discovery.RoleCall) (int, error)
 		want   Outcome
 	}{
-		"down":      {status(http.StatusServiceUnavailable), OutcomeUncertain},
-		"no answer": {func(discovery.RoleCall) (int, error) { return 0, errors.New("reset") }, OutcomeUncertain},
-		"busy":      {status(http.StatusTooManyRequests), OutcomeThrottled},
-		"no good":   {status(http.StatusBadRequest), OutcomeRejected},
+		"down":        {status(http.StatusServiceUnavailable), OutcomeUncertain},
+		"no answer":   {func(discovery.RoleCall) (int, error) { return 0, errors.New("reset") }, OutcomeUncertain},
+		"busy":        {status(http.StatusTooManyRequests), OutcomeThrottled},
+		"bad request": {status(http.StatusBadRequest), OutcomeRejected},
 	}
 	for name, given := range answers {
 		t.Run(name, func(t *testing.T) {
-			w := play(t, 20*time.Second, func(w *world) {
-				w.answer = given.answer
-				w.grantFor(3, time.Hour)
+			h := runFor(t, 20*time.Second, func(h *fakeHost) {
+				h.answer = given.answer
+				h.grantFor(3, time.Hour)
 			})
-			for position, outcome := range w.outcomes {
+			for position, outcome := range h.outcomes {
 				assert.Equal(t, outcome, given.want)
 				if position > 3 {
-					assert.Assert(t, w.callAt[position].Sub(w.callAt[position-1]) >= maxBackoff)
+					assert.Assert(t, h.callAt[position].Sub(h.callAt[position-1]) >= maxBackoff)
 				}
 			}
-			assert.Assert(t, len(w.calls) > 5)
+			assert.Assert(t, len(h.calls) > 5)
 		})
 	}
 }
--- a/internal/controlplane/usagereport/reporter.go
+++ b/internal/controlplane/usagereport/reporter.go
@@ -1,8 +1,9 @@
-// Package usagereport tells the platform, once for each window of wall time, how many requests of each tenant began to run.
+// Package usagereport reports to the platform, once for each window of wall-clock time, how many requests of each tenant
+// started.
 //
-// A window is closed some time after its end, when the data planes have told their counts. Its counts are stored on a majority of
-// disks before they are sent, and never change after that, so that whoever holds the lease next says the same. Start reading at
-// Reporter.
+// A window is closed some time after its end, when the data planes have reported their counts. Its counts are stored on a
+// majority of disks before they are sent and never change afterwards, so that the next lease holder reports the same counts.
+// Start reading at Reporter.
 package usagereport
 
 import (
@@ -21,11 +22,11 @@
 )
 
 const (
-	// closeShare is the part of the time in which a report is due after which its window is closed: the rest is for calls that fail
-	// and for a change of the lease's holder.
+	// closeShare is the fraction of the reporting delay after which a window is closed. The rest is left for failed calls and
+	// for a change of the lease holder.
 	closeShare = 0.4
-	// maxClosedAtOnce is how many windows are closed in one write after a time without a holder.
-	maxClosedAtOnce = 32
+	// maxWindowsPerWrite is the maximum number of windows that are closed in one write after a time without a lease holder.
+	maxWindowsPerWrite = 32
 )
 
 // Store is the part of keystore.Store that a Reporter needs.
@@ -34,40 +35,42 @@
 	Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error)
 }
 
-// Config is what a Reporter is made of.
+// Config holds the settings and dependencies of a Reporter.
 type Config struct {
 	Store  Store
 	Ledger *usage.Ledger
-	// Windows and Delay are the windows and how long after its end a report is due.
+	// Windows defines the reporting windows; Delay is how long after the end of a window its report is due.
 	Windows usage.Windows
 	Delay   time.Duration
-	// TimeOfDay is the time of day on which the control planes agree, at a reading of the steady clock, or false.
+	// TimeOfDay returns the time of day agreed between the control planes at the given reading of the monotonic clock, or
+	// false if it is not known.
 	TimeOfDay func(now time.Time) (time.Time, bool)
 }
 
-// Reporter is the singleton.Role of usage reports. Its state belongs to the runner's goroutine.
+// Reporter is the singleton.Role that sends usage reports. Except for Status it is used only by the runner's goroutine.
 type Reporter struct {
 	config Config
-	// record is the stored record as far as it is known under the present grant; isRead says that it is.
+	// record is the stored record as last read or written under the current grant; it is valid only while isRead is true.
 	record usage.Record
 	isRead bool
-	// accepted are the windows among those pending whose report the platform has taken.
+	// accepted holds the pending windows whose reports need not be sent again, because the platform has accepted or rejected
+	// them.
 	accepted map[uint64]bool
-	// status is what Status returns.
+	// status is the result of Status.
 	status atomic.Pointer[Status]
-	// sending is the window of the call that Next returned last.
-	sending uint64
+	// sentWindow is the window of the call that Next returned last.
+	sentWindow uint64
 }
 
-// Status is what a reporter knows of its reports.
+// Status is the progress of usage reporting.
 type Status struct {
-	// ClosedUpTo is the newest window whose counts are final, 0 while that is not known.
+	// ClosedUpTo is the newest window whose counts are final, 0 while unknown.
 	ClosedUpTo uint64
-	// Pending is how many reports the platform has not accepted.
+	// Pending is the number of reports that the platform has neither accepted nor rejected.
 	Pending int
 }
 
-// Status returns what was known last. Any goroutine may call it.
+// Status returns the most recent status. Any goroutine may call it.
 func (r *Reporter) Status() Status {
 	if status := r.status.Load(); status != nil {
 		return *status
@@ -79,7 +82,6 @@
 	r.status.Store(&Status{ClosedUpTo: r.record.ClosedUpTo, Pending: len(r.record.Pending) - len(r.accepted)})
 }
 
-// New returns a reporter.
 func New(config Config) *Reporter {
 	return &Reporter{config: config, accepted: map[uint64]bool{}}
 }
@@ -90,7 +92,7 @@
 // Reset implements singleton.Role.
 func (r *Reporter) Reset() { r.isRead = false }
 
-// Prepare implements singleton.Role: it closes the windows that are due.
+// Prepare implements singleton.Role by closing the windows that are due.
 func (r *Reporter) Prepare(ctx context.Context, now time.Time) {
 	timeOfDay, known := r.config.TimeOfDay(now)
 	if !known || !r.isRead && !r.read(ctx, timeOfDay) {
@@ -115,8 +117,8 @@
 	r.adopt(register)
 }
 
-// read reads the stored record. Where there is none, windows count whose reports are not overdue: an earlier holder may have ended
-// before it closed one.
+// read reads the stored record. Without a record, the windows whose reports are not overdue are still reported, since an
+// earlier holder may have stopped before it closed one.
 func (r *Reporter) read(ctx context.Context, timeOfDay time.Time) bool {
 	register, err := r.config.Store.Read(ctx, keystore.UsageKey)
 	if err != nil {
@@ -146,7 +148,7 @@
 	r.publishStatus()
 }
 
-// due are the reports of windows that are to be closed.
+// due returns the reports of the windows that are to be closed.
 func (r *Reporter) due(timeOfDay time.Time) []usage.Report {
 	wait := time.Duration(closeShare * float64(r.config.Delay))
 	newest := r.config.Windows.At(timeOfDay.Add(-wait)) - 1
@@ -154,7 +156,7 @@
 		return nil
 	}
 	var reports []usage.Report
-	for window := max(r.record.ClosedUpTo+1, newest-min(maxClosedAtOnce-1, newest)); window <= newest; window++ {
+	for window := max(r.record.ClosedUpTo+1, newest-min(maxWindowsPerWrite-1, newest)); window <= newest; window++ {
 		reports = append(reports, usage.Report{Window: window, Counts: r.config.Ledger.Totals(window)})
 	}
 	return reports
@@ -162,24 +164,24 @@
 
 func (r *Reporter) isAccepted(window uint64) bool { return r.accepted[window] }
 
-// Next implements singleton.Role: the oldest report that the platform has not taken.
+// Next implements singleton.Role by returning the oldest report that the platform has neither accepted nor rejected.
 func (r *Reporter) Next(time.Time) (singleton.Call, bool) {
 	if !r.isRead {
 		return singleton.Call{}, false
 	}
 	for _, report := range r.record.Pending {
 		if !r.accepted[report.Window] {
-			r.sending = report.Window
+			r.sentWindow = report.Window
 			return singleton.Call{Path: discovery.PathUsage, Body: report.Body()}, true
 		}
 	}
 	return singleton.Call{}, false
 }
 
-// HandleOutcome implements singleton.Role. A report that the platform rejects as such is not sent again.
+// HandleOutcome implements singleton.Role. A report that the platform rejects is not sent again.
 func (r *Reporter) HandleOutcome(outcome singleton.Outcome, _ time.Time) {
 	if outcome == singleton.OutcomeAccepted || outcome == singleton.OutcomeRejected {
-		r.accepted[r.sending] = true
+		r.accepted[r.sentWindow] = true
 		r.publishStatus()
 	}
 }
