--- a/internal/controlplane/scheduler/diskloads_test.go
+++ b/internal/controlplane/scheduler/diskloads_test.go
@@ -131,7 +131,7 @@
 		now = now.Add(2500 * time.Millisecond)
 		scheduler.poller.handlePoll(tracked, replica.Report{Sequence: 1, Busy: true}, now, nil)
 		assert.Equal(t, countedLoads(scheduler, now), 1)
-		assert.Assert(t, !scheduler.disks.Possible(tracked.Listed())["n"], "the disk is no longer assumed to be that of the earlier incarnation")
+		assert.Assert(t, !scheduler.disks.Possible(tracked.Listed())["n"], "the disk is no longer assumed to be the old one")
 		assert.Assert(t, !tracked.State().PollDue(testStart.Add(4*time.Second)), "polled when a load from the store is done")
 		assert.Assert(t, tracked.State().PollDue(testStart.Add(4200*time.Millisecond)))
 	})
--- a/internal/controlplane/scheduler/lease.go
+++ b/internal/controlplane/scheduler/lease.go
@@ -189,7 +189,10 @@
 	if current := e.current.Load(); current == nil || current.Record.Fence != found.fence {
 		return
 	}
-	logrus.WithFields(logrus.Fields{"fence": found.fence, "reason": found.reason}).Info("lease released for re-acquisition under a higher fence")
+	logrus.WithFields(logrus.Fields{
+		"fence":  found.fence,
+		"reason": found.reason,
+	}).Info("lease released for re-acquisition under a higher fence")
 	e.current.Store(nil)
 	e.releaseAfterOrders(ctx)
 }
--- a/internal/controlplane/usagereport/reporter.go
+++ b/internal/controlplane/usagereport/reporter.go
@@ -82,6 +82,7 @@
 	r.status.Store(&Status{ClosedUpTo: r.record.ClosedUpTo, Pending: len(r.record.Pending) - len(r.accepted)})
 }
 
+// New returns a reporter that has not read the stored record yet.
 func New(config Config) *Reporter {
 	return &Reporter{config: config, accepted: map[uint64]bool{}}
 }
