--- a/internal/controlplane/scheduler/capacity.go
+++ b/internal/controlplane/scheduler/capacity.go
@@ -22,7 +22,8 @@
 	recentDemandWindow = 30 * time.Second
 )
 
-// capacityObserver observes the demand for the replicas of each backend. Only the planning loop calls observe.
+// capacityObserver observes the demand for the replicas of each backend. Only the planning loop calls observe; any goroutine
+// may call Backends.
 type capacityObserver struct {
 	tracker    *replicatracker.Tracker
 	observedAt time.Time
--- a/internal/controlplane/scheduler/demand.go
+++ b/internal/controlplane/scheduler/demand.go
@@ -18,7 +18,7 @@
 	// rateTimeConstantS and longTermTimeConstantS are the time constants, in seconds, of the rate averages.
 	rateTimeConstantS     = 8.0
 	longTermTimeConstantS = 120.0
-	// minRate is the rate, in requests per second, below which a rate is treated as 0.
+	// minRate is the average rate, in requests per second, below which it is set to 0.
 	minRate = 0.003
 	// minSharedRate is the lowest rate, in requests per second, that is shared with other control planes.
 	minSharedRate = 0.3
@@ -29,7 +29,7 @@
 )
 
 // DemandView is the demand of all data planes, by model key: the requests that wait and run now, and average rates. It is safe
-// for concurrent use.
+// for concurrent use, except for the methods that only the planning loop may call.
 type DemandView struct {
 	clock func() time.Time
 	// onNewlyWaiting is called when requests begin to wait for a model.
