--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -17,13 +17,15 @@
 	}{
 		"nothing":         {Demand{Slots: 10, WeightSizeMb: 100}, 0},
 		"rare models":     {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 50}, {SizeMb: 50}, {SizeMb: 30}}}, 2},
-		"a busy one":      {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 60, Busy: 20}}}, 3},
-		"slots are short": {Demand{Slots: 10, WeightSizeMb: 9, Models: []Model{{SizeMb: 1, Busy: 35}, {SizeMb: 1, Busy: 35}}}, 10},
-		"no memory limit": {Demand{Slots: 10, Models: []Model{{SizeMb: 1, Busy: 7}}}, 1},
+		"a busy one":      {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 60, ActiveRequests: 20}}}, 3},
+		"slots are short": {
+			Demand{Slots: 10, WeightSizeMb: 9, Models: []Model{{SizeMb: 1, ActiveRequests: 35}, {SizeMb: 1, ActiveRequests: 35}}}, 10,
+		},
+		"no memory limit": {Demand{Slots: 10, Models: []Model{{SizeMb: 1, ActiveRequests: 7}}}, 1},
 		"sizes apart":     {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 51}, {SizeMb: 51}, {SizeMb: 49}}}, 2},
 	}
 	for name, given := range cases {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, given.demand.Replicas(), given.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, given.demand.RequiredReplicas(), given.want) })
 	}
 }
 
@@ -32,7 +34,7 @@
 func zonesOf(listed ...int) []Zone {
 	zones := []Zone{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	for position, count := range listed {
-		zones[position].Listed = count
+		zones[position].ListedReplicas = count
 	}
 	return zones
 }
--- a/internal/autoscale/need.go
+++ b/internal/autoscale/need.go
@@ -12,8 +12,8 @@
 type Model struct {
 	// SizeMb is the memory, in MB, that a copy takes with the adapters in use.
 	SizeMb float64
-	// Busy is how many requests run or wait, on average.
-	Busy float64
+	// ActiveRequests is how many requests run or wait, on average.
+	ActiveRequests float64
 }
 
 // Demand is what is asked of a backend.
@@ -25,14 +25,14 @@
 	Models []Model
 }
 
-// Replicas is how many replicas the demand needs.
-func (d Demand) Replicas() int {
+// RequiredReplicas is how many replicas the demand needs.
+func (d Demand) RequiredReplicas() int {
 	usableSlots := targetUse * float64(max(d.Slots, 1))
 	busy := 0.0
 	var copies []float64
 	for _, model := range d.Models {
-		busy += model.Busy
-		for range max(int(math.Ceil(model.Busy/usableSlots)), 1) {
+		busy += model.ActiveRequests
+		for range max(int(math.Ceil(model.ActiveRequests/usableSlots)), 1) {
 			copies = append(copies, model.SizeMb)
 		}
 	}
--- a/internal/autoscale/planner.go
+++ b/internal/autoscale/planner.go
@@ -27,8 +27,8 @@
 // Zone is one zone that a backend runs in.
 type Zone struct {
 	Name string
-	// Listed is how many replicas are listed that do not drain.
-	Listed int
+	// ListedReplicas is how many replicas are listed that do not drain.
+	ListedReplicas int
 	// IsDrained says that nothing may be sent to the zone.
 	IsDrained bool
 }
@@ -82,10 +82,10 @@
 	var usable []Zone
 	for _, zone := range zones {
 		if _, known := p.desired[zone.Name]; !known {
-			p.desired[zone.Name] = zone.Listed
+			p.desired[zone.Name] = zone.ListedReplicas
 		}
 		p.desired[zone.Name] = min(max(p.desired[zone.Name], limits.Min), max(limits.Max, limits.Min))
-		if !zone.IsDrained && zone.Listed >= p.desired[zone.Name] {
+		if !zone.IsDrained && zone.ListedReplicas >= p.desired[zone.Name] {
 			delete(p.lackingSince, zone.Name)
 		} else if p.lackingSince[zone.Name].IsZero() {
 			p.lackingSince[zone.Name] = now
--- a/internal/controlplane/capacityorder/orders.go
+++ b/internal/controlplane/capacityorder/orders.go
@@ -126,17 +126,17 @@
 		planner = autoscale.NewPlanner()
 		o.planners[backend.Name] = planner
 	}
-	needed := backend.Demand.Replicas()
+	needed := backend.Demand.RequiredReplicas()
 	planned := planner.Plan(backend.Zones, backend.Limits, needed, now)
 	for _, zone := range backend.Zones {
 		key := subject{backend.Name, zone.Name}
 		if o.orders[key] == nil {
-			o.orders[key] = &order{told: zone.Listed}
+			o.orders[key] = &order{told: zone.ListedReplicas}
 		}
 		if current := o.orders[key]; current.wanted != planned[zone.Name] {
 			current.wanted = planned[zone.Name]
 			logrus.WithFields(logrus.Fields{
-				"backend": backend.Name, "zone": zone.Name, "wanted": current.wanted, "listed": zone.Listed, "needed": needed,
+				"backend": backend.Name, "zone": zone.Name, "wanted": current.wanted, "listed": zone.ListedReplicas, "needed": needed,
 			}).Info("replicas planned")
 		}
 	}
--- a/internal/controlplane/demand/demand_aggregator.go
+++ b/internal/controlplane/demand/demand_aggregator.go
@@ -258,6 +258,6 @@
 	}
 	clear(a.changed)
 	for key := range a.waiting {
-		demands[key].LastSeen = now
+		demands[key].LastRequestAt = now
 	}
 }
--- a/internal/controlplane/replicatracker/replica.go
+++ b/internal/controlplane/replicatracker/replica.go
@@ -115,7 +115,7 @@
 		Loaded:      r.state.CertainlyLoaded(),
 		MaybeLoaded: r.state.PossiblyLoaded(),
 		OnDisk:      known.certain,
-		MayBeOnDisk: known.possible,
+		MaybeOnDisk: known.possible,
 		Intent:      r.intent,
 		Ready:       r.state.IsReady(now),
 	}
@@ -187,7 +187,7 @@
 
 // ExpectsDiskLoad tells whether the load under way is one of a model that is taken to come from the replica's own disk.
 func (r *Replica) ExpectsDiskLoad() bool {
-	return r.action != nil && r.action.Load && !placement.IsAdapter(r.action.Model) && (!r.action.FromStore || r.action.MayBeDisk)
+	return r.action != nil && r.action.Load && !placement.IsAdapter(r.action.Model) && (!r.action.FromStore || r.action.MaybeFromDisk)
 }
 
 // PossibleModels returns the models that the replica may have loaded in any state that is still possible.
--- a/internal/controlplane/replicatracker/tracker.go
+++ b/internal/controlplane/replicatracker/tracker.go
@@ -210,7 +210,7 @@
 // forgotten.
 func (t *Tracker) ReclassifyDiskLoad(replica *Replica) (wasCounted bool) {
 	wasCounted = replica.action.FromStore
-	replica.action.FromStore, replica.action.MayBeDisk = true, false
+	replica.action.FromStore, replica.action.MaybeFromDisk = true, false
 	if wasCounted {
 		t.disks.forgetPossible(replica.listed)
 	} else {
--- a/internal/controlplane/scheduler/capacity.go
+++ b/internal/controlplane/scheduler/capacity.go
@@ -111,7 +111,7 @@
 	}
 	var zones []autoscale.Zone
 	for zone := range known {
-		zones = append(zones, autoscale.Zone{Name: zone, Listed: listed[zone], IsDrained: view.DrainedZones[zone]})
+		zones = append(zones, autoscale.Zone{Name: zone, ListedReplicas: listed[zone], IsDrained: view.DrainedZones[zone]})
 	}
 	return zones
 }
@@ -127,14 +127,14 @@
 		model, _ := placement.SplitReference(reference)
 		busy := demand.Running + float64(demand.Waiting)
 		current[model] += busy
-		isAsked[model] = isAsked[model] || busy > 0 || view.Now.Sub(demand.LastSeen) < askedWithin
+		isAsked[model] = isAsked[model] || busy > 0 || view.Now.Sub(demand.LastRequestAt) < askedWithin
 	}
 	var models []autoscale.Model
 	for _, model := range backend.Runtime.Models {
 		key := placement.ModelKey(backend.Name, model.Name)
 		c.busy[key] += weight * (current[model.Name] - c.busy[key])
 		if isAsked[model.Name] {
-			models = append(models, autoscale.Model{SizeMb: model.WeightSizeMb, Busy: c.busy[key]})
+			models = append(models, autoscale.Model{SizeMb: model.WeightSizeMb, ActiveRequests: c.busy[key]})
 		}
 	}
 	return models
--- a/internal/controlplane/scheduler/copyages.go
+++ b/internal/controlplane/scheduler/copyages.go
@@ -29,7 +29,7 @@
 // without it; a replica that is left out keeps its copies until it counts as removed. Any goroutine may use it.
 type CopyAges struct {
 	lock   sync.Mutex
-	byCopy map[placement.ServerModel]copyAge
+	byCopy map[placement.ModelCopy]copyAge
 	// absentSince holds the replicas that were listed once and that the newest list leaves out.
 	absentSince map[string]time.Time
 	// firstListAt is the moment of the first list that was not empty.
@@ -37,7 +37,7 @@
 }
 
 func newCopyAges() *CopyAges {
-	return &CopyAges{byCopy: map[placement.ServerModel]copyAge{}, absentSince: map[string]time.Time{}}
+	return &CopyAges{byCopy: map[placement.ModelCopy]copyAge{}, absentSince: map[string]time.Time{}}
 }
 
 // AdoptList follows a list that differs from the one before.
@@ -49,12 +49,12 @@
 		a.firstListAt = now
 	}
 	listed := make(map[string]bool, len(replicas))
-	present := map[placement.ServerModel]bool{}
+	present := map[placement.ModelCopy]bool{}
 	for _, replica := range replicas {
 		listed[replica.ID] = true
 		delete(a.absentSince, replica.ID)
 		for _, model := range replica.Models {
-			modelCopy := placement.ServerModel{Server: replica.ID, Model: model.Name}
+			modelCopy := placement.ModelCopy{Server: replica.ID, Model: model.Name}
 			present[modelCopy] = true
 			if _, known := a.byCopy[modelCopy]; !known {
 				a.byCopy[modelCopy] = copyAge{since: now, unknownAge: isFirst}
@@ -66,7 +66,7 @@
 
 // dropMissing drops the copies that are gone: those that a listed replica is listed without, and those of removed replicas.
 // The caller holds the lock.
-func (a *CopyAges) dropMissing(listed map[string]bool, present map[placement.ServerModel]bool, now time.Time) {
+func (a *CopyAges) dropMissing(listed map[string]bool, present map[placement.ModelCopy]bool, now time.Time) {
 	for modelCopy := range a.byCopy {
 		if !listed[modelCopy.Server] {
 			a.recordAbsence(modelCopy.Server, now)
@@ -107,10 +107,10 @@
 }
 
 // absent returns the copies at replicas that the newest list leaves out but that do not count as removed.
-func (a *CopyAges) absent(now time.Time) []placement.ServerModel {
+func (a *CopyAges) absent(now time.Time) []placement.ModelCopy {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	var absent []placement.ServerModel
+	var absent []placement.ModelCopy
 	for modelCopy := range a.byCopy {
 		if _, isAbsent := a.absentSince[modelCopy.Server]; isAbsent && !a.isRemoved(modelCopy.Server, now) {
 			absent = append(absent, modelCopy)
@@ -120,13 +120,13 @@
 }
 
 // due returns the copies that are older than dueAgeShare of a lifetime, the oldest first. A lifetime of 0 is unlimited.
-func (a *CopyAges) due(lifetime time.Duration, now time.Time) []placement.ServerModel {
+func (a *CopyAges) due(lifetime time.Duration, now time.Time) []placement.ModelCopy {
 	if lifetime <= 0 {
 		return nil
 	}
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	var due []placement.ServerModel
+	var due []placement.ModelCopy
 	for modelCopy, age := range a.byCopy {
 		if age.unknownAge || now.Sub(age.since) > time.Duration(dueAgeShare*float64(lifetime)) {
 			due = append(due, modelCopy)
--- a/internal/controlplane/scheduler/demand.go
+++ b/internal/controlplane/scheduler/demand.go
@@ -108,7 +108,7 @@
 			d.byModel[key] = &placement.Demand{}
 		}
 		if arrivals > 0 {
-			d.byModel[key].LastSeen = now
+			d.byModel[key].LastRequestAt = now
 		}
 	}
 	weight := min(spanS/rateTimeConstantS, 1)
@@ -121,7 +121,7 @@
 			modelDemand.Rate = 0
 		}
 		idle := modelDemand.Rate == 0 && modelDemand.Waiting == 0 && modelDemand.Running == 0
-		if idle && now.Sub(modelDemand.LastSeen) > idleModelExpiry {
+		if idle && now.Sub(modelDemand.LastRequestAt) > idleModelExpiry {
 			delete(d.byModel, key)
 		}
 	}
@@ -149,7 +149,7 @@
 		}
 		d.byModel[key].Rate = rate.RequestsPerS
 		d.byModel[key].PrefillLoad = rate.PrefillLoad
-		d.byModel[key].LastSeen = now
+		d.byModel[key].LastRequestAt = now
 	}
 }
 
--- a/internal/controlplane/scheduler/diskloads_test.go
+++ b/internal/controlplane/scheduler/diskloads_test.go
@@ -95,7 +95,7 @@
 func startPossibleDiskLoad(t *testing.T, scheduler *Scheduler, tracked *replicatracker.Replica, now time.Time) {
 	t.Helper()
 	assert.Assert(t, tracked.State().HandleReport(replicastate.Report{}, now))
-	action := placement.Action{Server: "new", Model: "m", Load: true, FromStore: true, MayBeDisk: true}
+	action := placement.Action{Server: "new", Model: "m", Load: true, FromStore: true, MaybeFromDisk: true}
 	order, decided := scheduler.tracker.Decide(action, now)
 	assert.Assert(t, decided)
 	scheduler.budget.recordOrdered(action, now)
--- a/internal/controlplane/scheduler/eviction.go
+++ b/internal/controlplane/scheduler/eviction.go
@@ -45,7 +45,7 @@
 	// evicted holds the targets evicted whose state is not stored yet.
 	evicted map[purgeTarget]bool
 	// running is the copy being evicted, started at startedAt; empty if there is none.
-	running   placement.ServerModel
+	running   placement.ModelCopy
 	startedAt time.Time
 	// writing is set while a purge is being written, the last time from writtenAt on.
 	writing   bool
@@ -68,7 +68,7 @@
 		e.updateProgress(ctx, purge)
 		for _, target := range purge.Targets {
 			if target.State == retention.Pending && !e.evicted[targetOf(purge.Number, target)] {
-				evicted := placement.ServerModel{Server: target.Replica, Model: target.Model}
+				evicted := placement.ModelCopy{Server: target.Replica, Model: target.Model}
 				view.ContextEvictions = append(view.ContextEvictions, evicted)
 			}
 		}
@@ -81,11 +81,11 @@
 	if action.Reason != placement.ContextEvictionReason {
 		return
 	}
-	e.running = placement.ServerModel{Server: action.Server, Model: action.Model}
+	e.running = placement.ModelCopy{Server: action.Server, Model: action.Model}
 	e.startedAt = now
 }
 
-func (e *contextEviction) isRunning() bool { return e.running != placement.ServerModel{} }
+func (e *contextEviction) isRunning() bool { return e.running != placement.ModelCopy{} }
 
 // checkRunning ends the running eviction once its model is back, its replica is gone or its time is over.
 func (e *contextEviction) checkRunning(now time.Time) {
@@ -95,11 +95,11 @@
 	tracked := e.tracker.Replica(e.running.Server)
 	elapsed := now.Sub(e.startedAt)
 	if tracked == nil || elapsed > evictionTimeout {
-		e.running = placement.ServerModel{}
+		e.running = placement.ModelCopy{}
 		return
 	}
 	if tracked.IsIdle() && (tracked.State().Loaded()[e.running.Model] || elapsed > reloadTimeout) {
-		e.running = placement.ServerModel{}
+		e.running = placement.ModelCopy{}
 	}
 }
 
--- a/internal/controlplane/scheduler/polls.go
+++ b/internal/controlplane/scheduler/polls.go
@@ -152,7 +152,7 @@
 func (p *reportPoller) creditDiskLoad(
 	tracked *replicatracker.Replica, action placement.Action, longest time.Duration, countedAt time.Time,
 ) {
-	if !loadsFromStore(action) || !action.MayBeDisk {
+	if !loadsFromStore(action) || !action.MaybeFromDisk {
 		return
 	}
 	model, known := p.configuration.findModel(tracked.Backend(), action.Model)
--- a/internal/loadbudget/bounds.go
+++ b/internal/loadbudget/bounds.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Slack is how many loads are allowed beyond the weight store's rate with its overage. The store takes one more,
+// slack is how many loads are allowed beyond the weight store's rate with its overage. The store takes one more,
 // which is left to a load that was certain to come from a disk and does not.
-const Slack = 2
+const slack = 2
 
 // headroomDivisor is the inverse of the part of all loads, and of the window, that is reserved ahead.
 const headroomDivisor = 3
@@ -37,7 +37,7 @@
 // start later than its order was accepted.
 func NewBounds(limit StoreLimit, delays StartDelays) Bounds {
 	return Bounds{
-		Loads:          int(limit.Rate*limit.Period.Seconds()*max(limit.Overage, 1)) + Slack,
+		Loads:          int(limit.Rate*limit.Period.Seconds()*max(limit.Overage, 1)) + slack,
 		Window:         limit.Period + delays.Accepted,
 		UncertainDelay: delays.Uncertain,
 	}
--- a/internal/loadbudget/budget.go
+++ b/internal/loadbudget/budget.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RetryBackoff is the wait after a write of the reservation that failed.
-const RetryBackoff = time.Second
+// retryBackoff is the wait after a write of the reservation that failed.
+const retryBackoff = time.Second
 
 // Budget decides which loads a lease holder may start and what it must reserve for them. The zero value
 // belongs to a process that never held the lease.
@@ -155,7 +155,7 @@
 	}
 	b.writeInFlight = false
 	if !certain {
-		b.retryAt = now.Add(RetryBackoff)
+		b.retryAt = now.Add(retryBackoff)
 		return
 	}
 	b.reserved, b.allowance = written.Loads, b.proposedAllowance
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -69,8 +69,8 @@
 	demand := p.demand.total(model)
 	otherCopies := p.counts.loaded(model) - 1
 	cost := 0.0
-	unseen := p.view.Now.Sub(demand.LastSeen)
-	if !demand.LastSeen.IsZero() && unseen < recentDemandWindow {
+	unseen := p.view.Now.Sub(demand.LastRequestAt)
+	if !demand.LastRequestAt.IsZero() && unseen < recentDemandWindow {
 		cost += 1 - unseen.Seconds()/recentDemandWindow.Seconds()
 	}
 	rates := demand.Rate*rateWeight + demand.LongTermRate*longTermRateWeight
--- a/internal/placement/fleetshape_test.go
+++ b/internal/placement/fleetshape_test.go
@@ -97,14 +97,14 @@
 	load := &Demand{
 		Rate:            float64(random.IntN(64)) / 64,
 		LongTermRate:    float64(random.IntN(64)) / 512,
-		LastSeen:        now.Add(-time.Duration(random.IntN(40)) * time.Second),
+		LastRequestAt:   now.Add(-time.Duration(random.IntN(40)) * time.Second),
 		LatencyTargetMs: 2000,
 	}
 	if random.IntN(4) == 0 {
 		load.Rate, load.Running, load.PrefillLoad = float64(random.IntN(512))/64, float64(random.IntN(40)), float64(random.IntN(64))/64
 	}
 	if random.Float64() < s.waiting {
-		load.Waiting, load.OldestWaitMs, load.LastSeen = 1+random.IntN(6), float64(random.IntN(4000)), now
+		load.Waiting, load.OldestWaitMs, load.LastRequestAt = 1+random.IntN(6), float64(random.IntN(4000)), now
 	}
 	view.Demand[ModelKey("s", reference)] = load
 }
--- a/internal/placement/forecast.go
+++ b/internal/placement/forecast.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		demand.Waiting = max(demand.Waiting, int(math.Ceil(demand.Rate)))
-		demand.LastSeen = v.Now
+		demand.LastRequestAt = v.Now
 	}
 }
 
--- a/internal/placement/memory.go
+++ b/internal/placement/memory.go
@@ -106,11 +106,11 @@
 		p.setIntent(state, "")
 	}
 	p.recordAction(state, Action{
-		Load:      true,
-		Model:     item.name,
-		FromStore: !item.adapter && !onDisk,
-		MayBeDisk: !item.adapter && !onDisk && state.server.MayBeOnDisk[item.name],
-		Reason:    reason,
+		Load:          true,
+		Model:         item.name,
+		FromStore:     !item.adapter && !onDisk,
+		MaybeFromDisk: !item.adapter && !onDisk && state.server.MaybeOnDisk[item.name],
+		Reason:        reason,
 	})
 	return true
 }
--- a/internal/placement/memory_test.go
+++ b/internal/placement/memory_test.go
@@ -34,7 +34,7 @@
 
 // addWaitingRequest has a request wait for a reference.
 func (v *View) addWaitingRequest(reference string) {
-	v.Demand[ModelKey("s", reference)] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	v.Demand[ModelKey("s", reference)] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 }
 
 func TestPlan_UnloadsUnconfiguredModelBeforeLoading(t *testing.T) {
@@ -130,7 +130,7 @@
 func TestPlan_EvictsModelForAdapter(t *testing.T) {
 	server := newServer("a", "old", "gone")
 	view := singleServerView(server, modelOfSize("old", 60))
-	view.Demand[ModelKey("s", "old")] = &Demand{Running: 1, Rate: 1, LastSeen: now}
+	view.Demand[ModelKey("s", "old")] = &Demand{Running: 1, Rate: 1, LastRequestAt: now}
 	view.addWaitingRequest("old/a1")
 	assert.Equal(t, len(actionsFor(Plan(view), false, "gone")), 1)
 	delete(server.Loaded, "gone")
@@ -142,7 +142,7 @@
 	view := singleServerView(full, modelOfSize("old", 60), modelOfSize("busy", 40))
 	view.Servers = append(view.Servers, empty)
 	for _, reference := range []string{"old", "busy"} {
-		view.Demand[ModelKey("s", reference)] = &Demand{Running: 1, Rate: 1, LastSeen: now}
+		view.Demand[ModelKey("s", reference)] = &Demand{Running: 1, Rate: 1, LastRequestAt: now}
 	}
 	view.addWaitingRequest("old/a1")
 	loads := actionsFor(Plan(view), true, "old")
@@ -183,7 +183,7 @@
 	assert.Equal(t, len(Plan(view)), 0)
 	host, other := newServer("a", "gone"), newServer("b")
 	view.Servers = []*Server{host, other}
-	view.ContextEvictions = []ServerModel{{Server: "a", Model: "gone"}}
+	view.ContextEvictions = []ModelCopy{{Server: "a", Model: "gone"}}
 	actions := Plan(view)
 	assert.Equal(t, len(actionsFor(actions, true, "gone")), 0)
 	assert.Equal(t, len(actionsFor(actions, false, "gone")), 1)
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -59,7 +59,7 @@
 
 func TestPlan_LoadsMissingModelOnce(t *testing.T) {
 	view := smallView(newServer("a", "old"), newServer("b", "old"))
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 2, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 2, OldestWaitMs: 50, LastRequestAt: now}
 	actions := Plan(view)
 	assert.Equal(t, len(actionsFor(actions, true, "rare")), 1)
 	assert.Assert(t, actionsFor(actions, true, "rare")[0].FromStore)
@@ -71,8 +71,8 @@
 	server := newServer("a", "old", "rare2")
 	server.Loaded = map[string]bool{"old": true, "hot": true}
 	view := smallView(server)
-	view.Demand[ModelKey("s", "hot")] = &Demand{Rate: 3, Running: 2, LastSeen: now}
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "hot")] = &Demand{Rate: 3, Running: 2, LastRequestAt: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	server.Loaded["hot/a1"], server.Loaded["hot/a2"] = true, true
 	actions := Plan(view)
 	assert.Equal(t, len(actionsFor(actions, false, "hot")), 0, "the last copy in demand stays")
@@ -91,7 +91,7 @@
 
 func TestPlanner_KeepsCopyWithLastAdapter(t *testing.T) {
 	view := smallView(newServer("a", "hot", "hot/a1", "old"), newServer("b", "hot", "old"))
-	view.Demand[ModelKey("s", "hot")] = &Demand{Rate: 3, LastSeen: now}
+	view.Demand[ModelKey("s", "hot")] = &Demand{Rate: 3, LastRequestAt: now}
 	p := newPlanner(view, NewCatalog(view.Table).backends[0])
 	assert.Assert(t, !p.canEvict(&p.servers[0], p.itemNumber("hot"), p.counts.loaded))
 }
@@ -101,7 +101,7 @@
 	returned.OnDisk["rare"] = true
 	view := smallView(fresh, returned)
 	view.StoreTokens = 0
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	loads := actionsFor(Plan(view), true, "rare")
 	assert.Equal(t, len(loads), 1)
 	assert.Equal(t, loads[0].Server, "b")
@@ -111,12 +111,12 @@
 func TestPlan_CountsModelPossiblyOnDiskAsStoreLoad(t *testing.T) {
 	returnedView := func(tokens, spare float64) *View {
 		fresh, returned := newServer("a"), newServer("b")
-		returned.MayBeOnDisk = map[string]bool{"rare": true}
+		returned.MaybeOnDisk = map[string]bool{"rare": true}
 		view := smallView(fresh, returned)
 		view.StoreTokens, view.SpareStoreTokens = tokens, spare
 		return view
 	}
-	waiting := &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	waiting := &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	t.Run("not loaded without a token, though requests wait", func(t *testing.T) {
 		view := returnedView(0, 0)
 		view.Demand[ModelKey("s", "rare")] = waiting
@@ -126,7 +126,7 @@
 		view := returnedView(1, 0)
 		view.Demand[ModelKey("s", "rare")] = waiting
 		want := Action{
-			Server: "b", Load: true, Model: "rare", FromStore: true, MayBeDisk: true, Reason: "asked for and nowhere loaded",
+			Server: "b", Load: true, Model: "rare", FromStore: true, MaybeFromDisk: true, Reason: "asked for and nowhere loaded",
 		}
 		assert.DeepEqual(t, Plan(view), []Action{want})
 		assert.Equal(t, view.StoreTokens, 0.0)
@@ -159,7 +159,7 @@
 		server := newServer("a", models...)
 		view := smallView(server, newServer("b", "hot"))
 		for _, name := range []string{"hot/a4", "rare", "old", "hot"} {
-			view.Demand[ModelKey("s", name)] = &Demand{Waiting: 1, OldestWaitMs: 10, Rate: 2, LastSeen: now}
+			view.Demand[ModelKey("s", name)] = &Demand{Waiting: 1, OldestWaitMs: 10, Rate: 2, LastRequestAt: now}
 		}
 		runtime := view.Table.Configuration.Backends[0].Runtime
 		if server.exceeds(runtime) {
@@ -181,7 +181,7 @@
 	lost := newServer("a", "rare")
 	lost.Lost = true
 	view := smallView(lost, newServer("b"))
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	loads := actionsFor(Plan(view), true, "rare")
 	assert.Equal(t, len(loads), 1)
 	assert.Equal(t, loads[0].Server, "b")
@@ -190,7 +190,7 @@
 func TestPlan_KeepsMultipleCopiesUntilDemandKnown(t *testing.T) {
 	view := smallView(newServer("a", "hot", "old"), newServer("b", "hot", "old"))
 	view.Table.Configuration.Backends[0].Runtime.AdapterCapacity = 0
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	view.DemandKnown = false
 	unloads := func() int {
 		amount := 0
@@ -209,8 +209,8 @@
 func TestPlan_KeepsCopiesUnderPrefillLoad(t *testing.T) {
 	view := smallView(newServer("a", "rare", "old"), newServer("b", "rare", "old"), newServer("c", "rare", "old"))
 	view.Table.Configuration.Backends[0].Runtime.AdapterCapacity = 0
-	view.Demand[ModelKey("s", "hot")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
-	view.Demand[ModelKey("s", "rare")] = &Demand{Rate: 9, PrefillLoad: 0.5, LastSeen: now}
+	view.Demand[ModelKey("s", "hot")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Rate: 9, PrefillLoad: 0.5, LastRequestAt: now}
 	assert.Equal(t, len(actionsFor(Plan(view), false, "rare")), 0)
 	assert.Equal(t, len(actionsFor(Plan(view), false, "old")), 1)
 }
--- a/internal/placement/reference_addcopy_test.go
+++ b/internal/placement/reference_addcopy_test.go
@@ -57,7 +57,7 @@
 	switch {
 	case server.OnDisk[model]:
 		cost += p.sizes[model].LoadTimeS * 0.25
-	case server.MayBeOnDisk[model]:
+	case server.MaybeOnDisk[model]:
 		cost += p.sizes[model].LoadTimeS * 0.625
 	default:
 		cost += p.sizes[model].LoadTimeS
--- a/internal/placement/reference_copies_test.go
+++ b/internal/placement/reference_copies_test.go
@@ -34,7 +34,7 @@
 	best := p.bestRestore(server, server.OnDisk)
 	if best == "" && p.tokens-p.reservedTokens >= 1 && p.spareTokens-p.reservedTokens >= 1 {
 		lacking := map[string]bool{}
-		for model := range server.MayBeOnDisk {
+		for model := range server.MaybeOnDisk {
 			copies := len(p.view.copies(p.backend.Name, model)) + p.loadsPending(model)
 			lacking[model] = float64(copies) < p.targetCopies(model)
 		}
--- a/internal/placement/reference_equal_test.go
+++ b/internal/placement/reference_equal_test.go
@@ -37,15 +37,15 @@
 		}
 		for _, reference := range slices.Sorted(maps.Keys(server.Loaded)) {
 			if model, adapter := SplitReference(reference); adapter == "" && random.IntN(8) == 0 {
-				view.ContextEvictions = append(view.ContextEvictions, ServerModel{Server: server.ID, Model: model})
+				view.ContextEvictions = append(view.ContextEvictions, ModelCopy{Server: server.ID, Model: model})
 			}
 		}
 	}
 	for range random.IntN(4) {
 		view.Loading[ModelKey("s", runtime.Models[random.IntN(len(runtime.Models))].Name)]++
 	}
-	view.Demand[ModelKey("s", "gone")] = &Demand{Rate: 2, Waiting: 1, LastSeen: now}
-	view.Demand[ModelKey("other", "m0000")] = &Demand{Rate: 9, Waiting: 9, LastSeen: now}
+	view.Demand[ModelKey("s", "gone")] = &Demand{Rate: 2, Waiting: 1, LastRequestAt: now}
+	view.Demand[ModelKey("other", "m0000")] = &Demand{Rate: 9, Waiting: 9, LastRequestAt: now}
 	addUncertainty(view, random)
 	addPossibleDisks(view, seed)
 	return view
@@ -60,9 +60,9 @@
 		if random.IntN(3) > 0 {
 			continue
 		}
-		server.MayBeOnDisk = map[string]bool{}
+		server.MaybeOnDisk = map[string]bool{}
 		for range 1 + random.IntN(4) {
-			server.MayBeOnDisk[models[random.IntN(len(models))].Name] = true
+			server.MaybeOnDisk[models[random.IntN(len(models))].Name] = true
 		}
 		if random.IntN(2) == 0 {
 			server.OnDisk = map[string]bool{}
--- a/internal/placement/reference_evict_test.go
+++ b/internal/placement/reference_evict_test.go
@@ -39,8 +39,8 @@
 	demand := p.view.totalDemand(p.backend.Name, model)
 	others := len(p.view.copies(p.backend.Name, model)) - 1
 	cost := 0.0
-	if !demand.LastSeen.IsZero() && p.view.Now.Sub(demand.LastSeen) < recentDemandWindow {
-		cost += 1 - p.view.Now.Sub(demand.LastSeen).Seconds()/recentDemandWindow.Seconds()
+	if !demand.LastRequestAt.IsZero() && p.view.Now.Sub(demand.LastRequestAt) < recentDemandWindow {
+		cost += 1 - p.view.Now.Sub(demand.LastRequestAt).Seconds()/recentDemandWindow.Seconds()
 	}
 	cost += (demand.Rate*4 + demand.LongTermRate*longTermRateWeight) / float64(1+others*others*4)
 	if p.sizes[model].Adapters > 0 {
--- a/internal/placement/reference_plan_test.go
+++ b/internal/placement/reference_plan_test.go
@@ -106,11 +106,11 @@
 	p.view.Loading[ModelKey(p.backend.Name, model)]++
 	server.Intent = ""
 	p.recordAction(server, Action{
-		Load:      true,
-		Model:     model,
-		FromStore: !server.OnDisk[model],
-		MayBeDisk: !server.OnDisk[model] && server.MayBeOnDisk[model],
-		Reason:    reason,
+		Load:          true,
+		Model:         model,
+		FromStore:     !server.OnDisk[model],
+		MaybeFromDisk: !server.OnDisk[model] && server.MaybeOnDisk[model],
+		Reason:        reason,
 	})
 }
 
--- a/internal/placement/restore.go
+++ b/internal/placement/restore.go
@@ -22,7 +22,7 @@
 		p.considerRestore(state, reference, &best)
 	}
 	if best.model < 0 && p.decisions.mayLoadUnasked() {
-		for reference := range state.server.MayBeOnDisk {
+		for reference := range state.server.MaybeOnDisk {
 			if p.lacksCopies(reference) {
 				p.considerRestore(state, reference, &best)
 			}
--- a/internal/placement/searches.go
+++ b/internal/placement/searches.go
@@ -63,7 +63,7 @@
 				first[number] = len(copies) - 1
 			}
 		}
-		for reference := range server.MayBeOnDisk {
+		for reference := range server.MaybeOnDisk {
 			if number, known := catalog.names[reference]; known && !server.OnDisk[reference] {
 				copies = append(copies, diskCopy{server: position, next: first[number]})
 				first[number] = len(copies) - 1
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -200,13 +200,13 @@
 		demand := demandOf(request.reference)
 		demand.Waiting++
 		demand.OldestWaitMs = max(demand.OldestWaitMs, float64(now.Sub(request.arrivedAt).Milliseconds()))
-		demand.LastSeen = now
+		demand.LastRequestAt = now
 	}
 	for _, request := range s.running {
 		demandOf(request.reference).Running++
 	}
 	for reference := range s.counts {
-		demandOf(reference).LastSeen = now
+		demandOf(reference).LastRequestAt = now
 	}
 	for name, demand := range s.view.Demand {
 		updateRates(demand, float64(s.counts[name[2:]])/step.Seconds(), step)
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -14,7 +14,7 @@
 	LongTermRate    float64   // requests per second, averaged over minutes
 	Running         float64   // requests at replicas
 	PrefillLoad     float64   // seconds of prefill per second, i.e. replicas kept busy by it
-	LastSeen        time.Time // arrival of the last request
+	LastRequestAt   time.Time // arrival of the last request
 	LatencyTargetMs float64   // of the route; 0 for none
 }
 
@@ -38,7 +38,7 @@
 	Loaded      map[string]bool // references certainly loaded
 	MaybeLoaded map[string]bool // further references that may be loaded: orders in progress or of unknown outcome
 	OnDisk      map[string]bool // references surely on its own disk, loaded without the model store
-	MayBeOnDisk map[string]bool // further references that an earlier incarnation at its address had loaded
+	MaybeOnDisk map[string]bool // further references that an earlier incarnation at its address had loaded
 	Intent      string          // the model for which memory is being freed, or empty
 }
 
@@ -56,26 +56,26 @@
 	StoreTokens               float64         // loads that the model store allows now
 	SpareStoreTokens          float64         // of those, loads that no request needs to wait for
 	DrainedZones              map[string]bool // evacuated zones
-	ContextEvictions          []ServerModel   // copies whose cached context must be evicted, in order
+	ContextEvictions          []ModelCopy     // copies whose cached context must be evicted, in order
 	DemandKnown               bool            // the demand has been observed long enough to unload by it
 	ContextEvictionInProgress bool            // one of ContextEvictions has been ordered and not finished
 }
 
-// ServerModel is the copy of a model at a server.
-type ServerModel struct {
+// ModelCopy is the copy of a model at a server.
+type ModelCopy struct {
 	Server string // id
 	Model  string
 }
 
 // Action is one load or unload at a server.
 type Action struct {
-	Server    string // id
-	Load      bool   // false for an unload
-	Model     string // reference of the model or adapter
-	FromStore bool   // the load takes a token of the model store: it is not surely from the server's disk
-	MayBeDisk bool   // a load that takes a token may come from the server's disk after all
-	Intent    string // the model that an unload makes room for
-	Reason    string // for logs and forecasts
+	Server        string // id
+	Load          bool   // false for an unload
+	Model         string // reference of the model or adapter
+	FromStore     bool   // the load takes a token of the model store: it is not surely from the server's disk
+	MaybeFromDisk bool   // a load that takes a token may come from the server's disk after all
+	Intent        string // the model that an unload makes room for
+	Reason        string // for logs and forecasts
 }
 
 // isServing reports whether the server's copies count: it neither drains nor is lost, and its zone is
@@ -91,7 +91,7 @@
 	d.Running += other.Running
 	d.PrefillLoad += other.PrefillLoad
 	d.LatencyTargetMs = max(d.LatencyTargetMs, other.LatencyTargetMs)
-	if other.LastSeen.After(d.LastSeen) {
-		d.LastSeen = other.LastSeen
+	if other.LastRequestAt.After(d.LastRequestAt) {
+		d.LastRequestAt = other.LastRequestAt
 	}
 }
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -96,7 +96,7 @@
 func (w *world) setDemand(references []string) {
 	clear(w.view.Demand)
 	for _, reference := range references {
-		demand := &Demand{Rate: 0.5, LastSeen: w.view.Now, Running: 1}
+		demand := &Demand{Rate: 0.5, LastRequestAt: w.view.Now, Running: 1}
 		if !w.isLoaded(reference) {
 			demand.Waiting, demand.OldestWaitMs, demand.Running = 1, 50, 0
 		}
--- a/internal/replicastate/simulation/world_test.go
+++ b/internal/replicastate/simulation/world_test.go
@@ -123,7 +123,7 @@
 		DrainedZones: map[string]bool{}, StoreTokens: loadTokens, DemandKnown: true,
 	}
 	for _, reference := range w.wanted {
-		demand := &placement.Demand{Rate: 1, LongTermRate: 1, LastSeen: w.now, LatencyTargetMs: 2000}
+		demand := &placement.Demand{Rate: 1, LongTermRate: 1, LastRequestAt: w.now, LatencyTargetMs: 2000}
 		if !w.loaded(reference) {
 			demand.Waiting = 2
 			demand.OldestWaitMs = float64(w.now.Sub(w.waitingSince[reference]).Milliseconds())
--- a/internal/sim/emulator/demand.go
+++ b/internal/sim/emulator/demand.go
@@ -139,7 +139,7 @@
 	share := min(span/rateSpan, 1)
 	for name, amount := range d.arrivals {
 		if entry := d.entry(name); amount > 0 {
-			entry.LastSeen = now
+			entry.LastRequestAt = now
 		}
 	}
 	for name, entry := range d.byKey {
@@ -176,7 +176,7 @@
 			entry.LatencyTargetMs = max(entry.LatencyTargetMs, model.LatencyTargetMs)
 			if model.Waiting > 0 {
 				entry.OldestWaitMs = max(entry.OldestWaitMs, model.OldestWaitMs)
-				entry.LastSeen = now
+				entry.LastRequestAt = now
 			}
 		}
 	}
--- a/internal/sim/emulator/planning.go
+++ b/internal/sim/emulator/planning.go
@@ -55,7 +55,7 @@
 			Ready:   replica.known && replica.pending == nil,
 
 			OnDisk:      replica.loadedOnce,
-			MayBeOnDisk: c.loadedBefore[replica.listed.Address],
+			MaybeOnDisk: c.loadedBefore[replica.listed.Address],
 		})
 	}
 	return view
@@ -84,7 +84,7 @@
 // creditDiskLoad gives the token of a load back that has ended too soon to come from the store.
 func (c *controlPlane) creditDiskLoad(replica *trackedReplica, models map[string]bool) {
 	load := replica.pending
-	if load == nil || !load.MayBeDisk || !models[load.Model] {
+	if load == nil || !load.MaybeFromDisk || !models[load.Model] {
 		return
 	}
 	if c.world.now().Sub(replica.pendingSince).Seconds() >= storeLoadTimeShare*c.world.scenario.Models.LoadTimeS {
