--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -15,9 +15,9 @@
 		demand Demand
 		want   int
 	}{
-		"nothing":         {Demand{Slots: 10, WeightSizeMb: 100}, 0},
-		"rare models":     {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 50}, {SizeMb: 50}, {SizeMb: 30}}}, 2},
-		"a busy one":      {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 60, ActiveRequests: 20}}}, 3},
+		"nothing":     {Demand{Slots: 10, WeightSizeMb: 100}, 0},
+		"rare models": {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 50}, {SizeMb: 50}, {SizeMb: 30}}}, 2},
+		"a busy one":  {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 60, ActiveRequests: 20}}}, 3},
 		"slots are short": {
 			Demand{Slots: 10, WeightSizeMb: 9, Models: []Model{{SizeMb: 1, ActiveRequests: 35}, {SizeMb: 1, ActiveRequests: 35}}}, 10,
 		},
--- a/internal/autoscale/planner.go
+++ b/internal/autoscale/planner.go
@@ -7,48 +7,49 @@
 )
 
 const (
-	// surplusBoots is for how many times the start of a replica a surplus must have lasted before replicas are removed.
-	surplusBoots = 3
-	// maxRemoved is the part of all replicas that one step removes at most, and surplusReserve by which part more than what is needed
-	// stays.
-	maxRemoved     = 0.1
-	surplusReserve = 0.05
-	// absentBoots is for how many times the start of a replica a zone may lack replicas before others make up for them.
-	absentBoots = 1.5
+	// surplusBootTimes is how long a surplus must last before replicas are removed, in multiples of Limits.BootTime.
+	surplusBootTimes = 3
+	// maxRemovedShare is the largest share of all replicas that one step removes.
+	maxRemovedShare = 0.1
+	// surplusMargin is the share by which the remaining replicas exceed the number needed.
+	surplusMargin = 0.05
+	// shortfallBootTimes is how long a zone may lack replicas before the other zones compensate for them, in multiples of
+	// Limits.BootTime.
+	shortfallBootTimes = 1.5
 )
 
 // Limits bound the number of replicas of a backend in each zone.
 type Limits struct {
 	Min, Max int
-	// BootTime is how long a new replica takes before it serves.
+	// BootTime is how long a new replica takes until it serves.
 	BootTime time.Duration
 }
 
-// Zone is one zone that a backend runs in.
+// Zone is a zone that a backend runs in.
 type Zone struct {
 	Name string
-	// ListedReplicas is how many replicas are listed that do not drain.
+	// ListedReplicas is how many replicas that are not draining are listed.
 	ListedReplicas int
-	// IsDrained says that nothing may be sent to the zone.
+	// IsDrained is set while no requests may be sent to the zone.
 	IsDrained bool
 }
 
-// Planner plans the replicas of one backend. Its state belongs to its caller's goroutine.
+// Planner plans the replica counts of one backend. It is not safe for concurrent use.
 type Planner struct {
-	// desired is what was planned last, by zone.
+	// desired is the last plan: the replica count by zone.
 	desired map[string]int
-	// lackingSince is since when a zone has had fewer replicas, or may not be used.
-	lackingSince map[string]time.Time
-	// surplusSince is since when fewer replicas have been needed than there are to be.
+	// shortfallSince is, by zone, since when it has had fewer replicas than desired or has been drained.
+	shortfallSince map[string]time.Time
+	// surplusSince is since when fewer replicas have been needed than desired.
 	surplusSince time.Time
 }
 
-// NewPlanner returns a planner that takes the replicas that it first sees for those that were ordered.
+// NewPlanner returns a planner that takes the listed replicas of each zone that it first sees as the desired ones.
 func NewPlanner() *Planner {
-	return &Planner{desired: map[string]int{}, lackingSince: map[string]time.Time{}}
+	return &Planner{desired: map[string]int{}, shortfallSince: map[string]time.Time{}}
 }
 
-// Plan returns how many replicas each zone should have when so many are needed in all.
+// Plan returns how many replicas each zone should have, given how many are needed in total.
 func (p *Planner) Plan(zones []Zone, limits Limits, needed int, now time.Time) map[string]int {
 	zones = slices.SortedFunc(slices.Values(zones), func(left, right Zone) int {
 		if left.Name < right.Name {
@@ -56,7 +57,7 @@
 		}
 		return 1
 	})
-	usable := p.observe(zones, limits, now)
+	usable := p.updateZones(zones, limits, now)
 	total := 0
 	for _, zone := range usable {
 		total += p.desired[zone.Name]
@@ -64,10 +65,10 @@
 	switch {
 	case needed > total:
 		p.surplusSince = time.Time{}
-		p.spread(usable, limits, needed-total)
+		p.addReplicas(usable, limits, needed-total)
 	case p.hasSurplus(needed, total, limits, now):
-		enough := int(math.Ceil(float64(needed) * (1 + surplusReserve)))
-		p.remove(usable, limits, min(total-enough, max(int(maxRemoved*float64(total)), 1)))
+		enough := int(math.Ceil(float64(needed) * (1 + surplusMargin)))
+		p.removeReplicas(usable, limits, min(total-enough, max(int(maxRemovedShare*float64(total)), 1)))
 		p.surplusSince = now
 	}
 	planned := map[string]int{}
@@ -77,8 +78,9 @@
 	return planned
 }
 
-// observe takes in what is listed, and returns the zones that can be counted on.
-func (p *Planner) observe(zones []Zone, limits Limits, now time.Time) []Zone {
+// updateZones updates the state of each zone by its listed replicas. It returns the zones that count towards the total: all
+// but those with a lasting shortfall.
+func (p *Planner) updateZones(zones []Zone, limits Limits, now time.Time) []Zone {
 	var usable []Zone
 	for _, zone := range zones {
 		if _, known := p.desired[zone.Name]; !known {
@@ -86,32 +88,32 @@
 		}
 		p.desired[zone.Name] = min(max(p.desired[zone.Name], limits.Min), max(limits.Max, limits.Min))
 		if !zone.IsDrained && zone.ListedReplicas >= p.desired[zone.Name] {
-			delete(p.lackingSince, zone.Name)
-		} else if p.lackingSince[zone.Name].IsZero() {
-			p.lackingSince[zone.Name] = now
+			delete(p.shortfallSince, zone.Name)
+		} else if p.shortfallSince[zone.Name].IsZero() {
+			p.shortfallSince[zone.Name] = now
 		}
-		since := p.lackingSince[zone.Name]
-		if since.IsZero() || float64(now.Sub(since)) < absentBoots*float64(limits.BootTime) {
+		since := p.shortfallSince[zone.Name]
+		if since.IsZero() || float64(now.Sub(since)) < shortfallBootTimes*float64(limits.BootTime) {
 			usable = append(usable, zone)
 		}
 	}
 	return usable
 }
 
-// hasSurplus says whether fewer replicas have been needed for long enough to remove some.
+// hasSurplus reports whether fewer replicas have been needed for long enough to remove some.
 func (p *Planner) hasSurplus(needed, total int, limits Limits, now time.Time) bool {
-	if float64(needed)*(1+surplusReserve) > float64(total)*(1-surplusReserve) {
+	if float64(needed)*(1+surplusMargin) > float64(total)*(1-surplusMargin) {
 		p.surplusSince = time.Time{}
 		return false
 	}
 	if p.surplusSince.IsZero() {
 		p.surplusSince = now
 	}
-	return now.Sub(p.surplusSince) >= surplusBoots*limits.BootTime
+	return now.Sub(p.surplusSince) >= surplusBootTimes*limits.BootTime
 }
 
-// spread adds replicas, each to the zone that has the fewest.
-func (p *Planner) spread(zones []Zone, limits Limits, amount int) {
+// addReplicas adds replicas one by one to the zone that has the fewest.
+func (p *Planner) addReplicas(zones []Zone, limits Limits, amount int) {
 	for range amount {
 		chosen := ""
 		for _, zone := range zones {
@@ -126,8 +128,8 @@
 	}
 }
 
-// remove takes replicas away, each from the zone that has the most.
-func (p *Planner) remove(zones []Zone, limits Limits, amount int) {
+// removeReplicas removes replicas one by one from the zone that has the most.
+func (p *Planner) removeReplicas(zones []Zone, limits Limits, amount int) {
 	for range amount {
 		chosen := ""
 		for _, zone := range zones {
--- a/internal/loadbudget/budget.go
+++ b/internal/loadbudget/budget.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// retryBackoff is the wait after a write of the reservation that failed.
+// retryBackoff is the time between a failed write of the reservation and the next attempt.
 const retryBackoff = time.Second
 
-// Budget decides which loads a lease holder may start and what it must reserve for them. The zero value
-// belongs to a process that never held the lease.
+// Budget decides how many loads a lease holder may start and what it must reserve for them. The zero value is the budget of
+// a process that has never held the lease.
 type Budget struct {
 	log   LoadLog
 	fence uint64
-	// allowance is how many loads may start beyond those that were counted when the last reservation was
-	// decided, used how many of them were ordered since.
+	// allowance is how many loads may start in addition to those counted when the last reservation was decided. used is how
+	// many loads have used it since.
 	allowance, used int
-	// proposedAllowance is what allowance becomes once the write in flight has surely succeeded.
+	// proposedAllowance becomes the allowance once the write in flight has certainly succeeded.
 	proposedAllowance int
-	// reserved is the bound in the last reservation that was surely written.
+	// reserved is Reservation.Loads of the last reservation that was certainly written.
 	reserved      int
 	writeInFlight bool
 	retryAt       time.Time
-	// excessSince is when the reservation was first seen far above the need, zero while it is not.
+	// excessSince is since when the reservation has been far above the need; zero while it is not.
 	excessSince time.Time
 }
 
-// Fence returns the fence of the grant that the budget belongs to.
+// Fence returns the fencing token of the grant that the budget belongs to.
 func (b *Budget) Fence() uint64 { return b.fence }
 
-// TakeOver starts a grant. Unless this process itself held the lease last, everything that was reserved
-// counts as started, as late as it may have. No load may start before a reservation was written under the
-// new grant: a successor would not know of it.
+// TakeOver starts a grant. Unless this process itself held the grant before, all reserved loads count as started, at the
+// latest time possible. No load may start before a reservation has been written under the new grant, since a successor would
+// not know of it.
 func (b *Budget) TakeOver(grant Takeover, bounds Bounds) {
 	continues := grant.ContinuesFence != 0 && grant.ContinuesFence == b.fence
 	b.fence = grant.Fence
@@ -50,20 +50,20 @@
 	b.inherit(*grant.Reserved, grant.PredecessorStoppedAt, lastStart)
 }
 
-// inherit counts the loads of a reservation that was decided at a moment or before it. Those without an age start at
-// lastStart at the latest.
+// inherit counts the loads of a reservation that was decided at decidedBy or before. Loads without an age start at lastStart
+// at the latest.
 func (b *Budget) inherit(reserved Reservation, decidedBy, lastStart time.Time) {
-	rest := reserved.Loads
+	remaining := reserved.Loads
 	for _, aged := range reserved.Aged {
 		age := time.Duration(aged.AgeMs) * time.Millisecond
 		b.log.AddStarted(aged.Loads, decidedBy.Add(-age))
-		rest -= aged.Loads
+		remaining -= aged.Loads
 	}
-	b.log.AddStarted(rest, lastStart)
+	b.log.AddStarted(remaining, lastStart)
 }
 
-// Available returns how many loads may start now: within the bounds, and within what is surely reserved. It
-// is negative after the bounds were lowered.
+// Available returns how many loads may start now, within both the bounds and the reservation that was certainly written. It
+// may be negative, for example after the bounds have been lowered.
 func (b *Budget) Available(now time.Time, bounds Bounds) int {
 	return min(bounds.Loads-b.log.Count(now, bounds.Window), b.allowance-b.used)
 }
@@ -71,42 +71,42 @@
 // Count returns how many loads may have started within the window that ends at now.
 func (b *Budget) Count(now time.Time, bounds Bounds) int { return b.log.Count(now, bounds.Window) }
 
-// MarkOrdered counts a load that is ordered under a name.
+// MarkOrdered counts a pending load under a name and uses one load of the allowance.
 func (b *Budget) MarkOrdered(name string) {
 	b.log.MarkOrdered(name)
 	b.used++
 }
 
-// Pending returns the names under which loads are ordered whose outcome is not known.
+// Pending returns the names with pending loads.
 func (b *Budget) Pending() []string { return b.log.Pending() }
 
-// MarkStarted records that the loads ordered under a name started at now or before, or never will.
+// MarkStarted records that the pending loads under a name started at now or before, or never will.
 func (b *Budget) MarkStarted(name string, now time.Time) { b.log.MarkStarted(name, now) }
 
-// MarkRejected uncounts the last load ordered under a name: its order was rejected. The part of the allowance
-// that it used is not given back.
+// MarkRejected removes a pending load under a name, since its order was rejected. The allowance that it used is not given
+// back.
 func (b *Budget) MarkRejected(name string) { b.log.MarkRejected(name) }
 
-// AddStarted counts a load that was found only after it started, at a moment or before it. It may exceed
-// what is reserved; Propose then asks for a higher reservation.
+// AddStarted counts a load that was detected only after it had started, at startedBy or before. This may exceed the
+// reservation; Propose then asks for a higher one.
 func (b *Budget) AddStarted(startedBy time.Time) {
 	b.log.AddStarted(1, startedBy)
 	b.used++
 }
 
-// Withdraw uncounts a load that was counted as started by exactly the moment given, once it has proven not to come
-// from the weight store. The part of the allowance that it used is not given back: a successor may have counted it.
+// Withdraw removes a load that was counted as started by exactly startedBy and has proven not to come from the model store.
+// The allowance that it used is not given back, since a successor may have counted the load.
 func (b *Budget) Withdraw(startedBy time.Time) { b.log.Withdraw(startedBy) }
 
-// SpareLoads returns how many loads may start now that no request waits for: half of the bounds stays free for those
-// that one does.
+// SpareLoads returns how many loads may start now for models that no request waits for. Half of the bounds stays free for
+// models that requests wait for.
 func (b *Budget) SpareLoads(now time.Time, bounds Bounds) int {
 	return min(bounds.Loads/2-b.log.Count(now, bounds.Window), b.allowance-b.used)
 }
 
-// Propose returns the reservation to write now, if one is due; the caller must report the outcome to
-// CompleteWrite. Until then only loads that both the previous reservation and this one cover may start,
-// because a successor may find either.
+// Propose returns the reservation to write now, if one is due. The caller must report the outcome to CompleteWrite. Until
+// then, only loads that are covered by both the previous reservation and this one may start, because a successor may find
+// either of them.
 func (b *Budget) Propose(now time.Time, bounds Bounds) (reservation Reservation, due bool) {
 	if b.writeInFlight || now.Before(b.retryAt) {
 		return Reservation{}, false
@@ -125,8 +125,8 @@
 	return Reservation{Loads: counted + allowance, Aged: b.log.ByAge(now, bounds.Window)}, true
 }
 
-// shouldRaise reports whether little is left of the allowance, and the bounds permit enough more to be worth
-// a write. The rest is negative where loads were found late.
+// shouldRaise reports whether little of the allowance is left and the bounds permit enough additional loads to justify a
+// write. What is left is negative if AddStarted has exceeded the allowance.
 func (b *Budget) shouldRaise(allowance int, bounds Bounds) bool {
 	left := b.allowance - b.used
 	if left <= 0 {
@@ -135,7 +135,7 @@
 	return left <= bounds.hysteresis() && allowance-left >= max(bounds.headroom()-bounds.hysteresis(), 1)
 }
 
-// shouldLower reports whether the reservation was far above the need for a whole window.
+// shouldLower reports whether the reservation has been far above the need for a whole window.
 func (b *Budget) shouldLower(now time.Time, need int, bounds Bounds) bool {
 	if b.reserved < need+bounds.hysteresis() {
 		b.excessSince = time.Time{}
@@ -147,8 +147,8 @@
 	return now.Sub(b.excessSince) >= bounds.Window
 }
 
-// CompleteWrite reports the outcome of the write that Propose asked for under a fence. A write that is not
-// certain may be what a successor finds, but this holder does not rely on it.
+// CompleteWrite records the outcome of a write that Propose asked for under the grant with the given fence. A successor may
+// find a write of uncertain outcome, but this holder does not rely on it.
 func (b *Budget) CompleteWrite(fence uint64, written Reservation, certain bool, now time.Time) {
 	if fence != b.fence {
 		return
--- a/internal/loadbudget/loadlog.go
+++ b/internal/loadbudget/loadlog.go
@@ -6,25 +6,24 @@
 	"time"
 )
 
-// ageResolution is the step to which ages are rounded down. Rounding up would let loads leave a successor's
-// window too early.
+// ageResolution is the unit to which ages are rounded down. Rounding up would let loads leave a successor's window too
+// early.
 const ageResolution = 250 * time.Millisecond
 
-// startedLoads is a number of loads that started at a moment or before it.
+// startedLoads is a number of loads that started at startedBy or before.
 type startedLoads struct {
 	startedBy time.Time
 	loads     int
 }
 
-// LoadLog counts loads from the weight store that may have started. A load whose order has no clear answer
-// is pending: it may start at any time, so it counts until its outcome is known and for a window after that.
-// The zero value is an empty log.
+// LoadLog counts loads from the model store that may have started. A load whose order has no clear answer is pending: it may
+// start at any time, so it counts until its outcome is known and for one window after that. The zero value is an empty log.
 type LoadLog struct {
 	started []startedLoads
 	pending map[string]int
 }
 
-// MarkOrdered counts a load that is ordered under a name, for example that of its replica.
+// MarkOrdered counts a pending load under a name, for example that of its replica.
 func (l *LoadLog) MarkOrdered(name string) {
 	if l.pending == nil {
 		l.pending = map[string]int{}
@@ -32,28 +31,28 @@
 	l.pending[name]++
 }
 
-// MarkStarted records that the loads ordered under a name started at now or before, or never will.
+// MarkStarted records that the pending loads under a name started at now or before, or never will.
 func (l *LoadLog) MarkStarted(name string, now time.Time) {
 	l.AddStarted(l.pending[name], now)
 	delete(l.pending, name)
 }
 
-// MarkRejected uncounts the last load ordered under a name: its order was rejected.
+// MarkRejected removes a pending load under a name, since its order was rejected.
 func (l *LoadLog) MarkRejected(name string) {
 	if l.pending[name]--; l.pending[name] <= 0 {
 		delete(l.pending, name)
 	}
 }
 
-// AddStarted counts loads that started at a moment or before it without having been marked as ordered.
+// AddStarted counts loads that started at startedBy or before and were not marked as ordered.
 func (l *LoadLog) AddStarted(loads int, startedBy time.Time) {
 	if loads > 0 {
 		l.started = append(l.started, startedLoads{startedBy: startedBy, loads: loads})
 	}
 }
 
-// Withdraw uncounts one load that was counted as started by exactly the moment given: it has proven not to come from
-// the weight store. A load that has left the log is not withdrawn.
+// Withdraw removes one load that was counted as started by exactly startedBy and has proven not to come from the model store.
+// It does nothing if that load has left the log.
 func (l *LoadLog) Withdraw(startedBy time.Time) {
 	for index := range l.started {
 		entry := &l.started[index]
@@ -67,18 +66,18 @@
 	}
 }
 
-// ResolvePending records that no pending load will start after now.
+// ResolvePending counts all pending loads as started by now, since none will start later.
 func (l *LoadLog) ResolvePending(now time.Time) {
 	for _, name := range l.Pending() {
 		l.MarkStarted(name, now)
 	}
 }
 
-// Pending returns the names under which loads are ordered whose outcome is not known, in no order.
+// Pending returns the names with pending loads, in no particular order.
 func (l *LoadLog) Pending() []string { return slices.Collect(maps.Keys(l.pending)) }
 
-// Count returns how many loads may have started within the window that ends at now. It drops those that
-// have left the window.
+// Count returns how many loads may have started within the window that ends at now. It drops those that have left the
+// window.
 func (l *LoadLog) Count(now time.Time, window time.Duration) int {
 	l.started = slices.DeleteFunc(l.started, func(entry startedLoads) bool {
 		return now.Sub(entry.startedBy) >= window
@@ -86,7 +85,7 @@
 	return l.Remaining(now, window)
 }
 
-// Remaining returns how many of the loads counted now will count at a later moment, if no more are ordered.
+// Remaining returns how many of the loads counted now will still count at a later time if no more are ordered.
 func (l *LoadLog) Remaining(later time.Time, window time.Duration) int {
 	total := 0
 	for _, entry := range l.started {
@@ -100,8 +99,8 @@
 	return total
 }
 
-// ByAge returns the loads that have started within the window that ends at now by their least age, the
-// youngest first. Pending loads are not among them, since they may start later.
+// ByAge returns the loads that have started within the window that ends at now, grouped by their least age, the youngest
+// first. It leaves out pending loads, since they may start later.
 func (l *LoadLog) ByAge(now time.Time, window time.Duration) []AgedLoads {
 	var aged []AgedLoads
 	for _, entry := range slices.Backward(l.started) {
--- a/internal/placement/adaptereviction.go
+++ b/internal/placement/adaptereviction.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// adapterSwap is the unload of an adapter for another one of a model.
+// adapterSwap identifies the replacement of a loaded adapter by an adapter of the given model.
 type adapterSwap struct {
 	model      int
-	hasWaiting bool // requests wait for the adapter to be loaded
+	hasWaiting bool // requests wait for the adapter that is to be loaded
 }
 
-// swapAdapter unloads an adapter in favour of one of the model: at one of the model's hosts without room
-// for another adapter, the one with the lowest unload cost. It reports whether there was one.
+// swapAdapter unloads an adapter to make room for one of the given model. Of the adapters at the model's hosts that lack
+// room for another adapter, it chooses the one with the lowest unload cost. It reports whether it found one.
 func (p *planner) swapAdapter(swap adapterSwap) bool {
-	if p.searches.adapterSwapImpossible[swap] || !p.items.isConfiguredModel(swap.model) {
+	if p.indexes.adapterSwapImpossible[swap] || !p.items.isConfiguredModel(swap.model) {
 		return false
 	}
 	var best *serverState
@@ -32,15 +32,15 @@
 		}
 	}
 	if best == nil {
-		p.searches.adapterSwapImpossible[swap] = true
+		p.indexes.adapterSwapImpossible[swap] = true
 		return false
 	}
 	p.recordAction(best, Action{Model: victim, Reason: adapterSwapReason})
 	return true
 }
 
-// usageAfterAdapterUnloads is the memory and the adapter slots that would be used at a server after the
-// unload of all adapters that may go.
+// usageAfterAdapterUnloads returns the memory and the adapter slots that would be in use at a server after unloading all
+// adapters that may be unloaded.
 func (p *planner) usageAfterAdapterUnloads(state *serverState, hasWaiting bool) (memory memoryUnits, slots int) {
 	memory, slots = state.memoryUsed, state.adapterSlotsUsed
 	for _, number := range state.adapters {
@@ -52,21 +52,23 @@
 	return memory, slots
 }
 
-// fitsAfterAdapterUnloads reports whether a server then has memory and a slot for an adapter of the model.
+// fitsAfterAdapterUnloads reports whether a server would have the memory and a slot for an adapter of the model after
+// unloading all adapters that may be unloaded.
 func (p *planner) fitsAfterAdapterUnloads(state *serverState, swap adapterSwap) bool {
 	memory, slots := p.usageAfterAdapterUnloads(state, swap.hasWaiting)
 	return memory+p.items.adapterSize(swap.model) <= p.capacity && slots < p.runtime.AdapterCapacity
 }
 
-// hasSlotAfterAdapterUnloads reports whether a server then has a slot for an adapter.
+// hasSlotAfterAdapterUnloads reports whether a server would have a slot for an adapter after unloading all adapters that
+// may be unloaded.
 func (p *planner) hasSlotAfterAdapterUnloads(state *serverState, hasWaiting bool) bool {
 	_, slots := p.usageAfterAdapterUnloads(state, hasWaiting)
 	return slots < p.runtime.AdapterCapacity
 }
 
-// canUnloadAdapter reports whether an adapter may be unloaded for another one. An adapter with a single
-// copy goes only if no request waits for it or runs on it, and if its rate is 0, or at most rareRate if
-// requests wait for the other one. An unconfigured adapter may always go.
+// canUnloadAdapter reports whether an adapter may be unloaded for another one. The last copy of an adapter may be unloaded
+// only if no requests wait for it or run on it and its rate is 0, or at most rareRate if requests wait for the other one.
+// An unconfigured adapter may always be unloaded.
 func (p *planner) canUnloadAdapter(number int, hasWaiting bool) bool {
 	toleratedRate := 0.0
 	if hasWaiting {
@@ -77,7 +79,7 @@
 	return !p.items.isConfigured(number) || p.counts.remaining(number) > 1 || !inDemand
 }
 
-// adapterUnloadCost is the cost of unloading one copy of an adapter. Unconfigured adapters go first.
+// adapterUnloadCost returns the cost of unloading one copy of an adapter. It is lowest for unconfigured adapters.
 func (p *planner) adapterUnloadCost(number int) float64 {
 	if !p.items.isConfigured(number) {
 		return math.Inf(-1)
@@ -86,9 +88,9 @@
 	return p.demand.of(number).Rate/copies - copies
 }
 
-// evictForAdapter frees memory for an adapter at one of the full hosts of its model that have a slot for
-// it, or can have one: where that costs least, the first victim is unloaded. The intent marks that host
-// until the unload is done, so that only one host at a time frees memory. It reports whether one does.
+// evictForAdapter starts to free memory for an adapter at a host of its model that has, or can have, an adapter slot for
+// it. It unloads the first victim at the host where freeing the memory costs least. The intent marks that host until the
+// unload is done, so that only one host at a time frees memory. evictForAdapter reports whether a host does.
 func (p *planner) evictForAdapter(adapter int, hasWaiting bool) bool {
 	model := p.items.at(adapter).model
 	modelName := p.items.at(model).name
@@ -122,8 +124,8 @@
 	return true
 }
 
-// addCopyForAdapter adds a copy of an adapter's model if none of its hosts has room for the adapter, now
-// or after unloads. If only slots are lacking, the adapters there take turns.
+// addCopyForAdapter adds a copy of an adapter's model if none of the model's hosts has memory for the adapter, now or after
+// unloads. It adds none if a host lacks only an adapter slot: the adapters then replace each other there.
 func (p *planner) addCopyForAdapter(adapter int) {
 	model := p.items.at(adapter).model
 	if p.isMaybeLoading(model) || !p.items.isConfiguredModel(model) {
@@ -143,8 +145,8 @@
 	p.addCopy(model, adapterCopyReason)
 }
 
-// adapterEvictionCost is the first victim for an adapter at a server, the cost of freeing enough memory
-// for it, and whether that is possible. The adapter's own model stays.
+// adapterEvictionCost returns the first victim to unload for an adapter at a server, the cost of freeing enough memory for
+// it, and whether that is possible. The adapter's own model is never a victim.
 func (p *planner) adapterEvictionCost(state *serverState, adapter int) (first int, cost float64, possible bool) {
 	p.rankVictims(state)
 	first = -1
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// adapterCopies is how many copies each adapter of a loaded model is to have.
+	// adapterCopies is how many copies each adapter of a loaded model should have.
 	adapterCopies = 2
 	// Values of Action.Reason.
 	adapterLoadReason = "adapter wanted"
@@ -22,11 +22,11 @@
 	rate    float64 // requests per second
 }
 
-// isRequested reports whether the adapter has no copy although it is asked for.
+// isRequested reports whether the adapter has no copy although clients request it.
 func (c candidateAdapter) isRequested() bool { return c.copies == 0 && (c.waiting > 0 || c.rate > 0) }
 
-// compareCandidateAdapters orders the fewest copies first, then the most waiting requests, then the
-// highest rate.
+// compareCandidateAdapters orders adapters by the fewest copies, then by the most waiting requests, then by the highest
+// rate.
 func compareCandidateAdapters(left, right candidateAdapter) int {
 	return cmp.Or(
 		left.copies-right.copies,
@@ -36,8 +36,8 @@
 	)
 }
 
-// addAdapters loads adapters of loaded models that have too few copies. Urgent are those that requests wait
-// for, and those asked for and nowhere loaded.
+// addAdapters loads adapters of loaded models that have too few copies. An adapter is urgent if requests wait for it, or if
+// clients request it and it is loaded nowhere.
 func (p *planner) addAdapters(handled priority) {
 	var candidates []candidateAdapter
 	for model, adapters := range p.items.catalog.adapters {
@@ -62,9 +62,9 @@
 	}
 }
 
-// addAdapter loads an adapter at the host of its model with the fewest adapters. If no host has room, an
-// adapter that is requested has another adapter or an unwanted model unloaded, and one that requests wait
-// for has a copy of its model added elsewhere.
+// addAdapter loads an adapter at the host of its model with the fewest adapters. If no host has room, another adapter or a
+// dispensable model is unloaded for an adapter that is requested. If that is not possible either and requests wait for the
+// adapter, a copy of its model is added elsewhere.
 func (p *planner) addAdapter(number int, isRequested bool) {
 	model := p.items.at(number).model
 	var best *serverState
@@ -87,10 +87,9 @@
 	}
 }
 
-// serversForAdapter returns the positions of the idle hosts of a model with room for one more of its
-// adapters.
+// serversForAdapter returns the positions of the idle hosts of a model that have room for one more of its adapters.
 func (p *planner) serversForAdapter(model int) []int {
-	positions, known := p.searches.adapterCandidates[model]
+	positions, known := p.indexes.adapterCandidates[model]
 	if !known && p.items.isConfiguredModel(model) {
 		for _, position := range p.counts.hosts[model] {
 			if p.fitsAnotherAdapter(&p.servers[position], model) {
@@ -104,11 +103,11 @@
 			idle = append(idle, position)
 		}
 	}
-	p.searches.adapterCandidates[model] = idle
+	p.indexes.adapterCandidates[model] = idle
 	return idle
 }
 
-// fitsAnotherAdapter reports whether a server has memory and a slot for one more adapter of a model.
+// fitsAnotherAdapter reports whether a server has the memory and a slot for one more adapter of a model.
 func (p *planner) fitsAnotherAdapter(state *serverState, model int) bool {
 	return state.adapterSlotsUsed < p.runtime.AdapterCapacity &&
 		state.memoryUsed+p.items.adapterSize(model) <= p.capacity
--- a/internal/placement/addcopy.go
+++ b/internal/placement/addcopy.go
@@ -1,15 +1,15 @@
 package placement
 
 const (
-	// diskLoadFactor is the time of a load from a server's own disk relative to one from the store.
+	// diskLoadFactor is the duration of a load from a server's own disk relative to one from the store.
 	diskLoadFactor = 0.25
-	// possibleDiskLoadFactor is that of a load that may come from the disk or not, with equal odds.
+	// possibleDiskLoadFactor is the expected relative duration of a load that comes from the disk with probability 1/2.
 	possibleDiskLoadFactor = (1 + diskLoadFactor) / 2
-	// prefillDisruptionCost is the cost of a server's disruption, in seconds of load time.
+	// prefillDisruptionCost is the cost of a unit of serverState.disruption, in seconds of load time.
 	prefillDisruptionCost = 1.5
 )
 
-// cheapestChoice keeps the server with the lowest cost, of equal ones the first.
+// cheapestChoice is the server with the lowest cost seen so far; among equal costs, the one at the first position.
 type cheapestChoice struct {
 	server int // position, -1 for none
 	cost   float64
@@ -22,8 +22,8 @@
 	}
 }
 
-// addCopy loads a model at the server where the load and the memory for it cost least, or begins to free
-// memory for it there. It reports whether it found such a server.
+// addCopy loads a model at the server where the load and the eviction that it needs cost least, or starts the eviction
+// there. It reports whether it found such a server.
 func (p *planner) addCopy(model int, reason string) bool {
 	position := p.cheapestServerFor(model)
 	if position < 0 {
@@ -44,14 +44,14 @@
 	return true
 }
 
-// cheapestServerFor returns the position of the cheapest server for one more copy, or -1: any server that
-// surely has the model on its disk, and any other one while the store's rate allows a load.
+// cheapestServerFor returns the position of the cheapest server for one more copy of a model, or -1. Servers that
+// certainly have the model on their disk are always considered, others only while the store's rate allows a load.
 func (p *planner) cheapestServerFor(model int) int {
 	best := cheapestChoice{server: -1}
 	size, loadTime := p.items.at(model).size, p.items.loadTimeS(model)
 	mayReserveStoreLoad := p.decisions.mayReserveStoreLoad()
-	for next := p.firstDiskCopy(model); next > 0; next = p.searches.diskCopies[next].next {
-		onDisk := p.searches.diskCopies[next]
+	for next := p.firstDiskCopy(model); next > 0; next = p.indexes.diskCopies[next].next {
+		onDisk := p.indexes.diskCopies[next]
 		state := &p.servers[onDisk.server]
 		if !onDisk.certain && !mayReserveStoreLoad || !p.acceptsCopy(state, model) {
 			continue
@@ -68,7 +68,7 @@
 	return best.server
 }
 
-// loadFactor is the expected time of the load relative to one from the store.
+// loadFactor returns the expected duration of the load relative to one from the store.
 func (d diskCopy) loadFactor() float64 {
 	if d.certain {
 		return diskLoadFactor
@@ -81,8 +81,8 @@
 	return state.isFree() && !state.exhausted && !state.hasLoaded(model) && !p.reservedForAdapters(state)
 }
 
-// reservedForAdapters reports whether a server is kept free for loads of adapters: it has a hot model
-// with adapters loaded of which no more than half of the hosts are free.
+// reservedForAdapters reports whether a server is kept free for loads of adapters: it hosts a hot model with adapters of
+// whose hosts no more than half are free.
 func (p *planner) reservedForAdapters(state *serverState) bool {
 	for _, model := range state.models {
 		if p.items.adapterCount(model) == 0 || p.demand.total(model).Rate <= hotRate {
@@ -95,8 +95,8 @@
 	return false
 }
 
-// evictionCost is the cost of freeing memory for that size at a server, and whether it is possible at
-// all. The size counts in full even if the model itself may be loaded there, though it then needs less.
+// evictionCost returns the cost of freeing memory for a model of the given size at a server, and whether that is possible.
+// The size counts in full even where the model may be loaded already and so would need no more memory.
 func (p *planner) evictionCost(state *serverState, size memoryUnits) (cost float64, possible bool) {
 	p.rankVictims(state)
 	_, cost, possible = chooseVictims(state.victims, state.memoryUsed+size-p.capacity)
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// hotRate, in requests per second, is the rate beyond which a model is to have two copies; below
-	// rareRate one is seldom asked for.
+	// hotRate and rareRate are in requests per second. A model beyond hotRate is hot and should have at least minHotCopies;
+	// a model below rareRate is rarely used.
 	hotRate  = 1.5
 	rareRate = 0.3
-	// maxPrefillLoad is the share of its time that a copy is to spend on prefill.
+	// maxPrefillLoad is the share of its time that a copy should spend on prefill at most.
 	maxPrefillLoad = 0.2
-	// minHotCopies is how many copies a model beyond hotRate is to have.
+	// minHotCopies is the least number of copies that a hot model should have.
 	minHotCopies = 2
 )
 
-// demandIndex holds the demands of one backend by item number.
+// demandIndex holds the demand of one backend by item number.
 type demandIndex struct {
 	own    []*Demand // of a model or adapter alone; nil for none
 	totals []*Demand // of a model with its adapters; nil for none
 	models []int     // models with a total, ascending
 }
 
-// noDemand stands for the demand of an item that nobody asks for. It must not be changed.
+// noDemand is the demand of an item without requests. It must not be modified.
 var noDemand = &Demand{}
 
 func newDemandIndex(items int) demandIndex {
 	return demandIndex{own: make([]*Demand, items), totals: make([]*Demand, items)}
 }
 
-// growTo extends the index to that many items.
+// growTo extends the index to the given number of items.
 func (d *demandIndex) growTo(items int) {
 	for len(d.own) < items {
 		d.own = append(d.own, nil)
@@ -38,7 +38,7 @@
 	}
 }
 
-// of is the demand of a model or adapter alone.
+// of returns the demand for a model or adapter alone.
 func (d *demandIndex) of(number int) *Demand {
 	if own := d.own[number]; own != nil {
 		return own
@@ -46,7 +46,7 @@
 	return noDemand
 }
 
-// total is the demand of a model with its adapters.
+// total returns the demand for a model with its adapters.
 func (d *demandIndex) total(model int) *Demand {
 	if total := d.totals[model]; total != nil {
 		return total
@@ -54,13 +54,13 @@
 	return noDemand
 }
 
-// indexDemand orders the view's demands by item number and sums them by model. Unconfigured references
-// are numbered in the order of their names, so that equal views give equal plans.
+// indexDemand indexes the view's demand by item number and sums it by model. Unconfigured references are numbered in the
+// order of their names, so that equal views give equal plans.
 func (p *planner) indexDemand() {
 	catalog := p.items.catalog
 	var unconfigured []string
 	for key, demand := range p.view.Demand {
-		if number, known := catalog.keys[key]; known {
+		if number, known := catalog.byKey[key]; known {
 			p.demand.own[number] = demand
 		} else if backend, reference := SplitModelKey(key); backend == catalog.backend.Name {
 			unconfigured = append(unconfigured, reference)
@@ -87,8 +87,8 @@
 	sort.Ints(p.demand.models)
 }
 
-// copiesNeeded is how many copies the running requests of a model need, if each copy carries
-// targetUtilization of its slots.
+// copiesNeeded returns how many copies the running requests of a model need if they occupy no more than
+// planner.targetUtilization of each copy's slots.
 func (p *planner) copiesNeeded(demand *Demand) float64 {
 	if demand.Running == 0 {
 		return 0
@@ -96,9 +96,9 @@
 	return 1 + math.Floor(demand.Running/(p.targetUtilization*float64(max(p.runtime.Slots, 1))))
 }
 
-// targetCopies is how many copies a model is to have: as many as needed, minHotCopies if it is hot, and
-// enough that all its adapters have slots and one copy is to spare. It is never more than all serving
-// servers but one.
+// targetCopies returns how many copies a model should have: at least one, as many as copiesNeeded and, if it is hot,
+// minHotCopies and enough slots for all its adapters with one copy to spare. It is at most the number of serving servers
+// less one, but never less than 1.
 func (p *planner) targetCopies(model int) float64 {
 	demand := p.demand.total(model)
 	target := max(1, p.copiesNeeded(demand))
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// adapterDisruption is the disruption, for each request per second, of a model with adapters.
+	// adapterDisruption is the disruption per request per second of a model with adapters.
 	adapterDisruption = 3.0
-	// recentDemandWindow is how long ago a model's last request may be to add to its unload cost.
+	// recentDemandWindow is the time since a model's last request after which it no longer adds to the unload cost.
 	recentDemandWindow = 20 * time.Second
-	// rateWeight and longTermRateWeight weigh Demand.Rate and Demand.LongTermRate in the unload cost.
+	// rateWeight and longTermRateWeight are the weights of Demand.Rate and Demand.LongTermRate in the unload cost.
 	rateWeight         = 4
 	longTermRateWeight = 15.0
-	// otherCopiesWeight is how fast further copies of a model lower the unload cost of each.
+	// otherCopiesWeight is the weight of the squared number of other copies, which lowers the unload cost of a copy.
 	otherCopiesWeight = 4
 	// adaptersCost is added to the unload cost of a model with adapters.
 	adaptersCost = 3
-	// unconfiguredCost is the unload cost of an unconfigured model: it is unloaded first.
+	// unconfiguredCost is the unload cost of an unconfigured model. It is below all others, so that such a model is
+	// unloaded first.
 	unconfiguredCost = -1
-	// maxDisruptedRate limits the rate that counts as disrupted for a model with adapters.
+	// maxDisruptedRate is the highest rate of a model with adapters that counts towards the disruption.
 	maxDisruptedRate = 1
 )
 
-// rankVictims computes a server's disruption and victims, once for each plan.
+// rankVictims computes a server's disruption and its victims, the cheapest first. It does so once per plan.
 func (p *planner) rankVictims(state *serverState) {
 	if state.victimsRanked {
 		return
@@ -49,7 +50,7 @@
 	})
 }
 
-// freedMemory is the memory that unloading a model with its adapters frees at a server.
+// freedMemory returns the memory that unloading a model and its adapters frees at a server.
 func (p *planner) freedMemory(state *serverState, model int) memoryUnits {
 	total := p.loadedSize(state, model)
 	for _, adapter := range state.adapters {
@@ -60,8 +61,8 @@
 	return total
 }
 
-// unloadCost is the cost of unloading one copy of a model: lower the longer ago it was asked for, and
-// the more other copies it has.
+// unloadCost returns the cost of unloading one copy of a model. It is lower the longer ago the last request was, the lower
+// the rate, and the more other copies there are.
 func (p *planner) unloadCost(model int) float64 {
 	if !p.items.isConfigured(model) {
 		return unconfiguredCost
@@ -69,9 +70,9 @@
 	demand := p.demand.total(model)
 	otherCopies := p.counts.loaded(model) - 1
 	cost := 0.0
-	unseen := p.view.Now.Sub(demand.LastRequestAt)
-	if !demand.LastRequestAt.IsZero() && unseen < recentDemandWindow {
-		cost += 1 - unseen.Seconds()/recentDemandWindow.Seconds()
+	sinceLastRequest := p.view.Now.Sub(demand.LastRequestAt)
+	if !demand.LastRequestAt.IsZero() && sinceLastRequest < recentDemandWindow {
+		cost += 1 - sinceLastRequest.Seconds()/recentDemandWindow.Seconds()
 	}
 	rates := demand.Rate*rateWeight + demand.LongTermRate*longTermRateWeight
 	cost += rates / float64(1+otherCopies*otherCopies*otherCopiesWeight)
@@ -81,11 +82,13 @@
 	return cost
 }
 
-// canEvict reports whether a server's copy of a model may be unloaded. countCopies returns how many copies
-// an item has: counts.loaded or counts.remaining. The last copy of a model in demand stays, and so does
-// one beside the last copy of an adapter of a hot model. Otherwise the copies left must reach the target,
-// or for a rarely used model be enough for its running requests. Before the demand is known, only
-// models with a single copy go. An unconfigured model may always go.
+// canEvict reports whether a server's copy of a model may be unloaded. countCopies returns how many copies an item has:
+// counts.loaded or counts.remaining.
+//
+// The last copy of a model in demand is kept, and so is a copy of a hot model at the server with the last copy of one of
+// its adapters. Otherwise the remaining copies must reach the target or, for a rarely used model, suffice for its running
+// requests. Before the demand is known, only models with a single copy are evicted, since several copies suggest a demand
+// that has not been observed yet. An unconfigured model may always be evicted.
 func (p *planner) canEvict(state *serverState, model int, countCopies func(number int) int) bool {
 	if !p.items.isConfigured(model) {
 		return true
@@ -101,11 +104,11 @@
 	if demand.Rate > hotRate && p.hasLastAdapterCopy(state, model, countCopies) {
 		return false
 	}
-	rest := float64(copies - 1)
-	if rest >= max(p.targetCopies(model), math.Ceil(demand.PrefillLoad/maxPrefillLoad)) {
+	remaining := float64(copies - 1)
+	if remaining >= max(p.targetCopies(model), math.Ceil(demand.PrefillLoad/maxPrefillLoad)) {
 		return true
 	}
-	return demand.Rate < rareRate && rest >= p.copiesNeeded(demand)
+	return demand.Rate < rareRate && remaining >= p.copiesNeeded(demand)
 }
 
 // hasLastAdapterCopy reports whether a server has the last copy of a configured adapter of the model.
@@ -119,8 +122,8 @@
 	return false
 }
 
-// evict unloads the first of the victims for a model that is to be loaded at the server. It reports false,
-// and drops the intent, if unloading all that may still go would not free enough memory.
+// evict plans the unload of the cheapest chosen victim for a model to be loaded at the server. If all victims that may
+// still be unloaded do not free enough memory, it clears the intent and reports false.
 func (p *planner) evict(state *serverState, model int) bool {
 	p.rankVictims(state)
 	remaining := make([]victim, 0, len(state.victims))
@@ -144,5 +147,6 @@
 	return true
 }
 
-// makeRoomReason and the name of a model or adapter is the Action.Reason of an unload for it.
+// makeRoomReason is the prefix of Action.Reason of an unload that frees memory; the name of the model or adapter to be
+// loaded follows.
 const makeRoomReason = "makes way for "
--- a/internal/placement/forecast.go
+++ b/internal/placement/forecast.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Clone returns a copy of the view with its own servers, demands and size history. All else is shared:
-// plans only read it, except Loading, which RemoveZones replaces.
+// Clone returns a copy of the view with its own servers, demand and size history. Everything else is shared, since plans
+// only read it, except for Loading, which RemoveZones replaces.
 func (v *View) Clone() *View {
 	clone := *v
 	clone.SizeHistory = v.SizeHistory.Clone()
@@ -26,9 +26,8 @@
 	return &clone
 }
 
-// RemoveZones removes the servers of lost zones from a cloned view. A model or adapter that is asked for
-// and has no copy left gets as many waiting requests as arrive in a second. Loads in progress are
-// dropped.
+// RemoveZones removes the servers of lost zones from a cloned view. A model or adapter in demand that has no copy left gets
+// as many waiting requests as arrive within a second. Loads in progress and context evictions are dropped.
 func (v *View) RemoveZones(lost func(zone string) bool) {
 	remaining := v.Servers[:0]
 	lostKeys := map[string]bool{}
@@ -57,7 +56,7 @@
 	}
 }
 
-// servedKeys returns the ModelKeys of all that serving servers have loaded.
+// servedKeys returns the ModelKeys of all models and adapters that serving servers have loaded.
 func (v *View) servedKeys() map[string]bool {
 	served := map[string]bool{}
 	for _, server := range v.Servers {
@@ -71,11 +70,11 @@
 	return served
 }
 
-// maxForecastPlans is how many plans a forecast joins at most.
+// maxForecastPlans is the largest number of consecutive plans of a forecast.
 const maxForecastPlans = 6
 
-// Forecast plans on a cloned view several times, each time as if all actions of the last plan were done
-// and one load from the model store were allowed, and returns all actions in order.
+// Forecast makes several consecutive plans on a cloned view and returns all their actions in order. Each plan assumes that
+// all actions of the plan before are done and that the model store allows at least one load.
 func Forecast(view *View) []Action {
 	var planned []Action
 	for range maxForecastPlans {
@@ -93,7 +92,7 @@
 	return planned
 }
 
-// apply carries out an action. Unloading a model unloads its adapters too.
+// apply changes the view as if an action had been carried out. Unloading a model unloads its adapters too.
 func (v *View) apply(action Action) {
 	for _, server := range v.Servers {
 		if server.ID != action.Server {
--- a/internal/placement/hotcopies.go
+++ b/internal/placement/hotcopies.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// addHotCopies adds a copy of each model that has fewer than its target. Urgent are models that requests
-// wait for, or that have too few copies for the running requests.
+// addHotCopies adds a copy of each hot or loaded model that has fewer copies than its target. A model is urgent if requests
+// wait for it, or if its copies are too few for the running requests.
 func (p *planner) addHotCopies(handled priority) {
 	var candidates []candidateModel
 	for _, model := range p.demand.models {
--- a/internal/placement/intents.go
+++ b/internal/placement/intents.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// intendedLoad is a server that frees memory for a model.
+// intendedLoad is a server with an intent, and the model of that intent.
 type intendedLoad struct {
 	state *serverState
 	candidateModel
 }
 
-// fulfilIntents uses memory that was freed earlier, for the most urgent model first, and drops intents
-// that are obsolete. It reserves store tokens for the intents that remain.
+// fulfilIntents loads models for which earlier plans freed memory, the most urgent first, and clears obsolete intents. It
+// reserves store tokens for the remaining intents.
 func (p *planner) fulfilIntents() {
 	for _, load := range p.intendedLoads() {
 		p.fulfilIntent(load.state, load.model)
@@ -25,7 +25,7 @@
 	}
 }
 
-// intendedLoads returns the intents of idle servers, the most urgent first, and drops obsolete ones.
+// intendedLoads returns the intents of idle servers, the most urgent first, and clears obsolete ones.
 func (p *planner) intendedLoads() []intendedLoad {
 	var loads []intendedLoad
 	for index := range p.servers {
@@ -47,8 +47,8 @@
 	return loads
 }
 
-// fulfilIntent loads a model that fits now, or unloads one more model if it does not. An earlier load of
-// the same plan may have made the intent obsolete.
+// fulfilIntent loads the intended model if it fits now, and otherwise unloads one more model for it. It clears the intent
+// if an earlier load of the same plan has made it obsolete.
 func (p *planner) fulfilIntent(state *serverState, model int) {
 	switch {
 	case p.intentObsolete(state, model):
@@ -60,9 +60,9 @@
 	}
 }
 
-// intentObsolete reports whether a load from the model store is no longer worth the memory freed for it:
-// nobody asks for the model, or it has copies enough. A load from the server's own disk is always worth
-// it, unless the model is unconfigured.
+// intentObsolete reports whether the model of an intent should no longer be loaded: it is unconfigured, or it would be
+// loaded from the model store and is hardly requested or has enough copies. An intent for a load from the server's own disk
+// stays as long as the model is configured.
 func (p *planner) intentObsolete(state *serverState, model int) bool {
 	if !p.items.isConfigured(model) {
 		return true
--- a/internal/placement/items.go
+++ b/internal/placement/items.go
@@ -1,7 +1,7 @@
 package placement
 
-// itemTable numbers the models and adapters of one plan: the items of the catalog keep their numbers,
-// and references that servers have loaded or clients ask for without being configured follow.
+// itemTable numbers the models and adapters of one plan. Items of the catalog keep their numbers. Unconfigured references
+// that servers have loaded or clients request are numbered after them.
 type itemTable struct {
 	catalog             *backendCatalog
 	unconfigured        []catalogItem
@@ -12,7 +12,7 @@
 	return itemTable{catalog: catalog, unconfiguredNumbers: map[string]int{}}
 }
 
-// count is how many items have a number.
+// count returns how many items have a number.
 func (t *itemTable) count() int { return len(t.catalog.items) + len(t.unconfigured) }
 
 // at returns the item of a number. The pointer is valid until the next call of number.
@@ -23,10 +23,10 @@
 	return &t.unconfigured[number-len(t.catalog.items)]
 }
 
-// number returns the number of a reference. An unconfigured reference gets the next free number, and an
-// unconfigured adapter one for its model first.
+// number returns the number of a reference. An unconfigured reference gets the next free number; the unconfigured model of
+// an adapter is numbered before the adapter.
 func (t *itemTable) number(reference string) int {
-	if number, known := t.catalog.names[reference]; known {
+	if number, known := t.catalog.byReference[reference]; known {
 		return number
 	}
 	if number, known := t.unconfiguredNumbers[reference]; known {
@@ -50,13 +50,13 @@
 	return number
 }
 
-// isConfigured reports whether the configuration names a model or adapter: only then may it be loaded.
+// isConfigured reports whether the configuration names a model or adapter. Only such an item may be loaded.
 func (t *itemTable) isConfigured(number int) bool { return number < len(t.catalog.items) }
 
-// isConfiguredModel reports whether the configuration names a model of that number.
+// isConfiguredModel reports whether the number is that of a model that the configuration names.
 func (t *itemTable) isConfiguredModel(number int) bool { return number < len(t.catalog.adapters) }
 
-// adapterCount is how many adapters a model has in the configuration.
+// adapterCount returns how many adapters a model has in the configuration.
 func (t *itemTable) adapterCount(model int) int {
 	if t.isConfiguredModel(model) {
 		return len(t.catalog.adapters[model])
@@ -64,12 +64,12 @@
 	return 0
 }
 
-// adapterSize is the size of each adapter of a configured model that has adapters.
+// adapterSize returns the size of each adapter of a configured model with adapters.
 func (t *itemTable) adapterSize(model int) memoryUnits {
 	return t.at(t.catalog.adapters[model][0]).size
 }
 
-// loadTimeS is the time to load a model from the model store in seconds, 0 if unknown.
+// loadTimeS returns the duration of a load of a model from the model store in seconds, 0 if unknown.
 func (t *itemTable) loadTimeS(model int) float64 {
 	if t.isConfiguredModel(model) {
 		return t.catalog.runtime.Models[model].LoadTimeS
--- a/internal/placement/memory.go
+++ b/internal/placement/memory.go
@@ -4,22 +4,21 @@
 
 // memoryUnits is an amount of a replica's memory in whole units of 1/unitsPerMb MB.
 //
-// Replicas judge a load by their own sum of floating-point megabytes, in an order nobody else knows,
-// so an exact fit may exceed the limit there by rounding. Sizes are therefore rounded up to whole units
-// and the capacity down. A unit is a power of two, so that sums of units have no rounding error, also not
-// as float64 (below maxMemory). As rounding is monotone, the replica's sum of the smaller, unrounded
-// sizes is never above the sum of units, in whatever order it adds: what fits here fits there. Three
-// models of 65099.99999999999 MB fit 195300 MB in any order; three of 66.66666666666667 MB never fit
-// 200 MB, which their exact sum exceeds. A load that is refused needlessly lacks less than one unit,
-// about a byte, for each reference.
+// A replica accepts a load by its own sum of floating-point megabytes, added in an order that is not known here, so a
+// set of sizes that fits exactly may exceed the limit there by rounding errors. Sizes are therefore rounded up to whole
+// units and the capacity is rounded down. A unit is a power of two, so sums of units have no rounding error, not even as
+// float64 (below maxMemory). As rounding is monotone, the replica's sum of the smaller, unrounded sizes never exceeds the
+// sum of units, in whatever order it adds: what fits here fits there. Three models of 65099.99999999999 MB fit 195300 MB
+// in any order; three of 66.66666666666667 MB never fit 200 MB, which their exact sum exceeds. A load that is rejected
+// only because of the rounding lacks less than one unit, about a byte, per reference.
 type memoryUnits int64
 
 const (
 	unitsPerMb = 1 << 20
-	// maxMemory limits all amounts, so that sums do not overflow. A larger size, or one that is not a
-	// number, counts as maxMemory+1 and so never fits.
+	// maxMemory limits all amounts, so that sums do not overflow. A larger size, or NaN, counts as maxMemory+1 and so
+	// never fits.
 	maxMemory memoryUnits = 1 << 50
-	// unknownSize marks a reference that the configuration gives no size.
+	// unknownSize is the size of a reference that the configuration gives no size.
 	unknownSize memoryUnits = -1
 )
 
@@ -41,10 +40,10 @@
 	return memoryUnits(min(max(units, 0), float64(maxMemory)))
 }
 
-// loadedSize is the memory that a reference occupies at a server that has or may have it loaded: the larger
-// of the configured size and the remembered one of earlier configurations. Without either it counts as
-// more than the whole capacity, so that nothing is loaded beside it. That holds for adapters too: the
-// sizes of other adapters say nothing about one whose model is unknown.
+// loadedSize returns the memory that an item occupies at a server that has or may have it loaded: the larger of the
+// configured size and the one recorded from earlier configurations. An item without either counts as more than the whole
+// capacity, so that nothing is loaded beside it. This applies to adapters too: the sizes of other adapters tell nothing
+// about an adapter of an unknown model.
 func (p *planner) loadedSize(state *serverState, number int) memoryUnits {
 	size := p.items.at(number).size
 	if state.pastSizes == nil && size != unknownSize {
@@ -59,8 +58,8 @@
 	return size
 }
 
-// addedSize is by how much the load of an item that is not certainly loaded raises the memory used at a
-// server: by nothing if the item may be loaded already, because a replica loads it only once.
+// addedSize returns by how much the load of an item that is not certainly loaded raises the memory used at a server: 0 if
+// the item may be loaded already, because a replica keeps one copy only and memoryUsed includes it.
 func (p *planner) addedSize(state *serverState, number int) memoryUnits {
 	if state.maybeLoaded(number) {
 		return 0
@@ -68,14 +67,14 @@
 	return p.items.at(number).size
 }
 
-// excess is by how much the capacity of a server is exceeded if an item is loaded beside all that may be
-// loaded there; 0 or less if the item fits.
+// excess returns by how much the capacity of a server is exceeded if an item is loaded beside all that may be loaded
+// there. It is 0 or less if the item fits.
 func (p *planner) excess(state *serverState, number int) memoryUnits {
 	return state.memoryUsed + p.addedSize(state, number) - p.capacity
 }
 
-// fits reports whether an item may be loaded beside all that may be loaded at a server. An adapter also
-// needs a free adapter slot and its model certainly loaded. An unconfigured item never fits.
+// fits reports whether an item fits beside all that may be loaded at a server. An adapter also needs a free adapter slot,
+// and its model must certainly be loaded. An unconfigured item never fits.
 func (p *planner) fits(state *serverState, number int) bool {
 	if !p.items.isConfigured(number) || p.excess(state, number) > 0 {
 		return false
@@ -84,7 +83,7 @@
 	return !item.adapter || state.hasLoaded(item.model) && p.hasAdapterSlot(state, number)
 }
 
-// hasAdapterSlot reports whether an adapter has a slot beside all adapters that may be loaded at a server.
+// hasAdapterSlot reports whether a server has a slot for an adapter beside all adapters that may be loaded there.
 func (p *planner) hasAdapterSlot(state *serverState, adapter int) bool {
 	if state.maybeLoaded(adapter) {
 		return state.adapterSlotsUsed <= p.runtime.AdapterCapacity
@@ -92,9 +91,8 @@
 	return state.adapterSlotsUsed < p.runtime.AdapterCapacity
 }
 
-// load orders the load of an item at a server and reports whether it did. Every load of a plan passes
-// through it, so that no step can load an item that does not fit beside all that may be loaded at the
-// server, nor act twice at one server.
+// load plans the load of an item at a server and reports whether it did. Every load of a plan passes through it, so that
+// no step can load an item that does not fit beside all that may be loaded at the server, or plan two actions for a server.
 func (p *planner) load(state *serverState, number int, reason string) bool {
 	if !state.isIdle() || state.hasLoaded(number) || !p.fits(state, number) {
 		return false
--- a/internal/placement/missing.go
+++ b/internal/placement/missing.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// candidateModel is a model to be loaded; the higher urgency goes first.
+// candidateModel is a model that a planning step considers for a load, the highest urgency first.
 type candidateModel struct {
 	model   int
 	urgency float64
@@ -15,8 +15,8 @@
 	return cmp.Or(cmp.Compare(right.urgency, left.urgency), left.model-right.model)
 }
 
-// missingModels returns the models that are waited for and neither loaded nor certainly being loaded
-// anywhere, the most urgent first.
+// missingModels returns the models that requests wait for and that are neither loaded nor certainly being loaded anywhere,
+// the most urgent first.
 func (p *planner) missingModels() []candidateModel {
 	var candidates []candidateModel
 	for _, model := range p.demand.models {
@@ -30,17 +30,17 @@
 	return candidates
 }
 
-// isLoading reports whether a model is being loaded, or has memory freed for it.
+// isLoading reports whether a model is being loaded, or memory is being freed for it.
 func (p *planner) isLoading(model int) bool {
 	return p.loadsOrdered(model) != 0 || p.counts.intents[p.items.at(model).name] != 0
 }
 
-// isMaybeLoading is isLoading, or whether the model has a load whose outcome is unknown.
+// isMaybeLoading reports whether isLoading holds or the model has a load of unknown outcome.
 func (p *planner) isMaybeLoading(model int) bool {
 	return p.counts.uncertain[model] != 0 || p.isLoading(model)
 }
 
-// loadMissingModels loads those that no earlier step has.
+// loadMissingModels loads those candidates that no earlier step loads.
 func (p *planner) loadMissingModels(candidates []candidateModel) {
 	for _, candidate := range candidates {
 		switch {
@@ -53,8 +53,8 @@
 	}
 }
 
-// retryUncertainLoad orders a load again at a server where its outcome is unknown: a replica loads a model
-// once only. Elsewhere the model would take memory a second time.
+// retryUncertainLoad plans a load again at a server where the outcome of an earlier one is unknown. There it is harmless,
+// since a replica keeps one copy of a model only; at another server the model might take memory a second time.
 func (p *planner) retryUncertainLoad(model int) {
 	for position := range p.servers {
 		state := &p.servers[position]
@@ -69,7 +69,7 @@
 }
 
 const (
-	// urgencyGrowth is how much the urgency of a request grows until it can only just be served in time.
+	// urgencyGrowth is the share by which the urgency of a request has grown when it can only just be served in time.
 	urgencyGrowth = 0.5
 	// lateValue is the value of serving a request late, relative to serving it in time.
 	lateValue = 0.4
@@ -79,9 +79,9 @@
 	msPerSecond = 1000
 )
 
-// urgency is the value of loading a model for the requests that wait: their count, more as their time runs
-// out. Once the oldest can no longer be served in time, those late count lateValue each, and the urgency
-// grows with the oldest one's age.
+// urgency returns the value of loading a model for the waiting requests. It is their count, and grows as the time in which
+// the oldest can be served in time runs out. Once the oldest will be late, each request that is estimated to be late counts
+// only lateValue, and the urgency grows with the oldest request's age.
 func (p *planner) urgency(model int, demand *Demand) float64 {
 	if demand.Waiting == 0 {
 		return 0
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -1,7 +1,7 @@
 package placement
 
-// Plan returns what to load and unload now, at most one action for each server. It changes the view as
-// documented there, so that the next plan continues from it. Equal views give equal plans.
+// Plan returns the loads and unloads to start now, at most one action per server. It updates the view as documented
+// there, so that the next plan can continue from it. Equal views give equal plans.
 func Plan(view *View) []Action {
 	if view.Table == nil {
 		return nil
@@ -22,21 +22,20 @@
 }
 
 const (
-	// targetUtilization is the share of its slots that a copy is meant to carry; tightUtilization is
-	// that share while models are waited for that are loaded nowhere.
+	// targetUtilization is the share of a copy's slots that running requests should occupy. tightUtilization replaces it
+	// while requests wait for models that are loaded nowhere: fewer additional copies leave more memory for those.
 	targetUtilization = 0.4
 	tightUtilization  = 0.45
 )
 
-// priority selects the candidates that a step handles.
+// priority selects the candidates that a planning step handles.
 type priority int
 
 const (
-	urgent    priority = iota // requests wait for the candidate, or it lacks copies for what runs
-	nonUrgent                 // all others
+	urgent    priority = iota // requests wait for the candidate, or its copies are too few for the running requests
+	nonUrgent                 // all other candidates
 )
 
-// priorityOf returns the priority of a candidate.
 func priorityOf(isUrgent bool) priority {
 	if isUrgent {
 		return urgent
@@ -44,8 +43,8 @@
 	return nonUrgent
 }
 
-// plan takes the steps of a plan, the most urgent first: each leaves servers and store tokens to the
-// next.
+// plan runs the planning steps, the most urgent first. Each step uses the servers and store tokens that the steps
+// before it have left.
 func (p *planner) plan() {
 	missing := p.missingModels()
 	p.targetUtilization = targetUtilization
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -6,10 +6,9 @@
 	"ferryspar/internal/configuration"
 )
 
-// planner makes one plan of one backend.
+// planner makes one plan for one backend.
 type planner struct {
-	// What the plan reads. Only Intent of the view's servers, Loading and ContextEvictionInProgress
-	// are written.
+	// Input. Of the view, only Loading, ContextEvictionInProgress and the servers' intents are written.
 	view     *View
 	runtime  *configuration.Runtime
 	capacity memoryUnits // of each server
@@ -17,37 +16,37 @@
 	demand   demandIndex
 	servers  []serverState // sorted by id
 
-	// What the plan counts; setIntent and recordAction keep it up to date.
+	// Copies and intents; setIntent and recordAction keep the counts up to date.
 	counts copyCounts
 
-	// What the plan decides.
+	// Output.
 	decisions         decisions
-	targetUtilization float64 // share of its slots that a copy is meant to carry
+	targetUtilization float64 // share of a copy's slots that running requests should occupy
 
-	// Indexes for searches, made on demand.
-	searches serverSearches
+	// Indexes of servers, built on demand.
+	indexes searchIndexes
 }
 
-// decisions are the actions of a plan and what is left of the model store's rate.
+// decisions are the actions of a plan and the tokens of the model store's rate limit that it leaves.
 type decisions struct {
 	actions          []Action
-	storeTokens      float64 // loads from the store that are left
-	spareStoreTokens float64 // of those, loads that no request needs to wait for
-	reservedTokens   float64 // of those, reserved for servers that free memory for a load from the store
+	storeTokens      float64 // loads that the store still allows
+	spareStoreTokens float64 // of those, loads that may be used for models that no request waits for
+	reservedTokens   float64 // of storeTokens, loads reserved for servers that are freeing memory for a load from the store
 }
 
 // mayLoadFromStore reports whether the store allows a load now.
 func (d *decisions) mayLoadFromStore() bool { return d.storeTokens >= 1 }
 
-// mayLoadUnasked reports whether the store allows one more load that no request waits for.
-func (d *decisions) mayLoadUnasked() bool {
+// mayPreload reports whether the store allows one more load of a model that no request waits for.
+func (d *decisions) mayPreload() bool {
 	return d.mayReserveStoreLoad() && d.spareStoreTokens-d.reservedTokens >= 1
 }
 
-// mayReserveStoreLoad reports whether the store allows one more load beside the reserved ones.
+// mayReserveStoreLoad reports whether the store allows one more load besides the reserved ones.
 func (d *decisions) mayReserveStoreLoad() bool { return d.storeTokens-d.reservedTokens >= 1 }
 
-// newPlanner indexes the view for a backend.
+// newPlanner returns a planner for one backend, with the demand and the servers of the view indexed.
 func newPlanner(view *View, catalog *backendCatalog) *planner {
 	p := &planner{
 		view:      view,
@@ -57,15 +56,15 @@
 		demand:    newDemandIndex(len(catalog.items)),
 		counts:    newCopyCounts(len(catalog.items), len(catalog.adapters)),
 		decisions: decisions{storeTokens: view.StoreTokens, spareStoreTokens: view.SpareStoreTokens},
-		searches:  newServerSearches(),
+		indexes:   newSearchIndexes(),
 	}
 	p.indexDemand()
 	p.indexServers()
 	return p
 }
 
-// itemNumber returns the number of a reference, and makes room for an unconfigured one in the indexes
-// by item.
+// itemNumber returns the number of a reference. An unconfigured reference is assigned one, and the demand and the
+// counts are extended to it.
 func (p *planner) itemNumber(reference string) int {
 	number := p.items.number(reference)
 	count := p.items.count()
@@ -74,21 +73,21 @@
 	return number
 }
 
-// loadsOrdered is how many loads of an item are in progress or planned.
+// loadsOrdered returns how many loads of an item are in progress or planned.
 func (p *planner) loadsOrdered(number int) int { return p.view.Loading[p.items.at(number).key] }
 
-// loadsPending is loadsOrdered plus the servers that may have the item loaded.
+// loadsPending returns loadsOrdered plus the number of servers that may have the item loaded.
 func (p *planner) loadsPending(number int) int {
 	return p.loadsOrdered(number) + p.counts.uncertain[number]
 }
 
-// mayLoad reports whether a model may be loaded at a server now: from the server's disk always, from the
-// store within its rate.
+// mayLoad reports whether a model may be loaded at a server now: always from the server's disk, and from the store
+// within its rate limit.
 func (p *planner) mayLoad(state *serverState, model int) bool {
 	return state.server.OnDisk[p.items.at(model).name] || p.decisions.mayLoadFromStore()
 }
 
-// setIntent makes a server free memory for a model, or for none.
+// setIntent sets or clears the model for which a server frees memory.
 func (p *planner) setIntent(state *serverState, model string) {
 	if state.server.Intent == model {
 		return
@@ -102,7 +101,7 @@
 	p.updateFreeHosts(state, wasFree)
 }
 
-// recordAction adds an action at a server, the only one of the plan there.
+// recordAction adds an action to the plan. A server gets at most one action per plan.
 func (p *planner) recordAction(state *serverState, action Action) {
 	action.Server = state.server.ID
 	wasFree := state.isFree()
@@ -118,7 +117,7 @@
 	p.decisions.actions = append(p.decisions.actions, action)
 }
 
-// updateFreeHosts corrects counts.freeHosts after a change of a server.
+// updateFreeHosts updates counts.freeHosts after a server may have become free or busy.
 func (p *planner) updateFreeHosts(state *serverState, wasFree bool) {
 	isFree := state.isFree()
 	if wasFree == isFree {
@@ -135,7 +134,7 @@
 	}
 }
 
-// countUnload counts the copy of an item as unloaded, and with a model its adapters at the server.
+// countUnload counts a planned unload of an item, and for a model also those of its adapters at the server.
 func (p *planner) countUnload(state *serverState, number int) {
 	p.counts.plannedUnloads[number]++
 	for _, adapter := range state.adapters {
--- a/internal/placement/reference.go
+++ b/internal/placement/reference.go
@@ -3,13 +3,13 @@
 import "strings"
 
 const (
-	// adapterSeparator stands between model and adapter in a reference.
+	// adapterSeparator separates the model from the adapter in a reference.
 	adapterSeparator = "/"
-	// backendSeparator stands between backend and reference in a ModelKey.
+	// backendSeparator separates the backend from the reference in a ModelKey.
 	backendSeparator = " "
 )
 
-// Reference names an adapter of a model as model/adapter, or the model itself if adapter is empty.
+// Reference returns the reference of an adapter, model/adapter, or that of the model itself if adapter is empty.
 func Reference(model, adapter string) string {
 	if adapter == "" {
 		return model
@@ -23,10 +23,10 @@
 	return model, adapter
 }
 
-// IsAdapter tells whether a reference names an adapter.
+// IsAdapter reports whether a reference names an adapter.
 func IsAdapter(reference string) bool { return strings.Contains(reference, adapterSeparator) }
 
-// ModelKey names a reference of a backend in View.Demand and View.Loading.
+// ModelKey returns the key of a backend's reference in View.Demand and View.Loading.
 func ModelKey(backend, reference string) string { return backend + backendSeparator + reference }
 
 // SplitModelKey returns the backend and the reference of a ModelKey.
--- a/internal/placement/restore.go
+++ b/internal/placement/restore.go
@@ -1,27 +1,29 @@
 package placement
 
-// idleRestoreRate is added to a model's rate, so that models nobody asks for are ranked by their copies.
+// idleRestoreRate, in requests per second, is added to a model's rate, so that models without requests are ranked by their
+// copies.
 const idleRestoreRate = 0.1
 
-// restoreFromDisk loads models from disk at servers that are left with memory for one. What is only possibly on a
-// disk takes a token that no request needs, so it must lack copies besides.
+// restoreFromDisk loads models from disk at servers that no earlier step uses and that have memory for one. A model that is
+// only possibly on the disk takes a spare store token, so it is loaded only if it also lacks copies.
 func (p *planner) restoreFromDisk() {
 	for position := range p.servers {
 		state := &p.servers[position]
-		hasMemory := state.memoryUsed+p.items.catalog.smallest <= p.capacity
+		hasMemory := state.memoryUsed+p.items.catalog.smallestModelSize <= p.capacity
 		if state.isFree() && (hasMemory || len(state.maybeLoadedItems) > 0) {
 			p.restoreServer(state)
 		}
 	}
 }
 
-// restoreServer loads the model from the server's disk that fits and has the highest rate for its copies.
+// restoreServer loads a model from the server's disk: of those that fit, the one with the highest rate relative to its
+// copies.
 func (p *planner) restoreServer(state *serverState) {
 	best := restoreChoice{model: -1}
 	for reference := range state.server.OnDisk {
 		p.considerRestore(state, reference, &best)
 	}
-	if best.model < 0 && p.decisions.mayLoadUnasked() {
+	if best.model < 0 && p.decisions.mayPreload() {
 		for reference := range state.server.MaybeOnDisk {
 			if p.lacksCopies(reference) {
 				p.considerRestore(state, reference, &best)
@@ -33,21 +35,22 @@
 	}
 }
 
-// lacksCopies reports whether a model has fewer copies, those to come included, than it is to have.
+// lacksCopies reports whether a model has fewer copies than its target, including those being loaded.
 func (p *planner) lacksCopies(reference string) bool {
-	model, known := p.items.catalog.names[reference]
+	model, known := p.items.catalog.byReference[reference]
 	return known && float64(p.counts.loaded(model)+p.loadsPending(model)) < p.targetCopies(model)
 }
 
-// restoreChoice is the model of the highest rank seen so far, of equal ones the first in the catalog.
+// restoreChoice is the model with the highest rank seen so far; among equal ranks, the first in the catalog.
 type restoreChoice struct {
 	model int // -1 for none
 	rank  float64
 }
 
-// considerRestore ranks a reference that a server has or may have on its disk.
+// considerRestore makes a reference that a server has or may have on its disk the best choice if it can be loaded and ranks
+// higher.
 func (p *planner) considerRestore(state *serverState, reference string, best *restoreChoice) {
-	model, known := p.items.catalog.names[reference]
+	model, known := p.items.catalog.byReference[reference]
 	if !known || p.items.at(model).adapter || state.hasLoaded(model) || !p.fits(state, model) {
 		return
 	}
--- a/internal/placement/searches.go
+++ b/internal/placement/searches.go
@@ -5,45 +5,45 @@
 	"slices"
 )
 
-// serverSearches are indexes for searches within one plan, made on demand. Servers only leave them: one
-// that has got an action, an intent or no memory left is not considered again.
-type serverSearches struct {
-	rankedBySize          map[memoryUnits][]rankedServer // by the size to be loaded, the cheapest first
-	diskCopies            []diskCopy                     // linked lists by model; element 0 ends every list
-	firstDiskCopies       []int                          // by item, heads of those lists; 0 for none
-	adapterCandidates     map[int][]int                  // by model, servers with memory and a slot for an adapter
+// searchIndexes are indexes of servers within one plan, built on demand. Servers are only ever removed from them: a server
+// that gets an action or an intent, or at which no memory can be freed, does not become a candidate again.
+type searchIndexes struct {
+	rankedBySize          map[memoryUnits][]rankedServer // by the size of the model to load, the cheapest server first
+	diskCopies            []diskCopy                     // linked lists, one per model; element 0 ends every list
+	firstDiskCopies       []int                          // by item number, heads of those lists; 0 for none
+	adapterCandidates     map[int][]int                  // by model, positions of servers with memory and a slot for an adapter
 	adapterSwapImpossible map[adapterSwap]bool
 }
 
-// rankedServer is a server with the cost of freeing memory at it.
+// rankedServer is a server with the cost of freeing memory there.
 type rankedServer struct {
 	server int // position
 	cost   float64
 }
 
-// diskCopy is one element of the list of servers that have or may have a model on their disk.
+// diskCopy is an element of the linked list of servers that have or may have a model on their disk.
 type diskCopy struct {
 	server  int // position
 	next    int // position in serverSearches.diskCopies, 0 for none
 	certain bool
 }
 
-func newServerSearches() serverSearches {
-	return serverSearches{
+func newSearchIndexes() searchIndexes {
+	return searchIndexes{
 		rankedBySize:          map[memoryUnits][]rankedServer{},
 		adapterCandidates:     map[int][]int{},
 		adapterSwapImpossible: map[adapterSwap]bool{},
 	}
 }
 
-// firstDiskCopy is the head of the list of servers that have or may have a model on their disk, 0 for none. The
-// lists of all models are made at the first call, of the servers that are free then.
+// firstDiskCopy returns the position in diskCopies of the head of a model's list, 0 for none. The first call builds the
+// lists of all models from the servers that are free then.
 func (p *planner) firstDiskCopy(model int) int {
-	if p.searches.diskCopies == nil {
+	if p.indexes.diskCopies == nil {
 		p.indexDiskCopies()
 	}
-	if model < len(p.searches.firstDiskCopies) {
-		return p.searches.firstDiskCopies[model]
+	if model < len(p.indexes.firstDiskCopies) {
+		return p.indexes.firstDiskCopies[model]
 	}
 	return 0
 }
@@ -58,46 +58,46 @@
 		}
 		server := p.servers[position].server
 		for reference := range server.OnDisk {
-			if number, known := catalog.names[reference]; known {
+			if number, known := catalog.byReference[reference]; known {
 				copies = append(copies, diskCopy{server: position, next: first[number], certain: true})
 				first[number] = len(copies) - 1
 			}
 		}
 		for reference := range server.MaybeOnDisk {
-			if number, known := catalog.names[reference]; known && !server.OnDisk[reference] {
+			if number, known := catalog.byReference[reference]; known && !server.OnDisk[reference] {
 				copies = append(copies, diskCopy{server: position, next: first[number]})
 				first[number] = len(copies) - 1
 			}
 		}
 	}
-	p.searches.diskCopies = copies
-	p.searches.firstDiskCopies = first
+	p.indexes.diskCopies = copies
+	p.indexes.firstDiskCopies = first
 }
 
-// cheapestStoreServer is the server at which memory for that size costs least, of those that accept a
-// copy of the model. Servers that are no longer free are dropped from the ranking on the way.
+// cheapestStoreServer returns the server at which memory for the given size costs least, of those that accept a copy of the
+// model. It removes servers that are no longer free from the ranking as it goes.
 func (p *planner) cheapestStoreServer(model int, size memoryUnits) (rankedServer, bool) {
-	ranking, known := p.searches.rankedBySize[size]
+	ranking, known := p.indexes.rankedBySize[size]
 	if !known {
 		ranking = p.rankServers(size)
 	}
-	rest := ranking[:0]
+	remaining := ranking[:0]
 	for index, ranked := range ranking {
 		state := &p.servers[ranked.server]
 		if !state.isFree() || state.exhausted {
 			continue
 		}
-		rest = append(rest, ranked)
+		remaining = append(remaining, ranked)
 		if p.acceptsCopy(state, model) {
-			p.searches.rankedBySize[size] = append(rest, ranking[index+1:]...)
+			p.indexes.rankedBySize[size] = append(remaining, ranking[index+1:]...)
 			return ranked, true
 		}
 	}
-	p.searches.rankedBySize[size] = rest
+	p.indexes.rankedBySize[size] = remaining
 	return rankedServer{}, false
 }
 
-// rankServers sorts the free servers by the cost of freeing memory for that size.
+// rankServers returns the free servers, sorted by the cost of freeing memory for the given size.
 func (p *planner) rankServers(size memoryUnits) []rankedServer {
 	var ranking []rankedServer
 	for position := range p.servers {
--- a/internal/placement/serverstate.go
+++ b/internal/placement/serverstate.go
@@ -6,23 +6,23 @@
 	"sort"
 )
 
-// serverState is a server within a plan.
+// serverState is the state of a server within a plan.
 type serverState struct {
 	server           *Server
 	position         int                    // in planner.servers
-	models           []int                  // numbers of the models certainly loaded
-	adapters         []int                  // numbers of the adapters certainly loaded
-	maybeLoadedItems []int                  // numbers of the further items that may be loaded
+	models           []int                  // numbers of the models that are certainly loaded
+	adapters         []int                  // numbers of the adapters that are certainly loaded
+	maybeLoadedItems []int                  // numbers of further items that may be loaded
 	pastSizes        map[string]memoryUnits // sizes in earlier configurations, by reference
-	memoryUsed       memoryUnits            // by all that is or may be loaded
+	memoryUsed       memoryUnits            // by all items that are or may be loaded
 	adapterSlotsUsed int                    // by all adapters that are or may be loaded
 	isServing        bool                   // its copies count
 	hasAction        bool                   // the plan has an action for it
-	exhausted        bool                   // no memory could be freed at it
+	exhausted        bool                   // evict found too few victims at it
 
 	// Results of rankVictims.
 	victimsRanked bool
-	disruption    float64 // what a load there costs the models that are served
+	disruption    float64 // slowdown that a load there causes to the models it serves
 	victims       []victim
 }
 
@@ -39,10 +39,10 @@
 // isIdle reports whether the plan may still act at the server.
 func (s *serverState) isIdle() bool { return s.isServing && s.server.Ready && !s.hasAction }
 
-// isFree reports whether it is idle and frees memory for nothing.
+// isFree reports whether the server is idle and has no intent.
 func (s *serverState) isFree() bool { return s.isIdle() && s.server.Intent == "" }
 
-// indexServers fills the planner's servers, sorted by id, and counts what they have loaded.
+// indexServers fills the planner's servers, sorted by id, and counts the copies loaded at them.
 func (p *planner) indexServers() {
 	p.servers = make([]serverState, 0, len(p.view.Servers))
 	for _, server := range p.view.Servers {
@@ -67,18 +67,18 @@
 	p.subtractOrderedLoads()
 }
 
-// indexLoaded lists what a server has loaded by number, models and adapters apart.
+// indexLoaded sets the models and adapters that a server has loaded, and the memory and slots that they use.
 func (p *planner) indexLoaded(state *serverState) {
 	var unconfigured []string
 	numbers := make([]int, 0, len(state.server.Loaded))
 	for reference := range state.server.Loaded {
-		if number, known := p.items.catalog.names[reference]; known {
+		if number, known := p.items.catalog.byReference[reference]; known {
 			numbers = append(numbers, number)
 		} else {
 			unconfigured = append(unconfigured, reference)
 		}
 	}
-	slices.Sort(numbers) // models come first in the catalog
+	slices.Sort(numbers) // the catalog numbers models before adapters
 	if len(unconfigured) > 0 {
 		sort.Strings(unconfigured)
 		for _, reference := range unconfigured {
@@ -98,7 +98,7 @@
 	state.adapterSlotsUsed = len(state.adapters)
 }
 
-// indexMaybeLoaded lists what else a server may have loaded, and adds it to the memory and slots used.
+// indexMaybeLoaded sets the further items that a server may have loaded, and adds them to the memory and slots used.
 func (p *planner) indexMaybeLoaded(state *serverState) {
 	if len(state.server.MaybeLoaded) == 0 {
 		return
@@ -119,14 +119,14 @@
 	}
 }
 
-// subtractOrderedLoads leaves in counts.uncertain what View.Loading does not count already.
+// subtractOrderedLoads removes from counts.uncertain what View.Loading counts already.
 func (p *planner) subtractOrderedLoads() {
 	for number, servers := range p.counts.uncertain {
 		p.counts.uncertain[number] = max(servers-p.loadsOrdered(number), 0)
 	}
 }
 
-// countLoaded counts the copies at a server if they count.
+// countLoaded adds a serving server, its copies and the models with adapters that it hosts to the counts.
 func (p *planner) countLoaded(state *serverState) {
 	if !state.isServing {
 		return
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -1,13 +1,13 @@
 package placement
 
-// unloadTimeCost is the cost of each unload, in seconds of load time: a load that has to wait for two unloads
-// begins that much later than one that waits for one.
+// unloadTimeCost is the cost of each unload, in seconds of load time: each one delays the load that waits for it by that
+// much.
 const unloadTimeCost = 0.5
 
-// maxVictims is how many victims of a server are considered at most.
+// maxVictims is the number of victims of a server that are considered, one for each bit of a victimSet.
 const maxVictims = 64
 
-// victim is a model that could be unloaded.
+// victim is a model that may be unloaded at a server.
 type victim struct {
 	model       int
 	cost        float64
@@ -19,8 +19,8 @@
 
 func (s victimSet) contains(position int) bool { return s&(1<<position) != 0 }
 
-// chooseVictims returns victims, of a list sorted by cost, that together free the needed memory, with what it
-// costs to unload them: the cheapest first, without those that the later ones make needless.
+// chooseVictims selects victims that together free the needed memory from a list sorted by cost, and returns the cost of
+// unloading them. It takes the cheapest until they suffice, and then drops each that the others make unnecessary.
 func chooseVictims(victims []victim, need memoryUnits) (chosen victimSet, cost float64, possible bool) {
 	if need <= 0 {
 		return 0, 0, true
