--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -10,19 +10,19 @@
 
 var noon = time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
 
-func TestDemand_NeedsRoomForCopiesAndSlotsForRequests(t *testing.T) {
+func TestDemand_RequiredReplicasFitCopiesAndRequests(t *testing.T) {
 	cases := map[string]struct {
 		demand Demand
 		want   int
 	}{
-		"nothing":     {Demand{Slots: 10, WeightSizeMb: 100}, 0},
-		"rare models": {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 50}, {SizeMb: 50}, {SizeMb: 30}}}, 2},
-		"a busy one":  {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 60, ActiveRequests: 20}}}, 3},
-		"slots are short": {
+		"no demand":              {Demand{Slots: 10, WeightSizeMb: 100}, 0},
+		"models without load":    {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 50}, {SizeMb: 50}, {SizeMb: 30}}}, 2},
+		"a model in high demand": {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 60, ActiveRequests: 20}}}, 3},
+		"slots are the bottleneck": {
 			Demand{Slots: 10, WeightSizeMb: 9, Models: []Model{{SizeMb: 1, ActiveRequests: 35}, {SizeMb: 1, ActiveRequests: 35}}}, 10,
 		},
-		"no memory limit": {Demand{Slots: 10, Models: []Model{{SizeMb: 1, ActiveRequests: 7}}}, 1},
-		"sizes apart":     {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 51}, {SizeMb: 51}, {SizeMb: 49}}}, 2},
+		"no memory limit":           {Demand{Slots: 10, Models: []Model{{SizeMb: 1, ActiveRequests: 7}}}, 1},
+		"copies of different sizes": {Demand{Slots: 10, WeightSizeMb: 100, Models: []Model{{SizeMb: 51}, {SizeMb: 51}, {SizeMb: 49}}}, 2},
 	}
 	for name, given := range cases {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, given.demand.RequiredReplicas(), given.want) })
@@ -39,14 +39,14 @@
 	return zones
 }
 
-func TestPlanner_StartsFromWhatIsListedAndGrowsAtOnce(t *testing.T) {
+func TestPlanner_StartsFromListedReplicasAndAddsAtOnce(t *testing.T) {
 	p := NewPlanner()
 	assert.DeepEqual(t, p.Plan(zonesOf(4, 5, 4), limits, 13, noon), map[string]int{"a": 4, "b": 5, "c": 4})
 	assert.DeepEqual(t, p.Plan(zonesOf(4, 5, 4), limits, 15, noon), map[string]int{"a": 5, "b": 5, "c": 5})
 	assert.DeepEqual(t, p.Plan(zonesOf(4, 5, 4), limits, 100, noon), map[string]int{"a": 8, "b": 8, "c": 8})
 }
 
-func TestPlanner_RemovesAfterALastingSurplusInSteps(t *testing.T) {
+func TestPlanner_RemovesLastingSurplusInSteps(t *testing.T) {
 	p := NewPlanner()
 	last := 24
 	for second := range 600 {
@@ -55,15 +55,15 @@
 			total += count
 		}
 		if second < 24 {
-			assert.Equal(t, total, 24, "a surplus that may pass")
+			assert.Equal(t, total, 24, "a short surplus removes nothing")
 		}
-		assert.Assert(t, last-total <= max(last/10, 1), "a tenth at a time")
+		assert.Assert(t, last-total <= max(last/10, 1), "at most a tenth is removed per step")
 		last = total
 	}
 	assert.Equal(t, last, 3*limits.Min)
 }
 
-func TestPlanner_CrashesOrderNothingAndAbsentZonesAreMadeUpFor(t *testing.T) {
+func TestPlanner_IgnoresCrashesAndCompensatesForLastingShortfall(t *testing.T) {
 	p := NewPlanner()
 	p.Plan(zonesOf(4, 4, 4), limits, 12, noon)
 	assert.DeepEqual(t, p.Plan(zonesOf(1, 4, 4), limits, 12, noon), map[string]int{"a": 4, "b": 4, "c": 4})
--- a/internal/loadbudget/budget_test.go
+++ b/internal/loadbudget/budget_test.go
@@ -13,8 +13,8 @@
 
 const writeTime = 20 * time.Millisecond
 
-// countWrites counts the reservations written while loads are started at an interval, as far as allowed; with an
-// interval of 0 none are. Each write takes writeTime.
+// countWrites starts loads at an interval, as far as the budget allows, and returns how many reservations were written and how
+// many loads were started. With an interval of 0 it starts none. Each write takes writeTime.
 func countWrites(
 	budget *loadbudget.Budget, bounds loadbudget.Bounds, from time.Time, span, interval time.Duration,
 ) (writes, loads int) {
@@ -41,7 +41,7 @@
 		bounds := boundsOf(rate)
 		budget.TakeOver(loadbudget.Takeover{Fence: 1, PredecessorStoppedAt: now, Reserved: new(loadbudget.Reservation)}, bounds)
 		first, _ := countWrites(&budget, bounds, now, time.Minute, 0)
-		assert.Equal(t, first, 1, "the headroom is reserved")
+		assert.Equal(t, first, 1, "one write reserves the headroom")
 		idle, _ := countWrites(&budget, bounds, now.Add(time.Minute), time.Hour, 0)
 		assert.Equal(t, idle, 0)
 		interval := time.Duration(float64(time.Second) / rate)
@@ -49,7 +49,7 @@
 		assert.Assert(t, writes <= 4+loads/loadsPerWrite, "rate %f: %d writes for %d loads", rate, writes, loads)
 		assert.Assert(t, float64(loads) >= 0.7*rate*600, "rate %f: only %d loads", rate, loads)
 		after, _ := countWrites(&budget, bounds, now.Add(3*time.Hour), time.Hour, 0)
-		assert.Assert(t, after <= 2, "lowered once the loads are over: %d writes", after)
+		assert.Assert(t, after <= 2, "%d writes to lower the reservation after the last load", after)
 	}
 }
 
--- a/internal/loadbudget/faults_test.go
+++ b/internal/loadbudget/faults_test.go
@@ -11,29 +11,29 @@
 var errNeverStarted = errors.New("some loads were never started")
 
 const (
-	maxFreezeTime = 2 * time.Second
-	maxVacantTime = 2 * time.Second
+	maxSuspendTime = 2 * time.Second
+	maxVacantTime  = 2 * time.Second
 )
 
-// injectFault kills or freezes the holder, takes the lease from it, or changes the rate.
+// injectFault may kill or suspend the holder, take the lease from it, or change the rate.
 func (s *simulation) injectFault() {
-	if s.chance(400) {
+	if s.oneIn(400) {
 		s.rates = append(s.rates, rateChange{s.now, 0.5 + float64(s.random.IntN(6))})
 	}
-	if s.holder == noHolder || !s.chance(30) {
+	if s.holder == noHolder || !s.oneIn(30) {
 		return
 	}
 	switch s.random.IntN(4) {
 	case 0, 1:
 		s.kill()
 	case 2:
-		s.frozenUntil = s.now.Add(s.randomDuration(maxFreezeTime))
+		s.suspendedUntil = s.now.Add(s.randomDuration(maxSuspendTime))
 	case 3:
 		s.vacate()
 	}
 }
 
-// vacate ends the holder's grant. What it ordered and is still in flight starts within maxStartDelay.
+// vacate ends the holder's grant. Its loads in flight start within maxStartDelay.
 func (s *simulation) vacate() {
 	old := s.processes[s.holder]
 	for index := range old.orders {
@@ -42,10 +42,10 @@
 		}
 	}
 	s.lastHolder, s.holder = s.holder, noHolder
-	s.vacantUntil = s.now.Add(s.randomDuration(maxVacantTime))
+	s.leaseVacantUntil = s.now.Add(s.randomDuration(maxVacantTime))
 }
 
-// kill ends the holder's process and starts the next one. What is in flight starts or is lost as drawn.
+// kill ends the holder's process and replaces it by a new incarnation. Its loads in flight start or are lost as drawn.
 func (s *simulation) kill() {
 	old := s.processes[s.holder]
 	s.resolveWrite(old)
@@ -66,7 +66,7 @@
 	}
 }
 
-// resolveWrite decides the outcome of a write that may never have been answered.
+// resolveWrite applies the outcome of a process's write in flight, which may never be answered.
 func (s *simulation) resolveWrite(process *process) {
 	if process.write != nil && process.write.takesEffect && process.write.fence == s.fence {
 		s.reserved = &process.write.reservation
@@ -74,7 +74,7 @@
 	process.write = nil
 }
 
-// check fails if more loads than allowed started within any period.
+// check returns an error if more loads than allowed started within any period.
 func (s *simulation) check() error {
 	slices.SortFunc(s.startTimes, time.Time.Compare)
 	for first, from := range s.startTimes {
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// highestRate is the highest rate in force within the period from a moment on, or as loads that start in it were
-// ordered.
+// highestRate returns the highest rate in force during the period that starts at from, or when loads that start in that
+// period may have been ordered.
 func (s *simulation) highestRate(from time.Time) float64 {
 	highest := 0.0
 	for index, change := range s.rates {
--- a/internal/loadbudget/simulation_test.go
+++ b/internal/loadbudget/simulation_test.go
@@ -32,63 +32,63 @@
 	storeLoadTime     = 1200 * time.Millisecond
 )
 
-// seedCount is how many histories are played.
+// seedCount is how many seeds are run.
 const seedCount = 3000
 
-// noHolder is the index of the lease holder while there is none.
+// noHolder is the value of simulation.holder while no process holds the lease.
 const noHolder = -1
 
-// plantedFault is a mistake that is planted for the simulation to catch.
+// plantedFault is a fault that the simulation must detect.
 type plantedFault int
 
 const (
 	noFault plantedFault = iota
-	// reservationForgotten: a takeover counts nothing of what was reserved.
-	reservationForgotten
-	// priorIncarnationNotCounted: a restarted holder counts nothing of its own reservation.
-	priorIncarnationNotCounted
-	// uncertainWriteTrusted: a reservation of uncertain outcome is used.
+	// reservationIgnored: a takeover does not count the loads that were reserved.
+	reservationIgnored
+	// priorIncarnationIgnored: a restarted holder does not count the loads that its prior incarnation reserved.
+	priorIncarnationIgnored
+	// uncertainWriteTrusted: a reservation is used although the outcome of its write is uncertain.
 	uncertainWriteTrusted
-	// countedWhenAnswered: a load counts only once its order is answered.
+	// countedWhenAnswered: a load counts only from the answer to its order on.
 	countedWhenAnswered
-	// unseenGrantContinued: a grant that was lost before its holder acted counts as continued.
+	// unseenGrantContinued: a grant that was lost before its holder acted under it counts as continued.
 	unseenGrantContinued
 	// agesOverstated: loads count as older than they are.
 	agesOverstated
-	// diskBelieved: a load counts only once it has run for too long to come from a disk that may have been replaced.
-	diskBelieved
-	// withdrawnUnproven: every load that may have come from a disk is taken back.
-	withdrawnUnproven
+	// possibleDiskLoadIgnored: a load that may come from a disk counts only once it has run for too long to do so.
+	possibleDiskLoadIgnored
+	// withdrawnWithoutProof: every load that may come from a disk is withdrawn.
+	withdrawnWithoutProof
 )
 
-// order is a load that was ordered: it starts at startsAt, and its answer or report comes at answeredAt.
+// order is an ordered load. It starts at startsAt, and its answer or the report of its outcome arrives at answeredAt.
 type order struct {
 	name       string
 	answeredAt time.Time
 	startsAt   time.Time
 	rejected   bool
-	// mayBeDisk is set for a load of a model that the replica before at the address had loaded. Whether that replica's
-	// disk is still there decides fromDisk.
-	mayBeDisk, fromDisk bool
+	// maybeFromDisk is set for a load of a model that the previous replica at the address had loaded. It comes from the
+	// disk (fromDisk) if the disk was not replaced.
+	maybeFromDisk, fromDisk bool
 }
 
-// runningLoad is a load that may come from a disk, counted as started at countedAt. At endsAt it tells by its
-// duration where it came from.
+// runningLoad is a load that may come from a disk, counted as started at countedAt. It ends at endsAt, and its duration shows
+// whether it came from the disk.
 type runningLoad struct {
 	countedAt, endsAt time.Time
 	fromDisk          bool
 }
 
-// reservationWrite is a reservation on its way to the record.
+// reservationWrite is a write of a reservation in flight.
 type reservationWrite struct {
 	fence       uint64
 	reservation loadbudget.Reservation
 	completesAt time.Time
-	certain     bool
+	certain     bool // the write is known to have succeeded
 	takesEffect bool
 }
 
-// process is one incarnation of a daemon.
+// process is an incarnation of a daemon.
 type process struct {
 	budget loadbudget.Budget
 	orders []order
@@ -96,33 +96,32 @@
 	write  *reservationWrite
 	fence  uint64
 	index  int
-	// takeover is the grant that the budget hasn't seen yet: it does once the holder may act.
+	// takeover is a new grant that has not been passed to the budget yet. It is at effectiveFrom.
 	takeover      *loadbudget.Takeover
 	effectiveFrom time.Time
 }
 
-// simulation plays a history of lease holders that order loads while faults befall them. It is determined by its
-// seed.
+// simulation runs successive lease holders that order loads under injected faults. It is determined by its seed.
 type simulation struct {
 	random *rand.Rand
-	// disks draws which loads come from a disk, apart from random, so that the histories without any stay as they are;
-	// nil in those.
+	// disks draws which loads come from a disk; it is nil in runs without such loads. It is separate from random, so that it
+	// does not change what random draws.
 	disks     *rand.Rand
 	fault     plantedFault
 	now       time.Time
 	faultsEnd time.Time
 	rates     []rateChange
 	processes [processCount]*process
-	// holder is the index of the process that holds the lease, noHolder while there is none.
+	// holder is the index of the process that holds the lease, or noHolder.
 	holder     int
 	lastHolder int
 	fence      uint64
 	// reserved is the reservation in the lease's record.
-	reserved       *loadbudget.Reservation
-	frozenUntil    time.Time
-	vacantUntil    time.Time
-	unorderedLoads int
-	startTimes     []time.Time
+	reserved         *loadbudget.Reservation
+	suspendedUntil   time.Time
+	leaseVacantUntil time.Time
+	unorderedLoads   int
+	startTimes       []time.Time
 }
 
 type rateChange struct {
@@ -130,7 +129,7 @@
 	rate float64
 }
 
-// runSeed plays the history of a seed.
+// runSeed runs the simulation of a seed with a planted fault.
 func runSeed(seed uint64, planted plantedFault) error {
 	random := rand.New(rand.NewPCG(seed, 31))
 	s := &simulation{
@@ -150,7 +149,7 @@
 	return s.run()
 }
 
-func (s *simulation) chance(oneIn int) bool { return s.random.IntN(oneIn) == 0 }
+func (s *simulation) oneIn(n int) bool { return s.random.IntN(n) == 0 }
 
 func (s *simulation) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(limit)))
@@ -160,7 +159,7 @@
 	return boundsOf(s.rates[len(s.rates)-1].rate)
 }
 
-// boundsOf returns the bounds for a rate of the store.
+// boundsOf returns the bounds for a rate of the model store.
 func boundsOf(rate float64) loadbudget.Bounds {
 	limit := loadbudget.StoreLimit{Rate: rate, Period: period, Overage: overage}
 	return loadbudget.NewBounds(limit, loadbudget.StartDelays{Accepted: acceptedDelay, Uncertain: maxStartDelay})
@@ -175,7 +174,7 @@
 			s.injectFault()
 		}
 		s.deliver()
-		s.act()
+		s.runHolder()
 	}
 	if err := s.check(); err != nil {
 		return err
@@ -186,10 +185,10 @@
 	return nil
 }
 
-// deliver brings answers, reports and the outcomes of writes to the processes.
+// deliver passes answers, reports and the outcomes of writes that are due to the processes.
 func (s *simulation) deliver() {
 	for _, process := range s.processes {
-		if process.index == s.holder && s.now.Before(s.frozenUntil) {
+		if process.index == s.holder && s.now.Before(s.suspendedUntil) {
 			continue
 		}
 		process.orders = slices.DeleteFunc(process.orders, func(sent order) bool {
@@ -224,7 +223,7 @@
 		return
 	}
 	process.budget.MarkStarted(sent.name, s.now)
-	if !sent.mayBeDisk {
+	if !sent.maybeFromDisk {
 		return
 	}
 	duration := storeLoadTime
@@ -234,26 +233,26 @@
 	process.loads = append(process.loads, runningLoad{s.now, s.now.Add(duration), sent.fromDisk})
 }
 
-// handleLoadEnd takes back a load that has proven to come from a disk.
+// handleLoadEnd withdraws a load that has proven to come from a disk.
 func (s *simulation) handleLoadEnd(process *process, load runningLoad) {
 	switch {
-	case s.fault == diskBelieved && !load.fromDisk:
+	case s.fault == possibleDiskLoadIgnored && !load.fromDisk:
 		process.budget.AddStarted(load.countedAt)
-	case s.fault == diskBelieved:
-	case load.fromDisk || s.fault == withdrawnUnproven:
+	case s.fault == possibleDiskLoadIgnored:
+	case load.fromDisk || s.fault == withdrawnWithoutProof:
 		process.budget.Withdraw(load.countedAt)
 	}
 }
 
-// act has some process take a vacant lease, and the holder reserve and order loads.
-func (s *simulation) act() {
+// runHolder assigns a vacant lease to a process, and lets the holder reserve and order loads.
+func (s *simulation) runHolder() {
 	if s.holder == noHolder {
-		if s.now.Before(s.vacantUntil) {
+		if s.now.Before(s.leaseVacantUntil) {
 			return
 		}
 		s.takeLease()
 	}
-	if s.now.Before(s.frozenUntil) {
+	if s.now.Before(s.suspendedUntil) {
 		return
 	}
 	process := s.processes[s.holder]
@@ -265,7 +264,7 @@
 		process.takeover = nil
 	}
 	s.propose(process)
-	for s.unorderedLoads > 0 && process.budget.Available(s.now, s.bounds()) >= 1 && s.chance(2) {
+	for s.unorderedLoads > 0 && process.budget.Available(s.now, s.bounds()) >= 1 && s.oneIn(2) {
 		s.order(process)
 		s.propose(process)
 	}
@@ -273,7 +272,7 @@
 
 func (s *simulation) takeLease() {
 	s.holder = s.random.IntN(processCount)
-	if s.chance(2) && s.fence > 0 {
+	if s.oneIn(2) && s.fence > 0 {
 		s.holder = s.lastHolder
 	}
 	process := s.processes[s.holder]
@@ -283,12 +282,12 @@
 	takeover := s.takeoverOf(process)
 	s.fence++
 	process.fence, process.takeover, process.effectiveFrom = s.fence, &takeover, s.now
-	if takeover.ContinuesFence == 0 && s.chance(2) {
+	if takeover.ContinuesFence == 0 && s.oneIn(2) {
 		process.effectiveFrom = s.now.Add(s.randomDuration(maxTakeoverDelay))
 	}
 }
 
-// takeoverOf is what a process learns with its new grant, altered by the planted fault.
+// takeoverOf returns what a process learns with a new grant, altered by the planted fault.
 func (s *simulation) takeoverOf(process *process) loadbudget.Takeover {
 	takeover := loadbudget.Takeover{Fence: s.fence + 1, PredecessorStoppedAt: s.now, Reserved: s.reserved}
 	continues := process.fence == s.fence
@@ -297,9 +296,9 @@
 	}
 	restarted := process.index == s.lastHolder && process.fence == 0
 	switch {
-	case s.fault == reservationForgotten:
+	case s.fault == reservationIgnored:
 		takeover.Reserved = new(loadbudget.Reservation)
-	case s.fault == priorIncarnationNotCounted && restarted:
+	case s.fault == priorIncarnationIgnored && restarted:
 		takeover.Reserved = new(loadbudget.Reservation)
 	case s.fault == agesOverstated && s.reserved != nil:
 		takeover.Reserved = withOlderAges(*s.reserved)
@@ -309,7 +308,7 @@
 	return takeover
 }
 
-// withOlderAges is a reservation whose loads seem to have started earlier than they did.
+// withOlderAges returns the reservation with loads that seem to have started earlier than they did.
 func withOlderAges(reserved loadbudget.Reservation) *loadbudget.Reservation {
 	changed := loadbudget.Reservation{Loads: reserved.Loads, Aged: slices.Clone(reserved.Aged)}
 	for index := range changed.Aged {
@@ -327,30 +326,30 @@
 		fence:       s.fence,
 		reservation: reservation,
 		completesAt: s.now.Add(s.randomDuration(maxWriteTime)),
-		certain:     !s.chance(4),
+		certain:     !s.oneIn(4),
 	}
-	write.takesEffect = write.certain || s.chance(2)
+	write.takesEffect = write.certain || s.oneIn(2)
 	holder.write = write
 }
 
-// order sends a load; one in four has no clear answer, and a report shows its outcome much later.
+// order sends the order of a load. One in four has no clear answer, and a report shows its outcome much later.
 func (s *simulation) order(holder *process) {
 	s.unorderedLoads--
 	sent := order{
 		name:       fmt.Sprint("replica ", s.random.IntN(1000000)),
 		answeredAt: s.now.Add(s.randomDuration(maxAnswerTime)),
 	}
-	if s.chance(4) {
+	if s.oneIn(4) {
 		sent.answeredAt = s.now.Add(s.randomDuration(maxReportTime))
 	}
 	sent.startsAt = s.now.Add(s.randomDuration(sent.answeredAt.Sub(s.now) + 1))
-	sent.rejected = s.chance(5)
+	sent.rejected = s.oneIn(5)
 	if s.disks != nil {
-		sent.mayBeDisk = s.disks.IntN(3) == 0
-		sent.fromDisk = sent.mayBeDisk && s.disks.IntN(2) == 0
+		sent.maybeFromDisk = s.disks.IntN(3) == 0
+		sent.fromDisk = sent.maybeFromDisk && s.disks.IntN(2) == 0
 	}
-	believed := s.fault == diskBelieved && sent.mayBeDisk
-	if s.fault != countedWhenAnswered && !believed {
+	uncounted := s.fault == possibleDiskLoadIgnored && sent.maybeFromDisk
+	if s.fault != countedWhenAnswered && !uncounted {
 		holder.budget.MarkOrdered(sent.name)
 	}
 	holder.orders = append(holder.orders, sent)
@@ -364,14 +363,14 @@
 
 func TestSimulation_CatchesPlantedFaults(t *testing.T) {
 	faults := map[string]plantedFault{
-		"the reservation is forgotten at a takeover": reservationForgotten,
-		"the own incarnation before is not counted":  priorIncarnationNotCounted,
-		"an uncertain write is used":                 uncertainWriteTrusted,
-		"loads count once they are answered":         countedWhenAnswered,
-		"a grant that was never acted under is lost": unseenGrantContinued,
-		"loads count as older than they are":         agesOverstated,
-		"a disk that may be replaced is believed":    diskBelieved,
-		"a load is taken back without a proof":       withdrawnUnproven,
+		"a takeover ignores the reservation":                                         reservationIgnored,
+		"a restart ignores the prior incarnation's reservation":                      priorIncarnationIgnored,
+		"a write of uncertain outcome is trusted":                                    uncertainWriteTrusted,
+		"loads count from the answer on":                                             countedWhenAnswered,
+		"a grant that was lost before its holder acted under it counts as continued": unseenGrantContinued,
+		"loads count as older than they are":                                         agesOverstated,
+		"a load that may come from a disk is not counted":                            possibleDiskLoadIgnored,
+		"a load is withdrawn without proof":                                          withdrawnWithoutProof,
 	}
 	for name, planted := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -381,7 +380,7 @@
 					return
 				}
 			}
-			t.Fatal("not caught")
+			t.Fatal("no seed detects the planted fault")
 		})
 	}
 }
--- a/internal/placement/fleetshape_test.go
+++ b/internal/placement/fleetshape_test.go
@@ -8,8 +8,8 @@
 	"ferryspar/internal/configuration"
 )
 
-// fleetShape generates random views: how many replicas, models and adapters, and the shares of models that
-// are asked for and of those that are waited for.
+// fleetShape generates random views. active is the share of the models and adapters that are in demand, and waiting is the
+// share of those that requests wait for.
 type fleetShape struct {
 	replicas, models, adapters int
 	active, waiting            float64
@@ -23,7 +23,7 @@
 		AdapterCapacity: 4 + random.IntN(5),
 		LoadsPerS:       16,
 	}
-	left := s.adapters
+	adaptersLeft := s.adapters
 	for index := range s.models {
 		model := configuration.Model{
 			Name:          fmt.Sprintf("m%04d", index),
@@ -31,9 +31,9 @@
 			LoadTimeS:     4 + float64(random.IntN(3)),
 			AdapterSizeMb: 1,
 		}
-		if left > 0 && random.IntN(4) == 0 {
-			model.Adapters = min(left, 1+random.IntN(40))
-			left -= model.Adapters
+		if adaptersLeft > 0 && random.IntN(4) == 0 {
+			model.Adapters = min(adaptersLeft, 1+random.IntN(40))
+			adaptersLeft -= model.Adapters
 		}
 		runtime.Models = append(runtime.Models, model)
 	}
@@ -94,17 +94,17 @@
 	if random.Float64() >= s.active {
 		return
 	}
-	load := &Demand{
+	demand := &Demand{
 		Rate:            float64(random.IntN(64)) / 64,
 		LongTermRate:    float64(random.IntN(64)) / 512,
 		LastRequestAt:   now.Add(-time.Duration(random.IntN(40)) * time.Second),
 		LatencyTargetMs: 2000,
 	}
 	if random.IntN(4) == 0 {
-		load.Rate, load.Running, load.PrefillLoad = float64(random.IntN(512))/64, float64(random.IntN(40)), float64(random.IntN(64))/64
+		demand.Rate, demand.Running, demand.PrefillLoad = float64(random.IntN(512))/64, float64(random.IntN(40)), float64(random.IntN(64))/64
 	}
 	if random.Float64() < s.waiting {
-		load.Waiting, load.OldestWaitMs, load.LastRequestAt = 1+random.IntN(6), float64(random.IntN(4000)), now
+		demand.Waiting, demand.OldestWaitMs, demand.LastRequestAt = 1+random.IntN(6), float64(random.IntN(4000)), now
 	}
-	view.Demand[ModelKey("s", reference)] = load
+	view.Demand[ModelKey("s", reference)] = demand
 }
--- a/internal/placement/invariants_test.go
+++ b/internal/placement/invariants_test.go
@@ -8,17 +8,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// planChecker checks what a plan must never break: one action for each server, the capacity, the rate of
-// the model store, and copies in demand.
+// planChecker checks the invariants of a plan: at most one action per server, the memory and adapter slots of servers, the
+// rate of the model store, and the copies of items in demand.
 type planChecker struct {
-	t         *testing.T
-	view      *View
-	reference referenceView
-	note      string
-	acted     map[string]bool // by server
-	loads     map[string]int  // by reference
-	unloads   map[string]int
-	stored    float64 // loads of models from the store
+	t          *testing.T
+	view       *View
+	reference  referenceView
+	note       string
+	acted      map[string]bool // by server
+	loads      map[string]int  // by reference
+	unloads    map[string]int
+	storeLoads float64 // loads of models from the model store
 }
 
 func checkPlan(t *testing.T, view *View, actions []Action, tokens float64, note string) {
@@ -46,7 +46,7 @@
 			checker.checkUnload(server, action)
 		}
 	}
-	assert.Assert(t, checker.stored <= math.Max(tokens, 0), "%s: %v loads, %v allowed", note, checker.stored, tokens)
+	assert.Assert(t, checker.storeLoads <= math.Max(tokens, 0), "%s: %v loads, %v allowed", note, checker.storeLoads, tokens)
 }
 
 func (c *planChecker) checkLoad(server *Server, action Action) {
@@ -54,7 +54,7 @@
 	model, adapter := SplitReference(action.Model)
 	assert.Assert(c.t, server.isServing(c.view) && !server.Loaded[action.Model], "%s: %v", c.note, action)
 	if action.FromStore && adapter == "" {
-		c.stored++
+		c.storeLoads++
 	}
 	c.loads[action.Model]++
 	isRare := len(c.reference.copies("s", model)) == 0 && c.reference.totalDemand("s", model).Rate <= hotRate
@@ -70,7 +70,7 @@
 	model, adapter := SplitReference(action.Model)
 	assert.Assert(c.t, server.Loaded[action.Model], "%s: %v", c.note, action)
 	c.unloads[action.Model]++
-	rest := len(c.reference.copies("s", action.Model)) - c.unloads[action.Model]
+	remaining := len(c.reference.copies("s", action.Model)) - c.unloads[action.Model]
 	demand := c.reference.totalDemand("s", model)
 	if adapter != "" {
 		demand = c.reference.ownDemand("s", action.Model)
@@ -79,11 +79,11 @@
 		return
 	}
 	if server.isServing(c.view) && (demand.Waiting > 0 || demand.Running > 0 || demand.Rate > hotRate) {
-		assert.Assert(c.t, rest >= 1, "%s: %v", c.note, action)
+		assert.Assert(c.t, remaining >= 1, "%s: %v", c.note, action)
 	}
 	if action.Reason != ContextEvictionReason && adapter == "" && demand.Running > 0 {
 		needed := demand.Running / (tightUtilization * float64(runtime.Slots))
-		assert.Assert(c.t, float64(rest) >= needed, "%s: %v", c.note, action)
+		assert.Assert(c.t, float64(remaining) >= needed, "%s: %v", c.note, action)
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// applyActions carries out the actions as if they took no time.
+// applyActions updates the view as if all actions had been completed.
 func applyActions(view *View, actions []Action) {
 	clear(view.Loading)
 	for _, action := range actions {
--- a/internal/placement/loadcheck_test.go
+++ b/internal/placement/loadcheck_test.go
@@ -10,23 +10,23 @@
 	"ferryspar/internal/configuration"
 )
 
-// checkLoad checks a load by exact sums: beside all that is or may be loaded at the server, the memory and
-// the adapter slots suffice, and an adapter has its model.
+// checkLoad checks by exact arithmetic that a load fits the memory and the adapter slots beside all that is or may be loaded
+// at the server, and that an adapter is loaded beside its model.
 func checkLoad(t *testing.T, view *View, server *Server, action Action, note string) {
 	t.Helper()
 	runtime := view.Table.Configuration.Backends[0].Runtime
-	upper := map[string]bool{action.Model: true}
+	possiblyLoaded := map[string]bool{action.Model: true}
 	for _, references := range []map[string]bool{server.Loaded, server.MaybeLoaded} {
 		for reference, loaded := range references {
 			if loaded {
-				upper[reference] = true
+				possiblyLoaded[reference] = true
 			}
 		}
 	}
 	total, adapters := new(big.Rat), 0
-	for reference := range upper {
+	for reference := range possiblyLoaded {
 		size, known := configuredSize(runtime, reference)
-		// A remembered size was rounded up by less than a unit.
+		// A recorded size was rounded up by less than a unit.
 		if earlier, remembered := view.SizeHistory.sizesAt(server.ID)[reference]; remembered && reference != action.Model {
 			size, known = max(size, float64(earlier-1)/unitsPerMb), true
 		}
@@ -44,7 +44,7 @@
 	}
 }
 
-// configuredSize is the size of a reference in MB, and whether the configuration gives one.
+// configuredSize returns the size of a reference in MB and whether the configuration gives one.
 func configuredSize(runtime *configuration.Runtime, reference string) (float64, bool) {
 	name, adapter := SplitReference(reference)
 	for _, model := range runtime.Models {
--- a/internal/placement/memory_test.go
+++ b/internal/placement/memory_test.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/configuration"
 )
 
-// singleServerView is a view of one replica with 100 MB and two adapter slots.
+// singleServerView returns a view of one replica with 100 MB and two adapter slots.
 func singleServerView(server *Server, models ...configuration.Model) *View {
 	view := smallView(server)
 	view.setCapacity(100, 2, models...)
@@ -18,7 +18,7 @@
 	return view
 }
 
-// setCapacity puts another configuration in force.
+// setCapacity replaces the configuration by one with the given memory, adapter slots and models.
 func (v *View) setCapacity(memory float64, capacity int, models ...configuration.Model) {
 	v.Table = configuration.NewTable(configuration.Configuration{Backends: []configuration.Backend{{
 		Name: "s",
@@ -32,7 +32,7 @@
 	return configuration.Model{Name: name, WeightSizeMb: size, LoadTimeS: 5, Adapters: 3, AdapterSizeMb: 1}
 }
 
-// addWaitingRequest has a request wait for a reference.
+// addWaitingRequest sets the demand for a reference to one waiting request.
 func (v *View) addWaitingRequest(reference string) {
 	v.Demand[ModelKey("s", reference)] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 }
@@ -73,10 +73,10 @@
 	assert.Equal(t, len(actionsFor(Plan(view), true, "new")), 0)
 	server.Loaded = map[string]bool{}
 	Plan(view)
-	assert.Equal(t, len(view.SizeHistory.servers), 0, "what nobody holds is forgotten")
+	assert.Equal(t, len(view.SizeHistory.servers), 0, "the size of a model that is no longer loaded is dropped")
 	server.Loaded, server.Intent = map[string]bool{"old": true}, ""
 	clear(view.Loading)
-	assert.Equal(t, len(actionsFor(Plan(view), true, "new")), 1, "loaded again it has the size in force")
+	assert.Equal(t, len(actionsFor(Plan(view), true, "new")), 1, "a model that is loaded again has its configured size")
 }
 
 func TestPlan_ReservesMemoryOfUncertainLoad(t *testing.T) {
@@ -84,9 +84,9 @@
 	server.MaybeLoaded = map[string]bool{"maybe": true}
 	view := singleServerView(server, modelOfSize("maybe", 60), modelOfSize("new", 60))
 	view.addWaitingRequest("new")
-	assert.Equal(t, len(Plan(view)), 0, "neither memory for new nor a victim")
+	assert.Equal(t, len(Plan(view)), 0, "there is neither memory for the new model nor a victim")
 	view.addWaitingRequest("maybe")
-	assert.Equal(t, len(actionsFor(Plan(view), true, "maybe")), 1, "the same load again is harmless")
+	assert.Equal(t, len(actionsFor(Plan(view), true, "maybe")), 1, "repeating the uncertain load takes no more memory")
 }
 
 func TestPlan_DoesNotDuplicateUncertainLoad(t *testing.T) {
@@ -172,7 +172,7 @@
 	assert.Assert(t, !p.load(&p.servers[0], p.itemNumber("gone"), ""))
 	assert.Assert(t, !p.load(&p.servers[0], p.itemNumber("old/a9"), ""))
 	assert.Assert(t, p.load(&p.servers[0], p.itemNumber("old"), ""))
-	assert.Assert(t, !p.load(&p.servers[0], p.itemNumber("old"), ""), "one action of a plan at each server")
+	assert.Assert(t, !p.load(&p.servers[0], p.itemNumber("old"), ""), "a plan has at most one action per server")
 }
 
 func TestPlan_DropsIntentOfUnconfiguredModel(t *testing.T) {
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -75,7 +75,7 @@
 	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	server.Loaded["hot/a1"], server.Loaded["hot/a2"] = true, true
 	actions := Plan(view)
-	assert.Equal(t, len(actionsFor(actions, false, "hot")), 0, "the last copy in demand stays")
+	assert.Equal(t, len(actionsFor(actions, false, "hot")), 0, "the last copy of a model in demand is kept")
 	if len(actionsFor(actions, false, "old")) == 1 {
 		assert.Equal(t, server.Intent, "rare")
 	}
@@ -86,7 +86,7 @@
 	assert.Equal(t, server.Intent, "")
 	server.Intent, server.Loaded["rare"] = "rare", true
 	Plan(view)
-	assert.Equal(t, server.Intent, "", "an intent for a model that stands must end")
+	assert.Equal(t, server.Intent, "", "the intent for a model that is loaded is cleared")
 }
 
 func TestPlanner_KeepsCopyWithLastAdapter(t *testing.T) {
@@ -117,12 +117,12 @@
 		return view
 	}
 	waiting := &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
-	t.Run("not loaded without a token, though requests wait", func(t *testing.T) {
+	t.Run("not loaded without a token even if requests wait", func(t *testing.T) {
 		view := returnedView(0, 0)
 		view.Demand[ModelKey("s", "rare")] = waiting
 		assert.Equal(t, len(Plan(view)), 0)
 	})
-	t.Run("preferred to a server that never had it, at the price of a token", func(t *testing.T) {
+	t.Run("preferred to a server that never had it, but takes a token", func(t *testing.T) {
 		view := returnedView(1, 0)
 		view.Demand[ModelKey("s", "rare")] = waiting
 		want := Action{
@@ -131,13 +131,13 @@
 		assert.DeepEqual(t, Plan(view), []Action{want})
 		assert.Equal(t, view.StoreTokens, 0.0)
 	})
-	t.Run("restored unasked by a spare token only", func(t *testing.T) {
+	t.Run("restored without requests only with a spare token", func(t *testing.T) {
 		assert.Equal(t, len(Plan(returnedView(5, 0))), 0)
 		assert.Equal(t, len(actionsFor(Plan(returnedView(5, 1)), true, "rare")), 1)
 	})
 }
 
-// subset returns the elements whose bits are set in the mask.
+// subset returns the elements at the positions of the bits that are set in the mask.
 func subset(elements []string, mask int) []string {
 	var chosen []string
 	for bit, element := range elements {
@@ -193,15 +193,15 @@
 	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	view.DemandKnown = false
 	unloads := func() int {
-		amount := 0
+		count := 0
 		for _, action := range Plan(view) {
 			if !action.Load {
-				amount++
+				count++
 			}
 		}
-		return amount
+		return count
 	}
-	assert.Equal(t, unloads(), 0, "busy models stand on many replicas until rates are known")
+	assert.Equal(t, unloads(), 0, "models with several copies are kept until the demand is known")
 	view.DemandKnown = true
 	assert.Assert(t, unloads() > 0)
 }
--- a/internal/placement/reference_adapters_test.go
+++ b/internal/placement/reference_adapters_test.go
@@ -34,8 +34,8 @@
 	for _, server := range p.view.copies(p.backend.Name, model) {
 		need, adapterSlots := p.usageAfterAdapterUnloads(server, model, toleratedRate)
 		_, _, possible := p.adapterEvictionCost(server, reference)
-		placed := adapterSlots < p.runtime.AdapterCapacity
-		if p.memoryUsed(server)+p.addedSize(server, reference) <= p.capacity() || placed && (need <= 0 || possible) {
+		hasSlot := adapterSlots < p.runtime.AdapterCapacity
+		if p.memoryUsed(server)+p.addedSize(server, reference) <= p.capacity() || hasSlot && (need <= 0 || possible) {
 			return
 		}
 	}
@@ -47,8 +47,8 @@
 	return p.adapterSlotsUsed(server) < p.runtime.AdapterCapacity && p.memoryUsed(server)+size <= p.capacity()
 }
 
-// usageAfterAdapterUnloads is the memory that an adapter of the model lacks at a server, and the slots used
-// there, after the unload of all adapters that may go.
+// usageAfterAdapterUnloads returns how much memory an adapter of the model lacks at a server, and the adapter slots in use
+// there, after unloading all adapters that may be unloaded.
 func (p *referencePlanner) usageAfterAdapterUnloads(server *Server, model string, toleratedRate float64) (need int64, adapterSlots int) {
 	need, adapterSlots = p.memoryUsed(server)+roundUpUnits(p.sizes[model].AdapterSizeMb)-p.capacity(), p.adapterSlotsUsed(server)
 	for reference := range server.Loaded {
--- a/internal/placement/reference_addcopy_test.go
+++ b/internal/placement/reference_addcopy_test.go
@@ -70,7 +70,8 @@
 	return cost, possible
 }
 
-// chosenVictims frees memory from the cheapest victim on, and then spares what was not needed.
+// chosenVictims takes the cheapest victims until they free enough memory, and then drops each that the others make
+// unnecessary.
 func (p *referencePlanner) chosenVictims(server *Server, victims []string, need int64) ([]string, bool) {
 	var chosen []string
 	for _, victim := range victims {
--- a/internal/placement/reference_copies_test.go
+++ b/internal/placement/reference_copies_test.go
@@ -3,11 +3,11 @@
 import "sort"
 
 func (p *referencePlanner) addHotCopies(handled priority) {
-	type want struct {
+	type candidateCopy struct {
 		model string
 		rate  float64
 	}
-	var candidates []want
+	var candidates []candidateCopy
 	for _, model := range p.runtime.Models {
 		demand := p.view.totalDemand(p.backend.Name, model.Name)
 		copies := len(p.view.copies(p.backend.Name, model.Name))
@@ -15,7 +15,7 @@
 		isHandled := priorityOf(demand.Waiting > 0 || present < p.copiesNeeded(demand)) == handled
 		isCandidate := (demand.Rate > hotRate || copies > 0) && !p.isIntended(model.Name)
 		if present < p.targetCopies(model.Name) && isHandled && isCandidate {
-			candidates = append(candidates, want{model.Name, demand.Rate})
+			candidates = append(candidates, candidateCopy{model.Name, demand.Rate})
 		}
 	}
 	sort.SliceStable(candidates, func(left, right int) bool { return candidates[left].rate > candidates[right].rate })
@@ -33,12 +33,12 @@
 func (p *referencePlanner) restoreServer(server *Server) {
 	best := p.bestRestore(server, server.OnDisk)
 	if best == "" && p.tokens-p.reservedTokens >= 1 && p.spareTokens-p.reservedTokens >= 1 {
-		lacking := map[string]bool{}
+		lacksCopies := map[string]bool{}
 		for model := range server.MaybeOnDisk {
 			copies := len(p.view.copies(p.backend.Name, model)) + p.loadsPending(model)
-			lacking[model] = float64(copies) < p.targetCopies(model)
+			lacksCopies[model] = float64(copies) < p.targetCopies(model)
 		}
-		best = p.bestRestore(server, lacking)
+		best = p.bestRestore(server, lacksCopies)
 	}
 	if best != "" {
 		p.load(server, best, "it held this before")
@@ -63,13 +63,13 @@
 }
 
 func (p *referencePlanner) addAdapters(handled priority) {
-	type want struct {
+	type candidateLoad struct {
 		reference string
 		waiting   int
 		copies    int
 		rate      float64
 	}
-	var candidates []want
+	var candidates []candidateLoad
 	for _, model := range p.runtime.Models {
 		if model.Adapters == 0 || len(p.view.copies(p.backend.Name, model.Name)) == 0 {
 			continue
@@ -80,7 +80,7 @@
 			copies := len(p.view.copies(p.backend.Name, reference)) + p.loadsPending(reference)
 			isUrgent := demand.Waiting > 0 || copies == 0 && demand.Rate > 0
 			if copies < 2 && priorityOf(isUrgent) == handled {
-				candidates = append(candidates, want{reference, demand.Waiting, copies, demand.Rate})
+				candidates = append(candidates, candidateLoad{reference, demand.Waiting, copies, demand.Rate})
 			}
 		}
 	}
--- a/internal/placement/reference_equal_test.go
+++ b/internal/placement/reference_equal_test.go
@@ -13,7 +13,8 @@
 	"ferryspar/internal/configuration"
 )
 
-// randomView is a small view with all that can go wrong in it; of one seed always the same.
+// randomView returns a small view with lost, draining and busy servers, intents, unconfigured items, orders of unknown outcome
+// and replaced replicas. It is determined by its seed.
 func randomView(seed uint64) *View {
 	random := rand.New(rand.NewPCG(seed, 3))
 	shape := fleetShape{
@@ -51,7 +52,7 @@
 	return view
 }
 
-// addPossibleDisks has some servers come back at addresses where other incarnations had models loaded.
+// addPossibleDisks makes some servers new incarnations at addresses where earlier ones had models loaded.
 func addPossibleDisks(view *View, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	models := view.Table.Configuration.Backends[0].Runtime.Models
@@ -70,8 +71,8 @@
 	}
 }
 
-// addUncertainty gives the view a size history, a configuration that removes and resizes models and changes
-// the capacity, and orders of unknown outcome.
+// addUncertainty adds to the view a size history, a new configuration that removes and resizes models and changes the
+// capacity, and orders of unknown outcome.
 func addUncertainty(view *View, random *rand.Rand) {
 	view.SizeHistory = NewSizeHistory()
 	earlier := view.Table
--- a/internal/placement/reference_evict_test.go
+++ b/internal/placement/reference_evict_test.go
@@ -83,11 +83,11 @@
 	if demand.Rate > hotRate && p.hasLastAdapterCopy(server, model, count) {
 		return false
 	}
-	rest := float64(copies - 1)
-	if rest >= max(p.targetCopies(model), math.Ceil(demand.PrefillLoad/maxPrefillLoad)) {
+	remaining := float64(copies - 1)
+	if remaining >= max(p.targetCopies(model), math.Ceil(demand.PrefillLoad/maxPrefillLoad)) {
 		return true
 	}
-	return demand.Rate < rareRate && rest >= p.copiesNeeded(demand)
+	return demand.Rate < rareRate && remaining >= p.copiesNeeded(demand)
 }
 
 func (p *referencePlanner) hasLastAdapterCopy(server *Server, model string, count func(reference string) int) bool {
@@ -148,16 +148,16 @@
 	if p.view.ContextEvictionInProgress {
 		return
 	}
-	for _, pair := range p.view.ContextEvictions {
-		server := p.find(pair.Server)
-		if server == nil || !server.Loaded[pair.Model] || !server.Ready || p.hasAction[server.ID] || server.Intent != "" {
+	for _, eviction := range p.view.ContextEvictions {
+		server := p.find(eviction.Server)
+		if server == nil || !server.Loaded[eviction.Model] || !server.Ready || p.hasAction[server.ID] || server.Intent != "" {
 			continue
 		}
-		if !p.ensureSpareCopies(server, pair.Model) {
+		if !p.ensureSpareCopies(server, eviction.Model) {
 			continue
 		}
-		p.recordAction(server, Action{Model: pair.Model, Intent: pair.Model, Reason: ContextEvictionReason})
-		server.Intent = pair.Model
+		p.recordAction(server, Action{Model: eviction.Model, Intent: eviction.Model, Reason: ContextEvictionReason})
+		server.Intent = eviction.Model
 		p.view.ContextEvictionInProgress = true
 		return
 	}
--- a/internal/placement/reference_memory_test.go
+++ b/internal/placement/reference_memory_test.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/configuration"
 )
 
-// roundUpUnits and roundDownUnits are sizes and capacity in whole units.
+// roundUpUnits and roundDownUnits convert sizes and the capacity to whole units.
 func roundUpUnits(megabytes float64) int64   { return int64(math.Ceil(megabytes * 1048576)) }
 func roundDownUnits(megabytes float64) int64 { return int64(math.Floor(megabytes * 1048576)) }
 
@@ -32,11 +32,11 @@
 
 func (p *referencePlanner) loadedSize(server *Server, reference string) int64 {
 	model, adapter := SplitReference(reference)
-	listed, known := p.sizes[model]
+	configured, known := p.sizes[model]
 	earlier, remembered := p.view.SizeHistory.sizesAt(server.ID)[reference]
-	size := roundUpUnits(listed.WeightSizeMb)
+	size := roundUpUnits(configured.WeightSizeMb)
 	if adapter != "" {
-		size = roundUpUnits(listed.AdapterSizeMb)
+		size = roundUpUnits(configured.AdapterSizeMb)
 	}
 	switch {
 	case known && remembered:
@@ -49,7 +49,7 @@
 	return p.capacity() + 1
 }
 
-func (s *Server) maximumLoaded() map[string]bool {
+func (s *Server) possiblyLoaded() map[string]bool {
 	found := map[string]bool{}
 	for _, references := range []map[string]bool{s.Loaded, s.MaybeLoaded} {
 		for reference, loaded := range references {
@@ -63,7 +63,7 @@
 
 func (p *referencePlanner) memoryUsed(server *Server) int64 {
 	total := int64(0)
-	for reference := range server.maximumLoaded() {
+	for reference := range server.possiblyLoaded() {
 		total += p.loadedSize(server, reference)
 	}
 	return total
@@ -71,7 +71,7 @@
 
 func (p *referencePlanner) adapterSlotsUsed(server *Server) int {
 	total := 0
-	for reference := range server.maximumLoaded() {
+	for reference := range server.possiblyLoaded() {
 		if strings.Contains(reference, "/") {
 			total++
 		}
@@ -82,7 +82,7 @@
 func (p *referencePlanner) addedSize(server *Server, reference string) int64 {
 	model, adapter := SplitReference(reference)
 	switch {
-	case server.maximumLoaded()[reference]:
+	case server.possiblyLoaded()[reference]:
 		return 0
 	case adapter == "":
 		return roundUpUnits(p.sizes[model].WeightSizeMb)
@@ -90,11 +90,11 @@
 	return roundUpUnits(p.sizes[model].AdapterSizeMb)
 }
 
-// countUncertain counts the serving servers that may have a reference loaded, beyond the loads in progress.
+// countUncertain counts the serving servers that may have a reference loaded, less the loads in progress.
 func (p *referencePlanner) countUncertain() {
 	p.uncertain = map[string]int{}
 	for _, server := range p.view.serving(p.backend.Name) {
-		for reference := range server.maximumLoaded() {
+		for reference := range server.possiblyLoaded() {
 			if !server.Loaded[reference] {
 				p.uncertain[reference]++
 			}
--- a/internal/placement/reference_plan_test.go
+++ b/internal/placement/reference_plan_test.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/configuration"
 )
 
-// referencePlanner is the reference of planner: the same policy without any index.
+// referencePlanner is a reference implementation of planner: the same policy without indexes.
 type referencePlanner struct {
 	view                              referenceView
 	backend                           *configuration.Backend
@@ -115,20 +115,22 @@
 }
 
 func (p *referencePlanner) fulfilIntents() {
-	var rooms []*Server
+	var intending []*Server
 	for _, server := range p.idleServers() {
 		if server.Intent == "" || server.Loaded[server.Intent] || p.intentObsolete(server) {
 			server.Intent = ""
 			continue
 		}
-		rooms = append(rooms, server)
+		intending = append(intending, server)
 	}
-	gains := map[string]float64{}
-	for _, server := range rooms {
-		gains[server.Intent] = p.urgency(p.sizes[server.Intent], p.view.totalDemand(p.backend.Name, server.Intent))
+	urgencies := map[string]float64{}
+	for _, server := range intending {
+		urgencies[server.Intent] = p.urgency(p.sizes[server.Intent], p.view.totalDemand(p.backend.Name, server.Intent))
 	}
-	sort.SliceStable(rooms, func(left, right int) bool { return gains[rooms[left].Intent] > gains[rooms[right].Intent] })
-	for _, server := range rooms {
+	sort.SliceStable(intending, func(left, right int) bool {
+		return urgencies[intending[left].Intent] > urgencies[intending[right].Intent]
+	})
+	for _, server := range intending {
 		if model := server.Intent; p.intentObsolete(server) {
 			server.Intent = ""
 		} else if !p.fits(server, model) {
@@ -159,19 +161,19 @@
 
 func (p *referencePlanner) missingModels() []configuration.Model {
 	var candidates []configuration.Model
-	gains := map[string]float64{}
+	urgencies := map[string]float64{}
 	for _, model := range p.runtime.Models {
 		demand := p.view.totalDemand(p.backend.Name, model.Name)
 		copies := len(p.view.copies(p.backend.Name, model.Name))
 		loading := p.view.Loading[ModelKey(p.backend.Name, model.Name)]
 		if demand.Waiting > 0 && copies == 0 && loading == 0 && !p.isIntended(model.Name) {
-			candidates, gains[model.Name] = append(candidates, model), p.urgency(model, demand)
+			candidates, urgencies[model.Name] = append(candidates, model), p.urgency(model, demand)
 		}
 	}
-	gain := func(model configuration.Model) float64 {
+	urgency := func(model configuration.Model) float64 {
 		return p.urgency(model, p.view.totalDemand(p.backend.Name, model.Name))
 	}
-	sort.SliceStable(candidates, func(left, right int) bool { return gain(candidates[left]) > gain(candidates[right]) })
+	sort.SliceStable(candidates, func(left, right int) bool { return urgency(candidates[left]) > urgency(candidates[right]) })
 	return candidates
 }
 
@@ -192,13 +194,13 @@
 	if demand.Waiting == 0 {
 		return 0
 	}
-	left := max(demand.LatencyTargetMs-model.LoadTimeS*1000, 0)
-	if demand.LatencyTargetMs <= 0 || demand.OldestWaitMs <= left {
-		return float64(demand.Waiting) * (1 + urgencyGrowth*demand.OldestWaitMs/max(left, 1))
+	remaining := max(demand.LatencyTargetMs-model.LoadTimeS*1000, 0)
+	if demand.LatencyTargetMs <= 0 || demand.OldestWaitMs <= remaining {
+		return float64(demand.Waiting) * (1 + urgencyGrowth*demand.OldestWaitMs/max(remaining, 1))
 	}
 	others := float64(demand.Waiting - 1)
-	prompt := others * left / demand.OldestWaitMs
-	return prompt + (others-prompt)*lateValue + lateValue*min(demand.OldestWaitMs/demand.LatencyTargetMs, 4)
+	inTime := others * remaining / demand.OldestWaitMs
+	return inTime + (others-inTime)*lateValue + lateValue*min(demand.OldestWaitMs/demand.LatencyTargetMs, 4)
 }
 
 func (p *referencePlanner) isIntended(model string) bool {
--- a/internal/placement/reference_view_test.go
+++ b/internal/placement/reference_view_test.go
@@ -8,10 +8,10 @@
 	"ferryspar/internal/configuration"
 )
 
-// referenceView looks all up in the view itself.
+// referenceView looks up everything in the view itself, except that it caches the demand by model.
 type referenceView struct {
 	*View
-	known map[string]Demand
+	totals map[string]Demand
 }
 
 func (v referenceView) ownDemand(backend, reference string) Demand {
@@ -22,19 +22,19 @@
 }
 
 func (v referenceView) totalDemand(backend, model string) Demand {
-	if total, known := v.known[ModelKey(backend, model)]; known {
+	if total, known := v.totals[ModelKey(backend, model)]; known {
 		return total
 	}
 	total := Demand{}
-	for name, server := range v.Demand {
-		owner, reference, _ := strings.Cut(name, " ")
+	for key, demand := range v.Demand {
+		demandBackend, reference, _ := strings.Cut(key, " ")
 		base, _ := SplitReference(reference)
-		if owner != backend || base != model {
+		if demandBackend != backend || base != model {
 			continue
 		}
-		total.add(server)
+		total.add(demand)
 	}
-	v.known[ModelKey(backend, model)] = total
+	v.totals[ModelKey(backend, model)] = total
 	return total
 }
 
@@ -79,7 +79,7 @@
 	return total
 }
 
-// configuredSize is the configured size of the models and adapters that are certainly loaded.
+// configuredSize returns the configured size, in MB, of all models and adapters that are certainly loaded.
 func (s *Server) configuredSize(runtime *configuration.Runtime) float64 {
 	total := 0.0
 	for reference := range s.Loaded {
--- a/internal/placement/worldreplica_test.go
+++ b/internal/placement/simulatedreplica_test.go
@@ -7,25 +7,26 @@
 	"ferryspar/internal/configuration"
 )
 
-// advance carries out the orders that are due, and forgets those whose outcome is known.
-func (r *worldReplica) advance(step int, runtime *configuration.Runtime) {
-	var left []*worldOrder
+// advance carries out the orders that are due, and drops those whose outcome is known.
+func (r *simulatedReplica) advance(step int, runtime *configuration.Runtime) {
+	var remaining []*simulatedOrder
 	for _, order := range r.orders {
 		if !order.isDone && order.doneAt != neverDone && order.doneAt <= step {
 			order.isDone = true
-			r.carryOut(order, runtime)
+			r.execute(order, runtime)
 		}
 		if order.knownAt > step {
-			left = append(left, order)
+			remaining = append(remaining, order)
 		}
 	}
-	r.orders = left
+	r.orders = remaining
 }
 
-// carryOut does a load once only, and refuses an adapter without its model.
-func (r *worldReplica) carryOut(order *worldOrder, runtime *configuration.Runtime) {
+// execute carries out an order as a replica does: it keeps one copy only of a loaded item, and rejects an adapter without its
+// model.
+func (r *simulatedReplica) execute(order *simulatedOrder, runtime *configuration.Runtime) {
 	model, adapter := SplitReference(order.action.Model)
-	_, modelHeld := r.loaded[model]
+	_, modelLoaded := r.loaded[model]
 	switch {
 	case !order.action.Load:
 		for reference := range r.loaded {
@@ -33,14 +34,14 @@
 				delete(r.loaded, reference)
 			}
 		}
-	case adapter == "" || modelHeld:
+	case adapter == "" || modelLoaded:
 		size, _ := configuredSize(runtime, order.action.Model)
 		r.loaded[order.action.Model] = max(r.loaded[order.action.Model], size, order.plannedSize)
 	}
 }
 
-// updateView sets the bounds of what the replica has loaded, as the planner may know them.
-func (r *worldReplica) updateView(loading map[string]int) {
+// updateView updates the server in the view by what the planner may know of the replica.
+func (r *simulatedReplica) updateView(loading map[string]int) {
 	server := r.server
 	server.Loaded, server.MaybeLoaded, server.Ready = map[string]bool{}, map[string]bool{}, true
 	for reference := range r.loaded {
@@ -72,13 +73,13 @@
 	}
 }
 
-// describe is the state of the world, for a failing test.
-func (w *world) describe() string {
-	text := fmt.Sprintf("%s, memory %v, %v", w.note, w.runtime().WeightSizeMb, w.runtime().Models)
-	for _, replica := range w.replicas {
+// describe returns the state of the simulation for the message of a failing test.
+func (s *orderSimulation) describe() string {
+	text := fmt.Sprintf("%s, memory %v, %v", s.note, s.runtime().WeightSizeMb, s.runtime().Models)
+	for _, replica := range s.replicas {
 		server := replica.server
-		text += fmt.Sprintf("\n%s ready %v intent %q holds %v may hold %v remembered %v",
-			server.ID, server.Ready, server.Intent, replica.loaded, server.MaybeLoaded, w.view.SizeHistory.sizesAt(server.ID))
+		text += fmt.Sprintf("\n%s ready %v intent %q loaded %v maybe loaded %v recorded sizes %v",
+			server.ID, server.Ready, server.Intent, replica.loaded, server.MaybeLoaded, s.view.SizeHistory.sizesAt(server.ID))
 	}
 	return text
 }
--- a/internal/placement/simulation_bench_test.go
+++ b/internal/placement/simulation_bench_test.go
@@ -8,7 +8,7 @@
 
 func BenchmarkRareModels(b *testing.B) {
 	step := 100 * time.Millisecond
-	for _, server := range []simulationSetup{
+	for _, setup := range []simulationSetup{
 		{fleetShape{replicas: 140, models: 450}, 120, 1, 10, 4, 16},
 		{fleetShape{replicas: 140, models: 450}, 60, 0.6, 10, 4, 16},
 		{fleetShape{replicas: 140, models: 450}, 250, 1, 10, 6, 16},
@@ -16,16 +16,17 @@
 		{fleetShape{replicas: 9, models: 28, adapters: 28}, 8, 1, 10, 4, 1},
 		{fleetShape{replicas: 140, models: 450, adapters: 440}, 120, 1, 10, 4, 16},
 		{fleetShape{replicas: 40, models: 200}, 20, 0.8, 10, 4, 4},
-		// The same load on fleets of 1, 3 and 9 parts: what is stored for each request may not grow with the size.
+		// The same load on fleets of relative size 1, 3 and 9: the loads from the store per request must not grow with the size.
 		{fleetShape{replicas: 28, models: 84, adapters: 84}, 36, 0.6, 8, 4.5, 3},
 		{fleetShape{replicas: 85, models: 255, adapters: 251}, 108, 0.6, 8, 4.5, 9},
 		{fleetShape{replicas: 256, models: 764, adapters: 752}, 324, 0.6, 8, 4.5, 27},
 	} {
-		b.Run(fmt.Sprintf("%dx%dx%d/%g/%g", server.replicas, server.models, server.adapters, server.perS, server.zipf), func(b *testing.B) {
+		name := fmt.Sprintf("%dx%dx%d/%g/%g", setup.replicas, setup.models, setup.adapters, setup.requestsPerS, setup.zipfExponent)
+		b.Run(name, func(b *testing.B) {
 			var total outcome
 			for b.Loop() {
 				for seed := range uint64(2) {
-					s := newSimulation(server, seed)
+					s := newSimulation(setup, seed)
 					for range 1800 {
 						s.view.Now = s.view.Now.Add(step)
 						s.addRequests(step)
@@ -40,8 +41,8 @@
 			b.ReportMetric(share(total.inTime), "prompt")
 			b.ReportMetric(share(total.late), "late")
 			b.ReportMetric(share(total.lost), "lost")
-			b.ReportMetric(share(total.stored), "stored")
-			b.ReportMetric(share(total.disk), "disk")
+			b.ReportMetric(share(total.storeLoads), "stored")
+			b.ReportMetric(share(total.diskLoads), "disk")
 		})
 	}
 }
@@ -51,6 +52,6 @@
 	o.inTime += other.inTime
 	o.late += other.late
 	o.lost += other.lost
-	o.stored += other.stored
-	o.disk += other.disk
+	o.storeLoads += other.storeLoads
+	o.diskLoads += other.diskLoads
 }
--- a/internal/placement/simulation_plan_test.go
+++ b/internal/placement/simulation_plan_test.go
@@ -5,17 +5,17 @@
 const (
 	simulatedUnload      = 600 * time.Millisecond
 	simulatedAdapterLoad = 300 * time.Millisecond
-	// simulatedDiskTime is the time of a load from disk relative to one from the store.
+	// simulatedDiskTime is the duration of a load from disk relative to one from the store.
 	simulatedDiskTime = 0.2
-	// simulatedCallTime is added to each load, in seconds.
+	// simulatedCallTime is the overhead of each load, in seconds.
 	simulatedCallTime = 0.3
 )
 
-// runPlanner ends loads and unloads, and starts those of the next plan.
+// runPlanner completes the actions that are due, and starts those of the next plan.
 func (s *simulation) runPlanner() {
 	now := s.view.Now
 	clear(s.view.Loading)
-	stored := 0 // loads from the store in progress
+	concurrentStoreLoads := 0 // loads from the store in progress
 	for _, server := range s.servers {
 		if server.action != nil && !now.Before(server.endsAt) {
 			server.finish()
@@ -24,23 +24,23 @@
 		if server.action != nil && server.action.Load {
 			s.view.Loading[ModelKey("s", server.action.Model)]++
 			if server.action.FromStore {
-				stored++
+				concurrentStoreLoads++
 			}
 		}
 	}
-	recent := s.storeLoads[:0]
-	for _, at := range s.storeLoads {
+	recent := s.storeLoadTimes[:0]
+	for _, at := range s.storeLoadTimes {
 		if now.Sub(at) < 6*time.Second {
 			recent = append(recent, at)
 		}
 	}
-	s.storeLoads = recent
+	s.storeLoadTimes = recent
 	s.view.StoreTokens = s.loadsPerS*5 + 1 - float64(len(recent))
 	for _, action := range Plan(s.view) {
 		for _, server := range s.servers {
 			if server.server.ID == action.Server {
 				server.action = &action
-				server.endsAt = now.Add(s.duration(action, stored))
+				server.endsAt = now.Add(s.duration(action, concurrentStoreLoads))
 			}
 		}
 	}
@@ -62,8 +62,9 @@
 	s.action = nil
 }
 
-// duration is the time of an action; loads from the store are counted, and slowed down by the others.
-func (s *simulation) duration(action Action, stored int) time.Duration {
+// duration returns the duration of an action and counts a model load in the outcome. Loads from the store slow each other
+// down.
+func (s *simulation) duration(action Action, concurrentStoreLoads int) time.Duration {
 	if !action.Load {
 		return simulatedUnload
 	}
@@ -71,14 +72,14 @@
 		return simulatedAdapterLoad
 	}
 	runtime := s.view.Table.Configuration.Backends[0].Runtime
-	seconds := runtime.Models[s.number(action.Model)].LoadTimeS
+	seconds := runtime.Models[s.modelNumber(action.Model)].LoadTimeS
 	s.outcome.loads++
 	if action.FromStore {
-		s.outcome.stored++
-		s.storeLoads = append(s.storeLoads, s.view.Now)
-		seconds *= max(1, float64(stored)/(4*s.loadsPerS))
+		s.outcome.storeLoads++
+		s.storeLoadTimes = append(s.storeLoadTimes, s.view.Now)
+		seconds *= max(1, float64(concurrentStoreLoads)/(4*s.loadsPerS))
 	} else {
-		s.outcome.disk++
+		s.outcome.diskLoads++
 		seconds *= simulatedDiskTime
 	}
 	return time.Duration((seconds + simulatedCallTime) * float64(time.Second))
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// simulatedSlots is the slots of each server.
+// simulatedSlots is the number of slots of each server.
 const simulatedSlots = 24
 
-// simulatedRequest waits for a model, then runs at a server.
+// simulatedRequest is a request that waits for a model or adapter and then runs at a server.
 type simulatedRequest struct {
 	reference string
 	arrivedAt time.Time
@@ -18,7 +18,7 @@
 	endsAt    time.Time
 }
 
-// simulatedServer is a server with the action in progress there.
+// simulatedServer is a server with its action in progress and its number of running requests.
 type simulatedServer struct {
 	server  *Server
 	action  *Action
@@ -26,28 +26,28 @@
 	running int
 }
 
-// simulationSetup is a fleet with its requests: their rate, the skew of their models (Zipf), their latency target and
-// service time in seconds, and the store's rate.
+// simulationSetup describes a fleet and its load: the rate of requests, the Zipf exponent of their models, their latency
+// target and service time in seconds, and the rate of the model store.
 type simulationSetup struct {
 	fleetShape
-	perS, zipf, latencyTargetS, serviceS, loadsPerS float64
+	requestsPerS, zipfExponent, latencyTargetS, serviceS, loadsPerS float64
 }
 
-// outcome counts requests by how they ended, and loads by their source.
-type outcome struct{ requests, inTime, late, lost, stored, disk, loads int }
+// outcome counts requests by their result, and loads by their source.
+type outcome struct{ requests, inTime, late, lost, storeLoads, diskLoads, loads int }
 
-// simulation plays requests and loads against the planner.
+// simulation runs the planner against simulated requests and loads.
 type simulation struct {
 	simulationSetup
-	view       *View
-	servers    []*simulatedServer
-	shares     []float64
-	waiting    []*simulatedRequest
-	running    []*simulatedRequest
-	storeLoads []time.Time
-	random     *rand.Rand
-	outcome    outcome
-	counts     map[string]int
+	view           *View
+	servers        []*simulatedServer
+	shares         []float64
+	waiting        []*simulatedRequest
+	running        []*simulatedRequest
+	storeLoadTimes []time.Time
+	random         *rand.Rand
+	outcome        outcome
+	counts         map[string]int
 }
 
 func newSimulation(setup simulationSetup, seed uint64) *simulation {
@@ -68,7 +68,7 @@
 	}
 	total := 0.0
 	for index := range setup.models {
-		total += math.Pow(float64(index+1), -setup.zipf)
+		total += math.Pow(float64(index+1), -setup.zipfExponent)
 		s.shares = append(s.shares, total)
 	}
 	for index := range s.shares {
@@ -77,14 +77,14 @@
 	return s
 }
 
-// isPreferredTo reports whether a server is to be preferred: it runs less, or its id is lower.
+// isPreferredTo reports whether a server is preferred to another one: it runs fewer requests or, if equal, has the lower id.
 func (s *simulatedServer) isPreferredTo(other *simulatedServer) bool {
 	return s.running < other.running || s.running == other.running && s.server.ID < other.server.ID
 }
 
-// addRequests adds the requests of a step.
+// addRequests adds the requests that arrive in a step.
 func (s *simulation) addRequests(step time.Duration) {
-	amount := s.perS * step.Seconds()
+	amount := s.requestsPerS * step.Seconds()
 	for amount > s.random.Float64() {
 		amount--
 		pick, model := s.random.Float64(), 0
@@ -103,7 +103,7 @@
 	}
 }
 
-// serveRequests ends requests that are due, and starts those that find a slot.
+// serveRequests ends the requests that are due, and starts waiting ones for which a host has a free slot.
 func (s *simulation) serveRequests() {
 	s.endRequests()
 	hosts := s.hostsByReference()
@@ -128,7 +128,7 @@
 	s.running = running
 }
 
-// hostsByReference returns the servers that serve each reference now.
+// hostsByReference returns the servers that can serve each reference now.
 func (s *simulation) hostsByReference() map[string][]*simulatedServer {
 	hosts := map[string][]*simulatedServer{}
 	for _, server := range s.servers {
@@ -147,7 +147,8 @@
 	return s.action != nil && !s.action.Load && (s.action.Model == reference || s.action.Model == base)
 }
 
-// startRequest runs a request at the best of the hosts, or gives it up, and reports whether it did either.
+// startRequest starts a request at the best of the hosts, or counts it as lost if it has waited for too long, and reports
+// whether it did either.
 func (s *simulation) startRequest(request *simulatedRequest, hosts []*simulatedServer) bool {
 	var best *simulatedServer
 	for _, host := range hosts {
@@ -176,14 +177,14 @@
 	return true
 }
 
-func (s *simulation) number(reference string) int {
+func (s *simulation) modelNumber(reference string) int {
 	base, _ := SplitReference(reference)
 	var number int
 	_, _ = fmt.Sscanf(base, "m%d", &number)
 	return number
 }
 
-// updateDemand sets the view's demand, as the control plane does.
+// updateDemand updates the view's demand as the control plane does.
 func (s *simulation) updateDemand(step time.Duration) {
 	now := s.view.Now
 	for _, demand := range s.view.Demand {
--- a/internal/placement/victims_test.go
+++ b/internal/placement/victims_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// assertNoneNeedless asserts that what is chosen frees enough, and that without any one of it it would not.
+// assertNoneNeedless asserts that the chosen victims free enough memory and that none of them could be dropped.
 func assertNoneNeedless(t *testing.T, victims []victim, chosen victimSet, need memoryUnits, possible bool) {
 	t.Helper()
 	freed := memoryUnits(0)
