--- a/internal/placement/fleetshape_test.go
+++ b/internal/placement/fleetshape_test.go
@@ -101,7 +101,8 @@
 		LatencyTargetMs: 2000,
 	}
 	if random.IntN(4) == 0 {
-		demand.Rate, demand.Running, demand.PrefillLoad = float64(random.IntN(512))/64, float64(random.IntN(40)), float64(random.IntN(64))/64
+		demand.Rate, demand.Running = float64(random.IntN(512))/64, float64(random.IntN(40))
+		demand.PrefillLoad = float64(random.IntN(64)) / 64
 	}
 	if random.Float64() < s.waiting {
 		demand.Waiting, demand.OldestWaitMs, demand.LastRequestAt = 1+random.IntN(6), float64(random.IntN(4000)), now
