--- a/internal/autoscale/planner.go
+++ b/internal/autoscale/planner.go
@@ -9,9 +9,10 @@
 const (
 	// surplusBootTimes is how long a surplus must last before replicas are removed, in multiples of Limits.BootTime.
 	surplusBootTimes = 3
-	// maxRemovedShare is the largest share of all replicas that one step removes.
+	// maxRemovedShare is the largest share of all replicas that one step removes; a step may always remove one replica.
 	maxRemovedShare = 0.1
-	// surplusMargin is the share by which the remaining replicas exceed the number needed.
+	// surplusMargin is the share by which the remaining replicas exceed the number needed. A surplus counts only if it
+	// exceeds that by the same share of all replicas.
 	surplusMargin = 0.05
 	// shortfallBootTimes is how long a zone may lack replicas before the other zones compensate for them, in multiples of
 	// Limits.BootTime.
@@ -44,7 +45,7 @@
 	surplusSince time.Time
 }
 
-// NewPlanner returns a planner that takes the listed replicas of each zone that it first sees as the desired ones.
+// NewPlanner returns a planner without history. The replicas that are listed when it first sees a zone count as desired.
 func NewPlanner() *Planner {
 	return &Planner{desired: map[string]int{}, shortfallSince: map[string]time.Time{}}
 }
--- a/internal/loadbudget/budget.go
+++ b/internal/loadbudget/budget.go
@@ -26,9 +26,9 @@
 // Fence returns the fencing token of the grant that the budget belongs to.
 func (b *Budget) Fence() uint64 { return b.fence }
 
-// TakeOver starts a grant. Unless this process itself held the grant before, all reserved loads count as started, at the
-// latest time possible. No load may start before a reservation has been written under the new grant, since a successor would
-// not know of it.
+// TakeOver starts a grant. Unless this process itself held the previous grant, all loads of the reservation count as started,
+// each at the latest time at which it may have started. No load may start before a reservation has been written under the new
+// grant, since a successor would not know of it.
 func (b *Budget) TakeOver(grant Takeover, bounds Bounds) {
 	continues := grant.ContinuesFence != 0 && grant.ContinuesFence == b.fence
 	b.fence = grant.Fence
--- a/internal/loadbudget/simulation_test.go
+++ b/internal/loadbudget/simulation_test.go
@@ -96,7 +96,7 @@
 	write  *reservationWrite
 	fence  uint64
 	index  int
-	// takeover is a new grant that has not been passed to the budget yet. It is at effectiveFrom.
+	// takeover is a new grant that has not been passed to the budget yet. That happens at effectiveFrom.
 	takeover      *loadbudget.Takeover
 	effectiveFrom time.Time
 }
--- a/internal/placement/memory.go
+++ b/internal/placement/memory.go
@@ -59,7 +59,7 @@
 }
 
 // addedSize returns by how much the load of an item that is not certainly loaded raises the memory used at a server: 0 if
-// the item may be loaded already, because a replica keeps one copy only and memoryUsed includes it.
+// the item may be loaded already, because memoryUsed includes it and a replica loads an item only once.
 func (p *planner) addedSize(state *serverState, number int) memoryUnits {
 	if state.maybeLoaded(number) {
 		return 0
--- a/internal/placement/missing.go
+++ b/internal/placement/missing.go
@@ -54,7 +54,7 @@
 }
 
 // retryUncertainLoad plans a load again at a server where the outcome of an earlier one is unknown. There it is harmless,
-// since a replica keeps one copy of a model only; at another server the model might take memory a second time.
+// since a replica loads a model only once; at another server the model might take memory a second time.
 func (p *planner) retryUncertainLoad(model int) {
 	for position := range p.servers {
 		state := &p.servers[position]
--- a/internal/placement/searches.go
+++ b/internal/placement/searches.go
@@ -24,7 +24,7 @@
 // diskCopy is an element of the linked list of servers that have or may have a model on their disk.
 type diskCopy struct {
 	server  int // position
-	next    int // position in serverSearches.diskCopies, 0 for none
+	next    int // position in searchIndexes.diskCopies, 0 for none
 	certain bool
 }
 
--- a/internal/placement/serverstate.go
+++ b/internal/placement/serverstate.go
@@ -36,7 +36,7 @@
 	return slices.Contains(s.maybeLoadedItems, number)
 }
 
-// isIdle reports whether the plan may still act at the server.
+// isIdle reports whether an action may still be planned for the server.
 func (s *serverState) isIdle() bool { return s.isServing && s.server.Ready && !s.hasAction }
 
 // isFree reports whether the server is idle and has no intent.
--- a/internal/placement/simulatedreplica_test.go
+++ b/internal/placement/simulatedreplica_test.go
@@ -22,7 +22,7 @@
 	r.orders = remaining
 }
 
-// execute carries out an order as a replica does: it keeps one copy only of a loaded item, and rejects an adapter without its
+// execute carries out an order as a replica does: it loads an item only once, and rejects an adapter without its
 // model.
 func (r *simulatedReplica) execute(order *simulatedOrder, runtime *configuration.Runtime) {
 	model, adapter := SplitReference(order.action.Model)
