--- a/internal/controlplane/capacityorder/controller.go
+++ b/internal/controlplane/capacityorder/controller.go
@@ -126,17 +126,17 @@
 		planner = autoscale.NewPlanner()
 		c.planners[backend.Name] = planner
 	}
-	needed := backend.Demand.Replicas()
+	needed := backend.Demand.RequiredReplicas()
 	planned := planner.Plan(backend.Zones, backend.Limits, needed, now)
 	for _, zone := range backend.Zones {
 		key := target{backend.Name, zone.Name}
 		if c.orders[key] == nil {
-			c.orders[key] = &order{answered: zone.Listed}
+			c.orders[key] = &order{answered: zone.ListedReplicas}
 		}
 		if current := c.orders[key]; current.desired != planned[zone.Name] {
 			current.desired = planned[zone.Name]
 			logrus.WithFields(logrus.Fields{
-				"backend": backend.Name, "zone": zone.Name, "wanted": current.desired, "listed": zone.Listed, "needed": needed,
+				"backend": backend.Name, "zone": zone.Name, "wanted": current.desired, "listed": zone.ListedReplicas, "needed": needed,
 			}).Info("replicas planned")
 		}
 	}
--- a/internal/controlplane/replicatracker/tracker.go
+++ b/internal/controlplane/replicatracker/tracker.go
@@ -212,7 +212,7 @@
 // disk are dropped.
 func (t *Tracker) ReclassifyDiskLoad(replica *Replica) (wasCounted bool) {
 	wasCounted = replica.action.FromStore
-	replica.action.FromStore, replica.action.MayBeDisk = true, false
+	replica.action.FromStore, replica.action.MaybeFromDisk = true, false
 	if wasCounted {
 		t.disks.forgetPossible(replica.listed)
 	} else {
--- a/internal/controlplane/scheduler/copyages.go
+++ b/internal/controlplane/scheduler/copyages.go
@@ -30,7 +30,7 @@
 // use.
 type CopyAges struct {
 	lock   sync.Mutex
-	byCopy map[placement.ServerModel]copyAge
+	byCopy map[placement.ModelCopy]copyAge
 	// absentSince holds the replicas that were listed earlier and are missing from the newest list.
 	absentSince map[string]time.Time
 	// firstListAt is the time of the first non-empty list.
@@ -38,7 +38,7 @@
 }
 
 func newCopyAges() *CopyAges {
-	return &CopyAges{byCopy: map[placement.ServerModel]copyAge{}, absentSince: map[string]time.Time{}}
+	return &CopyAges{byCopy: map[placement.ModelCopy]copyAge{}, absentSince: map[string]time.Time{}}
 }
 
 // AdoptList updates the copies from a list that differs from the previous one.
@@ -50,12 +50,12 @@
 		a.firstListAt = now
 	}
 	listed := make(map[string]bool, len(replicas))
-	present := map[placement.ServerModel]bool{}
+	present := map[placement.ModelCopy]bool{}
 	for _, replica := range replicas {
 		listed[replica.ID] = true
 		delete(a.absentSince, replica.ID)
 		for _, model := range replica.Models {
-			modelCopy := placement.ServerModel{Server: replica.ID, Model: model.Name}
+			modelCopy := placement.ModelCopy{Server: replica.ID, Model: model.Name}
 			present[modelCopy] = true
 			if _, known := a.byCopy[modelCopy]; !known {
 				a.byCopy[modelCopy] = copyAge{since: now, unknownAge: isFirst}
@@ -67,7 +67,7 @@
 
 // dropMissing drops the copies that no longer exist: those missing from the entry of a listed replica and those of removed
 // replicas. The caller holds the lock.
-func (a *CopyAges) dropMissing(listed map[string]bool, present map[placement.ServerModel]bool, now time.Time) {
+func (a *CopyAges) dropMissing(listed map[string]bool, present map[placement.ModelCopy]bool, now time.Time) {
 	for modelCopy := range a.byCopy {
 		if !listed[modelCopy.Server] {
 			a.recordAbsence(modelCopy.Server, now)
@@ -108,10 +108,10 @@
 }
 
 // absent returns the copies on replicas that are missing from the newest list but do not yet count as removed.
-func (a *CopyAges) absent(now time.Time) []placement.ServerModel {
+func (a *CopyAges) absent(now time.Time) []placement.ModelCopy {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	var absent []placement.ServerModel
+	var absent []placement.ModelCopy
 	for modelCopy := range a.byCopy {
 		if _, isAbsent := a.absentSince[modelCopy.Server]; isAbsent && !a.isRemoved(modelCopy.Server, now) {
 			absent = append(absent, modelCopy)
@@ -121,13 +121,13 @@
 }
 
 // due returns the copies that are older than dueAgeShare of the lifetime, oldest first. A lifetime of 0 means unlimited.
-func (a *CopyAges) due(lifetime time.Duration, now time.Time) []placement.ServerModel {
+func (a *CopyAges) due(lifetime time.Duration, now time.Time) []placement.ModelCopy {
 	if lifetime <= 0 {
 		return nil
 	}
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	var due []placement.ServerModel
+	var due []placement.ModelCopy
 	for modelCopy, age := range a.byCopy {
 		if age.unknownAge || now.Sub(age.since) > time.Duration(dueAgeShare*float64(lifetime)) {
 			due = append(due, modelCopy)
