--- a/internal/replicastate/simulation/doc_test.go
+++ b/internal/replicastate/simulation/doc_test.go
@@ -1,8 +1,8 @@
-// Package simulation runs holders of the placement lease against replicas: what holders know of replicas (replicastate), what
-// they plan (placement) and how they hold the lease (lease) is the real code; clock, network, replicas and the store of the
-// lease are simulated. A schedule names the faults of a run, so that one seed is one run. Invariants are checked whenever an
-// order arrives, and once all faults are over everything wanted must get loaded.
+// Package simulation tests holders of the placement lease together with replicas. The code that tracks replicas
+// (replicastate), plans loads (placement) and holds the lease (lease) is real; clock, network, replicas and the store of the
+// lease are simulated. A schedule lists the faults of a run and contains the seed, so each run can be replayed. Invariants are
+// checked whenever an order arrives. After the last fault, everything that is wanted must become loaded.
 //
-// The node's planning loop is a copy of what package controlplane/scheduler does with one replica; whole nodes are tested in
-// package test/integration. Start reading at simulate.
+// The node's planning loop is a copy of what package controlplane/scheduler does with one replica. Package test/integration
+// tests whole nodes. Start reading at simulate.
 package simulation
--- a/internal/replicastate/simulation/engine_test.go
+++ b/internal/replicastate/simulation/engine_test.go
@@ -8,11 +8,11 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// event is something that happens at a moment; those of one moment happen in the order in which they were added.
+// event is a function to run at a simulated time. Events at the same time run in the order in which they were added.
 type event struct {
-	at     time.Time
-	number int
-	run    func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
 type eventQueue []event
@@ -23,7 +23,7 @@
 	if !q[left].at.Equal(q[right].at) {
 		return q[left].at.Before(q[right].at)
 	}
-	return q[left].number < q[right].number
+	return q[left].sequence < q[right].sequence
 }
 
 func (q eventQueue) Swap(left, right int) { q[left], q[right] = q[right], q[left] }
@@ -36,30 +36,30 @@
 	return last
 }
 
-// engine is simulated time.
+// engine is a discrete-event scheduler with simulated time.
 type engine struct {
-	now    time.Time
-	queue  eventQueue
-	number int
-	random *rand.Rand
+	now      time.Time
+	queue    eventQueue
+	sequence int
+	random   *rand.Rand
 }
 
 func newEngine(seed uint64) *engine {
 	return &engine{now: start, random: rand.New(rand.NewPCG(seed, 41))}
 }
 
-// after has something happen once a time has passed.
+// after runs a function once the delay has passed.
 func (e *engine) after(delay time.Duration, run func()) {
-	e.number++
-	heap.Push(&e.queue, event{e.now.Add(max(delay, 0)), e.number, run})
+	e.sequence++
+	heap.Push(&e.queue, event{e.now.Add(max(delay, 0)), e.sequence, run})
 }
 
-// between draws a time.
-func (e *engine) between(minimum, maximum time.Duration) time.Duration {
+// randomDuration returns a random duration from minimum to maximum, both included.
+func (e *engine) randomDuration(minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(e.random.Int64N(int64(maximum-minimum)+1))
 }
 
-// runUntil lets time pass up to a moment, or until stopped reports true.
+// runUntil runs the events up to the given time, or until stopped returns true.
 func (e *engine) runUntil(end time.Time, stopped func() bool) {
 	for len(e.queue) > 0 && !e.queue[0].at.After(end) && !stopped() {
 		next := heap.Pop(&e.queue).(event)
--- a/internal/replicastate/simulation/invariants_test.go
+++ b/internal/replicastate/simulation/invariants_test.go
@@ -7,26 +7,26 @@
 	"ferryspar/internal/replicastate"
 )
 
-// invariant is a rule that a run may break.
+// invariant names a property that is checked during a run, by its violation.
 type invariant string
 
 const (
 	// capacityExceeded is an accepted load beyond the capacity for models or adapters.
-	capacityExceeded invariant = "LIMIT"
-	// rejectedOverCapacity is such a load, rejected or not, by a holder that could know better: all orders accepted since
-	// its grant began are its own, and nothing arrived later than the network allows.
-	rejectedOverCapacity invariant = "LIMIT although rejected"
-	// holdersOverlap is a holder that sends orders too soon after another one, or under a lower fence.
-	holdersOverlap invariant = "ONE"
-	// grantMismatch is an order under another grant than it was decided under.
-	grantMismatch invariant = "grant mixed"
-	// orderedDuringBackoff is an order to a replica that has just rejected one for its fence.
-	orderedDuringBackoff invariant = "order sent after a rejection for the fence"
-	// neverLoaded is something wanted that is not loaded in the end.
-	neverLoaded invariant = "not loaded in the end"
+	capacityExceeded invariant = "load accepted beyond capacity"
+	// orderedOverCapacity is an order for such a load, accepted or not, by a holder that could have known better: all orders
+	// accepted since its grant began were its own, and none arrived later than the fault model allows.
+	orderedOverCapacity invariant = "load ordered beyond capacity"
+	// holdersOverlap is an order that is sent too soon after one of another holder, or with a lower fencing token.
+	holdersOverlap invariant = "two holders at once"
+	// grantMismatch is an order that is sent under another grant than it was decided under.
+	grantMismatch invariant = "order sent under another grant"
+	// orderedDuringBackoff is an order to a replica that has just rejected one because of its fencing token.
+	orderedDuringBackoff invariant = "order decided during the backoff after a fenced one"
+	// neverLoaded is a wanted model or adapter that is not loaded at the end of the run.
+	neverLoaded invariant = "not loaded at the end"
 )
 
-// fits tells whether a load fits beside what is loaded and being loaded.
+// fits reports whether a load fits beside what is loaded and being loaded.
 func (s *server) fits(change replicastate.Change) bool {
 	total, adapters := 0.0, 0
 	counted := map[string]bool{change.Reference: true}
@@ -45,35 +45,35 @@
 	return total <= serverCapacity && (adapters <= serverAdapterCapacity || !strings.Contains(change.Reference, "/"))
 }
 
-// checkArrival checks the invariants for an order that arrives.
-func (w *world) checkArrival(s *server, order sentOrder) {
+// checkArrival checks the invariants that concern an arriving order.
+func (c *cluster) checkArrival(s *server, order sentOrder) {
 	if order.Fence != order.decidedFence {
-		w.fail(grantMismatch, "%s: decided under %d, sent under %d", s.id, order.decidedFence, order.Fence)
+		c.fail(grantMismatch, "%s: decided under %d, sent under %d", s.id, order.decidedFence, order.Fence)
 	}
-	w.checkHolders(s, order)
+	c.checkHolders(s, order)
 	if !order.Load || s.fits(order.Change) {
 		return
 	}
 	switch {
-	case s.acceptedFromOthers(order):
-		w.rejectedUnaware++
-	case w.allowances.unboundedDelay:
-		w.rejectedBeyond++
+	case s.acceptedForeignOrder(order):
+		c.rejectedAfterForeignOrder++
+	case c.faultModel.unboundedDelay:
+		c.rejectedWithUnboundedDelay++
 	default:
-		w.fail(rejectedOverCapacity, "%s: %+v holding %v", s.id, order, s.loaded)
+		c.fail(orderedOverCapacity, "%s: %+v holding %v", s.id, order, s.loaded)
 	}
 }
 
-// recordResponse counts an order that arrived, by the status of its response.
-func (w *world) recordResponse(order sentOrder, status int) {
-	w.responses[status]++
+// recordResponse counts the orders that arrived, by the status of the response.
+func (c *cluster) recordResponse(order sentOrder, status int) {
+	c.responses[status]++
 	if order.late {
-		w.lateResponses[status]++
+		c.lateResponses[status]++
 	}
 }
 
-// acceptedFromOthers tells whether the server has accepted orders of another grant since the order's own grant began.
-func (s *server) acceptedFromOthers(order sentOrder) bool {
+// acceptedForeignOrder reports whether the server has accepted an order of another grant since the order's own grant began.
+func (s *server) acceptedForeignOrder(order sentOrder) bool {
 	for _, earlier := range s.accepted {
 		if earlier.fence != order.Fence && !earlier.at.Before(order.grantedAt) {
 			return true
@@ -82,37 +82,37 @@
 	return false
 }
 
-// checkBackoff checks that a replica is left alone for a while once it has rejected an order for its fence.
+// checkBackoff checks that no order is decided for a replica within RejectionBackoff after an outcome Fenced.
 func (t *trackedReplica) checkBackoff() {
 	if !t.fencedAt.IsZero() && t.now().Sub(t.fencedAt) < timings.RejectionBackoff {
-		t.node.world.fail(orderedDuringBackoff, "%s: under fence %d", t.id, t.fence)
+		t.node.cluster.fail(orderedDuringBackoff, "%s: under fence %d", t.id, t.fence)
 	}
 }
 
-// checkHolders checks that no two holders send orders within the length of a lease and that fences rise. Orders that the
-// network has delayed do not count.
-func (w *world) checkHolders(s *server, order sentOrder) {
-	if order.delayed || s.lastOrder == nil || s.lastOrder.delayed || w.allowances.overlappingHolders {
+// checkHolders checks that the orders of two holders are at least leaseTime apart and that fencing tokens never decrease.
+// Orders that the network has delayed are ignored.
+func (c *cluster) checkHolders(s *server, order sentOrder) {
+	if order.delayed || s.lastOrder == nil || s.lastOrder.delayed || c.faultModel.overlappingHolders {
 		return
 	}
 	if order.Fence < s.lastOrder.Fence || order.Fence == s.lastOrder.Fence && order.holder != s.lastOrder.holder {
-		w.fail(holdersOverlap, "%s: %+v after %+v", s.id, order, *s.lastOrder)
+		c.fail(holdersOverlap, "%s: %+v after %+v", s.id, order, *s.lastOrder)
 	}
-	if order.holder != s.lastOrder.holder && w.now.Sub(s.lastOrderAt) < leaseTime {
-		w.fail(holdersOverlap, "%s: %+v %s after %+v", s.id, order, w.now.Sub(s.lastOrderAt), *s.lastOrder)
+	if order.holder != s.lastOrder.holder && c.now.Sub(s.lastOrderAt) < leaseTime {
+		c.fail(holdersOverlap, "%s: %+v %s after %+v", s.id, order, c.now.Sub(s.lastOrderAt), *s.lastOrder)
 	}
 }
 
 // checkAccepted checks that an accepted load fits.
-func (w *world) checkAccepted(s *server, order sentOrder) {
+func (c *cluster) checkAccepted(s *server, order sentOrder) {
 	if order.Load && !s.fits(order.Change) {
-		w.fail(capacityExceeded, "%s: %+v holding %v", s.id, order, s.loaded)
+		c.fail(capacityExceeded, "%s: %+v holding %v", s.id, order, s.loaded)
 	}
 }
 
-// checkAllLoaded checks that everything wanted is loaded.
-func (w *world) checkAllLoaded() {
-	for _, reference := range w.missing() {
-		w.fail(neverLoaded, "%s, %s after the last fault", reference, w.now.Sub(w.faultsEnd).Round(time.Millisecond))
+// checkAllLoaded checks that everything that is wanted is loaded.
+func (c *cluster) checkAllLoaded() {
+	for _, reference := range c.missing() {
+		c.fail(neverLoaded, "%s, %s after the last fault", reference, c.now.Sub(c.faultsEnd).Round(time.Millisecond))
 	}
 }
--- a/internal/replicastate/simulation/lease_test.go
+++ b/internal/replicastate/simulation/lease_test.go
@@ -23,52 +23,52 @@
 	maxStartDelay           = 250 * time.Millisecond
 )
 
-// register is the lease's record as a majority has it.
+// register is the lease's record as a majority of the store's members holds it.
 type register struct {
-	value       json.RawMessage
-	holder      string
-	owner       *node
-	incarnation int
-	ownedUntil  time.Time // nobody else is granted the lease before
-	splitUntil  time.Time // until then every node that thinks that it holds the lease is believed
+	value           json.RawMessage
+	holder          string
+	owner           *node
+	incarnation     int
+	ownedUntil      time.Time // until then the lease is granted to nobody else
+	splitBrainUntil time.Time // until then every node may update and renew the lease, whoever owns it
 }
 
-var errUnreachable = errors.New("no majority granted it")
+var errUnreachable = errors.New("no majority of members reached")
 
-// registerClient is the register as one incarnation of a node sees it.
+// registerClient gives one incarnation of a node access to the register. It implements lease.Store.
 type registerClient struct {
 	node        *node
 	incarnation int
 }
 
-// Acquire takes the lease.
+// Acquire makes this incarnation the owner of the lease if the previous ownership has expired.
 func (c registerClient) Acquire(_ context.Context, _ string, decide func(keystore.Register) json.RawMessage) (keystore.Register, error) {
 	node := c.node
 	if node.isStorePartitioned() {
 		return keystore.Register{}, errUnreachable
 	}
-	register := node.world.register
-	if node.world.now.Before(register.ownedUntil) && (register.owner != node || register.incarnation != c.incarnation) {
+	register := node.cluster.register
+	if node.cluster.now.Before(register.ownedUntil) && (register.owner != node || register.incarnation != c.incarnation) {
 		return keystore.Register{}, errUnreachable
 	}
-	register.ownedUntil = node.world.now.Add(grantLength)
+	register.ownedUntil = node.cluster.now.Add(grantLength)
 	register.value = decide(keystore.Register{Value: register.value})
 	register.holder, register.owner, register.incarnation = node.name, node, c.incarnation
 	return keystore.Register{Value: register.value}, nil
 }
 
-// isOwner tells whether the lease still belongs to this incarnation.
+// isOwner reports whether this incarnation still owns the lease or splitBrainUntil has not passed.
 func (c registerClient) isOwner() bool {
-	register := c.node.world.register
-	return register.owner == c.node && register.incarnation == c.incarnation || c.node.world.now.Before(register.splitUntil)
+	register := c.node.cluster.register
+	return register.owner == c.node && register.incarnation == c.incarnation || c.node.cluster.now.Before(register.splitBrainUntil)
 }
 
-// Update writes the record again.
+// Update rewrites the record if this incarnation still owns the lease.
 func (c registerClient) Update(_ context.Context, _ string, decide keystore.Decide) error {
 	if c.node.isStorePartitioned() || !c.isOwner() {
 		return errUnreachable
 	}
-	register := c.node.world.register
+	register := c.node.cluster.register
 	value, err := decide(keystore.Register{Value: register.value})
 	if err == nil {
 		register.value = value
@@ -76,20 +76,20 @@
 	return err
 }
 
-// Renew tells whether the lease still belongs to this incarnation.
+// Renew extends the ownership if this incarnation still owns the lease.
 func (c registerClient) Renew(context.Context, string) error {
-	register := c.node.world.register
+	register := c.node.cluster.register
 	if c.node.isStorePartitioned() || !c.isOwner() {
 		return errUnreachable
 	}
-	register.ownedUntil = c.node.world.now.Add(grantLength)
+	register.ownedUntil = c.node.cluster.now.Add(grantLength)
 	return nil
 }
 
-// Release is not used.
+// Release does nothing: nodes never release the lease here.
 func (c registerClient) Release(context.Context, string) error { return nil }
 
-func (n *node) isStorePartitioned() bool { return n.world.now.Before(n.storePartitionedUntil) }
+func (n *node) isStorePartitioned() bool { return n.cluster.now.Before(n.storePartitionedUntil) }
 
 // newLeaseManager returns the lease manager of one incarnation of a node.
 func (n *node) newLeaseManager() *lease.Manager {
@@ -100,16 +100,16 @@
 		TTL:           grantLength,
 		TakeoverDelay: takeoverDelay,
 		Store:         registerClient{n, n.incarnation},
-		Clock:         func() time.Time { return n.world.now },
+		Clock:         func() time.Time { return n.cluster.now },
 	}
 }
 
-// keepLease renews the lease or tries to take it, as the scheduler does.
+// keepLease renews the lease or tries to acquire it, as the scheduler does.
 func (n *node) keepLease() {
 	n.after(renewInterval, n.keepLease)
 	if n.currentGrant != nil {
 		n.currentGrant = n.leaseManager.Renew(context.Background(), n.currentGrant)
-		n.recordSettled()
+		n.clearTakeoverPending()
 		n.announceHolder()
 		return
 	}
@@ -121,36 +121,36 @@
 	}
 }
 
-// recordSettled writes to the record once the previous holder's lease has surely expired, as the scheduler does with its
-// reservation of loads.
-func (n *node) recordSettled() {
-	if n.currentGrant == nil || n.settledFence == n.currentGrant.Record.Fence || n.world.now.Before(n.currentGrant.EffectiveFrom) {
+// clearTakeoverPending writes the record once the previous holder's lease has certainly expired, which clears the record's
+// TakeoverPending. The scheduler does so when it writes its reservation of loads.
+func (n *node) clearTakeoverPending() {
+	if n.currentGrant == nil || n.takeoverClearedFence == n.currentGrant.Record.Fence || n.cluster.now.Before(n.currentGrant.EffectiveFrom) {
 		return
 	}
 	if n.leaseManager.Reserve(context.Background(), n.currentGrant, loadbudget.Reservation{}) == nil {
-		n.settledFence = n.currentGrant.Record.Fence
+		n.takeoverClearedFence = n.currentGrant.Record.Fence
 	}
 }
 
-// announceHolder tells the other nodes of the holder.
+// announceHolder lets the other nodes see the holder.
 func (n *node) announceHolder() {
 	if n.currentGrant == nil || n.isStorePartitioned() {
 		return
 	}
-	for _, other := range n.world.nodes {
+	for _, other := range n.cluster.nodes {
 		if !other.isStorePartitioned() {
-			other.leaseHolderSeenAt = n.world.now
+			other.leaseHolderSeenAt = n.cluster.now
 		}
 	}
 }
 
 func (n *node) mayAcquire() bool {
 	lastSeen, timeout := n.leaseHolderSeenAt, n.leaseManager.TTL+acquireMargin
-	if holder := n.world.register.holder; holder != "" && holder != n.name {
+	if holder := n.cluster.register.holder; holder != "" && holder != n.name {
 		timeout += previousHolderHeadStart
 		if lastSeen.Before(n.started) {
 			lastSeen = n.started
 		}
 	}
-	return n.world.now.Sub(lastSeen) > timeout
+	return n.cluster.now.Sub(lastSeen) > timeout
 }
--- a/internal/replicastate/simulation/mutation_test.go
+++ b/internal/replicastate/simulation/mutation_test.go
@@ -4,59 +4,59 @@
 	"ferryspar/internal/replicastate"
 )
 
-// mutation is a defect planted into what nodes do with their knowledge of replicas.
+// mutation is a defect that is injected into the nodes' use of replicastate, to check that the simulation detects it.
 type mutation string
 
 const (
 	noMutation mutation = ""
-	// noExpectedSequence sends orders that name no sequence.
+	// noExpectedSequence sends orders without an expected sequence number.
 	noExpectedSequence mutation = "no expected sequence"
-	// everyReportBelieved takes each report for newer than all that is known, also at a sequence that was rejected.
-	everyReportBelieved mutation = "every report believed"
-	// keptAcrossGrants keeps what was learned under one grant under the next ones.
+	// everyReportAdopted adopts every report, also stale ones and those of a sequence number that met a conflict.
+	everyReportAdopted mutation = "every report adopted"
+	// keptAcrossGrants keeps the tracked replicas when a new grant begins.
 	keptAcrossGrants mutation = "kept across grants"
-	// unknownCountsAsFree takes an order without an answer for one that was never sent.
-	unknownCountsAsFree mutation = "unknown fate counts as free"
-	// restartUnnoticed drops reports of lower sequences for ever.
-	restartUnnoticed mutation = "restart unnoticed"
-	// fenceRejectionIgnored keeps what is known after a rejection for the fence.
-	fenceRejectionIgnored mutation = "rejection for the fence ignored"
-	// sentUnderLaterGrant sends an order under whatever grant is held.
+	// noResponseMeansNotSent treats an order without a response as one that was never sent.
+	noResponseMeansNotSent mutation = "no response counts as not sent"
+	// restartIgnored never adopts a report with a lower sequence number.
+	restartIgnored mutation = "restart ignored"
+	// fencedOutcomeIgnored treats an order that was rejected because of its fencing token as one that was never sent.
+	fencedOutcomeIgnored mutation = "fenced outcome ignored"
+	// sentUnderLaterGrant sends an order under the current grant, whichever it was decided under.
 	sentUnderLaterGrant mutation = "sent under a later grant"
 )
 
 var mutations = []mutation{
-	noExpectedSequence, everyReportBelieved, keptAcrossGrants, unknownCountsAsFree,
-	restartUnnoticed, fenceRejectionIgnored, sentUnderLaterGrant,
+	noExpectedSequence, everyReportAdopted, keptAcrossGrants, noResponseMeansNotSent,
+	restartIgnored, fencedOutcomeIgnored, sentUnderLaterGrant,
 }
 
-// mixesGrants tells whether orders go out under another grant than they were decided under.
+// mixesGrants reports whether orders may be sent under another grant than they were decided under.
 func (m mutation) mixesGrants() bool { return m == sentUnderLaterGrant || m == keptAcrossGrants }
 
-// applyResponse applies a response to the replica's state, as the mutation falsifies it.
+// applyResponse applies an outcome to the replica's state, altered by the mutation.
 func (t *trackedReplica) applyResponse(order replicastate.Order, outcome replicastate.Outcome) {
 	if outcome == replicastate.Fenced {
 		t.fencedAt = t.now()
 	}
-	falsified := map[mutation]replicastate.Outcome{
-		unknownCountsAsFree:   replicastate.NoResponse,
-		fenceRejectionIgnored: replicastate.Fenced,
+	treatedAsNotSent := map[mutation]replicastate.Outcome{
+		noResponseMeansNotSent: replicastate.NoResponse,
+		fencedOutcomeIgnored:   replicastate.Fenced,
 	}
-	if falsified[t.node.world.mutation] == outcome {
+	if treatedAsNotSent[t.node.cluster.mutation] == outcome {
 		outcome = replicastate.NotSent
 	}
 	t.state.HandleResponse(order, outcome, t.now())
 }
 
-// applyReport applies a report to the replica's state, as the mutation falsifies it.
+// applyReport applies a report to the replica's state, altered by the mutation.
 func (t *trackedReplica) applyReport(report replicastate.Report) bool {
-	switch t.node.world.mutation {
-	case everyReportBelieved:
+	switch t.node.cluster.mutation {
+	case everyReportAdopted:
 		if !report.Busy {
 			t.reset(report.Loaded)
 			t.state.PollStarted(t.now())
 		}
-	case restartUnnoticed:
+	case restartIgnored:
 		if report.Sequence < t.highestSequence {
 			t.state.PollFailed(t.now())
 			return false
--- a/internal/replicastate/simulation/node_test.go
+++ b/internal/replicastate/simulation/node_test.go
@@ -11,15 +11,15 @@
 const (
 	planInterval   = 100 * time.Millisecond
 	cordonLeadTime = 220 * time.Millisecond
-	// maxConfigurationDelay is how long a configuration takes to reach a node.
+	// maxConfigurationDelay is the longest time that a configuration takes to reach a node.
 	maxConfigurationDelay = 300 * time.Millisecond
-	// maxThawDelay is how long a goroutine may wait for a processor after a freeze.
+	// maxThawDelay is the longest time that a goroutine waits for a processor after its process was resumed.
 	maxThawDelay = 600 * time.Millisecond
 )
 
 // node is a simulated control-plane node that places models while it holds the lease.
 type node struct {
-	world                 *world
+	cluster               *cluster
 	name                  string
 	incarnation           int
 	alive                 bool
@@ -32,17 +32,18 @@
 	leaseManager          *lease.Manager
 	currentGrant          *lease.Grant
 	trackedGrant          *lease.Grant
-	settledFence          uint64 // fence of the grant whose record was written to since it took effect
+	takeoverClearedFence  uint64 // fence of the last grant whose TakeoverPending was cleared
 	table                 *configuration.Table
 	sizes                 *placement.SizeHistory
 	tracked               map[string]*trackedReplica
 	calls                 []*call
 }
 
-// after has this incarnation of the node run something later: not before its thaw if it is frozen then.
+// after runs a function in this incarnation of the node once the delay has passed, or when the node resumes if it is frozen
+// at that time.
 func (n *node) after(delay time.Duration, run func()) {
 	incarnation := n.incarnation
-	n.world.after(delay, func() {
+	n.cluster.after(delay, func() {
 		switch {
 		case !n.alive || n.incarnation != incarnation:
 		case n.frozen:
@@ -59,19 +60,19 @@
 	}
 	n.incarnation++
 	n.alive, n.frozen, n.deferred = true, false, nil
-	n.started, n.leaseHolderSeenAt = n.world.now, time.Time{}
-	n.leaseManager, n.currentGrant, n.trackedGrant, n.settledFence = n.newLeaseManager(), nil, nil, 0
+	n.started, n.leaseHolderSeenAt = n.cluster.now, time.Time{}
+	n.leaseManager, n.currentGrant, n.trackedGrant, n.takeoverClearedFence = n.newLeaseManager(), nil, nil, 0
 	n.tracked, n.calls = map[string]*trackedReplica{}, nil
-	n.table = n.world.table
-	n.after(n.world.between(0, maxStartDelay), n.keepLease)
-	n.after(n.world.between(0, planInterval), n.planLoop)
+	n.table = n.cluster.table
+	n.after(n.cluster.randomDuration(0, maxStartDelay), n.keepLease)
+	n.after(n.cluster.randomDuration(0, planInterval), n.planLoop)
 }
 
 func (n *node) kill() {
 	n.alive = false
 	for _, sent := range n.calls {
 		if !sent.ended {
-			sent.ended, sent.endedAt = true, n.world.now
+			sent.ended, sent.endedAt = true, n.cluster.now
 		}
 	}
 }
@@ -82,48 +83,49 @@
 	}
 	n.frozen = true
 	incarnation := n.incarnation
-	n.world.after(duration, func() {
+	n.cluster.after(duration, func() {
 		if n.incarnation == incarnation && n.alive {
 			n.thaw()
 		}
 	})
 }
 
-// thaw runs what was due meanwhile, some of it a little later.
+// thaw runs the functions that became due during the freeze, one in four of them after a further delay.
 func (n *node) thaw() {
 	n.frozen = false
 	due := n.deferred
 	n.deferred = nil
 	for _, run := range due {
 		delay := time.Duration(0)
-		if n.world.random.IntN(4) == 0 {
-			delay = n.world.between(0, maxThawDelay)
+		if n.cluster.random.IntN(4) == 0 {
+			delay = n.cluster.randomDuration(0, maxThawDelay)
 		}
 		n.after(delay, run)
 	}
 }
 
-// adoptConfiguration puts a configuration into force once it is delivered, unless a newer one was.
+// adoptConfiguration delivers a configuration after a random delay. The node ignores it if it already has a newer one.
 func (n *node) adoptConfiguration(table *configuration.Table) {
-	n.after(n.world.between(0, maxConfigurationDelay), func() {
+	n.after(n.cluster.randomDuration(0, maxConfigurationDelay), func() {
 		if table.Configuration.Revision > n.table.Configuration.Revision {
 			n.table = table
 		}
 	})
 }
 
-// planLoop is one turn of the planning loop.
+// planLoop runs one iteration of the planning loop and schedules the next.
 func (n *node) planLoop() {
 	n.after(planInterval, n.planLoop)
 	n.adoptGrant()
-	if n.currentGrant.Allows(n.world.now, orderLeaseMargin) {
+	if n.currentGrant.Allows(n.cluster.now, orderLeaseMargin) {
 		n.syncOnce()
 	}
 }
 
-// adoptGrant forgets what was learned under another grant. While the lease is not held nothing is forgotten.
+// adoptGrant discards what was learned under the previous grant when another one is held. Without a valid grant it does
+// nothing.
 func (n *node) adoptGrant() {
-	if n.currentGrant == nil || !n.world.now.Before(n.currentGrant.ExpiresAt) {
+	if n.currentGrant == nil || !n.cluster.now.Before(n.currentGrant.ExpiresAt) {
 		return
 	}
 	same := n.trackedGrant.SameAs(n.currentGrant)
@@ -132,7 +134,7 @@
 		return
 	}
 	n.sizes = placement.NewSizeHistory()
-	if n.world.mutation != keptAcrossGrants {
+	if n.cluster.mutation != keptAcrossGrants {
 		n.tracked = map[string]*trackedReplica{}
 	}
 }
@@ -140,17 +142,17 @@
 func (n *node) syncOnce() {
 	n.adoptReplicaList()
 	for _, replica := range n.trackedInOrder() {
-		if replica.state.PollDue(n.world.now) {
+		if replica.state.PollDue(n.cluster.now) {
 			n.poll(replica)
 		}
 	}
 	n.plan()
 }
 
-// adoptReplicaList tracks the replicas of the platform's list.
+// adoptReplicaList starts and stops tracking replicas according to the platform's list.
 func (n *node) adoptReplicaList() {
 	listed := map[string]bool{}
-	for _, server := range n.world.servers {
+	for _, server := range n.cluster.servers {
 		id, loaded := server.listed()
 		listed[id] = true
 		if n.tracked[id] == nil {
@@ -165,10 +167,10 @@
 	}
 }
 
-// trackedInOrder returns the tracked replicas in the order of their servers.
+// trackedInOrder returns the tracked replicas in the order of the cluster's servers.
 func (n *node) trackedInOrder() []*trackedReplica {
 	var ordered []*trackedReplica
-	for _, server := range n.world.servers {
+	for _, server := range n.cluster.servers {
 		id, _ := server.listed()
 		ordered = append(ordered, n.tracked[id])
 	}
@@ -176,7 +178,7 @@
 }
 
 func (n *node) plan() {
-	view := n.world.view(n)
+	view := n.cluster.view(n)
 	for _, replica := range n.trackedInOrder() {
 		if replica.pendingAction != nil && replica.pendingAction.Load {
 			view.Loading[placement.ModelKey(backendName, replica.pendingAction.Model)]++
@@ -189,7 +191,7 @@
 			MaybeLoaded: replica.state.PossiblyLoaded(),
 			OnDisk:      replica.server.disk,
 			Intent:      replica.intent,
-			Ready:       replica.state.IsReady(n.world.now),
+			Ready:       replica.state.IsReady(n.cluster.now),
 		})
 	}
 	for _, action := range placement.Plan(view) {
--- a/internal/replicastate/simulation/schedule_test.go
+++ b/internal/replicastate/simulation/schedule_test.go
@@ -12,43 +12,43 @@
 type faultKind string
 
 const (
-	killHolder          faultKind = "kill the holder, back after"
-	killAny             faultKind = "kill, back after"
+	killHolder          faultKind = "kill the holder, down for"
+	killAny             faultKind = "kill a node, down for"
 	freezeHolder        faultKind = "freeze the holder for"
-	freezeDeciding      faultKind = "freeze at the next decision for"
-	partitionStore      faultKind = "cut from the store for"
-	delayHolderRequests faultKind = "hold up the holder's requests for"
-	loseResponses       faultKind = "lose the holder's answers for"
-	restartSame         faultKind = "restart under the same id, down for"
-	restartOther        faultKind = "restart under another id, down for"
+	freezeDeciding      faultKind = "freeze the holder at its next decision for"
+	partitionStore      faultKind = "partition the holder from the store for"
+	delayHolderRequests faultKind = "delay the holder's requests for"
+	loseResponses       faultKind = "lose the responses to the holder for"
+	restartSameID       faultKind = "restart a replica under the same id, down for"
+	restartNewID        faultKind = "restart a replica under another id, down for"
 	freezeServer        faultKind = "freeze a replica for"
-	wantOthers          faultKind = "other wants"
-	configureOther      faultKind = "another configuration"
-	storeForgetsHolder  faultKind = "the store forgets, another node holds the lease too for"
-	// The following happen with the next order that is sent.
-	delayOrder        faultKind = "hold up the next order for"
-	loseOrderResponse faultKind = "lose the answer of the next order and others for"
-	killSender        faultKind = "kill the sender of the next order, back after"
+	changeWanted        faultKind = "change what is wanted"
+	changeConfiguration faultKind = "change the configuration"
+	storeForgetsHolder  faultKind = "grant the lease to a second node because the store lost its state, for"
+	// The following faults are injected when the next order is sent.
+	delayOrder        faultKind = "delay requests from the next order on for"
+	loseOrderResponse faultKind = "lose responses from the next order on for"
+	killSender        faultKind = "kill the sender of the next order, down for"
 	freezeSender      faultKind = "freeze the sender of the next order for"
 	freezeReceiver    faultKind = "freeze the receiver of the next order for"
 	restartReceiver   faultKind = "restart the receiver of the next order under the same id, down for"
 )
 
-// fault is one change of the world.
+// fault is one fault, or a change of the configuration or of what is wanted.
 type fault struct {
-	kind     faultKind
-	delay    time.Duration // since the fault before
-	node     int
-	server   int
-	duration time.Duration
-	names    []string // of models in a configuration, or else what is wanted from then on
+	kind       faultKind
+	delay      time.Duration // after the previous fault
+	node       int
+	server     int
+	duration   time.Duration
+	references []string // models of the new configuration, or else models and adapters that are wanted from then on
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("+%s %s %s (node %d, server %d) %v", f.delay, f.kind, f.duration, f.node, f.server, f.names)
+	return fmt.Sprintf("+%s %s %s (node %d, server %d) %v", f.delay, f.kind, f.duration, f.node, f.server, f.references)
 }
 
-// schedule is one run before its small delays are drawn by the seed.
+// schedule describes a run. Small random delays within it are derived from the seed.
 type schedule struct {
 	seed    uint64
 	nodes   int
@@ -69,24 +69,24 @@
 }
 
 var ordinaryFaults = []faultKind{
-	wantOthers, wantOthers, wantOthers,
+	changeWanted, changeWanted, changeWanted,
 	killHolder, killAny, freezeHolder, freezeDeciding, partitionStore, delayHolderRequests, loseResponses,
-	freezeServer, restartSame, restartOther, configureOther,
+	freezeServer, restartSameID, restartNewID, changeConfiguration,
 	delayOrder, delayOrder, delayOrder, loseOrderResponse, loseOrderResponse,
 	killSender, killSender, freezeSender, restartReceiver, freezeReceiver, freezeReceiver,
 }
 
-// maxFaultDelays are the longest times between two faults: some come close together, others once a holder has taken over and
-// placed models.
+// maxFaultDelays are upper bounds for the time between two faults. With the shorter ones faults coincide; the longest gives
+// a holder time to take over and place models.
 var maxFaultDelays = []time.Duration{500 * time.Millisecond, 2 * time.Second, 10 * time.Second}
 
 const (
-	// minFaults and maxFaults bound the faults of a run; those that only change what is wanted are among them.
+	// minFaults and maxFaults bound the number of faults in a run, including those that only change what is wanted.
 	minFaults = 12
 	maxFaults = 30
 )
 
-// without returns the kinds of fault less some.
+// without returns the given kinds of fault except the excluded ones.
 func without(kinds []faultKind, excluded ...faultKind) []faultKind {
 	var result []faultKind
 	for _, kind := range kinds {
@@ -109,8 +109,8 @@
 	partitionStore:      {200 * time.Millisecond, 12 * time.Second},
 	delayHolderRequests: {100 * time.Millisecond, 10 * time.Second},
 	loseResponses:       {100 * time.Millisecond, 2 * time.Second},
-	restartSame:         {100 * time.Millisecond, 600 * time.Millisecond},
-	restartOther:        {100 * time.Millisecond, 600 * time.Millisecond},
+	restartSameID:       {100 * time.Millisecond, 600 * time.Millisecond},
+	restartNewID:        {100 * time.Millisecond, 600 * time.Millisecond},
 
 	delayOrder:         {100 * time.Millisecond, 8 * time.Second},
 	loseOrderResponse:  {50 * time.Millisecond, time.Second},
@@ -128,7 +128,7 @@
 	configurations = [][]string{modelNames, {"m1", "m2", "m3"}, {"m1", "m3", "m4", "m5", "m8"}, {"m2", "m4", "m5", "m6", "m7"}}
 )
 
-// drawWanted draws two models at most, and two adapters of those.
+// drawWanted draws one or two models and at most two of their adapters.
 func drawWanted(t *rapid.T) []string {
 	wanted := rapid.SliceOfNDistinct(rapid.SampledFrom(modelNames), 1, 2, rapid.ID[string]).Draw(t, "models")
 	for _, adapter := range rapid.SliceOfNDistinct(rapid.SampledFrom(adapterNames), 0, 2, rapid.ID[string]).Draw(t, "adapters") {
@@ -143,21 +143,21 @@
 	return wanted
 }
 
-// drawFault draws one fault of some kinds.
+// drawFault returns a generator function for a fault of one of the given kinds.
 func drawFault(kinds []faultKind) func(t *rapid.T) fault {
 	return func(t *rapid.T) fault {
 		fault := fault{kind: rapid.SampledFrom(kinds).Draw(t, "kind")}
 		fault.delay = drawDuration(t, "after", 0, rapid.SampledFrom(maxFaultDelays).Draw(t, "longest"))
 		fault.node = rapid.IntRange(0, 2).Draw(t, "node")
 		fault.server = rapid.IntRange(0, 1).Draw(t, "server")
-		if between, known := durationRanges[fault.kind]; known {
-			fault.duration = drawDuration(t, "duration", between[0], between[1])
+		if bounds, known := durationRanges[fault.kind]; known {
+			fault.duration = drawDuration(t, "duration", bounds[0], bounds[1])
 		}
 		switch {
-		case fault.kind == configureOther:
-			fault.names = rapid.SampledFrom(configurations).Draw(t, "configuration")
-		case fault.kind == wantOthers || rapid.IntRange(0, 3).Draw(t, "wants too") > 0:
-			fault.names = drawWanted(t)
+		case fault.kind == changeConfiguration:
+			fault.references = rapid.SampledFrom(configurations).Draw(t, "configuration")
+		case fault.kind == changeWanted || rapid.IntRange(0, 3).Draw(t, "changes wanted") > 0:
+			fault.references = drawWanted(t)
 		}
 		return fault
 	}
@@ -167,7 +167,7 @@
 	return time.Duration(rapid.IntRange(int(minimum/time.Millisecond), int(maximum/time.Millisecond)).Draw(t, label)) * time.Millisecond
 }
 
-// schedules generates runs with faults of some kinds.
+// schedules returns a generator of schedules with faults of the given kinds.
 func schedules(kinds []faultKind) *rapid.Generator[schedule] {
 	return rapid.Custom(func(t *rapid.T) schedule {
 		return schedule{
--- a/internal/replicastate/simulation/simulate_test.go
+++ b/internal/replicastate/simulation/simulate_test.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// warmUp is the time before the first fault, recoveryTime that after the last one, within which all must be loaded.
+	// warmUp is the time before the first fault; recoveryTime is the time after the last one within which everything that is
+	// wanted must be loaded.
 	warmUp       = 8 * time.Second
 	recoveryTime = 40 * time.Second
 )
 
-// simulate runs a schedule to its end or until an invariant is broken.
-func simulate(planned schedule, allowances allowances, mutation mutation, verbose bool) *world {
-	w := &world{
+// simulate runs a schedule to its end or until an invariant is violated.
+func simulate(planned schedule, faultModel faultModel, mutation mutation, verbose bool) *cluster {
+	c := &cluster{
 		engine:        newEngine(planned.seed),
-		allowances:    allowances,
+		faultModel:    faultModel,
 		mutation:      mutation,
 		fencing:       planned.fencing,
 		verbose:       verbose,
@@ -30,36 +31,36 @@
 	}
 	loaded := [][]string{{"m1", "m3"}, {"m2", "m4"}}
 	for index := range planned.servers {
-		w.servers = append(w.servers, newServer(w, fmt.Sprintf("i-%d", index+1), loaded[index]...))
+		c.servers = append(c.servers, newServer(c, fmt.Sprintf("i-%d", index+1), loaded[index]...))
 	}
 	for index := range planned.nodes {
-		w.nodes = append(w.nodes, &node{world: w, name: fmt.Sprintf("node-%d", index+1)})
+		c.nodes = append(c.nodes, &node{cluster: c, name: fmt.Sprintf("node-%d", index+1)})
 	}
-	for index, node := range w.nodes {
-		w.after(time.Duration(index)*maxStartDelay, node.start)
+	for index, node := range c.nodes {
+		c.after(time.Duration(index)*maxStartDelay, node.start)
 	}
-	w.want(planned.wanted)
+	c.want(planned.wanted)
 	at := warmUp
-	w.faultsEnd = start.Add(warmUp)
+	c.faultsEnd = start.Add(warmUp)
 	for _, fault := range planned.faults {
 		at += fault.delay
-		w.after(at, func() { w.applyFault(fault) })
-		if end := start.Add(at + fault.duration); end.After(w.faultsEnd) {
-			w.faultsEnd = end
+		c.after(at, func() { c.applyFault(fault) })
+		if end := start.Add(at + fault.duration); end.After(c.faultsEnd) {
+			c.faultsEnd = end
 		}
 	}
-	w.runUntil(w.faultsEnd, w.failed)
-	for end := w.faultsEnd.Add(recoveryTime); !w.failed() && len(w.missing()) > 0 && w.now.Before(end); {
-		w.runUntil(w.now.Add(time.Second), w.failed)
-		w.now = maxTime(w.now, w.faultsEnd)
-		if w.queue[0].at.After(w.now) {
-			w.now = w.queue[0].at
+	c.runUntil(c.faultsEnd, c.failed)
+	for end := c.faultsEnd.Add(recoveryTime); !c.failed() && len(c.missing()) > 0 && c.now.Before(end); {
+		c.runUntil(c.now.Add(time.Second), c.failed)
+		c.now = maxTime(c.now, c.faultsEnd)
+		if c.queue[0].at.After(c.now) {
+			c.now = c.queue[0].at
 		}
 	}
-	if !w.failed() {
-		w.checkAllLoaded()
+	if !c.failed() {
+		c.checkAllLoaded()
 	}
-	return w
+	return c
 }
 
 func maxTime(left, right time.Time) time.Time {
@@ -69,95 +70,95 @@
 	return right
 }
 
-// holder is the node that holds the lease, or else the one with a number.
-func (w *world) holder(number int) *node {
-	if owner := w.register.owner; owner != nil {
+// holder returns the node that owns the lease or, if there is none yet, the one with the given index.
+func (c *cluster) holder(number int) *node {
+	if owner := c.register.owner; owner != nil {
 		return owner
 	}
-	return w.nodes[number%len(w.nodes)]
+	return c.nodes[number%len(c.nodes)]
 }
 
 // applyFault injects a fault.
-func (w *world) applyFault(fault fault) {
-	w.log("%s", fault)
-	node, server, holder := w.nodes[fault.node%len(w.nodes)], w.servers[fault.server%len(w.servers)], w.holder(fault.node)
-	if len(fault.names) > 0 && fault.kind != configureOther {
-		w.want(fault.names)
+func (c *cluster) applyFault(fault fault) {
+	c.log("%s", fault)
+	node, server, holder := c.nodes[fault.node%len(c.nodes)], c.servers[fault.server%len(c.servers)], c.holder(fault.node)
+	if len(fault.references) > 0 && fault.kind != changeConfiguration {
+		c.want(fault.references)
 	}
 	switch fault.kind {
 	case killHolder:
-		w.killFor(holder, fault.duration)
+		c.killFor(holder, fault.duration)
 	case killAny:
-		w.killFor(node, fault.duration)
+		c.killFor(node, fault.duration)
 	case freezeHolder:
 		holder.freeze(fault.duration)
 	case freezeDeciding:
 		holder.freezeAfterDecision = fault.duration
 	case partitionStore:
-		holder.storePartitionedUntil = w.now.Add(fault.duration)
+		holder.storePartitionedUntil = c.now.Add(fault.duration)
 	case delayHolderRequests:
-		w.delayRequests(holder, server, fault.duration)
+		c.delayRequests(holder, server, fault.duration)
 	case loseResponses:
-		w.link(holder, server).responsesLostUntil = w.now.Add(fault.duration)
+		c.link(holder, server).responsesLostUntil = c.now.Add(fault.duration)
 	case freezeServer:
 		server.freeze(fault.duration)
-	case restartSame:
-		w.restart(server, server.id, fault.duration)
-	case restartOther:
-		w.restart(server, server.id+"'", fault.duration)
+	case restartSameID:
+		c.restart(server, server.id, fault.duration)
+	case restartNewID:
+		c.restart(server, server.id+"'", fault.duration)
 	case delayOrder, loseOrderResponse, killSender, freezeSender, restartReceiver, freezeReceiver:
-		w.onNextOrder = append(w.onNextOrder, fault)
-	case configureOther:
-		w.configure(fault.names)
+		c.onNextOrder = append(c.onNextOrder, fault)
+	case changeConfiguration:
+		c.configure(fault.references)
 	case storeForgetsHolder:
-		w.forceGrant(node, fault.duration)
+		c.forceGrant(node, fault.duration)
 	}
 }
 
-// applyOnNextOrder injects the faults that were to happen with the next order, as it is sent.
-func (w *world) applyOnNextOrder(from *node, to *server) {
-	due := w.onNextOrder
-	w.onNextOrder = nil
+// applyOnNextOrder injects the faults that are scheduled for the next order, as that is sent.
+func (c *cluster) applyOnNextOrder(from *node, to *server) {
+	due := c.onNextOrder
+	c.onNextOrder = nil
 	for _, fault := range due {
-		w.log("now: %s", fault)
+		c.log("with this order: %s", fault)
 		switch fault.kind {
 		case delayOrder:
-			w.delayRequests(from, to, fault.duration)
+			c.delayRequests(from, to, fault.duration)
 		case loseOrderResponse:
-			w.link(from, to).responsesLostUntil = w.now.Add(fault.duration)
+			c.link(from, to).responsesLostUntil = c.now.Add(fault.duration)
 		case killSender:
-			w.after(w.between(0, maxLatency), func() { w.killFor(from, fault.duration) })
+			c.after(c.randomDuration(0, maxLatency), func() { c.killFor(from, fault.duration) })
 		case freezeSender:
-			w.after(w.between(0, maxLatency), func() { from.freeze(fault.duration) })
+			c.after(c.randomDuration(0, maxLatency), func() { from.freeze(fault.duration) })
 		case freezeReceiver:
 			to.freeze(fault.duration)
 		case restartReceiver:
-			w.after(w.between(0, callTimeout), func() { w.restart(to, to.id, fault.duration) })
+			c.after(c.randomDuration(0, callTimeout), func() { c.restart(to, to.id, fault.duration) })
 		}
 	}
 }
 
-func (w *world) killFor(node *node, downtime time.Duration) {
+func (c *cluster) killFor(node *node, downtime time.Duration) {
 	node.kill()
-	w.after(downtime, node.start)
+	c.after(downtime, node.start)
 }
 
-func (w *world) restart(restarted *server, id string, downtime time.Duration) {
+func (c *cluster) restart(restarted *server, id string, downtime time.Duration) {
 	if !restarted.down {
 		restarted.restart(id, downtime)
 	}
 }
 
-// forceGrant has a node take the lease and act at once beside the holder, as after a store that has lost what it knew.
-func (w *world) forceGrant(node *node, duration time.Duration) {
-	if !node.alive || node.frozen || w.register.owner == node {
+// forceGrant lets a node acquire the lease and act at once while another node holds it, as if the store had lost its state.
+func (c *cluster) forceGrant(node *node, duration time.Duration) {
+	if !node.alive || node.frozen || c.register.owner == node {
 		return
 	}
 	var last lease.Record
-	_ = json.Unmarshal(w.register.value, &last)
+	_ = json.Unmarshal(c.register.value, &last)
 	record := lease.Record{Holder: node.name, Address: node.name, Fence: last.Fence + 1}
-	w.register.value, _ = json.Marshal(record)
-	w.register.splitUntil = w.now.Add(duration)
-	w.register.holder, w.register.owner, w.register.incarnation = node.name, node, node.incarnation
-	node.currentGrant = &lease.Grant{Record: record, GrantedAt: w.now, ExpiresAt: w.now.Add(grantLength), EffectiveFrom: w.now}
+	c.register.value, _ = json.Marshal(record)
+	c.register.splitBrainUntil = c.now.Add(duration)
+	c.register.holder, c.register.owner, c.register.incarnation = node.name, node, node.incarnation
+	node.currentGrant = &lease.Grant{Record: record, GrantedAt: c.now, ExpiresAt: c.now.Add(grantLength), EffectiveFrom: c.now}
 }
--- a/internal/replicastate/simulation/simulation_test.go
+++ b/internal/replicastate/simulation/simulation_test.go
@@ -11,37 +11,38 @@
 
 func init() { logrus.SetOutput(io.Discard) }
 
-// statistics counts what happened in some runs.
+// statistics sums up the counters of several runs.
 type statistics struct {
 	runs int
-	// Loads beyond capacity that were rejected: those of a holder that could not know of another's order, and those in
-	// runs with orders that arrive later than any bound.
-	rejectedUnaware, rejectedBeyond int
-	orders, lateOrders              map[int]int // by status
+	// Loads ordered beyond capacity that are no violation: the holder could not know of another holder's order, or orders
+	// arrived later than any bound.
+	rejectedAfterForeignOrder, rejectedWithUnboundedDelay int
+	// Orders that arrived, by status of the response; lateOrders counts those whose call had ended.
+	orders, lateOrders map[int]int
 }
 
-func (t *statistics) add(w *world) {
+func (t *statistics) add(c *cluster) {
 	t.runs++
-	t.rejectedUnaware += w.rejectedUnaware
-	t.rejectedBeyond += w.rejectedBeyond
-	for status, amount := range w.responses {
+	t.rejectedAfterForeignOrder += c.rejectedAfterForeignOrder
+	t.rejectedWithUnboundedDelay += c.rejectedWithUnboundedDelay
+	for status, amount := range c.responses {
 		t.orders[status] += amount
 	}
-	for status, amount := range w.lateResponses {
+	for status, amount := range c.lateResponses {
 		t.lateOrders[status] += amount
 	}
 }
 
-// check runs schedules and requires that no invariant is broken.
-func check(t *testing.T, kinds []faultKind, allowed allowances) {
+// check runs schedules with the given kinds of fault and fails on a violated invariant.
+func check(t *testing.T, kinds []faultKind, model faultModel) {
 	counted := statistics{orders: map[int]int{}, lateOrders: map[int]int{}}
 	generator := schedules(kinds)
 	rapid.Check(t, func(t *rapid.T) {
 		planned := generator.Draw(t, "schedule")
-		w := simulate(planned, allowed, noMutation, false)
-		counted.add(w)
-		if w.failed() {
-			traced := simulate(planned, allowed, noMutation, true)
+		c := simulate(planned, model, noMutation, false)
+		counted.add(c)
+		if c.failed() {
+			traced := simulate(planned, model, noMutation, true)
 			t.Fatalf("%v\n%s\n%s", traced.failures, planned, strings.Join(traced.trace, "\n"))
 		}
 	})
@@ -49,30 +50,30 @@
 }
 
 func TestSimulation_OrdinaryFaultsKeepCapacityAndLiveness(t *testing.T) {
-	check(t, ordinaryFaults, allowances{})
+	check(t, ordinaryFaults, faultModel{})
 }
 
-// A replica's sequence begins anew with its process, so beyond all bounds an order may meet its number again there: such
-// runs have no restarts.
+// A replica counts its sequence number from zero again after a restart. With unbounded delay, an order could therefore arrive
+// when the number that it expects is current for the second time, so these runs have no restarts.
 func TestSimulation_UnboundedDelayKeepsCapacity(t *testing.T) {
-	check(t, without(ordinaryFaults, restartSame, restartOther), allowances{unboundedDelay: true})
+	check(t, without(ordinaryFaults, restartSameID, restartNewID), faultModel{unboundedDelay: true})
 }
 
 func TestSimulation_OverlappingHoldersKeepCapacity(t *testing.T) {
 	kinds := append(without(ordinaryFaults), storeForgetsHolder, storeForgetsHolder, storeForgetsHolder)
-	check(t, kinds, allowances{overlappingHolders: true})
+	check(t, kinds, faultModel{overlappingHolders: true})
 }
 
-// maxMutationRuns is how many schedules are run for a mutation at most.
+// maxMutationRuns is the maximum number of schedules that are run for a mutation.
 const maxMutationRuns = 600
 
-// mutationFaults are the faults that bring a mutation out, where those of every kind rarely do.
+// mutationFaults holds the kinds of fault that expose a mutation, for mutations that a mix of all kinds rarely exposes.
 var mutationFaults = map[mutation][]faultKind{
-	noExpectedSequence:    {wantOthers, delayOrder, delayHolderRequests},
-	keptAcrossGrants:      {wantOthers, wantOthers, freezeHolder, partitionStore},
-	unknownCountsAsFree:   {wantOthers, delayOrder, loseOrderResponse},
-	fenceRejectionIgnored: {wantOthers, storeForgetsHolder},
-	sentUnderLaterGrant:   {wantOthers, freezeDeciding},
+	noExpectedSequence:     {changeWanted, delayOrder, delayHolderRequests},
+	keptAcrossGrants:       {changeWanted, changeWanted, freezeHolder, partitionStore},
+	noResponseMeansNotSent: {changeWanted, delayOrder, loseOrderResponse},
+	fencedOutcomeIgnored:   {changeWanted, storeForgetsHolder},
+	sentUnderLaterGrant:    {changeWanted, freezeDeciding},
 }
 
 func TestSimulation_CatchesEveryMutation(t *testing.T) {
@@ -82,15 +83,15 @@
 			if !known {
 				kinds = ordinaryFaults
 			}
-			allowed := allowances{
-				overlappingHolders: mutation == fenceRejectionIgnored,
+			model := faultModel{
+				overlappingHolders: mutation == fencedOutcomeIgnored,
 				unboundedDelay:     mutation == noExpectedSequence,
 			}
 			for seed := range maxMutationRuns {
 				planned := schedules(kinds).Example(seed)
-				if w := simulate(planned, allowed, mutation, false); w.failed() {
-					t.Logf("caught by schedule %d: %v", seed, w.failures[0])
-					assertHoldsUnmutated(t, planned, allowed)
+				if c := simulate(planned, model, mutation, false); c.failed() {
+					t.Logf("caught by schedule %d: %v", seed, c.failures[0])
+					assertHoldsUnmutated(t, planned, model)
 					return
 				}
 			}
@@ -99,10 +100,10 @@
 	}
 }
 
-// assertHoldsUnmutated checks that a schedule breaks no invariant without a mutation.
-func assertHoldsUnmutated(t *testing.T, planned schedule, allowed allowances) {
+// assertHoldsUnmutated checks that a schedule violates no invariant without a mutation.
+func assertHoldsUnmutated(t *testing.T, planned schedule, model faultModel) {
 	t.Helper()
-	if w := simulate(planned, allowed, noMutation, false); w.failed() {
-		t.Fatalf("without the mutation too: %v", w.failures)
+	if c := simulate(planned, model, noMutation, false); c.failed() {
+		t.Fatalf("the schedule fails without the mutation too: %v", c.failures)
 	}
 }
--- a/internal/replicastate/simulation/trackedreplica_test.go
+++ b/internal/replicastate/simulation/trackedreplica_test.go
@@ -10,10 +10,10 @@
 	"ferryspar/internal/replicastate"
 )
 
-// timings are those of the control plane.
+// timings are those that the control plane uses.
 var timings = replicatracker.Timings()
 
-// trackedReplica is what a node knows of a replica, with a copy of what the scheduler does with it.
+// trackedReplica is a node's record of a replica. Its methods are a copy of what the scheduler does with a replica.
 type trackedReplica struct {
 	node              *node
 	id                string
@@ -25,8 +25,8 @@
 	intent            string
 	reportedAt        time.Time
 	contradictedSince time.Time
-	fencedAt          time.Time // last rejection for the fence
-	highestSequence   int64     // reported, for a mutation
+	fencedAt          time.Time // last outcome Fenced
+	highestSequence   int64     // highest reported, used by restartIgnored
 }
 
 func (n *node) track(id string, server *server, listed map[string]bool) *trackedReplica {
@@ -38,14 +38,14 @@
 	return replica
 }
 
-// reset begins to track the replica under its grant.
+// reset discards the replica's state and starts tracking it anew under the same grant.
 func (t *trackedReplica) reset(listed map[string]bool) {
 	t.state = replicastate.New(timings, t.fence, t.trustFrom, listed)
 }
 
-func (t *trackedReplica) now() time.Time { return t.node.world.now }
+func (t *trackedReplica) now() time.Time { return t.node.cluster.now }
 
-// recheckContradicted has a replica polled again that the list has long shown with other models.
+// recheckContradicted causes a replica to be polled again if the list has contradicted its known state for StaleReportWindow.
 func (t *trackedReplica) recheckContradicted(listed map[string]bool) {
 	recent := !t.now().Add(-listLag).After(t.reportedAt)
 	if t.state.Phase() != replicastate.Idle || recent || maps.Equal(t.state.Loaded(), listed) {
@@ -62,19 +62,19 @@
 }
 
 func (n *node) poll(replica *trackedReplica) {
-	replica.state.PollStarted(n.world.now)
-	n.world.requestReport(n, replica.server, replica.id, func(report *replicastate.Report) {
+	replica.state.PollStarted(n.cluster.now)
+	n.cluster.requestReport(n, replica.server, replica.id, func(report *replicastate.Report) {
 		if report == nil {
-			replica.state.PollFailed(n.world.now)
+			replica.state.PollFailed(n.cluster.now)
 			return
 		}
 		if replica.applyReport(*report) {
-			replica.reportedAt, replica.pendingAction = n.world.now, nil
+			replica.reportedAt, replica.pendingAction = n.cluster.now, nil
 		}
 	})
 }
 
-// order decides on an action and sends it, an unload after cordonLeadTime.
+// order decides on an order for an action and sends it. An unload is sent after cordonLeadTime.
 func (t *trackedReplica) order(action placement.Action) {
 	node := t.node
 	order, possible := t.state.Decide(replicastate.Change{Load: action.Load, Reference: action.Model}, t.now())
@@ -83,7 +83,7 @@
 	}
 	t.checkBackoff()
 	t.pendingAction = &action
-	delay := node.world.between(0, 2*time.Millisecond)
+	delay := node.cluster.randomDuration(0, 2*time.Millisecond)
 	if !action.Load {
 		delay += cordonLeadTime
 	}
@@ -94,28 +94,28 @@
 	}
 }
 
-// send sends an order if the grant under which it was decided still allows that.
+// send sends an order if the grant under which it was decided still allows it.
 func (t *trackedReplica) send(order replicastate.Order) {
 	node := t.node
 	grant := node.currentGrant
 	allowed := grant.Allows(t.now(), orderLeaseMargin)
-	if !allowed || grant.Record.Fence != order.Fence && !node.world.mutation.mixesGrants() {
+	if !allowed || grant.Record.Fence != order.Fence && !node.cluster.mutation.mixesGrants() {
 		t.handleResponse(order, replicastate.NotSent)
 		return
 	}
 	sent := sentOrder{
 		Order: order, target: t.id, holder: node.name, decidedFence: order.Fence, grantedAt: grant.GrantedAt,
-		withoutSequence: node.world.mutation == noExpectedSequence,
+		withoutSequence: node.cluster.mutation == noExpectedSequence,
 	}
 	sent.Fence = grant.Record.Fence
-	if node.world.mutation == keptAcrossGrants {
+	if node.cluster.mutation == keptAcrossGrants {
 		sent.decidedFence = sent.Fence
 	}
 	transmit := func() {
-		node.world.send(node, t.server, sent, func(status int) { t.handleResponse(order, outcomeOf(status)) })
+		node.cluster.send(node, t.server, sent, func(status int) { t.handleResponse(order, outcomeOf(status)) })
 	}
-	if node.world.allowances.unboundedDelay {
-		node.after(node.world.between(0, time.Millisecond), transmit)
+	if node.cluster.faultModel.unboundedDelay {
+		node.after(node.cluster.randomDuration(0, time.Millisecond), transmit)
 		return
 	}
 	transmit()
@@ -132,7 +132,7 @@
 
 func outcomeOf(status int) replicastate.Outcome {
 	outcomes := map[int]replicastate.Outcome{
-		statusUnreached:               replicastate.Unreachable,
+		statusUnreachable:             replicastate.Unreachable,
 		http.StatusAccepted:           replicastate.Accepted,
 		http.StatusOK:                 replicastate.AlreadyDone,
 		http.StatusConflict:           replicastate.Conflict,
