--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,10 +1,9 @@
-// Package lease implements a singleton role: a duty that only one control plane may perform at a
-// time, guarded by a lease that a majority of the keystore's members grants.
+// Package lease implements leases for singleton roles, which only one control plane may perform at a time. A lease is granted
+// by a majority of the keystore's members.
 //
-// All deadlines are taken from the holder's monotonic clock, never from the time of day, so a clock
-// that is stepped or a machine that is suspended cannot extend a lease. The package never renews a
-// lease that has expired and doesn't elect a successor: a lease that isn't renewed is simply acquired
-// by another control plane. It has no background goroutine; the caller decides when to acquire and renew.
+// All deadlines are readings of the holder's monotonic clock, never of the wall clock, so that a clock step or a suspended
+// machine cannot extend a lease. The package never renews an expired lease and elects no successor: a lease that is not
+// renewed can be acquired by any control plane. It starts no goroutine; the caller decides when to acquire and renew.
 //
 // Start reading at Manager.Acquire.
 package lease
--- a/internal/lease/grant_test.go
+++ b/internal/lease/grant_test.go
@@ -13,10 +13,10 @@
 		grant lease.Grant
 		want  bool
 	}{
-		"the first grant ever":                  {lease.Grant{Record: lease.Record{Fence: 1}}, false},
-		"the same incarnation again":            {lease.Grant{Record: lease.Record{Fence: 3}, ContinuesFence: 2}, false},
-		"another holder before":                 {lease.Grant{Record: lease.Record{Fence: 3, TakeoverPending: true}}, false},
-		"the next incarnation, none in between": {lease.Grant{Record: lease.Record{Fence: 3}}, true},
+		"first grant of the lease":            {lease.Grant{Record: lease.Record{Fence: 1}}, false},
+		"same incarnation as before":          {lease.Grant{Record: lease.Record{Fence: 3}, ContinuesFence: 2}, false},
+		"after another holder":                {lease.Grant{Record: lease.Record{Fence: 3, TakeoverPending: true}}, false},
+		"next incarnation of the same holder": {lease.Grant{Record: lease.Record{Fence: 3}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, test.grant.FollowsOwnRestart(), test.want)
--- a/internal/lease/holders_simulation_test.go
+++ b/internal/lease/holders_simulation_test.go
@@ -21,14 +21,14 @@
 	frozenPollInterval = 3 * time.Millisecond
 )
 
-// action is something that a holder did under the lease.
+// action records that a holder acted under the lease.
 type action struct {
 	at     time.Time
 	holder string
 	fence  uint64
 }
 
-// actionLog is what all holders did, in order.
+// actionLog records the actions of all holders in order.
 type actionLog struct {
 	lock    sync.Mutex
 	actions []action
@@ -40,7 +40,8 @@
 	l.actions = append(l.actions, action)
 }
 
-// check fails if a fence had two holders, fell, or a holder acted too soon after another.
+// check returns an error if two holders had the same fencing token, if a token decreased, or if a holder acted less than the
+// takeover delay after another one.
 func (l *actionLog) check() error {
 	holders := map[uint64]string{}
 	for index, action := range l.actions {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// handovers counts how often the holder changed.
+// handovers returns how often the holder changed.
 func (l *actionLog) handovers() int {
 	handovers := 0
 	for index := 1; index < len(l.actions); index++ {
@@ -73,13 +74,13 @@
 	return handovers
 }
 
-// actingSchedule is a schedule of holders that act whenever their grant allows it. A broken holder
-// believes in its lease for longer than the members by ttlOverrun, or has no takeover delay.
+// actingSchedule is a schedule whose holders act whenever their grant allows it. To inject a defect, ttlOverrun extends the
+// holders' TTL beyond that of the members, and takeoverDelay is set to zero.
 type actingSchedule struct {
 	schedule
 	ttlOverrun    time.Duration
 	takeoverDelay time.Duration
-	// margin is how long before the end of its grant a holder stops acting.
+	// margin is how long before the expiry of its grant a holder stops acting.
 	margin time.Duration
 }
 
@@ -114,7 +115,7 @@
 	return log, log.check()
 }
 
-// actingHolder acquires and renews the lease, and acts when it may.
+// actingHolder acquires and renews the lease, and records an action whenever the grant allows one.
 type actingHolder struct {
 	simulatedHolder
 	ttl           time.Duration
@@ -171,14 +172,15 @@
 				handovers += log.handovers()
 			})
 			t.Logf("%d actions, %d handovers in %d schedules", actions, handovers, schedules)
-			assert.Assert(t, actions > 100*schedules/2, "the duty is hardly performed: %d actions", actions)
-			assert.Assert(t, handovers > schedules/4, "the duty hardly changes hands: %d handovers", handovers)
+			assert.Assert(t, actions > 100*schedules/2, "holders rarely act: %d actions", actions)
+			assert.Assert(t, handovers > schedules/4, "the holder rarely changes: %d handovers", handovers)
 		})
 	}
 }
 
-// Clocks that run apart by one part in 500 take 6 ms from a lease of 1.5 s. The placement lease's holder stops acting 0.8 s early.
-func TestManager_OneActiveHolderWhileClocksRunApart(t *testing.T) {
+// Two clocks that each drift by up to one part in 500 differ by up to 6 ms over a lease of 1.5 s. The holder of the placement
+// lease has a larger margin: it stops acting 0.8 s before the expiry.
+func TestManager_OneActiveHolderUnderClockDrift(t *testing.T) {
 	const drift, margin = 1.0 / 500, 20 * time.Millisecond
 	forEachSeed(t, 150, func(t *testing.T, seed uint64) {
 		drifting := newActingSchedule(threeMembers)
@@ -190,24 +192,24 @@
 
 func TestSimulation_CatchesBrokenHolders(t *testing.T) {
 	const attempts = 120
-	overstays := newActingSchedule(threeMembers)
-	overstays.ttlOverrun = 4 * time.Second
-	overstays.takeoverDelay = 0
+	overrunsTTL := newActingSchedule(threeMembers)
+	overrunsTTL.ttlOverrun = 4 * time.Second
+	overrunsTTL.takeoverDelay = 0
 
-	usesTimeOfDay := newActingSchedule(fiveMembersInZones)
-	usesTimeOfDay.wallClocks = true
-	usesTimeOfDay.faults = slices.Concat(usesTimeOfDay.faults, []keystoresim.Fault{keystoresim.StepWallClock, keystoresim.StepWallClock})
+	usesWallClock := newActingSchedule(fiveMembersInZones)
+	usesWallClock.wallClocks = true
+	usesWallClock.faults = slices.Concat(usesWallClock.faults, []keystoresim.Fault{keystoresim.StepWallClock, keystoresim.StepWallClock})
 
-	runsApart := newActingSchedule(threeMembers)
-	runsApart.clockDrift = 0.3
+	drifts := newActingSchedule(threeMembers)
+	drifts.clockDrift = 0.3
 
 	for name, test := range map[string]struct {
 		schedule  actingSchedule
 		firstSeed uint64
 	}{
-		"clock runs too slow":   {runsApart, 1},
-		"overstays":             {overstays, 1},
-		"goes by the day clock": {usesTimeOfDay, 700},
+		"excessive clock drift": {drifts, 1},
+		"overruns the TTL":      {overrunsTTL, 1},
+		"uses the wall clock":   {usesWallClock, 700},
 	} {
 		t.Run(name, func(t *testing.T) {
 			caught := false
@@ -219,7 +221,7 @@
 					}
 				})
 			}
-			assert.Assert(t, caught, "no schedule shows two holders")
+			assert.Assert(t, caught, "no schedule detects the defect")
 		})
 	}
 }
@@ -235,6 +237,6 @@
 				played[turn] = log.actions
 			})
 		}
-		assert.Assert(t, slices.Equal(played[0], played[1]), "FERRYSPAR_SEED=%d plays in two ways", seed)
+		assert.Assert(t, slices.Equal(played[0], played[1]), "two runs with FERRYSPAR_SEED=%d differ", seed)
 	}
 }
--- a/internal/lease/loss_test.go
+++ b/internal/lease/loss_test.go
@@ -13,7 +13,7 @@
 	"ferryspar/internal/lease"
 )
 
-// unreachableStore is a store whose renewals fail after a while.
+// unreachableStore is a store whose renewals fail after calling renew, which advances the clock.
 type unreachableStore struct {
 	*memoryStore
 	renew func()
@@ -27,11 +27,11 @@
 func TestManager_RenewLogsLossOfLease(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// beforeRenew and inRenew are how much time passes before the renewal and during it. The lease lasts a second.
+		// beforeRenew and inRenew are the times that pass before and during the renewal. The TTL is one second.
 		beforeRenew, inRenew time.Duration
 		lost                 bool
 	}{
-		{name: "kept while it runs", beforeRenew: 500 * time.Millisecond, inRenew: 100 * time.Millisecond, lost: false},
+		{name: "still valid after a failed renewal", beforeRenew: 500 * time.Millisecond, inRenew: 100 * time.Millisecond, lost: false},
 		{name: "expires during the renewal", beforeRenew: 500 * time.Millisecond, inRenew: 600 * time.Millisecond, lost: true},
 		{name: "expired before the renewal", beforeRenew: 1100 * time.Millisecond, lost: true},
 	} {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -15,62 +15,61 @@
 // logKeyLease is the log field that names the lease.
 const logKeyLease = "lease"
 
-// ErrSuperseded is returned by Manager.Reserve for a grant that is no longer the last one.
+// ErrSuperseded is returned by Manager.Reserve for a grant that is no longer the latest one.
 var ErrSuperseded = errors.New("superseded by a later grant")
 
-// ErrUnreadableRecord is returned by Manager.Acquire where the lease has a record that this release cannot read. Were it
-// taken for a lease that nobody has held, fences would start at 1 again, and replicas would follow an older holder.
+// ErrUnreadableRecord is returned by Manager.Acquire if this release cannot decode the lease's record. Treating such a lease
+// as new would restart the fencing tokens at 1, and replicas would obey an older holder.
 var ErrUnreadableRecord = errors.New("the lease's record cannot be read")
 
-// errExpired is logged as the cause if a lease ran out between two renewals.
+// errExpired is logged as the cause if a lease expired between two renewals.
 var errExpired = errors.New("the lease expired before it was renewed")
 
 // Store is the part of the keystore that a Manager needs.
 type Store interface {
-	// Acquire becomes the owner of a key by a higher proposal number and writes what decide returns for
-	// the value found.
+	// Acquire takes ownership of a key with a higher proposal number and writes what decide returns for the value found.
 	Acquire(ctx context.Context, name string, decide func(current keystore.Register) json.RawMessage) (keystore.Register, error)
-	// Update writes the key again while this process still owns it.
+	// Update writes the key if this process still owns it.
 	Update(ctx context.Context, name string, decide keystore.Decide) error
-	// Renew asks a majority whether this process still owns the key.
+	// Renew returns nil if a majority confirms that this process still owns the key.
 	Renew(ctx context.Context, name string) error
 	// Release gives up the ownership of the key.
 	Release(ctx context.Context, name string) error
 }
 
-// Manager acquires and renews one lease for this process. Set the exported fields before the first call.
-// Acquire must not be called concurrently with itself; the other methods may be called at any time.
+// Manager acquires and renews one lease for this process. The exported fields must be set before the first call. Acquire must
+// not be called concurrently with itself; the other methods may be called at any time.
 type Manager struct {
 	// Key is the keystore key of the lease.
 	Key string
 	// Holder and Address are written to the record as the holder's name and address.
 	Holder  string
 	Address string
-	// TTL is how long a grant lasts, counted from before the request to the majority: counted from the
-	// answer, the holder would believe in its lease for longer than the members that granted it.
+	// TTL is the duration of a grant, measured from before the request to the majority. Measured from the response, the
+	// lease would expire later for the holder than for the members that granted it.
 	TTL time.Duration
-	// TakeoverDelay is how long a new holder waits before it acts if another control plane held the lease before.
-	// It must cover the TTL; with a shorter one, two holders can act at once.
+	// TakeoverDelay is how long a new holder waits before it acts if another control plane held the lease before. It must
+	// be at least the TTL; otherwise two holders can act at once.
 	TakeoverDelay time.Duration
 	Store         Store
 	// Clock returns readings of the monotonic clock.
 	Clock func() time.Time
 
-	// lastFence is the fence of the last grant, 0 before the first.
+	// lastFence is the fencing token of the last grant, 0 before the first.
 	lastFence uint64
-	// highestProposedFence is the highest fence that was requested. A record with a higher one was
+	// highestProposedFence is the highest fencing token that this process has proposed. A record with a higher one was
 	// written by another process.
 	highestProposedFence uint64
 	// lastEffectiveFrom is the EffectiveFrom of the last grant.
 	lastEffectiveFrom time.Time
-	// interrupted is set once a record of another holder, or of another incarnation of this one, was
-	// seen since the last grant.
+	// interrupted is set if a record of another holder, or of another incarnation of this one, was found since the last
+	// grant.
 	interrupted bool
 }
 
-// Acquire acquires the lease with the next fence. The caller must act only as far as the returned Grant
-// allows. An error means that no majority is known to have granted the lease; it wraps ErrUnreadableRecord where the
-// record that was found cannot be read, which stays as it is.
+// Acquire acquires the lease with the next fencing token. The caller must act only as far as the returned Grant allows. An
+// error means that no majority is known to have granted the lease. It wraps ErrUnreadableRecord if the existing record cannot
+// be decoded; the record is then left unchanged.
 func (m *Manager) Acquire(ctx context.Context) (*Grant, error) {
 	requestedAt := m.Clock()
 	var record Record
@@ -91,38 +90,38 @@
 		return nil, m.refuse(ctx, unreadable)
 	}
 	grant := m.adopt(record, requestedAt, m.Clock())
-	logrus.WithFields(logrus.Fields{logKeyLease: m.Key, "fence": record.Fence}).Info("lease taken")
+	logrus.WithFields(logrus.Fields{logKeyLease: m.Key, "fence": record.Fence}).Info("lease acquired")
 	return grant, nil
 }
 
-// refuse gives the ownership of a lease up whose record cannot be read.
+// refuse releases the ownership of a lease whose record cannot be decoded, and returns the error for Acquire.
 func (m *Manager) refuse(ctx context.Context, cause error) error {
 	err := errors.WithMessagef(ErrUnreadableRecord, "lease %q: %s", m.Key, cause)
-	logrus.WithError(err).WithField(logKeyLease, m.Key).Error("lease not taken, its record cannot be read")
+	logrus.WithError(err).WithField(logKeyLease, m.Key).Error("lease not acquired: its record cannot be read")
 	if releaseErr := m.Store.Release(ctx, m.Key); releaseErr != nil {
-		logrus.WithError(releaseErr).WithField(logKeyLease, m.Key).Debug("unreadable lease not released")
+		logrus.WithError(releaseErr).WithField(logKeyLease, m.Key).Debug("lease with unreadable record not released")
 	}
 	return err
 }
 
-// decodeRecord decodes the value of a lease's key. One that was never written is a lease that nobody has held; any
-// other has a fence.
+// decodeRecord decodes the value of a lease's key. An empty value is a lease that was never held; any other must have a
+// fencing token.
 func decodeRecord(value json.RawMessage) (Record, error) {
 	var record Record
 	if len(value) == 0 {
 		return record, nil
 	}
 	if err := json.Unmarshal(value, &record); err != nil {
-		return record, errors.Wrap(err, "decode")
+		return record, errors.Wrap(err, "decode lease record")
 	}
 	if record.Fence == 0 {
-		return record, errors.New("no fence")
+		return record, errors.New("lease record has no fence")
 	}
 	return record, nil
 }
 
-// propose returns the record to write over the one found. The store may call it several times for one
-// Acquire, each time with what it found then.
+// propose returns the record that replaces the existing one. The store may call it several times for one Acquire, with the
+// record found each time.
 func (m *Manager) propose(last Record) Record {
 	record := m.nextRecord(last)
 	if !record.sameHolder(last) || last.Fence < m.lastFence || last.Fence > m.highestProposedFence {
@@ -132,8 +131,8 @@
 	return record
 }
 
-// nextRecord is the record of this holder's next grant. The reservation is carried over, since what it
-// bounds outlives the grant; the very first grant has nothing to carry.
+// nextRecord returns the record of this holder's next grant. The reservation is carried over, because the usage that it
+// bounds outlives the grant. The first grant of a lease starts with an empty one.
 func (m *Manager) nextRecord(last Record) Record {
 	record := Record{
 		Holder:   m.Holder,
@@ -149,7 +148,7 @@
 	return record
 }
 
-// adopt makes a record that a majority accepted the last grant of this process.
+// adopt returns the grant for a record that a majority has accepted, and stores it as the last grant of this process.
 func (m *Manager) adopt(record Record, requestedAt, now time.Time) *Grant {
 	grant := &Grant{
 		Record:        record,
@@ -169,8 +168,8 @@
 	return grant
 }
 
-// takeoverEndsAt is when the lease of an earlier holder has surely expired. A grant that continues one of
-// this process ends the wait that began with that one.
+// takeoverEndsAt returns the time by which the lease of any earlier holder has certainly expired. If the grant continues the
+// last one of this process, the takeover delay of that one still counts and does not begin again.
 func (m *Manager) takeoverEndsAt(continuesFence uint64, now time.Time) time.Time {
 	if continuesFence == 0 {
 		return now.Add(m.TakeoverDelay)
@@ -181,14 +180,13 @@
 	return now
 }
 
-// Reserve writes a reservation into the record of a grant. It returns an error that wraps ErrSuperseded if
-// the lease was granted again since. After any other error a successor may find this reservation or an
-// earlier one.
+// Reserve writes a reservation to the record of a grant. It returns an error that wraps ErrSuperseded if the lease was
+// granted again since. After any other error, the next holder may find this reservation or an earlier one.
 func (m *Manager) Reserve(ctx context.Context, grant *Grant, reserved loadbudget.Reservation) error {
 	return m.Store.Update(ctx, m.Key, func(current keystore.Register) (json.RawMessage, error) {
 		var last Record
 		if err := json.Unmarshal(current.Value, &last); err != nil {
-			return nil, errors.Wrapf(err, "decode the record of lease %q", m.Key)
+			return nil, errors.Wrapf(err, "decode record of lease %q", m.Key)
 		}
 		if !last.sameHolder(grant.Record) || last.Fence != grant.Record.Fence {
 			return nil, errors.Wrapf(ErrSuperseded, "lease %q, fence %d", m.Key, grant.Record.Fence)
@@ -201,8 +199,8 @@
 	})
 }
 
-// Renew extends a grant, counted from the moment before the request. It returns the same grant if that
-// still runs but no majority answered, and nil once the lease is lost.
+// Renew extends a grant by the TTL, measured from before the request. It returns the grant unchanged if no majority responded
+// but the grant is still valid, and nil once the lease is lost.
 func (m *Manager) Renew(ctx context.Context, grant *Grant) *Grant {
 	requestedAt := m.Clock()
 	if !requestedAt.Before(grant.ExpiresAt) {
@@ -225,6 +223,6 @@
 	logrus.WithError(cause).WithField(logKeyLease, m.Key).Warn("lease lost")
 }
 
-// Release gives up the lease early, so that a successor need not wait until it expires. The holder must have
-// completed its last action under it.
+// Release releases the lease, so that the next holder need not wait until it expires. The holder must have completed its last
+// action under the lease.
 func (m *Manager) Release(ctx context.Context) error { return m.Store.Release(ctx, m.Key) }
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -13,7 +13,7 @@
 	"ferryspar/internal/loadbudget"
 )
 
-// memoryStore is a store of one key without faults.
+// memoryStore is an in-memory store of one key that never fails.
 type memoryStore struct {
 	value    json.RawMessage
 	releases int
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// testDaemons makes managers that share a store and a clock.
+// testDaemons creates managers that share a store and a clock.
 type testDaemons struct {
 	store memoryStore
 	now   time.Time
@@ -49,7 +49,7 @@
 	return &testDaemons{now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
 }
 
-// start returns the manager of a new incarnation of a daemon.
+// start returns the manager of a new incarnation of the named daemon.
 func (d *testDaemons) start(name, address string) *lease.Manager {
 	return &lease.Manager{
 		Key:           "k",
@@ -62,12 +62,12 @@
 	}
 }
 
-func TestManager_RestartNeedNotWaitAfterWrite(t *testing.T) {
+func TestManager_RestartedHolderSkipsTakeoverDelayAfterWrite(t *testing.T) {
 	daemons := newTestDaemons()
 	for step, test := range []struct {
 		holder string
 		waits  bool
-		// writes has the holder write a reservation once it may act.
+		// writes makes the holder write a reservation as soon as it may act.
 		writes bool
 	}{
 		{holder: "a"},
@@ -96,15 +96,15 @@
 		waits     time.Duration
 		inherits  int
 	}{
-		{"the very first", first, 0, 0, 0},
-		{"the same incarnation", first, 1, 0, 1},
-		{"the next incarnation", daemons.start("a", "1"), 0, 0, 2},
-		{"the incarnation before, taken for dead", first, 0, 0, 3},
+		{"first grant of the lease", first, 0, 0, 0},
+		{"same incarnation", first, 1, 0, 1},
+		{"next incarnation", daemons.start("a", "1"), 0, 0, 2},
+		{"previous incarnation, which still runs", first, 0, 0, 3},
 		{"another daemon", other, 0, time.Minute, 4},
-		{"the first once more", first, 0, time.Minute, 5},
-		{"the first again, which hasn't waited to the end", first, 6, time.Minute - time.Second, 6},
-		{"its next incarnation, which doesn't know since when", daemons.start("a", "1"), 0, time.Minute, 7},
-		{"the same name at another address", daemons.start("a", "3"), 0, time.Minute, 8},
+		{"first daemon after another", first, 0, time.Minute, 5},
+		{"first daemon during its takeover delay", first, 6, time.Minute - time.Second, 6},
+		{"next incarnation, which does not know when the delay began", daemons.start("a", "1"), 0, time.Minute, 7},
+		{"same name at another address", daemons.start("a", "3"), 0, time.Minute, 8},
 	}
 	for index, step := range steps {
 		grant, err := step.manager.Acquire(t.Context())
@@ -116,26 +116,26 @@
 		assert.NilError(t, step.manager.Reserve(t.Context(), grant, loadbudget.Reservation{Loads: index + 1}))
 		daemons.now = daemons.now.Add(time.Second)
 	}
-	past := &lease.Grant{Record: lease.Record{Holder: "a", Address: "1", Fence: 1}}
-	err := first.Reserve(t.Context(), past, loadbudget.Reservation{Loads: 50})
+	superseded := &lease.Grant{Record: lease.Record{Holder: "a", Address: "1", Fence: 1}}
+	err := first.Reserve(t.Context(), superseded, loadbudget.Reservation{Loads: 50})
 	assert.ErrorIs(t, err, lease.ErrSuperseded)
 	assert.Error(t, err, `lease "k", fence 1: superseded by a later grant`)
 }
 
-func TestManager_RefusesRecordThatCannotBeRead(t *testing.T) {
+func TestManager_AcquireRejectsUnreadableRecord(t *testing.T) {
 	for name, damaged := range map[string]string{
-		"no JSON":         `{"holder":"a","fence":7`,
-		"another type":    `{"fence":"seven"}`,
-		"without a fence": `{"holder":"a","address":"here"}`,
-		"null":            `null`,
+		"invalid JSON": `{"holder":"a","fence":7`,
+		"wrong type":   `{"fence":"seven"}`,
+		"no fence":     `{"holder":"a","address":"here"}`,
+		"null":         `null`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			daemons := newTestDaemons()
 			daemons.store.value = json.RawMessage(damaged)
 			_, err := daemons.start("b", "there").Acquire(t.Context())
 			assert.ErrorIs(t, err, lease.ErrUnreadableRecord)
-			assert.Equal(t, string(daemons.store.value), damaged, "what a holder used must not be lost")
-			assert.Equal(t, daemons.store.releases, 1, "another release that can read it may take the lease")
+			assert.Equal(t, string(daemons.store.value), damaged, "the record with the reservation must not be lost")
+			assert.Equal(t, daemons.store.releases, 1, "a release that can decode the record may acquire the lease")
 		})
 	}
 }
--- a/internal/lease/reservations_simulation_test.go
+++ b/internal/lease/reservations_simulation_test.go
@@ -16,8 +16,8 @@
 	"ferryspar/internal/loadbudget"
 )
 
-// reservationLog holds the reservations under each granted fence, in order: the first is inherited, and those of
-// uncertain outcome are marked.
+// reservationLog records the reservations under each fencing token in order. The first one is inherited from the previous
+// grant. Those whose write has an uncertain outcome are not marked as certain.
 type reservationLog struct {
 	lock          sync.Mutex
 	byFence       map[uint64][]reservationWrite
@@ -36,7 +36,7 @@
 	l.byFence[record.Fence] = []reservationWrite{{record.Reserved.Loads, true}}
 }
 
-// reserve writes a reservation that differs from all others.
+// reserve writes a reservation with a unique number of loads.
 func (l *reservationLog) reserve(ctx context.Context, manager *lease.Manager, grant *lease.Grant) {
 	l.lock.Lock()
 	l.lastLoads++
@@ -52,7 +52,8 @@
 	}
 }
 
-// check fails if a grant found neither the last certain reservation before it nor one written since.
+// check returns an error if a grant inherited neither the last certain reservation of the previous grant nor one that was
+// written after it.
 func (l *reservationLog) check() error {
 	var possible []int
 	for _, fence := range slices.Sorted(maps.Keys(l.byFence)) {
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// reservingHolder acquires and renews the lease, and writes reservations.
+// reservingHolder acquires and renews the lease and writes reservations.
 type reservingHolder struct {
 	simulatedHolder
 	log     *reservationLog
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -17,22 +17,21 @@
 )
 
 const (
-	// minHolderInterval is the least time between two steps of a holder; as much again is added at random.
+	// minHolderInterval is the minimum time between two steps of a holder; a random time of up to the same length is added.
 	minHolderInterval = 80 * time.Millisecond
 	acquireTimeout    = 1200 * time.Millisecond
 	minFaultInterval  = 200 * time.Millisecond
 	minFaultDuration  = 50 * time.Millisecond
-	// drainTime lets everything end that is under way once all processes are dead.
+	// drainTime is how long the simulation waits for pending operations after all processes have been killed.
 	drainTime = time.Minute
 
 	faultStream  = 11
 	holderStream = 50
 )
 
-var errNeverVotesAgain = errors.New("a member never voted again")
+var errNotAllVote = errors.New("not all members vote again after a fault")
 
-// simulatedCluster is one of the clusters that schedules run in: the members of each zone, and what happens
-// to them.
+// simulatedCluster describes the cluster of a schedule: the number of members in each zone, and the faults that are injected.
 type simulatedCluster struct {
 	zones  []int
 	faults []keystoresim.Fault
@@ -57,23 +56,22 @@
 	}
 )
 
-// schedule is a simulated history, determined by its seed: every machine of a cluster runs a holder while
-// faults befall the machines.
+// schedule is a simulated run that is determined by its seed: each machine of a cluster runs a holder while faults are
+// injected.
 type schedule struct {
 	simulatedCluster
 	seed       uint64
 	wallClocks bool
-	// clockDrift is the share by which the monotonic clock of a machine runs too fast or too slow at most.
+	// clockDrift is the maximum rate error of a machine's monotonic clock, as a fraction.
 	clockDrift float64
-	// duration is how long holders run and faults occur.
+	// duration is how long holders run and faults are injected.
 	duration time.Duration
-	// maxFaultInterval and maxFaultDuration bound the random parts of the time between faults, and of the
-	// time that each lasts.
+	// maxFaultInterval and maxFaultDuration bound the random parts of the time between faults and of the duration of a fault.
 	maxFaultInterval time.Duration
 	maxFaultDuration time.Duration
 }
 
-// simulatedHolder is the process of a machine that tries to hold the lease.
+// simulatedHolder is the process on a machine that tries to hold the lease.
 type simulatedHolder struct {
 	cluster *keystoresim.Cluster
 	name    string
@@ -81,7 +79,7 @@
 	until   time.Time
 }
 
-// run plays the schedule with runHolder on every machine.
+// run executes the schedule with runHolder on every machine.
 func (s schedule) run(runHolder func(holder simulatedHolder)) error {
 	cluster := s.startCluster()
 	until := time.Now().Add(s.duration)
@@ -119,7 +117,7 @@
 	return cluster
 }
 
-// injectFaults plays one fault after another. It fails if the members don't all vote again after one.
+// injectFaults injects one fault after another. It returns an error if not all members vote again after a fault.
 func (s schedule) injectFaults(cluster *keystoresim.Cluster, until time.Time) error {
 	random := rand.New(rand.NewPCG(s.seed, faultStream))
 	for time.Now().Before(until) {
@@ -128,13 +126,13 @@
 		fault := s.faults[random.IntN(len(s.faults))]
 		fault(cluster, name, random, randomDuration(random, s.maxFaultDuration)+minFaultDuration)
 		if !cluster.WaitUntilAllVote(time.Minute) {
-			return errNeverVotesAgain
+			return errNotAllVote
 		}
 	}
 	return nil
 }
 
-// run calls step again and again, with the keystore of the machine's process, nil while that is down.
+// run calls step repeatedly with the keystore of the machine's process, which is nil while the process is down.
 func (h simulatedHolder) run(step func(store *keystore.Store)) {
 	for time.Now().Before(h.until) {
 		time.Sleep(minHolderInterval + randomDuration(h.random, minHolderInterval))
@@ -156,7 +154,7 @@
 	return time.Duration(random.Int64N(int64(limit)))
 }
 
-// forEachSeed runs a test for each of a number of seeds, in fake time, and returns how many there were.
+// forEachSeed runs a test in fake time for each of a number of seeds and returns that number.
 func forEachSeed(t *testing.T, schedules int, test func(t *testing.T, seed uint64)) int {
 	t.Helper()
 	from, to := keystoresim.SeedRange(schedules)
@@ -166,7 +164,7 @@
 	return to - from
 }
 
-func TestSteppedClock_MovesOnlyTimeOfDay(t *testing.T) {
+func TestOffsetWallClock_LeavesMonotonicClockUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := keystoresim.OffsetWallClock(time.Now(), 0)
 		time.Sleep(time.Second)
