--- a/internal/membership/bootstrap.go
+++ b/internal/membership/bootstrap.go
@@ -2,8 +2,8 @@
 
 import "ferryspar/internal/keystore"
 
-// BootstrapMembersVote reports whether the membership is the one of the bootstrap and every member of it is known
-// to have voted under it.
+// BootstrapMembersVote reports whether the membership is still that of the bootstrap and every member is known to vote
+// under it.
 func BootstrapMembersVote(view View) bool {
 	if view.Membership.Version != keystore.BootstrapVersion {
 		return false
--- a/internal/membership/change.go
+++ b/internal/membership/change.go
@@ -8,25 +8,25 @@
 	"ferryspar/internal/keystore"
 )
 
-// proposalDelayPerRank is how long a member waits for the one before it to commit a change.
+// proposalDelayPerRank is how long a member waits for the preceding one to commit a change.
 const proposalDelayPerRank = time.Second
 
-// takeBackPatience is how long the next members may be without a majority before the change is taken back: a newcomer that
-// is heard gains its vote within a fraction of it, and the change is completed instead.
-const takeBackPatience = 1500 * time.Millisecond
+// noMajorityTimeout is how long the next members may lack a majority of votes before the change is rolled back. A reachable
+// newcomer gains its vote within a fraction of that time, and the change is then completed instead.
+const noMajorityTimeout = 1500 * time.Millisecond
 
-// Change is a membership to commit, and why.
+// Change is a membership to commit, and the reason for it.
 type Change struct {
 	Membership keystore.Membership
 	Reason     string
-	// StabilizationDelay is how long the change must have been due before anybody proposes it.
+	// StabilizationDelay is how long the change must have been due before any member proposes it.
 	StabilizationDelay time.Duration
 }
 
-// NextChange returns the change of the membership that is due in this view, and whether there is one. Members
-// are exchanged or added one at a time: each change is first joint, so that both the old and the new members
-// must have a majority, and completed once the newcomer has caught up. Without the joint phase two disjoint
-// majorities could commit different values.
+// NextChange returns the change of the membership that is due in this view, and whether there is one. Members are replaced or
+// added one at a time. Each change starts with a joint membership, under which a commit needs a majority of both the old and
+// the new members, and is completed once the newcomer has caught up. Without the joint phase, two disjoint majorities could
+// commit different values.
 func NextChange(view View) (Change, bool) {
 	if view.Membership.IsJoint() {
 		return view.finishJointChange()
@@ -54,7 +54,7 @@
 
 func (v View) startAddition(newcomers []string) Change {
 	next := append(slices.Clone(v.Membership.Current), v.pickNewcomer(newcomers, v.Membership.Current))
-	return v.startJointChange(next, "more members are needed for the losses to be borne")
+	return v.startJointChange(next, "more members are needed for the desired fault tolerance")
 }
 
 func (v View) startJointChange(next []string, reason string) Change {
@@ -66,9 +66,9 @@
 	return Change{Membership: joint, Reason: reason}
 }
 
-// finishJointChange ends a change that is under way: with the new members once the newcomer votes under the joint
-// membership, with the old ones if the newcomer is lost, or if those of the new members that vote are no majority. In that
-// case nothing else can be committed until the change is taken back.
+// finishJointChange returns the change that ends a joint membership. It completes the change once the newcomer votes under the
+// joint membership. It rolls the change back if the newcomer is lost or leaving, or if the new members lack a majority of
+// votes, since nothing else can be committed in that state.
 func (v View) finishJointChange() (Change, bool) {
 	for _, member := range v.Membership.Next {
 		if v.Membership.IsCurrent(member) {
@@ -78,16 +78,16 @@
 			return v.completeChange(), true
 		}
 		if v.isLeaving(member) || v.isLost(member) {
-			return v.takeBackChange("newcomer was lost", 0), true
+			return v.rollBackChange("newcomer is lost or leaving", 0), true
 		}
 	}
 	if !v.nextMembersHaveMajority() {
-		return v.takeBackChange("too few of the next members vote", takeBackPatience), true
+		return v.rollBackChange("no majority of the next members votes", noMajorityTimeout), true
 	}
 	return Change{}, false
 }
 
-// nextMembersHaveMajority reports whether those of the next members that vote and are not lost are a majority of them.
+// nextMembersHaveMajority reports whether a majority of the next members vote and are not lost.
 func (v View) nextMembersHaveMajority() bool {
 	voting := map[string]bool{}
 	for _, member := range v.Membership.Next {
@@ -96,8 +96,8 @@
 	return keystore.Membership{Current: v.Membership.Next}.HasQuorum(voting)
 }
 
-// hasCaughtUp reports whether a newcomer votes under this very membership. If it had only caught up under an earlier
-// one, it may lack values that were committed since.
+// hasCaughtUp reports whether a newcomer votes under the current version of the membership. One that caught up under an
+// earlier version may lack values that were committed since.
 func (v View) hasCaughtUp(newcomer string) bool {
 	peer := v.Peers[newcomer]
 	votes := !v.isSuspect(newcomer) && !peer.Leaving && !peer.Joining
@@ -109,12 +109,12 @@
 	return Change{Membership: completed, Reason: "newcomer has caught up"}
 }
 
-func (v View) takeBackChange(reason string, patience time.Duration) Change {
-	return Change{Membership: v.Membership.TakenBack(), Reason: reason, StabilizationDelay: patience}
+func (v View) rollBackChange(reason string, stabilizationDelay time.Duration) Change {
+	return Change{Membership: v.Membership.TakenBack(), Reason: reason, StabilizationDelay: stabilizationDelay}
 }
 
-// memberToReplace returns the member to replace, and why: a lost one before one that is leaving, because the latter
-// still votes; of several lost ones, the one not heard for longest.
+// memberToReplace returns the member to replace and the reason. Lost members come before leaving ones, which still vote; among
+// several lost members, the one that has been silent for longest comes first.
 func (v View) memberToReplace() (address, reason string, found bool) {
 	var lost, leaving []string
 	for _, member := range v.Membership.Current {
@@ -137,8 +137,8 @@
 	return "", "", false
 }
 
-// pickNewcomer returns the newcomer whose zone has the fewest of the staying members, so that the loss of one
-// zone takes as few members as possible; of several, the one with the lowest address.
+// pickNewcomer returns the newcomer whose zone has the fewest of the staying members, so that the loss of a zone affects as few
+// members as possible. Ties are broken by the lowest address.
 func (v View) pickNewcomer(newcomers, staying []string) string {
 	membersInZone := map[string]int{}
 	for _, member := range staying {
@@ -152,9 +152,9 @@
 	})
 }
 
-// ProposalDelay is how long this daemon leaves a change that is due to those before it: the voting members that
-// it hears, by address. The first acts at once; each later one only in case those before it can be heard but
-// cannot commit. Without the delay all would propose at the same time and preempt each other.
+// ProposalDelay returns how long this daemon waits before it proposes a change that is due. It depends on the number of voting,
+// unsuspected members with a lower address: the first member proposes at once, and each later one only if those before it are
+// reachable but fail to commit. Without the delay, all members would propose at the same time and preempt each other.
 func ProposalDelay(view View) time.Duration {
 	rank := 0
 	for _, member := range view.Membership.Current {
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -1,8 +1,8 @@
 package membership
 
-// MayLeave reports whether the daemon may shut down: it is not a member; or no change is under way, nobody is there
-// to take its place, and those that stay behind and vote are a quorum. Without that quorum its exit would stop all
-// writes. Of members that leave at the same time the one with the lowest address goes first.
+// MayLeave reports whether the daemon may shut down. That is so if it is not a member, or if no change is in progress, no
+// newcomer can replace it, and the remaining voting members are a quorum; without the quorum, its shutdown would block all
+// writes. If several members leave at the same time, the one with the lowest address goes first.
 func MayLeave(view View) bool {
 	if !view.Membership.Contains(view.Self) {
 		return true
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,8 +16,8 @@
 	lost  = 10 * time.Second
 )
 
-// newView returns the view of self in which the given addresses are heard, and every other member is suspected by
-// self and by all that are heard.
+// newView returns the view of self in which the live addresses are heard and every other member is suspected by self and by
+// all live ones.
 func newView(self string, current keystore.Membership, live ...string) membership.View {
 	view := membership.View{
 		Membership:     current,
@@ -45,7 +45,7 @@
 // peerEdit changes what a view knows of a peer.
 type peerEdit func(peer *membership.Peer)
 
-// on applies the edit to a peer of the view, which it returns.
+// on applies the edit to a peer of the view and returns the view.
 func (e peerEdit) on(view membership.View, address string) membership.View {
 	peer := view.Peers[address]
 	e(&peer)
@@ -68,17 +68,17 @@
 	jointChange = keystore.Membership{Version: 5, Current: []string{"a", "b", "c"}, Next: []string{"d", "b", "c"}}
 )
 
-func TestNextChange_ReplacesLostMemberJointly(t *testing.T) {
+func TestNextChange_ReplacesLostMemberByJointChange(t *testing.T) {
 	change, due := membership.NextChange(peerEdit(joining).on(newView("b", threeMembers, "c", "d"), "d"))
 	assert.Assert(t, due)
 	assert.DeepEqual(t, change.Membership, jointChange)
 	_, due = membership.NextChange(newView("b", threeMembers, "c"))
-	assert.Assert(t, !due, "nobody to add")
+	assert.Assert(t, !due, "there is no newcomer")
 	_, due = membership.NextChange(newView("a", threeMembers, "b", "c", "d"))
-	assert.Assert(t, !due, "nobody is lost")
+	assert.Assert(t, !due, "no member is lost")
 }
 
-func TestNextChange_IgnoresCutLink(t *testing.T) {
+func TestNextChange_IgnoresFailedLinkBetweenMembers(t *testing.T) {
 	view := newView("a", threeMembers, "c", "d")
 	peerEdit(noSuspects).on(view, "c")
 	_, due := membership.NextChange(view)
@@ -105,7 +105,7 @@
 
 func TestNextChange_FinishesOnceNewcomerCaughtUp(t *testing.T) {
 	_, due := membership.NextChange(caughtUpUnder(3).on(newView("b", jointChange, "c", "d"), "d"))
-	assert.Assert(t, !due, "it votes under an older version only")
+	assert.Assert(t, !due, "it votes only under an older version")
 	change, due := membership.NextChange(caughtUpUnder(5).on(newView("b", jointChange, "c", "d"), "d"))
 	assert.Assert(t, due)
 	assert.DeepEqual(t, change.Membership, keystore.Membership{Version: 6, Current: []string{"d", "b", "c"}})
@@ -114,7 +114,7 @@
 	assert.DeepEqual(t, change.Membership, keystore.Membership{Version: 6, Current: []string{"a", "b", "c"}})
 }
 
-func TestNextChange_TakesBackWhereNextMembersAreNoMajority(t *testing.T) {
+func TestNextChange_RollsBackWithoutMajorityOfNextMembers(t *testing.T) {
 	view := peerEdit(joining).on(newView("b", jointChange, "a", "d"), "d")
 	change, due := membership.NextChange(view)
 	assert.Assert(t, due, "c is lost and d does not vote")
@@ -137,7 +137,7 @@
 	assert.Assert(t, !due)
 }
 
-func TestNextChange_AddsMembersOneByOne(t *testing.T) {
+func TestNextChange_AddsOneMemberAtATime(t *testing.T) {
 	current := keystore.Membership{Version: 1, Current: []string{"a", "b", "c"}}
 	view := newView("a", current, "b", "c", "d", "e")
 	view.DesiredMembers = 5
@@ -154,7 +154,7 @@
 	assert.Assert(t, !due)
 }
 
-func TestNextChange_PicksNewcomerInEmptiestZone(t *testing.T) {
+func TestNextChange_PicksNewcomerInZoneWithFewestMembers(t *testing.T) {
 	view := newView("a", threeMembers, "b", "d", "e")
 	for address, zone := range map[string]string{"a": "north", "b": "south", "d": "south", "e": "west"} {
 		peerEdit(func(peer *membership.Peer) { peer.Zone = zone }).on(view, address)
@@ -164,7 +164,7 @@
 	assert.DeepEqual(t, change.Membership.Next, []string{"a", "b", "e"})
 }
 
-func TestProposalDelay_WaitsForVotersBefore(t *testing.T) {
+func TestProposalDelay_CountsVotersWithLowerAddress(t *testing.T) {
 	assert.Equal(t, membership.ProposalDelay(newView("a", threeMembers, "b", "c")), time.Duration(0))
 	assert.Equal(t, membership.ProposalDelay(newView("c", threeMembers, "a", "b")), 2*time.Second)
 	assert.Equal(t, membership.ProposalDelay(newView("c", threeMembers, "b")), time.Second, "a is suspected")
@@ -177,14 +177,14 @@
 		view membership.View
 		want bool
 	}{
-		"a quorum stays":                            {newView("a", threeMembers, "b", "c"), true},
-		"another is down":                           {newView("a", threeMembers, "b"), false},
-		"another does not vote yet":                 {peerEdit(joining).on(newView("a", threeMembers, "b", "c"), "c"), false},
-		"a newcomer may take its place":             {newView("a", threeMembers, "b", "c", "d"), false},
+		"a quorum remains":                          {newView("a", threeMembers, "b", "c"), true},
+		"another member is down":                    {newView("a", threeMembers, "b"), false},
+		"another member does not vote yet":          {peerEdit(joining).on(newView("a", threeMembers, "b", "c"), "c"), false},
+		"a newcomer can replace it":                 {newView("a", threeMembers, "b", "c", "d"), false},
 		"a member with a higher address leaves too": {peerEdit(leaving).on(newView("a", threeMembers, "b", "c"), "b"), true},
 		"a member with a lower address leaves too":  {peerEdit(leaving).on(newView("b", threeMembers, "a", "c"), "a"), false},
-		"it is not a member any more":               {newView("x", threeMembers, "a"), true},
-		"its replacement is under way":              {newView("a", jointChange, "b", "c", "d"), false},
+		"it is no longer a member":                  {newView("x", threeMembers, "a"), true},
+		"its replacement is in progress":            {newView("a", jointChange, "b", "c", "d"), false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -9,44 +9,44 @@
 )
 
 const (
-	// SuspectAfter is how long nothing may be heard of a daemon before it is suspected to be down.
+	// SuspectAfter is the time without a heartbeat after which a daemon is suspected to be down.
 	SuspectAfter = 1600 * time.Millisecond
-	// newcomerHeardWithin is how recently a newcomer must have been heard to be added. It is shorter than
-	// SuspectAfter, so that a newcomer isn't suspected as soon as it is added.
-	newcomerHeardWithin = 900 * time.Millisecond
-	// neverHeard is the time since a daemon was heard that never was.
+	// maxNewcomerSilence is the time since the last heartbeat within which a newcomer may be added. It is shorter than
+	// SuspectAfter, so that a newcomer is not suspected as soon as it is added.
+	maxNewcomerSilence = 900 * time.Millisecond
+	// neverHeard is the SinceLastHeard of a daemon without any heartbeat.
 	neverHeard = time.Duration(math.MaxInt64)
 )
 
-// Peer is what this daemon knows of a control daemon.
+// Peer is what this daemon knows about a control daemon.
 type Peer struct {
 	Address string
 	Zone    string
 	// SinceLastHeard is the time since the last heartbeat of the peer.
 	SinceLastHeard time.Duration
-	// Joining reports that the peer does not vote yet.
+	// Joining is set while the peer does not vote yet.
 	Joining bool
-	// Leaving reports that the peer is about to shut down; it votes until it does.
+	// Leaving is set when the peer is about to shut down; it votes until then.
 	Leaving bool
-	// MembershipVersion is that of the membership under which the peer caught up.
+	// MembershipVersion is the version of the membership under which the peer caught up, 0 if it has not.
 	MembershipVersion uint64
 	// Suspects lists the members that the peer suspects to be down.
 	Suspects []string
 }
 
-// View is what one daemon sees of the control daemons.
+// View is one daemon's view of the control daemons.
 type View struct {
 	// Membership is the newest membership that the daemon knows.
 	Membership keystore.Membership
 	// Self is the daemon's own address.
 	Self string
-	// DesiredMembers is how many members survive the losses that the deployment is to survive.
+	// DesiredMembers is the number of members that the deployment needs for its fault tolerance.
 	DesiredMembers int
-	// Peers holds the known daemons by address. The daemon itself is one of them, with SinceLastHeard zero.
+	// Peers holds the known daemons by address, including the daemon itself with a SinceLastHeard of zero.
 	Peers map[string]Peer
 }
 
-// Suspects lists the members that this daemon suspects to be down; it sends them to its peers.
+// Suspects returns the members that this daemon suspects to be down. It is sent to the peers.
 func (v View) Suspects() []string {
 	var suspects []string
 	for _, member := range v.Membership.All() {
@@ -65,8 +65,8 @@
 	return v.Peers[address].Leaving && !v.isSuspect(address)
 }
 
-// isLost reports whether a majority of the current members suspect an address. A single suspicion isn't
-// enough: with a link cut between two healthy members, each would have the other replaced.
+// isLost reports whether a majority of the current members suspect an address. A single suspicion is not enough: if the link
+// between two healthy members failed, each would have the other one replaced.
 func (v View) isLost(address string) bool {
 	agreeing := 0
 	for _, member := range v.Membership.Current {
@@ -77,7 +77,8 @@
 	return agreeing > len(v.Membership.Current)/2
 }
 
-// suspects reports whether a member is known to suspect an address. What a suspected member said is out of date.
+// suspects reports whether a member is known to suspect an address. Suspicions of members that are suspected themselves are
+// ignored as outdated.
 func (v View) suspects(member, address string) bool {
 	if member == v.Self {
 		return v.isSuspect(address)
@@ -92,12 +93,12 @@
 	return neverHeard
 }
 
-// newcomers lists the daemons that may become members, by address.
+// newcomers returns the daemons that may become members, sorted by address.
 func (v View) newcomers() []string {
 	var newcomers []string
 	for address, peer := range v.Peers {
-		isFresh := peer.SinceLastHeard < newcomerHeardWithin && !peer.Leaving
-		if isFresh && address != v.Self && !v.Membership.Contains(address) {
+		isAvailable := peer.SinceLastHeard < maxNewcomerSilence && !peer.Leaving
+		if isAvailable && address != v.Self && !v.Membership.Contains(address) {
 			newcomers = append(newcomers, address)
 		}
 	}
