--- a/internal/controlstate/appliedcalls.go
+++ b/internal/controlstate/appliedcalls.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// digestBytes is how much of a call's hash is remembered: two different calls share it once in 2^64 pairs.
+	// digestBytes is the number of bytes of a call's hash that are stored. The probability that two different calls have the
+	// same digest is 2^-64.
 	digestBytes = 8
-	// maxAppliedCalls is how many calls are remembered: more than the changes of a day in the largest deployment
-	// that is planned for (420).
+	// maxAppliedCalls is the number of calls that are kept. It exceeds the number of changes per day in the largest planned
+	// deployment, which is 420.
 	maxAppliedCalls = 512
 )
 
-// callDigest identifies one call of an operator, as it was sent.
+// callDigest identifies an operator's call by its method, base revision and body.
 type callDigest [digestBytes]byte
 
 func newCallDigest(method string, baseRevision int64, body []byte) callDigest {
@@ -26,38 +27,37 @@
 	return callDigest(hash.Sum(nil)[:digestBytes])
 }
 
-// AppliedCalls remembers the last calls that were carried out, in order, so that a call that is repeated is
-// acknowledged again. Without it, the operator of a call whose answer was lost could not tell whether it was
-// applied. The methods return changed copies.
+// AppliedCalls is a log of the last calls that were applied, so that a repeated call is acknowledged again. Without it, an
+// operator who received no response could not determine whether the call was applied. The methods return modified copies.
 type AppliedCalls struct {
-	// Entries holds, for each call, a varint with the difference between the revision that it built on and the
-	// one that the call before it built on, and the call's digest: about ten bytes.
+	// Entries holds about ten bytes for each call: a varint with the difference between the call's base revision and that of
+	// the previous call, followed by the call's digest.
 	Entries []byte `json:"entries,omitempty"`
-	// EvictedUpTo is the newest revision that a forgotten call built on.
+	// EvictedUpTo is the highest base revision of an evicted call.
 	EvictedUpTo int64 `json:"forgotten,omitempty"`
 }
 
-// appliedCall is an entry of AppliedCalls.
+// appliedCall is a decoded entry of AppliedCalls.
 type appliedCall struct {
-	revisionStep int64
-	digest       callDigest
-	encodedBytes int
+	revisionDelta int64
+	digest        callDigest
+	encodedBytes  int
 }
 
-// all iterates over the entries, the oldest first. It stops at an incomplete one.
+// all iterates over the entries from the oldest to the newest. It stops at an incomplete entry.
 func (c AppliedCalls) all() iter.Seq[appliedCall] {
 	return func(yield func(call appliedCall) bool) {
 		rest := c.Entries
 		for len(rest) > 0 {
-			step, read := binary.Varint(rest)
+			delta, read := binary.Varint(rest)
 			if read <= 0 || len(rest) < read+digestBytes {
 				return
 			}
 			length := read + digestBytes
 			call := appliedCall{
-				revisionStep: step,
-				digest:       callDigest(rest[read:length]),
-				encodedBytes: length,
+				revisionDelta: delta,
+				digest:        callDigest(rest[read:length]),
+				encodedBytes:  length,
 			}
 			if !yield(call) {
 				return
@@ -83,21 +83,20 @@
 	return false
 }
 
-// mayHaveForgotten reports whether a call that built on the revision may have been carried out and forgotten since.
-// Only the very first call builds on revision 0 and so has step 0: an entry of step 0 in front shows that
-// none was forgotten.
-func (c AppliedCalls) mayHaveForgotten(baseRevision int64) bool {
-	if oldest, found := c.oldest(); found && oldest.revisionStep == 0 {
+// mayHaveEvicted reports whether a call with the given base revision may have been applied and evicted since. Only the first
+// call ever has base revision 0 and therefore a delta of 0, so if the oldest entry has a delta of 0, nothing was evicted.
+func (c AppliedCalls) mayHaveEvicted(baseRevision int64) bool {
+	if oldest, found := c.oldest(); found && oldest.revisionDelta == 0 {
 		return false
 	}
 	return baseRevision <= c.EvictedUpTo
 }
 
-// add remembers a call that built on baseRevision, and forgets the oldest one if there are too many.
+// add appends a call with the given base revision, and evicts the oldest call if there are already maxAppliedCalls.
 func (c AppliedCalls) add(baseRevision int64, digest callDigest) AppliedCalls {
 	lastRevision, count := c.EvictedUpTo, 0
 	for call := range c.all() {
-		lastRevision += call.revisionStep
+		lastRevision += call.revisionDelta
 		count++
 	}
 	kept := c
@@ -111,8 +110,8 @@
 	}
 }
 
-// withoutOldest forgets the first entry. The steps of the others are counted from EvictedUpTo, which becomes the
-// revision that the forgotten call built on.
+// withoutOldest evicts the oldest entry. EvictedUpTo becomes the base revision of that call, from which the deltas of the
+// other entries are counted.
 func (c AppliedCalls) withoutOldest() AppliedCalls {
 	oldest, found := c.oldest()
 	if !found {
@@ -120,6 +119,6 @@
 	}
 	return AppliedCalls{
 		Entries:     c.Entries[oldest.encodedBytes:],
-		EvictedUpTo: c.EvictedUpTo + oldest.revisionStep,
+		EvictedUpTo: c.EvictedUpTo + oldest.revisionDelta,
 	}
 }
--- a/internal/controlstate/configuration.go
+++ b/internal/controlstate/configuration.go
@@ -11,8 +11,8 @@
 	"ferryspar/internal/keystore"
 )
 
-// document is a configuration to be put in force, with its items if it is divided into them, and the difference from the one
-// before if they differ in routes only.
+// document is a configuration that is about to be stored. items is nil if the document cannot be divided into items; difference
+// is the difference from the previous configuration, or nil if the two differ in more than routes.
 type document struct {
 	revision   int64
 	content    []byte
@@ -20,11 +20,11 @@
 	difference *configuration.Difference
 }
 
-// composeFunc makes the next document from the record in force, which is stored as value.
+// composeFunc returns the next document, based on the current record and its stored value.
 type composeFunc func(value json.RawMessage, current ConfigurationRecord) (document, error)
 
-// Replace puts a whole configuration in force on top of baseRevision, which is 0 for the first one. The method is that
-// of the operator's HTTP request. The error is an apierror.Error unless a stored record cannot be read.
+// Replace replaces the configuration of revision baseRevision, which is 0 for the first configuration, by a whole document. The
+// method is that of the operator's HTTP request. The error is an apierror.Error unless a stored record cannot be read.
 func (s *State) Replace(ctx context.Context, baseRevision int64, method string, body []byte) (Change, error) {
 	parsed, err := configuration.Parse(body)
 	if err != nil {
@@ -38,7 +38,8 @@
 	})
 }
 
-// addDifference divides a whole document, and adds its difference from the record in force if there is one.
+// addDifference divides a whole document into items and adds its difference from the current record if possible. A document
+// without these parts is valid too, so errors are ignored.
 func (s *State) addDifference(next *document, parsed configuration.Configuration, value json.RawMessage, current ConfigurationRecord) {
 	items, err := configuration.Divide(next.content, parsed)
 	if err != nil {
@@ -48,7 +49,7 @@
 	if current.Revision == 0 {
 		return
 	}
-	base, err := s.items.of(value, current)
+	base, err := s.items.get(value, current)
 	if err != nil {
 		return
 	}
@@ -57,7 +58,7 @@
 	}
 }
 
-// Patch changes named items of the configuration baseRevision. Its errors are those of Replace.
+// Patch changes named items of the configuration of revision baseRevision. Its errors are those of Replace.
 func (s *State) Patch(ctx context.Context, baseRevision int64, method string, body []byte) (Change, error) {
 	call := newCallDigest(method, baseRevision, body)
 	return s.changeConfiguration(ctx, baseRevision, call, func(value json.RawMessage, current ConfigurationRecord) (document, error) {
@@ -65,9 +66,9 @@
 	})
 }
 
-// patch applies a change to the items of the record where it can, else to the whole document.
+// patch applies a patch to the items of the current record or, if the document cannot be divided, to the whole document.
 func (s *State) patch(value json.RawMessage, current ConfigurationRecord, body []byte) (document, error) {
-	base, err := s.items.of(value, current)
+	base, err := s.items.get(value, current)
 	if errors.Is(err, configuration.ErrIndivisible) {
 		return patchWhole(current, body)
 	}
@@ -113,7 +114,7 @@
 func (s *State) changeConfiguration(
 	ctx context.Context, baseRevision int64, call callDigest, compose composeFunc,
 ) (Change, error) {
-	decide := decideOnce(func(value json.RawMessage) (json.RawMessage, error) {
+	decide := memoizeDecision(func(value json.RawMessage) (json.RawMessage, error) {
 		return s.nextRecord(value, baseRevision, call, compose)
 	})
 	return s.applyChange(ctx, keystore.ConfigurationKey, func(current keystore.Register) (json.RawMessage, error) {
@@ -121,7 +122,7 @@
 	})
 }
 
-// nextRecord decides what follows the stored record, or rejects the call.
+// nextRecord returns the record to store after the given one, or an error if the call is rejected or was already applied.
 func (s *State) nextRecord(
 	value json.RawMessage, baseRevision int64, call callDigest, compose composeFunc,
 ) (json.RawMessage, error) {
@@ -146,8 +147,8 @@
 	return stored, err
 }
 
-// Configuration returns the document in force, confirmed by a majority. The error is an apierror.Error unless the
-// stored record cannot be read.
+// Configuration returns the current document as confirmed by a majority. The error is an apierror.Error unless the stored
+// record cannot be read.
 func (s *State) Configuration(ctx context.Context) (json.RawMessage, error) {
 	register, err := s.Store.Read(ctx, keystore.ConfigurationKey)
 	if err != nil {
--- a/internal/controlstate/configuration_test.go
+++ b/internal/controlstate/configuration_test.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/keystore"
 )
 
-// newDocument returns a configuration with one route, which differs by its revision and time-out.
+// newDocument returns a configuration with the given revision and one route with the given timeout.
 func newDocument(revision, timeoutMs int) []byte {
 	return fmt.Appendf(nil, `{
 		"revision": %d,
@@ -37,12 +37,12 @@
 	return err
 }
 
-func TestState_ReplaceAppliesOneOfTwoChangesOfARevision(t *testing.T) {
+func TestState_ReplaceAppliesOneOfTwoChangesToOneRevision(t *testing.T) {
 	state := newState(newMemoryStore())
 	assert.NilError(t, put(state, 0, 1, 100))
 	assert.NilError(t, put(state, 1, 2, 200))
 	assert.Equal(t, kindOf(put(state, 1, 2, 300)), apierror.VersionConflict)
-	assert.NilError(t, put(state, 1, 2, 200), "the one that was applied is acknowledged again")
+	assert.NilError(t, put(state, 1, 2, 200), "the applied call is acknowledged again")
 }
 
 func TestState_ReplaceRejectsSecondInitialConfiguration(t *testing.T) {
@@ -51,10 +51,10 @@
 	assert.Equal(t, kindOf(put(state, 0, 1, 200)), apierror.VersionConflict)
 	assert.NilError(t, put(state, 1, 2, 300))
 	assert.Equal(t, kindOf(put(state, 0, 1, 200)), apierror.VersionConflict)
-	assert.NilError(t, put(state, 0, 1, 100), "the one that was applied is acknowledged again")
+	assert.NilError(t, put(state, 0, 1, 100), "the applied call is acknowledged again")
 }
 
-func TestState_ReplaceLeavesForgottenFirstCallOpen(t *testing.T) {
+func TestState_ReplaceLeavesEvictedFirstCallOpen(t *testing.T) {
 	state := newState(newMemoryStore())
 	for revision := 1; revision <= 513; revision++ {
 		assert.NilError(t, put(state, revision-1, revision, revision))
@@ -81,7 +81,7 @@
 	}
 	assert.Equal(t, acknowledged, 512)
 	another := put(state, 3*(changes-1), 3*changes, 7)
-	assert.Equal(t, kindOf(another), apierror.VersionConflict, "another change under the newest revision")
+	assert.Equal(t, kindOf(another), apierror.VersionConflict, "another change to the previous revision")
 }
 
 func TestState_AppliedCallsStaySmall(t *testing.T) {
--- a/internal/controlstate/cost_test.go
+++ b/internal/controlstate/cost_test.go
@@ -14,14 +14,12 @@
 	"ferryspar/internal/keystore"
 )
 
-// A configuration of 1,500 routes was changed by operators while the control planes had 0.4 of a core each. Every call
-// read, checked and packed the whole document, and did so twice: before it knew whether it owned the key, and after. That
-// took longer than the second for which an operator waits ("duration_ms":1115, "caller_waits":false, "outcome of the write
-// not known"); the call was then sent to the next control plane, which did the same and preempted the first
-// ("prepares":3, "preempted":2), until no member answered the change in time. So what is held here is that a change costs
-// what it changes.
+// These tests check that the cost of a change depends on the size of the change, not of the configuration. With 1,500 routes
+// and 0.4 cores per control plane, decoding, checking and compressing the whole document twice per call, before and after
+// taking ownership of the key, took longer (1115 ms) than the second that an operator waits. The operator's client then sent
+// the call to the next control plane, which preempted the first one (2 of 3 prepares), until no change was decided in time.
 
-// documentOfRoutes is a configuration with so many routes.
+// documentOfRoutes returns a configuration with the given number of routes.
 func documentOfRoutes(routes int) []byte {
 	document := configuration.Configuration{Revision: 1, Backends: []configuration.Backend{{Name: "scribes", HealthPath: "/healthz"}}}
 	for number := range routes {
@@ -39,7 +37,8 @@
 	return content
 }
 
-// patchAllocations is how much a patch of one route allocates, as the mean of some, on a configuration of so many routes.
+// patchAllocations returns the mean number of allocations of a patch of one route in a configuration with the given number of
+// routes.
 func patchAllocations(t *testing.T, store controlstate.Store, routes int) float64 {
 	state := newState(newMemoryStore())
 	state.Store = store
@@ -57,12 +56,13 @@
 	return testing.AllocsPerRun(10, patchOnce)
 }
 
-func TestState_PatchCostsWhatItChanges(t *testing.T) {
+func TestState_PatchCostIsIndependentOfConfigurationSize(t *testing.T) {
 	few, many := patchAllocations(t, newMemoryStore(), 150), patchAllocations(t, newMemoryStore(), 1500)
 	assert.Assert(t, many <= 1.5*few, "a patch of one route allocates %.0f times among 150 routes, %.0f times among 1500", few, many)
 }
 
-// decidingTwice is a store that has a change decided on the committed value, takes the key and has it decided once more.
+// decidingTwice is a store that calls decide twice for each change, as keystore.Store does: on the committed value and again
+// once it owns the key.
 type decidingTwice struct{ *memoryStore }
 
 func (s decidingTwice) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
@@ -72,7 +72,7 @@
 	return s.memoryStore.Change(ctx, name, decide)
 }
 
-func TestState_SecondDecisionOnTheSameValueCostsLittle(t *testing.T) {
+func TestState_SecondDecisionOnSameValueIsCheap(t *testing.T) {
 	once, twice := patchAllocations(t, newMemoryStore(), 300), patchAllocations(t, decidingTwice{newMemoryStore()}, 300)
 	assert.Assert(t, twice <= 1.2*once, "a patch allocates %.0f times with one decision, %.0f times with two", once, twice)
 }
--- a/internal/controlstate/doc.go
+++ b/internal/controlstate/doc.go
@@ -1,7 +1,7 @@
-// Package controlstate decides on the calls of operators that change the control state: a whole configuration,
-// a patch of named items, and the draining of a zone, each under a key of the keystore.
+// Package controlstate applies operators' calls that change the control state: replacing the configuration, patching named
+// items of it, and draining a zone. The configuration and each zone have a key in the keystore.
 //
-// It answers only on values that a majority of the members holds, and never notifies data planes: its caller
-// does, with the register that a Change names. Calls that are repeated are recognised by a digest; see
-// AppliedCalls. Start reading at State.Replace and State.DrainZone.
+// All results are based on values that a majority of the members holds. The package does not notify data planes; the caller
+// does, with the register of the returned Change. Repeated calls are recognised by a digest, see AppliedCalls. Start reading
+// at State.Replace and State.DrainZone.
 package controlstate
--- a/internal/controlstate/itemscache.go
+++ b/internal/controlstate/itemscache.go
@@ -8,17 +8,17 @@
 	"ferryspar/internal/configuration"
 )
 
-// itemsCache remembers the configuration that was read last, divided into its items: the next change most often builds on
-// it. It is safe for concurrent use; the zero value is empty.
+// itemsCache holds the items of the configuration that was used last, which is usually the base of the next change. It is safe
+// for concurrent use; the zero value is empty.
 type itemsCache struct {
 	lock sync.Mutex
-	// value is the stored record that items stand for.
+	// value is the stored record that items were decoded from.
 	value []byte
 	items *configuration.Items
 }
 
-// of returns the items of a stored record, or configuration.ErrIndivisible.
-func (c *itemsCache) of(value []byte, record ConfigurationRecord) (*configuration.Items, error) {
+// get returns the items of a stored record. The error is configuration.ErrIndivisible if the document cannot be divided.
+func (c *itemsCache) get(value []byte, record ConfigurationRecord) (*configuration.Items, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.items != nil && bytes.Equal(c.value, value) {
@@ -40,16 +40,17 @@
 	return items, nil
 }
 
-// put remembers the items of a record that is about to be stored. If it isn't stored after all, they are not found.
+// put caches the items of a record that is about to be stored. If storing it fails, get does not return them, because the value
+// differs.
 func (c *itemsCache) put(value []byte, items *configuration.Items) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.value, c.items = value, items
 }
 
-// decideOnce remembers a decision, so that deciding again on the same value costs nothing. A change is decided on what is
-// committed, to be rejected early, and once more when its key is owned.
-func decideOnce(decide func(value json.RawMessage) (json.RawMessage, error)) func(value json.RawMessage) (json.RawMessage, error) {
+// memoizeDecision caches the last result of decide, so that repeating a decision on the same value is cheap. A change is decided
+// on the committed value first, to reject invalid calls early, and again when the key is owned.
+func memoizeDecision(decide func(value json.RawMessage) (json.RawMessage, error)) func(value json.RawMessage) (json.RawMessage, error) {
 	var (
 		decided bool
 		last    json.RawMessage
--- a/internal/controlstate/records.go
+++ b/internal/controlstate/records.go
@@ -10,20 +10,21 @@
 	"ferryspar/internal/keystore"
 )
 
-// ConfigurationRecord is the value of the configuration's key. The JSON names are a storage format.
+// ConfigurationRecord is the stored value of the configuration's key. The JSON names are a storage format.
 type ConfigurationRecord struct {
 	Revision int64 `json:"revision"`
-	// CompressedDocument is the document in force, compressed.
+	// CompressedDocument is the current document in compressed form.
 	CompressedDocument []byte `json:"packed"`
-	// Difference leads from the revision before to this one, if they differ in routes only and it is smaller than the document.
+	// Difference is the difference from the previous revision, if both differ only in routes and its patch is smaller than
+	// CompressedDocument.
 	Difference *configuration.Difference `json:"difference,omitempty"`
-	// AppliedCalls remembers the calls that were carried out.
+	// AppliedCalls is the log of applied calls.
 	AppliedCalls AppliedCalls `json:"taken"`
-	// LegacyDigests remembered the calls in an earlier format. It is read, never written.
+	// LegacyDigests is the log of applied calls in an earlier format. It is read but never written.
 	LegacyDigests []string `json:"marks,omitempty"`
 }
 
-// DecodeConfiguration reads a register of the configuration's key; an empty one is revision 0.
+// DecodeConfiguration decodes the register of the configuration's key. An empty register is a record of revision 0.
 func DecodeConfiguration(register keystore.Register) (ConfigurationRecord, error) {
 	var record ConfigurationRecord
 	if len(register.Value) == 0 {
@@ -31,23 +32,23 @@
 	}
 	err := json.Unmarshal(register.Value, &record)
 	if len(record.LegacyDigests) > 0 {
-		// Which calls these digests stand for can no longer be determined, so all of them count as forgotten.
+		// It can no longer be determined which calls these digests identify, so all of them count as evicted.
 		record.LegacyDigests = nil
 		record.AppliedCalls.EvictedUpTo = record.Revision - 1
 	}
 	return record, err
 }
 
-// check reports whether a call may build on the record. It returns errAlreadyApplied if the call was carried out, a
-// rejection if another revision is in force, and an error that promises neither if the call is older than
-// the memory of calls: it may have been applied, so that a rejection could be wrong.
+// check returns nil if a call may be applied to the record. It returns errAlreadyApplied if the call was applied before, a
+// rejection if another revision is current, and an error that leaves the outcome open if the call is older than the log of
+// applied calls: it may have been applied, so a rejection could be wrong.
 func (r ConfigurationRecord) check(baseRevision int64, call callDigest) error {
 	switch {
 	case r.AppliedCalls.contains(call):
 		return errAlreadyApplied
 	case baseRevision == r.Revision:
 		return nil
-	case r.AppliedCalls.mayHaveForgotten(baseRevision):
+	case r.AppliedCalls.mayHaveEvicted(baseRevision):
 		return apierror.New(
 			apierror.CallTooOld,
 			"calls that built on versions up to %d are not remembered",
@@ -57,9 +58,9 @@
 	return apierror.New(apierror.VersionConflict, "revision %d is current", r.Revision)
 }
 
-// Outcome returns what became of a call that builds on an earlier revision than that of the record, which must be a committed one:
-// nil for one that was carried out, an apierror.Error for one that is rejected. Later records can't change that, since revisions
-// only rise and each call builds on one of them. It returns false for a call that the record leaves open.
+// Outcome returns the final outcome of a call whose base revision is below that of the record, which must be committed: nil if
+// the call was applied, an apierror.Error if it is rejected. Later records cannot change the outcome, because revisions only
+// increase and a call applies to exactly one of them. Outcome returns false if the record does not decide the call.
 func (r ConfigurationRecord) Outcome(baseRevision int64, method string, body []byte) (decided bool, err error) {
 	if baseRevision >= r.Revision {
 		return false, nil
@@ -71,7 +72,7 @@
 	return err != nil, err
 }
 
-// next is the record that a call writes.
+// next returns the record that a call writes.
 func (r ConfigurationRecord) next(document document, call callDigest) ConfigurationRecord {
 	next := ConfigurationRecord{
 		Revision:           document.revision,
@@ -84,13 +85,13 @@
 	return next
 }
 
-// ZoneRecord is the value of a zone's key. Version rises with each change.
+// ZoneRecord is the stored value of a zone's key. Version increases with each change.
 type ZoneRecord struct {
 	Version uint64 `json:"number"`
 	Drained bool   `json:"drained"`
 }
 
-// DecodeZone reads a register of a zone's key; an empty one is a zone that was never drained.
+// DecodeZone decodes the register of a zone's key. An empty register is a zone that was never drained.
 func DecodeZone(register keystore.Register) (ZoneRecord, error) {
 	var record ZoneRecord
 	if len(register.Value) == 0 {
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -10,40 +10,39 @@
 	"ferryspar/internal/keystore"
 )
 
-// Store is the part of keystore.Store that decisions need.
+// Store is the part of keystore.Store that a State needs.
 type Store interface {
-	// Change writes what decide returns for the committed value, and may call it again if that value
-	// changes meanwhile. It returns the register that is committed afterwards.
+	// Change writes what decide returns for the committed value, and may call decide again if that value changes in the
+	// meantime. It returns the register that is committed afterwards.
 	Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error)
 	// Read returns the committed register.
 	Read(ctx context.Context, name string) (keystore.Register, error)
-	// ReadCommitted returns the committed register if that can be told without taking the key from its owner.
+	// ReadCommitted returns the committed register if it can be determined without taking ownership of the key.
 	ReadCommitted(ctx context.Context, name string) (keystore.Register, bool)
 }
 
-// State carries out the calls of operators on the keys of one fleet. It is safe for concurrent use.
+// State applies operators' calls to the control state of one deployment. It is safe for concurrent use.
 type State struct {
 	Store Store
-	// Zones holds the zones of the deployment by name.
+	// Zones maps each zone of the deployment to its region.
 	Zones map[string]string
 	Clock func() time.Time
 
 	items itemsCache
 }
 
-// Change is the outcome of an acknowledged call: the committed register, and whether this call wrote it. It
-// didn't if the call had been applied before.
+// Change is the result of an acknowledged call: the committed register, and whether this call wrote it. Written is false if the
+// call had been applied before.
 type Change struct {
 	Register keystore.Register
 	Written  bool
 }
 
-// errAlreadyApplied ends a decision on a call that was carried out before; the call is acknowledged.
+// errAlreadyApplied is returned by a decision on a call that was applied before. The call is acknowledged.
 var errAlreadyApplied = errors.New("call already applied")
 
-// applyChange writes a key and returns the outcome for the operator: nil for an acknowledgement, and an error
-// that promises a rejection only where a majority showed the reason. A rejection on anything less could be
-// given to a call that is applied later.
+// applyChange writes a key and returns the outcome for the operator: a nil error acknowledges the call. The call is rejected
+// only for a reason that a majority has confirmed; otherwise it could still be applied after the rejection.
 func (s *State) applyChange(ctx context.Context, name string, decide keystore.Decide) (Change, error) {
 	register, err := s.Store.Change(ctx, name, decide)
 	if errors.Is(err, errAlreadyApplied) {
@@ -55,7 +54,7 @@
 	return Change{Register: register, Written: true}, nil
 }
 
-// ToAPIError turns an error of the keystore into an apierror.Error; others pass.
+// ToAPIError converts an error of the keystore to an apierror.Error. It returns other errors unchanged.
 func ToAPIError(err error) error {
 	switch {
 	case errors.Is(err, keystore.ErrNoMajority), errors.Is(err, keystore.ErrContended):
--- a/internal/controlstate/state_test.go
+++ b/internal/controlstate/state_test.go
@@ -15,8 +15,8 @@
 	"ferryspar/internal/keystore"
 )
 
-// memoryStore holds the registers that one daemon owns; interfere stands in for another daemon that changes the key
-// between two calls of a decision.
+// memoryStore is an in-memory Store. If interfere is set, it runs once between two decisions on a change, in place of another
+// daemon that changes the key.
 type memoryStore struct {
 	registers map[string]keystore.Register
 	interfere func(store *memoryStore)
@@ -58,7 +58,7 @@
 
 func kindOf(err error) apierror.Kind { return apierror.From(err).Kind }
 
-func TestTranslate(t *testing.T) {
+func TestToAPIError(t *testing.T) {
 	for _, err := range []error{
 		keystore.ErrNoMajority,
 		keystore.ErrContended,
--- a/internal/controlstate/zones.go
+++ b/internal/controlstate/zones.go
@@ -9,12 +9,11 @@
 	"ferryspar/internal/keystore"
 )
 
-// DrainZone asks that no requests be sent to a zone's replicas, or withdraws that.
+// DrainZone drains a zone, so that no requests are routed to its replicas, or ends the drain.
 //
-// The call names no version, so a copy of it that arrives late must not undo what was acknowledged after it. It
-// is decided before the deadline, while its caller still waits for the answer, and only as long as the
-// zone hasn't changed since it was first read for this call; otherwise the error is of kind
-// apierror.CallExpired.
+// The call has no base version, so a delayed copy of it must not undo a change that was acknowledged later. It is therefore
+// applied only before the deadline, while the caller still waits for the response, and only if the zone has not changed
+// since it was first read for this call; otherwise the error is of kind apierror.CallExpired.
 func (s *State) DrainZone(ctx context.Context, zone string, drained bool, deadline time.Time) (Change, error) {
 	if _, known := s.Zones[zone]; !known {
 		return Change{}, apierror.New(apierror.UnknownZone, "%s", zone)
--- a/internal/controlstate/zones_test.go
+++ b/internal/controlstate/zones_test.go
@@ -18,13 +18,13 @@
 	return err
 }
 
-func TestState_DrainZoneIgnoresLateCopy(t *testing.T) {
+func TestState_DrainZoneRejectsDelayedCopy(t *testing.T) {
 	state := newState(newMemoryStore())
 	soon, past := time.Now().Add(time.Minute), time.Now().Add(-time.Millisecond)
 	assert.NilError(t, drain(state, true, soon))
 	assert.NilError(t, drain(state, false, soon))
 	assert.Equal(t, kindOf(drain(state, true, past)), apierror.CallExpired)
-	assert.NilError(t, drain(state, false, past), "what is in force already is acknowledged")
+	assert.NilError(t, drain(state, false, past), "a call that changes nothing is acknowledged")
 }
 
 func TestState_DrainZoneYieldsToConcurrentChange(t *testing.T) {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -28,7 +28,7 @@
 	Joining bool
 	// Leaving is set when the peer is about to shut down; it votes until then.
 	Leaving bool
-	// MembershipVersion is the version of the membership under which the peer caught up, 0 if it has not.
+	// MembershipVersion is the version of the membership under which the peer caught up, 0 if it never voted.
 	MembershipVersion uint64
 	// Suspects lists the members that the peer suspects to be down.
 	Suspects []string
