--- a/internal/heartbeat/eventqueue_test.go
+++ b/internal/heartbeat/eventqueue_test.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// event is something that happens at a time of the simulation; of several at the same time the one that was
-// scheduled first does.
+// event is a function to run at a simulated time. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	at    time.Time
 	order int
 	run   func(now time.Time)
 }
 
-// eventQueue implements heap.Interface, the next event first.
+// eventQueue is a priority queue of events by time. It implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/internal/heartbeat/registry.go
+++ b/internal/heartbeat/registry.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// pauseFraction is the part of the expiry time after which the registry's own process counts as having been
-// paused.
-const pauseFraction = 8
+// pauseDivisor sets the interval between two counts from which the registry's own process counts as having been paused:
+// ExpireAfter divided by it.
+const pauseDivisor = 8
 
-// Heartbeat is what is known of one daemon from its reports and other contacts.
+// Heartbeat is what is known about one daemon from its reports and other contacts.
 type Heartbeat struct {
-	// ReportedAt is the time of the last complete report, LastSeen that of the last other contact.
+	// ReportedAt is the time of the last complete report; LastSeen is the time of the last other contact.
 	ReportedAt time.Time
 	LastSeen   time.Time
-	// FirstSeen is the time since which the daemon has been in the registry without a gap.
+	// FirstSeen is the time since which the daemon has been continuously in the registry.
 	FirstSeen time.Time
 	Zone      string
-	// Revision is the configuration, and ZoneVersion the number of zone changes, that the daemon last
-	// reported to apply.
+	// Revision is the revision of the configuration, and ZoneVersion the number of zone changes, that the daemon last
+	// reported to have applied.
 	Revision    int64
 	ZoneVersion uint64
 }
 
-// lastContact is the time of the last contact of any kind.
+// lastContact returns the time of the last contact of any kind.
 func (h Heartbeat) lastContact() time.Time {
 	if h.ReportedAt.After(h.LastSeen) {
 		return h.ReportedAt
@@ -36,19 +36,19 @@
 	return now.Sub(h.ReportedAt) <= maxAge
 }
 
-// Registry keeps the heartbeat of each daemon until nothing was heard of it for ExpireAfter.
+// Registry holds the heartbeat of each daemon until there has been no contact with it for ExpireAfter.
 type Registry struct {
 	ExpireAfter time.Duration
 	heartbeats  map[string]Heartbeat
 	countedAt   time.Time
 }
 
-// NewRegistry returns an empty registry whose daemons expire after the given time.
+// NewRegistry returns an empty registry whose entries expire after the given time without contact.
 func NewRegistry(expireAfter time.Duration) *Registry {
 	return &Registry{ExpireAfter: expireAfter, heartbeats: map[string]Heartbeat{}}
 }
 
-// Record keeps the heartbeat of a daemon, unless a later one is known already. FirstSeen is set by the registry.
+// Record stores the heartbeat of a daemon unless a later one is already known. It sets FirstSeen itself.
 func (r *Registry) Record(name string, heartbeat Heartbeat) {
 	last, known := r.heartbeats[name]
 	if known && heartbeat.ReportedAt.Before(last.ReportedAt) {
@@ -61,7 +61,7 @@
 	r.heartbeats[name] = heartbeat
 }
 
-// RecordContact records a contact with a daemon that carried no report, such as a report by another daemon.
+// RecordContact records a contact other than a report, such as another daemon's statement that the daemon is alive.
 func (r *Registry) RecordContact(name string, now time.Time) {
 	heartbeat, known := r.heartbeats[name]
 	if !known {
@@ -71,7 +71,7 @@
 	r.heartbeats[name] = heartbeat
 }
 
-// Live returns the names, sorted, of the daemons whose last report is no older than maxAge.
+// Live returns the sorted names of the daemons whose last report is no older than maxAge.
 func (r *Registry) Live(now time.Time, maxAge time.Duration) []string {
 	var live []string
 	for name, heartbeat := range r.heartbeats {
@@ -83,11 +83,11 @@
 	return live
 }
 
-// Count returns the number of known daemons, after dropping the expired ones. If this process was paused since the
-// last call, all daemons get that time on top: their heartbeats may lie unread, and dropping healthy daemons
-// would have the others take over their part of shared limits.
+// Count removes the expired daemons and returns the number of remaining ones. If this process was paused since the last call,
+// the expiry of all daemons is extended by that time: their heartbeats may be waiting unread, and removing healthy daemons
+// would make the others take over their share of common limits.
 func (r *Registry) Count(now time.Time) int {
-	r.excusePause(now)
+	r.extendAfterPause(now)
 	for name, heartbeat := range r.heartbeats {
 		if r.isExpired(heartbeat, now) {
 			delete(r.heartbeats, name)
@@ -96,11 +96,11 @@
 	return len(r.heartbeats)
 }
 
-// excusePause postpones the expiry of all daemons by the time since the last count, if that was so long that the
-// process must have been paused.
-func (r *Registry) excusePause(now time.Time) {
+// extendAfterPause postpones the expiry of all daemons by the time since the last count, if that is so long that the process
+// must have been paused.
+func (r *Registry) extendAfterPause(now time.Time) {
 	sinceCount := now.Sub(r.countedAt)
-	if !r.countedAt.IsZero() && sinceCount > r.ExpireAfter/pauseFraction {
+	if !r.countedAt.IsZero() && sinceCount > r.ExpireAfter/pauseDivisor {
 		for name, heartbeat := range r.heartbeats {
 			heartbeat.LastSeen = heartbeat.lastContact().Add(sinceCount)
 			r.heartbeats[name] = heartbeat
@@ -113,7 +113,7 @@
 	return now.Sub(heartbeat.lastContact()) > r.ExpireAfter
 }
 
-// CountBehind returns how many of the daemons whose last report is no older than maxAge apply an older configuration
+// CountBehind returns how many of the daemons whose last report is no older than maxAge have applied an older configuration
 // than revision or fewer zone changes than zoneVersion.
 func (r *Registry) CountBehind(now time.Time, maxAge time.Duration, revision int64, zoneVersion uint64) int {
 	behind := 0
@@ -126,7 +126,7 @@
 	return behind
 }
 
-// Zones returns the zone of each daemon that hasn't expired, by name.
+// Zones returns the zone of each daemon that has not expired, by name.
 func (r *Registry) Zones(now time.Time) map[string]string {
 	zones := map[string]string{}
 	for name, heartbeat := range r.heartbeats {
@@ -137,8 +137,8 @@
 	return zones
 }
 
-// FirstSeen returns the time since which the daemon has been in the registry, zero if it isn't.
+// FirstSeen returns the time since which the daemon has been in the registry, or the zero time if it is not.
 func (r *Registry) FirstSeen(name string) time.Time { return r.heartbeats[name].FirstSeen }
 
-// LastReport returns the time of the daemon's last report, zero if there was none.
+// LastReport returns the time of the daemon's last report, or the zero time if there was none.
 func (r *Registry) LastReport(name string) time.Time { return r.heartbeats[name].ReportedAt }
--- a/internal/heartbeat/registry_test.go
+++ b/internal/heartbeat/registry_test.go
@@ -16,7 +16,7 @@
 	registry.Record("b", Heartbeat{ReportedAt: now.Add(4 * time.Second), Revision: 2})
 	later := now.Add(5 * time.Second)
 	assert.DeepEqual(t, registry.Live(later, 2*time.Second), []string{"b"})
-	assert.Equal(t, registry.Count(later), 2, "shares are taken of the larger count while it is uncertain")
+	assert.Equal(t, registry.Count(later), 2, "a silent daemon counts until it expires")
 	assert.Equal(t, registry.CountBehind(later, 2*time.Second, 3, 0), 1)
 	for passed := 6; passed < 20; passed++ {
 		registry.Count(now.Add(time.Duration(passed) * time.Second))
@@ -24,7 +24,7 @@
 	assert.Equal(t, registry.Count(now.Add(20*time.Second)), 0)
 }
 
-func TestRegistry_FrozenWatcherExpiresNobody(t *testing.T) {
+func TestRegistry_PauseOfOwnProcessExpiresNoDaemon(t *testing.T) {
 	now := testStart
 	registry := NewRegistry(10 * time.Second)
 	registry.Record("a", Heartbeat{ReportedAt: now})
--- a/internal/heartbeat/simulation_test.go
+++ b/internal/heartbeat/simulation_test.go
@@ -35,13 +35,13 @@
 	maxNetworkDelay = 3 * time.Millisecond
 	maxSlowDelay    = 250 * time.Millisecond
 	maxWakeUpDelay  = time.Millisecond
-	// controlFreezeFactor is how much longer control daemons freeze than data planes.
+	// controlFreezeFactor is the ratio of the maximum freeze of a control daemon to that of a data plane.
 	controlFreezeFactor = 3
 )
 
 var startTime = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// timeouts are what the daemons of a simulation go by.
+// timeouts are the timeouts that the daemons of a simulation use.
 type timeouts struct {
 	dataPlaneExpiry time.Duration
 	suspectAfter    time.Duration
@@ -55,18 +55,17 @@
 	frozenUntil time.Time
 	controls    *heartbeat.Registry
 	dataPlanes  *heartbeat.Registry
-	// suspicions counts how often each peer came to be suspected, suspected are those that are now.
+	// suspicions counts how often each peer became suspected; suspected holds the currently suspected peers.
 	suspicions map[string]int
 	suspected  map[string]bool
-	// faults counts the faults that may be a cause to suspect the machine.
+	// faults counts the injected faults that may cause the machine to be suspected.
 	faults int
 }
 
 // link is one direction of the network between two machines.
 type link struct{ from, to string }
 
-// simulation plays daemons that report to each other over a lossy network while faults befall the machines. It is
-// determined by its seed.
+// simulation runs daemons that send heartbeats over a lossy network while faults are injected. It is determined by its seed.
 type simulation struct {
 	timeouts
 	random      *rand.Rand
@@ -130,7 +129,7 @@
 	return s.failure
 }
 
-// startControl has a control daemon send heartbeats, check its peers, and receive the reports of all data planes.
+// startControl schedules a control daemon's heartbeats and checks of its peers, and the reports of all data planes to it.
 func (s *simulation) startControl(control *machine) {
 	s.schedule(s.randomDuration(heartbeatInterval), func(time.Time) {
 		s.repeat(control.name, heartbeatInterval, func() { s.sendHeartbeats(control) })
@@ -154,15 +153,15 @@
 	heap.Push(&s.events, event{s.now.Add(delay), s.eventCount, run})
 }
 
-// repeat runs a daemon's activity now and again after each interval, later where its machine is frozen.
+// repeat runs a daemon's activity now and after each interval. While its machine is frozen, the activity is postponed.
 func (s *simulation) repeat(name string, interval time.Duration, run func()) {
-	s.whenAwake(name, func(time.Time) {
+	s.whenRunning(name, func(time.Time) {
 		run()
 		s.schedule(interval, func(time.Time) { s.repeat(name, interval, run) })
 	})
 }
 
-func (s *simulation) whenAwake(name string, run func(now time.Time)) {
+func (s *simulation) whenRunning(name string, run func(now time.Time)) {
 	if wait := s.machines[name].frozenUntil.Sub(s.now); wait > 0 {
 		s.schedule(wait+s.randomDuration(maxWakeUpDelay), run)
 		return
@@ -170,8 +169,8 @@
 	run(s.now)
 }
 
-// send delivers a message after the delay of the network and its retransmissions, unless that takes longer than the
-// timeout or the link is cut.
+// send delivers a message after the network delay, including retransmissions, unless that exceeds the timeout or the link is
+// cut.
 func (s *simulation) send(from, to string, timeout time.Duration, deliver func(now time.Time)) {
 	delay := s.randomDuration(maxNetworkDelay)
 	for retransmit := retransmitDelay; s.random.IntN(100) < s.lossPercent; retransmit *= 2 {
@@ -183,7 +182,7 @@
 	if delay > timeout || s.now.Before(s.cutUntil[link{from, to}]) {
 		return
 	}
-	s.schedule(delay, func(time.Time) { s.whenAwake(to, deliver) })
+	s.schedule(delay, func(time.Time) { s.whenRunning(to, deliver) })
 }
 
 func (s *simulation) sendReport(dataPlane string, control *machine) {
@@ -192,8 +191,8 @@
 	})
 }
 
-// sendHeartbeats has a control daemon tell its watchers, and all members, of itself and of the data planes that it
-// hears. All control daemons are members here.
+// sendHeartbeats sends a control daemon's heartbeat, with the list of its live data planes, to its watchers and to all members.
+// In this simulation all control daemons are members.
 func (s *simulation) sendHeartbeats(sender *machine) {
 	dataPlanes := sender.dataPlanes.Live(s.now, reportTimeout)
 	members := s.controls
@@ -212,7 +211,7 @@
 	}
 }
 
-// check fails the simulation if a control daemon counts too few data planes or suspects a peer without a cause.
+// check fails the simulation if a control daemon counts too few data planes or suspects a peer without cause.
 func (s *simulation) check(observer *machine) {
 	total := observer.dataPlanes.Count(s.now)
 	if total < len(s.dataPlanes) && s.elapsed() > startupTime {
@@ -237,11 +236,11 @@
 	frozen := s.now.Sub(s.machines[peer].frozenUntil) < recoveryTime
 	cut := s.now.Before(s.cutUntil[link{peer, observer.name}].Add(recoveryTime))
 	if suspected && !frozen && !cut {
-		s.failure = fmt.Errorf("%s suspects %s without a cause at %s", observer.name, peer, s.elapsed())
+		s.failure = fmt.Errorf("%s suspects %s without cause at %s", observer.name, peer, s.elapsed())
 	}
 }
 
-// checkSuspicionCounts fails if a peer was suspected more often than faults gave a cause.
+// checkSuspicionCounts returns an error if a peer was suspected more often than faults were injected that affect it.
 func (s *simulation) checkSuspicionCounts() error {
 	for _, observer := range s.machines {
 		for peer, times := range observer.suspicions {
@@ -253,7 +252,7 @@
 	return nil
 }
 
-// injectFault freezes a machine or cuts the links between two, and schedules the next fault for after the recovery.
+// injectFault freezes a machine or cuts the links between two machines, and schedules the next fault after the recovery.
 func (s *simulation) injectFault(now time.Time) {
 	duration := s.randomDuration(maxFaultDuration)
 	all := slices.Concat(s.controls, s.dataPlanes)
@@ -273,7 +272,7 @@
 	s.schedule(duration+startupTime+time.Second, s.injectFault)
 }
 
-func TestRegistry_SuspectsOnlyWithCauseUnderFaults(t *testing.T) {
+func TestRegistry_NoUnfoundedSuspicionUnderFaults(t *testing.T) {
 	from, to := keystoresim.SeedRange(60)
 	for seed := from; seed < to; seed++ {
 		err := newSimulation(uint64(seed), defaultTimeouts).run()
@@ -281,18 +280,18 @@
 	}
 }
 
-func TestSimulation_CatchesHastyWatchers(t *testing.T) {
-	expiresTooSoon, suspectsTooSoon := defaultTimeouts, defaultTimeouts
-	expiresTooSoon.dataPlaneExpiry = 2 * time.Second
-	suspectsTooSoon.suspectAfter = 2 * heartbeatInterval
-	for name, hasty := range map[string]timeouts{
-		"expires too soon":  expiresTooSoon,
-		"suspects too soon": suspectsTooSoon,
+func TestSimulation_CatchesTooShortTimeouts(t *testing.T) {
+	expiresTooEarly, suspectsTooEarly := defaultTimeouts, defaultTimeouts
+	expiresTooEarly.dataPlaneExpiry = 2 * time.Second
+	suspectsTooEarly.suspectAfter = 2 * heartbeatInterval
+	for name, tooShort := range map[string]timeouts{
+		"expires too early":  expiresTooEarly,
+		"suspects too early": suspectsTooEarly,
 	} {
 		t.Run(name, func(t *testing.T) {
 			var caught error
 			for seed := uint64(1); seed < 60 && caught == nil; seed++ {
-				caught = newSimulation(seed, hasty).run()
+				caught = newSimulation(seed, tooShort).run()
 			}
 			assert.Assert(t, caught != nil)
 			t.Log(caught)
--- a/internal/heartbeat/watchers.go
+++ b/internal/heartbeat/watchers.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// Watchers returns up to count of the daemons to which the named one sends its heartbeats: those that follow
-// it on a ring of hashed names. Every daemon computes the same watchers from the same list.
+// Watchers returns up to count daemons to which the named one sends its heartbeats: those that follow it on a hash ring of
+// names. Every daemon computes the same watchers from the same list.
 func Watchers(name string, daemons []string, count int) []string {
 	others := make([]string, 0, len(daemons))
 	for _, daemon := range daemons {
--- a/internal/heartbeat/watchers_test.go
+++ b/internal/heartbeat/watchers_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWatchers_SpreadOverRing(t *testing.T) {
+func TestWatchers_AreSpreadOverRing(t *testing.T) {
 	var daemons []string
 	for number := range 12 {
 		daemons = append(daemons, fmt.Sprintf("daemon-%d", number))
@@ -21,7 +21,7 @@
 			watched[watcher]++
 		}
 	}
-	assert.Assert(t, len(watched) >= 10, "watching is spread: %v", watched)
+	assert.Assert(t, len(watched) >= 10, "daemons that watch others: %v", watched)
 	assert.DeepEqual(t, Watchers("daemon-1", daemons, 3), Watchers("daemon-1", daemons, 3))
 	assert.Equal(t, len(Watchers("a", []string{"a", "b"}, 3)), 1)
 }
