--- a/internal/routing/splitreports.go
+++ b/internal/routing/splitreports.go
@@ -6,20 +6,20 @@
 	"ferryspar/internal/discovery"
 )
 
-// handlesGoneBackoff is how long no prompt is read at a replica whose memory could not be fetched.
+// handlesGoneBackoff is how long no prefills are sent to a replica from which a KV cache could not be fetched.
 const handlesGoneBackoff = 400 * time.Millisecond
 
-// elapsedMs is the time since the ticket's request was sent.
+// elapsedMs returns the time since the ticket's request was sent, in ms.
 func (t *Ticket) elapsedMs(now time.Time) float64 {
 	return float64(now.Sub(t.sentAt).Microseconds()) / 1000
 }
 
-// isOfSplit reports whether the ticket's replica does one phase only.
-func (t *Ticket) isOfSplit() bool {
+// isDisaggregated reports whether the ticket's replica does only one phase.
+func (t *Ticket) isDisaggregated() bool {
 	return t.key.phase == discovery.PhasePrefill || t.key.phase == discovery.PhaseDecode
 }
 
-// learnStep trains the latency model of a step.
+// learnStep trains the latency model of a step and the replica's slowness with one measured latency.
 func (m *Matcher) learnStep(state *replicaState, ticket *Ticket, observedMs float64) {
 	model := m.models.at(ticket.key)
 	if state.slowness.phase == ticket.key.phase {
@@ -28,26 +28,26 @@
 	model.observe(ticket.features, observedMs)
 }
 
-// onPrefilled goes from the first step of a split request to the second: the prompt's slot is free, its memory is held until
-// the decode replica has fetched it, and the request counts as sent there from now on.
+// onPrefilled moves a request from the prefill step to the decode step: the slot at the prefill replica is free, the KV cache
+// is held until the decode replica has fetched it, and the request counts as sent to the decode replica from now on.
 func (m *Matcher) onPrefilled(state *replicaState, report Report) {
 	ticket := report.Ticket
 	if ticket.step != stepPrefill || ticket.firstEventSeen {
 		return
 	}
 	ticket.firstEventSeen, ticket.prefilled = true, true
-	ticket.readAt = report.At
+	ticket.prefilledAt = report.At
 	state.recordActivity(report.At)
 	m.learnStep(state, ticket, ticket.elapsedMs(report.At))
 	state.finish(ticket)
 	state.held.add(ticket.tokens())
-	ticket.holding = true
+	ticket.kvHeld = true
 	m.replicas.watch(ticket.next.replica).start(ticket.next, report.At)
 	m.demand.recordStart(ticket.request)
 }
 
-// onHandleGone holds it against the prefill replica that the memory which it read could not be fetched, unless the decode
-// replica is busy enough to have rejected the request for that.
+// onHandleGone counts a failure of the prefill replica, whose KV cache could not be fetched, unless the decode replica is so
+// busy that it may have rejected the request for that reason.
 func (m *Matcher) onHandleGone(state *replicaState, report Report) {
 	ticket := report.Ticket
 	if ticket.prefill == nil || m.isBusy(ticket.replica, highLoad) {
@@ -55,7 +55,7 @@
 		return
 	}
 	source := m.replicas.watch(ticket.prefill.replica)
-	source.handlesGoneUntil = report.At.Add(handlesGoneBackoff)
+	source.noPrefillUntil = report.At.Add(handlesGoneBackoff)
 	m.recordFailure(ticket.prefill, 1, minFailureInterval, report.At)
 }
 
@@ -75,8 +75,8 @@
 	}
 }
 
-// abandonPrefill removes a ticket whose prompt was not read as far as is known. Unless the replica is known not to have read
-// it, memory may be held there that nobody can free.
+// abandonPrefill removes the ticket of a prefill that is not known to be complete. Unless the replica did not execute it, a KV
+// cache may be held there that cannot be released, since its handle is unknown.
 func (m *Matcher) abandonPrefill(state *replicaState, report Report) {
 	ticket := report.Ticket
 	if ticket.firstEventSeen {
@@ -84,7 +84,7 @@
 	}
 	m.withdrawPrefill(ticket)
 	if !isNotExecutedAfter[report.Outcome] {
-		state.held.lapse(ticket.tokens(), report.At.Add(ticket.holdTime))
+		state.held.orphan(ticket.tokens(), report.At.Add(ticket.holdTime))
 	}
 }
 
@@ -97,11 +97,11 @@
 	m.replicas.watch(ticket.replica).finish(ticket)
 }
 
-// releaseHeld counts the memory of a prompt that was read as fetched or freed.
+// releaseHeld counts the KV cache of a prefill as fetched or released.
 func (m *Matcher) releaseHeld(ticket *Ticket) {
-	if !ticket.holding {
+	if !ticket.kvHeld {
 		return
 	}
-	ticket.holding = false
+	ticket.kvHeld = false
 	m.replicas.watch(ticket.replica).held.release(ticket.tokens())
 }
--- a/internal/routing/synchronous.go
+++ b/internal/routing/synchronous.go
@@ -8,7 +8,7 @@
 )
 
 // The methods of this file drive a matcher from one goroutine, without Run: the emulator and the replay
-// engine use them under a simulated clock. They must not be mixed with Run.
+// engine use them with a simulated clock. They must not be used together with Run.
 
 // Enqueue accepts a request, as Submit does. The decision arrives in request.Decided.
 func (m *Matcher) Enqueue(request *Request) {
@@ -25,13 +25,13 @@
 
 // CompletePrefillSync is Prefilled without Run.
 func (m *Matcher) CompletePrefillSync(step *PrefillStep) bool {
-	notice := prefilledNotice{read: step.Ticket, at: m.clock(), usable: make(chan bool, 1)}
+	notice := prefilledNotice{prefill: step.Ticket, at: m.clock(), usable: make(chan bool, 1)}
 	m.useLatestSnapshot()
 	m.handlePrefilled(notice)
 	return <-notice.usable
 }
 
-// Wake tries all waiting requests, as Run does on a new snapshot and on its timer.
+// Wake tries to assign all waiting requests, as Run does on a new snapshot and on its timer.
 func (m *Matcher) Wake() {
 	m.useLatestSnapshot()
 	m.decideWaiting()
@@ -43,10 +43,10 @@
 	return wait, wait < idleWake
 }
 
-// Cancel withdraws a request whose client has gone.
+// Cancel withdraws a request whose client has disconnected.
 func (m *Matcher) Cancel(request *Request) { m.cancel(request) }
 
-// WaitingCount returns the count of undecided requests.
+// WaitingCount returns the number of undecided requests.
 func (m *Matcher) WaitingCount() int { return m.queue.len() }
 
 // CollectLoad is LoadReport without Run.
@@ -64,8 +64,8 @@
 // Now returns the time of the matcher's clock.
 func (m *Matcher) Now() time.Time { return m.clock() }
 
-// CachedTokens returns the count of prompt tokens that the ledger expected in the replica's cache.
+// CachedTokens returns the number of prompt tokens that were expected in the replica's cache.
 func (t *Ticket) CachedTokens() float64 { return t.cachedTokens }
 
-// UncachedTokens returns the count of prompt tokens that the replica was expected to read.
+// UncachedTokens returns the number of prompt tokens that the replica was expected to prefill.
 func (t *Ticket) UncachedTokens() float64 { return t.uncachedTokens }
--- a/internal/routing/target.go
+++ b/internal/routing/target.go
@@ -8,7 +8,7 @@
 	"ferryspar/internal/discovery"
 )
 
-// Reasons why a replica that was chosen may not be sent a request now.
+// Reasons why a request may not be sent to the chosen replica any more.
 var (
 	ErrReplicaUnlisted  = errors.New("replica is no longer listed")
 	ErrReplicaDraining  = errors.New("replica is draining")
@@ -18,21 +18,21 @@
 	ErrRegionNotAllowed = errors.New("region of the replica is not allowed")
 )
 
-// Target is a replica that may be sent a request at this moment. Only Snapshot.Admit and Snapshot.AdmitPrefill make one, and
-// forwarders send to nothing else: what was chosen before a wait can't be sent without a look at the present snapshot, which
-// may forbid it by now.
+// Target is a replica that a request may be sent to now. Only Snapshot.Admit and Snapshot.AdmitPrefill create targets, and
+// forwarders accept nothing else: this enforces that a replica that was chosen some time ago is checked against the current
+// snapshot before a request is sent there.
 type Target struct {
 	address   string
 	replicaID string
 }
 
-// Address is the replica's IP address and port.
+// Address returns the replica's IP address and port.
 func (t Target) Address() string { return t.address }
 
-// ReplicaID is the id of the replica.
+// ReplicaID returns the id of the replica.
 func (t Target) ReplicaID() string { return t.replicaID }
 
-// Admit makes the target of a request that is to run at a replica, or says why it must not.
+// Admit returns the target for a request that is to run at a replica, or the reason why it must not.
 func (s *Snapshot) Admit(request *Request, chosen *Replica) (Target, error) {
 	present := s.find(chosen)
 	if present != nil && present.Phase == discovery.PhasePrefill {
@@ -41,7 +41,7 @@
 	return s.admit(request, present)
 }
 
-// AdmitPrefill makes the target of a request whose prompt is to be read at a replica, or says why it must not.
+// AdmitPrefill returns the target for the prefill of a request at a replica, or the reason why it must not run there.
 func (s *Snapshot) AdmitPrefill(request *Request, chosen *Replica) (Target, error) {
 	present := s.find(chosen)
 	if present != nil && present.Phase != discovery.PhasePrefill {
@@ -50,7 +50,7 @@
 	return s.admit(request, present)
 }
 
-// admit checks what binds replicas of any phase. present is the replica in this snapshot, nil if it is not listed.
+// admit makes the checks for replicas of any phase. present is the replica in this snapshot, nil if it is not listed.
 func (s *Snapshot) admit(request *Request, present *Replica) (Target, error) {
 	switch {
 	case present == nil:
@@ -67,7 +67,7 @@
 	return Target{address: present.Address, replicaID: present.ID}, nil
 }
 
-// find returns the entry of this snapshot for a replica that an earlier snapshot listed, or nil.
+// find returns this snapshot's entry for a replica of an earlier snapshot, or nil.
 func (s *Snapshot) find(earlier *Replica) *Replica {
 	if at := earlier.Index; at < len(s.Replicas) && s.Replicas[at].ID == earlier.ID {
 		return s.Replicas[at]
--- a/internal/routing/waitqueue.go
+++ b/internal/routing/waitqueue.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// waitQueue holds the undecided requests and knows when they must be tried.
+// waitQueue holds the undecided requests and the times at which they must be tried.
 type waitQueue struct {
 	requests   []*Request // sorted by compareRank
-	unbatched  int        // of those, how many have not been in a batch
-	batchDueAt time.Time  // when the oldest unbatched request must be decided
-	retryAt    time.Time  // when all are tried again
+	unbatched  int        // how many of them have not been in a batch yet
+	batchDueAt time.Time  // when the batch of the unbatched requests is due
+	retryAt    time.Time  // when all requests are retried
 	servable   []*Request // buffer of servableAt
-	turns      tenantTurns
+	fairness   fairQueue
 }
 
-// compareRank orders requests by priority, then by their tenants' turns, then by deadline.
+// compareRank orders requests by priority, then by the start tag of fair queueing, then by deadline.
 func compareRank(left, right *Request) int {
 	if left.Priority != right.Priority {
 		return left.Priority - right.Priority
 	}
-	return cmp.Or(cmp.Compare(left.turn, right.turn), left.Deadline.Compare(right.Deadline))
+	return cmp.Or(cmp.Compare(left.startTag, right.startTag), left.Deadline.Compare(right.Deadline))
 }
 
 func (q *waitQueue) len() int { return len(q.requests) }
 
 // insert adds a request behind those of equal rank.
 func (q *waitQueue) insert(request *Request) {
-	request.turn = q.turns.assign(request.Tenant)
+	request.startTag = q.fairness.startTag(request.Tenant)
 	at, _ := slices.BinarySearchFunc(q.requests, request, func(queued, added *Request) int {
 		if compareRank(queued, added) <= 0 {
 			return -1
@@ -38,12 +38,16 @@
 	q.requests = slices.Insert(q.requests, at, request)
 }
 
-// lowest returns the request of the lowest priority, of several the one whose turn comes last, then the one that arrived last.
-// The queue must not be empty.
+// lowest returns the request of the lowest priority; among several, the one with the highest start tag, then the one that
+// arrived last. The queue must not be empty.
 func (q *waitQueue) lowest() *Request {
 	lowest := q.requests[0]
 	for _, request := range q.requests {
-		order := cmp.Or(request.Priority-lowest.Priority, cmp.Compare(request.turn, lowest.turn), request.ArrivedAt.Compare(lowest.ArrivedAt))
+		order := cmp.Or(
+			request.Priority-lowest.Priority,
+			cmp.Compare(request.startTag, lowest.startTag),
+			request.ArrivedAt.Compare(lowest.ArrivedAt),
+		)
 		if order > 0 {
 			lowest = request
 		}
@@ -51,7 +55,6 @@
 	return lowest
 }
 
-// removeDecided removes decided requests.
 func (q *waitQueue) removeDecided() {
 	undecided := q.requests[:0]
 	for _, request := range q.requests {
@@ -63,7 +66,7 @@
 	q.requests = undecided
 }
 
-// servableAt returns the requests whose model the replica at a position of the index has loaded. The
+// servableAt returns the requests whose model is loaded at the replica at a position of the index. The
 // result is valid until the next call; the caller clears it after use.
 func (q *waitQueue) servableAt(index *Index, position int) []*Request {
 	q.servable = q.servable[:0]
@@ -75,13 +78,13 @@
 	return q.servable
 }
 
-// startRound notes that all requests are tried now.
+// startRound records that all requests are tried now.
 func (q *waitQueue) startRound(now time.Time) {
 	q.unbatched = 0
 	q.retryAt = now.Add(retryInterval)
 }
 
-// nextWake returns the time until a request has to be decided or tried again, idleWake if none waits.
+// nextWake returns the time until a request has to be decided or retried, or idleWake if none waits.
 func (q *waitQueue) nextWake(clock func() time.Time) time.Duration {
 	if q.unbatched > 0 {
 		return max(q.batchDueAt.Sub(clock()), 0)
--- a/internal/routing/warmup.go
+++ b/internal/routing/warmup.go
@@ -6,10 +6,10 @@
 	"ferryspar/internal/apportion"
 )
 
-// warmUpLimit is what the backend allows at a replica that is warming up, by all data planes together.
+// warmUpLimit limits the requests of all data planes together to a replica that is warming up.
 type warmUpLimit struct {
 	perSecond    float64 // target rate of requests
-	maxPerSecond float64 // requests that no second may exceed
+	maxPerSecond float64 // maximum number of requests in any second
 }
 
 // warmUpLimit returns the limit for a backend with that rate (coldPerS of the configuration).
@@ -20,29 +20,31 @@
 	}
 }
 
-// sendsToRemember is how many sends a replica's state has to keep to respect the limit.
+// sendsToRemember returns how many sends a replica's state has to record to enforce the limit.
 func (l warmUpLimit) sendsToRemember() int { return max(int(l.perSecond), 1) }
 
 const (
-	// warmUpReserve: at most maxPerSecond divided by this is designated if all could send at once.
+	// warmUpReserve divides maxPerSecond into the mean number of designated data planes, if all data planes sending at once
+	// stay within maxPerSecond.
 	warmUpReserve = 2
-	// minWarmUpInterval is the shortest interval between two sends of a designated data plane; beyond one
-	// second, so that no second holds two of its sends.
+	// minWarmUpInterval is the shortest interval between two sends of a designated data plane. It is longer than
+	// a second, so that no second contains two sends.
 	minWarmUpInterval = 1100 * time.Millisecond
 )
 
-// warmUpShare is one data plane's share of a warmUpLimit: with the given chance it is designated for a
-// replica, and then it sends at most that many requests in any window.
+// warmUpShare is one data plane's share of a warmUpLimit: with probability chance it is designated for a
+// replica, and it then sends at most allowed requests in any window.
 type warmUpShare struct {
 	chance  float64
 	allowed int
 	window  time.Duration
 }
 
-// share divides the limit over the data planes (counted high while their number is uncertain). While there
-// are no more of them than the rate, each sends its whole share every second. Otherwise each replica has
-// few designated data planes: up to half of maxPerSecond if all sending at once stay within it, else so
-// few that more designates than maxPerSecond have a probability of 1 in 100,000 (apportion.TailProbability).
+// share divides the limit over the data planes, whose number is overestimated while uncertain. If there are no
+// more of them than perSecond, each may send its share every second. Otherwise only some data planes are
+// designated for each replica: on average up to half of maxPerSecond if all data planes sending at once stay
+// within it, else so few that the probability of more than maxPerSecond designated ones is at most 1 in 100,000
+// (apportion.TailProbability).
 func (l warmUpLimit) share(dataPlanes int) warmUpShare {
 	count := float64(max(dataPlanes, 1))
 	if count <= l.perSecond {
--- a/internal/routing/zones.go
+++ b/internal/routing/zones.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// A zone is suspected if minFailingReplicas of its replicas and minFailingShare of them have failures,
-	// and that share is failingShareFactor times the one elsewhere.
+	// A zone is suspected if at least minFailingReplicas of its replicas, and at least minFailingShare of them,
+	// have failures, and this share is more than failingShareFactor times that of the other zones.
 	minFailingReplicas = 3
 	minFailingShare    = 1.0 / 3
 	failingShareFactor = 3.0
@@ -16,12 +16,12 @@
 	zoneSuspicionTime = time.Second
 )
 
-// zoneCount counts a zone's replicas, and those of them with failures seen from the own zone.
+// zoneCount counts a zone's replicas, and those of them with failures seen from this data plane's zone.
 type zoneCount struct {
 	replicas, failing float64
 }
 
-// suspectedZones returns the zones whose replicas fail far more than those of all others.
+// suspectedZones returns the zones whose replicas fail far more often than those of all other zones.
 func suspectedZones(counts map[string]zoneCount) []string {
 	var suspected []string
 	for zone, here := range counts {
@@ -42,7 +42,7 @@
 	return suspected
 }
 
-// zoneOutcomes returns a replica's outcomes with the callers of the own zone.
+// zoneOutcomes returns a replica's outcomes at the data planes of this data plane's zone.
 func (h *health) zoneOutcomes(snapshot *Snapshot, id string, now time.Time) peer.Outcomes {
 	load := snapshot.recentPeerLoad(id, now)
 	outcomes := peer.Outcomes{Served: load.ZoneServed, Failed: load.ZoneFailed}
@@ -52,7 +52,7 @@
 	return outcomes
 }
 
-// reviewZones begins to suspect zones; a suspicion in force is not extended.
+// reviewZones starts suspicions of zones; a suspicion in force is not extended.
 func (h *health) reviewZones(snapshot *Snapshot, now time.Time) {
 	counts := map[string]zoneCount{}
 	for _, replica := range snapshot.Replicas {
@@ -70,8 +70,8 @@
 	}
 }
 
-// suspectsZoneOf reports whether a replica is ejected for its zone: it was listed before the suspicion
-// began.
+// suspectsZoneOf reports whether a replica must be ejected because its zone is suspected, which does not apply
+// to replicas that were first listed after the suspicion began.
 func (h *health) suspectsZoneOf(replica *Replica, now time.Time) bool {
 	first, known := h.firstListed[replica.ID]
 	if !known {
