--- a/internal/phasebalance/balance_test.go
+++ b/internal/phasebalance/balance_test.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/discovery"
 )
 
-// fleet returns serving replicas over some zones, of which so many read prompts.
+// fleet returns serving replicas spread over zones, the first of which are prefill replicas.
 func fleet(total, prefill, zones int) []Replica {
 	replicas := make([]Replica, total)
 	for index := range replicas {
@@ -38,7 +38,7 @@
 	return found
 }
 
-// apply carries changes out at once.
+// apply applies changes to the replicas.
 func apply(replicas []Replica, changes []Change) {
 	for _, change := range changes {
 		for index := range replicas {
@@ -49,7 +49,7 @@
 	}
 }
 
-// settle plans until nothing is to be changed, and returns the number of changes.
+// settle plans and applies changes until a plan has none, and returns the number of changes.
 func settle(t *testing.T, replicas []Replica, running float64) int {
 	t.Helper()
 	changed, moving := 0, false
@@ -62,11 +62,11 @@
 		changed += len(result.Changes)
 		apply(replicas, result.Changes)
 	}
-	t.Fatal("the phases never settle")
+	t.Fatal("the plans still have changes after 50 rounds")
 	return changed
 }
 
-func TestPlan_SizesDecodeByWhatRuns(t *testing.T) {
+func TestPlan_SizesDecodeByRunningRequests(t *testing.T) {
 	for _, test := range []struct {
 		name            string
 		running         float64
@@ -87,16 +87,16 @@
 	}
 }
 
-func TestPlan_LeavesSmallImbalancesAlone(t *testing.T) {
+func TestPlan_IgnoresSmallImbalances(t *testing.T) {
 	replicas := fleet(90, 58, 3)
 	result := Plan(Input{Replicas: replicas, RunningRequests: 300, SlotsPerReplica: 64})
 	assert.Equal(t, len(result.Changes), 0)
 	assert.Assert(t, !result.Rebalancing)
 	result = Plan(Input{Replicas: replicas, RunningRequests: 300, SlotsPerReplica: 64, Rebalancing: true})
-	assert.Assert(t, len(result.Changes) > 0, "a move that has begun goes on")
+	assert.Assert(t, len(result.Changes) > 0, "rebalancing continues once it has started")
 }
 
-func TestPlan_ChangesFewAtOnce(t *testing.T) {
+func TestPlan_LimitsConcurrentChanges(t *testing.T) {
 	replicas := fleet(90, 20, 3)
 	for index := 20; index < 45; index++ {
 		replicas[index].Phase, replicas[index].ChangingPhase, replicas[index].CanChangePhase = discovery.PhasePrefill, true, false
@@ -105,7 +105,7 @@
 	assert.Equal(t, len(result.Changes), 5)
 }
 
-func TestPlan_KeepsTheSlotsThatAreTaken(t *testing.T) {
+func TestPlan_KeepsDecodeHeadroom(t *testing.T) {
 	replicas := fleet(90, 10, 3)
 	for index := range replicas[10:70] {
 		replicas[10+index].Serving = false
@@ -114,7 +114,7 @@
 	assert.Assert(t, len(result.Changes) <= 20-8, "%d", len(result.Changes))
 }
 
-func TestPlan_TakesNoneThatMayNotMoveOrDoesNotServe(t *testing.T) {
+func TestPlan_ChangesOnlyReplicasThatCanChangePhase(t *testing.T) {
 	replicas := fleet(12, 4, 3)
 	for index := range replicas {
 		replicas[index].CanChangePhase = index >= 10
@@ -126,7 +126,7 @@
 	assert.Assert(t, len(result.Changes) > 0)
 }
 
-// In random fleets, no zone loses its last replica of a phase, and the phases settle.
+// Checked in random fleets: no zone loses its last replica of a phase, and the number of plans is finite.
 func TestPlan_KeepsBothPhasesInEachZone(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
--- a/internal/routing/assign_test.go
+++ b/internal/routing/assign_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// randomSnapshot is a random snapshot: zones, drains, replicas that are warming up, outdated peer loads.
+// randomSnapshot returns a snapshot with random zones, drains, replicas that are warming up and outdated peer loads.
 func randomSnapshot(random *rand.Rand, fixture *testFleet) *Snapshot {
 	replicas, models := 2+random.IntN(30), 1+random.IntN(12)
 	fixture.models = models
@@ -33,7 +33,7 @@
 	return fleet
 }
 
-// randomizeStates gives all replicas random loads, predictors and rejections.
+// randomizeStates sets random loads, predictors and rejections for all replicas.
 func randomizeStates(random *rand.Rand, fixture *testFleet) {
 	for _, replica := range fixture.snapshot.Load().Replicas {
 		state := fixture.matcher.replicas.state(replica.ID)
@@ -48,7 +48,7 @@
 	}
 }
 
-// randomBatch is a batch of requests with random sizes and restrictions.
+// randomBatch returns a batch of requests with random sizes and restrictions.
 func randomBatch(random *rand.Rand, fixture *testFleet) []*Request {
 	var requests []*Request
 	for range 1 + random.IntN(16) {
@@ -93,7 +93,7 @@
 	assert.Assert(t, placed > 5000, "only %d requests were placed", placed)
 }
 
-// sparseRows is a matrix of costs as the rows of flowSolver.
+// sparseRows converts a matrix of costs to the rows of flowSolver.
 func sparseRows(cost [][]float64) [][]arc {
 	rows := make([][]arc, len(cost))
 	for row := range cost {
--- a/internal/routing/breaker.go
+++ b/internal/routing/breaker.go
@@ -74,7 +74,7 @@
 
 // startHalfOpen enters breakerProbing or breakerRecovering.
 func (b *breaker) startHalfOpen(next breakerState, seen peer.Outcomes, now time.Time) {
-	b.baseline = outcomeCounter{Outcomes: seen, at: now}
+	b.baseline = outcomeCounter{Outcomes: seen, decayedAt: now}
 	b.setState(next, now)
 }
 
--- a/internal/routing/dense_test.go
+++ b/internal/routing/dense_test.go
@@ -10,7 +10,7 @@
 // forbidden marks a pair that may not be chosen.
 const forbidden = math.MaxFloat64
 
-// denseAssign is the reference of flowSolver: the same flow over a whole matrix of costs.
+// denseAssign is the reference implementation of flowSolver: the same flow over a dense matrix of costs.
 func denseAssign(cost [][]float64, capacity []int) []int {
 	chosen := make([]int, len(cost))
 	load := make([]int, len(capacity))
@@ -34,7 +34,7 @@
 	request, replica int
 }
 
-// denseSearch is a search for the cheapest augmenting path over a whole matrix of costs.
+// denseSearch is a search for the cheapest augmenting path over a dense matrix of costs.
 type denseSearch struct {
 	cost            [][]float64
 	capacity        []int
@@ -45,7 +45,7 @@
 	requestFrom     []int // replica before the request on its path
 }
 
-// denseShortest is the cheapest augmenting path and its cost, or nil.
+// denseShortest returns the cheapest augmenting path and its cost, or nil if there is none.
 func denseShortest(cost [][]float64, capacity []int, chosen, load []int) ([]step, float64) {
 	requests, replicas := len(cost), len(capacity)
 	search := denseSearch{
@@ -111,7 +111,7 @@
 	return changed
 }
 
-// nearestFreeReplica is the replica with a free slot at the least distance, -1 if none is reached.
+// nearestFreeReplica returns the replica with a free slot at the least distance, or -1 if none is reachable.
 func (s *denseSearch) nearestFreeReplica() int {
 	best := -1
 	for replica, distance := range s.replicaDistance {
@@ -125,7 +125,7 @@
 	return best
 }
 
-// pathTo is the path that ends at a replica, from its start.
+// pathTo returns the path that ends at a replica, from its start.
 func pathTo(end int, replicaFrom, requestFrom []int) []step {
 	var path []step
 	for replica, limit := end, 0; replica >= 0 && limit <= len(requestFrom); limit++ {
@@ -137,7 +137,7 @@
 	return path
 }
 
-// denseServes is the reference of the index and of Replica.accepts.
+// denseServes is the reference implementation of Index and Replica.accepts.
 func denseServes(replica *Replica, request *Request) bool {
 	if replica.Backend != request.Backend || replica.Draining {
 		return false
@@ -148,7 +148,7 @@
 	return request.Model == "" || replica.Models[request.Model]
 }
 
-// denseDecision is a batch decided over all replicas.
+// denseDecision is the decision on a batch over all replicas.
 type denseDecision struct {
 	modelNotLoaded []bool
 	chosen         []int
@@ -156,7 +156,7 @@
 	capacity       []int
 }
 
-// denseCosts are the costs of a request at every replica, and whether no replica may serve it.
+// denseCosts returns the costs of a request at every replica, and whether no replica may serve it.
 func denseCosts(m *Matcher, request *Request, columns []replicaNode, now time.Time) ([]float64, bool) {
 	modelNotLoaded := true
 	costs := make([]float64, len(columns))
@@ -182,7 +182,7 @@
 	return costs, modelNotLoaded
 }
 
-// denseChoice is the reference of Matcher.assign: it weighs every request with every replica.
+// denseChoice is the reference implementation of Matcher.assign: it scores every pair of request and replica.
 func denseChoice(m *Matcher, requests []*Request, now time.Time) denseDecision {
 	replicas := m.snapshot.Replicas
 	answer := denseDecision{
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -7,9 +7,10 @@
 // through the Snapshot in an atomic pointer, requests through Submit, and their outcomes through Report.
 // Time comes from the clock that is passed to NewMatcher.
 //
-// A backend may be disaggregated: its replicas then have a phase each, prefill or decode. A prefill replica
+// A backend may be disaggregated: each of its replicas then has one phase, prefill or decode. A prefill replica
 // computes the KV cache of a prompt and holds it under a handle; a decode replica fetches the KV cache and
 // generates the tokens. The matcher chooses both replicas together. Replicas of other backends do both phases.
+// File names and docs/design/split.md call such a backend split.
 //
 // All mutable state belongs to the goroutine of Matcher.Run, except that of a Drill, which has a lock.
 // Other goroutines use only the methods of inbox.go and Forecast. The emulator and the replay engine run
@@ -25,7 +26,7 @@
 //   - health: outcomes, circuit breakers and suspected zones (health.go, outcomecounter.go, breaker.go,
 //     ejection.go, zones.go, review.go; docs/design/health.md);
 //   - assignmentGraph and flowSolver: the batch that is being decided (graph.go, flow.go);
-//   - modelPrefillFactors: the relative prefill times of models (pace.go);
+//   - modelPrefillFactors: the relative prefill times of models (prefillfactor.go);
 //   - stepModels: the latency models of disaggregated backends (phase.go).
 //
 // A Decision is not yet a permission to send: Snapshot.Admit checks it against the current snapshot and returns the Target
--- a/internal/routing/drill_test.go
+++ b/internal/routing/drill_test.go
@@ -11,14 +11,14 @@
 	"ferryspar/internal/drill"
 )
 
-// drillOutcome is how a drilled fleet fared.
+// drillOutcome is the result of runDrill.
 type drillOutcome struct {
 	atLost         int                                     // drilled requests that run at drilled replicas
 	routes         map[string]drill.DataPlaneRouteOutcomes // the drill's report
-	harmedAttempts []string                                // attempts without a replica in the drilled fleet only
+	harmedAttempts []string                                // attempts that have no replica only because of the drill
 }
 
-// runDrill runs the same requests through a fleet with a drill and through one without.
+// runDrill runs the same requests on a fleet with a drill and on one without.
 func runDrill(seed uint64, share float64, change func(active *Drill)) drillOutcome {
 	plain, drilled := newSimulatedFleet(seed, 6), newSimulatedFleet(seed, 6)
 	notice := drill.Notice{Number: 1, Scope: drill.Scope{Zone: "isle"}, Share: share, LeftMs: 60000, Running: true}
@@ -48,8 +48,8 @@
 	return outcome
 }
 
-func TestDrill_NeverTakesLastCopy(t *testing.T) {
-	caught, keptInScope := 0, 0
+func TestDrill_NeverExcludesLastCopy(t *testing.T) {
+	detected, keptInScope := 0, 0
 	for seed := range uint64(20) {
 		found := runDrill(seed, 1, func(*Drill) {})
 		assert.Equal(t, found.atLost, 0, "seed %d", seed)
@@ -58,18 +58,18 @@
 		faulty := runDrill(seed, 1, func(active *Drill) {
 			active.servableElsewhere = func(*Matcher, *Request, time.Time) bool { return true }
 		})
-		caught += min(len(faulty.harmedAttempts), 1)
+		detected += min(len(faulty.harmedAttempts), 1)
 	}
 	assert.Assert(t, keptInScope > 0)
-	assert.Assert(t, caught >= 10, "a drill that takes last copies is seen at %d of 20 seeds", caught)
+	assert.Assert(t, detected >= 10, "a drill that excludes the last copies was detected at %d of 20 seeds", detected)
 }
 
-func TestDrill_SharesNest(t *testing.T) {
+func TestDrill_SmallerShareIsSubsetOfLarger(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	stage := func(share float64) *Drill {
+	newDrill := func(share float64) *Drill {
 		return NewDrill(drill.Notice{Share: share, LeftMs: 1000}, now, time.Second)
 	}
-	small, large, all := stage(0.1), stage(0.5), stage(1)
+	small, large, all := newDrill(0.1), newDrill(0.5), newDrill(1)
 	counted := [3]int{}
 	for number := range 2000 {
 		attempt := fmt.Sprint("attempt-", number)
@@ -134,7 +134,7 @@
 		simulated.now = simulated.now.Add(25 * time.Millisecond)
 		simulated.matcher.Wake()
 	}
-	assert.Equal(t, len(request.Decided), 1, "it waits no longer")
+	assert.Equal(t, len(request.Decided), 1, "the request is exempted after a tenth of its latency target")
 	decision := <-request.Decided
 	assert.Equal(t, decision.Replica.ID, "isle")
 	assert.Equal(t, fleet.Drill.Report("", simulated.now).Routes["quick"].Drilled.Exempted, 1)
--- a/internal/routing/fairness_test.go
+++ b/internal/routing/fairness_test.go
@@ -9,13 +9,13 @@
 	"ferryspar/internal/configuration"
 )
 
-// queuedFor is a request of a tenant that arrives after the ones before it.
+// queuedFor returns a request of a tenant; a higher number arrives later.
 func queuedFor(tenant configuration.TenantNumber, priority, number int) *Request {
 	arrived := noon.Add(time.Duration(number) * time.Millisecond)
 	return &Request{Tenant: tenant, Priority: priority, ArrivedAt: arrived, Deadline: arrived.Add(time.Second)}
 }
 
-// serveAll takes the requests of a queue in their order and returns their tenants.
+// serveAll removes the requests of a queue in order and returns their tenants.
 func serveAll(queue *waitQueue) []configuration.TenantNumber {
 	var order []configuration.TenantNumber
 	for _, request := range queue.requests {
@@ -26,7 +26,7 @@
 	return order
 }
 
-func TestWaitQueue_BurstOfATenantWaitsBehindOthersTurns(t *testing.T) {
+func TestWaitQueue_TenantBurstWaitsBehindOtherTenants(t *testing.T) {
 	queue := &waitQueue{}
 	for number := range 50 {
 		queue.insert(queuedFor(1, 1, number))
@@ -38,7 +38,7 @@
 	assert.DeepEqual(t, order[:6], []configuration.TenantNumber{1, 2, 3, 1, 2, 1})
 }
 
-func TestWaitQueue_PriorityGoesBeforeTurns(t *testing.T) {
+func TestWaitQueue_PriorityPrecedesFairness(t *testing.T) {
 	queue := &waitQueue{}
 	queue.insert(queuedFor(2, 2, 0))
 	for number := range 5 {
@@ -47,7 +47,7 @@
 	assert.DeepEqual(t, serveAll(queue), []configuration.TenantNumber{1, 1, 1, 1, 1, 2})
 }
 
-func TestWaitQueue_QuietTenantHasNoCredit(t *testing.T) {
+func TestWaitQueue_IdleTenantAccumulatesNoCredit(t *testing.T) {
 	queue := &waitQueue{}
 	for number := range 20 {
 		queue.insert(queuedFor(1, 1, number))
@@ -67,7 +67,7 @@
 	assert.Assert(t, second <= 3, "%v", order)
 }
 
-func TestWaitQueue_WithoutTenantsTheDeadlineDecides(t *testing.T) {
+func TestWaitQueue_OrdersByDeadlineWithoutTenants(t *testing.T) {
 	queue := &waitQueue{}
 	late, early := queuedFor(configuration.NoTenant, 1, 9), queuedFor(configuration.NoTenant, 1, 1)
 	queue.insert(late)
@@ -75,7 +75,7 @@
 	assert.Assert(t, queue.requests[0] == early)
 }
 
-func TestWaitQueue_OverflowTakesFromTheBurst(t *testing.T) {
+func TestWaitQueue_LowestRequestIsOfBurst(t *testing.T) {
 	queue := &waitQueue{}
 	for number := range 10 {
 		queue.insert(queuedFor(1, 1, number))
@@ -84,7 +84,7 @@
 	assert.Equal(t, queue.lowest().Tenant, configuration.TenantNumber(1))
 }
 
-func TestTenantTurns_RefusedRequestsDoNotCount(t *testing.T) {
+func TestFairQueue_ReleasedStartTagsDoNotCount(t *testing.T) {
 	turns := &fairQueue{}
 	for range 30 {
 		turns.startTag(1)
--- a/internal/routing/fixture_test.go
+++ b/internal/routing/fixture_test.go
@@ -18,8 +18,8 @@
 	fixtureMemory = 200000
 )
 
-// testFleet is a matcher with a fleet of one backend in one zone, where models are loaded at fixtureCopies
-// replicas each.
+// testFleet is a matcher with a fleet of one backend in one zone, in which each model is loaded at fixtureCopies
+// replicas.
 type testFleet struct {
 	matcher  *Matcher
 	snapshot *atomic.Pointer[Snapshot]
@@ -40,7 +40,7 @@
 	return configuration.NewTable(configuration.Configuration{Backends: []configuration.Backend{backend}}, nil)
 }
 
-// newTestSnapshot is a snapshot; others returns what the other data planes run at each replica.
+// newTestSnapshot returns a snapshot; peerRunning returns the number of requests that the other data planes run at a replica.
 func newTestSnapshot(replicas, models, dataPlanes int, peerRunning func(replica int) int, now time.Time) *Snapshot {
 	fleet := &Snapshot{
 		Table:          newTestTable(models),
@@ -80,7 +80,7 @@
 	return fixture
 }
 
-// request is the next of a sequence of requests that share prefixes and go round the models.
+// request returns the next of a sequence of requests that share prefixes and cycle through the models.
 func (f *testFleet) request() *Request {
 	f.number++
 	parts := []PromptPart{{uint64(f.number % 50), 400}, {uint64(f.number % 500), 200}}
@@ -100,14 +100,14 @@
 	}
 }
 
-var fleetSizes = []struct{ replicas, models, edges int }{{9, 28, 8}, {140, 450, 80}, {720, 1600, 400}}
+var fleetSizes = []struct{ replicas, models, dataPlanes int }{{9, 28, 8}, {140, 450, 80}, {720, 1600, 400}}
 
-// atSizes runs a benchmark at the sizes of the sites.
+// atSizes runs a benchmark at several fleet sizes.
 func atSizes(b *testing.B, run func(b *testing.B, replicas, models, dataPlanes int)) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("replicas=%d", size.replicas), func(b *testing.B) {
 			b.ReportAllocs()
-			run(b, size.replicas, size.models, size.edges)
+			run(b, size.replicas, size.models, size.dataPlanes)
 		})
 	}
 }
@@ -165,7 +165,7 @@
 	})
 }
 
-// waitingMatcher has that many requests in its queue, since all replicas are full.
+// waitingMatcher returns a matcher with the given number of waiting requests, all of whose replicas are full.
 func waitingMatcher(replicas, models, dataPlanes, waiting int) *testFleet {
 	fixture := newTestFleet(replicas, models, dataPlanes, func(int) int { return fixtureSlots })
 	for range waiting {
--- a/internal/routing/flow_test.go
+++ b/internal/routing/flow_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// exhaustiveMinCost is the least cost of serving the requests from the given one on, by trying everything.
+// exhaustiveMinCost returns the least cost of assigning the requests from the given one on, by exhaustive search.
 func exhaustiveMinCost(cost [][]float64, capacity []int, request int) float64 {
 	if request == len(cost) {
 		return 0
--- a/internal/routing/forecast.go
+++ b/internal/routing/forecast.go
@@ -57,28 +57,28 @@
 // have the load that they would have, and then decides the sampled requests of each route.
 func (f *forecaster) run() drill.ForecastResponse {
 	table, samples := f.before.snapshot.Table, f.before.ledger.samples.routes
-	answer := drill.ForecastResponse{
+	response := drill.ForecastResponse{
 		Ready:    table != nil,
 		Cached:   f.before.ledger.cachedTokensByModel(f.lost),
 		Replicas: map[string]drill.ReplicaLoad{},
 	}
-	if !answer.Ready {
-		return answer
+	if !response.Ready {
+		return response
 	}
 	for id, state := range f.before.replicas.states {
 		if state.running > 0 {
-			answer.Replicas[id] = drill.ReplicaLoad{Running: state.running}
+			response.Replicas[id] = drill.ReplicaLoad{Running: state.running}
 		}
 	}
-	f.placeInFlight(&answer)
+	f.placeInFlight(&response)
 	budget := maxForecastPairs / max(len(samples), 1)
 	for _, route := range table.Configuration.Routes {
 		ring := samples[route.Name]
 		if ring != nil && len(ring.requests) > 0 {
-			answer.Routes = append(answer.Routes, f.forecastRoute(ring.requests, budget))
+			response.Routes = append(response.Routes, f.forecastRoute(ring.requests, budget))
 		}
 	}
-	return answer
+	return response
 }
 
 // cachedTokensByModel counts the tokens in the ledger by model: those at lost replicas, those cached only
@@ -130,19 +130,19 @@
 
 // placeInFlight places the requests that ran at lost replicas and those that wait, in batches by rank, and
 // counts the results.
-func (f *forecaster) placeInFlight(answer *drill.ForecastResponse) {
+func (f *forecaster) placeInFlight(response *drill.ForecastResponse) {
 	inFlight, waiting := f.inFlightAtLost(), f.after.queue.requests
-	flight := &answer.InFlight
-	for _, load := range answer.Replicas {
-		flight.Running += load.Running
+	counts := &response.InFlight
+	for _, load := range response.Replicas {
+		counts.Running += load.Running
 	}
-	flight.OnLostReplicas = len(inFlight)
-	flight.Waiting = len(waiting)
+	counts.OnLostReplicas = len(inFlight)
+	counts.Waiting = len(waiting)
 	for _, request := range inFlight {
 		if request.Idempotent {
-			flight.Resumable++
+			counts.Resumable++
 		} else {
-			flight.Aborted++
+			counts.Aborted++
 		}
 	}
 	requests := append(append([]*Request{}, inFlight...), waiting...)
@@ -155,7 +155,7 @@
 		}
 		f.after.assign(batch, f.now)
 		for _, request := range batch {
-			f.countMove(request, answer)
+			f.countMove(request, response)
 		}
 	}
 }
--- a/internal/routing/forecast_test.go
+++ b/internal/routing/forecast_test.go
@@ -14,8 +14,8 @@
 	"ferryspar/internal/drill"
 )
 
-// simulatedFleet is a matcher amid a random fleet of three zones, with requests that begin and end as
-// time goes on.
+// simulatedFleet is a matcher with a random fleet in three zones, with requests that start and end over
+// simulated time.
 type simulatedFleet struct {
 	now      time.Time
 	snapshot atomic.Pointer[Snapshot]
@@ -68,7 +68,7 @@
 	return simulated
 }
 
-// step begins one request and ends some of those that run.
+// step starts one request and ends some of the running ones.
 func (f *simulatedFleet) step(number int) {
 	quick := f.random.IntN(3) > 0
 	parts := []PromptPart{{1, 200}, {uint64(10 + f.random.IntN(20)), 400}, {uint64(1000 + number), 100}}
@@ -106,7 +106,7 @@
 	}
 }
 
-// collectDecisions takes the decisions made.
+// collectDecisions receives all decisions that were made.
 func (f *simulatedFleet) collectDecisions() {
 	for _, request := range f.requests {
 		select {
@@ -119,7 +119,7 @@
 	}
 }
 
-// loseZone actually loses the zone isle and returns how many requests were moved to each replica.
+// loseZone removes the zone isle from the fleet and returns how many requests were moved to each replica.
 func (f *simulatedFleet) loseZone() map[string]int {
 	lost, _ := f.snapshot.Load().without(isleLoss.Covers)
 	var displaced []*Request
@@ -149,7 +149,7 @@
 	return moved
 }
 
-// actualCounts sends each sampled request alone, after the loss, and counts where it goes.
+// actualCounts assigns each sampled request alone, after the loss, and counts the results.
 func (f *simulatedFleet) actualCounts(sample []*Request) drill.RouteCounts {
 	var counts drill.RouteCounts
 	for _, sampled := range sample {
@@ -160,9 +160,9 @@
 			request.Parts = request.Parts[:sampled.cachedParts]
 		}
 		request.ArrivedAt, request.Deadline, request.Decided = f.now, f.now.Add(20*time.Second), make(chan Decision, 1)
-		again := f.matcher.fork(f.now, f.matcher.ledger.forkOrdered())
-		again.queue.requests, request.decided = []*Request{request}, false
-		again.decideWaiting()
+		fork := f.matcher.fork(f.now, f.matcher.ledger.forkOrdered())
+		fork.queue.requests, request.decided = []*Request{request}, false
+		fork.decideWaiting()
 		select {
 		case decision := <-request.Decided:
 			if decision.Ticket != nil {
@@ -194,11 +194,11 @@
 			})
 		}
 	}
-	assert.Assert(t, seen.Moved > 0 && seen.Waiting > 0 && seen.NowhereLoaded > 0, "every kind was met: %+v", seen)
-	assert.Assert(t, seen.BoundToLost > 0 && seen.Late > seen.LateNow, "every kind was met: %+v", seen)
+	assert.Assert(t, seen.Moved > 0 && seen.Waiting > 0 && seen.NowhereLoaded > 0, "not every result occurred: %+v", seen)
+	assert.Assert(t, seen.BoundToLost > 0 && seen.Late > seen.LateNow, "not every result occurred: %+v", seen)
 }
 
-// checkForecast checks every figure of a forecast against the actual loss of the zone.
+// checkForecast compares all counts of a forecast with those after the actual loss of the zone.
 func checkForecast(t *testing.T, simulated *simulatedFleet) drill.ForecastResponse {
 	t.Helper()
 	matcher := simulated.matcher
--- a/internal/routing/health_test.go
+++ b/internal/routing/health_test.go
@@ -13,8 +13,8 @@
 
 func TestLogLikelihoodRatio(t *testing.T) {
 	cases := []struct {
-		served, failed, peers float64
-		out                   bool
+		served, failed, peerRate float64
+		exceeds                  bool
 	}{
 		{0, 1, 0.02, false},
 		{0, 2, 0.02, true},
@@ -26,8 +26,8 @@
 		{0, 9, 0.9, false},
 	}
 	for _, testCase := range cases {
-		weight := logLikelihoodRatio(peer.Outcomes{Served: testCase.served, Failed: testCase.failed}, testCase.peers)
-		assert.Equal(t, weight > openThreshold, testCase.out, "%+v gives %f", testCase, weight)
+		weight := logLikelihoodRatio(peer.Outcomes{Served: testCase.served, Failed: testCase.failed}, testCase.peerRate)
+		assert.Equal(t, weight > openThreshold, testCase.exceeds, "%+v gives %f", testCase, weight)
 	}
 }
 
@@ -41,18 +41,18 @@
 		tested.review(failed.Outcomes, logLikelihoodRatio(failed.Outcomes, healthyFailureRate), now)
 	}
 	fail := func() { failed.add(0, 2, now) }
-	var holds []time.Duration
+	var openDurations []time.Duration
 	for range 5 {
 		fail()
 		step(0)
 		assert.Equal(t, tested.state, breakerOpen)
-		holds = append(holds, tested.openDuration)
+		openDurations = append(openDurations, tested.openDuration)
 		for tested.state != breakerRecovering {
 			step(reviewInterval)
 		}
 	}
-	for position, hold := range holds[1:] {
-		assert.Equal(t, hold, min(2*holds[position], maxOpenTime))
+	for position, duration := range openDurations[1:] {
+		assert.Equal(t, duration, min(2*openDurations[position], maxOpenTime))
 	}
 	for range 200 {
 		step(reviewInterval)
@@ -83,7 +83,7 @@
 	assert.Equal(t, len(suspectedZones(map[string]zoneCount{"north": {30, 30}})), 0)
 }
 
-// matcherWithPeerLoads is a matcher of the zone north that knows only the peer loads of those replicas.
+// matcherWithPeerLoads returns a matcher in the zone north, with a fleet of the given replicas and the given peer loads.
 func matcherWithPeerLoads(now time.Time, peerLoads map[string]peer.ReplicaLoad, ids ...string) *Matcher {
 	var current atomic.Pointer[Snapshot]
 	fleet := &Snapshot{PeerLoads: peerLoads, PeerLoadsAt: now, PeerOutcomes: peer.Outcomes{Served: 400, Failed: 20}}
@@ -106,22 +106,22 @@
 	now := time.Unix(1000, 0)
 	failing := peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 40, Failed: 5}, ZoneServed: 1, ZoneFailed: 3}
 	elsewhere := peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 40, Failed: 5}, ZoneServed: 20}
-	once := &Request{Backend: "scribes", Model: "swift"}
-	near := matcherWithPeerLoads(now, map[string]peer.ReplicaLoad{"i-1": failing}, "i-1", "i-2")
-	near.review(now)
-	assert.Assert(t, !near.breakerAdmits(once, near.snapshot.Replicas[0], now))
-	assert.Assert(t, near.breakerAdmits(once, near.snapshot.Replicas[1], now))
-	far := matcherWithPeerLoads(now, map[string]peer.ReplicaLoad{"i-1": elsewhere}, "i-1", "i-2")
-	far.review(now)
-	assert.Assert(t, far.breakerAdmits(once, far.snapshot.Replicas[0], now))
+	request := &Request{Backend: "scribes", Model: "swift"}
+	sameZone := matcherWithPeerLoads(now, map[string]peer.ReplicaLoad{"i-1": failing}, "i-1", "i-2")
+	sameZone.review(now)
+	assert.Assert(t, !sameZone.breakerAdmits(request, sameZone.snapshot.Replicas[0], now))
+	assert.Assert(t, sameZone.breakerAdmits(request, sameZone.snapshot.Replicas[1], now))
+	otherZone := matcherWithPeerLoads(now, map[string]peer.ReplicaLoad{"i-1": elsewhere}, "i-1", "i-2")
+	otherZone.review(now)
+	assert.Assert(t, otherZone.breakerAdmits(request, otherZone.snapshot.Replicas[0], now))
 }
 
 func TestMatcher_NeverEjectsMoreThanAllowed(t *testing.T) {
 	now := time.Unix(1000, 0)
-	ill := func(served, failed float64) peer.ReplicaLoad {
+	failingLoad := func(served, failed float64) peer.ReplicaLoad {
 		return peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: served, Failed: failed}}
 	}
-	once, again := &Request{
+	nonIdempotent, idempotent := &Request{
 		Backend: "scribes",
 		Model:   "swift",
 	}, &Request{Backend: "scribes", Model: "swift", Idempotent: true}
@@ -134,22 +134,22 @@
 		}
 		return ids
 	}
-	some := map[string]peer.ReplicaLoad{"a": ill(4, 5), "b": ill(4, 6), "c": ill(4, 7)}
-	assert.Equal(t, admitted(matcherWithPeerLoads(now, some, "a", "b", "c", "d"), once), "ad")
-	dead := map[string]peer.ReplicaLoad{"a": ill(0, 8), "b": ill(0, 8), "c": ill(0, 8)}
-	assert.Equal(t, admitted(matcherWithPeerLoads(now, dead, "a", "b", "c", "d"), once), "d")
-	assert.Equal(t, admitted(matcherWithPeerLoads(now, dead, "a"), once), "a")
+	some := map[string]peer.ReplicaLoad{"a": failingLoad(4, 5), "b": failingLoad(4, 6), "c": failingLoad(4, 7)}
+	assert.Equal(t, admitted(matcherWithPeerLoads(now, some, "a", "b", "c", "d"), nonIdempotent), "ad")
+	dead := map[string]peer.ReplicaLoad{"a": failingLoad(0, 8), "b": failingLoad(0, 8), "c": failingLoad(0, 8)}
+	assert.Equal(t, admitted(matcherWithPeerLoads(now, dead, "a", "b", "c", "d"), nonIdempotent), "d")
+	assert.Equal(t, admitted(matcherWithPeerLoads(now, dead, "a"), nonIdempotent), "a")
 	probed := matcherWithPeerLoads(now, dead, "a", "b")
 	probed.review(now)
 	probed.health.breakers["a"].setState(breakerProbing, now)
-	assert.Assert(t, probed.breakerAdmits(again, probed.snapshot.Replicas[0], now))
-	assert.Assert(t, !probed.breakerAdmits(once, probed.snapshot.Replicas[0], now))
+	assert.Assert(t, probed.breakerAdmits(idempotent, probed.snapshot.Replicas[0], now))
+	assert.Assert(t, !probed.breakerAdmits(nonIdempotent, probed.snapshot.Replicas[0], now))
 	probed.replicas.watch("a").running = 1
-	assert.Assert(t, !probed.breakerAdmits(again, probed.snapshot.Replicas[0], now))
+	assert.Assert(t, !probed.breakerAdmits(idempotent, probed.snapshot.Replicas[0], now))
 }
 
-func TestMatcher_EjectsReplicaThatFailsOneCallersRequests(t *testing.T) {
-	// All data planes are served by the replica but this one, which gets an error every 240 ms.
+func TestMatcher_EjectsReplicaFailingForOneDataPlane(t *testing.T) {
+	// The replica serves all other data planes and answers this one with an error every 240 ms.
 	now := time.Unix(1000, 0)
 	served := peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 16}, ZoneServed: 14}
 	matcher := matcherWithPeerLoads(now, map[string]peer.ReplicaLoad{"i-1": served}, "i-1", "i-2")
@@ -183,16 +183,16 @@
 	assert.Assert(t, record.counter("i-2").Failed <= 1)
 }
 
-// rejectAt reports that the first replica rejected a request for the model as full.
+// rejectAt reports that replica i-1 rejected a request for the model as full.
 func (m *Matcher) rejectAt(model string, at time.Time) {
 	ticket := &Ticket{request: &Request{Backend: "scribes", Model: model}, replica: "i-1", sentAt: at}
 	m.replicas.watch("i-1").recordTicket(ticket)
 	m.handleReport(Report{Ticket: ticket, Outcome: OutcomeFull, At: at})
 }
 
-func TestMatcher_RejectionCountsUnlessSomethingExplainsIt(t *testing.T) {
+func TestMatcher_RejectionCountsUnlessExplained(t *testing.T) {
 	now := time.Unix(1000, 0)
-	judged := now.Add(rejectionReviewDelay + reviewInterval)
+	reviewAt := now.Add(rejectionReviewDelay + reviewInterval)
 	cases := map[string]struct {
 		meanwhile func(matcher *Matcher)
 		counts    bool
@@ -211,17 +211,17 @@
 			matcher := matcherWithPeerLoads(now, nil, "i-1", "i-2")
 			matcher.snapshot.Replicas[0].Slots = 4
 			matcher.rejectAt("swift", now)
-			assert.Equal(t, matcher.health.counter("i-1").Failed, 0.0, "not judged at once")
+			assert.Equal(t, matcher.health.counter("i-1").Failed, 0.0, "a rejection is not counted at once")
 			testCase.meanwhile(matcher)
-			matcher.health.reviewedAt = judged.Add(-reviewInterval)
-			matcher.review(judged)
+			matcher.health.reviewedAt = reviewAt.Add(-reviewInterval)
+			matcher.review(reviewAt)
 			assert.Equal(t, matcher.health.counter("i-1").Failed > 0, testCase.counts)
 			assert.Equal(t, len(matcher.rejections), 0)
 		})
 	}
 }
 
-func TestMatcher_RejectionOfReplicaOnTrialCountsAtOnce(t *testing.T) {
+func TestMatcher_RejectionByHalfOpenReplicaCountsAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	matcher := matcherWithPeerLoads(now, nil, "i-1", "i-2")
 	matcher.health.breakers["i-1"] = &breaker{state: breakerProbing, since: now}
--- a/internal/routing/heldprompt.go
+++ b/internal/routing/heldprompt.go
@@ -33,7 +33,7 @@
 // handlePrefilled processes a notice and answers it.
 func (m *Matcher) handlePrefilled(notice prefilledNotice) {
 	m.handleReport(Report{Ticket: notice.prefill, Outcome: OutcomePrefilled, At: notice.at})
-	decode := notice.prefill.next
+	decode := notice.prefill.decode
 	usable := m.mayContinue(decode, notice.at)
 	if !usable {
 		m.releaseDecode(decode)
@@ -84,7 +84,7 @@
 func (m *Matcher) sendFromHeld(request *Request, node *replicaNode, scored scoredPair, now time.Time) {
 	prefill := request.HeldPrefill.Ticket
 	decode := newDecodeTicket(request, node, scored, prefill, now)
-	prefill.next = decode
+	prefill.decode = decode
 	node.state.recordTicket(decode)
 	m.recordSend(request, node, 0, now)
 	m.demand.recordStart(request)
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -17,14 +17,14 @@
 	prefillGroups map[string]map[string]int
 }
 
-// hosting is the membership of the replica at a position in a group.
-type hosting struct {
+// groupMember is the membership of the replica at a position in a group.
+type groupMember struct {
 	group, position int
 }
 
 // indexBuilder collects the members of all groups before the groups are allocated.
 type indexBuilder struct {
-	hostings   []hosting
+	members    []groupMember
 	groupSizes []int
 }
 
@@ -43,7 +43,7 @@
 		total += len(replica.Models)
 	}
 	builder := indexBuilder{
-		hostings:   make([]hosting, 0, total),
+		members:    make([]groupMember, 0, total),
 		groupSizes: make([]int, 0, total),
 	}
 	for position, replica := range replicas {
@@ -84,18 +84,18 @@
 		b.groupSizes = append(b.groupSizes, 0)
 	}
 	b.groupSizes[group]++
-	b.hostings = append(b.hostings, hosting{group, position})
+	b.members = append(b.members, groupMember{group, position})
 }
 
 // build returns the positions of each group, with one allocation for all groups.
 func (b *indexBuilder) build() [][]int {
 	hosts := make([][]int, len(b.groupSizes))
-	unused := make([]int, len(b.hostings))
+	unused := make([]int, len(b.members))
 	for group, size := range b.groupSizes {
 		hosts[group] = unused[:0:size]
 		unused = unused[size:]
 	}
-	for _, member := range b.hostings {
+	for _, member := range b.members {
 		hosts[member.group] = append(hosts[member.group], member.position)
 	}
 	return hosts
--- a/internal/routing/ledger_test.go
+++ b/internal/routing/ledger_test.go
@@ -87,7 +87,7 @@
 	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon, noon.Add(2*time.Second))
 	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(2*time.Second)), 5.0, "arrived before the forget")
 	ledger.RecordPrompt("r", Prompt{"m", parts, prefixHashes}, noon.Add(3*time.Second), noon.Add(3*time.Second))
-	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(3*time.Second)), 11.0, "arrived after it")
+	assert.Equal(t, ledger.CachedTokens("r", Prompt{"m", parts, prefixHashes}, noon.Add(3*time.Second)), 11.0, "arrived after the forget")
 }
 
 func TestPrefixLedger_SetTTLExpiresAtOnce(t *testing.T) {
@@ -98,7 +98,7 @@
 	assert.Equal(t, ledger.Len(), 0)
 }
 
-// ledgerPrompt is one of a sequence of prompts that share prefixes.
+// ledgerPrompt returns one of a sequence of prompts that share prefixes.
 func ledgerPrompt(number int) ([]PromptPart, []uint64) {
 	parts := []PromptPart{{uint64(number % 300), 400}, {uint64(number % 4000), 200}, {uint64(number), 80}}
 	return parts, HashPrefixes(parts)
--- a/internal/routing/loadreport_test.go
+++ b/internal/routing/loadreport_test.go
@@ -9,7 +9,7 @@
 	"ferryspar/internal/peer"
 )
 
-func TestMatcher_LoadReportOmitsQuietReplicas(t *testing.T) {
+func TestMatcher_LoadReportOmitsIdleReplicas(t *testing.T) {
 	fixture := newTestFleet(30, 30, 3, func(int) int { return 0 })
 	request := fixture.request()
 	fixture.matcher.Enqueue(request)
@@ -25,7 +25,7 @@
 	fixture.now = fixture.now.Add(2 * minSuspicion)
 	served := fixture.matcher.collectLoad().Replicas
 	assert.Equal(t, len(served), 1)
-	assert.Equal(t, served[decision.Replica.ID], peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 0.3}}, "only how it went")
+	assert.Equal(t, served[decision.Replica.ID], peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 0.3}}, "only the outcomes are reported")
 	fixture.now = fixture.now.Add(10 * halfLife)
 	assert.Equal(t, len(fixture.matcher.collectLoad().Replicas), 0)
 	lost.suspect(fixture.now)
@@ -54,7 +54,7 @@
 	assert.Equal(t, fixture.matcher.ledger.Len(), 0)
 	fixture.now = fixture.now.Add(unlistedTTL - 1)
 	fixture.matcher.collectLoad()
-	assert.Assert(t, fixture.matcher.replicas.states[decision.Replica.ID] != nil, "it may be back")
+	assert.Assert(t, fixture.matcher.replicas.states[decision.Replica.ID] != nil, "the state is kept for unlistedTTL")
 	fixture.now = fixture.now.Add(1)
 	fixture.matcher.collectLoad()
 	assert.Assert(t, fixture.matcher.replicas.states[decision.Replica.ID] == nil)
--- a/internal/routing/outcomecounter.go
+++ b/internal/routing/outcomecounter.go
@@ -30,20 +30,20 @@
 // since outcomes have weights.
 type outcomeCounter struct {
 	peer.Outcomes
-	at       time.Time // time up to which the counts have decayed
-	failedAt time.Time // time of the last counted failure
+	decayedAt time.Time // time up to which the counts have decayed
+	failedAt  time.Time // time of the last counted failure
 }
 
 // decay lets the counts decay up to now.
 func (c *outcomeCounter) decay(now time.Time) {
-	span := now.Sub(c.at)
+	span := now.Sub(c.decayedAt)
 	if span <= 0 {
 		return
 	}
 	remaining := math.Exp2(-float64(span) / float64(halfLife))
 	c.Served *= remaining
 	c.Failed *= remaining
-	c.at = now
+	c.decayedAt = now
 }
 
 // add counts outcomes; a negative failed takes failures back.
--- a/internal/routing/parameters_test.go
+++ b/internal/routing/parameters_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// The keys of scenario files in docs/experiments must not change with the names of the fields.
+// The scenario files in docs/experiments use these keys, so they must not change when a field is renamed.
 func TestParameters_ScenarioKeysStayTheSame(t *testing.T) {
 	var keys []string
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[Parameters]()) {
--- a/internal/routing/phase.go
+++ b/internal/routing/phase.go
@@ -55,9 +55,9 @@
 	},
 }
 
-// startSharedCovariance is the initial diagonal of a shared model's covariance. It is low because a shared model sees enough
+// initialSharedCovariance is the initial diagonal of a shared model's covariance. It is low because a shared model sees enough
 // requests to learn slowly, and its predictions choose between ways to serve a request from the first request on.
-const startSharedCovariance = 0.5
+const initialSharedCovariance = 0.5
 
 // stepModel predicts the latency of a step from the features whose weights are not limited to 0.
 type stepModel struct {
@@ -71,7 +71,7 @@
 	model.predictor.weights = Features{}
 	for index := range featureCount {
 		model.predictor.weights[index] = model.limits[index].initial
-		model.predictor.covariance[index][index] = startSharedCovariance
+		model.predictor.covariance[index][index] = initialSharedCovariance
 	}
 	return model
 }
--- a/internal/routing/predictor.go
+++ b/internal/routing/predictor.go
@@ -26,14 +26,14 @@
 
 const (
 	// Initial weights, in ms per unit of the feature.
-	startUncachedMsPerThousand = 60.0
-	startUtilizationMs         = 40.0
-	startPendingMsPerThousand  = 60.0
-	startBaseMs                = 30.0
-	// startCovariance is the initial diagonal of the covariance: the higher, the more the first observations count.
-	startCovariance = 50.0
+	initialUncachedMsPerThousand = 60.0
+	initialUtilizationMs         = 40.0
+	initialPendingMsPerThousand  = 60.0
+	initialInterceptMs           = 30.0
+	// initialCovariance is the initial diagonal of the covariance: the higher, the more the first observations count.
+	initialCovariance = 50.0
 	// maxCovariance limits the diagonal, which the forgetting factor would otherwise let grow without bound.
-	maxCovariance = startCovariance * 10
+	maxCovariance = initialCovariance * 10
 	// Limits of the learned time to prefill a thousand tokens.
 	minPrefillMsPerThousand = 10.0
 	maxPrefillMsPerThousand = 200.0
@@ -47,13 +47,13 @@
 func NewPredictor() *Predictor {
 	predictor := &Predictor{forgetting: forgettingFactor, successRate: 1}
 	predictor.weights = Features{
-		featureIntercept:   startBaseMs,
-		featureUncached:    startUncachedMsPerThousand,
-		featureUtilization: startUtilizationMs,
-		featurePending:     startPendingMsPerThousand,
+		featureIntercept:   initialInterceptMs,
+		featureUncached:    initialUncachedMsPerThousand,
+		featureUtilization: initialUtilizationMs,
+		featurePending:     initialPendingMsPerThousand,
 	}
 	for index := range predictor.covariance {
-		predictor.covariance[index][index] = startCovariance
+		predictor.covariance[index][index] = initialCovariance
 	}
 	return predictor
 }
--- a/internal/routing/queue_test.go
+++ b/internal/routing/queue_test.go
@@ -13,14 +13,14 @@
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 200 {
 		matcher := newTestFleet(3, 3, 3, func(int) int { return 0 }).matcher
-		var arrived []*Request
+		var requests []*Request
 		for range random.IntN(60) {
 			request := &Request{Priority: random.IntN(3), Deadline: noon.Add(time.Duration(random.IntN(5)) * time.Second)}
-			arrived = append(arrived, request)
+			requests = append(requests, request)
 			matcher.queue.insert(request)
 		}
-		slices.SortStableFunc(arrived, compareRank)
-		assert.Assert(t, slices.Equal(arrived, matcher.queue.requests))
+		slices.SortStableFunc(requests, compareRank)
+		assert.Assert(t, slices.Equal(requests, matcher.queue.requests))
 	}
 }
 
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -111,9 +111,9 @@
 	key  stepKey // of its latency model; unused for a replica that does both phases
 	// holdTime is how long the prefill replica keeps a KV cache that is not fetched.
 	holdTime time.Duration
-	// prefill, in a ticket of stepDecode, is the ticket of the prefill step; next points back from there.
+	// prefill, in a ticket of stepDecode, is the ticket of the prefill step, and decode the reverse.
 	prefill *Ticket
-	next    *Ticket
+	decode  *Ticket
 	// prefilled and holding, in a ticket of stepPrefill, are set if the prefill is complete and if its KV cache is held at the
 	// replica.
 	prefilled bool
--- a/internal/routing/samples_test.go
+++ b/internal/routing/samples_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRequestSamples_StayBoundedAndFollowLedger(t *testing.T) {
+func TestRequestSamples_AreLimitedAndExpireWithLedger(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	ledger := NewPrefixLedger(100, 0)
 	request := func(route string, part uint64, at time.Time) *Request {
@@ -33,7 +33,7 @@
 	}
 	remaining := sampled()
 	ledger.addSample(request("late", 1, now))
-	assert.Equal(t, sampled(), remaining, "what came before a forget is not sampled after it")
+	assert.Equal(t, sampled(), remaining, "a request that arrived before a forget is not sampled after it")
 	ledger.addSample(request("new", 0, now.Add(time.Minute)))
 	ledger.SetTTL(30*time.Second, now.Add(time.Minute))
 	assert.Equal(t, sampled(), 1)
--- a/internal/routing/slotshare_test.go
+++ b/internal/routing/slotshare_test.go
@@ -10,7 +10,8 @@
 	"ferryspar/internal/peer"
 )
 
-// nodeWithPeerLoad is what a data plane may use of a replica at which others run so many, by sums of that age.
+// nodeWithPeerLoad returns the node of a replica at which the other data planes run the given number of requests, by peer
+// loads of the given age.
 func nodeWithPeerLoad(dataPlane string, dataPlanes, running int, age time.Duration) replicaNode {
 	fixture := newTestFleet(1, 1, dataPlanes, func(int) int { return running })
 	fixture.matcher.replicas.nodeName = dataPlane
@@ -40,7 +41,7 @@
 				total += node.capacity
 			}
 		}
-		assert.Assert(t, total >= fixtureSlots && total <= 3*fixtureSlots, "%d daemons: %d at once", dataPlanes, total)
+		assert.Assert(t, total >= fixtureSlots && total <= 3*fixtureSlots, "%d data planes: %d at once", dataPlanes, total)
 	}
 }
 
@@ -76,5 +77,5 @@
 	fixture.matcher.useLatestSnapshot()
 	assert.Equal(t, fixture.matcher.buildNode(0, fixture.now).freeMemory, 100.0)
 	fixture.snapshot.Load().PeerLoads = map[string]peer.ReplicaLoad{}
-	assert.Equal(t, fixture.matcher.buildNode(0, fixture.now).freeMemory, memory, "an empty replica takes a request of any size")
+	assert.Equal(t, fixture.matcher.buildNode(0, fixture.now).freeMemory, memory, "an empty replica accepts a request of any size")
 }
--- a/internal/routing/snapshot_test.go
+++ b/internal/routing/snapshot_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// storeWithout puts the snapshot into use without one of its replicas, or in full.
+// storeWithout stores and uses a snapshot without one of its replicas, or in full if without is empty.
 func (f *testFleet) storeWithout(full *Snapshot, without string) {
 	next := *full
 	next.Replicas = nil
@@ -52,11 +52,11 @@
 	fixture.storeWithout(full, warmUp.ID)
 	fixture.now = fixture.now.Add(100 * time.Millisecond)
 	fixture.storeWithout(full, "")
-	assert.Equal(t, sendAll(), 0, "the second is not over")
+	assert.Equal(t, sendAll(), 0, "the sends of the last second still count")
 	fixture.storeWithout(full, warmUp.ID)
 	fixture.now = fixture.now.Add(unlistedTTL)
 	fixture.matcher.collectLoad()
-	assert.Assert(t, fixture.matcher.replicas.states[warmUp.ID] == nil, "left out for long: forgotten")
+	assert.Assert(t, fixture.matcher.replicas.states[warmUp.ID] == nil, "the state is dropped after unlistedTTL")
 }
 
 func TestMatcher_CountsWarmUpShareAsUsedAfterRestart(t *testing.T) {
@@ -68,7 +68,7 @@
 	fixture.matcher.Enqueue(request)
 	fixture.now = startedAt.Add(time.Second - 1)
 	fixture.matcher.Wake()
-	assert.Equal(t, len(request.Decided), 0, "the life before may have sent it in the same second")
+	assert.Equal(t, len(request.Decided), 0, "an earlier incarnation may have sent requests in the same second")
 	fixture.now = startedAt.Add(time.Second + retryInterval)
 	fixture.matcher.Wake()
 	assert.Equal(t, len(request.Decided), 1)
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -227,7 +227,7 @@
 		holdTime:       holdTime(source.runtime),
 	}
 	decode := newDecodeTicket(request, node, scored, prefill, now)
-	prefill.next = decode
+	prefill.decode = decode
 	source.capacity--
 	source.freeMemory -= request.PromptTokens
 	source.state.recordTicket(prefill)
--- a/internal/routing/split_test.go
+++ b/internal/routing/split_test.go
@@ -16,13 +16,14 @@
 	"ferryspar/internal/peer"
 )
 
-// splitSlots and splitMemory are those of the replicas of a test's split backend.
+// splitSlots and splitMemory are the slots and the KV memory of the replicas of a disaggregated test backend.
 const (
 	splitSlots  = 64
 	splitMemory = 200000
 )
 
-// newSplitMatcher returns a matcher in zone-0 over a split backend: so many replicas of each phase, spread over zones.
+// newSplitMatcher returns a matcher in zone-0 with a disaggregated backend: the given number of replicas of each phase, spread
+// over zones.
 func newSplitMatcher(prefill, decode, zones int) (*Matcher, *Snapshot) {
 	now := noon
 	table := configuration.NewTable(configuration.Configuration{Backends: []configuration.Backend{{
@@ -59,7 +60,7 @@
 	return matcher, snapshot
 }
 
-// splitRequest is a request with a shared part and one of its own.
+// splitRequest returns a request whose prompt has a shared part and a part of its own.
 func splitRequest(number int, sharedTokens, ownTokens float64) *Request {
 	parts := []PromptPart{{uint64(number%7) + 1, sharedTokens}, {uint64(number) + 1000, ownTokens}}
 	return &Request{
@@ -78,7 +79,7 @@
 	}
 }
 
-// decide has a matcher decide on a request, which must not be left waiting.
+// decideSplit enqueues a request and returns the decision, which must be made at once.
 func decideSplit(t *testing.T, matcher *Matcher, request *Request) Decision {
 	t.Helper()
 	matcher.Enqueue(request)
@@ -91,27 +92,27 @@
 	}
 }
 
-func TestMatcher_ReadsLongPromptsApart(t *testing.T) {
+func TestMatcher_PrefillsLongPromptsAtPrefillReplica(t *testing.T) {
 	matcher, _ := newSplitMatcher(4, 4, 2)
 	decision := decideSplit(t, matcher, splitRequest(1, 5000, 2000))
 	assert.Equal(t, decision.Replica.Phase, discovery.PhaseDecode)
 	assert.Assert(t, decision.Prefill != nil)
 	assert.Equal(t, decision.Prefill.Replica.Phase, discovery.PhasePrefill)
-	assert.Equal(t, decision.Prefill.Replica.Zone, decision.Replica.Zone, "the memory moves within a zone")
+	assert.Equal(t, decision.Prefill.Replica.Zone, decision.Replica.Zone, "the KV cache is transferred within a zone")
 	assert.Assert(t, decision.Prefill.Timeout >= inactivityTimeout)
 }
 
-func TestMatcher_NeverRunsARequestAtAPrefillReplica(t *testing.T) {
+func TestMatcher_NeverDecodesAtPrefillReplica(t *testing.T) {
 	matcher, snapshot := newSplitMatcher(5, 0, 1)
 	request := splitRequest(1, 200, 100)
 	matcher.Enqueue(request)
-	assert.Equal(t, len(request.Decided), 0, "no replica makes tokens")
+	assert.Equal(t, len(request.Decided), 0, "there is no decode replica")
 	for _, replica := range snapshot.Replicas {
 		assert.Assert(t, !replica.Serves(request))
 	}
 }
 
-func TestMatcher_ServesAloneWithoutPrefillReplicas(t *testing.T) {
+func TestMatcher_PrefillsAtDecodeReplicaWithoutPrefillReplicas(t *testing.T) {
 	matcher, _ := newSplitMatcher(0, 3, 1)
 	decision := decideSplit(t, matcher, splitRequest(1, 5000, 2000))
 	assert.Assert(t, decision.Prefill == nil)
@@ -123,7 +124,7 @@
 	assert.Assert(t, decideSplit(t, matcher, request).Prefill == nil)
 }
 
-func TestMatcher_RegionsBindBothSteps(t *testing.T) {
+func TestMatcher_AllowedRegionsApplyToBothSteps(t *testing.T) {
 	matcher, snapshot := newSplitMatcher(6, 6, 3)
 	for _, replica := range snapshot.Replicas {
 		replica.Region = map[string]string{"zone-0": "far", "zone-1": "home", "zone-2": "far"}[replica.Zone]
@@ -137,7 +138,7 @@
 	}
 }
 
-func TestMatcher_DrainedZonesReadNothing(t *testing.T) {
+func TestMatcher_DrainedZonesGetNoPrefill(t *testing.T) {
 	matcher, snapshot := newSplitMatcher(6, 6, 3)
 	snapshot.DrainedZones["zone-0"] = true
 	for number := range 40 {
@@ -147,7 +148,7 @@
 	}
 }
 
-// The pair that the matcher chooses is the best of all pairs of a candidate of each phase, found by weighing them all.
+// The matcher's choice is compared with the best pair of candidates of both phases, found by exhaustive search.
 func TestMatcher_PairEqualsExhaustiveChoice(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for round := range 300 {
@@ -184,7 +185,7 @@
 		if request.shed {
 			continue
 		}
-		// Decode replicas beyond the candidates of their zone are weighed by the exhaustive choice alone.
+		// The exhaustive search also includes decode replicas beyond the candidates of their zone.
 		if len(matcher.graph.nodes) <= candidateCount {
 			assert.Assert(t, math.Abs(best-exhaustive) < 1e-9, "round %d: %f, exhaustive %f", round, best, exhaustive)
 		} else {
@@ -193,7 +194,7 @@
 	}
 }
 
-func TestMatcher_DecodePlaceIsHeldWhileThePromptIsRead(t *testing.T) {
+func TestMatcher_DecodeSlotIsReservedDuringPrefill(t *testing.T) {
 	matcher, _ := newSplitMatcher(1, 1, 1)
 	request := splitRequest(1, 5000, 2000)
 	decision := decideSplit(t, matcher, request)
@@ -201,7 +202,7 @@
 	assert.Equal(t, prefill.running, 1)
 	assert.Equal(t, decode.running, 1)
 	assert.Equal(t, decode.tokens, request.TotalTokens())
-	assert.Equal(t, len(decode.awaitingFirst), 0, "nothing was sent there yet")
+	assert.Equal(t, len(decode.awaitingFirst), 0, "the decode step was not sent yet")
 
 	at := noon.Add(200 * time.Millisecond)
 	matcher.HandleReport(Report{Ticket: decision.Prefill.Ticket, Outcome: OutcomePrefilled, At: at})
@@ -212,7 +213,7 @@
 
 	at = at.Add(30 * time.Millisecond)
 	matcher.HandleReport(Report{Ticket: decision.Ticket, Outcome: OutcomeFirstEvent, At: at})
-	assert.Equal(t, prefill.held.tokens(at), 0.0, "the memory was fetched")
+	assert.Equal(t, prefill.held.tokens(at), 0.0, "the KV cache was fetched")
 	matcher.HandleReport(Report{Ticket: decision.Ticket, Outcome: OutcomeServed, At: at})
 	assert.Equal(t, decode.running, 0)
 	assert.Equal(t, decode.tokens, 0.0)
@@ -220,8 +221,9 @@
 	assert.Equal(t, len(matcher.demand.running), 0)
 }
 
-// Whatever way a split request ends, nothing stays counted for it, but memory whose handle was lost until it lapses.
-func TestMatcher_NothingStaysCountedHoweverASplitRequestEnds(t *testing.T) {
+// After a request ends in any way, all its counts are taken back, except for a KV cache whose handle was lost and that has not
+// expired yet.
+func TestMatcher_EndedRequestLeavesNoCountsAtEitherReplica(t *testing.T) {
 	for name, test := range map[string]struct {
 		prefill []Outcome
 		decode  []Outcome
@@ -263,7 +265,7 @@
 	}
 }
 
-func TestMatcher_CancelledBeforeItWasSent(t *testing.T) {
+func TestMatcher_CancelBeforeSendReleasesBothReplicas(t *testing.T) {
 	matcher, _ := newSplitMatcher(1, 1, 1)
 	request := splitRequest(1, 5000, 2000)
 	matcher.Enqueue(request)
@@ -273,10 +275,10 @@
 		assert.Equal(t, state.running, 0, id)
 		assert.Equal(t, state.tokens, 0.0, id)
 	}
-	assert.Equal(t, matcher.replicas.state("p-0").held.tokens(noon), 0.0, "nothing was read")
+	assert.Equal(t, matcher.replicas.state("p-0").held.tokens(noon), 0.0, "the prefill did not run")
 }
 
-func TestMatcher_HandlesThatAreGoneCountAgainstThePrefillReplica(t *testing.T) {
+func TestMatcher_HandleGoneCountsAsFailureOfPrefillReplica(t *testing.T) {
 	matcher, _ := newSplitMatcher(2, 1, 1)
 	request := splitRequest(1, 5000, 2000)
 	first := decideSplit(t, matcher, request)
@@ -286,11 +288,11 @@
 	assert.Assert(t, matcher.health.counter(source).Failed > 0)
 	assert.Equal(t, matcher.health.counter("d-0").Failed, 0.0)
 	second := decideSplit(t, matcher, splitRequest(8, 5000, 2000))
-	assert.Assert(t, second.Prefill.Replica.ID != source, "it is avoided for a moment")
+	assert.Assert(t, second.Prefill.Replica.ID != source, "the replica is avoided during the backoff")
 }
 
-// Data planes that see the same loads agree on the home of a prefix, and different prefixes have different homes.
-func TestMatcher_PrefixesHaveHomesThatAllDataPlanesAgreeOn(t *testing.T) {
+// Data planes that see the same loads choose the same prefill replica for a prefix, and prefixes are spread over replicas.
+func TestMatcher_DataPlanesChooseSamePrefillReplicaForPrefix(t *testing.T) {
 	chosen := map[uint64]map[string]bool{}
 	used := map[string]bool{}
 	for range 5 {
@@ -312,7 +314,7 @@
 	assert.Assert(t, len(used) >= 4, "%v", used)
 }
 
-func TestMatcher_ShedsOnlyWhatQueuesMakeLate(t *testing.T) {
+func TestMatcher_ShedsOnlyRequestsLateByQueueing(t *testing.T) {
 	matcher, snapshot := newSplitMatcher(4, 4, 1)
 	for index := range 4 {
 		snapshot.PeerLoads[fmt.Sprintf("p-%d", index)] = peer.ReplicaLoad{Running: 30, PrefillTokens: 60000}
@@ -332,7 +334,7 @@
 	retry.ClientRetry = true
 	assert.Assert(t, decideSplit(t, matcher, retry).Error == nil, "a client's retry is not shed")
 	long := splitRequest(501, 2000, 30000)
-	assert.Assert(t, decideSplit(t, matcher, long).Error == nil, "a prompt that is late by its own size is not shed")
+	assert.Assert(t, decideSplit(t, matcher, long).Error == nil, "a request that is late because of its own size is not shed")
 }
 
 func TestServableWeight_KeepsOrderAndStaysPositive(t *testing.T) {
@@ -390,7 +392,7 @@
 	}
 }
 
-// serveBatch has a matcher decide a batch and reports each request that was sent as served.
+// serveBatch assigns a batch and reports each request that was sent as served.
 func serveBatch(matcher *Matcher, requests []*Request) {
 	matcher.assign(requests, noon)
 	for _, request := range requests {
@@ -407,7 +409,8 @@
 	}
 }
 
-// BenchmarkMatcher_SplitBatch measures one batch of sixteen requests on a split backend of a site's size, and of the target's.
+// BenchmarkMatcher_SplitBatch measures the assignment of one batch of 16 requests at a disaggregated backend of 90 and of 720
+// replicas.
 func BenchmarkMatcher_SplitBatch(b *testing.B) {
 	for _, replicas := range []int{90, 720} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
--- a/internal/routing/splitreports.go
+++ b/internal/routing/splitreports.go
@@ -6,8 +6,8 @@
 	"ferryspar/internal/discovery"
 )
 
-// handlesGoneBackoff is how long no prefills are sent to a replica from which a KV cache could not be fetched.
-const handlesGoneBackoff = 400 * time.Millisecond
+// handleGoneBackoff is how long no prefills are sent to a replica from which a KV cache could not be fetched.
+const handleGoneBackoff = 400 * time.Millisecond
 
 // elapsedMs returns the time since the ticket's request was sent, in ms.
 func (t *Ticket) elapsedMs(now time.Time) float64 {
@@ -42,7 +42,7 @@
 	state.finish(ticket)
 	state.held.add(ticket.tokens())
 	ticket.kvHeld = true
-	m.replicas.watch(ticket.next.replica).start(ticket.next, report.At)
+	m.replicas.watch(ticket.decode.replica).start(ticket.decode, report.At)
 	m.demand.recordStart(ticket.request)
 }
 
@@ -55,7 +55,7 @@
 		return
 	}
 	source := m.replicas.watch(ticket.prefill.replica)
-	source.noPrefillUntil = report.At.Add(handlesGoneBackoff)
+	source.noPrefillUntil = report.At.Add(handleGoneBackoff)
 	m.recordFailure(ticket.prefill, 1, minFailureInterval, report.At)
 }
 
--- a/internal/routing/target_test.go
+++ b/internal/routing/target_test.go
@@ -8,7 +8,7 @@
 	"ferryspar/internal/discovery"
 )
 
-// replicaAt is a decode replica with a model at a position of a snapshot.
+// replicaAt returns a decode replica with a model at a position of a snapshot, after a change, if any.
 func replicaAt(index int, id string, change func(*Replica)) *Replica {
 	listed := discovery.Replica{
 		ID: id, Backend: "service", Address: id + ":80", Zone: "zone-0", Phase: discovery.PhaseDecode,
@@ -22,7 +22,7 @@
 	return replica
 }
 
-func TestSnapshot_AdmitsOnlyWhatItAllowsNow(t *testing.T) {
+func TestSnapshot_AdmitChecksCurrentState(t *testing.T) {
 	chosen := replicaAt(0, "i-1", nil)
 	prefill := replicaAt(0, "i-1", func(r *Replica) { r.Phase = discovery.PhasePrefill })
 	cases := map[string]struct {
@@ -80,51 +80,51 @@
 	matcher.latest.Store(&changed)
 }
 
-func TestMatcher_HeldPromptGoesToAnotherReplica(t *testing.T) {
+func TestMatcher_HeldPrefillContinuesAtAnotherReplica(t *testing.T) {
 	matcher, snapshot := newSplitMatcher(2, 3, 1)
 	request := splitRequest(1, 5000, 2000)
 	first := decideSplit(t, matcher, request)
 	drainChosen(matcher, snapshot, first.Replica)
 	assert.Assert(t, !matcher.CompletePrefillSync(first.Prefill))
 	source, left := matcher.replicas.state(first.Prefill.Replica.ID), matcher.replicas.state(first.Replica.ID)
-	assert.Equal(t, left.running, 0, "its place is given back")
+	assert.Equal(t, left.running, 0, "the slot is released")
 	assert.Equal(t, left.tokens, 0.0)
-	assert.Equal(t, source.held.tokens(noon), 7000.0, "the memory is still held")
+	assert.Equal(t, source.held.tokens(noon), 7000.0, "the KV cache is still held")
 
-	again := splitRequest(1, 5000, 2000)
-	again.HeldPrefill = first.Prefill
-	second := decideSplit(t, matcher, again)
+	resubmitted := splitRequest(1, 5000, 2000)
+	resubmitted.HeldPrefill = first.Prefill
+	second := decideSplit(t, matcher, resubmitted)
 	assert.Assert(t, second.Replica.ID != first.Replica.ID)
-	assert.Assert(t, second.Prefill == first.Prefill, "it continues from the same memory")
-	assert.Equal(t, source.running, 0, "nothing is read again")
-	assert.Equal(t, source.held.tokens(noon), 7000.0, "held once")
+	assert.Assert(t, second.Prefill == first.Prefill, "the decode step continues from the same KV cache")
+	assert.Equal(t, source.running, 0, "the prefill does not run again")
+	assert.Equal(t, source.held.tokens(noon), 7000.0, "the KV cache counts once")
 	matcher.HandleReport(Report{Ticket: second.Ticket, Outcome: OutcomeFirstEvent, At: noon})
-	assert.Equal(t, source.held.tokens(noon), 0.0, "fetched")
+	assert.Equal(t, source.held.tokens(noon), 0.0, "the KV cache was fetched")
 	matcher.HandleReport(Report{Ticket: second.Ticket, Outcome: OutcomeServed, At: noon})
 	assert.Equal(t, matcher.replicas.state(second.Replica.ID).running, 0)
 }
 
-func TestMatcher_HeldPromptWithoutAnyReplicaIsRejectedAndNotHeld(t *testing.T) {
+func TestMatcher_CancelledRequestReleasesHeldPrefill(t *testing.T) {
 	matcher, snapshot := newSplitMatcher(2, 1, 1)
 	first := decideSplit(t, matcher, splitRequest(1, 5000, 2000))
 	drainChosen(matcher, snapshot, first.Replica)
 	assert.Assert(t, !matcher.CompletePrefillSync(first.Prefill))
-	again := splitRequest(1, 5000, 2000)
-	again.HeldPrefill = first.Prefill
-	matcher.Enqueue(again)
-	assert.Equal(t, len(again.Decided), 0, "it waits as any request")
-	matcher.Cancel(again)
+	resubmitted := splitRequest(1, 5000, 2000)
+	resubmitted.HeldPrefill = first.Prefill
+	matcher.Enqueue(resubmitted)
+	assert.Equal(t, len(resubmitted.Decided), 0, "the request waits")
+	matcher.Cancel(resubmitted)
 	assert.Equal(t, matcher.replicas.state(first.Prefill.Replica.ID).held.tokens(noon), 0.0)
 }
 
-func TestMatcher_WithdrawnAssignmentHoldsNothing(t *testing.T) {
+func TestMatcher_WithdrawnRequestReleasesSlotAndKVCache(t *testing.T) {
 	matcher, _ := newSplitMatcher(2, 2, 1)
 	first := decideSplit(t, matcher, splitRequest(1, 5000, 2000))
 	assert.Assert(t, matcher.CompletePrefillSync(first.Prefill))
 	matcher.HandleReport(Report{Ticket: first.Ticket, Outcome: OutcomeWithdrawn, At: noon})
 	state := matcher.replicas.state(first.Replica.ID)
 	assert.Equal(t, state.running, 0)
-	assert.Assert(t, !state.isSuspected(noon), "nothing is held against the replica")
+	assert.Assert(t, !state.isSuspected(noon), "a withdrawn request does not count as a failure")
 	assert.Equal(t, matcher.replicas.state(first.Prefill.Replica.ID).held.tokens(noon), 0.0)
 	assert.Equal(t, matcher.ledger.CachedTokens(first.Replica.ID, splitRequest(1, 5000, 2000).prompt(), noon), 0.0)
 }
--- a/internal/routing/warmup_test.go
+++ b/internal/routing/warmup_test.go
@@ -16,39 +16,39 @@
 var warmUpLimits = []warmUpLimit{{5.5, 5.5*1.5 + 5}, {2, 2*1.5 + 5}, {12, 12*1.5 + 5}, {0.5, 0.5*1.5 + 5}, {40, 40*1.5 + 5}}
 
 func TestWarmUpLimit_TooManyDesignatesAreUnlikely(t *testing.T) {
-	for _, rule := range warmUpLimits {
+	for _, limit := range warmUpLimits {
 		for _, dataPlanes := range []int{8, 81, 400, 1000} {
-			share := rule.share(dataPlanes)
-			if float64(dataPlanes*share.allowed) <= rule.maxPerSecond {
+			share := limit.share(dataPlanes)
+			if float64(dataPlanes*share.allowed) <= limit.maxPerSecond {
 				continue
 			}
-			over := distuv.Binomial{N: float64(dataPlanes), P: share.chance}.Survival(rule.maxPerSecond)
-			assert.Assert(t, over < apportion.TailProbability, "%v, %d daemons: %g", rule, dataPlanes, over)
-			assert.Assert(t, share.chance*float64(dataPlanes) >= min(1, rule.perSecond/2), "%v, %d daemons: starved", rule, dataPlanes)
+			over := distuv.Binomial{N: float64(dataPlanes), P: share.chance}.Survival(limit.maxPerSecond)
+			assert.Assert(t, over < apportion.TailProbability, "%v, %d nodes: %g", limit, dataPlanes, over)
+			assert.Assert(t, share.chance*float64(dataPlanes) >= min(1, limit.perSecond/2), "%v, %d nodes: too few", limit, dataPlanes)
 		}
 	}
 }
 
 func TestWarmUpLimit_BoundsSendsPerSecond(t *testing.T) {
-	for _, rule := range warmUpLimits {
+	for _, limit := range warmUpLimits {
 		for _, dataPlanes := range []int{1, 3, 8, 81, 400, 1000} {
-			t.Run(fmt.Sprintf("perSecond=%v,edges=%d", rule.perSecond, dataPlanes), func(t *testing.T) {
-				used, share := 0, rule.share(dataPlanes)
+			t.Run(fmt.Sprintf("perSecond=%v,dataPlanes=%d", limit.perSecond, dataPlanes), func(t *testing.T) {
+				used, share := 0, limit.share(dataPlanes)
 				for replica := range 300 {
-					sent := sendsOfAll(rule, dataPlanes, "i-"+strconv.Itoa(replica))
-					assertWithinBound(t, rule, sent)
+					sent := sendsOfAll(limit, dataPlanes, "i-"+strconv.Itoa(replica))
+					assertWithinLimit(t, limit, sent)
 					used += min(len(sent), 1)
 				}
 				expected := 300 * (1 - math.Exp(-share.chance*float64(dataPlanes)))
-				assert.Assert(t, float64(used) > 0.85*expected, "%d of 300 cold replicas received anything, expected %f", used, expected)
+				assert.Assert(t, float64(used) > 0.85*expected, "%d of 300 replicas received requests, expected %f", used, expected)
 			})
 		}
 	}
 }
 
-// sendsOfAll returns the times of all sends to a replica that is warming up if every data plane sends as soon as it may.
-func sendsOfAll(rule warmUpLimit, dataPlanes int, replica string) []time.Time {
-	share, states := rule.share(dataPlanes), make([]replicaState, 0, dataPlanes)
+// sendsOfAll returns the times of all sends to a replica that is warming up, if every data plane sends as soon as allowed.
+func sendsOfAll(limit warmUpLimit, dataPlanes int, replica string) []time.Time {
+	share, states := limit.share(dataPlanes), make([]replicaState, 0, dataPlanes)
 	for dataPlane := range dataPlanes {
 		state := replicaState{hashFraction: apportion.HashFraction("edge-"+strconv.Itoa(dataPlane), replica)}
 		if state.hashFraction < share.chance {
@@ -59,7 +59,7 @@
 	for now := noon; now.Sub(noon) < 12*time.Second; now = now.Add(100 * time.Millisecond) {
 		for position := range states {
 			for states[position].maySendDuringWarmUp(now, share) {
-				states[position].recordSend(now, rule.sendsToRemember())
+				states[position].recordSend(now, limit.sendsToRemember())
 				sent = append(sent, now)
 			}
 		}
@@ -67,22 +67,22 @@
 	return sent
 }
 
-// assertWithinBound checks that no second holds more sends than the limit allows.
-func assertWithinBound(t *testing.T, rule warmUpLimit, sent []time.Time) {
+// assertWithinLimit checks that no second holds more sends than the limit allows.
+func assertWithinLimit(t *testing.T, limit warmUpLimit, sent []time.Time) {
 	first := 0
 	for position, now := range sent {
 		for now.Sub(sent[first]) >= time.Second {
 			first++
 		}
-		assert.Assert(t, float64(position-first+1) <= rule.maxPerSecond, "%d sends in one second", position-first+1)
+		assert.Assert(t, float64(position-first+1) <= limit.maxPerSecond, "%d sends in one second", position-first+1)
 	}
 }
 
-func TestReplicaState_RemembersSendsOverLongWindow(t *testing.T) {
-	rule := warmUpLimit{0.1, 50}
-	state, share := replicaState{}, rule.share(4)
+func TestReplicaState_RecordsSendsOverLongWindow(t *testing.T) {
+	limit := warmUpLimit{0.1, 50}
+	state, share := replicaState{}, limit.share(4)
 	assert.Equal(t, share.window, 40*time.Second)
-	state.recordSend(noon, rule.sendsToRemember())
+	state.recordSend(noon, limit.sendsToRemember())
 	assert.Assert(t, !state.maySendDuringWarmUp(noon.Add(39*time.Second), share))
 	assert.Assert(t, state.maySendDuringWarmUp(noon.Add(40*time.Second), share))
 }
@@ -114,5 +114,5 @@
 			assert.Assert(t, (<-second.Decided).Replica != nil)
 		}
 	}
-	assert.Assert(t, served >= 1 && served <= 13, "%d daemons used a cold replica at once", served)
+	assert.Assert(t, served >= 1 && served <= 13, "%d data planes used the replica at the same time", served)
 }
