--- a/internal/routing/assign.go
+++ b/internal/routing/assign.go
@@ -44,8 +44,8 @@
 }
 
 // addRow adds the arcs of one request: one for each usable host of its model with a weight of at least 0.
-// Fallback replicas (see limitToShare) are used only if this data plane has a share of no other replica;
-// then the one with the lowest hash fraction is.
+// Fallback replicas (see limitToShare) are used only if this data plane is designated for no other replica;
+// in that case, only the one with the lowest hash fraction is used.
 func (m *Matcher) addRow(row *requestRow, now time.Time) {
 	graph, request := &m.graph, row.request
 	request.modelNotLoaded = true
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -114,7 +114,7 @@
 	// prefill, in a ticket of stepDecode, is the ticket of the prefill step, and decode the reverse.
 	prefill *Ticket
 	decode  *Ticket
-	// prefilled and holding, in a ticket of stepPrefill, are set if the prefill is complete and if its KV cache is held at the
+	// prefilled and kvHeld, in a ticket of stepPrefill, are set if the prefill is complete and if its KV cache is held at the
 	// replica.
 	prefilled bool
 	kvHeld    bool
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -68,8 +68,8 @@
 const minLinearWeight = 0.02
 
 // servableWeight maps weights to positive ones and keeps their order. At a disaggregated backend the prefill cost of a very
-// long prompt may exceed the value of a late answer, although a longer prompt is worth more too: pruning such pairs would
-// reject the largest requests only.
+// long prompt may exceed the value of a late answer, although the actual value grows with the prompt as well: pruning such
+// pairs would reject the largest requests only.
 func servableWeight(weight float64) float64 {
 	if weight >= minLinearWeight {
 		return weight
