--- a/internal/controlplane/scheduler/fenced_test.go
+++ b/internal/controlplane/scheduler/fenced_test.go
@@ -16,17 +16,17 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
-// openCluster lets any node try for the lease.
-type openCluster struct{}
+// permissiveCluster allows any node to acquire the lease.
+type permissiveCluster struct{}
 
-func (openCluster) MayAcquireLease(time.Time) bool        { return true }
-func (openCluster) IsLeaseHolderReachable(time.Time) bool { return false }
+func (permissiveCluster) MayAcquireLease(time.Time) bool        { return true }
+func (permissiveCluster) IsLeaseHolderReachable(time.Time) bool { return false }
 
-// runKeeper runs the keeper of one node of a simulated cluster until the test ends.
-func runKeeper(t *testing.T, cluster *keystoresim.Cluster) *LeaseKeeper {
+// runElector runs the elector of one node of a simulated cluster until the test ends.
+func runElector(t *testing.T, cluster *keystoresim.Cluster) *LeaseElector {
 	name := cluster.Names[0]
 	clock := cluster.Clock(name)
-	keeper := newLeaseKeeper(LeaseConfig{
+	elector := newLeaseElector(LeaseConfig{
 		Manager: &lease.Manager{
 			Key:           keystore.LeasePrefix + "placement",
 			Holder:        name,
@@ -36,26 +36,26 @@
 			Store:         cluster.StoreOf(name),
 			Clock:         clock,
 		},
-		Cluster: openCluster{},
+		Cluster: permissiveCluster{},
 	}, clock, clock())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		keeper.run(ctx)
+		elector.run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return keeper
+	return elector
 }
 
-// awaitFenceAbove waits until the keeper holds the lease under a fence above the one given.
-func awaitFenceAbove(t *testing.T, keeper *LeaseKeeper, fence uint64) uint64 {
+// awaitFenceAbove waits until the elector holds the lease under a fence above the given one.
+func awaitFenceAbove(t *testing.T, elector *LeaseElector, fence uint64) uint64 {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		if grant := keeper.Grant(); grant != nil && grant.Record.Fence > fence && keeper.Holds() {
+		if grant := elector.Grant(); grant != nil && grant.Record.Fence > fence && elector.Holds() {
 			return grant.Record.Fence
 		}
 	}
@@ -63,7 +63,7 @@
 	return 0
 }
 
-func TestLeaseKeeper_TakesAHigherFenceAfterARefusal(t *testing.T) {
+func TestLeaseElector_AcquiresHigherFenceAfterRejection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := keystoresim.New(1, 3)
 		for _, name := range cluster.Names {
@@ -75,21 +75,21 @@
 			}
 			time.Sleep(time.Minute)
 		})
-		keeper := runKeeper(t, cluster)
-		fence := awaitFenceAbove(t, keeper, 0)
+		elector := runElector(t, cluster)
+		fence := awaitFenceAbove(t, elector, 0)
 		for range 3 {
-			keeper.ReportFenced(fence)
-			fence = awaitFenceAbove(t, keeper, fence)
+			elector.ReportFenced(fence)
+			fence = awaitFenceAbove(t, elector, fence)
 		}
-		keeper.ReportFenced(1)
+		elector.ReportFenced(1)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, keeper.Grant().Record.Fence, fence, "a refusal of an earlier fence says nothing of this one")
+		assert.Equal(t, elector.Grant().Record.Fence, fence, "a rejection of an earlier fence does not affect the current one")
 	})
 }
 
-func TestScheduler_GivesUpTheGrantUnderWhichAnOrderWasFenced(t *testing.T) {
+func TestScheduler_GivesUpGrantWhenOrderIsFenced(t *testing.T) {
 	now := testStart
-	scheduler, _ := newPlacingScheduler(&now, 7)
+	scheduler, _ := newLeaseHoldingScheduler(&now, 7)
 	tracked := scheduler.tracker.Replica("r")
 	assert.Assert(t, tracked.State().HandleReport(replicastate.Report{Loaded: map[string]bool{"m": true}}, now))
 	order, decided := scheduler.tracker.Decide(placement.Action{Server: "r", Load: true, Model: "n"}, now)
@@ -99,6 +99,6 @@
 	case found := <-scheduler.lease.unusable:
 		assert.Equal(t, found.fence, order.Fence)
 	default:
-		t.Fatal("the grant is not given up")
+		t.Fatal("the release of the grant was not requested")
 	}
 }
