--- a/internal/routing/ledger.go
+++ b/internal/routing/ledger.go
@@ -6,7 +6,7 @@
 	"github.com/google/btree"
 )
 
-// ledgerKey names one prompt prefix in one replica's cache for one model.
+// ledgerKey identifies one prompt prefix in one replica's cache for one model.
 type ledgerKey struct {
 	replica string
 	model   string
--- a/internal/routing/parameters.go
+++ b/internal/routing/parameters.go
@@ -5,8 +5,8 @@
 // Parameters are the constants of the policy. A matcher copies them when it is made. The koanf tags are
 // their keys in scenario files of the emulator.
 type Parameters struct {
-	// BatchSize is how many requests are decided together at most, and BatchWait how long the oldest request
-	// of a micro-batch waits at most (IEMAS §4).
+	// BatchSize limits the number of requests of a micro-batch, and BatchWait how long the oldest of them waits
+	// for the batch (IEMAS §4).
 	BatchSize int           `koanf:"batchSize"`
 	BatchWait time.Duration `koanf:"batchWait"`
 
@@ -26,9 +26,9 @@
 	// MaxLatencyRatio limits the latency term of the value, in latency targets.
 	MaxLatencyRatio float64 `koanf:"latencyBound"`
 
-	// QueueLimit is how many requests wait at most.
+	// QueueLimit limits the number of waiting requests.
 	QueueLimit int `koanf:"queueBound"`
-	// LedgerLimit is how many entries the prefix ledger has at most.
+	// LedgerLimit limits the number of entries of the prefix ledger.
 	LedgerLimit int `koanf:"ledgerBound"`
 	// LedgerTTL is the time to live of an entry of the ledger; 0 is unlimited.
 	LedgerTTL time.Duration `koanf:"ledgerLife"`
--- a/internal/routing/phase.go
+++ b/internal/routing/phase.go
@@ -105,7 +105,7 @@
 func (s *stepModel) perThousand() float64 { return s.predictor.weights[featureUncached] }
 
 const (
-	// slownessRate is the weight of one observation in a replica's slowness; minSlowness and maxSlowness bound the observation.
+	// slownessRate is the weight of one observation in a replica's slowness; minSlowness and maxSlowness limit the observed ratio.
 	slownessRate = 0.25
 	minSlowness  = 0.5
 	maxSlowness  = 8.0
@@ -140,7 +140,7 @@
 // model is learned.
 type stepModels map[stepKey]*stepModel
 
-// at returns the model of a step, a new one if there is none yet.
+// at returns the model of a step, creating it if necessary.
 func (s stepModels) at(key stepKey) *stepModel {
 	if s[key] == nil {
 		s[key] = newStepModel(key.step)
--- a/internal/routing/review.go
+++ b/internal/routing/review.go
@@ -39,7 +39,7 @@
 				continue
 			}
 			if ticket.isDisaggregated() {
-				// Replicas of a disaggregated backend may be slow with few requests running, too.
+				// A replica of a disaggregated backend may be slow under load, however few requests it runs.
 				continue
 			}
 			isOverdue := !ticket.failureCounted && now.Sub(ticket.sentAt) > ticket.firstEventTimeout()
