--- a/cmd/ferryspar-operator/inspect.go
+++ b/cmd/ferryspar-operator/inspect.go
@@ -28,7 +28,7 @@
 		return errors.Wrap(err, "DIR")
 	}
 	if !i.Values {
-		inspection.DropValues()
+		inspection.RedactValues()
 	}
 	if i.app.options.JSON {
 		if err := i.app.printJSON(inspection); err != nil {
--- a/internal/controlplane/admin_context.go
+++ b/internal/controlplane/admin_context.go
@@ -47,7 +47,7 @@
 	}
 	dataPlanes := n.dataPlanes.Known()
 	var added retention.Purge
-	err := changeRecord(ctx, n, keystore.ForgetKey, func(current retention.Record) (next retention.Record, _ error) {
+	err := changeRecord(ctx, n, keystore.PurgeKey, func(current retention.Record) (next retention.Record, _ error) {
 		next, added = current.Add(scope, dataPlanes)
 		return next, nil
 	})
@@ -71,7 +71,7 @@
 // ReadForgets reads the purges with a majority's confirmation, with the state of each. Any goroutine may
 // call it.
 func (n *Node) ReadForgets(ctx context.Context) ([]retention.Status, error) {
-	record, err := readRecord[retention.Record](ctx, n, keystore.ForgetKey)
+	record, err := readRecord[retention.Record](ctx, n, keystore.PurgeKey)
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 func (n *Node) updatePurge(ctx context.Context, number uint64, change func(purge *retention.Purge) bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, purgeUpdateTimeout)
 	defer cancel()
-	err := changeRecord(bounded, n, keystore.ForgetKey, func(current retention.Record) (retention.Record, error) {
+	err := changeRecord(bounded, n, keystore.PurgeKey, func(current retention.Record) (retention.Record, error) {
 		next, changed := current.UpdatePurge(number, change)
 		if !changed {
 			return current, errUnchanged
--- a/internal/controlplane/applier/registers.go
+++ b/internal/controlplane/applier/registers.go
@@ -31,7 +31,7 @@
 		a.publishZone(register)
 	case register.Key == keystore.RetentionKey:
 		a.publishRetention(register)
-	case register.Key == keystore.ForgetKey:
+	case register.Key == keystore.PurgeKey:
 		a.publishForgets(register)
 	case register.Key == keystore.DrillKey:
 		a.publishDrill(register)
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -32,7 +32,7 @@
 const slowChange = 300 * time.Millisecond
 
 // logSlowChange logs what a change took that was slow or met a rival.
-func logSlowChange(effort keystore.ChangeEffort) {
+func logSlowChange(effort keystore.ChangeStats) {
 	if effort.Duration < slowChange && effort.Preempted == 0 && effort.Uncertain == 0 {
 		return
 	}
--- a/internal/controlplane/coordinator/batch.go
+++ b/internal/controlplane/coordinator/batch.go
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
 	batch := &batch{executor: e, item: item, operations: operations}
-	register, err := e.store.Operate(ctx, item.key, batch.step)
+	register, err := e.store.ReadModifyWrite(ctx, item.key, batch.step)
 	if err != nil || batch.err != nil {
 		item.state = nil
 		batch.fail(err)
@@ -88,7 +88,7 @@
 	err error
 }
 
-// step implements keystore.Step.
+// step implements keystore.ModifyFunc.
 func (b *batch) step(current keystore.Register, adoptedFrom keystore.ProposalNumber) keystore.Decision {
 	now := b.executor.clock()
 	b.attempts++
--- a/internal/controlplane/coordinator/coordinator_test.go
+++ b/internal/controlplane/coordinator/coordinator_test.go
@@ -146,8 +146,8 @@
 // staleStore has a Store that takes any proof of ownership for fresh.
 type staleStore struct{ Store }
 
-func (s staleStore) Operate(ctx context.Context, name string, step keystore.Step) (keystore.Register, error) {
-	return s.Store.Operate(ctx, name, func(current keystore.Register, adoptedFrom keystore.ProposalNumber) keystore.Decision {
+func (s staleStore) ReadModifyWrite(ctx context.Context, name string, step keystore.ModifyFunc) (keystore.Register, error) {
+	return s.Store.ReadModifyWrite(ctx, name, func(current keystore.Register, adoptedFrom keystore.ProposalNumber) keystore.Decision {
 		decided := step(current, adoptedFrom)
 		decided.MaxAge = time.Hour
 		return decided
--- a/internal/controlplane/coordinator/executor.go
+++ b/internal/controlplane/coordinator/executor.go
@@ -28,7 +28,7 @@
 
 // Store is the part of keystore.Store that an Executor needs.
 type Store interface {
-	Operate(ctx context.Context, name string, step keystore.Step) (keystore.Register, error)
+	ReadModifyWrite(ctx context.Context, name string, step keystore.ModifyFunc) (keystore.Register, error)
 }
 
 // Executor carries out calls at this node, as the owner of their items. It is safe for concurrent use.
--- a/internal/controlplane/coordinator/executor_test.go
+++ b/internal/controlplane/coordinator/executor_test.go
@@ -168,8 +168,8 @@
 	losesKeys bool
 }
 
-// Operate implements Store.
-func (s *sharedStore) Operate(_ context.Context, name string, step keystore.Step) (keystore.Register, error) {
+// ReadModifyWrite implements Store.
+func (s *sharedStore) ReadModifyWrite(_ context.Context, name string, step keystore.ModifyFunc) (keystore.Register, error) {
 	register := s.registers[name]
 	adoptedFrom := register.Accepted
 	if register.Promised.Proposer != s.name || s.losesKeys {
--- a/internal/controlplane/coordinator/router_test.go
+++ b/internal/controlplane/coordinator/router_test.go
@@ -33,14 +33,14 @@
 	err error
 	// takes is how long an operation lasts.
 	takes time.Duration
-	// operations counts the calls of Operate.
+	// operations counts the calls of ReadModifyWrite.
 	operations atomic.Int64
 }
 
 func newMemoryStore() *memoryStore { return &memoryStore{registers: map[string]keystore.Register{}} }
 
-// Operate implements Store.
-func (m *memoryStore) Operate(_ context.Context, name string, step keystore.Step) (keystore.Register, error) {
+// ReadModifyWrite implements Store.
+func (m *memoryStore) ReadModifyWrite(_ context.Context, name string, step keystore.ModifyFunc) (keystore.Register, error) {
 	m.operations.Add(1)
 	time.Sleep(m.takes)
 	m.lock.Lock()
--- a/internal/controlplane/members/changes.go
+++ b/internal/controlplane/members/changes.go
@@ -55,7 +55,7 @@
 	now := m.config.Clock()
 	view := m.View()
 	change, needed := membership.NextChange(view)
-	if !needed || !m.mayChange(now, view.Membership.IsTakenBackBy(change.Membership)) {
+	if !needed || !m.mayChange(now, view.Membership.IsRolledBackBy(change.Membership)) {
 		*due = dueChange{}
 		return
 	}
--- a/internal/controlplane/usagereport/reporter.go
+++ b/internal/controlplane/usagereport/reporter.go
@@ -31,7 +31,7 @@
 // Store is the part of keystore.Store that a Reporter needs.
 type Store interface {
 	Read(ctx context.Context, name string) (keystore.Register, error)
-	Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error)
+	Change(ctx context.Context, name string, decide keystore.ChangeFunc) (keystore.Register, error)
 }
 
 // Config is what a Reporter is made of.
--- a/internal/controlstate/cost_test.go
+++ b/internal/controlstate/cost_test.go
@@ -65,7 +65,7 @@
 // decidingTwice is a store that has a change decided on the committed value, takes the key and has it decided once more.
 type decidingTwice struct{ *memoryStore }
 
-func (s decidingTwice) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
+func (s decidingTwice) Change(ctx context.Context, name string, decide keystore.ChangeFunc) (keystore.Register, error) {
 	if _, err := decide(s.registers[name]); err != nil {
 		return s.registers[name], err
 	}
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -14,7 +14,7 @@
 type Store interface {
 	// Change writes what decide returns for the committed value, and may call it again if that value
 	// changes meanwhile. It returns the register that is committed afterwards.
-	Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error)
+	Change(ctx context.Context, name string, decide keystore.ChangeFunc) (keystore.Register, error)
 	// Read returns the committed register.
 	Read(ctx context.Context, name string) (keystore.Register, error)
 	// ReadCommitted returns the committed register if that can be told without taking the key from its owner.
@@ -44,7 +44,7 @@
 // applyChange writes a key and returns the outcome for the operator: nil for an acknowledgement, and an error
 // that promises a rejection only where a majority showed the reason. A rejection on anything less could be
 // given to a call that is applied later.
-func (s *State) applyChange(ctx context.Context, name string, decide keystore.Decide) (Change, error) {
+func (s *State) applyChange(ctx context.Context, name string, decide keystore.ChangeFunc) (Change, error) {
 	register, err := s.Store.Change(ctx, name, decide)
 	if errors.Is(err, errAlreadyApplied) {
 		return Change{Register: register}, nil
--- a/internal/controlstate/state_test.go
+++ b/internal/controlstate/state_test.go
@@ -33,7 +33,7 @@
 	return register, known
 }
 
-func (s *memoryStore) Change(_ context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
+func (s *memoryStore) Change(_ context.Context, name string, decide keystore.ChangeFunc) (keystore.Register, error) {
 	value, err := decide(s.registers[name])
 	if err == nil && s.interfere != nil {
 		interfere := s.interfere
--- a/internal/keystore/bootstrap.go
+++ b/internal/keystore/bootstrap.go
@@ -57,13 +57,13 @@
 	return slices.Index(verdictSeverity, v) > slices.Index(verdictSeverity, other)
 }
 
-// BootstrapJudge decides on a bootstrap, see JudgeBootstrap.
-type BootstrapJudge func(self string, initial Membership, replies map[string]Reply) BootstrapVerdict
+// BootstrapEvaluator decides on a bootstrap, see EvaluateBootstrap.
+type BootstrapEvaluator func(self string, initial Membership, replies map[string]Reply) BootstrapVerdict
 
-// JudgeBootstrap decides on the replies to one OperationCatchUp that went to every initial member, the asking one
+// EvaluateBootstrap decides on the replies to one OperationCatchUp that went to every initial member, the asking one
 // included. Each reply is about the present disk of its sender, and each sender has the disk incarnation of the asking
 // member on its disk before it replies.
-func JudgeBootstrap(self string, initial Membership, replies map[string]Reply) BootstrapVerdict {
+func EvaluateBootstrap(self string, initial Membership, replies map[string]Reply) BootstrapVerdict {
 	if initial.Version != BootstrapVersion || initial.IsJoint() {
 		return BootstrapMembershipChanged
 	}
--- a/internal/keystore/bootstrap_test.go
+++ b/internal/keystore/bootstrap_test.go
@@ -119,12 +119,12 @@
 			if testCase.bSilent {
 				delete(replies, "b")
 			}
-			assert.Equal(t, JudgeBootstrap("a", testBootstrap, replies), testCase.verdict)
+			assert.Equal(t, EvaluateBootstrap("a", testBootstrap, replies), testCase.verdict)
 		})
 	}
 	all := map[string]Reply{"a": neverVotedReply(), "b": neverVotedReply(), "c": neverVotedReply()}
-	assert.Equal(t, JudgeBootstrap("d", testBootstrap, all), BootstrapNotInitialMember)
-	assert.Equal(t, JudgeBootstrap("a", later, all), BootstrapMembershipChanged)
+	assert.Equal(t, EvaluateBootstrap("d", testBootstrap, all), BootstrapNotInitialMember)
+	assert.Equal(t, EvaluateBootstrap("a", later, all), BootstrapMembershipChanged)
 }
 
 func TestAcceptorState_WithoutVoteRecordsWhoCatchesUp(t *testing.T) {
--- a/internal/keystore/catchup.go
+++ b/internal/keystore/catchup.go
@@ -36,7 +36,7 @@
 		}
 		return progressWait
 	})
-	read, verdict, enough := EvaluateCatchUp(request, result.replies, JudgeBootstrap)
+	read, verdict, enough := EvaluateCatchUp(request, result.replies, EvaluateBootstrap)
 	if !enough || s.Membership().Version != current.Version {
 		return false, verdict
 	}
--- a/internal/keystore/catchup_state.go
+++ b/internal/keystore/catchup_state.go
@@ -25,7 +25,7 @@
 // EvaluateCatchUp is what Store.CatchUp installs from the replies to its request, and whether they are enough: either
 // enough voting members have replied, or the judge of the bootstrap finds it ready.
 func EvaluateCatchUp(
-	request CatchUpRequest, replies map[string]Reply, judge BootstrapJudge,
+	request CatchUpRequest, replies map[string]Reply, judge BootstrapEvaluator,
 ) (result CatchUpResult, verdict BootstrapVerdict, enough bool) {
 	votes := replySet{membership: request.Membership, replies: replies}
 	result = CatchUpResult{
--- a/internal/keystore/effort.go
+++ b/internal/keystore/change_stats.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// ChangeEffort is what one Change of a key took. It tells proposers that preempt each other from members that reply slowly.
-type ChangeEffort struct {
+// ChangeStats is what one Change of a key took. It tells proposers that preempt each other from members that reply slowly.
+type ChangeStats struct {
 	Key string
 	// LockWait is the time until other calls of this process on the key were done; it is part of Duration.
 	LockWait time.Duration
@@ -21,7 +21,7 @@
 }
 
 // recordPrepare counts an attempt to own the key, with the error of its prepare round.
-func (e *ChangeEffort) recordPrepare(err error) {
+func (e *ChangeStats) recordPrepare(err error) {
 	e.Prepares++
 	if errors.Is(err, ErrContended) {
 		e.Preempted++
@@ -29,7 +29,7 @@
 }
 
 // recordCommit counts a proposal that was put to the members.
-func (e *ChangeEffort) recordCommit(agreed bool) {
+func (e *ChangeStats) recordCommit(agreed bool) {
 	e.Commits++
 	if !agreed {
 		e.Uncertain++
@@ -39,7 +39,7 @@
 // beginEffort starts the count for a call that began at the given time and has just locked the key. The function that it
 // returns ends the count and passes it on.
 func (s *Store) beginEffort(key *keyState, began time.Time) func() {
-	key.effort = ChangeEffort{Key: key.name, LockWait: time.Since(began)}
+	key.effort = ChangeStats{Key: key.name, LockWait: time.Since(began)}
 	return func() {
 		key.effort.Duration = time.Since(began)
 		if s.OnChange != nil {
--- a/internal/keystore/damage.go
+++ b/internal/keystore/damage.go
@@ -32,7 +32,7 @@
 	}
 	for _, read := range s {
 		if read.state == SegmentDamaged && read.base > newest.base {
-			return &Damage{Reason: DamageGivenUp, File: read.name}
+			return &Damage{Reason: DamageStateDiscarded, File: read.name}
 		}
 	}
 	if blank, found := s.firstIn(SegmentBlank); found {
@@ -52,7 +52,7 @@
 // segments.
 func (s segments) damageBeforeFirst() *Damage {
 	if marked, found := s.firstIn(SegmentDamaged); found {
-		return &Damage{Reason: DamageGivenUp, File: marked.name}
+		return &Damage{Reason: DamageStateDiscarded, File: marked.name}
 	}
 	remains, found := s.firstIn(SegmentTorn, SegmentUnreadable)
 	if !found {
--- a/internal/keystore/inspect.go
+++ b/internal/keystore/inspect.go
@@ -57,8 +57,8 @@
 	Value      json.RawMessage            `json:"value,omitempty"`
 }
 
-// DropValues takes the values of registers away, which may hold secrets.
-func (i *Inspection) DropValues() {
+// RedactValues takes the values of registers away, which may hold secrets.
+func (i *Inspection) RedactValues() {
 	for position := range i.Registers {
 		i.Registers[position].Value = nil
 	}
--- a/internal/keystore/lost_disk_test.go
+++ b/internal/keystore/lost_disk_test.go
@@ -38,7 +38,7 @@
 	f.start(address, WipedRegisters(diskIncarnation))
 	question := CatchUpRequest{Self: address, DiskIncarnation: diskIncarnation, Membership: fiveMemberships}
 	replies := f.send(Message{Operation: OperationCatchUp, Sender: address, DiskIncarnation: diskIncarnation}, from...)
-	read, _, enough := EvaluateCatchUp(question, replies, JudgeBootstrap)
+	read, _, enough := EvaluateCatchUp(question, replies, EvaluateBootstrap)
 	assert.Assert(t, enough)
 	reply, changes := f[address].Install(read, testNow)
 	assert.Assert(t, reply.Granted)
--- a/internal/keystore/membership.go
+++ b/internal/keystore/membership.go
@@ -39,14 +39,14 @@
 // IsJoint says whether a change of the list is under way.
 func (m Membership) IsJoint() bool { return len(m.Next) > 0 }
 
-// TakenBack is the membership that ends a joint one with its current members.
-func (m Membership) TakenBack() Membership {
+// RolledBack is the membership that ends a joint one with its current members.
+func (m Membership) RolledBack() Membership {
 	return Membership{Version: m.Version + 1, Current: m.Current}
 }
 
-// IsTakenBackBy says whether the other membership ends this joint one with its current members.
-func (m Membership) IsTakenBackBy(other Membership) bool {
-	return m.IsJoint() && other.equal(m.TakenBack())
+// IsRolledBackBy says whether the other membership ends this joint one with its current members.
+func (m Membership) IsRolledBackBy(other Membership) bool {
+	return m.IsJoint() && other.equal(m.RolledBack())
 }
 
 func (m Membership) equal(other Membership) bool {
--- a/internal/keystore/membership_change.go
+++ b/internal/keystore/membership_change.go
@@ -10,7 +10,7 @@
 // ChangeMembership commits the membership that follows another. ErrSuperseded says that a newer one than current is, or may
 // be, in force already.
 func (s *Store) ChangeMembership(ctx context.Context, current, next Membership) (Register, error) {
-	if current.IsTakenBackBy(next) {
+	if current.IsRolledBackBy(next) {
 		register, err := s.takeBack(ctx, current)
 		if err != errCompletionFound {
 			return register, err
@@ -41,14 +41,14 @@
 	}
 	defer key.unlock()
 	key.owned = false
-	electorate := TakeBackElectorate(joint)
+	electorate := RollbackElectorate(joint)
 	proposal := s.nextProposalNumber()
 	prepared, agreed := s.queryElectorate(ctx, joint, electorate, PrepareMessage(MembershipKey, proposal), promiseVotes)
 	if !agreed {
 		return Register{}, prepared.prepareError()
 	}
 	ownership := NewOwnership(MembershipKey, proposal, prepared.replies)
-	next, err := ownership.ProposeTakeBack(joint)
+	next, err := ownership.ProposeRollback(joint)
 	if err != nil {
 		return Register{}, err
 	}
@@ -59,21 +59,21 @@
 	return next, nil
 }
 
-// TakeBackElectorate is the membership under which votes on taking back a joint one are counted.
-func TakeBackElectorate(joint Membership) Membership {
+// RollbackElectorate is the membership under which votes on taking back a joint one are counted.
+func RollbackElectorate(joint Membership) Membership {
 	return Membership{Version: joint.Version, Current: joint.Current}
 }
 
 // errCompletionFound ends an attempt to take back a joint membership that may be completed already.
 var errCompletionFound = errors.New("a completion of the membership change may be in force")
 
-// ProposeTakeBack is the proposal that takes back a joint membership, by what the promises of a majority of its current members
+// ProposeRollback is the proposal that takes back a joint membership, by what the promises of a majority of its current members
 // showed. An error says that it may be completed, or taken back, already.
-func (o Ownership) ProposeTakeBack(joint Membership) (Register, error) {
+func (o Ownership) ProposeRollback(joint Membership) (Register, error) {
 	found := decodeMembership(o.Current())
 	switch {
-	case found.equal(joint) || joint.IsTakenBackBy(found):
-		value, err := json.Marshal(joint.TakenBack())
+	case found.equal(joint) || joint.IsRolledBackBy(found):
+		value, err := json.Marshal(joint.RolledBack())
 		return o.NextProposal(value), err
 	case found.Version > joint.Version+1:
 		return Register{}, ErrSuperseded
--- a/internal/keystore/membership_change_test.go
+++ b/internal/keystore/membership_change_test.go
@@ -79,8 +79,8 @@
 		transport.down = []string{"b", "d"}
 		_, err := store.Digest(t.Context())
 		assert.Equal(t, err, keystore.ErrNoMajority, "one of three next members")
-		assert.NilError(t, changeMembership(t, store, replacingC, replacingC.TakenBack()))
-		assert.DeepEqual(t, committedMembership(t, store), replacingC.TakenBack())
+		assert.NilError(t, changeMembership(t, store, replacingC, replacingC.RolledBack()))
+		assert.DeepEqual(t, committedMembership(t, store), replacingC.RolledBack())
 	})
 }
 
@@ -94,10 +94,10 @@
 		assert.NilError(t, err)
 		// d, which accepted the completion, and c are lost; a and b hold it and know the joint membership only.
 		transport.down = []string{"c"}
-		assert.Equal(t, changeMembership(t, second, replacingC, replacingC.TakenBack()), keystore.ErrSuperseded)
+		assert.Equal(t, changeMembership(t, second, replacingC, replacingC.RolledBack()), keystore.ErrSuperseded)
 		assert.DeepEqual(t, committedMembership(t, second), withoutC)
 		transport.down = []string{"c", "d", "b"}
-		assert.Assert(t, changeMembership(t, second, replacingC, replacingC.TakenBack()) != nil, "no majority")
+		assert.Assert(t, changeMembership(t, second, replacingC, replacingC.RolledBack()) != nil, "no majority")
 	})
 }
 
@@ -109,14 +109,14 @@
 		assert.NilError(t, changeMembership(t, first, threeMembers, replacingC))
 		assert.NilError(t, changeMembership(t, first, replacingC, withoutC))
 		assert.DeepEqual(t, committedMembership(t, first), withoutC)
-		assert.Assert(t, changeMembership(t, second, replacingC, replacingC.TakenBack()) != nil)
+		assert.Assert(t, changeMembership(t, second, replacingC, replacingC.RolledBack()) != nil)
 		assert.DeepEqual(t, committedMembership(t, first), withoutC)
 	})
 }
 
 func TestMembership_IsTakenBackBy(t *testing.T) {
-	assert.Assert(t, replacingC.IsTakenBackBy(keystore.Membership{Version: 3, Current: threeMembers.Current}))
-	assert.Assert(t, !replacingC.IsTakenBackBy(withoutC), "completed")
-	assert.Assert(t, !replacingC.IsTakenBackBy(keystore.Membership{Version: 4, Current: threeMembers.Current}), "a later version")
-	assert.Assert(t, !threeMembers.IsTakenBackBy(threeMembers.TakenBack()), "nothing is under way")
+	assert.Assert(t, replacingC.IsRolledBackBy(keystore.Membership{Version: 3, Current: threeMembers.Current}))
+	assert.Assert(t, !replacingC.IsRolledBackBy(withoutC), "completed")
+	assert.Assert(t, !replacingC.IsRolledBackBy(keystore.Membership{Version: 4, Current: threeMembers.Current}), "a later version")
+	assert.Assert(t, !threeMembers.IsRolledBackBy(threeMembers.RolledBack()), "nothing is under way")
 }
--- a/internal/keystore/names.go
+++ b/internal/keystore/names.go
@@ -25,8 +25,8 @@
 	ZonePrefix = "area/"
 	// RetentionKey holds how long replicas and data planes may keep cached context.
 	RetentionKey = "retention"
-	// ForgetKey holds which cached context was ordered to be forgotten, and how far that has got.
-	ForgetKey = "forget"
+	// PurgeKey holds which cached context was ordered to be forgotten, and how far that has got.
+	PurgeKey = "forget"
 	// DrillKey holds the drill that is running.
 	DrillKey = "drill"
 	// FleetSizeKey holds how many data planes there are, and which may be homes of tenants' limits.
@@ -105,8 +105,8 @@
 	DamageMisplaced DamageReason = "generation in the wrong file"
 	// DamageUndecodable: a record is complete by its checksum but isn't a register.
 	DamageUndecodable DamageReason = "record not decodable"
-	// DamageGivenUp: damage was found at an earlier start, and nothing has replaced the state since.
-	DamageGivenUp DamageReason = "given up at an earlier start"
+	// DamageStateDiscarded: damage was found at an earlier start, and nothing has replaced the state since.
+	DamageStateDiscarded DamageReason = "given up at an earlier start"
 )
 
 // The states of a segment, as an inspection shows them.
--- a/internal/keystore/pinned_messages_test.go
+++ b/internal/keystore/pinned_messages_test.go
@@ -91,7 +91,7 @@
 			ConfigurationKey,
 			ZonePrefix,
 			RetentionKey,
-			ForgetKey,
+			PurgeKey,
 			DrillKey,
 			CoordinationPrefix,
 			reservedPrefix,
@@ -105,7 +105,7 @@
 			DamageGenerationMissing,
 			DamageMisplaced,
 			DamageUndecodable,
-			DamageGivenUp,
+			DamageStateDiscarded,
 		},
 		"file states": []SegmentState{
 			SegmentMissing,
--- a/internal/keystore/pinned_test.go
+++ b/internal/keystore/pinned_test.go
@@ -96,7 +96,7 @@
 				`"reserved":{"loads":3,"aged":[{"loads":1,"ageMs":250}]},"settling":true}`)
 		put(t, acceptor, ZonePrefix+"north", 2, `{"number":4,"drained":true}`)
 		put(t, acceptor, RetentionKey, 3, `{"number":2,"lifeMs":90000}`)
-		put(t, acceptor, ForgetKey, 4, `{"number":5,"items":[{"number":5,"scope":{"model":"m"},"edges":["edge-1"],"counted":true}]}`)
+		put(t, acceptor, PurgeKey, 4, `{"number":5,"items":[{"number":5,"scope":{"model":"m"},"edges":["edge-1"],"counted":true}]}`)
 		put(t, acceptor, DrillKey, 5, `{"number":1}`)
 		caughtUp, err := acceptor.Call(t.Context(), Message{
 			Operation:       OperationCatchUp,
@@ -190,7 +190,7 @@
 		inspection, err := Inspect(damagedDirectory)
 		assert.NilError(t, err)
 		pinned.CheckJSON(t, "testdata/damaged_inspection.json", inspection)
-		assert.Equal(t, openPinned(t, copyOf(t, damagedDirectory)).Damage().Reason, DamageGivenUp)
+		assert.Equal(t, openPinned(t, copyOf(t, damagedDirectory)).Damage().Reason, DamageStateDiscarded)
 	})
 }
 
--- a/internal/keystore/proposer.go
+++ b/internal/keystore/proposer.go
@@ -13,16 +13,16 @@
 	maxBackoff     = 320 * time.Millisecond
 )
 
-// Decide says what follows the current value: the next one, or an error that rejects the change. It may be called several
+// ChangeFunc says what follows the current value: the next one, or an error that rejects the change. It may be called several
 // times, each time on a value that a majority holds.
-type Decide func(current Register) (json.RawMessage, error)
+type ChangeFunc func(current Register) (json.RawMessage, error)
 
 // Change writes a key. The register returned is the one written, or with an error of decide the committed one that it was
 // decided on. ErrUncertain says that the write may take effect.
 //
 // An error of decide is returned only once a majority has confirmed the value that it was decided on: a rejection must
 // never be caused by a value that is out of date.
-func (s *Store) Change(ctx context.Context, name string, decide Decide) (Register, error) {
+func (s *Store) Change(ctx context.Context, name string, decide ChangeFunc) (Register, error) {
 	key := s.keyState(name)
 	began := time.Now()
 	if err := key.lock(ctx); err != nil {
@@ -58,7 +58,7 @@
 
 // writeValue commits a value. After an uncertain outcome it becomes the owner anew: what is committed then shows whether
 // the write took effect.
-func (s *Store) writeValue(ctx context.Context, key *keyState, value json.RawMessage, decide Decide) (Register, error) {
+func (s *Store) writeValue(ctx context.Context, key *keyState, value json.RawMessage, decide ChangeFunc) (Register, error) {
 	for {
 		next := key.NextProposal(value)
 		err := s.commit(ctx, key, next)
@@ -107,7 +107,7 @@
 // After ErrUncertain the key is still owned, and a later Update supersedes the proposal; until then a successor may find
 // either value. After ErrContended no write can succeed under this ownership any more, though Renew may: another process
 // owns the key, or a member whose promise is counted has lost its disk.
-func (s *Store) Update(ctx context.Context, name string, decide Decide) error {
+func (s *Store) Update(ctx context.Context, name string, decide ChangeFunc) error {
 	key := s.keyState(name)
 	if err := key.lock(ctx); err != nil {
 		return err
--- a/internal/keystore/operate.go
+++ b/internal/keystore/read_modify_write.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Decision is what a step of Operate concludes.
+// Decision is what a step of ReadModifyWrite concludes.
 type Decision struct {
 	// Value is the next value of the key, or nil if the step changes nothing.
 	Value json.RawMessage
@@ -15,20 +15,20 @@
 	MaxAge time.Duration
 }
 
-// Step decides on the value in force. It may be called several times in one Operate: each time but the last what came of it was
-// not confirmed, and may or may not be in force. current.Promised names the ownership under which it decides: what a caller
+// ModifyFunc decides on the value in force. It may be called several times in one ReadModifyWrite: each time but the last
+// what came of it was not confirmed, and may or may not be in force. current.Promised names the ownership under which it decides: what a caller
 // remembers beside the value, as times, is valid under the same ownership only.
 //
 // adoptedFrom is the number of the owner whose value this one found when it began, or zero. Every owner commits what it finds under
 // its own number before it acts: if the number is one of this process, nobody else has owned the key since.
-type Step func(current Register, adoptedFrom ProposalNumber) Decision
+type ModifyFunc func(current Register, adoptedFrom ProposalNumber) Decision
 
-// Operate applies a step to a key as its owner, and takes the key from another owner if need be. It returns the register that
+// ReadModifyWrite applies a step to a key as its owner, and takes the key from another owner if need be. It returns the register that
 // the step wrote, or that it left as it was.
 //
 // ErrUncertain says that what a step wrote may be in force. After any other error nothing that a step wrote has ever been
 // proposed, nor will it be.
-func (s *Store) Operate(ctx context.Context, name string, step Step) (Register, error) {
+func (s *Store) ReadModifyWrite(ctx context.Context, name string, step ModifyFunc) (Register, error) {
 	key := s.keyState(name)
 	began := time.Now()
 	if err := key.lock(ctx); err != nil {
@@ -56,7 +56,7 @@
 
 // applyStep calls the step once and has its outcome confirmed. After an error the key counts as owned no more; ErrUncertain
 // says that a value was proposed.
-func (s *Store) applyStep(ctx context.Context, key *keyState, step Step, began time.Time) (Register, error) {
+func (s *Store) applyStep(ctx context.Context, key *keyState, step ModifyFunc, began time.Time) (Register, error) {
 	decided := step(key.register, key.adoptedFrom)
 	if decided.Value == nil {
 		if s.confirmSince(ctx, key, began.Add(-decided.MaxAge)) {
--- a/internal/keystore/store.go
+++ b/internal/keystore/store.go
@@ -26,7 +26,7 @@
 // call its methods; calls on one key follow each other.
 type Store struct {
 	// OnChange, if set before the first call, is called after each Change with what it took. It must not call the store.
-	OnChange func(effort ChangeEffort)
+	OnChange func(effort ChangeStats)
 
 	self        string
 	incarnation uint64
@@ -52,7 +52,7 @@
 	// confirmedFrom is when the last round began in which a quorum confirmed that the key is owned, zero for none.
 	confirmedFrom time.Time
 	// effort is that of the Change under way.
-	effort ChangeEffort
+	effort ChangeStats
 }
 
 // NewStore makes the proposer of the process at address self. incarnation must differ from that of every other process at
--- a/internal/keystore/wal_test.go
+++ b/internal/keystore/wal_test.go
@@ -50,7 +50,7 @@
 			assert.Equal(t, log.Damage().Reason, keystore.DamageFileMissing, "generation %d, segment %d", generations, position)
 			assert.Equal(t, len(log.State()), 0)
 			unwritten := openWALAt(t, path, testSegmentBytes)
-			assert.Equal(t, unwritten.Damage().Reason, keystore.DamageGivenUp, "a start that wrote nothing mends nothing")
+			assert.Equal(t, unwritten.Damage().Reason, keystore.DamageStateDiscarded, "a start that wrote nothing mends nothing")
 
 			log = openWALAt(t, path, testSegmentBytes)
 			assert.NilError(t, log.Append([]keystore.Register{{Key: "new", Sequence: 1}}))
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -31,7 +31,7 @@
 	// the value found.
 	Acquire(ctx context.Context, name string, decide func(current keystore.Register) json.RawMessage) (keystore.Register, error)
 	// Update writes the key again while this process still owns it.
-	Update(ctx context.Context, name string, decide keystore.Decide) error
+	Update(ctx context.Context, name string, decide keystore.ChangeFunc) error
 	// Renew asks a majority whether this process still owns the key.
 	Renew(ctx context.Context, name string) error
 	// Release gives up the ownership of the key.
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -24,7 +24,7 @@
 	return keystore.Register{Value: s.value}, nil
 }
 
-func (s *memoryStore) Update(_ context.Context, _ string, decide keystore.Decide) error {
+func (s *memoryStore) Update(_ context.Context, _ string, decide keystore.ChangeFunc) error {
 	value, err := decide(keystore.Register{Value: s.value})
 	if err == nil {
 		s.value = value
--- a/internal/membership/change.go
+++ b/internal/membership/change.go
@@ -110,7 +110,7 @@
 }
 
 func (v View) takeBackChange(reason string, patience time.Duration) Change {
-	return Change{Membership: v.Membership.TakenBack(), Reason: reason, Patience: patience}
+	return Change{Membership: v.Membership.RolledBack(), Reason: reason, Patience: patience}
 }
 
 // memberToReplace returns the member to replace, and why: a lost one before one that is leaving, because the latter
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -118,13 +118,13 @@
 	view := peerEdit(joining).on(newView("b", jointChange, "a", "d"), "d")
 	change, due := membership.NextChange(view)
 	assert.Assert(t, due, "c is lost and d does not vote")
-	assert.Assert(t, jointChange.IsTakenBackBy(change.Membership))
+	assert.Assert(t, jointChange.IsRolledBackBy(change.Membership))
 	assert.Assert(t, change.Patience > 0, "d may gain its vote")
 	_, due = membership.NextChange(peerEdit(joining).on(newView("b", jointChange, "a", "c", "d"), "d"))
 	assert.Assert(t, !due, "b and c are a majority")
 	change, due = membership.NextChange(newView("b", jointChange, "a"))
 	assert.Assert(t, due, "c and d are lost")
-	assert.Assert(t, jointChange.IsTakenBackBy(change.Membership))
+	assert.Assert(t, jointChange.IsRolledBackBy(change.Membership))
 	assert.Equal(t, change.Patience, time.Duration(0))
 }
 
--- a/internal/replicastate/simulation/lease_test.go
+++ b/internal/replicastate/simulation/lease_test.go
@@ -64,7 +64,7 @@
 }
 
 // Update writes the record again.
-func (c registerClient) Update(_ context.Context, _ string, decide keystore.Decide) error {
+func (c registerClient) Update(_ context.Context, _ string, decide keystore.ChangeFunc) error {
 	if c.node.isStorePartitioned() || !c.isOwner() {
 		return errUnreachable
 	}
--- a/internal/test/linearizability/membership_test.go
+++ b/internal/test/linearizability/membership_test.go
@@ -109,7 +109,7 @@
 		}
 		view := s.membershipViewWithPeers(name, store)
 		change, desired := membership.NextChange(view)
-		if !desired || !view.Membership.IsTakenBackBy(change.Membership) && !follower.isConfirmed() {
+		if !desired || !view.Membership.IsRolledBackBy(change.Membership) && !follower.isConfirmed() {
 			due = membership.Change{}
 			continue
 		}
--- a/internal/test/linearizability/variants_test.go
+++ b/internal/test/linearizability/variants_test.go
@@ -38,7 +38,7 @@
 	s.registers[name] = register
 }
 
-func (r rejectsOnRememberedState) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
+func (r rejectsOnRememberedState) Change(ctx context.Context, name string, decide keystore.ChangeFunc) (keystore.Register, error) {
 	if register, known := r.memory.get(name); known {
 		if _, rejected := decide(register); rejected != nil {
 			return register, rejected
@@ -68,7 +68,7 @@
 // appliedCallsHidden hides from decisions which calls were applied.
 type appliedCallsHidden struct{ controlstate.Store }
 
-func (h appliedCallsHidden) Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error) {
+func (h appliedCallsHidden) Change(ctx context.Context, name string, decide keystore.ChangeFunc) (keystore.Register, error) {
 	return h.Store.Change(ctx, name, func(current keystore.Register) (json.RawMessage, error) {
 		if name == keystore.ConfigurationKey && len(current.Value) > 0 {
 			record, err := controlstate.DecodeConfiguration(current)
--- a/internal/test/modelcheck/planted_faults_test.go
+++ b/internal/test/modelcheck/planted_faults_test.go
@@ -132,7 +132,7 @@
 			judged[address] = change(address, replies[address])
 		}
 		founding.Version = keystore.BootstrapVersion
-		return keystore.JudgeBootstrap(self, founding, judged)
+		return keystore.EvaluateBootstrap(self, founding, judged)
 	}
 }
 
@@ -189,7 +189,7 @@
 // takesBackOverCompletion takes back a joint membership although a completion was found.
 func takesBackOverCompletion(rules *modelcheck.Rules) {
 	rules.ProposeTakeBack = func(owner keystore.Ownership, joint keystore.Membership) (keystore.Register, error) {
-		value, err := json.Marshal(joint.TakenBack())
+		value, err := json.Marshal(joint.RolledBack())
 		return owner.NextProposal(value), err
 	}
 }
--- a/internal/test/modelcheck/rules.go
+++ b/internal/test/modelcheck/rules.go
@@ -17,8 +17,8 @@
 		state *keystore.AcceptorState, read keystore.CatchUpResult, now time.Time,
 	) (keystore.Reply, []keystore.Register)
 	Learn func(state *keystore.AcceptorState, chosen keystore.Register) (keystore.Reply, []keystore.Register)
-	// JudgeBootstrap is keystore.JudgeBootstrap.
-	JudgeBootstrap keystore.BootstrapJudge
+	// JudgeBootstrap is keystore.EvaluateBootstrap.
+	JudgeBootstrap keystore.BootstrapEvaluator
 	// Wiped is a member's first state after the loss of its disk.
 	Wiped func(diskIncarnation uint64, membership keystore.Membership) []keystore.Register
 	// WaitsForSync says whether a reply waits until these changes are synced.
@@ -49,7 +49,7 @@
 		Step:           (*keystore.AcceptorState).Step,
 		Install:        (*keystore.AcceptorState).Install,
 		Learn:          (*keystore.AcceptorState).Learn,
-		JudgeBootstrap: keystore.JudgeBootstrap,
+		JudgeBootstrap: keystore.EvaluateBootstrap,
 		Wiped: func(diskIncarnation uint64, _ keystore.Membership) []keystore.Register {
 			return keystore.WipedRegisters(diskIncarnation)
 		},
@@ -57,8 +57,8 @@
 		CountVotes:         keystore.CountVotes,
 		NeedsRecommit:      keystore.Ownership.NeedsRecommit,
 		CountsAcceptance:   keystore.Ownership.CountsAcceptance,
-		TakeBackElectorate: keystore.TakeBackElectorate,
-		ProposeTakeBack:    keystore.Ownership.ProposeTakeBack,
+		TakeBackElectorate: keystore.RollbackElectorate,
+		ProposeTakeBack:    keystore.Ownership.ProposeRollback,
 		ProposalNumber: func(round uint64, proposer string, incarnation uint64) keystore.ProposalNumber {
 			return keystore.ProposalNumber{Round: round, Proposer: proposer, Incarnation: incarnation}
 		},
