--- a/internal/keystore/acceptor.go
+++ b/internal/keystore/acceptor.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Clock tells the time. Leases are bounded by its monotonic part (as that of time.Now).
+// Clock returns the time. Leases are measured by its monotonic reading (like that of time.Now).
 type Clock func() time.Time
 
-// AcceptorConfig holds the settings of one acceptor.
+// AcceptorConfig is the configuration of an acceptor.
 type AcceptorConfig struct {
-	// LeaseDuration is how long a lease is granted; another holder is rejected for as long.
+	// LeaseDuration is how long a lease is granted, and other holders are rejected.
 	LeaseDuration time.Duration
 	Clock         Clock
-	// Seeds are the initial members of the system by the member's settings.
+	// Seeds are the initial members of the system according to the member's settings.
 	Seeds []string
 }
 
 const (
-	// requestBuffer is how many requests may wait for the acceptor's loop.
+	// requestBuffer is the number of requests that may wait for the acceptor's loop.
 	requestBuffer = 64
-	// maxPendingReplies is how many replies may wait for the disk.
+	// maxPendingReplies is the number of replies that may wait for the disk.
 	maxPendingReplies = 512
 )
 
-// transition is one request to the acceptor's state, see AcceptorState.
+// transition processes one request on the acceptor's state, see AcceptorState.
 type transition func(state *AcceptorState, now time.Time, durable map[string]Register) (Reply, []Register)
 
 type request struct {
@@ -34,7 +34,7 @@
 	reply  chan Reply
 }
 
-// batch is what goes to the disk in one append, with the replies that wait for it.
+// batch is written to disk in one append, before the replies that wait for it are sent.
 type batch struct {
 	registers []Register
 	replies   []pendingReply
@@ -45,10 +45,10 @@
 	reply       Reply
 }
 
-// Acceptor runs one member: one goroutine owns the AcceptorState, a second one the write-ahead log. A reply that depends
-// on a write waits until the disk has synced it; a disk that hangs delays nothing else.
+// Acceptor runs one member. One goroutine owns the AcceptorState, a second one the write-ahead log. A reply that
+// depends on a write is sent once the write is synced to disk; a disk that hangs delays no other replies.
 //
-// Were a reply given before the sync, a crash could take back a promise or a value that a proposer has counted.
+// If a reply were sent before the sync, a crash could undo a promise or a value that a proposer has counted.
 type Acceptor struct {
 	log          *WAL
 	state        *AcceptorState
@@ -57,14 +57,14 @@
 	requests     chan request
 	writes       chan batch
 	writeResults chan error
-	// durable holds the registers that are on the disk. The map it points to is never changed.
+	// durable holds the registers that are on disk. The map that it points to is never modified.
 	durable  atomic.Pointer[map[string]Register]
 	queued   batch
 	inFlight *batch
 }
 
-// NewAcceptor makes the member at an address from what its write-ahead log holds. When bootstrapping, no earlier process
-// can have granted a lease; otherwise none is promised for as long as one lasts.
+// NewAcceptor returns the member at an address with the state in its write-ahead log. When bootstrapping, no earlier
+// process can have granted a lease; otherwise no lease is promised for one lease duration.
 func NewAcceptor(address string, log *WAL, config AcceptorConfig, bootstrapping bool) *Acceptor {
 	state := &AcceptorState{
 		Address:       address,
@@ -90,8 +90,8 @@
 	return acceptor
 }
 
-// Run answers requests until the context ends. It doesn't wait for a write that is under way then, since a disk that hangs
-// must not hold up the end of the process; the write goes no further than that one append.
+// Run processes requests until the context ends. It doesn't wait for a write in progress then, since a disk that hangs
+// must not delay the end of the process. No further write follows that one.
 func (a *Acceptor) Run(ctx context.Context) {
 	go a.runWrites(ctx)
 	for {
@@ -106,7 +106,7 @@
 	}
 }
 
-// runWrites is the only one to use the write-ahead log.
+// runWrites is the only goroutine that uses the write-ahead log.
 func (a *Acceptor) runWrites(ctx context.Context) {
 	for {
 		select {
@@ -118,23 +118,23 @@
 	}
 }
 
-// Call answers a message of a proposer or a member. Any goroutine may call it. The error is that of the context.
+// Call processes a message of a proposer or a member. It is safe for concurrent use. The error is that of the context.
 func (a *Acceptor) Call(ctx context.Context, message Message) (Reply, error) {
 	return a.submit(ctx, func(state *AcceptorState, now time.Time, durable map[string]Register) (Reply, []Register) {
 		return state.Step(message, now, durable)
 	})
 }
 
-// Install takes over what a member without a vote has read, see AcceptorState.Install. It returns a RejectionError if the
-// member has moved on since.
+// Install stores the state that a member without a vote has read, see AcceptorState.Install. It returns a
+// RejectionError if the member's state has changed since.
 func (a *Acceptor) Install(ctx context.Context, read CatchUpResult) error {
 	return a.submitGranted(ctx, func(state *AcceptorState, now time.Time, _ map[string]Register) (Reply, []Register) {
 		return state.Install(read, now)
 	})
 }
 
-// Learn keeps a chosen value that this member missed, see AcceptorState.Learn. It returns a RejectionError if the member
-// holds it, or a newer one, already.
+// Learn stores a chosen value that this member missed, see AcceptorState.Learn. It returns a RejectionError if the
+// member holds this value or a newer one already.
 func (a *Acceptor) Learn(ctx context.Context, chosen Register) error {
 	return a.submitGranted(ctx, func(state *AcceptorState, _ time.Time, _ map[string]Register) (Reply, []Register) {
 		return state.Learn(chosen)
@@ -149,14 +149,14 @@
 	})
 }
 
-// AdoptMembership keeps a newer membership that came by other ways than the members' own messages.
+// AdoptMembership stores a newer membership that was received by other means than the members' own messages.
 func (a *Acceptor) AdoptMembership(ctx context.Context, membership Membership) error {
 	return a.submitGranted(ctx, func(state *AcceptorState, _ time.Time, _ map[string]Register) (Reply, []Register) {
 		return Reply{Granted: true}, state.adoptMembership(membership)
 	})
 }
 
-// submitGranted is submit with a rejection as an error.
+// submitGranted is submit, but returns a rejection as an error.
 func (a *Acceptor) submitGranted(ctx context.Context, decide transition) error {
 	reply, err := a.submit(ctx, decide)
 	if err == nil && !reply.Granted {
@@ -165,7 +165,7 @@
 	return err
 }
 
-// submit hands a request to the acceptor's loop and waits for the reply.
+// submit passes a request to the acceptor's loop and waits for the reply.
 func (a *Acceptor) submit(ctx context.Context, decide transition) (Reply, error) {
 	next := request{decide: decide, reply: make(chan Reply, 1)}
 	select {
@@ -181,19 +181,19 @@
 	}
 }
 
-// Durable is what the member's disk holds, by key. The map is never changed.
+// Durable returns the registers on the member's disk, by key. The map is never modified.
 func (a *Acceptor) Durable() map[string]Register { return *a.durable.Load() }
 
-// LocalState is what the member's disk says of itself.
+// LocalState returns what the member's disk holds about the member itself.
 func (a *Acceptor) LocalState() LocalState { return LocalStateOf(a.Durable()) }
 
-// Seeds are the initial members of the system by the member's settings.
+// Seeds returns the initial members of the system according to the member's settings.
 func (a *Acceptor) Seeds() []string { return a.seeds }
 
-// Membership is the newest on the member's disk.
+// Membership returns the newest membership on the member's disk.
 func (a *Acceptor) Membership() Membership { return MembershipOf(a.Durable()) }
 
-// handle decides on a request. A reply that changes nothing goes out at once.
+// handle processes a request. A reply without changes is sent at once.
 func (a *Acceptor) handle(next request) {
 	reply, changes := next.decide(a.state, a.clock(), a.Durable())
 	if len(changes) == 0 {
@@ -203,7 +203,7 @@
 	a.stage(changes, pendingReply{destination: next.reply, reply: reply})
 }
 
-// stage has changes go to the disk, and their reply wait for it.
+// stage queues changes for the disk, with the reply that waits for them.
 func (a *Acceptor) stage(changes []Register, pending pendingReply) {
 	if len(a.queued.replies) >= maxPendingReplies {
 		pending.destination <- Reply{Rejection: RejectedDiskQueueFull}
@@ -215,7 +215,7 @@
 	a.flush()
 }
 
-// flush hands all that is queued to the disk as one batch, unless a batch is there already.
+// flush passes all queued changes to the writer as one batch, unless a batch is in flight.
 func (a *Acceptor) flush() {
 	if a.inFlight != nil || len(a.queued.replies) == 0 {
 		return
@@ -225,7 +225,7 @@
 	a.writes <- next
 }
 
-// completeWrite gives the replies that waited for a batch.
+// completeWrite sends the replies that waited for a batch.
 func (a *Acceptor) completeWrite(err error) {
 	done := a.inFlight
 	a.inFlight = nil
@@ -244,9 +244,10 @@
 	a.flush()
 }
 
-// rollBack returns to what the disk holds after it rejected a write, and rejects all that was decided on top. Grants of
-// leases that such a step made stay: they only keep others away for longer. What a torn write left on the disk may come
-// back after a restart; it was never promised to anybody, and a member may promise or accept at any time.
+// rollBack restores the state on disk after a write has failed, and rejects all requests that were decided on top of
+// it. Lease grants made by these requests remain: they only exclude other holders for longer. The remains of a torn
+// write may be read after a restart. They were never confirmed to anyone, and a member may promise or accept at any
+// time.
 func (a *Acceptor) rollBack(failed *batch) {
 	for _, pending := range append(failed.replies, a.queued.replies...) {
 		pending.destination <- Reply{Rejection: RejectedDiskError}
--- a/internal/keystore/acceptor_state.go
+++ b/internal/keystore/acceptor_state.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// AcceptorState is all that a member's replies depend on. Its methods decide without any IO: they are functions of the
-// state, the request and the time. They return the registers that must be on the disk before the reply goes out, and
-// change nothing but the grants of leases, which live in memory only.
+// AcceptorState is the complete state that a member's replies depend on. Its methods perform no IO: they are functions
+// of the state, the request and the time. They return the registers that must be on disk before the reply is sent, and
+// modify nothing but the lease grants, which are kept in memory only.
 type AcceptorState struct {
-	// Address is the member's own.
+	// Address is the member's own address.
 	Address string
-	// Seeds are the initial members of the system by the member's settings.
+	// Seeds are the initial members of the system according to the member's settings.
 	Seeds []string
 	// LeaseDuration is how long a lease is granted.
 	LeaseDuration time.Duration
-	// Registers holds what the member has decided, by key, whether or not its disk has it yet.
+	// Registers holds what the member has decided, by key, including what is not on its disk yet.
 	Registers map[string]Register
-	// Grants says until when each lease is granted, by key, on the monotonic clock.
+	// Grants holds the time at which the grant of each lease expires, by key, on the monotonic clock.
 	Grants map[string]time.Time
-	// LeasesBlockedUntil is the time before which no lease is promised: a grant that an earlier process, or the members
-	// before this one, gave may still run. Without it two holders could act under one lease.
+	// LeasesBlockedUntil is the time before which no lease is promised: a lease granted by an earlier process, or by
+	// the members that this one has caught up from, may not have expired. Otherwise two holders could act under one
+	// lease.
 	LeasesBlockedUntil time.Time
 }
 
-// stepEnvironment is what a step may look at besides the member's state.
+// stepEnvironment is the input of a step besides the member's state and the message.
 type stepEnvironment struct {
 	now time.Time
-	// durable holds the registers that are on the disk.
+	// durable holds the registers that are on disk.
 	durable map[string]Register
 }
 
-// Clone is an independent copy.
+// Clone returns an independent copy.
 func (s *AcceptorState) Clone() *AcceptorState {
 	copied := *s
 	copied.Registers = maps.Clone(s.Registers)
@@ -39,8 +40,9 @@
 	return &copied
 }
 
-// Step answers a message. The reply may be given once the registers returned are on the disk. durable holds what the disk
-// has already; replies about values are given from it alone, since what is not on the disk yet may be lost.
+// Step processes a message and returns the reply, which may be sent once the registers returned are on disk. durable
+// holds the registers that are on disk already. Values are returned from it alone, since a register that is not on disk
+// yet may be lost.
 func (s *AcceptorState) Step(message Message, now time.Time, durable map[string]Register) (Reply, []Register) {
 	adopted := s.adoptMembership(message.Membership)
 	view := s.withChanges(adopted)
@@ -51,10 +53,11 @@
 		if message.Operation != OperationCatchUp {
 			return reply, adopted
 		}
-		answer, recorded := view.answerWithoutVote(message, reply)
-		return answer, append(adopted, recorded...)
+		answer, changes := view.replyWithoutVote(message, reply)
+		return answer, append(adopted, changes...)
 	}
-	// Votes that are counted under an older membership could form a quorum beside one of the newer.
+	// Votes counted under an older membership could form a quorum that shares no member with one of the newer
+	// membership.
 	if message.Membership.Version < membership.Version && message.Operation != OperationCatchUp {
 		reply.Rejection = RejectedOlderMembership
 		return reply, nil
@@ -68,14 +71,14 @@
 	return reply, append(adopted, changes...)
 }
 
-// Apply takes changes that a step decided on into the state.
+// Apply stores the changes that a step has decided on in the state.
 func (s *AcceptorState) Apply(changes []Register) {
 	for _, register := range changes {
 		s.Registers[register.Key] = register
 	}
 }
 
-// withChanges is the state with changes applied, and the same state if there are none.
+// withChanges returns the state with the changes applied, and the same state if there are none.
 func (s *AcceptorState) withChanges(changes []Register) *AcceptorState {
 	if len(changes) == 0 {
 		return s
@@ -86,8 +89,8 @@
 	return &view
 }
 
-// adoptMembership takes over a newer membership. A member that the new one does not keep loses its vote, and must catch
-// up again should it return: it receives no writes meanwhile.
+// adoptMembership adopts a newer membership. A member that is not in it loses its vote, since it receives no further
+// writes, and must catch up again if it is added back later.
 func (s *AcceptorState) adoptMembership(membership Membership) []Register {
 	if membership.Version <= MembershipOf(s.Registers).Version {
 		return nil
@@ -101,7 +104,7 @@
 	return adopted
 }
 
-// register is the register of a key, or an empty one.
+// register returns the register of a key, or an empty one if there is none.
 func (s *AcceptorState) register(key string) Register {
 	register := s.Registers[key]
 	register.Key = key
--- a/internal/keystore/acceptor_steps.go
+++ b/internal/keystore/acceptor_steps.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// stepFunc answers one operation. reply is filled in with what every reply holds.
+// stepFunc processes the messages of one operation. reply holds the fields that are common to all replies.
 type stepFunc func(s *AcceptorState, message Message, reply Reply, environment stepEnvironment) (Reply, []Register)
 
 var stepsByOperation = map[Operation]stepFunc{
@@ -19,14 +19,15 @@
 	OperationCatchUp: (*AcceptorState).catchUp,
 }
 
-// prepare promises to accept no proposal below the message's number, and replies with what was accepted so far. A member
-// that broke the promise would let an earlier owner finish a write that the new one has not seen.
+// prepare promises to accept no proposal below the message's number, and replies with the value accepted so far. A
+// member that broke the promise would let an earlier owner complete a write that the new owner has not seen.
 //
-// A message that comes again is promised again: its number is of one attempt of one proposer, and nothing below it was accepted
-// since. The register is written once more, so that the second reply waits for the disk as the first one does.
+// A message that is received twice is promised twice: its number belongs to one attempt of one proposer, and nothing
+// below it has been accepted in between. The register is written again, so that the second reply waits for the disk
+// like the first.
 //
-// The reply names, with or without a promise, the disk incarnations of others that this member knows, so that nobody counts
-// the promise of a member that has lost its disk since.
+// Whether or not the promise is granted, the reply names the disk incarnations of other members that this member knows,
+// so that no proposer counts the promise of a member that has lost its disk since.
 func (s *AcceptorState) prepare(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	register := s.register(message.Key)
 	reply.Register, reply.KnownDiskIncarnations = register, knownDiskIncarnations(s.Registers)
@@ -43,7 +44,7 @@
 	return reply, []Register{register}
 }
 
-// accept keeps a value unless a higher number was promised. To accept a number is to promise it.
+// accept stores a value unless a higher number has been promised. Accepting a proposal also promises its number.
 func (s *AcceptorState) accept(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	register := s.register(message.Key)
 	reply.Register = register.WithoutValue()
@@ -63,8 +64,8 @@
 	return reply, []Register{register}
 }
 
-// knowsLostDisk says that a member whose promise is counted has lost its disk since, be it this member or one that caught
-// up here. The write would count a promise that nobody keeps.
+// knowsLostDisk reports whether a member whose promise is counted has lost its disk since, be it this member or one
+// that caught up from it. The write would count a promise that is no longer kept.
 func (s *AcceptorState) knowsLostDisk(counted map[string]uint64) bool {
 	for member, diskIncarnation := range counted {
 		known := knownDiskIncarnation(s.Registers, member)
@@ -78,8 +79,9 @@
 	return false
 }
 
-// renew extends the lease of its owner. It may be granted on a promise that the disk does not have yet: a proposer that
-// became the owner by a higher number since needs this member's promise later, or had it already and is seen here.
+// renew extends the lease for its owner. It may be granted on a promise that is not on disk yet: a proposer that became
+// the owner under a higher number since then either still needs this member's promise, or already has it, and the
+// promise is found here.
 func (s *AcceptorState) renew(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	reply = s.confirmPromise(message, reply)
 	if reply.Granted {
@@ -88,7 +90,7 @@
 	return reply, nil
 }
 
-// release ends the grant of a lease for its owner only: another's lease must run its time.
+// release ends the grant of a lease, for its owner only: the lease of another owner has to expire.
 func (s *AcceptorState) release(message Message, reply Reply, _ stepEnvironment) (Reply, []Register) {
 	reply = s.confirmPromise(message, reply)
 	if reply.Granted {
@@ -97,7 +99,7 @@
 	return reply, nil
 }
 
-// confirmPromise grants a message of the proposer that has this member's promise.
+// confirmPromise grants a message if the member's promise is still the one that the message's proposer received.
 func (s *AcceptorState) confirmPromise(message Message, reply Reply) Reply {
 	register := s.Registers[message.Key]
 	reply.Register = register.WithoutValue()
@@ -108,7 +110,7 @@
 	return reply
 }
 
-// digest lists what is accepted and on the disk, but for the keys that applications share.
+// digest lists the accepted proposals that are on disk, except those of the keys that applications share.
 func (s *AcceptorState) digest(_ Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	for key, register := range environment.durable {
 		if isReserved(key) || isCoordination(key) || !register.IsAccepted() {
@@ -125,7 +127,7 @@
 	return reply, nil
 }
 
-// fetch gives a value that is on the disk.
+// fetch returns a value that is on disk.
 func (s *AcceptorState) fetch(message Message, reply Reply, environment stepEnvironment) (Reply, []Register) {
 	reply.Register = environment.durable[message.Key]
 	reply.Granted = reply.Register.IsAccepted()
@@ -135,23 +137,25 @@
 	return reply, nil
 }
 
-// catchUp sends a member without a vote all that this one decided. The sender's disk incarnation is on this member's disk
-// before the reply goes out: from then on no write is accepted here that counts a promise of an earlier one.
+// catchUp returns everything that this member has decided to a member without a vote. The sender's disk incarnation is
+// on this member's disk before the reply is sent: from then on this member rejects every write that counts a promise of
+// an earlier incarnation.
 func (s *AcceptorState) catchUp(message Message, reply Reply, _ stepEnvironment) (Reply, []Register) {
 	for _, key := range slices.Sorted(maps.Keys(s.Registers)) {
 		if !isReserved(key) {
 			reply.Registers = append(reply.Registers, s.Registers[key])
 		}
 	}
-	incarnation := s.recordDiskIncarnation(message)
+	incarnation := s.senderIncarnationRegister(message)
 	reply.Granted = true
 	reply.DiskIncarnationCount = incarnation.Sequence
 	reply.BootstrapCompleted = LocalStateOf(s.Registers).BootstrapCompleted
 	return reply, []Register{incarnation}
 }
 
-// recordDiskIncarnation is the register that records the disk incarnation of a member that catches up.
-func (s *AcceptorState) recordDiskIncarnation(message Message) Register {
+// senderIncarnationRegister returns the register that records the disk incarnation of the sender of an
+// OperationCatchUp.
+func (s *AcceptorState) senderIncarnationRegister(message Message) Register {
 	previous := s.Registers[diskIncarnationPrefix+message.Sender]
 	return diskIncarnationRegister(previous, message.Sender, message.DiskIncarnation)
 }
--- a/internal/keystore/catchup.go
+++ b/internal/keystore/catchup.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// installTimeout is how long a member waits for its own disk to take what it has read.
+// installTimeout limits the time for writing the state that was read to the member's own disk.
 const installTimeout = 5 * time.Second
 
-// CatchUp brings a member that does not vote to where it may: it reads enough of the others and installs what they hold.
-// It says whether the member votes and, if too few voting members were there to read, what the verdict on a bootstrap was.
+// CatchUp lets a member without a vote catch up: it reads enough of the other members and installs their state. It
+// reports whether the member votes and, if too few voting members replied, returns the verdict on a bootstrap.
 func (s *Store) CatchUp(ctx context.Context, acceptor *Acceptor) (bool, BootstrapVerdict) {
 	local := acceptor.LocalState()
 	if local.Voting {
@@ -36,8 +36,8 @@
 		}
 		return progressWait
 	})
-	read, verdict, enough := EvaluateCatchUp(request, result.replies, EvaluateBootstrap)
-	if !enough || s.Membership().Version != current.Version {
+	read, verdict, sufficient := EvaluateCatchUp(request, result.replies, EvaluateBootstrap)
+	if !sufficient || s.Membership().Version != current.Version {
 		return false, verdict
 	}
 	installContext, cancel := context.WithTimeout(ctx, installTimeout)
@@ -49,8 +49,9 @@
 	return true, verdict
 }
 
-// Refresh brings a voting member's disk up to date with what a majority is known to hold: a member that was away would
-// otherwise stay behind on each key until its next change. It returns how many keys were behind and are not any more.
+// Refresh updates a voting member's disk with the values that a majority is known to hold. Otherwise a member that was
+// unreachable for a while would stay behind on each key until the key's next change. It returns the number of keys that
+// were updated.
 func (s *Store) Refresh(ctx context.Context, acceptor *Acceptor, committed map[string]Register) int {
 	refreshed := 0
 	durable := acceptor.Durable()
--- a/internal/keystore/catchup_state.go
+++ b/internal/keystore/catchup_state.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// CatchUpRequest says which member catches up, and from whom: the members of Membership, which is the one in force
-// or, while none is known, that of the bootstrap.
+// CatchUpRequest identifies the member that catches up and the members that it reads: those of Membership, which is the
+// membership in force or, while none is known, that of the bootstrap.
 type CatchUpRequest struct {
 	Self            string
 	DiskIncarnation uint64
 	Membership      Membership
 }
 
-// CatchUpResult is what a member without a vote has read of the others.
+// CatchUpResult is what a member without a vote has read from the others.
 type CatchUpResult struct {
 	Membership      Membership
 	DiskIncarnation uint64
-	// Registers hold, for each key, the newest value and the highest promise of any of them.
+	// Registers hold the newest value and the highest promise of each key that any of the members holds.
 	Registers []Register
 }
 
-// EvaluateCatchUp is what Store.CatchUp installs from the replies to its request, and whether they are enough: either
-// enough voting members have replied, or the judge of the bootstrap finds it ready.
+// EvaluateCatchUp returns what Store.CatchUp installs for the replies to its request, and whether the replies are
+// sufficient: enough voting members have replied, or the verdict on a bootstrap is BootstrapReady.
 func EvaluateCatchUp(
-	request CatchUpRequest, replies map[string]Reply, judge BootstrapEvaluator,
-) (result CatchUpResult, verdict BootstrapVerdict, enough bool) {
+	request CatchUpRequest, replies map[string]Reply, evaluateBootstrap BootstrapEvaluator,
+) (result CatchUpResult, verdict BootstrapVerdict, sufficient bool) {
 	votes := replySet{membership: request.Membership, replies: replies}
 	result = CatchUpResult{
 		Membership:      request.Membership,
@@ -36,23 +36,24 @@
 	if votes.coversLostVotes(request.Self) {
 		return result, "", true
 	}
-	verdict = judge(request.Self, request.Membership, replies)
+	verdict = evaluateBootstrap(request.Self, request.Membership, replies)
 	return result, verdict, verdict == BootstrapReady
 }
 
-// coversLostVotes says whether enough members have sent the one that catches up what they hold. A majority that was read by an
-// earlier disk incarnation has a member in common with one that is read by this one, so one of the replies counts it.
+// coversLostVotes reports whether enough members have sent their state to the one that catches up. If an earlier disk
+// incarnation of it has read a majority, that majority shares a member with the one that is read now, so one of the
+// replies counts the earlier incarnation.
 func (r *replySet) coversLostVotes(self string) bool {
-	answered := map[string]bool{}
+	replied := map[string]bool{}
 	hasEarlierIncarnation := false
 	for address, reply := range r.replies {
-		answered[address] = reply.Granted
+		replied[address] = reply.Granted
 		hasEarlierIncarnation = hasEarlierIncarnation || reply.DiskIncarnationCount > 1
 	}
-	return r.membership.CoversLostVotes(self, answered, hasEarlierIncarnation)
+	return r.membership.CoversLostVotes(self, replied, hasEarlierIncarnation)
 }
 
-// mergedRegisters combines what all members hold of each key, in the order of the keys.
+// mergedRegisters combines the registers of all members by key, in the order of the keys.
 func (r *replySet) mergedRegisters() []Register {
 	merged := map[string]Register{}
 	for _, reply := range r.replies {
@@ -67,11 +68,12 @@
 	return registers
 }
 
-// Install takes over what was read and begins to vote, unless the member has adopted a newer membership, or begun to vote,
-// since the reading began: what was read under the older one need not cover the votes of the newer.
+// Install stores the state that was read and gives the member its vote, unless the member has adopted a newer
+// membership, or got a vote, since the read began: the replies read under the older membership may not cover the votes
+// of the newer.
 //
-// What the others promised and granted until they were read is in the registers. A lease that they granted may run on, so
-// none is promised here for as long as one lasts.
+// The registers contain what the other members had promised and accepted when they were read. A lease that they granted
+// may still be active, so this member promises no lease for one lease duration.
 func (s *AcceptorState) Install(read CatchUpResult, now time.Time) (Reply, []Register) {
 	local, membership := LocalStateOf(s.Registers), MembershipOf(s.Registers)
 	reply := Reply{DiskIncarnation: local.DiskIncarnation, Membership: membership}
@@ -91,8 +93,8 @@
 	return reply, changes
 }
 
-// Learn keeps a value that was chosen. It may be kept under any promise, since every later proposal carries it on. It
-// brings a member that missed writes up to date without the owner's help.
+// Learn stores a chosen value. The value may be stored under any promise, since every proposal with a higher number is
+// derived from it. This brings a member that missed writes up to date without involving the owner.
 func (s *AcceptorState) Learn(chosen Register) (Reply, []Register) {
 	local := LocalStateOf(s.Registers)
 	reply := Reply{DiskIncarnation: local.DiskIncarnation, Membership: MembershipOf(s.Registers)}
--- a/internal/keystore/change_stats.go
+++ b/internal/keystore/change_stats.go
@@ -6,44 +6,45 @@
 	"github.com/pkg/errors"
 )
 
-// ChangeStats is what one Change of a key took. It tells proposers that preempt each other from members that reply slowly.
+// ChangeStats are the statistics of one Change or ReadModifyWrite of a key. They distinguish contention between
+// proposers from members that reply slowly.
 type ChangeStats struct {
 	Key string
-	// LockWait is the time until other calls of this process on the key were done; it is part of Duration.
+	// LockWait is the time spent waiting for other calls of this process on the key. It is part of Duration.
 	LockWait time.Duration
 	Duration time.Duration
-	// Prepares counts the attempts to own the key, Preempted those of them that a rival with a higher number ended.
+	// Prepares counts the attempts to own the key, and Preempted those that ended because a rival had a higher number.
 	Prepares  int
 	Preempted int
-	// Commits counts the proposals that were put to the members, Uncertain those of them with an unknown outcome.
+	// Commits counts the proposals sent to the members, and Uncertain those with an unknown outcome.
 	Commits   int
 	Uncertain int
 }
 
-// recordPrepare counts an attempt to own the key, with the error of its prepare round.
-func (e *ChangeStats) recordPrepare(err error) {
-	e.Prepares++
+// recordPrepare counts an attempt to own the key, given the error of its prepare round.
+func (c *ChangeStats) recordPrepare(err error) {
+	c.Prepares++
 	if errors.Is(err, ErrContended) {
-		e.Preempted++
+		c.Preempted++
 	}
 }
 
-// recordCommit counts a proposal that was put to the members.
-func (e *ChangeStats) recordCommit(agreed bool) {
-	e.Commits++
+// recordCommit counts a proposal sent to the members.
+func (c *ChangeStats) recordCommit(agreed bool) {
+	c.Commits++
 	if !agreed {
-		e.Uncertain++
+		c.Uncertain++
 	}
 }
 
-// beginEffort starts the count for a call that began at the given time and has just locked the key. The function that it
-// returns ends the count and passes it on.
-func (s *Store) beginEffort(key *keyState, began time.Time) func() {
-	key.effort = ChangeStats{Key: key.name, LockWait: time.Since(began)}
+// collectStats starts the statistics of a call that began at the given time and has just locked the key. The returned
+// function completes them and passes them to OnChange.
+func (s *Store) collectStats(key *keyState, began time.Time) func() {
+	key.stats = ChangeStats{Key: key.name, LockWait: time.Since(began)}
 	return func() {
-		key.effort.Duration = time.Since(began)
+		key.stats.Duration = time.Since(began)
 		if s.OnChange != nil {
-			s.OnChange(key.effort)
+			s.OnChange(key.stats)
 		}
 	}
 }
--- a/internal/keystore/damage.go
+++ b/internal/keystore/damage.go
@@ -28,7 +28,7 @@
 	}
 	newest := s.newest()
 	if newest.state != SegmentComplete {
-		return s.damageBeforeFirst()
+		return s.damageWithoutGeneration()
 	}
 	for _, read := range s {
 		if read.state == SegmentDamaged && read.base > newest.base {
@@ -44,13 +44,13 @@
 	if damage := s.misplacedGeneration(newest); damage != nil {
 		return damage
 	}
-	return s.damageAround(newest)
+	return s.damageOfNextOrNewest(newest)
 }
 
-// damageBeforeFirst judges a log that has all its segments and no complete generation: it is good only if generation 1 was
+// damageWithoutGeneration judges a log that has all its segments and no complete generation: it is good only if generation 1 was
 // never complete, so if nothing but the remains of generation 1 is there beside ready markers, or only blank and ready
 // segments.
-func (s segments) damageBeforeFirst() *Damage {
+func (s segments) damageWithoutGeneration() *Damage {
 	if marked, found := s.firstIn(SegmentDamaged); found {
 		return &Damage{Reason: DamageStateDiscarded, File: marked.name}
 	}
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// damageAround looks at the segment that is written next, and at the records of the newest generation itself.
-func (s segments) damageAround(newest segment) *Damage {
+// damageOfNextOrNewest looks at the segment that is written next, and at the records of the newest generation itself.
+func (s segments) damageOfNextOrNewest(newest segment) *Damage {
 	next := s.forGeneration(newest.generation + 1)
 	wasWritten := newest.generation+1 >= newest.base+uint64(len(s))
 	if next.state == SegmentReady && wasWritten {
--- a/internal/keystore/digest.go
+++ b/internal/keystore/digest.go
@@ -1,15 +1,15 @@
 package keystore
 
-// Digest is what a majority of members hold of all keys, without values.
+// Digest lists the newest proposals of all keys, without values, according to a majority of members.
 type Digest struct {
-	// Committed holds the newest proposal of each key that a quorum holds.
+	// Committed holds, by key, the newest proposals that a quorum holds.
 	Committed map[string]Register
-	// Undecided holds the newest proposal of each key where no quorum is known to hold it: it may have been chosen or
-	// not. No older value of such a key may count as the one in force.
+	// Undecided holds, by key, the newest proposals that no quorum is known to hold: they may or may not have been
+	// chosen. No older value of such a key may be taken for the one in force.
 	Undecided map[string]Register
 }
 
-// EvaluateDigest is what Store.Digest concludes from the replies of a quorum.
+// EvaluateDigest returns the result of Store.Digest for the replies of a quorum.
 func EvaluateDigest(membership Membership, replies map[string]Reply) Digest {
 	result := replySet{membership: membership, replies: replies}
 	return result.digest()
@@ -28,7 +28,7 @@
 	return digest
 }
 
-// newestProposals are the newest proposals that any member holds, by key.
+// newestProposals returns the newest proposal of each key that any member holds.
 func (r *replySet) newestProposals() map[string]Register {
 	newest := map[string]Register{}
 	for address, reply := range r.replies {
--- a/internal/keystore/directory.go
+++ b/internal/keystore/directory.go
@@ -40,8 +40,8 @@
 	reservedBytes = 1 << 20
 	// zeroChunkBytes is the length of one write of zeros.
 	zeroChunkBytes = 256 << 10
-	// zeroRunBytes is how many zeros end what is read of a file. Records are text but for their headers.
-	zeroRunBytes = 64 << 10
+	// maxZeroRunBytes is how many zeros end what is read of a file. Records are text but for their headers.
+	maxZeroRunBytes = 64 << 10
 )
 
 // osDirectory is a Directory of the operating system.
@@ -96,10 +96,10 @@
 // readUntilZeros reads up to the end or to a run of zeros, which it keeps: most of a preallocated file is zeros.
 func readUntilZeros(file io.Reader) ([]byte, error) {
 	var content []byte
-	zeros := make([]byte, zeroRunBytes)
+	zeros := make([]byte, maxZeroRunBytes)
 	for {
 		from := len(content)
-		content = slices.Grow(content, zeroRunBytes)[:from+zeroRunBytes]
+		content = slices.Grow(content, maxZeroRunBytes)[:from+maxZeroRunBytes]
 		read, err := io.ReadFull(file, content[from:])
 		content = content[:from+read]
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/keystore/local_state.go
+++ b/internal/keystore/local_state.go
@@ -5,33 +5,34 @@
 	"strings"
 )
 
-// LocalState is what a member stores of itself.
+// LocalState is what a member stores about itself.
 type LocalState struct {
-	// DiskIncarnation is a random number that is drawn anew with each loss of the disk. It distinguishes a promise
-	// that was given before the loss from one given after it; without that, a proposer could count a promise that the member
-	// does not remember, and a value that was acknowledged could be replaced.
+	// DiskIncarnation is a random number that is drawn anew after each loss of the disk. It distinguishes a promise
+	// given before the loss from one given after it. Otherwise a proposer could count a promise that the member has
+	// forgotten, and an acknowledged value could be replaced.
 	DiskIncarnation uint64 `json:"incarnation"`
-	// Voting: a member without a vote promises, accepts and grants nothing. It has no vote until it has caught up.
+	// Voting is whether the member has a vote. Without one, which it gets only once it has caught up, it promises,
+	// accepts and grants nothing.
 	Voting bool `json:"voting"`
 	// MembershipVersion is that of the membership under which the member caught up, 0 if it never voted.
 	MembershipVersion uint64 `json:"number"`
-	// BootstrapCompleted says that the member has seen every initial member vote under the first membership.
+	// BootstrapCompleted is whether the member has seen every initial member vote under the first membership.
 	BootstrapCompleted bool `json:"completed,omitempty"`
 }
 
-// LocalStateOf reads what a member stores of itself from its registers.
+// LocalStateOf decodes the member's local state from its registers.
 func LocalStateOf(registers map[string]Register) LocalState {
 	var state LocalState
 	_ = json.Unmarshal(registers[localStateKey].Value, &state)
 	return state
 }
 
-// MembershipOf reads the newest membership that a member knows from its registers.
+// MembershipOf decodes the newest membership that a member knows from its registers.
 func MembershipOf(registers map[string]Register) Membership {
 	return decodeMembership(registers[localMembershipKey])
 }
 
-// BootstrapRegisters is the first state of an initial member of a system that starts for the first time.
+// BootstrapRegisters returns the first state of an initial member of a system that starts for the first time.
 func BootstrapRegisters(membership Membership, diskIncarnation uint64) []Register {
 	state := LocalState{
 		DiskIncarnation:   diskIncarnation,
@@ -41,8 +42,8 @@
 	return []Register{membershipRegister(membership), localStateRegister(state)}
 }
 
-// WipedRegisters is the first state of a member that has no state on disk, or may have lost a part of it: it has no vote
-// until it has read enough of the others.
+// WipedRegisters returns the first state of a member that has no state on disk, or may have lost a part of it. It has
+// no vote until it has read enough other members.
 func WipedRegisters(diskIncarnation uint64) []Register {
 	return []Register{localStateRegister(LocalState{DiskIncarnation: diskIncarnation})}
 }
@@ -57,8 +58,8 @@
 	return Register{Key: localMembershipKey, Value: value}
 }
 
-// diskIncarnationRegister records the disk incarnation of another member that catches up here. Its sequence counts the
-// incarnations of that member that did so.
+// diskIncarnationRegister returns the register that records the disk incarnation of another member that catches up from
+// this one. Its sequence counts that member's incarnations that did so.
 func diskIncarnationRegister(previous Register, member string, diskIncarnation uint64) Register {
 	value, _ := json.Marshal(diskIncarnation)
 	register := Register{
@@ -72,19 +73,19 @@
 	return register
 }
 
-// readDiskIncarnation returns 0 for a register that holds none.
+// readDiskIncarnation decodes the disk incarnation in a register, and returns 0 if there is none.
 func readDiskIncarnation(register Register) uint64 {
 	var diskIncarnation uint64
 	_ = json.Unmarshal(register.Value, &diskIncarnation)
 	return diskIncarnation
 }
 
-// knownDiskIncarnation is the newest disk incarnation of another member that is known here, 0 if none is.
+// knownDiskIncarnation returns the newest disk incarnation of another member that is known here, 0 if there is none.
 func knownDiskIncarnation(registers map[string]Register, member string) uint64 {
 	return readDiskIncarnation(registers[diskIncarnationPrefix+member])
 }
 
-// knownDiskIncarnations gives all of them, by member, and nil if none is known.
+// knownDiskIncarnations returns all known disk incarnations by member, and nil if there are none.
 func knownDiskIncarnations(registers map[string]Register) map[string]uint64 {
 	var known map[string]uint64
 	for key := range registers {
--- a/internal/keystore/membership_change.go
+++ b/internal/keystore/membership_change.go
@@ -7,15 +7,16 @@
 	"github.com/pkg/errors"
 )
 
-// ChangeMembership commits the membership that follows another. ErrSuperseded says that a newer one than current is, or may
-// be, in force already.
+// ChangeMembership commits the membership that follows the current one. It returns ErrSuperseded if a membership newer
+// than current is, or may be, in force already.
 func (s *Store) ChangeMembership(ctx context.Context, current, next Membership) (Register, error) {
 	if current.IsRolledBackBy(next) {
-		register, err := s.takeBack(ctx, current)
+		register, err := s.rollBackMembership(ctx, current)
 		if err != errCompletionFound {
 			return register, err
 		}
-		// A completion is on a disk and may be in force. Change commits it, by the joint quorum, before it decides.
+		// A completion was accepted by some member and may be in force. Change commits it, by the joint quorum, before
+		// it decides.
 	}
 	return s.Change(ctx, MembershipKey, func(register Register) (json.RawMessage, error) {
 		if decodeMembership(register).Version > current.Version {
@@ -25,16 +26,18 @@
 	})
 }
 
-// takeBack ends a joint membership with its current members, by a majority of these alone: it works as well where the next
-// members have no majority, and a change that could be neither completed nor taken back would stop all writes for ever.
+// rollBackMembership ends a joint membership with its current members, by a majority of these alone. It succeeds even
+// if the next members have no majority: otherwise a change that can be neither completed nor rolled back would block
+// all writes forever.
 //
-// The joint membership can't be completed beside it. A completion is a value of the same key, and its quorum, like every quorum
-// of the joint membership, holds a majority of the current members. So either the prepare round here finds the completion, or
-// the completion finds this proposal or is rejected by a member that has promised this number. The same holds for all other
-// keys: whatever was decided under the joint membership stands on a majority of the current members, which are the members of
-// the next version. A majority of the next members alone would not do: it need not share a member with a quorum of the
-// current ones, as which the fleet goes on.
-func (s *Store) takeBack(ctx context.Context, joint Membership) (Register, error) {
+// The joint membership can't be completed at the same time. A completion is a value of the same key, and its quorum,
+// like every quorum of the joint membership, includes a majority of the current members. So either the prepare round
+// here finds the completion, or the proposer of the completion finds this proposal or is rejected by a member that has
+// promised this number. The same holds for all other keys: whatever was decided under the joint membership was accepted
+// by a majority of the current members, which are the members of the next version. A majority of the next members alone
+// would not be enough: it need not share a member with a quorum of the current members, which remain in force after the
+// rollback.
+func (s *Store) rollBackMembership(ctx context.Context, joint Membership) (Register, error) {
 	key := s.keyState(MembershipKey)
 	if err := key.lock(ctx); err != nil {
 		return Register{}, err
@@ -59,16 +62,16 @@
 	return next, nil
 }
 
-// RollbackElectorate is the membership under which votes on taking back a joint one are counted.
+// RollbackElectorate returns the membership under which votes on the rollback of a joint one are counted.
 func RollbackElectorate(joint Membership) Membership {
 	return Membership{Version: joint.Version, Current: joint.Current}
 }
 
-// errCompletionFound ends an attempt to take back a joint membership that may be completed already.
+// errCompletionFound ends an attempt to roll back a joint membership that may be completed already.
 var errCompletionFound = errors.New("a completion of the membership change may be in force")
 
-// ProposeRollback is the proposal that takes back a joint membership, by what the promises of a majority of its current members
-// showed. An error says that it may be completed, or taken back, already.
+// ProposeRollback returns the proposal that rolls back a joint membership, given the promises of a majority of its
+// current members. It returns an error if the membership may be completed, or rolled back, already.
 func (o Ownership) ProposeRollback(joint Membership) (Register, error) {
 	found := decodeMembership(o.Current())
 	switch {
@@ -82,7 +85,7 @@
 	}
 }
 
-// decodeMembership reads a membership from a register that holds one; it is empty if the register is.
+// decodeMembership decodes the membership in a register, and returns an empty one if the register has no value.
 func decodeMembership(register Register) Membership {
 	var membership Membership
 	_ = json.Unmarshal(register.Value, &membership)
--- a/internal/keystore/ownership.go
+++ b/internal/keystore/ownership.go
@@ -5,28 +5,28 @@
 	"maps"
 )
 
-// Ownership is what a proposer knows of a key that it owns, that is, for which a quorum promised its proposal number. All
-// its methods are pure.
+// Ownership is the state of a proposer that owns a key, which means that a quorum has promised its proposal number. All
+// methods are pure.
 type Ownership struct {
 	proposal ProposalNumber
 	// register holds the value in force.
 	register Register
-	// adoptedFrom is the number under which the adopted value had been accepted, zero if there was none.
+	// adoptedFrom is the number under which the adopted value had been accepted, zero if there was no value.
 	adoptedFrom ProposalNumber
-	// diskIncarnations are those of the members that promised, by address.
+	// diskIncarnations are those of the members whose promises are counted, by address.
 	diskIncarnations map[string]uint64
-	// uncertainSequence is that of the last proposal with an unknown outcome.
+	// uncertainSequence is the sequence of the last proposal with an unknown outcome.
 	uncertainSequence uint64
 }
 
-// PrepareMessage asks for the promises on which NewOwnership concludes.
+// PrepareMessage returns the message that requests the promises from which NewOwnership is derived.
 func PrepareMessage(key string, proposal ProposalNumber) Message {
 	return Message{Operation: OperationPrepare, Key: key, Proposal: proposal}
 }
 
-// NewOwnership concludes from the promises of a quorum which value the new owner adopts: the newest that any of the
-// members has accepted. A value that was chosen was accepted by a quorum, which shares a member with this one, so the new
-// owner finds it or a newer one. If it adopted anything else, an acknowledged value would be lost.
+// NewOwnership derives an ownership from the promises of a quorum. The new owner adopts the newest value that any of
+// the members has accepted. A chosen value was accepted by a quorum, which shares a member with this one, so the new
+// owner finds it or a newer one. Adopting any other value would lose an acknowledged write.
 func NewOwnership(key string, proposal ProposalNumber, replies map[string]Reply) Ownership {
 	prepared := replySet{replies: replies}
 	newest := Register{Key: key}
@@ -58,12 +58,12 @@
 	}
 }
 
-// NeedsRecommit says whether there is an adopted value, which must be committed under this owner's number before anything
-// is decided on it. It may stand on a minority: another owner that does not find it would go on from an older value,
-// after this owner has acted on it.
+// NeedsRecommit reports whether there is an adopted value, which must be committed under this owner's number before any
+// decision is based on it. Only a minority may hold the value: another owner that does not find it would continue from
+// an older one, after this owner has acted on it.
 func (o Ownership) NeedsRecommit() bool { return o.register.IsAccepted() }
 
-// NextProposal is the proposal that follows the value in force.
+// NextProposal returns the proposal that follows the value in force.
 func (o Ownership) NextProposal(value json.RawMessage) Register {
 	next := o.register
 	next.Promised, next.Accepted = o.proposal, o.proposal
@@ -72,8 +72,9 @@
 	return next
 }
 
-// AcceptMessage asks members to accept a proposal of this owner. It names the disk incarnations of all members whose
-// promises are counted, so that a member that knows of a later loss of such a disk rejects it.
+// AcceptMessage returns the message that asks members to accept a proposal of this owner. It names the disk
+// incarnations of all members whose promises are counted, so that a member that knows of a later loss of such a disk
+// rejects it.
 func (o Ownership) AcceptMessage(proposal Register) Message {
 	return Message{
 		Operation:        OperationAccept,
@@ -85,15 +86,15 @@
 	}
 }
 
-// CountsAcceptance says whether a reply counts towards the majority that makes a write certain: only that of a member that
-// promised, and has not lost its disk since. A member that did not promise may have promised a lower number to another
-// owner, whose value would then be chosen beside this one.
+// CountsAcceptance reports whether a reply counts towards the quorum that commits a write: only that of a member that
+// has promised this number, and has not lost its disk since. A member that has not promised may have promised a lower
+// number to another owner, and both owners' values could then be chosen.
 func (o Ownership) CountsAcceptance(address string, reply Reply) bool {
 	promised, counted := o.diskIncarnations[address]
 	return reply.Granted && counted && promised == reply.DiskIncarnation
 }
 
-// WithPromise is the ownership after one more member's promise of the same number has come in: from then on its
+// WithPromise returns the ownership with one more member's promise of the same number: from then on that member's
 // acceptances count too.
 func (o Ownership) WithPromise(address string, reply Reply) Ownership {
 	if !reply.Granted {
@@ -104,21 +105,22 @@
 	return o
 }
 
-// Current is the value on which the owner decides: the one that it adopted, or the last one that it wrote.
+// Current returns the value that the owner's decisions are based on: the adopted value, or the last one that it
+// committed.
 func (o Ownership) Current() Register { return o.register }
 
-// WithCommitted is the ownership after a proposal of NextProposal became certain.
+// WithCommitted returns the ownership after a proposal of NextProposal was committed.
 func (o Ownership) WithCommitted(proposal Register) Ownership {
 	o.register = proposal
 	return o
 }
 
-// WithUncertain is the ownership after a proposal of NextProposal that may or may not be in force: the next one
+// WithUncertain returns the ownership after a proposal of NextProposal whose outcome is unknown. The next proposal
 // supersedes it.
 func (o Ownership) WithUncertain(proposal Register) Ownership {
 	o.uncertainSequence = proposal.Sequence
 	return o
 }
 
-// IsCertain says whether Current is known to be the value in force.
+// IsCertain reports whether Current is known to be the value in force.
 func (o Ownership) IsCertain() bool { return o.uncertainSequence <= o.register.Sequence }
--- a/internal/keystore/proposal_number.go
+++ b/internal/keystore/proposal_number.go
@@ -9,15 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// ErrMalformedProposalNumber says that a text is not what ProposalNumber.String writes.
+// ErrMalformedProposalNumber is returned for a text that ProposalNumber.String does not produce.
 var ErrMalformedProposalNumber = errors.New("malformed proposal number")
 
-// ProposalNumber numbers one attempt of a proposer to own a key (a ballot, in the words of the Paxos papers). The zero
-// ProposalNumber is below every other.
+// ProposalNumber identifies and orders the attempts of proposers to own a key (a ballot, in the terms of the Paxos
+// papers). The zero ProposalNumber is below all others.
 //
-// No two attempts share a number. It names the proposer and the incarnation of the proposer's process, and within an
-// incarnation the round only rises. If two attempts shared one, an acceptor could count a promise given to one of them
-// for the other, and two different values could be accepted under the same number.
+// No two attempts share a number: it names the proposer and the incarnation of the proposer's process, and the round
+// only increases within an incarnation. If two attempts shared a number, an acceptor could count a promise given to one
+// of them for the other, and two different values could be accepted under the same number.
 type ProposalNumber struct {
 	Round    uint64
 	Proposer string
@@ -34,10 +34,10 @@
 	)
 }
 
-// Less says whether n is ordered before other.
+// Less reports whether n is ordered before other.
 func (n ProposalNumber) Less(other ProposalNumber) bool { return n.Compare(other) < 0 }
 
-// IsZero says that no attempt is named; it leaves the field out of JSON.
+// IsZero reports whether n names no attempt; encoding/json omits it then.
 func (n ProposalNumber) IsZero() bool { return n == ProposalNumber{} }
 
 func maxProposalNumber(left, right ProposalNumber) ProposalNumber {
@@ -55,14 +55,14 @@
 	proposalNumberBits      = 64
 )
 
-// String gives the round, the incarnation in hexadecimal and the proposer, separated by dots. The proposer comes last
-// because an address holds dots itself.
+// String returns the round, the incarnation in hexadecimal and the proposer, separated by dots. The proposer comes last
+// because an address may contain dots itself.
 func (n ProposalNumber) String() string {
 	return strconv.FormatUint(n.Round, decimal) + proposalNumberSeparator +
 		strconv.FormatUint(n.Incarnation, hexadecimal) + proposalNumberSeparator + n.Proposer
 }
 
-// MarshalJSON writes the proposal number as one string.
+// MarshalJSON encodes the proposal number as one string.
 func (n ProposalNumber) MarshalJSON() ([]byte, error) { return json.Marshal(n.String()) }
 
 const (
@@ -70,8 +70,8 @@
 	legacyIncarnationMask = 1<<legacyRoundShift - 1
 )
 
-// UnmarshalJSON reads the string form, and the number that earlier versions wrote to disk (the round in the upper half,
-// the incarnation in the lower). It returns ErrMalformedProposalNumber for other text.
+// UnmarshalJSON decodes the string form, and the integer that earlier versions wrote to disk (the round in the upper
+// half, the incarnation in the lower). It returns ErrMalformedProposalNumber for any other text.
 func (n *ProposalNumber) UnmarshalJSON(content []byte) error {
 	if legacy, err := strconv.ParseUint(string(content), decimal, proposalNumberBits); err == nil {
 		*n = ProposalNumber{Round: legacy >> legacyRoundShift, Incarnation: legacy & legacyIncarnationMask}
--- a/internal/keystore/proposer.go
+++ b/internal/keystore/proposer.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// initialBackoff and maxBackoff bound the pauses between attempts to own a key.
+	// initialBackoff and maxBackoff limit the pauses between attempts to own a key.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 320 * time.Millisecond
 )
 
-// ChangeFunc says what follows the current value: the next one, or an error that rejects the change. It may be called several
-// times, each time on a value that a majority holds.
+// ChangeFunc returns the value that follows the current one, or an error that rejects the change. It may be called
+// several times, each time with a value that a majority holds.
 type ChangeFunc func(current Register) (json.RawMessage, error)
 
-// Change writes a key. The register returned is the one written, or with an error of decide the committed one that it was
-// decided on. ErrUncertain says that the write may take effect.
+// Change writes a key. It returns the register written or, with an error of decide, the committed register that the
+// error is based on. ErrUncertain means that the write may take effect.
 //
-// An error of decide is returned only once a majority has confirmed the value that it was decided on: a rejection must
-// never be caused by a value that is out of date.
+// An error of decide is returned only once a majority has confirmed the value that it is based on: a change must never
+// be rejected because of an outdated value.
 func (s *Store) Change(ctx context.Context, name string, decide ChangeFunc) (Register, error) {
 	key := s.keyState(name)
 	began := time.Now()
@@ -29,9 +29,9 @@
 		return Register{}, err
 	}
 	defer key.unlock()
-	defer s.beginEffort(key, began)()
+	defer s.collectStats(key, began)()
 	if !key.owned || !key.IsCertain() {
-		// A change that is to be rejected need not take the key from its owner.
+		// A change that will be rejected need not take the key from its owner.
 		if committed, known := s.ReadCommitted(ctx, name); known {
 			if _, rejected := decide(committed); rejected != nil {
 				return committed, rejected
@@ -56,8 +56,8 @@
 	return s.writeValue(ctx, key, value, decide)
 }
 
-// writeValue commits a value. After an uncertain outcome it becomes the owner anew: what is committed then shows whether
-// the write took effect.
+// writeValue commits a value. After an uncertain outcome it becomes the owner again: the value that is then committed
+// shows whether the write took effect.
 func (s *Store) writeValue(ctx context.Context, key *keyState, value json.RawMessage, decide ChangeFunc) (Register, error) {
 	for {
 		next := key.NextProposal(value)
@@ -70,18 +70,18 @@
 			return Register{}, err
 		}
 		if bytes.Equal(key.register.Value, value) {
-			// The write took effect after all, or another with the same value did.
+			// The write, or another one of the same value, took effect.
 			return key.register, nil
 		}
-		again, rejected := decide(key.register)
+		revised, rejected := decide(key.register)
 		if rejected != nil {
 			return key.register, rejected
 		}
-		value = again
+		value = revised
 	}
 }
 
-// Acquire becomes the owner of a lease's key, by one attempt, and writes what decide says.
+// Acquire makes one attempt to become the owner of a lease's key, and writes the value that decide returns.
 func (s *Store) Acquire(
 	ctx context.Context, name string, decide func(current Register) json.RawMessage,
 ) (Register, error) {
@@ -101,11 +101,11 @@
 	return next, nil
 }
 
-// Update writes a lease's key once more under the ownership that Acquire brought, without becoming the owner anew: decide
-// returns the next value for the last one that this owner knows to be in force, or rejects.
+// Update writes a lease's key again under the ownership that Acquire obtained, without becoming the owner again. decide
+// returns the value that follows the last one that this owner knows to be in force, or rejects the change.
 //
-// After ErrUncertain the key is still owned, and a later Update supersedes the proposal; until then a successor may find
-// either value. After ErrContended no write can succeed under this ownership any more, though Renew may: another process
+// After ErrUncertain the key is still owned, and a later Update supersedes the proposal; until then a successor may
+// find either value. After ErrContended no write under this ownership can succeed, although Renew may: another process
 // owns the key, or a member whose promise is counted has lost its disk.
 func (s *Store) Update(ctx context.Context, name string, decide ChangeFunc) error {
 	key := s.keyState(name)
@@ -131,8 +131,8 @@
 	return key.addAcceptingMembers(&result.replySet)
 }
 
-// addAcceptingMembers counts the members that accepted a proposal from now on, also those that never promised: to accept
-// a proposal is to promise its number. It returns what is known of the proposal's outcome.
+// addAcceptingMembers counts the votes of the members that accepted a proposal from now on, including members that
+// never promised: accepting a proposal also promises its number. It returns what is known about the proposal's outcome.
 func (k *keyState) addAcceptingMembers(accepted *replySet) error {
 	outcome := ErrUncertain
 	for address, reply := range accepted.replies {
@@ -165,7 +165,7 @@
 	return s.confirmWith(ctx, key, operation)
 }
 
-// confirmWith has a majority confirm that the key is still owned.
+// confirmWith confirms at a majority that the key is still owned.
 func (s *Store) confirmWith(ctx context.Context, key *keyState, operation Operation) error {
 	if !key.owned {
 		return ErrContended
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// confirmSince says whether a majority confirmed that the key is owned in a round that began after the given time. Calls that
-// waited for each other so share one round.
+// confirmSince reports whether a majority confirmed that the key is owned in a round that began after the given time.
+// Calls that waited for each other therefore share one round.
 func (s *Store) confirmSince(ctx context.Context, key *keyState, earliest time.Time) bool {
 	if key.owned && key.confirmedFrom.After(earliest) {
 		return true
@@ -188,17 +188,17 @@
 	return s.confirmWith(ctx, key, OperationRenew) == nil
 }
 
-// becomeOwner makes one attempt to own the key: it prepares at a quorum, and commits the value that it adopts.
+// becomeOwner makes one attempt to own the key: it prepares at a quorum and commits the value that it adopts.
 func (s *Store) becomeOwner(ctx context.Context, key *keyState) error {
 	key.owned = false
 	proposal := s.nextProposalNumber()
 	prepared, agreed := s.queryQuorumWith(ctx, PrepareMessage(key.name, proposal), promiseVotes)
 	if !agreed {
 		err := prepared.prepareError()
-		key.effort.recordPrepare(err)
+		key.stats.recordPrepare(err)
 		return err
 	}
-	key.effort.recordPrepare(nil)
+	key.stats.recordPrepare(nil)
 	key.Ownership = NewOwnership(key.name, proposal, prepared.replies)
 	key.latePromises = prepared.lateReplies
 	if key.NeedsRecommit() {
@@ -210,18 +210,19 @@
 	return nil
 }
 
-// becomeOwnerWithRetry makes attempts, with a jittered backoff between them, for as long as the context lasts.
+// becomeOwnerWithRetry makes attempts to own the key, with a jittered backoff between them, until the context ends.
 func (s *Store) becomeOwnerWithRetry(ctx context.Context, key *keyState) error {
 	return s.becomeOwnerUnless(ctx, key, func(error) bool { return false })
 }
 
-// becomeOwnerUnlessContended is becomeOwnerWithRetry, but it leaves the key to another process that has promises for a higher
-// number: processes that go on with higher numbers of their own may preempt each other for long over slow links.
+// becomeOwnerUnlessContended is becomeOwnerWithRetry, but it gives up when another process has promises for a higher
+// number: processes that keep retrying with higher numbers of their own can preempt each other for a long time over
+// slow links.
 func (s *Store) becomeOwnerUnlessContended(ctx context.Context, key *keyState) error {
 	return s.becomeOwnerUnless(ctx, key, func(err error) bool { return err == ErrContended })
 }
 
-// becomeOwnerUnless makes attempts until one succeeds, the context ends, or one fails with an error that is final.
+// becomeOwnerUnless makes attempts until one succeeds, one fails with a final error, or the context ends.
 func (s *Store) becomeOwnerUnless(ctx context.Context, key *keyState, isFinal func(err error) bool) error {
 	backoff := initialBackoff
 	for {
@@ -240,13 +241,13 @@
 	}
 }
 
-// commit has a quorum accept a proposal. After an error the key counts as owned no more, since the proposal may or may not
-// be in force.
+// commit has a quorum accept a proposal. After an error the key no longer counts as owned, since the proposal may or
+// may not be in force.
 func (s *Store) commit(ctx context.Context, key *keyState, proposal Register) error {
 	key.addLatePromises()
 	began := time.Now()
 	_, agreed := s.queryQuorum(ctx, key.AcceptMessage(proposal), key.CountsAcceptance)
-	key.effort.recordCommit(agreed)
+	key.stats.recordCommit(agreed)
 	if agreed {
 		key.confirmedFrom = began
 		return nil
@@ -255,8 +256,8 @@
 	return ErrUncertain
 }
 
-// addLatePromises counts the promises that came in after a quorum was reached, so that a write does not depend on the
-// members that happened to be the quickest.
+// addLatePromises adds the promises that arrived after a quorum was reached, so that a write does not depend on the
+// members that replied first.
 func (k *keyState) addLatePromises() {
 	for {
 		select {
--- a/internal/keystore/quorum.go
+++ b/internal/keystore/quorum.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// HasQuorum says whether those that agreed are a majority of the current list and, during a change, of the next one too.
-// Any two quorums of one membership share a member. Everything else rests on that: a proposer that prepares with a quorum
-// receives the reply of at least one member of every quorum that accepted before.
+// HasQuorum reports whether the members that agreed are a majority of the current members and, while the membership is
+// joint, of the next ones too. Any two quorums of one membership share a member. All guarantees of the package rely on
+// this: a proposer that prepares with a quorum receives the reply of at least one member of every quorum that accepted
+// before.
 func (m Membership) HasQuorum(agreed map[string]bool) bool {
 	return isMajority(m.Current, agreed) && (!m.IsJoint() || isMajority(m.Next, agreed))
 }
 
-// CoversLostVotes says whether a member without a vote has read enough of the others to vote again: so many of each list
-// that it is in that among them is a member of every majority that could have been formed with its lost vote. If it voted
-// after reading fewer, a value that was accepted by it and by others that it did not read would be forgotten.
+// CoversLostVotes reports whether a member without a vote has read enough other members to vote again. It must have
+// read, from each list that it is in, a member of every majority that could have been formed with its lost vote. If it
+// voted after reading fewer, a value accepted by it and by members that it has not read could be lost.
 //
-// A member that is only to become one has read a majority of the current members: they hold all that was chosen before
-// the change began. It has no vote to lose in the next list, unless an earlier disk incarnation of it may have caught up
-// already.
+// A member of Next only must have read a majority of the current members: they hold everything that was chosen before
+// the change began. It has no lost vote in Next, unless an earlier disk incarnation of it may have caught up already.
 func (m Membership) CoversLostVotes(self string, read map[string]bool, hasEarlierIncarnation bool) bool {
 	if !m.IsCurrent(self) {
 		return isMajority(m.Current, read) && (!hasEarlierIncarnation || coversMajorities(m.Next, self, read))
@@ -30,7 +30,7 @@
 
 func majoritySize(group []string) int { return len(group)/2 + 1 }
 
-// coversMajorities says whether the members read, self left out, share a member with every majority of the group.
+// coversMajorities reports whether the members read, excluding self, share a member with every majority of the group.
 func coversMajorities(group []string, self string, read map[string]bool) bool {
 	needed := len(group) - majoritySize(group) + 1
 	return countMarked(group, self, read) >= needed
--- a/internal/keystore/read.go
+++ b/internal/keystore/read.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// localFetchTimeout is how long the member on the same machine is queried alone.
+// localFetchTimeout limits the time for which only the member on the same machine is queried.
 const localFetchTimeout = 100 * time.Millisecond
 
-// Read returns a key's committed value, confirmed at a majority after the call began.
+// Read returns a key's committed value, confirmed by a majority after the call began.
 func (s *Store) Read(ctx context.Context, name string) (Register, error) {
 	key := s.keyState(name)
 	began := time.Now()
@@ -28,8 +28,8 @@
 	return key.register, nil
 }
 
-// ReadCommitted returns a key's committed value, confirmed at a majority after the call began, without taking the key from its
-// owner. It finds none while the newest proposal is undecided.
+// ReadCommitted returns a key's committed value, confirmed by a majority after the call began, without taking the key
+// from its owner. It returns false while the newest proposal is undecided.
 func (s *Store) ReadCommitted(ctx context.Context, name string) (Register, bool) {
 	digest, err := s.Digest(ctx)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return register, err == nil
 }
 
-// Digest queries what the members hold, and waits a little longer where that leaves something undecided. It returns
-// ErrNoMajority if too few reply.
+// Digest queries the newest proposals that the members hold, and waits a little longer for replies while any of them is
+// undecided. It returns ErrNoMajority if too few members reply.
 func (s *Store) Digest(ctx context.Context) (Digest, error) {
 	result := s.query(ctx, Message{Operation: OperationDigest}, func(replies *replySet) progress {
 		agreed, possible := replies.countVotes(isGranted)
@@ -62,7 +62,7 @@
 	return result.digest(), nil
 }
 
-// Fetch brings the value of a proposal that a digest named. It queries the member on the same machine first, and returns
+// Fetch returns the value of a proposal found in a digest. It queries the member on the same machine first, and returns
 // ErrNoMajority if no member that replies holds the proposal.
 func (s *Store) Fetch(ctx context.Context, proposal Register) (Register, error) {
 	message := Message{
--- a/internal/keystore/record_test.go
+++ b/internal/keystore/record_test.go
@@ -52,13 +52,13 @@
 }
 
 func TestReadUntilZeros_StopsAfterRecords(t *testing.T) {
-	records := bytes.Repeat([]byte("record"), zeroRunBytes/3)
-	for _, length := range []int{0, 1, len(records), len(records) + zeroRunBytes/2, 50 * zeroRunBytes} {
+	records := bytes.Repeat([]byte("record"), maxZeroRunBytes/3)
+	for _, length := range []int{0, 1, len(records), len(records) + maxZeroRunBytes/2, 50 * maxZeroRunBytes} {
 		file := make([]byte, length)
 		copy(file, records)
 		content, err := readUntilZeros(bytes.NewReader(file))
 		assert.NilError(t, err)
-		assert.Assert(t, len(content) <= len(records)+2*zeroRunBytes)
+		assert.Assert(t, len(content) <= len(records)+2*maxZeroRunBytes)
 		assert.Assert(t, bytes.Equal(bytes.TrimRight(content, "\x00"), bytes.TrimRight(file, "\x00")))
 	}
 }
--- a/internal/keystore/replies.go
+++ b/internal/keystore/replies.go
@@ -1,23 +1,24 @@
 package keystore
 
-// VoteFunc says whether the reply of a member counts as agreement.
+// VoteFunc reports whether the reply of a member counts as agreement.
 type VoteFunc func(address string, reply Reply) bool
 
-// replySet is what members replied to one message, by address, with the membership under which their votes count. A
-// member that has not replied yet is not in it. All its methods are pure.
+// replySet holds the replies to one message, by address, with the membership under which they are counted as votes. A
+// member that has not replied yet is absent. All methods are pure.
 type replySet struct {
 	membership Membership
 	replies    map[string]Reply
 }
 
-// CountVotes says whether a quorum of the membership agrees, and whether one still may once the others have replied. It
-// is for callers that play a proposer without a transport, as internal/test/modelcheck does.
+// CountVotes reports whether a quorum of the membership agrees, and whether one still can once the remaining members
+// have replied. It is for callers that act as a proposer without a transport, such as internal/test/modelcheck.
 func CountVotes(membership Membership, replies map[string]Reply, agrees VoteFunc) (agreed, possible bool) {
 	votes := replySet{membership: membership, replies: replies}
 	return votes.countVotes(agrees)
 }
 
-// CountsPromise says whether the reply of a member to a PrepareMessage counts, by what the others tell of that member.
+// CountsPromise reports whether the reply of a member to a PrepareMessage counts, given the replies of the other
+// members.
 func CountsPromise(replies map[string]Reply, address string) bool {
 	prepared := replySet{replies: replies}
 	return prepared.countsPromise(address, replies[address])
@@ -33,18 +34,19 @@
 	return r.membership.HasQuorum(agreeing), r.membership.HasQuorum(undecided)
 }
 
-// countsPromise says that a reply is a promise that still binds its giver. A member that lost its disk catches up
-// from so many others before it votes again that one of any quorum either knows of the loss, or had promised before and
-// was read by that member. Without this check a proposer could own a key on a promise that its giver has forgotten.
+// countsPromise reports whether a reply is a promise that its member still keeps. A member that has lost its disk
+// catches up before it votes again, and reads enough members that every quorum has one which either knows of the loss,
+// or had promised before and was read by the member that catches up. Without this check a proposer could own a key on
+// the strength of a promise that the member has forgotten.
 func (r *replySet) countsPromise(address string, reply Reply) bool {
 	return reply.Granted && !r.predatesDiskLoss(address)
 }
 
-// promiseVotes is the VoteFunc of the replies to a PrepareMessage.
+// promiseVotes returns the VoteFunc for replies to a PrepareMessage.
 func promiseVotes(replies *replySet) VoteFunc { return replies.countsPromise }
 
-// predatesDiskLoss says that a member replied before it lost its disk, as the reply of another one shows: the reply says
-// nothing about what that member holds now.
+// predatesDiskLoss reports whether a member replied before it lost its disk, according to the reply of another member.
+// Such a reply says nothing about what the member holds now.
 func (r *replySet) predatesDiskLoss(address string) bool {
 	reply := r.replies[address]
 	for _, other := range r.replies {
@@ -55,7 +57,7 @@
 	return false
 }
 
-// prepareError says why a prepare got no quorum.
+// prepareError returns the reason why a prepare round reached no quorum.
 func (r *replySet) prepareError() error {
 	for _, reply := range r.replies {
 		if !reply.Granted && reply.Rejection.isContended() {
@@ -65,7 +67,7 @@
 	return ErrNoMajority
 }
 
-// find looks for the value of a proposal among the replies to an OperationFetch.
+// find returns the value of a proposal from the replies to an OperationFetch.
 func (r *replySet) find(proposal Register) (Register, bool) {
 	for _, reply := range r.replies {
 		if reply.Granted && reply.Register.SameProposal(proposal) {
@@ -75,5 +77,5 @@
 	return Register{}, false
 }
 
-// isGranted is the VoteFunc of messages whose replies depend on nothing else.
+// isGranted is the VoteFunc for operations whose replies are counted independently of each other.
 func isGranted(_ string, reply Reply) bool { return reply.Granted }
--- a/internal/keystore/round.go
+++ b/internal/keystore/round.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// roundTimeout is how long a message waits for replies.
+	// roundTimeout limits the time for which a message waits for replies.
 	roundTimeout = 900 * time.Millisecond
-	// lingerTimeout is how long a round that could end waits for further replies.
+	// lingerTimeout limits the time for which a round that could end waits for further replies.
 	lingerTimeout = 120 * time.Millisecond
-	// resendInterval is how long a member's reply is awaited before the message is sent to it once more: a message that the
-	// network has lost or delays would otherwise hold up a round for all of roundTimeout.
+	// resendInterval is the time after which a message without a reply is sent again to the same member. Otherwise a
+	// message that the network has lost or delayed would hold up a round for the whole roundTimeout.
 	resendInterval = 250 * time.Millisecond
-	// maxSends is how often a message is sent to one member within a round.
+	// maxSends is the number of times that a message is sent to one member within a round.
 	maxSends = 3
-	// maxResendBytes is the largest value of a message that is sent again: members that are slow with a large one would get
-	// more of them the slower they are.
+	// maxResendBytes is the largest value of a message that is sent again. Resending larger ones would add the most
+	// load to the members that are slowest to process them.
 	maxResendBytes = 4 << 10
 )
 
-// Transport carries a message to a member and brings its reply back. A message may arrive twice or late; no step of an
-// acceptor minds.
+// Transport sends a message to a member and returns its reply. A message may be delivered late or twice, since all
+// steps of an acceptor are idempotent.
 type Transport interface {
 	Send(ctx context.Context, address string, message Message) (Reply, error)
 }
@@ -31,24 +31,24 @@
 	reply   Reply
 }
 
-// round is one message to all members with the replies that came in while it lasted.
+// round is one message to all members, with the replies received before it ended.
 type round struct {
 	replySet
-	// lateReplies brings those that come after its end.
+	// lateReplies receives the replies that arrive after its end.
 	lateReplies <-chan memberReply
 }
 
-// progress is what an assessment of the replies so far says about waiting for more.
+// progress is whether a round has to wait for more replies.
 type progress int
 
 const (
 	progressWait progress = iota
-	// progressLinger: the round could end, and a few more replies may give a better result.
+	// progressLinger means that the round could end, but a few more replies may improve the result.
 	progressLinger
 	progressFinished
 )
 
-// assessFunc looks at the replies so far.
+// assessFunc decides on the progress of a round from the replies so far.
 type assessFunc func(replies *replySet) progress
 
 // queryQuorum sends a message to all members and waits until a quorum agrees or none can any more.
@@ -56,7 +56,7 @@
 	return s.queryQuorumWith(ctx, message, func(*replySet) VoteFunc { return agrees })
 }
 
-// queryQuorumWith is queryQuorum where a reply is judged by what the others of its round tell.
+// queryQuorumWith is queryQuorum where a reply is evaluated in the light of the others of its round.
 func (s *Store) queryQuorumWith(
 	ctx context.Context, message Message, agrees func(replies *replySet) VoteFunc,
 ) (*round, bool) {
@@ -64,7 +64,8 @@
 	return s.queryElectorate(ctx, membership, membership, message, agrees)
 }
 
-// queryElectorate is queryQuorumWith under a given membership, where the votes of the electorate are counted.
+// queryElectorate is queryQuorumWith for a message sent under the given membership, whose votes are counted among the
+// electorate.
 func (s *Store) queryElectorate(
 	ctx context.Context, membership, electorate Membership, message Message, agrees func(replies *replySet) VoteFunc,
 ) (*round, bool) {
@@ -80,16 +81,16 @@
 	return result, agreed
 }
 
-// query sends a message to all members and collects replies until assess has seen enough.
+// query sends a message to all members and collects replies until assess ends the round.
 func (s *Store) query(ctx context.Context, message Message, assess assessFunc) *round {
 	membership := s.Membership()
 	message.Membership = membership
 	return s.queryMembers(ctx, membership, message, assess)
 }
 
-// queryMembers sends a message to the members of a membership, whether or not that one is in force. Prepare and accept
-// messages go on to the members that have not replied at the end: the more of them a write reaches the better. Each
-// sender ends with its context, within roundTimeout.
+// queryMembers sends a message to the members of a membership, whether or not that membership is in force. Prepare and
+// accept messages that are still in flight when the round ends are not cancelled, since a write should reach as many
+// members as possible. Each sender ends with its context, within roundTimeout.
 func (s *Store) queryMembers(ctx context.Context, membership Membership, message Message, assess assessFunc) *round {
 	result := &round{replySet: replySet{membership: membership, replies: map[string]Reply{}}}
 	message.Sender = s.self
@@ -116,7 +117,7 @@
 	return result
 }
 
-// collect takes replies until all are there, assess says that they are enough, or the time to linger is over.
+// collect receives replies until all have arrived, assess ends the round, or lingerTimeout expires.
 func (r *round) collect(replies <-chan memberReply, amount int, assess assessFunc) {
 	var lingering <-chan time.Time
 	for range amount {
@@ -139,14 +140,15 @@
 	}
 }
 
-// sendRepeatedly sends a message again each resendInterval, until the first reply comes in or the round is decided, and returns
-// that reply. Steps of an acceptor are idempotent. Once a round is decided nothing more is sent: members that reply slowly are
-// not asked more the less they keep up.
+// sendRepeatedly sends a message, resends it at each resendInterval until the first reply arrives or the round is
+// decided, and returns that reply. Steps of an acceptor are idempotent. Once the round is decided nothing is resent, so
+// that members that can't keep up are not given more load.
 //
-// Messages about leases are sent once: who wants a lease makes further attempts by itself. So are those with a large value.
+// Messages about leases are sent once, since a process that wants a lease retries by itself, and so are messages with a
+// large value.
 //
-// A message that fails ends it too: a member that cannot be reached would otherwise hold up the round until the last message to it
-// has failed as well.
+// A send that fails ends the call as well. Otherwise a member that can't be reached would hold up the round until the
+// last resend has failed too.
 func (s *Store) sendRepeatedly(ctx context.Context, decided <-chan struct{}, address string, message Message) Reply {
 	received := make(chan Reply, maxSends)
 	sendOnce := func() { received <- s.send(ctx, address, message) }
@@ -169,10 +171,10 @@
 	}
 }
 
-// mayBeResent says whether a message without a reply is worth another one.
+// mayBeResent reports whether a message without a reply may be sent again.
 func (m Message) mayBeResent() bool { return !isLease(m.Key) && len(m.Value) <= maxResendBytes }
 
-// send returns a member's reply, and learns the membership and the proposal number in it.
+// send returns a member's reply, and adopts the membership and the proposal number in it.
 func (s *Store) send(ctx context.Context, address string, message Message) Reply {
 	reply, err := s.transport.Send(ctx, address, message)
 	if err != nil {
--- a/internal/keystore/store.go
+++ b/internal/keystore/store.go
@@ -10,54 +10,56 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a Store. A caller may try again after each.
+// Errors of a Store. A caller may retry after each of them.
 var (
-	// ErrNoMajority says that nothing was decided: too few members replied.
+	// ErrNoMajority means that nothing was decided: too few members replied.
 	ErrNoMajority = errors.New("no majority of members reached")
-	// ErrContended says that nothing was decided: another process owns the key.
-	ErrContended = errors.New("another daemon holds the key")
-	// ErrUncertain says that a write may or may not have taken effect.
+	// ErrContended means that nothing was decided: another process owns the key.
+	ErrContended = errors.New("another process owns the key")
+	// ErrUncertain means that a write may or may not have taken effect.
 	ErrUncertain = errors.New("outcome of the write not known")
 	// ErrSuperseded rejects a change of the membership: a newer one is, or may be, in force.
 	ErrSuperseded = errors.New("a newer membership is committed")
 )
 
-// Store reads and changes keys on behalf of one process: it is a proposer for each key that it writes. Any goroutine may
-// call its methods; calls on one key follow each other.
+// Store reads and changes keys on behalf of one process, as a proposer for each key that it writes. It is safe for
+// concurrent use. Calls on the same key are executed one at a time.
 type Store struct {
-	// OnChange, if set before the first call, is called after each Change with what it took. It must not call the store.
-	OnChange func(effort ChangeStats)
+	// OnChange, if set before the first call, is called after each Change and ReadModifyWrite with its statistics. It
+	// must not call the store.
+	OnChange func(stats ChangeStats)
 
 	self        string
 	incarnation uint64
 	transport   Transport
 	membership  atomic.Pointer[Membership]
-	// round is the highest of any proposal number that this store has used or seen.
+	// round is the highest round of any proposal number that this store has used or seen.
 	round  atomic.Uint64
 	lock   sync.Mutex
 	random *rand.Rand
 	keys   map[string]*keyState
 }
 
-// keyState is what the store remembers of one key.
+// keyState is what the store remembers about one key.
 type keyState struct {
 	name string
-	// semaphore has room for one: whoever has put its token there may use the fields below.
+	// semaphore has capacity 1: the goroutine that has put its token there may use the fields below.
 	semaphore chan struct{}
-	// owned says that the Ownership is believed to stand. Another proposer may have ended it meanwhile: every use of it
-	// is confirmed by a majority.
+	// owned is whether the Ownership is believed to be valid. Another proposer may have ended it in the meantime: every
+	// use of it is confirmed by a majority.
 	owned bool
 	Ownership
 	latePromises <-chan memberReply
-	// confirmedFrom is when the last round began in which a quorum confirmed that the key is owned, zero for none.
+	// confirmedFrom is the start of the last round in which a quorum confirmed that the key is owned, zero if there was
+	// none.
 	confirmedFrom time.Time
-	// effort is that of the Change under way.
-	effort ChangeStats
+	// stats are those of the Change or ReadModifyWrite in progress.
+	stats ChangeStats
 }
 
-// NewStore makes the proposer of the process at address self. incarnation must differ from that of every other process at
-// that address: 64 bits from the system's source of randomness do, but for one chance in 2^64 for each pair of them.
-// membership is the newest that is known.
+// NewStore returns the proposer of the process at address self. incarnation must differ from that of every other
+// process at that address: for 64 bits from the system's source of randomness, any two are equal with a probability of
+// 1 in 2^64. membership is the newest that is known.
 func NewStore(self string, incarnation uint64, transport Transport, membership Membership) *Store {
 	store := &Store{
 		self:        self,
@@ -70,10 +72,10 @@
 	return store
 }
 
-// Membership is the newest that the store knows.
+// Membership returns the newest membership that the store knows.
 func (s *Store) Membership() Membership { return *s.membership.Load() }
 
-// AdoptMembership takes over a newer membership and says whether it was newer.
+// AdoptMembership adopts a newer membership and reports whether it was newer.
 func (s *Store) AdoptMembership(membership Membership) bool {
 	for {
 		current := s.membership.Load()
@@ -99,7 +101,7 @@
 	return s.keys[name]
 }
 
-// lock waits for other calls on the key, and returns ErrNoMajority if the context ends before they do.
+// lock waits for other calls on the key, and returns ErrNoMajority if the context ends before it gets the key.
 func (k *keyState) lock(ctx context.Context) error {
 	select {
 	case k.semaphore <- struct{}{}:
@@ -111,12 +113,13 @@
 
 func (k *keyState) unlock() { <-k.semaphore }
 
-// nextProposalNumber is above every proposal number that this store has seen, and is given to no other attempt.
+// nextProposalNumber returns a number above every proposal number that this store has seen, which no other attempt
+// uses.
 func (s *Store) nextProposalNumber() ProposalNumber {
 	return ProposalNumber{Round: s.round.Add(1), Proposer: s.self, Incarnation: s.incarnation}
 }
 
-// observeProposalNumber raises the round to that of a number that a member has seen.
+// observeProposalNumber raises the store's round to that of a number that a member has seen.
 func (s *Store) observeProposalNumber(proposal ProposalNumber) {
 	for {
 		seen := s.round.Load()
@@ -126,7 +129,7 @@
 	}
 }
 
-// jitter draws a duration below the limit.
+// jitter returns a random duration below the limit.
 func (s *Store) jitter(limit time.Duration) time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
