--- a/internal/keystore/directory.go
+++ b/internal/keystore/directory.go
@@ -11,36 +11,38 @@
 	"github.com/pkg/errors"
 )
 
-// Directory is the directory on a member's disk that holds the segments of its write-ahead log. After a loss of power a
-// name may be gone, by itself, unless SyncDirectory has returned nil since it was made; of what was written since a file's
-// last Sync, each write may be there, missing or torn.
+// Directory is the directory on a member's disk that holds the segments of its write-ahead log. After a power failure a
+// file may be missing from the directory unless SyncDirectory has returned nil since its creation. Each write to a file
+// since its last Sync may be complete, missing or torn.
 type Directory interface {
 	// List returns the names in the directory.
 	List() ([]string, error)
-	// Read returns a file's content, and nothing for a name that doesn't exist. It may leave out what follows
-	// zeroRunBytes zeros: no record holds as many, so none is found behind them.
+	// Read returns a file's content, and nothing for a name that doesn't exist. It may omit everything after a run of
+	// maxZeroRunBytes zeros: no record contains as many, so no record follows them.
 	Read(name string) ([]byte, error)
-	// Prepare opens a file for Write and Sync. It makes it if it doesn't exist, lengthens it with zeros to size
-	// bytes and syncs it then; it never shortens it or changes what it holds.
+	// Prepare opens a file for Write and Sync. It creates the file if necessary, extends it with zeros to size bytes,
+	// and syncs it if it was extended. It never shortens the file or modifies its content.
 	Prepare(name string, size int64) error
 	// Write writes to a prepared file.
 	Write(name string, offset int64, content []byte) error
-	// Sync returns once all that was written to the file is on the disk.
+	// Sync returns once everything written to the file is on disk.
 	Sync(name string) error
-	// SyncDirectory returns once the names in the directory, and the directory's own, are on the disk.
+	// SyncDirectory returns once the names in the directory, and the directory's own name, are on disk.
 	SyncDirectory() error
 }
 
 const (
 	directoryMode = 0o755
 	fileMode      = 0o644
-	// reservedBytes is how much of each file is written with zeros when it is made, so that a disk that is full
-	// later still takes a new generation there. The rest is only lengthened: an append that a full disk rejects
-	// there makes the log go on at the start of the next segment. Limited because it is a part of the first start.
+	// reservedBytes is how much of each new file is filled with zeros, so that a new generation can still be written
+	// there when the disk is full later. The rest of the file is only extended: when a full disk rejects an append
+	// there, the log continues at the start of the next segment. The size is limited because it adds to the time of the
+	// first start.
 	reservedBytes = 1 << 20
 	// zeroChunkBytes is the length of one write of zeros.
 	zeroChunkBytes = 256 << 10
-	// maxZeroRunBytes is how many zeros end what is read of a file. Records are text but for their headers.
+	// maxZeroRunBytes is the length of a run of zeros at which reading of a file ends. Records are text except for
+	// their headers.
 	maxZeroRunBytes = 64 << 10
 )
 
@@ -48,11 +50,11 @@
 type osDirectory struct {
 	path  string
 	files map[string]*os.File
-	// created are the directories that were made here, whose parents must be synced too.
+	// created are the directories that NewDirectory created, whose parents must be synced too.
 	created []string
 }
 
-// NewDirectory returns the directory at a path, which is made if it doesn't exist.
+// NewDirectory returns the directory at a path, and creates it if it doesn't exist.
 func NewDirectory(path string) (Directory, error) {
 	directory := &osDirectory{path: path, files: map[string]*os.File{}}
 	for ancestor := filepath.Clean(path); ; ancestor = filepath.Dir(ancestor) {
@@ -93,7 +95,7 @@
 	return readUntilZeros(file)
 }
 
-// readUntilZeros reads up to the end or to a run of zeros, which it keeps: most of a preallocated file is zeros.
+// readUntilZeros reads up to the end of the file or the end of a run of zeros: most of a preallocated file is zeros.
 func readUntilZeros(file io.Reader) ([]byte, error) {
 	var content []byte
 	zeros := make([]byte, maxZeroRunBytes)
@@ -142,7 +144,7 @@
 	return file, nil
 }
 
-// writeZeros writes zeros from one offset to another, so that the disk allocates blocks for them.
+// writeZeros writes zeros from one offset to another, so that the file system allocates blocks for them.
 func writeZeros(file io.WriterAt, from, to int64) error {
 	zeros := make([]byte, zeroChunkBytes)
 	for from < to {
@@ -164,8 +166,9 @@
 // Sync implements Directory.
 func (d *osDirectory) Sync(name string) error { return d.files[name].Sync() }
 
-// SyncDirectory implements Directory. It syncs the parent of a directory that it didn't make as well, since an earlier
-// process may have made it and died before the sync; there a parent that can't be synced is no error.
+// SyncDirectory implements Directory. If this process didn't create the directory it syncs the parent as well, since an
+// earlier process may have created it and been killed before the sync. In this case it is no error if the parent can't
+// be synced.
 func (d *osDirectory) SyncDirectory() error {
 	if err := syncDirectoryPath(d.path); err != nil {
 		return err
@@ -181,7 +184,7 @@
 	return nil
 }
 
-// syncDirectoryPath syncs a directory; a file system that has no such sync is passed over.
+// syncDirectoryPath syncs a directory, and succeeds on file systems that don't support it.
 func syncDirectoryPath(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
--- a/internal/keystore/inspect.go
+++ b/internal/keystore/inspect.go
@@ -10,45 +10,45 @@
 	"github.com/pkg/errors"
 )
 
-// The reasons for which a path is not a member's data directory.
+// The errors for a path that is not a member's data directory.
 var (
-	ErrNoDirectory      = errors.New("no such folder")
-	ErrNotDirectory     = errors.New("not a folder")
-	ErrEmptyDirectory   = errors.New("folder is empty: no member has started there, or its disk was wiped")
-	ErrForeignDirectory = errors.New("folder holds no ring files of a control-plane member")
+	ErrNoDirectory      = errors.New("no such directory")
+	ErrNotDirectory     = errors.New("not a directory")
+	ErrEmptyDirectory   = errors.New("directory is empty: no member has started there, or its disk was wiped")
+	ErrForeignDirectory = errors.New("directory contains no ring files of a control-plane member")
 )
 
-// Inspection is what a stopped member's data directory holds.
+// Inspection is the content of a stopped member's data directory.
 type Inspection struct {
 	Files []SegmentInspection `json:"files"`
 	// Generation is the newest complete generation, 0 if there is none.
 	Generation uint64 `json:"generation"`
-	// Base is the first generation since the log was made, or since damage was found.
+	// Base is the first generation since the log was created, or since damage was found.
 	Base uint64 `json:"base"`
-	// Damage says why a member would not use this state; the registers are then those of what can still be read.
+	// Damage is the reason why a member would not use this state, if any. Registers then holds what can still be read.
 	Damage *Damage `json:"damage,omitempty"`
-	// LocalState and Membership are the member's own registers, as they stand on the disk.
+	// LocalState and Membership are the member's own registers, as stored on disk.
 	LocalState json.RawMessage      `json:"self,omitempty"`
 	Membership json.RawMessage      `json:"members,omitempty"`
 	Registers  []RegisterInspection `json:"slots"`
-	// Undecodable is how many records are complete by their checksum but are not registers.
+	// Undecodable is the number of records that are complete by their checksum but are not registers.
 	Undecodable int `json:"undecodable,omitempty"`
 }
 
-// SegmentInspection is what one segment holds.
+// SegmentInspection is the content of one segment.
 type SegmentInspection struct {
 	Name  string       `json:"name"`
 	State SegmentState `json:"state"`
-	// Bytes is the file's length, Used that of its records.
+	// Bytes is the length of the file, and Used that of its records.
 	Bytes      int64  `json:"bytes"`
 	Used       int64  `json:"used"`
 	Generation uint64 `json:"generation,omitempty"`
 	Base       uint64 `json:"base,omitempty"`
-	// Records is how many of them hold registers.
+	// Records is the number of records that hold registers.
 	Records int `json:"records"`
 }
 
-// RegisterInspection is one key. Fields are the register's JSON fields but for its key and value, as they stand on the
+// RegisterInspection is the register of one key. Fields are its JSON fields except for key and value, as stored on
 // disk: proposal numbers and sequence.
 type RegisterInspection struct {
 	Key        string                     `json:"key"`
@@ -57,35 +57,35 @@
 	Value      json.RawMessage            `json:"value,omitempty"`
 }
 
-// RedactValues takes the values of registers away, which may hold secrets.
+// RedactValues removes the values of all registers, which may contain secrets.
 func (i *Inspection) RedactValues() {
 	for position := range i.Registers {
 		i.Registers[position].Value = nil
 	}
 }
 
-// Inspect reads the data directory of a stopped member. It opens files for reading only, and makes none. It returns
-// ErrNoDirectory, ErrNotDirectory, ErrEmptyDirectory or ErrForeignDirectory for a path that is none.
+// Inspect reads the data directory of a stopped member. It opens files for reading only and creates none. It returns
+// ErrNoDirectory, ErrNotDirectory, ErrEmptyDirectory or ErrForeignDirectory for a path that is no such directory.
 func Inspect(path string) (Inspection, error) {
 	directory, err := openForReading(path)
 	if err != nil {
 		return Inspection{}, err
 	}
-	read, err := readSegments(directory, SegmentCount)
+	found, err := readSegments(directory, SegmentCount)
 	if err != nil {
 		return Inspection{}, err
 	}
-	if !read.isRecognized() {
+	if !found.isRecognized() {
 		return Inspection{}, errors.Wrap(ErrForeignDirectory, path)
 	}
-	newest := read.newest()
+	newest := found.newest()
 	inspection := Inspection{
-		Damage:     read.damage(),
+		Damage:     found.damage(),
 		Generation: newest.generation,
 		Base:       newest.base,
 		Registers:  []RegisterInspection{},
 	}
-	for _, segment := range read {
+	for _, segment := range found {
 		inspection.Files = append(inspection.Files, SegmentInspection{
 			Name:       segment.name,
 			State:      segment.state,
@@ -100,7 +100,7 @@
 	return inspection, nil
 }
 
-// openForReading returns a directory, or says why the path can't be one.
+// openForReading returns the directory at a path, or the reason why it can't be a data directory.
 func openForReading(path string) (directoryReader, error) {
 	information, err := os.Stat(path)
 	if os.IsNotExist(err) {
@@ -132,7 +132,7 @@
 	return information.Size()
 }
 
-// knownBase returns the base, or 0 where it can't be read.
+// knownBase returns the base, or 0 if it can't be read.
 func (s segment) knownBase() uint64 {
 	if s.base == unreadableBase {
 		return 0
@@ -140,10 +140,10 @@
 	return s.base
 }
 
-// addRegisters adds the newest record of each key in a segment, in the order of the keys.
-func (i *Inspection) addRegisters(read segment) {
+// addRegisters adds the newest register of each key in a segment, in the order of the keys.
+func (i *Inspection) addRegisters(segment segment) {
 	newest := map[string]RegisterInspection{}
-	for _, payload := range read.payloads {
+	for _, payload := range segment.payloads {
 		register, err := inspectRegister(payload)
 		if err != nil {
 			i.Undecodable++
--- a/internal/keystore/record.go
+++ b/internal/keystore/record.go
@@ -8,12 +8,12 @@
 	"github.com/pkg/errors"
 )
 
-// recordKind says what a record holds, see names.go.
+// recordKind is the kind of content of a record, see names.go.
 type recordKind byte
 
 const (
 	// recordHeaderBytes is the length of a record before its payload: length (4 bytes), checksum (4), generation (8),
-	// index (8) and kind (1), big-endian. The checksum is the CRC-32 (IEEE) of all that follows it.
+	// index (8) and kind (1), big-endian. The checksum is the CRC-32 (IEEE) of everything after it.
 	recordHeaderBytes = 25
 	lengthOffset      = 0
 	checksumOffset    = 4
@@ -21,22 +21,22 @@
 	indexOffset       = 16
 	kindOffset        = 24
 
-	// maxPayloadBytes keeps the first byte of every record 0, so that the first byte of a segment distinguishes a generation
-	// from a marker, however little of them was written.
+	// maxPayloadBytes keeps the first byte of every record 0, so that the first byte of a segment distinguishes a
+	// generation from a marker even if the write was torn after it.
 	maxPayloadBytes = 1<<24 - 1
 )
 
 // beginPayload is the content of a recordBegin.
 type beginPayload struct {
-	// Base is the first generation since the log was made, or since damage was found. Generations below it belong to a
-	// state that was given up.
+	// Base is the first generation since the log was created, or since damage was found. Generations below it belong to
+	// a state that was discarded.
 	Base uint64 `json:"base"`
 }
 
 // damagePayload is the content of a recordDamageMarker.
 type damagePayload struct {
-	// Base is the generation from which the log is good again. While no complete generation has this base or a higher
-	// one, the log counts as damaged.
+	// Base is the generation from which the log is valid again. It counts as damaged until a generation with this base
+	// or a higher one is complete.
 	Base   uint64       `json:"base"`
 	Reason DamageReason `json:"reason"`
 }
@@ -60,17 +60,18 @@
 	return record, nil
 }
 
-// record is one decoded record; its payload is a part of the segment's content, not a copy.
+// record is one decoded record. Its payload is a slice of the segment's content, not a copy.
 type record struct {
 	generation uint64
 	index      uint64
 	kind       recordKind
 	payload    []byte
-	// length is that of the whole record, in bytes.
+	// length is the length of the whole record in bytes.
 	length int
 }
 
-// decodeRecord reads the record at the start of the content, and says whether one is there in full.
+// decodeRecord decodes the record at the start of the content, and reports whether it is complete and its checksum
+// matches.
 func decodeRecord(content []byte) (record, bool) {
 	if len(content) < recordHeaderBytes {
 		return record{}, false
@@ -92,20 +93,20 @@
 	}, true
 }
 
-// readyMarker is written at the start of each segment once the names of all of them are on the disk.
+// readyMarker is written at the start of each segment once the names of all segments are on disk.
 var readyMarker = append([]byte{readyMarkerByte}, readyMarkerText...)
 
-// encodeDamageMarker returns a marker that says that the log was damaged. It begins with a byte of its own, so that any
-// part of it is seen as one.
+// encodeDamageMarker returns a marker for a damaged log. Its first byte differs from that of any other content, so that
+// a torn marker is recognized too.
 func encodeDamageMarker(payload damagePayload) ([]byte, error) {
 	record, err := encodeRecord(payload.Base, 0, recordDamageMarker, payload)
 	return append([]byte{damageMarkerByte}, record...), err
 }
 
-// unreadableBase stands for the base of a damage marker that can't be read: no generation ever reaches it.
+// unreadableBase is the base of a damage marker that can't be read. No generation ever reaches it.
 const unreadableBase = ^uint64(0)
 
-// damageMarkerBase reads the base from a segment that begins with a damage marker.
+// damageMarkerBase decodes the base in a segment that starts with a damage marker.
 func damageMarkerBase(content []byte) uint64 {
 	marker, readable := decodeRecord(content[1:])
 	var payload damagePayload
--- a/internal/keystore/segment.go
+++ b/internal/keystore/segment.go
@@ -8,17 +8,17 @@
 	"github.com/pkg/errors"
 )
 
-// SegmentState says what a segment holds, see names.go.
+// SegmentState is the kind of content of a segment, see names.go.
 type SegmentState string
 
-// blankProbeBytes is how many bytes at the start of a segment are looked at to call it blank.
+// blankProbeBytes is the number of bytes at the start of a segment that must be zero for it to count as blank.
 const blankProbeBytes = 64
 
-// segment is what was read of one file of the write-ahead log.
+// segment is the content of one file of the write-ahead log.
 type segment struct {
 	name  string
 	state SegmentState
-	// usedBytes is the length of the records that follow each other from the start.
+	// usedBytes is the length of the consecutive records at the start.
 	usedBytes  int64
 	generation uint64
 	base       uint64
@@ -28,7 +28,7 @@
 
 func segmentName(position int) string { return fmt.Sprintf(segmentNameFormat, position) }
 
-// scanSegment reads a segment's content as far as its records follow each other. Payloads aren't decoded.
+// scanSegment reads the consecutive records at the start of a segment. Payloads aren't decoded.
 func scanSegment(name string, content []byte) segment {
 	scanned := segment{name: name}
 	probe := content[:min(len(content), blankProbeBytes)]
@@ -48,7 +48,7 @@
 	return scanned
 }
 
-// scanGeneration fills in the generation that begins at the start of the content.
+// scanGeneration sets the fields of the generation at the start of the content.
 func (s *segment) scanGeneration(content []byte) {
 	first, readable := decodeRecord(content)
 	var begin beginPayload
@@ -76,11 +76,11 @@
 	}
 }
 
-// hasGeneration says whether the start of a generation can be read in the segment.
+// hasGeneration reports whether the segment contains at least the readable start of a generation.
 func (s segment) hasGeneration() bool { return s.state == SegmentComplete || s.state == SegmentTorn }
 
-// decodeRegisters returns the newest register of each key in the segment's records. A record that is complete but can't be
-// decoded is an error: to pass it over would be to return an older state.
+// decodeRegisters returns the newest register of each key in the segment's records. A record that is complete but can't
+// be decoded is an error: skipping it could return an older state.
 func (s segment) decodeRegisters() (map[string]Register, error) {
 	registers := map[string]Register{}
 	for _, payload := range s.payloads {
--- a/internal/keystore/wal.go
+++ b/internal/keystore/wal.go
@@ -8,50 +8,52 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a WAL that no further attempt mends.
+// Errors of a WAL that a retry does not resolve.
 var (
-	// ErrRecordTooLong says that one register is longer than a record may be.
+	// ErrRecordTooLong means that one register exceeds the length limit of a record.
 	ErrRecordTooLong = errors.New("record is too long")
-	// ErrStateTooLarge says that all registers together don't fit into one segment.
+	// ErrStateTooLarge means that all registers together don't fit into one segment.
 	ErrStateTooLarge = errors.New("state does not fit into a segment")
 )
 
-// SegmentCount is how many segments a member's data directory has.
+// SegmentCount is the number of segments in a member's data directory.
 const SegmentCount = 3
 
-// saltShift separates the salt of one attempt to write a generation from the position of a record in it.
+// saltShift is the number of low bits of a record's index that hold the record's position. The bits above hold the salt
+// of the attempt to write the generation.
 const saltShift = 32
 
-// WAL is the write-ahead log of one member's registers. It is a ring of preallocated files, the segments. Each generation
-// begins with a full copy of the state in the next segment, which is followed by a record for each register that changes.
-// See segments for the rules by which they are written, and by which damage is distinguished from a crash.
+// WAL is the write-ahead log of one member's registers. It is a ring of preallocated files, the segments. Each
+// generation starts with a full copy of the state at the beginning of the next segment, followed by a record for each
+// register that changes. See segments for the rules by which they are written, and by which damage is distinguished
+// from a crash.
 //
-// A WAL is used by one goroutine at a time.
+// A WAL is not safe for concurrent use.
 type WAL struct {
 	directory    Directory
 	segmentCount int
 	segmentBytes int64
-	// generation is the newest that is complete and synced; before the first it is 0 or, after damage, base-1.
+	// generation is the newest that is complete and synced. Before the first one it is 0 or, after damage, base-1.
 	generation uint64
-	// base is the first generation since the log was made, or since damage was found.
+	// base is the first generation since the log was created, or since damage was found.
 	base uint64
-	// index is that of the next record, and offset its place in the segment.
+	// index is the index of the next record, and offset its position in the segment.
 	index  uint64
 	offset int64
-	// mustRotate says that the segment can't be appended to, so the next append begins a generation.
+	// mustRotate is whether the segment can't be appended to, so that the next append starts a generation.
 	mustRotate bool
 	damage     *Damage
-	// registers are those that are synced.
+	// registers holds the registers that are synced, by key.
 	registers map[string]Register
 }
 
-// OpenWAL reads the log in a directory and makes it ready to be appended to. segmentBytes is the length of a segment,
-// segmentCount their number (2 or more). The state is synced before the call returns: what was read could otherwise be
-// lost with the next loss of power, after a reply has been based on it.
+// OpenWAL reads the log in a directory and prepares it for appending. segmentBytes is the length of a segment,
+// segmentCount their number (2 or more). The state is synced before the call returns: otherwise the state that was read
+// could be lost in the next power failure, after a reply has been based on it.
 //
-// If the newest state may be missing, the log is returned with an empty state, Damage says why, and the log stays damaged
-// for later starts until the first append. An error means that the disk failed or rejected an operation; the call may be
-// repeated.
+// If the newest state may be missing, the log is returned with an empty state, Damage returns the reason, and later
+// starts find the log damaged as well until the first append. An error means that the disk failed or rejected an
+// operation; the call may be repeated.
 func OpenWAL(directory Directory, segmentCount int, segmentBytes int64) (*WAL, error) {
 	found, err := readSegments(directory, segmentCount)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return log, errors.Wrapf(directory.Sync(newest.name), "segment %s", newest.name)
 }
 
-// Damage says why the state on the disk was not used, or is nil.
+// Damage returns the reason why the state on disk was not used, or nil.
 func (w *WAL) Damage() *Damage { return w.damage }
 
 // Generation returns the number of the newest generation that is complete and synced.
@@ -94,7 +96,7 @@
 // State returns a copy of the registers that are synced, by key.
 func (w *WAL) State() map[string]Register { return maps.Clone(w.registers) }
 
-// prepareSegments opens all segments and makes those that are missing.
+// prepareSegments opens all segments and creates those that are missing.
 func (w *WAL) prepareSegments() error {
 	for position := range w.segmentCount {
 		name := segmentName(position)
@@ -105,8 +107,8 @@
 	return nil
 }
 
-// markReady has the names of all segments on the disk, and then writes the ready marker to those that hold nothing else.
-// One that is there is written again, since a process that was killed may not have synced it.
+// markReady syncs the names of all segments to disk, and then writes the ready marker to those that hold no data. An
+// existing ready marker is written again, since a process that was killed may not have synced it.
 func (w *WAL) markReady(found segments) error {
 	if err := w.directory.SyncDirectory(); err != nil {
 		return errors.Wrap(err, "data directory")
@@ -122,15 +124,15 @@
 	return nil
 }
 
-// markDamaged writes a damage marker, so that the log counts as damaged until a generation above anything in it is
-// complete, and then makes the segments that are missing. The marker goes to a segment that was in use, and not to that
-// of the next generation.
+// markDamaged writes a damage marker, which keeps the log damaged until a generation above anything found in it is
+// complete, and then creates the segments that are missing. The marker is written to a segment that was in use, and not
+// to that of the next generation.
 func (w *WAL) markDamaged(found segments) error {
 	marked, _ := found.firstIn(SegmentDamaged)
 	if marked.name == "" {
 		marked, _ = found.firstIn(SegmentComplete, SegmentTorn, SegmentUnreadable, SegmentReady)
 	}
-	// The generations that were lost are at most as many as there are segments above the highest that is seen.
+	// At most as many generations were lost above the highest one found as there are segments.
 	base := found.highestGeneration() + uint64(w.segmentCount) + 1
 	for found.forGeneration(base).name == marked.name {
 		base++
@@ -157,8 +159,8 @@
 	return w.markReady(found)
 }
 
-// Append has the registers on the disk before it returns nil. After an error they may or may not be found at the next
-// start; the log's own state stays as it was, and the next append begins a generation.
+// Append returns nil once the registers are on disk. After an error they may or may not be found at the next start. The
+// log's own state remains unchanged, and the next append starts a generation.
 func (w *WAL) Append(registers []Register) error {
 	next := w.State()
 	for _, register := range registers {
@@ -183,12 +185,12 @@
 	return nil
 }
 
-// segmentFor is the name of the segment that a generation is written to.
+// segmentFor returns the name of the segment that a generation is written to.
 func (w *WAL) segmentFor(generation uint64) string {
 	return segmentName(int(generation % uint64(w.segmentCount)))
 }
 
-// encodeRegisters returns the records that follow the last one, and the index after them.
+// encodeRegisters returns the records to append for the registers, and the index of the record after them.
 func (w *WAL) encodeRegisters(registers []Register) ([]byte, uint64, error) {
 	var content []byte
 	index := w.index
@@ -203,8 +205,9 @@
 	return content, index, nil
 }
 
-// rotate begins the generation after the newest complete one. Until it is synced the newest complete one stays as it is:
-// a failed attempt is repeated under the same number, so in the same segment, which holds nothing that is still needed.
+// rotate starts the generation after the newest complete one, which is not overwritten until the new one is synced: a
+// failed attempt is repeated under the same number, and so in the same segment, which holds nothing that is still
+// needed.
 func (w *WAL) rotate(next map[string]Register) error {
 	w.mustRotate = true
 	generation := w.generation + 1
@@ -223,7 +226,8 @@
 	return nil
 }
 
-// encodeGeneration returns the full copy of the state with which a generation begins, and the index after it.
+// encodeGeneration returns the full copy of the state with which a generation starts, and the index of the record after
+// it.
 func encodeGeneration(generation, base uint64, state map[string]Register) ([]byte, uint64, error) {
 	index := uint64(rand.Uint32()) << saltShift
 	content, err := encodeRecord(generation, index, recordBegin, beginPayload{Base: base})
