--- a/internal/keystore/acceptor_state.go
+++ b/internal/keystore/acceptor_state.go
@@ -89,8 +89,8 @@
 	return &view
 }
 
-// adoptMembership adopts a newer membership. A member that is not in it loses its vote, since it receives no further
-// writes, and must catch up again if it is added back later.
+// adoptMembership adopts a newer membership. A member that is not a current member of it loses its vote, since it
+// receives no further writes, and must catch up again if it is added back later.
 func (s *AcceptorState) adoptMembership(membership Membership) []Register {
 	if membership.Version <= MembershipOf(s.Registers).Version {
 		return nil
--- a/internal/keystore/acceptor_state_test.go
+++ b/internal/keystore/acceptor_state_test.go
@@ -30,7 +30,7 @@
 	return newAcceptorState(BootstrapRegisters(testMembership, 11)...)
 }
 
-// ask carries a message out as though the disk took everything at once.
+// stepAndApply processes a message as if the disk synced at once.
 func (s *AcceptorState) stepAndApply(message Message, now time.Time) Reply {
 	message.Membership = testMembership
 	reply, changes := s.Step(message, now, s.Registers)
@@ -76,7 +76,7 @@
 		Membership:      testMembership,
 		DiskIncarnation: 6,
 	}, testNow)
-	assert.Equal(t, reply.Rejection, RejectedStateChanged, "read by an earlier life")
+	assert.Equal(t, reply.Rejection, RejectedStateChanged, "read by an earlier disk incarnation")
 	reply, _ = votingAcceptor().Install(CatchUpResult{Membership: testMembership, DiskIncarnation: 11}, testNow)
 	assert.Equal(t, reply.Rejection, RejectedStateChanged, "it votes already")
 }
@@ -90,7 +90,7 @@
 	assert.Equal(t, member.stepAndApply(promise, testNow.Add(testLeaseDuration-1)).Rejection, RejectedLeaseActive)
 	assert.Assert(t, member.stepAndApply(promise, testNow.Add(testLeaseDuration)).Granted)
 	other := Message{Operation: OperationPrepare, Key: "x", Proposal: proposalNumber(9)}
-	assert.Assert(t, member.stepAndApply(other, testNow).Granted, "keys that are no leases do not wait")
+	assert.Assert(t, member.stepAndApply(other, testNow).Granted, "other keys are not blocked")
 }
 
 func TestAcceptorState_InstallKeepsHigherPromise(t *testing.T) {
@@ -118,31 +118,31 @@
 	assert.Assert(t, reply.Granted)
 	member.Apply(changes)
 	assert.Equal(t, string(member.Registers["x"].Value), `"chosen"`)
-	assert.Equal(t, member.Registers["x"].Promised, proposalNumber(9), "the promise stands")
+	assert.Equal(t, member.Registers["x"].Promised, proposalNumber(9), "the higher promise is kept")
 	reply, _ = member.Learn(acceptedRegister("x", 3, "older"))
 	assert.Equal(t, reply.Rejection, RejectedStateChanged)
 	reply, _ = newAcceptorState(WipedRegisters(1)...).Learn(acceptedRegister("x", 5, "chosen"))
 	assert.Equal(t, reply.Rejection, RejectedStateChanged, "no vote")
 }
 
-func TestAcceptorState_PrepareThatComesAgainIsPromisedAgain(t *testing.T) {
+func TestAcceptorState_RepeatedPrepareIsPromisedAgain(t *testing.T) {
 	member := votingAcceptor()
 	member.Apply([]Register{acceptedRegister("x", 1, "old")})
 	prepare := Message{Operation: OperationPrepare, Key: "x", Proposal: proposalNumber(2), Membership: testMembership}
 	assert.Assert(t, member.stepAndApply(prepare, testNow).Granted)
 	reply, changes := member.Step(prepare, testNow, member.Registers)
-	assert.Assert(t, reply.Granted, "its first reply may be lost")
+	assert.Assert(t, reply.Granted, "the first reply may have been lost")
 	assert.Equal(t, string(reply.Register.Value), `"old"`)
-	assert.Equal(t, len(changes), 1, "the reply waits for the disk, which may not have the first promise yet")
+	assert.Equal(t, len(changes), 1, "the reply waits for the disk, where the first promise may not be yet")
 	assert.Assert(t, member.stepAndApply(Message{
 		Operation: OperationPrepare,
 		Key:       "x",
 		Proposal:  proposalNumber(3),
 	}, testNow).Granted)
-	assert.Equal(t, member.stepAndApply(prepare, testNow).Rejection, RejectedPromised, "another has the promise")
+	assert.Equal(t, member.stepAndApply(prepare, testNow).Rejection, RejectedPromised, "another proposer has the promise")
 }
 
-func TestAcceptorState_DigestLeavesOutWhatApplicationsShare(t *testing.T) {
+func TestAcceptorState_DigestOmitsCoordinationKeys(t *testing.T) {
 	member := votingAcceptor()
 	shared := acceptedRegister(CoordinationPrefix+"lock/l", 1, "held")
 	member.Apply([]Register{acceptedRegister("x", 1, "old"), shared})
@@ -182,7 +182,7 @@
 	assert.Assert(t, member.stepAndApply(next, testNow.Add(testLeaseDuration/2)).Granted)
 }
 
-func TestAcceptorState_LosesVoteWhenDroppedFromMembership(t *testing.T) {
+func TestAcceptorState_LosesVoteWhenRemovedFromMembership(t *testing.T) {
 	member := votingAcceptor()
 	message := Message{
 		Operation:  OperationPrepare,
--- a/internal/keystore/bootstrap.go
+++ b/internal/keystore/bootstrap.go
@@ -4,13 +4,14 @@
 
 // A system that starts for the first time has no member with a vote to catch up from. Its members, the seeds of the
 // settings, may then vote under the first membership nevertheless, once each of them has replied that it never voted, or
-// that it votes under that same membership. This must not happen in two other cases:
+// that it votes under that same membership. Two other cases must be distinguished from this:
 //
-// - The system has run before and lost the disks of a majority. Acknowledged writes may have been on those disks only,
-// so the system must not start again with an empty state. It is recognized by BootstrapCompleted on any remaining disk,
-// or by any later membership. - A member voted, lost its disk and catches up again while others are still
-// bootstrapping. Each member records the disk incarnation of a member that catches up before it replies, and later
-// rejects every write that counts a promise of an earlier one.
+//   - A system that has run before and lost the disks of a majority. Acknowledged writes may have been on those disks only,
+//     so the system must not start again with an empty state. It is recognized by BootstrapCompleted on any remaining
+//     disk, or by any later membership.
+//   - A member that voted, lost its disk and catches up again while others are still bootstrapping. Each member records the
+//     disk incarnation of a member that catches up before it replies, and later rejects every write that counts a promise
+//     of an earlier one.
 
 // BootstrapVersion is the version of the first membership.
 const BootstrapVersion = 1
--- a/internal/keystore/bootstrap_test.go
+++ b/internal/keystore/bootstrap_test.go
@@ -11,12 +11,12 @@
 	testBootstrap = BootstrapMembership(testSeeds)
 )
 
-// neverVotedReply is the reply of a member that never voted on its present disk.
+// neverVotedReply returns the reply of a member that never voted on its present disk.
 func neverVotedReply() Reply {
 	return Reply{Rejection: RejectedNotVoting, NeverVoted: true, DiskIncarnation: 5, Seeds: []string{"c", "a", "b"}}
 }
 
-// votingReply is the reply of a member that votes under the first membership.
+// votingReply returns the reply of a member that votes under the first membership.
 func votingReply() Reply { return Reply{Granted: true, DiskIncarnation: 6, Membership: testBootstrap} }
 
 func withChange(reply Reply, change func(reply *Reply)) Reply {
@@ -24,7 +24,7 @@
 	return reply
 }
 
-func TestJudgeBootstrap_ReadyOnlyIfNoMemberKnowsMore(t *testing.T) {
+func TestEvaluateBootstrap_ReadyOnlyIfNoMemberHasLaterState(t *testing.T) {
 	later := Membership{Version: 2, Current: testSeeds, Next: []string{"a", "b", "d"}}
 	other := []string{"a", "b", "d"}
 	neverVoted := func(change func(reply *Reply)) *Reply { return new(withChange(neverVotedReply(), change)) }
@@ -34,7 +34,7 @@
 	acceptedChange := []Register{acceptedRegister(MembershipKey, 1, "list")}
 	cases := []struct {
 		name string
-		// reply is that of c, and nil if it has not answered; b is silent, too, where bSilent is set.
+		// reply is that of c, nil if it has not replied. b has not replied either if bSilent is set.
 		reply   *Reply
 		bSilent bool
 		verdict BootstrapVerdict
@@ -55,7 +55,7 @@
 			verdict: BootstrapReady,
 		},
 		{
-			name:    "it has not answered",
+			name:    "it has not replied",
 			verdict: BootstrapNoAnswer,
 		},
 		{
@@ -69,17 +69,17 @@
 			verdict: BootstrapRejected,
 		},
 		{
-			name:    "it names other seeds",
+			name:    "it is configured with other seeds",
 			reply:   neverVoted(func(reply *Reply) { reply.Seeds = other }),
 			verdict: BootstrapSeedMismatch,
 		},
 		{
-			name:    "it holds another first membership",
+			name:    "it has another first membership",
 			reply:   voting(func(reply *Reply) { reply.Membership.Current = other }),
 			verdict: BootstrapSeedMismatch,
 		},
 		{
-			name:    "it holds a later membership",
+			name:    "it has a later membership",
 			reply:   voting(func(reply *Reply) { reply.Membership = later }),
 			verdict: BootstrapMembershipChanged,
 		},
@@ -89,7 +89,7 @@
 			verdict: BootstrapMembershipChanged,
 		},
 		{
-			name:    "it voted and was dropped",
+			name:    "it voted and was removed",
 			reply:   neverVoted(func(reply *Reply) { reply.NeverVoted = false }),
 			verdict: BootstrapMembershipChanged,
 		},
@@ -104,7 +104,7 @@
 			verdict: BootstrapAlreadyCompleted,
 		},
 		{
-			name:    "it saw that, and another stays silent",
+			name:    "it saw the bootstrap completed, and another has not replied",
 			reply:   voting(completed),
 			bSilent: true,
 			verdict: BootstrapAlreadyCompleted,
@@ -127,7 +127,7 @@
 	assert.Equal(t, EvaluateBootstrap("a", later, all), BootstrapMembershipChanged)
 }
 
-func TestAcceptorState_WithoutVoteRecordsWhoCatchesUp(t *testing.T) {
+func TestAcceptorState_WithoutVoteRecordsDiskIncarnationOfSender(t *testing.T) {
 	member := newAcceptorState(WipedRegisters(7)...)
 	member.Seeds = testSeeds
 	reply, changes := member.Step(Message{Operation: OperationCatchUp, Sender: "b", DiskIncarnation: 22}, testNow, nil)
@@ -156,15 +156,15 @@
 	reply, changes := member.CompleteBootstrap()
 	assert.Assert(t, reply.Granted)
 	member.Apply(changes)
-	told, _ := member.Step(Message{
+	caughtUp, _ := member.Step(Message{
 		Operation:       OperationCatchUp,
 		Sender:          "b",
 		DiskIncarnation: 22,
 		Membership:      testBootstrap,
 	}, testNow, nil)
-	assert.Assert(t, told.Granted && told.BootstrapCompleted)
+	assert.Assert(t, caughtUp.Granted && caughtUp.BootstrapCompleted)
 	_, changes = member.CompleteBootstrap()
 	assert.Equal(t, len(changes), 0)
 	_, changes = votingAcceptor().CompleteBootstrap()
-	assert.Equal(t, len(changes), 0, "the list was changed")
+	assert.Equal(t, len(changes), 0, "the membership was changed")
 }
--- a/internal/keystore/clients_test.go
+++ b/internal/keystore/clients_test.go
@@ -17,20 +17,20 @@
 var (
 	errAlreadyApplied = errors.New("already applied")
 	errStale          = errors.New("another version is current")
-	errNoProcess      = errors.New("no process there")
+	errNoProcess      = errors.New("no process at this member")
 )
 
 const (
 	clientTimeout   = 1500 * time.Millisecond
 	operatorTimeout = time.Second
 	followTimeout   = 2 * time.Second
-	// operatorGrace is how long after the end an operator still tries to have its last call answered.
+	// operatorGrace is how long after the end of a schedule an operator still retries its last call.
 	operatorGrace = 30 * time.Second
 )
 
 func pick(names []string, random *rand.Rand) string { return names[random.IntN(len(names))] }
 
-// runClient reads and changes the configuration at members that it draws, and tries nothing twice.
+// runClient reads and changes the configuration at members chosen at random, and retries nothing.
 func runClient(cluster *keystoresim.Cluster, number int, random *rand.Rand, until time.Time, recorded *history) {
 	for turn := 0; time.Now().Before(until); turn++ {
 		time.Sleep(time.Duration(random.IntN(400)+1) * time.Millisecond)
@@ -60,13 +60,13 @@
 	})
 }
 
-// report is what the operators of one key saw.
+// report records what the operators of one key observed.
 type report struct {
 	lock      sync.Mutex
 	history   history
 	rejected  map[string]bool
 	latencies []time.Duration
-	// proposals are the proposal numbers under which each version was written.
+	// proposals holds the proposal number under which each version was written.
 	proposals map[int]keystore.ProposalNumber
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// ownerChanges counts how often the owner of the key changed.
+// ownerChanges counts the changes of the key's owner.
 func (r *report) ownerChanges() int {
 	changes := 0
 	var last keystore.ProposalNumber
@@ -101,7 +101,7 @@
 func (r *report) check(final document) error {
 	for _, label := range final.Labels {
 		if r.rejected[label] {
-			return fmt.Errorf("%s was rejected and took force later", label)
+			return fmt.Errorf("%s was rejected and took effect later", label)
 		}
 	}
 	return r.history.check(final)
@@ -109,7 +109,7 @@
 
 func (r *report) String() string { return fmt.Sprint(r.history.calls) }
 
-// replaceDocument changes a key if it is at a version. The same label takes force once.
+// replaceDocument changes a key if it is at the given version. Each label takes effect once.
 func replaceDocument(store *keystore.Store, key, label string, version int) (keystore.Register, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
@@ -125,8 +125,8 @@
 	})
 }
 
-// operator changes one key on the version that it knows, and repeats each call, at one member after the other, until it is
-// answered.
+// operator changes one key, based on the version that it knows, and retries each call at one member after the other
+// until it is answered.
 type operator struct {
 	cluster *keystoresim.Cluster
 	key     string
@@ -134,7 +134,7 @@
 	random  *rand.Rand
 	until   time.Time
 	report  *report
-	// version is the newest that the operator knows, first the position of the member that it calls first.
+	// version is the newest that the operator knows, and first the position of the member that it calls first.
 	version, first int
 }
 
@@ -153,7 +153,7 @@
 	}
 }
 
-// callUntilAnswered says whether there was an answer in time.
+// callUntilAnswered reports whether the call was answered in time.
 func (o *operator) callUntilAnswered(turn int) bool {
 	done := call{label: fmt.Sprintf("%s-%d-%d", o.key, o.number, turn), started: time.Now()}
 	backoff := 100 * time.Millisecond
@@ -190,7 +190,7 @@
 	o.report.record(done, register)
 }
 
-// followKey reads a key by digests at one member, and fails if it goes back.
+// followKey reads a key by digests at one member, and fails if its version decreases.
 func followKey(cluster *keystoresim.Cluster, name, key string, interval time.Duration, until time.Time) error {
 	var followed *keystore.Store
 	var shown keystore.Register
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// fetchNewer looks for a committed proposal that is newer than the one shown.
+// fetchNewer returns a committed proposal that is newer than the one shown, if there is one.
 func fetchNewer(store *keystore.Store, key string, shown keystore.Register) (keystore.Register, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), followTimeout)
 	defer cancel()
--- a/internal/keystore/doc.go
+++ b/internal/keystore/doc.go
@@ -1,27 +1,28 @@
-// Package keystore replicates small values under keys on the disks of a few members, by Paxos.
+// Package keystore replicates small values under keys on the disks of a few members, using Paxos.
 //
-// Each key is a register of its own: there is no common log and no leader of all keys. A process that wants to change a
-// key becomes its owner by a proposal number that a majority of members promises, commits once more the newest value that
-// those members know, and then writes under the same number (Multi-Paxos for each key). A write is acknowledged when a
-// majority has it on a synced disk.
+// Each key is an independent register: there is no common log and no leader for all keys. To change a key, a process
+// becomes its owner: a majority of members promises its proposal number, and it commits the newest value known to those
+// members again. It then writes repeatedly under the same number (Multi-Paxos per key). A write is acknowledged once it is
+// synced to disk at a majority.
 //
-// The package never decides what a value means, never answers an operator, and never replaces a member by itself: it
-// offers the steps, internal/membership decides on them.
+// The package does not interpret values, serve operators, or replace members by itself: it provides the steps of a
+// membership change, and internal/membership decides when to take them.
 //
-// Consensus is pure, and stands apart from IO:
+// The consensus code is pure and separate from IO:
 //
-//   - acceptor_state.go, acceptor_steps.go: what one member promises and accepts, a function of its state, a message and
-//     the time. catchup_state.go and bootstrap.go are the steps of a member that has no vote yet.
-//   - replies.go, digest.go, ownership.go, quorum.go: what a proposer concludes from replies.
-//   - register.go, proposal_number.go, membership.go, message.go, local_state.go: what the steps are about.
+//   - acceptor_state.go, acceptor_steps.go: what a member promises and accepts, as functions of its state, a message and
+//     the time. catchup_state.go and bootstrap.go contain the steps of a member without a vote.
+//   - replies.go, digest.go, ownership.go, quorum.go: the evaluation of replies by a proposer.
+//   - register.go, proposal_number.go, membership.go, message.go, local_state.go: the data types of these functions.
 //
-// Around it stand the parts that do IO:
+// The remaining files do IO:
 //
-//   - acceptor.go: Acceptor runs one member over its write-ahead log.
-//   - store.go, round.go, proposer.go, read.go, catchup.go: Store plays the proposer over a Transport.
+//   - acceptor.go: Acceptor runs one member on its write-ahead log.
+//   - store.go, round.go, proposer.go, read.go, read_modify_write.go, membership_change.go, catchup.go: Store is the
+//     proposer, which sends messages over a Transport. change_stats.go collects its statistics.
 //   - wal.go, segments.go, damage.go, segment.go, record.go, directory.go: WAL is the write-ahead log. inspect.go reads
-//     that of a stopped member.
+//     the log of a stopped member.
 //
-// names.go holds every name that is stored or sent. Start reading with AcceptorState.Step, then Ownership, then
-// Store.Change. docs/design/keystore.md has the argument why the whole is safe.
+// names.go contains all names that are stored or sent. Good starting points are AcceptorState.Step, Ownership and
+// Store.Change. docs/design/keystore.md explains why the protocol is safe.
 package keystore
--- a/internal/keystore/faulty_directory_test.go
+++ b/internal/keystore/faulty_directory_test.go
@@ -12,10 +12,10 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
-var errFault = errors.New("fault of the disk")
+var errFault = errors.New("simulated disk fault")
 
-// faultyDirectory rejects some writes and syncs, of which a part or all may have been done, and dies after a drawn
-// number of them, in the middle of one.
+// faultyDirectory fails some writes and syncs, which may have been carried out partly or completely. After a random
+// number of operations its process is killed in the middle of one.
 type faultyDirectory struct {
 	handle         *keystoresim.Handle
 	random         *rand.Rand
@@ -32,7 +32,7 @@
 	return directory
 }
 
-// fails draws whether the operation goes wrong.
+// fails decides at random whether the operation fails.
 func (f *faultyDirectory) fails() bool {
 	f.operationsLeft--
 	f.dead = f.dead || f.operationsLeft <= 0
@@ -101,7 +101,7 @@
 	return content, err
 }
 
-// skipsAheadOnFailure goes on to the next file, under the next number, after a failed rotation.
+// skipsAheadOnFailure continues in the next file, under the next number, after a failed rotation.
 type skipsAheadOnFailure struct {
 	keystore.Directory
 	shift  uint64
@@ -115,7 +115,7 @@
 	generation := binary.BigEndian.Uint64(content[8:]) + s.shift
 	moved := fmt.Sprintf("ring-%d", generation%keystore.SegmentCount)
 	s.synced = map[string]string{name: moved}
-	err := s.Directory.Write(moved, offset, renumbered(content, generation))
+	err := s.Directory.Write(moved, offset, withGeneration(content, generation))
 	if err != nil && offset == 0 {
 		s.shift++
 	}
@@ -129,8 +129,8 @@
 	return s.Directory.Sync(name)
 }
 
-// renumbered returns the records under another generation.
-func renumbered(content []byte, generation uint64) []byte {
+// withGeneration returns the records under another generation.
+func withGeneration(content []byte, generation uint64) []byte {
 	copied := append([]byte(nil), content...)
 	for rest := copied; len(rest) > 0; {
 		record := rest[:25+binary.BigEndian.Uint32(rest)]
--- a/internal/keystore/history_test.go
+++ b/internal/keystore/history_test.go
@@ -10,8 +10,8 @@
 	"ferryspar/internal/keystore"
 )
 
-// document is the value that clients write: the labels of all changes so far. Its length is among what the simulated disks
-// draw from, so a change of its JSON would have every seed play another schedule.
+// document is the value that clients write: the labels of all changes so far. The simulated disks draw random numbers
+// that depend on its length, so that a change of its JSON encoding would give every seed another schedule.
 type document struct {
 	Version int      `json:"version"`
 	Labels  []string `json:"marks"`
@@ -23,12 +23,12 @@
 	return value
 }
 
-// with is the document after one more change.
+// with returns the document after one more change.
 func (d document) with(label string) document {
 	return document{Version: d.Version + 1, Labels: append(slices.Clone(d.Labels), label)}
 }
 
-// call is one read or change of a client, as the client saw it.
+// call is one read or change of a client, as seen by the client.
 type call struct {
 	label          string
 	started, ended time.Time
@@ -38,7 +38,7 @@
 	acknowledged bool
 }
 
-// history is all calls on one key.
+// history holds all calls on one key.
 type history struct {
 	lock  sync.Mutex
 	calls []call
@@ -58,7 +58,7 @@
 	return h.checkOrder()
 }
 
-// checkChanges says whether an acknowledged change is lost, or two share a version.
+// checkChanges returns an error if an acknowledged change is lost, or if two share a version.
 func (h *history) checkChanges(final document) error {
 	versions := map[int]string{}
 	for _, change := range h.calls {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// checkOrder says whether a call that started after the end of another went back behind it.
+// checkOrder returns an error if a call that started after the end of another saw an older version.
 func (h *history) checkOrder() error {
 	for _, earlier := range h.calls {
 		for _, later := range h.calls {
--- a/internal/keystore/lost_disk_test.go
+++ b/internal/keystore/lost_disk_test.go
@@ -9,44 +9,45 @@
 
 var fiveMemberships = Membership{Version: 1, Current: []string{"a", "b", "c", "d", "e"}}
 
-// instantCluster is five members that answer at once and sync at once.
+// instantCluster is a cluster of five members that reply and sync at once.
 type instantCluster map[string]*AcceptorState
 
-func (f instantCluster) send(message Message, addresses ...string) map[string]Reply {
+func (c instantCluster) send(message Message, addresses ...string) map[string]Reply {
 	message.Membership = fiveMemberships
 	replies := map[string]Reply{}
 	for _, address := range addresses {
-		reply, changes := f[address].Step(message, testNow, f[address].Registers)
-		f[address].Apply(changes)
+		reply, changes := c[address].Step(message, testNow, c[address].Registers)
+		c[address].Apply(changes)
 		replies[address] = reply
 	}
 	return replies
 }
 
-func (f instantCluster) start(address string, registers []Register) {
-	f[address] = &AcceptorState{
+func (c instantCluster) start(address string, registers []Register) {
+	c[address] = &AcceptorState{
 		Address:       address,
 		LeaseDuration: testLeaseDuration,
 		Registers:     map[string]Register{},
 		Grants:        map[string]time.Time{},
 	}
-	f[address].Apply(registers)
+	c[address].Apply(registers)
 }
 
-// loseDisk starts a member anew, which catches up from the members named.
-func (f instantCluster) loseDisk(t *testing.T, address string, diskIncarnation uint64, from ...string) {
-	f.start(address, WipedRegisters(diskIncarnation))
-	question := CatchUpRequest{Self: address, DiskIncarnation: diskIncarnation, Membership: fiveMemberships}
-	replies := f.send(Message{Operation: OperationCatchUp, Sender: address, DiskIncarnation: diskIncarnation}, from...)
-	read, _, enough := EvaluateCatchUp(question, replies, EvaluateBootstrap)
-	assert.Assert(t, enough)
-	reply, changes := f[address].Install(read, testNow)
+// loseDisk restarts a member with an empty disk, which catches up from the given members.
+func (c instantCluster) loseDisk(t *testing.T, address string, diskIncarnation uint64, from ...string) {
+	c.start(address, WipedRegisters(diskIncarnation))
+	request := CatchUpRequest{Self: address, DiskIncarnation: diskIncarnation, Membership: fiveMemberships}
+	replies := c.send(Message{Operation: OperationCatchUp, Sender: address, DiskIncarnation: diskIncarnation}, from...)
+	read, _, sufficient := EvaluateCatchUp(request, replies, EvaluateBootstrap)
+	assert.Assert(t, sufficient)
+	reply, changes := c[address].Install(read, testNow)
 	assert.Assert(t, reply.Granted)
-	f[address].Apply(changes)
+	c[address].Apply(changes)
 }
 
-// d is never told that a lost its disk: a reads three others, which is enough of five.
-func TestOwnership_PromiseOfLostDiskReplacesNothingAcknowledged(t *testing.T) {
+// Guards against counting the promise of a member that has lost its disk since, which would replace an acknowledged
+// value. d never learns that a lost its disk: a catches up from three others, which is enough of five.
+func TestOwnership_PromiseOfLostDiskReplacesNoAcknowledgedValue(t *testing.T) {
 	cluster := instantCluster{}
 	for index, address := range fiveMemberships.Current {
 		cluster.start(address, BootstrapRegisters(fiveMemberships, uint64(101+index)))
--- a/internal/keystore/membership_change_test.go
+++ b/internal/keystore/membership_change_test.go
@@ -15,18 +15,18 @@
 
 var (
 	threeMembers = keystore.Membership{Version: 1, Current: []string{"a", "b", "c"}}
-	// replacingC exchanges c for d.
+	// replacingC replaces c by d.
 	replacingC = keystore.Membership{Version: 2, Current: []string{"a", "b", "c"}, Next: []string{"a", "b", "d"}}
 	withoutC   = keystore.Membership{Version: 3, Current: []string{"a", "b", "d"}}
 )
 
-// steppingTransport delivers messages to the states of acceptors, of which some are down.
+// steppingTransport delivers messages to the states of acceptors, some of which are down.
 type steppingTransport struct {
 	states map[string]*keystore.AcceptorState
 	down   []string
 }
 
-// Send answers as the member at the address does, whose disk syncs at once.
+// Send replies like the member at the address, with a disk that syncs at once.
 func (s *steppingTransport) Send(ctx context.Context, address string, message keystore.Message) (keystore.Reply, error) {
 	if slices.Contains(s.down, address) {
 		<-ctx.Done()
@@ -38,7 +38,7 @@
 	return reply, nil
 }
 
-// newSteppingTransport makes members that vote, under the first membership.
+// newSteppingTransport returns a transport to members that vote under the first membership.
 func newSteppingTransport(addresses ...string) *steppingTransport {
 	transport := &steppingTransport{states: map[string]*keystore.AcceptorState{}}
 	for index, address := range addresses {
@@ -71,20 +71,20 @@
 	return committed
 }
 
-func TestStore_TakesBackChangeWhoseNextMembersAreNoMajority(t *testing.T) {
+func TestStore_RollsBackChangeWithoutMajorityOfNextMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := newSteppingTransport("a", "b", "c", "d")
 		store := keystore.NewStore("a", 7, transport, threeMembers)
 		assert.NilError(t, changeMembership(t, store, threeMembers, replacingC))
 		transport.down = []string{"b", "d"}
 		_, err := store.Digest(t.Context())
-		assert.Equal(t, err, keystore.ErrNoMajority, "one of three next members")
+		assert.Equal(t, err, keystore.ErrNoMajority, "only one of three next members is up")
 		assert.NilError(t, changeMembership(t, store, replacingC, replacingC.RolledBack()))
 		assert.DeepEqual(t, committedMembership(t, store), replacingC.RolledBack())
 	})
 }
 
-func TestStore_CompletionOnADiskIsNotTakenBack(t *testing.T) {
+func TestStore_AcceptedCompletionIsNotRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := newSteppingTransport("a", "b", "c", "d")
 		first := keystore.NewStore("a", 7, transport, threeMembers)
@@ -92,16 +92,16 @@
 		second := keystore.NewStore("b", 8, transport, replacingC)
 		_, err := first.ChangeMembership(t.Context(), replacingC, withoutC)
 		assert.NilError(t, err)
-		// d, which accepted the completion, and c are lost; a and b hold it and know the joint membership only.
+		// c is down. a and b have accepted the completion, but know the joint membership only.
 		transport.down = []string{"c"}
 		assert.Equal(t, changeMembership(t, second, replacingC, replacingC.RolledBack()), keystore.ErrSuperseded)
 		assert.DeepEqual(t, committedMembership(t, second), withoutC)
 		transport.down = []string{"c", "d", "b"}
-		assert.Assert(t, changeMembership(t, second, replacingC, replacingC.RolledBack()) != nil, "no majority")
+		assert.Assert(t, changeMembership(t, second, replacingC, replacingC.RolledBack()) != nil, "no majority is up")
 	})
 }
 
-func TestStore_TakeBackUnderOlderMembershipIsRejected(t *testing.T) {
+func TestStore_RollbackUnderOlderMembershipIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := newSteppingTransport("a", "b", "c", "d")
 		first := keystore.NewStore("a", 7, transport, threeMembers)
@@ -114,9 +114,9 @@
 	})
 }
 
-func TestMembership_IsTakenBackBy(t *testing.T) {
+func TestMembership_IsRolledBackBy(t *testing.T) {
 	assert.Assert(t, replacingC.IsRolledBackBy(keystore.Membership{Version: 3, Current: threeMembers.Current}))
 	assert.Assert(t, !replacingC.IsRolledBackBy(withoutC), "completed")
 	assert.Assert(t, !replacingC.IsRolledBackBy(keystore.Membership{Version: 4, Current: threeMembers.Current}), "a later version")
-	assert.Assert(t, !threeMembers.IsRolledBackBy(threeMembers.RolledBack()), "nothing is under way")
+	assert.Assert(t, !threeMembers.IsRolledBackBy(threeMembers.RolledBack()), "no change is in progress")
 }
--- a/internal/keystore/ownership_test.go
+++ b/internal/keystore/ownership_test.go
@@ -18,7 +18,7 @@
 	assert.Assert(t, owner.IsCertain())
 	owner = owner.WithUncertain(first)
 	assert.Assert(t, !owner.IsCertain(), "the first may be in force")
-	assert.Assert(t, !owner.Current().IsAccepted(), "and may not")
+	assert.Assert(t, !owner.Current().IsAccepted(), "the first may not be in force either")
 	second := owner.NextProposal(json.RawMessage(`2`))
 	assert.Assert(t, second.NewerThan(first) && second.Accepted == first.Accepted)
 	owner = owner.WithCommitted(second)
--- a/internal/keystore/pinned_test.go
+++ b/internal/keystore/pinned_test.go
@@ -32,19 +32,19 @@
 	return ProposalNumber{Round: round, Proposer: "10.0.1.1:7000", Incarnation: 0xfeedbeef}
 }
 
-// runMember opens the log in a directory and runs a member on it until the test's part is done.
+// runMember opens the log in a directory and runs a member on it until use returns.
 func runMember(t *testing.T, path string, bootstrapping bool, use func(acceptor *Acceptor)) {
 	t.Helper()
 	log := openPinned(t, path)
 	if bootstrapping {
 		assert.NilError(t, log.Append(BootstrapRegisters(pinnedMembership, 11)))
 	}
-	rules := AcceptorConfig{
+	config := AcceptorConfig{
 		LeaseDuration: testLeaseDuration,
 		Clock:         func() time.Time { return testNow },
 		Seeds:         pinnedMembership.Current,
 	}
-	acceptor := NewAcceptor(pinnedAddress, log, rules, bootstrapping)
+	acceptor := NewAcceptor(pinnedAddress, log, config, bootstrapping)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -65,8 +65,8 @@
 	return log
 }
 
-// put has the acceptor promise and accept a value.
-func put(t *testing.T, acceptor *Acceptor, key string, round uint64, value string) {
+// propose sends the prepare and the accept message of a value to the acceptor, which must grant both.
+func propose(t *testing.T, acceptor *Acceptor, key string, round uint64, value string) {
 	t.Helper()
 	message := Message{
 		Operation:  OperationPrepare,
@@ -86,18 +86,18 @@
 	}
 }
 
-// writePinned writes the data directory of the fixture: every kind of record, and enough of them that each segment is
-// written over at least once.
+// writePinned writes the data directory of the fixture: records of all kinds, and enough of them that each segment is
+// overwritten at least once.
 func writePinned(t *testing.T, path string) {
 	t.Helper()
 	runMember(t, path, true, func(acceptor *Acceptor) {
-		put(t, acceptor, LeasePrefix+"placement", 1,
+		propose(t, acceptor, LeasePrefix+"placement", 1,
 			`{"holder":"control-1","address":"10.0.0.1:7000","fence":7,`+
 				`"reserved":{"loads":3,"aged":[{"loads":1,"ageMs":250}]},"settling":true}`)
-		put(t, acceptor, ZonePrefix+"north", 2, `{"number":4,"drained":true}`)
-		put(t, acceptor, RetentionKey, 3, `{"number":2,"lifeMs":90000}`)
-		put(t, acceptor, PurgeKey, 4, `{"number":5,"items":[{"number":5,"scope":{"model":"m"},"edges":["edge-1"],"counted":true}]}`)
-		put(t, acceptor, DrillKey, 5, `{"number":1}`)
+		propose(t, acceptor, ZonePrefix+"north", 2, `{"number":4,"drained":true}`)
+		propose(t, acceptor, RetentionKey, 3, `{"number":2,"lifeMs":90000}`)
+		propose(t, acceptor, PurgeKey, 4, `{"number":5,"items":[{"number":5,"scope":{"model":"m"},"edges":["edge-1"],"counted":true}]}`)
+		propose(t, acceptor, DrillKey, 5, `{"number":1}`)
 		caughtUp, err := acceptor.Call(t.Context(), Message{
 			Operation:       OperationCatchUp,
 			Sender:          "10.0.2.1:7000",
@@ -113,15 +113,15 @@
 			Next:    []string{pinnedAddress, "10.0.1.1:7000", "10.0.3.1:7000"},
 		}
 		assert.NilError(t, acceptor.AdoptMembership(t.Context(), joint))
-		put(t, acceptor, MembershipKey, 6, `{"number":3,"present":["10.0.0.1:7000","10.0.1.1:7000","10.0.3.1:7000"]}`)
+		propose(t, acceptor, MembershipKey, 6, `{"number":3,"present":["10.0.0.1:7000","10.0.1.1:7000","10.0.3.1:7000"]}`)
 		for revision := uint64(1); revision <= pinnedRevision; revision++ {
-			put(t, acceptor, ConfigurationKey, 10+revision, fmt.Sprintf(`{"revision":%d,"packed":"%s","taken":{"entries":"AAECAwQFBgcI"}}`,
-				revision, strings.Repeat("cGFja2Vk", 20)))
+			propose(t, acceptor, ConfigurationKey, 10+revision,
+				fmt.Sprintf(`{"revision":%d,"packed":"%s","taken":{"entries":"AAECAwQFBgcI"}}`, revision, strings.Repeat("cGFja2Vk", 20)))
 		}
 	})
 }
 
-// writeDamaged writes a data directory whose log lost a segment, and was given up at the next start.
+// writeDamaged writes a data directory whose log lost a segment, and was found damaged at the next start.
 func writeDamaged(t *testing.T, path string) {
 	t.Helper()
 	assert.NilError(t, openPinned(t, path).Append(BootstrapRegisters(pinnedMembership, 11)))
@@ -130,7 +130,8 @@
 	assert.Equal(t, openPinned(t, path).Damage().Reason, DamageFileMissing)
 }
 
-// makeFixture writes a fixture that is to be updated and isn't there: delete the directory to have it written anew.
+// makeFixture writes a fixture if the pinned files are being updated and its directory is missing: delete the directory
+// to have it written again.
 func makeFixture(t *testing.T, path string, write func(t *testing.T, path string)) {
 	t.Helper()
 	if _, err := os.Stat(path); pinned.Updating() && os.IsNotExist(err) {
@@ -145,11 +146,11 @@
 	return copied
 }
 
-// unsalted returns the records of a segment with the random half of each one's index set to zero, and its checksum to
-// fit: two writings of the same records then are the same bytes. What follows the records, the remains of an earlier
-// generation or zeros, is left out; a file that begins with no record is returned as it is. The function knows the file
-// format by itself, so that a change of it in the code is seen.
-func unsalted(t *testing.T, content []byte) []byte {
+// withoutSalt returns the records of a segment with the random half of each record's index set to zero and the checksum
+// adjusted, so that writing the same records twice yields the same bytes. Everything after the records, which is the
+// remains of an earlier generation or zeros, is omitted. A file that doesn't start with a record is returned unchanged.
+// The function implements the file format independently, so that changes of the format in the code are detected.
+func withoutSalt(t *testing.T, content []byte) []byte {
 	t.Helper()
 	result := append([]byte(nil), content...)
 	used := 0
@@ -177,7 +178,7 @@
 	t.Run("its state", func(t *testing.T) {
 		log := openPinned(t, copyOf(t, pinnedDirectory))
 		assert.Assert(t, log.Damage() == nil)
-		assert.Assert(t, log.Generation() > SegmentCount, "the fixture must have written over each file")
+		assert.Assert(t, log.Generation() > SegmentCount, "the fixture must have overwritten each file")
 		pinned.CheckJSON(t, pinnedRegisters, log.State())
 	})
 	t.Run("its inspection", func(t *testing.T) {
@@ -219,7 +220,7 @@
 		late.Proposal = pinnedProposal(10 + pinnedRevision)
 		again, err := acceptor.Call(t.Context(), late)
 		assert.NilError(t, err)
-		assert.Assert(t, again.Granted, "the owner's own number, whose message comes again")
+		assert.Assert(t, again.Granted, "the prepare message of the present owner is received again")
 		assert.Equal(t, again.Register.Promised, late.Proposal)
 		assert.DeepEqual(t, again.Register.Value, before[ConfigurationKey].Value)
 		wiped := Message{
@@ -233,8 +234,8 @@
 		rejected, err = acceptor.Call(t.Context(), wiped)
 		assert.NilError(t, err)
 		assert.Equal(t, rejected.Rejection, RejectedDiskLost)
-		put(t, acceptor, ConfigurationKey, 100, `{"revision":31}`)
-		put(t, acceptor, ZonePrefix+"south", 101, `{"number":1,"drained":false}`)
+		propose(t, acceptor, ConfigurationKey, 100, `{"revision":31}`)
+		propose(t, acceptor, ZonePrefix+"south", 101, `{"number":1,"drained":false}`)
 	})
 	again := openPinned(t, path)
 	assert.Assert(t, again.Damage() == nil)
@@ -265,7 +266,7 @@
 				assert.NilError(t, err)
 				present, err := os.ReadFile(filepath.Join(path, name))
 				assert.NilError(t, err)
-				assert.Assert(t, string(unsalted(t, earlier)) == string(unsalted(t, present)), "%s:\n%q\n%q", name, earlier, present)
+				assert.Assert(t, string(withoutSalt(t, earlier)) == string(withoutSalt(t, present)), "%s:\n%q\n%q", name, earlier, present)
 			}
 		})
 	}
--- a/internal/keystore/round_test.go
+++ b/internal/keystore/round_test.go
@@ -17,15 +17,15 @@
 
 var errMessageLost = errors.New("lost")
 
-// lossyTransport loses the first messages to each member, and has the others granted.
+// lossyTransport loses the first messages to each member, and grants all others.
 type lossyTransport struct {
 	lock sync.Mutex
-	// lost is how many messages to each member are lost.
+	// lost is the number of messages that are lost to each member.
 	lost int
 	sent map[string]int
 }
 
-// Send answers as a member that has promised nothing to others.
+// Send replies like a member that has promised nothing to other proposers.
 func (l *lossyTransport) Send(ctx context.Context, address string, message keystore.Message) (keystore.Reply, error) {
 	l.lock.Lock()
 	l.sent[address]++
@@ -46,7 +46,7 @@
 
 func changeToOne(keystore.Register) (json.RawMessage, error) { return json.RawMessage(`1`), nil }
 
-func TestStore_LostMessageIsSentAgain(t *testing.T) {
+func TestStore_LostMessageIsResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, transport := newLossyStore(1)
 		began := time.Now()
@@ -55,7 +55,7 @@
 		assert.Assert(t, time.Since(began) < 300*time.Millisecond, "took %s", time.Since(began))
 		time.Sleep(5 * time.Second)
 		for address, sent := range transport.sent {
-			assert.Assert(t, sent <= 4, "%s got %d messages for three rounds and a loss", address, sent)
+			assert.Assert(t, sent <= 4, "%s received %d messages in three rounds with one loss", address, sent)
 		}
 	})
 }
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestStore_MessageIsSentSeldomToSilentMembers(t *testing.T) {
+func TestStore_ResendsToSilentMembersAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, transport := newLossyStore(1000)
 		ctx, cancel := context.WithTimeout(t.Context(), 800*time.Millisecond)
@@ -88,12 +88,12 @@
 		assert.Assert(t, errors.Is(err, keystore.ErrNoMajority), "%v", err)
 		time.Sleep(5 * time.Second)
 		for address, sent := range transport.sent {
-			assert.Assert(t, sent <= 6, "%s got %d messages of two rounds", address, sent)
+			assert.Assert(t, sent <= 6, "%s received %d messages in two rounds", address, sent)
 		}
 	})
 }
 
-// unreachableTransport has members that cannot be reached, which takes a while to show, beside one that rejects.
+// unreachableTransport grants the messages to a, and fails those to other members after connectTimeout.
 type unreachableTransport struct{ connectTimeout time.Duration }
 
 func (u unreachableTransport) Send(_ context.Context, address string, message keystore.Message) (keystore.Reply, error) {
@@ -104,7 +104,7 @@
 	return keystore.Reply{Granted: true, DiskIncarnation: 1, Membership: message.Membership}, nil
 }
 
-func TestStore_MemberThatCannotBeReachedEndsTheRoundAtItsFirstFailure(t *testing.T) {
+func TestStore_UnreachableMemberEndsRoundAtFirstFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		membership := keystore.Membership{Version: 1, Current: []string{"a", "b", "c"}}
 		store := keystore.NewStore("a", 7, unreachableTransport{connectTimeout: 500 * time.Millisecond}, membership)
--- a/internal/keystore/schedule_test.go
+++ b/internal/keystore/schedule_test.go
@@ -17,33 +17,33 @@
 )
 
 var (
-	errNeverVoted = errors.New("a member never voted again")
-	errNoMajority = errors.New("no majority after all came back")
+	errNeverVoted = errors.New("a member did not get its vote back in time")
+	errNoMajority = errors.New("no majority although all members are up")
 )
 
 const (
-	// voteTimeout is how long the members may take to vote again after a fault.
+	// voteTimeout limits the time until all members vote again after a fault.
 	voteTimeout = time.Minute
-	// shutDownTime lets everything that still sleeps come to its end in fake time.
+	// shutDownTime is the fake time in which all sleeping goroutines end.
 	shutDownTime = time.Minute
 )
 
-// forEachSeed plays the schedule of each seed in fake time.
-func forEachSeed(t *testing.T, amount int, play func(seed uint64) error) {
+// forEachSeed runs the schedule of each seed in fake time.
+func forEachSeed(t *testing.T, amount int, run func(seed uint64) error) {
 	t.Helper()
 	from, to := keystoresim.SeedRange(amount)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			assert.NilError(t, play(uint64(seed)), "%s=%d replays this schedule", keystoresim.SeedVariable, seed)
+			assert.NilError(t, run(uint64(seed)), "%s=%d replays this schedule", keystoresim.SeedVariable, seed)
 		})
 	}
 }
 
-// findFailure returns the first of the seeds below limit whose schedule fails, and how; 0 if none does.
-func findFailure(t *testing.T, limit int, play func(seed uint64) error) (seed int, failure error) {
+// findFailure returns the first seed below limit whose schedule fails, with its error, or 0 if none does.
+func findFailure(t *testing.T, limit int, run func(seed uint64) error) (seed int, failure error) {
 	t.Helper()
 	for seed = 1; seed < limit; seed++ {
-		synctest.Test(t, func(*testing.T) { failure = play(uint64(seed)) })
+		synctest.Test(t, func(*testing.T) { failure = run(uint64(seed)) })
 		if failure != nil {
 			return seed, failure
 		}
@@ -64,7 +64,7 @@
 	time.Sleep(shutDownTime)
 }
 
-// readAfterPowerLoss takes the power from all machines at once and reads what is left of a key.
+// readAfterPowerLoss cuts the power of all machines at once, restarts them and reads a key.
 func readAfterPowerLoss(cluster *keystoresim.Cluster, key string, random *rand.Rand) (document, error) {
 	cluster.Lossy = false
 	for _, name := range cluster.MemberNames() {
@@ -77,7 +77,7 @@
 	return readBack(cluster, cluster.MemberNames()[0], key)
 }
 
-// readBack reads a key at a machine once a majority is there.
+// readBack reads a key at a machine, with retries until a majority is up.
 func readBack(cluster *keystoresim.Cluster, name, key string) (document, error) {
 	for range 20 {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -91,8 +91,8 @@
 	return document{}, errNoMajority
 }
 
-// strikeMachine strikes a machine with a fault of its own.
-func strikeMachine(cluster *keystoresim.Cluster, name string, random *rand.Rand, maxDuration time.Duration) {
+// injectMachineFault injects a random fault of a single machine.
+func injectMachineFault(cluster *keystoresim.Cluster, name string, random *rand.Rand, maxDuration time.Duration) {
 	fault := keystoresim.MachineFaults[random.IntN(len(keystoresim.MachineFaults))]
 	duration := time.Duration(random.IntN(int(maxDuration/time.Millisecond))+20) * time.Millisecond
 	fault(cluster, name, random, duration)
@@ -110,8 +110,8 @@
 	return &clients
 }
 
-// playMachineFaults strikes one machine after the other while clients read and change a key.
-func playMachineFaults(seed uint64, size int, votesWithoutCatchUp bool) error {
+// runMachineFaults injects faults into one machine after the other while clients read and change a key.
+func runMachineFaults(seed uint64, size int, votesWithoutCatchUp bool) error {
 	cluster := keystoresim.New(seed, size)
 	random := rand.New(rand.NewPCG(seed, 7))
 	cluster.Lossy = seed%2 == 0
@@ -123,7 +123,7 @@
 	clients := startClients(cluster, seed, 100, 3, until, recorded)
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(random.IntN(700)+50) * time.Millisecond)
-		strikeMachine(cluster, cluster.Names[random.IntN(size)], random, 1500*time.Millisecond)
+		injectMachineFault(cluster, cluster.Names[random.IntN(size)], random, 1500*time.Millisecond)
 		if !cluster.WaitUntilAllVote(voteTimeout) {
 			return errNeverVoted
 		}
@@ -136,8 +136,8 @@
 	return recorded.check(final)
 }
 
-// playReplacements replaces members, by drivers that stop midway, and strikes others meanwhile.
-func playReplacements(seed uint64) error {
+// runReplacements replaces members, with interrupted drivers, and injects faults into other members meanwhile.
+func runReplacements(seed uint64) error {
 	cluster := keystoresim.New(seed, 3)
 	random := rand.New(rand.NewPCG(seed, 17))
 	bootstrap(cluster)
@@ -152,7 +152,7 @@
 		if random.IntN(2) == 0 {
 			failure = cluster.Replace(name, fmt.Sprintf("newcomer-%d", turn), random)
 		} else {
-			strikeMachine(cluster, name, random, 800*time.Millisecond)
+			injectMachineFault(cluster, name, random, 800*time.Millisecond)
 		}
 		if failure == nil && !cluster.WaitUntilAllVote(voteTimeout) {
 			failure = errNeverVoted
@@ -171,22 +171,22 @@
 
 var zoneSizes = [][]int{{2, 2, 1}, {2, 1, 1, 1}, {1, 2, 1, 1}}
 
-// scheduledKeys are those that operators change in a zoneSchedule.
+// scheduledKeys are the keys that operators change in a zoneSchedule.
 var scheduledKeys = []string{keystore.ConfigurationKey, keystore.ZonePrefix + "a"}
 
-// zoneSchedule plays five members in zones, whose faults coincide, while operators change two keys and every member follows
-// one of them.
+// zoneSchedule simulates five members in zones with coinciding faults, while operators change two keys and every member
+// follows one of them.
 type zoneSchedule struct {
 	seed uint64
-	// faults strike at about the same time.
+	// faults are injected at about the same time.
 	faults          []keystoresim.Fault
 	replacesMembers bool
 	retransmits     bool
-	// breakCluster plants a broken variant, and may be nil.
+	// breakCluster makes the cluster a broken variant. It may be nil.
 	breakCluster func(cluster *keystoresim.Cluster)
 }
 
-// run plays the schedule. The reports are by key; with an error they hold what was seen until then.
+// run runs the schedule. It returns the reports by key; with an error they contain what was observed until then.
 func (s zoneSchedule) run() (map[string]*report, error) {
 	cluster := keystoresim.New(s.seed, 5)
 	random := rand.New(rand.NewPCG(s.seed, 23))
@@ -201,7 +201,7 @@
 	for _, key := range scheduledKeys {
 		reports[key] = newReport()
 	}
-	if err := s.playFaults(cluster, random, reports); err != nil {
+	if err := s.runFaults(cluster, random, reports); err != nil {
 		return reports, err
 	}
 	for key, seen := range reports {
@@ -216,10 +216,10 @@
 	return reports, nil
 }
 
-// playFaults returns the first failure once everybody is done.
-func (s zoneSchedule) playFaults(cluster *keystoresim.Cluster, random *rand.Rand, reports map[string]*report) error {
+// runFaults returns the first failure once all goroutines have ended.
+func (s zoneSchedule) runFaults(cluster *keystoresim.Cluster, random *rand.Rand, reports map[string]*report) error {
 	until := time.Now().Add(12 * time.Second)
-	var working sync.WaitGroup
+	var workers sync.WaitGroup
 	failures := make(chan error, 16)
 	for position, key := range scheduledKeys {
 		for number := range 2 {
@@ -231,21 +231,21 @@
 				until:   until,
 				report:  reports[key],
 			}
-			working.Go(caller.run)
+			workers.Go(caller.run)
 		}
 	}
 	for position, name := range cluster.MemberNames() {
 		interval := 353*time.Millisecond + time.Duration(position*997)
-		working.Go(func() {
+		workers.Go(func() {
 			failures <- followKey(cluster, name, keystore.ConfigurationKey, interval, until)
 		})
 	}
 	var failure error
 	for turn := 0; time.Now().Before(until) && failure == nil; turn++ {
-		failure = s.strike(cluster, random, turn)
+		failure = s.injectFaults(cluster, random, turn)
 	}
 	failures <- failure
-	working.Wait()
+	workers.Wait()
 	close(failures)
 	for failure := range failures {
 		if failure != nil {
@@ -255,8 +255,8 @@
 	return nil
 }
 
-// strike has the faults strike, and waits until all members vote again.
-func (s zoneSchedule) strike(cluster *keystoresim.Cluster, random *rand.Rand, turn int) error {
+// injectFaults injects the faults, and waits until all members vote again.
+func (s zoneSchedule) injectFaults(cluster *keystoresim.Cluster, random *rand.Rand, turn int) error {
 	time.Sleep(time.Duration(random.Int64N(int64(700*time.Millisecond))) + 50*time.Millisecond)
 	var together sync.WaitGroup
 	for _, fault := range s.faults {
--- a/internal/keystore/segments.go
+++ b/internal/keystore/segments.go
@@ -10,25 +10,26 @@
 //
 // The rules by which they are written determine what they can contain:
 //
-// 1. All segments are created and synced, then their directory, and only then is the ready marker written to each. So a
-// missing file beside one that isn't blank was lost, and while all existing files are blank nothing was ever promised.
-// 2. All ready markers are synced before generation 1 is started. So a blank segment beside a generation was lost and
-// created again. 3. Generation g is written to segment g modulo the number of segments, and started only once g-1 is
-// complete and synced. A failed attempt is repeated with the same number in the same segment. So with n segments and
-// the newest complete generation N, generations N-1 down to N-n+2 are complete, and only the segment of N+1 can have
-// any other content: generation N+1-n (or, if there never was one, the ready marker) or the remains of attempts to
-// write N+1. No generation above N+1 can have been started. 4. State read at a start is synced before it is used, so it
-// can't be lost later. 5. When damage is found, a damage marker with a new base is synced over the start of one
-// segment. A complete generation with that base ends the damage. Generations below the base are void, and rule 3
-// doesn't require them. Damage markers and ready markers start with bytes of their own, so even a torn one differs from
-// a torn generation. The base is above any generation that was found or can have been lost, and it isn't written to the
-// marked segment.
+//  1. All segments are created and synced, then their directory, and only then is the ready marker written to each. So a
+//     missing file beside one that isn't blank was lost, and while all existing files are blank nothing was ever promised.
+//  2. All ready markers are synced before generation 1 is started. So a blank segment beside a generation was lost and
+//     created again.
+//  3. Generation g is written to segment g modulo the number of segments, and started only once g-1 is complete and
+//     synced. A failed attempt is repeated with the same number in the same segment. So with n segments and the newest
+//     complete generation N, generations N-1 down to N-n+2 are complete, and only the segment of N+1 can have any other
+//     content: generation N+1-n (or, if there never was one, the ready marker) or the remains of attempts to write N+1. No
+//     generation above N+1 can have been started.
+//  4. State read at a start is synced before it is used, so it can't be lost later.
+//  5. When damage is found, a damage marker with a new base is synced over the start of one segment. A complete generation
+//     with that base ends the damage. Generations below the base are void, and rule 3 doesn't require them. Damage markers
+//     and ready markers start with bytes of their own, so even a torn one differs from a torn generation. The base is above
+//     any generation that was found or can have been lost, and it isn't written to the marked segment.
 //
-// Each attempt to write a generation draws a salt that is part of the index of each of its records. So the remains of
-// one attempt are never taken for the continuation of another.
+// Each attempt to write a generation draws a salt that is part of the index of each of its records. So the remains of one
+// attempt are never taken for the continuation of another.
 //
-// It isn't detected if the content of an existing, synced file reverts to an older state. Disks are assumed to keep
-// what they have synced.
+// It isn't detected if the content of an existing, synced file reverts to an older state. Disks are assumed to keep what
+// they have synced.
 type segments []segment
 
 // directoryReader is the read-only part of a Directory.
--- a/internal/keystore/store_test.go
+++ b/internal/keystore/store_test.go
@@ -15,17 +15,17 @@
 func TestStore_KeepsAcknowledgedWritesUnderFaults(t *testing.T) {
 	forEachSeed(t, 1200, func(seed uint64) error {
 		size := 3 + 2*(int(seed)%4/3)
-		return playMachineFaults(seed, size, false)
+		return runMachineFaults(seed, size, false)
 	})
 }
 
 func TestStore_WipedMemberVotingAtOnceIsCaught(t *testing.T) {
-	caught, _ := findFailure(t, 400, func(seed uint64) error { return playMachineFaults(seed, 3, true) })
-	assert.Assert(t, caught > 0, "no schedule shows the loss that a wiped voter causes")
+	caught, _ := findFailure(t, 400, func(seed uint64) error { return runMachineFaults(seed, 3, true) })
+	assert.Assert(t, caught > 0, "no schedule shows the loss caused by a wiped member that votes at once")
 }
 
 func TestStore_KeepsAcknowledgedWritesWhileMembersReplaced(t *testing.T) {
-	forEachSeed(t, 250, playReplacements)
+	forEachSeed(t, 250, runReplacements)
 }
 
 func TestStore_FiveMembersKeepAcknowledgedWritesUnderCombinedFaults(t *testing.T) {
@@ -77,18 +77,18 @@
 		}
 		return nil
 	})
-	assert.Assert(t, slowest < latencyLimit, "%s=%d waits %s", keystoresim.SeedVariable, slowestSeed, slowest)
+	assert.Assert(t, slowest < latencyLimit, "%s=%d has a call answered after %s", keystoresim.SeedVariable, slowestSeed, slowest)
 	slices.Sort(latencies)
 	quantile := func(share float64) time.Duration { return latencies[int(share*float64(len(latencies)-1))] }
-	t.Logf("%d calls, %d changes, owner moved %d times; answered after %s (half), %s (99%%), %s (longest, seed %d)",
+	t.Logf("%d calls, %d changes, %d owner changes; latency %s (median), %s (99%%), %s (maximum, seed %d)",
 		len(latencies), changes, ownerChanges, quantile(0.5), quantile(0.99), quantile(1), slowestSeed)
 }
 
 func TestStore_BrokenVariantsAreCaught(t *testing.T) {
 	variants := map[string]func(cluster *keystoresim.Cluster){
 		"a wiped member that votes at once":           func(cluster *keystoresim.Cluster) { cluster.VotesWithoutCatchUp = true },
-		"a member that answers before its disk syncs": func(cluster *keystoresim.Cluster) { cluster.SkipsSync = true },
-		"silence counted as agreement":                func(cluster *keystoresim.Cluster) { cluster.CountsSilenceAsGrant = true },
+		"a member that replies before its disk syncs": func(cluster *keystoresim.Cluster) { cluster.SkipsSync = true },
+		"a missing reply counted as agreement":        func(cluster *keystoresim.Cluster) { cluster.CountsSilenceAsGrant = true },
 	}
 	faults := []keystoresim.Fault{
 		keystoresim.OneOf(keystoresim.WipeTwoDisks, keystoresim.LoseZone),
@@ -100,7 +100,7 @@
 				_, err := zoneSchedule{seed: seed, breakCluster: breakCluster, faults: faults}.run()
 				return err
 			})
-			assert.Assert(t, seed > 0, "no schedule shows what is wrong")
+			assert.Assert(t, seed > 0, "no schedule detects this variant")
 			t.Log(seed, failure)
 		})
 	}
@@ -120,6 +120,6 @@
 				histories[turn] = reports[keystore.ConfigurationKey].String()
 			})
 		}
-		assert.Assert(t, histories[0] == histories[1], "%s=%d plays in two ways", keystoresim.SeedVariable, seed)
+		assert.Assert(t, histories[0] == histories[1], "%s=%d is not reproducible", keystoresim.SeedVariable, seed)
 	}
 }
--- a/internal/keystore/wal_bench_test.go
+++ b/internal/keystore/wal_bench_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// countingDirectory counts what a WAL writes, and keeps nothing.
+// countingDirectory counts the bytes and syncs of a WAL, and stores nothing.
 type countingDirectory struct{ bytes, syncs int }
 
 func (c *countingDirectory) List() ([]string, error)     { return nil, nil }
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// The length of a packed configuration.
+// The length of a packed configuration is packedBaseBytes and packedBytesPerModel for each model.
 const (
 	packedBytesPerModel = 5
 	packedBaseBytes     = 600
--- a/internal/keystore/wal_faults_test.go
+++ b/internal/keystore/wal_faults_test.go
@@ -22,32 +22,33 @@
 
 var diskKeys = []string{"a", "b", "c", "d"}
 
-// wrapFunc returns the directory that a log is opened on; a broken variant puts its fault between.
+// wrapFunc wraps the directory that a log is opened on. A broken variant injects its fault there.
 type wrapFunc func(directory keystore.Directory) keystore.Directory
 
 func unwrapped(directory keystore.Directory) keystore.Directory { return directory }
 
-// diskRun plays one log over a disk and keeps what was acknowledged.
+// diskRun simulates one log on a disk and records what was acknowledged.
 type diskRun struct {
-	disk    *keystoresim.Disk
-	random  *rand.Rand
-	wrap    wrapFunc
-	variant func(handle *keystoresim.Handle)
-	folder  *faultyDirectory
-	journal *keystore.WAL
-	// acked is the newest sequence of each key that was acknowledged or given as good at a start.
+	disk      *keystoresim.Disk
+	random    *rand.Rand
+	wrap      wrapFunc
+	variant   func(handle *keystoresim.Handle)
+	directory *faultyDirectory
+	log       *keystore.WAL
+	// acked is the newest sequence of each key that was acknowledged, or read at an undamaged start.
 	acked map[string]uint64
-	// sequence is the newest that was ever tried; those up to discardedUpTo belong to a state that was given up.
+	// sequence is the newest that an append was attempted with. Those up to discardedUpTo belong to a state that was
+	// discarded.
 	sequence, discardedUpTo uint64
-	// removedSinceStart: a file was removed since the last start.
+	// removedSinceStart is whether a file was removed since the last start.
 	removedSinceStart bool
-	// reportedDamage: damage was reported, and no append acknowledged since.
+	// reportedDamage is whether damage was reported, and no append acknowledged since.
 	reportedDamage bool
-	// triedAppend: an append was tried since damage was reported.
+	// triedAppend is whether an append was attempted since damage was reported.
 	triedAppend bool
-	// removed are the names removed since the log was last opened: never all, which would be a wiped disk.
-	removed map[string]bool
-	damages int
+	// removed holds the names removed since the log was last opened: never all of them, which would be a wiped disk.
+	removed     map[string]bool
+	damageCount int
 }
 
 func newDiskRun(seed uint64, wrap wrapFunc) *diskRun {
@@ -63,13 +64,13 @@
 
 func (r *diskRun) run() error {
 	for range diskSteps {
-		if r.journal == nil {
+		if r.log == nil {
 			if err := r.open(); err != nil {
 				return err
 			}
 			continue
 		}
-		if r.folder.dead || r.random.IntN(8) == 0 {
+		if r.directory.dead || r.random.IntN(8) == 0 {
 			r.stop()
 			continue
 		}
@@ -80,26 +81,26 @@
 	return nil
 }
 
-// open opens the log once; a rejection leaves it closed.
+// open opens the log once. It remains closed if that is rejected.
 func (r *diskRun) open() error {
 	handle := r.disk.Attach()
 	r.variant(handle)
-	r.folder = newFaultyDirectory(handle, r.random)
-	log, err := keystore.OpenWAL(r.wrap(r.folder), keystore.SegmentCount, smallSegment)
+	r.directory = newFaultyDirectory(handle, r.random)
+	log, err := keystore.OpenWAL(r.wrap(r.directory), keystore.SegmentCount, smallSegment)
 	if err != nil {
 		r.stop()
 		return nil
 	}
-	r.journal = log
+	r.log = log
 	r.removed = map[string]bool{}
 	if log.Damage() != nil {
 		return r.checkDamage()
 	}
 	if r.removedSinceStart && len(r.acked) > 0 {
-		return fmt.Errorf("a segment of a log in use was removed and no damage reported")
+		return fmt.Errorf("a segment of a log in use was removed without damage reported")
 	}
 	if r.reportedDamage && !r.triedAppend {
-		return fmt.Errorf("a log that was given up came back without a write")
+		return fmt.Errorf("a damaged log was accepted again without a write")
 	}
 	state := log.State()
 	if err := r.checkState(state); err != nil {
@@ -113,14 +114,14 @@
 }
 
 func (r *diskRun) checkDamage() error {
-	damage := r.journal.Damage()
+	damage := r.log.Damage()
 	if !r.removedSinceStart && !r.reportedDamage {
-		return fmt.Errorf("nothing was removed, and yet: %s", damage)
+		return fmt.Errorf("damage reported although no segment was removed: %s", damage)
 	}
-	if len(r.journal.State()) > 0 {
-		return fmt.Errorf("state of a damaged log is given out: %s", damage)
+	if len(r.log.State()) > 0 {
+		return fmt.Errorf("state of a damaged log is returned: %s", damage)
 	}
-	r.damages++
+	r.damageCount++
 	r.acked, r.discardedUpTo = map[string]uint64{}, r.sequence
 	r.removedSinceStart, r.reportedDamage, r.triedAppend = false, true, false
 	return nil
@@ -129,12 +130,12 @@
 func (r *diskRun) checkState(state map[string]keystore.Register) error {
 	for key, acked := range r.acked {
 		if state[key].Sequence < acked {
-			return fmt.Errorf("%s is at %d, acknowledged was %d", key, state[key].Sequence, acked)
+			return fmt.Errorf("%s is at sequence %d, acknowledged was %d", key, state[key].Sequence, acked)
 		}
 	}
 	for key, register := range state {
 		if register.Sequence <= r.discardedUpTo {
-			return fmt.Errorf("%s at %d comes from a state that was given up at %d", key, register.Sequence, r.discardedUpTo)
+			return fmt.Errorf("%s at sequence %d comes from a state that was discarded at %d", key, register.Sequence, r.discardedUpTo)
 		}
 	}
 	return nil
@@ -151,10 +152,10 @@
 			Value:    value,
 		})
 	}
-	before := r.journal.State()
+	before := r.log.State()
 	r.triedAppend = true
-	if r.journal.Append(registers) != nil {
-		for key, register := range r.journal.State() {
+	if r.log.Append(registers) != nil {
+		for key, register := range r.log.State() {
 			if before[key].Sequence != register.Sequence {
 				return fmt.Errorf("a rejected append changed the log's state")
 			}
@@ -168,17 +169,17 @@
 	return nil
 }
 
-// stop kills the process; at times the power goes too, and at times somebody then takes a file or two away.
+// stop kills the process. Sometimes the power fails as well, and sometimes one or two files are then removed.
 func (r *diskRun) stop() {
-	r.journal = nil
-	r.folder.handle.Kill()
+	r.log = nil
+	r.directory.handle.Kill()
 	if r.random.IntN(2) == 0 {
 		r.disk.LosePower(r.random)
 	}
 	if r.random.IntN(10) > 0 {
 		return
 	}
-	names, _ := r.folder.handle.List()
+	names, _ := r.directory.handle.List()
 	for range 1 + r.random.IntN(2) {
 		if len(names) < 2 {
 			return
@@ -212,13 +213,13 @@
 	for seed := from; seed < to; seed++ {
 		run, failed := runDisk(t, uint64(seed), unwrapped, nil)
 		assert.NilError(t, failed, "FERRYSPAR_SEED=%d replays this schedule", seed)
-		damages += run.damages
+		damages += run.damageCount
 		appended += run.sequence
 	}
-	t.Logf("%d schedules, %d registers tried, %d logs found damaged", to-from, appended, damages)
+	t.Logf("%d schedules, %d register writes attempted, %d logs found damaged", to-from, appended, damages)
 }
 
-// findFailingSeed returns the first seed at which a broken variant breaks the rules, and how.
+// findFailingSeed returns the first seed at which a broken variant fails, with its error.
 func findFailingSeed(t *testing.T, wrap wrapFunc, variant func(handle *keystoresim.Handle)) (int, error) {
 	for seed := 1; seed < 1500; seed++ {
 		if _, failed := runDisk(t, uint64(seed), wrap, variant); failed != nil {
@@ -234,21 +235,21 @@
 		wrap    wrapFunc
 		variant func(handle *keystoresim.Handle)
 	}{
-		{"names never synced", unwrapped, func(handle *keystoresim.Handle) { handle.SkipsDirectorySync = true }},
-		{"missing file unnoticed", func(directory keystore.Directory) keystore.Directory {
+		{"directory never synced", unwrapped, func(handle *keystoresim.Handle) { handle.SkipsDirectorySync = true }},
+		{"missing file not detected", func(directory keystore.Directory) keystore.Directory {
 			return &hidesMissingSegments{directory}
 		}, nil},
-		{"failed rotation moves on through the ring", func(directory keystore.Directory) keystore.Directory {
+		{"failed rotation continues in the next segment", func(directory keystore.Directory) keystore.Directory {
 			return &skipsAheadOnFailure{Directory: directory}
 		}, nil},
-		{"state used before it is synced at a start", func(directory keystore.Directory) keystore.Directory {
+		{"state used before it is synced at startup", func(directory keystore.Directory) keystore.Directory {
 			return &skipsStartupSync{Directory: directory, written: map[string]bool{}}
 		}, nil},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			seed, failed := findFailingSeed(t, testCase.wrap, testCase.variant)
-			assert.Assert(t, failed != nil, "no schedule shows it")
+			assert.Assert(t, failed != nil, "no schedule detects this variant")
 			t.Logf("seed %d: %s", seed, failed)
 		})
 	}
--- a/internal/keystore/wal_test.go
+++ b/internal/keystore/wal_test.go
@@ -25,7 +25,7 @@
 	return log
 }
 
-// writeGenerations opens and appends once for each generation, and returns the path.
+// writeGenerations opens the log and appends to it once per generation, and returns the path.
 func writeGenerations(t *testing.T, generations int) string {
 	path := filepath.Join(t.TempDir(), "member")
 	for generation := range generations {
@@ -50,7 +50,7 @@
 			assert.Equal(t, log.Damage().Reason, keystore.DamageFileMissing, "generation %d, segment %d", generations, position)
 			assert.Equal(t, len(log.State()), 0)
 			unwritten := openWALAt(t, path, testSegmentBytes)
-			assert.Equal(t, unwritten.Damage().Reason, keystore.DamageStateDiscarded, "a start that wrote nothing mends nothing")
+			assert.Equal(t, unwritten.Damage().Reason, keystore.DamageStateDiscarded, "a start without a write repairs nothing")
 
 			log = openWALAt(t, path, testSegmentBytes)
 			assert.NilError(t, log.Append([]keystore.Register{{Key: "new", Sequence: 1}}))
@@ -62,7 +62,7 @@
 			assert.NilError(t, os.WriteFile(name, removed, 0o644))
 			back := openWALAt(t, path, testSegmentBytes)
 			_, old := back.State()["old"]
-			assert.Assert(t, !old, "life %d: the file that was taken brought old state back", generations)
+			assert.Assert(t, !old, "generation %d: putting the removed file back restored old state", generations)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// dyingDirectory returns a directory whose process dies in the middle of an operation.
+// dyingDirectory returns a directory whose process is killed in the middle of the given operation.
 func dyingDirectory(handle *keystoresim.Handle, random *rand.Rand, operation int) *faultyDirectory {
 	return &faultyDirectory{handle: handle, random: random, operationsLeft: operation}
 }
@@ -132,11 +132,11 @@
 		assert.NilError(t, err)
 		assert.Equal(t, information.Size(), int64(size))
 		allocated := information.Sys().(*syscall.Stat_t).Blocks * 512
-		assert.Assert(t, allocated >= reserved, "%d bytes are held", allocated)
+		assert.Assert(t, allocated >= reserved, "%d bytes are allocated", allocated)
 	}
 }
 
-// fullDisk rejects writes beyond what was reserved.
+// fullDisk rejects writes beyond the reserved bytes.
 type fullDisk struct {
 	keystore.Directory
 	reserved       int64
@@ -163,7 +163,7 @@
 			assert.NilError(t, log.Append(registers), "the next append has room")
 		}
 	}
-	assert.Assert(t, disk.rejectedWrites > 3, "%d refused", disk.rejectedWrites)
+	assert.Assert(t, disk.rejectedWrites > 3, "%d writes were rejected", disk.rejectedWrites)
 	again, err := keystore.OpenWAL(disk, keystore.SegmentCount, testSegmentBytes)
 	assert.NilError(t, err)
 	assert.Equal(t, again.State()["a"].Sequence, uint64(999))
