--- a/internal/keystore/acceptor.go
+++ b/internal/keystore/acceptor.go
@@ -12,7 +12,7 @@
 
 // AcceptorConfig is the configuration of an acceptor.
 type AcceptorConfig struct {
-	// LeaseDuration is how long a lease is granted, and other holders are rejected.
+	// LeaseDuration is how long a lease is granted. Other holders are rejected during this time.
 	LeaseDuration time.Duration
 	Clock         Clock
 	// Seeds are the initial members of the system according to the member's settings.
--- a/internal/keystore/replies.go
+++ b/internal/keystore/replies.go
@@ -34,10 +34,10 @@
 	return r.membership.HasQuorum(agreeing), r.membership.HasQuorum(undecided)
 }
 
-// countsPromise reports whether a reply is a promise that its member still keeps. A member that has lost its disk
-// catches up before it votes again, and reads enough members that every quorum has one which either knows of the loss,
-// or had promised before and was read by the member that catches up. Without this check a proposer could own a key on
-// the strength of a promise that the member has forgotten.
+// countsPromise reports whether a reply is a promise that its member still keeps. A member that has lost its disk reads
+// enough other members before it votes again that any quorum includes a member that knows of the loss, or one that had
+// already promised when it was read. Without this check a proposer could own a key on the strength of a promise that
+// the member has forgotten.
 func (r *replySet) countsPromise(address string, reply Reply) bool {
 	return reply.Granted && !r.predatesDiskLoss(address)
 }
--- a/internal/keystore/round.go
+++ b/internal/keystore/round.go
@@ -56,7 +56,7 @@
 	return s.queryQuorumWith(ctx, message, func(*replySet) VoteFunc { return agrees })
 }
 
-// queryQuorumWith is queryQuorum where a reply is evaluated in the light of the others of its round.
+// queryQuorumWith is queryQuorum where the vote of a reply may depend on the other replies of the round.
 func (s *Store) queryQuorumWith(
 	ctx context.Context, message Message, agrees func(replies *replySet) VoteFunc,
 ) (*round, bool) {
