--- a/internal/controlplane/demand/usage.go
+++ b/internal/controlplane/demand/usage.go
@@ -47,7 +47,7 @@
 		return
 	}
 	if timeOfDay, known := u.TimeOfDay(now); known {
-		u.Ledger.Forget(u.Windows.At(timeOfDay.Add(-u.Retention)))
+		u.Ledger.DropBefore(u.Windows.At(timeOfDay.Add(-u.Retention)))
 	}
 }
 
--- a/internal/controlplane/usagereport/reporter.go
+++ b/internal/controlplane/usagereport/reporter.go
@@ -49,7 +49,7 @@
 type Reporter struct {
 	config Config
 	// record is the stored record as far as it is known under the present grant; isRead says that it is.
-	record usage.Record
+	record usage.ReportState
 	isRead bool
 	// accepted are the windows among those pending whose report the platform has taken.
 	accepted map[uint64]bool
@@ -101,7 +101,7 @@
 		return
 	}
 	register, err := r.config.Store.Change(ctx, keystore.UsageKey, func(current keystore.Register) (json.RawMessage, error) {
-		stored, err := usage.DecodeRecord(current.Value)
+		stored, err := usage.DecodeReportState(current.Value)
 		if err != nil {
 			return nil, err
 		}
@@ -130,7 +130,7 @@
 }
 
 func (r *Reporter) adopt(register keystore.Register) {
-	record, err := usage.DecodeRecord(register.Value)
+	record, err := usage.DecodeReportState(register.Value)
 	if err != nil {
 		logrus.WithError(err).Error("stored usage cannot be read")
 		r.isRead = false
@@ -142,7 +142,7 @@
 		pending[report.Window] = true
 	}
 	maps.DeleteFunc(r.accepted, func(window uint64, _ bool) bool { return !pending[window] })
-	r.config.Ledger.Forget(record.ClosedUpTo + 1)
+	r.config.Ledger.DropBefore(record.ClosedUpTo + 1)
 	r.publishStatus()
 }
 
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -41,7 +41,7 @@
 		ready = 1
 	}
 	gauge(isReady, ready)
-	for reason, count := range c.node.proxy.Rejections.Counts() {
+	for reason, count := range c.node.proxy.Rejections.Snapshot() {
 		metrics <- prometheus.MustNewConstMetric(rejectionsTotal, prometheus.CounterValue, float64(count), reason)
 	}
 	for backend, outcomes := range c.node.proxy.Attempts.ByBackend() {
--- a/internal/dataplane/quotaadmission.go
+++ b/internal/dataplane/quotaadmission.go
@@ -94,10 +94,10 @@
 	if !found {
 		return nil
 	}
-	hold := q.borrower.Hold(tenant, home, now)
+	hold := q.borrower.MaxHold(tenant, home, now)
 	request := quota.BorrowRequest{
 		Tenant: tenant,
-		Want:   q.borrower.TokensToRequest(tenant, q.waiting[tenant], now),
+		Tokens: q.borrower.TokensToRequest(tenant, q.waiting[tenant], now),
 		HoldMs: hold.Milliseconds(),
 	}
 	if home == q.node {
--- a/internal/dataplane/quotaholding.go
+++ b/internal/dataplane/quotaholding.go
@@ -80,7 +80,7 @@
 			reply.HeldMs = now.Sub(receivedAt).Milliseconds()
 			return reply
 		}
-		wait := min(q.pool.NextToken(request.Tenant, heldCheckInterval, now), until.Sub(now))
+		wait := min(q.pool.TimeToNextToken(request.Tenant, heldCheckInterval, now), until.Sub(now))
 		q.lock.Unlock()
 		awaitTurn(ctx, held, max(wait, minHeldWait))
 		q.lock.Lock()
--- a/internal/dataplane/quotas_test.go
+++ b/internal/dataplane/quotas_test.go
@@ -37,7 +37,7 @@
 		LenderIncarnation: "a/1",
 		Sequence:          1,
 		Stamp:             quotas.pool.Lend(quota.LendRequest{}, time.Now()).Stamp,
-		Loans:             []quota.Loan{{Group: quotas.parameters.Group("bound"), Share: 0.5, HomeShards: 2}},
+		Loans:             []quota.Loan{{Group: quotas.parameters.Group("bound"), Share: 0.5, HomeShardCount: 2}},
 	}
 	quotas.pool.Lend(lend, time.Now())
 	return quotas
@@ -46,7 +46,7 @@
 func TestQuotas_HomeHoldsRequestsUntilThereAreTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		quotas := newHome()
-		for quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "bound", Want: 100}).Tokens > 0 {
+		for quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "bound", Tokens: 100}).Tokens > 0 {
 			continue
 		}
 		var order []int
@@ -55,7 +55,7 @@
 		startedAt := time.Now()
 		for number := range 4 {
 			asking.Go(func() {
-				reply := quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "bound", Want: 1, HoldMs: 500})
+				reply := quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "bound", Tokens: 1, HoldMs: 500})
 				assert.Equal(t, reply.Tokens, 1)
 				held := time.Duration(reply.HeldMs) * time.Millisecond
 				assert.Assert(t, time.Since(startedAt)-held < 20*time.Millisecond+time.Millisecond*time.Duration(number), "held %s", held)
@@ -76,12 +76,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		quotas := newHome()
 		startedAt := time.Now()
-		reply := quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "unknown", Want: 1, HoldMs: 200})
+		reply := quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "unknown", Tokens: 1, HoldMs: 200})
 		assert.Assert(t, reply.Unavailable)
 		assert.Equal(t, time.Since(startedAt), 200*time.Millisecond)
-		quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "unknown", Want: 1})
+		quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "unknown", Tokens: 1})
 		assert.Equal(t, time.Since(startedAt), 200*time.Millisecond, "nor at all if it was not allowed")
-		quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "unknown", Want: 1, HoldMs: 60000})
+		quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "unknown", Tokens: 1, HoldMs: 60000})
 		assert.Equal(t, time.Since(startedAt), 200*time.Millisecond+maxBorrowHold)
 	})
 }
--- a/internal/dataplane/status.go
+++ b/internal/dataplane/status.go
@@ -18,7 +18,7 @@
 	router := chi.NewRouter()
 	router.Get("/ferryspar/readyz", n.serveReadiness)
 	router.Get("/ferryspar/refusals", func(writer http.ResponseWriter, _ *http.Request) {
-		writeJSON(writer, n.proxy.Rejections.Counts())
+		writeJSON(writer, n.proxy.Rejections.Snapshot())
 	})
 	router.Get("/ferryspar/attempts", func(writer http.ResponseWriter, _ *http.Request) {
 		writeJSON(writer, n.proxy.Attempts.ByBackend())
@@ -72,7 +72,7 @@
 		logged = total
 		logrus.WithFields(logrus.Fields{
 			"attempts": n.proxy.Attempts.ByBackend(),
-			"rejected": n.proxy.Rejections.Counts(),
+			"rejected": n.proxy.Rejections.Snapshot(),
 		}).Info("attempts since start")
 	}
 }
--- a/internal/dataplane/usage.go
+++ b/internal/dataplane/usage.go
@@ -41,8 +41,8 @@
 // incarnationLength is the length of an incarnation's name: 12 characters have 60 random bits.
 const incarnationLength = 12
 
-// RequestBegan implements proxy.UsageCounter.
-func (u *usageCounter) RequestBegan(tenant string) {
+// RecordRequest implements proxy.UsageCounter.
+func (u *usageCounter) RecordRequest(tenant string) {
 	u.ledger.Add(u.incarnation, u.windows.At(u.timeOfDay.Now(u.clock())), tenant)
 }
 
@@ -52,7 +52,7 @@
 		return usage.Batch{}
 	}
 	if u.timeOfDay.IsSet() {
-		u.ledger.Forget(u.windows.At(u.timeOfDay.Now(u.clock()).Add(-u.retention)))
+		u.ledger.DropBefore(u.windows.At(u.timeOfDay.Now(u.clock()).Add(-u.retention)))
 	}
 	return u.delivery.Next(u.ledger)
 }
--- a/internal/proxy/authorization_test.go
+++ b/internal/proxy/authorization_test.go
@@ -92,7 +92,7 @@
 		})
 	}
 	assert.Equal(t, upstream.requestCount(), 0)
-	assert.DeepEqual(t, server.handler.Rejections.Counts(), map[string]uint64{"one known key is needed": uint64(len(cases))})
+	assert.DeepEqual(t, server.handler.Rejections.Snapshot(), map[string]uint64{"one known key is needed": uint64(len(cases))})
 }
 
 func TestHandler_PublicRouteTakesTenantOfKnownKey(t *testing.T) {
@@ -240,5 +240,5 @@
 	assert.Equal(t, server.send(t, post("/once/", "a", keyHeader(firstKey))).status, http.StatusOK)
 	assert.Equal(t, server.send(t, post("/open/", "a")).status, http.StatusOK)
 	assert.DeepEqual(t, quota.requested, []string{"two", "one"})
-	assert.DeepEqual(t, server.handler.Rejections.Counts(), map[string]uint64{"tenant is beyond its limit": 1})
+	assert.DeepEqual(t, server.handler.Rejections.Snapshot(), map[string]uint64{"tenant is beyond its limit": 1})
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -152,7 +152,7 @@
 		return
 	}
 	e.counted = true
-	e.handler.Usage.RequestBegan(tenant)
+	e.handler.Usage.RecordRequest(tenant)
 }
 
 // report reports to the matcher how the attempt goes.
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -36,15 +36,15 @@
 	// Usage, if set before the first request, counts the requests of tenants that replicas began to run.
 	Usage UsageCounter
 	// Rejections counts what was answered with an error of this data plane's own.
-	Rejections Rejections
+	Rejections RejectionCounts
 	// Attempts counts how attempts at replicas ended.
 	Attempts AttemptCounts
 }
 
 // UsageCounter counts requests. Any goroutine may call it.
 type UsageCounter interface {
-	// RequestBegan counts a request of a tenant of which a replica has made the first bytes.
-	RequestBegan(tenant string)
+	// RecordRequest counts a request of a tenant of which a replica has made the first bytes.
+	RecordRequest(tenant string)
 }
 
 // NewHandler returns a handler that reads the snapshot as it stands at each request. random gives numbers from 0 up to 1 for
--- a/internal/proxy/rejections.go
+++ b/internal/proxy/rejections.go
@@ -7,15 +7,15 @@
 	"ferryspar/internal/apierror"
 )
 
-// Rejections counts answers with an error of the data plane's own, by their reason. The zero value is ready to use, by any
+// RejectionCounts counts answers with an error of the data plane's own, by their reason. The zero value is ready to use, by any
 // number of goroutines.
-type Rejections struct {
+type RejectionCounts struct {
 	// lock guards countByReason.
 	lock          sync.Mutex
 	countByReason map[string]uint64
 }
 
-func (r *Rejections) add(kind apierror.Kind) {
+func (r *RejectionCounts) add(kind apierror.Kind) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if r.countByReason == nil {
@@ -24,8 +24,8 @@
 	r.countByReason[kind.Reason()]++
 }
 
-// Counts returns a copy of the counts, which is empty rather than nil without any.
-func (r *Rejections) Counts() map[string]uint64 {
+// Snapshot returns a copy of the counts, which is empty rather than nil without any.
+func (r *RejectionCounts) Snapshot() map[string]uint64 {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	counts := make(map[string]uint64, len(r.countByReason))
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -22,7 +22,7 @@
 	pool.SetDataPlaneCount(dataPlanes)
 	stamp := pool.Lend(LendRequest{}, now).Stamp
 	for number := range dataPlanes {
-		loans := []Loan{{Group: 0, Share: 1 / float64(2*dataPlanes), HomeShards: 2}}
+		loans := []Loan{{Group: 0, Share: 1 / float64(2*dataPlanes), HomeShardCount: 2}}
 		requests = append(requests, LendRequest{
 			DataPlane:         fmt.Sprintf("data-%d", number),
 			LenderIncarnation: fmt.Sprintf("data-%d/x", number),
@@ -56,7 +56,7 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("dataPlanes=%d/tenants=%d", size.dataPlanes, size.tenants), func(b *testing.B) {
 			pool, _, limits, now := filledPool(size.dataPlanes, size.tenants)
-			request := BorrowRequest{Want: 1}
+			request := BorrowRequest{Tokens: 1}
 			for tenant := range limits {
 				if pool.parameters.Group(tenant) == 0 {
 					request.Tenant = tenant
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -123,8 +123,8 @@
 	return waiting + max(account.requests, account.previousRequests)/2
 }
 
-// Hold is for how long a home shard may hold a request for tokens of the tenant.
-func (b *Borrower) Hold(tenant, homeShard string, now time.Time) time.Duration {
+// MaxHold is for how long a home shard may hold a request for tokens of the tenant.
+func (b *Borrower) MaxHold(tenant, homeShard string, now time.Time) time.Duration {
 	unavailableAt, known := b.accountOf(tenant, now).unavailableAt[homeShard]
 	if !known || now.Sub(unavailableAt) > holdPeriod {
 		return 0
--- a/internal/quota/fleet_limits_test.go
+++ b/internal/quota/fleet_limits_test.go
@@ -56,7 +56,7 @@
 		fleet.advance(20*time.Second, noDemand)
 		frozen, now := fleet.nodes[0], fleet.clock(fleet.nodes[0])
 		for _, homeShard := range frozen.lender.HomeShards(testTenant) {
-			reply := fleet.find(homeShard).pool.Borrow(BorrowRequest{Tenant: testTenant, Want: 1000}, now)
+			reply := fleet.find(homeShard).pool.Borrow(BorrowRequest{Tenant: testTenant, Tokens: 1000}, now)
 			frozen.borrower.HandleReply(testTenant, homeShard, reply, now, now)
 		}
 		fleet.advance(20*time.Second, noDemand)
@@ -134,9 +134,9 @@
 		LenderIncarnation: "a/1",
 		Sequence:          1,
 		Stamp:             pool.Lend(LendRequest{}, epoch).Stamp,
-		Loans:             []Loan{{Group: pool.parameters.Group(testTenant), Share: 0.01, HomeShards: 2}},
+		Loans:             []Loan{{Group: pool.parameters.Group(testTenant), Share: 0.01, HomeShardCount: 2}},
 	}
-	borrow := BorrowRequest{Tenant: testTenant, Want: 1}
+	borrow := BorrowRequest{Tenant: testTenant, Tokens: 1}
 	lend.Stamp = pool.Lend(lend, epoch).Stamp
 	assert.DeepEqual(t, pool.Borrow(borrow, epoch), BorrowReply{Unavailable: true})
 	later := epoch.Add(pool.parameters.LoanTerm)
@@ -153,15 +153,15 @@
 		LenderIncarnation: "a/1",
 		Sequence:          1,
 		Stamp:             pool.Lend(LendRequest{}, epoch).Stamp,
-		Loans:             []Loan{{Group: pool.parameters.Group(testTenant), Share: 0.5, HomeShards: 2}},
+		Loans:             []Loan{{Group: pool.parameters.Group(testTenant), Share: 0.5, HomeShardCount: 2}},
 	}
 	pool.Lend(lend, epoch)
-	reply := pool.Borrow(BorrowRequest{Tenant: testTenant, Want: 1000}, epoch)
+	reply := pool.Borrow(BorrowRequest{Tenant: testTenant, Tokens: 1000}, epoch)
 	assert.Assert(t, reply.Tokens > 0)
 	assert.Equal(t, reply.RetryAfterMs, int64(0), "the other lenders' shares are still to come")
-	wait := pool.NextToken(testTenant, time.Minute, epoch)
+	wait := pool.TimeToNextToken(testTenant, time.Minute, epoch)
 	assert.Assert(t, wait > 0 && wait <= time.Second, "at one token a second, %s", wait)
-	assert.Equal(t, pool.NextToken("unknown", time.Minute, epoch), time.Minute)
+	assert.Equal(t, pool.TimeToNextToken("unknown", time.Minute, epoch), time.Minute)
 }
 
 func TestBorrower_TokensOfAHeldRequestCountFromWhenTheyWereGiven(t *testing.T) {
@@ -178,11 +178,11 @@
 
 func TestBorrower_AsksToBeHeldWhereItWasUnavailable(t *testing.T) {
 	borrower := NewBorrower(DefaultParameters(testBounds), "a")
-	assert.Equal(t, borrower.Hold(testTenant, "home", epoch), time.Duration(0))
+	assert.Equal(t, borrower.MaxHold(testTenant, "home", epoch), time.Duration(0))
 	borrower.HandleReply(testTenant, "home", BorrowReply{Unavailable: true}, epoch, epoch)
-	assert.Equal(t, borrower.Hold(testTenant, "home", epoch.Add(holdPeriod)), borrowHold)
-	assert.Equal(t, borrower.Hold(testTenant, "other", epoch), time.Duration(0))
-	assert.Equal(t, borrower.Hold(testTenant, "home", epoch.Add(holdPeriod+time.Millisecond)), time.Duration(0))
+	assert.Equal(t, borrower.MaxHold(testTenant, "home", epoch.Add(holdPeriod)), borrowHold)
+	assert.Equal(t, borrower.MaxHold(testTenant, "other", epoch), time.Duration(0))
+	assert.Equal(t, borrower.MaxHold(testTenant, "home", epoch.Add(holdPeriod+time.Millisecond)), time.Duration(0))
 }
 
 func TestLender_KeepsThePartOfAHomeShardThatHasNotRepliedYet(t *testing.T) {
@@ -191,7 +191,7 @@
 	lender.UpdateFleetSize(FleetSize{DataPlanes: 4}, epoch)
 	candidates := []string{"home-1", "home-2"}
 	lender.Plan(candidates, epoch)
-	first := Rank(0, candidates)[0]
+	first := RankHomeShards(0, candidates)[0]
 	lender.HandleReply(first, LendReply{Stamp: Stamp{Incarnation: "x", At: 1}}, epoch)
 	shares := map[string]float64{}
 	plan := func() {
@@ -205,7 +205,7 @@
 	}
 	plan()
 	assert.Equal(t, shares[first], 0.125, "half of a quarter")
-	second := Rank(0, candidates)[1]
+	second := RankHomeShards(0, candidates)[1]
 	lender.HandleReply(second, LendReply{Stamp: Stamp{Incarnation: "y", At: 1}}, epoch)
 	plan()
 	assert.Equal(t, shares[second], 0.125)
--- a/internal/quota/fleetnetwork_test.go
+++ b/internal/quota/fleetnetwork_test.go
@@ -101,7 +101,7 @@
 			continue
 		}
 		f.send(node, homeShard, func(bool) {
-			reply := homeShard.pool.Borrow(BorrowRequest{Tenant: testTenant, Want: 1 << 20}, f.clock(homeShard))
+			reply := homeShard.pool.Borrow(BorrowRequest{Tenant: testTenant, Tokens: 1 << 20}, f.clock(homeShard))
 			f.send(homeShard, node, func(bool) {
 				node.borrower.HandleReply(testTenant, name, reply, requestedAt, f.clock(node))
 			})
--- a/internal/quota/homeshards.go
+++ b/internal/quota/homeshards.go
@@ -23,16 +23,16 @@
 func (p Parameters) Candidates(dataPlanes []string) []string {
 	var candidates []string
 	for group := range p.groupCount() {
-		ranked := Rank(group, dataPlanes)
+		ranked := RankHomeShards(group, dataPlanes)
 		candidates = append(candidates, ranked[:min(len(ranked), candidatesPerGroup)]...)
 	}
 	slices.Sort(candidates)
 	return slices.Compact(candidates)
 }
 
-// Rank orders the data planes by preference as home shards of a group, by rendezvous hashing: where two lists differ,
+// RankHomeShards orders the data planes by preference as home shards of a group, by rendezvous hashing: where two lists differ,
 // the data planes in both keep their order, so that few shares move.
-func Rank(group int, dataPlanes []string) []string {
+func RankHomeShards(group int, dataPlanes []string) []string {
 	prefix := strconv.Itoa(group) + "\x00"
 	weights := make(map[string]uint64, len(dataPlanes))
 	for _, dataPlane := range dataPlanes {
--- a/internal/quota/lendplan.go
+++ b/internal/quota/lendplan.go
@@ -51,7 +51,7 @@
 	l.leases.expire(now)
 	plan := &lendPlan{lender: l, requests: map[string]*LendRequest{}}
 	for group := range l.groups {
-		l.planGroup(plan, group, Rank(group, candidates), now)
+		l.planGroup(plan, group, RankHomeShards(group, candidates), now)
 	}
 	l.forgetHomeShards(candidates, now)
 	return plan.offers()
@@ -76,11 +76,11 @@
 		request := plan.requestTo(homeShard)
 		if share := l.leaseShare(homeShard, group, parts, now); share > 0 {
 			request.Loans = append(request.Loans, Loan{
-				Group:       group,
-				Share:       share,
-				HomeShards:  parts,
-				Transferred: l.recentlyReleased(group, now),
-				IdleMs:      l.idleTime(group, now).Milliseconds(),
+				Group:          group,
+				Share:          share,
+				HomeShardCount: parts,
+				Transferred:    l.recentlyReleased(group, now),
+				IdleMs:         l.idleTime(group, now).Milliseconds(),
 			})
 		}
 	}
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -11,8 +11,8 @@
 type Loan struct {
 	Group int     `json:"g"`
 	Share float64 `json:"s"`
-	// HomeShards is how many home shards the lender divides its share of the group between.
-	HomeShards int `json:"h"`
+	// HomeShardCount is how many home shards the lender divides its share of the group between.
+	HomeShardCount int `json:"h"`
 	// Transferred reports that the share comes from a home shard that released it, which may have given tokens for
 	// it. It brings no tokens with it, since they could be given twice.
 	Transferred bool `json:"m,omitempty"`
@@ -43,8 +43,8 @@
 // BorrowRequest asks a home shard for tokens of a tenant.
 type BorrowRequest struct {
 	Tenant string `json:"tenant"`
-	// Want is how many tokens are requested.
-	Want int `json:"want"`
+	// Tokens is how many tokens are requested.
+	Tokens int `json:"want"`
 	// HoldMs is for how many milliseconds the home shard may hold the request where it would be unavailable otherwise.
 	HoldMs int64 `json:"holdMs,omitempty"`
 }
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -157,7 +157,7 @@
 func (p *Pool) replaceLoan(index int, held *loan, replacement Loan, now time.Time) {
 	share := p.cappedShare(replacement)
 	grown := share > held.share
-	held.share, held.homeShards = share, replacement.HomeShards
+	held.share, held.homeShards = share, replacement.HomeShardCount
 	group, total := p.groups[index], p.loans.totalShare(index)
 	seedDue := held.seededAt.IsZero() || now.Sub(held.seededAt) > p.parameters.leaseDuration()
 	if grown && seedDue && !replacement.Transferred {
@@ -173,7 +173,7 @@
 func (p *Pool) cappedShare(stated Loan) float64 {
 	share := max(stated.Share, 0)
 	if p.dataPlaneCount > 0 {
-		share = min(share, 1/float64(p.dataPlaneCount*max(stated.HomeShards, 1)))
+		share = min(share, 1/float64(p.dataPlaneCount*max(stated.HomeShardCount, 1)))
 	}
 	return share
 }
@@ -197,8 +197,8 @@
 	return p.groups[group].share
 }
 
-// NextToken is the time until there may be a token of the tenant, if its share stays as it is; longest if it has none.
-func (p *Pool) NextToken(tenant string, longest time.Duration, now time.Time) time.Duration {
+// TimeToNextToken is the time until there may be a token of the tenant, if its share stays as it is; longest if it has none.
+func (p *Pool) TimeToNextToken(tenant string, longest time.Duration, now time.Time) time.Duration {
 	p.expireLoans(now)
 	group := p.groupOf(tenant)
 	bucket := group.buckets[tenant]
@@ -219,8 +219,8 @@
 		return BorrowReply{Unavailable: true}
 	}
 	bucket.accrue(group.share, now)
-	given := bucket.take(request.Want)
-	if given >= request.Want {
+	given := bucket.take(request.Tokens)
+	if given >= request.Tokens {
 		return BorrowReply{Tokens: given}
 	}
 	isFilling := now.Sub(group.lentSince) < p.parameters.LoanTerm
--- a/internal/quota/reliablefleet_test.go
+++ b/internal/quota/reliablefleet_test.go
@@ -123,7 +123,7 @@
 		node.borrower.HandleFailure(name, now)
 		return true
 	}
-	request := BorrowRequest{Tenant: testTenant, Want: node.borrower.TokensToRequest(testTenant, 1, now)}
+	request := BorrowRequest{Tenant: testTenant, Tokens: node.borrower.TokensToRequest(testTenant, 1, now)}
 	reply := homeShard.pool.Borrow(request, f.clock(homeShard))
 	node.borrower.HandleReply(testTenant, name, reply, now, now)
 	return true
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -122,8 +122,8 @@
 	return totals
 }
 
-// Forget drops windows before one, and ignores what comes of them from now on.
-func (l *Ledger) Forget(before uint64) {
+// DropBefore drops windows before one, and ignores what comes of them from now on.
+func (l *Ledger) DropBefore(before uint64) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.oldest = max(l.oldest, before)
--- a/internal/usage/record.go
+++ b/internal/usage/record.go
@@ -17,18 +17,18 @@
 	return body
 }
 
-// Record is what is stored of windows whose counts are final. A window's counts are stored before they are sent anywhere, and never
+// ReportState is what is stored of windows whose counts are final. A window's counts are stored before they are sent anywhere, and never
 // change after that: two reports of a window with different counts must not exist.
-type Record struct {
+type ReportState struct {
 	// ClosedUpTo is the newest window whose counts are final, 0 before the first.
 	ClosedUpTo uint64 `json:"closed"`
 	// Pending are the final counts of windows that are not known to have been accepted, the oldest first.
 	Pending []Report `json:"pending,omitempty"`
 }
 
-// DecodeRecord reads a stored record; an empty value is one without windows.
-func DecodeRecord(value json.RawMessage) (Record, error) {
-	var record Record
+// DecodeReportState reads a stored record; an empty value is one without windows.
+func DecodeReportState(value json.RawMessage) (ReportState, error) {
+	var record ReportState
 	if len(value) == 0 {
 		return record, nil
 	}
@@ -37,8 +37,8 @@
 
 // Close returns the record with the counts of further windows, and without reports that were accepted. Windows that the record has
 // closed keep their counts.
-func (r Record) Close(reports []Report, isAccepted func(window uint64) bool) Record {
-	next := Record{ClosedUpTo: r.ClosedUpTo}
+func (r ReportState) Close(reports []Report, isAccepted func(window uint64) bool) ReportState {
+	next := ReportState{ClosedUpTo: r.ClosedUpTo}
 	for _, report := range r.Pending {
 		if !isAccepted(report.Window) {
 			next.Pending = append(next.Pending, report)
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -68,7 +68,7 @@
 		{Incarnation: "two", Window: 8, Counts: map[string]uint64{"a": 9}},
 	})
 	assert.DeepEqual(t, ledger.Totals(7), map[string]uint64{"a": 7, "b": 1})
-	ledger.Forget(8)
+	ledger.DropBefore(8)
 	ledger.Merge([]Entry{{Incarnation: "one", Window: 7, Counts: map[string]uint64{"a": 30}}})
 	ledger.Add("one", 7, "a")
 	assert.Equal(t, len(ledger.Totals(7)), 0)
@@ -77,14 +77,14 @@
 
 func TestRecord_ClosedWindowsKeepTheirCounts(t *testing.T) {
 	isAccepted := func(window uint64) bool { return window == 5 }
-	record := Record{}.Close([]Report{{Window: 5}, {Window: 6, Counts: map[string]uint64{"a": 1}}}, isAccepted)
+	record := ReportState{}.Close([]Report{{Window: 5}, {Window: 6, Counts: map[string]uint64{"a": 1}}}, isAccepted)
 	assert.Equal(t, record.ClosedUpTo, uint64(6))
 	next := record.Close([]Report{{Window: 6, Counts: map[string]uint64{"a": 2}}, {Window: 7}}, isAccepted)
-	assert.DeepEqual(t, next, Record{ClosedUpTo: 7, Pending: []Report{{Window: 6, Counts: map[string]uint64{"a": 1}}, {Window: 7}}})
+	assert.DeepEqual(t, next, ReportState{ClosedUpTo: 7, Pending: []Report{{Window: 6, Counts: map[string]uint64{"a": 1}}, {Window: 7}}})
 }
 
 func TestRecord_PendingReportsAreBounded(t *testing.T) {
-	var record Record
+	var record ReportState
 	for window := uint64(1); window <= 3*maxPending; window++ {
 		record = record.Close([]Report{{Window: window}}, func(uint64) bool { return false })
 	}
