--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -7,14 +7,14 @@
 	"ferryspar/internal/replica"
 )
 
-// AttemptOutcome is a backend and how an attempt at one of its replicas ended. It is a key of AttemptCounts.
+// AttemptOutcome is the key of AttemptCounts: a backend, and the outcome of an attempt at one of its replicas.
 type AttemptOutcome struct {
 	Backend string
-	// Outcome is one of the names of verdictNames, such a name of a prefill step (prefillOutcome), or one of the outcomes below.
+	// Outcome is a name of verdictNames, such a name with the prefix for prefill steps (prefillOutcome), or a constant below.
 	Outcome string
 }
 
-// verdictNames are the outcomes of attempts as operators read them.
+// verdictNames holds the names of verdicts in metrics and status pages.
 var verdictNames = map[replica.Verdict]string{
 	replica.VerdictAnswered:  "answered",
 	replica.VerdictRejected:  "rejected",
@@ -25,26 +25,26 @@
 	replica.VerdictReset:     "reset",
 }
 
-// Outcomes beside the verdicts of attempts.
+// Outcomes that are not verdicts.
 const (
-	// outcomeWithdrawn counts attempts that were not made, since the replica must not be sent the request any more.
+	// outcomeWithdrawn counts attempts that were not sent because the assigned replica was no longer eligible.
 	outcomeWithdrawn = "withdrawn"
-	// outcomePromptUnused counts prompts that were read for nothing: their memory was freed.
+	// outcomePromptUnused counts prefilled prompts that were not continued from, so that their KV cache was freed.
 	outcomePromptUnused = "prompt_unused"
-	// outcomeHandleGone counts attempts that were rejected with a handle: its memory had lapsed or could not be fetched, or the
-	// replica was full.
+	// outcomeHandleGone counts attempts with a handle that were rejected: the handle's KV cache had expired or could not be
+	// fetched, or the replica was full.
 	outcomeHandleGone = "handle_gone"
 )
 
-// AttemptCounts counts attempts at replicas by backend and outcome since the start. The zero value is ready to use, by any
-// number of goroutines.
+// AttemptCounts counts attempts by backend and outcome since the start of the process. The zero value is ready to use. It is
+// safe for concurrent use.
 type AttemptCounts struct {
 	// lock guards byOutcome.
 	lock      sync.Mutex
 	byOutcome map[AttemptOutcome]uint64
 }
 
-// add counts an attempt.
+// add counts an attempt with the outcome.
 func (c *AttemptCounts) add(backend, outcome string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -61,7 +61,7 @@
 	return maps.Clone(c.byOutcome)
 }
 
-// ByBackend returns the counts as backend, outcome, count; it is empty rather than nil without any.
+// ByBackend returns the counts by backend, then outcome. The map is never nil.
 func (c *AttemptCounts) ByBackend() map[string]map[string]uint64 {
 	byBackend := map[string]map[string]uint64{}
 	for key, count := range c.Snapshot() {
--- a/internal/proxy/authorization.go
+++ b/internal/proxy/authorization.go
@@ -11,30 +11,31 @@
 	"ferryspar/internal/routing"
 )
 
-// Freshness says how sure the data plane is that the configuration in use is the newest. Any goroutine may call it.
+// Freshness tells whether the configuration in use is up to date. Implementations must be safe for concurrent use.
 type Freshness interface {
-	// Behind reports whether a newer configuration is known of that has not been adopted yet.
+	// Behind reports whether a newer configuration is known to exist that this data plane has not adopted yet.
 	Behind() bool
-	// Current reports whether nothing newer can have been in force for long, so that what is unknown here may be rejected.
+	// Current reports whether the configuration was confirmed recently enough to reject unknown routes and keys for good.
 	Current(now time.Time) bool
-	// KeysValid reports whether no key can have been revoked longer ago than the settings allow it to be served.
+	// KeysValid reports whether the API keys were confirmed recently enough that no revoked key is accepted for longer than the
+	// settings allow.
 	KeysValid(now time.Time) bool
 }
 
 const (
-	// newerConfigurationTimeout is how long a request waits for a newer configuration that is known of and may allow it.
+	// newerConfigurationTimeout is how long a request waits for a newer configuration that is known to exist and may allow it.
 	newerConfigurationTimeout = 400 * time.Millisecond
-	// staleRetryAfter is when a client may try again if a newer configuration may allow its request.
+	// staleRetryAfter is the Retry-After of requests that were rejected while the configuration may be out of date.
 	staleRetryAfter = 200 * time.Millisecond
 )
 
-// credential is the key that a request carries. Only its hash is kept.
+// credential holds the hash of the API key that a request carries. The key itself is not kept.
 type credential struct {
 	hash    configuration.KeyHash
 	present bool
 }
 
-// credentialFrom reads the key of a request. Several keys count as none.
+// credentialFrom returns the credential of a request. A request with several keys counts as one without.
 func credentialFrom(header http.Header) credential {
 	keys := header.Values(replica.HeaderAPIKey)
 	if len(keys) != 1 || keys[0] == "" {
@@ -43,7 +44,7 @@
 	return credential{hash: configuration.HashKey(keys[0]), present: true}
 }
 
-// authorization is what one version of the configuration allows a request: its route, and the tenant that it belongs to.
+// authorization is the route and the tenant that one version of the configuration assigns to a request.
 type authorization struct {
 	table      *configuration.Table
 	route      *configuration.Route
@@ -51,7 +52,7 @@
 	tenant     configuration.TenantNumber
 }
 
-// resolveAccess finds the route and the tenant of a request in a table.
+// resolveAccess looks up the route and the tenant of a request in a table.
 func resolveAccess(table *configuration.Table, host, uri string, presented credential) (authorization, *apierror.Error) {
 	route, found := table.FindRoute(host, pathOf(uri))
 	if !found {
@@ -61,7 +62,7 @@
 	return authorization{table: table, route: route, credential: presented, tenant: tenant}, rejection
 }
 
-// findTenant finds whose the key is. Public routes need none, but a request belongs to the tenant of a known one.
+// findTenant returns the tenant of the key. Public routes need no key, but a request with a known one belongs to its tenant.
 func findTenant(table *configuration.Table, public bool, presented credential) (configuration.TenantNumber, *apierror.Error) {
 	if !table.RequiresKeys() {
 		return configuration.NoTenant, nil
@@ -76,8 +77,9 @@
 	return tenant, nil
 }
 
-// authorize finds what the configuration allows the request. It is rejected for good only where the configuration is known
-// to be new: what a newer one may allow waits for it briefly, and the client is then asked to retry later.
+// authorize looks up the route and the tenant of the request. While a newer configuration that may allow the request is known
+// to exist, the request waits for it briefly. It is rejected for good only if the configuration is up to date; otherwise the
+// client is asked to retry.
 func (h *Handler) authorize(request *http.Request, arrived time.Time) (*routing.Snapshot, authorization, error) {
 	presented := credentialFrom(request.Header)
 	for {
@@ -96,7 +98,7 @@
 	}
 }
 
-// confirmRejection returns the rejection where the configuration is known to be new, else asks the client to retry later.
+// confirmRejection returns the rejection if the configuration is up to date, otherwise an error that asks the client to retry.
 func (h *Handler) confirmRejection(rejection *apierror.Error) *apierror.Error {
 	if h.Freshness == nil || !h.behind() && h.Freshness.Current(h.clock()) {
 		return rejection
@@ -104,14 +106,15 @@
 	return apierror.NewRetryable(apierror.OutdatedConfiguration, staleRetryAfter)
 }
 
+// behind reports whether a newer configuration is known to exist.
 func (h *Handler) behind() bool { return h.Freshness != nil && h.Freshness.Behind() }
 
-// keysValid must be called before the table is read: a configuration that is adopted in between then only makes the
-// decision stricter.
+// keysValid reports whether the API keys were confirmed recently enough. It must be called before the table is loaded: a
+// configuration that is adopted in between then only makes the decision stricter.
 func (h *Handler) keysValid() bool { return h.Freshness == nil || h.Freshness.KeysValid(h.clock()) }
 
-// reauthorize checks the key again before the request is sent to a replica: it may have been revoked while the request was
-// queued. A response that has begun goes on.
+// reauthorize checks the API key again before the request is sent to a replica, since it may have been revoked while the request
+// was queued. A response whose header was sent is not interrupted.
 func (e *exchange) reauthorize() *apierror.Error {
 	if e.headerSent {
 		return nil
@@ -136,13 +139,13 @@
 	return nil
 }
 
-// pathOf is the path of a request target.
+// pathOf returns the path of a request target.
 func pathOf(uri string) string {
 	path, _, _ := strings.Cut(uri, "?")
 	return path
 }
 
-// assignTenant makes the request the tenant's of a newer table. Its priority stays that of its arrival.
+// assignTenant assigns the request to a tenant of a newer table. Its priority stays as it was set on arrival.
 func (p *parsedRequest) assignTenant(table *configuration.Table, tenant configuration.TenantNumber) {
 	p.authorization.table, p.authorization.tenant = table, tenant
 	p.request.Tenant = tenant
--- a/internal/proxy/authorization_test.go
+++ b/internal/proxy/authorization_test.go
@@ -25,7 +25,7 @@
 "timeoutMs":300,"targetLatencyMs":2500,"backend":"scribes","retryCount":2,"priority":2},`
 )
 
-// configure puts a configuration with the tenants and one more, public, route in the place of the server's.
+// configure replaces the server's configuration by one with the tenants and an additional public route.
 func (s *testServer) configure(t *testing.T, tenants string) {
 	t.Helper()
 	document := strings.Replace(testDocument, `"routeTable":[`, `"tenants":`+tenants+`,"routeTable":[`+openRoute, 1)
@@ -36,7 +36,7 @@
 	s.snapshot.Store(&next)
 }
 
-// startServerWithTenants starts a server with the tenants and one replica that answers.
+// startServerWithTenants starts a server with the tenants and one replica that answers every request.
 func startServerWithTenants(t *testing.T) (*testServer, *scriptedReplica) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
 	server := startServer(t, upstream)
@@ -138,7 +138,7 @@
 	server = startServer(t, upstream, second)
 	server.configure(t, tenants)
 	response := server.send(t, post("/again/", "a", keyHeader(firstKey)))
-	assert.Equal(t, response.status, http.StatusBadGateway, "it may have run")
+	assert.Equal(t, response.status, http.StatusBadGateway, "it may have been executed")
 	assert.Equal(t, upstream.requestCount()+second.requestCount(), 1)
 }
 
@@ -159,7 +159,7 @@
 	assert.DeepEqual(t, byTenant, map[string]int{"one": 1, "three": 1})
 }
 
-// testFreshness is a data plane's knowledge of how new its configuration is.
+// testFreshness is a Freshness set by the test.
 type testFreshness struct{ behind, stale, staleKeys atomic.Bool }
 
 func (f *testFreshness) Behind() bool             { return f.behind.Load() }
@@ -175,8 +175,8 @@
 	for name, raw := range unknown {
 		assert.Equal(t, server.send(t, raw).status, final[name])
 	}
-	for doubt, flag := range map[string]*atomic.Bool{"behind": &freshness.behind, "stale": &freshness.stale} {
-		t.Run(doubt, func(t *testing.T) {
+	for name, flag := range map[string]*atomic.Bool{"behind": &freshness.behind, "stale": &freshness.stale} {
+		t.Run(name, func(t *testing.T) {
 			flag.Store(true)
 			defer flag.Store(false)
 			for name, raw := range unknown {
@@ -215,7 +215,7 @@
 	assert.Equal(t, server.send(t, post("/open/", "a")).status, http.StatusOK)
 }
 
-// testQuota lets no request of one tenant pass and records who asked.
+// testQuota rejects all requests of one tenant and records the tenants of all calls.
 type testQuota struct {
 	rejects   string
 	requested []string
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// requestTimeoutResponse answers a head that was not complete in time, which the server itself would only close.
+	// requestTimeoutResponse is sent if a request header times out: http.Server would close the connection without a response.
 	requestTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-	// requestTimeoutWriteTimeout is how long that answer may take to be written.
+	// requestTimeoutWriteTimeout limits the time for writing that response.
 	requestTimeoutWriteTimeout = time.Second
 )
 
-// clientConnection is a connection of a client. The server reads and closes it from several goroutines, so its state is kept
-// in atomics.
+// clientConnection is a client's connection with the timeouts of the configuration. The server reads and closes it from several
+// goroutines, so its state is kept in atomics.
 type clientConnection struct {
 	net.Conn
-	// release gives the connection's slot back.
+	// release frees the connection's slot of the listener.
 	release  func()
 	timeouts func() ConnectionTimeouts
 
-	// unused says that nothing has arrived yet, and idle that the connection is between two requests.
+	// unused is set until the first bytes arrive, idle while the connection is between two requests.
 	unused atomic.Bool
 	idle   atomic.Bool
-	// headStarted says that bytes of the present request have arrived, handled that the handler has it, and timedOut that
-	// the last read ran out of time.
+	// headStarted is set once bytes of the present request have arrived, handled once the request has reached the handler, and
+	// timedOut if the last read timed out.
 	headStarted atomic.Bool
 	handled     atomic.Bool
 	timedOut    atomic.Bool
 }
 
-// Close answers 408 where a head began and was not complete in time.
+// Close sends status 408 before it closes the connection if a request header has begun but timed out.
 func (c *clientConnection) Close() error {
 	defer c.release()
 	if c.timedOut.Load() && c.headStarted.Load() && !c.handled.Load() {
@@ -46,7 +46,7 @@
 	return c.Conn.Close()
 }
 
-// Read records whether the time ran out and whether a request has begun.
+// Read records whether the read timed out and whether a request has begun.
 func (c *clientConnection) Read(target []byte) (int, error) {
 	count, err := c.Conn.Read(target)
 	c.timedOut.Store(errors.Is(err, os.ErrDeadlineExceeded))
@@ -56,8 +56,9 @@
 	return count, err
 }
 
-// SetReadDeadline puts the timeouts of the configuration in the place of the server's own: that for a head, or for an idle
-// connection, which is never closed before the time stated. Deadlines in the past pass through.
+// SetReadDeadline replaces the deadlines that the server sets by the configured timeouts: the one for idle connections on a new
+// connection and between requests, else the one for request headers. An idle connection is never closed before its timeout.
+// Deadlines in the past are set unchanged.
 func (c *clientConnection) SetReadDeadline(deadline time.Time) error {
 	if deadline.IsZero() {
 		c.idle.Store(false)
@@ -78,14 +79,14 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// setHeadDeadline starts the time for the head when the first bytes of a new connection arrive; until then it is idle.
+// setHeadDeadline starts the header timeout when the first bytes on a new connection arrive; until then the connection is idle.
 func (c *clientConnection) setHeadDeadline() {
 	if head := c.timeouts().Head; head > 0 {
 		_ = c.Conn.SetReadDeadline(time.Now().Add(head))
 	}
 }
 
-// CloseWrite lets the server end its side before the connection is closed.
+// CloseWrite shuts down the writing side. The server looks for this method and calls it before Close.
 func (c *clientConnection) CloseWrite() error {
 	if half, known := c.Conn.(interface{ CloseWrite() error }); known {
 		return half.CloseWrite()
@@ -95,19 +96,19 @@
 
 type connectionKey struct{}
 
-// ConnContext is the server's hook of that name: it lets the handler find the connection of its request.
+// ConnContext is the http.Server.ConnContext hook. It makes the connection available in the contexts of its requests.
 func ConnContext(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, connection)
 }
 
-// markHandled records that the request of the context has reached the handler.
+// markHandled records on the connection of the context that its request has reached the handler.
 func markHandled(ctx context.Context) {
 	if connection, known := ctx.Value(connectionKey{}).(*clientConnection); known {
 		connection.handled.Store(true)
 	}
 }
 
-// ConnState is the server's hook of that name: a connection between two requests is idle and starts afresh.
+// ConnState is the http.Server.ConnState hook. It resets the state of a connection that becomes idle between two requests.
 func ConnState(connection net.Conn, state http.ConnState) {
 	client, known := connection.(*clientConnection)
 	if !known || state != http.StateIdle {
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,9 +1,9 @@
-// Package proxy is the reverse proxy of a data plane: it reads clients' requests, has a replica assigned to each, forwards
-// it, streams the response back, and rejects what can't be served.
+// Package proxy implements the reverse proxy of a data plane: it reads client requests, obtains a replica for each from the
+// matcher, forwards the request, streams the response back, and rejects requests that cannot be served.
 //
-// It never sends a request twice unless it is idempotent or the first attempt is proven not to have run, and never passes a
-// truncated response on as a complete one. Which replica a request goes to is up to the matcher; which bytes of a response
-// count is up to package replica.
+// A request is sent a second time only if it is idempotent or the previous attempt is proven not to have been executed. A
+// truncated response is never passed on as a complete one. Package routing chooses the replica; package replica decides whether
+// a response is valid.
 //
 // Start reading at Handler.ServeHTTP, then exchange.run.
 package proxy
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -12,43 +12,43 @@
 	"ferryspar/internal/routing"
 )
 
-// exchange is one request of a client, from its parsing to the end of the response. It belongs to one goroutine.
+// exchange is the handling of one client request from its parsing to the end of the response. It is not safe for concurrent use.
 type exchange struct {
 	handler *Handler
 	parsed  *parsedRequest
 	writer  http.ResponseWriter
 
-	// ticket stands for the attempt in progress, and replicaID is the replica it goes to.
+	// ticket identifies the present attempt to the matcher, replicaID is the replica that it goes to.
 	ticket    *routing.Ticket
 	replicaID string
-	// attempts counts those that may have reached a replica, unreached those that didn't.
-	attempts  int
-	unreached int
-	// prefillFailures counts the replicas that failed to read the prompt.
+	// attempts counts the attempts of which a replica may have received bytes, unsentAttempts those that wrote none.
+	attempts       int
+	unsentAttempts int
+	// prefillFailures counts the prefill steps that failed.
 	prefillFailures int
-	// prefilled says that a replica has read the prompt.
-	prefilled bool
-	// held, if set, is the prompt that was read and that no replica has continued from yet.
+	// hasPrefilled is set once a prefill step has succeeded.
+	hasPrefilled bool
+	// held, if set, is the prefilled prompt from which no replica has continued yet.
 	held *heldPrompt
-	// retryGranted says that the retry budget has allowed the next attempt.
+	// retryGranted is set if the retry budget has allowed the next attempt already.
 	retryGranted bool
-	// mayHaveRun says that an attempt may have run, so that the client must not be answered that none has.
-	mayHaveRun bool
-	// notLoaded says that the last replica didn't have the model loaded.
+	// mayHaveExecuted is set once an attempt may have been executed: the client must then not be told that none was.
+	mayHaveExecuted bool
+	// notLoaded is set if the last replica did not have the model loaded.
 	notLoaded bool
 
-	// headerSent says that the client has the head of the response, so that it can only go on or be aborted.
+	// headerSent is set once the response header was sent to the client: the response can then only be continued or aborted.
 	headerSent bool
-	// counted says that the request counts among those that its tenant has had run.
-	counted bool
-	// events is where the stream is, for one that may be resumed at another replica.
+	// usageRecorded is set once the request was counted in the tenant's usage.
+	usageRecorded bool
+	// events tracks the position in a stream that may be resumed at another replica.
 	events replica.EventBuffer
 	timing timing
-	// failure is what the client was answered, if not a replica's response.
+	// failure is the error that the client was answered with, nil for a replica's response.
 	failure *apierror.Error
 }
 
-// timing is when the parts of a response came.
+// timing holds when the last attempt was sent and when bytes of the response arrived.
 type timing struct {
 	sentAt      time.Time
 	firstByteAt time.Time
@@ -56,13 +56,13 @@
 	longestGap  time.Duration
 }
 
-// errRetry says that an attempt has failed and that another replica is to be tried.
+// errRetry is returned if an attempt has failed and the request is to be sent to another replica.
 var errRetry = errors.New("retry at another replica")
 
-// run makes attempts until the client has a response or an error. It panics with http.ErrAbortHandler where a response
-// that has begun can't be completed.
+// run makes attempts until the client has a response or an error. It panics with http.ErrAbortHandler if a response that has
+// begun cannot be completed.
 func (e *exchange) run(ctx context.Context) {
-	defer e.dropHeld(ctx)
+	defer e.freeHeldPrompt(ctx)
 	for {
 		assignment, rejection := e.awaitAssignment(ctx)
 		if rejection != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// awaitAssignment waits until the matcher assigns a replica, then checks the key and the retry budget.
+// awaitAssignment waits until the matcher assigns a replica, then checks the API key and the retry budget.
 func (e *exchange) awaitAssignment(ctx context.Context) (routing.Decision, *apierror.Error) {
 	handler := e.handler
 	request := e.parsed.request
@@ -99,7 +99,7 @@
 		e.report(routing.OutcomeCancelled)
 		return assignment, rejection
 	}
-	if e.attempts > 0 && !e.retryGranted && !e.mayRetryWithinBudget() {
+	if e.attempts > 0 && !e.retryGranted && !e.takeRetry() {
 		e.report(routing.OutcomeCancelled)
 		return assignment, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
 	}
@@ -107,8 +107,8 @@
 	return assignment, nil
 }
 
-// attempt sends the request to the replica and passes its response on. The error is errRetry, errReassign or of package
-// apierror.
+// attempt sends the request to the assigned replica and passes its response on. The error is errRetry, errReassign or of
+// package apierror.
 func (e *exchange) attempt(ctx context.Context, assignment routing.Decision) error {
 	e.replicaID, e.timing.sentAt = assignment.Replica.ID, e.handler.clock()
 	response, verdict, err := e.send(ctx, assignment)
@@ -118,7 +118,7 @@
 	e.retryGranted = false
 	e.handler.Attempts.add(e.parsed.upstream.Backend, verdictNames[verdict])
 	if verdict == replica.VerdictNotSent {
-		e.unreached++
+		e.unsentAttempts++
 	} else {
 		e.attempts++
 	}
@@ -132,12 +132,12 @@
 		return e.deadlineError(notExecuted)
 	}
 	e.report(attemptOutcome(verdict, assignment))
-	e.mayHaveRun = e.mayHaveRun || !notExecuted
+	e.mayHaveExecuted = e.mayHaveExecuted || !notExecuted
 	return e.retryOrFail(notExecuted)
 }
 
-// attemptOutcome is what the matcher learns from an attempt without a response that counts. A rejection of an attempt that was
-// to continue from a handle may be for want of the handle's memory.
+// attemptOutcome returns the outcome that the matcher is told of an attempt without a valid response. If the attempt was to
+// continue from a prefilled prompt, the replica may have rejected it because it could not fetch the prompt's KV cache.
 func attemptOutcome(verdict replica.Verdict, assignment routing.Decision) routing.Outcome {
 	if verdict == replica.VerdictRejected && assignment.Prefill != nil {
 		return routing.OutcomeHandleGone
@@ -145,26 +145,27 @@
 	return outcomeByVerdict[verdict]
 }
 
-// countBegun counts the request, once, when a replica has begun to run it.
-func (e *exchange) countBegun() {
+// recordUsage counts the request in its tenant's usage, at most once.
+func (e *exchange) recordUsage() {
 	tenant := e.parsed.upstream.Tenant
-	if e.counted || tenant == "" || e.handler.Usage == nil {
+	if e.usageRecorded || tenant == "" || e.handler.Usage == nil {
 		return
 	}
-	e.counted = true
+	e.usageRecorded = true
 	e.handler.Usage.RecordRequest(tenant)
 }
 
-// report reports to the matcher how the attempt goes.
+// report reports the progress or outcome of the attempt to the matcher.
 func (e *exchange) report(outcome routing.Outcome) { e.handler.matcher.Report(e.ticket, outcome) }
 
-// fail answers the client with an error, or aborts a response that has begun.
+// fail answers the client with an error, or aborts the response if its header was sent. An error that guarantees that nothing was
+// executed is replaced if an attempt may have been.
 func (e *exchange) fail(failure *apierror.Error) {
 	e.failure = failure
 	if e.headerSent {
 		panic(http.ErrAbortHandler)
 	}
-	if e.mayHaveRun && failure.Kind.GuaranteesNotExecuted() {
+	if e.mayHaveExecuted && failure.Kind.GuaranteesNotExecuted() {
 		failure = apierror.New(apierror.ReplicaFailed, "")
 	}
 	e.handler.Rejections.add(failure.Kind)
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -12,11 +12,11 @@
 	"ferryspar/internal/routing"
 )
 
-// writeSlack is how long past its deadline a response may be written to a client that doesn't read.
-const writeSlack = 150 * time.Millisecond
+// writeGrace is how long after the request's deadline writes to a client that does not read fail.
+const writeGrace = 150 * time.Millisecond
 
-// Handler serves clients: it parses a request, has a replica assigned to it, forwards it and streams the response back.
-// It may be used by any number of goroutines.
+// Handler is the HTTP handler for client requests. It parses a request, obtains a replica for it, forwards it and streams the
+// response back. It is safe for concurrent use.
 type Handler struct {
 	snapshot     *atomic.Pointer[routing.Snapshot]
 	matcher      *routing.Matcher
@@ -27,28 +27,28 @@
 	draining     atomic.Bool
 	inFlight     atomic.Int64
 
-	// RequestLog, if set before the first request, writes down how each request went.
+	// RequestLog, if set before the first request, receives an entry for each request.
 	RequestLog *requestlog.Writer
-	// Freshness, if set before the first request, says how new the configuration is. Without it, it counts as the newest.
+	// Freshness, if set before the first request, tells whether the configuration is up to date. If nil, it always is.
 	Freshness Freshness
-	// Quota, if set before the first request, may reject requests of tenants beyond their limit.
+	// Quota, if set before the first request, rejects requests of tenants that exceed their rate limit.
 	Quota Quota
-	// Usage, if set before the first request, counts the requests of tenants that replicas began to run.
+	// Usage, if set before the first request, counts the requests of each tenant whose execution has started.
 	Usage UsageCounter
-	// Rejections counts what was answered with an error of this data plane's own.
+	// Rejections counts the errors that this data plane answered itself.
 	Rejections RejectionCounts
-	// Attempts counts how attempts at replicas ended.
+	// Attempts counts the outcomes of attempts.
 	Attempts AttemptCounts
 }
 
-// UsageCounter counts requests. Any goroutine may call it.
+// UsageCounter counts requests per tenant. Implementations must be safe for concurrent use.
 type UsageCounter interface {
-	// RecordRequest counts a request of a tenant of which a replica has made the first bytes.
+	// RecordRequest counts a request of a tenant. It is called when the first bytes of a successful response arrive.
 	RecordRequest(tenant string)
 }
 
-// NewHandler returns a handler that reads the snapshot as it stands at each request. random gives numbers from 0 up to 1 for
-// the split of traffic over backends.
+// NewHandler returns a handler that loads the snapshot anew for each request. random returns numbers in [0, 1), which choose
+// the backend where a route splits its traffic.
 func NewHandler(
 	snapshot *atomic.Pointer[routing.Snapshot],
 	matcher *routing.Matcher,
@@ -67,16 +67,16 @@
 	}
 }
 
-// Drain asks clients from now on to close their connections.
+// Drain makes all further responses ask clients to close their connections.
 func (h *Handler) Drain() { h.draining.Store(true) }
 
 // Draining reports whether Drain was called.
 func (h *Handler) Draining() bool { return h.draining.Load() }
 
-// InFlight is the number of requests being served.
+// InFlight returns the number of requests being served.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
-// ServeHTTP serves one request of a client.
+// ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	arrived := h.clock()
 	markHandled(request.Context())
@@ -96,13 +96,13 @@
 	h.retryBudgets.ForBackend(parsed.request.Backend).RecordRequest(arrived)
 	ctx, cancel := context.WithDeadline(request.Context(), parsed.request.Deadline)
 	defer cancel()
-	_ = http.NewResponseController(writer).SetWriteDeadline(parsed.request.Deadline.Add(writeSlack))
+	_ = http.NewResponseController(writer).SetWriteDeadline(parsed.request.Deadline.Add(writeGrace))
 	served := &exchange{handler: h, parsed: parsed, writer: writer}
 	defer served.logOutcome()
 	served.run(ctx)
 }
 
-// reject answers a request that is not forwarded.
+// reject answers a request that is not forwarded with an error.
 func (h *Handler) reject(writer http.ResponseWriter, err error) {
 	kind := apierror.From(err).Kind
 	h.Rejections.add(kind)
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// ConnectionTimeouts are the configuration's timeouts for a client's connection; 0 leaves the server's own in place.
+// ConnectionTimeouts are the configured timeouts for client connections; 0 leaves the server's own timeout in place.
 type ConnectionTimeouts struct {
-	// Head is how long the head of a request may take from its first byte.
+	// Head is how long a request header may take from its first byte.
 	Head time.Duration
-	// Idle is how long a connection between two requests is kept.
+	// Idle is how long a connection without a request is kept open.
 	Idle time.Duration
 }
 
-// LimitedListener accepts a limited number of clients' connections and applies the timeouts of the configuration to them.
+// LimitedListener limits the number of open client connections and applies the configured timeouts to them.
 type LimitedListener struct {
 	net.Listener
 	slots    chan struct{}
 	timeouts func() ConnectionTimeouts
 }
 
-// NewLimitedListener wraps a listener. slots is how many connections may be open at once, 1 at least; timeouts gives the
-// present timeouts and may be called by any goroutine.
+// NewLimitedListener wraps a listener. slots is how many connections may be open at once, at least 1. timeouts returns the
+// configured timeouts and must be safe for concurrent use.
 func NewLimitedListener(listener net.Listener, slots int, timeouts func() ConnectionTimeouts) *LimitedListener {
 	return &LimitedListener{
 		Listener: listener,
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/requestlog"
 )
 
-// failureText is what the client was answered, or empty for a replica's response.
+// failureText returns the error that the client was answered with, empty for a replica's response.
 func (e *exchange) failureText() string {
 	if e.failure == nil {
 		return ""
@@ -15,7 +15,7 @@
 	return e.failure.Error()
 }
 
-// recordRequest writes how the request went to the request log, if there is one.
+// recordRequest writes an entry for the request to the request log, if there is one.
 func (e *exchange) recordRequest() {
 	writer := e.handler.RequestLog
 	if writer == nil {
@@ -44,7 +44,7 @@
 	writer.Write(entry)
 }
 
-// logOutcome records how the request went and logs it at the debug level.
+// logOutcome writes the request log entry, and a log message at debug level.
 func (e *exchange) logOutcome() {
 	e.recordRequest()
 	if !logrus.IsLevelEnabled(logrus.DebugLevel) {
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// minPrefillTime is the least that a prefill step is given.
+	// minPrefillTime is the minimum timeout of a prefill step.
 	minPrefillTime = 100 * time.Millisecond
-	// prefillGrace is how long the step goes on for its answer after the client has gone or the deadline has passed.
+	// prefillGrace is how long a prefill step still waits for its response after the client has left or the deadline has passed.
 	prefillGrace = 100 * time.Millisecond
-	// maxPrefillFailures is after how many failures of prefill replicas a request goes on without one.
+	// maxPrefillFailures is the number of failed prefill steps after which a request continues without one.
 	maxPrefillFailures = 2
 )
 
-// errReassign says that nothing was sent to the assigned replica, or nothing that can run: the request is assigned anew.
-var errReassign = errors.New("assign another replica")
+// errReassign is returned if nothing that a replica could execute was sent: the request is submitted to the matcher again.
+var errReassign = errors.New("request needs another assignment")
 
-// heldPrompt is a prompt that a replica has read for a request, with the handle of its memory.
+// heldPrompt is a prefilled prompt: the handle of its KV cache, and the step that computed it.
 type heldPrompt struct {
 	handle *replica.Handle
 	step   *routing.PrefillStep
 }
 
-// send sends the attempt: the prompt to the prefill replica first, if the assignment has one. The error, if any, is errReassign
-// or of package apierror; there is no response then.
+// send forwards the request to the assigned replica, after the prefill step if the assignment has one. It returns either a
+// response with its verdict, or an error, which is errReassign or of package apierror.
 func (e *exchange) send(ctx context.Context, assignment routing.Decision) (*http.Response, replica.Verdict, error) {
 	upstream := e.parsed.upstream
 	if e.headerSent {
 		upstream.LastEventID = e.events.LastID
 	}
-	if err := e.holdPrompt(ctx, assignment.Prefill, upstream); err != nil {
+	if err := e.ensurePrefilled(ctx, assignment.Prefill, upstream); err != nil {
 		return nil, replica.VerdictUnknown, err
 	}
 	target, err := e.admit(assignment.Replica)
@@ -55,9 +55,9 @@
 		e.handler.Attempts.add(upstream.Backend, outcomeHandleGone)
 	}
 	if verdict != replica.VerdictAnswered && !e.held.handle.Unused() {
-		// Whether its memory could not be had or the request was lost on the way, another replica reads the prompt next.
+		// The KV cache could not be fetched, or the request was lost: the next prefill step goes to another replica.
 		e.parsed.request.ExcludedReplicas[assignment.Prefill.Replica.ID] = true
-		e.dropHeld(ctx)
+		e.freeHeldPrompt(ctx)
 	}
 	if verdict == replica.VerdictAnswered {
 		e.held = nil
@@ -65,8 +65,8 @@
 	return response, verdict, nil
 }
 
-// admit looks at the present snapshot, key and configuration once more before the request is sent to the replica that it was
-// assigned to: much may have changed while it waited for the assignment or for its prompt to be read.
+// admit checks the request against the present snapshot, API keys and configuration before it is sent to the assigned replica:
+// these may have changed while the request waited for its assignment or its prefill step.
 func (e *exchange) admit(assigned *routing.Replica) (routing.Target, error) {
 	if rejection := e.reauthorize(); rejection != nil {
 		e.report(routing.OutcomeWithdrawn)
@@ -80,20 +80,20 @@
 	return target, nil
 }
 
-// withdraw tells the matcher that the request was not sent to the assigned replica, for what forbids it now.
+// withdraw reports to the matcher that the request was not sent because the assigned replica is no longer eligible.
 func (e *exchange) withdraw(reason error) {
 	e.report(routing.OutcomeWithdrawn)
 	e.handler.Attempts.add(e.parsed.upstream.Backend, outcomeWithdrawn)
 	logrus.WithError(reason).WithField("replica", e.replicaID).Debug("assignment withdrawn")
 }
 
-// holdPrompt makes held the prompt that the step of the assignment reads: at once if it was read before, nothing if the
-// assignment has no such step. An error means that the assignment's tickets have been reported.
-func (e *exchange) holdPrompt(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) error {
+// ensurePrefilled runs the prefill step of the assignment unless its prompt is held already, and frees any other held prompt.
+// The step is nil if the assignment has none. If it returns an error, the assignment's tickets have been reported.
+func (e *exchange) ensurePrefilled(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) error {
 	if e.held != nil && e.held.step == step {
 		return nil
 	}
-	e.dropHeld(ctx)
+	e.freeHeldPrompt(ctx)
 	if step == nil {
 		return nil
 	}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// heldStep is the step whose prompt is held, or nil.
+// heldStep returns the prefill step whose prompt is held, or nil.
 func (e *exchange) heldStep() *routing.PrefillStep {
 	if e.held == nil {
 		return nil
@@ -118,19 +118,19 @@
 	return e.held.step
 }
 
-// dropHeld frees the memory of the prompt that is held, if any.
-func (e *exchange) dropHeld(ctx context.Context) {
+// freeHeldPrompt frees the KV cache of the held prompt, if any.
+func (e *exchange) freeHeldPrompt(ctx context.Context) {
 	if e.held == nil {
 		return
 	}
 	e.handler.Attempts.add(e.parsed.upstream.Backend, outcomePromptUnused)
-	e.free(ctx, e.held.handle)
+	e.freeHandle(ctx, e.held.handle)
 	e.held = nil
 }
 
-// prefill has the prompt read and returns the handle of its memory; the matcher is still to be told (Matcher.Prefilled). Where
-// that fails nothing has run, so the request may go on without. The first time that a replica reads the prompt is free; any
-// further one, and what a replica turned away or left unanswered, counts against the retry budget like a further attempt.
+// prefill runs the prefill step and returns the handle of the prompt's KV cache. The caller reports success to the matcher
+// (Matcher.Prefilled). Prefill executes nothing, so after a failure the request may continue without it. The first step is free;
+// any further step, and any that a replica rejected or did not answer, counts against the retry budget like a further attempt.
 func (e *exchange) prefill(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) (*replica.Handle, error) {
 	report := func(outcome routing.Outcome) { e.handler.matcher.Report(step.Ticket, outcome) }
 	target, err := e.handler.snapshot.Load().AdmitPrefill(&e.parsed.request, step.Replica)
@@ -138,7 +138,7 @@
 		report(routing.OutcomeWithdrawn)
 		return nil, errReassign
 	}
-	if e.prefilled && !e.mayRetryWithinBudget() {
+	if e.hasPrefilled && !e.takeRetry() {
 		report(routing.OutcomeCancelled)
 		return nil, apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
 	}
@@ -149,25 +149,25 @@
 	if ctx.Err() != nil {
 		if handle != nil {
 			e.handler.Attempts.add(upstream.Backend, outcomePromptUnused)
-			e.free(ctx, handle)
+			e.freeHandle(ctx, handle)
 		}
 		report(routing.OutcomeCancelled)
 		return nil, e.deadlineError(true)
 	}
 	if verdict == replica.VerdictAnswered {
-		e.prefilled = true
+		e.hasPrefilled = true
 		return handle, nil
 	}
 	if bounded.Err() != nil {
 		report(routing.OutcomeCancelled)
-		return nil, e.afterPrefillTimeout()
+		return nil, e.handlePrefillTimeout()
 	}
 	report(outcomeByVerdict[verdict])
-	return nil, e.afterPrefillFailure(step, verdict)
+	return nil, e.handlePrefillFailure(step, verdict)
 }
 
-// prefillContext ends after the time-out, or shortly after its parent: an answer that is on its way then still names the handle, so
-// that its memory can be freed.
+// prefillContext returns a context that ends after the timeout, or prefillGrace after its parent: a response that is still in
+// flight then names the handle, so that its KV cache can be freed.
 func prefillContext(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	bounded, cancel := context.WithTimeout(context.WithoutCancel(parent), timeout)
 	stop := context.AfterFunc(parent, func() { time.AfterFunc(prefillGrace, cancel) })
@@ -177,19 +177,19 @@
 	}
 }
 
-// afterPrefillTimeout goes on without the step if the prompt is short enough to be read beside running streams. A long one is
-// rejected: it would hold all of them up, and nothing has run.
-func (e *exchange) afterPrefillTimeout() error {
-	if e.parsed.request.PromptTokens > routing.MaxTokensBesideStreams || !e.mayRetryWithinBudget() {
+// handlePrefillTimeout makes the request continue without a prefill step if its prompt is short enough to be prefilled beside
+// running streams. A longer one would delay all streams of the decode replica, so the request is rejected; nothing was executed.
+func (e *exchange) handlePrefillTimeout() error {
+	if e.parsed.request.PromptTokens > routing.MaxTokensBesideStreams || !e.takeRetry() {
 		return apierror.NewRetryable(apierror.Overloaded, budgetRetryAfter)
 	}
 	e.parsed.request.Unsplit = true
 	return errReassign
 }
 
-// afterPrefillFailure goes on with another prefill replica, and after a second failure without the step.
-func (e *exchange) afterPrefillFailure(step *routing.PrefillStep, verdict replica.Verdict) error {
-	if verdict != replica.VerdictNotSent && !e.mayRetryWithinBudget() {
+// handlePrefillFailure makes the request try another prefill replica, or none after maxPrefillFailures failures.
+func (e *exchange) handlePrefillFailure(step *routing.PrefillStep, verdict replica.Verdict) error {
+	if verdict != replica.VerdictNotSent && !e.takeRetry() {
 		return apierror.NewRetryable(apierror.NotExecuted, budgetRetryAfter)
 	}
 	e.prefillFailures++
@@ -198,21 +198,21 @@
 	return errReassign
 }
 
-// prefillOutcome is how a prefill step is counted.
+// prefillOutcome returns the outcome that a prefill step is counted under.
 func prefillOutcome(verdict replica.Verdict) string { return "prefill_" + verdictNames[verdict] }
 
-// mayRetryWithinBudget takes one retry of the request's backend from the budget, if there is one.
-func (e *exchange) mayRetryWithinBudget() bool {
+// takeRetry takes one retry from the budget of the request's backend and reports whether there was one.
+func (e *exchange) takeRetry() bool {
 	budget := e.handler.retryBudgets.ForBackend(e.parsed.request.Backend)
 	return budget.Allow(e.handler.clock(), e.handler.snapshot.Load().DataPlanes)
 }
 
-// free frees a handle that will not be taken, without waiting for it.
-func (e *exchange) free(ctx context.Context, handle *replica.Handle) {
+// freeHandle frees an unused handle in the background.
+func (e *exchange) freeHandle(ctx context.Context, handle *replica.Handle) {
 	forwarder := e.handler.forwarder
 	go func() {
 		if err := forwarder.Free(ctx, handle); err != nil {
-			logrus.WithError(err).Debug("handle not freed")
+			logrus.WithError(err).Debug("KV cache handle not freed")
 		}
 	}()
 }
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -7,26 +7,27 @@
 	"ferryspar/internal/configuration"
 )
 
-// Quota decides whether a tenant may send one more request. Any goroutine may call it.
+// Quota enforces the rate limits of tenants. Implementations must be safe for concurrent use.
 type Quota interface {
-	// Take takes one request from what the tenant may still send over all data planes. It may wait for the decision on
-	// another request, and until a timeout where none can be made. The error is what the client is answered if its request
-	// may not be sent.
+	// Take takes one request from the tenant's quota over all data planes. It may wait for the decision on another request, and
+	// until a timeout if the remaining quota is not known. It returns the error to answer the client with if the request is
+	// rejected.
 	Take(ctx context.Context, tenant *configuration.Tenant, timeouts QuotaTimeouts) error
 }
 
-// QuotaTimeouts are how long a request may wait to learn whether it is within its quota.
+// QuotaTimeouts limit how long a request may wait for the decision whether it is within its tenant's quota.
 type QuotaTimeouts struct {
-	// Local is the timeout where only this data plane can't tell, so that the client can still try elsewhere in time.
+	// Local applies if only this data plane cannot decide: the client then still has time to try another one.
 	Local time.Duration
-	// Fleet is the timeout where the others can't tell either.
+	// Fleet applies if the other data planes cannot decide either.
 	Fleet time.Duration
 }
 
-// quotaTimeoutDivisor makes the parts of a request's latency target and of its time that are its timeouts.
+// quotaTimeoutDivisor is the divisor of a request's latency target and remaining time that gives its quota timeouts.
 const quotaTimeoutDivisor = 5
 
-// checkQuota is called once for each request of a client, after it has been read whole and before it is queued.
+// checkQuota takes the request from its tenant's quota. It is called once per client request, after the request was read and
+// before it is queued.
 func (h *Handler) checkQuota(ctx context.Context, parsed *parsedRequest) error {
 	if h.Quota == nil || parsed.authorization.tenant == configuration.NoTenant {
 		return nil
--- a/internal/proxy/rejections.go
+++ b/internal/proxy/rejections.go
@@ -7,14 +7,15 @@
 	"ferryspar/internal/apierror"
 )
 
-// RejectionCounts counts answers with an error of the data plane's own, by their reason. The zero value is ready to use, by any
-// number of goroutines.
+// RejectionCounts counts the errors that the data plane answered itself, by reason. The zero value is ready to use. It is safe
+// for concurrent use.
 type RejectionCounts struct {
 	// lock guards countByReason.
 	lock          sync.Mutex
 	countByReason map[string]uint64
 }
 
+// add counts an error of the kind.
 func (r *RejectionCounts) add(kind apierror.Kind) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -24,7 +25,7 @@
 	r.countByReason[kind.Reason()]++
 }
 
-// Snapshot returns a copy of the counts, which is empty rather than nil without any.
+// Snapshot returns a copy of the counts. The map is never nil.
 func (r *RejectionCounts) Snapshot() map[string]uint64 {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -16,46 +16,45 @@
 )
 
 const (
-	// maxAttemptIDLength is the longest id of an attempt, in bytes.
+	// maxAttemptIDLength is the maximum length of an attempt id, in bytes.
 	maxAttemptIDLength = 128
-	// maxRemainingMs is the longest time that a client may state, in milliseconds.
+	// maxRemainingMs is the largest remaining time that a client may state, in milliseconds.
 	maxRemainingMs = 1e9
-	// clientRetryTolerance is how much less than the route's timeout a client may state before its request counts as one that
-	// comes again.
+	// clientRetryTolerance is how far a client's remaining time may be below the route's timeout before the request counts as a
+	// retry by the client.
 	clientRetryTolerance = 20 * time.Millisecond
-	// defaultMaxBodyBytes is the limit on a body where the configuration states none.
+	// defaultMaxBodyBytes limits request bodies if the configuration states no limit.
 	defaultMaxBodyBytes = 4 << 20
-	// maxUrgency is the last rank that replicas know.
+	// maxUrgency is the highest urgency class that replicas accept.
 	maxUrgency = 9
 
-	// configurationTimeout is how long a request waits for the first configuration, and configurationPollInterval how
-	// often it looks.
+	// configurationTimeout is how long a request waits for the first configuration, polling at configurationPollInterval.
 	configurationTimeout      = 1500 * time.Millisecond
 	configurationPollInterval = 15 * time.Millisecond
-	// noConfigurationRetryAfter is when a client may try again that came before the first configuration.
+	// noConfigurationRetryAfter is the Retry-After of requests that were rejected before the first configuration arrived.
 	noConfigurationRetryAfter = 200 * time.Millisecond
 )
 
-// parsedRequest is a client's request with what the configuration says of it.
+// parsedRequest is a client request with the route and tenant that the configuration assigns to it.
 type parsedRequest struct {
 	route         *configuration.Route
 	authorization authorization
-	// request is what the matcher gets, and upstream what the replica gets.
+	// request is passed to the matcher, upstream to the forwarder.
 	request  routing.Request
 	upstream replica.UpstreamRequest
 }
 
-// promptHeaders are what a client states of its prompt.
+// promptHeaders holds the token counts and prefix parts that the request headers state of the prompt.
 type promptHeaders struct {
 	promptTokens float64
 	outputTokens float64
 	parts        []routing.Part
 }
 
-// parse reads a request whole and checks all that does not depend on other requests. The errors are of package apierror.
+// parse reads the whole request and makes all checks that do not depend on other requests. Errors are of package apierror.
 func (h *Handler) parse(request *http.Request, arrived time.Time) (*parsedRequest, error) {
 	attemptID := request.Header.Get(replica.HeaderAttempt)
-	if !validAttemptID(attemptID) || len(request.Header.Values(replica.HeaderAttempt)) != 1 {
+	if !isValidAttemptID(attemptID) || len(request.Header.Values(replica.HeaderAttempt)) != 1 {
 		return nil, apierror.New(apierror.InvalidAttemptID, "")
 	}
 	snapshot := h.awaitConfiguration(request, arrived)
@@ -104,7 +103,7 @@
 	return parsed, nil
 }
 
-// applyRoute sets what the matcher gets to know of the route and of the tenant.
+// applyRoute sets the fields of the matcher's request that derive from the route and the tenant.
 func (p *parsedRequest) applyRoute(snapshot *routing.Snapshot) {
 	tenant := snapshot.Table.Tenant(p.authorization.tenant)
 	p.request.LatencyTarget = milliseconds(p.route.TargetLatencyMs)
@@ -117,7 +116,7 @@
 	p.request.Tenant = p.authorization.tenant
 }
 
-// setUpstream sets what the replica gets.
+// setUpstream sets the request that is forwarded to the replica.
 func (p *parsedRequest) setUpstream(request *http.Request, body []byte, snapshot *routing.Snapshot) {
 	p.upstream = replica.UpstreamRequest{
 		Method:             request.Method,
@@ -136,7 +135,8 @@
 	}
 }
 
-func validAttemptID(attemptID string) bool {
+// isValidAttemptID reports whether the id is non-empty printable ASCII without spaces, of at most maxAttemptIDLength bytes.
+func isValidAttemptID(attemptID string) bool {
 	if attemptID == "" || len(attemptID) > maxAttemptIDLength {
 		return false
 	}
@@ -148,7 +148,7 @@
 	return true
 }
 
-// parsePromptHeaders reads the token counts and the prefix of the prompt.
+// parsePromptHeaders parses the headers for the token counts and the prefix of the prompt.
 func parsePromptHeaders(header http.Header) (promptHeaders, error) {
 	promptTokens, outputTokens, valid := routing.ParseTokens(header.Get(replica.HeaderTokens))
 	if !valid {
@@ -161,7 +161,7 @@
 	return promptHeaders{promptTokens: promptTokens, outputTokens: outputTokens, parts: parts}, nil
 }
 
-// remainingTime is the time that the client says is left, or the route's timeout where it says nothing.
+// remainingTime returns the remaining time that the client states, or the route's timeout if it states none.
 func remainingTime(header http.Header, timeout time.Duration) (time.Duration, error) {
 	stated := header.Get(replica.HeaderRemaining)
 	if stated == "" {
@@ -178,7 +178,7 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// awaitConfiguration returns the snapshot as soon as it has a configuration, or without one after configurationTimeout.
+// awaitConfiguration returns the first snapshot with a configuration, or one without if none arrives in configurationTimeout.
 func (h *Handler) awaitConfiguration(request *http.Request, arrived time.Time) *routing.Snapshot {
 	for {
 		snapshot := h.snapshot.Load()
@@ -191,7 +191,7 @@
 	}
 }
 
-// awaitPollInterval waits until the configuration is to be looked at again, or returns false when the client has gone.
+// awaitPollInterval waits for configurationPollInterval and reports whether the client is still connected.
 func awaitPollInterval(ctx context.Context) bool {
 	timer := time.NewTimer(configurationPollInterval)
 	defer timer.Stop()
@@ -203,7 +203,7 @@
 	}
 }
 
-// connectionsPerDataPlane is this data plane's share of the connections that a replica of the backend takes; 0 is no limit.
+// connectionsPerDataPlane returns this data plane's share of the backend's connection limit per replica; 0 means no limit.
 func connectionsPerDataPlane(snapshot *routing.Snapshot, name string) int {
 	backend, _, known := snapshot.Table.Backend(name)
 	if !known || backend.MaxConns <= 0 {
@@ -212,7 +212,7 @@
 	return max(backend.MaxConns/max(snapshot.DataPlanes, 1), 1)
 }
 
-// headerBytes is how many bytes the head of a request takes, without its framing.
+// headerBytes returns the size of the request's method, target, host and header lines; the request line's framing is left out.
 func headerBytes(request *http.Request) int {
 	total := len(request.Method) + len(request.RequestURI) + len(request.Host)
 	for name, values := range request.Header {
@@ -223,7 +223,7 @@
 	return total
 }
 
-// readBody reads a body whole, up to the limit in bytes; a limit of 0 stands for the default.
+// readBody reads the whole body, up to the limit in bytes; a limit of 0 stands for defaultMaxBodyBytes.
 func readBody(request *http.Request, limit int64) ([]byte, error) {
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -15,10 +15,10 @@
 	"ferryspar/internal/routing"
 )
 
-// chunkedEncoding is the line of a head whose body comes in chunks.
+// chunkedEncoding is the header line of a message with a chunked body.
 const chunkedEncoding = "Transfer-Encoding: chunked"
 
-// requestWithBody composes a request with the given lines in the place of its length, and its body as it stands.
+// requestWithBody returns a raw request with the given header lines instead of Content-Length, followed by the raw body.
 func requestWithBody(target, attempt, body string, lines ...string) string {
 	withBody := strings.Replace(post(target, attempt, lines...), "Content-Length: 6\r\n", "", 1)
 	return strings.TrimSuffix(withBody, "prompt") + body
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestHandler_LengthBesideChunksIsFramedOnce(t *testing.T) {
+func TestHandler_ChunkedRequestWithContentLengthIsFramedOnce(t *testing.T) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
 	clientConn := startServer(t, upstream).connect(t)
 	raw := requestWithBody("/once/", "a", "6\r\nprompt\r\n0\r\n\r\n", "Content-Length: 3", chunkedEncoding)
@@ -92,7 +92,7 @@
 	assert.Assert(t, upstream.requestCount() <= 1)
 }
 
-func TestHandler_UnfoldsHeader(t *testing.T) {
+func TestHandler_UnfoldsHeaderLines(t *testing.T) {
 	upstream := startReplica(t, "i-1", respondWith("200 OK", "seal-1", "words"))
 	response := startServer(t, upstream).send(t, post("/once/", "a", "Note: one", " Two: three"))
 	if response.status == http.StatusOK {
@@ -110,10 +110,10 @@
 		response := clientConn.exchange("POST", post("/once/", "a"))
 		assert.Equal(t, response.status, http.StatusOK)
 	}
-	rested := time.Now()
+	idleSince := time.Now()
 	_, err := clientConn.reader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	assert.Assert(t, time.Since(rested) > idle-50*time.Millisecond, "closed after %s", time.Since(rested))
+	assert.Assert(t, time.Since(idleSince) > idle-50*time.Millisecond, "closed after %s", time.Since(idleSince))
 	assert.Equal(t, upstream.requestCount(), 2)
 }
 
--- a/internal/proxy/responses_test.go
+++ b/internal/proxy/responses_test.go
@@ -50,23 +50,23 @@
 		replicas = append(replicas, startReplica(t, fmt.Sprintf("i-%d", number), respondWith(fmt.Sprintf("50%d No", 4+number), seal, seal)))
 	}
 	response := startServer(t, replicas...).send(t, post("/again/", "a"))
-	runs := 0
+	requests := 0
 	for _, upstream := range replicas {
-		runs += upstream.requestCount()
+		requests += upstream.requestCount()
 	}
-	assert.Equal(t, runs, 2, "retryCount limits the replicas of one request")
+	assert.Equal(t, requests, 2, "retryCount limits the replicas of one request")
 	assert.Equal(t, response.header.Get(replica.HeaderSeal), fmt.Sprintf("seal-%d", response.status-504))
 	assert.Equal(t, response.body, response.header.Get(replica.HeaderSeal))
 }
 
 func TestHandler_TruncatedResponseNeverLooksComplete(t *testing.T) {
-	for name, rest := range map[string]struct{ framing, sent string }{
+	for name, test := range map[string]struct{ framing, sent string }{
 		"length": {"Content-Length: 100", "part"}, "chunks": {"Transfer-Encoding: chunked", chunk("part")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			upstream := startReplica(t, "i-1", func(connection net.Conn, request *http.Request) bool {
-				fmt.Fprintf(connection, "%s%s", responseHead("200 OK", request, "seal-1", rest.framing), rest.sent)
+				fmt.Fprintf(connection, "%s%s", responseHead("200 OK", request, "seal-1", test.framing), test.sent)
 				return false
 			})
 			response := startServer(t, upstream).send(t, post("/once/", "a"))
@@ -100,7 +100,7 @@
 	assert.Equal(t, response.header.Get("Content-Length"), "12")
 }
 
-// brokenStream sends events and breaks off.
+// brokenStream returns a script that sends events and closes the connection before the end of the stream.
 func brokenStream(seal, events string) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		lines := responseHead("200 OK", request, seal, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
@@ -109,7 +109,7 @@
 	}
 }
 
-// completeStream sends events of a content type and ends.
+// completeStream returns a script that sends a complete stream of events with the content type.
 func completeStream(seal, kind, events string) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		lines := responseHead("200 OK", request, seal, "Content-Type: "+kind, "Transfer-Encoding: chunked")
@@ -124,9 +124,9 @@
 		kind, rest string
 		complete   bool
 	}{
-		"goes on":           {"text/event-stream", "id: 3\ndata: x\n\n", true},
-		"starts again":      {"text/event-stream", firstEvents, false},
-		"is something else": {"application/json", "{}", false},
+		"next event":        {"text/event-stream", "id: 3\ndata: x\n\n", true},
+		"first event again": {"text/event-stream", firstEvents, false},
+		"not a stream":      {"application/json", "{}", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -180,7 +180,7 @@
 	}
 }
 
-// unreachableNetwork is a network on which connections neither come up nor fail.
+// unreachableNetwork is a network on which connection attempts time out.
 type unreachableNetwork struct{ peer.HostNetwork }
 
 func (unreachableNetwork) DialFunc(time.Duration, time.Duration) peer.DialFunc {
@@ -205,9 +205,9 @@
 func TestHandler_RefusedConnectionIsNotExecuted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	nobody := &scriptedReplica{id: "i-1", address: listener.Addr().String()}
+	unreachable := &scriptedReplica{id: "i-1", address: listener.Addr().String()}
 	listener.Close()
-	response := startServer(t, nobody).send(t, post("/once/", "a"))
+	response := startServer(t, unreachable).send(t, post("/once/", "a"))
 	assert.Equal(t, response.status, http.StatusServiceUnavailable)
 	assert.Equal(t, response.header.Get(replica.HeaderSeal), "")
 }
--- a/internal/proxy/retries.go
+++ b/internal/proxy/retries.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxUnreached is how many replicas that can't be reached are passed over for one request.
-	maxUnreached = 4
-	// budgetRetryAfter is when a client may try again whose request was not retried for want of a budget.
+	// maxUnsentAttempts is how many attempts of one request may fail before a byte is written. They do not use up its retryCount.
+	maxUnsentAttempts = 4
+	// budgetRetryAfter is the Retry-After of requests that were not retried because the retry budget was exhausted.
 	budgetRetryAfter = 100 * time.Millisecond
-	// notExecutedRetryAfter is when a client may try again whose request has not run at any replica.
+	// notExecutedRetryAfter is the Retry-After of requests that no replica has executed.
 	notExecutedRetryAfter = 50 * time.Millisecond
 )
 
-// outcomeByVerdict is what the matcher learns from an attempt without a response that counts.
+// outcomeByVerdict maps the verdict on an attempt without a valid response to the outcome that is reported to the matcher.
 var outcomeByVerdict = map[replica.Verdict]routing.Outcome{
 	replica.VerdictRejected:  routing.OutcomeFull,
 	replica.VerdictNotLoaded: routing.OutcomeModelMissing,
@@ -27,8 +27,8 @@
 	replica.VerdictReset:     routing.OutcomeConnectionReset,
 }
 
-// retryOrFail returns errRetry if the request may be sent once more, else what the client is answered. notExecuted says
-// that the last attempt is proven not to have run.
+// retryOrFail returns errRetry if the request may be sent once more, else the error to answer the client with. notExecuted is
+// set if the last attempt is proven not to have been executed.
 func (e *exchange) retryOrFail(notExecuted bool) error {
 	if !notExecuted && !e.parsed.route.IsIdempotent() {
 		return apierror.New(apierror.ReplicaFailed, "")
@@ -36,27 +36,26 @@
 	if e.canRetry() {
 		return errRetry
 	}
-	if notExecuted && !e.mayHaveRun {
+	if notExecuted && !e.mayHaveExecuted {
 		return apierror.NewRetryable(apierror.NotExecuted, notExecutedRetryAfter)
 	}
 	return apierror.New(apierror.ReplicaFailed, "")
 }
 
-// canRetry reports whether the route allows one more attempt.
+// canRetry reports whether the route's retry count and maxUnsentAttempts allow one more attempt.
 func (e *exchange) canRetry() bool {
-	return e.attempts < max(e.parsed.route.RetryCount, 1) && e.unreached < maxUnreached
+	return e.attempts < max(e.parsed.route.RetryCount, 1) && e.unsentAttempts < maxUnsentAttempts
 }
 
-// deadlineError is the answer at the deadline: the proof that nothing has run, or none where something may have.
+// deadlineError returns the error for a request whose deadline has passed: NotExecuted only if no attempt may have been executed.
 func (e *exchange) deadlineError(notExecuted bool) *apierror.Error {
-	if notExecuted && !e.mayHaveRun {
+	if notExecuted && !e.mayHaveExecuted {
 		return apierror.NewRetryable(apierror.NotExecuted, notExecutedRetryAfter)
 	}
 	return apierror.New(apierror.ReplicaTimeout, "")
 }
 
-// exclude keeps the replica out of further attempts, unless no other replica serves the request and this one has the model
-// loaded.
+// exclude excludes the replica from further attempts, unless it has the model loaded and no other replica serves the request.
 func (e *exchange) exclude(id string) {
 	request, snapshot := &e.parsed.request, e.handler.snapshot.Load()
 	request.ExcludedReplicas[id] = true
--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -9,60 +9,60 @@
 )
 
 const (
-	// budgetBuckets is into how many buckets a period is divided.
-	budgetBuckets = 64
-	// periodsPerEpoch is how many periods a node's fraction holds.
+	// bucketsPerPeriod is the number of buckets that a period is divided into.
+	bucketsPerPeriod = 64
+	// periodsPerEpoch is the number of periods for which a node keeps its rounding fraction.
 	periodsPerEpoch = 16
-	// usableShare is the part of the budget that is used.
+	// usableShare is the fraction of the budget that is used.
 	usableShare = 0.8
-	// uncountedShare is the part of the slack that is kept for nodes that are not counted.
-	uncountedShare = 0.1
+	// uncountedNodeReserve is the fraction of the slack reserved for nodes that are not counted.
+	uncountedNodeReserve = 0.1
 )
 
-// RetryBudgetOptions are the limits of a RetryBudget, and whose it is.
+// RetryBudgetOptions configures a RetryBudget.
 type RetryBudgetOptions struct {
-	// Node is the name of the data plane, which its share is drawn by.
+	// Node is the name of the data plane, from which its rounding fractions are derived.
 	Node string
-	// StartedAt is when this incarnation of the node began. The one before may have used its share of the slack up to then,
-	// so this one has none of it until a period later; zero if there was none before.
+	// StartedAt is when this incarnation of the node started, zero if it is the first. The previous incarnation may have used
+	// its share of the slack until then, so this one gets its share only a period later.
 	StartedAt time.Time
-	// Period is any span of time in which all nodes together may send Ratio retries per request, and Slack beside these.
+	// Period is the length of the sliding window in which all nodes together may send Ratio retries per request, plus Slack.
 	Period time.Duration
 	Ratio  float64
 	Slack  float64
 }
 
-// RetryBudget is this node's share of the retries that all nodes together may send to replicas. It may be used by any
-// number of goroutines.
+// RetryBudget is this node's share of the retries that all nodes together may send to replicas. It is safe for concurrent use.
 type RetryBudget struct {
 	options RetryBudgetOptions
 
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock sync.Mutex
-	// origin is the first moment seen. Times since then go by the monotonic clock, which no step of the time of day moves.
+	// origin is the first time passed in. Times are measured from it by the monotonic clock, which steps of the wall clock do not
+	// affect.
 	origin  time.Time
-	buckets [budgetBuckets + 2]bucket
+	buckets [bucketsPerPeriod + 2]bucket
 }
 
-// bucket counts the requests and retries in a part of a period.
+// bucket counts the requests and retries within one of the equal parts of a period.
 type bucket struct {
 	index    int64
 	requests int
 	retries  int
 }
 
-// NewRetryBudget returns a budget of which nothing has been used.
+// NewRetryBudget returns an unused budget.
 func NewRetryBudget(options RetryBudgetOptions) *RetryBudget { return &RetryBudget{options: options} }
 
-// RecordRequest counts a request of a client.
+// RecordRequest counts a client request.
 func (b *RetryBudget) RecordRequest(now time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.bucketAt(b.bucketIndex(now)).requests++
 }
 
-// Allow reports whether one more retry may be sent, and counts it. dataPlanes is the number of nodes that share
-// the budget.
+// Allow reports whether one more retry may be sent, and counts it if so. dataPlanes is the number of nodes that share the
+// budget.
 func (b *RetryBudget) Allow(now time.Time, dataPlanes int) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -79,24 +79,24 @@
 	return true
 }
 
-// countSince counts the requests and retries of the period that ends with the bucket. Retries count for one bucket longer,
-// so that no span of a period holds more of them. The caller holds the lock.
+// countSince counts the requests and retries of the period that ends with the bucket. Retries count for one bucket more than
+// requests, so that the limit holds in every sliding window of a period. The caller holds the lock.
 func (b *RetryBudget) countSince(last int64) (requests, retries int) {
 	for index := range b.buckets {
 		counted := &b.buckets[index]
 		age := last - counted.index
-		if age < 0 || age > budgetBuckets {
+		if age < 0 || age > bucketsPerPeriod {
 			continue
 		}
 		retries += counted.retries
-		if age < budgetBuckets {
+		if age < bucketsPerPeriod {
 			requests += counted.requests
 		}
 	}
 	return requests, retries
 }
 
-// elapsed is the time since the first moment seen. The caller holds the lock.
+// elapsed returns the time since origin, which it sets on the first call. The caller holds the lock.
 func (b *RetryBudget) elapsed(now time.Time) time.Duration {
 	if b.origin.IsZero() {
 		b.origin = now
@@ -104,12 +104,12 @@
 	return max(now.Sub(b.origin), 0)
 }
 
-// bucketIndex is that of the bucket of a moment. The caller holds the lock.
+// bucketIndex returns the index of the bucket that contains the time. The caller holds the lock.
 func (b *RetryBudget) bucketIndex(now time.Time) int64 {
-	return int64(b.elapsed(now)) / max(int64(b.options.Period)/budgetBuckets, 1)
+	return int64(b.elapsed(now)) / max(int64(b.options.Period)/bucketsPerPeriod, 1)
 }
 
-// bucketAt is the bucket of that index, emptied if it was that of an earlier one. The caller holds the lock.
+// bucketAt returns the bucket with the index, cleared if it held an earlier index. The caller holds the lock.
 func (b *RetryBudget) bucketAt(index int64) *bucket {
 	found := &b.buckets[index%int64(len(b.buckets))]
 	if found.index != index {
@@ -118,15 +118,15 @@
 	return found
 }
 
-// slackShare is this node's share of the slack, with a margin for what the rounding of all nodes may add up to.
+// slackShare returns this node's share of the slack, after a margin for the sum of the roundings of all nodes.
 func (b *RetryBudget) slackShare(dataPlanes int) float64 {
 	slack := b.options.Slack
 	count := float64(max(dataPlanes, 1))
-	margin := min(count, apportion.SpreadMargin(count), slack-apportion.MaxMeanWithin(slack)) + uncountedShare*slack
+	margin := min(count, apportion.SpreadMargin(count), slack-apportion.MaxMeanWithin(slack)) + uncountedNodeReserve*slack
 	return max(min(usableShare*slack, slack-margin), 0) / count
 }
 
-// epochFraction is this node's fraction for rounding in the present epoch. Epochs begin at another moment at each node. The
+// epochFraction returns this node's rounding fraction in the present epoch. Epochs begin at a different time at each node. The
 // caller holds the lock.
 func (b *RetryBudget) epochFraction(now time.Time) float64 {
 	length := float64(periodsPerEpoch * b.options.Period)
@@ -134,8 +134,8 @@
 	return apportion.HashFraction(b.options.Node, strconv.FormatInt(int64(epoch), 10))
 }
 
-// RetryBudgets holds a RetryBudget for each backend: retries at a backend are paid for by its own requests. It may be used
-// by any number of goroutines.
+// RetryBudgets holds a RetryBudget for each backend: the retries at a backend are limited by the requests to it. It is safe for
+// concurrent use.
 type RetryBudgets struct {
 	options RetryBudgetOptions
 
@@ -144,12 +144,12 @@
 	byBackend map[string]*RetryBudget
 }
 
-// NewRetryBudgets returns budgets that each have the options.
+// NewRetryBudgets returns budgets that all have the same options.
 func NewRetryBudgets(options RetryBudgetOptions) *RetryBudgets {
 	return &RetryBudgets{options: options, byBackend: map[string]*RetryBudget{}}
 }
 
-// ForBackend is the budget of a backend.
+// ForBackend returns the budget of a backend.
 func (b *RetryBudgets) ForBackend(backend string) *RetryBudget {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -16,12 +16,12 @@
 
 var budgetStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newBudget is a budget of a fifth of the requests and the slack, in every 10 s.
+// newBudget returns a budget that allows retries of a fifth of the requests, plus the slack, in any 10 s.
 func newBudget(slack float64) *RetryBudget {
 	return NewRetryBudget(RetryBudgetOptions{Period: 10 * time.Second, Ratio: 0.2, Slack: slack})
 }
 
-// newNodeBudget is the budget of one of the nodes.
+// newNodeBudget returns the budget of the node with the index.
 func newNodeBudget(index int, startedAt time.Time) *RetryBudget {
 	return NewRetryBudget(RetryBudgetOptions{
 		Node:      "edge-" + strconv.Itoa(index),
@@ -32,7 +32,7 @@
 	})
 }
 
-// newNodeBudgets are those of that many nodes.
+// newNodeBudgets returns the budgets of all nodes of a fleet.
 func newNodeBudgets(dataPlanes int) []*RetryBudget {
 	budgets := make([]*RetryBudget, dataPlanes)
 	for index := range budgets {
@@ -41,19 +41,20 @@
 	return budgets
 }
 
-// stepsPerPeriod is how many steps of retryHistory make the period of the budgets.
 const (
-	historyStep    = 500 * time.Millisecond
+	// historyStep is the duration of a step of retryHistory.
+	historyStep = 500 * time.Millisecond
+	// stepsPerPeriod is the number of steps in the period of the budgets.
 	stepsPerPeriod = 20
 )
 
-// retryHistory is what all nodes together were asked and have retried, by steps.
+// retryHistory holds the requests and retries of all nodes together, by step.
 type retryHistory struct {
 	requests []int
 	retries  []int
 }
 
-// add adds a step and checks that the period which ends with it is within the budget.
+// add adds a step and asserts that the budget holds in the period that ends with it.
 func (h *retryHistory) add(t *testing.T, requests, retries int, setting string) {
 	t.Helper()
 	h.requests, h.retries = append(h.requests, requests), append(h.retries, retries)
@@ -66,7 +67,7 @@
 		"%s: %d retries of %d requests", setting, totalRetries, totalRequests)
 }
 
-// useAll retries as often as the budget allows.
+// useAll takes retries until the budget allows no more, and returns their number.
 func useAll(budget *RetryBudget, now time.Time, dataPlanes int) int {
 	retries := 0
 	for budget.Allow(now, dataPlanes) {
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -24,10 +24,10 @@
 	"ferryspar/internal/routing"
 )
 
-// script answers one request on a connection that its replica accepted; false ends the connection.
+// script answers one request on a connection to a scriptedReplica. It returns false to close the connection.
 type script func(connection net.Conn, request *http.Request) bool
 
-// scriptedReplica is a replica on a loopback socket that counts the requests it has read whole.
+// scriptedReplica is a replica on a loopback socket. It records the requests that it has read completely.
 type scriptedReplica struct {
 	id       string
 	address  string
@@ -80,7 +80,7 @@
 	return len(s.requests)
 }
 
-// responseHead is the first part of an answer to the request, with its attempt id and the seal of the replica.
+// responseHead returns the status line and the header of a response to the request, with its attempt id and the seal.
 func responseHead(status string, request *http.Request, seal string, more ...string) string {
 	attempt := request.Header.Get(replica.HeaderAttempt)
 	lines := append([]string{"HTTP/1.1 " + status, replica.HeaderAttempt + ": " + attempt, replica.HeaderSeal + ": " + seal}, more...)
@@ -94,7 +94,7 @@
 	}
 }
 
-// chunk is a part of a body sent in chunks.
+// chunk encodes a chunk of a chunked body.
 func chunk(content string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(content), content) }
 
 const testDocument = `{"revision":1,"routeTable":[
@@ -107,14 +107,14 @@
 "backends":[{"name":"scribes","maxConns":64,"runtime":{"slots":8,"kvCacheTokens":10000,"modelList":[{"name":"swift"}]}}],
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304}}`
 
-// testServer is what clients connect to: the handler behind a server on a loopback socket.
+// testServer is an HTTP server with the handler on a loopback socket.
 type testServer struct {
 	address  string
 	handler  *Handler
 	snapshot *atomic.Pointer[routing.Snapshot]
 }
 
-// serverOptions are what tests change of a testServer; zero values stand for a second and the network of the host.
+// serverOptions are options of a testServer. Zero values stand for timeouts of a second and the host's network.
 type serverOptions struct {
 	network    peer.Network
 	head, idle time.Duration
@@ -159,7 +159,7 @@
 	return &testServer{listener.Addr().String(), handler, &snapshot}
 }
 
-// testFleet is a fleet with the configuration of testDocument and the replicas.
+// testFleet returns a snapshot with the configuration of testDocument and the replicas.
 func testFleet(t *testing.T, replicas []*scriptedReplica) *routing.Snapshot {
 	decoded, err := configuration.Decode([]byte(testDocument))
 	assert.NilError(t, err)
@@ -184,7 +184,7 @@
 	return snapshot
 }
 
-// testClient is a client with one connection.
+// testClient is a connection of a client.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -198,12 +198,12 @@
 	return &testClient{connection, bufio.NewReader(connection)}
 }
 
-// send sends a POST request over a connection of its own.
+// send sends a POST request on a new connection and returns the response.
 func (s *testServer) send(t *testing.T, raw string) clientResponse {
 	return s.connect(t).exchange(http.MethodPost, raw)
 }
 
-// clientResponse is a response as a client read it; broken says that it was not complete.
+// clientResponse is a response as read by a client. broken is set if it was incomplete.
 type clientResponse struct {
 	status int
 	header http.Header
@@ -211,7 +211,7 @@
 	broken bool
 }
 
-// exchange writes raw bytes and reads one response to a request of the method.
+// exchange writes a raw request and reads the response to a request with the method.
 func (c *testClient) exchange(method, raw string) clientResponse {
 	_, _ = io.WriteString(c, raw)
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -222,6 +222,7 @@
 	return clientResponse{response.StatusCode, response.Header, string(body), err != nil}
 }
 
+// post returns a raw POST request with additional header lines.
 func post(target, attempt string, more ...string) string {
 	lines := append([]string{
 		"POST " + target + " HTTP/1.1", "Host: shop.example", replica.HeaderAttempt + ": " + attempt, replica.HeaderModel + ": swift",
--- a/internal/proxy/streaming.go
+++ b/internal/proxy/streaming.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// copyBufferSize is how many bytes of a response are passed on at once.
+	// copyBufferSize is the size of the buffer that responses are copied through, in bytes.
 	copyBufferSize = 4 << 10
-	// progressInterval is how often it is reported to the matcher that a response goes on.
+	// progressInterval is the minimum interval between progress reports to the matcher.
 	progressInterval = 250 * time.Millisecond
-	// eventStream is the content type of a stream that may be resumed.
+	// eventStream is the content type of streams that may be resumed.
 	eventStream = "text/event-stream"
-	// routeTypeStreaming is the type of the routes whose responses are streams.
+	// routeTypeStreaming is the type of routes whose responses are streams.
 	routeTypeStreaming = "streaming"
 )
 
-// notExecutedStatuses are the statuses that tell a client that its request has not run and never will. From a replica they
-// are passed on only with its proof, which Forwarder.Send has judged; here they come without one.
+// notExecutedStatuses are the statuses that guarantee to a client that its request was not executed and never will be.
+// Responses that prove this have another verdict than VerdictAnswered (see replica.Forwarder.Send), so an answered response
+// with such a status lacks the proof and must not be passed on.
 var notExecutedStatuses = map[int]bool{
 	http.StatusTooManyRequests:    true,
 	http.StatusServiceUnavailable: true,
@@ -33,25 +34,25 @@
 	http.StatusMisdirectedRequest: true,
 }
 
-// streamProgress is what has been reported to the matcher of one response.
+// streamProgress tracks what was reported to the matcher about one response.
 type streamProgress struct {
 	started      bool
-	lagging      bool
+	stalled      bool
 	lastReported time.Time
 }
 
-// copyResponse passes a response on as it arrives. The error is errRetry or of package apierror.
+// copyResponse passes a response on to the client as it arrives. The error is errRetry or of package apierror.
 func (e *exchange) copyResponse(ctx context.Context, response *http.Response) error {
 	defer response.Body.Close()
-	resumable := e.resumable(response)
-	if !e.passable(response, resumable) {
+	resumable := e.isResumable(response)
+	if !e.isForwardable(response, resumable) {
 		e.report(routing.OutcomeFailed)
-		e.mayHaveRun = true
+		e.mayHaveExecuted = true
 		return e.retryOrFail(false)
 	}
 	if isServerFailure(response) && e.parsed.route.IsIdempotent() && e.canRetry() {
 		e.report(routing.OutcomeFailed)
-		e.mayHaveRun = true
+		e.mayHaveExecuted = true
 		return errRetry
 	}
 	var progress streamProgress
@@ -61,7 +62,7 @@
 		if count > 0 {
 			e.reportProgress(&progress)
 			if isSuccess(response) {
-				e.countBegun()
+				e.recordUsage()
 			}
 			if !e.writeContent(response, buffer[:count], resumable) {
 				e.report(routing.OutcomeCancelled)
@@ -72,37 +73,38 @@
 			return e.finish(ctx, response, resumable)
 		}
 		if err != nil {
-			return e.handleBrokenBody(ctx, resumable)
+			return e.handleTruncatedBody(ctx, resumable)
 		}
 	}
 }
 
-// resumable reports whether the response may be continued by another replica if it breaks off.
-func (e *exchange) resumable(response *http.Response) bool {
+// isResumable reports whether another replica may continue the response if it is truncated.
+func (e *exchange) isResumable(response *http.Response) bool {
 	route := e.parsed.route
 	return route.RouteType == routeTypeStreaming && route.Resumable && isSuccess(response) &&
 		strings.HasPrefix(response.Header.Get("Content-Type"), eventStream)
 }
 
-// passable reports whether the client may get the response: a promise that nothing has run needs a proof, and after a head
-// has been sent only the continuation of its stream may follow.
-func (e *exchange) passable(response *http.Response, resumable bool) bool {
+// isForwardable reports whether the response may be passed on: it must not claim without proof that nothing was executed, and
+// once the header was sent it must continue the stream.
+func (e *exchange) isForwardable(response *http.Response, resumable bool) bool {
 	return !notExecutedStatuses[response.StatusCode] && (!e.headerSent || resumable)
 }
 
 func isSuccess(response *http.Response) bool { return response.StatusCode < http.StatusMultipleChoices }
 
-// isServerFailure reports whether the replica failed, rather than that it ran out of time.
+// isServerFailure reports whether the replica failed, other than by a timeout.
 func isServerFailure(response *http.Response) bool {
 	return response.StatusCode >= http.StatusInternalServerError && response.StatusCode != http.StatusGatewayTimeout
 }
 
-// reportProgress reports to the matcher the first bytes, of a gap that is too long, and now and then that there are more.
+// reportProgress reports the first bytes to the matcher, the first gap that is too long, and further bytes at most once per
+// progressInterval.
 func (e *exchange) reportProgress(progress *streamProgress) {
 	now := e.handler.clock()
 	gap := e.timing.recordRead(now)
-	if progress.started && !progress.lagging && e.exceedsTokenGap(gap) {
-		progress.lagging = true
+	if progress.started && !progress.stalled && e.exceedsTokenGap(gap) {
+		progress.stalled = true
 		e.report(routing.OutcomeStalled)
 	}
 	if !progress.started {
@@ -114,13 +116,13 @@
 	}
 }
 
-// exceedsTokenGap reports whether the route calls a gap in the stream too long.
+// exceedsTokenGap reports whether a gap in the stream exceeds the route's limit.
 func (e *exchange) exceedsTokenGap(gap time.Duration) bool {
 	limit := e.parsed.route.TokenGapMs
 	return limit > 0 && float64(gap.Milliseconds()) > limit
 }
 
-// recordRead records that bytes came, and returns how long after the ones before.
+// recordRead records that bytes arrived and returns the time since the previous ones.
 func (t *timing) recordRead(now time.Time) time.Duration {
 	if t.firstByteAt.IsZero() {
 		t.firstByteAt, t.lastByteAt = now, now
@@ -130,7 +132,7 @@
 	return gap
 }
 
-// writeHeader sends the client the head of the first response that is passed on.
+// writeHeader sends the response header to the client, unless it was sent before.
 func (e *exchange) writeHeader(response *http.Response) {
 	if e.headerSent {
 		return
@@ -153,14 +155,14 @@
 	e.writer.WriteHeader(response.StatusCode)
 }
 
-// hasContentLength reports whether the client is to see the length that the replica stated.
+// hasContentLength reports whether the length that the replica stated is passed on to the client.
 func hasContentLength(response *http.Response) bool {
 	_, stated := response.Header["Content-Length"]
 	return stated && response.ContentLength >= 0 && response.StatusCode != http.StatusNoContent
 }
 
-// writeContent passes bytes of a body on, of a resumable stream only complete events; false says that the client has gone
-// or that the stream can't be resumed.
+// writeContent passes bytes of a body on; of a resumable stream it passes on only complete events. It returns false if the
+// client has left or the stream is invalid (see replica.EventBuffer.Feed).
 func (e *exchange) writeContent(response *http.Response, content []byte, resumable bool) bool {
 	if resumable {
 		complete, valid := e.events.Feed(content)
@@ -179,10 +181,10 @@
 	return http.NewResponseController(e.writer).Flush() == nil
 }
 
-// finish ends a response whose body is complete.
+// finish completes a response whose body was read to its end.
 func (e *exchange) finish(ctx context.Context, response *http.Response, resumable bool) error {
 	if resumable && !e.events.Complete() {
-		return e.handleBrokenBody(ctx, resumable)
+		return e.handleTruncatedBody(ctx, resumable)
 	}
 	e.writeHeader(response)
 	switch {
@@ -196,9 +198,9 @@
 	return nil
 }
 
-// handleBrokenBody decides what follows a body that broke off. Where the client has part of it and the stream can't be
-// resumed, it panics with http.ErrAbortHandler, so that the part never looks complete.
-func (e *exchange) handleBrokenBody(ctx context.Context, resumable bool) error {
+// handleTruncatedBody handles a body that ended early: it returns the error that decides on a retry. If the client has received
+// part of the body and the stream cannot be resumed, it panics with http.ErrAbortHandler, so that the part never looks complete.
+func (e *exchange) handleTruncatedBody(ctx context.Context, resumable bool) error {
 	if ctx.Err() != nil {
 		e.report(routing.OutcomeCancelled)
 		if e.headerSent {
@@ -207,7 +209,7 @@
 		return apierror.New(apierror.ReplicaTimeout, "")
 	}
 	e.report(routing.OutcomeTruncated)
-	e.mayHaveRun = true
+	e.mayHaveExecuted = true
 	e.events.Resume()
 	if e.headerSent && (!resumable || e.events.LastID == "") {
 		panic(http.ErrAbortHandler)
