--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// sizes are the fleets that costs are measured at.
+// sizes are the fleet sizes of the benchmarks.
 var sizes = []struct{ dataPlanes, tenants int }{{80, 83}, {380, 83}, {380, 10000}}
 
-// filledPool is a home shard that all data planes lend their part of one group to.
+// filledPool returns the pool of a home shard to which all data planes have lent their part of one group, and their requests.
 func filledPool(dataPlanes, tenants int) (pool *Pool, requests []LendRequest, limits map[string]Limit, now time.Time) {
 	parameters, now := DefaultParameters(testBounds), epoch
 	pool = NewPool(parameters, "home", now)
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkLender_Plan includes the work of the home shards.
+// BenchmarkLender_Plan includes the handling of the requests by the home shards.
 func BenchmarkLender_Plan(b *testing.B) {
 	for _, candidates := range []int{8, 32} {
 		b.Run(fmt.Sprintf("candidates=%d", candidates), func(b *testing.B) {
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	// failureBackoff is how long a home shard that gave no reply isn't asked again.
+	// failureBackoff is how long a home shard that did not reply is not asked again.
 	failureBackoff = 500 * time.Millisecond
-	// unavailableBackoff is how long a home shard that was unavailable for a tenant isn't asked for it again.
+	// unavailableBackoff is how long a home shard that was unavailable for a tenant is not asked for that tenant again.
 	unavailableBackoff = 100 * time.Millisecond
-	// borrowHold is how long a home shard that was unavailable lately may hold the next request: shares are on their way to it,
-	// and to ask it over and over would fill its link.
+	// borrowHold is how long a home shard that was recently unavailable may hold the next request. Its shares are about to
+	// arrive, and polling it instead would saturate its network link.
 	borrowHold = 400 * time.Millisecond
-	// holdPeriod is for how long after it was unavailable a home shard is asked to hold requests.
+	// holdPeriod is how long after it was last unavailable a home shard is asked to hold requests.
 	holdPeriod = time.Second
-	// accountTTL is how long the account of a tenant without requests is kept.
+	// accountTTL is how long the account of a tenant that sends no requests is kept.
 	accountTTL = 30 * time.Second
 )
 
-// Borrower is the part of a data plane that admits requests: it holds the tokens that were borrowed, and which home
-// shards had none, by tenant.
+// Borrower admits the requests of a data plane. For each tenant it holds the borrowed tokens, and until when home shards
+// without tokens are not asked again.
 type Borrower struct {
 	parameters Parameters
 	dataPlane  string
 	accounts   map[string]*account
-	// unresponsiveUntil holds when home shards that gave no reply are asked again.
+	// unresponsiveUntil holds, for home shards that did not reply, when they are asked again.
 	unresponsiveUntil map[string]time.Time
 }
 
-// account is what a data plane holds of one tenant.
+// account is a Borrower's state for one tenant.
 type account struct {
 	tokens    int
 	expiresAt time.Time
-	// rejectedUntil holds when home shards that had no tokens are asked again.
+	// rejectedUntil holds, for home shards that had no tokens, when they are asked again.
 	rejectedUntil map[string]time.Time
-	// unavailableAt holds when home shards were unavailable last.
+	// unavailableAt holds when home shards were last unavailable.
 	unavailableAt map[string]time.Time
-	// overLimitUntil is until when a home shard has no tokens because the tenant is over its limit.
+	// overLimitUntil is when a home shard that had no tokens because the tenant is over its limit has one again.
 	overLimitUntil time.Time
-	// requests counts the tenant's requests since countingSince, previousRequests those of the period before.
+	// requests counts the tenant's requests in the period that began at countingSince, previousRequests those in the period
+	// before.
 	requests, previousRequests int
 	countingSince              time.Time
 }
 
-// NewBorrower returns the borrower of a data plane, without tokens.
+// NewBorrower returns a borrower without tokens for a data plane.
 func NewBorrower(parameters Parameters, dataPlane string) *Borrower {
 	return &Borrower{
 		parameters:        parameters,
@@ -56,7 +57,7 @@
 	}
 }
 
-// accountOf returns the account of a tenant, a new one if there is none.
+// accountOf returns the account of a tenant. It creates one if there is none.
 func (b *Borrower) accountOf(tenant string, now time.Time) *account {
 	if b.accounts[tenant] == nil {
 		b.accounts[tenant] = &account{
@@ -68,11 +69,12 @@
 	return b.accounts[tenant]
 }
 
-// RecordRequest counts a request of the tenant, for the number of tokens to request.
+// RecordRequest counts a request of the tenant. TokensToRequest uses the count.
 func (b *Borrower) RecordRequest(tenant string, now time.Time) {
 	b.accountOf(tenant, now).recordRequest(now, b.parameters.TokenTTL)
 }
 
+// recordRequest counts a request, after it has started a new period if the last one is over.
 func (a *account) recordRequest(now time.Time, period time.Duration) {
 	if passed := now.Sub(a.countingSince); passed >= period {
 		a.previousRequests = a.requests
@@ -84,7 +86,7 @@
 	a.requests++
 }
 
-// TakeToken spends a token of the tenant and reports whether there was one that may still be spent.
+// TakeToken spends a token of the tenant and reports whether there was one that had not expired.
 func (b *Borrower) TakeToken(tenant string, now time.Time) bool {
 	account := b.accounts[tenant]
 	if account == nil || account.tokens == 0 {
@@ -98,9 +100,8 @@
 	return true
 }
 
-// NextHomeShard picks the home shard to be asked for the tenant's tokens next: of those that weren't without tokens
-// lately the first, in an order that differs between data planes so that they spread their requests. It returns
-// false while there is none.
+// NextHomeShard returns the home shard to request the tenant's tokens from: the first that is in no backoff, in an order
+// that differs between data planes so that they spread their requests. found is false if all are in backoff.
 func (b *Borrower) NextHomeShard(tenant string, homeShards []string, now time.Time) (homeShard string, found bool) {
 	if len(homeShards) == 0 {
 		return "", false
@@ -116,14 +117,15 @@
 	return "", false
 }
 
-// TokensToRequest is how many tokens to request while a number of requests is waiting: for a busy tenant some more, for
-// those requests that are likely to come within half the tokens' time to live.
+// TokensToRequest returns how many tokens to request for the waiting requests. For a busy tenant it adds the number of
+// requests expected within half a TokenTTL.
 func (b *Borrower) TokensToRequest(tenant string, waiting int, now time.Time) int {
 	account := b.accountOf(tenant, now)
 	return waiting + max(account.requests, account.previousRequests)/2
 }
 
-// MaxHold is for how long a home shard may hold a request for tokens of the tenant.
+// MaxHold returns how long a home shard may hold a request for tokens of the tenant: borrowHold if it was recently
+// unavailable, else zero.
 func (b *Borrower) MaxHold(tenant, homeShard string, now time.Time) time.Duration {
 	unavailableAt, known := b.accountOf(tenant, now).unavailableAt[homeShard]
 	if !known || now.Sub(unavailableAt) > holdPeriod {
@@ -132,7 +134,7 @@
 	return borrowHold
 }
 
-// HandleReply records what a home shard gave in reply to a request that was sent at requestedAt.
+// HandleReply records the reply of a home shard to a request that was sent at requestedAt.
 func (b *Borrower) HandleReply(tenant, homeShard string, reply BorrowReply, requestedAt, now time.Time) {
 	account := b.accountOf(tenant, now)
 	if reply.Unavailable {
@@ -144,11 +146,11 @@
 		account.overLimitUntil = now.Add(time.Duration(reply.RetryAfterMs) * time.Millisecond)
 		account.rejectedUntil[homeShard] = account.overLimitUntil
 	}
-	account.addTokens(reply.Tokens, requestedAt.Add(b.parameters.heldFor(reply)+b.parameters.TokenTTL), now)
+	account.addTokens(reply.Tokens, requestedAt.Add(b.parameters.minHeldTime(reply)+b.parameters.TokenTTL), now)
 }
 
-// addTokens adds tokens that may be spent until expiresAt. All tokens of an account expire at once, with the oldest of
-// them: kept for longer, they could be spent in a later window than the bounds count them in.
+// addTokens adds tokens that may be spent until expiresAt. All tokens of an account expire together with the oldest of them:
+// if some were kept longer, they could be spent in a later window than the bounds assume.
 func (a *account) addTokens(tokens int, expiresAt, now time.Time) {
 	if tokens <= 0 || !now.Before(expiresAt) {
 		return
@@ -161,7 +163,7 @@
 	a.tokens, a.expiresAt = tokens, expiresAt
 }
 
-// OverLimitFor returns for how much longer the tenant counts as over its limit, zero if it doesn't.
+// OverLimitFor returns for how much longer the tenant counts as over its limit, zero if it does not.
 func (b *Borrower) OverLimitFor(tenant string, now time.Time) time.Duration {
 	account := b.accounts[tenant]
 	if account == nil {
@@ -170,13 +172,12 @@
 	return max(account.overLimitUntil.Sub(now), 0)
 }
 
-// HandleFailure records that a home shard gave no reply. What it may have given is lost.
+// HandleFailure records that a home shard did not reply. Tokens that it may have granted are lost.
 func (b *Borrower) HandleFailure(homeShard string, now time.Time) {
 	b.unresponsiveUntil[homeShard] = now.Add(failureBackoff)
 }
 
-// DropIdle drops the accounts of tenants that sent nothing lately, and what is remembered of home shards that may be asked
-// again.
+// DropIdle drops the accounts of idle tenants, and the entries of home shards whose backoff or hold period is over.
 func (b *Borrower) DropIdle(now time.Time) {
 	isOver := func(_ string, until time.Time) bool { return !now.Before(until) }
 	maps.DeleteFunc(b.unresponsiveUntil, isOver)
--- a/internal/quota/bound_simulation_test.go
+++ b/internal/quota/bound_simulation_test.go
@@ -11,11 +11,11 @@
 const (
 	minNodes = 2
 	maxNodes = 9
-	// maxStepMs is the longest time, in milliseconds, between two steps of a history.
+	// maxStepMs is the maximum time between two steps of a history, in milliseconds.
 	maxStepMs = 1200
 )
 
-// fleetFaults are what may befall a node in a history.
+// fleetFaults holds the events that are injected at random nodes in a history.
 var fleetFaults = []func(f *fleet, node *node){
 	(*fleet).start,
 	func(_ *fleet, node *node) { node.frozen = true },
@@ -42,16 +42,16 @@
 	func(_ *fleet, node *node) { node.pool.Drain() },
 }
 
-// history is a random course of events, determined by the seeds of its steps.
+// history is a random sequence of events, determined by the seeds of its steps.
 type history struct {
 	limit Limit
 	size  int
 	steps []uint64
 }
 
-// violation plays the history and returns what exceeded the bounds, or nothing.
-func (h history) violation(planted plantedFault) string {
-	fleet := newFleet(DefaultParameters(testBounds), h.limit, h.size, planted, h.steps[0])
+// violation simulates the history and returns a description of the violated invariant, or an empty string.
+func (h history) violation(injected injectedFault) string {
+	fleet := newFleet(DefaultParameters(testBounds), h.limit, h.size, injected, h.steps[0])
 	for _, step := range h.steps {
 		random := rand.New(rand.NewPCG(step, 2))
 		if random.IntN(6) == 0 {
@@ -62,8 +62,8 @@
 			fleet.requesting = !fleet.requesting
 		}
 		fleet.step(time.Duration(random.IntN(maxStepMs)+1) * time.Millisecond)
-		if fleet.totalShare() > 1+rounding {
-			return "the shares sum to more than the limit"
+		if fleet.totalShare() > 1+roundingTolerance {
+			return "the sum of the shares exceeds the limit"
 		}
 	}
 	if !fleet.keepsBounds(h.limit, 0) {
@@ -72,6 +72,7 @@
 	return ""
 }
 
+// drawHistory draws a history whose failures rapid can shrink.
 func drawHistory(t *rapid.T) history {
 	rate := rapid.Float64Range(0.1, 300).Draw(t, "rate")
 	burst := rapid.Float64Range(0, 300).Draw(t, "burst")
@@ -82,6 +83,7 @@
 	}
 }
 
+// randomHistory returns a history of 150 steps with a fixed limit and size.
 func randomHistory(random *rand.Rand) history {
 	steps := make([]uint64, 150)
 	for index := range steps {
@@ -98,25 +100,25 @@
 	})
 }
 
-func TestFleet_CatchesPlantedFaults(t *testing.T) {
+func TestFleet_DetectsInjectedFaults(t *testing.T) {
 	const histories = 300
-	for name, planted := range map[string]plantedFault{
-		"a loan counted from its receipt": loansCountFromReceipt,
-		"a loan counted twice":            repeatsCountTwice,
-		"a restarted lender that forgets": restartForgets,
-		"a silent data plane not counted": silentExpiredAtOnce,
-		"a leaver that keeps its share":   keepsReleasedShare,
+	for name, injected := range map[string]injectedFault{
+		"loan term starts at receipt":    termStartsAtReceipt,
+		"repeated loan counted twice":    repeatsCountTwice,
+		"restarted lender does not wait": restartLendsAtOnce,
+		"silent data plane not counted":  silentExpiredAtOnce,
+		"released share kept":            keepsReleasedShare,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			random := rand.New(rand.NewPCG(7, 7))
 			for index := range histories {
-				if found := randomHistory(random).violation(planted); found != "" {
+				if found := randomHistory(random).violation(injected); found != "" {
 					t.Logf("history %d: %s", index, found)
 					return
 				}
 			}
-			t.Fatalf("not found in %d histories", histories)
+			t.Fatalf("fault not detected in %d histories", histories)
 		})
 	}
 }
--- a/internal/quota/fleet_limits_test.go
+++ b/internal/quota/fleet_limits_test.go
@@ -11,19 +11,19 @@
 func TestFleet_AdmitsFullLimitWhereverRequestsArrive(t *testing.T) {
 	for name, demandOn := range map[string]func(fleet *reliableFleet) demand{
 		"at one data plane": func(*reliableFleet) demand {
-			return func(position int) int {
-				if position == 3 {
+			return func(index int) int {
+				if index == 3 {
 					return 5
 				}
 				return 0
 			}
 		},
 		"spread over all": func(fleet *reliableFleet) demand {
-			return onceIf(func(position int) bool { return (int(fleet.now/tick)+position)%16 == 0 })
+			return onceIf(func(index int) bool { return (int(fleet.now/tick)+index)%16 == 0 })
 		},
 		"moving from zone to zone": func(fleet *reliableFleet) demand {
-			return onceIf(func(position int) bool {
-				return position%3 == int(fleet.now/time.Second)%3 && position < 15
+			return onceIf(func(index int) bool {
+				return index%3 == int(fleet.now/time.Second)%3 && index < 15
 			})
 		},
 	} {
@@ -40,9 +40,8 @@
 	}
 }
 
-// withAndWithout runs a test on the fleet as it is, where a property must hold, and with a planted fault, where it must
-// not.
-func withAndWithout(t *testing.T, fault plantedFault, test func(t *testing.T, planted plantedFault, holds bool)) {
+// withAndWithout runs a test without a fault, where a property must hold, and with an injected fault, where it must not.
+func withAndWithout(t *testing.T, fault injectedFault, test func(t *testing.T, injected injectedFault, holds bool)) {
 	t.Helper()
 	t.Run("without fault", func(t *testing.T) { test(t, noFault, true) })
 	t.Run("with fault", func(t *testing.T) { test(t, fault, false) })
@@ -50,9 +49,9 @@
 
 func TestBorrower_LosesExpiredTokensAfterFreeze(t *testing.T) {
 	limit := Limit{RatePerS: 20, Burst: 300}
-	withAndWithout(t, tokensNeverExpire, func(t *testing.T, planted plantedFault, holds bool) {
+	withAndWithout(t, tokensNeverExpire, func(t *testing.T, injected injectedFault, holds bool) {
 		fleet := newReliableFleet(limit, 4)
-		fleet.fault = planted
+		fleet.fault = injected
 		fleet.advance(20*time.Second, noDemand)
 		frozen, now := fleet.nodes[0], fleet.clock(fleet.nodes[0])
 		for _, homeShard := range frozen.lender.HomeShards(testTenant) {
@@ -66,14 +65,14 @@
 	})
 }
 
-func TestPool_LowerLimitBindsOnceAllHaveIt(t *testing.T) {
+func TestPool_LowerLimitHoldsOnceAllHomeShardsHaveIt(t *testing.T) {
 	high, low := Limit{RatePerS: 100, Burst: 50}, Limit{RatePerS: 20, Burst: 5}
-	withAndWithout(t, lowerLimitMissedByOne, func(t *testing.T, planted plantedFault, holds bool) {
+	withAndWithout(t, lowerLimitMissedByOne, func(t *testing.T, injected injectedFault, holds bool) {
 		fleet := newReliableFleet(high, 8)
 		fleet.advance(5*time.Second, floodAt(1))
 		homeShards := fleet.nodes[1].lender.HomeShards(testTenant)
 		for _, node := range fleet.nodes {
-			if planted != lowerLimitMissedByOne || node.name != homeShards[0] {
+			if injected != lowerLimitMissedByOne || node.name != homeShards[0] {
 				fleet.setLimit(node, low)
 			}
 		}
@@ -84,9 +83,9 @@
 }
 
 func TestFleet_RedistributesSharesOfLeavers(t *testing.T) {
-	withAndWithout(t, leaversNeverExpire, func(t *testing.T, planted plantedFault, holds bool) {
+	withAndWithout(t, leaversNeverExpire, func(t *testing.T, injected injectedFault, holds bool) {
 		fleet := newReliableFleet(Limit{RatePerS: 100, Burst: 50}, 12)
-		fleet.fault = planted
+		fleet.fault = injected
 		for range 4 {
 			fleet.leave(fleet.nodes[len(fleet.nodes)-1])
 		}
@@ -111,7 +110,7 @@
 	after := fleet.admittedFraction(5*time.Second, flood)
 	t.Logf("%.3f of the limit in the term, %.3f after it", during, after)
 	assert.Assert(t, during >= 0.45)
-	assert.Assert(t, after >= 0.97*11/12, "the dead data plane is still counted")
+	assert.Assert(t, after >= 0.97*11/12, "the failed data plane's share is not yet redistributed")
 }
 
 func TestFleet_KeepsFullLimitWhileHomeShardDrains(t *testing.T) {
@@ -145,7 +144,7 @@
 	assert.Assert(t, pool.Borrow(borrow, later).RetryAfterMs > 0)
 }
 
-func TestPool_TooFewTokensShortlyAfterTheFirstLoanIsNoExcess(t *testing.T) {
+func TestPool_TooFewTokensShortlyAfterFirstLoanIsNotOverLimit(t *testing.T) {
 	pool := NewPool(DefaultParameters(testBounds), "home", epoch)
 	pool.SetLimits(map[string]Limit{testTenant: {RatePerS: 2, Burst: 3}}, epoch)
 	lend := LendRequest{
@@ -158,25 +157,25 @@
 	pool.Lend(lend, epoch)
 	reply := pool.Borrow(BorrowRequest{Tenant: testTenant, Tokens: 1000}, epoch)
 	assert.Assert(t, reply.Tokens > 0)
-	assert.Equal(t, reply.RetryAfterMs, int64(0), "the other lenders' shares are still to come")
+	assert.Equal(t, reply.RetryAfterMs, int64(0), "the other lenders' shares have not arrived yet")
 	wait := pool.TimeToNextToken(testTenant, time.Minute, epoch)
-	assert.Assert(t, wait > 0 && wait <= time.Second, "at one token a second, %s", wait)
+	assert.Assert(t, wait > 0 && wait <= time.Second, "%s at one token per second", wait)
 	assert.Equal(t, pool.TimeToNextToken("unknown", time.Minute, epoch), time.Minute)
 }
 
-func TestBorrower_TokensOfAHeldRequestCountFromWhenTheyWereGiven(t *testing.T) {
+func TestBorrower_TokenTTLStartsAfterHoldTime(t *testing.T) {
 	parameters := DefaultParameters(testBounds)
 	borrower := NewBorrower(parameters, "a")
 	requestedAt := epoch
 	repliedAt := requestedAt.Add(420 * time.Millisecond)
 	borrower.HandleReply(testTenant, "home", BorrowReply{Tokens: 1, HeldMs: 400}, requestedAt, repliedAt)
-	assert.Assert(t, borrower.TakeToken(testTenant, repliedAt), "they were given 20 ms ago")
+	assert.Assert(t, borrower.TakeToken(testTenant, repliedAt), "granted 20 ms ago")
 	borrower.HandleReply(testTenant, "home", BorrowReply{Tokens: 1, HeldMs: 400}, requestedAt, repliedAt)
-	latest := requestedAt.Add(400*time.Millisecond + parameters.TokenTTL)
-	assert.Assert(t, !borrower.TakeToken(testTenant, latest), "never later than their time to live after that")
+	expiry := requestedAt.Add(400*time.Millisecond + parameters.TokenTTL)
+	assert.Assert(t, !borrower.TakeToken(testTenant, expiry), "expired")
 }
 
-func TestBorrower_AsksToBeHeldWhereItWasUnavailable(t *testing.T) {
+func TestBorrower_RequestsHoldAfterUnavailableReply(t *testing.T) {
 	borrower := NewBorrower(DefaultParameters(testBounds), "a")
 	assert.Equal(t, borrower.MaxHold(testTenant, "home", epoch), time.Duration(0))
 	borrower.HandleReply(testTenant, "home", BorrowReply{Unavailable: true}, epoch, epoch)
@@ -185,7 +184,7 @@
 	assert.Equal(t, borrower.MaxHold(testTenant, "home", epoch.Add(holdPeriod+time.Millisecond)), time.Duration(0))
 }
 
-func TestLender_KeepsThePartOfAHomeShardThatHasNotRepliedYet(t *testing.T) {
+func TestLender_ReservesPartOfHomeShardThatHasNotRepliedYet(t *testing.T) {
 	parameters := DefaultParameters(testBounds)
 	lender := NewLender(parameters, "a", "a/1", epoch)
 	lender.UpdateFleetSize(FleetSize{DataPlanes: 4}, epoch)
@@ -213,5 +212,5 @@
 	lender.HandleFailure(second, epoch)
 	lender.HandleFailure(second, epoch)
 	plan()
-	assert.Equal(t, shares[first], 0.125, "what the dead one has is bound for a term")
+	assert.Equal(t, shares[first], 0.125, "the failed home shard's part is leased until its term ends")
 }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// plantedFault is a mistake planted in the simulated fleet, to see that the checks find it.
-type plantedFault int
+// injectedFault is a fault injected into the simulated fleet, to verify that the checks detect it.
+type injectedFault int
 
 const (
-	noFault plantedFault = iota
-	// loansCountFromReceipt: a home shard that was frozen counts the term of an old loan from its receipt.
-	loansCountFromReceipt
-	// repeatsCountTwice: a repeated message is taken for a second loan.
+	noFault injectedFault = iota
+	// termStartsAtReceipt makes home shards start the term of a loan at its receipt instead of its stamp.
+	termStartsAtReceipt
+	// repeatsCountTwice makes home shards count a repeated message as a second loan.
 	repeatsCountTwice
-	// restartForgets: a restarted lender lends at once what its last incarnation still has lent.
-	restartForgets
-	// silentExpiredAtOnce: a data plane that falls silent isn't counted any more at once.
+	// restartLendsAtOnce makes a restarted lender lend at once, while loans of its last incarnation are still in force.
+	restartLendsAtOnce
+	// silentExpiredAtOnce makes the control planes stop counting a data plane as soon as it is out of contact.
 	silentExpiredAtOnce
-	// tokensNeverExpire: a borrower that was frozen spends tokens of any age.
+	// tokensNeverExpire makes borrowers spend tokens of any age.
 	tokensNeverExpire
-	// lowerLimitMissedByOne: a lower limit doesn't reach one home shard.
+	// lowerLimitMissedByOne keeps a lowered limit from one home shard.
 	lowerLimitMissedByOne
-	// keepsReleasedShare: a home shard that drains keeps using what it released.
+	// keepsReleasedShare makes draining home shards use loans that they have released.
 	keepsReleasedShare
-	// leaversNeverExpire: a data plane that left is counted for ever.
+	// leaversNeverExpire makes the control planes count data planes that have left forever.
 	leaversNeverExpire
 )
 
@@ -37,7 +37,7 @@
 	epoch      = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// node is a simulated data plane. Its clock runs at a speed of its own.
+// node is a simulated data plane. Its clock runs at clockSpeed relative to the simulated time.
 type node struct {
 	name        string
 	incarnation int
@@ -50,38 +50,38 @@
 	limit       Limit
 }
 
-// isConnected reports whether the node exchanges messages with the control daemons.
+// isConnected reports whether the node is in contact with the control planes.
 func (n *node) isConnected() bool { return !n.partitioned && !n.frozen }
 
-// spentTokens is a number of requests that ran at a time.
+// spentTokens is the number of tokens that a node spent at a time.
 type spentTokens struct {
 	at     time.Duration
 	tokens int
 }
 
-// fleet is a simulated fleet of data planes with clocks of slightly different speeds, over a network that loses,
-// delays and repeats messages.
+// fleet is a simulated fleet of data planes whose clocks run at slightly different speeds, connected by a network that
+// loses, delays and repeats messages.
 type fleet struct {
-	parameters Parameters
-	fault      plantedFault
-	random     *rand.Rand
-	now        time.Duration
-	nodes      []*node
-	nodesMade  int
-	inFlight   []message
-	// lastSeen and countedSince are what the control daemons know of the data planes that they count.
+	parameters   Parameters
+	fault        injectedFault
+	random       *rand.Rand
+	now          time.Duration
+	nodes        []*node
+	nodesCreated int
+	inFlight     []message
+	// lastSeen and countedSince are the control planes' state for the data planes that they count.
 	lastSeen     map[string]time.Duration
 	countedSince map[string]time.Duration
 	spends       []spentTokens
 	limit        Limit
-	// requesting is set while the tenant sends requests, more than its limit.
+	// requesting is set while the tenant sends requests above its limit.
 	requesting bool
 }
 
-func newFleet(parameters Parameters, limit Limit, size int, planted plantedFault, seed uint64) *fleet {
+func newFleet(parameters Parameters, limit Limit, size int, injected injectedFault, seed uint64) *fleet {
 	f := &fleet{
 		parameters:   parameters,
-		fault:        planted,
+		fault:        injected,
 		random:       rand.New(rand.NewPCG(seed, 1)),
 		lastSeen:     map[string]time.Duration{},
 		countedSince: map[string]time.Duration{},
@@ -93,15 +93,17 @@
 	return f
 }
 
+// clock returns the time on the clock of a node.
 func (f *fleet) clock(node *node) time.Time {
 	return epoch.Add(time.Duration(float64(f.now) * node.clockSpeed))
 }
 
+// join adds a node to the fleet.
 func (f *fleet) join() {
-	f.nodesMade++
+	f.nodesCreated++
 	maxDeviation := f.parameters.MaxClockDrift / 2
 	joined := &node{
-		name:       fmt.Sprintf("node-%d", f.nodesMade),
+		name:       fmt.Sprintf("node-%d", f.nodesCreated),
 		clockSpeed: 1 + maxDeviation*(2*f.random.Float64()-1),
 		limit:      f.limit,
 	}
@@ -109,14 +111,14 @@
 	f.start(joined)
 }
 
-// start starts a new incarnation of a data plane, without anything that the last one knew.
+// start starts a new incarnation of a node, without the state of the previous one.
 func (f *fleet) start(node *node) {
 	node.incarnation++
 	node.frozen = false
 	incarnation := fmt.Sprintf("%s/%d", node.name, node.incarnation)
 	now := f.clock(node)
 	node.lender = NewLender(f.parameters, node.name, incarnation, now)
-	if f.fault == restartForgets {
+	if f.fault == restartLendsAtOnce {
 		node.lender.startedAt = now.Add(-time.Minute)
 	}
 	node.pool = NewPool(f.parameters, incarnation, now)
@@ -124,17 +126,18 @@
 	node.borrower = NewBorrower(f.parameters, node.name)
 }
 
+// leave removes a node from the fleet.
 func (f *fleet) leave(left *node) {
 	f.nodes = slices.DeleteFunc(f.nodes, func(node *node) bool { return node == left })
 }
 
+// setLimit changes the tenant's limit at one node.
 func (f *fleet) setLimit(node *node, limit Limit) {
 	node.limit = limit
 	node.pool.SetLimits(map[string]Limit{testTenant: limit}, f.clock(node))
 }
 
-// updateFleetSize has the control daemons count the data planes that are in contact with them, and tell these the
-// number.
+// updateFleetSize has the control planes count the data planes and report the number to those that are in contact.
 func (f *fleet) updateFleetSize() {
 	for _, node := range f.nodes {
 		if !node.isConnected() {
@@ -161,6 +164,7 @@
 	}
 }
 
+// expireSilent stops counting data planes that have been out of contact for too long.
 func (f *fleet) expireSilent() {
 	expiry := f.parameters.SilentExpiry + f.parameters.SilentExpiry/100
 	if f.fault == silentExpiredAtOnce {
@@ -174,6 +178,7 @@
 	}
 }
 
+// names returns the names of all nodes.
 func (f *fleet) names() []string {
 	var names []string
 	for _, node := range f.nodes {
@@ -182,7 +187,7 @@
 	return names
 }
 
-// find returns the node of a name, nil if it left.
+// find returns the node with the name, nil if it has left.
 func (f *fleet) find(name string) *node {
 	for _, node := range f.nodes {
 		if node.name == name {
@@ -192,7 +197,7 @@
 	return nil
 }
 
-// step lets some time pass.
+// step advances the simulated time, delivers messages, and lends, borrows and spends tokens.
 func (f *fleet) step(passed time.Duration) {
 	f.now += passed
 	f.spend()
@@ -208,7 +213,7 @@
 	}
 }
 
-// totalShare sums the shares of the tenant's group over all home shards.
+// totalShare returns the sum of the shares of the tenant's group over all home shards.
 func (f *fleet) totalShare() float64 {
 	sum := 0.0
 	for _, node := range f.nodes {
@@ -217,7 +222,7 @@
 	return sum
 }
 
-// largestWindow is the largest number of tokens spent in a window that begins at the given time or later.
+// largestWindow returns the largest number of tokens spent in any window that begins at or after the given time.
 func (f *fleet) largestWindow(since time.Duration) int {
 	largest := 0
 	for first, begin := range f.spends {
@@ -236,7 +241,7 @@
 	return largest
 }
 
-// keepsBounds reports whether no window that begins at the given time or later has more requests than a limit allows.
+// keepsBounds reports whether no window that begins at or after the given time has more requests than a limit allows.
 func (f *fleet) keepsBounds(limit Limit, since time.Duration) bool {
 	return float64(f.largestWindow(since)) <= f.parameters.Bounds.Allowed(limit)
 }
--- a/internal/quota/fleetnetwork_test.go
+++ b/internal/quota/fleetnetwork_test.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// fates is the number of equally likely fates of a message.
-const fates = 20
+// messageOutcomes is the number of equally likely outcomes for a message in flight.
+const messageOutcomes = 20
 
-// Fates of a message; all others are a plain delivery.
 const (
-	delayedFates = 2
-	lostFate     = 2
-	repeatedFate = 3
+	// delayedOutcomes is the number of outcomes by which the message stays in flight; they are the lowest.
+	delayedOutcomes = 2
+	// lostOutcome and repeatedOutcome are the outcomes by which the message is lost or delivered twice. All others deliver it once.
+	lostOutcome     = 2
+	repeatedOutcome = 3
 )
 
-// message is in flight until it is delivered to the incarnation that it is for; the reply is made on delivery.
+// message is a message in flight. It is delivered only to the incarnation that it was sent to; the reply is sent on delivery.
 type message struct {
 	to          *node
 	incarnation int
 	deliver     func(repeated bool)
 }
 
+// send puts a message in flight if the two nodes are on the same side of the partition.
 func (f *fleet) send(from, to *node, deliver func(repeated bool)) {
 	if to == nil || from.partitioned != to.partitioned {
 		return
@@ -26,8 +28,8 @@
 	f.inFlight = append(f.inFlight, message{to: to, incarnation: to.incarnation, deliver: deliver})
 }
 
-// deliverMessages decides the fate of the messages in flight: most arrive, some twice or later, few never. The replies
-// arrive in the same step or a later one.
+// deliverMessages delivers the messages in flight, except for delayed and lost ones. Their replies arrive in the same step or a
+// later one.
 func (f *fleet) deliverMessages() {
 	for range 2 {
 		waiting := f.inFlight
@@ -38,17 +40,18 @@
 	}
 }
 
+// deliver draws the outcome for a message and applies it. Messages to a frozen node are delayed.
 func (f *fleet) deliver(sent message) {
-	fate := f.random.IntN(fates)
+	outcome := f.random.IntN(messageOutcomes)
 	if sent.to.frozen {
-		fate = 0
+		outcome = 0
 	}
 	switch {
-	case fate < delayedFates:
+	case outcome < delayedOutcomes:
 		f.inFlight = append(f.inFlight, sent)
-	case fate == lostFate:
+	case outcome == lostOutcome:
 	case sent.incarnation != sent.to.incarnation:
-	case fate == repeatedFate:
+	case outcome == repeatedOutcome:
 		sent.deliver(false)
 		repetition := message{to: sent.to, incarnation: sent.incarnation, deliver: func(bool) { sent.deliver(true) }}
 		f.inFlight = append(f.inFlight, repetition)
@@ -57,7 +60,7 @@
 	}
 }
 
-// lend has every data plane lend to its home shards.
+// lend has every node lend to its home shards.
 func (f *fleet) lend() {
 	for _, node := range f.nodes {
 		if node.frozen {
@@ -73,8 +76,9 @@
 	}
 }
 
+// lendAt handles a request to lend at a home shard, with the injected fault, and sends the reply.
 func (f *fleet) lendAt(lender, homeShard *node, request LendRequest, repeated bool) {
-	if f.fault == loansCountFromReceipt && request.Stamp.Incarnation == homeShard.pool.incarnation {
+	if f.fault == termStartsAtReceipt && request.Stamp.Incarnation == homeShard.pool.incarnation {
 		request.Stamp.At = int64(f.clock(homeShard).Sub(homeShard.pool.startedAt))
 	}
 	if f.fault == repeatsCountTwice && repeated {
@@ -88,7 +92,7 @@
 	f.send(homeShard, lender, func(bool) { lender.lender.HandleReply(homeShard.name, reply, f.clock(lender)) })
 }
 
-// borrow has every data plane request many tokens, to spend them sooner or later.
+// borrow has every node request more tokens than are available.
 func (f *fleet) borrow() {
 	for _, node := range f.nodes {
 		if node.frozen {
@@ -109,7 +113,7 @@
 	}
 }
 
-// spend has every data plane spend all tokens that it may.
+// spend has every node spend all its tokens.
 func (f *fleet) spend() {
 	for _, node := range f.nodes {
 		if node.frozen {
--- a/internal/quota/homeshards.go
+++ b/internal/quota/homeshards.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// candidatesPerGroup is how many data planes are announced as possible home shards of a group.
+// candidatesPerGroup is the number of data planes that are announced as possible home shards of a group.
 const candidatesPerGroup = 8
 
 // Group returns the group that a tenant belongs to.
@@ -16,10 +16,11 @@
 	return int(xxhash.Sum64String(tenant) % uint64(p.groupCount()))
 }
 
+// groupCount returns the number of groups, at least 1.
 func (p Parameters) groupCount() int { return max(p.Groups, 1) }
 
-// Candidates returns the data planes, sorted by name, that rank first for some group: who knows these picks the same
-// home shards as who knows all, unless most of them are gone.
+// Candidates returns the candidatesPerGroup highest ranked data planes of each group, sorted by name without duplicates. A data
+// plane that knows only these chooses the same home shards as one that knows all, unless most of them are gone.
 func (p Parameters) Candidates(dataPlanes []string) []string {
 	var candidates []string
 	for group := range p.groupCount() {
@@ -30,8 +31,8 @@
 	return slices.Compact(candidates)
 }
 
-// RankHomeShards orders the data planes by preference as home shards of a group, by rendezvous hashing: where two lists differ,
-// the data planes in both keep their order, so that few shares move.
+// RankHomeShards orders the data planes by preference as home shards of a group, by rendezvous hashing: data planes that are
+// in two lists have the same order in both, so that few shares move when the fleet changes.
 func RankHomeShards(group int, dataPlanes []string) []string {
 	prefix := strconv.Itoa(group) + "\x00"
 	weights := make(map[string]uint64, len(dataPlanes))
--- a/internal/quota/leasetable.go
+++ b/internal/quota/leasetable.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// leaseKey names what is leased of one group to one home shard.
+// leaseKey identifies leases by home shard and group.
 type leaseKey struct {
 	homeShard string
 	group     int
 }
 
-// lease is a share that a home shard may hold until it expires.
+// lease is a share of a group that a home shard may hold until expiresAt.
 type lease struct {
 	share     float64
 	expiresAt time.Time
 }
 
-// leaseTable is what a lender may still have leased to whom. A home shard holds one of the leases of a key at a time, and
-// which one isn't known: requests may be lost or delayed. So the largest of them counts.
+// leaseTable holds a lender's leases that may still be in force. At any time a home shard holds one of the leases of a key, but
+// since requests may be lost or delayed it is unknown which. The largest of them counts.
 type leaseTable map[leaseKey][]lease
 
+// add adds a lease to those of the key.
 func (t leaseTable) add(key leaseKey, added lease) { t[key] = append(t[key], added) }
 
-// expire drops the leases that have surely ended.
+// expire drops the expired leases.
 func (t leaseTable) expire(now time.Time) {
 	for key, leases := range t {
 		var active []lease
@@ -37,7 +38,7 @@
 	}
 }
 
-// leasedElsewhere is how much of a group other home shards than the given one may hold.
+// leasedElsewhere returns the share of a group that home shards other than the given one may hold.
 func (t leaseTable) leasedElsewhere(group int, homeShard string) float64 {
 	total := 0.0
 	for key, leases := range t {
@@ -60,6 +61,7 @@
 	return groups
 }
 
+// largestShare returns the largest share of the leases.
 func largestShare(leases []lease) float64 {
 	largest := 0.0
 	for _, lease := range leases {
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limit is what a tenant may send over all data planes: a rate in requests a second, and a burst of requests on top.
+// Limit is a tenant's rate limit over all data planes: a rate in requests per second, and a burst in requests.
 type Limit struct {
 	RatePerS float64
 	Burst    float64
@@ -11,15 +11,15 @@
 // Unlimited reports whether there is no limit.
 func (l Limit) Unlimited() bool { return l.RatePerS <= 0 }
 
-// Bounds is by how much the requests of a tenant in any span of Window may exceed its limit: by the ratio Overage and
-// by Slack requests.
+// Bounds states by how much the requests of a tenant in any time window of length Window may exceed its limit: by the
+// fraction Overage, plus Slack requests.
 type Bounds struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 }
 
-// Allowed returns how many requests may run in any span of Window.
+// Allowed returns the maximum number of requests in any time window of length Window.
 func (b Bounds) Allowed(limit Limit) float64 {
 	return (limit.RatePerS*b.Window.Seconds()+limit.Burst)*(1+b.Overage) + b.Slack
 }
--- a/internal/quota/loantable.go
+++ b/internal/quota/loantable.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// loanKey names the loan of one incarnation of a lender of one group.
+// loanKey identifies a loan by the lender's incarnation and the group.
 type loanKey struct {
 	incarnation string
 	group       int
 }
 
-// loan is what a lender lent. It is kept for a while after its end for its sequence and seededAt.
+// loan is a share of a group that a lender has lent. Its share is zero once it has ended; it is then kept for a while, because
+// sequence and seededAt are still needed.
 type loan struct {
 	sequence   uint64
 	share      float64
 	homeShards int
 	expiresAt  time.Time
-	// seededAt is when the loan last brought tokens with it, zero if never.
+	// seededAt is when seed tokens were last added for the loan, zero if never.
 	seededAt time.Time
 }
 
 // loanTable holds the loans of a pool.
 type loanTable struct {
 	loans map[loanKey]*loan
-	// nextExpiry is the earliest end of a loan that is in force, zero if none is.
+	// nextExpiry is the earliest expiry of a loan in force, zero if there is none.
 	nextExpiry time.Time
 }
 
+// newLoanTable returns an empty table.
 func newLoanTable() loanTable { return loanTable{loans: map[loanKey]*loan{}} }
 
 // find returns a loan, nil if there is none.
@@ -37,8 +39,8 @@
 	return added
 }
 
-// totalShare sums what is lent of a group. It is never more than the part that a lender gives to one home shard, so
-// that lenders that count too few data planes don't add up to more than the limit.
+// totalShare returns the sum of the loans of a group. It is capped to the part of the limits that all lenders together give to
+// one home shard, since lenders that count too few data planes could otherwise exceed the limits in sum.
 func (t *loanTable) totalShare(group int) float64 {
 	sum, limit := 0.0, 0.0
 	for key, loan := range t.loans {
@@ -50,12 +52,12 @@
 	return min(sum, limit)
 }
 
-// hasExpired reports whether a loan in force is over.
+// hasExpired reports whether the term of a loan in force is over.
 func (t *loanTable) hasExpired(now time.Time) bool {
 	return !t.nextExpiry.IsZero() && !now.Before(t.nextExpiry)
 }
 
-// endExpired ends the loans that are over at a moment.
+// endExpired ends the loans whose term is over at the given time.
 func (t *loanTable) endExpired(now time.Time) {
 	for _, loan := range t.loans {
 		if loan.share > 0 && !now.Before(loan.expiresAt) {
@@ -64,7 +66,7 @@
 	}
 }
 
-// dropEnded drops the loans that ended before a moment.
+// dropEnded drops the loans that ended before the given time.
 func (t *loanTable) dropEnded(before time.Time) {
 	for key, loan := range t.loans {
 		if loan.share == 0 && loan.expiresAt.Before(before) {
@@ -73,6 +75,7 @@
 	}
 }
 
+// updateNextExpiry recomputes nextExpiry.
 func (t *loanTable) updateNextExpiry() {
 	t.nextExpiry = time.Time{}
 	for _, loan := range t.loans {
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// keptTerms is for how many loan terms ended loans and superseded incarnations are remembered: longer than a request
-// that would still be accepted can be under way.
-const keptTerms = 2
+// retentionTerms is the number of loan terms for which ended loans and superseded incarnations are kept. It is longer than
+// a request can be delayed in the network and still be accepted.
+const retentionTerms = 2
 
-// Pool is a data plane as a home shard: the shares lent to it, and the token buckets that they fill.
+// Pool implements a home shard: it holds the shares that are lent to this data plane and the token buckets that they fill.
 type Pool struct {
 	parameters  Parameters
 	incarnation string
 	startedAt   time.Time
-	// dataPlaneCount is the number of data planes, zero while it isn't known.
+	// dataPlaneCount is the number of data planes, zero while it is unknown.
 	dataPlaneCount int
 	groups         []*group
 	loans          loanTable
@@ -19,7 +19,7 @@
 	draining       bool
 }
 
-// NewPool returns a pool with nothing lent to it. The incarnation names this process and no other.
+// NewPool returns a pool without loans. The incarnation is a unique name of this process.
 func NewPool(parameters Parameters, incarnation string, now time.Time) *Pool {
 	pool := &Pool{
 		parameters:  parameters,
@@ -34,8 +34,8 @@
 	return pool
 }
 
-// SetLimits puts the limits of all tenants in force. Tenants that stay keep the tokens that they have, up to what the
-// new limit allows; new ones start with none.
+// SetLimits replaces the limits of all tenants. Tenants that had a limit before keep their tokens, up to the capacity of
+// the new one; new tenants start without tokens.
 func (p *Pool) SetLimits(limits map[string]Limit, now time.Time) {
 	p.expireLoans(now)
 	for _, group := range p.groups {
@@ -61,15 +61,17 @@
 	}
 }
 
-// SetDataPlaneCount sets the number of data planes. Loans by lenders that count fewer are capped to it as they are
-// renewed.
+// SetDataPlaneCount sets the number of data planes. Loans of lenders that assume a smaller number are capped accordingly
+// when they are renewed.
 func (p *Pool) SetDataPlaneCount(count int) { p.dataPlaneCount = count }
 
+// groupOf returns the group of a tenant.
 func (p *Pool) groupOf(tenant string) *group { return p.groups[p.parameters.Group(tenant)] }
 
-// Lend accepts the loans of a request, unless that was overtaken or its stamp is too old or of another incarnation, and
-// replies with the present stamp. A loan counts from its stamp, not from its receipt: a home shard that was frozen
-// would otherwise hold a share that the lender has lent to another one meanwhile.
+// Lend handles a request to lend and replies with the present stamp. The loans are accepted unless a later request was
+// handled before, or the stamp is expired or of another incarnation. The term of a loan starts at its stamp, not at its
+// receipt: otherwise a home shard whose process was suspended could hold a share that the lender has lent to another one
+// meanwhile.
 func (p *Pool) Lend(request LendRequest, now time.Time) LendReply {
 	p.expireLoans(now)
 	reply := LendReply{Stamp: Stamp{Incarnation: p.incarnation, At: int64(now.Sub(p.startedAt))}}
@@ -90,8 +92,8 @@
 	return reply
 }
 
-// acceptLender reports whether a request is of the present incarnation of its data plane. An incarnation that wasn't
-// seen before supersedes the last one, whose loans end: that process is dead.
+// acceptLender reports whether a request was sent by the current incarnation of its data plane. A new incarnation supersedes
+// the previous one, whose loans end because that process no longer exists.
 func (p *Pool) acceptLender(request LendRequest, stampedAt, now time.Time) bool {
 	if p.lenders.isCurrent(request.DataPlane, request.LenderIncarnation) {
 		return true
@@ -102,15 +104,15 @@
 	if former, known := p.lenders.replace(request.DataPlane, request.LenderIncarnation, now); known {
 		p.releaseLender(former, now)
 	}
-	p.lenders.dropSuperseded(now.Add(-keptTerms * p.parameters.LoanTerm))
+	p.lenders.dropSuperseded(now.Add(-retentionTerms * p.parameters.LoanTerm))
 	return true
 }
 
-// Drain has every lender notified, when it next renews its loans, that they have ended. Those of the others stay in
+// Drain ends the loans of each lender when it next renews them, and tells it so in the reply. Until then its loans stay in
 // force.
 func (p *Pool) Drain() { p.draining = true }
 
-// releaseLender ends what an incarnation of a lender lent.
+// releaseLender ends the loans of an incarnation of a lender.
 func (p *Pool) releaseLender(incarnation string, now time.Time) {
 	for index := range p.groups {
 		if loan := p.loans.find(loanKey{incarnation, index}); loan != nil {
@@ -121,22 +123,22 @@
 	p.loans.updateNextExpiry()
 }
 
-// updateShare puts in force what is lent of a group.
+// updateShare puts the total of a group's loans in force.
 func (p *Pool) updateShare(group int, now time.Time) {
 	if share := p.loans.totalShare(group); share != p.groups[group].share {
 		p.groups[group].setShare(share, now)
 	}
 }
 
-// applyLoans puts the loans of a request in place of the lender's former ones, which end if they aren't among them.
+// applyLoans replaces the loans of the lender by those of the request. Loans that the request does not contain end.
 func (p *Pool) applyLoans(request LendRequest, expiresAt, now time.Time) {
-	stated := make(map[int]Loan, len(request.Loans))
+	replacements := make(map[int]Loan, len(request.Loans))
 	for _, loan := range request.Loans {
-		stated[loan.Group] = loan
+		replacements[loan.Group] = loan
 	}
 	for index := range p.groups {
 		key := loanKey{request.LenderIncarnation, index}
-		replacement, isStated := stated[index]
+		replacement, isStated := replacements[index]
 		held := p.loans.find(key)
 		switch {
 		case held == nil && !isStated:
@@ -152,8 +154,8 @@
 	p.loans.updateNextExpiry()
 }
 
-// replaceLoan replaces the share of a loan. A share that grew brings tokens with it, at most once in the time for which
-// a lender counts it as leased: it could otherwise bring them again by going back and forth.
+// replaceLoan replaces the share of a loan. If the share grows, seed tokens are added, but at most once per leaseDuration:
+// otherwise a share that moves back and forth between home shards would add them each time.
 func (p *Pool) replaceLoan(index int, held *loan, replacement Loan, now time.Time) {
 	share := p.cappedShare(replacement)
 	grown := share > held.share
@@ -169,7 +171,7 @@
 	}
 }
 
-// cappedShare is the share of a loan, but no more than a lender has by this home shard's count of data planes.
+// cappedShare returns the share of a loan, capped to a lender's share according to dataPlaneCount.
 func (p *Pool) cappedShare(stated Loan) float64 {
 	share := max(stated.Share, 0)
 	if p.dataPlaneCount > 0 {
@@ -178,7 +180,7 @@
 	return share
 }
 
-// expireLoans ends the loans that are over, each at its own moment: until then it filled the buckets.
+// expireLoans ends the loans whose term is over. Each fills the buckets up to its own expiry.
 func (p *Pool) expireLoans(now time.Time) {
 	for p.loans.hasExpired(now) {
 		end := p.loans.nextExpiry
@@ -186,31 +188,33 @@
 		for index := range p.groups {
 			p.updateShare(index, end)
 		}
-		p.loans.dropEnded(end.Add(-keptTerms * p.parameters.LoanTerm))
+		p.loans.dropEnded(end.Add(-retentionTerms * p.parameters.LoanTerm))
 		p.loans.updateNextExpiry()
 	}
 }
 
-// Share returns how much of a group's limits is lent to this home shard.
+// Share returns the share of a group's limits that is lent to this home shard.
 func (p *Pool) Share(group int, now time.Time) float64 {
 	p.expireLoans(now)
 	return p.groups[group].share
 }
 
-// TimeToNextToken is the time until there may be a token of the tenant, if its share stays as it is; longest if it has none.
-func (p *Pool) TimeToNextToken(tenant string, longest time.Duration, now time.Time) time.Duration {
+// TimeToNextToken returns the time until the tenant's next token if the share stays the same, at most maxWait. It returns
+// maxWait if the tenant is unknown or nothing is lent.
+func (p *Pool) TimeToNextToken(tenant string, maxWait time.Duration, now time.Time) time.Duration {
 	p.expireLoans(now)
 	group := p.groupOf(tenant)
 	bucket := group.buckets[tenant]
 	if bucket == nil || group.share <= 0 {
-		return longest
+		return maxWait
 	}
 	bucket.accrue(group.share, now)
-	return time.Duration(bucket.retryAfterMs(group.share, longest)) * time.Millisecond
+	return time.Duration(bucket.retryAfterMs(group.share, maxWait)) * time.Millisecond
 }
 
-// Borrow gives as many of the requested tokens as there are. Shortly after the first loan a group with too few tokens
-// is reported as unavailable, not as beyond its limit: the other lenders' shares are still to come.
+// Borrow handles a request for tokens and grants as many of them as are available. In the first loan term after a share was
+// newly lent, a reply without tokens is marked Unavailable and does not say that the tenant is over its limit: the shares of
+// other lenders may not have arrived yet.
 func (p *Pool) Borrow(request BorrowRequest, now time.Time) BorrowReply {
 	p.expireLoans(now)
 	group := p.groupOf(request.Tenant)
@@ -223,8 +227,8 @@
 	if given >= request.Tokens {
 		return BorrowReply{Tokens: given}
 	}
-	isFilling := now.Sub(group.lentSince) < p.parameters.LoanTerm
-	if isFilling {
+	isWarmingUp := now.Sub(group.lentSince) < p.parameters.LoanTerm
+	if isWarmingUp {
 		return BorrowReply{Tokens: given, Unavailable: given == 0}
 	}
 	return BorrowReply{
--- a/internal/quota/reliablefleet_test.go
+++ b/internal/quota/reliablefleet_test.go
@@ -3,54 +3,54 @@
 import "time"
 
 const (
-	// tick is how often a reliable fleet takes requests.
+	// tick is the interval at which a reliable fleet receives requests.
 	tick = 10 * time.Millisecond
-	// warmUpTime is how long a new fleet takes until all shares are lent.
+	// warmUpTime is the time after which all shares of a new fleet are lent.
 	warmUpTime = 13 * time.Second
-	// requestsInFlood is far more than any limit of the tests allows in a tick.
-	requestsInFlood = 20
+	// floodRequests is the number of requests per tick of a flood, far above the limits of the tests.
+	floodRequests = 20
 )
 
-// demand gives the number of requests that come to the data plane at a position in a tick.
-type demand func(position int) int
+// demand returns the number of requests that arrive at the node with the index in the present tick.
+type demand func(index int) int
 
 func noDemand(int) int { return 0 }
 
-// floodAt is a demand of far more than any limit of the tests, at one data plane.
+// floodAt returns a demand far above the limits of the tests at one node.
 func floodAt(flooded int) demand {
-	return func(position int) int {
-		if position != flooded {
+	return func(index int) int {
+		if index != flooded {
 			return 0
 		}
-		return requestsInFlood
+		return floodRequests
 	}
 }
 
-// onceIf is a demand of one request where and when a condition holds.
-func onceIf(condition func(position int) bool) demand {
-	return func(position int) int {
-		if condition(position) {
+// onceIf returns a demand of one request per tick at the nodes for which the condition holds.
+func onceIf(condition func(index int) bool) demand {
+	return func(index int) int {
+		if condition(index) {
 			return 1
 		}
 		return 0
 	}
 }
 
-// reliableFleet is a fleet whose messages arrive at once.
+// reliableFleet is a fleet whose messages are delivered at once.
 type reliableFleet struct {
 	*fleet
 	admitted int
 	calls    int
 }
 
-// newReliableFleet returns a fleet whose shares are lent.
+// newReliableFleet returns a fleet in which all shares are lent.
 func newReliableFleet(limit Limit, size int) *reliableFleet {
 	f := &reliableFleet{fleet: newFleet(DefaultParameters(testBounds), limit, size, noFault, 1)}
 	f.advance(warmUpTime, noDemand)
 	return f
 }
 
-// advance lets time pass with a demand.
+// advance advances the simulated time while requests arrive by the demand.
 func (f *reliableFleet) advance(passed time.Duration, demand demand) {
 	renewal := f.parameters.RenewalInterval
 	for until := f.now + passed; f.now < until; f.now += tick {
@@ -58,21 +58,22 @@
 			f.updateFleetSize()
 			f.lendAll()
 		}
-		for position, node := range f.nodes {
-			for range demand(position) {
+		for index, node := range f.nodes {
+			for range demand(index) {
 				f.request(node)
 			}
 		}
 	}
 }
 
-// admittedFraction lets time pass with a demand and returns which part of the limit's rate was admitted.
+// admittedFraction advances the simulated time and returns the rate of admitted requests as a fraction of the limit's.
 func (f *reliableFleet) admittedFraction(passed time.Duration, demand demand) float64 {
 	f.admitted, f.calls = 0, 0
 	f.advance(passed, demand)
 	return float64(f.admitted) / (f.limit.RatePerS * passed.Seconds())
 }
 
+// lendAll has every node lend to its home shards until its plan is settled.
 func (f *reliableFleet) lendAll() {
 	for _, node := range f.nodes {
 		for f.lendFrom(node) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// lendFrom has a data plane lend to its home shards and reports whether it is to do so again at once.
+// lendFrom has a node lend to its home shards and reports whether it is to do so again at once.
 func (f *reliableFleet) lendFrom(lender *node) (again bool) {
 	for _, offer := range lender.lender.Plan(f.names(), f.clock(lender)) {
 		homeShard := f.find(offer.HomeShard)
@@ -94,7 +95,7 @@
 	return again
 }
 
-// request admits a request, or rejects it after asking each home shard once at most.
+// request admits a request, or rejects it after at most one call to each home shard.
 func (f *reliableFleet) request(node *node) {
 	now := f.clock(node)
 	node.borrower.RecordRequest(testTenant, now)
@@ -111,7 +112,7 @@
 	}
 }
 
-// borrowOnce asks the next home shard for tokens, if there is one that may have some.
+// borrowOnce requests tokens from the next home shard. It returns false if all home shards are in backoff.
 func (f *reliableFleet) borrowOnce(node *node, now time.Time) bool {
 	name, found := node.borrower.NextHomeShard(testTenant, node.lender.HomeShards(testTenant), now)
 	if !found {
--- a/internal/quota/forgetting_test.go
+++ b/internal/quota/stale_state_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLender_ForgetsHomeShardsThatCameAndWent(t *testing.T) {
+func TestLender_DropsStateOfReplacedHomeShards(t *testing.T) {
 	now := epoch
 	lender := NewLender(DefaultParameters(testBounds), "lender", "first", now)
 	lender.UpdateFleetSize(FleetSize{DataPlanes: 2}, now)
@@ -25,20 +25,20 @@
 		now = now.Add(10 * time.Second)
 	}
 	lender.Plan([]string{"last"}, now)
-	assert.Assert(t, len(lender.homeShards) <= 3, "%d are remembered", len(lender.homeShards))
+	assert.Assert(t, len(lender.homeShards) <= 3, "state of %d home shards is kept", len(lender.homeShards))
 }
 
-func TestLender_RemembersHomeShardThatIsMissingBriefly(t *testing.T) {
+func TestLender_KeepsStateOfResponsiveHomeShardThatIsNoCandidate(t *testing.T) {
 	now := epoch
 	lender := NewLender(DefaultParameters(testBounds), "lender", "first", now)
 	lender.UpdateFleetSize(FleetSize{DataPlanes: 2}, now)
 	lender.Plan([]string{"edge"}, now)
 	lender.HandleReply("edge", LendReply{Stamp: Stamp{Incarnation: "x", At: 5}}, now)
 	lender.Plan(nil, now)
-	assert.Equal(t, lender.homeShard("edge").stamp.At, int64(5), "it still replies")
+	assert.Equal(t, lender.homeShard("edge").stamp.At, int64(5), "the stamp is kept")
 }
 
-func TestBorrower_ForgetsHomeShardsThatMayBeAskedAgain(t *testing.T) {
+func TestBorrower_DropsStateOfHomeShardsWithoutBackoff(t *testing.T) {
 	now := epoch
 	borrower := NewBorrower(DefaultParameters(testBounds), "edge")
 	borrower.RecordRequest("tenant", now)
@@ -48,7 +48,7 @@
 		borrower.HandleReply("tenant", name, BorrowReply{Unavailable: true}, now, now)
 	}
 	borrower.DropIdle(now)
-	assert.Equal(t, len(borrower.unresponsiveUntil), 200, "none may be asked yet")
+	assert.Equal(t, len(borrower.unresponsiveUntil), 200, "all are still in backoff")
 	now = now.Add(failureBackoff)
 	borrower.RecordRequest("tenant", now)
 	borrower.DropIdle(now)
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// TenantBalance is what a home shard holds for one tenant: the part of its limit, and the tokens.
+// TenantBalance holds a home shard's share of a tenant's limit, and the tokens in its bucket.
 type TenantBalance struct {
 	Tenant string  `json:"tenant"`
 	Share  float64 `json:"share"`
 	Tokens float64 `json:"tokens"`
 }
 
-// TenantBalances returns the balance of each tenant whose group is lent to this home shard, in no order.
+// TenantBalances returns the balance of each tenant of whose group a share is lent to this home shard, in no particular order.
 func (p *Pool) TenantBalances(now time.Time) []TenantBalance {
 	p.expireLoans(now)
 	var balances []TenantBalance
@@ -25,14 +25,14 @@
 	return balances
 }
 
-// LeasedShare is what a home shard may hold of a lender's share of a group.
+// LeasedShare is the part of a lender's share of a group that a home shard may hold.
 type LeasedShare struct {
 	HomeShard string  `json:"home"`
 	Group     int     `json:"group"`
 	Share     float64 `json:"share"`
 }
 
-// LeasedShares returns what may be leased now, in no order.
+// LeasedShares returns the shares that may be leased at the given time, in no particular order.
 func (l *Lender) LeasedShares(now time.Time) []LeasedShare {
 	l.leases.expire(now)
 	var shares []LeasedShare
