--- a/internal/usage/delivery.go
+++ b/internal/usage/delivery.go
@@ -2,23 +2,24 @@
 
 import "sync"
 
-// Delivery brings the changes of a ledger to a receiver, which may be replaced by another one or restart: what the one before held
-// is sent again then. It is safe for concurrent use.
+// Delivery tracks which changes of a ledger a receiver has acknowledged. If the receiver restarts or is replaced, everything is
+// sent again. It is safe for concurrent use.
 type Delivery struct {
+	// lock guards the fields below.
 	lock sync.Mutex
-	// receiver is the incarnation that holds the ledger up to version acknowledged.
+	// receiver is the incarnation of the receiver that holds the ledger's changes up to the version acknowledged.
 	receiver     string
 	acknowledged uint64
 }
 
-// Batch is what is sent at a time.
+// Batch holds the changes to be sent in one message.
 type Batch struct {
 	Entries []Entry
-	// from and upTo are the versions of the ledger between which the entries have changed.
+	// The entries have changed after version from of the ledger, up to version upTo.
 	from, upTo uint64
 }
 
-// Next is what the receiver is not known to hold.
+// Next returns the changes that the receiver has not acknowledged.
 func (d *Delivery) Next(ledger *Ledger) Batch {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -26,7 +27,8 @@
 	return Batch{Entries: entries, from: d.acknowledged, upTo: upTo}
 }
 
-// Acknowledge records that a batch was taken in by a receiver. One that has not received what came before it gets everything anew.
+// Acknowledge records that an incarnation of the receiver has merged the batch. If it is a new one that lacks earlier batches,
+// everything is sent again.
 func (d *Delivery) Acknowledge(receiver string, batch Batch) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/usage/doc.go
+++ b/internal/usage/doc.go
@@ -1,9 +1,9 @@
-// Package usage counts the requests of tenants in windows of wall time, so that a fleet whose processes fail, restart and change
-// whom they report to counts each request once.
+// Package usage counts the requests of tenants in windows of wall-clock time. Each request is counted once, although processes
+// may fail, restart and report to changing receivers.
 //
-// A data plane counts for its own incarnation and never lowers a count. Counts are cumulative by incarnation, window and tenant, so
-// whoever receives them keeps the highest: messages may be lost, repeated or reordered. Start reading at Ledger; Delivery sends a
-// ledger's changes to one receiver, ReportState is what is stored of windows whose counts are final.
+// Each data plane counts for its own incarnation and never lowers a count. Counts are cumulative by incarnation, window and
+// tenant, and a receiver keeps the highest value, so messages may be lost, repeated or reordered. Delivery tracks which changes
+// of a Ledger a receiver holds; ReportState is the stored state of windows whose counts are final.
 //
-// The package does no input or output, and all times are arguments.
+// The package does no input or output, and all times are arguments. Start reading at Ledger.
 package usage
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Entry holds the counts of one incarnation of a data plane in one window, by tenant. They are cumulative.
+// Entry holds the cumulative counts of one incarnation of a data plane in one window, by tenant.
 type Entry struct {
 	Incarnation string            `json:"i"`
 	Window      uint64            `json:"w"`
@@ -11,41 +11,43 @@
 
 // Ledger holds counts by window, incarnation and tenant. It is safe for concurrent use.
 type Ledger struct {
+	// lock guards the fields below.
 	lock sync.Mutex
-	// version rises with each change of a count.
+	// version increases with each change of a count.
 	version uint64
-	windows map[uint64]map[string]*column
-	// oldest is the oldest window that is kept; what comes of older ones is ignored.
+	windows map[uint64]map[string]*windowCounts
+	// oldest is the oldest window that is kept. Counts of older windows are ignored.
 	oldest uint64
 }
 
-// column holds the counts of one incarnation in one window.
-type column struct {
-	// version is that of the last change.
-	version uint64
-	counts  map[string]count
+// windowCounts holds the counts of one incarnation in one window.
+type windowCounts struct {
+	// version is the ledger's version of the last change.
+	version  uint64
+	byTenant map[string]count
 }
 
+// count is the count of one tenant, with the ledger's version of its last change.
 type count struct {
 	value   uint64
 	version uint64
 }
 
 // NewLedger returns a ledger without counts.
-func NewLedger() *Ledger { return &Ledger{windows: map[uint64]map[string]*column{}} }
+func NewLedger() *Ledger { return &Ledger{windows: map[uint64]map[string]*windowCounts{}} }
 
-// Add counts one request.
+// Add counts one request of a tenant.
 func (l *Ledger) Add(incarnation string, window uint64, tenant string) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if window < l.oldest {
 		return
 	}
-	column := l.column(window, incarnation)
-	l.set(column, tenant, column.counts[tenant].value+1)
+	counts := l.countsOf(window, incarnation)
+	l.set(counts, tenant, counts.byTenant[tenant].value+1)
 }
 
-// Merge takes over the counts that are higher than the present ones.
+// Merge raises counts to the values in the entries where these are higher.
 func (l *Ledger) Merge(entries []Entry) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -53,38 +55,38 @@
 		if entry.Window < l.oldest {
 			continue
 		}
-		column := l.column(entry.Window, entry.Incarnation)
+		counts := l.countsOf(entry.Window, entry.Incarnation)
 		for tenant, value := range entry.Counts {
-			if value > column.counts[tenant].value {
-				l.set(column, tenant, value)
+			if value > counts.byTenant[tenant].value {
+				l.set(counts, tenant, value)
 			}
 		}
 	}
 }
 
-// column returns the counts of an incarnation in a window. The caller holds the lock.
-func (l *Ledger) column(window uint64, incarnation string) *column {
-	columns := l.windows[window]
-	if columns == nil {
-		columns = map[string]*column{}
-		l.windows[window] = columns
+// countsOf returns the counts of an incarnation in a window. It creates them if there are none. The caller holds the lock.
+func (l *Ledger) countsOf(window uint64, incarnation string) *windowCounts {
+	byIncarnation := l.windows[window]
+	if byIncarnation == nil {
+		byIncarnation = map[string]*windowCounts{}
+		l.windows[window] = byIncarnation
 	}
-	found := columns[incarnation]
+	found := byIncarnation[incarnation]
 	if found == nil {
-		found = &column{counts: map[string]count{}}
-		columns[incarnation] = found
+		found = &windowCounts{byTenant: map[string]count{}}
+		byIncarnation[incarnation] = found
 	}
 	return found
 }
 
-// set changes one count. The caller holds the lock.
-func (l *Ledger) set(column *column, tenant string, value uint64) {
+// set changes the count of a tenant. The caller holds the lock.
+func (l *Ledger) set(counts *windowCounts, tenant string, value uint64) {
 	l.version++
-	column.version = l.version
-	column.counts[tenant] = count{value: value, version: l.version}
+	counts.version = l.version
+	counts.byTenant[tenant] = count{value: value, version: l.version}
 }
 
-// ChangedSince returns the counts that have changed after a version, and the version of the last change.
+// ChangedSince returns the counts that have changed after the given version, and the present version.
 func (l *Ledger) ChangedSince(version uint64) ([]Entry, uint64) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -92,13 +94,13 @@
 		return nil, version
 	}
 	var entries []Entry
-	for window, columns := range l.windows {
-		for incarnation, column := range columns {
-			if column.version <= version {
+	for window, byIncarnation := range l.windows {
+		for incarnation, counts := range byIncarnation {
+			if counts.version <= version {
 				continue
 			}
 			changed := map[string]uint64{}
-			for tenant, count := range column.counts {
+			for tenant, count := range counts.byTenant {
 				if count.version > version {
 					changed[tenant] = count.value
 				}
@@ -109,20 +111,20 @@
 	return entries, l.version
 }
 
-// Totals returns the counts of all incarnations in a window by tenant.
+// Totals returns the sums of the counts of all incarnations in a window, by tenant.
 func (l *Ledger) Totals(window uint64) map[string]uint64 {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	totals := map[string]uint64{}
-	for _, column := range l.windows[window] {
-		for tenant, count := range column.counts {
+	for _, counts := range l.windows[window] {
+		for tenant, count := range counts.byTenant {
 			totals[tenant] += count.value
 		}
 	}
 	return totals
 }
 
-// DropBefore drops windows before one, and ignores what comes of them from now on.
+// DropBefore drops the windows before the given one and ignores further counts of them.
 func (l *Ledger) DropBefore(before uint64) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/usage/reportstate.go
+++ b/internal/usage/reportstate.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// maxPending is how many reports are kept that the platform has not accepted: what it missed for longer is lost.
+// maxPending is the maximum number of reports kept that the platform has not accepted. Beyond it the oldest are lost.
 const maxPending = 128
 
 // Report holds the final counts of one window.
@@ -11,32 +11,32 @@
 	Counts map[string]uint64 `json:"counts"`
 }
 
-// Body is the report as the platform is sent it: the same bytes whoever sends it.
+// Body returns the JSON encoding that is sent to the platform. It is the same for equal reports, whichever process sends them.
 func (r Report) Body() []byte {
-	body, _ := json.Marshal(r) // maps are encoded in the order of their keys
+	body, _ := json.Marshal(r) // maps are encoded with sorted keys
 	return body
 }
 
-// ReportState is what is stored of windows whose counts are final. A window's counts are stored before they are sent anywhere, and never
-// change after that: two reports of a window with different counts must not exist.
+// ReportState is the stored state of the windows whose counts are final. The counts of a window are stored before they are sent
+// anywhere, and never change after that: there must not be two reports of a window with different counts.
 type ReportState struct {
 	// ClosedUpTo is the newest window whose counts are final, 0 before the first.
 	ClosedUpTo uint64 `json:"closed"`
-	// Pending are the final counts of windows that are not known to have been accepted, the oldest first.
+	// Pending holds the reports that are not known to have been accepted, oldest first.
 	Pending []Report `json:"pending,omitempty"`
 }
 
-// DecodeReportState reads a stored record; an empty value is one without windows.
+// DecodeReportState decodes a stored state. An empty value decodes to the zero state.
 func DecodeReportState(value json.RawMessage) (ReportState, error) {
-	var record ReportState
+	var state ReportState
 	if len(value) == 0 {
-		return record, nil
+		return state, nil
 	}
-	return record, json.Unmarshal(value, &record)
+	return state, json.Unmarshal(value, &state)
 }
 
-// Close returns the record with the counts of further windows, and without reports that were accepted. Windows that the record has
-// closed keep their counts.
+// Close returns the state after the windows of the reports were closed, without the pending reports that were accepted. Reports
+// of windows that are closed already are ignored.
 func (r ReportState) Close(reports []Report, isAccepted func(window uint64) bool) ReportState {
 	next := ReportState{ClosedUpTo: r.ClosedUpTo}
 	for _, report := range r.Pending {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -18,9 +18,9 @@
 	assert.Equal(t, windows.At(windows.End(number)), number+1)
 }
 
-// TestLedger_CountsOnceOverLossesAndRestarts passes counts from one ledger to another by a network that loses, repeats and delays
-// batches, while receivers are replaced.
-func TestLedger_CountsOnceOverLossesAndRestarts(t *testing.T) {
+// TestLedger_CountsOnceDespiteLossesAndRestarts sends counts from one ledger to another over a network that loses, repeats and
+// delays batches, while receivers are replaced.
+func TestLedger_CountsOnceDespiteLossesAndRestarts(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		source, delivery := NewLedger(), &Delivery{}
@@ -40,7 +40,7 @@
 			case 0: // lost
 			case 1:
 				delayed = append(delayed, batch.Entries)
-			case 2: // taken in, and the reply is lost
+			case 2: // merged, but the acknowledgement is lost
 				receiver.Merge(batch.Entries)
 			default:
 				receiver.Merge(batch.Entries)
@@ -56,11 +56,11 @@
 			delivery.Acknowledge(fmt.Sprint(incarnation), batch)
 		}
 		assert.Equal(t, receiver.Totals(7)["tenant"], want, "seed %d", seed)
-		assert.Equal(t, len(delivery.Next(source).Entries), 0, "nothing is sent twice to a receiver that holds it")
+		assert.Equal(t, len(delivery.Next(source).Entries), 0, "acknowledged entries are not sent again")
 	}
 }
 
-func TestLedger_IncarnationsAddUpAndOldWindowsAreIgnored(t *testing.T) {
+func TestLedger_SumsIncarnationsAndIgnoresDroppedWindows(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Merge([]Entry{
 		{Incarnation: "one", Window: 7, Counts: map[string]uint64{"a": 3}},
@@ -75,19 +75,19 @@
 	assert.Equal(t, ledger.Totals(8)["a"], uint64(9))
 }
 
-func TestRecord_ClosedWindowsKeepTheirCounts(t *testing.T) {
+func TestReportState_ClosedWindowsKeepTheirCounts(t *testing.T) {
 	isAccepted := func(window uint64) bool { return window == 5 }
-	record := ReportState{}.Close([]Report{{Window: 5}, {Window: 6, Counts: map[string]uint64{"a": 1}}}, isAccepted)
-	assert.Equal(t, record.ClosedUpTo, uint64(6))
-	next := record.Close([]Report{{Window: 6, Counts: map[string]uint64{"a": 2}}, {Window: 7}}, isAccepted)
+	state := ReportState{}.Close([]Report{{Window: 5}, {Window: 6, Counts: map[string]uint64{"a": 1}}}, isAccepted)
+	assert.Equal(t, state.ClosedUpTo, uint64(6))
+	next := state.Close([]Report{{Window: 6, Counts: map[string]uint64{"a": 2}}, {Window: 7}}, isAccepted)
 	assert.DeepEqual(t, next, ReportState{ClosedUpTo: 7, Pending: []Report{{Window: 6, Counts: map[string]uint64{"a": 1}}, {Window: 7}}})
 }
 
-func TestRecord_PendingReportsAreBounded(t *testing.T) {
-	var record ReportState
+func TestReportState_PendingReportsAreBounded(t *testing.T) {
+	var state ReportState
 	for window := uint64(1); window <= 3*maxPending; window++ {
-		record = record.Close([]Report{{Window: window}}, func(uint64) bool { return false })
+		state = state.Close([]Report{{Window: window}}, func(uint64) bool { return false })
 	}
-	assert.Equal(t, len(record.Pending), maxPending)
-	assert.Equal(t, record.Pending[maxPending-1].Window, record.ClosedUpTo)
+	assert.Equal(t, len(state.Pending), maxPending)
+	assert.Equal(t, state.Pending[maxPending-1].Window, state.ClosedUpTo)
 }
