--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/routing"
 )
 
-// writeGrace is how long after the request's deadline writes to a client that does not read fail.
+// writeGrace is how long after the request's deadline the response may still be written to a slow client.
 const writeGrace = 150 * time.Millisecond
 
 // Handler is the HTTP handler for client requests. It parses a request, obtains a replica for it, forwards it and streams the
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -178,7 +178,8 @@
 }
 
 // handlePrefillTimeout makes the request continue without a prefill step if its prompt is short enough to be prefilled beside
-// running streams. A longer one would delay all streams of the decode replica, so the request is rejected; nothing was executed.
+// running streams and the retry budget allows it. Otherwise the request is rejected, which is safe since nothing was executed: a
+// longer prompt would delay all streams of the decode replica.
 func (e *exchange) handlePrefillTimeout() error {
 	if e.parsed.request.PromptTokens > routing.MaxTokensBesideStreams || !e.takeRetry() {
 		return apierror.NewRetryable(apierror.Overloaded, budgetRetryAfter)
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -41,10 +41,10 @@
 	unavailableAt map[string]time.Time
 	// overLimitUntil is when a home shard that had no tokens because the tenant is over its limit has one again.
 	overLimitUntil time.Time
-	// requests counts the tenant's requests in the period that began at countingSince, previousRequests those in the period
+	// requests counts the tenant's requests in the period that began at periodStart, previousRequests those in the period
 	// before.
 	requests, previousRequests int
-	countingSince              time.Time
+	periodStart                time.Time
 }
 
 // NewBorrower returns a borrower without tokens for a data plane.
@@ -63,7 +63,7 @@
 		b.accounts[tenant] = &account{
 			rejectedUntil: map[string]time.Time{},
 			unavailableAt: map[string]time.Time{},
-			countingSince: now,
+			periodStart:   now,
 		}
 	}
 	return b.accounts[tenant]
@@ -76,12 +76,12 @@
 
 // recordRequest counts a request, after it has started a new period if the last one is over.
 func (a *account) recordRequest(now time.Time, period time.Duration) {
-	if passed := now.Sub(a.countingSince); passed >= period {
+	if passed := now.Sub(a.periodStart); passed >= period {
 		a.previousRequests = a.requests
 		if passed >= 2*period {
 			a.previousRequests = 0
 		}
-		a.requests, a.countingSince = 0, now
+		a.requests, a.periodStart = 0, now
 	}
 	a.requests++
 }
@@ -182,7 +182,7 @@
 	isOver := func(_ string, until time.Time) bool { return !now.Before(until) }
 	maps.DeleteFunc(b.unresponsiveUntil, isOver)
 	for tenant, account := range b.accounts {
-		if now.Sub(account.countingSince) > accountTTL {
+		if now.Sub(account.periodStart) > accountTTL {
 			delete(b.accounts, tenant)
 			continue
 		}
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -1,7 +1,7 @@
 package quota
 
-// Stamp is a time on the clock of one incarnation of a home shard, in nanoseconds since its start. A lender sends the last
-// stamp that it received with its loans, so that the home shard counts their terms from a time before they were sent.
+// Stamp is a time on the clock of one incarnation of a home shard, in nanoseconds since its start. With its loans a
+// lender sends the last stamp that it received, so that the home shard counts their terms from a time before they were sent.
 type Stamp struct {
 	Incarnation string `json:"life"`
 	At          int64  `json:"at"`
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -139,31 +139,31 @@
 	for index := range p.groups {
 		key := loanKey{request.LenderIncarnation, index}
 		replacement, isStated := replacements[index]
-		held := p.loans.find(key)
+		existing := p.loans.find(key)
 		switch {
-		case held == nil && !isStated:
+		case existing == nil && !isStated:
 			continue
-		case held == nil:
-			held = p.loans.add(key)
-		case request.Sequence <= held.sequence:
+		case existing == nil:
+			existing = p.loans.add(key)
+		case request.Sequence <= existing.sequence:
 			continue
 		}
-		held.sequence, held.expiresAt = request.Sequence, expiresAt
-		p.replaceLoan(index, held, replacement, now)
+		existing.sequence, existing.expiresAt = request.Sequence, expiresAt
+		p.replaceLoan(index, existing, replacement, now)
 	}
 	p.loans.updateNextExpiry()
 }
 
 // replaceLoan replaces the share of a loan. If the share grows, seed tokens are added, but at most once per leaseDuration:
 // otherwise a share that moves back and forth between home shards would add them each time.
-func (p *Pool) replaceLoan(index int, held *loan, replacement Loan, now time.Time) {
+func (p *Pool) replaceLoan(index int, existing *loan, replacement Loan, now time.Time) {
 	share := p.cappedShare(replacement)
-	grown := share > held.share
-	held.share, held.homeShards = share, replacement.HomeShardCount
+	grown := share > existing.share
+	existing.share, existing.homeShards = share, replacement.HomeShardCount
 	group, total := p.groups[index], p.loans.totalShare(index)
-	seedDue := held.seededAt.IsZero() || now.Sub(held.seededAt) > p.parameters.leaseDuration()
+	seedDue := existing.seededAt.IsZero() || now.Sub(existing.seededAt) > p.parameters.leaseDuration()
 	if grown && seedDue && !replacement.Transferred {
-		held.seededAt = now
+		existing.seededAt = now
 		group.addSeed(total-group.share, time.Duration(replacement.IdleMs)*time.Millisecond, now)
 	}
 	if total != group.share {
@@ -172,10 +172,10 @@
 }
 
 // cappedShare returns the share of a loan, capped to a lender's share according to dataPlaneCount.
-func (p *Pool) cappedShare(stated Loan) float64 {
-	share := max(stated.Share, 0)
+func (p *Pool) cappedShare(offered Loan) float64 {
+	share := max(offered.Share, 0)
 	if p.dataPlaneCount > 0 {
-		share = min(share, 1/float64(p.dataPlaneCount*max(stated.HomeShardCount, 1)))
+		share = min(share, 1/float64(p.dataPlaneCount*max(offered.HomeShardCount, 1)))
 	}
 	return share
 }
