--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -128,7 +128,7 @@
 	e.held = nil
 }
 
-// prefill has the prompt read and returns the handle of its memory; the matcher is still to be told (Matcher.Prefilled). Where
+// prefill has the prompt read and returns the handle of its memory; the matcher is still to be told (Matcher.CompletePrefill). Where
 // that fails nothing has run, so the request may go on without. The first time that a replica reads the prompt is free; any
 // further one, and what a replica turned away or left unanswered, counts against the retry budget like a further attempt.
 func (e *exchange) prefill(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) (*replica.Handle, error) {
--- a/internal/routing/breaker.go
+++ b/internal/routing/breaker.go
@@ -27,8 +27,9 @@
 	// probeTime is the longest time in breakerProbing, recoveryTime that in breakerRecovering.
 	probeTime    = 3 * time.Second
 	recoveryTime = 1500 * time.Millisecond
-	// relapseFailures more failures than at the start of a half-open state are a relapse; a replica gets a breaker
-	// after as many failures. probeServed and recoveryServed requests end the half-open states early.
+	// relapseFailures is the number of further failures in a half-open state that count as a relapse, and the number of
+	// failures from which a replica has a breaker. probeServed and recoveryServed are the numbers of served requests
+	// that end the half-open states early.
 	relapseFailures = 0.8
 	probeServed     = 0.8
 	recoveryServed  = 2.0
--- a/internal/routing/graph.go
+++ b/internal/routing/graph.go
@@ -70,7 +70,7 @@
 // noNode marks a replica without a node.
 const noNode = -1
 
-// resize prepares the graph for a snapshot with that many replicas.
+// resize prepares the graph for a snapshot with the given number of replicas.
 func (g *assignmentGraph) resize(replicas int) {
 	g.nodeAt = slices.Grow(g.nodeAt[:0], replicas)[:replicas]
 	for position := range g.nodeAt {
--- a/internal/routing/replicatable.go
+++ b/internal/routing/replicatable.go
@@ -57,7 +57,7 @@
 	return t.byPosition[position]
 }
 
-// resetPositions prepares the table for an index of that many replicas.
+// resetPositions prepares the table for an index of the given number of replicas.
 func (t *replicaTable) resetPositions(replicas int) {
 	t.byPosition = slices.Grow(t.byPosition[:0], replicas)[:replicas]
 	clear(t.byPosition)
--- a/internal/routing/synchronous.go
+++ b/internal/routing/synchronous.go
@@ -23,7 +23,7 @@
 	m.handleReport(report)
 }
 
-// CompletePrefillSync is Prefilled without Run.
+// CompletePrefillSync is CompletePrefill without Run.
 func (m *Matcher) CompletePrefillSync(step *PrefillStep) bool {
 	notice := prefilledNotice{prefill: step.Ticket, at: m.clock(), usable: make(chan bool, 1)}
 	m.useLatestSnapshot()
--- a/internal/routing/warmup.go
+++ b/internal/routing/warmup.go
@@ -12,7 +12,7 @@
 	maxPerSecond float64 // maximum number of requests in any second
 }
 
-// warmUpLimit returns the limit for a backend with that rate (coldPerS of the configuration).
+// warmUpLimit returns the limit for a backend with the given rate (coldPerS of the configuration).
 func (p Parameters) warmUpLimit(perSecond float64) warmUpLimit {
 	return warmUpLimit{
 		perSecond:    perSecond,
