--- a/internal/placement/reference_equal_test.go
+++ b/internal/placement/reference_equal_test.go
@@ -13,7 +13,8 @@
 	"ferryspar/internal/configuration"
 )
 
-// randomView is a small view with all that can go wrong in it; of one seed always the same.
+// randomView returns a small view with lost, draining and busy servers, intents, unconfigured items, orders of unknown outcome
+// and replaced replicas. It is determined by its seed.
 func randomView(seed uint64) *View {
 	random := rand.New(rand.NewPCG(seed, 3))
 	shape := fleetShape{
@@ -37,21 +38,21 @@
 		}
 		for _, reference := range slices.Sorted(maps.Keys(server.Loaded)) {
 			if model, adapter := SplitReference(reference); adapter == "" && random.IntN(8) == 0 {
-				view.ContextEvictions = append(view.ContextEvictions, ServerModel{Server: server.ID, Model: model})
+				view.ContextEvictions = append(view.ContextEvictions, ModelCopy{Server: server.ID, Model: model})
 			}
 		}
 	}
 	for range random.IntN(4) {
 		view.Loading[ModelKey("s", runtime.Models[random.IntN(len(runtime.Models))].Name)]++
 	}
-	view.Demand[ModelKey("s", "gone")] = &Demand{Rate: 2, Waiting: 1, LastSeen: now}
-	view.Demand[ModelKey("other", "m0000")] = &Demand{Rate: 9, Waiting: 9, LastSeen: now}
+	view.Demand[ModelKey("s", "gone")] = &Demand{Rate: 2, Waiting: 1, LastRequestAt: now}
+	view.Demand[ModelKey("other", "m0000")] = &Demand{Rate: 9, Waiting: 9, LastRequestAt: now}
 	addUncertainty(view, random)
 	addPossibleDisks(view, seed)
 	return view
 }
 
-// addPossibleDisks has some servers come back at addresses where other incarnations had models loaded.
+// addPossibleDisks makes some servers new incarnations at addresses where earlier ones had models loaded.
 func addPossibleDisks(view *View, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	models := view.Table.Configuration.Backends[0].Runtime.Models
@@ -60,9 +61,9 @@
 		if random.IntN(3) > 0 {
 			continue
 		}
-		server.MayBeOnDisk = map[string]bool{}
+		server.MaybeOnDisk = map[string]bool{}
 		for range 1 + random.IntN(4) {
-			server.MayBeOnDisk[models[random.IntN(len(models))].Name] = true
+			server.MaybeOnDisk[models[random.IntN(len(models))].Name] = true
 		}
 		if random.IntN(2) == 0 {
 			server.OnDisk = map[string]bool{}
@@ -70,8 +71,8 @@
 	}
 }
 
-// addUncertainty gives the view a size history, a configuration that removes and resizes models and changes
-// the capacity, and orders of unknown outcome.
+// addUncertainty adds to the view a size history, a new configuration that removes and resizes models and changes the
+// capacity, and orders of unknown outcome.
 func addUncertainty(view *View, random *rand.Rand) {
 	view.SizeHistory = NewSizeHistory()
 	earlier := view.Table
