--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -129,7 +129,7 @@
 }
 
 // prefill runs the prefill step and returns the handle of the prompt's KV cache. The caller reports success to the matcher
-// (Matcher.Prefilled). Prefill executes nothing, so after a failure the request may continue without it. The first step is free;
+// (Matcher.CompletePrefill). Prefill executes nothing, so after a failure the request may continue without it. The first step is free;
 // any further step, and any that a replica rejected or did not answer, counts against the retry budget like a further attempt.
 func (e *exchange) prefill(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) (*replica.Handle, error) {
 	report := func(outcome routing.Outcome) { e.handler.matcher.Report(step.Ticket, outcome) }
