--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -59,7 +59,7 @@
 
 func TestPlan_LoadsMissingModelOnce(t *testing.T) {
 	view := smallView(newServer("a", "old"), newServer("b", "old"))
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 2, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 2, OldestWaitMs: 50, LastRequestAt: now}
 	actions := Plan(view)
 	assert.Equal(t, len(actionsFor(actions, true, "rare")), 1)
 	assert.Assert(t, actionsFor(actions, true, "rare")[0].FromStore)
@@ -71,11 +71,11 @@
 	server := newServer("a", "old", "rare2")
 	server.Loaded = map[string]bool{"old": true, "hot": true}
 	view := smallView(server)
-	view.Demand[ModelKey("s", "hot")] = &Demand{Rate: 3, Running: 2, LastSeen: now}
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "hot")] = &Demand{Rate: 3, Running: 2, LastRequestAt: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	server.Loaded["hot/a1"], server.Loaded["hot/a2"] = true, true
 	actions := Plan(view)
-	assert.Equal(t, len(actionsFor(actions, false, "hot")), 0, "the last copy in demand stays")
+	assert.Equal(t, len(actionsFor(actions, false, "hot")), 0, "the last copy of a model in demand is kept")
 	if len(actionsFor(actions, false, "old")) == 1 {
 		assert.Equal(t, server.Intent, "rare")
 	}
@@ -86,12 +86,12 @@
 	assert.Equal(t, server.Intent, "")
 	server.Intent, server.Loaded["rare"] = "rare", true
 	Plan(view)
-	assert.Equal(t, server.Intent, "", "an intent for a model that stands must end")
+	assert.Equal(t, server.Intent, "", "the intent for a model that is loaded is cleared")
 }
 
 func TestPlanner_KeepsCopyWithLastAdapter(t *testing.T) {
 	view := smallView(newServer("a", "hot", "hot/a1", "old"), newServer("b", "hot", "old"))
-	view.Demand[ModelKey("s", "hot")] = &Demand{Rate: 3, LastSeen: now}
+	view.Demand[ModelKey("s", "hot")] = &Demand{Rate: 3, LastRequestAt: now}
 	p := newPlanner(view, NewCatalog(view.Table).backends[0])
 	assert.Assert(t, !p.canEvict(&p.servers[0], p.itemNumber("hot"), p.counts.loaded))
 }
@@ -101,7 +101,7 @@
 	returned.OnDisk["rare"] = true
 	view := smallView(fresh, returned)
 	view.StoreTokens = 0
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	loads := actionsFor(Plan(view), true, "rare")
 	assert.Equal(t, len(loads), 1)
 	assert.Equal(t, loads[0].Server, "b")
@@ -111,33 +111,33 @@
 func TestPlan_CountsModelPossiblyOnDiskAsStoreLoad(t *testing.T) {
 	returnedView := func(tokens, spare float64) *View {
 		fresh, returned := newServer("a"), newServer("b")
-		returned.MayBeOnDisk = map[string]bool{"rare": true}
+		returned.MaybeOnDisk = map[string]bool{"rare": true}
 		view := smallView(fresh, returned)
 		view.StoreTokens, view.SpareStoreTokens = tokens, spare
 		return view
 	}
-	waiting := &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
-	t.Run("not loaded without a token, though requests wait", func(t *testing.T) {
+	waiting := &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
+	t.Run("not loaded without a token even if requests wait", func(t *testing.T) {
 		view := returnedView(0, 0)
 		view.Demand[ModelKey("s", "rare")] = waiting
 		assert.Equal(t, len(Plan(view)), 0)
 	})
-	t.Run("preferred to a server that never had it, at the price of a token", func(t *testing.T) {
+	t.Run("preferred to a server that never had it, but takes a token", func(t *testing.T) {
 		view := returnedView(1, 0)
 		view.Demand[ModelKey("s", "rare")] = waiting
 		want := Action{
-			Server: "b", Load: true, Model: "rare", FromStore: true, MayBeDisk: true, Reason: "asked for and nowhere loaded",
+			Server: "b", Load: true, Model: "rare", FromStore: true, MaybeFromDisk: true, Reason: "asked for and nowhere loaded",
 		}
 		assert.DeepEqual(t, Plan(view), []Action{want})
 		assert.Equal(t, view.StoreTokens, 0.0)
 	})
-	t.Run("restored unasked by a spare token only", func(t *testing.T) {
+	t.Run("restored without requests only with a spare token", func(t *testing.T) {
 		assert.Equal(t, len(Plan(returnedView(5, 0))), 0)
 		assert.Equal(t, len(actionsFor(Plan(returnedView(5, 1)), true, "rare")), 1)
 	})
 }
 
-// subset returns the elements whose bits are set in the mask.
+// subset returns the elements at the positions of the bits that are set in the mask.
 func subset(elements []string, mask int) []string {
 	var chosen []string
 	for bit, element := range elements {
@@ -159,7 +159,7 @@
 		server := newServer("a", models...)
 		view := smallView(server, newServer("b", "hot"))
 		for _, name := range []string{"hot/a4", "rare", "old", "hot"} {
-			view.Demand[ModelKey("s", name)] = &Demand{Waiting: 1, OldestWaitMs: 10, Rate: 2, LastSeen: now}
+			view.Demand[ModelKey("s", name)] = &Demand{Waiting: 1, OldestWaitMs: 10, Rate: 2, LastRequestAt: now}
 		}
 		runtime := view.Table.Configuration.Backends[0].Runtime
 		if server.exceeds(runtime) {
@@ -181,7 +181,7 @@
 	lost := newServer("a", "rare")
 	lost.Lost = true
 	view := smallView(lost, newServer("b"))
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	loads := actionsFor(Plan(view), true, "rare")
 	assert.Equal(t, len(loads), 1)
 	assert.Equal(t, loads[0].Server, "b")
@@ -190,18 +190,18 @@
 func TestPlan_KeepsMultipleCopiesUntilDemandKnown(t *testing.T) {
 	view := smallView(newServer("a", "hot", "old"), newServer("b", "hot", "old"))
 	view.Table.Configuration.Backends[0].Runtime.AdapterCapacity = 0
-	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	view.DemandKnown = false
 	unloads := func() int {
-		amount := 0
+		count := 0
 		for _, action := range Plan(view) {
 			if !action.Load {
-				amount++
+				count++
 			}
 		}
-		return amount
+		return count
 	}
-	assert.Equal(t, unloads(), 0, "busy models stand on many replicas until rates are known")
+	assert.Equal(t, unloads(), 0, "models with several copies are kept until the demand is known")
 	view.DemandKnown = true
 	assert.Assert(t, unloads() > 0)
 }
@@ -209,8 +209,8 @@
 func TestPlan_KeepsCopiesUnderPrefillLoad(t *testing.T) {
 	view := smallView(newServer("a", "rare", "old"), newServer("b", "rare", "old"), newServer("c", "rare", "old"))
 	view.Table.Configuration.Backends[0].Runtime.AdapterCapacity = 0
-	view.Demand[ModelKey("s", "hot")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastSeen: now}
-	view.Demand[ModelKey("s", "rare")] = &Demand{Rate: 9, PrefillLoad: 0.5, LastSeen: now}
+	view.Demand[ModelKey("s", "hot")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
+	view.Demand[ModelKey("s", "rare")] = &Demand{Rate: 9, PrefillLoad: 0.5, LastRequestAt: now}
 	assert.Equal(t, len(actionsFor(Plan(view), false, "rare")), 0)
 	assert.Equal(t, len(actionsFor(Plan(view), false, "old")), 1)
 }
