--- a/cmd/ferryspar-data-plane/main.go
+++ b/cmd/ferryspar-data-plane/main.go
@@ -50,7 +50,7 @@
 			return errors.Wrap(err, "record")
 		}
 		defer file.Close()
-		node.RecordTo(requestlog.NewWriter(file, options.RecordMb*bytesPerMb, time.Now))
+		node.SetRequestLog(requestlog.NewWriter(file, options.RecordMb*bytesPerMb, time.Now))
 	}
 	return node.Run(ctx, signals)
 }
--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -89,13 +89,13 @@
 	}
 	model, adapter := placement.SplitReference(order.Reference)
 	return s.client.SendOrder(ctx, address, id, replica.Order{
-		Operation:     operationOf(order),
-		Model:         model,
-		Adapter:       adapter,
-		Phase:         discovery.Phase(order.ServingPhase),
-		LeaseHolder:   grant.Record.Holder,
-		Fence:         grant.Record.Fence,
-		ExpectedCount: order.ExpectedSequence,
+		Operation:        operationOf(order),
+		Model:            model,
+		Adapter:          adapter,
+		Phase:            discovery.Phase(order.ServingPhase),
+		LeaseHolder:      grant.Record.Holder,
+		Fence:            grant.Record.Fence,
+		ExpectedSequence: order.ExpectedSequence,
 	})
 }
 
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -74,7 +74,7 @@
 	node.forwarder = replica.NewForwarder(network, time.Now, replicaConnectTimeout, ackTimeout)
 	node.matcher.OnDemand = node.state.interest.recordRequest
 	node.matcher.LedgerTrusted = node.state.TrustsContext
-	node.matcher.OnSuspect = node.forwarder.CloseIdle
+	node.matcher.OnSuspect = node.forwarder.CloseIdleConnections
 
 	budgets := retryBudgets(settings, startedAt)
 	node.proxy = proxy.NewHandler(&node.snapshot, node.matcher, node.forwarder, budgets, time.Now, rand.Float64)
@@ -116,8 +116,8 @@
 	})
 }
 
-// RecordTo has requests, configurations and fleets written to the request log. Call it before Run.
-func (n *Node) RecordTo(writer *requestlog.Writer) {
+// SetRequestLog has requests, configurations and fleets written to the request log. Call it before Run.
+func (n *Node) SetRequestLog(writer *requestlog.Writer) {
 	n.state.requestLog = writer
 	n.proxy.RequestLog = writer
 }
--- a/internal/proxy/departure_test.go
+++ b/internal/proxy/departure_test.go
@@ -37,7 +37,7 @@
 			})
 			server := startServer(t, upstream)
 			client := server.connect(t)
-			_, _ = io.WriteString(client, post("/again/x", "gone", replica.HeaderRemaining+": 9000"))
+			_, _ = io.WriteString(client, post("/again/x", "gone", replica.HeaderTimeRemaining+": 9000"))
 			<-started
 			leftAt := time.Now()
 			assert.NilError(t, client.Close())
@@ -65,7 +65,7 @@
 	for name, replicas := range map[string][]*scriptedReplica{"one replica": {second}, "two replicas": {first, second}} {
 		t.Run(name, func(t *testing.T) {
 			server := startServer(t, replicas...)
-			remaining := fmt.Sprintf("%s: %d", replica.HeaderRemaining, clientsTimeMs)
+			remaining := fmt.Sprintf("%s: %d", replica.HeaderTimeRemaining, clientsTimeMs)
 			for attempt := range 6 {
 				sentAt := time.Now()
 				response := server.send(t, post("/again/x", fmt.Sprint("time-", attempt), remaining))
@@ -87,7 +87,7 @@
 	if len(upstream.requests) == 0 {
 		return
 	}
-	stated := upstream.requests[len(upstream.requests)-1].Header.Get(replica.HeaderRemaining)
+	stated := upstream.requests[len(upstream.requests)-1].Header.Get(replica.HeaderTimeRemaining)
 	handedMs, err := strconv.ParseInt(stated, 10, 64)
 	assert.NilError(t, err)
 	assert.Assert(t, handedMs > 0 && handedMs <= clientsTimeMs, "%d of %d ms, after %d", handedMs, clientsTimeMs, elapsedMs)
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -30,7 +30,7 @@
 		Backend:      request.Backend,
 		Model:        request.Model,
 		Tenant:       e.parsed.upstream.Tenant,
-		Prefix:       e.parsed.upstream.Header.Get(replica.HeaderPrefix),
+		Prefix:       e.parsed.upstream.Header.Get(replica.HeaderPromptPrefix),
 		PromptTokens: request.PromptTokens,
 		OutputTokens: request.OutputTokens,
 		TimeoutMs:    float64(request.Deadline.Sub(request.Arrived).Milliseconds()),
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -27,7 +27,7 @@
 
 // heldPrompt is a prompt that a replica has read for a request, with the handle of its memory.
 type heldPrompt struct {
-	handle *replica.Handle
+	handle *replica.KVHandle
 	step   *routing.PrefillStep
 }
 
@@ -50,7 +50,7 @@
 		response, verdict := e.handler.forwarder.Send(ctx, target, upstream)
 		return response, verdict, nil
 	}
-	response, verdict := e.handler.forwarder.SendFrom(ctx, target, upstream, e.held.handle)
+	response, verdict := e.handler.forwarder.SendDecode(ctx, target, upstream, e.held.handle)
 	if verdict == replica.VerdictRejected {
 		e.handler.Attempts.add(upstream.Backend, outcomeHandleGone)
 	}
@@ -131,7 +131,7 @@
 // prefill has the prompt read and returns the handle of its memory; the matcher is still to be told (Matcher.Prefilled). Where
 // that fails nothing has run, so the request may go on without. The first time that a replica reads the prompt is free; any
 // further one, and what a replica turned away or left unanswered, counts against the retry budget like a further attempt.
-func (e *exchange) prefill(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) (*replica.Handle, error) {
+func (e *exchange) prefill(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) (*replica.KVHandle, error) {
 	report := func(outcome routing.Outcome) { e.handler.matcher.Report(step.Ticket, outcome) }
 	target, err := e.handler.snapshot.Load().AdmitPrefill(&e.parsed.request, step.Replica)
 	if err != nil {
@@ -208,10 +208,10 @@
 }
 
 // free frees a handle that will not be taken, without waiting for it.
-func (e *exchange) free(ctx context.Context, handle *replica.Handle) {
+func (e *exchange) free(ctx context.Context, handle *replica.KVHandle) {
 	forwarder := e.handler.forwarder
 	go func() {
-		if err := forwarder.Free(ctx, handle); err != nil {
+		if err := forwarder.ReleaseHandle(ctx, handle); err != nil {
 			logrus.WithError(err).Debug("handle not freed")
 		}
 	}()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -54,8 +54,8 @@
 
 // parse reads a request whole and checks all that does not depend on other requests. The errors are of package apierror.
 func (h *Handler) parse(request *http.Request, arrived time.Time) (*parsedRequest, error) {
-	attemptID := request.Header.Get(replica.HeaderAttempt)
-	if !validAttemptID(attemptID) || len(request.Header.Values(replica.HeaderAttempt)) != 1 {
+	attemptID := request.Header.Get(replica.HeaderAttemptID)
+	if !validAttemptID(attemptID) || len(request.Header.Values(replica.HeaderAttemptID)) != 1 {
 		return nil, apierror.New(apierror.InvalidAttemptID, "")
 	}
 	snapshot := h.awaitConfiguration(request, arrived)
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !replica.ValidTarget(request.RequestURI) {
+	if !replica.ValidRequestTarget(request.RequestURI) {
 		return nil, apierror.New(apierror.MalformedRequest, "request target cannot be passed on unchanged")
 	}
 	body, err := readBody(request, snapshot.Table.Configuration.Limits.MaxBodyBytes)
@@ -150,26 +150,26 @@
 
 // parsePromptHeaders reads the token counts and the prefix of the prompt.
 func parsePromptHeaders(header http.Header) (promptHeaders, error) {
-	promptTokens, outputTokens, valid := routing.ParseTokens(header.Get(replica.HeaderTokens))
+	promptTokens, outputTokens, valid := routing.ParseTokens(header.Get(replica.HeaderTokenCount))
 	if !valid {
-		return promptHeaders{}, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderTokens)
+		return promptHeaders{}, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderTokenCount)
 	}
-	parts, valid := routing.ParsePrefix(header.Get(replica.HeaderPrefix))
+	parts, valid := routing.ParsePrefix(header.Get(replica.HeaderPromptPrefix))
 	if !valid {
-		return promptHeaders{}, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderPrefix)
+		return promptHeaders{}, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderPromptPrefix)
 	}
 	return promptHeaders{promptTokens: promptTokens, outputTokens: outputTokens, parts: parts}, nil
 }
 
 // remainingTime is the time that the client says is left, or the route's timeout where it says nothing.
 func remainingTime(header http.Header, timeout time.Duration) (time.Duration, error) {
-	stated := header.Get(replica.HeaderRemaining)
+	stated := header.Get(replica.HeaderTimeRemaining)
 	if stated == "" {
 		return timeout, nil
 	}
 	remaining, err := strconv.ParseFloat(stated, 64)
 	if err != nil || remaining < 0 || remaining > maxRemainingMs {
-		return 0, apierror.New(apierror.MalformedRequest, "%s is no number of milliseconds", replica.HeaderRemaining)
+		return 0, apierror.New(apierror.MalformedRequest, "%s is no number of milliseconds", replica.HeaderTimeRemaining)
 	}
 	return milliseconds(remaining), nil
 }
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -60,7 +60,7 @@
 	hidden := post("/once/hidden", "hidden")
 	for name, raw := range map[string]string{
 		"two hosts":            post("/once/", "a", "Host: other.example"),
-		"two ids":              post("/once/", "a", replica.HeaderAttempt+": b"),
+		"two ids":              post("/once/", "a", replica.HeaderAttemptID+": b"),
 		"two lengths":          post("/once/", "a", "Content-Length: 7"),
 		"length and chunks":    post("/once/", "a", chunkedEncoding) + "\r\n",
 		"chunks of two kinds":  requestWithBody("/once/", "a", noChunks+hidden, chunkedEncoding, "Transfer-Encoding: identity"),
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -82,8 +82,8 @@
 
 // responseHead is the first part of an answer to the request, with its attempt id and the seal of the replica.
 func responseHead(status string, request *http.Request, seal string, more ...string) string {
-	attempt := request.Header.Get(replica.HeaderAttempt)
-	lines := append([]string{"HTTP/1.1 " + status, replica.HeaderAttempt + ": " + attempt, replica.HeaderSeal + ": " + seal}, more...)
+	attempt := request.Header.Get(replica.HeaderAttemptID)
+	lines := append([]string{"HTTP/1.1 " + status, replica.HeaderAttemptID + ": " + attempt, replica.HeaderSeal + ": " + seal}, more...)
 	return strings.Join(lines, "\r\n") + "\r\n\r\n"
 }
 
@@ -224,8 +224,8 @@
 
 func post(target, attempt string, more ...string) string {
 	lines := append([]string{
-		"POST " + target + " HTTP/1.1", "Host: shop.example", replica.HeaderAttempt + ": " + attempt, replica.HeaderModel + ": swift",
-		replica.HeaderTokens + ": 10,2", "Content-Length: 6",
+		"POST " + target + " HTTP/1.1", "Host: shop.example", replica.HeaderAttemptID + ": " + attempt, replica.HeaderModel + ": swift",
+		replica.HeaderTokenCount + ": 10,2", "Content-Length: 6",
 	}, more...)
 	return strings.Join(lines, "\r\n") + "\r\n\r\nprompt"
 }
--- a/internal/replica/client.go
+++ b/internal/replica/client.go
@@ -115,7 +115,7 @@
 	if len(body) > 0 {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	request.Header.Set(HeaderTarget, replicaID)
+	request.Header.Set(HeaderTargetReplica, replicaID)
 	response, err := c.client.Do(request)
 	if err != nil {
 		return 0, nil, err
--- a/internal/replica/forwarder.go
+++ b/internal/replica/forwarder.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// CloseIdle closes the connections to the replica that carry nothing at the moment.
-func (f *Forwarder) CloseIdle(replicaID string) { f.pool.closeIdle(replicaID) }
+// CloseIdleConnections closes the connections to the replica that carry nothing at the moment.
+func (f *Forwarder) CloseIdleConnections(replicaID string) { f.pool.closeIdle(replicaID) }
 
 // Send forwards the request to the target and returns its response with a verdict. The response's body is open only with
 // VerdictAnswered; the caller closes it. The request is written at most once: it is tried afresh only after connections to which
@@ -67,7 +67,7 @@
 		}
 		if trace.nothingWritten() {
 			if trace.onReusedConnection() && retry < maxStaleRetries && ctx.Err() == nil {
-				f.CloseIdle(replicaID)
+				f.CloseIdleConnections(replicaID)
 				continue
 			}
 			return nil, VerdictNotSent
@@ -75,7 +75,7 @@
 		idleFor, nothingRead := trace.nothingRead()
 		if !errors.Is(err, errEarlyResponse) && nothingRead && ctx.Err() == nil && idleFor > minIdleTime {
 			f.idle.recordDeath(upstream.Backend, idleFor)
-			f.CloseIdle(replicaID)
+			f.CloseIdleConnections(replicaID)
 			return nil, VerdictReset
 		}
 		return nil, VerdictUnknown
--- a/internal/replica/forwarder_test.go
+++ b/internal/replica/forwarder_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestForwarder_AcceptsOnlyResponseToItsAttempt(t *testing.T) {
-	const own = HeaderAttempt + ": a\r\n"
+	const own = HeaderAttemptID + ": a\r\n"
 	const seal = HeaderSeal + ": s\r\n"
 	const empty = "Content-Length: 0\r\n\r\n"
 	for name, test := range map[string]struct {
@@ -37,7 +37,7 @@
 	}{
 		"valid":                {validResponse("a"), VerdictAnswered},
 		"of another":           {validResponse("b"), VerdictUnknown},
-		"two ids":              {"HTTP/1.1 200 OK\r\n" + own + HeaderAttempt + ": b\r\n" + seal + empty, VerdictUnknown},
+		"two ids":              {"HTTP/1.1 200 OK\r\n" + own + HeaderAttemptID + ": b\r\n" + seal + empty, VerdictUnknown},
 		"no id":                {"HTTP/1.1 200 OK\r\n" + seal + empty, VerdictUnknown},
 		"no seal":              {"HTTP/1.1 200 OK\r\n" + own + empty, VerdictUnknown},
 		"encoded":              {"HTTP/1.1 200 OK\r\n" + own + seal + "Content-Encoding: gzip\r\n" + empty, VerdictUnknown},
@@ -51,7 +51,7 @@
 		"503 without proof":    {"HTTP/1.1 503 No\r\n" + own + empty, VerdictAnswered},
 		"408 without id":       {"HTTP/1.1 408 Late\r\n" + empty, VerdictUnknown},
 		"421":                  {"HTTP/1.1 421 No\r\n" + own + empty, VerdictNotLoaded},
-		"421 of another":       {"HTTP/1.1 421 No\r\n" + HeaderAttempt + ": b\r\n" + empty, VerdictUnknown},
+		"421 of another":       {"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": b\r\n" + empty, VerdictUnknown},
 		"421 of a new replica": {"HTTP/1.1 421 No\r\n" + own + HeaderReplicaID + ": i-2\r\n" + empty, VerdictReplaced},
 		"421 without id":       {"HTTP/1.1 421 No\r\n" + empty, VerdictNotLoaded},
 		"no response":          {"\x00\x01garbage\r\n\r\n", VerdictUnknown},
@@ -102,7 +102,7 @@
 func breakSecondRequest(end func(connection *scriptedConnection)) func(connection *scriptedConnection) {
 	return func(connection *scriptedConnection) {
 		if request := connection.next(); request != nil {
-			connection.respond(request.Header.Get(HeaderAttempt))
+			connection.respond(request.Header.Get(HeaderAttemptID))
 		}
 		if connection.next() != nil {
 			end(connection)
@@ -142,7 +142,7 @@
 	post := func(attempt string) {
 		request, err := http.NewRequest(http.MethodPost, "http://"+server.address, strings.NewReader("prompt"))
 		assert.NilError(t, err)
-		request.Header.Set(HeaderAttempt, attempt)
+		request.Header.Set(HeaderAttemptID, attempt)
 		request.Header.Set("Idempotency-Key", "key")
 		if response, err := plain.Do(request); err == nil {
 			response.Body.Close()
@@ -151,7 +151,7 @@
 	get := func(attempt string) {
 		request, err := http.NewRequest(http.MethodGet, "http://"+server.address, nil)
 		assert.NilError(t, err)
-		request.Header.Set(HeaderAttempt, attempt)
+		request.Header.Set(HeaderAttemptID, attempt)
 		response, err := plain.Do(request)
 		assert.NilError(t, err)
 		_, _ = response.Body.Read(make([]byte, 100))
@@ -176,7 +176,7 @@
 				if request == nil {
 					return
 				}
-				connection.respond(request.Header.Get(HeaderAttempt))
+				connection.respond(request.Header.Get(HeaderAttemptID))
 				connection.write("%s", ending)
 			})
 			forwarder := testForwarder()
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -14,10 +14,10 @@
 	"ferryspar/internal/routing"
 )
 
-// Handle is the KV memory of one request's prompt, held by the prefill replica that has read it. Only Forwarder.Prefill makes
-// one, and Forwarder.SendFrom gives it out only to the attempt whose prompt was read, and once: replicas don't check whose
+// KVHandle is the KV memory of one request's prompt, held by the prefill replica that has read it. Only Forwarder.Prefill makes
+// one, and Forwarder.SendDecode gives it out only to the attempt whose prompt was read, and once: replicas don't check whose
 // handle it is, so another request would continue from a foreign prompt.
-type Handle struct {
+type KVHandle struct {
 	attemptID string
 	// address and replicaID are those of the replica that holds the memory, id is its name for it.
 	address   string
@@ -27,15 +27,15 @@
 }
 
 // claimFor claims the handle for the attempt, and reports whether it is the attempt's and was not claimed before.
-func (h *Handle) claimFor(attemptID string) bool {
+func (h *KVHandle) claimFor(attemptID string) bool {
 	return h.attemptID == attemptID && h.claimed.CompareAndSwap(false, true)
 }
 
 // Unused reports whether the handle was neither sent to a replica that may have taken it nor freed.
-func (h *Handle) Unused() bool { return !h.claimed.Load() }
+func (h *KVHandle) Unused() bool { return !h.claimed.Load() }
 
 // source is the handle as a decode replica is told it.
-func (h *Handle) source() string { return h.address + "/" + h.id }
+func (h *KVHandle) source() string { return h.address + "/" + h.id }
 
 // prefillResponse is a replica's answer to a request whose prompt it has read.
 type prefillResponse struct {
@@ -53,9 +53,9 @@
 var handleID = regexp.MustCompile(`^[A-Za-z0-9_.~-]{1,128}$`)
 
 // Prefill has the target read the request's prompt. With VerdictAnswered
-// the handle must be passed to SendFrom or Free. Nothing runs by it, whatever the verdict; after VerdictUnknown the replica may
+// the handle must be passed to SendDecode or ReleaseHandle. Nothing runs by it, whatever the verdict; after VerdictUnknown the replica may
 // hold memory that nobody can free until it lapses.
-func (f *Forwarder) Prefill(ctx context.Context, target routing.Target, upstream UpstreamRequest) (*Handle, Verdict) {
+func (f *Forwarder) Prefill(ctx context.Context, target routing.Target, upstream UpstreamRequest) (*KVHandle, Verdict) {
 	upstream.phase = discovery.PhasePrefill
 	response, verdict := f.send(ctx, target, upstream)
 	if verdict != VerdictAnswered {
@@ -67,15 +67,15 @@
 	if err != nil || json.Unmarshal(content, &answer) != nil || !handleID.MatchString(answer.Handle) {
 		return nil, VerdictUnknown
 	}
-	handle := &Handle{attemptID: upstream.AttemptID, address: target.Address(), replicaID: target.ReplicaID(), id: answer.Handle}
+	handle := &KVHandle{attemptID: upstream.AttemptID, address: target.Address(), replicaID: target.ReplicaID(), id: answer.Handle}
 	return handle, VerdictAnswered
 }
 
-// SendFrom is Send to a decode replica that continues from the handle. A handle of another attempt, or one that was claimed
+// SendDecode is Send to a decode replica that continues from the handle. A handle of another attempt, or one that was claimed
 // before, is not sent: VerdictNotSent. After a verdict by which the replica can't have asked for the memory the handle may be
-// sent to another one, see Handle.Unused.
-func (f *Forwarder) SendFrom(
-	ctx context.Context, target routing.Target, upstream UpstreamRequest, handle *Handle,
+// sent to another one, see KVHandle.Unused.
+func (f *Forwarder) SendDecode(
+	ctx context.Context, target routing.Target, upstream UpstreamRequest, handle *KVHandle,
 ) (*http.Response, Verdict) {
 	if !handle.claimFor(upstream.AttemptID) {
 		return nil, VerdictNotSent
@@ -88,10 +88,10 @@
 	return response, verdict
 }
 
-// Free frees the memory of a handle that will not be taken, on a connection of its own. A handle that was claimed can be freed
+// ReleaseHandle frees the memory of a handle that will not be taken, on a connection of its own. A handle that was claimed can be freed
 // as well: where its replica has fetched the memory already, nothing is left to free. The call outlives the request's context
 // and is bounded by a timeout; if it fails, the memory lapses by itself.
-func (f *Forwarder) Free(ctx context.Context, handle *Handle) error {
+func (f *Forwarder) ReleaseHandle(ctx context.Context, handle *KVHandle) error {
 	handle.claimed.Store(true)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), freeTimeout)
 	defer cancel()
@@ -101,7 +101,7 @@
 		return err
 	}
 	request.Close = true
-	request.Header.Set(HeaderTarget, handle.replicaID)
+	request.Header.Set(HeaderTargetReplica, handle.replicaID)
 	response, err := f.freeing.RoundTrip(request)
 	if err != nil {
 		return err
--- a/internal/replica/handle_test.go
+++ b/internal/replica/handle_test.go
@@ -11,13 +11,13 @@
 
 // prefillAnswer is a replica's answer to a request whose prompt it has read.
 func prefillAnswer(attempt, body string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", HeaderAttempt, attempt, len(body), body)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", HeaderAttemptID, attempt, len(body), body)
 }
 
 // serveHandles answers prefills with handles and all else with a valid response.
 func serveHandles(connection *scriptedConnection) {
 	for request := connection.next(); request != nil; request = connection.next() {
-		attempt := request.Header.Get(HeaderAttempt)
+		attempt := request.Header.Get(HeaderAttemptID)
 		switch {
 		case request.Method == http.MethodDelete:
 			connection.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -36,20 +36,20 @@
 	handle, verdict := forwarder.Prefill(context.Background(), server.target(t), upstream)
 	assert.Equal(t, verdict, VerdictAnswered)
 
-	_, verdict = forwarder.SendFrom(context.Background(), server.target(t), testRequest(http.MethodPost, "b", "prompt"), handle)
+	_, verdict = forwarder.SendDecode(context.Background(), server.target(t), testRequest(http.MethodPost, "b", "prompt"), handle)
 	assert.Equal(t, verdict, VerdictNotSent, "another attempt must not continue from the memory")
 
-	response, verdict := forwarder.SendFrom(context.Background(), server.target(t), upstream, handle)
+	response, verdict := forwarder.SendDecode(context.Background(), server.target(t), upstream, handle)
 	assert.Equal(t, verdict, VerdictAnswered)
 	response.Body.Close()
-	_, verdict = forwarder.SendFrom(context.Background(), server.target(t), upstream, handle)
+	_, verdict = forwarder.SendDecode(context.Background(), server.target(t), upstream, handle)
 	assert.Equal(t, verdict, VerdictNotSent, "a handle is taken once")
 
 	received := server.received()
 	assert.Equal(t, len(received), 2)
 	assert.Equal(t, received[0].request.Header.Get(HeaderServingPhase), "prefill")
 	assert.Equal(t, received[0].body, "prompt")
-	assert.Equal(t, received[1].request.Header.Get(HeaderKvFrom), server.address+"/h-a")
+	assert.Equal(t, received[1].request.Header.Get(HeaderKVSource), server.address+"/h-a")
 	assert.Equal(t, received[1].request.Header.Get(HeaderServingPhase), "")
 	assert.Equal(t, received[1].body, "prompt")
 }
@@ -61,24 +61,24 @@
 	handle, _ := forwarder.Prefill(context.Background(), server.target(t), upstream)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NilError(t, forwarder.Free(ended, handle), "it is freed although its client has gone")
-	_, verdict := forwarder.SendFrom(context.Background(), server.target(t), upstream, handle)
+	assert.NilError(t, forwarder.ReleaseHandle(ended, handle), "it is freed although its client has gone")
+	_, verdict := forwarder.SendDecode(context.Background(), server.target(t), upstream, handle)
 	assert.Equal(t, verdict, VerdictNotSent)
 	freed := server.received()[1].request
 	assert.Equal(t, freed.Method, http.MethodDelete)
 	assert.Equal(t, freed.URL.Path, "/ferryspar/kv-handle/h-a")
-	assert.Equal(t, freed.Header.Get(HeaderTarget), "i-1")
+	assert.Equal(t, freed.Header.Get(HeaderTargetReplica), "i-1")
 }
 
 func TestForwarder_ClientsCannotNameAHandleOrAPhase(t *testing.T) {
 	server := startServer(t, serveHandles)
 	upstream := testRequest(http.MethodPost, "a", "prompt")
-	upstream.Header.Set(HeaderKvFrom, "10.0.0.1:80/foreign")
+	upstream.Header.Set(HeaderKVSource, "10.0.0.1:80/foreign")
 	upstream.Header.Set(HeaderServingPhase, "prefill")
 	verdict, _ := send(t, testForwarder(), server, upstream)
 	assert.Equal(t, verdict, VerdictAnswered)
 	sent := server.received()[0].request
-	assert.Equal(t, sent.Header.Get(HeaderKvFrom), "")
+	assert.Equal(t, sent.Header.Get(HeaderKVSource), "")
 	assert.Equal(t, sent.Header.Get(HeaderServingPhase), "")
 }
 
@@ -97,9 +97,9 @@
 		"no JSON":              {prefillAnswer("a", "event"), VerdictUnknown},
 		"a stream":             {validResponse("a"), VerdictUnknown},
 		"rejection":            {rejection("a"), VerdictRejected},
-		"other phase":          {"HTTP/1.1 421 No\r\n" + HeaderAttempt + ": a\r\nContent-Length: 0\r\n\r\n", VerdictNotLoaded},
-		"failure":              {"HTTP/1.1 500 No\r\n" + HeaderAttempt + ": a\r\nContent-Length: 0\r\n\r\n", VerdictUnknown},
-		"body that is cut off": {"HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": a\r\nContent-Length: 99\r\n\r\n" + valid, VerdictUnknown},
+		"other phase":          {"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 0\r\n\r\n", VerdictNotLoaded},
+		"failure":              {"HTTP/1.1 500 No\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 0\r\n\r\n", VerdictUnknown},
+		"body that is cut off": {"HTTP/1.1 200 OK\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 99\r\n\r\n" + valid, VerdictUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := startServer(t, func(connection *scriptedConnection) {
@@ -115,8 +115,8 @@
 
 func TestForwarder_HandleOutlivesAReplicaThatCannotTakeIt(t *testing.T) {
 	for _, refusal := range []string{
-		"HTTP/1.1 421 No\r\n" + HeaderAttempt + ": a\r\nContent-Length: 0\r\n\r\n",
-		"HTTP/1.1 421 No\r\n" + HeaderAttempt + ": a\r\n" + HeaderReplicaID + ": i-2\r\nContent-Length: 0\r\n\r\n",
+		"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 0\r\n\r\n",
+		"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": a\r\n" + HeaderReplicaID + ": i-2\r\nContent-Length: 0\r\n\r\n",
 	} {
 		server := startServer(t, serveHandles)
 		other := startServer(t, func(connection *scriptedConnection) {
@@ -127,10 +127,10 @@
 		forwarder := testForwarder()
 		upstream := testRequest(http.MethodPost, "a", "prompt")
 		handle, _ := forwarder.Prefill(context.Background(), server.target(t), upstream)
-		_, verdict := forwarder.SendFrom(context.Background(), other.target(t), upstream, handle)
+		_, verdict := forwarder.SendDecode(context.Background(), other.target(t), upstream, handle)
 		assert.Assert(t, verdict.NotExecuted())
 		assert.Assert(t, handle.Unused(), "another replica may take it")
-		response, verdict := forwarder.SendFrom(context.Background(), server.target(t), upstream, handle)
+		response, verdict := forwarder.SendDecode(context.Background(), server.target(t), upstream, handle)
 		assert.Equal(t, verdict, VerdictAnswered)
 		response.Body.Close()
 		assert.Assert(t, !handle.Unused())
@@ -141,13 +141,13 @@
 	server := startServer(t, serveHandles)
 	full := startServer(t, func(connection *scriptedConnection) {
 		for connection.next() != nil {
-			connection.write("HTTP/1.1 503 Full\r\n%s: a\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", HeaderAttempt, HeaderNotExecuted)
+			connection.write("HTTP/1.1 503 Full\r\n%s: a\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", HeaderAttemptID, HeaderNotExecuted)
 		}
 	})
 	forwarder := testForwarder()
 	upstream := testRequest(http.MethodPost, "a", "prompt")
 	handle, _ := forwarder.Prefill(context.Background(), server.target(t), upstream)
-	_, verdict := forwarder.SendFrom(context.Background(), full.target(t), upstream, handle)
+	_, verdict := forwarder.SendDecode(context.Background(), full.target(t), upstream, handle)
 	assert.Equal(t, verdict, VerdictRejected)
 	assert.Assert(t, !handle.Unused(), "the memory may have been fetched")
 }
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -19,9 +19,9 @@
 	// LeaseHolder and Fence are those of the lease that the order is sent under.
 	LeaseHolder string `json:"leaseHolder"`
 	Fence       uint64 `json:"fenceToken"`
-	// ExpectedCount is the replica's sequence number that the order was decided on: the replica rejects it at any other. It
+	// ExpectedSequence is the replica's sequence number that the order was decided on: the replica rejects it at any other. It
 	// is always sent, 0 too.
-	ExpectedCount int64 `json:"expectedCount"`
+	ExpectedSequence int64 `json:"expectedCount"`
 }
 
 // Report is what a replica says of itself.
@@ -32,10 +32,10 @@
 	Busy   bool                    `json:"utilization"`
 	// Sequence counts the orders that the replica has taken.
 	Sequence int64 `json:"sequence"`
-	// Queued and Active are numbers of requests.
-	Queued int `json:"queuedRequests"`
-	Active int `json:"activeRequests"`
-	// KvUsed and KvTotal are tokens of KV memory.
-	KvUsed  float64 `json:"kvCacheUsed"`
-	KvTotal float64 `json:"kvCacheTotal"`
+	// QueuedRequests and Active are numbers of requests.
+	QueuedRequests int `json:"queuedRequests"`
+	ActiveRequests int `json:"activeRequests"`
+	// KVTokensUsed and KVTokensTotal are numbers of tokens in the KV cache.
+	KVTokensUsed  float64 `json:"kvCacheUsed"`
+	KVTokensTotal float64 `json:"kvCacheTotal"`
 }
--- a/internal/replica/pinned_test.go
+++ b/internal/replica/pinned_test.go
@@ -22,9 +22,9 @@
 		"calls":      endpoints,
 		"operations": []string{OperationLoad, OperationUnload},
 		"headers": map[string]string{
-			"attempt": HeaderAttempt, "seal": HeaderSeal, "target": HeaderTarget, "not executed": HeaderNotExecuted,
-			"identity": HeaderReplicaID, "remaining": HeaderRemaining, "urgency": HeaderUrgency, "model": HeaderModel,
-			"tokens": HeaderTokens, "prefix": HeaderPrefix, "last event": HeaderLastEventID, "cold": HeaderWarmUpRemaining,
+			"attempt": HeaderAttemptID, "seal": HeaderSeal, "target": HeaderTargetReplica, "not executed": HeaderNotExecuted,
+			"identity": HeaderReplicaID, "remaining": HeaderTimeRemaining, "urgency": HeaderUrgency, "model": HeaderModel,
+			"tokens": HeaderTokenCount, "prefix": HeaderPromptPrefix, "last event": HeaderLastEventID, "cold": HeaderWarmUpRemaining,
 			"tenant": HeaderTenant, "key": HeaderAPIKey, "own": protocolPrefix,
 		},
 		"headers of a hop": hopByHopHeaders,
--- a/internal/replica/protocol.go
+++ b/internal/replica/protocol.go
@@ -7,26 +7,26 @@
 
 // Headers of the protocol between clients, nodes and replicas. The names are on the wire and stay as they are.
 const (
-	// HeaderAttempt is the client's id of an attempt, which its response has to bear.
-	HeaderAttempt = "Ferryspar-Attempt-Id"
+	// HeaderAttemptID is the client's id of an attempt, which its response has to bear.
+	HeaderAttemptID = "Ferryspar-Attempt-Id"
 	// HeaderSeal is the seal of a replica, which only its own successful responses bear.
 	HeaderSeal = "Ferryspar-Server-Seal"
-	// HeaderTarget is the id of the replica that a request is meant for.
-	HeaderTarget = "Ferryspar-Target-Replica"
+	// HeaderTargetReplica is the id of the replica that a request is meant for.
+	HeaderTargetReplica = "Ferryspar-Target-Replica"
 	// HeaderNotExecuted is a replica's proof that it has not run the request and never will.
 	HeaderNotExecuted = "Ferryspar-Not-Executed"
 	// HeaderReplicaID is the id of the replica that responds.
 	HeaderReplicaID = "Ferryspar-Replica-Id"
-	// HeaderRemaining is the time until the deadline, in milliseconds.
-	HeaderRemaining = "Ferryspar-Time-Remaining"
+	// HeaderTimeRemaining is the time until the deadline, in milliseconds.
+	HeaderTimeRemaining = "Ferryspar-Time-Remaining"
 	// HeaderUrgency is the rank of a request, from 0 (first) to 9.
 	HeaderUrgency = "Ferryspar-Urgency-Class"
 	// HeaderModel is the model, or model/adapter, that a request asks for.
 	HeaderModel = "Ferryspar-Model"
-	// HeaderTokens are the numbers of tokens of the prompt and, expected, of the output.
-	HeaderTokens = "Ferryspar-Token-Count"
-	// HeaderPrefix are the parts of the prompt, for the choice of a replica that has them cached.
-	HeaderPrefix = "Ferryspar-Prompt-Prefix"
+	// HeaderTokenCount are the numbers of tokens of the prompt and, expected, of the output.
+	HeaderTokenCount = "Ferryspar-Token-Count"
+	// HeaderPromptPrefix are the parts of the prompt, for the choice of a replica that has them cached.
+	HeaderPromptPrefix = "Ferryspar-Prompt-Prefix"
 	// HeaderLastEventID is the id of the event after which a stream goes on.
 	HeaderLastEventID = "Last-Event-Id"
 	// HeaderWarmUpRemaining is how long a replica still warms up, in milliseconds.
@@ -35,8 +35,8 @@
 	HeaderTenant = "Ferryspar-Tenant"
 	// HeaderServingPhase asks a prefill replica to read the prompt only. Clients must not set it.
 	HeaderServingPhase = "Ferryspar-Serving-Phase"
-	// HeaderKvFrom tells a decode replica which memory to continue from, as ADDRESS/HANDLE. Clients must not set it.
-	HeaderKvFrom = "Kv-From"
+	// HeaderKVSource tells a decode replica which memory to continue from, as ADDRESS/HANDLE. Clients must not set it.
+	HeaderKVSource = "Kv-From"
 	// HeaderAPIKey is the client's key, which never reaches a replica.
 	HeaderAPIKey = "X-Api-Key"
 )
--- a/internal/replica/scriptedserver_test.go
+++ b/internal/replica/scriptedserver_test.go
@@ -126,12 +126,12 @@
 func validResponse(attempt string) string {
 	body := "body for " + attempt
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\nContent-Length: %d\r\n\r\n%s",
-		HeaderAttempt, attempt, HeaderSeal, attempt, len(body), body)
+		HeaderAttemptID, attempt, HeaderSeal, attempt, len(body), body)
 }
 
 func rejection(attempt string) string {
 	const format = "HTTP/1.1 503 Service Unavailable\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n"
-	return fmt.Sprintf(format, HeaderAttempt, attempt, HeaderNotExecuted)
+	return fmt.Sprintf(format, HeaderAttemptID, attempt, HeaderNotExecuted)
 }
 
 func (s *scriptedServer) received() []receivedRequest {
@@ -144,7 +144,7 @@
 func (s *scriptedServer) countOf(attempt string) int {
 	count := 0
 	for _, read := range s.received() {
-		if read.request.Header.Get(HeaderAttempt) == attempt {
+		if read.request.Header.Get(HeaderAttemptID) == attempt {
 			count++
 		}
 	}
@@ -160,7 +160,7 @@
 		Method:        method,
 		URI:           "/path",
 		Host:          "shop.example",
-		Header:        http.Header{HeaderAttempt: {attempt}},
+		Header:        http.Header{HeaderAttemptID: {attempt}},
 		Body:          []byte(body),
 		AttemptID:     attempt,
 		Deadline:      time.Now().Add(time.Minute),
--- a/internal/replica/surplus_test.go
+++ b/internal/replica/surplus_test.go
@@ -14,7 +14,7 @@
 func respondTwice(connection *scriptedConnection) {
 	before := ""
 	for request := connection.next(); request != nil; request = connection.next() {
-		attempt := request.Header.Get(HeaderAttempt)
+		attempt := request.Header.Get(HeaderAttemptID)
 		if before != "" {
 			connection.respond(before)
 		}
@@ -42,7 +42,7 @@
 func respondOneBehind(connection *scriptedConnection) {
 	before := ""
 	for request := connection.next(); request != nil; request = connection.next() {
-		attempt := request.Header.Get(HeaderAttempt)
+		attempt := request.Header.Get(HeaderAttemptID)
 		if before == "" {
 			before = attempt
 		}
@@ -71,12 +71,12 @@
 	for _, attempt := range []string{"first", "second"} {
 		request, err := http.NewRequest(http.MethodPost, "http://"+server.address, strings.NewReader("prompt"))
 		assert.NilError(t, err)
-		request.Header.Set(HeaderAttempt, attempt)
+		request.Header.Set(HeaderAttemptID, attempt)
 		response, err := transport.RoundTrip(request)
 		assert.NilError(t, err)
 		_, _ = response.Body.Read(make([]byte, 100))
 		response.Body.Close()
-		delivered = response.Header.Get(HeaderAttempt)
+		delivered = response.Header.Get(HeaderAttemptID)
 	}
 	assert.Equal(t, delivered, "first")
 }
@@ -109,7 +109,7 @@
 func TestForwarder_RejectionWithoutIDOnReusedConnectionProvesNothing(t *testing.T) {
 	server := startServer(t, func(connection *scriptedConnection) {
 		if request := connection.next(); request != nil {
-			connection.respond(request.Header.Get(HeaderAttempt))
+			connection.respond(request.Header.Get(HeaderAttemptID))
 		}
 		if connection.next() != nil {
 			connection.write("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n")
--- a/internal/replica/upstreamrequest.go
+++ b/internal/replica/upstreamrequest.go
@@ -40,7 +40,7 @@
 
 	// phase is PhasePrefill for a request of which only the prompt is to be read; set by Prefill alone.
 	phase discovery.Phase
-	// handleSource is the memory to continue from; set by SendFrom alone.
+	// handleSource is the memory to continue from; set by SendDecode alone.
 	handleSource string
 }
 
@@ -65,8 +65,8 @@
 	setTarget(request.URL, upstream.URI)
 	setBody(request, upstream.Body)
 	remaining := upstream.Deadline.Sub(f.clock()).Milliseconds()
-	request.Header.Set(HeaderRemaining, strconv.FormatInt(max(remaining, 1), 10))
-	request.Header.Set(HeaderTarget, target.ReplicaID())
+	request.Header.Set(HeaderTimeRemaining, strconv.FormatInt(max(remaining, 1), 10))
+	request.Header.Set(HeaderTargetReplica, target.ReplicaID())
 	request.Header.Set(HeaderUrgency, strconv.Itoa(upstream.Urgency))
 	setTenant(request.Header, upstream.Tenant)
 	setPhase(request.Header, upstream)
@@ -105,17 +105,17 @@
 // request's memory.
 func setPhase(header http.Header, upstream UpstreamRequest) {
 	header.Del(HeaderServingPhase)
-	header.Del(HeaderKvFrom)
+	header.Del(HeaderKVSource)
 	if upstream.phase == discovery.PhasePrefill {
 		header.Set(HeaderServingPhase, string(upstream.phase))
 	}
 	if upstream.handleSource != "" {
-		header.Set(HeaderKvFrom, upstream.handleSource)
+		header.Set(HeaderKVSource, upstream.handleSource)
 	}
 }
 
-// ValidTarget reports whether a request target, as a client sent it, can be passed on unchanged.
-func ValidTarget(uri string) bool {
+// ValidRequestTarget reports whether a request target, as a client sent it, can be passed on unchanged.
+func ValidRequestTarget(uri string) bool {
 	if !strings.HasPrefix(uri, "/") {
 		return false
 	}
--- a/internal/replica/upstreamrequest_test.go
+++ b/internal/replica/upstreamrequest_test.go
@@ -11,7 +11,7 @@
 func TestForwarder_PreservesRequestTarget(t *testing.T) {
 	server := startServer(t, func(connection *scriptedConnection) {
 		for request := connection.next(); request != nil; request = connection.next() {
-			connection.respond(request.Header.Get(HeaderAttempt))
+			connection.respond(request.Header.Get(HeaderAttemptID))
 		}
 	})
 	forwarder := testForwarder()
@@ -19,7 +19,7 @@
 		"/a/../b", "/./a/", "/a//b", "/a%2Fb", "/%2e%2e/", "/a?",
 		"/a?x=%20&y=a+b", "/a?x?y", "/a;b=c", "/a:b@c", "//a/b", "//a%2Fb?x", "//a?",
 	} {
-		assert.Assert(t, ValidTarget(target), target)
+		assert.Assert(t, ValidRequestTarget(target), target)
 		upstream := testRequest(http.MethodPost, string(rune('a'+number)), "prompt")
 		upstream.URI = target
 		verdict, _ := send(t, forwarder, server, upstream)
@@ -28,7 +28,7 @@
 		assert.Equal(t, server.received()[number].body, "prompt")
 	}
 	for _, target := range []string{"*", "http://shop.example/a", "//a%ZZ", `//a"b`} {
-		assert.Assert(t, !ValidTarget(target), target)
+		assert.Assert(t, !ValidRequestTarget(target), target)
 	}
 }
 
@@ -40,7 +40,7 @@
 	upstream := testRequest(http.MethodPost, "a", "prompt")
 	for name, value := range map[string]string{
 		"Connection": "Filler, ferryspar-attempt-id, close", "Filler": "x", "Transfer-Encoding": "chunked", "Content-Length": "99",
-		"Expect": "100-continue", "Upgrade": "h2c", "Te": "trailers", HeaderTarget: "i-9", "Kept": "y",
+		"Expect": "100-continue", "Upgrade": "h2c", "Te": "trailers", HeaderTargetReplica: "i-9", "Kept": "y",
 	} {
 		upstream.Header.Set(name, value)
 	}
@@ -51,7 +51,7 @@
 		assert.Equal(t, sent.Header.Get(name), "", name)
 	}
 	assert.Equal(t, sent.ContentLength, int64(len("prompt")))
-	assert.DeepEqual(t, sent.Header.Values(HeaderTarget), []string{"i-1"})
-	assert.Equal(t, sent.Header.Get(HeaderAttempt), "a")
+	assert.DeepEqual(t, sent.Header.Values(HeaderTargetReplica), []string{"i-1"})
+	assert.Equal(t, sent.Header.Get(HeaderAttemptID), "a")
 	assert.Equal(t, sent.Header.Get("Kept"), "y")
 }
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -47,7 +47,7 @@
 // judge weighs a response against the attempt it was read for. A response counts only if it bears the attempt's own id. One
 // without any id counts as a rejection only if it is the first on its connection, where no other can be due.
 func judge(response *http.Response, upstream UpstreamRequest, replicaID string, firstOnConnection bool) Verdict {
-	stated := response.Header.Values(HeaderAttempt)
+	stated := response.Header.Values(HeaderAttemptID)
 	own := len(stated) == 1 && stated[0] == upstream.AttemptID
 	if !own && (len(stated) > 0 || !firstOnConnection) {
 		return VerdictUnknown
--- a/internal/sim/emulator/demo/client.go
+++ b/internal/sim/emulator/demo/client.go
@@ -38,11 +38,11 @@
 // headers are the request headers of a stream.
 func headers(request stream, attempt string) map[string]string {
 	return map[string]string{
-		replica.HeaderAttempt:   attempt,
-		replica.HeaderModel:     request.Model,
-		replica.HeaderPrefix:    request.Prefix,
-		replica.HeaderTokens:    fmt.Sprintf("%.0f,%d", request.Prompt, request.Output),
-		replica.HeaderRemaining: "15000",
+		replica.HeaderAttemptID:     attempt,
+		replica.HeaderModel:         request.Model,
+		replica.HeaderPromptPrefix:  request.Prefix,
+		replica.HeaderTokenCount:    fmt.Sprintf("%.0f,%d", request.Prompt, request.Output),
+		replica.HeaderTimeRemaining: "15000",
 	}
 }
 
--- a/internal/sim/emulator/standin/replica.go
+++ b/internal/sim/emulator/standin/replica.go
@@ -110,10 +110,10 @@
 // checkTarget rejects requests that name another replica and echoes the attempt id.
 func (r *Replica) checkTarget(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if attempt := request.Header.Get(replica.HeaderAttempt); attempt != "" {
-			writer.Header().Set(replica.HeaderAttempt, attempt)
+		if attempt := request.Header.Get(replica.HeaderAttemptID); attempt != "" {
+			writer.Header().Set(replica.HeaderAttemptID, attempt)
 		}
-		if target := request.Header.Get(replica.HeaderTarget); target != "" && target != r.entry.ID {
+		if target := request.Header.Get(replica.HeaderTargetReplica); target != "" && target != r.entry.ID {
 			writer.Header().Set(replica.HeaderReplicaID, r.entry.ID)
 			writer.WriteHeader(http.StatusMisdirectedRequest)
 			return
@@ -132,12 +132,12 @@
 func (r *Replica) serveReport(writer http.ResponseWriter, _ *http.Request) {
 	r.lock.Lock()
 	state := replica.Report{
-		Phase:    "unified",
-		Models:   r.loaded.List(),
-		Busy:     time.Now().Before(r.busyUntil),
-		Sequence: r.sequence,
-		Active:   r.active,
-		KvTotal:  r.runtime.KvCacheTokens,
+		Phase:          "unified",
+		Models:         r.loaded.List(),
+		Busy:           time.Now().Before(r.busyUntil),
+		Sequence:       r.sequence,
+		ActiveRequests: r.active,
+		KVTokensTotal:  r.runtime.KvCacheTokens,
 	}
 	r.lock.Unlock()
 	writer.Header().Set("Content-Type", "application/json")
--- a/internal/sim/emulator/standin/serve.go
+++ b/internal/sim/emulator/standin/serve.go
@@ -21,9 +21,9 @@
 // client has seen.
 func (r *Replica) serveStream(writer http.ResponseWriter, request *http.Request) {
 	reference := request.Header.Get(replica.HeaderModel)
-	parts, sound := routing.ParsePrefix(request.Header.Get(replica.HeaderPrefix))
-	prompt, output, counted := routing.ParseTokens(request.Header.Get(replica.HeaderTokens))
-	if !sound || !counted || request.Header.Get(replica.HeaderAttempt) == "" {
+	parts, sound := routing.ParsePrefix(request.Header.Get(replica.HeaderPromptPrefix))
+	prompt, output, counted := routing.ParseTokens(request.Header.Get(replica.HeaderTokenCount))
+	if !sound || !counted || request.Header.Get(replica.HeaderAttemptID) == "" {
 		writer.Header().Set(replica.HeaderNotExecuted, "1")
 		writer.WriteHeader(http.StatusBadRequest)
 		return
--- a/internal/sim/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -96,11 +96,11 @@
 		created := stand("r-1", "swift")
 		header := func(model, target string) map[string]string {
 			return map[string]string{
-				replica.HeaderAttempt:     "try",
-				replica.HeaderModel:       model,
-				replica.HeaderTarget:      target,
-				replica.HeaderTokens:      "100,4",
-				replica.HeaderLastEventID: "1",
+				replica.HeaderAttemptID:     "try",
+				replica.HeaderModel:         model,
+				replica.HeaderTargetReplica: target,
+				replica.HeaderTokenCount:    "100,4",
+				replica.HeaderLastEventID:   "1",
 			}
 		}
 		done := make(chan *httptest.ResponseRecorder)
@@ -112,7 +112,7 @@
 		served := <-done
 		assert.Equal(t, served.Code, http.StatusOK)
 		assert.Equal(t, strings.Count(served.Body.String(), "id:"), 3, "events after the last one seen")
-		assert.Equal(t, served.Header().Get(replica.HeaderAttempt), "try")
+		assert.Equal(t, served.Header().Get(replica.HeaderAttemptID), "try")
 		assert.Assert(t, strings.HasPrefix(served.Header().Get(replica.HeaderSeal), "r-1."))
 		assert.Equal(t, call(created, http.MethodPost, "/any", "", header("rare", "r-1")).Code, http.StatusMisdirectedRequest)
 		assert.Equal(t, call(created, http.MethodPost, "/any", "", header("swift", "r-2")).Code, http.StatusMisdirectedRequest)
--- a/internal/sim/hollow/clients.go
+++ b/internal/sim/hollow/clients.go
@@ -126,12 +126,12 @@
 		return
 	}
 	request.Host = hostName
-	request.Header.Set(replica.HeaderAttempt, attempt)
+	request.Header.Set(replica.HeaderAttemptID, attempt)
 	request.Header.Set(replica.HeaderModel, reference)
-	request.Header.Set(replica.HeaderTokens, fmt.Sprintf("%d,%d", c.plan.Tokens, c.plan.Tokens/4+1))
+	request.Header.Set(replica.HeaderTokenCount, fmt.Sprintf("%d,%d", c.plan.Tokens, c.plan.Tokens/4+1))
 	half := c.plan.Tokens/2 + 1
-	request.Header.Set(replica.HeaderPrefix, fmt.Sprintf("%x:%d,%x:%d", 1000+part, half, part+index*1000+100000, half))
-	request.Header.Set(replica.HeaderRemaining, "20000")
+	request.Header.Set(replica.HeaderPromptPrefix, fmt.Sprintf("%x:%d,%x:%d", 1000+part, half, part+index*1000+100000, half))
+	request.Header.Set(replica.HeaderTimeRemaining, "20000")
 	began := time.Now()
 	c.sent.Add(1)
 	answer, err := c.client.Do(request)
--- a/internal/sim/hollow/operator.go
+++ b/internal/sim/hollow/operator.go
@@ -172,8 +172,8 @@
 		return false
 	}
 	request.Host = hostName
-	request.Header.Set(replica.HeaderAttempt, fmt.Sprintf("probe-%d", time.Now().UnixNano()))
-	request.Header.Set(replica.HeaderTokens, "none")
+	request.Header.Set(replica.HeaderAttemptID, fmt.Sprintf("probe-%d", time.Now().UnixNano()))
+	request.Header.Set(replica.HeaderTokenCount, "none")
 	answer, err := o.client.Do(request)
 	if err != nil {
 		return false
--- a/internal/sim/hollow/standins.go
+++ b/internal/sim/hollow/standins.go
@@ -137,7 +137,7 @@
 	if !lives {
 		panic(http.ErrAbortHandler)
 	}
-	if request.Header.Get(replica.HeaderTarget) != identity {
+	if request.Header.Get(replica.HeaderTargetReplica) != identity {
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -157,12 +157,12 @@
 	s.reports.Add(1)
 	server.lock.Lock()
 	state := replica.Report{
-		Phase:    "unified",
-		Models:   server.loaded.List(),
-		Busy:     time.Now().Before(server.busyUntil),
-		Sequence: server.sequence,
-		Active:   int(server.active.Load()),
-		KvTotal:  114820,
+		Phase:          "unified",
+		Models:         server.loaded.List(),
+		Busy:           time.Now().Before(server.busyUntil),
+		Sequence:       server.sequence,
+		ActiveRequests: int(server.active.Load()),
+		KVTokensTotal:  114820,
 	}
 	server.lock.Unlock()
 	_ = json.NewEncoder(writer).Encode(state)
@@ -190,7 +190,7 @@
 		return
 	}
 	server.highestFence = instruction.Fence
-	if time.Now().Before(server.busyUntil) || instruction.ExpectedCount != server.sequence {
+	if time.Now().Before(server.busyUntil) || instruction.ExpectedSequence != server.sequence {
 		writer.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -213,7 +213,7 @@
 
 // serveStream answers a request with a stream of the plan's length.
 func (s *StandIns) serveStream(server *standIn, writer http.ResponseWriter, request *http.Request) {
-	writer.Header().Set(replica.HeaderAttempt, request.Header.Get(replica.HeaderAttempt))
+	writer.Header().Set(replica.HeaderAttemptID, request.Header.Get(replica.HeaderAttemptID))
 	if !server.hasLoaded(request.Header.Get(replica.HeaderModel)) {
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
--- a/internal/test/integration/late_order_test.go
+++ b/internal/test/integration/late_order_test.go
@@ -16,7 +16,7 @@
 func (f *fleet) sendOrderAs(leaseHolder string, fence uint64, standIn *standInReplica, model string) int {
 	body := fmt.Sprintf(`{"operation":%q,"modelId":%q,"leaseHolder":%q,"fenceToken":%d,"expectedCount":%d}`,
 		replica.OperationLoad, model, leaseHolder, fence, standIn.orderCount())
-	header := map[string]string{replica.HeaderTarget: standIn.listed.ID}
+	header := map[string]string{replica.HeaderTargetReplica: standIn.listed.ID}
 	return f.call(http.MethodPost, standIn.listed.Address, "/ferryspar/order", body, header).status
 }
 
--- a/internal/test/integration/quota_fleet_test.go
+++ b/internal/test/integration/quota_fleet_test.go
@@ -57,8 +57,8 @@
 		go func() {
 			attempt := fmt.Sprintf("a-%d", q.attempts.Add(1))
 			answer := q.call(http.MethodPost, edgeHost(number)+":8161", "/quick/", "prompt", map[string]string{
-				"Host": "shop.example", replica.HeaderAttempt: attempt, replica.HeaderModel: "swift", replica.HeaderTokens: "10,2",
-				replica.HeaderAPIKey: oldKey, replica.HeaderRemaining: "3000",
+				"Host": "shop.example", replica.HeaderAttemptID: attempt, replica.HeaderModel: "swift", replica.HeaderTokenCount: "10,2",
+				replica.HeaderAPIKey: oldKey, replica.HeaderTimeRemaining: "3000",
 			})
 			q.statuses[answer.status].Add(1)
 		}()
--- a/internal/test/integration/replica_answers_test.go
+++ b/internal/test/integration/replica_answers_test.go
@@ -44,7 +44,7 @@
 						continue
 					}
 					served++
-					assert.Equal(t, got.header.Get(replica.HeaderAttempt), attempt)
+					assert.Equal(t, got.header.Get(replica.HeaderAttemptID), attempt)
 					assert.Equal(t, got.body, attempt)
 				}
 				assert.Assert(t, served > 0, "no request was served")
--- a/internal/test/integration/requests_test.go
+++ b/internal/test/integration/requests_test.go
@@ -55,8 +55,8 @@
 // request sends an inference request to a data plane.
 func (f *fleet) request(edge int, attempt, path, model string) reply {
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
-		"Host": "shop.example", replica.HeaderAttempt: attempt, replica.HeaderModel: model, replica.HeaderTokens: "100,20",
-		replica.HeaderPrefix: "aa:60,bb:40", replica.HeaderRemaining: "20000",
+		"Host": "shop.example", replica.HeaderAttemptID: attempt, replica.HeaderModel: model, replica.HeaderTokenCount: "100,20",
+		replica.HeaderPromptPrefix: "aa:60,bb:40", replica.HeaderTimeRemaining: "20000",
 	})
 }
 
@@ -71,15 +71,15 @@
 
 func (f *fleet) requestWithPrefix(edge int, attempt, path, model, prefix string) reply {
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
-		"Host": "shop.example", replica.HeaderAttempt: attempt, replica.HeaderModel: model, replica.HeaderTokens: "300,20",
-		replica.HeaderPrefix: prefix, replica.HeaderRemaining: "20000",
+		"Host": "shop.example", replica.HeaderAttemptID: attempt, replica.HeaderModel: model, replica.HeaderTokenCount: "300,20",
+		replica.HeaderPromptPrefix: prefix, replica.HeaderTimeRemaining: "20000",
 	})
 }
 
 func (f *fleet) requestWithKey(edge int, key, path, model string) reply {
 	header := map[string]string{
-		"Host": "shop.example", replica.HeaderAttempt: "attempt", replica.HeaderModel: model, replica.HeaderTokens: "100,20",
-		replica.HeaderRemaining: "20000", replica.HeaderTenant: "forged",
+		"Host": "shop.example", replica.HeaderAttemptID: "attempt", replica.HeaderModel: model, replica.HeaderTokenCount: "100,20",
+		replica.HeaderTimeRemaining: "20000", replica.HeaderTenant: "forged",
 	}
 	if key != "" {
 		header[replica.HeaderAPIKey] = key
@@ -89,11 +89,11 @@
 
 func (f *fleet) requestNew(edge, number int, path string) reply {
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
-		"Host":                  "shop.example",
-		replica.HeaderAttempt:   fmt.Sprintf("attempt-%d", number),
-		replica.HeaderModel:     "swift",
-		replica.HeaderTokens:    "100,20",
-		replica.HeaderPrefix:    fmt.Sprintf("%x:100", time.Now().UnixNano()+int64(number)),
-		replica.HeaderRemaining: "20000",
+		"Host":                      "shop.example",
+		replica.HeaderAttemptID:     fmt.Sprintf("attempt-%d", number),
+		replica.HeaderModel:         "swift",
+		replica.HeaderTokenCount:    "100,20",
+		replica.HeaderPromptPrefix:  fmt.Sprintf("%x:100", time.Now().UnixNano()+int64(number)),
+		replica.HeaderTimeRemaining: "20000",
 	})
 }
--- a/internal/test/integration/serving_test.go
+++ b/internal/test/integration/serving_test.go
@@ -21,7 +21,7 @@
 		assert.Equal(t, got.status, http.StatusOK)
 		assert.Equal(t, got.body, allEvents())
 		assert.Equal(t, got.header.Get(replica.HeaderSeal), "seal-i-1")
-		assert.Equal(t, got.header.Get(replica.HeaderAttempt), "attempt-1")
+		assert.Equal(t, got.header.Get(replica.HeaderAttemptID), "attempt-1")
 		assert.Equal(t, len(standIn.executed()), 1)
 		assert.Equal(t, standIn.executed()[0].path, "/quick/a?b=c")
 	})
@@ -69,7 +69,7 @@
 			edgeHost(1)+":8161",
 			"/quick/",
 			strings.Repeat("x", 2000),
-			map[string]string{"Host": "shop.example", replica.HeaderAttempt: "a", replica.HeaderModel: "swift"},
+			map[string]string{"Host": "shop.example", replica.HeaderAttemptID: "a", replica.HeaderModel: "swift"},
 		)
 		assert.Equal(t, large.status, http.StatusRequestEntityTooLarge)
 		head := f.call(
@@ -77,7 +77,7 @@
 			edgeHost(1)+":8161",
 			"/quick/",
 			"x",
-			map[string]string{"Host": "shop.example", replica.HeaderAttempt: "a", "Filler": strings.Repeat("x", 20000)},
+			map[string]string{"Host": "shop.example", replica.HeaderAttemptID: "a", "Filler": strings.Repeat("x", 20000)},
 		)
 		assert.Equal(t, head.status, http.StatusRequestHeaderFieldsTooLarge)
 		garbled := f.call(
@@ -85,7 +85,7 @@
 			edgeHost(1)+":8161",
 			"/quick/",
 			"x",
-			map[string]string{"Host": "shop.example", replica.HeaderAttempt: "a", replica.HeaderTokens: "many"},
+			map[string]string{"Host": "shop.example", replica.HeaderAttemptID: "a", replica.HeaderTokenCount: "many"},
 		)
 		assert.Equal(t, garbled.status, http.StatusBadRequest)
 		assert.Equal(t, f.call(http.MethodGet, coreHost(1)+":8166", "/ferryspar/nothing", "", nil).status, http.StatusNotFound)
--- a/internal/test/integration/split_test.go
+++ b/internal/test/integration/split_test.go
@@ -50,12 +50,12 @@
 func (f *fleet) requestPrompt(edge int, attempt, path string, promptTokens, shared int) reply {
 	own := fmt.Sprintf("%x", attempt)
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
-		"Host":                  "shop.example",
-		replica.HeaderAttempt:   attempt,
-		replica.HeaderModel:     "swift",
-		replica.HeaderTokens:    strconv.Itoa(promptTokens) + ",20",
-		replica.HeaderPrefix:    fmt.Sprintf("%x:%d,%s:100", shared, promptTokens-100, own[max(len(own)-15, 0):]),
-		replica.HeaderRemaining: "20000",
+		"Host":                      "shop.example",
+		replica.HeaderAttemptID:     attempt,
+		replica.HeaderModel:         "swift",
+		replica.HeaderTokenCount:    strconv.Itoa(promptTokens) + ",20",
+		replica.HeaderPromptPrefix:  fmt.Sprintf("%x:%d,%s:100", shared, promptTokens-100, own[max(len(own)-15, 0):]),
+		replica.HeaderTimeRemaining: "20000",
 	})
 }
 
@@ -149,10 +149,10 @@
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edgeHost(1)+":8161/quick/", strings.NewReader("prompt"))
 		assert.NilError(t, err)
 		request.Host = "shop.example"
-		request.Header.Set(replica.HeaderAttempt, "a")
+		request.Header.Set(replica.HeaderAttemptID, "a")
 		request.Header.Set(replica.HeaderModel, "swift")
-		request.Header.Set(replica.HeaderTokens, "5000,20")
-		request.Header.Set(replica.HeaderPrefix, "1:4900,2:100")
+		request.Header.Set(replica.HeaderTokenCount, "5000,20")
+		request.Header.Set(replica.HeaderPromptPrefix, "1:4900,2:100")
 		_, err = f.client.Do(request)
 		assert.Assert(t, err != nil)
 		time.Sleep(500 * time.Millisecond)
--- a/internal/test/integration/standin_failures_test.go
+++ b/internal/test/integration/standin_failures_test.go
@@ -28,7 +28,7 @@
 		return "HTTP/1.1 408 Late\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	}),
 	"unproved": raw(func(attempt string) string {
-		return "HTTP/1.1 503 Full\r\n" + replica.HeaderAttempt + ": " + attempt + "\r\nContent-Length: 0\r\n\r\n"
+		return "HTTP/1.1 503 Full\r\n" + replica.HeaderAttemptID + ": " + attempt + "\r\nContent-Length: 0\r\n\r\n"
 	}),
 	"garbled": raw(func(_ string) string { return "no answer\r\n\r\n" }),
 	"doubled": raw(func(attempt string) string { return sealed(attempt) + sealed(attempt) }),
@@ -50,7 +50,7 @@
 			return
 		}
 		defer connection.Close()
-		_, _ = fmt.Fprint(connection, compose(request.Header.Get(replica.HeaderAttempt)))
+		_, _ = fmt.Fprint(connection, compose(request.Header.Get(replica.HeaderAttemptID)))
 		time.Sleep(time.Second)
 	}
 }
@@ -58,5 +58,5 @@
 // sealed is a complete answer to an attempt.
 func sealed(attempt string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\nContent-Length: %d\r\n\r\n%s",
-		replica.HeaderAttempt, attempt, replica.HeaderSeal, attempt, len(attempt), attempt)
+		replica.HeaderAttemptID, attempt, replica.HeaderSeal, attempt, len(attempt), attempt)
 }
--- a/internal/test/integration/standin_replica_test.go
+++ b/internal/test/integration/standin_replica_test.go
@@ -110,7 +110,7 @@
 }
 
 func (s *standInReplica) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if target := request.Header.Get(replica.HeaderTarget); target != s.listed.ID {
+	if target := request.Header.Get(replica.HeaderTargetReplica); target != s.listed.ID {
 		writer.Header().Set(replica.HeaderReplicaID, s.listed.ID)
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -144,8 +144,8 @@
 }
 
 func (s *standInReplica) handleRequest(writer http.ResponseWriter, request *http.Request) {
-	attempt := request.Header.Get(replica.HeaderAttempt)
-	writer.Header().Set(replica.HeaderAttempt, attempt)
+	attempt := request.Header.Get(replica.HeaderAttemptID)
+	writer.Header().Set(replica.HeaderAttemptID, attempt)
 	s.lock.Lock()
 	if s.full {
 		s.lock.Unlock()
--- a/internal/test/integration/standin_split_test.go
+++ b/internal/test/integration/standin_split_test.go
@@ -68,8 +68,8 @@
 
 // admit answers what concerns prefill and handles, and reports whether the request is to be run by the stand-in.
 func (f *splitFleet) admit(s *standInReplica, writer http.ResponseWriter, request *http.Request) bool {
-	attempt := request.Header.Get(replica.HeaderAttempt)
-	writer.Header().Set(replica.HeaderAttempt, attempt)
+	attempt := request.Header.Get(replica.HeaderAttemptID)
+	writer.Header().Set(replica.HeaderAttemptID, attempt)
 	if handle, found := strings.CutPrefix(request.URL.Path, handlePath); found && request.Method == http.MethodDelete {
 		f.free(s.listed.Address + "/" + handle)
 		return false
@@ -90,7 +90,7 @@
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return false
 	}
-	promptTokens, _, _ := routing.ParseTokens(request.Header.Get(replica.HeaderTokens))
+	promptTokens, _, _ := routing.ParseTokens(request.Header.Get(replica.HeaderTokenCount))
 	reading := time.Duration(promptTokens / 1000 * float64(prefillPerThousand))
 	if wantsPrefill {
 		f.prefill(s, writer, request, reading, promptTokens)
@@ -118,7 +118,7 @@
 		return
 	}
 	time.Sleep(reading)
-	attempt := request.Header.Get(replica.HeaderAttempt)
+	attempt := request.Header.Get(replica.HeaderAttemptID)
 	f.lock.Lock()
 	f.prefills++
 	handle := fmt.Sprintf("h%d", f.prefills)
--- a/internal/test/integration/tenants_test.go
+++ b/internal/test/integration/tenants_test.go
@@ -188,7 +188,7 @@
 		logrus.SetLevel(logrus.DebugLevel)
 		defer logrus.SetLevel(logrus.InfoLevel)
 		edge := dataplane.New(f.settings(edgeHost(1), true, 1, 2, 3), "", f.network.machine(edgeHost(1)))
-		edge.RecordTo(requestlog.NewWriter(&recorded, 1<<20, time.Now))
+		edge.SetRequestLog(requestlog.NewWriter(&recorded, 1<<20, time.Now))
 		f.launch(edgeHost(1), edge.Run)
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.putConfiguration(1, 0, documentWithTenants(1, tenantList(oldKey))).status, http.StatusOK)
--- a/internal/test/integration/usage_test.go
+++ b/internal/test/integration/usage_test.go
@@ -70,8 +70,8 @@
 		attempt, edge := fmt.Sprint("u-", u.attempts), u.attempts%usageEdges+1
 		sending.Go(func() {
 			u.call(http.MethodPost, edgeHost(edge)+":8161", "/quick/", "prompt", map[string]string{
-				"Host": "shop.example", replica.HeaderAttempt: attempt, replica.HeaderModel: "swift", replica.HeaderTokens: "10,2",
-				replica.HeaderAPIKey: oldKey, replica.HeaderRemaining: "3000",
+				"Host": "shop.example", replica.HeaderAttemptID: attempt, replica.HeaderModel: "swift", replica.HeaderTokenCount: "10,2",
+				replica.HeaderAPIKey: oldKey, replica.HeaderTimeRemaining: "3000",
 			})
 		})
 	}
