--- a/internal/replica/attempttrace.go
+++ b/internal/replica/attempttrace.go
@@ -9,40 +9,40 @@
 	"github.com/pkg/errors"
 )
 
-// errEarlyResponse says that a response came before its request was written, so that it belongs to another.
-var errEarlyResponse = errors.New("response before its request was written")
+// errUnsolicitedResponse reports a response that was read before its request was written, so it belongs to another request.
+var errUnsolicitedResponse = errors.New("response before its request was written")
 
-// attemptTrace follows one sending of a request through the transport: which connections it was given and what was written
-// to and read from them. It is how a request that left nothing on the wire is distinguished from one that may have run.
+// attemptTrace records which connections the transport used for one attempt, and how many bytes were written to and read from
+// them. It distinguishes an attempt that put nothing on the wire from one that the replica may have run.
 type attemptTrace struct {
 	id string
-	// maxIdle is for how long a reused connection may have been idle.
+	// maxIdle is the maximum time that a reused connection may have been idle.
 	maxIdle time.Duration
 
-	// lock guards what follows: the transport may call gotConnection on another goroutine.
+	// lock guards the fields below: the transport may call gotConnection on another goroutine.
 	lock sync.Mutex
-	// connection is the last one that the transport took, nil before the first.
+	// connection is the last connection that the transport used, or nil.
 	connection *countedConnection
-	// reused says that the connection had been used before, firstUse that it had carried no attempt, and idleFor is how long
-	// it had been idle.
+	// reused is the transport's own report that the connection had served a request before. firstUse is set if the connection
+	// had carried no traced attempt. idleFor is how long the connection had been idle.
 	reused   bool
 	firstUse bool
 	idleFor  time.Duration
-	// writtenBefore and readBefore are the counts of the connection when it was taken.
-	writtenBefore int64
-	readBefore    int64
-	// mayHaveWritten says that an earlier connection may have carried the request.
+	// writtenAtStart and readAtStart are the connection's byte counts when this attempt began to use it.
+	writtenAtStart int64
+	readAtStart    int64
+	// mayHaveWritten is set if an earlier connection of this attempt may have carried the request.
 	mayHaveWritten bool
 }
 
-// follow returns a context whose requests are followed by the trace.
-func (a *attemptTrace) follow(ctx context.Context) context.Context {
+// attach returns a context whose requests are recorded by the trace.
+func (a *attemptTrace) attach(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.gotConnection})
 }
 
-// gotConnection is called for every connection that the transport takes for this attempt, before anything is written to it.
-// The transport itself may take a second one: it sends a request without a body again when a reused connection fails. The
-// second connection is retired if the first may have carried the request, so that nothing goes out twice.
+// gotConnection is called for every connection that the transport uses for this attempt, before anything is written to it. The
+// transport may use a second connection: it resends a request without a body when a reused connection fails. The second
+// connection is retired if the first may have carried the request, so that the request is never sent twice.
 func (a *attemptTrace) gotConnection(info httptrace.GotConnInfo) {
 	connection, known := info.Conn.(*countedConnection)
 	if !known {
@@ -50,11 +50,11 @@
 	}
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	if a.connection != nil && a.connection.written.Load() > a.writtenBefore {
+	if a.connection != nil && a.connection.written.Load() > a.writtenAtStart {
 		a.mayHaveWritten = true
 	}
 	a.connection, a.reused, a.idleFor = connection, info.Reused, info.IdleTime
-	a.writtenBefore, a.readBefore = connection.written.Load(), connection.read.Load()
+	a.writtenAtStart, a.readAtStart = connection.written.Load(), connection.read.Load()
 	usedBefore, carriedThis := connection.recordAttempt(a.id)
 	a.firstUse = !usedBefore
 	if a.mayHaveWritten || carriedThis || info.Reused && info.IdleTime > a.maxIdle {
@@ -62,18 +62,18 @@
 	}
 }
 
-// nothingWritten reports whether it is certain that no byte of the request can have left: no connection was written to.
+// nothingWritten reports whether it is certain that no byte of the request was sent.
 func (a *attemptTrace) nothingWritten() bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	return !a.mayHaveWritten && (a.connection == nil || a.connection.written.Load() == a.writtenBefore)
+	return !a.mayHaveWritten && (a.connection == nil || a.connection.written.Load() == a.writtenAtStart)
 }
 
-// nothingRead reports whether nothing came back on a reused connection, and how long that had been idle before.
+// nothingRead reports whether a reused connection returned no byte, and how long that connection had been idle.
 func (a *attemptTrace) nothingRead() (idleFor time.Duration, nothing bool) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	return a.idleFor, a.connection != nil && a.reused && a.connection.read.Load() == a.readBefore
+	return a.idleFor, a.connection != nil && a.reused && a.connection.read.Load() == a.readAtStart
 }
 
 // onReusedConnection reports whether the last connection had been used before this attempt.
@@ -83,33 +83,33 @@
 	return a.connection != nil && a.reused
 }
 
-// firstOnConnection reports whether the last connection carried nothing before this attempt, so that no response on it can be a
-// surplus one.
+// firstOnConnection reports whether the last connection carried nothing before this attempt, so that a response read from it
+// cannot belong to another request.
 func (a *attemptTrace) firstOnConnection() bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.connection != nil && a.firstUse && !a.mayHaveWritten
 }
 
-// answeredEarly reports whether a response came before the request was written, or on a connection that had been retired: it
-// belongs to another request. The connection is abandoned before that is judged, so that the request can't follow.
-func (a *attemptTrace) answeredEarly() bool {
+// discardIfUnsolicited reports whether the response came before the request was written, or on a retired connection, and so
+// belongs to another request. In that case it discards the connection, so that the request cannot be written afterwards.
+func (a *attemptTrace) discardIfUnsolicited() bool {
 	a.lock.Lock()
-	connection, writtenBefore := a.connection, a.writtenBefore
+	connection, writtenBefore := a.connection, a.writtenAtStart
 	a.lock.Unlock()
 	if connection == nil || !connection.retired.Load() && connection.written.Load() > writtenBefore {
 		return false
 	}
-	connection.abandon()
+	connection.discard()
 	return true
 }
 
-// abandonConnection abandons the connection after a response that doesn't belong to this attempt or can't be trusted.
-func (a *attemptTrace) abandonConnection() {
+// discardConnection discards the connection after a response that does not belong to this attempt or cannot be trusted.
+func (a *attemptTrace) discardConnection() {
 	a.lock.Lock()
 	connection := a.connection
 	a.lock.Unlock()
 	if connection != nil {
-		connection.abandon()
+		connection.discard()
 	}
 }
--- a/internal/replica/client.go
+++ b/internal/replica/client.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// clientConnectTimeout is how long a connection for an order or a report may take to come up.
+	// clientConnectTimeout limits connection setup for orders and reports.
 	clientConnectTimeout = 400 * time.Millisecond
-	// clientAckTimeout is how long the other end may acknowledge nothing.
+	// clientAckTimeout is how long sent data may stay unacknowledged before the connection fails.
 	clientAckTimeout = time.Second
-	// maxIdleReportConnections is how many idle connections are kept to a replica for reports.
+	// maxIdleReportConnections is the maximum number of idle connections per replica, which only reports reuse.
 	maxIdleReportConnections = 2
-	// maxResponseBytes is how much of a response is read.
+	// maxResponseBytes is the maximum number of bytes read from a response body.
 	maxResponseBytes = 1 << 20
-	// newConnectionsOnly limits the time that a connection may have been idle so that none that was used before passes.
+	// newConnectionsOnly is a maximum idle time that no reused connection satisfies.
 	newConnectionsOnly = -1 * time.Second
 )
 
-// ErrNotSent says that no byte of an order has left or will leave, so that it can't be taken.
+// ErrNotSent is returned if no byte of an order was or will be sent, so that the replica cannot have accepted it.
 var ErrNotSent = errors.New("nothing was sent to the replica")
 
-// Client sends placement orders to replicas and fetches their reports. Orders may not be repeated, so each is the first
-// request on a new connection: no response to another request can be due there. Reports may use a connection again. It may
-// be used by any number of goroutines.
+// Client sends placement orders to replicas and fetches their reports. Orders must not be repeated, so each order is the first
+// request on a new connection, where no response to another request can be pending. Reports may reuse connections. A Client is
+// safe for concurrent use.
 type Client struct {
 	client *http.Client
 }
@@ -41,16 +41,16 @@
 	return &Client{client: peer.NewHTTPClient(newOrderTransport(network))}
 }
 
-// newOrderTransport makes connections that are reset when they are closed: what the network holds of a request that was
-// given up is dropped, but not what the replica's kernel has got.
+// newOrderTransport returns a transport whose connections are reset on close. The reset drops data of a cancelled request that
+// is still in transit, but not data that the replica's kernel has received.
 func newOrderTransport(network peer.Network) *http.Transport {
 	transport := peer.NewTransport(network, clientConnectTimeout, clientAckTimeout, maxIdleReportConnections)
 	transport.DialContext = countConnections(peer.ResetOnClose(transport.DialContext))
 	return transport
 }
 
-// SendOrder sends an order once and returns the status of the response. After an error other than ErrNotSent the order may
-// or may not have been taken. Connections that reports have used are retired on the way; nothing is written to them.
+// SendOrder sends an order at most once and returns the status of the response. After an error other than ErrNotSent it is
+// unknown whether the replica accepted the order. Idle connections that reports have used are retired without writing to them.
 func (c *Client) SendOrder(ctx context.Context, address, replicaID string, order Order) (int, error) {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -62,7 +62,7 @@
 		if err == nil {
 			return status, nil
 		}
-		trace.abandonConnection()
+		trace.discardConnection()
 		if !trace.nothingWritten() {
 			return 0, err
 		}
@@ -72,19 +72,19 @@
 	}
 }
 
-// sendOnce sends an order over one connection.
+// sendOnce makes one attempt to send an order.
 func (c *Client) sendOnce(ctx context.Context, trace *attemptTrace, address, replicaID string, body []byte) (int, error) {
-	status, _, err := c.call(trace.follow(ctx), OrderEndpoint, address, replicaID, body)
+	status, _, err := c.call(trace.attach(ctx), OrderEndpoint, address, replicaID, body)
 	if err != nil {
 		return 0, err
 	}
-	if trace.answeredEarly() {
-		return 0, errEarlyResponse
+	if trace.discardIfUnsolicited() {
+		return 0, errUnsolicitedResponse
 	}
 	return status, nil
 }
 
-// FetchReport asks a replica for its report. It changes nothing, so it may be sent twice.
+// FetchReport fetches the report of a replica. The request is idempotent, so the transport may resend it.
 func (c *Client) FetchReport(ctx context.Context, address, replicaID string) (Report, error) {
 	var report Report
 	status, content, err := c.call(ctx, ReportEndpoint, address, replicaID, nil)
@@ -98,12 +98,13 @@
 		return report, errors.Wrap(err, "report")
 	}
 	if report.Phase == "" {
-		return report, errors.New("report: no phase, so it answers something else")
+		return report, errors.New("report: phase missing; the response may belong to another request")
 	}
 	return report, nil
 }
 
-// call sends one request of our own, within the endpoint's timeout, and returns the status and the body of the response.
+// call sends a request to an endpoint of a replica, within the endpoint's timeout, and returns the status and the body of the
+// response.
 func (c *Client) call(ctx context.Context, endpoint Endpoint, address, replicaID string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, endpoint.Timeout)
 	defer cancel()
--- a/internal/replica/client_test.go
+++ b/internal/replica/client_test.go
@@ -21,7 +21,7 @@
 	return client.SendOrder(ctx, server.address, "i-1", Order{Operation: OperationLoad, Model: model, LeaseHolder: "node", Fence: 7})
 }
 
-// orderCount counts the orders for a model that a scripted replica has read.
+// orderCount returns how many orders for the model the server has read.
 func (s *scriptedServer) orderCount(model string) int {
 	count := 0
 	for _, read := range s.received() {
@@ -34,7 +34,7 @@
 }
 
 func TestClient_SendsOrderAtMostOnce(t *testing.T) {
-	moved := "HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"
+	redirect := "HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"
 	for name, test := range map[string]struct {
 		fault  func(connection *scriptedConnection)
 		status int
@@ -45,12 +45,12 @@
 		"close after reading":  {func(connection *scriptedConnection) { connection.next(); connection.Close() }, 0},
 		"silence":              {func(connection *scriptedConnection) { connection.next(); connection.next() }, 0},
 		"garbage":              {func(connection *scriptedConnection) { connection.next(); connection.write("garbage\r\n\r\n") }, 0},
-		"sent elsewhere": {func(connection *scriptedConnection) {
+		"redirect": {func(connection *scriptedConnection) {
 			connection.next()
-			connection.write("%s", moved)
+			connection.write("%s", redirect)
 			connection.next()
 		}, 302},
-		"response cut": {func(connection *scriptedConnection) {
+		"truncated response": {func(connection *scriptedConnection) {
 			connection.next()
 			connection.write("HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\n{")
 		}, 202},
@@ -61,7 +61,7 @@
 			status, err := sendOrder(t, NewClient(peer.HostNetwork{}), server, "swift")
 			assert.Assert(t, err != nil || status == test.status, "status %d", status)
 			assert.Assert(t, len(server.received()) <= 1, "read %d times", len(server.received()))
-			assert.Assert(t, test.status != http.StatusAccepted || err != nil, "a truncated response must not count")
+			assert.Assert(t, test.status != http.StatusAccepted || err != nil, "a truncated response must be an error")
 		})
 	}
 }
@@ -108,7 +108,7 @@
 	assert.DeepEqual(t, connections, []int{1, 2, 2, 3, 3})
 }
 
-// acceptFirstOrderTwice takes the first order of all, with two responses, and rejects those that follow.
+// acceptFirstOrderTwice sends two acceptances for the first order that the server reads, and rejects all later orders.
 func acceptFirstOrderTwice(connection *scriptedConnection) {
 	const accepted, conflict = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"
 	first := connection.number == 1
@@ -137,7 +137,8 @@
 	assert.Equal(t, server.orderCount("rare"), 1)
 }
 
-// The variant on a shared connection, which the test above is there to catch.
+// TestClient_SharedConnectionMixesOrderResponses shows the failure that the test above guards against: on a shared connection
+// the duplicate response to the first order is taken for the response to the second.
 func TestClient_SharedConnectionMixesOrderResponses(t *testing.T) {
 	server := startServer(t, acceptFirstOrderTwice)
 	transport := peer.NewTransport(peer.HostNetwork{}, time.Second, time.Second, 1)
@@ -155,11 +156,11 @@
 
 func TestClient_RejectsInvalidReport(t *testing.T) {
 	for name, response := range map[string]string{
-		"cut":         "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{\"sequence\":2",
-		"of no kind":  "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwords",
-		"a rejection": "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n",
-		"of an order": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
-		"surplus":     "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n",
+		"truncated":               "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{\"sequence\":2",
+		"not JSON":                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwords",
+		"rejection":               "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n",
+		"phase missing":           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
+		"response to other order": "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/replica/connection.go
+++ b/internal/replica/connection.go
@@ -12,12 +12,11 @@
 	"ferryspar/internal/peer"
 )
 
-// errRetired is the error of a write to a connection that nothing may be written to any more.
-var errRetired = errors.New("connection retired: idle for too long, or used by this request before")
+// errRetired is returned by writes to a retired connection.
+var errRetired = errors.New("connection retired: idle for too long or already used for this request")
 
-// maxRememberedAttempts is how many attempts a connection remembers: a second response to one of them may still be on its
-// way.
-const maxRememberedAttempts = 16
+// maxTrackedAttempts is how many recent attempts a connection keeps: a duplicate response to any of them may still arrive.
+const maxTrackedAttempts = 16
 
 // countedConnection counts the bytes of a connection to a replica and refuses to write once it is retired.
 type countedConnection struct {
@@ -31,7 +30,7 @@
 	attempts []string
 }
 
-// countConnections makes a dial function's connections countedConnections.
+// countConnections wraps the connections of a dial function in countedConnection.
 func countConnections(dial peer.DialFunc) peer.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dial(ctx, network, address)
@@ -42,26 +41,27 @@
 	}
 }
 
-// recordAttempt records an attempt and reports whether the connection carried any, and this one, before.
+// recordAttempt records an attempt and reports whether the connection carried any attempt before, and whether it carried this
+// one.
 func (c *countedConnection) recordAttempt(id string) (usedBefore, carriedThis bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	usedBefore, carriedThis = len(c.attempts) > 0, slices.Contains(c.attempts, id)
-	if len(c.attempts) >= maxRememberedAttempts {
+	if len(c.attempts) >= maxTrackedAttempts {
 		c.attempts = slices.Delete(c.attempts, 0, 1)
 	}
 	c.attempts = append(c.attempts, id)
 	return usedBefore, carriedThis
 }
 
-// abandon lets nothing more be written and closes the connection.
-func (c *countedConnection) abandon() {
+// discard retires and closes the connection.
+func (c *countedConnection) discard() {
 	c.retired.Store(true)
 	_ = c.Conn.Close()
 }
 
-// Write counts the bytes before it looks at retired: whoever retires a connection and then finds nothing counted can be sure
-// that nothing is written afterwards.
+// Write counts the bytes before it checks retired: a caller that retires a connection and then finds no bytes counted can rely
+// on nothing being written afterwards.
 func (c *countedConnection) Write(content []byte) (int, error) {
 	c.written.Add(int64(len(content)))
 	if c.retired.Load() {
@@ -73,7 +73,7 @@
 	return count, err
 }
 
-// Read counts what arrives.
+// Read reads from the connection and counts the bytes.
 func (c *countedConnection) Read(target []byte) (int, error) {
 	count, err := c.Conn.Read(target)
 	c.read.Add(int64(count))
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -1,9 +1,9 @@
-// Package replica is the client side of the protocol with model replicas: Forwarder forwards clients' requests, Client sends
-// placement orders and fetches reports.
+// Package replica implements the client side of the protocol with model replicas: Forwarder forwards clients' requests, Client
+// sends placement orders and fetches reports.
 //
-// It ties each response to the request that it answers, and sends nothing twice that may have arrived: an answer counts only
-// with the attempt's id on a connection where no other can be due, and a request is sent again only if no byte of it was
-// written. docs/design/answers.md says how.
+// The package matches each response to its request and sends requests at most once. A response is accepted only if it states the
+// attempt's id; a rejection without an id is accepted if it is the first response on its connection, where no other can be
+// pending. A request is resent only if no byte of it was written. See docs/design/answers.md.
 //
-// Start reading at Forwarder.Send and Client.SendOrder, then Verdict.
+// Entry points are Forwarder.Send and Client.SendOrder; Verdict classifies the results.
 package replica
--- a/internal/replica/eventbuffer.go
+++ b/internal/replica/eventbuffer.go
@@ -5,21 +5,23 @@
 	"strconv"
 )
 
-// maxEventBytes is the size of the longest event.
+// maxEventBytes is the maximum size of an event.
 const maxEventBytes = 1 << 20
 
-// EventBuffer cuts an event stream into complete events, for streams that may be resumed at another replica. The zero value
-// is ready to use.
+// EventBuffer splits a stream of server-sent events into complete events, for streams that may be resumed at another replica.
+// The zero value is ready to use.
 type EventBuffer struct {
+	// pending holds the bytes after the last complete event.
 	pending []byte
 	// LastID is the id of the last complete event that was returned.
 	LastID string
 
+	// resuming is set until the first event with an id after Resume.
 	resuming bool
 }
 
-// Feed adds bytes of the stream and returns the events that are complete with them. valid is false once an event is too long
-// or doesn't follow on the stream that was resumed.
+// Feed appends bytes of the stream and returns the events that they complete. valid is false if an event is too long, or if a
+// resumed stream does not continue after LastID.
 func (b *EventBuffer) Feed(content []byte) (complete []byte, valid bool) {
 	b.pending = append(b.pending, content...)
 	end := lastEventEnd(b.pending)
@@ -29,7 +31,7 @@
 	complete = append([]byte(nil), b.pending[:end]...)
 	b.pending = append(b.pending[:0], b.pending[end:]...)
 	first, last := firstAndLastID(complete)
-	if b.resuming && first != "" && !follows(b.LastID, first) {
+	if b.resuming && first != "" && !mayFollow(b.LastID, first) {
 		return nil, false
 	}
 	if last != "" {
@@ -38,15 +40,16 @@
 	return complete, len(b.pending) <= maxEventBytes
 }
 
-// Complete reports whether no part of an event is pending.
+// Complete reports whether no partial event is pending.
 func (b *EventBuffer) Complete() bool { return len(bytes.TrimSpace(b.pending)) == 0 }
 
-// Resume drops the part of an event that is pending. What is fed next comes from another replica, which has to go on after
+// Resume discards a pending partial event. The bytes fed next come from another replica, whose stream must continue after
 // LastID.
 func (b *EventBuffer) Resume() { b.pending, b.resuming = b.pending[:0], true }
 
-// follows reports whether the event of an id may follow another. Only ids that are numbers are compared.
-func follows(before, after string) bool {
+// mayFollow reports whether an event with the id after may follow one with the id before. Only numeric ids are compared; any
+// other id is accepted.
+func mayFollow(before, after string) bool {
 	earlier, err := strconv.ParseUint(before, 10, 64)
 	if err != nil {
 		return true
@@ -55,10 +58,10 @@
 	return err != nil || later > earlier
 }
 
-// eventSeparators end an event.
+// eventSeparators are the byte sequences that end an event.
 var eventSeparators = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
-// lastEventEnd is where the last complete event ends, -1 without one.
+// lastEventEnd returns the offset after the last complete event, or -1 if there is none.
 func lastEventEnd(content []byte) int {
 	end := -1
 	for _, separator := range eventSeparators {
@@ -69,7 +72,7 @@
 	return end
 }
 
-// firstAndLastID returns the first and the last id among complete events.
+// firstAndLastID returns the first and the last event id in the content.
 func firstAndLastID(content []byte) (first, last string) {
 	for _, line := range bytes.Split(content, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
--- a/internal/replica/forwarder.go
+++ b/internal/replica/forwarder.go
@@ -11,20 +11,20 @@
 	"ferryspar/internal/routing"
 )
 
-// maxStaleRetries is how often a request is tried afresh after connections that it can't have been written to.
+// maxStaleRetries is the maximum number of retries after stale reused connections, to which no byte of the request was written.
 const maxStaleRetries = 2
 
-// Forwarder forwards clients' requests to replicas. It may be used by any number of goroutines.
+// Forwarder forwards clients' requests to replicas. It is safe for concurrent use.
 type Forwarder struct {
 	clock func() time.Time
 	pool  transportPool
 	idle  idleEstimates
-	// freeing makes the connections on which handles are freed.
-	freeing *http.Transport
+	// releaseTransport makes the connections for the release of handles, one connection per call.
+	releaseTransport *http.Transport
 }
 
-// NewForwarder returns a forwarder over the network. A connection that doesn't come up within connectTimeout, or whose other
-// end acknowledges nothing for ackTimeout, is given up.
+// NewForwarder returns a forwarder over the network. connectTimeout limits connection setup, and a connection fails if sent data
+// stays unacknowledged for ackTimeout.
 func NewForwarder(network peer.Network, clock func() time.Time, connectTimeout, ackTimeout time.Duration) *Forwarder {
 	return &Forwarder{
 		clock: clock,
@@ -39,21 +39,21 @@
 			clock:     clock,
 			byBackend: map[string]*idleEstimate{},
 		},
-		freeing: peer.NewTransport(network, connectTimeout, ackTimeout, 0),
+		releaseTransport: peer.NewTransport(network, connectTimeout, ackTimeout, 0),
 	}
 }
 
-// CloseIdleConnections closes the connections to the replica that carry nothing at the moment.
+// CloseIdleConnections closes the idle connections to the replica.
 func (f *Forwarder) CloseIdleConnections(replicaID string) { f.pool.closeIdle(replicaID) }
 
-// Send forwards the request to the target and returns its response with a verdict. The response's body is open only with
-// VerdictAnswered; the caller closes it. The request is written at most once: it is tried afresh only after connections to which
-// no byte of it was written.
+// Send forwards the request to the target and returns the response with a verdict. Only with VerdictAnswered is the response's
+// body open; the caller must close it. The request is written at most once: it is retried only if no byte of it was written to
+// the earlier connections.
 func (f *Forwarder) Send(ctx context.Context, target routing.Target, upstream UpstreamRequest) (*http.Response, Verdict) {
 	return f.send(ctx, target, upstream)
 }
 
-// send is Send for a request of any phase.
+// send implements Send, Prefill and SendDecode.
 func (f *Forwarder) send(ctx context.Context, target routing.Target, upstream UpstreamRequest) (*http.Response, Verdict) {
 	replicaID := target.ReplicaID()
 	for retry := 0; ; retry++ {
@@ -63,7 +63,7 @@
 		}
 		response, err := f.roundTrip(ctx, trace, target, upstream)
 		if err == nil {
-			return response, f.judgeResponse(trace, response, replicaID, upstream)
+			return response, f.handleResponse(trace, response, replicaID, upstream)
 		}
 		if trace.nothingWritten() {
 			if trace.onReusedConnection() && retry < maxStaleRetries && ctx.Err() == nil {
@@ -73,8 +73,8 @@
 			return nil, VerdictNotSent
 		}
 		idleFor, nothingRead := trace.nothingRead()
-		if !errors.Is(err, errEarlyResponse) && nothingRead && ctx.Err() == nil && idleFor > minIdleTime {
-			f.idle.recordDeath(upstream.Backend, idleFor)
+		if !errors.Is(err, errUnsolicitedResponse) && nothingRead && ctx.Err() == nil && idleFor > minIdleTime {
+			f.idle.recordDeadConnection(upstream.Backend, idleFor)
 			f.CloseIdleConnections(replicaID)
 			return nil, VerdictReset
 		}
@@ -82,32 +82,34 @@
 	}
 }
 
-// roundTrip sends the request once through the replica's transport. The error is errEarlyResponse or the transport's.
+// roundTrip makes one attempt through the replica's transport. It returns errUnsolicitedResponse if the response belongs to
+// another request.
 func (f *Forwarder) roundTrip(
 	ctx context.Context, trace *attemptTrace, target routing.Target, upstream UpstreamRequest,
 ) (*http.Response, error) {
-	request := f.newRequest(trace.follow(ctx), target, upstream)
+	request := f.newRequest(trace.attach(ctx), target, upstream)
 	response, err := f.pool.transportFor(target.ReplicaID(), upstream.MaxIdleConnections).RoundTrip(request)
 	if err != nil {
 		return nil, err
 	}
-	if trace.answeredEarly() {
+	if trace.discardIfUnsolicited() {
 		response.Body.Close()
-		return nil, errEarlyResponse
+		return nil, errUnsolicitedResponse
 	}
 	return response, nil
 }
 
-// judgeResponse judges a response and sees to its connection: one that gave a response out of step isn't used again.
-func (f *Forwarder) judgeResponse(
+// handleResponse classifies a response and disposes of its connection: after VerdictUnknown responses and requests may be out of
+// sync on the connection, so it is not reused.
+func (f *Forwarder) handleResponse(
 	trace *attemptTrace, response *http.Response, replicaID string, upstream UpstreamRequest,
 ) Verdict {
-	verdict := judge(response, upstream, replicaID, trace.firstOnConnection())
+	verdict := classifyResponse(response, upstream, replicaID, trace.firstOnConnection())
 	switch verdict {
 	case VerdictAnswered:
 		f.idle.recordResponse(upstream.Backend, response)
 	case VerdictUnknown:
-		trace.abandonConnection()
+		trace.discardConnection()
 		response.Body.Close()
 	default:
 		f.idle.recordResponse(upstream.Backend, response)
--- a/internal/replica/forwarder_test.go
+++ b/internal/replica/forwarder_test.go
@@ -9,19 +9,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// nonIdempotentShapes are the shapes of a request that the library may take for repeatable, and one that it doesn't.
+// nonIdempotentShapes are request shapes that net/http may consider replayable, and one that it does not.
 var nonIdempotentShapes = map[string]func(attempt string) UpstreamRequest{
 	"POST with a body":  func(attempt string) UpstreamRequest { return testRequest(http.MethodPost, attempt, "prompt") },
 	"POST without":      func(attempt string) UpstreamRequest { return testRequest(http.MethodPost, attempt, "") },
 	"GET":               func(attempt string) UpstreamRequest { return testRequest(http.MethodGet, attempt, "") },
 	"HEAD":              func(attempt string) UpstreamRequest { return testRequest(http.MethodHead, attempt, "") },
 	"OPTIONS":           func(attempt string) UpstreamRequest { return testRequest(http.MethodOptions, attempt, "") },
-	"key and a body":    func(attempt string) UpstreamRequest { return withKey("Idempotency-Key", attempt, "prompt") },
-	"key without":       func(attempt string) UpstreamRequest { return withKey("Idempotency-Key", attempt, "") },
-	"other key without": func(attempt string) UpstreamRequest { return withKey("X-Idempotency-Key", attempt, "") },
+	"key and a body":    func(attempt string) UpstreamRequest { return withIdempotencyKey("Idempotency-Key", attempt, "prompt") },
+	"key without":       func(attempt string) UpstreamRequest { return withIdempotencyKey("Idempotency-Key", attempt, "") },
+	"other key without": func(attempt string) UpstreamRequest { return withIdempotencyKey("X-Idempotency-Key", attempt, "") },
 }
 
-func withKey(name, attempt, body string) UpstreamRequest {
+func withIdempotencyKey(name, attempt, body string) UpstreamRequest {
 	upstream := testRequest(http.MethodPost, attempt, body)
 	upstream.Header.Set(name, "key")
 	return upstream
@@ -35,27 +35,27 @@
 		response string
 		want     Verdict
 	}{
-		"valid":                {validResponse("a"), VerdictAnswered},
-		"of another":           {validResponse("b"), VerdictUnknown},
-		"two ids":              {"HTTP/1.1 200 OK\r\n" + own + HeaderAttemptID + ": b\r\n" + seal + empty, VerdictUnknown},
-		"no id":                {"HTTP/1.1 200 OK\r\n" + seal + empty, VerdictUnknown},
-		"no seal":              {"HTTP/1.1 200 OK\r\n" + own + empty, VerdictUnknown},
-		"encoded":              {"HTTP/1.1 200 OK\r\n" + own + seal + "Content-Encoding: gzip\r\n" + empty, VerdictUnknown},
-		"encoded failure":      {"HTTP/1.1 500 No\r\n" + own + seal + "Content-Encoding: gzip\r\n" + empty, VerdictUnknown},
-		"without an end":       {"HTTP/1.1 200 OK\r\n" + own + seal + "Connection: close\r\n\r\nbytes", VerdictUnknown},
-		"early hints first":    {"HTTP/1.1 103 Early Hints\r\n\r\n" + validResponse("a"), VerdictAnswered},
-		"switch of protocols":  {"HTTP/1.1 101 Switching\r\n" + own + seal + "Upgrade: x\r\nConnection: Upgrade\r\n\r\n", VerdictUnknown},
-		"proof":                {rejection("a"), VerdictRejected},
-		"proof of another":     {rejection("b"), VerdictUnknown},
-		"proof and success":    {"HTTP/1.1 200 OK\r\n" + own + seal + HeaderNotExecuted + ": 1\r\n" + empty, VerdictUnknown},
-		"503 without proof":    {"HTTP/1.1 503 No\r\n" + own + empty, VerdictAnswered},
-		"408 without id":       {"HTTP/1.1 408 Late\r\n" + empty, VerdictUnknown},
-		"421":                  {"HTTP/1.1 421 No\r\n" + own + empty, VerdictNotLoaded},
-		"421 of another":       {"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": b\r\n" + empty, VerdictUnknown},
-		"421 of a new replica": {"HTTP/1.1 421 No\r\n" + own + HeaderReplicaID + ": i-2\r\n" + empty, VerdictReplaced},
-		"421 without id":       {"HTTP/1.1 421 No\r\n" + empty, VerdictNotLoaded},
-		"no response":          {"\x00\x01garbage\r\n\r\n", VerdictUnknown},
-		"head cut":             {"HTTP/1.1 200 OK\r\nFerry", VerdictUnknown},
+		"valid":               {validResponse("a"), VerdictAnswered},
+		"other id":            {validResponse("b"), VerdictUnknown},
+		"two ids":             {"HTTP/1.1 200 OK\r\n" + own + HeaderAttemptID + ": b\r\n" + seal + empty, VerdictUnknown},
+		"no id":               {"HTTP/1.1 200 OK\r\n" + seal + empty, VerdictUnknown},
+		"no seal":             {"HTTP/1.1 200 OK\r\n" + own + empty, VerdictUnknown},
+		"encoded":             {"HTTP/1.1 200 OK\r\n" + own + seal + "Content-Encoding: gzip\r\n" + empty, VerdictUnknown},
+		"encoded failure":     {"HTTP/1.1 500 No\r\n" + own + seal + "Content-Encoding: gzip\r\n" + empty, VerdictUnknown},
+		"no framing":          {"HTTP/1.1 200 OK\r\n" + own + seal + "Connection: close\r\n\r\nbytes", VerdictUnknown},
+		"early hints first":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + validResponse("a"), VerdictAnswered},
+		"protocol switch":     {"HTTP/1.1 101 Switching\r\n" + own + seal + "Upgrade: x\r\nConnection: Upgrade\r\n\r\n", VerdictUnknown},
+		"rejection":           {rejection("a"), VerdictRejected},
+		"rejection, other id": {rejection("b"), VerdictUnknown},
+		"rejected but 200":    {"HTTP/1.1 200 OK\r\n" + own + seal + HeaderNotExecuted + ": 1\r\n" + empty, VerdictUnknown},
+		"503, not rejected":   {"HTTP/1.1 503 No\r\n" + own + empty, VerdictAnswered},
+		"408 without id":      {"HTTP/1.1 408 Late\r\n" + empty, VerdictUnknown},
+		"421":                 {"HTTP/1.1 421 No\r\n" + own + empty, VerdictNotLoaded},
+		"421, other id":       {"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": b\r\n" + empty, VerdictUnknown},
+		"421, other replica":  {"HTTP/1.1 421 No\r\n" + own + HeaderReplicaID + ": i-2\r\n" + empty, VerdictReplaced},
+		"421 without id":      {"HTTP/1.1 421 No\r\n" + empty, VerdictNotLoaded},
+		"garbage":             {"\x00\x01garbage\r\n\r\n", VerdictUnknown},
+		"truncated head":      {"HTTP/1.1 200 OK\r\nFerry", VerdictUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -66,7 +66,7 @@
 			})
 			verdict, _ := send(t, testForwarder(), server, testRequest(http.MethodPost, "a", "prompt"))
 			assert.Equal(t, verdict, test.want)
-			assert.Equal(t, server.countOf("a"), 1)
+			assert.Equal(t, server.readCount("a"), 1)
 		})
 	}
 }
@@ -91,14 +91,15 @@
 				server := startServer(t, fault)
 				verdict, _ := send(t, testForwarder(), server, compose("a"))
 				assert.Assert(t, verdict != VerdictAnswered)
-				assert.Assert(t, server.countOf("a") <= 1, "read %d times", server.countOf("a"))
-				assert.Assert(t, server.countOf("a") == 0 || !verdict.NotExecuted(), "a request that was read must not count as never run")
+				assert.Assert(t, server.readCount("a") <= 1, "read %d times", server.readCount("a"))
+				assert.Assert(t, server.readCount("a") == 0 || !verdict.NotExecuted(), "a request that was read may have been executed")
 			})
 		}
 	}
 }
 
-// breakSecondRequest serves the first request of each connection and breaks the second off after it has read it.
+// breakSecondRequest returns a server function that responds to the first request of each connection, reads the second and then
+// calls end.
 func breakSecondRequest(end func(connection *scriptedConnection)) func(connection *scriptedConnection) {
 	return func(connection *scriptedConnection) {
 		if request := connection.next(); request != nil {
@@ -129,14 +130,15 @@
 				assert.Equal(t, verdict, VerdictAnswered)
 				verdict, _ = send(t, forwarder, server, compose("once"))
 				assert.Assert(t, !verdict.NotExecuted() && verdict != VerdictAnswered, "verdict %d", verdict)
-				assert.Equal(t, server.countOf("once"), 1)
+				assert.Equal(t, server.readCount("once"), 1)
 			})
 		}
 	}
 }
 
-// The variant that the test above is there to catch: the library's own client.
-func TestHTTPClient_SendsTwiceWhatForwarderSendsOnce(t *testing.T) {
+// TestHTTPClient_ResendsAfterReusedConnectionBreaks shows the failure that the test above guards against: net/http's own client
+// resends a request with an idempotency key after a reused connection breaks.
+func TestHTTPClient_ResendsAfterReusedConnectionBreaks(t *testing.T) {
 	server := startServer(t, breakSecondRequest(func(connection *scriptedConnection) { connection.reset() }))
 	plain := &http.Client{Transport: &http.Transport{}}
 	post := func(attempt string) {
@@ -159,15 +161,15 @@
 	}
 	get("first")
 	post("twice")
-	assert.Equal(t, server.countOf("twice"), 2)
+	assert.Equal(t, server.readCount("twice"), 2)
 }
 
 func TestForwarder_ReplacesClosedIdleConnection(t *testing.T) {
 	for name, ending := range map[string]string{
-		"without a word":           "",
+		"silently":                 "",
 		"with 408":                 "HTTP/1.1 408 Late\r\nContent-Length: 0\r\n\r\n",
-		"after more bytes":         "stray bytes",
-		"after a surplus response": validResponse("first"),
+		"after stray bytes":        "stray bytes",
+		"after duplicate response": validResponse("first"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -184,7 +186,7 @@
 				verdict, body := send(t, forwarder, server, testRequest(http.MethodPost, attempt, "prompt"))
 				assert.Equal(t, verdict, VerdictAnswered)
 				assert.Equal(t, body, "body for "+attempt)
-				assert.Equal(t, server.countOf(attempt), 1)
+				assert.Equal(t, server.readCount(attempt), 1)
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -14,47 +14,47 @@
 	"ferryspar/internal/routing"
 )
 
-// KVHandle is the KV memory of one request's prompt, held by the prefill replica that has read it. Only Forwarder.Prefill makes
-// one, and Forwarder.SendDecode gives it out only to the attempt whose prompt was read, and once: replicas don't check whose
-// handle it is, so another request would continue from a foreign prompt.
+// KVHandle refers to the KV cache of one request's prompt, held by the prefill replica that processed the prompt. Only
+// Forwarder.Prefill creates handles. Forwarder.SendDecode uses a handle only for the attempt it was created for, and once:
+// replicas do not check the owner of a handle, so another request would continue from the wrong prompt.
 type KVHandle struct {
 	attemptID string
-	// address and replicaID are those of the replica that holds the memory, id is its name for it.
+	// address and replicaID identify the replica that holds the KV cache; id is the replica's name for the handle.
 	address   string
 	replicaID string
 	id        string
 	claimed   atomic.Bool
 }
 
-// claimFor claims the handle for the attempt, and reports whether it is the attempt's and was not claimed before.
+// claimFor claims the handle for the attempt. It reports whether the handle belongs to the attempt and was unclaimed.
 func (h *KVHandle) claimFor(attemptID string) bool {
 	return h.attemptID == attemptID && h.claimed.CompareAndSwap(false, true)
 }
 
-// Unused reports whether the handle was neither sent to a replica that may have taken it nor freed.
+// Unused reports whether the handle was neither released nor sent to a replica that may have used it.
 func (h *KVHandle) Unused() bool { return !h.claimed.Load() }
 
-// source is the handle as a decode replica is told it.
+// source returns the value of HeaderKVSource for the handle.
 func (h *KVHandle) source() string { return h.address + "/" + h.id }
 
-// prefillResponse is a replica's answer to a request whose prompt it has read.
+// prefillResponse is the body of a response to a prefill request.
 type prefillResponse struct {
 	Handle string `json:"prefixHandle"`
 }
 
 const (
-	// maxPrefillResponseBytes is how much of such an answer is read.
+	// maxPrefillResponseBytes is the maximum number of bytes read from the response to a prefill request.
 	maxPrefillResponseBytes = 4 << 10
-	// freeTimeout is how long a call that frees a handle may take.
-	freeTimeout = 700 * time.Millisecond
+	// releaseTimeout limits a call that releases a handle.
+	releaseTimeout = 700 * time.Millisecond
 )
 
-// handleID matches the names of handles that can be written into a header and a path as they are.
+// handleID matches handle ids that need no escaping in a header or a path.
 var handleID = regexp.MustCompile(`^[A-Za-z0-9_.~-]{1,128}$`)
 
-// Prefill has the target read the request's prompt. With VerdictAnswered
-// the handle must be passed to SendDecode or ReleaseHandle. Nothing runs by it, whatever the verdict; after VerdictUnknown the replica may
-// hold memory that nobody can free until it lapses.
+// Prefill sends the request to the target for the prefill phase only: the target processes the prompt and keeps its KV cache.
+// With VerdictAnswered the caller must pass the handle to SendDecode or ReleaseHandle. The request is not executed, whatever the
+// verdict. After VerdictUnknown the replica may hold a KV cache that cannot be released before it expires.
 func (f *Forwarder) Prefill(ctx context.Context, target routing.Target, upstream UpstreamRequest) (*KVHandle, Verdict) {
 	upstream.phase = discovery.PhasePrefill
 	response, verdict := f.send(ctx, target, upstream)
@@ -71,9 +71,9 @@
 	return handle, VerdictAnswered
 }
 
-// SendDecode is Send to a decode replica that continues from the handle. A handle of another attempt, or one that was claimed
-// before, is not sent: VerdictNotSent. After a verdict by which the replica can't have asked for the memory the handle may be
-// sent to another one, see KVHandle.Unused.
+// SendDecode forwards the request as Send does, to a decode replica that continues from the handle. It returns VerdictNotSent
+// if the handle belongs to another attempt or is already claimed. If the verdict proves that the replica did not fetch the KV
+// cache, the handle may be sent to another replica, see KVHandle.Unused.
 func (f *Forwarder) SendDecode(
 	ctx context.Context, target routing.Target, upstream UpstreamRequest, handle *KVHandle,
 ) (*http.Response, Verdict) {
@@ -88,12 +88,12 @@
 	return response, verdict
 }
 
-// ReleaseHandle frees the memory of a handle that will not be taken, on a connection of its own. A handle that was claimed can be freed
-// as well: where its replica has fetched the memory already, nothing is left to free. The call outlives the request's context
-// and is bounded by a timeout; if it fails, the memory lapses by itself.
+// ReleaseHandle frees the KV cache of a handle that will not be used, over a new connection. It may also be called for a claimed
+// handle: if the decode replica has already fetched the KV cache, there is nothing left to free. The call is not cancelled with
+// the request's context but has a timeout of its own; if it fails, the KV cache is freed when it expires.
 func (f *Forwarder) ReleaseHandle(ctx context.Context, handle *KVHandle) error {
 	handle.claimed.Store(true)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), freeTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	target := url.URL{Scheme: "http", Host: handle.address, Path: handlePath + handle.id}
 	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, target.String(), nil)
@@ -102,7 +102,7 @@
 	}
 	request.Close = true
 	request.Header.Set(HeaderTargetReplica, handle.replicaID)
-	response, err := f.freeing.RoundTrip(request)
+	response, err := f.releaseTransport.RoundTrip(request)
 	if err != nil {
 		return err
 	}
--- a/internal/replica/handle_test.go
+++ b/internal/replica/handle_test.go
@@ -9,12 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// prefillAnswer is a replica's answer to a request whose prompt it has read.
-func prefillAnswer(attempt, body string) string {
+// prefillResponseTo returns the response to a prefill request.
+func prefillResponseTo(attempt, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", HeaderAttemptID, attempt, len(body), body)
 }
 
-// serveHandles answers prefills with handles and all else with a valid response.
+// serveHandles responds to prefill requests with a handle, to releases with 200, and to other requests with a valid response.
 func serveHandles(connection *scriptedConnection) {
 	for request := connection.next(); request != nil; request = connection.next() {
 		attempt := request.Header.Get(HeaderAttemptID)
@@ -22,14 +22,14 @@
 		case request.Method == http.MethodDelete:
 			connection.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		case request.Header.Get(HeaderServingPhase) == "prefill":
-			connection.write("%s", prefillAnswer(attempt, `{"prefixHandle":"h-`+attempt+`","tokenCount":3,"revision":1}`))
+			connection.write("%s", prefillResponseTo(attempt, `{"prefixHandle":"h-`+attempt+`","tokenCount":3,"revision":1}`))
 		default:
 			connection.respond(attempt)
 		}
 	}
 }
 
-func TestForwarder_HandleIsTakenOnceAndByItsAttemptOnly(t *testing.T) {
+func TestForwarder_HandleIsUsedOnceAndByItsAttemptOnly(t *testing.T) {
 	server := startServer(t, serveHandles)
 	forwarder := testForwarder()
 	upstream := testRequest(http.MethodPost, "a", "prompt")
@@ -37,13 +37,13 @@
 	assert.Equal(t, verdict, VerdictAnswered)
 
 	_, verdict = forwarder.SendDecode(context.Background(), server.target(t), testRequest(http.MethodPost, "b", "prompt"), handle)
-	assert.Equal(t, verdict, VerdictNotSent, "another attempt must not continue from the memory")
+	assert.Equal(t, verdict, VerdictNotSent, "another attempt must not use the handle")
 
 	response, verdict := forwarder.SendDecode(context.Background(), server.target(t), upstream, handle)
 	assert.Equal(t, verdict, VerdictAnswered)
 	response.Body.Close()
 	_, verdict = forwarder.SendDecode(context.Background(), server.target(t), upstream, handle)
-	assert.Equal(t, verdict, VerdictNotSent, "a handle is taken once")
+	assert.Equal(t, verdict, VerdictNotSent, "a handle is used once")
 
 	received := server.received()
 	assert.Equal(t, len(received), 2)
@@ -54,14 +54,14 @@
 	assert.Equal(t, received[1].body, "prompt")
 }
 
-func TestForwarder_FreedHandleIsNotTaken(t *testing.T) {
+func TestForwarder_ReleasedHandleIsNotSent(t *testing.T) {
 	server := startServer(t, serveHandles)
 	forwarder := testForwarder()
 	upstream := testRequest(http.MethodPost, "a", "prompt")
 	handle, _ := forwarder.Prefill(context.Background(), server.target(t), upstream)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NilError(t, forwarder.ReleaseHandle(ended, handle), "it is freed although its client has gone")
+	assert.NilError(t, forwarder.ReleaseHandle(ended, handle), "released even though the request's context is cancelled")
 	_, verdict := forwarder.SendDecode(context.Background(), server.target(t), upstream, handle)
 	assert.Equal(t, verdict, VerdictNotSent)
 	freed := server.received()[1].request
@@ -70,7 +70,7 @@
 	assert.Equal(t, freed.Header.Get(HeaderTargetReplica), "i-1")
 }
 
-func TestForwarder_ClientsCannotNameAHandleOrAPhase(t *testing.T) {
+func TestForwarder_DropsClientHandleAndPhaseHeaders(t *testing.T) {
 	server := startServer(t, serveHandles)
 	upstream := testRequest(http.MethodPost, "a", "prompt")
 	upstream.Header.Set(HeaderKVSource, "10.0.0.1:80/foreign")
@@ -82,24 +82,24 @@
 	assert.Equal(t, sent.Header.Get(HeaderServingPhase), "")
 }
 
-func TestForwarder_PrefillAnswerMustBeItsOwn(t *testing.T) {
+func TestForwarder_AcceptsOnlyPrefillResponseToItsAttempt(t *testing.T) {
 	const valid = `{"prefixHandle":"h1","tokenCount":3,"revision":1}`
 	for name, test := range map[string]struct {
 		response string
 		want     Verdict
 	}{
-		"own":                  {prefillAnswer("a", valid), VerdictAnswered},
-		"of another":           {prefillAnswer("b", valid), VerdictUnknown},
-		"without id":           {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", VerdictUnknown},
-		"no handle":            {prefillAnswer("a", `{"tokenCount":3}`), VerdictUnknown},
-		"handle with a slash":  {prefillAnswer("a", `{"prefixHandle":"h/../x"}`), VerdictUnknown},
-		"handle with a break":  {prefillAnswer("a", `{"prefixHandle":"h\r\nX: y"}`), VerdictUnknown},
-		"no JSON":              {prefillAnswer("a", "event"), VerdictUnknown},
-		"a stream":             {validResponse("a"), VerdictUnknown},
-		"rejection":            {rejection("a"), VerdictRejected},
-		"other phase":          {"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 0\r\n\r\n", VerdictNotLoaded},
-		"failure":              {"HTTP/1.1 500 No\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 0\r\n\r\n", VerdictUnknown},
-		"body that is cut off": {"HTTP/1.1 200 OK\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 99\r\n\r\n" + valid, VerdictUnknown},
+		"own":                 {prefillResponseTo("a", valid), VerdictAnswered},
+		"other id":            {prefillResponseTo("b", valid), VerdictUnknown},
+		"without id":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", VerdictUnknown},
+		"no handle":           {prefillResponseTo("a", `{"tokenCount":3}`), VerdictUnknown},
+		"handle with a slash": {prefillResponseTo("a", `{"prefixHandle":"h/../x"}`), VerdictUnknown},
+		"handle with CRLF":    {prefillResponseTo("a", `{"prefixHandle":"h\r\nX: y"}`), VerdictUnknown},
+		"not JSON":            {prefillResponseTo("a", "event"), VerdictUnknown},
+		"generated output":    {validResponse("a"), VerdictUnknown},
+		"rejection":           {rejection("a"), VerdictRejected},
+		"other phase":         {"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 0\r\n\r\n", VerdictNotLoaded},
+		"failure":             {"HTTP/1.1 500 No\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 0\r\n\r\n", VerdictUnknown},
+		"truncated body":      {"HTTP/1.1 200 OK\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 99\r\n\r\n" + valid, VerdictUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := startServer(t, func(connection *scriptedConnection) {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestForwarder_HandleOutlivesAReplicaThatCannotTakeIt(t *testing.T) {
+func TestForwarder_HandleIsReusableAfterReplicaNeverAdmittedIt(t *testing.T) {
 	for _, refusal := range []string{
 		"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": a\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 421 No\r\n" + HeaderAttemptID + ": a\r\n" + HeaderReplicaID + ": i-2\r\nContent-Length: 0\r\n\r\n",
@@ -129,7 +129,7 @@
 		handle, _ := forwarder.Prefill(context.Background(), server.target(t), upstream)
 		_, verdict := forwarder.SendDecode(context.Background(), other.target(t), upstream, handle)
 		assert.Assert(t, verdict.NotExecuted())
-		assert.Assert(t, handle.Unused(), "another replica may take it")
+		assert.Assert(t, handle.Unused(), "another replica may use it")
 		response, verdict := forwarder.SendDecode(context.Background(), server.target(t), upstream, handle)
 		assert.Equal(t, verdict, VerdictAnswered)
 		response.Body.Close()
@@ -149,5 +149,5 @@
 	handle, _ := forwarder.Prefill(context.Background(), server.target(t), upstream)
 	_, verdict := forwarder.SendDecode(context.Background(), full.target(t), upstream, handle)
 	assert.Equal(t, verdict, VerdictRejected)
-	assert.Assert(t, !handle.Unused(), "the memory may have been fetched")
+	assert.Assert(t, !handle.Unused(), "the KV cache may have been fetched")
 }
--- a/internal/replica/idletime.go
+++ b/internal/replica/idletime.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// maxIdleTime is for how long an idle connection is used again at most, and minIdleTime the least that is learned.
+	// maxIdleTime and minIdleTime bound the estimated time for which an idle connection may be reused.
 	maxIdleTime = 3 * time.Second
 	minIdleTime = 150 * time.Millisecond
-	// nonIdempotentIdleTime is for how long one is used again for a request that can't be retried.
+	// nonIdempotentIdleTime is the limit for requests that cannot be retried.
 	nonIdempotentIdleTime = 2 * time.Second
-	// deathIdleShare is the share of the idle time of a connection that was found dead that is used from then on.
-	deathIdleShare = 0.7
-	// relearnInterval is how long after a death the idle time used is doubled again.
+	// deadIdleFactor: after a reused connection turns out dead, the limit is this fraction of the time it had been idle.
+	deadIdleFactor = 0.7
+	// relearnInterval is how long after a dead connection, and after each doubling, the limit is doubled again.
 	relearnInterval = 20 * time.Second
-	// keepAliveShare is the share of the idle time that replicas advertise that is used.
-	keepAliveShare = 0.75
+	// keepAliveFactor is the fraction used of the timeout that replicas advertise in Keep-Alive headers.
+	keepAliveFactor = 0.75
 )
 
-// idleEstimate is what the replicas of a backend taught about how long they keep idle connections.
+// idleEstimate is the estimate of how long the replicas of a backend keep idle connections open.
 type idleEstimate struct {
-	// maxIdle was learned at learnedAt from a connection that was found dead.
+	// maxIdle is the limit derived from dead connections, last changed at learnedAt.
 	maxIdle   time.Duration
 	learnedAt time.Time
-	// advertised is from the last Keep-Alive header, 0 without one.
+	// advertised is the limit derived from the last Keep-Alive header, or 0.
 	advertised time.Duration
 }
 
-// idleEstimates hold an idleEstimate for each backend.
+// idleEstimates holds an idleEstimate per backend.
 type idleEstimates struct {
 	clock func() time.Time
 
@@ -40,8 +40,8 @@
 	byBackend map[string]*idleEstimate
 }
 
-// at is the estimate of a backend. The caller holds the lock.
-func (e *idleEstimates) at(backend string) *idleEstimate {
+// estimateFor returns the estimate of a backend, creating it if needed. The caller holds the lock.
+func (e *idleEstimates) estimateFor(backend string) *idleEstimate {
 	estimate := e.byBackend[backend]
 	if estimate == nil {
 		estimate = &idleEstimate{maxIdle: maxIdleTime}
@@ -50,11 +50,11 @@
 	return estimate
 }
 
-// maxIdle is for how long a connection to a replica of the backend may have been idle to be used again.
+// maxIdle returns the maximum time that a connection to a replica of the backend may have been idle and still be reused.
 func (e *idleEstimates) maxIdle(backend string, nonIdempotent bool) time.Duration {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	estimate, now := e.at(backend), e.clock()
+	estimate, now := e.estimateFor(backend), e.clock()
 	if estimate.maxIdle < maxIdleTime && now.Sub(estimate.learnedAt) > relearnInterval {
 		estimate.maxIdle, estimate.learnedAt = min(2*estimate.maxIdle, maxIdleTime), now
 	}
@@ -68,16 +68,16 @@
 	return maxIdle
 }
 
-// recordDeath learns from a connection that was found dead after an idle time.
-func (e *idleEstimates) recordDeath(backend string, idleFor time.Duration) {
+// recordDeadConnection lowers the limit after a reused connection turned out dead, having been idle for idleFor.
+func (e *idleEstimates) recordDeadConnection(backend string, idleFor time.Duration) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	estimate := e.at(backend)
-	estimate.maxIdle = max(min(estimate.maxIdle, time.Duration(deathIdleShare*float64(idleFor))), minIdleTime)
+	estimate := e.estimateFor(backend)
+	estimate.maxIdle = max(min(estimate.maxIdle, time.Duration(deadIdleFactor*float64(idleFor))), minIdleTime)
 	estimate.learnedAt = e.clock()
 }
 
-// recordResponse learns from the Keep-Alive header of a response, if it has one with a timeout.
+// recordResponse adopts the timeout in the Keep-Alive header of a response, if there is one.
 func (e *idleEstimates) recordResponse(backend string, response *http.Response) {
 	for _, parameter := range strings.Split(response.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -90,5 +90,5 @@
 func (e *idleEstimates) recordAdvertised(backend string, timeout time.Duration) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.at(backend).advertised = time.Duration(keepAliveShare * float64(timeout))
+	e.estimateFor(backend).advertised = time.Duration(keepAliveFactor * float64(timeout))
 }
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -2,7 +2,7 @@
 
 import "ferryspar/internal/discovery"
 
-// Operations of an Order.
+// Values of Order.Operation.
 const (
 	OperationLoad   = "model_load"
 	OperationUnload = "model_unload"
@@ -12,25 +12,25 @@
 // Order is the body of a placement order.
 type Order struct {
 	Operation string `json:"operation"`
-	// Model and Adapter are those to load or unload; Phase is the phase to take by OperationPhase.
+	// Model and Adapter are to be loaded or unloaded. Phase is the serving phase to switch to, for OperationPhase.
 	Model   string          `json:"modelId,omitempty"`
 	Adapter string          `json:"adapterId,omitempty"`
 	Phase   discovery.Phase `json:"phase,omitempty"`
-	// LeaseHolder and Fence are those of the lease that the order is sent under.
+	// LeaseHolder and Fence are the holder and the fencing token of the lease that authorizes the order.
 	LeaseHolder string `json:"leaseHolder"`
 	Fence       uint64 `json:"fenceToken"`
-	// ExpectedSequence is the replica's sequence number that the order was decided on: the replica rejects it at any other. It
-	// is always sent, 0 too.
+	// ExpectedSequence is the replica's sequence number on which the order is based. The replica rejects the order if its
+	// number differs. The field is always sent, even if 0.
 	ExpectedSequence int64 `json:"expectedCount"`
 }
 
-// Report is what a replica says of itself.
+// Report is a replica's report of its state.
 type Report struct {
-	// Phase is whether it does prefill, decode or both; every report has one.
+	// Phase is the serving phase: prefill, decode or both. Every report has one.
 	Phase  discovery.Phase         `json:"phase"`
 	Models []discovery.LoadedModel `json:"modelList"`
 	Busy   bool                    `json:"utilization"`
-	// Sequence counts the orders that the replica has taken.
+	// Sequence is the number of orders that the replica has accepted.
 	Sequence int64 `json:"sequence"`
 	// QueuedRequests and Active are numbers of requests.
 	QueuedRequests int `json:"queuedRequests"`
--- a/internal/replica/scriptedserver_test.go
+++ b/internal/replica/scriptedserver_test.go
@@ -18,21 +18,22 @@
 	"ferryspar/internal/routing"
 )
 
-// receivedRequest is one request as a scripted replica read it from its socket.
+// receivedRequest is a request that a scriptedServer read, with the number of its connection.
 type receivedRequest struct {
 	request    *http.Request
 	body       string
 	connection int
 }
 
-// scriptedServer is a scripted server on a loopback socket: it counts each request that it reads whole.
+// scriptedServer is a server on a loopback socket whose connections run a test's function. It records each request that was read
+// completely.
 type scriptedServer struct {
 	address string
 	lock    sync.Mutex
 	read    []receivedRequest
 }
 
-// target is the server as the replica i-1 of a snapshot that allows requests to it.
+// target returns the server as the routing target i-1.
 func (s *scriptedServer) target(t *testing.T) routing.Target {
 	t.Helper()
 	listed := discovery.Replica{ID: "i-1", Backend: "scribes", Address: s.address, Phase: discovery.PhaseDecode}
@@ -43,7 +44,7 @@
 	return target
 }
 
-// scriptedConnection is one connection to a scriptedServer.
+// scriptedConnection is a connection to a scriptedServer, numbered from 1.
 type scriptedConnection struct {
 	net.Conn
 	server *scriptedServer
@@ -87,7 +88,7 @@
 	return server
 }
 
-// next reads one request whole; nil means that the caller has closed.
+// next reads a complete request. It returns nil if the connection ends first.
 func (c *scriptedConnection) next() *http.Request {
 	request, err := http.ReadRequest(c.reader)
 	if err != nil {
@@ -103,14 +104,14 @@
 	return request
 }
 
-// readAll reads requests until the caller closes.
+// readAll reads requests until the connection ends.
 func (c *scriptedConnection) readAll() {
 	for request := c.next(); request != nil; {
 		request = c.next()
 	}
 }
 
-// reset ends the connection with a reset instead of an orderly close.
+// reset closes the connection with a TCP reset.
 func (c *scriptedConnection) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
@@ -120,7 +121,7 @@
 	fmt.Fprintf(c, format, arguments...)
 }
 
-// respond writes the response that a healthy replica gives to the attempt.
+// respond writes a valid response to the attempt.
 func (c *scriptedConnection) respond(attempt string) { c.write("%s", validResponse(attempt)) }
 
 func validResponse(attempt string) string {
@@ -140,8 +141,8 @@
 	return append([]receivedRequest(nil), s.read...)
 }
 
-// countOf is how often the attempt was read whole.
-func (s *scriptedServer) countOf(attempt string) int {
+// readCount returns how many requests of the attempt were read completely.
+func (s *scriptedServer) readCount(attempt string) int {
 	count := 0
 	for _, read := range s.received() {
 		if read.request.Header.Get(HeaderAttemptID) == attempt {
@@ -171,7 +172,7 @@
 
 const testTimeout = 400 * time.Millisecond
 
-// send forwards a request and reads the response's body, if one counts.
+// send forwards a request and returns the verdict and, with VerdictAnswered, the response's body.
 func send(t *testing.T, forwarder *Forwarder, server *scriptedServer, upstream UpstreamRequest) (Verdict, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
--- a/internal/replica/transportpool.go
+++ b/internal/replica/transportpool.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// maxIdlePerReplica is how many idle connections are kept to a replica.
+	// maxIdlePerReplica is the maximum number of idle connections per replica.
 	maxIdlePerReplica = 24
-	// unusedTransportTimeout is how long after its last use a transport may be dropped, once there are more than
-	// maxTransports.
+	// Transports unused for unusedTransportTimeout are evicted while there are more than maxTransports.
 	unusedTransportTimeout = time.Minute
 	maxTransports          = 64
 )
 
-// pooledTransport is the transport of one replica and when it was last used.
+// pooledTransport is the transport of one replica with the time of its last use.
 type pooledTransport struct {
 	transport *http.Transport
 	lastUsed  time.Time
 }
 
-// transportPool holds a transport for each replica, by its id: a new replica at an old address gets new connections.
+// transportPool holds one transport per replica. The key is the replica's id, so that a new replica at a reused address gets new
+// connections.
 type transportPool struct {
 	network        peer.Network
 	clock          func() time.Time
@@ -35,7 +35,8 @@
 	transports map[string]*pooledTransport
 }
 
-// transportFor returns the replica's transport. maxIdle limits the idle connections of a new one; 0 leaves it to the pool.
+// transportFor returns the replica's transport, creating it if needed. maxIdle limits the idle connections of a new transport; 0
+// selects maxIdlePerReplica.
 func (p *transportPool) transportFor(replicaID string, maxIdle int) *http.Transport {
 	now := p.clock()
 	p.lock.Lock()
@@ -60,8 +61,8 @@
 	return transport
 }
 
-// dropUnused drops transports of other replicas than the one just added that have not been used lately, while there are too
-// many. The caller holds the lock.
+// dropUnused evicts transports unused for unusedTransportTimeout, except that of the replica just added, while there are more
+// than maxTransports. The caller holds the lock.
 func (p *transportPool) dropUnused(added string, now time.Time) {
 	for replicaID, pooled := range p.transports {
 		if len(p.transports) > maxTransports && now.Sub(pooled.lastUsed) > unusedTransportTimeout && replicaID != added {
@@ -70,7 +71,7 @@
 	}
 }
 
-// closeIdle closes the connections to the replica that carry nothing at the moment.
+// closeIdle closes the idle connections to the replica.
 func (p *transportPool) closeIdle(replicaID string) {
 	p.lock.Lock()
 	pooled := p.transports[replicaID]
--- a/internal/replica/surplus_test.go
+++ b/internal/replica/unsolicited_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// respondTwice answers each request twice; the second response comes where the next one on the connection is due.
+// respondTwice sends two responses to each request; the second precedes the response to the next request on the connection.
 func respondTwice(connection *scriptedConnection) {
 	before := ""
 	for request := connection.next(); request != nil; request = connection.next() {
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestForwarder_RejectsSurplusResponse(t *testing.T) {
+func TestForwarder_RejectsUnsolicitedResponse(t *testing.T) {
 	server, forwarder := startServer(t, respondTwice), testForwarder()
 	verdict, _ := send(t, forwarder, server, testRequest(http.MethodPost, "first", "prompt"))
 	assert.Equal(t, verdict, VerdictAnswered)
@@ -35,10 +35,10 @@
 	read := server.received()
 	assert.Equal(t, len(read), 3)
 	assert.Equal(t, read[0].connection, read[1].connection)
-	assert.Assert(t, read[1].connection != read[2].connection, "a connection out of step was used again")
+	assert.Assert(t, read[1].connection != read[2].connection, "an out-of-sync connection was reused")
 }
 
-// respondOneBehind answers each request of a connection after the first with the response to the one before it.
+// respondOneBehind responds to each request of a connection, after the first, with the response to the previous request.
 func respondOneBehind(connection *scriptedConnection) {
 	before := ""
 	for request := connection.next(); request != nil; request = connection.next() {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestForwarder_AbandonsConnectionOutOfStep(t *testing.T) {
+func TestForwarder_DiscardsOutOfSyncConnection(t *testing.T) {
 	server, forwarder := startServer(t, respondOneBehind), testForwarder()
 	for number, want := range []Verdict{VerdictAnswered, VerdictUnknown, VerdictAnswered, VerdictUnknown, VerdictAnswered} {
 		attempt := string(rune('a' + number))
@@ -62,8 +62,9 @@
 	}
 }
 
-// The variant without the check of the id: the library hands the first request's response to the second.
-func TestHTTPTransport_DeliversSurplusResponseToNextRequest(t *testing.T) {
+// TestHTTPTransport_DeliversUnsolicitedResponseToNextRequest shows the failure without the check of the attempt id: net/http
+// delivers the duplicate response to the first request as the response to the second.
+func TestHTTPTransport_DeliversUnsolicitedResponseToNextRequest(t *testing.T) {
 	server := startServer(t, respondTwice)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
@@ -81,7 +82,7 @@
 	assert.Equal(t, delivered, "first")
 }
 
-func TestForwarder_DuplicateRejectionProvesNothing(t *testing.T) {
+func TestForwarder_IgnoresDuplicateRejection(t *testing.T) {
 	server := startServer(t, func(connection *scriptedConnection) {
 		if connection.next() == nil {
 			return
@@ -106,7 +107,7 @@
 	assert.Assert(t, read[0].connection != read[1].connection)
 }
 
-func TestForwarder_RejectionWithoutIDOnReusedConnectionProvesNothing(t *testing.T) {
+func TestForwarder_IgnoresRejectionWithoutIDOnReusedConnection(t *testing.T) {
 	server := startServer(t, func(connection *scriptedConnection) {
 		if request := connection.next(); request != nil {
 			connection.respond(request.Header.Get(HeaderAttemptID))
@@ -122,12 +123,12 @@
 	assert.Equal(t, verdict, VerdictUnknown)
 }
 
-func TestAttemptTrace_EarlyResponseStopsWrites(t *testing.T) {
+func TestAttemptTrace_UnsolicitedResponseStopsWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	connection := &countedConnection{Conn: near}
 	trace := &attemptTrace{id: "a", connection: connection}
-	assert.Assert(t, trace.answeredEarly())
+	assert.Assert(t, trace.discardIfUnsolicited())
 	_, err := connection.Write([]byte("request"))
 	assert.ErrorIs(t, err, errRetired)
 	assert.Assert(t, trace.nothingWritten())
--- a/internal/replica/upstreamrequest.go
+++ b/internal/replica/upstreamrequest.go
@@ -13,44 +13,44 @@
 	"ferryspar/internal/routing"
 )
 
-// UpstreamRequest is a client's request as it is to be sent to a replica.
+// UpstreamRequest is a client's request to be forwarded to a replica.
 type UpstreamRequest struct {
 	Method string
-	// URI is the request target as the client wrote it.
+	// URI is the request target exactly as the client sent it.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// AttemptID is the client's id of this attempt, which its response has to bear.
+	// AttemptID is the client's id of this attempt, which the response must echo.
 	AttemptID string
-	// Urgency is the rank sent to the replica, from 0 (first) to 9.
+	// Urgency is the priority sent to the replica, from 0 (highest) to 9.
 	Urgency int
-	// Deadline is when the client or the route gives the request up.
+	// Deadline is when the request expires, by the client's or the route's time limit.
 	Deadline time.Time
-	// LastEventID, if any, is the id of the event after which a stream goes on.
+	// LastEventID, if set, is the id of the event after which a resumed stream continues.
 	LastEventID string
-	// Backend is the name of the replica's backend; its replicas are taken to keep idle connections equally long.
+	// Backend is the name of the replica's backend. Idle times of connections are estimated per backend.
 	Backend string
-	// Tenant is the name sent to the replica, empty for a request of no tenant.
+	// Tenant is the tenant's name sent to the replica, or empty.
 	Tenant string
-	// NonIdempotent says that the request may not run twice.
+	// NonIdempotent is set if the request must not be executed twice.
 	NonIdempotent bool
-	// MaxIdleConnections limits the idle connections kept to the replica; 0 leaves it to the forwarder.
+	// MaxIdleConnections limits the idle connections to the replica; 0 selects the forwarder's default.
 	MaxIdleConnections int
 
-	// phase is PhasePrefill for a request of which only the prompt is to be read; set by Prefill alone.
+	// phase is PhasePrefill if only the prompt is to be processed. Only Prefill sets it.
 	phase discovery.Phase
-	// handleSource is the memory to continue from; set by SendDecode alone.
+	// handleSource is the value of HeaderKVSource. Only SendDecode sets it.
 	handleSource string
 }
 
-// unrewindableBody hides the kind of reader from the library, which then can't read the body a second time by itself.
+// unrewindableBody hides the type of the reader from net/http, which therefore cannot rewind the body to send it again.
 type unrewindableBody struct{ *bytes.Reader }
 
-// Close does nothing: the body is in memory.
+// Close is a no-op: the body is in memory.
 func (unrewindableBody) Close() error { return nil }
 
-// newRequest composes the HTTP request for a replica.
+// newRequest builds the HTTP request for a replica.
 func (f *Forwarder) newRequest(ctx context.Context, target routing.Target, upstream UpstreamRequest) *http.Request {
 	request := &http.Request{
 		Method:     upstream.Method,
@@ -74,13 +74,13 @@
 		request.Header.Set(HeaderLastEventID, upstream.LastEventID)
 	}
 	if _, stated := request.Header["User-Agent"]; !stated {
-		// An empty value keeps the transport from adding its own.
+		// An empty value stops the transport from adding its default User-Agent.
 		request.Header["User-Agent"] = []string{""}
 	}
 	return request
 }
 
-// setBody gives the request its body, so that it is framed by a length where its method usually has one.
+// setBody sets the body and its length. Without a body, POST and PUT requests are sent with Content-Length: 0.
 func setBody(request *http.Request, body []byte) {
 	if len(body) > 0 {
 		request.Body = unrewindableBody{bytes.NewReader(body)}
@@ -92,7 +92,7 @@
 	}
 }
 
-// setTenant names the tenant whatever the client claimed, and takes the client's key away.
+// setTenant sets the tenant header, overriding the client's, and removes the client's API key.
 func setTenant(header http.Header, tenant string) {
 	header.Del(HeaderAPIKey)
 	header.Del(HeaderTenant)
@@ -101,8 +101,8 @@
 	}
 }
 
-// setPhase states which part of the request is to be done, whatever the client claimed: a client must not reach another
-// request's memory.
+// setPhase sets the headers of disaggregated serving, overriding the client's: a client must not gain access to the KV cache of
+// another request.
 func setPhase(header http.Header, upstream UpstreamRequest) {
 	header.Del(HeaderServingPhase)
 	header.Del(HeaderKVSource)
@@ -114,7 +114,7 @@
 	}
 }
 
-// ValidRequestTarget reports whether a request target, as a client sent it, can be passed on unchanged.
+// ValidRequestTarget reports whether a client's request target can be forwarded unchanged.
 func ValidRequestTarget(uri string) bool {
 	if !strings.HasPrefix(uri, "/") {
 		return false
@@ -124,8 +124,8 @@
 	return composed.RequestURI() == uri
 }
 
-// setTarget makes the URL write the request target exactly as given. Opaque does so for all but a target that begins with
-// two slashes, which the library would take for a host.
+// setTarget makes the URL serialize to the request target exactly as given. Opaque does so except for a target that begins with
+// two slashes, which net/url would interpret as a host.
 func setTarget(composed *url.URL, uri string) {
 	path, query, found := strings.Cut(uri, "?")
 	if !strings.HasPrefix(path, "//") {
@@ -139,8 +139,8 @@
 	}
 }
 
-// forwardedHeader returns the headers that concern more than one connection. Headers of the protocol stay, whatever
-// Connection lists: the attempt id and the seal are what ties a response to its request.
+// forwardedHeader returns the end-to-end headers. Headers of the protocol are kept even if Connection lists them: the attempt id
+// and the seal match a response to its request.
 func forwardedHeader(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, listed := range header.Values("Connection") {
@@ -159,7 +159,7 @@
 	return kept
 }
 
-// CopyResponseHeader copies the headers of a replica's response that its client is to see.
+// CopyResponseHeader copies the end-to-end headers of a replica's response to target.
 func CopyResponseHeader(target, source http.Header) {
 	for name, values := range forwardedHeader(source) {
 		target[name] = values
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -7,28 +7,28 @@
 	"ferryspar/internal/discovery"
 )
 
-// Verdict says what a response of a replica, or its absence, proves about the request that was sent.
+// Verdict states what a replica's response, or the lack of one, proves about the request that was sent.
 type Verdict int
 
 const (
-	// VerdictAnswered means: the replica's own response to this attempt.
+	// VerdictAnswered means that the response is the replica's own response to this attempt.
 	VerdictAnswered Verdict = iota
-	// VerdictRejected means: the replica rejected the request, for want of capacity, and didn't run it.
+	// VerdictRejected means that the replica rejected the request for lack of capacity and did not execute it.
 	VerdictRejected
-	// VerdictNotLoaded means: the replica doesn't have loaded what the request asks for, and didn't run it.
+	// VerdictNotLoaded means that the replica has not loaded the requested model or adapter and did not execute the request.
 	VerdictNotLoaded
-	// VerdictReplaced means: another replica stands at the address, and didn't run it.
+	// VerdictReplaced means that another replica now has the address and did not execute the request.
 	VerdictReplaced
-	// VerdictNotSent means: no byte of the request was written.
+	// VerdictNotSent means that no byte of the request was written.
 	VerdictNotSent
-	// VerdictUnknown means: the request may have run; there is no response that counts.
+	// VerdictUnknown means that the request may have been executed: there is no valid response.
 	VerdictUnknown
-	// VerdictReset means: as VerdictUnknown, after a reused connection ended without a byte.
+	// VerdictReset is VerdictUnknown after a reused connection ended without a byte of the response.
 	VerdictReset
 )
 
-// NotExecuted reports whether the verdict proves that the request didn't run and never will, so that it may be sent to another
-// replica whatever its method.
+// NotExecuted reports whether the verdict proves that the request was not and will not be executed, so that it may be sent to
+// another replica even if it is not idempotent.
 func (v Verdict) NotExecuted() bool {
 	switch v {
 	case VerdictRejected, VerdictNotLoaded, VerdictReplaced, VerdictNotSent:
@@ -38,18 +38,18 @@
 	}
 }
 
-// neverAdmitted reports whether the verdict proves that the replica didn't get as far as fetching memory for the request: it
-// received no byte, or isn't the replica that was meant or lacks what the request asks for.
+// neverAdmitted reports whether the verdict proves that the replica did not begin to fetch the KV cache for the request: it
+// received no byte, is not the target replica, or has not loaded the model.
 func (v Verdict) neverAdmitted() bool {
 	return v == VerdictNotSent || v == VerdictNotLoaded || v == VerdictReplaced
 }
 
-// judge weighs a response against the attempt it was read for. A response counts only if it bears the attempt's own id. One
-// without any id counts as a rejection only if it is the first on its connection, where no other can be due.
-func judge(response *http.Response, upstream UpstreamRequest, replicaID string, firstOnConnection bool) Verdict {
-	stated := response.Header.Values(HeaderAttemptID)
-	own := len(stated) == 1 && stated[0] == upstream.AttemptID
-	if !own && (len(stated) > 0 || !firstOnConnection) {
+// classifyResponse determines the verdict on a response to the attempt. The response must have the attempt's id. A rejection
+// without an id is accepted only if it is the first response on its connection, where no other can be pending.
+func classifyResponse(response *http.Response, upstream UpstreamRequest, replicaID string, firstOnConnection bool) Verdict {
+	ids := response.Header.Values(HeaderAttemptID)
+	idMatches := len(ids) == 1 && ids[0] == upstream.AttemptID
+	if !idMatches && (len(ids) > 0 || !firstOnConnection) {
 		return VerdictUnknown
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest {
@@ -62,26 +62,26 @@
 		return VerdictRejected
 	}
 	if upstream.phase == discovery.PhasePrefill {
-		return judgePrefill(response, own)
+		return classifyPrefillResponse(response, idMatches)
 	}
-	if !own || !trustworthy(response) {
+	if !idMatches || !isForwardable(response) {
 		return VerdictUnknown
 	}
 	return VerdictAnswered
 }
 
-// judgePrefill weighs an answer that is no rejection to a request whose prompt was to be read. It is for this node and bears
-// no seal.
-func judgePrefill(response *http.Response, own bool) Verdict {
-	if !own || response.StatusCode != http.StatusOK || !hasFraming(response) {
+// classifyPrefillResponse determines the verdict on a response to a prefill request, rejections aside. It has no seal, since it
+// is not forwarded to the client.
+func classifyPrefillResponse(response *http.Response, idMatches bool) Verdict {
+	if !idMatches || response.StatusCode != http.StatusOK || !hasFraming(response) {
 		return VerdictUnknown
 	}
 	return VerdictAnswered
 }
 
-// trustworthy reports whether a response may be passed on: its status is final, its end can be seen, its body is the replica's
-// own bytes, and a success bears the seal.
-func trustworthy(response *http.Response) bool {
+// isForwardable reports whether a response may be forwarded to the client: the status is final, the end of the body is
+// detectable, the body has no content encoding, and a successful response has the seal.
+func isForwardable(response *http.Response) bool {
 	if response.StatusCode < http.StatusOK || response.Header.Get("Content-Encoding") != "" {
 		return false
 	}
@@ -92,15 +92,15 @@
 	return response.Header.Get(HeaderNotExecuted) == "" && hasFraming(response)
 }
 
-// hasFraming reports whether the end of the body can be told from a connection that broke off.
+// hasFraming reports whether the end of the body can be distinguished from a broken connection.
 func hasFraming(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || response.Body == http.NoBody
 }
 
-// maxDrainBytes is how much of a rejection's body is read to use its connection again.
+// maxDrainBytes is the longest body of a rejection that is read so that the connection can be reused.
 const maxDrainBytes = 4 << 10
 
-// drainBody reads the short body of a rejection, so that its connection can be used again.
+// drainBody reads and closes the body of a rejection, so that the connection can be reused if the body is short.
 func drainBody(response *http.Response) {
 	_, _ = io.CopyN(io.Discard, response.Body, maxDrainBytes+1)
 	response.Body.Close()
