--- a/internal/dataplane/configuration.go
+++ b/internal/dataplane/configuration.go
@@ -7,8 +7,8 @@
 	"ferryspar/internal/peer"
 )
 
-// adoptConfiguration adopts the configuration of a response if it is newer than the one in use, and reports whether it
-// was. An error names the revision that can't be read; the one in use stays.
+// adoptConfiguration adopts the configuration of a response if it is newer than the one in use, and reports whether it did. If
+// the configuration cannot be decoded, it returns an error with the revision and keeps the one in use.
 func (s *FleetState) adoptConfiguration(response *peer.WatchResponse) (bool, error) {
 	if !response.HasConfiguration() || response.Revision <= s.position.revision.Load() {
 		return false, nil
@@ -22,24 +22,25 @@
 	if s.quotas != nil {
 		s.quotas.setLimits(s.configuration.Tenants())
 	}
-	s.useConfiguration()
+	s.activateConfiguration()
 	return true, nil
 }
 
-// applyDifferences adopts a configuration by its differences from the one in use. One that doesn't fit is no fault: the next
-// poll asks for the whole.
+// applyDifferences adopts a configuration sent as a delta to the one in use. A delta that does not apply is not an error: the
+// next poll requests the full configuration.
 func (s *FleetState) applyDifferences(response *peer.WatchResponse) (bool, error) {
 	if err := s.configuration.Apply(response.Differences); err != nil {
 		s.position.takesDifferences.Store(false)
-		logrus.WithError(err).WithField("revision", response.Revision).Warn("difference of configurations rejected, the whole is asked for")
+		logrus.WithError(err).WithField("revision", response.Revision).
+			Warn("configuration delta rejected, requesting the full configuration")
 		return false, nil
 	}
-	s.useConfiguration()
+	s.activateConfiguration()
 	return true, nil
 }
 
-// useConfiguration puts the newest configuration in use.
-func (s *FleetState) useConfiguration() {
+// activateConfiguration makes the latest configuration of the follower the one in use.
+func (s *FleetState) activateConfiguration() {
 	s.adopted.table = s.configuration.Table()
 	s.position.revision.Store(s.configuration.Revision())
 	s.position.takesDifferences.Store(s.configuration.TakesDifferences())
--- a/internal/dataplane/contextrules.go
+++ b/internal/dataplane/contextrules.go
@@ -10,42 +10,42 @@
 	"ferryspar/internal/routing"
 )
 
-// contactTimeout is how long after the last confirmed response a data plane with context rules no longer trusts what it
-// knows of cached prefixes, and a drill ends.
+// contactTimeout is how long after the last confirmed response a drill ends, and a data plane with context rules stops using its
+// knowledge of cached prefixes.
 const contactTimeout = 2500 * time.Millisecond
 
-// contextRules are the operators' rules for cached context: how long it may be used and what is to be forgotten.
+// contextRules holds the operators' rules for cached context: its maximum age and the orders to forget parts of it.
 type contextRules struct {
 	clock func() time.Time
-	// updateLedger has a change made by the goroutine that owns the prefix ledger; nil where there is no ledger.
+	// updateLedger runs a change on the goroutine that owns the prefix ledger; nil if there is no ledger.
 	updateLedger func(change func(*routing.PrefixLedger))
 
-	// version and lastForget are those of the newest rules and forget order seen. They belong to the goroutine of
-	// FleetState.Run.
+	// version is that of the newest rules, lastForget the number of the newest forget order. Only the goroutine of
+	// FleetState.Run uses them.
 	version    uint64
 	lastForget uint64
 
-	// inForce says that there are rules, and lastConfirmed is when the last confirmed response came. Any goroutine may
+	// active is set once there are rules. lastConfirmed is when the last confirmed response was received. Any goroutine may
 	// load them.
-	inForce       atomic.Bool
+	active        atomic.Bool
 	lastConfirmed atomic.Pointer[time.Time]
 }
 
-// trusted reports whether cached context may be used: always without rules, otherwise only with a confirmed response lately,
-// since an order to forget may have been given that has not arrived here. Any goroutine may call it.
+// trusted reports whether cached context may be used. Without rules it always may; with rules only within contactTimeout of a
+// confirmed response, because a forget order may have been issued that this node has not received. Any goroutine may call it.
 func (c *contextRules) trusted(now time.Time) bool {
-	if !c.inForce.Load() {
+	if !c.active.Load() {
 		return true
 	}
 	confirmed := c.lastConfirmed.Load()
 	return confirmed != nil && now.Sub(*confirmed) < contactTimeout
 }
 
-// confirm records when a confirmed response came. Any goroutine may call it.
+// confirm records the time of a confirmed response. Any goroutine may call it.
 func (c *contextRules) confirm(receivedAt time.Time) { c.lastConfirmed.Store(&receivedAt) }
 
-// adopt adopts rules newer than those in force, and has the ledger forget what they name. The position acknowledges them
-// only once the ledger has done so: operators learn from that that it is forgotten.
+// adopt adopts rules that are newer than the current ones and applies them to the ledger. The position acknowledges the rules
+// only after the ledger has applied them, since operators rely on the acknowledgement as proof that the context is forgotten.
 func (c *contextRules) adopt(rules peer.ContextUpdate, position *watchPosition) {
 	if rules.Version <= c.version || c.updateLedger == nil {
 		return
@@ -56,7 +56,7 @@
 		c.lastForget = max(c.lastForget, forget.Number)
 	}
 	last := c.lastForget
-	c.inForce.Store(true)
+	c.active.Store(true)
 	c.updateLedger(func(ledger *routing.PrefixLedger) {
 		dropped := applyRules(ledger, rules, previous, c.clock())
 		position.contextVersion.Store(rules.Version)
@@ -70,8 +70,8 @@
 	})
 }
 
-// applyRules has the ledger forget by the orders newer than previous, sets how long context may be used, and returns how
-// many entries were dropped.
+// applyRules applies the forget orders newer than previous and the maximum age of context to the ledger. It returns the number of
+// entries that the forget orders dropped.
 func applyRules(ledger *routing.PrefixLedger, rules peer.ContextUpdate, previous uint64, now time.Time) int {
 	dropped := 0
 	for _, forget := range rules.Forgets {
--- a/internal/dataplane/controlpeers.go
+++ b/internal/dataplane/controlpeers.go
@@ -9,51 +9,51 @@
 )
 
 const (
-	// controlPeerTimeout is how long after its last response a node is no longer used.
+	// controlPeerTimeout is how long after its last response a node is considered unusable.
 	controlPeerTimeout = 1700 * time.Millisecond
-	// behindTolerance is how long another node may know a newer configuration before that makes it the better primary.
+	// behindTolerance is how long another node may have a newer configuration before it is preferred as the primary.
 	behindTolerance = 150 * time.Millisecond
-	// assumedDataPlaneCount is how many data planes there are taken to be while nobody knows: shares of the fleet's limits
-	// must not be taken too large.
+	// assumedDataPlaneCount is the assumed number of data planes while none is known. It is high, so that this data plane's share
+	// of the fleet-wide limits is not too large.
 	assumedDataPlaneCount = 512
-	// countRetention is how long a number of data planes is kept after lower ones have been reported.
+	// countRetention is how long a number of data planes stays in use after only lower numbers have been reported.
 	countRetention = 10 * time.Second
-	// countTimeout is how long after its last response a node's number of data planes counts.
+	// countTimeout is how long after its last response a node's number of data planes is used.
 	countTimeout = 5 * time.Second
 )
 
-// The ranks of a node as the primary, from the one that weighs most. They add up.
+// Weights of the criteria for the choice of the primary, highest first. A node's rank is the sum of those that it meets.
 const (
 	rankNewerConfiguration = 4
 	rankSameZone           = 2
 	rankCurrent            = 1
 )
 
-// controlPeer is a control-plane node as known here: its last response and what is followed there.
+// controlPeer is this data plane's view of a control-plane node: its last response and the endpoints received from it.
 type controlPeer struct {
-	// fresh says that the last response was confirmed by a majority.
+	// fresh is set if a majority confirmed the state in the last response.
 	fresh    bool
 	lastSeen time.Time
 	zone     string
 	revision int64
-	// secondary says that the last poll was one of those that are held for longer.
+	// secondary is set if the last poll was sent to the node as a secondary. Such polls are held longer.
 	secondary bool
-	// dataPlaneCount is how many data planes the node knows to be live, earlyDataPlaneCount how many it has heard from, which
-	// it knows sooner after a start. countReliable says that no live one can be missing.
+	// dataPlaneCount is the number of live data planes known to the node. earlyDataPlaneCount is the number that it has heard
+	// from, which is available sooner after its start. countReliable is set if dataPlaneCount includes every live data plane.
 	dataPlaneCount      int
 	earlyDataPlaneCount int
 	countReliable       bool
 
-	// incarnation is that which endpointSets are from; they are all that is followed only if complete.
+	// incarnation is the node's incarnation that sent endpointSets. complete is set if they include everything subscribed to.
 	incarnation  string
 	endpointSets map[peer.EndpointKey]peer.EndpointSet
 	complete     bool
-	// fetchedAt is when the list of replicas that the endpoints were made from was read from the platform, by the clock here.
+	// fetchedAt is when the list of replicas behind the endpoints was read from the platform, by this node's clock.
 	fetchedAt            time.Time
 	subscriptionSequence uint64
 }
 
-// update stores what a response says of the node and of the data planes that it knows.
+// update stores the state of the node and its counts of data planes from a response.
 func (p *controlPeer) update(result *watchResult) {
 	p.fresh = result.fresh()
 	p.lastSeen = result.receivedAt
@@ -65,7 +65,7 @@
 	p.countReliable = result.response.CountReliable
 }
 
-// usable reports whether endpoints may be followed at the node.
+// usable reports whether the node may be the primary.
 func (p *controlPeer) usable(now time.Time) bool {
 	timeout := controlPeerTimeout
 	if p.secondary {
@@ -74,20 +74,20 @@
 	return p.fresh && now.Sub(p.lastSeen) < timeout
 }
 
-// controlPeers are the control-plane nodes by address. They belong to the goroutine of FleetState.Run.
+// controlPeers holds the control-plane nodes by address. Only the goroutine of FleetState.Run uses it.
 type controlPeers struct {
-	// zone is that of this data plane.
+	// zone is the zone of this data plane.
 	zone      string
 	byAddress map[string]*controlPeer
-	// behindSince is since when a node knows a newer configuration than the one in use, or zero.
+	// behindSince is when a node first reported a configuration newer than the one in use; zero if none is newer.
 	behindSince time.Time
-	// lastCount is the number of data planes in use, and lastCountAt when it was last reported.
+	// lastCount is the number of data planes in use, and lastCountAt is when it was last reported.
 	lastCount   int
 	lastCountAt time.Time
 }
 
-// at returns the node at the address, a new one if it is not known yet.
-func (c *controlPeers) at(address string) *controlPeer {
+// getOrCreate returns the node at the address, adding it if it is unknown.
+func (c *controlPeers) getOrCreate(address string) *controlPeer {
 	control := c.byAddress[address]
 	if control == nil {
 		control = &controlPeer{}
@@ -96,7 +96,7 @@
 	return control
 }
 
-// trackLag keeps since when the revision in use is behind that of any node.
+// trackLag updates behindSince for the revision in use.
 func (c *controlPeers) trackLag(revision int64, now time.Time) {
 	for _, control := range c.byAddress {
 		if control.fresh && control.revision > revision {
@@ -109,7 +109,7 @@
 	c.behindSince = time.Time{}
 }
 
-// best is the address of the node that ranks highest as the primary, or empty if none is usable.
+// best returns the address of the node with the highest rank as the primary, or "" if none is usable.
 func (c *controlPeers) best(current string, revision int64, now time.Time) string {
 	best, bestRank := "", -1
 	for address, control := range c.byAddress {
@@ -133,7 +133,7 @@
 	return best
 }
 
-// dataPlaneCount is the number of data planes that share the fleet's limits.
+// dataPlaneCount returns the number of data planes that share the fleet-wide limits.
 func (c *controlPeers) dataPlaneCount(now time.Time) int {
 	c.refreshCount(now)
 	if c.lastCount == 0 {
@@ -142,7 +142,7 @@
 	return c.lastCount
 }
 
-// refreshCount takes the highest number that a node has reported lately. A lower one than the last counts only after
+// refreshCount sets lastCount to the highest number reported within countTimeout. A number lower than the last is used only after
 // countRetention, since a node that has just started has not heard from all data planes yet.
 func (c *controlPeers) refreshCount(now time.Time) {
 	highest := 0
@@ -156,9 +156,9 @@
 	}
 }
 
-// reliableDataPlaneCount is the number of data planes, without those that have been silent for so long that what they lent
-// of tenants' limits has expired. Where no control-plane node has run for long enough to know that, it is the number that
-// is kept high, and 0 if none was ever reported.
+// reliableDataPlaneCount returns the number of data planes, without those that have been silent for so long that the shares of
+// tenants' limits that they lent have expired. If no control-plane node has run long enough to know that number, it returns the
+// larger of lastCount and the highest reported number, or 0 if none was ever reported.
 func (c *controlPeers) reliableDataPlaneCount(now time.Time) (count int, reliable bool) {
 	highest := 0
 	for _, control := range c.byAddress {
@@ -174,7 +174,7 @@
 	return highest, true
 }
 
-// choosePrimary moves to another control-plane node where that is better, and has everything followed anew there.
+// choosePrimary switches to a better primary if there is one, and resubscribes to all endpoints there.
 func (s *FleetState) choosePrimary() {
 	now, current := s.clock(), s.Primary()
 	revision := s.position.revision.Load()
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -13,31 +13,31 @@
 	"ferryspar/internal/routing"
 )
 
-// endedByNotice is the reason of a drill that the control plane has ended.
+// endedByNotice is the end reason of a drill that the control plane has ended.
 const endedByNotice = "told to"
 
-// drillFollower takes part in drills that the control plane announces, and answers its questions for forecasts. It belongs
-// to the goroutine of FleetState.Run, but for report.
+// drillFollower takes part in the drills that the control plane announces and responds to its forecast requests. Only the
+// goroutine of FleetState.Run uses it, except for report.
 type drillFollower struct {
-	// answerForecast sends a forecast; nil where there is nothing to forecast with.
-	answerForecast func(ctx context.Context, address string, question drill.ForecastRequest)
-	// lastAnswered is the number of the last question by control-plane node.
-	lastAnswered map[string]uint64
-	// current is the drill in force, or nil.
+	// answerForecast sends a forecast; nil if forecasts are not supported.
+	answerForecast func(ctx context.Context, address string, request drill.ForecastRequest)
+	// lastForecast is the number of the last forecast request answered, by address of the control-plane node.
+	lastForecast map[string]uint64
+	// current is the drill in progress, or nil.
 	current *routing.Drill
-	// lastEnded is the number of the last drill that ended; it is not followed again.
+	// lastEnded is the number of the last drill that ended; it is not joined again.
 	lastEnded uint64
-	// reported is what polls report, until the control plane knows of the end. Any goroutine may load it.
+	// reported is the drill that polls report until the control plane knows that it has ended. Any goroutine may load it.
 	reported atomic.Pointer[reportedDrill]
 }
 
-// reportedDrill is a drill and why it ended here, if it did.
+// reportedDrill is a drill with the reason why it ended on this node, if it has.
 type reportedDrill struct {
 	drill     *routing.Drill
 	endReason string
 }
 
-// report is what polls report of the drill, or nil. Any goroutine may call it.
+// report returns the report on the drill for polls, or nil. Any goroutine may call it.
 func (d *drillFollower) report(now time.Time) *drill.Report {
 	reported := d.reported.Load()
 	if reported == nil {
@@ -46,38 +46,38 @@
 	return reported.drill.Report(reported.endReason, now)
 }
 
-// handle answers the question of a response and follows its drill, and reports whether the drill in force changed. calls
-// counts the goroutine that answers.
+// handle responds to the forecast request of a response, if any, and applies its drill notice. It reports whether the current
+// drill changed. Forecasts are sent on a goroutine that is added to calls.
 func (d *drillFollower) handle(ctx context.Context, calls *sync.WaitGroup, result *watchResult, evacuating bool) bool {
-	if question := result.response.Forecast; question != nil {
-		d.answerOnce(ctx, calls, result.address, *question)
+	if request := result.response.Forecast; request != nil {
+		d.answerForecastOnce(ctx, calls, result.address, *request)
 	}
 	notice, now := result.response.Drill, result.receivedAt
 	if d.current == nil && notice == nil {
 		return false
 	}
 	ended := d.end(d.endReason(now, evacuating))
-	return d.follow(notice, now, evacuating) || ended
+	return d.applyNotice(notice, now, evacuating) || ended
 }
 
-// answerOnce answers a question on a goroutine of its own, unless it was the last one answered at the address.
-func (d *drillFollower) answerOnce(ctx context.Context, calls *sync.WaitGroup, address string, question drill.ForecastRequest) {
-	if d.answerForecast == nil || d.lastAnswered[address] == question.Number {
+// answerForecastOnce answers a forecast request on a new goroutine, unless it is the last one answered for the address.
+func (d *drillFollower) answerForecastOnce(ctx context.Context, calls *sync.WaitGroup, address string, request drill.ForecastRequest) {
+	if d.answerForecast == nil || d.lastForecast[address] == request.Number {
 		return
 	}
-	if d.lastAnswered == nil {
-		d.lastAnswered = map[string]uint64{}
+	if d.lastForecast == nil {
+		d.lastForecast = map[string]uint64{}
 	}
-	d.lastAnswered[address] = question.Number
-	calls.Go(func() { d.answerForecast(ctx, address, question) })
+	d.lastForecast[address] = request.Number
+	calls.Go(func() { d.answerForecast(ctx, address, request) })
 }
 
-// check ends the drill in force if it must end now, and reports whether it did.
+// check ends the current drill if it must end now, and reports whether it did.
 func (d *drillFollower) check(now time.Time, evacuating bool) bool {
 	return d.end(d.endReason(now, evacuating))
 }
 
-// endReason says why the drill in force must end now; empty if there is none or it goes on.
+// endReason returns why the current drill must end now, or "" if there is none or it continues.
 func (d *drillFollower) endReason(now time.Time, evacuating bool) string {
 	if d.current == nil {
 		return ""
@@ -88,7 +88,7 @@
 	return d.current.EndReason(now)
 }
 
-// end ends the drill in force if a reason is given, and reports whether it did.
+// end ends the current drill if the reason is not empty, and reports whether it did.
 func (d *drillFollower) end(reason string) bool {
 	if reason == "" || d.current == nil {
 		return false
@@ -99,13 +99,13 @@
 	return true
 }
 
-// follow starts, goes on with or ends a drill as a notice says, and reports whether the drill in force changed.
-func (d *drillFollower) follow(notice *drill.Notice, now time.Time, evacuating bool) bool {
+// applyNotice starts, continues or ends a drill as the notice says, and reports whether the current drill changed.
+func (d *drillFollower) applyNotice(notice *drill.Notice, now time.Time, evacuating bool) bool {
 	if notice == nil || notice.Number < d.lastEnded {
 		return false
 	}
 	if !notice.Running {
-		return d.followEnd(notice)
+		return d.applyEndNotice(notice)
 	}
 	if notice.Number == d.lastEnded {
 		return false
@@ -120,8 +120,8 @@
 	return d.start(notice, now, evacuating)
 }
 
-// followEnd ends the drill of a notice that it has ended, and stops reporting it.
-func (d *drillFollower) followEnd(notice *drill.Notice) bool {
+// applyEndNotice ends the drill that the notice declares ended, and stops reporting it.
+func (d *drillFollower) applyEndNotice(notice *drill.Notice) bool {
 	ended := false
 	if d.current != nil && notice.Number >= d.current.Number {
 		ended = d.end(endedByNotice)
@@ -148,22 +148,22 @@
 	return true
 }
 
-// forecastTimeout is how long the answer to a question may take.
+// forecastTimeout limits the computation and sending of a forecast.
 const forecastTimeout = 1500 * time.Millisecond
 
-// answerForecast has the matcher forecast a loss and sends the answer to the control-plane node that asked.
-func (n *Node) answerForecast(parent context.Context, address string, question drill.ForecastRequest) {
+// answerForecast has the matcher forecast the effects of a loss and sends the result to the control-plane node that asked.
+func (n *Node) answerForecast(parent context.Context, address string, request drill.ForecastRequest) {
 	ctx, cancel := context.WithTimeout(parent, forecastTimeout)
 	defer cancel()
-	answer, err := n.matcher.Forecast(ctx, drill.Loss{Scope: question.Scope, Regions: n.settings.Zones})
+	forecast, err := n.matcher.Forecast(ctx, drill.Loss{Scope: request.Scope, Regions: n.settings.Zones})
 	if err == nil {
-		answer.Number = question.Number
-		answer.DataPlane = n.settings.NodeName
-		answer.Zone = n.settings.Zone
-		err = n.peers.Call(ctx, peer.MethodForecast, address, answer, nil)
+		forecast.Number = request.Number
+		forecast.DataPlane = n.settings.NodeName
+		forecast.Zone = n.settings.Zone
+		err = n.peers.Call(ctx, peer.MethodForecast, address, forecast, nil)
 	}
 	logrus.WithError(err).WithFields(logrus.Fields{
-		"scope":  question.Scope.String(),
-		"routes": len(answer.Routes),
+		"scope":  request.Scope.String(),
+		"routes": len(forecast.Routes),
 	}).Info("forecast answered")
 }
--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -10,26 +10,26 @@
 	"ferryspar/internal/routing"
 )
 
-// endpointTable is the list of replicas in use and where it is from. It belongs to the goroutine of FleetState.Run, but for
-// ids.
+// endpointTable holds the replicas in use and their source. Only the goroutine of FleetState.Run uses it, except for ids.
 type endpointTable struct {
-	// regions are the regions of the zones.
+	// regions maps zones to their regions.
 	regions map[string]string
 	clock   func() time.Time
 
-	// source is the address of the control-plane node that the list is from, empty before the first.
+	// source is the address of the control-plane node that sent the endpoints, or empty if there are none yet.
 	source string
 	// fetchedAt is the controlPeer.fetchedAt of the endpoints in use.
 	fetchedAt time.Time
 	listed    []discovery.Replica
 	replicas  []*routing.Replica
-	// ids are those of the replicas listed, in their order.
+	// ids are the ids of listed, in the same order. Any goroutine may load them.
 	ids atomic.Pointer[peer.ReplicaIDs]
 }
 
-// use makes a node's endpoints those in use, and reports whether the snapshot changes by it; changed says whether the node's own
-// endpoints have changed. Another node's older endpoints are not used until the present ones are too old themselves.
-func (t *endpointTable) use(address string, control *controlPeer, changed bool) bool {
+// adopt puts a node's endpoints in use and reports whether the snapshot changes; changed says whether the node's endpoints have
+// changed since the last call. Older endpoints of a node other than the source are not adopted until those in use are older than
+// controlPeerTimeout.
+func (t *endpointTable) adopt(address string, control *controlPeer, changed bool) bool {
 	if !control.complete {
 		return false
 	}
@@ -48,7 +48,7 @@
 	return changed
 }
 
-// rebuild makes the list of replicas from a node's endpoints.
+// rebuild rebuilds the list of replicas from a node's endpoints.
 func (t *endpointTable) rebuild(control *controlPeer) {
 	t.listed = control.listReplicas()
 	now := t.clock()
@@ -63,7 +63,7 @@
 	t.ids.Store(&known)
 }
 
-// resetOnRestart forgets a node's endpoints if they are from another incarnation.
+// resetOnRestart drops a node's endpoints if another incarnation sent them.
 func (p *controlPeer) resetOnRestart(incarnation string) {
 	if p.incarnation != incarnation || p.endpointSets == nil {
 		p.incarnation = incarnation
@@ -72,7 +72,7 @@
 	}
 }
 
-// retainOnly forgets the endpoint sets that are no longer followed.
+// retainOnly drops the endpoint sets that are not among names.
 func (p *controlPeer) retainOnly(names []peer.EndpointKey) {
 	followed := make(map[peer.EndpointKey]bool, len(names))
 	for _, name := range names {
@@ -85,7 +85,7 @@
 	}
 }
 
-// merge adopts endpoint sets that are not older than those known, and reports whether there were any.
+// merge stores the endpoint sets that are not older than the known ones, and reports whether there were any.
 func (p *controlPeer) merge(sets []peer.EndpointSet) bool {
 	merged := false
 	for _, set := range sets {
@@ -98,8 +98,8 @@
 	return merged
 }
 
-// listReplicas joins the endpoint sets into one entry a replica, in order of ids. Where sets differ about a replica itself,
-// the newest counts.
+// listReplicas merges the endpoint sets into one entry per replica, ordered by id. If sets disagree about a replica, the newest
+// set takes precedence.
 func (p *controlPeer) listReplicas() []discovery.Replica {
 	byID := map[string]discovery.Replica{}
 	versions := map[string]uint64{}
@@ -134,7 +134,7 @@
 	return listed
 }
 
-// replicaFromEndpoint is an endpoint as an entry of the list, without models.
+// replicaFromEndpoint converts an endpoint to a list entry without models.
 func replicaFromEndpoint(backend string, endpoint peer.Endpoint) discovery.Replica {
 	state := discovery.Ready
 	if endpoint.Draining {
--- a/internal/dataplane/fleetstate.go
+++ b/internal/dataplane/fleetstate.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	// checkInterval is how often the state looks at what time alone changes: the choice of a primary, the end of a drill.
+	// checkInterval is how often time-dependent state is checked: the choice of the primary and the end of a drill.
 	checkInterval = 100 * time.Millisecond
-	// maxSecondaryHold is how long a poll of a node other than the primary may be held.
+	// maxSecondaryHold is the maximum time that a secondary may hold a poll.
 	maxSecondaryHold = 2 * time.Second
-	// pendingResults is how many results of calls may wait for the goroutine of Run.
-	pendingResults = 4
+	// resultBufferSize is how many results of calls may be queued for the goroutine of Run.
+	resultBufferSize = 4
 )
 
-// FleetState is what this data plane knows of the fleet: the configuration, evacuated zones, replicas and the load of
-// other data planes. Run merges what the control plane says and swaps in a new routing.Snapshot for the path of requests,
-// which therefore never waits for a lock of the state.
+// FleetState is this data plane's view of the fleet: the configuration, evacuated zones, replicas and the load of other data
+// planes. Run merges the responses of the control plane and publishes a new routing.Snapshot, so that the request path never
+// waits for a lock of the state.
 type FleetState struct {
 	settings nodesettings.Settings
 	clock    func() time.Time
 	snapshot *atomic.Pointer[routing.Snapshot]
 	onChange func()
 	repoll   func(address string)
-	// requestLog, if set before Run, has configurations and fleets written to it.
+	// requestLog, if set before Run, records configurations and fleets.
 	requestLog *requestlog.Writer
 
-	// The parts below may be used by any goroutine; each says by which lock or atomics.
+	// The fields below are safe for concurrent use as documented on their types.
 	position     watchPosition
 	freshness    *freshness
 	interest     *modelInterest
@@ -45,33 +45,32 @@
 	contextRules contextRules
 	drills       drillFollower
 
-	// The parts below belong to the goroutine of Run, without a lock; other goroutines hand it results by channels.
+	// Only the goroutine of Run uses the fields below; other goroutines send it results over channels.
 	adopted       adoptedState
 	configuration configuration.Follower
 	controlPeers  controlPeers
 	subscriptions subscriptions
 	endpoints     endpointTable
-	others        othersLoad
-	// calls are the goroutines that Run has started.
+	peerLoads     peerLoads
+	// calls counts the goroutines that Run has started.
 	calls sync.WaitGroup
 }
 
-// adoptedState is the configuration and the evacuations in use here. It belongs to the goroutine of FleetState.Run.
+// adoptedState holds the configuration and the state of zones in use. Only the goroutine of FleetState.Run uses it.
 type adoptedState struct {
 	table *configuration.Table
 	zones map[string]peer.ZoneState
 }
 
-// FleetStateOptions are what a FleetState works with. Settings, Clock and Snapshot are needed; a nil function or part is
-// left out.
+// FleetStateOptions are the options of a FleetState. Settings, Clock and Snapshot are required.
 type FleetStateOptions struct {
 	Settings nodesettings.Settings
 	Clock    func() time.Time
-	// Snapshot is replaced as a whole whenever something changes.
+	// Snapshot receives a new snapshot whenever the state changes.
 	Snapshot *atomic.Pointer[routing.Snapshot]
-	// OnChange is called after each swap of Snapshot.
+	// OnChange is called after a new snapshot was stored.
 	OnChange func()
-	// UpdateLedger has the change made by the goroutine that owns the prefix ledger, now or later.
+	// UpdateLedger runs the change on the goroutine that owns the prefix ledger, possibly after it returns.
 	UpdateLedger func(change func(*routing.PrefixLedger))
 	// AnswerForecast sends a forecast to the control-plane node that asked for it.
 	AnswerForecast func(ctx context.Context, address string, question drill.ForecastRequest)
@@ -80,7 +79,7 @@
 	Quotas *Quotas
 }
 
-// NewFleetState returns a state that knows nothing yet, and stores an empty snapshot.
+// NewFleetState returns an empty state and stores an empty snapshot.
 func NewFleetState(options FleetStateOptions) *FleetState {
 	state := &FleetState{
 		settings:     options.Settings,
@@ -98,9 +97,9 @@
 			zone:      options.Settings.Zone,
 			byAddress: map[string]*controlPeer{},
 		},
-		subscriptions: subscriptions{results: make(chan subscribeResult, pendingResults)},
+		subscriptions: subscriptions{results: make(chan subscribeResult, resultBufferSize)},
 		endpoints:     endpointTable{regions: options.Settings.Zones, clock: options.Clock},
-		others:        othersLoad{reports: make(chan reportedLoad, pendingResults)},
+		peerLoads:     peerLoads{reports: make(chan reportedLoad, resultBufferSize)},
 	}
 	state.position.init()
 	options.Snapshot.Store(&routing.Snapshot{})
@@ -110,26 +109,26 @@
 // Ready reports whether a configuration has been adopted. Any goroutine may call it.
 func (s *FleetState) Ready() bool { return s.snapshot.Load().Table != nil }
 
-// Primary is the address of the control-plane node that endpoints are followed at, or empty. Any goroutine may call it.
+// Primary returns the address of the primary, the control-plane node from which endpoints are received, or "". Any goroutine may
+// call it.
 func (s *FleetState) Primary() string { return *s.position.primary.Load() }
 
-// TrustsContext reports whether the prefixes that replicas are taken to have cached may still be used. Any goroutine may
-// call it.
+// TrustsContext reports whether the prefix ledger may be used for routing. Any goroutine may call it.
 func (s *FleetState) TrustsContext(now time.Time) bool { return s.contextRules.trusted(now) }
 
-// Drain has polls say from now on that this node is shutting down. Any goroutine may call it.
+// Drain makes subsequent polls announce that this node is shutting down. Any goroutine may call it.
 func (s *FleetState) Drain() { s.position.draining.Store(true) }
 
-// adoptFleetLoad hands the load of the other data planes, the answer to a report that was sent at a moment, to Run, or gives
-// up when the context ends.
+// adoptFleetLoad passes the load of the other data planes to Run, or returns when the context ends. sentAt is when the report was
+// sent that the load responds to.
 func (s *FleetState) adoptFleetLoad(ctx context.Context, load peer.FleetLoad, sentAt time.Time) {
 	select {
-	case s.others.reports <- reportedLoad{load: load, sentAt: sentAt}:
+	case s.peerLoads.reports <- reportedLoad{load: load, sentAt: sentAt}:
 	case <-ctx.Done():
 	}
 }
 
-// endpointIDs returns the replicas that are known here, ordered by id. Any goroutine may call it.
+// endpointIDs returns the ids of the replicas in use, sorted. Any goroutine may call it.
 func (s *FleetState) endpointIDs() peer.ReplicaIDs {
 	if known := s.endpoints.ids.Load(); known != nil {
 		return *known
@@ -137,7 +136,7 @@
 	return peer.ReplicaIDs{}
 }
 
-// Run merges results until the context ends, and returns once the calls that it has started are over.
+// Run merges results until the context ends, and returns after the calls that it has started have ended.
 func (s *FleetState) Run(ctx context.Context, watcher *Watcher, peers *peer.Client) {
 	defer s.calls.Wait()
 	ticker := time.NewTicker(checkInterval)
@@ -157,11 +156,11 @@
 			if s.handleSubscribeResult(&result) {
 				s.publish()
 			}
-			if s.completeFrom(result.address) {
+			if s.subscriptionComplete(result.address) {
 				s.subscribe(ctx, peers)
 			}
-		case reported := <-s.others.reports:
-			s.others.adoptReport(reported, s.clock())
+		case reported := <-s.peerLoads.reports:
+			s.peerLoads.adoptReport(reported, s.clock())
 			s.publish()
 		case <-ticker.C:
 			s.choosePrimary()
@@ -171,7 +170,7 @@
 	}
 }
 
-// completePoll adopts a result, publishes what it changed and lets the next poll begin, which then acknowledges it.
+// completePoll adopts a result, publishes any change and lets the next poll start, which acknowledges the result.
 func (s *FleetState) completePoll(ctx context.Context, result *watchResult) {
 	if s.handleWatchResult(ctx, result) {
 		s.publish()
@@ -180,17 +179,17 @@
 		s.freshness.observe(&result.response, result.sentAt, s.position.revision.Load(), result.fresh())
 	}
 	rejected := result.err == nil && result.fresh() && s.isConfigurationRejected(&result.response)
-	result.markHandled(resultUse{configurationRejected: rejected})
+	result.markHandled(resultDisposition{configurationRejected: rejected})
 }
 
-// isConfigurationRejected reports whether a response that was handled has a configuration that could not be adopted.
+// isConfigurationRejected reports whether a response that was handled had a configuration that could not be adopted.
 func (s *FleetState) isConfigurationRejected(response *peer.WatchResponse) bool {
-	return response.HasConfiguration() && s.acceptable(response) && response.Revision > s.position.revision.Load()
+	return response.HasConfiguration() && s.mayAdopt(response) && response.Revision > s.position.revision.Load()
 }
 
-// handleWatchResult adopts a result and reports whether the snapshot changes by it.
+// handleWatchResult adopts a result and reports whether the snapshot changes.
 func (s *FleetState) handleWatchResult(ctx context.Context, result *watchResult) bool {
-	control := s.controlPeers.at(result.address)
+	control := s.controlPeers.getOrCreate(result.address)
 	if result.err != nil {
 		control.fresh = false
 		s.choosePrimary()
@@ -199,7 +198,7 @@
 	response, fresh := &result.response, result.fresh()
 	control.update(result)
 	changed := false
-	if fresh && s.acceptable(response) {
+	if fresh && s.mayAdopt(response) {
 		changed = s.adopt(response)
 		s.contextRules.confirm(result.receivedAt)
 		changed = s.drills.handle(ctx, &s.calls, result, s.evacuating()) || changed
@@ -212,15 +211,15 @@
 	return s.handleEndpointSets(control, result) || changed
 }
 
-// acceptable reports whether a response may bring the first configuration of this incarnation: only if contact with a
-// majority was proven after this data plane polled, or a configuration from before its start could be older than the one
-// it served then. Later ones only ever rise.
-func (s *FleetState) acceptable(response *peer.WatchResponse) bool {
+// mayAdopt reports whether the state in a response may be adopted. Before this incarnation has a configuration, the response must
+// be linearizable, that is, confirmed by a majority after the poll was sent; otherwise its configuration could be older than the
+// one that the previous incarnation used. Later responses are safe because revisions only increase.
+func (s *FleetState) mayAdopt(response *peer.WatchResponse) bool {
 	return response.Linearizable || s.position.revision.Load() > 0
 }
 
-// adopt adopts what is newer in a response and reports whether the snapshot changes by it. Where its configuration can't be
-// decoded, zones are evacuated and context is forgotten all the same.
+// adopt adopts the newer parts of a response and reports whether the snapshot changes. Zone state and context rules are adopted
+// even if the configuration cannot be decoded.
 func (s *FleetState) adopt(response *peer.WatchResponse) bool {
 	changed, err := s.adoptConfiguration(response)
 	if err != nil {
@@ -260,14 +259,14 @@
 	return false
 }
 
-// checkDrill ends a drill whose time is up or whose control plane is out of touch, without any response.
+// checkDrill ends a drill that has expired or whose control plane is out of contact, independently of responses.
 func (s *FleetState) checkDrill() {
 	if s.drills.check(s.clock(), s.evacuating()) {
 		s.publish()
 	}
 }
 
-// publish swaps in a snapshot of what is known now.
+// publish stores a new snapshot of the current state.
 func (s *FleetState) publish() {
 	snapshot := &routing.Snapshot{
 		Table:        s.adopted.table,
@@ -275,9 +274,9 @@
 		DataPlanes:   s.controlPeers.dataPlaneCount(s.clock()),
 		ListedAt:     s.endpoints.fetchedAt,
 		Replicas:     s.endpoints.replicas,
-		PeerLoads:    s.others.latest.Replicas,
-		PeerLoadsAt:  s.others.receivedAt,
-		PeerOutcomes: s.others.latest.Total,
+		PeerLoads:    s.peerLoads.latest.Replicas,
+		PeerLoadsAt:  s.peerLoads.receivedAt,
+		PeerOutcomes: s.peerLoads.latest.Total,
 		Drill:        s.drills.current,
 	}
 	for zone, state := range s.adopted.zones {
@@ -290,7 +289,7 @@
 	}
 }
 
-// fillWatchRequest writes a poll of the address; it implements pollState. Any goroutine may call it.
+// fillWatchRequest implements pollState. Any goroutine may call it.
 func (s *FleetState) fillWatchRequest(request *peer.WatchRequest, address string) {
 	request.DataPlane, request.Zone = s.settings.NodeName, s.settings.Zone
 	s.position.fill(request, address)
--- a/internal/dataplane/fleetstate_bench_test.go
+++ b/internal/dataplane/fleetstate_bench_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	benchSource     = "10.0.0.1:7000"
-	subscribedSets  = 20
-	endpointsPerSet = 3
+	benchControlPlane = "10.0.0.1:7000"
+	subscribedSets    = 20
+	endpointsPerSet   = 3
 )
 
 func newBenchState(b *testing.B) (*FleetState, *atomic.Pointer[routing.Snapshot]) {
@@ -48,10 +48,10 @@
 	return sets
 }
 
-// benchResponse is a confirmed response to a poll that tells nothing new.
+// benchResponse returns a confirmed response to a poll without news.
 func benchResponse(dataPlanes int) peer.WatchResponse {
 	return peer.WatchResponse{
-		Member:         benchSource,
+		Member:         benchControlPlane,
 		Zone:           "north",
 		Incarnation:    "1",
 		Linearizable:   true,
@@ -61,10 +61,10 @@
 	}
 }
 
-// useBenchResponse is what a response costs the state.
-func useBenchResponse(b *testing.B, state *FleetState, response peer.WatchResponse) {
+// handleBenchResponse handles a response and publishes any change, as Run does.
+func handleBenchResponse(b *testing.B, state *FleetState, response peer.WatchResponse) {
 	now := time.Now()
-	result := &watchResult{address: benchSource, sentAt: now, receivedAt: time.Now(), response: response}
+	result := &watchResult{address: benchControlPlane, sentAt: now, receivedAt: time.Now(), response: response}
 	if state.handleWatchResult(b.Context(), result) {
 		state.publish()
 	}
@@ -72,13 +72,13 @@
 
 func subscribeBench(b *testing.B, state *FleetState, sets []peer.EndpointSet) {
 	state.handleWatchResult(b.Context(), &watchResult{
-		address:    benchSource,
+		address:    benchControlPlane,
 		sentAt:     time.Now(),
 		receivedAt: time.Now(),
 		response:   benchResponse(80),
 	})
 	state.handleSubscribeResult(&subscribeResult{
-		address:    benchSource,
+		address:    benchControlPlane,
 		request:    peer.SubscribeRequest{Sequence: 1, Reset: true},
 		response:   peer.SubscribeResponse{Incarnation: "1", FreshMs: 1000, EndpointSets: sets},
 		sentAt:     time.Now(),
@@ -92,7 +92,7 @@
 	turn := uint64(1)
 	for b.Loop() {
 		turn++
-		useBenchResponse(b, state, response(turn))
+		handleBenchResponse(b, state, response(turn))
 	}
 	assert.Assert(b, snapshot.Load() != nil)
 }
@@ -108,7 +108,7 @@
 				changed[0].Version = turn
 				response := benchResponse(80)
 				response.RosterVersion, response.EndpointSets = turn, changed
-				useBenchResponse(b, state, response)
+				handleBenchResponse(b, state, response)
 			}
 			assert.Equal(b, len(snapshot.Load().Replicas), sets*endpoints)
 		}
--- a/internal/dataplane/fleetstate_test.go
+++ b/internal/dataplane/fleetstate_test.go
@@ -12,7 +12,7 @@
 func TestFleetState_IgnoresEndpointsBeforeFullSubscription(t *testing.T) {
 	harness := newZonedHarness(t)
 	harness.respondWithEndpoints("near", "north", 7, endpointSetOf("old", 7, false, "i-1"))
-	assert.Equal(t, len(harness.replicasByModel()), 0, "nothing is used before it is followed whole")
+	assert.Equal(t, len(harness.replicasByModel()), 0, "endpoints are not used before the subscription is complete")
 	harness.subscribed("near", endpointSetOf("fresh", 8, false, "i-2"))
 	assert.DeepEqual(t, harness.replicasByModel(), map[string][]string{"fresh": {"i-2"}})
 }
@@ -60,7 +60,7 @@
 	assert.Equal(t, harness.state.Primary(), "near")
 	harness.advance(behindTolerance + time.Millisecond)
 	harness.state.choosePrimary()
-	assert.Equal(t, harness.state.Primary(), "far", "the near one stays behind")
+	assert.Equal(t, harness.state.Primary(), "far", "the near one has been behind for too long")
 }
 
 func TestFleetState_KeepsDataPlaneCountWhileMembersAreNew(t *testing.T) {
@@ -69,15 +69,15 @@
 		harness.respond(address, peer.WatchResponse{Incarnation: address, Linearizable: true, FreshMs: 1000, DataPlaneCount: dataPlanes})
 	}
 	dataPlaneCount := func() int { return harness.state.controlPeers.dataPlaneCount(harness.now) }
-	assert.Equal(t, dataPlaneCount(), assumedDataPlaneCount, "nobody told it")
+	assert.Equal(t, dataPlaneCount(), assumedDataPlaneCount, "no number has been reported")
 	respond("near", 80)
 	respond("far", 79)
 	assert.Equal(t, dataPlaneCount(), 80)
 	respond("near", 0)
 	respond("far", 0)
-	assert.Equal(t, dataPlaneCount(), 80, "all members are new")
+	assert.Equal(t, dataPlaneCount(), 80, "all members have just started")
 	respond("near", 3)
-	assert.Equal(t, dataPlaneCount(), 80, "they have not heard of all yet")
+	assert.Equal(t, dataPlaneCount(), 80, "the members have not heard from all data planes yet")
 	harness.advance(countRetention + time.Second)
 	respond("near", 60)
 	assert.Equal(t, dataPlaneCount(), 60)
--- a/internal/dataplane/freshness.go
+++ b/internal/dataplane/freshness.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	// driftDivisor: clocks differ by less than a fiftieth.
-	driftDivisor = 50
-	// proofDelaySlack is how much longer than planned a response may be on its way in calm times.
-	proofDelaySlack = 200 * time.Millisecond
-	// proofsPerKeyWindow is how many polls fit into the key window, so that one that is lost does no harm.
-	proofsPerKeyWindow = 4
+	// clockDriftDivisor bounds clock drift: rates of clocks differ by less than 1/50.
+	clockDriftDivisor = 50
+	// confirmationDelaySlack is the additional delay of a confirmed response that is tolerated under normal conditions.
+	confirmationDelaySlack = 200 * time.Millisecond
+	// pollsPerKeyWindow is the minimum number of polls per key window, so that a lost response does not make keys invalid.
+	pollsPerKeyWindow = 4
 )
 
-// freshness is what confirmed responses prove of the age of the configuration in use. The goroutine of FleetState.Run
-// observes responses, any goroutine may ask: the fields that change are atomics. Only the monotonic clock is used.
+// freshness tracks until when the configuration in use is known to be the latest. The goroutine of FleetState.Run observes
+// responses; any goroutine may call the other methods, since all fields that change are atomic. Times are monotonic.
 type freshness struct {
-	// provenAt is when a majority confirmed, at the latest, that no configuration newer than the one in use is in force.
-	provenAt atomic.Pointer[time.Time]
-	// adopted is the revision in use, and newestKnown the newest that any control-plane node with confirmed state has reported.
+	// confirmedAt is the last time when a majority confirmed that no newer configuration than the one in use was in force.
+	confirmedAt atomic.Pointer[time.Time]
+	// adopted is the revision in use. newestKnown is the highest revision in any confirmed response.
 	adopted     atomic.Int64
 	newestKnown atomic.Int64
 
-	// rejectionWindow is how long after a proof what is unknown here may be rejected for good.
+	// rejectionWindow is how long after a confirmation requests may be rejected for naming something unknown to this node.
 	rejectionWindow time.Duration
-	// keyWindow is how long after a proof keys are valid; 0 where they are valid however old they are.
+	// keyWindow is how long after a confirmation API keys are valid; 0 if keys stay valid without confirmations.
 	keyWindow time.Duration
 }
 
 func newFreshness(settings nodesettings.Settings) *freshness {
 	bounds := settings.TimingBounds
-	calm := nodesettings.Milliseconds(settings.HeartbeatMs) + peer.ConfirmationLease + proofDelaySlack
-	fresh := &freshness{rejectionWindow: max(nodesettings.Milliseconds(bounds.ConfigApplyMs), calm)}
+	normalInterval := nodesettings.Milliseconds(settings.HeartbeatMs) + peer.ConfirmationLease + confirmationDelaySlack
+	fresh := &freshness{rejectionWindow: max(nodesettings.Milliseconds(bounds.ConfigApplyMs), normalInterval)}
 	if bounds.RevocationClosed {
 		revoke := nodesettings.Milliseconds(bounds.RevokeMs)
-		fresh.keyWindow = max(revoke-revoke/driftDivisor, time.Millisecond)
+		fresh.keyWindow = max(revoke-revoke/clockDriftDivisor, time.Millisecond)
 	}
 	return fresh
 }
 
-// observe takes in the response to a poll sent at that time, once the configuration of the adopted revision is in use;
-// confirmed says whether the response still counts as confirmed by a majority.
+// observe records the response to a poll sent at sentAt, after the configuration of revision adopted was put in use. confirmed
+// says whether the response still counted as confirmed by a majority when it was received.
 func (f *freshness) observe(response *peer.WatchResponse, sentAt time.Time, adopted int64, confirmed bool) {
 	f.adopted.Store(adopted)
 	if confirmed && response.Revision > f.newestKnown.Load() {
@@ -54,32 +54,33 @@
 	if adopted == 0 || adopted < response.Revision || confirmedAt.IsZero() {
 		return
 	}
-	if proven := f.provenAt.Load(); proven == nil || confirmedAt.After(*proven) {
-		f.provenAt.Store(&confirmedAt)
+	if last := f.confirmedAt.Load(); last == nil || confirmedAt.After(*last) {
+		f.confirmedAt.Store(&confirmedAt)
 	}
 }
 
-func (f *freshness) provenWithin(window time.Duration, now time.Time) bool {
-	proven := f.provenAt.Load()
-	return proven != nil && now.Sub(*proven) < window
+func (f *freshness) confirmedWithin(window time.Duration, now time.Time) bool {
+	confirmedAt := f.confirmedAt.Load()
+	return confirmedAt != nil && now.Sub(*confirmedAt) < window
 }
 
-// Behind reports whether a newer configuration is known of that has not been adopted yet.
+// Behind reports whether a newer configuration is known to exist but has not been adopted yet.
 func (f *freshness) Behind() bool { return f.newestKnown.Load() > f.adopted.Load() }
 
-// Current reports whether a configuration newer than the one in use can't have been in force for long.
-func (f *freshness) Current(now time.Time) bool { return f.provenWithin(f.rejectionWindow, now) }
+// Current reports whether a majority confirmed within the rejection window that the configuration in use is the latest.
+func (f *freshness) Current(now time.Time) bool { return f.confirmedWithin(f.rejectionWindow, now) }
 
-// KeysValid reports whether the keys in use may be served: always where the settings let nodes out of touch serve them, else
-// while they are proven to be new.
+// KeysValid reports whether requests with the API keys in use may be served: always if the settings allow it without contact to
+// the control plane, otherwise within the key window.
 func (f *freshness) KeysValid(now time.Time) bool {
-	return f.keyWindow == 0 || f.provenWithin(f.keyWindow, now)
+	return f.keyWindow == 0 || f.confirmedWithin(f.keyWindow, now)
 }
 
-// limitHold limits how many milliseconds a poll may be held, so that proofs come often enough for keys to be valid.
+// limitHold limits the time in milliseconds for which a poll may be held, so that confirmations arrive often enough to keep keys
+// valid.
 func (f *freshness) limitHold(planned int64) int64 {
 	if f.keyWindow == 0 {
 		return planned
 	}
-	return max(min(planned, (f.keyWindow/proofsPerKeyWindow).Milliseconds()), 1)
+	return max(min(planned, (f.keyWindow/pollsPerKeyWindow).Milliseconds()), 1)
 }
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/routing"
 )
 
-// stateHarness is a FleetState with a clock of its own, and the control plane that it watches.
+// stateHarness is a FleetState with a manual clock, to which tests deliver responses of a control plane.
 type stateHarness struct {
 	t        *testing.T
 	state    *FleetState
@@ -28,7 +28,7 @@
 	return harness
 }
 
-// newZonedHarness is a harness of a data plane in the zone north, beside the zone south.
+// newZonedHarness returns a harness for a data plane in the zone north; the other zone is south.
 func newZonedHarness(t *testing.T) *stateHarness {
 	return newStateHarness(t, nodesettings.Settings{
 		NodeName: "edge",
@@ -39,7 +39,7 @@
 
 func (h *stateHarness) advance(duration time.Duration) { h.now = h.now.Add(duration) }
 
-// respond hands the state a response of a control-plane node to a poll, and publishes what it changes.
+// respond delivers a control-plane node's response to a poll and publishes any change.
 func (h *stateHarness) respond(address string, response peer.WatchResponse) {
 	result := &watchResult{address: address, response: response, sentAt: h.now, receivedAt: h.now}
 	if h.state.handleWatchResult(h.t.Context(), result) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// respondWithEndpoints responds from a zone, with endpoint sets as of a version of the roster.
+// respondWithEndpoints delivers a response from a control-plane node in the zone, with endpoint sets as of a roster version.
 func (h *stateHarness) respondWithEndpoints(address, zone string, roster uint64, sets ...peer.EndpointSet) {
 	h.respond(address, peer.WatchResponse{
 		Incarnation:   "life-" + address,
@@ -60,7 +60,7 @@
 	})
 }
 
-// subscribed hands the state the response to a request for all endpoints.
+// subscribed delivers the response to a subscribe request for all endpoints.
 func (h *stateHarness) subscribed(address string, sets ...peer.EndpointSet) {
 	request := peer.SubscribeRequest{Sequence: 1, Reset: true}
 	for _, set := range sets {
@@ -78,7 +78,7 @@
 	}
 }
 
-// replicasByModel are the ids of the replicas in use by the models that they have loaded.
+// replicasByModel returns the ids of the replicas in use, by loaded model.
 func (h *stateHarness) replicasByModel() map[string][]string {
 	loaded := map[string][]string{}
 	for _, replica := range h.snapshot.Load().Replicas {
@@ -89,7 +89,7 @@
 	return loaded
 }
 
-// endpointSetOf is the endpoint set of a model at a version, with the replicas of those ids.
+// endpointSetOf returns the endpoint set of a model at a version, with replicas of the given ids.
 func endpointSetOf(model string, version uint64, draining bool, ids ...string) peer.EndpointSet {
 	set := peer.EndpointSet{EndpointKey: peer.EndpointKey{Backend: "s", Model: model}, Version: version}
 	for _, id := range ids {
--- a/internal/dataplane/interest.go
+++ b/internal/dataplane/interest.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// interestTimeout is how long a model is followed after the last request for it.
+	// interestTimeout is how long a model stays subscribed to after the last request for it.
 	interestTimeout = 40 * time.Second
-	// maxInterest is how many models are followed at most.
+	// maxInterest is the maximum number of models subscribed to.
 	maxInterest = 512
 )
 
-// modelInterest is which models requests have asked for lately, and so which endpoints to follow. Any goroutine may use it.
+// modelInterest tracks recently requested models, which determine the endpoints to subscribe to. It is safe for concurrent use.
 type modelInterest struct {
 	clock func() time.Time
 	// wake is signalled when a model is added.
 	wake chan struct{}
 
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock        sync.Mutex
 	requestedAt map[peer.EndpointKey]time.Time
-	// added are the models that have been requested since the last call of takeChanges or All.
+	// added holds the models added since the last call of takeChanges or all.
 	added []peer.EndpointKey
 }
 
-// newModelInterest returns an interest in no model.
+// newModelInterest returns an empty modelInterest.
 func newModelInterest(clock func() time.Time) *modelInterest {
 	return &modelInterest{
 		clock:       clock,
@@ -57,8 +57,8 @@
 	}
 }
 
-// takeChanges returns what to follow in addition since the last call, and what to drop; without anything to add, nothing
-// is dropped either.
+// takeChanges returns the models to subscribe to since the last call, and those to unsubscribe from. If there is nothing to add,
+// nothing is dropped either.
 func (i *modelInterest) takeChanges() (add, drop []peer.EndpointKey) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
@@ -69,7 +69,7 @@
 	return add, i.dropExpired()
 }
 
-// All returns everything to follow, in order of names.
+// all returns all models to subscribe to, ordered by name.
 func (i *modelInterest) all() []peer.EndpointKey {
 	i.lock.Lock()
 	defer i.lock.Unlock()
@@ -85,7 +85,8 @@
 	return names
 }
 
-// dropExpired drops models not requested lately and those beyond maxInterest, and returns them. The caller holds the lock.
+// dropExpired removes and returns the models not requested within interestTimeout, and the least recently requested ones beyond
+// maxInterest. The caller holds the lock.
 func (i *modelInterest) dropExpired() []peer.EndpointKey {
 	now := i.clock()
 	var dropped []peer.EndpointKey
@@ -103,7 +104,7 @@
 	return dropped
 }
 
-// leastRecentlyRequested returns that many of the models, those requested longest ago. The caller holds the lock.
+// leastRecentlyRequested returns the count least recently requested models. The caller holds the lock.
 func (i *modelInterest) leastRecentlyRequested(count int) []peer.EndpointKey {
 	if count == 0 {
 		return nil
--- a/internal/dataplane/interest_test.go
+++ b/internal/dataplane/interest_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestInterest_DropsLeastRecentlyRequested(t *testing.T) {
+func TestModelInterest_DropsLeastRecentlyRequested(t *testing.T) {
 	now := time.Unix(1000, 0)
 	interest := newModelInterest(func() time.Time { return now })
 	for index := range maxInterest + 3 {
--- a/internal/dataplane/loadreport.go
+++ b/internal/dataplane/loadreport.go
@@ -7,11 +7,11 @@
 	"ferryspar/internal/peer"
 )
 
-// loadReportInterval is how often the load is reported, beside the times when the matcher asks for it.
+// loadReportInterval is the interval of load reports, in addition to those requested by the matcher.
 const loadReportInterval = 300 * time.Millisecond
 
-// reportLoad reports the load to the primary control-plane node, and hands the response, the load of the other data
-// planes, to the state. An empty load is reported once.
+// reportLoad sends load reports to the primary until the context ends, and passes the responses, the load of the other data
+// planes, to the state. Of consecutive empty reports only the first is sent.
 func (n *Node) reportLoad(ctx context.Context) {
 	ticker := time.NewTicker(loadReportInterval)
 	defer ticker.Stop()
@@ -30,7 +30,7 @@
 		report := n.matcher.LoadReport(ctx)
 		report.DataPlane = n.settings.NodeName
 		endpoints := n.state.endpointIDs()
-		counts := n.usage.next()
+		counts := n.usage.nextBatch()
 		report.Usage = counts.Entries
 		empty := len(report.Models) == 0 && len(report.Replicas) == 0 && len(report.Usage) == 0
 		if empty && reportedEmpty && n.usage.knowsTimeOfDay() {
@@ -43,7 +43,7 @@
 		if n.peers.Call(ctx, peer.MethodReportLoad, primary, report, &reply) != nil {
 			continue
 		}
-		n.usage.adopt(counts, reply)
+		n.usage.handleReply(counts, reply)
 		if fleetLoad, known := reply.Unpacked(endpoints); known {
 			n.state.adoptFleetLoad(ctx, fleetLoad, sentAt)
 		}
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// The figures of a data plane. Nothing is computed between two reads; labels are bounded by the configuration and by the kinds of
-// errors and outcomes.
+// Metrics of a data plane. Values are computed only when they are collected. Label values are bounded by the configuration and by
+// the kinds of errors and outcomes.
 var (
 	requestsInFlight = prometheus.NewDesc("ferryspar_requests_in_flight", "Requests of clients being served.", nil, nil)
 	rejectionsTotal  = prometheus.NewDesc("ferryspar_rejections_total",
@@ -19,7 +19,7 @@
 	isReady               = prometheus.NewDesc("ferryspar_ready", "1 while the data plane takes new connections.", nil, nil)
 )
 
-// collector reads a node's figures. It implements prometheus.Collector.
+// collector collects a node's metrics. It implements prometheus.Collector.
 type collector struct{ node *Node }
 
 // Describe implements prometheus.Collector.
@@ -51,7 +51,7 @@
 	}
 }
 
-// metricsHandler serves the node's figures in the text format of Prometheus.
+// metricsHandler serves the node's metrics in the Prometheus text format.
 func (n *Node) metricsHandler() http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{n})
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -20,14 +20,14 @@
 	"ferryspar/internal/routing"
 )
 
-// Node is one data plane: the proxy for clients, the matcher, the state watched from the control plane, and the
-// forwarder to replicas.
+// Node is a data-plane node: the proxy for clients, the matcher, the state watched from the control plane, and the forwarder to
+// replicas.
 type Node struct {
 	settings nodesettings.Settings
-	// settingsPath is the settings file, read again at a hangup signal; empty if there is none.
+	// settingsPath is the settings file, which is reloaded on SIGHUP; empty if there is none.
 	settingsPath string
 	network      peer.Network
-	// snapshot is what the matcher and the proxy route by. FleetState replaces it as a whole.
+	// snapshot is the state by which the matcher and the proxy route. Only FleetState replaces it.
 	snapshot  atomic.Pointer[routing.Snapshot]
 	matcher   *routing.Matcher
 	state     *FleetState
@@ -36,17 +36,17 @@
 	peers     *peer.Client
 	forwarder *replica.Forwarder
 	quotas    *Quotas
-	// usage counts the requests of tenants, or is nil if the platform wants no counts.
+	// usage counts the requests of tenants; nil if the platform does not collect usage.
 	usage *usageCounter
 	// draining is set once a graceful shutdown has begun.
 	draining atomic.Bool
 }
 
-// replicaConnectTimeout is how long a connection to a replica may take to come up.
+// replicaConnectTimeout limits connection setup to a replica.
 const replicaConnectTimeout = 400 * time.Millisecond
 
-// New puts a data plane together; nothing runs or listens before Run. settingsPath is the settings file, or empty if
-// there is none.
+// New returns a data-plane node, which neither runs nor listens before Run. settingsPath is the settings file, or empty if there
+// is none.
 func New(settings nodesettings.Settings, settingsPath string, network peer.Network) *Node {
 	node := &Node{
 		settings:     settings,
@@ -87,8 +87,8 @@
 	return node
 }
 
-// incarnationStart is when this incarnation of the node began: now, or zero at the first start of the whole system,
-// before which there was none.
+// incarnationStart returns when this incarnation of the node started: now, or zero at the first start of the whole system, which
+// no earlier incarnation can have preceded.
 func incarnationStart(settings nodesettings.Settings) time.Time {
 	if settings.Bootstrap {
 		return time.Time{}
@@ -116,15 +116,15 @@
 	})
 }
 
-// SetRequestLog has requests, configurations and fleets written to the request log. Call it before Run.
+// SetRequestLog makes the node write requests, configurations and fleets to the request log. It must be called before Run.
 func (n *Node) SetRequestLog(writer *requestlog.Writer) {
 	n.state.requestLog = writer
 	n.proxy.RequestLog = writer
 }
 
-// Run listens and serves until the context ends, the stop signal comes, or a listener fails. Ending the context ends
-// at once; the stop signal lets requests in flight finish within the grace period. Every goroutine that Run started to
-// follow the control plane has ended when it returns.
+// Run listens and serves until the context ends, the stop signal is received, or a listener fails. If the context ends, Run stops
+// immediately; on the stop signal, requests in flight may finish within the grace period. Before Run returns, it waits for all
+// its goroutines that watch the control plane.
 func (n *Node) Run(parent context.Context, signals nodesettings.Signals) error {
 	peerListener, err := n.listenForPeers()
 	if err != nil {
@@ -170,9 +170,9 @@
 	}).Info("data plane listening")
 }
 
-// startWorkers starts the matcher and everything that follows the control plane. The function returned ends them and
-// waits: first those that hand work to the matcher, then the matcher, so that none of them is left waiting for it. For the
-// same reason the matcher's context does not end with the parent's.
+// startWorkers starts the matcher and the goroutines that watch the control plane. The returned function stops them and waits
+// for them: first those that send work to the matcher, then the matcher, so that none of them blocks on it forever. For the same
+// reason the matcher's context does not end with the parent's.
 func (n *Node) startWorkers(parent context.Context, signals nodesettings.Signals) (stop func()) {
 	matcherContext, stopMatcher := context.WithCancel(context.WithoutCancel(parent))
 	var matcher sync.WaitGroup
@@ -199,30 +199,30 @@
 }
 
 const (
-	// drainNotice is how long load balancers are given to route clients elsewhere before the server closes.
+	// drainNotice is how long the server stays open after readiness turns off, so that load balancers can redirect clients.
 	drainNotice = 2300 * time.Millisecond
-	// closeReserve is the part of the grace period kept for closing.
+	// closeReserve is the part of the grace period reserved for closing connections.
 	closeReserve = 300 * time.Millisecond
 )
 
-// shutDown becomes unready, waits for load balancers to notice, and lets requests in flight end within the grace period.
+// shutDown turns readiness off, waits for load balancers to notice, and lets requests in flight finish within the grace period.
 func (n *Node) shutDown(server *http.Server) {
-	logrus.Info("shutting down: not ready from now on")
+	logrus.Info("shutting down, reporting not ready")
 	n.drain()
 	startedAt := time.Now()
 	grace := nodesettings.Seconds(n.settings.TimingBounds.GraceS) - closeReserve
 	time.Sleep(min(drainNotice, grace/2))
-	awaitProcessorTime(time.Now, time.Sleep, startedAt.Add(grace/2))
+	awaitCPUTime(time.Now, time.Sleep, startedAt.Add(grace/2))
 	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(grace))
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		logrus.WithError(err).WithField("in_flight", n.proxy.InFlight()).Warn("grace period over with requests in flight")
+		logrus.WithError(err).WithField("in_flight", n.proxy.InFlight()).Warn("grace period expired with requests in flight")
 		server.Close()
 	}
 	logrus.WithField("duration_ms", time.Since(startedAt).Milliseconds()).Info("shutdown complete")
 }
 
-// drain has every part of the node begin its graceful shutdown.
+// drain starts the graceful shutdown of every part of the node.
 func (n *Node) drain() {
 	n.draining.Store(true)
 	n.proxy.Drain()
--- a/internal/dataplane/node_test.go
+++ b/internal/dataplane/node_test.go
@@ -16,7 +16,7 @@
 	"ferryspar/internal/peer"
 )
 
-// loopbackNetwork listens on free ports of the loopback interface, whatever the address, and keeps which.
+// loopbackNetwork listens on a free loopback port for any address, and records the actual addresses.
 type loopbackNetwork struct {
 	peer.HostNetwork
 	lock      sync.Mutex
@@ -34,14 +34,14 @@
 	return listener, nil
 }
 
-// addressOf is where the network listens for an address, empty before it does.
+// addressOf returns the actual address of the listener for an address, or "" if there is none yet.
 func (l *loopbackNetwork) addressOf(address string) string {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.addresses[address]
 }
 
-// workersRunning reports which functions that follow the control plane still run in this process.
+// workersRunning returns the worker functions that are running in this process, found by their stack traces.
 func workersRunning() []string {
 	stacks := make([]byte, 1<<20)
 	stacks = stacks[:runtime.Stack(stacks, true)]
@@ -54,7 +54,7 @@
 	return running
 }
 
-func TestNode_RunEndsItsWorkersWithItsContext(t *testing.T) {
+func TestNode_RunStopsWorkersWhenContextEnds(t *testing.T) {
 	settings, err := nodesettings.Parse(nil)
 	assert.NilError(t, err)
 	settings.NodeName, settings.Zone = "edge", "north"
--- a/internal/dataplane/othersload.go
+++ b/internal/dataplane/othersload.go
@@ -7,36 +7,37 @@
 	"ferryspar/internal/peer"
 )
 
-// othersLoad is the summed load of the other data planes. It belongs to the goroutine of FleetState.Run, but for reports.
-type othersLoad struct {
-	// reports are those on their way to Run.
+// peerLoads is the aggregated load of the other data planes. Only the goroutine of FleetState.Run uses it, except for reports.
+type peerLoads struct {
+	// reports are the responses to load reports, on their way to Run.
 	reports chan reportedLoad
-	// latest is replaced as a whole, since snapshots share its map.
+	// latest.Replicas is never modified in place, since snapshots share the map.
 	latest     peer.FleetLoad
 	receivedAt time.Time
-	// bySubscription holds the loads that came with endpoints, until a report that was sent later has been answered.
+	// bySubscription holds the loads received with endpoints, until the response to a load report that was sent later arrives.
 	bySubscription map[string]subscribedLoad
 }
 
-// reportedLoad answers a load report that was sent at a moment.
+// reportedLoad is the response to a load report sent at sentAt.
 type reportedLoad struct {
 	load   peer.FleetLoad
 	sentAt time.Time
 }
 
-// subscribedLoad is the load on a replica that came with a subscription's endpoints.
+// subscribedLoad is the load of a replica that was received with a subscription's endpoints.
 type subscribedLoad struct {
 	load       peer.ReplicaLoad
 	receivedAt time.Time
 }
 
-// adoptReport adopts the answer to a load report. Replicas that were subscribed to after the report was sent are not in
-// it: they keep the load that came with them, or every data plane would take a busy replica that is new to it for idle.
-func (o *othersLoad) adoptReport(reported reportedLoad, now time.Time) {
+// adoptReport adopts the response to a load report. The response does not include replicas that were subscribed to after the
+// report was sent: they keep the load received with the subscription, or every data plane would consider a busy replica idle
+// when it first learns of it.
+func (p *peerLoads) adoptReport(reported reportedLoad, now time.Time) {
 	load := reported.load
-	for id, subscribed := range o.bySubscription {
+	for id, subscribed := range p.bySubscription {
 		if subscribed.receivedAt.Before(reported.sentAt) {
-			delete(o.bySubscription, id)
+			delete(p.bySubscription, id)
 			continue
 		}
 		if _, known := load.Replicas[id]; !known {
@@ -46,27 +47,27 @@
 			load.Replicas[id] = subscribed.load
 		}
 	}
-	o.latest, o.receivedAt = load, now
+	p.latest, p.receivedAt = load, now
 }
 
-// adoptSubscribed adopts the loads that came with endpoints.
-func (o *othersLoad) adoptSubscribed(loads map[string]peer.ReplicaLoad, now time.Time) {
+// adoptSubscribed adopts the loads received with endpoints.
+func (p *peerLoads) adoptSubscribed(loads map[string]peer.ReplicaLoad, now time.Time) {
 	if len(loads) == 0 {
 		return
 	}
-	replicas := maps.Clone(o.latest.Replicas)
+	replicas := maps.Clone(p.latest.Replicas)
 	if replicas == nil {
 		replicas = map[string]peer.ReplicaLoad{}
 	}
-	if o.bySubscription == nil {
-		o.bySubscription = map[string]subscribedLoad{}
+	if p.bySubscription == nil {
+		p.bySubscription = map[string]subscribedLoad{}
 	}
 	for id, load := range loads {
 		replicas[id] = load
-		o.bySubscription[id] = subscribedLoad{load: load, receivedAt: now}
+		p.bySubscription[id] = subscribedLoad{load: load, receivedAt: now}
 	}
-	o.latest.Replicas = replicas
-	if o.receivedAt.IsZero() {
-		o.receivedAt = now
+	p.latest.Replicas = replicas
+	if p.receivedAt.IsZero() {
+		p.receivedAt = now
 	}
 }
--- a/internal/dataplane/pinned_test.go
+++ b/internal/dataplane/pinned_test.go
@@ -14,7 +14,7 @@
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{"limits of tenants": new(quotaStatus)})
 }
 
-// pathsOf lists what a handler is routed for.
+// pathsOf returns the methods and paths that a handler serves.
 func pathsOf(t *testing.T, handler http.Handler) []string {
 	t.Helper()
 	var paths []string
--- a/internal/dataplane/processortime.go
+++ b/internal/dataplane/processortime.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// testPause is a pause that ends in time, within maxLateness, while the process gets processor time.
-	testPause   = 20 * time.Millisecond
+	// probePause is a sleep that ends at most maxLateness late if the process gets CPU time.
+	probePause  = 20 * time.Millisecond
 	maxLateness = 20 * time.Millisecond
 )
 
-// awaitProcessorTime waits until the process gets processor time, or until the deadline. A process that got none for a while has
-// timers and sockets to serve at once, and a kept connection whose next request lies unread looks idle: closed now, it would end
-// without an answer.
-func awaitProcessorTime(clock func() time.Time, sleep func(time.Duration), deadline time.Time) {
-	for began := clock(); began.Before(deadline); began = clock() {
-		sleep(testPause)
-		if clock().Sub(began) <= testPause+maxLateness {
+// awaitCPUTime waits until the process is scheduled normally, or until the deadline. After CPU starvation many timers and sockets
+// are due at the same time, and a keep-alive connection whose next request has not been read yet appears idle: closing it then
+// would drop that request without a response.
+func awaitCPUTime(clock func() time.Time, sleep func(time.Duration), deadline time.Time) {
+	for startedAt := clock(); startedAt.Before(deadline); startedAt = clock() {
+		sleep(probePause)
+		if clock().Sub(startedAt) <= probePause+maxLateness {
 			return
 		}
 	}
--- a/internal/dataplane/processortime_test.go
+++ b/internal/dataplane/processortime_test.go
@@ -7,28 +7,28 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAwaitProcessorTime_WaitsWhilePausesEndLate(t *testing.T) {
+func TestAwaitCPUTime_WaitsWhileTimersFireLate(t *testing.T) {
 	cases := map[string]struct {
 		lateness []time.Duration
 		want     time.Duration
 	}{
-		"in time":         {[]time.Duration{0}, testPause},
-		"late twice":      {[]time.Duration{time.Second, 300 * time.Millisecond, 0}, 1300*time.Millisecond + 3*testPause},
-		"late for longer": {[]time.Duration{time.Second, time.Second, time.Second, time.Second}, 2*time.Second + 2*testPause},
+		"in time":         {[]time.Duration{0}, probePause},
+		"late twice":      {[]time.Duration{time.Second, 300 * time.Millisecond, 0}, 1300*time.Millisecond + 3*probePause},
+		"late for longer": {[]time.Duration{time.Second, time.Second, time.Second, time.Second}, 2*time.Second + 2*probePause},
 	}
-	for name, given := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			began := time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
-			now, pauses := began, 0
-			awaitProcessorTime(
+			startedAt := time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
+			now, pauses := startedAt, 0
+			awaitCPUTime(
 				func() time.Time { return now },
 				func(pause time.Duration) {
-					now = now.Add(pause + given.lateness[pauses])
+					now = now.Add(pause + test.lateness[pauses])
 					pauses++
 				},
-				began.Add(2*time.Second),
+				startedAt.Add(2*time.Second),
 			)
-			assert.Equal(t, now.Sub(began), given.want)
+			assert.Equal(t, now.Sub(startedAt), test.want)
 		})
 	}
 }
--- a/internal/dataplane/quotaadmission.go
+++ b/internal/dataplane/quotaadmission.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// minQuotaTimeout is how long any request may wait for calls to its tenant's homes.
+	// minQuotaTimeout is the minimum time that a request may wait for calls to its tenant's home shards.
 	minQuotaTimeout = 600 * time.Millisecond
-	// homeRetryInterval is how long after no home could be asked they are looked at again.
+	// homeRetryInterval is the pause before the next attempt if no home shard can be called.
 	homeRetryInterval = 50 * time.Millisecond
-	// borrowTimeout is how long a call to a home may take beside the time for which it is held there.
+	// borrowTimeout limits a call to a home shard, not counting the time for which the home shard may hold it.
 	borrowTimeout = 250 * time.Millisecond
-	// unknownRetryAfter is when a client may try again if its tenant's homes gave no response.
+	// unknownRetryAfter is the Retry-After of a request whose tenant's home shards did not respond.
 	unknownRetryAfter = 200 * time.Millisecond
 )
 
-// Take spends a token of the tenant, and borrows some from a home where there is none here. Requests of a tenant that come
-// while a call is pending share the next one. Where no home can tell, it looks again until the timeout. The errors are of
-// the kinds apierror.TenantRateLimited and apierror.QuotaUnknown.
+// Take spends a token of the tenant. If none is left here, it borrows tokens from a home shard of the tenant. Requests of a
+// tenant that arrive while a call is pending share the next call. If no home shard can answer, Take retries until the timeout. The
+// errors are of the kinds apierror.TenantRateLimited and apierror.QuotaUnknown.
 func (q *Quotas) Take(ctx context.Context, tenant *configuration.Tenant, timeouts proxy.QuotaTimeouts) error {
 	if limitOf(tenant).Unlimited() {
 		return nil
@@ -54,7 +54,7 @@
 	return apierror.NewRetryable(apierror.QuotaUnknown, unknownRetryAfter)
 }
 
-// awaitReply waits for the pending call, or for homeRetryInterval where there is none.
+// awaitReply waits for the pending call, or for homeRetryInterval if there is none.
 func awaitReply(ctx context.Context, replied <-chan struct{}) {
 	timer := time.NewTimer(homeRetryInterval)
 	defer timer.Stop()
@@ -69,7 +69,7 @@
 	}
 }
 
-// addWaiting counts the requests of the tenant that wait for tokens. The caller holds the lock.
+// addWaiting changes the number of requests of the tenant that wait for tokens. The caller holds the lock.
 func (q *Quotas) addWaiting(tenant string, change int) {
 	q.waiting[tenant] += change
 	if q.waiting[tenant] == 0 {
@@ -77,15 +77,15 @@
 	}
 }
 
-// alreadyReplied is what requestTokens returns where nobody had to be waited for.
+// alreadyReplied is a closed channel, which requestTokens returns if this node itself is the home shard.
 var alreadyReplied = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }()
 
-// requestTokens borrows tokens from a home, unless a call for the tenant is pending, and returns what is closed when the
-// home has replied; nil where no home can be asked now. The caller holds the lock.
+// requestTokens borrows tokens from a home shard, unless a call for the tenant is already pending. It returns a channel that is
+// closed when the call has ended, or nil if no home shard can be called now. The caller holds the lock.
 func (q *Quotas) requestTokens(tenant string, now time.Time) <-chan struct{} {
 	if replied := q.borrowing[tenant]; replied != nil {
 		return replied
@@ -110,8 +110,8 @@
 	return replied
 }
 
-// sendBorrow calls a home. It isn't bound to the request that it began with, since others wait for it too; the timeout of
-// the call ends it.
+// sendBorrow sends the request to a home shard and handles the reply. The call is not cancelled with the client request that
+// caused it, since other requests wait for it as well; it has a timeout of its own.
 func (q *Quotas) sendBorrow(home, address string, request quota.BorrowRequest, replied chan struct{}) {
 	sentAt := q.clock()
 	timeout := borrowTimeout + time.Duration(request.HoldMs)*time.Millisecond
--- a/internal/dataplane/quotaholding.go
+++ b/internal/dataplane/quotaholding.go
@@ -9,71 +9,72 @@
 )
 
 const (
-	// maxBorrowHold is the longest time that a request for tokens is held here.
+	// maxBorrowHold is the maximum time that this node holds a request for tokens.
 	maxBorrowHold = 500 * time.Millisecond
-	// heldCheckInterval is how often a held request is tried again at least.
+	// heldCheckInterval is the maximum time between two attempts to serve a held request.
 	heldCheckInterval = 25 * time.Millisecond
-	// minHeldWait is the least time between two tries.
+	// minHeldWait is the minimum time between two such attempts.
 	minHeldWait = time.Millisecond
 )
 
-// borrowQueues are the requests for tokens that are held, by tenant, the first come first. The lock of Quotas guards them.
+// borrowQueues holds a FIFO queue of held requests for tokens per tenant. The lock of Quotas guards it.
 type borrowQueues map[string][]*heldBorrow
 
-// heldBorrow is a request that is held.
+// heldBorrow is a held request for tokens.
 type heldBorrow struct {
-	// first is closed when all that came before are over.
-	first chan struct{}
+	// headReached is closed when the request is at the head of its queue.
+	headReached chan struct{}
 }
 
-// join adds a request.
-func (b borrowQueues) join(tenant string) *heldBorrow {
-	held := &heldBorrow{first: make(chan struct{})}
+// enqueue appends a request to the tenant's queue.
+func (b borrowQueues) enqueue(tenant string) *heldBorrow {
+	held := &heldBorrow{headReached: make(chan struct{})}
 	b[tenant] = append(b[tenant], held)
 	if len(b[tenant]) == 1 {
-		close(held.first)
+		close(held.headReached)
 	}
 	return held
 }
 
-// leave removes a request and lets the next one try.
-func (b borrowQueues) leave(tenant string, held *heldBorrow) {
+// remove removes a request. If it was at the head, the next one becomes the head.
+func (b borrowQueues) remove(tenant string, held *heldBorrow) {
 	queue := b[tenant]
-	wasFirst := queue[0] == held
+	wasHead := queue[0] == held
 	queue = slices.DeleteFunc(queue, func(other *heldBorrow) bool { return other == held })
 	if len(queue) == 0 {
 		delete(b, tenant)
 		return
 	}
 	b[tenant] = queue
-	if wasFirst {
-		close(queue[0].first)
+	if wasHead {
+		close(queue[0].headReached)
 	}
 }
 
-// isFirst reports whether nobody came before the request.
-func (h *heldBorrow) isFirst() bool {
+// isHead reports whether the request is at the head of its queue.
+func (h *heldBorrow) isHead() bool {
 	select {
-	case <-h.first:
+	case <-h.headReached:
 		return true
 	default:
 		return false
 	}
 }
 
-// handleBorrow gives another node tokens from this one's pool as a home. While shares are on their way to the pool a request
-// is held, if its sender lets it be, so that it is not sent over and over; requests for a tenant are served in their order.
+// handleBorrow serves another node's request for tokens from this node's pool, as a home shard. If the pool has no tokens for the
+// tenant yet, the request is held for as long as the sender and maxBorrowHold allow, so that the sender need not poll. Requests
+// for a tenant are served in order of arrival.
 func (q *Quotas) handleBorrow(ctx context.Context, request quota.BorrowRequest) quota.BorrowReply {
 	receivedAt := q.clock()
 	until := receivedAt.Add(min(time.Duration(request.HoldMs)*time.Millisecond, maxBorrowHold))
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	held := q.held.join(request.Tenant)
-	defer q.held.leave(request.Tenant, held)
+	held := q.held.enqueue(request.Tenant)
+	defer q.held.remove(request.Tenant, held)
 	for {
 		reply := quota.BorrowReply{Unavailable: true}
 		now := q.clock()
-		if held.isFirst() {
+		if held.isHead() {
 			reply = q.pool.Borrow(request, now)
 		}
 		if !reply.Unavailable || !now.Before(until) || ctx.Err() != nil {
@@ -87,12 +88,12 @@
 	}
 }
 
-// awaitTurn waits for a time, or until a request that was not the first becomes it.
+// awaitTurn waits for the given time, or until a request that was not at the head of its queue reaches it.
 func awaitTurn(ctx context.Context, held *heldBorrow, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	turn := held.first
-	if held.isFirst() {
+	turn := held.headReached
+	if held.isHead() {
 		turn = nil
 	}
 	select {
--- a/internal/dataplane/quotalending.go
+++ b/internal/dataplane/quotalending.go
@@ -12,16 +12,16 @@
 	"ferryspar/internal/quota"
 )
 
-// minLendInterval is the least time between two rounds of lending: responses and failures may ask for another at once.
+// minLendInterval is the minimum time between two rounds of lending: replies and failures may trigger the next round immediately.
 const minLendInterval = 40 * time.Millisecond
 
-// addressedOffer is a share to be lent, and the address of the node that it is lent to.
+// addressedOffer is an offer of a share with the address of the home shard.
 type addressedOffer struct {
 	quota.Offer
 	address string
 }
 
-// Run lends until the context ends, and returns once the calls that it has started are over.
+// Run lends shares until the context ends, and returns after the calls that it has started have ended.
 func (q *Quotas) Run(ctx context.Context) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -41,7 +41,7 @@
 	}
 }
 
-// wakeLending has Run lend at once.
+// wakeLending triggers a round of lending.
 func (q *Quotas) wakeLending() {
 	select {
 	case q.wake <- struct{}{}:
@@ -49,7 +49,7 @@
 	}
 }
 
-// planOffers says what is to be lent to whom. What is lent to the node's own pool is lent at once.
+// planOffers returns the offers to send to other nodes. Offers to this node's own pool are applied directly.
 func (q *Quotas) planOffers() []addressedOffer {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -71,7 +71,7 @@
 	return planned
 }
 
-// homeCandidates are this node and the others that may be homes. The caller holds the lock.
+// homeCandidates returns the nodes that may be home shards, including this one. The caller holds the lock.
 func (q *Quotas) homeCandidates() []string {
 	names := []string{q.node}
 	for name := range q.addresses {
@@ -82,7 +82,7 @@
 	return names
 }
 
-// sendOffer lends to another node.
+// sendOffer sends an offer to another node and handles the reply.
 func (q *Quotas) sendOffer(ctx context.Context, offer addressedOffer) {
 	var reply quota.LendReply
 	err := q.peers.Call(ctx, peer.MethodLend, offer.address, offer.Request, &reply)
@@ -90,7 +90,7 @@
 	defer q.lock.Unlock()
 	if err != nil {
 		q.lender.HandleFailure(offer.HomeShard, q.clock())
-		logrus.WithError(err).WithField("peer", offer.HomeShard).Debug("quota home gave no response")
+		logrus.WithError(err).WithField("peer", offer.HomeShard).Debug("no response from quota home shard")
 		q.wakeLending()
 		return
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// handleLend takes what another node lends to this one as a home.
+// handleLend accepts the shares that another node lends to this node as a home shard.
 func (q *Quotas) handleLend(_ context.Context, request quota.LendRequest) quota.LendReply {
 	q.lock.Lock()
 	defer q.lock.Unlock()
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -15,37 +15,37 @@
 	"ferryspar/internal/quota"
 )
 
-// Quotas keeps tenants to their limits over all data planes together, see docs/design/quota.md: it lends this node's share of
-// the limits to home nodes, is a home itself, and borrows tokens for requests. Any goroutine may use it.
+// Quotas enforces tenants' rate limits across all data planes, see docs/design/quota.md. It lends this node's share of the limits
+// to home shards, serves as a home shard itself, and borrows tokens for requests. It is safe for concurrent use.
 type Quotas struct {
 	parameters quota.Parameters
 	node       string
 	peers      *peer.Client
 	clock      func() time.Time
-	// wake has shares lent at once.
+	// wake triggers a round of lending.
 	wake chan struct{}
 
-	// lock guards what follows. It is never held during a call to another node.
+	// lock guards the fields below. It is never held during a call to another node.
 	lock sync.Mutex
-	// limited is set while a tenant has a limit: without one nothing is lent.
+	// limited is set while any tenant has a limit; otherwise nothing is lent.
 	limited  bool
 	lender   *quota.Lender
 	pool     *quota.Pool
 	borrower *quota.Borrower
-	// address is where this node answers others.
+	// address is where this node listens for other data planes.
 	address string
-	// addresses are those of the data planes that may be homes, from the list that neighboursVersion stands for.
+	// addresses maps the data planes that may be home shards to their addresses, as of neighboursVersion.
 	addresses         map[string]string
 	neighboursVersion uint64
-	// borrowing holds what is closed when the pending call of a tenant is over, and waiting the number of its requests that
-	// wait for tokens.
+	// borrowing holds, by tenant, a channel that is closed when the pending call ends. waiting is the number of a tenant's
+	// requests that wait for tokens.
 	borrowing map[string]chan struct{}
 	waiting   map[string]int
-	// held are the requests of other data planes for tokens that wait here, by tenant.
+	// held holds other data planes' requests for tokens that wait here.
 	held borrowQueues
 }
 
-// NewQuotas returns quotas that know no tenant and no other data plane yet.
+// NewQuotas returns a Quotas without limits and without other data planes.
 func NewQuotas(settings nodesettings.Settings, peers *peer.Client, clock func() time.Time) *Quotas {
 	bounds := settings.TimingBounds
 	parameters := quota.DefaultParameters(quota.Bounds{
@@ -71,8 +71,8 @@
 	}
 }
 
-// handleUpdate adopts a confirmed response to a poll sent at that time: the number of data planes that divide the limits (0
-// while it isn't known), whether that is all of them, and those that may be homes.
+// handleUpdate adopts a confirmed response to a poll sent at sentAt. count is the number of data planes among which the limits
+// are divided, or 0 if unknown; reliable says whether it includes all of them.
 func (q *Quotas) handleUpdate(response *peer.WatchResponse, count int, reliable bool, sentAt time.Time) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -95,7 +95,7 @@
 	q.wakeLending()
 }
 
-// fillWatchRequest writes into a poll where this node answers others and which list of these it holds.
+// fillWatchRequest sets the address and the neighbours version of a poll.
 func (q *Quotas) fillWatchRequest(request *peer.WatchRequest) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -108,7 +108,7 @@
 	q.address = address
 }
 
-// setLimits puts the limits of a configuration in force.
+// setLimits adopts the limits of a configuration.
 func (q *Quotas) setLimits(tenants []configuration.Tenant) {
 	limits := make(map[string]quota.Limit, len(tenants))
 	limited := false
@@ -129,14 +129,14 @@
 	return quota.Limit{RatePerS: tenant.RatePerS, Burst: tenant.Burst}
 }
 
-// Drain hands back what others lend to this node when they come to renew it.
+// Drain makes the pool end other nodes' loans to it when these next renew them.
 func (q *Quotas) Drain() {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.pool.Drain()
 }
 
-// routes answers other data planes.
+// routes returns the handler for calls of other data planes.
 func (q *Quotas) routes() http.Handler {
 	router := chi.NewRouter()
 	router.Post(peer.MethodLend.Path(), peer.Handler(q.handleLend))
--- a/internal/dataplane/quotas_test.go
+++ b/internal/dataplane/quotas_test.go
@@ -27,8 +27,8 @@
 	assert.Assert(t, len(quotas.planOffers()) > 0)
 }
 
-// newHome returns quotas to which half of a tenant's limit of 20 a second is lent.
-func newHome() *Quotas {
+// newHomeShard returns a Quotas that holds, as a home shard, half of a tenant's limit of 20 requests per second.
+func newHomeShard() *Quotas {
 	settings := nodesettings.Settings{NodeName: "home", TimingBounds: nodesettings.TimingBounds{QuotaWindowS: 5, QuotaOverage: 0.1}}
 	quotas := NewQuotas(settings, nil, time.Now)
 	quotas.setLimits([]configuration.Tenant{{Name: "bound", RatePerS: 20, Burst: 8}})
@@ -43,18 +43,18 @@
 	return quotas
 }
 
-func TestQuotas_HomeHoldsRequestsUntilThereAreTokens(t *testing.T) {
+func TestQuotas_HomeShardHoldsRequestsUntilTokensAreAvailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		quotas := newHome()
+		quotas := newHomeShard()
 		for quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "bound", Want: 100}).Tokens > 0 {
 			continue
 		}
 		var order []int
 		var lock sync.Mutex
-		var asking sync.WaitGroup
+		var callers sync.WaitGroup
 		startedAt := time.Now()
 		for number := range 4 {
-			asking.Go(func() {
+			callers.Go(func() {
 				reply := quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "bound", Want: 1, HoldMs: 500})
 				assert.Equal(t, reply.Tokens, 1)
 				held := time.Duration(reply.HeldMs) * time.Millisecond
@@ -65,22 +65,22 @@
 			})
 			time.Sleep(time.Millisecond)
 		}
-		asking.Wait()
+		callers.Wait()
 		assert.DeepEqual(t, order, []int{0, 1, 2, 3})
-		assert.Assert(t, time.Since(startedAt) < 450*time.Millisecond, "ten tokens a second")
+		assert.Assert(t, time.Since(startedAt) < 450*time.Millisecond, "the pool gains ten tokens per second")
 		assert.Equal(t, len(quotas.held), 0)
 	})
 }
 
-func TestQuotas_HomeHoldsNoLongerThanItIsAllowedTo(t *testing.T) {
+func TestQuotas_HomeShardHoldsNoLongerThanRequestedOrLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		quotas := newHome()
+		quotas := newHomeShard()
 		startedAt := time.Now()
 		reply := quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "unknown", Want: 1, HoldMs: 200})
 		assert.Assert(t, reply.Unavailable)
 		assert.Equal(t, time.Since(startedAt), 200*time.Millisecond)
 		quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "unknown", Want: 1})
-		assert.Equal(t, time.Since(startedAt), 200*time.Millisecond, "nor at all if it was not allowed")
+		assert.Equal(t, time.Since(startedAt), 200*time.Millisecond, "a request that does not allow holding is not held")
 		quotas.handleBorrow(t.Context(), quota.BorrowRequest{Tenant: "unknown", Want: 1, HoldMs: 60000})
 		assert.Equal(t, time.Since(startedAt), 200*time.Millisecond+maxBorrowHold)
 	})
--- a/internal/dataplane/quotastatus.go
+++ b/internal/dataplane/quotastatus.go
@@ -7,13 +7,14 @@
 	"ferryspar/internal/quota"
 )
 
-// quotaStatus is what operators see of tenants' limits at one data plane: what is lent to it and what it has lent.
+// quotaStatus is the state of tenants' limits at one data plane for operators: the balances that it holds for others and the
+// shares that it has lent.
 type quotaStatus struct {
 	Holdings []quota.TenantBalance `json:"holds"`
 	Lent     []quota.LeasedShare   `json:"lent"`
 }
 
-// status is the present state, in order of names.
+// status returns the current state, sorted by name.
 func (q *Quotas) status() quotaStatus {
 	q.lock.Lock()
 	now := q.clock()
--- a/internal/dataplane/recording.go
+++ b/internal/dataplane/recording.go
@@ -6,7 +6,7 @@
 	"ferryspar/internal/routing"
 )
 
-// recordConfiguration writes a configuration, without its keys, to the request log, if there is one.
+// recordConfiguration writes the configuration, without API keys, to the request log, if there is one.
 func (s *FleetState) recordConfiguration() {
 	if s.requestLog == nil {
 		return
@@ -18,7 +18,7 @@
 	})
 }
 
-// packWithoutKeys is the packed configuration as request logs hold it. Where the keys can't be taken out it is empty.
+// packWithoutKeys returns the compressed configuration without API keys, or nil if the keys cannot be removed.
 func packWithoutKeys(document []byte) []byte {
 	withoutKeys, err := configuration.RedactDocument(document)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return configuration.Compress(withoutKeys)
 }
 
-// recordSnapshot writes the snapshot to the request log, if there is one, once endpoints are known.
+// recordSnapshot writes the snapshot to the request log, if there is one and endpoints have been received.
 func (s *FleetState) recordSnapshot(snapshot *routing.Snapshot) {
 	if s.requestLog == nil || s.endpoints.source == "" {
 		return
--- a/internal/dataplane/servers.go
+++ b/internal/dataplane/servers.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// headerTimeout is how long a request's head may take where the configuration states no limit.
+	// headerTimeout is the default timeout for reading request headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout closes a connection between two requests where the configuration states no limit.
+	// idleTimeout is the default timeout for idle connections.
 	idleTimeout = time.Minute
-	// reservedDescriptors are the file descriptors kept for everything but clients.
+	// reservedDescriptors is the number of file descriptors reserved for purposes other than client connections.
 	reservedDescriptors = 200
-	// clientDescriptorShare is the share of the other descriptors that clients' connections may take.
+	// clientDescriptorShare is the fraction of the remaining descriptors available to client connections.
 	clientDescriptorShare = 0.6
-	// unlimitedConnections is the limit where the settings state no number of descriptors.
+	// unlimitedConnections is the connection limit if the settings state no descriptor limit above reservedDescriptors.
 	unlimitedConnections = 1 << 16
 )
 
-// newClientServer is the HTTP server for clients.
+// newClientServer returns the HTTP server for clients.
 func (n *Node) newClientServer() *http.Server {
 	return &http.Server{
 		DisableGeneralOptionsHandler: true,
@@ -37,7 +37,7 @@
 	}
 }
 
-// newPeerServer is the HTTP server for other data planes, which lend and borrow quota.
+// newPeerServer returns the HTTP server for other data planes, which lend and borrow quota.
 func (n *Node) newPeerServer() *http.Server {
 	return &http.Server{
 		Handler:     n.quotas.routes(),
@@ -46,14 +46,14 @@
 	}
 }
 
-// discardLog is a logger that drops what the HTTP server says of clients' broken connections.
+// discardLog returns a logger that discards the HTTP server's messages on broken connections.
 func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
 func (n *Node) limitConnections(listener net.Listener) net.Listener {
 	return proxy.NewLimitedListener(listener, n.maxClientConnections(), n.clientTimeouts)
 }
 
-// maxClientConnections is how many clients' connections are accepted at once.
+// maxClientConnections returns the maximum number of concurrent client connections.
 func (n *Node) maxClientConnections() int {
 	if n.settings.Limits.MaxFds <= reservedDescriptors {
 		return unlimitedConnections
@@ -61,7 +61,7 @@
 	return int(clientDescriptorShare * float64(n.settings.Limits.MaxFds-reservedDescriptors))
 }
 
-// clientTimeouts are the configuration's timeouts for clients' connections; 0 before there is a configuration.
+// clientTimeouts returns the configured timeouts for client connections, or 0 before a configuration has been adopted.
 func (n *Node) clientTimeouts() proxy.ConnectionTimeouts {
 	table := n.snapshot.Load().Table
 	if table == nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// listenForPeers listens for other data planes on the first of the internal ports that is free, since several data
-// planes may run on one machine, and has the address stated in polls.
+// listenForPeers listens for other data planes on the first free internal port, since several data planes may run on one machine,
+// and makes polls state the address.
 func (n *Node) listenForPeers() (net.Listener, error) {
 	var listener net.Listener
 	var err error
--- a/internal/dataplane/status.go
+++ b/internal/dataplane/status.go
@@ -12,8 +12,8 @@
 	"ferryspar/internal/apierror"
 )
 
-// statusRoutes answers load balancers whether this node is ready, and operators what it rejected since its start, how its
-// attempts at replicas ended, and what it holds and has lent of tenants' limits; metrics have the figures as text.
+// statusRoutes returns the handler for readiness probes, metrics and operators' queries: rejections and outcomes of attempts at
+// replicas since the start, and the state of tenants' limits.
 func (n *Node) statusRoutes() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/ferryspar/readyz", n.serveReadiness)
@@ -42,16 +42,16 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// writeJSON answers with a value. A client that has gone is no fault, so a failed write is ignored.
+// writeJSON responds with a JSON value. Write errors are ignored: they mean that the client has disconnected.
 func writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// attemptLogInterval is how often the counts of attempts are logged, if any has come.
+// attemptLogInterval is how often attempt counts are logged if they have changed.
 const attemptLogInterval = 10 * time.Second
 
-// logAttempts logs how attempts at replicas ended, and how many requests were rejected, until the context ends.
+// logAttempts periodically logs the outcomes of attempts at replicas and the numbers of rejections, until the context ends.
 func (n *Node) logAttempts(ctx context.Context) {
 	ticker := time.NewTicker(attemptLogInterval)
 	defer ticker.Stop()
--- a/internal/dataplane/subscribe.go
+++ b/internal/dataplane/subscribe.go
@@ -7,32 +7,32 @@
 	"ferryspar/internal/peer"
 )
 
-// subscriptions are the requests for endpoints, one at a time. They belong to the goroutine of FleetState.Run, but for
-// results.
+// subscriptions holds the state of subscribe requests, of which at most one is pending. Only the goroutine of FleetState.Run uses
+// it, except for results.
 type subscriptions struct {
-	// pending says that a request has no result yet.
+	// pending is set while a request has no result yet.
 	pending bool
 	results chan subscribeResult
 }
 
-// subscribeResult is how one subscribe request went.
+// subscribeResult is the result of a subscribe request.
 type subscribeResult struct {
 	address    string
 	request    peer.SubscribeRequest
 	response   peer.SubscribeResponse
 	sentAt     time.Time
 	receivedAt time.Time
-	// err, if any, says that there is no response.
+	// err is set if there is no response.
 	err error
 }
 
-// fresh reports whether the response was confirmed by a majority lately enough to be believed.
+// fresh reports whether there is a response and its confirmation by a majority has not expired.
 func (r *subscribeResult) fresh() bool {
 	return r.err == nil && r.response.IsFresh(r.sentAt, r.receivedAt)
 }
 
-// subscribe asks the primary for the endpoints of models newly requested, or for those of all models if it must begin anew.
-// One request at a time is pending.
+// subscribe subscribes to the endpoints of newly requested models at the primary, or to those of all models if the subscription
+// there is not complete. At most one request is pending.
 func (s *FleetState) subscribe(ctx context.Context, peers *peer.Client) {
 	address := s.Primary()
 	control := s.controlPeers.byAddress[address]
@@ -57,7 +57,7 @@
 	s.calls.Go(func() { s.sendSubscribe(ctx, peers, address, request) })
 }
 
-// sendSubscribe sends a subscribe request and hands the result to Run.
+// sendSubscribe sends a subscribe request and passes the result to Run.
 func (s *FleetState) sendSubscribe(ctx context.Context, peers *peer.Client, address string, request peer.SubscribeRequest) {
 	result := subscribeResult{address: address, request: request, sentAt: s.clock()}
 	result.err = peers.Call(ctx, peer.MethodSubscribe, address, request, &result.response)
@@ -68,8 +68,8 @@
 	}
 }
 
-// handleSubscribeResult adopts the endpoints of a response, and reports whether the snapshot changes by it. After a failure
-// everything is subscribed to anew.
+// handleSubscribeResult adopts the endpoints of a response and reports whether the snapshot changes. After a failure the next
+// request resubscribes to everything.
 func (s *FleetState) handleSubscribeResult(result *subscribeResult) bool {
 	s.subscriptions.pending = false
 	control := s.controlPeers.byAddress[result.address]
@@ -91,11 +91,11 @@
 		s.endpoints.rebuild(control)
 	}
 	control.fetchedAt = fetchedAt(result.receivedAt, response.RosterAgeMs)
-	s.others.adoptSubscribed(response.Loads, result.receivedAt)
-	return s.endpoints.use(result.address, control, control.merge(response.EndpointSets))
+	s.peerLoads.adoptSubscribed(response.Loads, result.receivedAt)
+	return s.endpoints.adopt(result.address, control, control.merge(response.EndpointSets))
 }
 
-// acknowledgeSubscription has polls say what is followed from now on.
+// acknowledgeSubscription makes subsequent polls acknowledge the subscription.
 func (s *FleetState) acknowledgeSubscription(result *subscribeResult) {
 	followed := *s.position.subscription.Load()
 	followed.sequence = result.request.Sequence
@@ -107,13 +107,13 @@
 	s.position.subscription.Store(&followed)
 }
 
-// completeFrom reports whether the address is the primary and all that is followed there is known.
-func (s *FleetState) completeFrom(address string) bool {
+// subscriptionComplete reports whether the address is the primary's and all endpoints subscribed to there have been received.
+func (s *FleetState) subscriptionComplete(address string) bool {
 	control := s.controlPeers.byAddress[address]
 	return control != nil && control.complete && address == s.Primary()
 }
 
-// handleEndpointSets adopts the endpoint sets of a poll's response, and reports whether the snapshot changes by it.
+// handleEndpointSets adopts the endpoint sets of a response to a poll and reports whether the snapshot changes.
 func (s *FleetState) handleEndpointSets(control *controlPeer, result *watchResult) bool {
 	response := &result.response
 	control.resetOnRestart(response.Incarnation)
@@ -127,10 +127,11 @@
 	if result.address != s.Primary() {
 		control.complete = false
 	}
-	return s.endpoints.use(result.address, control, control.merge(response.EndpointSets))
+	return s.endpoints.adopt(result.address, control, control.merge(response.EndpointSets))
 }
 
-// fetchedAt is when a list of replicas was read from the platform, by its age in milliseconds when the response came.
+// fetchedAt returns when a list of replicas was read from the platform, given its age in milliseconds when the response was
+// received.
 func fetchedAt(receivedAt time.Time, ageMs int64) time.Time {
 	return receivedAt.Add(-time.Duration(ageMs) * time.Millisecond)
 }
--- a/internal/dataplane/undecodable_test.go
+++ b/internal/dataplane/undecodable_test.go
@@ -17,7 +17,7 @@
 	"ferryspar/internal/routing"
 )
 
-// pipeNetwork is a network in memory: each connection that is opened is accepted by the one listener.
+// pipeNetwork is an in-memory network with a single listener, which accepts the connections to any address.
 type pipeNetwork struct {
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -58,8 +58,9 @@
 
 func (n *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-// watchControlPlane runs a state that watches a control plane, answered by respond, for some time.
-func watchControlPlane(t *testing.T, span time.Duration, respond func(request peer.WatchRequest) peer.WatchResponse) *FleetState {
+// watchControlPlane runs a FleetState for the given duration against a control plane whose responses come from respond, and
+// returns it.
+func watchControlPlane(t *testing.T, duration time.Duration, respond func(request peer.WatchRequest) peer.WatchResponse) *FleetState {
 	network := newPipeNetwork()
 	server := &http.Server{Handler: peer.Handler(func(_ context.Context, request peer.WatchRequest) peer.WatchResponse {
 		return respond(request)
@@ -81,7 +82,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { state.Run(ctx, watcher, client) })
 	watcher.Watch(ctx, []string{"control:1"})
-	time.Sleep(span)
+	time.Sleep(duration)
 	cancel()
 	_ = server.Close()
 	running.Wait()
@@ -111,7 +112,7 @@
 		assert.Assert(t, polls.Load() <= 8, "%d polls in 2 s", polls.Load())
 		south := map[string]peer.ZoneState{"south": {Version: 3, Drained: true}}
 		assert.DeepEqual(t, state.adopted.zones, south)
-		assert.Equal(t, state.position.contextVersion.Load(), uint64(4), "the rest of the response is adopted")
+		assert.Equal(t, state.position.contextVersion.Load(), uint64(4), "the other parts of the response are adopted")
 		assert.Equal(t, state.position.revision.Load(), int64(0))
 	})
 }
--- a/internal/dataplane/usage.go
+++ b/internal/dataplane/usage.go
@@ -10,12 +10,12 @@
 	"ferryspar/internal/wallclock"
 )
 
-// usageRetention is for how long after its end, beyond the time in which its report is due, a window is kept: the control plane that
-// was told of it may be lost.
+// usageRetention is how long a window is kept after its report is due, so that it can be reported again if the control-plane node
+// that received it is lost.
 const usageRetention = 30 * time.Second
 
-// usageCounter counts the requests of tenants that replicas began to run for this incarnation of the data plane. It is safe for
-// concurrent use. A nil usageCounter has nothing to tell: no counts are wanted.
+// usageCounter counts, per tenant, the requests that replicas began to execute for this incarnation of the data plane. It is safe
+// for concurrent use. A nil usageCounter reports nothing.
 type usageCounter struct {
 	incarnation string
 	ledger      *usage.Ledger
@@ -38,7 +38,7 @@
 	}
 }
 
-// incarnationLength is the length of an incarnation's name: 12 characters have 60 random bits.
+// incarnationLength is the length of an incarnation's name: 12 base32 characters hold 60 random bits.
 const incarnationLength = 12
 
 // RequestBegan implements proxy.UsageCounter.
@@ -46,8 +46,8 @@
 	u.ledger.Add(u.incarnation, u.windows.At(u.timeOfDay.Now(u.clock())), tenant)
 }
 
-// next is what the control plane is not known to have.
-func (u *usageCounter) next() usage.Batch {
+// nextBatch returns the counts that the control plane has not acknowledged.
+func (u *usageCounter) nextBatch() usage.Batch {
 	if u == nil {
 		return usage.Batch{}
 	}
@@ -57,8 +57,8 @@
 	return u.delivery.Next(u.ledger)
 }
 
-// adopt takes in the reply to a report that carried a batch.
-func (u *usageCounter) adopt(batch usage.Batch, reply peer.FleetLoad) {
+// handleReply handles the reply to a load report that carried the batch.
+func (u *usageCounter) handleReply(batch usage.Batch, reply peer.FleetLoad) {
 	if u == nil {
 		return
 	}
@@ -68,5 +68,5 @@
 	}
 }
 
-// knowsTimeOfDay says whether a control plane has told the time of day, or nobody needs it.
+// knowsTimeOfDay reports whether a control plane has sent the time of day, or usage is not counted.
 func (u *usageCounter) knowsTimeOfDay() bool { return u == nil || u.timeOfDay.IsSet() }
--- a/internal/dataplane/watcher.go
+++ b/internal/dataplane/watcher.go
@@ -12,54 +12,54 @@
 )
 
 const (
-	// minPollBackoff and maxPollBackoff bound the pause after a failed poll, which doubles from one failure to the next.
+	// minPollBackoff and maxPollBackoff bound the pause after a failed poll, which doubles with each consecutive failure.
 	minPollBackoff = 100 * time.Millisecond
 	maxPollBackoff = 400 * time.Millisecond
-	// startupPeriod is for how long after the first poll of an address the pause does not grow: after a power loss control planes
-	// start some tenths of a second later than data planes, and each of these serves nobody before its first response.
+	// startupPeriod is how long after the first poll of an address the pause does not grow: after a power loss control planes
+	// start some tenths of a second later than data planes, which cannot serve before their first response.
 	startupPeriod = 2 * time.Second
-	// watchResultBuffer is how many results may wait for the state.
+	// watchResultBuffer is how many results may be queued for the state.
 	watchResultBuffer = 32
 )
 
-// pollState is what a Watcher asks of the state that its polls are for. Any goroutine may call it.
+// pollState is the state that a Watcher polls for. Implementations are safe for concurrent use.
 type pollState interface {
-	// fillWatchRequest writes what has been adopted, and how long the response may be held back, into a poll of the address.
+	// fillWatchRequest sets the fields of a poll of the address: the adopted state and how long the response may be held.
 	fillWatchRequest(request *peer.WatchRequest, address string)
-	// Primary is the address that endpoints are followed at, or empty.
+	// Primary returns the address of the primary, or "".
 	Primary() string
 }
 
-// watchResult is how one poll went.
+// watchResult is the result of a poll.
 type watchResult struct {
 	address    string
 	response   peer.WatchResponse
 	sentAt     time.Time
 	receivedAt time.Time
-	// err, if any, says that there is no response.
+	// err is set if there is no response.
 	err error
-	// secondary says that the poll went to a node that endpoints are not followed at. Such polls are held for longer.
+	// secondary is set if the poll was sent to a node other than the primary. Such polls are held longer.
 	secondary bool
-	// handled, if any, receives how the result was used, so that the next poll acknowledges it.
-	handled chan resultUse
+	// handled, if not nil, receives the disposition of the result, after which the next poll is sent.
+	handled chan resultDisposition
 }
 
-// resultUse is how a result was used.
-type resultUse struct {
-	// configurationRejected says that the response had a configuration that can't be decoded. The next poll asks for it again.
+// resultDisposition says how a result was handled.
+type resultDisposition struct {
+	// configurationRejected is set if the configuration in the response cannot be decoded. The next poll requests it again.
 	configurationRejected bool
 }
 
-func (r *watchResult) markHandled(use resultUse) {
+func (r *watchResult) markHandled(disposition resultDisposition) {
 	if r.handled != nil {
-		r.handled <- use
+		r.handled <- disposition
 	}
 }
 
-// fresh reports whether the response was confirmed by a majority lately enough to be believed.
+// fresh reports whether there is a response and its confirmation by a majority has not expired.
 func (r *watchResult) fresh() bool { return r.err == nil && r.response.IsFresh(r.sentAt, r.receivedAt) }
 
-// Watcher keeps a long poll open at every control-plane node that is known and passes the results on.
+// Watcher keeps a long poll open to every known control-plane node and delivers the results.
 type Watcher struct {
 	peers   *peer.Client
 	clock   func() time.Time
@@ -67,14 +67,14 @@
 	results chan watchResult
 	polls   sync.WaitGroup
 
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock    sync.Mutex
 	watched map[string]bool
-	// pendingPolls ends the pending poll of an address, if it is a secondary one. That of a poll that is over does nothing.
+	// pendingPolls holds, by address, the function that cancels the latest secondary poll. It has no effect if the poll has ended.
 	pendingPolls map[string]context.CancelFunc
 }
 
-// NewWatcher returns a watcher that polls nothing yet.
+// NewWatcher returns a watcher without addresses to poll.
 func NewWatcher(peers *peer.Client, clock func() time.Time, state pollState) *Watcher {
 	return &Watcher{
 		peers:        peers,
@@ -86,7 +86,7 @@
 	}
 }
 
-// Watch begins to poll the addresses that are not polled yet, until the context ends.
+// Watch polls the addresses that are not polled yet, until the context ends. It does not block.
 func (w *Watcher) Watch(ctx context.Context, addresses []string) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -100,10 +100,10 @@
 	}
 }
 
-// Wait returns once the polls of a context that has ended are over. Watch must not be called any more.
+// Wait waits for all polls to end, after their context has ended. Watch must not be called afterwards.
 func (w *Watcher) Wait() { w.polls.Wait() }
 
-// Repoll ends the pending secondary poll of the address, so that the next one asks for endpoints at once.
+// Repoll cancels a pending secondary poll of the address, so that the next poll requests endpoints without delay.
 func (w *Watcher) Repoll(address string) {
 	w.lock.Lock()
 	cancel := w.pendingPolls[address]
@@ -123,7 +123,7 @@
 		if repolled {
 			continue
 		}
-		use, delivered := w.deliver(ctx, result)
+		disposition, delivered := w.deliver(ctx, result)
 		if !delivered {
 			return
 		}
@@ -136,16 +136,16 @@
 		}
 		backoff = minPollBackoff
 		acknowledge(&request, &result.response)
-		nodesettings.Sleep(ctx, pauseAfter(&result, use))
+		nodesettings.Sleep(ctx, pauseAfter(&result, disposition))
 	}
 }
 
-// pauseAfter is the pause before the next poll of a node that has answered. Without a configuration each confirmation answers
-// a poll at once, see peer.WatchRequest.Linearizable; the first configuration may take as long as the operator likes. One that
-// can't be decoded answers each poll at once, too.
-func pauseAfter(result *watchResult, use resultUse) time.Duration {
+// pauseAfter returns the pause before the next poll of a node that has responded. It limits the poll rate where the node responds
+// to each poll immediately: while there is no configuration, see peer.WatchRequest.Linearizable, which may last until an operator
+// creates the first one, and while the configuration cannot be decoded.
+func pauseAfter(result *watchResult, disposition resultDisposition) time.Duration {
 	switch {
-	case use.configurationRejected:
+	case disposition.configurationRejected:
 		return maxPollBackoff
 	case !result.fresh() || result.response.Resubscribe:
 		return minPollBackoff
@@ -155,7 +155,7 @@
 	return 0
 }
 
-// poll sends one poll and waits for its response. repolled says that Repoll ended it, so that there is no result.
+// poll sends a poll and waits for the response. repolled is set if Repoll cancelled the poll, so that there is no result.
 func (w *Watcher) poll(ctx context.Context, address string, request peer.WatchRequest) (result watchResult, repolled bool) {
 	pollContext, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -165,7 +165,7 @@
 		w.pendingPolls[address] = cancel
 		w.lock.Unlock()
 		if w.state.Primary() == address {
-			// It became the primary after the request was filled in, perhaps before Repoll could find this poll.
+			// The node became the primary after the request was filled, possibly before Repoll could find this poll.
 			return result, true
 		}
 	}
@@ -175,23 +175,23 @@
 	return result, repolled
 }
 
-// deliver hands a result to the state and waits until it has been used; false says that the context has ended.
-func (w *Watcher) deliver(ctx context.Context, result watchResult) (use resultUse, delivered bool) {
-	result.handled = make(chan resultUse, 1)
+// deliver delivers a result and waits until it has been handled. delivered is false if the context ended first.
+func (w *Watcher) deliver(ctx context.Context, result watchResult) (disposition resultDisposition, delivered bool) {
+	result.handled = make(chan resultDisposition, 1)
 	select {
 	case w.results <- result:
 	case <-ctx.Done():
-		return use, false
+		return disposition, false
 	}
 	select {
-	case use = <-result.handled:
-		return use, true
+	case disposition = <-result.handled:
+		return disposition, true
 	case <-ctx.Done():
-		return use, false
+		return disposition, false
 	}
 }
 
-// acknowledge writes into the next poll what this response has brought.
+// acknowledge makes the next poll acknowledge this response.
 func acknowledge(request *peer.WatchRequest, response *peer.WatchResponse) {
 	if request.Incarnation != response.Incarnation {
 		request.RosterVersion = 0
--- a/internal/dataplane/watcher_test.go
+++ b/internal/dataplane/watcher_test.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/peer"
 )
 
-// refusingNetwork refuses every connection, and counts them.
+// refusingNetwork refuses every connection and counts the attempts.
 type refusingNetwork struct{ dials atomic.Int64 }
 
 func (n *refusingNetwork) DialFunc(time.Duration, time.Duration) peer.DialFunc {
@@ -26,13 +26,13 @@
 
 func (*refusingNetwork) Listen(string) (net.Listener, error) { return nil, errors.New("not served") }
 
-// idleState has adopted nothing.
+// idleState is a pollState that has adopted nothing.
 type idleState struct{}
 
 func (idleState) fillWatchRequest(*peer.WatchRequest, string) {}
 func (idleState) Primary() string                             { return "" }
 
-func TestWatcher_RetriesOftenAtTheStartAndSeldomLater(t *testing.T) {
+func TestWatcher_BacksOffOnlyAfterStartupPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &refusingNetwork{}
 		watcher := NewWatcher(peer.NewClient(network), time.Now, idleState{})
@@ -41,7 +41,7 @@
 			for {
 				select {
 				case result := <-watcher.results:
-					result.markHandled(resultUse{})
+					result.markHandled(resultDisposition{})
 				case <-ctx.Done():
 					return
 				}
--- a/internal/dataplane/watchposition.go
+++ b/internal/dataplane/watchposition.go
@@ -6,45 +6,46 @@
 	"ferryspar/internal/peer"
 )
 
-// watchPosition is what polls acknowledge: how far the control plane's state has been adopted here. The goroutine that
-// adopts a part stores it once it is in use; any goroutine may load it.
+// watchPosition is the state that polls acknowledge: how far this data plane has adopted the control plane's state. The goroutine
+// that adopts a part stores its version after the part is in use; any goroutine may load it.
 type watchPosition struct {
-	// revision is that of the configuration, 0 before the first.
+	// revision is the revision of the configuration, or 0 before the first.
 	revision atomic.Int64
-	// takesDifferences says that it may be followed by differences.
+	// takesDifferences is set if the next configuration may be sent as a delta.
 	takesDifferences atomic.Bool
-	// zoneVersion is the sum of the versions of all zones' evacuation.
+	// zoneVersion is the sum of the versions of all zones' states.
 	zoneVersion atomic.Uint64
-	// contextVersion and appliedForget are those of the context rules and of the last forget order in force in the ledger.
+	// contextVersion is the version of the context rules applied to the ledger, appliedForget the number of the last forget order
+	// applied.
 	contextVersion atomic.Uint64
 	appliedForget  atomic.Uint64
-	// draining says that this node is shutting down.
+	// draining is set once this node is shutting down.
 	draining atomic.Bool
-	// primary is the address that endpoints are followed at, or empty.
+	// primary is the address of the primary, or empty.
 	primary atomic.Pointer[string]
-	// subscription is what is followed there.
+	// subscription is the last subscription acknowledged.
 	subscription atomic.Pointer[subscription]
 }
 
-// subscription says which endpoints are known from which incarnation of a control-plane node.
+// subscription identifies the endpoints received from an incarnation of a control-plane node.
 type subscription struct {
 	address     string
 	incarnation string
-	// sequence is that of the last subscribe request that was answered.
+	// sequence is the number of the last subscribe request that received a response.
 	sequence uint64
-	// rosterVersion is that of the newest endpoint sets received by subscribing, see peer.WatchRequest.
+	// rosterVersion is the version of the newest endpoint sets received by subscribing, see peer.WatchRequest.
 	rosterVersion uint64
 }
 
-// init makes the pointers safe to load.
+// init stores initial values, so that the pointers are never nil.
 func (p *watchPosition) init() {
-	nobody := ""
-	p.primary.Store(&nobody)
+	none := ""
+	p.primary.Store(&none)
 	p.subscription.Store(&subscription{})
 }
 
-// fill writes the position into a poll of the address. It leaves what the poll acknowledges of the address itself as it is,
-// but for endpoints that a subscription has brought since.
+// fill writes the position into a poll of the address. Of the fields specific to that node it changes only those that acknowledge
+// a subscription.
 func (p *watchPosition) fill(request *peer.WatchRequest, address string) {
 	request.Revision = p.revision.Load()
 	request.TakesDifferences = p.takesDifferences.Load()
