--- a/internal/dataplane/controlpeers.go
+++ b/internal/dataplane/controlpeers.go
@@ -81,7 +81,7 @@
 	byAddress map[string]*controlPeer
 	// behindSince is when a node first reported a configuration newer than the one in use; zero if none is newer.
 	behindSince time.Time
-	// lastCount is the number of data planes in use, and lastCountAt is when it was last reported.
+	// lastCount is the accepted number of data planes, or 0 if none is known. lastCountAt is when it was last reported.
 	lastCount   int
 	lastCountAt time.Time
 }
--- a/internal/dataplane/fleetstate.go
+++ b/internal/dataplane/fleetstate.go
@@ -62,7 +62,8 @@
 	zones map[string]peer.ZoneState
 }
 
-// FleetStateOptions are the options of a FleetState. Settings, Clock and Snapshot are required.
+// FleetStateOptions are the options of a FleetState. Settings, Clock and Snapshot are required; the others may be nil, which
+// disables the respective function.
 type FleetStateOptions struct {
 	Settings nodesettings.Settings
 	Clock    func() time.Time
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -87,8 +87,8 @@
 	return node
 }
 
-// incarnationStart returns when this incarnation of the node started: now, or zero at the first start of the whole system, which
-// no earlier incarnation can have preceded.
+// incarnationStart returns when this incarnation of the node started. At the first start of the whole system, before which there
+// was no other incarnation, it returns zero.
 func incarnationStart(settings nodesettings.Settings) time.Time {
 	if settings.Bootstrap {
 		return time.Time{}
--- a/internal/dataplane/othersload.go
+++ b/internal/dataplane/othersload.go
@@ -31,8 +31,8 @@
 }
 
 // adoptReport adopts the response to a load report. The response does not include replicas that were subscribed to after the
-// report was sent: they keep the load received with the subscription, or every data plane would consider a busy replica idle
-// when it first learns of it.
+// report was sent. These keep the load received with the subscription; otherwise every data plane would consider a busy replica
+// idle when it first learns of it.
 func (p *peerLoads) adoptReport(reported reportedLoad, now time.Time) {
 	load := reported.load
 	for id, subscribed := range p.bySubscription {
--- a/internal/dataplane/quotaadmission.go
+++ b/internal/dataplane/quotaadmission.go
@@ -23,8 +23,9 @@
 )
 
 // Take spends a token of the tenant. If none is left here, it borrows tokens from a home shard of the tenant. Requests of a
-// tenant that arrive while a call is pending share the next call. If no home shard can answer, Take retries until the timeout. The
-// errors are of the kinds apierror.TenantRateLimited and apierror.QuotaUnknown.
+// tenant that arrive while a call is pending share the next call. If no home shard can answer, Take retries until the timeout, or
+// only until timeouts.Local if this node lacks a recent fleet size. The errors are of the kinds apierror.TenantRateLimited and
+// apierror.QuotaUnknown.
 func (q *Quotas) Take(ctx context.Context, tenant *configuration.Tenant, timeouts proxy.QuotaTimeouts) error {
 	if limitOf(tenant).Unlimited() {
 		return nil
--- a/internal/dataplane/quotaholding.go
+++ b/internal/dataplane/quotaholding.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// handleBorrow serves another node's request for tokens from this node's pool, as a home shard. If the pool has no tokens for the
-// tenant yet, the request is held for as long as the sender and maxBorrowHold allow, so that the sender need not poll. Requests
-// for a tenant are served in order of arrival.
+// handleBorrow serves another node's request for tokens from this node's pool, as a home shard. While loans to the pool are still
+// arriving, a request that cannot be served is held for as long as its sender and maxBorrowHold allow, so that the sender need
+// not poll. Requests for a tenant are served in order of arrival.
 func (q *Quotas) handleBorrow(ctx context.Context, request quota.BorrowRequest) quota.BorrowReply {
 	receivedAt := q.clock()
 	until := receivedAt.Add(min(time.Duration(request.HoldMs)*time.Millisecond, maxBorrowHold))
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -41,7 +41,7 @@
 	// requests that wait for tokens.
 	borrowing map[string]chan struct{}
 	waiting   map[string]int
-	// held holds other data planes' requests for tokens that wait here.
+	// held queues the requests of other data planes for tokens that this node holds.
 	held borrowQueues
 }
 
@@ -129,7 +129,7 @@
 	return quota.Limit{RatePerS: tenant.RatePerS, Burst: tenant.Burst}
 }
 
-// Drain makes the pool end other nodes' loans to it when these next renew them.
+// Drain ends each loan to this node's pool when its lender next renews it.
 func (q *Quotas) Drain() {
 	q.lock.Lock()
 	defer q.lock.Unlock()
--- a/internal/dataplane/watcher.go
+++ b/internal/dataplane/watcher.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// pauseAfter returns the pause before the next poll of a node that has responded. It limits the poll rate where the node responds
-// to each poll immediately: while there is no configuration, see peer.WatchRequest.Linearizable, which may last until an operator
-// creates the first one, and while the configuration cannot be decoded.
+// pauseAfter returns the pause before the next poll of a node that has responded. It limits the poll rate in the two cases in
+// which each poll receives a response immediately: before an operator has created the first configuration (see
+// peer.WatchRequest.Linearizable), and while the configuration cannot be decoded.
 func pauseAfter(result *watchResult, disposition resultDisposition) time.Duration {
 	switch {
 	case disposition.configurationRejected:
--- a/internal/replica/attempttrace.go
+++ b/internal/replica/attempttrace.go
@@ -10,7 +10,7 @@
 )
 
 // errUnsolicitedResponse reports a response that was read before its request was written, so it belongs to another request.
-var errUnsolicitedResponse = errors.New("response before its request was written")
+var errUnsolicitedResponse = errors.New("response received before its request was written")
 
 // attemptTrace records which connections the transport used for one attempt, and how many bytes were written to and read from
 // them. It distinguishes an attempt that put nothing on the wire from one that the replica may have run.
@@ -95,9 +95,9 @@
 // belongs to another request. In that case it discards the connection, so that the request cannot be written afterwards.
 func (a *attemptTrace) discardIfUnsolicited() bool {
 	a.lock.Lock()
-	connection, writtenBefore := a.connection, a.writtenAtStart
+	connection, writtenAtStart := a.connection, a.writtenAtStart
 	a.lock.Unlock()
-	if connection == nil || !connection.retired.Load() && connection.written.Load() > writtenBefore {
+	if connection == nil || !connection.retired.Load() && connection.written.Load() > writtenAtStart {
 		return false
 	}
 	connection.discard()
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -32,7 +32,7 @@
 	Busy   bool                    `json:"utilization"`
 	// Sequence is the number of orders that the replica has accepted.
 	Sequence int64 `json:"sequence"`
-	// QueuedRequests and Active are numbers of requests.
+	// QueuedRequests and ActiveRequests are the numbers of waiting and of running requests.
 	QueuedRequests int `json:"queuedRequests"`
 	ActiveRequests int `json:"activeRequests"`
 	// KVTokensUsed and KVTokensTotal are numbers of tokens in the KV cache.
--- a/internal/replica/pinned_test.go
+++ b/internal/replica/pinned_test.go
@@ -13,7 +13,7 @@
 	})
 }
 
-func TestProtocol_PathsHeadersAndWordsStayTheSame(t *testing.T) {
+func TestProtocol_WireNamesStayTheSame(t *testing.T) {
 	endpoints := map[string]string{}
 	for name, endpoint := range map[string]Endpoint{"order": OrderEndpoint, "report": ReportEndpoint} {
 		endpoints[name] = endpoint.Method + " " + endpoint.Path + " within " + endpoint.Timeout.String()
--- a/internal/replica/upstreamrequest.go
+++ b/internal/replica/upstreamrequest.go
@@ -25,7 +25,7 @@
 	AttemptID string
 	// Urgency is the priority sent to the replica, from 0 (highest) to 9.
 	Urgency int
-	// Deadline is when the request expires, by the client's or the route's time limit.
+	// Deadline is when the client's or the route's timeout expires, whichever is earlier.
 	Deadline time.Time
 	// LastEventID, if set, is the id of the event after which a resumed stream continues.
 	LastEventID string
@@ -124,8 +124,8 @@
 	return composed.RequestURI() == uri
 }
 
-// setTarget makes the URL serialize to the request target exactly as given. Opaque does so except for a target that begins with
-// two slashes, which net/url would interpret as a host.
+// setTarget makes the URL serialize to exactly the given request target. It sets Opaque, except for a target that begins with two
+// slashes, which net/url would interpret as a host.
 func setTarget(composed *url.URL, uri string) {
 	path, query, found := strings.Cut(uri, "?")
 	if !strings.HasPrefix(path, "//") {
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -70,8 +70,8 @@
 	return VerdictAnswered
 }
 
-// classifyPrefillResponse determines the verdict on a response to a prefill request, rejections aside. It has no seal, since it
-// is not forwarded to the client.
+// classifyPrefillResponse determines the verdict on a response to a prefill request that is not a rejection. Such a response has
+// no seal, since it is not forwarded to the client.
 func classifyPrefillResponse(response *http.Response, idMatches bool) Verdict {
 	if !idMatches || response.StatusCode != http.StatusOK || !hasFraming(response) {
 		return VerdictUnknown
@@ -80,7 +80,7 @@
 }
 
 // isForwardable reports whether a response may be forwarded to the client: the status is final, the end of the body is
-// detectable, the body has no content encoding, and a successful response has the seal.
+// detectable, the body is the replica's own bytes (not encoded), and a successful response has the seal.
 func isForwardable(response *http.Response) bool {
 	if response.StatusCode < http.StatusOK || response.Header.Get("Content-Encoding") != "" {
 		return false
