--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -53,8 +53,8 @@
 
 // parse reads the whole request and makes all checks that do not depend on other requests. Errors are of package apierror.
 func (h *Handler) parse(request *http.Request, arrived time.Time) (*parsedRequest, error) {
-	attemptID := request.Header.Get(replica.HeaderAttempt)
-	if !isValidAttemptID(attemptID) || len(request.Header.Values(replica.HeaderAttempt)) != 1 {
+	attemptID := request.Header.Get(replica.HeaderAttemptID)
+	if !isValidAttemptID(attemptID) || len(request.Header.Values(replica.HeaderAttemptID)) != 1 {
 		return nil, apierror.New(apierror.InvalidAttemptID, "")
 	}
 	snapshot := h.awaitConfiguration(request, arrived)
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !replica.ValidTarget(request.RequestURI) {
+	if !replica.ValidRequestTarget(request.RequestURI) {
 		return nil, apierror.New(apierror.MalformedRequest, "request target cannot be passed on unchanged")
 	}
 	body, err := readBody(request, snapshot.Table.Configuration.Limits.MaxBodyBytes)
@@ -150,26 +150,26 @@
 
 // parsePromptHeaders parses the headers for the token counts and the prefix of the prompt.
 func parsePromptHeaders(header http.Header) (promptHeaders, error) {
-	promptTokens, outputTokens, valid := routing.ParseTokenCounts(header.Get(replica.HeaderTokens))
+	promptTokens, outputTokens, valid := routing.ParseTokenCounts(header.Get(replica.HeaderTokenCount))
 	if !valid {
-		return promptHeaders{}, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderTokens)
+		return promptHeaders{}, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderTokenCount)
 	}
-	parts, valid := routing.ParsePromptPrefix(header.Get(replica.HeaderPrefix))
+	parts, valid := routing.ParsePromptPrefix(header.Get(replica.HeaderPromptPrefix))
 	if !valid {
-		return promptHeaders{}, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderPrefix)
+		return promptHeaders{}, apierror.New(apierror.MalformedRequest, "%s is malformed", replica.HeaderPromptPrefix)
 	}
 	return promptHeaders{promptTokens: promptTokens, outputTokens: outputTokens, parts: parts}, nil
 }
 
 // remainingTime returns the remaining time that the client states, or the route's timeout if it states none.
 func remainingTime(header http.Header, timeout time.Duration) (time.Duration, error) {
-	stated := header.Get(replica.HeaderRemaining)
+	stated := header.Get(replica.HeaderTimeRemaining)
 	if stated == "" {
 		return timeout, nil
 	}
 	remaining, err := strconv.ParseFloat(stated, 64)
 	if err != nil || remaining < 0 || remaining > maxRemainingMs {
-		return 0, apierror.New(apierror.MalformedRequest, "%s is no number of milliseconds", replica.HeaderRemaining)
+		return 0, apierror.New(apierror.MalformedRequest, "%s is no number of milliseconds", replica.HeaderTimeRemaining)
 	}
 	return milliseconds(remaining), nil
 }
