--- a/internal/controlplane/admin_configuration.go
+++ b/internal/controlplane/admin_configuration.go
@@ -29,7 +29,7 @@
 
 // ConfigurationOwner implements configchange.Host.
 func (h configChangeHost) ConfigurationOwner() string {
-	return h.node.applier.Writer(keystore.ConfigurationKey)
+	return h.node.applier.LastWriter(keystore.ConfigurationKey)
 }
 
 // Outcome implements configchange.Host.
--- a/internal/controlplane/applier/applier.go
+++ b/internal/controlplane/applier/applier.go
@@ -67,8 +67,8 @@
 	return known && !register.NewerThan(applied)
 }
 
-// Writer is the address of the node that wrote a key last, as far as this one has applied it, or "".
-func (a *Applier) Writer(key string) string {
+// LastWriter is the address of the node that wrote a key last, as far as this one has applied it, or "".
+func (a *Applier) LastWriter(key string) string {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.applied[key].Accepted.Proposer
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -107,7 +107,7 @@
 	defer ticker.Stop()
 	for {
 		snapshot := n.publisher.Current()
-		if n.dataPlanes.Behind(n.clock(), snapshot.Revision, snapshot.ZoneVersion) == 0 {
+		if n.dataPlanes.CountBehind(n.clock(), snapshot.Revision, snapshot.ZoneVersion) == 0 {
 			return
 		}
 		select {
@@ -145,7 +145,7 @@
 	if json.Unmarshal(payload, &update) != nil {
 		return
 	}
-	for _, address := range n.members.Others() {
+	for _, address := range n.members.PeerAddresses() {
 		go func() { _ = n.peers.Call(ctx, peer.MethodLearn, address, update, nil) }()
 	}
 }
--- a/internal/controlplane/coordination_host.go
+++ b/internal/controlplane/coordination_host.go
@@ -21,31 +21,31 @@
 // itemsDivisor: the values of all items together take this part of a segment of the write-ahead log, which must hold everything.
 const itemsDivisor = 4
 
-// coordinationFleet is a node as its coordinator.Router sees it.
-type coordinationFleet struct {
+// coordinationHost is a node as its coordinator.Router sees it.
+type coordinationHost struct {
 	node *Node
 }
 
-// Members implements coordinator.Fleet.
-func (f coordinationFleet) Members() []string { return f.node.store.Membership().Current }
+// Members implements coordinator.Cluster.
+func (f coordinationHost) Members() []string { return f.node.store.Membership().Current }
 
-// IsReachable implements coordinator.Fleet.
-func (f coordinationFleet) IsReachable(address string) bool {
+// IsReachable implements coordinator.Cluster.
+func (f coordinationHost) IsReachable(address string) bool {
 	return f.node.members.IsReachable(address, f.node.clock())
 }
 
-// MayOwn implements coordinator.Fleet.
-func (f coordinationFleet) MayOwn() bool {
+// MayOwn implements coordinator.Cluster.
+func (f coordinationHost) MayOwn() bool {
 	return f.node.acceptor.LocalState().Voting && !f.node.members.IsLeaving()
 }
 
-// IsConfirmed implements coordinator.Fleet.
-func (f coordinationFleet) IsConfirmed() bool {
+// IsConfirmed implements coordinator.Cluster.
+func (f coordinationHost) IsConfirmed() bool {
 	return f.node.publisher.Current().IsFresh(f.node.clock())
 }
 
-// LastOwner implements coordinator.Fleet.
-func (f coordinationFleet) LastOwner(key string) string {
+// LastOwner implements coordinator.Cluster.
+func (f coordinationHost) LastOwner(key string) string {
 	return f.node.acceptor.Durable()[key].Promised.Proposer
 }
 
@@ -54,8 +54,8 @@
 	history := nodesettings.Seconds(n.settings.TimingBounds.HistoryS) + historyMargin
 	executor := coordinator.NewExecutor(n.store, coordination.Config{History: history}, n.clock)
 	caller := peer.NewClient(n.network)
-	n.coordination = coordinator.NewRouter(n.self, coordinationFleet{n}, caller, executor, n.clock)
-	n.watches = coordinator.NewWatches(n.coordination, n.members.Leaving(), n.clock)
+	n.coordination = coordinator.NewRouter(n.self, coordinationHost{n}, caller, executor, n.clock)
+	n.watches = coordinator.NewGroupWatcher(n.coordination, n.members.Leaving(), n.clock)
 	maxBytes := int(segmentBytes(n.settings.Limits.DiskMb)) / itemsDivisor
 	n.itemCapacity = coordinator.NewCapacity(n.acceptor.Durable, maxBytes, n.clock)
 }
@@ -87,7 +87,7 @@
 
 // Items implements coordinationapi.Service.
 func (s coordinationService) Items() []coordination.ItemSummary {
-	return coordinator.Summaries(s.node.acceptor.Durable())
+	return coordinator.ItemSummaries(s.node.acceptor.Durable())
 }
 
 // WatchCounts implements coordinationapi.Service.
--- a/internal/controlplane/coordinator/capacity.go
+++ b/internal/controlplane/coordinator/capacity.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Summaries lists the items among registers, in no order.
-func Summaries(registers map[string]keystore.Register) []coordination.ItemSummary {
+// ItemSummaries lists the items among registers, in no order.
+func ItemSummaries(registers map[string]keystore.Register) []coordination.ItemSummary {
 	var summaries []coordination.ItemSummary
 	for key, register := range registers {
 		item, isItem := strings.CutPrefix(key, keystore.CoordinationPrefix)
--- a/internal/controlplane/coordinator/capacity_test.go
+++ b/internal/controlplane/coordinator/capacity_test.go
@@ -41,7 +41,7 @@
 
 func TestSummaries_ListItemsOnly(t *testing.T) {
 	key := storeKey(lockNamed("l1"))
-	summaries := Summaries(map[string]keystore.Register{
+	summaries := ItemSummaries(map[string]keystore.Register{
 		key:                       {Key: key, Promised: keystore.ProposalNumber{Round: 1, Proposer: "a"}, Value: []byte(`{}`)},
 		keystore.ConfigurationKey: {Key: keystore.ConfigurationKey},
 	})
--- a/internal/controlplane/coordinator/follower.go
+++ b/internal/controlplane/coordinator/follower.go
@@ -32,9 +32,9 @@
 // ErrExpired says that the puts after a revision are no longer all kept.
 var ErrExpired = errors.New("the puts after that revision are no longer all kept")
 
-// Watches answers watches on groups of keys at this node. However many there are on one group, its owner is asked once for all of
+// GroupWatcher answers watches on groups of keys at this node. However many there are on one group, its owner is asked once for all of
 // them. It is safe for concurrent use.
-type Watches struct {
+type GroupWatcher struct {
 	router *Router
 	clock  func() time.Time
 	// leaving is closed when the node is about to end.
@@ -49,10 +49,10 @@
 	followers map[string]*follower
 }
 
-// NewWatches returns an answerer of watches that follows nothing yet.
-func NewWatches(router *Router, leaving <-chan struct{}, clock func() time.Time) *Watches {
+// NewGroupWatcher returns an answerer of watches that follows nothing yet.
+func NewGroupWatcher(router *Router, leaving <-chan struct{}, clock func() time.Time) *GroupWatcher {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Watches{
+	return &GroupWatcher{
 		router:    router,
 		clock:     clock,
 		leaving:   leaving,
@@ -63,7 +63,7 @@
 }
 
 // Run ends all followers once ctx ends.
-func (w *Watches) Run(ctx context.Context) {
+func (w *GroupWatcher) Run(ctx context.Context) {
 	<-ctx.Done()
 	w.cancel()
 }
@@ -86,7 +86,7 @@
 
 // Watch returns the puts of a group after a revision and the revision up to which they are all there: as soon as there is one, or
 // none once wait has passed. With after 0 it returns the present revision. The error is ErrExpired, or one of Router.Do.
-func (w *Watches) Watch(ctx context.Context, group string, after uint64, wait time.Duration) (coordination.Result, error) {
+func (w *GroupWatcher) Watch(ctx context.Context, group string, after uint64, wait time.Duration) (coordination.Result, error) {
 	if after == 0 {
 		return w.router.Do(ctx, coordination.Call{
 			Operation: coordination.OperationRevision,
@@ -128,7 +128,7 @@
 }
 
 // ask has the owner of a group list the puts after a revision.
-func (w *Watches) ask(ctx context.Context, group string, after uint64) (coordination.Result, error) {
+func (w *GroupWatcher) ask(ctx context.Context, group string, after uint64) (coordination.Result, error) {
 	result, err := w.router.Do(ctx, eventsCall(group, after, 0))
 	if err == nil && result.Outcome == coordination.OutcomeExpired {
 		return result, ErrExpired
@@ -147,7 +147,7 @@
 }
 
 // follow returns the follower of a group, which runs from then on, and counts one more watch on it.
-func (w *Watches) follow(group string) *follower {
+func (w *GroupWatcher) follow(group string) *follower {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	found := w.followers[group]
@@ -180,7 +180,7 @@
 }
 
 // Counts counts the watches that wait, by group.
-func (w *Watches) Counts() map[string]int {
+func (w *GroupWatcher) Counts() map[string]int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	counts := map[string]int{}
@@ -202,7 +202,7 @@
 }
 
 // run follows a group until it has had no watch for followIdle, or the node ends.
-func (w *Watches) run(followed *follower) {
+func (w *GroupWatcher) run(followed *follower) {
 	for !w.dropIdle(followed) {
 		if err := w.poll(w.ctx, followed); err != nil {
 			nodesettings.Sleep(w.ctx, retryPause)
@@ -211,7 +211,7 @@
 }
 
 // dropIdle ends the follower of a group that nobody watches.
-func (w *Watches) dropIdle(followed *follower) bool {
+func (w *GroupWatcher) dropIdle(followed *follower) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	followed.lock.Lock()
@@ -224,7 +224,7 @@
 	return ends
 }
 
-func (w *Watches) isLeaving() bool {
+func (w *GroupWatcher) isLeaving() bool {
 	select {
 	case <-w.leaving:
 		return true
@@ -234,7 +234,7 @@
 }
 
 // poll asks the owner once for the puts that are new.
-func (w *Watches) poll(ctx context.Context, followed *follower) error {
+func (w *GroupWatcher) poll(ctx context.Context, followed *follower) error {
 	position, isKnown := followed.position()
 	call := eventsCall(followed.group, position, followWait)
 	if !isKnown {
--- a/internal/controlplane/coordinator/follower_test.go
+++ b/internal/controlplane/coordinator/follower_test.go
@@ -13,17 +13,17 @@
 )
 
 // newTestWatches returns the watches of a node that owns all items itself.
-func newTestWatches(t *testing.T) (watches *Watches, store *memoryStore, leaving chan struct{}) {
+func newTestWatches(t *testing.T) (watches *GroupWatcher, store *memoryStore, leaving chan struct{}) {
 	t.Helper()
 	store = newMemoryStore()
 	router := newTestRouter(&testFleet{members: []string{"self"}}, store)
 	leaving = make(chan struct{})
-	watches = NewWatches(router, leaving, time.Now)
+	watches = NewGroupWatcher(router, leaving, time.Now)
 	t.Cleanup(watches.cancel)
 	return watches, store, leaving
 }
 
-func (w *Watches) put(t *testing.T, value string) {
+func (w *GroupWatcher) put(t *testing.T, value string) {
 	t.Helper()
 	call := testPut
 	call.Value = value
--- a/internal/controlplane/coordinator/router.go
+++ b/internal/controlplane/coordinator/router.go
@@ -34,8 +34,8 @@
 	learningPeriod = 1500 * time.Millisecond
 )
 
-// Fleet is what a Router needs to know of the control plane.
-type Fleet interface {
+// Cluster is what a Router needs to know of the control plane.
+type Cluster interface {
 	// Members are the addresses of the present members, this node's among them if it is one.
 	Members() []string
 	// IsReachable tells whether another node, which is not leaving, was heard just now.
@@ -61,7 +61,7 @@
 // Every operation may be carried out again after an attempt without an answer. A Router is safe for concurrent use.
 type Router struct {
 	self      string
-	fleet     Fleet
+	cluster   Cluster
 	caller    Caller
 	executor  *Executor
 	clock     func() time.Time
@@ -76,10 +76,10 @@
 }
 
 // NewRouter returns a router of the node at address self. clock is its steady clock.
-func NewRouter(self string, fleet Fleet, caller Caller, executor *Executor, clock func() time.Time) *Router {
+func NewRouter(self string, cluster Cluster, caller Caller, executor *Executor, clock func() time.Time) *Router {
 	router := &Router{
 		self:      self,
-		fleet:     fleet,
+		cluster:   cluster,
 		caller:    caller,
 		executor:  executor,
 		clock:     clock,
@@ -97,7 +97,7 @@
 		return coordination.Result{}, ErrOverloaded
 	}
 	timeout := callTimeout
-	if !r.fleet.IsConfirmed() {
+	if !r.cluster.IsConfirmed() {
 		timeout = unconfirmedTimeout
 	}
 	bounded, cancel := context.WithTimeout(ctx, timeout)
@@ -165,7 +165,7 @@
 	if len(candidates) == 0 {
 		return r.self, true
 	}
-	last := r.fleet.LastOwner(key)
+	last := r.cluster.LastOwner(key)
 	isKnown := slices.Contains(candidates, last)
 	if isKnown && !r.isAvoided(last) {
 		return last, true
@@ -194,14 +194,14 @@
 func (r *Router) candidates() []string {
 	var reachable []string
 	isLearning := r.clock().Sub(r.startedAt) < learningPeriod
-	for _, member := range r.fleet.Members() {
+	for _, member := range r.cluster.Members() {
 		if member == r.self {
-			if r.fleet.MayOwn() {
+			if r.cluster.MayOwn() {
 				reachable = append(reachable, member)
 			}
 			continue
 		}
-		if isLearning || r.fleet.IsReachable(member) {
+		if isLearning || r.cluster.IsReachable(member) {
 			reachable = append(reachable, member)
 		}
 	}
--- a/internal/controlplane/coordinator/simulation_test.go
+++ b/internal/controlplane/coordinator/simulation_test.go
@@ -63,7 +63,7 @@
 	name       string
 	store      *keystore.Store
 	router     *Router
-	watches    *Watches
+	watches    *GroupWatcher
 }
 
 func newSimulation(seed uint64) *simulation {
@@ -141,31 +141,31 @@
 		executor.open = s.open
 	}
 	started.router = NewRouter(name, started, started, executor, clock)
-	started.watches = NewWatches(started.router, nil, clock)
+	started.watches = NewGroupWatcher(started.router, nil, clock)
 	s.nodes[name] = started
 	return started
 }
 
-// Members implements Fleet.
+// Members implements Cluster.
 func (n *simulatedNode) Members() []string { return n.store.Membership().Current }
 
-// IsReachable implements Fleet.
+// IsReachable implements Cluster.
 func (n *simulatedNode) IsReachable(address string) bool {
 	n.simulation.lock.Lock()
 	defer n.simulation.lock.Unlock()
 	return time.Since(n.simulation.heard[heardKey{n.name, address}]) < suspectAfter
 }
 
-// MayOwn implements Fleet.
+// MayOwn implements Cluster.
 func (n *simulatedNode) MayOwn() bool {
 	acceptor := n.simulation.cluster.AcceptorOf(n.name)
 	return acceptor != nil && acceptor.LocalState().Voting
 }
 
-// IsConfirmed implements Fleet.
+// IsConfirmed implements Cluster.
 func (*simulatedNode) IsConfirmed() bool { return true }
 
-// LastOwner implements Fleet.
+// LastOwner implements Cluster.
 func (n *simulatedNode) LastOwner(key string) string {
 	acceptor := n.simulation.cluster.AcceptorOf(n.name)
 	if acceptor == nil {
--- a/internal/controlplane/dataplanes/registry.go
+++ b/internal/controlplane/dataplanes/registry.go
@@ -84,16 +84,16 @@
 	return r.heartbeats.Live(now, window)
 }
 
-// Behind counts the data planes in contact that do not yet apply the revision or all zone changes.
-func (r *Registry) Behind(now time.Time, revision int64, zoneChanges uint64) int {
+// CountBehind counts the data planes in contact that do not yet apply the revision or all zone changes.
+func (r *Registry) CountBehind(now time.Time, revision int64, zoneChanges uint64) int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.heartbeats.CountBehind(now, ContactWindow, revision, zoneChanges)
 }
 
-// Count returns how many data planes are known, those past their expiry removed, and the live ones
+// CountWithNeighbours returns how many data planes are known, those past their expiry removed, and the live ones
 // that may be home of a tenant's limit.
-func (r *Registry) Count(now time.Time) (int, *peer.Neighbours) {
+func (r *Registry) CountWithNeighbours(now time.Time) (int, *peer.Neighbours) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.heartbeats.Count(now), r.neighbours(now)
--- a/internal/controlplane/dataplanes/registry_test.go
+++ b/internal/controlplane/dataplanes/registry_test.go
@@ -16,7 +16,7 @@
 	registry := NewRegistry()
 	registry.RecordWatch(peer.WatchRequest{DataPlane: "a", Address: "10.0.0.1:1", Revision: 3}, start)
 	registry.RecordContacts([]string{"b"}, start)
-	count, neighbours := registry.Count(start)
+	count, neighbours := registry.CountWithNeighbours(start)
 	assert.Equal(t, count, 2, "one of them known by another control plane's heartbeat only")
 	assert.DeepEqual(t, neighbours.List, []peer.Neighbour{{Name: "a", Address: "10.0.0.1:1"}})
 	assert.DeepEqual(t, registry.Live(start, LiveWindow), []string{"a"})
@@ -24,7 +24,7 @@
 	assert.Assert(t, isCounted)
 	assert.Equal(t, duration, time.Second)
 	for at := time.Duration(0); at <= ExpireAfter+time.Second; at += time.Second {
-		count, neighbours = registry.Count(start.Add(at))
+		count, neighbours = registry.CountWithNeighbours(start.Add(at))
 	}
 	assert.Equal(t, count, 0)
 	assert.Equal(t, len(neighbours.List), 0)
@@ -35,10 +35,10 @@
 func TestRegistry_BehindCountsOnlyDataPlanesInContact(t *testing.T) {
 	registry := NewRegistry()
 	registry.RecordWatch(peer.WatchRequest{DataPlane: "a", Revision: 3, ZoneVersion: 1}, start)
-	assert.Equal(t, registry.Behind(start, 3, 1), 0)
-	assert.Equal(t, registry.Behind(start, 4, 1), 1)
-	assert.Equal(t, registry.Behind(start, 3, 2), 1)
-	assert.Equal(t, registry.Behind(start.Add(ContactWindow+1), 4, 2), 0)
+	assert.Equal(t, registry.CountBehind(start, 3, 1), 0)
+	assert.Equal(t, registry.CountBehind(start, 4, 1), 1)
+	assert.Equal(t, registry.CountBehind(start, 3, 2), 1)
+	assert.Equal(t, registry.CountBehind(start.Add(ContactWindow+1), 4, 2), 0)
 }
 
 func TestRegistry_LeavesOutDataPlanesThatLeft(t *testing.T) {
--- a/internal/controlplane/demand_host.go
+++ b/internal/controlplane/demand_host.go
@@ -17,7 +17,7 @@
 }
 
 // OtherControlPlanes returns the addresses of the other control planes that are known.
-func (h demandHost) OtherControlPlanes() []string { return h.node.members.Others() }
+func (h demandHost) OtherControlPlanes() []string { return h.node.members.PeerAddresses() }
 
 // LeaseHolder returns the address of the placement lease's holder, or "" if none is known.
 func (h demandHost) LeaseHolder() string { return h.node.publisher.Current().LeaseHolder }
--- a/internal/controlplane/fleetsize_host.go
+++ b/internal/controlplane/fleetsize_host.go
@@ -31,7 +31,7 @@
 
 // Observe returns what the node has heard of the data planes.
 func (h fleetSizeHost) Observe(now time.Time) fleetsize.Observation {
-	count, neighbours := h.node.dataPlanes.Count(now)
+	count, neighbours := h.node.dataPlanes.CountWithNeighbours(now)
 	return fleetsize.Observation{
 		DataPlanes: count,
 		Homes:      neighbours.List,
--- a/internal/controlplane/members/heartbeats.go
+++ b/internal/controlplane/members/heartbeats.go
@@ -56,7 +56,7 @@
 // vote sends it to all that it knows of, and tries to catch up. It returns whether this node votes.
 func (m *Manager) sendHeartbeats(ctx context.Context) bool {
 	message := m.nextHeartbeat()
-	others := m.Others()
+	others := m.PeerAddresses()
 	targets := m.heartbeatTargets(others)
 	if message.Joining {
 		targets = others
@@ -85,7 +85,7 @@
 		return
 	}
 	m.store.AdoptMembership(reply.Membership)
-	m.Introduce(reply.ControlPlanes)
+	m.AddPeers(reply.ControlPlanes)
 }
 
 // nextHeartbeat composes the heartbeat of the next round.
@@ -131,6 +131,6 @@
 	m.dataPlanes.RecordContacts(message.DataPlanes, now)
 	return HeartbeatReply{
 		Membership:    m.store.Membership(),
-		ControlPlanes: append(m.Others(), m.config.Self),
+		ControlPlanes: append(m.PeerAddresses(), m.config.Self),
 	}
 }
--- a/internal/controlplane/members/leaving.go
+++ b/internal/controlplane/members/leaving.go
@@ -28,10 +28,10 @@
 	}
 }
 
-// AwaitDispensable waits until the control plane can do without this node, which started to leave at
+// AwaitSafeToStop waits until the control plane can do without this node, which started to leave at
 // startedAt: a successor has taken its place, or a quorum stays and nobody is there to succeed it. It
 // waits no longer than until deadline.
-func (m *Manager) AwaitDispensable(startedAt, deadline time.Time) {
+func (m *Manager) AwaitSafeToStop(startedAt, deadline time.Time) {
 	for {
 		now := m.config.Clock()
 		if !now.Before(deadline) {
--- a/internal/controlplane/members/manager.go
+++ b/internal/controlplane/members/manager.go
@@ -117,9 +117,9 @@
 	m.sends.Wait()
 }
 
-// Others lists the addresses, sorted, of all other control-plane nodes that this one knows of: members,
+// PeerAddresses lists the addresses, sorted, of all other control-plane nodes that this one knows of: members,
 // seeds, and those heard of lately.
-func (m *Manager) Others() []string {
+func (m *Manager) PeerAddresses() []string {
 	known := map[string]bool{}
 	for _, member := range m.store.Membership().All() {
 		known[member] = true
@@ -136,8 +136,8 @@
 	return slices.Sorted(maps.Keys(known))
 }
 
-// Introduce makes nodes known that others, or the settings, name.
-func (m *Manager) Introduce(addresses []string) {
+// AddPeers makes nodes known that others, or the settings, name.
+func (m *Manager) AddPeers(addresses []string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	for _, address := range addresses {
--- a/internal/controlplane/members/manager_test.go
+++ b/internal/controlplane/members/manager_test.go
@@ -80,7 +80,7 @@
 	network := &testNetwork{managers: map[string]*Manager{}, now: time.Now()}
 	first, host := network.add(t, "a", "a", "b")
 	second, _ := network.add(t, "b", "a", "b")
-	assert.DeepEqual(t, first.Others(), []string{"b"})
+	assert.DeepEqual(t, first.PeerAddresses(), []string{"b"})
 	assert.Assert(t, !first.IsReachable("b", network.now), "a seed is not taken for a node that was heard")
 	second.dataPlanes.RecordContacts([]string{"edge"}, network.now)
 	network.exchange(t)
@@ -90,8 +90,8 @@
 	assert.DeepEqual(t, host.others, []string{"b"})
 	assert.Equal(t, first.Silent([]string{"b"}, network.now), "")
 
-	first.Introduce([]string{"c", "a"})
-	assert.DeepEqual(t, first.Others(), []string{"b", "c"})
+	first.AddPeers([]string{"c", "a"})
+	assert.DeepEqual(t, first.PeerAddresses(), []string{"b", "c"})
 	assert.Assert(t, !first.IsReachable("c", network.now), "only named by others")
 	assert.Equal(t, first.Silent([]string{"c", "b"}, network.now), "", "c is no member")
 
--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -46,7 +46,7 @@
 func (h membersHost) HeartbeatsSent(others []string) {
 	n := h.node
 	now := n.clock()
-	count, neighbours := n.dataPlanes.Count(now)
+	count, neighbours := n.dataPlanes.CountWithNeighbours(now)
 	count = max(count, 1)
 	early, uptime := count, now.Sub(n.startedAt)
 	if uptime < earlyDataPlaneCountDelay {
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -59,7 +59,7 @@
 
 	// Calls by which applications coordinate.
 	coordination *coordinator.Router
-	watches      *coordinator.Watches
+	watches      *coordinator.GroupWatcher
 	itemCapacity *coordinator.Capacity
 
 	// The rest of the control plane and the data planes, and what they are sent and report.
--- a/internal/controlplane/roster_host.go
+++ b/internal/controlplane/roster_host.go
@@ -101,7 +101,7 @@
 }
 
 // Others implements roster.Cluster.
-func (h rosterHost) Others() []string { return h.node.members.Others() }
+func (h rosterHost) Others() []string { return h.node.members.PeerAddresses() }
 
 // LeaseHolder implements roster.Cluster.
 func (h rosterHost) LeaseHolder() string { return h.node.publisher.Current().LeaseHolder }
--- a/internal/controlplane/run.go
+++ b/internal/controlplane/run.go
@@ -81,7 +81,7 @@
 // watchSettings reads the settings again at each hangup signal. Only the seeds of a running node change.
 func (n *Node) watchSettings(ctx context.Context, signals nodesettings.Signals) {
 	nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(changed nodesettings.Settings) {
-		n.members.Introduce(changed.SeedPeers())
+		n.members.AddPeers(changed.SeedPeers())
 	})
 }
 
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -33,7 +33,7 @@
 	case <-n.scheduler.Lease().Released():
 	case <-time.After(releaseTimeout):
 	}
-	n.members.AwaitDispensable(startedAt, deadline)
+	n.members.AwaitSafeToStop(startedAt, deadline)
 	n.shutdownServer(adminServer, deadline.Add(exitMargin/2))
 	n.shutdownServer(peerServer, n.clock().Add(shutdownTimeout))
 	logrus.WithFields(logrus.Fields{
--- a/internal/coordinationapi/handler.go
+++ b/internal/coordinationapi/handler.go
@@ -32,7 +32,7 @@
 // Service carries out calls. Its methods may be called from any goroutine; their errors are of package apierror.
 type Service interface {
 	Do(ctx context.Context, call coordination.Call) (coordination.Result, error)
-	// Watch returns the puts of a group after a revision, see coordinator.Watches.
+	// Watch returns the puts of a group after a revision, see coordinator.GroupWatcher.
 	Watch(ctx context.Context, group string, after uint64, wait time.Duration) (coordination.Result, error)
 	// Items lists the items as this node's disk has them.
 	Items() []coordination.ItemSummary
