--- a/internal/controlplane/admin_configuration.go
+++ b/internal/controlplane/admin_configuration.go
@@ -13,18 +13,17 @@
 	"ferryspar/internal/keystore"
 )
 
-// ReplaceConfiguration replaces the configuration of revision condition. Any goroutine may call it.
+// ReplaceConfiguration replaces the configuration if its revision is condition. It is safe for concurrent use.
 func (n *Node) ReplaceConfiguration(ctx context.Context, condition int64, method string, body []byte) error {
 	return n.configChanges.Change(ctx, configchange.Call{Method: method, Condition: condition, Body: body})
 }
 
-// PatchConfiguration changes named items of the configuration of revision condition. Any goroutine may
-// call it.
+// PatchConfiguration changes named items of the configuration if its revision is condition. It is safe for concurrent use.
 func (n *Node) PatchConfiguration(ctx context.Context, condition int64, method string, body []byte) error {
 	return n.configChanges.Change(ctx, configchange.Call{Method: method, Condition: condition, Body: body})
 }
 
-// configChangeHost is what a configchange.Forwarder needs of the node.
+// configChangeHost implements configchange.Host.
 type configChangeHost struct{ node *Node }
 
 // ConfigurationOwner implements configchange.Host.
@@ -48,8 +47,8 @@
 	return configchange.NewForwarder(configChangeHost{n}, n.peers, n.changeConfiguration, n.clock)
 }
 
-// changeConfiguration carries out a call at this node. It does not end with its caller: operators that give up send the same
-// call again, which then finds it done.
+// changeConfiguration executes a call at this node. It continues when its caller gives up, so that the operator's resend of the
+// same call finds the change committed.
 func (n *Node) changeConfiguration(call configchange.Call) error {
 	began := n.clock()
 	ctx, cancel := n.withChangeTimeout(context.Background())
@@ -82,16 +81,14 @@
 	return nil
 }
 
-// ReadConfiguration reads the configuration in force, with a majority's confirmation. Any goroutine may
-// call it.
+// ReadConfiguration returns the current configuration, confirmed by a majority. It is safe for concurrent use.
 func (n *Node) ReadConfiguration(ctx context.Context) (json.RawMessage, error) {
 	bounded, cancel := n.withChangeTimeout(ctx)
 	defer cancel()
 	return n.state.Configuration(bounded)
 }
 
-// DrainZone evacuates a zone, or ends that. Nothing is started from the deadline on. Any goroutine may
-// call it.
+// DrainZone starts or ends the evacuation of a zone. It starts nothing from the deadline on. It is safe for concurrent use.
 func (n *Node) DrainZone(ctx context.Context, zone string, drained bool, deadline time.Time) error {
 	bounded, cancel := n.withChangeTimeout(ctx)
 	defer cancel()
--- a/internal/controlplane/admin_context.go
+++ b/internal/controlplane/admin_context.go
@@ -11,8 +11,8 @@
 	"ferryspar/internal/retention"
 )
 
-// SetRetention stores how long data planes and replicas may keep context, in force once it is committed.
-// Setting the policy in force again changes nothing. Any goroutine may call it.
+// SetRetention stores the policy on how long data planes and replicas may keep cached context. It takes effect once it is
+// committed. Setting the current policy again changes nothing. SetRetention is safe for concurrent use.
 func (n *Node) SetRetention(ctx context.Context, requested retention.Policy) (retention.Policy, error) {
 	if err := requested.Check(); err != nil {
 		return requested, err
@@ -30,19 +30,19 @@
 		logrus.WithFields(logrus.Fields{
 			"lifetime_ms": requested.LifetimeMs,
 			"version":     result.Version,
-		}).Info("retention of context set")
+		}).Info("context retention set")
 	}
 	return result, err
 }
 
-// Forget stores that context in the scope is to be forgotten, and returns the state of that purge so far;
-// the work goes on afterwards. The purge names the data planes known here, so a node that has just
-// started takes none. Asking again adds another purge. Any goroutine may call it.
+// Forget orders a purge of the cached context in the scope, and returns its status so far; the purge continues in the background.
+// The purge names the data planes that this node knows, so a node that has just started rejects the order. Each call adds another
+// purge. Forget is safe for concurrent use.
 func (n *Node) Forget(ctx context.Context, scope retention.Scope) (retention.Status, error) {
 	if err := scope.Check(); err != nil {
 		return retention.Status{}, err
 	}
-	if n.clock().Sub(n.startedAt) < dataPlaneCountDelay {
+	if n.clock().Sub(n.startedAt) < reliableCountDelay {
 		return retention.Status{}, apierror.New(apierror.NoMajority, "this daemon has just started and may not know all data planes")
 	}
 	dataPlanes := n.dataPlanes.Known()
@@ -59,17 +59,16 @@
 		"model":       scope.Model,
 		"prompt_part": scope.PromptPart,
 		"data_planes": len(dataPlanes),
-	}).Info("context is to be forgotten")
+	}).Info("purge of cached context ordered")
 	return added.Status(n.dataPlanes.RetentionViews()), nil
 }
 
-// ReadRetention reads the policy with a majority's confirmation. Any goroutine may call it.
+// ReadRetention returns the retention policy, confirmed by a majority. It is safe for concurrent use.
 func (n *Node) ReadRetention(ctx context.Context) (retention.Policy, error) {
 	return readRecord[retention.Policy](ctx, n, keystore.RetentionKey)
 }
 
-// ReadForgets reads the purges with a majority's confirmation, with the state of each. Any goroutine may
-// call it.
+// ReadForgets returns the status of each purge, confirmed by a majority. It is safe for concurrent use.
 func (n *Node) ReadForgets(ctx context.Context) ([]retention.Status, error) {
 	record, err := readRecord[retention.Record](ctx, n, keystore.ForgetKey)
 	if err != nil {
@@ -83,10 +82,10 @@
 	return statuses, nil
 }
 
-// purgeUpdateTimeout is how long one change of a purge may take.
+// purgeUpdateTimeout bounds one update of a purge.
 const purgeUpdateTimeout = time.Second
 
-// updatePurge changes one purge, and returns whether the keystore did not fail.
+// updatePurge updates one purge, and reports whether the keystore operation succeeded.
 func (n *Node) updatePurge(ctx context.Context, number uint64, change func(purge *retention.Purge) bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, purgeUpdateTimeout)
 	defer cancel()
--- a/internal/controlplane/applier/confirm.go
+++ b/internal/controlplane/applier/confirm.go
@@ -15,15 +15,13 @@
 	confirmInterval = 350 * time.Millisecond
 	// unconfirmedInterval is the interval while the state is not confirmed.
 	unconfirmedInterval = 120 * time.Millisecond
-	// minConfirmInterval keeps data planes that wait for a confirmation from having the members asked
-	// all the time.
+	// minConfirmInterval limits how often data planes that wait for a confirmation can cause the members to be queried.
 	minConfirmInterval = 20 * time.Millisecond
-	// commitTimeout is how long writing to this node's own disk, or committing a proposal that was left
-	// on a minority, may take.
+	// commitTimeout bounds writing to this node's own disk and committing a proposal that was left on a minority.
 	commitTimeout = 600 * time.Millisecond
 )
 
-// RequestConfirmation has the state confirmed in a round that starts after this call.
+// RequestConfirmation requests a confirmation round that starts after this call.
 func (a *Applier) RequestConfirmation() {
 	select {
 	case a.requested <- struct{}{}:
@@ -31,10 +29,10 @@
 	}
 }
 
-// Run confirms the state over and over until ctx ends.
+// Run confirms the state periodically until ctx is done.
 //
-// The pause is never shorter than the round before it took: members that answer slowly would be asked more the less they
-// keep up.
+// The pause between rounds is at least as long as the previous round took, up to confirmInterval, so that members that are slow
+// to answer are not overloaded with further queries.
 func (a *Applier) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := unconfirmedInterval
@@ -44,12 +42,12 @@
 		}
 		pause := min(max(minConfirmInterval, a.clock().Sub(began)), confirmInterval)
 		nodesettings.Sleep(ctx, pause)
-		a.await(ctx, max(interval-pause, 0))
+		a.waitForRequest(ctx, max(interval-pause, 0))
 	}
 }
 
-// await waits for the interval, or until a confirmation is requested or ctx ends.
-func (a *Applier) await(ctx context.Context, interval time.Duration) {
+// waitForRequest waits for the interval, or until a confirmation is requested or ctx is done.
+func (a *Applier) waitForRequest(ctx context.Context, interval time.Duration) {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
@@ -59,10 +57,9 @@
 	}
 }
 
-// confirm asks a majority once what is committed, and returns whether the state counts as confirmed:
-// everything that the majority named is applied, and no newer proposal was seen that may be in force. The
-// moment that is published is the one before the question, since something newer may have been committed
-// right after the members answered.
+// confirm asks a majority once what is committed, and reports whether the state counts as confirmed: everything that the majority
+// returned is applied, and no newer proposal that may be in force was seen. The published confirmation time is the time before
+// the query, because something newer may have been committed right after the members answered.
 func (a *Applier) confirm(ctx context.Context) bool {
 	askedAt := a.clock()
 	digest, err := a.store.Digest(ctx)
@@ -84,15 +81,15 @@
 	return isApplied
 }
 
-// refresh brings this member's disk up to date. The confirmation does not depend on that disk.
+// refresh updates this member's disk with the committed registers. The confirmation does not depend on that disk.
 func (a *Applier) refresh(ctx context.Context, committed map[string]keystore.Register) {
 	bounded, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	a.store.Refresh(bounded, a.acceptor, committed)
 }
 
-// withoutPlacementLease returns the proposals that concern what data planes are sent. Who holds the
-// placement lease is settled by the nodes that acquire it, again and again while it changes hands.
+// withoutPlacementLease returns the proposals except that for the placement lease, which does not affect what data planes are
+// sent. The nodes that try to acquire the lease settle its proposals, of which there may be many while the holder changes.
 func withoutPlacementLease(undecided map[string]keystore.Register) map[string]keystore.Register {
 	pending := map[string]keystore.Register{}
 	for key, register := range undecided {
@@ -103,9 +100,9 @@
 	return pending
 }
 
-// commitPending decides about proposals that a writer which ended midway left on a minority: a read
-// commits the newest. It leaves a proposal to its writer the first time that it is seen, and half of the
-// times after that to the other nodes, so that they don't contend.
+// commitPending completes proposals that a writer left on a minority when it crashed, by a read, which commits the newest one. It
+// leaves a proposal to its writer the first time that it is seen. After that it skips the proposal at random half of the time, so
+// that the nodes do not contend.
 func (a *Applier) commitPending(ctx context.Context, pending map[string]keystore.Register) {
 	previous := a.uncommitted
 	a.uncommitted = pending
--- a/internal/controlplane/applier/registers.go
+++ b/internal/controlplane/applier/registers.go
@@ -17,8 +17,8 @@
 	"ferryspar/internal/retention"
 )
 
-// publish publishes what a register says, by its key. Registers that can't be decoded, of keys that this
-// version doesn't know or of a later one, change nothing. The caller holds the lock.
+// publish updates the snapshot with the content of a register, according to its key. Registers with an unknown key or a value
+// that cannot be decoded, such as those of later versions, are ignored. The caller holds the lock.
 func (a *Applier) publish(register keystore.Register) {
 	switch {
 	case register.Key == keystore.ConfigurationKey:
@@ -117,7 +117,7 @@
 	})
 }
 
-// publishForgets publishes orders to forget context that are not older than those published.
+// publishForgets publishes the orders to purge cached context unless newer ones were published.
 func (a *Applier) publishForgets(register keystore.Register) {
 	var record retention.Record
 	if json.Unmarshal(register.Value, &record) != nil {
@@ -132,8 +132,8 @@
 	})
 }
 
-// publishFleetSize publishes the record of the data planes. Responses that wait are not woken by it: data planes that have
-// none yet wait for the configuration too.
+// publishFleetSize publishes the record of the number of data planes. It does not wake pending watch requests: data planes that
+// have no record yet are also waiting for the configuration.
 func (a *Applier) publishFleetSize(register keystore.Register) {
 	var record fleetsize.Record
 	if json.Unmarshal(register.Value, &record) != nil {
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// changeTimeout is how long a change may take while a majority is in contact.
+	// changeTimeout bounds a change while this node is in contact with a majority.
 	changeTimeout = 2500 * time.Millisecond
-	// unconfirmedTimeout is how long it may take while none is known to be: the caller should try another
-	// node before its own timeout of a second.
+	// unconfirmedTimeout bounds a change while this node is not known to be in contact with a majority. The caller should be able
+	// to try another node before its own time-out of one second.
 	unconfirmedTimeout = 700 * time.Millisecond
-	// ackTimeout is how long an acknowledgement waits for data planes to apply the change. At size it always waits as long, since data
-	// planes acknowledge to their own control plane; the first acknowledgement after all control planes were killed is to come
-	// within a second, of which their start takes half.
+	// ackTimeout is how long an acknowledgement waits for data planes to apply the change. In large deployments it always waits
+	// this long, because data planes acknowledge to their own control plane. The first acknowledgement after all control planes
+	// were killed must come within a second, half of which is taken by their start.
 	ackTimeout = 250 * time.Millisecond
-	// ackCheckInterval is how often it looks whether they do.
+	// ackCheckInterval is the interval between checks of whether the data planes have applied the change.
 	ackCheckInterval = 10 * time.Millisecond
 )
 
-// slowChange is the duration from which a change of a key is logged with what it took.
-const slowChange = 300 * time.Millisecond
+// slowChangeThreshold is the duration from which a change of a key is logged with its timings.
+const slowChangeThreshold = 300 * time.Millisecond
 
-// logSlowChange logs what a change took that was slow or met a rival.
+// logSlowChange logs a change that was slow, contended or uncertain.
 func logSlowChange(effort keystore.ChangeEffort) {
-	if effort.Duration < slowChange && effort.Preempted == 0 && effort.Uncertain == 0 {
+	if effort.Duration < slowChangeThreshold && effort.Preempted == 0 && effort.Uncertain == 0 {
 		return
 	}
 	logrus.WithFields(logrus.Fields{
@@ -44,13 +44,13 @@
 		"preempted":    effort.Preempted,
 		"commits":      effort.Commits,
 		"uncertain":    effort.Uncertain,
-	}).Info("change of a key took long")
+	}).Info("slow or contended keystore change")
 }
 
-// errUnchanged is returned by a decision that leaves a record as it is.
+// errUnchanged is returned by the decide function of changeRecord to leave the record unchanged.
 var errUnchanged = errors.New("record needs no change")
 
-// withChangeTimeout bounds a call of an operator.
+// withChangeTimeout returns a context with the time-out of an operator's call.
 func (n *Node) withChangeTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if !n.publisher.Current().IsFresh(n.clock()) {
 		return context.WithTimeout(ctx, unconfirmedTimeout)
@@ -58,8 +58,8 @@
 	return context.WithTimeout(ctx, changeTimeout)
 }
 
-// readRecord reads the record of a key with a majority's confirmation, zero if there is none. Errors are
-// of package apierror.
+// readRecord returns the record of a key, confirmed by a majority, or the zero value if there is none. Errors are of package
+// apierror.
 func readRecord[T any](ctx context.Context, n *Node, key string) (T, error) {
 	bounded, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -72,9 +72,9 @@
 	return record, nil
 }
 
-// changeRecord replaces the record of a key by what decide makes of the present one, and announces that.
-// decide returns errUnchanged to leave the record as it is, which is no error here. Errors of the
-// keystore are translated to those of package apierror.
+// changeRecord replaces the record of a key by the result of decide for the current record, and announces the change. If decide
+// returns errUnchanged, the record is left unchanged and changeRecord returns nil. Errors of the keystore are translated to those
+// of package apierror.
 func changeRecord[T any](ctx context.Context, n *Node, key string, decide func(current T) (T, error)) error {
 	bounded, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// announce applies a committed change here, notifies the other control planes, and waits for a while
-// until the data planes in contact apply it.
+// announce applies a committed change at this node, notifies the other control planes, and waits up to ackTimeout for the data
+// planes in contact to apply it.
 func (n *Node) announce(ctx context.Context, register keystore.Register) {
 	n.publishCommitted(register)
 	bounded, cancel := context.WithTimeout(ctx, ackTimeout)
@@ -118,13 +118,13 @@
 	}
 }
 
-// publishCommitted applies a committed change here and has the other control planes notified.
+// publishCommitted applies a committed change at this node and triggers the notification of the other control planes.
 func (n *Node) publishCommitted(register keystore.Register) {
 	n.applier.Apply(register)
 	_ = n.bus.Publish(eventbus.TopicCommitted, peer.KeyUpdate{Register: register.WithoutValue()})
 }
 
-// subscribeEvents handles the events of the node's own bus until ctx ends.
+// subscribeEvents subscribes handlers to the node's event bus until ctx is done.
 func (n *Node) subscribeEvents(ctx context.Context) error {
 	handlers := map[string]func(payload []byte){
 		eventbus.TopicCommitted:        func(payload []byte) { n.notifyCommitted(ctx, payload) },
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// notifyCommitted tells all other control planes of a committed key. Who misses it learns of the key by
-// its next confirmation.
+// notifyCommitted notifies all other control planes of a committed register. A node that misses the notification learns of the
+// register in its next confirmation.
 func (n *Node) notifyCommitted(ctx context.Context, payload []byte) {
 	var update peer.KeyUpdate
 	if json.Unmarshal(payload, &update) != nil {
--- a/internal/controlplane/configchange/doc.go
+++ b/internal/controlplane/configchange/doc.go
@@ -1,8 +1,8 @@
-// Package configchange carries out operators' changes of the configuration: each call once at a time, at the control plane that
-// owns the configuration's key.
+// Package configchange executes operators' changes of the configuration at the control plane that owns the configuration's key,
+// and never executes the same call twice at the same time.
 //
-// Operators send a call again, to another control plane, when it isn't answered within their patience. If every control plane
-// wrote the key itself, each resend would take the key from the one that is at work, and at members that answer slowly none
-// would finish. It decides nothing about configurations and keeps nothing on disk; a call that is carried out twice is
-// recognized by internal/controlstate. Start reading at Forwarder.Change.
+// Operators resend a call to another control plane when it is not answered within their time-out. If every control plane wrote
+// the key itself, each resend would preempt the node that is writing it, and with members that answer slowly no write would
+// complete. The package does not validate configurations and stores nothing on disk; internal/controlstate recognizes a call that
+// is executed a second time. Start reading at Forwarder.Change.
 package configchange
--- a/internal/controlplane/configchange/executor.go
+++ b/internal/controlplane/configchange/executor.go
@@ -9,16 +9,16 @@
 	"ferryspar/internal/apierror"
 )
 
-// Call is an operator's change of the configuration, as it was sent.
+// Call is an operator's request to change the configuration.
 type Call struct {
-	// Method is that of the HTTP request: PUT for a whole configuration, PATCH for named items.
+	// Method is the HTTP method: PUT replaces the whole configuration, PATCH changes named items.
 	Method string
-	// Condition is the revision that the change builds on.
+	// Condition is the revision that the change is based on.
 	Condition int64
 	Body      []byte
 }
 
-// digest identifies a call.
+// digest identifies a call by its content.
 type digest [sha256.Size]byte
 
 func (c Call) digest() digest {
@@ -29,11 +29,11 @@
 	return digest(hash.Sum(nil))
 }
 
-// ExecuteFunc carries out a call at this node within a bounded time. Its errors are of package apierror.
+// ExecuteFunc executes a call at this node within a bounded time. Its errors are of package apierror.
 type ExecuteFunc func(call Call) error
 
-// Executor carries out calls at this node. A call that is under way already is joined: it would only wait for the same key,
-// and be decided on once more. It is safe for concurrent use.
+// Executor executes calls at this node. A call equal to one in progress joins that one: it would only wait for the same key and
+// then be decided a second time. It is safe for concurrent use.
 type Executor struct {
 	execute ExecuteFunc
 
@@ -41,19 +41,19 @@
 	running map[digest]*execution
 }
 
-// execution is a call under way. err is set before done is closed.
+// execution is a call in progress. err is set before done is closed.
 type execution struct {
 	done chan struct{}
 	err  error
 }
 
-// NewExecutor returns an executor without calls under way.
+// NewExecutor returns an executor without calls in progress.
 func NewExecutor(execute ExecuteFunc) *Executor {
 	return &Executor{execute: execute, running: map[digest]*execution{}}
 }
 
-// Do carries out a call, or joins it, and returns its error. If the context ends first the call goes on, and its outcome is
-// open to the caller.
+// Do executes a call, or joins an equal call in progress, and returns its error. If ctx ends first, the call continues and Do
+// returns an error that leaves the outcome open.
 func (e *Executor) Do(ctx context.Context, call Call) error {
 	return e.start(call).await(ctx)
 }
@@ -77,7 +77,7 @@
 	return started
 }
 
-// find returns the execution of a call under way, or nil.
+// find returns the execution of a call in progress, or nil.
 func (e *Executor) find(identity digest) *execution {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/internal/controlplane/configchange/forwarder.go
+++ b/internal/controlplane/configchange/forwarder.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// pendingReplyAfter is how long a call may take before the owner answers that it is under way: sooner than the
-	// timeout of peer.MethodChange, so that silence means that the owner can't be reached.
+	// pendingReplyAfter is the time after which the owner replies that a call is still in progress. It is shorter than the
+	// time-out of peer.MethodChange, so that no reply means that the owner is unreachable.
 	pendingReplyAfter = 400 * time.Millisecond
-	// maxPending is how long the outcome of a call under way at its owner is awaited.
+	// maxPending is how long to wait for the outcome of a call in progress at the owner.
 	maxPending = 3 * time.Second
-	// outcomeInterval is how often, while the owner is at work, this node looks whether what it has learned decides the call.
+	// outcomeInterval is the interval at which this node checks, while the owner executes a call, whether the committed state
+	// that it has learned of already decides the call.
 	outcomeInterval = 50 * time.Millisecond
-	// avoidFor is how long an owner that did not answer is left alone: by then this node, or another, owns the key.
-	avoidFor = 2 * time.Second
+	// avoidDuration is how long an owner that did not answer is sent no calls. By then this node, or another, owns the key.
+	avoidDuration = 2 * time.Second
 )
 
 // Host is the node that a Forwarder belongs to.
 type Host interface {
-	// ConfigurationOwner is the address of the node that wrote the configuration last, as far as is known here.
+	// ConfigurationOwner returns the address of the node that last wrote the configuration, as far as this node knows.
 	ConfigurationOwner() string
-	// Outcome returns what became of a call by the newest committed configuration that this node has learned of, or false if that
-	// leaves it open. It sends no messages.
+	// Outcome returns the result of a call according to the newest committed configuration that this node has learned of. decided
+	// is false if that configuration leaves the result open. Outcome sends no messages.
 	Outcome(call Call) (decided bool, err error)
-	// IsReachable tells whether another node was heard just now and stays.
+	// IsReachable reports whether another node was heard from recently and is not leaving.
 	IsReachable(address string) bool
 }
 
@@ -40,22 +41,23 @@
 	Call(ctx context.Context, method peer.Method, address string, message, reply any) error
 }
 
-// Forwarder has calls carried out at the node that owns the configuration's key, and at this one if that is the owner or the
-// owner does not answer. It is safe for concurrent use.
+// Forwarder forwards calls to the node that owns the configuration's key, and executes them at this node if it is the owner or
+// the owner does not answer. It is safe for concurrent use.
 type Forwarder struct {
 	host   Host
 	caller Caller
 	clock  func() time.Time
-	// routed has the calls of operators at this node, local those that are carried out here, for whomever.
+	// routed runs the calls that operators send to this node. local runs the calls that this node executes, whoever received
+	// them.
 	routed *Executor
 	local  *Executor
 
 	lock sync.Mutex
-	// avoided holds until when owners that did not answer are left alone.
+	// avoided holds, by address, the time until which an owner that did not answer is sent no calls.
 	avoided map[string]time.Time
 }
 
-// NewForwarder returns a forwarder to other nodes, or to this one, which carries calls out by execute.
+// NewForwarder returns a forwarder that sends calls to other nodes through caller and executes calls at this node with execute.
 func NewForwarder(host Host, caller Caller, execute ExecuteFunc, clock func() time.Time) *Forwarder {
 	forwarder := &Forwarder{
 		host:    host,
@@ -68,28 +70,30 @@
 	return forwarder
 }
 
-// Change carries out a call. Its errors are of package apierror. If the context ends first the call goes on.
+// Change executes a call. Its errors are of package apierror. If ctx ends first, the call continues.
 //
-// It does not end with the operator's patience: what an owner that is slow, but alive, has begun would be begun again elsewhere.
+// The call is not canceled when the operator's request times out, because the resend would then start over at another node what a
+// slow but live owner has already begun.
 func (f *Forwarder) Change(ctx context.Context, call Call) error { return f.routed.Do(ctx, call) }
 
-// route has a call carried out by the owner, or here.
+// route executes a call at the owner, or at this node if the owner is not available.
 func (f *Forwarder) route(call Call) error {
 	owner := f.host.ConfigurationOwner()
-	if f.mayAsk(owner) {
-		// Resends and conflicts, most of all calls, are answered without the owner: it alone would have to bear them all.
+	if f.isOwnerAvailable(owner) {
+		// Most calls are resends or conflicts. Answering them here keeps the load off the owner, which would otherwise receive
+		// all of them.
 		if decided, err := f.host.Outcome(call); decided {
 			return err
 		}
-		if answered, err := f.askOwner(owner, call); answered {
+		if answered, err := f.callOwner(owner, call); answered {
 			return err
 		}
 	}
 	return f.local.Do(context.Background(), call)
 }
 
-// mayAsk says whether the owner is another node that seems to answer.
-func (f *Forwarder) mayAsk(owner string) bool {
+// isOwnerAvailable reports whether the owner is another node that is reachable and not avoided.
+func (f *Forwarder) isOwnerAvailable(owner string) bool {
 	if !f.host.IsReachable(owner) {
 		return false
 	}
@@ -98,9 +102,9 @@
 	return !f.clock().Before(f.avoided[owner])
 }
 
-// askOwner has the owner carry out a call, and returns what it decided. An owner that has no time left replies long after it has
-// committed: what this node learns meanwhile may decide the call as well.
-func (f *Forwarder) askOwner(owner string, call Call) (answered bool, err error) {
+// callOwner forwards a call to the owner and returns its decision. An overloaded owner may reply long after it has committed the
+// change, so committed state that this node learns of in the meantime is used as well.
+func (f *Forwarder) callOwner(owner string, call Call) (answered bool, err error) {
 	type forwarded struct {
 		reply    peer.ChangeReply
 		answered bool
@@ -124,10 +128,11 @@
 	}
 }
 
-// forward has the owner carry out a call, and returns its reply. Without an answer, or where the owner could not decide, the
-// call is this node's to carry out.
+// forward sends a call to the owner until it is decided, and returns the reply. It returns false if the owner does not answer or
+// could not decide the call, which this node must then execute itself. The body is sent again only if the owner does not know the
+// call.
 func (f *Forwarder) forward(owner string, call Call) (peer.ChangeReply, bool) {
-	giveUpAt := f.clock().Add(maxPending)
+	deadline := f.clock().Add(maxPending)
 	identity := call.digest()
 	request := peer.ChangeRequest{Digest: identity[:], Method: call.Method, Condition: call.Condition, Body: call.Body}
 	for {
@@ -146,7 +151,7 @@
 		default:
 			return reply, true
 		}
-		if f.clock().After(giveUpAt) {
+		if f.clock().After(deadline) {
 			return peer.ChangeReply{Outcome: peer.ChangePending}, true
 		}
 	}
@@ -156,33 +161,33 @@
 	logrus.WithError(err).WithField("peer", owner).Info("owner of the configuration does not answer")
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.avoided[owner] = f.clock().Add(avoidFor)
+	f.avoided[owner] = f.clock().Add(avoidDuration)
 }
 
-// HandleChange carries out a call that another node forwards, or says how far it has got.
+// HandleChange executes a call that another node forwarded, or replies that it is still in progress.
 func (f *Forwarder) HandleChange(ctx context.Context, request peer.ChangeRequest) peer.ChangeReply {
 	var identity digest
 	copy(identity[:], request.Digest)
-	waiting := f.local.find(identity)
-	if waiting == nil && len(request.Body) == 0 {
+	running := f.local.find(identity)
+	if running == nil && len(request.Body) == 0 {
 		return peer.ChangeReply{Outcome: peer.ChangeUnknown}
 	}
-	if waiting == nil {
-		waiting = f.local.start(Call{Method: request.Method, Condition: request.Condition, Body: request.Body})
+	if running == nil {
+		running = f.local.start(Call{Method: request.Method, Condition: request.Condition, Body: request.Body})
 	}
 	timer := time.NewTimer(pendingReplyAfter)
 	defer timer.Stop()
 	select {
-	case <-waiting.done:
-		return newReply(waiting.err)
+	case <-running.done:
+		return newReply(running.err)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return peer.ChangeReply{Outcome: peer.ChangePending}
 }
 
-// outcomes are the errors that decide a call, as they are sent. All others leave it undecided.
-var outcomes = map[apierror.Kind]peer.ChangeOutcome{
+// outcomeByKind maps the kinds of errors that decide a call to their wire values. All other errors leave a call undecided.
+var outcomeByKind = map[apierror.Kind]peer.ChangeOutcome{
 	apierror.InvalidConfiguration: peer.ChangeInvalid,
 	apierror.VersionConflict:      peer.ChangeConflict,
 	apierror.CallTooOld:           peer.ChangeTooOld,
@@ -194,19 +199,19 @@
 	}
 	var known *apierror.Error
 	if errors.As(err, &known) {
-		if outcome, decides := outcomes[known.Kind]; decides {
+		if outcome, decides := outcomeByKind[known.Kind]; decides {
 			return peer.ChangeReply{Outcome: outcome, Detail: known.Detail}
 		}
 	}
 	return peer.ChangeReply{Outcome: peer.ChangeUndecided}
 }
 
-// replyError is the error that an operator is answered with.
+// replyError returns the error for the operator's response.
 func replyError(reply peer.ChangeReply) error {
 	if reply.Outcome == peer.ChangeAcknowledged {
 		return nil
 	}
-	for kind, outcome := range outcomes {
+	for kind, outcome := range outcomeByKind {
 		if outcome == reply.Outcome {
 			return &apierror.Error{Kind: kind, Detail: reply.Detail}
 		}
--- a/internal/controlplane/configchange/forwarder_test.go
+++ b/internal/controlplane/configchange/forwarder_test.go
@@ -18,57 +18,57 @@
 
 var errSilent = errors.New("no answer")
 
-// testFleet is a forwarder's node and the owner of the key, with a link between them.
-type testFleet struct {
+// testCluster connects a node's forwarder with that of the owner of the key.
+type testCluster struct {
 	owner       *Forwarder
 	forwarder   *Forwarder
 	unreachable bool
 	silent      bool
 	decided     bool
-	// ownerTakes is how long the owner needs for a call, ownerError what it decides.
-	ownerTakes  time.Duration
-	ownerError  error
-	ownerCalls  int
-	localCalls  int
-	bodiesTaken int
+	// ownerTakes is the time that the owner takes for a call, and ownerError is its result.
+	ownerTakes     time.Duration
+	ownerError     error
+	ownerCalls     int
+	localCalls     int
+	bodiesReceived int
 }
 
-func (f *testFleet) ConfigurationOwner() string { return ownerAddress }
-func (f *testFleet) IsReachable(string) bool    { return !f.unreachable }
-func (f *testFleet) Outcome(Call) (bool, error) { return f.decided, nil }
+func (f *testCluster) ConfigurationOwner() string { return ownerAddress }
+func (f *testCluster) IsReachable(string) bool    { return !f.unreachable }
+func (f *testCluster) Outcome(Call) (bool, error) { return f.decided, nil }
 
-// Call carries a forwarded change to the owner, and stays without an answer while the link is silent.
-func (f *testFleet) Call(ctx context.Context, method peer.Method, _ string, message, reply any) error {
+// Call delivers a forwarded change to the owner. It times out while silent is set.
+func (f *testCluster) Call(ctx context.Context, method peer.Method, _ string, message, reply any) error {
 	if f.silent {
 		time.Sleep(method.Timeout())
 		return errSilent
 	}
 	request := message.(peer.ChangeRequest)
 	if len(request.Body) > 0 {
-		f.bodiesTaken++
+		f.bodiesReceived++
 	}
 	*reply.(*peer.ChangeReply) = f.owner.HandleChange(ctx, request)
 	return nil
 }
 
-func newTestFleet() *testFleet {
-	fleet := &testFleet{}
-	fleet.owner = NewForwarder(fleet, fleet, func(Call) error {
-		fleet.ownerCalls++
-		time.Sleep(fleet.ownerTakes)
-		return fleet.ownerError
+func newTestCluster() *testCluster {
+	cluster := &testCluster{}
+	cluster.owner = NewForwarder(cluster, cluster, func(Call) error {
+		cluster.ownerCalls++
+		time.Sleep(cluster.ownerTakes)
+		return cluster.ownerError
 	}, time.Now)
-	fleet.forwarder = NewForwarder(fleet, fleet, func(Call) error {
-		fleet.localCalls++
+	cluster.forwarder = NewForwarder(cluster, cluster, func(Call) error {
+		cluster.localCalls++
 		return nil
 	}, time.Now)
-	return fleet
+	return cluster
 }
 
 var patchCall = Call{Method: http.MethodPatch, Condition: 4, Body: []byte(`{"revision":5}`)}
 
-// change sends the call with an operator's patience.
-func (f *testFleet) change(call Call) error {
+// change sends the call with the time-out of an operator.
+func (f *testCluster) change(call Call) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return f.forwarder.Change(ctx, call)
@@ -76,59 +76,59 @@
 
 func TestForwarder_OwnerCarriesOutTheCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := newTestFleet()
-		assert.NilError(t, fleet.change(patchCall))
-		fleet.ownerError = apierror.New(apierror.VersionConflict, "revision 9 is current")
-		err := apierror.From(fleet.change(patchCall))
+		cluster := newTestCluster()
+		assert.NilError(t, cluster.change(patchCall))
+		cluster.ownerError = apierror.New(apierror.VersionConflict, "revision 9 is current")
+		err := apierror.From(cluster.change(patchCall))
 		assert.Equal(t, err.Kind, apierror.VersionConflict)
 		assert.Equal(t, err.Detail, "revision 9 is current")
-		assert.Equal(t, fleet.ownerCalls, 2)
-		assert.Equal(t, fleet.localCalls, 0)
+		assert.Equal(t, cluster.ownerCalls, 2)
+		assert.Equal(t, cluster.localCalls, 0)
 	})
 }
 
 func TestForwarder_SlowOwnerIsLeftAtWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := newTestFleet()
-		fleet.ownerTakes = 1500 * time.Millisecond
-		assert.Equal(t, apierror.From(fleet.change(patchCall)).Kind, apierror.UncertainWrite, "the operator's patience ends")
-		assert.NilError(t, fleet.change(patchCall), "the resend joins the call under way")
-		assert.Equal(t, fleet.ownerCalls, 1)
-		assert.Equal(t, fleet.localCalls, 0)
-		assert.Equal(t, fleet.bodiesTaken, 1, "the body is sent once")
+		cluster := newTestCluster()
+		cluster.ownerTakes = 1500 * time.Millisecond
+		assert.Equal(t, apierror.From(cluster.change(patchCall)).Kind, apierror.UncertainWrite, "the operator's time-out")
+		assert.NilError(t, cluster.change(patchCall), "the resend joins the call in progress")
+		assert.Equal(t, cluster.ownerCalls, 1)
+		assert.Equal(t, cluster.localCalls, 0)
+		assert.Equal(t, cluster.bodiesReceived, 1, "the body is sent once")
 	})
 }
 
 func TestForwarder_AnswersByWhatIsLearnedBeforeTheOwnerReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := newTestFleet()
-		fleet.ownerTakes = 900 * time.Millisecond
+		cluster := newTestCluster()
+		cluster.ownerTakes = 900 * time.Millisecond
 		began := time.Now()
-		time.AfterFunc(500*time.Millisecond, func() { fleet.decided = true })
-		assert.NilError(t, fleet.change(patchCall))
+		time.AfterFunc(500*time.Millisecond, func() { cluster.decided = true })
+		assert.NilError(t, cluster.change(patchCall))
 		assert.Assert(t, time.Since(began) <= 500*time.Millisecond+outcomeInterval)
-		assert.Equal(t, fleet.localCalls, 0)
+		assert.Equal(t, cluster.localCalls, 0)
 		time.Sleep(maxPending)
 	})
 }
 
 func TestForwarder_TakesOverFromOwnerThatCannotBeReached(t *testing.T) {
-	cases := map[string]func(fleet *testFleet){
-		"silent":           func(fleet *testFleet) { fleet.silent = true },
-		"not heard of":     func(fleet *testFleet) { fleet.unreachable = true },
-		"without majority": func(fleet *testFleet) { fleet.ownerError = apierror.New(apierror.NoMajority, "") },
-		"uncertain":        func(fleet *testFleet) { fleet.ownerError = apierror.New(apierror.UncertainWrite, "") },
+	cases := map[string]func(cluster *testCluster){
+		"silent":           func(cluster *testCluster) { cluster.silent = true },
+		"not heard of":     func(cluster *testCluster) { cluster.unreachable = true },
+		"without majority": func(cluster *testCluster) { cluster.ownerError = apierror.New(apierror.NoMajority, "") },
+		"uncertain":        func(cluster *testCluster) { cluster.ownerError = apierror.New(apierror.UncertainWrite, "") },
 	}
 	for name, fail := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fleet := newTestFleet()
-				fail(fleet)
-				_ = fleet.change(patchCall)
+				cluster := newTestCluster()
+				fail(cluster)
+				_ = cluster.change(patchCall)
 				time.Sleep(peer.MethodChange.Timeout())
-				assert.Equal(t, fleet.localCalls, 1, "carried out here, though the operator may have gone")
-				assert.NilError(t, fleet.change(patchCall))
-				assert.Equal(t, fleet.localCalls, 2)
+				assert.Equal(t, cluster.localCalls, 1, "executed at this node even if the operator has given up")
+				assert.NilError(t, cluster.change(patchCall))
+				assert.Equal(t, cluster.localCalls, 2)
 			})
 		})
 	}
@@ -136,26 +136,26 @@
 
 func TestForwarder_SilentOwnerIsAvoidedForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := newTestFleet()
-		fleet.silent = true
-		_ = fleet.change(patchCall)
+		cluster := newTestCluster()
+		cluster.silent = true
+		_ = cluster.change(patchCall)
 		time.Sleep(peer.MethodChange.Timeout())
 		began := time.Now()
-		assert.NilError(t, fleet.change(patchCall))
-		assert.Equal(t, time.Since(began), time.Duration(0), "no wait for the owner")
-		fleet.silent = false
-		time.Sleep(avoidFor)
-		assert.NilError(t, fleet.change(patchCall))
-		assert.Equal(t, fleet.ownerCalls, 1)
+		assert.NilError(t, cluster.change(patchCall))
+		assert.Equal(t, time.Since(began), time.Duration(0), "does not wait for the owner")
+		cluster.silent = false
+		time.Sleep(avoidDuration)
+		assert.NilError(t, cluster.change(patchCall))
+		assert.Equal(t, cluster.ownerCalls, 1)
 	})
 }
 
 func TestForwarder_DecidedCallIsAnsweredWithoutTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := newTestFleet()
-		fleet.decided = true
-		assert.NilError(t, fleet.change(patchCall))
-		assert.Equal(t, fleet.ownerCalls+fleet.localCalls, 0)
+		cluster := newTestCluster()
+		cluster.decided = true
+		assert.NilError(t, cluster.change(patchCall))
+		assert.Equal(t, cluster.ownerCalls+cluster.localCalls, 0)
 	})
 }
 
@@ -175,6 +175,6 @@
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, executed, 2)
 		assert.NilError(t, executor.Do(t.Context(), patchCall))
-		assert.Equal(t, executed, 3, "a call that has ended is carried out again")
+		assert.Equal(t, executed, 3, "a call that has completed is executed again")
 	})
 }
--- a/internal/controlplane/configuration_bench_test.go
+++ b/internal/controlplane/configuration_bench_test.go
@@ -17,7 +17,7 @@
 	"ferryspar/internal/keystore"
 )
 
-// countingDisk is a disk that keeps nothing and counts what is written and synced.
+// countingDisk is a disk that stores nothing and counts the bytes written and the syncs.
 type countingDisk struct {
 	written atomic.Int64
 	syncs   atomic.Int64
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// countingNetwork carries messages between acceptors at once, and counts those that leave their sender.
+// countingNetwork delivers messages between acceptors without delay, and counts those that are sent to other nodes.
 type countingNetwork struct {
 	members   map[string]*keystore.Acceptor
 	messages  atomic.Int64
@@ -57,10 +57,10 @@
 	return n.members[address].Call(ctx, message)
 }
 
-// benchBackends is how many backends largeConfiguration has.
+// benchBackends is the number of backends of largeConfiguration.
 const benchBackends = 9
 
-// largeConfiguration is a configuration of many models and routes with random names.
+// largeConfiguration returns a configuration with the given numbers of models and routes, which have random names.
 func largeConfiguration(models, routes int, random *rand.Rand) configuration.Configuration {
 	result := configuration.Configuration{
 		Revision: 1,
@@ -118,7 +118,7 @@
 	return result
 }
 
-// startMembers starts acceptors that answer each other until the context ends, and returns their network and disks.
+// startMembers starts acceptors that run until ctx is done, and returns their network and disks.
 func startMembers(ctx context.Context, b *testing.B, members keystore.Membership) (*countingNetwork, []*countingDisk) {
 	b.Helper()
 	network := &countingNetwork{members: map[string]*keystore.Acceptor{}}
@@ -136,7 +136,7 @@
 	return network, disks
 }
 
-// warmUpChanges is more than the record of applied calls remembers.
+// warmUpChanges is more than the number of calls that the record of applied calls holds.
 const warmUpChanges = 600
 
 func BenchmarkConfigurationChange_FiveMembers(b *testing.B) {
--- a/internal/controlplane/coordination_host.go
+++ b/internal/controlplane/coordination_host.go
@@ -14,14 +14,14 @@
 	"ferryspar/internal/peer"
 )
 
-// historyMargin is how much longer than the settings' historyS puts are kept: a watch may have been given a revision by a node that
-// was behind, and a caller may send a put again for some seconds.
+// historyMargin is how much longer than historyS of the settings puts are kept, because a watch may have received its revision
+// from a node that lagged behind, and a caller may resend a put for some seconds.
 const historyMargin = 15 * time.Second
 
-// itemsDivisor: the values of all items together take this part of a segment of the write-ahead log, which must hold everything.
+// itemsDivisor limits all items together to this fraction of a segment of the write-ahead log, which must hold the whole state.
 const itemsDivisor = 4
 
-// coordinationHost is a node as its coordinator.Router sees it.
+// coordinationHost implements coordinator.Cluster.
 type coordinationHost struct {
 	node *Node
 }
@@ -49,7 +49,7 @@
 	return f.node.acceptor.Durable()[key].Promised.Proposer
 }
 
-// openCoordination makes the parts that carry out calls of applications.
+// openCoordination creates the components that execute coordination calls.
 func (n *Node) openCoordination() {
 	history := nodesettings.Seconds(n.settings.TimingBounds.HistoryS) + historyMargin
 	executor := coordinator.NewExecutor(n.store, coordination.Config{History: history}, n.clock)
@@ -60,7 +60,7 @@
 	n.itemCapacity = coordinator.NewCapacity(n.acceptor.Durable, maxBytes, n.clock)
 }
 
-// coordinationService is a node as coordinationapi sees it.
+// coordinationService implements coordinationapi.Service.
 type coordinationService struct {
 	node *Node
 }
@@ -72,12 +72,12 @@
 	}
 	result, err := s.node.coordination.Do(ctx, call)
 	if err == nil && call.Operation == coordination.OperationForceRelease {
-		logrus.WithFields(logrus.Fields{"lock": call.Name, "fence": result.Fence}).Warn("lock taken from its holder by an operator")
+		logrus.WithFields(logrus.Fields{"lock": call.Name, "fence": result.Fence}).Warn("lock force-released by an operator")
 	}
 	return result, coordinationError(err)
 }
 
-// admit returns an error if the item of a call is new and there is no room for it.
+// admit returns an error if the item of a call does not exist and the capacity for items is exhausted.
 func (s coordinationService) admit(call coordination.Call) error {
 	if s.node.itemCapacity.Admits(call) {
 		return nil
--- a/internal/controlplane/coordinator/applications_test.go
+++ b/internal/controlplane/coordinator/applications_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// patience is how long an application waits for an answer before it turns to another node.
-	patience = time.Second
-	// resendFor is how long a put without a clear answer is sent again.
+	// callerTimeout is how long an application waits for an answer before it tries another node.
+	callerTimeout = time.Second
+	// resendFor is how long a put is resent until it gets a definite answer.
 	resendFor = 6 * time.Second
-	// watchWait is how long a watch waits.
+	// watchWait is the wait time of a watch.
 	watchWait = 800 * time.Millisecond
 
-	// longestHold bounds how long a lock is held after its last renewal.
+	// longestHold is the maximum time that a lock is held after its last renewal.
 	longestHold = 1200 * time.Millisecond
 
 	lockCount    = 3
@@ -29,18 +29,18 @@
 	group        = "g."
 )
 
-// reply is what an application got for one attempt.
+// reply is the outcome of one attempt of an application.
 type reply struct {
 	result coordination.Result
-	// isClear says that the call was answered with a result, isTurnedAway that it promised to have done nothing.
-	isClear      bool
-	isTurnedAway bool
-	// err is that of a watch that was answered with one.
+	// isDefinite means that the call was answered with a result, and isRejected that it was answered as not executed.
+	isDefinite bool
+	isRejected bool
+	// err is the error of the call, if any.
 	err error
 }
 
-// ask makes one attempt at a node. An application that is out of patience closes its connection, which a machine that stands still
-// may notice too late.
+// ask makes one attempt at a node. An application that times out closes its connection; in half of the cases the node does not
+// notice, as when its machine is frozen.
 func (s *simulation) ask(name string, random *rand.Rand, do func(ctx context.Context, node *simulatedNode) (
 	coordination.Result, error,
 )) reply {
@@ -61,13 +61,13 @@
 			err = ErrUncertain
 		}
 		answered <- reply{
-			result:       result,
-			isClear:      err == nil,
-			isTurnedAway: errors.Is(err, ErrNotExecuted) || errors.Is(err, ErrOverloaded),
-			err:          err,
+			result:     result,
+			isDefinite: err == nil,
+			isRejected: errors.Is(err, ErrNotExecuted) || errors.Is(err, ErrOverloaded),
+			err:        err,
 		}
 	}()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(callerTimeout)
 	defer timer.Stop()
 	select {
 	case received := <-answered:
@@ -86,16 +86,16 @@
 	})
 }
 
-// hold is a time during which a caller counted itself holder of a lock.
+// hold is a period during which a caller considered itself the holder of a lock.
 type hold struct {
 	lock, caller string
 	fence        uint64
-	// sent is when the call was sent that took the lock, from and until bound the hold.
+	// sent is when the acquire call was sent; from and until bound the hold.
 	sent, from, until time.Time
 }
 
-// draw is a number that was given out.
-type draw struct {
+// issuedNumber is a number that a counter issued.
+type issuedNumber struct {
 	counter        string
 	value          uint64
 	sent, received time.Time
@@ -110,18 +110,18 @@
 	revision       uint64
 	outcome        coordination.Outcome
 	sent, received time.Time
-	// isOpen says that a put got no clear answer, isTurnedAway that each attempt was rejected.
-	isOpen       bool
-	isTurnedAway bool
+	// isIndefinite means that a put got no definite answer, and isRejected that every attempt was rejected.
+	isIndefinite bool
+	isRejected   bool
 }
 
-// records is all that applications saw.
+// records is everything that the applications observed.
 type records struct {
 	lock     sync.Mutex
 	holds    []hold
-	draws    []draw
+	issued   []issuedNumber
 	accesses []access
-	// watched holds the events that each watcher saw.
+	// watched holds the events that each watcher received.
 	watched map[int][]coordination.Event
 	failure error
 }
@@ -136,7 +136,7 @@
 	}
 }
 
-// application is one caller.
+// application is a simulated application that calls the coordinator.
 type application struct {
 	simulation *simulation
 	number     int
@@ -156,7 +156,7 @@
 	time.Sleep(time.Duration(a.random.Int64N(int64(limit))) + time.Millisecond)
 }
 
-// run makes calls until the time is over.
+// run makes calls until the end time.
 func (a *application) run() {
 	for turn := 0; time.Now().Before(a.until); turn++ {
 		a.pause(60 * time.Millisecond)
@@ -164,7 +164,7 @@
 		case 0, 1:
 			a.holdLock()
 		case 2:
-			a.drawNumber()
+			a.requestNumber()
 		case 3:
 			a.get(a.key())
 		default:
@@ -175,7 +175,7 @@
 
 func (a *application) key() string { return fmt.Sprint(group, a.random.IntN(keyCount)) }
 
-// holdLock takes a lock, extends it a few times, and gives it back, dies or sleeps past its time.
+// holdLock acquires a lock, renews it a few times, and then releases it, crashes or sleeps past the end of the hold.
 func (a *application) holdLock() {
 	lock := fmt.Sprint("l", a.random.IntN(lockCount))
 	holdFor := longestHold - time.Duration(a.random.IntN(900))*time.Millisecond
@@ -188,7 +188,7 @@
 	}
 	sent := time.Now()
 	taken := a.simulation.call(a.node(), a.random, call)
-	if !taken.isClear || taken.result.Outcome != coordination.OutcomeDone {
+	if !taken.isDefinite || taken.result.Outcome != coordination.OutcomeDone {
 		return
 	}
 	held := hold{lock: lock, caller: a.name(), fence: taken.result.Fence, sent: sent, from: time.Now(), until: sent.Add(holdFor)}
@@ -198,10 +198,10 @@
 	}
 	switch a.random.IntN(3) {
 	case 0:
-		// It dies: from then on nobody counts on the hold, though the lock stays taken.
+		// The application crashes: it no longer relies on the hold, but the lock stays held.
 		held.until = earlier(held.until, time.Now())
 	case 1:
-		// It sleeps past its time, and does not give the lock back.
+		// The application sleeps past the end of the hold and does not release the lock.
 		time.Sleep(time.Until(held.until))
 	default:
 		held.until = earlier(held.until, time.Now())
@@ -220,7 +220,7 @@
 	return right
 }
 
-// extend renews a hold, and says whether it still stands. An answer that comes once the time is over counts for nothing.
+// extend renews a hold and reports whether it is still valid. An answer that arrives after the hold has expired is ignored.
 func (a *application) extend(held *hold, call coordination.Call, holdFor time.Duration) bool {
 	call.Operation = coordination.OperationRenew
 	sent := time.Now()
@@ -231,17 +231,17 @@
 	if !time.Now().Before(held.until) {
 		return false
 	}
-	if renewed.isClear && renewed.result.Outcome == coordination.OutcomeLost {
+	if renewed.isDefinite && renewed.result.Outcome == coordination.OutcomeLost {
 		held.until = time.Now()
 		return false
 	}
-	if renewed.isClear {
+	if renewed.isDefinite {
 		held.until = sent.Add(holdFor)
 	}
 	return true
 }
 
-func (a *application) drawNumber() {
+func (a *application) requestNumber() {
 	counter := fmt.Sprint("n", a.random.IntN(counterCount))
 	sent := time.Now()
 	drawn := a.simulation.call(a.node(), a.random, coordination.Call{
@@ -249,22 +249,22 @@
 		Kind:      coordination.KindCounter,
 		Name:      counter,
 	})
-	if !drawn.isClear {
+	if !drawn.isDefinite {
 		return
 	}
 	a.records.lock.Lock()
 	defer a.records.lock.Unlock()
-	a.records.draws = append(a.records.draws, draw{counter, drawn.result.Number, sent, time.Now()})
+	a.records.issued = append(a.records.issued, issuedNumber{counter, drawn.result.Number, sent, time.Now()})
 }
 
-func (a *application) get(key string) (revision uint64, isClear bool) {
+func (a *application) get(key string) (revision uint64, isDefinite bool) {
 	done := access{key: key, sent: time.Now()}
 	read := a.simulation.call(a.node(), a.random, coordination.Call{
 		Operation: coordination.OperationGet,
 		Kind:      coordination.KindGroup,
 		Name:      key,
 	})
-	if !read.isClear {
+	if !read.isDefinite {
 		return 0, false
 	}
 	done.value, done.revision, done.outcome = read.result.Value, read.result.Revision, read.result.Outcome
@@ -279,12 +279,13 @@
 	a.records.accesses = append(a.records.accesses, done)
 }
 
-// put writes a key, mostly over the revision that it has read, and sends that again until it has a clear answer.
+// put writes a key, in most cases conditional on the revision that it has read, and resends the put until it has a definite
+// answer.
 func (a *application) put(value string) {
 	done := access{key: a.key(), isPut: true, value: value}
 	if a.random.IntN(4) > 0 {
-		revision, isClear := a.get(done.key)
-		if !isClear {
+		revision, isDefinite := a.get(done.key)
+		if !isDefinite {
 			return
 		}
 		done.expected = &revision
@@ -296,34 +297,34 @@
 		Value:     value,
 		Expected:  done.expected,
 	}
-	done.sent, done.isTurnedAway = time.Now(), true
+	done.sent, done.isRejected = time.Now(), true
 	for time.Since(done.sent) < resendFor {
 		answer := a.simulation.call(a.node(), a.random, call)
-		if answer.isClear {
+		if answer.isDefinite {
 			done.outcome, done.revision = answer.result.Outcome, answer.result.Revision
 			break
 		}
-		done.isTurnedAway = done.isTurnedAway && answer.isTurnedAway
-		if done.isTurnedAway && a.random.IntN(2) == 0 {
-			break // it relies on the promise that nothing was done
+		done.isRejected = done.isRejected && answer.isRejected
+		if done.isRejected && a.random.IntN(2) == 0 {
+			break // the application relies on the answer that the call had no effect
 		}
 		a.pause(100 * time.Millisecond)
 	}
 	done.received = time.Now()
-	done.isTurnedAway = done.isTurnedAway && done.outcome == ""
-	done.isOpen = done.outcome == "" && !done.isTurnedAway
+	done.isRejected = done.isRejected && done.outcome == ""
+	done.isIndefinite = done.outcome == "" && !done.isRejected
 	a.record(done)
 }
 
-// watch follows the group until the time is over and everything has been seen.
+// watch follows the group until isOver returns true for the revision reached.
 func (a *application) watch(isOver func(revision uint64) bool) {
 	revision := uint64(0)
 	for !isOver(revision) {
 		after := revision
 		answer := a.simulation.ask(a.node(), a.random, func(ctx context.Context, node *simulatedNode) (coordination.Result, error) {
 			if after == 0 {
-				// From the very first put on: after 0 would ask for the present revision only.
-				return node.watches.ask(ctx, group, 0)
+				// Watch with revision 0 would return the present revision only, but all puts from the first one are needed.
+				return node.watches.fetchEvents(ctx, group, 0)
 			}
 			return node.watches.Watch(ctx, group, after, watchWait)
 		})
@@ -331,7 +332,7 @@
 			a.records.fail("watch %d got 410 after %d", a.number, after)
 			return
 		}
-		if !answer.isClear {
+		if !answer.isDefinite {
 			a.pause(50 * time.Millisecond)
 			continue
 		}
--- a/internal/controlplane/coordinator/batch.go
+++ b/internal/controlplane/coordinator/batch.go
@@ -12,45 +12,47 @@
 )
 
 const (
-	// maxBatch is how many calls one write carries out.
-	maxBatch = 128
-	// batchTimeout is how long one batch may take, beyond the patience of its callers, who then find it done.
+	// maxBatchSize bounds how many calls share one keystore write.
+	maxBatchSize = 128
+	// batchTimeout bounds one batch. It exceeds the time-out of callers: a call that is sent again then finds the first one
+	// executed.
 	batchTimeout = 2500 * time.Millisecond
-	// heldMaxAge is how old the proof may be on which a lock is called held: callers that wait for a lock ask again and again.
+	// heldMaxAge bounds the age of the proof of ownership behind the answer that a lock is held. It need not be fresh, because
+	// callers that wait for a lock poll it.
 	heldMaxAge = 250 * time.Millisecond
-	// eventsMaxAge is the same for the answer that a group has no newer puts. It bounds how long followers listen to an owner
-	// that has been replaced.
+	// eventsMaxAge is the same bound for the answer that a group has no newer puts. It limits how long followers keep polling an
+	// owner that has been replaced.
 	eventsMaxAge = 400 * time.Millisecond
 )
 
-// runBatches carries out batches until none is left.
+// runBatches executes batches of an item's pending calls until none are left.
 func (e *Executor) runBatches(item *ownedItem) {
 	for {
 		item.lock.Lock()
-		size := min(len(item.pending), maxBatch)
+		size := min(len(item.pending), maxBatchSize)
 		taken := item.pending[:size:size]
 		item.pending = item.pending[size:]
-		questions := item.questions
-		item.questions = nil
-		item.isRunning = size+len(questions) > 0
+		queries := item.queries
+		item.queries = nil
+		item.isRunning = size+len(queries) > 0
 		item.lock.Unlock()
-		if size+len(questions) == 0 {
+		if size+len(queries) == 0 {
 			return
 		}
-		e.answerQuestions(item, questions)
+		e.answerHandoverQueries(item, queries)
 		e.runBatch(item, taken)
 	}
 }
 
-// runBatch carries out calls whose callers still wait, and leaves the others undone.
+// runBatch executes the calls whose callers are still waiting, and fails the others with ErrNotExecuted.
 func (e *Executor) runBatch(item *ownedItem, taken []*operation) {
 	var operations []*operation
-	for _, waiting := range taken {
-		if waiting.ctx.Err() != nil {
-			waiting.done <- completion{err: ErrNotExecuted}
+	for _, pending := range taken {
+		if pending.ctx.Err() != nil {
+			pending.done <- completion{err: ErrNotExecuted}
 			continue
 		}
-		operations = append(operations, waiting)
+		operations = append(operations, pending)
 	}
 	if len(operations) == 0 {
 		return
@@ -69,22 +71,22 @@
 	if batch.changed && item.kind == coordination.KindGroup {
 		item.signalChange()
 	}
-	for position, waiting := range operations {
-		waiting.done <- completion{result: batch.results[position]}
+	for position, completed := range operations {
+		completed.done <- completion{result: batch.results[position]}
 	}
 }
 
-// batch is a number of calls on one item that one step decides.
+// batch is a group of calls on one item that are decided in one keystore step.
 type batch struct {
 	executor   *Executor
 	item       *ownedItem
 	operations []*operation
 	results    []coordination.Result
 	changed    bool
-	// attempts counts the steps. Each but the first begins from the stored value: what the one before it did to the state may not
-	// be in force.
+	// attempts counts the steps. Every step after the first reloads the stored value, because the changes that the previous step
+	// made to the state may not have been committed.
 	attempts int
-	// err says that the stored value can't be read.
+	// err is the error of decoding the stored value.
 	err error
 }
 
@@ -104,12 +106,13 @@
 	return b.decide(now)
 }
 
-// isLoaded says whether the state in memory is that of the register, and was read under the same ownership.
+// isLoaded reports whether the state in memory matches the register and was read under the same ownership.
 func (i *ownedItem) isLoaded(current keystore.Register) bool {
 	return i.state != nil && i.register.SameProposal(current) && i.register.Promised == current.Promised
 }
 
-// memoryFor is what is known of the item under an ownership that found the value of an earlier one.
+// memoryFor returns the in-memory part of the state if this node also wrote the value that the present ownership adopted, and
+// else the zero value.
 func (i *ownedItem) memoryFor(adoptedFrom keystore.ProposalNumber) coordination.Memory {
 	if adoptedFrom.IsZero() || adoptedFrom != i.register.Accepted {
 		return coordination.Memory{}
@@ -120,11 +123,11 @@
 func (b *batch) decide(now time.Time) keystore.Decision {
 	b.results, b.changed = b.results[:0], false
 	maxAge := eventsMaxAge
-	for _, waiting := range b.operations {
-		result, changed := b.item.state.Step(waiting.call, now)
+	for _, current := range b.operations {
+		result, changed := b.item.state.Step(current.call, now)
 		b.results = append(b.results, result)
 		b.changed = b.changed || changed
-		maxAge = min(maxAge, maxAgeOf(waiting.call, result))
+		maxAge = min(maxAge, maxAgeOf(current.call, result))
 	}
 	if !b.changed {
 		return keystore.Decision{MaxAge: maxAge}
@@ -132,7 +135,7 @@
 	return keystore.Decision{Value: b.item.state.Value()}
 }
 
-// maxAgeOf is how old the proof of ownership may be for a result.
+// maxAgeOf returns how old the proof of ownership behind a result may be.
 func maxAgeOf(call coordination.Call, result coordination.Result) time.Duration {
 	switch {
 	case result.Outcome == coordination.OutcomeHeld:
@@ -143,7 +146,7 @@
 	return 0
 }
 
-// fail answers all calls of a batch that was not confirmed.
+// fail answers all calls of a batch that was not committed.
 func (b *batch) fail(cause error) {
 	failure := ErrNotExecuted
 	if errors.Is(cause, keystore.ErrUncertain) {
@@ -152,7 +155,7 @@
 	if b.err != nil {
 		logrus.WithError(b.err).WithField("key", b.item.key).Error("stored value of a coordination item cannot be read")
 	}
-	for _, waiting := range b.operations {
-		waiting.done <- completion{err: failure}
+	for _, pending := range b.operations {
+		pending.done <- completion{err: failure}
 	}
 }
--- a/internal/controlplane/coordinator/capacity.go
+++ b/internal/controlplane/coordinator/capacity.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// MaxItems is how many locks, counters and groups there may be.
+	// MaxItems is the maximum number of locks, counters and groups together.
 	MaxItems = 20000
-	// countInterval is how often the items are counted.
+	// countInterval is the minimum interval between two counts of the items.
 	countInterval = time.Second
 )
 
-// Capacity bounds how many items there are and how much room they take on the members' disks. Items are never deleted: a lock that
-// began anew would give out its fences a second time. It is safe for concurrent use.
+// Capacity limits the number of items and the disk space that they take at the members. Items are never deleted, because a lock
+// that was created again would issue the same fencing tokens a second time. It is safe for concurrent use.
 type Capacity struct {
-	// registers returns what this node's member has on its disk.
+	// registers returns the registers on this member's disk.
 	registers func() map[string]keystore.Register
 	maxBytes  int
 	clock     func() time.Time
@@ -30,13 +30,13 @@
 	bytes     int
 }
 
-// NewCapacity returns a capacity of maxBytes for the values of all items together.
+// NewCapacity returns a Capacity that allows maxBytes for all items together.
 func NewCapacity(registers func() map[string]keystore.Register, maxBytes int, clock func() time.Time) *Capacity {
 	return &Capacity{registers: registers, maxBytes: maxBytes, clock: clock}
 }
 
-// Admits says whether the item of a call exists or there is room for it. Any call on an unknown name makes it an item: its owner must
-// be promised to somebody before the call can be answered.
+// Admits reports whether the item of a call exists or may be created. Any call on an unknown name creates the item, because a
+// node must obtain the members' promises for its key before it can answer.
 func (c *Capacity) Admits(call coordination.Call) bool {
 	registers := c.registers()
 	if _, exists := registers[storeKey(call)]; exists {
@@ -51,7 +51,7 @@
 	return c.items < MaxItems && c.bytes < c.maxBytes
 }
 
-// count counts the items. The caller holds the lock.
+// count recounts the items and their size. The caller holds the lock.
 func (c *Capacity) count(registers map[string]keystore.Register) {
 	c.items, c.bytes = 0, 0
 	for key, register := range registers {
@@ -62,7 +62,7 @@
 	}
 }
 
-// ItemSummaries lists the items among registers, in no order.
+// ItemSummaries lists the coordination items among registers in unspecified order.
 func ItemSummaries(registers map[string]keystore.Register) []coordination.ItemSummary {
 	var summaries []coordination.ItemSummary
 	for key, register := range registers {
--- a/internal/controlplane/coordinator/check_test.go
+++ b/internal/controlplane/coordinator/check_test.go
@@ -9,15 +9,15 @@
 	"ferryspar/internal/coordination"
 )
 
-// checkTimeout bounds the search for a linear order of one history.
+// checkTimeout bounds the linearizability check of one history.
 const checkTimeout = 30 * time.Second
 
-// check returns what breaks a promise to applications, or nil.
+// check returns the first violation of the guarantees to applications, or nil.
 func (r *records) check() error {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for _, check := range []func() error{
-		func() error { return r.failure }, r.checkHolds, r.checkDraws, r.checkWatches, r.checkAccesses,
+		func() error { return r.failure }, r.checkHolds, r.checkIssuedNumbers, r.checkWatches, r.checkAccesses,
 	} {
 		if err := check(); err != nil {
 			return err
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// checkHolds finds two holders of one lock at a time, and fences that do not rise.
+// checkHolds detects overlapping holds of one lock by different callers, and fences that do not increase.
 func (r *records) checkHolds() error {
 	for position, first := range r.holds {
 		for _, second := range r.holds[position+1:] {
@@ -48,10 +48,11 @@
 	return earlier.from.Before(later.sent) && later.fence <= earlier.fence
 }
 
-// checkDraws finds numbers that were given out twice, or below one that was given out before they were asked for.
-func (r *records) checkDraws() error {
-	for position, first := range r.draws {
-		for _, second := range r.draws[position+1:] {
+// checkIssuedNumbers detects numbers that were issued twice, and numbers that are lower than one issued before they were
+// requested.
+func (r *records) checkIssuedNumbers() error {
+	for position, first := range r.issued {
+		for _, second := range r.issued[position+1:] {
 			if first.counter != second.counter {
 				continue
 			}
@@ -63,11 +64,12 @@
 	return nil
 }
 
-func isNumberTooLow(earlier, later draw) bool {
+func isNumberTooLow(earlier, later issuedNumber) bool {
 	return earlier.received.Before(later.sent) && later.value <= earlier.value
 }
 
-// checkWatches finds watches that differ, or lack an acknowledged put, and values that were shown though their put was rejected.
+// checkWatches detects watchers that received different events, acknowledged puts that are missing from the events, and events of
+// rejected puts.
 func (r *records) checkWatches() error {
 	seen := r.watched[0]
 	revisions := map[string]uint64{}
@@ -92,7 +94,7 @@
 		switch {
 		case done.isPut && done.outcome == coordination.OutcomeDone && revision != done.revision:
 			return errors.Errorf("put %+v is shown at revision %d", done, revision)
-		case done.isPut && isShown && (done.isTurnedAway || done.outcome == coordination.OutcomeConflict):
+		case done.isPut && isShown && (done.isRejected || done.outcome == coordination.OutcomeConflict):
 			return errors.Errorf("put %+v was rejected and is shown at revision %d", done, revision)
 		}
 	}
@@ -112,7 +114,7 @@
 
 func keyPosition(key string) int { return int(key[len(group)] - '0') }
 
-// stepKeys is the sequential specification of gets and puts.
+// stepKeys is the sequential specification of gets and puts, as a step function for porcupine.
 func stepKeys(state, input, _ any) (bool, any) {
 	model, done := state.(keyModel), input.(access)
 	current := &model.keys[keyPosition(done.key)]
@@ -130,8 +132,8 @@
 	return true, model
 }
 
-// checkAccesses judges whether the gets and puts have a linear order. A put without a clear answer took effect at some time if a watch
-// shows it, and never otherwise.
+// checkAccesses checks that the gets and puts are linearizable. A put without a definite answer took effect at some time if a
+// watcher received it, and never otherwise.
 func (r *records) checkAccesses() error {
 	revisions := map[string]uint64{}
 	for _, event := range r.watched[0] {
@@ -140,10 +142,10 @@
 	var operations []porcupine.Operation
 	for _, done := range r.accesses {
 		received := done.received
-		if done.isTurnedAway {
+		if done.isRejected {
 			continue
 		}
-		if done.isOpen {
+		if done.isIndefinite {
 			if done.revision = revisions[done.value]; done.revision == 0 {
 				continue
 			}
--- a/internal/controlplane/coordinator/coordinator_test.go
+++ b/internal/controlplane/coordinator/coordinator_test.go
@@ -21,32 +21,32 @@
 const (
 	applicationCount = 4
 	watchCount       = 2
-	// faultTime is how long faults strike.
+	// faultTime is how long faults are injected.
 	faultTime = 14 * time.Second
-	// answerLimit is how soon after the end of the last fault each item has an owner that answers, answerLimitAfterKill where that
-	// fault killed all processes: the aims of coordination (docs/design/coordination.md).
+	// answerLimit is the time after the end of the last fault within which each item must have an owner that answers.
+	// answerLimitAfterKill is the limit if that fault killed all processes. Both are requirements of docs/design/coordination.md.
 	answerLimit          = time.Second
 	answerLimitAfterKill = 2 * time.Second
-	// attemptInterval lies between two attempts of the calls that measure it.
+	// attemptInterval is the interval between attempts of the calls that check these limits.
 	attemptInterval = 20 * time.Millisecond
-	// attemptStagger lies between the first attempts of two of them.
+	// attemptStagger is the interval between the first attempts of two such calls.
 	attemptStagger = 1777 * time.Microsecond
 )
 
-// schedule is one play of applications under faults.
+// schedule is one simulated run of applications under faults, determined by its seed.
 type schedule struct {
 	seed   uint64
 	faults []keystoresim.Fault
-	// killsAll says that the faults kill all processes at once.
+	// killsAll means that the faults kill all processes at once.
 	killsAll bool
-	// breakSimulation plants a broken variant, and may be nil.
-	breakSimulation func(simulation *simulation)
+	// injectDefect injects a defect into the coordinator. It may be nil.
+	injectDefect func(simulation *simulation)
 }
 
 func (p schedule) run() error {
 	simulated := newSimulation(p.seed)
-	if p.breakSimulation != nil {
-		p.breakSimulation(simulated)
+	if p.injectDefect != nil {
+		p.injectDefect(simulated)
 	}
 	simulated.start()
 	defer simulated.end()
@@ -54,14 +54,14 @@
 	defer cancel()
 	go simulated.runHeartbeats(ctx)
 	seen := newRecords()
-	if err := p.play(simulated, seen); err != nil {
+	if err := p.runApplications(simulated, seen); err != nil {
 		return err
 	}
 	return seen.check()
 }
 
-// play has applications call until some time after the last fault, and reads everything back then.
-func (p schedule) play(simulated *simulation, seen *records) error {
+// runApplications runs applications until some time after the last fault, and then reads all items back.
+func (p schedule) runApplications(simulated *simulation, seen *records) error {
 	until := time.Now().Add(faultTime)
 	newApplication := func(number int) *application {
 		return &application{
@@ -87,7 +87,7 @@
 			})
 		})
 	}
-	err := simulated.strike(rand.New(rand.NewPCG(p.seed, 7)), p.faults, until)
+	err := simulated.injectFaults(rand.New(rand.NewPCG(p.seed, 7)), p.faults, until)
 	reader := newApplication(applicationCount)
 	limit := answerLimit
 	if p.killsAll {
@@ -105,8 +105,8 @@
 	return err
 }
 
-// mixes are those that the schedules draw from.
-var mixes = [][]keystoresim.Fault{
+// faultMixes holds the combinations of faults that the schedules use in turn.
+var faultMixes = [][]keystoresim.Fault{
 	{keystoresim.RestartFaults},
 	{keystoresim.LinkFaults},
 	{keystoresim.DiskFaults},
@@ -117,33 +117,33 @@
 	{keystoresim.Freeze, keystoresim.RestartFaults},
 }
 
-// mixThatKillsAll is the position of the mix that kills all processes.
-const mixThatKillsAll = 6
+// killAllMix is the index of the mix that kills all processes.
+const killAllMix = 6
 
-func TestRouter_KeepsPromisesToApplicationsUnderFaults(t *testing.T) {
+func TestRouter_GuaranteesHoldUnderFaults(t *testing.T) {
 	from, to := keystoresim.SeedRange(48)
 	for seed := from; seed < to; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			mix := seed % len(mixes)
-			err := schedule{seed: uint64(seed), faults: mixes[mix], killsAll: mix == mixThatKillsAll}.run()
+			mix := seed % len(faultMixes)
+			err := schedule{seed: uint64(seed), faults: faultMixes[mix], killsAll: mix == killAllMix}.run()
 			assert.NilError(t, err, "%s=%d replays this schedule", keystoresim.SeedVariable, seed)
 		})
 	}
 }
 
-// contestedSeeds are of schedules in which a number was answered too late: nodes took it from one another over links that are slow,
-// each with a higher proposal number than the one before it.
+// contestedSeeds are the seeds of schedules in which a counter was once answered too late: over slow links, nodes preempted each
+// other as its owner, each with a higher proposal number than the one before.
 var contestedSeeds = []uint64{216, 564}
 
 func TestRouter_ContestedItemIsLeftToOneOwner(t *testing.T) {
 	for _, seed := range contestedSeeds {
 		synctest.Test(t, func(t *testing.T) {
-			assert.NilError(t, schedule{seed: seed, faults: mixes[seed%uint64(len(mixes))]}.run(), "seed %d", seed)
+			assert.NilError(t, schedule{seed: seed, faults: faultMixes[seed%uint64(len(faultMixes))]}.run(), "seed %d", seed)
 		})
 	}
 }
 
-// staleStore has a Store that takes any proof of ownership for fresh.
+// staleStore is a Store that accepts proofs of ownership of any age.
 type staleStore struct{ Store }
 
 func (s staleStore) Operate(ctx context.Context, name string, step keystore.Step) (keystore.Register, error) {
@@ -154,8 +154,8 @@
 	})
 }
 
-// openedEarlier returns an openFunc that takes items of one kind for opened a while ago.
-func openedEarlier(kind coordination.Kind, by time.Duration) openFunc {
+// openBackdated returns an openFunc that opens items of one kind as if that had happened earlier by the given duration.
+func openBackdated(kind coordination.Kind, by time.Duration) openFunc {
 	return func(
 		opened coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.Memory,
 	) (coordination.Item, error) {
@@ -190,67 +190,67 @@
 	}
 }
 
-// brokenVariant is a fault of the coordinator itself that a schedule must show.
-type brokenVariant struct {
-	plant  func(simulation *simulation)
+// defect is a fault in the coordinator itself that the checks of a schedule must detect.
+type defect struct {
+	inject func(simulation *simulation)
 	faults []keystoresim.Fault
 }
 
-// takeoverFaults have items change their owners.
+// takeoverFaults are faults that cause items to change owners.
 var takeoverFaults = []keystoresim.Fault{
 	keystoresim.Freeze, keystoresim.OneOf(keystoresim.Restart, keystoresim.Isolate),
 }
 
-func opensBy(open openFunc) brokenVariant {
-	return brokenVariant{plant: func(simulation *simulation) { simulation.open = open }, faults: takeoverFaults}
+func openingDefect(open openFunc) defect {
+	return defect{inject: func(simulation *simulation) { simulation.open = open }, faults: takeoverFaults}
 }
 
-var brokenVariants = map[string]brokenVariant{
-	"a takeover that does not wait for the holder before it": opensBy(openedEarlier(coordination.KindLock, time.Hour)),
-	"clocks that run apart by far more than is allowed for": {
-		plant:  func(simulation *simulation) { simulation.cluster.ClockDrift = 0.3 },
+var defects = map[string]defect{
+	"a takeover that does not wait for the previous holder": openingDefect(openBackdated(coordination.KindLock, time.Hour)),
+	"clock drift far beyond the allowed drift": {
+		inject: func(simulation *simulation) { simulation.cluster.ClockDrift = 0.3 },
 		faults: takeoverFaults,
 	},
-	"a former owner that forgets what it granted last": {
-		plant: func(simulation *simulation) {
+	"a previous owner that reports no remaining hold": {
+		inject: func(simulation *simulation) {
 			simulation.changeHandover = func(handover *coordination.Handover) { handover.RemainingUs = 0 }
 		},
 		faults: takeoverFaults,
 	},
-	"a block of numbers used again": opensBy(rewrite(coordination.KindCounter, reuseNumbers)),
-	"fences that begin anew":        opensBy(rewrite(coordination.KindLock, forgetFence)),
-	"puts forgotten at a takeover":  opensBy(rewrite(coordination.KindGroup, forgetFirstEvent)),
-	"a history that is too short":   opensBy(openWithShortHistory),
-	"renewals, numbers and reads from memory": {
-		plant: func(simulation *simulation) {
+	"a block of numbers issued twice": openingDefect(rewrite(coordination.KindCounter, reuseNumbers)),
+	"fences that start over":          openingDefect(rewrite(coordination.KindLock, forgetFence)),
+	"puts lost at a takeover":         openingDefect(rewrite(coordination.KindGroup, forgetFirstEvent)),
+	"a history that is too short":     openingDefect(openWithShortHistory),
+	"renewals, numbers and reads answered from stale memory": {
+		inject: func(simulation *simulation) {
 			simulation.wrapStore = func(store Store) Store { return staleStore{store} }
 		},
 		faults: takeoverFaults,
 	},
 	"a wiped member that votes at once": {
-		plant: func(simulation *simulation) { simulation.cluster.VotesWithoutCatchUp = true },
+		inject: func(simulation *simulation) { simulation.cluster.VotesWithoutCatchUp = true },
 		faults: []keystoresim.Fault{
 			keystoresim.OneOf(keystoresim.WipeTwoDisks, keystoresim.LoseZone), keystoresim.LinkFaults,
 		},
 	},
 }
 
-func TestRouter_BrokenVariantsAreCaught(t *testing.T) {
-	for name, variant := range brokenVariants {
+func TestRouter_InjectedDefectsAreDetected(t *testing.T) {
+	for name, variant := range defects {
 		t.Run(name, func(t *testing.T) {
-			failure := findFailure(t, variant.faults, variant.plant)
-			assert.Assert(t, failure != nil, "no schedule shows what is wrong")
+			failure := findFailure(t, variant.faults, variant.inject)
+			assert.Assert(t, failure != nil, "no schedule detects the defect")
 		})
 	}
 }
 
-// findFailure returns the failure of the first schedule that has one, or nil.
-func findFailure(t *testing.T, faults []keystoresim.Fault, breakSimulation func(simulation *simulation)) error {
+// findFailure returns the first safety failure of the schedules with seeds 1 to 40, or nil. Liveness failures do not count.
+func findFailure(t *testing.T, faults []keystoresim.Fault, injectDefect func(simulation *simulation)) error {
 	t.Helper()
 	for seed := uint64(1); seed <= 40; seed++ {
 		var failure error
 		synctest.Test(t, func(*testing.T) {
-			failure = schedule{seed: seed, faults: faults, breakSimulation: breakSimulation}.run()
+			failure = schedule{seed: seed, faults: faults, injectDefect: injectDefect}.run()
 		})
 		if failure != nil && !errors.Is(failure, errUnanswered) {
 			t.Log(seed, failure)
--- a/internal/controlplane/coordinator/executor.go
+++ b/internal/controlplane/coordinator/executor.go
@@ -13,17 +13,17 @@
 	"ferryspar/internal/peer"
 )
 
-// Errors of calls.
+// Errors of coordination calls.
 var (
-	// ErrNotExecuted says that the call has changed nothing and never will.
-	ErrNotExecuted = errors.New("not carried out")
-	// ErrOverloaded says the same, because too many calls wait.
-	ErrOverloaded = errors.New("too many calls wait")
-	// ErrUncertain says that the call may or may not take effect.
-	ErrUncertain = errors.New("outcome not known")
+	// ErrNotExecuted means that the call had no effect and never will.
+	ErrNotExecuted = errors.New("coordination call not executed")
+	// ErrOverloaded means that the call was rejected without effect because too many calls are pending.
+	ErrOverloaded = errors.New("too many pending coordination calls")
+	// ErrUncertain means that the call may or may not take effect.
+	ErrUncertain = errors.New("outcome of the coordination call unknown")
 )
 
-// maxPendingCalls is how many calls may wait for one item.
+// maxPendingCalls is the maximum number of pending calls per item.
 const maxPendingCalls = 256
 
 // Store is the part of keystore.Store that an Executor needs.
@@ -31,50 +31,51 @@
 	Operate(ctx context.Context, name string, step keystore.Step) (keystore.Register, error)
 }
 
-// Executor carries out calls at this node, as the owner of their items. It is safe for concurrent use.
+// Executor executes calls on items that this node owns. It is safe for concurrent use.
 type Executor struct {
 	store  Store
 	config coordination.Config
 	clock  func() time.Time
-	// open is coordination.Open, but in tests of broken variants.
+	// open is coordination.Open except in tests that inject defects.
 	open openFunc
-	// askFormerOwner asks the former owner of a lock what it knows; it may be nil.
-	askFormerOwner func(ctx context.Context, request peer.HandoverRequest) (coordination.Handover, bool)
+	// queryPreviousOwner asks the previous owner of a lock for the remaining time of the last hold. It may be nil.
+	queryPreviousOwner func(ctx context.Context, request peer.HandoverRequest) (coordination.Handover, bool)
 
 	lock  sync.Mutex
 	items map[string]*ownedItem
 }
 
-// openFunc makes an item of its stored value.
+// openFunc decodes an item from its stored value.
 type openFunc func(
 	kind coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.Memory,
 ) (coordination.Item, error)
 
-// ownedItem is an item that this node owns, or owned.
+// ownedItem is an item that this node owns or has owned.
 type ownedItem struct {
 	key  string
 	kind coordination.Kind
 
-	// lock guards pending, questions, isRunning, changed and handover.
+	// lock guards pending, queries, isRunning, changed and handover.
 	lock      sync.Mutex
 	pending   []*operation
-	questions []handoverQuestion
+	queries   []handoverQuery
 	isRunning bool
-	// handover is the answer of the former owner that is not taken over yet, or nil.
+	// handover is the previous owner's answer that has not been applied yet, or nil.
 	handover *receivedHandover
-	// changed is closed when a put of a group is committed.
+	// changed is closed and replaced when a put of a group is committed.
 	changed chan struct{}
 
-	// state and its register are used by the goroutine that carries out a batch; state is nil if it must be read again.
+	// state and register are only accessed by the goroutine that runs batches. state is nil if it must be reloaded.
 	state    coordination.Item
 	register keystore.Register
-	// memory is that of the state after the last batch that was confirmed, under the ownership that the register names.
+	// memory is the in-memory part of the state after the last committed batch, under the ownership that register names.
 	memory coordination.Memory
-	// adoptedFrom is the ownership before the present one, askedUnder the one under which its owner was asked last.
-	adoptedFrom, askedUnder keystore.ProposalNumber
+	// adoptedFrom is the ownership before the present one. queriedUnder is the ownership under which the previous owner was last
+	// queried.
+	adoptedFrom, queriedUnder keystore.ProposalNumber
 }
 
-// operation is a call that waits for its outcome.
+// operation is a pending call.
 type operation struct {
 	ctx  context.Context
 	call coordination.Call
@@ -86,21 +87,21 @@
 	err    error
 }
 
-// NewExecutor returns an executor that owns nothing yet. clock is the node's steady clock.
+// NewExecutor returns an executor that owns no items. clock is the node's monotonic clock.
 func NewExecutor(store Store, config coordination.Config, clock func() time.Time) *Executor {
 	return &Executor{store: store, config: config, clock: clock, open: coordination.Open, items: map[string]*ownedItem{}}
 }
 
-// Do carries out a call. The error is ErrNotExecuted, ErrOverloaded or ErrUncertain.
+// Do executes a call. The error is ErrNotExecuted, ErrOverloaded or ErrUncertain.
 func (e *Executor) Do(ctx context.Context, call coordination.Call) (coordination.Result, error) {
-	return e.submit(ctx, e.item(call), call)
+	return e.submit(ctx, e.itemFor(call), call)
 }
 
-// AwaitEvents carries out an OperationEvents, and waits for a first event for as long as the call says.
+// AwaitEvents executes an OperationEvents call and waits up to the wait time of the call for the first event.
 func (e *Executor) AwaitEvents(ctx context.Context, call coordination.Call) (coordination.Result, error) {
 	timer := time.NewTimer(call.Wait())
 	defer timer.Stop()
-	item := e.item(call)
+	item := e.itemFor(call)
 	for {
 		changed := item.changeSignal()
 		result, err := e.submit(ctx, item, call)
@@ -117,12 +118,12 @@
 	}
 }
 
-// storeKey is the keystore's key of the item that a call is about.
+// storeKey returns the keystore key of the item that a call refers to.
 func storeKey(call coordination.Call) string {
 	return keystore.CoordinationPrefix + string(call.Kind) + "/" + call.ItemName()
 }
 
-func (e *Executor) item(call coordination.Call) *ownedItem {
+func (e *Executor) itemFor(call coordination.Call) *ownedItem {
 	key := storeKey(call)
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -140,7 +141,7 @@
 	return i.changed
 }
 
-// signalChange wakes those that wait for puts.
+// signalChange wakes the goroutines that wait for puts.
 func (i *ownedItem) signalChange() {
 	i.lock.Lock()
 	defer i.lock.Unlock()
@@ -148,7 +149,7 @@
 	i.changed = make(chan struct{})
 }
 
-// startBatches has batches carried out unless they are. The caller holds the item's lock.
+// startBatches starts the goroutine that runs the item's batches unless it is running. The caller holds the item's lock.
 func (e *Executor) startBatches(item *ownedItem) {
 	if !item.isRunning {
 		item.isRunning = true
@@ -157,17 +158,17 @@
 }
 
 func (e *Executor) submit(ctx context.Context, item *ownedItem, call coordination.Call) (coordination.Result, error) {
-	waiting := &operation{ctx: ctx, call: call, done: make(chan completion, 1)}
+	submitted := &operation{ctx: ctx, call: call, done: make(chan completion, 1)}
 	item.lock.Lock()
 	if len(item.pending) >= maxPendingCalls {
 		item.lock.Unlock()
 		return coordination.Result{}, ErrOverloaded
 	}
-	item.pending = append(item.pending, waiting)
+	item.pending = append(item.pending, submitted)
 	e.startBatches(item)
 	item.lock.Unlock()
 	select {
-	case completed := <-waiting.done:
+	case completed := <-submitted.done:
 		return completed.result, completed.err
 	case <-ctx.Done():
 		return coordination.Result{}, ErrUncertain
--- a/internal/controlplane/coordinator/executor_test.go
+++ b/internal/controlplane/coordinator/executor_test.go
@@ -26,7 +26,7 @@
 func TestExecutor_CallsThatWaitShareOneWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
-		store.takes = 10 * time.Millisecond
+		store.latency = 10 * time.Millisecond
 		executor := newTestExecutor(store)
 		const callers = 50
 		numbers := make(chan uint64, callers)
@@ -49,7 +49,7 @@
 func TestExecutor_CallOfCallerThatHasGoneIsNotCarriedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
-		store.takes = 100 * time.Millisecond
+		store.latency = 100 * time.Millisecond
 		executor := newTestExecutor(store)
 		go func() { _, _ = executor.Do(t.Context(), testNext) }()
 		time.Sleep(10 * time.Millisecond)
@@ -64,7 +64,7 @@
 		time.Sleep(time.Second)
 		result, err := executor.Do(t.Context(), testNext)
 		assert.NilError(t, err)
-		assert.Equal(t, result.Number, uint64(2), "the call in between drew none")
+		assert.Equal(t, result.Number, uint64(2), "the canceled call was issued no number")
 	})
 }
 
@@ -98,7 +98,7 @@
 		read := coordination.Call{Operation: coordination.OperationGet, Kind: coordination.KindGroup, Name: "g.k"}
 		result, err := executor.Do(t.Context(), read)
 		assert.NilError(t, err)
-		assert.Equal(t, result.Value, "v", "what was not confirmed is not shown")
+		assert.Equal(t, result.Value, "v", "an uncommitted put is not returned")
 	})
 }
 
@@ -116,7 +116,7 @@
 func TestExecutor_WaitingCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
-		store.takes = time.Second
+		store.latency = time.Second
 		executor := newTestExecutor(store)
 		overloaded := make(chan bool, 2*maxPendingCalls)
 		for range 2 * maxPendingCalls {
@@ -131,7 +131,7 @@
 				count++
 			}
 		}
-		assert.Assert(t, count > 0 && count <= maxPendingCalls, "%d turned away", count)
+		assert.Assert(t, count > 0 && count <= maxPendingCalls, "%d rejected", count)
 	})
 }
 
@@ -160,11 +160,12 @@
 	})
 }
 
-// sharedStore is one process of several that own keys in turn: each takes a key that another owns.
+// sharedStore is the store of one of several processes with common registers. An operation takes over a key that another one
+// owns.
 type sharedStore struct {
 	*memoryStore
 	name string
-	// losesKeys has the next operation begin a new ownership though nobody else owned the key.
+	// losesKeys makes the next operation start a new ownership although no other process owned the key in between.
 	losesKeys bool
 }
 
@@ -212,12 +213,12 @@
 		time.Sleep(10 * time.Millisecond)
 		first.losesKeys = true
 		taken = do(owner, acquireFor("b"))
-		assert.Equal(t, taken.Outcome, coordination.OutcomeDone, "the time goes on where it was")
+		assert.Equal(t, taken.Outcome, coordination.OutcomeDone, "the new ownership keeps the expiry of the hold")
 		time.Sleep(holdFor * 9 / 10)
 		renewal := acquireFor("b")
 		renewal.Operation, renewal.Fence = coordination.OperationRenew, taken.Fence
 		assert.Equal(t, do(other, renewal).Outcome, coordination.OutcomeDone)
 		time.Sleep(holdFor / 2)
-		assert.Equal(t, do(owner, acquireFor("a")).Outcome, coordination.OutcomeHeld, "b was granted more by the other")
+		assert.Equal(t, do(owner, acquireFor("a")).Outcome, coordination.OutcomeHeld, "the other owner renewed the hold of b")
 	})
 }
--- a/internal/controlplane/coordinator/follower.go
+++ b/internal/controlplane/coordinator/follower.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	// followWait is how long the owner of a group keeps the question for new puts: silence beyond it means that the owner
-	// can't be reached.
-	followWait = 600 * time.Millisecond
-	// followIdle is how long a group is followed after its last watch.
-	followIdle = 5 * time.Second
-	// maxFollowedEvents is how many puts of a group are kept here. A watch that lags further is answered by the owner.
+	// pollWait is how long the owner of a group holds a poll open when there are no new puts. No response after that time means
+	// that the owner is unreachable.
+	pollWait = 600 * time.Millisecond
+	// followerIdleTimeout is how long a group is polled after its last watch has ended.
+	followerIdleTimeout = 5 * time.Second
+	// maxFollowedEvents is how many puts of a group are cached. A watch that lags further behind is answered by the owner.
 	maxFollowedEvents = 512
-	// learnTimeout is how long a watch waits for a follower that has just begun, before it asks the owner itself: many that begin
-	// together would otherwise all ask.
-	learnTimeout = 250 * time.Millisecond
-	// maxWatches is how many watches may wait at a node.
+	// firstPollTimeout is how long a watch waits for the first poll of a new follower before it asks the owner itself. Without
+	// this wait, watches that start at the same time would each send a request to the owner.
+	firstPollTimeout = 250 * time.Millisecond
+	// maxWatches is the maximum number of pending watches per node.
 	maxWatches = 5000
 )
 
-// ErrExpired says that the puts after a revision are no longer all kept.
-var ErrExpired = errors.New("the puts after that revision are no longer all kept")
+// ErrExpired means that some of the puts after the requested revision are no longer kept.
+var ErrExpired = errors.New("puts after the requested revision have expired")
 
-// GroupWatcher answers watches on groups of keys at this node. However many there are on one group, its owner is asked once for all of
-// them. It is safe for concurrent use.
+// GroupWatcher serves watches on groups of keys at this node. All watches on one group share a single poll of the group's owner.
+// It is safe for concurrent use.
 type GroupWatcher struct {
 	router *Router
 	clock  func() time.Time
-	// leaving is closed when the node is about to end.
+	// leaving is closed when the node starts to shut down.
 	leaving <-chan struct{}
-	// waiting counts the watches that wait.
+	// waiting counts the pending watches.
 	waiting atomic.Int64
-	// ctx is that of the followers, which cancel ends.
+	// ctx is the context of the followers; cancel stops them.
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -49,7 +49,7 @@
 	followers map[string]*follower
 }
 
-// NewGroupWatcher returns an answerer of watches that follows nothing yet.
+// NewGroupWatcher returns a GroupWatcher without followers. clock is the node's monotonic clock.
 func NewGroupWatcher(router *Router, leaving <-chan struct{}, clock func() time.Time) *GroupWatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &GroupWatcher{
@@ -62,30 +62,31 @@
 	}
 }
 
-// Run ends all followers once ctx ends.
+// Run waits until ctx is done and then stops all followers.
 func (w *GroupWatcher) Run(ctx context.Context) {
 	<-ctx.Done()
 	w.cancel()
 }
 
-// follower keeps the recent puts of one group: all of those above from, up to to.
+// follower caches the recent puts of one group: those with revisions above from, up to and including to.
 type follower struct {
 	group string
 
 	lock     sync.Mutex
 	events   []coordination.Event
 	from, to uint64
-	// isKnown says that from and to were read from the owner.
-	isKnown bool
-	// changed is closed when to rises.
+	// isInitialized means that from and to were read from the owner.
+	isInitialized bool
+	// changed is closed and replaced when to increases.
 	changed chan struct{}
-	// watches counts those that wait; lastWatch is when one was here last.
+	// watches counts the pending watches on the group. lastWatch is when one last ended.
 	watches   int
 	lastWatch time.Time
 }
 
-// Watch returns the puts of a group after a revision and the revision up to which they are all there: as soon as there is one, or
-// none once wait has passed. With after 0 it returns the present revision. The error is ErrExpired, or one of Router.Do.
+// Watch returns the puts of a group after a revision, and the revision up to which the list is complete. It returns as soon as
+// there is a put, or without puts once wait has passed. If after is 0, it returns the current revision at once. The error is
+// ErrExpired or one of those of Router.Do.
 func (w *GroupWatcher) Watch(ctx context.Context, group string, after uint64, wait time.Duration) (coordination.Result, error) {
 	if after == 0 {
 		return w.router.Do(ctx, coordination.Call{
@@ -100,15 +101,15 @@
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	followed := w.follow(group)
-	defer followed.endWatch(w.clock)
-	followed.awaitKnown(ctx)
+	followed := w.acquireFollower(group)
+	defer followed.releaseWatch(w.clock)
+	followed.awaitFirstPoll(ctx)
 	for {
-		result, isCovered, changed := followed.since(after)
-		if !isCovered {
-			// The owner has what is missing here. If that is nothing, the follower has yet to begin.
+		result, isComplete, changed := followed.eventsAfter(after)
+		if !isComplete {
+			// The owner has the puts that are not cached here. If it returns none, the follower has not been initialized yet.
 			var err error
-			if result, err = w.ask(ctx, group, after); err != nil {
+			if result, err = w.fetchEvents(ctx, group, after); err != nil {
 				return result, err
 			}
 		}
@@ -127,8 +128,8 @@
 	}
 }
 
-// ask has the owner of a group list the puts after a revision.
-func (w *GroupWatcher) ask(ctx context.Context, group string, after uint64) (coordination.Result, error) {
+// fetchEvents requests the puts of a group after a revision from its owner.
+func (w *GroupWatcher) fetchEvents(ctx context.Context, group string, after uint64) (coordination.Result, error) {
 	result, err := w.router.Do(ctx, eventsCall(group, after, 0))
 	if err == nil && result.Outcome == coordination.OutcomeExpired {
 		return result, ErrExpired
@@ -146,8 +147,8 @@
 	}
 }
 
-// follow returns the follower of a group, which runs from then on, and counts one more watch on it.
-func (w *GroupWatcher) follow(group string) *follower {
+// acquireFollower returns the follower of a group, starting it if there is none, and increments its watch count.
+func (w *GroupWatcher) acquireFollower(group string) *follower {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	found := w.followers[group]
@@ -162,15 +163,15 @@
 	return found
 }
 
-// awaitKnown waits a little for the first answer of the owner.
-func (f *follower) awaitKnown(ctx context.Context) {
+// awaitFirstPoll waits up to firstPollTimeout for the owner's first response.
+func (f *follower) awaitFirstPoll(ctx context.Context) {
 	f.lock.Lock()
-	isKnown, changed := f.isKnown, f.changed
+	isInitialized, changed := f.isInitialized, f.changed
 	f.lock.Unlock()
-	if isKnown {
+	if isInitialized {
 		return
 	}
-	timer := time.NewTimer(learnTimeout)
+	timer := time.NewTimer(firstPollTimeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -179,7 +180,7 @@
 	}
 }
 
-// Counts counts the watches that wait, by group.
+// Counts returns the number of pending watches by group.
 func (w *GroupWatcher) Counts() map[string]int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -194,29 +195,30 @@
 	return counts
 }
 
-func (f *follower) endWatch(clock func() time.Time) {
+func (f *follower) releaseWatch(clock func() time.Time) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.watches--
 	f.lastWatch = clock()
 }
 
-// run follows a group until it has had no watch for followIdle, or the node ends.
+// run polls a group until it has had no watch for followerIdleTimeout or the node shuts down.
 func (w *GroupWatcher) run(followed *follower) {
-	for !w.dropIdle(followed) {
+	for !w.removeIfIdle(followed) {
 		if err := w.poll(w.ctx, followed); err != nil {
-			nodesettings.Sleep(w.ctx, retryPause)
+			nodesettings.Sleep(w.ctx, retryDelay)
 		}
 	}
 }
 
-// dropIdle ends the follower of a group that nobody watches.
-func (w *GroupWatcher) dropIdle(followed *follower) bool {
+// removeIfIdle removes a follower whose idle time-out has passed, or any follower if the node is shutting down, and reports
+// whether it did.
+func (w *GroupWatcher) removeIfIdle(followed *follower) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	followed.lock.Lock()
 	defer followed.lock.Unlock()
-	isIdle := followed.watches == 0 && w.clock().Sub(followed.lastWatch) > followIdle
+	isIdle := followed.watches == 0 && w.clock().Sub(followed.lastWatch) > followerIdleTimeout
 	ends := isIdle || w.ctx.Err() != nil || w.isLeaving()
 	if ends {
 		delete(w.followers, followed.group)
@@ -233,43 +235,43 @@
 	}
 }
 
-// poll asks the owner once for the puts that are new.
+// poll requests new puts from the owner once.
 func (w *GroupWatcher) poll(ctx context.Context, followed *follower) error {
-	position, isKnown := followed.position()
-	call := eventsCall(followed.group, position, followWait)
-	if !isKnown {
+	position, isInitialized := followed.position()
+	call := eventsCall(followed.group, position, pollWait)
+	if !isInitialized {
 		call.Operation, call.WaitMs = coordination.OperationRevision, 0
 	}
-	bounded, cancel := context.WithTimeout(ctx, callTimeout+followWait)
+	bounded, cancel := context.WithTimeout(ctx, callTimeout+pollWait)
 	defer cancel()
 	result, err := w.router.route(bounded, peer.CoordinationRequest{Call: call})
 	if err != nil {
 		return err
 	}
-	if !isKnown || result.Outcome == coordination.OutcomeExpired {
-		followed.restart(result.Revision)
+	if !isInitialized || result.Outcome == coordination.OutcomeExpired {
+		followed.reset(result.Revision)
 		return nil
 	}
-	followed.add(result)
+	followed.appendEvents(result)
 	return nil
 }
 
-func (f *follower) position() (position uint64, isKnown bool) {
+func (f *follower) position() (position uint64, isInitialized bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.to, f.isKnown
+	return f.to, f.isInitialized
 }
 
-// restart begins at a revision, with no puts before it.
-func (f *follower) restart(revision uint64) {
+// reset drops the cached puts and continues from a revision.
+func (f *follower) reset(revision uint64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.events, f.from, f.to, f.isKnown = nil, revision, revision, true
+	f.events, f.from, f.to, f.isInitialized = nil, revision, revision, true
 	f.signal()
 }
 
-// add takes in the puts that follow those that are here.
-func (f *follower) add(result coordination.Result) {
+// appendEvents adds puts that follow the cached ones and evicts the oldest beyond maxFollowedEvents.
+func (f *follower) appendEvents(result coordination.Result) {
 	if len(result.Events) == 0 {
 		return
 	}
@@ -284,17 +286,18 @@
 	f.signal()
 }
 
-// signal wakes the watches. The caller holds the lock.
+// signal wakes the pending watches. The caller holds the lock.
 func (f *follower) signal() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// since returns the puts after a revision, and whether all of them are here, with a channel that is closed when there are more.
-func (f *follower) since(after uint64) (result coordination.Result, isCovered bool, changed <-chan struct{}) {
+// eventsAfter returns the cached puts after a revision, whether none of them is missing, and a channel that is closed when more
+// arrive.
+func (f *follower) eventsAfter(after uint64) (result coordination.Result, isComplete bool, changed <-chan struct{}) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if !f.isKnown || after < f.from {
+	if !f.isInitialized || after < f.from {
 		return coordination.Result{}, false, f.changed
 	}
 	first := sort.Search(len(f.events), func(position int) bool { return f.events[position].Revision > after })
--- a/internal/controlplane/coordinator/follower_test.go
+++ b/internal/controlplane/coordinator/follower_test.go
@@ -12,11 +12,11 @@
 	"ferryspar/internal/coordination"
 )
 
-// newTestWatches returns the watches of a node that owns all items itself.
+// newTestWatches returns the GroupWatcher of a node that owns all items itself.
 func newTestWatches(t *testing.T) (watches *GroupWatcher, store *memoryStore, leaving chan struct{}) {
 	t.Helper()
 	store = newMemoryStore()
-	router := newTestRouter(&testFleet{members: []string{"self"}}, store)
+	router := newTestRouter(&testCluster{members: []string{"self"}}, store)
 	leaving = make(chan struct{})
 	watches = NewGroupWatcher(router, leaving, time.Now)
 	t.Cleanup(watches.cancel)
@@ -57,10 +57,10 @@
 			assert.Equal(t, result.Revision, uint64(2))
 		}
 		assert.Equal(t, len(watches.Counts()), 0)
-		time.Sleep(2 * followIdle)
+		time.Sleep(2 * followerIdleTimeout)
 		before = store.operations.Load()
 		time.Sleep(time.Minute)
-		assert.Equal(t, store.operations.Load(), before, "a group without watches is not followed")
+		assert.Equal(t, store.operations.Load(), before, "a group without watches is not polled")
 	})
 }
 
@@ -70,12 +70,12 @@
 		defer watches.cancel()
 		watches.put(t, "first")
 		watches.put(t, "second")
-		store.takes = 400 * time.Millisecond // longer than a watch waits for its follower
+		store.latency = 400 * time.Millisecond // longer than a watch waits for its follower
 		began := time.Now()
 		result, err := watches.Watch(t.Context(), group, 1, 2*time.Second)
 		assert.NilError(t, err)
 		assert.Equal(t, len(result.Events), 1)
-		assert.Assert(t, time.Since(began) < patience, "%s", time.Since(began))
+		assert.Assert(t, time.Since(began) < callerTimeout, "%s", time.Since(began))
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/controlplane/coordinator/forward.go
+++ b/internal/controlplane/coordinator/forward.go
@@ -12,59 +12,59 @@
 )
 
 const (
-	// forwardTimeout is how long the owner of an item may take before another control plane becomes its owner. After
-	// resendAfter the call is sent to it once more: the network may have lost the first message.
+	// forwardTimeout is how long the owner of an item may take before another control plane takes the item over. After
+	// resendDelay the call is sent to the owner once more, because the network may have lost the first message.
 	forwardTimeout = 400 * time.Millisecond
-	resendAfter    = 150 * time.Millisecond
-	// maxMessages is how often a call is sent to one node.
-	maxMessages = 2
-	// avoidFor is how long a control plane that did not answer in time gets no further calls, refusedFor one that no process
-	// listens at.
-	avoidFor   = 2 * time.Second
-	refusedFor = 400 * time.Millisecond
+	resendDelay    = 150 * time.Millisecond
+	// maxSends is the maximum number of times that a call is sent to one node.
+	maxSends = 2
+	// avoidDuration is how long no calls are sent to a control plane that did not answer in time. refusedAvoidDuration is the
+	// same for one to which no connection could be established.
+	avoidDuration        = 2 * time.Second
+	refusedAvoidDuration = 400 * time.Millisecond
 )
 
-// forward has another node carry out a call.
+// forward sends a call to another node for execution.
 func (r *Router) forward(
 	ctx context.Context, owner string, request peer.CoordinationRequest,
 ) (coordination.Result, error) {
 	wait := request.Call.Wait()
 	bounded, cancel := context.WithTimeout(ctx, forwardTimeout+wait)
 	defer cancel()
-	reply, err := r.send(bounded, owner, request, resendAfter+wait)
+	reply, err := r.sendWithResend(bounded, owner, request, resendDelay+wait)
 	if err == nil {
 		return reply.Result, errorOf(reply.Status)
 	}
 	if ctx.Err() != nil {
-		return coordination.Result{}, ErrUncertain // the caller's time is up, which says nothing of the owner
+		return coordination.Result{}, ErrUncertain // the caller's context ended, which says nothing about the owner
 	}
-	if isRefused(err) {
-		r.avoid(owner, refusedFor, err)
+	if isDialError(err) {
+		r.avoid(owner, refusedAvoidDuration, err)
 		return coordination.Result{}, ErrNotExecuted
 	}
-	r.avoid(owner, avoidFor, err)
+	r.avoid(owner, avoidDuration, err)
 	return coordination.Result{}, ErrUncertain
 }
 
-// forwardedReply is what came of one message.
+// forwardedReply is the outcome of one message.
 type forwardedReply struct {
 	reply peer.CoordinationReply
 	err   error
 }
 
-// send sends a call, and once more if there is no reply after a while, and returns the first reply. The error is of the last message
-// that failed, unless that was refused and another one was not.
-func (r *Router) send(
-	ctx context.Context, owner string, request peer.CoordinationRequest, after time.Duration,
+// sendWithResend sends a call, sends it once more if there is no reply after delay, and returns the first reply. If all messages
+// fail, it returns the first error that is not a dial error, if any, because that message may have been executed.
+func (r *Router) sendWithResend(
+	ctx context.Context, owner string, request peer.CoordinationRequest, delay time.Duration,
 ) (peer.CoordinationReply, error) {
-	received := make(chan forwardedReply, maxMessages)
+	received := make(chan forwardedReply, maxSends)
 	sendOnce := func() {
 		var reply peer.CoordinationReply
 		err := r.caller.Call(ctx, peer.MethodCoordinate, owner, request, &reply)
 		received <- forwardedReply{reply: reply, err: err}
 	}
 	go sendOnce()
-	timer := time.NewTimer(after)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	var failure error
 	for pending := 1; pending > 0; {
@@ -77,7 +77,7 @@
 				return answered.reply, nil
 			}
 			pending--
-			if failure == nil || isRefused(failure) {
+			if failure == nil || isDialError(failure) {
 				failure = answered.err
 			}
 		}
@@ -85,8 +85,8 @@
 	return peer.CoordinationReply{}, failure
 }
 
-// isRefused says that a call failed before it was sent: no connection was established.
-func isRefused(err error) bool {
+// isDialError reports whether a call failed before it was sent because no connection was established.
+func isDialError(err error) bool {
 	var failure *net.OpError
 	return errors.As(err, &failure) && failure.Op == "dial"
 }
--- a/internal/controlplane/coordinator/handover.go
+++ b/internal/controlplane/coordinator/handover.go
@@ -9,35 +9,36 @@
 	"ferryspar/internal/peer"
 )
 
-// A lock's owner knows until when the last hold lasts, and stores only how long holds are. Who takes a lock over therefore waits for
-// one more hold, unless the former owner can be asked: without that, a lock whose holder has died stays taken for a hold after
-// each change of its owner.
+// The owner of a lock keeps the expiry of the current hold in memory and stores only its duration. A node that takes over a lock
+// must therefore wait for one more hold duration, unless it can ask the previous owner. Without that query, a lock whose holder
+// has crashed would stay held for another hold duration after each change of owner.
 
-// handoverTimeout is how long the former owner may take to answer.
+// handoverTimeout is how long the previous owner may take to answer.
 const handoverTimeout = 300 * time.Millisecond
 
-// handoverQuestion is a question that waits for the goroutine that carries out the item's batches: only between two batches is it
-// certain what this node has granted.
-type handoverQuestion struct {
+// handoverQuery is a query that waits for the goroutine that runs the item's batches. Only between two batches is it certain what
+// this node has granted.
+type handoverQuery struct {
 	ownership keystore.ProposalNumber
 	reply     chan peer.HandoverReply
 }
 
-// receivedHandover is the answer of a former owner.
+// receivedHandover is the answer of a previous owner.
 type receivedHandover struct {
-	// ownership is that of this node under which the answer was asked for.
+	// ownership is this node's ownership under which the query was sent.
 	ownership  keystore.ProposalNumber
 	handover   coordination.Handover
 	receivedAt time.Time
 }
 
-// HandleHandover answers the next owner of a lock.
+// HandleHandover answers the handover query of a lock's next owner.
 func (r *Router) HandleHandover(ctx context.Context, request peer.HandoverRequest) peer.HandoverReply {
 	return r.executor.handOver(ctx, request)
 }
 
-// askFormerOwner asks the former owner of a lock what it knows.
-func (r *Router) askFormerOwner(ctx context.Context, request peer.HandoverRequest) (coordination.Handover, bool) {
+// queryPreviousOwner sends a handover query to the previous owner of a lock. It returns false if that node is unknown, does not
+// answer, or no longer knows.
+func (r *Router) queryPreviousOwner(ctx context.Context, request peer.HandoverRequest) (coordination.Handover, bool) {
 	address := request.Ownership.Proposer
 	if address == "" {
 		return coordination.Handover{}, false
@@ -51,7 +52,7 @@
 	return reply.Handover, reply.Known
 }
 
-// handOver says what this node granted last under an ownership of an item.
+// handOver returns what this node last granted under the given ownership of an item.
 func (e *Executor) handOver(ctx context.Context, request peer.HandoverRequest) peer.HandoverReply {
 	e.lock.Lock()
 	item := e.items[request.Key]
@@ -59,22 +60,22 @@
 	if item == nil {
 		return peer.HandoverReply{}
 	}
-	question := handoverQuestion{ownership: request.Ownership, reply: make(chan peer.HandoverReply, 1)}
+	query := handoverQuery{ownership: request.Ownership, reply: make(chan peer.HandoverReply, 1)}
 	item.lock.Lock()
-	item.questions = append(item.questions, question)
+	item.queries = append(item.queries, query)
 	e.startBatches(item)
 	item.lock.Unlock()
 	select {
-	case reply := <-question.reply:
+	case reply := <-query.reply:
 		return reply
 	case <-ctx.Done():
 		return peer.HandoverReply{}
 	}
 }
 
-// answerQuestions answers those that wait. The goroutine that carries out the item's batches calls it.
-func (e *Executor) answerQuestions(item *ownedItem, questions []handoverQuestion) {
-	if len(questions) == 0 {
+// answerHandoverQueries answers pending handover queries. It is called by the goroutine that runs the item's batches.
+func (e *Executor) answerHandoverQueries(item *ownedItem, queries []handoverQuery) {
+	if len(queries) == 0 {
 		return
 	}
 	if item.state != nil {
@@ -82,26 +83,27 @@
 		item.memory = item.state.Memory()
 	}
 	now := e.clock()
-	for _, question := range questions {
+	for _, query := range queries {
 		var reply peer.HandoverReply
-		if item.register.Promised == question.ownership {
+		if item.register.Promised == query.ownership {
 			reply.Handover, reply.Known = item.memory.Handover(now)
 		}
-		question.reply <- reply
+		query.reply <- reply
 	}
 }
 
-// requestHandover asks the former owner of a lock that was just taken over, and keeps the answer for the next batch.
+// requestHandover queries the previous owner of a lock that was just taken over, and keeps the answer for the next batch. It does
+// so once per ownership.
 func (e *Executor) requestHandover(item *ownedItem) {
 	lock, isLock := item.state.(*coordination.Lock)
-	if !isLock || !lock.NeedsHandover() || e.askFormerOwner == nil || item.askedUnder == item.register.Promised {
+	if !isLock || !lock.NeedsHandover() || e.queryPreviousOwner == nil || item.queriedUnder == item.register.Promised {
 		return
 	}
-	item.askedUnder = item.register.Promised
+	item.queriedUnder = item.register.Promised
 	request := peer.HandoverRequest{Key: item.key, Ownership: item.adoptedFrom}
 	ownership := item.register.Promised
 	go func() {
-		handover, known := e.askFormerOwner(context.Background(), request)
+		handover, known := e.queryPreviousOwner(context.Background(), request)
 		if !known {
 			return
 		}
@@ -111,7 +113,7 @@
 	}()
 }
 
-// adoptHandover takes over the answer of the former owner if this node still has the ownership under which it asked.
+// adoptHandover applies the previous owner's answer if this node still has the ownership under which it sent the query.
 func (i *ownedItem) adoptHandover(current keystore.Register) {
 	i.lock.Lock()
 	received := i.handover
--- a/internal/controlplane/coordinator/recovery_test.go
+++ b/internal/controlplane/coordinator/recovery_test.go
@@ -10,14 +10,14 @@
 	"ferryspar/internal/coordination"
 )
 
-// awaitAnswers calls each item, at one node after the other, until there is a clear answer, which must come in time.
+// awaitAnswers calls each item at randomly chosen nodes until there is a definite answer, which must arrive within the limit.
 func (a *application) awaitAnswers(limit time.Duration) error {
 	began := time.Now()
 	calls := itemCalls(a.name())
 	answered := make(chan coordination.Call, len(calls))
 	for position, call := range calls {
 		source := rand.New(rand.NewPCG(a.random.Uint64(), 31))
-		// No two attempts begin at one moment, so that a schedule replays exactly.
+		// Attempts start at distinct times, so that a schedule replays deterministically.
 		delay := time.Duration(position+1) * attemptStagger
 		go func() {
 			time.Sleep(delay)
@@ -35,24 +35,24 @@
 	return nil
 }
 
-// callUntilAnswered makes attempts that overlap: one at a node that does not answer holds up no other.
+// callUntilAnswered makes overlapping attempts, so that a node that does not answer does not delay the others.
 func (a *application) callUntilAnswered(
 	call coordination.Call, random *rand.Rand, until time.Time, answered chan<- coordination.Call,
 ) {
-	isClear := make(chan struct{}, 1)
+	definite := make(chan struct{}, 1)
 	for time.Now().Before(until) {
 		names := a.simulation.cluster.MemberNames()
 		name, source := names[random.IntN(len(names))], rand.New(rand.NewPCG(random.Uint64(), 37))
 		go func() {
-			if a.simulation.call(name, source, call).isClear {
+			if a.simulation.call(name, source, call).isDefinite {
 				select {
-				case isClear <- struct{}{}:
+				case definite <- struct{}{}:
 				default:
 				}
 			}
 		}()
 		select {
-		case <-isClear:
+		case <-definite:
 			answered <- call
 			return
 		case <-time.After(attemptInterval):
@@ -60,8 +60,8 @@
 	}
 }
 
-// itemCalls are calls that touch each item and take nothing from the applications: numbers may have gaps, a lock is asked for by a
-// renewal that names no fence.
+// itemCalls returns one call for each item that does not disturb the applications: numbers may have gaps, and locks are called
+// with a renewal without a fence.
 func itemCalls(holder string) []coordination.Call {
 	calls := []coordination.Call{{Operation: coordination.OperationRevision, Kind: coordination.KindGroup, Name: group}}
 	for position := range counterCount {
@@ -77,8 +77,8 @@
 	return calls
 }
 
-// readBack draws each number, takes each lock and reads the revision of the group, which must be answered in time: a lock whose
-// holder has died is free one hold later.
+// readBack increments each counter, acquires each lock and reads the revision of the group, all of which must be answered within
+// the limit: a lock whose holder has crashed is free one hold duration later.
 func readBack(reader *application, final *atomic.Uint64, limit time.Duration) error {
 	began := time.Now()
 	var open []string
@@ -95,21 +95,21 @@
 	}
 }
 
-// errUnanswered is a failure of liveness; all others are of safety.
+// errUnanswered is a liveness failure; all other failures are safety failures.
 var errUnanswered = errors.New("not everything answers in time")
 
-// readAll returns the calls that were not answered, or as though a lock were held.
+// readAll calls each item once, and returns the items whose calls were not answered or whose lock was held.
 func (a *application) readAll(final *atomic.Uint64) (unanswered []string) {
 	for position := range counterCount {
 		call := coordination.Call{Operation: coordination.OperationNext, Kind: coordination.KindCounter, Name: "n" + digit(position)}
 		sent := time.Now()
 		drawn := a.simulation.call(a.node(), a.random, call)
-		if !drawn.isClear {
+		if !drawn.isDefinite {
 			unanswered = append(unanswered, call.Name)
 			continue
 		}
 		a.records.lock.Lock()
-		a.records.draws = append(a.records.draws, draw{call.Name, drawn.result.Number, sent, time.Now()})
+		a.records.issued = append(a.records.issued, issuedNumber{call.Name, drawn.result.Number, sent, time.Now()})
 		a.records.lock.Unlock()
 	}
 	for position := range lockCount {
@@ -126,7 +126,7 @@
 	}
 	call := coordination.Call{Operation: coordination.OperationRevision, Kind: coordination.KindGroup, Name: group}
 	read := a.simulation.call(a.node(), a.random, call)
-	if !read.isClear {
+	if !read.isDefinite {
 		return append(unanswered, group)
 	}
 	final.Store(max(read.result.Revision, 1))
--- a/internal/controlplane/coordinator/router.go
+++ b/internal/controlplane/coordinator/router.go
@@ -17,34 +17,37 @@
 )
 
 const (
-	// callTimeout is how long a call may take in all: callers turn to another control plane after a second.
+	// callTimeout bounds a call in total. Callers try another control plane after one second.
 	callTimeout = 950 * time.Millisecond
-	// unconfirmedTimeout is the same while this node has no contact with a majority: another one is the better choice.
+	// unconfirmedTimeout replaces callTimeout while this node has no contact with a majority, so that the caller can try another
+	// node sooner.
 	unconfirmedTimeout = 450 * time.Millisecond
-	// retryPause lies between attempts that were not carried out.
-	retryPause = 30 * time.Millisecond
-	// maxCalls is how many calls of applications a node carries out at a time.
+	// retryDelay is the pause between two attempts.
+	retryDelay = 30 * time.Millisecond
+	// maxCalls is the maximum number of concurrent application calls per node.
 	maxCalls = 2000
-	// maxHops is how often a call is passed on.
+	// maxHops is the maximum number of times that a call is forwarded.
 	maxHops = 2
-	// probeInterval lies between two probes of a node that is avoided, probeTimeout is how soon it must answer one.
+	// probeInterval is the interval between probes of an avoided node, and probeTimeout is the time within which it must answer
+	// one.
 	probeInterval = 50 * time.Millisecond
 	probeTimeout  = 100 * time.Millisecond
-	// learningPeriod is how long after its start a node takes members that it has not heard of for reachable.
-	learningPeriod = 1500 * time.Millisecond
+	// startupGracePeriod is how long after its start a node treats members that it has not heard from as reachable.
+	startupGracePeriod = 1500 * time.Millisecond
 )
 
-// Cluster is what a Router needs to know of the control plane.
+// Cluster is a Router's view of the control plane.
 type Cluster interface {
-	// Members are the addresses of the present members, this node's among them if it is one.
+	// Members returns the addresses of the current members, including this node if it is one.
 	Members() []string
-	// IsReachable tells whether another node, which is not leaving, was heard just now.
+	// IsReachable reports whether another node was heard from recently and is not leaving.
 	IsReachable(address string) bool
-	// MayOwn tells whether this node may take items: it votes, so it knows who owns what, and is not about to end.
+	// MayOwn reports whether this node may take ownership of items: it votes, and thus knows the present owners, and is not
+	// leaving.
 	MayOwn() bool
-	// IsConfirmed tells whether this node was in contact with a majority lately.
+	// IsConfirmed reports whether this node was recently in contact with a majority.
 	IsConfirmed() bool
-	// LastOwner is the node that has the promise of this node's member for a key, or "".
+	// LastOwner returns the node to which this node's acceptor has promised a key, or "".
 	LastOwner(key string) string
 }
 
@@ -53,12 +56,13 @@
 	Call(ctx context.Context, method peer.Method, address string, message, reply any) error
 }
 
-// Router has calls carried out by the owner of their item. That is the node which has the promises of the members, as the member here
-// knows it; if that one is not reachable, or nobody has owned the item yet, it is the first reachable member in an order of the item's
-// own, so that items are spread over the members and all nodes agree. If the owner does not answer, the next in that order takes the
-// item over. An item stays where it is when a member returns: a takeover has the holder of a lock wait longer.
+// Router forwards calls to the owners of their items. The owner is the node that this member's acceptor last promised the item's
+// key to. If that node is unreachable, or the item has had no owner yet, it is the first reachable member in the item's
+// rendezvous hashing order, so that items are spread over the members and all nodes agree on the owner. If the owner does not
+// answer, the next member in that order takes over the item. An item does not move back when a member returns, because each
+// takeover makes callers wait longer for a lock.
 //
-// Every operation may be carried out again after an attempt without an answer. A Router is safe for concurrent use.
+// Every operation may be executed again after an attempt without an answer. A Router is safe for concurrent use.
 type Router struct {
 	self      string
 	cluster   Cluster
@@ -67,15 +71,15 @@
 	clock     func() time.Time
 	startedAt time.Time
 
-	// calls counts the calls of applications under way.
+	// calls counts the application calls in progress.
 	calls atomic.Int64
 
 	lock sync.Mutex
-	// avoided holds until when a control plane gets no calls.
+	// avoided holds, by address, the time until which a control plane is sent no calls.
 	avoided map[string]time.Time
 }
 
-// NewRouter returns a router of the node at address self. clock is its steady clock.
+// NewRouter returns the router of the node at address self. clock is the node's monotonic clock.
 func NewRouter(self string, cluster Cluster, caller Caller, executor *Executor, clock func() time.Time) *Router {
 	router := &Router{
 		self:      self,
@@ -86,11 +90,11 @@
 		startedAt: clock(),
 		avoided:   map[string]time.Time{},
 	}
-	executor.askFormerOwner = router.askFormerOwner
+	executor.queryPreviousOwner = router.queryPreviousOwner
 	return router
 }
 
-// Do carries out a call of an application. The error is ErrNotExecuted, ErrOverloaded or ErrUncertain.
+// Do executes a call of an application. The error is ErrNotExecuted, ErrOverloaded or ErrUncertain.
 func (r *Router) Do(ctx context.Context, call coordination.Call) (coordination.Result, error) {
 	defer r.calls.Add(-1)
 	if r.calls.Add(1) > maxCalls {
@@ -106,8 +110,8 @@
 	return r.route(bounded, peer.CoordinationRequest{Call: call})
 }
 
-// HandleForwarded carries out a call that another node forwards, or passes it on if another one is its owner by what this node
-// knows: the sender may be cut off from that one.
+// HandleForwarded executes a call that another node forwarded, or forwards it again if this node knows of another owner, which
+// the sender may be unable to reach.
 func (r *Router) HandleForwarded(ctx context.Context, request peer.CoordinationRequest) peer.CoordinationReply {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout+request.Call.Wait())
 	defer cancel()
@@ -121,7 +125,7 @@
 	return peer.CoordinationReply{Result: result, Status: statusOf(err)}
 }
 
-// route makes attempts until one is answered.
+// route repeats attempts until one is answered or ctx is done.
 func (r *Router) route(ctx context.Context, request peer.CoordinationRequest) (coordination.Result, error) {
 	failure := ErrNotExecuted
 	for ctx.Err() == nil {
@@ -129,29 +133,29 @@
 		isUncertain := failure == ErrUncertain
 		switch {
 		case err == nil && result.Outcome == coordination.OutcomeFull && isUncertain:
-			// An earlier attempt may yet find room.
+			// An earlier attempt with an unknown outcome may still have found room.
 		case err == nil, errors.Is(err, ErrOverloaded) && !isUncertain:
 			return result, err
 		case errors.Is(err, ErrUncertain):
 			failure = ErrUncertain
 		}
-		nodesettings.Sleep(ctx, retryPause)
+		nodesettings.Sleep(ctx, retryDelay)
 	}
 	return coordination.Result{}, failure
 }
 
-// attempt has a call carried out once by the node that is to own its item now.
+// attempt executes a call once, at the node that should own its item now.
 func (r *Router) attempt(ctx context.Context, request peer.CoordinationRequest) (coordination.Result, error) {
-	owner, isFirst := r.owner(storeKey(request.Call))
+	owner, isPreferred := r.chooseOwner(storeKey(request.Call))
 	if owner == r.self {
 		return r.execute(ctx, request.Call)
 	}
 	request.Hops++
-	request.TakeOver = !isFirst
+	request.TakeOver = !isPreferred
 	return r.forward(ctx, owner, request)
 }
 
-// execute carries out a call here.
+// execute executes a call at this node.
 func (r *Router) execute(ctx context.Context, call coordination.Call) (coordination.Result, error) {
 	if call.Operation == coordination.OperationEvents && call.WaitMs > 0 {
 		return r.executor.AwaitEvents(ctx, call)
@@ -159,8 +163,9 @@
 	return r.executor.Do(ctx, call)
 }
 
-// owner is the node that is to own an item now. isFirst says that no node was passed over that all others agree on.
-func (r *Router) owner(key string) (address string, isFirst bool) {
+// chooseOwner returns the node that should own an item now. isPreferred is false if the node that others would choose was skipped
+// because this node avoids it; the chosen node must then take over the item.
+func (r *Router) chooseOwner(key string) (address string, isPreferred bool) {
 	candidates := r.candidates()
 	if len(candidates) == 0 {
 		return r.self, true
@@ -190,10 +195,10 @@
 	return now.Before(r.avoided[address])
 }
 
-// candidates are the members that may own items, by what this node knows.
+// candidates returns the members that may own items as far as this node knows.
 func (r *Router) candidates() []string {
 	var reachable []string
-	isLearning := r.clock().Sub(r.startedAt) < learningPeriod
+	isStarting := r.clock().Sub(r.startedAt) < startupGracePeriod
 	for _, member := range r.cluster.Members() {
 		if member == r.self {
 			if r.cluster.MayOwn() {
@@ -201,7 +206,7 @@
 			}
 			continue
 		}
-		if isLearning || r.cluster.IsReachable(member) {
+		if isStarting || r.cluster.IsReachable(member) {
 			reachable = append(reachable, member)
 		}
 	}
@@ -219,8 +224,8 @@
 	r.avoided[address] = now.Add(duration)
 }
 
-// probe asks a node that is avoided until it answers as quickly as it should, and ends the avoiding then: while two nodes avoid each
-// other both take the items that the other one owns.
+// probe sends probes to an avoided node until it answers within probeTimeout, and then stops avoiding it. This keeps the time
+// short in which two nodes that avoid each other take over each other's items.
 func (r *Router) probe(address string) {
 	for {
 		time.Sleep(probeInterval)
--- a/internal/controlplane/coordinator/router_test.go
+++ b/internal/controlplane/coordinator/router_test.go
@@ -25,14 +25,14 @@
 	Value:     "v",
 }
 
-// memoryStore keeps registers of one process, and fails as told.
+// memoryStore keeps the registers of one process in memory, and fails on demand.
 type memoryStore struct {
 	lock      sync.Mutex
 	registers map[string]keystore.Register
-	// err is returned in place of an outcome.
+	// err is returned by all operations unless it is nil.
 	err error
-	// takes is how long an operation lasts.
-	takes time.Duration
+	// latency is the duration of an operation.
+	latency time.Duration
 	// operations counts the calls of Operate.
 	operations atomic.Int64
 }
@@ -42,7 +42,7 @@
 // Operate implements Store.
 func (m *memoryStore) Operate(_ context.Context, name string, step keystore.Step) (keystore.Register, error) {
 	m.operations.Add(1)
-	time.Sleep(m.takes)
+	time.Sleep(m.latency)
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if m.err != nil {
@@ -59,8 +59,8 @@
 	return register, nil
 }
 
-// testFleet is a router's node among others, whose answers are given by address.
-type testFleet struct {
+// testCluster implements the Cluster and the Caller of a router. answers holds the other nodes' handlers by address.
+type testCluster struct {
 	lock     sync.Mutex
 	members  []string
 	silent   map[string]bool
@@ -68,18 +68,18 @@
 	answers  map[string]func(request peer.CoordinationRequest) (peer.CoordinationReply, error)
 	called   []string
 	requests []peer.CoordinationRequest
-	// lastOwner is the answer to LastOwner.
+	// lastOwner is returned by LastOwner.
 	lastOwner string
 }
 
-func (f *testFleet) Members() []string               { return append([]string(nil), f.members...) }
-func (f *testFleet) IsReachable(address string) bool { return !f.silent[address] }
-func (f *testFleet) MayOwn() bool                    { return !f.leaving }
-func (f *testFleet) IsConfirmed() bool               { return true }
-func (f *testFleet) LastOwner(string) string         { return f.lastOwner }
+func (f *testCluster) Members() []string               { return append([]string(nil), f.members...) }
+func (f *testCluster) IsReachable(address string) bool { return !f.silent[address] }
+func (f *testCluster) MayOwn() bool                    { return !f.leaving }
+func (f *testCluster) IsConfirmed() bool               { return true }
+func (f *testCluster) LastOwner(string) string         { return f.lastOwner }
 
-// Call implements Caller. A node without an answer keeps its caller waiting.
-func (f *testFleet) Call(ctx context.Context, method peer.Method, address string, message, reply any) error {
+// Call implements Caller. A call to a node without a handler fails when its context ends.
+func (f *testCluster) Call(ctx context.Context, method peer.Method, address string, message, reply any) error {
 	if method == peer.MethodHandOver {
 		return f.probe(ctx, address)
 	}
@@ -98,14 +98,14 @@
 	return err
 }
 
-func (f *testFleet) setAnswer(address string, answer func(request peer.CoordinationRequest) (peer.CoordinationReply, error)) {
+func (f *testCluster) setAnswer(address string, answer func(request peer.CoordinationRequest) (peer.CoordinationReply, error)) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.answers = answers{address: answer}
 }
 
-// probe answers a probe of a node that is avoided, if that node answers calls.
-func (f *testFleet) probe(ctx context.Context, address string) error {
+// probe answers a probe of an avoided node if that node has a handler.
+func (f *testCluster) probe(ctx context.Context, address string) error {
 	f.lock.Lock()
 	answer := f.answers[address]
 	f.lock.Unlock()
@@ -118,25 +118,25 @@
 }
 
 // calls returns the addresses that were called so far.
-func (f *testFleet) calls() []string {
+func (f *testCluster) calls() []string {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return append([]string(nil), f.called...)
 }
 
-// forget begins the list of calls anew.
-func (f *testFleet) forget() {
+// resetCalls clears the list of calls.
+func (f *testCluster) resetCalls() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.called = nil
 }
 
-func newTestRouter(fleet *testFleet, store Store) *Router {
+func newTestRouter(cluster *testCluster, store Store) *Router {
 	executor := NewExecutor(store, coordination.Config{History: time.Minute}, time.Now)
-	return NewRouter("self", fleet, fleet, executor, time.Now)
+	return NewRouter("self", cluster, cluster, executor, time.Now)
 }
 
-// refused is the error of a connection that was not established.
+// refused is the handler of a node to which no connection can be established.
 func refused(peer.CoordinationRequest) (peer.CoordinationReply, error) {
 	return peer.CoordinationReply{}, &net.OpError{Op: "dial", Err: errUnreachable}
 }
@@ -149,29 +149,29 @@
 
 func TestRouter_NextMemberTakesOverFromSilentOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{members: []string{"b", "c"}}
-		router := newTestRouter(fleet, newMemoryStore())
-		first, isFirst := router.owner(storeKey(testPut))
-		assert.Assert(t, isFirst)
+		cluster := &testCluster{members: []string{"b", "c"}}
+		router := newTestRouter(cluster, newMemoryStore())
+		first, isPreferred := router.chooseOwner(storeKey(testPut))
+		assert.Assert(t, isPreferred)
 		second := map[string]string{"b": "c", "c": "b"}[first]
-		fleet.answers = answers{second: decided}
+		cluster.answers = answers{second: decided}
 		result, err := router.Do(t.Context(), testPut)
 		assert.NilError(t, err)
 		assert.Equal(t, result.Revision, uint64(7))
-		assert.DeepEqual(t, fleet.calls(), []string{first, first, second})
-		assert.Assert(t, !fleet.requests[1].TakeOver)
-		assert.Assert(t, fleet.requests[2].TakeOver, "the second must not pass it back")
-		assert.Equal(t, fleet.requests[0].Call.ID, fleet.requests[2].Call.ID, "it is one call")
-		fleet.forget()
+		assert.DeepEqual(t, cluster.calls(), []string{first, first, second})
+		assert.Assert(t, !cluster.requests[1].TakeOver)
+		assert.Assert(t, cluster.requests[2].TakeOver, "the second node must not forward it back")
+		assert.Equal(t, cluster.requests[0].Call.ID, cluster.requests[2].Call.ID, "both messages carry the same call")
+		cluster.resetCalls()
 		_, err = router.Do(t.Context(), testPut)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, fleet.calls(), []string{second})
-		fleet.answers[first] = decided
-		time.Sleep(avoidFor)
-		fleet.forget()
+		assert.DeepEqual(t, cluster.calls(), []string{second})
+		cluster.answers[first] = decided
+		time.Sleep(avoidDuration)
+		cluster.resetCalls()
 		_, err = router.Do(t.Context(), testPut)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, fleet.calls(), []string{first}) // it is asked again after a while
+		assert.DeepEqual(t, cluster.calls(), []string{first}) // it is called again after avoidDuration
 	})
 }
 
@@ -214,16 +214,16 @@
 	for name, tried := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fleet := &testFleet{members: []string{"b", "c"}}
-				router := newTestRouter(fleet, newMemoryStore())
-				first, _ := router.owner(storeKey(testPut))
+				cluster := &testCluster{members: []string{"b", "c"}}
+				router := newTestRouter(cluster, newMemoryStore())
+				first, _ := router.chooseOwner(storeKey(testPut))
 				second := map[string]string{"b": "c", "c": "b"}[first]
-				fleet.answers = answers{first: tried.first, second: tried.second}
+				cluster.answers = answers{first: tried.first, second: tried.second}
 				began := time.Now()
 				_, err := router.Do(t.Context(), testPut)
 				assert.Assert(t, errors.Is(err, tried.expected), "%v", err)
-				assert.Assert(t, time.Since(began) < patience, "an application waits no longer")
-				time.Sleep(avoidFor + probeInterval)
+				assert.Assert(t, time.Since(began) < callerTimeout, "the call returns before the caller's time-out")
+				time.Sleep(avoidDuration + probeInterval)
 			})
 		})
 	}
@@ -231,60 +231,60 @@
 
 func TestRouter_PassesOnToTheOwnerThatItReaches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{members: []string{"b"}, answers: answers{"b": decided}}
+		cluster := &testCluster{members: []string{"b"}, answers: answers{"b": decided}}
 		store := newMemoryStore()
-		router := newTestRouter(fleet, store)
+		router := newTestRouter(cluster, store)
 		reply := router.HandleForwarded(t.Context(), peer.CoordinationRequest{Call: testPut, Hops: 1})
 		assert.Equal(t, reply.Status, peer.CoordinationDecided)
-		assert.Equal(t, reply.Result.Revision, uint64(7), "b carried it out")
+		assert.Equal(t, reply.Result.Revision, uint64(7), "b executed it")
 		reply = router.HandleForwarded(t.Context(), peer.CoordinationRequest{Call: testPut, Hops: maxHops})
-		assert.Equal(t, reply.Result.Revision, uint64(1), "carried out here")
+		assert.Equal(t, reply.Result.Revision, uint64(1), "executed at this node")
 		reply = router.HandleForwarded(t.Context(), peer.CoordinationRequest{Call: testPut, TakeOver: true})
 		assert.Equal(t, reply.Result.Revision, uint64(1), "the same put")
-		assert.Equal(t, len(fleet.calls()), 1)
+		assert.Equal(t, len(cluster.calls()), 1)
 	})
 }
 
 func TestRouter_ItemStaysWithItsLastOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{members: []string{"b", "c", "d", "self"}}
-		router := newTestRouter(fleet, newMemoryStore())
-		time.Sleep(learningPeriod)
+		cluster := &testCluster{members: []string{"b", "c", "d", "self"}}
+		router := newTestRouter(cluster, newMemoryStore())
+		time.Sleep(startupGracePeriod)
 		for _, owner := range []string{"b", "c", "d", "self"} {
-			fleet.lastOwner = owner
-			found, isFirst := router.owner("a.")
+			cluster.lastOwner = owner
+			found, isPreferred := router.chooseOwner("a.")
 			assert.Equal(t, found, owner)
-			assert.Assert(t, isFirst)
+			assert.Assert(t, isPreferred)
 		}
-		fleet.lastOwner = "b"
-		fleet.silent = map[string]bool{"b": true}
-		found, isFirst := router.owner("a.")
-		assert.Assert(t, found != "b" && isFirst)
-		fleet.silent = nil
-		router.avoid("b", avoidFor, errUnreachable)
-		found, isFirst = router.owner("a.")
-		assert.Assert(t, found != "b" && !isFirst, "the next one must take it over")
-		fleet.lastOwner = "gone"
-		_, isFirst = router.owner("a.")
-		assert.Assert(t, isFirst || found != "gone")
-		time.Sleep(avoidFor + probeInterval)
+		cluster.lastOwner = "b"
+		cluster.silent = map[string]bool{"b": true}
+		found, isPreferred := router.chooseOwner("a.")
+		assert.Assert(t, found != "b" && isPreferred)
+		cluster.silent = nil
+		router.avoid("b", avoidDuration, errUnreachable)
+		found, isPreferred = router.chooseOwner("a.")
+		assert.Assert(t, found != "b" && !isPreferred, "the next node must take it over")
+		cluster.lastOwner = "gone"
+		_, isPreferred = router.chooseOwner("a.")
+		assert.Assert(t, isPreferred || found != "gone")
+		time.Sleep(avoidDuration + probeInterval)
 	})
 }
 
 func TestRouter_NodeThatAnswersAgainIsNotAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{members: []string{"b", "c"}, lastOwner: "b"}
-		router := newTestRouter(fleet, newMemoryStore())
-		router.avoid("b", avoidFor, errUnreachable)
-		time.Sleep(avoidFor / 2)
-		assert.Assert(t, router.isAvoided("b"), "it answers nothing")
-		fleet.setAnswer("b", func(peer.CoordinationRequest) (peer.CoordinationReply, error) {
+		cluster := &testCluster{members: []string{"b", "c"}, lastOwner: "b"}
+		router := newTestRouter(cluster, newMemoryStore())
+		router.avoid("b", avoidDuration, errUnreachable)
+		time.Sleep(avoidDuration / 2)
+		assert.Assert(t, router.isAvoided("b"), "it does not answer")
+		cluster.setAnswer("b", func(peer.CoordinationRequest) (peer.CoordinationReply, error) {
 			time.Sleep(2 * probeTimeout)
 			return peer.CoordinationReply{}, errUnreachable
 		})
 		time.Sleep(4 * probeTimeout)
 		assert.Assert(t, router.isAvoided("b"), "it answers too slowly")
-		fleet.setAnswer("b", func(peer.CoordinationRequest) (peer.CoordinationReply, error) {
+		cluster.setAnswer("b", func(peer.CoordinationRequest) (peer.CoordinationReply, error) {
 			return peer.CoordinationReply{}, nil
 		})
 		time.Sleep(4 * probeTimeout)
@@ -295,7 +295,7 @@
 func TestRouter_LateReplyDoesNotMoveAnItem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var attempts atomic.Int64
-		fleet := &testFleet{members: []string{"b", "c"}, lastOwner: "b", answers: answers{
+		cluster := &testCluster{members: []string{"b", "c"}, lastOwner: "b", answers: answers{
 			"b": func(request peer.CoordinationRequest) (peer.CoordinationReply, error) {
 				if attempts.Add(1) == 1 {
 					time.Sleep(time.Minute)
@@ -304,46 +304,46 @@
 			},
 		}}
 		began := time.Now()
-		_, err := newTestRouter(fleet, newMemoryStore()).Do(t.Context(), testPut)
+		_, err := newTestRouter(cluster, newMemoryStore()).Do(t.Context(), testPut)
 		assert.NilError(t, err)
-		assert.Equal(t, time.Since(began), resendAfter)
-		assert.DeepEqual(t, fleet.calls(), []string{"b", "b"})
+		assert.Equal(t, time.Since(began), resendDelay)
+		assert.DeepEqual(t, cluster.calls(), []string{"b", "b"})
 		time.Sleep(time.Minute)
 	})
 }
 
 func TestRouter_LeavingNodeOwnsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{members: []string{"b", "self"}, leaving: true}
-		router := newTestRouter(fleet, newMemoryStore())
-		time.Sleep(learningPeriod)
+		cluster := &testCluster{members: []string{"b", "self"}, leaving: true}
+		router := newTestRouter(cluster, newMemoryStore())
+		time.Sleep(startupGracePeriod)
 		for _, name := range []string{"a.", "b.", "c.", "d.", "e.", "f."} {
-			owner, _ := router.owner(name)
+			owner, _ := router.chooseOwner(name)
 			assert.Equal(t, owner, "b")
 		}
-		fleet.silent = map[string]bool{"b": true}
-		owner, _ := router.owner("a.")
-		assert.Equal(t, owner, "self", "unless nobody else is there")
+		cluster.silent = map[string]bool{"b": true}
+		owner, _ := router.chooseOwner("a.")
+		assert.Equal(t, owner, "self", "unless no other node is reachable")
 	})
 }
 
 func TestRouter_ItemsAreSpreadAndStayWhereTheyAre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &testFleet{members: []string{"b", "c", "d", "e", "f"}}
-		router := newTestRouter(fleet, newMemoryStore())
-		time.Sleep(learningPeriod)
+		cluster := &testCluster{members: []string{"b", "c", "d", "e", "f"}}
+		router := newTestRouter(cluster, newMemoryStore())
+		time.Sleep(startupGracePeriod)
 		owners, counts := map[string]string{}, map[string]int{}
 		for number := range 1000 {
 			key := "coordination/lock/l" + string(json.Number(time.Duration(number).String()))
-			owners[key], _ = router.owner(key)
+			owners[key], _ = router.chooseOwner(key)
 			counts[owners[key]]++
 		}
 		for member, count := range counts {
 			assert.Assert(t, count > 150 && count < 250, "%s owns %d", member, count)
 		}
-		fleet.silent = map[string]bool{"d": true}
+		cluster.silent = map[string]bool{"d": true}
 		for key, before := range owners {
-			after, _ := router.owner(key)
+			after, _ := router.chooseOwner(key)
 			assert.Assert(t, before == after || before == "d", "%s moved from %s", key, before)
 		}
 	})
--- a/internal/controlplane/coordinator/simulation_test.go
+++ b/internal/controlplane/coordinator/simulation_test.go
@@ -22,14 +22,15 @@
 const (
 	// simulatedHistory is how long events are kept: longer than a schedule, so that no watch may miss one.
 	simulatedHistory = time.Minute
-	// heartbeatInterval and suspectAfter are those of the control plane.
+	// heartbeatInterval and suspectAfter equal those of the control plane.
 	heartbeatInterval = 400 * time.Millisecond
 	suspectAfter      = 1600 * time.Millisecond
-	// allowedDrift is how far the steady clocks of control planes may run from that of applications, which is the true one here.
+	// allowedDrift is the maximum drift of the control planes' monotonic clocks relative to that of applications, which is exact
+	// here.
 	allowedDrift = 1.0 / 500
-	// voteTimeout is how long the members may take to vote again after a fault.
+	// voteTimeout is the time within which all members must vote again after a fault.
 	voteTimeout = time.Minute
-	// settleTime lets everything that still sleeps come to its end in fake time.
+	// settleTime is the fake time after which all remaining goroutines have ended.
 	settleTime = time.Minute
 )
 
@@ -40,24 +41,24 @@
 	keystoresim.Main(m.Run)
 }
 
-// simulation is a cluster of members with the coordinator's parts on each.
+// simulation is a simulated cluster of members, each of which runs a coordinator.
 type simulation struct {
 	cluster *keystoresim.Cluster
-	// open, wrapStore and changeHandover plant broken variants; all may be nil.
+	// open, wrapStore and changeHandover inject defects. Each may be nil.
 	open      openFunc
 	wrapStore func(store Store) Store
-	// changeHandover changes what a former owner says.
+	// changeHandover modifies the answer of a previous owner.
 	changeHandover func(handover *coordination.Handover)
 
-	lock  sync.Mutex
-	nodes map[string]*simulatedNode
-	heard map[heardKey]time.Time
-	calls uint64
+	lock      sync.Mutex
+	nodes     map[string]*simulatedNode
+	lastHeard map[heardKey]time.Time
+	calls     uint64
 }
 
 type heardKey struct{ by, of string }
 
-// simulatedNode is the coordinator of one process.
+// simulatedNode is the coordinator in one process.
 type simulatedNode struct {
 	simulation *simulation
 	name       string
@@ -68,9 +69,9 @@
 
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{
-		cluster: keystoresim.New(seed, 5),
-		nodes:   map[string]*simulatedNode{},
-		heard:   map[heardKey]time.Time{},
+		cluster:   keystoresim.New(seed, 5),
+		nodes:     map[string]*simulatedNode{},
+		lastHeard: map[heardKey]time.Time{},
 	}
 	s.cluster.AssignZones([][]int{{2, 2, 1}, {2, 1, 1, 1}, {3, 2}}[seed%3]...)
 	s.cluster.Lossy, s.cluster.Retransmits = seed%2 == 0, true
@@ -86,7 +87,7 @@
 	}
 }
 
-// end kills all processes and waits until everything has ended.
+// end kills all processes and waits until their goroutines have ended.
 func (s *simulation) end() {
 	for _, name := range s.cluster.MemberNames() {
 		s.cluster.Kill(name)
@@ -99,7 +100,7 @@
 	time.Sleep(settleTime)
 }
 
-// runHeartbeats notes who hears whom until the context ends.
+// runHeartbeats records, until ctx is done, which node can reach which.
 func (s *simulation) runHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -108,7 +109,7 @@
 			for _, of := range names {
 				if by != of && s.cluster.CanReach(of, by) {
 					s.lock.Lock()
-					s.heard[heardKey{by, of}] = now
+					s.lastHeard[heardKey{by, of}] = now
 					s.lock.Unlock()
 				}
 			}
@@ -117,7 +118,7 @@
 	}
 }
 
-// node is the coordinator of the process that runs on a machine, or nil.
+// node returns the coordinator of the process that runs on a machine, or nil if none does.
 func (s *simulation) node(name string) *simulatedNode {
 	store := s.cluster.StoreOf(name)
 	if store == nil {
@@ -153,7 +154,7 @@
 func (n *simulatedNode) IsReachable(address string) bool {
 	n.simulation.lock.Lock()
 	defer n.simulation.lock.Unlock()
-	return time.Since(n.simulation.heard[heardKey{n.name, address}]) < suspectAfter
+	return time.Since(n.simulation.lastHeard[heardKey{n.name, address}]) < suspectAfter
 }
 
 // MayOwn implements Cluster.
@@ -218,7 +219,7 @@
 	}
 }
 
-// nextCall names one message.
+// nextCall returns a unique name for a message.
 func (s *simulation) nextCall() string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -226,8 +227,8 @@
 	return fmt.Sprint("call-", s.calls)
 }
 
-// strike has faults strike until a time, each once all members vote again.
-func (s *simulation) strike(random *rand.Rand, faults []keystoresim.Fault, until time.Time) error {
+// injectFaults has faults injectFaults until a time, each once all members vote again.
+func (s *simulation) injectFaults(random *rand.Rand, faults []keystoresim.Fault, until time.Time) error {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(random.Int64N(int64(900*time.Millisecond))) + 50*time.Millisecond)
 		var together sync.WaitGroup
@@ -246,7 +247,7 @@
 	return nil
 }
 
-// killAll kills all processes, or has all machines lose power, and starts them again.
+// killAll kills all processes, in half of the cases by a power loss of all machines, and restarts them.
 func killAll(cluster *keystoresim.Cluster, _ string, random *rand.Rand, duration time.Duration) {
 	losesPower := random.IntN(2) == 0
 	names := cluster.MemberNames()
@@ -262,7 +263,7 @@
 	}
 }
 
-// rewrite returns an openFunc that changes a stored value of one kind before it is opened.
+// rewrite returns an openFunc that modifies stored values of one kind before decoding them.
 func rewrite(kind coordination.Kind, change func(record map[string]any)) openFunc {
 	return func(
 		opened coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.Memory,
--- a/internal/controlplane/coordinator/status.go
+++ b/internal/controlplane/coordinator/status.go
@@ -6,7 +6,7 @@
 	"ferryspar/internal/peer"
 )
 
-// statusOf is how the error of a call is sent.
+// statusOf returns the wire status for the error of a call.
 func statusOf(err error) peer.CoordinationStatus {
 	switch {
 	case err == nil:
@@ -19,7 +19,7 @@
 	return peer.CoordinationUncertain
 }
 
-// errorOf is the error of a call by its status. One that this version does not know may mean anything.
+// errorOf returns the error for a wire status. A status that this version does not know counts as uncertain.
 func errorOf(status peer.CoordinationStatus) error {
 	switch status {
 	case peer.CoordinationDecided:
--- a/internal/controlplane/dataplanes/registry.go
+++ b/internal/controlplane/dataplanes/registry.go
@@ -1,11 +1,9 @@
-// Package dataplanes keeps what a control-plane node knows of the data planes: which of them are in
-// contact, which configuration and zone changes each applies, where its peers reach it, and how far it
-// is with purging cached context.
+// Package dataplanes keeps a control-plane node's view of the data planes: which of them are in contact, which configuration and
+// zone changes each has applied, at which address its peers reach it, and its progress in purging cached context.
 //
-// It sends nothing, stores nothing on disk, and decides nothing about membership of the keystore
-// (internal/controlplane/members). A node that has just started knows no data plane; their next watch
-// requests, and the heartbeats of the other control-plane nodes, tell it of them again. Start reading at
-// Registry.
+// It sends no messages, stores nothing on disk and does not affect the membership of the keystore
+// (internal/controlplane/members). A node that has just started knows no data planes; it learns of them from their next watch
+// requests and from the heartbeats of the other control-plane nodes. Start reading at Registry.
 package dataplanes
 
 import (
@@ -20,27 +18,25 @@
 )
 
 const (
-	// ContactWindow is how recently a data plane must have sent a watch request for the acknowledgement
-	// of a change to wait for it.
+	// ContactWindow is the time since its last watch request within which the acknowledgement of a change waits for a data plane.
 	ContactWindow = 1500 * time.Millisecond
-	// LiveWindow is how recently it must have done so to be listed as live.
+	// LiveWindow is the time since its last watch request within which a data plane is listed as live.
 	LiveWindow = 2 * ContactWindow
-	// ExpireAfter is how long a data plane that is not heard of still counts. A node that has run for
-	// longer has heard of every data plane that counts anywhere.
+	// ExpireAfter is how long a data plane is counted after it was last heard of. A node that has run for longer has heard of
+	// every data plane that is counted at any node.
 	ExpireAfter = 10 * time.Second
 )
 
-// Registry holds what is known of each data plane. Its lock guards all of it; any goroutine may call
-// its methods.
+// Registry holds the state of each known data plane. It is safe for concurrent use.
 type Registry struct {
 	lock       sync.Mutex
 	heartbeats *heartbeat.Registry
-	// addresses are where other data planes reach those that lend quota.
+	// addresses holds, by name, the addresses at which other data planes reach those that lend quota.
 	addresses map[string]string
 	retention map[string]retention.DataPlaneView
 }
 
-// NewRegistry returns a registry that knows no data plane.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
 	return &Registry{
 		heartbeats: heartbeat.NewRegistry(ExpireAfter),
@@ -49,7 +45,7 @@
 	}
 }
 
-// RecordWatch records a watch request that was received at that moment.
+// RecordWatch records a watch request that was received at receivedAt.
 func (r *Registry) RecordWatch(request peer.WatchRequest, receivedAt time.Time) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -65,7 +61,7 @@
 	}
 }
 
-// RecordContacts records that another control-plane node has heard of these data planes.
+// RecordContacts records that another control-plane node is in contact with the named data planes.
 func (r *Registry) RecordContacts(names []string, now time.Time) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -77,30 +73,29 @@
 	}
 }
 
-// Live lists the data planes, sorted, that sent a watch request within that window.
+// Live returns the sorted names of the data planes that sent a watch request within the window.
 func (r *Registry) Live(now time.Time, window time.Duration) []string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.heartbeats.Live(now, window)
 }
 
-// CountBehind counts the data planes in contact that do not yet apply the revision or all zone changes.
+// CountBehind returns the number of data planes in contact that have not yet applied the revision or all zone changes.
 func (r *Registry) CountBehind(now time.Time, revision int64, zoneChanges uint64) int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.heartbeats.CountBehind(now, ContactWindow, revision, zoneChanges)
 }
 
-// CountWithNeighbours returns how many data planes are known, those past their expiry removed, and the live ones
-// that may be home of a tenant's limit.
+// CountWithNeighbours removes expired data planes, and returns the number of those left and the live ones that may be the home of
+// a tenant's limit.
 func (r *Registry) CountWithNeighbours(now time.Time) (int, *peer.Neighbours) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.heartbeats.Count(now), r.neighbours(now)
 }
 
-// neighbours lists the live data planes that come into question as homes of tenants' limits. The caller
-// holds the lock.
+// neighbours returns the live data planes that are candidates for the homes of tenants' limits. The caller holds the lock.
 func (r *Registry) neighbours(now time.Time) *peer.Neighbours {
 	var names []string
 	for _, name := range r.heartbeats.Live(now, LiveWindow) {
@@ -120,8 +115,7 @@
 	return peer.NewNeighbours(list)
 }
 
-// CountedFor returns for how long the data plane has been counted without a gap, and false if it is
-// not counted.
+// CountedFor returns for how long the data plane has been counted without interruption, and false if it is not counted.
 func (r *Registry) CountedFor(name string, now time.Time) (time.Duration, bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -132,7 +126,7 @@
 	return now.Sub(since), true
 }
 
-// Known lists the data planes that have not left, in any order.
+// Known returns the names of the data planes that have not left, in unspecified order.
 func (r *Registry) Known() []string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -145,7 +139,7 @@
 	return names
 }
 
-// Zones returns the zone of each data plane that is counted and has not left.
+// Zones returns the zone, by name, of each data plane that is counted and has not left.
 func (r *Registry) Zones(now time.Time) map[string]string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -158,8 +152,8 @@
 	return zones
 }
 
-// Silent returns the first of the named data planes that has not left and sent no watch request for
-// longer than timeout, or "".
+// Silent returns the first of the named data planes that has not left and has sent no watch request for longer than timeout, or
+// "".
 func (r *Registry) Silent(names []string, now time.Time, timeout time.Duration) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -171,7 +165,7 @@
 	return ""
 }
 
-// RetentionViews copies how far each data plane is with purging cached context.
+// RetentionViews returns a copy of the data planes' progress in purging cached context, by name.
 func (r *Registry) RetentionViews() map[string]retention.DataPlaneView {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/controlplane/dataplanes/registry_test.go
+++ b/internal/controlplane/dataplanes/registry_test.go
@@ -17,7 +17,7 @@
 	registry.RecordWatch(peer.WatchRequest{DataPlane: "a", Address: "10.0.0.1:1", Revision: 3}, start)
 	registry.RecordContacts([]string{"b"}, start)
 	count, neighbours := registry.CountWithNeighbours(start)
-	assert.Equal(t, count, 2, "one of them known by another control plane's heartbeat only")
+	assert.Equal(t, count, 2, "b is known from another control plane's heartbeat only")
 	assert.DeepEqual(t, neighbours.List, []peer.Neighbour{{Name: "a", Address: "10.0.0.1:1"}})
 	assert.DeepEqual(t, registry.Live(start, LiveWindow), []string{"a"})
 	duration, isCounted := registry.CountedFor("a", start.Add(time.Second))
@@ -52,6 +52,6 @@
 		"b": {Left: true},
 	})
 	late := start.Add(3*time.Second + 1)
-	assert.Equal(t, registry.Silent([]string{"b"}, late, 3*time.Second), "", "a data plane that left isn't lost")
+	assert.Equal(t, registry.Silent([]string{"b"}, late, 3*time.Second), "", "a data plane that has left is not reported as silent")
 	assert.Equal(t, registry.Silent([]string{"b", "a"}, late, 3*time.Second), "a")
 }
--- a/internal/controlplane/drill_host.go
+++ b/internal/controlplane/drill_host.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/peer"
 )
 
-// drillHost is a node as its drillcontrol.Controller and drillcontrol.Forecaster see it.
+// drillHost implements the node's side of its drillcontrol.Controller and drillcontrol.Forecaster.
 type drillHost struct {
 	node *Node
 }
@@ -35,23 +35,23 @@
 	return drillcontrol.NewForecaster(n.drillConfig(), drillHost{n})
 }
 
-// StartDrill starts a drill if nothing speaks against it. Any goroutine may call it.
+// StartDrill starts a drill unless a check forbids it. It is safe for concurrent use.
 func (n *Node) StartDrill(ctx context.Context, request drill.Request) (drill.Status, error) {
 	return n.drills.Start(ctx, request)
 }
 
-// StopDrill ends the running drill. Any goroutine may call it.
+// StopDrill ends the running drill. It is safe for concurrent use.
 func (n *Node) StopDrill(ctx context.Context) (drill.Status, error) { return n.drills.Stop(ctx) }
 
-// ReadDrill reads the newest drill with a majority's confirmation. Any goroutine may call it.
+// ReadDrill returns the status of the newest drill, confirmed by a majority. It is safe for concurrent use.
 func (n *Node) ReadDrill(ctx context.Context) (drill.Status, error) { return n.drills.Read(ctx) }
 
-// Forecast predicts the loss of a scope. Any goroutine may call it.
+// Forecast predicts the effects of losing a scope. It is safe for concurrent use.
 func (n *Node) Forecast(ctx context.Context, scope drill.Scope) (drill.Forecast, error) {
 	return n.forecaster.Forecast(ctx, scope)
 }
 
-// State returns the part of the published state that drills and forecasts go by.
+// State returns the part of the published state that drills and forecasts use.
 func (h drillHost) State() drillcontrol.State {
 	snapshot := h.node.publisher.Current()
 	return drillcontrol.State{
@@ -65,7 +65,7 @@
 	}
 }
 
-// Members lists the addresses of the keystore's members.
+// Members returns the addresses of the keystore's members.
 func (h drillHost) Members() []string { return h.node.store.Membership().Current }
 
 // MemberZones returns the zone of each known control-plane node.
@@ -74,23 +74,23 @@
 // DataPlaneZones returns the zone of each data plane that has not left.
 func (h drillHost) DataPlaneZones() map[string]string { return h.node.dataPlanes.Zones(h.node.clock()) }
 
-// HoldsLease tells whether this node holds the placement lease now.
+// HoldsLease reports whether this node holds the placement lease.
 func (h drillHost) HoldsLease() bool { return h.node.scheduler.Lease().Holds() }
 
-// IsSuspected tells whether data planes suspect the replica.
+// IsSuspected reports whether data planes suspect that the replica has failed.
 func (h drillHost) IsSuspected(replica string) bool {
 	return h.node.scheduler.Demand().IsSuspected(replica)
 }
 
-// DemandRates are requests a second by "backend model".
+// DemandRates returns the requests per second by "backend model".
 func (h drillHost) DemandRates() map[string]float64 { return h.node.scheduler.Demand().Rates() }
 
-// ReadDrill reads the record of the newest drill with a majority's confirmation.
+// ReadDrill returns the record of the newest drill, confirmed by a majority.
 func (h drillHost) ReadDrill(ctx context.Context) (drill.Record, error) {
 	return readRecord[drill.Record](ctx, h.node, keystore.DrillKey)
 }
 
-// ChangeDrill replaces the record of the newest drill and announces that.
+// ChangeDrill replaces the record of the newest drill and announces the change.
 func (h drillHost) ChangeDrill(ctx context.Context, decide func(current drill.Record) (drill.Record, error)) error {
 	return changeRecord(ctx, h.node, keystore.DrillKey, func(current drill.Record) (drill.Record, error) {
 		next, err := decide(current)
@@ -101,7 +101,7 @@
 	})
 }
 
-// PublishForecastRequest has a request sent to all data planes, or none any more if it is nil.
+// PublishForecastRequest publishes a request to all data planes, or withdraws the published one if request is nil.
 func (h drillHost) PublishForecastRequest(request *drill.ForecastRequest) {
 	h.node.publisher.Update(func(next *watch.Snapshot) bool {
 		next.Forecast = request
@@ -109,7 +109,7 @@
 	})
 }
 
-// PlanPlacement asks the lease holder, which may be this node, what it would place.
+// PlanPlacement asks the lease holder, which may be this node, for the placement that it would plan.
 func (h drillHost) PlanPlacement(ctx context.Context, leaseHolder string, request drill.ForecastRequest) drill.PlacementPlan {
 	var plan drill.PlacementPlan
 	switch leaseHolder {
--- a/internal/controlplane/fleetsize_host.go
+++ b/internal/controlplane/fleetsize_host.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/keystore"
 )
 
-// fleetSizeHost is a node as its fleetsize.Recorder sees it.
+// fleetSizeHost implements the node's side of its fleetsize.Recorder.
 type fleetSizeHost struct {
 	node *Node
 }
@@ -19,17 +19,17 @@
 	return fleetsize.NewRecorder(fleetSizeHost{n}, n.clock)
 }
 
-// IsRecorder says whether the node holds the placement lease, as far as it knows, and is in contact with a majority. Two that
-// take themselves for it write one after the other.
+// IsRecorder reports whether the node holds the placement lease, as far as it knows, and is in contact with a majority. If two
+// nodes believe that they are the recorder, the keystore serializes their writes.
 func (h fleetSizeHost) IsRecorder(now time.Time) bool {
 	snapshot := h.node.publisher.Current()
 	return snapshot.LeaseHolder == h.node.self && snapshot.IsFresh(now) && !h.node.members.IsLeaving()
 }
 
-// Recorded returns the record in force.
+// Recorded returns the current record.
 func (h fleetSizeHost) Recorded() fleetsize.Record { return h.node.publisher.Current().FleetSize }
 
-// Observe returns what the node has heard of the data planes.
+// Observe returns what the node knows of the data planes.
 func (h fleetSizeHost) Observe(now time.Time) fleetsize.Observation {
 	count, neighbours := h.node.dataPlanes.CountWithNeighbours(now)
 	return fleetsize.Observation{
--- a/internal/controlplane/members/changes.go
+++ b/internal/controlplane/members/changes.go
@@ -12,33 +12,33 @@
 
 const (
 	changeCheckInterval = 150 * time.Millisecond
-	// startDelay is how long a node that has just started listens before it changes the membership:
-	// for as long as it takes until a member that it does not hear is suspected.
+	// startDelay is how long a node that has just started waits before it may change the membership. It is the time until a
+	// member that sends no heartbeats is suspected.
 	startDelay = membership.SuspectAfter + heartbeatInterval
-	// changeTimeout is how long committing a change may take.
+	// changeTimeout bounds committing a change.
 	changeTimeout = 2500 * time.Millisecond
 )
 
-// dueChange remembers since when a change has been due in this node's view.
-type dueChange struct {
+// pendingChange is a change that is due in this node's view, and the time since when it has been.
+type pendingChange struct {
 	change membership.Change
 	since  time.Time
 }
 
-// observe notes that a change is due now. It restarts the time if that is another change than before.
-func (d *dueChange) observe(change membership.Change, now time.Time) {
-	isOther := d.change.Membership.Version != change.Membership.Version || d.change.Reason != change.Reason
-	if isOther {
-		*d = dueChange{change, now}
+// observe records that a change is due at now. The time restarts if the change differs from the one before.
+func (d *pendingChange) observe(change membership.Change, now time.Time) {
+	isDifferent := d.change.Membership.Version != change.Membership.Version || d.change.Reason != change.Reason
+	if isDifferent {
+		*d = pendingChange{change, now}
 	}
 }
 
-// runChanges replaces lost members until ctx ends. Every voting member with a confirmed state takes
-// part: the first by address acts at once, each further one if those before it do not get it done.
+// runChanges replaces failed members until ctx is done. Every voting member with a confirmed state takes part: the first by
+// address acts at once, and each further one after a delay, if those before it have not completed the change.
 func (m *Manager) runChanges(ctx context.Context) {
 	ticker := time.NewTicker(changeCheckInterval)
 	defer ticker.Stop()
-	var due dueChange
+	var pending pendingChange
 	for {
 		select {
 		case <-ctx.Done():
@@ -46,35 +46,35 @@
 		case <-ticker.C:
 		}
 		m.completeBootstrap(ctx)
-		m.changeIfDue(ctx, &due)
+		m.commitIfDue(ctx, &pending)
 	}
 }
 
-// changeIfDue commits a change of the membership that has been due for long enough.
-func (m *Manager) changeIfDue(ctx context.Context, due *dueChange) {
+// commitIfDue commits a change of the membership that has been due for long enough.
+func (m *Manager) commitIfDue(ctx context.Context, pending *pendingChange) {
 	now := m.config.Clock()
 	view := m.View()
 	change, needed := membership.NextChange(view)
 	if !needed || !m.mayChange(now, view.Membership.IsTakenBackBy(change.Membership)) {
-		*due = dueChange{}
+		*pending = pendingChange{}
 		return
 	}
-	due.observe(change, now)
-	if now.Sub(due.since) >= membership.ProposalDelay(view)+change.StabilizationDelay {
+	pending.observe(change, now)
+	if now.Sub(pending.since) >= membership.ProposalDelay(view)+change.StabilizationDelay {
 		m.commitChange(ctx, view.Membership, change)
 	}
 }
 
-// mayChange tells whether this node knows enough to change the membership. To take back a change the state need not be
-// confirmed: nothing can be confirmed while the next members have no majority, and a member that acts on an old
-// membership is rejected.
+// mayChange reports whether this node knows enough to change the membership. Taking back a change does not require a confirmed
+// state, because nothing can be confirmed while the next members have no majority. A member that acts on an old membership is
+// rejected.
 func (m *Manager) mayChange(now time.Time, isTakenBack bool) bool {
 	knowsEnough := now.Sub(m.config.StartedAt) >= startDelay && m.acceptor.LocalState().Voting
 	return knowsEnough && (isTakenBack || m.host.IsConfirmed(now))
 }
 
-// commitChange commits a change unless a newer membership than current was committed meanwhile.
-// Failures are not reported: the change is still due at the next check, here or elsewhere.
+// commitChange commits a change unless a membership newer than current was committed in the meantime. Failures are ignored,
+// because the change is still due at the next check, at this node or another.
 func (m *Manager) commitChange(ctx context.Context, current keystore.Membership, change membership.Change) {
 	bounded, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
--- a/internal/controlplane/members/doc.go
+++ b/internal/controlplane/members/doc.go
@@ -1,8 +1,7 @@
-// Package members keeps a control-plane node in contact with the others and carries its part of
-// changes of the keystore's membership: heartbeats, joining (catching up until the node votes),
-// replacing lost members, bootstrap, and leaving.
+// Package members maintains a control-plane node's contact with the other nodes and its part in membership changes of the
+// keystore: heartbeats, joining (catching up until the node votes), replacing failed members, bootstrap, and leaving.
 //
-// It decides nothing about when the membership should change: that is internal/membership, from the
-// View kept here. A change is committed under the membership key of the keystore by joint majorities,
-// so that nodes that disagree can't harm the state. Start reading at Manager.Run.
+// When to change the membership is decided by internal/membership, from the View kept here. A change is committed under the
+// membership key of the keystore by joint majorities, so that nodes with different views cannot corrupt the state. Start reading
+// at Manager.Run.
 package members
--- a/internal/controlplane/members/heartbeats.go
+++ b/internal/controlplane/members/heartbeats.go
@@ -13,24 +13,25 @@
 
 const (
 	heartbeatInterval = 400 * time.Millisecond
-	// joiningHeartbeatInterval is that of a node that does not vote yet: others wait for it.
+	// joiningHeartbeatInterval is the interval of a node that does not vote yet. It is shorter because other nodes wait for its
+	// vote.
 	joiningHeartbeatInterval = 150 * time.Millisecond
-	// watcherCount is how many nodes on the ring of hashed names a node sends its heartbeats to,
+	// ringTargetCount is how many nodes on the ring of hashed names a node sends its heartbeats to,
 	// beside the members.
-	watcherCount = 3
-	// dataPlaneListPeriod: one in so many rounds of heartbeats carries the names of live data planes.
+	ringTargetCount = 3
+	// dataPlaneListPeriod is the number of heartbeat rounds of which one carries the names of the live data planes.
 	dataPlaneListPeriod = 5
 )
 
 // HeartbeatReply is the reply to a heartbeat.
 type HeartbeatReply struct {
 	Membership keystore.Membership `json:"members"`
-	// ControlPlanes are the addresses of all control-plane nodes that the receiver knows of.
+	// ControlPlanes holds the addresses of all control-plane nodes known to the node that replies.
 	ControlPlanes []string `json:"control"`
 }
 
-// runHeartbeats sends heartbeats until ctx ends: at fixed intervals, and at once when this node starts
-// to leave or gains its vote.
+// runHeartbeats sends heartbeats until ctx is done: at fixed intervals, and at once when this node starts to leave or becomes a
+// voting member.
 func (m *Manager) runHeartbeats(ctx context.Context) {
 	leaving := m.leaving
 	for {
@@ -52,25 +53,25 @@
 	}
 }
 
-// sendHeartbeats sends a heartbeat to the watchers on the ring and to all members. A node without a
-// vote sends it to all that it knows of, and tries to catch up. It returns whether this node votes.
+// sendHeartbeats sends a heartbeat to the node's watchers on the hash ring and to all members. A node without a vote sends it to
+// all nodes that it knows, and tries to catch up. sendHeartbeats returns whether this node votes.
 func (m *Manager) sendHeartbeats(ctx context.Context) bool {
 	message := m.nextHeartbeat()
 	others := m.PeerAddresses()
 	targets := m.heartbeatTargets(others)
 	if message.Joining {
 		targets = others
-		m.sends.Go(func() { m.catchUp(ctx) })
+		m.inFlight.Go(func() { m.catchUp(ctx) })
 	}
 	for _, address := range targets {
-		m.sends.Go(func() { m.sendHeartbeat(ctx, address, message) })
+		m.inFlight.Go(func() { m.sendHeartbeat(ctx, address, message) })
 	}
 	m.host.HeartbeatsSent(others)
 	return !message.Joining
 }
 
 func (m *Manager) heartbeatTargets(others []string) []string {
-	targets := heartbeat.Watchers(m.config.Self, others, watcherCount)
+	targets := heartbeat.Watchers(m.config.Self, others, ringTargetCount)
 	for _, member := range m.store.Membership().All() {
 		if member != m.config.Self && !slices.Contains(targets, member) {
 			targets = append(targets, member)
@@ -108,14 +109,14 @@
 	return message
 }
 
-// observeTimeOfDay takes in the time of day of this node's own clock, and returns it in microseconds.
+// observeTimeOfDay adds the reading of this node's own clock to the time-of-day estimate, and returns it in microseconds.
 func (m *Manager) observeTimeOfDay() int64 {
 	now := m.config.Clock()
 	m.config.TimeOfDay.Observe(m.config.Self, now, now)
 	return now.UnixMicro()
 }
 
-// HandleHeartbeat records another node's heartbeat.
+// HandleHeartbeat records the heartbeat of another node.
 func (m *Manager) HandleHeartbeat(_ context.Context, message peer.Heartbeat) HeartbeatReply {
 	now := m.config.Clock()
 	if message.TimeOfDayUs != 0 {
--- a/internal/controlplane/members/joining.go
+++ b/internal/controlplane/members/joining.go
@@ -10,10 +10,10 @@
 	"ferryspar/internal/membership"
 )
 
-// diskWriteTimeout is how long a write on this member's own disk may take.
+// diskWriteTimeout bounds a write to this member's own disk.
 const diskWriteTimeout = 2 * time.Second
 
-// catchUp tries to gain the vote, and has a heartbeat sent at once if that succeeds.
+// catchUp tries to become a voting member, and triggers a heartbeat if that succeeds.
 func (m *Manager) catchUp(ctx context.Context) {
 	m.persistMembership(ctx)
 	isVoting, verdict := m.store.CatchUp(ctx, m.acceptor)
@@ -27,9 +27,8 @@
 	}
 }
 
-// persistMembership writes a membership that was learned from heartbeats to the disk. Without it the
-// next incarnation of this node could take the system for one that was never bootstrapped, and
-// bootstrap it once more.
+// persistMembership writes a membership that was learned from heartbeats to disk. Without it, this node could conclude after a
+// restart that the system was never bootstrapped, and bootstrap it a second time.
 func (m *Manager) persistMembership(ctx context.Context) {
 	learned := m.store.Membership()
 	if learned.Version <= m.acceptor.Membership().Version {
@@ -38,20 +37,20 @@
 	bounded, cancel := context.WithTimeout(ctx, diskWriteTimeout)
 	defer cancel()
 	if err := m.acceptor.AdoptMembership(bounded, learned); err != nil {
-		logrus.WithError(err).WithField("version", learned.Version).Warn("learned membership is not on disk yet")
+		logrus.WithError(err).WithField("version", learned.Version).Warn("learned membership could not be written to disk; retrying")
 	}
 }
 
-// logBootstrapVerdict logs a verdict on bootstrapping when it changes.
+// logBootstrapVerdict logs the decision on whether to bootstrap when it changes.
 func (m *Manager) logBootstrapVerdict(verdict keystore.BootstrapVerdict) {
 	previous, known := m.lastVerdict.Swap(verdict).(keystore.BootstrapVerdict)
 	if verdict == "" || known && previous == verdict {
 		return
 	}
-	logrus.WithField("verdict", verdict).Info("too few voting members to catch up from: judged whether to bootstrap")
+	logrus.WithField("verdict", verdict).Info("too few voting members to catch up from; evaluated whether to bootstrap")
 }
 
-// completeBootstrap writes to this member's disk that every founding member votes, once that is so.
+// completeBootstrap records on this member's disk that bootstrap is complete once every bootstrap member votes.
 func (m *Manager) completeBootstrap(ctx context.Context) {
 	if m.store.Membership().Version != keystore.BootstrapVersion {
 		return
@@ -63,6 +62,6 @@
 	bounded, cancel := context.WithTimeout(ctx, diskWriteTimeout)
 	defer cancel()
 	if err := m.acceptor.CompleteBootstrap(bounded); err != nil {
-		logrus.WithError(err).Warn("end of bootstrap is not on disk yet")
+		logrus.WithError(err).Warn("completion of bootstrap could not be written to disk; retrying")
 	}
 }
--- a/internal/controlplane/members/leaving.go
+++ b/internal/controlplane/members/leaving.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// minLeaveDuration is the least that a leaving node stays, so that its last heartbeats arrive.
+	// minLeaveDuration is the minimum time that a leaving node keeps running, so that its last heartbeats are delivered.
 	minLeaveDuration   = 400 * time.Millisecond
 	leaveCheckInterval = 50 * time.Millisecond
 )
 
-// StartLeaving says in all further heartbeats that this node is about to end. It is called once.
+// StartLeaving announces in all further heartbeats that this node is leaving. It must be called at most once.
 func (m *Manager) StartLeaving() { close(m.leaving) }
 
-// Leaving is closed once the node starts to leave.
+// Leaving returns a channel that is closed when the node starts to leave.
 func (m *Manager) Leaving() <-chan struct{} { return m.leaving }
 
-// IsLeaving tells whether the node is about to end.
+// IsLeaving reports whether the node is leaving.
 func (m *Manager) IsLeaving() bool {
 	select {
 	case <-m.leaving:
@@ -28,9 +28,8 @@
 	}
 }
 
-// AwaitSafeToStop waits until the control plane can do without this node, which started to leave at
-// startedAt: a successor has taken its place, or a quorum stays and nobody is there to succeed it. It
-// waits no longer than until deadline.
+// AwaitSafeToStop waits until this node, which started to leave at startedAt, can stop without harm to the control plane: another
+// node has replaced it, or a quorum remains and there is no node to replace it. It returns at deadline at the latest.
 func (m *Manager) AwaitSafeToStop(startedAt, deadline time.Time) {
 	for {
 		now := m.config.Clock()
--- a/internal/controlplane/members/manager.go
+++ b/internal/controlplane/members/manager.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// expireAfter is how long a control-plane node that is not heard of is still sent messages.
+	// expireAfter is how long messages are sent to a control-plane node after it was last heard from.
 	expireAfter = 30 * time.Second
-	// introducedAge is how old the heartbeat of a node counts that was only named by others or by the
-	// settings: it is sent messages, but isn't taken for one that was heard just now.
-	introducedAge = 5 * time.Second
+	// unheardPeerAge is the assumed age of the last heartbeat of a node that only other nodes or the settings have named.
+	// Messages are sent to such a node, but it does not count as reachable.
+	unheardPeerAge = 5 * time.Second
 )
 
-// Config says who the node is and how many members the deployment wants.
+// Config holds the identity of the node and the desired number of members.
 type Config struct {
 	// Self is the address at which other nodes reach this one.
 	Self     string
 	NodeName string
 	Zone     string
-	// Seeds are the addresses that the settings name.
+	// Seeds holds the addresses of the control planes in the settings.
 	Seeds []string
-	// DesiredMembers is how many members survive the losses that the deployment asks to survive.
+	// DesiredMembers is the number of members needed to tolerate the number of machine losses in the settings.
 	DesiredMembers int
-	// Clock is the node's steady clock, StartedAt its reading at the start.
+	// Clock is the node's monotonic clock, and StartedAt is its reading at the start.
 	Clock     func() time.Time
 	StartedAt time.Time
-	// TimeOfDay takes in what the clocks of all control planes say.
+	// TimeOfDay estimates the time of day from the clocks of all control planes.
 	TimeOfDay *wallclock.Estimator
 }
 
@@ -45,27 +45,27 @@
 	Call(ctx context.Context, method peer.Method, address string, message, reply any) error
 }
 
-// DataPlanes is what heartbeats exchange about data planes (dataplanes.Registry).
+// DataPlanes provides the information on data planes that heartbeats exchange (dataplanes.Registry).
 type DataPlanes interface {
-	// Live lists those that sent a watch request within the window.
+	// Live returns the data planes that sent a watch request within the window.
 	Live(now time.Time, window time.Duration) []string
-	// RecordContacts records those that another node has heard of.
+	// RecordContacts records that another node is in contact with the named data planes.
 	RecordContacts(names []string, now time.Time)
 }
 
-// Host is the node that the manager works for.
+// Host is the node that a Manager belongs to.
 type Host interface {
-	// IsConfirmed tells whether a majority confirmed the node's state lately.
+	// IsConfirmed reports whether a majority recently confirmed the node's state.
 	IsConfirmed(now time.Time) bool
 	// HeartbeatsSent is called after each round of heartbeats with the other nodes' addresses.
 	HeartbeatsSent(others []string)
-	// MemberLeaving is called with the address of a node that says that it is about to end.
+	// MemberLeaving is called with the address of a node that has announced that it is leaving.
 	MemberLeaving(address string)
 	// MembershipCommitted is called with the register of a change that this node committed.
 	MembershipCommitted(register keystore.Register)
 }
 
-// Manager knows the other control-plane nodes. Any goroutine may call its methods.
+// Manager tracks the other control-plane nodes and takes part in membership changes. It is safe for concurrent use.
 type Manager struct {
 	config     Config
 	store      *keystore.Store
@@ -74,9 +74,9 @@
 	dataPlanes DataPlanes
 	host       Host
 
-	// lock guards nodes and last.
+	// lock guards nodes and lastHeartbeats.
 	lock sync.Mutex
-	// nodes holds when each other node was heard, last its last heartbeat.
+	// nodes holds the time at which each other node was last heard from, and lastHeartbeats its last heartbeat.
 	nodes          *heartbeat.Registry
 	lastHeartbeats map[string]peer.Heartbeat
 
@@ -85,11 +85,11 @@
 	roundsSent  uint64 // used by the heartbeat loop only
 	lastChange  atomic.Pointer[membership.Change]
 	lastVerdict atomic.Value // of keystore.BootstrapVerdict
-	// sends counts heartbeats and attempts to catch up under way; Run waits for them.
-	sends sync.WaitGroup
+	// inFlight tracks the heartbeats and catch-up attempts in progress, for which Run waits.
+	inFlight sync.WaitGroup
 }
 
-// NewManager returns a manager that has heard of nobody.
+// NewManager returns a manager that has received no heartbeats.
 func NewManager(
 	config Config, store *keystore.Store, acceptor *keystore.Acceptor, caller Caller, dataPlanes DataPlanes, host Host,
 ) *Manager {
@@ -107,18 +107,17 @@
 	}
 }
 
-// Run sends heartbeats and replaces lost members until ctx ends, and returns once what it started has
-// ended.
+// Run sends heartbeats and replaces failed members until ctx is done, and returns once its goroutines have ended.
 func (m *Manager) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { m.runHeartbeats(ctx) })
 	loops.Go(func() { m.runChanges(ctx) })
 	loops.Wait()
-	m.sends.Wait()
+	m.inFlight.Wait()
 }
 
-// PeerAddresses lists the addresses, sorted, of all other control-plane nodes that this one knows of: members,
-// seeds, and those heard of lately.
+// PeerAddresses returns the sorted addresses of all other known control-plane nodes: members, seeds, and those heard of within
+// expireAfter.
 func (m *Manager) PeerAddresses() []string {
 	known := map[string]bool{}
 	for _, member := range m.store.Membership().All() {
@@ -136,18 +135,18 @@
 	return slices.Sorted(maps.Keys(known))
 }
 
-// AddPeers makes nodes known that others, or the settings, name.
+// AddPeers adds nodes that other nodes or the settings have named.
 func (m *Manager) AddPeers(addresses []string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	for _, address := range addresses {
 		if address != m.config.Self {
-			m.nodes.Record(address, heartbeat.Heartbeat{ReportedAt: m.config.Clock().Add(-introducedAge)})
+			m.nodes.Record(address, heartbeat.Heartbeat{ReportedAt: m.config.Clock().Add(-unheardPeerAge)})
 		}
 	}
 }
 
-// IsReachable tells whether another node, which is not leaving, was heard just now.
+// IsReachable reports whether another node was heard from recently and is not leaving.
 func (m *Manager) IsReachable(address string, now time.Time) bool {
 	if address == "" || address == m.config.Self {
 		return false
@@ -157,8 +156,8 @@
 	return now.Sub(m.nodes.LastReport(address)) < membership.SuspectAfter && !m.lastHeartbeats[address].Leaving
 }
 
-// Silent returns the first of the named nodes that is a member and was not heard of for so long that
-// it is suspected, or "".
+// Silent returns the first of the named nodes that is a member and has sent no heartbeat for longer than membership.SuspectAfter,
+// or "".
 func (m *Manager) Silent(addresses []string, now time.Time) string {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -171,7 +170,7 @@
 	return ""
 }
 
-// Zones returns the zone of each control-plane node that was ever heard, and of this one.
+// Zones returns the zones, by address, of this node and of each control-plane node that was ever heard from.
 func (m *Manager) Zones() map[string]string {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -182,7 +181,7 @@
 	return zones
 }
 
-// View is what this node sees of the control plane, for the decisions of internal/membership.
+// View returns this node's view of the control plane, from which internal/membership decides on changes.
 func (m *Manager) View() membership.View {
 	now := m.config.Clock()
 	local := m.acceptor.LocalState()
@@ -215,5 +214,5 @@
 	return view
 }
 
-// LastChange is the last change of the membership that this node committed, or nil.
+// LastChange returns the last membership change that this node committed, or nil.
 func (m *Manager) LastChange() *membership.Change { return m.lastChange.Load() }
--- a/internal/controlplane/members/manager_test.go
+++ b/internal/controlplane/members/manager_test.go
@@ -17,7 +17,7 @@
 
 const testSegmentBytes = 64 << 10
 
-// testNetwork carries heartbeats between managers by address, and nothing of the keystore.
+// testNetwork delivers heartbeats between managers by address, but no keystore messages.
 type testNetwork struct {
 	managers map[string]*Manager
 	now      time.Time
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// testHost records what a manager reports to its node.
+// testHost records the calls of a manager to its host.
 type testHost struct {
 	others  []string
 	leaving []string
@@ -49,7 +49,7 @@
 func (h *testHost) MemberLeaving(address string)          { h.leaving = append(h.leaving, address) }
 func (h *testHost) MembershipCommitted(keystore.Register) {}
 
-// add adds a node that is a voting member of those seeds to the network.
+// add adds a node to the network that is a voting member of a system bootstrapped with the given seeds.
 func (n *testNetwork) add(t *testing.T, self string, seeds ...string) (*Manager, *testHost) {
 	directory, err := keystore.NewDirectory(t.TempDir())
 	assert.NilError(t, err)
@@ -68,11 +68,11 @@
 	return manager, host
 }
 
-// exchange has every node send its heartbeats once.
+// exchange makes every node send one round of heartbeats.
 func (n *testNetwork) exchange(t *testing.T) {
 	for _, manager := range n.managers {
 		manager.sendHeartbeats(t.Context())
-		manager.sends.Wait()
+		manager.inFlight.Wait()
 	}
 }
 
@@ -81,19 +81,19 @@
 	first, host := network.add(t, "a", "a", "b")
 	second, _ := network.add(t, "b", "a", "b")
 	assert.DeepEqual(t, first.PeerAddresses(), []string{"b"})
-	assert.Assert(t, !first.IsReachable("b", network.now), "a seed is not taken for a node that was heard")
+	assert.Assert(t, !first.IsReachable("b", network.now), "a seed from which no heartbeat was received is not reachable")
 	second.dataPlanes.RecordContacts([]string{"edge"}, network.now)
 	network.exchange(t)
 	assert.Assert(t, first.IsReachable("b", network.now))
-	assert.Assert(t, !first.IsReachable("a", network.now), "itself")
+	assert.Assert(t, !first.IsReachable("a", network.now), "a node is not its own peer")
 	assert.DeepEqual(t, first.Zones(), map[string]string{"a": "zone-a", "b": "zone-b"})
 	assert.DeepEqual(t, host.others, []string{"b"})
 	assert.Equal(t, first.Silent([]string{"b"}, network.now), "")
 
 	first.AddPeers([]string{"c", "a"})
 	assert.DeepEqual(t, first.PeerAddresses(), []string{"b", "c"})
-	assert.Assert(t, !first.IsReachable("c", network.now), "only named by others")
-	assert.Equal(t, first.Silent([]string{"c", "b"}, network.now), "", "c is no member")
+	assert.Assert(t, !first.IsReachable("c", network.now), "a node that was only named by others is not reachable")
+	assert.Equal(t, first.Silent([]string{"c", "b"}, network.now), "", "c is not a member")
 
 	network.now = network.now.Add(membership.SuspectAfter + 1)
 	assert.Assert(t, !first.IsReachable("b", network.now))
@@ -130,7 +130,7 @@
 func TestDueChange_RestartsForAnotherChange(t *testing.T) {
 	start := time.Now()
 	change := membership.Change{Membership: keystore.Membership{Version: 2}, Reason: "lost"}
-	var due dueChange
+	var due pendingChange
 	due.observe(change, start)
 	due.observe(change, start.Add(time.Second))
 	assert.Equal(t, due.since, start)
--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// dataPlaneCountDelay is how long a node that has just started does not say how many data planes
+	// reliableCountDelay is how long a node that has just started does not say how many data planes
 	// there are.
-	dataPlaneCountDelay = 2500 * time.Millisecond
+	reliableCountDelay = 2500 * time.Millisecond
 	// earlyDataPlaneCountDelay is how long it does not say how many it has heard of: all that run send
 	// it a watch request within that time.
 	earlyDataPlaneCountDelay = time.Second
 )
 
-// newMembers returns the manager of the node's part in the control plane.
+// newMembers returns the manager of the node's membership in the control plane.
 func (n *Node) newMembers() *members.Manager {
 	config := members.Config{
 		Self:           n.self,
@@ -34,15 +34,15 @@
 	return members.NewManager(config, n.store, n.acceptor, n.peers, n.dataPlanes, membersHost{n})
 }
 
-// membersHost is a node as its members.Manager sees it.
+// membersHost implements members.Host.
 type membersHost struct {
 	node *Node
 }
 
-// IsConfirmed tells whether a majority confirmed the node's state lately.
+// IsConfirmed reports whether a majority recently confirmed the node's state.
 func (h membersHost) IsConfirmed(now time.Time) bool { return h.node.publisher.Current().IsFresh(now) }
 
-// HeartbeatsSent publishes which control planes there are, and how many data planes.
+// HeartbeatsSent publishes the list of control planes and the number of data planes.
 func (h membersHost) HeartbeatsSent(others []string) {
 	n := h.node
 	now := n.clock()
@@ -52,7 +52,7 @@
 	if uptime < earlyDataPlaneCountDelay {
 		early = 0
 	}
-	if uptime < dataPlaneCountDelay {
+	if uptime < reliableCountDelay {
 		count = 0
 	}
 	controlPlanes := append(others, n.self)
@@ -75,14 +75,14 @@
 	n.publisher.UpdateQuietly(update)
 }
 
-// MemberLeaving makes the placement lease worth trying for at once if its holder is about to end.
+// MemberLeaving makes this node try to acquire the placement lease without delay if the leaving node holds it.
 func (h membersHost) MemberLeaving(address string) {
 	if address == h.node.publisher.Current().LeaseHolder {
 		h.node.scheduler.Lease().ForgetHolder()
 	}
 }
 
-// MembershipCommitted applies a change here and notifies the other control planes of it.
+// MembershipCommitted applies a membership change at this node and notifies the other control planes.
 func (h membersHost) MembershipCommitted(register keystore.Register) {
 	h.node.publishCommitted(register)
 }
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metricsPath is where a control plane serves its figures.
+// metricsPath is the path at which a control plane serves its metrics.
 const metricsPath = "/ferryspar/metrics"
 
-// The figures of a control plane. Nothing is computed between two reads; labels are bounded by the configuration.
+// Metrics of a control plane. They are computed when they are scraped. The configuration bounds the number of label values.
 var (
 	configurationRevision = prometheus.NewDesc("ferryspar_configuration_revision", "Revision of the configuration in force.", nil, nil)
 	confirmedAge          = prometheus.NewDesc("ferryspar_confirmed_age_seconds",
@@ -29,7 +29,7 @@
 		"Replicas planned for a zone, at the node that orders them.", []string{"backend", "zone"}, nil)
 )
 
-// collector reads a node's figures. It implements prometheus.Collector.
+// collector collects a node's metrics. It implements prometheus.Collector.
 type collector struct{ node *Node }
 
 // Describe implements prometheus.Collector.
@@ -73,7 +73,7 @@
 	}
 }
 
-// metricsHandler serves the node's figures in the text format of Prometheus.
+// metricsHandler returns a handler that serves the node's metrics in the Prometheus text format.
 func (n *Node) metricsHandler() http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{n})
