--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -30,39 +30,38 @@
 	"ferryspar/internal/wallclock"
 )
 
-// Node is one control-plane node: member of the keystore, source of updates for data planes, server of
-// the admin API, and, while it holds the placement lease, the one that places models. It puts its parts
-// together and runs them; each part owns its state.
+// Node is a control-plane node. It is a member of the keystore, sends updates to data planes, serves the admin API and, while it
+// holds the placement lease, places models. It assembles and runs its components, each of which owns its state.
 type Node struct {
 	settings     nodesettings.Settings
 	settingsPath string
 	// self is the address at which other nodes reach this one.
 	self string
-	// incarnation names this start of the process.
+	// incarnation identifies this run of the process.
 	incarnation string
-	// clock is steady; startedAt is its reading at the start.
+	// clock is monotonic; startedAt is its reading at the start.
 	clock     func() time.Time
 	startedAt time.Time
 	network   peer.Network
-	// peers calls other nodes; bus carries events between the parts of this one.
+	// peers calls other nodes; bus carries events between the components of this node.
 	peers *peer.Client
 	bus   *eventbus.Bus
 
-	// Committed state: this member's acceptor and the store over all members, the operators' changes of
-	// the configuration and zones, and what is published of the rest.
+	// Committed state: this member's acceptor, the store replicated over all members, operators' changes of the configuration and
+	// zones, and the applier that publishes committed registers.
 	acceptor *keystore.Acceptor
 	store    *keystore.Store
 	state    *controlstate.State
 	applier  *applier.Applier
-	// configChanges has operators' changes of the configuration carried out at the owner of its key.
+	// configChanges forwards operators' changes of the configuration to the owner of its key.
 	configChanges *configchange.Forwarder
 
-	// Calls by which applications coordinate.
+	// Coordination calls of applications.
 	coordination *coordinator.Router
 	watches      *coordinator.GroupWatcher
 	itemCapacity *coordinator.Capacity
 
-	// The rest of the control plane and the data planes, and what they are sent and report.
+	// The other control planes and the data planes, the updates sent to them and the load that they report.
 	members      *members.Manager
 	dataPlanes   *dataplanes.Registry
 	fleetSize    *fleetsize.Recorder
@@ -72,33 +71,34 @@
 	loads        *demand.LoadAggregator
 	loadExchange *demand.Exchange
 
-	// timeOfDay is that on which the control planes agree.
+	// timeOfDay estimates the time of day from the clocks of all control planes.
 	timeOfDay *wallclock.Estimator
-	// usage holds the counts of tenants' requests, or is nil if none are wanted; roles makes the calls that one node owes the platform.
+	// usage holds the counts of tenants' requests, or is nil if the platform wants none. roles runs the duties towards the
+	// platform that are performed by one node at a time.
 	usage *demand.UsageRelay
 	roles *singleton.Runner
-	// usageReporter and capacityOrders are those of the roles that the platform wants; the others are nil.
+	// usageReporter and capacityOrders are roles, and nil unless the platform wants them.
 	usageReporter  *usagereport.Reporter
 	capacityOrders *capacityorder.Controller
 
-	// Replicas, and what operators rehearse with them.
+	// Replicas, and drills and forecasts of their loss.
 	roster     *roster.Roster
 	scheduler  *scheduler.Scheduler
 	drills     *drillcontrol.Controller
 	forecaster *drillcontrol.Forecaster
 }
 
-// nonce returns a random number that names a disk, an incarnation or a request.
+// nonce returns a random number that identifies a disk, an incarnation or a request.
 func nonce() uint64 {
 	var content [8]byte
 	_, _ = rand.Read(content[:])
 	return binary.BigEndian.Uint64(content[:])
 }
 
-// New opens the disk and puts the node together. A disk that is empty, or has lost a file, makes a
-// member without a vote, unless the whole system starts for the first time. Such a member catches up
-// from the others, or bootstraps the system with them if all of them are in the same state. The
-// settings are read again from settingsPath at a hangup signal.
+// New opens the data directory and assembles the node. If the directory is empty or has lost a file, the node becomes a member
+// without a vote, unless the whole system starts for the first time. Such a member catches up from the other members, or
+// bootstraps the system with them if all of them are in the same state. The settings are reloaded from settingsPath at a hangup
+// signal.
 func New(settings nodesettings.Settings, settingsPath string, network peer.Network, directory keystore.Directory) (*Node, error) {
 	wal, err := openWAL(directory, segmentBytes(settings.Limits.DiskMb))
 	if err != nil {
@@ -142,8 +142,8 @@
 	return node, nil
 }
 
-// initializeWAL writes the first registers of a member whose log is empty, and returns whether it takes
-// part in bootstrapping the system: a disk that lost its state does not, whatever the settings say.
+// initializeWAL writes the initial registers of a member whose log is empty, and returns whether the member takes part in
+// bootstrapping the system. A member whose disk has lost its state does not, regardless of the settings.
 func initializeWAL(wal *keystore.WAL, settings nodesettings.Settings) (isBootstrapping bool, err error) {
 	if len(wal.State()) > 0 {
 		return false, nil
@@ -157,7 +157,7 @@
 	return isBootstrapping, errors.Wrap(wal.Append(first), "first write")
 }
 
-// openKeystore makes the acceptor and the store over the write-ahead log.
+// openKeystore creates the acceptor on the write-ahead log, and the store.
 func (n *Node) openKeystore(wal *keystore.WAL, incarnation uint64, isBootstrapping bool) {
 	seeds := n.settings.SeedPeers()
 	config := keystore.AcceptorConfig{
@@ -176,10 +176,10 @@
 	n.state = &controlstate.State{Store: n.store, Zones: n.settings.Zones, Clock: n.clock}
 }
 
-// minLeaseDuration is the shortest time that a lease is granted for.
+// minLeaseDuration is the minimum duration of a lease.
 const minLeaseDuration = 500 * time.Millisecond
 
-// leaseDuration is how long a lease lasts: half of the settings' leaseMs.
+// leaseDuration returns the duration of a lease: half of leaseMs of the settings, but at least minLeaseDuration.
 func (n *Node) leaseDuration() time.Duration {
 	return max(nodesettings.Milliseconds(n.settings.TimingBounds.LeaseMs)/2, minLeaseDuration)
 }
--- a/internal/controlplane/node_bench_test.go
+++ b/internal/controlplane/node_bench_test.go
@@ -91,9 +91,9 @@
 }
 
 const (
-	runningAt  = 30
-	fewModels  = 20
-	middleSize = 80
+	reportedReplicas = 30
+	reportedModels   = 20
+	mediumFleet      = 80
 )
 
 func testReport(dataPlane, replicas int) peer.LoadReport {
@@ -102,11 +102,11 @@
 		Zone:      "north",
 		Replicas:  map[string]peer.ReplicaLoad{},
 	}
-	for index := range min(replicas, runningAt) {
+	for index := range min(replicas, reportedReplicas) {
 		replica := fmt.Sprintf("i-%08x", (dataPlane*7+index)%replicas)
 		report.Replicas[replica] = peer.ReplicaLoad{Running: 3, Tokens: 4200, PrefillTokens: 800}
 	}
-	for index := range fewModels {
+	for index := range reportedModels {
 		report.Models = append(report.Models, peer.ModelLoad{
 			Backend:         "writers",
 			Model:           fmt.Sprintf("model%04d", (dataPlane*3+index)%(2*replicas)),
@@ -141,7 +141,7 @@
 		b.Run(fmt.Sprintf("edges=%d", edges), run(edges, 140))
 	}
 	for _, replicas := range []int{9, 140, 720} {
-		b.Run(fmt.Sprintf("replicas=%d", replicas), run(middleSize, replicas))
+		b.Run(fmt.Sprintf("replicas=%d", replicas), run(mediumFleet, replicas))
 	}
 }
 
@@ -203,7 +203,7 @@
 		b.Run(fmt.Sprintf("edges=%d", edges), run(edges, 140))
 	}
 	for _, replicas := range []int{9, 140, 720} {
-		b.Run(fmt.Sprintf("replicas=%d", replicas), run(middleSize, replicas))
+		b.Run(fmt.Sprintf("replicas=%d", replicas), run(mediumFleet, replicas))
 	}
 }
 
@@ -228,7 +228,7 @@
 				node.loads.AddReport(testReport(edge, 140), time.Now())
 			}
 			share := node.loads.DemandSummary(node.self, false)
-			share.Batch = 0 // heard as new each time
+			share.Batch = 0 // treated as a new summary each time
 			for b.Loop() {
 				node.scheduler.Demand().HandleSummary(share)
 				node.scheduler.Demand().Update()
--- a/internal/controlplane/roles_host.go
+++ b/internal/controlplane/roles_host.go
@@ -14,11 +14,11 @@
 	"ferryspar/internal/usage"
 )
 
-// usageRetention is for how long, beyond the time in which its report is due, a window's counts are kept for a node that takes the
-// lease late.
+// usageRetention is how long the counts of a usage window are kept after its report is due, in case the node that sends it
+// acquires the lease late.
 const usageRetention = 30 * time.Second
 
-// newUsageRelay returns what keeps the counts of tenants' requests, or nil if the platform wants none.
+// newUsageRelay returns the relay that holds the counts of tenants' requests, or nil if the platform wants none.
 func (n *Node) newUsageRelay() *demand.UsageRelay {
 	if !n.settings.CloudAPI.Has(nodesettings.DutyUsage) {
 		return nil
@@ -35,7 +35,7 @@
 	return usage.Windows{Length: nodesettings.Seconds(n.settings.TimingBounds.UsageWindowS)}
 }
 
-// newRoles returns what makes the calls that one node at a time owes the platform.
+// newRoles returns the runner of the duties towards the platform that are performed by one node at a time.
 func (n *Node) newRoles() *singleton.Runner {
 	transport := peer.NewTransport(n.network, listConnectTimeout, listAckTimeout, 1)
 	config := singleton.Config{
--- a/internal/controlplane/roster_host.go
+++ b/internal/controlplane/roster_host.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// listConnectTimeout and listAckTimeout bound how long the platform's list may take to accept a
-	// connection, and to acknowledge what was sent on it.
+	// listConnectTimeout and listAckTimeout bound how long the platform's API may take to accept a connection and to acknowledge
+	// data sent on it.
 	listConnectTimeout  = 500 * time.Millisecond
 	listAckTimeout      = 1500 * time.Millisecond
 	listIdleConnections = 2
@@ -36,7 +36,7 @@
 	return roster.New(config, lister, host, host, host)
 }
 
-// rosterHost is a node as its roster.Roster sees it: its scheduler, its publishers, and the other
+// rosterHost implements the interfaces through which roster.Roster accesses the node's scheduler, its publishers, and the other
 // control-plane nodes.
 type rosterHost struct {
 	*peer.Client
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -44,7 +44,7 @@
 	return struct{}{}
 }
 
-// adminRoutes serves what operators and applications call at the node's control-plane address.
+// adminRoutes returns the handler for calls of operators and applications to the node's control-plane address.
 func (n *Node) adminRoutes() http.Handler {
 	router := chi.NewRouter()
 	router.Mount("/", adminapi.NewHandler(n, adminapi.NewReplayGuard(n.settings.BindAddresses.ControlPlane, n.clock)))
--- a/internal/controlplane/run.go
+++ b/internal/controlplane/run.go
@@ -18,8 +18,8 @@
 	readHeaderTimeout = 10 * time.Second
 )
 
-// Run serves until parent ends, a server fails, or a signal to stop has been handled. It returns once
-// its loops have ended, but does not wait for a write that the disk does not finish.
+// Run serves until parent is done, a server fails, or a stop signal has been handled. It returns once its loops have ended, but
+// does not wait for a disk write that hangs.
 func (n *Node) Run(parent context.Context, signals nodesettings.Signals) error {
 	ctx, cancel := context.WithCancel(parent)
 	var loops sync.WaitGroup
@@ -59,7 +59,7 @@
 	}
 }
 
-// startLoops runs the node's parts, each until ctx ends.
+// startLoops starts the loops of the node's components, which run until ctx is done.
 func (n *Node) startLoops(ctx context.Context, loops *sync.WaitGroup, signals nodesettings.Signals) {
 	parts := []func(context.Context){
 		n.applier.Run,
@@ -78,7 +78,7 @@
 	}
 }
 
-// watchSettings reads the settings again at each hangup signal. Only the seeds of a running node change.
+// watchSettings reloads the settings at each hangup signal. Only changes of the seeds take effect in a running node.
 func (n *Node) watchSettings(ctx context.Context, signals nodesettings.Signals) {
 	nodesettings.Watch(ctx, n.settingsPath, "control", signals.Hangup, func(changed nodesettings.Settings) {
 		n.members.AddPeers(changed.SeedPeers())
@@ -90,5 +90,5 @@
 		"control_plane": adminListener.Addr().String(),
 		"peer":          n.self,
 		"members":       n.store.Membership().Current,
-	}).Info("control plane listens")
+	}).Info("control plane listening")
 }
--- a/internal/controlplane/scheduler_host.go
+++ b/internal/controlplane/scheduler_host.go
@@ -17,7 +17,7 @@
 	"ferryspar/internal/retention"
 )
 
-// takeoverMargin is added to the lease length of the settings for the time that a new lease holder waits.
+// takeoverMargin is added to leaseMs of the settings to obtain the time that a new lease holder waits.
 const takeoverMargin = 100 * time.Millisecond
 
 // newScheduler returns the scheduler of the node.
@@ -55,7 +55,7 @@
 	})
 }
 
-// schedulerHost is the node as its scheduler sees it.
+// schedulerHost implements the interfaces through which the scheduler accesses the node.
 type schedulerHost struct{ node *Node }
 
 // State implements scheduler.StateReader.
@@ -99,8 +99,8 @@
 	return h.node.members.IsReachable(h.node.publisher.Current().LeaseHolder, now)
 }
 
-// handlePlanRequest answers what this node would place and remove as the lease holder. The plan does not hold if it is not
-// the holder.
+// handlePlanRequest returns what this node would place and remove as the lease holder. The plan is not valid if this node does
+// not hold the lease.
 func (n *Node) handlePlanRequest(ctx context.Context, request drill.ForecastRequest) drill.PlacementPlan {
 	return n.scheduler.Forecast(ctx, request.Scope)
 }
--- a/internal/controlplane/shutdown.go
+++ b/internal/controlplane/shutdown.go
@@ -12,23 +12,22 @@
 )
 
 const (
-	// exitMargin is kept of the grace period for ending the servers and the process.
+	// exitMargin is the part of the grace period that is reserved for stopping the servers and the process.
 	exitMargin = 700 * time.Millisecond
-	// releaseTimeout is how long giving up the lease may take.
+	// releaseTimeout bounds releasing the lease.
 	releaseTimeout = 2 * time.Second
-	// shutdownTimeout is how long calls in flight may take once the node is not needed.
+	// shutdownTimeout is how long calls in flight may take once it is safe to stop the node.
 	shutdownTimeout = 400 * time.Millisecond
 )
 
-// shutdown ends the node in order. It notifies the others, releases its lease, and goes on voting and
-// answering until the control plane can do without it, at most for the grace period. Then calls in
-// flight are finished.
+// shutdown stops the node gracefully. The node notifies the others, releases its lease, and continues to vote and to answer until
+// the control plane does not need it, but no longer than the grace period. Then it finishes calls in flight.
 func (n *Node) shutdown(adminServer, peerServer *http.Server) {
 	startedAt := n.clock()
 	deadline := startedAt.Add(nodesettings.Seconds(n.settings.TimingBounds.GraceS) - exitMargin)
 	n.members.StartLeaving()
 	n.publisher.Update(func(*watch.Snapshot) bool { return true })
-	logrus.Info("leaving")
+	logrus.Info("leaving the control plane")
 	select {
 	case <-n.scheduler.Lease().Released():
 	case <-time.After(releaseTimeout):
@@ -39,10 +38,10 @@
 	logrus.WithFields(logrus.Fields{
 		"duration_ms": n.clock().Sub(startedAt).Milliseconds(),
 		"members":     n.store.Membership().Current,
-	}).Info("left")
+	}).Info("left the control plane")
 }
 
-// shutdownServer ends a server once its calls in flight are answered, or at the deadline.
+// shutdownServer stops a server once its calls in flight are answered, or at the deadline.
 func (n *Node) shutdownServer(server *http.Server, deadline time.Time) {
 	timeout := min(deadline.Sub(n.clock()), changeTimeout+ackTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -8,7 +8,7 @@
 	"ferryspar/internal/controlplane/dataplanes"
 )
 
-// Status returns what this node knows of the fleet and how sure it is of it. Any goroutine may call it.
+// Status returns this node's view of the fleet and how recently that view was confirmed. It is safe for concurrent use.
 func (n *Node) Status() adminapi.FleetStatus {
 	snapshot := n.publisher.Current()
 	members := n.store.Membership()
@@ -43,7 +43,7 @@
 	return status
 }
 
-// lastMembershipChange is the last change of the membership that this node committed, or nil.
+// lastMembershipChange returns the last membership change that this node committed, or nil.
 func (n *Node) lastMembershipChange() *adminapi.MembershipChange {
 	change := n.members.LastChange()
 	if change == nil {
@@ -52,7 +52,7 @@
 	return &adminapi.MembershipChange{Version: change.Membership.Version, Reason: change.Reason}
 }
 
-// unknownAgeMs is the age of what has not happened yet.
+// unknownAgeMs is the reported age of an event that has not happened yet.
 const unknownAgeMs = -1
 
 func ageMs(now, at time.Time) int64 {
--- a/internal/controlplane/watch_host.go
+++ b/internal/controlplane/watch_host.go
@@ -8,7 +8,7 @@
 	"ferryspar/internal/peer"
 )
 
-// watchHost is a node as its watch.Server sees it.
+// watchHost implements the node's side of its watch.Server.
 type watchHost struct {
 	node *Node
 }
@@ -18,8 +18,8 @@
 	return watch.NewServer(identity, watchHost{n}, n.publisher, n.endpoints, n.clock)
 }
 
-// RecordWatch takes in what a data plane says of itself. One whose primary is another control plane reports its load
-// there, so its last report here no longer counts.
+// RecordWatch records what a data plane reports in a watch request. A data plane whose primary is another control plane reports
+// its load there, so its last load report at this node is dropped.
 func (h watchHost) RecordWatch(request peer.WatchRequest, receivedAt time.Time) {
 	h.node.dataPlanes.RecordWatch(request, receivedAt)
 	if request.Drill != nil {
@@ -30,28 +30,28 @@
 	}
 }
 
-// CountedFor returns for how long the data plane has been counted among the live ones, and false if it isn't counted.
+// CountedFor returns for how long the data plane has been counted without interruption, and false if it is not counted.
 func (h watchHost) CountedFor(dataPlane string, now time.Time) (time.Duration, bool) {
 	return h.node.dataPlanes.CountedFor(dataPlane, now)
 }
 
-// CountReliable says whether the node has run for longer than a silent data plane counts.
+// CountReliable reports whether the node has run for longer than a data plane is counted after it was last heard of.
 func (h watchHost) CountReliable(now time.Time) bool {
 	return now.Sub(h.node.startedAt) > dataplanes.ExpireAfter
 }
 
-// LiveKnown says whether the node has run for longer than a live data plane may be silent.
+// LiveKnown reports whether the node has run for longer than the window within which live data planes send watch requests.
 func (h watchHost) LiveKnown(now time.Time) bool {
 	return now.Sub(h.node.startedAt) > dataplanes.LiveWindow
 }
 
-// RequestConfirmation has the state confirmed in a round that begins after the call.
+// RequestConfirmation requests a confirmation round that starts after the call.
 func (h watchHost) RequestConfirmation() { h.node.applier.RequestConfirmation() }
 
-// LoadsOn returns the load of all data planes but the named one on replicas, by id.
+// LoadsOn returns the load of all data planes except the named one on the given replicas, by replica ID.
 func (h watchHost) LoadsOn(dataPlane string, replicas []string) map[string]peer.ReplicaLoad {
 	return h.node.loads.FleetLoadFor(dataPlane, replicas).Replicas
 }
 
-// IsLeaving says whether the node shuts down.
+// IsLeaving reports whether the node is leaving.
 func (h watchHost) IsLeaving() bool { return h.node.members.IsLeaving() }
