--- a/internal/controlplane/configchange/forwarder.go
+++ b/internal/controlplane/configchange/forwarder.go
@@ -47,10 +47,10 @@
 	host   Host
 	caller Caller
 	clock  func() time.Time
-	// routed runs the calls that operators send to this node. local runs the calls that this node executes, whoever received
+	// received runs the calls that operators send to this node. local runs the calls that this node executes, whoever received
 	// them.
-	routed *Executor
-	local  *Executor
+	received *Executor
+	local    *Executor
 
 	lock sync.Mutex
 	// avoided holds, by address, the time until which an owner that did not answer is sent no calls.
@@ -66,7 +66,7 @@
 		local:   NewExecutor(execute),
 		avoided: map[string]time.Time{},
 	}
-	forwarder.routed = NewExecutor(forwarder.route)
+	forwarder.received = NewExecutor(forwarder.route)
 	return forwarder
 }
 
@@ -74,7 +74,7 @@
 //
 // The call is not canceled when the operator's request times out, because the resend would then start over at another node what a
 // slow but live owner has already begun.
-func (f *Forwarder) Change(ctx context.Context, call Call) error { return f.routed.Do(ctx, call) }
+func (f *Forwarder) Change(ctx context.Context, call Call) error { return f.received.Do(ctx, call) }
 
 // route executes a call at the owner, or at this node if the owner is not available.
 func (f *Forwarder) route(call Call) error {
--- a/internal/controlplane/configchange/forwarder_test.go
+++ b/internal/controlplane/configchange/forwarder_test.go
@@ -74,7 +74,7 @@
 	return f.forwarder.Change(ctx, call)
 }
 
-func TestForwarder_OwnerCarriesOutTheCall(t *testing.T) {
+func TestForwarder_OwnerExecutesTheCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster()
 		assert.NilError(t, cluster.change(patchCall))
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestForwarder_SlowOwnerIsLeftAtWork(t *testing.T) {
+func TestForwarder_SlowOwnerIsNotPreempted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster()
 		cluster.ownerTakes = 1500 * time.Millisecond
@@ -99,7 +99,7 @@
 	})
 }
 
-func TestForwarder_AnswersByWhatIsLearnedBeforeTheOwnerReplies(t *testing.T) {
+func TestForwarder_LearnedCommitAnswersBeforeTheOwnerReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster()
 		cluster.ownerTakes = 900 * time.Millisecond
@@ -112,7 +112,7 @@
 	})
 }
 
-func TestForwarder_TakesOverFromOwnerThatCannotBeReached(t *testing.T) {
+func TestForwarder_ExecutesLocallyIfTheOwnerIsUnavailable(t *testing.T) {
 	cases := map[string]func(cluster *testCluster){
 		"silent":           func(cluster *testCluster) { cluster.silent = true },
 		"not heard of":     func(cluster *testCluster) { cluster.unreachable = true },
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestForwarder_SilentOwnerIsAvoidedForAWhile(t *testing.T) {
+func TestForwarder_UnresponsiveOwnerIsAvoidedTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster()
 		cluster.silent = true
@@ -159,7 +159,7 @@
 	})
 }
 
-func TestExecutor_EqualCallsAreCarriedOutOnce(t *testing.T) {
+func TestExecutor_ConcurrentEqualCallsAreExecutedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		executed := 0
 		executor := NewExecutor(func(Call) error {
--- a/internal/controlplane/coordination_host.go
+++ b/internal/controlplane/coordination_host.go
@@ -55,7 +55,7 @@
 	executor := coordinator.NewExecutor(n.store, coordination.Config{History: history}, n.clock)
 	caller := peer.NewClient(n.network)
 	n.coordination = coordinator.NewRouter(n.self, coordinationHost{n}, caller, executor, n.clock)
-	n.watches = coordinator.NewGroupWatcher(n.coordination, n.members.Leaving(), n.clock)
+	n.groupWatcher = coordinator.NewGroupWatcher(n.coordination, n.members.Leaving(), n.clock)
 	maxBytes := int(segmentBytes(n.settings.Limits.DiskMb)) / itemsDivisor
 	n.itemCapacity = coordinator.NewCapacity(n.acceptor.Durable, maxBytes, n.clock)
 }
@@ -91,7 +91,7 @@
 }
 
 // WatchCounts implements coordinationapi.Service.
-func (s coordinationService) WatchCounts() map[string]int { return s.node.watches.Counts() }
+func (s coordinationService) WatchCounts() map[string]int { return s.node.groupWatcher.Counts() }
 
 // Watch implements coordinationapi.Service.
 func (s coordinationService) Watch(
@@ -100,7 +100,7 @@
 	if err := s.admit(coordination.Call{Kind: coordination.KindGroup, Name: group}); err != nil {
 		return coordination.Result{}, err
 	}
-	result, err := s.node.watches.Watch(ctx, group, after, wait)
+	result, err := s.node.groupWatcher.Watch(ctx, group, after, wait)
 	return result, coordinationError(err)
 }
 
--- a/internal/controlplane/coordinator/applications_test.go
+++ b/internal/controlplane/coordinator/applications_test.go
@@ -244,17 +244,17 @@
 func (a *application) requestNumber() {
 	counter := fmt.Sprint("n", a.random.IntN(counterCount))
 	sent := time.Now()
-	drawn := a.simulation.call(a.node(), a.random, coordination.Call{
+	issued := a.simulation.call(a.node(), a.random, coordination.Call{
 		Operation: coordination.OperationNext,
 		Kind:      coordination.KindCounter,
 		Name:      counter,
 	})
-	if !drawn.isDefinite {
+	if !issued.isDefinite {
 		return
 	}
 	a.records.lock.Lock()
 	defer a.records.lock.Unlock()
-	a.records.issued = append(a.records.issued, issuedNumber{counter, drawn.result.Number, sent, time.Now()})
+	a.records.issued = append(a.records.issued, issuedNumber{counter, issued.result.Number, sent, time.Now()})
 }
 
 func (a *application) get(key string) (revision uint64, isDefinite bool) {
@@ -324,9 +324,9 @@
 		answer := a.simulation.ask(a.node(), a.random, func(ctx context.Context, node *simulatedNode) (coordination.Result, error) {
 			if after == 0 {
 				// Watch with revision 0 would return the present revision only, but all puts from the first one are needed.
-				return node.watches.fetchEvents(ctx, group, 0)
+				return node.groupWatcher.fetchEvents(ctx, group, 0)
 			}
-			return node.watches.Watch(ctx, group, after, watchWait)
+			return node.groupWatcher.Watch(ctx, group, after, watchWait)
 		})
 		if errors.Is(answer.err, ErrExpired) {
 			a.records.fail("watch %d got 410 after %d", a.number, after)
--- a/internal/controlplane/coordinator/capacity_test.go
+++ b/internal/controlplane/coordinator/capacity_test.go
@@ -16,7 +16,7 @@
 	return coordination.Call{Operation: coordination.OperationAcquire, Kind: coordination.KindLock, Name: name}
 }
 
-func TestCapacity_NewItemsAreBoundedOldOnesStay(t *testing.T) {
+func TestCapacity_LimitsNewItemsAndAdmitsExistingOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		registers := map[string]keystore.Register{}
 		add := func(name string, size int) {
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestSummaries_ListItemsOnly(t *testing.T) {
+func TestItemSummaries_ListItemsOnly(t *testing.T) {
 	key := storeKey(lockNamed("l1"))
 	summaries := ItemSummaries(map[string]keystore.Register{
 		key:                       {Key: key, Promised: keystore.ProposalNumber{Round: 1, Proposer: "a"}, Value: []byte(`{}`)},
--- a/internal/controlplane/coordinator/check_test.go
+++ b/internal/controlplane/coordinator/check_test.go
@@ -74,7 +74,7 @@
 	seen := r.watched[0]
 	revisions := map[string]uint64{}
 	for _, event := range seen {
-		if _, isTwice := revisions[event.Value]; isTwice {
+		if _, isDuplicate := revisions[event.Value]; isDuplicate {
 			return errors.Errorf("%s has two revisions", event.Value)
 		}
 		revisions[event.Value] = event.Revision
@@ -104,10 +104,10 @@
 // keyModel is the state of the keys in the sequential model.
 type keyModel struct {
 	revision uint64
-	keys     [keyCount]settled
+	keys     [keyCount]keyState
 }
 
-type settled struct {
+type keyState struct {
 	value    string
 	revision uint64
 }
--- a/internal/controlplane/coordinator/coordinator_test.go
+++ b/internal/controlplane/coordinator/coordinator_test.go
@@ -135,7 +135,7 @@
 // other as its owner, each with a higher proposal number than the one before.
 var contestedSeeds = []uint64{216, 564}
 
-func TestRouter_ContestedItemIsLeftToOneOwner(t *testing.T) {
+func TestRouter_ContendedItemSettlesOnOneOwner(t *testing.T) {
 	for _, seed := range contestedSeeds {
 		synctest.Test(t, func(t *testing.T) {
 			assert.NilError(t, schedule{seed: seed, faults: faultMixes[seed%uint64(len(faultMixes))]}.run(), "seed %d", seed)
@@ -175,13 +175,13 @@
 
 func reuseNumbers(record map[string]any) { record["reserved"] = max(record["reserved"].(float64)-8, 0) }
 
-func forgetFence(record map[string]any) {
+func resetFence(record map[string]any) {
 	if record["holder"] == nil {
 		record["fence"] = 0
 	}
 }
 
-func forgetFirstEvent(record map[string]any) {
+func dropFirstEvent(record map[string]any) {
 	events := record["events"].(map[string]any)
 	for name, column := range events {
 		if list := column.([]any); len(list) > 1 {
@@ -201,12 +201,12 @@
 	keystoresim.Freeze, keystoresim.OneOf(keystoresim.Restart, keystoresim.Isolate),
 }
 
-func openingDefect(open openFunc) defect {
+func defectInOpen(open openFunc) defect {
 	return defect{inject: func(simulation *simulation) { simulation.open = open }, faults: takeoverFaults}
 }
 
 var defects = map[string]defect{
-	"a takeover that does not wait for the previous holder": openingDefect(openBackdated(coordination.KindLock, time.Hour)),
+	"a takeover that does not wait for the previous holder": defectInOpen(openBackdated(coordination.KindLock, time.Hour)),
 	"clock drift far beyond the allowed drift": {
 		inject: func(simulation *simulation) { simulation.cluster.ClockDrift = 0.3 },
 		faults: takeoverFaults,
@@ -217,10 +217,10 @@
 		},
 		faults: takeoverFaults,
 	},
-	"a block of numbers issued twice": openingDefect(rewrite(coordination.KindCounter, reuseNumbers)),
-	"fences that start over":          openingDefect(rewrite(coordination.KindLock, forgetFence)),
-	"puts lost at a takeover":         openingDefect(rewrite(coordination.KindGroup, forgetFirstEvent)),
-	"a history that is too short":     openingDefect(openWithShortHistory),
+	"a block of numbers issued twice": defectInOpen(rewrite(coordination.KindCounter, reuseNumbers)),
+	"fences that start over":          defectInOpen(rewrite(coordination.KindLock, resetFence)),
+	"puts lost at a takeover":         defectInOpen(rewrite(coordination.KindGroup, dropFirstEvent)),
+	"a history that is too short":     defectInOpen(openWithShortHistory),
 	"renewals, numbers and reads answered from stale memory": {
 		inject: func(simulation *simulation) {
 			simulation.wrapStore = func(store Store) Store { return staleStore{store} }
@@ -236,9 +236,9 @@
 }
 
 func TestRouter_InjectedDefectsAreDetected(t *testing.T) {
-	for name, variant := range defects {
+	for name, injected := range defects {
 		t.Run(name, func(t *testing.T) {
-			failure := findFailure(t, variant.faults, variant.inject)
+			failure := findFailure(t, injected.faults, injected.inject)
 			assert.Assert(t, failure != nil, "no schedule detects the defect")
 		})
 	}
--- a/internal/controlplane/coordinator/executor_test.go
+++ b/internal/controlplane/coordinator/executor_test.go
@@ -23,7 +23,7 @@
 	Name:      "n",
 }
 
-func TestExecutor_CallsThatWaitShareOneWrite(t *testing.T) {
+func TestExecutor_PendingCallsShareOneWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
 		store.latency = 10 * time.Millisecond
@@ -46,7 +46,7 @@
 	})
 }
 
-func TestExecutor_CallOfCallerThatHasGoneIsNotCarriedOut(t *testing.T) {
+func TestExecutor_CanceledPendingCallIsNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
 		store.latency = 100 * time.Millisecond
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestExecutor_ErrorSaysWhetherTheCallMayTakeEffect(t *testing.T) {
+func TestExecutor_ErrorTellsWhetherTheCallMayTakeEffect(t *testing.T) {
 	for failure, expected := range map[error]error{
 		keystore.ErrUncertain:  ErrUncertain,
 		keystore.ErrNoMajority: ErrNotExecuted,
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestExecutor_StateIsReadAgainAfterAnError(t *testing.T) {
+func TestExecutor_StateIsReloadedAfterAnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
 		executor := newTestExecutor(store)
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestExecutor_WaitingCallsAreBounded(t *testing.T) {
+func TestExecutor_PendingCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
 		store.latency = time.Second
@@ -135,7 +135,7 @@
 	})
 }
 
-func TestExecutor_EventsAreGivenAsSoonAsThereAreSome(t *testing.T) {
+func TestExecutor_AwaitEventsReturnsOnFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		executor := newTestExecutor(newMemoryStore())
 		_, err := executor.Do(t.Context(), testPut)
@@ -165,16 +165,16 @@
 type sharedStore struct {
 	*memoryStore
 	name string
-	// losesKeys makes the next operation start a new ownership although no other process owned the key in between.
-	losesKeys bool
+	// renewsOwnership makes the next operation start a new ownership although no other process owned the key in between.
+	renewsOwnership bool
 }
 
 // ReadModifyWrite implements Store.
 func (s *sharedStore) ReadModifyWrite(_ context.Context, name string, step keystore.ModifyFunc) (keystore.Register, error) {
 	register := s.registers[name]
 	adoptedFrom := register.Accepted
-	if register.Promised.Proposer != s.name || s.losesKeys {
-		s.losesKeys = false
+	if register.Promised.Proposer != s.name || s.renewsOwnership {
+		s.renewsOwnership = false
 		register.Promised = keystore.ProposalNumber{Round: register.Promised.Round + 1, Proposer: s.name}
 		register.Accepted = register.Promised
 	}
@@ -186,7 +186,7 @@
 	return register, nil
 }
 
-func TestExecutor_TimeOfAHoldIsKeptUnlessAnotherOwnedTheLock(t *testing.T) {
+func TestExecutor_HoldExpiryIsKeptUnlessAnotherNodeOwnedTheLock(t *testing.T) {
 	const holdFor = time.Second
 	acquireFor := func(holder string) coordination.Call {
 		return coordination.Call{
@@ -208,10 +208,10 @@
 		}
 		taken := do(owner, acquireFor("a"))
 		time.Sleep(holdFor - time.Millisecond)
-		first.losesKeys = true
+		first.renewsOwnership = true
 		assert.Equal(t, do(owner, acquireFor("b")).Outcome, coordination.OutcomeHeld)
 		time.Sleep(10 * time.Millisecond)
-		first.losesKeys = true
+		first.renewsOwnership = true
 		taken = do(owner, acquireFor("b"))
 		assert.Equal(t, taken.Outcome, coordination.OutcomeDone, "the new ownership keeps the expiry of the hold")
 		time.Sleep(holdFor * 9 / 10)
--- a/internal/controlplane/coordinator/follower.go
+++ b/internal/controlplane/coordinator/follower.go
@@ -39,8 +39,7 @@
 	clock  func() time.Time
 	// leaving is closed when the node starts to shut down.
 	leaving <-chan struct{}
-	// waiting counts the pending watches.
-	waiting atomic.Int64
+	pendingWatches atomic.Int64
 	// ctx is the context of the followers; cancel stops them.
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -95,8 +94,8 @@
 			Name:      group,
 		})
 	}
-	defer w.waiting.Add(-1)
-	if w.waiting.Add(1) > maxWatches {
+	defer w.pendingWatches.Add(-1)
+	if w.pendingWatches.Add(1) > maxWatches {
 		return coordination.Result{}, ErrOverloaded
 	}
 	timer := time.NewTimer(wait)
--- a/internal/controlplane/coordinator/recovery_test.go
+++ b/internal/controlplane/coordinator/recovery_test.go
@@ -96,20 +96,20 @@
 }
 
 // errUnanswered is a liveness failure; all other failures are safety failures.
-var errUnanswered = errors.New("not everything answers in time")
+var errUnanswered = errors.New("not all items answered in time")
 
 // readAll calls each item once, and returns the items whose calls were not answered or whose lock was held.
 func (a *application) readAll(final *atomic.Uint64) (unanswered []string) {
 	for position := range counterCount {
 		call := coordination.Call{Operation: coordination.OperationNext, Kind: coordination.KindCounter, Name: "n" + digit(position)}
 		sent := time.Now()
-		drawn := a.simulation.call(a.node(), a.random, call)
-		if !drawn.isDefinite {
+		issued := a.simulation.call(a.node(), a.random, call)
+		if !issued.isDefinite {
 			unanswered = append(unanswered, call.Name)
 			continue
 		}
 		a.records.lock.Lock()
-		a.records.issued = append(a.records.issued, issuedNumber{call.Name, drawn.result.Number, sent, time.Now()})
+		a.records.issued = append(a.records.issued, issuedNumber{call.Name, issued.result.Number, sent, time.Now()})
 		a.records.lock.Unlock()
 	}
 	for position := range lockCount {
--- a/internal/controlplane/coordinator/router_test.go
+++ b/internal/controlplane/coordinator/router_test.go
@@ -147,7 +147,7 @@
 
 type answers = map[string]func(request peer.CoordinationRequest) (peer.CoordinationReply, error)
 
-func TestRouter_NextMemberTakesOverFromSilentOwner(t *testing.T) {
+func TestRouter_NextMemberTakesOverFromUnresponsiveOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := &testCluster{members: []string{"b", "c"}}
 		router := newTestRouter(cluster, newMemoryStore())
@@ -175,7 +175,7 @@
 	})
 }
 
-func TestRouter_CallThatMayHaveBeenCarriedOutIsUncertain(t *testing.T) {
+func TestRouter_CallThatMayHaveBeenExecutedIsUncertain(t *testing.T) {
 	cases := map[string]struct {
 		first, second func(request peer.CoordinationRequest) (peer.CoordinationReply, error)
 		expected      error
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestRouter_PassesOnToTheOwnerThatItReaches(t *testing.T) {
+func TestRouter_ForwardedCallIsForwardedToReachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := &testCluster{members: []string{"b"}, answers: answers{"b": decided}}
 		store := newMemoryStore()
@@ -327,7 +327,7 @@
 	})
 }
 
-func TestRouter_ItemsAreSpreadAndStayWhereTheyAre(t *testing.T) {
+func TestRouter_ItemsAreSpreadAndMoveOnlyFromLostMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := &testCluster{members: []string{"b", "c", "d", "e", "f"}}
 		router := newTestRouter(cluster, newMemoryStore())
--- a/internal/controlplane/coordinator/simulation_test.go
+++ b/internal/controlplane/coordinator/simulation_test.go
@@ -60,11 +60,11 @@
 
 // simulatedNode is the coordinator in one process.
 type simulatedNode struct {
-	simulation *simulation
-	name       string
-	store      *keystore.Store
-	router     *Router
-	watches    *GroupWatcher
+	simulation   *simulation
+	name         string
+	store        *keystore.Store
+	router       *Router
+	groupWatcher *GroupWatcher
 }
 
 func newSimulation(seed uint64) *simulation {
@@ -94,7 +94,7 @@
 	}
 	s.lock.Lock()
 	for _, node := range s.nodes {
-		node.watches.cancel()
+		node.groupWatcher.cancel()
 	}
 	s.lock.Unlock()
 	time.Sleep(settleTime)
@@ -129,7 +129,7 @@
 	if known := s.nodes[name]; known != nil && known.store == store {
 		return known
 	} else if known != nil {
-		known.watches.cancel()
+		known.groupWatcher.cancel()
 	}
 	started := &simulatedNode{simulation: s, name: name, store: store}
 	var operated Store = store
@@ -142,7 +142,7 @@
 		executor.open = s.open
 	}
 	started.router = NewRouter(name, started, started, executor, clock)
-	started.watches = NewGroupWatcher(started.router, nil, clock)
+	started.groupWatcher = NewGroupWatcher(started.router, nil, clock)
 	s.nodes[name] = started
 	return started
 }
--- a/internal/controlplane/dataplanes/registry_test.go
+++ b/internal/controlplane/dataplanes/registry_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestRegistry_CountsAndForgetsSilentDataPlanes(t *testing.T) {
+func TestRegistry_CountsAndExpiresDataPlanes(t *testing.T) {
 	registry := NewRegistry()
 	registry.RecordWatch(peer.WatchRequest{DataPlane: "a", Address: "10.0.0.1:1", Revision: 3}, start)
 	registry.RecordContacts([]string{"b"}, start)
@@ -32,7 +32,7 @@
 	assert.Assert(t, !isCounted)
 }
 
-func TestRegistry_BehindCountsOnlyDataPlanesInContact(t *testing.T) {
+func TestRegistry_CountBehindIncludesOnlyDataPlanesInContact(t *testing.T) {
 	registry := NewRegistry()
 	registry.RecordWatch(peer.WatchRequest{DataPlane: "a", Revision: 3, ZoneVersion: 1}, start)
 	assert.Equal(t, registry.CountBehind(start, 3, 1), 0)
@@ -41,7 +41,7 @@
 	assert.Equal(t, registry.CountBehind(start.Add(ContactWindow+1), 4, 2), 0)
 }
 
-func TestRegistry_LeavesOutDataPlanesThatLeft(t *testing.T) {
+func TestRegistry_ExcludesDataPlanesThatLeft(t *testing.T) {
 	registry := NewRegistry()
 	registry.RecordWatch(peer.WatchRequest{DataPlane: "a", Zone: "north", AppliedForget: 5}, start)
 	registry.RecordWatch(peer.WatchRequest{DataPlane: "b", Zone: "south", Leaving: true}, start)
--- a/internal/controlplane/members/manager_test.go
+++ b/internal/controlplane/members/manager_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestManager_HeartbeatsMakeNodesKnown(t *testing.T) {
+func TestManager_HeartbeatsMakeNodesReachable(t *testing.T) {
 	network := &testNetwork{managers: map[string]*Manager{}, now: time.Now()}
 	first, host := network.add(t, "a", "a", "b")
 	second, _ := network.add(t, "b", "a", "b")
@@ -101,7 +101,7 @@
 	assert.DeepEqual(t, first.View().Suspects(), []string{"b"})
 }
 
-func TestManager_LeavingIsToldInHeartbeats(t *testing.T) {
+func TestManager_HeartbeatsAnnounceLeaving(t *testing.T) {
 	network := &testNetwork{managers: map[string]*Manager{}, now: time.Now()}
 	first, host := network.add(t, "a", "a", "b")
 	second, _ := network.add(t, "b", "a", "b")
@@ -114,7 +114,7 @@
 	assert.Assert(t, first.View().Peers["b"].Leaving)
 }
 
-func TestManager_RunEndsWithItsContext(t *testing.T) {
+func TestManager_RunReturnsWhenContextIsDone(t *testing.T) {
 	network := &testNetwork{managers: map[string]*Manager{}, now: time.Now()}
 	manager, _ := network.add(t, "a", "a", "b")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -127,7 +127,7 @@
 	<-done
 }
 
-func TestDueChange_RestartsForAnotherChange(t *testing.T) {
+func TestPendingChange_RestartsForAnotherChange(t *testing.T) {
 	start := time.Now()
 	change := membership.Change{Membership: keystore.Membership{Version: 2}, Reason: "lost"}
 	var due pendingChange
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -58,7 +58,7 @@
 
 	// Coordination calls of applications.
 	coordination *coordinator.Router
-	watches      *coordinator.GroupWatcher
+	groupWatcher *coordinator.GroupWatcher
 	itemCapacity *coordinator.Capacity
 
 	// The other control planes and the data planes, the updates sent to them and the load that they report.
--- a/internal/controlplane/run.go
+++ b/internal/controlplane/run.go
@@ -70,7 +70,7 @@
 		n.drills.Run,
 		n.fleetSize.Run,
 		n.roles.Run,
-		n.watches.Run,
+		n.groupWatcher.Run,
 		func(ctx context.Context) { n.watchSettings(ctx, signals) },
 	}
 	for _, run := range parts {
