--- a/internal/controlplane/configchange/forwarder_test.go
+++ b/internal/controlplane/configchange/forwarder_test.go
@@ -33,21 +33,21 @@
 	bodiesReceived int
 }
 
-func (f *testCluster) ConfigurationOwner() string { return ownerAddress }
-func (f *testCluster) IsReachable(string) bool    { return !f.unreachable }
-func (f *testCluster) Outcome(Call) (bool, error) { return f.decided, nil }
+func (c *testCluster) ConfigurationOwner() string { return ownerAddress }
+func (c *testCluster) IsReachable(string) bool    { return !c.unreachable }
+func (c *testCluster) Outcome(Call) (bool, error) { return c.decided, nil }
 
 // Call delivers a forwarded change to the owner. It times out while silent is set.
-func (f *testCluster) Call(ctx context.Context, method peer.Method, _ string, message, reply any) error {
-	if f.silent {
+func (c *testCluster) Call(ctx context.Context, method peer.Method, _ string, message, reply any) error {
+	if c.silent {
 		time.Sleep(method.Timeout())
 		return errSilent
 	}
 	request := message.(peer.ChangeRequest)
 	if len(request.Body) > 0 {
-		f.bodiesReceived++
+		c.bodiesReceived++
 	}
-	*reply.(*peer.ChangeReply) = f.owner.HandleChange(ctx, request)
+	*reply.(*peer.ChangeReply) = c.owner.HandleChange(ctx, request)
 	return nil
 }
 
@@ -68,10 +68,10 @@
 var patchCall = Call{Method: http.MethodPatch, Condition: 4, Body: []byte(`{"revision":5}`)}
 
 // change sends the call with the time-out of an operator.
-func (f *testCluster) change(call Call) error {
+func (c *testCluster) change(call Call) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	return f.forwarder.Change(ctx, call)
+	return c.forwarder.Change(ctx, call)
 }
 
 func TestForwarder_OwnerExecutesTheCall(t *testing.T) {
--- a/internal/controlplane/coordination_host.go
+++ b/internal/controlplane/coordination_host.go
@@ -27,26 +27,26 @@
 }
 
 // Members implements coordinator.Cluster.
-func (f coordinationHost) Members() []string { return f.node.store.Membership().Current }
+func (h coordinationHost) Members() []string { return h.node.store.Membership().Current }
 
 // IsReachable implements coordinator.Cluster.
-func (f coordinationHost) IsReachable(address string) bool {
-	return f.node.members.IsReachable(address, f.node.clock())
+func (h coordinationHost) IsReachable(address string) bool {
+	return h.node.members.IsReachable(address, h.node.clock())
 }
 
 // MayOwn implements coordinator.Cluster.
-func (f coordinationHost) MayOwn() bool {
-	return f.node.acceptor.LocalState().Voting && !f.node.members.IsLeaving()
+func (h coordinationHost) MayOwn() bool {
+	return h.node.acceptor.LocalState().Voting && !h.node.members.IsLeaving()
 }
 
 // IsConfirmed implements coordinator.Cluster.
-func (f coordinationHost) IsConfirmed() bool {
-	return f.node.publisher.Current().IsFresh(f.node.clock())
+func (h coordinationHost) IsConfirmed() bool {
+	return h.node.publisher.Current().IsFresh(h.node.clock())
 }
 
 // LastOwner implements coordinator.Cluster.
-func (f coordinationHost) LastOwner(key string) string {
-	return f.node.acceptor.Durable()[key].Promised.Proposer
+func (h coordinationHost) LastOwner(key string) string {
+	return h.node.acceptor.Durable()[key].Promised.Proposer
 }
 
 // openCoordination creates the components that execute coordination calls.
--- a/internal/controlplane/coordinator/batch.go
+++ b/internal/controlplane/coordinator/batch.go
@@ -30,7 +30,7 @@
 	for {
 		item.lock.Lock()
 		size := min(len(item.pending), maxBatchSize)
-		taken := item.pending[:size:size]
+		dequeued := item.pending[:size:size]
 		item.pending = item.pending[size:]
 		queries := item.queries
 		item.queries = nil
@@ -40,14 +40,14 @@
 			return
 		}
 		e.answerHandoverQueries(item, queries)
-		e.runBatch(item, taken)
+		e.runBatch(item, dequeued)
 	}
 }
 
 // runBatch executes the calls whose callers are still waiting, and fails the others with ErrNotExecuted.
-func (e *Executor) runBatch(item *ownedItem, taken []*operation) {
+func (e *Executor) runBatch(item *ownedItem, dequeued []*operation) {
 	var operations []*operation
-	for _, pending := range taken {
+	for _, pending := range dequeued {
 		if pending.ctx.Err() != nil {
 			pending.done <- completion{err: ErrNotExecuted}
 			continue
--- a/internal/controlplane/coordinator/coordinator_test.go
+++ b/internal/controlplane/coordinator/coordinator_test.go
@@ -43,10 +43,10 @@
 	injectDefect func(simulation *simulation)
 }
 
-func (p schedule) run() error {
-	simulated := newSimulation(p.seed)
-	if p.injectDefect != nil {
-		p.injectDefect(simulated)
+func (s schedule) run() error {
+	simulated := newSimulation(s.seed)
+	if s.injectDefect != nil {
+		s.injectDefect(simulated)
 	}
 	simulated.start()
 	defer simulated.end()
@@ -54,20 +54,20 @@
 	defer cancel()
 	go simulated.runHeartbeats(ctx)
 	seen := newRecords()
-	if err := p.runApplications(simulated, seen); err != nil {
+	if err := s.runApplications(simulated, seen); err != nil {
 		return err
 	}
 	return seen.check()
 }
 
 // runApplications runs applications until some time after the last fault, and then reads all items back.
-func (p schedule) runApplications(simulated *simulation, seen *records) error {
+func (s schedule) runApplications(simulated *simulation, seen *records) error {
 	until := time.Now().Add(faultTime)
 	newApplication := func(number int) *application {
 		return &application{
 			simulation: simulated,
 			number:     number,
-			random:     rand.New(rand.NewPCG(p.seed, uint64(100+number))),
+			random:     rand.New(rand.NewPCG(s.seed, uint64(100+number))),
 			records:    seen,
 			until:      until.Add(time.Second),
 		}
@@ -79,7 +79,7 @@
 	var final atomic.Uint64
 	for number := range watchCount {
 		watcher := newApplication(number)
-		watcher.random = rand.New(rand.NewPCG(p.seed, uint64(200+number)))
+		watcher.random = rand.New(rand.NewPCG(s.seed, uint64(200+number)))
 		watching.Go(func() {
 			watcher.watch(func(revision uint64) bool {
 				end := final.Load()
@@ -87,10 +87,10 @@
 			})
 		})
 	}
-	err := simulated.injectFaults(rand.New(rand.NewPCG(p.seed, 7)), p.faults, until)
+	err := simulated.injectFaults(rand.New(rand.NewPCG(s.seed, 7)), s.faults, until)
 	reader := newApplication(applicationCount)
 	limit := answerLimit
-	if p.killsAll {
+	if s.killsAll {
 		limit = answerLimitAfterKill
 	}
 	if err == nil {
--- a/internal/controlplane/coordinator/follower.go
+++ b/internal/controlplane/coordinator/follower.go
@@ -38,7 +38,7 @@
 	router *Router
 	clock  func() time.Time
 	// leaving is closed when the node starts to shut down.
-	leaving <-chan struct{}
+	leaving        <-chan struct{}
 	pendingWatches atomic.Int64
 	// ctx is the context of the followers; cancel stops them.
 	ctx    context.Context
--- a/internal/controlplane/coordinator/handover.go
+++ b/internal/controlplane/coordinator/handover.go
@@ -33,7 +33,7 @@
 
 // HandleHandover answers the handover query of a lock's next owner.
 func (r *Router) HandleHandover(ctx context.Context, request peer.HandoverRequest) peer.HandoverReply {
-	return r.executor.handOver(ctx, request)
+	return r.executor.answerHandover(ctx, request)
 }
 
 // queryPreviousOwner sends a handover query to the previous owner of a lock. It returns false if that node is unknown, does not
@@ -52,8 +52,8 @@
 	return reply.Handover, reply.Known
 }
 
-// handOver returns what this node last granted under the given ownership of an item.
-func (e *Executor) handOver(ctx context.Context, request peer.HandoverRequest) peer.HandoverReply {
+// answerHandover returns what this node last granted under the given ownership of an item.
+func (e *Executor) answerHandover(ctx context.Context, request peer.HandoverRequest) peer.HandoverReply {
 	e.lock.Lock()
 	item := e.items[request.Key]
 	e.lock.Unlock()
--- a/internal/controlplane/coordinator/router_test.go
+++ b/internal/controlplane/coordinator/router_test.go
@@ -72,23 +72,23 @@
 	lastOwner string
 }
 
-func (f *testCluster) Members() []string               { return append([]string(nil), f.members...) }
-func (f *testCluster) IsReachable(address string) bool { return !f.silent[address] }
-func (f *testCluster) MayOwn() bool                    { return !f.leaving }
-func (f *testCluster) IsConfirmed() bool               { return true }
-func (f *testCluster) LastOwner(string) string         { return f.lastOwner }
+func (c *testCluster) Members() []string               { return append([]string(nil), c.members...) }
+func (c *testCluster) IsReachable(address string) bool { return !c.silent[address] }
+func (c *testCluster) MayOwn() bool                    { return !c.leaving }
+func (c *testCluster) IsConfirmed() bool               { return true }
+func (c *testCluster) LastOwner(string) string         { return c.lastOwner }
 
 // Call implements Caller. A call to a node without a handler fails when its context ends.
-func (f *testCluster) Call(ctx context.Context, method peer.Method, address string, message, reply any) error {
+func (c *testCluster) Call(ctx context.Context, method peer.Method, address string, message, reply any) error {
 	if method == peer.MethodHandOver {
-		return f.probe(ctx, address)
+		return c.probe(ctx, address)
 	}
 	request := message.(peer.CoordinationRequest)
-	f.lock.Lock()
-	f.called = append(f.called, address)
-	f.requests = append(f.requests, request)
-	f.lock.Unlock()
-	answer := f.answers[address]
+	c.lock.Lock()
+	c.called = append(c.called, address)
+	c.requests = append(c.requests, request)
+	c.lock.Unlock()
+	answer := c.answers[address]
 	if answer == nil {
 		<-ctx.Done()
 		return errUnreachable
@@ -98,17 +98,17 @@
 	return err
 }
 
-func (f *testCluster) setAnswer(address string, answer func(request peer.CoordinationRequest) (peer.CoordinationReply, error)) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	f.answers = answers{address: answer}
+func (c *testCluster) setAnswer(address string, answer func(request peer.CoordinationRequest) (peer.CoordinationReply, error)) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.answers = answers{address: answer}
 }
 
 // probe answers a probe of an avoided node if that node has a handler.
-func (f *testCluster) probe(ctx context.Context, address string) error {
-	f.lock.Lock()
-	answer := f.answers[address]
-	f.lock.Unlock()
+func (c *testCluster) probe(ctx context.Context, address string) error {
+	c.lock.Lock()
+	answer := c.answers[address]
+	c.lock.Unlock()
 	if answer == nil {
 		<-ctx.Done()
 		return errUnreachable
@@ -118,17 +118,17 @@
 }
 
 // calls returns the addresses that were called so far.
-func (f *testCluster) calls() []string {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	return append([]string(nil), f.called...)
+func (c *testCluster) calls() []string {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return append([]string(nil), c.called...)
 }
 
 // resetCalls clears the list of calls.
-func (f *testCluster) resetCalls() {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	f.called = nil
+func (c *testCluster) resetCalls() {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.called = nil
 }
 
 func newTestRouter(cluster *testCluster, store Store) *Router {
--- a/internal/controlplane/coordinator/simulation_test.go
+++ b/internal/controlplane/coordinator/simulation_test.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// simulatedHistory is how long events are kept: longer than a schedule, so that no watch may miss one.
+	// simulatedHistory is how long events are kept: longer than a schedule runs, so that no watch may miss an event.
 	simulatedHistory = time.Minute
 	// heartbeatInterval and suspectAfter equal those of the control plane.
 	heartbeatInterval = 400 * time.Millisecond
--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -11,12 +11,11 @@
 )
 
 const (
-	// reliableCountDelay is how long a node that has just started does not say how many data planes
-	// there are.
+	// reliableCountDelay is how long after its start a node does not report the number of data planes.
 	reliableCountDelay = 2500 * time.Millisecond
-	// earlyDataPlaneCountDelay is how long it does not say how many it has heard of: all that run send
-	// it a watch request within that time.
-	earlyDataPlaneCountDelay = time.Second
+	// earlyCountDelay is how long after its start a node does not report the number of data planes that it has heard of. All
+	// running data planes send it a watch request within that time.
+	earlyCountDelay = time.Second
 )
 
 // newMembers returns the manager of the node's membership in the control plane.
@@ -49,7 +48,7 @@
 	count, neighbours := n.dataPlanes.CountWithNeighbours(now)
 	count = max(count, 1)
 	early, uptime := count, now.Sub(n.startedAt)
-	if uptime < earlyDataPlaneCountDelay {
+	if uptime < earlyCountDelay {
 		early = 0
 	}
 	if uptime < reliableCountDelay {
