--- a/internal/controlplane/coordination_host.go
+++ b/internal/controlplane/coordination_host.go
@@ -14,53 +14,53 @@
 	"ferryspar/internal/peer"
 )
 
-// historyMargin is how much longer than the settings' historyS puts are kept: a watch may have been given a revision by a node that
-// was behind, and a caller may send a put again for some seconds.
+// historyMargin is how much longer than historyS of the settings puts are kept, because a watch may have received its revision
+// from a node that lagged behind, and a caller may resend a put for some seconds.
 const historyMargin = 15 * time.Second
 
-// itemsDivisor: the values of all items together take this part of a segment of the write-ahead log, which must hold everything.
+// itemsDivisor limits all items together to this fraction of a segment of the write-ahead log, which must hold the whole state.
 const itemsDivisor = 4
 
-// coordinationFleet is a node as its coordinator.Router sees it.
-type coordinationFleet struct {
+// coordinationHost implements coordinator.Cluster.
+type coordinationHost struct {
 	node *Node
 }
 
-// Members implements coordinator.Fleet.
-func (f coordinationFleet) Members() []string { return f.node.store.Membership().Current }
+// Members implements coordinator.Cluster.
+func (h coordinationHost) Members() []string { return h.node.store.Membership().Current }
 
-// IsReachable implements coordinator.Fleet.
-func (f coordinationFleet) IsReachable(address string) bool {
-	return f.node.members.IsReachable(address, f.node.clock())
+// IsReachable implements coordinator.Cluster.
+func (h coordinationHost) IsReachable(address string) bool {
+	return h.node.members.IsReachable(address, h.node.clock())
 }
 
-// MayOwn implements coordinator.Fleet.
-func (f coordinationFleet) MayOwn() bool {
-	return f.node.acceptor.LocalState().Voting && !f.node.members.IsLeaving()
+// MayOwn implements coordinator.Cluster.
+func (h coordinationHost) MayOwn() bool {
+	return h.node.acceptor.LocalState().Voting && !h.node.members.IsLeaving()
 }
 
-// IsConfirmed implements coordinator.Fleet.
-func (f coordinationFleet) IsConfirmed() bool {
-	return f.node.publisher.Current().IsFresh(f.node.clock())
+// IsConfirmed implements coordinator.Cluster.
+func (h coordinationHost) IsConfirmed() bool {
+	return h.node.publisher.Current().IsFresh(h.node.clock())
 }
 
-// LastOwner implements coordinator.Fleet.
-func (f coordinationFleet) LastOwner(key string) string {
-	return f.node.acceptor.Durable()[key].Promised.Proposer
+// LastOwner implements coordinator.Cluster.
+func (h coordinationHost) LastOwner(key string) string {
+	return h.node.acceptor.Durable()[key].Promised.Proposer
 }
 
-// openCoordination makes the parts that carry out calls of applications.
+// openCoordination creates the components that execute coordination calls.
 func (n *Node) openCoordination() {
 	history := nodesettings.Seconds(n.settings.TimingBounds.HistoryS) + historyMargin
 	executor := coordinator.NewExecutor(n.store, coordination.Config{History: history}, n.clock)
 	caller := peer.NewClient(n.network)
-	n.coordination = coordinator.NewRouter(n.self, coordinationFleet{n}, caller, executor, n.clock)
-	n.watches = coordinator.NewWatches(n.coordination, n.members.Leaving(), n.clock)
+	n.coordination = coordinator.NewRouter(n.self, coordinationHost{n}, caller, executor, n.clock)
+	n.groupWatcher = coordinator.NewGroupWatcher(n.coordination, n.members.Leaving(), n.clock)
 	maxBytes := int(segmentBytes(n.settings.Limits.DiskMb)) / itemsDivisor
 	n.itemCapacity = coordinator.NewCapacity(n.acceptor.Durable, maxBytes, n.clock)
 }
 
-// coordinationService is a node as coordinationapi sees it.
+// coordinationService implements coordinationapi.Service.
 type coordinationService struct {
 	node *Node
 }
@@ -72,12 +72,12 @@
 	}
 	result, err := s.node.coordination.Do(ctx, call)
 	if err == nil && call.Operation == coordination.OperationForceRelease {
-		logrus.WithFields(logrus.Fields{"lock": call.Name, "fence": result.Fence}).Warn("lock taken from its holder by an operator")
+		logrus.WithFields(logrus.Fields{"lock": call.Name, "fence": result.Fence}).Warn("lock force-released by an operator")
 	}
 	return result, coordinationError(err)
 }
 
-// admit returns an error if the item of a call is new and there is no room for it.
+// admit returns an error if the item of a call does not exist and the capacity for items is exhausted.
 func (s coordinationService) admit(call coordination.Call) error {
 	if s.node.itemCapacity.Admits(call) {
 		return nil
@@ -87,11 +87,11 @@
 
 // Items implements coordinationapi.Service.
 func (s coordinationService) Items() []coordination.ItemSummary {
-	return coordinator.Summaries(s.node.acceptor.Durable())
+	return coordinator.ItemSummaries(s.node.acceptor.Durable())
 }
 
 // WatchCounts implements coordinationapi.Service.
-func (s coordinationService) WatchCounts() map[string]int { return s.node.watches.Counts() }
+func (s coordinationService) WatchCounts() map[string]int { return s.node.groupWatcher.Counts() }
 
 // Watch implements coordinationapi.Service.
 func (s coordinationService) Watch(
@@ -100,7 +100,7 @@
 	if err := s.admit(coordination.Call{Kind: coordination.KindGroup, Name: group}); err != nil {
 		return coordination.Result{}, err
 	}
-	result, err := s.node.watches.Watch(ctx, group, after, wait)
+	result, err := s.node.groupWatcher.Watch(ctx, group, after, wait)
 	return result, coordinationError(err)
 }
 
