--- a/cmd/ferryspar-control-plane/main.go
+++ b/cmd/ferryspar-control-plane/main.go
@@ -19,7 +19,7 @@
 	os.Exit(cli.RunDaemon(cli.Daemon{
 		Name:    "ferryspar-control-plane",
 		Summary: "knows the replicas and daemons, keeps the configuration and delivers it",
-		Service: nodesettings.ServiceControl,
+		Service: nodesettings.ServiceControlPlane,
 		Run:     run,
 	}))
 }
--- a/cmd/ferryspar-data-plane/main.go
+++ b/cmd/ferryspar-data-plane/main.go
@@ -31,7 +31,7 @@
 	os.Exit(cli.RunDaemon(cli.Daemon{
 		Name:         "ferryspar-data-plane",
 		Summary:      "carries clients' requests to model replicas",
-		Service:      nodesettings.ServiceEdge,
+		Service:      nodesettings.ServiceDataPlane,
 		ExtraOptions: &options,
 		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
 			return run(ctx, settings, path, signals, options)
--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -46,14 +46,14 @@
 	InvalidDrill                       // a drill request cannot be used
 	UnknownRegion                      // the configuration names no such region
 	DrillInProgress                    // only one drill may run at a time
-	UnknownKey                         // the API key is missing or belongs to no tenant
+	InvalidAPIKey                      // the API key is missing or belongs to no tenant
 	TenantRateLimited                  // the tenant is above its rate limit
-	OutdatedConfiguration              // a newer configuration may allow what this one does not
-	OutdatedKeys                       // keys may have been revoked since the last contact
+	StaleConfiguration                 // a newer configuration may allow what this one does not
+	StaleAPIKeys                       // keys may have been revoked since the last contact
 	QuotaUnknown                       // the node does not know the tenant's remaining quota
 	LockHeld                           // another holds the lock, or may
-	LockLost                           // the caller does not hold the lock
-	UnknownCell                        // no such key was put
+	LockNotHeld                        // the caller does not hold the lock
+	KeyNotFound                        // no such key was put
 	HistoryExpired                     // the puts after that revision are no longer all kept
 	CoordinationFull                   // there is no room for the item or the value
 	CoordinationOverloaded             // too many calls wait for the item
@@ -69,42 +69,42 @@
 }
 
 var responses = map[Kind]response{
-	Internal:              {http.StatusInternalServerError, "internal fault"},
-	MalformedRequest:      {http.StatusBadRequest, "malformed request"},
-	InvalidAttemptID:      {http.StatusBadRequest, "attempt id missing or malformed"},
-	UnknownRoute:          {http.StatusNotFound, "no route for this host and path"},
-	UnknownPath:           {http.StatusNotFound, "no such path"},
-	MethodNotAllowed:      {http.StatusMethodNotAllowed, "method not allowed here"},
-	RequestTooSlow:        {http.StatusRequestTimeout, "request came too slowly"},
-	BodyTooLarge:          {http.StatusRequestEntityTooLarge, "body beyond the limit"},
-	HeaderTooLarge:        {http.StatusRequestHeaderFieldsTooLarge, "head beyond the limit"},
-	InvalidConfiguration:  {http.StatusBadRequest, "configuration invalid"},
-	VersionConflict:       {http.StatusPreconditionFailed, "another version is in place"},
-	UncertainWrite:        {http.StatusServiceUnavailable, "outcome of the write not known"},
-	NoMajority:            {http.StatusServiceUnavailable, "no majority of members reached"},
-	UnknownZone:           {http.StatusNotFound, "no such zone"},
-	CallTooOld:            {http.StatusServiceUnavailable, "this call is too old to tell whether it was taken"},
-	CallExpired:           {http.StatusServiceUnavailable, "the call came too late to be carried out, send it again"},
-	Overloaded:            {http.StatusServiceUnavailable, "no replica in time"},
-	ModelNotLoaded:        {http.StatusServiceUnavailable, "model not loaded in time"},
-	NotExecuted:           {http.StatusServiceUnavailable, "replica did not run the request"},
-	ReplicaFailed:         {http.StatusBadGateway, "replica broke off"},
-	ReplicaTimeout:        {http.StatusGatewayTimeout, "replica did not answer in time"},
-	ShuttingDown:          {http.StatusServiceUnavailable, "daemon is leaving"},
-	InvalidRetention:      {http.StatusBadRequest, "retention order invalid"},
-	InvalidDrill:          {http.StatusBadRequest, "rehearsal order invalid"},
-	UnknownRegion:         {http.StatusNotFound, "no such region"},
-	DrillInProgress:       {http.StatusConflict, "another is under way"},
-	NoConfiguration:       {http.StatusServiceUnavailable, "no configuration yet"},
-	UnknownKey:            {http.StatusUnauthorized, "one known key is needed"},
-	TenantRateLimited:     {http.StatusTooManyRequests, "tenant is beyond its limit"},
-	OutdatedConfiguration: {http.StatusServiceUnavailable, "a newer configuration may allow this"},
-	OutdatedKeys:          {http.StatusServiceUnavailable, "keys may have been taken away since last heard of"},
-	QuotaUnknown:          {http.StatusServiceUnavailable, "what the tenant may still send is not known here"},
-	LockHeld:              {http.StatusConflict, "another holds the lock"},
-	LockLost:              {http.StatusConflict, "the lock is not held by this caller"},
-	UnknownCell:           {http.StatusNotFound, "no such key"},
-	HistoryExpired:        {http.StatusGone, "the changes after that revision are no longer kept"},
+	Internal:             {http.StatusInternalServerError, "internal fault"},
+	MalformedRequest:     {http.StatusBadRequest, "malformed request"},
+	InvalidAttemptID:     {http.StatusBadRequest, "attempt id missing or malformed"},
+	UnknownRoute:         {http.StatusNotFound, "no route for this host and path"},
+	UnknownPath:          {http.StatusNotFound, "no such path"},
+	MethodNotAllowed:     {http.StatusMethodNotAllowed, "method not allowed here"},
+	RequestTooSlow:       {http.StatusRequestTimeout, "request came too slowly"},
+	BodyTooLarge:         {http.StatusRequestEntityTooLarge, "body beyond the limit"},
+	HeaderTooLarge:       {http.StatusRequestHeaderFieldsTooLarge, "head beyond the limit"},
+	InvalidConfiguration: {http.StatusBadRequest, "configuration invalid"},
+	VersionConflict:      {http.StatusPreconditionFailed, "another version is in place"},
+	UncertainWrite:       {http.StatusServiceUnavailable, "outcome of the write not known"},
+	NoMajority:           {http.StatusServiceUnavailable, "no majority of members reached"},
+	UnknownZone:          {http.StatusNotFound, "no such zone"},
+	CallTooOld:           {http.StatusServiceUnavailable, "this call is too old to tell whether it was taken"},
+	CallExpired:          {http.StatusServiceUnavailable, "the call came too late to be carried out, send it again"},
+	Overloaded:           {http.StatusServiceUnavailable, "no replica in time"},
+	ModelNotLoaded:       {http.StatusServiceUnavailable, "model not loaded in time"},
+	NotExecuted:          {http.StatusServiceUnavailable, "replica did not run the request"},
+	ReplicaFailed:        {http.StatusBadGateway, "replica broke off"},
+	ReplicaTimeout:       {http.StatusGatewayTimeout, "replica did not answer in time"},
+	ShuttingDown:         {http.StatusServiceUnavailable, "daemon is leaving"},
+	InvalidRetention:     {http.StatusBadRequest, "retention order invalid"},
+	InvalidDrill:         {http.StatusBadRequest, "rehearsal order invalid"},
+	UnknownRegion:        {http.StatusNotFound, "no such region"},
+	DrillInProgress:      {http.StatusConflict, "another is under way"},
+	NoConfiguration:      {http.StatusServiceUnavailable, "no configuration yet"},
+	InvalidAPIKey:        {http.StatusUnauthorized, "one known key is needed"},
+	TenantRateLimited:    {http.StatusTooManyRequests, "tenant is beyond its limit"},
+	StaleConfiguration:   {http.StatusServiceUnavailable, "a newer configuration may allow this"},
+	StaleAPIKeys:         {http.StatusServiceUnavailable, "keys may have been taken away since last heard of"},
+	QuotaUnknown:         {http.StatusServiceUnavailable, "what the tenant may still send is not known here"},
+	LockHeld:             {http.StatusConflict, "another holds the lock"},
+	LockNotHeld:          {http.StatusConflict, "the lock is not held by this caller"},
+	KeyNotFound:          {http.StatusNotFound, "no such key"},
+	HistoryExpired:       {http.StatusGone, "the changes after that revision are no longer kept"},
 	// 429 promises what 503 does.
 	CoordinationFull:       {http.StatusTooManyRequests, "no room"},
 	CoordinationOverloaded: {http.StatusTooManyRequests, "too many calls wait"},
@@ -121,7 +121,7 @@
 // executed and never will be. Answering with such a kind after a request was sent would make clients
 // execute it twice.
 func (k Kind) GuaranteesNotExecuted() bool {
-	return k == UnknownKey || k.Status() == http.StatusTooManyRequests || k.Status() == http.StatusServiceUnavailable
+	return k == InvalidAPIKey || k.Status() == http.StatusTooManyRequests || k.Status() == http.StatusServiceUnavailable
 }
 
 // Error is an error with what its caller is to know.
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		return settings, err
 	}
-	return settings, settings.Check(service)
+	return settings, settings.Validate(service)
 }
 
 func notifySignals() nodesettings.Signals {
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -11,9 +11,9 @@
 	return apierror.New(apierror.InvalidConfiguration, format, arguments...)
 }
 
-// Check returns the first reason why the configuration cannot be used, of kind
+// Validate returns the first reason why the configuration cannot be used, of kind
 // apierror.InvalidConfiguration.
-func (c Configuration) Check() error {
+func (c Configuration) Validate() error {
 	if c.Revision <= 0 {
 		return invalid("revision must be above 0")
 	}
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -173,7 +173,7 @@
 	if decoded.Revision == 0 && !hasRevision(document) {
 		return decoded, invalid("revision is missing")
 	}
-	return decoded, decoded.Check()
+	return decoded, decoded.Validate()
 }
 
 // jsonSpace are the characters that JSON allows between its tokens.
--- a/internal/configuration/difference.go
+++ b/internal/configuration/delta.go
@@ -11,8 +11,8 @@
 // ErrDigestMismatch says that a difference did not lead to the configuration that it was made for.
 var ErrDigestMismatch = errors.New("configuration is another one than its digest says")
 
-// Difference leads from one revision of a configuration to a later one.
-type Difference struct {
+// Delta leads from one revision of a configuration to a later one.
+type Delta struct {
 	// Base is the revision that Patch changes, Revision the one that it leads to.
 	Base     int64 `json:"base"`
 	Revision int64 `json:"revision"`
@@ -22,10 +22,10 @@
 	Digest uint64 `json:"digest"`
 }
 
-// NewDifference returns the difference between two configurations, or false if they differ in more than routes.
-func NewDifference(base, next *Items) (Difference, bool) {
+// NewDelta returns the difference between two configurations, or false if they differ in more than routes.
+func NewDelta(base, next *IndexedDocument) (Delta, bool) {
 	if !maps.EqualFunc(base.members, next.members, func(left, right json.RawMessage) bool { return bytes.Equal(left, right) }) {
-		return Difference{}, false
+		return Delta{}, false
 	}
 	patch := Patch{}
 	patch.Revision, _ = json.Marshal(next.revision)
@@ -51,21 +51,21 @@
 		patch.Remove = map[string][]string{routesSection: removed}
 	}
 	content, err := json.Marshal(patch)
-	return Difference{Base: base.revision, Revision: next.revision, Patch: content, Digest: next.Digest()}, err == nil
+	return Delta{Base: base.revision, Revision: next.revision, Patch: content, Digest: next.Digest()}, err == nil
 }
 
 // applyDifferences applies those of a chain of differences that lead beyond the items' revision. It returns the names of the
 // routes that they write besides.
-func (i *Items) applyDifferences(chain []Difference) (*Items, map[string]bool, error) {
-	items, written := i, map[string]bool{}
+func (i *IndexedDocument) applyDifferences(chain []Delta) (*IndexedDocument, map[string]bool, error) {
+	indexed, written := i, map[string]bool{}
 	for _, difference := range chain {
-		if difference.Revision <= items.revision {
+		if difference.Revision <= indexed.revision {
 			continue
 		}
-		if difference.Base != items.revision {
-			return nil, nil, errors.Errorf("difference is from revision %d, not %d", difference.Base, items.revision)
+		if difference.Base != indexed.revision {
+			return nil, nil, errors.Errorf("difference is from revision %d, not %d", difference.Base, indexed.revision)
 		}
-		next, err := items.Apply(difference.Patch)
+		next, err := indexed.Apply(difference.Patch)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -77,7 +77,7 @@
 		for _, route := range routes {
 			written[route.name] = true
 		}
-		items = next
+		indexed = next
 	}
-	return items, written, nil
+	return indexed, written, nil
 }
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -12,7 +12,7 @@
 	table *Table
 	// tenants are those of the newest configuration, with their keys.
 	tenants []Tenant
-	items   *Items
+	indexed *IndexedDocument
 	// document is what the items are divided from once a difference comes, nil if they are divided.
 	document []byte
 	// refused says that a difference could not be applied; the next configuration must come whole.
@@ -33,8 +33,8 @@
 // Tenants are those of the newest configuration, with their keys.
 func (f *Follower) Tenants() []Tenant { return f.tenants }
 
-// TakesDifferences says whether a difference from the newest configuration may be applied.
-func (f *Follower) TakesDifferences() bool { return f.table != nil && !f.refused }
+// AcceptsDeltas says whether a difference from the newest configuration may be applied.
+func (f *Follower) AcceptsDeltas() bool { return f.table != nil && !f.refused }
 
 // Replace adopts a whole configuration, as Compress packed it. After an error the one before stays.
 func (f *Follower) Replace(packed []byte) error {
@@ -52,29 +52,29 @@
 
 // Apply adopts a chain of differences. Those that lead to revisions adopted before are passed over. After an error the
 // configuration stays as it was, and none is taken until Replace.
-func (f *Follower) Apply(chain []Difference) error {
+func (f *Follower) Apply(chain []Delta) error {
 	if err := f.divide(); err != nil {
 		f.refused = true
 		return err
 	}
-	items, written, err := f.items.applyDifferences(chain)
+	indexed, written, err := f.indexed.applyDifferences(chain)
 	if err != nil {
 		f.refused = true
 		return err
 	}
-	routes, err := f.routesOf(items, written)
+	routes, err := f.routesOf(indexed, written)
 	if err != nil {
 		f.refused = true
 		return err
 	}
-	f.items, f.table = items, f.table.withRoutes(items.revision, routes)
+	f.indexed, f.table = indexed, f.table.withRoutes(indexed.revision, routes)
 	return nil
 }
 
 // Document renders the newest configuration.
 func (f *Follower) Document() []byte {
-	if f.items != nil {
-		return f.items.Document()
+	if f.indexed != nil {
+		return f.indexed.Document()
 	}
 	return f.document
 }
@@ -82,30 +82,30 @@
 // divide divides the document if that hasn't been done. Most nodes never get a difference for their first configuration, and
 // all get that one at once.
 func (f *Follower) divide() error {
-	if f.items != nil {
+	if f.indexed != nil {
 		return nil
 	}
 	decoded, err := Decode(f.document)
 	if err != nil {
 		return err
 	}
-	items, err := Divide(f.document, decoded)
+	indexed, err := IndexDocument(f.document, decoded)
 	if err != nil {
 		return err
 	}
-	f.items, f.document = items, nil
+	f.indexed, f.document = indexed, nil
 	return nil
 }
 
 // routesOf returns the routes of items in their order: those that were written are decoded, all others are in the table.
-func (f *Follower) routesOf(items *Items, written map[string]bool) ([]Route, error) {
+func (f *Follower) routesOf(indexed *IndexedDocument, written map[string]bool) ([]Route, error) {
 	present := make(map[string]int, len(f.table.Configuration.Routes))
 	for index := range f.table.Configuration.Routes {
 		present[f.table.Configuration.Routes[index].Name] = index
 	}
-	routes := make([]Route, 0, items.routes.Len())
+	routes := make([]Route, 0, indexed.routes.Len())
 	var failure error
-	items.routes.Ascend(func(item routeItem) bool {
+	indexed.routes.Ascend(func(item routeItem) bool {
 		index, known := present[item.name]
 		if known && !written[item.name] {
 			routes = append(routes, f.table.Configuration.Routes[index])
--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -17,10 +17,10 @@
 }
 
 // checkFollows expects the follower's table to be the one of the whole document.
-func checkFollows(t testing.TB, follower *Follower, items *Items) {
+func checkFollows(t testing.TB, follower *Follower, indexed *IndexedDocument) {
 	t.Helper()
-	whole := following(t, items.Document())
-	assert.Equal(t, string(follower.Document()), string(items.Document()))
+	whole := following(t, indexed.Document())
+	assert.Equal(t, string(follower.Document()), string(indexed.Document()))
 	assert.DeepEqual(t, follower.Table().Configuration, whole.Table().Configuration)
 	for _, route := range whole.Table().Configuration.Routes {
 		found, known := follower.Table().FindRoute(route.Hostname, route.PathPrefix+"x")
@@ -30,16 +30,16 @@
 }
 
 // randomHistory is a chain of differences with the items before and after each.
-func randomHistory(t testing.TB, random *rand.Rand, length int) (states []*Items, chain []Difference) {
+func randomHistory(t testing.TB, random *rand.Rand, length int) (states []*IndexedDocument, chain []Delta) {
 	t.Helper()
-	states = []*Items{divided(t, exampleDocument(3, 12))}
+	states = []*IndexedDocument{divided(t, exampleDocument(3, 12))}
 	for revision := 8; len(chain) < length; revision++ {
 		base := states[len(states)-1]
 		next, err := base.Apply(randomRoutePatch(random, revision))
 		if err != nil {
 			continue
 		}
-		difference, only := NewDifference(base, next)
+		difference, only := NewDelta(base, next)
 		assert.Assert(t, only)
 		chain, states = append(chain, difference), append(states, next)
 	}
@@ -61,17 +61,17 @@
 }
 
 func TestFollower_RejectsDifferencesThatDoNotFit(t *testing.T) {
-	planted := map[string]func(chain []Difference) []Difference{
-		"one is missing": func(chain []Difference) []Difference { return chain[1:] },
-		"a removal is lost": func(chain []Difference) []Difference {
+	planted := map[string]func(chain []Delta) []Delta{
+		"one is missing": func(chain []Delta) []Delta { return chain[1:] },
+		"a removal is lost": func(chain []Delta) []Delta {
 			chain[0].Patch = []byte(`{"revision":8,"upsert":{"routeTable":[]}}`)
 			return chain
 		},
-		"it was made for another base": func(chain []Difference) []Difference {
+		"it was made for another base": func(chain []Delta) []Delta {
 			chain[0].Base++
 			return chain
 		},
-		"its patch is damaged": func(chain []Difference) []Difference {
+		"its patch is damaged": func(chain []Delta) []Delta {
 			chain[1].Patch = chain[1].Patch[:len(chain[1].Patch)/2]
 			return chain
 		},
@@ -83,14 +83,14 @@
 			assert.NilError(t, err)
 			third, err := second.Apply([]byte(`{"revision":9,"remove":{"routeTable":["r-0003"]}}`))
 			assert.NilError(t, err)
-			one, _ := NewDifference(first, second)
-			two, _ := NewDifference(second, third)
+			one, _ := NewDelta(first, second)
+			two, _ := NewDelta(second, third)
 			follower := following(t, first.Document())
-			assert.Assert(t, follower.Apply(damage([]Difference{one, two})) != nil)
+			assert.Assert(t, follower.Apply(damage([]Delta{one, two})) != nil)
 			assert.Equal(t, follower.Revision(), int64(7), "the configuration stays")
-			assert.Assert(t, !follower.TakesDifferences())
+			assert.Assert(t, !follower.AcceptsDeltas())
 			assert.NilError(t, follower.Replace(Compress(third.Document())))
-			assert.Assert(t, follower.TakesDifferences())
+			assert.Assert(t, follower.AcceptsDeltas())
 			checkFollows(t, follower, third)
 		})
 	}
@@ -98,11 +98,11 @@
 
 func TestNewDifference_OnlyOfRoutes(t *testing.T) {
 	base := exampleDocument(2, 3)
-	_, only := NewDifference(divided(t, base), divided(t, exampleDocument(3, 3)))
+	_, only := NewDelta(divided(t, base), divided(t, exampleDocument(3, 3)))
 	assert.Assert(t, !only, "a model more")
-	difference, only := NewDifference(divided(t, base), divided(t, base))
+	difference, only := NewDelta(divided(t, base), divided(t, base))
 	assert.Assert(t, only, "nothing but a revision")
-	assert.NilError(t, following(t, base).Apply([]Difference{difference}))
+	assert.NilError(t, following(t, base).Apply([]Delta{difference}))
 }
 
 func BenchmarkFollower_Apply(b *testing.B) {
@@ -112,13 +112,13 @@
 			first := divided(b, document)
 			second, err := first.Apply([]byte(`{"revision":8,"remove":{"routeTable":["r-0002"]}}`))
 			assert.NilError(b, err)
-			difference, _ := NewDifference(first, second)
+			difference, _ := NewDelta(first, second)
 			follower := following(b, document)
 			assert.NilError(b, follower.divide())
 			b.ReportAllocs()
 			for b.Loop() {
 				applied := *follower
-				assert.NilError(b, applied.Apply([]Difference{difference}))
+				assert.NilError(b, applied.Apply([]Delta{difference}))
 			}
 		})
 	}
--- a/internal/configuration/items.go
+++ b/internal/configuration/indexeddocument.go
@@ -19,12 +19,12 @@
 // btreeDegree is that of the trees of Items.
 const btreeDegree = 16
 
-// Items is a checked configuration divided into its routes and the rest. Items of later revisions share what did not change
-// with those before. It is immutable and safe for concurrent use.
+// IndexedDocument is a validated configuration document whose routes are indexed by position, name and match key. A later
+// revision shares the unchanged parts with the one it was derived from. It is immutable and safe for concurrent use.
 //
-// A patch of routes is checked against Items alone: were the whole document read and checked for one route, a change of a
-// large configuration would take a member longer than its caller waits.
-type Items struct {
+// A patch of routes is validated against the index alone. Parsing and validating the whole document for a single route would
+// take longer than callers wait when the configuration is large.
+type IndexedDocument struct {
 	revision int64
 	// members are the members of the document other than the revision and the routes, in the document's own bytes.
 	members map[string]json.RawMessage
@@ -49,43 +49,43 @@
 	content json.RawMessage
 }
 
-// ErrIndivisible says that a document or a change cannot be handled by items: it has to be parsed as a whole.
-var ErrIndivisible = errors.New("not a configuration of separate routes")
+// ErrNotIndexable says that a document or a change cannot be handled by items: it has to be parsed as a whole.
+var ErrNotIndexable = errors.New("not a configuration of separate routes")
 
-// Divide divides a document that Parse has read as that configuration. It returns ErrIndivisible for one whose routes stand
+// IndexDocument divides a document that Parse has read as that configuration. It returns ErrNotIndexable for one whose routes stand
 // under several spellings of a member's name.
-func Divide(document []byte, configuration Configuration) (*Items, error) {
+func IndexDocument(document []byte, configuration Configuration) (*IndexedDocument, error) {
 	members := map[string]json.RawMessage{}
 	if err := json.Unmarshal(document, &members); err != nil {
-		return nil, ErrIndivisible
+		return nil, ErrNotIndexable
 	}
 	routes, err := parseNamedItems(routesSection, members[routesSection])
 	if err != nil || len(routes) != len(configuration.Routes) {
-		return nil, ErrIndivisible
+		return nil, ErrNotIndexable
 	}
 	delete(members, revisionSection)
 	delete(members, routesSection)
-	items := newItems(configuration.Revision)
+	indexed := newItems(configuration.Revision)
 	for name, content := range members {
-		if items.members[name], err = json.Marshal(content); err != nil {
-			return nil, ErrIndivisible
+		if indexed.members[name], err = json.Marshal(content); err != nil {
+			return nil, ErrNotIndexable
 		}
 	}
 	for _, backend := range configuration.Backends {
-		items.services[backend.Name] = true
+		indexed.services[backend.Name] = true
 	}
 	for index, route := range routes {
 		content, err := json.Marshal(route.content)
 		if err != nil || configuration.Routes[index].Name != route.name {
-			return nil, ErrIndivisible
+			return nil, ErrNotIndexable
 		}
-		items.insert(routeItem{position: index, name: route.name, key: configuration.Routes[index].key(), content: content})
+		indexed.insert(routeItem{position: index, name: route.name, key: configuration.Routes[index].key(), content: content})
 	}
-	return items, nil
+	return indexed, nil
 }
 
-func newItems(revision int64) *Items {
-	return &Items{
+func newItems(revision int64) *IndexedDocument {
+	return &IndexedDocument{
 		revision: revision,
 		members:  map[string]json.RawMessage{},
 		services: map[string]bool{},
@@ -105,7 +105,7 @@
 
 // Digest tells configurations apart by what they say, whatever the order of their routes. Two nodes that hold items of the same
 // digest hold the same configuration.
-func (i *Items) Digest() uint64 {
+func (i *IndexedDocument) Digest() uint64 {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(strconv.FormatInt(i.revision, 10))
 	for _, name := range slices.Sorted(maps.Keys(i.members)) {
@@ -119,17 +119,17 @@
 func (r Route) key() string { return strings.ToLower(r.Hostname) + " " + r.PathPrefix }
 
 // Revision is that of the configuration.
-func (i *Items) Revision() int64 { return i.revision }
+func (i *IndexedDocument) Revision() int64 { return i.revision }
 
-// Apply returns the items with a change made to them, checked as Parse checks the whole document. It returns ErrIndivisible
+// Apply returns the items with a change made to them, checked as Parse checks the whole document. It returns ErrNotIndexable
 // for a change of anything but routes.
-func (i *Items) Apply(change []byte) (*Items, error) {
+func (i *IndexedDocument) Apply(change []byte) (*IndexedDocument, error) {
 	patch, err := parsePatch(change)
 	if err != nil {
 		return nil, err
 	}
 	if sections := patch.sections(); len(sections) != 1 || sections[0] != routesSection {
-		return nil, ErrIndivisible
+		return nil, ErrNotIndexable
 	}
 	next := i.clone()
 	if next.revision, err = parseRevision(patch.Revision); err != nil {
@@ -162,7 +162,7 @@
 
 // decodeRoutes reads and checks the routes of a list that are not to be removed. Of several with one name the last counts,
 // at the place of the first.
-func (i *Items) decodeRoutes(list json.RawMessage, removed []string) ([]routeItem, error) {
+func (i *IndexedDocument) decodeRoutes(list json.RawMessage, removed []string) ([]routeItem, error) {
 	named, err := parseNamedItems(routesSection, list)
 	if err != nil {
 		return nil, err
@@ -190,7 +190,7 @@
 }
 
 // check checks a route by its content, and fills in its key.
-func (i *Items) check(item *routeItem) error {
+func (i *IndexedDocument) check(item *routeItem) error {
 	var route Route
 	if err := json.Unmarshal(item.content, &route); err != nil {
 		return decodeError(err)
@@ -209,7 +209,7 @@
 // replace inserts routes in place of those of the same names, or behind all others.
 //
 // All those that are replaced give up their keys before one of them is taken, so that two routes may swap theirs.
-func (i *Items) replace(routes []routeItem) error {
+func (i *IndexedDocument) replace(routes []routeItem) error {
 	for index := range routes {
 		routes[index].position = i.release(routes[index].name)
 	}
@@ -223,13 +223,13 @@
 }
 
 // clone returns a copy that shares its trees with the original until either changes.
-func (i *Items) clone() *Items {
+func (i *IndexedDocument) clone() *IndexedDocument {
 	next := *i
 	next.routes, next.byName, next.byKey = i.routes.Clone(), i.byName.Clone(), i.byKey.Clone()
 	return &next
 }
 
-func (i *Items) insert(route routeItem) {
+func (i *IndexedDocument) insert(route routeItem) {
 	if previous, replaced := i.routes.ReplaceOrInsert(route); replaced {
 		i.routesDigest -= previous.digest()
 	}
@@ -239,7 +239,7 @@
 	i.nextPosition = max(i.nextPosition, route.position+1)
 }
 
-func (i *Items) remove(name string) {
+func (i *IndexedDocument) remove(name string) {
 	if route, known := i.byName.Delete(routeItem{name: name}); known {
 		i.routes.Delete(route)
 		i.byKey.Delete(route)
@@ -249,7 +249,7 @@
 
 // release gives up the key of a route that is to be replaced, and returns the position for the next one: its own, or a new
 // one if there is no such route.
-func (i *Items) release(name string) int {
+func (i *IndexedDocument) release(name string) int {
 	route, known := i.byName.Get(routeItem{name: name})
 	if !known {
 		i.nextPosition++
@@ -260,7 +260,7 @@
 }
 
 // Document renders the document, in the canonical form of ApplyPatch: members sorted by name, without space.
-func (i *Items) Document() []byte {
+func (i *IndexedDocument) Document() []byte {
 	var document bytes.Buffer
 	names := slices.AppendSeq([]string{revisionSection, routesSection}, maps.Keys(i.members))
 	slices.Sort(names)
@@ -275,7 +275,7 @@
 	return document.Bytes()
 }
 
-func (i *Items) writeMember(document *bytes.Buffer, name string) {
+func (i *IndexedDocument) writeMember(document *bytes.Buffer, name string) {
 	switch name {
 	case revisionSection:
 		document.WriteString(strconv.FormatInt(i.revision, 10))
--- a/internal/configuration/items_test.go
+++ b/internal/configuration/indexeddocument_test.go
@@ -10,32 +10,32 @@
 	"gotest.tools/v3/assert"
 )
 
-func divided(t testing.TB, document []byte) *Items {
+func divided(t testing.TB, document []byte) *IndexedDocument {
 	t.Helper()
 	parsed, err := Parse(document)
 	assert.NilError(t, err)
-	items, err := Divide(document, parsed)
+	indexed, err := IndexDocument(document, parsed)
 	assert.NilError(t, err)
-	return items
+	return indexed
 }
 
 // checkAgainstWhole applies a change to the items and to the whole document, and expects the same document or a rejection of
 // both. It returns the items that are then in force.
-func checkAgainstWhole(t testing.TB, items *Items, change []byte) *Items {
+func checkAgainstWhole(t testing.TB, indexed *IndexedDocument, change []byte) *IndexedDocument {
 	t.Helper()
-	before := items.Document()
-	next, err := items.Apply(change)
-	if errors.Is(err, ErrIndivisible) {
-		return items
+	before := indexed.Document()
+	next, err := indexed.Apply(change)
+	if errors.Is(err, ErrNotIndexable) {
+		return indexed
 	}
 	whole, wholeErr := ApplyPatch(before, change)
 	if wholeErr == nil {
 		_, wholeErr = Parse(whole)
 	}
 	assert.Equal(t, err == nil, wholeErr == nil, "%s: by items %v, as a whole %v", change, err, wholeErr)
-	assert.Equal(t, string(items.Document()), string(before), "the items of before are unchanged")
+	assert.Equal(t, string(indexed.Document()), string(before), "the items of before are unchanged")
 	if err != nil {
-		return items
+		return indexed
 	}
 	assert.Equal(t, string(next.Document()), string(whole), "%s", change)
 	return next
@@ -44,15 +44,15 @@
 func TestItems_ApplyEqualsPatchOfTheWholeDocument(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		random := rand.New(rand.NewPCG(seed, 0))
-		items := divided(t, exampleDocument(3, 12))
+		indexed := divided(t, exampleDocument(3, 12))
 		applied := 0
 		for step := range 60 {
 			change := randomRoutePatch(random, 8+step)
-			next := checkAgainstWhole(t, items, change)
-			if next != items {
+			next := checkAgainstWhole(t, indexed, change)
+			if next != indexed {
 				applied++
 			}
-			items = next
+			indexed = next
 		}
 		assert.Assert(t, applied > 10, "%d of 60 changes of seed %d were valid", applied, seed)
 	}
@@ -87,11 +87,11 @@
 }
 
 func TestItems_RoutesMaySwapTheirKeys(t *testing.T) {
-	items := divided(t, exampleDocument(1, 2))
+	indexed := divided(t, exampleDocument(1, 2))
 	swapped := fmt.Sprintf(`{"revision":8,"upsert":{"routeTable":[%s,%s]}}`,
 		`{"name":"r-0000","hostname":"shop.example","pathPrefix":"/tell0001/","timeoutMs":1,"backend":"writers"}`,
 		`{"name":"r-0001","hostname":"shop.example","pathPrefix":"/tell0000/","timeoutMs":1,"backend":"writers"}`)
-	next := checkAgainstWhole(t, items, []byte(swapped))
+	next := checkAgainstWhole(t, indexed, []byte(swapped))
 	assert.Equal(t, next.Revision(), int64(8))
 }
 
@@ -100,8 +100,8 @@
 		"RouteTable":[{"name":"q","hostname":"h","pathPrefix":"/","timeoutMs":1,"backend":"s"}]}`)
 	parsed, err := Parse(document)
 	assert.NilError(t, err)
-	_, err = Divide(document, parsed)
-	assert.ErrorIs(t, err, ErrIndivisible)
+	_, err = IndexDocument(document, parsed)
+	assert.ErrorIs(t, err, ErrNotIndexable)
 }
 
 func FuzzItems_Apply(f *testing.F) {
--- a/internal/controlplane/dataplanes/registry.go
+++ b/internal/controlplane/dataplanes/registry.go
@@ -59,7 +59,7 @@
 		Revision:    request.Revision,
 		ZoneVersion: request.ZoneVersion,
 	})
-	r.retention[request.DataPlane] = retention.DataPlaneView{Applied: request.AppliedForget, Left: request.Leaving}
+	r.retention[request.DataPlane] = retention.DataPlaneView{Applied: request.AppliedPurge, Left: request.Leaving}
 	if request.Address != "" {
 		r.addresses[request.DataPlane] = request.Address
 	}
--- a/internal/controlplane/dataplanes/registry_test.go
+++ b/internal/controlplane/dataplanes/registry_test.go
@@ -43,7 +43,7 @@
 
 func TestRegistry_LeavesOutDataPlanesThatLeft(t *testing.T) {
 	registry := NewRegistry()
-	registry.RecordWatch(peer.WatchRequest{DataPlane: "a", Zone: "north", AppliedForget: 5}, start)
+	registry.RecordWatch(peer.WatchRequest{DataPlane: "a", Zone: "north", AppliedPurge: 5}, start)
 	registry.RecordWatch(peer.WatchRequest{DataPlane: "b", Zone: "south", Leaving: true}, start)
 	assert.DeepEqual(t, registry.Known(), []string{"a"})
 	assert.DeepEqual(t, registry.Zones(start), map[string]string{"a": "north"})
--- a/internal/controlplane/demand/exchange.go
+++ b/internal/controlplane/demand/exchange.go
@@ -166,7 +166,7 @@
 	if err == nil && summary.HasLoad() {
 		e.unpacked.set(address, reply.UnknownVersion)
 	}
-	if !summary.IsDemand {
+	if !summary.HasDemand {
 		return
 	}
 	if err != nil {
@@ -226,7 +226,7 @@
 // here, they are not taken in and the sender is asked for summaries that aren't packed.
 func (e *Exchange) HandleLoadSummary(_ context.Context, summary peer.LoadSummary) peer.LoadSummaryReply {
 	reply := peer.LoadSummaryReply{}
-	if summary.IsDemand {
+	if summary.HasDemand {
 		e.onDemand(summary)
 		e.usage.merge(summary.Usage)
 		reply.Receiver = e.sender.Incarnation
--- a/internal/controlplane/demand/exchange_test.go
+++ b/internal/controlplane/demand/exchange_test.go
@@ -219,7 +219,7 @@
 		assert.Equal(t, len(caller.summaries), 3, "a new load, and two turns of demand")
 		assert.Equal(t, len(demands), 2)
 		for _, summary := range caller.summaries[1:] {
-			assert.Assert(t, summary.IsDemand && summary.HasLoad())
+			assert.Assert(t, summary.HasDemand && summary.HasLoad())
 		}
 		assert.Equal(t, second.HandleLoadReport(t.Context(), peer.LoadReport{DataPlane: "two"}).Replicas["i-1"].Running, 3)
 	})
--- a/internal/controlplane/demand/load_aggregator.go
+++ b/internal/controlplane/demand/load_aggregator.go
@@ -221,7 +221,7 @@
 	summary := peer.LoadSummary{
 		Member:         member,
 		DataPlaneCount: len(a.reports),
-		IsDemand:       true,
+		HasDemand:      true,
 		Partial:        partial,
 		Batch:          batch.number,
 		Models:         a.modelDemand(batch, included),
--- a/internal/controlplane/drillcontrol/controller.go
+++ b/internal/controlplane/drillcontrol/controller.go
@@ -193,7 +193,7 @@
 func (c *Controller) countReplicas(replicas []discovery.Replica, scope drill.Scope) (inside, outside int) {
 	for _, replica := range replicas {
 		switch {
-		case replica.State == discovery.Draining:
+		case replica.State == discovery.StateDraining:
 		case scope.Covers(replica.Zone, c.config.Zones[replica.Zone]):
 			inside++
 		default:
--- a/internal/controlplane/drillcontrol/controller_test.go
+++ b/internal/controlplane/drillcontrol/controller_test.go
@@ -127,7 +127,7 @@
 		},
 		"only draining outside": {
 			change: func(node *testNode) {
-				node.state.Replicas[1].State = discovery.Draining
+				node.state.Replicas[1].State = discovery.StateDraining
 			},
 			kind: apierror.InvalidDrill,
 		},
--- a/internal/controlplane/drillcontrol/guard.go
+++ b/internal/controlplane/drillcontrol/guard.go
@@ -96,7 +96,7 @@
 		}
 	}
 	for _, replica := range state.Replicas {
-		if replica.State != discovery.Draining && !c.node.IsSuspected(replica.ID) {
+		if replica.State != discovery.StateDraining && !c.node.IsSuspected(replica.ID) {
 			base.replicas = append(base.replicas, replica.ID)
 		}
 	}
@@ -145,7 +145,7 @@
 	}
 	present := map[string]bool{}
 	for _, replica := range state.Replicas {
-		present[replica.ID] = replica.State != discovery.Draining
+		present[replica.ID] = replica.State != discovery.StateDraining
 	}
 	for _, id := range base.replicas {
 		if !present[id] {
--- a/internal/controlplane/replicatracker/replica.go
+++ b/internal/controlplane/replicatracker/replica.go
@@ -47,7 +47,7 @@
 func (r *Replica) Address() string { return r.listed.Address }
 
 // IsDraining reports whether the platform is about to terminate the replica.
-func (r *Replica) IsDraining() bool { return r.listed.State == discovery.Draining }
+func (r *Replica) IsDraining() bool { return r.listed.State == discovery.StateDraining }
 
 // State returns the replica's state machine. Orders, responses and reports must go through the Tracker; everything else may be
 // called on it directly.
--- a/internal/controlplane/roles_host.go
+++ b/internal/controlplane/roles_host.go
@@ -20,7 +20,7 @@
 
 // newUsageRelay returns what keeps the counts of tenants' requests, or nil if the platform wants none.
 func (n *Node) newUsageRelay() *demand.UsageRelay {
-	if !n.settings.CloudAPI.Has(nodesettings.DutyUsage) {
+	if !n.settings.CloudAPI.HasDuty(nodesettings.DutyUsage) {
 		return nil
 	}
 	return &demand.UsageRelay{
@@ -42,7 +42,7 @@
 		Holder:         n.settings.NodeName,
 		CallsPerSecond: n.settings.CloudAPI.DutyPerS,
 		Lease:          n.scheduler.Lease(),
-		Platform: &discovery.RoleClient{
+		Platform: &discovery.FencedClient{
 			Address:    n.settings.CloudAPI.Address,
 			HTTPClient: &http.Client{Transport: transport},
 		},
@@ -58,7 +58,7 @@
 		})
 		config.Roles = append(config.Roles, n.usageReporter)
 	}
-	if n.settings.CloudAPI.Has(nodesettings.DutyAutoscale) {
+	if n.settings.CloudAPI.HasDuty(nodesettings.DutyAutoscale) {
 		n.capacityOrders = capacityorder.New(n.scheduler.Capacity())
 		config.Roles = append(config.Roles, n.capacityOrders)
 	}
--- a/internal/controlplane/roster/control_cluster_test.go
+++ b/internal/controlplane/roster/control_cluster_test.go
@@ -87,7 +87,7 @@
 	for _, node := range c.controls {
 		list, _, _ := node.PublishedRoster()
 		listed := slices.IndexFunc(list, func(replica discovery.Replica) bool { return replica.ID == id })
-		if listed < 0 || list[listed].State != discovery.Draining {
+		if listed < 0 || list[listed].State != discovery.StateDraining {
 			return false
 		}
 	}
--- a/internal/controlplane/roster/intervals.go
+++ b/internal/controlplane/roster/intervals.go
@@ -62,7 +62,7 @@
 
 // readDuration is how long the reading of so many pages takes at least.
 func readDuration(callsPerSecond float64, pages int) time.Duration {
-	return discovery.ReadDuration(max(callsPerSecond, minCallsPerSecond)*holderRateShare, pages)
+	return discovery.MinListDuration(max(callsPerSecond, minCallsPerSecond)*holderRateShare, pages)
 }
 
 // recentAge is how old a list of that many pages may be to be handed on: it is as old as its reading took when it is complete.
--- a/internal/controlplane/roster/list.go
+++ b/internal/controlplane/roster/list.go
@@ -64,7 +64,7 @@
 	changed := false
 	replicas := slices.Clone(l.replicas)
 	for index, replica := range replicas {
-		if entry, isDraining := draining[replica.ID]; isDraining && replica.State != discovery.Draining {
+		if entry, isDraining := draining[replica.ID]; isDraining && replica.State != discovery.StateDraining {
 			replicas[index], changed = entry, true
 		}
 	}
--- a/internal/controlplane/roster/platform_rate_test.go
+++ b/internal/controlplane/roster/platform_rate_test.go
@@ -44,7 +44,7 @@
 func newLimitedPlatform(replicas int) *limitedPlatform {
 	p := &limitedPlatform{}
 	for number := range replicas {
-		p.replicas = append(p.replicas, discovery.Replica{ID: fmt.Sprintf("i-%05d", number), State: discovery.Ready})
+		p.replicas = append(p.replicas, discovery.Replica{ID: fmt.Sprintf("i-%05d", number), State: discovery.StateReady})
 	}
 	return p
 }
@@ -86,7 +86,7 @@
 func (p *limitedPlatform) drain(index int) string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.replicas[index].State = discovery.Draining
+	p.replicas[index].State = discovery.StateDraining
 	return p.replicas[index].ID
 }
 
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -16,7 +16,7 @@
 
 // Lister reads the platform's list (discovery.Client). It is used by one goroutine.
 type Lister interface {
-	List(ctx context.Context, options discovery.ReadOptions) ([]discovery.Replica, error)
+	List(ctx context.Context, options discovery.ListOptions) ([]discovery.Replica, error)
 	// PageCount is how many pages the last complete list had; each counts as a call to the platform.
 	PageCount() int
 }
@@ -178,7 +178,7 @@
 	if !holdsLease {
 		return min(sharedListInterval(rate, r.pageCount(), r.cluster.OtherCount()), maxListInterval)
 	}
-	_ = r.read(ctx, now, discovery.ReadOptions{PagesPerSecond: rate * holderRateShare})
+	_ = r.read(ctx, now, discovery.ListOptions{PagesPerSecond: rate * holderRateShare})
 	r.sendAll(ctx, r.nextContent(now))
 	return settled(listInterval(rate, r.pageCount()), now.Sub(r.changedAt))
 }
@@ -194,7 +194,7 @@
 
 // read reads the platform's list and publishes it. An update that another node sends meanwhile may be
 // newer than startedAt; the list that was read is dropped in that case.
-func (r *Roster) read(ctx context.Context, startedAt time.Time, options discovery.ReadOptions) error {
+func (r *Roster) read(ctx context.Context, startedAt time.Time, options discovery.ListOptions) error {
 	options.OnPage = r.observePage
 	r.reading.Store(true)
 	entries, err := r.lister.List(ctx, options)
@@ -218,7 +218,7 @@
 func (r *Roster) observePage(entries []discovery.Replica) {
 	draining := map[string]discovery.Replica{}
 	for _, entry := range entries {
-		if entry.State == discovery.Draining {
+		if entry.State == discovery.StateDraining {
 			draining[entry.ID] = entry
 		}
 	}
--- a/internal/controlplane/roster/takeover.go
+++ b/internal/controlplane/roster/takeover.go
@@ -115,7 +115,7 @@
 // readWithoutLease reads the platform's list. A node whose turn it is not stops where the list turns out to be long, and waits for
 // its turn: several that read a long list at once would all be rejected over the rate.
 func (r *Roster) readWithoutLease(ctx context.Context, now time.Time, isTurn bool) {
-	options := discovery.ReadOptions{PagesPerSecond: r.config.CallsPerSecond * loneRateShare}
+	options := discovery.ListOptions{PagesPerSecond: r.config.CallsPerSecond * loneRateShare}
 	if !isTurn {
 		options.MaxPages = maxSharedPages
 	}
--- a/internal/controlplane/roster/takeover_test.go
+++ b/internal/controlplane/roster/takeover_test.go
@@ -27,7 +27,7 @@
 	short bool
 }
 
-func (p *platform) List(context.Context, discovery.ReadOptions) ([]discovery.Replica, error) {
+func (p *platform) List(context.Context, discovery.ListOptions) ([]discovery.Replica, error) {
 	time.Sleep(p.duration)
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/controlplane/scheduler/config.go
+++ b/internal/controlplane/scheduler/config.go
@@ -22,7 +22,7 @@
 	Revision            int64
 	PackedConfiguration []byte
 	// Differences holds the most recent consecutive differences that led to Revision.
-	Differences []configuration.Difference
+	Differences []configuration.Delta
 	// Zones holds the evacuation state of each zone, by name.
 	Zones map[string]peer.ZoneState
 	// RosterAsOf is a time no later than that of the replica list; zero before the first list.
--- a/internal/controlplane/scheduler/configuration.go
+++ b/internal/controlplane/scheduler/configuration.go
@@ -34,7 +34,7 @@
 // applyDifferences applies the differences up to the active revision if they start at or before the present one, and reports
 // whether that succeeded.
 func (c *currentConfiguration) applyDifferences(state *State) bool {
-	known := c.follower.TakesDifferences() && len(state.Differences) > 0 && state.Differences[0].Base <= c.follower.Revision()
+	known := c.follower.AcceptsDeltas() && len(state.Differences) > 0 && state.Differences[0].Base <= c.follower.Revision()
 	return known && c.follower.Apply(state.Differences) == nil && c.follower.Revision() == state.Revision
 }
 
--- a/internal/controlplane/scheduler/demand_test.go
+++ b/internal/controlplane/scheduler/demand_test.go
@@ -57,7 +57,7 @@
 	now := testStart
 	view := newDemandView(func() time.Time { return now }, func() {})
 	report := func(models ...peer.ModelLoad) {
-		view.HandleSummary(peer.LoadSummary{Member: "a", IsDemand: true, Incarnation: "x", Batch: uint64(now.UnixMilli()), Models: models})
+		view.HandleSummary(peer.LoadSummary{Member: "a", HasDemand: true, Incarnation: "x", Batch: uint64(now.UnixMilli()), Models: models})
 		now = now.Add(averagingSpan * time.Second)
 		view.Update()
 	}
--- a/internal/controlplane/singleton/role.go
+++ b/internal/controlplane/singleton/role.go
@@ -71,7 +71,7 @@
 	ReportFenced(fence uint64)
 }
 
-// Platform sends calls to the platform. It is implemented by discovery.RoleClient.
+// Platform sends calls to the platform. It is implemented by discovery.FencedClient.
 type Platform interface {
-	Send(ctx context.Context, call discovery.RoleCall) (int, error)
+	Send(ctx context.Context, call discovery.FencedCall) (int, error)
 }
--- a/internal/controlplane/singleton/runner.go
+++ b/internal/controlplane/singleton/runner.go
@@ -121,7 +121,7 @@
 
 func (r *Runner) send(ctx context.Context, state *roleState, call Call) {
 	fence := r.grant.Record.Fence
-	status, err := r.config.Platform.Send(ctx, discovery.RoleCall{
+	status, err := r.config.Platform.Send(ctx, discovery.FencedCall{
 		Path:   call.Path,
 		Body:   call.Body,
 		Holder: r.config.Holder,
--- a/internal/controlplane/singleton/runner_test.go
+++ b/internal/controlplane/singleton/runner_test.go
@@ -19,8 +19,8 @@
 	grant  *lease.Grant
 	fenced []uint64
 
-	answer func(call discovery.RoleCall) (int, error)
-	calls  []discovery.RoleCall
+	answer func(call discovery.FencedCall) (int, error)
+	calls  []discovery.FencedCall
 	callAt []time.Time
 
 	resets   int
@@ -31,7 +31,7 @@
 
 func (h *fakeHost) Grant() *lease.Grant       { return h.grant }
 func (h *fakeHost) ReportFenced(fence uint64) { h.fenced = append(h.fenced, fence) }
-func (h *fakeHost) Send(_ context.Context, call discovery.RoleCall) (int, error) {
+func (h *fakeHost) Send(_ context.Context, call discovery.FencedCall) (int, error) {
 	h.calls, h.callAt = append(h.calls, call), append(h.callAt, time.Now())
 	return h.answer(call)
 }
@@ -52,8 +52,8 @@
 	h.grant = &lease.Grant{Record: lease.Record{Fence: fence}, EffectiveFrom: time.Now(), ExpiresAt: time.Now().Add(duration)}
 }
 
-func status(code int) func(discovery.RoleCall) (int, error) {
-	return func(discovery.RoleCall) (int, error) { return code, nil }
+func status(code int) func(discovery.FencedCall) (int, error) {
+	return func(discovery.FencedCall) (int, error) { return code, nil }
 }
 
 // runFor runs the script while a runner is running, and then the runner alone for the given duration.
@@ -82,7 +82,7 @@
 	h = runFor(t, time.Second, func(h *fakeHost) { h.grantFor(3, callMargin/2) })
 	assert.Equal(t, len(h.calls), 0, "with a lease that ends too soon")
 	h = runFor(t, time.Second, func(h *fakeHost) { h.grantFor(3, time.Minute) })
-	assert.DeepEqual(t, h.calls, []discovery.RoleCall{{Path: discovery.PathUsage, Holder: "core", Fence: 3}})
+	assert.DeepEqual(t, h.calls, []discovery.FencedCall{{Path: discovery.PathUsage, Holder: "core", Fence: 3}})
 	h = runFor(t, 3*time.Second, func(h *fakeHost) {
 		h.grantFor(3, 1500*time.Millisecond)
 		h.prepare = func() { time.Sleep(time.Second) }
@@ -111,11 +111,11 @@
 
 func TestRunner_RetriesWithBackoffAndWithinTheRate(t *testing.T) {
 	answers := map[string]struct {
-		answer func(discovery.RoleCall) (int, error)
+		answer func(discovery.FencedCall) (int, error)
 		want   Outcome
 	}{
 		"down":        {status(http.StatusServiceUnavailable), OutcomeUncertain},
-		"no answer":   {func(discovery.RoleCall) (int, error) { return 0, errors.New("reset") }, OutcomeUncertain},
+		"no answer":   {func(discovery.FencedCall) (int, error) { return 0, errors.New("reset") }, OutcomeUncertain},
 		"busy":        {status(http.StatusTooManyRequests), OutcomeThrottled},
 		"bad request": {status(http.StatusBadRequest), OutcomeRejected},
 	}
--- a/internal/controlplane/watch/carriers.go
+++ b/internal/controlplane/watch/carriers.go
@@ -74,7 +74,7 @@
 }
 
 func notReady(replica *endpointSource) int {
-	if replica.listed.State == discovery.Ready {
+	if replica.listed.State == discovery.StateReady {
 		return 0
 	}
 	return 1
--- a/internal/controlplane/watch/cells.go
+++ b/internal/controlplane/watch/cells.go
@@ -101,7 +101,7 @@
 // add adds a replica out of order.
 func (c *cell) add(replica *endpointSource) {
 	c.endpoints = append(c.endpoints, replica)
-	if replica.listed.State == discovery.Ready {
+	if replica.listed.State == discovery.StateReady {
 		c.ready[replica.listed.Phase]++
 	}
 }
--- a/internal/controlplane/watch/cells_test.go
+++ b/internal/controlplane/watch/cells_test.go
@@ -84,7 +84,7 @@
 		before[name] = subscribeAs(publisher, name)
 	}
 	changed := roster[1234]
-	changed.State = discovery.Draining
+	changed.State = discovery.StateDraining
 	next := slices.Clone(roster)
 	next[1234] = changed
 	publisher.Publish(next, nil, testStart.Add(time.Second))
@@ -122,7 +122,7 @@
 
 	for index := range roster {
 		if slices.Contains(order[:cellsPerSubscriber], cellOf(roster[index].ID, len(set.cells))) {
-			roster[index].State = discovery.Draining
+			roster[index].State = discovery.StateDraining
 		}
 	}
 	publisher.Publish(slices.Clone(roster), nil, testStart)
--- a/internal/controlplane/watch/endpoints_test.go
+++ b/internal/controlplane/watch/endpoints_test.go
@@ -110,7 +110,7 @@
 func randomReplica(random *rand.Rand, id string) discovery.Replica {
 	replica := replicaWith(id, fmt.Sprint("m", random.IntN(6)), fmt.Sprint("m", 6+random.IntN(6)))
 	if random.IntN(6) == 0 {
-		replica.State = discovery.Draining
+		replica.State = discovery.StateDraining
 	}
 	return replica
 }
@@ -226,7 +226,7 @@
 	assert.Assert(t, len(first.Endpoints) == sampleSize && zones["far"] >= samplePerZone && zones["north"] >= samplePerZone)
 	for index := range listed {
 		if !sampled[listed[index].ID] {
-			listed[index].State = discovery.Draining
+			listed[index].State = discovery.StateDraining
 			break
 		}
 	}
@@ -235,7 +235,7 @@
 	assert.Equal(t, unchanged.Version, first.Version, "a replica outside the sample changes nothing")
 	for index := range listed {
 		if sampled[listed[index].ID] {
-			listed[index].State = discovery.Draining
+			listed[index].State = discovery.StateDraining
 			break
 		}
 	}
--- a/internal/controlplane/watch/sample.go
+++ b/internal/controlplane/watch/sample.go
@@ -41,7 +41,7 @@
 	}
 	var eligible []*endpointSource
 	for _, replica := range endpoints {
-		if len(replica.listed.Models) > 0 && replica.listed.State == discovery.Ready && replica.warmUpUntil.IsZero() {
+		if len(replica.listed.Models) > 0 && replica.listed.State == discovery.StateReady && replica.warmUpUntil.IsZero() {
 			eligible = append(eligible, replica)
 		}
 	}
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -175,11 +175,11 @@
 
 // addConfiguration adds the configuration, by its differences from the one that the data plane has where it takes them.
 func addConfiguration(response *peer.WatchResponse, snapshot *Snapshot, request peer.WatchRequest) {
-	if request.TakesDifferences {
-		response.Differences = snapshot.differencesSince(request.Revision)
+	if request.AcceptsDeltas {
+		response.Deltas = snapshot.differencesSince(request.Revision)
 	}
-	if len(response.Differences) == 0 {
-		response.PackedConfiguration = snapshot.PackedConfiguration
+	if len(response.Deltas) == 0 {
+		response.CompressedConfiguration = snapshot.PackedConfiguration
 	}
 }
 
--- a/internal/controlplane/watch/server_test.go
+++ b/internal/controlplane/watch/server_test.go
@@ -187,21 +187,21 @@
 			return true
 		})
 		_, response := server.waitFor(t, peer.WatchRequest{DataPlane: "edge", Primary: true})
-		assert.Equal(t, string(response.PackedConfiguration), "packed")
+		assert.Equal(t, string(response.CompressedConfiguration), "packed")
 		assert.Assert(t, response.Zones["north"].Drained)
 		assert.Equal(t, response.FreshMs, peer.ConfirmationLease.Milliseconds())
 		assert.Equal(t, response.CountedForMs, int64(1000))
 		assert.Assert(t, response.CountReliable)
 
 		_, response = server.waitFor(t, peer.WatchRequest{DataPlane: "edge"})
-		assert.Assert(t, response.PackedConfiguration == nil, "only a data plane's primary sends the configuration")
+		assert.Assert(t, response.CompressedConfiguration == nil, "only a data plane's primary sends the configuration")
 		assert.Assert(t, response.Zones["north"].Drained)
 
 		time.Sleep(peer.ConfirmationLease)
 		_, response = server.waitFor(t, peer.WatchRequest{DataPlane: "edge", Primary: true})
 		assert.Equal(t, response.Revision, int64(7))
 		assert.Equal(t, response.FreshMs, int64(0))
-		assert.Assert(t, response.PackedConfiguration == nil && response.Zones == nil)
+		assert.Assert(t, response.CompressedConfiguration == nil && response.Zones == nil)
 		assert.Assert(t, !server.HandleSubscribe(t.Context(), subscribeTo(1)).IsFresh(time.Now(), time.Now()))
 	})
 }
@@ -277,8 +277,8 @@
 }
 
 func TestServer_SendsDifferencesToDataPlanesThatTakeThem(t *testing.T) {
-	change := func(base, revision int64) *configuration.Difference {
-		return &configuration.Difference{Base: base, Revision: revision, Patch: []byte(`{"revision":1}`)}
+	change := func(base, revision int64) *configuration.Delta {
+		return &configuration.Delta{Base: base, Revision: revision, Patch: []byte(`{"revision":1}`)}
 	}
 	snapshot := &Snapshot{ConfirmedAt: time.Now(), PackedConfiguration: make([]byte, 200)}
 	for revision := int64(1); revision <= 3; revision++ {
@@ -287,8 +287,8 @@
 	}
 	asked := func(revision int64, takes bool) (differences int, whole bool) {
 		response := peer.WatchResponse{}
-		addConfiguration(&response, snapshot, peer.WatchRequest{Revision: revision, TakesDifferences: takes})
-		return len(response.Differences), len(response.PackedConfiguration) > 0
+		addConfiguration(&response, snapshot, peer.WatchRequest{Revision: revision, AcceptsDeltas: takes})
+		return len(response.Deltas), len(response.CompressedConfiguration) > 0
 	}
 	cases := map[string]struct {
 		revision    int64
@@ -318,14 +318,14 @@
 func TestSnapshot_KeepsOnlyAnUnbrokenChainOfDifferences(t *testing.T) {
 	snapshot := &Snapshot{}
 	for revision := int64(1); revision <= 100; revision++ {
-		snapshot.AddDifference(&configuration.Difference{Base: revision - 1, Revision: revision})
+		snapshot.AddDifference(&configuration.Delta{Base: revision - 1, Revision: revision})
 		snapshot.Revision = revision
 	}
 	assert.Equal(t, len(snapshot.Differences), maxDifferences)
 	shared := snapshot.Differences
-	snapshot.AddDifference(&configuration.Difference{Base: 100, Revision: 101})
+	snapshot.AddDifference(&configuration.Delta{Base: 100, Revision: 101})
 	assert.Equal(t, shared[0].Revision, int64(37), "earlier snapshots keep theirs")
 	snapshot.Revision = 101
-	snapshot.AddDifference(&configuration.Difference{Base: 104, Revision: 105})
+	snapshot.AddDifference(&configuration.Delta{Base: 104, Revision: 105})
 	assert.Equal(t, len(snapshot.Differences), 0, "a revision was missed")
 }
--- a/internal/controlplane/watch/snapshot.go
+++ b/internal/controlplane/watch/snapshot.go
@@ -29,7 +29,7 @@
 	AppliedCalls controlstate.AppliedCalls
 	// Differences is the chain of the last differences that led to Revision, the newest last. It is empty after a revision that
 	// has none.
-	Differences []configuration.Difference
+	Differences []configuration.Delta
 	// Zones holds the zones' states by name; ZoneVersion is the sum of their versions.
 	Zones       map[string]peer.ZoneState
 	ZoneVersion uint64
@@ -78,7 +78,7 @@
 
 // AddDifference has the snapshot follow a difference to its newest revision, or none if that differs in more than routes. It
 // must be called before Revision is changed.
-func (s *Snapshot) AddDifference(difference *configuration.Difference) {
+func (s *Snapshot) AddDifference(difference *configuration.Delta) {
 	if difference == nil || difference.Base != s.Revision {
 		s.Differences = nil
 		return
@@ -88,8 +88,8 @@
 }
 
 // differencesSince returns the chain of differences from a revision, or nil if there is none or the whole is not much larger.
-func (s *Snapshot) differencesSince(revision int64) []configuration.Difference {
-	first := slices.IndexFunc(s.Differences, func(difference configuration.Difference) bool { return difference.Base == revision })
+func (s *Snapshot) differencesSince(revision int64) []configuration.Delta {
+	first := slices.IndexFunc(s.Differences, func(difference configuration.Delta) bool { return difference.Base == revision })
 	if first < 0 {
 		return nil
 	}
@@ -125,7 +125,7 @@
 	}
 	update := &peer.ContextUpdate{Version: version, MaxAgeMs: s.Retention.LifetimeMs}
 	for _, item := range s.Forgets.Purges {
-		update.Forgets = append(update.Forgets, peer.ForgetOrder{Number: item.Number, Scope: item.Scope})
+		update.Purges = append(update.Purges, peer.PurgeOrder{Number: item.Number, Scope: item.Scope})
 	}
 	return update
 }
--- a/internal/controlplane/watch/source.go
+++ b/internal/controlplane/watch/source.go
@@ -54,7 +54,7 @@
 		Address:  s.listed.Address,
 		Zone:     s.listed.Zone,
 		Slots:    s.listed.Slots,
-		Draining: s.listed.State == discovery.Draining,
+		Draining: s.listed.State == discovery.StateDraining,
 		Phase:    s.listed.Phase,
 		Adapters: s.usable[model],
 	}
--- a/internal/controlstate/configuration.go
+++ b/internal/controlstate/configuration.go
@@ -16,8 +16,8 @@
 type document struct {
 	revision   int64
 	content    []byte
-	items      *configuration.Items
-	difference *configuration.Difference
+	items      *configuration.IndexedDocument
+	difference *configuration.Delta
 }
 
 // composeFunc returns the next document, based on the current record and its stored value.
@@ -41,7 +41,7 @@
 // addDifference divides a whole document into items and adds its difference from the current record if possible. A document
 // without these parts is valid too, so errors are ignored.
 func (s *State) addDifference(next *document, parsed configuration.Configuration, value json.RawMessage, current ConfigurationRecord) {
-	items, err := configuration.Divide(next.content, parsed)
+	items, err := configuration.IndexDocument(next.content, parsed)
 	if err != nil {
 		return
 	}
@@ -53,7 +53,7 @@
 	if err != nil {
 		return
 	}
-	if difference, small := configuration.NewDifference(base, items); small {
+	if difference, small := configuration.NewDelta(base, items); small {
 		next.difference = &difference
 	}
 }
@@ -69,14 +69,14 @@
 // patch applies a patch to the items of the current record or, if the document cannot be divided, to the whole document.
 func (s *State) patch(value json.RawMessage, current ConfigurationRecord, body []byte) (document, error) {
 	base, err := s.items.get(value, current)
-	if errors.Is(err, configuration.ErrIndivisible) {
+	if errors.Is(err, configuration.ErrNotIndexable) {
 		return patchWhole(current, body)
 	}
 	if err != nil {
 		return document{}, err
 	}
 	items, err := base.Apply(body)
-	if errors.Is(err, configuration.ErrIndivisible) {
+	if errors.Is(err, configuration.ErrNotIndexable) {
 		return patchWhole(current, body)
 	}
 	if err != nil {
@@ -86,7 +86,7 @@
 		revision: items.Revision(),
 		content:  items.Document(),
 		items:    items,
-		difference: &configuration.Difference{
+		difference: &configuration.Delta{
 			Base:     base.Revision(),
 			Revision: items.Revision(),
 			Patch:    body,
--- a/internal/controlstate/itemscache.go
+++ b/internal/controlstate/itemscache.go
@@ -14,11 +14,12 @@
 	lock sync.Mutex
 	// value is the stored record that items were decoded from.
 	value []byte
-	items *configuration.Items
+	items *configuration.IndexedDocument
 }
 
-// get returns the items of a stored record. The error is configuration.ErrIndivisible if the document cannot be divided.
-func (c *itemsCache) get(value []byte, record ConfigurationRecord) (*configuration.Items, error) {
+// get returns the indexed document of a stored record. The error is configuration.ErrNotIndexable if the document cannot be
+// indexed.
+func (c *itemsCache) get(value []byte, record ConfigurationRecord) (*configuration.IndexedDocument, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.items != nil && bytes.Equal(c.value, value) {
@@ -32,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	items, err := configuration.Divide(content, decoded)
+	items, err := configuration.IndexDocument(content, decoded)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +43,7 @@
 
 // put caches the items of a record that is about to be stored. If storing it fails, get does not return them, because the value
 // differs.
-func (c *itemsCache) put(value []byte, items *configuration.Items) {
+func (c *itemsCache) put(value []byte, items *configuration.IndexedDocument) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.value, c.items = value, items
--- a/internal/controlstate/records.go
+++ b/internal/controlstate/records.go
@@ -17,7 +17,7 @@
 	CompressedDocument []byte `json:"packed"`
 	// Difference is the difference from the previous revision, if both differ only in routes and its patch is smaller than
 	// CompressedDocument.
-	Difference *configuration.Difference `json:"difference,omitempty"`
+	Difference *configuration.Delta `json:"difference,omitempty"`
 	// AppliedCalls is the log of applied calls.
 	AppliedCalls AppliedCalls `json:"taken"`
 	// LegacyDigests is the log of applied calls in an earlier format. It is read but never written.
--- a/internal/coordinationapi/handler.go
+++ b/internal/coordinationapi/handler.go
@@ -186,8 +186,8 @@
 // outcomeErrors are the outcomes that are answered with an error.
 var outcomeErrors = map[coordination.Outcome]apierror.Kind{
 	coordination.OutcomeHeld:    apierror.LockHeld,
-	coordination.OutcomeLost:    apierror.LockLost,
-	coordination.OutcomeMissing: apierror.UnknownCell,
+	coordination.OutcomeLost:    apierror.LockNotHeld,
+	coordination.OutcomeMissing: apierror.KeyNotFound,
 	coordination.OutcomeFull:    apierror.CoordinationFull,
 }
 
--- a/internal/dataplane/configuration.go
+++ b/internal/dataplane/configuration.go
@@ -13,10 +13,10 @@
 	if !response.HasConfiguration() || response.Revision <= s.position.revision.Load() {
 		return false, nil
 	}
-	if len(response.Differences) > 0 {
+	if len(response.Deltas) > 0 {
 		return s.applyDifferences(response)
 	}
-	if err := s.configuration.Replace(response.PackedConfiguration); err != nil {
+	if err := s.configuration.Replace(response.CompressedConfiguration); err != nil {
 		return false, errors.Wrapf(err, "read revision %d", response.Revision)
 	}
 	if s.quotas != nil {
@@ -29,7 +29,7 @@
 // applyDifferences adopts a configuration by its differences from the one in use. One that doesn't fit is no fault: the next
 // poll asks for the whole.
 func (s *FleetState) applyDifferences(response *peer.WatchResponse) (bool, error) {
-	if err := s.configuration.Apply(response.Differences); err != nil {
+	if err := s.configuration.Apply(response.Deltas); err != nil {
 		s.position.takesDifferences.Store(false)
 		logrus.WithError(err).WithField("revision", response.Revision).Warn("difference of configurations rejected, the whole is asked for")
 		return false, nil
@@ -42,7 +42,7 @@
 func (s *FleetState) useConfiguration() {
 	s.adopted.table = s.configuration.Table()
 	s.position.revision.Store(s.configuration.Revision())
-	s.position.takesDifferences.Store(s.configuration.TakesDifferences())
+	s.position.takesDifferences.Store(s.configuration.AcceptsDeltas())
 	s.recordConfiguration()
 	logrus.WithField("revision", s.configuration.Revision()).Info("configuration adopted")
 }
--- a/internal/dataplane/contextrules.go
+++ b/internal/dataplane/contextrules.go
@@ -52,7 +52,7 @@
 	}
 	c.version = rules.Version
 	previous := c.lastForget
-	for _, forget := range rules.Forgets {
+	for _, forget := range rules.Purges {
 		c.lastForget = max(c.lastForget, forget.Number)
 	}
 	last := c.lastForget
@@ -74,7 +74,7 @@
 // many entries were dropped.
 func applyRules(ledger *routing.PrefixLedger, rules peer.ContextUpdate, previous uint64, now time.Time) int {
 	dropped := 0
-	for _, forget := range rules.Forgets {
+	for _, forget := range rules.Purges {
 		if forget.Number > previous {
 			dropped += ledger.Forget(forget.Scope.Covers, now)
 		}
--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -136,9 +136,9 @@
 
 // replicaFromEndpoint is an endpoint as an entry of the list, without models.
 func replicaFromEndpoint(backend string, endpoint peer.Endpoint) discovery.Replica {
-	state := discovery.Ready
+	state := discovery.StateReady
 	if endpoint.Draining {
-		state = discovery.Draining
+		state = discovery.StateDraining
 	}
 	return discovery.Replica{
 		ID:                endpoint.ID,
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -80,7 +80,7 @@
 	node.proxy = proxy.NewHandler(&node.snapshot, node.matcher, node.forwarder, budgets, time.Now, rand.Float64)
 	node.proxy.Freshness = node.state.freshness
 	node.proxy.Quota = node.quotas
-	if settings.CloudAPI.Has(nodesettings.DutyUsage) {
+	if settings.CloudAPI.HasDuty(nodesettings.DutyUsage) {
 		node.usage = newUsageCounter(settings, time.Now)
 		node.proxy.Usage = node.usage
 	}
--- a/internal/dataplane/undecodable_test.go
+++ b/internal/dataplane/undecodable_test.go
@@ -104,7 +104,7 @@
 				Context:      &peer.ContextUpdate{Version: 4, MaxAgeMs: 60_000},
 			}
 			if request.Revision < response.Revision {
-				response.PackedConfiguration = []byte("no configuration")
+				response.CompressedConfiguration = []byte("no configuration")
 			}
 			return response
 		})
--- a/internal/dataplane/watchposition.go
+++ b/internal/dataplane/watchposition.go
@@ -47,11 +47,11 @@
 // but for endpoints that a subscription has brought since.
 func (p *watchPosition) fill(request *peer.WatchRequest, address string) {
 	request.Revision = p.revision.Load()
-	request.TakesDifferences = p.takesDifferences.Load()
+	request.AcceptsDeltas = p.takesDifferences.Load()
 	request.Linearizable = request.Revision == 0
 	request.ZoneVersion = p.zoneVersion.Load()
 	request.ContextVersion = p.contextVersion.Load()
-	request.AppliedForget = p.appliedForget.Load()
+	request.AppliedPurge = p.appliedForget.Load()
 	request.Leaving = p.draining.Load()
 	primary := *p.primary.Load()
 	request.Primary = primary == "" || primary == address
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -25,14 +25,14 @@
 	pageCount int
 }
 
-// UnpacedPages is how many pages of a list are read without a pause: short lists are read at once.
-const UnpacedPages = 4
+// BurstPages is how many pages of a list are read without a pause: short lists are read at once.
+const BurstPages = 4
 
-// ReadOptions say how the list is read. The zero value reads it to its end, one page after the other.
-type ReadOptions struct {
+// ListOptions say how the list is read. The zero value reads it to its end, one page after the other.
+type ListOptions struct {
 	// MaxPages is how many pages the list may have to be read to its end, any number for 0.
 	MaxPages int
-	// PagesPerSecond bounds how fast the pages after the first ones (UnpacedPages) are read: the platform rejects calls over its
+	// PagesPerSecond bounds how fast the pages after the first ones (BurstPages) are read: the platform rejects calls over its
 	// rate, and a list of which a page is missing does not count. 0 sets no bound.
 	PagesPerSecond float64
 	// OnPage, if set, is called with the entries of each page as soon as it is read.
@@ -40,16 +40,16 @@
 }
 
 // dueAfter is how long after the start of a read the page of an index may be asked for.
-func (o ReadOptions) dueAfter(index int) time.Duration {
+func (o ListOptions) dueAfter(index int) time.Duration {
 	if o.PagesPerSecond <= 0 {
 		return 0
 	}
-	return ReadDuration(o.PagesPerSecond, index+1)
+	return MinListDuration(o.PagesPerSecond, index+1)
 }
 
-// ReadDuration is how long a paced read of so many pages takes at least.
-func ReadDuration(pagesPerSecond float64, pages int) time.Duration {
-	return time.Duration(float64(max(pages-UnpacedPages, 0)) / pagesPerSecond * float64(time.Second))
+// MinListDuration is how long a paced read of so many pages takes at least.
+func MinListDuration(pagesPerSecond float64, pages int) time.Duration {
+	return time.Duration(float64(max(pages-BurstPages, 0)) / pagesPerSecond * float64(time.Second))
 }
 
 // PageCount is how many pages the last complete list had, one at least: each counts as a call to the platform.
@@ -78,7 +78,7 @@
 
 // List returns the complete list, or an error if any page of it failed: ErrThrottled, ErrTooManyPages, ErrPageLimit, or
 // that of the call.
-func (c *Client) List(ctx context.Context, options ReadOptions) ([]Replica, error) {
+func (c *Client) List(ctx context.Context, options ListOptions) ([]Replica, error) {
 	bounded, cancel := context.WithTimeout(ctx, listTimeout+options.dueAfter(c.pageCount))
 	defer cancel()
 	var replicas []Replica
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -28,7 +28,7 @@
 		}
 		fmt.Fprint(writer, `{"instances":[{"id":"i-2"}],"nextToken":null}`)
 	})
-	replicas, err := client.List(t.Context(), ReadOptions{})
+	replicas, err := client.List(t.Context(), ListOptions{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(replicas), 2)
 	assert.DeepEqual(t, tokens, []string{"", "p&1"})
@@ -52,7 +52,7 @@
 				}
 				serveFaulty(writer, request)
 			})
-			replicas, err := client.List(t.Context(), ReadOptions{})
+			replicas, err := client.List(t.Context(), ListOptions{})
 			assert.Assert(t, err != nil)
 			assert.Equal(t, len(replicas), 0)
 		})
@@ -73,7 +73,7 @@
 			fmt.Fprint(writer, `{"instances":[{"id":"i-2"}],"nextToken":null}`)
 		}
 	})
-	replicas, err := client.List(t.Context(), ReadOptions{})
+	replicas, err := client.List(t.Context(), ListOptions{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(replicas), 2)
 	assert.DeepEqual(t, calls, map[string]int{"": 1, "p-1": 3})
@@ -90,13 +90,13 @@
 		}
 		writer.WriteHeader(http.StatusTooManyRequests)
 	})
-	_, err := client.List(t.Context(), ReadOptions{})
+	_, err := client.List(t.Context(), ListOptions{})
 	assert.Assert(t, errors.Is(err, ErrThrottled))
 	assert.Equal(t, calls, 2+maxThrottled)
 }
 
 func TestClient_ListReportsThrottling(t *testing.T) {
 	client := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusTooManyRequests) })
-	_, err := client.List(t.Context(), ReadOptions{})
+	_, err := client.List(t.Context(), ListOptions{})
 	assert.Assert(t, errors.Is(err, ErrThrottled))
 }
--- a/internal/discovery/roles.go
+++ b/internal/discovery/fenced.go
@@ -27,8 +27,8 @@
 // roleCallTimeout is how long one such call may take: a platform that is slow answers after seconds, or not at all.
 const roleCallTimeout = 2 * time.Second
 
-// RoleCall is a call that only the holder of a lease may make.
-type RoleCall struct {
+// FencedCall is a call that only the holder of a lease may make.
+type FencedCall struct {
 	// Path is PathUsage or PathCapacity, Body the JSON that is sent.
 	Path string
 	Body []byte
@@ -37,15 +37,15 @@
 	Fence  uint64
 }
 
-// RoleClient makes such calls at an address (host:port). It is safe for concurrent use.
-type RoleClient struct {
+// FencedClient makes such calls at an address (host:port). It is safe for concurrent use.
+type FencedClient struct {
 	Address    string
 	HTTPClient *http.Client
 }
 
 // Send makes a call once and returns the status of the answer. After an error the call may or may not have been carried out, or may be
 // carried out later.
-func (c *RoleClient) Send(ctx context.Context, call RoleCall) (int, error) {
+func (c *FencedClient) Send(ctx context.Context, call FencedCall) (int, error) {
 	bounded, cancel := context.WithTimeout(ctx, roleCallTimeout)
 	defer cancel()
 	target := url.URL{Scheme: "http", Host: c.Address, Path: call.Path}
--- a/internal/discovery/merge_test.go
+++ b/internal/discovery/merge_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestMerger_KeepsLastEntryOfEachID(t *testing.T) {
-	merged := (&Merger{}).Merge([]Replica{{ID: "a", State: "ready"}, {ID: "b"}, {ID: "a", State: Draining}}, 2, time.Time{})
+	merged := (&Merger{}).Merge([]Replica{{ID: "a", State: "ready"}, {ID: "b"}, {ID: "a", State: StateDraining}}, 2, time.Time{})
 	assert.DeepEqual(t, ids(merged), []string{"adraining", "b"})
 }
 
--- a/internal/discovery/pinned_test.go
+++ b/internal/discovery/pinned_test.go
@@ -31,7 +31,7 @@
 	}))
 	defer server.Close()
 	list := &Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
-	_, err := list.List(t.Context(), ReadOptions{})
+	_, err := list.List(t.Context(), ListOptions{})
 	assert.NilError(t, err)
 	pinned.CheckJSON(t, "testdata/paths.json", asked)
 }
--- a/internal/discovery/replica.go
+++ b/internal/discovery/replica.go
@@ -25,10 +25,10 @@
 
 // States of a replica, as the platform's list names them.
 const (
-	// Ready is the state of a replica that takes requests.
-	Ready = "ready"
-	// Draining is the state of a replica that is to end.
-	Draining = "draining"
+	// StateReady is the state of a replica that takes requests.
+	StateReady = "ready"
+	// StateDraining is the state of a replica that is to end.
+	StateDraining = "draining"
 )
 
 // Phase is the part of a generation that a replica does. It may change while the replica runs.
--- a/internal/drill/fleetview.go
+++ b/internal/drill/fleetview.go
@@ -106,7 +106,7 @@
 func (v FleetView) replicasLeft(backend string) int {
 	count := 0
 	for _, replica := range v.Replicas {
-		if replica.Backend == backend && !v.lost(replica.Zone) && replica.State != discovery.Draining {
+		if replica.Backend == backend && !v.lost(replica.Zone) && replica.State != discovery.StateDraining {
 			count++
 		}
 	}
--- a/internal/drill/forecast_test.go
+++ b/internal/drill/forecast_test.go
@@ -30,7 +30,7 @@
 		Replicas: []discovery.Replica{
 			replica("r1", "isle", "big", "small", "idle"),
 			replica("r2", "east", "other"),
-			{ID: "r3", Backend: "s", Zone: "reef", State: discovery.Draining, Models: []discovery.LoadedModel{{Name: "small"}}},
+			{ID: "r3", Backend: "s", Zone: "reef", State: discovery.StateDraining, Models: []discovery.LoadedModel{{Name: "small"}}},
 		},
 		Table:       configuration.NewTable(configuration.Configuration{Backends: backends}, nil),
 		Demand:      map[string]float64{"s big/a1": 2, "s small": 1},
--- a/internal/drill/lostmodels.go
+++ b/internal/drill/lostmodels.go
@@ -38,7 +38,7 @@
 		switch {
 		case v.lost(replica.Zone):
 			addCopies(lost, replica)
-		case replica.State != discovery.Draining:
+		case replica.State != discovery.StateDraining:
 			addCopies(remaining, replica)
 		}
 	}
--- a/internal/drill/merge.go
+++ b/internal/drill/merge.go
@@ -116,7 +116,7 @@
 			merged.ReplicasLost = append(merged.ReplicasLost, replica.ID)
 			continue
 		}
-		if replica.State == discovery.Draining {
+		if replica.State == discovery.StateDraining {
 			continue
 		}
 		merged.ReplicasLeft++
--- a/internal/nodesettings/check.go
+++ b/internal/nodesettings/check.go
@@ -20,16 +20,16 @@
 	message string // names the field
 }
 
-// Check returns one error that names every field with which a node cannot offer the service.
-func (s Settings) Check(service Service) error {
+// Validate returns one error that names every field with which a node cannot offer the service.
+func (s Settings) Validate(service Service) error {
 	checks := s.commonChecks()
 	switch service {
-	case ServiceEdge:
+	case ServiceDataPlane:
 		checks = append(checks,
 			fieldCheck{s.BindAddresses.DataPlane == "", "bindAddresses.dataPlane is missing"},
 			fieldCheck{s.BindAddresses.Readiness == "", "bindAddresses.readiness is missing"},
 		)
-	case ServiceControl:
+	case ServiceControlPlane:
 		checks = append(checks,
 			fieldCheck{s.BindAddresses.ControlPlane == "", "bindAddresses.controlPlane is missing"},
 			fieldCheck{s.DataDir == "", "dataDir is missing"},
@@ -52,7 +52,7 @@
 func (s Settings) commonChecks() []fieldCheck {
 	bounds := s.TimingBounds
 	isQuotaNegative := bounds.QuotaOverage < 0 || bounds.QuotaSlack < 0
-	lacksWindow := s.CloudAPI.Has(DutyUsage) && (bounds.UsageWindowS <= 0 || bounds.UsageDelayS <= 0)
+	lacksWindow := s.CloudAPI.HasDuty(DutyUsage) && (bounds.UsageWindowS <= 0 || bounds.UsageDelayS <= 0)
 	return []fieldCheck{
 		{s.NodeName == "", "nodeName is missing"},
 		{net.ParseIP(s.IPAddress) == nil, fmt.Sprintf("ipAddress %q is no IP address", s.IPAddress)},
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -18,16 +18,16 @@
 	"github.com/pkg/errors"
 )
 
-// PathVariable is the environment variable that names the settings file if no option does.
-const PathVariable = "FERRYSPAR_SETTINGS"
+// PathEnvVar is the environment variable that names the settings file if no option does.
+const PathEnvVar = "FERRYSPAR_SETTINGS"
 
 // Service is a service of a node to the outside.
 type Service string
 
 // The services, as named in the settings file.
 const (
-	ServiceEdge    Service = "edge"    // requests of clients: the data plane
-	ServiceControl Service = "control" // replicas and operators: the control plane
+	ServiceDataPlane    Service = "edge"    // requests of clients: the data plane
+	ServiceControlPlane Service = "control" // replicas and operators: the control plane
 )
 
 // The duties at the platform, as named in the settings file.
@@ -65,7 +65,7 @@
 	Bootstrap bool `koanf:"bootstrap"`
 	// QuorumMember tells whether the machine counts towards FaultTolerance.MachineLoss. Informational.
 	QuorumMember bool `koanf:"quorumMember"`
-	// DataDir is the directory of the control plane's files. Required for ServiceControl.
+	// DataDir is the directory of the control plane's files. Required for ServiceControlPlane.
 	DataDir string `koanf:"dataDir"`
 	// HeartbeatMs is how long, in ms, the long poll of a data plane at its primary control plane may stay
 	// unanswered. Heartbeats among control planes have an interval of their own. Default 1000.
@@ -89,11 +89,11 @@
 
 // BindAddresses are the host:port pairs to listen on, empty for what the node does not serve.
 type BindAddresses struct {
-	// DataPlane takes requests of clients. Required for ServiceEdge.
+	// DataPlane takes requests of clients. Required for ServiceDataPlane.
 	DataPlane string `koanf:"dataPlane"`
-	// Readiness answers readiness checks of the data plane. Required for ServiceEdge.
+	// Readiness answers readiness checks of the data plane. Required for ServiceDataPlane.
 	Readiness string `koanf:"readiness"`
-	// ControlPlane takes calls of replicas and operators. Required for ServiceControl.
+	// ControlPlane takes calls of replicas and operators. Required for ServiceControlPlane.
 	ControlPlane string `koanf:"controlPlane"`
 }
 
@@ -222,8 +222,8 @@
 	MaxLagMs float64 `koanf:"maxLagMs"`
 }
 
-// Has says whether a duty is owed.
-func (c CloudAPI) Has(duty string) bool { return slices.Contains(c.Duties, duty) }
+// HasDuty says whether a duty is owed.
+func (c CloudAPI) HasDuty(duty string) bool { return slices.Contains(c.Duties, duty) }
 
 // Milliseconds converts a number of milliseconds to a duration.
 func Milliseconds(value float64) time.Duration {
@@ -234,13 +234,13 @@
 func Seconds(value float64) time.Duration { return Milliseconds(value * 1000) }
 
 // Load reads the settings file at path, or the one that PathVariable names if path is empty. It does not
-// check the values; see Settings.Check.
+// check the values; see Settings.Validate.
 func Load(path string) (Settings, error) {
 	if path == "" {
-		path = os.Getenv(PathVariable)
+		path = os.Getenv(PathEnvVar)
 	}
 	if path == "" {
-		return Settings{}, errors.Errorf("no settings file: name one with --settings or in %s", PathVariable)
+		return Settings{}, errors.Errorf("no settings file: name one with --settings or in %s", PathEnvVar)
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/nodesettings/settings_test.go
+++ b/internal/nodesettings/settings_test.go
@@ -25,7 +25,7 @@
 func TestParse_IgnoresUnknownFields(t *testing.T) {
 	settings, err := Parse([]byte(validSettings))
 	assert.NilError(t, err)
-	assert.NilError(t, settings.Check(ServiceEdge))
+	assert.NilError(t, settings.Validate(ServiceDataPlane))
 	assert.Equal(t, settings.PeerAddress(), "10.1.0.13:7720")
 	assert.DeepEqual(t, settings.SeedPeers(), []string{"10.1.0.16:7720"})
 }
@@ -42,11 +42,11 @@
 	for line, name := range cases {
 		settings, err := Parse([]byte(strings.Replace(validSettings, line, "", 1)))
 		assert.NilError(t, err)
-		assert.ErrorContains(t, settings.Check(ServiceEdge), name)
+		assert.ErrorContains(t, settings.Validate(ServiceDataPlane), name)
 	}
 	backwards, err := Parse([]byte(strings.Replace(validSettings, "[7720,7735]", "[7735,7720]", 1)))
 	assert.NilError(t, err)
-	assert.ErrorContains(t, backwards.Check(ServiceEdge), "internalPorts")
+	assert.ErrorContains(t, backwards.Validate(ServiceDataPlane), "internalPorts")
 	_, err = Parse([]byte("nodeName = "))
 	assert.ErrorContains(t, err, "cannot be read")
 }
--- a/internal/nodesettings/watch.go
+++ b/internal/nodesettings/watch.go
@@ -21,7 +21,7 @@
 		case <-hangups:
 		case <-ticker.C:
 		}
-		if settings, err := Load(path); err == nil && settings.Check(service) == nil {
+		if settings, err := Load(path); err == nil && settings.Validate(service) == nil {
 			onChange(settings)
 		}
 	}
--- a/internal/nodesettings/watch_test.go
+++ b/internal/nodesettings/watch_test.go
@@ -17,7 +17,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	hangups, used := make(chan os.Signal, 1), make(chan Settings, 4)
-	go Watch(ctx, path, ServiceEdge, hangups, func(settings Settings) { used <- settings })
+	go Watch(ctx, path, ServiceDataPlane, hangups, func(settings Settings) { used <- settings })
 	hangups <- syscall.SIGHUP
 	select {
 	case settings := <-used:
--- a/internal/peer/load.go
+++ b/internal/peer/load.go
@@ -66,7 +66,7 @@
 }
 
 // LoadSummary is what a control plane sends the others about the data planes that report to it: the load on replicas, and
-// to the placement lease's holder the demand for models (IsDemand), in a message of its own or with the load.
+// to the placement lease's holder the demand for models (HasDemand), in a message of its own or with the load.
 type LoadSummary struct {
 	// Member is the sender's address, DataPlaneCount how many data planes report to it.
 	Member         string `json:"member"`
@@ -82,7 +82,7 @@
 	// SuspectCounts is how many data planes suspect each replica.
 	SuspectCounts map[string]int `json:"suspects,omitempty"`
 	Models        []ModelLoad    `json:"models,omitempty"`
-	IsDemand      bool           `json:"demand,omitempty"`
+	HasDemand     bool           `json:"demand,omitempty"`
 	// Partial says that Models holds only some models; the others stay as they were reported last.
 	Partial bool `json:"partial,omitempty"`
 	// Batch numbers the arrivals and prefill times in Models within the sender's Incarnation. They are sent again under
@@ -96,7 +96,7 @@
 // WithDemand returns a summary of load with the demand of another one.
 func (s LoadSummary) WithDemand(demand LoadSummary) LoadSummary {
 	s.SuspectCounts, s.Models = demand.SuspectCounts, demand.Models
-	s.IsDemand, s.Partial = demand.IsDemand, demand.Partial
+	s.HasDemand, s.Partial = demand.HasDemand, demand.Partial
 	s.Incarnation, s.Batch = demand.Incarnation, demand.Batch
 	s.Usage = demand.Usage
 	return s
--- a/internal/peer/pinned_test.go
+++ b/internal/peer/pinned_test.go
@@ -9,7 +9,7 @@
 func TestMessages_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
 		"poll":                     new(WatchRequest),
-		"order to forget":          new(ForgetOrder),
+		"order to forget":          new(PurgeOrder),
 		"news of context":          new(ContextUpdate),
 		"state of a zone":          new(ZoneState),
 		"news":                     new(WatchResponse),
--- a/internal/peer/watch.go
+++ b/internal/peer/watch.go
@@ -29,10 +29,10 @@
 	// MaxWaitMs is how long, in milliseconds, the control plane may keep the request pending.
 	MaxWaitMs int64  `json:"holdMs"`
 	Version   uint64 `json:"version"`
-	// ContextVersion is that of the last ContextUpdate applied, AppliedForget the number of the last ForgetOrder that
+	// ContextVersion is that of the last ContextUpdate applied, AppliedPurge the number of the last PurgeOrder that
 	// is carried out.
 	ContextVersion uint64 `json:"context,omitempty"`
-	AppliedForget  uint64 `json:"forgot,omitempty"`
+	AppliedPurge   uint64 `json:"forgot,omitempty"`
 	// Leaving says that the data plane shuts down.
 	Leaving bool `json:"leaving,omitempty"`
 	// SubscriptionSequence is that of the last SubscribeRequest that was answered, zero for none.
@@ -47,8 +47,8 @@
 	Linearizable bool `json:"proof,omitempty"`
 	// ControlPlanesVersion is that of the ControlPlanes received last from this control plane.
 	ControlPlanesVersion uint64 `json:"controlNumber,omitempty"`
-	// TakesDifferences says that the data plane can apply differences to the configuration of Revision.
-	TakesDifferences bool `json:"differences,omitempty"`
+	// AcceptsDeltas says that the data plane can apply differences to the configuration of Revision.
+	AcceptsDeltas bool `json:"differences,omitempty"`
 }
 
 // WatchResponse answers a WatchRequest. A data plane may rely on it only while it is fresh, see IsFresh.
@@ -67,11 +67,11 @@
 	Version uint64 `json:"version"`
 	// Revision is that of the configuration in force. PackedConfiguration is the configuration itself, compressed; it
 	// is sent to a data plane whose primary this control plane is, if it applies an older one.
-	Revision            int64  `json:"revision"`
-	PackedConfiguration []byte `json:"packed,omitempty"`
-	// Differences lead from the configuration that the data plane applies to that of Revision. They come in place of
+	Revision                int64  `json:"revision"`
+	CompressedConfiguration []byte `json:"packed,omitempty"`
+	// Deltas lead from the configuration that the data plane applies to that of Revision. They come in place of
 	// PackedConfiguration.
-	Differences []configuration.Difference `json:"differences,omitempty"`
+	Deltas []configuration.Delta `json:"differences,omitempty"`
 	// ZoneVersion is that of the zones' state. Zones is sent to data planes that have an older one.
 	ZoneVersion uint64               `json:"areaNumber"`
 	Zones       map[string]ZoneState `json:"areas,omitempty"`
@@ -107,7 +107,7 @@
 
 // HasConfiguration says whether the response brings a configuration, whole or by differences.
 func (r *WatchResponse) HasConfiguration() bool {
-	return len(r.PackedConfiguration) > 0 || len(r.Differences) > 0
+	return len(r.CompressedConfiguration) > 0 || len(r.Deltas) > 0
 }
 
 // ZoneState is whether a zone is drained, and the version of the change that said so.
@@ -119,13 +119,13 @@
 // ContextUpdate is how long cached context may be kept (MaxAgeMs, in milliseconds; zero for no limit), and the orders to
 // forget some of it.
 type ContextUpdate struct {
-	Version  uint64        `json:"number"`
-	MaxAgeMs int64         `json:"lifeMs"`
-	Forgets  []ForgetOrder `json:"forgets,omitempty"`
+	Version  uint64       `json:"number"`
+	MaxAgeMs int64        `json:"lifeMs"`
+	Purges   []PurgeOrder `json:"forgets,omitempty"`
 }
 
-// ForgetOrder orders data planes to drop cached context of a scope.
-type ForgetOrder struct {
+// PurgeOrder orders data planes to drop cached context of a scope.
+type PurgeOrder struct {
 	Number uint64          `json:"number"`
 	Scope  retention.Scope `json:"scope"`
 }
--- a/internal/proxy/authorization.go
+++ b/internal/proxy/authorization.go
@@ -72,7 +72,7 @@
 		tenant = table.FindTenant(presented.hash)
 	}
 	if tenant == configuration.NoTenant && !public {
-		return tenant, apierror.New(apierror.UnknownKey, "")
+		return tenant, apierror.New(apierror.InvalidAPIKey, "")
 	}
 	return tenant, nil
 }
@@ -87,7 +87,7 @@
 		snapshot := h.snapshot.Load()
 		allowed, rejection := resolveAccess(snapshot.Table, request.Host, request.RequestURI, presented)
 		if rejection == nil && allowed.tenant != configuration.NoTenant && !keysValid {
-			return nil, authorization{}, apierror.NewRetryable(apierror.OutdatedKeys, staleRetryAfter)
+			return nil, authorization{}, apierror.NewRetryable(apierror.StaleAPIKeys, staleRetryAfter)
 		}
 		if rejection == nil {
 			return snapshot, allowed, nil
@@ -103,7 +103,7 @@
 	if h.Freshness == nil || !h.behind() && h.Freshness.Current(h.clock()) {
 		return rejection
 	}
-	return apierror.NewRetryable(apierror.OutdatedConfiguration, staleRetryAfter)
+	return apierror.NewRetryable(apierror.StaleConfiguration, staleRetryAfter)
 }
 
 // behind reports whether a newer configuration is known to exist.
@@ -134,7 +134,7 @@
 		parsed.assignTenant(table, tenant)
 	}
 	if parsed.authorization.tenant != configuration.NoTenant && !keysValid {
-		return apierror.NewRetryable(apierror.OutdatedKeys, staleRetryAfter)
+		return apierror.NewRetryable(apierror.StaleAPIKeys, staleRetryAfter)
 	}
 	return nil
 }
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -49,7 +49,7 @@
 		Address:  listed.Address,
 		Zone:     listed.Zone,
 		Slots:    listed.Slots,
-		Draining: listed.State == discovery.Draining,
+		Draining: listed.State == discovery.StateDraining,
 		Phase:    listed.Phase,
 		Models:   map[string]bool{},
 	}
--- a/internal/sim/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -125,7 +125,7 @@
 	server := httptest.NewServer(list)
 	defer server.Close()
 	reader := &discovery.Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
-	read, err := reader.List(t.Context(), discovery.ReadOptions{})
+	read, err := reader.List(t.Context(), discovery.ListOptions{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(read), 3)
 	assert.Equal(t, read[2].ID, "r-3")
