--- a/internal/peer/change.go
+++ b/internal/peer/change.go
@@ -1,30 +1,30 @@
 package peer
 
-// ChangeRequest forwards an operator's change of the configuration to the control plane that owns its key.
+// ChangeRequest forwards an operator's configuration change to the control plane that owns the configuration's key.
 type ChangeRequest struct {
-	// Digest identifies the call. With an empty Body the request asks for the outcome of that call.
+	// Digest identifies the call. A request with an empty Body queries the outcome of that call.
 	Digest    []byte `json:"digest"`
 	Method    string `json:"method"`
 	Condition int64  `json:"condition"`
 	Body      []byte `json:"body,omitempty"`
 }
 
-// ChangeOutcome is how far a forwarded change has got.
+// ChangeOutcome is the state of a forwarded change.
 type ChangeOutcome string
 
-// The outcomes. Their words are part of the protocol between versions.
+// The outcomes. Their values are part of the protocol between versions.
 const (
-	// ChangeAcknowledged: the change is in force, or was carried out before.
+	// ChangeAcknowledged: the change is in effect, or an earlier call has already made it.
 	ChangeAcknowledged ChangeOutcome = "acknowledged"
-	// ChangePending: it is under way.
+	// ChangePending: the change is in progress.
 	ChangePending ChangeOutcome = "pending"
-	// ChangeUnknown: no call of that digest is under way, and the request had no body.
+	// ChangeUnknown: the request had no body, and no call with its digest is in progress.
 	ChangeUnknown ChangeOutcome = "unknown"
-	// ChangeInvalid, ChangeConflict and ChangeTooOld reject it, see the kinds of package apierror.
+	// ChangeInvalid, ChangeConflict and ChangeTooOld: the change is rejected; see the kinds of package apierror.
 	ChangeInvalid  ChangeOutcome = "invalid"
 	ChangeConflict ChangeOutcome = "conflict"
 	ChangeTooOld   ChangeOutcome = "too_old"
-	// ChangeUndecided: the owner can't tell what becomes of it.
+	// ChangeUndecided: the owner can't determine whether the change takes effect.
 	ChangeUndecided ChangeOutcome = "undecided"
 )
 
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -12,28 +12,28 @@
 	"github.com/pkg/errors"
 )
 
-// ErrUnknownMethod is returned for a method that isn't one of the package's constants.
+// ErrUnknownMethod is returned for a method that is not one of the package's constants.
 var ErrUnknownMethod = errors.New("unknown method")
 
-// StatusError is returned for a call that was answered with another status than 200. Whether the receiver carried the
-// call out is open.
+// StatusError is returned for a call that was answered with a status other than 200. The receiver may or may not have
+// executed the call.
 type StatusError struct {
 	Method  Method
 	Address string
 	Status  int
 }
 
-// Error names the method, the receiver and the status.
+// Error returns a message with the method, the receiver and the status.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("%s at %s: status %d", e.Method, e.Address, e.Status)
 }
 
 const (
-	// connectTimeout is how long a connection to another node may take to be established.
+	// connectTimeout bounds the time to establish a connection to another node.
 	connectTimeout = 500 * time.Millisecond
-	// ackTimeout is how long sent bytes may stay unacknowledged before a connection to another node is given up.
+	// ackTimeout is how long sent bytes may stay unacknowledged before a connection to another node is closed.
 	ackTimeout = 1500 * time.Millisecond
-	// idleConnections is how many idle connections are kept to each node.
+	// idleConnections is the maximum number of idle connections kept per node.
 	idleConnections = 4
 	contentType     = "application/json"
 )
@@ -50,12 +50,12 @@
 	return &Client{http: NewHTTPClient(transport)}
 }
 
-// Call sends a request to the node at the address and decodes the reply into reply, unless that is nil. It gives up
-// after the method's timeout or when the context ends.
+// Call sends a request to the node at the address and decodes the reply into reply, unless that is nil. It returns an
+// error after the method's timeout or when the context ends.
 //
-// The request is sent at most once. After an error it is open whether the receiver got it and carried it out; a caller
-// that repeats it must make that safe. The error wraps ErrUnknownMethod, a *StatusError, or what the transport or the
-// decoder returned.
+// The request is sent at most once. After an error the receiver may or may not have executed it; a caller may only retry a
+// request for which that is safe. The error wraps ErrUnknownMethod, a *StatusError, or the error of the transport or the
+// decoder.
 func (c *Client) Call(ctx context.Context, method Method, address string, request, reply any) error {
 	timeout := method.Timeout()
 	if timeout == 0 {
@@ -89,9 +89,9 @@
 	return errors.Wrapf(json.Unmarshal(content, reply), "decode reply of %s at %s", method, address)
 }
 
-// newRequest returns the HTTP request of a call, without headers that the receiver does not read: messages are small and
-// frequent, and always JSON. Its body can't be read a second time: with GetBody set, net/http would
-// send the request again on another connection if a reused one breaks, and the receiver could carry it out twice.
+// newRequest returns the HTTP request of a call, without the headers that the receiver does not read, because messages are
+// small, frequent and always JSON. GetBody is nil, because net/http would otherwise resend the request on another connection
+// when a reused one breaks, and the receiver could execute it twice.
 func newRequest(ctx context.Context, method Method, address string, content []byte) (*http.Request, error) {
 	url := "http://" + address + method.Path()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(content))
@@ -99,6 +99,6 @@
 		return nil, err
 	}
 	request.GetBody = nil
-	request.Header.Set("User-Agent", "") // leaves the header out
+	request.Header.Set("User-Agent", "") // omits the header
 	return request, nil
 }
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -15,8 +15,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// scriptedPeer serves a loopback socket. It answers the number-th request of a connection, both from 1, with what the
-// script returns, and closes the connection where that is empty. It counts the requests that it read.
+// scriptedPeer starts a server on a loopback socket. It replies to each request with the text that script returns for the
+// number of the connection and of the request on it, both counted from 1, and closes the connection if the text is empty.
+// read counts the requests received.
 func scriptedPeer(t *testing.T, script func(connection, number int) string) (address string, read *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -34,7 +35,7 @@
 	return listener.Addr().String(), read
 }
 
-// serveScript answers the requests of a connection until the script returns nothing or the connection ends.
+// serveScript replies to the requests of a connection until script returns an empty text or the connection ends.
 func serveScript(connection net.Conn, read *atomic.Int64, script func(number int) string) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
@@ -83,12 +84,12 @@
 
 func TestClient_FailsOnInvalidReply(t *testing.T) {
 	for name, invalidReply := range map[string]string{
-		"cut":            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{",
-		"no document":    httpReply("200 OK", "words"),
-		"a failure":      httpReply("503 No", "{}"),
-		"sent elsewhere": "HTTP/1.1 307 Go\r\nLocation: /partner/news\r\nContent-Length: 0\r\n\r\n",
-		"moved":          "HTTP/1.1 302 Go\r\nLocation: /partner/news\r\nContent-Length: 0\r\n\r\n",
-		"garbage":        "garbage\r\n\r\n",
+		"truncated":    "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{",
+		"not JSON":     httpReply("200 OK", "words"),
+		"error status": httpReply("503 No", "{}"),
+		"redirect 307": "HTTP/1.1 307 Go\r\nLocation: /partner/news\r\nContent-Length: 0\r\n\r\n",
+		"redirect 302": "HTTP/1.1 302 Go\r\nLocation: /partner/news\r\nContent-Length: 0\r\n\r\n",
+		"not HTTP":     "garbage\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -120,8 +121,8 @@
 	assert.Equal(t, read.Load(), int64(0))
 }
 
-// The broken variant that TestClient_SendsOnceWhenReusedConnectionBreaks is there to catch: net/http sends a request twice
-// if it bears an idempotency key and its body can be read again.
+// Demonstrates the fault that TestClient_SendsOnceWhenReusedConnectionBreaks guards against: net/http resends a request
+// that has an idempotency key and a rereadable body.
 func TestTransport_ResendsRereadableBodyWithKey(t *testing.T) {
 	address, read := scriptedPeer(t, func(_, number int) string {
 		if number == 2 {
--- a/internal/peer/packedloads.go
+++ b/internal/peer/packedloads.go
@@ -9,28 +9,27 @@
 )
 
 const (
-	// packedTokenUnit is the unit, in tokens, that packed loads are rounded up to.
+	// packedTokenUnit is the resolution, in tokens, of packed loads; values are rounded up.
 	packedTokenUnit = 100
-	// digestShift leaves 52 bits of a digest, which survive JSON readers that keep numbers as floats.
+	// digestShift reduces a digest to 52 bits, which JSON decoders that use floats represent exactly.
 	digestShift = 12
-	// maxPackedTokens bounds what a packed number may stand for, so that a damaged message can't overflow a sum.
+	// maxPackedTokens bounds decoded numbers, so that a corrupt message can't overflow a sum.
 	maxPackedTokens = 1 << 40
 )
 
-// ReplicaIDs are the ids of replicas in an order that sender and receiver of packed loads share. It is immutable.
+// ReplicaIDs is a list of replica ids in the order shared by the sender and receiver of packed loads. It is immutable.
 type ReplicaIDs struct {
 	IDs []string
-	// Digest tells lists with other ids or another order apart. That of an empty list is zero.
+	// Digest identifies the ids and their order. It is zero for an empty list.
 	Digest uint64
 }
 
-// NewReplicaIDs returns the list of some ids in their order. The slice must not be changed afterwards.
+// NewReplicaIDs returns the list of ids in the given order. The slice must not be modified afterwards.
 func NewReplicaIDs(ids []string) ReplicaIDs {
 	return ReplicaIDs{IDs: ids, Digest: Digest(ids)}
 }
 
-// Digest tells lists of names apart that differ in a name or the order, as far as a hash does. That of an empty list is
-// zero.
+// Digest returns a hash of names that depends on their order, or zero for an empty list.
 func Digest(names []string) uint64 {
 	if len(names) == 0 {
 		return 0
@@ -43,22 +42,21 @@
 	return hash.Sum64() >> digestShift
 }
 
-// PackedLoads holds the numbers of loads in the order of a list of replica ids, which is much shorter than a map by id.
-// Outcomes are not among them.
+// PackedLoads holds load numbers in the order of a list of replica ids, which is much more compact than a map by id. It does
+// not include outcomes.
 type PackedLoads struct {
-	// Version is the digest of the replica ids in their order.
+	// Version is the digest of the list of replica ids.
 	Version uint64 `json:"m"`
-	// Running, Tokens and PrefillTokens are lists of numbers in an older form, with zeros at the end left out. Tokens and
-	// PrefillTokens are in hundreds of tokens. They are read where Encoded is empty.
+	// Running, Tokens and PrefillTokens are the older encoding, used if Encoded is empty: one number per replica, without
+	// trailing zeros. Tokens and PrefillTokens are in hundreds of tokens.
 	Running       []int `json:"r,omitempty"`
 	Tokens        []int `json:"k,omitempty"`
 	PrefillTokens []int `json:"p,omitempty"`
-	// Encoded holds the same three numbers for each replica as unsigned varints; replicas without load at the end are left
-	// out.
+	// Encoded holds the same three numbers per replica as unsigned varints, without trailing replicas that have no load.
 	Encoded []byte `json:"e,omitempty"`
 }
 
-// PackLoads packs loads by replica id. It returns false, and nothing packed, if a replica is not among the ids.
+// PackLoads encodes loads by replica id. It returns nil and false if ids is empty or does not contain all replicas.
 func PackLoads(ids ReplicaIDs, loads map[string]ReplicaLoad) (packed *PackedLoads, complete bool) {
 	if len(ids.IDs) == 0 {
 		return nil, false
@@ -84,12 +82,12 @@
 	return packed, true
 }
 
-// packTokens converts tokens to packed units, rounding up.
+// packTokens converts tokens to units of packedTokenUnit, rounding up.
 func packTokens(tokens float64) uint64 {
 	return uint64(math.Ceil(min(max(tokens, 0), maxPackedTokens) / packedTokenUnit))
 }
 
-// Unpack returns the loads by replica id, or false if they were packed by another list or can't be read.
+// Unpack returns the loads by replica id, or false if they were packed with another list of ids or are corrupt.
 func (p *PackedLoads) Unpack(ids ReplicaIDs) (loads map[string]ReplicaLoad, known bool) {
 	if p.Version != ids.Digest {
 		return nil, false
@@ -116,7 +114,7 @@
 	return loads, len(rest) == 0
 }
 
-// unpackLists unpacks the older form.
+// unpackLists decodes the older encoding.
 func (p *PackedLoads) unpackLists(ids ReplicaIDs) (loads map[string]ReplicaLoad, known bool) {
 	if max(len(p.Running), len(p.Tokens), len(p.PrefillTokens)) > len(ids.IDs) {
 		return nil, false
@@ -128,7 +126,7 @@
 	return loads, true
 }
 
-// addUnpacked adds the load of a replica, unless it has none.
+// addUnpacked adds the load of a replica unless it is zero.
 func addUnpacked(loads map[string]ReplicaLoad, id string, running, tokens, prefillTokens int) {
 	load := ReplicaLoad{
 		Running:       running,
@@ -140,7 +138,7 @@
 	}
 }
 
-// valueAt returns the value at the index, or 0 beyond the list's end.
+// valueAt returns the value at the index, or 0 if the index is out of range.
 func valueAt(values []int, index int) int {
 	if index < len(values) {
 		return values[index]
@@ -148,7 +146,7 @@
 	return 0
 }
 
-// OutcomesOnly returns the outcomes among loads by replica id, without the numbers that are packed.
+// OutcomesOnly returns the loads by replica id without the numbers that PackLoads encodes.
 func OutcomesOnly(loads map[string]ReplicaLoad) map[string]ReplicaLoad {
 	outcomes := map[string]ReplicaLoad{}
 	for id, load := range loads {
@@ -160,7 +158,7 @@
 	return outcomes
 }
 
-// MergeOutcomes adds outcomes by replica id to loads that were unpacked.
+// MergeOutcomes adds outcomes by replica id to unpacked loads.
 func MergeOutcomes(loads, outcomes map[string]ReplicaLoad) {
 	for id, load := range outcomes {
 		unpacked := loads[id]
@@ -169,7 +167,7 @@
 	}
 }
 
-// Unpacked returns a fleet's load with the loads by replica id, or false if they were packed by another list.
+// Unpacked returns the load with Packed decoded into Replicas, or false if it was packed with another list of ids.
 func (l FleetLoad) Unpacked(ids ReplicaIDs) (unpacked FleetLoad, known bool) {
 	if l.Packed == nil {
 		return l, true
@@ -182,7 +180,7 @@
 	return FleetLoad{Total: l.Total, Replicas: loads}, true
 }
 
-// SortedReplicaIDs returns the list of a set of ids, ordered by id.
+// SortedReplicaIDs returns the ids of a set in ascending order.
 func SortedReplicaIDs(set map[string]bool) ReplicaIDs {
 	ids := make([]string, 0, len(set))
 	for id := range set {
--- a/internal/peer/packedloads_test.go
+++ b/internal/peer/packedloads_test.go
@@ -51,11 +51,11 @@
 func TestPackedLoads_RejectsDamagedEncoding(t *testing.T) {
 	ids := NewReplicaIDs([]string{"i-1", "i-2"})
 	packed, _ := PackLoads(ids, map[string]ReplicaLoad{"i-1": {Running: 300}, "i-2": {Running: 2, Tokens: 100}})
-	const firstReplica = 4 // bytes: 300 takes two, each 0 one
+	const firstReplica = 4 // bytes: 2 for 300, 1 for each 0
 	assert.Equal(t, len(packed.Encoded), firstReplica+3)
 	for length := 1; length < len(packed.Encoded); length++ {
 		_, known := (&PackedLoads{Version: ids.Digest, Encoded: packed.Encoded[:length]}).Unpack(ids)
-		assert.Equal(t, known, length == firstReplica, "cut after %d bytes: only whole replicas may be left out", length)
+		assert.Equal(t, known, length == firstReplica, "truncated after %d bytes: only complete replicas may be omitted", length)
 	}
 	_, known := (&PackedLoads{Version: ids.Digest, Encoded: append(packed.Encoded, 1, 1, 1)}).Unpack(ids)
 	assert.Assert(t, !known, "more replicas than the list has")
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -9,8 +9,8 @@
 	"ferryspar/internal/apierror"
 )
 
-// Handler returns the HTTP handler of a call that decodes its request, passes it to handle and sends what that returns.
-// A request that is no JSON document of the type is answered as malformed and doesn't reach handle.
+// Handler returns the HTTP handler of a call. It decodes the request, passes it to handle and encodes the reply. A request
+// that does not decode as JSON of type Request is rejected with apierror.MalformedRequest.
 func Handler[Request, Reply any](handle func(ctx context.Context, request Request) Reply) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
 		var request Request
@@ -23,7 +23,7 @@
 			apierror.Write(writer, err)
 			return
 		}
-		writer.Header()["Date"] = nil // leaves the header out
+		writer.Header()["Date"] = nil // omits the header
 		writer.Header().Set("Content-Type", contentType)
 		writer.Header().Set("Content-Length", strconv.Itoa(len(content)))
 		_, _ = writer.Write(content)
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -20,10 +20,10 @@
 		reply  string
 		called bool
 	}{
-		"document":    {body: `{"n":3}`, status: http.StatusOK, reply: `{"n":4}`, called: true},
-		"no document": {body: "words", status: http.StatusBadRequest},
-		"nothing":     {body: "", status: http.StatusBadRequest},
-		"other type":  {body: `{"n":"three"}`, status: http.StatusBadRequest},
+		"valid document": {body: `{"n":3}`, status: http.StatusOK, reply: `{"n":4}`, called: true},
+		"not JSON":       {body: "words", status: http.StatusBadRequest},
+		"empty body":     {body: "", status: http.StatusBadRequest},
+		"wrong type":     {body: `{"n":"three"}`, status: http.StatusBadRequest},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/peer/subscribe.go
+++ b/internal/peer/subscribe.go
@@ -6,14 +6,14 @@
 	"ferryspar/internal/discovery"
 )
 
-// EndpointKey names an endpoint set: a model of a backend, or all replicas of the backend where Model is empty.
+// EndpointKey identifies an endpoint set: the replicas of a model, or all replicas of the backend if Model is empty.
 type EndpointKey struct {
 	Backend string `json:"b"`
 	Model   string `json:"m,omitempty"`
 }
 
-// EndpointSet is the replicas that serve a key, at a version of the roster. The set of a large backend as a whole is a
-// sample of its replicas.
+// EndpointSet holds the replicas that serve a key, at a version of the roster. For all replicas of a large backend it holds
+// only a sample.
 type EndpointSet struct {
 	EndpointKey
 	Version   uint64     `json:"v"`
@@ -27,16 +27,16 @@
 	Zone     string `json:"z"`
 	Slots    int    `json:"s"`
 	Draining bool   `json:"d,omitempty"`
-	// Phase is the part of a generation that the replica does; empty where replicas do both.
+	// Phase is the generation phase that the replica executes; empty if replicas execute both.
 	Phase discovery.Phase `json:"q,omitempty"`
-	// WarmUpRemainingMs is how much longer, in milliseconds, the replica warms up; zero if it doesn't.
+	// WarmUpRemainingMs is the remaining warm-up time in milliseconds, or zero if the replica is warm.
 	WarmUpRemainingMs float64 `json:"c,omitempty"`
-	// Adapters are the adapters of the set's model that the replica has loaded.
+	// Adapters lists the loaded adapters of the set's model.
 	Adapters []string `json:"l,omitempty"`
 }
 
-// SubscribeRequest changes which endpoint sets a data plane watches. With Reset, Add is all of them; otherwise Sequence
-// must be one more than that of the last request, so that a lost one is noticed.
+// SubscribeRequest changes the endpoint sets that a data plane watches. With Reset, Add replaces all subscriptions;
+// otherwise Sequence must be one above that of the previous request, so that a lost request is detected.
 type SubscribeRequest struct {
 	DataPlane string        `json:"daemon"`
 	Sequence  uint64        `json:"number"`
@@ -45,26 +45,24 @@
 	Remove    []EndpointKey `json:"drop,omitempty"`
 }
 
-// SubscribeResponse answers a SubscribeRequest with the sets that were added. A data plane may rely on it only while it
-// is fresh, see IsFresh.
+// SubscribeResponse answers a SubscribeRequest with the added sets. A data plane may use it only while IsFresh.
 type SubscribeResponse struct {
-	// Incarnation is that of the control plane's process.
+	// Incarnation identifies the control plane's process.
 	Incarnation string `json:"life"`
-	// FreshMs is how much longer, in milliseconds, the state counted as confirmed when the response was made.
+	// FreshMs is the remaining confirmation lease, in milliseconds, when the response was created; zero if it had expired.
 	FreshMs int64 `json:"freshMs,omitempty"`
-	// Resubscribe asks the data plane to send all its subscriptions anew, with Reset.
+	// Resubscribe asks the data plane to resend all its subscriptions, with Reset.
 	Resubscribe bool `json:"refollow,omitempty"`
-	// RosterVersion is that of EndpointSets; RosterAgeMs is how old, in milliseconds, the list of replicas is that they
-	// come from.
+	// RosterVersion is the roster version of EndpointSets, RosterAgeMs the age of that roster in milliseconds.
 	RosterVersion uint64        `json:"roster"`
 	RosterAgeMs   int64         `json:"rosterAge"`
 	EndpointSets  []EndpointSet `json:"parts,omitempty"`
-	// Loads holds the load of the other data planes on the replicas of EndpointSets by id: until its next load report is
-	// answered, the data plane would take them for idle.
+	// Loads holds the load of the other data planes on the replicas of EndpointSets, by id. Without it the data plane would
+	// consider them idle until its next load report is answered.
 	Loads map[string]ReplicaLoad `json:"loads,omitempty"`
 }
 
-// IsFresh says whether the endpoint sets still count as confirmed by a majority, see WatchResponse.IsFresh.
+// IsFresh reports whether the confirmation lease of the endpoint sets is still valid; see WatchResponse.IsFresh.
 func (r SubscribeResponse) IsFresh(sentAt, now time.Time) bool {
 	return isFresh(sentAt, r.FreshMs, r.FreshMs, now)
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// keepAliveIdle, keepAliveInterval and keepAliveProbes let an idle connection to a dead host end after about four
-	// seconds.
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes close an idle connection to a dead host after about four seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 3
 
-	// idleTimeout is how long an unused connection is kept.
+	// idleTimeout is the time after which an unused connection is closed.
 	idleTimeout = 20 * time.Second
-	// bufferSize is the size, in bytes, of a connection's read and write buffers: messages are small and connections many.
+	// bufferSize is the size, in bytes, of a connection's read and write buffers. It is small because there are many
+	// connections with small messages.
 	bufferSize = 4 << 10
 )
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Network is what connections are opened and accepted on: the host's own network, or one in memory for tests.
+// Network opens and accepts connections: HostNetwork, or an in-memory network in tests.
 type Network interface {
-	// DialFunc returns the function that opens connections with these timeouts, see NewDialer.
+	// DialFunc returns a function that opens connections with the timeouts; see NewDialer.
 	DialFunc(connectTimeout, ackTimeout time.Duration) DialFunc
 	// Listen accepts connections at the address.
 	Listen(address string) (net.Listener, error)
@@ -37,7 +37,7 @@
 // HostNetwork is the TCP network of the host.
 type HostNetwork struct{}
 
-// DialFunc returns the function that opens TCP connections with these timeouts, see NewDialer.
+// DialFunc returns a function that opens TCP connections with the timeouts; see NewDialer.
 func (HostNetwork) DialFunc(connectTimeout, ackTimeout time.Duration) DialFunc {
 	return NewDialer(connectTimeout, ackTimeout).DialContext
 }
@@ -45,9 +45,9 @@
 // Listen accepts TCP connections at the address.
 func (HostNetwork) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// NewDialer returns a dialer that gives up a connection that isn't established within connectTimeout. An established
-// one is closed by the kernel once sent bytes have been unacknowledged for ackTimeout (TCP_USER_TIMEOUT), or keep-alive
-// probes on an idle one were not answered.
+// NewDialer returns a dialer that establishes a connection within connectTimeout or fails. The kernel closes an established
+// connection when sent bytes have been unacknowledged for ackTimeout (TCP_USER_TIMEOUT), or when keep-alive probes on an
+// idle one are not answered.
 func NewDialer(connectTimeout, ackTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: connectTimeout,
@@ -65,9 +65,9 @@
 	}
 }
 
-// NewTransport returns a transport without compression and proxies that keeps up to idle connections to each host. As
-// every http.Transport, it resends a request that it takes for idempotent and whose body it can read again when a reused
-// connection breaks; docs/design/answers.md says what keeps it from that.
+// NewTransport returns a transport without compression and proxies that keeps at most idle unused connections per host. Like
+// every http.Transport, it resends a request that it considers idempotent and whose body it can reread when a reused
+// connection breaks; docs/design/answers.md describes how callers prevent that.
 func NewTransport(network Network, connectTimeout, ackTimeout time.Duration, idle int) *http.Transport {
 	return &http.Transport{
 		DialContext:         network.DialFunc(connectTimeout, ackTimeout),
@@ -79,7 +79,7 @@
 	}
 }
 
-// NewHTTPClient returns a client that follows no redirects: a call goes to the node or replica that it was meant for.
+// NewHTTPClient returns a client that follows no redirects, because a call must only reach the node or replica addressed.
 func NewHTTPClient(transport http.RoundTripper) *http.Client {
 	return &http.Client{
 		Transport:     transport,
@@ -87,9 +87,8 @@
 	}
 }
 
-// ResetOnClose wraps dial so that its TCP connections are reset when they are closed, which drops what this host has
-// not sent yet of a call that was given up. It can't take back what the receiver's kernel has accepted: a process that
-// was suspended reads it when it resumes, however late.
+// ResetOnClose wraps dial so that closing a TCP connection resets it and discards the unsent bytes of an abandoned call. It
+// can't recall bytes that the receiver's kernel has accepted: a suspended process reads them when it resumes, however late.
 func ResetOnClose(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dial(ctx, network, address)
--- a/internal/peer/transport_linux_test.go
+++ b/internal/peer/transport_linux_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A suspended process accepts nothing, but its kernel does, and delivers what it received before it reports a reset. So a
-// call that was given up can still be carried out, however long ago that was.
+// The kernel accepts connections and data for a suspended process, and delivers the data before it reports a reset. An
+// abandoned call can therefore still be executed much later.
 func TestResetOnClose_ReceiverStillReadsBufferedBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/peer/watch.go
+++ b/internal/peer/watch.go
@@ -10,127 +10,125 @@
 	"ferryspar/internal/retention"
 )
 
-// WatchRequest is a data plane's long poll at a control plane. It says what the data plane applies by now; the response
-// comes once there is something newer, or after MaxWaitMs.
+// WatchRequest is a data plane's long poll of a control plane. It contains the versions that the data plane has applied; the
+// control plane responds when it has newer ones, or after MaxWaitMs.
 type WatchRequest struct {
-	// Incarnation and Version repeat those of the last response from this control plane, empty and zero at first.
+	// Incarnation and Version are those of the last response from this control plane, empty and zero at first.
 	Incarnation string `json:"life"`
-	// DataPlane is the name of the data plane, Zone its zone.
-	DataPlane string `json:"daemon"`
-	Zone      string `json:"area"`
-	// Revision is that of the configuration that the data plane applies, ZoneVersion the one of the zones' state.
+	DataPlane   string `json:"daemon"`
+	Zone        string `json:"area"`
+	// Revision is the applied revision of the configuration, ZoneVersion the applied version of the zone states.
 	Revision    int64  `json:"revision,omitempty"`
 	ZoneVersion uint64 `json:"areaNumber,omitempty"`
-	// RosterVersion is that of the newest endpoint sets received from this incarnation of the control plane.
+	// RosterVersion is the roster version of the newest endpoint sets received from this incarnation of the control plane.
 	RosterVersion uint64 `json:"roster,omitempty"`
-	// Primary says that the data plane takes the configuration and endpoint sets from this control plane. From the
-	// others it only takes versions and the state of zones.
+	// Primary is set if this is the control plane from which the data plane receives the configuration and endpoint sets. The
+	// others send only versions and zone states.
 	Primary bool `json:"wants,omitempty"`
-	// MaxWaitMs is how long, in milliseconds, the control plane may keep the request pending.
+	// MaxWaitMs is the maximum time, in milliseconds, for which the control plane may keep the request pending.
 	MaxWaitMs int64  `json:"holdMs"`
 	Version   uint64 `json:"version"`
-	// ContextVersion is that of the last ContextUpdate applied, AppliedPurge the number of the last PurgeOrder that
-	// is carried out.
+	// ContextVersion is the version of the last ContextUpdate applied, AppliedPurge the number of the last PurgeOrder
+	// completed.
 	ContextVersion uint64 `json:"context,omitempty"`
 	AppliedPurge   uint64 `json:"forgot,omitempty"`
-	// Leaving says that the data plane shuts down.
+	// Leaving is set while the data plane shuts down.
 	Leaving bool `json:"leaving,omitempty"`
-	// SubscriptionSequence is that of the last SubscribeRequest that was answered, zero for none.
+	// SubscriptionSequence is the sequence number of the last SubscribeRequest that was answered, zero for none.
 	SubscriptionSequence uint64        `json:"follows,omitempty"`
 	Drill                *drill.Report `json:"drill,omitempty"`
-	// Address is where the data plane serves other data planes. NeighboursVersion is that of the list of these that it
-	// has.
+	// Address is the address at which the data plane serves other data planes, NeighboursVersion the version of its list of
+	// them.
 	Address           string `json:"address,omitempty"`
 	NeighboursVersion uint64 `json:"neighbours,omitempty"`
-	// Linearizable asks for a response whose state a majority confirmed after the request arrived. A data plane without
-	// a configuration asks for that: an earlier confirmation could be of a state that was replaced before it started.
+	// Linearizable requests a response whose state a majority confirmed after the request arrived. A data plane without a
+	// configuration sets it, because a state confirmed earlier could have been replaced before the data plane started.
 	Linearizable bool `json:"proof,omitempty"`
-	// ControlPlanesVersion is that of the ControlPlanes received last from this control plane.
+	// ControlPlanesVersion is the version of the last ControlPlanes received from this control plane.
 	ControlPlanesVersion uint64 `json:"controlNumber,omitempty"`
-	// AcceptsDeltas says that the data plane can apply differences to the configuration of Revision.
+	// AcceptsDeltas is set if the data plane can apply deltas to the configuration of Revision.
 	AcceptsDeltas bool `json:"differences,omitempty"`
 }
 
-// WatchResponse answers a WatchRequest. A data plane may rely on it only while it is fresh, see IsFresh.
+// WatchResponse answers a WatchRequest. A data plane may use it only while IsFresh.
 type WatchResponse struct {
-	// Member is the address of the control plane, Zone its zone and Incarnation that of its process.
+	// Member is the address of the control plane, Zone its zone and Incarnation identifies its process.
 	Member      string `json:"member"`
 	Zone        string `json:"area"`
 	Incarnation string `json:"life"`
-	// FreshMs is how much longer, in milliseconds, the state counted as confirmed by a majority when the response was
-	// made; zero if it did not. WaitedMs is how long the request had been pending by then.
+	// FreshMs is the remaining confirmation lease, in milliseconds, when the response was created; zero if the state was not
+	// confirmed by a majority. WaitedMs is how long the request had been pending by then.
 	FreshMs  int64 `json:"freshMs,omitempty"`
 	WaitedMs int64 `json:"heldMs,omitempty"`
-	// Linearizable says that the confirmation began after the request arrived.
+	// Linearizable is set if the confirmation began after the request arrived.
 	Linearizable bool `json:"proven,omitempty"`
-	// Version is that of the control plane's state as a whole, within its incarnation.
+	// Version is the version of the control plane's entire state, within its incarnation.
 	Version uint64 `json:"version"`
-	// Revision is that of the configuration in force. PackedConfiguration is the configuration itself, compressed; it
-	// is sent to a data plane whose primary this control plane is, if it applies an older one.
+	// Revision is the revision of the active configuration. CompressedConfiguration is its compressed document; it is sent
+	// only by the data plane's primary, if the data plane has an older revision.
 	Revision                int64  `json:"revision"`
 	CompressedConfiguration []byte `json:"packed,omitempty"`
-	// Deltas lead from the configuration that the data plane applies to that of Revision. They come in place of
-	// PackedConfiguration.
+	// Deltas lead from the data plane's configuration to that of Revision. They are sent instead of CompressedConfiguration.
 	Deltas []configuration.Delta `json:"differences,omitempty"`
-	// ZoneVersion is that of the zones' state. Zones is sent to data planes that have an older one.
+	// ZoneVersion is the version of the zone states. Zones is sent to data planes that have an older version.
 	ZoneVersion uint64               `json:"areaNumber"`
 	Zones       map[string]ZoneState `json:"areas,omitempty"`
-	// RosterVersion is that of EndpointSets, which are those that the data plane subscribed to and that changed.
-	// RosterAgeMs is how old, in milliseconds, the list of replicas is that they come from.
+	// EndpointSets holds the subscribed sets that changed, RosterVersion their roster version, and RosterAgeMs the age of that
+	// roster in milliseconds.
 	RosterVersion uint64        `json:"roster"`
 	RosterAgeMs   int64         `json:"rosterAge"`
 	EndpointSets  []EndpointSet `json:"parts,omitempty"`
-	// Resubscribe asks the data plane to send all its subscriptions anew.
+	// Resubscribe asks the data plane to resend all its subscriptions.
 	Resubscribe bool `json:"refollow,omitempty"`
-	// DataPlaneCount is how many data planes are live, by which limits that bind the fleet are divided.
+	// DataPlaneCount is the number of live data planes, among which fleet-wide limits are divided.
 	DataPlaneCount int `json:"edges"`
-	// LeaseHolder is the address of the placement lease's holder, ControlPlanes those of all control planes known; they are
-	// sent to a data plane that has another ControlPlanesVersion of them.
+	// LeaseHolder is the address of the placement lease holder. ControlPlanes are the addresses of all known control planes,
+	// sent to a data plane that has another ControlPlanesVersion.
 	LeaseHolder   string                 `json:"holder"`
 	ControlPlanes []string               `json:"control,omitempty"`
 	Context       *ContextUpdate         `json:"context,omitempty"`
 	Forecast      *drill.ForecastRequest `json:"question,omitempty"`
 	Drill         *drill.Notice          `json:"drill,omitempty"`
-	// CountedForMs is for how long, in milliseconds, the data plane has been among the DataPlaneCount.
+	// CountedForMs is how long, in milliseconds, the data plane has been included in DataPlaneCount.
 	CountedForMs int64 `json:"countedMs,omitempty"`
-	// CountReliable says that no live data plane can be missing from DataPlaneCount: the control plane has run for
-	// longer than it remembers a silent one.
+	// CountReliable is set if DataPlaneCount can't miss a live data plane, because the control plane has run for longer than
+	// it retains data planes that send no requests.
 	CountReliable bool `json:"edgesSure,omitempty"`
-	// EarlyDataPlaneCount is how many data planes have sent a request by now. It is known sooner after a start than
-	// DataPlaneCount.
+	// EarlyDataPlaneCount is the number of data planes that have sent a request so far. It is available sooner after a start
+	// than DataPlaneCount.
 	EarlyDataPlaneCount int `json:"present,omitempty"`
-	// Neighbours is sent to a data plane that has another version of it.
+	// Neighbours is sent to a data plane that has another version of the list.
 	Neighbours *Neighbours `json:"neighbours,omitempty"`
-	// ControlPlanesVersion tells lists of control planes apart.
+	// ControlPlanesVersion is the version of ControlPlanes.
 	ControlPlanesVersion uint64 `json:"controlNumber,omitempty"`
 }
 
-// HasConfiguration says whether the response brings a configuration, whole or by differences.
+// HasConfiguration reports whether the response contains a configuration, complete or as deltas.
 func (r *WatchResponse) HasConfiguration() bool {
 	return len(r.CompressedConfiguration) > 0 || len(r.Deltas) > 0
 }
 
-// ZoneState is whether a zone is drained, and the version of the change that said so.
+// ZoneState is whether a zone is drained, and the version of the change that set it.
 type ZoneState struct {
 	Version uint64 `json:"number"`
 	Drained bool   `json:"drained"`
 }
 
-// ContextUpdate is how long cached context may be kept (MaxAgeMs, in milliseconds; zero for no limit), and the orders to
-// forget some of it.
+// ContextUpdate is the retention limit of cached context (MaxAgeMs, in milliseconds; zero for no limit) and the orders to
+// purge some of it.
 type ContextUpdate struct {
 	Version  uint64       `json:"number"`
 	MaxAgeMs int64        `json:"lifeMs"`
 	Purges   []PurgeOrder `json:"forgets,omitempty"`
 }
 
-// PurgeOrder orders data planes to drop cached context of a scope.
+// PurgeOrder orders data planes to discard the cached context of a scope.
 type PurgeOrder struct {
 	Number uint64          `json:"number"`
 	Scope  retention.Scope `json:"scope"`
 }
 
-// Neighbours lists the data planes that keep quota pools for tenants. Equal lists have equal versions.
+// Neighbours lists the data planes that hold quota pools of tenants. Equal lists have equal versions.
 type Neighbours struct {
 	Version uint64      `json:"mark"`
 	List    []Neighbour `json:"list"`
@@ -151,14 +149,14 @@
 	Address string `json:"address"`
 }
 
-// ConfirmationLease is how long a confirmation by a majority may be relied on. It is a lease: it is counted from before
-// the members were asked, by a monotonic clock, and checked anew for each response, so that no suspended process or
-// blocked loop outlives it.
+// ConfirmationLease is how long a majority's confirmation is valid. The lease starts before the members are asked, is
+// measured with a monotonic clock and is checked for each response, so that a suspended process or a blocked loop can't
+// outlive it.
 const ConfirmationLease = 1100 * time.Millisecond
 
-// ConfirmedAt returns the latest moment at which the confirmation of the state can have begun: all that was
-// acknowledged before is in the state. It is by the requester's clock, from when it sent the request, and zero if the
-// state was not confirmed.
+// ConfirmedAt returns the latest time, by the requester's clock, at which the confirmation of the state can have begun: the
+// state includes everything acknowledged before. sentAt is when the request was sent. The result is zero if the state was
+// not confirmed.
 func (r WatchResponse) ConfirmedAt(sentAt time.Time) time.Time {
 	if r.FreshMs <= 0 {
 		return time.Time{}
@@ -167,14 +165,13 @@
 	return sentAt.Add(remaining - ConfirmationLease)
 }
 
-// IsFresh says whether the state still counts as confirmed by a majority. The rest of the lease is counted from when the
-// request was sent plus the time for which it was pending, so that a response that was long on its way isn't taken for a
-// fresh one.
+// IsFresh reports whether the confirmation lease of the state is still valid. The remaining lease is counted from the time
+// at which the request was sent plus the time for which it was pending, so that a delayed response does not count as fresh.
 func (r WatchResponse) IsFresh(sentAt, now time.Time) bool {
 	return isFresh(sentAt, r.WaitedMs+r.FreshMs, r.FreshMs, now)
 }
 
-// isFresh says whether a lease of which remainingMs were left is still valid until untilMs after the request was sent.
+// isFresh reports whether a lease that had remainingMs left, and ends untilMs after the request was sent, is still valid.
 func isFresh(sentAt time.Time, untilMs, remainingMs int64, now time.Time) bool {
 	return remainingMs > 0 && now.Before(sentAt.Add(time.Duration(untilMs)*time.Millisecond))
 }
