--- a/internal/configuration/compress.go
+++ b/internal/configuration/compress.go
@@ -6,19 +6,19 @@
 	"io"
 )
 
-// maxDocumentBytes limits what Decompress returns, so that a small message cannot fill the memory.
+// maxDocumentBytes limits the result of Decompress, so that a small message cannot exhaust memory.
 const maxDocumentBytes = 64 << 20
 
-// Compress compresses a configuration's document for sending and storing.
+// Compress compresses a configuration document for transmission and storage.
 func Compress(document []byte) []byte {
 	var compressed bytes.Buffer
-	writer, _ := flate.NewWriter(&compressed, flate.BestSpeed) // fails only for an invalid level
-	_, _ = writer.Write(document)                              // a bytes.Buffer does not fail
+	writer, _ := flate.NewWriter(&compressed, flate.BestSpeed) // fails only for an invalid compression level
+	_, _ = writer.Write(document)                              // writes to a bytes.Buffer do not fail
 	_ = writer.Close()
 	return compressed.Bytes()
 }
 
-// Decompress undoes Compress. The result is truncated at 64 MiB.
+// Decompress reverses Compress. The result is truncated to 64 MiB.
 func Decompress(compressed []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(compressed))
 	defer reader.Close()
--- a/internal/configuration/configuration_bench_test.go
+++ b/internal/configuration/configuration_bench_test.go
@@ -63,9 +63,9 @@
 	runAtSizes(b, func(b *testing.B, document []byte) {
 		packed := Compress(document)
 		for b.Loop() {
-			unpacked, err := Decompress(packed)
+			decompressed, err := Decompress(packed)
 			assert.NilError(b, err)
-			read, err := Decode(unpacked)
+			read, err := Decode(decompressed)
 			assert.NilError(b, err)
 			NewTable(read, nil)
 		}
--- a/internal/configuration/delta.go
+++ b/internal/configuration/delta.go
@@ -8,21 +8,21 @@
 	"github.com/pkg/errors"
 )
 
-// ErrDigestMismatch says that a difference did not lead to the configuration that it was made for.
-var ErrDigestMismatch = errors.New("configuration is another one than its digest says")
+// ErrDigestMismatch is returned if applying a delta does not result in the configuration that it was created for.
+var ErrDigestMismatch = errors.New("configuration digest mismatch after applying delta")
 
-// Delta leads from one revision of a configuration to a later one.
+// Delta is the difference between a revision of a configuration and a later one.
 type Delta struct {
-	// Base is the revision that Patch changes, Revision the one that it leads to.
+	// Base is the revision to which Patch applies, Revision the resulting one.
 	Base     int64 `json:"base"`
 	Revision int64 `json:"revision"`
-	// Patch is a change as ApplyPatch takes it, of routes only.
+	// Patch is a patch as for ApplyPatch that changes only routes.
 	Patch json.RawMessage `json:"patch"`
-	// Digest is that of the items that it leads to.
+	// Digest is the digest of the resulting IndexedDocument.
 	Digest uint64 `json:"digest"`
 }
 
-// NewDelta returns the difference between two configurations, or false if they differ in more than routes.
+// NewDelta returns the delta between two configurations, or false if they differ in more than routes.
 func NewDelta(base, next *IndexedDocument) (Delta, bool) {
 	if !maps.EqualFunc(base.members, next.members, func(left, right json.RawMessage) bool { return bytes.Equal(left, right) }) {
 		return Delta{}, false
@@ -54,25 +54,25 @@
 	return Delta{Base: base.revision, Revision: next.revision, Patch: content, Digest: next.Digest()}, err == nil
 }
 
-// applyDifferences applies those of a chain of differences that lead beyond the items' revision. It returns the names of the
-// routes that they write besides.
-func (i *IndexedDocument) applyDifferences(chain []Delta) (*IndexedDocument, map[string]bool, error) {
+// applyDeltas applies the deltas of a chain whose revision is above the document's. It also returns the names of the routes
+// that they write.
+func (i *IndexedDocument) applyDeltas(chain []Delta) (*IndexedDocument, map[string]bool, error) {
 	indexed, written := i, map[string]bool{}
-	for _, difference := range chain {
-		if difference.Revision <= indexed.revision {
+	for _, delta := range chain {
+		if delta.Revision <= indexed.revision {
 			continue
 		}
-		if difference.Base != indexed.revision {
-			return nil, nil, errors.Errorf("difference is from revision %d, not %d", difference.Base, indexed.revision)
+		if delta.Base != indexed.revision {
+			return nil, nil, errors.Errorf("delta is based on revision %d, not %d", delta.Base, indexed.revision)
 		}
-		next, err := indexed.Apply(difference.Patch)
+		next, err := indexed.Apply(delta.Patch)
 		if err != nil {
 			return nil, nil, err
 		}
-		if next.Digest() != difference.Digest {
+		if next.Digest() != delta.Digest {
 			return nil, nil, ErrDigestMismatch
 		}
-		patch, _ := parsePatch(difference.Patch)
+		patch, _ := parsePatch(delta.Patch)
 		routes, _ := parseNamedItems(routesSection, patch.Upsert[routesSection])
 		for _, route := range routes {
 			written[route.name] = true
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -6,23 +6,23 @@
 	"github.com/pkg/errors"
 )
 
-// Follower follows the revisions of a configuration, by differences where it can, and keeps the table of the newest. It is not
-// safe for concurrent use; the tables are.
+// Follower tracks the newest revision of a configuration, from full documents or deltas, and holds its table. It is not safe
+// for concurrent use; the tables are.
 type Follower struct {
 	table *Table
-	// tenants are those of the newest configuration, with their keys.
+	// tenants are the tenants of the newest configuration, with their keys.
 	tenants []Tenant
 	indexed *IndexedDocument
-	// document is what the items are divided from once a difference comes, nil if they are divided.
+	// document is the document from which indexed is built when the first delta arrives, nil afterwards.
 	document []byte
-	// refused says that a difference could not be applied; the next configuration must come whole.
-	refused bool
+	// needsFull is set if a delta could not be applied; the next configuration must be a full one.
+	needsFull bool
 }
 
-// Table is that of the newest configuration, nil before the first.
+// Table returns the table of the newest configuration, nil before the first.
 func (f *Follower) Table() *Table { return f.table }
 
-// Revision is that of the newest configuration, 0 before the first.
+// Revision returns the revision of the newest configuration, 0 before the first.
 func (f *Follower) Revision() int64 {
 	if f.table == nil {
 		return 0
@@ -30,17 +30,17 @@
 	return f.table.Configuration.Revision
 }
 
-// Tenants are those of the newest configuration, with their keys.
+// Tenants returns the tenants of the newest configuration, with their keys.
 func (f *Follower) Tenants() []Tenant { return f.tenants }
 
-// AcceptsDeltas says whether a difference from the newest configuration may be applied.
-func (f *Follower) AcceptsDeltas() bool { return f.table != nil && !f.refused }
+// AcceptsDeltas reports whether Apply accepts a delta to the newest configuration.
+func (f *Follower) AcceptsDeltas() bool { return f.table != nil && !f.needsFull }
 
-// Replace adopts a whole configuration, as Compress packed it. After an error the one before stays.
+// Replace adopts a full configuration, compressed by Compress. After an error the previous one stays in use.
 func (f *Follower) Replace(packed []byte) error {
 	document, err := Decompress(packed)
 	if err != nil {
-		return errors.Wrap(err, "unpack")
+		return errors.Wrap(err, "decompress")
 	}
 	decoded, err := Decode(document)
 	if err != nil {
@@ -50,21 +50,21 @@
 	return nil
 }
 
-// Apply adopts a chain of differences. Those that lead to revisions adopted before are passed over. After an error the
-// configuration stays as it was, and none is taken until Replace.
+// Apply adopts a chain of deltas, skipping those to revisions adopted before. After an error the configuration is unchanged,
+// and no further deltas are accepted until Replace.
 func (f *Follower) Apply(chain []Delta) error {
-	if err := f.divide(); err != nil {
-		f.refused = true
+	if err := f.buildIndex(); err != nil {
+		f.needsFull = true
 		return err
 	}
-	indexed, written, err := f.indexed.applyDifferences(chain)
+	indexed, written, err := f.indexed.applyDeltas(chain)
 	if err != nil {
-		f.refused = true
+		f.needsFull = true
 		return err
 	}
 	routes, err := f.routesOf(indexed, written)
 	if err != nil {
-		f.refused = true
+		f.needsFull = true
 		return err
 	}
 	f.indexed, f.table = indexed, f.table.withRoutes(indexed.revision, routes)
@@ -79,9 +79,9 @@
 	return f.document
 }
 
-// divide divides the document if that hasn't been done. Most nodes never get a difference for their first configuration, and
-// all get that one at once.
-func (f *Follower) divide() error {
+// buildIndex indexes the document unless it is indexed already. It runs only once a delta arrives, because all nodes receive
+// a full configuration at the same time and most never receive a delta for it.
+func (f *Follower) buildIndex() error {
 	if f.indexed != nil {
 		return nil
 	}
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// routesOf returns the routes of items in their order: those that were written are decoded, all others are in the table.
+// routesOf returns the routes of indexed in their order. It decodes only written routes and copies the others from the table.
 func (f *Follower) routesOf(indexed *IndexedDocument, written map[string]bool) ([]Route, error) {
 	present := make(map[string]int, len(f.table.Configuration.Routes))
 	for index := range f.table.Configuration.Routes {
--- a/internal/configuration/indexeddocument.go
+++ b/internal/configuration/indexeddocument.go
@@ -16,7 +16,7 @@
 // routesSection is the member of a document that lists the routes.
 const routesSection = "routeTable"
 
-// btreeDegree is that of the trees of Items.
+// btreeDegree is the degree of the B-trees of IndexedDocument.
 const btreeDegree = 16
 
 // IndexedDocument is a validated configuration document whose routes are indexed by position, name and match key. A later
@@ -26,15 +26,14 @@
 // take longer than callers wait when the configuration is large.
 type IndexedDocument struct {
 	revision int64
-	// members are the members of the document other than the revision and the routes, in the document's own bytes.
-	members map[string]json.RawMessage
-	// services are the names of the backends.
-	services map[string]bool
-	// routes are in the order of the document.
+	// members holds the raw JSON members of the document other than the revision and the routes.
+	members      map[string]json.RawMessage
+	backendNames map[string]bool
+	// routes is ordered by position in the document.
 	routes *btree.BTreeG[routeItem]
 	byName *btree.BTreeG[routeItem]
 	byKey  *btree.BTreeG[routeItem]
-	// nextPosition is that of the next route that is added.
+	// nextPosition is the position of the next route to be added.
 	nextPosition int
 	// routesDigest is the sum of the digests of all routes.
 	routesDigest uint64
@@ -44,16 +43,18 @@
 type routeItem struct {
 	position int
 	name     string
-	// key is what requests are matched by; no two routes have the same.
+	// key is the match key (see Route.key), which is unique.
 	key     string
 	content json.RawMessage
 }
 
-// ErrNotIndexable says that a document or a change cannot be handled by items: it has to be parsed as a whole.
-var ErrNotIndexable = errors.New("not a configuration of separate routes")
+// ErrNotIndexable is returned for a document or patch that IndexedDocument does not support; the caller must parse the full
+// document instead.
+var ErrNotIndexable = errors.New("configuration or patch cannot be indexed by route")
 
-// IndexDocument divides a document that Parse has read as that configuration. It returns ErrNotIndexable for one whose routes stand
-// under several spellings of a member's name.
+// IndexDocument indexes a document that Parse has decoded to configuration. It returns ErrNotIndexable if the routes are not
+// listed under the exact name of their section: JSON decoding matches names case-insensitively, which makes the document
+// ambiguous.
 func IndexDocument(document []byte, configuration Configuration) (*IndexedDocument, error) {
 	members := map[string]json.RawMessage{}
 	if err := json.Unmarshal(document, &members); err != nil {
@@ -65,14 +66,14 @@
 	}
 	delete(members, revisionSection)
 	delete(members, routesSection)
-	indexed := newItems(configuration.Revision)
+	indexed := newIndexedDocument(configuration.Revision)
 	for name, content := range members {
 		if indexed.members[name], err = json.Marshal(content); err != nil {
 			return nil, ErrNotIndexable
 		}
 	}
 	for _, backend := range configuration.Backends {
-		indexed.services[backend.Name] = true
+		indexed.backendNames[backend.Name] = true
 	}
 	for index, route := range routes {
 		content, err := json.Marshal(route.content)
@@ -84,18 +85,18 @@
 	return indexed, nil
 }
 
-func newItems(revision int64) *IndexedDocument {
+func newIndexedDocument(revision int64) *IndexedDocument {
 	return &IndexedDocument{
-		revision: revision,
-		members:  map[string]json.RawMessage{},
-		services: map[string]bool{},
-		routes:   btree.NewG(btreeDegree, func(left, right routeItem) bool { return left.position < right.position }),
-		byName:   btree.NewG(btreeDegree, func(left, right routeItem) bool { return left.name < right.name }),
-		byKey:    btree.NewG(btreeDegree, func(left, right routeItem) bool { return left.key < right.key }),
+		revision:     revision,
+		members:      map[string]json.RawMessage{},
+		backendNames: map[string]bool{},
+		routes:       btree.NewG(btreeDegree, func(left, right routeItem) bool { return left.position < right.position }),
+		byName:       btree.NewG(btreeDegree, func(left, right routeItem) bool { return left.name < right.name }),
+		byKey:        btree.NewG(btreeDegree, func(left, right routeItem) bool { return left.key < right.key }),
 	}
 }
 
-// digest tells routes apart by name and content. Where they stand in the document is no part of it.
+// digest returns a hash of the name and content, independent of the position in the document.
 func (r routeItem) digest() uint64 {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(r.name + "\x00")
@@ -103,8 +104,8 @@
 	return hash.Sum64()
 }
 
-// Digest tells configurations apart by what they say, whatever the order of their routes. Two nodes that hold items of the same
-// digest hold the same configuration.
+// Digest returns a hash of the configuration that is independent of the order of its routes. Nodes use it to verify that they
+// hold the same configuration.
 func (i *IndexedDocument) Digest() uint64 {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(strconv.FormatInt(i.revision, 10))
@@ -115,14 +116,14 @@
 	return hash.Sum64() + i.routesDigest
 }
 
-// key is what requests are matched to the route by.
+// key returns the match key of the route: lower-case hostname and path prefix.
 func (r Route) key() string { return strings.ToLower(r.Hostname) + " " + r.PathPrefix }
 
-// Revision is that of the configuration.
+// Revision returns the revision of the configuration.
 func (i *IndexedDocument) Revision() int64 { return i.revision }
 
-// Apply returns the items with a change made to them, checked as Parse checks the whole document. It returns ErrNotIndexable
-// for a change of anything but routes.
+// Apply returns the document after a patch, validated as by Parse. It returns ErrNotIndexable for a patch that changes
+// anything but routes.
 func (i *IndexedDocument) Apply(change []byte) (*IndexedDocument, error) {
 	patch, err := parsePatch(change)
 	if err != nil {
@@ -160,8 +161,8 @@
 	return revision, nil
 }
 
-// decodeRoutes reads and checks the routes of a list that are not to be removed. Of several with one name the last counts,
-// at the place of the first.
+// decodeRoutes decodes and validates the routes of a list, except those to be removed. If a name is repeated, the last route
+// replaces the first at its position.
 func (i *IndexedDocument) decodeRoutes(list json.RawMessage, removed []string) ([]routeItem, error) {
 	named, err := parseNamedItems(routesSection, list)
 	if err != nil {
@@ -182,20 +183,20 @@
 		routes[position].content = item.content
 	}
 	for position := range routes {
-		if err := i.check(&routes[position]); err != nil {
+		if err := i.validate(&routes[position]); err != nil {
 			return nil, err
 		}
 	}
 	return routes, nil
 }
 
-// check checks a route by its content, and fills in its key.
-func (i *IndexedDocument) check(item *routeItem) error {
+// validate validates the content of a route and sets its key.
+func (i *IndexedDocument) validate(item *routeItem) error {
 	var route Route
 	if err := json.Unmarshal(item.content, &route); err != nil {
 		return decodeError(err)
 	}
-	if err := route.check(item.position, i.services, nil); err != nil {
+	if err := route.validate(item.position, i.backendNames, nil); err != nil {
 		return err
 	}
 	content, err := json.Marshal(item.content)
@@ -206,12 +207,12 @@
 	return nil
 }
 
-// replace inserts routes in place of those of the same names, or behind all others.
+// replace inserts routes in place of those with the same names, or after all others.
 //
-// All those that are replaced give up their keys before one of them is taken, so that two routes may swap theirs.
+// It frees the keys of all replaced routes before it inserts the new ones, so that two routes may swap their keys.
 func (i *IndexedDocument) replace(routes []routeItem) error {
 	for index := range routes {
-		routes[index].position = i.release(routes[index].name)
+		routes[index].position = i.freeKey(routes[index].name)
 	}
 	for _, route := range routes {
 		if other, taken := i.byKey.Get(route); taken {
@@ -222,7 +223,7 @@
 	return nil
 }
 
-// clone returns a copy that shares its trees with the original until either changes.
+// clone returns a copy whose trees share nodes with the original (copy-on-write).
 func (i *IndexedDocument) clone() *IndexedDocument {
 	next := *i
 	next.routes, next.byName, next.byKey = i.routes.Clone(), i.byName.Clone(), i.byKey.Clone()
@@ -247,9 +248,9 @@
 	}
 }
 
-// release gives up the key of a route that is to be replaced, and returns the position for the next one: its own, or a new
-// one if there is no such route.
-func (i *IndexedDocument) release(name string) int {
+// freeKey frees the key of a route that is to be replaced, and returns the position for its replacement: that of the route, or
+// a new one if there is no such route.
+func (i *IndexedDocument) freeKey(name string) int {
 	route, known := i.byName.Get(routeItem{name: name})
 	if !known {
 		i.nextPosition++
@@ -259,7 +260,7 @@
 	return route.position
 }
 
-// Document renders the document, in the canonical form of ApplyPatch: members sorted by name, without space.
+// Document returns the JSON document in the canonical form of ApplyPatch: members sorted by name, without whitespace.
 func (i *IndexedDocument) Document() []byte {
 	var document bytes.Buffer
 	names := slices.AppendSeq([]string{revisionSection, routesSection}, maps.Keys(i.members))
--- a/internal/configuration/indexeddocument_test.go
+++ b/internal/configuration/indexeddocument_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func divided(t testing.TB, document []byte) *IndexedDocument {
+func mustIndex(t testing.TB, document []byte) *IndexedDocument {
 	t.Helper()
 	parsed, err := Parse(document)
 	assert.NilError(t, err)
@@ -19,46 +19,47 @@
 	return indexed
 }
 
-// checkAgainstWhole applies a change to the items and to the whole document, and expects the same document or a rejection of
-// both. It returns the items that are then in force.
-func checkAgainstWhole(t testing.TB, indexed *IndexedDocument, change []byte) *IndexedDocument {
+// checkAgainstApplyPatch applies a patch to the indexed document and, with ApplyPatch, to the full one. It checks that both
+// result in the same document or both reject the patch, and returns the resulting indexed document.
+func checkAgainstApplyPatch(t testing.TB, indexed *IndexedDocument, change []byte) *IndexedDocument {
 	t.Helper()
 	before := indexed.Document()
 	next, err := indexed.Apply(change)
 	if errors.Is(err, ErrNotIndexable) {
 		return indexed
 	}
-	whole, wholeErr := ApplyPatch(before, change)
-	if wholeErr == nil {
-		_, wholeErr = Parse(whole)
+	full, fullErr := ApplyPatch(before, change)
+	if fullErr == nil {
+		_, fullErr = Parse(full)
 	}
-	assert.Equal(t, err == nil, wholeErr == nil, "%s: by items %v, as a whole %v", change, err, wholeErr)
-	assert.Equal(t, string(indexed.Document()), string(before), "the items of before are unchanged")
+	assert.Equal(t, err == nil, fullErr == nil, "%s: indexed %v, full %v", change, err, fullErr)
+	assert.Equal(t, string(indexed.Document()), string(before), "the original is unchanged")
 	if err != nil {
 		return indexed
 	}
-	assert.Equal(t, string(next.Document()), string(whole), "%s", change)
+	assert.Equal(t, string(next.Document()), string(full), "%s", change)
 	return next
 }
 
-func TestItems_ApplyEqualsPatchOfTheWholeDocument(t *testing.T) {
+func TestIndexedDocument_ApplyEqualsApplyPatch(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		random := rand.New(rand.NewPCG(seed, 0))
-		indexed := divided(t, exampleDocument(3, 12))
+		indexed := mustIndex(t, exampleDocument(3, 12))
 		applied := 0
 		for step := range 60 {
 			change := randomRoutePatch(random, 8+step)
-			next := checkAgainstWhole(t, indexed, change)
+			next := checkAgainstApplyPatch(t, indexed, change)
 			if next != indexed {
 				applied++
 			}
 			indexed = next
 		}
-		assert.Assert(t, applied > 10, "%d of 60 changes of seed %d were valid", applied, seed)
+		assert.Assert(t, applied > 10, "seed %[2]d: only %[1]d of 60 patches were valid", applied, seed)
 	}
 }
 
-// randomRoutePatch adds, replaces and removes a few routes; some of them collide, name no service or are no routes.
+// randomRoutePatch returns a patch that adds, replaces and removes a few routes. Some of them have conflicting keys, an unknown
+// backend or a timeout of 0.
 func randomRoutePatch(random *rand.Rand, revision int) []byte {
 	patch := Patch{Upsert: map[string]json.RawMessage{}, Remove: map[string][]string{}}
 	patch.Revision, _ = json.Marshal(revision)
@@ -86,16 +87,16 @@
 	return change
 }
 
-func TestItems_RoutesMaySwapTheirKeys(t *testing.T) {
-	indexed := divided(t, exampleDocument(1, 2))
+func TestIndexedDocument_RoutesMaySwapKeys(t *testing.T) {
+	indexed := mustIndex(t, exampleDocument(1, 2))
 	swapped := fmt.Sprintf(`{"revision":8,"upsert":{"routeTable":[%s,%s]}}`,
 		`{"name":"r-0000","hostname":"shop.example","pathPrefix":"/tell0001/","timeoutMs":1,"backend":"writers"}`,
 		`{"name":"r-0001","hostname":"shop.example","pathPrefix":"/tell0000/","timeoutMs":1,"backend":"writers"}`)
-	next := checkAgainstWhole(t, indexed, []byte(swapped))
+	next := checkAgainstApplyPatch(t, indexed, []byte(swapped))
 	assert.Equal(t, next.Revision(), int64(8))
 }
 
-func TestDivide_LeavesAmbiguousDocumentsWhole(t *testing.T) {
+func TestIndexDocument_RejectsAmbiguousDocuments(t *testing.T) {
 	document := []byte(`{"revision":1,"backends":[{"name":"s"}],
 		"RouteTable":[{"name":"q","hostname":"h","pathPrefix":"/","timeoutMs":1,"backend":"s"}]}`)
 	parsed, err := Parse(document)
@@ -104,11 +105,11 @@
 	assert.ErrorIs(t, err, ErrNotIndexable)
 }
 
-func FuzzItems_Apply(f *testing.F) {
+func FuzzIndexedDocument_Apply(f *testing.F) {
 	f.Add([]byte(`{"revision":9,"upsert":{"routeTable":[
 		{"name":"r-0001","hostname":"a","pathPrefix":"/","timeoutMs":1,"backend":"writers"}]}}`))
 	f.Add([]byte(`{"revision":null,"remove":{"routeTable":["r-0001","r-0001"]}}`))
 	f.Add([]byte(`{"revision":9,"upsert":{"routeTable":null},"remove":{"routeTable":[]}}`))
 	document := exampleDocument(2, 4)
-	f.Fuzz(func(t *testing.T, change []byte) { checkAgainstWhole(t, divided(t, document), change) })
+	f.Fuzz(func(t *testing.T, change []byte) { checkAgainstApplyPatch(t, mustIndex(t, document), change) })
 }
--- a/internal/configuration/keys.go
+++ b/internal/configuration/keys.go
@@ -9,27 +9,26 @@
 	"strings"
 )
 
-// APIKey is the secret by which a request proves its tenant. However it is formatted, only its digest is
-// shown; the key itself is written by encoding/json alone, where a configuration is stored or sent.
+// APIKey is the secret that authenticates the tenant of a request. Formatting it with any verb shows only its digest; only
+// encoding/json writes the key itself, where a configuration is stored or sent.
 type APIKey string
 
-// KeyHash replaces a key in look-ups, so that no key needs to be kept.
+// KeyHash is the hash by which keys are looked up, so that keys need not be kept in memory.
 type KeyHash [sha256.Size]byte
 
 const (
-	// tenantsSection is the member of a document that contains tenants and so keys.
+	// tenantsSection is the member of a document that lists the tenants with their keys.
 	tenantsSection = "tenants"
-	// digestPrefix begins a key's digest, so that neither can be mistaken for the other.
+	// digestPrefix is the prefix of key digests, which distinguishes them from keys.
 	digestPrefix = "sha256:"
-	// digestBytes is how much of the hash a digest shows: enough to distinguish keys, too little to confirm a
-	// guess.
+	// digestBytes is the number of hash bytes in a digest: enough to distinguish keys, too few to confirm a guessed key.
 	digestBytes = 4
 )
 
 // HashKey returns the hash of a key as a client sent it.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// Digest returns what logs and status show for the key. That of a digest is the digest itself.
+// Digest returns the digest that logs and status show for the key. It returns a digest unchanged.
 func (k APIKey) Digest() string {
 	if k.isDigest() {
 		return string(k)
@@ -40,10 +39,10 @@
 
 func (k APIKey) isDigest() bool { return strings.HasPrefix(string(k), digestPrefix) }
 
-// Format writes the digest for every verb.
+// Format implements fmt.Formatter; it writes the digest for every verb.
 func (k APIKey) Format(state fmt.State, _ rune) { _, _ = io.WriteString(state, k.Digest()) }
 
-// invalidReason says why the key cannot be used, without revealing it; empty for a valid one.
+// invalidReason returns why the key is invalid, without revealing it, or an empty string for a valid one.
 func (k APIKey) invalidReason() string {
 	switch {
 	case k == "":
@@ -70,7 +69,7 @@
 	return c
 }
 
-// RedactDocument returns a configuration's document with a digest in place of each key.
+// RedactDocument returns a configuration document with a digest in place of each key.
 func RedactDocument(document []byte) ([]byte, error) {
 	decoded, err := Decode(document)
 	if err != nil {
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -8,7 +8,7 @@
 // revisionSection is the member of a document that holds its revision.
 const revisionSection = "revision"
 
-// Patch is a change of a configuration: items to add or replace and names to remove, by section.
+// Patch is a change of a configuration: items to add or replace, and names of items to remove, by section.
 type Patch struct {
 	Revision json.RawMessage            `json:"revision"`
 	Upsert   map[string]json.RawMessage `json:"upsert"`
@@ -30,8 +30,8 @@
 	return names
 }
 
-// ApplyPatch returns the document with the change made to it, unchecked: members that the change does not
-// name stay byte for byte. Errors are of kind apierror.InvalidConfiguration if the change cannot be read.
+// ApplyPatch returns the document after a patch, without validating it. Members that the patch does not name are preserved
+// byte for byte. The error is of kind apierror.InvalidConfiguration if the patch cannot be decoded.
 func ApplyPatch(document, change []byte) ([]byte, error) {
 	patch, err := parsePatch(change)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return json.Marshal(result)
 }
 
-// parsePatch reads a change; it must state a revision.
+// parsePatch decodes a patch, which must have a revision.
 func parsePatch(change []byte) (Patch, error) {
 	var patch Patch
 	if err := json.Unmarshal(change, &patch); err != nil {
@@ -66,8 +66,8 @@
 	return patch, nil
 }
 
-// mergeSection returns a section with items added or replaced by name, and then items removed. A section that
-// is not a list of named items can only be replaced as a whole.
+// mergeSection returns a section after adding or replacing items by name and then removing items. A section that is not a
+// list of named items can only be replaced entirely.
 func mergeSection(section string, present, upsert json.RawMessage, remove []string) (json.RawMessage, error) {
 	items, err := parseNamedItems(section, present)
 	if err != nil {
@@ -114,7 +114,7 @@
 	content json.RawMessage
 }
 
-// parseNamedItems splits a section into its items. Each must have a name.
+// parseNamedItems splits a section into its items, each of which must have a name.
 func parseNamedItems(section string, list json.RawMessage) ([]namedItem, error) {
 	if len(list) == 0 {
 		return nil, nil
--- a/internal/configuration/pinned_test.go
+++ b/internal/configuration/pinned_test.go
@@ -34,7 +34,7 @@
 	assert.DeepEqual(t, read, filled)
 }
 
-func TestUnpack_ReadsWhatAnEarlierVersionPacked(t *testing.T) {
+func TestDecompress_ReadsDataOfEarlierVersion(t *testing.T) {
 	const packed = "testdata/packed.deflate"
 	const document = `{"revision":3,"routeTable":[],"backends":[],"limits":{}}`
 	if _, err := os.Stat(packed); pinned.Updating() && os.IsNotExist(err) {
@@ -42,9 +42,9 @@
 	}
 	content, err := os.ReadFile(packed)
 	assert.NilError(t, err)
-	unpacked, err := Decompress(content)
+	decompressed, err := Decompress(content)
 	assert.NilError(t, err)
-	assert.Equal(t, string(unpacked), document)
+	assert.Equal(t, string(decompressed), document)
 }
 
 func TestAPIKey_DigestStaysTheSame(t *testing.T) {
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Table answers look-ups in one configuration. It is immutable and safe for concurrent use.
+// Table provides lookups in one configuration. It is immutable and safe for concurrent use.
 type Table struct {
-	Configuration Configuration             // with digests in place of keys
-	Document      []byte                    // it was read from, or nil
+	Configuration Configuration             // with redacted keys
+	Document      []byte                    // source document, or nil
 	hosts         map[string]map[string]int // route position by host and path prefix
 	backends      map[string]int            // position by name
 	models        []map[string]int          // position by backend position and name
 	tenants       map[KeyHash]TenantNumber
 }
 
-// NewTable returns the table of a configuration. document is what it was read from, nil if nobody needs it.
-// The table keeps only hashes of keys.
+// NewTable returns the table of a configuration. document is its source, or nil if not needed. The table keeps only hashes of
+// keys.
 func NewTable(source Configuration, document []byte) *Table {
 	table := &Table{
 		Configuration: source,
@@ -53,7 +53,7 @@
 	}
 }
 
-// withRoutes returns the table of a revision that has other routes, and shares all else with this one.
+// withRoutes returns a table with another revision and other routes that shares everything else with this one.
 func (t *Table) withRoutes(revision int64, routes []Route) *Table {
 	next := *t
 	next.Configuration.Revision, next.Configuration.Routes = revision, routes
@@ -73,7 +73,7 @@
 	}
 }
 
-// TenantByName returns the tenant of a name, nil if there is none.
+// TenantByName returns the tenant with the name, or nil.
 func (t *Table) TenantByName(name string) *Tenant {
 	for index := range t.Configuration.Tenants {
 		if t.Configuration.Tenants[index].Name == name {
@@ -83,13 +83,13 @@
 	return nil
 }
 
-// RequiresKeys reports whether requests must carry a key, except on public routes.
+// RequiresKeys reports whether requests need an API key, except on public routes.
 func (t *Table) RequiresKeys() bool { return t.Configuration.Tenants != nil }
 
-// FindTenant returns the number of the tenant that holds a key, or NoTenant.
+// FindTenant returns the number of the tenant that owns a key, or NoTenant.
 func (t *Table) FindTenant(key KeyHash) TenantNumber { return t.tenants[key] }
 
-// Tenant returns the tenant of a number, nil for NoTenant. Its keys are digests.
+// Tenant returns the tenant with the number, nil for NoTenant. Its keys are redacted.
 func (t *Table) Tenant(number TenantNumber) *Tenant {
 	if number <= NoTenant || int(number) > len(t.Configuration.Tenants) {
 		return nil
@@ -97,7 +97,7 @@
 	return &t.Configuration.Tenants[number-1]
 }
 
-// FindRoute returns the route of a request by its host and the longest path prefix.
+// FindRoute returns the route that matches the host and has the longest matching path prefix.
 func (t *Table) FindRoute(hostHeader, path string) (*Route, bool) {
 	host := strings.ToLower(hostHeader)
 	if name, _, err := net.SplitHostPort(host); err == nil {
@@ -118,7 +118,7 @@
 	return nil, false
 }
 
-// Backend returns a backend and its index, by name.
+// Backend returns the backend with the name and its index.
 func (t *Table) Backend(name string) (*Backend, int, bool) {
 	index, found := t.backends[name]
 	if !found {
@@ -127,7 +127,7 @@
 	return &t.Configuration.Backends[index], index, true
 }
 
-// HasModel reports whether the backend at the index lists the reference, "model" or "model/adapter".
+// HasModel reports whether the backend at the index has the referenced model or adapter: "model" or "model/adapter".
 func (t *Table) HasModel(backend int, reference string) bool {
 	model, adapter, _ := strings.Cut(reference, "/")
 	position, found := t.models[backend][model]
@@ -150,19 +150,19 @@
 	return &t.Configuration.Backends[backend].Runtime.Models[position], true
 }
 
-// PickBackend returns the backend that a draw in [0, 1) falls on by the weights.
+// PickBackend selects a backend by weight for a random draw in [0, 1).
 func (r *Route) PickBackend(draw float64) string {
 	splits := r.Splits()
 	total := 0.0
 	for _, split := range splits {
 		total += split.Weight
 	}
-	left := draw * total
+	remaining := draw * total
 	for _, split := range splits {
-		if left < split.Weight {
+		if remaining < split.Weight {
 			return split.Backend
 		}
-		left -= split.Weight
+		remaining -= split.Weight
 	}
 	for position := len(splits) - 1; position >= 0; position-- {
 		if splits[position].Weight > 0 {
--- a/internal/configuration/tenants.go
+++ b/internal/configuration/tenants.go
@@ -8,28 +8,28 @@
 	"unicode"
 )
 
-// Tenant is a customer whose requests are recognized by their key.
+// Tenant is a customer whose requests are identified by API key.
 type Tenant struct {
 	Name string   `json:"name"`
 	Keys []APIKey `json:"apiKeys"`
-	// Priority, if set, replaces the route's; 0 is the highest.
+	// Priority, if set, overrides the route's; 0 is the highest.
 	Priority *int `json:"priority"`
-	// RatePerS and Burst limit the requests over all data planes, per second and at once; 0 for no limit.
+	// RatePerS and Burst limit the request rate over all data planes (requests per second and burst size); 0 for no limit.
 	RatePerS float64 `json:"ratePerS"`
 	Burst    float64 `json:"burst"`
-	// AllowedRegions restrict requests in addition to those of the route; empty for all.
+	// AllowedRegions restricts the serving regions further than the route's; empty for all.
 	AllowedRegions []string `json:"allowedRegions,omitempty"`
 }
 
-// TenantNumber is a tenant's position in its configuration, counted from 1, so that it can index dense
-// tables. It is valid for one version of the configuration only.
+// TenantNumber is the position of a tenant in the configuration, counted from 1, for use as an index in slices. It is valid
+// for one revision only.
 type TenantNumber int
 
 // NoTenant is the number of requests that belong to no tenant.
 const NoTenant TenantNumber = 0
 
-// PriorityOr returns the tenant's priority, or the given one if it has none or there is no tenant; never
-// below 0, which is the highest.
+// PriorityOr returns the tenant's priority, or the given one if the tenant is nil or has none. The result is at least 0, the
+// highest priority.
 func (t *Tenant) PriorityOr(priority int) int {
 	if t != nil && t.Priority != nil {
 		priority = *t.Priority
@@ -37,11 +37,10 @@
 	return max(priority, 0)
 }
 
-// noRegion is the name of no region: an empty list would allow all.
+// noRegion matches no region. It represents an empty intersection, because an empty list allows all regions.
 const noRegion = "\x00"
 
-// IntersectRegions returns the regions allowed by both the tenant and a route that allows the given ones;
-// empty for all.
+// IntersectRegions returns the regions allowed by both the tenant and a route that allows the given regions; empty for all.
 func (t *Tenant) IntersectRegions(regions []string) []string {
 	if t == nil || len(t.AllowedRegions) == 0 {
 		return regions
@@ -61,7 +60,7 @@
 	return common
 }
 
-// PriorityText returns the tenant's priority for tables.
+// PriorityText returns the tenant's priority for display.
 func (t *Tenant) PriorityText() string {
 	if t.Priority == nil {
 		return "of the route"
@@ -69,7 +68,7 @@
 	return strconv.Itoa(*t.Priority)
 }
 
-// NameOrEmpty returns the tenant's name, empty if there is no tenant.
+// NameOrEmpty returns the tenant's name, empty for nil.
 func (t *Tenant) NameOrEmpty() string {
 	if t == nil {
 		return ""
@@ -77,12 +76,12 @@
 	return t.Name
 }
 
-// checkTenants returns the first reason why the tenants cannot be used. It names tenants, never keys.
-func checkTenants(tenants []Tenant) error {
+// validateTenants returns the first validation error of the tenants. Errors name tenants, but never reveal keys.
+func validateTenants(tenants []Tenant) error {
 	names := make(map[string]bool, len(tenants))
 	owners := map[APIKey]string{}
 	for position, tenant := range tenants {
-		if err := tenant.check(position); err != nil {
+		if err := tenant.validate(position); err != nil {
 			return err
 		}
 		if names[tenant.Name] {
@@ -99,7 +98,7 @@
 	return nil
 }
 
-func (t Tenant) check(position int) error {
+func (t Tenant) validate(position int) error {
 	if t.Name == "" {
 		return invalid("tenants[%d]: name is missing", position)
 	}
@@ -120,10 +119,10 @@
 	return nil
 }
 
-// isNonNegative reports whether a value is a finite number not below 0.
+// isNonNegative reports whether a value is finite and not below 0.
 func isNonNegative(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 
-// isHeaderValue reports whether a text arrives unchanged as the value of a header: it has no control
+// isHeaderValue reports whether a text can be transmitted unchanged as a header value: it is not empty, has no control
 // characters and neither begins nor ends with a space.
 func isHeaderValue(text string) bool {
 	return text != "" && strings.Trim(text, " ") == text && strings.IndexFunc(text, unicode.IsControl) < 0
--- a/internal/configuration/tenants_test.go
+++ b/internal/configuration/tenants_test.go
@@ -98,9 +98,9 @@
 	change := `{"revision":5,"upsert":{"tenants":[{"name":"two","apiKeys":["fourth"]}]},"remove":{"tenants":["one"]}}`
 	patched, err = ApplyPatch(patched, []byte(change))
 	assert.NilError(t, err)
-	unpacked, err := Decompress(Compress(patched))
+	decompressed, err := Decompress(Compress(patched))
 	assert.NilError(t, err)
-	read, err := Parse(unpacked)
+	read, err := Parse(decompressed)
 	assert.NilError(t, err)
 	assert.Equal(t, len(read.Tenants), 1)
 	table := NewTable(read, nil)
--- a/internal/configuration/check.go
+++ b/internal/configuration/validate.go
@@ -6,28 +6,27 @@
 	"ferryspar/internal/apierror"
 )
 
-// invalid returns an error that names the section and item that cannot be used.
+// invalid returns an error of kind apierror.InvalidConfiguration; the message names the section and item.
 func invalid(format string, arguments ...any) error {
 	return apierror.New(apierror.InvalidConfiguration, format, arguments...)
 }
 
-// Validate returns the first reason why the configuration cannot be used, of kind
-// apierror.InvalidConfiguration.
+// Validate returns the first validation error, of kind apierror.InvalidConfiguration, or nil.
 func (c Configuration) Validate() error {
 	if c.Revision <= 0 {
 		return invalid("revision must be above 0")
 	}
-	services := make(map[string]bool, len(c.Backends))
+	backendNames := make(map[string]bool, len(c.Backends))
 	for position, backend := range c.Backends {
-		if err := backend.check(position, services); err != nil {
+		if err := backend.validate(position, backendNames); err != nil {
 			return err
 		}
-		services[backend.Name] = true
+		backendNames[backend.Name] = true
 	}
 	names := make(map[string]bool, len(c.Routes))
 	routeKeys := make(map[string]string, len(c.Routes))
 	for position, route := range c.Routes {
-		if err := route.check(position, services, names); err != nil {
+		if err := route.validate(position, backendNames, names); err != nil {
 			return err
 		}
 		routeKey := route.key()
@@ -37,14 +36,14 @@
 		names[route.Name] = true
 		routeKeys[routeKey] = route.Name
 	}
-	return checkTenants(c.Tenants)
+	return validateTenants(c.Tenants)
 }
 
-func (b Backend) check(position int, services map[string]bool) error {
+func (b Backend) validate(position int, backendNames map[string]bool) error {
 	if b.Name == "" {
 		return invalid("backends[%d]: name is missing", position)
 	}
-	if services[b.Name] {
+	if backendNames[b.Name] {
 		return invalid("backends %q: name stands twice", b.Name)
 	}
 	if b.Runtime == nil {
@@ -60,7 +59,7 @@
 	return nil
 }
 
-func (r Route) check(position int, services, names map[string]bool) error {
+func (r Route) validate(position int, backendNames, names map[string]bool) error {
 	if r.Name == "" {
 		return invalid("routeTable[%d]: name is missing", position)
 	}
@@ -78,7 +77,7 @@
 	}
 	total := 0.0
 	for _, split := range r.Splits() {
-		if !services[split.Backend] {
+		if !backendNames[split.Backend] {
 			return invalid("routeTable %q: unknown backend %q", r.Name, split.Backend)
 		}
 		if split.Weight < 0 {
