--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,7 +1,6 @@
-// Package apierror is the closed list of errors that callers are answered with, and the table from each to
-// its HTTP status and reason.
+// Package apierror defines the errors of the HTTP APIs and maps each to its HTTP status and reason.
 //
-// A response written here never carries a replica's seal. Start reading at Kind.
+// Error responses written by this package never have a replica's seal. Start reading at Kind.
 package apierror
 
 import (
@@ -14,12 +13,12 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is what went wrong. It decides the HTTP status and the reason that a caller reads.
+// Kind is the kind of an error, which determines the HTTP status and the reason in the response.
 type Kind int
 
-// The kinds of errors. Those with status 503 promise that a request was not executed and never will be.
+// The kinds of errors. Those with status 503 guarantee that the request was not executed and never will be.
 const (
-	Internal               Kind = iota // a fault of this program
+	Internal               Kind = iota // internal error of the program
 	MalformedRequest                   // the request cannot be parsed
 	InvalidAttemptID                   // Ferryspar-Attempt-Id is missing or malformed
 	UnknownRoute                       // no route matches host and path
@@ -28,41 +27,41 @@
 	RequestTooSlow                     // the request did not arrive within its limit
 	BodyTooLarge                       // the body exceeds the limit
 	HeaderTooLarge                     // the header exceeds the limit
-	InvalidConfiguration               // the configuration sent cannot be used
-	VersionConflict                    // If-Match names a version that is not the committed one
+	InvalidConfiguration               // the submitted configuration is invalid
+	VersionConflict                    // If-Match is not the committed version
 	UncertainWrite                     // a write may or may not take effect
-	NoMajority                         // too few members of the keystore answer
-	UnknownZone                        // the configuration names no such zone
-	CallTooOld                         // whether the call was accepted before is no longer known
+	NoMajority                         // no majority of the keystore members responds
+	UnknownZone                        // the zone is not configured
+	CallTooOld                         // too old to determine whether the call was accepted before
 	CallExpired                        // the call arrived after its deadline
-	Overloaded                         // no replica is free in time
-	ModelNotLoaded                     // no replica loads the model in time
-	NotExecuted                        // the replica proved that it did not execute the request
-	ReplicaFailed                      // the replica ended its response early
-	ReplicaTimeout                     // the replica did not answer in time
+	Overloaded                         // no replica became available in time
+	ModelNotLoaded                     // no replica loaded the model in time
+	NotExecuted                        // the replica confirmed that it did not execute the request
+	ReplicaFailed                      // the replica aborted its response
+	ReplicaTimeout                     // the replica did not respond in time
 	ShuttingDown                       // the process is draining
-	NoConfiguration                    // no configuration has arrived yet
-	InvalidRetention                   // a retention request cannot be used
-	InvalidDrill                       // a drill request cannot be used
-	UnknownRegion                      // the configuration names no such region
-	DrillInProgress                    // only one drill may run at a time
-	InvalidAPIKey                      // the API key is missing or belongs to no tenant
-	TenantRateLimited                  // the tenant is above its rate limit
-	StaleConfiguration                 // a newer configuration may allow what this one does not
-	StaleAPIKeys                       // keys may have been revoked since the last contact
-	QuotaUnknown                       // the node does not know the tenant's remaining quota
-	LockHeld                           // another holds the lock, or may
+	NoConfiguration                    // no configuration has been received yet
+	InvalidRetention                   // the retention request is invalid
+	InvalidDrill                       // the drill request is invalid
+	UnknownRegion                      // the region is not configured
+	DrillInProgress                    // another drill is running
+	InvalidAPIKey                      // the API key is missing or unknown
+	TenantRateLimited                  // the tenant exceeds its rate limit
+	StaleConfiguration                 // a newer configuration may allow the request
+	StaleAPIKeys                       // API keys may have been revoked since the last update
+	QuotaUnknown                       // the tenant's remaining quota is unknown to the node
+	LockHeld                           // another caller holds or may hold the lock
 	LockNotHeld                        // the caller does not hold the lock
-	KeyNotFound                        // no such key was put
-	HistoryExpired                     // the puts after that revision are no longer all kept
-	CoordinationFull                   // there is no room for the item or the value
-	CoordinationOverloaded             // too many calls wait for the item
+	KeyNotFound                        // the key has no value
+	HistoryExpired                     // changes since the requested revision were discarded
+	CoordinationFull                   // no capacity for the item or value
+	CoordinationOverloaded             // too many calls are queued for the item
 	OutcomeUnknown                     // the call may or may not have taken effect
 
-	kindCount // of the kinds above
+	kindCount
 )
 
-// response is how a kind is answered.
+// response is the HTTP status and reason of a kind.
 type response struct {
 	status int
 	reason string
@@ -105,34 +104,33 @@
 	LockNotHeld:          {http.StatusConflict, "the lock is not held by this caller"},
 	KeyNotFound:          {http.StatusNotFound, "no such key"},
 	HistoryExpired:       {http.StatusGone, "the changes after that revision are no longer kept"},
-	// 429 promises what 503 does.
+	// 429 gives the same guarantee as 503.
 	CoordinationFull:       {http.StatusTooManyRequests, "no room"},
 	CoordinationOverloaded: {http.StatusTooManyRequests, "too many calls wait"},
 	OutcomeUnknown:         {http.StatusGatewayTimeout, "outcome of the call not known"},
 }
 
-// Status is the HTTP status that the kind is answered with.
+// Status returns the HTTP status of the kind.
 func (k Kind) Status() int { return responses[k].status }
 
-// Reason is the text that the kind is answered with.
+// Reason returns the reason text of the kind.
 func (k Kind) Reason() string { return responses[k].reason }
 
-// GuaranteesNotExecuted reports whether the response lets its caller rely on it that the request was not
-// executed and never will be. Answering with such a kind after a request was sent would make clients
-// execute it twice.
+// GuaranteesNotExecuted reports whether a response of the kind guarantees that the request was not executed and never will be.
+// A request that may have been sent to a replica must not be answered with such a kind, because clients retry it.
 func (k Kind) GuaranteesNotExecuted() bool {
 	return k == InvalidAPIKey || k.Status() == http.StatusTooManyRequests || k.Status() == http.StatusServiceUnavailable
 }
 
-// Error is an error with what its caller is to know.
+// Error is an error that is reported to the caller of an API.
 type Error struct {
 	Kind   Kind
 	Detail string
-	// RetryAfter, if above 0, is how long the caller is asked to wait.
+	// RetryAfter, if above 0, is the delay sent in the Retry-After header.
 	RetryAfter time.Duration
 }
 
-// Error returns the reason, with the detail if there is any.
+// Error returns the reason, followed by the detail if there is one.
 func (e *Error) Error() string {
 	if e.Detail == "" {
 		return e.Kind.Reason()
@@ -140,17 +138,17 @@
 	return e.Kind.Reason() + ": " + e.Detail
 }
 
-// New returns an error with a detail, formatted as by fmt.Sprintf.
+// New returns an error with a detail formatted as by fmt.Sprintf.
 func New(kind Kind, format string, arguments ...any) *Error {
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, arguments...)}
 }
 
-// NewRetryable returns an error that asks its caller to wait before it retries.
+// NewRetryable returns an error that asks the caller to retry after the delay.
 func NewRetryable(kind Kind, retryAfter time.Duration) *Error {
 	return &Error{Kind: kind, RetryAfter: retryAfter}
 }
 
-// From returns the Error in a chain; any other error counts as Internal.
+// From returns the first *Error in the chain of err, or an error of kind Internal if there is none.
 func From(err error) *Error {
 	var found *Error
 	if errors.As(err, &found) {
@@ -159,7 +157,7 @@
 	return &Error{Kind: Internal, Detail: err.Error()}
 }
 
-// sealHeader marks the responses of replicas.
+// sealHeader is the header by which clients recognize responses of replicas.
 const sealHeader = "Ferryspar-Server-Seal"
 
 // body is the JSON body of an error response.
@@ -167,8 +165,8 @@
 	Error string `json:"error"`
 }
 
-// Write answers with the error, and without a replica's seal whatever the header held before: a sealed
-// response would count as the replica's own.
+// Write writes an error response. It removes a replica's seal from the header, because clients would otherwise take the
+// response for the replica's.
 func Write(writer http.ResponseWriter, err error) {
 	found := From(err)
 	content, _ := json.Marshal(body{Error: found.Error()})
--- a/internal/apierror/pinned_test.go
+++ b/internal/apierror/pinned_test.go
@@ -12,8 +12,8 @@
 	"ferryspar/internal/test/pinned"
 )
 
-// labelled names every kind, in the order of their numbers.
-var labelled = []struct {
+// labeledKinds lists all kinds in numerical order, with their labels in testdata/answers.json.
+var labeledKinds = []struct {
 	label string
 	kind  Kind
 }{
@@ -58,36 +58,36 @@
 	{"outcome unknown", OutcomeUnknown},
 }
 
-// written is an answer as it goes out.
-type written struct {
+// errorResponse is an error response as written to the client.
+type errorResponse struct {
 	Status     int               `json:"status"`
 	Body       string            `json:"body"`
 	Headers    map[string]string `json:"headers"`
 	NeverRan   bool              `json:"neverRan"`
 	Detailed   string            `json:"detailed"`
-	LateAnswer string            `json:"retryAfter"`
+	RetryAfter string            `json:"retryAfter"`
 }
 
-func writtenOf(kind Kind) written {
-	plain, detailed, later := httptest.NewRecorder(), httptest.NewRecorder(), httptest.NewRecorder()
+func responseOf(kind Kind) errorResponse {
+	plain, detailed, retryable := httptest.NewRecorder(), httptest.NewRecorder(), httptest.NewRecorder()
 	plain.Header().Set("Ferryspar-Server-Seal", "seal")
 	Write(plain, New(kind, ""))
 	Write(detailed, New(kind, "%s", "detail"))
-	Write(later, NewRetryable(kind, 1500*time.Millisecond))
+	Write(retryable, NewRetryable(kind, 1500*time.Millisecond))
 	headers := map[string]string{}
 	for name := range plain.Header() {
 		headers[name] = plain.Header().Get(name)
 	}
-	retryAfter := later.Header().Get("Retry-After")
-	return written{plain.Code, plain.Body.String(), headers, kind.GuaranteesNotExecuted(), detailed.Body.String(), retryAfter}
+	retryAfter := retryable.Header().Get("Retry-After")
+	return errorResponse{plain.Code, plain.Body.String(), headers, kind.GuaranteesNotExecuted(), detailed.Body.String(), retryAfter}
 }
 
 func TestWrite_AnswersStayTheSame(t *testing.T) {
-	assert.Equal(t, len(labelled), len(responses), "a kind is missing here")
-	answers := map[string]written{}
-	for position, entry := range labelled {
+	assert.Equal(t, len(labeledKinds), len(responses), "a kind is missing here")
+	answers := map[string]errorResponse{}
+	for position, entry := range labeledKinds {
 		assert.Equal(t, int(entry.kind), position, entry.label)
-		answers[fmt.Sprintf("%02d %s", position, entry.label)] = writtenOf(entry.kind)
+		answers[fmt.Sprintf("%02d %s", position, entry.label)] = responseOf(entry.kind)
 	}
 	assert.Equal(t, len(answers), len(responses))
 	pinned.CheckJSON(t, "testdata/answers.json", answers)
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -17,22 +17,22 @@
 	"ferryspar/internal/nodesettings"
 )
 
-// Daemon describes a program that runs until it is stopped.
+// Daemon describes a program that runs until it is stopped by a signal.
 type Daemon struct {
 	Name    string
-	Summary string // what it does, as a verb phrase
-	// Service is the service that the settings must allow.
+	Summary string // description as a verb phrase
+	// Service is the service for which the settings are validated.
 	Service nodesettings.Service
 	// ExtraOptions, if not nil, points to a struct of further go-flags options.
 	ExtraOptions any
-	// Run does the daemon's work until a signal stops it. path is that of the settings file, as given.
+	// Run runs the daemon until a signal stops it. path is the path of the settings file as specified by the option.
 	Run func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error
 }
 
-// heapLimitFraction is the share of the memory limit that the garbage collector may fill.
+// heapLimitFraction is the fraction of the memory limit that is set as the soft memory limit of the Go runtime.
 const heapLimitFraction = 0.8
 
-// Capacities of the signal channels.
+// The capacities of the signal channels.
 const (
 	stopBuffer   = 2
 	hangupBuffer = 1
@@ -46,8 +46,7 @@
 	Version  bool   `long:"version" description:"print the version and end"`
 }
 
-// RunDaemon parses the command line, reads and checks the settings, runs the daemon and returns its exit
-// status.
+// RunDaemon parses the command line, loads and validates the settings, runs the daemon and returns its exit status.
 func RunDaemon(daemon Daemon) int {
 	parsed, err := daemon.parseOptions()
 	if flags.WroteHelp(err) {
@@ -64,7 +63,7 @@
 	if err := configureLogging(parsed.Level); err != nil {
 		return daemon.fail(err, ExitUsage)
 	}
-	settings, err := readSettings(parsed.Settings, daemon.Service)
+	settings, err := loadSettings(parsed.Settings, daemon.Service)
 	if err != nil {
 		return daemon.fail(err, ExitSettings)
 	}
@@ -80,7 +79,7 @@
 	return ExitSuccess
 }
 
-// fail prints err and returns the status.
+// fail prints err and returns status.
 func (d Daemon) fail(err error, status int) int {
 	printError(d.Name, err)
 	return status
@@ -99,15 +98,15 @@
 			return parsed, err
 		}
 	}
-	rest, err := parser.Parse()
-	if err == nil && len(rest) > 0 {
-		err = fmt.Errorf("unexpected argument %q", rest[0])
+	remaining, err := parser.Parse()
+	if err == nil && len(remaining) > 0 {
+		err = fmt.Errorf("unexpected argument %q", remaining[0])
 	}
 	return parsed, err
 }
 
-// configureLogging writes logs as JSON to standard output, from that level on. The standard library's log,
-// which net/http writes to, is discarded: what it says of clients' connections is no news to operators.
+// configureLogging sets up JSON logging to standard output at the level. The standard library's log is discarded: net/http
+// writes errors of clients' connections to it, which are irrelevant to operators.
 func configureLogging(levelName string) error {
 	level, err := logrus.ParseLevel(levelName)
 	if err != nil {
@@ -120,7 +119,7 @@
 	return nil
 }
 
-func readSettings(path string, service nodesettings.Service) (nodesettings.Settings, error) {
+func loadSettings(path string, service nodesettings.Service) (nodesettings.Settings, error) {
 	settings, err := nodesettings.Load(path)
 	if err != nil {
 		return settings, err
@@ -136,7 +135,7 @@
 	return nodesettings.Signals{Stop: stop, Hangup: hangup}
 }
 
-// applyLimits keeps the Go runtime within the limits of the process.
+// applyLimits configures the Go runtime for the resource limits of the process.
 func applyLimits(limits nodesettings.Limits) {
 	runtime.GOMAXPROCS(max(limits.CPUCores, 1))
 	if limits.MemoryMb > 0 {
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,9 +1,7 @@
-// Package cli is what the programs have in common at their start and end: options, logging, settings,
-// signals and exit statuses.
+// Package cli implements the start and exit of programs: options, logging, settings, signals and exit statuses.
 //
-// It knows nothing of what the programs do. Start reading at RunDaemon, for programs that run until they are
-// stopped, and ReportError, for commands.
+// It is independent of what the programs do. Start reading at RunDaemon for daemons and at ReportError for commands.
 package cli
 
-// Version is the version that every program prints.
+// Version is the version of all programs.
 const Version = "0.1.0"
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -8,23 +8,22 @@
 	"github.com/pkg/errors"
 )
 
-// Exit statuses of every program.
+// The exit statuses of all programs.
 const (
 	ExitSuccess  = 0
 	ExitFailed   = 1
 	ExitUsage    = 2 // wrong options or arguments
-	ExitSettings = 3 // the settings file cannot be read or used
+	ExitSettings = 3 // the settings file is unreadable or invalid
 )
 
-// UsageError is an error in how a program was called.
+// UsageError is an error in the command line of a program.
 type UsageError struct{ error }
 
-// NewUsageError marks err as one in how the program was called, so that ReportError returns ExitUsage.
+// NewUsageError wraps err in a UsageError, for which ReportError returns ExitUsage.
 func NewUsageError(err error) error { return UsageError{err} }
 
-// ReportError prints err, if there is one, and returns the exit status for it: that of the error if it has a
-// method ExitStatus, ExitUsage for wrong options and a UsageError, ExitFailed for any other. A request for
-// help is a success.
+// ReportError prints err, unless it is nil, and returns the exit status: that of the error's ExitStatus method if it has one,
+// ExitUsage for invalid options and a UsageError, ExitFailed for any other error, and ExitSuccess for nil or a request for help.
 func ReportError(program string, err error) int {
 	if err == nil {
 		return ExitSuccess
--- a/internal/cli/pinned_test.go
+++ b/internal/cli/pinned_test.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/test/pinned"
 )
 
-// statusError is an error that names its own exit status.
+// statusError is an error with its own exit status.
 type statusError struct{ error }
 
 func (statusError) ExitStatus() int { return 7 }
@@ -22,12 +22,12 @@
 		err    error
 		status int
 	}{
-		"no error":                 {nil, 0},
-		"help was asked for":       {&flags.Error{Type: flags.ErrHelp, Message: "help"}, 0},
-		"any error":                {errors.New("failed"), 1},
-		"an unknown option":        {&flags.Error{Type: flags.ErrUnknownFlag}, 2},
-		"a wrong call":             {NewUsageError(errors.New("wrong")), 2},
-		"an error with its status": {errors.Wrap(statusError{errors.New("own")}, "wrapped"), 7},
+		"no error":               {nil, 0},
+		"request for help":       {&flags.Error{Type: flags.ErrHelp, Message: "help"}, 0},
+		"any error":              {errors.New("failed"), 1},
+		"unknown option":         {&flags.Error{Type: flags.ErrUnknownFlag}, 2},
+		"usage error":            {NewUsageError(errors.New("wrong")), 2},
+		"error with exit status": {errors.Wrap(statusError{errors.New("own")}, "wrapped"), 7},
 	}
 	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,9 +1,7 @@
-// Package discovery reads the platform's list of replicas, page by page, and merges readings that were
-// made while the list changed. Reading changes nothing, so it may be repeated; a list counts only if every
-// page of it was read completely.
+// Package discovery lists the platform's replicas, page by page, and merges listings that were read while the list changed.
+// Listing has no side effects and may be retried; a listing is valid only if all its pages were read completely.
 //
-// It doesn't decide how often the list is read, nor what is done with it (internal/controlplane/roster).
-// Start reading at Client.List and Merger.
+// When to list replicas and how to use them is up to internal/controlplane/roster. Start reading at Client.List and Merger.
 package discovery
 
 import (
@@ -17,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Client reads the list at an address (host:port). It is used by one goroutine at a time.
+// Client lists replicas at an address (host:port). It is not safe for concurrent use.
 type Client struct {
 	Address    string
 	HTTPClient *http.Client
@@ -25,21 +23,21 @@
 	pageCount int
 }
 
-// BurstPages is how many pages of a list are read without a pause: short lists are read at once.
+// BurstPages is the number of pages of a listing that are read without pacing, so that short lists are read immediately.
 const BurstPages = 4
 
-// ListOptions say how the list is read. The zero value reads it to its end, one page after the other.
+// ListOptions configures a listing. The zero value reads all pages without pacing.
 type ListOptions struct {
-	// MaxPages is how many pages the list may have to be read to its end, any number for 0.
+	// MaxPages is the maximum number of pages, beyond which List returns ErrPageLimit; 0 for no limit.
 	MaxPages int
-	// PagesPerSecond bounds how fast the pages after the first ones (BurstPages) are read: the platform rejects calls over its
-	// rate, and a list of which a page is missing does not count. 0 sets no bound.
+	// PagesPerSecond limits the rate at which pages after the first BurstPages are read, because the platform rejects calls
+	// above its rate limit, and a listing with a missing page is invalid. 0 for no limit.
 	PagesPerSecond float64
-	// OnPage, if set, is called with the entries of each page as soon as it is read.
+	// OnPage, if not nil, is called with the entries of each page as soon as it is read.
 	OnPage func(entries []Replica)
 }
 
-// dueAfter is how long after the start of a read the page of an index may be asked for.
+// dueAfter returns the earliest time, after the start of a listing, at which the page at an index may be requested.
 func (o ListOptions) dueAfter(index int) time.Duration {
 	if o.PagesPerSecond <= 0 {
 		return 0
@@ -47,37 +45,38 @@
 	return MinListDuration(o.PagesPerSecond, index+1)
 }
 
-// MinListDuration is how long a paced read of so many pages takes at least.
+// MinListDuration returns the minimum duration of a paced listing with that number of pages.
 func MinListDuration(pagesPerSecond float64, pages int) time.Duration {
 	return time.Duration(float64(max(pages-BurstPages, 0)) / pagesPerSecond * float64(time.Second))
 }
 
-// PageCount is how many pages the last complete list had, one at least: each counts as a call to the platform.
+// PageCount returns the number of pages of the last complete listing, or one above MaxPages if a later one exceeded that limit;
+// at least 1. Each page counts as a call to the platform.
 func (c *Client) PageCount() int { return max(c.pageCount, 1) }
 
-// ErrThrottled is returned when the platform rejects a read since its rate limit is exceeded.
-var ErrThrottled = errors.New("platform list: over the rate")
+// ErrThrottled is returned when the platform rejects a call because its rate limit is exceeded.
+var ErrThrottled = errors.New("platform list: rate limit exceeded")
 
-// ErrPageLimit is returned for a list that is longer than the read may take.
-var ErrPageLimit = errors.New("platform list: longer than the limit of the read")
+// ErrPageLimit is returned for a list with more pages than ListOptions.MaxPages.
+var ErrPageLimit = errors.New("platform list: page limit exceeded")
 
-// ErrTooManyPages is returned for a list that does not end.
-var ErrTooManyPages = errors.New("platform list: pages without end")
+// ErrTooManyPages is returned for a list with more than maxPages pages, whose pagination probably does not end.
+var ErrTooManyPages = errors.New("platform list: too many pages")
 
 const (
-	// pageTimeout is how long one page may take, listTimeout how long all of them beside the pauses between them: a list of sixty
-	// pages takes a second while a small machine starts, and a read that is given up has to be begun anew.
+	// pageTimeout is the timeout of a page, listTimeout that of a listing without its pauses. listTimeout is generous, because
+	// 60 pages take a second on a small machine that is starting, and a listing that times out has to start over.
 	pageTimeout = 900 * time.Millisecond
 	listTimeout = 4 * time.Second
 	maxPages    = 200
-	// throttlePause is the pause before a page that was rejected over the rate is asked for again, maxThrottled how often that
-	// may happen within a list. Several pauses of many pages are cheaper than to read the pages before it again.
+	// throttlePause is the backoff before a throttled page is requested again, maxThrottled the maximum number of such retries
+	// per listing. Retrying a page several times costs less than reading the pages before it again.
 	throttlePause = 120 * time.Millisecond
 	maxThrottled  = 6
 )
 
-// List returns the complete list, or an error if any page of it failed: ErrThrottled, ErrTooManyPages, ErrPageLimit, or
-// that of the call.
+// List returns the complete list, or an error if any page failed: ErrThrottled, ErrTooManyPages, ErrPageLimit, or the error of
+// the call.
 func (c *Client) List(ctx context.Context, options ListOptions) ([]Replica, error) {
 	bounded, cancel := context.WithTimeout(ctx, listTimeout+options.dueAfter(c.pageCount))
 	defer cancel()
@@ -114,7 +113,7 @@
 	return nil, ErrTooManyPages
 }
 
-// pause waits before a page is asked for, and returns false if the context ended first.
+// pause waits for the duration and returns false if the context ends first.
 func pause(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -129,7 +128,7 @@
 	}
 }
 
-// fetchPage reads the page of a token, the first one for "".
+// fetchPage reads the page with the token, or the first page for an empty one.
 func (c *Client) fetchPage(ctx context.Context, token string) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -37,12 +37,12 @@
 
 func TestClient_ListFailsIfAnyPageFails(t *testing.T) {
 	for name, serveFaulty := range map[string]http.HandlerFunc{
-		"a failure": func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusInternalServerError) },
-		"cut": func(writer http.ResponseWriter, _ *http.Request) {
+		"error status": func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusInternalServerError) },
+		"truncated": func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set("Content-Length", "100")
 			fmt.Fprint(writer, `{"instances":[]`)
 		},
-		"no document": func(writer http.ResponseWriter, _ *http.Request) { fmt.Fprint(writer, "words") },
+		"not JSON": func(writer http.ResponseWriter, _ *http.Request) { fmt.Fprint(writer, "words") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestClient_ListGoesOnAfterAThrottledPage(t *testing.T) {
+func TestClient_ListRetriesThrottledPage(t *testing.T) {
 	calls := map[string]int{}
 	client := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
 		token := request.URL.Query().Get("pageToken")
@@ -80,7 +80,7 @@
 	assert.Equal(t, client.PageCount(), 2)
 }
 
-func TestClient_ListGivesUpWhereThrottlingGoesOn(t *testing.T) {
+func TestClient_ListFailsWhenThrottlingPersists(t *testing.T) {
 	calls := 0
 	client := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
 		calls++
@@ -95,7 +95,7 @@
 	assert.Equal(t, calls, 2+maxThrottled)
 }
 
-func TestClient_ListReportsThrottling(t *testing.T) {
+func TestClient_ListReturnsErrThrottled(t *testing.T) {
 	client := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusTooManyRequests) })
 	_, err := client.List(t.Context(), ListOptions{})
 	assert.Assert(t, errors.Is(err, ErrThrottled))
--- a/internal/discovery/compare.go
+++ b/internal/discovery/compare.go
@@ -2,8 +2,7 @@
 
 import "slices"
 
-// SameReplica says whether two entries say the same of a replica, apart from its models, its warm-up and the time that it
-// has left.
+// SameReplica reports whether two entries are equal, ignoring models, remaining warm-up time and remaining lifetime.
 func SameReplica(left, right Replica) bool {
 	return left.ID == right.ID &&
 		left.Backend == right.Backend &&
@@ -15,7 +14,7 @@
 		left.Phase == right.Phase
 }
 
-// SameModels says whether two lists of models are the same, in order too.
+// SameModels reports whether two lists of models are equal, including their order.
 func SameModels(left, right []LoadedModel) bool {
 	return slices.EqualFunc(left, right, func(former, latter LoadedModel) bool {
 		return former.Name == latter.Name && former.Revision == latter.Revision && slices.Equal(former.Adapters, latter.Adapters)
--- a/internal/discovery/merge.go
+++ b/internal/discovery/merge.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// maxCarryOverAge is how old a reading may be for its entries to be carried over into the next one.
+// maxCarryOverAge is the maximum age of a listing whose entries are carried over into the next one.
 const maxCarryOverAge = 10 * time.Second
 
-// Merger completes lists that are read in pages while they change. Pages are cut by position, so an
-// entry that leaves moves those after it: one may be skipped, or one that comes doubles another. The
-// zero value has read nothing. It is used by one goroutine at a time.
+// Merger corrects listings that are read in pages while the list changes. Pages are delimited by position, so a removed entry
+// shifts those after it and can hide one, and an added entry can make another appear twice. The zero value is ready to use. It
+// is not safe for concurrent use.
 type Merger struct {
 	previous map[string]Replica
-	readAt   time.Time
-	// readings counts the readings, firstRead holds by id the one that showed a replica first.
-	readings  int
-	firstRead map[string]int
+	listedAt time.Time
+	// listings is the number of listings merged; firstListing holds the number of the first listing with a replica, by id.
+	listings     int
+	firstListing map[string]int
 }
 
-// Merge returns the entries of a reading, each id once, as the last page showed it. Of a reading in
-// several pages, what the one before showed and this one doesn't is carried over; a replica counts as
-// gone once two readings in a row don't show it, or another one is listed at its address.
+// Merge returns the entries of a listing without duplicate ids; the last entry of an id wins. If the listing has several pages,
+// it also returns the entries that only the previous listing had. A replica counts as removed when it is missing from two
+// consecutive listings, or when another replica is listed at its address.
 func (m *Merger) Merge(entries []Replica, pages int, now time.Time) []Replica {
 	current := make(map[string]Replica, len(entries))
 	for _, replica := range entries {
@@ -28,42 +28,42 @@
 	for _, replica := range current {
 		merged = append(merged, replica)
 	}
-	if pages > 1 && now.Sub(m.readAt) < maxCarryOverAge {
+	if pages > 1 && now.Sub(m.listedAt) < maxCarryOverAge {
 		for id, replica := range m.previous {
 			if _, listed := current[id]; !listed {
 				merged = append(merged, replica)
 			}
 		}
 	}
-	m.previous, m.readAt = current, now
-	m.recordFirstRead(merged)
+	m.previous, m.listedAt = current, now
+	m.recordFirstListing(merged)
 	return m.withoutSuperseded(merged)
 }
 
-// recordFirstRead notes which replicas this reading shows first, and forgets those that it doesn't show.
-func (m *Merger) recordFirstRead(merged []Replica) {
-	m.readings++
-	firstRead := make(map[string]int, len(merged))
+// recordFirstListing records the replicas that this listing is the first to contain, and discards those it does not contain.
+func (m *Merger) recordFirstListing(merged []Replica) {
+	m.listings++
+	firstListing := make(map[string]int, len(merged))
 	for _, replica := range merged {
-		reading, known := m.firstRead[replica.ID]
+		listing, known := m.firstListing[replica.ID]
 		if !known {
-			reading = m.readings
+			listing = m.listings
 		}
-		firstRead[replica.ID] = reading
+		firstListing[replica.ID] = listing
 	}
-	m.firstRead = firstRead
+	m.firstListing = firstListing
 }
 
-// withoutSuperseded leaves out replicas at whose address a later reading showed another one first. The platform lists a replica that
-// has crashed for some seconds more; where its machine is back with a new one, requests sent to the old one come back unserved.
+// withoutSuperseded removes replicas at whose address a newer replica is listed. The platform still lists a crashed replica for
+// some seconds; if its machine has already started a new one, that one rejects requests addressed to the old one.
 func (m *Merger) withoutSuperseded(merged []Replica) []Replica {
 	newest := make(map[string]int, len(merged))
 	for _, replica := range merged {
-		newest[replica.Address] = max(newest[replica.Address], m.firstRead[replica.ID])
+		newest[replica.Address] = max(newest[replica.Address], m.firstListing[replica.ID])
 	}
 	kept := merged[:0]
 	for _, replica := range merged {
-		if replica.Address == "" || m.firstRead[replica.ID] == newest[replica.Address] {
+		if replica.Address == "" || m.firstListing[replica.ID] == newest[replica.Address] {
 			kept = append(kept, replica)
 		}
 	}
--- a/internal/discovery/merge_test.go
+++ b/internal/discovery/merge_test.go
@@ -31,12 +31,12 @@
 	}
 	assert.DeepEqual(t, read(2, 0, Replica{ID: "a"}, Replica{ID: "b"}), []string{"a", "b"})
 	assert.DeepEqual(t, read(2, time.Second, Replica{ID: "a"}), []string{"a", "b"})
-	assert.DeepEqual(t, read(2, time.Second, Replica{ID: "a"}), []string{"a"})     // left out twice: gone
-	assert.DeepEqual(t, read(1, time.Second, Replica{ID: "c"}), []string{"c"})     // one page is one moment
-	assert.DeepEqual(t, read(2, maxCarryOverAge, Replica{ID: "a"}), []string{"a"}) // too long ago
+	assert.DeepEqual(t, read(2, time.Second, Replica{ID: "a"}), []string{"a"})     // missing twice: removed
+	assert.DeepEqual(t, read(1, time.Second, Replica{ID: "c"}), []string{"c"})     // a single page is consistent
+	assert.DeepEqual(t, read(2, maxCarryOverAge, Replica{ID: "a"}), []string{"a"}) // previous listing too old
 }
 
-func TestMerger_LeavesOutAReplicaWhoseAddressAnotherOneHas(t *testing.T) {
+func TestMerger_RemovesReplicaSupersededAtItsAddress(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	merger := &Merger{}
 	old, other := Replica{ID: "old", Address: "10.0.0.1:80"}, Replica{ID: "other", Address: "10.0.0.2:80"}
@@ -50,7 +50,7 @@
 	assert.DeepEqual(t, ids(merger.Merge([]Replica{next, other}, 2, now)), []string{"next", "other"}) // carried over
 }
 
-func TestMerger_KeepsBothWhereNothingTellsWhichIsNewer(t *testing.T) {
+func TestMerger_KeepsBothReplicasFirstListedTogether(t *testing.T) {
 	both := []Replica{{ID: "a", Address: "10.0.0.1:80"}, {ID: "b", Address: "10.0.0.1:80"}}
 	assert.DeepEqual(t, ids((&Merger{}).Merge(both, 1, time.Time{})), []string{"a", "b"})
 }
--- a/internal/discovery/pinned_test.go
+++ b/internal/discovery/pinned_test.go
@@ -20,18 +20,18 @@
 }
 
 func TestList_PathsStayTheSame(t *testing.T) {
-	var asked []string
+	var requested []string
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		asked = append(asked, request.Method+" "+request.URL.String())
+		requested = append(requested, request.Method+" "+request.URL.String())
 		body := `{"instances":[]}`
-		if len(asked) == 1 {
+		if len(requested) == 1 {
 			body = `{"instances":[],"nextToken":"2&"}`
 		}
 		_, _ = writer.Write([]byte(body))
 	}))
 	defer server.Close()
-	list := &Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
-	_, err := list.List(t.Context(), ListOptions{})
+	client := &Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
+	_, err := client.List(t.Context(), ListOptions{})
 	assert.NilError(t, err)
-	pinned.CheckJSON(t, "testdata/paths.json", asked)
+	pinned.CheckJSON(t, "testdata/paths.json", requested)
 }
--- a/internal/discovery/replica.go
+++ b/internal/discovery/replica.go
@@ -1,14 +1,14 @@
 package discovery
 
-// LoadedModel is a model that a replica holds, with its adapters.
+// LoadedModel is a model that a replica has loaded, with its loaded adapters.
 type LoadedModel struct {
 	Name     string   `json:"name"`
 	Revision int64    `json:"revision"`
 	Adapters []string `json:"adapterList"`
 }
 
-// Replica is an entry of the platform's list. Times are milliseconds; TimeLeftMs is nil unless the
-// platform has announced the end of the replica.
+// Replica is an entry of the platform's list. Times are in milliseconds; TimeLeftMs is nil unless the platform has announced
+// the termination of the replica.
 type Replica struct {
 	ID                string        `json:"id"`
 	Backend           string        `json:"backend"`
@@ -23,34 +23,35 @@
 	Models            []LoadedModel `json:"modelList"`
 }
 
-// States of a replica, as the platform's list names them.
+// The states of a replica in the platform's list.
 const (
-	// StateReady is the state of a replica that takes requests.
+	// StateReady is the state of a replica that accepts requests.
 	StateReady = "ready"
-	// StateDraining is the state of a replica that is to end.
+	// StateDraining is the state of a replica that is about to terminate.
 	StateDraining = "draining"
 )
 
-// Phase is the part of a generation that a replica does. It may change while the replica runs.
+// Phase is the generation phase that a replica executes. It may change while the replica runs.
 type Phase string
 
-// The phases, as the platform's list and replicas' reports name them. An empty one counts as PhaseUnified.
+// The phases in the platform's list and in replicas' reports. An empty phase counts as PhaseUnified.
 const (
-	// PhaseUnified replicas read prompts and make tokens.
+	// PhaseUnified replicas execute prefill and decode.
 	PhaseUnified Phase = "unified"
-	// PhasePrefill replicas only read prompts, and hold what they read for a decode replica to fetch.
+	// PhasePrefill replicas only execute prefill, and hold the KV cache until a decode replica fetches it.
 	PhasePrefill Phase = "prefill"
-	// PhaseDecode replicas make tokens from what a prefill replica read, or read short prompts themselves at a slower pace.
+	// PhaseDecode replicas generate tokens from KV cache fetched from a prefill replica. They can also prefill short prompts
+	// themselves, at a lower rate.
 	PhaseDecode Phase = "decode"
 )
 
-// Page is a part of the list; NextToken is nil on the last.
+// Page is a page of the list; NextToken is nil on the last page.
 type Page struct {
 	Instances []Replica `json:"instances"`
 	NextToken *string   `json:"nextToken"`
 }
 
-// HasLoaded tells whether the replica has loaded the model and, unless that is empty, the adapter.
+// HasLoaded reports whether the replica has loaded the model and, unless it is empty, the adapter.
 func (r Replica) HasLoaded(model, adapter string) bool {
 	for _, loaded := range r.Models {
 		if loaded.Name != model {
--- a/internal/discovery/fenced.go
+++ b/internal/discovery/roles.go
@@ -12,48 +12,48 @@
 	"github.com/pkg/errors"
 )
 
-// The headers that name who makes a call that only one node may make at a time.
+// The headers that identify the lease under which a fenced call is made.
 const (
 	headerLeaseHolder  = "Ferryspar-Lease-Holder"
 	headerFencingToken = "Ferryspar-Fence-Token"
 )
 
-// The paths of those calls.
+// The paths of fenced calls.
 const (
 	PathUsage    = "/usage"
 	PathCapacity = "/capacity"
 )
 
-// roleCallTimeout is how long one such call may take: a platform that is slow answers after seconds, or not at all.
-const roleCallTimeout = 2 * time.Second
+// fencedCallTimeout is the timeout of a fenced call. A slow platform answers after seconds or not at all.
+const fencedCallTimeout = 2 * time.Second
 
-// FencedCall is a call that only the holder of a lease may make.
+// FencedCall is a call to the platform that only the holder of a lease may make, identified by its fencing token.
 type FencedCall struct {
-	// Path is PathUsage or PathCapacity, Body the JSON that is sent.
+	// Path is PathUsage or PathCapacity, Body the JSON body.
 	Path string
 	Body []byte
-	// Holder and Fence are those of the lease.
+	// Holder and Fence are the holder and the fencing token of the lease.
 	Holder string
 	Fence  uint64
 }
 
-// FencedClient makes such calls at an address (host:port). It is safe for concurrent use.
+// FencedClient sends fenced calls to an address (host:port). It is safe for concurrent use.
 type FencedClient struct {
 	Address    string
 	HTTPClient *http.Client
 }
 
-// Send makes a call once and returns the status of the answer. After an error the call may or may not have been carried out, or may be
-// carried out later.
+// Send sends a call at most once and returns the HTTP status of the response. After an error the call may or may not have been
+// executed, and may still be executed later.
 func (c *FencedClient) Send(ctx context.Context, call FencedCall) (int, error) {
-	bounded, cancel := context.WithTimeout(ctx, roleCallTimeout)
+	bounded, cancel := context.WithTimeout(ctx, fencedCallTimeout)
 	defer cancel()
 	target := url.URL{Scheme: "http", Host: c.Address, Path: call.Path}
 	request, err := http.NewRequestWithContext(bounded, http.MethodPost, target.String(), bytes.NewReader(call.Body))
 	if err != nil {
 		return 0, errors.Wrap(err, call.Path)
 	}
-	request.GetBody = nil // net/http would send the call again by itself
+	request.GetBody = nil // keeps net/http from resending the call
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(headerLeaseHolder, call.Holder)
 	request.Header.Set(headerFencingToken, strconv.FormatUint(call.Fence, 10))
--- a/internal/nodesettings/pinned_test.go
+++ b/internal/nodesettings/pinned_test.go
@@ -12,10 +12,10 @@
 	"ferryspar/internal/test/pinned"
 )
 
-// settingsTag is the struct tag that names a key of the settings file.
+// settingsTag is the struct tag that holds the key of a field in the settings file.
 const settingsTag = "koanf"
 
-// allSettings is what testdata/settings.toml holds, in which every key has a value of its own.
+// allSettings returns the settings in testdata/settings.toml, in which every key has a distinct value.
 func allSettings() Settings {
 	return Settings{
 		NodeName:      "text1",
@@ -74,7 +74,7 @@
 			ColdSlack:        47.5,
 			EvacuateMs:       48.5,
 			RecoveryS:        49.5,
-			HistoryS:         20, // its default: the file is of a version that had no such key
+			HistoryS:         20, // default, because the file is from a version without this key
 			StepTimeMs:       50.5,
 			Fencing:          true,
 			LeaseMs:          52.5,
@@ -91,7 +91,7 @@
 	}
 }
 
-// keysOf returns the keys of a part of the settings file, with the names of its tables before them.
+// keysOf returns the keys of a table of the settings file, each with prefix and the names of its parent tables.
 func keysOf(part reflect.Type, prefix string) []string {
 	var keys []string
 	for position := range part.NumField() {
@@ -120,33 +120,33 @@
 	assert.DeepEqual(t, read, allSettings())
 }
 
-func TestParse_TellsSwitchesApart(t *testing.T) {
+func TestParse_DistinguishesBooleanFields(t *testing.T) {
 	cases := map[string]Settings{
 		"bootstrap = true":                        {Bootstrap: true},
 		"quorumMember = true":                     {QuorumMember: true},
 		"[timingBounds]\nrevocationClosed = true": {TimingBounds: TimingBounds{RevocationClosed: true}},
 		"[timingBounds]\nfencing = true":          {TimingBounds: TimingBounds{Fencing: true}},
 	}
-	for content, wanted := range cases {
+	for content, want := range cases {
 		t.Run(content, func(t *testing.T) {
 			read, err := Parse([]byte(content))
 			assert.NilError(t, err)
-			assert.Equal(t, read.Bootstrap, wanted.Bootstrap)
-			assert.Equal(t, read.QuorumMember, wanted.QuorumMember)
-			assert.Equal(t, read.TimingBounds.RevocationClosed, wanted.TimingBounds.RevocationClosed)
-			assert.Equal(t, read.TimingBounds.Fencing, wanted.TimingBounds.Fencing)
+			assert.Equal(t, read.Bootstrap, want.Bootstrap)
+			assert.Equal(t, read.QuorumMember, want.QuorumMember)
+			assert.Equal(t, read.TimingBounds.RevocationClosed, want.TimingBounds.RevocationClosed)
+			assert.Equal(t, read.TimingBounds.Fencing, want.TimingBounds.Fencing)
 		})
 	}
 }
 
-// TestParse_DefaultsStayTheSame compares values in the order of their keys.
+// The values are compared in the order of their keys.
 func TestParse_DefaultsStayTheSame(t *testing.T) {
 	read, err := Parse(nil)
 	assert.NilError(t, err)
 	pinned.CheckJSON(t, "testdata/defaults.json", valuesOf(reflect.ValueOf(read), ""))
 }
 
-// valuesOf returns the values of a part of the settings by key.
+// valuesOf returns the values of a table of the settings by key.
 func valuesOf(part reflect.Value, prefix string) map[string]any {
 	values := map[string]any{}
 	for position := range part.NumField() {
--- a/internal/nodesettings/settings_test.go
+++ b/internal/nodesettings/settings_test.go
@@ -44,9 +44,9 @@
 		assert.NilError(t, err)
 		assert.ErrorContains(t, settings.Validate(ServiceDataPlane), name)
 	}
-	backwards, err := Parse([]byte(strings.Replace(validSettings, "[7720,7735]", "[7735,7720]", 1)))
+	reversed, err := Parse([]byte(strings.Replace(validSettings, "[7720,7735]", "[7735,7720]", 1)))
 	assert.NilError(t, err)
-	assert.ErrorContains(t, backwards.Validate(ServiceDataPlane), "internalPorts")
+	assert.ErrorContains(t, reversed.Validate(ServiceDataPlane), "internalPorts")
 	_, err = Parse([]byte("nodeName = "))
 	assert.ErrorContains(t, err, "cannot be read")
 }
--- a/internal/nodesettings/validate.go
+++ b/internal/nodesettings/validate.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// internalPortCount is the length of Settings.InternalPorts: the first and the last port.
+	// internalPortCount is the required length of Settings.InternalPorts: the first and the last port.
 	internalPortCount = 2
 	maxPort           = 65535
 )
 
-// fieldCheck is one condition that makes settings unusable.
+// fieldCheck is the result of one check of a field.
 type fieldCheck struct {
 	failed  bool
-	message string // names the field
+	message string // including the name of the field
 }
 
-// Validate returns one error that names every field with which a node cannot offer the service.
+// Validate checks the settings for a node that provides the service, and returns one error that lists all invalid fields.
 func (s Settings) Validate(service Service) error {
 	checks := s.commonChecks()
 	switch service {
@@ -48,10 +48,10 @@
 	return nil
 }
 
-// commonChecks are those of fields that every node needs.
+// commonChecks returns the checks of fields that every node requires.
 func (s Settings) commonChecks() []fieldCheck {
 	bounds := s.TimingBounds
-	isQuotaNegative := bounds.QuotaOverage < 0 || bounds.QuotaSlack < 0
+	hasNegativeQuota := bounds.QuotaOverage < 0 || bounds.QuotaSlack < 0
 	lacksWindow := s.CloudAPI.HasDuty(DutyUsage) && (bounds.UsageWindowS <= 0 || bounds.UsageDelayS <= 0)
 	return []fieldCheck{
 		{s.NodeName == "", "nodeName is missing"},
@@ -64,7 +64,7 @@
 		{bounds.ContactMs <= 0, "timingBounds.contactMs must be above 0"},
 		{bounds.RevocationClosed && bounds.RevokeMs <= 0, "timingBounds.revokeMs must be above 0"},
 		{bounds.QuotaWindowS <= 0, "timingBounds.quotaWindowS must be above 0"},
-		{isQuotaNegative, "timingBounds.quotaOverage and quotaSlack must not be below 0"},
+		{hasNegativeQuota, "timingBounds.quotaOverage and quotaSlack must not be below 0"},
 		{s.CloudAPI.DutyPerS < 0, "cloudApi.dutyPerS must not be below 0"},
 		{lacksWindow, "timingBounds.usageWindowS and usageDelayS must be above 0 where cloudApi.duties has usage_report"},
 		{bounds.HistoryS < 0, "timingBounds.historyS must not be below 0"},
@@ -72,7 +72,7 @@
 	}
 }
 
-// addressChecks are those of the port range and of each seed.
+// addressChecks returns the checks of the port range and of each seed node.
 func (s Settings) addressChecks() []fieldCheck {
 	var checks []fieldCheck
 	if len(s.InternalPorts) == internalPortCount {
--- a/internal/nodesettings/watch.go
+++ b/internal/nodesettings/watch.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// watchInterval is how often the settings file is read without a signal.
+// watchInterval is the interval at which the settings file is reloaded without a signal.
 const watchInterval = 2 * time.Second
 
-// Watch calls onChange with valid settings whenever a hangup arrives and every watchInterval, until ctx ends.
-// Files that cannot be read or do not pass the check are ignored.
+// Watch reloads the settings on each hangup and at each watchInterval until ctx ends, and calls onChange with them. Files that
+// cannot be read and invalid settings are ignored.
 func Watch(ctx context.Context, path string, service Service, hangups <-chan os.Signal, onChange func(settings Settings)) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -27,7 +27,7 @@
 	}
 }
 
-// Sleep waits for that duration or until ctx ends.
+// Sleep waits for the duration or until ctx ends.
 func Sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
