--- a/internal/dataplane/fleetstate_bench_test.go
+++ b/internal/dataplane/fleetstate_bench_test.go
@@ -139,7 +139,8 @@
 				current.Revision = int64(turn)
 				document, _ := json.Marshal(current)
 				response := benchResponse(80)
-				response.Version, response.Revision, response.CompressedConfiguration = turn, current.Revision, configuration.Compress(document)
+				response.Version, response.Revision = turn, current.Revision
+				response.CompressedConfiguration = configuration.Compress(document)
 				return response
 			})
 		})
