--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestNewDelta_OnlyOfRoutes(t *testing.T) {
+func TestNewDelta_SupportsOnlyRoutes(t *testing.T) {
 	base := exampleDocument(2, 3)
 	_, routesOnly := NewDelta(mustIndex(t, base), mustIndex(t, exampleDocument(3, 3)))
 	assert.Assert(t, !routesOnly, "another model")
--- a/internal/configuration/indexeddocument.go
+++ b/internal/configuration/indexeddocument.go
@@ -104,7 +104,7 @@
 	return hash.Sum64()
 }
 
-// Digest returns a hash of the configuration that is independent of the order of its routes. Nodes use it to verify that they
+// Digest returns a hash of the configuration that is independent of the order of its routes, by which nodes verify that they
 // hold the same configuration.
 func (i *IndexedDocument) Digest() uint64 {
 	hash := xxhash.New()
