--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -136,9 +136,9 @@
 
 // replicaFromEndpoint converts an endpoint to a list entry without models.
 func replicaFromEndpoint(backend string, endpoint peer.Endpoint) discovery.Replica {
-	state := discovery.Ready
+	state := discovery.StateReady
 	if endpoint.Draining {
-		state = discovery.Draining
+		state = discovery.StateDraining
 	}
 	return discovery.Replica{
 		ID:                endpoint.ID,
--- a/internal/dataplane/watchposition.go
+++ b/internal/dataplane/watchposition.go
@@ -48,11 +48,11 @@
 // a subscription.
 func (p *watchPosition) fill(request *peer.WatchRequest, address string) {
 	request.Revision = p.revision.Load()
-	request.TakesDifferences = p.takesDifferences.Load()
+	request.AcceptsDeltas = p.takesDifferences.Load()
 	request.Linearizable = request.Revision == 0
 	request.ZoneVersion = p.zoneVersion.Load()
 	request.ContextVersion = p.contextVersion.Load()
-	request.AppliedForget = p.appliedForget.Load()
+	request.AppliedPurge = p.appliedForget.Load()
 	request.Leaving = p.draining.Load()
 	primary := *p.primary.Load()
 	request.Primary = primary == "" || primary == address
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -28,7 +28,7 @@
 		}
 		fmt.Fprint(writer, `{"instances":[{"id":"i-2"}],"nextToken":null}`)
 	})
-	replicas, err := client.List(t.Context(), ReadOptions{})
+	replicas, err := client.List(t.Context(), ListOptions{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(replicas), 2)
 	assert.DeepEqual(t, tokens, []string{"", "p&1"})
@@ -37,12 +37,12 @@
 
 func TestClient_ListFailsIfAnyPageFails(t *testing.T) {
 	for name, serveFaulty := range map[string]http.HandlerFunc{
-		"a failure": func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusInternalServerError) },
-		"cut": func(writer http.ResponseWriter, _ *http.Request) {
+		"error status": func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusInternalServerError) },
+		"truncated": func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set("Content-Length", "100")
 			fmt.Fprint(writer, `{"instances":[]`)
 		},
-		"no document": func(writer http.ResponseWriter, _ *http.Request) { fmt.Fprint(writer, "words") },
+		"not JSON": func(writer http.ResponseWriter, _ *http.Request) { fmt.Fprint(writer, "words") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
@@ -52,14 +52,14 @@
 				}
 				serveFaulty(writer, request)
 			})
-			replicas, err := client.List(t.Context(), ReadOptions{})
+			replicas, err := client.List(t.Context(), ListOptions{})
 			assert.Assert(t, err != nil)
 			assert.Equal(t, len(replicas), 0)
 		})
 	}
 }
 
-func TestClient_ListGoesOnAfterAThrottledPage(t *testing.T) {
+func TestClient_ListRetriesThrottledPage(t *testing.T) {
 	calls := map[string]int{}
 	client := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
 		token := request.URL.Query().Get("pageToken")
@@ -73,14 +73,14 @@
 			fmt.Fprint(writer, `{"instances":[{"id":"i-2"}],"nextToken":null}`)
 		}
 	})
-	replicas, err := client.List(t.Context(), ReadOptions{})
+	replicas, err := client.List(t.Context(), ListOptions{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(replicas), 2)
 	assert.DeepEqual(t, calls, map[string]int{"": 1, "p-1": 3})
 	assert.Equal(t, client.PageCount(), 2)
 }
 
-func TestClient_ListGivesUpWhereThrottlingGoesOn(t *testing.T) {
+func TestClient_ListFailsWhenThrottlingPersists(t *testing.T) {
 	calls := 0
 	client := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
 		calls++
@@ -90,13 +90,13 @@
 		}
 		writer.WriteHeader(http.StatusTooManyRequests)
 	})
-	_, err := client.List(t.Context(), ReadOptions{})
+	_, err := client.List(t.Context(), ListOptions{})
 	assert.Assert(t, errors.Is(err, ErrThrottled))
 	assert.Equal(t, calls, 2+maxThrottled)
 }
 
-func TestClient_ListReportsThrottling(t *testing.T) {
+func TestClient_ListReturnsErrThrottled(t *testing.T) {
 	client := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusTooManyRequests) })
-	_, err := client.List(t.Context(), ReadOptions{})
+	_, err := client.List(t.Context(), ListOptions{})
 	assert.Assert(t, errors.Is(err, ErrThrottled))
 }
