--- a/cmd/ferryspar-operator/coordination.go
+++ b/cmd/ferryspar-operator/coordination.go
@@ -83,7 +83,7 @@
 		a.printf("%s: last number %d\n", status.Name, *status.Number)
 	case status.Group != nil:
 		a.printf("%s: revision %d, %d keys, %d puts kept since revision %d, %d bytes\n", status.Name, status.Group.Revision,
-			status.Group.Keys, status.Group.Events, status.Group.Floor, status.Group.Bytes)
+			status.Group.Keys, status.Group.Events, status.Group.CompactedRevision, status.Group.Bytes)
 	}
 }
 
--- a/cmd/ferryspar-replay/main.go
+++ b/cmd/ferryspar-replay/main.go
@@ -91,7 +91,7 @@
 }
 
 // readRecord reads the entries of a record and lists its damaged lines.
-func readRecord(path string) ([]requestlog.Entry, []requestlog.DamagedLine, error) {
+func readRecord(path string) ([]requestlog.Entry, []requestlog.InvalidLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, nil, err
--- a/internal/controlplane/coordination_host.go
+++ b/internal/controlplane/coordination_host.go
@@ -52,7 +52,7 @@
 // openCoordination makes the parts that carry out calls of applications.
 func (n *Node) openCoordination() {
 	history := nodesettings.Seconds(n.settings.TimingBounds.HistoryS) + historyMargin
-	executor := coordinator.NewExecutor(n.store, coordination.Config{History: history}, n.clock)
+	executor := coordinator.NewExecutor(n.store, coordination.Config{EventRetention: history}, n.clock)
 	caller := peer.NewClient(n.network)
 	n.coordination = coordinator.NewRouter(n.self, coordinationFleet{n}, caller, executor, n.clock)
 	n.watches = coordinator.NewWatches(n.coordination, n.members.Leaving(), n.clock)
--- a/internal/controlplane/coordinator/applications_test.go
+++ b/internal/controlplane/coordinator/applications_test.go
@@ -184,7 +184,7 @@
 		Kind:      coordination.KindLock,
 		Name:      lock,
 		Holder:    a.name(),
-		HoldMs:    holdFor.Milliseconds(),
+		TTLMs:     holdFor.Milliseconds(),
 	}
 	sent := time.Now()
 	taken := a.simulation.call(a.node(), a.random, call)
@@ -290,11 +290,11 @@
 		done.expected = &revision
 	}
 	call := coordination.Call{
-		Operation: coordination.OperationPut,
-		Kind:      coordination.KindGroup,
-		Name:      done.key,
-		Value:     value,
-		Expected:  done.expected,
+		Operation:        coordination.OperationPut,
+		Kind:             coordination.KindGroup,
+		Name:             done.key,
+		Value:            value,
+		ExpectedRevision: done.expected,
 	}
 	done.sent, done.isTurnedAway = time.Now(), true
 	for time.Since(done.sent) < resendFor {
--- a/internal/controlplane/coordinator/batch.go
+++ b/internal/controlplane/coordinator/batch.go
@@ -64,7 +64,7 @@
 		batch.fail(err)
 		return
 	}
-	item.register, item.memory = register.WithoutValue(), item.state.Memory()
+	item.register, item.memory = register.WithoutValue(), item.state.VolatileState()
 	e.requestHandover(item)
 	if batch.changed && item.kind == coordination.KindGroup {
 		item.signalChange()
@@ -110,9 +110,9 @@
 }
 
 // memoryFor is what is known of the item under an ownership that found the value of an earlier one.
-func (i *ownedItem) memoryFor(adoptedFrom keystore.ProposalNumber) coordination.Memory {
+func (i *ownedItem) memoryFor(adoptedFrom keystore.ProposalNumber) coordination.VolatileState {
 	if adoptedFrom.IsZero() || adoptedFrom != i.register.Accepted {
-		return coordination.Memory{}
+		return coordination.VolatileState{}
 	}
 	return i.memory
 }
@@ -121,7 +121,7 @@
 	b.results, b.changed = b.results[:0], false
 	maxAge := eventsMaxAge
 	for _, waiting := range b.operations {
-		result, changed := b.item.state.Step(waiting.call, now)
+		result, changed := b.item.state.Apply(waiting.call, now)
 		b.results = append(b.results, result)
 		b.changed = b.changed || changed
 		maxAge = min(maxAge, maxAgeOf(waiting.call, result))
--- a/internal/controlplane/coordinator/coordinator_test.go
+++ b/internal/controlplane/coordinator/coordinator_test.go
@@ -157,7 +157,7 @@
 // openedEarlier returns an openFunc that takes items of one kind for opened a while ago.
 func openedEarlier(kind coordination.Kind, by time.Duration) openFunc {
 	return func(
-		opened coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.Memory,
+		opened coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.VolatileState,
 	) (coordination.Item, error) {
 		if opened == kind {
 			now = now.Add(-by)
@@ -167,9 +167,9 @@
 }
 
 func openWithShortHistory(
-	kind coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.Memory,
+	kind coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.VolatileState,
 ) (coordination.Item, error) {
-	config.History = 100 * time.Millisecond
+	config.EventRetention = 100 * time.Millisecond
 	return coordination.Open(kind, value, now, config, known)
 }
 
--- a/internal/controlplane/coordinator/executor.go
+++ b/internal/controlplane/coordinator/executor.go
@@ -47,7 +47,7 @@
 
 // openFunc makes an item of its stored value.
 type openFunc func(
-	kind coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.Memory,
+	kind coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.VolatileState,
 ) (coordination.Item, error)
 
 // ownedItem is an item that this node owns, or owned.
@@ -69,7 +69,7 @@
 	state    coordination.Item
 	register keystore.Register
 	// memory is that of the state after the last batch that was confirmed, under the ownership that the register names.
-	memory coordination.Memory
+	memory coordination.VolatileState
 	// adoptedFrom is the ownership before the present one, askedUnder the one under which its owner was asked last.
 	adoptedFrom, askedUnder keystore.ProposalNumber
 }
--- a/internal/controlplane/coordinator/executor_test.go
+++ b/internal/controlplane/coordinator/executor_test.go
@@ -14,7 +14,7 @@
 )
 
 func newTestExecutor(store Store) *Executor {
-	return NewExecutor(store, coordination.Config{History: time.Minute}, time.Now)
+	return NewExecutor(store, coordination.Config{EventRetention: time.Minute}, time.Now)
 }
 
 var testNext = coordination.Call{
@@ -193,7 +193,7 @@
 			Kind:      coordination.KindLock,
 			Name:      "l",
 			Holder:    holder,
-			HoldMs:    holdFor.Milliseconds(),
+			TTLMs:     holdFor.Milliseconds(),
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controlplane/coordinator/follower.go
+++ b/internal/controlplane/coordinator/follower.go
@@ -130,7 +130,7 @@
 // ask has the owner of a group list the puts after a revision.
 func (w *Watches) ask(ctx context.Context, group string, after uint64) (coordination.Result, error) {
 	result, err := w.router.Do(ctx, eventsCall(group, after, 0))
-	if err == nil && result.Outcome == coordination.OutcomeExpired {
+	if err == nil && result.Outcome == coordination.OutcomeCompacted {
 		return result, ErrExpired
 	}
 	return result, err
@@ -138,11 +138,11 @@
 
 func eventsCall(group string, after uint64, wait time.Duration) coordination.Call {
 	return coordination.Call{
-		Operation: coordination.OperationEvents,
-		Kind:      coordination.KindGroup,
-		Name:      group,
-		After:     after,
-		WaitMs:    wait.Milliseconds(),
+		Operation:     coordination.OperationEvents,
+		Kind:          coordination.KindGroup,
+		Name:          group,
+		AfterRevision: after,
+		WaitMs:        wait.Milliseconds(),
 	}
 }
 
@@ -246,7 +246,7 @@
 	if err != nil {
 		return err
 	}
-	if !isKnown || result.Outcome == coordination.OutcomeExpired {
+	if !isKnown || result.Outcome == coordination.OutcomeCompacted {
 		followed.restart(result.Revision)
 		return nil
 	}
--- a/internal/controlplane/coordinator/handover.go
+++ b/internal/controlplane/coordinator/handover.go
@@ -79,7 +79,7 @@
 	}
 	if item.state != nil {
 		item.adoptHandover(item.register)
-		item.memory = item.state.Memory()
+		item.memory = item.state.VolatileState()
 	}
 	now := e.clock()
 	for _, question := range questions {
--- a/internal/controlplane/coordinator/recovery_test.go
+++ b/internal/controlplane/coordinator/recovery_test.go
@@ -71,7 +71,7 @@
 	}
 	for position := range lockCount {
 		calls = append(calls, coordination.Call{
-			Operation: coordination.OperationRenew, Kind: coordination.KindLock, Name: "l" + digit(position), Holder: holder, HoldMs: 100,
+			Operation: coordination.OperationRenew, Kind: coordination.KindLock, Name: "l" + digit(position), Holder: holder, TTLMs: 100,
 		})
 	}
 	return calls
@@ -118,7 +118,7 @@
 			Kind:      coordination.KindLock,
 			Name:      "l" + digit(position),
 			Holder:    a.name(),
-			HoldMs:    100,
+			TTLMs:     100,
 		}
 		if taken := a.simulation.call(a.node(), a.random, call); taken.result.Outcome != coordination.OutcomeDone {
 			unanswered = append(unanswered, call.Name+string(taken.result.Outcome))
--- a/internal/controlplane/coordinator/router_test.go
+++ b/internal/controlplane/coordinator/router_test.go
@@ -132,7 +132,7 @@
 }
 
 func newTestRouter(fleet *testFleet, store Store) *Router {
-	executor := NewExecutor(store, coordination.Config{History: time.Minute}, time.Now)
+	executor := NewExecutor(store, coordination.Config{EventRetention: time.Minute}, time.Now)
 	return NewRouter("self", fleet, fleet, executor, time.Now)
 }
 
--- a/internal/controlplane/coordinator/simulation_test.go
+++ b/internal/controlplane/coordinator/simulation_test.go
@@ -136,7 +136,7 @@
 		operated = s.wrapStore(store)
 	}
 	clock := s.cluster.Clock(name)
-	executor := NewExecutor(operated, coordination.Config{History: simulatedHistory}, clock)
+	executor := NewExecutor(operated, coordination.Config{EventRetention: simulatedHistory}, clock)
 	if s.open != nil {
 		executor.open = s.open
 	}
@@ -265,7 +265,7 @@
 // rewrite returns an openFunc that changes a stored value of one kind before it is opened.
 func rewrite(kind coordination.Kind, change func(record map[string]any)) openFunc {
 	return func(
-		opened coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.Memory,
+		opened coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.VolatileState,
 	) (coordination.Item, error) {
 		if opened == kind && len(value) > 0 {
 			record := map[string]any{}
--- a/internal/coordination/call.go
+++ b/internal/coordination/call.go
@@ -40,14 +40,14 @@
 	// Holder names who holds a lock, Fence is the fencing token of that hold.
 	Holder string `json:"holder,omitempty"`
 	Fence  uint64 `json:"fence,omitempty"`
-	// HoldMs is for how long a lock is held without a renewal, in ms.
-	HoldMs int64 `json:"holdMs,omitempty"`
+	// TTLMs is for how long a lock is held without a renewal, in ms.
+	TTLMs int64 `json:"holdMs,omitempty"`
 	// Value is what a key is to have.
 	Value string `json:"value,omitempty"`
-	// Expected is the revision that the key must have, 0 if it must not exist. Without it any will do.
-	Expected *uint64 `json:"expected,omitempty"`
-	// After is the revision after which events are asked for.
-	After uint64 `json:"after,omitempty"`
+	// ExpectedRevision is the revision that the key must have, 0 if it must not exist. Without it any will do.
+	ExpectedRevision *uint64 `json:"expected,omitempty"`
+	// AfterRevision is the revision after which events are asked for.
+	AfterRevision uint64 `json:"after,omitempty"`
 	// WaitMs is how long OperationEvents waits for a first event, in ms.
 	WaitMs int64 `json:"waitMs,omitempty"`
 }
@@ -55,7 +55,7 @@
 // Wait is how long OperationEvents waits for a first event.
 func (c Call) Wait() time.Duration { return time.Duration(c.WaitMs) * time.Millisecond }
 
-func (c Call) hold() time.Duration { return holdDuration(c.HoldMs) }
+func (c Call) hold() time.Duration { return holdDuration(c.TTLMs) }
 
 func holdDuration(holdMs int64) time.Duration { return time.Duration(holdMs) * time.Millisecond }
 
@@ -71,10 +71,10 @@
 	OutcomeLost Outcome = "lost"
 	// OutcomeConflict: the key has another revision than the one expected.
 	OutcomeConflict Outcome = "conflict"
-	// OutcomeMissing: no such key was ever put.
-	OutcomeMissing Outcome = "missing"
-	// OutcomeExpired: the events after that revision are no longer all kept.
-	OutcomeExpired Outcome = "expired"
+	// OutcomeNotFound: no such key was ever put.
+	OutcomeNotFound Outcome = "missing"
+	// OutcomeCompacted: the events after that revision are no longer all kept.
+	OutcomeCompacted Outcome = "expired"
 	// OutcomeFull: the item has no room for this.
 	OutcomeFull Outcome = "full"
 )
--- a/internal/coordination/counter.go
+++ b/internal/coordination/counter.go
@@ -36,8 +36,8 @@
 	return counter, nil
 }
 
-// Step implements Item.
-func (c *Counter) Step(call Call, _ time.Time) (Result, bool) {
+// Apply implements Item.
+func (c *Counter) Apply(call Call, _ time.Time) (Result, bool) {
 	if call.Operation != OperationNext {
 		return Result{Outcome: OutcomeDone, Number: c.last}, false
 	}
@@ -54,5 +54,5 @@
 // Value implements Item.
 func (c *Counter) Value() json.RawMessage { return encodeValue(c.record) }
 
-// Memory implements Item. The rest of a block is not used under another ownership.
-func (*Counter) Memory() Memory { return Memory{} }
+// VolatileState implements Item. The rest of a block is not used under another ownership.
+func (*Counter) VolatileState() VolatileState { return VolatileState{} }
--- a/internal/coordination/counter_test.go
+++ b/internal/coordination/counter_test.go
@@ -13,7 +13,7 @@
 	for range 5 {
 		for range 100 {
 			stored := counter.record.Reserved
-			result, changed := counter.Step(Call{Operation: OperationNext}, testNow)
+			result, changed := counter.Apply(Call{Operation: OperationNext}, testNow)
 			assert.Assert(t, result.Number > last)
 			assert.Equal(t, changed, result.Number > stored, "a number that is not reserved on disk must not be given out")
 			last = result.Number
@@ -25,9 +25,9 @@
 
 func TestCounter_StoredValueThatCannotBeReadIsAnError(t *testing.T) {
 	for _, kind := range []Kind{KindLock, KindCounter, KindGroup} {
-		_, err := Open(kind, []byte(`"what is this"`), testNow, Config{}, Memory{})
+		_, err := Open(kind, []byte(`"what is this"`), testNow, Config{}, VolatileState{})
 		assert.Assert(t, err != nil, "%s would begin anew", kind)
 	}
-	_, err := Open("later", nil, testNow, Config{}, Memory{})
-	assert.ErrorIs(t, err, ErrWrongKind)
+	_, err := Open("later", nil, testNow, Config{}, VolatileState{})
+	assert.ErrorIs(t, err, ErrUnknownKind)
 }
--- a/internal/coordination/group.go
+++ b/internal/coordination/group.go
@@ -54,11 +54,11 @@
 // GroupStatus describes a group to an operator.
 type GroupStatus struct {
 	Revision uint64 `json:"revision"`
-	// Floor is the first revision from which a watch may go on.
-	Floor  uint64 `json:"floor"`
-	Keys   int    `json:"keys"`
-	Events int    `json:"events"`
-	Bytes  int    `json:"bytes"`
+	// CompactedRevision is the first revision from which a watch may go on.
+	CompactedRevision uint64 `json:"floor"`
+	Keys              int    `json:"keys"`
+	Events            int    `json:"events"`
+	Bytes             int    `json:"bytes"`
 }
 
 func openGroup(value json.RawMessage, now time.Time, config Config) (*Group, error) {
@@ -67,10 +67,10 @@
 		return nil, err
 	}
 	if !record.isConsistent() {
-		return nil, errors.Wrap(ErrDamagedValue, "group")
+		return nil, errors.Wrap(ErrCorruptValue, "group")
 	}
 	group := &Group{
-		history:   config.History,
+		history:   config.EventRetention,
 		floor:     record.Floor,
 		revision:  record.Floor,
 		settled:   map[string]version{},
@@ -99,8 +99,8 @@
 
 func putBytes(name, value string) int { return len(name) + len(value) + eventOverhead }
 
-// Step implements Item.
-func (g *Group) Step(call Call, now time.Time) (Result, bool) {
+// Apply implements Item.
+func (g *Group) Apply(call Call, now time.Time) (Result, bool) {
 	switch call.Operation {
 	case OperationPut:
 		return g.put(call, now)
@@ -117,16 +117,16 @@
 // Value implements Item.
 func (g *Group) Value() json.RawMessage { return encodeValue(g.record()) }
 
-// Memory implements Item. Events are kept for longer under another ownership.
-func (*Group) Memory() Memory { return Memory{} }
+// VolatileState implements Item. Events are kept for longer under another ownership.
+func (*Group) VolatileState() VolatileState { return VolatileState{} }
 
 func (g *Group) put(call Call, now time.Time) (Result, bool) {
 	current := g.latest[call.Name].revision
-	isExpected := call.Expected != nil && *call.Expected == current
+	isExpected := call.ExpectedRevision != nil && *call.ExpectedRevision == current
 	if first, isKnown := g.revisions[putIdentity{call.Name, call.Value}]; isKnown && !isExpected {
 		return Result{Outcome: OutcomeDone, Revision: first}, false
 	}
-	if call.Expected != nil && !isExpected {
+	if call.ExpectedRevision != nil && !isExpected {
 		return Result{Outcome: OutcomeConflict, Revision: current}, false
 	}
 	g.settle(now)
@@ -166,33 +166,33 @@
 func (g *Group) get(call Call) Result {
 	key, exists := g.latest[call.Name]
 	if !exists {
-		return Result{Outcome: OutcomeMissing}
+		return Result{Outcome: OutcomeNotFound}
 	}
 	return Result{Outcome: OutcomeDone, Value: key.value, Revision: key.revision}
 }
 
 // events lists all puts after a revision. Revision is that of the last one listed, or of the group.
 func (g *Group) events(call Call) Result {
-	if call.After < g.floor {
-		return Result{Outcome: OutcomeExpired, Revision: g.revision}
+	if call.AfterRevision < g.floor {
+		return Result{Outcome: OutcomeCompacted, Revision: g.revision}
 	}
-	first := sort.Search(len(g.kept), func(position int) bool { return g.kept[position].Revision > call.After })
+	first := sort.Search(len(g.kept), func(position int) bool { return g.kept[position].Revision > call.AfterRevision })
 	listed := g.kept[first:]
 	if len(listed) > maxEventsReturned {
 		listed = listed[:maxEventsReturned]
 		return Result{Outcome: OutcomeDone, Events: slices.Clone(listed), Revision: listed[len(listed)-1].Revision}
 	}
-	result := Result{Outcome: OutcomeDone, Revision: max(g.revision, call.After)}
+	result := Result{Outcome: OutcomeDone, Revision: max(g.revision, call.AfterRevision)}
 	result.Events = append(result.Events, listed...)
 	return result
 }
 
 func (g *Group) status() *GroupStatus {
 	return &GroupStatus{
-		Revision: g.revision,
-		Floor:    g.floor,
-		Keys:     len(g.latest),
-		Events:   len(g.kept),
-		Bytes:    g.bytes,
+		Revision:          g.revision,
+		CompactedRevision: g.floor,
+		Keys:              len(g.latest),
+		Events:            len(g.kept),
+		Bytes:             g.bytes,
 	}
 }
--- a/internal/coordination/group_record.go
+++ b/internal/coordination/group_record.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrDamagedValue is returned for a stored value that this package did not write.
-var ErrDamagedValue = errors.New("stored value is damaged")
+// ErrCorruptValue is returned for a stored value that this package did not write.
+var ErrCorruptValue = errors.New("stored value is damaged")
 
 // groupRecord is what is stored of a group: the keys as they were at a revision, and the puts since. It is written at each batch of
 // puts, so names are stored without what all of them begin with, and lists by column.
--- a/internal/coordination/group_test.go
+++ b/internal/coordination/group_test.go
@@ -19,23 +19,23 @@
 // reopen is the group at its next owner.
 func (g *Group) reopen(t *testing.T, now time.Time) *Group {
 	t.Helper()
-	reopened, err := openGroup(g.Value(), now, Config{History: testHistory})
+	reopened, err := openGroup(g.Value(), now, Config{EventRetention: testHistory})
 	assert.NilError(t, err)
 	return reopened
 }
 
 func (g *Group) putValue(name, value string, expected *uint64, after time.Duration) Result {
-	result, _ := g.Step(Call{Operation: OperationPut, Name: name, Value: value, Expected: expected}, testNow.Add(after))
+	result, _ := g.Apply(Call{Operation: OperationPut, Name: name, Value: value, ExpectedRevision: expected}, testNow.Add(after))
 	return result
 }
 
 func (g *Group) read(name string) Result {
-	result, _ := g.Step(Call{Operation: OperationGet, Name: name}, testNow)
+	result, _ := g.Apply(Call{Operation: OperationGet, Name: name}, testNow)
 	return result
 }
 
 func (g *Group) eventsAfter(after uint64) Result {
-	result, _ := g.Step(Call{Operation: OperationEvents, After: after}, testNow)
+	result, _ := g.Apply(Call{Operation: OperationEvents, AfterRevision: after}, testNow)
 	return result
 }
 
@@ -43,7 +43,7 @@
 
 func TestGroup_RevisionsAreOfTheGroupAndConditionsOfTheKey(t *testing.T) {
 	group := newTestGroup(t)
-	assert.Equal(t, group.read("g.a").Outcome, OutcomeMissing)
+	assert.Equal(t, group.read("g.a").Outcome, OutcomeNotFound)
 	assert.Equal(t, group.putValue("g.a", "1", revision(0), 0).Revision, uint64(1))
 	assert.Equal(t, group.putValue("g.b", "2", revision(0), 0).Revision, uint64(2))
 	assert.DeepEqual(t, group.putValue("g.a", "3", revision(2), 0), Result{Outcome: OutcomeConflict, Revision: 1})
@@ -71,12 +71,12 @@
 	group.putValue("g.a", "1", nil, 0)
 	group.putValue("g.b", "2", nil, 10*time.Second)
 	group.putValue("g.a", "3", nil, testHistory)
-	assert.Equal(t, group.eventsAfter(0).Outcome, OutcomeExpired)
+	assert.Equal(t, group.eventsAfter(0).Outcome, OutcomeCompacted)
 	assert.Equal(t, len(group.eventsAfter(1).Events), 2)
 	assert.DeepEqual(t, group.eventsAfter(3), Result{Outcome: OutcomeDone, Revision: 3})
 	assert.Equal(t, group.read("g.b").Value, "2")
 	group.putValue("g.a", "4", nil, 10*testHistory)
-	assert.Equal(t, group.eventsAfter(2).Outcome, OutcomeExpired)
+	assert.Equal(t, group.eventsAfter(2).Outcome, OutcomeCompacted)
 	assert.Equal(t, group.eventsAfter(3).Events[0].Revision, uint64(4))
 	assert.Equal(t, group.read("g.b").Value, "2", "a key outlives its event")
 	assert.Equal(t, group.putValue("g.b", "2", revision(0), 10*testHistory).Revision, uint64(2), "the present value is recognised")
@@ -90,7 +90,7 @@
 	group.putValue("g.a", "2", nil, start+testHistory-time.Second)
 	assert.Equal(t, len(group.eventsAfter(0).Events), 2, "it does not know how old the first is")
 	group.putValue("g.a", "3", nil, start+testHistory)
-	assert.Equal(t, group.eventsAfter(0).Outcome, OutcomeExpired)
+	assert.Equal(t, group.eventsAfter(0).Outcome, OutcomeCompacted)
 	assert.Equal(t, len(group.eventsAfter(1).Events), 2)
 }
 
@@ -113,7 +113,7 @@
 		`{"g":"g.","floor":7,"keys":{},"events":{"k":["a"],"v":["1"],"r":[7]}}`,
 	} {
 		_, err := openGroup([]byte(damaged), testNow, Config{})
-		assert.ErrorIs(t, err, ErrDamagedValue)
+		assert.ErrorIs(t, err, ErrCorruptValue)
 	}
 	single := newTestGroup(t)
 	single.putValue("alone", "1", nil, 0)
@@ -132,7 +132,7 @@
 	assert.DeepEqual(t, full, Result{Outcome: OutcomeFull})
 	assert.Equal(t, group.read("g.a").Revision, uint64(puts), "nothing was done")
 	assert.Equal(t, group.putValue("g.a", "later "+large, nil, testHistory).Revision, uint64(puts+1))
-	status, _ := group.Step(Call{Operation: OperationInspect}, testNow)
+	status, _ := group.Apply(Call{Operation: OperationInspect}, testNow)
 	assert.Assert(t, status.Group.Bytes < 3*MaxValueBytes, "%d bytes", status.Group.Bytes)
 }
 
@@ -161,20 +161,20 @@
 		expected error
 	}{
 		{Call{Operation: OperationNext, Name: "n"}, nil},
-		{Call{Operation: OperationNext}, ErrBadName},
-		{Call{Operation: OperationNext, Name: "a b"}, ErrBadName},
-		{Call{Operation: OperationNext, Name: "a/b"}, ErrBadName},
-		{Call{Operation: OperationNext, Name: strings.Repeat("n", MaxNameBytes+1)}, ErrBadName},
+		{Call{Operation: OperationNext}, ErrInvalidName},
+		{Call{Operation: OperationNext, Name: "a b"}, ErrInvalidName},
+		{Call{Operation: OperationNext, Name: "a/b"}, ErrInvalidName},
+		{Call{Operation: OperationNext, Name: strings.Repeat("n", MaxNameBytes+1)}, ErrInvalidName},
 		{acquire("a", time.Second), nil},
-		{acquire("", time.Second), ErrBadHolder},
-		{acquire("a", 0), ErrBadHold},
-		{acquire("a", MaxHold+time.Millisecond), ErrBadHold},
-		{renew("a", 0, time.Second), ErrBadFence},
-		{release("a", 0), ErrBadFence},
-		{Call{Operation: OperationPut, Name: "k", Value: strings.Repeat("v", MaxValueBytes+1)}, ErrBadValue},
+		{acquire("", time.Second), ErrInvalidHolder},
+		{acquire("a", 0), ErrInvalidTTL},
+		{acquire("a", MaxLockTTL+time.Millisecond), ErrInvalidTTL},
+		{renew("a", 0, time.Second), ErrInvalidFence},
+		{release("a", 0), ErrInvalidFence},
+		{Call{Operation: OperationPut, Name: "k", Value: strings.Repeat("v", MaxValueBytes+1)}, ErrInvalidValue},
 	} {
 		example.call.Kind = KindLock
-		assert.Equal(t, example.call.Check(), example.expected)
+		assert.Equal(t, example.call.Validate(), example.expected)
 	}
 	assert.Equal(t, GroupOf("g1.2d.x"), "g1.")
 	assert.Equal(t, GroupOf("g1"), "g1")
--- a/internal/coordination/item.go
+++ b/internal/coordination/item.go
@@ -17,13 +17,13 @@
 	KindGroup   Kind = "group"
 )
 
-// ErrWrongKind is returned for a kind that this version does not know.
-var ErrWrongKind = errors.New("unknown kind of item")
+// ErrUnknownKind is returned for a kind that this version does not know.
+var ErrUnknownKind = errors.New("unknown kind of item")
 
 // Config holds the bounds that a deployment sets.
 type Config struct {
-	// History is how long an event stays available to watches after its put.
-	History time.Duration
+	// EventRetention is how long an event stays available to watches after its put.
+	EventRetention time.Duration
 }
 
 // Item is the state of one lock, counter or group at its owner. It is used by one goroutine at a time.
@@ -31,18 +31,18 @@
 // What is remembered beside Value (until when a lock is held, when an event was put) is known to this owner only, and is opened
 // anew, by the safe side, under each ownership.
 type Item interface {
-	// Step answers a call that is decided at now, a reading of the owner's steady clock, and says whether it changed the
+	// Apply answers a call that is decided at now, a reading of the owner's steady clock, and says whether it changed the
 	// Value, which must then be on a majority of disks before the answer is given. If that fails the item is opened again.
-	Step(call Call, now time.Time) (result Result, changed bool)
+	Apply(call Call, now time.Time) (result Result, changed bool)
 	// Value is what is stored.
 	Value() json.RawMessage
-	// Memory is what the owner knows beside Value.
-	Memory() Memory
+	// VolatileState is what the owner knows beside Value.
+	VolatileState() VolatileState
 }
 
-// Memory is what an owner of an item knows beside its value. It passes from one ownership to the next if both are of one process
+// VolatileState is what an owner of an item knows beside its value. It passes from one ownership to the next if both are of one process
 // and nobody else has owned the item between them.
-type Memory struct {
+type VolatileState struct {
 	lock lockMemory
 }
 
@@ -58,7 +58,7 @@
 
 // Open returns the item that has a stored value, or none yet, for an owner that took it over before now. known is what the owner
 // knows of the item from before, the zero Memory if another may have owned it since.
-func Open(kind Kind, value json.RawMessage, now time.Time, config Config, known Memory) (Item, error) {
+func Open(kind Kind, value json.RawMessage, now time.Time, config Config, known VolatileState) (Item, error) {
 	switch kind {
 	case KindLock:
 		return openLock(value, now, known.lock)
@@ -67,7 +67,7 @@
 	case KindGroup:
 		return openGroup(value, now, config)
 	}
-	return nil, errors.Wrapf(ErrWrongKind, "%q", string(kind))
+	return nil, errors.Wrapf(ErrUnknownKind, "%q", string(kind))
 }
 
 // decodeValue decodes a stored value, which is empty for an item that was never written. An error must not be passed over: an
--- a/internal/coordination/lock.go
+++ b/internal/coordination/lock.go
@@ -97,7 +97,7 @@
 
 // Handover is what the memory of a lock says at a moment, and false for anything else. An estimate of an owner that granted nothing is
 // as good a bound as any.
-func (m Memory) Handover(now time.Time) (Handover, bool) {
+func (m VolatileState) Handover(now time.Time) (Handover, bool) {
 	if m.lock.fence == 0 {
 		return Handover{}, false
 	}
@@ -108,8 +108,8 @@
 	}, true
 }
 
-// Step implements Item.
-func (l *Lock) Step(call Call, now time.Time) (Result, bool) {
+// Apply implements Item.
+func (l *Lock) Apply(call Call, now time.Time) (Result, bool) {
 	switch call.Operation {
 	case OperationAcquire:
 		return l.acquire(call, now)
@@ -126,9 +126,9 @@
 // Value implements Item.
 func (l *Lock) Value() json.RawMessage { return encodeValue(l.record) }
 
-// Memory implements Item.
-func (l *Lock) Memory() Memory {
-	return Memory{lock: lockMemory{
+// VolatileState implements Item.
+func (l *Lock) VolatileState() VolatileState {
+	return VolatileState{lock: lockMemory{
 		fence:       l.record.Fence,
 		freeAt:      l.freeAt,
 		acquiredAt:  l.acquiredAt,
@@ -197,8 +197,8 @@
 	if freeAt := now.Add(withDrift(call.hold())); freeAt.After(l.freeAt) {
 		l.freeAt = freeAt
 	}
-	changed = call.HoldMs > l.record.HoldMs
-	l.record.HoldMs = max(l.record.HoldMs, call.HoldMs)
+	changed = call.TTLMs > l.record.HoldMs
+	l.record.HoldMs = max(l.record.HoldMs, call.TTLMs)
 	return changed
 }
 
--- a/internal/coordination/lock_exploration_test.go
+++ b/internal/coordination/lock_exploration_test.go
@@ -196,12 +196,12 @@
 	if rules.shortensHolds && call.Operation == OperationRenew {
 		owner.lock.freeAt, owner.lock.record.HoldMs = time.Time{}, 0
 	}
-	result, _ := owner.lock.Step(Call{
+	result, _ := owner.lock.Apply(Call{
 		Operation: call.Operation,
 		ID:        fmt.Sprint(call.Caller, call.Number),
 		Holder:    fmt.Sprint("caller-", call.Caller),
 		Fence:     call.Fence,
-		HoldMs:    (time.Duration(call.Hold) * exploredTick).Milliseconds(),
+		TTLMs:     (time.Duration(call.Hold) * exploredTick).Milliseconds(),
 	}, after.clock())
 	after.Value = string(owner.lock.Value())
 	if after.Callers[call.Caller].Waiting == call.Number {
@@ -214,7 +214,7 @@
 	owner := &w.owners[node]
 	known := lockMemory{}
 	if owner.lock != nil && (owner.IsLast || rules.keepsTimes) {
-		known = owner.lock.Memory().lock
+		known = owner.lock.VolatileState().lock
 	}
 	lock, err := openLock(json.RawMessage(w.Value), w.clock(), known)
 	if err != nil {
--- a/internal/coordination/lock_test.go
+++ b/internal/coordination/lock_test.go
@@ -27,7 +27,7 @@
 }
 
 func acquire(holder string, hold time.Duration) Call {
-	return Call{Operation: OperationAcquire, Kind: KindLock, Name: "l", Holder: holder, HoldMs: hold.Milliseconds()}
+	return Call{Operation: OperationAcquire, Kind: KindLock, Name: "l", Holder: holder, TTLMs: hold.Milliseconds()}
 }
 
 func renew(holder string, fence uint64, hold time.Duration) Call {
@@ -42,7 +42,7 @@
 
 // step returns the outcome and the fence of a call after some time.
 func (l *Lock) step(call Call, after time.Duration) (Outcome, uint64) {
-	result, _ := l.Step(call, testNow.Add(after))
+	result, _ := l.Apply(call, testNow.Add(after))
 	return result.Outcome, result.Fence
 }
 
@@ -89,9 +89,9 @@
 func TestLock_LongerHoldIsStored(t *testing.T) {
 	lock := newTestLock(t)
 	_, fence := lock.step(acquire("a", time.Second), 0)
-	_, changed := lock.Step(renew("a", fence, time.Second), testNow)
+	_, changed := lock.Apply(renew("a", fence, time.Second), testNow)
 	assert.Assert(t, !changed)
-	_, changed = lock.Step(renew("a", fence, testHold), testNow)
+	_, changed = lock.Apply(renew("a", fence, testHold), testNow)
 	assert.Assert(t, changed)
 	outcome, _ := lock.reopen(t, testNow).step(acquire("b", testHold), 2*time.Second)
 	assertOutcome(t, outcome, OutcomeHeld)
@@ -132,7 +132,7 @@
 	lock := newTestLock(t)
 	lock.step(acquire("a", testHold), 0)
 	lock.step(acquire("a", testHold), time.Second)
-	known := lock.Memory()
+	known := lock.VolatileState()
 	later := testNow.Add(testHold)
 	lock, err := openLock(lock.Value(), later, known.lock)
 	assert.NilError(t, err)
@@ -167,10 +167,10 @@
 func TestLock_ForcedReleaseOutbidsTheHolder(t *testing.T) {
 	lock := newTestLock(t)
 	_, fence := lock.step(acquire("a", testHold), 0)
-	status, changed := lock.Step(Call{Operation: OperationInspect}, testNow.Add(time.Second))
+	status, changed := lock.Apply(Call{Operation: OperationInspect}, testNow.Add(time.Second))
 	assert.Assert(t, !changed)
 	assert.Equal(t, *status.Lock, LockStatus{Holder: "a", Fence: fence, HeldMs: 1000, RemainingMs: 2006})
-	result, changed := lock.Step(Call{Operation: OperationForceRelease}, testNow)
+	result, changed := lock.Apply(Call{Operation: OperationForceRelease}, testNow)
 	assert.Assert(t, changed && result.Fence > fence)
 	outcome, next := lock.step(acquire("b", testHold), 0)
 	assertOutcome(t, outcome, OutcomeDone)
--- a/internal/coordination/names.go
+++ b/internal/coordination/names.go
@@ -12,19 +12,19 @@
 	MaxNameBytes = 200
 	// MaxValueBytes is the longest value of a key.
 	MaxValueBytes = 16 << 10
-	// MaxHold is the longest time that a lock is held without a renewal.
-	MaxHold = 10 * time.Minute
+	// MaxLockTTL is the longest time that a lock is held without a renewal.
+	MaxLockTTL = 10 * time.Minute
 	// groupSeparator ends the name of a group within the names of its keys.
 	groupSeparator = "."
 )
 
 // Errors of Call.Check.
 var (
-	ErrBadName   = errors.New("name must have 1 to 200 bytes, without spaces, control characters and slashes")
-	ErrBadHolder = errors.New("leaseHolder must have 1 to 200 bytes")
-	ErrBadHold   = errors.New("queueHoldMs must be a whole number from 1 to 600000")
-	ErrBadFence  = errors.New("fenceToken must be a whole number above 0")
-	ErrBadValue  = errors.New("value must be a text of at most 16384 bytes")
+	ErrInvalidName   = errors.New("name must have 1 to 200 bytes, without spaces, control characters and slashes")
+	ErrInvalidHolder = errors.New("leaseHolder must have 1 to 200 bytes")
+	ErrInvalidTTL    = errors.New("queueHoldMs must be a whole number from 1 to 600000")
+	ErrInvalidFence  = errors.New("fenceToken must be a whole number above 0")
+	ErrInvalidValue  = errors.New("value must be a text of at most 16384 bytes")
 )
 
 // GroupOf is the group that a key belongs to: its name up to the first dot, with the dot. A key without a dot is a group of its own.
@@ -44,22 +44,22 @@
 	return c.Name
 }
 
-// Check returns an error that says what is wrong with a call, or nil.
-func (c Call) Check() error {
+// Validate returns an error that says what is wrong with a call, or nil.
+func (c Call) Validate() error {
 	if !isName(c.Name) {
-		return ErrBadName
+		return ErrInvalidName
 	}
 	switch c.Operation {
 	case OperationAcquire, OperationRenew:
-		if c.HoldMs < 1 || c.hold() > MaxHold {
-			return ErrBadHold
+		if c.TTLMs < 1 || c.hold() > MaxLockTTL {
+			return ErrInvalidTTL
 		}
 		return c.checkHolder()
 	case OperationRelease:
 		return c.checkHolder()
 	case OperationPut:
 		if len(c.Value) > MaxValueBytes {
-			return ErrBadValue
+			return ErrInvalidValue
 		}
 	}
 	return nil
@@ -67,10 +67,10 @@
 
 func (c Call) checkHolder() error {
 	if c.Holder == "" || len(c.Holder) > MaxNameBytes {
-		return ErrBadHolder
+		return ErrInvalidHolder
 	}
 	if c.Operation != OperationAcquire && c.Fence == 0 {
-		return ErrBadFence
+		return ErrInvalidFence
 	}
 	return nil
 }
--- a/internal/coordinationapi/handler.go
+++ b/internal/coordinationapi/handler.go
@@ -18,7 +18,7 @@
 const (
 	PathLocks   = "/ferryspar/locks/"
 	PathNumbers = "/ferryspar/numbers/"
-	PathCells   = "/ferryspar/cells/"
+	PathKeys    = "/ferryspar/cells/"
 	PathWatch   = "/ferryspar/watch/"
 )
 
@@ -52,22 +52,22 @@
 	router.Put(PathLocks+"{name}", a.lockCall(coordination.OperationRenew))
 	router.Delete(PathLocks+"{name}", a.lockCall(coordination.OperationRelease))
 	router.Post(PathNumbers+"{name}", a.next)
-	router.Put(PathCells+"{name}", a.put)
-	router.Get(PathCells+"{name}", a.get)
+	router.Put(PathKeys+"{name}", a.put)
+	router.Get(PathKeys+"{name}", a.get)
 	router.Get(PathWatch+"{name}", a.watch)
 	a.registerOperators(router)
 }
 
 // LockRequest is the body of the calls on locks.
 type LockRequest struct {
-	LeaseHolder string `json:"leaseHolder"`
-	FenceToken  uint64 `json:"fenceToken"`
-	QueueHoldMs int64  `json:"queueHoldMs"`
+	Holder string `json:"leaseHolder"`
+	Fence  uint64 `json:"fenceToken"`
+	TTLMs  int64  `json:"queueHoldMs"`
 }
 
 // LockReply is the body of a lock that was taken.
 type LockReply struct {
-	FenceToken uint64 `json:"fenceToken"`
+	Fence uint64 `json:"fenceToken"`
 }
 
 func (a *api) lockCall(operation coordination.Operation) http.HandlerFunc {
@@ -80,16 +80,16 @@
 		result, err := a.do(request, coordination.Call{
 			Operation: operation,
 			Kind:      coordination.KindLock,
-			Holder:    body.LeaseHolder,
-			Fence:     body.FenceToken,
-			HoldMs:    body.QueueHoldMs,
+			Holder:    body.Holder,
+			Fence:     body.Fence,
+			TTLMs:     body.TTLMs,
 		})
 		if err != nil {
 			apierror.Write(writer, err)
 			return
 		}
 		if operation == coordination.OperationAcquire {
-			writeJSON(writer, http.StatusOK, LockReply{FenceToken: result.Fence})
+			writeJSON(writer, http.StatusOK, LockReply{Fence: result.Fence})
 			return
 		}
 		writeJSON(writer, http.StatusOK, struct{}{})
@@ -110,15 +110,15 @@
 	writeJSON(writer, http.StatusOK, NumberReply{Value: result.Number})
 }
 
-// PutRequest is the body of a put. A missing ExpectedCount accepts any revision.
+// PutRequest is the body of a put. A missing ExpectedRevision accepts any revision.
 type PutRequest struct {
-	Value         *string `json:"value"`
-	ExpectedCount *uint64 `json:"expectedCount"`
+	Value            *string `json:"value"`
+	ExpectedRevision *uint64 `json:"expectedCount"`
 }
 
-// RevisionReply names the revision of a key.
-type RevisionReply struct {
-	EntityTag uint64 `json:"entityTag"`
+// PutReply names the revision of a key.
+type PutReply struct {
+	Revision uint64 `json:"entityTag"`
 }
 
 func (a *api) put(writer http.ResponseWriter, request *http.Request) {
@@ -132,10 +132,10 @@
 		return
 	}
 	result, err := a.do(request, coordination.Call{
-		Operation: coordination.OperationPut,
-		Kind:      coordination.KindGroup,
-		Value:     *body.Value,
-		Expected:  body.ExpectedCount,
+		Operation:        coordination.OperationPut,
+		Kind:             coordination.KindGroup,
+		Value:            *body.Value,
+		ExpectedRevision: body.ExpectedRevision,
 	})
 	if err != nil {
 		apierror.Write(writer, err)
@@ -145,13 +145,13 @@
 	if result.Outcome == coordination.OutcomeConflict {
 		status = http.StatusPreconditionFailed
 	}
-	writeJSON(writer, status, RevisionReply{EntityTag: result.Revision})
+	writeJSON(writer, status, PutReply{Revision: result.Revision})
 }
 
 // ValueReply is the body of a key that was read.
 type ValueReply struct {
-	Value     string `json:"value"`
-	EntityTag uint64 `json:"entityTag"`
+	Value    string `json:"value"`
+	Revision uint64 `json:"entityTag"`
 }
 
 func (a *api) get(writer http.ResponseWriter, request *http.Request) {
@@ -160,7 +160,7 @@
 		apierror.Write(writer, err)
 		return
 	}
-	writeJSON(writer, http.StatusOK, ValueReply{Value: result.Value, EntityTag: result.Revision})
+	writeJSON(writer, http.StatusOK, ValueReply{Value: result.Value, Revision: result.Revision})
 }
 
 // do carries out a call on the item that the path names, and returns the outcomes that have no body of their own as errors.
@@ -170,7 +170,7 @@
 		return coordination.Result{}, err
 	}
 	call.Name = name
-	if err := call.Check(); err != nil {
+	if err := call.Validate(); err != nil {
 		return coordination.Result{}, apierror.New(apierror.MalformedRequest, "%s", err.Error())
 	}
 	result, err := a.service.Do(request.Context(), call)
@@ -185,23 +185,23 @@
 
 // outcomeErrors are the outcomes that are answered with an error.
 var outcomeErrors = map[coordination.Outcome]apierror.Kind{
-	coordination.OutcomeHeld:    apierror.LockHeld,
-	coordination.OutcomeLost:    apierror.LockLost,
-	coordination.OutcomeMissing: apierror.UnknownCell,
-	coordination.OutcomeFull:    apierror.CoordinationFull,
+	coordination.OutcomeHeld:     apierror.LockHeld,
+	coordination.OutcomeLost:     apierror.LockLost,
+	coordination.OutcomeNotFound: apierror.UnknownCell,
+	coordination.OutcomeFull:     apierror.CoordinationFull,
 }
 
 // WatchReply is the body of a watch that was answered.
 type WatchReply struct {
-	Events    []WatchEvent `json:"events"`
-	EntityTag uint64       `json:"entityTag"`
+	Events   []WatchEvent `json:"events"`
+	Revision uint64       `json:"entityTag"`
 }
 
 // WatchEvent is one put of a key.
 type WatchEvent struct {
-	Name      string `json:"name"`
-	Value     string `json:"value"`
-	EntityTag uint64 `json:"entityTag"`
+	Name     string `json:"name"`
+	Value    string `json:"value"`
+	Revision uint64 `json:"entityTag"`
 }
 
 func (a *api) watch(writer http.ResponseWriter, request *http.Request) {
@@ -224,9 +224,9 @@
 		apierror.Write(writer, err)
 		return
 	}
-	reply := WatchReply{Events: []WatchEvent{}, EntityTag: result.Revision}
+	reply := WatchReply{Events: []WatchEvent{}, Revision: result.Revision}
 	for _, event := range result.Events {
-		reply.Events = append(reply.Events, WatchEvent{Name: event.Name, Value: event.Value, EntityTag: event.Revision})
+		reply.Events = append(reply.Events, WatchEvent{Name: event.Name, Value: event.Value, Revision: event.Revision})
 	}
 	writeJSON(writer, http.StatusOK, reply)
 }
--- a/internal/coordinationapi/operators.go
+++ b/internal/coordinationapi/operators.go
@@ -72,5 +72,5 @@
 		apierror.Write(writer, err)
 		return
 	}
-	writeJSON(writer, http.StatusOK, LockReply{FenceToken: result.Fence})
+	writeJSON(writer, http.StatusOK, LockReply{Fence: result.Fence})
 }
--- a/internal/coordinationclient/client.go
+++ b/internal/coordinationclient/client.go
@@ -18,14 +18,14 @@
 
 // Errors of calls. Any other error says that no control plane gave a clear answer in time: the call may have taken effect.
 var (
-	// ErrHeld says that another holds the lock.
-	ErrHeld = errors.New("another holds the lock")
-	// ErrLost says that the caller does not hold the lock any more.
-	ErrLost = errors.New("the lock is lost")
-	// ErrMissing says that there is no such key.
-	ErrMissing = errors.New("no such key")
-	// ErrExpired says that the changes after a revision are no longer kept: read the keys anew.
-	ErrExpired = errors.New("changes after that revision are no longer kept")
+	// ErrLockHeld says that another holds the lock.
+	ErrLockHeld = errors.New("another holds the lock")
+	// ErrLockLost says that the caller does not hold the lock any more.
+	ErrLockLost = errors.New("the lock is lost")
+	// ErrKeyNotFound says that there is no such key.
+	ErrKeyNotFound = errors.New("no such key")
+	// ErrCompacted says that the changes after a revision are no longer kept: read the keys anew.
+	ErrCompacted = errors.New("changes after that revision are no longer kept")
 	// ErrNoAddress is returned by a client without addresses.
 	ErrNoAddress = errors.New("no control plane named")
 )
@@ -171,15 +171,15 @@
 	return reply.Value, err
 }
 
-// Get reads a key and its revision. The error is ErrMissing if there is none.
+// Get reads a key and its revision. The error is ErrKeyNotFound if there is none.
 func (c *Client) Get(ctx context.Context, key string) (value string, revision uint64, err error) {
-	received, err := c.call(ctx, request{method: http.MethodGet, path: coordinationapi.PathCells + url.PathEscape(key)})
+	received, err := c.call(ctx, request{method: http.MethodGet, path: coordinationapi.PathKeys + url.PathEscape(key)})
 	if err != nil {
 		return "", 0, err
 	}
 	var reply coordinationapi.ValueReply
-	err = received.decode(&reply, map[int]error{http.StatusNotFound: ErrMissing})
-	return reply.Value, reply.EntityTag, err
+	err = received.decode(&reply, map[int]error{http.StatusNotFound: ErrKeyNotFound})
+	return reply.Value, reply.Revision, err
 }
 
 // Put writes a key that has the expected revision, 0 if it must not exist, and returns its new one. The error is a ConflictError if
@@ -187,19 +187,19 @@
 func (c *Client) Put(ctx context.Context, key, value string, expected uint64) (uint64, error) {
 	received, err := c.call(ctx, request{
 		method: http.MethodPut,
-		path:   coordinationapi.PathCells + url.PathEscape(key),
-		body:   coordinationapi.PutRequest{Value: &value, ExpectedCount: &expected},
+		path:   coordinationapi.PathKeys + url.PathEscape(key),
+		body:   coordinationapi.PutRequest{Value: &value, ExpectedRevision: &expected},
 	})
 	if err != nil {
 		return 0, err
 	}
-	var reply coordinationapi.RevisionReply
+	var reply coordinationapi.PutReply
 	if received.status == http.StatusPreconditionFailed {
 		if err := json.Unmarshal(received.body, &reply); err != nil {
 			return 0, errors.Wrap(err, "decode")
 		}
-		return 0, ConflictError{Revision: reply.EntityTag}
+		return 0, ConflictError{Revision: reply.Revision}
 	}
 	err = received.decode(&reply, nil)
-	return reply.EntityTag, err
+	return reply.Revision, err
 }
--- a/internal/coordinationclient/election.go
+++ b/internal/coordinationclient/election.go
@@ -34,7 +34,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err != nil && !errors.Is(err, ErrHeld) && !errors.Is(err, ErrLost) {
+		if err != nil && !errors.Is(err, ErrLockHeld) && !errors.Is(err, ErrLockLost) {
 			return err
 		}
 		if !wait(ctx, campaignInterval) {
@@ -44,7 +44,7 @@
 }
 
 // lead runs a leader while the hold lasts, and says whether the hold was lost before the leader ended.
-func (h *Hold) lead(ctx context.Context, lead func(ctx context.Context, fence uint64) error) (isLost bool, err error) {
+func (h *Lock) lead(ctx context.Context, lead func(ctx context.Context, fence uint64) error) (isLost bool, err error) {
 	leading, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan error, 1)
@@ -66,12 +66,12 @@
 }
 
 // keep renews the hold until ctx ends, and returns when the hold is over. A renewal in flight ends with the hold.
-func (h *Hold) keep(ctx context.Context) {
+func (h *Lock) keep(ctx context.Context) {
 	for wait(ctx, h.duration/renewalsPerHold) {
-		renewing, cancel := context.WithDeadline(ctx, h.Until())
+		renewing, cancel := context.WithDeadline(ctx, h.ExpiresAt())
 		err := h.Renew(renewing)
 		cancel()
-		if errors.Is(err, ErrLost) || !time.Now().Before(h.Until()) {
+		if errors.Is(err, ErrLockLost) || !time.Now().Before(h.ExpiresAt()) {
 			return
 		}
 	}
--- a/internal/coordinationclient/watch.go
+++ b/internal/coordinationclient/watch.go
@@ -23,11 +23,11 @@
 // Revision reads the present revision of a group, named with its dot.
 func (c *Client) Revision(ctx context.Context, group string) (uint64, error) {
 	reply, err := c.watchOnce(ctx, group, 0, 0)
-	return reply.EntityTag, err
+	return reply.Revision, err
 }
 
 // Watch calls handle with each put of a group after a revision above 0, in order, each once, until ctx ends or an error comes. The
-// error is ErrExpired if the puts after the revision are no longer kept, that of handle, or the context's. It returns the revision
+// error is ErrCompacted if the puts after the revision are no longer kept, that of handle, or the context's. It returns the revision
 // from which a further watch goes on.
 func (c *Client) Watch(ctx context.Context, group string, after uint64, handle func(event Event) error) (uint64, error) {
 	for {
@@ -39,12 +39,12 @@
 			return after, err
 		}
 		for _, event := range reply.Events {
-			if err := handle(Event{Key: event.Name, Value: event.Value, Revision: event.EntityTag}); err != nil {
+			if err := handle(Event{Key: event.Name, Value: event.Value, Revision: event.Revision}); err != nil {
 				return after, err
 			}
-			after = event.EntityTag
+			after = event.Revision
 		}
-		after = max(after, reply.EntityTag)
+		after = max(after, reply.Revision)
 	}
 }
 
@@ -59,6 +59,6 @@
 	if err != nil {
 		return reply, err
 	}
-	err = received.decode(&reply, map[int]error{http.StatusGone: ErrExpired})
+	err = received.decode(&reply, map[int]error{http.StatusGone: ErrCompacted})
 	return reply, err
 }
--- a/internal/dataplane/usage.go
+++ b/internal/dataplane/usage.go
@@ -64,7 +64,7 @@
 	}
 	u.delivery.Acknowledge(reply.Receiver, batch)
 	if reply.TimeOfDayUs > 0 {
-		u.timeOfDay.Follow(time.UnixMicro(reply.TimeOfDayUs), u.clock())
+		u.timeOfDay.Set(time.UnixMicro(reply.TimeOfDayUs), u.clock())
 	}
 }
 
--- a/internal/requestlog/reader.go
+++ b/internal/requestlog/reader.go
@@ -15,26 +15,26 @@
 	maxLineBytes     = 16 << 20
 )
 
-// DamagedLine names a line that could not be used, and why.
-type DamagedLine struct {
+// InvalidLine names a line that could not be used, and why.
+type InvalidLine struct {
 	// Line counts from 1.
 	Line   int
 	Reason string
 }
 
 // String names the line and the reason.
-func (d DamagedLine) String() string { return fmt.Sprintf("line %d: %s", d.Line, d.Reason) }
+func (d InvalidLine) String() string { return fmt.Sprintf("line %d: %s", d.Line, d.Reason) }
 
 // Read returns the valid entries in order of time, and the damaged lines. The error is that of reading itself.
-func Read(input io.Reader) ([]Entry, []DamagedLine, error) {
+func Read(input io.Reader) ([]Entry, []InvalidLine, error) {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	var entries []Entry
-	var damaged []DamagedLine
+	var damaged []InvalidLine
 	for number := 1; scanner.Scan(); number++ {
 		entry, err := parseLine(scanner.Bytes())
 		if err != nil {
-			damaged = append(damaged, DamagedLine{Line: number, Reason: err.Error()})
+			damaged = append(damaged, InvalidLine{Line: number, Reason: err.Error()})
 			continue
 		}
 		entries = append(entries, entry)
--- a/internal/sim/applications/applications.go
+++ b/internal/sim/applications/applications.go
@@ -137,7 +137,7 @@
 // holdLock takes a lock, renews it once and gives it back.
 func (r *run) holdLock(ctx context.Context, random *rand.Rand, number int) int {
 	lock := fmt.Sprintf("%s-lock-%d", r.options.Name, random.IntN(r.options.Locks))
-	var hold *coordinationclient.Hold
+	var hold *coordinationclient.Lock
 	err := r.results.measure("acquire", func() (err error) {
 		hold, err = r.client.Acquire(ctx, lock, fmt.Sprintf("%s-%d", r.options.Name, number), r.options.Hold)
 		return err
@@ -170,7 +170,7 @@
 	var revision uint64
 	err := r.results.measure("get", func() (err error) {
 		_, revision, err = r.client.Get(ctx, key)
-		if errors.Is(err, coordinationclient.ErrMissing) {
+		if errors.Is(err, coordinationclient.ErrKeyNotFound) {
 			return nil
 		}
 		return err
--- a/internal/sim/applications/checks.go
+++ b/internal/sim/applications/checks.go
@@ -21,7 +21,7 @@
 // checks note what the answers promised, and what broke that.
 type checks struct {
 	lock    sync.Mutex
-	holders map[string]*coordinationclient.Hold
+	holders map[string]*coordinationclient.Lock
 	fences  map[string]uint64
 	numbers map[string]uint64
 	puts    map[string]uint64
@@ -33,7 +33,7 @@
 
 func newChecks() *checks {
 	return &checks{
-		holders: map[string]*coordinationclient.Hold{},
+		holders: map[string]*coordinationclient.Lock{},
 		fences:  map[string]uint64{},
 		numbers: map[string]uint64{},
 		puts:    map[string]uint64{},
@@ -50,10 +50,10 @@
 }
 
 // acquired notes that a lock was taken.
-func (c *checks) acquired(lock string, hold *coordinationclient.Hold) {
+func (c *checks) acquired(lock string, hold *coordinationclient.Lock) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if other := c.holders[lock]; other != nil && time.Now().Before(other.Until()) {
+	if other := c.holders[lock]; other != nil && time.Now().Before(other.ExpiresAt()) {
 		c.fault("%s taken with fence %d while it is held with %d", lock, hold.Fence(), other.Fence())
 	}
 	if hold.Fence() <= c.fences[lock] {
@@ -63,7 +63,7 @@
 }
 
 // releasing notes that a hold ends now. One that has ended by itself may have been followed by another.
-func (c *checks) releasing(lock string, hold *coordinationclient.Hold) {
+func (c *checks) releasing(lock string, hold *coordinationclient.Lock) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.holders[lock] == hold {
--- a/internal/sim/applications/report.go
+++ b/internal/sim/applications/report.go
@@ -71,7 +71,8 @@
 	err := call()
 	took := time.Since(began)
 	var conflict coordinationclient.ConflictError
-	isRefused := errors.Is(err, coordinationclient.ErrHeld) || errors.Is(err, coordinationclient.ErrLost) || errors.As(err, &conflict)
+	isRefused := errors.Is(err, coordinationclient.ErrLockHeld) ||
+		errors.Is(err, coordinationclient.ErrLockLost) || errors.As(err, &conflict)
 	if err != nil && !isRefused {
 		r.fail(name, err)
 		return err
--- a/internal/test/integration/coordination_client_test.go
+++ b/internal/test/integration/coordination_client_test.go
@@ -126,7 +126,7 @@
 		_, err = writer.Put(t.Context(), "g.first", "two", first+1)
 		assert.ErrorIs(t, err, coordinationclient.ConflictError{Revision: first})
 		_, _, err = writer.Get(t.Context(), "g.none")
-		assert.ErrorIs(t, err, coordinationclient.ErrMissing)
+		assert.ErrorIs(t, err, coordinationclient.ErrKeyNotFound)
 	})
 }
 
@@ -156,24 +156,24 @@
 		began := time.Now()
 		hold, err := client.Acquire(t.Context(), "l", "a", 2*time.Second)
 		assert.NilError(t, err)
-		assert.Assert(t, !hold.Until().After(time.Now().Add(2*time.Second)) && !hold.Until().Before(began.Add(2*time.Second)))
+		assert.Assert(t, !hold.ExpiresAt().After(time.Now().Add(2*time.Second)) && !hold.ExpiresAt().Before(began.Add(2*time.Second)))
 		_, err = client.Acquire(t.Context(), "l", "b", time.Second)
-		assert.ErrorIs(t, err, coordinationclient.ErrHeld)
+		assert.ErrorIs(t, err, coordinationclient.ErrLockHeld)
 		time.Sleep(time.Second)
 		assert.NilError(t, hold.Renew(t.Context()))
-		assert.Assert(t, hold.Until().After(began.Add(2500*time.Millisecond)))
+		assert.Assert(t, hold.ExpiresAt().After(began.Add(2500*time.Millisecond)))
 		for core := 1; core <= 3; core++ {
 			f.network.freeze(coreHost(core), true)
 		}
 		began = time.Now()
-		assert.ErrorIs(t, hold.Renew(t.Context()), coordinationclient.ErrLost)
+		assert.ErrorIs(t, hold.Renew(t.Context()), coordinationclient.ErrLockLost)
 		assert.Assert(t, time.Since(began) <= 2*time.Second, "the hold ends at its time, answer or not")
-		assert.Assert(t, hold.Until().IsZero())
+		assert.Assert(t, hold.ExpiresAt().IsZero())
 		for core := 1; core <= 3; core++ {
 			f.network.freeze(coreHost(core), false)
 		}
 		time.Sleep(10 * time.Second)
-		assert.ErrorIs(t, hold.Renew(t.Context()), coordinationclient.ErrLost)
+		assert.ErrorIs(t, hold.Renew(t.Context()), coordinationclient.ErrLockLost)
 		other, err := client.Acquire(t.Context(), "l", "b", time.Second)
 		assert.NilError(t, err)
 		assert.Assert(t, other.Fence() > hold.Fence())
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -115,8 +115,8 @@
 // NewFollower returns a follower that knows no time of day yet. startedAt is the steady time now.
 func NewFollower(startedAt time.Time) *Follower { return &Follower{startedAt: startedAt} }
 
-// Follow takes over a time of day that was told at a steady time.
-func (f *Follower) Follow(timeOfDay, at time.Time) {
+// Set takes over a time of day that was told at a steady time.
+func (f *Follower) Set(timeOfDay, at time.Time) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.offset, f.isSet = time.Duration(timeOfDay.UnixNano())-at.Sub(f.startedAt), true
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -62,6 +62,6 @@
 func TestFollower_GoesByTheOwnClockUntilItIsTold(t *testing.T) {
 	f := NewFollower(noon)
 	assert.Assert(t, f.Now(noon.Add(time.Second)).Equal(noon.Add(time.Second)))
-	f.Follow(noon.Add(-time.Minute), noon)
+	f.Set(noon.Add(-time.Minute), noon)
 	assert.Assert(t, f.Now(noon.Add(time.Second)).Equal(noon.Add(time.Second-time.Minute)))
 }
