--- a/internal/controlplane/usagereport/reporter.go
+++ b/internal/controlplane/usagereport/reporter.go
@@ -32,7 +32,7 @@
 // Store is the part of keystore.Store that a Reporter needs.
 type Store interface {
 	Read(ctx context.Context, name string) (keystore.Register, error)
-	Change(ctx context.Context, name string, decide keystore.Decide) (keystore.Register, error)
+	Change(ctx context.Context, name string, decide keystore.ChangeFunc) (keystore.Register, error)
 }
 
 // Config holds the settings and dependencies of a Reporter.
@@ -51,7 +51,7 @@
 type Reporter struct {
 	config Config
 	// record is the stored record as last read or written under the current grant; it is valid only while isRead is true.
-	record usage.Record
+	record usage.ReportState
 	isRead bool
 	// accepted holds the pending windows whose reports need not be sent again, because the platform has accepted or rejected
 	// them.
@@ -104,7 +104,7 @@
 		return
 	}
 	register, err := r.config.Store.Change(ctx, keystore.UsageKey, func(current keystore.Register) (json.RawMessage, error) {
-		stored, err := usage.DecodeRecord(current.Value)
+		stored, err := usage.DecodeReportState(current.Value)
 		if err != nil {
 			return nil, err
 		}
@@ -133,7 +133,7 @@
 }
 
 func (r *Reporter) adopt(register keystore.Register) {
-	record, err := usage.DecodeRecord(register.Value)
+	record, err := usage.DecodeReportState(register.Value)
 	if err != nil {
 		logrus.WithError(err).Error("stored usage cannot be read")
 		r.isRead = false
@@ -145,7 +145,7 @@
 		pending[report.Window] = true
 	}
 	maps.DeleteFunc(r.accepted, func(window uint64, _ bool) bool { return !pending[window] })
-	r.config.Ledger.Forget(record.ClosedUpTo + 1)
+	r.config.Ledger.DropBefore(record.ClosedUpTo + 1)
 	r.publishStatus()
 }
 
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -30,7 +30,7 @@
 	// Acquire takes ownership of a key with a higher proposal number and writes what decide returns for the value found.
 	Acquire(ctx context.Context, name string, decide func(current keystore.Register) json.RawMessage) (keystore.Register, error)
 	// Update writes the key if this process still owns it.
-	Update(ctx context.Context, name string, decide keystore.Decide) error
+	Update(ctx context.Context, name string, decide keystore.ChangeFunc) error
 	// Renew returns nil if a majority confirms that this process still owns the key.
 	Renew(ctx context.Context, name string) error
 	// Release gives up the ownership of the key.
--- a/internal/membership/change.go
+++ b/internal/membership/change.go
@@ -110,7 +110,7 @@
 }
 
 func (v View) rollBackChange(reason string, stabilizationDelay time.Duration) Change {
-	return Change{Membership: v.Membership.TakenBack(), Reason: reason, StabilizationDelay: stabilizationDelay}
+	return Change{Membership: v.Membership.RolledBack(), Reason: reason, StabilizationDelay: stabilizationDelay}
 }
 
 // memberToReplace returns the member to replace and the reason. Lost members come before leaving ones, which still vote; among
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// sizes are the fleets that costs are measured at.
+// sizes are the fleet sizes of the benchmarks.
 var sizes = []struct{ dataPlanes, tenants int }{{80, 83}, {380, 83}, {380, 10000}}
 
-// filledPool is a home shard that all data planes lend their part of one group to.
+// filledPool returns the pool of a home shard to which all data planes have lent their part of one group, and their requests.
 func filledPool(dataPlanes, tenants int) (pool *Pool, requests []LendRequest, limits map[string]Limit, now time.Time) {
 	parameters, now := DefaultParameters(testBounds), epoch
 	pool = NewPool(parameters, "home", now)
@@ -22,7 +22,7 @@
 	pool.SetDataPlaneCount(dataPlanes)
 	stamp := pool.Lend(LendRequest{}, now).Stamp
 	for number := range dataPlanes {
-		loans := []Loan{{Group: 0, Share: 1 / float64(2*dataPlanes), HomeShards: 2}}
+		loans := []Loan{{Group: 0, Share: 1 / float64(2*dataPlanes), HomeShardCount: 2}}
 		requests = append(requests, LendRequest{
 			DataPlane:         fmt.Sprintf("data-%d", number),
 			LenderIncarnation: fmt.Sprintf("data-%d/x", number),
@@ -56,7 +56,7 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("dataPlanes=%d/tenants=%d", size.dataPlanes, size.tenants), func(b *testing.B) {
 			pool, _, limits, now := filledPool(size.dataPlanes, size.tenants)
-			request := BorrowRequest{Want: 1}
+			request := BorrowRequest{Tokens: 1}
 			for tenant := range limits {
 				if pool.parameters.Group(tenant) == 0 {
 					request.Tenant = tenant
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkLender_Plan includes the work of the home shards.
+// BenchmarkLender_Plan includes the handling of the requests by the home shards.
 func BenchmarkLender_Plan(b *testing.B) {
 	for _, candidates := range []int{8, 32} {
 		b.Run(fmt.Sprintf("candidates=%d", candidates), func(b *testing.B) {
