--- a/internal/coordination/call.go
+++ b/internal/coordination/call.go
@@ -2,95 +2,96 @@
 
 import "time"
 
-// Operation is what a call asks for. The words are sent between nodes of different versions.
+// Operation is the operation that a call requests. Its values are exchanged between nodes of different versions and must not
+// change.
 type Operation string
 
 // The operations.
 const (
-	// OperationAcquire takes a lock for a holder, or extends it for the one who holds it.
+	// OperationAcquire acquires a lock, or extends it if the caller already holds it.
 	OperationAcquire Operation = "acquire"
-	// OperationRenew extends a lock for its holder.
+	// OperationRenew extends a lock that the caller holds.
 	OperationRenew Operation = "renew"
-	// OperationRelease gives a lock back.
+	// OperationRelease releases a lock.
 	OperationRelease Operation = "release"
-	// OperationNext draws a number.
+	// OperationNext returns the next number of a counter.
 	OperationNext Operation = "next"
 	// OperationPut writes a key.
 	OperationPut Operation = "put"
 	// OperationGet reads a key.
 	OperationGet Operation = "get"
-	// OperationEvents lists the puts of a group after a revision.
+	// OperationEvents lists the puts to a group after a revision.
 	OperationEvents Operation = "events"
-	// OperationRevision reads the revision of a group.
+	// OperationRevision returns the current revision of a group.
 	OperationRevision Operation = "revision"
-	// OperationInspect shows an item to an operator, and changes nothing.
+	// OperationInspect returns an item's state to an operator without changing it.
 	OperationInspect Operation = "inspect"
-	// OperationForceRelease takes a lock from its holder on behalf of an operator.
+	// OperationForceRelease releases a lock on behalf of an operator, whoever holds it.
 	OperationForceRelease Operation = "force_release"
 )
 
-// Call is one call on an item.
+// Call is a request to an item.
 type Call struct {
 	Operation Operation `json:"operation"`
 	Kind      Kind      `json:"kind"`
-	// Name is that of the lock, the counter or the key. For OperationEvents and OperationRevision it is that of the group.
+	// Name is the name of the lock, counter or key; for OperationEvents and OperationRevision, of the group.
 	Name string `json:"name"`
-	// ID identifies the call of an application over all attempts to have it carried out.
+	// ID identifies an application's call across all attempts to execute it.
 	ID string `json:"id,omitempty"`
-	// Holder names who holds a lock, Fence is the fencing token of that hold.
+	// Holder is the client that holds or requests a lock, Fence the fencing token that it was granted.
 	Holder string `json:"holder,omitempty"`
 	Fence  uint64 `json:"fence,omitempty"`
-	// TTLMs is for how long a lock is held without a renewal, in ms.
+	// TTLMs is the time in ms after which a lock expires unless it is renewed.
 	TTLMs int64 `json:"holdMs,omitempty"`
-	// Value is what a key is to have.
+	// Value is the value to put.
 	Value string `json:"value,omitempty"`
-	// ExpectedRevision is the revision that the key must have, 0 if it must not exist. Without it any will do.
+	// ExpectedRevision is the revision that the key must have, 0 if it must not exist. A put without it is unconditional.
 	ExpectedRevision *uint64 `json:"expected,omitempty"`
-	// AfterRevision is the revision after which events are asked for.
+	// AfterRevision is the revision after which events are listed.
 	AfterRevision uint64 `json:"after,omitempty"`
-	// WaitMs is how long OperationEvents waits for a first event, in ms.
+	// WaitMs is how long OperationEvents waits for an event if there is none yet, in ms.
 	WaitMs int64 `json:"waitMs,omitempty"`
 }
 
-// Wait is how long OperationEvents waits for a first event.
+// Wait returns WaitMs as a duration.
 func (c Call) Wait() time.Duration { return time.Duration(c.WaitMs) * time.Millisecond }
 
-func (c Call) hold() time.Duration { return holdDuration(c.TTLMs) }
+func (c Call) ttl() time.Duration { return ttlDuration(c.TTLMs) }
 
-func holdDuration(holdMs int64) time.Duration { return time.Duration(holdMs) * time.Millisecond }
+func ttlDuration(ttlMs int64) time.Duration { return time.Duration(ttlMs) * time.Millisecond }
 
-// Outcome is how an item answers a call. The words are sent between nodes of different versions.
+// Outcome is the outcome of a call. Its values are exchanged between nodes of different versions and must not change.
 type Outcome string
 
-// The outcomes. Each is certain: what changes an item and is answered by another outcome than OutcomeDone has changed nothing.
+// The outcomes. All are definite: a call with any outcome other than OutcomeDone has changed nothing.
 const (
 	OutcomeDone Outcome = "done"
-	// OutcomeHeld: another holds the lock, or may.
+	// OutcomeHeld means that another client holds the lock, or may hold it.
 	OutcomeHeld Outcome = "held"
-	// OutcomeLost: the caller does not hold the lock any more.
+	// OutcomeLost means that the caller no longer holds the lock.
 	OutcomeLost Outcome = "lost"
-	// OutcomeConflict: the key has another revision than the one expected.
+	// OutcomeConflict means that the key's revision is not the expected one.
 	OutcomeConflict Outcome = "conflict"
-	// OutcomeNotFound: no such key was ever put.
+	// OutcomeNotFound means that the key was never put.
 	OutcomeNotFound Outcome = "missing"
-	// OutcomeCompacted: the events after that revision are no longer all kept.
+	// OutcomeCompacted means that some events after the requested revision have been compacted away.
 	OutcomeCompacted Outcome = "expired"
-	// OutcomeFull: the item has no room for this.
+	// OutcomeFull means that the put would exceed the size limit of the group.
 	OutcomeFull Outcome = "full"
 )
 
-// Result answers a call.
+// Result is the result of a call.
 type Result struct {
 	Outcome Outcome `json:"outcome"`
 	Fence   uint64  `json:"fence,omitempty"`
 	Number  uint64  `json:"number,omitempty"`
 	Value   string  `json:"value,omitempty"`
-	// Revision is that of the key, or that of the group for OperationEvents and OperationRevision.
+	// Revision is the revision of the key; for OperationRevision that of the group, for OperationEvents the one to continue from.
 	Revision uint64  `json:"revision,omitempty"`
 	Events   []Event `json:"events,omitempty"`
-	// Lock describes a lock to an operator.
+	// Lock is the status of a lock, for OperationInspect.
 	Lock *LockStatus `json:"lock,omitempty"`
-	// Group describes a group to an operator.
+	// Group is the status of a group, for OperationInspect.
 	Group *GroupStatus `json:"group,omitempty"`
 }
 
--- a/internal/coordination/counter_test.go
+++ b/internal/coordination/counter_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestCounter_NumbersRiseOverOwners(t *testing.T) {
+func TestCounter_NumbersIncreaseAcrossOwners(t *testing.T) {
 	last := uint64(0)
 	counter, err := openCounter(nil)
 	assert.NilError(t, err)
@@ -15,7 +15,7 @@
 			stored := counter.record.Reserved
 			result, changed := counter.Apply(Call{Operation: OperationNext}, testNow)
 			assert.Assert(t, result.Number > last)
-			assert.Equal(t, changed, result.Number > stored, "a number that is not reserved on disk must not be given out")
+			assert.Equal(t, changed, result.Number > stored, "a number that is not reserved on disk must not be issued")
 			last = result.Number
 		}
 		counter, err = openCounter(counter.Value())
@@ -23,10 +23,10 @@
 	}
 }
 
-func TestCounter_StoredValueThatCannotBeReadIsAnError(t *testing.T) {
+func TestOpen_RejectsUndecodableValueAndUnknownKind(t *testing.T) {
 	for _, kind := range []Kind{KindLock, KindCounter, KindGroup} {
 		_, err := Open(kind, []byte(`"what is this"`), testNow, Config{}, VolatileState{})
-		assert.Assert(t, err != nil, "%s would begin anew", kind)
+		assert.Assert(t, err != nil, "%s would restart from an empty value", kind)
 	}
 	_, err := Open("later", nil, testNow, Config{}, VolatileState{})
 	assert.ErrorIs(t, err, ErrUnknownKind)
--- a/internal/coordination/group.go
+++ b/internal/coordination/group.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// maxGroupBytes bounds the names and values of a group with its events.
+	// maxGroupBytes bounds the total size of the names and values of a group, including its retained events.
 	maxGroupBytes = 256 << 10
-	// eventOverhead is what an event or a key takes beside its name and its value.
+	// eventOverhead is the size that is charged for an event or a key in addition to its name and value.
 	eventOverhead = 24
-	// maxEventsReturned bounds one answer to a watch, which continues from the revision that it names.
+	// maxEventsReturned bounds the events in one result; a watch continues from the revision in the result.
 	maxEventsReturned = 1000
 )
 
@@ -24,37 +24,40 @@
 	revision uint64
 }
 
-// Group is a group of keys that share one rising count of revisions.
+// Group is a group of keys that share one revision counter, which each put increments.
 //
-// Every put is kept as an event for as long as watches may ask for it and a caller that got no answer may send it again. The same
-// value for the same key is the same put: it gets the revision that it got first, unless it names the present revision of the key,
-// which no earlier put did. A new owner counts the age of all events from
-// its own start, since it does not know when they were put.
+// Puts are retained as events for the retention time, so that watches can read them and a put whose answer was lost can be
+// repeated. Puts of the same value to the same key count as one put and get its revision, unless the call expects the current
+// revision of the key: an earlier put can't have expected that one. A new owner does not know when events were put and counts the
+// retention time of all of them from its own start.
 type Group struct {
-	history time.Duration
-	// floor is the revision of the settled keys, and the first one from which a watch may go on.
-	floor   uint64
-	settled map[string]version
-	// kept are the puts since, putAt when each was put, or this owner's start if that was later.
-	kept  []Event
-	putAt []time.Time
-	// revision is that of the last put.
+	eventRetention time.Duration
+	// compactedRevision is the revision up to which events have been compacted, and the lowest one from which a watch can
+	// continue.
+	compactedRevision uint64
+	// compacted holds the key versions at compactedRevision.
+	compacted map[string]version
+	// retained holds the events after compactedRevision. putTimes holds when each was put, or when this owner started if that was
+	// later.
+	retained []Event
+	putTimes []time.Time
+	// revision is the revision of the last put.
 	revision uint64
-	// latest holds the present value of each key.
+	// latest holds the current version of each key.
 	latest map[string]version
-	// revisions holds those of the puts that are still recognised, by key and value.
-	revisions map[putIdentity]uint64
-	// bytes is the size of the settled keys and of the puts that are kept.
+	// revisionByPut holds the revisions of the puts that can still be recognized when repeated.
+	revisionByPut map[putIdentity]uint64
+	// bytes is the size of compacted and retained.
 	bytes int
 }
 
-// putIdentity is what distinguishes a put from all others.
+// putIdentity identifies a put, so that a repetition can be recognized.
 type putIdentity struct{ name, value string }
 
 // GroupStatus describes a group to an operator.
 type GroupStatus struct {
 	Revision uint64 `json:"revision"`
-	// CompactedRevision is the first revision from which a watch may go on.
+	// CompactedRevision is the lowest revision from which a watch can continue.
 	CompactedRevision uint64 `json:"floor"`
 	Keys              int    `json:"keys"`
 	Events            int    `json:"events"`
@@ -70,30 +73,30 @@
 		return nil, errors.Wrap(ErrCorruptValue, "group")
 	}
 	group := &Group{
-		history:   config.EventRetention,
-		floor:     record.Floor,
-		revision:  record.Floor,
-		settled:   map[string]version{},
-		latest:    map[string]version{},
-		revisions: map[putIdentity]uint64{},
+		eventRetention:    config.EventRetention,
+		compactedRevision: record.CompactedRevision,
+		revision:          record.CompactedRevision,
+		compacted:         map[string]version{},
+		latest:            map[string]version{},
+		revisionByPut:     map[putIdentity]uint64{},
 	}
-	for _, key := range record.Settled.events(record.Prefix) {
-		group.settled[key.Name] = version{value: key.Value, revision: key.Revision}
+	for _, key := range record.Compacted.events(record.Prefix) {
+		group.compacted[key.Name] = version{value: key.Value, revision: key.Revision}
 		group.add(key)
 	}
-	group.kept = record.Kept.events(record.Prefix)
-	for _, event := range group.kept {
+	group.retained = record.Retained.events(record.Prefix)
+	for _, event := range group.retained {
 		group.add(event)
-		group.putAt = append(group.putAt, now)
+		group.putTimes = append(group.putTimes, now)
 		group.revision = event.Revision
 	}
 	return group, nil
 }
 
-// add makes a put the present value of its key.
+// add records a put as the current version of its key.
 func (g *Group) add(event Event) {
 	g.latest[event.Name] = version{value: event.Value, revision: event.Revision}
-	g.revisions[putIdentity{event.Name, event.Value}] = event.Revision
+	g.revisionByPut[putIdentity{event.Name, event.Value}] = event.Revision
 	g.bytes += putBytes(event.Name, event.Value)
 }
 
@@ -117,50 +120,50 @@
 // Value implements Item.
 func (g *Group) Value() json.RawMessage { return encodeValue(g.record()) }
 
-// VolatileState implements Item. Events are kept for longer under another ownership.
+// VolatileState implements Item. It is empty: a new owner only retains events for longer.
 func (*Group) VolatileState() VolatileState { return VolatileState{} }
 
 func (g *Group) put(call Call, now time.Time) (Result, bool) {
 	current := g.latest[call.Name].revision
 	isExpected := call.ExpectedRevision != nil && *call.ExpectedRevision == current
-	if first, isKnown := g.revisions[putIdentity{call.Name, call.Value}]; isKnown && !isExpected {
+	if first, isKnown := g.revisionByPut[putIdentity{call.Name, call.Value}]; isKnown && !isExpected {
 		return Result{Outcome: OutcomeDone, Revision: first}, false
 	}
 	if call.ExpectedRevision != nil && !isExpected {
 		return Result{Outcome: OutcomeConflict, Revision: current}, false
 	}
-	g.settle(now)
+	g.compact(now)
 	if g.bytes+putBytes(call.Name, call.Value) > maxGroupBytes {
 		return Result{Outcome: OutcomeFull}, false
 	}
 	g.revision++
 	event := Event{Name: call.Name, Value: call.Value, Revision: g.revision}
-	g.kept = append(g.kept, event)
-	g.putAt = append(g.putAt, now)
+	g.retained = append(g.retained, event)
+	g.putTimes = append(g.putTimes, now)
 	g.add(event)
 	return Result{Outcome: OutcomeDone, Revision: g.revision}, true
 }
 
-// settle drops the events that are older than the history, after it has applied them to the settled keys.
-func (g *Group) settle(now time.Time) {
-	expired := sort.Search(len(g.putAt), func(position int) bool { return now.Sub(g.putAt[position]) < g.history })
-	for _, event := range g.kept[:expired] {
-		g.settleEvent(event)
+// compact compacts the events that are older than the retention time.
+func (g *Group) compact(now time.Time) {
+	expired := sort.Search(len(g.putTimes), func(position int) bool { return now.Sub(g.putTimes[position]) < g.eventRetention })
+	for _, event := range g.retained[:expired] {
+		g.compactEvent(event)
 	}
-	g.kept = g.kept[expired:]
-	g.putAt = g.putAt[expired:]
+	g.retained = g.retained[expired:]
+	g.putTimes = g.putTimes[expired:]
 }
 
-// settleEvent makes an event the settled value of its key, in place of the one before it, which is no longer recognised.
-func (g *Group) settleEvent(event Event) {
-	if previous, isSettled := g.settled[event.Name]; isSettled {
+// compactEvent makes an event the compacted version of its key. A repetition of the put that it replaces is no longer recognized.
+func (g *Group) compactEvent(event Event) {
+	if previous, isCompacted := g.compacted[event.Name]; isCompacted {
 		g.bytes -= putBytes(event.Name, previous.value)
-		if identity := (putIdentity{event.Name, previous.value}); g.revisions[identity] == previous.revision {
-			delete(g.revisions, identity)
+		if identity := (putIdentity{event.Name, previous.value}); g.revisionByPut[identity] == previous.revision {
+			delete(g.revisionByPut, identity)
 		}
 	}
-	g.settled[event.Name] = version{value: event.Value, revision: event.Revision}
-	g.floor = event.Revision
+	g.compacted[event.Name] = version{value: event.Value, revision: event.Revision}
+	g.compactedRevision = event.Revision
 }
 
 func (g *Group) get(call Call) Result {
@@ -171,13 +174,14 @@
 	return Result{Outcome: OutcomeDone, Value: key.value, Revision: key.revision}
 }
 
-// events lists all puts after a revision. Revision is that of the last one listed, or of the group.
+// events lists the puts after a revision, up to maxEventsReturned. The result's Revision is the one to continue from: that of the
+// last listed event if there are more, else that of the group.
 func (g *Group) events(call Call) Result {
-	if call.AfterRevision < g.floor {
+	if call.AfterRevision < g.compactedRevision {
 		return Result{Outcome: OutcomeCompacted, Revision: g.revision}
 	}
-	first := sort.Search(len(g.kept), func(position int) bool { return g.kept[position].Revision > call.AfterRevision })
-	listed := g.kept[first:]
+	first := sort.Search(len(g.retained), func(position int) bool { return g.retained[position].Revision > call.AfterRevision })
+	listed := g.retained[first:]
 	if len(listed) > maxEventsReturned {
 		listed = listed[:maxEventsReturned]
 		return Result{Outcome: OutcomeDone, Events: slices.Clone(listed), Revision: listed[len(listed)-1].Revision}
@@ -190,9 +194,9 @@
 func (g *Group) status() *GroupStatus {
 	return &GroupStatus{
 		Revision:          g.revision,
-		CompactedRevision: g.floor,
+		CompactedRevision: g.compactedRevision,
 		Keys:              len(g.latest),
-		Events:            len(g.kept),
+		Events:            len(g.retained),
 		Bytes:             g.bytes,
 	}
 }
--- a/internal/coordination/group_record.go
+++ b/internal/coordination/group_record.go
@@ -8,36 +8,36 @@
 	"github.com/pkg/errors"
 )
 
-// ErrCorruptValue is returned for a stored value that this package did not write.
+// ErrCorruptValue is returned for a stored value that is inconsistent.
 var ErrCorruptValue = errors.New("stored value is damaged")
 
-// groupRecord is what is stored of a group: the keys as they were at a revision, and the puts since. It is written at each batch of
-// puts, so names are stored without what all of them begin with, and lists by column.
+// groupRecord is the stored state of a group: the compacted keys and the events since. It is rewritten with every batch of puts,
+// so to keep it small the common prefix of the names is stored once, and lists are stored by column.
 type groupRecord struct {
-	// Prefix begins the names of all keys.
+	// Prefix is the common prefix of the names of all keys.
 	Prefix string `json:"g,omitempty"`
-	// Floor is the revision of Settled.
-	Floor   uint64       `json:"floor,omitempty"`
-	Settled eventColumns `json:"keys"`
-	Kept    eventColumns `json:"events"`
+	// CompactedRevision is the revision of Compacted.
+	CompactedRevision uint64       `json:"floor,omitempty"`
+	Compacted         eventColumns `json:"keys"`
+	Retained          eventColumns `json:"events"`
 }
 
-// eventColumns are puts as one list for each of their properties.
+// eventColumns is a list of puts, stored by column.
 type eventColumns struct {
 	Names     []string `json:"k,omitempty"`
 	Values    []string `json:"v,omitempty"`
 	Revisions []uint64 `json:"r,omitempty"`
 }
 
-// isConsistent says that all columns are of one length and kept revisions rise.
+// isConsistent reports whether the columns of each list have the same length and the retained revisions increase.
 func (r groupRecord) isConsistent() bool {
-	for _, columns := range []eventColumns{r.Settled, r.Kept} {
+	for _, columns := range []eventColumns{r.Compacted, r.Retained} {
 		if len(columns.Names) != len(columns.Values) || len(columns.Names) != len(columns.Revisions) {
 			return false
 		}
 	}
-	last := r.Floor
-	for _, revision := range r.Kept.Revisions {
+	last := r.CompactedRevision
+	for _, revision := range r.Retained.Revisions {
 		if revision <= last {
 			return false
 		}
@@ -60,19 +60,19 @@
 	return events
 }
 
-// record is what is stored of the group.
+// record returns the state to store.
 func (g *Group) record() groupRecord {
-	record := groupRecord{Floor: g.floor}
+	record := groupRecord{CompactedRevision: g.compactedRevision}
 	for name := range g.latest {
 		record.Prefix = GroupOf(name)
 		break
 	}
-	for _, name := range slices.Sorted(maps.Keys(g.settled)) {
-		key := g.settled[name]
-		record.Settled.add(record.Prefix, Event{Name: name, Value: key.value, Revision: key.revision})
+	for _, name := range slices.Sorted(maps.Keys(g.compacted)) {
+		key := g.compacted[name]
+		record.Compacted.add(record.Prefix, Event{Name: name, Value: key.value, Revision: key.revision})
 	}
-	for _, event := range g.kept {
-		record.Kept.add(record.Prefix, event)
+	for _, event := range g.retained {
+		record.Retained.add(record.Prefix, event)
 	}
 	return record
 }
--- a/internal/coordination/group_test.go
+++ b/internal/coordination/group_test.go
@@ -9,17 +9,17 @@
 	"gotest.tools/v3/assert"
 )
 
-const testHistory = 30 * time.Second
+const testEventRetention = 30 * time.Second
 
 func newTestGroup(t *testing.T) *Group {
 	t.Helper()
 	return (&Group{}).reopen(t, testNow)
 }
 
-// reopen is the group at its next owner.
+// reopen returns the group as opened by its next owner.
 func (g *Group) reopen(t *testing.T, now time.Time) *Group {
 	t.Helper()
-	reopened, err := openGroup(g.Value(), now, Config{EventRetention: testHistory})
+	reopened, err := openGroup(g.Value(), now, Config{EventRetention: testEventRetention})
 	assert.NilError(t, err)
 	return reopened
 }
@@ -41,7 +41,7 @@
 
 func revision(number uint64) *uint64 { return &number }
 
-func TestGroup_RevisionsAreOfTheGroupAndConditionsOfTheKey(t *testing.T) {
+func TestGroup_RevisionsCountPerGroupAndConditionsApplyPerKey(t *testing.T) {
 	group := newTestGroup(t)
 	assert.Equal(t, group.read("g.a").Outcome, OutcomeNotFound)
 	assert.Equal(t, group.putValue("g.a", "1", revision(0), 0).Revision, uint64(1))
@@ -49,11 +49,11 @@
 	assert.DeepEqual(t, group.putValue("g.a", "3", revision(2), 0), Result{Outcome: OutcomeConflict, Revision: 1})
 	assert.DeepEqual(t, group.putValue("g.c", "3", revision(2), 0), Result{Outcome: OutcomeConflict})
 	assert.Equal(t, group.putValue("g.a", "3", revision(1), 0).Revision, uint64(3))
-	assert.Equal(t, group.putValue("g.b", "4", nil, 0).Revision, uint64(4), "without a condition")
+	assert.Equal(t, group.putValue("g.b", "4", nil, 0).Revision, uint64(4), "unconditional put")
 	assert.DeepEqual(t, group.read("g.a"), Result{Outcome: OutcomeDone, Value: "3", Revision: 3})
 }
 
-func TestGroup_PutThatComesAgainGetsItsFirstRevision(t *testing.T) {
+func TestGroup_RepeatedPutGetsItsFirstRevision(t *testing.T) {
 	group := newTestGroup(t)
 	group.putValue("g.a", "1", revision(0), 0)
 	group.putValue("g.a", "2", revision(1), 0)
@@ -62,39 +62,39 @@
 		assert.DeepEqual(t, owner.putValue("g.a", "2", nil, time.Second), Result{Outcome: OutcomeDone, Revision: 2})
 		assert.Equal(t, owner.read("g.a").Value, "2")
 	}
-	assert.Equal(t, group.putValue("g.a", "1", revision(2), 0).Revision, uint64(3), "an older value put anew")
+	assert.Equal(t, group.putValue("g.a", "1", revision(2), 0).Revision, uint64(3), "a put at the current revision is a new one")
 	assert.Equal(t, group.read("g.a").Value, "1")
 }
 
-func TestGroup_EventsAreKeptForTheHistory(t *testing.T) {
+func TestGroup_RetainsEventsForTheRetentionTime(t *testing.T) {
 	group := newTestGroup(t)
 	group.putValue("g.a", "1", nil, 0)
 	group.putValue("g.b", "2", nil, 10*time.Second)
-	group.putValue("g.a", "3", nil, testHistory)
+	group.putValue("g.a", "3", nil, testEventRetention)
 	assert.Equal(t, group.eventsAfter(0).Outcome, OutcomeCompacted)
 	assert.Equal(t, len(group.eventsAfter(1).Events), 2)
 	assert.DeepEqual(t, group.eventsAfter(3), Result{Outcome: OutcomeDone, Revision: 3})
 	assert.Equal(t, group.read("g.b").Value, "2")
-	group.putValue("g.a", "4", nil, 10*testHistory)
+	group.putValue("g.a", "4", nil, 10*testEventRetention)
 	assert.Equal(t, group.eventsAfter(2).Outcome, OutcomeCompacted)
 	assert.Equal(t, group.eventsAfter(3).Events[0].Revision, uint64(4))
 	assert.Equal(t, group.read("g.b").Value, "2", "a key outlives its event")
-	assert.Equal(t, group.putValue("g.b", "2", revision(0), 10*testHistory).Revision, uint64(2), "the present value is recognised")
+	assert.Equal(t, group.putValue("g.b", "2", revision(0), 10*testEventRetention).Revision, uint64(2), "the current value is recognized")
 }
 
-func TestGroup_NextOwnerKeepsEventsFromItsOwnStart(t *testing.T) {
+func TestGroup_NextOwnerCountsRetentionFromItsOwnStart(t *testing.T) {
 	group := newTestGroup(t)
 	group.putValue("g.a", "1", nil, 0)
 	start := time.Hour
 	group = group.reopen(t, testNow.Add(start))
-	group.putValue("g.a", "2", nil, start+testHistory-time.Second)
-	assert.Equal(t, len(group.eventsAfter(0).Events), 2, "it does not know how old the first is")
-	group.putValue("g.a", "3", nil, start+testHistory)
+	group.putValue("g.a", "2", nil, start+testEventRetention-time.Second)
+	assert.Equal(t, len(group.eventsAfter(0).Events), 2, "the new owner does not know the age of the first event")
+	group.putValue("g.a", "3", nil, start+testEventRetention)
 	assert.Equal(t, group.eventsAfter(0).Outcome, OutcomeCompacted)
 	assert.Equal(t, len(group.eventsAfter(1).Events), 2)
 }
 
-func TestGroup_StoredValueIsSmallAndChecked(t *testing.T) {
+func TestGroup_StoredValueIsCompactAndValidated(t *testing.T) {
 	group := newTestGroup(t)
 	const puts = 100
 	for number := range puts {
@@ -120,7 +120,7 @@
 	assert.Equal(t, single.reopen(t, testNow).read("alone").Value, "1")
 }
 
-func TestGroup_SizeIsBoundedAndFreedAgain(t *testing.T) {
+func TestGroup_SizeIsLimitedAndFreedByCompaction(t *testing.T) {
 	group := newTestGroup(t)
 	large := strings.Repeat("x", MaxValueBytes-10)
 	puts := 0
@@ -130,13 +130,13 @@
 	assert.Assert(t, puts > 10)
 	full := group.putValue("g.a", "one more "+large, nil, 0)
 	assert.DeepEqual(t, full, Result{Outcome: OutcomeFull})
-	assert.Equal(t, group.read("g.a").Revision, uint64(puts), "nothing was done")
-	assert.Equal(t, group.putValue("g.a", "later "+large, nil, testHistory).Revision, uint64(puts+1))
+	assert.Equal(t, group.read("g.a").Revision, uint64(puts), "a rejected put changes nothing")
+	assert.Equal(t, group.putValue("g.a", "later "+large, nil, testEventRetention).Revision, uint64(puts+1))
 	status, _ := group.Apply(Call{Operation: OperationInspect}, testNow)
 	assert.Assert(t, status.Group.Bytes < 3*MaxValueBytes, "%d bytes", status.Group.Bytes)
 }
 
-func TestGroup_EventsAreListedInParts(t *testing.T) {
+func TestGroup_ListsEventsInPages(t *testing.T) {
 	group := newTestGroup(t)
 	const puts = 2*maxEventsReturned + 5
 	for number := range puts {
@@ -155,7 +155,7 @@
 	assert.Equal(t, listed, puts)
 }
 
-func TestCall_CheckNamesWhatIsWrong(t *testing.T) {
+func TestCall_ValidateReportsInvalidField(t *testing.T) {
 	for _, example := range []struct {
 		call     Call
 		expected error
--- a/internal/coordination/item.go
+++ b/internal/coordination/item.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is the kind of an item. The words are part of the keys on disk.
+// Kind is the kind of an item. Its values are part of the keys on disk and must not change.
 type Kind string
 
 // The kinds.
@@ -20,48 +20,50 @@
 // ErrUnknownKind is returned for a kind that this version does not know.
 var ErrUnknownKind = errors.New("unknown kind of item")
 
-// Config holds the bounds that a deployment sets.
+// Config holds the settings of a deployment.
 type Config struct {
 	// EventRetention is how long an event stays available to watches after its put.
 	EventRetention time.Duration
 }
 
-// Item is the state of one lock, counter or group at its owner. It is used by one goroutine at a time.
+// Item is the state of one lock, counter or group at its owner. It is not safe for concurrent use.
 //
-// What is remembered beside Value (until when a lock is held, when an event was put) is known to this owner only, and is opened
-// anew, by the safe side, under each ownership.
+// State that is not part of Value (when a lock expires, when an event was put) is known to its owner only. A new owner replaces
+// it by a conservative bound.
 type Item interface {
-	// Apply answers a call that is decided at now, a reading of the owner's steady clock, and says whether it changed the
-	// Value, which must then be on a majority of disks before the answer is given. If that fails the item is opened again.
+	// Apply executes a call at now, a reading of the owner's monotonic clock, and reports whether it changed the Value, which
+	// must then be stored on a majority of disks before the result is returned to the caller. If storing fails, the item must
+	// be discarded and opened again.
 	Apply(call Call, now time.Time) (result Result, changed bool)
-	// Value is what is stored.
+	// Value returns the state to store.
 	Value() json.RawMessage
-	// VolatileState is what the owner knows beside Value.
+	// VolatileState returns the state that is not part of Value.
 	VolatileState() VolatileState
 }
 
-// VolatileState is what an owner of an item knows beside its value. It passes from one ownership to the next if both are of one process
-// and nobody else has owned the item between them.
+// VolatileState is what the owner of an item knows beyond its stored value. It stays valid from one ownership to the next only if
+// both belong to the same process and no other process owned the item in between.
 type VolatileState struct {
-	lock lockMemory
+	lock lockTimes
 }
 
-// ItemSummary is one item as a member's disk has it.
+// ItemSummary describes one item as stored on a member's disk.
 type ItemSummary struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Owner is the address of the node that has the member's promise.
+	// Owner is the address of the node to which the member has promised the item.
 	Owner string `json:"owner"`
 	// Bytes is the size of the stored value.
 	Bytes int `json:"bytes"`
 }
 
-// Open returns the item that has a stored value, or none yet, for an owner that took it over before now. known is what the owner
-// knows of the item from before, the zero Memory if another may have owned it since.
-func Open(kind Kind, value json.RawMessage, now time.Time, config Config, known VolatileState) (Item, error) {
+// Open returns the item with a stored value, which is empty for a new item, at an owner that took it over before now. previous is
+// the item's state from an earlier ownership of this process, or the zero VolatileState if another process may have owned the
+// item since.
+func Open(kind Kind, value json.RawMessage, now time.Time, config Config, previous VolatileState) (Item, error) {
 	switch kind {
 	case KindLock:
-		return openLock(value, now, known.lock)
+		return openLock(value, now, previous.lock)
 	case KindCounter:
 		return openCounter(value)
 	case KindGroup:
@@ -70,8 +72,8 @@
 	return nil, errors.Wrapf(ErrUnknownKind, "%q", string(kind))
 }
 
-// decodeValue decodes a stored value, which is empty for an item that was never written. An error must not be passed over: an
-// item that began anew would give out fences, numbers and revisions a second time.
+// decodeValue decodes a stored value, which is empty for an item that was never written. Its error must not be ignored: an item
+// that restarted from an empty value would issue fences, numbers and revisions a second time.
 func decodeValue(value json.RawMessage, record any) error {
 	if len(value) == 0 {
 		return nil
@@ -79,7 +81,7 @@
 	return errors.Wrap(json.Unmarshal(value, record), "stored value")
 }
 
-// encodeValue encodes a record of this package, which has no type that JSON lacks.
+// encodeValue encodes a record of this package. It panics on an error, which the types of the records rule out.
 func encodeValue(record any) json.RawMessage {
 	content, err := json.Marshal(record)
 	if err != nil {
--- a/internal/coordination/lock.go
+++ b/internal/coordination/lock.go
@@ -5,106 +5,108 @@
 	"time"
 )
 
-// driftDivisor bounds how much faster the steady clock of an owner may run than that of a holder: by one part in so many.
-const driftDivisor = 500
+// clockDriftDivisor bounds the clock drift: the monotonic clock of an owner runs faster than that of a holder by at most one part
+// in clockDriftDivisor.
+const clockDriftDivisor = 500
 
-// lockRecord is what is stored of a lock. It stays when the lock is given back: fences must go on from it.
+// lockRecord is the stored state of a lock. It is kept when the lock is released, because fences must continue to increase.
 type lockRecord struct {
-	// Holder is who took the lock last and has not given it back, or "".
+	// Holder is the client that acquired the lock last and has not released it, or "".
 	Holder string `json:"holder,omitempty"`
-	// Fence is the fencing token given out last, FirstFence the first one that Holder has got since another held the lock.
+	// Fence is the last fencing token issued, FirstFence the first one issued to Holder in its current run of acquisitions.
 	Fence      uint64 `json:"fence"`
 	FirstFence uint64 `json:"first,omitempty"`
-	// HoldMs is the longest time that Holder has asked for since then, in ms.
-	HoldMs int64 `json:"holdMs,omitempty"`
-	// CallID is that of the call that got Fence.
+	// MaxTTLMs is the longest TTL that Holder has requested since FirstFence, in ms.
+	MaxTTLMs int64 `json:"holdMs,omitempty"`
+	// CallID is the ID of the call that was granted Fence.
 	CallID string `json:"call,omitempty"`
 }
 
-// Lock is a lock that is held for a time by one holder.
+// Lock is a lock that one client holds at a time, until it expires.
 //
-// A holder counts itself as such until HoldMs after it sent its last call that was granted. The owner counts from when it decides
-// on the call, which is later. A new owner does not know the last renewals: they are not stored, but each was confirmed by a
-// majority after it was sent, hence before a majority promised the lock to the new owner. So the new owner counts HoldMs from its
-// own start. Without that a lock would be given to another while its holder still counts on it.
+// A holder considers the lock its own until the TTL has passed since it sent its last granted call; the owner counts the TTL from
+// when it executes the call, which is later. Renewals are not stored, so a new owner does not know the last ones. But each of
+// them was confirmed by a majority, and thus sent, before a majority promised the lock to the new owner. The new owner therefore
+// counts MaxTTLMs from its own start; otherwise it could grant the lock while its holder still relies on it.
 type Lock struct {
 	record lockRecord
-	// freeAt is when no holder counts on the lock any more, by the owner's steady clock.
-	freeAt time.Time
-	// acquiredAt is when the holder took the lock, as far as this owner knows.
+	// expiresAt is when the holder no longer relies on the lock, by the owner's monotonic clock.
+	expiresAt time.Time
+	// acquiredAt is when the holder acquired the lock, as far as this owner knows.
 	acquiredAt time.Time
-	// isEstimated says that freeAt is an upper bound by the length of the hold: this owner has granted nothing yet, and does not
-	// know what the one before it granted.
+	// isEstimated reports that expiresAt is only an upper bound, derived from MaxTTLMs: this owner has granted no call yet and
+	// does not know what the previous owner granted.
 	isEstimated bool
 }
 
-// Handover is what a former owner tells the next one of a lock: how much longer the hold that it granted last may be counted on. It
-// has granted nothing since, and can't any more: each grant is confirmed by a majority, which has promised the lock to the next
-// owner.
+// Handover is what the previous owner of a lock tells the next one: how much longer the holder may rely on the last grant. The
+// previous owner can't have granted anything since: a grant needs the confirmation of a majority, which has promised the lock to
+// the next owner.
 type Handover struct {
 	Fence uint64 `json:"fence"`
-	// RemainingUs and HeldUs are durations in microseconds by the steady clock of the former owner.
+	// RemainingUs is the time until the lock expires and HeldUs the time since it was acquired, in microseconds by the monotonic
+	// clock of the previous owner.
 	RemainingUs int64 `json:"remainingUs"`
 	HeldUs      int64 `json:"heldUs"`
 }
 
-// lockMemory is until when a hold lasts at its owner.
-type lockMemory struct {
-	fence              uint64
-	freeAt, acquiredAt time.Time
-	isEstimated        bool
+// lockTimes is the part of a lock's state that is not stored.
+type lockTimes struct {
+	fence                 uint64
+	expiresAt, acquiredAt time.Time
+	isEstimated           bool
 }
 
 // LockStatus describes a lock to an operator.
 type LockStatus struct {
 	Holder string `json:"holder"`
 	Fence  uint64 `json:"fence"`
-	// HeldMs is since when the lock is held, as far as its owner knows, and RemainingMs for how long it is without a renewal.
+	// HeldMs is the time since the lock was acquired, as far as its owner knows, and RemainingMs the time until it expires.
 	HeldMs      int64 `json:"heldMs"`
 	RemainingMs int64 `json:"remainingMs"`
 }
 
-func openLock(value json.RawMessage, now time.Time, known lockMemory) (*Lock, error) {
+func openLock(value json.RawMessage, now time.Time, previous lockTimes) (*Lock, error) {
 	lock := &Lock{acquiredAt: now}
 	if err := decodeValue(value, &lock.record); err != nil {
 		return nil, err
 	}
-	lock.freeAt = now.Add(withDrift(holdDuration(lock.record.HoldMs)))
+	lock.expiresAt = now.Add(withDriftMargin(ttlDuration(lock.record.MaxTTLMs)))
 	lock.isEstimated = lock.record.Holder != ""
-	if known.fence > 0 && known.fence == lock.record.Fence {
-		lock.freeAt, lock.acquiredAt = known.freeAt, known.acquiredAt
-		lock.isEstimated = known.isEstimated
+	if previous.fence > 0 && previous.fence == lock.record.Fence {
+		lock.expiresAt, lock.acquiredAt = previous.expiresAt, previous.acquiredAt
+		lock.isEstimated = previous.isEstimated
 	}
 	return lock, nil
 }
 
-// NeedsHandover says that the owner before this one may know that the lock is free earlier.
+// NeedsHandover reports whether the previous owner may know an earlier time at which the lock expires.
 func (l *Lock) NeedsHandover() bool { return l.isEstimated }
 
-// AdoptHandover takes over what the former owner said in an answer that was received at a moment. The remaining time counts from
-// there: it was measured before.
+// AdoptHandover applies what the previous owner said in an answer received at receivedAt. The remaining time is counted from
+// then, which is safe because it was measured earlier.
 func (l *Lock) AdoptHandover(handover Handover, receivedAt time.Time) {
 	if !l.isEstimated || handover.Fence != l.record.Fence {
 		return
 	}
 	l.isEstimated = false
-	freeAt := receivedAt.Add(withDrift(time.Duration(handover.RemainingUs+1) * time.Microsecond))
-	if freeAt.Before(l.freeAt) {
-		l.freeAt = freeAt
+	expiresAt := receivedAt.Add(withDriftMargin(time.Duration(handover.RemainingUs+1) * time.Microsecond))
+	if expiresAt.Before(l.expiresAt) {
+		l.expiresAt = expiresAt
 	}
 	l.acquiredAt = receivedAt.Add(-time.Duration(handover.HeldUs) * time.Microsecond)
 }
 
-// Handover is what the memory of a lock says at a moment, and false for anything else. An estimate of an owner that granted nothing is
-// as good a bound as any.
-func (m VolatileState) Handover(now time.Time) (Handover, bool) {
-	if m.lock.fence == 0 {
+// Handover returns what to tell the next owner of a lock, and false for an item that is no lock or was never held. If the times
+// are estimates, because this owner granted nothing itself, they are valid bounds nevertheless.
+func (s VolatileState) Handover(now time.Time) (Handover, bool) {
+	if s.lock.fence == 0 {
 		return Handover{}, false
 	}
 	return Handover{
-		Fence:       m.lock.fence,
-		RemainingUs: max(m.lock.freeAt.Sub(now), 0).Microseconds(),
-		HeldUs:      max(now.Sub(m.lock.acquiredAt), 0).Microseconds(),
+		Fence:       s.lock.fence,
+		RemainingUs: max(s.lock.expiresAt.Sub(now), 0).Microseconds(),
+		HeldUs:      max(now.Sub(s.lock.acquiredAt), 0).Microseconds(),
 	}, true
 }
 
@@ -128,16 +130,16 @@
 
 // VolatileState implements Item.
 func (l *Lock) VolatileState() VolatileState {
-	return VolatileState{lock: lockMemory{
+	return VolatileState{lock: lockTimes{
 		fence:       l.record.Fence,
-		freeAt:      l.freeAt,
+		expiresAt:   l.expiresAt,
 		acquiredAt:  l.acquiredAt,
 		isEstimated: l.isEstimated,
 	}}
 }
 
-// acquire gives each call a fence of its own, also to the one who holds the lock already: a release that was sent under an earlier
-// fence may still be on its way, and must not end this hold. Further attempts to carry out one call get the same fence.
+// acquire issues a new fence for each call, even to the current holder: a release sent with an earlier fence may still be in
+// transit and must not release this acquisition. Repeated attempts of one call get the same fence.
 func (l *Lock) acquire(call Call, now time.Time) (Result, bool) {
 	isHolder := l.record.Holder == call.Holder
 	if !isHolder && l.isHeld(now) {
@@ -157,7 +159,7 @@
 	return Result{Outcome: OutcomeDone, Fence: l.record.Fence}, true
 }
 
-// renew extends a hold, also one whose time has passed while nobody else has taken the lock.
+// renew extends the lock, even after it expired, as long as no other client has acquired it.
 func (l *Lock) renew(call Call, now time.Time) (Result, bool) {
 	isCurrent := l.record.FirstFence <= call.Fence && call.Fence <= l.record.Fence
 	if l.record.Holder != call.Holder || !isCurrent {
@@ -167,7 +169,7 @@
 	return Result{Outcome: OutcomeDone, Fence: l.record.Fence}, changed
 }
 
-// release ends the hold of the newest fence. An earlier fence ends nothing, see acquire.
+// release frees the lock if the call has the latest fence. One with an earlier fence has no effect, see acquire.
 func (l *Lock) release(call Call) (Result, bool) {
 	if l.record.Holder != call.Holder || l.record.Fence != call.Fence {
 		return Result{Outcome: OutcomeDone}, false
@@ -176,7 +178,8 @@
 	return Result{Outcome: OutcomeDone}, true
 }
 
-// forceRelease ends any hold for an operator, by a fence above that of the holder, which then fails wherever fences are checked.
+// forceRelease frees the lock for an operator. It issues a higher fence, so that the former holder fails wherever fences are
+// checked.
 func (l *Lock) forceRelease() (Result, bool) {
 	l.record.Fence++
 	l.clear()
@@ -185,25 +188,27 @@
 
 func (l *Lock) clear() {
 	l.record = lockRecord{Fence: l.record.Fence}
-	l.freeAt, l.isEstimated = time.Time{}, false
+	l.expiresAt, l.isEstimated = time.Time{}, false
 }
 
-func (l *Lock) isHeld(now time.Time) bool { return l.record.Holder != "" && now.Before(l.freeAt) }
+func (l *Lock) isHeld(now time.Time) bool { return l.record.Holder != "" && now.Before(l.expiresAt) }
 
-// extend counts a granted call of the holder, and says whether the stored length changed: a new owner goes by that. Neither the
-// length nor the time ever falls within a hold. An answer may be lost, and its caller goes on counting on the call before.
+// extend applies the TTL of a granted call, and reports whether MaxTTLMs changed, which a new owner relies on. Neither MaxTTLMs
+// nor expiresAt decreases while the lock is held: the answer may be lost, and then the holder still relies on an earlier call.
 func (l *Lock) extend(call Call, now time.Time) (changed bool) {
 	l.isEstimated = false
-	if freeAt := now.Add(withDrift(call.hold())); freeAt.After(l.freeAt) {
-		l.freeAt = freeAt
+	if expiresAt := now.Add(withDriftMargin(call.ttl())); expiresAt.After(l.expiresAt) {
+		l.expiresAt = expiresAt
 	}
-	changed = call.TTLMs > l.record.HoldMs
-	l.record.HoldMs = max(l.record.HoldMs, call.TTLMs)
+	changed = call.TTLMs > l.record.MaxTTLMs
+	l.record.MaxTTLMs = max(l.record.MaxTTLMs, call.TTLMs)
 	return changed
 }
 
-// withDrift is the time that an owner waits where a holder counts on a hold.
-func withDrift(hold time.Duration) time.Duration { return hold + hold/driftDivisor }
+// withDriftMargin returns how long an owner must wait, by its own clock, to be sure that a duration has passed for the holder.
+func withDriftMargin(duration time.Duration) time.Duration {
+	return duration + duration/clockDriftDivisor
+}
 
 func (l *Lock) status(now time.Time) *LockStatus {
 	if !l.isHeld(now) {
@@ -213,6 +218,6 @@
 		Holder:      l.record.Holder,
 		Fence:       l.record.Fence,
 		HeldMs:      now.Sub(l.acquiredAt).Milliseconds(),
-		RemainingMs: l.freeAt.Sub(now).Milliseconds(),
+		RemainingMs: l.expiresAt.Sub(now).Milliseconds(),
 	}
 }
--- a/internal/coordination/lock_exploration_test.go
+++ b/internal/coordination/lock_exploration_test.go
@@ -10,153 +10,154 @@
 	"gotest.tools/v3/assert"
 )
 
-// The exploration visits every order of events of a small world: two callers, two nodes that own a lock in turn, calls that are late,
-// doubled or lost, answers that are late or lost, and time. What never arrives within it is lost.
+// The exploration is a small model checker: it visits every order of events of two callers and two nodes that own a lock in turn,
+// with calls that are delayed, duplicated or lost, answers that are delayed or lost, and passing time. A message that is never
+// delivered within the bounds counts as lost.
 const (
-	exploredTick = time.Second
-	nobody       = -1
+	tick    = time.Second
+	noOwner = -1
 )
 
-// lockScope bounds one exploration.
-type lockScope struct {
+// explorationBounds bounds one exploration.
+type explorationBounds struct {
 	ticks int
-	// sends is how many calls each caller makes, holds the lengths of holds, in ticks, that it asks for.
-	sends [2]int
-	holds [2][]int
-	// doubles is how many calls may arrive twice, losses how many ownerships end without a successor.
-	doubles, losses int
+	// calls is how many calls each caller makes, ttls the TTLs that it requests, in ticks.
+	calls [2]int
+	ttls  [2][]int
+	// maxDuplicates is how many calls may arrive twice, maxLostOwnerships how many ownerships may end without a successor.
+	maxDuplicates, maxLostOwnerships int
 }
 
-var lockScopes = map[string]lockScope{
-	"late calls": {ticks: 3, sends: [2]int{3, 1}, holds: [2][]int{{2}, {2}}},
-	"holds of different lengths, lost ownerships": {ticks: 3, sends: [2]int{2, 1}, holds: [2][]int{{1, 2}, {1}}, losses: 1},
-	"doubled calls": {ticks: 3, sends: [2]int{2, 1}, holds: [2][]int{{2}, {1}}, doubles: 1},
+var explorationCases = map[string]explorationBounds{
+	"delayed calls":                   {ticks: 3, calls: [2]int{3, 1}, ttls: [2][]int{{2}, {2}}},
+	"different TTLs, lost ownerships": {ticks: 3, calls: [2]int{2, 1}, ttls: [2][]int{{1, 2}, {1}}, maxLostOwnerships: 1},
+	"duplicated calls":                {ticks: 3, calls: [2]int{2, 1}, ttls: [2][]int{{2}, {1}}, maxDuplicates: 1},
 }
 
-// exploredCall is a call on its way.
+// exploredCall is a call in transit.
 type exploredCall struct {
-	Caller, Number, Destination, Sent, Hold int
-	Operation                               Operation
-	Fence                                   uint64
+	Caller, Number, Destination, Sent, TTL int
+	Operation                              Operation
+	Fence                                  uint64
 }
 
-// exploredAnswer is an answer on its way.
+// exploredAnswer is an answer in transit.
 type exploredAnswer struct {
 	Call   exploredCall
 	Result Outcome
 	Fence  uint64
 }
 
-// exploredCaller is an application. It counts itself holder before Until.
+// exploredCaller is an application. It considers itself the holder until ExpiresAt.
 type exploredCaller struct {
-	Sends int
-	// Waiting is the number of the call that it waits for, 0 for none.
-	Waiting int
-	IsHolds bool
-	Until   int
-	Fence   uint64
+	CallCount int
+	// PendingCall is the number of the call that it waits for, 0 for none.
+	PendingCall int
+	IsHolder    bool
+	ExpiresAt   int
+	Fence       uint64
 }
 
-// exploredOwner is what a node knows of the lock. IsLast says that nobody has owned the lock since.
+// exploredOwner is what a node knows of the lock. WasLastOwner reports that no other node has owned the lock since.
 type exploredOwner struct {
-	IsLast bool
-	lock   *Lock
+	WasLastOwner bool
+	lock         *Lock
 }
 
-// lockWorld is one state.
-type lockWorld struct {
-	scope   lockScope
+// exploredState is one state of the model.
+type exploredState struct {
+	bounds  explorationBounds
 	Now     int
 	Callers [2]exploredCaller
 	Calls   []exploredCall
 	Answers []exploredAnswer
-	// Owner is the node that owns the lock, or nobody; Value is what is stored.
+	// Owner is the node that owns the lock, or noOwner; Value is the stored value.
 	Owner int
 	Value string
-	// Doubles counts the calls that have arrived twice, Losses the ownerships that ended by themselves.
-	Doubles, Losses int
-	owners          [2]exploredOwner
+	// Duplicates counts the calls that have arrived twice, LostOwnerships the ownerships that ended without a successor.
+	Duplicates, LostOwnerships int
+	owners                     [2]exploredOwner
 }
 
-// lockRules are those of the real nodes, or broken ones.
-type lockRules struct {
-	// forgetsHolder has a new owner take the lock for free.
-	forgetsHolder bool
-	// keepsTimes has a node go on with the times that it knew, though another owned the lock since.
-	keepsTimes bool
-	// releasesAnyFence has a release end the present hold of its caller, whatever its fence.
+// lockFaults are faults to inject into the nodes, which the exploration must detect.
+type lockFaults struct {
+	// skipsTakeoverWait makes a new owner treat the lock as free at once.
+	skipsTakeoverWait bool
+	// reusesStaleTimes makes a node use the times that it knew although another node has owned the lock since.
+	reusesStaleTimes bool
+	// releasesAnyFence makes a release free the lock if its caller holds it, whatever its fence.
 	releasesAnyFence bool
-	// shortensHolds has a renewal for a shorter time count at once.
-	shortensHolds bool
+	// shortensTTL makes a renewal with a shorter TTL take effect at once.
+	shortensTTL bool
 }
 
-func (w lockWorld) key() string {
-	memories := ""
-	for _, owner := range w.owners {
+func (s exploredState) key() string {
+	key := ""
+	for _, owner := range s.owners {
 		if owner.lock != nil {
-			memories += fmt.Sprint(owner.IsLast, owner.lock.record, owner.lock.freeAt.Sub(testNow), ";")
+			key += fmt.Sprint(owner.WasLastOwner, owner.lock.record, owner.lock.expiresAt.Sub(testNow), ";")
 		}
 	}
-	memories += fmt.Sprint(w.Now, w.Callers, w.Calls, w.Answers, w.Owner, w.Value, w.Doubles, w.Losses)
-	return memories
+	key += fmt.Sprint(s.Now, s.Callers, s.Calls, s.Answers, s.Owner, s.Value, s.Duplicates, s.LostOwnerships)
+	return key
 }
 
-func (w lockWorld) clone() lockWorld {
-	w.Calls = append([]exploredCall(nil), w.Calls...)
-	w.Answers = append([]exploredAnswer(nil), w.Answers...)
-	for position, owner := range w.owners {
+func (s exploredState) clone() exploredState {
+	s.Calls = append([]exploredCall(nil), s.Calls...)
+	s.Answers = append([]exploredAnswer(nil), s.Answers...)
+	for position, owner := range s.owners {
 		if owner.lock != nil {
 			copied := *owner.lock
-			w.owners[position].lock = &copied
+			s.owners[position].lock = &copied
 		}
 	}
-	return w
+	return s
 }
 
-func (w lockWorld) clock() time.Time { return testNow.Add(time.Duration(w.Now) * exploredTick) }
+func (s exploredState) clock() time.Time { return testNow.Add(time.Duration(s.Now) * tick) }
 
-// next returns all states that may follow.
-func (w lockWorld) next(rules lockRules) []lockWorld {
-	var following []lockWorld
-	if w.Now < w.scope.ticks {
-		later := w.clone()
+// successors returns all possible next states.
+func (s exploredState) successors(faults lockFaults) []exploredState {
+	var following []exploredState
+	if s.Now < s.bounds.ticks {
+		later := s.clone()
 		later.Now++
 		following = append(following, later)
 	}
-	if w.Owner != nobody && w.Losses < w.scope.losses {
-		lost := w.clone()
-		lost.Owner = nobody
-		lost.Losses++
+	if s.Owner != noOwner && s.LostOwnerships < s.bounds.maxLostOwnerships {
+		lost := s.clone()
+		lost.Owner = noOwner
+		lost.LostOwnerships++
 		following = append(following, lost)
 	}
-	for caller := range w.Callers {
-		following = append(following, w.sends(caller)...)
+	for caller := range s.Callers {
+		following = append(following, s.afterSend(caller)...)
 	}
-	for position := range w.Calls {
-		following = append(following, w.deliver(position, rules))
+	for position := range s.Calls {
+		following = append(following, s.afterDelivery(position, faults))
 	}
-	for position := range w.Answers {
-		following = append(following, w.answer(position))
+	for position := range s.Answers {
+		following = append(following, s.afterAnswer(position))
 	}
 	return following
 }
 
-// sends are the states after a caller has sent a call. It may give up the one that it waits for.
-func (w lockWorld) sends(caller int) []lockWorld {
-	state := w.Callers[caller]
-	if state.Sends == w.scope.sends[caller] {
+// afterSend returns the states after a caller has sent a call. The caller may abandon a pending call.
+func (s exploredState) afterSend(caller int) []exploredState {
+	state := s.Callers[caller]
+	if state.CallCount == s.bounds.calls[caller] {
 		return nil
 	}
 	operations := []Operation{OperationAcquire}
-	if state.IsHolds && w.Now < state.Until {
+	if state.IsHolder && s.Now < state.ExpiresAt {
 		operations = []Operation{OperationRenew, OperationRelease, OperationAcquire}
 	}
-	var following []lockWorld
+	var following []exploredState
 	for _, operation := range operations {
-		for destination := range w.owners {
-			for _, hold := range w.scope.holds[caller] {
-				sent := w.clone()
-				sent.send(caller, exploredCall{Operation: operation, Destination: destination, Hold: hold})
+		for destination := range s.owners {
+			for _, ttl := range s.bounds.ttls[caller] {
+				sent := s.clone()
+				sent.send(caller, exploredCall{Operation: operation, Destination: destination, TTL: ttl})
 				following = append(following, sent)
 			}
 		}
@@ -164,108 +165,108 @@
 	return following
 }
 
-func (w *lockWorld) send(caller int, call exploredCall) {
-	state := &w.Callers[caller]
-	state.Sends++
-	state.Waiting = state.Sends
-	call.Caller, call.Number, call.Sent, call.Fence = caller, state.Sends, w.Now, state.Fence
+func (s *exploredState) send(caller int, call exploredCall) {
+	state := &s.Callers[caller]
+	state.CallCount++
+	state.PendingCall = state.CallCount
+	call.Caller, call.Number, call.Sent, call.Fence = caller, state.CallCount, s.Now, state.Fence
 	if call.Operation == OperationRelease {
-		state.IsHolds = false
+		state.IsHolder = false
 	}
-	w.Calls = append(w.Calls, call)
+	s.Calls = append(s.Calls, call)
 	isStale := func(answered exploredAnswer) bool { return answered.Call.Caller == caller }
-	w.Answers = slices.DeleteFunc(w.Answers, isStale)
+	s.Answers = slices.DeleteFunc(s.Answers, isStale)
 }
 
-// deliver is the state after a call has arrived at its destination, which takes the lock over if another owns it.
-func (w lockWorld) deliver(position int, rules lockRules) lockWorld {
-	after := w.clone()
+// afterDelivery returns the state after a call has arrived at its destination, which takes the lock over if it is not the owner.
+func (s exploredState) afterDelivery(position int, faults lockFaults) exploredState {
+	after := s.clone()
 	call := after.Calls[position]
 	after.Calls = slices.Delete(after.Calls, position, position+1)
-	if after.Doubles < w.scope.doubles {
-		after.Doubles++
-		after.Calls = append(after.Calls, call) // it comes again, or never
+	if after.Duplicates < s.bounds.maxDuplicates {
+		after.Duplicates++
+		after.Calls = append(after.Calls, call) // delivered a second time, or lost
 	}
 	owner := &after.owners[call.Destination]
 	if after.Owner != call.Destination {
-		after.takeOver(call.Destination, rules)
+		after.takeOver(call.Destination, faults)
 	}
-	if rules.releasesAnyFence && call.Operation == OperationRelease {
+	if faults.releasesAnyFence && call.Operation == OperationRelease {
 		call.Fence = owner.lock.record.Fence
 	}
-	if rules.shortensHolds && call.Operation == OperationRenew {
-		owner.lock.freeAt, owner.lock.record.HoldMs = time.Time{}, 0
+	if faults.shortensTTL && call.Operation == OperationRenew {
+		owner.lock.expiresAt, owner.lock.record.MaxTTLMs = time.Time{}, 0
 	}
 	result, _ := owner.lock.Apply(Call{
 		Operation: call.Operation,
 		ID:        fmt.Sprint(call.Caller, call.Number),
 		Holder:    fmt.Sprint("caller-", call.Caller),
 		Fence:     call.Fence,
-		TTLMs:     (time.Duration(call.Hold) * exploredTick).Milliseconds(),
+		TTLMs:     (time.Duration(call.TTL) * tick).Milliseconds(),
 	}, after.clock())
 	after.Value = string(owner.lock.Value())
-	if after.Callers[call.Caller].Waiting == call.Number {
+	if after.Callers[call.Caller].PendingCall == call.Number {
 		after.Answers = append(after.Answers, exploredAnswer{Call: call, Result: result.Outcome, Fence: result.Fence})
 	}
 	return after
 }
 
-func (w *lockWorld) takeOver(node int, rules lockRules) {
-	owner := &w.owners[node]
-	known := lockMemory{}
-	if owner.lock != nil && (owner.IsLast || rules.keepsTimes) {
-		known = owner.lock.VolatileState().lock
+func (s *exploredState) takeOver(node int, faults lockFaults) {
+	owner := &s.owners[node]
+	previous := lockTimes{}
+	if owner.lock != nil && (owner.WasLastOwner || faults.reusesStaleTimes) {
+		previous = owner.lock.VolatileState().lock
 	}
-	lock, err := openLock(json.RawMessage(w.Value), w.clock(), known)
+	lock, err := openLock(json.RawMessage(s.Value), s.clock(), previous)
 	if err != nil {
 		panic(err)
 	}
-	if rules.forgetsHolder {
-		lock.freeAt = w.clock()
+	if faults.skipsTakeoverWait {
+		lock.expiresAt = s.clock()
 	}
-	for position := range w.owners {
-		w.owners[position].IsLast = position == node
+	for position := range s.owners {
+		s.owners[position].WasLastOwner = position == node
 	}
-	w.Owner, owner.lock = node, lock
+	s.Owner, owner.lock = node, lock
 }
 
-// answer is the state after an answer has come. One that nobody waits for any more is dropped when the caller gives up.
-func (w lockWorld) answer(position int) lockWorld {
-	after := w.clone()
+// afterAnswer returns the state after an answer has arrived. Answers to a call that its caller abandons are dropped then.
+func (s exploredState) afterAnswer(position int) exploredState {
+	after := s.clone()
 	answered := after.Answers[position]
 	after.Answers = append(after.Answers[:position], after.Answers[position+1:]...)
 	state := &after.Callers[answered.Call.Caller]
-	state.Waiting = 0
-	until := answered.Call.Sent + answered.Call.Hold
+	state.PendingCall = 0
+	expiresAt := answered.Call.Sent + answered.Call.TTL
 	switch {
 	case answered.Call.Operation == OperationRelease:
 	case answered.Result == OutcomeLost:
-		state.IsHolds = false
+		state.IsHolder = false
 	case answered.Result == OutcomeDone && answered.Call.Operation == OperationAcquire:
-		state.IsHolds, state.Until, state.Fence = true, until, answered.Fence
-	case answered.Result == OutcomeDone && after.Now < state.Until:
-		state.Until = until
+		state.IsHolder, state.ExpiresAt, state.Fence = true, expiresAt, answered.Fence
+	case answered.Result == OutcomeDone && after.Now < state.ExpiresAt:
+		state.ExpiresAt = expiresAt
 	}
 	return after
 }
 
-func (w lockWorld) hasTwoHolders() bool {
-	for _, caller := range w.Callers {
-		if !caller.IsHolds || w.Now >= caller.Until {
+func (s exploredState) hasTwoHolders() bool {
+	for _, caller := range s.Callers {
+		if !caller.IsHolder || s.Now >= caller.ExpiresAt {
 			return false
 		}
 	}
 	return true
 }
 
-// exploreLock visits all states and returns how many there are, and one with two holders if there is any.
-func exploreLock(scope lockScope, rules lockRules) (visited int, broken *lockWorld) {
+// exploreLock visits the reachable states and returns how many it saw, and the first one with two holders, if any.
+func exploreLock(bounds explorationBounds, faults lockFaults) (visited int, broken *exploredState) {
 	seen := map[string]bool{}
-	pending := []lockWorld{{scope: scope, Owner: nobody}}
+	pending := []exploredState{{bounds: bounds, Owner: noOwner}}
 	for len(pending) > 0 {
 		state := pending[0]
 		pending = pending[1:]
-		for _, following := range state.next(rules) {
+		for _, following := range state.successors(faults) {
 			key := following.key()
 			if seen[key] {
 				continue
@@ -280,29 +281,29 @@
 	return len(seen), nil
 }
 
-func TestLock_NoOrderOfEventsHasTwoHolders(t *testing.T) {
-	for name, scope := range lockScopes {
+func TestLock_NoEventOrderHasTwoHolders(t *testing.T) {
+	for name, bounds := range explorationCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			visited, broken := exploreLock(scope, lockRules{})
+			visited, broken := exploreLock(bounds, lockFaults{})
 			assert.Assert(t, broken == nil, "%+v", broken)
 			t.Logf("%d states", visited)
 		})
 	}
 }
 
-func TestLock_ExplorationFindsBrokenRules(t *testing.T) {
-	for name, rules := range map[string]lockRules{
-		"a new owner that takes the lock for free":    {forgetsHolder: true},
-		"times kept though another owned the lock":    {keepsTimes: true},
-		"a late release that ends a newer hold":       {releasesAnyFence: true},
-		"a renewal that shortens what a caller knows": {shortensHolds: true},
+func TestLock_ExplorationDetectsInjectedFaults(t *testing.T) {
+	for name, faults := range map[string]lockFaults{
+		"new owner does not wait for the holder":    {skipsTakeoverWait: true},
+		"times reused after another owned the lock": {reusesStaleTimes: true},
+		"delayed release ends a newer acquisition":  {releasesAnyFence: true},
+		"renewal shortens the TTL":                  {shortensTTL: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for scoped, scope := range lockScopes {
-				if visited, broken := exploreLock(scope, rules); broken != nil {
-					t.Logf("%s, after %d states: %+v", scoped, visited, *broken)
+			for name, bounds := range explorationCases {
+				if visited, broken := exploreLock(bounds, faults); broken != nil {
+					t.Logf("%s, after %d states: %+v", name, visited, *broken)
 					return
 				}
 			}
--- a/internal/coordination/names.go
+++ b/internal/coordination/names.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// MaxNameBytes is the longest name of a lock, a counter, a key or a holder.
+	// MaxNameBytes is the maximum length of the name of a lock, counter, key or holder.
 	MaxNameBytes = 200
-	// MaxValueBytes is the longest value of a key.
+	// MaxValueBytes is the maximum length of a value.
 	MaxValueBytes = 16 << 10
-	// MaxLockTTL is the longest time that a lock is held without a renewal.
+	// MaxLockTTL is the longest time for which a lock can be held without a renewal.
 	MaxLockTTL = 10 * time.Minute
-	// groupSeparator ends the name of a group within the names of its keys.
+	// groupSeparator separates the name of a group from the rest of a key's name.
 	groupSeparator = "."
 )
 
-// Errors of Call.Check.
+// Errors of Call.Validate.
 var (
 	ErrInvalidName   = errors.New("name must have 1 to 200 bytes, without spaces, control characters and slashes")
 	ErrInvalidHolder = errors.New("leaseHolder must have 1 to 200 bytes")
@@ -27,7 +27,8 @@
 	ErrInvalidValue  = errors.New("value must be a text of at most 16384 bytes")
 )
 
-// GroupOf is the group that a key belongs to: its name up to the first dot, with the dot. A key without a dot is a group of its own.
+// GroupOf returns the group of a key: the key's name up to and including the first dot. A key without a dot is a group of its
+// own.
 func GroupOf(key string) string {
 	prefix, _, found := strings.Cut(key, groupSeparator)
 	if !found {
@@ -36,7 +37,7 @@
 	return prefix + groupSeparator
 }
 
-// ItemName names the item that a call is about, among those of its kind.
+// ItemName returns the name of the item that a call addresses, which is unique among items of its kind.
 func (c Call) ItemName() string {
 	if c.Kind == KindGroup {
 		return GroupOf(c.Name)
@@ -44,14 +45,14 @@
 	return c.Name
 }
 
-// Validate returns an error that says what is wrong with a call, or nil.
+// Validate returns an error that describes the first invalid field of a call, or nil.
 func (c Call) Validate() error {
 	if !isName(c.Name) {
 		return ErrInvalidName
 	}
 	switch c.Operation {
 	case OperationAcquire, OperationRenew:
-		if c.TTLMs < 1 || c.hold() > MaxLockTTL {
+		if c.TTLMs < 1 || c.ttl() > MaxLockTTL {
 			return ErrInvalidTTL
 		}
 		return c.checkHolder()
