--- a/internal/coordinationapi/handler.go
+++ b/internal/coordinationapi/handler.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/httppath"
 )
 
-// Paths of the API. The name of a lock, counter, key or group follows.
+// Paths of the API, each followed by the name of a lock, counter, key or group.
 const (
 	PathLocks   = "/ferryspar/locks/"
 	PathNumbers = "/ferryspar/numbers/"
@@ -23,61 +23,61 @@
 )
 
 const (
-	// maxBodyBytes is the size of the largest body that is read: the longest value, escaped, with what surrounds it.
+	// maxBodyBytes is the maximum size of a request body: the longest value, escaped, and the JSON around it.
 	maxBodyBytes = 8*coordination.MaxValueBytes + 4096
-	// maxWait is the longest time that a watch waits; one that asks for more is answered then.
+	// maxWait is the longest time that a watch waits. A request for more is answered after maxWait.
 	maxWait = 30 * time.Second
 )
 
-// Service carries out calls. Its methods may be called from any goroutine; their errors are of package apierror.
+// Service executes calls. Its methods must be safe for concurrent use. Their errors are of package apierror.
 type Service interface {
 	Do(ctx context.Context, call coordination.Call) (coordination.Result, error)
-	// Watch returns the puts of a group after a revision, see coordinator.Watches.
+	// Watch returns the puts to a group after a revision, see coordinator.Watches.
 	Watch(ctx context.Context, group string, after uint64, wait time.Duration) (coordination.Result, error)
-	// Items lists the items as this node's disk has them.
+	// Items lists the items stored on this node's disk.
 	Items() []coordination.ItemSummary
-	// WatchCounts counts the watches that wait here, by group.
+	// WatchCounts returns the number of watches that wait at this node, by group.
 	WatchCounts() map[string]int
 }
 
-// api is the handler of the calls.
+// api implements the HTTP handlers.
 type api struct {
 	service Service
 }
 
-// Register adds the calls to a router.
+// Register adds the routes of the API to a router.
 func Register(router chi.Router, service Service) {
 	a := &api{service: service}
-	router.Post(PathLocks+"{name}", a.lockCall(coordination.OperationAcquire))
-	router.Put(PathLocks+"{name}", a.lockCall(coordination.OperationRenew))
-	router.Delete(PathLocks+"{name}", a.lockCall(coordination.OperationRelease))
-	router.Post(PathNumbers+"{name}", a.next)
+	router.Post(PathLocks+"{name}", a.lockHandler(coordination.OperationAcquire))
+	router.Put(PathLocks+"{name}", a.lockHandler(coordination.OperationRenew))
+	router.Delete(PathLocks+"{name}", a.lockHandler(coordination.OperationRelease))
+	router.Post(PathNumbers+"{name}", a.nextNumber)
 	router.Put(PathKeys+"{name}", a.put)
 	router.Get(PathKeys+"{name}", a.get)
 	router.Get(PathWatch+"{name}", a.watch)
 	a.registerOperators(router)
 }
 
-// LockRequest is the body of the calls on locks.
+// LockRequest is the request body of the lock operations.
 type LockRequest struct {
 	Holder string `json:"leaseHolder"`
 	Fence  uint64 `json:"fenceToken"`
 	TTLMs  int64  `json:"queueHoldMs"`
 }
 
-// LockReply is the body of a lock that was taken.
+// LockReply is the response body for an acquired lock.
 type LockReply struct {
 	Fence uint64 `json:"fenceToken"`
 }
 
-func (a *api) lockCall(operation coordination.Operation) http.HandlerFunc {
+func (a *api) lockHandler(operation coordination.Operation) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		var body LockRequest
 		if err := readBody(writer, request, &body); err != nil {
 			apierror.Write(writer, err)
 			return
 		}
-		result, err := a.do(request, coordination.Call{
+		result, err := a.execute(request, coordination.Call{
 			Operation: operation,
 			Kind:      coordination.KindLock,
 			Holder:    body.Holder,
@@ -96,13 +96,13 @@
 	}
 }
 
-// NumberReply is the body of a number that was drawn.
+// NumberReply is the response body with the next number of a counter.
 type NumberReply struct {
 	Value uint64 `json:"value"`
 }
 
-func (a *api) next(writer http.ResponseWriter, request *http.Request) {
-	result, err := a.do(request, coordination.Call{Operation: coordination.OperationNext, Kind: coordination.KindCounter})
+func (a *api) nextNumber(writer http.ResponseWriter, request *http.Request) {
+	result, err := a.execute(request, coordination.Call{Operation: coordination.OperationNext, Kind: coordination.KindCounter})
 	if err != nil {
 		apierror.Write(writer, err)
 		return
@@ -110,13 +110,13 @@
 	writeJSON(writer, http.StatusOK, NumberReply{Value: result.Number})
 }
 
-// PutRequest is the body of a put. A missing ExpectedRevision accepts any revision.
+// PutRequest is the request body of a put. Without ExpectedRevision the put is unconditional.
 type PutRequest struct {
 	Value            *string `json:"value"`
 	ExpectedRevision *uint64 `json:"expectedCount"`
 }
 
-// PutReply names the revision of a key.
+// PutReply is the response body of a put: the new revision of the key, or its current one if the put failed with a conflict.
 type PutReply struct {
 	Revision uint64 `json:"entityTag"`
 }
@@ -131,7 +131,7 @@
 		apierror.Write(writer, err)
 		return
 	}
-	result, err := a.do(request, coordination.Call{
+	result, err := a.execute(request, coordination.Call{
 		Operation:        coordination.OperationPut,
 		Kind:             coordination.KindGroup,
 		Value:            *body.Value,
@@ -148,14 +148,14 @@
 	writeJSON(writer, status, PutReply{Revision: result.Revision})
 }
 
-// ValueReply is the body of a key that was read.
+// ValueReply is the response body with the value of a key.
 type ValueReply struct {
 	Value    string `json:"value"`
 	Revision uint64 `json:"entityTag"`
 }
 
 func (a *api) get(writer http.ResponseWriter, request *http.Request) {
-	result, err := a.do(request, coordination.Call{Operation: coordination.OperationGet, Kind: coordination.KindGroup})
+	result, err := a.execute(request, coordination.Call{Operation: coordination.OperationGet, Kind: coordination.KindGroup})
 	if err != nil {
 		apierror.Write(writer, err)
 		return
@@ -163,8 +163,8 @@
 	writeJSON(writer, http.StatusOK, ValueReply{Value: result.Value, Revision: result.Revision})
 }
 
-// do carries out a call on the item that the path names, and returns the outcomes that have no body of their own as errors.
-func (a *api) do(request *http.Request, call coordination.Call) (coordination.Result, error) {
+// execute executes a call on the item named in the path. Outcomes that have no response body are returned as errors.
+func (a *api) execute(request *http.Request, call coordination.Call) (coordination.Result, error) {
 	name, err := httppath.Parameter(request, "name")
 	if err != nil {
 		return coordination.Result{}, err
@@ -183,7 +183,7 @@
 	return result, nil
 }
 
-// outcomeErrors are the outcomes that are answered with an error.
+// outcomeErrors maps the outcomes that are answered with an error.
 var outcomeErrors = map[coordination.Outcome]apierror.Kind{
 	coordination.OutcomeHeld:     apierror.LockHeld,
 	coordination.OutcomeLost:     apierror.LockLost,
@@ -191,13 +191,13 @@
 	coordination.OutcomeFull:     apierror.CoordinationFull,
 }
 
-// WatchReply is the body of a watch that was answered.
+// WatchReply is the response body of a watch.
 type WatchReply struct {
 	Events   []WatchEvent `json:"events"`
 	Revision uint64       `json:"entityTag"`
 }
 
-// WatchEvent is one put of a key.
+// WatchEvent is a put of a key.
 type WatchEvent struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
@@ -231,7 +231,7 @@
 	writeJSON(writer, http.StatusOK, reply)
 }
 
-// watchQuery reads after and waitMs, which are 0 if they are missing.
+// watchQuery parses the parameters after and waitMs, both 0 by default.
 func watchQuery(request *http.Request) (after uint64, wait time.Duration, err error) {
 	query := request.URL.Query()
 	if text := query.Get("after"); text != "" {
--- a/internal/coordinationclient/client.go
+++ b/internal/coordinationclient/client.go
@@ -16,96 +16,96 @@
 	"ferryspar/internal/coordinationapi"
 )
 
-// Errors of calls. Any other error says that no control plane gave a clear answer in time: the call may have taken effect.
+// Errors of calls. Any other error means that no control plane gave a definite answer in time: the call may have taken effect.
 var (
-	// ErrLockHeld says that another holds the lock.
-	ErrLockHeld = errors.New("another holds the lock")
-	// ErrLockLost says that the caller does not hold the lock any more.
+	// ErrLockHeld means that another client holds the lock.
+	ErrLockHeld = errors.New("another client holds the lock")
+	// ErrLockLost means that the caller no longer holds the lock.
 	ErrLockLost = errors.New("the lock is lost")
-	// ErrKeyNotFound says that there is no such key.
+	// ErrKeyNotFound means that the key does not exist.
 	ErrKeyNotFound = errors.New("no such key")
-	// ErrCompacted says that the changes after a revision are no longer kept: read the keys anew.
+	// ErrCompacted means that the changes after a revision are no longer retained. The caller must read the keys again.
 	ErrCompacted = errors.New("changes after that revision are no longer kept")
-	// ErrNoAddress is returned by a client without addresses.
-	ErrNoAddress = errors.New("no control plane named")
+	// ErrNoAddress is returned by a client that has no addresses.
+	ErrNoAddress = errors.New("no control plane address configured")
 )
 
-// ConflictError says that a key has another revision than the one expected.
+// ConflictError means that the revision of a key is not the expected one.
 type ConflictError struct {
-	// Revision is the one that the key has, 0 if there is none.
+	// Revision is the current revision of the key, 0 if the key does not exist.
 	Revision uint64
 }
 
-// Error names the revision.
+// Error implements error.
 func (e ConflictError) Error() string { return fmt.Sprintf("the key has revision %d", e.Revision) }
 
 const (
-	// defaultAttemptTimeout is how long one control plane may take.
+	// defaultAttemptTimeout is the default of Client.AttemptTimeout.
 	defaultAttemptTimeout = time.Second
 	// initialBackoff and maxBackoff bound the pauses between attempts.
 	initialBackoff = 30 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
 )
 
-// Client calls a control plane. It is safe for concurrent use. Set its fields before the first call.
+// Client calls the control planes. It is safe for concurrent use. Its fields must not change after the first call.
 type Client struct {
-	// Addresses are those of control planes (host:port), tried in turn.
+	// Addresses are the addresses of the control planes (host:port), tried in turn.
 	Addresses []string
 	// HTTP sends the requests.
 	HTTP *http.Client
-	// AttemptTimeout is how long one control plane may take before the next is tried. Default 1 s.
+	// AttemptTimeout is how long to wait for one control plane before trying the next. The default is 1 s.
 	AttemptTimeout time.Duration
 
-	// preferred is the position of the address that answered last.
+	// preferred is the index of the address that calls try first: the one that answered last.
 	preferred atomic.Int64
 }
 
-// request is one call, as it is sent to each control plane.
+// request is a call as sent to each control plane.
 type request struct {
 	method, path string
-	// body is sent as JSON; nil sends none.
+	// body is sent as JSON, or no body if it is nil.
 	body any
-	// wait is how long the receiver may keep the call pending, beside AttemptTimeout.
+	// wait is how long the control plane may delay its answer, in addition to AttemptTimeout.
 	wait time.Duration
 }
 
-// answer is a clear answer.
+// answer is a definite answer.
 type answer struct {
 	status int
 	body   []byte
-	// sentAt is when the attempt that was answered was begun.
+	// sentAt is when the answered attempt was started.
 	sentAt time.Time
 }
 
-// call sends a request to one control plane after the other until an answer is clear or ctx ends.
-func (c *Client) call(ctx context.Context, wanted request) (answer, error) {
+// call sends a request to one control plane after another until one gives a definite answer or ctx ends.
+func (c *Client) call(ctx context.Context, outgoing request) (answer, error) {
 	if len(c.Addresses) == 0 {
 		return answer{}, ErrNoAddress
 	}
 	var content []byte
-	if wanted.body != nil {
+	if outgoing.body != nil {
 		var err error
-		if content, err = json.Marshal(wanted.body); err != nil {
-			return answer{}, errors.Wrap(err, "encode")
+		if content, err = json.Marshal(outgoing.body); err != nil {
+			return answer{}, errors.Wrap(err, "encode request body")
 		}
 	}
 	backoff := initialBackoff
 	for {
 		position := int(c.preferred.Load()) % len(c.Addresses)
-		received, err := c.attempt(ctx, c.Addresses[position], wanted, content)
+		received, err := c.attempt(ctx, c.Addresses[position], outgoing, content)
 		if err == nil {
 			return received, nil
 		}
 		c.preferred.CompareAndSwap(int64(position), int64((position+1)%len(c.Addresses)))
-		if !wait(ctx, backoff) {
-			return answer{}, errors.Wrapf(err, "%s %s", wanted.method, wanted.path)
+		if !sleep(ctx, backoff) {
+			return answer{}, errors.Wrapf(err, "%s %s", outgoing.method, outgoing.path)
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// wait waits for a duration, and returns false if ctx ends first.
-func wait(ctx context.Context, duration time.Duration) bool {
+// sleep waits for a duration. It returns false if ctx ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -116,15 +116,15 @@
 	}
 }
 
-// attempt sends a request to one control plane. An answer that another may better is an error.
-func (c *Client) attempt(ctx context.Context, address string, wanted request, content []byte) (answer, error) {
+// attempt sends a request to one control plane. It returns an error for an answer that is worth another attempt.
+func (c *Client) attempt(ctx context.Context, address string, outgoing request, content []byte) (answer, error) {
 	timeout := c.AttemptTimeout
 	if timeout <= 0 {
 		timeout = defaultAttemptTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, timeout+wanted.wait)
+	attemptContext, cancel := context.WithTimeout(ctx, timeout+outgoing.wait)
 	defer cancel()
-	sent, err := http.NewRequestWithContext(bounded, wanted.method, "http://"+address+wanted.path, bytes.NewReader(content))
+	sent, err := http.NewRequestWithContext(attemptContext, outgoing.method, "http://"+address+outgoing.path, bytes.NewReader(content))
 	if err != nil {
 		return answer{}, err
 	}
@@ -145,9 +145,9 @@
 	return received, nil
 }
 
-// decode reads the body of a success, or returns the error that the status stands for.
-func (a answer) decode(reply any, statuses map[int]error) error {
-	if err := statuses[a.status]; err != nil {
+// decode decodes the body of a successful answer, or returns the error for its status.
+func (a answer) decode(reply any, errorsByStatus map[int]error) error {
+	if err := errorsByStatus[a.status]; err != nil {
 		return err
 	}
 	if a.status != http.StatusOK {
@@ -156,7 +156,7 @@
 	return errors.Wrap(json.Unmarshal(a.body, reply), "decode")
 }
 
-// Next draws a number that is above every one drawn from the counter before.
+// Next returns a number that is higher than every number returned before from the counter.
 func (c *Client) Next(ctx context.Context, counter string) (uint64, error) {
 	received, err := c.call(ctx, request{
 		method: http.MethodPost,
@@ -171,7 +171,7 @@
 	return reply.Value, err
 }
 
-// Get reads a key and its revision. The error is ErrKeyNotFound if there is none.
+// Get returns the value and revision of a key, or ErrKeyNotFound.
 func (c *Client) Get(ctx context.Context, key string) (value string, revision uint64, err error) {
 	received, err := c.call(ctx, request{method: http.MethodGet, path: coordinationapi.PathKeys + url.PathEscape(key)})
 	if err != nil {
@@ -182,8 +182,9 @@
 	return reply.Value, reply.Revision, err
 }
 
-// Put writes a key that has the expected revision, 0 if it must not exist, and returns its new one. The error is a ConflictError if
-// it has another. Values should be unique: the same value for the same key is recognised as the same put.
+// Put writes a key whose revision is the expected one, 0 if the key must not exist, and returns its new revision, or a
+// ConflictError if its revision differs. Values should be unique, because a put of the same value to the same key is taken for a
+// repetition.
 func (c *Client) Put(ctx context.Context, key, value string, expected uint64) (uint64, error) {
 	received, err := c.call(ctx, request{
 		method: http.MethodPut,
--- a/internal/coordinationclient/doc.go
+++ b/internal/coordinationclient/doc.go
@@ -1,6 +1,6 @@
-// Package coordinationclient is how a Go program uses locks, elections, numbers, keys and watches of a ferryspar control plane.
+// Package coordinationclient is the Go client for the locks, elections, numbers, keys and watches of a ferryspar control plane.
 //
-// It sends each call to one control plane after the other until an answer is clear, and keeps the caller's side of the rules: the
-// time of a hold counts from before the call that granted it was sent, and a put is sent again as it was. Start reading at Client,
-// then Hold and Client.Campaign.
+// It sends each call to one control plane after another until it gets a definite answer, and implements the client's side of the
+// protocol: the TTL of a lock counts from before the granting call was sent, and a put is repeated unchanged. Start reading at
+// Client, then Lock and Client.Campaign.
 package coordinationclient
--- a/internal/coordinationclient/election.go
+++ b/internal/coordinationclient/election.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// renewalsPerHold is how often a leader renews its hold within the time of one.
-	renewalsPerHold = 3
-	// campaignInterval is how often a candidate asks for a lock that another holds.
+	// renewalsPerTTL is how many times a leader tries to renew its lock within one TTL.
+	renewalsPerTTL = 3
+	// campaignInterval is the interval at which a candidate tries to acquire a held lock.
 	campaignInterval = 200 * time.Millisecond
-	// releaseTimeout is how long giving a lock back may take.
+	// releaseTimeout bounds the time for releasing the lock.
 	releaseTimeout = 2 * time.Second
 )
 
-// Campaign waits until the candidate holds the lock and then calls lead, whose context ends once the hold ends. It returns what lead
-// returns after the lock was given back; the context's error if ctx ends before that; and campaigns again if the hold was lost.
+// Campaign waits until the candidate holds the lock and then calls lead, whose context is canceled when the lock is lost. When
+// lead returns, it releases the lock and returns the error of lead. If the lock was lost, it campaigns again instead, unless lead
+// returned an error other than ErrLockHeld and ErrLockLost. It returns the error of ctx if that ends while it campaigns.
 //
-// lead must end soon after its context, and pass fence on to whatever may outlive that.
+// lead must return soon after its context is canceled, and must pass fence to everything that may outlive it.
 func (c *Client) Campaign(
-	ctx context.Context, lock, candidate string, duration time.Duration, lead func(ctx context.Context, fence uint64) error,
+	ctx context.Context, name, candidate string, ttl time.Duration, lead func(ctx context.Context, fence uint64) error,
 ) error {
 	for {
-		hold, err := c.Acquire(ctx, lock, candidate, duration)
+		acquired, err := c.Acquire(ctx, name, candidate, ttl)
 		if err == nil {
 			var isLost bool
-			if isLost, err = hold.lead(ctx, lead); !isLost {
+			if isLost, err = acquired.lead(ctx, lead); !isLost {
 				return err
 			}
 		}
@@ -37,41 +38,42 @@
 		if err != nil && !errors.Is(err, ErrLockHeld) && !errors.Is(err, ErrLockLost) {
 			return err
 		}
-		if !wait(ctx, campaignInterval) {
+		if !sleep(ctx, campaignInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// lead runs a leader while the hold lasts, and says whether the hold was lost before the leader ended.
-func (h *Lock) lead(ctx context.Context, lead func(ctx context.Context, fence uint64) error) (isLost bool, err error) {
-	leading, cancel := context.WithCancel(ctx)
+// lead runs lead while the lock is held, and reports whether the lock was lost before lead returned.
+func (l *Lock) lead(ctx context.Context, lead func(ctx context.Context, fence uint64) error) (isLost bool, err error) {
+	leaderContext, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan error, 1)
-	go func() { done <- lead(leading, h.fence) }()
-	renewed := make(chan struct{})
+	go func() { done <- lead(leaderContext, l.fence) }()
+	renewalDone := make(chan struct{})
 	go func() {
-		defer close(renewed)
+		defer close(renewalDone)
 		defer cancel()
-		h.keep(leading)
+		l.keepRenewing(leaderContext)
 	}()
 	err = <-done
-	isLost = ctx.Err() == nil && leading.Err() != nil
+	isLost = ctx.Err() == nil && leaderContext.Err() != nil
 	cancel()
-	<-renewed
-	releasing, cancelRelease := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
+	<-renewalDone
+	releaseContext, cancelRelease := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancelRelease()
-	_ = h.Release(releasing) // else the lock is free once its time is over
+	_ = l.Release(releaseContext) // on failure the lock expires by itself
 	return isLost, err
 }
 
-// keep renews the hold until ctx ends, and returns when the hold is over. A renewal in flight ends with the hold.
-func (h *Lock) keep(ctx context.Context) {
-	for wait(ctx, h.duration/renewalsPerHold) {
-		renewing, cancel := context.WithDeadline(ctx, h.ExpiresAt())
-		err := h.Renew(renewing)
+// keepRenewing renews the lock until ctx ends, and returns when the lock has ended. A renewal in flight is aborted when the lock
+// expires.
+func (l *Lock) keepRenewing(ctx context.Context) {
+	for sleep(ctx, l.ttl/renewalsPerTTL) {
+		renewContext, cancel := context.WithDeadline(ctx, l.ExpiresAt())
+		err := l.Renew(renewContext)
 		cancel()
-		if errors.Is(err, ErrLockLost) || !time.Now().Before(h.ExpiresAt()) {
+		if errors.Is(err, ErrLockLost) || !time.Now().Before(l.ExpiresAt()) {
 			return
 		}
 	}
--- a/internal/coordinationclient/lock.go
+++ b/internal/coordinationclient/lock.go
@@ -12,27 +12,26 @@
 	"ferryspar/internal/coordinationapi"
 )
 
-// Lock is a lock that was taken. It is safe for concurrent use.
+// Lock is an acquired lock. It is safe for concurrent use.
 //
-// Whoever relies on it must look at Until before each action, by a steady clock: the hold ends by itself.
+// The lock expires by itself, so its user must compare ExpiresAt with a monotonic clock before each action that relies on it.
 type Lock struct {
-	client   *Client
-	lock     string
-	holder   string
-	duration time.Duration
-	fence    uint64
+	client *Client
+	name   string
+	holder string
+	ttl    time.Duration
+	fence  uint64
 
-	mutex sync.Mutex
-	until time.Time
-	// isOver says that the lock was given back or lost.
-	isOver bool
+	mutex     sync.Mutex
+	expiresAt time.Time
+	// hasEnded reports that the lock was released or lost.
+	hasEnded bool
 }
 
-// Acquire takes a lock for a time under the holder's name, or extends it if that holder has it. The error is ErrLockHeld if
-// another has it.
-func (c *Client) Acquire(ctx context.Context, lock, holder string, duration time.Duration) (*Lock, error) {
-	hold := &Lock{client: c, lock: lock, holder: holder, duration: duration}
-	received, err := c.call(ctx, hold.request(http.MethodPost))
+// Acquire acquires a lock for a TTL, or extends it if holder already holds it. It returns ErrLockHeld if another client holds it.
+func (c *Client) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (*Lock, error) {
+	acquired := &Lock{client: c, name: name, holder: holder, ttl: ttl}
+	received, err := c.call(ctx, acquired.request(http.MethodPost))
 	if err != nil {
 		return nil, err
 	}
@@ -40,87 +39,87 @@
 	if err := received.decode(&reply, map[int]error{http.StatusConflict: ErrLockHeld}); err != nil {
 		return nil, err
 	}
-	hold.fence, hold.until = reply.Fence, received.sentAt.Add(duration)
-	if !time.Now().Before(hold.until) {
-		return nil, errors.Wrap(ErrLockLost, "the answer came too late")
+	acquired.fence, acquired.expiresAt = reply.Fence, received.sentAt.Add(ttl)
+	if !time.Now().Before(acquired.expiresAt) {
+		return nil, errors.Wrap(ErrLockLost, "the answer arrived after the lock had expired")
 	}
-	return hold, nil
+	return acquired, nil
 }
 
-func (h *Lock) request(method string) request {
+func (l *Lock) request(method string) request {
 	return request{
 		method: method,
-		path:   coordinationapi.PathLocks + url.PathEscape(h.lock),
+		path:   coordinationapi.PathLocks + url.PathEscape(l.name),
 		body: coordinationapi.LockRequest{
-			Holder: h.holder,
-			Fence:  h.fence,
-			TTLMs:  h.duration.Milliseconds(),
+			Holder: l.holder,
+			Fence:  l.fence,
+			TTLMs:  l.ttl.Milliseconds(),
 		},
 	}
 }
 
-// Fence is the fencing token of the hold. Pass it to whatever the lock guards.
-func (h *Lock) Fence() uint64 { return h.fence }
+// Fence returns the fencing token of the lock. Pass it to every resource that the lock protects.
+func (l *Lock) Fence() uint64 { return l.fence }
 
-// ExpiresAt is when the hold ends unless it is renewed, or the zero time once it is over.
-func (h *Lock) ExpiresAt() time.Time {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.isOver {
+// ExpiresAt returns when the lock expires unless it is renewed, or the zero time if it has ended.
+func (l *Lock) ExpiresAt() time.Time {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.hasEnded {
 		return time.Time{}
 	}
-	return h.until
+	return l.expiresAt
 }
 
-// Renew extends the hold, counted from before the call. The error is ErrLockLost if the lock is lost, or its time is over by the time
-// the answer comes: the hold has ended then, whatever the answer was.
-func (h *Lock) Renew(ctx context.Context) error {
-	until := h.ExpiresAt()
-	if !time.Now().Before(until) {
-		h.end()
+// Renew extends the lock by its TTL, counted from before the call. It returns ErrLockLost if the lock is lost or expires before
+// the answer arrives: the lock has ended then, whatever the answer was.
+func (l *Lock) Renew(ctx context.Context) error {
+	expiresAt := l.ExpiresAt()
+	if !time.Now().Before(expiresAt) {
+		l.markEnded()
 		return ErrLockLost
 	}
-	bounded, cancel := context.WithDeadline(ctx, until)
+	renewContext, cancel := context.WithDeadline(ctx, expiresAt)
 	defer cancel()
-	received, err := h.client.call(bounded, h.request(http.MethodPut))
+	received, err := l.client.call(renewContext, l.request(http.MethodPut))
 	if err != nil {
-		if !time.Now().Before(until) {
-			h.end()
+		if !time.Now().Before(expiresAt) {
+			l.markEnded()
 			return ErrLockLost
 		}
 		return err
 	}
 	if err := received.decode(&struct{}{}, map[int]error{http.StatusConflict: ErrLockLost}); err != nil {
-		h.end()
+		l.markEnded()
 		return err
 	}
-	return h.extend(received.sentAt.Add(h.duration))
+	return l.extend(received.sentAt.Add(l.ttl))
 }
 
-// extend counts a renewal, unless the time was over before its answer came.
-func (h *Lock) extend(until time.Time) error {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.isOver || !time.Now().Before(h.until) {
-		h.isOver = true
+// extend applies a renewal, unless the lock expired before the answer arrived.
+func (l *Lock) extend(expiresAt time.Time) error {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.hasEnded || !time.Now().Before(l.expiresAt) {
+		l.hasEnded = true
 		return ErrLockLost
 	}
-	if until.After(h.until) {
-		h.until = until
+	if expiresAt.After(l.expiresAt) {
+		l.expiresAt = expiresAt
 	}
 	return nil
 }
 
-func (h *Lock) end() {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.isOver = true
+func (l *Lock) markEnded() {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.hasEnded = true
 }
 
-// Release gives the lock back. The hold is over from before the call, whether or not it succeeds.
-func (h *Lock) Release(ctx context.Context) error {
-	h.end()
-	received, err := h.client.call(ctx, h.request(http.MethodDelete))
+// Release releases the lock. The lock counts as ended from before the call, whether or not the call succeeds.
+func (l *Lock) Release(ctx context.Context) error {
+	l.markEnded()
+	received, err := l.client.call(ctx, l.request(http.MethodDelete))
 	if err != nil {
 		return err
 	}
--- a/internal/coordinationclient/watch.go
+++ b/internal/coordinationclient/watch.go
@@ -10,25 +10,25 @@
 	"ferryspar/internal/coordinationapi"
 )
 
-// watchWait is how long a control plane keeps a watch pending.
+// watchWait is how long a control plane may delay its answer to a watch.
 const watchWait = 10 * time.Second
 
-// Event is one put of a key.
+// Event is a put of a key.
 type Event struct {
 	Key      string
 	Value    string
 	Revision uint64
 }
 
-// Revision reads the present revision of a group, named with its dot.
+// Revision returns the current revision of a group. The group's name includes the dot.
 func (c *Client) Revision(ctx context.Context, group string) (uint64, error) {
 	reply, err := c.watchOnce(ctx, group, 0, 0)
 	return reply.Revision, err
 }
 
-// Watch calls handle with each put of a group after a revision above 0, in order, each once, until ctx ends or an error comes. The
-// error is ErrCompacted if the puts after the revision are no longer kept, that of handle, or the context's. It returns the revision
-// from which a further watch goes on.
+// Watch calls handle with each put to a group after a revision above 0, in order and once each, until ctx ends or an error
+// occurs. It returns ErrCompacted if the puts after the revision are no longer retained, the error of handle, or that of ctx, and
+// the revision from which another Watch can continue.
 func (c *Client) Watch(ctx context.Context, group string, after uint64, handle func(event Event) error) (uint64, error) {
 	for {
 		reply, err := c.watchOnce(ctx, group, after, watchWait)
@@ -48,7 +48,7 @@
 	}
 }
 
-// watchOnce makes one call.
+// watchOnce makes a single watch call.
 func (c *Client) watchOnce(ctx context.Context, group string, after uint64, wait time.Duration) (coordinationapi.WatchReply, error) {
 	var reply coordinationapi.WatchReply
 	received, err := c.call(ctx, request{
--- a/internal/eventbus/bus.go
+++ b/internal/eventbus/bus.go
@@ -1,7 +1,6 @@
-// Package eventbus carries events between the parts of one control-plane node.
+// Package eventbus delivers events between the components of one control-plane node.
 //
-// Events stay in the process, aren't kept, and never are on the path of a request. Start reading
-// at Bus.
+// Events stay within the process, are not stored, and are never on the path of a request. Start reading at Bus.
 package eventbus
 
 import (
@@ -13,17 +12,17 @@
 	"github.com/ThreeDotsLabs/watermill/pubsub/gochannel"
 )
 
-// Topics. An event of TopicCommitted is a key that was written on a majority, one of
-// TopicPlacementChanged a change of what the scheduler observes of replicas.
+// Topics. An event of TopicCommitted is a key that was written to a majority, an event of TopicPlacementChanged a change in the
+// scheduler's view of the replicas.
 const (
 	TopicCommitted        = "committed"
 	TopicPlacementChanged = "placement"
 )
 
-// bufferSize is how many events wait for a slow subscriber to handle the earlier ones.
+// bufferSize is the number of events that are buffered for a slow subscriber.
 const bufferSize = 64
 
-// Bus hands what is published on a topic to everyone who subscribed to it.
+// Bus delivers what is published on a topic to every subscriber of the topic.
 type Bus struct {
 	channel *gochannel.GoChannel
 }
@@ -33,7 +32,7 @@
 	return &Bus{channel: gochannel.NewGoChannel(gochannel.Config{OutputChannelBuffer: bufferSize}, watermill.NopLogger{})}
 }
 
-// Publish sends content as JSON to the subscribers of topic.
+// Publish sends content as JSON to the subscribers of a topic.
 func (b *Bus) Publish(topic string, content any) error {
 	payload, err := json.Marshal(content)
 	if err != nil {
@@ -42,8 +41,7 @@
 	return b.channel.Publish(topic, message.NewMessage(watermill.NewShortUUID(), payload))
 }
 
-// Subscribe calls handle with each payload published on topic, one after another, until ctx ends
-// or the bus is closed.
+// Subscribe calls handle with each payload published on a topic, one at a time, until ctx ends or the bus is closed.
 func (b *Bus) Subscribe(ctx context.Context, topic string, handle func(payload []byte)) error {
 	messages, err := b.channel.Subscribe(ctx, topic)
 	if err != nil {
--- a/internal/httppath/httppath.go
+++ b/internal/httppath/httppath.go
@@ -1,4 +1,4 @@
-// Package httppath reads the names that stand in the paths of calls.
+// Package httppath reads parameters from request paths.
 package httppath
 
 import (
@@ -10,8 +10,8 @@
 	"ferryspar/internal/apierror"
 )
 
-// Parameter is a part of the path by its name in the route, unescaped. chi leaves it as it was sent where the path has an encoding
-// of its own, as that of a name with a slash. The error is of package apierror.
+// Parameter returns the unescaped value of a path parameter, by its name in the route. chi leaves the value escaped if the path
+// was sent in a non-default encoding, as for a name with a slash. The error is of package apierror.
 func Parameter(request *http.Request, name string) (string, error) {
 	value := chi.URLParam(request, name)
 	if request.URL.RawPath == "" {
--- a/internal/query/pinned_test.go
+++ b/internal/query/pinned_test.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/test/pinned"
 )
 
-// tableText is a table by its stable names.
+// tableText is the pinned form of a table.
 type tableText struct {
 	Table   string   `json:"table"`
 	Columns []string `json:"columns"`
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,8 +1,8 @@
-// Package query answers SQL queries about the fleet's state. The state is copied into tables of a database in
-// memory, which lives for one query.
+// Package query answers SQL queries about the state of the fleet. It copies the state into tables of an in-memory database that
+// exists for one query.
 //
-// It reads what the caller got from the control plane, sends no requests and changes nothing. Start reading at Run;
-// the tables are in tables.go.
+// It works on state that its caller fetched from the control plane: it sends no requests and changes nothing. Start reading at
+// Run; the tables are in tables.go.
 package query
 
 import (
@@ -21,24 +21,24 @@
 	memoryDatabase = ":memory:"
 )
 
-// Errors of statements that Run rejects before it runs them.
+// Errors of statements that Run rejects without running them.
 var (
-	// ErrNotSelect rejects a statement that begins with neither SELECT nor WITH.
+	// ErrNotSelect is returned for a statement that starts with neither SELECT nor WITH.
 	ErrNotSelect = errors.New("only SELECT (or WITH ... SELECT) can be asked")
-	// ErrMultipleStatements rejects a statement with a semicolon before its end.
+	// ErrMultipleStatements is returned for a statement with a semicolon before its end.
 	ErrMultipleStatements = errors.New("one statement at a time, without semicolons")
 )
 
-// Limits bounds what one query may cost.
+// Limits limits the cost of one query.
 type Limits struct {
 	// MaxRows is the number of rows after which the result is truncated.
 	MaxRows int
-	// Timeout is how long it may take to fill the tables and run the statement.
+	// Timeout bounds the time for filling the tables and running the statement.
 	Timeout time.Duration
 }
 
-// Run loads the tables into a database in memory and runs one SELECT statement on them. The error for an unknown table
-// or column lists those that exist.
+// Run loads the tables into an in-memory database and runs one SELECT statement on them. The error for an unknown table or column
+// lists the existing ones.
 func Run(ctx context.Context, tables []Table, statement string, limits Limits) (Result, error) {
 	statement, err := validateSelect(statement)
 	if err != nil {
@@ -51,7 +51,7 @@
 		return Result{}, errors.Wrap(err, "open the database in memory")
 	}
 	defer database.Close()
-	// Every connection to a database in memory has a database of its own.
+	// Each connection to an in-memory database opens a separate, empty database.
 	database.SetMaxOpenConns(1)
 	if err := createTables(ctx, database, tables); err != nil {
 		return Result{}, errors.Wrap(err, "fleet's state")
@@ -63,8 +63,8 @@
 	return result, withSchemaHint(err, tables)
 }
 
-// validateSelect returns the statement without the semicolon at its end, or an error if it is no single SELECT. It is
-// there for clear errors: what keeps a statement from writing is the database, which createTables makes read-only.
+// validateSelect returns the statement without its final semicolon, or an error if it is not a single SELECT. It only makes
+// errors clearer: writes are prevented by the database, which createTables makes read-only.
 func validateSelect(statement string) (string, error) {
 	statement = strings.TrimRight(strings.TrimSpace(statement), "; \n\t")
 	keyword, _, _ := strings.Cut(strings.ToUpper(statement), " ")
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// runSelect runs the statement and reads at most maxRows rows.
+// runSelect runs the statement and reads up to maxRows rows.
 func runSelect(ctx context.Context, database *sql.DB, statement string, maxRows int) (Result, error) {
 	rows, err := database.QueryContext(ctx, statement)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return result, rows.Err()
 }
 
-// withSchemaHint adds the tables and columns to an error about an unknown one. Other errors stay as they are.
+// withSchemaHint adds the existing tables and columns to an error about an unknown one, and returns other errors unchanged.
 func withSchemaHint(err error, tables []Table) error {
 	if err == nil {
 		return nil
--- a/internal/query/result.go
+++ b/internal/query/result.go
@@ -11,21 +11,21 @@
 // columnPadding is the space between two columns of a printed table.
 const columnPadding = 2
 
-// Result is the answer to a query. Each row has one value for each column, nil for SQL's NULL.
+// Result is the result of a query. Each row has one value per column, nil for NULL.
 type Result struct {
 	Columns []string
 	Rows    [][]any
-	// Truncated says that there were more rows than Limits.MaxRows.
+	// Truncated reports that there were more rows than Limits.MaxRows.
 	Truncated bool
 }
 
-// jsonResult is the form of a Result in JSON. Its names are fixed, because operators' scripts read them.
+// jsonResult is the JSON form of a Result. Operators' scripts depend on its field names.
 type jsonResult struct {
 	Truncated bool             `json:"cut"`
 	Rows      []map[string]any `json:"rows"`
 }
 
-// WriteTable writes the rows as aligned text under a line of column names, with nothing in place of NULL.
+// WriteTable writes the rows as aligned text below a line of column names. NULL is left blank.
 func (r Result) WriteTable(target io.Writer) error {
 	writer := tabwriter.NewWriter(target, 0, 4, columnPadding, ' ', 0)
 	fmt.Fprintln(writer, strings.Join(r.Columns, "\t"))
@@ -41,8 +41,8 @@
 	return writer.Flush()
 }
 
-// WriteJSON writes one JSON object on one line. Each row is an object by column name, so of several columns with
-// the same name only the last is written.
+// WriteJSON writes one JSON object on one line. Each row is an object with the column names as keys, so only the last of several
+// columns with the same name is written.
 func (r Result) WriteJSON(target io.Writer) error {
 	rows := make([]map[string]any, 0, len(r.Rows))
 	for _, row := range r.Rows {
--- a/internal/query/tables.go
+++ b/internal/query/tables.go
@@ -9,8 +9,8 @@
 	"ferryspar/internal/configuration"
 )
 
-// Names of the tables. They, the names of columns and the values of part are fixed, because operators' saved queries
-// use them, also where the code has another name for the thing.
+// Names of the tables. Operators' saved queries depend on them, on the column names and on the values of the column part, so they
+// stay the same even where the code uses another name.
 const (
 	tableReplicas   = "replicas"
 	tableModels     = "models"
@@ -23,31 +23,31 @@
 	tableLeases     = "tenures"
 )
 
-// Values of the column part of the members: of the membership in force, or of the one that it changes to.
+// Values of the column part of the table members: the current membership, or the one that it is changing to.
 const (
 	partCurrent = "present"
 	partNext    = "next"
 )
 
-// leasePlacement is the value of the column duty of the placement lease.
+// leasePlacement is the value of the column duty for the placement lease.
 const leasePlacement = "placement"
 
-// Table is one table of a query's database.
+// Table is a table of the query database.
 type Table struct {
 	Name    string
 	Columns []string
-	// Rows have one value for each column, in the order of Columns.
+	// Rows has one value per column in each row, in the order of Columns.
 	Rows [][]any
 }
 
-// NeedsConfiguration says whether a statement may name a table that is made of the configuration. If it is false, Tables
-// can be given an empty configuration. The case of letters does not matter, as in SQL.
+// NeedsConfiguration reports whether a statement may use a table that is built from the configuration. If it returns false,
+// Tables may be called with an empty configuration. Case is ignored, as in SQL.
 func NeedsConfiguration(statement string) bool {
 	statement = strings.ToLower(statement)
 	return strings.Contains(statement, tableRoutes) || strings.Contains(statement, tableTenants)
 }
 
-// Tables returns the tables of a fleet and its configuration, with digests in the place of tenants' keys.
+// Tables returns the tables for a fleet and its configuration. Tenants' keys are replaced by their digests.
 func Tables(fleet adminapi.FleetStatus, current configuration.Configuration) []Table {
 	return []Table{
 		newReplicaTable(fleet),
@@ -62,7 +62,7 @@
 	}
 }
 
-// addRow appends a row, whose values are in the order of the columns.
+// addRow appends a row with values in the order of the columns.
 func (t *Table) addRow(values ...any) { t.Rows = append(t.Rows, values) }
 
 func newReplicaTable(fleet adminapi.FleetStatus) Table {
@@ -104,7 +104,7 @@
 	return table
 }
 
-// newZoneTable has the zones that have a replica or are drained.
+// newZoneTable returns a table of the zones that have a replica or are drained.
 func newZoneTable(fleet adminapi.FleetStatus) Table {
 	drained := map[string]bool{}
 	for _, replica := range fleet.Replicas {
@@ -128,7 +128,7 @@
 	return table
 }
 
-// newRouteTable has one row for each backend that a route sends requests to.
+// newRouteTable returns a table with one row for each backend of each route.
 func newRouteTable(current configuration.Configuration) Table {
 	table := Table{
 		Name: tableRoutes,
@@ -150,7 +150,7 @@
 	return table
 }
 
-// newTenantTable has one row for each key, and one with an empty digest for a tenant without keys.
+// newTenantTable returns a table with one row for each key, and one with an empty digest for a tenant without keys.
 func newTenantTable(current configuration.Configuration) Table {
 	current = current.Redacted()
 	table := Table{Name: tableTenants, Columns: []string{"name", "priority", "rate_per_s", "burst", "key_digest"}}
@@ -169,7 +169,7 @@
 	return table
 }
 
-// newMemberTable has a member twice while it is of both the current and the next membership.
+// newMemberTable returns a table of the members. One that is in both the current and the next membership has two rows.
 func newMemberTable(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: tableMembers, Columns: []string{"address", "part"}}
 	for _, address := range fleet.Members {
@@ -181,7 +181,7 @@
 	return table
 }
 
-// newLeaseTable has the placement lease, which is the only one that a status tells of.
+// newLeaseTable returns a table with the placement lease, the only lease that the fleet status includes.
 func newLeaseTable(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: tableLeases, Columns: []string{"duty", "holder", "seen_by", "fresh", "layout_revision", "list_age_ms"}}
 	table.addRow(leasePlacement, fleet.PlacementHolder, fleet.Member, fleet.Fresh, fleet.Revision, fleet.ListAgeMs)
--- a/internal/requestlog/pinned_test.go
+++ b/internal/requestlog/pinned_test.go
@@ -62,9 +62,9 @@
 	file, err := os.Open(pinnedLog)
 	assert.NilError(t, err)
 	defer file.Close()
-	entries, damaged, err := Read(file)
+	entries, invalid, err := Read(file)
 	assert.NilError(t, err)
-	assert.Equal(t, len(damaged), 0)
+	assert.Equal(t, len(invalid), 0)
 	assert.DeepEqual(t, entries, pinnedEntries())
 }
 
--- a/internal/requestlog/requestlog_test.go
+++ b/internal/requestlog/requestlog_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRead_SortsEntriesAndNamesDamagedLines(t *testing.T) {
-	entries, damaged, err := Read(strings.NewReader(`{"kind":"fleet","atMs":2,"edges":1}
+func TestRead_SortsEntriesAndReportsInvalidLines(t *testing.T) {
+	entries, invalid, err := Read(strings.NewReader(`{"kind":"fleet","atMs":2,"edges":1}
 {"kind":"order","atMs":1,"route":"quick","backend":"s"}
 {"kind":"
 {"kind":"other"}
@@ -26,7 +26,7 @@
 	assert.Equal(t, entries[0].Kind, KindRequest)
 	assert.Equal(t, entries[1].Kind, KindFleet)
 	var reasons []string
-	for _, line := range damaged {
+	for _, line := range invalid {
 		reasons = append(reasons, line.String())
 	}
 	assert.DeepEqual(t, reasons, []string{
@@ -40,7 +40,7 @@
 	})
 }
 
-// failingOutput fails each write.
+// failingOutput fails every write.
 type failingOutput struct{ writes int }
 
 func (f *failingOutput) Write([]byte) (int, error) {
--- a/internal/requestlog/validate.go
+++ b/internal/requestlog/validate.go
@@ -2,7 +2,7 @@
 
 import "github.com/pkg/errors"
 
-// Errors of entries that can't be used.
+// Errors of invalid entries.
 var (
 	errNegativeTime           = errors.New("time below 0")
 	errNoDocument             = errors.New("configuration without its document")
@@ -11,14 +11,14 @@
 	errNegativeRequestValue   = errors.New("order with a number below 0")
 )
 
-// validators check the fields of an entry by its kind.
+// validators validate the fields of an entry, by its kind.
 var validators = map[Kind]func(entry Entry) error{
 	KindConfiguration: validateConfiguration,
 	KindFleet:         validateFleet,
 	KindRequest:       validateRequest,
 }
 
-// validate says what is wrong with an entry, or nil if it can be used.
+// validate returns an error if the entry can't be used.
 func (e Entry) validate() error {
 	validateKind := validators[e.Kind]
 	if validateKind == nil {
--- a/internal/requestlog/writer.go
+++ b/internal/requestlog/writer.go
@@ -7,36 +7,37 @@
 	"time"
 )
 
-// Writer writes entries up to a limit of bytes. A nil Writer writes nothing. It may be used by any number of goroutines.
+// Writer writes entries up to a size limit. A nil Writer discards them. It is safe for concurrent use.
 type Writer struct {
 	startedAt time.Time
 
-	// lock guards what follows.
+	// lock guards the fields below.
 	lock      sync.Mutex
 	output    io.Writer
 	bytesLeft int64
-	// full says that the limit was reached or a write failed.
-	full bool
+	// isClosed reports that the size limit was reached or a write failed.
+	isClosed bool
 }
 
-// NewWriter returns a writer that stops at maxBytes; the log starts at the present time of the clock.
+// NewWriter returns a writer that stops after maxBytes. The log starts at the current time of the clock.
 func NewWriter(output io.Writer, maxBytes int64, clock func() time.Time) *Writer {
 	return &Writer{output: output, bytesLeft: maxBytes, startedAt: clock()}
 }
 
-// OffsetMs returns the time from the start of the log in milliseconds, as entries hold it.
+// OffsetMs returns the time since the start of the log in milliseconds, as used in entries.
 func (w *Writer) OffsetMs(at time.Time) float64 {
 	return float64(at.Sub(w.startedAt).Microseconds()) / 1000
 }
 
-// Write writes an entry. The first failure or the limit ends the log without an error: requests go on without it.
+// Write writes an entry. The log ends without an error at the size limit or the first failed write, since it must not affect
+// requests.
 func (w *Writer) Write(entry Entry) {
 	if w == nil {
 		return
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	if w.full {
+	if w.isClosed {
 		return
 	}
 	line, err := json.Marshal(entry)
@@ -45,9 +46,9 @@
 	}
 	line = append(line, '\n')
 	if w.bytesLeft -= int64(len(line)); w.bytesLeft < 0 {
-		w.full = true
+		w.isClosed = true
 		return
 	}
 	_, err = w.output.Write(line)
-	w.full = err != nil
+	w.isClosed = err != nil
 }
--- a/internal/retention/purge.go
+++ b/internal/retention/purge.go
@@ -2,45 +2,45 @@
 
 import "slices"
 
-// maxPurges is how many purges a Record keeps.
+// maxPurges is the number of purges that a Record keeps.
 const maxPurges = 32
 
-// State is how far a data plane or replica has come with a purge.
+// State is the progress of a data plane or replica with a purge.
 type State string
 
-// The states of a data plane or replica: it has yet to forget, has forgotten, or is no longer there.
+// The states: the context has yet to be dropped, was dropped, or the data plane or replica no longer exists.
 const (
 	Pending State = "pending"
 	Done    State = "done"
 	Gone    State = "gone"
 )
 
-// Purge is one order to forget cached context.
+// Purge is an order to drop cached context.
 type Purge struct {
 	Number uint64 `json:"number"`
 	Scope  Scope  `json:"scope"`
-	// DataPlanes names the data planes that have to forget, sorted.
+	// DataPlanes are the names of the data planes that must drop the context, sorted.
 	DataPlanes []string `json:"edges"`
-	// TargetsListed reports that Targets is complete. Until then the purge isn't, whatever the targets say:
-	// replicas may have context of which nothing is known yet.
+	// TargetsListed reports that Targets is complete. Until then the purge is incomplete whatever the state of its targets,
+	// because replicas may hold context that has not been reported yet.
 	TargetsListed bool     `json:"counted"`
 	Targets       []Target `json:"pairs,omitempty"`
 }
 
-// Target is a model at a replica whose context is to be dropped.
+// Target is a model at a replica whose context must be dropped.
 type Target struct {
 	Replica string `json:"replica"`
 	Model   string `json:"model"`
 	State   State  `json:"state"`
 }
 
-// HasPendingTargets reports whether targets are still to be listed or to drop their context.
+// HasPendingTargets reports whether the targets are not listed yet or some have not dropped their context.
 func (p Purge) HasPendingTargets() bool {
 	return !p.TargetsListed || slices.ContainsFunc(p.Targets, Target.isPending)
 }
 
-// ResolveTargets sets the pending targets of a replica and model (any model if empty) to state, and reports whether
-// there were any.
+// ResolveTargets sets the pending targets of a replica and model (any model if empty) to state, and reports whether there were
+// any.
 func (p *Purge) ResolveTargets(replica, model string, state State) bool {
 	changed := false
 	for index := range p.Targets {
@@ -55,13 +55,13 @@
 
 func (t Target) isPending() bool { return t.State == Pending }
 
-// Record is the value that the keystore holds: the newest number and the last purges.
+// Record is the value stored in the keystore: the number of the newest purge, and the last purges.
 type Record struct {
 	Number uint64  `json:"number"`
 	Purges []Purge `json:"items"`
 }
 
-// Add returns the record with one more purge, and that purge. The oldest ones are dropped if there are too many.
+// Add returns the record with a new purge, and that purge. If there are more than maxPurges, the oldest ones are dropped.
 func (r Record) Add(scope Scope, dataPlanes []string) (Record, Purge) {
 	purge := Purge{
 		Number:     r.Number + 1,
@@ -76,9 +76,9 @@
 	return Record{Number: purge.Number, Purges: purges}, purge
 }
 
-// UpdatePurge returns the record with change made to a copy of the numbered purge, and what change returned, which is
-// whether it changed anything; or the same record and false if there is no such purge. The receiver isn't changed,
-// since others may still read it.
+// UpdatePurge applies change to a copy of the numbered purge, and returns the record with that copy and the result of change,
+// which reports whether it changed anything. If there is no such purge it returns the record itself and false. The receiver is
+// not modified, because others may still be reading it.
 func (r Record) UpdatePurge(number uint64, change func(purge *Purge) bool) (Record, bool) {
 	index := slices.IndexFunc(r.Purges, func(purge Purge) bool { return purge.Number == number })
 	if index < 0 {
--- a/internal/retention/purge_test.go
+++ b/internal/retention/purge_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, record.Purges[0].Number, uint64(9))
 }
 
-func TestRecord_UpdatePurgeLeavesTheReceiverAlone(t *testing.T) {
+func TestRecord_UpdatePurgeDoesNotModifyReceiver(t *testing.T) {
 	target := retention.Target{Replica: "r", Model: "m", State: retention.Pending}
 	record := retention.Record{Number: 2, Purges: []retention.Purge{
 		{Number: 1},
@@ -34,7 +34,7 @@
 	assert.Equal(t, record.Purges[1].Targets[0].State, retention.Pending)
 	assert.Assert(t, record.Purges[1].HasPendingTargets())
 	assert.Assert(t, !next.Purges[1].HasPendingTargets())
-	assert.Assert(t, next.Purges[0].HasPendingTargets(), "its targets aren't listed")
+	assert.Assert(t, next.Purges[0].HasPendingTargets(), "the targets of the purge are not listed")
 	_, changed = next.UpdatePurge(2, resolve)
 	assert.Assert(t, !changed, "no target is pending")
 	_, changed = record.UpdatePurge(3, resolve)
--- a/internal/retention/scope.go
+++ b/internal/retention/scope.go
@@ -7,16 +7,16 @@
 	"ferryspar/internal/apierror"
 )
 
-// Scope says which context to forget: that of a model or adapter, that of a prompt part, that of both together, or
-// all context if it is empty.
+// Scope selects the context to drop: that of a model or adapter, that of a prompt part, that of both combined, or all context if
+// it is empty.
 type Scope struct {
 	// Model is "model" or "model/adapter".
 	Model string `json:"model,omitempty"`
-	// PromptPart is the part's id in hexadecimal.
+	// PromptPart is the ID of the prompt part in hexadecimal.
 	PromptPart string `json:"part,omitempty"`
 }
 
-// Check returns an error of kind apierror.InvalidRetention for a prompt part that is no id.
+// Check returns an error of kind apierror.InvalidRetention if the prompt part is not a valid ID.
 func (s Scope) Check() error {
 	if s.PromptPart == "" {
 		return nil
@@ -27,8 +27,7 @@
 	return nil
 }
 
-// Covers reports whether the scope includes the context of a prompt part under a reference, "model" or
-// "model/adapter".
+// Covers reports whether the scope includes the context of a prompt part for a reference of the form "model" or "model/adapter".
 func (s Scope) Covers(reference string, part uint64) bool {
 	return s.coversReference(reference) && s.coversPart(part)
 }
@@ -45,14 +44,13 @@
 	return err == nil && id == part
 }
 
-// CoversModel reports whether replicas must drop context of a model for the scope. A scope of an adapter covers the
-// adapter's model.
+// CoversModel reports whether replicas must drop context of a model. The scope of an adapter covers its model, too.
 func (s Scope) CoversModel(model string) bool {
 	base := modelOf(s.Model)
 	return base == "" || base == model
 }
 
-// modelOf returns the model of a reference, "model" or "model/adapter".
+// modelOf returns the model of a reference of the form "model" or "model/adapter".
 func modelOf(reference string) string {
 	model, _, _ := strings.Cut(reference, "/")
 	return model
--- a/internal/retention/status.go
+++ b/internal/retention/status.go
@@ -1,12 +1,12 @@
 package retention
 
-// Kinds of nodes in a Status.
+// Values of NodeStatus.Kind.
 const (
 	kindDataPlane = "edge"
 	kindReplica   = "replica"
 )
 
-// NodeStatus is the state of a data plane, or of a model at a replica.
+// NodeStatus is the progress of a data plane, or of a model at a replica, with a purge.
 type NodeStatus struct {
 	Node  string `json:"node"`
 	Kind  string `json:"kind"`
@@ -14,7 +14,7 @@
 	State State  `json:"state"`
 }
 
-// Status is what operators see of a purge.
+// Status is the status of a purge as shown to operators.
 type Status struct {
 	Number   uint64       `json:"number"`
 	Scope    Scope        `json:"scope"`
@@ -22,13 +22,13 @@
 	Nodes    []NodeStatus `json:"nodes"`
 }
 
-// DataPlaneView is what is known of a data plane: the newest purge that it has applied, and whether it left.
+// DataPlaneView is what is known about a data plane: the number of the newest purge that it has applied, and whether it has left.
 type DataPlaneView struct {
 	Applied uint64
 	Left    bool
 }
 
-// Status returns the status of the purge, given the views of the data planes by name.
+// Status returns the status of the purge. dataPlanes holds the views of the data planes by name.
 func (p Purge) Status(dataPlanes map[string]DataPlaneView) Status {
 	status := Status{Number: p.Number, Scope: p.Scope, Complete: p.TargetsListed, Nodes: []NodeStatus{}}
 	for _, name := range p.DataPlanes {
@@ -52,7 +52,7 @@
 	return status
 }
 
-// dataPlaneState is how far a data plane has come; of an unknown one nothing was applied.
+// dataPlaneState returns the progress of a data plane. An unknown data plane has an empty view and is pending.
 func (p Purge) dataPlaneState(view DataPlaneView) State {
 	switch {
 	case view.Applied >= p.Number:
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,10 +1,11 @@
-// Package wallclock has nodes agree on the time of day although the clocks of some machines jump by seconds.
+// Package wallclock lets nodes agree on the time of day even though the clocks of some machines jump by seconds.
 //
-// Each control plane tells the others its time of day. An Estimator takes the median of what it was told lately, each related to its
-// own steady clock, and moves towards that slowly: as long as fewer than half of the machines are wrong the median is right, and when
-// more of them jump for a while the estimate hardly follows. Data planes follow the estimate of a control plane (Follower).
+// Each control plane sends its time of day to the others. An Estimator takes the median of the recent readings, each relative to
+// its own monotonic clock, and slews its estimate towards that: the median is right as long as fewer than half of the clocks are
+// wrong, and if more of them jump for a while the estimate hardly follows. Data planes use the estimate of a control plane
+// (Follower).
 //
-// Steady times are readings of one monotonic clock, as time.Now gives them.
+// Monotonic times are readings of one monotonic clock, as returned by time.Now.
 package wallclock
 
 import (
@@ -14,20 +15,20 @@
 )
 
 const (
-	// readingTTL is how long a reading counts.
+	// readingTTL is how long a reading is used.
 	readingTTL = 5 * time.Second
-	// learningTime is how long after its start an Estimator waits for the readings of others before its estimate counts.
+	// learningTime is how long after its start an Estimator collects readings before it has an estimate.
 	learningTime = 2 * time.Second
-	// maxSlew is how fast the estimate may move, in seconds a second: faster than steady clocks run apart, too slow for a jump of
-	// some seconds to matter before it ends.
+	// maxSlew is the maximum rate at which the estimate is adjusted, in seconds per second: faster than the drift between
+	// monotonic clocks, and too slow for a jump of a few seconds to matter before it ends.
 	maxSlew = 0.002
-	// maxStep is the difference from the median below which the estimate follows at once.
+	// maxStep is the largest difference from the median that is corrected at once.
 	maxStep = 20 * time.Millisecond
 )
 
-// reading is a time of day that was told.
+// reading is a time of day received from a source.
 type reading struct {
-	// offset is the time of day less the steady time since the estimator's start.
+	// offset is the time of day minus the monotonic time since the estimator's start.
 	offset time.Duration
 	at     time.Time
 }
@@ -38,18 +39,18 @@
 
 	lock     sync.Mutex
 	readings map[string]reading
-	// offset is the estimate, as in a reading; it counts once isSet.
+	// offset is the estimate, defined as in a reading, and valid if isSet.
 	offset    time.Duration
 	isSet     bool
 	updatedAt time.Time
 }
 
-// NewEstimator returns an estimator without readings. startedAt is the steady time now.
+// NewEstimator returns an estimator without readings. startedAt is the current monotonic time.
 func NewEstimator(startedAt time.Time) *Estimator {
 	return &Estimator{startedAt: startedAt, readings: map[string]reading{}}
 }
 
-// Observe takes in what the time of day is at a source, as it was told at a steady time.
+// Observe adds a reading: the time of day of a source at a monotonic time.
 func (e *Estimator) Observe(source string, timeOfDay, at time.Time) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -61,7 +62,7 @@
 	return time.Duration(timeOfDay.UnixNano()) - at.Sub(e.startedAt)
 }
 
-// update moves the estimate towards the median. The caller holds the lock.
+// update adjusts the estimate towards the median. The caller must hold the lock.
 func (e *Estimator) update(now time.Time) {
 	median, known := e.median(now)
 	if !known || now.Sub(e.startedAt) < learningTime {
@@ -79,7 +80,8 @@
 	e.updatedAt = now
 }
 
-// median is the middle one of the readings that count, the lower of two. The caller holds the lock.
+// median returns the median of the current readings, the lower one of two, and removes expired readings. The caller must hold the
+// lock.
 func (e *Estimator) median(now time.Time) (time.Duration, bool) {
 	var offsets []time.Duration
 	for source, reading := range e.readings {
@@ -96,14 +98,14 @@
 	return offsets[(len(offsets)-1)/2], true
 }
 
-// Now estimates the time of day at a steady time, or returns false if that is not known yet.
+// Now returns the estimated time of day at a monotonic time, or false if there is no estimate yet.
 func (e *Estimator) Now(at time.Time) (time.Time, bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return time.Unix(0, int64(e.offset+at.Sub(e.startedAt))), e.isSet
 }
 
-// Follower takes over the time of day of an Estimator elsewhere. It is safe for concurrent use.
+// Follower tracks the time of day of a remote Estimator. It is safe for concurrent use.
 type Follower struct {
 	startedAt time.Time
 
@@ -112,17 +114,17 @@
 	isSet  bool
 }
 
-// NewFollower returns a follower that knows no time of day yet. startedAt is the steady time now.
+// NewFollower returns a follower without a time of day. startedAt is the current monotonic time.
 func NewFollower(startedAt time.Time) *Follower { return &Follower{startedAt: startedAt} }
 
-// Set takes over a time of day that was told at a steady time.
+// Set sets the time of day at a monotonic time.
 func (f *Follower) Set(timeOfDay, at time.Time) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.offset, f.isSet = time.Duration(timeOfDay.UnixNano())-at.Sub(f.startedAt), true
 }
 
-// Now is the time of day at a steady time, that of this machine as long as nobody has told another one.
+// Now returns the time of day at a monotonic time. Until Set is called, that is the time of the local clock.
 func (f *Follower) Now(at time.Time) time.Time {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -132,7 +134,7 @@
 	return time.Unix(0, int64(f.offset+at.Sub(f.startedAt)))
 }
 
-// IsSet says whether a time of day was told.
+// IsSet reports whether Set has been called.
 func (f *Follower) IsSet() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
