--- a/internal/coordination/doc.go
+++ b/internal/coordination/doc.go
@@ -5,5 +5,5 @@
 // An item is owned by one process at a time, which stores its Value on a majority of disks before it answers a call that changed
 // it (keystore.Store.Operate, internal/controlplane/coordinator). The package does no IO and reads no clock.
 //
-// Start reading at Item, then Lock, Counter and Group. docs/design/coordination.md has the argument why the whole is safe.
+// Start reading at Item, then Lock, Counter and Group. docs/design/coordination.md argues why the protocol is safe.
 package coordination
--- a/internal/coordination/group_test.go
+++ b/internal/coordination/group_test.go
@@ -94,7 +94,7 @@
 	assert.Equal(t, len(group.eventsAfter(1).Events), 2)
 }
 
-func TestGroup_StoredValueIsCompactAndValidated(t *testing.T) {
+func TestGroup_StoredValueIsSmallAndValidated(t *testing.T) {
 	group := newTestGroup(t)
 	const puts = 100
 	for number := range puts {
@@ -108,11 +108,11 @@
 		name := fmt.Sprintf("group.%d", number)
 		assert.DeepEqual(t, reopened.read(name), group.read(name))
 	}
-	for _, damaged := range []string{
+	for _, corrupt := range []string{
 		`{"g":"g.","keys":{"k":["a"]},"events":{}}`,
 		`{"g":"g.","floor":7,"keys":{},"events":{"k":["a"],"v":["1"],"r":[7]}}`,
 	} {
-		_, err := openGroup([]byte(damaged), testNow, Config{})
+		_, err := openGroup([]byte(corrupt), testNow, Config{})
 		assert.ErrorIs(t, err, ErrCorruptValue)
 	}
 	single := newTestGroup(t)
--- a/internal/coordination/lock_test.go
+++ b/internal/coordination/lock_test.go
@@ -155,7 +155,7 @@
 	_, again := lock.step(call, time.Second)
 	assert.Equal(t, again, fence)
 	outcome, _ := lock.step(acquire("b", testTTL), testTTL+time.Second)
-	assertOutcome(t, outcome, OutcomeHeld) // each attempt extends the hold
+	assertOutcome(t, outcome, OutcomeHeld) // each attempt extends the lock
 	call.ID = "second"
 	_, next := lock.step(call, time.Second)
 	assert.Assert(t, next > fence)
--- a/internal/coordinationapi/handler.go
+++ b/internal/coordinationapi/handler.go
@@ -65,7 +65,7 @@
 	TTLMs  int64  `json:"queueHoldMs"`
 }
 
-// LockReply is the response body for an acquired lock.
+// LockReply is the response body with the fencing token of a lock that was acquired or force-released.
 type LockReply struct {
 	Fence uint64 `json:"fenceToken"`
 }
