--- a/internal/controlplane/coordination_host.go
+++ b/internal/controlplane/coordination_host.go
@@ -52,7 +52,7 @@
 // openCoordination creates the components that execute coordination calls.
 func (n *Node) openCoordination() {
 	history := nodesettings.Seconds(n.settings.TimingBounds.HistoryS) + historyMargin
-	executor := coordinator.NewExecutor(n.store, coordination.Config{History: history}, n.clock)
+	executor := coordinator.NewExecutor(n.store, coordination.Config{EventRetention: history}, n.clock)
 	caller := peer.NewClient(n.network)
 	n.coordination = coordinator.NewRouter(n.self, coordinationHost{n}, caller, executor, n.clock)
 	n.groupWatcher = coordinator.NewGroupWatcher(n.coordination, n.members.Leaving(), n.clock)
--- a/internal/controlplane/coordinator/batch.go
+++ b/internal/controlplane/coordinator/batch.go
@@ -66,7 +66,7 @@
 		batch.fail(err)
 		return
 	}
-	item.register, item.memory = register.WithoutValue(), item.state.Memory()
+	item.register, item.memory = register.WithoutValue(), item.state.VolatileState()
 	e.requestHandover(item)
 	if batch.changed && item.kind == coordination.KindGroup {
 		item.signalChange()
@@ -113,9 +113,9 @@
 
 // memoryFor returns the in-memory part of the state if this node also wrote the value that the present ownership adopted, and
 // else the zero value.
-func (i *ownedItem) memoryFor(adoptedFrom keystore.ProposalNumber) coordination.Memory {
+func (i *ownedItem) memoryFor(adoptedFrom keystore.ProposalNumber) coordination.VolatileState {
 	if adoptedFrom.IsZero() || adoptedFrom != i.register.Accepted {
-		return coordination.Memory{}
+		return coordination.VolatileState{}
 	}
 	return i.memory
 }
@@ -124,7 +124,7 @@
 	b.results, b.changed = b.results[:0], false
 	maxAge := eventsMaxAge
 	for _, current := range b.operations {
-		result, changed := b.item.state.Step(current.call, now)
+		result, changed := b.item.state.Apply(current.call, now)
 		b.results = append(b.results, result)
 		b.changed = b.changed || changed
 		maxAge = min(maxAge, maxAgeOf(current.call, result))
--- a/internal/controlplane/coordinator/executor.go
+++ b/internal/controlplane/coordinator/executor.go
@@ -47,7 +47,7 @@
 
 // openFunc decodes an item from its stored value.
 type openFunc func(
-	kind coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.Memory,
+	kind coordination.Kind, value json.RawMessage, now time.Time, config coordination.Config, known coordination.VolatileState,
 ) (coordination.Item, error)
 
 // ownedItem is an item that this node owns or has owned.
@@ -69,7 +69,7 @@
 	state    coordination.Item
 	register keystore.Register
 	// memory is the in-memory part of the state after the last committed batch, under the ownership that register names.
-	memory coordination.Memory
+	memory coordination.VolatileState
 	// adoptedFrom is the ownership before the present one. queriedUnder is the ownership under which the previous owner was last
 	// queried.
 	adoptedFrom, queriedUnder keystore.ProposalNumber
--- a/internal/controlplane/coordinator/follower.go
+++ b/internal/controlplane/coordinator/follower.go
@@ -130,7 +130,7 @@
 // fetchEvents requests the puts of a group after a revision from its owner.
 func (w *GroupWatcher) fetchEvents(ctx context.Context, group string, after uint64) (coordination.Result, error) {
 	result, err := w.router.Do(ctx, eventsCall(group, after, 0))
-	if err == nil && result.Outcome == coordination.OutcomeExpired {
+	if err == nil && result.Outcome == coordination.OutcomeCompacted {
 		return result, ErrExpired
 	}
 	return result, err
@@ -138,11 +138,11 @@
 
 func eventsCall(group string, after uint64, wait time.Duration) coordination.Call {
 	return coordination.Call{
-		Operation: coordination.OperationEvents,
-		Kind:      coordination.KindGroup,
-		Name:      group,
-		After:     after,
-		WaitMs:    wait.Milliseconds(),
+		Operation:     coordination.OperationEvents,
+		Kind:          coordination.KindGroup,
+		Name:          group,
+		AfterRevision: after,
+		WaitMs:        wait.Milliseconds(),
 	}
 }
 
@@ -247,7 +247,7 @@
 	if err != nil {
 		return err
 	}
-	if !isInitialized || result.Outcome == coordination.OutcomeExpired {
+	if !isInitialized || result.Outcome == coordination.OutcomeCompacted {
 		followed.reset(result.Revision)
 		return nil
 	}
--- a/internal/controlplane/coordinator/handover.go
+++ b/internal/controlplane/coordinator/handover.go
@@ -80,7 +80,7 @@
 	}
 	if item.state != nil {
 		item.adoptHandover(item.register)
-		item.memory = item.state.Memory()
+		item.memory = item.state.VolatileState()
 	}
 	now := e.clock()
 	for _, query := range queries {
--- a/internal/controlplane/coordinator/router_test.go
+++ b/internal/controlplane/coordinator/router_test.go
@@ -132,7 +132,7 @@
 }
 
 func newTestRouter(cluster *testCluster, store Store) *Router {
-	executor := NewExecutor(store, coordination.Config{History: time.Minute}, time.Now)
+	executor := NewExecutor(store, coordination.Config{EventRetention: time.Minute}, time.Now)
 	return NewRouter("self", cluster, cluster, executor, time.Now)
 }
 
