--- a/cmd/ferryspar-operator/rehearse_drill.go
+++ b/cmd/ferryspar-operator/rehearse_drill.go
@@ -28,7 +28,7 @@
 		Kind:           drill.KindDrill,
 		Scope:          scope,
 		Share:          r.Share,
-		ForMs:          r.Duration.Milliseconds(),
+		DurationMs:     r.Duration.Milliseconds(),
 		Margin:         r.Margin,
 		IdempotencyKey: rand.Text(),
 	})
@@ -100,13 +100,13 @@
 	if a.options.JSON {
 		return a.printJSON(status)
 	}
-	state := fmt.Sprintf("runs, %s left", time.Duration(status.LeftMs)*time.Millisecond)
+	state := fmt.Sprintf("runs, %s left", time.Duration(status.RemainingMs)*time.Millisecond)
 	if !status.Running {
 		state = "ended: " + status.EndReason
 	}
 	a.printf("\ndrill %d: %s, share %.2f, %s\n", status.Number, status.Scope, status.Share, state)
 	for _, name := range slices.Sorted(maps.Keys(status.DataPlanes)) {
-		if status.DataPlanes[name] != drill.DataPlaneFollows {
+		if status.DataPlanes[name] != drill.DataPlaneParticipating {
 			a.printf("  %s: %s\n", name, status.DataPlanes[name])
 		}
 	}
--- a/cmd/ferryspar-operator/rehearse_forecast.go
+++ b/cmd/ferryspar-operator/rehearse_forecast.go
@@ -60,7 +60,7 @@
 	a.printf("in flight: %d of %d run at lost replicas (%d go on elsewhere, %d are cut); %d wait; ",
 		inFlight.OnLostReplicas, inFlight.Running, inFlight.Resumable, inFlight.Aborted, inFlight.Waiting)
 	a.printf("of both %d find a place, %d wait on, %d are bound to what is lost\n",
-		inFlight.Placed, inFlight.StillWaiting, inFlight.BoundToLost)
+		inFlight.Placed, inFlight.StillWaiting, inFlight.AllRegionsLost)
 }
 
 func newRouteForecastTable(routes []drill.RouteForecast) *table {
@@ -73,11 +73,11 @@
 			route.Priority,
 			fmt.Sprintf("%.1f", route.RatePerS),
 			route.Sampled,
-			route.Staying,
+			route.NotMoved,
 			route.Moved,
 			route.Waiting,
-			route.NowhereLoaded,
-			route.BoundToLost,
+			route.ModelNotLoaded,
+			route.AllRegionsLost,
 			route.LateNow,
 			route.Late,
 			formatQuantiles(route.FirstTokenNow),
@@ -99,7 +99,7 @@
 
 func newLostModelTable(models []drill.LostModel, estimate drill.LoadEstimate) *table {
 	title := fmt.Sprintf("no copy left (%d loads, at least %.1f s; the %d in demand at least %.1f s)",
-		estimate.Loads, seconds(estimate.MinMs), estimate.InDemand, seconds(estimate.InDemandMinMs))
+		estimate.Loads, seconds(estimate.MinMs), estimate.InDemandLoads, seconds(estimate.InDemandMinMs))
 	lost := newTable(title, "backend", "model", "per_s")
 	for _, model := range models {
 		lost.addRow(model.Backend, model.Model, fmt.Sprintf("%.2f", model.RatePerS))
--- a/internal/adminapi/pinned_test.go
+++ b/internal/adminapi/pinned_test.go
@@ -80,7 +80,7 @@
 }
 
 func (s *filledState) StartDrill(_ context.Context, request drill.Request) (drill.Status, error) {
-	s.note("drill %s %v %d", request.Scope, request.Share, request.ForMs)
+	s.note("drill %s %v %d", request.Scope, request.Share, request.DurationMs)
 	return filled[drill.Status](), nil
 }
 
--- a/internal/controlplane/applier/registers.go
+++ b/internal/controlplane/applier/registers.go
@@ -124,10 +124,10 @@
 		return
 	}
 	a.publisher.Update(func(next *watch.Snapshot) bool {
-		if record.Number < next.Forgets.Number {
+		if record.Number < next.PurgeRecord.Number {
 			return false
 		}
-		next.Forgets = record
+		next.PurgeRecord = record
 		return true
 	})
 }
@@ -139,7 +139,7 @@
 	if json.Unmarshal(register.Value, &record) != nil {
 		return
 	}
-	a.publisher.UpdateQuietly(func(next *watch.Snapshot) { next.FleetSize = record })
+	a.publisher.UpdateWithoutNotify(func(next *watch.Snapshot) { next.FleetSize = record })
 }
 
 func (a *Applier) publishDrill(register keystore.Register) {
--- a/internal/controlplane/demand/demand_aggregator.go
+++ b/internal/controlplane/demand/demand_aggregator.go
@@ -235,9 +235,9 @@
 	return dirty
 }
 
-// WriteTo writes the sums that changed since the last call into the demands by model key, and marks the models that are
+// UpdateDemands writes the sums that changed since the last call into the demands by model key, and marks the models that are
 // waited for as seen now.
-func (a *DemandAggregator) WriteTo(demands map[string]*placement.Demand, now time.Time) {
+func (a *DemandAggregator) UpdateDemands(demands map[string]*placement.Demand, now time.Time) {
 	for key := range a.changed {
 		sum := a.demand[key]
 		demand := demands[key]
--- a/internal/controlplane/demand/demand_aggregator_test.go
+++ b/internal/controlplane/demand/demand_aggregator_test.go
@@ -91,7 +91,7 @@
 				aggregator.Add(report, keys, now)
 			}
 			aggregator.Expire(now)
-			aggregator.WriteTo(demands, now)
+			aggregator.UpdateDemands(demands, now)
 			expected := expectedDemand(received, now)
 			for key, demand := range demands {
 				actual := placement.Demand{Waiting: demand.Waiting, Running: demand.Running, OldestWaitMs: demand.OldestWaitMs}
--- a/internal/controlplane/drillcontrol/controller.go
+++ b/internal/controlplane/drillcontrol/controller.go
@@ -154,7 +154,7 @@
 		"number":      started.Number,
 		"scope":       started.Scope.String(),
 		"share":       started.Share,
-		"duration_ms": started.ForMs,
+		"duration_ms": started.DurationMs,
 	}).Info("drill started")
 	return c.status(started), nil
 }
--- a/internal/controlplane/drillcontrol/controller_test.go
+++ b/internal/controlplane/drillcontrol/controller_test.go
@@ -200,7 +200,7 @@
 		},
 		"data plane ended it": {
 			change: func(c *Controller, _ *testNode) {
-				c.RecordReport("edge", drill.Report{Number: 1, Ended: "why"})
+				c.RecordReport("edge", drill.Report{Number: 1, EndReason: "why"})
 			},
 			reason:  "edge edge ended it: why",
 			byGuard: true,
--- a/internal/controlplane/drillcontrol/forecaster.go
+++ b/internal/controlplane/drillcontrol/forecaster.go
@@ -73,7 +73,7 @@
 	f.fleet.PublishForecastRequest(request)
 	f.await(ctx, arrived, view.DataPlanes)
 	f.fleet.PublishForecastRequest(nil)
-	forecast := drill.Merge(view, f.close())
+	forecast := drill.MergeForecast(view, f.close())
 	leaseHolder := f.fleet.State().LeaseHolder
 	plan := f.fleet.PlanPlacement(ctx, leaseHolder, *request)
 	addPlan(&forecast, plan, leaseHolder)
--- a/internal/controlplane/drillcontrol/guard.go
+++ b/internal/controlplane/drillcontrol/guard.go
@@ -128,8 +128,8 @@
 		return realLoss + lost
 	}
 	for dataPlane, report := range c.reports.of(current.Number) {
-		if report.Ended != "" && report.Ended != drill.EndedByTime {
-			return "edge " + dataPlane + " ended it: " + report.Ended
+		if report.EndReason != "" && report.EndReason != drill.EndedByTime {
+			return "edge " + dataPlane + " ended it: " + report.EndReason
 		}
 	}
 	return drill.CheckGuard(current.Record, drill.MergeOutcomes(c.reports.listOf(current.Number)))
--- a/internal/controlplane/drillcontrol/status.go
+++ b/internal/controlplane/drillcontrol/status.go
@@ -6,7 +6,7 @@
 func (c *Controller) status(record drill.Record) drill.Status {
 	status := drill.Status{Record: record, DataPlanes: map[string]string{}}
 	if !record.Running {
-		status.LeftMs = 0
+		status.RemainingMs = 0
 		return status
 	}
 	state := c.node.State().Drill
@@ -17,9 +17,9 @@
 		status.DataPlanes[dataPlane] = drill.DataPlaneSilent
 	}
 	for dataPlane, report := range c.reports.of(record.Number) {
-		status.DataPlanes[dataPlane] = drill.DataPlaneFollows
-		if report.Ended != "" {
-			status.DataPlanes[dataPlane] = report.Ended
+		status.DataPlanes[dataPlane] = drill.DataPlaneParticipating
+		if report.EndReason != "" {
+			status.DataPlanes[dataPlane] = report.EndReason
 		}
 	}
 	status.Routes = drill.MergeReports(c.reports.listOf(record.Number))
@@ -30,7 +30,7 @@
 // doesn't say so yet.
 func (c *Controller) addDeadlines(status *drill.Status, state drill.State) {
 	now := c.config.Clock()
-	status.LeftMs = max(state.Deadline.Sub(now), 0).Milliseconds()
+	status.RemainingMs = max(state.Deadline.Sub(now), 0).Milliseconds()
 	status.Running = state.IsRunning(now)
 	if !status.Running {
 		status.EndReason = drill.EndedByTime
--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -72,7 +72,7 @@
 		})
 		return
 	}
-	n.publisher.UpdateQuietly(update)
+	n.publisher.UpdateWithoutNotify(update)
 }
 
 // MemberLeaving makes the placement lease worth trying for at once if its holder is about to end.
--- a/internal/controlplane/pinned_test.go
+++ b/internal/controlplane/pinned_test.go
@@ -14,7 +14,7 @@
 
 func TestReplies_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
-		"answer to a share of the roster": new(roster.Reply),
+		"answer to a share of the roster": new(roster.UpdateReply),
 		"answer to a greeting":            new(members.HeartbeatReply),
 	})
 }
--- a/internal/controlplane/roster/control_cluster_test.go
+++ b/internal/controlplane/roster/control_cluster_test.go
@@ -64,9 +64,9 @@
 	return c.list, nil, c.asOf
 }
 
-func (c *control) LeaseHolder() string { return c.cluster.leaseHolder() }
-func (c *control) OtherCount() int     { return len(c.cluster.addresses) - 1 }
-func (c *control) Others() []string {
+func (c *control) LeaseHolder() string         { return c.cluster.leaseHolder() }
+func (c *control) OtherControlPlaneCount() int { return len(c.cluster.addresses) - 1 }
+func (c *control) OtherControlPlanes() []string {
 	return slices.DeleteFunc(slices.Clone(c.cluster.addresses), func(address string) bool { return address == c.self })
 }
 
@@ -76,7 +76,7 @@
 	case peer.MethodFetchRoster:
 		*reply.(*FetchReply) = c.cluster.rosters[address].HandleFetch(ctx, message.(FetchRequest))
 	case peer.MethodShareRoster:
-		*reply.(*Reply) = c.cluster.rosters[address].HandleUpdate(ctx, message.(peer.RosterUpdate))
+		*reply.(*UpdateReply) = c.cluster.rosters[address].HandleUpdate(ctx, message.(peer.RosterUpdate))
 	default:
 		return errors.Errorf("no method %s", method)
 	}
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -49,12 +49,12 @@
 
 // Cluster is the other control-plane nodes.
 type Cluster interface {
-	// Others lists their addresses.
-	Others() []string
+	// OtherControlPlanes lists their addresses.
+	OtherControlPlanes() []string
 	// LeaseHolder is the address of the node that held the placement lease last, as far as is known, or "".
 	LeaseHolder() string
-	// OtherCount is how many of them may read the platform's list beside this node.
-	OtherCount() int
+	// OtherControlPlaneCount is how many of them may read the platform's list beside this node.
+	OtherControlPlaneCount() int
 	// Call calls a method of another node.
 	Call(ctx context.Context, method peer.Method, address string, message, reply any) error
 }
@@ -176,7 +176,7 @@
 	}
 	r.takeover = takeover{}
 	if !holdsLease {
-		return min(sharedListInterval(rate, r.pageCount(), r.cluster.OtherCount()), maxListInterval)
+		return min(sharedListInterval(rate, r.pageCount(), r.cluster.OtherControlPlaneCount()), maxListInterval)
 	}
 	_ = r.read(ctx, now, discovery.ReadOptions{PagesPerSecond: rate * holderRateShare})
 	r.sendAll(ctx, r.nextContent(now))
--- a/internal/controlplane/roster/takeover.go
+++ b/internal/controlplane/roster/takeover.go
@@ -103,7 +103,7 @@
 	before := r.nodesBefore()
 	isShared := r.pageCount() <= maxSharedPages && !r.takeover.takesTurns
 	isTurn := now.Sub(r.takeover.staleSince) >= time.Duration(len(before))*readTurn && !r.takeover.awaitsOther(now)
-	interval := sharedListInterval(r.config.CallsPerSecond, r.pageCount(), r.cluster.OtherCount())
+	interval := sharedListInterval(r.config.CallsPerSecond, r.pageCount(), r.cluster.OtherControlPlaneCount())
 	if (isShared || isTurn) && (r.takeover.readAt.IsZero() || now.Sub(r.takeover.readAt) >= interval) {
 		r.readWithoutLease(ctx, now, isTurn)
 		return
@@ -137,7 +137,7 @@
 	if holder == r.config.Self {
 		return nil
 	}
-	others := slices.Sorted(slices.Values(r.cluster.Others()))
+	others := slices.Sorted(slices.Values(r.cluster.OtherControlPlanes()))
 	at, _ := slices.BinarySearch(others, r.config.Self)
 	before := others[:at]
 	if !slices.Contains(others, holder) {
--- a/internal/controlplane/roster/takeover_test.go
+++ b/internal/controlplane/roster/takeover_test.go
@@ -83,7 +83,7 @@
 
 func (nodes) LeaseHolder() string { return lastHolder }
 
-func (n nodes) Others() []string {
+func (n nodes) OtherControlPlanes() []string {
 	var others []string
 	for address := range n.all {
 		if address != n.self {
@@ -93,7 +93,7 @@
 	return others
 }
 
-func (n nodes) OtherCount() int { return len(n.all) - 1 }
+func (n nodes) OtherControlPlaneCount() int { return len(n.all) - 1 }
 
 func (n nodes) Call(ctx context.Context, method peer.Method, address string, message, reply any) error {
 	if method != peer.MethodFetchRoster || n.down[address] {
--- a/internal/controlplane/roster/updates.go
+++ b/internal/controlplane/roster/updates.go
@@ -17,9 +17,9 @@
 // over seconds and minutes.
 const ratesInterval = 1500 * time.Millisecond
 
-// Reply says whether the receiver of an update now holds its list. Where that list is stale and the
+// UpdateReply says whether the receiver of an update now holds its list. Where that list is stale and the
 // receiver holds a newer one, Replicas is that one, as old as AgeMs.
-type Reply struct {
+type UpdateReply struct {
 	Adopted  bool                `json:"has"`
 	Replicas []discovery.Replica `json:"replicas,omitempty"`
 	AgeMs    int64               `json:"ageMs,omitempty"`
@@ -60,7 +60,7 @@
 
 // sendAll starts sending the list to each node that it isn't being sent to.
 func (r *Roster) sendAll(ctx context.Context, content content) {
-	for _, address := range r.cluster.Others() {
+	for _, address := range r.cluster.OtherControlPlanes() {
 		if r.deliveries.begin(address) {
 			r.sends.Go(func() { r.send(ctx, address, content) })
 		}
@@ -116,7 +116,7 @@
 
 // sendUpdate sends an update and returns whether the node acknowledged its list.
 func (r *Roster) sendUpdate(ctx context.Context, address string, update peer.RosterUpdate) bool {
-	var reply Reply
+	var reply UpdateReply
 	sentAt := r.config.Clock()
 	if r.cluster.Call(ctx, peer.MethodShareRoster, address, update, &reply) != nil {
 		return false
@@ -127,7 +127,7 @@
 
 // adoptNewer adopts the list of a node that holds a newer one: this node can't read the platform's list
 // itself. The reply may have been made as early as the update was sent.
-func (r *Roster) adoptNewer(reply Reply, sentAt time.Time) {
+func (r *Roster) adoptNewer(reply UpdateReply, sentAt time.Time) {
 	if len(reply.Replicas) > 0 {
 		r.Adopt(reply.Replicas, reply.Pages, sentAt.Add(-time.Duration(reply.AgeMs)*time.Millisecond))
 	}
@@ -137,24 +137,24 @@
 // adopted, and the reply says so. An update that a newer one has overtaken, or that comes from a lease
 // holder that another one has followed, is ignored. Of an update with an older list than the present
 // one, only what it cordons counts.
-func (r *Roster) HandleUpdate(_ context.Context, update peer.RosterUpdate) Reply {
+func (r *Roster) HandleUpdate(_ context.Context, update peer.RosterUpdate) UpdateReply {
 	if !r.list.advance(update.Fence, update.Sequence) {
-		return Reply{}
+		return UpdateReply{}
 	}
 	r.placement.AdoptUpdate(update)
 	now := r.config.Clock()
 	result := r.list.adopt(update, now.Add(-time.Duration(update.AgeMs)*time.Millisecond), now)
 	if result == baseMismatch {
-		return Reply{}
+		return UpdateReply{}
 	}
 	r.Publish()
 	if result == adopted {
 		r.placement.RecordListed(update.Replicas)
-		return Reply{Adopted: true}
+		return UpdateReply{Adopted: true}
 	}
 	if update.AgeMs <= recentAge(r.config.CallsPerSecond, update.Pages).Milliseconds() {
-		return Reply{}
+		return UpdateReply{}
 	}
 	replicas, asOf := r.list.current()
-	return Reply{Replicas: replicas, AgeMs: now.Sub(asOf).Milliseconds(), Pages: r.list.pageCount()}
+	return UpdateReply{Replicas: replicas, AgeMs: now.Sub(asOf).Milliseconds(), Pages: r.list.pageCount()}
 }
--- a/internal/controlplane/roster/updates_test.go
+++ b/internal/controlplane/roster/updates_test.go
@@ -29,8 +29,8 @@
 func (n *testNode) DemandRates() map[string]peer.Rate { return map[string]peer.Rate{"m": {}} }
 func (n *testNode) AdoptUpdate(peer.RosterUpdate)     {}
 func (n *testNode) RecordListed([]discovery.Replica)  {}
-func (n *testNode) Others() []string                  { return []string{"other"} }
-func (n *testNode) OtherCount() int                   { return 1 }
+func (n *testNode) OtherControlPlanes() []string      { return []string{"other"} }
+func (n *testNode) OtherControlPlaneCount() int       { return 1 }
 func (n *testNode) LeaseHolder() string               { return "" }
 func (n *testNode) PublishRoster(replicas []discovery.Replica, _ []string, asOf time.Time) {
 	n.published, n.asOf = replicas, asOf
@@ -44,7 +44,7 @@
 	if n.receiver == nil {
 		return errors.New("unreachable")
 	}
-	*reply.(*Reply) = n.receiver.HandleUpdate(ctx, update)
+	*reply.(*UpdateReply) = n.receiver.HandleUpdate(ctx, update)
 	return nil
 }
 
--- a/internal/controlplane/roster_host.go
+++ b/internal/controlplane/roster_host.go
@@ -79,7 +79,7 @@
 // PublishRoster implements roster.Publisher.
 func (h rosterHost) PublishRoster(replicas []discovery.Replica, cordoned []string, asOf time.Time) {
 	changed := false
-	h.node.publisher.UpdateQuietly(func(next *watch.Snapshot) {
+	h.node.publisher.UpdateWithoutNotify(func(next *watch.Snapshot) {
 		changed = !roster.SameContent(next.Replicas, replicas) || !slices.Equal(next.Cordoned, cordoned)
 		if changed {
 			next.RosterVersion++
@@ -100,11 +100,13 @@
 	return snapshot.Replicas, snapshot.Cordoned, snapshot.RosterAsOf
 }
 
-// Others implements roster.Cluster.
-func (h rosterHost) Others() []string { return h.node.members.Others() }
+// OtherControlPlanes implements roster.Cluster.
+func (h rosterHost) OtherControlPlanes() []string { return h.node.members.Others() }
 
 // LeaseHolder implements roster.Cluster.
 func (h rosterHost) LeaseHolder() string { return h.node.publisher.Current().LeaseHolder }
 
-// OtherCount implements roster.Cluster.
-func (h rosterHost) OtherCount() int { return len(h.node.publisher.Current().ControlPlanes) - 1 }
+// OtherControlPlaneCount implements roster.Cluster.
+func (h rosterHost) OtherControlPlaneCount() int {
+	return len(h.node.publisher.Current().ControlPlanes) - 1
+}
--- a/internal/controlplane/scheduler/demand.go
+++ b/internal/controlplane/scheduler/demand.go
@@ -94,7 +94,7 @@
 	defer d.lock.Unlock()
 	d.adoptReceivedRates(now)
 	d.aggregator.Expire(now)
-	d.aggregator.WriteTo(d.byModel, now)
+	d.aggregator.UpdateDemands(d.byModel, now)
 	if span := now.Sub(d.ratesUpdatedAt); span >= ratesInterval {
 		d.ratesUpdatedAt = now
 		d.updateRates(span.Seconds(), now)
--- a/internal/controlplane/scheduler_host.go
+++ b/internal/controlplane/scheduler_host.go
@@ -69,7 +69,7 @@
 		Zones:               snapshot.Zones,
 		RosterAsOf:          snapshot.RosterAsOf,
 		Retention:           snapshot.Retention,
-		Purges:              snapshot.Forgets.Purges,
+		Purges:              snapshot.PurgeRecord.Purges,
 	}
 }
 
--- a/internal/controlplane/watch/publisher.go
+++ b/internal/controlplane/watch/publisher.go
@@ -37,9 +37,9 @@
 	p.publishVersion(&next)
 }
 
-// UpdateQuietly publishes a copy of the snapshot as changed by update, without a new version: waiting requests are not
+// UpdateWithoutNotify publishes a copy of the snapshot as changed by update, without a new version: waiting requests are not
 // woken, and see the change with their next response. The rules for update are those of Update.
-func (p *Publisher) UpdateQuietly(update func(next *Snapshot)) {
+func (p *Publisher) UpdateWithoutNotify(update func(next *Snapshot)) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	next := *p.current
--- a/internal/controlplane/watch/publisher_test.go
+++ b/internal/controlplane/watch/publisher_test.go
@@ -35,7 +35,7 @@
 			change: func(publisher *Publisher) { publisher.Update(func(*Snapshot) bool { return false }) },
 		},
 		"quiet update": {
-			change: func(publisher *Publisher) { publisher.UpdateQuietly(func(*Snapshot) {}) },
+			change: func(publisher *Publisher) { publisher.UpdateWithoutNotify(func(*Snapshot) {}) },
 		},
 		"confirmation of a fresh state": {
 			change:       func(publisher *Publisher) { publisher.Confirm(confirmedAt, lapsedAt.Add(-time.Millisecond)) },
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -22,12 +22,12 @@
 	CountedFor(dataPlane string, now time.Time) (time.Duration, bool)
 	// CountReliable says whether the node has run for long enough to know all live data planes.
 	CountReliable(now time.Time) bool
-	// LiveKnown says whether the node has run for long enough to have heard of nearly all live data planes.
-	LiveKnown(now time.Time) bool
+	// LiveDataPlanesKnown says whether the node has run for long enough to have heard of nearly all live data planes.
+	LiveDataPlanesKnown(now time.Time) bool
 	// RequestConfirmation has the state confirmed by a majority in a round that begins after the call.
 	RequestConfirmation()
-	// LoadsOn returns the load of all data planes but the named one on replicas, by id.
-	LoadsOn(dataPlane string, replicas []string) map[string]peer.ReplicaLoad
+	// ReplicaLoadsFor returns the load of all data planes but the named one on replicas, by id.
+	ReplicaLoadsFor(dataPlane string, replicas []string) map[string]peer.ReplicaLoad
 	// IsLeaving says whether the node shuts down.
 	IsLeaving() bool
 }
@@ -199,7 +199,7 @@
 // neighbours returns the data planes that may be homes of tenants' limits: as recorded while the node can't have heard of all
 // that are live.
 func (s *Server) neighbours(snapshot *Snapshot, now time.Time) *peer.Neighbours {
-	if len(snapshot.FleetSize.Homes) == 0 || s.host.LiveKnown(now) {
+	if len(snapshot.FleetSize.Homes) == 0 || s.host.LiveDataPlanesKnown(now) {
 		return snapshot.Neighbours
 	}
 	return peer.NewNeighbours(snapshot.FleetSize.Homes)
@@ -226,7 +226,7 @@
 	}
 	response := s.endpoints.Subscribe(request, s.clock())
 	if replicas := replicasIn(response.EndpointSets); len(replicas) > 0 {
-		response.Loads = s.host.LoadsOn(request.DataPlane, replicas)
+		response.Loads = s.host.ReplicaLoadsFor(request.DataPlane, replicas)
 	}
 	now := s.clock()
 	response.Incarnation = s.identity.Incarnation
--- a/internal/controlplane/watch/server_test.go
+++ b/internal/controlplane/watch/server_test.go
@@ -30,11 +30,11 @@
 
 func (h *fakeHost) CountReliable(time.Time) bool { return !h.hasJustStarted }
 
-func (h *fakeHost) LiveKnown(time.Time) bool { return !h.hasJustStarted }
+func (h *fakeHost) LiveDataPlanesKnown(time.Time) bool { return !h.hasJustStarted }
 
 func (h *fakeHost) RequestConfirmation() { h.requestedConfirmations++ }
 
-func (h *fakeHost) LoadsOn(_ string, replicas []string) map[string]peer.ReplicaLoad {
+func (h *fakeHost) ReplicaLoadsFor(_ string, replicas []string) map[string]peer.ReplicaLoad {
 	loads := map[string]peer.ReplicaLoad{}
 	for _, id := range replicas {
 		loads[id] = peer.ReplicaLoad{Running: 3}
@@ -119,7 +119,7 @@
 		},
 		"the snapshot, quietly": {
 			change: func(server testServer) {
-				server.publisher.UpdateQuietly(func(next *Snapshot) { next.DataPlaneCount = 3 })
+				server.publisher.UpdateWithoutNotify(func(next *Snapshot) { next.DataPlaneCount = 3 })
 			},
 			expect: time.Second,
 		},
@@ -253,7 +253,7 @@
 func TestServer_RecordOfTheFleetCountsUntilAllHaveBeenHeardOf(t *testing.T) {
 	server := newTestServer()
 	homes := []peer.Neighbour{{Name: "edge-1", Address: "10.0.0.9:1"}, {Name: "edge-2", Address: "10.0.0.8:1"}}
-	server.publisher.UpdateQuietly(func(next *Snapshot) {
+	server.publisher.UpdateWithoutNotify(func(next *Snapshot) {
 		next.FleetSize = fleetsize.Record{DataPlanes: 79, Homes: homes}
 		next.DataPlaneCount = 3
 		next.Neighbours = peer.NewNeighbours(homes[:1])
@@ -272,7 +272,7 @@
 	assert.Equal(t, early.EarlyDataPlaneCount, 79)
 	assert.DeepEqual(t, early.Neighbours.List, homes)
 
-	server.publisher.UpdateQuietly(func(next *Snapshot) { next.DataPlaneCount = 90 })
+	server.publisher.UpdateWithoutNotify(func(next *Snapshot) { next.DataPlaneCount = 90 })
 	assert.Equal(t, respond().DataPlaneCount, 90, "who has heard of more goes by that")
 }
 
--- a/internal/controlplane/watch/snapshot.go
+++ b/internal/controlplane/watch/snapshot.go
@@ -57,8 +57,8 @@
 	FleetSize fleetsize.Record
 
 	// Retention is how long cached context may be kept, Forgets what of it was ordered to be forgotten.
-	Retention retention.Policy
-	Forgets   retention.Record
+	Retention   retention.Policy
+	PurgeRecord retention.Record
 	// Forecast is the forecast question that is open, or nil.
 	Forecast *drill.ForecastRequest
 	Drill    drill.State
@@ -115,7 +115,7 @@
 func (s *Snapshot) IsFresh(now time.Time) bool { return s.freshFor(now) > 0 }
 
 // contextVersion is the version of what data planes are sent about cached context.
-func (s *Snapshot) contextVersion() uint64 { return s.Retention.Version + s.Forgets.Number }
+func (s *Snapshot) contextVersion() uint64 { return s.Retention.Version + s.PurgeRecord.Number }
 
 // contextUpdate returns what a data plane with an older version is sent about cached context, or nil.
 func (s *Snapshot) contextUpdate(appliedVersion uint64) *peer.ContextUpdate {
@@ -124,7 +124,7 @@
 		return nil
 	}
 	update := &peer.ContextUpdate{Version: version, MaxAgeMs: s.Retention.LifetimeMs}
-	for _, item := range s.Forgets.Purges {
+	for _, item := range s.PurgeRecord.Purges {
 		update.Forgets = append(update.Forgets, peer.ForgetOrder{Number: item.Number, Scope: item.Scope})
 	}
 	return update
--- a/internal/controlplane/watch_host.go
+++ b/internal/controlplane/watch_host.go
@@ -40,16 +40,16 @@
 	return now.Sub(h.node.startedAt) > dataplanes.ExpireAfter
 }
 
-// LiveKnown says whether the node has run for longer than a live data plane may be silent.
-func (h watchHost) LiveKnown(now time.Time) bool {
+// LiveDataPlanesKnown says whether the node has run for longer than a live data plane may be silent.
+func (h watchHost) LiveDataPlanesKnown(now time.Time) bool {
 	return now.Sub(h.node.startedAt) > dataplanes.LiveWindow
 }
 
 // RequestConfirmation has the state confirmed in a round that begins after the call.
 func (h watchHost) RequestConfirmation() { h.node.applier.RequestConfirmation() }
 
-// LoadsOn returns the load of all data planes but the named one on replicas, by id.
-func (h watchHost) LoadsOn(dataPlane string, replicas []string) map[string]peer.ReplicaLoad {
+// ReplicaLoadsFor returns the load of all data planes but the named one on replicas, by id.
+func (h watchHost) ReplicaLoadsFor(dataPlane string, replicas []string) map[string]peer.ReplicaLoad {
 	return h.node.loads.FleetLoadFor(dataPlane, replicas).Replicas
 }
 
--- a/internal/dataplane/drill.go
+++ b/internal/dataplane/drill.go
@@ -111,7 +111,7 @@
 		return false
 	}
 	if d.current != nil && d.current.Number == notice.Number {
-		d.current.KeepAlive(now, time.Duration(notice.LeftMs)*time.Millisecond)
+		d.current.KeepAlive(now, time.Duration(notice.RemainingMs)*time.Millisecond)
 		return false
 	}
 	if d.current != nil && d.current.Number > notice.Number {
@@ -143,7 +143,7 @@
 		"number":  notice.Number,
 		"scope":   notice.Scope.String(),
 		"share":   notice.Share,
-		"left_ms": notice.LeftMs,
+		"left_ms": notice.RemainingMs,
 	}).Info("drill joined")
 	return true
 }
--- a/internal/dataplane/drill_test.go
+++ b/internal/dataplane/drill_test.go
@@ -16,12 +16,12 @@
 	number := uint64(1)
 	// notify hands the state a notice of the drill, and reports whether a drill is in force then.
 	notify := func(running bool, zones map[string]peer.ZoneState) bool {
-		notice := &drill.Notice{Number: number, Scope: drill.Scope{Zone: "south"}, Share: 1, LeftMs: 60000, Running: running}
+		notice := &drill.Notice{Number: number, Scope: drill.Scope{Zone: "south"}, Share: 1, RemainingMs: 60000, Running: running}
 		harness.respond("one", peer.WatchResponse{Linearizable: true, FreshMs: 1000, Drill: notice, Zones: zones})
 		return harness.snapshot.Load().Drill != nil
 	}
 	state := harness.state
-	ended := func() string { return state.drills.report(harness.now).Ended }
+	ended := func() string { return state.drills.report(harness.now).EndReason }
 
 	assert.Assert(t, notify(true, nil))
 	harness.advance(2 * time.Second)
--- a/internal/drill/fleetview.go
+++ b/internal/drill/fleetview.go
@@ -13,13 +13,13 @@
 		zone := v.MemberZones[member]
 		switch {
 		case zone == "":
-			forecast.Unknown = append(forecast.Unknown, member)
+			forecast.UnknownZone = append(forecast.UnknownZone, member)
 		case v.lost(zone):
 			forecast.Lost = append(forecast.Lost, member)
 		}
 	}
 	sort.Strings(forecast.Lost)
-	forecast.KeepsMajority = len(v.Members)-len(forecast.Lost)-len(forecast.Unknown) > len(v.Members)/2
+	forecast.KeepsMajority = len(v.Members)-len(forecast.Lost)-len(forecast.UnknownZone) > len(v.Members)/2
 	forecast.LeaseMoves = v.lost(v.MemberZones[v.LeaseHolder])
 	return forecast
 }
@@ -34,7 +34,7 @@
 		estimate.Loads += loads
 		estimate.MinMs = max(estimate.MinMs, leastMs)
 		loads, leastMs = v.leastLoadTime(backend, inDemand(bases, lost))
-		estimate.InDemand += loads
+		estimate.InDemandLoads += loads
 		estimate.InDemandMinMs = max(estimate.InDemandMinMs, leastMs)
 	}
 	return estimate
--- a/internal/drill/forecast.go
+++ b/internal/drill/forecast.go
@@ -45,7 +45,7 @@
 type LoadEstimate struct {
 	Loads         int     `json:"loads"`
 	MinMs         float64 `json:"leastMs"`
-	InDemand      int     `json:"wantedLoads"`
+	InDemandLoads int     `json:"wantedLoads"`
 	InDemandMinMs float64 `json:"wantedLeastMs"`
 }
 
@@ -78,7 +78,7 @@
 type ControlForecast struct {
 	Members       []string `json:"members"`
 	Lost          []string `json:"lost"`
-	Unknown       []string `json:"zoneUnknown,omitempty"`
+	UnknownZone   []string `json:"zoneUnknown,omitempty"`
 	KeepsMajority bool     `json:"majorityStays"`
 	LeaseMoves    bool     `json:"placementMoves"`
 	LeaseHolder   string   `json:"placementHolder"`
--- a/internal/drill/forecast_test.go
+++ b/internal/drill/forecast_test.go
@@ -48,7 +48,7 @@
 		Replicas:  map[string]ReplicaLoad{"r2": {Running: 1, Moved: 1}},
 		InFlight:  InFlight{Running: 3, OnLostReplicas: 1},
 	}
-	forecast := Merge(fleetView(), []ForecastResponse{answer, {DataPlane: "two", Ready: false}})
+	forecast := MergeForecast(fleetView(), []ForecastResponse{answer, {DataPlane: "two", Ready: false}})
 	assert.Assert(t, forecast.Partial)
 	assert.DeepEqual(t, forecast.Missing, []string{"two"})
 	assert.DeepEqual(t, forecast.DataPlanesLost, []string{"two"})
@@ -59,17 +59,17 @@
 		names = append(names, model.Model)
 	}
 	assert.DeepEqual(t, names, []string{"big/a1", "small", "big", "idle", "idle/a1", "small/a1"})
-	assert.DeepEqual(t, forecast.LoadEstimate, LoadEstimate{Loads: 3, MinMs: 8000, InDemand: 2, InDemandMinMs: 6000})
+	assert.DeepEqual(t, forecast.LoadEstimate, LoadEstimate{Loads: 3, MinMs: 8000, InDemandLoads: 2, InDemandMinMs: 6000})
 	assert.DeepEqual(t, forecast.Control, ControlForecast{
 		Members:     []string{"c1", "c2", "c3"},
 		Lost:        []string{"c1"},
-		Unknown:     []string{"c3"},
+		UnknownZone: []string{"c3"},
 		LeaseMoves:  true,
 		LeaseHolder: "c1",
 	})
 	withoutDataPlanes := fleetView()
 	withoutDataPlanes.DataPlanes = map[string]string{}
-	assert.Assert(t, Merge(withoutDataPlanes, nil).Partial, "a forecast by nobody is not whole")
+	assert.Assert(t, MergeForecast(withoutDataPlanes, nil).Partial, "a forecast by nobody is not whole")
 }
 
 func TestLoss_LosesAllRegions(t *testing.T) {
--- a/internal/drill/merge.go
+++ b/internal/drill/merge.go
@@ -8,9 +8,9 @@
 	"ferryspar/internal/discovery"
 )
 
-// Merge joins the answers of the data planes with the view of the control plane. It changes the
+// MergeForecast joins the answers of the data planes with the view of the control plane. It changes the
 // view's DataPlanes.
-func Merge(view FleetView, answers []ForecastResponse) Forecast {
+func MergeForecast(view FleetView, answers []ForecastResponse) Forecast {
 	merged := Forecast{
 		Scope:          view.Scope,
 		Answered:       []string{},
--- a/internal/drill/outcomes.go
+++ b/internal/drill/outcomes.go
@@ -49,9 +49,9 @@
 // Report is the state of a drill at a data plane that takes part in it. Ended is why it stopped, empty
 // while it goes on.
 type Report struct {
-	Number uint64                            `json:"number"`
-	Ended  string                            `json:"ended,omitempty"`
-	Routes map[string]DataPlaneRouteOutcomes `json:"routes,omitempty"`
+	Number    uint64                            `json:"number"`
+	EndReason string                            `json:"ended,omitempty"`
+	Routes    map[string]DataPlaneRouteOutcomes `json:"routes,omitempty"`
 }
 
 // RouteOutcomes counts a route's requests over all data planes, with the times to the first token.
--- a/internal/drill/pinned_test.go
+++ b/internal/drill/pinned_test.go
@@ -40,7 +40,7 @@
 	pinned.CheckJSON(t, "testdata/words.json", map[string][]string{
 		"kinds of requests": {KindForecast, KindDrill},
 		"ends":              {EndedByTime, EndedByOperator, EndedWithoutContact, EndedByEvacuation, EndedWithoutRenewal},
-		"data planes":       {DataPlaneFollows, DataPlaneSilent},
+		"data planes":       {DataPlaneParticipating, DataPlaneSilent},
 	})
 }
 
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -26,19 +26,19 @@
 
 // What a data plane does about a drill.
 const (
-	DataPlaneFollows = "follows"
-	DataPlaneSilent  = "silent"
+	DataPlaneParticipating = "follows"
+	DataPlaneSilent        = "silent"
 )
 
-// Record is what the keystore keeps of the newest drill. Renewals rises with each renewal; LeftMs is
+// Record is what the keystore keeps of the newest drill. Renewals rises with each renewal; RemainingMs is
 // the time left at that moment, in milliseconds.
 type Record struct {
 	Number         uint64          `json:"number"`
 	Scope          Scope           `json:"scope"`
 	Share          float64         `json:"share"`
 	Margin         float64         `json:"margin"`
-	ForMs          int64           `json:"forMs"`
-	LeftMs         int64           `json:"leftMs"`
+	DurationMs     int64           `json:"forMs"`
+	RemainingMs    int64           `json:"leftMs"`
 	Renewals       uint64          `json:"beat"`
 	IdempotencyKey string          `json:"mark,omitempty"`
 	Running        bool            `json:"running"`
@@ -49,11 +49,11 @@
 
 // Notice is what data planes are sent of the newest drill.
 type Notice struct {
-	Number  uint64  `json:"number"`
-	Scope   Scope   `json:"scope"`
-	Share   float64 `json:"share"`
-	LeftMs  int64   `json:"leftMs"`
-	Running bool    `json:"running"`
+	Number      uint64  `json:"number"`
+	Scope       Scope   `json:"scope"`
+	Share       float64 `json:"share"`
+	RemainingMs int64   `json:"leftMs"`
+	Running     bool    `json:"running"`
 }
 
 // Status is what an operator sees of a drill: the record, and what each data plane does about it.
@@ -68,13 +68,13 @@
 	if r.Share == 0 {
 		r.Share = DefaultShare
 	}
-	if r.ForMs == 0 {
-		r.ForMs = DefaultDuration.Milliseconds()
+	if r.DurationMs == 0 {
+		r.DurationMs = DefaultDuration.Milliseconds()
 	}
 	if r.Margin == 0 {
 		r.Margin = DefaultMargin
 	}
-	length := time.Duration(r.ForMs) * time.Millisecond
+	length := time.Duration(r.DurationMs) * time.Millisecond
 	switch {
 	case !(r.Share > 0 && r.Share <= 1):
 		return after, apierror.New(apierror.InvalidDrill, "share must be above 0 and at most 1")
@@ -89,8 +89,8 @@
 		Scope:          r.Scope,
 		Share:          r.Share,
 		Margin:         r.Margin,
-		ForMs:          r.ForMs,
-		LeftMs:         r.ForMs,
+		DurationMs:     r.DurationMs,
+		RemainingMs:    r.DurationMs,
 		IdempotencyKey: r.IdempotencyKey,
 		Running:        true,
 	}, nil
@@ -99,14 +99,14 @@
 // End returns the record as ended, with the reason and the counts of each route. guard tells that
 // a guard ended it before its time.
 func (r Record) End(reason string, guard bool, routes []RouteOutcomes) Record {
-	r.Running, r.EndReason, r.EndedByGuard, r.Routes, r.LeftMs = false, reason, guard, routes, 0
+	r.Running, r.EndReason, r.EndedByGuard, r.Routes, r.RemainingMs = false, reason, guard, routes, 0
 	r.Renewals++
 	return r
 }
 
 // Renew returns the record with the time left, which never grows.
 func (r Record) Renew(left time.Duration) Record {
-	r.LeftMs = min(r.LeftMs, left.Milliseconds())
+	r.RemainingMs = min(r.RemainingMs, left.Milliseconds())
 	r.Renewals++
 	return r
 }
--- a/internal/drill/response.go
+++ b/internal/drill/response.go
@@ -9,33 +9,33 @@
 // RouteCounts counts sampled requests of a route by what the loss would do to them. Names ending in Now
 // are the same counts without the loss; RecomputedTokens are prompt tokens whose cached prefix is lost.
 type RouteCounts struct {
-	Sampled          int     `json:"sampled"`
-	Staying          int     `json:"stay"`
-	Moved            int     `json:"moved"`
-	Waiting          int     `json:"wait"`
-	WaitingNow       int     `json:"waitNow"`
-	NowhereLoaded    int     `json:"nowhereLoaded"`
-	NowhereLoadedNow int     `json:"nowhereLoadedNow"`
-	BoundToLost      int     `json:"boundToLost"`
-	Late             int     `json:"late"`
-	LateNow          int     `json:"lateNow"`
-	NotFollowed      int     `json:"notFollowed"`
-	RecomputedTokens float64 `json:"tokensReadAgain"`
+	Sampled           int     `json:"sampled"`
+	NotMoved          int     `json:"stay"`
+	Moved             int     `json:"moved"`
+	Waiting           int     `json:"wait"`
+	WaitingNow        int     `json:"waitNow"`
+	ModelNotLoaded    int     `json:"nowhereLoaded"`
+	ModelNotLoadedNow int     `json:"nowhereLoadedNow"`
+	AllRegionsLost    int     `json:"boundToLost"`
+	Late              int     `json:"late"`
+	LateNow           int     `json:"lateNow"`
+	NotSubscribed     int     `json:"notFollowed"`
+	RecomputedTokens  float64 `json:"tokensReadAgain"`
 }
 
 // Add adds other to the counts.
 func (c *RouteCounts) Add(other RouteCounts) {
 	c.Sampled += other.Sampled
-	c.Staying += other.Staying
+	c.NotMoved += other.NotMoved
 	c.Moved += other.Moved
 	c.Waiting += other.Waiting
 	c.WaitingNow += other.WaitingNow
-	c.NowhereLoaded += other.NowhereLoaded
-	c.NowhereLoadedNow += other.NowhereLoadedNow
-	c.BoundToLost += other.BoundToLost
+	c.ModelNotLoaded += other.ModelNotLoaded
+	c.ModelNotLoadedNow += other.ModelNotLoadedNow
+	c.AllRegionsLost += other.AllRegionsLost
 	c.Late += other.Late
 	c.LateNow += other.LateNow
-	c.NotFollowed += other.NotFollowed
+	c.NotSubscribed += other.NotSubscribed
 	c.RecomputedTokens += other.RecomputedTokens
 }
 
@@ -74,7 +74,7 @@
 	Waiting        int `json:"waiting"`
 	Placed         int `json:"placed"`
 	StillWaiting   int `json:"stuck"`
-	BoundToLost    int `json:"boundToLost"`
+	AllRegionsLost int `json:"boundToLost"`
 }
 
 // Add adds other to the counts.
@@ -86,7 +86,7 @@
 	f.Waiting += other.Waiting
 	f.Placed += other.Placed
 	f.StillWaiting += other.StillWaiting
-	f.BoundToLost += other.BoundToLost
+	f.AllRegionsLost += other.AllRegionsLost
 }
 
 // ForecastResponse is the part of a forecast that one data plane measured. Ready is false where it has no
--- a/internal/drill/state.go
+++ b/internal/drill/state.go
@@ -26,7 +26,7 @@
 	}
 	next := State{
 		Record:         record,
-		Deadline:       now.Add(time.Duration(record.LeftMs) * time.Millisecond),
+		Deadline:       now.Add(time.Duration(record.RemainingMs) * time.Millisecond),
 		LeaseExpiresAt: now.Add(LeaseDuration),
 	}
 	if record.Number == s.Number && s.Deadline.Before(next.Deadline) {
@@ -48,10 +48,10 @@
 	}
 	remaining := max(s.Deadline.Sub(now), 0)
 	return &Notice{
-		Number:  s.Number,
-		Scope:   s.Scope,
-		Share:   s.Share,
-		LeftMs:  remaining.Milliseconds(),
-		Running: s.IsRunning(now),
+		Number:      s.Number,
+		Scope:       s.Scope,
+		Share:       s.Share,
+		RemainingMs: remaining.Milliseconds(),
+		Running:     s.IsRunning(now),
 	}
 }
--- a/internal/drill/state_test.go
+++ b/internal/drill/state_test.go
@@ -10,7 +10,7 @@
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestState_AdoptsRenewalsWithoutMovingTheDeadline(t *testing.T) {
-	first := Record{Number: 3, LeftMs: 60_000, Running: true}
+	first := Record{Number: 3, RemainingMs: 60_000, Running: true}
 	state, changed := State{}.Adopt(first, start)
 	assert.Assert(t, changed)
 	assert.Assert(t, state.Deadline.Equal(start.Add(time.Minute)))
@@ -34,6 +34,6 @@
 	assert.Assert(t, ended.Notice(nil, start) == nil)
 	assert.Equal(t, ended.Notice(&Report{Number: 1}, start).Running, false)
 	running := State{Record: Record{Number: 1, Running: true}, Deadline: start.Add(time.Second), LeaseExpiresAt: start.Add(time.Minute)}
-	assert.Equal(t, running.Notice(nil, start).LeftMs, int64(1000))
-	assert.Equal(t, running.Notice(nil, start.Add(2*time.Second)).LeftMs, int64(0))
+	assert.Equal(t, running.Notice(nil, start).RemainingMs, int64(1000))
+	assert.Equal(t, running.Notice(nil, start.Add(2*time.Second)).RemainingMs, int64(0))
 }
--- a/internal/routing/drill.go
+++ b/internal/routing/drill.go
@@ -45,7 +45,7 @@
 		servableElsewhere: (*Matcher).servableElsewhere,
 		routes:            map[string]*routeRecord{},
 	}
-	endsAt := now.Add(min(time.Duration(notice.LeftMs)*time.Millisecond, drill.MaxDuration))
+	endsAt := now.Add(min(time.Duration(notice.RemainingMs)*time.Millisecond, drill.MaxDuration))
 	active.endsAt.Store(&endsAt)
 	active.lastContact.Store(&now)
 	return active
--- a/internal/routing/drill_record.go
+++ b/internal/routing/drill_record.go
@@ -85,10 +85,10 @@
 func (d *Drill) Report(ended string, now time.Time) *drill.Report {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if d.lastReport != nil && d.lastReport.Ended == ended && now.Sub(d.lastReportAt) < reportTTL {
+	if d.lastReport != nil && d.lastReport.EndReason == ended && now.Sub(d.lastReportAt) < reportTTL {
 		return d.lastReport
 	}
-	report := &drill.Report{Number: d.Number, Ended: ended, Routes: map[string]drill.DataPlaneRouteOutcomes{}}
+	report := &drill.Report{Number: d.Number, EndReason: ended, Routes: map[string]drill.DataPlaneRouteOutcomes{}}
 	for name, record := range d.routes {
 		counts := record.counts
 		counts.FirstTokenDrilled = drill.EncodeHistogram(record.firstDrilled)
--- a/internal/routing/drill_test.go
+++ b/internal/routing/drill_test.go
@@ -21,7 +21,7 @@
 // runDrill runs the same requests on a fleet with a drill and on one without.
 func runDrill(seed uint64, share float64, change func(active *Drill)) drillOutcome {
 	plain, drilled := newSimulatedFleet(seed, 6), newSimulatedFleet(seed, 6)
-	notice := drill.Notice{Number: 1, Scope: drill.Scope{Zone: "isle"}, Share: share, LeftMs: 60000, Running: true}
+	notice := drill.Notice{Number: 1, Scope: drill.Scope{Zone: "isle"}, Share: share, RemainingMs: 60000, Running: true}
 	active := NewDrill(notice, drilled.now, time.Hour)
 	change(active)
 	fleet := *drilled.snapshot.Load()
@@ -67,7 +67,7 @@
 func TestDrill_SmallerShareIsSubsetOfLarger(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	newDrill := func(share float64) *Drill {
-		return NewDrill(drill.Notice{Share: share, LeftMs: 1000}, now, time.Second)
+		return NewDrill(drill.Notice{Share: share, RemainingMs: 1000}, now, time.Second)
 	}
 	small, large, all := newDrill(0.1), newDrill(0.5), newDrill(1)
 	counted := [3]int{}
@@ -87,7 +87,7 @@
 
 func TestDrill_EndsByItselfAndIsNeverExtended(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	active := NewDrill(drill.Notice{Share: 1, LeftMs: 5000}, now, 2*time.Second)
+	active := NewDrill(drill.Notice{Share: 1, RemainingMs: 5000}, now, 2*time.Second)
 	assert.Equal(t, active.EndReason(now.Add(1900*time.Millisecond)), "")
 	assert.Equal(t, active.EndReason(now.Add(2*time.Second)), drill.EndedWithoutContact)
 	active.KeepAlive(now.Add(4*time.Second), time.Hour)
@@ -112,10 +112,10 @@
 		}, simulated.now, nil))
 	}
 	fleet.Drill = NewDrill(drill.Notice{
-		Number: 1,
-		Scope:  drill.Scope{Zone: "isle"},
-		Share:  1,
-		LeftMs: 60000,
+		Number:      1,
+		Scope:       drill.Scope{Zone: "isle"},
+		Share:       1,
+		RemainingMs: 60000,
 	}, simulated.now, time.Hour)
 	simulated.snapshot.Store(&fleet)
 	simulated.matcher.replicas.watch("east").fullUntil = simulated.now.Add(time.Hour)
--- a/internal/routing/forecast.go
+++ b/internal/routing/forecast.go
@@ -170,7 +170,7 @@
 		answer.InFlight.Placed++
 	default:
 		if f.loss.LosesAllRegions(request.AllowedRegions) {
-			answer.InFlight.BoundToLost++
+			answer.InFlight.AllRegionsLost++
 		} else {
 			answer.InFlight.StillWaiting++
 		}
--- a/internal/routing/forecast_route.go
+++ b/internal/routing/forecast_route.go
@@ -48,12 +48,12 @@
 			oldest = request.ArrivedAt
 		}
 		if hosts == nil && f.now.Sub(request.ArrivedAt) > demandTTL {
-			route.NotFollowed++
+			route.NotSubscribed++
 			continue
 		}
 		f.decide(&route, request)
 	}
-	route.RatePerS = float64(route.Sampled+route.NotFollowed) / max(f.now.Sub(oldest).Seconds(), 1)
+	route.RatePerS = float64(route.Sampled+route.NotSubscribed) / max(f.now.Sub(oldest).Seconds(), 1)
 	route.FirstTokenNow = drill.EncodeHistogram(route.firstTokenNow)
 	route.FirstTokenAfterLoss = drill.EncodeHistogram(route.firstTokenAfterLoss)
 	return route.DataPlaneRoute
@@ -92,7 +92,7 @@
 func (r *routeForecast) countNow(request *Request, without forecastDecision) {
 	switch {
 	case without.replica == nil && without.modelNotLoaded:
-		r.NowhereLoadedNow++
+		r.ModelNotLoadedNow++
 	case without.replica == nil:
 		r.WaitingNow++
 	default:
@@ -113,12 +113,12 @@
 		if without.replica != nil && f.lost[without.replica.ID] != nil {
 			route.Moved++
 		} else {
-			route.Staying++
+			route.NotMoved++
 		}
 	case f.loss.LosesAllRegions(request.AllowedRegions):
-		route.BoundToLost++
+		route.AllRegionsLost++
 	case with.modelNotLoaded:
-		route.NowhereLoaded++
+		route.ModelNotLoaded++
 	default:
 		route.Waiting++
 	}
--- a/internal/routing/forecast_test.go
+++ b/internal/routing/forecast_test.go
@@ -167,14 +167,14 @@
 		case decision := <-request.Decided:
 			if decision.Ticket != nil {
 				counts.Late += lateCount(scoredPair{predictedMs: decision.Ticket.predictedMs}, request)
-				counts.Staying++
+				counts.NotMoved++
 			}
 		default:
 			switch {
 			case request.modelNotLoaded && isleLoss.LosesAllRegions(request.AllowedRegions):
-				counts.BoundToLost++
+				counts.AllRegionsLost++
 			case request.modelNotLoaded:
-				counts.NowhereLoaded++
+				counts.ModelNotLoaded++
 			default:
 				counts.Waiting++
 			}
@@ -194,8 +194,8 @@
 			})
 		}
 	}
-	assert.Assert(t, seen.Moved > 0 && seen.Waiting > 0 && seen.NowhereLoaded > 0, "not every result occurred: %+v", seen)
-	assert.Assert(t, seen.BoundToLost > 0 && seen.Late > seen.LateNow, "not every result occurred: %+v", seen)
+	assert.Assert(t, seen.Moved > 0 && seen.Waiting > 0 && seen.ModelNotLoaded > 0, "not every result occurred: %+v", seen)
+	assert.Assert(t, seen.AllRegionsLost > 0 && seen.Late > seen.LateNow, "not every result occurred: %+v", seen)
 }
 
 // checkForecast compares all counts of a forecast with those after the actual loss of the zone.
@@ -211,10 +211,10 @@
 	}
 	for _, route := range answer.Routes {
 		actual := simulated.actualCounts(sample[route.Name].requests)
-		assert.Equal(t, route.Staying+route.Moved, actual.Staying, route.Name)
-		assert.Equal(t, route.NowhereLoaded, actual.NowhereLoaded)
+		assert.Equal(t, route.NotMoved+route.Moved, actual.NotMoved, route.Name)
+		assert.Equal(t, route.ModelNotLoaded, actual.ModelNotLoaded)
 		assert.Equal(t, route.Waiting, actual.Waiting)
-		assert.Equal(t, route.BoundToLost, actual.BoundToLost)
+		assert.Equal(t, route.AllRegionsLost, actual.AllRegionsLost)
 		assert.Equal(t, route.Late, actual.Late)
 	}
 	for model, cached := range answer.Cached {
--- a/internal/sim/emulator/forecast.go
+++ b/internal/sim/emulator/forecast.go
@@ -72,7 +72,7 @@
 		basis.DataPlanes[answer.DataPlane] = state.Zone
 		answers = append(answers, answer)
 	}
-	merged := drill.Merge(basis, answers)
+	merged := drill.MergeForecast(basis, answers)
 	view := s.View.Clone()
 	view.RemoveZones(func(zone string) bool { return s.Loss.Covers(zone, s.Loss.Regions[zone]) })
 	for _, action := range placement.Forecast(view) {
@@ -109,7 +109,7 @@
 			FigurePlaced:      float64(merged.InFlight.Placed),
 			FigureInterrupted: float64(merged.InFlight.OnLostReplicas + merged.InFlight.Waiting),
 			FigureGoOn:        float64(merged.InFlight.Resumable + merged.InFlight.Waiting),
-			FigureRegionBound: float64(merged.InFlight.BoundToLost),
+			FigureRegionBound: float64(merged.InFlight.AllRegionsLost),
 			FigureMoving:      0,
 			FigureWarm:        0,
 			FigureFull:        0,
@@ -163,11 +163,11 @@
 func (f Forecast) addRoute(route drill.RouteForecast) {
 	share := func(amount int) float64 { return float64(amount) / float64(route.Sampled) }
 	for name, value := range map[string]float64{
-		ThenNotLoaded:   share(route.NowhereLoaded),
+		ThenNotLoaded:   share(route.ModelNotLoaded),
 		ThenWaits:       share(route.Waiting),
-		ThenRegionBound: share(route.BoundToLost),
-		ThenMissed:      share(route.Late + route.Waiting + route.NowhereLoaded + route.BoundToLost),
-		NowMissed:       share(route.LateNow + route.WaitingNow + route.NowhereLoadedNow),
+		ThenRegionBound: share(route.AllRegionsLost),
+		ThenMissed:      share(route.Late + route.Waiting + route.ModelNotLoaded + route.AllRegionsLost),
+		NowMissed:       share(route.LateNow + route.WaitingNow + route.ModelNotLoadedNow),
 	} {
 		f[route.Name+": "+name] = value
 	}
--- a/internal/test/integration/drill_guard_test.go
+++ b/internal/test/integration/drill_guard_test.go
@@ -70,7 +70,7 @@
 		f.kill(edgeHost(2))
 		f.startEdge(edgeHost(2))
 		time.Sleep(1500 * time.Millisecond)
-		assert.Equal(t, f.drillStatus(1, http.MethodGet).DataPlanes["daemon-"+edgeHost(2)], drill.DataPlaneFollows)
+		assert.Equal(t, f.drillStatus(1, http.MethodGet).DataPlanes["daemon-"+edgeHost(2)], drill.DataPlaneParticipating)
 		from := time.Now()
 		work := f.startTraffic([]int{2}, mixed)
 		time.Sleep(2500 * time.Millisecond)
--- a/internal/test/integration/drill_random_faults_test.go
+++ b/internal/test/integration/drill_random_faults_test.go
@@ -63,7 +63,7 @@
 			rng := rand.New(rand.NewPCG(seed, 3))
 			f, replicas := startTwoRegions(t, 2)
 			request := southDrill
-			request.ForMs = 6000
+			request.DurationMs = 6000
 			f.startDrill(1, request)
 			until := time.Now().Add(6500 * time.Millisecond)
 			work := f.startTraffic([]int{1, 2}, map[string]string{"/patient/": "swift"})
--- a/internal/test/integration/drill_requests_test.go
+++ b/internal/test/integration/drill_requests_test.go
@@ -17,7 +17,7 @@
 	return got, forecast
 }
 
-var southDrill = drill.Request{Kind: drill.KindDrill, Scope: drill.Scope{Zone: "south"}, Share: 1, ForMs: 8000}
+var southDrill = drill.Request{Kind: drill.KindDrill, Scope: drill.Scope{Zone: "south"}, Share: 1, DurationMs: 8000}
 
 func (f *fleet) postDrill(core int, request drill.Request) (drill.Status, int) {
 	got, _ := f.postRehearsal(core, request)
@@ -44,6 +44,6 @@
 
 func longDrill() drill.Request {
 	request := southDrill
-	request.ForMs = 60000
+	request.DurationMs = 60000
 	return request
 }
--- a/internal/test/integration/drill_test.go
+++ b/internal/test/integration/drill_test.go
@@ -37,11 +37,11 @@
 		assert.Equal(t, seen["/quick/swift"]+seen["/patient/swift"], 0, "%v", seen)
 		assert.Assert(t, seen["/quick/aother"] > 0 && seen["/homely/swift"] > 0, "the last copy and home-bound work go on: %v", seen)
 		midway := f.drillStatus(3, http.MethodGet)
-		assert.Assert(t, midway.Running && midway.LeftMs < 4500 && midway.LeftMs > 2500, "%+v", midway)
+		assert.Assert(t, midway.Running && midway.RemainingMs < 4500 && midway.RemainingMs > 2500, "%+v", midway)
 		assert.DeepEqual(
 			t,
 			midway.DataPlanes,
-			map[string]string{"daemon-" + edgeHost(1): drill.DataPlaneFollows, "daemon-" + edgeHost(2): drill.DataPlaneFollows},
+			map[string]string{"daemon-" + edgeHost(1): drill.DataPlaneParticipating, "daemon-" + edgeHost(2): drill.DataPlaneParticipating},
 		)
 		time.Sleep(5 * time.Second)
 		ended := f.drillStatus(1, http.MethodGet)
@@ -129,8 +129,8 @@
 		cases := []drill.Request{
 			{Scope: zone, Share: 1.5},
 			{Scope: zone, Share: -1},
-			{Scope: zone, ForMs: 1},
-			{Scope: zone, ForMs: 3600000},
+			{Scope: zone, DurationMs: 1},
+			{Scope: zone, DurationMs: 3600000},
 			{Scope: zone, Margin: 2},
 			{Scope: drill.Scope{Zone: "east"}},
 			{},
--- a/internal/test/integration/forecast_test.go
+++ b/internal/test/integration/forecast_test.go
@@ -66,10 +66,10 @@
 		assert.Assert(t, forecast.Control.KeepsMajority && len(forecast.Control.Lost) == 0)
 		quick, bound := findRoute(t, forecast, "quick"), findRoute(t, forecast, "bound")
 		assert.Equal(t, quick.Sampled, 38)
-		assert.Equal(t, quick.NowhereLoaded, 6)
-		assert.Equal(t, quick.Staying+quick.Moved, 32)
+		assert.Equal(t, quick.ModelNotLoaded, 6)
+		assert.Equal(t, quick.NotMoved+quick.Moved, 32)
 		assert.Equal(t, bound.Sampled, 6)
-		assert.Equal(t, bound.BoundToLost, 6)
+		assert.Equal(t, bound.AllRegionsLost, 6)
 		assert.Assert(t, quick.FirstTokenNow.Count == 38 && quick.FirstTokenAfterLoss.Count == 32, "%+v", quick)
 		assert.Assert(
 			t,
