--- a/internal/controlplane/demand/arrivals.go
+++ b/internal/controlplane/demand/arrivals.go
@@ -2,21 +2,20 @@
 
 import "ferryspar/internal/peer"
 
-// arrivalBatch is arrivals and prefill times by model key that are sent together. Its number stays the same however
-// often it is sent; 0 stands for no batch.
+// arrivalBatch holds arrivals and prefill times by model key that are sent together. It keeps its number when it is
+// resent; number 0 means that there is no batch.
 type arrivalBatch struct {
 	number uint64
 	models map[string]peer.ModelLoad
 }
 
-// arrivalOutbox keeps arrivals until the placement lease's holder is known to have received them. The aggregator's lock
-// guards it.
+// arrivalOutbox keeps arrivals until the placement lease's holder has acknowledged them. The aggregator's lock guards it.
 type arrivalOutbox struct {
-	// pending holds the arrivals by model key that aren't in a batch yet.
+	// pending holds the arrivals that aren't in a batch yet, by model key.
 	pending map[string]peer.ModelLoad
-	// lastNumber is that of the newest batch.
+	// lastNumber is the number of the newest batch.
 	lastNumber uint64
-	// inFlight holds the batches being sent by number, uncertain those to be sent again, the oldest first.
+	// inFlight holds the batches being sent, by number; uncertain holds those to be resent, oldest first.
 	inFlight  map[uint64]arrivalBatch
 	uncertain []arrivalBatch
 }
@@ -37,7 +36,7 @@
 	o.pending[key] = total
 }
 
-// nextResend returns the oldest batch that may not have been received, as in flight again, if there is one.
+// nextResend returns the oldest batch that may not have been received, if there is one, and marks it as in flight again.
 func (o *arrivalOutbox) nextResend() (batch arrivalBatch, found bool) {
 	if len(o.uncertain) == 0 {
 		return arrivalBatch{}, false
@@ -48,7 +47,7 @@
 	return batch, true
 }
 
-// nextBatch puts the pending arrivals of the included models into a new batch; of number 0 if there are none.
+// nextBatch moves the pending arrivals of the included models into a new batch. Its number is 0 if there are none.
 func (o *arrivalOutbox) nextBatch(included func(key string) bool) arrivalBatch {
 	models := map[string]peer.ModelLoad{}
 	for key, total := range o.pending {
@@ -66,10 +65,10 @@
 	return batch
 }
 
-// markDelivered forgets a batch in flight that was received.
+// markDelivered drops a batch in flight that was acknowledged.
 func (o *arrivalOutbox) markDelivered(number uint64) { delete(o.inFlight, number) }
 
-// markUncertain has a batch in flight sent again, as it may not have been received.
+// markUncertain schedules a batch in flight to be resent, as it may not have been received.
 func (o *arrivalOutbox) markUncertain(number uint64) {
 	if batch, known := o.inFlight[number]; known {
 		delete(o.inFlight, number)
@@ -77,23 +76,24 @@
 	}
 }
 
-// batchWindow is how many numbers below the highest a delayed batch may be and still be distinguished from one received before.
+// batchWindow is the size of the deduplication window: a delayed batch whose number is less than batchWindow below the highest
+// one received can still be distinguished from a duplicate.
 const batchWindow = 64
 
-// receivedBatches are the numbers of the batches received of one incarnation of a sender.
+// receivedBatches records the numbers of the batches received from one incarnation of a sender.
 type receivedBatches struct {
 	incarnation string
 	highest     uint64
 	numbers     map[uint64]bool
 }
 
-// newReceivedBatches returns the record of an incarnation of which no batch was received.
+// newReceivedBatches returns an empty record for an incarnation.
 func newReceivedBatches(incarnation string) *receivedBatches {
 	return &receivedBatches{incarnation: incarnation, numbers: map[uint64]bool{}}
 }
 
-// markReceived records a batch and says whether it is new. One below the window can't be distinguished from one received
-// before and doesn't count as new: a lost count is better than a doubled one.
+// markReceived records a batch and reports whether it is new. A batch below the window can't be distinguished from a
+// duplicate and isn't counted as new: losing a count is better than counting it twice.
 func (b *receivedBatches) markReceived(number uint64) (isNew bool) {
 	if b.numbers[number] || number+batchWindow <= b.highest {
 		return false
--- a/internal/controlplane/demand/arrivals_test.go
+++ b/internal/controlplane/demand/arrivals_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestReceivedBatches_EachIsNewOnce(t *testing.T) {
+func TestReceivedBatches_EachBatchIsNewOnce(t *testing.T) {
 	received := newReceivedBatches("")
 	for _, number := range []uint64{2, 1, 5, 3} {
 		assert.Assert(t, received.markReceived(number))
--- a/internal/controlplane/demand/demand_aggregator.go
+++ b/internal/controlplane/demand/demand_aggregator.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// minSuspecting is how many data planes must suspect a replica, unless all of them do.
+	// minSuspecting is the number of data planes that must suspect a replica for it to count as suspected, unless there are
+	// fewer and all of them suspect it.
 	minSuspecting = 2
 	// suspicionTTL is how long a control plane's suspicions count.
 	suspicionTTL = time.Second
@@ -17,33 +18,34 @@
 	demandTTL = 1500 * time.Millisecond
 )
 
-// DemandAggregator sums, at the placement lease's holder, the demand and the suspicions that the control planes report.
-// It isn't safe for concurrent use: its owner's lock guards it.
+// DemandAggregator sums the demand and the suspicions that the control planes report to the placement lease's holder. It
+// isn't safe for concurrent use: its owner's lock guards it.
 type DemandAggregator struct {
-	// reports holds the last report by member, demand the sums by model key.
+	// reports holds the last report of each member, demand the sums by model key.
 	reports map[string]*memberReport
 	demand  map[string]*modelDemand
-	// changed holds the keys of the sums that changed since they were last written.
+	// changed holds the keys of the sums that changed since the last call of UpdateDemands.
 	changed map[string]bool
-	// waiting holds the keys of the models that requests wait for.
+	// waiting holds the keys of the models that have queued requests.
 	waiting map[string]bool
-	// suspects counts the data planes that suspect each replica, dataPlaneCount all whose suspicions count now.
+	// suspects counts the data planes that suspect each replica; dataPlaneCount counts all data planes whose reports are part of
+	// suspects.
 	suspects       map[string]int
 	dataPlaneCount int
-	// dirty is set by what may call for a new plan.
+	// dirty is set by changes that may require a new placement plan.
 	dirty bool
-	// batches are those received, by member.
+	// batches holds the numbers of the batches received, by member.
 	batches map[string]*receivedBatches
 }
 
-// memberReport is a control plane's last report of its demand. Its suspicions expire before its demand.
+// memberReport is a control plane's last demand report. Its suspicions expire before its demand.
 type memberReport struct {
 	receivedAt     time.Time
 	keys           []string
 	models         []peer.ModelLoad
 	suspects       map[string]int
 	dataPlaneCount int
-	// suspicionsCounted and demandCounted say whether the report is part of the sums.
+	// suspicionsCounted and demandCounted are set while the report's suspicions and demand are part of the sums.
 	suspicionsCounted bool
 	demandCounted     bool
 }
@@ -53,7 +55,7 @@
 	waiting         int
 	running         int
 	latencyTargetMs float64
-	// oldestWaitMs holds the longest wait by member.
+	// oldestWaitMs holds the longest wait of a queued request, by member.
 	oldestWaitMs map[string]float64
 }
 
@@ -69,8 +71,8 @@
 	}
 }
 
-// MarkBatchReceived records the batch of arrivals in a summary and says whether it must be counted: it was not received before.
-// A summary without a batch number counts as new.
+// MarkBatchReceived records the batch of arrivals in a summary and reports whether it is to be counted, that is, whether it was not
+// received before. A summary without a batch number counts as new.
 func (a *DemandAggregator) MarkBatchReceived(summary peer.LoadSummary) bool {
 	if summary.Batch == 0 {
 		return true
@@ -83,8 +85,8 @@
 	return received.markReceived(summary.Batch)
 }
 
-// Add takes in a summary, whose models' keys are given in the same order, and says whether requests have come to wait
-// for another model. A partial summary replaces only the models that it names.
+// Add replaces the member's last summary and reports whether a model has queued requests that had none before. The keys
+// are those of the summary's models, in the same order. A partial summary replaces only the models that it names.
 func (a *DemandAggregator) Add(summary peer.LoadSummary, keys []string, now time.Time) (newlyWaiting bool) {
 	next := &memberReport{
 		receivedAt:        now,
@@ -117,7 +119,7 @@
 	return newlyWaiting
 }
 
-// merged returns this report with the models of the next, partial one in their place.
+// merged returns this report with the models of the partial report next replaced.
 func (r *memberReport) merged(next *memberReport) *memberReport {
 	merged := &memberReport{
 		receivedAt:        next.receivedAt,
@@ -149,7 +151,7 @@
 	}
 }
 
-// removeSuspects takes a report's suspicions out of the sums, unless that has been done.
+// removeSuspects subtracts a report's suspicions from the sums, unless they have been subtracted already.
 func (a *DemandAggregator) removeSuspects(report *memberReport) {
 	if !report.suspicionsCounted {
 		return
@@ -180,7 +182,7 @@
 	a.changed[key] = true
 }
 
-// removeDemand takes a report's demand out of the sums, unless that has been done.
+// removeDemand subtracts a report's demand from the sums, unless it has been subtracted already.
 func (a *DemandAggregator) removeDemand(member string, report *memberReport) {
 	if !report.demandCounted {
 		return
@@ -201,7 +203,7 @@
 	}
 }
 
-// Expire removes what is too old, suspicions before demand.
+// Expire removes suspicions older than suspicionTTL and reports older than demandTTL.
 func (a *DemandAggregator) Expire(now time.Time) {
 	for member, report := range a.reports {
 		age := now.Sub(report.receivedAt)
@@ -219,24 +221,24 @@
 	}
 }
 
-// IsSuspected says whether enough data planes suspect the replica: two, or all that report.
+// IsSuspected reports whether enough data planes suspect the replica: two, or all that report.
 func (a *DemandAggregator) IsSuspected(id string) bool {
 	suspecting := a.suspects[id]
 	return suspecting >= minSuspecting || suspecting > 0 && suspecting == a.dataPlaneCount
 }
 
-// HasWaiting says whether requests wait for any model.
+// HasWaiting reports whether any model has queued requests.
 func (a *DemandAggregator) HasWaiting() bool { return len(a.waiting) > 0 }
 
-// TakeDirty says whether anything may call for a new plan since the last call.
+// TakeDirty reports whether a change since the last call may require a new placement plan.
 func (a *DemandAggregator) TakeDirty() bool {
 	dirty := a.dirty
 	a.dirty = false
 	return dirty
 }
 
-// UpdateDemands writes the sums that changed since the last call into the demands by model key, and marks the models that are
-// waited for as seen now.
+// UpdateDemands writes the sums that changed since the last call into demands, by model key, and sets the time of the last request
+// of the models with queued requests to now.
 func (a *DemandAggregator) UpdateDemands(demands map[string]*placement.Demand, now time.Time) {
 	for key := range a.changed {
 		sum := a.demand[key]
--- a/internal/controlplane/demand/demand_aggregator_test.go
+++ b/internal/controlplane/demand/demand_aggregator_test.go
@@ -12,11 +12,13 @@
 	"ferryspar/internal/placement"
 )
 
+// receivedSummary is the last summary of a member in the reference model.
 type receivedSummary struct {
 	receivedAt time.Time
 	summary    peer.LoadSummary
 }
 
+// expectedDemand sums the unexpired demand from scratch.
 func expectedDemand(received map[string]receivedSummary, now time.Time) map[string]placement.Demand {
 	demands := map[string]placement.Demand{}
 	for _, entry := range received {
@@ -37,6 +39,7 @@
 	return demands
 }
 
+// expectedSuspected computes from scratch whether a replica is suspected.
 func expectedSuspected(received map[string]receivedSummary, id string, now time.Time) bool {
 	suspected, counted := 0, 0
 	for _, entry := range received {
--- a/internal/controlplane/demand/exchange.go
+++ b/internal/controlplane/demand/exchange.go
@@ -16,25 +16,25 @@
 const (
 	// summaryInterval is how often load summaries are sent to the other control planes.
 	summaryInterval = 250 * time.Millisecond
-	// summariesPerDemand is how many turns of load summaries there are to one of demand. A load summary that says nothing new is
-	// sent at these turns only, which keeps it known at its receivers (summaryTTL) though one of them be lost.
+	// summariesPerDemand is the number of summary intervals per demand summary. An unchanged load summary is sent only together
+	// with the demand: often enough that its receivers keep it (summaryTTL) even if one message is lost.
 	summariesPerDemand = 2
-	// unansweredDelay is how long a control plane that has not answered the last summary gets no other load summary: one that has
-	// no time left is asked for more by what it does not keep up with. A call that the network has lost holds up no more than that.
+	// unansweredDelay is how long no further load summary is sent to a control plane that has not answered the last one: more calls
+	// would only add to the load of a node that doesn't keep up. A call lost in the network delays the next summary no longer.
 	unansweredDelay = 600 * time.Millisecond
 	// minDemandInterval is the shortest time between two partial demand summaries.
 	minDemandInterval = 20 * time.Millisecond
 )
 
-// Host is what an Exchange needs to know of the fleet from the control plane that it belongs to.
+// Host is the control plane that an Exchange belongs to, with what it knows of the fleet.
 type Host interface {
-	// OtherControlPlanes returns the addresses of all other control planes that are known.
+	// OtherControlPlanes returns the addresses of all other known control planes.
 	OtherControlPlanes() []string
 	// LeaseHolder returns the address of the placement lease's holder, or "" if none is known.
 	LeaseHolder() string
 	// Roster returns the list of replicas. The slice is never changed in place.
 	Roster() []discovery.Replica
-	// SubscribedReplicas returns the replicas that a data plane is sent, ordered by id.
+	// SubscribedReplicas returns the replicas in the endpoint sets that a data plane has subscribed to, ordered by id.
 	SubscribedReplicas(dataPlane string) peer.ReplicaIDs
 }
 
@@ -43,11 +43,11 @@
 	Call(ctx context.Context, method peer.Method, address string, request, reply any) error
 }
 
-// Sender is what an Exchange says of its control plane in each summary.
+// Sender identifies an Exchange's control plane in each summary.
 type Sender struct {
 	// Member is the address at which it serves other nodes.
 	Member string
-	// Incarnation is different for each process of the member; batches are numbered within it.
+	// Incarnation differs for each process of the member; batches are numbered within an incarnation.
 	Incarnation string
 }
 
@@ -58,22 +58,23 @@
 	host   Host
 	caller Caller
 	clock  func() time.Time
-	// onDemand takes in a demand summary while this control plane holds the placement lease, or may do so.
+	// onDemand handles a demand summary. It is called while this control plane, or the one that sent the summary, takes this one
+	// to hold the placement lease.
 	onDemand func(summary peer.LoadSummary)
 	loads    *LoadAggregator
 	packer   packer
 	unpacked unpackedPeers
 	pending  pendingCalls
-	// usage passes the counts of tenants' requests on; it does nothing where none are wanted.
+	// usage relays the counts of tenants' requests; it is nil if none are wanted.
 	usage *UsageRelay
-	// lastLoad is the load summary of the last turn; it belongs to the goroutine of Run.
+	// lastLoad is the load summary of the last summary interval. Only the goroutine of Run uses it.
 	lastLoad peer.LoadSummary
-	// calls are those under way; Run waits for them.
+	// calls counts the calls in progress; Run waits for them.
 	calls sync.WaitGroup
 }
 
-// NewExchange returns an exchange over the aggregator. It passes demand summaries, the own ones included, to onDemand, and counts of
-// tenants' requests to relay.
+// NewExchange returns an exchange of the aggregator's loads. It passes demand summaries, including this control plane's own, to
+// onDemand, and counts of tenants' requests to relay.
 func NewExchange(
 	sender Sender,
 	host Host,
@@ -96,19 +97,19 @@
 	}
 }
 
-// Run sends summaries of load and demand until the context ends, and demand at once when requests have come to wait for
-// another model.
+// Run sends summaries of load and demand periodically until the context ends, and demand also at once when a model newly has
+// queued requests.
 func (e *Exchange) Run(ctx context.Context) {
 	defer e.calls.Wait()
 	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
-	for turn := 0; ; {
+	for tick := 0; ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			turn++
-			e.sendTurn(ctx, turn%summariesPerDemand == 0)
+			tick++
+			e.sendPeriodic(ctx, tick%summariesPerDemand == 0)
 		case <-e.loads.wake:
 			e.sendDemand(ctx, true)
 			nodesettings.Sleep(ctx, minDemandInterval)
@@ -116,25 +117,25 @@
 	}
 }
 
-// sendTurn sends what is due at a turn: to every other control plane the load summary, unless it says nothing new, and at the turns
-// for it the demand to the placement lease's holder, in one message with the load.
-func (e *Exchange) sendTurn(ctx context.Context, withDemand bool) {
+// sendPeriodic sends the load summary to every other control plane if it has changed or withDemand is set. If withDemand is set, it
+// also sends the demand to the placement lease's holder, in one message with the load.
+func (e *Exchange) sendPeriodic(ctx context.Context, withDemand bool) {
 	load := e.loads.Summary(e.sender.Member, e.clock())
-	isNew := !reflect.DeepEqual(load, e.lastLoad)
+	hasChanged := !reflect.DeepEqual(load, e.lastLoad)
 	e.lastLoad = load
-	if isNew || withDemand {
+	if hasChanged || withDemand {
 		e.sendLoad(ctx, load, withDemand)
 	}
 	if withDemand {
-		e.usage.forget(e.clock())
+		e.usage.dropExpired(e.clock())
 	}
 	if withDemand && !slices.Contains(e.host.OtherControlPlanes(), e.host.LeaseHolder()) {
 		e.sendDemand(ctx, false)
 	}
 }
 
-// sendLoad sends a load summary to every other control plane, with the demand for the placement lease's holder if that is wanted,
-// without waiting for replies.
+// sendLoad sends a load summary to every other control plane without waiting for replies. If withDemand is set, the summary for the
+// placement lease's holder also carries the demand.
 func (e *Exchange) sendLoad(ctx context.Context, load peer.LoadSummary, withDemand bool) {
 	packed := e.packer.pack(load, e.host.Roster())
 	leaseHolder := e.host.LeaseHolder()
@@ -149,18 +150,18 @@
 		var counts usage.Batch
 		if withDemand && address == leaseHolder {
 			summary = summary.WithDemand(e.demandSummary(false))
-			counts = e.usage.next()
+			counts = e.usage.nextBatch()
 			summary.Usage = counts.Entries
 		}
 		e.calls.Go(func() {
-			e.share(ctx, address, summary, counts)
+			e.sendSummary(ctx, address, summary, counts)
 			e.pending.end(address)
 		})
 	}
 }
 
-// share sends a summary of load, demand or both, and notes what became of it and of the counts in it.
-func (e *Exchange) share(ctx context.Context, address string, summary peer.LoadSummary, counts usage.Batch) {
+// sendSummary sends a summary of load, demand or both, and records whether it and the counts in it were delivered.
+func (e *Exchange) sendSummary(ctx context.Context, address string, summary peer.LoadSummary, counts usage.Batch) {
 	var reply peer.LoadSummaryReply
 	err := e.caller.Call(ctx, peer.MethodShareLoad, address, summary, &reply)
 	if err == nil && summary.HasLoad() {
@@ -179,7 +180,7 @@
 	}
 }
 
-// demandSummary is what the placement lease's holder is sent of the demand here.
+// demandSummary returns this control plane's demand summary for the placement lease's holder.
 func (e *Exchange) demandSummary(partial bool) peer.LoadSummary {
 	summary := e.loads.DemandSummary(e.sender.Member, partial)
 	summary.Incarnation = e.sender.Incarnation
@@ -202,10 +203,10 @@
 		e.loads.MarkDelivered(summary)
 		return
 	}
-	e.calls.Go(func() { e.share(ctx, leaseHolder, summary, usage.Batch{}) })
+	e.calls.Go(func() { e.sendSummary(ctx, leaseHolder, summary, usage.Batch{}) })
 }
 
-// HandleLoadReport takes in a data plane's load and answers with the load of all others on the replicas that it may use,
+// HandleLoadReport records a data plane's load and returns the load of all other data planes on the replicas that it may use,
 // packed if the data plane knows the same replicas.
 func (e *Exchange) HandleLoadReport(_ context.Context, report peer.LoadReport) peer.FleetLoad {
 	e.loads.AddReport(report, e.clock())
@@ -222,8 +223,8 @@
 	return fleet
 }
 
-// HandleLoadSummary takes in another control plane's summary. If its loads are packed by a roster that isn't the one
-// here, they are not taken in and the sender is asked for summaries that aren't packed.
+// HandleLoadSummary records another control plane's summary. If its loads are packed by a roster that differs from this
+// node's, they are ignored and the sender is asked for summaries that aren't packed.
 func (e *Exchange) HandleLoadSummary(_ context.Context, summary peer.LoadSummary) peer.LoadSummaryReply {
 	reply := peer.LoadSummaryReply{}
 	if summary.IsDemand {
@@ -246,7 +247,7 @@
 	return reply
 }
 
-// unpackedPeers are the control planes that have another roster, and so can't unpack loads. It is safe for concurrent
+// unpackedPeers records the control planes that have a different roster and so can't unpack loads. It is safe for concurrent
 // use.
 type unpackedPeers struct {
 	// lock guards addresses.
@@ -254,7 +255,7 @@
 	addresses map[string]bool
 }
 
-// contains says whether the control plane needs summaries that aren't packed.
+// contains reports whether the control plane needs summaries that aren't packed.
 func (u *unpackedPeers) contains(address string) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -268,15 +269,17 @@
 	u.addresses[address] = unpacked
 }
 
-// pendingCalls are the load summaries under way, at most one to a control plane. It is safe for concurrent use.
+// pendingCalls records the load summaries that have not been answered, at most one per control plane. It is safe for concurrent
+// use.
 type pendingCalls struct {
 	// lock guards sentAt.
 	lock sync.Mutex
-	// sentAt is when the last summary without an answer was sent, by the address of its receiver.
+	// sentAt is when the last unanswered summary was sent, by the address of its receiver.
 	sentAt map[string]time.Time
 }
 
-// begin records that a summary is sent now, and returns false if an earlier one may yet be answered.
+// begin records that a summary is sent now. It returns false, and records nothing, if an earlier one was sent less than
+// unansweredDelay ago and has not been answered.
 func (p *pendingCalls) begin(address string, now time.Time) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -287,7 +290,7 @@
 	return true
 }
 
-// end records that a summary was answered, or that its call has failed.
+// end records that a summary was answered or its call failed.
 func (p *pendingCalls) end(address string) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/controlplane/demand/exchange_test.go
+++ b/internal/controlplane/demand/exchange_test.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/peer"
 )
 
-// testHost is a fleet of two control planes, "a" and "b".
+// testHost is one of two control planes, "a" and "b".
 type testHost struct {
 	self        string
 	leaseHolder string
@@ -36,14 +36,14 @@
 	return peer.NewReplicaIDs([]string{"i-1"})
 }
 
-// testCaller passes calls to another exchange, and keeps the summaries.
+// testCaller passes calls to another exchange and records the summaries.
 type testCaller struct {
 	lock      sync.Mutex
 	receiver  *Exchange
 	summaries []peer.LoadSummary
-	// loseReplies has calls fail after they were carried out.
+	// loseReplies makes calls fail after they were handled.
 	loseReplies bool
-	// delay is how long each call takes, unless its context ends before; it then takes cancelDelay more.
+	// delay is how long each call takes. If its context ends before that, the call returns after another cancelDelay.
 	delay       time.Duration
 	cancelDelay time.Duration
 }
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// newPair returns the exchanges of control planes "a" and "b". Calls of "a" go to "b" by the caller, and the demand that
-// "b" is sent to demands.
+// newPair returns the exchanges of control planes "a" and "b", of which "b" holds the lease, and the caller that delivers the
+// calls of "a" to "b". The demand summaries that "b" receives are appended to demands.
 func newPair(demands *[]peer.LoadSummary) (first, second *Exchange, caller *testCaller) {
 	roster := []discovery.Replica{{ID: "i-1"}, {ID: "i-2"}}
 	caller = &testCaller{}
@@ -82,7 +82,7 @@
 	return first, second, caller
 }
 
-// runFor runs the exchange for the duration, and waits until it has stopped.
+// runFor runs the exchange for the duration and waits until it has stopped.
 func runFor(t *testing.T, exchange *Exchange, duration time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), duration)
@@ -90,7 +90,7 @@
 	exchange.Run(ctx)
 }
 
-func TestExchange_PacksLoadForDataPlaneThatKnowsTheSameReplicas(t *testing.T) {
+func TestExchange_PacksLoadForDataPlaneWithSameReplicas(t *testing.T) {
 	host := &testHost{self: "a", roster: []discovery.Replica{{ID: "i-1"}}}
 	exchange := NewExchange(Sender{Member: "a"}, host, &testCaller{}, NewLoadAggregator(), nil, nil, time.Now)
 	other := peer.ReplicaLoad{Running: 3, Tokens: 250, PrefillTokens: 100, Outcomes: peer.Outcomes{Served: 4, Failed: 1}}
@@ -106,17 +106,17 @@
 		want.Tokens = 300 // rounded up to hundreds
 		assert.DeepEqual(t, unpacked, peer.FleetLoad{Total: plain.Total, Replicas: map[string]peer.ReplicaLoad{"i-1": want}})
 	})
-	t.Run("others", func(t *testing.T) {
-		elsewhere := peer.NewReplicaIDs([]string{"i-1", "i-2"})
-		reply := exchange.HandleLoadReport(t.Context(), peer.LoadReport{DataPlane: "edge", Endpoints: elsewhere.Digest})
+	t.Run("different replicas", func(t *testing.T) {
+		different := peer.NewReplicaIDs([]string{"i-1", "i-2"})
+		reply := exchange.HandleLoadReport(t.Context(), peer.LoadReport{DataPlane: "edge", Endpoints: different.Digest})
 		assert.Assert(t, reply.Packed == nil)
-		unpacked, ok := reply.Unpacked(elsewhere)
+		unpacked, ok := reply.Unpacked(different)
 		assert.Assert(t, ok)
 		assert.DeepEqual(t, unpacked, plain)
 	})
 }
 
-func TestExchange_LoadReachesDataPlanesOfOthers(t *testing.T) {
+func TestExchange_SharesLoadWithOtherControlPlanes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var demands []peer.LoadSummary
 		first, second, caller := newPair(&demands)
@@ -135,16 +135,16 @@
 	})
 }
 
-func TestExchange_SendsUnpackedToOtherRoster(t *testing.T) {
+func TestExchange_SendsUnpackedLoadAfterRosterMismatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var demands []peer.LoadSummary
 		first, second, caller := newPair(&demands)
 		second.host.(*testHost).roster = []discovery.Replica{{ID: "i-1"}}
 		first.HandleLoadReport(t.Context(), reportOutcomes("one", "north", 0, 0, 3))
-		first.sendTurn(t.Context(), true)
+		first.sendPeriodic(t.Context(), true)
 		synctest.Wait()
-		assert.Equal(t, len(second.loads.members), 0, "another roster's packed loads mean nothing")
-		first.sendTurn(t.Context(), true)
+		assert.Equal(t, len(second.loads.members), 0, "loads packed by another roster are ignored")
+		first.sendPeriodic(t.Context(), true)
 		synctest.Wait()
 		assert.Assert(t, caller.summaries[0].Packed != nil && caller.summaries[1].Packed == nil)
 		fleet := second.HandleLoadReport(t.Context(), peer.LoadReport{DataPlane: "two"})
@@ -152,7 +152,7 @@
 	})
 }
 
-func TestExchange_SendsNewlyWaitingAtOnceAndLostBatchesAgain(t *testing.T) {
+func TestExchange_SendsNewlyWaitingAtOnceAndResendsLostBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var demands []peer.LoadSummary
 		first, _, caller := newPair(&demands)
@@ -162,7 +162,7 @@
 			Models:    []peer.ModelLoad{{Backend: "s", Model: "m", Waiting: 1, Arrivals: 4}},
 		})
 		runFor(t, first, summaryInterval/2)
-		assert.Equal(t, len(demands), 1, "at once")
+		assert.Equal(t, len(demands), 1, "sent at once")
 		assert.Assert(t, demands[0].Partial)
 		runFor(t, first, (summariesPerDemand+1)*summaryInterval)
 		assert.Equal(t, len(demands), 2)
@@ -175,7 +175,7 @@
 	})
 }
 
-func TestExchange_HandsOwnDemandOverWithoutACall(t *testing.T) {
+func TestExchange_DeliversOwnDemandLocally(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var demands []peer.LoadSummary
 		_, second, caller := newPair(&demands)
@@ -191,12 +191,12 @@
 		assert.Equal(t, len(second.loads.arrivals.inFlight), 0)
 		second.host.(*testHost).leaseHolder = ""
 		second.sendDemand(t.Context(), false)
-		assert.Equal(t, len(demands), 2, "nobody to send it to")
+		assert.Equal(t, len(demands), 2, "no lease holder to send it to")
 		assert.Equal(t, len(caller.summaries), 0)
 	})
 }
 
-func TestExchange_RunWaitsForItsCalls(t *testing.T) {
+func TestExchange_RunWaitsForPendingCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var demands []peer.LoadSummary
 		first, second, caller := newPair(&demands)
@@ -204,19 +204,19 @@
 		first.HandleLoadReport(t.Context(), reportOutcomes("one", "north", 0, 0, 3))
 		startedAt := time.Now()
 		runFor(t, first, time.Second)
-		assert.Equal(t, time.Since(startedAt), time.Second+caller.cancelDelay, "the context ends the calls, and Run waits for that")
+		assert.Equal(t, time.Since(startedAt), time.Second+caller.cancelDelay, "Run waits until the calls have ended with the context")
 		assert.Equal(t, len(second.loads.members), 0)
-		assert.Assert(t, len(caller.summaries) > 1, "one call does not hold up the next")
+		assert.Assert(t, len(caller.summaries) > 1, "a pending call doesn't block the next one")
 	})
 }
 
-func TestExchange_SendsLoadThatSaysNothingNewWithTheDemandOnly(t *testing.T) {
+func TestExchange_SendsUnchangedLoadOnlyWithDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var demands []peer.LoadSummary
 		first, second, caller := newPair(&demands)
 		first.HandleLoadReport(t.Context(), reportOutcomes("one", "north", 0, 0, 3))
 		runFor(t, first, 5*summaryInterval+time.Millisecond)
-		assert.Equal(t, len(caller.summaries), 3, "a new load, and two turns of demand")
+		assert.Equal(t, len(caller.summaries), 3, "a changed load, and two periodic demand summaries")
 		assert.Equal(t, len(demands), 2)
 		for _, summary := range caller.summaries[1:] {
 			assert.Assert(t, summary.IsDemand && summary.HasLoad())
@@ -225,7 +225,7 @@
 	})
 }
 
-func TestExchange_DemandIsTakenInBesideLoadsOfAnotherRoster(t *testing.T) {
+func TestExchange_AcceptsDemandDespiteRosterMismatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var demands []peer.LoadSummary
 		first, second, _ := newPair(&demands)
@@ -235,7 +235,7 @@
 			Models:    []peer.ModelLoad{{Backend: "s", Model: "m", Arrivals: 4}},
 			Replicas:  map[string]peer.ReplicaLoad{"i-1": {Running: 3}},
 		})
-		first.sendTurn(t.Context(), true)
+		first.sendPeriodic(t.Context(), true)
 		synctest.Wait()
 		assert.Equal(t, len(demands), 1)
 		assert.Equal(t, len(second.loads.members), 0)
--- a/internal/controlplane/demand/load_aggregator.go
+++ b/internal/controlplane/demand/load_aggregator.go
@@ -16,25 +16,25 @@
 	summaryTTL = 1500 * time.Millisecond
 )
 
-// LoadAggregator sums the loads that data planes report to this control plane, and keeps the summaries of the other
-// control planes. It is safe for concurrent use.
+// LoadAggregator sums the loads that data planes report to this control plane, and keeps the last summary of each other
+// control plane. It is safe for concurrent use.
 type LoadAggregator struct {
 	// lock guards all fields and everything that they refer to.
 	lock sync.Mutex
-	// reports holds the last report by data plane, local their sums.
+	// reports holds the last report of each data plane, local their sums.
 	reports map[string]dataPlaneReport
 	local   *replicaTotals
 	// suspects counts the data planes that suspect each replica.
 	suspects map[string]int
 	// members holds the last summary by the address of the other control plane.
 	members map[string]memberSummary
-	// arrivals are to be sent to the placement lease's holder.
+	// arrivals holds what has not been delivered to the placement lease's holder yet.
 	arrivals *arrivalOutbox
-	// waiting holds the keys of the models that requests waited for when the demand was last sent, newlyWaiting those
-	// that they have come to wait for since.
+	// waiting holds the keys of the models that had queued requests when the demand was last sent, or have had any since;
+	// newlyWaiting holds only the latter.
 	waiting      map[string]bool
 	newlyWaiting map[string]bool
-	// wake holds a value while newlyWaiting is to be sent.
+	// wake receives a value when newlyWaiting is to be sent.
 	wake chan struct{}
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// AddReport takes in a data plane's report in place of its last.
+// AddReport replaces a data plane's last report.
 func (a *LoadAggregator) AddReport(report peer.LoadReport, now time.Time) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// RemoveReport drops the report of a data plane that reports to another control plane now.
+// RemoveReport drops the report of a data plane that now reports to another control plane.
 func (a *LoadAggregator) RemoveReport(dataPlane string) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// applyReport adds a report to the sums or removes it. The caller holds the lock.
+// applyReport adds a report to the sums or subtracts it. The caller holds the lock.
 func (a *LoadAggregator) applyReport(report peer.LoadReport, change sign) {
 	a.local.applyReport(report, change)
 	for id, load := range report.Replicas {
@@ -116,7 +116,7 @@
 	}
 }
 
-// expire drops what is too old. The caller holds the lock.
+// expire drops reports older than reportTTL and summaries older than summaryTTL. The caller holds the lock.
 func (a *LoadAggregator) expire(now time.Time) {
 	for dataPlane, entry := range a.reports {
 		if now.Sub(entry.receivedAt) > reportTTL {
@@ -130,14 +130,14 @@
 	}
 }
 
-// AddSummary takes in another control plane's summary in place of its last.
+// AddSummary replaces another control plane's last summary.
 func (a *LoadAggregator) AddSummary(summary peer.LoadSummary, now time.Time) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.members[summary.Member] = memberSummary{receivedAt: now, summary: summary}
 }
 
-// FleetLoadFor returns the load that all data planes but the named one put on the replicas, rounded.
+// FleetLoadFor returns the rounded load that all data planes except the named one put on the replicas.
 func (a *LoadAggregator) FleetLoadFor(dataPlane string, replicas []string) peer.FleetLoad {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -161,8 +161,8 @@
 	return fleet
 }
 
-// loadOfOthers returns the load on a replica of all data planes but the one whose report is given. The caller holds the
-// lock.
+// loadOfOthers returns the load that all data planes except the one with the given report put on a replica. The caller
+// holds the lock.
 func (a *LoadAggregator) loadOfOthers(id string, report peer.LoadReport) peer.ReplicaLoad {
 	own := report.Replicas[id]
 	sum := addLoad(a.local.byReplica[id], own, removed)
@@ -179,7 +179,7 @@
 	return roundedLoad(sum, sameZone)
 }
 
-// Summary returns this control plane's sums for the others, after dropping what has expired.
+// Summary drops expired reports and summaries, and returns this control plane's sums for the others.
 func (a *LoadAggregator) Summary(member string, now time.Time) peer.LoadSummary {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -195,8 +195,8 @@
 	return summary
 }
 
-// addContestedOutcomes adds the outcomes at replicas at which other control planes report failures, so that successes
-// here are weighed against them. The caller holds the lock.
+// addContestedOutcomes adds the local outcomes at replicas for which other control planes report failures, so that local
+// successes are weighed against these. The caller holds the lock.
 func (a *LoadAggregator) addContestedOutcomes(summary peer.LoadSummary) {
 	for _, member := range a.members {
 		for id, reported := range member.summary.Replicas {
@@ -209,10 +209,10 @@
 	}
 }
 
-// DemandSummary returns this control plane's part of the demand for the placement lease's holder: a batch of arrivals,
-// and what waits and runs now. A batch that may not have been received goes before a new one. A partial summary holds
-// only models that requests have newly come to wait for. The caller passes the summary to MarkDelivered or
-// MarkUncertain once its fate is known.
+// DemandSummary returns this control plane's part of the demand for the placement lease's holder: a batch of arrivals, and
+// the requests that are queued and running now. A batch that may not have been received is resent before a new one is
+// made. A partial summary holds only models that newly have queued requests. The caller passes the summary to
+// MarkDelivered or MarkUncertain once its call has succeeded or failed.
 func (a *LoadAggregator) DemandSummary(member string, partial bool) peer.LoadSummary {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -233,7 +233,7 @@
 	return summary
 }
 
-// nextBatch returns the arrivals to be sent next; of number 0 if there are none. The caller holds the lock.
+// nextBatch returns the batch of arrivals to send next. Its number is 0 if there are none. The caller holds the lock.
 func (a *LoadAggregator) nextBatch(partial bool, included func(key string) bool) arrivalBatch {
 	if !partial {
 		if batch, uncertain := a.arrivals.nextResend(); uncertain {
@@ -243,8 +243,8 @@
 	return a.arrivals.nextBatch(included)
 }
 
-// modelDemand returns the arrivals of the batch together with what waits and runs now of the included models, and
-// records which models are waited for. The caller holds the lock.
+// modelDemand returns the arrivals of the batch together with the queued and running requests of the included models, and
+// records which models have queued requests. The caller holds the lock.
 func (a *LoadAggregator) modelDemand(batch arrivalBatch, included func(key string) bool) []peer.ModelLoad {
 	models := make(map[string]peer.ModelLoad, len(batch.models))
 	maps.Copy(models, batch.models)
@@ -268,7 +268,7 @@
 	return list
 }
 
-// addDemand adds what waits and runs of a report to a sum.
+// addDemand adds a report's queued and running requests for a model to a sum.
 func addDemand(sum, model peer.ModelLoad) peer.ModelLoad {
 	sum.Waiting += model.Waiting
 	sum.Running += model.Running
@@ -284,8 +284,8 @@
 	a.arrivals.markDelivered(summary.Batch)
 }
 
-// MarkUncertain records that a demand summary may not have been received: its arrivals are sent again under the same
-// number, and models that it reported as waited for count as newly waited for again.
+// MarkUncertain records that a demand summary may not have been received: its arrivals are resent under the same number,
+// and its models with queued requests count as newly waiting again.
 func (a *LoadAggregator) MarkUncertain(summary peer.LoadSummary) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/internal/controlplane/demand/load_aggregator_test.go
+++ b/internal/controlplane/demand/load_aggregator_test.go
@@ -74,7 +74,7 @@
 	assert.Equal(t, aggregator.FleetLoadFor("two", subscribed).Replicas["i-1"].Running, 0)
 }
 
-func TestLoadAggregator_SendsNewlyWaitingModelsOnceAtOnce(t *testing.T) {
+func TestLoadAggregator_WakesOnceForNewlyWaitingModel(t *testing.T) {
 	aggregator := NewLoadAggregator()
 	report := peer.LoadReport{
 		DataPlane: "one",
@@ -107,7 +107,7 @@
 		Waiting: 1,
 	}}
 	aggregator.AddReport(report, testStart)
-	assert.Equal(t, len(aggregator.wake), 0, "requests waited for it before")
+	assert.Equal(t, len(aggregator.wake), 0, "the model had queued requests before")
 	arrivals := map[string]int{}
 	for _, model := range aggregator.DemandSummary("near", false).Models {
 		arrivals[model.Model] = model.Arrivals
@@ -116,7 +116,7 @@
 	aggregator.MarkUncertain(first)
 	for _, model := range aggregator.DemandSummary("near", false).Models {
 		if model.Model == "rare" {
-			assert.Equal(t, model.Arrivals, 1, "uncertain arrivals are sent again")
+			assert.Equal(t, model.Arrivals, 1, "uncertain arrivals are resent")
 		}
 	}
 }
--- a/internal/controlplane/demand/packer.go
+++ b/internal/controlplane/demand/packer.go
@@ -7,18 +7,18 @@
 	"ferryspar/internal/peer"
 )
 
-// packer packs loads by replica in the order of the roster. Both sides must have the same roster, which is checked by a
-// digest of its replica ids. It is safe for concurrent use.
+// packer packs loads by replica in the order of the roster. Sender and receiver must have the same roster, which is
+// checked by a digest of its replica ids. It is safe for concurrent use.
 type packer struct {
 	// lock guards all fields.
 	lock sync.Mutex
-	// firstReplica and replicaCount identify the roster that ids were made of: a roster's slice is never changed in place.
+	// firstReplica and replicaCount identify the roster from which ids was made: a roster's slice is never changed in place.
 	firstReplica *discovery.Replica
 	replicaCount int
 	ids          peer.ReplicaIDs
 }
 
-// rosterIDs returns the ids of a roster, or those of the one before if it is empty.
+// rosterIDs returns the ids of a roster, or those of the previous one if it is empty.
 func (p *packer) rosterIDs(replicas []discovery.Replica) peer.ReplicaIDs {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -34,7 +34,7 @@
 	return p.ids
 }
 
-// pack returns the summary with packed loads, or as it is if the roster lacks one of its replicas.
+// pack returns the summary with packed loads, or unchanged if the roster lacks one of its replicas.
 func (p *packer) pack(summary peer.LoadSummary, replicas []discovery.Replica) peer.LoadSummary {
 	packed, complete := peer.PackLoads(p.rosterIDs(replicas), summary.Replicas)
 	if !complete {
@@ -44,7 +44,7 @@
 	return summary
 }
 
-// unpack returns packed loads by replica id, or false if they were packed by another roster.
+// unpack returns packed loads by replica id, or false if they were packed by a different roster.
 func (p *packer) unpack(packed *peer.PackedLoads, replicas []discovery.Replica) (map[string]peer.ReplicaLoad, bool) {
 	return packed.Unpack(p.rosterIDs(replicas))
 }
--- a/internal/controlplane/demand/packer_test.go
+++ b/internal/controlplane/demand/packer_test.go
@@ -14,7 +14,7 @@
 // tokenUnit is the unit of packed tokens.
 const tokenUnit = 100
 
-func TestPacker_UnpacksOnlyWithSameReplicas(t *testing.T) {
+func TestPacker_UnpacksOnlyWithSameRoster(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		var listed []discovery.Replica
--- a/internal/controlplane/demand/replica_totals.go
+++ b/internal/controlplane/demand/replica_totals.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maxFailedPerReport is how many failures at a replica one data plane's report counts for at most: a data plane
-	// whose own network is at fault must not make others avoid the replica.
+	// maxFailedPerReport caps the failures at a replica that are counted from one data plane's report: a data plane with a
+	// faulty network of its own must not make others avoid the replica.
 	maxFailedPerReport = 2.0
-	// negligible is the value below which a sum counts as zero, as sums of floats that were added and removed do not
-	// come back to it exactly.
+	// negligible is the value below which a sum counts as zero: adding and subtracting the same floats doesn't always give
+	// exactly zero.
 	negligible = 1e-6
 )
 
-// sign says whether something is added to a sum or removed from it.
+// sign tells whether a value is added to a sum or subtracted from it.
 type sign int
 
 const (
@@ -23,14 +23,14 @@
 	removed sign = -1
 )
 
-// zoneReplica is a replica as seen from a zone of data planes.
+// zoneReplica is the key of a replica's outcomes at the data planes of one zone.
 type zoneReplica struct {
 	zone    string
 	replica string
 }
 
-// replicaTotals sums the reports of data planes. A new report is added and the one that it replaces removed, so that the
-// cost of a report doesn't depend on how many data planes there are. The aggregator's lock guards it.
+// replicaTotals sums the reports of data planes. A new report is added and the one that it replaces is subtracted, so that
+// the cost of a report doesn't depend on the number of data planes. The aggregator's lock guards it.
 type replicaTotals struct {
 	byReplica map[string]peer.ReplicaLoad
 	byZone    map[zoneReplica]peer.Outcomes
@@ -45,7 +45,7 @@
 	}
 }
 
-// applyReport adds a report or removes it. Sums that reach zero are dropped.
+// applyReport adds a report or subtracts it. Sums that reach zero are dropped.
 func (t *replicaTotals) applyReport(report peer.LoadReport, change sign) {
 	for id, load := range report.Replicas {
 		outcomes := cappedOutcomes(load.Outcomes)
@@ -57,22 +57,22 @@
 			t.byReplica[id] = sum
 		}
 		key := zoneReplica{zone: report.Zone, replica: id}
-		ofZone := addOutcomes(t.byZone[key], outcomes, change)
-		if math.Abs(ofZone.Served)+math.Abs(ofZone.Failed) < negligible {
+		zoneSum := addOutcomes(t.byZone[key], outcomes, change)
+		if math.Abs(zoneSum.Served)+math.Abs(zoneSum.Failed) < negligible {
 			delete(t.byZone, key)
 		} else {
-			t.byZone[key] = ofZone
+			t.byZone[key] = zoneSum
 		}
 	}
 }
 
-// isNegligible says whether a sum counts as zero.
+// isNegligible reports whether a sum counts as zero.
 func isNegligible(sum peer.ReplicaLoad) bool {
 	magnitude := math.Abs(sum.Tokens) + math.Abs(sum.PrefillTokens) + math.Abs(sum.Served) + math.Abs(sum.Failed)
 	return sum.Running == 0 && magnitude < negligible
 }
 
-// rounded returns the sums by replica as other control planes are sent them.
+// rounded returns the sums by replica, rounded for other control planes.
 func (t *replicaTotals) rounded() map[string]peer.ReplicaLoad {
 	rounded := make(map[string]peer.ReplicaLoad, len(t.byReplica))
 	for id, sum := range t.byReplica {
@@ -100,12 +100,12 @@
 	return byZone
 }
 
-// cappedOutcomes caps what the failures of one data plane count for.
+// cappedOutcomes caps the failures of one data plane at maxFailedPerReport.
 func cappedOutcomes(outcomes peer.Outcomes) peer.Outcomes {
 	return peer.Outcomes{Served: outcomes.Served, Failed: min(outcomes.Failed, maxFailedPerReport)}
 }
 
-// addOutcomes adds outcomes to a sum or removes them.
+// addOutcomes adds outcomes to a sum or subtracts them.
 func addOutcomes(sum, outcomes peer.Outcomes, change sign) peer.Outcomes {
 	return peer.Outcomes{
 		Served: sum.Served + float64(change)*outcomes.Served,
@@ -113,7 +113,7 @@
 	}
 }
 
-// addLoad adds a data plane's load to a sum or removes it.
+// addLoad adds a data plane's load to a sum or subtracts it.
 func addLoad(sum, load peer.ReplicaLoad, change sign) peer.ReplicaLoad {
 	sum.Running += int(change) * load.Running
 	sum.Tokens += float64(change) * load.Tokens
@@ -122,7 +122,7 @@
 	return sum
 }
 
-// roundedLoad rounds a sum. Outcomes are only part of it if there were failures.
+// roundedLoad rounds a sum. Outcomes are included only if there were failures.
 func roundedLoad(sum peer.ReplicaLoad, sameZone peer.Outcomes) peer.ReplicaLoad {
 	rounded := peer.ReplicaLoad{
 		Running:       sum.Running,
--- a/internal/controlplane/demand/usage.go
+++ b/internal/controlplane/demand/usage.go
@@ -6,15 +6,15 @@
 	"ferryspar/internal/usage"
 )
 
-// UsageRelay keeps the counts of tenants' requests that data planes report here, and passes them on to the holder of the placement
-// lease. A nil UsageRelay does nothing: no counts are wanted.
+// UsageRelay keeps the counts of tenants' requests that data planes report to this control plane, and relays them to the holder of
+// the placement lease. A nil UsageRelay does nothing; it stands for a control plane on which no counts are wanted.
 type UsageRelay struct {
-	// Ledger holds the counts.
 	Ledger  *usage.Ledger
 	Windows usage.Windows
-	// Retention is for how long after its end a window is kept.
+	// Retention is how long a window is kept after its end.
 	Retention time.Duration
-	// TimeOfDay is the time of day on which the control planes agree, at a reading of the steady clock, or false.
+	// TimeOfDay returns the time of day that the control planes have agreed on, at a reading of the monotonic clock, or false if
+	// there is none.
 	TimeOfDay func(now time.Time) (time.Time, bool)
 
 	delivery usage.Delivery
@@ -26,23 +26,23 @@
 	}
 }
 
-// next is what the lease holder is not known to have.
-func (u *UsageRelay) next() usage.Batch {
+// nextBatch returns the entries that the lease holder hasn't acknowledged.
+func (u *UsageRelay) nextBatch() usage.Batch {
 	if u == nil {
 		return usage.Batch{}
 	}
 	return u.delivery.Next(u.Ledger)
 }
 
-// acknowledge records that the lease holder, of an incarnation, has taken in a batch.
+// acknowledge records that the lease holder has received a batch. The receiver is the lease holder's incarnation.
 func (u *UsageRelay) acknowledge(receiver string, batch usage.Batch) {
 	if u != nil {
 		u.delivery.Acknowledge(receiver, batch)
 	}
 }
 
-// forget drops windows that have long been reported.
-func (u *UsageRelay) forget(now time.Time) {
+// dropExpired drops windows that ended longer than Retention ago.
+func (u *UsageRelay) dropExpired(now time.Time) {
 	if u == nil {
 		return
 	}
@@ -51,7 +51,7 @@
 	}
 }
 
-// timeOfDayUs is what data planes are told of the time of day, 0 if that is not known or not wanted.
+// timeOfDayUs returns the time of day to be sent to data planes, in microseconds, or 0 if it is not known or not wanted.
 func (u *UsageRelay) timeOfDayUs(now time.Time) int64 {
 	if u == nil {
 		return 0
