--- a/internal/controlplane/roster/control_cluster_test.go
+++ b/internal/controlplane/roster/control_cluster_test.go
@@ -15,7 +15,7 @@
 	"ferryspar/internal/peer"
 )
 
-// control is the control plane of one node: whether it holds the lease is set by the test.
+// control is the control plane of one node. The test sets which node holds the lease.
 type control struct {
 	noLease
 	self    string
@@ -25,12 +25,12 @@
 	asOf    time.Time
 }
 
-// controlCluster are all control planes by address.
+// controlCluster holds all control planes by address.
 type controlCluster struct {
 	addresses []string
 	rosters   map[string]*Roster
 	controls  map[string]*control
-	// holder is the address of the one that holds the lease, "" for none; lock guards it.
+	// holder is the address of the lease holder, "" for none; lock guards it.
 	lock   sync.Mutex
 	holder string
 }
@@ -83,7 +83,8 @@
 	return nil
 }
 
-func (c *controlCluster) shows(id string) bool {
+// listsDraining reports whether all nodes list the replica as draining.
+func (c *controlCluster) listsDraining(id string) bool {
 	for _, node := range c.controls {
 		list, _, _ := node.PublishedRoster()
 		listed := slices.IndexFunc(list, func(replica discovery.Replica) bool { return replica.ID == id })
@@ -103,7 +104,7 @@
 	return true
 }
 
-// oldestList is how old the oldest list of any node is.
+// oldestList returns the age of the oldest list of any node.
 func (c *controlCluster) oldestList() time.Duration {
 	oldest := time.Duration(0)
 	for _, node := range c.controls {
@@ -113,10 +114,10 @@
 	return oldest
 }
 
-// noHolder is the position of the lease holder where nobody holds the lease.
+// noHolder stands for the position of the lease holder if no node holds the lease.
 const noHolder = -1
 
-// startControls starts control planes that know nothing yet, of which the one at the position holds the lease.
+// startControls starts control planes without a list, of which the one at position holder holds the lease.
 func startControls(t *testing.T, count, holder int, listed *limitedPlatform) *controlCluster {
 	cluster := &controlCluster{rosters: map[string]*Roster{}, controls: map[string]*control{}}
 	for number := range count {
--- a/internal/controlplane/roster/diff.go
+++ b/internal/controlplane/roster/diff.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/discovery"
 )
 
-// diff returns the entries of next that are new or changed since base, and the ids that are gone.
+// diff returns the entries of next that are new or differ from those of base, and the ids that are only in base.
 func diff(base, next []discovery.Replica) (changed []discovery.Replica, removed []string) {
 	previous := map[string]discovery.Replica{}
 	for _, replica := range base {
@@ -22,7 +22,7 @@
 	return changed, slices.Sorted(maps.Keys(previous))
 }
 
-// sameEntry tells whether two entries are the same in every respect.
+// sameEntry reports whether two entries are equal in all fields.
 func sameEntry(left, right discovery.Replica) bool {
 	if (left.TimeLeftMs == nil) != (right.TimeLeftMs == nil) {
 		return false
--- a/internal/controlplane/roster/doc.go
+++ b/internal/controlplane/roster/doc.go
@@ -1,8 +1,8 @@
-// Package roster keeps the platform's list of replicas that all control-plane nodes share. The node that
-// holds the placement lease reads the list from the platform and sends each change to the others; any
-// node whose list grows stale reads it itself.
+// Package roster keeps the platform's list of replicas in sync on all control-plane nodes. The node that
+// holds the placement lease reads the list from the platform and sends each change to the others. A node
+// whose list is stale fetches it from another node or reads it from the platform itself.
 //
-// It decides nothing about replicas: what the lease holder knows of them from later reports, and which it
-// cordons, comes from its Placement. It keeps nothing on disk. Start reading at Roster.Run, then
-// Roster.HandleUpdate for the receiving side.
+// The package decides nothing about replicas: what the lease holder has learned about them from later
+// reports, and which models it cordons, comes from its Placement. Nothing is stored on disk. Start reading
+// at Roster.Run, then Roster.HandleUpdate for the receiving side.
 package roster
--- a/internal/controlplane/roster/intervals_test.go
+++ b/internal/controlplane/roster/intervals_test.go
@@ -15,8 +15,8 @@
 			pause := listInterval(rate, pages)
 			taken := float64(pages) / pause.Seconds()
 			assert.Assert(t, taken <= rate*holderRateShare+1e-6, "%d pages at %f", pages, rate)
-			isThrifty := taken <= rate/listRateDivisor+1e-6
-			assert.Assert(t, isThrifty || pause >= maxListInterval, "%d pages at %f", pages, rate)
+			isEconomical := taken <= rate/listRateDivisor+1e-6
+			assert.Assert(t, isEconomical || pause >= maxListInterval, "%d pages at %f", pages, rate)
 		}
 	}
 	assert.Assert(t, listInterval(44, 15) > time.Second)
@@ -36,9 +36,9 @@
 
 func TestStaleAge_ExceedsListInterval(t *testing.T) {
 	assert.Equal(t, staleAge(44, 1), staleListAge)
-	assert.Assert(t, settledInterval < staleListAge)
-	assert.Equal(t, settled(minListInterval, settledAfter-1), minListInterval)
-	assert.Equal(t, settled(minListInterval, settledAfter), settledInterval)
-	assert.Equal(t, settled(2*time.Second, time.Hour), 2*time.Second, "never more often than the rate allows")
+	assert.Assert(t, unchangedListInterval < staleListAge)
+	assert.Equal(t, stretchedInterval(minListInterval, unchangedAfter-1), minListInterval)
+	assert.Equal(t, stretchedInterval(minListInterval, unchangedAfter), unchangedListInterval)
+	assert.Equal(t, stretchedInterval(2*time.Second, time.Hour), 2*time.Second, "no shorter than the rate allows")
 	assert.Assert(t, staleAge(44, 60) > listInterval(44, 60)+minListInterval)
 }
--- a/internal/controlplane/roster/list.go
+++ b/internal/controlplane/roster/list.go
@@ -9,32 +9,32 @@
 	"ferryspar/internal/peer"
 )
 
-// cordonLifetime is how long a cordon stays without an update of the lease holder: an unload that it
-// precedes has been sent by then, and the list shows it.
-const cordonLifetime = 3 * time.Second
+// cordonTTL is how long a cordon lasts without an update from the lease holder: the unload for which the
+// model was cordoned has been sent by then, and the list shows it.
+const cordonTTL = 3 * time.Second
 
-// list is the platform's list as this node holds it. Its lock guards all of it.
+// list is this node's copy of the platform's list. Its lock guards all fields.
 type list struct {
 	lock     sync.Mutex
 	replicas []discovery.Replica
-	// asOf is a moment at or before which the list was made, by this node's steady clock.
+	// asOf is a time that the list is at least as recent as, by this node's monotonic clock.
 	asOf time.Time
-	// sender is the lease holder whose update the list is, under that version, or "" for a list that
-	// this node read itself.
+	// sender is the lease holder whose update contained the list, and version is its version there. The
+	// sender is "" for a list that did not come as an update.
 	sender  string
 	version string
-	// pages is how many pages of the platform's list it was read from, 0 if that is not known.
+	// pages is the number of pages that the platform's list had, 0 if that is not known.
 	pages int
-	// cordoned is what the lease holder last cordoned, at cordonedAt.
+	// cordoned lists the models that the lease holder cordoned in its last update, received at cordonedAt.
 	cordoned   []string
 	cordonedAt time.Time
-	// fence and sequence are those of the newest update received.
+	// fence and sequence identify the newest update received.
 	fence    uint64
 	sequence uint64
 }
 
-// advance records the fence and sequence of an update, and returns whether it is newer than all before.
-func (l *list) advance(fence, sequence uint64) bool {
+// recordSequence records the fence and sequence of an update, and reports whether it is newer than all before.
+func (l *list) recordSequence(fence, sequence uint64) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if fence < l.fence || fence == l.fence && sequence <= l.sequence {
@@ -44,8 +44,8 @@
 	return true
 }
 
-// set adopts a list that did not come by an update, made at that moment or later, unless the present
-// one is as new. It returns whether it did.
+// set replaces the list by one that did not come as an update, unless the current one is as recent. It
+// reports whether the list was replaced.
 func (l *list) set(replicas []discovery.Replica, pages int, asOf time.Time) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -56,8 +56,8 @@
 	return true
 }
 
-// markDraining adopts that replicas are draining which the present list has otherwise, and returns whether there are any. The
-// rest of the list stays as it was, and as old.
+// markDraining replaces the entries of replicas that are draining but not listed so yet, and reports whether there were any. The
+// rest of the list and its age don't change.
 func (l *list) markDraining(draining map[string]discovery.Replica) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -74,7 +74,7 @@
 	return changed
 }
 
-// pageCount is how many pages the platform's list had, 0 if that is not known.
+// pageCount returns the number of pages that the platform's list had, 0 if that is not known.
 func (l *list) pageCount() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -85,17 +85,17 @@
 type adoption int
 
 const (
-	// adopted: the list of the update is the present one now.
+	// adopted: the list is now that of the update.
 	adopted adoption = iota
-	// baseMismatch: the update is a difference to another list than the present one.
+	// baseMismatch: the update is a difference to a list other than the current one.
 	baseMismatch
-	// superseded: the present list is newer, and the sender of the update has not seen it.
+	// superseded: the current list is newer and came from another node than the update.
 	superseded
 )
 
-// adopt adopts the list of an update that was made at that moment, and what it cordons. Updates of one
-// member come in order; those of a member that has an older list than the present one don't bring that
-// back.
+// adopt applies an update whose list is as of asOf, and the cordons in it. The updates of one member are
+// applied in order, whatever their asOf; an update from another member doesn't replace a newer list by an
+// older one.
 func (l *list) adopt(update peer.RosterUpdate, asOf, now time.Time) adoption {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -115,24 +115,24 @@
 	return adopted
 }
 
-// current returns the list and the moment at or before which it was made.
+// current returns the list and a time that it is at least as recent as.
 func (l *list) current() ([]discovery.Replica, time.Time) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.replicas, l.asOf
 }
 
-// cordonedModels is what the lease holder last cordoned, unless that is too long ago.
+// cordonedModels returns the models that the lease holder last cordoned, or nil once cordonTTL has passed.
 func (l *list) cordonedModels(now time.Time) []string {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	if now.Sub(l.cordonedAt) > cordonLifetime {
+	if now.Sub(l.cordonedAt) > cordonTTL {
 		return nil
 	}
 	return l.cordoned
 }
 
-// age is how old the list may be.
+// age returns an upper bound on the age of the list.
 func (l *list) age(now time.Time) time.Duration {
 	_, asOf := l.current()
 	return now.Sub(asOf)
--- a/internal/controlplane/roster/platform_rate_test.go
+++ b/internal/controlplane/roster/platform_rate_test.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// platformPageSize and platformRate are those of a platform that rejects what exceeds its rate, as in the users' deployments.
+	// platformPageSize and platformRate are those of a platform that rejects calls over its rate, as in users' deployments.
 	platformPageSize = 50
 	platformRate     = 44
-	// platformLatency is how long it takes to answer a page.
+	// platformLatency is how long the platform takes to answer a request for a page.
 	platformLatency = 12 * time.Millisecond
-	// drainBound is how soon all control planes must know that a replica is listed as draining: the shortest drainMs of the
-	// users' deployments, less what the way to the data planes and back takes.
+	// drainBound is the time within which all control planes must know that a replica is listed as draining: the shortest drainMs
+	// of users' deployments, less the round trip to the data planes.
 	drainBound = 2700 * time.Millisecond
-	// firstListBound is how soon after a start of all the list must be known everywhere.
+	// firstListBound is the time within which all nodes must know the list after all have started.
 	firstListBound = 3 * time.Second
-	// takeoverTime is how long a fleet whose control planes were all killed is without a lease holder.
+	// takeoverTime is how long a fleet has no lease holder after all its control planes were killed.
 	takeoverTime = 4 * time.Second
 )
 
-// limitedPlatform answers pages of a list of replicas and rejects calls over its rate, counted over any span of a second.
+// limitedPlatform serves pages of a list of replicas and rejects calls over its rate, counted over a sliding second.
 type limitedPlatform struct {
 	lock     sync.Mutex
 	replicas []discovery.Replica
@@ -90,12 +90,12 @@
 	return p.replicas[index].ID
 }
 
-// Three thousand replicas take sixty pages, of which the platform allows 44 a second.
-func TestRoster_LongListIsReadWithinThePlatformsRate(t *testing.T) {
+// A list of 3000 replicas has 60 pages, of which the platform allows 44 to be read per second.
+func TestRoster_ReadsLongListWithinPlatformRate(t *testing.T) {
 	holders := map[string]int{
-		"the first node holds the lease": 0,
-		"the last":                       2,
-		"the second, after a while without any of them": noHolder,
+		"first node holds the lease":                         0,
+		"last node holds the lease":                          2,
+		"second node, after a period without a lease holder": noHolder,
 	}
 	for name, holder := range holders {
 		t.Run(name, func(t *testing.T) {
@@ -117,24 +117,24 @@
 	}
 }
 
-// awaitLists waits until all nodes know a list.
+// awaitLists waits until all nodes have a list.
 func (c *controlCluster) awaitLists(t *testing.T, bound time.Duration) {
 	startedAt := time.Now()
 	for !c.isListKnown() {
-		assert.Assert(t, time.Since(startedAt) < bound, "a node knows no list")
+		assert.Assert(t, time.Since(startedAt) < bound, "a node has no list")
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// checkDrains lets replicas drain one after the other and expects that all nodes know of each in time.
+// checkDrains drains replicas one after the other and checks that all nodes list each as draining within drainBound.
 func (c *controlCluster) checkDrains(t *testing.T, listed *limitedPlatform) {
 	random := rand.New(rand.NewPCG(7, 1))
 	for range 20 {
 		time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
 		id := listed.drain(random.IntN(3000))
 		drainedAt := time.Now()
-		for !c.shows(id) {
-			assert.Assert(t, time.Since(drainedAt) < drainBound, "%s is not known to drain", id)
+		for !c.listsDraining(id) {
+			assert.Assert(t, time.Since(drainedAt) < drainBound, "%s is not listed as draining everywhere", id)
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -17,23 +17,23 @@
 // Lister reads the platform's list (discovery.Client). It is used by one goroutine.
 type Lister interface {
 	List(ctx context.Context, options discovery.ReadOptions) ([]discovery.Replica, error)
-	// PageCount is how many pages the last complete list had; each counts as a call to the platform.
+	// PageCount returns the number of pages of the last complete list; each counts as a call to the platform.
 	PageCount() int
 }
 
 // Placement is the node's scheduler. Its methods may be called from any goroutine.
 type Placement interface {
-	// HoldsLease tells whether this node holds the placement lease now.
+	// HoldsLease reports whether this node holds the placement lease now.
 	HoldsLease() bool
-	// Fence returns the fencing token of the last lease granted to this node, and false once it has
-	// given that up or lost it.
+	// Fence returns the fencing token of the last lease granted to this node, and false once the node has
+	// released or lost it.
 	Fence() (uint64, bool)
-	// WithObserved returns the list, as of that moment, with what the scheduler knows from later reports,
-	// and the models that it cordons.
+	// WithObserved returns the list, as of asOf, updated with what the scheduler has learned from later
+	// reports, and the models that the scheduler cordons.
 	WithObserved(replicas []discovery.Replica, asOf time.Time) ([]discovery.Replica, []string)
-	// DemandRates are the rates of demand that periodic updates carry to a possible successor.
+	// DemandRates returns the demand rates that periodic updates carry for a possible next lease holder.
 	DemandRates() map[string]peer.Rate
-	// AdoptUpdate takes in what an update of the lease holder says beside the list.
+	// AdoptUpdate applies the parts of a lease holder's update other than the list.
 	AdoptUpdate(update peer.RosterUpdate)
 	// RecordListed records the models of replicas that the lease holder's update lists.
 	RecordListed(replicas []discovery.Replica)
@@ -41,36 +41,36 @@
 
 // Publisher publishes the list to data planes and to the rest of the node.
 type Publisher interface {
-	// PublishRoster publishes a list, ordered by id, and the cordoned models, as of that moment.
+	// PublishRoster publishes a list, ordered by id, and the cordoned models, as of asOf.
 	PublishRoster(replicas []discovery.Replica, cordoned []string, asOf time.Time)
-	// PublishedRoster returns what was published last.
+	// PublishedRoster returns the list, cordoned models and time published last.
 	PublishedRoster() (replicas []discovery.Replica, cordoned []string, asOf time.Time)
 }
 
-// Cluster is the other control-plane nodes.
+// Cluster gives access to the other control-plane nodes.
 type Cluster interface {
-	// OtherControlPlanes lists their addresses.
+	// OtherControlPlanes returns the addresses of the other nodes.
 	OtherControlPlanes() []string
-	// LeaseHolder is the address of the node that held the placement lease last, as far as is known, or "".
+	// LeaseHolder returns the address of the last known holder of the placement lease, or "".
 	LeaseHolder() string
-	// OtherControlPlaneCount is how many of them may read the platform's list beside this node.
+	// OtherControlPlaneCount returns how many other nodes may read the platform's list besides this one.
 	OtherControlPlaneCount() int
 	// Call calls a method of another node.
 	Call(ctx context.Context, method peer.Method, address string, message, reply any) error
 }
 
-// Config is what a roster needs beside its collaborators.
+// Config holds a roster's settings.
 type Config struct {
-	// Self is this node's address, Incarnation names this start of its process.
+	// Self is this node's address, Incarnation identifies its process.
 	Self        string
 	Incarnation string
-	// CallsPerSecond is the rate at which the platform allows its list to be read, in pages.
+	// CallsPerSecond is the rate at which the platform allows pages of its list to be read.
 	CallsPerSecond float64
-	// Clock is the node's steady clock.
+	// Clock is the node's monotonic clock.
 	Clock func() time.Time
 }
 
-// Roster holds the list. Any goroutine may call its methods.
+// Roster holds this node's copy of the list and exchanges updates with the other nodes. Any goroutine may call its methods.
 type Roster struct {
 	config    Config
 	lister    Lister
@@ -82,19 +82,19 @@
 	takeover takeover
 	// reading is set while the platform's list is being read.
 	reading atomic.Bool
-	// changedAt is when a read found another list than the one before; used by the reading loop only.
+	// changedAt is when a read last found a changed list; used by the reading loop only.
 	changedAt time.Time
-	// ratesSentAt is when a periodic update carried the rates of demand last; used by the reading loop only.
+	// ratesSentAt is when a periodic update last carried the demand rates; used by the reading loop only.
 	ratesSentAt time.Time
 	list        list
-	// publishLock is held from reading the list until it is published, so that the newest stays.
+	// publishLock is held from reading the list until it is published, so that an older list never replaces a newer one.
 	publishLock sync.Mutex
 	deliveries  deliveries
-	// sequence is the number of the last update that was composed.
+	// sequence is the sequence number of the last update that was composed.
 	sequence atomic.Uint64
-	// sendRequested asks for an update of all others between the periodic ones.
+	// sendRequested receives a value when an update is to be sent to all other nodes ahead of the next periodic one.
 	sendRequested chan struct{}
-	// sends counts updates under way; Run waits for them.
+	// sends counts the updates in progress; Run waits for them.
 	sends sync.WaitGroup
 }
 
@@ -111,7 +111,7 @@
 	}
 }
 
-// Run reads and sends the list until ctx ends, and returns once all that it started has ended.
+// Run reads and sends the list until ctx ends, and returns once all goroutines that it started have ended.
 func (r *Roster) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { r.runReads(ctx) })
@@ -120,7 +120,7 @@
 	r.sends.Wait()
 }
 
-// Current returns the list, ordered by id, and a moment at or before which it was made.
+// Current returns the list, ordered by id, and a time that it is at least as recent as.
 func (r *Roster) Current() ([]discovery.Replica, time.Time) { return r.list.current() }
 
 // Replicas returns the list, ordered by id.
@@ -129,15 +129,15 @@
 	return replicas
 }
 
-// Adopt adopts and publishes a list, ordered by id, that did not come by an update of the lease holder
-// and was made at that moment or later, of so many pages (0 if not known), unless the present one is as new.
+// Adopt publishes a list, ordered by id, that did not come as an update from the lease holder, unless the
+// current one is as recent. The list is at least as recent as asOf and had so many pages (0 if not known).
 func (r *Roster) Adopt(replicas []discovery.Replica, pages int, asOf time.Time) {
 	if r.list.set(replicas, pages, asOf) {
 		r.Publish()
 	}
 }
 
-// pageCount is how many pages the platform's list has, by the present list or what this node has read itself.
+// pageCount returns the number of pages of the platform's list, from the current list or from this node's own last read.
 func (r *Roster) pageCount() int {
 	if pages := r.list.pageCount(); pages > 0 {
 		return pages
@@ -145,8 +145,8 @@
 	return r.lister.PageCount()
 }
 
-// runReads reads the platform's list while this node holds the lease, or where the lease holder's
-// updates have not come for too long.
+// runReads keeps the list up to date until ctx ends: it reads it from the platform while this node holds the
+// lease, and refreshes it when the lease holder's updates are late.
 func (r *Roster) runReads(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -162,8 +162,8 @@
 	}
 }
 
-// readIfDue reads the list if it is this node's turn, sends it if this node holds the lease, and returns
-// the interval until the next read.
+// readIfDue reads and sends the list if this node holds the lease, or refreshes it if it is stale, and returns
+// the interval until the next call.
 func (r *Roster) readIfDue(ctx context.Context, now time.Time) time.Duration {
 	rate := r.config.CallsPerSecond
 	holdsLease := r.placement.HoldsLease()
@@ -171,7 +171,7 @@
 	if !holdsLease && isStale {
 		r.refreshWithoutLease(ctx, now)
 		if after := r.config.Clock(); r.list.age(after) > recentAge(rate, r.pageCount()) {
-			return r.takeover.askInterval(after)
+			return r.takeover.fetchInterval(after)
 		}
 	}
 	r.takeover = takeover{}
@@ -180,11 +180,11 @@
 	}
 	_ = r.read(ctx, now, discovery.ReadOptions{PagesPerSecond: rate * holderRateShare})
 	r.sendAll(ctx, r.nextContent(now))
-	return settled(listInterval(rate, r.pageCount()), now.Sub(r.changedAt))
+	return stretchedInterval(listInterval(rate, r.pageCount()), now.Sub(r.changedAt))
 }
 
-// nextContent is what the periodic update carries that is due now.
-func (r *Roster) nextContent(now time.Time) content {
+// nextContent returns the content of the periodic update that is due now.
+func (r *Roster) nextContent(now time.Time) updateContent {
 	if now.Sub(r.ratesSentAt) < ratesInterval {
 		return listOnly
 	}
@@ -192,8 +192,8 @@
 	return withRates
 }
 
-// read reads the platform's list and publishes it. An update that another node sends meanwhile may be
-// newer than startedAt; the list that was read is dropped in that case.
+// read reads the platform's list and publishes it. If an update newer than startedAt is received meanwhile,
+// the list that was read is dropped.
 func (r *Roster) read(ctx context.Context, startedAt time.Time, options discovery.ReadOptions) error {
 	options.OnPage = r.observePage
 	r.reading.Store(true)
@@ -205,7 +205,7 @@
 	}
 	replicas := r.merger.Merge(entries, r.lister.PageCount(), startedAt)
 	slices.SortFunc(replicas, byID)
-	addWarmUpElapsed(replicas, r.config.Clock().Sub(startedAt))
+	addReadDuration(replicas, r.config.Clock().Sub(startedAt))
 	if !SameContent(replicas, r.Replicas()) {
 		r.changedAt = startedAt
 	}
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// observePage publishes that replicas are draining as soon as a page shows it. The pages of a long list take seconds to read, and
-// a draining replica must get no more requests by then.
+// observePage publishes draining replicas as soon as a page lists them: all pages of a long list take seconds to read, which is too
+// late to stop requests to a draining replica.
 func (r *Roster) observePage(entries []discovery.Replica) {
 	draining := map[string]discovery.Replica{}
 	for _, entry := range entries {
@@ -230,9 +230,9 @@
 
 func byID(left, right discovery.Replica) int { return strings.Compare(left.ID, right.ID) }
 
-// addWarmUpElapsed makes the warm-up times left those of the moment when the read started. The platform
-// may have stated them as late as now, so they are lengthened by the duration of the read.
-func addWarmUpElapsed(replicas []discovery.Replica, elapsed time.Duration) {
+// addReadDuration converts the remaining warm-up times to those at the start of the read. The platform
+// may have computed them as late as at its end, so they are extended by the duration of the read.
+func addReadDuration(replicas []discovery.Replica, elapsed time.Duration) {
 	for index := range replicas {
 		if remaining := &replicas[index].WarmUpRemainingMs; *remaining > 0 {
 			*remaining += float64(elapsed) / float64(time.Millisecond)
@@ -240,8 +240,8 @@
 	}
 }
 
-// Publish publishes the list, with what the scheduler knows better while this node holds the lease, or
-// with what the lease holder cordoned.
+// Publish publishes the list: with the scheduler's later observations and cordons while this node holds the
+// lease, else with the models that the lease holder cordoned.
 func (r *Roster) Publish() {
 	r.publishLock.Lock()
 	defer r.publishLock.Unlock()
@@ -253,7 +253,7 @@
 	r.publisher.PublishRoster(replicas, cordoned, asOf)
 }
 
-// SameContent tells whether two lists say the same, to a second of warm-up time.
+// SameContent reports whether two lists are equal, with warm-up times compared in seconds.
 func SameContent(left, right []discovery.Replica) bool {
 	return slices.EqualFunc(left, right, func(former, latter discovery.Replica) bool {
 		return discovery.SameReplica(former, latter) &&
@@ -262,5 +262,5 @@
 	})
 }
 
-// warmUpSeconds is the warm-up time left, in seconds rounded up.
+// warmUpSeconds returns the remaining warm-up time in seconds, rounded up.
 func warmUpSeconds(replica discovery.Replica) int { return int(replica.WarmUpRemainingMs+999) / 1000 }
--- a/internal/controlplane/roster/takeover.go
+++ b/internal/controlplane/roster/takeover.go
@@ -11,44 +11,45 @@
 	"ferryspar/internal/peer"
 )
 
-// Without a lease holder, as after a restart of all control planes, or while its updates are late, a node without a recent list
-// asks others for theirs before it reads the platform's, unless the list is short. If all read a list of many pages at once they
-// exceed the platform's rate together, and none gets a complete list for seconds.
+// While there is no lease holder, as after a restart of all control planes, or while its updates are late, a node without a recent
+// list fetches it from other nodes before it reads the platform's, unless the list is short. If all nodes read a list of many pages
+// at once, they exceed the platform's rate together, and none gets a complete list for seconds.
 
 const (
-	// minAskInterval and maxAskInterval bound the pause between two rounds; it grows with the time for which there is no list.
-	minAskInterval = 35 * time.Millisecond
-	maxAskInterval = minListInterval
-	// askIntervalDivisor: the pause is that part of the time for which there has been no list.
-	askIntervalDivisor = 8
-	// readTurn is how much later a node reads the platform's list itself than the one before it.
-	readTurn = 250 * time.Millisecond
-	// readingTTL is for how long it counts that another node said that it was reading; maxAwait is the longest time that a
-	// node waits for others after its turn.
-	readingTTL = 2 * readTurn
-	maxAwait   = 2500 * time.Millisecond
-	// fetchTimeout is how long a node that is asked may take.
+	// minFetchInterval and maxAskInterval bound the pause between two rounds of fetches, which grows with the time for which there has
+	// been no recent list.
+	minFetchInterval = 35 * time.Millisecond
+	maxFetchInterval = minListInterval
+	// fetchIntervalDivisor divides the time for which there has been no recent list to give the pause between two rounds.
+	fetchIntervalDivisor = 8
+	// turnInterval is the delay between the turns of two nodes to read the platform's list.
+	turnInterval = 250 * time.Millisecond
+	// readingTTL is how long another node's reply that it is reading the list counts; maxAwait is how long
+	// after its list became stale a node defers to such a reader at most.
+	readingTTL    = 2 * turnInterval
+	maxReaderWait = 2500 * time.Millisecond
+	// fetchTimeout bounds one round of fetches.
 	fetchTimeout = 400 * time.Millisecond
-	// maxSharedPages is the length of a list, in pages, up to which all nodes may read it at once: waiting for a turn costs more
-	// than the calls.
+	// maxSharedPages is the length of a list, in pages, up to which all nodes may read it at once: the calls cost less than waiting
+	// for a turn.
 	maxSharedPages = 8
-	// maxAsked is how many others are asked in a round.
-	maxAsked = 2
+	// maxTargets is the number of nodes that are asked in one round.
+	maxTargets = 2
 )
 
-// FetchRequest asks another control plane for its list.
+// FetchRequest requests another control plane's list.
 type FetchRequest struct {
-	// Member is the address of the node that asks.
+	// Member is the address of the requesting node.
 	Member string `json:"member"`
 }
 
-// FetchReply is the receiver's list, as old as AgeMs, or none if that isn't recent.
+// FetchReply contains the receiver's list, whose age is AgeMs, or no list if it isn't recent.
 type FetchReply struct {
 	Replicas []discovery.Replica `json:"replicas,omitempty"`
 	AgeMs    int64               `json:"ageMs,omitempty"`
-	// Pages is how many pages the platform's list had, 0 if that is not known.
+	// Pages is the number of pages that the platform's list had, 0 if that is not known.
 	Pages int `json:"pages,omitempty"`
-	// Reading says that the receiver is reading the platform's list.
+	// Reading is set while the receiver is reading the platform's list.
 	Reading bool `json:"reading,omitempty"`
 }
 
@@ -62,77 +63,77 @@
 	return FetchReply{Replicas: replicas, AgeMs: age.Milliseconds(), Pages: r.list.pageCount()}
 }
 
-// takeover is a span of time without a lease and without a recent list. It is used by the reading loop only.
+// takeover is the state of a period during which this node has neither the lease nor a recent list. Only the reading loop uses it.
 type takeover struct {
-	// staleSince is when it began, zero outside of one; readAt is when this node last read the platform's list in it.
+	// staleSince is when the period began, zero outside of one; readAt is when this node last read the platform's list during it.
 	staleSince time.Time
 	readAt     time.Time
-	// takesTurns is set once the platform has rejected a read of this node over the rate, or the list has turned out to be long.
-	takesTurns bool
-	// rounds counts the rounds of asking.
+	// readsInTurn is set once the platform has throttled a read of this node, or the list has turned out to be long.
+	readsInTurn bool
+	// rounds counts the rounds of fetches.
 	rounds int
-	// reader is the node that last said that it was reading the list, at readingAt.
+	// reader is the node that last replied that it was reading the list, at readingAt.
 	reader    string
 	readingAt time.Time
 }
 
-// minPause is the least pause after a round or a read.
+// minPause returns the shortest pause after a round of fetches or a read.
 func (t *takeover) minPause() time.Duration {
 	if t.staleSince.IsZero() {
 		return minReadPause
 	}
-	return minAskInterval
+	return minFetchInterval
 }
 
-// awaitsOther reports whether another node was reading the list a moment ago, and this node has not waited for that too long.
-func (t *takeover) awaitsOther(now time.Time) bool {
-	return now.Sub(t.readingAt) < readingTTL && now.Sub(t.staleSince) < maxAwait
+// isOtherReading reports whether another node was reading the list within readingTTL, unless this node has waited for maxReaderWait.
+func (t *takeover) isOtherReading(now time.Time) bool {
+	return now.Sub(t.readingAt) < readingTTL && now.Sub(t.staleSince) < maxReaderWait
 }
 
-// askInterval is the pause until the next round.
-func (t *takeover) askInterval(now time.Time) time.Duration {
-	return min(max(now.Sub(t.staleSince)/askIntervalDivisor, minAskInterval), maxAskInterval)
+// fetchInterval returns the pause until the next round of fetches.
+func (t *takeover) fetchInterval(now time.Time) time.Duration {
+	return min(max(now.Sub(t.staleSince)/fetchIntervalDivisor, minFetchInterval), maxFetchInterval)
 }
 
-// refreshWithoutLease gets a recent list from the others, or from the platform when it is this node's turn to read it. All that
-// read without the lease take no more of the platform's rate together than the lease holder does.
+// refreshWithoutLease gets a recent list from other nodes, or from the platform when it is this node's turn to read it. All nodes
+// that read without the lease together use no more of the platform's rate than the lease holder does.
 func (r *Roster) refreshWithoutLease(ctx context.Context, now time.Time) {
 	if r.takeover.staleSince.IsZero() {
 		r.takeover = takeover{staleSince: now}
 	}
-	before := r.nodesBefore()
-	isShared := r.pageCount() <= maxSharedPages && !r.takeover.takesTurns
-	isTurn := now.Sub(r.takeover.staleSince) >= time.Duration(len(before))*readTurn && !r.takeover.awaitsOther(now)
+	earlier := r.higherPriorityNodes()
+	isShared := r.pageCount() <= maxSharedPages && !r.takeover.readsInTurn
+	isTurn := now.Sub(r.takeover.staleSince) >= time.Duration(len(earlier))*turnInterval && !r.takeover.isOtherReading(now)
 	interval := sharedListInterval(r.config.CallsPerSecond, r.pageCount(), r.cluster.OtherControlPlaneCount())
 	if (isShared || isTurn) && (r.takeover.readAt.IsZero() || now.Sub(r.takeover.readAt) >= interval) {
 		r.readWithoutLease(ctx, now, isTurn)
 		return
 	}
 	r.takeover.rounds++
-	r.fetch(ctx, r.takeover.nextAsked(before))
+	r.fetch(ctx, r.takeover.nextTargets(earlier))
 }
 
-// readWithoutLease reads the platform's list. A node whose turn it is not stops where the list turns out to be long, and waits for
-// its turn: several that read a long list at once would all be rejected over the rate.
+// readWithoutLease reads the platform's list. Outside its turn, a node stops reading when the list turns out to be long, and waits
+// for its turn: several nodes that read a long list at once would all be throttled.
 func (r *Roster) readWithoutLease(ctx context.Context, now time.Time, isTurn bool) {
-	options := discovery.ReadOptions{PagesPerSecond: r.config.CallsPerSecond * loneRateShare}
+	options := discovery.ReadOptions{PagesPerSecond: r.config.CallsPerSecond * singleReaderRateShare}
 	if !isTurn {
 		options.MaxPages = maxSharedPages
 	}
 	err := r.read(ctx, now, options)
 	switch {
 	case errors.Is(err, discovery.ErrPageLimit):
-		r.takeover.takesTurns = true
+		r.takeover.readsInTurn = true
 	case errors.Is(err, discovery.ErrThrottled):
-		r.takeover.takesTurns, r.takeover.readAt = true, now
+		r.takeover.readsInTurn, r.takeover.readAt = true, now
 	default:
 		r.takeover.readAt = now
 	}
 }
 
-// nodesBefore are the nodes that read the list before this one: the last lease holder, whose update may just be late, then those
-// whose addresses come before this node's.
-func (r *Roster) nodesBefore() []string {
+// higherPriorityNodes returns the nodes whose turn to read the list comes before this node's: the last lease holder, whose update
+// may just be late, then the nodes with lower addresses.
+func (r *Roster) higherPriorityNodes() []string {
 	holder := r.cluster.LeaseHolder()
 	if holder == r.config.Self {
 		return nil
@@ -147,28 +148,28 @@
 	return slices.Concat([]string{holder}, rest)
 }
 
-// nextAsked are the nodes to ask in a round: the one that was reading, then others in turn, so that nodes that are down are
-// passed over.
-func (t *takeover) nextAsked(nodes []string) []string {
-	var asked []string
+// nextTargets returns the nodes to ask in a round: the one that was reading, then others in rotation, so that a round isn't spent on
+// unreachable nodes only.
+func (t *takeover) nextTargets(nodes []string) []string {
+	var targets []string
 	if slices.Contains(nodes, t.reader) {
-		asked = append(asked, t.reader)
+		targets = append(targets, t.reader)
 	}
-	for step := 0; step < len(nodes) && len(asked) < maxAsked; step++ {
+	for step := 0; step < len(nodes) && len(targets) < maxTargets; step++ {
 		if next := nodes[(t.rounds+step)%len(nodes)]; next != t.reader {
-			asked = append(asked, next)
+			targets = append(targets, next)
 		}
 	}
-	return asked
+	return targets
 }
 
-// fetch asks nodes for their list until one has it.
+// fetch asks the nodes one after the other for their lists until one has a recent list.
 func (r *Roster) fetch(ctx context.Context, nodes []string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	for _, address := range nodes {
 		var reply FetchReply
-		askedAt := r.config.Clock()
+		requestedAt := r.config.Clock()
 		if r.cluster.Call(ctx, peer.MethodFetchRoster, address, FetchRequest{Member: r.config.Self}, &reply) != nil {
 			continue
 		}
@@ -176,8 +177,8 @@
 			r.takeover.reader, r.takeover.readingAt = address, r.config.Clock()
 		}
 		if len(reply.Replicas) > 0 {
-			// The reply may have been made as early as it was asked for.
-			r.Adopt(reply.Replicas, reply.Pages, askedAt.Add(-time.Duration(reply.AgeMs)*time.Millisecond))
+			// The reply's age may date from as early as the request was sent.
+			r.Adopt(reply.Replicas, reply.Pages, requestedAt.Add(-time.Duration(reply.AgeMs)*time.Millisecond))
 			return
 		}
 	}
--- a/internal/controlplane/roster/takeover_test.go
+++ b/internal/controlplane/roster/takeover_test.go
@@ -16,7 +16,7 @@
 	"ferryspar/internal/peer"
 )
 
-// platform is the platform's list, which allows so many reads.
+// platform serves the platform's list and counts the reads.
 type platform struct {
 	lock  sync.Mutex
 	reads int
@@ -51,7 +51,7 @@
 	return 60
 }
 
-// noLease is the placement of a node that holds no lease.
+// noLease is the Placement of a node without the lease.
 type noLease struct{}
 
 func (noLease) HoldsLease() bool      { return false }
@@ -63,18 +63,18 @@
 func (noLease) AdoptUpdate(peer.RosterUpdate)     {}
 func (noLease) RecordListed([]discovery.Replica)  {}
 
-// unpublished drops what is published.
-type unpublished struct{}
+// discardPublisher discards what is published.
+type discardPublisher struct{}
 
-func (unpublished) PublishRoster([]discovery.Replica, []string, time.Time) {}
-func (unpublished) PublishedRoster() ([]discovery.Replica, []string, time.Time) {
+func (discardPublisher) PublishRoster([]discovery.Replica, []string, time.Time) {}
+func (discardPublisher) PublishedRoster() ([]discovery.Replica, []string, time.Time) {
 	return nil, nil, time.Time{}
 }
 
-// lastHolder is the node that held the lease last.
+// lastHolder is the node that last held the lease.
 const lastHolder = "c-3"
 
-// nodes are the rosters of all control planes by address. Some may be down.
+// nodes is the Cluster of the node self: all holds the rosters of all control planes by address, some of which may be down.
 type nodes struct {
 	self string
 	all  map[string]*Roster
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// startRosters starts so many control planes without a lease holder; those that are down do not run.
+// startRosters starts count control planes without a lease holder, except those that are down.
 func startRosters(t *testing.T, count int, listed *platform, down ...string) map[string]*Roster {
 	all := map[string]*Roster{}
 	unreachable := map[string]bool{}
@@ -113,7 +113,7 @@
 	for number := range count {
 		address := fmt.Sprintf("c-%d", number)
 		config := Config{Self: address, CallsPerSecond: 400, Clock: time.Now}
-		all[address] = New(config, listed, noLease{}, unpublished{}, nodes{self: address, all: all, down: unreachable})
+		all[address] = New(config, listed, noLease{}, discardPublisher{}, nodes{self: address, all: all, down: unreachable})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -129,7 +129,7 @@
 	return all
 }
 
-func TestRoster_AfterARestartOfAllOneReadsTheListAndTheOthersAskIt(t *testing.T) {
+func TestRoster_OneNodeReadsLongListAfterRestartOfAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listed := &platform{}
 		all := startRosters(t, 9, listed)
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestRoster_ShortListIsReadByAllAtOnce(t *testing.T) {
+func TestRoster_AllNodesReadShortListAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listed := &platform{short: true}
 		all := startRosters(t, 3, listed)
@@ -152,11 +152,11 @@
 	})
 }
 
-func TestRoster_ThrottledNodesTakeTurnsAtAShortListToo(t *testing.T) {
+func TestRoster_ThrottledNodesReadShortListInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listed := &platform{short: true, down: true}
 		all := startRosters(t, 3, listed)
-		time.Sleep(readTurn / 2)
+		time.Sleep(turnInterval / 2)
 		for address, roster := range all {
 			assert.Assert(t, len(roster.Replicas()) == 0, address)
 		}
@@ -164,7 +164,7 @@
 	})
 }
 
-func TestRoster_OthersWaitForAReadThatTakesLong(t *testing.T) {
+func TestRoster_OtherNodesWaitForSlowRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listed := &platform{duration: 1200 * time.Millisecond}
 		all := startRosters(t, 9, listed)
@@ -176,23 +176,23 @@
 	})
 }
 
-func TestRoster_TheLastLeaseHolderIsAskedFirst(t *testing.T) {
+func TestRoster_LastLeaseHolderIsAskedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listed := &platform{}
 		all := startRosters(t, 5, listed)
-		assert.DeepEqual(t, all["c-0"].nodesBefore(), []string{lastHolder})
-		assert.DeepEqual(t, all["c-2"].nodesBefore(), []string{lastHolder, "c-0", "c-1"})
-		assert.DeepEqual(t, all["c-4"].nodesBefore(), []string{lastHolder, "c-0", "c-1", "c-2"})
-		assert.Equal(t, len(all[lastHolder].nodesBefore()), 0)
+		assert.DeepEqual(t, all["c-0"].higherPriorityNodes(), []string{lastHolder})
+		assert.DeepEqual(t, all["c-2"].higherPriorityNodes(), []string{lastHolder, "c-0", "c-1"})
+		assert.DeepEqual(t, all["c-4"].higherPriorityNodes(), []string{lastHolder, "c-0", "c-1", "c-2"})
+		assert.Equal(t, len(all[lastHolder].higherPriorityNodes()), 0)
 	})
 }
 
-func TestRoster_TheNextReadsTheListIfTheFirstAreDown(t *testing.T) {
+func TestRoster_NextNodeReadsListIfEarlierOnesAreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listed := &platform{}
 		down := []string{"c-0", "c-1", lastHolder}
 		all := startRosters(t, 5, listed, down...)
-		time.Sleep(4*readTurn + 100*time.Millisecond)
+		time.Sleep(4*turnInterval + 100*time.Millisecond)
 		for address, roster := range all {
 			assert.Equal(t, len(roster.Replicas()) > 0, !slices.Contains(down, address), address)
 		}
@@ -200,7 +200,7 @@
 	})
 }
 
-func TestRoster_PlatformThatFailsIsNotReadOverAndOver(t *testing.T) {
+func TestRoster_LimitsReadsOfFailingPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listed := &platform{down: true}
 		startRosters(t, 5, listed)
@@ -211,9 +211,9 @@
 	})
 }
 
-func TestRoster_OldListIsNotHandedOn(t *testing.T) {
+func TestRoster_HandleFetchOmitsStaleList(t *testing.T) {
 	now := testStart
-	roster := New(Config{Clock: func() time.Time { return now }}, &platform{}, noLease{}, unpublished{}, nodes{})
+	roster := New(Config{Clock: func() time.Time { return now }}, &platform{}, noLease{}, discardPublisher{}, nodes{})
 	assert.Equal(t, len(roster.HandleFetch(t.Context(), FetchRequest{}).Replicas), 0)
 	roster.Adopt([]discovery.Replica{{ID: "i-1"}}, 1, now)
 	now = now.Add(staleListAge)
--- a/internal/controlplane/roster/updates.go
+++ b/internal/controlplane/roster/updates.go
@@ -10,33 +10,33 @@
 	"ferryspar/internal/peer"
 )
 
-// resendInterval is the wait before an update that was asked for while one was being sent.
+// resendInterval is the pause before an update that was requested while another one was being sent.
 const resendInterval = 40 * time.Millisecond
 
-// ratesInterval is how long after the last periodic update with the rates of demand the next one carries them: they are averages
-// over seconds and minutes.
+// ratesInterval is the shortest interval between two periodic updates that carry the demand rates. They need not be sent more often,
+// since they are averages over seconds and minutes.
 const ratesInterval = 1500 * time.Millisecond
 
-// UpdateReply says whether the receiver of an update now holds its list. Where that list is stale and the
-// receiver holds a newer one, Replicas is that one, as old as AgeMs.
+// UpdateReply is the reply to an update; Adopted is set if the receiver now holds the update's list. If that list
+// is stale and the receiver holds a newer one, Replicas is the newer one, and AgeMs its age.
 type UpdateReply struct {
 	Adopted  bool                `json:"has"`
 	Replicas []discovery.Replica `json:"replicas,omitempty"`
 	AgeMs    int64               `json:"ageMs,omitempty"`
-	// Pages is how many pages the platform's list had that Replicas were read from, 0 if that is not known.
+	// Pages is the number of pages of the platform's list that Replicas were read from, 0 if that is not known.
 	Pages int `json:"pages,omitempty"`
 }
 
-// content is what an update carries beside the list.
-type content int
+// updateContent tells what an update carries besides the list.
+type updateContent int
 
 const (
-	listOnly content = iota
-	// withRates: the rates of demand as well, which a successor starts from.
+	listOnly updateContent = iota
+	// withRates: also the demand rates, from which the next lease holder starts.
 	withRates
 )
 
-// RequestSend has the list sent to the other nodes soon, if this node holds the lease.
+// RequestSend schedules an update to the other nodes if this node holds the lease.
 func (r *Roster) RequestSend() {
 	select {
 	case r.sendRequested <- struct{}{}:
@@ -44,7 +44,7 @@
 	}
 }
 
-// runRequestedSends sends the list whenever that was requested, until ctx ends.
+// runRequestedSends sends the list whenever RequestSend was called, until ctx ends.
 func (r *Roster) runRequestedSends(ctx context.Context) {
 	for {
 		select {
@@ -58,8 +58,8 @@
 	}
 }
 
-// sendAll starts sending the list to each node that it isn't being sent to.
-func (r *Roster) sendAll(ctx context.Context, content content) {
+// sendAll starts sending the list to each other node to which no update is being sent.
+func (r *Roster) sendAll(ctx context.Context, content updateContent) {
 	for _, address := range r.cluster.OtherControlPlanes() {
 		if r.deliveries.begin(address) {
 			r.sends.Go(func() { r.send(ctx, address, content) })
@@ -67,8 +67,8 @@
 	}
 }
 
-// send sends the list to one node, and again for as long as further updates were asked for meanwhile.
-func (r *Roster) send(ctx context.Context, address string, content content) {
+// send sends the list to one node, and resends it as long as further updates were requested meanwhile.
+func (r *Roster) send(ctx context.Context, address string, content updateContent) {
 	for resend := true; resend && ctx.Err() == nil; content = listOnly {
 		update, sent, ok := r.nextUpdate(address, content)
 		if !ok {
@@ -85,9 +85,9 @@
 	}
 }
 
-// nextUpdate composes an update of a node, as a difference where it is known which list the node holds.
-// It fails if this node has no lease.
-func (r *Roster) nextUpdate(address string, content content) (peer.RosterUpdate, *sentList, bool) {
+// nextUpdate composes an update for a node, as a difference if it is known which list the node holds. It
+// returns false if this node has no lease.
+func (r *Roster) nextUpdate(address string, content updateContent) (peer.RosterUpdate, *sentList, bool) {
 	fence, hasLease := r.placement.Fence()
 	if !hasLease {
 		return peer.RosterUpdate{}, nil, false
@@ -114,31 +114,31 @@
 	return update, &sentList{version: update.Version, replicas: replicas}, true
 }
 
-// sendUpdate sends an update and returns whether the node acknowledged its list.
+// sendUpdate sends an update and reports whether the node acknowledged its list.
 func (r *Roster) sendUpdate(ctx context.Context, address string, update peer.RosterUpdate) bool {
 	var reply UpdateReply
 	sentAt := r.config.Clock()
 	if r.cluster.Call(ctx, peer.MethodShareRoster, address, update, &reply) != nil {
 		return false
 	}
-	r.adoptNewer(reply, sentAt)
+	r.adoptIfNewer(reply, sentAt)
 	return reply.Adopted
 }
 
-// adoptNewer adopts the list of a node that holds a newer one: this node can't read the platform's list
-// itself. The reply may have been made as early as the update was sent.
-func (r *Roster) adoptNewer(reply UpdateReply, sentAt time.Time) {
+// adoptIfNewer adopts the newer list in a reply, if there is one: this node failed to read the platform's
+// list itself. The reply's age may date from as early as the update was sent.
+func (r *Roster) adoptIfNewer(reply UpdateReply, sentAt time.Time) {
 	if len(reply.Replicas) > 0 {
 		r.Adopt(reply.Replicas, reply.Pages, sentAt.Add(-time.Duration(reply.AgeMs)*time.Millisecond))
 	}
 }
 
-// HandleUpdate adopts the lease holder's list. A difference to another list than the present one is not
-// adopted, and the reply says so. An update that a newer one has overtaken, or that comes from a lease
-// holder that another one has followed, is ignored. Of an update with an older list than the present
-// one, only what it cordons counts.
+// HandleUpdate applies the lease holder's update. A difference to a list other than the current one is not
+// adopted, and the sender sends the whole list next, as it gets no acknowledgement. An update that was
+// overtaken by a newer one, or comes from a previous lease holder, is ignored. If an update's list is older
+// than the current one, only its cordons are applied.
 func (r *Roster) HandleUpdate(_ context.Context, update peer.RosterUpdate) UpdateReply {
-	if !r.list.advance(update.Fence, update.Sequence) {
+	if !r.list.recordSequence(update.Fence, update.Sequence) {
 		return UpdateReply{}
 	}
 	r.placement.AdoptUpdate(update)
--- a/internal/controlplane/roster/updates_test.go
+++ b/internal/controlplane/roster/updates_test.go
@@ -12,7 +12,8 @@
 	"ferryspar/internal/peer"
 )
 
-// testNode is a node with a lease whose updates reach the receiver, while there is one.
+// testNode implements all collaborators of a roster. It holds the lease if its fence is set, and delivers updates to the
+// receiver, if there is one.
 type testNode struct {
 	fence     uint64
 	published []discovery.Replica
@@ -53,10 +54,10 @@
 	return New(config, nil, node, node, node)
 }
 
-func TestRoster_SendsDifferencesToWhatWasAcknowledged(t *testing.T) {
+func TestRoster_SendsDifferencesFromAcknowledgedList(t *testing.T) {
 	holder, follower := &testNode{fence: 1}, &testNode{}
 	sender, receiver := newTestRoster(holder, "a"), newTestRoster(follower, "b")
-	send := func(content content) peer.RosterUpdate {
+	send := func(content updateContent) peer.RosterUpdate {
 		sender.sendAll(t.Context(), content)
 		sender.sends.Wait()
 		return holder.sent[len(holder.sent)-1]
@@ -88,7 +89,7 @@
 	assert.Equal(t, len(node.sent), 0)
 }
 
-func TestDeliveries_ResendOnceForRequestsWhileSending(t *testing.T) {
+func TestDeliveries_ResendsOnceForRequestsDuringSend(t *testing.T) {
 	deliveries := newDeliveries()
 	assert.Assert(t, deliveries.begin("a"))
 	assert.Assert(t, !deliveries.begin("a"))
