--- a/internal/controlplane/watch/carriers_test.go
+++ b/internal/controlplane/watch/adapterreplicas_test.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/peer"
 )
 
-// withAdapter is the list in which the replicas at some positions have loaded an adapter of the model of largeRoster.
+// withAdapter returns a copy of a list made by largeRoster in which the replicas at the positions have also loaded an adapter.
 func withAdapter(list []discovery.Replica, adapter string, positions ...int) []discovery.Replica {
 	changed := slices.Clone(list)
 	for _, position := range positions {
@@ -23,7 +23,8 @@
 	return changed
 }
 
-func countCarriers(set peer.EndpointSet, adapter string) int {
+// countWithAdapter returns the number of endpoints with the adapter.
+func countWithAdapter(set peer.EndpointSet, adapter string) int {
 	count := 0
 	for _, endpoint := range set.Endpoints {
 		if slices.Contains(endpoint.Adapters, adapter) {
@@ -33,7 +34,7 @@
 	return count
 }
 
-func TestEndpointPublisher_EveryDataPlaneFindsAnAdapterOfALargeSet(t *testing.T) {
+func TestEndpointPublisher_SendsAdapterReplicasOfLargeSetToAll(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	roster := withAdapter(largeRoster(3000), "rare", 17, 1234)
 	var often []int
@@ -44,14 +45,14 @@
 	publisher.Publish(roster, nil, testStart)
 	for number := range 300 {
 		set := subscribeAs(publisher, fmt.Sprintf("edge-%d", number))
-		assert.Equal(t, countCarriers(set, "rare"), 2)
-		carriers := countCarriers(set, "often")
-		assert.Assert(t, carriers >= carriersPerAdapter && carriers < 60, "%d", carriers)
+		assert.Equal(t, countWithAdapter(set, "rare"), 2)
+		count := countWithAdapter(set, "often")
+		assert.Assert(t, count >= replicasPerAdapter && count < 60, "%d", count)
 		assert.Assert(t, len(set.Endpoints) < 320, "sent %d", len(set.Endpoints))
 	}
 }
 
-func TestEndpointPublisher_NewCarrierOfAnAdapterIsSentToAll(t *testing.T) {
+func TestEndpointPublisher_SendsNewAdapterReplicaToAll(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	roster := largeRoster(3000)
 	publisher.Publish(roster, nil, testStart)
@@ -70,14 +71,14 @@
 	for name, set := range before {
 		sets := changesFor(name, set.Version)
 		assert.Equal(t, len(sets), 1, name)
-		assert.Equal(t, countCarriers(sets[0], "new"), 1, name)
+		assert.Equal(t, countWithAdapter(sets[0], "new"), 1, name)
 		version = sets[0].Version
 	}
 	publisher.Publish(roster, nil, testStart.Add(2*time.Second))
 	for name := range before {
 		sets := changesFor(name, version)
 		assert.Equal(t, len(sets), 1, name)
-		assert.Equal(t, countCarriers(sets[0], "new"), 0, name)
+		assert.Equal(t, countWithAdapter(sets[0], "new"), 0, name)
 	}
 }
 
--- a/internal/controlplane/watch/cells.go
+++ b/internal/controlplane/watch/cells.go
@@ -9,22 +9,22 @@
 	"ferryspar/internal/discovery"
 )
 
-// The set of a model that is loaded on thousands of replicas would be sent to every data plane whenever one of them changes, and
-// every load report would be answered with the load of all. Such a set is divided into cells by a hash of the replicas' ids,
-// and a subscriber is sent a few cells that a hash of its name picks (docs/design/parts.md). Control planes need not agree: a
-// data plane takes its endpoints from one of them.
+// The endpoint set of a model that is loaded on thousands of replicas would be sent to every data plane whenever one of them
+// changes, and every load report would be answered with the load of all of them. Such a set is divided into cells by a hash of the
+// replicas' ids, and a subscriber is sent a few cells that are chosen by a hash of its name (docs/design/parts.md). Control planes
+// need not agree on the cells: a data plane gets its endpoints from one control plane only.
 
 const (
-	// maxUndivided is the size up to which a set is sent whole.
-	maxUndivided = 320
-	// maxCellSize and minCellSize bound the average size of a cell; between them the number of cells stays, so that a set that
-	// grows and shrinks a little is not divided anew.
+	// maxUndividedSize is the number of replicas up to which a set is sent whole.
+	maxUndividedSize = 320
+	// maxCellSize and minCellSize bound the average size of a cell. Within these bounds the number of cells is kept, so that small
+	// changes of a set's size don't divide it anew.
 	maxCellSize = 160
 	minCellSize = 60
-	// minCells is the least number of cells of a divided set.
+	// minCells is the smallest number of cells of a divided set.
 	minCells = 4
-	// cellsPerSubscriber is how many cells a subscriber is sent: of two, it can use the one that is less busy, which evens out
-	// that cells have different numbers of subscribers.
+	// cellsPerSubscriber is the number of cells that a subscriber is sent. With two it can use the less busy one, which evens out
+	// different numbers of subscribers per cell.
 	cellsPerSubscriber = 2
 )
 
@@ -32,19 +32,19 @@
 type cell struct {
 	// endpoints are ordered by id.
 	endpoints []*endpointSource
-	// version is that of the roster in which the cell last changed.
+	// version is the publisher's version at which the cell last changed.
 	version uint64
-	// ready counts the replicas that are ready, by phase.
+	// ready counts the ready replicas by phase.
 	ready map[discovery.Phase]int
 }
 
-// cellCount is the number of cells for a set of so many replicas that has so many now: a power of two, so that a cell is split or
-// two are joined when it changes, and most replicas keep their neighbours. 1 stands for an undivided set.
+// cellCount returns the number of cells for a set of so many replicas that is divided into present cells now. It is a power of two,
+// so that a change splits cells or joins pairs of them, and most replicas stay together. 1 means an undivided set.
 func cellCount(present, replicas int) int {
 	if present > 1 && replicas >= present*minCellSize && replicas <= present*maxCellSize {
 		return present
 	}
-	if replicas <= maxUndivided {
+	if replicas <= maxUndividedSize {
 		return 1
 	}
 	count := minCells
@@ -54,18 +54,18 @@
 	return count
 }
 
-// cellOf is the cell of a replica.
+// cellOf returns the index of a replica's cell.
 func cellOf(id string, count int) int { return int(xxhash.Sum64String(id) & uint64(count-1)) }
 
-// divide divides the set of a model again after the replicas with the ids have changed. Cells without any of them keep their
-// version.
-func (s *endpointSet) divide(model string, changedIDs map[string]bool, version uint64) {
+// updateCells updates the cells of a model's set after the replicas with the given ids have changed. Cells without any of these
+// replicas keep their version.
+func (s *endpointSet) updateCells(model string, changedIDs map[string]bool, version uint64) {
 	count := cellCount(max(len(s.cells), 1), len(s.endpoints))
 	if count == 1 {
-		s.cells, s.carriers = nil, nil
+		s.cells, s.adapterReplicas = nil, nil
 		return
 	}
-	s.chooseCarriers(model, changedIDs, version)
+	s.chooseAdapterReplicas(model, changedIDs, version)
 	all := count != len(s.cells)
 	if all {
 		s.cells = make([]cell, count)
@@ -96,9 +96,10 @@
 	}
 }
 
+// compareIDs orders endpoint sources by replica id.
 func compareIDs(left, right *endpointSource) int { return cmp.Compare(left.listed.ID, right.listed.ID) }
 
-// add adds a replica out of order.
+// add appends a replica; the caller sorts the endpoints afterwards.
 func (c *cell) add(replica *endpointSource) {
 	c.endpoints = append(c.endpoints, replica)
 	if replica.listed.State == discovery.Ready {
@@ -106,8 +107,9 @@
 	}
 }
 
-// cellsFor returns the cells that a data plane is sent: those that its name picks, and more while these lack a phase that the set
-// has or hold less than half of the ready replicas that so many cells should, as after the loss of a zone.
+// cellsFor returns the cells that a data plane is sent: cellsPerSubscriber cells chosen by a hash of its name, and further ones as
+// long as these lack a phase of the set, or hold less than half of the ready replicas of cellsPerSubscriber average cells, as after
+// the loss of a zone.
 func (s *endpointSet) cellsFor(dataPlane string) []int {
 	count := len(s.cells)
 	wanted := sumReady(s.ready) * cellsPerSubscriber / (2 * count)
@@ -123,8 +125,8 @@
 	return order[:taken]
 }
 
-// cellOrder is the order in which a data plane uses cells: one that its name picks, then the others from a place that it picks
-// as well.
+// cellOrder returns the order in which cells are chosen for a data plane: first one chosen by a hash of its name, then the others,
+// starting from one chosen by the same hash.
 func cellOrder(dataPlane string, count int) []int {
 	hash := xxhash.Sum64String(dataPlane)
 	first := int(hash & uint64(count-1))
@@ -137,7 +139,7 @@
 	return order
 }
 
-// readyIn counts the ready replicas of cells by phase.
+// readyIn returns the number of ready replicas in the cells, by phase.
 func (s *endpointSet) readyIn(cells []int) map[discovery.Phase]int {
 	ready := map[discovery.Phase]int{}
 	for _, index := range cells {
@@ -156,8 +158,8 @@
 	return sum
 }
 
-// sentTo returns the replicas that a data plane is sent, in no order.
-func (s *endpointSet) sentTo(dataPlane string) []*endpointSource {
+// endpointsFor returns the replicas that a data plane is sent, in no particular order.
+func (s *endpointSet) endpointsFor(dataPlane string) []*endpointSource {
 	var sent []*endpointSource
 	switch {
 	case s.sample != nil:
@@ -168,7 +170,7 @@
 		for _, index := range s.cellsFor(dataPlane) {
 			sent = append(sent, s.cells[index].endpoints...)
 		}
-		sent = s.appendCarriers(sent)
+		sent = s.appendAdapterReplicas(sent)
 	default:
 		for _, replica := range s.endpoints {
 			sent = append(sent, replica)
@@ -177,12 +179,12 @@
 	return sent
 }
 
-// versionFor is that of the roster in which what a data plane is sent last changed.
+// versionFor returns the publisher's version at which the endpoints that a data plane is sent last changed.
 func (s *endpointSet) versionFor(dataPlane string) uint64 {
 	if s.sample != nil || len(s.cells) <= 1 {
 		return s.version
 	}
-	newest := s.carriersVersion
+	newest := s.adapterReplicasVersion
 	for _, index := range s.cellsFor(dataPlane) {
 		newest = max(newest, s.cells[index].version)
 	}
--- a/internal/controlplane/watch/cells_test.go
+++ b/internal/controlplane/watch/cells_test.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/peer"
 )
 
-// largeRoster is a list of replicas of one model, two in five of them of phase prefill, spread over three zones.
+// largeRoster returns a list of replicas of one model, two in five of them of phase prefill, spread over three zones.
 func largeRoster(size int) []discovery.Replica {
 	list := make([]discovery.Replica, size)
 	for number := range list {
@@ -32,7 +32,7 @@
 	return publisher.Subscribe(request, testStart).EndpointSets[0]
 }
 
-func TestCellCount_ChangesSeldom(t *testing.T) {
+func TestCellCount_IsStableWithinCellSizeBounds(t *testing.T) {
 	for _, test := range []struct{ present, replicas, want int }{
 		{1, 0, 1}, {1, 90, 1}, {1, 320, 1}, {1, 321, 4}, {1, 640, 4}, {1, 641, 8}, {1, 3000, 32},
 		{4, 320, 4}, {4, 240, 4}, {4, 239, 1}, {4, 641, 8}, {8, 500, 8}, {8, 470, 4}, {32, 2000, 32}, {32, 1900, 16},
@@ -41,16 +41,16 @@
 	}
 }
 
-func TestEndpointPublisher_SetsOfHundredsAreSentWhole(t *testing.T) {
+func TestEndpointPublisher_SendsSetsUpToMaxUndividedSizeWhole(t *testing.T) {
 	publisher := NewEndpointPublisher()
-	publisher.Publish(largeRoster(maxUndivided), nil, testStart)
-	assert.Equal(t, len(subscribeAs(publisher, "edge").Endpoints), maxUndivided)
+	publisher.Publish(largeRoster(maxUndividedSize), nil, testStart)
+	assert.Equal(t, len(subscribeAs(publisher, "edge").Endpoints), maxUndividedSize)
 }
 
-func TestEndpointPublisher_LargeSetsAreDividedEvenly(t *testing.T) {
+func TestEndpointPublisher_DividesLargeSetsEvenly(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	publisher.Publish(largeRoster(3000), nil, testStart)
-	followers := map[string]int{}
+	subscriberCounts := map[string]int{}
 	const dataPlanes = 300
 	for number := range dataPlanes {
 		set := subscribeAs(publisher, fmt.Sprintf("edge-%d", number))
@@ -63,18 +63,18 @@
 		}))
 		phases := map[discovery.Phase]bool{}
 		for _, endpoint := range set.Endpoints {
-			followers[endpoint.ID]++
+			subscriberCounts[endpoint.ID]++
 			phases[endpoint.Phase] = true
 		}
 		assert.Equal(t, len(phases), 2)
 	}
-	assert.Equal(t, len(followers), 3000, "every replica is followed")
-	for id, count := range followers {
-		assert.Assert(t, count >= 5 && count <= 45, "%s has %d followers", id, count)
+	assert.Equal(t, len(subscriberCounts), 3000, "every replica has subscribers")
+	for id, count := range subscriberCounts {
+		assert.Assert(t, count >= 5 && count <= 45, "%s has %d subscribers", id, count)
 	}
 }
 
-func TestEndpointPublisher_ChangeIsSentToFollowersOfItsCellOnly(t *testing.T) {
+func TestEndpointPublisher_SendsChangeOnlyToSubscribersOfItsCell(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	roster := largeRoster(3000)
 	publisher.Publish(roster, nil, testStart)
@@ -92,16 +92,16 @@
 	for name, set := range before {
 		request := peer.WatchRequest{DataPlane: name, Incarnation: "a", SubscriptionSequence: 1, RosterVersion: set.Version}
 		sets := publisher.Changes(request, "a", testStart.Add(time.Second)).Sets
-		follows := slices.ContainsFunc(set.Endpoints, func(endpoint peer.Endpoint) bool { return endpoint.ID == changed.ID })
-		assert.Equal(t, len(sets) > 0, follows, name)
+		isSubscribed := slices.ContainsFunc(set.Endpoints, func(endpoint peer.Endpoint) bool { return endpoint.ID == changed.ID })
+		assert.Equal(t, len(sets) > 0, isSubscribed, name)
 		wake := publisher.wakeChannel(name)
-		assert.Equal(t, len(wake) > 0, follows, name)
+		assert.Equal(t, len(wake) > 0, isSubscribed, name)
 		sent += len(sets)
 	}
 	assert.Assert(t, sent > 0 && sent < 60, "sent to %d", sent)
 }
 
-func TestEndpointPublisher_CellsLendToThoseThatLackAPhaseOrReplicas(t *testing.T) {
+func TestEndpointPublisher_AddsCellsIfPhaseOrReadyReplicasAreMissing(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	roster := largeRoster(1000)
 	publisher.Publish(roster, nil, testStart)
@@ -118,7 +118,7 @@
 	for _, endpoint := range subscribeAs(publisher, "edge").Endpoints {
 		phases[endpoint.Phase] = true
 	}
-	assert.Assert(t, phases[discovery.PhaseDecode], "its own cells have no replica that makes tokens")
+	assert.Assert(t, phases[discovery.PhaseDecode], "its own cells have no decode replica")
 
 	for index := range roster {
 		if slices.Contains(order[:cellsPerSubscriber], cellOf(roster[index].ID, len(set.cells))) {
@@ -135,7 +135,7 @@
 	assert.Assert(t, ready >= usual/3, "%d ready of usually %d", ready, usual)
 }
 
-func TestEndpointPublisher_GrowingSetKeepsMostNeighbours(t *testing.T) {
+func TestEndpointPublisher_GrowingSetKeepsMostReplicasInTheirCell(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	publisher.Publish(largeRoster(600), nil, testStart)
 	before := map[string]bool{}
@@ -150,5 +150,5 @@
 			kept++
 		}
 	}
-	assert.Assert(t, kept*3 >= len(after), "%d of %d were there before: a cell is split, not mixed anew", kept, len(after))
+	assert.Assert(t, kept*3 >= len(after), "%d of %d were sent before: cells are split, not shuffled", kept, len(after))
 }
--- a/internal/controlplane/watch/endpoints.go
+++ b/internal/controlplane/watch/endpoints.go
@@ -11,45 +11,45 @@
 	"ferryspar/internal/peer"
 )
 
-// EndpointPublisher cuts the roster into endpoint sets, one for each model of a backend and one for the backend as a
-// whole, and keeps which data plane has subscribed to which. It is safe for concurrent use.
+// EndpointPublisher splits the roster into endpoint sets, one for each model of a backend and one for the backend as a
+// whole, and keeps the data planes' subscriptions to them. It is safe for concurrent use.
 type EndpointPublisher struct {
 	// lock guards all fields and everything that they refer to.
 	lock sync.Mutex
-	// version rises with each roster that changes any set.
+	// version is incremented by each roster that changes any set.
 	version  uint64
 	replicas map[string]*endpointSource
 	sets     map[peer.EndpointKey]*endpointSet
-	// subscribers holds the subscriptions by set, subscriptions those by data plane.
+	// subscribers holds the subscriptions by set, subscriptions holds them by data plane.
 	subscribers   map[peer.EndpointKey]map[*subscription]bool
 	subscriptions map[string]*subscription
 }
 
-// endpointSet is the replicas that serve a key.
+// endpointSet holds the replicas that serve a key.
 type endpointSet struct {
-	// version is that of the roster in which the set last changed.
+	// version is the publisher's version at which the set last changed.
 	version uint64
 	// endpoints holds the replicas by id.
 	endpoints map[string]*endpointSource
 	// sample, if not nil, is what subscribers are sent instead of all endpoints.
 	sample map[string]*endpointSource
-	// cells are the parts of a set that is too large to be sent whole; there are none otherwise.
+	// cells holds the parts of a set that is too large to be sent whole, and is empty for other sets.
 	cells []cell
-	// carriers are sent to every subscriber beside its cells, see chooseCarriers; carriersVersion is that of the roster in which
-	// they last changed.
-	carriers        map[string]*endpointSource
-	carriersVersion uint64
-	// ready counts the ready replicas of all cells by phase, as of the last division.
+	// adapterReplicas are sent to every subscriber in addition to its cells, see chooseAdapterReplicas; adapterReplicasVersion is
+	// the publisher's version at which they last changed.
+	adapterReplicas        map[string]*endpointSource
+	adapterReplicasVersion uint64
+	// ready counts the ready replicas of all cells by phase, as of the last call of updateCells.
 	ready map[discovery.Phase]int
 }
 
-// cordons holds what of a replica must get no new requests, as "model" or "model/adapter".
+// cordons holds the models and adapters of a replica that must get no new requests, as "model" or "model/adapter".
 type cordons map[string]bool
 
-// changedKeys collects the sets that a roster changes, each with the ids of the replicas that change in it.
+// changedKeys collects the sets that a roster changes, each with the ids of the replicas that changed in it.
 type changedKeys map[peer.EndpointKey]map[string]bool
 
-// add adds a replica that changes in a set.
+// add records that a replica changed in a set.
 func (c changedKeys) add(key peer.EndpointKey, id string) {
 	if c[key] == nil {
 		c[key] = map[string]bool{}
@@ -67,8 +67,9 @@
 	}
 }
 
-// Publish adopts a roster as of a moment and wakes the subscribers of the sets that it changes. Cordoned lists what must
-// get no new requests, as "replica model" or "replica model/adapter".
+// Publish replaces the roster and wakes the subscribers of the sets that change. Remaining warm-up times in the roster
+// count from asOf. Cordoned lists the models and adapters that must get no new requests, as "replica model" or "replica
+// model/adapter".
 func (p *EndpointPublisher) Publish(replicas []discovery.Replica, cordoned []string, asOf time.Time) {
 	cordonsByReplica := groupByReplica(cordoned)
 	p.lock.Lock()
@@ -94,7 +95,7 @@
 	for key, ids := range changed {
 		set := p.sets[key]
 		set.version = p.version
-		set.divide(key.Model, ids, p.version)
+		set.updateCells(key.Model, ids, p.version)
 		for subscriber := range p.subscribers[key] {
 			if set.versionFor(subscriber.dataPlane) == p.version {
 				subscriber.notify()
@@ -119,14 +120,14 @@
 	return byReplica
 }
 
-// update adopts a replica's entry in the roster and adds the sets that it changes to changed.
+// update applies a replica's entry in the roster and adds the sets that it changes to changed.
 func (p *EndpointPublisher) update(listed discovery.Replica, cordoned cordons, asOf time.Time, changed changedKeys) {
 	warmUpUntil := time.Time{}
 	if listed.WarmUpRemainingMs > 0 {
 		warmUpUntil = asOf.Add(time.Duration(listed.WarmUpRemainingMs * float64(time.Millisecond)))
 	}
 	previous := p.replicas[listed.ID]
-	if previous != nil && len(cordoned) == 0 && previous.isFullyUsable() && previous.sameListing(listed, warmUpUntil) {
+	if previous != nil && len(cordoned) == 0 && previous.hasNoCordons() && previous.sameListing(listed, warmUpUntil) {
 		return
 	}
 	next := &endpointSource{
@@ -146,8 +147,8 @@
 	p.replicas[listed.ID] = next
 }
 
-// removeFromChanged removes the replica from the sets in which it changes or to which it no longer belongs; all of them
-// if changesAll is set.
+// removeFromChanged removes the replica from the sets in which it changes or to which it no longer belongs, or from all
+// of its sets if changesAll is set.
 func (p *EndpointPublisher) removeFromChanged(previous, next *endpointSource, changesAll bool, changed changedKeys) {
 	for model, adapters := range previous.usable {
 		nextAdapters, stays := next.usable[model]
@@ -157,7 +158,7 @@
 	}
 }
 
-// addToChanged adds the replica to its sets. Those in which nothing changes don't count as changed.
+// addToChanged adds the replica to its sets. Sets in which its endpoint stays the same don't count as changed.
 func (p *EndpointPublisher) addToChanged(previous, next *endpointSource, changesAll bool, changed changedKeys) {
 	id := next.listed.ID
 	for model, adapters := range next.usable {
@@ -175,14 +176,14 @@
 	}
 }
 
-// remove takes a replica that is no longer listed out of its sets.
+// remove removes a replica that is no longer listed from its sets.
 func (p *EndpointPublisher) remove(replica *endpointSource, changed changedKeys) {
 	for model := range replica.usable {
 		p.setEndpoint(replica.key(model), replica.listed.ID, nil, changed)
 	}
 }
 
-// setEndpoint puts a replica into a set or, if it is nil, takes the one with the id out.
+// setEndpoint adds a replica to a set or, if it is nil, removes the one with the id.
 func (p *EndpointPublisher) setEndpoint(key peer.EndpointKey, id string, replica *endpointSource, changed changedKeys) {
 	set := p.sets[key]
 	if set == nil {
@@ -197,16 +198,16 @@
 	changed.add(key, id)
 }
 
-// compose returns a set as a data plane is sent it, ordered by id, with warm-up times that remain at the moment. The
+// endpointSetFor returns a set as it is sent to a data plane, ordered by id, with the warm-up times that remain now. The
 // caller holds the lock.
-func (p *EndpointPublisher) compose(key peer.EndpointKey, dataPlane string, now time.Time) peer.EndpointSet {
+func (p *EndpointPublisher) endpointSetFor(key peer.EndpointKey, dataPlane string, now time.Time) peer.EndpointSet {
 	composed := peer.EndpointSet{EndpointKey: key}
 	set := p.sets[key]
 	if set == nil {
 		return composed
 	}
 	composed.Version = set.version
-	for _, replica := range set.sentTo(dataPlane) {
+	for _, replica := range set.endpointsFor(dataPlane) {
 		composed.Endpoints = append(composed.Endpoints, replica.endpoint(key.Model, now))
 	}
 	slices.SortFunc(composed.Endpoints, func(left, right peer.Endpoint) int { return cmp.Compare(left.ID, right.ID) })
--- a/internal/controlplane/watch/endpoints_test.go
+++ b/internal/controlplane/watch/endpoints_test.go
@@ -50,7 +50,7 @@
 	return peer.SubscribeRequest{DataPlane: "edge", Sequence: sequence, Reset: sequence == 1, Add: add}
 }
 
-func TestEndpointPublisher_KeepsKeysWhenOthersAreAdded(t *testing.T) {
+func TestEndpointPublisher_KeepsSubscriptionsWhenOthersAreAdded(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	publisher.Publish([]discovery.Replica{replicaWith("i-1", "one")}, nil, testStart)
 	first := publisher.Subscribe(subscribeTo(1, modelKey("one"), modelKey("two")), testStart)
@@ -64,7 +64,7 @@
 	assert.DeepEqual(t, endpointIDs(changes.Sets[0]), []string{"i-2"})
 }
 
-func TestEndpointPublisher_SendsNoChangesOfRemovedKeys(t *testing.T) {
+func TestEndpointPublisher_SendsNoChangesAfterUnsubscribe(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	publisher.Subscribe(subscribeTo(1, modelKey("one"), modelKey("two")), testStart)
 	publisher.Subscribe(peer.SubscribeRequest{DataPlane: "edge", Sequence: 2, Remove: []peer.EndpointKey{modelKey("one")}}, testStart)
@@ -74,7 +74,7 @@
 	assert.Equal(t, changes.Sets[0].Model, "two")
 }
 
-func TestEndpointPublisher_AsksToResubscribeAfterGap(t *testing.T) {
+func TestEndpointPublisher_RequestsResubscriptionAfterGap(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	assert.Assert(t, publisher.Subscribe(subscribeTo(4), testStart).Resubscribe, "unknown data plane")
 	publisher.Subscribe(subscribeTo(1), testStart)
@@ -83,7 +83,7 @@
 	assert.Assert(t, changes.Resubscribe)
 	assert.Equal(t, changes.Version, uint64(7), "nothing counts as sent")
 	changes = publisher.Changes(watchAs("before", 9, 7), "a", testStart)
-	assert.Equal(t, changes.Version, uint64(0), "versions of another incarnation count for nothing")
+	assert.Equal(t, changes.Version, uint64(0), "versions of another incarnation don't count")
 	later := testStart.Add(subscriptionTTL + time.Second)
 	publisher.Subscribe(peer.SubscribeRequest{DataPlane: "other", Sequence: 1, Reset: true}, later)
 	assert.Assert(t, publisher.Subscribe(subscribeTo(2), later).Resubscribe, "expired")
@@ -101,9 +101,9 @@
 	assert.Equal(t, publisher.version, before)
 	publisher.Publish([]discovery.Replica{reordered}, []string{"i-1 one/a2"}, testStart)
 	assert.Equal(t, publisher.version, before+1)
-	assert.DeepEqual(t, publisher.compose(modelKey("one"), "edge", testStart).Endpoints[0].Adapters, []string{"a1"})
+	assert.DeepEqual(t, publisher.endpointSetFor(modelKey("one"), "edge", testStart).Endpoints[0].Adapters, []string{"a1"})
 	publisher.Publish([]discovery.Replica{reordered}, []string{"i-1 one"}, testStart)
-	assert.Equal(t, len(publisher.compose(modelKey("one"), "edge", testStart).Endpoints), 0)
+	assert.Equal(t, len(publisher.endpointSetFor(modelKey("one"), "edge", testStart).Endpoints), 0)
 }
 
 // randomReplica returns a replica with two models that may be draining.
@@ -115,7 +115,7 @@
 	return replica
 }
 
-// listedWithModel returns the ids of the listed replicas that have the model loaded and not cordoned.
+// listedWithModel returns the ids of the listed replicas on which the model is loaded and not cordoned.
 func listedWithModel(listed []discovery.Replica, model string, cordoned []string) []string {
 	var ids []string
 	for _, replica := range listed {
@@ -151,7 +151,7 @@
 	}
 }
 
-// poll takes in the sets that changed.
+// poll applies the sets that changed.
 func (s *testSubscriber) poll(publisher *EndpointPublisher) {
 	changes := publisher.Changes(watchAs("a", s.sequence, s.rosterVersion), "a", testStart)
 	s.rosterVersion = changes.Version
@@ -160,7 +160,7 @@
 	}
 }
 
-// assertSets checks that the sets subscribed to are those of the full roster.
+// assertSets checks that the subscribed sets match the full roster.
 func (s *testSubscriber) assertSets(t *testing.T, listed []discovery.Replica, cordoned []string, step string) {
 	t.Helper()
 	for key := range s.subscribed {
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestEndpointPublisher_SamplesLargeBackendsStably(t *testing.T) {
+func TestEndpointPublisher_SampleOfLargeBackendIsStable(t *testing.T) {
 	publisher := NewEndpointPublisher()
 	var listed []discovery.Replica
 	for index := range 120 {
@@ -216,7 +216,7 @@
 		listed = append(listed, replica)
 	}
 	publisher.Publish(listed, nil, testStart)
-	first := publisher.compose(modelKey(""), "edge", testStart)
+	first := publisher.endpointSetFor(modelKey(""), "edge", testStart)
 	zones := map[string]int{}
 	sampled := map[string]bool{}
 	for _, endpoint := range first.Endpoints {
@@ -231,7 +231,7 @@
 		}
 	}
 	publisher.Publish(slices.Clone(listed), nil, testStart)
-	unchanged := publisher.compose(modelKey(""), "edge", testStart)
+	unchanged := publisher.endpointSetFor(modelKey(""), "edge", testStart)
 	assert.Equal(t, unchanged.Version, first.Version, "a replica outside the sample changes nothing")
 	for index := range listed {
 		if sampled[listed[index].ID] {
@@ -240,7 +240,7 @@
 		}
 	}
 	publisher.Publish(slices.Clone(listed), nil, testStart)
-	next := publisher.compose(modelKey(""), "edge", testStart)
+	next := publisher.endpointSetFor(modelKey(""), "edge", testStart)
 	assert.Assert(t, next.Version > first.Version)
 	assert.Equal(t, len(next.Endpoints), sampleSize)
 	for _, endpoint := range next.Endpoints {
--- a/internal/controlplane/watch/publisher.go
+++ b/internal/controlplane/watch/publisher.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Publisher holds the current snapshot and wakes the requests that wait for the next. It is safe for concurrent use.
+// Publisher holds the current snapshot and wakes the requests that wait for the next one. It is safe for concurrent use.
 type Publisher struct {
 	// lock guards current. The snapshot itself is immutable and is read without it.
 	lock    sync.Mutex
 	current *Snapshot
 }
 
-// NewPublisher returns a publisher with an empty snapshot that nobody confirmed.
+// NewPublisher returns a publisher with an empty, unconfirmed snapshot.
 func NewPublisher() *Publisher {
 	return &Publisher{current: &Snapshot{Version: 1, changed: make(chan struct{}), confirmed: make(chan struct{})}}
 }
@@ -24,7 +24,7 @@
 	return p.current
 }
 
-// Update publishes a copy of the snapshot as changed by update, under the next version, and wakes waiting requests. If
+// Update publishes a copy of the snapshot, changed by update, under the next version, and wakes waiting requests. If
 // update returns false, nothing is published. It runs under the publisher's lock and must not call the publisher; it
 // may replace maps and slices of the copy, but not change them in place, as readers share them.
 func (p *Publisher) Update(update func(next *Snapshot) bool) {
@@ -37,8 +37,8 @@
 	p.publishVersion(&next)
 }
 
-// UpdateWithoutNotify publishes a copy of the snapshot as changed by update, without a new version: waiting requests are not
-// woken, and see the change with their next response. The rules for update are those of Update.
+// UpdateWithoutNotify publishes a copy of the snapshot, changed by update, without a new version: waiting requests are not
+// woken, and data planes get the change with the next response. The rules for update are those of Update.
 func (p *Publisher) UpdateWithoutNotify(update func(next *Snapshot)) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -47,8 +47,8 @@
 	p.current = &next
 }
 
-// Confirm records that a majority confirmed the state when it was asked at askedAt. Waiting requests are woken if the
-// state didn't count as confirmed before, and in any case those that wait for a confirmation.
+// Confirm records that a majority confirmed the state in a round that began at askedAt. Requests that wait for a
+// confirmation are woken, and all other waiting requests as well if the state wasn't fresh before.
 func (p *Publisher) Confirm(askedAt, now time.Time) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/controlplane/watch/publisher_test.go
+++ b/internal/controlplane/watch/publisher_test.go
@@ -9,7 +9,7 @@
 	"ferryspar/internal/peer"
 )
 
-// isClosed says whether those that wait for the channel were woken.
+// isClosed reports whether the channel is closed.
 func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
@@ -19,9 +19,9 @@
 	}
 }
 
-func TestPublisher_WakesByKindOfChange(t *testing.T) {
+func TestPublisher_WakesRequestsByKindOfChange(t *testing.T) {
 	confirmedAt := testStart
-	lapsedAt := testStart.Add(peer.ConfirmationLease)
+	expiredAt := testStart.Add(peer.ConfirmationLease)
 	cases := map[string]struct {
 		change       func(publisher *Publisher)
 		wakesChanged bool
@@ -31,18 +31,18 @@
 			change:       func(publisher *Publisher) { publisher.Update(func(*Snapshot) bool { return true }) },
 			wakesChanged: true,
 		},
-		"update that changes nothing": {
+		"update that returns false": {
 			change: func(publisher *Publisher) { publisher.Update(func(*Snapshot) bool { return false }) },
 		},
-		"quiet update": {
+		"update without notification": {
 			change: func(publisher *Publisher) { publisher.UpdateWithoutNotify(func(*Snapshot) {}) },
 		},
 		"confirmation of a fresh state": {
-			change:       func(publisher *Publisher) { publisher.Confirm(confirmedAt, lapsedAt.Add(-time.Millisecond)) },
+			change:       func(publisher *Publisher) { publisher.Confirm(confirmedAt, expiredAt.Add(-time.Millisecond)) },
 			wakesConfirm: true,
 		},
-		"confirmation of a lapsed state": {
-			change:       func(publisher *Publisher) { publisher.Confirm(lapsedAt, lapsedAt) },
+		"confirmation of a state whose confirmation expired": {
+			change:       func(publisher *Publisher) { publisher.Confirm(expiredAt, expiredAt) },
 			wakesChanged: true,
 			wakesConfirm: true,
 		},
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestPublisher_SnapshotsStayAsTheyWere(t *testing.T) {
+func TestPublisher_SnapshotsAreImmutable(t *testing.T) {
 	publisher := NewPublisher()
 	before := publisher.Current()
 	publisher.Update(func(next *Snapshot) bool {
--- a/internal/controlplane/watch/sample.go
+++ b/internal/controlplane/watch/sample.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// sampleSize is the number of replicas in a sample, and the size of a set from which on a sample is taken.
+	// sampleSize is the number of replicas in a sample. Only larger sets are sampled.
 	sampleSize = 16
-	// samplePerZone is how many replicas of a zone are put into a sample before the rest is filled up.
+	// samplePerZone is the number of replicas chosen from each zone before the rest of a sample is filled from all zones.
 	samplePerZone = 4
 )
 
-// resample renews the samples of backends as a whole. A set whose sample stays the same no longer counts as changed: in
+// resample renews the samples of the sets for whole backends. A set whose sample stays the same is removed from changed: in
 // a large fleet some replica of a backend changes all the time, and each change would be sent to every subscriber.
 func (p *EndpointPublisher) resample(changed changedKeys) {
 	for key := range changed {
@@ -34,7 +34,8 @@
 }
 
 // chooseSample returns a sample of replicas that are ready, warmed up and have a model loaded, spread over zones. The
-// choice is stable, by the hash of the replicas' ids. It is nil if there are too few endpoints, or too few that qualify.
+// choice is stable, as replicas are ordered by a hash of their ids. The sample is nil if there are at most sampleSize
+// endpoints, or fewer than sampleSize eligible ones.
 func chooseSample(endpoints map[string]*endpointSource) map[string]*endpointSource {
 	if len(endpoints) <= sampleSize {
 		return nil
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -7,37 +7,37 @@
 	"ferryspar/internal/peer"
 )
 
-// minWaitMs and maxWaitMs bound how long, in milliseconds, a watch request is kept pending: less than the timeout of
-// peer.MethodWatch.
+// minWaitMs and maxWaitMs bound how long a watch request is kept pending, in milliseconds. This must be less than the
+// timeout of peer.MethodWatch.
 const (
 	minWaitMs = 1
 	maxWaitMs = 2000
 )
 
-// Host is what a Server needs of the control plane that it belongs to.
+// Host is the control plane that a Server belongs to.
 type Host interface {
-	// RecordWatch takes in what a data plane says of itself in a request.
+	// RecordWatch records the state that a data plane reports in a request.
 	RecordWatch(request peer.WatchRequest, receivedAt time.Time)
-	// CountedFor returns for how long the data plane has been counted among the live ones, and false if it isn't.
+	// CountedFor returns how long the data plane has been counted as live, and false if it isn't.
 	CountedFor(dataPlane string, now time.Time) (time.Duration, bool)
-	// CountReliable says whether the node has run for long enough to know all live data planes.
+	// CountReliable reports whether the node has run long enough to know all live data planes.
 	CountReliable(now time.Time) bool
-	// LiveDataPlanesKnown says whether the node has run for long enough to have heard of nearly all live data planes.
+	// LiveDataPlanesKnown reports whether the node has run long enough to have heard from nearly all live data planes.
 	LiveDataPlanesKnown(now time.Time) bool
-	// RequestConfirmation has the state confirmed by a majority in a round that begins after the call.
+	// RequestConfirmation requests that a majority confirms the state in a round that begins after the call.
 	RequestConfirmation()
-	// ReplicaLoadsFor returns the load of all data planes but the named one on replicas, by id.
+	// ReplicaLoadsFor returns the load that all data planes except the named one put on the replicas, by id.
 	ReplicaLoadsFor(dataPlane string, replicas []string) map[string]peer.ReplicaLoad
-	// IsLeaving says whether the node shuts down.
+	// IsLeaving reports whether the node is shutting down.
 	IsLeaving() bool
 }
 
-// Identity is what a control plane says of itself in each response.
+// Identity identifies the control plane in each response.
 type Identity struct {
 	// Member is the address at which it serves other nodes.
 	Member string
 	Zone   string
-	// Incarnation is different for each process of the member.
+	// Incarnation differs for each process of the member.
 	Incarnation string
 }
 
@@ -62,9 +62,9 @@
 	}
 }
 
-// HandleWatch answers a data plane's request once there is something that it hasn't been sent, or after the time for
-// which the request may be pending. A request for a linearizable response waits for a confirmation that began after it was
-// received. If the context ends first, the response is empty and thus not fresh.
+// HandleWatch answers a data plane's request once there is an update for it, or when the request has been pending for its
+// MaxWaitMs, bounded by maxWaitMs. A request for a linearizable response waits for a confirmation that began after it was
+// received. If the context ends first, the response is empty and therefore not fresh.
 func (s *Server) HandleWatch(ctx context.Context, request peer.WatchRequest) peer.WatchResponse {
 	receivedAt := s.clock()
 	s.host.RecordWatch(request, receivedAt)
@@ -105,11 +105,11 @@
 	return nil
 }
 
-// respond returns the response to a request that was received at receivedAt, and whether it is due now. A node that
-// shuts down sends nothing as confirmed, so that data planes change over to another one while it still serves them.
+// respond returns the response to a request that was received at receivedAt, and whether it is due now. A node that is
+// shutting down marks no response as confirmed, so that data planes switch to another node while it still serves them.
 func (s *Server) respond(snapshot *Snapshot, request peer.WatchRequest, receivedAt time.Time) (response peer.WatchResponse, due bool) {
 	now := s.clock()
-	response = s.compose(snapshot, request, now)
+	response = s.baseResponse(snapshot, request, now)
 	due = s.hasUpdate(snapshot, request, now)
 	if request.Primary && response.FreshMs > 0 {
 		changes := s.endpoints.Changes(request, s.identity.Incarnation, now)
@@ -133,9 +133,9 @@
 	return response, due
 }
 
-// compose returns the response to a request without the endpoint sets that the data plane has subscribed to. Versions
-// and addresses are sent in any case, the rest only while the state is confirmed.
-func (s *Server) compose(snapshot *Snapshot, request peer.WatchRequest, now time.Time) peer.WatchResponse {
+// baseResponse returns the response to a request without the endpoint sets that the data plane has subscribed to. Versions
+// and addresses are always sent, the rest only while the state is confirmed.
+func (s *Server) baseResponse(snapshot *Snapshot, request peer.WatchRequest, now time.Time) peer.WatchResponse {
 	response := peer.WatchResponse{
 		Member:      s.identity.Member,
 		Zone:        s.identity.Zone,
@@ -173,7 +173,8 @@
 	return response
 }
 
-// addConfiguration adds the configuration, by its differences from the one that the data plane has where it takes them.
+// addConfiguration adds the configuration to the response: as differences from the data plane's revision if the data plane supports
+// them and they are available, else as a whole.
 func addConfiguration(response *peer.WatchResponse, snapshot *Snapshot, request peer.WatchRequest) {
 	if request.TakesDifferences {
 		response.Differences = snapshot.differencesSince(request.Revision)
@@ -183,7 +184,7 @@
 	}
 }
 
-// addFleetSize adds how many data planes there are. A node that may not have heard of all of them yet goes by the record if
+// addFleetSize adds the number of data planes. A node that may not have heard from all of them yet uses the recorded number if
 // that is higher.
 func (s *Server) addFleetSize(response *peer.WatchResponse, snapshot *Snapshot, now time.Time) {
 	response.DataPlaneCount = snapshot.DataPlaneCount
@@ -196,8 +197,8 @@
 	response.EarlyDataPlaneCount = max(response.EarlyDataPlaneCount, recorded)
 }
 
-// neighbours returns the data planes that may be homes of tenants' limits: as recorded while the node can't have heard of all
-// that are live.
+// neighbours returns the data planes that may be homes of tenants' limits. Until the node has run long enough to know the live
+// ones, it returns the recorded ones.
 func (s *Server) neighbours(snapshot *Snapshot, now time.Time) *peer.Neighbours {
 	if len(snapshot.FleetSize.Homes) == 0 || s.host.LiveDataPlanesKnown(now) {
 		return snapshot.Neighbours
@@ -205,7 +206,7 @@
 	return peer.NewNeighbours(snapshot.FleetSize.Homes)
 }
 
-// hasUpdate says whether the snapshot has something for the data plane that it hasn't been sent.
+// hasUpdate reports whether the snapshot contains anything that the data plane hasn't been sent.
 func (s *Server) hasUpdate(snapshot *Snapshot, request peer.WatchRequest, now time.Time) bool {
 	fresh := snapshot.IsFresh(now)
 	if fresh && snapshot.contextVersion() > request.ContextVersion {
@@ -217,8 +218,8 @@
 	return request.Primary && fresh && snapshot.Revision > request.Revision
 }
 
-// HandleSubscribe changes which endpoint sets a data plane watches and answers with those that it adds. While the state
-// isn't confirmed, or the node shuts down, it changes nothing and the response isn't fresh.
+// HandleSubscribe changes the endpoint sets that a data plane watches and returns the added ones. While the state isn't
+// confirmed or the node is shutting down, it changes nothing and the response isn't fresh.
 func (s *Server) HandleSubscribe(_ context.Context, request peer.SubscribeRequest) peer.SubscribeResponse {
 	snapshot := s.publisher.Current()
 	if !snapshot.IsFresh(s.clock()) || s.host.IsLeaving() {
@@ -235,7 +236,7 @@
 	return response
 }
 
-// replicasIn returns the ids of the replicas in endpoint sets, in no order.
+// replicasIn returns the ids of the replicas in endpoint sets, in no particular order.
 func replicasIn(sets []peer.EndpointSet) []string {
 	seen := map[string]bool{}
 	var ids []string
--- a/internal/controlplane/watch/server_test.go
+++ b/internal/controlplane/watch/server_test.go
@@ -44,7 +44,7 @@
 
 func (h *fakeHost) IsLeaving() bool { return h.isLeaving }
 
-// testServer is a server of incarnation "a" and what it publishes.
+// testServer is a server of incarnation "a" with its host and publishers.
 type testServer struct {
 	*Server
 	host      *fakeHost
@@ -52,7 +52,7 @@
 	endpoints *EndpointPublisher
 }
 
-// newTestServer returns a server whose state is confirmed just now.
+// newTestServer returns a server whose state was confirmed just now.
 func newTestServer() testServer {
 	host, publisher, endpoints := &fakeHost{}, NewPublisher(), NewEndpointPublisher()
 	publisher.Confirm(time.Now(), time.Now())
@@ -76,7 +76,7 @@
 	}
 }
 
-// waitFor returns how long the request was pending, and its response.
+// waitFor sends a request and returns how long it was pending, and the response.
 func (s testServer) waitFor(t *testing.T, request peer.WatchRequest) (time.Duration, peer.WatchResponse) {
 	t.Helper()
 	startedAt := time.Now()
@@ -89,53 +89,53 @@
 	cases := map[string]struct {
 		request func(request *peer.WatchRequest)
 		change  func(server testServer)
-		expect  time.Duration
+		want    time.Duration
 	}{
-		"nothing": {
-			expect: time.Second,
+		"no change": {
+			want: time.Second,
 		},
-		"nothing, for longer than a request may be pending": {
+		"no change, wait above the maximum": {
 			request: func(request *peer.WatchRequest) { request.MaxWaitMs = 60_000 },
-			expect:  maxWaitMs * time.Millisecond,
+			want:    maxWaitMs * time.Millisecond,
 		},
-		"nothing, without a time to wait": {
+		"no change, wait of zero": {
 			request: func(request *peer.WatchRequest) { request.MaxWaitMs = 0 },
-			expect:  minWaitMs * time.Millisecond,
+			want:    minWaitMs * time.Millisecond,
 		},
-		"the snapshot, before the request": {
+		"snapshot changed before the request": {
 			request: func(request *peer.WatchRequest) { request.Version-- },
 		},
-		"the incarnation": {
+		"incarnation changed": {
 			request: func(request *peer.WatchRequest) { request.Incarnation = "before" },
 		},
-		"the snapshot": {
+		"snapshot changes": {
 			change: func(server testServer) {
 				server.publisher.Update(func(next *Snapshot) bool {
 					next.LeaseHolder = "10.0.0.2:7000"
 					return true
 				})
 			},
-			expect: changeAfter,
+			want: changeAfter,
 		},
-		"the snapshot, quietly": {
+		"snapshot changes without notification": {
 			change: func(server testServer) {
 				server.publisher.UpdateWithoutNotify(func(next *Snapshot) { next.DataPlaneCount = 3 })
 			},
-			expect: time.Second,
+			want: time.Second,
 		},
-		"an endpoint set that is subscribed to": {
+		"subscribed endpoint set changes": {
 			request: func(request *peer.WatchRequest) { request.SubscriptionSequence = 1 },
 			change: func(server testServer) {
 				server.endpoints.Publish([]discovery.Replica{replicaWith("i-1", "one")}, nil, time.Now())
 			},
-			expect: changeAfter,
+			want: changeAfter,
 		},
-		"an endpoint set, of another control plane's subscriber": {
+		"endpoint set changes, but the data plane has another primary": {
 			request: func(request *peer.WatchRequest) { request.Primary = false },
 			change: func(server testServer) {
 				server.endpoints.Publish([]discovery.Replica{replicaWith("i-1", "one")}, nil, time.Now())
 			},
-			expect: time.Second,
+			want: time.Second,
 		},
 	}
 	for name, test := range cases {
@@ -151,7 +151,7 @@
 					time.AfterFunc(changeAfter, func() { test.change(server) })
 				}
 				waited, response := server.waitFor(t, request)
-				assert.Equal(t, waited, test.expect)
+				assert.Equal(t, waited, test.want)
 				assert.Equal(t, response.WaitedMs, waited.Milliseconds())
 				assert.DeepEqual(t, server.host.recorded, []string{"edge"})
 			})
@@ -163,7 +163,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer()
 		request := server.upToDate()
-		request.Version-- // due at once, but for the confirmation
+		request.Version-- // due at once, except for the confirmation
 		request.Linearizable = true
 		receivedAt := time.Now()
 		time.AfterFunc(100*time.Millisecond, func() { server.publisher.Confirm(receivedAt.Add(-time.Millisecond), time.Now()) })
@@ -174,7 +174,7 @@
 		assert.Equal(t, server.host.requestedConfirmations, 1)
 		waited, response = server.waitFor(t, request)
 		assert.Equal(t, waited, time.Second)
-		assert.Assert(t, !response.Linearizable, "none came while the request was pending")
+		assert.Assert(t, !response.Linearizable, "no confirmation came while the request was pending")
 	})
 }
 
@@ -206,7 +206,7 @@
 	})
 }
 
-func TestServer_NothingIsFreshWhileLeaving(t *testing.T) {
+func TestServer_NoResponseIsFreshWhileLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer()
 		server.host.isLeaving = true
@@ -218,7 +218,7 @@
 	})
 }
 
-func TestServer_SubscribeBringsLoadOfNewReplicas(t *testing.T) {
+func TestServer_SubscribeReturnsLoadOfAddedReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer()
 		listed := []discovery.Replica{
@@ -250,7 +250,7 @@
 	})
 }
 
-func TestServer_RecordOfTheFleetCountsUntilAllHaveBeenHeardOf(t *testing.T) {
+func TestServer_UsesRecordedFleetUntilAllDataPlanesAreKnown(t *testing.T) {
 	server := newTestServer()
 	homes := []peer.Neighbour{{Name: "edge-1", Address: "10.0.0.9:1"}, {Name: "edge-2", Address: "10.0.0.8:1"}}
 	server.publisher.UpdateWithoutNotify(func(next *Snapshot) {
@@ -273,10 +273,10 @@
 	assert.DeepEqual(t, early.Neighbours.List, homes)
 
 	server.publisher.UpdateWithoutNotify(func(next *Snapshot) { next.DataPlaneCount = 90 })
-	assert.Equal(t, respond().DataPlaneCount, 90, "who has heard of more goes by that")
+	assert.Equal(t, respond().DataPlaneCount, 90, "a higher live count is used")
 }
 
-func TestServer_SendsDifferencesToDataPlanesThatTakeThem(t *testing.T) {
+func TestServer_SendsDifferencesToDataPlanesThatSupportThem(t *testing.T) {
 	change := func(base, revision int64) *configuration.Difference {
 		return &configuration.Difference{Base: base, Revision: revision, Patch: []byte(`{"revision":1}`)}
 	}
@@ -285,7 +285,7 @@
 		snapshot.AddDifference(change(10*(revision-1), 10*revision))
 		snapshot.Revision = 10 * revision
 	}
-	asked := func(revision int64, takes bool) (differences int, whole bool) {
+	respond := func(revision int64, takes bool) (differences int, whole bool) {
 		response := peer.WatchResponse{}
 		addConfiguration(&response, snapshot, peer.WatchRequest{Revision: revision, TakesDifferences: takes})
 		return len(response.Differences), len(response.PackedConfiguration) > 0
@@ -295,27 +295,27 @@
 		takes       bool
 		differences int
 	}{
-		"one behind":                 {20, true, 1},
-		"two behind":                 {10, true, 2},
-		"it takes none":              {20, false, 0},
+		"one revision behind":        {20, true, 1},
+		"two revisions behind":       {10, true, 2},
+		"differences not supported":  {20, false, 0},
 		"a revision not in the list": {15, true, 0},
 	}
 	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
-			differences, whole := asked(testCase.revision, testCase.takes)
+			differences, whole := respond(testCase.revision, testCase.takes)
 			assert.Equal(t, differences, testCase.differences)
-			assert.Equal(t, whole, testCase.differences == 0, "the whole in place of differences")
+			assert.Equal(t, whole, testCase.differences == 0, "the whole configuration instead of differences")
 		})
 	}
-	t.Run("differences as large as the whole", func(t *testing.T) {
+	t.Run("differences as large as the whole configuration", func(t *testing.T) {
 		snapshot.PackedConfiguration = make([]byte, 20)
-		differences, whole := asked(10, true)
+		differences, whole := respond(10, true)
 		assert.Equal(t, differences, 0)
 		assert.Assert(t, whole)
 	})
 }
 
-func TestSnapshot_KeepsOnlyAnUnbrokenChainOfDifferences(t *testing.T) {
+func TestSnapshot_KeepsOnlyUnbrokenChainOfDifferences(t *testing.T) {
 	snapshot := &Snapshot{}
 	for revision := int64(1); revision <= 100; revision++ {
 		snapshot.AddDifference(&configuration.Difference{Base: revision - 1, Revision: revision})
@@ -324,7 +324,7 @@
 	assert.Equal(t, len(snapshot.Differences), maxDifferences)
 	shared := snapshot.Differences
 	snapshot.AddDifference(&configuration.Difference{Base: 100, Revision: 101})
-	assert.Equal(t, shared[0].Revision, int64(37), "earlier snapshots keep theirs")
+	assert.Equal(t, shared[0].Revision, int64(37), "earlier snapshots keep their differences")
 	snapshot.Revision = 101
 	snapshot.AddDifference(&configuration.Difference{Base: 104, Revision: 105})
 	assert.Equal(t, len(snapshot.Differences), 0, "a revision was missed")
--- a/internal/controlplane/watch/source.go
+++ b/internal/controlplane/watch/source.go
@@ -8,15 +8,15 @@
 	"ferryspar/internal/peer"
 )
 
-// warmUpTolerance is how far apart two ends of a warm-up may be to count as the same: readings of the list differ by
-// how long they took.
+// warmUpTolerance is the difference up to which two ends of a warm-up count as equal: they vary with the duration of the
+// reads of the list.
 const warmUpTolerance = 700 * time.Millisecond
 
-// endpointSource is what the roster says of a replica, and which of its models and adapters may be used. Entries are
-// replaced rather than changed, but for the parts of listed that no endpoint shows.
+// endpointSource is a replica's entry in the roster, with the models and adapters of it that may be used. An endpointSource
+// is replaced rather than changed, except for the parts of listed that are not part of any endpoint.
 type endpointSource struct {
 	listed discovery.Replica
-	// warmUpUntil is when the replica has warmed up, zero if it has.
+	// warmUpUntil is when the replica's warm-up ends, zero if it was listed as warmed up.
 	warmUpUntil time.Time
 	// usable holds the sorted adapters by model; the empty model stands for the replica itself.
 	usable map[string][]string
@@ -42,12 +42,12 @@
 	return usable
 }
 
-// key returns the key of the set that the replica belongs to by the model.
+// key returns the key of the model's set that the replica belongs to.
 func (s *endpointSource) key(model string) peer.EndpointKey {
 	return peer.EndpointKey{Backend: s.listed.Backend, Model: model}
 }
 
-// endpoint returns the replica as a subscriber to one of its models is sent it.
+// endpoint returns the replica as it is sent to subscribers of one of its models.
 func (s *endpointSource) endpoint(model string, now time.Time) peer.Endpoint {
 	endpoint := peer.Endpoint{
 		ID:       s.listed.ID,
@@ -62,14 +62,14 @@
 		endpoint.Phase = ""
 	}
 	if remaining := s.warmUpUntil.Sub(now); remaining > 0 {
-		// rounded up, so that zero means that it has ended
+		// Rounded up, so that zero means that the warm-up has ended.
 		endpoint.WarmUpRemainingMs = float64(remaining.Milliseconds() + 1)
 	}
 	return endpoint
 }
 
-// isFullyUsable says whether nothing that is listed is cordoned.
-func (s *endpointSource) isFullyUsable() bool {
+// hasNoCordons reports whether none of the listed models and adapters is cordoned.
+func (s *endpointSource) hasNoCordons() bool {
 	if len(s.usable) != len(s.listed.Models)+1 {
 		return false
 	}
@@ -81,19 +81,19 @@
 	return true
 }
 
-// sameListing says whether the roster says the same of the replica as before.
+// sameListing reports whether a replica's new entry in the roster equals the previous one.
 func (s *endpointSource) sameListing(listed discovery.Replica, warmUpUntil time.Time) bool {
 	return discovery.SameReplica(s.listed, listed) &&
-		closeTimes(s.warmUpUntil, warmUpUntil) &&
+		nearlyEqualTimes(s.warmUpUntil, warmUpUntil) &&
 		discovery.SameModels(s.listed.Models, listed.Models)
 }
 
-// sameEndpoint says whether two sources make the same endpoint, apart from models and adapters.
+// sameEndpoint reports whether two sources give the same endpoint, apart from models and adapters.
 func (s *endpointSource) sameEndpoint(other *endpointSource) bool {
-	return discovery.SameReplica(s.listed, other.listed) && closeTimes(s.warmUpUntil, other.warmUpUntil)
+	return discovery.SameReplica(s.listed, other.listed) && nearlyEqualTimes(s.warmUpUntil, other.warmUpUntil)
 }
 
-// sameUsable says whether two tables of usable models are the same.
+// sameUsable reports whether two tables of usable models are equal.
 func sameUsable(left, right map[string][]string) bool {
 	if len(left) != len(right) {
 		return false
@@ -106,8 +106,8 @@
 	return true
 }
 
-// closeTimes says whether two moments are close enough to count as the same. A zero time is close to a zero time only.
-func closeTimes(left, right time.Time) bool {
+// nearlyEqualTimes reports whether two times differ by less than warmUpTolerance. A zero time only equals a zero time.
+func nearlyEqualTimes(left, right time.Time) bool {
 	if left.IsZero() || right.IsZero() {
 		return left.IsZero() == right.IsZero()
 	}
--- a/internal/controlplane/watch/subscriptions.go
+++ b/internal/controlplane/watch/subscriptions.go
@@ -9,26 +9,27 @@
 const (
 	// subscriptionTTL is how long the subscriptions of a data plane are kept after its last request.
 	subscriptionTTL = 20 * time.Second
-	// maxSubscribedKeys bounds the sets that one data plane is sent.
+	// maxSubscribedKeys is the largest number of sets to which one data plane can subscribe.
 	maxSubscribedKeys = 4096
 )
 
-// subscription is the endpoint sets that a data plane has subscribed to. The publisher's lock guards it.
+// subscription holds the endpoint sets that a data plane has subscribed to. The publisher's lock guards it.
 type subscription struct {
 	dataPlane string
 	keys      map[peer.EndpointKey]bool
-	// sequence is that of the last request taken in.
+	// sequence is the sequence number of the last request that was applied.
 	sequence uint64
 	lastSeen time.Time
-	// wake holds a value while a change of a set waits to be sent.
+	// wake holds a value while a changed set is to be sent.
 	wake chan struct{}
-	// replicas are those in the sets, as of the publisher's version replicasVersion and the request replicasSequence.
+	// replicas caches the replicas in the sets, as of the publisher's version replicasVersion and the request with the sequence
+	// number replicasSequence.
 	replicas         peer.ReplicaIDs
 	replicasVersion  uint64
 	replicasSequence uint64
 }
 
-// notify wakes the data plane's watch request, now or when it comes.
+// notify wakes the data plane's pending watch request, or else its next one.
 func (s *subscription) notify() {
 	select {
 	case s.wake <- struct{}{}:
@@ -36,18 +37,18 @@
 	}
 }
 
-// Changes are the changed endpoint sets that a data plane is to be sent.
+// Changes holds the changed endpoint sets that a data plane is to be sent.
 type Changes struct {
 	Sets []peer.EndpointSet
-	// Version is the EndpointPublisher's version that the data plane has once it has adopted the sets. On the wire it is the
-	// RosterVersion, which is another number than Snapshot.RosterVersion.
+	// Version is the EndpointPublisher's version that the data plane has once it has applied the sets. On the wire it is the
+	// RosterVersion, which is not the same as Snapshot.RosterVersion.
 	Version uint64
-	// Resubscribe asks the data plane to send all its subscriptions anew.
+	// Resubscribe requests that the data plane sends all its subscriptions again.
 	Resubscribe bool
 }
 
-// Subscribe changes which sets a data plane watches and answers with those that it adds. A request that doesn't continue
-// the last one is answered by asking for all subscriptions anew.
+// Subscribe changes the sets that a data plane watches and returns the added ones. If the request's sequence number doesn't
+// follow that of the last request, the response requests all subscriptions again.
 func (p *EndpointPublisher) Subscribe(request peer.SubscribeRequest, now time.Time) peer.SubscribeResponse {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -77,7 +78,7 @@
 			break
 		}
 		p.subscribe(subscriber, key)
-		response.EndpointSets = append(response.EndpointSets, p.compose(key, subscriber.dataPlane, now))
+		response.EndpointSets = append(response.EndpointSets, p.endpointSetFor(key, subscriber.dataPlane, now))
 	}
 	return response
 }
@@ -104,6 +105,7 @@
 	}
 }
 
+// removeExpired removes the subscriptions of data planes from which nothing was received for subscriptionTTL.
 func (p *EndpointPublisher) removeExpired(now time.Time) {
 	for dataPlane, subscriber := range p.subscriptions {
 		if now.Sub(subscriber.lastSeen) > subscriptionTTL {
@@ -113,9 +115,9 @@
 	}
 }
 
-// Changes returns the sets that changed since the roster version of the request, or all that the data plane has
-// subscribed to if that version is another incarnation's. A data plane whose subscriptions aren't known up to the
-// request's sequence is asked for them, and its version stays as it is.
+// Changes returns the sets that changed since the request's roster version, or all sets that the data plane has subscribed
+// to if that version is from another incarnation. If this node hasn't received the data plane's subscriptions up to the
+// request's sequence number, the result requests them again and keeps the request's version.
 func (p *EndpointPublisher) Changes(request peer.WatchRequest, incarnation string, now time.Time) Changes {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -136,14 +138,14 @@
 	for key := range subscriber.keys {
 		set := p.sets[key]
 		if set != nil && (!sameIncarnation || set.versionFor(subscriber.dataPlane) > knownVersion) {
-			changes.Sets = append(changes.Sets, p.compose(key, subscriber.dataPlane, now))
+			changes.Sets = append(changes.Sets, p.endpointSetFor(key, subscriber.dataPlane, now))
 		}
 	}
 	return changes
 }
 
-// wakeChannel returns the channel that receives a value when a set changes that the data plane has subscribed to, or
-// nil, which blocks forever, if it has no subscriptions.
+// wakeChannel returns the channel that receives a value when a set that the data plane has subscribed to changes. It
+// returns nil, which blocks forever, if the data plane has no subscriptions.
 func (p *EndpointPublisher) wakeChannel(dataPlane string) <-chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -153,8 +155,8 @@
 	return nil
 }
 
-// SubscribedReplicas returns the replicas in the sets that a data plane has subscribed to, as it is sent them, ordered by
-// id. There are none if it has no subscriptions.
+// SubscribedReplicas returns the replicas in the sets that a data plane has subscribed to, as they are sent to it, ordered by
+// id. It returns none if the data plane has no subscriptions.
 func (p *EndpointPublisher) SubscribedReplicas(dataPlane string) peer.ReplicaIDs {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -169,12 +171,12 @@
 	return subscriber.replicas
 }
 
-// replicasOf returns the replicas in a data plane's sets. The caller holds the lock.
+// replicasOf returns the replicas in the sets of a subscription. The caller holds the lock.
 func (p *EndpointPublisher) replicasOf(subscriber *subscription) peer.ReplicaIDs {
 	replicas := map[string]bool{}
 	for key := range subscriber.keys {
 		if set := p.sets[key]; set != nil {
-			for _, replica := range set.sentTo(subscriber.dataPlane) {
+			for _, replica := range set.endpointsFor(subscriber.dataPlane) {
 				replicas[replica.listed.ID] = true
 			}
 		}
