--- a/internal/controlplane/drillcontrol/controller.go
+++ b/internal/controlplane/drillcontrol/controller.go
@@ -1,10 +1,10 @@
-// Package drillcontrol runs drills of the loss of a zone or region, and forecasts of it, for one
-// control-plane node: it starts and stops the drill at an operator's request, guards it while this node
-// holds the placement lease, and gathers the data planes' forecasts.
+// Package drillcontrol runs drills and forecasts of the loss of a zone or region on a control-plane node: it
+// starts and stops the drill at an operator's request, guards it while this node holds the placement lease,
+// and collects the data planes' forecasts.
 //
-// The record of the newest drill is kept in the keystore; the reports of data planes are soft state that
-// they send again to any other node. The decisions themselves are in internal/drill, and data planes keep
-// requests away from the scope on their own. Start reading at Controller.Start and Controller.Run, or at
+// The record of the newest drill is stored in the keystore; the reports of data planes are soft state that
+// they send again to any other node. The decisions are made in internal/drill, and data planes route
+// requests around the scope by themselves. Start reading at Controller.Start and Controller.Run, or at
 // Forecaster.Forecast.
 package drillcontrol
 
@@ -23,15 +23,15 @@
 	"ferryspar/internal/peer"
 )
 
-// State is the part of the node's published state that drills and forecasts go by.
+// State is the part of the node's published state that drills and forecasts are based on.
 type State struct {
-	// IsConfirmed tells whether a majority confirmed the state lately.
+	// IsConfirmed is set if a majority confirmed the state recently.
 	IsConfirmed bool
-	// Revision is that of the configuration in force, 0 before the first one; PackedConfiguration is its
-	// compressed document.
+	// Revision is the revision of the configuration in force, 0 before the first one; PackedConfiguration is
+	// its compressed document.
 	Revision            int64
 	PackedConfiguration []byte
-	// Zones are the zones' evacuations by name.
+	// Zones holds the state of the zones' evacuations, by zone name.
 	Zones    map[string]peer.ZoneState
 	Replicas []discovery.Replica
 	// Drill is the newest drill.
@@ -39,7 +39,7 @@
 	LeaseHolder string
 }
 
-// evacuatedZone returns a zone that is evacuated, or "".
+// evacuatedZone returns an evacuated zone, or "" if there is none.
 func (s State) evacuatedZone() string {
 	for zone, state := range s.Zones {
 		if state.Drained {
@@ -49,50 +49,51 @@
 	return ""
 }
 
-// Node is the control-plane node that drills are run for. Its methods may be called from any goroutine.
+// Node is the control-plane node that runs the drills. Its methods may be called from any goroutine.
 type Node interface {
 	State() State
-	// Members lists the addresses of the keystore's members.
+	// Members returns the addresses of the keystore's members.
 	Members() []string
-	// HoldsLease tells whether this node holds the placement lease now.
+	// HoldsLease reports whether this node holds the placement lease now.
 	HoldsLease() bool
-	// IsSuspected tells whether data planes suspect the replica.
+	// IsSuspected reports whether data planes suspect the replica.
 	IsSuspected(replica string) bool
 }
 
-// Store keeps the record of the newest drill in the keystore.
+// Store stores the record of the newest drill in the keystore.
 type Store interface {
-	// ReadDrill reads the record with a majority's confirmation.
+	// ReadDrill reads the record, confirmed by a majority.
 	ReadDrill(ctx context.Context) (drill.Record, error)
-	// ChangeDrill replaces the record by what decide makes of the present one, and announces it. decide
-	// returns ErrUnchanged to leave it as it is, which is no error here.
+	// ChangeDrill replaces the record by the one that decide returns for the current one, and publishes it.
+	// If decide returns ErrUnchanged, the record is kept and ChangeDrill returns nil.
 	ChangeDrill(ctx context.Context, decide func(current drill.Record) (drill.Record, error)) error
 }
 
-// DataPlanes is what is known of the data planes (dataplanes.Registry).
+// DataPlanes is the registry of data planes (dataplanes.Registry).
 type DataPlanes interface {
+	// Live returns the sorted data planes that sent a watch request within the window.
 	Live(now time.Time, window time.Duration) []string
-	// Known lists those that have not left.
+	// Known returns the data planes that have not left.
 	Known() []string
-	// Silent returns the first of those named that has been silent for longer than timeout, or "".
+	// Silent returns the first of the named data planes that has been silent for longer than timeout, or "".
 	Silent(names []string, now time.Time, timeout time.Duration) string
 }
 
-// Members is what is known of the other control-plane nodes (members.Manager).
+// Members is the manager of the other control-plane nodes (members.Manager).
 type Members interface {
 	// Silent returns the first of the addresses that is a member and suspected, or "".
 	Silent(addresses []string, now time.Time) string
 }
 
-// Config is what a controller needs beside its collaborators.
+// Config holds the settings of a Controller or Forecaster.
 type Config struct {
 	// Self is this node's address.
 	Self string
-	// Zones holds the region of each zone by name.
+	// Zones holds the region of each zone, by zone name.
 	Zones map[string]string
-	// Clock is the node's steady clock.
+	// Clock is the node's monotonic clock.
 	Clock func() time.Time
-	// NewID returns a random number that names a request.
+	// NewID returns a random number that identifies a request.
 	NewID func() uint64
 }
 
@@ -118,7 +119,7 @@
 	}
 }
 
-// changeTimeout is how long a change of the drill may take, its retries included.
+// changeTimeout bounds a change of the drill's record, including its retries.
 const changeTimeout = 2500 * time.Millisecond
 
 // RecordReport keeps a data plane's report, unless one of a later drill is known.
@@ -126,8 +127,8 @@
 	c.reports.record(dataPlane, report)
 }
 
-// Start starts a drill if nothing speaks against it. A request with the idempotency key of the newest
-// drill returns that drill. Errors are of package apierror.
+// Start starts a drill if the request is valid, no drill is running and no zone is evacuated. A request with
+// the idempotency key of the newest drill returns that drill. Errors are from package apierror.
 func (c *Controller) Start(ctx context.Context, request drill.Request) (drill.Status, error) {
 	if err := c.validate(request); err != nil {
 		return drill.Status{}, err
@@ -141,7 +142,7 @@
 			started = current
 			return current, ErrUnchanged
 		}
-		if c.mayRun(current) {
+		if c.mayBeRunning(current) {
 			return current, apierror.New(apierror.DrillInProgress, "drill %d of %s runs", current.Number, current.Scope)
 		}
 		started, err = request.NewRecord(current)
@@ -159,14 +160,14 @@
 	return c.status(started), nil
 }
 
-// mayRun tells whether the drill of a committed record may go on somewhere. A record that this node has
-// not seen before counts as running, since its deadlines aren't known here.
-func (c *Controller) mayRun(record drill.Record) bool {
+// mayBeRunning reports whether the drill of a committed record may still be running on any node. A drill that
+// this node hasn't seen before counts as running, since its deadlines aren't known here.
+func (c *Controller) mayBeRunning(record drill.Record) bool {
 	state := c.node.State().Drill
 	return record.Running && (state.Number != record.Number || state.IsRunning(c.config.Clock()))
 }
 
-// validate returns why a drill may not start: an invalid request, state without confirmation, an
+// validate returns an error if a drill may not start: because of an invalid request, unconfirmed state, an
 // evacuated zone, or no replicas inside or outside the scope.
 func (c *Controller) validate(request drill.Request) error {
 	if err := request.Scope.Validate(c.config.Zones); err != nil {
@@ -205,11 +206,11 @@
 
 // Stop ends the running drill at the operator's request.
 func (c *Controller) Stop(ctx context.Context) (drill.Status, error) {
-	ended, err := c.end(ctx, anyDrill, verdict{reason: drill.EndedByOperator})
+	ended, err := c.end(ctx, anyDrill, endDecision{reason: drill.EndedByOperator})
 	return c.status(ended), err
 }
 
-// Read reads the newest drill with a majority's confirmation.
+// Read reads the newest drill, confirmed by a majority.
 func (c *Controller) Read(ctx context.Context) (drill.Status, error) {
 	record, err := c.store.ReadDrill(ctx)
 	if err != nil {
@@ -218,25 +219,26 @@
 	return c.status(record), nil
 }
 
-// anyDrill stands for the number of whichever drill runs.
+// anyDrill stands for the number of the running drill, whatever it is.
 const anyDrill = 0
 
-// verdict is why a drill ends, and whether the guard ends it rather than its own time or the operator.
-type verdict struct {
+// endDecision is the reason for which a drill ends, and whether the guard ends it rather than its deadline or the
+// operator.
+type endDecision struct {
 	reason  string
 	byGuard bool
 }
 
-// end ends the drill of the number and stores why, with the reports merged. It returns the record as it
-// stands if that drill does not run.
-func (c *Controller) end(ctx context.Context, number uint64, verdict verdict) (drill.Record, error) {
+// end ends the drill with the number, and stores the reason and the merged reports. It returns the stored
+// record unchanged if that drill is not running.
+func (c *Controller) end(ctx context.Context, number uint64, decision endDecision) (drill.Record, error) {
 	var ended drill.Record
 	err := c.changeWithRetry(ctx, func(current drill.Record) (drill.Record, error) {
 		ended = current
 		if !current.Running || number != anyDrill && current.Number != number {
 			return current, ErrUnchanged
 		}
-		ended = current.End(verdict.reason, verdict.byGuard, drill.MergeReports(c.reports.listOf(current.Number)))
+		ended = current.End(decision.reason, decision.byGuard, drill.MergeReports(c.reports.listOfDrill(current.Number)))
 		return ended, nil
 	})
 	if err == nil {
@@ -250,19 +252,19 @@
 }
 
 const (
-	// minRetryBackoff and maxRetryBackoff bound the random wait before a change is retried.
+	// minRetryBackoff and maxRetryBackoff bound the random delay before a change is retried.
 	minRetryBackoff = 20 * time.Millisecond
 	maxRetryBackoff = 100 * time.Millisecond
 )
 
-// retryableKinds are the errors after which a change of the drill is retried: its record tells when it
-// was changed already.
+// retryableKinds holds the kinds of errors after which a change of the drill is retried. A retry finds in the
+// record whether the change was made already.
 var retryableKinds = map[apierror.Kind]bool{
 	apierror.UncertainWrite: true,
 	apierror.NoMajority:     true,
 }
 
-// changeWithRetry changes the record, again and again while the keystore is contended.
+// changeWithRetry changes the record. It retries after a retryable error until changeTimeout.
 func (c *Controller) changeWithRetry(ctx context.Context, decide func(current drill.Record) (drill.Record, error)) error {
 	bounded, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
--- a/internal/controlplane/drillcontrol/controller_test.go
+++ b/internal/controlplane/drillcontrol/controller_test.go
@@ -14,16 +14,16 @@
 	"ferryspar/internal/peer"
 )
 
-// testNode is a node with the lease, whose changes of the drill are committed at once.
+// testNode is a node that holds the lease and commits changes of the drill at once.
 type testNode struct {
 	state     State
 	clock     time.Time
 	record    drill.Record
 	suspected string
-	// silentDataPlane and silentMember are what its registries say is silent.
+	// silentDataPlane and silentMember are returned as silent by its registries.
 	silentDataPlane string
 	silentMember    string
-	// failures is how many changes fail as uncertain before one succeeds.
+	// failures is the number of changes that are reported as uncertain before one is reported as successful.
 	failures int
 }
 
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// testMembers is the other control-plane nodes of a testNode.
+// testMembers stands for the other control-plane nodes of a testNode.
 type testMembers struct{ node *testNode }
 
 func (m testMembers) Silent([]string, time.Time) string { return m.node.silentMember }
@@ -84,7 +84,7 @@
 	controller, node := newTestController()
 	node.failures = 1
 	status, err := controller.Start(t.Context(), northRequest)
-	assert.NilError(t, err, "the retry finds what the uncertain write did")
+	assert.NilError(t, err, "the retry finds the result of the uncertain write")
 	assert.Equal(t, status.Number, uint64(1))
 	assert.Assert(t, status.Running)
 	status, err = controller.Start(t.Context(), northRequest)
@@ -102,7 +102,7 @@
 	assert.Equal(t, status.Number, uint64(2))
 }
 
-func TestController_StartRejects(t *testing.T) {
+func TestController_StartRejectsRequestsInUnsuitableState(t *testing.T) {
 	cases := map[string]struct {
 		change func(node *testNode)
 		kind   apierror.Kind
@@ -174,28 +174,28 @@
 			change: func(_ *Controller, node *testNode) {
 				node.state.Replicas = node.state.Replicas[1:]
 			},
-			reason:  realLoss + "replica i-1 is gone",
+			reason:  realLossPrefix + "replica i-1 is gone",
 			byGuard: true,
 		},
 		"replica suspected": {
 			change: func(_ *Controller, node *testNode) {
 				node.suspected = "i-2"
 			},
-			reason:  realLoss + "replica i-2 does not answer",
+			reason:  realLossPrefix + "replica i-2 does not answer",
 			byGuard: true,
 		},
 		"data plane silent": {
 			change: func(_ *Controller, node *testNode) {
 				node.silentDataPlane = "edge"
 			},
-			reason:  realLoss + "edge edge is silent",
+			reason:  realLossPrefix + "edge edge is silent",
 			byGuard: true,
 		},
 		"member silent": {
 			change: func(_ *Controller, node *testNode) {
 				node.silentMember = "other"
 			},
-			reason:  realLoss + "member other is silent",
+			reason:  realLossPrefix + "member other is silent",
 			byGuard: true,
 		},
 		"data plane ended it": {
@@ -214,7 +214,7 @@
 			base := controller.newBaseline(node.state, node.clock)
 			assert.DeepEqual(t, base.members, []string{"other"})
 			controller.guard(t.Context(), base, node.state, node.clock)
-			assert.Assert(t, node.record.Running, "nothing is lost yet")
+			assert.Assert(t, node.record.Running, "nothing was lost yet")
 			assert.Equal(t, node.record.Renewals, uint64(1))
 			testCase.change(controller, node)
 			controller.guard(t.Context(), base, node.state, node.clock)
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestController_NextLeaseHolderEndsDrill(t *testing.T) {
+func TestController_NewLeaseHolderEndsDrill(t *testing.T) {
 	controller, node := newTestController()
 	_, err := controller.Start(t.Context(), northRequest)
 	assert.NilError(t, err)
@@ -233,5 +233,5 @@
 	successor := NewController(controller.config, node, node, node, testMembers{node})
 	successor.guard(t.Context(), successor.newBaseline(node.state, node.clock), node.state, node.clock)
 	assert.Assert(t, !node.record.Running)
-	assert.Equal(t, node.record.EndReason, realLoss+"the duty to place has moved")
+	assert.Equal(t, node.record.EndReason, realLossPrefix+"the duty to place has moved")
 }
--- a/internal/controlplane/drillcontrol/errors.go
+++ b/internal/controlplane/drillcontrol/errors.go
@@ -6,10 +6,10 @@
 	"ferryspar/internal/apierror"
 )
 
-// ErrUnchanged ends a decision on a record that needs no change.
+// ErrUnchanged is returned by a decide function of Store.ChangeDrill if the record needs no change.
 var ErrUnchanged = errors.New("drill: record needs no change")
 
-// errUnconfirmed is the answer to a request that needs state which a majority confirmed lately.
+// errUnconfirmed returns the error for a request that requires state confirmed by a majority recently.
 func errUnconfirmed() error {
 	return apierror.New(apierror.NoMajority, "this daemon's state is not confirmed")
 }
--- a/internal/controlplane/drillcontrol/forecaster.go
+++ b/internal/controlplane/drillcontrol/forecaster.go
@@ -15,37 +15,38 @@
 	"ferryspar/internal/drill"
 )
 
-// forecastTimeout is how long the data planes may take to answer.
+// forecastTimeout bounds the wait for the data planes' responses.
 const forecastTimeout = 2 * time.Second
 
-// Fleet is what the node knows of the fleet when a forecast is made. Its methods may be called from any
+// Fleet is the node's view of the fleet, from which a forecast is made. Its methods may be called from any
 // goroutine.
 type Fleet interface {
 	State() State
-	// Members lists the addresses of the keystore's members, MemberZones the zone of each known node.
+	// Members returns the addresses of the keystore's members, MemberZones the zone of each known node.
 	Members() []string
 	MemberZones() map[string]string
-	// DataPlaneZones is the zone of each data plane that has not left.
+	// DataPlaneZones returns the zone of each data plane that has not left.
 	DataPlaneZones() map[string]string
-	// DemandRates are requests a second by "backend model".
+	// DemandRates returns the requests per second by "backend model".
 	DemandRates() map[string]float64
-	// PublishForecastRequest has a request sent to all data planes, or none any more if it is nil.
+	// PublishForecastRequest publishes a request to all data planes, or withdraws the last one if it is nil.
 	PublishForecastRequest(request *drill.ForecastRequest)
-	// PlanPlacement asks the lease holder what it would place. The plan doesn't hold if it can't be asked.
+	// PlanPlacement requests the placement plan of the lease holder. HoldsLease of the plan is not set if the
+	// lease holder can't be reached.
 	PlanPlacement(ctx context.Context, leaseHolder string, request drill.ForecastRequest) drill.PlacementPlan
 }
 
-// Forecaster gathers forecasts, one at a time. Any goroutine may call its methods.
+// Forecaster collects forecasts, one at a time. Any goroutine may call its methods.
 type Forecaster struct {
 	config Config
 	fleet  Fleet
 
 	// lock guards number, responses and arrived.
 	lock sync.Mutex
-	// number is the open request's, or 0 if there is none.
+	// number is the number of the open request, or 0 if there is none.
 	number    uint64
 	responses map[string]drill.ForecastResponse
-	// arrived wakes the gathering call after each response.
+	// arrived receives a value after each response, which wakes the pending call of Forecast.
 	arrived chan struct{}
 }
 
@@ -54,14 +55,14 @@
 	return &Forecaster{config: config, fleet: fleet}
 }
 
-// Forecast predicts the loss of a scope by asking every data plane and the lease holder. It changes
-// nothing in the fleet. A forecast without some responses names those that are missing. Errors are of
-// package apierror.
+// Forecast predicts the effects of losing a scope, from the responses of all data planes and the lease
+// holder. It changes nothing in the fleet. If some nodes don't respond, the forecast names them. Errors are
+// from package apierror.
 func (f *Forecaster) Forecast(ctx context.Context, scope drill.Scope) (drill.Forecast, error) {
 	if err := scope.Validate(f.config.Zones); err != nil {
 		return drill.Forecast{}, err
 	}
-	view, err := f.view(scope)
+	view, err := f.fleetView(scope)
 	if err != nil {
 		return drill.Forecast{}, err
 	}
@@ -71,7 +72,7 @@
 		return drill.Forecast{}, apierror.New(apierror.DrillInProgress, "a forecast is being gathered here")
 	}
 	f.fleet.PublishForecastRequest(request)
-	f.await(ctx, arrived, view.DataPlanes)
+	f.awaitResponses(ctx, arrived, view.DataPlanes)
 	f.fleet.PublishForecastRequest(nil)
 	forecast := drill.MergeForecast(view, f.close())
 	leaseHolder := f.fleet.State().LeaseHolder
@@ -85,7 +86,7 @@
 	return forecast, nil
 }
 
-// HandleResponse takes in a data plane's response to the open request.
+// HandleResponse records a data plane's response to the open request.
 func (f *Forecaster) HandleResponse(_ context.Context, response drill.ForecastResponse) struct{} {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -100,8 +101,8 @@
 	return struct{}{}
 }
 
-// open opens a request and returns the channel that is sent to after each response, and false if another
-// request is open.
+// open opens a request and returns the channel that receives a value after each response, or false if
+// another request is open.
 func (f *Forecaster) open(number uint64) (<-chan struct{}, bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -114,8 +115,8 @@
 	return f.arrived, true
 }
 
-// await waits until all the data planes have responded, or for forecastTimeout.
-func (f *Forecaster) await(ctx context.Context, arrived <-chan struct{}, dataPlanes map[string]string) {
+// awaitResponses waits until all the data planes have responded, but at most for forecastTimeout.
+func (f *Forecaster) awaitResponses(ctx context.Context, arrived <-chan struct{}, dataPlanes map[string]string) {
 	bounded, cancel := context.WithTimeout(ctx, forecastTimeout)
 	defer cancel()
 	for !f.isComplete(dataPlanes) {
@@ -127,7 +128,7 @@
 	}
 }
 
-// isComplete tells whether all the data planes have responded.
+// isComplete reports whether all the data planes have responded.
 func (f *Forecaster) isComplete(dataPlanes map[string]string) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -139,7 +140,7 @@
 	return true
 }
 
-// close closes the request and returns its responses in any order.
+// close closes the request and returns its responses in no particular order.
 func (f *Forecaster) close() []drill.ForecastResponse {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -148,9 +149,9 @@
 	return responses
 }
 
-// view is what this node itself knows for a forecast. It fails without confirmed state or a
+// fleetView returns this node's own knowledge for a forecast. It returns an error without confirmed state or a
 // configuration.
-func (f *Forecaster) view(scope drill.Scope) (drill.FleetView, error) {
+func (f *Forecaster) fleetView(scope drill.Scope) (drill.FleetView, error) {
 	state := f.fleet.State()
 	if !state.IsConfirmed {
 		return drill.FleetView{}, errUnconfirmed()
@@ -176,7 +177,7 @@
 	}, nil
 }
 
-// addPlan adds to a forecast what the lease holder would place; without a plan the forecast is partial.
+// addPlan adds the lease holder's placement plan to a forecast; without a plan the forecast is partial.
 func addPlan(forecast *drill.Forecast, plan drill.PlacementPlan, leaseHolder string) {
 	if !plan.HoldsLease {
 		forecast.Partial = true
--- a/internal/controlplane/drillcontrol/forecaster_test.go
+++ b/internal/controlplane/drillcontrol/forecaster_test.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/drill"
 )
 
-// testFleet is a fleet of two data planes of which only those in responses answer a forecast.
+// testFleet is a fleet of two data planes of which only those in responses respond to a forecast request.
 type testFleet struct {
 	*testNode
 	forecaster *Forecaster
@@ -52,7 +52,7 @@
 	return fleet.forecaster, fleet
 }
 
-func TestForecaster_NamesWhatDidNotAnswer(t *testing.T) {
+func TestForecaster_NamesNodesThatDidNotRespond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forecaster, fleet := newTestForecaster("a", "b")
 		forecast, err := forecaster.Forecast(t.Context(), drill.Scope{Zone: "north"})
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestForecaster_GathersOneForecastAtATime(t *testing.T) {
+func TestForecaster_CollectsOneForecastAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forecaster, _ := newTestForecaster("a")
 		done := make(chan error)
@@ -80,11 +80,11 @@
 		synctest.Wait()
 		_, err := forecaster.Forecast(t.Context(), drill.Scope{Zone: "north"})
 		assert.Equal(t, apierror.From(err).Kind, apierror.DrillInProgress)
-		assert.NilError(t, <-done, "it ends by its timeout")
+		assert.NilError(t, <-done, "the first forecast ends at its timeout")
 	})
 }
 
-func TestForecaster_NeedsConfirmedState(t *testing.T) {
+func TestForecaster_RequiresConfirmedState(t *testing.T) {
 	forecaster, fleet := newTestForecaster()
 	fleet.state.IsConfirmed = false
 	_, err := forecaster.Forecast(t.Context(), drill.Scope{Zone: "north"})
--- a/internal/controlplane/drillcontrol/guard.go
+++ b/internal/controlplane/drillcontrol/guard.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// checkInterval is how often the lease holder checks a running drill, renewInterval how often it
-	// renews it.
+	// checkInterval is the interval at which the lease holder checks a running drill, renewInterval the interval
+	// at which it renews it.
 	checkInterval = 400 * time.Millisecond
 	renewInterval = time.Second
-	// dataPlaneTimeout is how long a data plane may be silent during a drill.
+	// dataPlaneTimeout is how long a data plane may be silent during a drill before it counts as lost.
 	dataPlaneTimeout = 3 * time.Second
 	// writeTimeout bounds one write of the guard.
 	writeTimeout = 1200 * time.Millisecond
-	// realLoss precedes the reason of a drill that ends since something was really lost.
-	realLoss = "a real loss takes precedence: "
+	// realLossPrefix is the prefix of the reason of a drill that ends because of a real loss.
+	realLossPrefix = "a real loss takes precedence: "
 )
 
-// baseline is what was alive when this node started to guard a drill.
+// baseline records what was alive when this node began to guard a drill.
 type baseline struct {
 	number     uint64
 	dataPlanes []string
 	members    []string
 	replicas   []string
 	renewedAt  time.Time
-	// isTakenOver is set if another lease holder has renewed the drill before.
+	// isTakenOver is set if a previous lease holder has renewed the drill.
 	isTakenOver bool
 }
 
 // Run guards the running drill while this node holds the placement lease, until ctx ends: it renews the
-// drill, or ends it when its time is up or something is really lost.
+// drill, or ends it at its deadline or for a reason of guardReason.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -57,13 +57,13 @@
 	}
 }
 
-// guard ends the drill if there is a reason, or renews it if that is due.
+// guard ends the drill if there is a reason to, else renews it if a renewal is due.
 func (c *Controller) guard(ctx context.Context, base *baseline, state State, now time.Time) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	if verdict := c.judge(base, state, now); verdict.reason != "" {
-		// A failure is not lost: the next check ends the drill, here or at the next lease holder.
-		_, _ = c.end(bounded, base.number, verdict)
+	if decision := c.decideEnd(base, state, now); decision.reason != "" {
+		// If this fails, the next check ends the drill, on this node or on the next lease holder.
+		_, _ = c.end(bounded, base.number, decision)
 		return
 	}
 	if now.Sub(base.renewedAt) >= renewInterval {
@@ -72,8 +72,8 @@
 	}
 }
 
-// renew stores that the drill goes on, with the time left. Without it the drill lapses everywhere after
-// drill.LeaseDuration, so failures are left to that.
+// renew stores a renewal of the drill with the remaining time. Errors are ignored: without a renewal the drill
+// expires on all nodes after drill.LeaseDuration.
 func (c *Controller) renew(ctx context.Context, state drill.State, now time.Time) {
 	_ = c.store.ChangeDrill(ctx, func(current drill.Record) (drill.Record, error) {
 		if !current.Running || current.Number != state.Number {
@@ -103,16 +103,16 @@
 	return base
 }
 
-// judge returns why the drill must end now, with no reason if it goes on.
-func (c *Controller) judge(base *baseline, state State, now time.Time) verdict {
+// decideEnd returns why the drill must end now. The reason is empty if the drill continues.
+func (c *Controller) decideEnd(base *baseline, state State, now time.Time) endDecision {
 	current := state.Drill
 	if !now.Before(current.Deadline) {
-		return verdict{reason: drill.EndedByTime}
+		return endDecision{reason: drill.EndedByTime}
 	}
-	return verdict{reason: c.guardReason(base, state, now), byGuard: true}
+	return endDecision{reason: c.guardReason(base, state, now), byGuard: true}
 }
 
-// guardReason returns why a drill must end before its time, or "".
+// guardReason returns why a drill must end before its deadline, or "" if it need not.
 func (c *Controller) guardReason(base *baseline, state State, now time.Time) string {
 	current := state.Drill
 	if !now.Before(current.LeaseExpiresAt) {
@@ -122,20 +122,20 @@
 		return drill.EndedByEvacuation + ": zone " + zone
 	}
 	if base.isTakenOver {
-		return realLoss + "the duty to place has moved"
+		return realLossPrefix + "the duty to place has moved"
 	}
 	if lost := c.lossSince(base, state, now); lost != "" {
-		return realLoss + lost
+		return realLossPrefix + lost
 	}
-	for dataPlane, report := range c.reports.of(current.Number) {
+	for dataPlane, report := range c.reports.ofDrill(current.Number) {
 		if report.EndReason != "" && report.EndReason != drill.EndedByTime {
 			return "edge " + dataPlane + " ended it: " + report.EndReason
 		}
 	}
-	return drill.CheckGuard(current.Record, drill.MergeOutcomes(c.reports.listOf(current.Number)))
+	return drill.CheckGuard(current.Record, drill.MergeOutcomes(c.reports.listOfDrill(current.Number)))
 }
 
-// lossSince returns what was lost since the baseline, or "".
+// lossSince returns what was lost since the baseline, or "" if nothing was.
 func (c *Controller) lossSince(base *baseline, state State, now time.Time) string {
 	if silent := c.dataPlanes.Silent(base.dataPlanes, now, dataPlaneTimeout); silent != "" {
 		return "edge " + silent + " is silent"
--- a/internal/controlplane/drillcontrol/reports.go
+++ b/internal/controlplane/drillcontrol/reports.go
@@ -6,7 +6,7 @@
 	"ferryspar/internal/drill"
 )
 
-// reports holds the last report of each data plane. Its lock guards it.
+// reports holds the last report of each data plane. Its lock guards all fields.
 type reports struct {
 	lock        sync.Mutex
 	byDataPlane map[string]drill.Report
@@ -14,7 +14,7 @@
 
 func newReports() reports { return reports{byDataPlane: map[string]drill.Report{}} }
 
-// record keeps a data plane's report, unless one of a later drill is kept.
+// record stores a data plane's report, unless the stored one is of a later drill.
 func (r *reports) record(dataPlane string, report drill.Report) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -23,8 +23,8 @@
 	}
 }
 
-// of returns the reports of a drill by data plane.
-func (r *reports) of(number uint64) map[string]drill.Report {
+// ofDrill returns the reports ofDrill a drill by data plane.
+func (r *reports) ofDrill(number uint64) map[string]drill.Report {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	current := map[string]drill.Report{}
@@ -36,10 +36,10 @@
 	return current
 }
 
-// listOf returns the reports of a drill in any order.
-func (r *reports) listOf(number uint64) []drill.Report {
+// listOfDrill returns the reports of a drill in no particular order.
+func (r *reports) listOfDrill(number uint64) []drill.Report {
 	var list []drill.Report
-	for _, report := range r.of(number) {
+	for _, report := range r.ofDrill(number) {
 		list = append(list, report)
 	}
 	return list
--- a/internal/controlplane/drillcontrol/status.go
+++ b/internal/controlplane/drillcontrol/status.go
@@ -2,7 +2,7 @@
 
 import "ferryspar/internal/drill"
 
-// status is a drill as an operator sees it, by what this node knows.
+// status returns the status of a drill for an operator, from this node's knowledge.
 func (c *Controller) status(record drill.Record) drill.Status {
 	status := drill.Status{Record: record, DataPlanes: map[string]string{}}
 	if !record.Running {
@@ -16,18 +16,18 @@
 	for _, dataPlane := range c.dataPlanes.Known() {
 		status.DataPlanes[dataPlane] = drill.DataPlaneSilent
 	}
-	for dataPlane, report := range c.reports.of(record.Number) {
+	for dataPlane, report := range c.reports.ofDrill(record.Number) {
 		status.DataPlanes[dataPlane] = drill.DataPlaneParticipating
 		if report.EndReason != "" {
 			status.DataPlanes[dataPlane] = report.EndReason
 		}
 	}
-	status.Routes = drill.MergeReports(c.reports.listOf(record.Number))
+	status.Routes = drill.MergeReports(c.reports.listOfDrill(record.Number))
 	return status
 }
 
-// addDeadlines adds the time left by this node's clock, and why the drill has ended where its record
-// doesn't say so yet.
+// addDeadlines adds the remaining time by this node's clock, and why the drill has ended if its record
+// doesn't contain that yet.
 func (c *Controller) addDeadlines(status *drill.Status, state drill.State) {
 	now := c.config.Clock()
 	status.RemainingMs = max(state.Deadline.Sub(now), 0).Milliseconds()
--- a/internal/drill/forecast.go
+++ b/internal/drill/forecast.go
@@ -5,8 +5,8 @@
 	"ferryspar/internal/discovery"
 )
 
-// FleetView is what the control plane knows when a forecast is made. Zones maps a zone to its region,
-// DataPlanes and MemberZones map a name to its zone; Demand is requests a second by "backend model".
+// FleetView is the control plane's view of the fleet when a forecast is made. Zones maps each zone to its
+// region, DataPlanes and MemberZones map names to zones; Demand is requests per second by "backend model".
 type FleetView struct {
 	Scope       Scope
 	Zones       map[string]string
@@ -19,7 +19,7 @@
 	LeaseHolder string
 }
 
-// RouteForecast is the forecast of a route over all data planes. Times to the first token are
+// RouteForecast is the forecast for a route over all data planes. Times to the first token are in
 // milliseconds.
 type RouteForecast struct {
 	Name            string  `json:"name"`
@@ -31,7 +31,7 @@
 	FirstTokenAfterLoss Quantiles `json:"firstThen"`
 }
 
-// LostModel is a model or adapter without a copy outside the scope, the requests a second for it,
+// LostModel is a model or adapter without a copy outside the scope, with its requests per second
 // and its load time in milliseconds.
 type LostModel struct {
 	Backend  string  `json:"backend"`
@@ -40,8 +40,8 @@
 	LoadMs   float64 `json:"loadMs,omitempty"`
 }
 
-// LoadEstimate is the least time, in milliseconds, that loading the lost models takes: for all of them,
-// and for those in demand.
+// LoadEstimate is the number of loads and their minimum time in milliseconds for loading the lost models:
+// all of them, and those in demand.
 type LoadEstimate struct {
 	Loads         int     `json:"loads"`
 	MinMs         float64 `json:"leastMs"`
@@ -49,7 +49,7 @@
 	InDemandMinMs float64 `json:"wantedLeastMs"`
 }
 
-// ReplicaForecast is a replica that stays, with what it would run.
+// ReplicaForecast is a replica outside the scope with the requests that it would run.
 type ReplicaForecast struct {
 	Replica string `json:"replica"`
 	Zone    string `json:"zone"`
@@ -59,7 +59,7 @@
 	Full    bool   `json:"full"`
 }
 
-// PlacementStep is a load or unload that the scheduler would order first, and why.
+// PlacementStep is one of the first loads or unloads that the scheduler would order, with its reason.
 type PlacementStep struct {
 	Replica string `json:"replica"`
 	Load    bool   `json:"load"`
@@ -67,14 +67,15 @@
 	Reason  string `json:"why"`
 }
 
-// PlacementPlan is the list of first placement steps. HoldsLease tells whether the node that
-// made it holds the placement lease; without it there are no steps.
+// PlacementPlan is the list of first placement steps. HoldsLease is set if the node that made the
+// plan holds the placement lease; otherwise there are no steps.
 type PlacementPlan struct {
 	HoldsLease bool            `json:"holds"`
 	Steps      []PlacementStep `json:"steps"`
 }
 
-// ControlForecast is what the loss does to the control plane.
+// ControlForecast is the effect of the loss on the control plane. UnknownZone lists the members whose
+// zone isn't known.
 type ControlForecast struct {
 	Members       []string `json:"members"`
 	Lost          []string `json:"lost"`
@@ -84,8 +85,8 @@
 	LeaseHolder   string   `json:"placementHolder"`
 }
 
-// Forecast is the whole answer to an operator. Partial tells that some data planes, named in
-// Missing, didn't answer.
+// Forecast is the complete response to an operator. Partial is set if some nodes, named in Missing,
+// didn't respond.
 type Forecast struct {
 	Scope          Scope                   `json:"scope"`
 	Partial        bool                    `json:"partial"`
--- a/internal/drill/forecast_test.go
+++ b/internal/drill/forecast_test.go
@@ -9,6 +9,7 @@
 	"ferryspar/internal/discovery"
 )
 
+// fleetView returns a fleet of three replicas and three members in two regions, of which the zone "isle" is lost.
 func fleetView() FleetView {
 	runtime := &configuration.Runtime{LoadsPerS: 0.5, Models: []configuration.Model{
 		{Name: "big", LoadTimeS: 4},
@@ -40,15 +41,15 @@
 	}
 }
 
-func TestMerge_AddsResponsesAndListsMissing(t *testing.T) {
-	answer := ForecastResponse{
+func TestMergeForecast_AddsResponsesAndListsMissing(t *testing.T) {
+	response := ForecastResponse{
 		DataPlane: "one",
 		Zone:      "east",
 		Ready:     true,
 		Replicas:  map[string]ReplicaLoad{"r2": {Running: 1, Moved: 1}},
 		InFlight:  InFlight{Running: 3, OnLostReplicas: 1},
 	}
-	forecast := MergeForecast(fleetView(), []ForecastResponse{answer, {DataPlane: "two", Ready: false}})
+	forecast := MergeForecast(fleetView(), []ForecastResponse{response, {DataPlane: "two", Ready: false}})
 	assert.Assert(t, forecast.Partial)
 	assert.DeepEqual(t, forecast.Missing, []string{"two"})
 	assert.DeepEqual(t, forecast.DataPlanesLost, []string{"two"})
@@ -69,7 +70,7 @@
 	})
 	withoutDataPlanes := fleetView()
 	withoutDataPlanes.DataPlanes = map[string]string{}
-	assert.Assert(t, MergeForecast(withoutDataPlanes, nil).Partial, "a forecast by nobody is not whole")
+	assert.Assert(t, MergeForecast(withoutDataPlanes, nil).Partial, "a forecast without any response is partial")
 }
 
 func TestLoss_LosesAllRegions(t *testing.T) {
--- a/internal/drill/histogram.go
+++ b/internal/drill/histogram.go
@@ -11,7 +11,7 @@
 	significantFigures = 2
 )
 
-// Quantiles summarises a histogram. Times are milliseconds.
+// Quantiles summarizes a histogram. Times are in milliseconds.
 type Quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50Ms"`
@@ -25,12 +25,12 @@
 	return hdrhistogram.New(1, maxLatencyMs, significantFigures)
 }
 
-// RecordLatency adds a time in milliseconds, kept within the histogram's bounds.
+// RecordLatency records a time in milliseconds, clamped to the histogram's bounds.
 func RecordLatency(histogram *hdrhistogram.Histogram, milliseconds float64) {
 	_ = histogram.RecordValue(int64(math.Round(min(max(milliseconds, 1), maxLatencyMs))))
 }
 
-// EncodeHistogram encodes a histogram for sending, empty on failure.
+// EncodeHistogram encodes a histogram for transmission. It returns "" on failure.
 func EncodeHistogram(histogram *hdrhistogram.Histogram) string {
 	content, err := histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return string(content)
 }
 
-// MergeEncoded adds an encoded histogram to another; one that cannot be read is passed over.
+// MergeEncoded adds an encoded histogram to another one. An encoded histogram that can't be decoded is ignored.
 func MergeEncoded(into *hdrhistogram.Histogram, encoded string) {
 	if encoded == "" {
 		return
--- a/internal/drill/lostmodels.go
+++ b/internal/drill/lostmodels.go
@@ -13,7 +13,7 @@
 	reference string
 }
 
-// lostModels returns what has no copy outside the scope, the most asked for first.
+// lostModels returns the models and adapters without a copy outside the scope, sorted by descending request rate.
 func (v FleetView) lostModels() []LostModel {
 	remaining, lost := v.modelCopies()
 	list := []LostModel{}
@@ -31,12 +31,13 @@
 	return list
 }
 
-// modelCopies returns what has a copy outside the scope, on a replica that stays, and what has one inside.
+// modelCopies returns the models and adapters that have a copy outside the scope, on a replica that isn't draining, and
+// those that have one inside.
 func (v FleetView) modelCopies() (remaining, lost map[modelKey]bool) {
 	remaining, lost = map[modelKey]bool{}, map[modelKey]bool{}
 	for _, replica := range v.Replicas {
 		switch {
-		case v.lost(replica.Zone):
+		case v.isLost(replica.Zone):
 			addCopies(lost, replica)
 		case replica.State != discovery.Draining:
 			addCopies(remaining, replica)
@@ -45,6 +46,7 @@
 	return remaining, lost
 }
 
+// addCopies adds the models and adapters that are loaded on a replica.
 func addCopies(into map[modelKey]bool, replica discovery.Replica) {
 	for _, loaded := range replica.Models {
 		into[modelKey{replica.Backend, loaded.Name}] = true
@@ -54,16 +56,18 @@
 	}
 }
 
+// lostModel returns a lost model or adapter with its demand and load time.
 func (v FleetView) lostModel(backend, reference string) LostModel {
 	return LostModel{
 		Backend:  backend,
 		Model:    reference,
 		RatePerS: v.Demand[backend+" "+reference],
-		LoadMs:   v.loadTime(backend, reference),
+		LoadMs:   v.loadTimeMs(backend, reference),
 	}
 }
 
-func (v FleetView) loadTime(backend, reference string) float64 {
+// loadTimeMs returns the load time of a model in milliseconds, or 0 for an adapter or an unknown model.
+func (v FleetView) loadTimeMs(backend, reference string) float64 {
 	if v.Table == nil || strings.Contains(reference, "/") {
 		return 0
 	}
--- a/internal/drill/merge.go
+++ b/internal/drill/merge.go
@@ -8,9 +8,9 @@
 	"ferryspar/internal/discovery"
 )
 
-// MergeForecast joins the answers of the data planes with the view of the control plane. It changes the
+// MergeForecast merges the responses of the data planes with the view of the control plane. It updates the
 // view's DataPlanes.
-func MergeForecast(view FleetView, answers []ForecastResponse) Forecast {
+func MergeForecast(view FleetView, responses []ForecastResponse) Forecast {
 	merged := Forecast{
 		Scope:          view.Scope,
 		Answered:       []string{},
@@ -22,27 +22,28 @@
 	}
 	answered := map[string]bool{}
 	loads := map[string]ReplicaLoad{}
-	for _, answer := range answers {
-		if !answer.Ready {
+	for _, response := range responses {
+		if !response.Ready {
 			continue
 		}
-		answered[answer.DataPlane] = true
-		view.DataPlanes[answer.DataPlane] = answer.Zone
-		merged.add(answer)
-		addLoads(loads, answer.Replicas)
+		answered[response.DataPlane] = true
+		view.DataPlanes[response.DataPlane] = response.Zone
+		merged.add(response)
+		addLoads(loads, response.Replicas)
 	}
 	merged.recordDataPlanes(view, answered)
-	merged.Routes = mergeRoutes(answers)
+	merged.Routes = mergeRoutes(responses)
 	view.addReplicas(&merged, loads)
 	merged.LostModels = view.lostModels()
 	merged.LoadEstimate = view.estimateLoading(merged.LostModels)
 	return merged
 }
 
-func (f *Forecast) add(answer ForecastResponse) {
-	f.Answered = append(f.Answered, answer.DataPlane)
-	f.InFlight.Add(answer.InFlight)
-	for model, cached := range answer.Cached {
+// add adds a data plane's requests in flight and cached tokens to the forecast.
+func (f *Forecast) add(response ForecastResponse) {
+	f.Answered = append(f.Answered, response.DataPlane)
+	f.InFlight.Add(response.InFlight)
+	for model, cached := range response.Cached {
 		sum := f.Cached[model]
 		sum.Lost += cached.Lost
 		sum.OnlyInScope += cached.OnlyInScope
@@ -51,6 +52,7 @@
 	}
 }
 
+// addLoads adds loads by replica to the sums.
 func addLoads(sums, loads map[string]ReplicaLoad) {
 	for id, load := range loads {
 		sum := sums[id]
@@ -60,12 +62,13 @@
 	}
 }
 
+// recordDataPlanes records which data planes are lost and which didn't respond.
 func (f *Forecast) recordDataPlanes(view FleetView, answered map[string]bool) {
 	for name, zone := range view.DataPlanes {
 		if !answered[name] {
 			f.Missing = append(f.Missing, name)
 		}
-		if zone != "" && view.lost(zone) {
+		if zone != "" && view.isLost(zone) {
 			f.DataPlanesLost = append(f.DataPlanesLost, name)
 		}
 	}
@@ -78,26 +81,28 @@
 	sort.Strings(f.DataPlanesLost)
 }
 
-func (v FleetView) lost(zone string) bool { return v.Scope.Covers(zone, v.Zones[zone]) }
+// isLost reports whether a zone is in the scope.
+func (v FleetView) isLost(zone string) bool { return v.Scope.Covers(zone, v.Zones[zone]) }
 
-func mergeRoutes(answers []ForecastResponse) []RouteForecast {
-	type spreads struct{ now, then *hdrhistogram.Histogram }
-	merged, histograms := map[string]*RouteForecast{}, map[string]spreads{}
-	for _, answer := range answers {
-		for _, route := range answer.Routes {
+// mergeRoutes merges the data planes' forecasts by route, sorted by priority and name.
+func mergeRoutes(responses []ForecastResponse) []RouteForecast {
+	type firstTokenHistograms struct{ now, afterLoss *hdrhistogram.Histogram }
+	merged, histograms := map[string]*RouteForecast{}, map[string]firstTokenHistograms{}
+	for _, response := range responses {
+		for _, route := range response.Routes {
 			if merged[route.Name] == nil {
 				merged[route.Name] = &RouteForecast{Name: route.Name, Priority: route.Priority, LatencyTargetMs: route.LatencyTargetMs}
-				histograms[route.Name] = spreads{NewHistogram(), NewHistogram()}
+				histograms[route.Name] = firstTokenHistograms{NewHistogram(), NewHistogram()}
 			}
 			merged[route.Name].RouteCounts.Add(route.RouteCounts)
 			merged[route.Name].RatePerS += route.RatePerS
 			MergeEncoded(histograms[route.Name].now, route.FirstTokenNow)
-			MergeEncoded(histograms[route.Name].then, route.FirstTokenAfterLoss)
+			MergeEncoded(histograms[route.Name].afterLoss, route.FirstTokenAfterLoss)
 		}
 	}
 	list := []RouteForecast{}
 	for name, route := range merged {
-		route.FirstTokenNow, route.FirstTokenAfterLoss = Summarize(histograms[name].now), Summarize(histograms[name].then)
+		route.FirstTokenNow, route.FirstTokenAfterLoss = Summarize(histograms[name].now), Summarize(histograms[name].afterLoss)
 		list = append(list, *route)
 	}
 	sort.Slice(list, func(left, right int) bool {
@@ -109,10 +114,11 @@
 	return list
 }
 
+// addReplicas adds the lost replicas to a forecast, and the remaining ones with their load.
 func (v FleetView) addReplicas(merged *Forecast, loads map[string]ReplicaLoad) {
 	merged.ReplicasLost, merged.Replicas = []string{}, []ReplicaForecast{}
 	for _, replica := range v.Replicas {
-		if v.lost(replica.Zone) {
+		if v.isLost(replica.Zone) {
 			merged.ReplicasLost = append(merged.ReplicasLost, replica.ID)
 			continue
 		}
--- a/internal/drill/outcomes.go
+++ b/internal/drill/outcomes.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// OutcomeCounts counts requests by outcome. Exempted are drilled requests that
-// went into the scope after all, since they would have been late.
+// OutcomeCounts counts requests by outcome. Exempted counts drilled requests that were allowed to use the
+// scope after all, since they were at risk of missing their latency target.
 type OutcomeCounts struct {
 	WithinTarget int `json:"inAim"`
 	Late         int `json:"late"`
@@ -24,20 +24,22 @@
 	c.Exempted += other.Exempted
 }
 
+// total returns the number of requests without the Aborted ones.
 func (c OutcomeCounts) total() int { return c.WithinTarget + c.Late + c.Rejected + c.Exempted }
 
-// FractionInTime returns the part of the requests that was served within its latency target.
+// FractionInTime returns the fraction of the requests that were served within their latency target.
 func (c OutcomeCounts) FractionInTime() float64 {
 	return float64(c.WithinTarget) / float64(max(c.total(), 1))
 }
 
-func (c OutcomeCounts) fractionDropped() float64 {
+// fractionRejectedOrExempted returns the fraction of the requests that were rejected or exempted.
+func (c OutcomeCounts) fractionRejectedOrExempted() float64 {
 	return float64(c.Rejected+c.Exempted) / float64(max(c.total(), 1))
 }
 
-// DataPlaneRouteOutcomes counts a route's requests at one data plane, the drilled ones and the rest.
-// KeptInScope are drilled ones whose only replicas lie in the scope. FirstTokenDrilled and FirstTokenRest
-// are encoded histograms of the time to the first token in milliseconds.
+// DataPlaneRouteOutcomes counts a route's requests at one data plane, separately for drilled ones and the rest.
+// KeptInScope counts drilled requests for which there are replicas in the scope only. FirstTokenDrilled and
+// FirstTokenRest are encoded histograms of the time to the first token in milliseconds.
 type DataPlaneRouteOutcomes struct {
 	Drilled           OutcomeCounts `json:"drilled"`
 	Rest              OutcomeCounts `json:"rest"`
@@ -46,8 +48,8 @@
 	FirstTokenRest    string        `json:"firstRest,omitempty"`
 }
 
-// Report is the state of a drill at a data plane that takes part in it. Ended is why it stopped, empty
-// while it goes on.
+// Report is the state of a drill at a participating data plane. EndReason is why the drill ended there, and
+// empty while it is running.
 type Report struct {
 	Number    uint64                            `json:"number"`
 	EndReason string                            `json:"ended,omitempty"`
@@ -64,7 +66,7 @@
 	FirstTokenRest    Quantiles     `json:"firstRest"`
 }
 
-// MergeOutcomes adds the reports up by route, without the histograms.
+// MergeOutcomes sums the reports by route, without the histograms.
 func MergeOutcomes(reports []Report) []RouteOutcomes {
 	merged := map[string]*RouteOutcomes{}
 	for _, report := range reports {
@@ -85,7 +87,7 @@
 	return list
 }
 
-// MergeReports adds the reports up by route, histograms included.
+// MergeReports sums the reports by route, including the histograms.
 func MergeReports(reports []Report) []RouteOutcomes {
 	list := MergeOutcomes(reports)
 	for index := range list {
@@ -100,11 +102,11 @@
 	return list
 }
 
-// minGuardSamples is how many drilled requests a route needs before the guard judges it.
+// minGuardSamples is the number of requests from which the guard evaluates a route's drilled requests or the rest.
 const minGuardSamples = 30
 
-// CheckGuard returns why a drill must end: a route, or all together, where the drilled requests do
-// worse than the rest by more than the margin. It is empty while all is well or too few were
+// CheckGuard returns why a drill must end: the drilled requests of a route, or of all routes together, have worse
+// outcomes than the rest by more than the margin. It returns "" if there is no such route, or too few requests were
 // counted.
 func CheckGuard(record Record, routes []RouteOutcomes) string {
 	var all RouteOutcomes
@@ -121,19 +123,21 @@
 	return ""
 }
 
+// guardViolation returns in which way a route violates the guard, or "". Without enough other requests, the drilled
+// ones are compared to a route that serves all requests in time.
 func (r RouteOutcomes) guardViolation(margin float64) string {
 	if r.Drilled.total() < minGuardSamples {
 		return ""
 	}
-	expected, dropped := 1.0, 0.0
+	expectedInTime, expectedDropped := 1.0, 0.0
 	if r.Rest.total() >= minGuardSamples {
-		expected, dropped = r.Rest.FractionInTime(), r.Rest.fractionDropped()
+		expectedInTime, expectedDropped = r.Rest.FractionInTime(), r.Rest.fractionRejectedOrExempted()
 	}
-	if fraction := r.Drilled.FractionInTime(); fraction < expected-margin {
-		return fmt.Sprintf("route %s: %.2f of the drilled in time, %.2f of the others", r.Name, fraction, expected)
+	if fraction := r.Drilled.FractionInTime(); fraction < expectedInTime-margin {
+		return fmt.Sprintf("route %s: %.2f of the drilled in time, %.2f of the others", r.Name, fraction, expectedInTime)
 	}
-	if fraction := r.Drilled.fractionDropped(); fraction > dropped+margin/2 {
-		return fmt.Sprintf("route %s: %.2f of the drilled refused or spared, %.2f of the others", r.Name, fraction, dropped)
+	if fraction := r.Drilled.fractionRejectedOrExempted(); fraction > expectedDropped+margin/2 {
+		return fmt.Sprintf("route %s: %.2f of the drilled refused or spared, %.2f of the others", r.Name, fraction, expectedDropped)
 	}
 	return ""
 }
--- a/internal/drill/outcomes_test.go
+++ b/internal/drill/outcomes_test.go
@@ -12,14 +12,14 @@
 		drilled, rest OutcomeCounts
 		wanted        string
 	}{
-		"too few to say":          {OutcomeCounts{Late: minGuardSamples - 1}, OutcomeCounts{WithinTarget: 100}, ""},
-		"as good as the others":   {OutcomeCounts{WithinTarget: 90, Late: 10}, OutcomeCounts{WithinTarget: 95, Late: 5}, ""},
+		"too few samples":         {OutcomeCounts{Late: minGuardSamples - 1}, OutcomeCounts{WithinTarget: 100}, ""},
+		"as good as the rest":     {OutcomeCounts{WithinTarget: 90, Late: 10}, OutcomeCounts{WithinTarget: 95, Late: 5}, ""},
 		"late":                    {OutcomeCounts{WithinTarget: 80, Late: 20}, OutcomeCounts{WithinTarget: 95, Late: 5}, "in time"},
-		"all are late alike":      {OutcomeCounts{WithinTarget: 50, Late: 50}, OutcomeCounts{WithinTarget: 55, Late: 45}, ""},
-		"refused":                 {OutcomeCounts{WithinTarget: 92, Rejected: 8}, OutcomeCounts{WithinTarget: 95, Late: 5}, "refused"},
-		"spared counts as well":   {OutcomeCounts{WithinTarget: 92, Exempted: 8}, OutcomeCounts{WithinTarget: 95, Late: 5}, "spared"},
-		"no others: near perfect": {OutcomeCounts{WithinTarget: 95, Late: 5}, OutcomeCounts{}, ""},
-		"no others: not enough":   {OutcomeCounts{WithinTarget: 85, Late: 15}, OutcomeCounts{}, "in time"},
+		"all equally late":        {OutcomeCounts{WithinTarget: 50, Late: 50}, OutcomeCounts{WithinTarget: 55, Late: 45}, ""},
+		"rejected":                {OutcomeCounts{WithinTarget: 92, Rejected: 8}, OutcomeCounts{WithinTarget: 95, Late: 5}, "refused"},
+		"exempted counts as well": {OutcomeCounts{WithinTarget: 92, Exempted: 8}, OutcomeCounts{WithinTarget: 95, Late: 5}, "spared"},
+		"no rest, near perfect":   {OutcomeCounts{WithinTarget: 95, Late: 5}, OutcomeCounts{}, ""},
+		"no rest, too many late":  {OutcomeCounts{WithinTarget: 85, Late: 15}, OutcomeCounts{}, "in time"},
 	}
 	for name, testCase := range cases {
 		reason := CheckGuard(Record{Margin: 0.1}, []RouteOutcomes{{Name: "quick", Drilled: testCase.drilled, Rest: testCase.rest}})
--- a/internal/drill/pinned_test.go
+++ b/internal/drill/pinned_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestRecord_WordsStayTheSame(t *testing.T) {
+func TestConstants_WordsStayTheSame(t *testing.T) {
 	pinned.CheckJSON(t, "testdata/words.json", map[string][]string{
 		"kinds of requests": {KindForecast, KindDrill},
 		"ends":              {EndedByTime, EndedByOperator, EndedWithoutContact, EndedByEvacuation, EndedWithoutRenewal},
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -15,7 +15,7 @@
 	DefaultMargin   = 0.1
 )
 
-// Why a drill ended.
+// Reasons for which a drill ended.
 const (
 	EndedByTime         = "time is up"
 	EndedByOperator     = "stopped by the operator"
@@ -24,14 +24,14 @@
 	EndedWithoutRenewal = "nobody renewed it"
 )
 
-// What a data plane does about a drill.
+// States of a data plane during a drill, besides the reason for which it ended the drill.
 const (
 	DataPlaneParticipating = "follows"
 	DataPlaneSilent        = "silent"
 )
 
-// Record is what the keystore keeps of the newest drill. Renewals rises with each renewal; RemainingMs is
-// the time left at that moment, in milliseconds.
+// Record is the record of the newest drill in the keystore. Renewals is incremented by each renewal and by the
+// end of the drill; RemainingMs is the time that remained at that point, in milliseconds.
 type Record struct {
 	Number         uint64          `json:"number"`
 	Scope          Scope           `json:"scope"`
@@ -47,7 +47,7 @@
 	Routes         []RouteOutcomes `json:"routes,omitempty"`
 }
 
-// Notice is what data planes are sent of the newest drill.
+// Notice is what data planes are sent about the newest drill.
 type Notice struct {
 	Number      uint64  `json:"number"`
 	Scope       Scope   `json:"scope"`
@@ -56,15 +56,15 @@
 	Running     bool    `json:"running"`
 }
 
-// Status is what an operator sees of a drill: the record, and what each data plane does about it.
+// Status is the status of a drill for an operator: the record, and the state of each data plane.
 type Status struct {
 	Record
 	DataPlanes map[string]string `json:"edges"`
 }
 
-// NewRecord returns the record of a new drill that follows after, with defaults filled in. Errors are
-// of kind apierror.InvalidDrill.
-func (r Request) NewRecord(after Record) (Record, error) {
+// NewRecord returns the record of a new drill that replaces the previous one, with defaults filled in. Errors
+// are of kind apierror.InvalidDrill.
+func (r Request) NewRecord(previous Record) (Record, error) {
 	if r.Share == 0 {
 		r.Share = DefaultShare
 	}
@@ -74,18 +74,18 @@
 	if r.Margin == 0 {
 		r.Margin = DefaultMargin
 	}
-	length := time.Duration(r.DurationMs) * time.Millisecond
+	duration := time.Duration(r.DurationMs) * time.Millisecond
 	switch {
 	case !(r.Share > 0 && r.Share <= 1):
-		return after, apierror.New(apierror.InvalidDrill, "share must be above 0 and at most 1")
-	case length < MinDuration || length > MaxDuration:
-		least, most := MinDuration.Milliseconds(), MaxDuration.Milliseconds()
-		return after, apierror.New(apierror.InvalidDrill, "forMs must lie between %d and %d", least, most)
+		return previous, apierror.New(apierror.InvalidDrill, "share must be above 0 and at most 1")
+	case duration < MinDuration || duration > MaxDuration:
+		minMs, maxMs := MinDuration.Milliseconds(), MaxDuration.Milliseconds()
+		return previous, apierror.New(apierror.InvalidDrill, "forMs must lie between %d and %d", minMs, maxMs)
 	case !(r.Margin > 0 && r.Margin < 1):
-		return after, apierror.New(apierror.InvalidDrill, "margin must lie between 0 and 1")
+		return previous, apierror.New(apierror.InvalidDrill, "margin must lie between 0 and 1")
 	}
 	return Record{
-		Number:         after.Number + 1,
+		Number:         previous.Number + 1,
 		Scope:          r.Scope,
 		Share:          r.Share,
 		Margin:         r.Margin,
@@ -96,17 +96,17 @@
 	}, nil
 }
 
-// End returns the record as ended, with the reason and the counts of each route. guard tells that
-// a guard ended it before its time.
-func (r Record) End(reason string, guard bool, routes []RouteOutcomes) Record {
-	r.Running, r.EndReason, r.EndedByGuard, r.Routes, r.RemainingMs = false, reason, guard, routes, 0
+// End returns the record of the ended drill, with the reason and the counts of each route. byGuard is set
+// if the guard ended it before its deadline.
+func (r Record) End(reason string, byGuard bool, routes []RouteOutcomes) Record {
+	r.Running, r.EndReason, r.EndedByGuard, r.Routes, r.RemainingMs = false, reason, byGuard, routes, 0
 	r.Renewals++
 	return r
 }
 
-// Renew returns the record with the time left, which never grows.
-func (r Record) Renew(left time.Duration) Record {
-	r.RemainingMs = min(r.RemainingMs, left.Milliseconds())
+// Renew returns the renewed record with the remaining time, which never increases.
+func (r Record) Renew(remaining time.Duration) Record {
+	r.RemainingMs = min(r.RemainingMs, remaining.Milliseconds())
 	r.Renewals++
 	return r
 }
--- a/internal/drill/request.go
+++ b/internal/drill/request.go
@@ -6,9 +6,8 @@
 	KindDrill    = "drill"
 )
 
-// Request is what an operator asks for. Share, DurationMs (milliseconds) and Margin count for drills
-// only, zero means the default. IdempotencyKey names the request, so that one sent again starts no second
-// drill.
+// Request is an operator's request. Share, DurationMs and Margin apply to drills only; zero means the
+// default. IdempotencyKey identifies the request, so that resending it doesn't start a second drill.
 type Request struct {
 	Kind string `json:"kind"`
 	Scope
--- a/internal/drill/response.go
+++ b/internal/drill/response.go
@@ -1,13 +1,15 @@
 package drill
 
-// ForecastRequest asks a data plane for its part of a forecast.
+// ForecastRequest requests a data plane's part of a forecast.
 type ForecastRequest struct {
 	Number uint64 `json:"number"`
 	Scope  Scope  `json:"scope"`
 }
 
-// RouteCounts counts sampled requests of a route by what the loss would do to them. Names ending in Now
-// are the same counts without the loss; RecomputedTokens are prompt tokens whose cached prefix is lost.
+// RouteCounts counts sampled requests of a route by the predicted effect of the loss on them. Fields whose names
+// end in Now are the same counts without the loss. AllRegionsLost counts requests whose allowed regions are all
+// lost, NotSubscribed counts requests that were not evaluated since the data plane no longer follows their model's
+// endpoints, and RecomputedTokens is the number of prompt tokens whose cached prefix is lost.
 type RouteCounts struct {
 	Sampled           int     `json:"sampled"`
 	NotMoved          int     `json:"stay"`
@@ -51,21 +53,22 @@
 	FirstTokenAfterLoss string `json:"firstThen,omitempty"`
 }
 
-// CachedTokens counts cached prompt tokens of a model: lost with the scope, the part of those
-// that is cached nowhere else, and kept outside the scope.
+// CachedTokens counts cached prompt tokens of a model: those in the scope, which are lost; those of the lost ones
+// that are cached nowhere else; and those kept outside the scope.
 type CachedTokens struct {
 	Lost        float64 `json:"lostTokens"`
 	OnlyInScope float64 `json:"heldNowhereElse"`
 	Kept        float64 `json:"keptTokens"`
 }
 
-// ReplicaLoad is what a data plane runs at a replica, and what would come there from lost ones.
+// ReplicaLoad counts a data plane's requests that run on a replica, and those that would move there from lost
+// replicas.
 type ReplicaLoad struct {
 	Running int `json:"running"`
 	Moved   int `json:"moved"`
 }
 
-// InFlight counts the requests in flight at the moment of the loss.
+// InFlight counts the requests in flight at the time of the loss.
 type InFlight struct {
 	Running        int `json:"running"`
 	OnLostReplicas int `json:"atLost"`
@@ -89,7 +92,7 @@
 	f.AllRegionsLost += other.AllRegionsLost
 }
 
-// ForecastResponse is the part of a forecast that one data plane measured. Ready is false where it has no
+// ForecastResponse is one data plane's part of a forecast. Ready is false if the data plane has no
 // configuration yet.
 type ForecastResponse struct {
 	Number    uint64                  `json:"number"`
--- a/internal/drill/scope.go
+++ b/internal/drill/scope.go
@@ -7,13 +7,13 @@
 	"ferryspar/internal/apierror"
 )
 
-// Scope is what is thought lost: one region or one zone.
+// Scope is the region or zone whose loss is rehearsed.
 type Scope struct {
 	Region string `json:"region,omitempty"`
 	Zone   string `json:"zone,omitempty"`
 }
 
-// Covers tells whether a zone of a region belongs to the scope.
+// Covers reports whether a zone, which is in the given region, belongs to the scope.
 func (s Scope) Covers(zone, region string) bool {
 	if s.Zone != "" {
 		return zone == s.Zone
@@ -21,6 +21,7 @@
 	return s.Region != "" && region == s.Region
 }
 
+// String returns the scope as "zone NAME" or "region NAME".
 func (s Scope) String() string {
 	if s.Zone != "" {
 		return "zone " + s.Zone
@@ -28,8 +29,8 @@
 	return "region " + s.Region
 }
 
-// Validate returns an error unless the scope names exactly one zone or region of the given zones
-// (zone to region).
+// Validate returns an error unless the scope names exactly one zone or region of zones, which maps
+// each zone to its region.
 func (s Scope) Validate(zones map[string]string) error {
 	if (s.Region == "") == (s.Zone == "") {
 		return apierror.New(apierror.InvalidDrill, "name either a region or a zone")
@@ -43,7 +44,7 @@
 	return apierror.New(apierror.UnknownRegion, "%s", s.Region)
 }
 
-// Zones returns the zones of the scope, sorted.
+// Zones returns the sorted zones of the scope.
 func (s Scope) Zones(zones map[string]string) []string {
 	var covered []string
 	for zone, region := range zones {
@@ -55,14 +56,14 @@
 	return covered
 }
 
-// Loss is a scope together with the region of each zone.
+// Loss is a lost scope together with the region of each zone.
 type Loss struct {
 	Scope
 	Regions map[string]string
 }
 
-// LosesAllRegions tells whether all zones of the regions that a request is bound to are lost. A request
-// that is bound to none is never homeless.
+// LosesAllRegions reports whether all zones of the regions to which a request is restricted are lost. It returns
+// false for a request without such a restriction.
 func (l Loss) LosesAllRegions(regions []string) bool {
 	if len(regions) == 0 {
 		return false
--- a/internal/drill/state.go
+++ b/internal/drill/state.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// LeaseDuration is how long a drill goes on without a renewal of its record.
+// LeaseDuration is how long a drill continues without a renewal of its record.
 const LeaseDuration = 5 * time.Second
 
-// State is a drill as one control-plane node sees it: the record and its deadlines by that node's
-// steady clock. The record itself names no moments, since clocks of machines differ.
+// State is the state of a drill on one control-plane node: the record, and its deadlines by that node's
+// monotonic clock. The record itself contains no absolute times, since the clocks of nodes differ.
 type State struct {
 	Record
 	// Deadline is when the requested duration is up.
 	Deadline time.Time
-	// LeaseExpiresAt is when the drill lapses without a further renewal.
+	// LeaseExpiresAt is when the drill ends without a further renewal.
 	LeaseExpiresAt time.Time
 }
 
-// Adopt returns the state after a committed record was learned at now, and whether it differs. A record
-// that is older than the present one changes nothing, and a renewal never moves the deadline back: a
-// drill would otherwise last longer by each delay on the way of its renewals.
+// Adopt returns the state after a committed record was received at now, and whether the state has changed. A
+// record older than the current one changes nothing, and a renewal never postpones the deadline: otherwise
+// each delay in the transmission of a renewal would prolong the drill.
 func (s State) Adopt(record Record, now time.Time) (State, bool) {
 	isOlder := record.Number < s.Number
 	isKnown := record.Number == s.Number && record.Renewals <= s.Renewals && s.Number > 0
@@ -35,13 +35,13 @@
 	return next, true
 }
 
-// IsRunning tells whether the drill goes on at the moment.
+// IsRunning reports whether the drill is running at the given time.
 func (s State) IsRunning(now time.Time) bool {
 	return s.Running && now.Before(s.Deadline) && now.Before(s.LeaseExpiresAt)
 }
 
-// Notice returns what a data plane with this last report is notified of, or nil where no drill
-// concerns it: none was ever started, or the last one has ended and the data plane reports none.
+// Notice returns the notice for a data plane whose last report is given. It returns nil if there is nothing to
+// notify it of: no drill was ever started, or the last one has ended and the data plane reports none.
 func (s State) Notice(report *Report, now time.Time) *Notice {
 	if s.Number == 0 || !s.Running && report == nil {
 		return nil
