--- a/internal/controlplane/demand/exchange.go
+++ b/internal/controlplane/demand/exchange.go
@@ -20,7 +20,7 @@
 	// with the demand: often enough that its receivers keep it (summaryTTL) even if one message is lost.
 	summariesPerDemand = 2
 	// unansweredDelay is how long no further load summary is sent to a control plane that has not answered the last one: more calls
-	// would only add to the load of a node that doesn't keep up. A call lost in the network delays the next summary no longer.
+	// would only add to the load of a node that doesn't keep up. It also bounds the delay caused by a call that the network lost.
 	unansweredDelay = 600 * time.Millisecond
 	// minDemandInterval is the shortest time between two partial demand summaries.
 	minDemandInterval = 20 * time.Millisecond
--- a/internal/controlplane/drillcontrol/controller.go
+++ b/internal/controlplane/drillcontrol/controller.go
@@ -122,7 +122,7 @@
 // changeTimeout bounds a change of the drill's record, including its retries.
 const changeTimeout = 2500 * time.Millisecond
 
-// RecordReport keeps a data plane's report, unless one of a later drill is known.
+// RecordReport stores a data plane's report, unless the stored one is of a later drill.
 func (c *Controller) RecordReport(dataPlane string, report drill.Report) {
 	c.reports.record(dataPlane, report)
 }
@@ -219,7 +219,7 @@
 	return c.status(record), nil
 }
 
-// anyDrill stands for the number of the running drill, whatever it is.
+// anyDrill, passed as the number of a drill, stands for the running one.
 const anyDrill = 0
 
 // endDecision is the reason for which a drill ends, and whether the guard ends it rather than its deadline or the
--- a/internal/controlplane/roster/takeover.go
+++ b/internal/controlplane/roster/takeover.go
@@ -16,7 +16,7 @@
 // at once, they exceed the platform's rate together, and none gets a complete list for seconds.
 
 const (
-	// minFetchInterval and maxAskInterval bound the pause between two rounds of fetches, which grows with the time for which there has
+	// minFetchInterval and maxFetchInterval bound the pause between two rounds of fetches, which grows with the time for which there has
 	// been no recent list.
 	minFetchInterval = 35 * time.Millisecond
 	maxFetchInterval = minListInterval
@@ -24,8 +24,8 @@
 	fetchIntervalDivisor = 8
 	// turnInterval is the delay between the turns of two nodes to read the platform's list.
 	turnInterval = 250 * time.Millisecond
-	// readingTTL is how long another node's reply that it is reading the list counts; maxAwait is how long
-	// after its list became stale a node defers to such a reader at most.
+	// readingTTL is how long another node's reply that it is reading the list counts; maxReaderWait is how long
+	// after its own list became stale a node waits for such a reader at most.
 	readingTTL    = 2 * turnInterval
 	maxReaderWait = 2500 * time.Millisecond
 	// fetchTimeout bounds one round of fetches.
--- a/internal/controlplane/watch/publisher.go
+++ b/internal/controlplane/watch/publisher.go
@@ -47,13 +47,13 @@
 	p.current = &next
 }
 
-// Confirm records that a majority confirmed the state in a round that began at askedAt. Requests that wait for a
+// Confirm records that a majority confirmed the state in a round that began at startedAt. Requests that wait for a
 // confirmation are woken, and all other waiting requests as well if the state wasn't fresh before.
-func (p *Publisher) Confirm(askedAt, now time.Time) {
+func (p *Publisher) Confirm(startedAt, now time.Time) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	next := *p.current
-	next.ConfirmedAt = askedAt
+	next.ConfirmedAt = startedAt
 	next.confirmed = make(chan struct{})
 	close(p.current.confirmed)
 	if p.current.IsFresh(now) {
--- a/internal/controlplane/watch/server_test.go
+++ b/internal/controlplane/watch/server_test.go
@@ -285,9 +285,9 @@
 		snapshot.AddDifference(change(10*(revision-1), 10*revision))
 		snapshot.Revision = 10 * revision
 	}
-	respond := func(revision int64, takes bool) (differences int, whole bool) {
+	respond := func(revision int64, takesDifferences bool) (differences int, whole bool) {
 		response := peer.WatchResponse{}
-		addConfiguration(&response, snapshot, peer.WatchRequest{Revision: revision, TakesDifferences: takes})
+		addConfiguration(&response, snapshot, peer.WatchRequest{Revision: revision, TakesDifferences: takesDifferences})
 		return len(response.Differences), len(response.PackedConfiguration) > 0
 	}
 	cases := map[string]struct {
