--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -27,7 +27,7 @@
 
 // heldPrompt is a prefilled prompt: the handle of its KV cache, and the step that computed it.
 type heldPrompt struct {
-	handle *replica.Handle
+	handle *replica.KVHandle
 	step   *routing.PrefillStep
 }
 
@@ -50,7 +50,7 @@
 		response, verdict := e.handler.forwarder.Send(ctx, target, upstream)
 		return response, verdict, nil
 	}
-	response, verdict := e.handler.forwarder.SendFrom(ctx, target, upstream, e.held.handle)
+	response, verdict := e.handler.forwarder.SendDecode(ctx, target, upstream, e.held.handle)
 	if verdict == replica.VerdictRejected {
 		e.handler.Attempts.add(upstream.Backend, outcomeHandleGone)
 	}
@@ -129,9 +129,9 @@
 }
 
 // prefill runs the prefill step and returns the handle of the prompt's KV cache. The caller reports success to the matcher
-// (Matcher.Prefilled). Prefill executes nothing, so after a failure the request may continue without it. The first step is free;
+// (Matcher.CompletePrefill). Prefill executes nothing, so after a failure the request may continue without it. The first step is free;
 // any further step, and any that a replica rejected or did not answer, counts against the retry budget like a further attempt.
-func (e *exchange) prefill(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) (*replica.Handle, error) {
+func (e *exchange) prefill(ctx context.Context, step *routing.PrefillStep, upstream replica.UpstreamRequest) (*replica.KVHandle, error) {
 	report := func(outcome routing.Outcome) { e.handler.matcher.Report(step.Ticket, outcome) }
 	target, err := e.handler.snapshot.Load().AdmitPrefill(&e.parsed.request, step.Replica)
 	if err != nil {
@@ -209,10 +209,10 @@
 }
 
 // freeHandle frees an unused handle in the background.
-func (e *exchange) freeHandle(ctx context.Context, handle *replica.Handle) {
+func (e *exchange) freeHandle(ctx context.Context, handle *replica.KVHandle) {
 	forwarder := e.handler.forwarder
 	go func() {
-		if err := forwarder.Free(ctx, handle); err != nil {
+		if err := forwarder.ReleaseHandle(ctx, handle); err != nil {
 			logrus.WithError(err).Debug("KV cache handle not freed")
 		}
 	}()
