--- a/internal/controlplane/members_host.go
+++ b/internal/controlplane/members_host.go
@@ -71,7 +71,7 @@
 		})
 		return
 	}
-	n.publisher.UpdateQuietly(update)
+	n.publisher.UpdateWithoutNotify(update)
 }
 
 // MemberLeaving makes this node try to acquire the placement lease without delay if the leaving node holds it.
--- a/internal/controlplane/watch/carriers.go
+++ b/internal/controlplane/watch/carriers.go
@@ -9,43 +9,44 @@
 	"ferryspar/internal/discovery"
 )
 
-// carriersPerAdapter is how many replicas with an adapter every subscriber of a divided set is sent. Of an adapter that more
-// replicas have, enough are in any two cells.
-const carriersPerAdapter = 8
+// replicasPerAdapter is the number of replicas per adapter that every subscriber of a divided set is sent. An adapter that is
+// loaded on more replicas than that has enough of them in any two cells.
+const replicasPerAdapter = 8
 
-// chooseCarriers chooses, for each adapter of the model, replicas that every subscriber is sent, whatever its cells are. An adapter
-// is loaded on a few replicas only: without them most data planes would find it nowhere, and wait for a copy that is not
-// loaded, since there are some.
-func (s *endpointSet) chooseCarriers(model string, changedIDs map[string]bool, version uint64) {
-	if !s.affectsCarriers(model, changedIDs) {
+// chooseAdapterReplicas chooses, for each adapter of the model, replicas that every subscriber is sent, whatever its cells are. An
+// adapter is loaded on a few replicas only. Without them, most data planes would see none, and their requests would wait for a
+// further copy, which isn't loaded since there are copies already.
+func (s *endpointSet) chooseAdapterReplicas(model string, changedIDs map[string]bool, version uint64) {
+	if !s.affectsAdapterReplicas(model, changedIDs) {
 		return
 	}
 	chosen := map[string]*endpointSource{}
 	for adapter, replicas := range s.replicasByAdapter(model) {
-		for _, replica := range firstByRank(adapter, replicas) {
+		for _, replica := range selectAdapterReplicas(adapter, replicas) {
 			chosen[replica.listed.ID] = replica
 		}
 	}
-	if !sameCarriers(s.carriers, chosen, changedIDs) {
-		s.carriersVersion = version
+	if !sameAdapterReplicas(s.adapterReplicas, chosen, changedIDs) {
+		s.adapterReplicasVersion = version
 	}
-	s.carriers = chosen
+	s.adapterReplicas = chosen
 }
 
-// affectsCarriers reports whether any of the changed replicas has an adapter, or was a carrier.
-func (s *endpointSet) affectsCarriers(model string, changedIDs map[string]bool) bool {
+// affectsAdapterReplicas reports whether any of the changed replicas has an adapter or is one of the chosen replicas.
+func (s *endpointSet) affectsAdapterReplicas(model string, changedIDs map[string]bool) bool {
 	if s.cells == nil {
 		return true
 	}
 	for id := range changedIDs {
 		replica := s.endpoints[id]
-		if s.carriers[id] != nil || replica != nil && len(replica.usable[model]) > 0 {
+		if s.adapterReplicas[id] != nil || replica != nil && len(replica.usable[model]) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
+// replicasByAdapter returns the replicas of the set by the adapters that are loaded on them.
 func (s *endpointSet) replicasByAdapter(model string) map[string][]*endpointSource {
 	byAdapter := map[string][]*endpointSource{}
 	for _, replica := range s.endpoints {
@@ -56,32 +57,33 @@
 	return byAdapter
 }
 
-// firstByRank returns the first replicas with an adapter, ready ones before others, in an order that a hash of both names gives: it
-// differs from adapter to adapter, and stays as replicas come and go.
-func firstByRank(adapter string, replicas []*endpointSource) []*endpointSource {
-	if len(replicas) <= carriersPerAdapter {
+// selectAdapterReplicas returns at most replicasPerAdapter of the replicas with an adapter, ready ones first. They are ordered by a
+// hash of both names, so that the choice differs between adapters and is stable when replicas are added or removed.
+func selectAdapterReplicas(adapter string, replicas []*endpointSource) []*endpointSource {
+	if len(replicas) <= replicasPerAdapter {
 		return replicas
 	}
 	salt := xxhash.Sum64String(adapter)
 	rank := func(replica *endpointSource) uint64 { return xxhash.Sum64String(replica.listed.ID) ^ salt }
 	slices.SortFunc(replicas, func(left, right *endpointSource) int {
 		return cmp.Or(
-			cmp.Compare(notReady(left), notReady(right)),
+			cmp.Compare(readyRank(left), readyRank(right)),
 			cmp.Compare(rank(left), rank(right)),
 		)
 	})
-	return replicas[:carriersPerAdapter]
+	return replicas[:replicasPerAdapter]
 }
 
-func notReady(replica *endpointSource) int {
+// readyRank returns 0 for ready replicas and 1 for others.
+func readyRank(replica *endpointSource) int {
 	if replica.listed.State == discovery.StateReady {
 		return 0
 	}
 	return 1
 }
 
-// sameCarriers reports whether both name the same replicas and none of them has changed.
-func sameCarriers(before, after map[string]*endpointSource, changedIDs map[string]bool) bool {
+// sameAdapterReplicas reports whether both contain the same replicas and none of them has changed.
+func sameAdapterReplicas(before, after map[string]*endpointSource, changedIDs map[string]bool) bool {
 	if len(before) != len(after) {
 		return false
 	}
@@ -93,16 +95,16 @@
 	return true
 }
 
-// appendCarriers adds the carriers that are not among the replicas already.
-func (s *endpointSet) appendCarriers(replicas []*endpointSource) []*endpointSource {
-	if len(s.carriers) == 0 {
+// appendAdapterReplicas adds the chosen replicas with adapters that are not among the given ones already.
+func (s *endpointSet) appendAdapterReplicas(replicas []*endpointSource) []*endpointSource {
+	if len(s.adapterReplicas) == 0 {
 		return replicas
 	}
 	present := make(map[string]bool, len(replicas))
 	for _, replica := range replicas {
 		present[replica.listed.ID] = true
 	}
-	for id, replica := range s.carriers {
+	for id, replica := range s.adapterReplicas {
 		if !present[id] {
 			replicas = append(replicas, replica)
 		}
--- a/internal/controlplane/watch_host.go
+++ b/internal/controlplane/watch_host.go
@@ -40,16 +40,16 @@
 	return now.Sub(h.node.startedAt) > dataplanes.ExpireAfter
 }
 
-// LiveKnown reports whether the node has run for longer than the window within which live data planes send watch requests.
-func (h watchHost) LiveKnown(now time.Time) bool {
+// LiveDataPlanesKnown reports whether the node has run for longer than the window within which live data planes send watch requests.
+func (h watchHost) LiveDataPlanesKnown(now time.Time) bool {
 	return now.Sub(h.node.startedAt) > dataplanes.LiveWindow
 }
 
 // RequestConfirmation requests a confirmation round that starts after the call.
 func (h watchHost) RequestConfirmation() { h.node.applier.RequestConfirmation() }
 
-// LoadsOn returns the load of all data planes except the named one on the given replicas, by replica ID.
-func (h watchHost) LoadsOn(dataPlane string, replicas []string) map[string]peer.ReplicaLoad {
+// ReplicaLoadsFor returns the load of all data planes except the named one on the given replicas, by replica ID.
+func (h watchHost) ReplicaLoadsFor(dataPlane string, replicas []string) map[string]peer.ReplicaLoad {
 	return h.node.loads.FleetLoadFor(dataPlane, replicas).Replicas
 }
 
