--- a/cmd/ferryspar-operator/status.go
+++ b/cmd/ferryspar-operator/status.go
@@ -34,9 +34,9 @@
 }
 
 func (a *application) printFleet(fleet adminapi.FleetStatus) {
-	a.printf("seen by %s (majority fresh: %t)\n", fleet.Member, fleet.Fresh)
+	a.printf("seen by %s (majority fresh: %t)\n", fleet.Address, fleet.Fresh)
 	a.printf("revision %d, members %v %v, placement by %s\n",
-		fleet.Revision, fleet.Members, fleet.NextMembers, fleet.PlacementHolder)
+		fleet.Revision, fleet.Members, fleet.NextMembers, fleet.PlacementLeaseHolder)
 	a.printf("drained zones %v\n", fleet.DrainedZones)
 	a.printf("edges %v\n", fleet.DataPlanes)
 	for _, replica := range fleet.Replicas {
--- a/cmd/ferryspar-operator/status_all.go
+++ b/cmd/ferryspar-operator/status_all.go
@@ -78,8 +78,8 @@
 	if len(status.NextMembers) > 0 {
 		line += fmt.Sprintf(" changing to %v", status.NextMembers)
 	}
-	if len(status.SilentMembers) > 0 {
-		line += ", does not hear " + strings.Join(status.SilentMembers, " ")
+	if len(status.SuspectedMembers) > 0 {
+		line += ", does not hear " + strings.Join(status.SuspectedMembers, " ")
 	}
 	return line
 }
--- a/cmd/ferryspar-operator/status_all_test.go
+++ b/cmd/ferryspar-operator/status_all_test.go
@@ -19,7 +19,7 @@
 		"a: member without a vote, confirmed never, revision 0, member list 0 []": {IsMember: true, ConfirmedAgeMs: -1},
 		"a: leaving, confirmed 20000 ms ago, too long, revision 7, member list 4 [x] changing to [y], does not hear z": {
 			IsMember: true, Leaving: true, ConfirmedAgeMs: 20000, Revision: 7, MembershipVersion: 4,
-			Members: []string{"x"}, NextMembers: []string{"y"}, SilentMembers: []string{"z"},
+			Members: []string{"x"}, NextMembers: []string{"y"}, SuspectedMembers: []string{"z"},
 		},
 		"a: no member, confirmed 5 ms ago, revision 7, member list 4 [x]": {
 			Fresh: true, ConfirmedAgeMs: 5, Revision: 7, MembershipVersion: 4, Members: []string{"x"},
@@ -32,7 +32,7 @@
 }
 
 func TestPrintStatusOfAll_ListsUnreachable(t *testing.T) {
-	control := startFakeControl(t, http.StatusOK, adminapi.FleetStatus{Member: "x", Revision: 9})
+	control := startFakeControl(t, http.StatusOK, adminapi.FleetStatus{Address: "x", Revision: 9})
 	unreachable := "127.0.0.1:1"
 	app, _ := newTestApplication(control.address, unreachable)
 	app.options.PerAddressTimeout = 300 * time.Millisecond
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -18,9 +18,9 @@
 	"ferryspar/internal/retention"
 )
 
-// State is what calls are carried out on. Its methods may be called from any goroutine; their errors are
+// Service is what calls are carried out on. Its methods may be called from any goroutine; their errors are
 // of package apierror.
-type State interface {
+type Service interface {
 	ReplaceConfiguration(ctx context.Context, condition int64, method string, body []byte) error
 	PatchConfiguration(ctx context.Context, condition int64, method string, body []byte) error
 	ReadConfiguration(ctx context.Context) (json.RawMessage, error)
@@ -28,8 +28,8 @@
 	DrainZone(ctx context.Context, zone string, drained bool, deadline time.Time) error
 	SetRetention(ctx context.Context, wanted retention.Policy) (retention.Policy, error)
 	ReadRetention(ctx context.Context) (retention.Policy, error)
-	Forget(ctx context.Context, scope retention.Scope) (retention.Status, error)
-	ReadForgets(ctx context.Context) ([]retention.Status, error)
+	StartPurge(ctx context.Context, scope retention.Scope) (retention.Status, error)
+	ReadPurges(ctx context.Context) ([]retention.Status, error)
 	Forecast(ctx context.Context, scope drill.Scope) (drill.Forecast, error)
 	StartDrill(ctx context.Context, request drill.Request) (drill.Status, error)
 	StopDrill(ctx context.Context) (drill.Status, error)
@@ -37,7 +37,7 @@
 	Status() FleetStatus
 }
 
-type handler func(state State, request *http.Request) ([]byte, error)
+type handler func(state Service, request *http.Request) ([]byte, error)
 
 // endpoint is one row of the table of calls. A guarded one changes something and names no version
 // that it builds on; see ReplayGuard.
@@ -56,16 +56,16 @@
 	{method: http.MethodDelete, path: PathDrainZone + "{zone}", handle: drainZone(false), guarded: true},
 	{method: http.MethodGet, path: PathRetention, handle: readRetention},
 	{method: http.MethodPut, path: PathRetention, handle: setRetention, guarded: true},
-	{method: http.MethodGet, path: PathForget, handle: readForgets},
-	{method: http.MethodPost, path: PathForget, handle: forget, guarded: true},
+	{method: http.MethodGet, path: PathPurges, handle: readForgets},
+	{method: http.MethodPost, path: PathPurges, handle: forget, guarded: true},
 	{method: http.MethodPost, path: PathRehearsal, handle: startRehearsal, guarded: true},
-	{method: http.MethodGet, path: PathRehearsal, handle: drillHandler(State.ReadDrill)},
-	{method: http.MethodDelete, path: PathRehearsal, handle: drillHandler(State.StopDrill), guarded: true},
+	{method: http.MethodGet, path: PathRehearsal, handle: drillHandler(Service.ReadDrill)},
+	{method: http.MethodDelete, path: PathRehearsal, handle: drillHandler(Service.StopDrill), guarded: true},
 	{method: http.MethodGet, path: PathStatus, handle: readStatus},
 }
 
 // NewHandler returns the handler of the admin API on a state.
-func NewHandler(state State, guard *ReplayGuard) http.Handler {
+func NewHandler(state Service, guard *ReplayGuard) http.Handler {
 	router := chi.NewRouter()
 	router.NotFound(func(writer http.ResponseWriter, request *http.Request) {
 		apierror.Write(writer, apierror.New(apierror.UnknownPath, "%s", request.URL.Path))
@@ -87,7 +87,7 @@
 }
 
 // serve returns the handler of an endpoint. A response without a document is "{}".
-func (e endpoint) serve(state State) http.HandlerFunc {
+func (e endpoint) serve(state Service) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		content, err := e.handle(state, request)
 		if err != nil {
@@ -124,7 +124,7 @@
 	return condition, body, nil
 }
 
-func replaceConfiguration(state State, request *http.Request) ([]byte, error) {
+func replaceConfiguration(state Service, request *http.Request) ([]byte, error) {
 	condition, body, err := readDocument(request)
 	if err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 	return nil, state.ReplaceConfiguration(request.Context(), condition, request.Method, body)
 }
 
-func patchConfiguration(state State, request *http.Request) ([]byte, error) {
+func patchConfiguration(state Service, request *http.Request) ([]byte, error) {
 	condition, body, err := readDocument(request)
 	if err != nil {
 		return nil, err
@@ -140,12 +140,12 @@
 	return nil, state.PatchConfiguration(request.Context(), condition, request.Method, body)
 }
 
-func readConfiguration(state State, request *http.Request) ([]byte, error) {
+func readConfiguration(state Service, request *http.Request) ([]byte, error) {
 	return state.ReadConfiguration(request.Context())
 }
 
 func drainZone(drained bool) handler {
-	return func(state State, request *http.Request) ([]byte, error) {
+	return func(state Service, request *http.Request) ([]byte, error) {
 		zone, err := httppath.Parameter(request, "zone")
 		if err != nil {
 			return nil, err
--- a/internal/adminapi/paths.go
+++ b/internal/adminapi/paths.go
@@ -5,7 +5,7 @@
 	PathConfiguration = "/ferryspar/config"
 	PathDrainZone     = "/ferryspar/drain-zone/"
 	PathRetention     = "/ferryspar/retention"
-	PathForget        = "/ferryspar/forget"
+	PathPurges        = "/ferryspar/forget"
 	PathRehearsal     = "/ferryspar/rehearsal"
 	PathStatus        = "/ferryspar/status"
 )
--- a/internal/adminapi/pinned_test.go
+++ b/internal/adminapi/pinned_test.go
@@ -65,12 +65,12 @@
 	return filled[retention.Policy](), nil
 }
 
-func (s *filledState) Forget(_ context.Context, scope retention.Scope) (retention.Status, error) {
+func (s *filledState) StartPurge(_ context.Context, scope retention.Scope) (retention.Status, error) {
 	s.note("forget %s %s", scope.Model, scope.PromptPart)
 	return filled[retention.Status](), nil
 }
 
-func (s *filledState) ReadForgets(context.Context) ([]retention.Status, error) {
+func (s *filledState) ReadPurges(context.Context) ([]retention.Status, error) {
 	return []retention.Status{filled[retention.Status]()}, nil
 }
 
--- a/internal/adminapi/rehearsal.go
+++ b/internal/adminapi/rehearsal.go
@@ -9,18 +9,18 @@
 	"ferryspar/internal/drill"
 )
 
-type rehearsalHandler func(state State, request *http.Request, wanted drill.Request) (any, error)
+type rehearsalHandler func(state Service, request *http.Request, wanted drill.Request) (any, error)
 
 var rehearsalHandlers = map[string]rehearsalHandler{
-	drill.KindForecast: func(state State, request *http.Request, wanted drill.Request) (any, error) {
+	drill.KindForecast: func(state Service, request *http.Request, wanted drill.Request) (any, error) {
 		return state.Forecast(request.Context(), wanted.Scope)
 	},
-	drill.KindDrill: func(state State, request *http.Request, wanted drill.Request) (any, error) {
+	drill.KindDrill: func(state Service, request *http.Request, wanted drill.Request) (any, error) {
 		return state.StartDrill(request.Context(), wanted)
 	},
 }
 
-func startRehearsal(state State, request *http.Request) ([]byte, error) {
+func startRehearsal(state Service, request *http.Request) ([]byte, error) {
 	var requested drill.Request
 	if err := decodeBody(request, &requested, apierror.InvalidDrill); err != nil {
 		return nil, err
@@ -36,8 +36,8 @@
 	return json.Marshal(result)
 }
 
-func drillHandler(read func(state State, ctx context.Context) (drill.Status, error)) handler {
-	return func(state State, request *http.Request) ([]byte, error) {
+func drillHandler(read func(state Service, ctx context.Context) (drill.Status, error)) handler {
+	return func(state Service, request *http.Request) ([]byte, error) {
 		status, err := read(state, request.Context())
 		if err != nil {
 			return nil, err
--- a/internal/adminapi/replayguard.go
+++ b/internal/adminapi/replayguard.go
@@ -16,13 +16,13 @@
 	"ferryspar/internal/apierror"
 )
 
-// CallerTimeout is how long a caller is relied on to wait for the answer to a call without a
+// TokenLifetime is how long a caller is relied on to wait for the answer to a call without a
 // large body, less than the second after which callers go on to another daemon.
-const CallerTimeout = 900 * time.Millisecond
+const TokenLifetime = 900 * time.Millisecond
 
 // ReplayGuard proves that a call which names no version is not an old copy. Such a call is first
 // redirected to this control plane with a token in its path (307). Only a caller that still waits brings
-// the token, and only for CallerTimeout: a copy that lay in a socket while this machine or a link stood
+// the token, and only for TokenLifetime: a copy that lay in a socket while this machine or a link stood
 // still carries an expired token, or none.
 type ReplayGuard struct {
 	address   string
@@ -70,7 +70,7 @@
 		return time.Time{}
 	}
 	issued := g.startedAt.Add(time.Duration(binary.BigEndian.Uint64(age)))
-	return issued.Add(CallerTimeout)
+	return issued.Add(TokenLifetime)
 }
 
 // deadlineKey is the context key of the time from which on an admitted call may not be begun.
--- a/internal/adminapi/replayguard_test.go
+++ b/internal/adminapi/replayguard_test.go
@@ -23,7 +23,7 @@
 	given := token(t, guard, "POST", "/ferryspar/drain-zone/north")
 	now = now.Add(20 * time.Second)
 	deadline := guard.Deadline("POST", "/ferryspar/drain-zone/north", given)
-	assert.Assert(t, deadline.Equal(issued.Add(CallerTimeout)), "%s", deadline.Sub(issued))
+	assert.Assert(t, deadline.Equal(issued.Add(TokenLifetime)), "%s", deadline.Sub(issued))
 	assert.Assert(t, guard.Deadline("DELETE", "/ferryspar/drain-zone/north", given).IsZero(), "another method")
 	assert.Assert(t, guard.Deadline("POST", "/ferryspar/drain-zone/south", given).IsZero(), "another zone")
 	assert.Assert(t, guard.Deadline("POST", "/ferryspar/drain-zone/north", given[1:]).IsZero(), "cut short")
--- a/internal/adminapi/retention.go
+++ b/internal/adminapi/retention.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-func readRetention(state State, request *http.Request) ([]byte, error) {
+func readRetention(state Service, request *http.Request) ([]byte, error) {
 	policy, err := state.ReadRetention(request.Context())
 	if err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 	return json.Marshal(policy)
 }
 
-func setRetention(state State, request *http.Request) ([]byte, error) {
+func setRetention(state Service, request *http.Request) ([]byte, error) {
 	var requested struct {
 		LifeMs *int64 `json:"lifeMs"`
 	}
@@ -46,20 +46,20 @@
 	return json.Marshal(policy)
 }
 
-func forget(state State, request *http.Request) ([]byte, error) {
+func forget(state Service, request *http.Request) ([]byte, error) {
 	var scope retention.Scope
 	if err := decodeBody(request, &scope, apierror.InvalidRetention); err != nil {
 		return nil, err
 	}
-	status, err := state.Forget(request.Context(), scope)
+	status, err := state.StartPurge(request.Context(), scope)
 	if err != nil {
 		return nil, err
 	}
 	return json.Marshal(status)
 }
 
-func readForgets(state State, request *http.Request) ([]byte, error) {
-	statuses, err := state.ReadForgets(request.Context())
+func readForgets(state Service, request *http.Request) ([]byte, error) {
+	statuses, err := state.ReadPurges(request.Context())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -9,8 +9,8 @@
 
 // FleetStatus is the state of the fleet as one control plane sees it. Ages are milliseconds.
 type FleetStatus struct {
-	// Member is the address of the control plane that answers.
-	Member string `json:"member"`
+	// Address is the address of the control plane that answers.
+	Address string `json:"member"`
 	// IsMember says whether it belongs to the membership, Voting whether it counts towards a
 	// majority, Leaving whether it is about to end.
 	IsMember bool `json:"isMember"`
@@ -27,15 +27,15 @@
 	MembershipVersion uint64 `json:"membersNumber"`
 	// MembershipChange is the last change of the membership that this process itself committed.
 	MembershipChange *MembershipChange `json:"membersChange,omitempty"`
-	// SilentMembers lists the members that it has not heard from lately.
-	SilentMembers   []string            `json:"silent,omitempty"`
-	PlacementHolder string              `json:"placementHolder"`
-	DrainedZones    []string            `json:"drainedZones"`
-	DataPlanes      []string            `json:"edges"`
-	ControlPlanes   []string            `json:"control"`
-	Replicas        []discovery.Replica `json:"replicas"`
-	// ListAgeMs is the age of the platform's list of replicas (-1: never read).
-	ListAgeMs int64 `json:"listAgeMs"`
+	// SuspectedMembers lists the members that it has not heard from lately.
+	SuspectedMembers     []string            `json:"silent,omitempty"`
+	PlacementLeaseHolder string              `json:"placementHolder"`
+	DrainedZones         []string            `json:"drainedZones"`
+	DataPlanes           []string            `json:"edges"`
+	ControlPlanes        []string            `json:"control"`
+	Replicas             []discovery.Replica `json:"replicas"`
+	// ReplicaListAgeMs is the age of the platform's list of replicas (-1: never read).
+	ReplicaListAgeMs int64 `json:"listAgeMs"`
 }
 
 // MembershipChange is a change of the membership: the version that it made, and why.
@@ -44,6 +44,6 @@
 	Reason  string `json:"reason"`
 }
 
-func readStatus(state State, _ *http.Request) ([]byte, error) {
+func readStatus(state Service, _ *http.Request) ([]byte, error) {
 	return json.Marshal(state.Status())
 }
--- a/internal/controlplane/admin_context.go
+++ b/internal/controlplane/admin_context.go
@@ -35,10 +35,10 @@
 	return result, err
 }
 
-// Forget stores that context in the scope is to be forgotten, and returns the state of that purge so far;
+// StartPurge stores that context in the scope is to be forgotten, and returns the state of that purge so far;
 // the work goes on afterwards. The purge names the data planes known here, so a node that has just
 // started takes none. Asking again adds another purge. Any goroutine may call it.
-func (n *Node) Forget(ctx context.Context, scope retention.Scope) (retention.Status, error) {
+func (n *Node) StartPurge(ctx context.Context, scope retention.Scope) (retention.Status, error) {
 	if err := scope.Check(); err != nil {
 		return retention.Status{}, err
 	}
@@ -68,9 +68,9 @@
 	return readRecord[retention.Policy](ctx, n, keystore.RetentionKey)
 }
 
-// ReadForgets reads the purges with a majority's confirmation, with the state of each. Any goroutine may
+// ReadPurges reads the purges with a majority's confirmation, with the state of each. Any goroutine may
 // call it.
-func (n *Node) ReadForgets(ctx context.Context) ([]retention.Status, error) {
+func (n *Node) ReadPurges(ctx context.Context) ([]retention.Status, error) {
 	record, err := readRecord[retention.Record](ctx, n, keystore.PurgeKey)
 	if err != nil {
 		return nil, err
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -16,8 +16,8 @@
 func testTables() []Table {
 	loaded := []discovery.LoadedModel{{Name: "big", Revision: 2, Adapters: []string{"a1", "a2"}}}
 	status := adminapi.FleetStatus{
-		Member: "10.0.0.1:9000", Fresh: true, Members: []string{"10.0.0.1:9000", "10.0.0.2:9000"}, NextMembers: []string{"10.0.0.3:9000"},
-		PlacementHolder: "10.0.0.2:9000", DrainedZones: []string{"b"}, DataPlanes: []string{"edge-1"},
+		Address: "10.0.0.1:9000", Fresh: true, Members: []string{"10.0.0.1:9000", "10.0.0.2:9000"}, NextMembers: []string{"10.0.0.3:9000"},
+		PlacementLeaseHolder: "10.0.0.2:9000", DrainedZones: []string{"b"}, DataPlanes: []string{"edge-1"},
 		Replicas: []discovery.Replica{
 			{ID: "r1", Backend: "chat", Zone: "a", State: "ready", Slots: 8, Models: loaded},
 			{ID: "r2", Backend: "chat", Zone: "b", State: "ready", Slots: 8, Models: loaded},
--- a/internal/query/tables.go
+++ b/internal/query/tables.go
@@ -184,6 +184,6 @@
 // newLeaseTable has the placement lease, which is the only one that a status tells of.
 func newLeaseTable(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: tableLeases, Columns: []string{"duty", "holder", "seen_by", "fresh", "layout_revision", "list_age_ms"}}
-	table.addRow(leasePlacement, fleet.PlacementHolder, fleet.Member, fleet.Fresh, fleet.Revision, fleet.ListAgeMs)
+	table.addRow(leasePlacement, fleet.PlacementLeaseHolder, fleet.Address, fleet.Fresh, fleet.Revision, fleet.ReplicaListAgeMs)
 	return table
 }
--- a/internal/test/integration/load_rate_test.go
+++ b/internal/test/integration/load_rate_test.go
@@ -102,7 +102,7 @@
 	watcher := newOperators(f, 1, 1, 2, 3)
 	for until := time.Now().Add(faultDuration); time.Now().Before(until); {
 		time.Sleep(least + time.Duration(rng.Int64N(int64(spread))))
-		if leaseHolder := hostOf(watcher.status(coreHost(1 + rng.IntN(3))).PlacementHolder); leaseHolder != "" {
+		if leaseHolder := hostOf(watcher.status(coreHost(1 + rng.IntN(3))).PlacementLeaseHolder); leaseHolder != "" {
 			failure(f, leaseHolder, rng)
 		}
 	}
@@ -187,7 +187,7 @@
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.putConfiguration(1, 0, manyModels()).status, http.StatusOK)
 		time.Sleep(2 * time.Second)
-		leaseHolder := hostOf(newOperators(f, 1, 1, 2, 3).status(coreHost(1)).PlacementHolder)
+		leaseHolder := hostOf(newOperators(f, 1, 1, 2, 3).status(coreHost(1)).PlacementLeaseHolder)
 		for number := 1; number <= 3; number++ {
 			if host := coreHost(number); host != leaseHolder {
 				f.kill(host)
--- a/internal/test/integration/operators_test.go
+++ b/internal/test/integration/operators_test.go
@@ -265,7 +265,7 @@
 
 // leaseHolderHost is the host that holds the placement lease, according to a member.
 func (o *operators) leaseHolderHost(member string) string {
-	return hostOf(o.status(member).PlacementHolder)
+	return hostOf(o.status(member).PlacementLeaseHolder)
 }
 
 // replicaState is the state of a replica according to a member; empty if it lists none of that id.
--- a/internal/test/integration/roster_test.go
+++ b/internal/test/integration/roster_test.go
@@ -49,7 +49,7 @@
 			time.Sleep(100 * time.Millisecond)
 			for number := 1; number <= 3; number++ {
 				status := o.status(coreHost(number))
-				left := time.Duration(status.Replicas[0].WarmUpRemainingMs-float64(status.ListAgeMs)) * time.Millisecond
+				left := time.Duration(status.Replicas[0].WarmUpRemainingMs-float64(status.ReplicaListAgeMs)) * time.Millisecond
 				assert.Assert(
 					t,
 					!time.Now().Add(left).Before(coldUntil.Add(-time.Millisecond)),
--- a/internal/test/linearizability/calls_test.go
+++ b/internal/test/linearizability/calls_test.go
@@ -166,7 +166,7 @@
 	return result
 }
 
-// drain begins no later than adminapi.CallerTimeout after the node gave the caller its token, for which the caller must
+// drain begins no later than adminapi.TokenLifetime after the node gave the caller its token, for which the caller must
 // still have been there. The delay of the call is how long it lay about with the token.
 func (s *simulation) drain(
 	ctx context.Context, state *controlstate.State, sent callRecord, node string,
@@ -175,7 +175,7 @@
 	if s.now() >= sent.started+attemptTimeout && !s.variant.ignoresTokenExpiry {
 		return 0, errCallerGone
 	}
-	before := state.Clock().Add(adminapi.CallerTimeout)
+	before := state.Clock().Add(adminapi.TokenLifetime)
 	time.Sleep(call.delay)
 	s.waitWhileFrozen(node)
 	if s.variant.ignoresTokenExpiry {
