--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -12,35 +12,35 @@
 )
 
 // ErrNoAddress is returned by a Client without addresses.
-var ErrNoAddress = errors.New("no control daemon named")
+var ErrNoAddress = errors.New("no control plane address given")
 
-// Client sends calls to the control planes in turn until one gives a clear response. It sends a call
-// again as it was, so only calls that the control planes recognize when they come again may be made with
-// it.
+// Client tries the control planes in turn until one gives a conclusive response. Each attempt sends the same
+// request, so it must only be used for requests that are safe to repeat: a control plane must be able to recognize
+// a duplicate.
 type Client struct {
-	// Addresses are tried in this order, again and again.
+	// Addresses are those of the control planes (host:port), tried in this order and then again from the first.
 	Addresses  []string
 	HTTPClient *http.Client
-	// PerAddressTimeout is how long one control plane may take, beside the time for the body.
+	// PerAddressTimeout limits one attempt, not counting the time for sending the body.
 	PerAddressTimeout time.Duration
-	// Timeout is how long the call may take in all.
+	// Timeout limits the call with all its attempts.
 	Timeout time.Duration
 }
 
-// Response is a clear response and the control plane that gave it.
+// Response is a conclusive response and the address of the control plane that gave it.
 type Response struct {
 	Status  int
 	Body    []byte
 	Address string
 }
 
-// isClear tells whether another control plane need not be tried. Any other status may come from a node
-// that is overloaded, leaving or out of contact.
-func (r Response) isClear() bool {
+// isConclusive reports whether the response settles the call, so that no other control plane is tried. Any other
+// status may come from a node that is overloaded, shutting down or partitioned from the majority.
+func (r Response) isConclusive() bool {
 	return r.Status < http.StatusInternalServerError && !retryableStatuses[r.Status]
 }
 
-// retryableStatuses are statuses below 500 after which the next control plane is tried.
+// retryableStatuses are the statuses below 500 after which the next control plane is tried.
 var retryableStatuses = map[int]bool{
 	http.StatusRequestTimeout:  true,
 	http.StatusTooManyRequests: true,
@@ -50,27 +50,27 @@
 	maxRedirects   = 2
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 2 * time.Second
-	// minBytesPerSecond is the rate at which a body is expected to be sent.
+	// minBytesPerSecond is the assumed minimum upload rate, which extends the timeout of an attempt with a body.
 	minBytesPerSecond = 1 << 20
 )
 
-// call is what is sent to each address. condition is the version that a change builds on, or "".
+// call is the request that is sent to each address. ifMatch is the version that a change expects, or "" for none.
 type call struct {
-	method    string
-	path      string
-	condition string
-	body      []byte
+	method  string
+	path    string
+	ifMatch string
+	body    []byte
 }
 
-// Call returns the first clear response, or an error that says why none came in time. After an error the
-// call may have been carried out. condition is the version that a change builds on, or "".
-func (c *Client) Call(ctx context.Context, method, path, condition string, body []byte) (Response, error) {
+// Call returns the first conclusive response, or an error that says why there was none in time. After an error the
+// request may nevertheless have been carried out. ifMatch is the version that a change expects, or "" for none.
+func (c *Client) Call(ctx context.Context, method, path, ifMatch string, body []byte) (Response, error) {
 	if len(c.Addresses) == 0 {
 		return Response{}, ErrNoAddress
 	}
 	bounded, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	call := call{method: method, path: path, condition: condition, body: body}
+	call := call{method: method, path: path, ifMatch: ifMatch, body: body}
 	backoff := initialBackoff
 	var lastErr error
 	for attempt := 0; ; attempt++ {
@@ -79,18 +79,18 @@
 			return response, nil
 		}
 		if bounded.Err() != nil && lastErr != nil && errors.Is(err, context.DeadlineExceeded) {
-			err = lastErr // says more than that the time is up
+			err = lastErr // more specific than the timeout of the whole call
 		}
 		lastErr = err
-		if !wait(bounded, backoff) {
-			return Response{}, errors.Wrap(lastErr, "no clear answer in time")
+		if !sleep(bounded, backoff) {
+			return Response{}, errors.Wrap(lastErr, "no conclusive response within the timeout")
 		}
 		backoff = min(backoff*2, maxBackoff)
 	}
 }
 
-// wait waits for a duration and returns false if ctx ended first.
-func wait(ctx context.Context, duration time.Duration) bool {
+// sleep pauses for the duration and reports whether it elapsed before ctx ended.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -101,20 +101,21 @@
 	}
 }
 
-// attempt sends a call to one control plane and fails unless the response is clear.
+// attempt sends a call to one control plane and returns an error unless the response is conclusive.
 func (c *Client) attempt(ctx context.Context, address string, call call) (Response, error) {
 	response, err := c.send(ctx, address, call)
 	if err != nil {
 		return Response{}, err
 	}
-	if !response.isClear() {
-		return Response{}, errors.Errorf("%s answered %d: %s", response.Address, response.Status, bytes.TrimSpace(response.Body))
+	if !response.isConclusive() {
+		return Response{}, errors.Errorf("%s responded with status %d: %s",
+			response.Address, response.Status, bytes.TrimSpace(response.Body))
 	}
 	return response, nil
 }
 
-// send sends a call to one control plane and follows its redirects, which prove that this caller still
-// waits; see ReplayGuard.
+// send sends a call to one control plane and follows its redirects. Following them shows the control plane that
+// this caller still waits; see ReplayGuard.
 func (c *Client) send(ctx context.Context, address string, call call) (Response, error) {
 	target := "http://" + address + call.path
 	for range maxRedirects + 1 {
@@ -128,37 +129,37 @@
 		}
 		target = location
 	}
-	return Response{}, errors.Errorf("%s: sent elsewhere more than %d times", address, maxRedirects)
+	return Response{}, errors.Errorf("%s: more than %d redirects", address, maxRedirects)
 }
 
-// exchange sends one request and reads its response, with the location that it redirects to, if any.
+// exchange sends one request and returns its response, and the target of a redirect if it is one.
 func (c *Client) exchange(ctx context.Context, target string, call call) (response Response, location string, err error) {
-	bodyTime := time.Duration(len(call.body)) * time.Second / minBytesPerSecond
-	bounded, cancel := context.WithTimeout(ctx, c.PerAddressTimeout+bodyTime)
+	bodyTimeout := time.Duration(len(call.body)) * time.Second / minBytesPerSecond
+	bounded, cancel := context.WithTimeout(ctx, c.PerAddressTimeout+bodyTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(bounded, call.method, target, bytes.NewReader(call.body))
 	if err != nil {
 		return Response{}, "", err
 	}
-	if call.condition != "" {
-		request.Header.Set("If-Match", call.condition)
+	if call.ifMatch != "" {
+		request.Header.Set("If-Match", call.ifMatch)
 	}
 	if len(call.body) > 0 {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	answer, err := c.HTTPClient.Do(request)
+	httpResponse, err := c.HTTPClient.Do(request)
 	if err != nil {
 		return Response{}, "", err
 	}
-	defer answer.Body.Close()
-	content, err := io.ReadAll(answer.Body)
+	defer httpResponse.Body.Close()
+	content, err := io.ReadAll(httpResponse.Body)
 	if err != nil {
-		return Response{}, "", errors.Wrapf(err, "response of %s", target)
+		return Response{}, "", errors.Wrapf(err, "read the response of %s", target)
 	}
-	return Response{Status: answer.StatusCode, Body: content}, answer.Header.Get("Location"), nil
+	return Response{Status: httpResponse.StatusCode, Body: content}, httpResponse.Header.Get("Location"), nil
 }
 
-// NewHTTPClient returns a client that leaves redirects to the Client.
+// NewHTTPClient returns an HTTP client for Client.HTTPClient. It doesn't follow redirects, as the Client does so itself.
 func NewHTTPClient() *http.Client {
 	return &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
--- a/internal/adminapi/client_test.go
+++ b/internal/adminapi/client_test.go
@@ -28,23 +28,23 @@
 }
 
 func TestClient_TriesAddressesAndFollowsRedirects(t *testing.T) {
-	seen := []string{}
-	good := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
-		seen = append(seen, request.Method+" "+request.URL.Path+" "+request.Header.Get("If-Match"))
+	received := []string{}
+	accepting := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
+		received = append(received, request.Method+" "+request.URL.Path+" "+request.Header.Get("If-Match"))
 		_, _ = writer.Write([]byte("{}"))
 	})
-	busy := newTestServer(t, func(writer http.ResponseWriter, _ *http.Request) {
+	unavailable := newTestServer(t, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	})
 	redirecting := newTestServer(t, func(writer http.ResponseWriter, request *http.Request) {
-		writer.Header().Set("Location", "http://"+good+request.URL.Path)
+		writer.Header().Set("Location", "http://"+accepting+request.URL.Path)
 		writer.WriteHeader(http.StatusTemporaryRedirect)
 	})
-	client := newTestClient("127.0.0.1:1", busy, redirecting)
+	client := newTestClient("127.0.0.1:1", unavailable, redirecting)
 	response, err := client.Call(context.Background(), http.MethodPut, "/ferryspar/config", "4", []byte("{}"))
 	assert.NilError(t, err)
 	assert.Equal(t, response.Status, http.StatusOK)
-	assert.DeepEqual(t, seen, []string{"PUT /ferryspar/config 4"})
+	assert.DeepEqual(t, received, []string{"PUT /ferryspar/config 4"})
 }
 
 func TestClient_DoesNotRetryRejection(t *testing.T) {
@@ -64,8 +64,8 @@
 	client := newTestClient("127.0.0.1:1")
 	client.Timeout = 300 * time.Millisecond
 	_, err := client.Call(context.Background(), http.MethodGet, "/", "", nil)
-	assert.ErrorContains(t, err, "no clear answer in time")
+	assert.ErrorContains(t, err, "no conclusive response within the timeout")
 	_, err = (&Client{Timeout: time.Second}).Call(context.Background(), http.MethodGet, "/", "", nil)
-	assert.ErrorContains(t, err, "no control daemon named")
+	assert.ErrorContains(t, err, "no control plane address given")
 	assert.Assert(t, errors.Is(err, ErrNoAddress))
 }
--- a/internal/adminapi/doc.go
+++ b/internal/adminapi/doc.go
@@ -1,8 +1,8 @@
-// Package adminapi is both ends of the admin API, which operators use to read and change the state of a
-// fleet: the handler that a control plane serves on a Service, and the Client that goes from control plane
-// to control plane until one gives a clear response.
+// Package adminapi implements both sides of the admin API, with which operators read and change the state of a
+// fleet: the HTTP handler that a control plane serves on top of a Service, and the Client, which tries one control
+// plane after the other until one gives a conclusive response.
 //
-// It decides nothing about what is asked; that is the Service's part. Calls that change something and name
-// no version that they build on pass a ReplayGuard, which proves that their caller still waits. Start
-// reading with NewHandler and Client.
+// The package parses requests and encodes responses; the Service decides on them. Requests that change something
+// without naming the version that they expect must carry a token of the ReplayGuard, which shows that their caller
+// still waits for the response. Start reading at NewHandler and Client.
 package adminapi
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -18,15 +18,15 @@
 	"ferryspar/internal/retention"
 )
 
-// Service is what calls are carried out on. Its methods may be called from any goroutine; their errors are
-// of package apierror.
+// Service carries out the requests of the admin API. Its methods are safe for concurrent use; their errors are of
+// package apierror. A change of the configuration is accepted only if its current revision is expectedRevision.
 type Service interface {
-	ReplaceConfiguration(ctx context.Context, condition int64, method string, body []byte) error
-	PatchConfiguration(ctx context.Context, condition int64, method string, body []byte) error
+	ReplaceConfiguration(ctx context.Context, expectedRevision int64, method string, body []byte) error
+	PatchConfiguration(ctx context.Context, expectedRevision int64, method string, body []byte) error
 	ReadConfiguration(ctx context.Context) (json.RawMessage, error)
-	// DrainZone starts nothing from the deadline on.
+	// DrainZone sets or lifts the draining of a zone. It doesn't start the change at or after the deadline.
 	DrainZone(ctx context.Context, zone string, drained bool, deadline time.Time) error
-	SetRetention(ctx context.Context, wanted retention.Policy) (retention.Policy, error)
+	SetRetention(ctx context.Context, policy retention.Policy) (retention.Policy, error)
 	ReadRetention(ctx context.Context) (retention.Policy, error)
 	StartPurge(ctx context.Context, scope retention.Scope) (retention.Status, error)
 	ReadPurges(ctx context.Context) ([]retention.Status, error)
@@ -37,10 +37,11 @@
 	Status() FleetStatus
 }
 
-type handler func(state Service, request *http.Request) ([]byte, error)
+// handler carries out one kind of request and returns the JSON body of the response, or nil for none.
+type handler func(service Service, request *http.Request) ([]byte, error)
 
-// endpoint is one row of the table of calls. A guarded one changes something and names no version
-// that it builds on; see ReplayGuard.
+// endpoint is one method of the admin API. A guarded endpoint makes a change that names no expected version, so it
+// needs a token; see ReplayGuard.
 type endpoint struct {
 	method  string
 	path    string
@@ -56,16 +57,16 @@
 	{method: http.MethodDelete, path: PathDrainZone + "{zone}", handle: drainZone(false), guarded: true},
 	{method: http.MethodGet, path: PathRetention, handle: readRetention},
 	{method: http.MethodPut, path: PathRetention, handle: setRetention, guarded: true},
-	{method: http.MethodGet, path: PathPurges, handle: readForgets},
-	{method: http.MethodPost, path: PathPurges, handle: forget, guarded: true},
+	{method: http.MethodGet, path: PathPurges, handle: readPurges},
+	{method: http.MethodPost, path: PathPurges, handle: startPurge, guarded: true},
 	{method: http.MethodPost, path: PathRehearsal, handle: startRehearsal, guarded: true},
 	{method: http.MethodGet, path: PathRehearsal, handle: drillHandler(Service.ReadDrill)},
 	{method: http.MethodDelete, path: PathRehearsal, handle: drillHandler(Service.StopDrill), guarded: true},
 	{method: http.MethodGet, path: PathStatus, handle: readStatus},
 }
 
-// NewHandler returns the handler of the admin API on a state.
-func NewHandler(state Service, guard *ReplayGuard) http.Handler {
+// NewHandler returns the HTTP handler of the admin API, which passes requests to the service.
+func NewHandler(service Service, guard *ReplayGuard) http.Handler {
 	router := chi.NewRouter()
 	router.NotFound(func(writer http.ResponseWriter, request *http.Request) {
 		apierror.Write(writer, apierror.New(apierror.UnknownPath, "%s", request.URL.Path))
@@ -75,21 +76,21 @@
 	})
 	for _, endpoint := range endpoints {
 		if !endpoint.guarded {
-			router.MethodFunc(endpoint.method, endpoint.path, endpoint.serve(state))
+			router.MethodFunc(endpoint.method, endpoint.path, endpoint.serve(service))
 			continue
 		}
 		router.MethodFunc(endpoint.method, endpoint.path, func(writer http.ResponseWriter, request *http.Request) {
 			redirect(writer, guard.Location(request.Method, request.URL.EscapedPath()))
 		})
-		router.MethodFunc(endpoint.method, endpoint.path+"/{token}", guard.admit(endpoint.serve(state)))
+		router.MethodFunc(endpoint.method, endpoint.path+"/{token}", guard.requireToken(endpoint.serve(service)))
 	}
 	return router
 }
 
-// serve returns the handler of an endpoint. A response without a document is "{}".
-func (e endpoint) serve(state Service) http.HandlerFunc {
+// serve returns the HTTP handler of an endpoint. The body of a response is "{}" if the endpoint has none.
+func (e endpoint) serve(service Service) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		content, err := e.handle(state, request)
+		content, err := e.handle(service, request)
 		if err != nil {
 			apierror.Write(writer, err)
 			return
@@ -103,12 +104,12 @@
 	}
 }
 
-// maxDocumentBytes is the size of the largest configuration that is read.
-const maxDocumentBytes = 32 << 20
+// maxConfigurationBytes limits the body of a change of the configuration.
+const maxConfigurationBytes = 32 << 20
 
-// readDocument reads a document and the version that it builds on.
-func readDocument(request *http.Request) (int64, []byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, maxDocumentBytes))
+// readChange returns the revision that a change of the configuration expects (If-Match), and its body.
+func readChange(request *http.Request) (int64, []byte, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, maxConfigurationBytes))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return 0, nil, apierror.New(apierror.BodyTooLarge, "")
@@ -116,40 +117,41 @@
 	if err != nil {
 		return 0, nil, apierror.New(apierror.MalformedRequest, "body broke off")
 	}
-	stated := strings.Trim(strings.TrimSpace(request.Header.Get("If-Match")), `"`)
-	condition, err := strconv.ParseInt(stated, 10, 64)
+	entityTag := strings.Trim(strings.TrimSpace(request.Header.Get("If-Match")), `"`)
+	expectedRevision, err := strconv.ParseInt(entityTag, 10, 64)
 	if err != nil {
 		return 0, nil, apierror.New(apierror.MalformedRequest, "If-Match must name the version it builds on")
 	}
-	return condition, body, nil
+	return expectedRevision, body, nil
 }
 
-func replaceConfiguration(state Service, request *http.Request) ([]byte, error) {
-	condition, body, err := readDocument(request)
+func replaceConfiguration(service Service, request *http.Request) ([]byte, error) {
+	expectedRevision, body, err := readChange(request)
 	if err != nil {
 		return nil, err
 	}
-	return nil, state.ReplaceConfiguration(request.Context(), condition, request.Method, body)
+	return nil, service.ReplaceConfiguration(request.Context(), expectedRevision, request.Method, body)
 }
 
-func patchConfiguration(state Service, request *http.Request) ([]byte, error) {
-	condition, body, err := readDocument(request)
+func patchConfiguration(service Service, request *http.Request) ([]byte, error) {
+	expectedRevision, body, err := readChange(request)
 	if err != nil {
 		return nil, err
 	}
-	return nil, state.PatchConfiguration(request.Context(), condition, request.Method, body)
+	return nil, service.PatchConfiguration(request.Context(), expectedRevision, request.Method, body)
 }
 
-func readConfiguration(state Service, request *http.Request) ([]byte, error) {
-	return state.ReadConfiguration(request.Context())
+func readConfiguration(service Service, request *http.Request) ([]byte, error) {
+	return service.ReadConfiguration(request.Context())
 }
 
+// drainZone returns the handler that sets or lifts the draining of the zone in the path.
 func drainZone(drained bool) handler {
-	return func(state Service, request *http.Request) ([]byte, error) {
+	return func(service Service, request *http.Request) ([]byte, error) {
 		zone, err := httppath.Parameter(request, "zone")
 		if err != nil {
 			return nil, err
 		}
-		return nil, state.DrainZone(request.Context(), zone, drained, callDeadline(request.Context()))
+		return nil, service.DrainZone(request.Context(), zone, drained, callDeadline(request.Context()))
 	}
 }
--- a/internal/adminapi/paths.go
+++ b/internal/adminapi/paths.go
@@ -1,6 +1,6 @@
 package adminapi
 
-// Paths of the admin API, which both ends use. A zone's name follows PathDrainZone.
+// Paths of the admin API. PathDrainZone is followed by the name of the zone.
 const (
 	PathConfiguration = "/ferryspar/config"
 	PathDrainZone     = "/ferryspar/drain-zone/"
--- a/internal/adminapi/pinned_test.go
+++ b/internal/adminapi/pinned_test.go
@@ -17,130 +17,131 @@
 	"ferryspar/internal/test/pinned"
 )
 
-func TestFleet_JSONStaysTheSame(t *testing.T) {
+func TestFleetStatus_JSONStaysTheSame(t *testing.T) {
 	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{
 		"status":                   new(FleetStatus),
 		"change of the membership": new(MembershipChange),
 	})
 }
 
-// filledState answers every call with values that are filled in, and notes what it was asked.
-type filledState struct{ asked []string }
+// fakeService responds to every call with a value whose fields are all set, and records the calls.
+type fakeService struct{ calls []string }
 
-func (s *filledState) note(format string, arguments ...any) {
-	s.asked = append(s.asked, fmt.Sprintf(format, arguments...))
+func (s *fakeService) record(format string, arguments ...any) {
+	s.calls = append(s.calls, fmt.Sprintf(format, arguments...))
 }
 
+// filled returns a value of the type with all its fields set.
 func filled[T any]() T {
 	var value T
 	pinned.Fill(&value)
 	return value
 }
 
-func (s *filledState) ReplaceConfiguration(_ context.Context, condition int64, method string, body []byte) error {
-	s.note("replace on %d by %s: %s", condition, method, body)
+func (s *fakeService) ReplaceConfiguration(_ context.Context, expectedRevision int64, method string, body []byte) error {
+	s.record("replace on %d by %s: %s", expectedRevision, method, body)
 	return nil
 }
 
-func (s *filledState) PatchConfiguration(_ context.Context, condition int64, method string, body []byte) error {
-	s.note("patch on %d by %s: %s", condition, method, body)
+func (s *fakeService) PatchConfiguration(_ context.Context, expectedRevision int64, method string, body []byte) error {
+	s.record("patch on %d by %s: %s", expectedRevision, method, body)
 	return nil
 }
 
-func (s *filledState) ReadConfiguration(context.Context) (json.RawMessage, error) {
+func (s *fakeService) ReadConfiguration(context.Context) (json.RawMessage, error) {
 	return json.RawMessage(`{"revision":1}`), nil
 }
 
-func (s *filledState) DrainZone(_ context.Context, zone string, drained bool, _ time.Time) error {
-	s.note("drain %s: %v", zone, drained)
+func (s *fakeService) DrainZone(_ context.Context, zone string, drained bool, _ time.Time) error {
+	s.record("drain %s: %v", zone, drained)
 	return nil
 }
 
-func (s *filledState) SetRetention(_ context.Context, wanted retention.Policy) (retention.Policy, error) {
-	s.note("life %d", wanted.LifetimeMs)
+func (s *fakeService) SetRetention(_ context.Context, policy retention.Policy) (retention.Policy, error) {
+	s.record("life %d", policy.LifetimeMs)
 	return filled[retention.Policy](), nil
 }
 
-func (s *filledState) ReadRetention(context.Context) (retention.Policy, error) {
+func (s *fakeService) ReadRetention(context.Context) (retention.Policy, error) {
 	return filled[retention.Policy](), nil
 }
 
-func (s *filledState) StartPurge(_ context.Context, scope retention.Scope) (retention.Status, error) {
-	s.note("forget %s %s", scope.Model, scope.PromptPart)
+func (s *fakeService) StartPurge(_ context.Context, scope retention.Scope) (retention.Status, error) {
+	s.record("forget %s %s", scope.Model, scope.PromptPart)
 	return filled[retention.Status](), nil
 }
 
-func (s *filledState) ReadPurges(context.Context) ([]retention.Status, error) {
+func (s *fakeService) ReadPurges(context.Context) ([]retention.Status, error) {
 	return []retention.Status{filled[retention.Status]()}, nil
 }
 
-func (s *filledState) Forecast(_ context.Context, scope drill.Scope) (drill.Forecast, error) {
-	s.note("forecast %s", scope)
+func (s *fakeService) Forecast(_ context.Context, scope drill.Scope) (drill.Forecast, error) {
+	s.record("forecast %s", scope)
 	return filled[drill.Forecast](), nil
 }
 
-func (s *filledState) StartDrill(_ context.Context, request drill.Request) (drill.Status, error) {
-	s.note("drill %s %v %d", request.Scope, request.Share, request.ForMs)
+func (s *fakeService) StartDrill(_ context.Context, request drill.Request) (drill.Status, error) {
+	s.record("drill %s %v %d", request.Scope, request.Share, request.ForMs)
 	return filled[drill.Status](), nil
 }
 
-func (s *filledState) StopDrill(context.Context) (drill.Status, error) {
-	s.note("stop drill")
+func (s *fakeService) StopDrill(context.Context) (drill.Status, error) {
+	s.record("stop drill")
 	return filled[drill.Status](), nil
 }
 
-func (s *filledState) ReadDrill(context.Context) (drill.Status, error) {
+func (s *fakeService) ReadDrill(context.Context) (drill.Status, error) {
 	return filled[drill.Status](), nil
 }
 
-func (s *filledState) Status() FleetStatus { return filled[FleetStatus]() }
+func (s *fakeService) Status() FleetStatus { return filled[FleetStatus]() }
 
-// exchange is one call and its answer, as they go over the wire.
+// exchange is one request, the calls of the service that it led to, and its response.
 type exchange struct {
-	Call     string            `json:"call"`
+	Request  string            `json:"call"`
 	Redirect bool              `json:"redirect,omitempty"`
 	Status   int               `json:"status"`
 	Headers  map[string]string `json:"headers"`
 	Body     json.RawMessage   `json:"body,omitempty"`
-	Asked    []string          `json:"asked,omitempty"`
+	Calls    []string          `json:"asked,omitempty"`
 }
 
 const guardedAddress = "10.0.0.1:7100"
 
-// exchangeWith makes one call, and follows it where it is sent back with a token.
+// exchangeWith sends one request to a new handler, and follows the redirect of a guarded endpoint.
 func exchangeWith(t *testing.T, method, path, body string) exchange {
 	t.Helper()
-	state := &filledState{}
+	service := &fakeService{}
 	now := time.Unix(1000, 0)
-	handler := NewHandler(state, NewReplayGuard(guardedAddress, func() time.Time { return now }))
-	ask := func(target string) *httptest.ResponseRecorder {
+	handler := NewHandler(service, NewReplayGuard(guardedAddress, func() time.Time { return now }))
+	send := func(target string) *httptest.ResponseRecorder {
 		request := httptest.NewRequest(method, target, strings.NewReader(body))
 		request.Header.Set("If-Match", `"41"`)
-		recorder := httptest.NewRecorder()
-		handler.ServeHTTP(recorder, request)
-		return recorder
+		response := httptest.NewRecorder()
+		handler.ServeHTTP(response, request)
+		return response
 	}
-	answer := ask(path)
-	made := exchange{Call: strings.TrimSpace(method + " " + path + " " + body)}
-	if answer.Code == http.StatusTemporaryRedirect {
-		made.Redirect = true
-		token, found := strings.CutPrefix(answer.Header().Get("Location"), "http://"+guardedAddress+path+"/")
-		assert.Assert(t, found, answer.Header().Get("Location"))
-		answer = ask(path + "/" + token)
+	response := send(path)
+	result := exchange{Request: strings.TrimSpace(method + " " + path + " " + body)}
+	if response.Code == http.StatusTemporaryRedirect {
+		result.Redirect = true
+		token, found := strings.CutPrefix(response.Header().Get("Location"), "http://"+guardedAddress+path+"/")
+		assert.Assert(t, found, response.Header().Get("Location"))
+		response = send(path + "/" + token)
 	}
-	made.Status, made.Asked, made.Headers = answer.Code, state.asked, map[string]string{}
-	for name := range answer.Header() {
-		made.Headers[name] = answer.Header().Get(name)
+	result.Status, result.Calls, result.Headers = response.Code, service.calls, map[string]string{}
+	for name := range response.Header() {
+		result.Headers[name] = response.Header().Get(name)
 	}
-	if answer.Body.Len() > 0 {
-		made.Body = answer.Body.Bytes()
+	if response.Body.Len() > 0 {
+		result.Body = response.Body.Bytes()
 	}
-	return made
+	return result
 }
 
-func TestRoutes_PathsAndAnswersStayTheSame(t *testing.T) {
-	var made []exchange
-	for _, one := range []struct{ method, path, body string }{
+func TestRoutes_PathsAndResponsesStayTheSame(t *testing.T) {
+	var exchanges []exchange
+	for _, testCase := range []struct{ method, path, body string }{
 		{http.MethodPut, "/ferryspar/config", `{"revision":42}`},
 		{http.MethodPatch, "/ferryspar/config", `{"revision":42,"upsert":{}}`},
 		{http.MethodGet, "/ferryspar/config", ""},
@@ -160,15 +161,15 @@
 		{http.MethodGet, "/ferryspar/nothing", ""},
 		{http.MethodPost, "/ferryspar/status", ""},
 	} {
-		made = append(made, exchangeWith(t, one.method, one.path, one.body))
+		exchanges = append(exchanges, exchangeWith(t, testCase.method, testCase.path, testCase.body))
 	}
-	pinned.CheckJSON(t, "testdata/exchanges.json", made)
+	pinned.CheckJSON(t, "testdata/exchanges.json", exchanges)
 }
 
-func TestRoutes_TableOfCallsStaysTheSame(t *testing.T) {
-	var told []string
-	for _, one := range endpoints {
-		told = append(told, fmt.Sprintf("%s %s guarded=%v", one.method, one.path, one.guarded))
+func TestRoutes_EndpointsStayTheSame(t *testing.T) {
+	var lines []string
+	for _, endpoint := range endpoints {
+		lines = append(lines, fmt.Sprintf("%s %s guarded=%v", endpoint.method, endpoint.path, endpoint.guarded))
 	}
-	pinned.CheckJSON(t, "testdata/calls.json", told)
+	pinned.CheckJSON(t, "testdata/calls.json", lines)
 }
--- a/internal/adminapi/rehearsal.go
+++ b/internal/adminapi/rehearsal.go
@@ -9,36 +9,39 @@
 	"ferryspar/internal/drill"
 )
 
-type rehearsalHandler func(state Service, request *http.Request, wanted drill.Request) (any, error)
+// rehearsalHandler carries out one kind of rehearsal and returns the value to send.
+type rehearsalHandler func(service Service, request *http.Request, rehearsal drill.Request) (any, error)
 
+// rehearsalHandlers are the handlers by the kind in the request.
 var rehearsalHandlers = map[string]rehearsalHandler{
-	drill.KindForecast: func(state Service, request *http.Request, wanted drill.Request) (any, error) {
-		return state.Forecast(request.Context(), wanted.Scope)
+	drill.KindForecast: func(service Service, request *http.Request, rehearsal drill.Request) (any, error) {
+		return service.Forecast(request.Context(), rehearsal.Scope)
 	},
-	drill.KindDrill: func(state Service, request *http.Request, wanted drill.Request) (any, error) {
-		return state.StartDrill(request.Context(), wanted)
+	drill.KindDrill: func(service Service, request *http.Request, rehearsal drill.Request) (any, error) {
+		return service.StartDrill(request.Context(), rehearsal)
 	},
 }
 
-func startRehearsal(state Service, request *http.Request) ([]byte, error) {
+func startRehearsal(service Service, request *http.Request) ([]byte, error) {
 	var requested drill.Request
 	if err := decodeBody(request, &requested, apierror.InvalidDrill); err != nil {
 		return nil, err
 	}
-	handle, known := rehearsalHandlers[requested.Kind]
-	if !known {
+	handle, found := rehearsalHandlers[requested.Kind]
+	if !found {
 		return nil, apierror.New(apierror.InvalidDrill, "kind must be %q or %q", drill.KindForecast, drill.KindDrill)
 	}
-	result, err := handle(state, request, requested)
+	result, err := handle(service, request, requested)
 	if err != nil {
 		return nil, err
 	}
 	return json.Marshal(result)
 }
 
-func drillHandler(read func(state Service, ctx context.Context) (drill.Status, error)) handler {
-	return func(state Service, request *http.Request) ([]byte, error) {
-		status, err := read(state, request.Context())
+// drillHandler returns the handler that responds with the drill status that the method of Service returns.
+func drillHandler(method func(service Service, ctx context.Context) (drill.Status, error)) handler {
+	return func(service Service, request *http.Request) ([]byte, error) {
+		status, err := method(service, request.Context())
 		if err != nil {
 			return nil, err
 		}
--- a/internal/adminapi/replayguard.go
+++ b/internal/adminapi/replayguard.go
@@ -16,14 +16,15 @@
 	"ferryspar/internal/apierror"
 )
 
-// TokenLifetime is how long a caller is relied on to wait for the answer to a call without a
-// large body, less than the second after which callers go on to another daemon.
+// TokenLifetime is how long after its issue a token is accepted. It is shorter than the 1 s after which a caller
+// without a large body gives up an attempt and tries another control plane, so a caller with a valid token still
+// waits.
 const TokenLifetime = 900 * time.Millisecond
 
-// ReplayGuard proves that a call which names no version is not an old copy. Such a call is first
-// redirected to this control plane with a token in its path (307). Only a caller that still waits brings
-// the token, and only for TokenLifetime: a copy that lay in a socket while this machine or a link stood
-// still carries an expired token, or none.
+// ReplayGuard rejects delayed duplicates of requests that name no expected version. It first redirects such a
+// request to the same control plane with a token in the path (307). Only a caller that still waits follows the
+// redirect, and the token is valid only for TokenLifetime: a copy that was held in a socket buffer while this machine
+// was frozen or a link was down carries an expired token, or none.
 type ReplayGuard struct {
 	address   string
 	clock     func() time.Time
@@ -31,8 +32,8 @@
 	secret    [32]byte
 }
 
-// NewReplayGuard returns the guard of one incarnation of the control plane that serves calls at address.
-// Tokens of another incarnation are invalid.
+// NewReplayGuard returns the guard of one incarnation of the control plane that serves requests at address. Tokens of
+// another incarnation are invalid, since each has its own secret.
 func NewReplayGuard(address string, clock func() time.Time) *ReplayGuard {
 	guard := &ReplayGuard{address: address, clock: clock, startedAt: clock()}
 	_, _ = rand.Read(guard.secret[:])
@@ -40,49 +41,50 @@
 }
 
 const (
-	ageBytes       = 8
-	signatureBytes = 12
+	issueOffsetBytes = 8
+	signatureBytes   = 12
 )
 
-func (g *ReplayGuard) signature(method, path string, age []byte) []byte {
+func (g *ReplayGuard) signature(method, path string, issueOffset []byte) []byte {
 	sum := hmac.New(sha256.New, g.secret[:])
 	sum.Write([]byte(method + " " + path + "\n"))
-	sum.Write(age)
+	sum.Write(issueOffset)
 	return sum.Sum(nil)[:signatureBytes]
 }
 
-// Location is where the caller is sent to with a token for this method and path.
+// Location returns the URL of the redirect, with a token for this method and path.
 func (g *ReplayGuard) Location(method, path string) string {
-	age := binary.BigEndian.AppendUint64(nil, uint64(g.clock().Sub(g.startedAt)))
-	token := base64.RawURLEncoding.EncodeToString(append(age, g.signature(method, path, age)...))
+	issueOffset := binary.BigEndian.AppendUint64(nil, uint64(g.clock().Sub(g.startedAt)))
+	token := base64.RawURLEncoding.EncodeToString(append(issueOffset, g.signature(method, path, issueOffset)...))
 	return "http://" + g.address + path + "/" + token
 }
 
-// Deadline returns the time from which on the call may not be started any more. An invalid token gives
-// the zero time.
+// Deadline returns the time at which the token expires: the request must be started before it. For an invalid token
+// it is the zero time.
 func (g *ReplayGuard) Deadline(method, path, token string) time.Time {
-	content, err := base64.RawURLEncoding.DecodeString(token)
-	if err != nil || len(content) != ageBytes+signatureBytes {
+	decoded, err := base64.RawURLEncoding.DecodeString(token)
+	if err != nil || len(decoded) != issueOffsetBytes+signatureBytes {
 		return time.Time{}
 	}
-	age := content[:ageBytes]
-	if !hmac.Equal(content[ageBytes:], g.signature(method, path, age)) {
+	issueOffset := decoded[:issueOffsetBytes]
+	if !hmac.Equal(decoded[issueOffsetBytes:], g.signature(method, path, issueOffset)) {
 		return time.Time{}
 	}
-	issued := g.startedAt.Add(time.Duration(binary.BigEndian.Uint64(age)))
+	issued := g.startedAt.Add(time.Duration(binary.BigEndian.Uint64(issueOffset)))
 	return issued.Add(TokenLifetime)
 }
 
-// deadlineKey is the context key of the time from which on an admitted call may not be begun.
+// deadlineKey is the context key of a request's deadline.
 type deadlineKey struct{}
 
+// callDeadline returns the deadline of a guarded request, the zero time for others.
 func callDeadline(ctx context.Context) time.Time {
-	before, _ := ctx.Value(deadlineKey{}).(time.Time)
-	return before
+	deadline, _ := ctx.Value(deadlineKey{}).(time.Time)
+	return deadline
 }
 
-// admit serves calls with a valid token, and answers others that they come too late.
-func (g *ReplayGuard) admit(serve http.HandlerFunc) http.HandlerFunc {
+// requireToken serves requests with a valid token and rejects others as expired.
+func (g *ReplayGuard) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		token := chi.URLParam(request, "token")
 		path := strings.TrimSuffix(request.URL.EscapedPath(), "/"+token)
@@ -91,12 +93,11 @@
 			apierror.Write(writer, apierror.New(apierror.CallExpired, ""))
 			return
 		}
-		serve(writer, request.WithContext(context.WithValue(request.Context(), deadlineKey{}, deadline)))
+		next(writer, request.WithContext(context.WithValue(request.Context(), deadlineKey{}, deadline)))
 	}
 }
 
-// redirect sends the caller to the location, with an end to the connection: the next call
-// then comes on one that is known to be new.
+// redirect redirects the caller to the location, which has a token.
 func redirect(writer http.ResponseWriter, location string) {
 	writer.Header().Set("Location", location)
 	writer.Header().Set("Content-Length", "0")
--- a/internal/adminapi/resend_test.go
+++ b/internal/adminapi/resend_test.go
@@ -13,36 +13,37 @@
 	"gotest.tools/v3/assert"
 )
 
-// serveBreakingConnections answers the first call of each connection and breaks the connection off after it has read the second.
-func serveBreakingConnections(t *testing.T) (address string, read *atomic.Int64) {
+// serveResettingConnections starts a server that responds to the first request of each connection and resets the
+// connection after it has read the second. It counts the requests that were read.
+func serveResettingConnections(t *testing.T) (address string, requestsRead *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	read = &atomic.Int64{}
+	requestsRead = &atomic.Int64{}
 	go func() {
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go answerOnce(connection, read)
+			go respondOnce(connection, requestsRead)
 		}
 	}()
-	return listener.Addr().String(), read
+	return listener.Addr().String(), requestsRead
 }
 
-// answerOnce answers the first call of a connection and resets the connection once it has read the second.
-func answerOnce(connection net.Conn, read *atomic.Int64) {
+// respondOnce responds to the first request of a connection, and resets the connection once it has read the second.
+func respondOnce(connection net.Conn, requestsRead *atomic.Int64) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
-	for answered := false; ; answered = true {
+	for responded := false; ; responded = true {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		read.Add(1)
-		if answered {
+		requestsRead.Add(1)
+		if responded {
 			_ = connection.(*net.TCPConn).SetLinger(0)
 			return
 		}
@@ -50,26 +51,28 @@
 	}
 }
 
+// A change whose connection breaks before the response may have been carried out. net/http must leave the decision to
+// send it again to the Client.
 func TestClient_NetHTTPDoesNotResendAfterBrokenConnection(t *testing.T) {
 	for _, method := range []string{http.MethodPut, http.MethodPatch, http.MethodPost, http.MethodDelete} {
 		for _, body := range []string{"", "{}"} {
 			t.Run(method+" "+body, func(t *testing.T) {
-				address, read := serveBreakingConnections(t)
+				address, requestsRead := serveResettingConnections(t)
 				client := newTestClient(address)
 				client.HTTPClient.Transport = &http.Transport{}
 				defer client.HTTPClient.CloseIdleConnections()
 				client.Timeout = time.Second
 				_, err := client.send(t.Context(), address, call{method: http.MethodGet, path: "/"})
 				assert.NilError(t, err)
-				_, err = client.send(t.Context(), address, call{method: method, path: "/", condition: "1", body: []byte(body)})
-				assert.Assert(t, err != nil, "an answer that never came")
-				assert.Equal(t, read.Load(), int64(2))
+				_, err = client.send(t.Context(), address, call{method: method, path: "/", ifMatch: "1", body: []byte(body)})
+				assert.Assert(t, err != nil, "the connection was reset before a response")
+				assert.Equal(t, requestsRead.Load(), int64(2))
 			})
 		}
 	}
 }
 
-func TestClient_ResendsSameChangeWithoutResponse(t *testing.T) {
+func TestClient_ResendsUnchangedRequestWithoutResponse(t *testing.T) {
 	bodies := make(chan string, 10)
 	var calls atomic.Int64
 	address := newTestServer(t, func(_ http.ResponseWriter, request *http.Request) {
--- a/internal/adminapi/retention.go
+++ b/internal/adminapi/retention.go
@@ -8,10 +8,10 @@
 	"ferryspar/internal/retention"
 )
 
-// maxBodyBytes is the size of the largest other body that is read.
+// maxBodyBytes limits the bodies of all requests but changes of the configuration.
 const maxBodyBytes = 64 << 10
 
-// decodeBody decodes a JSON body. Errors are of that kind.
+// decodeBody decodes a JSON body into target. It rejects unknown fields; errors are of the given kind.
 func decodeBody(request *http.Request, target any, kind apierror.Kind) error {
 	reader := json.NewDecoder(http.MaxBytesReader(nil, request.Body, maxBodyBytes))
 	reader.DisallowUnknownFields()
@@ -21,45 +21,45 @@
 	return nil
 }
 
-func readRetention(state Service, request *http.Request) ([]byte, error) {
-	policy, err := state.ReadRetention(request.Context())
+func readRetention(service Service, request *http.Request) ([]byte, error) {
+	policy, err := service.ReadRetention(request.Context())
 	if err != nil {
 		return nil, err
 	}
 	return json.Marshal(policy)
 }
 
-func setRetention(state Service, request *http.Request) ([]byte, error) {
+func setRetention(service Service, request *http.Request) ([]byte, error) {
 	var requested struct {
-		LifeMs *int64 `json:"lifeMs"`
+		LifetimeMs *int64 `json:"lifeMs"`
 	}
 	if err := decodeBody(request, &requested, apierror.InvalidRetention); err != nil {
 		return nil, err
 	}
-	if requested.LifeMs == nil {
+	if requested.LifetimeMs == nil {
 		return nil, apierror.New(apierror.InvalidRetention, "lifeMs is missing")
 	}
-	policy, err := state.SetRetention(request.Context(), retention.Policy{LifetimeMs: *requested.LifeMs})
+	policy, err := service.SetRetention(request.Context(), retention.Policy{LifetimeMs: *requested.LifetimeMs})
 	if err != nil {
 		return nil, err
 	}
 	return json.Marshal(policy)
 }
 
-func forget(state Service, request *http.Request) ([]byte, error) {
+func startPurge(service Service, request *http.Request) ([]byte, error) {
 	var scope retention.Scope
 	if err := decodeBody(request, &scope, apierror.InvalidRetention); err != nil {
 		return nil, err
 	}
-	status, err := state.StartPurge(request.Context(), scope)
+	status, err := service.StartPurge(request.Context(), scope)
 	if err != nil {
 		return nil, err
 	}
 	return json.Marshal(status)
 }
 
-func readForgets(state Service, request *http.Request) ([]byte, error) {
-	statuses, err := state.ReadPurges(request.Context())
+func readPurges(service Service, request *http.Request) ([]byte, error) {
+	statuses, err := service.ReadPurges(request.Context())
 	if err != nil {
 		return nil, err
 	}
