--- a/cmd/ferryspar-operator/application.go
+++ b/cmd/ferryspar-operator/application.go
@@ -8,11 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// application is what the commands share: the global options, and where they print.
+// application holds what all commands share: the global options and the output streams.
 type application struct {
 	options globalOptions
 	stdout  io.Writer
-	// stderr is for warnings beside an answer; errors are returned.
+	// stderr receives warnings that accompany a result; errors are returned instead.
 	stderr io.Writer
 }
 
@@ -30,12 +30,12 @@
 	return json.NewEncoder(a.stdout).Encode(value)
 }
 
-// printRaw prints the JSON of a control daemon as it was received.
+// printRaw prints the JSON of a control plane as it was received.
 func (a *application) printRaw(content []byte) {
 	a.printLine(string(content))
 }
 
-// decode parses a control daemon's JSON. what names it in the error.
+// decode parses the JSON of a control plane into target. what names it in the error.
 func decode(what string, content []byte, target any) error {
 	return errors.Wrapf(json.Unmarshal(content, target), "decode %s", what)
 }
--- a/cmd/ferryspar-operator/check.go
+++ b/cmd/ferryspar-operator/check.go
@@ -8,17 +8,17 @@
 	"ferryspar/internal/configuration"
 )
 
-// checkCommand checks a configuration file without a control daemon.
+// checkCommand checks a configuration file without a control plane.
 type checkCommand struct {
 	app  *application
 	Args fileArgument `positional-args:"yes"`
 }
 
-// Execute checks the file and prints what is in it.
+// Execute checks the file and prints a summary of its content.
 func (c *checkCommand) Execute([]string) error {
 	content, err := os.ReadFile(c.Args.Path)
 	if err != nil {
-		return errors.Wrap(err, "FILE")
+		return errors.Wrap(err, "read FILE")
 	}
 	parsed, err := configuration.Parse(content)
 	if err != nil {
--- a/cmd/ferryspar-operator/client.go
+++ b/cmd/ferryspar-operator/client.go
@@ -18,14 +18,14 @@
 const (
 	pathConfiguration = "/ferryspar/config"
 	pathDrainZone     = "/ferryspar/drain-zone/" // followed by the zone
-	pathForget        = "/ferryspar/forget"
+	pathPurges        = "/ferryspar/forget"
 	pathRehearsal     = "/ferryspar/rehearsal"
 	pathRetention     = "/ferryspar/retention"
 	pathStatus        = "/ferryspar/status"
 )
 
-// errNoControl is for commands that need a control daemon when none is named.
-var errNoControl = cli.NewUsageError(errors.New("name a control daemon with -c, --control"))
+// errNoControlPlane is returned by commands that need a control plane if no address is given.
+var errNoControlPlane = cli.NewUsageError(errors.New("give the address of a control plane with -c, --control"))
 
 // apiRequest is a request of the admin API.
 type apiRequest struct {
@@ -35,14 +35,14 @@
 	body    []byte
 }
 
-// rejectedError is a control daemon's clear refusal of a request.
+// rejectedError is a control plane's conclusive rejection of a request.
 type rejectedError struct {
 	response adminapi.Response
 }
 
-// Error names the status, the daemon and its reason.
+// Error names the status, the control plane and its reason.
 func (e rejectedError) Error() string {
-	return fmt.Sprintf("rejected with %d by %s: %s", e.response.Status, e.response.Address, e.response.Body)
+	return fmt.Sprintf("rejected with status %d by %s: %s", e.response.Status, e.response.Address, e.response.Body)
 }
 
 // newClient returns a client that tries the addresses in turn.
@@ -55,18 +55,19 @@
 	}
 }
 
-// call sends the request to the control daemons in turn and returns the body of the first clear answer. The error is
-// errNoControl, a rejectedError, or says why no daemon answered; then a change may have been made all the same.
+// call tries the control planes in turn and returns the body of the first conclusive response. The error is
+// errNoControlPlane, a rejectedError, or says why no control plane responded; in the last case a change may
+// nevertheless have been made.
 func (a *application) call(request apiRequest) ([]byte, error) {
 	return a.callWithin(a.options.PerAddressTimeout, request)
 }
 
-// callWithin is call with another timeout for each attempt.
+// callWithin is call with the given timeout for each attempt.
 func (a *application) callWithin(perAddressTimeout time.Duration, request apiRequest) ([]byte, error) {
-	if len(a.options.Control) == 0 {
-		return nil, errNoControl
+	if len(a.options.ControlPlanes) == 0 {
+		return nil, errNoControlPlane
 	}
-	client := newClient(a.options.Control, perAddressTimeout, a.options.Timeout)
+	client := newClient(a.options.ControlPlanes, perAddressTimeout, a.options.Timeout)
 	response, err := client.Call(context.Background(), request.method, request.path, request.ifMatch, request.body)
 	if err != nil {
 		return nil, errors.Wrapf(err, "%s %s", request.method, request.path)
@@ -82,7 +83,7 @@
 	return a.call(apiRequest{method: http.MethodGet, path: path})
 }
 
-// post sends value as JSON and returns the body of the answer.
+// post sends value as JSON and returns the body of the response.
 func (a *application) post(path string, value any) ([]byte, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return a.call(apiRequest{method: http.MethodPost, path: path, body: body})
 }
 
-// fetchConfiguration reads the newest configuration, with digests in the place of keys.
+// fetchConfiguration reads the newest configuration, with each key replaced by its digest.
 func (a *application) fetchConfiguration() (configuration.Configuration, error) {
 	content, err := a.get(pathConfiguration)
 	if err != nil {
@@ -101,7 +102,7 @@
 	return current.Redacted(), errors.Wrap(err, "decode the configuration")
 }
 
-// fetchStatus reads the fleet's status from the first daemon that answers.
+// fetchStatus reads the fleet's status from the first control plane that responds.
 func (a *application) fetchStatus() (adminapi.FleetStatus, error) {
 	var fleet adminapi.FleetStatus
 	content, err := a.get(pathStatus)
--- a/cmd/ferryspar-operator/configuration.go
+++ b/cmd/ferryspar-operator/configuration.go
@@ -20,7 +20,7 @@
 	}
 	if !c.Keys {
 		if content, err = configuration.RedactDocument(content); err != nil {
-			return errors.Wrap(err, "replace the keys by digests")
+			return errors.Wrap(err, "replace keys with digests")
 		}
 	}
 	c.app.printRaw(content)
--- a/cmd/ferryspar-operator/coordination.go
+++ b/cmd/ferryspar-operator/coordination.go
@@ -9,7 +9,7 @@
 	"ferryspar/internal/coordinationapi"
 )
 
-// itemsCommand lists the items of one kind, or shows one of them.
+// itemsCommand lists the coordination items of one kind, or shows one of them.
 type itemsCommand struct {
 	app  *application
 	kind coordination.Kind
@@ -18,7 +18,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute prints the list, or the state of the item that was named.
+// Execute prints the list, or the state of the item if a name is given.
 func (i *itemsCommand) Execute([]string) error {
 	if i.Args.Name == "" {
 		return i.list()
@@ -39,6 +39,7 @@
 	return nil
 }
 
+// itemPath returns the path of an item in the coordination API.
 func itemPath(kind coordination.Kind, name string) string {
 	return coordinationapi.PathItems + "/" + string(kind) + "/" + url.PathEscape(name)
 }
@@ -53,15 +54,15 @@
 	if i.app.options.JSON {
 		return i.app.printJSON(list.Items)
 	}
-	listed := newTable(string(i.kind)+"s", "name", "owner", "bytes")
+	items := newTable(string(i.kind)+"s", "name", "owner", "bytes")
 	for _, item := range list.Items {
-		listed.addRow(item.Name, item.Owner, item.Bytes)
+		items.addRow(item.Name, item.Owner, item.Bytes)
 	}
-	listed.write(i.app.stdout)
+	items.write(i.app.stdout)
 	return nil
 }
 
-// fetchItems reads the list of items from the first control plane that answers.
+// fetchItems reads the list of items from the first control plane that responds.
 func (a *application) fetchItems() (coordinationapi.ItemList, error) {
 	var list coordinationapi.ItemList
 	content, err := a.get(coordinationapi.PathItems)
@@ -71,7 +72,7 @@
 	return list, decode("the items", content, &list)
 }
 
-// printItem prints one item, a line for each of its properties.
+// printItem prints the state of one item on one line.
 func (a *application) printItem(status coordinationapi.ItemStatus) {
 	switch {
 	case status.Lock != nil && status.Lock.Holder == "":
@@ -87,7 +88,7 @@
 	}
 }
 
-// releaseLockCommand takes a lock from its holder.
+// releaseLockCommand forcibly releases a lock.
 type releaseLockCommand struct {
 	app  *application
 	Args struct {
@@ -95,7 +96,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute takes the lock, and prints the fence from which on its former holder is rejected.
+// Execute releases the lock and prints its new fencing token, by which resources reject the former holder's lower one.
 func (r *releaseLockCommand) Execute([]string) error {
 	content, err := r.app.call(apiRequest{method: http.MethodDelete, path: itemPath(coordination.KindLock, r.Args.Name)})
 	if err != nil {
@@ -108,26 +109,26 @@
 	var released struct {
 		FenceToken uint64 `json:"fenceToken"`
 	}
-	if err := decode("the answer", content, &released); err != nil {
+	if err := decode("the response", content, &released); err != nil {
 		return err
 	}
 	r.app.printf("%s is free; its fence is %d now\n", r.Args.Name, released.FenceToken)
 	return nil
 }
 
-// watchersCommand prints how many watches wait at each control plane.
+// watchersCommand prints the number of open watches at each control plane.
 type watchersCommand struct{ app *application }
 
-// Execute asks each control plane that was named.
+// Execute queries each of the given control planes.
 func (w *watchersCommand) Execute([]string) error {
-	if len(w.app.options.Control) == 0 {
-		return errNoControl
+	if len(w.app.options.ControlPlanes) == 0 {
+		return errNoControlPlane
 	}
 	counts := map[string]map[string]int{}
-	waiting := newTable("watches", "control plane", "group", "waiting")
-	for _, address := range w.app.options.Control {
+	watches := newTable("watches", "control plane", "group", "waiting")
+	for _, address := range w.app.options.ControlPlanes {
 		single := &application{options: w.app.options, stdout: w.app.stdout, stderr: w.app.stderr}
-		single.options.Control = []string{address}
+		single.options.ControlPlanes = []string{address}
 		list, err := single.fetchItems()
 		if err != nil {
 			return err
@@ -139,12 +140,12 @@
 		}
 		slices.Sort(groups)
 		for _, group := range groups {
-			waiting.addRow(address, group, list.Watches[group])
+			watches.addRow(address, group, list.Watches[group])
 		}
 	}
 	if w.app.options.JSON {
 		return w.app.printJSON(counts)
 	}
-	waiting.write(w.app.stdout)
+	watches.write(w.app.stdout)
 	return nil
 }
--- a/cmd/ferryspar-operator/drain.go
+++ b/cmd/ferryspar-operator/drain.go
@@ -2,7 +2,7 @@
 
 import "net/url"
 
-// drainCommand drains a zone, or ends that, as its method says.
+// drainCommand starts the draining of a zone (POST) or ends it (DELETE).
 type drainCommand struct {
 	app    *application
 	method string
--- a/cmd/ferryspar-operator/forget.go
+++ b/cmd/ferryspar-operator/forget.go
@@ -9,37 +9,37 @@
 	"ferryspar/internal/retention"
 )
 
-// errNoForgetScope is for a forget whose scope is not given.
-var errNoForgetScope = cli.NewUsageError(errors.New("name --model, --part or --all"))
+// errNoPurgeScope is returned if no scope is given.
+var errNoPurgeScope = cli.NewUsageError(errors.New("give --model, --part or --all"))
 
-// forgetCommand has cached context deleted on every node.
+// forgetCommand purges cached context from every node.
 type forgetCommand struct {
 	app        *application
 	Model      string        `long:"model" description:"delete only context of this model"`
 	PromptPart string        `long:"part" description:"delete only context with this prompt part id (hex)"`
-	All        bool          `long:"all" description:"delete all context; needed if neither --model nor --part is given"`
-	List       bool          `long:"list" description:"only list the forgets and how far they are"`
-	Watch      bool          `long:"watch" description:"print the progress until every node is done"`
+	All        bool          `long:"all" description:"delete all context; required if neither --model nor --part is given"`
+	List       bool          `long:"list" description:"only list the deletions and their progress"`
+	Watch      bool          `long:"watch" description:"print the progress until every node has finished"`
 	Limit      time.Duration `long:"limit" default:"10m" description:"timeout of --watch"`
 }
 
-// Execute starts a forget and prints its progress, or lists those that were started before.
+// Execute starts a purge and prints its progress, or lists the purges that were started before.
 func (f *forgetCommand) Execute([]string) error {
 	if f.List {
 		return f.list()
 	}
 	if f.Model == "" && f.PromptPart == "" && !f.All {
-		return errNoForgetScope
+		return errNoPurgeScope
 	}
-	content, err := f.app.post(pathForget, retention.Scope{Model: f.Model, PromptPart: f.PromptPart})
+	content, err := f.app.post(pathPurges, retention.Scope{Model: f.Model, PromptPart: f.PromptPart})
 	if err != nil {
 		return err
 	}
 	var status retention.Status
-	if err := decode("the forget", content, &status); err != nil {
+	if err := decode("the purge", content, &status); err != nil {
 		return err
 	}
-	if err := f.app.printForget(status); err != nil {
+	if err := f.app.printPurge(status); err != nil {
 		return err
 	}
 	if f.Watch {
@@ -49,54 +49,54 @@
 }
 
 func (f *forgetCommand) list() error {
-	forgets, err := f.app.listForgets()
+	purges, err := f.app.listPurges()
 	if err != nil {
 		return err
 	}
-	for _, status := range forgets {
-		if err := f.app.printForget(status); err != nil {
+	for _, status := range purges {
+		if err := f.app.printPurge(status); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// watch prints the progress of a forget until it is complete. It returns an error if that takes longer than the limit.
+// watch prints the progress of a purge until it is complete. It returns an error if that takes longer than the limit.
 func (f *forgetCommand) watch(status retention.Status) error {
 	deadline := time.Now().Add(f.Limit)
 	for !status.Complete {
 		if time.Now().After(deadline) {
-			return errors.Errorf("forget %d is not complete yet", status.Number)
+			return errors.Errorf("forget %d did not complete within the limit", status.Number)
 		}
 		time.Sleep(watchInterval)
-		forgets, err := f.app.listForgets()
+		purges, err := f.app.listPurges()
 		if err != nil {
 			return err
 		}
-		for _, listed := range forgets {
+		for _, listed := range purges {
 			if listed.Number == status.Number {
 				status = listed
 			}
 		}
-		if err := f.app.printForget(status); err != nil {
+		if err := f.app.printPurge(status); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (a *application) listForgets() ([]retention.Status, error) {
-	content, err := a.get(pathForget)
+func (a *application) listPurges() ([]retention.Status, error) {
+	content, err := a.get(pathPurges)
 	if err != nil {
 		return nil, err
 	}
 	var response struct {
-		Forgets []retention.Status `json:"forgets"`
+		Purges []retention.Status `json:"forgets"`
 	}
-	return response.Forgets, decode("the list of forgets", content, &response)
+	return response.Purges, decode("the list of purges", content, &response)
 }
 
-func (a *application) printForget(status retention.Status) error {
+func (a *application) printPurge(status retention.Status) error {
 	if a.options.JSON {
 		return a.printJSON(status)
 	}
--- a/cmd/ferryspar-operator/helpers_test.go
+++ b/cmd/ferryspar-operator/helpers_test.go
@@ -13,39 +13,39 @@
 	"ferryspar/internal/cli"
 )
 
-// newTestApplication returns an application that speaks to the addresses and prints to the buffer.
+// newTestApplication returns an application that calls the addresses and prints to the buffer.
 func newTestApplication(addresses ...string) (*application, *bytes.Buffer) {
 	stdout := &bytes.Buffer{}
 	app := &application{
-		options: globalOptions{Control: addresses, PerAddressTimeout: time.Second, Timeout: 5 * time.Second},
+		options: globalOptions{ControlPlanes: addresses, PerAddressTimeout: time.Second, Timeout: 5 * time.Second},
 		stdout:  stdout,
 		stderr:  io.Discard,
 	}
 	return app, stdout
 }
 
-// fakeControl is a control daemon that sends given answers.
-type fakeControl struct {
+// fakeControlPlane is a server that sends given responses in place of a control plane.
+type fakeControlPlane struct {
 	address string
-	// requests are "METHOD PATH BODY" of each.
+	// requests are the requests received, each as "METHOD PATH BODY".
 	requests []string
-	// escapedPaths are the paths of the requests as they were sent.
+	// escapedPaths are their paths as they were sent, with escapes.
 	escapedPaths []string
 }
 
-// startFakeControl answers every request with the status, and the bodies in turn; the last of them stays.
-func startFakeControl(t *testing.T, status int, bodies ...any) *fakeControl {
-	control := &fakeControl{}
+// startFakeControlPlane starts a server that responds with the status and the bodies in turn, then repeats the last body.
+func startFakeControlPlane(t *testing.T, status int, bodies ...any) *fakeControlPlane {
+	controlPlane := &fakeControlPlane{}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		control.requests = append(control.requests, request.Method+" "+request.URL.Path+" "+string(body))
-		control.escapedPaths = append(control.escapedPaths, request.URL.EscapedPath())
+		controlPlane.requests = append(controlPlane.requests, request.Method+" "+request.URL.Path+" "+string(body))
+		controlPlane.escapedPaths = append(controlPlane.escapedPaths, request.URL.EscapedPath())
 		writer.WriteHeader(status)
-		_ = json.NewEncoder(writer).Encode(bodies[min(len(control.requests), len(bodies))-1])
+		_ = json.NewEncoder(writer).Encode(bodies[min(len(controlPlane.requests), len(bodies))-1])
 	}))
 	t.Cleanup(server.Close)
-	control.address = strings.TrimPrefix(server.URL, "http://")
-	return control
+	controlPlane.address = strings.TrimPrefix(server.URL, "http://")
+	return controlPlane
 }
 
 // exitStatus returns the status that the program would end with.
--- a/cmd/ferryspar-operator/inspect.go
+++ b/cmd/ferryspar-operator/inspect.go
@@ -12,20 +12,20 @@
 	"ferryspar/internal/keystore"
 )
 
-// inspectCommand reads a stopped member's data directory; it calls no daemon and writes no file.
+// inspectCommand reads a stopped member's data directory. It sends no requests and writes no files.
 type inspectCommand struct {
 	app    *application
-	Values bool `long:"values" description:"print the values as well; that of the configuration holds tenants' keys"`
+	Values bool `long:"values" description:"also print the values; the configuration contains tenants' keys"`
 	Args   struct {
 		Directory string `positional-arg-name:"DIR" required:"yes"`
 	} `positional-args:"yes"`
 }
 
-// Execute prints what is in the directory. It returns an error with exitDamaged if its state is damaged.
+// Execute prints the state in the directory. It returns an error with exitDamaged if the state is damaged.
 func (i *inspectCommand) Execute([]string) error {
 	inspection, err := keystore.Inspect(i.Args.Directory)
 	if err != nil {
-		return errors.Wrap(err, "DIR")
+		return errors.Wrap(err, "inspect DIR")
 	}
 	if !i.Values {
 		inspection.RedactValues()
@@ -38,7 +38,7 @@
 		i.app.printInspection(inspection, i.Values)
 	}
 	if inspection.Damage != nil {
-		return newExitError(exitDamaged, "damaged: %s", inspection.Damage)
+		return newExitError(exitDamaged, "data directory is damaged: %s", inspection.Damage)
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 	return keys
 }
 
-// formatFields returns the fields as name=value in the order of their names.
+// formatFields returns the fields as name=value, sorted by name.
 func formatFields(fields map[string]json.RawMessage) string {
 	var formatted []string
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
--- a/cmd/ferryspar-operator/inspect_test.go
+++ b/cmd/ferryspar-operator/inspect_test.go
@@ -47,38 +47,38 @@
 }
 
 func readFiles(t *testing.T, path string) map[string]string {
-	found := map[string]string{}
+	contents := map[string]string{}
 	assert.NilError(t, filepath.WalkDir(path, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
 		}
 		content, err := os.ReadFile(name)
-		found[name] = string(content)
+		contents[name] = string(content)
 		return err
 	}))
-	return found
+	return contents
 }
 
 func TestInspect_PrintsKeysAndFilesWithoutWriting(t *testing.T) {
 	path := writeStoppedMember(t)
 	before := readFiles(t, path)
-	shown, err := runInspect(path, false)
+	output, err := runInspect(path, false)
 	assert.NilError(t, err)
 	expectedTexts := []string{
 		"generation 2 (base 1)", `self {"incarnation":77,"voting":true,"number":4}`,
 		`"present":["10.1.0.1:7000","10.2.0.1:7000"]`, "ring-2", keystore.ConfigurationKey, "sequence=6",
 	}
 	for _, expected := range expectedTexts {
-		assert.Assert(t, strings.Contains(shown, expected), "%s in %s", expected, shown)
+		assert.Assert(t, strings.Contains(output, expected), "%s in %s", expected, output)
 	}
-	output, err := runInspect(path, true)
+	encoded, err := runInspect(path, true)
 	assert.NilError(t, err)
 	var inspection keystore.Inspection
-	assert.NilError(t, json.Unmarshal([]byte(output), &inspection))
+	assert.NilError(t, json.Unmarshal([]byte(encoded), &inspection))
 	assert.Equal(t, inspection.Generation, uint64(2))
 	assert.Equal(t, len(inspection.Registers), 3)
 	for _, register := range inspection.Registers {
-		assert.Equal(t, len(register.Value), 0, "values may hold tenants' keys, so they must be asked for")
+		assert.Equal(t, len(register.Value), 0, "values may contain tenants' keys, so they are printed only with --values")
 	}
 	assert.DeepEqual(t, readFiles(t, path), before)
 }
@@ -88,10 +88,10 @@
 	assert.NilError(t, os.Remove(filepath.Join(path, "ring-2")))
 	before := readFiles(t, path)
 	for _, asJSON := range []bool{false, true} {
-		shown, err := runInspect(path, asJSON)
+		output, err := runInspect(path, asJSON)
 		assert.Equal(t, exitStatus(err), exitDamaged)
 		assert.ErrorContains(t, err, "ring-2: file missing")
-		assert.Assert(t, strings.Contains(shown, "missing"), shown)
+		assert.Assert(t, strings.Contains(output, "missing"), output)
 	}
 	assert.DeepEqual(t, readFiles(t, path), before)
 }
--- a/cmd/ferryspar-operator/main.go
+++ b/cmd/ferryspar-operator/main.go
@@ -1,8 +1,9 @@
-// Ferryspar-operator is the operators' command line: it reads and changes a fleet through the control plane's admin API,
-// and inspects the data directory of a stopped member.
+// Ferryspar-operator is the command line tool for operators: it reads and changes a fleet through the control plane's
+// admin API, and inspects the data directory of a stopped member.
 //
-// It keeps no state, and repeats a call only in the form that the control daemons recognise as the same. Start reading at
-// newParser, which lists the commands; each has a file of its own. The client's side of the API is internal/adminapi.
+// It keeps no state. A retry repeats the request unchanged, so that the control planes recognize it as a duplicate.
+// Start reading at newParser and commands, which lists the commands; each has its own file. The client of the admin API
+// is in internal/adminapi.
 package main
 
 import (
@@ -12,7 +13,7 @@
 	"ferryspar/internal/cli"
 )
 
-// programName is the name in help texts and before error messages.
+// programName is the program's name in help texts and the prefix of error messages.
 const programName = "ferryspar-operator"
 
 func main() {
--- a/cmd/ferryspar-operator/parser.go
+++ b/cmd/ferryspar-operator/parser.go
@@ -11,12 +11,12 @@
 	"ferryspar/internal/coordination"
 )
 
-// globalOptions are the options of every command.
+// globalOptions are the options that all commands share.
 type globalOptions struct {
-	Control           []string      `short:"c" long:"control" description:"HOST:PORT of a control daemon; several are tried in turn"`
-	PerAddressTimeout time.Duration `long:"patience" default:"1s" description:"timeout for one daemon, after which the next one is tried"`
+	ControlPlanes     []string      `short:"c" long:"control" description:"HOST:PORT of a control plane; if repeated, tried in turn"`
+	PerAddressTimeout time.Duration `long:"patience" default:"1s" description:"timeout of one attempt, then the next address is tried"`
 	Timeout           time.Duration `long:"bound" default:"15s" description:"timeout of the whole call with all its attempts"`
-	JSON              bool          `long:"json" description:"print JSON instead of text, as the control daemon sent it"`
+	JSON              bool          `long:"json" description:"print JSON instead of text, as the control plane sent it"`
 }
 
 // fileArgument is the positional argument of commands that read one file.
@@ -24,17 +24,17 @@
 	Path string `positional-arg-name:"FILE" required:"yes"`
 }
 
-// command is one command of the program.
+// command describes one command of the program.
 type command struct {
 	name    string
 	aliases []string
-	// short is the line in the list of commands, long the text of the command's own help.
+	// short is the summary in the list of commands, long the text of the command's help.
 	short, long string
-	// handler holds the command's options and runs it.
+	// handler has the command's options and runs it.
 	handler flags.Commander
 }
 
-// commands returns all commands, to be run for app. Names and options are fixed, because operators' scripts use them.
+// commands returns all commands of app. Their names and options are fixed, as operators' scripts use them.
 func commands(app *application) []command {
 	return []command{
 		{
@@ -46,7 +46,7 @@
 		},
 		{
 			name:  "put",
-			short: "replace the configuration by a file's",
+			short: "replace the configuration with a file",
 			long: "Checks the configuration in FILE and makes it the fleet's. It is rejected if the newest configuration does not " +
 				"have the revision given by --on.",
 			handler: &putCommand{app: app},
@@ -61,7 +61,7 @@
 		{
 			name:    "check",
 			short:   "check a configuration file without sending it",
-			long:    "Checks the configuration in FILE as put does, without a control daemon.",
+			long:    "Checks the configuration in FILE as put does, without a control plane.",
 			handler: &checkCommand{app: app},
 		},
 		{
@@ -91,22 +91,22 @@
 		{
 			name:  "forget",
 			short: "delete cached context and show the progress",
-			long: "Has every node delete cached context: that of a model, that with a prompt part, or all. Deletion goes on when " +
-				"the command has ended; --list and --watch show how far it is.",
+			long: "Has every node delete cached context: that of a model, that with a prompt part, or all. Deletion continues after " +
+				"the command has ended; --list and --watch show its progress.",
 			handler: &forgetCommand{app: app},
 		},
 		{
 			name:  "rehearse",
 			short: "rehearse the loss of a region or zone",
-			long: "Forecasts what the loss of REGION, or of a zone, would do to the requests of late. With --drill the fleet does " +
-				"without it for a share of new requests. Exit status 4 says that a forecast lacks nodes, 5 that a guard ended the " +
-				"drill, 6 that the control plane rejected the call.",
+			long: "Forecasts how the loss of REGION, or of a zone, would affect recent requests. With --drill, all nodes avoid it " +
+				"for a share of new requests. Exit status 4 means that a forecast lacks nodes, 5 that a guard ended the drill, " +
+				"6 that the control plane rejected the request.",
 			handler: &rehearseCommand{app: app},
 		},
 		{
 			name:  "locks",
 			short: "list the applications' locks, or show who holds one",
-			long: "Lists the locks of applications with their owners, the control planes that decide on them. With NAME, shows who " +
+			long: "Lists the locks of applications with their owners, the control planes that manage them. With NAME, shows who " +
 				"holds that lock, since when, with which fence and for how long.",
 			handler: &itemsCommand{app: app, kind: coordination.KindLock},
 		},
@@ -119,47 +119,47 @@
 		{
 			name:    "keys",
 			short:   "list the applications' groups of keys, or show one",
-			long:    "Lists the groups of keys with their owners. With NAME, a group with its dot, shows its revision and what is kept.",
+			long:    "Lists the groups of keys with their owners. With NAME (including its dot), shows the group's revision and history.",
 			handler: &itemsCommand{app: app, kind: coordination.KindGroup},
 		},
 		{
 			name:    "watchers",
-			short:   "count the watches that wait at each control daemon named",
-			long:    "Prints for each control daemon named how many watches wait there, by group.",
+			short:   "count the open watches at each control plane given",
+			long:    "Prints the number of open watches at each control plane given, by group.",
 			handler: &watchersCommand{app: app},
 		},
 		{
 			name:  "release-lock",
-			short: "take a lock from its holder",
-			long: "Frees LOCK and raises its fence. The holder may count on the lock until its time is over: only what checks fences " +
-				"rejects it. Use it when the holder is known to be gone.",
+			short: "forcibly release a lock",
+			long: "Releases LOCK and raises its fence. The holder may rely on the lock until it expires: only resources that check " +
+				"fences reject it. Use this when the holder is known to have ended.",
 			handler: &releaseLockCommand{app: app},
 		},
 		{
 			name:  "query",
-			short: "answer a SQL query about the fleet (docs/operating.md lists the tables)",
-			long: "Answers one SELECT statement about the fleet's state and configuration. The tables are in docs/operating.md, and " +
-				"in the error for an unknown one.",
+			short: "run a SQL query about the fleet (docs/operating.md lists the tables)",
+			long: "Runs one SELECT statement on the fleet's state and configuration. The tables are listed in docs/operating.md, and " +
+				"in the error for an unknown table.",
 			handler: &queryCommand{app: app},
 		},
 		{
 			name:  "inspect",
 			short: "read a stopped member's data directory without changing it",
-			long: "Prints the state in a stopped member's data directory DIR, without a control daemon and without changing a file. " +
-				"Exit status 7 says that the state is damaged, so that the member would not use it.",
+			long: "Prints the state in a stopped member's data directory DIR, without a control plane and without changing a file. " +
+				"Exit status 7 means that the state is damaged, so that the member would not use it.",
 			handler: &inspectCommand{app: app},
 		},
 		{
 			name:  "status",
-			short: "print the fleet as one control daemon sees it",
-			long: "Prints the fleet as the first control daemon that answers sees it. With --all, prints for each daemon named whether " +
-				"it votes and how recent its state is.",
+			short: "print the fleet as one control plane sees it",
+			long: "Prints the fleet as seen by the first control plane that responds. With --all, prints for each control plane given " +
+				"whether it votes and how recent its state is.",
 			handler: &statusCommand{app: app},
 		},
 	}
 }
 
-// newParser returns the parser of the command line, which fills app.options and runs the command that was named.
+// newParser returns the parser of the command line, which sets app.options and runs the command that is given.
 func newParser(app *application) (*flags.Parser, error) {
 	parser := flags.NewParser(&app.options, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = programName
--- a/cmd/ferryspar-operator/parser_test.go
+++ b/cmd/ferryspar-operator/parser_test.go
@@ -9,18 +9,18 @@
 	"ferryspar/internal/cli"
 )
 
-func TestParser_RunsConfigurationByItsOldName(t *testing.T) {
+func TestParser_RunsConfigurationByItsFormerName(t *testing.T) {
 	for _, name := range []string{"configuration", "layout"} {
 		t.Run(name, func(t *testing.T) {
-			control := startFakeControl(t, http.StatusOK, map[string]int{"revision": 9})
+			controlPlane := startFakeControlPlane(t, http.StatusOK, map[string]int{"revision": 9})
 			app, stdout := newTestApplication()
 			parser, err := newParser(app)
 			assert.NilError(t, err)
 			assert.Assert(t, parser.Find(name) != nil)
 			assert.Equal(t, parser.Find(name), parser.Find("configuration"))
-			_, err = parser.ParseArgs([]string{"-c", control.address, name, "--keys"})
+			_, err = parser.ParseArgs([]string{"-c", controlPlane.address, name, "--keys"})
 			assert.NilError(t, err)
-			assert.DeepEqual(t, control.requests, []string{"GET /ferryspar/config "})
+			assert.DeepEqual(t, controlPlane.requests, []string{"GET /ferryspar/config "})
 			assert.Equal(t, stdout.String(), `{"revision":9}`+"\n\n")
 		})
 	}
--- a/cmd/ferryspar-operator/pinned_test.go
+++ b/cmd/ferryspar-operator/pinned_test.go
@@ -10,28 +10,28 @@
 	"ferryspar/internal/test/pinned"
 )
 
-func TestDaemonStatus_JSONStaysTheSame(t *testing.T) {
-	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{"status of a daemon": new(daemonStatus)})
+func TestControlPlaneStatus_JSONStaysTheSame(t *testing.T) {
+	pinned.CheckMessages(t, "testdata/messages.json", pinned.Messages{"status of a daemon": new(controlPlaneStatus)})
 }
 
 func TestExitStatuses_StayTheSame(t *testing.T) {
 	assert.DeepEqual(t, []int{exitPartial, exitGuard, exitRejected, exitDamaged}, []int{4, 5, 6, 7})
 }
 
-// optionsOf lists the options of a group and of the groups within it.
+// optionsOf describes the options of a group and of its subgroups.
 func optionsOf(group *flags.Group) []string {
-	var described []string
+	var descriptions []string
 	for _, option := range group.Options() {
 		short := ""
 		if option.ShortName != 0 {
 			short = string(option.ShortName)
 		}
-		described = append(described, fmt.Sprintf("short=%s long=%s default=%v", short, option.LongName, option.Default))
+		descriptions = append(descriptions, fmt.Sprintf("short=%s long=%s default=%v", short, option.LongName, option.Default))
 	}
-	for _, inner := range group.Groups() {
-		described = append(described, optionsOf(inner)...)
+	for _, subgroup := range group.Groups() {
+		descriptions = append(descriptions, optionsOf(subgroup)...)
 	}
-	return described
+	return descriptions
 }
 
 func TestCommands_NamesAndOptionsStayTheSame(t *testing.T) {
--- a/cmd/ferryspar-operator/put.go
+++ b/cmd/ferryspar-operator/put.go
@@ -15,29 +15,30 @@
 
 // putCommand replaces the configuration.
 type putCommand struct {
-	app  *application
-	On   int64        `long:"on" required:"yes" description:"revision of the configuration that it replaces; 0 for the first one"`
-	Args fileArgument `positional-args:"yes"`
+	app              *application
+	ExpectedRevision int64        `long:"on" required:"yes" description:"revision of the configuration to replace; 0 if there is none"`
+	Args             fileArgument `positional-args:"yes"`
 }
 
 // Execute checks the configuration in the file and sends it.
 func (p *putCommand) Execute([]string) error {
 	content, err := os.ReadFile(p.Args.Path)
 	if err != nil {
-		return errors.Wrap(err, "FILE")
+		return errors.Wrap(err, "read FILE")
 	}
 	if _, err := configuration.Parse(content); err != nil {
-		return errors.Wrapf(err, "%s is not sent", p.Args.Path)
+		return errors.Wrapf(err, "%s is invalid and was not sent", p.Args.Path)
 	}
-	return p.app.changeConfiguration(http.MethodPut, p.On, content)
+	return p.app.changeConfiguration(http.MethodPut, p.ExpectedRevision, content)
 }
 
-// changeConfiguration sends a change of the configuration, which is accepted only if its newest revision is still on.
-func (a *application) changeConfiguration(method string, on int64, content []byte) error {
+// changeConfiguration sends a change of the configuration, which is accepted only if the newest revision is still the
+// expected one.
+func (a *application) changeConfiguration(method string, expectedRevision int64, content []byte) error {
 	request := apiRequest{
 		method:  method,
 		path:    pathConfiguration,
-		ifMatch: strconv.FormatInt(on, 10),
+		ifMatch: strconv.FormatInt(expectedRevision, 10),
 		body:    content,
 	}
 	if _, err := a.call(request); err != nil {
--- a/cmd/ferryspar-operator/query.go
+++ b/cmd/ferryspar-operator/query.go
@@ -12,14 +12,14 @@
 // queryCommand runs a SQL query on the fleet's state.
 type queryCommand struct {
 	app     *application
-	MaxRows int           `long:"rows" default:"1000" description:"largest number of rows to print"`
+	MaxRows int           `long:"rows" default:"1000" description:"maximum number of rows to print"`
 	Timeout time.Duration `long:"time" default:"5s" description:"timeout of the query"`
 	Args    struct {
 		Statement string `positional-arg-name:"SELECT" required:"yes"`
 	} `positional-args:"yes"`
 }
 
-// Execute reads what the statement needs from the control plane and prints the result.
+// Execute reads the data that the statement needs from the control plane, runs it and prints the result.
 func (q *queryCommand) Execute([]string) error {
 	result, err := q.run()
 	if err != nil {
--- a/cmd/ferryspar-operator/rehearse.go
+++ b/cmd/ferryspar-operator/rehearse.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// minRehearsalTimeout is the least timeout of one attempt, as the daemon asks every data plane before it answers.
+	// minRehearsalTimeout is the minimum timeout of one attempt: the control plane queries every data plane before it
+	// responds.
 	minRehearsalTimeout = 4 * time.Second
-	// watchInterval is the time between two lines of progress of --watch.
+	// watchInterval is the interval at which --watch prints the progress.
 	watchInterval = time.Second
 )
 
-// rehearseCommand forecasts the loss of a region or zone, or drills it.
+// rehearseCommand forecasts the loss of a region or zone, or rehearses it in a drill.
 type rehearseCommand struct {
 	app      *application
-	Zone     string        `long:"zone" description:"rehearse this zone's loss rather than a region's"`
+	Zone     string        `long:"zone" description:"rehearse the loss of this zone instead of a region"`
 	Forecast bool          `long:"forecast" description:"only forecast what would happen (the default)"`
-	Drill    bool          `long:"drill" description:"have every node do without it for a share of new requests"`
+	Drill    bool          `long:"drill" description:"have every node avoid it for a share of new requests"`
 	Share    float64       `long:"share" default:"0.1" description:"drill: share of new requests, above 0 to 1"`
-	Duration time.Duration `long:"for" default:"1m" description:"drill: ends by itself after this, 5s to 10m"`
-	Margin   float64       `long:"margin" default:"0.1" description:"drill: ended when the share in time falls by more than this"`
-	Watch    bool          `long:"watch" description:"drill: print its state until it has ended"`
-	Stop     bool          `long:"stop" description:"end the drill that runs, wherever it is"`
-	State    bool          `long:"state" description:"print the drill that runs, or the last one"`
+	Duration time.Duration `long:"for" default:"1m" description:"drill: duration, 5s to 10m"`
+	Margin   float64       `long:"margin" default:"0.1" description:"drill: stop if the share of requests in time falls by more than this"`
+	Watch    bool          `long:"watch" description:"drill: print its state until it ends"`
+	Stop     bool          `long:"stop" description:"stop the running drill, whatever its scope"`
+	State    bool          `long:"state" description:"print the running drill, or the last one"`
 	Args     struct {
 		Region string `positional-arg-name:"REGION"`
 	} `positional-args:"yes"`
@@ -45,7 +46,7 @@
 		return r.printLastDrill()
 	}
 	if r.Forecast && r.Drill {
-		return cli.NewUsageError(errors.New("name either --forecast or --drill"))
+		return cli.NewUsageError(errors.New("give either --forecast or --drill"))
 	}
 	scope, err := r.scope()
 	if err != nil {
@@ -61,12 +62,12 @@
 func (r *rehearseCommand) scope() (drill.Scope, error) {
 	scope := drill.Scope{Region: r.Args.Region, Zone: r.Zone}
 	if (scope.Region == "") == (scope.Zone == "") {
-		return scope, cli.NewUsageError(errors.New("name either REGION or --zone ZONE"))
+		return scope, cli.NewUsageError(errors.New("give either REGION or --zone ZONE"))
 	}
 	return scope, nil
 }
 
-// postRehearsal starts a forecast or a drill and returns the answer.
+// postRehearsal requests a forecast or a drill and returns the body of the response.
 func (a *application) postRehearsal(request drill.Request) ([]byte, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -75,7 +76,8 @@
 	return a.callRehearsal(http.MethodPost, body)
 }
 
-// callRehearsal returns the answer, or an error with exitRejected if the control plane rejected the request.
+// callRehearsal returns the body of the response, or an error with exitRejected if the control plane rejected the
+// request.
 func (a *application) callRehearsal(method string, body []byte) ([]byte, error) {
 	timeout := max(a.options.PerAddressTimeout, minRehearsalTimeout)
 	content, err := a.callWithin(timeout, apiRequest{method: method, path: pathRehearsal, body: body})
@@ -86,7 +88,7 @@
 	return content, err
 }
 
-// formatQuantiles returns p50/p90/p99 in milliseconds.
+// formatQuantiles returns p50/p90/p99 in milliseconds, "-" if there are no samples.
 func formatQuantiles(latency drill.Quantiles) string {
 	if latency.Count == 0 {
 		return "-"
--- a/cmd/ferryspar-operator/rehearse_drill.go
+++ b/cmd/ferryspar-operator/rehearse_drill.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/drill"
 )
 
-// Sides of a drill's table: requests that do without the scope, and all others.
+// Sides of the table of a drill: the drilled requests, which avoid the scope, and all others.
 const (
 	sideDrilled = "drilled"
 	sideRest    = "rest"
@@ -46,7 +46,7 @@
 
 func (r *rehearseCommand) printLastDrill() error { return r.callDrill(http.MethodGet) }
 
-// callDrill prints the drill that the answer is about, if there has been one.
+// callDrill sends a request about the running or last drill and prints it, if there has been one.
 func (r *rehearseCommand) callDrill(method string) error {
 	status, err := r.app.fetchDrill(method)
 	if err != nil {
@@ -59,8 +59,8 @@
 	return r.printUntilEnd(status)
 }
 
-// printUntilEnd prints a drill, with --watch again and again until it has ended. It returns an error with exitGuard for
-// a drill that a guard ended.
+// printUntilEnd prints a drill, with --watch repeatedly until it has ended. It returns an error with exitGuard for a
+// drill that a guard ended.
 func (r *rehearseCommand) printUntilEnd(status drill.Status) error {
 	number := status.Number
 	for r.Watch && status.Running && status.Number == number {
@@ -78,7 +78,7 @@
 		return err
 	}
 	if !status.Running && status.EndedByGuard {
-		return newExitError(exitGuard, "ended by a guard: %s", status.EndReason)
+		return newExitError(exitGuard, "drill ended by a guard: %s", status.EndReason)
 	}
 	return nil
 }
--- a/cmd/ferryspar-operator/rehearse_forecast.go
+++ b/cmd/ferryspar-operator/rehearse_forecast.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/drill"
 )
 
-// forecast prints a forecast. It returns an error with exitPartial if data planes are missing in it.
+// forecast requests and prints a forecast. It returns an error with exitPartial if data planes are missing from it.
 func (r *rehearseCommand) forecast(scope drill.Scope) error {
 	content, err := r.app.postRehearsal(drill.Request{Kind: drill.KindForecast, Scope: scope})
 	if err != nil {
@@ -26,7 +26,7 @@
 		r.app.printForecast(forecast)
 	}
 	if forecast.Partial {
-		return newExitError(exitPartial, "partial: no answer from %s", strings.Join(forecast.Missing, ", "))
+		return newExitError(exitPartial, "partial forecast: no response from %s", strings.Join(forecast.Missing, ", "))
 	}
 	return nil
 }
--- a/cmd/ferryspar-operator/rehearse_test.go
+++ b/cmd/ferryspar-operator/rehearse_test.go
@@ -24,16 +24,16 @@
 		LostModels: []drill.LostModel{{Backend: "scribes", Model: "rare", RatePerS: 1.5}},
 		Cached:     map[string]drill.CachedTokens{"rare": {Lost: 300, OnlyInScope: 200}},
 	}
-	control := startFakeControl(t, http.StatusOK, forecast)
-	app, stdout := newTestApplication(control.address)
+	controlPlane := startFakeControlPlane(t, http.StatusOK, forecast)
+	app, stdout := newTestApplication(controlPlane.address)
 	err := (&rehearseCommand{app: app, Zone: "south"}).Execute(nil)
 	assert.Equal(t, exitStatus(err), cli.ExitSuccess)
-	assert.DeepEqual(t, control.requests, []string{`POST /ferryspar/rehearsal {"kind":"forecast","zone":"south"}`})
+	assert.DeepEqual(t, controlPlane.requests, []string{`POST /ferryspar/rehearsal {"kind":"forecast","zone":"south"}`})
 	for _, expected := range []string{"zone south", "80/90/99", "rare", "1.50"} {
 		assert.Assert(t, strings.Contains(stdout.String(), expected), "%s in %s", expected, stdout)
 	}
 	forecast.Partial, forecast.Missing = true, []string{"two"}
-	app, stdout = newTestApplication(startFakeControl(t, http.StatusOK, forecast).address)
+	app, stdout = newTestApplication(startFakeControlPlane(t, http.StatusOK, forecast).address)
 	err = (&rehearseCommand{app: app, Zone: "south", Forecast: true}).Execute(nil)
 	assert.Equal(t, exitStatus(err), exitPartial)
 	assert.Assert(t, strings.Contains(stdout.String(), "PARTIAL: no answer from two"), stdout)
@@ -59,15 +59,15 @@
 		{http.StatusNotFound, exitRejected, good, ""},
 	}
 	for _, testCase := range cases {
-		app, stdout := newTestApplication(startFakeControl(t, testCase.code, running, testCase.last).address)
+		app, stdout := newTestApplication(startFakeControlPlane(t, testCase.code, running, testCase.last).address)
 		command.app = app
 		err := command.Execute(nil)
 		assert.Equal(t, exitStatus(err), testCase.exit, "%d: %v", testCase.code, err)
 		assert.Assert(t, strings.Contains(stdout.String(), testCase.shows), stdout)
 	}
-	control := startFakeControl(t, http.StatusOK, good)
-	app, _ := newTestApplication(control.address)
+	controlPlane := startFakeControlPlane(t, http.StatusOK, good)
+	app, _ := newTestApplication(controlPlane.address)
 	assert.Equal(t, exitStatus((&rehearseCommand{app: app}).Execute(nil)), cli.ExitUsage, "neither region nor zone")
 	assert.NilError(t, (&rehearseCommand{app: app, Stop: true}).Execute(nil))
-	assert.DeepEqual(t, control.requests, []string{"DELETE /ferryspar/rehearsal "})
+	assert.DeepEqual(t, controlPlane.requests, []string{"DELETE /ferryspar/rehearsal "})
 }
--- a/cmd/ferryspar-operator/retention.go
+++ b/cmd/ferryspar-operator/retention.go
@@ -13,7 +13,7 @@
 // retentionCommand prints or sets the lifetime of cached context.
 type retentionCommand struct {
 	app *application
-	// Lifetime is nil if it is only to be printed.
+	// Lifetime is the new lifetime, nil to only print the present one.
 	Lifetime *time.Duration `long:"life" description:"set the lifetime of cached context; 0 for no limit"`
 }
 
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// callRetention reads or sets the policy and returns the one in force.
+// callRetention reads or sets the policy and returns the one in effect, as JSON.
 func (r *retentionCommand) callRetention() ([]byte, error) {
 	if r.Lifetime == nil {
 		return r.app.get(pathRetention)
--- a/cmd/ferryspar-operator/status.go
+++ b/cmd/ferryspar-operator/status.go
@@ -9,13 +9,13 @@
 // statusCommand prints the state of the fleet.
 type statusCommand struct {
 	app *application
-	All bool `long:"all" description:"ask each control daemon named, and print whether it votes and how recent its state is"`
+	All bool `long:"all" description:"query each control plane given, and print whether it votes and how recent its state is"`
 }
 
-// Execute prints the status of one control daemon, or a line for each.
+// Execute prints the status of one control plane, or a line for each.
 func (s *statusCommand) Execute([]string) error {
 	if s.All {
-		return s.app.printStatusOfAll()
+		return s.app.printAllStatuses()
 	}
 	content, err := s.app.get(pathStatus)
 	if err != nil {
--- a/cmd/ferryspar-operator/status_all.go
+++ b/cmd/ferryspar-operator/status_all.go
@@ -11,38 +11,38 @@
 	"ferryspar/internal/adminapi"
 )
 
-// errNoAnswer is for a status of all daemons if none of them answered.
-var errNoAnswer = errors.New("no control daemon answered")
+// errNoResponse is returned by status --all if no control plane responds.
+var errNoResponse = errors.New("no control plane responded")
 
-// daemonStatus is the status that one control daemon sent, or why there is none.
-type daemonStatus struct {
+// controlPlaneStatus is the status that one control plane sent, or the reason why there is none.
+type controlPlaneStatus struct {
 	Address string                `json:"address"`
 	Status  *adminapi.FleetStatus `json:"status,omitempty"`
 	Error   string                `json:"error,omitempty"`
 }
 
-// printStatusOfAll prints the status of every control daemon that was named, also of those that do not answer. It
-// returns errNoAnswer if none does.
-func (a *application) printStatusOfAll() error {
-	var statuses []daemonStatus
-	answered := 0
-	for _, address := range a.options.Control {
-		status := a.fetchDaemonStatus(address)
+// printAllStatuses prints the status of every given control plane, including those that don't respond. It returns
+// errNoResponse if none does.
+func (a *application) printAllStatuses() error {
+	var statuses []controlPlaneStatus
+	responded := 0
+	for _, address := range a.options.ControlPlanes {
+		status := a.fetchControlPlaneStatus(address)
 		if status.Status != nil {
-			answered++
+			responded++
 		}
 		statuses = append(statuses, status)
 	}
-	if err := a.printDaemonStatuses(statuses); err != nil {
+	if err := a.printControlPlaneStatuses(statuses); err != nil {
 		return err
 	}
-	if answered == 0 {
-		return errNoAnswer
+	if responded == 0 {
+		return errNoResponse
 	}
 	return nil
 }
 
-func (a *application) printDaemonStatuses(statuses []daemonStatus) error {
+func (a *application) printControlPlaneStatuses(statuses []controlPlaneStatus) error {
 	if a.options.JSON {
 		return a.printJSON(statuses)
 	}
@@ -52,29 +52,29 @@
 	return nil
 }
 
-// fetchDaemonStatus asks one daemon only, so its timeout is that of one attempt.
-func (a *application) fetchDaemonStatus(address string) daemonStatus {
+// fetchControlPlaneStatus queries only one control plane, so its timeout is that of one attempt.
+func (a *application) fetchControlPlaneStatus(address string) controlPlaneStatus {
 	timeout := a.options.PerAddressTimeout
 	client := newClient([]string{address}, timeout, timeout)
 	response, err := client.Call(context.Background(), http.MethodGet, pathStatus, "", nil)
 	if err != nil {
-		return daemonStatus{Address: address, Error: err.Error()}
+		return controlPlaneStatus{Address: address, Error: err.Error()}
 	}
 	var status adminapi.FleetStatus
 	if err := decode("the status", response.Body, &status); err != nil {
-		return daemonStatus{Address: address, Error: err.Error()}
+		return controlPlaneStatus{Address: address, Error: err.Error()}
 	}
-	return daemonStatus{Address: address, Status: &status}
+	return controlPlaneStatus{Address: address, Status: &status}
 }
 
-// String returns one line: whether the daemon votes, how recent its state is, and what that state is.
-func (d daemonStatus) String() string {
-	if d.Status == nil {
-		return d.Address + ": " + d.Error
+// String returns one line: whether the control plane votes, how recent its state is, and a summary of that state.
+func (s controlPlaneStatus) String() string {
+	if s.Status == nil {
+		return s.Address + ": " + s.Error
 	}
-	status := d.Status
+	status := s.Status
 	line := fmt.Sprintf("%s: %s, confirmed %s, revision %d, member list %d %v",
-		d.Address, votingState(status), confirmationAge(status), status.Revision, status.MembershipVersion, status.Members)
+		s.Address, votingState(status), confirmationAge(status), status.Revision, status.MembershipVersion, status.Members)
 	if len(status.NextMembers) > 0 {
 		line += fmt.Sprintf(" changing to %v", status.NextMembers)
 	}
@@ -96,7 +96,8 @@
 	return "votes"
 }
 
-// confirmationAge says how long ago a majority confirmed the daemon's state, and whether that is too long to act on it.
+// confirmationAge returns how long ago a majority confirmed the control plane's state, and whether that is too long ago
+// for the control plane to act on it.
 func confirmationAge(status *adminapi.FleetStatus) string {
 	if status.ConfirmedAgeMs < 0 {
 		return "never"
--- a/cmd/ferryspar-operator/status_all_test.go
+++ b/cmd/ferryspar-operator/status_all_test.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/adminapi"
 )
 
-func TestDaemonStatus_String(t *testing.T) {
+func TestControlPlaneStatus_String(t *testing.T) {
 	cases := map[string]adminapi.FleetStatus{
 		"a: votes, confirmed 80 ms ago, revision 7, member list 3 [x y z]": {
 			IsMember: true, Voting: true, Fresh: true, ConfirmedAgeMs: 80, Revision: 7, MembershipVersion: 3,
@@ -26,19 +26,19 @@
 		},
 	}
 	for line, status := range cases {
-		assert.Equal(t, daemonStatus{Address: "a", Status: &status}.String(), line)
+		assert.Equal(t, controlPlaneStatus{Address: "a", Status: &status}.String(), line)
 	}
-	assert.Equal(t, daemonStatus{Address: "a", Error: "no clear answer in time"}.String(), "a: no clear answer in time")
+	assert.Equal(t, controlPlaneStatus{Address: "a", Error: "no conclusive response"}.String(), "a: no conclusive response")
 }
 
-func TestPrintStatusOfAll_ListsUnreachable(t *testing.T) {
-	control := startFakeControl(t, http.StatusOK, adminapi.FleetStatus{Address: "x", Revision: 9})
+func TestPrintAllStatuses_ListsUnreachable(t *testing.T) {
+	controlPlane := startFakeControlPlane(t, http.StatusOK, adminapi.FleetStatus{Address: "x", Revision: 9})
 	unreachable := "127.0.0.1:1"
-	app, _ := newTestApplication(control.address, unreachable)
+	app, _ := newTestApplication(controlPlane.address, unreachable)
 	app.options.PerAddressTimeout = 300 * time.Millisecond
-	assert.Equal(t, app.fetchDaemonStatus(control.address).Status.Revision, int64(9))
-	assert.Assert(t, app.fetchDaemonStatus(unreachable).Error != "")
-	assert.NilError(t, app.printStatusOfAll())
-	app.options.Control = []string{unreachable}
-	assert.ErrorContains(t, app.printStatusOfAll(), "no control daemon answered")
+	assert.Equal(t, app.fetchControlPlaneStatus(controlPlane.address).Status.Revision, int64(9))
+	assert.Assert(t, app.fetchControlPlaneStatus(unreachable).Error != "")
+	assert.NilError(t, app.printAllStatuses())
+	app.options.ControlPlanes = []string{unreachable}
+	assert.ErrorContains(t, app.printAllStatuses(), "no control plane responded")
 }
--- a/cmd/ferryspar-operator/table.go
+++ b/cmd/ferryspar-operator/table.go
@@ -7,10 +7,10 @@
 	"text/tabwriter"
 )
 
-// tableIndent is before each line of a table, under its title.
+// tableIndent is the indentation of a table's lines below its title.
 const tableIndent = "  "
 
-// table is a titled table of text. Cells may have no tabs.
+// table is a text table with a title. Cells must not contain tabs.
 type table struct {
 	title   string
 	columns []string
--- a/cmd/ferryspar-operator/tenants.go
+++ b/cmd/ferryspar-operator/tenants.go
@@ -24,7 +24,7 @@
 	return printTenants(t.app.stdout, current.Tenants)
 }
 
-// printTenants writes one line for each tenant. The keys of the tenants must be digests.
+// printTenants writes one line for each tenant. It prints the tenants' keys, so they must have been replaced by digests.
 func printTenants(target io.Writer, tenants []configuration.Tenant) error {
 	writer := tabwriter.NewWriter(target, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(writer, "name\tpriority\trate_per_s\tburst\tkeys\tdigests")
