--- a/cmd/ferryspar-control-plane/main.go
+++ b/cmd/ferryspar-control-plane/main.go
@@ -1,7 +1,7 @@
-// Ferryspar-control-plane keeps the configuration on a majority of disks, tracks replicas and nodes, and places
-// models.
+// Ferryspar-control-plane stores the configuration on the disks of a majority, tracks replicas and nodes, and decides
+// on the placement of models.
 //
-// It never carries clients' requests. Start reading at main, then internal/controlplane.
+// It is not on the path of clients' requests. Start reading at main, then internal/controlplane.
 package main
 
 import (
@@ -18,13 +18,13 @@
 func main() {
 	os.Exit(cli.RunDaemon(cli.Daemon{
 		Name:    "ferryspar-control-plane",
-		Summary: "knows the replicas and daemons, keeps the configuration and delivers it",
+		Summary: "stores and distributes the configuration, tracks replicas and nodes, and places models",
 		Service: nodesettings.ServiceControl,
 		Run:     run,
 	}))
 }
 
-// run runs a control-plane node until a signal stops it.
+// run runs a control-plane node until a signal stops it. path is that of the settings file.
 func run(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
 	directory, err := keystore.NewDirectory(settings.DataDir)
 	if err != nil {
--- a/cmd/ferryspar-data-plane/main.go
+++ b/cmd/ferryspar-data-plane/main.go
@@ -1,6 +1,7 @@
 // Ferryspar-data-plane accepts clients' requests and forwards them to model replicas.
 //
-// It keeps nothing on disk. Start reading at main, then internal/dataplane and internal/proxy.
+// It stores nothing on disk, except a request log if --record is given. Start reading at main, then internal/dataplane
+// and internal/proxy.
 package main
 
 import (
@@ -17,20 +18,20 @@
 	"ferryspar/internal/requestlog"
 )
 
-// bytesPerMb converts the size limit of a record.
+// bytesPerMb is the unit of --record-mb.
 const bytesPerMb = 1 << 20
 
-// recordOptions are the options of this program beside those of every daemon.
+// recordOptions are the options of this program in addition to those of every daemon.
 type recordOptions struct {
-	Record   string `long:"record" description:"write what this daemon sees (no bodies) to this file, for ferryspar-replay"`
-	RecordMb int64  `long:"record-mb" default:"64" description:"end the record at this size"`
+	Path  string `long:"record" description:"write a request log (without bodies) to this file, for ferryspar-replay"`
+	MaxMb int64  `long:"record-mb" default:"64" description:"maximum size of the request log in MB"`
 }
 
 func main() {
 	var options recordOptions
 	os.Exit(cli.RunDaemon(cli.Daemon{
 		Name:         "ferryspar-data-plane",
-		Summary:      "carries clients' requests to model replicas",
+		Summary:      "forwards clients' requests to model replicas",
 		Service:      nodesettings.ServiceEdge,
 		ExtraOptions: &options,
 		Run: func(ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals) error {
@@ -39,18 +40,18 @@
 	}))
 }
 
-// run runs a data-plane node until a signal stops it.
+// run runs a data-plane node until a signal stops it. path is that of the settings file.
 func run(
 	ctx context.Context, settings nodesettings.Settings, path string, signals nodesettings.Signals, options recordOptions,
 ) error {
 	node := dataplane.New(settings, path, peer.HostNetwork{})
-	if options.Record != "" {
-		file, err := os.Create(options.Record)
+	if options.Path != "" {
+		file, err := os.Create(options.Path)
 		if err != nil {
-			return errors.Wrap(err, "record")
+			return errors.Wrap(err, "create the request log")
 		}
 		defer file.Close()
-		node.RecordTo(requestlog.NewWriter(file, options.RecordMb*bytesPerMb, time.Now))
+		node.RecordTo(requestlog.NewWriter(file, options.MaxMb*bytesPerMb, time.Now))
 	}
 	return node.Run(ctx, signals)
 }
--- a/cmd/ferryspar-emulator/applications.go
+++ b/cmd/ferryspar-emulator/applications.go
@@ -11,40 +11,40 @@
 	"ferryspar/internal/sim/applications"
 )
 
-// idlePerHost is how many idle connections are kept to a control plane.
-const idlePerHost = 256
+// maxIdlePerHost is the maximum number of idle connections to each control plane.
+const maxIdlePerHost = 256
 
-// applicationsCommand plays applications against control planes.
+// applicationsCommand emulates applications that use the coordination API of control planes.
 type applicationsCommand struct {
-	Control  []string      `short:"c" long:"control" description:"HOST:PORT of a control plane; several are tried in turn" required:"yes"`
-	Callers  int           `long:"callers" default:"4" description:"applications that call"`
-	Rate     float64       `long:"rate" default:"40" description:"calls a second of all together"`
-	For      time.Duration `long:"for" default:"10s" description:"how long they call"`
-	Locks    int           `long:"locks" default:"80" description:"locks"`
-	Counters int           `long:"numbers" default:"6" description:"counters"`
-	Keys     int           `long:"keys" default:"30" description:"keys of the one group"`
-	Watches  int           `long:"watches" default:"4" description:"watches on the group"`
-	Hold     time.Duration `long:"hold" default:"2s" description:"how long a lock is held without a renewal"`
-	Name     string        `long:"name" default:"load" description:"what the names of locks, counters and keys begin with"`
-	Seed     uint64        `long:"seed" default:"1" description:"draws what is called when"`
-	JSON     bool          `long:"json" description:"print JSON"`
+	Addresses  []string      `short:"c" long:"control" description:"HOST:PORT of a control plane; several are tried in turn" required:"yes"`
+	Callers    int           `long:"callers" default:"4" description:"number of concurrent applications"`
+	RatePerS   float64       `long:"rate" default:"40" description:"calls per second of all applications together"`
+	Duration   time.Duration `long:"for" default:"10s" description:"duration of the run"`
+	Locks      int           `long:"locks" default:"80" description:"number of locks"`
+	Counters   int           `long:"numbers" default:"6" description:"number of counters"`
+	Keys       int           `long:"keys" default:"30" description:"number of keys, all in one group"`
+	Watches    int           `long:"watches" default:"4" description:"number of watches on the group"`
+	Hold       time.Duration `long:"hold" default:"2s" description:"duration of a lock that is not renewed"`
+	NamePrefix string        `long:"name" default:"load" description:"prefix of the names of locks, counters and keys"`
+	Seed       uint64        `long:"seed" default:"1" description:"seed of the random sequence of calls"`
+	JSON       bool          `long:"json" description:"print JSON"`
 }
 
-// Execute plays, prints the report, and fails if a promise was broken.
+// Execute runs the applications and prints the report. It returns an error if a guarantee was violated.
 func (a *applicationsCommand) Execute([]string) error {
-	report, err := applications.Run(interrupted, applications.Options{
-		Addresses: a.Control,
+	report, err := applications.Run(signalContext, applications.Options{
+		Addresses: a.Addresses,
 		Callers:   a.Callers,
-		PerSecond: a.Rate,
-		Duration:  a.For,
+		PerSecond: a.RatePerS,
+		Duration:  a.Duration,
 		Locks:     a.Locks,
 		Counters:  a.Counters,
 		Keys:      a.Keys,
 		Watches:   a.Watches,
 		Hold:      a.Hold,
-		Name:      a.Name,
+		Name:      a.NamePrefix,
 		Seed:      a.Seed,
-	}, &http.Transport{MaxIdleConnsPerHost: idlePerHost, DisableCompression: true})
+	}, &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost, DisableCompression: true})
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 		err = report.Print(os.Stdout)
 	}
 	if err == nil && len(report.Faults) > 0 {
-		err = errors.Errorf("%d promises broken", len(report.Faults))
+		err = errors.Errorf("%d guarantees violated", len(report.Faults))
 	}
 	return err
 }
--- a/cmd/ferryspar-emulator/demo.go
+++ b/cmd/ferryspar-emulator/demo.go
@@ -10,29 +10,31 @@
 	"ferryspar/internal/sim/emulator/demo"
 )
 
+// demoCommand runs a demo fleet on loopback.
 type demoCommand struct {
-	Programs string `long:"programs" description:"folder of both programs (default: beside this one)"`
+	Programs string `long:"programs" description:"folder of the node programs (default: that of this program)"`
 	Controls int    `long:"control-planes" default:"1" choice:"1" choice:"3" description:"control planes; 3 need 127.0.0.2 and 127.0.0.3"`
-	Streams  int    `long:"streams" default:"12" description:"streams to send"`
-	Stay     bool   `long:"stay" description:"stay up afterwards for curl and ferryspar-operator; Ctrl-C ends it"`
+	Streams  int    `long:"streams" default:"12" description:"number of streams to send"`
+	Stay     bool   `long:"stay" description:"keep running afterwards for curl and ferryspar-operator; Ctrl-C stops it"`
 	Keep     string `long:"keep" description:"write settings, logs and data to this folder and keep them"`
 	JSON     bool   `long:"json" description:"print JSON"`
 }
 
 const maxStreams = 1000
 
+// Execute runs the demo and prints how the streams were served.
 func (d *demoCommand) Execute([]string) error {
 	if d.Streams < 1 || d.Streams > maxStreams {
-		return cli.NewUsageError(errors.Errorf("--streams must lie between 1 and %d", maxStreams))
+		return cli.NewUsageError(errors.Errorf("--streams must be between 1 and %d", maxStreams))
 	}
 	if d.Programs == "" {
-		self, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
-			return errors.Wrap(err, "own folder")
+			return errors.Wrap(err, "find the folder of this program")
 		}
-		d.Programs = filepath.Dir(self)
+		d.Programs = filepath.Dir(executable)
 	}
-	_, err := demo.Run(interrupted, demo.Options{
+	_, err := demo.Run(signalContext, demo.Options{
 		Programs: d.Programs,
 		Keep:     d.Keep,
 		Controls: d.Controls,
--- a/cmd/ferryspar-emulator/experiment.go
+++ b/cmd/ferryspar-emulator/experiment.go
@@ -12,23 +12,25 @@
 	"ferryspar/internal/sim/experiment"
 )
 
+// experimentCommand runs the emulations of an experiment file and summarizes them.
 type experimentCommand struct {
-	Out    string `long:"out" description:"folder for summary.json, table.txt and plots (default: none are written)"`
-	Seeds  int    `long:"seeds" description:"seeds of each variant instead of the file's"`
-	AtOnce int    `long:"at-once" description:"runs at the same time (default: half of the cores)"`
-	Raw    bool   `long:"raw" description:"write every run to runs.json as well"`
-	Check  bool   `long:"check" description:"check the file and end"`
-	JSON   bool   `long:"json" description:"print JSON instead of the table"`
-	Rest   struct {
+	Out         string `long:"out" description:"folder for summary.json, table.txt and plots (default: none are written)"`
+	Seeds       int    `long:"seeds" description:"number of seeds of each variant (default: that of the file)"`
+	Parallelism int    `long:"at-once" description:"number of concurrent runs (default: half of the cores)"`
+	Raw         bool   `long:"raw" description:"also write every run to runs.json"`
+	Check       bool   `long:"check" description:"check the file and exit"`
+	JSON        bool   `long:"json" description:"print JSON instead of the table"`
+	Args        struct {
 		File string `positional-arg-name:"FILE" required:"yes" description:"TOML file that describes the experiment"`
 	} `positional-args:"yes"`
 }
 
+// Execute runs the experiment, prints the summary and writes it to the folder of --out.
 func (e *experimentCommand) Execute([]string) error {
-	if e.Seeds < 0 || e.AtOnce < 0 {
-		return cli.NewUsageError(errors.New("--seeds and --at-once must be above 0"))
+	if e.Seeds < 0 || e.Parallelism < 0 {
+		return cli.NewUsageError(errors.New("--seeds and --at-once must not be negative"))
 	}
-	configuration, err := experiment.Load(e.Rest.File)
+	configuration, err := experiment.Load(e.Args.File)
 	if err != nil {
 		return cli.NewUsageError(err)
 	}
@@ -39,16 +41,16 @@
 		fmt.Printf("sound: %d variants, %d seeds\n", len(configuration.Variants), configuration.Seeds)
 		return nil
 	}
-	if e.AtOnce == 0 {
-		e.AtOnce = max(runtime.NumCPU()/2, 1)
+	if e.Parallelism == 0 {
+		e.Parallelism = max(runtime.NumCPU()/2, 1)
 	}
-	all, err := experiment.Run(interrupted, configuration, e.AtOnce, os.Stderr)
+	runs, err := experiment.Run(signalContext, configuration, e.Parallelism, os.Stderr)
 	if err != nil {
 		return err
 	}
-	summary := experiment.Summarize(configuration, all)
+	summary := experiment.Summarize(configuration, runs)
 	if e.Out != "" {
-		if err := summary.Write(e.Out, all, e.Raw); err != nil {
+		if err := summary.Write(e.Out, runs, e.Raw); err != nil {
 			return err
 		}
 	}
--- a/cmd/ferryspar-emulator/main.go
+++ b/cmd/ferryspar-emulator/main.go
@@ -1,6 +1,7 @@
-// Ferryspar-emulator shows ferryspar without a fleet: a demonstration on loopback, and experiments in simulated time.
+// Ferryspar-emulator runs ferryspar without a fleet: a demo on loopback, and experiments in simulated time.
 //
-// It never talks to a real fleet. Start reading at commands, then internal/sim/emulator and internal/sim/experiment.
+// Only the applications command connects to nodes that it has not started. Start reading at commands, then
+// internal/sim/emulator and internal/sim/experiment.
 package main
 
 import (
@@ -15,6 +16,7 @@
 	"ferryspar/internal/cli"
 )
 
+// command is one command of the program. data is the struct of its options.
 type command struct {
 	name  string
 	short string
@@ -22,23 +24,26 @@
 }
 
 var commands = []command{
-	{"demo", "start both programs with a small fleet of stand-ins on loopback, send streams, show how each was served", &demoCommand{}},
-	{"experiment", "emulate a fleet in made-up time: variants, seeds, a table and plots", &experimentCommand{}},
+	{"demo", "run both daemons and stand-in replicas on loopback, send streams and show how each was served", &demoCommand{}},
+	{"experiment", "emulate a fleet in simulated time: variants, seeds, a table and plots", &experimentCommand{}},
 	{"forecast", "compare forecasts of a loss with the emulated loss, over seeds and fleet sizes", &forecastCommand{}},
-	{"applications", "play applications that coordinate through control planes, and check the answers", &applicationsCommand{}},
+	{"applications", "emulate applications that coordinate through control planes, and check the responses", &applicationsCommand{}},
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-var interrupted context.Context
+// signalContext is the context of the commands, which SIGINT and SIGTERM cancel. It is a variable as go-flags passes no
+// context to Execute.
+var signalContext context.Context
 
+// run runs the command given by the arguments and returns the exit status.
 func run(arguments []string) int {
 	var stop context.CancelFunc
-	interrupted, stop = signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	signalContext, stop = signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	parser := flags.NewParser(&struct{}{}, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = "ferryspar-emulator"
-	parser.LongDescription = "Runs ferryspar without a fleet: shows it on this machine, or emulates fleets in made-up time. " +
+	parser.LongDescription = "Runs ferryspar without a fleet: a demo on this machine, or emulated fleets in simulated time. " +
 		"Version " + cli.Version + "."
 	for _, command := range commands {
 		if _, err := parser.AddCommand(command.name, command.short, command.short, command.data); err != nil {
--- a/cmd/ferryspar-hollow/slopes.go
+++ b/cmd/ferryspar-hollow/slopes.go
@@ -9,9 +9,10 @@
 	"ferryspar/internal/sim/hollow"
 )
 
-func slopes(arguments []string, asJSON bool) int {
+// runSlopes runs the subcommand slopes: it fits and prints the growth of benchmarks over their sizes.
+func runSlopes(arguments []string, asJSON bool) int {
 	if len(arguments) != 1 {
-		fmt.Fprintln(os.Stderr, "ferryspar-hollow: slopes takes one FILE, the output of go test -bench")
+		fmt.Fprintln(os.Stderr, "ferryspar-hollow: slopes requires one FILE with the output of go test -bench")
 		return cli.ExitUsage
 	}
 	file, err := os.Open(arguments[0])
@@ -20,22 +21,23 @@
 		return cli.ExitFailed
 	}
 	defer file.Close()
-	fitted, err := hollow.ReadBench(file)
+	slopes, err := hollow.ReadBench(file)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "ferryspar-hollow:", err)
 		return cli.ExitFailed
 	}
 	if asJSON {
-		_ = json.NewEncoder(os.Stdout).Encode(fitted)
+		_ = json.NewEncoder(os.Stdout).Encode(slopes)
 		return cli.ExitSuccess
 	}
-	hollow.PrintBench(os.Stdout, fitted)
+	hollow.PrintBench(os.Stdout, slopes)
 	return cli.ExitSuccess
 }
 
-func table(arguments []string, chosen options) int {
+// runTable runs the subcommand table: it prints the results of several files as one report.
+func runTable(arguments []string, parsed options) int {
 	if len(arguments) == 0 {
-		fmt.Fprintln(os.Stderr, "ferryspar-hollow: table takes FILEs written with --output")
+		fmt.Fprintln(os.Stderr, "ferryspar-hollow: table requires FILEs written with --output")
 		return cli.ExitUsage
 	}
 	var results []hollow.Result
@@ -51,7 +53,7 @@
 		}
 		results = append(results, report.Results...)
 	}
-	if err := chosen.print(hollow.Summarize(results, chosen.Target)); err != nil {
+	if err := parsed.print(hollow.Summarize(results, parsed.Target)); err != nil {
 		fmt.Fprintln(os.Stderr, "ferryspar-hollow:", err)
 		return cli.ExitFailed
 	}
--- a/cmd/ferryspar-modelcheck/main.go
+++ b/cmd/ferryspar-modelcheck/main.go
@@ -1,5 +1,7 @@
-// Command ferryspar-modelcheck walks every order of events in small fleets of the control state,
-// within stated bounds, and says whether the agreement holds in each.
+// Ferryspar-modelcheck is a model checker for the consensus protocol of the control state: it explores every order of
+// events in small fleets, within given bounds, and reports whether the invariants hold.
+//
+// Start reading at run, then internal/test/modelcheck.
 package main
 
 import (
@@ -19,39 +21,40 @@
 
 const programName = "ferryspar-modelcheck"
 
-// The exit statuses besides those of every program.
+// Exit statuses in addition to those that all programs share.
 const (
-	// exitViolated says that an invariant failed in some scenario.
+	// exitViolated means that an invariant was violated in some scenario.
 	exitViolated = 1
-	// exitStopped says that a limit came before the bound of a scenario.
+	// exitStopped means that a scenario was stopped by a limit before all its states were visited.
 	exitStopped = 4
 )
 
-// The names that stand for several scenarios.
+// Names that select several scenarios.
 const (
 	allScenarios   = "all"
 	shortScenarios = "short"
 )
 
+// options are the command line.
 type options struct {
 	Scenario string        `long:"scenario" default:"all" description:"name of a scenario, short for those that take seconds, or all"`
-	Depth    int           `long:"depth" description:"events in a row at most (default: no bound)"`
-	States   int           `long:"states" description:"worlds visited at most for each scenario (default: no bound)"`
-	For      time.Duration `long:"for" description:"time for each scenario at most (default: no bound)"`
-	JSON     bool          `long:"json" description:"print one JSON object for each scenario"`
-	List     bool          `long:"list" description:"list the scenarios and end"`
-	Version  bool          `long:"version" description:"print the version and end"`
+	Depth    int           `long:"depth" description:"maximum length of a sequence of events (default: no limit)"`
+	States   int           `long:"states" description:"maximum number of states visited in each scenario (default: no limit)"`
+	Timeout  time.Duration `long:"for" description:"time limit of each scenario (default: none)"`
+	JSON     bool          `long:"json" description:"print a JSON object for each scenario"`
+	List     bool          `long:"list" description:"list the scenarios and exit"`
+	Version  bool          `long:"version" description:"print the version and exit"`
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run carries out the command line and returns the exit status.
+// run executes the command line and returns the exit status.
 func run(arguments []string) int {
-	var chosen options
-	parser := flags.NewParser(&chosen, flags.HelpFlag|flags.PassDoubleDash)
+	var parsed options
+	parser := flags.NewParser(&parsed, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = programName
-	parser.LongDescription = "Walks every order of events in small fleets of the control state. " +
-		"Status 0: all visited, nothing violated; 1: violated; 4: stopped before the bound."
+	parser.LongDescription = "Explores every order of events in small fleets of the control state. " +
+		"Exit status 0: all states visited, no invariant violated; 1: violated; 4: stopped by a limit."
 	if _, err := parser.ParseArgs(arguments); err != nil {
 		if flags.WroteHelp(err) {
 			fmt.Println(err)
@@ -60,20 +63,21 @@
 		return usageError(err.Error())
 	}
 	switch {
-	case chosen.Version:
+	case parsed.Version:
 		fmt.Println(programName, cli.Version)
 		return cli.ExitSuccess
-	case chosen.List:
+	case parsed.List:
 		listScenarios()
 		return cli.ExitSuccess
 	}
-	scenarios := selectScenarios(chosen.Scenario)
+	scenarios := selectScenarios(parsed.Scenario)
 	if len(scenarios) == 0 {
-		return usageError(fmt.Sprintf("no scenario %q, see --list", chosen.Scenario))
+		return usageError(fmt.Sprintf("no scenario %q, see --list", parsed.Scenario))
 	}
-	return searchAll(chosen, scenarios)
+	return searchAll(parsed, scenarios)
 }
 
+// usageError prints the message and returns the exit status of a wrong command line.
 func usageError(message string) int {
 	fmt.Fprintf(os.Stderr, "%s: %s\n", programName, message)
 	return cli.ExitUsage
@@ -85,7 +89,7 @@
 	}
 }
 
-// selectScenarios returns nothing for a name that stands for none.
+// selectScenarios returns the scenarios that the name selects, none if it is unknown.
 func selectScenarios(name string) []modelcheck.Scenario {
 	switch name {
 	case allScenarios:
@@ -101,15 +105,16 @@
 	return nil
 }
 
-// searchAll goes through the scenarios; the status is that of the worst of them.
-func searchAll(chosen options, scenarios []modelcheck.Scenario) int {
+// searchAll searches the scenarios one after the other and returns the exit status: exitViolated takes precedence over
+// exitStopped.
+func searchAll(parsed options, scenarios []modelcheck.Scenario) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	violated, stopped := false, false
-	limits := modelcheck.Limits{Depth: chosen.Depth, States: chosen.States, For: chosen.For, Progress: printProgress}
+	limits := modelcheck.Limits{Depth: parsed.Depth, States: parsed.States, For: parsed.Timeout, Progress: printProgress}
 	for _, scenario := range scenarios {
 		report := modelcheck.Search(ctx, scenario, modelcheck.ProductRules(), limits)
-		printReport(report, chosen.JSON)
+		printReport(report, parsed.JSON)
 		violated = violated || report.Violation != ""
 		stopped = stopped || !report.Exhausted
 	}
@@ -131,6 +136,7 @@
 	fmt.Println(string(line))
 }
 
+// printProgress prints the first line of the report, which has no trace, to standard error.
 func printProgress(report modelcheck.Report) {
 	line, _, _ := strings.Cut(report.String(), "\n")
 	fmt.Fprintln(os.Stderr, line)
--- a/cmd/ferryspar-replay/main.go
+++ b/cmd/ferryspar-replay/main.go
@@ -1,4 +1,4 @@
-// Ferryspar-replay plays a data plane's record again through the routing code and prints the outcomes.
+// Ferryspar-replay replays a data plane's request log through the routing code and prints the outcomes.
 //
 // It connects to no node. Start reading at run, then internal/sim/replay.
 package main
@@ -18,67 +18,67 @@
 	"ferryspar/internal/sim/replay"
 )
 
-const program = "ferryspar-replay"
+const programName = "ferryspar-replay"
 
-// options are the command line. The defaults of the policy are those of routing.DefaultParameters.
+// options are the command line. The defaults of the routing parameters are those of routing.DefaultParameters.
 type options struct {
-	Zone    string  `long:"zone" description:"zone of the data plane that recorded (default: the record's)"`
-	Batch   int     `long:"batch" default:"16" description:"requests in a batch at most"`
-	WaitMs  float64 `long:"batch-wait-ms" default:"10" description:"wait of the oldest request of a batch at most"`
-	Delta   float64 `long:"delta" default:"0.7" description:"weight of quality against latency, 0 to 1"`
-	Cross   float64 `long:"cross-price" default:"0.03" description:"price of crossing zones"`
-	ReadMs  float64 `long:"read-ms" default:"60" description:"time a replica takes to read 1000 prompt tokens"`
-	JSON    bool    `long:"json" description:"print JSON"`
-	Strict  bool    `long:"strict" description:"end with status 1 when a line is damaged"`
-	Version bool    `long:"version" description:"print the version and end"`
-	Rest    struct {
-		File string `positional-arg-name:"FILE" description:"a record written with --record by the data plane"`
+	Zone          string  `long:"zone" description:"zone of the recording data plane (default: that in the log)"`
+	BatchSize     int     `long:"batch" default:"16" description:"maximum number of requests in a batch"`
+	BatchWaitMs   float64 `long:"batch-wait-ms" default:"10" description:"maximum wait of the oldest request of a batch"`
+	QualityWeight float64 `long:"delta" default:"0.7" description:"weight of quality against latency, 0 to 1"`
+	CrossZoneCost float64 `long:"cross-price" default:"0.03" description:"cost of a replica in another zone"`
+	PrefillMs     float64 `long:"read-ms" default:"60" description:"prefill time of 1000 prompt tokens"`
+	JSON          bool    `long:"json" description:"print JSON"`
+	Strict        bool    `long:"strict" description:"exit with status 1 if a line is damaged"`
+	Version       bool    `long:"version" description:"print the version and exit"`
+	Args          struct {
+		File string `positional-arg-name:"FILE" description:"request log that a data plane wrote with --record"`
 	} `positional-args:"yes"`
 }
 
 func main() { os.Exit(run()) }
 
-// run parses the command line, plays the record and returns the exit status.
+// run parses the command line, replays the request log and returns the exit status.
 func run() int {
 	var parsed options
 	parser := flags.NewParser(&parsed, flags.HelpFlag|flags.PassDoubleDash)
-	parser.Name = program
-	parser.LongDescription = "Plays a recorded day again through the matching and waiting code of the data plane, in made-up time."
+	parser.Name = programName
+	parser.LongDescription = "Replays a request log through the matching and queuing code of the data plane, in simulated time."
 	if _, err := parser.Parse(); err != nil {
-		return cli.ReportError(program, err)
+		return cli.ReportError(programName, err)
 	}
 	if parsed.Version {
-		fmt.Println(program, cli.Version)
+		fmt.Println(programName, cli.Version)
 		return cli.ExitSuccess
 	}
 	if err := parsed.check(); err != nil {
-		return cli.ReportError(program, cli.NewUsageError(err))
+		return cli.ReportError(programName, cli.NewUsageError(err))
 	}
-	damaged, err := parsed.play()
+	damaged, err := parsed.replayLog()
 	if err == nil && parsed.Strict && damaged > 0 {
 		return cli.ExitFailed
 	}
-	return cli.ReportError(program, err)
+	return cli.ReportError(programName, err)
 }
 
-// check returns the first reason why the options cannot be used.
+// check returns an error if the options are invalid.
 func (o options) check() error {
-	if o.Rest.File == "" || o.Batch < 1 || o.Delta < 0 || o.Delta > 1 {
-		return errors.New("name a FILE; --batch is at least 1, --delta between 0 and 1")
+	if o.Args.File == "" || o.BatchSize < 1 || o.QualityWeight < 0 || o.QualityWeight > 1 {
+		return errors.New("FILE is required, --batch must be at least 1 and --delta between 0 and 1")
 	}
 	return nil
 }
 
-// play plays the record, prints the outcome and returns the number of damaged lines.
-func (o options) play() (int, error) {
-	entries, damages, err := readRecord(o.Rest.File)
+// replayLog replays the request log, prints the outcomes and returns the number of damaged lines.
+func (o options) replayLog() (int, error) {
+	entries, damagedLines, err := readLog(o.Args.File)
 	if err != nil {
 		return 0, err
 	}
-	for _, damage := range damages {
-		fmt.Fprintln(os.Stderr, "damaged,", damage)
+	for _, line := range damagedLines {
+		fmt.Fprintln(os.Stderr, "damaged,", line)
 	}
-	engine := o.engine(entries)
+	engine := o.newEngine(entries)
 	if err := engine.Play(entries); err != nil {
 		return 0, err
 	}
@@ -87,11 +87,11 @@
 	} else {
 		engine.Summary.Print(os.Stdout)
 	}
-	return len(damages), nil
+	return len(damagedLines), nil
 }
 
-// readRecord reads the entries of a record and lists its damaged lines.
-func readRecord(path string) ([]requestlog.Entry, []requestlog.DamagedLine, error) {
+// readLog returns the entries of a request log and its damaged lines.
+func readLog(path string) ([]requestlog.Entry, []requestlog.DamagedLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, nil, err
@@ -100,19 +100,19 @@
 	return requestlog.Read(file)
 }
 
-// engine returns an engine with the parameters of the options.
-func (o options) engine(entries []requestlog.Entry) *replay.Engine {
+// newEngine returns a replay engine with the parameters of the options.
+func (o options) newEngine(entries []requestlog.Entry) *replay.Engine {
 	parameters := routing.DefaultParameters()
-	parameters.BatchSize = o.Batch
-	parameters.BatchWait = time.Duration(o.WaitMs * float64(time.Millisecond))
-	parameters.QualityWeight = o.Delta
-	parameters.CrossZoneCost = o.Cross
+	parameters.BatchSize = o.BatchSize
+	parameters.BatchWait = time.Duration(o.BatchWaitMs * float64(time.Millisecond))
+	parameters.QualityWeight = o.QualityWeight
+	parameters.CrossZoneCost = o.CrossZoneCost
 	model := replay.DefaultTimingModel()
-	model.PrefillMsPerThousand = o.ReadMs
+	model.PrefillMsPerThousand = o.PrefillMs
 	return replay.NewEngine(parameters, o.zone(entries), model)
 }
 
-// zone returns the zone of the data plane that recorded: the option's, or the first one in the record.
+// zone returns the zone of the recording data plane: that of the option, or else the first one in the log.
 func (o options) zone(entries []requestlog.Entry) string {
 	if o.Zone != "" {
 		return o.Zone
