--- a/cmd/ferryspar-hollow/main.go
+++ b/cmd/ferryspar-hollow/main.go
@@ -23,7 +23,8 @@
 	"ferryspar/internal/sim/hollow"
 )
 
-// options are the command line. The sizes other than --sizes are those of the target fleet, from which runs are scaled.
+// options are the command line. --replicas, --models, --adapters and --routes are numbers for a fleet of --target data
+// planes; each run scales them to its own number of data planes.
 type options struct {
 	Sizes            string   `long:"sizes" default:"10,40,160" description:"numbers of data planes, one run each"`
 	Members          int      `long:"members" default:"5" description:"control planes: 3 or 5"`
@@ -42,7 +43,7 @@
 	SettleSeconds    float64  `long:"settle" default:"1.5" description:"settling time before a window in seconds"`
 	FillSeconds      float64  `long:"fill" default:"30" description:"longest wait for stable placement, at first and after a failure"`
 	ChangeSeconds    float64  `long:"change-every" default:"2" description:"seconds between changes of the configuration"`
-	Failures         []string `long:"trouble" description:"failures to cause at the end: holder, machine, rack, zone, region, restart; repeatable"`
+	Failures         []string `long:"trouble" description:"failure at the end: holder, machine, rack, zone, region, restart; repeatable"`
 	FailureSeconds   float64  `long:"trouble-seconds" default:"5" description:"seconds that a failure lasts, and the window after it"`
 	Processors       int      `long:"processors" default:"2" description:"processors that each process of data planes may use"`
 	Processes        int      `long:"processes" default:"2" description:"processes that share the data planes"`
--- a/cmd/ferryspar-operator/rehearse_drill.go
+++ b/cmd/ferryspar-operator/rehearse_drill.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/drill"
 )
 
-// Sides of the table of a drill: the drilled requests, which avoid the scope, and all others.
+// Values of the column side in the table of a drill: the drilled requests, which avoid the scope, and all others.
 const (
 	sideDrilled = "drilled"
 	sideRest    = "rest"
--- a/internal/adminapi/replayguard.go
+++ b/internal/adminapi/replayguard.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// redirect redirects the caller to the location, which has a token.
+// redirect responds with a temporary redirect to the location.
 func redirect(writer http.ResponseWriter, location string) {
 	writer.Header().Set("Location", location)
 	writer.Header().Set("Content-Length", "0")
