--- a/cmd/ferryspar-data-plane/main.go
+++ b/cmd/ferryspar-data-plane/main.go
@@ -51,7 +51,7 @@
 			return errors.Wrap(err, "create the request log")
 		}
 		defer file.Close()
-		node.RecordTo(requestlog.NewWriter(file, options.MaxMb*bytesPerMb, time.Now))
+		node.SetRequestLog(requestlog.NewWriter(file, options.MaxMb*bytesPerMb, time.Now))
 	}
 	return node.Run(ctx, signals)
 }
