--- a/internal/adminapi/paths.go
+++ b/internal/adminapi/paths.go
@@ -1,11 +1,11 @@
 package adminapi
 
-// Paths of the admin API, which both ends use. A zone's name follows PathDrainZone.
+// Paths of the admin API. PathDrainZone is followed by the name of the zone.
 const (
 	PathConfiguration = "/ferryspar/config"
 	PathDrainZone     = "/ferryspar/drain-zone/"
 	PathRetention     = "/ferryspar/retention"
-	PathForget        = "/ferryspar/forget"
+	PathPurges        = "/ferryspar/forget"
 	PathRehearsal     = "/ferryspar/rehearsal"
 	PathStatus        = "/ferryspar/status"
 )
--- a/internal/controlplane/admin_context.go
+++ b/internal/controlplane/admin_context.go
@@ -35,10 +35,10 @@
 	return result, err
 }
 
-// Forget orders a purge of the cached context in the scope, and returns its status so far; the purge continues in the background.
+// StartPurge orders a purge of the cached context in the scope, and returns its status so far; the purge continues in the background.
 // The purge names the data planes that this node knows, so a node that has just started rejects the order. Each call adds another
-// purge. Forget is safe for concurrent use.
-func (n *Node) Forget(ctx context.Context, scope retention.Scope) (retention.Status, error) {
+// purge. StartPurge is safe for concurrent use.
+func (n *Node) StartPurge(ctx context.Context, scope retention.Scope) (retention.Status, error) {
 	if err := scope.Check(); err != nil {
 		return retention.Status{}, err
 	}
@@ -68,8 +68,8 @@
 	return readRecord[retention.Policy](ctx, n, keystore.RetentionKey)
 }
 
-// ReadForgets returns the status of each purge, confirmed by a majority. It is safe for concurrent use.
-func (n *Node) ReadForgets(ctx context.Context) ([]retention.Status, error) {
+// ReadPurges returns the status of each purge, confirmed by a majority. It is safe for concurrent use.
+func (n *Node) ReadPurges(ctx context.Context) ([]retention.Status, error) {
 	record, err := readRecord[retention.Record](ctx, n, keystore.PurgeKey)
 	if err != nil {
 		return nil, err
--- a/internal/query/tables.go
+++ b/internal/query/tables.go
@@ -184,6 +184,6 @@
 // newLeaseTable returns a table with the placement lease, the only lease that the fleet status includes.
 func newLeaseTable(fleet adminapi.FleetStatus) Table {
 	table := Table{Name: tableLeases, Columns: []string{"duty", "holder", "seen_by", "fresh", "layout_revision", "list_age_ms"}}
-	table.addRow(leasePlacement, fleet.PlacementHolder, fleet.Member, fleet.Fresh, fleet.Revision, fleet.ListAgeMs)
+	table.addRow(leasePlacement, fleet.PlacementLeaseHolder, fleet.Address, fleet.Fresh, fleet.Revision, fleet.ReplicaListAgeMs)
 	return table
 }
