--- a/internal/coordination/group.go
+++ b/internal/coordination/group.go
@@ -27,9 +27,9 @@
 // Group is a group of keys that share one revision counter, which each put increments.
 //
 // Puts are retained as events for the retention time, so that watches can read them and a put whose answer was lost can be
-// repeated. Puts of the same value to the same key count as one put and get its revision, unless the call expects the current
-// revision of the key: an earlier put can't have expected that one. A new owner does not know when events were put and counts the
-// retention time of all of them from its own start.
+// repeated. A put of the same value to the same key is taken for a repetition and gets the revision of the first one, unless it
+// expects the current revision of the key, which no earlier put can have expected. A new owner does not know when events were put
+// and counts the retention time of all of them from its own start.
 type Group struct {
 	eventRetention time.Duration
 	// compactedRevision is the revision up to which events have been compacted, and the lowest one from which a watch can
