--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -41,9 +41,9 @@
 // options are the options of every daemon.
 type options struct {
 	Settings string `short:"s" long:"settings" description:"path of the settings file (default: FERRYSPAR_SETTINGS)"`
-	Check    bool   `long:"check" description:"check the settings and exit"`
+	Check    bool   `long:"check" description:"check the settings and end"`
 	Level    string `long:"log-level" default:"info" description:"debug, info, warning or error"`
-	Version  bool   `long:"version" description:"print the version and exit"`
+	Version  bool   `long:"version" description:"print the version and end"`
 }
 
 // RunDaemon parses the command line, loads and validates the settings, runs the daemon and returns its exit status.
