--- a/cmd/ferryspar-emulator/demo.go
+++ b/cmd/ferryspar-emulator/demo.go
@@ -33,14 +33,14 @@
 		d.Programs = filepath.Dir(self)
 	}
 	_, err := demo.Run(interrupted, demo.Options{
-		Programs: d.Programs,
-		Keep:     d.Keep,
-		Controls: d.Controls,
-		Streams:  d.Streams,
-		JSON:     d.JSON,
-		Stay:     d.Stay,
-		Out:      os.Stdout,
-		Progress: os.Stderr,
+		ProgramDir:    d.Programs,
+		LogDir:        d.Keep,
+		ControlPlanes: d.Controls,
+		Streams:       d.Streams,
+		JSON:          d.JSON,
+		KeepRunning:   d.Stay,
+		Out:           os.Stdout,
+		Progress:      os.Stderr,
 	})
 	return err
 }
--- a/cmd/ferryspar-emulator/forecast.go
+++ b/cmd/ferryspar-emulator/forecast.go
@@ -46,7 +46,7 @@
 		f.AtOnce = max(runtime.NumCPU()/2, 1)
 	}
 	forecasters := map[string]emulator.Forecaster{
-		methodByLoad: emulator.CountByLoad, methodByMatchers: emulator.ByMatchers(configuration.AfterS),
+		methodByLoad: emulator.ForecastByLoadReports, methodByMatchers: emulator.ForecastByMatchers(configuration.AfterS),
 	}
 	found, err := experiment.CompareForecasts(interrupted, configuration, f.Sizes, forecasters, f.AtOnce, os.Stderr)
 	if err != nil {
--- a/internal/sim/emulator/check.go
+++ b/internal/sim/emulator/check.go
@@ -45,7 +45,7 @@
 		{len(s.Zones) == 0, "zones names none"},
 		{s.SpareReplicas < 0, "spareReplicas must not be below 0"},
 		{len(s.Classes) == 0, "classes names none"},
-		{s.Links.ZoneMs < 0 || s.Links.RegionMs < 0 || s.Links.FarMs < 0, "links must not be below 0"},
+		{s.Links.ZoneMs < 0 || s.Links.RegionMs < 0 || s.Links.CrossRegionMs < 0, "links must not be below 0"},
 	}
 }
 
@@ -58,10 +58,10 @@
 		{s.Replica.StepMs <= 0, "replica.stepMs must be above 0"},
 		{s.Replica.ChunkTokens <= 0, "replica.chunkTokens must be above 0"},
 		{
-			s.Replica.ReadMs < 0 || s.Replica.Crowding < 0 || s.Replica.Spread < 0,
+			s.Replica.PrefillMs < 0 || s.Replica.OccupancyFactor < 0 || s.Replica.SpeedSigma < 0,
 			"replica.readMsPerThousand, crowding and spread must not be below 0",
 		},
-		{s.Replica.Repeats < 0, "replica.repeatsOnResume must not be below 0"},
+		{s.Replica.RepeatedEvents < 0, "replica.repeatsOnResume must not be below 0"},
 		{s.Replica.ColdFactor < 1, "replica.coldFactor must be at least 1"},
 	}
 }
@@ -69,9 +69,9 @@
 // splitRules judges the model of prefill and decode apart.
 func (s Scenario) splitRules() []rule {
 	return []rule{
-		{s.Split.PrefillShare < 0 || s.Split.PrefillShare >= 1, "split.prefillShare must be at least 0 and below 1"},
-		{s.Split.LinkMbps <= 0 || s.Split.KvTokenBytes <= 0, "split.linkMbps and kvTokenBytes must be above 0"},
-		{s.Split.SetupMs < 0 || s.Split.HandleS <= 0, "split.setupMs must be at least 0 and handleS above 0"},
+		{s.Disaggregation.PrefillShare < 0 || s.Disaggregation.PrefillShare >= 1, "split.prefillShare must be at least 0 and below 1"},
+		{s.Disaggregation.LinkMbps <= 0 || s.Disaggregation.KvTokenBytes <= 0, "split.linkMbps and kvTokenBytes must be above 0"},
+		{s.Disaggregation.SetupMs < 0 || s.Disaggregation.HandleExpiryS <= 0, "split.setupMs must be at least 0 and handleS above 0"},
 	}
 }
 
@@ -82,7 +82,7 @@
 		{s.Models.PerReplica < 1, "models.perReplica must be at least 1"},
 		{s.Models.Zipf < 0, "models.zipf must not be below 0"},
 		{
-			s.Models.LoadTimeS <= 0 || s.Models.LoadsPerS <= 0 || s.Models.LoadsAtOnce < 1,
+			s.Models.LoadTimeS <= 0 || s.Models.LoadsPerS <= 0 || s.Models.ConcurrentLoads < 1,
 			"models.loadTimeS, loadsPerS and loadsAtOnce must be above 0",
 		},
 	}
@@ -91,7 +91,7 @@
 // trafficRules judges the generated or recorded traffic.
 func (s Scenario) trafficRules() []rule {
 	return []rule{
-		{s.Traffic.Record == "" && s.Traffic.PerS <= 0, "traffic.perS must be above 0"},
+		{s.Traffic.Record == "" && s.Traffic.RatePerS <= 0, "traffic.perS must be above 0"},
 		{s.Traffic.Turns < 1, "traffic.turns must be at least 1"},
 		{s.Traffic.BurstFactor < 1, "traffic.burstFactor must be at least 1"},
 		{s.Traffic.BurstEveryS > 0 && s.Traffic.BurstLengthS >= s.Traffic.BurstEveryS, "traffic.burstLengthS must be below burstEveryS"},
@@ -106,7 +106,7 @@
 			s.Placement.Copies != CopiesSpread && s.Placement.Copies != CopiesPacked,
 			fmt.Sprintf("placement.copies must be %q or %q, not %q", CopiesSpread, CopiesPacked, s.Placement.Copies),
 		},
-		{s.Placement.BusyShare < 0 || s.Placement.BusyShare > 1, "placement.busyShare must lie between 0 and 1"},
+		{s.Placement.FillRatio < 0 || s.Placement.FillRatio > 1, "placement.busyShare must lie between 0 and 1"},
 		{s.Parameters.BatchSize < 1, "parameters.batchSize must be at least 1"},
 		{s.Parameters.QualityWeight < 0 || s.Parameters.QualityWeight > 1, "parameters.delta must lie between 0 and 1"},
 	}
@@ -124,12 +124,12 @@
 			rule{zone.Name == "" || names[zone.Name], fmt.Sprintf("zones: name %q is missing or stands twice", zone.Name)},
 			rule{zone.Region == "", fmt.Sprintf("zones %q: region is missing", zone.Name)},
 			rule{
-				zone.Edges < 0 || zone.Replicas < 0 || zone.Clients < 0,
+				zone.DataPlanes < 0 || zone.Replicas < 0 || zone.Clients < 0,
 				fmt.Sprintf("zones %q: dataPlanes, replicas and clients must not be below 0", zone.Name),
 			},
 		)
 		names[zone.Name] = true
-		edges += zone.Edges
+		edges += zone.DataPlanes
 		replicas += zone.Replicas
 		clients += zone.Clients
 	}
@@ -189,7 +189,7 @@
 			rule{(loss.Zone == "") == (loss.Region == ""), "losses: name either a zone or a region"},
 			rule{loss.Zone != "" && !zones[loss.Zone], fmt.Sprintf("losses: unknown zone %q", loss.Zone)},
 			rule{loss.Region != "" && !regions[loss.Region], fmt.Sprintf("losses: unknown region %q", loss.Region)},
-			rule{loss.BackS != 0 && loss.BackS <= loss.AtS, "losses: backS must be after atS, or 0 for never"},
+			rule{loss.RestoreS != 0 && loss.RestoreS <= loss.AtS, "losses: backS must be after atS, or 0 for never"},
 		)
 	}
 	for _, crash := range s.Crashes {
@@ -201,7 +201,7 @@
 	for _, slow := range s.Slowdowns {
 		rules = append(rules,
 			rule{slow.Replica < 1 || slow.Replica > replicas, fmt.Sprintf("slowdowns: there is no replica %d", slow.Replica)},
-			rule{slow.Factor < 1 || slow.BackS <= slow.AtS, "slowdowns: factor must be at least 1 and backS after atS"},
+			rule{slow.Factor < 1 || slow.EndS <= slow.AtS, "slowdowns: factor must be at least 1 and backS after atS"},
 		)
 	}
 	return rules
--- a/internal/sim/emulator/controlplane.go
+++ b/internal/sim/emulator/controlplane.go
@@ -136,7 +136,7 @@
 
 // holdings lists a set of references as the platform's list does.
 func holdings(models map[string]bool) []discovery.LoadedModel {
-	return standin.Holdings(models).List()
+	return standin.ModelSet(models).List()
 }
 
 // publishRoster sends the replicas and what is cordoned to every edge.
--- a/internal/sim/emulator/copies.go
+++ b/internal/sim/emulator/copies.go
@@ -43,7 +43,7 @@
 	models := l.scenario.Models
 	shares := popularity(models)
 	capacity := len(l.zones)*models.PerReplica - models.Count
-	extra := int(math.Floor(l.scenario.Placement.BusyShare * float64(capacity)))
+	extra := int(math.Floor(l.scenario.Placement.FillRatio * float64(capacity)))
 	perCopy := func(model int) float64 { return shares[model] / float64(l.copies[model]) }
 	for range extra {
 		best := -1
--- a/internal/sim/emulator/demo/client.go
+++ b/internal/sim/emulator/demo/client.go
@@ -12,21 +12,21 @@
 	"ferryspar/internal/replica"
 )
 
-// Served is how one stream went, as its client saw it.
-type Served struct {
+// StreamResult is how one stream went, as its client saw it.
+type StreamResult struct {
 	Number    int    `json:"number"`
 	DataPlane string `json:"dataPlane"`
 	Path      string `json:"path"`
 	Model     string `json:"model"`
 	Status    int    `json:"status"`
 	// Replica is the id in the answer's seal.
-	Replica  string  `json:"replica"`
-	FirstMs  float64 `json:"firstEventMs"`
-	TookMs   float64 `json:"tookMs"`
-	Events   int     `json:"events"`
-	Expected int     `json:"expectedEvents"`
-	Complete bool    `json:"whole"`
-	Error    string  `json:"problem,omitempty"`
+	Replica      string  `json:"replica"`
+	FirstEventMs float64 `json:"firstEventMs"`
+	DurationMs   float64 `json:"tookMs"`
+	Events       int     `json:"events"`
+	Expected     int     `json:"expectedEvents"`
+	Complete     bool    `json:"whole"`
+	Error        string  `json:"problem,omitempty"`
 }
 
 // streamTimeout is how long a complete stream may take.
@@ -47,8 +47,8 @@
 }
 
 // sendRequest sends one request and reads its stream to the end; a failure is recorded in the result.
-func sendRequest(ctx context.Context, client *http.Client, number int, address, host string, planned stream) Served {
-	result := Served{
+func sendRequest(ctx context.Context, client *http.Client, number int, address, host string, planned stream) StreamResult {
+	result := StreamResult{
 		Number:    number,
 		DataPlane: address,
 		Path:      planned.Path,
@@ -81,19 +81,19 @@
 
 // readStream counts the events of the answer's body until it ends. A body without success is
 // taken as the error, by its first line.
-func (s *Served) readStream(body io.Reader, began time.Time) {
+func (s *StreamResult) readStream(body io.Reader, began time.Time) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "id:") {
 			if s.Events == 0 {
-				s.FirstMs = milliseconds(time.Since(began))
+				s.FirstEventMs = milliseconds(time.Since(began))
 			}
 			s.Events++
 		} else if s.Status != http.StatusOK && s.Error == "" {
 			s.Error = lines.Text()
 		}
 	}
-	s.TookMs = milliseconds(time.Since(began))
+	s.DurationMs = milliseconds(time.Since(began))
 	if lines.Err() != nil {
 		s.Error = lines.Err().Error()
 	}
--- a/internal/sim/emulator/demo/demo.go
+++ b/internal/sim/emulator/demo/demo.go
@@ -21,21 +21,21 @@
 // Options are the command-line options of the demo. Programs is the folder of the daemons'
 // programs; Keep is a folder to keep logs in, or empty for a temporary one.
 type Options struct {
-	Programs string
-	Keep     string
-	Controls int
-	Streams  int
-	JSON     bool
-	Stay     bool
-	Out      io.Writer
-	Progress io.Writer
+	ProgramDir    string
+	LogDir        string
+	ControlPlanes int
+	Streams       int
+	JSON          bool
+	KeepRunning   bool
+	Out           io.Writer
+	Progress      io.Writer
 }
 
 // Result is the demo's fleet and how its streams went.
 type Result struct {
-	Controls []string `json:"controlPlanes"`
-	Edges    []string `json:"dataPlanes"`
-	Streams  []Served `json:"streams"`
+	ControlPlanes []string       `json:"controlPlanes"`
+	DataPlanes    []string       `json:"dataPlanes"`
+	Streams       []StreamResult `json:"streams"`
 }
 
 // maxConcurrentStreams is how many streams are under way together.
@@ -50,15 +50,18 @@
 	if err != nil {
 		return result, err
 	}
-	s := &deployment{plan: planned, programs: options.Programs}
+	s := &deployment{plan: planned, programs: options.ProgramDir}
 	defer s.close()
 	steps := []struct {
 		says string
 		act  func() error
 	}{
-		{"", func() error { return s.makeFolder(options.Keep) }},
+		{"", func() error { return s.makeFolder(options.LogDir) }},
 		{"starting stand-in replicas and a platform list", s.startReplicas},
-		{"starting control planes and data planes, sending the configuration", func() error { return s.startAll(ctx, options.Controls) }},
+		{
+			"starting control planes and data planes, sending the configuration",
+			func() error { return s.startAll(ctx, options.ControlPlanes) },
+		},
 	}
 	for _, step := range steps {
 		if step.says != "" {
@@ -69,14 +72,14 @@
 		}
 	}
 	fmt.Fprintf(options.Progress, "sending %d streams\n", options.Streams)
-	result = Result{Controls: s.controls, Edges: s.edges, Streams: s.send(ctx, options.Streams)}
+	result = Result{ControlPlanes: s.controls, DataPlanes: s.edges, Streams: s.send(ctx, options.Streams)}
 	if ctx.Err() != nil {
 		return result, ctx.Err()
 	}
 	if err := result.write(options); err != nil {
 		return result, err
 	}
-	if options.Stay {
+	if options.KeepRunning {
 		s.printHints(options.Progress)
 		<-ctx.Done()
 		return result, nil
@@ -85,8 +88,8 @@
 }
 
 // send sends the streams, to the data planes in turn.
-func (d *deployment) send(ctx context.Context, amount int) []Served {
-	served := make([]Served, amount)
+func (d *deployment) send(ctx context.Context, amount int) []StreamResult {
+	served := make([]StreamResult, amount)
 	places := make(chan struct{}, maxConcurrentStreams)
 	var group sync.WaitGroup
 	for number := range served {
@@ -127,8 +130,8 @@
 	fmt.Fprintln(table, "stream\tpath\tmodel\tdata plane\treplica\tstatus\tfirst event ms\tevents\ttook ms\t")
 	for _, served := range r.Streams {
 		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t", served.Number, served.Path, served.Model, served.DataPlane, served.Replica)
-		fmt.Fprintf(table, "%d\t%.1f\t%d of %d\t%.1f\t", served.Status, served.FirstMs, served.Events, served.Expected, served.TookMs)
-		fmt.Fprintf(table, "%s\n", served.Error)
+		fmt.Fprintf(table, "%d\t%.1f\t%d of %d\t", served.Status, served.FirstEventMs, served.Events, served.Expected)
+		fmt.Fprintf(table, "%.1f\t%s\n", served.DurationMs, served.Error)
 	}
 	return table.Flush()
 }
--- a/internal/sim/emulator/demo/demo_test.go
+++ b/internal/sim/emulator/demo/demo_test.go
@@ -29,30 +29,30 @@
 	assert.NilError(t, err)
 	var table bytes.Buffer
 	result, err := Run(ctx, Options{
-		Programs: buildPrograms(t),
-		Controls: 1,
-		Streams:  len(planned.Streams),
-		Out:      &table,
-		Progress: io.Discard,
+		ProgramDir:    buildPrograms(t),
+		ControlPlanes: 1,
+		Streams:       len(planned.Streams),
+		Out:           &table,
+		Progress:      io.Discard,
 	})
 	assert.NilError(t, err, "%s", table.String())
 	for number, served := range result.Streams {
-		assert.Assert(t, served.Complete && served.Replica != "" && served.FirstMs > 0, "%+v", served)
+		assert.Assert(t, served.Complete && served.Replica != "" && served.FirstEventMs > 0, "%+v", served)
 		assert.Equal(t, served.Model, planned.Streams[number].Model)
 	}
 	assert.Equal(t, strings.Count(table.String(), "\n"), len(planned.Streams)+1)
-	for _, address := range append(result.Controls, result.Edges...) {
+	for _, address := range append(result.ControlPlanes, result.DataPlanes...) {
 		assert.Assert(t, !isReady(ctx, address), "%s must be gone", address)
 	}
 }
 
 func TestDemo_NamesMissingPrograms(t *testing.T) {
 	_, err := Run(t.Context(), Options{
-		Programs: t.TempDir(),
-		Controls: 1,
-		Streams:  1,
-		Out:      io.Discard,
-		Progress: io.Discard,
+		ProgramDir:    t.TempDir(),
+		ControlPlanes: 1,
+		Streams:       1,
+		Out:           io.Discard,
+		Progress:      io.Discard,
 	})
 	assert.ErrorContains(t, err, "build it beside this program")
 }
@@ -61,12 +61,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	output := &outputWatcher{awaited: "Ctrl-C ends it", act: cancel}
 	_, err := Run(ctx, Options{
-		Programs: buildPrograms(t),
-		Controls: 1,
-		Streams:  1,
-		Stay:     true,
-		Out:      io.Discard,
-		Progress: output,
+		ProgramDir:    buildPrograms(t),
+		ControlPlanes: 1,
+		Streams:       1,
+		KeepRunning:   true,
+		Out:           io.Discard,
+		Progress:      output,
 	})
 	assert.NilError(t, err)
 	assert.Assert(t, ctx.Err() != nil, "it stayed until the interrupt")
--- a/internal/sim/emulator/demo/deployment.go
+++ b/internal/sim/emulator/demo/deployment.go
@@ -61,7 +61,7 @@
 	list := &standin.List{PageSize: 3}
 	for _, planned := range d.plan.Replicas {
 		listed := discovery.Replica{ID: planned.ID, Zone: planned.Zone, Revision: "v1"}
-		replica := standin.NewReplica(listed, backend, standin.DefaultPace(), planned.Models...)
+		replica := standin.NewReplica(listed, backend, standin.DefaultTiming(), planned.Models...)
 		address, err := d.serve(replica.Routes(backend.HealthPath))
 		if err != nil {
 			return err
--- a/internal/sim/emulator/eventqueue/eventqueue.go
+++ b/internal/sim/emulator/eventqueue/eventqueue.go
@@ -64,8 +64,8 @@
 	return true
 }
 
-// Until plays every event up to and including the given moment and leaves the clock there.
-func (q *Queue) Until(end time.Time) {
+// RunUntil plays every event up to and including the given moment and leaves the clock there.
+func (q *Queue) RunUntil(end time.Time) {
 	for {
 		next, some := q.events.Min()
 		if !some || next.at.After(end) {
--- a/internal/sim/emulator/failures.go
+++ b/internal/sim/emulator/failures.go
@@ -14,8 +14,8 @@
 	for _, loss := range w.scenario.Losses {
 		zones := w.zonesOf(loss)
 		at(loss.AtS, func() { w.loseZones(zones, loss) })
-		if loss.BackS > 0 {
-			at(loss.BackS, func() { w.restoreZones(zones) })
+		if loss.RestoreS > 0 {
+			at(loss.RestoreS, func() { w.restoreZones(zones) })
 		}
 	}
 	for _, crash := range w.scenario.Crashes {
@@ -25,7 +25,7 @@
 	for _, slow := range w.scenario.Slowdowns {
 		host := w.machines[slow.Replica-1]
 		at(slow.AtS, func() { host.slowdown = slow.Factor })
-		at(slow.BackS, func() { host.slowdown = 1 })
+		at(slow.EndS, func() { host.slowdown = 1 })
 	}
 }
 
@@ -69,7 +69,7 @@
 
 // noticeLater routes clients elsewhere once the platform has noticed the edge's death.
 func (w *World) noticeLater(dataPlane *edge, incarnation int) {
-	w.events.After(seconds(w.scenario.Platform.NoticeS), func() {
+	w.events.After(seconds(w.scenario.Platform.DataPlaneDetectionS), func() {
 		if !dataPlane.alive && dataPlane.incarnation == incarnation {
 			dataPlane.routable = false
 		}
@@ -137,7 +137,7 @@
 		}
 		dataPlane.start()
 		incarnation := dataPlane.incarnation
-		w.events.After(seconds(w.scenario.Platform.NoticeS), func() {
+		w.events.After(seconds(w.scenario.Platform.DataPlaneDetectionS), func() {
 			if dataPlane.alive && dataPlane.incarnation == incarnation {
 				dataPlane.routable = true
 			}
--- a/internal/sim/emulator/forecast.go
+++ b/internal/sim/emulator/forecast.go
@@ -14,8 +14,8 @@
 const (
 	// FigureInterrupted counts the requests at lost replicas and those that wait in any data plane.
 	FigureInterrupted = "requests at lost replicas or waiting"
-	// FigureGoOn counts those of them that go on at surviving replicas.
-	FigureGoOn = "of these, going on elsewhere"
+	// FigureContinuing counts those of them that go on at surviving replicas.
+	FigureContinuing = "of these, going on elsewhere"
 	// FigurePlaced counts those of them that would find a place if all clients asked again.
 	FigurePlaced = "of these, placed were all to ask again"
 	// FigureMovedTo is followed by a replica's id and counts the requests that go on there.
@@ -30,29 +30,29 @@
 
 // The figures of a route, whose name precedes them: Then for after the loss, Now for before it.
 const (
-	// ThenNotLoaded is the share of requests whose model no surviving replica has loaded.
-	ThenNotLoaded = "share nowhere loaded"
-	// ThenWaits is the share of requests that wait for a place.
-	ThenWaits = "share waiting for a place"
-	// ThenRegionBound is the share of requests that may run in lost regions only.
-	ThenRegionBound = "share bound to the lost"
-	// ThenMissed is the share of requests without a first token inside the target latency.
-	ThenMissed = "share with no first token inside the aim"
-	// ThenMedian, ThenTail and ThenLast are quantiles of the time to the first token.
-	ThenMedian = "first token p50, ms"
-	ThenTail   = "first token p90, ms"
-	ThenLast   = "first token p99, ms"
-	// NowMissed is ThenMissed before the loss.
-	NowMissed = "now: share with no first token inside the aim"
-	// NowMedian, NowTail and NowLast are the quantiles before the loss.
-	NowMedian = "now: first token p50, ms"
-	NowTail   = "now: first token p90, ms"
-	NowLast   = "now: first token p99, ms"
+	// AfterLossNotLoaded is the share of requests whose model no surviving replica has loaded.
+	AfterLossNotLoaded = "share nowhere loaded"
+	// AfterLossWaiting is the share of requests that wait for a place.
+	AfterLossWaiting = "share waiting for a place"
+	// AfterLossRegionBound is the share of requests that may run in lost regions only.
+	AfterLossRegionBound = "share bound to the lost"
+	// AfterLossLate is the share of requests without a first token inside the target latency.
+	AfterLossLate = "share with no first token inside the aim"
+	// AfterLossP50, ThenTail and ThenLast are quantiles of the time to the first token.
+	AfterLossP50 = "first token p50, ms"
+	AfterLossP90 = "first token p90, ms"
+	AfterLossP99 = "first token p99, ms"
+	// BeforeLossLate is ThenMissed before the loss.
+	BeforeLossLate = "now: share with no first token inside the aim"
+	// BeforeLossP50, NowTail and NowLast are the quantiles before the loss.
+	BeforeLossP50 = "now: first token p50, ms"
+	BeforeLossP90 = "now: first token p90, ms"
+	BeforeLossP99 = "now: first token p99, ms"
 )
 
-// Gather makes the forecast of the daemons from this snapshot: every edge's answer, merged with the
+// GatherForecast makes the forecast of the daemons from this snapshot: every edge's answer, merged with the
 // plan of the placement.
-func (s Snapshot) Gather() (drill.Forecast, []drill.ForecastResponse) {
+func (s Snapshot) GatherForecast() (drill.Forecast, []drill.ForecastResponse) {
 	basis := drill.FleetView{
 		Scope:      s.Loss.Scope,
 		Zones:      s.Loss.Regions,
@@ -65,7 +65,7 @@
 		basis.Demand[name] = entry.Rate
 	}
 	var answers []drill.ForecastResponse
-	for number, state := range s.Edges {
+	for number, state := range s.DataPlanes {
 		answer := state.Matcher.ForecastSync(s.Loss)
 		answer.DataPlane = fmt.Sprintf("edge-%03d", number)
 		answer.Zone = state.Zone
@@ -99,29 +99,29 @@
 	return listed
 }
 
-// ByMatchers forecasts with the daemons' own code; figures of reading are over the given seconds
+// ForecastByMatchers forecasts with the daemons' own code; figures of reading are over the given seconds
 // after the loss.
-func ByMatchers(afterS float64) Forecaster {
+func ForecastByMatchers(afterS float64) Forecaster {
 	return func(before Snapshot) Forecast {
-		merged, answers := before.Gather()
+		merged, answers := before.GatherForecast()
 		forecast := Forecast{
-			FigureWithoutCopy: float64(len(merged.LostModels)),
-			FigurePlaced:      float64(merged.InFlight.Placed),
-			FigureInterrupted: float64(merged.InFlight.OnLostReplicas + merged.InFlight.Waiting),
-			FigureGoOn:        float64(merged.InFlight.Resumable + merged.InFlight.Waiting),
-			FigureRegionBound: float64(merged.InFlight.BoundToLost),
-			FigureMoving:      0,
-			FigureWarm:        0,
-			FigureFull:        0,
-			FigureLoads:       0,
-			FigureReadAgain:   0,
-			FigureBack:        merged.LoadEstimate.InDemandMinMs / 1000,
+			FigureWithoutCopy:      float64(len(merged.LostModels)),
+			FigurePlaced:           float64(merged.InFlight.Placed),
+			FigureInterrupted:      float64(merged.InFlight.OnLostReplicas + merged.InFlight.Waiting),
+			FigureContinuing:       float64(merged.InFlight.Resumable + merged.InFlight.Waiting),
+			FigureRegionBound:      float64(merged.InFlight.BoundToLost),
+			FigureMoving:           0,
+			FigureLostCachedTokens: 0,
+			FigureFull:             0,
+			FigureLoads:            0,
+			FigureRecomputedTokens: 0,
+			FigureReloadTime:       merged.LoadEstimate.InDemandMinMs / 1000,
 		}
 		forecast.addMoving(answers, before.Lost)
 		forecast.addReplicas(merged)
 		for _, route := range merged.Routes {
 			if route.Sampled > 0 {
-				forecast[FigureReadAgain] += route.RecomputedTokens / float64(route.Sampled) * route.RatePerS * afterS
+				forecast[FigureRecomputedTokens] += route.RecomputedTokens / float64(route.Sampled) * route.RatePerS * afterS
 				forecast.addRoute(route)
 			}
 		}
@@ -144,7 +144,7 @@
 // addReplicas adds what the forecast says of caches, surviving replicas and loads.
 func (f Forecast) addReplicas(merged drill.Forecast) {
 	for _, cached := range merged.Cached {
-		f[FigureWarm] += cached.Lost
+		f[FigureLostCachedTokens] += cached.Lost
 	}
 	for _, replica := range merged.Replicas {
 		f[FigureMovedTo+replica.Replica] = float64(replica.Moved)
@@ -163,16 +163,16 @@
 func (f Forecast) addRoute(route drill.RouteForecast) {
 	share := func(amount int) float64 { return float64(amount) / float64(route.Sampled) }
 	for name, value := range map[string]float64{
-		ThenNotLoaded:   share(route.NowhereLoaded),
-		ThenWaits:       share(route.Waiting),
-		ThenRegionBound: share(route.BoundToLost),
-		ThenMissed:      share(route.Late + route.Waiting + route.NowhereLoaded + route.BoundToLost),
-		NowMissed:       share(route.LateNow + route.WaitingNow + route.NowhereLoadedNow),
+		AfterLossNotLoaded:   share(route.NowhereLoaded),
+		AfterLossWaiting:     share(route.Waiting),
+		AfterLossRegionBound: share(route.BoundToLost),
+		AfterLossLate:        share(route.Late + route.Waiting + route.NowhereLoaded + route.BoundToLost),
+		BeforeLossLate:       share(route.LateNow + route.WaitingNow + route.NowhereLoadedNow),
 	} {
 		f[route.Name+": "+name] = value
 	}
-	f.addQuantiles(route.Name, route.FirstTokenAfterLoss, ThenMedian, ThenTail, ThenLast)
-	f.addQuantiles(route.Name, route.FirstTokenNow, NowMedian, NowTail, NowLast)
+	f.addQuantiles(route.Name, route.FirstTokenAfterLoss, AfterLossP50, AfterLossP90, AfterLossP99)
+	f.addQuantiles(route.Name, route.FirstTokenNow, BeforeLossP50, BeforeLossP90, BeforeLossP99)
 }
 
 // addQuantiles adds a route's quantiles under the three names, if there are any samples.
--- a/internal/sim/emulator/forward.go
+++ b/internal/sim/emulator/forward.go
@@ -21,7 +21,7 @@
 		forwardNumber: number,
 		model:         p.call.request.Model,
 		dialogues:     p.request.PrefixHashes,
-		nextEvent:     max(p.lastID-w.scenario.Replica.Repeats, 0) + 1,
+		nextEvent:     max(p.lastID-w.scenario.Replica.RepeatedEvents, 0) + 1,
 		priority:      p.call.class.Priority,
 		queuedAt:      now,
 		prefill:       p.step != nil,
--- a/internal/sim/emulator/loadcount.go
+++ b/internal/sim/emulator/loadcount.go
@@ -5,20 +5,20 @@
 	FigureMoving = "requests that move"
 	// FigureWithoutCopy counts the models and adapters whose every copy is lost.
 	FigureWithoutCopy = "models and adapters without a copy"
-	// FigureWarm counts the cached tokens lost.
-	FigureWarm = "warm tokens lost"
-	// FigureBack is how long, in seconds, until the last model lost is loaded again.
-	FigureBack = "seconds until the last copy is back"
-	// FigureReadAgain counts the prompt tokens that must be read again.
-	FigureReadAgain = "prompt tokens read again"
+	// FigureLostCachedTokens counts the cached tokens lost.
+	FigureLostCachedTokens = "warm tokens lost"
+	// FigureReloadTime is how long, in seconds, until the last model lost is loaded again.
+	FigureReloadTime = "seconds until the last copy is back"
+	// FigureRecomputedTokens counts the prompt tokens that must be read again.
+	FigureRecomputedTokens = "prompt tokens read again"
 )
 
-// CountByLoad is the simplest forecaster: it counts from the list and the load reports alone what
+// ForecastByLoadReports is the simplest forecaster: it counts from the list and the load reports alone what
 // is in the lost zones.
-func CountByLoad(before Snapshot) Forecast {
+func ForecastByLoadReports(before Snapshot) Forecast {
 	lost, withoutCopy := lostReplicas(before)
 	moving := 0
-	for _, edge := range before.Edges {
+	for _, edge := range before.DataPlanes {
 		moving += movingRequests(edge, lost)
 	}
 	return Forecast{FigureMoving: float64(moving), FigureWithoutCopy: float64(withoutCopy)}
@@ -49,7 +49,7 @@
 }
 
 // movingRequests counts the requests of a data plane that go elsewhere once the replicas, or the data plane itself, are lost.
-func movingRequests(edge EdgeState, lost map[string]bool) int {
+func movingRequests(edge DataPlaneState, lost map[string]bool) int {
 	moving := 0
 	for id, load := range edge.Load.Replicas {
 		if lost[id] || edge.Lost {
--- a/internal/sim/emulator/loss.go
+++ b/internal/sim/emulator/loss.go
@@ -20,8 +20,8 @@
 // Forecaster forecasts the figures of a loss from what is known just before it.
 type Forecaster func(before Snapshot) Forecast
 
-// EdgeState is what an edge knows and last reported just before a loss.
-type EdgeState struct {
+// DataPlaneState is what an edge knows and last reported just before a loss.
+type DataPlaneState struct {
 	Zone    string
 	Lost    bool
 	Load    peer.LoadReport
@@ -37,9 +37,9 @@
 	// Lost names the zones about to be lost.
 	Lost map[string]bool
 	// Listed is the platform's list.
-	Listed []discovery.Replica
-	Edges  []EdgeState
-	Demand map[string]*placement.Demand
+	Listed     []discovery.Replica
+	DataPlanes []DataPlaneState
+	Demand     map[string]*placement.Demand
 	// Held is what each address has once loaded, by reference.
 	LoadedBefore map[string]map[string]bool
 	Loss         drill.Loss
@@ -65,7 +65,7 @@
 	for _, dataPlane := range w.edges {
 		if dataPlane.alive {
 			name := w.scenario.Zones[dataPlane.zone].Name
-			before.Edges = append(before.Edges, EdgeState{
+			before.DataPlanes = append(before.DataPlanes, DataPlaneState{
 				Zone:    name,
 				Lost:    before.Lost[name],
 				Load:    dataPlane.lastReport,
@@ -81,10 +81,10 @@
 // follows.
 func (w *World) recordLoss(zones []int, from Loss) {
 	loss := LossResult{
-		AtS:        w.elapsed().Seconds(),
-		WarmTokens: map[string]float64{},
-		MovedTo:    map[string]int{},
-		Moving:     make([]int, len(w.scenario.Classes)),
+		AtS:          w.elapsed().Seconds(),
+		CachedTokens: map[string]float64{},
+		MovedTo:      map[string]int{},
+		Moving:       make([]int, len(w.scenario.Classes)),
 	}
 	for name, forecaster := range w.Forecasters {
 		if loss.Forecasts == nil {
@@ -132,7 +132,7 @@
 	for element := lost.cache.byAge.Front(); element != nil; element = element.Next() {
 		part := element.Value.(*cachedPrefix)
 		model, _, _ := strings.Cut(part.key.model, "/")
-		l.WarmTokens[model] += part.tokens
+		l.CachedTokens[model] += part.tokens
 	}
 }
 
--- a/internal/sim/emulator/losswatch.go
+++ b/internal/sim/emulator/losswatch.go
@@ -90,7 +90,7 @@
 			for reference := range host.current.loaded {
 				if missing[reference] {
 					delete(missing, reference)
-					loss.LastCopyBackS = w.elapsed().Seconds() - loss.AtS
+					loss.LastReloadS = w.elapsed().Seconds() - loss.AtS
 				}
 			}
 		}
--- a/internal/sim/emulator/modelchange.go
+++ b/internal/sim/emulator/modelchange.go
@@ -69,7 +69,7 @@
 	s.world.observer.loaded(true)
 	store := &s.world.storeLoads
 	*store++
-	crowd := max(float64(*store)/float64(models.LoadsAtOnce), 1)
+	crowd := max(float64(*store)/float64(models.ConcurrentLoads), 1)
 	whole := seconds(taking * crowd)
 	s.world.events.After(whole, func() { *store-- })
 	return whole
@@ -85,7 +85,7 @@
 		if s.dead {
 			return
 		}
-		s.loaded.Drop(s.change.action.Model)
+		s.loaded.Remove(s.change.action.Model)
 		s.cache.evictModels(s.change.touches)
 		s.finishChange()
 	})
--- a/internal/sim/emulator/observer.go
+++ b/internal/sim/emulator/observer.go
@@ -7,36 +7,36 @@
 // Sample is the state of the fleet at one moment; counts of loads and tokens read are running
 // totals.
 type Sample struct {
-	AtS     float64 `json:"atS"`
-	Waiting int     `json:"waiting"`
-	Queued  int     `json:"queued"`
-	Running int     `json:"running"`
-	Warm    float64 `json:"warmTokens"`
-	Stored  int     `json:"loadsFromStore"`
-	Disk    int     `json:"loadsFromDisk"`
-	Read    float64 `json:"promptTokensRead"`
+	AtS           float64 `json:"atS"`
+	Waiting       int     `json:"waiting"`
+	Queued        int     `json:"queued"`
+	Running       int     `json:"running"`
+	CachedTokens  float64 `json:"warmTokens"`
+	StoreLoads    int     `json:"loadsFromStore"`
+	DiskLoads     int     `json:"loadsFromDisk"`
+	PrefillTokens float64 `json:"promptTokensRead"`
 }
 
 // RequestOutcome is how one request went; FirstMs is 0 if no token came.
 type RequestOutcome struct {
-	Class   int
-	AtS     float64
-	FirstMs float64
-	Outcome string
-	InTime  bool
-	WaitMs  float64
+	Class        int
+	AtS          float64
+	FirstTokenMs float64
+	Outcome      string
+	InTime       bool
+	WaitMs       float64
 	// NotLoaded is set if no replica had the model loaded when the request arrived.
 	NotLoaded bool
 }
 
 // Bucket sums the requests of a class that arrived in one bucket of time.
 type Bucket struct {
-	AtS      float64   `json:"atS"`
-	Offered  int       `json:"offered"`
-	InTime   int       `json:"inTime"`
-	Rejected int       `json:"refused"`
-	Firsts   []float64 `json:"firstTokenMs"`
-	Pauses   []float64 `json:"longestPauseMs"`
+	AtS           float64   `json:"atS"`
+	Offered       int       `json:"offered"`
+	InTime        int       `json:"inTime"`
+	Rejected      int       `json:"refused"`
+	FirstTokenMs  []float64 `json:"firstTokenMs"`
+	MaxTokenGapMs []float64 `json:"longestPauseMs"`
 }
 
 // ClassResult sums the requests of a class. Resumed counts those served after more than one
@@ -52,15 +52,15 @@
 
 // LossResult is what a loss hit, by counts taken just before it, and what followed.
 type LossResult struct {
-	AtS         float64            `json:"atS"`
-	Running     int                `json:"running"`
-	Waiting     int                `json:"waiting"`
-	WarmTokens  map[string]float64 `json:"warmTokens"`
-	WithoutCopy []string           `json:"modelsWithoutCopy"`
+	AtS          float64            `json:"atS"`
+	Running      int                `json:"running"`
+	Waiting      int                `json:"waiting"`
+	CachedTokens map[string]float64 `json:"warmTokens"`
+	WithoutCopy  []string           `json:"modelsWithoutCopy"`
 	// Moving counts the requests that must move, by the class's index.
-	Moving        []int               `json:"requestsMoving"`
-	Forecasts     map[string]Forecast `json:"forecasts,omitempty"`
-	LastCopyBackS float64             `json:"lastCopyBackS"`
+	Moving      []int               `json:"requestsMoving"`
+	Forecasts   map[string]Forecast `json:"forecasts,omitempty"`
+	LastReloadS float64             `json:"lastCopyBackS"`
 	// MovedTo counts the interrupted requests that went on, by replica.
 	MovedTo map[string]int `json:"movedTo"`
 	// RegionBound counts the interrupted requests that may run in lost regions only.
@@ -72,13 +72,13 @@
 
 // Result is everything observed in a run.
 type Result struct {
-	Seed         uint64        `json:"seed"`
-	Classes      []ClassResult `json:"classes"`
-	Samples      []Sample      `json:"samples"`
-	Losses       []LossResult  `json:"losses"`
-	ReadTokens   float64       `json:"readTokens"`
-	CachedTokens float64       `json:"keptTokens"`
-	Forwards     int           `json:"dispatched"`
+	Seed          uint64        `json:"seed"`
+	Classes       []ClassResult `json:"classes"`
+	Samples       []Sample      `json:"samples"`
+	Losses        []LossResult  `json:"losses"`
+	PrefillTokens float64       `json:"readTokens"`
+	CachedTokens  float64       `json:"keptTokens"`
+	Forwards      int           `json:"dispatched"`
 	// Violations are broken invariants of the emulation; a sound run has none.
 	Violations []string         `json:"faults"`
 	Requests   []RequestOutcome `json:"-"`
@@ -106,9 +106,9 @@
 		result := ClassResult{Name: class.Name, Outcomes: map[string]int{}}
 		for number := range buckets {
 			result.Buckets = append(result.Buckets, Bucket{
-				AtS:    float64(number) * scenario.BucketS,
-				Firsts: []float64{},
-				Pauses: []float64{},
+				AtS:           float64(number) * scenario.BucketS,
+				FirstTokenMs:  []float64{},
+				MaxTokenGapMs: []float64{},
 			})
 		}
 		o.classes = append(o.classes, result)
@@ -142,13 +142,13 @@
 	class := &o.classes[clientCall.request.Class]
 	bucket := &class.Buckets[min(int(clientCall.request.At.Seconds()/o.scenario.BucketS), len(class.Buckets)-1)]
 	o.requests[clientCall.request.Number] = RequestOutcome{
-		Class:     clientCall.request.Class,
-		AtS:       clientCall.request.At.Seconds(),
-		FirstMs:   clientCall.firstTokenMs(),
-		Outcome:   clientCall.outcome,
-		InTime:    clientCall.inTime(),
-		WaitMs:    clientCall.waitMs,
-		NotLoaded: clientCall.notLoaded,
+		Class:        clientCall.request.Class,
+		AtS:          clientCall.request.At.Seconds(),
+		FirstTokenMs: clientCall.firstTokenMs(),
+		Outcome:      clientCall.outcome,
+		InTime:       clientCall.inTime(),
+		WaitMs:       clientCall.waitMs,
+		NotLoaded:    clientCall.notLoaded,
 	}
 	class.Offered++
 	class.Outcomes[clientCall.outcome]++
@@ -164,14 +164,14 @@
 		class.Resumed++
 	}
 	if clientCall.received > 0 {
-		bucket.Firsts = append(bucket.Firsts, clientCall.firstTokenMs())
-		bucket.Pauses = append(bucket.Pauses, inMilliseconds(clientCall.pause))
+		bucket.FirstTokenMs = append(bucket.FirstTokenMs, clientCall.firstTokenMs())
+		bucket.MaxTokenGapMs = append(bucket.MaxTokenGapMs, inMilliseconds(clientCall.pause))
 	}
 }
 
 // takeSample records the state of the fleet.
 func (o *observer) takeSample(w *World) {
-	sample := Sample{AtS: w.elapsed().Seconds(), Stored: o.stored, Disk: o.disk, Read: o.readTokens}
+	sample := Sample{AtS: w.elapsed().Seconds(), StoreLoads: o.stored, DiskLoads: o.disk, PrefillTokens: o.readTokens}
 	for _, edge := range w.edges {
 		if edge.alive {
 			sample.Waiting += edge.matcher.WaitingCount()
@@ -181,7 +181,7 @@
 		if up := machine.current; up != nil {
 			sample.Queued += len(up.queue)
 			sample.Running += len(up.running)
-			sample.Warm += up.cache.cached
+			sample.CachedTokens += up.cache.cached
 		}
 	}
 	o.samples = append(o.samples, sample)
@@ -190,14 +190,14 @@
 // result is what was observed so far.
 func (o *observer) result(w *World) Result {
 	return Result{
-		Seed:         o.scenario.Seed,
-		Classes:      o.classes,
-		Samples:      o.samples,
-		Losses:       append([]LossResult{}, o.losses...),
-		ReadTokens:   o.readTokens,
-		CachedTokens: o.cachedTokens,
-		Forwards:     o.forwards,
-		Violations:   append([]string{}, w.violations...),
-		Requests:     o.requests,
+		Seed:          o.scenario.Seed,
+		Classes:       o.classes,
+		Samples:       o.samples,
+		Losses:        append([]LossResult{}, o.losses...),
+		PrefillTokens: o.readTokens,
+		CachedTokens:  o.cachedTokens,
+		Forwards:      o.forwards,
+		Violations:    append([]string{}, w.violations...),
+		Requests:      o.requests,
 	}
 }
--- a/internal/sim/emulator/platformlist.go
+++ b/internal/sim/emulator/platformlist.go
@@ -19,7 +19,7 @@
 
 // unlistLater takes a dead server from the platform's list once the platform has noticed.
 func (w *World) unlistLater(s *server) {
-	w.events.After(seconds(w.scenario.Platform.GoneS), func() {
+	w.events.After(seconds(w.scenario.Platform.ReplicaDetectionS), func() {
 		s.unlisted = true
 		delete(w.listed, s.id)
 	})
--- a/internal/sim/emulator/replica.go
+++ b/internal/sim/emulator/replica.go
@@ -18,7 +18,7 @@
 	speed       float64
 	incarnation int
 	// onDisk holds the references that the disk has.
-	onDisk   standin.Holdings
+	onDisk   standin.ModelSet
 	slowdown float64
 	// current is the server that runs, or nil.
 	current *server
@@ -33,7 +33,7 @@
 	dead bool
 	// dark servers died without closing their connections.
 	dark   bool
-	loaded standin.Holdings
+	loaded standin.ModelSet
 	cache  *kvCache
 	queue  []*execution
 	// fetching counts the executions whose memory is on its way; moves go one after another until linkFreeAt.
@@ -54,7 +54,7 @@
 		world:   w,
 		machine: host,
 		id:      fmt.Sprintf("replica-%03d.%d", host.number, host.incarnation),
-		loaded:  standin.NewHoldings(references...),
+		loaded:  standin.NewModelSet(references...),
 		cache:   newKVCache(w.scenario.Replica.KvCacheTokens),
 	}
 	for _, reference := range references {
@@ -156,8 +156,8 @@
 // stepMs is the length, in milliseconds, of a step that reads the given number of prompt tokens.
 func (s *server) stepMs(readTokens float64) float64 {
 	performance := s.world.scenario.Replica
-	decodeMs := performance.StepMs * (1 + performance.Crowding*float64(len(s.running))/float64(performance.Slots))
-	readMs := readTokens / 1000 * performance.ReadMs
+	decodeMs := performance.StepMs * (1 + performance.OccupancyFactor*float64(len(s.running))/float64(performance.Slots))
+	readMs := readTokens / 1000 * performance.PrefillMs
 	if s.machine.phase == discovery.PhaseDecode {
 		readMs *= decodeReadFactor
 	}
--- a/internal/sim/emulator/routing.go
+++ b/internal/sim/emulator/routing.go
@@ -15,7 +15,7 @@
 	case zone.Region == other.Region:
 		return milliseconds(w.scenario.Links.RegionMs)
 	}
-	return milliseconds(w.scenario.Links.FarMs)
+	return milliseconds(w.scenario.Links.CrossRegionMs)
 }
 
 // zonesByDistance lists the indices of all zones from the nearest to the farthest: the zone itself,
--- a/internal/sim/emulator/scenario.go
+++ b/internal/sim/emulator/scenario.go
@@ -13,55 +13,55 @@
 	BucketS float64 `koanf:"bucketS"`
 	Zones   []Zone  `koanf:"zones"`
 	// SpareReplicas are added to every zone.
-	SpareReplicas int                `koanf:"spareReplicas"`
-	Links         Links              `koanf:"links"`
-	Replica       Performance        `koanf:"replica"`
-	Models        Models             `koanf:"models"`
-	Traffic       Traffic            `koanf:"traffic"`
-	Classes       []Class            `koanf:"classes"`
-	Losses        []Loss             `koanf:"losses"`
-	Crashes       []Crash            `koanf:"crashes"`
-	Slowdowns     []Slowdown         `koanf:"slowdowns"`
-	Platform      Platform           `koanf:"platform"`
-	Placement     Placement          `koanf:"placement"`
-	Parameters    routing.Parameters `koanf:"parameters"`
-	Split         Split              `koanf:"split"`
+	SpareReplicas  int                `koanf:"spareReplicas"`
+	Links          Links              `koanf:"links"`
+	Replica        Performance        `koanf:"replica"`
+	Models         Models             `koanf:"models"`
+	Traffic        Traffic            `koanf:"traffic"`
+	Classes        []Class            `koanf:"classes"`
+	Losses         []Loss             `koanf:"losses"`
+	Crashes        []Crash            `koanf:"crashes"`
+	Slowdowns      []Slowdown         `koanf:"slowdowns"`
+	Platform       Platform           `koanf:"platform"`
+	Placement      Placement          `koanf:"placement"`
+	Parameters     routing.Parameters `koanf:"parameters"`
+	Disaggregation Disaggregation     `koanf:"split"`
 }
 
 // Zone is a zone with its share of the clients, as a weight.
 type Zone struct {
-	Name     string  `koanf:"name"`
-	Region   string  `koanf:"region"`
-	Edges    int     `koanf:"dataPlanes"`
-	Replicas int     `koanf:"replicas"`
-	Clients  float64 `koanf:"clients"`
+	Name       string  `koanf:"name"`
+	Region     string  `koanf:"region"`
+	DataPlanes int     `koanf:"dataPlanes"`
+	Replicas   int     `koanf:"replicas"`
+	Clients    float64 `koanf:"clients"`
 }
 
 // Links are the one-way delays within a zone, within a region and beyond.
 type Links struct {
-	ZoneMs   float64 `koanf:"zoneMs"`
-	RegionMs float64 `koanf:"regionMs"`
-	FarMs    float64 `koanf:"farMs"`
+	ZoneMs        float64 `koanf:"zoneMs"`
+	RegionMs      float64 `koanf:"regionMs"`
+	CrossRegionMs float64 `koanf:"farMs"`
 }
 
 // Performance is the model of a replica. A step takes StepMs, more by Crowding as slots fill, and
 // ReadMs per thousand prompt tokens read in it, ChunkTokens at most.
 type Performance struct {
-	Slots         int     `koanf:"slots"`
-	QueuePlaces   int     `koanf:"queuePlaces"`
-	KvCacheTokens float64 `koanf:"kvCacheTokens"`
-	StepMs        float64 `koanf:"stepMs"`
-	Crowding      float64 `koanf:"crowding"`
-	ReadMs        float64 `koanf:"readMsPerThousand"`
-	ChunkTokens   float64 `koanf:"chunkTokens"`
-	// Spread is the sigma of the machines' log-normal speeds.
-	Spread     float64 `koanf:"spread"`
+	Slots           int     `koanf:"slots"`
+	QueuePlaces     int     `koanf:"queuePlaces"`
+	KvCacheTokens   float64 `koanf:"kvCacheTokens"`
+	StepMs          float64 `koanf:"stepMs"`
+	OccupancyFactor float64 `koanf:"crowding"`
+	PrefillMs       float64 `koanf:"readMsPerThousand"`
+	ChunkTokens     float64 `koanf:"chunkTokens"`
+	// SpeedSigma is the sigma of the machines' log-normal speeds.
+	SpeedSigma float64 `koanf:"spread"`
 	ColdStartS float64 `koanf:"coldStartS"`
 	ColdPerS   float64 `koanf:"coldPerS"`
 	// ColdFactor lengthens the steps of a replica started within ColdStartS.
 	ColdFactor float64 `koanf:"coldFactor"`
-	// Repeats makes replicas repeat events when a stream resumes, to show that the check sees it.
-	Repeats int `koanf:"repeatsOnResume"`
+	// RepeatedEvents makes replicas repeat events when a stream resumes, to show that the check sees it.
+	RepeatedEvents int `koanf:"repeatsOnResume"`
 }
 
 // Models are the models of the fleet; their popularity follows Zipf's law with the given exponent.
@@ -72,8 +72,8 @@
 	PerReplica int     `koanf:"perReplica"`
 	LoadTimeS  float64 `koanf:"loadTimeS"`
 	LoadsPerS  float64 `koanf:"loadsPerS"`
-	// LoadsAtOnce is how many loads the store serves at full speed.
-	LoadsAtOnce     int `koanf:"loadsAtOnce"`
+	// ConcurrentLoads is how many loads the store serves at full speed.
+	ConcurrentLoads int `koanf:"loadsAtOnce"`
 	Adapters        int `koanf:"adapters"`
 	AdapterCapacity int `koanf:"adapterCapacity"`
 	// SharedTokens is the length of the prefix that all prompts of a model share.
@@ -83,7 +83,7 @@
 // Traffic is drawn as dialogues of several turns, or read from a record. Turns is the mean number
 // of turns.
 type Traffic struct {
-	PerS         float64 `koanf:"perS"`
+	RatePerS     float64 `koanf:"perS"`
 	BurstEveryS  float64 `koanf:"burstEveryS"`
 	BurstLengthS float64 `koanf:"burstLengthS"`
 	BurstFactor  float64 `koanf:"burstFactor"`
@@ -121,11 +121,11 @@
 // Loss takes down a zone or a region. BackS of 0 means never; Closed losses end connections instead
 // of falling silent.
 type Loss struct {
-	Zone   string  `koanf:"zone"`
-	Region string  `koanf:"region"`
-	AtS    float64 `koanf:"atS"`
-	BackS  float64 `koanf:"backS"`
-	Closed bool    `koanf:"closed"`
+	Zone     string  `koanf:"zone"`
+	Region   string  `koanf:"region"`
+	AtS      float64 `koanf:"atS"`
+	RestoreS float64 `koanf:"backS"`
+	Closed   bool    `koanf:"closed"`
 }
 
 // Crash ends the replica of a machine, counted from 1. RestartS of 0 means never.
@@ -138,7 +138,7 @@
 // Slowdown lengthens a replica's steps by a factor for some time.
 type Slowdown struct {
 	AtS     float64 `koanf:"atS"`
-	BackS   float64 `koanf:"backS"`
+	EndS    float64 `koanf:"backS"`
 	Replica int     `koanf:"replica"`
 	Factor  float64 `koanf:"factor"`
 }
@@ -146,18 +146,18 @@
 // Platform is the list's lag, how often it is read, and how long the platform needs to notice a
 // dead replica (GoneS) or data plane (NoticeS), and a control plane to take over.
 type Platform struct {
-	LagMs     float64 `koanf:"lagMs"`
-	RefreshMs float64 `koanf:"refreshMs"`
-	GoneS     float64 `koanf:"goneS"`
-	NoticeS   float64 `koanf:"noticeS"`
-	TakeoverS float64 `koanf:"takeoverS"`
+	LagMs               float64 `koanf:"lagMs"`
+	RefreshMs           float64 `koanf:"refreshMs"`
+	ReplicaDetectionS   float64 `koanf:"goneS"`
+	DataPlaneDetectionS float64 `koanf:"noticeS"`
+	TakeoverS           float64 `koanf:"takeoverS"`
 }
 
 // Placement is how the first copies are placed: spread over zones or packed, and the share of the
 // capacity beyond the first copies that is filled.
 type Placement struct {
 	Copies    string  `koanf:"copies"`
-	BusyShare float64 `koanf:"busyShare"`
+	FillRatio float64 `koanf:"busyShare"`
 }
 
 const (
@@ -174,19 +174,19 @@
 		LengthS: 120,
 		WarmS:   20,
 		BucketS: 2,
-		Links:   Links{ZoneMs: 0.3, RegionMs: 1.5, FarMs: 35},
+		Links:   Links{ZoneMs: 0.3, RegionMs: 1.5, CrossRegionMs: 35},
 		Replica: Performance{
-			Slots:         16,
-			QueuePlaces:   8,
-			KvCacheTokens: 60000,
-			StepMs:        18,
-			Crowding:      1,
-			ReadMs:        60,
-			ChunkTokens:   512,
-			Spread:        0.08,
-			ColdStartS:    3,
-			ColdPerS:      12,
-			ColdFactor:    2,
+			Slots:           16,
+			QueuePlaces:     8,
+			KvCacheTokens:   60000,
+			StepMs:          18,
+			OccupancyFactor: 1,
+			PrefillMs:       60,
+			ChunkTokens:     512,
+			SpeedSigma:      0.08,
+			ColdStartS:      3,
+			ColdPerS:        12,
+			ColdFactor:      2,
 		},
 		Models: Models{
 			Count:           12,
@@ -194,15 +194,15 @@
 			PerReplica:      3,
 			LoadTimeS:       5,
 			LoadsPerS:       1,
-			LoadsAtOnce:     4,
+			ConcurrentLoads: 4,
 			Adapters:        4,
 			AdapterCapacity: 4,
 			SharedTokens:    600,
 		},
-		Traffic:    Traffic{PerS: 20, BurstFactor: 1, Turns: 3, ThinkS: 6},
-		Platform:   Platform{LagMs: 300, RefreshMs: 250, GoneS: 4, NoticeS: 2, TakeoverS: 4},
-		Placement:  Placement{Copies: CopiesSpread, BusyShare: 0.75},
-		Parameters: routing.DefaultParameters(),
-		Split:      Split{LinkMbps: 400000, KvTokenBytes: 163840, SetupMs: 4, HandleS: 5},
+		Traffic:        Traffic{RatePerS: 20, BurstFactor: 1, Turns: 3, ThinkS: 6},
+		Platform:       Platform{LagMs: 300, RefreshMs: 250, ReplicaDetectionS: 4, DataPlaneDetectionS: 2, TakeoverS: 4},
+		Placement:      Placement{Copies: CopiesSpread, FillRatio: 0.75},
+		Parameters:     routing.DefaultParameters(),
+		Disaggregation: Disaggregation{LinkMbps: 400000, KvTokenBytes: 163840, SetupMs: 4, HandleExpiryS: 5},
 	}
 }
--- a/internal/sim/emulator/split.go
+++ b/internal/sim/emulator/split.go
@@ -9,20 +9,20 @@
 	"ferryspar/internal/routing"
 )
 
-// Split is the model of replicas that either read prompts (prefill) or make tokens (decode). With a PrefillShare of 0 every
+// Disaggregation is the model of replicas that either read prompts (prefill) or make tokens (decode). With a PrefillShare of 0 every
 // replica does both.
-type Split struct {
+type Disaggregation struct {
 	// PrefillShare is the share of each zone's replicas that read prompts; it stays as it is.
 	PrefillShare float64 `koanf:"prefillShare"`
-	// InSequence has the decode replica chosen only after the prompt was read, without a place kept for it before.
-	InSequence bool `koanf:"chooseInSequence"`
+	// SequentialSelection has the decode replica chosen only after the prompt was read, without a place kept for it before.
+	SequentialSelection bool `koanf:"chooseInSequence"`
 	// LinkMbps, KvTokenBytes and SetupMs are what a move of a prompt's memory takes: the moves of a replica go one after
 	// another, and take twice as long between zones and ten times between regions.
 	LinkMbps     float64 `koanf:"linkMbps"`
 	KvTokenBytes float64 `koanf:"kvTokenBytes"`
 	SetupMs      float64 `koanf:"setupMs"`
-	// HandleS is how long a prefill replica holds memory that nobody takes.
-	HandleS float64 `koanf:"handleS"`
+	// HandleExpiryS is how long a prefill replica holds memory that nobody takes.
+	HandleExpiryS float64 `koanf:"handleS"`
 }
 
 const (
@@ -37,7 +37,7 @@
 )
 
 // phaseOf is the phase of a zone's machine by its place among them.
-func (s Split) phaseOf(place int) discovery.Phase {
+func (s Disaggregation) phaseOf(place int) discovery.Phase {
 	if s.PrefillShare <= 0 {
 		return ""
 	}
@@ -71,7 +71,7 @@
 	run.ended = true
 	s.running = filter(s.running, func(other *execution) bool { return other != run })
 	held := &heldPrompt{server: s, run: run}
-	s.world.events.After(seconds(s.world.scenario.Split.HandleS), held.release)
+	s.world.events.After(seconds(s.world.scenario.Disaggregation.HandleExpiryS), held.release)
 	number := run.forwardNumber
 	run.attempt.edge.afterLink(s.machine.zone, func() { run.attempt.onPrefilled(number, held) })
 }
@@ -105,7 +105,7 @@
 
 // moveTime is how long a prompt's memory takes to this server.
 func (s *server) moveTime(source *heldPrompt) time.Duration {
-	split := s.world.scenario.Split
+	split := s.world.scenario.Disaggregation
 	from, to := s.world.scenario.Zones[source.server.machine.zone], s.world.scenario.Zones[s.machine.zone]
 	distance := 1.0
 	switch {
@@ -142,7 +142,7 @@
 	p.step, p.held = nil, held
 	p.edge.lastUsed[p.replicaID] = p.edge.world.now()
 	usable := p.edge.matcher.CompletePrefillSync(step)
-	if usable && p.edge.world.scenario.Split.InSequence {
+	if usable && p.edge.world.scenario.Disaggregation.SequentialSelection {
 		p.reportOutcome(routing.OutcomeWithdrawn)
 		usable = false
 	}
--- a/internal/sim/emulator/split_test.go
+++ b/internal/sim/emulator/split_test.go
@@ -13,19 +13,19 @@
 	s := sample(seed)
 	s.Models.Count, s.Models.PerReplica, s.Models.Adapters = 1, 1, 0
 	s.Replica.KvCacheTokens = 120000
-	s.Split.PrefillShare = prefillShare
-	s.Placement.BusyShare = 1
+	s.Disaggregation.PrefillShare = prefillShare
+	s.Placement.FillRatio = 1
 	s.Classes = s.Classes[:1]
 	s.Classes[0].Share = 1
 	s.Classes[0].Prompt = LogNormal{Median: 3000, Sigma: 0.8, Max: 20000}
 	s.Classes[0].Output = LogNormal{Median: 20, Sigma: 0.5, Max: 80}
-	s.Traffic.PerS, s.Traffic.Turns = 5, 1
+	s.Traffic.RatePerS, s.Traffic.Turns = 5, 1
 	s.Classes[0].LatencyTargetMs = 1500
 	return s
 }
 
 func TestSplit_PhasesFollowTheShareInEachZone(t *testing.T) {
-	split := Split{PrefillShare: 0.4}
+	split := Disaggregation{PrefillShare: 0.4}
 	prefill := 0
 	for place := range 10 {
 		if split.phaseOf(place) == discovery.PhasePrefill {
@@ -33,7 +33,7 @@
 		}
 	}
 	assert.Equal(t, prefill, 4)
-	assert.Equal(t, Split{}.phaseOf(3), discovery.Phase(""))
+	assert.Equal(t, Disaggregation{}.phaseOf(3), discovery.Phase(""))
 }
 
 func TestWorld_SplitRequestsEndOnceAndHoldNothing(t *testing.T) {
@@ -41,7 +41,7 @@
 	for seed := range uint64(3) {
 		for _, inSequence := range []bool{false, true} {
 			scenario := splitScenario(seed, 0.5)
-			scenario.Split.InSequence = inSequence
+			scenario.Disaggregation.SequentialSelection = inSequence
 			scenario.Crashes = []Crash{{AtS: 20, Replica: 2, RestartS: 3}, {AtS: 30, Replica: 5, RestartS: 4}, {AtS: 40, Replica: 1}}
 			world, err := NewWorld(scenario)
 			assert.NilError(t, err)
@@ -89,6 +89,6 @@
 	near, zone, region := world.machines[1].current, world.machines[4].current, world.machines[8].current
 	assert.Assert(t, near.moveTime(source) < zone.moveTime(source))
 	assert.Assert(t, zone.moveTime(source) < region.moveTime(source))
-	setup := milliseconds(world.scenario.Split.SetupMs)
+	setup := milliseconds(world.scenario.Disaggregation.SetupMs)
 	assert.Equal(t, region.moveTime(source)-setup, 10*(near.moveTime(source)-setup))
 }
--- a/internal/sim/emulator/standin/holdings.go
+++ b/internal/sim/emulator/standin/holdings.go
@@ -7,20 +7,20 @@
 	"ferryspar/internal/discovery"
 )
 
-// Holdings is a set of references, each a model or "model/adapter".
-type Holdings map[string]bool
+// ModelSet is a set of references, each a model or "model/adapter".
+type ModelSet map[string]bool
 
-// NewHoldings is the set of the given references.
-func NewHoldings(references ...string) Holdings {
-	set := Holdings{}
+// NewModelSet is the set of the given references.
+func NewModelSet(references ...string) ModelSet {
+	set := ModelSet{}
 	for _, reference := range references {
 		set[reference] = true
 	}
 	return set
 }
 
-// Drop removes a reference and, if it is a model, its adapters.
-func (h Holdings) Drop(reference string) {
+// Remove removes a reference and, if it is a model, its adapters.
+func (h ModelSet) Remove(reference string) {
 	for loaded := range h {
 		if loaded == reference || strings.HasPrefix(loaded, reference+"/") {
 			delete(h, loaded)
@@ -30,7 +30,7 @@
 
 // List is the set as the platform lists it, ordered by name; adapters without their model
 // are left out.
-func (h Holdings) List() []discovery.LoadedModel {
+func (h ModelSet) List() []discovery.LoadedModel {
 	references := make([]string, 0, len(h))
 	for reference := range h {
 		references = append(references, reference)
--- a/internal/sim/emulator/standin/replica.go
+++ b/internal/sim/emulator/standin/replica.go
@@ -18,22 +18,22 @@
 	"ferryspar/internal/replica"
 )
 
-// Pace is how fast a stand-in answers: the base, reading per thousand prompt tokens, and the gap
+// Timing is how fast a stand-in answers: the base, reading per thousand prompt tokens, and the gap
 // between events, longer by Crowding as slots fill.
-type Pace struct {
-	Base            time.Duration
-	ReadPerThousand time.Duration
-	Event           time.Duration
-	Crowding        float64
+type Timing struct {
+	BaseLatency        time.Duration
+	PrefillPerThousand time.Duration
+	EventInterval      time.Duration
+	OccupancyFactor    float64
 }
 
-// DefaultPace is the pace that the demo uses.
-func DefaultPace() Pace {
-	return Pace{
-		Base:            15 * time.Millisecond,
-		ReadPerThousand: 60 * time.Millisecond,
-		Event:           20 * time.Millisecond,
-		Crowding:        1,
+// DefaultTiming is the pace that the demo uses.
+func DefaultTiming() Timing {
+	return Timing{
+		BaseLatency:        15 * time.Millisecond,
+		PrefillPerThousand: 60 * time.Millisecond,
+		EventInterval:      20 * time.Millisecond,
+		OccupancyFactor:    1,
 	}
 }
 
@@ -41,12 +41,12 @@
 type Replica struct {
 	lock    sync.Mutex
 	entry   discovery.Replica
-	pace    Pace
+	pace    Timing
 	runtime configuration.Runtime
 	models  map[string]configuration.Model
-	loaded  Holdings
+	loaded  ModelSet
 	// onDisk holds what was loaded before, which loads faster.
-	onDisk Holdings
+	onDisk ModelSet
 	// cachedPrefixes holds "reference dialogue" of the prompts read.
 	cachedPrefixes map[string]bool
 	active         int
@@ -61,14 +61,14 @@
 
 // NewReplica makes a replica of the backend with the given references loaded. SetAddress must be
 // called before it is listed.
-func NewReplica(listed discovery.Replica, backend configuration.Backend, pace Pace, references ...string) *Replica {
+func NewReplica(listed discovery.Replica, backend configuration.Backend, pace Timing, references ...string) *Replica {
 	created := &Replica{
 		entry:          listed,
 		pace:           pace,
 		runtime:        *backend.Runtime,
 		models:         map[string]configuration.Model{},
-		loaded:         NewHoldings(references...),
-		onDisk:         NewHoldings(references...),
+		loaded:         NewModelSet(references...),
+		onDisk:         NewModelSet(references...),
 		cachedPrefixes: map[string]bool{},
 	}
 	created.entry.Backend = backend.Name
@@ -229,7 +229,7 @@
 		r.loaded[reference], r.onDisk[reference] = true, true
 		return
 	}
-	r.loaded.Drop(reference)
+	r.loaded.Remove(reference)
 	for kept := range r.cachedPrefixes {
 		if strings.HasPrefix(kept, reference+" ") || strings.HasPrefix(kept, reference+"/") {
 			delete(r.cachedPrefixes, kept)
--- a/internal/sim/emulator/standin/serve.go
+++ b/internal/sim/emulator/standin/serve.go
@@ -40,7 +40,7 @@
 	from, _ := strconv.Atoi(request.Header.Get(replica.HeaderLastEventID))
 	writer.Header().Set(replica.HeaderSeal, r.entry.ID+"."+strconv.FormatInt(time.Now().UnixMilli(), 36))
 	writer.Header().Set("Content-Type", "text/event-stream")
-	if !pause(request, r.pace.Base+time.Duration(unread/1000*float64(r.pace.ReadPerThousand))) {
+	if !pause(request, r.pace.BaseLatency+time.Duration(unread/1000*float64(r.pace.PrefillPerThousand))) {
 		return
 	}
 	for number := from + 1; number <= max(int(output), 1); number++ {
@@ -100,5 +100,5 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	crowd := float64(r.active) / float64(max(r.runtime.Slots, 1))
-	return time.Duration(float64(r.pace.Event) * (1 + r.pace.Crowding*crowd))
+	return time.Duration(float64(r.pace.EventInterval) * (1 + r.pace.OccupancyFactor*crowd))
 }
--- a/internal/sim/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -46,7 +46,7 @@
 }
 
 func stand(id string, references ...string) *Replica {
-	return NewReplica(discovery.Replica{ID: id, Zone: "east"}, backend(), DefaultPace(), references...)
+	return NewReplica(discovery.Replica{ID: id, Zone: "east"}, backend(), DefaultTiming(), references...)
 }
 
 func call(created *Replica, method, path, body string, header map[string]string) *httptest.ResponseRecorder {
--- a/internal/sim/emulator/traffic.go
+++ b/internal/sim/emulator/traffic.go
@@ -74,9 +74,9 @@
 // rate is the requests a second at a moment, given in seconds.
 func (t Traffic) rate(at float64) float64 {
 	if t.BurstEveryS > 0 && math.Mod(at, t.BurstEveryS) >= t.BurstEveryS-t.BurstLengthS {
-		return t.PerS * t.BurstFactor
+		return t.RatePerS * t.BurstFactor
 	}
-	return t.PerS
+	return t.RatePerS
 }
 
 // weights reads a weight from each item.
@@ -114,10 +114,10 @@
 		part:     uint64(scenario.Models.Count),
 	}
 	traffic := scenario.Traffic
-	fastest := traffic.PerS * traffic.BurstFactor / traffic.Turns
+	fastest := traffic.RatePerS * traffic.BurstFactor / traffic.Turns
 	gap := distuv.Exponential{Rate: fastest, Src: from}
 	for at := gap.Rand(); at < scenario.LengthS; at += gap.Rand() {
-		if g.chance.Float64()*traffic.BurstFactor*traffic.PerS <= traffic.rate(at) {
+		if g.chance.Float64()*traffic.BurstFactor*traffic.RatePerS <= traffic.rate(at) {
 			g.generateDialogue(at)
 		}
 	}
--- a/internal/sim/emulator/world.go
+++ b/internal/sim/emulator/world.go
@@ -113,10 +113,10 @@
 	bucket := seconds(w.scenario.BucketS)
 	end := w.began.Add(seconds(w.scenario.LengthS))
 	for at := w.began.Add(bucket); !at.After(end); at = at.Add(bucket) {
-		w.events.Until(at)
+		w.events.RunUntil(at)
 		w.observer.takeSample(w)
 	}
-	w.events.Until(end.Add(seconds(drainS)))
+	w.events.RunUntil(end.Add(seconds(drainS)))
 	for _, clientCall := range w.calls {
 		clientCall.finish(outcomeExpired)
 	}
@@ -127,21 +127,21 @@
 // of the models.
 func (w *World) buildFleet() {
 	speed := distuv.LogNormal{
-		Sigma: max(w.scenario.Replica.Spread, 1e-9),
+		Sigma: max(w.scenario.Replica.SpeedSigma, 1e-9),
 		Src:   randomSource(w.scenario.Seed, streamReplicas),
 	}
 	for index, zone := range w.scenario.Zones {
 		for place := range zone.Replicas {
 			w.machines = append(w.machines, &machine{
-				phase:    w.scenario.Split.phaseOf(place),
+				phase:    w.scenario.Disaggregation.phaseOf(place),
 				number:   len(w.machines) + 1,
 				zone:     index,
 				speed:    speed.Rand(),
 				slowdown: 1,
-				onDisk:   standin.Holdings{},
+				onDisk:   standin.ModelSet{},
 			})
 		}
-		for range zone.Edges {
+		for range zone.DataPlanes {
 			w.edges = append(w.edges, &edge{world: w, number: len(w.edges), zone: index, routable: true})
 		}
 	}
@@ -184,8 +184,8 @@
 		AdapterCapacity: scenario.Models.AdapterCapacity,
 		LoadsPerS:       scenario.Models.LoadsPerS,
 	}
-	if split := scenario.Split; split.PrefillShare > 0 {
-		runtime.LinkMbps, runtime.KvTokenBytes, runtime.PrefixHoldS = split.LinkMbps, split.KvTokenBytes, split.HandleS
+	if split := scenario.Disaggregation; split.PrefillShare > 0 {
+		runtime.LinkMbps, runtime.KvTokenBytes, runtime.PrefixHoldS = split.LinkMbps, split.KvTokenBytes, split.HandleExpiryS
 	}
 	for number := range scenario.Models.Count {
 		model := configuration.Model{
--- a/internal/sim/emulator/world_test.go
+++ b/internal/sim/emulator/world_test.go
@@ -15,11 +15,11 @@
 	s.LengthS = 60
 	s.WarmS = 10
 	s.Zones = []Zone{
-		{Name: "n1", Region: "north", Edges: 2, Replicas: 4, Clients: 1},
-		{Name: "n2", Region: "north", Edges: 1, Replicas: 3, Clients: 1},
-		{Name: "s1", Region: "south", Edges: 2, Replicas: 4, Clients: 1},
+		{Name: "n1", Region: "north", DataPlanes: 2, Replicas: 4, Clients: 1},
+		{Name: "n2", Region: "north", DataPlanes: 1, Replicas: 3, Clients: 1},
+		{Name: "s1", Region: "south", DataPlanes: 2, Replicas: 4, Clients: 1},
 	}
-	s.Traffic = Traffic{PerS: 14, BurstEveryS: 20, BurstLengthS: 3, BurstFactor: 2, Turns: 3, ThinkS: 5}
+	s.Traffic = Traffic{RatePerS: 14, BurstEveryS: 20, BurstLengthS: 3, BurstFactor: 2, Turns: 3, ThinkS: 5}
 	s.Classes = []Class{
 		{
 			Name:            "quick",
@@ -59,17 +59,17 @@
 func troubled(seed uint64) Scenario {
 	scenario := sample(seed)
 	scenario.Losses = []Loss{{
-		Region: "south",
-		AtS:    25,
-		BackS:  45,
+		Region:   "south",
+		AtS:      25,
+		RestoreS: 45,
 	}, {
-		Zone:   "n2",
-		AtS:    50,
-		BackS:  55,
-		Closed: true,
+		Zone:     "n2",
+		AtS:      50,
+		RestoreS: 55,
+		Closed:   true,
 	}}
 	scenario.Crashes = []Crash{{AtS: 15, Replica: 1, RestartS: 5}, {AtS: 30, Replica: 5}}
-	scenario.Slowdowns = []Slowdown{{AtS: 12, BackS: 22, Replica: 2, Factor: 6}}
+	scenario.Slowdowns = []Slowdown{{AtS: 12, EndS: 22, Replica: 2, Factor: 6}}
 	return scenario
 }
 
@@ -95,7 +95,7 @@
 		}
 		assert.Equal(t, offered, len(world.calls))
 		assert.Equal(t, buckets, offered)
-		assert.Assert(t, result.Samples[len(result.Samples)-1].Disk > 0, "what returned is loaded from its own disk")
+		assert.Assert(t, result.Samples[len(result.Samples)-1].DiskLoads > 0, "what returned is loaded from its own disk")
 		for _, replica := range world.servers {
 			if !replica.dead {
 				assert.Equal(t, len(replica.queue)+len(replica.running), 0)
@@ -112,7 +112,7 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		scenario := sample(seed)
-		scenario.Losses = []Loss{{Region: "south", AtS: 25, BackS: 45}}
+		scenario.Losses = []Loss{{Region: "south", AtS: 25, RestoreS: 45}}
 		world, err := NewWorld(scenario)
 		assert.NilError(t, err)
 		result := world.Run()
@@ -135,8 +135,8 @@
 
 func TestWorld_CountsEventsRepeatedOnResume(t *testing.T) {
 	scenario := sample(1)
-	scenario.Losses = []Loss{{Region: "south", AtS: 25, BackS: 45}}
-	scenario.Replica.Repeats = 1
+	scenario.Losses = []Loss{{Region: "south", AtS: 25, RestoreS: 45}}
+	scenario.Replica.RepeatedEvents = 1
 	assert.Assert(t, len(play(t, scenario).Violations) > 0, "the check must bite")
 }
 
@@ -180,7 +180,7 @@
 	inside := 0
 	looks := 0
 	for at := step; at <= 120*time.Second; at += step {
-		world.events.Until(world.began.Add(at))
+		world.events.RunUntil(world.began.Add(at))
 		looks++
 		for _, clientCall := range world.calls {
 			if !clientCall.began.IsZero() && !clientCall.ended {
--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -43,10 +43,10 @@
 	scenario.Zones = slices.Clone(scenario.Zones)
 	for index := range scenario.Zones {
 		scenario.Zones[index].Replicas *= size
-		scenario.Zones[index].Edges *= size
+		scenario.Zones[index].DataPlanes *= size
 	}
 	scenario.SpareReplicas *= size
-	scenario.Traffic.PerS *= float64(size)
+	scenario.Traffic.RatePerS *= float64(size)
 	scenario.Models.LoadsPerS *= float64(size)
 	return scenario
 }
@@ -152,21 +152,21 @@
 	for _, amount := range loss.Moving {
 		moving += amount
 	}
-	models := make([]string, 0, len(loss.WarmTokens))
-	for model := range loss.WarmTokens {
+	models := make([]string, 0, len(loss.CachedTokens))
+	for model := range loss.CachedTokens {
 		models = append(models, model)
 	}
 	slices.Sort(models)
 	for _, model := range models {
-		warm += loss.WarmTokens[model]
+		warm += loss.CachedTokens[model]
 	}
 	end := loss.AtS + c.AfterS
 	found := []measurement{
 		{emulator.FigureMoving, float64(moving)},
 		{emulator.FigureWithoutCopy, float64(len(loss.WithoutCopy))},
-		{emulator.FigureWarm, warm},
-		{emulator.FigureBack, loss.LastCopyBackS},
-		{emulator.FigureReadAgain, readBetween(lost, loss.AtS, end) - readBetween(spared, loss.AtS, end)},
+		{emulator.FigureLostCachedTokens, warm},
+		{emulator.FigureReloadTime, loss.LastReloadS},
+		{emulator.FigureRecomputedTokens, readBetween(lost, loss.AtS, end) - readBetween(spared, loss.AtS, end)},
 	}
 	found = append(found, placementFigures(lost, end)...)
 	for number, class := range lost.Classes {
@@ -184,10 +184,10 @@
 	before, after := 0.0, 0.0
 	for _, sample := range result.Samples {
 		if sample.AtS <= from {
-			before = sample.Read
+			before = sample.PrefillTokens
 		}
 		if sample.AtS <= to {
-			after = sample.Read
+			after = sample.PrefillTokens
 		}
 	}
 	return after - before
@@ -207,10 +207,10 @@
 		if twin.InTime && !request.InTime {
 			missed++
 		}
-		if request.FirstMs == 0 || twin.FirstMs == 0 {
+		if request.FirstTokenMs == 0 || twin.FirstTokenMs == 0 {
 			continue
 		}
-		by := max(request.FirstMs-twin.FirstMs, 0)
+		by := max(request.FirstTokenMs-twin.FirstTokenMs, 0)
 		fill(late, []float64{by})
 		if by > slowedShare*aimMs {
 			slow++
--- a/internal/sim/experiment/compare_test.go
+++ b/internal/sim/experiment/compare_test.go
@@ -26,9 +26,9 @@
 }
 
 func TestCompare_MeasuresForecastErrorAndFlagsBrokenForecast(t *testing.T) {
-	sound := judge(t, emulator.CountByLoad)
+	sound := judge(t, emulator.ForecastByLoadReports)
 	broken := judge(t, func(before emulator.Snapshot) emulator.Forecast {
-		forecast := emulator.CountByLoad(before)
+		forecast := emulator.ForecastByLoadReports(before)
 		forecast[emulator.FigureWithoutCopy] += 5
 		return forecast
 	})
@@ -55,14 +55,15 @@
 		assert.NilError(t, err)
 		return string(content)
 	}
-	assert.Assert(t, played(nil) == played(emulator.CountByLoad))
-	assert.Assert(t, played(nil) == played(emulator.ByMatchers(read.AfterS)))
+	assert.Assert(t, played(nil) == played(emulator.ForecastByLoadReports))
+	assert.Assert(t, played(nil) == played(emulator.ForecastByMatchers(read.AfterS)))
 }
 
 func TestCompare_NothingToForecastWithoutLoss(t *testing.T) {
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
 	read.Built[0].Losses = nil
-	_, err = CompareForecasts(t.Context(), read, []int{1}, map[string]emulator.Forecaster{"tried": emulator.CountByLoad}, 1, io.Discard)
+	forecasters := map[string]emulator.Forecaster{"tried": emulator.ForecastByLoadReports}
+	_, err = CompareForecasts(t.Context(), read, []int{1}, forecasters, 1, io.Discard)
 	assert.ErrorContains(t, err, "no loss")
 }
--- a/internal/sim/experiment/figures.go
+++ b/internal/sim/experiment/figures.go
@@ -110,8 +110,8 @@
 	s.offered += bucket.Offered
 	s.inTime += bucket.InTime
 	s.rejected += bucket.Rejected
-	fill(s.firsts, bucket.Firsts)
-	fill(s.pauses, bucket.Pauses)
+	fill(s.firsts, bucket.FirstTokenMs)
+	fill(s.pauses, bucket.MaxTokenGapMs)
 }
 
 // measure is every figure of a run, by class and period.
@@ -158,19 +158,19 @@
 	for _, loss := range result.Losses {
 		streams += loss.Running
 		alone += len(loss.WithoutCopy)
-		for _, amount := range loss.WarmTokens {
+		for _, amount := range loss.CachedTokens {
 			warmLost += amount
 		}
 	}
 	found := []measurement{
 		{"longest queue", float64(waiting)},
-		{"prompt tokens read", result.ReadTokens},
+		{"prompt tokens read", result.PrefillTokens},
 		{"prompt tokens kept", result.CachedTokens},
 	}
 	if last := len(result.Samples) - 1; last >= 0 {
 		found = append(found,
-			measurement{"loads from the store", float64(result.Samples[last].Stored)},
-			measurement{"loads from own disk", float64(result.Samples[last].Disk)},
+			measurement{"loads from the store", float64(result.Samples[last].StoreLoads)},
+			measurement{"loads from own disk", float64(result.Samples[last].DiskLoads)},
 		)
 	}
 	if len(result.Losses) > 0 {
--- a/internal/sim/experiment/foretold_test.go
+++ b/internal/sim/experiment/foretold_test.go
@@ -16,7 +16,7 @@
 	read, err := Parse([]byte(busier.Replace(small)))
 	assert.NilError(t, err)
 	read.Seeds = 4
-	sound := emulator.ByMatchers(read.AfterS)
+	sound := emulator.ForecastByMatchers(read.AfterS)
 	found, err := CompareForecasts(t.Context(), read, []int{1}, map[string]emulator.Forecaster{
 		"sound": sound,
 		"broken": func(before emulator.Snapshot) emulator.Forecast {
@@ -37,13 +37,13 @@
 		assert.Assert(t, slices.Contains(broken.Flags, flagBiased), "%s: %+v", name, broken)
 		assert.Assert(t, correct.Absolute.Mean < broken.Absolute.Mean, name)
 	}
-	warm := byName["broken "+emulator.FigureWarm]
+	warm := byName["broken "+emulator.FigureLostCachedTokens]
 	assert.Equal(t, warm.Relative.Mean, 1.0)
 	assert.DeepEqual(t, warm.Flags, []string{flagBiased, flagWorse})
 	names := []string{
-		emulator.ThenMissed + overPeriod + "the first 5 s",
-		emulator.NowMedian,
-		emulator.ThenTail + overPeriod + "the rest of the loss",
+		emulator.AfterLossLate + overPeriod + "the first 5 s",
+		emulator.BeforeLossP50,
+		emulator.AfterLossP90 + overPeriod + "the rest of the loss",
 	}
 	for _, name := range names {
 		assert.Equal(t, len(byName["sound quick: "+name].Forecast), read.Seeds, name)
--- a/internal/sim/experiment/plots.go
+++ b/internal/sim/experiment/plots.go
@@ -123,7 +123,7 @@
 func (s Summary) markLosses(p *picture) error {
 	p.plot.Y.Max = max(p.highest*1.05, 0.01)
 	for _, loss := range s.Losses {
-		for _, at := range []float64{loss.AtS, loss.BackS} {
+		for _, at := range []float64{loss.AtS, loss.RestoreS} {
 			if at == 0 {
 				continue
 			}
--- a/internal/sim/experiment/summary.go
+++ b/internal/sim/experiment/summary.go
@@ -158,8 +158,8 @@
 	}{
 		{seriesQueue, func(s emulator.Sample) float64 { return float64(s.Waiting + s.Queued) }},
 		{seriesRun, func(s emulator.Sample) float64 { return float64(s.Running) }},
-		{seriesWarm, func(s emulator.Sample) float64 { return s.Warm }},
-		{seriesLoads, func(s emulator.Sample) float64 { return float64(s.Stored + s.Disk) }},
+		{seriesWarm, func(s emulator.Sample) float64 { return s.CachedTokens }},
+		{seriesLoads, func(s emulator.Sample) float64 { return float64(s.StoreLoads + s.DiskLoads) }},
 	}
 	found := make([]Series, len(lines))
 	for number, line := range lines {
--- a/internal/sim/experiment/truth.go
+++ b/internal/sim/experiment/truth.go
@@ -108,7 +108,7 @@
 	}
 	return []measurement{
 		{emulator.FigureInterrupted, float64(loss.Interrupted)},
-		{emulator.FigureGoOn, float64(moved)},
+		{emulator.FigureContinuing, float64(moved)},
 		{emulator.FigurePlaced, float64(moved)},
 		{emulator.FigureRegionBound, float64(loss.RegionBound)},
 		{emulator.FigureFull, float64(loss.FullReplicas)},
@@ -121,10 +121,10 @@
 	before, after := 0, 0
 	for _, sample := range result.Samples {
 		if sample.AtS <= from {
-			before = sample.Stored + sample.Disk
+			before = sample.StoreLoads + sample.DiskLoads
 		}
 		if sample.AtS <= to {
-			after = sample.Stored + sample.Disk
+			after = sample.StoreLoads + sample.DiskLoads
 		}
 	}
 	return float64(after - before)
@@ -141,10 +141,10 @@
 		}
 	}
 	first := countWindow(lost, class, number, at, at+emulator.FirstPhaseS)
-	add(emulator.ThenNotLoaded, duringFirst, share(first.notLoaded, first.sent))
-	add(emulator.ThenWaits, duringFirst, share(first.waited, first.sent))
+	add(emulator.AfterLossNotLoaded, duringFirst, share(first.notLoaded, first.sent))
+	add(emulator.AfterLossWaiting, duringFirst, share(first.waited, first.sent))
 	if len(class.AllowedRegions) > 0 {
-		add(emulator.ThenRegionBound, duringFirst, share(first.unserved, first.sent))
+		add(emulator.AfterLossRegionBound, duringFirst, share(first.unserved, first.sent))
 	}
 	before := countWindow(spared, class, number, at-c.BeforeS, at)
 	rest := countWindow(lost, class, number, at+emulator.FirstPhaseS, at+c.AfterS)
@@ -179,6 +179,6 @@
 
 var (
 	// namesNow and namesThen are the names before and after the loss.
-	namesNow  = quantileNames{emulator.NowMissed, emulator.NowMedian, emulator.NowTail, emulator.NowLast}
-	namesThen = quantileNames{emulator.ThenMissed, emulator.ThenMedian, emulator.ThenTail, emulator.ThenLast}
+	namesNow  = quantileNames{emulator.BeforeLossLate, emulator.BeforeLossP50, emulator.BeforeLossP90, emulator.BeforeLossP99}
+	namesThen = quantileNames{emulator.AfterLossLate, emulator.AfterLossP50, emulator.AfterLossP90, emulator.AfterLossP99}
 )
--- a/internal/sim/experiment/window.go
+++ b/internal/sim/experiment/window.go
@@ -30,14 +30,14 @@
 			found.waited++
 		}
 		switch {
-		case request.FirstMs == 0:
+		case request.FirstTokenMs == 0:
 			found.unserved++
 			found.missed++
-		case request.FirstMs > class.LatencyTargetMs:
+		case request.FirstTokenMs > class.LatencyTargetMs:
 			found.missed++
 		}
-		if request.FirstMs > 0 {
-			fill(found.firsts, []float64{request.FirstMs})
+		if request.FirstTokenMs > 0 {
+			fill(found.firsts, []float64{request.FirstTokenMs})
 		}
 	}
 	return found
--- a/internal/sim/hollow/standin_replica.go
+++ b/internal/sim/hollow/standin_replica.go
@@ -14,7 +14,7 @@
 type standIn struct {
 	lock      sync.Mutex
 	listed    discovery.Replica
-	loaded    standin.Holdings
+	loaded    standin.ModelSet
 	busyUntil time.Time
 	sequence  int64
 	// highestFence is the highest fence seen; lower ones are rejected.
@@ -54,7 +54,7 @@
 		s.loaded[reference] = true
 		return
 	}
-	s.loaded.Drop(reference)
+	s.loaded.Remove(reference)
 }
 
 // holds reports whether the reference is loaded.
--- a/internal/sim/hollow/standins.go
+++ b/internal/sim/hollow/standins.go
@@ -32,7 +32,7 @@
 	world := &StandIns{plan: plan, byHost: map[string]*standIn{}}
 	for index := range plan.Replicas {
 		host := plan.replicaHost(index)
-		server := &standIn{loaded: standin.NewHoldings()}
+		server := &standIn{loaded: standin.NewModelSet()}
 		server.listed = discovery.Replica{
 			ID:       fmt.Sprintf("i-%08x", index+1),
 			Backend:  serviceName,
@@ -118,7 +118,7 @@
 		} else {
 			server.incarnation++
 			server.listed.ID = fmt.Sprintf("%s-%d", server.listed.ID, server.incarnation)
-			server.loaded = standin.NewHoldings()
+			server.loaded = standin.NewModelSet()
 			server.sequence = 0
 			server.highestFence = 0
 			server.busyUntil = time.Time{}
--- a/internal/test/integration/standin_orders_test.go
+++ b/internal/test/integration/standin_orders_test.go
@@ -206,7 +206,7 @@
 		}
 		s.models[instruction.reference()] = true
 		if !instruction.isLoad() {
-			s.models.Drop(instruction.reference())
+			s.models.Remove(instruction.reference())
 		}
 		s.recordReport()
 	})
@@ -216,7 +216,7 @@
 func (s *standInReplica) restart() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.models = standin.NewHoldings()
+	s.models = standin.NewModelSet()
 	s.orderState.incarnation++
 	s.orderState.sequence, s.orderState.highestFence, s.orderState.busyUntil, s.orderState.history = 0, 0, time.Time{}, nil
 	s.recordReport()
--- a/internal/test/integration/standin_replica_test.go
+++ b/internal/test/integration/standin_replica_test.go
@@ -24,7 +24,7 @@
 type standInReplica struct {
 	lock             sync.Mutex
 	listed           discovery.Replica
-	models           standin.Holdings
+	models           standin.ModelSet
 	executions       []execution
 	orders           []receivedOrder
 	orderState       orderState
@@ -60,7 +60,7 @@
 }
 
 func newStandInReplica(id, host, zone string, models ...string) *standInReplica {
-	standIn := &standInReplica{models: standin.NewHoldings(models...), events: 5, loadTime: 2 * time.Second, orderState: newOrderState()}
+	standIn := &standInReplica{models: standin.NewModelSet(models...), events: 5, loadTime: 2 * time.Second, orderState: newOrderState()}
 	standIn.listed = discovery.Replica{
 		ID:       id,
 		Backend:  serviceName,
