--- a/internal/sim/emulator/attempt.go
+++ b/internal/sim/emulator/attempt.go
@@ -22,10 +22,10 @@
 	forwardNumber int
 	// forwards counts the forwards that reached a replica.
 	forwards int
-	// unreached counts the forwards that found no connection.
-	unreached int
-	// mayHaveRun is set once a forward failed without proof that nothing was executed.
-	mayHaveRun bool
+	// connectFailures counts the forwards that found no connection.
+	connectFailures int
+	// mayHaveExecuted is set once a forward failed without proof that nothing was executed.
+	mayHaveExecuted bool
 	// headSent is set once an event went to the client.
 	headSent bool
 	// lastID is the last event sent to the client, or the one it resumes after.
@@ -33,19 +33,19 @@
 	replicaID string
 	ticket    *routing.Ticket
 	execution *execution
-	// step is the prefill step under way, and decode the replica that is to continue; held is the memory of the prompt once it
+	// prefillStep is the prefill step under way, and decode the replica that is to continue; held is the memory of the prompt once it
 	// was read. prefillFailures counts the prefill replicas that failed.
-	step            *routing.PrefillStep
-	decode          *routing.Replica
+	prefillStep     *routing.PrefillStep
+	decodeReplica   *routing.Replica
 	held            *heldPrompt
 	prefillFailures int
-	lastByte        time.Time
-	// lastReported is when the matcher was last notified that the stream is alive.
-	lastReported time.Time
-	// firstSeen is set once the current forward has answered.
-	firstSeen bool
-	closed    bool
-	submitted time.Time
+	lastByteAt      time.Time
+	// lastReportedAt is when the matcher was last notified that the stream is alive.
+	lastReportedAt time.Time
+	// firstEventSeen is set once the current forward has answered.
+	firstEventSeen bool
+	closed         bool
+	enqueuedAt     time.Time
 }
 
 const (
@@ -53,12 +53,12 @@
 	connectTimeout = 400 * time.Millisecond
 	// silenceTimeout is how long an edge waits for the next byte of a replica.
 	silenceTimeout = 3 * time.Second
-	// idleTime is how long an unused connection to a replica is kept.
-	idleTime = 3 * time.Second
-	// aliveEvery is how often the matcher is notified that a stream goes on.
-	aliveEvery = 250 * time.Millisecond
-	// unreachedBound is how many forwards without a connection an attempt may make.
-	unreachedBound = 4
+	// idleConnectionTimeout is how long an unused connection to a replica is kept.
+	idleConnectionTimeout = 3 * time.Second
+	// progressReportInterval is how often the matcher is notified that a stream goes on.
+	progressReportInterval = 250 * time.Millisecond
+	// maxConnectFailures is how many forwards without a connection an attempt may make.
+	maxConnectFailures = 4
 )
 
 // isOver reports whether the attempt is closed or its edge has died since.
@@ -69,11 +69,11 @@
 // enqueue gives the request to the matcher, for the first time or again.
 func (p *attempt) enqueue() {
 	request := p.request
-	p.pending, p.submitted = &request, p.edge.world.now()
+	p.pending, p.enqueuedAt = &request, p.edge.world.now()
 	request.Resumed = p.headSent
 	p.edge.waiting = append(p.edge.waiting, p)
 	p.edge.matcher.Enqueue(p.pending)
-	p.edge.collectAnswers()
+	p.edge.processDecisions()
 }
 
 // onCommand follows the matcher's decision: to forward to a replica, or to fail.
@@ -92,7 +92,7 @@
 		return
 	}
 	if command.Prefill != p.request.HeldPrefill {
-		p.dropHeld()
+		p.releaseHeld()
 	}
 	if command.Prefill != nil && p.held == nil {
 		p.prefill(command)
@@ -101,8 +101,8 @@
 	p.forward(w.servers[command.Replica.ID])
 }
 
-// neverRan holds the outcomes that prove that the replica executed nothing of the request.
-var neverRan = map[routing.Outcome]bool{
+// notExecutedOutcomes holds the outcomes that prove that the replica executed nothing of the request.
+var notExecutedOutcomes = map[routing.Outcome]bool{
 	routing.OutcomeFull:         true,
 	routing.OutcomeModelMissing: true,
 	routing.OutcomeUnreachable:  true,
@@ -115,7 +115,7 @@
 	if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 		return
 	}
-	if p.step != nil {
+	if p.prefillStep != nil {
 		p.onPrefillFailure(outcome)
 		return
 	}
@@ -124,29 +124,29 @@
 		p.request.ExcludedReplicas[p.held.server.id] = true
 	}
 	if p.held != nil && outcome != routing.OutcomeUnreachable && outcome != routing.OutcomeModelMissing {
-		p.dropHeld()
+		p.releaseHeld()
 	}
 	if outcome == routing.OutcomeUnreachable {
-		p.unreached++
+		p.connectFailures++
 	} else {
 		p.forwards++
 	}
 	p.reportOutcome(outcome)
-	p.hangUp()
-	p.mayHaveRun = p.mayHaveRun || !neverRan[outcome]
+	p.closeConnection()
+	p.mayHaveExecuted = p.mayHaveExecuted || !notExecutedOutcomes[outcome]
 	p.request.ExcludedReplicas[p.replicaID] = true
 	class := p.call.class
 	switch {
-	case !neverRan[outcome] && (!class.Resumable || p.headSent && p.lastID == 0):
+	case !notExecutedOutcomes[outcome] && (!class.Resumable || p.headSent && p.lastID == 0):
 		p.fail(apierror.New(apierror.ReplicaFailed, ""))
-	case p.forwards < max(class.RetryCount, 1) && p.unreached < unreachedBound:
+	case p.forwards < max(class.RetryCount, 1) && p.connectFailures < maxConnectFailures:
 		p.enqueue()
-	case neverRan[outcome] && !p.mayHaveRun:
+	case notExecutedOutcomes[outcome] && !p.mayHaveExecuted:
 		p.fail(apierror.NewRetryable(apierror.NotExecuted, 50*time.Millisecond))
 	default:
 		p.fail(apierror.New(apierror.ReplicaFailed, ""))
 	}
-	p.edge.collectAnswers()
+	p.edge.processDecisions()
 }
 
 // reportOutcome gives the forward's final outcome to the matcher.
@@ -156,21 +156,21 @@
 	p.edge.reportOutcome(ticket, outcome)
 }
 
-// toClient acts at the client after the link's delay.
-func (p *attempt) toClient(act func()) { p.edge.afterLink(p.call.request.Zone, act) }
+// sendToClient acts at the client after the link's delay.
+func (p *attempt) sendToClient(act func()) { p.edge.afterLink(p.call.request.Zone, act) }
 
 // reject answers the client that nothing was executed and when to come back.
 func (p *attempt) reject(wait time.Duration) {
 	p.closed = true
-	p.toClient(func() { p.call.onRejected(p.number, wait) })
+	p.sendToClient(func() { p.call.onRejected(p.number, wait) })
 }
 
 // fail answers with an error: a rejection if nothing was executed, a truncated answer otherwise.
 func (p *attempt) fail(failure *apierror.Error) {
-	p.dropHeld()
-	if p.headSent || p.mayHaveRun || failure.Kind.Status() != http.StatusServiceUnavailable {
+	p.releaseHeld()
+	if p.headSent || p.mayHaveExecuted || failure.Kind.Status() != http.StatusServiceUnavailable {
 		p.closed = true
-		p.toClient(func() { p.call.onBroken(p.number) })
+		p.sendToClient(func() { p.call.onTruncated(p.number) })
 		return
 	}
 	p.reject(failure.RetryAfter)
@@ -182,10 +182,10 @@
 		return
 	}
 	p.closed = true
-	p.dropHeld()
-	if p.step != nil {
-		p.edge.reportOutcome(p.step.Ticket, routing.OutcomeCancelled)
-		p.step = nil
+	p.releaseHeld()
+	if p.prefillStep != nil {
+		p.edge.reportOutcome(p.prefillStep.Ticket, routing.OutcomeCancelled)
+		p.prefillStep = nil
 	}
 	if p.pending != nil {
 		p.edge.removeWaiting(p)
@@ -193,7 +193,7 @@
 		p.pending = nil
 	} else if p.ticket != nil {
 		p.reportOutcome(routing.OutcomeCancelled)
-		p.hangUp()
+		p.closeConnection()
 	}
-	p.edge.collectAnswers()
+	p.edge.processDecisions()
 }
--- a/internal/sim/emulator/call.go
+++ b/internal/sim/emulator/call.go
@@ -12,18 +12,18 @@
 	world        *World
 	request      *Request
 	class        *Class
-	began        time.Time
+	startedAt    time.Time
 	deadline     time.Time
 	attemptsMade int
 	// received is the id of the last event received; 0 before the first.
-	received  int
-	first     time.Time
-	lastEvent time.Time
-	// pause is the longest gap between two events.
-	pause        time.Duration
-	lastReceived time.Time
-	// reason is the outcome that counts if no further attempt is made.
-	reason string
+	received     int
+	firstEventAt time.Time
+	lastEventAt  time.Time
+	// maxEventGap is the longest gap between two events.
+	maxEventGap    time.Duration
+	lastActivityAt time.Time
+	// fallbackOutcome is the outcome that counts if no further attempt is made.
+	fallbackOutcome string
 	// attempt is the one under way, or nil.
 	attempt *attempt
 	ended   bool
@@ -51,13 +51,13 @@
 )
 
 const (
-	// clientConnect is how long a client waits for a connection to a dead edge.
-	clientConnect = time.Second
-	// brokenPause is how long a client waits before it resumes a truncated stream.
-	brokenPause = 50 * time.Millisecond
-	// returnedSlack is how much of the timeout a first attempt may have lost on its way before it is
+	// clientConnectTimeout is how long a client waits for a connection to a dead edge.
+	clientConnectTimeout = time.Second
+	// resumeDelay is how long a client waits before it resumes a truncated stream.
+	resumeDelay = 50 * time.Millisecond
+	// clientRetryMargin is how much of the timeout a first attempt may have lost on its way before it is
 	// taken for one that returns after a rejection.
-	returnedSlack = 20 * time.Millisecond
+	clientRetryMargin = 20 * time.Millisecond
 )
 
 // targetLatency is the class's target for the first token.
@@ -68,11 +68,11 @@
 	return max(2*time.Second, 4*c.targetLatency(), 8*milliseconds(c.class.TokenGapMs))
 }
 
-// begin starts the request at the moment of its arrival.
-func (c *call) begin() {
-	c.began = c.world.now()
-	c.deadline = c.began.Add(milliseconds(c.class.TimeoutMs))
-	c.reason = outcomeExpired
+// start starts the request at the moment of its arrival.
+func (c *call) start() {
+	c.startedAt = c.world.now()
+	c.deadline = c.startedAt.Add(milliseconds(c.class.TimeoutMs))
+	c.fallbackOutcome = outcomeExpired
 	c.notLoaded = !c.world.isLoadedAnywhere(c.request.Model)
 	c.world.events.At(c.deadline, func() { c.finish(outcomeExpired) })
 	c.sendAttempt()
@@ -84,35 +84,35 @@
 		return
 	}
 	if c.attemptsMade >= c.class.Attempts {
-		c.finish(c.reason)
+		c.finish(c.fallbackOutcome)
 		return
 	}
 	c.attemptsMade++
 	attemptNumber := c.attemptsMade
 	chosen := c.world.chooseEdge(c.request.Zone, c.request.Draw, attemptNumber)
 	if chosen == nil || !chosen.alive {
-		c.reason = outcomeSilent
-		c.world.events.After(clientConnect, func() { c.retryIfCurrent(attemptNumber) })
+		c.fallbackOutcome = outcomeSilent
+		c.world.events.After(clientConnectTimeout, func() { c.retryIfCurrent(attemptNumber) })
 		return
 	}
-	c.lastReceived = c.world.now()
+	c.lastActivityAt = c.world.now()
 	clientAttempt := &attempt{call: c, edge: chosen, incarnation: chosen.incarnation, number: attemptNumber, lastID: c.received}
 	c.attempt = clientAttempt
 	chosen.afterLink(c.request.Zone, func() {
 		if clientAttempt.isOver() {
 			return
 		}
-		clientAttempt.request = c.matchRequest(chosen, attemptNumber)
+		clientAttempt.request = c.routingRequest(chosen, attemptNumber)
 		chosen.accept(clientAttempt)
 	})
 	c.watchSilence(attemptNumber, c.silenceTimeout())
 }
 
-// matchRequest describes this request as the given edge's matcher sees it on arrival now.
-func (c *call) matchRequest(at *edge, attemptNumber int) routing.Request {
+// routingRequest describes this request as the given edge's matcher sees it on arrival now.
+func (c *call) routingRequest(at *edge, attemptNumber int) routing.Request {
 	now := c.world.now()
 	remaining := c.deadline.Sub(now)
-	firstRemaining := milliseconds(c.class.TimeoutMs) - returnedSlack - c.world.linkDelay(at.zone, c.request.Zone)
+	firstRemaining := milliseconds(c.class.TimeoutMs) - clientRetryMargin - c.world.linkDelay(at.zone, c.request.Zone)
 	return routing.Request{
 		AttemptID:        fmt.Sprintf("%d.%d", c.request.Number, attemptNumber),
 		Backend:          backendName,
@@ -150,11 +150,11 @@
 		if c.isStale(attemptNumber) || c.attempt == nil {
 			return
 		}
-		if left := c.silenceTimeout() - c.world.now().Sub(c.lastReceived); left > 0 {
+		if left := c.silenceTimeout() - c.world.now().Sub(c.lastActivityAt); left > 0 {
 			c.watchSilence(attemptNumber, left)
 			return
 		}
-		c.reason = outcomeSilent
+		c.fallbackOutcome = outcomeSilent
 		c.abandonAttempt()
 		if !c.class.Resumable {
 			c.finish(outcomeSilent)
@@ -182,13 +182,13 @@
 		c.world.recordViolation("request %d of %s: event %d after %d", c.request.Number, c.class.Name, id, c.received)
 	}
 	if c.received == 0 {
-		c.first = now
+		c.firstEventAt = now
 	} else {
-		c.pause = max(c.pause, now.Sub(c.lastEvent))
+		c.maxEventGap = max(c.maxEventGap, now.Sub(c.lastEventAt))
 	}
 	c.received = id
-	c.lastEvent = now
-	c.lastReceived = now
+	c.lastEventAt = now
+	c.lastActivityAt = now
 	if id == c.request.Output {
 		c.attempt = nil
 		c.finish(outcomeServed)
@@ -200,21 +200,21 @@
 	if c.isStale(attemptNumber) {
 		return
 	}
-	c.attempt, c.reason = nil, outcomeRejected
+	c.attempt, c.fallbackOutcome = nil, outcomeRejected
 	c.world.events.After(min(wait, c.deadline.Sub(c.world.now())/3), func() { c.retryIfCurrent(attemptNumber) })
 }
 
-// onBroken resumes a truncated answer if the class allows it and ends the call otherwise.
-func (c *call) onBroken(attemptNumber int) {
+// onTruncated resumes a truncated answer if the class allows it and ends the call otherwise.
+func (c *call) onTruncated(attemptNumber int) {
 	if c.isStale(attemptNumber) {
 		return
 	}
-	c.attempt, c.reason = nil, outcomeBroken
+	c.attempt, c.fallbackOutcome = nil, outcomeBroken
 	if !c.class.Resumable {
 		c.finish(outcomeBroken)
 		return
 	}
-	c.world.events.After(brokenPause, func() { c.retryIfCurrent(attemptNumber) })
+	c.world.events.After(resumeDelay, func() { c.retryIfCurrent(attemptNumber) })
 }
 
 // finish ends the call once, with the given outcome, and notifies the observer.
@@ -232,7 +232,7 @@
 // inTime reports whether the call was served with its first token within the target and no gap beyond
 // the class's gap.
 func (c *call) inTime() bool {
-	return c.outcome == outcomeServed && c.first.Sub(c.began) <= c.targetLatency() && c.pause <= milliseconds(c.class.TokenGapMs)
+	return c.outcome == outcomeServed && c.firstEventAt.Sub(c.startedAt) <= c.targetLatency() && c.maxEventGap <= milliseconds(c.class.TokenGapMs)
 }
 
 // firstTokenMs is the time to the first token in milliseconds, or 0 if none came.
@@ -240,5 +240,5 @@
 	if c.received == 0 {
 		return 0
 	}
-	return inMilliseconds(c.first.Sub(c.began))
+	return inMilliseconds(c.firstEventAt.Sub(c.startedAt))
 }
--- a/internal/sim/emulator/check.go
+++ b/internal/sim/emulator/check.go
@@ -9,15 +9,15 @@
 
 // rule is one condition of a scenario's check and what is said if it is broken.
 type rule struct {
-	wrong   bool
-	message string
+	violated bool
+	message  string
 }
 
 // Check judges the scenario; the error names everything that is wrong.
 func (s Scenario) Check() error {
 	rules := s.fleetRules()
 	rules = append(rules, s.replicaRules()...)
-	rules = append(rules, s.splitRules()...)
+	rules = append(rules, s.disaggregationRules()...)
 	rules = append(rules, s.modelRules()...)
 	rules = append(rules, s.trafficRules()...)
 	rules = append(rules, s.policyRules()...)
@@ -26,7 +26,7 @@
 	rules = append(rules, s.failureRules()...)
 	var wrong []string
 	for _, condition := range rules {
-		if condition.wrong {
+		if condition.violated {
 			wrong = append(wrong, condition.message)
 		}
 	}
@@ -66,8 +66,8 @@
 	}
 }
 
-// splitRules judges the model of prefill and decode apart.
-func (s Scenario) splitRules() []rule {
+// disaggregationRules judges the model of prefill and decode apart.
+func (s Scenario) disaggregationRules() []rule {
 	return []rule{
 		{s.Disaggregation.PrefillShare < 0 || s.Disaggregation.PrefillShare >= 1, "split.prefillShare must be at least 0 and below 1"},
 		{s.Disaggregation.LinkMbps <= 0 || s.Disaggregation.KvTokenBytes <= 0, "split.linkMbps and kvTokenBytes must be above 0"},
--- a/internal/sim/emulator/controlplane.go
+++ b/internal/sim/emulator/controlplane.go
@@ -35,21 +35,21 @@
 	tracked map[string]*trackedReplica
 	// loadedBefore holds the references that any incarnation at each address has had loaded, so that its disk may have them.
 	loadedBefore map[string]map[string]bool
-	// loads are the moments of the last loads from the store, for the store's rate.
-	loads []time.Time
+	// recentStoreLoads are the moments of the last loads from the store, for the store's rate.
+	recentStoreLoads []time.Time
 }
 
 const (
-	// planEvery is how often the planner runs.
-	planEvery = 100 * time.Millisecond
+	// planInterval is how often the planner runs.
+	planInterval = 100 * time.Millisecond
 	// storeLoadTimeShare is the share of a model's load time within which one from the store never ends.
 	storeLoadTimeShare = 0.5
-	// reportLag is how long after a change a replica is asked for its report.
-	reportLag = 250 * time.Millisecond
-	// cordonTime is how long edges are given to hear of an unload before the replica does.
-	cordonTime = 220 * time.Millisecond
-	// originPeriod is the period over which the store's rate of loads is kept.
-	originPeriod = 5 * time.Second
+	// reportDelay is how long after a change a replica is asked for its report.
+	reportDelay = 250 * time.Millisecond
+	// cordonDelay is how long edges are given to hear of an unload before the replica does.
+	cordonDelay = 220 * time.Millisecond
+	// storeRatePeriod is the period over which the store's rate of loads is kept.
+	storeRatePeriod = 5 * time.Second
 )
 
 // newControlPlane starts the holder in a zone; one that succeeds another takes over its rates and
@@ -66,7 +66,7 @@
 	if before != nil {
 		c.demand.inherit(before.demand, world.now())
 		c.loadedBefore = before.loadedBefore
-		c.loads = before.loads
+		c.recentStoreLoads = before.recentStoreLoads
 	}
 	c.scheduleRefresh()
 	c.schedulePlan()
@@ -85,7 +85,7 @@
 
 // schedulePlan runs the planner in every planning period.
 func (c *controlPlane) schedulePlan() {
-	c.world.events.After(planEvery, func() {
+	c.world.events.After(planInterval, func() {
 		if c.alive {
 			c.planOnce()
 			c.schedulePlan()
@@ -99,7 +99,7 @@
 	w := c.world
 	w.events.After(seconds(w.scenario.Platform.TakeoverS), func() {
 		for _, dataPlane := range w.edges {
-			if dataPlane.alive && !w.lost[dataPlane.zone] {
+			if dataPlane.alive && !w.lostZones[dataPlane.zone] {
 				w.control = newControlPlane(w, dataPlane.zone, c)
 				w.control.refresh()
 				return
@@ -123,7 +123,7 @@
 		replica := c.tracked[listed.ID]
 		replica.listed = listed
 		if replica.known {
-			listing[index].Models = holdings(replica.models)
+			listing[index].Models = loadedModels(replica.models)
 		}
 	}
 	for id := range c.tracked {
@@ -134,8 +134,8 @@
 	c.publishRoster(listing, now)
 }
 
-// holdings lists a set of references as the platform's list does.
-func holdings(models map[string]bool) []discovery.LoadedModel {
+// loadedModels lists a set of references as the platform's list does.
+func loadedModels(models map[string]bool) []discovery.LoadedModel {
 	return standin.ModelSet(models).List()
 }
 
@@ -169,7 +169,7 @@
 		for reference := range target.loaded {
 			models[reference] = true
 		}
-		c.world.events.After(reportLag+wait, func() { c.applyReport(id, models) })
+		c.world.events.After(reportDelay+wait, func() { c.applyReport(id, models) })
 	})
 }
 
@@ -179,7 +179,7 @@
 	if replica == nil || !c.alive {
 		return
 	}
-	c.creditDiskLoad(replica, models)
+	c.refundDiskLoad(replica, models)
 	replica.models = models
 	replica.known = true
 	replica.pending = nil
--- a/internal/sim/emulator/copies.go
+++ b/internal/sim/emulator/copies.go
@@ -16,9 +16,9 @@
 	inZone   []map[int]int
 }
 
-// spreadCopies returns the references that each machine has loaded at the beginning, by the machine's
+// placeInitialCopies returns the references that each machine has loaded at the beginning, by the machine's
 // index.
-func spreadCopies(scenario Scenario) [][]string {
+func placeInitialCopies(scenario Scenario) [][]string {
 	l := &copyPlacement{scenario: scenario, copies: make([]int, scenario.Models.Count)}
 	for index, zone := range scenario.Zones {
 		for range zone.Replicas {
--- a/internal/sim/emulator/demand.go
+++ b/internal/sim/emulator/demand.go
@@ -23,8 +23,8 @@
 	reports map[int]loadReport
 	// arrivals counts the requests since the last measure, by key.
 	arrivals map[string]float64
-	// readMs sums the time spent reading prompts since the last measure, by key.
-	readMs map[string]float64
+	// prefillMs sums the time spent reading prompts since the last measure, by key.
+	prefillMs map[string]float64
 	// byKey is the demand by backend and model.
 	byKey map[string]*placement.Demand
 	// learningSince is when demand was first reported; zero before.
@@ -33,33 +33,33 @@
 }
 
 const (
-	// rateSpan is the time constant of the averaged rates, in seconds.
-	rateSpan = 8.0
-	// learnTime is how long a new holder listens before it trusts its demand.
-	learnTime = 6 * time.Second
+	// rateTimeConstantS is the time constant of the averaged rates, in seconds.
+	rateTimeConstantS = 8.0
+	// learningPeriod is how long a new holder listens before it trusts its demand.
+	learningPeriod = 6 * time.Second
 	// loadSumExpiry is how long an edge's load counts in the sums that the others receive.
 	loadSumExpiry = 2 * time.Second
 	// loadExpiry is how long an edge's waiting requests count.
 	loadExpiry = 1500 * time.Millisecond
-	// forgetAfter is how long a silent edge is remembered.
-	forgetAfter = 10 * time.Second
+	// reportRetention is how long a silent edge is remembered.
+	reportRetention = 10 * time.Second
 	// suspicionExpiry is how long an edge's suspicion of a replica counts.
 	suspicionExpiry = time.Second
-	// suspectEnough is how many edges must suspect a replica.
-	suspectEnough = 2
-	// exactUnit is the grid that rates are rounded to, so that sums do not depend on their order.
-	exactUnit = 720720.0 / (1 << 30)
+	// minSuspecting is how many edges must suspect a replica.
+	minSuspecting = 2
+	// rateGrid is the grid that rates are rounded to, so that sums do not depend on their order.
+	rateGrid = 720720.0 / (1 << 30)
 )
 
-// exact rounds to a grid on which sums do not depend on the order of their terms.
-func exact(value float64) float64 { return math.Round(value/exactUnit) * exactUnit }
+// roundToGrid rounds to a grid on which sums do not depend on the order of their terms.
+func roundToGrid(value float64) float64 { return math.Round(value/rateGrid) * rateGrid }
 
 // newDemand knows nothing yet.
 func newDemand(now time.Time) *demand {
 	return &demand{
 		reports:    map[int]loadReport{},
 		arrivals:   map[string]float64{},
-		readMs:     map[string]float64{},
+		prefillMs:  map[string]float64{},
 		byKey:      map[string]*placement.Demand{},
 		measuredAt: now,
 	}
@@ -67,20 +67,20 @@
 
 // inherit takes over the demand of the holder before.
 func (d *demand) inherit(before *demand, now time.Time) {
-	d.byKey = before.copied()
-	d.learningSince = now.Add(-learnTime)
+	d.byKey = before.cloneByKey()
+	d.learningSince = now.Add(-learningPeriod)
 }
 
-// learned reports whether the demand was reported for long enough to plan by.
-func (d *demand) learned(now time.Time) bool {
-	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learnTime
+// isLearned reports whether the demand was reported for long enough to plan by.
+func (d *demand) isLearned(now time.Time) bool {
+	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learningPeriod
 }
 
 // liveEdges counts the edges that have reported lately.
 func (d *demand) liveEdges(now time.Time) int {
 	live := 0
 	for _, report := range d.reports {
-		if now.Sub(report.at) < forgetAfter {
+		if now.Sub(report.at) < reportRetention {
 			live++
 		}
 	}
@@ -100,23 +100,23 @@
 	for _, model := range load.Models {
 		name := placement.ModelKey(model.Backend, model.Model)
 		d.arrivals[name] += float64(model.Arrivals)
-		d.readMs[name] += model.PrefillMs
+		d.prefillMs[name] += model.PrefillMs
 	}
-	outlook := map[string]peer.ReplicaLoad{}
+	summedLoads := map[string]peer.ReplicaLoad{}
 	for _, number := range d.reportingEdges() {
 		other := d.reports[number]
 		if number == edge || now.Sub(other.at) > loadSumExpiry {
 			continue
 		}
 		for id, reported := range other.load.Replicas {
-			sum := outlook[id]
+			sum := summedLoads[id]
 			sum.Running += reported.Running
 			sum.Tokens += reported.Tokens
 			sum.PrefillTokens += reported.PrefillTokens
-			outlook[id] = sum
+			summedLoads[id] = sum
 		}
 	}
-	return outlook
+	return summedLoads
 }
 
 // entry is the demand for a key, made on first use.
@@ -127,30 +127,30 @@
 	return d.byKey[name]
 }
 
-// measure brings the averaged rates up to date, at most every quarter of a second, and sums the
+// updateRates brings the averaged rates up to date, at most every quarter of a second, and sums the
 // reports.
-func (d *demand) measure(now time.Time) {
+func (d *demand) updateRates(now time.Time) {
 	defer d.sumReports(now)
 	span := now.Sub(d.measuredAt).Seconds()
 	if span < 0.25 {
 		return
 	}
 	d.measuredAt = now
-	share := min(span/rateSpan, 1)
+	share := min(span/rateTimeConstantS, 1)
 	for name, amount := range d.arrivals {
 		if entry := d.entry(name); amount > 0 {
 			entry.LastRequestAt = now
 		}
 	}
 	for name, entry := range d.byKey {
-		entry.Rate = exact(entry.Rate + share*(d.arrivals[name]/span-entry.Rate))
-		entry.PrefillLoad = exact(entry.PrefillLoad + share*(d.readMs[name]/span/1000-entry.PrefillLoad))
+		entry.Rate = roundToGrid(entry.Rate + share*(d.arrivals[name]/span-entry.Rate))
+		entry.PrefillLoad = roundToGrid(entry.PrefillLoad + share*(d.prefillMs[name]/span/1000-entry.PrefillLoad))
 		if entry.Rate < 0.003 {
 			entry.Rate = 0
 		}
 	}
 	d.arrivals = map[string]float64{}
-	d.readMs = map[string]float64{}
+	d.prefillMs = map[string]float64{}
 }
 
 // sumReports sums what waits and runs over the edges that have reported lately.
@@ -163,7 +163,7 @@
 	for _, number := range d.reportingEdges() {
 		report := d.reports[number]
 		age := now.Sub(report.at)
-		if age > forgetAfter {
+		if age > reportRetention {
 			delete(d.reports, number)
 		}
 		if age > loadExpiry {
@@ -182,8 +182,8 @@
 	}
 }
 
-// copied is a deep copy of the demand.
-func (d *demand) copied() map[string]*placement.Demand {
+// cloneByKey is a deep copy of the demand.
+func (d *demand) cloneByKey() map[string]*placement.Demand {
 	copies := make(map[string]*placement.Demand, len(d.byKey))
 	for name, entry := range d.byKey {
 		same := *entry
@@ -204,5 +204,5 @@
 			suspected++
 		}
 	}
-	return suspected >= suspectEnough || suspected > 0 && suspected == reporting
+	return suspected >= minSuspecting || suspected > 0 && suspected == reporting
 }
--- a/internal/sim/emulator/demo/address.go
+++ b/internal/sim/emulator/demo/address.go
@@ -8,23 +8,23 @@
 	"github.com/pkg/errors"
 )
 
-// portTries is how many ports are tried for one that is free on all addresses.
-const portTries = 50
+// maxPortAttempts is how many ports are tried for one that is free on all addresses.
+const maxPortAttempts = 50
 
 // loopbackAddress is the loopback address of a number.
 func loopbackAddress(number int) string { return fmt.Sprintf("127.0.0.%d", number) }
 
 // freePorts finds the first of an amount of TCP ports in a row that are free on all the hosts at the moment; they may be
 // taken before they are used.
-func freePorts(amount int, hosts ...string) (int, error) {
-	for range portTries {
+func freePorts(count int, hosts ...string) (int, error) {
+	for range maxPortAttempts {
 		first, err := net.Listen("tcp", net.JoinHostPort(hosts[0], "0"))
 		if err != nil {
 			return 0, errors.Wrap(err, "no free port on loopback")
 		}
 		port := first.Addr().(*net.TCPAddr).Port
 		first.Close()
-		if allFree(port, amount, hosts) {
+		if allFree(port, count, hosts) {
 			return port, nil
 		}
 	}
@@ -38,9 +38,9 @@
 }
 
 // allFree reports whether an amount of ports in a row are free on all the hosts.
-func allFree(port, amount int, hosts []string) bool {
+func allFree(port, count int, hosts []string) bool {
 	for _, host := range hosts {
-		for offset := range amount {
+		for offset := range count {
 			listener, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port+offset)))
 			if err != nil {
 				return false
--- a/internal/sim/emulator/demo/demo.go
+++ b/internal/sim/emulator/demo/demo.go
@@ -53,8 +53,8 @@
 	s := &deployment{plan: planned, programs: options.ProgramDir}
 	defer s.close()
 	steps := []struct {
-		says string
-		act  func() error
+		progress string
+		act      func() error
 	}{
 		{"", func() error { return s.makeFolder(options.LogDir) }},
 		{"starting stand-in replicas and a platform list", s.startReplicas},
@@ -64,8 +64,8 @@
 		},
 	}
 	for _, step := range steps {
-		if step.says != "" {
-			fmt.Fprintln(options.Progress, step.says)
+		if step.progress != "" {
+			fmt.Fprintln(options.Progress, step.progress)
 		}
 		if err := step.act(); err != nil {
 			return result, err
@@ -84,18 +84,18 @@
 		<-ctx.Done()
 		return result, nil
 	}
-	return result, result.fault()
+	return result, result.incompleteError()
 }
 
 // send sends the streams, to the data planes in turn.
-func (d *deployment) send(ctx context.Context, amount int) []StreamResult {
-	served := make([]StreamResult, amount)
-	places := make(chan struct{}, maxConcurrentStreams)
+func (d *deployment) send(ctx context.Context, count int) []StreamResult {
+	served := make([]StreamResult, count)
+	slots := make(chan struct{}, maxConcurrentStreams)
 	var group sync.WaitGroup
 	for number := range served {
-		places <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			request := d.plan.Streams[number%len(d.plan.Streams)]
 			served[number] = sendRequest(ctx, http.DefaultClient, number+1, d.edges[number%len(d.edges)], d.host(), request)
 		})
@@ -107,8 +107,8 @@
 // host is the hostname that the routes serve.
 func (d *deployment) host() string { return d.plan.configuration.Routes[0].Hostname }
 
-// fault is an error if a stream was not served completely.
-func (r Result) fault() error {
+// incompleteError is an error if a stream was not served completely.
+func (r Result) incompleteError() error {
 	broken := 0
 	for _, served := range r.Streams {
 		if !served.Complete {
--- a/internal/sim/emulator/demo/deployment.go
+++ b/internal/sim/emulator/demo/deployment.go
@@ -21,10 +21,10 @@
 	plan     plan
 	programs string
 	folder   string
-	// internal is the port of the daemons' connections among themselves.
-	internal int
-	controls []string
-	edges    []string
+	// internalPort is the port of the daemons' connections among themselves.
+	internalPort int
+	controls     []string
+	edges        []string
 	// ready are the readiness addresses of the data planes.
 	ready    []string
 	platform string
@@ -74,9 +74,9 @@
 	return err
 }
 
-// startTries is how often the daemons are started if one ends at once, as when a free port was
+// maxStartAttempts is how often the daemons are started if one ends at once, as when a free port was
 // taken meanwhile.
-const startTries = 3
+const maxStartAttempts = 3
 
 // startAll starts the daemons, sends the configuration and waits until all data planes are ready.
 func (d *deployment) startAll(ctx context.Context, controls int) error {
@@ -94,7 +94,7 @@
 		if err == nil {
 			err = d.awaitReady(ctx)
 		}
-		if err == nil || attempt == startTries || !d.lostChild() {
+		if err == nil || attempt == maxStartAttempts || !d.hasExitedChild() {
 			return err
 		}
 		for _, process := range d.children {
@@ -107,8 +107,8 @@
 	}
 }
 
-// lostChild reports whether a child has ended.
-func (d *deployment) lostChild() bool {
+// hasExitedChild reports whether a child has ended.
+func (d *deployment) hasExitedChild() bool {
 	return slices.ContainsFunc(d.children, func(process *child) bool { return !process.alive() })
 }
 
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	d.internal = port
+	d.internalPort = port
 	for _, host := range hosts {
 		address, err := freeAddress(host)
 		if err != nil {
--- a/internal/sim/emulator/demo/settings.go
+++ b/internal/sim/emulator/demo/settings.go
@@ -28,7 +28,7 @@
 		"zone":           node.zone,
 		"region":         d.plan.Zones[node.zone],
 		"bootstrap":      true,
-		"internalPorts":  []int{d.internal, d.internal + len(d.plan.DataPlanes)},
+		"internalPorts":  []int{d.internalPort, d.internalPort + len(d.plan.DataPlanes)},
 		"seedNodes":      d.controls,
 		"zones":          zones,
 		"bindAddresses":  node.bind,
--- a/internal/sim/emulator/split.go
+++ b/internal/sim/emulator/disaggregation.go
@@ -26,12 +26,12 @@
 }
 
 const (
-	// decodeReadFactor and decodeChunkShare: a decode replica reads prompts slower and in smaller pieces.
-	decodeReadFactor = 2.0
-	decodeChunkShare = 0.25
-	// otherZoneMove and otherRegionMove lengthen a move.
-	otherZoneMove   = 2.0
-	otherRegionMove = 10.0
+	// decodePrefillSlowdown and decodeChunkShare: a decode replica reads prompts slower and in smaller pieces.
+	decodePrefillSlowdown = 2.0
+	decodeChunkShare      = 0.25
+	// crossZoneTransferFactor and otherRegionMove lengthen a move.
+	crossZoneTransferFactor   = 2.0
+	crossRegionTransferFactor = 10.0
 	// maxPrefillFailures is after how many failures a request goes on without a prefill replica.
 	maxPrefillFailures = 2
 )
@@ -51,17 +51,17 @@
 type heldPrompt struct {
 	server *server
 	run    *execution
-	// gone is set once it was taken, freed or lapsed.
-	gone bool
+	// released is set once it was taken, freed or lapsed.
+	released bool
 }
 
 // release frees the memory.
 func (h *heldPrompt) release() {
-	if h.gone {
+	if h.released {
 		return
 	}
-	h.gone = true
-	h.server.cache.pin(h.run.model, h.run.dialogues, -1)
+	h.released = true
+	h.server.cache.pin(h.run.model, h.run.prefixHashes, -1)
 	h.server.cache.release(h.run.reservedTokens)
 	h.server.startStep()
 }
@@ -80,7 +80,7 @@
 // could be had.
 func (s *server) fetch(run *execution) bool {
 	source := run.source
-	if source.gone || source.server.dead {
+	if source.released || source.server.dead {
 		return false
 	}
 	now := s.world.now()
@@ -88,7 +88,7 @@
 	if s.linkFreeAt.After(now) {
 		begin = s.linkFreeAt
 	}
-	s.linkFreeAt = begin.Add(s.moveTime(source))
+	s.linkFreeAt = begin.Add(s.transferTime(source))
 	run.server = s
 	s.fetching++
 	s.world.events.At(s.linkFreeAt, func() {
@@ -103,16 +103,16 @@
 	return true
 }
 
-// moveTime is how long a prompt's memory takes to this server.
-func (s *server) moveTime(source *heldPrompt) time.Duration {
+// transferTime is how long a prompt's memory takes to this server.
+func (s *server) transferTime(source *heldPrompt) time.Duration {
 	split := s.world.scenario.Disaggregation
 	from, to := s.world.scenario.Zones[source.server.machine.zone], s.world.scenario.Zones[s.machine.zone]
 	distance := 1.0
 	switch {
 	case from.Region != to.Region:
-		distance = otherRegionMove
+		distance = crossRegionTransferFactor
 	case from.Name != to.Name:
-		distance = otherZoneMove
+		distance = crossZoneTransferFactor
 	}
 	const bitsPerByte, kilobitsPerMegabit = 8, 1000
 	moveMs := source.run.attempt.call.request.Prompt * split.KvTokenBytes * bitsPerByte / (split.LinkMbps * kilobitsPerMegabit)
@@ -122,11 +122,11 @@
 // prefill has the prompt read by the step's replica first.
 func (p *attempt) prefill(decision routing.Decision) {
 	step := decision.Prefill
-	p.step, p.decode = step, decision.Replica
+	p.prefillStep, p.decodeReplica = step, decision.Replica
 	p.forward(p.edge.world.servers[step.Replica.ID])
 	number := p.forwardNumber
 	p.edge.world.events.After(step.Timeout, func() {
-		if !p.isOver() && p.forwardNumber == number && p.step != nil {
+		if !p.isOver() && p.forwardNumber == number && p.prefillStep != nil {
 			p.onPrefillFailure(routing.OutcomeCancelled)
 		}
 	})
@@ -134,12 +134,12 @@
 
 // onPrefilled goes on at the decode replica, or has another one chosen if that one may not continue.
 func (p *attempt) onPrefilled(number int, held *heldPrompt) {
-	if p.isOver() || p.forwardNumber != number || p.step == nil {
+	if p.isOver() || p.forwardNumber != number || p.prefillStep == nil {
 		held.release()
 		return
 	}
-	step := p.step
-	p.step, p.held = nil, held
+	step := p.prefillStep
+	p.prefillStep, p.held = nil, held
 	p.edge.lastUsed[p.replicaID] = p.edge.world.now()
 	usable := p.edge.matcher.CompletePrefillSync(step)
 	if usable && p.edge.world.scenario.Disaggregation.SequentialSelection {
@@ -150,36 +150,36 @@
 		p.ticket = nil
 		p.request.HeldPrefill = step
 		p.enqueue()
-		p.edge.collectAnswers()
+		p.edge.processDecisions()
 		return
 	}
-	p.forward(p.edge.world.servers[p.decode.ID])
-	p.edge.collectAnswers()
+	p.forward(p.edge.world.servers[p.decodeReplica.ID])
+	p.edge.processDecisions()
 }
 
 // onPrefillFailure tries another prefill replica, or goes on without one.
 func (p *attempt) onPrefillFailure(outcome routing.Outcome) {
-	step := p.step
-	p.step = nil
+	step := p.prefillStep
+	p.prefillStep = nil
 	p.edge.reportOutcome(step.Ticket, outcome)
 	p.reportOutcome(routing.OutcomeCancelled)
-	p.hangUp()
+	p.closeConnection()
 	p.forwardNumber++
 	p.prefillFailures++
 	p.request.ExcludedReplicas[step.Replica.ID] = true
 	isLong := p.request.PromptTokens > routing.MaxColocatedPrefillTokens
 	if outcome == routing.OutcomeCancelled && isLong {
 		p.fail(apierror.NewRetryable(apierror.Overloaded, 100*time.Millisecond))
-		p.edge.collectAnswers()
+		p.edge.processDecisions()
 		return
 	}
 	p.request.NoPrefillStep = outcome == routing.OutcomeCancelled || p.prefillFailures >= maxPrefillFailures
 	p.enqueue()
-	p.edge.collectAnswers()
+	p.edge.processDecisions()
 }
 
-// dropHeld frees the memory that the attempt holds, if any.
-func (p *attempt) dropHeld() {
+// releaseHeld frees the memory that the attempt holds, if any.
+func (p *attempt) releaseHeld() {
 	if p.held == nil {
 		return
 	}
--- a/internal/sim/emulator/split_test.go
+++ b/internal/sim/emulator/disaggregation_test.go
@@ -8,9 +8,9 @@
 	"ferryspar/internal/discovery"
 )
 
-// splitScenario is a fleet of one model whose replicas read prompts or make tokens, with long prompts and short answers.
-func splitScenario(seed uint64, prefillShare float64) Scenario {
-	s := sample(seed)
+// disaggregatedScenario is a fleet of one model whose replicas read prompts or make tokens, with long prompts and short answers.
+func disaggregatedScenario(seed uint64, prefillShare float64) Scenario {
+	s := sampleScenario(seed)
 	s.Models.Count, s.Models.PerReplica, s.Models.Adapters = 1, 1, 0
 	s.Replica.KvCacheTokens = 120000
 	s.Disaggregation.PrefillShare = prefillShare
@@ -40,7 +40,7 @@
 	t.Parallel()
 	for seed := range uint64(3) {
 		for _, inSequence := range []bool{false, true} {
-			scenario := splitScenario(seed, 0.5)
+			scenario := disaggregatedScenario(seed, 0.5)
 			scenario.Disaggregation.SequentialSelection = inSequence
 			scenario.Crashes = []Crash{{AtS: 20, Replica: 2, RestartS: 3}, {AtS: 30, Replica: 5, RestartS: 4}, {AtS: 40, Replica: 1}}
 			world, err := NewWorld(scenario)
@@ -69,7 +69,7 @@
 
 func TestWorld_PrefillReplicasMakeNoTokens(t *testing.T) {
 	t.Parallel()
-	world, err := NewWorld(splitScenario(1, 0.4))
+	world, err := NewWorld(disaggregatedScenario(1, 0.4))
 	assert.NilError(t, err)
 	result := world.Run()
 	assert.DeepEqual(t, result.Violations, []string{})
@@ -77,18 +77,18 @@
 	for _, replica := range world.servers {
 		run := &execution{prefill: replica.machine.phase != discovery.PhasePrefill, model: modelName(0)}
 		run.attempt = world.calls[0].attempt
-		assert.Equal(t, replica.accept(run), admissionMissing, replica.id)
+		assert.Equal(t, replica.accept(run), admissionModelMissing, replica.id)
 	}
 }
 
 func TestServer_MovesGoOneAfterAnotherAndFurtherTakeLonger(t *testing.T) {
-	world, err := NewWorld(splitScenario(1, 0.5))
+	world, err := NewWorld(disaggregatedScenario(1, 0.5))
 	assert.NilError(t, err)
 	request := &Request{Prompt: 10000}
 	source := &heldPrompt{server: world.machines[0].current, run: &execution{attempt: &attempt{call: &call{request: request}}}}
 	near, zone, region := world.machines[1].current, world.machines[4].current, world.machines[8].current
-	assert.Assert(t, near.moveTime(source) < zone.moveTime(source))
-	assert.Assert(t, zone.moveTime(source) < region.moveTime(source))
+	assert.Assert(t, near.transferTime(source) < zone.transferTime(source))
+	assert.Assert(t, zone.transferTime(source) < region.transferTime(source))
 	setup := milliseconds(world.scenario.Disaggregation.SetupMs)
-	assert.Equal(t, region.moveTime(source)-setup, 10*(near.moveTime(source)-setup))
+	assert.Equal(t, region.transferTime(source)-setup, 10*(near.transferTime(source)-setup))
 }
--- a/internal/sim/emulator/edge.go
+++ b/internal/sim/emulator/edge.go
@@ -27,11 +27,11 @@
 	matcher  *routing.Matcher
 	budget   *proxy.RetryBudget
 	roster   roster
-	// othersLoad is the summed load of the other edges, by replica.
-	othersLoad   map[string]peer.ReplicaLoad
-	othersLoadAt time.Time
-	lastReport   peer.LoadReport
-	waiting      []*attempt
+	// peerLoads is the summed load of the other edges, by replica.
+	peerLoads   map[string]peer.ReplicaLoad
+	peerLoadsAt time.Time
+	lastReport  peer.LoadReport
+	waiting     []*attempt
 	// lastUsed is when each replica last sent a byte, by replica id.
 	lastUsed map[string]time.Time
 	// wakeAt is the earliest wake-up scheduled for the matcher.
@@ -49,8 +49,8 @@
 }
 
 const (
-	// loadReportEvery is how often an edge reports its load.
-	loadReportEvery = 300 * time.Millisecond
+	// loadReportInterval is how often an edge reports its load.
+	loadReportInterval = 300 * time.Millisecond
 	// budgetPeriod is the period of the retry budget.
 	budgetPeriod = 10 * time.Second
 	// budgetRatio is the share of requests that may be retried.
@@ -66,25 +66,25 @@
 	e.waiting = nil
 	e.lastUsed = map[string]time.Time{}
 	e.roster = roster{}
-	e.othersLoad = nil
-	e.othersLoadAt = time.Time{}
+	e.peerLoads = nil
+	e.peerLoadsAt = time.Time{}
 	e.wakeAt = time.Time{}
 	e.fleet = atomic.Pointer[routing.Snapshot]{}
 	e.fleet.Store(&routing.Snapshot{})
 	e.matcher = routing.NewMatcher(e.world.scenario.Parameters, e.world.scenario.Zones[e.zone].Name, e.world.now, &e.fleet)
 	e.budget = proxy.NewRetryBudget(proxy.RetryBudgetOptions{Period: budgetPeriod, Ratio: budgetRatio, Slack: budgetSlack})
-	phase := time.Duration(e.number%10) * loadReportEvery / 10
-	e.reportEvery(e.incarnation, phase)
+	phase := time.Duration(e.number%10) * loadReportInterval / 10
+	e.scheduleLoadReport(e.incarnation, phase)
 }
 
-// reportEvery reports the load after the wait and then in every period, until this incarnation ends.
-func (e *edge) reportEvery(incarnation int, wait time.Duration) {
+// scheduleLoadReport reports the load after the wait and then in every period, until this incarnation ends.
+func (e *edge) scheduleLoadReport(incarnation int, wait time.Duration) {
 	e.world.events.After(wait, func() {
 		if !e.alive || e.incarnation != incarnation {
 			return
 		}
 		e.reportLoad()
-		e.reportEvery(incarnation, loadReportEvery)
+		e.scheduleLoadReport(incarnation, loadReportInterval)
 	})
 }
 
@@ -96,17 +96,17 @@
 	}
 	report := e.matcher.CollectLoad()
 	incarnation := e.incarnation
-	core := e.world.control
+	control := e.world.control
 	e.lastReport = report
-	e.afterLink(core.zone, func() {
-		if !core.alive {
+	e.afterLink(control.zone, func() {
+		if !control.alive {
 			return
 		}
-		outlook := core.receiveLoad(e.number, report)
-		e.afterLink(core.zone, func() {
+		summedLoads := control.receiveLoad(e.number, report)
+		e.afterLink(control.zone, func() {
 			if e.alive && e.incarnation == incarnation {
-				e.othersLoad = outlook
-				e.othersLoadAt = e.world.now()
+				e.peerLoads = summedLoads
+				e.peerLoadsAt = e.world.now()
 				e.publishFleet()
 			}
 		})
@@ -137,8 +137,8 @@
 		DrainedZones:   map[string]bool{},
 		DataPlaneCount: e.roster.edges,
 		ListedAt:       e.roster.fetched,
-		PeerLoads:      e.othersLoad,
-		PeerLoadsAt:    e.othersLoadAt,
+		PeerLoads:      e.peerLoads,
+		PeerLoadsAt:    e.peerLoadsAt,
 	}
 	for index, listed := range e.roster.replicas {
 		replica := routing.NewReplica(index, listed, e.roster.fetched, e.roster.cordoned)
@@ -147,7 +147,7 @@
 	}
 	e.fleet.Store(fleet)
 	e.matcher.Wake()
-	e.collectAnswers()
+	e.processDecisions()
 }
 
 // regionOf is the region of a zone, or empty if the zone is unknown.
@@ -170,15 +170,15 @@
 	clientAttempt.enqueue()
 }
 
-// collectAnswers follows the matcher's decisions until there are none, reports the load if the
+// processDecisions follows the matcher's decisions until there are none, reports the load if the
 // matcher asks for it, and schedules the next wake-up.
-func (e *edge) collectAnswers() {
-	for moved := true; moved; {
-		moved = false
+func (e *edge) processDecisions() {
+	for progressed := true; progressed; {
+		progressed = false
 		for _, clientAttempt := range slices.Clone(e.waiting) {
 			select {
 			case command := <-clientAttempt.pending.Decided:
-				moved = true
+				progressed = true
 				e.removeWaiting(clientAttempt)
 				clientAttempt.onCommand(command)
 			default:
@@ -211,7 +211,7 @@
 	e.world.events.At(at, func() {
 		if e.alive && e.incarnation == incarnation {
 			e.matcher.Wake()
-			e.collectAnswers()
+			e.processDecisions()
 		}
 	})
 }
--- a/internal/sim/emulator/eventqueue/eventqueue.go
+++ b/internal/sim/emulator/eventqueue/eventqueue.go
@@ -18,11 +18,11 @@
 }
 
 // less orders events by moment, then by number.
-func (m event) less(other event) bool {
-	if !m.at.Equal(other.at) {
-		return m.at.Before(other.at)
+func (e event) less(other event) bool {
+	if !e.at.Equal(other.at) {
+		return e.at.Before(other.at)
 	}
-	return m.number < other.number
+	return e.number < other.number
 }
 
 // Queue holds the events still to come and the simulated clock. The functions it calls may add
--- a/internal/sim/emulator/execution.go
+++ b/internal/sim/emulator/execution.go
@@ -11,7 +11,7 @@
 	attempt       *attempt
 	forwardNumber int
 	model         string
-	dialogues     []uint64
+	prefixHashes  []uint64
 	// cachedParts counts the leading parts of the prompt that were cached.
 	cachedParts    int
 	unreadTokens   float64
@@ -19,11 +19,11 @@
 	nextEvent      int
 	priority       int
 	queuedAt       time.Time
-	// promptRead is set once the complete prompt is read.
-	promptRead bool
-	pinned     bool
-	ended      bool
-	server     *server
+	// promptCompleted is set once the complete prompt is read.
+	promptCompleted bool
+	pinned          bool
+	ended           bool
+	server          *server
 	// prefill says that only the prompt is to be read.
 	prefill bool
 	// source is the memory to continue from, or nil; fetched is set once it is here.
@@ -37,8 +37,8 @@
 	for len(s.queue) > 0 && len(s.running) < s.world.scenario.Replica.Slots {
 		run := s.queue[0]
 		request := run.attempt.call.request
-		run.cachedParts = s.cache.cachedParts(run.model, run.dialogues)
-		s.cache.pin(run.model, run.dialogues[:run.cachedParts], 1)
+		run.cachedParts = s.cache.cachedParts(run.model, run.prefixHashes)
+		s.cache.pin(run.model, run.prefixHashes[:run.cachedParts], 1)
 		uncached := request.Prompt + float64(run.nextEvent-1) - totalTokens(request.Parts[:run.cachedParts])
 		needed := uncached
 		if !run.prefill {
@@ -49,7 +49,7 @@
 			run.unreadTokens = 0
 		}
 		if !s.cache.reserve(needed) {
-			s.cache.pin(run.model, run.dialogues[:run.cachedParts], -1)
+			s.cache.pin(run.model, run.prefixHashes[:run.cachedParts], -1)
 			return
 		}
 		run.reservedTokens, run.pinned = needed, true
@@ -67,7 +67,7 @@
 	id := run.nextEvent
 	last := run.nextEvent >= request.Output
 	run.nextEvent++
-	run.attempt.deliverLater(run.forwardNumber, s, id, last)
+	run.attempt.sendEventToEdge(run.forwardNumber, s, id, last)
 	if last {
 		s.release(run)
 	}
@@ -83,9 +83,9 @@
 	s.queue = filter(s.queue, keep)
 	s.running = filter(s.running, keep)
 	if run.pinned {
-		pinned := run.dialogues[:run.cachedParts]
-		if run.promptRead {
-			pinned = run.dialogues
+		pinned := run.prefixHashes[:run.cachedParts]
+		if run.promptCompleted {
+			pinned = run.prefixHashes
 		}
 		s.cache.pin(run.model, pinned, -1)
 		s.cache.release(run.reservedTokens)
--- a/internal/sim/emulator/failures.go
+++ b/internal/sim/emulator/failures.go
@@ -10,7 +10,7 @@
 
 // scheduleFailures schedules the scenario's losses, crashes and slowdowns.
 func (w *World) scheduleFailures() {
-	at := func(offset float64, act func()) { w.events.At(w.began.Add(seconds(offset)), act) }
+	at := func(offset float64, act func()) { w.events.At(w.startedAt.Add(seconds(offset)), act) }
 	for _, loss := range w.scenario.Losses {
 		zones := w.zonesOf(loss)
 		at(loss.AtS, func() { w.loseZones(zones, loss) })
@@ -49,10 +49,10 @@
 			continue
 		}
 		dataPlane.alive = false
-		w.noticeLater(dataPlane, dataPlane.incarnation)
+		w.stopRoutingLater(dataPlane, dataPlane.incarnation)
 	}
 	for _, zone := range zones {
-		w.lost[zone] = true
+		w.lostZones[zone] = true
 	}
 	for _, host := range w.machines {
 		if host.current != nil && slices.Contains(zones, host.zone) {
@@ -60,15 +60,15 @@
 		}
 	}
 	if loss.Closed {
-		w.cutClients(zones)
+		w.closeClientConnections(zones)
 	}
 	if slices.Contains(zones, w.control.zone) {
 		w.control.fail()
 	}
 }
 
-// noticeLater routes clients elsewhere once the platform has noticed the edge's death.
-func (w *World) noticeLater(dataPlane *edge, incarnation int) {
+// stopRoutingLater routes clients elsewhere once the platform has noticed the edge's death.
+func (w *World) stopRoutingLater(dataPlane *edge, incarnation int) {
 	w.events.After(seconds(w.scenario.Platform.DataPlaneDetectionS), func() {
 		if !dataPlane.alive && dataPlane.incarnation == incarnation {
 			dataPlane.routable = false
@@ -76,8 +76,8 @@
 	})
 }
 
-// cutClients ends the connections of the clients whose edge has died.
-func (w *World) cutClients(zones []int) {
+// closeClientConnections ends the connections of the clients whose edge has died.
+func (w *World) closeClientConnections(zones []int) {
 	for _, clientCall := range w.calls {
 		if clientCall.ended || clientCall.attempt == nil {
 			continue
@@ -86,7 +86,7 @@
 			continue
 		}
 		clientAttempt := clientCall.attempt
-		clientAttempt.toClient(func() { clientCall.onBroken(clientAttempt.number) })
+		clientAttempt.sendToClient(func() { clientCall.onTruncated(clientAttempt.number) })
 	}
 }
 
@@ -95,7 +95,7 @@
 	if replica.dead {
 		return
 	}
-	replica.dead, replica.dark = true, dark
+	replica.dead, replica.silent = true, dark
 	replica.machine.current = nil
 	w.unlistLater(replica)
 	if dark {
@@ -114,7 +114,7 @@
 	w.kill(host.current, false)
 	if restart > 0 {
 		w.events.After(restart, func() {
-			if host.current == nil && !w.lost[host.zone] {
+			if host.current == nil && !w.lostZones[host.zone] {
 				w.listLater(w.start(host))
 			}
 		})
@@ -124,7 +124,7 @@
 // restoreZones brings the zones back, with empty memories.
 func (w *World) restoreZones(zones []int) {
 	for _, zone := range zones {
-		w.lost[zone] = false
+		w.lostZones[zone] = false
 	}
 	for _, host := range w.machines {
 		if slices.Contains(zones, host.zone) && host.current == nil {
@@ -168,8 +168,8 @@
 	}
 }
 
-// checkBegin checks that a request that may run once begins only once.
-func (w *World) checkBegin(run *execution) {
+// checkStartedOnce checks that a request that may run once begins only once.
+func (w *World) checkStartedOnce(run *execution) {
 	attempt := run.attempt.request.AttemptID
 	if w.startedAttempts[attempt] && !run.attempt.call.class.Resumable {
 		w.recordViolation("attempt %s, which may run once, began again at %s", attempt, run.server.id)
--- a/internal/sim/emulator/forecast.go
+++ b/internal/sim/emulator/forecast.go
@@ -92,7 +92,7 @@
 	for _, planned := range s.View.Servers {
 		for index := range listed {
 			if listed[index].ID == planned.ID && len(planned.Loaded) > 0 {
-				listed[index].Models = holdings(planned.Loaded)
+				listed[index].Models = loadedModels(planned.Loaded)
 			}
 		}
 	}
--- a/internal/sim/emulator/forward.go
+++ b/internal/sim/emulator/forward.go
@@ -13,24 +13,24 @@
 	number := p.forwardNumber
 	now := w.now()
 	p.replicaID = to.id
-	p.lastByte = now
-	p.firstSeen = false
-	p.lastReported = now
+	p.lastByteAt = now
+	p.firstEventSeen = false
+	p.lastReportedAt = now
 	p.execution = &execution{
 		attempt:       p,
 		forwardNumber: number,
 		model:         p.call.request.Model,
-		dialogues:     p.request.PrefixHashes,
+		prefixHashes:  p.request.PrefixHashes,
 		nextEvent:     max(p.lastID-w.scenario.Replica.RepeatedEvents, 0) + 1,
 		priority:      p.call.class.Priority,
 		queuedAt:      now,
-		prefill:       p.step != nil,
+		prefill:       p.prefillStep != nil,
 		source:        p.held,
 	}
-	connected := now.Sub(p.edge.lastUsed[to.id]) < idleTime
-	if to.dead && !(to.dark && connected) {
+	connected := now.Sub(p.edge.lastUsed[to.id]) < idleConnectionTimeout
+	if to.dead && !(to.silent && connected) {
 		wait := connectTimeout
-		if !to.dark {
+		if !to.silent {
 			wait = 2 * w.linkDelay(p.edge.zone, to.machine.zone)
 		}
 		w.events.After(wait, func() { p.onOutcome(number, routing.OutcomeUnreachable) })
@@ -47,7 +47,7 @@
 	number := run.forwardNumber
 	p.edge.afterLink(to.machine.zone, func() {
 		if to.dead {
-			if !to.dark {
+			if !to.silent {
 				p.edge.afterLink(to.machine.zone, func() { p.onOutcome(number, routing.OutcomeTruncated) })
 			}
 			return
@@ -60,8 +60,8 @@
 
 // rejectionOutcomes is the outcome of each admission that is a rejection.
 var rejectionOutcomes = map[admission]routing.Outcome{
-	admissionFull:    routing.OutcomeFull,
-	admissionMissing: routing.OutcomeModelMissing,
+	admissionFull:         routing.OutcomeFull,
+	admissionModelMissing: routing.OutcomeModelMissing,
 }
 
 // watchSilence treats the forward as broken once no byte came for the silence timeout.
@@ -70,7 +70,7 @@
 		if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 			return
 		}
-		if left := silenceTimeout - p.edge.world.now().Sub(p.lastByte); left > 0 {
+		if left := silenceTimeout - p.edge.world.now().Sub(p.lastByteAt); left > 0 {
 			p.watchSilence(number, left)
 			return
 		}
@@ -78,14 +78,14 @@
 	})
 }
 
-// hangUp closes the connection to the replica, which then abandons the execution.
-func (p *attempt) hangUp() {
+// closeConnection closes the connection to the replica, which then abandons the execution.
+func (p *attempt) closeConnection() {
 	run := p.execution
 	p.edge.afterLink(p.edge.world.servers[p.replicaID].machine.zone, run.abandon)
 }
 
-// deliverLater carries an event of a server to the edge, with the link's delay.
-func (p *attempt) deliverLater(number int, from *server, id int, last bool) {
+// sendEventToEdge carries an event of a server to the edge, with the link's delay.
+func (p *attempt) sendEventToEdge(number int, from *server, id int, last bool) {
 	p.edge.afterLink(from.machine.zone, func() { p.onEvent(number, id, last) })
 }
 
@@ -95,20 +95,20 @@
 		return
 	}
 	now := p.edge.world.now()
-	p.lastByte, p.edge.lastUsed[p.replicaID] = now, now
+	p.lastByteAt, p.edge.lastUsed[p.replicaID] = now, now
 	p.held, p.request.HeldPrefill = nil, nil
-	if !p.firstSeen {
-		p.firstSeen, p.lastReported = true, now
+	if !p.firstEventSeen {
+		p.firstEventSeen, p.lastReportedAt = true, now
 		p.edge.reportOutcome(p.ticket, routing.OutcomeFirstEvent)
-	} else if now.Sub(p.lastReported) > aliveEvery {
-		p.lastReported = now
+	} else if now.Sub(p.lastReportedAt) > progressReportInterval {
+		p.lastReportedAt = now
 		p.edge.reportOutcome(p.ticket, routing.OutcomeProgress)
 	}
 	p.headSent, p.lastID = true, id
-	p.toClient(func() { p.call.receiveEvent(p.number, id) })
+	p.sendToClient(func() { p.call.receiveEvent(p.number, id) })
 	if last {
 		p.closed = true
 		p.reportOutcome(routing.OutcomeServed)
 	}
-	p.edge.collectAnswers()
+	p.edge.processDecisions()
 }
--- a/internal/sim/emulator/kvcache.go
+++ b/internal/sim/emulator/kvcache.go
@@ -8,8 +8,8 @@
 
 // prefixKey names a part of a prompt: the model and the hash of the dialogue up to it.
 type prefixKey struct {
-	model    string
-	dialogue uint64
+	model string
+	hash  uint64
 }
 
 // cachedPrefix is a cached part of a prompt; it is not evicted while pins is above 0.
@@ -26,12 +26,12 @@
 	reserved float64
 	cached   float64
 	parts    map[prefixKey]*list.Element
-	byAge    *list.List
+	lru      *list.List
 }
 
 // newKVCache makes an empty cache of the given number of tokens.
 func newKVCache(total float64) *kvCache {
-	return &kvCache{total: total, parts: map[prefixKey]*list.Element{}, byAge: list.New()}
+	return &kvCache{total: total, parts: map[prefixKey]*list.Element{}, lru: list.New()}
 }
 
 // cachedParts counts the leading parts of the dialogue that are cached.
@@ -49,7 +49,7 @@
 	for position := len(dialogues) - 1; position >= 0; position-- {
 		if found := m.parts[prefixKey{model, dialogues[position]}]; found != nil {
 			found.Value.(*cachedPrefix).pins += by
-			m.byAge.MoveToBack(found)
+			m.lru.MoveToBack(found)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 // reserve sets tokens aside for a request, evicting unpinned parts as needed, and reports whether
 // there was capacity.
 func (m *kvCache) reserve(tokens float64) bool {
-	for element := m.byAge.Front(); element != nil && m.reserved+m.cached+tokens > m.total; {
+	for element := m.lru.Front(); element != nil && m.reserved+m.cached+tokens > m.total; {
 		next := element.Next()
 		if element.Value.(*cachedPrefix).pins == 0 {
 			m.evict(element)
@@ -84,7 +84,7 @@
 			m.parts[name].Value.(*cachedPrefix).pins++
 			continue
 		}
-		m.parts[name] = m.byAge.PushBack(&cachedPrefix{key: name, tokens: parts[position].Tokens, pins: 1})
+		m.parts[name] = m.lru.PushBack(&cachedPrefix{key: name, tokens: parts[position].Tokens, pins: 1})
 		m.cached += parts[position].Tokens
 		m.reserved -= parts[position].Tokens
 		moved += parts[position].Tokens
@@ -95,14 +95,14 @@
 // evict drops one part.
 func (m *kvCache) evict(element *list.Element) {
 	prefix := element.Value.(*cachedPrefix)
-	m.byAge.Remove(element)
+	m.lru.Remove(element)
 	delete(m.parts, prefix.key)
 	m.cached -= prefix.tokens
 }
 
 // evictModels drops all parts of the models that match.
 func (m *kvCache) evictModels(matches func(model string) bool) {
-	for element := m.byAge.Front(); element != nil; {
+	for element := m.lru.Front(); element != nil; {
 		next := element.Next()
 		if matches(element.Value.(*cachedPrefix).key.model) {
 			m.evict(element)
--- a/internal/sim/emulator/loss.go
+++ b/internal/sim/emulator/loss.go
@@ -54,7 +54,7 @@
 		Table:        w.table,
 		Lost:         map[string]bool{},
 		Listed:       w.listedReplicas(),
-		Demand:       w.control.demand.copied(),
+		Demand:       w.control.demand.cloneByKey(),
 		LoadedBefore: w.control.loadedBefore,
 		Loss:         w.scope(from),
 		View:         w.control.view(w.now()),
@@ -129,7 +129,7 @@
 func (l *LossResult) addServer(lost *server) {
 	l.Running += len(lost.running)
 	l.Waiting += len(lost.queue)
-	for element := lost.cache.byAge.Front(); element != nil; element = element.Next() {
+	for element := lost.cache.lru.Front(); element != nil; element = element.Next() {
 		part := element.Value.(*cachedPrefix)
 		model, _, _ := strings.Cut(part.key.model, "/")
 		l.CachedTokens[model] += part.tokens
@@ -145,14 +145,14 @@
 				loss.RegionBound++
 			}
 		}
-		if clientCall.moves(zones) {
+		if clientCall.mustMove(zones) {
 			loss.Moving[clientCall.request.Class]++
 		}
 	}
 }
 
-// moves reports whether the call's edge or its replica is in one of the zones.
-func (c *call) moves(zones []int) bool {
+// mustMove reports whether the call's edge or its replica is in one of the zones.
+func (c *call) mustMove(zones []int) bool {
 	if c.ended || c.attempt == nil {
 		return false
 	}
--- a/internal/sim/emulator/losswatch.go
+++ b/internal/sim/emulator/losswatch.go
@@ -11,10 +11,10 @@
 	// FirstPhaseS is the length, in seconds, of the first phase after a loss, in which full replicas
 	// are counted.
 	FirstPhaseS = 5
-	// slotPollEvery is how often full replicas are looked for.
-	slotPollEvery = 50 * time.Millisecond
-	// copyPollEvery is how often returned copies are looked for.
-	copyPollEvery = 200 * time.Millisecond
+	// fullReplicaPollInterval is how often full replicas are looked for.
+	fullReplicaPollInterval = 50 * time.Millisecond
+	// reloadPollInterval is how often returned copies are looked for.
+	reloadPollInterval = 200 * time.Millisecond
 )
 
 // scope is a loss as forecasts and drills name it.
@@ -50,7 +50,7 @@
 	clientCall := p.call
 	w := clientCall.world
 	if clientCall.waitMs == 0 {
-		clientCall.waitMs = inMilliseconds(w.now().Sub(p.submitted))
+		clientCall.waitMs = inMilliseconds(w.now().Sub(p.enqueuedAt))
 	}
 	if !clientCall.interrupted || w.servers[replica].dead {
 		return
@@ -61,7 +61,7 @@
 
 // watchFullReplicas counts the surviving replicas that are full at some moment of the first phase.
 func (w *World) watchFullReplicas(number int, began time.Duration, found map[string]bool) {
-	w.events.After(slotPollEvery, func() {
+	w.events.After(fullReplicaPollInterval, func() {
 		loss := &w.observer.losses[number]
 		for _, host := range w.machines {
 			up := host.current
@@ -81,7 +81,7 @@
 
 // watchCopies records when the last model without a copy is loaded again.
 func (w *World) watchCopies(number int, missing map[string]bool) {
-	w.events.After(copyPollEvery, func() {
+	w.events.After(reloadPollInterval, func() {
 		loss := &w.observer.losses[number]
 		for _, host := range w.machines {
 			if host.current == nil {
--- a/internal/sim/emulator/modelchange.go
+++ b/internal/sim/emulator/modelchange.go
@@ -10,9 +10,9 @@
 // modelChange is a load or unload under way at a server.
 type modelChange struct {
 	action placement.Action
-	// waiting is set while an unload waits for requests to end.
-	waiting bool
-	done    func(loaded bool)
+	// awaitingIdle is set while an unload waits for requests to end.
+	awaitingIdle bool
+	done         func(loaded bool)
 }
 
 // touches reports whether the change concerns the model or an adapter of it.
@@ -21,12 +21,12 @@
 }
 
 const (
-	// adapterTime is how long an adapter's load takes.
-	adapterTime = 30 * time.Millisecond
-	// unloadTime is how long an unload takes once the model is idle.
-	unloadTime = 100 * time.Millisecond
-	// diskShare is the share of a load's time that a load from the machine's own disk takes.
-	diskShare = 0.2
+	// adapterLoadTime is how long an adapter's load takes.
+	adapterLoadTime = 30 * time.Millisecond
+	// unloadDuration is how long an unload takes once the model is idle.
+	unloadDuration = 100 * time.Millisecond
+	// diskLoadRatio is the share of a load's time that a load from the machine's own disk takes.
+	diskLoadRatio = 0.2
 )
 
 // startChange begins a load or unload and reports false if another is under way. done is called
@@ -37,12 +37,12 @@
 	}
 	s.change = &modelChange{action: action, done: done}
 	if !action.Load {
-		s.change.waiting = true
+		s.change.awaitingIdle = true
 		s.unloadIfIdle()
 		return true
 	}
 	s.world.checkCapacity(s, action.Model)
-	taking := adapterTime
+	taking := adapterLoadTime
 	if !strings.Contains(action.Model, "/") {
 		taking = s.loadTime(action.Model)
 	}
@@ -64,7 +64,7 @@
 	taking := models.LoadTimeS * busy
 	if s.machine.onDisk[model] {
 		s.world.observer.loaded(false)
-		return seconds(taking * diskShare)
+		return seconds(taking * diskLoadRatio)
 	}
 	s.world.observer.loaded(true)
 	store := &s.world.storeLoads
@@ -77,11 +77,11 @@
 
 // unloadIfIdle begins the waiting unload once no request uses the model.
 func (s *server) unloadIfIdle() {
-	if s.change == nil || !s.change.waiting || s.isInUse(s.change.action.Model) {
+	if s.change == nil || !s.change.awaitingIdle || s.isInUse(s.change.action.Model) {
 		return
 	}
-	s.change.waiting = false
-	s.world.events.After(unloadTime, func() {
+	s.change.awaitingIdle = false
+	s.world.events.After(unloadDuration, func() {
 		if s.dead {
 			return
 		}
--- a/internal/sim/emulator/observer.go
+++ b/internal/sim/emulator/observer.go
@@ -86,16 +86,16 @@
 
 // observer gathers the results while a world runs.
 type observer struct {
-	scenario     Scenario
-	classes      []ClassResult
-	samples      []Sample
-	losses       []LossResult
-	stored       int
-	disk         int
-	readTokens   float64
-	cachedTokens float64
-	forwards     int
-	requests     []RequestOutcome
+	scenario      Scenario
+	classes       []ClassResult
+	samples       []Sample
+	losses        []LossResult
+	storeLoads    int
+	diskLoads     int
+	prefillTokens float64
+	cachedTokens  float64
+	forwards      int
+	requests      []RequestOutcome
 }
 
 // newObserver makes an observer with an empty bucket for every span of the scenario.
@@ -118,16 +118,16 @@
 
 // promptAdmitted counts the tokens of a prompt that must be read and those that were cached.
 func (o *observer) promptAdmitted(unread, prompt float64) {
-	o.readTokens += unread
+	o.prefillTokens += unread
 	o.cachedTokens += max(prompt-unread, 0)
 }
 
 // loaded counts a load, from the store or from a disk.
 func (o *observer) loaded(stored bool) {
 	if stored {
-		o.stored++
+		o.storeLoads++
 	} else {
-		o.disk++
+		o.diskLoads++
 	}
 }
 
@@ -165,13 +165,13 @@
 	}
 	if clientCall.received > 0 {
 		bucket.FirstTokenMs = append(bucket.FirstTokenMs, clientCall.firstTokenMs())
-		bucket.MaxTokenGapMs = append(bucket.MaxTokenGapMs, inMilliseconds(clientCall.pause))
+		bucket.MaxTokenGapMs = append(bucket.MaxTokenGapMs, inMilliseconds(clientCall.maxEventGap))
 	}
 }
 
 // takeSample records the state of the fleet.
 func (o *observer) takeSample(w *World) {
-	sample := Sample{AtS: w.elapsed().Seconds(), StoreLoads: o.stored, DiskLoads: o.disk, PrefillTokens: o.readTokens}
+	sample := Sample{AtS: w.elapsed().Seconds(), StoreLoads: o.storeLoads, DiskLoads: o.diskLoads, PrefillTokens: o.prefillTokens}
 	for _, edge := range w.edges {
 		if edge.alive {
 			sample.Waiting += edge.matcher.WaitingCount()
@@ -194,7 +194,7 @@
 		Classes:       o.classes,
 		Samples:       o.samples,
 		Losses:        append([]LossResult{}, o.losses...),
-		PrefillTokens: o.readTokens,
+		PrefillTokens: o.prefillTokens,
 		CachedTokens:  o.cachedTokens,
 		Forwards:      o.forwards,
 		Violations:    append([]string{}, w.violations...),
--- a/internal/sim/emulator/planning.go
+++ b/internal/sim/emulator/planning.go
@@ -13,7 +13,7 @@
 // planOnce runs the planner and starts its actions.
 func (c *controlPlane) planOnce() {
 	now := c.world.now()
-	c.demand.measure(now)
+	c.demand.updateRates(now)
 	view := c.view(now)
 	for _, action := range placement.Plan(view) {
 		c.startAction(action, now)
@@ -28,13 +28,13 @@
 	view := &placement.View{
 		Now:          now,
 		Table:        c.world.table,
-		Demand:       c.demand.copied(),
+		Demand:       c.demand.cloneByKey(),
 		Loading:      map[string]int{},
 		DrainedZones: map[string]bool{},
-		StoreTokens:  c.loadTokens(now),
-		DemandKnown:  c.demand.learned(now),
+		StoreTokens:  c.storeLoadTokens(now),
+		DemandKnown:  c.demand.isLearned(now),
 	}
-	view.SpareStoreTokens = view.StoreTokens - math.Ceil(c.maxLoads()/2)
+	view.SpareStoreTokens = view.StoreTokens - math.Ceil(c.maxStoreLoads()/2)
 	ids := make([]string, 0, len(c.tracked))
 	for id := range c.tracked {
 		ids = append(ids, id)
@@ -70,19 +70,19 @@
 	return copied
 }
 
-// loadTokens is how many loads from the store the rate still allows.
-func (c *controlPlane) loadTokens(now time.Time) float64 {
-	c.loads = slices.DeleteFunc(c.loads, func(at time.Time) bool { return now.Sub(at) >= originPeriod+time.Second })
-	return c.maxLoads() - float64(len(c.loads))
+// storeLoadTokens is how many loads from the store the rate still allows.
+func (c *controlPlane) storeLoadTokens(now time.Time) float64 {
+	c.recentStoreLoads = slices.DeleteFunc(c.recentStoreLoads, func(at time.Time) bool { return now.Sub(at) >= storeRatePeriod+time.Second })
+	return c.maxStoreLoads() - float64(len(c.recentStoreLoads))
 }
 
-// maxLoads is how many loads from the store may begin within its period.
-func (c *controlPlane) maxLoads() float64 {
-	return c.world.scenario.Models.LoadsPerS*originPeriod.Seconds() + 1
+// maxStoreLoads is how many loads from the store may begin within its period.
+func (c *controlPlane) maxStoreLoads() float64 {
+	return c.world.scenario.Models.LoadsPerS*storeRatePeriod.Seconds() + 1
 }
 
-// creditDiskLoad gives the token of a load back that has ended too soon to come from the store.
-func (c *controlPlane) creditDiskLoad(replica *trackedReplica, models map[string]bool) {
+// refundDiskLoad gives the token of a load back that has ended too soon to come from the store.
+func (c *controlPlane) refundDiskLoad(replica *trackedReplica, models map[string]bool) {
 	load := replica.pending
 	if load == nil || !load.MaybeFromDisk || !models[load.Model] {
 		return
@@ -90,8 +90,8 @@
 	if c.world.now().Sub(replica.pendingSince).Seconds() >= storeLoadTimeShare*c.world.scenario.Models.LoadTimeS {
 		return
 	}
-	if index := slices.IndexFunc(c.loads, replica.pendingSince.Equal); index >= 0 {
-		c.loads = slices.Delete(c.loads, index, index+1)
+	if index := slices.IndexFunc(c.recentStoreLoads, replica.pendingSince.Equal); index >= 0 {
+		c.recentStoreLoads = slices.Delete(c.recentStoreLoads, index, index+1)
 	}
 }
 
@@ -100,11 +100,11 @@
 	replica := c.tracked[action.Server]
 	replica.pending, replica.pendingSince = &action, now
 	if action.Load && action.FromStore && !strings.Contains(action.Model, "/") {
-		c.loads = append(c.loads, now)
+		c.recentStoreLoads = append(c.recentStoreLoads, now)
 	}
 	pause := time.Duration(0)
 	if !action.Load {
-		pause = cordonTime
+		pause = cordonDelay
 		for reference := range replica.models {
 			if reference == action.Model || strings.HasPrefix(reference, action.Model+"/") {
 				replica.cordoned[action.Server+" "+reference] = true
--- a/internal/sim/emulator/recorded_test.go
+++ b/internal/sim/emulator/recorded_test.go
@@ -30,7 +30,7 @@
 		})
 	}
 	assert.NilError(t, file.Close())
-	scenario := sample(1)
+	scenario := sampleScenario(1)
 	scenario.Traffic.Record = path
 	world, err := NewWorld(scenario)
 	assert.NilError(t, err)
--- a/internal/sim/emulator/replica.go
+++ b/internal/sim/emulator/replica.go
@@ -31,8 +31,8 @@
 	id      string
 	// dead servers answer nothing.
 	dead bool
-	// dark servers died without closing their connections.
-	dark   bool
+	// silent servers died without closing their connections.
+	silent bool
 	loaded standin.ModelSet
 	cache  *kvCache
 	queue  []*execution
@@ -92,7 +92,7 @@
 const (
 	admissionQueued admission = iota
 	admissionFull
-	admissionMissing
+	admissionModelMissing
 )
 
 // accept queues an execution, by priority, or returns why not.
@@ -101,7 +101,7 @@
 		return admissionQueued
 	}
 	if !s.loaded[run.model] || run.prefill != (s.machine.phase == discovery.PhasePrefill) {
-		return admissionMissing
+		return admissionModelMissing
 	}
 	if s.change != nil && s.change.touches(run.model) {
 		return admissionFull
@@ -159,7 +159,7 @@
 	decodeMs := performance.StepMs * (1 + performance.OccupancyFactor*float64(len(s.running))/float64(performance.Slots))
 	readMs := readTokens / 1000 * performance.PrefillMs
 	if s.machine.phase == discovery.PhaseDecode {
-		readMs *= decodeReadFactor
+		readMs *= decodePrefillSlowdown
 	}
 	length := decodeMs + readMs
 	length *= s.machine.speed * s.machine.slowdown
@@ -180,12 +180,12 @@
 		if run.ended || run.unreadTokens > 0 {
 			continue
 		}
-		if !run.promptRead {
-			run.promptRead = true
+		if !run.promptCompleted {
+			run.promptCompleted = true
 			if !run.prefill {
-				s.world.checkBegin(run)
+				s.world.checkStartedOnce(run)
 			}
-			run.reservedTokens -= s.cache.add(run.model, run.dialogues, run.attempt.call.request.Parts, run.cachedParts)
+			run.reservedTokens -= s.cache.add(run.model, run.prefixHashes, run.attempt.call.request.Parts, run.cachedParts)
 		}
 		if run.prefill {
 			s.hold(run)
--- a/internal/sim/emulator/standin/serve.go
+++ b/internal/sim/emulator/standin/serve.go
@@ -13,8 +13,8 @@
 
 // rejection is the answer to a request that is not served.
 type rejection struct {
-	status   int
-	neverRan bool
+	status      int
+	notExecuted bool
 }
 
 // serveStream answers a request with a stream of numbered events, after the last one that the
@@ -30,7 +30,7 @@
 	}
 	unread, rejected := r.begin(reference, parts, prompt)
 	if rejected != nil {
-		if rejected.neverRan {
+		if rejected.notExecuted {
 			writer.Header().Set(replica.HeaderNotExecuted, "1")
 		}
 		writer.WriteHeader(rejected.status)
--- a/internal/sim/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func stand(id string, references ...string) *Replica {
+func newReplica(id string, references ...string) *Replica {
 	return NewReplica(discovery.Replica{ID: id, Zone: "east"}, backend(), DefaultTiming(), references...)
 }
 
@@ -72,7 +72,7 @@
 
 func TestReplica_AnswersOrdersAsDocumented(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		created := stand("r-1", "swift")
+		created := newReplica("r-1", "swift")
 		assert.Equal(t, order(created, replica.OperationLoad, "rare", "", 5), http.StatusAccepted)
 		assert.Equal(t, order(created, replica.OperationLoad, "swift", "a1", 5), http.StatusConflict)
 		assert.Equal(t, order(created, replica.OperationLoad, "swift", "", 5), http.StatusOK)
@@ -93,7 +93,7 @@
 
 func TestReplica_ServesOrProvesNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		created := stand("r-1", "swift")
+		created := newReplica("r-1", "swift")
 		header := func(model, target string) map[string]string {
 			return map[string]string{
 				replica.HeaderAttemptID:     "try",
@@ -121,7 +121,7 @@
 }
 
 func TestPlatform_ListIsReadCompletely(t *testing.T) {
-	list := &List{PageSize: 2, Replicas: []*Replica{stand("r-1"), stand("r-2"), stand("r-3")}}
+	list := &List{PageSize: 2, Replicas: []*Replica{newReplica("r-1"), newReplica("r-2"), newReplica("r-3")}}
 	server := httptest.NewServer(list)
 	defer server.Close()
 	reader := &discovery.Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
--- a/internal/sim/emulator/traffic.go
+++ b/internal/sim/emulator/traffic.go
@@ -90,14 +90,14 @@
 
 // generator draws the traffic of a scenario.
 type generator struct {
-	scenario Scenario
-	from     rand.Source
-	chance   *rand.Rand
-	classes  distuv.Categorical
-	zones    distuv.Categorical
-	models   distuv.Categorical
-	part     uint64
-	requests []Request
+	scenario   Scenario
+	source     rand.Source
+	random     *rand.Rand
+	classes    distuv.Categorical
+	zones      distuv.Categorical
+	models     distuv.Categorical
+	lastPartID uint64
+	requests   []Request
 }
 
 // generate draws dialogues by thinning a Poisson process of the highest rate, and orders their
@@ -105,19 +105,19 @@
 func generate(scenario Scenario) []Request {
 	from := randomSource(scenario.Seed, streamTraffic)
 	g := &generator{
-		scenario: scenario,
-		from:     from,
-		chance:   rand.New(from),
-		classes:  distuv.NewCategorical(weights(scenario.Classes, func(c Class) float64 { return c.Share }), from),
-		zones:    distuv.NewCategorical(weights(scenario.Zones, func(a Zone) float64 { return a.Clients }), from),
-		models:   distuv.NewCategorical(popularity(scenario.Models), from),
-		part:     uint64(scenario.Models.Count),
+		scenario:   scenario,
+		source:     from,
+		random:     rand.New(from),
+		classes:    distuv.NewCategorical(weights(scenario.Classes, func(c Class) float64 { return c.Share }), from),
+		zones:      distuv.NewCategorical(weights(scenario.Zones, func(a Zone) float64 { return a.Clients }), from),
+		models:     distuv.NewCategorical(popularity(scenario.Models), from),
+		lastPartID: uint64(scenario.Models.Count),
 	}
 	traffic := scenario.Traffic
 	fastest := traffic.RatePerS * traffic.BurstFactor / traffic.Turns
 	gap := distuv.Exponential{Rate: fastest, Src: from}
 	for at := gap.Rand(); at < scenario.LengthS; at += gap.Rand() {
-		if g.chance.Float64()*traffic.BurstFactor*traffic.RatePerS <= traffic.rate(at) {
+		if g.random.Float64()*traffic.BurstFactor*traffic.RatePerS <= traffic.rate(at) {
 			g.generateDialogue(at)
 		}
 	}
@@ -135,16 +135,16 @@
 	zone := int(g.zones.Rand())
 	number := int(g.models.Rand())
 	model := modelName(number)
-	if adapters := g.scenario.Models.Adapters; number == 0 && adapters > 0 && g.chance.Float64() < adapterShare {
-		model = fmt.Sprintf("%s/a%d", model, 1+g.chance.IntN(adapters))
+	if adapters := g.scenario.Models.Adapters; number == 0 && adapters > 0 && g.random.Float64() < adapterShare {
+		model = fmt.Sprintf("%s/a%d", model, 1+g.random.IntN(adapters))
 	}
 	kind := g.scenario.Classes[class]
 	parts := []routing.PromptPart{{ID: uint64(number) + 1, Tokens: g.scenario.Models.SharedTokens}}
-	think := distuv.Exponential{Rate: 1 / max(g.scenario.Traffic.ThinkS, 0.01), Src: g.from}
+	think := distuv.Exponential{Rate: 1 / max(g.scenario.Traffic.ThinkS, 0.01), Src: g.source}
 	for at < g.scenario.LengthS {
-		output := kind.Output.draw(g.from)
-		g.part++
-		parts = append(slices.Clone(parts), routing.PromptPart{ID: g.part, Tokens: kind.Prompt.draw(g.from)})
+		output := kind.Output.draw(g.source)
+		g.lastPartID++
+		parts = append(slices.Clone(parts), routing.PromptPart{ID: g.lastPartID, Tokens: kind.Prompt.draw(g.source)})
 		g.requests = append(g.requests, Request{
 			At:     seconds(at),
 			Class:  class,
@@ -153,10 +153,10 @@
 			Parts:  parts,
 			Prompt: totalTokens(parts),
 			Output: int(output),
-			Draw:   g.chance.Float64(),
+			Draw:   g.random.Float64(),
 		})
-		parts = append(slices.Clone(parts), routing.PromptPart{ID: g.part + answerMark, Tokens: output})
-		if g.chance.Float64() < 1/g.scenario.Traffic.Turns || totalTokens(parts) > g.scenario.Replica.KvCacheTokens*longestShare {
+		parts = append(slices.Clone(parts), routing.PromptPart{ID: g.lastPartID + outputPartOffset, Tokens: output})
+		if g.random.Float64() < 1/g.scenario.Traffic.Turns || totalTokens(parts) > g.scenario.Replica.KvCacheTokens*maxDialogueShare {
 			return
 		}
 		at += think.Rand()
@@ -166,10 +166,10 @@
 const (
 	// adapterShare is the share of the first model's dialogues that use an adapter.
 	adapterShare = 0.5
-	// answerMark separates the part ids of answers from those of prompts.
-	answerMark = 1 << 40
-	// longestShare is the share of a replica's memory beyond which a dialogue ends.
-	longestShare = 0.2
+	// outputPartOffset separates the part ids of answers from those of prompts.
+	outputPartOffset = 1 << 40
+	// maxDialogueShare is the share of a replica's memory beyond which a dialogue ends.
+	maxDialogueShare = 0.2
 )
 
 // totalTokens sums the tokens of the parts.
--- a/internal/sim/emulator/world.go
+++ b/internal/sim/emulator/world.go
@@ -31,17 +31,17 @@
 type World struct {
 	scenario Scenario
 	// events is the simulated clock and what is still to happen.
-	events   *eventqueue.Queue
-	began    time.Time
-	table    *configuration.Table
-	machines []*machine
+	events    *eventqueue.Queue
+	startedAt time.Time
+	table     *configuration.Table
+	machines  []*machine
 	// servers holds every server that ever ran, by its replica id.
 	servers map[string]*server
 	edges   []*edge
 	control *controlPlane
 	calls   []*call
-	// lost marks the indices of the zones that are down.
-	lost map[int]bool
+	// lostZones marks the indices of the zones that are down.
+	lostZones map[int]bool
 	// listed is what the platform lists, which lags behind the servers.
 	listed map[string]discovery.Replica
 	// storeLoads counts the loads from the model store under way.
@@ -73,10 +73,10 @@
 	w := &World{
 		scenario:        scenario,
 		events:          eventqueue.New(began),
-		began:           began,
+		startedAt:       began,
 		table:           configuration.NewTable(configurationOf(scenario), nil),
 		servers:         map[string]*server{},
-		lost:            map[int]bool{},
+		lostZones:       map[int]bool{},
 		startedAttempts: map[string]bool{},
 		listed:          map[string]discovery.Replica{},
 		observer:        newObserver(scenario),
@@ -86,7 +86,7 @@
 	for index := range requests {
 		clientCall := &call{world: w, request: &requests[index], class: &w.scenario.Classes[requests[index].Class]}
 		w.calls = append(w.calls, clientCall)
-		w.events.At(began.Add(clientCall.request.At), clientCall.begin)
+		w.events.At(began.Add(clientCall.request.At), clientCall.start)
 	}
 	w.scheduleFailures()
 	return w, nil
@@ -96,27 +96,27 @@
 func (w *World) now() time.Time { return w.events.Now() }
 
 // elapsed is the simulated time since the beginning of the run.
-func (w *World) elapsed() time.Duration { return w.now().Sub(w.began) }
+func (w *World) elapsed() time.Duration { return w.now().Sub(w.startedAt) }
 
 // recordViolation records, with the moment, that an invariant of the emulation is broken.
 func (w *World) recordViolation(format string, arguments ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%.3f s: ", w.elapsed().Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-// drainS is how many seconds the run goes on after the scenario's length, so that requests under
+// drainTimeS is how many seconds the run goes on after the scenario's length, so that requests under
 // way can end.
-const drainS = 60
+const drainTimeS = 60
 
 // Run plays the scenario to its end and returns what was observed. Requests still open after the
 // drain count as expired.
 func (w *World) Run() Result {
 	bucket := seconds(w.scenario.BucketS)
-	end := w.began.Add(seconds(w.scenario.LengthS))
-	for at := w.began.Add(bucket); !at.After(end); at = at.Add(bucket) {
+	end := w.startedAt.Add(seconds(w.scenario.LengthS))
+	for at := w.startedAt.Add(bucket); !at.After(end); at = at.Add(bucket) {
 		w.events.RunUntil(at)
 		w.observer.takeSample(w)
 	}
-	w.events.RunUntil(end.Add(seconds(drainS)))
+	w.events.RunUntil(end.Add(seconds(drainTimeS)))
 	for _, clientCall := range w.calls {
 		clientCall.finish(outcomeExpired)
 	}
@@ -145,7 +145,7 @@
 			w.edges = append(w.edges, &edge{world: w, number: len(w.edges), zone: index, routable: true})
 		}
 	}
-	for number, references := range spreadCopies(w.scenario) {
+	for number, references := range placeInitialCopies(w.scenario) {
 		started := w.start(w.machines[number], references...)
 		w.listed[started.id] = started.entry()
 	}
@@ -180,7 +180,7 @@
 	runtime := &configuration.Runtime{
 		Slots:           scenario.Replica.Slots,
 		KvCacheTokens:   scenario.Replica.KvCacheTokens,
-		WeightSizeMb:    float64(scenario.Models.PerReplica)*modelSize + spareSize,
+		WeightSizeMb:    float64(scenario.Models.PerReplica)*modelSizeMb + adapterReserveMb,
 		AdapterCapacity: scenario.Models.AdapterCapacity,
 		LoadsPerS:       scenario.Models.LoadsPerS,
 	}
@@ -190,7 +190,7 @@
 	for number := range scenario.Models.Count {
 		model := configuration.Model{
 			Name:          modelName(number),
-			WeightSizeMb:  modelSize,
+			WeightSizeMb:  modelSizeMb,
 			LoadTimeS:     scenario.Models.LoadTimeS,
 			AdapterSizeMb: 1,
 		}
@@ -209,8 +209,8 @@
 }
 
 const (
-	// modelSize is the size of each model's weights, in MB.
-	modelSize = 1024
-	// spareSize is what a replica's capacity has beyond its models, in MB, for adapters.
-	spareSize = 64
+	// modelSizeMb is the size of each model's weights, in MB.
+	modelSizeMb = 1024
+	// adapterReserveMb is what a replica's capacity has beyond its models, in MB, for adapters.
+	adapterReserveMb = 64
 )
--- a/internal/sim/emulator/world_test.go
+++ b/internal/sim/emulator/world_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func sample(seed uint64) Scenario {
+func sampleScenario(seed uint64) Scenario {
 	s := Defaults()
 	s.Seed = seed
 	s.LengthS = 60
@@ -49,15 +49,15 @@
 	return s
 }
 
-func play(t *testing.T, scenario Scenario) Result {
+func run(t *testing.T, scenario Scenario) Result {
 	t.Helper()
 	world, err := NewWorld(scenario)
 	assert.NilError(t, err)
 	return world.Run()
 }
 
-func troubled(seed uint64) Scenario {
-	scenario := sample(seed)
+func scenarioWithFailures(seed uint64) Scenario {
+	scenario := sampleScenario(seed)
 	scenario.Losses = []Loss{{
 		Region:   "south",
 		AtS:      25,
@@ -76,7 +76,7 @@
 func TestWorld_EachRequestEndsOnceUnderAnyFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		world, err := NewWorld(troubled(seed))
+		world, err := NewWorld(scenarioWithFailures(seed))
 		assert.NilError(t, err)
 		result := world.Run()
 		assert.DeepEqual(t, result.Violations, []string{})
@@ -111,7 +111,7 @@
 func TestWorld_LongStreamsDeliveredExactlyOnceAfterRegionLoss(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		scenario := sample(seed)
+		scenario := sampleScenario(seed)
 		scenario.Losses = []Loss{{Region: "south", AtS: 25, RestoreS: 45}}
 		world, err := NewWorld(scenario)
 		assert.NilError(t, err)
@@ -134,15 +134,15 @@
 }
 
 func TestWorld_CountsEventsRepeatedOnResume(t *testing.T) {
-	scenario := sample(1)
+	scenario := sampleScenario(1)
 	scenario.Losses = []Loss{{Region: "south", AtS: 25, RestoreS: 45}}
 	scenario.Replica.RepeatedEvents = 1
-	assert.Assert(t, len(play(t, scenario).Violations) > 0, "the check must bite")
+	assert.Assert(t, len(run(t, scenario).Violations) > 0, "the check must bite")
 }
 
 func TestWorld_ReportsDuplicateAndMissingEvents(t *testing.T) {
 	for _, wrong := range []int{1, 3} {
-		world, err := NewWorld(sample(1))
+		world, err := NewWorld(sampleScenario(1))
 		assert.NilError(t, err)
 		clientCall := &call{
 			world:        world,
@@ -161,7 +161,7 @@
 func TestWorld_SameSeedGivesSameResult(t *testing.T) {
 	t.Parallel()
 	written := func(seed uint64) string {
-		content, err := json.Marshal(play(t, troubled(seed)))
+		content, err := json.Marshal(run(t, scenarioWithFailures(seed)))
 		assert.NilError(t, err)
 		return string(content)
 	}
@@ -174,16 +174,16 @@
 
 func TestWorld_SteadyStateObeysLittlesLaw(t *testing.T) {
 	t.Parallel()
-	world, err := NewWorld(sample(2))
+	world, err := NewWorld(sampleScenario(2))
 	assert.NilError(t, err)
 	step := 50 * time.Millisecond
 	inside := 0
 	looks := 0
 	for at := step; at <= 120*time.Second; at += step {
-		world.events.RunUntil(world.began.Add(at))
+		world.events.RunUntil(world.startedAt.Add(at))
 		looks++
 		for _, clientCall := range world.calls {
-			if !clientCall.began.IsZero() && !clientCall.ended {
+			if !clientCall.startedAt.IsZero() && !clientCall.ended {
 				inside++
 			}
 		}
@@ -191,7 +191,7 @@
 	spent := 0.0
 	for _, clientCall := range world.calls {
 		assert.Assert(t, clientCall.ended)
-		spent += clientCall.endedAt.Sub(clientCall.began).Seconds()
+		spent += clientCall.endedAt.Sub(clientCall.startedAt).Seconds()
 	}
 	present := float64(inside) / float64(looks)
 	expected := spent / 120
@@ -199,7 +199,7 @@
 }
 
 func TestScenario_NamesEveryInvalidField(t *testing.T) {
-	scenario := troubled(1)
+	scenario := scenarioWithFailures(1)
 	scenario.Losses[0].Region = "nowhere"
 	scenario.Classes[0].LatencyTargetMs = 0
 	scenario.Placement.Copies = "all"
