--- a/internal/sim/emulator/attempt.go
+++ b/internal/sim/emulator/attempt.go
@@ -8,65 +8,65 @@
 	"ferryspar/internal/routing"
 )
 
-// attempt is one attempt of a call at one edge; the edge may forward it to several replicas in turn.
+// attempt is one attempt of a call at one edge. The edge may forward it to several replicas in turn.
 type attempt struct {
 	call *call
 	edge *edge
-	// incarnation is the edge's incarnation in which the attempt arrived; a restarted edge knows nothing of it.
+	// incarnation is the edge's incarnation when the attempt was sent; a restarted edge has lost its state.
 	incarnation int
 	number      int
 	request     routing.Request
-	// pending is the request while the matcher has it queued, or nil.
+	// pending is the request while it is queued in the matcher, or nil.
 	pending *routing.Request
-	// forwardNumber distinguishes the answers of the current forward from those of earlier ones.
+	// forwardNumber distinguishes responses to the current forward from those to earlier ones.
 	forwardNumber int
-	// forwards counts the forwards that reached a replica.
+	// forwards is the number of failed forwards that reached a replica.
 	forwards int
-	// connectFailures counts the forwards that found no connection.
+	// connectFailures is the number of forwards that failed to connect.
 	connectFailures int
-	// mayHaveExecuted is set once a forward failed without proof that nothing was executed.
+	// mayHaveExecuted is set once a forward has failed without proof that nothing was executed.
 	mayHaveExecuted bool
-	// headSent is set once an event went to the client.
+	// headSent is set once the response to the client has begun.
 	headSent bool
-	// lastID is the last event sent to the client, or the one it resumes after.
+	// lastID is the ID of the last event sent to the client, or of the event that it resumes after.
 	lastID    int
 	replicaID string
 	ticket    *routing.Ticket
 	execution *execution
-	// prefillStep is the prefill step under way, and decode the replica that is to continue; held is the memory of the prompt once it
-	// was read. prefillFailures counts the prefill replicas that failed.
+	// prefillStep is the prefill in progress, and decodeReplica the replica that is to decode; held is the KV
+	// cache of the prompt after its prefill. prefillFailures counts the prefill replicas that failed.
 	prefillStep     *routing.PrefillStep
 	decodeReplica   *routing.Replica
 	held            *heldPrompt
 	prefillFailures int
 	lastByteAt      time.Time
-	// lastReportedAt is when the matcher was last notified that the stream is alive.
+	// lastReportedAt is when progress of the stream was last reported to the matcher.
 	lastReportedAt time.Time
-	// firstEventSeen is set once the current forward has answered.
+	// firstEventSeen is set once the current forward has returned an event.
 	firstEventSeen bool
 	closed         bool
 	enqueuedAt     time.Time
 }
 
 const (
-	// connectTimeout is how long an edge waits for a connection to a replica that is dark.
+	// connectTimeout is how long an edge waits for a connection to a replica that does not respond.
 	connectTimeout = 400 * time.Millisecond
-	// silenceTimeout is how long an edge waits for the next byte of a replica.
+	// silenceTimeout is how long an edge waits for the next byte from a replica.
 	silenceTimeout = 3 * time.Second
-	// idleConnectionTimeout is how long an unused connection to a replica is kept.
+	// idleConnectionTimeout is how long an idle connection to a replica is kept open.
 	idleConnectionTimeout = 3 * time.Second
-	// progressReportInterval is how often the matcher is notified that a stream goes on.
+	// progressReportInterval is the minimum time between progress reports of a stream to the matcher.
 	progressReportInterval = 250 * time.Millisecond
-	// maxConnectFailures is how many forwards without a connection an attempt may make.
+	// maxConnectFailures is the number of connection failures after which an attempt fails.
 	maxConnectFailures = 4
 )
 
-// isOver reports whether the attempt is closed or its edge has died since.
+// isOver reports whether the attempt is closed or its edge has died or restarted since it was sent.
 func (p *attempt) isOver() bool {
 	return p.closed || !p.edge.alive || p.edge.incarnation != p.incarnation
 }
 
-// enqueue gives the request to the matcher, for the first time or again.
+// enqueue queues the request in the matcher, initially or for another forward.
 func (p *attempt) enqueue() {
 	request := p.request
 	p.pending, p.enqueuedAt = &request, p.edge.world.now()
@@ -76,32 +76,32 @@
 	p.edge.processDecisions()
 }
 
-// onCommand follows the matcher's decision: to forward to a replica, or to fail.
-func (p *attempt) onCommand(command routing.Decision) {
+// onDecision carries out the matcher's decision: to forward to a replica or to fail.
+func (p *attempt) onDecision(decision routing.Decision) {
 	p.pending = nil
-	if command.Error != nil {
-		p.fail(command.Error)
+	if decision.Error != nil {
+		p.fail(decision.Error)
 		return
 	}
 	w := p.edge.world
-	p.ticket = command.Ticket
-	p.recordForward(command.Replica.ID)
+	p.ticket = decision.Ticket
+	p.recordForward(decision.Replica.ID)
 	if p.forwards > 0 && !p.edge.budget.Allow(w.now(), p.edge.fleet.Load().DataPlaneCount) {
 		p.edge.reportOutcome(p.ticket, routing.OutcomeCancelled)
 		p.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
 		return
 	}
-	if command.Prefill != p.request.HeldPrefill {
+	if decision.Prefill != p.request.HeldPrefill {
 		p.releaseHeld()
 	}
-	if command.Prefill != nil && p.held == nil {
-		p.prefill(command)
+	if decision.Prefill != nil && p.held == nil {
+		p.prefill(decision)
 		return
 	}
-	p.forward(w.servers[command.Replica.ID])
+	p.forward(w.servers[decision.Replica.ID])
 }
 
-// notExecutedOutcomes holds the outcomes that prove that the replica executed nothing of the request.
+// notExecutedOutcomes holds the outcomes that prove that the replica did not execute the request.
 var notExecutedOutcomes = map[routing.Outcome]bool{
 	routing.OutcomeFull:         true,
 	routing.OutcomeModelMissing: true,
@@ -109,8 +109,8 @@
 	routing.OutcomeHandleGone:   true,
 }
 
-// onOutcome handles the failure of a forward. Another replica is tried only if nothing was executed
-// or the class is resumable, and only within the retry count.
+// onOutcome handles the failure of a forward. It tries another replica only if nothing was executed or the
+// class is resumable, and only within the retry count.
 func (p *attempt) onOutcome(number int, outcome routing.Outcome) {
 	if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 		return
@@ -149,23 +149,24 @@
 	p.edge.processDecisions()
 }
 
-// reportOutcome gives the forward's final outcome to the matcher.
+// reportOutcome reports the final outcome of the forward to the matcher.
 func (p *attempt) reportOutcome(outcome routing.Outcome) {
 	ticket := p.ticket
 	p.ticket = nil
 	p.edge.reportOutcome(ticket, outcome)
 }
 
-// sendToClient acts at the client after the link's delay.
+// sendToClient calls act after the delay of the link to the client.
 func (p *attempt) sendToClient(act func()) { p.edge.afterLink(p.call.request.Zone, act) }
 
-// reject answers the client that nothing was executed and when to come back.
+// reject tells the client that nothing was executed and how long to wait before a retry.
 func (p *attempt) reject(wait time.Duration) {
 	p.closed = true
 	p.sendToClient(func() { p.call.onRejected(p.number, wait) })
 }
 
-// fail answers with an error: a rejection if nothing was executed, a truncated answer otherwise.
+// fail ends the attempt with an error: as a rejection if nothing was executed and the error is a 503, as
+// a truncated response otherwise.
 func (p *attempt) fail(failure *apierror.Error) {
 	p.releaseHeld()
 	if p.headSent || p.mayHaveExecuted || failure.Kind.Status() != http.StatusServiceUnavailable {
@@ -176,7 +177,7 @@
 	p.reject(failure.RetryAfter)
 }
 
-// cancel ends the attempt at its client's wish.
+// cancel ends the attempt because the client has abandoned it.
 func (p *attempt) cancel() {
 	if p.isOver() {
 		return
--- a/internal/sim/emulator/call.go
+++ b/internal/sim/emulator/call.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/routing"
 )
 
-// call is one request as its client sees it, over all the attempts made for it.
+// call is a request as its client sees it, over all of its attempts.
 type call struct {
 	world        *World
 	request      *Request
@@ -15,38 +15,39 @@
 	startedAt    time.Time
 	deadline     time.Time
 	attemptsMade int
-	// received is the id of the last event received; 0 before the first.
+	// received is the ID of the last event received, or 0 before the first.
 	received     int
 	firstEventAt time.Time
 	lastEventAt  time.Time
-	// maxEventGap is the longest gap between two events.
+	// maxEventGap is the longest gap between two consecutive events.
 	maxEventGap    time.Duration
 	lastActivityAt time.Time
-	// fallbackOutcome is the outcome that counts if no further attempt is made.
+	// fallbackOutcome is the outcome of the call if no further attempt is made.
 	fallbackOutcome string
-	// attempt is the one under way, or nil.
+	// attempt is the current attempt, or nil.
 	attempt *attempt
 	ended   bool
 	endedAt time.Time
-	// interrupted marks a call that the last loss hit and that no spared replica has taken yet.
+	// interrupted is set while a call that the last loss interrupted has not yet been forwarded to a
+	// surviving replica.
 	interrupted bool
-	// waitMs is how long the first forwarded attempt waited in its edge.
+	// waitMs is how long the first forwarded attempt was queued at its edge.
 	waitMs float64
-	// notLoaded is set if no replica had the model loaded when the request arrived.
+	// notLoaded is set if no replica had the model loaded when the request was sent.
 	notLoaded bool
 	outcome   string
 }
 
 const (
-	// outcomeServed: every event arrived.
+	// outcomeServed means that the client received every event.
 	outcomeServed = "served"
-	// outcomeRejected: the last attempt was rejected before it ran.
+	// outcomeRejected means that the last attempt was rejected before execution.
 	outcomeRejected = "refused"
-	// outcomeBroken: the answer was truncated and may not be requested again.
+	// outcomeBroken means that the response was truncated and the request may not be retried.
 	outcomeBroken = "broken"
-	// outcomeSilent: no data plane answered in time.
+	// outcomeSilent means that no data plane responded in time.
 	outcomeSilent = "silent"
-	// outcomeExpired: the client's timeout passed.
+	// outcomeExpired means that the client's timeout expired.
 	outcomeExpired = "expired"
 )
 
@@ -55,20 +56,20 @@
 	clientConnectTimeout = time.Second
 	// resumeDelay is how long a client waits before it resumes a truncated stream.
 	resumeDelay = 50 * time.Millisecond
-	// clientRetryMargin is how much of the timeout a first attempt may have lost on its way before it is
-	// taken for one that returns after a rejection.
+	// clientRetryMargin is how much of the timeout may have elapsed on arrival at the edge, beyond the link
+	// delay, before a request is classified as a retry after a rejection.
 	clientRetryMargin = 20 * time.Millisecond
 )
 
-// targetLatency is the class's target for the first token.
+// targetLatency returns the class's target for the time to first token.
 func (c *call) targetLatency() time.Duration { return milliseconds(c.class.LatencyTargetMs) }
 
-// silenceTimeout is how long the client waits without an event before it gives the attempt up.
+// silenceTimeout returns how long the client waits for the next event before it abandons the attempt.
 func (c *call) silenceTimeout() time.Duration {
 	return max(2*time.Second, 4*c.targetLatency(), 8*milliseconds(c.class.TokenGapMs))
 }
 
-// start starts the request at the moment of its arrival.
+// start starts the request at its arrival time.
 func (c *call) start() {
 	c.startedAt = c.world.now()
 	c.deadline = c.startedAt.Add(milliseconds(c.class.TimeoutMs))
@@ -78,7 +79,8 @@
 	c.sendAttempt()
 }
 
-// sendAttempt chooses an edge and sends the request there, unless the class's attempts are used up.
+// sendAttempt selects an edge and sends the request to it, or finishes the call if the class's attempts
+// are exhausted.
 func (c *call) sendAttempt() {
 	if c.ended {
 		return
@@ -108,7 +110,7 @@
 	c.watchSilence(attemptNumber, c.silenceTimeout())
 }
 
-// routingRequest describes this request as the given edge's matcher sees it on arrival now.
+// routingRequest returns the request as the edge's matcher sees it, with the current time as arrival time.
 func (c *call) routingRequest(at *edge, attemptNumber int) routing.Request {
 	now := c.world.now()
 	remaining := c.deadline.Sub(now)
@@ -133,18 +135,18 @@
 	}
 }
 
-// isStale reports whether something of the given attempt comes too late to count.
+// isStale reports whether the call has ended or a later attempt has replaced the given one.
 func (c *call) isStale(attemptNumber int) bool { return c.ended || c.attemptsMade != attemptNumber }
 
-// retryIfCurrent makes the next attempt if the given attempt is still the last one.
+// retryIfCurrent makes the next attempt if the given attempt is still the latest.
 func (c *call) retryIfCurrent(attemptNumber int) {
 	if !c.isStale(attemptNumber) {
 		c.sendAttempt()
 	}
 }
 
-// watchSilence abandons the attempt once nothing was received for the silence timeout; only resumable
-// classes retry.
+// watchSilence abandons the attempt once nothing has been received for the silence timeout. Only
+// resumable classes retry.
 func (c *call) watchSilence(attemptNumber int, wait time.Duration) {
 	c.world.events.After(wait, func() {
 		if c.isStale(attemptNumber) || c.attempt == nil {
@@ -164,7 +166,7 @@
 	})
 }
 
-// abandonAttempt lets go of the attempt under way and cancels it at its edge.
+// abandonAttempt clears the current attempt and cancels it at its edge.
 func (c *call) abandonAttempt() {
 	if clientAttempt := c.attempt; clientAttempt != nil {
 		c.attempt = nil
@@ -172,14 +174,15 @@
 	}
 }
 
-// receiveEvent counts an event of the answer; ids must follow each other, over resumptions too.
+// receiveEvent handles an event of the response. It records a violation unless event IDs are consecutive,
+// also across resumptions.
 func (c *call) receiveEvent(attemptNumber, id int) {
 	if c.isStale(attemptNumber) || c.attempt == nil {
 		return
 	}
 	now := c.world.now()
 	if id != c.received+1 {
-		c.world.recordViolation("request %d of %s: event %d after %d", c.request.Number, c.class.Name, id, c.received)
+		c.world.recordViolation("request %d of class %s: event %d after event %d", c.request.Number, c.class.Name, id, c.received)
 	}
 	if c.received == 0 {
 		c.firstEventAt = now
@@ -195,7 +198,8 @@
 	}
 }
 
-// onRejected retries after the wait that the rejection names, at most a third of the time left.
+// onRejected retries after the wait that the rejection asks for, but at most after a third of the time
+// remaining.
 func (c *call) onRejected(attemptNumber int, wait time.Duration) {
 	if c.isStale(attemptNumber) {
 		return
@@ -204,7 +208,7 @@
 	c.world.events.After(min(wait, c.deadline.Sub(c.world.now())/3), func() { c.retryIfCurrent(attemptNumber) })
 }
 
-// onTruncated resumes a truncated answer if the class allows it and ends the call otherwise.
+// onTruncated resumes a truncated response if the class is resumable, and ends the call otherwise.
 func (c *call) onTruncated(attemptNumber int) {
 	if c.isStale(attemptNumber) {
 		return
@@ -217,7 +221,7 @@
 	c.world.events.After(resumeDelay, func() { c.retryIfCurrent(attemptNumber) })
 }
 
-// finish ends the call once, with the given outcome, and notifies the observer.
+// finish ends the call with the given outcome and notifies the observer. Later calls have no effect.
 func (c *call) finish(outcome string) {
 	if c.ended {
 		return
@@ -229,13 +233,14 @@
 	c.world.observer.requestEnded(c)
 }
 
-// inTime reports whether the call was served with its first token within the target and no gap beyond
-// the class's gap.
+// inTime reports whether the call was served with its first token within the latency target and no gap
+// between tokens longer than the class allows.
 func (c *call) inTime() bool {
-	return c.outcome == outcomeServed && c.firstEventAt.Sub(c.startedAt) <= c.targetLatency() && c.maxEventGap <= milliseconds(c.class.TokenGapMs)
+	return c.outcome == outcomeServed && c.firstEventAt.Sub(c.startedAt) <= c.targetLatency() &&
+		c.maxEventGap <= milliseconds(c.class.TokenGapMs)
 }
 
-// firstTokenMs is the time to the first token in milliseconds, or 0 if none came.
+// firstTokenMs returns the time to first token in milliseconds, or 0 if no token was received.
 func (c *call) firstTokenMs() float64 {
 	if c.received == 0 {
 		return 0
--- a/internal/sim/emulator/controlplane.go
+++ b/internal/sim/emulator/controlplane.go
@@ -8,52 +8,55 @@
 	"ferryspar/internal/sim/emulator/standin"
 )
 
-// trackedReplica is what the control plane knows of a replica that it places models on.
+// trackedReplica is the control plane's state of a replica that it places models on.
 type trackedReplica struct {
 	listed discovery.Replica
 	models map[string]bool
-	// known is set once the replica has reported what it has loaded.
+	// known is set once the replica has reported its loaded models.
 	known bool
-	// pending is the load or unload under way, or nil; pendingSince is when it was ordered.
+	// pending is the load or unload in progress, or nil; pendingSince is when it was ordered.
 	pending      *placement.Action
 	pendingSince time.Time
-	// loadedOnce holds the models that this incarnation has had loaded, so that its disk has them.
+	// loadedOnce holds the references that this incarnation has reported as loaded, which are therefore on its
+	// disk.
 	loadedOnce map[string]bool
-	// cordoned holds "replica reference" pairs that edges must no longer use.
+	// cordoned holds the "replica reference" pairs that edges must no longer use.
 	cordoned map[string]bool
-	// intent is the planner's own note for its next run.
+	// intent is state that the planner keeps for its next run.
 	intent string
 }
 
-// controlPlane is the control plane that holds the placement lease, with the planner of the daemons.
-// The others are not emulated; a takeover time stands for them.
+// controlPlane is the control plane that holds the placement lease. It runs the daemons' planner. The other
+// control planes are represented only by the time that a takeover takes.
 type controlPlane struct {
 	world   *World
 	zone    int
 	alive   bool
 	demand  *demand
 	tracked map[string]*trackedReplica
-	// loadedBefore holds the references that any incarnation at each address has had loaded, so that its disk may have them.
+	// loadedBefore holds, by address, the references that any incarnation has reported as loaded, which may
+	// therefore be on its disk.
 	loadedBefore map[string]map[string]bool
-	// recentStoreLoads are the moments of the last loads from the store, for the store's rate.
+	// recentStoreLoads are the times of the last loads from the store, for its rate limit.
 	recentStoreLoads []time.Time
 }
 
 const (
-	// planInterval is how often the planner runs.
+	// planInterval is the interval between runs of the planner.
 	planInterval = 100 * time.Millisecond
-	// storeLoadTimeShare is the share of a model's load time within which one from the store never ends.
+	// storeLoadTimeShare is the share of a model's load time before which a load from the store never
+	// completes; a shorter load came from the replica's disk.
 	storeLoadTimeShare = 0.5
-	// reportDelay is how long after a change a replica is asked for its report.
+	// reportDelay is the lag of a replica's report behind its state, in addition to the link's delay.
 	reportDelay = 250 * time.Millisecond
-	// cordonDelay is how long edges are given to hear of an unload before the replica does.
+	// cordonDelay is how long before the unload order the edges are told, so that they stop using the model.
 	cordonDelay = 220 * time.Millisecond
-	// storeRatePeriod is the period over which the store's rate of loads is kept.
+	// storeRatePeriod is the period over which the rate of loads from the store is limited.
 	storeRatePeriod = 5 * time.Second
 )
 
-// newControlPlane starts the holder in a zone; one that succeeds another takes over its rates and
-// loads.
+// newControlPlane starts a lease holder in a zone. A successor inherits the demand, the disk contents and the
+// store loads known to the previous holder.
 func newControlPlane(world *World, zone int, before *controlPlane) *controlPlane {
 	c := &controlPlane{
 		world:        world,
@@ -73,7 +76,7 @@
 	return c
 }
 
-// scheduleRefresh reads the platform's list in every refresh period.
+// scheduleRefresh reads the platform's list at every refresh interval.
 func (c *controlPlane) scheduleRefresh() {
 	c.world.events.After(milliseconds(c.world.scenario.Platform.RefreshMs), func() {
 		if c.alive {
@@ -83,7 +86,7 @@
 	})
 }
 
-// schedulePlan runs the planner in every planning period.
+// schedulePlan runs the planner at every planning interval.
 func (c *controlPlane) schedulePlan() {
 	c.world.events.After(planInterval, func() {
 		if c.alive {
@@ -93,7 +96,8 @@
 	})
 }
 
-// fail ends the holder; after the takeover time an edge's zone that still stands hosts the next.
+// fail ends the lease holder. After the takeover time a new one starts in the zone of the first edge that is
+// alive; if there is none, the takeover is tried again.
 func (c *controlPlane) fail() {
 	c.alive = false
 	w := c.world
@@ -109,7 +113,7 @@
 	})
 }
 
-// refresh reads the platform's list, follows its replicas and publishes the roster.
+// refresh reads the platform's list, updates the tracked replicas and publishes the roster.
 func (c *controlPlane) refresh() {
 	now := c.world.now()
 	listing := c.world.listedReplicas()
@@ -134,12 +138,12 @@
 	c.publishRoster(listing, now)
 }
 
-// loadedModels lists a set of references as the platform's list does.
+// loadedModels returns a set of references in the format of the platform's list.
 func loadedModels(models map[string]bool) []discovery.LoadedModel {
 	return standin.ModelSet(models).List()
 }
 
-// publishRoster sends the replicas and what is cordoned to every edge.
+// publishRoster sends the replica list and the cordoned references to every edge.
 func (c *controlPlane) publishRoster(listing []discovery.Replica, now time.Time) {
 	update := roster{
 		replicas: listing,
@@ -157,7 +161,7 @@
 	}
 }
 
-// requestReport polls a replica for what it has loaded; a dead one gives no answer.
+// requestReport asks a replica for its loaded models. A dead one does not respond.
 func (c *controlPlane) requestReport(id string) {
 	target := c.world.servers[id]
 	wait := c.world.linkDelay(c.zone, target.machine.zone)
@@ -173,7 +177,7 @@
 	})
 }
 
-// applyReport adopts a replica's report, which ends its pending change.
+// applyReport adopts a replica's report, which ends its pending load or unload.
 func (c *controlPlane) applyReport(id string, models map[string]bool) {
 	replica := c.tracked[id]
 	if replica == nil || !c.alive {
--- a/internal/sim/emulator/copies.go
+++ b/internal/sim/emulator/copies.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// copyPlacement is the placement of the first copies while it is being worked out, by machine and
-// by model.
+// copyPlacement is the state of the placement of the initial copies. zones and loaded are indexed by machine,
+// copies and inZone by model; inZone counts the model's copies by zone.
 type copyPlacement struct {
 	scenario Scenario
 	zones    []int
@@ -16,8 +16,8 @@
 	inZone   []map[int]int
 }
 
-// placeInitialCopies returns the references that each machine has loaded at the beginning, by the machine's
-// index.
+// placeInitialCopies returns the references that each machine has loaded at the beginning, by the
+// machine's index.
 func placeInitialCopies(scenario Scenario) [][]string {
 	l := &copyPlacement{scenario: scenario, copies: make([]int, scenario.Models.Count)}
 	for index, zone := range scenario.Zones {
@@ -37,8 +37,8 @@
 	return l.loaded
 }
 
-// addExtraCopies fills the busy share of the capacity left after each model's first copy, each time
-// with the model whose popularity per copy is highest.
+// addExtraCopies fills FillRatio of the capacity that is left after one copy of each model, each time with
+// the model whose popularity per copy is highest.
 func (l *copyPlacement) addExtraCopies() {
 	models := l.scenario.Models
 	shares := popularity(models)
@@ -58,7 +58,7 @@
 	}
 }
 
-// place gives one more copy of the model to the best machine, and reports whether one had capacity.
+// place adds a copy of the model to the best machine and reports whether any machine had capacity.
 func (l *copyPlacement) place(model int) bool {
 	best := -1
 	for machine := range l.zones {
@@ -79,8 +79,8 @@
 	return true
 }
 
-// isBetter compares two machines for a copy: by the copies in their zone, fewest or most as the
-// scenario says, then by how many models they hold.
+// isBetter reports whether the machine is a better place for a copy than best: by the model's copies in the
+// zone, fewest or most as the scenario says, then by the fewest loaded references.
 func (l *copyPlacement) isBetter(model, machine, best int) bool {
 	here := l.inZone[model][l.zones[machine]]
 	there := l.inZone[model][l.zones[best]]
@@ -90,7 +90,7 @@
 	return len(l.loaded[machine]) < len(l.loaded[best])
 }
 
-// addAdapters gives the first model's adapters to the machines that hold it, in turn.
+// addAdapters loads adapters of the first model on the machines that have it, round-robin.
 func (l *copyPlacement) addAdapters() {
 	models := l.scenario.Models
 	placed := 0
--- a/internal/sim/emulator/demand.go
+++ b/internal/sim/emulator/demand.go
@@ -10,51 +10,52 @@
 	"ferryspar/internal/placement"
 )
 
-// loadReport is an edge's load and when it was received.
+// loadReport is an edge's load report and when it was received.
 type loadReport struct {
 	at   time.Time
 	load peer.LoadReport
 }
 
-// demand is what the control plane knows of the demand for each model, by the reports of the edges.
-// It follows the scheduler of the control-plane daemon.
+// demand is the control plane's estimate of the demand for each model from the edges' load reports. Its rules
+// and constants are those of the control-plane daemon's scheduler.
 type demand struct {
-	// reports are the last reports, by the edge's number.
+	// reports are the latest load reports, by the edge's number.
 	reports map[int]loadReport
-	// arrivals counts the requests since the last measure, by key.
+	// arrivals counts the requests since the last update of the rates, by model key.
 	arrivals map[string]float64
-	// prefillMs sums the time spent reading prompts since the last measure, by key.
+	// prefillMs sums the prefill time since the last update of the rates, by model key.
 	prefillMs map[string]float64
-	// byKey is the demand by backend and model.
+	// byKey is the demand by model key (backend and model).
 	byKey map[string]*placement.Demand
-	// learningSince is when demand was first reported; zero before.
+	// learningSince is when demand was first reported, or zero before that.
 	learningSince time.Time
 	measuredAt    time.Time
 }
 
 const (
-	// rateTimeConstantS is the time constant of the averaged rates, in seconds.
+	// rateTimeConstantS is the time constant of the moving averages of the rates, in seconds.
 	rateTimeConstantS = 8.0
-	// learningPeriod is how long a new holder listens before it trusts its demand.
+	// learningPeriod is how long a new lease holder collects reports before its demand counts as known.
 	learningPeriod = 6 * time.Second
-	// loadSumExpiry is how long an edge's load counts in the sums that the others receive.
+	// loadSumExpiry is how long an edge's load counts in the sums sent to the other edges.
 	loadSumExpiry = 2 * time.Second
-	// loadExpiry is how long an edge's waiting requests count.
+	// loadExpiry is how long an edge's waiting and running requests count.
 	loadExpiry = 1500 * time.Millisecond
-	// reportRetention is how long a silent edge is remembered.
+	// reportRetention is how long the last report of an edge is kept.
 	reportRetention = 10 * time.Second
 	// suspicionExpiry is how long an edge's suspicion of a replica counts.
 	suspicionExpiry = time.Second
-	// minSuspecting is how many edges must suspect a replica.
+	// minSuspecting is how many edges must suspect a replica, unless all that report do.
 	minSuspecting = 2
-	// rateGrid is the grid that rates are rounded to, so that sums do not depend on their order.
+	// rateGrid is the unit that rates are rounded to. Sums of its multiples are exact, so they do not depend on the
+	// order of the terms and a run is reproducible.
 	rateGrid = 720720.0 / (1 << 30)
 )
 
-// roundToGrid rounds to a grid on which sums do not depend on the order of their terms.
+// roundToGrid rounds to a multiple of rateGrid.
 func roundToGrid(value float64) float64 { return math.Round(value/rateGrid) * rateGrid }
 
-// newDemand knows nothing yet.
+// newDemand returns an empty demand.
 func newDemand(now time.Time) *demand {
 	return &demand{
 		reports:    map[int]loadReport{},
@@ -65,18 +66,18 @@
 	}
 }
 
-// inherit takes over the demand of the holder before.
+// inherit takes over the demand of the previous lease holder and counts as learned.
 func (d *demand) inherit(before *demand, now time.Time) {
 	d.byKey = before.cloneByKey()
 	d.learningSince = now.Add(-learningPeriod)
 }
 
-// isLearned reports whether the demand was reported for long enough to plan by.
+// isLearned reports whether demand has been reported for long enough to plan with.
 func (d *demand) isLearned(now time.Time) bool {
 	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learningPeriod
 }
 
-// liveEdges counts the edges that have reported lately.
+// liveEdges returns the number of edges that have reported within reportRetention.
 func (d *demand) liveEdges(now time.Time) int {
 	live := 0
 	for _, report := range d.reports {
@@ -87,10 +88,10 @@
 	return live
 }
 
-// reportingEdges lists the numbers of the edges in ascending order.
+// reportingEdges returns the numbers of the edges with a report, in ascending order.
 func (d *demand) reportingEdges() []int { return slices.Sorted(maps.Keys(d.reports)) }
 
-// receiveLoad takes an edge's report in and returns the other edges' summed load by replica.
+// receiveLoad stores an edge's load report and returns the other edges' summed load by replica.
 func (c *controlPlane) receiveLoad(edge int, load peer.LoadReport) map[string]peer.ReplicaLoad {
 	d, now := c.demand, c.world.now()
 	d.reports[edge] = loadReport{now, load}
@@ -119,7 +120,7 @@
 	return summedLoads
 }
 
-// entry is the demand for a key, made on first use.
+// entry returns the demand of a model key and creates it if necessary.
 func (d *demand) entry(name string) *placement.Demand {
 	if d.byKey[name] == nil {
 		d.byKey[name] = &placement.Demand{}
@@ -127,8 +128,7 @@
 	return d.byKey[name]
 }
 
-// updateRates brings the averaged rates up to date, at most every quarter of a second, and sums the
-// reports.
+// updateRates updates the averaged rates, at most every quarter of a second, and sums the reports.
 func (d *demand) updateRates(now time.Time) {
 	defer d.sumReports(now)
 	span := now.Sub(d.measuredAt).Seconds()
@@ -153,7 +153,7 @@
 	d.prefillMs = map[string]float64{}
 }
 
-// sumReports sums what waits and runs over the edges that have reported lately.
+// sumReports sums the waiting and running requests over the edges whose reports have not expired.
 func (d *demand) sumReports(now time.Time) {
 	for _, entry := range d.byKey {
 		entry.Waiting = 0
@@ -182,7 +182,7 @@
 	}
 }
 
-// cloneByKey is a deep copy of the demand.
+// cloneByKey returns a deep copy of the demand by model key.
 func (d *demand) cloneByKey() map[string]*placement.Demand {
 	copies := make(map[string]*placement.Demand, len(d.byKey))
 	for name, entry := range d.byKey {
@@ -192,7 +192,8 @@
 	return copies
 }
 
-// isSuspect reports whether enough of the edges that have reported lately suspect the replica.
+// isSuspect reports whether the replica is suspected by at least minSuspecting, or by all, of the edges whose
+// reports have not expired.
 func (d *demand) isSuspect(id string, now time.Time) bool {
 	suspected, reporting := 0, 0
 	for _, report := range d.reports {
--- a/internal/sim/emulator/edge.go
+++ b/internal/sim/emulator/edge.go
@@ -11,55 +11,57 @@
 	"ferryspar/internal/routing"
 )
 
-// edge is a data plane: the project's matcher, its retry budget, and the soft state that it receives.
+// edge is an emulated data plane: the project's matcher and retry budget, and the state received from the
+// control plane.
 type edge struct {
 	world *World
 	// number is the index among the edges.
 	number int
 	// zone is the index of its zone.
 	zone int
-	// incarnation counts the starts; what an earlier incarnation scheduled has no effect.
+	// incarnation counts the starts; events scheduled by an earlier incarnation have no effect.
 	incarnation int
 	alive       bool
-	// routable reports whether clients are still routed here; it lags behind alive.
+	// routable is set while clients are routed to this edge; it lags behind alive by the detection time.
 	routable bool
 	fleet    atomic.Pointer[routing.Snapshot]
 	matcher  *routing.Matcher
 	budget   *proxy.RetryBudget
 	roster   roster
-	// peerLoads is the summed load of the other edges, by replica.
+	// peerLoads is the summed load of the other edges, by replica ID.
 	peerLoads   map[string]peer.ReplicaLoad
 	peerLoadsAt time.Time
 	lastReport  peer.LoadReport
 	waiting     []*attempt
-	// lastUsed is when each replica last sent a byte, by replica id.
+	// lastUsed is when each replica last sent a byte, by replica ID.
 	lastUsed map[string]time.Time
 	// wakeAt is the earliest wake-up scheduled for the matcher.
 	wakeAt time.Time
 }
 
-// roster is what the control plane sends the edges about the replicas.
+// roster is the replica list that the control plane sends to the edges.
 type roster struct {
 	replicas []discovery.Replica
 	fetched  time.Time
-	// cordoned holds "replica reference" pairs that are being unloaded.
+	// cordoned holds the "replica reference" pairs of models and adapters that are being unloaded.
 	cordoned map[string]bool
-	// edges is how many data planes are alive, for shared budgets.
+	// edges is the number of data planes alive, by which shared budgets are divided.
 	edges int
 }
 
 const (
-	// loadReportInterval is how often an edge reports its load.
+	// loadReportInterval is the interval between the load reports of an edge.
 	loadReportInterval = 300 * time.Millisecond
 	// budgetPeriod is the period of the retry budget.
 	budgetPeriod = 10 * time.Second
-	// budgetRatio is the share of requests that may be retried.
+	// budgetRatio is the ratio of retries to requests that the budget allows.
 	budgetRatio = 0.2
-	// budgetSlack is how many retries a period allows in any case, over all edges.
+	// budgetSlack is the number of retries per period, over all edges, that are allowed at any request rate.
 	budgetSlack = 50
 )
 
-// start starts a new incarnation without any state; its load reports are spread over the period.
+// start starts a new incarnation with empty state. The load reports of the edges are staggered over the
+// interval.
 func (e *edge) start() {
 	e.incarnation++
 	e.alive = true
@@ -77,7 +79,7 @@
 	e.scheduleLoadReport(e.incarnation, phase)
 }
 
-// scheduleLoadReport reports the load after the wait and then in every period, until this incarnation ends.
+// scheduleLoadReport reports the load after the wait and then at every interval, until this incarnation ends.
 func (e *edge) scheduleLoadReport(incarnation int, wait time.Duration) {
 	e.world.events.After(wait, func() {
 		if !e.alive || e.incarnation != incarnation {
@@ -88,8 +90,8 @@
 	})
 }
 
-// reportLoad sends the matcher's gauge to the control plane and takes the others' loads from the
-// answer.
+// reportLoad sends the matcher's load report to the control plane and adopts the other edges' summed load
+// from the response.
 func (e *edge) reportLoad() {
 	if e.fleet.Load().Table == nil {
 		return
@@ -113,12 +115,12 @@
 	})
 }
 
-// afterLink acts after the delay of the link to the given zone.
+// afterLink calls act after the delay of the link to the given zone.
 func (e *edge) afterLink(zone int, act func()) {
 	e.world.events.After(e.world.linkDelay(e.zone, zone), act)
 }
 
-// receiveRoster adopts a roster of the control plane.
+// receiveRoster adopts a roster from the control plane.
 func (e *edge) receiveRoster(next roster) {
 	if !e.alive {
 		return
@@ -127,7 +129,7 @@
 	e.publishFleet()
 }
 
-// publishFleet gives the matcher a fleet built from the last roster and the others' loads.
+// publishFleet gives the matcher a snapshot built from the last roster and the other edges' loads.
 func (e *edge) publishFleet() {
 	if e.roster.fetched.IsZero() {
 		return
@@ -150,7 +152,7 @@
 	e.processDecisions()
 }
 
-// regionOf is the region of a zone, or empty if the zone is unknown.
+// regionOf returns the region of a zone, or an empty string if the zone is unknown.
 func (w *World) regionOf(zone string) string {
 	for _, known := range w.scenario.Zones {
 		if known.Name == zone {
@@ -160,7 +162,7 @@
 	return ""
 }
 
-// accept takes an attempt in; it is rejected while the edge has no configuration.
+// accept queues an attempt, or rejects it while the edge has no configuration.
 func (e *edge) accept(clientAttempt *attempt) {
 	e.budget.RecordRequest(e.world.now())
 	if e.fleet.Load().Table == nil {
@@ -170,17 +172,17 @@
 	clientAttempt.enqueue()
 }
 
-// processDecisions follows the matcher's decisions until there are none, reports the load if the
-// matcher asks for it, and schedules the next wake-up.
+// processDecisions carries out the matcher's decisions until there are none left, reports the load if the
+// matcher has requested it, and schedules the next wake-up.
 func (e *edge) processDecisions() {
 	for progressed := true; progressed; {
 		progressed = false
 		for _, clientAttempt := range slices.Clone(e.waiting) {
 			select {
-			case command := <-clientAttempt.pending.Decided:
+			case decision := <-clientAttempt.pending.Decided:
 				progressed = true
 				e.removeWaiting(clientAttempt)
-				clientAttempt.onCommand(command)
+				clientAttempt.onDecision(decision)
 			default:
 			}
 		}
@@ -193,12 +195,12 @@
 	e.scheduleWake()
 }
 
-// removeWaiting takes an attempt out of those that wait for the matcher.
+// removeWaiting removes an attempt from those that wait for a decision of the matcher.
 func (e *edge) removeWaiting(clientAttempt *attempt) {
 	e.waiting = slices.DeleteFunc(e.waiting, func(other *attempt) bool { return other == clientAttempt })
 }
 
-// scheduleWake wakes the matcher at the moment it asks for, if none earlier is scheduled.
+// scheduleWake schedules the matcher's next wake-up, unless an earlier one is scheduled.
 func (e *edge) scheduleWake() {
 	wait, needed := e.matcher.NextWake()
 	now := e.world.now()
@@ -216,7 +218,7 @@
 	})
 }
 
-// reportOutcome reports to the matcher how the ticket's request went.
+// reportOutcome reports the outcome of the ticket's request to the matcher.
 func (e *edge) reportOutcome(ticket *routing.Ticket, outcome routing.Outcome) {
 	e.matcher.HandleReport(routing.Report{Ticket: ticket, Outcome: outcome, At: e.world.now()})
 }
--- a/internal/sim/emulator/execution.go
+++ b/internal/sim/emulator/execution.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// execution is a request at a replica, queued or running.
+// execution is a request queued or running at a replica.
 type execution struct {
 	attempt       *attempt
 	forwardNumber int
 	model         string
 	prefixHashes  []uint64
-	// cachedParts counts the leading parts of the prompt that were cached.
+	// cachedParts is the number of leading parts of the prompt that were in the KV cache.
 	cachedParts    int
 	unreadTokens   float64
 	reservedTokens float64
 	nextEvent      int
 	priority       int
 	queuedAt       time.Time
-	// promptCompleted is set once the complete prompt is read.
+	// promptCompleted is set once the prefill of the whole prompt is complete.
 	promptCompleted bool
 	pinned          bool
 	ended           bool
 	server          *server
-	// prefill says that only the prompt is to be read.
+	// prefill is set if the replica only performs the prefill.
 	prefill bool
-	// source is the memory to continue from, or nil; fetched is set once it is here.
+	// source is the KV cache held at a prefill replica to continue from, or nil. fetched is set once it has
+	// been transferred.
 	source  *heldPrompt
 	fetched bool
 }
 
-// admit moves queued executions into free slots as long as memory can be reserved for the first of
-// them.
+// admit moves queued executions into free slots in order, until KV cache space cannot be reserved for the
+// next one.
 func (s *server) admit() {
 	for len(s.queue) > 0 && len(s.running) < s.world.scenario.Replica.Slots {
 		run := s.queue[0]
@@ -61,7 +62,7 @@
 	}
 }
 
-// emitEvent sends the execution's next event to its edge.
+// emitEvent sends the execution's next event to its edge and releases the execution after the last.
 func (s *server) emitEvent(run *execution) {
 	request := run.attempt.call.request
 	id := run.nextEvent
@@ -73,7 +74,7 @@
 	}
 }
 
-// release ends an execution and frees its slot and memory.
+// release ends an execution and frees its slot and KV cache space.
 func (s *server) release(run *execution) {
 	if run.ended {
 		return
@@ -94,7 +95,7 @@
 	s.startStep()
 }
 
-// abandon ends the execution because its edge has hung up.
+// abandon ends the execution because its edge has closed the connection.
 func (r *execution) abandon() {
 	if r.server == nil || r.server.dead {
 		r.ended = true
@@ -103,12 +104,12 @@
 	r.server.release(r)
 }
 
-// filter is the items that are to be kept, in a new slice.
+// filter returns a new slice with the items for which keep returns true.
 func filter[T any](items []T, keep func(T) bool) []T {
 	return slices.DeleteFunc(slices.Clone(items), func(item T) bool { return !keep(item) })
 }
 
-// isInUse reports whether a request uses the model or an adapter of it.
+// isInUse reports whether a queued or running request uses the model or one of its adapters.
 func (s *server) isInUse(reference string) bool {
 	for _, run := range append(slices.Clone(s.queue), s.running...) {
 		if run.model == reference || strings.HasPrefix(run.model, reference+"/") {
--- a/internal/sim/emulator/failures.go
+++ b/internal/sim/emulator/failures.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// zonesOf lists the indices of the zones that a loss covers.
+// zonesOf returns the indices of the zones that a loss covers.
 func (w *World) zonesOf(loss Loss) []int {
 	var zones []int
 	for index, zone := range w.scenario.Zones {
@@ -40,8 +40,8 @@
 	return zones
 }
 
-// loseZones takes the zones down. A closed loss ends connections at once; otherwise the lost side
-// just falls silent.
+// loseZones takes the zones down. If loss.Closed is set, connections are closed at once; otherwise the lost
+// side stops responding without closing them.
 func (w *World) loseZones(zones []int, loss Loss) {
 	w.recordLoss(zones, loss)
 	for _, dataPlane := range w.edges {
@@ -67,7 +67,7 @@
 	}
 }
 
-// stopRoutingLater routes clients elsewhere once the platform has noticed the edge's death.
+// stopRoutingLater stops routing clients to a dead edge after the platform's detection time.
 func (w *World) stopRoutingLater(dataPlane *edge, incarnation int) {
 	w.events.After(seconds(w.scenario.Platform.DataPlaneDetectionS), func() {
 		if !dataPlane.alive && dataPlane.incarnation == incarnation {
@@ -76,7 +76,7 @@
 	})
 }
 
-// closeClientConnections ends the connections of the clients whose edge has died.
+// closeClientConnections closes the connections of the clients whose edge has died.
 func (w *World) closeClientConnections(zones []int) {
 	for _, clientCall := range w.calls {
 		if clientCall.ended || clientCall.attempt == nil {
@@ -90,7 +90,8 @@
 	}
 }
 
-// kill ends a server. A dark one falls silent; otherwise its connections break.
+// kill ends a server. If silent is set, it stops responding without closing its connections; otherwise the
+// connections are closed and the edges see truncated responses.
 func (w *World) kill(replica *server, dark bool) {
 	if replica.dead {
 		return
@@ -106,7 +107,7 @@
 	}
 }
 
-// crash kills a machine's server and starts a new one after the given time, if it is above 0.
+// crash kills a machine's server and, if restart is above 0, starts a new one after that time.
 func (w *World) crash(host *machine, restart time.Duration) {
 	if host.current == nil {
 		return
@@ -121,7 +122,8 @@
 	}
 }
 
-// restoreZones brings the zones back, with empty memories.
+// restoreZones restores the zones. Replicas start without loaded models and edges without state; the
+// machines' disks keep their content.
 func (w *World) restoreZones(zones []int) {
 	for _, zone := range zones {
 		w.lostZones[zone] = false
@@ -145,17 +147,17 @@
 	}
 }
 
-// checkServer checks that a server keeps to its slots and its memory.
+// checkServer records a violation if a server exceeds its slots or its KV cache.
 func (w *World) checkServer(s *server) {
 	if len(s.running) > w.scenario.Replica.Slots {
-		w.recordViolation("%s runs %d in %d slots", s.id, len(s.running), w.scenario.Replica.Slots)
+		w.recordViolation("%s runs %d requests in %d slots", s.id, len(s.running), w.scenario.Replica.Slots)
 	}
 	if s.cache.reserved+s.cache.cached > s.cache.total+1e-6 || s.cache.reserved < -1e-6 || s.cache.cached < -1e-6 {
-		w.recordViolation("%s holds %.1f reserved and %.1f kept of %.1f tokens", s.id, s.cache.reserved, s.cache.cached, s.cache.total)
+		w.recordViolation("%s has %.1f tokens reserved and %.1f cached of %.1f", s.id, s.cache.reserved, s.cache.cached, s.cache.total)
 	}
 }
 
-// checkCapacity checks that a load fits on the server.
+// checkCapacity records a violation if a model is loaded on a server beyond its capacity.
 func (w *World) checkCapacity(s *server, loading string) {
 	models := 0
 	for reference := range s.loaded {
@@ -164,15 +166,15 @@
 		}
 	}
 	if !strings.Contains(loading, "/") && models >= w.scenario.Models.PerReplica {
-		w.recordViolation("%s is to load %s beyond its room", s.id, loading)
+		w.recordViolation("%s is ordered to load %s beyond its capacity", s.id, loading)
 	}
 }
 
-// checkStartedOnce checks that a request that may run once begins only once.
+// checkStartedOnce records a violation if an attempt of a class that is not resumable is executed twice.
 func (w *World) checkStartedOnce(run *execution) {
 	attempt := run.attempt.request.AttemptID
 	if w.startedAttempts[attempt] && !run.attempt.call.class.Resumable {
-		w.recordViolation("attempt %s, which may run once, began again at %s", attempt, run.server.id)
+		w.recordViolation("attempt %s, which is not resumable, was executed again at %s", attempt, run.server.id)
 	}
 	w.startedAttempts[attempt] = true
 }
--- a/internal/sim/emulator/forward.go
+++ b/internal/sim/emulator/forward.go
@@ -6,7 +6,7 @@
 	"ferryspar/internal/routing"
 )
 
-// forward sends the request to a server and watches for its answer.
+// forward sends the request to a server and starts the silence timeout.
 func (p *attempt) forward(to *server) {
 	w := p.edge.world
 	p.forwardNumber++
@@ -41,8 +41,8 @@
 	p.watchSilence(number, silenceTimeout)
 }
 
-// deliver hands the execution to the server after the link's delay. A dead server that closes its
-// connections fails it; a dark one leaves it to the silence timeout.
+// deliver passes the execution to the server after the link's delay. A dead server whose connections were
+// closed fails it at once; with one that does not respond, the silence timeout fails it.
 func (p *attempt) deliver(to *server, run *execution) {
 	number := run.forwardNumber
 	p.edge.afterLink(to.machine.zone, func() {
@@ -58,13 +58,13 @@
 	})
 }
 
-// rejectionOutcomes is the outcome of each admission that is a rejection.
+// rejectionOutcomes maps each admission that is a rejection to its outcome.
 var rejectionOutcomes = map[admission]routing.Outcome{
 	admissionFull:         routing.OutcomeFull,
 	admissionModelMissing: routing.OutcomeModelMissing,
 }
 
-// watchSilence treats the forward as broken once no byte came for the silence timeout.
+// watchSilence fails the forward as truncated once no byte has been received for the silence timeout.
 func (p *attempt) watchSilence(number int, wait time.Duration) {
 	p.edge.world.events.After(wait, func() {
 		if p.isOver() || p.forwardNumber != number || p.ticket == nil {
@@ -84,12 +84,12 @@
 	p.edge.afterLink(p.edge.world.servers[p.replicaID].machine.zone, run.abandon)
 }
 
-// sendEventToEdge carries an event of a server to the edge, with the link's delay.
+// sendEventToEdge delivers an event of a server to the edge after the link's delay.
 func (p *attempt) sendEventToEdge(number int, from *server, id int, last bool) {
 	p.edge.afterLink(from.machine.zone, func() { p.onEvent(number, id, last) })
 }
 
-// onEvent passes an event of the current forward on to the client.
+// onEvent forwards an event of the current forward to the client. Events of earlier forwards are ignored.
 func (p *attempt) onEvent(number, id int, last bool) {
 	if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 		return
--- a/internal/sim/emulator/modelchange.go
+++ b/internal/sim/emulator/modelchange.go
@@ -7,30 +7,30 @@
 	"ferryspar/internal/placement"
 )
 
-// modelChange is a load or unload under way at a server.
+// modelChange is a load or unload in progress at a server.
 type modelChange struct {
 	action placement.Action
-	// awaitingIdle is set while an unload waits for requests to end.
+	// awaitingIdle is set while an unload waits for the model's requests to end.
 	awaitingIdle bool
 	done         func(loaded bool)
 }
 
-// touches reports whether the change concerns the model or an adapter of it.
+// touches reports whether the given reference is the changed model or adapter, or an adapter of it.
 func (c *modelChange) touches(model string) bool {
 	return model == c.action.Model || strings.HasPrefix(model, c.action.Model+"/")
 }
 
 const (
-	// adapterLoadTime is how long an adapter's load takes.
+	// adapterLoadTime is how long the load of an adapter takes.
 	adapterLoadTime = 30 * time.Millisecond
 	// unloadDuration is how long an unload takes once the model is idle.
 	unloadDuration = 100 * time.Millisecond
-	// diskLoadRatio is the share of a load's time that a load from the machine's own disk takes.
+	// diskLoadRatio is the duration of a load from the machine's own disk relative to one from the store.
 	diskLoadRatio = 0.2
 )
 
-// startChange begins a load or unload and reports false if another is under way. done is called
-// once it has taken effect.
+// startChange starts a load or unload, or returns false if another is in progress. done is called once it
+// has taken effect.
 func (s *server) startChange(action placement.Action, done func(loaded bool)) bool {
 	if s.change != nil {
 		return false
@@ -42,11 +42,11 @@
 		return true
 	}
 	s.world.checkCapacity(s, action.Model)
-	taking := adapterLoadTime
+	duration := adapterLoadTime
 	if !strings.Contains(action.Model, "/") {
-		taking = s.loadTime(action.Model)
+		duration = s.loadTime(action.Model)
 	}
-	s.world.events.After(taking, func() {
+	s.world.events.After(duration, func() {
 		if !s.dead {
 			s.loaded[action.Model] = true
 			s.machine.onDisk[action.Model] = true
@@ -56,26 +56,26 @@
 	return true
 }
 
-// loadTime is how long a model's load takes: longer on a busy replica and when the store is
-// crowded, shorter from the machine's own disk.
+// loadTime returns how long the load of a model takes: longer on a busy replica and when the store serves
+// more concurrent loads than it can at full speed, shorter from the machine's own disk.
 func (s *server) loadTime(model string) time.Duration {
 	models := s.world.scenario.Models
 	busy := 1 + 0.5*float64(len(s.running))/float64(s.world.scenario.Replica.Slots)
-	taking := models.LoadTimeS * busy
+	duration := models.LoadTimeS * busy
 	if s.machine.onDisk[model] {
 		s.world.observer.loaded(false)
-		return seconds(taking * diskLoadRatio)
+		return seconds(duration * diskLoadRatio)
 	}
 	s.world.observer.loaded(true)
 	store := &s.world.storeLoads
 	*store++
-	crowd := max(float64(*store)/float64(models.ConcurrentLoads), 1)
-	whole := seconds(taking * crowd)
-	s.world.events.After(whole, func() { *store-- })
-	return whole
+	contention := max(float64(*store)/float64(models.ConcurrentLoads), 1)
+	total := seconds(duration * contention)
+	s.world.events.After(total, func() { *store-- })
+	return total
 }
 
-// unloadIfIdle begins the waiting unload once no request uses the model.
+// unloadIfIdle starts a waiting unload if no request uses the model.
 func (s *server) unloadIfIdle() {
 	if s.change == nil || !s.change.awaitingIdle || s.isInUse(s.change.action.Model) {
 		return
@@ -91,7 +91,7 @@
 	})
 }
 
-// finishChange ends the change and has the list follow.
+// finishChange ends the change and updates the platform's list after its lag.
 func (s *server) finishChange() {
 	done := s.change.done
 	s.change = nil
--- a/internal/sim/emulator/planning.go
+++ b/internal/sim/emulator/planning.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// view is the planner's input at the given moment.
+// view returns the planner's input at the given time.
 func (c *controlPlane) view(now time.Time) *placement.View {
 	view := &placement.View{
 		Now:          now,
@@ -61,7 +61,7 @@
 	return view
 }
 
-// cloneSet copies a set of references.
+// cloneSet returns a copy of a set of references.
 func cloneSet(models map[string]bool) map[string]bool {
 	copied := map[string]bool{}
 	for reference := range models {
@@ -70,18 +70,20 @@
 	return copied
 }
 
-// storeLoadTokens is how many loads from the store the rate still allows.
+// storeLoadTokens returns how many more loads from the store the rate limit allows now.
 func (c *controlPlane) storeLoadTokens(now time.Time) float64 {
-	c.recentStoreLoads = slices.DeleteFunc(c.recentStoreLoads, func(at time.Time) bool { return now.Sub(at) >= storeRatePeriod+time.Second })
+	c.recentStoreLoads = slices.DeleteFunc(c.recentStoreLoads, func(at time.Time) bool {
+		return now.Sub(at) >= storeRatePeriod+time.Second
+	})
 	return c.maxStoreLoads() - float64(len(c.recentStoreLoads))
 }
 
-// maxStoreLoads is how many loads from the store may begin within its period.
+// maxStoreLoads returns how many loads from the store may begin within the rate limit's period.
 func (c *controlPlane) maxStoreLoads() float64 {
 	return c.world.scenario.Models.LoadsPerS*storeRatePeriod.Seconds() + 1
 }
 
-// refundDiskLoad gives the token of a load back that has ended too soon to come from the store.
+// refundDiskLoad returns the rate-limit token of a load that completed too soon to have come from the store.
 func (c *controlPlane) refundDiskLoad(replica *trackedReplica, models map[string]bool) {
 	load := replica.pending
 	if load == nil || !load.MaybeFromDisk || !models[load.Model] {
@@ -95,7 +97,7 @@
 	}
 }
 
-// startAction sends a load or unload to a replica; an unload is cordoned at the edges first.
+// startAction sends a load or unload to a replica. Before an unload, the model is cordoned at the edges.
 func (c *controlPlane) startAction(action placement.Action, now time.Time) {
 	replica := c.tracked[action.Server]
 	replica.pending, replica.pendingSince = &action, now
--- a/internal/sim/emulator/platformlist.go
+++ b/internal/sim/emulator/platformlist.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/discovery"
 )
 
-// listLater puts the server's present entry into the platform's list after the list's lag.
+// listLater puts the server's current entry into the platform's list after the list's lag.
 func (w *World) listLater(s *server) {
 	entry := s.entry()
 	w.events.After(milliseconds(w.scenario.Platform.LagMs), func() {
@@ -17,7 +17,7 @@
 	})
 }
 
-// unlistLater takes a dead server from the platform's list once the platform has noticed.
+// unlistLater removes a dead server from the platform's list after the detection time.
 func (w *World) unlistLater(s *server) {
 	w.events.After(seconds(w.scenario.Platform.ReplicaDetectionS), func() {
 		s.unlisted = true
@@ -25,7 +25,7 @@
 	})
 }
 
-// listedReplicas is the platform's list, ordered by id.
+// listedReplicas returns the platform's list, ordered by ID.
 func (w *World) listedReplicas() []discovery.Replica {
 	entries := make([]discovery.Replica, 0, len(w.listed))
 	for _, entry := range w.listed {
--- a/internal/sim/emulator/replica.go
+++ b/internal/sim/emulator/replica.go
@@ -10,39 +10,40 @@
 	"ferryspar/internal/sim/emulator/standin"
 )
 
-// machine is a host; its servers follow each other, its disk and speed stay.
+// machine is a host. It runs one server at a time; its disk content and speed outlive the server.
 type machine struct {
 	number      int
 	zone        int
 	phase       discovery.Phase
 	speed       float64
 	incarnation int
-	// onDisk holds the references that the disk has.
+	// onDisk holds the references whose weights are on the local disk.
 	onDisk   standin.ModelSet
 	slowdown float64
-	// current is the server that runs, or nil.
+	// current is the running server, or nil.
 	current *server
 }
 
-// server is one incarnation of a replica.
+// server is one incarnation of a replica, from its start to its death.
 type server struct {
 	world   *World
 	machine *machine
 	id      string
-	// dead servers answer nothing.
+	// dead is set once the server has ended; it then answers nothing.
 	dead bool
-	// silent servers died without closing their connections.
+	// silent is set if the server died without closing its connections.
 	silent bool
 	loaded standin.ModelSet
 	cache  *kvCache
 	queue  []*execution
-	// fetching counts the executions whose memory is on its way; moves go one after another until linkFreeAt.
+	// fetching counts the executions whose KV cache is being transferred to this server. Transfers are
+	// serialized; the link is busy until linkFreeAt.
 	fetching   int
 	linkFreeAt time.Time
 	running    []*execution
 	stepping   bool
 	coldUntil  time.Time
-	// change is the load or unload under way, or nil.
+	// change is the load or unload in progress, or nil.
 	change   *modelChange
 	unlisted bool
 }
@@ -68,7 +69,7 @@
 	return started
 }
 
-// entry is the server as the platform lists it.
+// entry returns the server's entry in the platform's list.
 func (s *server) entry() discovery.Replica {
 	listed := discovery.Replica{
 		ID:      s.id,
@@ -86,7 +87,7 @@
 	return listed
 }
 
-// admission is a replica's immediate answer to a request.
+// admission is a replica's immediate response to a request.
 type admission int
 
 const (
@@ -95,7 +96,7 @@
 	admissionModelMissing
 )
 
-// accept queues an execution, by priority, or returns why not.
+// accept queues an execution by priority, or returns why it is rejected.
 func (s *server) accept(run *execution) admission {
 	if run.ended {
 		return admissionQueued
@@ -124,14 +125,15 @@
 	return admissionQueued
 }
 
-// enqueue queues an execution by priority.
+// enqueue queues an execution by priority and starts a step if none is running.
 func (s *server) enqueue(run *execution) {
 	s.queue = append(s.queue, run)
 	slices.SortStableFunc(s.queue, func(left, right *execution) int { return cmp.Compare(left.priority, right.priority) })
 	s.startStep()
 }
 
-// startStep begins a step: it admits, reads a chunk of prompts, and emits tokens at the step's end.
+// startStep admits queued executions and starts a batch step, which processes a chunk of prompt tokens and
+// emits tokens at its end.
 func (s *server) startStep() {
 	if s.stepping || s.dead {
 		return
@@ -153,7 +155,7 @@
 	s.world.events.After(milliseconds(s.stepMs(read)), s.finishStep)
 }
 
-// stepMs is the length, in milliseconds, of a step that reads the given number of prompt tokens.
+// stepMs returns the duration, in milliseconds, of a step that processes the given number of prompt tokens.
 func (s *server) stepMs(readTokens float64) float64 {
 	performance := s.world.scenario.Replica
 	decodeMs := performance.StepMs * (1 + performance.OccupancyFactor*float64(len(s.running))/float64(performance.Slots))
@@ -169,7 +171,7 @@
 	return length
 }
 
-// finishStep emits a token for every execution whose prompt is read and begins the next step.
+// finishStep emits a token for every execution whose prefill is complete and starts the next step.
 func (s *server) finishStep() {
 	s.stepping = false
 	if s.dead {
--- a/internal/sim/emulator/routing.go
+++ b/internal/sim/emulator/routing.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// linkDelay is the one-way delay between two zones, given by their indices.
+// linkDelay returns the one-way network delay between two zones, given by their indices.
 func (w *World) linkDelay(from, to int) time.Duration {
 	zone := w.scenario.Zones[from]
 	other := w.scenario.Zones[to]
@@ -18,8 +18,8 @@
 	return milliseconds(w.scenario.Links.CrossRegionMs)
 }
 
-// zonesByDistance lists the indices of all zones from the nearest to the farthest: the zone itself,
-// those of its region, the others.
+// zonesByDistance returns the indices of all zones from the nearest to the farthest: the zone itself, the
+// others of its region, then those of other regions.
 func (w *World) zonesByDistance(zone int) []int {
 	var order []int
 	for distance := range 3 {
@@ -38,20 +38,19 @@
 	return order
 }
 
-// chooseEdge picks an edge that clients are routed to, in the nearest zone that has one. The choice
-// follows from the request's draw and the number of the attempt alone. It is nil if no edge is
-// routable.
+// chooseEdge returns a random routable edge in the nearest zone that has one, or nil if no edge is
+// routable. The random choice depends only on the request's draw and the number of the attempt.
 func (w *World) chooseEdge(zone int, draw float64, attemptNumber int) *edge {
 	for _, other := range w.zonesByDistance(zone) {
-		var open []*edge
+		var routable []*edge
 		for _, dataPlane := range w.edges {
 			if dataPlane.zone == other && dataPlane.routable {
-				open = append(open, dataPlane)
+				routable = append(routable, dataPlane)
 			}
 		}
-		if len(open) > 0 {
-			chance := rand.New(randomSource(uint64(draw*(1<<52)), uint64(attemptNumber)))
-			return open[chance.IntN(len(open))]
+		if len(routable) > 0 {
+			random := rand.New(randomSource(uint64(draw*(1<<52)), uint64(attemptNumber)))
+			return routable[random.IntN(len(routable))]
 		}
 	}
 	return nil
--- a/internal/sim/emulator/scenario.go
+++ b/internal/sim/emulator/scenario.go
@@ -2,17 +2,17 @@
 
 import "ferryspar/internal/routing"
 
-// Scenario describes a fleet, its traffic and its failures, as a file gives them. Names end in the
-// unit: S for seconds, Ms for milliseconds.
+// Scenario describes a fleet, its traffic and its failures, as read from an experiment file. Field
+// names end in their unit: S for seconds, Ms for milliseconds.
 type Scenario struct {
 	Seed    uint64  `koanf:"seed"`
 	LengthS float64 `koanf:"lengthS"`
-	// WarmS is the time at the beginning that figures leave out.
+	// WarmS is the warm-up time at the beginning that the figures leave out.
 	WarmS float64 `koanf:"warmS"`
-	// BucketS is the width of the buckets of time and the period of samples.
+	// BucketS is the width of the time buckets and the sampling interval.
 	BucketS float64 `koanf:"bucketS"`
 	Zones   []Zone  `koanf:"zones"`
-	// SpareReplicas are added to every zone.
+	// SpareReplicas is the number of replicas added to every zone.
 	SpareReplicas  int                `koanf:"spareReplicas"`
 	Links          Links              `koanf:"links"`
 	Replica        Performance        `koanf:"replica"`
@@ -28,7 +28,7 @@
 	Disaggregation Disaggregation     `koanf:"split"`
 }
 
-// Zone is a zone with its share of the clients, as a weight.
+// Zone describes a zone. Clients is the relative weight of its share of the clients.
 type Zone struct {
 	Name       string  `koanf:"name"`
 	Region     string  `koanf:"region"`
@@ -37,15 +37,16 @@
 	Clients    float64 `koanf:"clients"`
 }
 
-// Links are the one-way delays within a zone, within a region and beyond.
+// Links are the one-way network delays within a zone, within a region and between regions.
 type Links struct {
 	ZoneMs        float64 `koanf:"zoneMs"`
 	RegionMs      float64 `koanf:"regionMs"`
 	CrossRegionMs float64 `koanf:"farMs"`
 }
 
-// Performance is the model of a replica. A step takes StepMs, more by Crowding as slots fill, and
-// ReadMs per thousand prompt tokens read in it, ChunkTokens at most.
+// Performance is the model of a replica with continuous batching. A step takes StepMs, multiplied by up
+// to 1+OccupancyFactor as slots fill, and PrefillMs more per thousand prompt tokens processed in it. One
+// step processes at most ChunkTokens prompt tokens.
 type Performance struct {
 	Slots           int     `koanf:"slots"`
 	QueuePlaces     int     `koanf:"queuePlaces"`
@@ -54,34 +55,35 @@
 	OccupancyFactor float64 `koanf:"crowding"`
 	PrefillMs       float64 `koanf:"readMsPerThousand"`
 	ChunkTokens     float64 `koanf:"chunkTokens"`
-	// SpeedSigma is the sigma of the machines' log-normal speeds.
+	// SpeedSigma is the sigma of the log-normal distribution of the machines' speeds.
 	SpeedSigma float64 `koanf:"spread"`
 	ColdStartS float64 `koanf:"coldStartS"`
 	ColdPerS   float64 `koanf:"coldPerS"`
-	// ColdFactor lengthens the steps of a replica started within ColdStartS.
+	// ColdFactor multiplies the step time of a replica during the ColdStartS seconds after a restart.
 	ColdFactor float64 `koanf:"coldFactor"`
-	// RepeatedEvents makes replicas repeat events when a stream resumes, to show that the check sees it.
+	// RepeatedEvents is the number of events that a replica repeats when a stream resumes, to test that the
+	// check for duplicate events detects them.
 	RepeatedEvents int `koanf:"repeatsOnResume"`
 }
 
-// Models are the models of the fleet; their popularity follows Zipf's law with the given exponent.
-// Only the first has adapters.
+// Models describes the models of the fleet. Their popularity follows Zipf's law with the exponent Zipf.
+// Only the first model has adapters.
 type Models struct {
 	Count      int     `koanf:"count"`
 	Zipf       float64 `koanf:"zipf"`
 	PerReplica int     `koanf:"perReplica"`
 	LoadTimeS  float64 `koanf:"loadTimeS"`
 	LoadsPerS  float64 `koanf:"loadsPerS"`
-	// ConcurrentLoads is how many loads the store serves at full speed.
+	// ConcurrentLoads is the number of loads that the store serves at full speed.
 	ConcurrentLoads int `koanf:"loadsAtOnce"`
 	Adapters        int `koanf:"adapters"`
 	AdapterCapacity int `koanf:"adapterCapacity"`
-	// SharedTokens is the length of the prefix that all prompts of a model share.
+	// SharedTokens is the length of the prompt prefix that all requests of a model share.
 	SharedTokens float64 `koanf:"sharedTokens"`
 }
 
-// Traffic is drawn as dialogues of several turns, or read from a record. Turns is the mean number
-// of turns.
+// Traffic describes the requests: multi-turn dialogues drawn at random, or a recording read from the
+// file Record. Turns is the mean number of turns of a dialogue and ThinkS the mean time between them.
 type Traffic struct {
 	RatePerS     float64 `koanf:"perS"`
 	BurstEveryS  float64 `koanf:"burstEveryS"`
@@ -92,18 +94,18 @@
 	Record       string  `koanf:"record"`
 }
 
-// LogNormal is a log-normal size in tokens, with an upper bound.
+// LogNormal is a log-normal distribution of sizes in tokens, with an upper bound.
 type LogNormal struct {
 	Median float64 `koanf:"median"`
 	Sigma  float64 `koanf:"sigma"`
 	Max    float64 `koanf:"most"`
 }
 
-// Class is a kind of request, served by a route of the same name.
+// Class is a class of requests, served by the route of the same name.
 type Class struct {
 	Name  string  `koanf:"name"`
 	Share float64 `koanf:"share"`
-	// LatencyTargetMs is the target for the first token.
+	// LatencyTargetMs is the target for the time to first token.
 	LatencyTargetMs float64 `koanf:"aimMs"`
 	TimeoutMs       float64 `koanf:"timeoutMs"`
 	// TokenGapMs is the longest gap between tokens that still counts as in time.
@@ -111,15 +113,15 @@
 	Priority   int     `koanf:"priority"`
 	Resumable  bool    `koanf:"resumable"`
 	RetryCount int     `koanf:"retryCount"`
-	// Tries is how many attempts a client makes, RetryCount how many forwards an edge makes.
+	// Attempts is how many attempts a client makes; RetryCount is how many forwards an edge makes.
 	Attempts       int       `koanf:"tries"`
 	AllowedRegions []string  `koanf:"allowedRegions"`
 	Prompt         LogNormal `koanf:"prompt"`
 	Output         LogNormal `koanf:"output"`
 }
 
-// Loss takes down a zone or a region. BackS of 0 means never; Closed losses end connections instead
-// of falling silent.
+// Loss is the failure of a zone or a region. It is never restored if RestoreS is 0. If Closed is set,
+// connections are closed at once; otherwise the lost side stops responding without closing them.
 type Loss struct {
 	Zone     string  `koanf:"zone"`
 	Region   string  `koanf:"region"`
@@ -128,14 +130,15 @@
 	Closed   bool    `koanf:"closed"`
 }
 
-// Crash ends the replica of a machine, counted from 1. RestartS of 0 means never.
+// Crash ends the replica of a machine. Replica is the number of the machine, counted from 1. The replica
+// restarts after RestartS seconds, or never if that is 0.
 type Crash struct {
 	AtS      float64 `koanf:"atS"`
 	Replica  int     `koanf:"replica"`
 	RestartS float64 `koanf:"restartS"`
 }
 
-// Slowdown lengthens a replica's steps by a factor for some time.
+// Slowdown multiplies the step time of a replica by Factor from AtS to EndS.
 type Slowdown struct {
 	AtS     float64 `koanf:"atS"`
 	EndS    float64 `koanf:"backS"`
@@ -143,8 +146,10 @@
 	Factor  float64 `koanf:"factor"`
 }
 
-// Platform is the list's lag, how often it is read, and how long the platform needs to notice a
-// dead replica (GoneS) or data plane (NoticeS), and a control plane to take over.
+// Platform describes the platform: the lag of its replica list (LagMs), the interval at which the control
+// plane reads the list (RefreshMs), how long the platform takes to detect a dead replica
+// (ReplicaDetectionS) or data plane (DataPlaneDetectionS), and how long another control plane takes to
+// take over (TakeoverS).
 type Platform struct {
 	LagMs               float64 `koanf:"lagMs"`
 	RefreshMs           float64 `koanf:"refreshMs"`
@@ -153,21 +158,22 @@
 	TakeoverS           float64 `koanf:"takeoverS"`
 }
 
-// Placement is how the first copies are placed: spread over zones or packed, and the share of the
-// capacity beyond the first copies that is filled.
+// Placement describes how the initial copies of models are placed: Copies is CopiesSpread or
+// CopiesPacked, and FillRatio is the share of the capacity beyond one copy of each model that is filled.
 type Placement struct {
 	Copies    string  `koanf:"copies"`
 	FillRatio float64 `koanf:"busyShare"`
 }
 
 const (
-	// CopiesSpread places copies in the zones that have the fewest.
+	// CopiesSpread places a copy in the zone that has the fewest copies of the model.
 	CopiesSpread = "spread"
-	// CopiesPacked places copies in the zones that have the most.
+	// CopiesPacked places a copy in the zone that has the most copies of the model.
 	CopiesPacked = "packed"
 )
 
-// Defaults is the scenario that a file's values override; it has no zones and no classes.
+// Defaults returns the scenario that the values of an experiment file override. It has no zones and no
+// classes.
 func Defaults() Scenario {
 	return Scenario{
 		Seed:    1,
--- a/internal/sim/emulator/traffic.go
+++ b/internal/sim/emulator/traffic.go
@@ -13,8 +13,8 @@
 	"ferryspar/internal/routing"
 )
 
-// Request is one request of the traffic; At counts from the beginning of the run, and Class and
-// Zone are indices.
+// Request is one request of the traffic. At is relative to the beginning of the run, Class and Zone are
+// indices, and Prompt and Output are numbers of tokens.
 type Request struct {
 	Number int
 	At     time.Duration
@@ -24,31 +24,31 @@
 	Parts  []routing.PromptPart
 	Prompt float64
 	Output int
-	// Draw, from 0 to 1, decides the choice of an edge.
+	// Draw is a random number in [0, 1) that determines the choice of an edge.
 	Draw float64
 }
 
 const (
-	// streamTraffic and streamReplicas number independent streams of random numbers of a seed.
+	// streamTraffic and streamReplicas number the independent random streams of a seed.
 	streamTraffic = iota + 1
 	streamReplicas
 )
 
-// randomSource is the random stream of the given number for a seed.
+// randomSource returns the random stream of the given number for a seed.
 func randomSource(seed, stream uint64) rand.Source { return rand.NewPCG(seed, stream) }
 
-// seconds is the duration of so many seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// milliseconds is the duration of so many milliseconds.
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// modelName is the name of the model of an index.
+// modelName returns the name of the model with the given index.
 func modelName(number int) string { return fmt.Sprintf("model-%02d", number+1) }
 
-// popularity is each model's share of the requests, by Zipf's law.
+// popularity returns each model's share of the requests by Zipf's law.
 func popularity(models Models) []float64 {
 	weights := make([]float64, models.Count)
 	total := 0.0
@@ -62,7 +62,7 @@
 	return weights
 }
 
-// draw is a size of at least 1, rounded; without a sigma it is the median.
+// draw returns a random size of at least 1 and at most Max, rounded, or the median if Sigma is 0.
 func (s LogNormal) draw(from rand.Source) float64 {
 	if s.Sigma == 0 {
 		return s.Median
@@ -71,7 +71,7 @@
 	return math.Round(min(max(drawn, 1), s.Max))
 }
 
-// rate is the requests a second at a moment, given in seconds.
+// rate returns the requests per second at the given time, in seconds since the beginning of the run.
 func (t Traffic) rate(at float64) float64 {
 	if t.BurstEveryS > 0 && math.Mod(at, t.BurstEveryS) >= t.BurstEveryS-t.BurstLengthS {
 		return t.RatePerS * t.BurstFactor
@@ -79,7 +79,7 @@
 	return t.RatePerS
 }
 
-// weights reads a weight from each item.
+// weights returns the weight of each item.
 func weights[T any](items []T, weight func(T) float64) []float64 {
 	found := make([]float64, len(items))
 	for index, item := range items {
@@ -100,8 +100,8 @@
 	requests   []Request
 }
 
-// generate draws dialogues by thinning a Poisson process of the highest rate, and orders their
-// requests by arrival.
+// generate draws dialogues by thinning a Poisson process with the peak rate and returns their requests in
+// order of arrival.
 func generate(scenario Scenario) []Request {
 	from := randomSource(scenario.Seed, streamTraffic)
 	g := &generator{
@@ -128,8 +128,8 @@
 	return g.requests
 }
 
-// generateDialogue draws a dialogue that begins at a moment, in seconds: each turn's prompt holds
-// all that went before.
+// generateDialogue draws a dialogue that begins at the given time, in seconds. The prompt of each turn
+// contains all previous prompts and outputs.
 func (g *generator) generateDialogue(at float64) {
 	class := int(g.classes.Rand())
 	zone := int(g.zones.Rand())
@@ -166,13 +166,13 @@
 const (
 	// adapterShare is the share of the first model's dialogues that use an adapter.
 	adapterShare = 0.5
-	// outputPartOffset separates the part ids of answers from those of prompts.
+	// outputPartOffset separates the part IDs of outputs from those of prompts.
 	outputPartOffset = 1 << 40
-	// maxDialogueShare is the share of a replica's memory beyond which a dialogue ends.
+	// maxDialogueShare is the share of a replica's KV cache beyond which a dialogue ends.
 	maxDialogueShare = 0.2
 )
 
-// totalTokens sums the tokens of the parts.
+// totalTokens returns the sum of the parts' tokens.
 func totalTokens(parts []routing.PromptPart) float64 {
 	total := 0.0
 	for _, part := range parts {
@@ -181,7 +181,7 @@
 	return total
 }
 
-// requestsFor is the scenario's traffic, recorded or generated.
+// requestsFor returns the scenario's traffic, recorded or generated.
 func requestsFor(scenario Scenario) ([]Request, error) {
 	if scenario.Traffic.Record == "" {
 		return generate(scenario), nil
--- a/internal/sim/emulator/world.go
+++ b/internal/sim/emulator/world.go
@@ -1,13 +1,13 @@
-// Package emulator plays a whole fleet in simulated time: clients, data planes with the project's
-// own matcher, replicas as a queueing model, and one control plane that plans with the project's
-// own placement. The same scenario and seed give the same result, byte for byte.
+// Package emulator is a discrete-event simulation of a whole fleet: clients, data planes that run the
+// project's own matcher, replicas as a queueing model, and one control plane that runs the project's
+// own placement planner. The same scenario and seed give the same result, byte for byte.
 //
 // It never opens a connection, reads the real clock or starts a goroutine, and it does not run the
 // daemons: their listeners, key store and leases are replaced by delays and by a takeover time.
-// Figures from it are emulated, not measured.
+// Its figures are results of a simulation, not measurements of running daemons.
 //
-// Start reading at World.Run; then call (a request as its client sees it), attempt (one attempt at a
-// data plane), server (a replica) and controlPlane.
+// The entry point is World.Run. The main types are call (a request as its client sees it), attempt
+// (one attempt at a data plane), server (a replica process) and controlPlane.
 package emulator
 
 import (
@@ -26,37 +26,37 @@
 // backendName is the one backend of an emulated fleet.
 const backendName = "scribes"
 
-// World is one emulated fleet with its clock, its clients and its observer. One goroutine alone may
-// use it, and it can be run once.
+// World is one emulated fleet with its clock, its clients and its observer. It is not safe for
+// concurrent use and can be run only once.
 type World struct {
 	scenario Scenario
-	// events is the simulated clock and what is still to happen.
+	// events holds the simulated clock and the events still to come.
 	events    *eventqueue.Queue
 	startedAt time.Time
 	table     *configuration.Table
 	machines  []*machine
-	// servers holds every server that ever ran, by its replica id.
+	// servers holds every server started in the run, also those that have died, by replica ID.
 	servers map[string]*server
 	edges   []*edge
 	control *controlPlane
 	calls   []*call
-	// lostZones marks the indices of the zones that are down.
+	// lostZones holds the indices of the zones that are down.
 	lostZones map[int]bool
-	// listed is what the platform lists, which lags behind the servers.
+	// listed is the platform's list of replicas by ID; it lags behind the state of the servers.
 	listed map[string]discovery.Replica
-	// storeLoads counts the loads from the model store under way.
+	// storeLoads is the number of loads from the model store in progress.
 	storeLoads int
 	observer   *observer
-	// violations are broken invariants of the emulation itself.
+	// violations describes the invariants of the emulation that did not hold.
 	violations []string
-	// startedAttempts marks the attempt ids that a replica has begun to execute.
+	// startedAttempts holds the IDs of the attempts that a replica has begun to execute.
 	startedAttempts map[string]bool
-	// Forecasters are asked just before each loss; set them before Run.
+	// Forecasters are called just before each loss, by name. They must be set before Run.
 	Forecasters map[string]Forecaster
 }
 
-// NewWorld builds the fleet of a scenario and schedules its requests and failures. It fails if the
-// scenario is not sound or its recorded traffic cannot be read.
+// NewWorld builds the fleet of a scenario and schedules its requests and failures. It returns an error
+// if the scenario is invalid or its recorded traffic cannot be read.
 func NewWorld(scenario Scenario) (*World, error) {
 	if err := scenario.Check(); err != nil {
 		return nil, err
@@ -92,23 +92,23 @@
 	return w, nil
 }
 
-// now is the simulated time.
+// now returns the simulated time.
 func (w *World) now() time.Time { return w.events.Now() }
 
-// elapsed is the simulated time since the beginning of the run.
+// elapsed returns the simulated time since the beginning of the run.
 func (w *World) elapsed() time.Duration { return w.now().Sub(w.startedAt) }
 
-// recordViolation records, with the moment, that an invariant of the emulation is broken.
+// recordViolation records that an invariant of the emulation does not hold, with the simulated time.
 func (w *World) recordViolation(format string, arguments ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%.3f s: ", w.elapsed().Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-// drainTimeS is how many seconds the run goes on after the scenario's length, so that requests under
-// way can end.
+// drainTimeS is how many seconds the run continues after the scenario's length, so that requests in
+// flight can end.
 const drainTimeS = 60
 
-// Run plays the scenario to its end and returns what was observed. Requests still open after the
-// drain count as expired.
+// Run simulates the scenario to its end and returns the observations. Requests that are still open after
+// the drain time count as expired.
 func (w *World) Run() Result {
 	bucket := seconds(w.scenario.BucketS)
 	end := w.startedAt.Add(seconds(w.scenario.LengthS))
@@ -123,8 +123,8 @@
 	return w.observer.result(w)
 }
 
-// buildFleet makes the machines, edges and the control plane, and starts them with the first copies
-// of the models.
+// buildFleet creates the machines, the edges and the control plane, and starts them with the initial
+// copies of the models.
 func (w *World) buildFleet() {
 	speed := distuv.LogNormal{
 		Sigma: max(w.scenario.Replica.SpeedSigma, 1e-9),
@@ -156,8 +156,8 @@
 	w.control.refresh()
 }
 
-// configurationOf is the configuration, with a route for each class, that an operator would send
-// for the scenario.
+// configurationOf returns the configuration that an operator would send for the scenario, with one route
+// per class.
 func configurationOf(scenario Scenario) configuration.Configuration {
 	described := configuration.Configuration{Revision: 1}
 	for _, class := range scenario.Classes {
@@ -209,8 +209,8 @@
 }
 
 const (
-	// modelSizeMb is the size of each model's weights, in MB.
+	// modelSizeMb is the size of the weights of each model.
 	modelSizeMb = 1024
-	// adapterReserveMb is what a replica's capacity has beyond its models, in MB, for adapters.
+	// adapterReserveMb is the capacity of a replica beyond its models, for adapters.
 	adapterReserveMb = 64
 )
