--- a/internal/sim/emulator/check.go
+++ b/internal/sim/emulator/check.go
@@ -7,13 +7,13 @@
 	"github.com/pkg/errors"
 )
 
-// rule is one condition of a scenario's check and what is said if it is broken.
+// rule is one rule of a scenario's validation: whether it is violated, and the message if so.
 type rule struct {
 	violated bool
 	message  string
 }
 
-// Check judges the scenario; the error names everything that is wrong.
+// Check validates the scenario. The error lists every violated rule.
 func (s Scenario) Check() error {
 	rules := s.fleetRules()
 	rules = append(rules, s.replicaRules()...)
@@ -24,32 +24,32 @@
 	rules = append(rules, s.zoneRules()...)
 	rules = append(rules, s.classRules()...)
 	rules = append(rules, s.failureRules()...)
-	var wrong []string
+	var violated []string
 	for _, condition := range rules {
 		if condition.violated {
-			wrong = append(wrong, condition.message)
+			violated = append(violated, condition.message)
 		}
 	}
-	if len(wrong) > 0 {
-		return errors.New(strings.Join(wrong, "; "))
+	if len(violated) > 0 {
+		return errors.New(strings.Join(violated, "; "))
 	}
 	return nil
 }
 
-// fleetRules judges the lengths of the run, the links and what must not be empty.
+// fleetRules validates the duration of the run, the links and the presence of zones and classes.
 func (s Scenario) fleetRules() []rule {
 	return []rule{
 		{s.LengthS <= 0 || s.LengthS > 3600, "lengthS must lie above 0 and at most 3600"},
 		{s.WarmS < 0 || s.WarmS >= s.LengthS, "warmS must be at least 0 and below lengthS"},
 		{s.BucketS <= 0, "bucketS must be above 0"},
-		{len(s.Zones) == 0, "zones names none"},
+		{len(s.Zones) == 0, "zones is empty"},
 		{s.SpareReplicas < 0, "spareReplicas must not be below 0"},
-		{len(s.Classes) == 0, "classes names none"},
+		{len(s.Classes) == 0, "classes is empty"},
 		{s.Links.ZoneMs < 0 || s.Links.RegionMs < 0 || s.Links.CrossRegionMs < 0, "links must not be below 0"},
 	}
 }
 
-// replicaRules judges the model of a replica.
+// replicaRules validates the performance model of a replica.
 func (s Scenario) replicaRules() []rule {
 	return []rule{
 		{s.Replica.Slots < 1, "replica.slots must be at least 1"},
@@ -66,7 +66,7 @@
 	}
 }
 
-// disaggregationRules judges the model of prefill and decode apart.
+// disaggregationRules validates the model of disaggregated prefill and decode.
 func (s Scenario) disaggregationRules() []rule {
 	return []rule{
 		{s.Disaggregation.PrefillShare < 0 || s.Disaggregation.PrefillShare >= 1, "split.prefillShare must be at least 0 and below 1"},
@@ -75,7 +75,7 @@
 	}
 }
 
-// modelRules judges the models and their loading.
+// modelRules validates the models and their loading.
 func (s Scenario) modelRules() []rule {
 	return []rule{
 		{s.Models.Count < 1, "models.count must be at least 1"},
@@ -88,7 +88,7 @@
 	}
 }
 
-// trafficRules judges the generated or recorded traffic.
+// trafficRules validates the generated or recorded traffic.
 func (s Scenario) trafficRules() []rule {
 	return []rule{
 		{s.Traffic.Record == "" && s.Traffic.RatePerS <= 0, "traffic.perS must be above 0"},
@@ -98,7 +98,7 @@
 	}
 }
 
-// policyRules judges the platform list, the first placement and the matcher's parameters.
+// policyRules validates the platform list, the initial placement and the matcher's parameters.
 func (s Scenario) policyRules() []rule {
 	return []rule{
 		{s.Platform.RefreshMs <= 0, "platform.refreshMs must be above 0"},
@@ -112,7 +112,7 @@
 	}
 }
 
-// zoneRules judges the zones and what they hold together.
+// zoneRules validates the zones and the fleet's total capacity for models.
 func (s Scenario) zoneRules() []rule {
 	var rules []rule
 	names := map[string]bool{}
@@ -121,7 +121,7 @@
 	clients := 0.0
 	for _, zone := range s.Zones {
 		rules = append(rules,
-			rule{zone.Name == "" || names[zone.Name], fmt.Sprintf("zones: name %q is missing or stands twice", zone.Name)},
+			rule{zone.Name == "" || names[zone.Name], fmt.Sprintf("zones: name %q is missing or duplicated", zone.Name)},
 			rule{zone.Region == "", fmt.Sprintf("zones %q: region is missing", zone.Name)},
 			rule{
 				zone.DataPlanes < 0 || zone.Replicas < 0 || zone.Clients < 0,
@@ -135,11 +135,11 @@
 	}
 	return append(rules,
 		rule{len(s.Zones) > 0 && (edges == 0 || replicas == 0 || clients <= 0), "zones need a data plane, a replica and clients"},
-		rule{replicas > 0 && s.Models.Count > replicas*s.Models.PerReplica, "models.count is above what all replicas hold together"},
+		rule{replicas > 0 && s.Models.Count > replicas*s.Models.PerReplica, "models.count is above the capacity of all replicas"},
 	)
 }
 
-// classRules judges the classes.
+// classRules validates the classes.
 func (s Scenario) classRules() []rule {
 	var rules []rule
 	names := map[string]bool{}
@@ -149,24 +149,24 @@
 		regions[zone.Region] = true
 	}
 	for _, class := range s.Classes {
-		says := func(text string) string { return fmt.Sprintf("classes %q: %s", class.Name, text) }
+		message := func(text string) string { return fmt.Sprintf("classes %q: %s", class.Name, text) }
 		rules = append(rules,
-			rule{class.Name == "" || names[class.Name], says("name is missing or stands twice")},
-			rule{class.Share < 0, says("share must not be below 0")},
+			rule{class.Name == "" || names[class.Name], message("name is missing or duplicated")},
+			rule{class.Share < 0, message("share must not be below 0")},
 			rule{
 				class.LatencyTargetMs <= 0 || class.TimeoutMs <= 0 || class.TokenGapMs <= 0,
-				says("aimMs, timeoutMs and tokenGapMs must be above 0"),
+				message("aimMs, timeoutMs and tokenGapMs must be above 0"),
 			},
-			rule{class.Attempts < 1 || class.RetryCount < 1, says("tries and retryCount must be at least 1")},
-			rule{class.Prompt.Median <= 0 || class.Output.Median <= 0, says("prompt.median and output.median must be above 0")},
-			rule{class.Prompt.Sigma < 0 || class.Output.Sigma < 0, says("sigma must not be below 0")},
+			rule{class.Attempts < 1 || class.RetryCount < 1, message("tries and retryCount must be at least 1")},
+			rule{class.Prompt.Median <= 0 || class.Output.Median <= 0, message("prompt.median and output.median must be above 0")},
+			rule{class.Prompt.Sigma < 0 || class.Output.Sigma < 0, message("sigma must not be below 0")},
 			rule{
 				class.Prompt.Max < class.Prompt.Median || class.Output.Max < class.Output.Median,
-				says("prompt.most and output.most must not be below the median"),
+				message("prompt.most and output.most must not be below the median"),
 			},
 		)
 		for _, home := range class.AllowedRegions {
-			rules = append(rules, rule{!regions[home], says(fmt.Sprintf("allowedRegions names %q, which has no zone", home))})
+			rules = append(rules, rule{!regions[home], message(fmt.Sprintf("allowedRegions names %q, which has no zone", home))})
 		}
 		names[class.Name] = true
 		total += class.Share
@@ -174,7 +174,7 @@
 	return append(rules, rule{len(s.Classes) > 0 && total <= 0, "classes have no share above 0"})
 }
 
-// failureRules judges losses, crashes and slowdowns against the zones and replicas.
+// failureRules validates losses, crashes and slowdowns against the zones and replicas.
 func (s Scenario) failureRules() []rule {
 	var rules []rule
 	zones := map[string]bool{}
--- a/internal/sim/emulator/demo/address.go
+++ b/internal/sim/emulator/demo/address.go
@@ -8,14 +8,14 @@
 	"github.com/pkg/errors"
 )
 
-// maxPortAttempts is how many ports are tried for one that is free on all addresses.
+// maxPortAttempts is how many ports are tried to find one that is free on all addresses.
 const maxPortAttempts = 50
 
-// loopbackAddress is the loopback address of a number.
+// loopbackAddress returns the loopback address with the given last octet.
 func loopbackAddress(number int) string { return fmt.Sprintf("127.0.0.%d", number) }
 
-// freePorts finds the first of an amount of TCP ports in a row that are free on all the hosts at the moment; they may be
-// taken before they are used.
+// freePorts returns the first of count consecutive TCP ports that are currently free on all hosts. Another
+// process may take them before they are used.
 func freePorts(count int, hosts ...string) (int, error) {
 	for range maxPortAttempts {
 		first, err := net.Listen("tcp", net.JoinHostPort(hosts[0], "0"))
@@ -31,13 +31,13 @@
 	return 0, errors.New("no port is free on all loopback addresses; try --control-planes 1")
 }
 
-// freeAddress is a free address of the host.
+// freeAddress returns an address of the host with a free port.
 func freeAddress(host string) (string, error) {
 	port, err := freePorts(1, host)
 	return net.JoinHostPort(host, strconv.Itoa(port)), err
 }
 
-// allFree reports whether an amount of ports in a row are free on all the hosts.
+// allFree reports whether count consecutive ports are free on all hosts.
 func allFree(port, count int, hosts []string) bool {
 	for _, host := range hosts {
 		for offset := range count {
--- a/internal/sim/emulator/demo/child.go
+++ b/internal/sim/emulator/demo/child.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// child is a daemon that the demo started; ended is closed once the process has ended.
+// child is a daemon started as a child process. ended is closed once the process has exited.
 type child struct {
 	name    string
 	log     string
@@ -22,13 +22,14 @@
 const (
 	controlProgram = "ferryspar-control-plane"
 	dataProgram    = "ferryspar-data-plane"
-	// shutdownTimeout is how long a child may take to end before it is killed.
+	// shutdownTimeout is how long a child may take to exit before it is killed.
 	shutdownTimeout = 4 * time.Second
-	// tailBytes is how much of a child's log an error shows.
+	// tailBytes is how much of the end of a child's log an error message contains.
 	tailBytes = 1500
 )
 
-// startChild writes the settings and starts the program with its log in the folder.
+// startChild writes the settings file and starts the program. Both the settings and the log are in the
+// folder.
 func startChild(programs, folder, program, name string, settings []byte) (*child, error) {
 	path := filepath.Join(folder, name+".toml")
 	if err := os.WriteFile(path, settings, 0o600); err != nil {
@@ -52,7 +53,7 @@
 	return process, nil
 }
 
-// alive reports whether the process still runs.
+// alive reports whether the process is still running.
 func (c *child) alive() bool {
 	select {
 	case <-c.ended:
@@ -62,7 +63,7 @@
 	}
 }
 
-// end asks the process to end, kills it after a while, and waits for it.
+// end sends SIGTERM to the process, kills it after shutdownTimeout, and waits until it has exited.
 func (c *child) end() {
 	if !c.alive() {
 		return
@@ -76,7 +77,7 @@
 	}
 }
 
-// tail is the end of the child's log.
+// tail returns the end of the child's log.
 func (c *child) tail() string {
 	content, _ := os.ReadFile(c.log)
 	if len(content) > tailBytes {
--- a/internal/sim/emulator/demo/client.go
+++ b/internal/sim/emulator/demo/client.go
@@ -12,14 +12,14 @@
 	"ferryspar/internal/replica"
 )
 
-// StreamResult is how one stream went, as its client saw it.
+// StreamResult is the result of one stream as its client saw it.
 type StreamResult struct {
 	Number    int    `json:"number"`
 	DataPlane string `json:"dataPlane"`
 	Path      string `json:"path"`
 	Model     string `json:"model"`
 	Status    int    `json:"status"`
-	// Replica is the id in the answer's seal.
+	// Replica is the replica ID in the response's seal.
 	Replica      string  `json:"replica"`
 	FirstEventMs float64 `json:"firstEventMs"`
 	DurationMs   float64 `json:"tookMs"`
@@ -29,13 +29,13 @@
 	Error        string  `json:"problem,omitempty"`
 }
 
-// streamTimeout is how long a complete stream may take.
+// streamTimeout is the time limit of a stream.
 const streamTimeout = 30 * time.Second
 
-// milliseconds is a length in milliseconds, exact to a microsecond.
-func milliseconds(length time.Duration) float64 { return float64(length.Microseconds()) / 1000 }
+// milliseconds converts a duration to milliseconds with microsecond resolution.
+func milliseconds(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
 
-// headers are the request headers of a stream.
+// headers returns the request headers of a stream.
 func headers(request stream, attempt string) map[string]string {
 	return map[string]string{
 		replica.HeaderAttemptID:     attempt,
@@ -46,7 +46,7 @@
 	}
 }
 
-// sendRequest sends one request and reads its stream to the end; a failure is recorded in the result.
+// sendRequest sends one request and reads its stream to the end. A failure is recorded in the result.
 func sendRequest(ctx context.Context, client *http.Client, number int, address, host string, planned stream) StreamResult {
 	result := StreamResult{
 		Number:    number,
@@ -57,7 +57,8 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(bounded, http.MethodPost, "http://"+address+planned.Path, strings.NewReader("say something"))
+	url := "http://" + address + planned.Path
+	request, err := http.NewRequestWithContext(bounded, http.MethodPost, url, strings.NewReader("say something"))
 	if err != nil {
 		result.Error = err.Error()
 		return result
@@ -79,8 +80,8 @@
 	return result
 }
 
-// readStream counts the events of the answer's body until it ends. A body without success is
-// taken as the error, by its first line.
+// readStream counts the events of the response body until it ends. If the status is not 200, the first line
+// of the body becomes the error.
 func (s *StreamResult) readStream(body io.Reader, began time.Time) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
--- a/internal/sim/emulator/demo/demo.go
+++ b/internal/sim/emulator/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo starts a small fleet on loopback addresses for a newcomer to try: real control
-// planes and data planes as child processes, stand-in replicas and a platform list in this process.
-// It sends streams through it and prints where they were served. It never touches a running fleet
-// nor listens beyond loopback, and it ends its own children only. Start reading at Run.
+// Package demo starts a small fleet on loopback addresses for new users to try: real control planes and data
+// planes as child processes, and stand-in replicas and a platform list in this process. It sends streams
+// through the fleet and prints which replicas served them. It does not affect a running fleet, listens only on
+// loopback addresses and ends only its own child processes. The entry point is Run.
 package demo
 
 import (
@@ -18,8 +18,9 @@
 	"github.com/pkg/errors"
 )
 
-// Options are the command-line options of the demo. Programs is the folder of the daemons'
-// programs; Keep is a folder to keep logs in, or empty for a temporary one.
+// Options are the command-line options of the demo. ProgramDir is the folder of the daemons' programs. LogDir
+// is the folder for settings, logs and data, or empty for a temporary one. KeepRunning leaves the fleet running
+// until the context ends.
 type Options struct {
 	ProgramDir    string
 	LogDir        string
@@ -31,19 +32,19 @@
 	Progress      io.Writer
 }
 
-// Result is the demo's fleet and how its streams went.
+// Result holds the addresses of the demo's daemons and the results of its streams.
 type Result struct {
 	ControlPlanes []string       `json:"controlPlanes"`
 	DataPlanes    []string       `json:"dataPlanes"`
 	Streams       []StreamResult `json:"streams"`
 }
 
-// maxConcurrentStreams is how many streams are under way together.
+// maxConcurrentStreams is the number of streams sent concurrently.
 const maxConcurrentStreams = 3
 
-// Run starts the fleet, sends the streams, prints the result and takes the fleet down again, after
-// the context ends if it is to stay. It fails if the fleet does not start or a stream was not
-// served completely.
+// Run starts the fleet, sends the streams, prints the result and stops the fleet; with KeepRunning it waits
+// for the end of the context before it stops the fleet. It returns an error if the fleet does not start or,
+// without KeepRunning, if a stream was not served completely.
 func Run(ctx context.Context, options Options) (Result, error) {
 	var result Result
 	planned, err := readPlan()
@@ -87,7 +88,7 @@
 	return result, result.incompleteError()
 }
 
-// send sends the streams, to the data planes in turn.
+// send sends the streams to the data planes, round-robin.
 func (d *deployment) send(ctx context.Context, count int) []StreamResult {
 	served := make([]StreamResult, count)
 	slots := make(chan struct{}, maxConcurrentStreams)
@@ -104,19 +105,19 @@
 	return served
 }
 
-// host is the hostname that the routes serve.
+// host returns the hostname of the routes.
 func (d *deployment) host() string { return d.plan.configuration.Routes[0].Hostname }
 
-// incompleteError is an error if a stream was not served completely.
+// incompleteError returns an error if a stream was not served completely.
 func (r Result) incompleteError() error {
-	broken := 0
+	incomplete := 0
 	for _, served := range r.Streams {
 		if !served.Complete {
-			broken++
+			incomplete++
 		}
 	}
-	if broken > 0 {
-		return errors.Errorf("%d of %d streams were not served whole", broken, len(r.Streams))
+	if incomplete > 0 {
+		return errors.Errorf("%d of %d streams were not served completely", incomplete, len(r.Streams))
 	}
 	return nil
 }
@@ -136,7 +137,7 @@
 	return table.Flush()
 }
 
-// printHints prints commands to try against the fleet that stays up.
+// printHints prints commands to try against the running fleet.
 func (d *deployment) printHints(to io.Writer) {
 	request := d.plan.Streams[0]
 	fmt.Fprintf(to, "\nall of it stays up; Ctrl-C ends it. Try:\n\n")
--- a/internal/sim/emulator/demo/demo_test.go
+++ b/internal/sim/emulator/demo/demo_test.go
@@ -42,7 +42,7 @@
 	}
 	assert.Equal(t, strings.Count(table.String(), "\n"), len(planned.Streams)+1)
 	for _, address := range append(result.ControlPlanes, result.DataPlanes...) {
-		assert.Assert(t, !isReady(ctx, address), "%s must be gone", address)
+		assert.Assert(t, !isReady(ctx, address), "%s must no longer be ready", address)
 	}
 }
 
@@ -69,7 +69,7 @@
 		Progress:      output,
 	})
 	assert.NilError(t, err)
-	assert.Assert(t, ctx.Err() != nil, "it stayed until the interrupt")
+	assert.Assert(t, ctx.Err() != nil, "Run must not return before the interrupt")
 }
 
 type outputWatcher struct {
--- a/internal/sim/emulator/demo/deployment.go
+++ b/internal/sim/emulator/demo/deployment.go
@@ -16,12 +16,12 @@
 	"ferryspar/internal/sim/emulator/standin"
 )
 
-// deployment is the running demo: its addresses, its children and what must be undone at the end.
+// deployment is the running demo: its addresses, its child processes and the cleanup functions.
 type deployment struct {
 	plan     plan
 	programs string
 	folder   string
-	// internalPort is the port of the daemons' connections among themselves.
+	// internalPort is the first of the ports of the connections between the daemons.
 	internalPort int
 	controls     []string
 	edges        []string
@@ -32,10 +32,10 @@
 	cleanup  []func()
 }
 
-// onClose adds something to undo at the end, last first.
+// onClose adds a function to be called by close. Functions are called in reverse order.
 func (d *deployment) onClose(act func()) { d.cleanup = append(d.cleanup, act) }
 
-// close ends the children and everything else that was started.
+// close ends the child processes and stops everything else that was started.
 func (d *deployment) close() {
 	for position := len(d.cleanup) - 1; position >= 0; position-- {
 		d.cleanup[position]()
@@ -43,7 +43,7 @@
 	d.cleanup = nil
 }
 
-// serve answers HTTP on a free loopback address until the end.
+// serve serves HTTP on a free loopback address until the deployment is closed.
 func (d *deployment) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,7 +55,7 @@
 	return listener.Addr().String(), nil
 }
 
-// startReplicas starts the stand-in replicas and the list.
+// startReplicas starts the stand-in replicas and the platform list.
 func (d *deployment) startReplicas() error {
 	backend := d.plan.configuration.Backends[0]
 	list := &standin.List{PageSize: 3}
@@ -74,11 +74,12 @@
 	return err
 }
 
-// maxStartAttempts is how often the daemons are started if one ends at once, as when a free port was
-// taken meanwhile.
+// maxStartAttempts is how often the daemons are started if one of them exits during the start, for example
+// because another process has taken its port in the meantime.
 const maxStartAttempts = 3
 
-// startAll starts the daemons, sends the configuration and waits until all data planes are ready.
+// startAll starts the daemons, sends the configuration and waits until all data planes are ready. Each attempt
+// uses its own subfolder.
 func (d *deployment) startAll(ctx context.Context, controls int) error {
 	folder := d.folder
 	defer func() { d.folder = folder }()
@@ -107,7 +108,7 @@
 	}
 }
 
-// hasExitedChild reports whether a child has ended.
+// hasExitedChild reports whether a child process has exited.
 func (d *deployment) hasExitedChild() bool {
 	return slices.ContainsFunc(d.children, func(process *child) bool { return !process.alive() })
 }
@@ -147,7 +148,7 @@
 	return d.startDataPlanes()
 }
 
-// startDataPlanes starts a data plane for each zone that the plan names.
+// startDataPlanes starts a data plane for each entry of the plan's list of zones.
 func (d *deployment) startDataPlanes() error {
 	for number, zone := range d.plan.DataPlanes {
 		edge, err := freeAddress(loopbackAddress(1))
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// configure sends the embedded configuration as an operator does.
+// configure sends the embedded configuration through the operators' API.
 func (d *deployment) configure(ctx context.Context) error {
 	caller := &adminapi.Client{
 		Addresses:         d.controls,
@@ -206,17 +207,17 @@
 	return nil
 }
 
-// addChildLogs adds to an error the end of the log of every child that has ended.
+// addChildLogs adds the end of the log of every exited child process to an error.
 func (d *deployment) addChildLogs(err error) error {
 	for _, process := range d.children {
 		if !process.alive() {
-			err = errors.Wrapf(err, "%s has ended: %s", process.name, process.tail())
+			err = errors.Wrapf(err, "%s has exited: %s", process.name, process.tail())
 		}
 	}
 	return err
 }
 
-// makeFolder makes the folder for settings, logs and data; a temporary one is removed at the end.
+// makeFolder creates the folder for settings, logs and data. A temporary one is removed by close.
 func (d *deployment) makeFolder(keep string) error {
 	if keep != "" {
 		d.folder = keep
--- a/internal/sim/emulator/demo/plan.go
+++ b/internal/sim/emulator/demo/plan.go
@@ -15,14 +15,14 @@
 //go:embed fleet.json
 var fleetFile []byte
 
-// plannedReplica is a stand-in replica of the plan.
+// plannedReplica describes a stand-in replica of the plan.
 type plannedReplica struct {
 	ID     string   `json:"id"`
 	Zone   string   `json:"zone"`
 	Models []string `json:"models"`
 }
 
-// stream is a request of the plan.
+// stream describes a request of the plan.
 type stream struct {
 	Path   string  `json:"path"`
 	Model  string  `json:"model"`
@@ -31,7 +31,7 @@
 	Prefix string  `json:"prefix"`
 }
 
-// plan is the demo's fleet, from the files embedded in the program.
+// plan describes the demo's fleet and streams, read from the files embedded in the program.
 type plan struct {
 	Zones         map[string]string `json:"zones"`
 	Replicas      []plannedReplica  `json:"replicas"`
@@ -40,7 +40,7 @@
 	configuration configuration.Configuration
 }
 
-// readPlan reads the embedded fleet and configuration.
+// readPlan parses the embedded fleet and configuration.
 func readPlan() (plan, error) {
 	var read plan
 	if err := json.Unmarshal(fleetFile, &read); err != nil {
--- a/internal/sim/emulator/demo/ready.go
+++ b/internal/sim/emulator/demo/ready.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// readyTimeout is how long the data planes may take to be ready.
+	// readyTimeout is how long the data planes may take to become ready.
 	readyTimeout = 15 * time.Second
-	// readyPollInterval is the wait between questions for readiness.
+	// readyPollInterval is the interval between readiness checks.
 	readyPollInterval = 50 * time.Millisecond
 )
 
@@ -24,7 +24,7 @@
 		for !isReady(bounded, address) {
 			select {
 			case <-bounded.Done():
-				return d.addChildLogs(errors.Errorf("data plane %s is not ready in time", address))
+				return d.addChildLogs(errors.Errorf("data plane %s did not become ready in time", address))
 			case <-time.After(readyPollInterval):
 			}
 		}
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// isReady asks a data plane whether it is ready.
+// isReady reports whether a data plane responds that it is ready.
 func isReady(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/ferryspar/readyz", nil)
 	if err != nil {
--- a/internal/sim/emulator/demo/settings.go
+++ b/internal/sim/emulator/demo/settings.go
@@ -6,8 +6,8 @@
 	"github.com/knadh/koanf/parsers/toml/v2"
 )
 
-// daemon is what differs between the settings of daemons. dataPath is its data folder, or empty
-// if it has none.
+// daemon holds the settings that differ between daemons. dataPath is the data folder, or empty if the daemon
+// has none.
 type daemon struct {
 	name     string
 	host     string
@@ -16,7 +16,7 @@
 	dataPath string
 }
 
-// settings is a daemon's settings file.
+// settings returns a daemon's settings file in TOML.
 func (d *deployment) settings(node daemon) ([]byte, error) {
 	zones := map[string]any{}
 	for zone, region := range d.plan.Zones {
--- a/internal/sim/emulator/disaggregation.go
+++ b/internal/sim/emulator/disaggregation.go
@@ -9,34 +9,35 @@
 	"ferryspar/internal/routing"
 )
 
-// Disaggregation is the model of replicas that either read prompts (prefill) or make tokens (decode). With a PrefillShare of 0 every
-// replica does both.
+// Disaggregation is the model of disaggregated prefill and decode: each replica either processes prompts or
+// generates tokens. With a PrefillShare of 0 every replica does both.
 type Disaggregation struct {
-	// PrefillShare is the share of each zone's replicas that read prompts; it stays as it is.
+	// PrefillShare is the share of each zone's replicas that perform prefill; it is fixed during the run.
 	PrefillShare float64 `koanf:"prefillShare"`
-	// SequentialSelection has the decode replica chosen only after the prompt was read, without a place kept for it before.
+	// SequentialSelection selects the decode replica only after the prefill, instead of reserving one before it.
 	SequentialSelection bool `koanf:"chooseInSequence"`
-	// LinkMbps, KvTokenBytes and SetupMs are what a move of a prompt's memory takes: the moves of a replica go one after
-	// another, and take twice as long between zones and ten times between regions.
+	// LinkMbps, KvTokenBytes and SetupMs determine the time to transfer a prompt's KV cache. The transfers to a
+	// replica are serialized, and take twice as long between zones and ten times as long between regions.
 	LinkMbps     float64 `koanf:"linkMbps"`
 	KvTokenBytes float64 `koanf:"kvTokenBytes"`
 	SetupMs      float64 `koanf:"setupMs"`
-	// HandleExpiryS is how long a prefill replica holds memory that nobody takes.
+	// HandleExpiryS is how long a prefill replica holds the KV cache of a prompt that no decode replica fetches.
 	HandleExpiryS float64 `koanf:"handleS"`
 }
 
 const (
-	// decodePrefillSlowdown and decodeChunkShare: a decode replica reads prompts slower and in smaller pieces.
+	// decodePrefillSlowdown and decodeChunkShare make a decode replica process prompts slower and in smaller
+	// chunks than a prefill replica.
 	decodePrefillSlowdown = 2.0
 	decodeChunkShare      = 0.25
-	// crossZoneTransferFactor and otherRegionMove lengthen a move.
+	// crossZoneTransferFactor and otherRegionMove multiply the transfer time.
 	crossZoneTransferFactor   = 2.0
 	crossRegionTransferFactor = 10.0
-	// maxPrefillFailures is after how many failures a request goes on without a prefill replica.
+	// maxPrefillFailures is the number of failures after which a request continues without a prefill replica.
 	maxPrefillFailures = 2
 )
 
-// phaseOf is the phase of a zone's machine by its place among them.
+// phaseOf returns the phase of the machine at the given position among those of its zone.
 func (s Disaggregation) phaseOf(place int) discovery.Phase {
 	if s.PrefillShare <= 0 {
 		return ""
@@ -47,15 +48,15 @@
 	return discovery.PhaseDecode
 }
 
-// heldPrompt is the memory of a prompt that a prefill replica holds under a handle.
+// heldPrompt is the KV cache of a prompt that a prefill replica holds under a handle.
 type heldPrompt struct {
 	server *server
 	run    *execution
-	// released is set once it was taken, freed or lapsed.
+	// released is set once it has been fetched, released or has expired.
 	released bool
 }
 
-// release frees the memory.
+// release frees the KV cache space. Later calls have no effect.
 func (h *heldPrompt) release() {
 	if h.released {
 		return
@@ -66,7 +67,8 @@
 	h.server.startStep()
 }
 
-// hold ends the reading of a prompt: its slot is free, its memory is held for a while, and the edge is told.
+// hold ends the prefill of a prompt: it frees the slot, holds the KV cache until it expires, and notifies the
+// edge.
 func (s *server) hold(run *execution) {
 	run.ended = true
 	s.running = filter(s.running, func(other *execution) bool { return other != run })
@@ -76,8 +78,8 @@
 	run.attempt.edge.afterLink(s.machine.zone, func() { run.attempt.onPrefilled(number, held) })
 }
 
-// fetch moves the memory of a prompt to this server and queues the execution once it is there. It reports whether the memory
-// could be had.
+// fetch transfers the KV cache of a prompt to this server and queues the execution when that is complete. It
+// reports whether the KV cache was still available.
 func (s *server) fetch(run *execution) bool {
 	source := run.source
 	if source.released || source.server.dead {
@@ -103,9 +105,9 @@
 	return true
 }
 
-// transferTime is how long a prompt's memory takes to this server.
+// transferTime returns how long the transfer of a prompt's KV cache to this server takes.
 func (s *server) transferTime(source *heldPrompt) time.Duration {
-	split := s.world.scenario.Disaggregation
+	disaggregation := s.world.scenario.Disaggregation
 	from, to := s.world.scenario.Zones[source.server.machine.zone], s.world.scenario.Zones[s.machine.zone]
 	distance := 1.0
 	switch {
@@ -115,11 +117,12 @@
 		distance = crossZoneTransferFactor
 	}
 	const bitsPerByte, kilobitsPerMegabit = 8, 1000
-	moveMs := source.run.attempt.call.request.Prompt * split.KvTokenBytes * bitsPerByte / (split.LinkMbps * kilobitsPerMegabit)
-	return milliseconds(split.SetupMs + moveMs*distance)
+	transferredBits := source.run.attempt.call.request.Prompt * disaggregation.KvTokenBytes * bitsPerByte
+	transferMs := transferredBits / (disaggregation.LinkMbps * kilobitsPerMegabit)
+	return milliseconds(disaggregation.SetupMs + transferMs*distance)
 }
 
-// prefill has the prompt read by the step's replica first.
+// prefill forwards the request to the replica of the prefill step first.
 func (p *attempt) prefill(decision routing.Decision) {
 	step := decision.Prefill
 	p.prefillStep, p.decodeReplica = step, decision.Replica
@@ -132,7 +135,7 @@
 	})
 }
 
-// onPrefilled goes on at the decode replica, or has another one chosen if that one may not continue.
+// onPrefilled continues at the decode replica, or requests another one if that can no longer be used.
 func (p *attempt) onPrefilled(number int, held *heldPrompt) {
 	if p.isOver() || p.forwardNumber != number || p.prefillStep == nil {
 		held.release()
@@ -157,7 +160,8 @@
 	p.edge.processDecisions()
 }
 
-// onPrefillFailure tries another prefill replica, or goes on without one.
+// onPrefillFailure tries another prefill replica or continues without one. A long prompt whose prefill timed
+// out is rejected as overloaded instead.
 func (p *attempt) onPrefillFailure(outcome routing.Outcome) {
 	step := p.prefillStep
 	p.prefillStep = nil
@@ -178,7 +182,7 @@
 	p.edge.processDecisions()
 }
 
-// releaseHeld frees the memory that the attempt holds, if any.
+// releaseHeld releases the KV cache that the attempt holds, if any.
 func (p *attempt) releaseHeld() {
 	if p.held == nil {
 		return
--- a/internal/sim/emulator/disaggregation_test.go
+++ b/internal/sim/emulator/disaggregation_test.go
@@ -8,7 +8,7 @@
 	"ferryspar/internal/discovery"
 )
 
-// disaggregatedScenario is a fleet of one model whose replicas read prompts or make tokens, with long prompts and short answers.
+// disaggregatedScenario is a fleet of one model with disaggregated prefill and decode, long prompts and short outputs.
 func disaggregatedScenario(seed uint64, prefillShare float64) Scenario {
 	s := sampleScenario(seed)
 	s.Models.Count, s.Models.PerReplica, s.Models.Adapters = 1, 1, 0
@@ -24,11 +24,11 @@
 	return s
 }
 
-func TestSplit_PhasesFollowTheShareInEachZone(t *testing.T) {
-	split := Disaggregation{PrefillShare: 0.4}
+func TestDisaggregation_PhasesFollowPrefillShare(t *testing.T) {
+	disaggregation := Disaggregation{PrefillShare: 0.4}
 	prefill := 0
 	for place := range 10 {
-		if split.phaseOf(place) == discovery.PhasePrefill {
+		if disaggregation.phaseOf(place) == discovery.PhasePrefill {
 			prefill++
 		}
 	}
@@ -36,7 +36,7 @@
 	assert.Equal(t, Disaggregation{}.phaseOf(3), discovery.Phase(""))
 }
 
-func TestWorld_SplitRequestsEndOnceAndHoldNothing(t *testing.T) {
+func TestWorld_DisaggregatedRequestsEndOnceAndReleaseMemory(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		for _, inSequence := range []bool{false, true} {
@@ -57,7 +57,7 @@
 			for _, replica := range world.servers {
 				if !replica.dead {
 					assert.Equal(t, len(replica.queue)+len(replica.running)+replica.fetching, 0)
-					assert.Assert(t, replica.cache.reserved < 1e-6, "%s keeps %f reserved", replica.id, replica.cache.reserved)
+					assert.Assert(t, replica.cache.reserved < 1e-6, "%s still has %f tokens reserved", replica.id, replica.cache.reserved)
 				}
 			}
 			for _, dataPlane := range world.edges {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestWorld_PrefillReplicasMakeNoTokens(t *testing.T) {
+func TestWorld_ReplicasRejectRequestsOfTheOtherPhase(t *testing.T) {
 	t.Parallel()
 	world, err := NewWorld(disaggregatedScenario(1, 0.4))
 	assert.NilError(t, err)
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestServer_MovesGoOneAfterAnotherAndFurtherTakeLonger(t *testing.T) {
+func TestServer_TransferTimeGrowsWithDistance(t *testing.T) {
 	world, err := NewWorld(disaggregatedScenario(1, 0.5))
 	assert.NilError(t, err)
 	request := &Request{Prompt: 10000}
--- a/internal/sim/emulator/eventqueue/eventqueue.go
+++ b/internal/sim/emulator/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue plays functions in simulated time: a queue of events ordered by their moment,
-// and a clock that jumps from one to the next. It never reads the real clock, never sleeps and
-// starts no goroutine; one goroutine alone may use a queue. Start reading at Queue.Until.
+// Package eventqueue implements a discrete-event simulation loop: a queue of events ordered by time, and a
+// simulated clock that advances from one event to the next. It never reads the real clock, never sleeps and
+// starts no goroutine. A queue is not safe for concurrent use. The entry point is Queue.RunUntil.
 package eventqueue
 
 import (
@@ -9,15 +9,15 @@
 	"github.com/google/btree"
 )
 
-// event is a function due at a moment. The number, counted in the sequence in which events are
-// added, orders events of the same moment, so that a run can be repeated exactly.
+// event is a function due at a given time. Events due at the same time run in the order of their numbers,
+// which is the order in which they were added, so that runs are reproducible.
 type event struct {
 	at     time.Time
 	number int
 	act    func()
 }
 
-// less orders events by moment, then by number.
+// less orders events by time, then by number.
 func (e event) less(other event) bool {
 	if !e.at.Equal(other.at) {
 		return e.at.Before(other.at)
@@ -25,33 +25,32 @@
 	return e.number < other.number
 }
 
-// Queue holds the events still to come and the simulated clock. The functions it calls may add
-// further events.
+// Queue holds the pending events and the simulated clock. The functions that it calls may add events.
 type Queue struct {
 	now    time.Time
 	events *btree.BTreeG[event]
 	number int
 }
 
-// New makes an empty queue whose clock stands at the given moment.
-func New(began time.Time) *Queue {
-	return &Queue{now: began, events: btree.NewG(32, event.less)}
+// New returns an empty queue whose clock is set to the given time.
+func New(start time.Time) *Queue {
+	return &Queue{now: start, events: btree.NewG(32, event.less)}
 }
 
-// Now is the simulated time: the moment of the event being played, or the one that Until ended at.
+// Now returns the simulated time: that of the event being run, or the end passed to the last RunUntil.
 func (q *Queue) Now() time.Time { return q.now }
 
-// At adds a function to be called at the given moment. A moment already past is played next,
-// without turning the clock back.
+// At schedules a function to be called at the given time. If that is in the past, the function is called next
+// and the clock is not set back.
 func (q *Queue) At(at time.Time, act func()) {
 	q.number++
 	q.events.ReplaceOrInsert(event{at, q.number, act})
 }
 
-// After adds a function to be called after the given wait; a negative wait counts as none.
+// After schedules a function to be called after the given delay. A negative delay counts as 0.
 func (q *Queue) After(wait time.Duration, act func()) { q.At(q.now.Add(max(wait, 0)), act) }
 
-// Step plays the earliest event and reports whether there was one.
+// Step runs the earliest event and reports whether there was one.
 func (q *Queue) Step() bool {
 	next, some := q.events.DeleteMin()
 	if !some {
@@ -64,7 +63,7 @@
 	return true
 }
 
-// RunUntil plays every event up to and including the given moment and leaves the clock there.
+// RunUntil runs every event up to and including the given time and sets the clock to that time.
 func (q *Queue) RunUntil(end time.Time) {
 	for {
 		next, some := q.events.Min()
--- a/internal/sim/emulator/forecast.go
+++ b/internal/sim/emulator/forecast.go
@@ -10,48 +10,49 @@
 	"ferryspar/internal/placement"
 )
 
-// The figures of the daemons' forecast, beside those of CountByLoad.
+// Names of the figures of the daemons' forecast, in addition to those of ForecastByLoadReports.
 const (
-	// FigureInterrupted counts the requests at lost replicas and those that wait in any data plane.
+	// FigureInterrupted counts the requests at lost replicas and those queued at any data plane.
 	FigureInterrupted = "requests at lost replicas or waiting"
-	// FigureContinuing counts those of them that go on at surviving replicas.
+	// FigureContinuing counts the interrupted requests that continue at surviving replicas.
 	FigureContinuing = "of these, going on elsewhere"
-	// FigurePlaced counts those of them that would find a place if all clients asked again.
+	// FigurePlaced counts the interrupted requests that would be placed if all clients retried.
 	FigurePlaced = "of these, placed were all to ask again"
-	// FigureMovedTo is followed by a replica's id and counts the requests that go on there.
+	// FigureMovedTo is followed by a replica's ID and counts the requests that continue there.
 	FigureMovedTo = "requests moved to replica "
-	// FigureFull counts the surviving replicas that fill up.
+	// FigureFull counts the surviving replicas that become full.
 	FigureFull = "replicas left that are full"
 	// FigureRegionBound counts the interrupted requests that may run in lost regions only.
 	FigureRegionBound = "of these, bound to the lost"
-	// FigureLoads counts the loads of models that the placement begins.
+	// FigureLoads counts the model loads that the placement starts.
 	FigureLoads = "loads"
 )
 
-// The figures of a route, whose name precedes them: Then for after the loss, Now for before it.
+// Names of the figures of a route, which follow the route's name: AfterLoss for the time after the loss,
+// BeforeLoss for the time before it.
 const (
 	// AfterLossNotLoaded is the share of requests whose model no surviving replica has loaded.
 	AfterLossNotLoaded = "share nowhere loaded"
-	// AfterLossWaiting is the share of requests that wait for a place.
+	// AfterLossWaiting is the share of requests that wait for a free slot.
 	AfterLossWaiting = "share waiting for a place"
 	// AfterLossRegionBound is the share of requests that may run in lost regions only.
 	AfterLossRegionBound = "share bound to the lost"
-	// AfterLossLate is the share of requests without a first token inside the target latency.
+	// AfterLossLate is the share of requests without a first token within the target latency.
 	AfterLossLate = "share with no first token inside the aim"
-	// AfterLossP50, ThenTail and ThenLast are quantiles of the time to the first token.
+	// AfterLossP50, AfterLossP90 and AfterLossP99 are quantiles of the time to first token.
 	AfterLossP50 = "first token p50, ms"
 	AfterLossP90 = "first token p90, ms"
 	AfterLossP99 = "first token p99, ms"
-	// BeforeLossLate is ThenMissed before the loss.
+	// BeforeLossLate is AfterLossLate before the loss.
 	BeforeLossLate = "now: share with no first token inside the aim"
-	// BeforeLossP50, NowTail and NowLast are the quantiles before the loss.
+	// BeforeLossP50, BeforeLossP90 and BeforeLossP99 are the quantiles before the loss.
 	BeforeLossP50 = "now: first token p50, ms"
 	BeforeLossP90 = "now: first token p90, ms"
 	BeforeLossP99 = "now: first token p99, ms"
 )
 
-// GatherForecast makes the forecast of the daemons from this snapshot: every edge's answer, merged with the
-// plan of the placement.
+// GatherForecast computes the daemons' forecast from the snapshot: the merged responses of all edges and the
+// actions that the placement would take. It also returns the responses.
 func (s Snapshot) GatherForecast() (drill.Forecast, []drill.ForecastResponse) {
 	basis := drill.FleetView{
 		Scope:      s.Loss.Scope,
@@ -86,7 +87,7 @@
 	return merged, answers
 }
 
-// replicasAsKnown is the platform's list with the models that the planner knows of.
+// replicasAsKnown returns the platform's list with the models that the planner knows to be loaded.
 func (s Snapshot) replicasAsKnown() []discovery.Replica {
 	listed := slices.Clone(s.Listed)
 	for _, planned := range s.View.Servers {
@@ -99,8 +100,8 @@
 	return listed
 }
 
-// ForecastByMatchers forecasts with the daemons' own code; figures of reading are over the given seconds
-// after the loss.
+// ForecastByMatchers returns a Forecaster that runs the daemons' own code. Its figure for recomputed
+// prompt tokens covers the given number of seconds after the loss.
 func ForecastByMatchers(afterS float64) Forecaster {
 	return func(before Snapshot) Forecast {
 		merged, answers := before.GatherForecast()
@@ -129,8 +130,8 @@
 	}
 }
 
-// addMoving counts the requests that must move: all of a lost edge, and those that a spared edge
-// has at lost replicas.
+// addMoving counts the requests that must move: all requests of lost edges, and those that surviving edges
+// have at lost replicas.
 func (f Forecast) addMoving(answers []drill.ForecastResponse, lost map[string]bool) {
 	for _, answer := range answers {
 		if lost[answer.Zone] {
@@ -141,7 +142,7 @@
 	}
 }
 
-// addReplicas adds what the forecast says of caches, surviving replicas and loads.
+// addReplicas adds the figures for caches, surviving replicas and loads.
 func (f Forecast) addReplicas(merged drill.Forecast) {
 	for _, cached := range merged.Cached {
 		f[FigureLostCachedTokens] += cached.Lost
--- a/internal/sim/emulator/loadcount.go
+++ b/internal/sim/emulator/loadcount.go
@@ -5,16 +5,16 @@
 	FigureMoving = "requests that move"
 	// FigureWithoutCopy counts the models and adapters whose every copy is lost.
 	FigureWithoutCopy = "models and adapters without a copy"
-	// FigureLostCachedTokens counts the cached tokens lost.
+	// FigureLostCachedTokens counts the lost tokens of cached prompts.
 	FigureLostCachedTokens = "warm tokens lost"
-	// FigureReloadTime is how long, in seconds, until the last model lost is loaded again.
+	// FigureReloadTime is the time, in seconds, until every model that lost all copies is loaded again.
 	FigureReloadTime = "seconds until the last copy is back"
-	// FigureRecomputedTokens counts the prompt tokens that must be read again.
+	// FigureRecomputedTokens counts the prompt tokens whose prefill must be repeated.
 	FigureRecomputedTokens = "prompt tokens read again"
 )
 
-// ForecastByLoadReports is the simplest forecaster: it counts from the list and the load reports alone what
-// is in the lost zones.
+// ForecastByLoadReports is the baseline Forecaster: it counts what is in the lost zones from the platform's
+// list and the load reports alone.
 func ForecastByLoadReports(before Snapshot) Forecast {
 	lost, withoutCopy := lostReplicas(before)
 	moving := 0
@@ -24,7 +24,8 @@
 	return Forecast{FigureMoving: float64(moving), FigureWithoutCopy: float64(withoutCopy)}
 }
 
-// lostReplicas are the listed replicas of the lost zones, and the number of models and adapters that only they have loaded.
+// lostReplicas returns the listed replicas of the lost zones, and the number of models and adapters that only
+// they have loaded.
 func lostReplicas(before Snapshot) (lost map[string]bool, withoutCopy int) {
 	lost = map[string]bool{}
 	kept, gone := map[string]bool{}, map[string]bool{}
@@ -48,7 +49,8 @@
 	return lost, withoutCopy
 }
 
-// movingRequests counts the requests of a data plane that go elsewhere once the replicas, or the data plane itself, are lost.
+// movingRequests returns how many requests of a data plane must move if the replicas, or the data plane
+// itself, are lost.
 func movingRequests(edge DataPlaneState, lost map[string]bool) int {
 	moving := 0
 	for id, load := range edge.Load.Replicas {
--- a/internal/sim/emulator/loss.go
+++ b/internal/sim/emulator/loss.go
@@ -14,13 +14,14 @@
 	"ferryspar/internal/routing"
 )
 
-// Forecast holds the forecast figures by name.
+// Forecast maps the names of figures to their forecast values.
 type Forecast map[string]float64
 
-// Forecaster forecasts the figures of a loss from what is known just before it.
+// Forecaster forecasts the figures of a loss from the state just before it.
 type Forecaster func(before Snapshot) Forecast
 
-// DataPlaneState is what an edge knows and last reported just before a loss.
+// DataPlaneState is the state of an edge just before a loss: its last load report, its matcher and the
+// matcher's snapshot.
 type DataPlaneState struct {
 	Zone    string
 	Lost    bool
@@ -29,25 +30,25 @@
 	Fleet   *routing.Snapshot
 }
 
-// Snapshot is what the daemons know just before a loss; forecasters may read it but not keep or
-// change it.
+// Snapshot is the state known to the daemons just before a loss. Forecasters must neither modify it nor
+// retain it.
 type Snapshot struct {
 	At    time.Time
 	Table *configuration.Table
-	// Lost names the zones about to be lost.
+	// Lost holds the names of the zones about to be lost.
 	Lost map[string]bool
 	// Listed is the platform's list.
 	Listed     []discovery.Replica
 	DataPlanes []DataPlaneState
 	Demand     map[string]*placement.Demand
-	// Held is what each address has once loaded, by reference.
+	// LoadedBefore holds, by address, the references that any incarnation has reported as loaded.
 	LoadedBefore map[string]map[string]bool
 	Loss         drill.Loss
 	// View is the planner's input.
 	View *placement.View
 }
 
-// snapshot gathers what the daemons know now.
+// snapshot returns the current state known to the daemons.
 func (w *World) snapshot(zones []int, from Loss) Snapshot {
 	before := Snapshot{
 		At:           w.now(),
@@ -77,8 +78,7 @@
 	return before
 }
 
-// recordLoss counts what a loss is about to hit, asks the forecasters, and begins to watch what
-// follows.
+// recordLoss counts what a loss is about to affect, calls the forecasters, and starts to observe the effects.
 func (w *World) recordLoss(zones []int, from Loss) {
 	loss := LossResult{
 		AtS:          w.elapsed().Seconds(),
@@ -100,8 +100,8 @@
 	w.watchFullReplicas(len(w.observer.losses)-1, w.elapsed(), map[string]bool{})
 }
 
-// countMachines adds what the machines and edges of the lost zones hold, lists the replicas that
-// survive, and returns the references whose every copy is lost.
+// countMachines counts the requests and cached tokens in the lost zones, lists the surviving replicas, and
+// returns the references whose every copy is lost.
 func (w *World) countMachines(loss *LossResult, zones []int) map[string]bool {
 	kept, gone := map[string]bool{}, map[string]bool{}
 	for _, host := range w.machines {
--- a/internal/sim/emulator/losswatch.go
+++ b/internal/sim/emulator/losswatch.go
@@ -11,13 +11,13 @@
 	// FirstPhaseS is the length, in seconds, of the first phase after a loss, in which full replicas
 	// are counted.
 	FirstPhaseS = 5
-	// fullReplicaPollInterval is how often full replicas are looked for.
+	// fullReplicaPollInterval is the interval at which full replicas are looked for.
 	fullReplicaPollInterval = 50 * time.Millisecond
-	// reloadPollInterval is how often returned copies are looked for.
+	// reloadPollInterval is the interval at which reloaded models are looked for.
 	reloadPollInterval = 200 * time.Millisecond
 )
 
-// scope is a loss as forecasts and drills name it.
+// scope returns a loss in the format of forecasts and drills.
 func (w *World) scope(from Loss) drill.Loss {
 	loss := drill.Loss{Scope: drill.Scope{Zone: from.Zone, Region: from.Region}, Regions: map[string]string{}}
 	for _, zone := range w.scenario.Zones {
@@ -33,8 +33,7 @@
 	})
 }
 
-// isInterrupted reports whether the loss of the zones hits the call at its replica, or finds it
-// waiting in any edge.
+// isInterrupted reports whether the call is at a replica in one of the zones or queued at any edge.
 func (c *call) isInterrupted(zones []int) bool {
 	if c.ended || c.attempt == nil {
 		return false
@@ -45,7 +44,8 @@
 	return slices.Contains(zones, c.world.servers[c.attempt.replicaID].machine.zone)
 }
 
-// recordForward records how long the call waited, and where an interrupted call goes on.
+// recordForward records how long the call was queued, and the replica at which an interrupted call
+// continues.
 func (p *attempt) recordForward(replica string) {
 	clientCall := p.call
 	w := clientCall.world
@@ -59,7 +59,7 @@
 	w.observer.losses[len(w.observer.losses)-1].MovedTo[replica]++
 }
 
-// watchFullReplicas counts the surviving replicas that are full at some moment of the first phase.
+// watchFullReplicas counts the surviving replicas that are full at any poll of the first phase.
 func (w *World) watchFullReplicas(number int, began time.Duration, found map[string]bool) {
 	w.events.After(fullReplicaPollInterval, func() {
 		loss := &w.observer.losses[number]
@@ -79,7 +79,7 @@
 	})
 }
 
-// watchCopies records when the last model without a copy is loaded again.
+// watchCopies records when the last reference that had lost every copy is loaded again.
 func (w *World) watchCopies(number int, missing map[string]bool) {
 	w.events.After(reloadPollInterval, func() {
 		loss := &w.observer.losses[number]
--- a/internal/sim/emulator/observer.go
+++ b/internal/sim/emulator/observer.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Sample is the state of the fleet at one moment; counts of loads and tokens read are running
-// totals.
+// Sample is the state of the fleet at one time. The numbers of loads and of prompt tokens processed are
+// cumulative.
 type Sample struct {
 	AtS           float64 `json:"atS"`
 	Waiting       int     `json:"waiting"`
@@ -17,7 +17,7 @@
 	PrefillTokens float64 `json:"promptTokensRead"`
 }
 
-// RequestOutcome is how one request went; FirstMs is 0 if no token came.
+// RequestOutcome is the outcome of one request. FirstTokenMs is 0 if no token was received.
 type RequestOutcome struct {
 	Class        int
 	AtS          float64
@@ -25,11 +25,11 @@
 	Outcome      string
 	InTime       bool
 	WaitMs       float64
-	// NotLoaded is set if no replica had the model loaded when the request arrived.
+	// NotLoaded is set if no replica had the model loaded when the request was sent.
 	NotLoaded bool
 }
 
-// Bucket sums the requests of a class that arrived in one bucket of time.
+// Bucket aggregates the requests of a class that arrived in one time bucket.
 type Bucket struct {
 	AtS           float64   `json:"atS"`
 	Offered       int       `json:"offered"`
@@ -39,8 +39,7 @@
 	MaxTokenGapMs []float64 `json:"longestPauseMs"`
 }
 
-// ClassResult sums the requests of a class. Resumed counts those served after more than one
-// attempt.
+// ClassResult aggregates the requests of a class. Resumed counts those served after more than one attempt.
 type ClassResult struct {
 	Name     string         `json:"name"`
 	Offered  int            `json:"offered"`
@@ -50,7 +49,7 @@
 	Buckets  []Bucket       `json:"buckets"`
 }
 
-// LossResult is what a loss hit, by counts taken just before it, and what followed.
+// LossResult describes what a loss affected, counted just before it, and its effects.
 type LossResult struct {
 	AtS          float64            `json:"atS"`
 	Running      int                `json:"running"`
@@ -61,7 +60,7 @@
 	Moving      []int               `json:"requestsMoving"`
 	Forecasts   map[string]Forecast `json:"forecasts,omitempty"`
 	LastReloadS float64             `json:"lastCopyBackS"`
-	// MovedTo counts the interrupted requests that went on, by replica.
+	// MovedTo counts the interrupted requests that continued, by replica.
 	MovedTo map[string]int `json:"movedTo"`
 	// RegionBound counts the interrupted requests that may run in lost regions only.
 	RegionBound  int      `json:"boundToLost"`
@@ -70,7 +69,7 @@
 	Surviving    []string `json:"replicasLeft"`
 }
 
-// Result is everything observed in a run.
+// Result holds all observations of a run.
 type Result struct {
 	Seed          uint64        `json:"seed"`
 	Classes       []ClassResult `json:"classes"`
@@ -79,12 +78,12 @@
 	PrefillTokens float64       `json:"readTokens"`
 	CachedTokens  float64       `json:"keptTokens"`
 	Forwards      int           `json:"dispatched"`
-	// Violations are broken invariants of the emulation; a sound run has none.
+	// Violations describes the invariants of the emulation that did not hold; a correct run has none.
 	Violations []string         `json:"faults"`
 	Requests   []RequestOutcome `json:"-"`
 }
 
-// observer gathers the results while a world runs.
+// observer collects the results during a run.
 type observer struct {
 	scenario      Scenario
 	classes       []ClassResult
@@ -98,7 +97,7 @@
 	requests      []RequestOutcome
 }
 
-// newObserver makes an observer with an empty bucket for every span of the scenario.
+// newObserver returns an observer with an empty bucket for every interval of the scenario.
 func newObserver(scenario Scenario) *observer {
 	o := &observer{scenario: scenario}
 	buckets := int(scenario.LengthS/scenario.BucketS) + 1
@@ -116,7 +115,7 @@
 	return o
 }
 
-// promptAdmitted counts the tokens of a prompt that must be read and those that were cached.
+// promptAdmitted counts the tokens of a prompt that must be processed and those that were cached.
 func (o *observer) promptAdmitted(unread, prompt float64) {
 	o.prefillTokens += unread
 	o.cachedTokens += max(prompt-unread, 0)
@@ -134,10 +133,10 @@
 // forwarded counts a forward to a replica.
 func (o *observer) forwarded() { o.forwards++ }
 
-// inMilliseconds is a length in milliseconds, exact to a microsecond.
-func inMilliseconds(length time.Duration) float64 { return float64(length.Microseconds()) / 1000 }
+// inMilliseconds converts a duration to milliseconds with microsecond resolution.
+func inMilliseconds(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
 
-// requestEnded records how a call went.
+// requestEnded records the outcome of a call.
 func (o *observer) requestEnded(clientCall *call) {
 	class := &o.classes[clientCall.request.Class]
 	bucket := &class.Buckets[min(int(clientCall.request.At.Seconds()/o.scenario.BucketS), len(class.Buckets)-1)]
@@ -187,7 +186,7 @@
 	o.samples = append(o.samples, sample)
 }
 
-// result is what was observed so far.
+// result returns the observations so far.
 func (o *observer) result(w *World) Result {
 	return Result{
 		Seed:          o.scenario.Seed,
--- a/internal/sim/emulator/recorded.go
+++ b/internal/sim/emulator/recorded.go
@@ -13,7 +13,7 @@
 	"ferryspar/internal/routing"
 )
 
-// readRecord makes the requests of a recorded file; a damaged file is an error.
+// readRecord reads the requests of a recording. It returns an error if any line is damaged.
 func readRecord(scenario Scenario) ([]Request, error) {
 	file, err := os.Open(scenario.Traffic.Record)
 	if err != nil {
@@ -25,13 +25,13 @@
 		return nil, errors.Wrap(err, "traffic.record")
 	}
 	if len(damages) > 0 {
-		return nil, errors.Errorf("traffic.record: %d lines are damaged, the first: %s", len(damages), damages[0])
+		return nil, errors.Errorf("traffic.record: %d lines are damaged, first: %s", len(damages), damages[0])
 	}
 	return requestsFromRecord(scenario, entries)
 }
 
-// requestsFromRecord maps recorded models and routes to those of the scenario, in the sequence in
-// which they appear, and draws what the record does not contain.
+// requestsFromRecord maps recorded models and routes to those of the scenario in order of appearance; a route
+// with the name of a class maps to that class. It draws what the recording does not contain.
 func requestsFromRecord(scenario Scenario, entries []requestlog.Entry) ([]Request, error) {
 	from := randomSource(scenario.Seed, streamTraffic)
 	chance := rand.New(from)
@@ -71,7 +71,7 @@
 		})
 	}
 	if len(requests) == 0 {
-		return nil, errors.New("traffic.record: no order falls into lengthS")
+		return nil, errors.New("traffic.record: no request falls within lengthS")
 	}
 	return requests, nil
 }
--- a/internal/sim/emulator/standin/list.go
+++ b/internal/sim/emulator/standin/list.go
@@ -14,7 +14,7 @@
 	PageSize int
 }
 
-// ServeHTTP answers a page of the list; any goroutine may call it.
+// ServeHTTP responds with a page of the list. It is safe for concurrent use.
 func (l *List) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != "/replicas" {
 		writer.WriteHeader(http.StatusNotFound)
--- a/internal/sim/emulator/standin/modelset.go
+++ b/internal/sim/emulator/standin/modelset.go
@@ -7,10 +7,10 @@
 	"ferryspar/internal/discovery"
 )
 
-// ModelSet is a set of references, each a model or "model/adapter".
+// ModelSet is a set of references, each "model" or "model/adapter".
 type ModelSet map[string]bool
 
-// NewModelSet is the set of the given references.
+// NewModelSet returns the set of the given references.
 func NewModelSet(references ...string) ModelSet {
 	set := ModelSet{}
 	for _, reference := range references {
@@ -28,8 +28,8 @@
 	}
 }
 
-// List is the set as the platform lists it, ordered by name; adapters without their model
-// are left out.
+// List returns the set in the format of the platform's list, ordered by name. Adapters whose model is not in
+// the set are omitted.
 func (h ModelSet) List() []discovery.LoadedModel {
 	references := make([]string, 0, len(h))
 	for reference := range h {
@@ -38,8 +38,8 @@
 	sort.Strings(references)
 	list := []discovery.LoadedModel{}
 	for _, reference := range references {
-		model, adapter, adapted := strings.Cut(reference, "/")
-		if !adapted {
+		model, adapter, isAdapter := strings.Cut(reference, "/")
+		if !isAdapter {
 			list = append(list, discovery.LoadedModel{Name: model, Revision: 1, Adapters: []string{}})
 			continue
 		}
--- a/internal/sim/emulator/standin/replica.go
+++ b/internal/sim/emulator/standin/replica.go
@@ -1,7 +1,7 @@
-// Package standin serves replicas and a platform list over HTTP as the users' pages describe them,
-// for the demo and for tests. A stand-in runs no model: it answers with numbered events at a given
-// pace, keeps to its slots, and loads and unloads by timers. It never calls a daemon. Start reading
-// at NewReplica.
+// Package standin implements fake replicas and a fake platform list that serve the documented HTTP
+// interfaces, for the demo and for tests. A stand-in replica runs no model: it answers requests with numbered
+// events at a configured rate, up to its number of slots, and simulates loads and unloads with timers. It
+// never calls a daemon. The entry point is NewReplica.
 package standin
 
 import (
@@ -18,8 +18,8 @@
 	"ferryspar/internal/replica"
 )
 
-// Timing is how fast a stand-in answers: the base, reading per thousand prompt tokens, and the gap
-// between events, longer by Crowding as slots fill.
+// Timing describes how fast a stand-in answers: BaseLatency and PrefillPerThousand prompt tokens before the
+// first event, then EventInterval between events, multiplied by up to 1+OccupancyFactor as slots fill.
 type Timing struct {
 	BaseLatency        time.Duration
 	PrefillPerThousand time.Duration
@@ -27,7 +27,7 @@
 	OccupancyFactor    float64
 }
 
-// DefaultTiming is the pace that the demo uses.
+// DefaultTiming returns the timing that the demo uses.
 func DefaultTiming() Timing {
 	return Timing{
 		BaseLatency:        15 * time.Millisecond,
@@ -37,34 +37,34 @@
 	}
 }
 
-// Replica is a stand-in replica; any goroutine may call its methods.
+// Replica is a stand-in replica. Its methods, except SetAddress, are safe for concurrent use.
 type Replica struct {
 	lock    sync.Mutex
 	entry   discovery.Replica
-	pace    Timing
+	timing  Timing
 	runtime configuration.Runtime
 	models  map[string]configuration.Model
 	loaded  ModelSet
-	// onDisk holds what was loaded before, which loads faster.
+	// onDisk holds the references loaded before, which load faster.
 	onDisk ModelSet
-	// cachedPrefixes holds "reference dialogue" of the prompts read.
+	// cachedPrefixes holds the "reference hash" pairs of the prompt prefixes processed.
 	cachedPrefixes map[string]bool
 	active         int
-	// sequence counts the changes, as the report shows them.
+	// sequence counts the loads and unloads started; the report contains it.
 	sequence int64
-	// fence is the highest fence token seen; instructions with a lower one are rejected.
+	// fence is the highest fence token seen; orders with a lower one are rejected.
 	fence uint64
 	// changing is the reference being loaded or unloaded, or empty.
 	changing  string
 	busyUntil time.Time
 }
 
-// NewReplica makes a replica of the backend with the given references loaded. SetAddress must be
-// called before it is listed.
-func NewReplica(listed discovery.Replica, backend configuration.Backend, pace Timing, references ...string) *Replica {
+// NewReplica returns a replica of the backend with the given references loaded. SetAddress must be called
+// before the replica is listed.
+func NewReplica(listed discovery.Replica, backend configuration.Backend, timing Timing, references ...string) *Replica {
 	created := &Replica{
 		entry:          listed,
-		pace:           pace,
+		timing:         timing,
 		runtime:        *backend.Runtime,
 		models:         map[string]configuration.Model{},
 		loaded:         NewModelSet(references...),
@@ -80,13 +80,13 @@
 	return created
 }
 
-// ID is the replica's id.
+// ID returns the replica's ID.
 func (r *Replica) ID() string { return r.entry.ID }
 
-// SetAddress sets the address in the list; call it before the replica is served.
+// SetAddress sets the replica's address in the list. It must be called before the replica is served.
 func (r *Replica) SetAddress(address string) { r.entry.Address = address }
 
-// Entry is the replica as the platform lists it.
+// Entry returns the replica's entry in the platform's list.
 func (r *Replica) Entry() discovery.Replica {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -95,7 +95,8 @@
 	return listed
 }
 
-// Routes is the replica's HTTP interface, with health at the given path and streams at every other.
+// Routes returns the replica's HTTP handler, with the health check at the given path, the report and order
+// endpoints, and streams at every other path.
 func (r *Replica) Routes(healthPath string) http.Handler {
 	router := chi.NewRouter()
 	router.Use(r.checkTarget)
@@ -107,7 +108,7 @@
 	return router
 }
 
-// checkTarget rejects requests that name another replica and echoes the attempt id.
+// checkTarget echoes the attempt ID and rejects requests that are addressed to another replica.
 func (r *Replica) checkTarget(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if attempt := request.Header.Get(replica.HeaderAttemptID); attempt != "" {
@@ -128,7 +129,7 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// serveReport answers with the replica's state.
+// serveReport responds with the replica's state.
 func (r *Replica) serveReport(writer http.ResponseWriter, _ *http.Request) {
 	r.lock.Lock()
 	state := replica.Report{
@@ -144,43 +145,43 @@
 	_ = json.NewEncoder(writer).Encode(state)
 }
 
-// orderBody is an instruction whose sender may leave out the expected sequence.
+// orderBody is an order whose sender may omit the expected sequence.
 type orderBody struct {
 	replica.Order
 	Expected *int64 `json:"expectedCount"`
 }
 
-// serveOrder answers a load or unload instruction of the control plane.
+// serveOrder handles a load or unload order of the control plane.
 func (r *Replica) serveOrder(writer http.ResponseWriter, request *http.Request) {
-	var instruction orderBody
-	if json.NewDecoder(request.Body).Decode(&instruction) != nil || instruction.LeaseHolder == "" || instruction.Fence == 0 {
+	var order orderBody
+	if json.NewDecoder(request.Body).Decode(&order) != nil || order.LeaseHolder == "" || order.Fence == 0 {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	writer.WriteHeader(r.applyOrder(instruction, time.Now()))
+	writer.WriteHeader(r.applyOrder(order, time.Now()))
 }
 
-// applyOrder begins a load or unload and is the HTTP status of the answer. The caller holds
-// the lock.
-func (r *Replica) applyOrder(instruction orderBody, now time.Time) int {
-	model, known := r.models[instruction.Model]
-	load := instruction.Operation == replica.OperationLoad
-	if !known || !load && instruction.Operation != replica.OperationUnload {
+// applyOrder starts a load or unload and returns the HTTP status of the response. The caller must hold the
+// lock.
+func (r *Replica) applyOrder(order orderBody, now time.Time) int {
+	model, known := r.models[order.Model]
+	load := order.Operation == replica.OperationLoad
+	if !known || !load && order.Operation != replica.OperationUnload {
 		return http.StatusBadRequest
 	}
-	if instruction.Fence < r.fence {
+	if order.Fence < r.fence {
 		return http.StatusPreconditionFailed
 	}
-	r.fence = instruction.Fence
-	reference := instruction.Model
+	r.fence = order.Fence
+	reference := order.Model
 	duration := time.Duration(model.LoadTimeS * float64(time.Second))
 	if r.onDisk[reference] {
 		duration /= 5
 	}
-	if instruction.Adapter != "" {
-		reference = reference + "/" + instruction.Adapter
+	if order.Adapter != "" {
+		reference = reference + "/" + order.Adapter
 		duration = 20 * time.Millisecond
 	}
 	if !load {
@@ -189,10 +190,10 @@
 	if r.loaded[reference] == load {
 		return http.StatusOK
 	}
-	if now.Before(r.busyUntil) || instruction.Expected != nil && *instruction.Expected != r.sequence {
+	if now.Before(r.busyUntil) || order.Expected != nil && *order.Expected != r.sequence {
 		return http.StatusConflict
 	}
-	if load && (instruction.Adapter != "" && !r.loaded[instruction.Model] || !r.fits(reference)) {
+	if load && (order.Adapter != "" && !r.loaded[order.Model] || !r.fits(reference)) {
 		return http.StatusBadRequest
 	}
 	r.sequence++
@@ -201,26 +202,26 @@
 	return http.StatusAccepted
 }
 
-// fits reports whether a model or adapter fits. The caller holds the lock.
+// fits reports whether a model or adapter fits into the remaining capacity. The caller must hold the lock.
 func (r *Replica) fits(reference string) bool {
 	total, adapters := 0.0, 0
 	for loaded := range r.loaded {
-		model, _, adapted := strings.Cut(loaded, "/")
-		if adapted {
+		model, _, isAdapter := strings.Cut(loaded, "/")
+		if isAdapter {
 			total += r.models[model].AdapterSizeMb
 			adapters++
 		} else {
 			total += r.models[model].WeightSizeMb
 		}
 	}
-	model, _, adapted := strings.Cut(reference, "/")
-	if adapted {
+	model, _, isAdapter := strings.Cut(reference, "/")
+	if isAdapter {
 		return adapters < r.runtime.AdapterCapacity && total+r.models[model].AdapterSizeMb <= r.runtime.WeightSizeMb
 	}
 	return total+r.models[model].WeightSizeMb <= r.runtime.WeightSizeMb
 }
 
-// finishChange ends a load or unload; a timer calls it.
+// finishChange completes a load or unload. It is called by a timer.
 func (r *Replica) finishChange(reference string, load bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -230,9 +231,9 @@
 		return
 	}
 	r.loaded.Remove(reference)
-	for kept := range r.cachedPrefixes {
-		if strings.HasPrefix(kept, reference+" ") || strings.HasPrefix(kept, reference+"/") {
-			delete(r.cachedPrefixes, kept)
+	for prefix := range r.cachedPrefixes {
+		if strings.HasPrefix(prefix, reference+" ") || strings.HasPrefix(prefix, reference+"/") {
+			delete(r.cachedPrefixes, prefix)
 		}
 	}
 }
--- a/internal/sim/emulator/standin/serve.go
+++ b/internal/sim/emulator/standin/serve.go
@@ -11,24 +11,24 @@
 	"ferryspar/internal/routing"
 )
 
-// rejection is the answer to a request that is not served.
+// rejection is the response to a request that is not served.
 type rejection struct {
 	status      int
 	notExecuted bool
 }
 
-// serveStream answers a request with a stream of numbered events, after the last one that the
-// client has seen.
+// serveStream responds to a request with a stream of numbered events that follow the last one that the client
+// has received.
 func (r *Replica) serveStream(writer http.ResponseWriter, request *http.Request) {
 	reference := request.Header.Get(replica.HeaderModel)
-	parts, sound := routing.ParsePromptPrefix(request.Header.Get(replica.HeaderPromptPrefix))
+	parts, valid := routing.ParsePromptPrefix(request.Header.Get(replica.HeaderPromptPrefix))
 	prompt, output, counted := routing.ParseTokenCounts(request.Header.Get(replica.HeaderTokenCount))
-	if !sound || !counted || request.Header.Get(replica.HeaderAttemptID) == "" {
+	if !valid || !counted || request.Header.Get(replica.HeaderAttemptID) == "" {
 		writer.Header().Set(replica.HeaderNotExecuted, "1")
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	unread, rejected := r.begin(reference, parts, prompt)
+	uncached, rejected := r.begin(reference, parts, prompt)
 	if rejected != nil {
 		if rejected.notExecuted {
 			writer.Header().Set(replica.HeaderNotExecuted, "1")
@@ -40,7 +40,7 @@
 	from, _ := strconv.Atoi(request.Header.Get(replica.HeaderLastEventID))
 	writer.Header().Set(replica.HeaderSeal, r.entry.ID+"."+strconv.FormatInt(time.Now().UnixMilli(), 36))
 	writer.Header().Set("Content-Type", "text/event-stream")
-	if !pause(request, r.pace.BaseLatency+time.Duration(unread/1000*float64(r.pace.PrefillPerThousand))) {
+	if !pause(request, r.timing.BaseLatency+time.Duration(uncached/1000*float64(r.timing.PrefillPerThousand))) {
 		return
 	}
 	for number := from + 1; number <= max(int(output), 1); number++ {
@@ -51,9 +51,9 @@
 	}
 }
 
-// pause waits for the length and reports whether the client is still there.
-func pause(request *http.Request, length time.Duration) bool {
-	timer := time.NewTimer(length)
+// pause waits for the duration and reports whether the client is still connected.
+func pause(request *http.Request, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -63,7 +63,7 @@
 	}
 }
 
-// begin takes a slot and is the number of prompt tokens to read, or the reason why not.
+// begin occupies a slot and returns the number of prompt tokens that are not cached, or a rejection.
 func (r *Replica) begin(reference string, parts []routing.PromptPart, prompt float64) (float64, *rejection) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -77,15 +77,15 @@
 		return 0, &rejection{http.StatusServiceUnavailable, true}
 	}
 	r.active++
-	unread, together := prompt, true
-	for position, dialogue := range routing.HashPrefixes(parts) {
-		name := fmt.Sprintf("%s %x", reference, dialogue)
-		if together = together && r.cachedPrefixes[name]; together {
-			unread -= parts[position].Tokens
+	uncached, isCached := prompt, true
+	for position, hash := range routing.HashPrefixes(parts) {
+		name := fmt.Sprintf("%s %x", reference, hash)
+		if isCached = isCached && r.cachedPrefixes[name]; isCached {
+			uncached -= parts[position].Tokens
 		}
 		r.cachedPrefixes[name] = true
 	}
-	return max(unread, 0), nil
+	return max(uncached, 0), nil
 }
 
 // end frees the slot.
@@ -95,10 +95,10 @@
 	r.active--
 }
 
-// eventGap is the time to the next event.
+// eventGap returns the time until the next event.
 func (r *Replica) eventGap() time.Duration {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	crowd := float64(r.active) / float64(max(r.runtime.Slots, 1))
-	return time.Duration(float64(r.pace.EventInterval) * (1 + r.pace.OccupancyFactor*crowd))
+	occupancy := float64(r.active) / float64(max(r.runtime.Slots, 1))
+	return time.Duration(float64(r.timing.EventInterval) * (1 + r.timing.OccupancyFactor*occupancy))
 }
--- a/internal/sim/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -84,7 +84,7 @@
 		assert.NilError(t, json.Unmarshal(call(created, http.MethodGet, "/ferryspar/report", "", nil).Body.Bytes(), &state))
 		assert.Equal(t, len(state.Models), 2)
 		assert.Equal(t, state.Sequence, int64(1))
-		assert.Equal(t, order(created, replica.OperationLoad, "other", "", 5), http.StatusBadRequest, "beyond its room")
+		assert.Equal(t, order(created, replica.OperationLoad, "other", "", 5), http.StatusBadRequest, "the model exceeds the capacity")
 		assert.Equal(t, order(created, replica.OperationUnload, "swift", "", 5), http.StatusAccepted)
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, len(created.Entry().Models), 1)
@@ -111,7 +111,7 @@
 		assert.Assert(t, full.Header().Get(replica.HeaderNotExecuted) != "")
 		served := <-done
 		assert.Equal(t, served.Code, http.StatusOK)
-		assert.Equal(t, strings.Count(served.Body.String(), "id:"), 3, "events after the last one seen")
+		assert.Equal(t, strings.Count(served.Body.String(), "id:"), 3, "only events after the last one received must be sent")
 		assert.Equal(t, served.Header().Get(replica.HeaderAttemptID), "try")
 		assert.Assert(t, strings.HasPrefix(served.Header().Get(replica.HeaderSeal), "r-1."))
 		assert.Equal(t, call(created, http.MethodPost, "/any", "", header("rare", "r-1")).Code, http.StatusMisdirectedRequest)
--- a/internal/sim/emulator/world_test.go
+++ b/internal/sim/emulator/world_test.go
@@ -73,7 +73,7 @@
 	return scenario
 }
 
-func TestWorld_EachRequestEndsOnceUnderAnyFaults(t *testing.T) {
+func TestWorld_EachRequestEndsOnceUnderFailures(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		world, err := NewWorld(scenarioWithFailures(seed))
@@ -95,11 +95,11 @@
 		}
 		assert.Equal(t, offered, len(world.calls))
 		assert.Equal(t, buckets, offered)
-		assert.Assert(t, result.Samples[len(result.Samples)-1].DiskLoads > 0, "what returned is loaded from its own disk")
+		assert.Assert(t, result.Samples[len(result.Samples)-1].DiskLoads > 0, "models must be reloaded from the replicas' disks")
 		for _, replica := range world.servers {
 			if !replica.dead {
 				assert.Equal(t, len(replica.queue)+len(replica.running), 0)
-				assert.Assert(t, replica.cache.reserved < 1e-6, "%s keeps %f reserved", replica.id, replica.cache.reserved)
+				assert.Assert(t, replica.cache.reserved < 1e-6, "%s still has %f tokens reserved", replica.id, replica.cache.reserved)
 			}
 		}
 		for _, dataPlane := range world.edges {
@@ -122,26 +122,27 @@
 			if !clientCall.class.Resumable || clientCall.outcome != outcomeServed {
 				continue
 			}
-			assert.Equal(t, clientCall.received, clientCall.request.Output, "%d of %s", clientCall.request.Number, clientCall.class.Name)
+			request := clientCall.request
+			assert.Equal(t, clientCall.received, request.Output, "request %d of class %s", request.Number, clientCall.class.Name)
 			if clientCall.attemptsMade > 1 {
 				resumed++
 			}
 		}
-		assert.Assert(t, resumed > 0, "a loss must cut some")
+		assert.Assert(t, resumed > 0, "the loss must interrupt some streams")
 		report := result.Classes[1]
 		assert.Assert(t, report.Outcomes[outcomeBroken]+report.Outcomes[outcomeSilent] == 0, "%v", report.Outcomes)
 	}
 }
 
-func TestWorld_CountsEventsRepeatedOnResume(t *testing.T) {
+func TestWorld_DetectsEventsRepeatedOnResume(t *testing.T) {
 	scenario := sampleScenario(1)
 	scenario.Losses = []Loss{{Region: "south", AtS: 25, RestoreS: 45}}
 	scenario.Replica.RepeatedEvents = 1
-	assert.Assert(t, len(run(t, scenario).Violations) > 0, "the check must bite")
+	assert.Assert(t, len(run(t, scenario).Violations) > 0, "the check must detect repeated events")
 }
 
 func TestWorld_ReportsDuplicateAndMissingEvents(t *testing.T) {
-	for _, wrong := range []int{1, 3} {
+	for _, badID := range []int{1, 3} {
 		world, err := NewWorld(sampleScenario(1))
 		assert.NilError(t, err)
 		clientCall := &call{
@@ -153,23 +154,23 @@
 		}
 		clientCall.receiveEvent(1, 1)
 		assert.Equal(t, len(world.violations), 0)
-		clientCall.receiveEvent(1, wrong)
+		clientCall.receiveEvent(1, badID)
 		assert.Equal(t, len(world.violations), 1)
 	}
 }
 
 func TestWorld_SameSeedGivesSameResult(t *testing.T) {
 	t.Parallel()
-	written := func(seed uint64) string {
+	encodedResult := func(seed uint64) string {
 		content, err := json.Marshal(run(t, scenarioWithFailures(seed)))
 		assert.NilError(t, err)
 		return string(content)
 	}
-	first := written(3)
+	first := encodedResult(3)
 	for range 2 {
-		assert.Assert(t, written(3) == first)
+		assert.Assert(t, encodedResult(3) == first)
 	}
-	assert.Assert(t, written(4) != first)
+	assert.Assert(t, encodedResult(4) != first)
 }
 
 func TestWorld_SteadyStateObeysLittlesLaw(t *testing.T) {
@@ -177,25 +178,25 @@
 	world, err := NewWorld(sampleScenario(2))
 	assert.NilError(t, err)
 	step := 50 * time.Millisecond
-	inside := 0
-	looks := 0
+	inFlight := 0
+	polls := 0
 	for at := step; at <= 120*time.Second; at += step {
 		world.events.RunUntil(world.startedAt.Add(at))
-		looks++
+		polls++
 		for _, clientCall := range world.calls {
 			if !clientCall.startedAt.IsZero() && !clientCall.ended {
-				inside++
+				inFlight++
 			}
 		}
 	}
-	spent := 0.0
+	totalTime := 0.0
 	for _, clientCall := range world.calls {
 		assert.Assert(t, clientCall.ended)
-		spent += clientCall.endedAt.Sub(clientCall.startedAt).Seconds()
+		totalTime += clientCall.endedAt.Sub(clientCall.startedAt).Seconds()
 	}
-	present := float64(inside) / float64(looks)
-	expected := spent / 120
-	assert.Assert(t, math.Abs(present-expected) < 0.02*expected, "%f inside on average, %f by arrivals and times", present, expected)
+	meanInFlight := float64(inFlight) / float64(polls)
+	expected := totalTime / 120
+	assert.Assert(t, math.Abs(meanInFlight-expected) < 0.02*expected, "%f in flight, %f by Little's law", meanInFlight, expected)
 }
 
 func TestScenario_NamesEveryInvalidField(t *testing.T) {
