--- a/internal/sim/emulator/call.go
+++ b/internal/sim/emulator/call.go
@@ -152,8 +152,8 @@
 		if c.isStale(attemptNumber) || c.attempt == nil {
 			return
 		}
-		if left := c.silenceTimeout() - c.world.now().Sub(c.lastActivityAt); left > 0 {
-			c.watchSilence(attemptNumber, left)
+		if remaining := c.silenceTimeout() - c.world.now().Sub(c.lastActivityAt); remaining > 0 {
+			c.watchSilence(attemptNumber, remaining)
 			return
 		}
 		c.fallbackOutcome = outcomeSilent
--- a/internal/sim/emulator/check.go
+++ b/internal/sim/emulator/check.go
@@ -165,8 +165,8 @@
 				message("prompt.most and output.most must not be below the median"),
 			},
 		)
-		for _, home := range class.AllowedRegions {
-			rules = append(rules, rule{!regions[home], message(fmt.Sprintf("allowedRegions names %q, which has no zone", home))})
+		for _, region := range class.AllowedRegions {
+			rules = append(rules, rule{!regions[region], message(fmt.Sprintf("allowedRegions names %q, which has no zone", region))})
 		}
 		names[class.Name] = true
 		total += class.Share
--- a/internal/sim/emulator/controlplane.go
+++ b/internal/sim/emulator/controlplane.go
@@ -57,7 +57,7 @@
 
 // newControlPlane starts a lease holder in a zone. A successor inherits the demand, the disk contents and the
 // store loads known to the previous holder.
-func newControlPlane(world *World, zone int, before *controlPlane) *controlPlane {
+func newControlPlane(world *World, zone int, previous *controlPlane) *controlPlane {
 	c := &controlPlane{
 		world:        world,
 		zone:         zone,
@@ -66,10 +66,10 @@
 		tracked:      map[string]*trackedReplica{},
 		loadedBefore: map[string]map[string]bool{},
 	}
-	if before != nil {
-		c.demand.inherit(before.demand, world.now())
-		c.loadedBefore = before.loadedBefore
-		c.recentStoreLoads = before.recentStoreLoads
+	if previous != nil {
+		c.demand.inherit(previous.demand, world.now())
+		c.loadedBefore = previous.loadedBefore
+		c.recentStoreLoads = previous.recentStoreLoads
 	}
 	c.scheduleRefresh()
 	c.schedulePlan()
--- a/internal/sim/emulator/demand.go
+++ b/internal/sim/emulator/demand.go
@@ -67,8 +67,8 @@
 }
 
 // inherit takes over the demand of the previous lease holder and counts as learned.
-func (d *demand) inherit(before *demand, now time.Time) {
-	d.byKey = before.cloneByKey()
+func (d *demand) inherit(previous *demand, now time.Time) {
+	d.byKey = previous.cloneByKey()
 	d.learningSince = now.Add(-learningPeriod)
 }
 
@@ -131,20 +131,20 @@
 // updateRates updates the averaged rates, at most every quarter of a second, and sums the reports.
 func (d *demand) updateRates(now time.Time) {
 	defer d.sumReports(now)
-	span := now.Sub(d.measuredAt).Seconds()
-	if span < 0.25 {
+	elapsedS := now.Sub(d.measuredAt).Seconds()
+	if elapsedS < 0.25 {
 		return
 	}
 	d.measuredAt = now
-	share := min(span/rateTimeConstantS, 1)
+	share := min(elapsedS/rateTimeConstantS, 1)
 	for name, amount := range d.arrivals {
 		if entry := d.entry(name); amount > 0 {
 			entry.LastRequestAt = now
 		}
 	}
 	for name, entry := range d.byKey {
-		entry.Rate = roundToGrid(entry.Rate + share*(d.arrivals[name]/span-entry.Rate))
-		entry.PrefillLoad = roundToGrid(entry.PrefillLoad + share*(d.prefillMs[name]/span/1000-entry.PrefillLoad))
+		entry.Rate = roundToGrid(entry.Rate + share*(d.arrivals[name]/elapsedS-entry.Rate))
+		entry.PrefillLoad = roundToGrid(entry.PrefillLoad + share*(d.prefillMs[name]/elapsedS/1000-entry.PrefillLoad))
 		if entry.Rate < 0.003 {
 			entry.Rate = 0
 		}
--- a/internal/sim/emulator/demo/client.go
+++ b/internal/sim/emulator/demo/client.go
@@ -67,7 +67,7 @@
 	for name, value := range headers(planned, fmt.Sprintf("demo-%d", number)) {
 		request.Header.Set(name, value)
 	}
-	began := time.Now()
+	start := time.Now()
 	answer, err := client.Do(request)
 	if err != nil {
 		result.Error = err.Error()
@@ -76,25 +76,25 @@
 	defer answer.Body.Close()
 	result.Status = answer.StatusCode
 	result.Replica, _, _ = strings.Cut(answer.Header.Get(replica.HeaderSeal), ".")
-	result.readStream(answer.Body, began)
+	result.readStream(answer.Body, start)
 	return result
 }
 
 // readStream counts the events of the response body until it ends. If the status is not 200, the first line
 // of the body becomes the error.
-func (s *StreamResult) readStream(body io.Reader, began time.Time) {
+func (s *StreamResult) readStream(body io.Reader, start time.Time) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "id:") {
 			if s.Events == 0 {
-				s.FirstEventMs = milliseconds(time.Since(began))
+				s.FirstEventMs = milliseconds(time.Since(start))
 			}
 			s.Events++
 		} else if s.Status != http.StatusOK && s.Error == "" {
 			s.Error = lines.Text()
 		}
 	}
-	s.DurationMs = milliseconds(time.Since(began))
+	s.DurationMs = milliseconds(time.Since(start))
 	if lines.Err() != nil {
 		s.Error = lines.Err().Error()
 	}
--- a/internal/sim/emulator/disaggregation.go
+++ b/internal/sim/emulator/disaggregation.go
@@ -30,7 +30,7 @@
 	// chunks than a prefill replica.
 	decodePrefillSlowdown = 2.0
 	decodeChunkShare      = 0.25
-	// crossZoneTransferFactor and otherRegionMove multiply the transfer time.
+	// crossZoneTransferFactor and crossRegionTransferFactor multiply the transfer time.
 	crossZoneTransferFactor   = 2.0
 	crossRegionTransferFactor = 10.0
 	// maxPrefillFailures is the number of failures after which a request continues without a prefill replica.
@@ -52,7 +52,7 @@
 type heldPrompt struct {
 	server *server
 	run    *execution
-	// released is set once it has been fetched, released or has expired.
+	// released is set once the KV cache has been fetched or released or has expired.
 	released bool
 }
 
--- a/internal/sim/emulator/execution.go
+++ b/internal/sim/emulator/execution.go
@@ -13,12 +13,12 @@
 	model         string
 	prefixHashes  []uint64
 	// cachedParts is the number of leading parts of the prompt that were in the KV cache.
-	cachedParts    int
-	unreadTokens   float64
-	reservedTokens float64
-	nextEvent      int
-	priority       int
-	queuedAt       time.Time
+	cachedParts      int
+	remainingPrefill float64
+	reservedTokens   float64
+	nextEvent        int
+	priority         int
+	queuedAt         time.Time
 	// promptCompleted is set once the prefill of the whole prompt is complete.
 	promptCompleted bool
 	pinned          bool
@@ -45,9 +45,9 @@
 		if !run.prefill {
 			needed += float64(request.Output - run.nextEvent + 1)
 		}
-		run.unreadTokens = uncached
+		run.remainingPrefill = uncached
 		if run.fetched {
-			run.unreadTokens = 0
+			run.remainingPrefill = 0
 		}
 		if !s.cache.reserve(needed) {
 			s.cache.pin(run.model, run.prefixHashes[:run.cachedParts], -1)
@@ -57,7 +57,7 @@
 		s.queue = s.queue[1:]
 		s.running = append(s.running, run)
 		if !run.fetched {
-			s.world.observer.promptAdmitted(run.unreadTokens, request.Prompt)
+			s.world.observer.promptAdmitted(run.remainingPrefill, request.Prompt)
 		}
 	}
 }
--- a/internal/sim/emulator/failures.go
+++ b/internal/sim/emulator/failures.go
@@ -22,10 +22,10 @@
 		host := w.machines[crash.Replica-1]
 		at(crash.AtS, func() { w.crash(host, seconds(crash.RestartS)) })
 	}
-	for _, slow := range w.scenario.Slowdowns {
-		host := w.machines[slow.Replica-1]
-		at(slow.AtS, func() { host.slowdown = slow.Factor })
-		at(slow.EndS, func() { host.slowdown = 1 })
+	for _, slowdown := range w.scenario.Slowdowns {
+		host := w.machines[slowdown.Replica-1]
+		at(slowdown.AtS, func() { host.slowdown = slowdown.Factor })
+		at(slowdown.EndS, func() { host.slowdown = 1 })
 	}
 }
 
--- a/internal/sim/emulator/forecast.go
+++ b/internal/sim/emulator/forecast.go
@@ -54,7 +54,7 @@
 // GatherForecast computes the daemons' forecast from the snapshot: the merged responses of all edges and the
 // actions that the placement would take. It also returns the responses.
 func (s Snapshot) GatherForecast() (drill.Forecast, []drill.ForecastResponse) {
-	basis := drill.FleetView{
+	fleet := drill.FleetView{
 		Scope:      s.Loss.Scope,
 		Zones:      s.Loss.Regions,
 		Replicas:   s.replicasAsKnown(),
@@ -63,17 +63,17 @@
 		DataPlanes: map[string]string{},
 	}
 	for name, entry := range s.Demand {
-		basis.Demand[name] = entry.Rate
+		fleet.Demand[name] = entry.Rate
 	}
 	var answers []drill.ForecastResponse
 	for number, state := range s.DataPlanes {
 		answer := state.Matcher.ForecastSync(s.Loss)
 		answer.DataPlane = fmt.Sprintf("edge-%03d", number)
 		answer.Zone = state.Zone
-		basis.DataPlanes[answer.DataPlane] = state.Zone
+		fleet.DataPlanes[answer.DataPlane] = state.Zone
 		answers = append(answers, answer)
 	}
-	merged := drill.Merge(basis, answers)
+	merged := drill.Merge(fleet, answers)
 	view := s.View.Clone()
 	view.RemoveZones(func(zone string) bool { return s.Loss.Covers(zone, s.Loss.Regions[zone]) })
 	for _, action := range placement.Forecast(view) {
--- a/internal/sim/emulator/forward.go
+++ b/internal/sim/emulator/forward.go
@@ -70,8 +70,8 @@
 		if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 			return
 		}
-		if left := silenceTimeout - p.edge.world.now().Sub(p.lastByteAt); left > 0 {
-			p.watchSilence(number, left)
+		if remaining := silenceTimeout - p.edge.world.now().Sub(p.lastByteAt); remaining > 0 {
+			p.watchSilence(number, remaining)
 			return
 		}
 		p.onOutcome(number, routing.OutcomeTruncated)
--- a/internal/sim/emulator/loadcount.go
+++ b/internal/sim/emulator/loadcount.go
@@ -28,11 +28,11 @@
 // they have loaded.
 func lostReplicas(before Snapshot) (lost map[string]bool, withoutCopy int) {
 	lost = map[string]bool{}
-	kept, gone := map[string]bool{}, map[string]bool{}
+	surviving, onLostReplicas := map[string]bool{}, map[string]bool{}
 	for _, listed := range before.Listed {
-		into := kept
+		into := surviving
 		if before.Lost[listed.Zone] {
-			lost[listed.ID], into = true, gone
+			lost[listed.ID], into = true, onLostReplicas
 		}
 		for _, model := range listed.Models {
 			into[model.Name] = true
@@ -41,8 +41,8 @@
 			}
 		}
 	}
-	for reference := range gone {
-		if !kept[reference] {
+	for reference := range onLostReplicas {
+		if !surviving[reference] {
 			withoutCopy++
 		}
 	}
--- a/internal/sim/emulator/loss.go
+++ b/internal/sim/emulator/loss.go
@@ -103,17 +103,17 @@
 // countMachines counts the requests and cached tokens in the lost zones, lists the surviving replicas, and
 // returns the references whose every copy is lost.
 func (w *World) countMachines(loss *LossResult, zones []int) map[string]bool {
-	kept, gone := map[string]bool{}, map[string]bool{}
+	surviving, withoutCopy := map[string]bool{}, map[string]bool{}
 	for _, host := range w.machines {
 		if host.current == nil {
 			continue
 		}
 		if !slices.Contains(zones, host.zone) {
-			maps.Copy(kept, host.current.loaded)
+			maps.Copy(surviving, host.current.loaded)
 			loss.Surviving = append(loss.Surviving, host.current.id)
 			continue
 		}
-		maps.Copy(gone, host.current.loaded)
+		maps.Copy(withoutCopy, host.current.loaded)
 		loss.addServer(host.current)
 	}
 	for _, dataPlane := range w.edges {
@@ -121,8 +121,8 @@
 			loss.Waiting += dataPlane.matcher.WaitingCount()
 		}
 	}
-	maps.DeleteFunc(gone, func(reference string, _ bool) bool { return kept[reference] })
-	return gone
+	maps.DeleteFunc(withoutCopy, func(reference string, _ bool) bool { return surviving[reference] })
+	return withoutCopy
 }
 
 // addServer adds the requests and the cached tokens of a server that is being lost.
--- a/internal/sim/emulator/losswatch.go
+++ b/internal/sim/emulator/losswatch.go
@@ -60,7 +60,7 @@
 }
 
 // watchFullReplicas counts the surviving replicas that are full at any poll of the first phase.
-func (w *World) watchFullReplicas(number int, began time.Duration, found map[string]bool) {
+func (w *World) watchFullReplicas(number int, lossAt time.Duration, found map[string]bool) {
 	w.events.After(fullReplicaPollInterval, func() {
 		loss := &w.observer.losses[number]
 		for _, host := range w.machines {
@@ -73,8 +73,8 @@
 			}
 		}
 		loss.FullReplicas = len(found)
-		if w.elapsed()-began < FirstPhaseS*time.Second {
-			w.watchFullReplicas(number, began, found)
+		if w.elapsed()-lossAt < FirstPhaseS*time.Second {
+			w.watchFullReplicas(number, lossAt, found)
 		}
 	})
 }
--- a/internal/sim/emulator/recorded.go
+++ b/internal/sim/emulator/recorded.go
@@ -54,8 +54,8 @@
 				next++
 			}
 		}
-		parts, sound := routing.ParsePromptPrefix(entry.Prefix)
-		if !sound {
+		parts, valid := routing.ParsePromptPrefix(entry.Prefix)
+		if !valid {
 			return nil, errors.Errorf("traffic.record: prefix %q cannot be read", entry.Prefix)
 		}
 		requests = append(requests, Request{
--- a/internal/sim/emulator/replica.go
+++ b/internal/sim/emulator/replica.go
@@ -81,8 +81,8 @@
 		Phase:   s.machine.phase,
 		Models:  s.loaded.List(),
 	}
-	if left := s.coldUntil.Sub(s.world.now()); left > 0 {
-		listed.WarmUpRemainingMs = float64(left.Milliseconds())
+	if remaining := s.coldUntil.Sub(s.world.now()); remaining > 0 {
+		listed.WarmUpRemainingMs = float64(remaining.Milliseconds())
 	}
 	return listed
 }
@@ -142,17 +142,17 @@
 	if len(s.running) == 0 {
 		return
 	}
-	budget, read := s.world.scenario.Replica.ChunkTokens, 0.0
+	budget, processed := s.world.scenario.Replica.ChunkTokens, 0.0
 	if s.machine.phase == discovery.PhaseDecode {
 		budget *= decodeChunkShare
 	}
 	for _, run := range s.running {
-		taken := min(run.unreadTokens, budget-read)
-		run.unreadTokens -= taken
-		read += taken
+		chunk := min(run.remainingPrefill, budget-processed)
+		run.remainingPrefill -= chunk
+		processed += chunk
 	}
 	s.stepping = true
-	s.world.events.After(milliseconds(s.stepMs(read)), s.finishStep)
+	s.world.events.After(milliseconds(s.stepMs(processed)), s.finishStep)
 }
 
 // stepMs returns the duration, in milliseconds, of a step that processes the given number of prompt tokens.
@@ -179,7 +179,7 @@
 	}
 	s.world.checkServer(s)
 	for _, run := range slices.Clone(s.running) {
-		if run.ended || run.unreadTokens > 0 {
+		if run.ended || run.remainingPrefill > 0 {
 			continue
 		}
 		if !run.promptCompleted {
--- a/internal/sim/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -17,7 +17,7 @@
 	"ferryspar/internal/replica"
 )
 
-func backend() configuration.Backend {
+func testBackend() configuration.Backend {
 	return configuration.Backend{
 		Name: "scribes",
 		Runtime: &configuration.Runtime{
@@ -46,7 +46,7 @@
 }
 
 func newReplica(id string, references ...string) *Replica {
-	return NewReplica(discovery.Replica{ID: id, Zone: "east"}, backend(), DefaultTiming(), references...)
+	return NewReplica(discovery.Replica{ID: id, Zone: "east"}, testBackend(), DefaultTiming(), references...)
 }
 
 func call(created *Replica, method, path, body string, header map[string]string) *httptest.ResponseRecorder {
--- a/internal/sim/emulator/traffic.go
+++ b/internal/sim/emulator/traffic.go
@@ -138,13 +138,13 @@
 	if adapters := g.scenario.Models.Adapters; number == 0 && adapters > 0 && g.random.Float64() < adapterShare {
 		model = fmt.Sprintf("%s/a%d", model, 1+g.random.IntN(adapters))
 	}
-	kind := g.scenario.Classes[class]
+	classSettings := g.scenario.Classes[class]
 	parts := []routing.PromptPart{{ID: uint64(number) + 1, Tokens: g.scenario.Models.SharedTokens}}
 	think := distuv.Exponential{Rate: 1 / max(g.scenario.Traffic.ThinkS, 0.01), Src: g.source}
 	for at < g.scenario.LengthS {
-		output := kind.Output.draw(g.source)
+		output := classSettings.Output.draw(g.source)
 		g.lastPartID++
-		parts = append(slices.Clone(parts), routing.PromptPart{ID: g.lastPartID, Tokens: kind.Prompt.draw(g.source)})
+		parts = append(slices.Clone(parts), routing.PromptPart{ID: g.lastPartID, Tokens: classSettings.Prompt.draw(g.source)})
 		g.requests = append(g.requests, Request{
 			At:     seconds(at),
 			Class:  class,
--- a/internal/sim/emulator/world.go
+++ b/internal/sim/emulator/world.go
@@ -69,11 +69,11 @@
 	if err != nil {
 		return nil, err
 	}
-	began := time.Unix(0, 0).UTC()
+	start := time.Unix(0, 0).UTC()
 	w := &World{
 		scenario:        scenario,
-		events:          eventqueue.New(began),
-		startedAt:       began,
+		events:          eventqueue.New(start),
+		startedAt:       start,
 		table:           configuration.NewTable(configurationOf(scenario), nil),
 		servers:         map[string]*server{},
 		lostZones:       map[int]bool{},
@@ -86,7 +86,7 @@
 	for index := range requests {
 		clientCall := &call{world: w, request: &requests[index], class: &w.scenario.Classes[requests[index].Class]}
 		w.calls = append(w.calls, clientCall)
-		w.events.At(began.Add(clientCall.request.At), clientCall.start)
+		w.events.At(start.Add(clientCall.request.At), clientCall.start)
 	}
 	w.scheduleFailures()
 	return w, nil
