--- a/cmd/ferryspar-emulator/forecast.go
+++ b/cmd/ferryspar-emulator/forecast.go
@@ -50,7 +50,7 @@
 		f.Parallelism = max(runtime.NumCPU()/2, 1)
 	}
 	forecasters := map[string]emulator.Forecaster{
-		methodByLoad: emulator.CountByLoad, methodByMatchers: emulator.ByMatchers(configuration.AfterS),
+		methodByLoad: emulator.ForecastByLoadReports, methodByMatchers: emulator.ForecastByMatchers(configuration.AfterS),
 	}
 	comparisons, err := experiment.CompareForecasts(signalContext, configuration, f.Sizes, forecasters, f.Parallelism, os.Stderr)
 	if err != nil {
--- a/internal/sim/emulator/call.go
+++ b/internal/sim/emulator/call.go
@@ -7,112 +7,114 @@
 	"ferryspar/internal/routing"
 )
 
-// call is one request as its client sees it, over all the attempts made for it.
+// call is a request as its client sees it, over all of its attempts.
 type call struct {
 	world        *World
 	request      *Request
 	class        *Class
-	began        time.Time
+	startedAt    time.Time
 	deadline     time.Time
 	attemptsMade int
-	// received is the id of the last event received; 0 before the first.
-	received  int
-	first     time.Time
-	lastEvent time.Time
-	// pause is the longest gap between two events.
-	pause        time.Duration
-	lastReceived time.Time
-	// reason is the outcome that counts if no further attempt is made.
-	reason string
-	// attempt is the one under way, or nil.
+	// received is the ID of the last event received, or 0 before the first.
+	received     int
+	firstEventAt time.Time
+	lastEventAt  time.Time
+	// maxEventGap is the longest gap between two consecutive events.
+	maxEventGap    time.Duration
+	lastActivityAt time.Time
+	// fallbackOutcome is the outcome of the call if no further attempt is made.
+	fallbackOutcome string
+	// attempt is the current attempt, or nil.
 	attempt *attempt
 	ended   bool
 	endedAt time.Time
-	// interrupted marks a call that the last loss hit and that no spared replica has taken yet.
+	// interrupted is set while a call that the last loss interrupted has not yet been forwarded to a
+	// surviving replica.
 	interrupted bool
-	// waitMs is how long the first forwarded attempt waited in its edge.
+	// waitMs is how long the first forwarded attempt was queued at its edge.
 	waitMs float64
-	// notLoaded is set if no replica had the model loaded when the request arrived.
+	// notLoaded is set if no replica had the model loaded when the request was sent.
 	notLoaded bool
 	outcome   string
 }
 
 const (
-	// outcomeServed: every event arrived.
+	// outcomeServed means that the client received every event.
 	outcomeServed = "served"
-	// outcomeRejected: the last attempt was rejected before it ran.
+	// outcomeRejected means that the last attempt was rejected before execution.
 	outcomeRejected = "refused"
-	// outcomeBroken: the answer was truncated and may not be requested again.
+	// outcomeBroken means that the response was truncated and the request may not be retried.
 	outcomeBroken = "broken"
-	// outcomeSilent: no data plane answered in time.
+	// outcomeSilent means that no data plane responded in time.
 	outcomeSilent = "silent"
-	// outcomeExpired: the client's timeout passed.
+	// outcomeExpired means that the client's timeout expired.
 	outcomeExpired = "expired"
 )
 
 const (
-	// clientConnect is how long a client waits for a connection to a dead edge.
-	clientConnect = time.Second
-	// brokenPause is how long a client waits before it resumes a truncated stream.
-	brokenPause = 50 * time.Millisecond
-	// returnedSlack is how much of the timeout a first attempt may have lost on its way before it is
-	// taken for one that returns after a rejection.
-	returnedSlack = 20 * time.Millisecond
+	// clientConnectTimeout is how long a client waits for a connection to a dead edge.
+	clientConnectTimeout = time.Second
+	// resumeDelay is how long a client waits before it resumes a truncated stream.
+	resumeDelay = 50 * time.Millisecond
+	// clientRetryMargin is how much of the timeout may have elapsed on arrival at the edge, beyond the link
+	// delay, before a request is classified as a retry after a rejection.
+	clientRetryMargin = 20 * time.Millisecond
 )
 
-// targetLatency is the class's target for the first token.
+// targetLatency returns the class's target for the time to first token.
 func (c *call) targetLatency() time.Duration { return milliseconds(c.class.LatencyTargetMs) }
 
-// silenceTimeout is how long the client waits without an event before it gives the attempt up.
+// silenceTimeout returns how long the client waits for the next event before it abandons the attempt.
 func (c *call) silenceTimeout() time.Duration {
 	return max(2*time.Second, 4*c.targetLatency(), 8*milliseconds(c.class.TokenGapMs))
 }
 
-// begin starts the request at the moment of its arrival.
-func (c *call) begin() {
-	c.began = c.world.now()
-	c.deadline = c.began.Add(milliseconds(c.class.TimeoutMs))
-	c.reason = outcomeExpired
+// start starts the request at its arrival time.
+func (c *call) start() {
+	c.startedAt = c.world.now()
+	c.deadline = c.startedAt.Add(milliseconds(c.class.TimeoutMs))
+	c.fallbackOutcome = outcomeExpired
 	c.notLoaded = !c.world.isLoadedAnywhere(c.request.Model)
 	c.world.events.At(c.deadline, func() { c.finish(outcomeExpired) })
 	c.sendAttempt()
 }
 
-// sendAttempt chooses an edge and sends the request there, unless the class's attempts are used up.
+// sendAttempt selects an edge and sends the request to it, or finishes the call if the class's attempts
+// are exhausted.
 func (c *call) sendAttempt() {
 	if c.ended {
 		return
 	}
 	if c.attemptsMade >= c.class.Attempts {
-		c.finish(c.reason)
+		c.finish(c.fallbackOutcome)
 		return
 	}
 	c.attemptsMade++
 	attemptNumber := c.attemptsMade
 	chosen := c.world.chooseEdge(c.request.Zone, c.request.Draw, attemptNumber)
 	if chosen == nil || !chosen.alive {
-		c.reason = outcomeSilent
-		c.world.events.After(clientConnect, func() { c.retryIfCurrent(attemptNumber) })
+		c.fallbackOutcome = outcomeSilent
+		c.world.events.After(clientConnectTimeout, func() { c.retryIfCurrent(attemptNumber) })
 		return
 	}
-	c.lastReceived = c.world.now()
+	c.lastActivityAt = c.world.now()
 	clientAttempt := &attempt{call: c, edge: chosen, incarnation: chosen.incarnation, number: attemptNumber, lastID: c.received}
 	c.attempt = clientAttempt
 	chosen.afterLink(c.request.Zone, func() {
 		if clientAttempt.isOver() {
 			return
 		}
-		clientAttempt.request = c.matchRequest(chosen, attemptNumber)
+		clientAttempt.request = c.routingRequest(chosen, attemptNumber)
 		chosen.accept(clientAttempt)
 	})
 	c.watchSilence(attemptNumber, c.silenceTimeout())
 }
 
-// matchRequest describes this request as the given edge's matcher sees it on arrival now.
-func (c *call) matchRequest(at *edge, attemptNumber int) routing.Request {
+// routingRequest returns the request as the edge's matcher sees it, with the current time as arrival time.
+func (c *call) routingRequest(at *edge, attemptNumber int) routing.Request {
 	now := c.world.now()
 	remaining := c.deadline.Sub(now)
-	firstRemaining := milliseconds(c.class.TimeoutMs) - returnedSlack - c.world.linkDelay(at.zone, c.request.Zone)
+	firstRemaining := milliseconds(c.class.TimeoutMs) - clientRetryMargin - c.world.linkDelay(at.zone, c.request.Zone)
 	return routing.Request{
 		AttemptID:        fmt.Sprintf("%d.%d", c.request.Number, attemptNumber),
 		Backend:          backendName,
@@ -133,28 +135,28 @@
 	}
 }
 
-// isStale reports whether something of the given attempt comes too late to count.
+// isStale reports whether the call has ended or a later attempt has replaced the given one.
 func (c *call) isStale(attemptNumber int) bool { return c.ended || c.attemptsMade != attemptNumber }
 
-// retryIfCurrent makes the next attempt if the given attempt is still the last one.
+// retryIfCurrent makes the next attempt if the given attempt is still the latest.
 func (c *call) retryIfCurrent(attemptNumber int) {
 	if !c.isStale(attemptNumber) {
 		c.sendAttempt()
 	}
 }
 
-// watchSilence abandons the attempt once nothing was received for the silence timeout; only resumable
-// classes retry.
+// watchSilence abandons the attempt once nothing has been received for the silence timeout. Only
+// resumable classes retry.
 func (c *call) watchSilence(attemptNumber int, wait time.Duration) {
 	c.world.events.After(wait, func() {
 		if c.isStale(attemptNumber) || c.attempt == nil {
 			return
 		}
-		if left := c.silenceTimeout() - c.world.now().Sub(c.lastReceived); left > 0 {
-			c.watchSilence(attemptNumber, left)
+		if remaining := c.silenceTimeout() - c.world.now().Sub(c.lastActivityAt); remaining > 0 {
+			c.watchSilence(attemptNumber, remaining)
 			return
 		}
-		c.reason = outcomeSilent
+		c.fallbackOutcome = outcomeSilent
 		c.abandonAttempt()
 		if !c.class.Resumable {
 			c.finish(outcomeSilent)
@@ -164,7 +166,7 @@
 	})
 }
 
-// abandonAttempt lets go of the attempt under way and cancels it at its edge.
+// abandonAttempt clears the current attempt and cancels it at its edge.
 func (c *call) abandonAttempt() {
 	if clientAttempt := c.attempt; clientAttempt != nil {
 		c.attempt = nil
@@ -172,52 +174,54 @@
 	}
 }
 
-// receiveEvent counts an event of the answer; ids must follow each other, over resumptions too.
+// receiveEvent handles an event of the response. It records a violation unless event IDs are consecutive,
+// also across resumptions.
 func (c *call) receiveEvent(attemptNumber, id int) {
 	if c.isStale(attemptNumber) || c.attempt == nil {
 		return
 	}
 	now := c.world.now()
 	if id != c.received+1 {
-		c.world.recordViolation("request %d of %s: event %d after %d", c.request.Number, c.class.Name, id, c.received)
+		c.world.recordViolation("request %d of class %s: event %d after event %d", c.request.Number, c.class.Name, id, c.received)
 	}
 	if c.received == 0 {
-		c.first = now
+		c.firstEventAt = now
 	} else {
-		c.pause = max(c.pause, now.Sub(c.lastEvent))
+		c.maxEventGap = max(c.maxEventGap, now.Sub(c.lastEventAt))
 	}
 	c.received = id
-	c.lastEvent = now
-	c.lastReceived = now
+	c.lastEventAt = now
+	c.lastActivityAt = now
 	if id == c.request.Output {
 		c.attempt = nil
 		c.finish(outcomeServed)
 	}
 }
 
-// onRejected retries after the wait that the rejection names, at most a third of the time left.
+// onRejected retries after the wait that the rejection asks for, but at most after a third of the time
+// remaining.
 func (c *call) onRejected(attemptNumber int, wait time.Duration) {
 	if c.isStale(attemptNumber) {
 		return
 	}
-	c.attempt, c.reason = nil, outcomeRejected
+	c.attempt, c.fallbackOutcome = nil, outcomeRejected
 	c.world.events.After(min(wait, c.deadline.Sub(c.world.now())/3), func() { c.retryIfCurrent(attemptNumber) })
 }
 
-// onBroken resumes a truncated answer if the class allows it and ends the call otherwise.
-func (c *call) onBroken(attemptNumber int) {
+// onTruncated resumes a truncated response if the class is resumable, and ends the call otherwise.
+func (c *call) onTruncated(attemptNumber int) {
 	if c.isStale(attemptNumber) {
 		return
 	}
-	c.attempt, c.reason = nil, outcomeBroken
+	c.attempt, c.fallbackOutcome = nil, outcomeBroken
 	if !c.class.Resumable {
 		c.finish(outcomeBroken)
 		return
 	}
-	c.world.events.After(brokenPause, func() { c.retryIfCurrent(attemptNumber) })
+	c.world.events.After(resumeDelay, func() { c.retryIfCurrent(attemptNumber) })
 }
 
-// finish ends the call once, with the given outcome, and notifies the observer.
+// finish ends the call with the given outcome and notifies the observer. Later calls have no effect.
 func (c *call) finish(outcome string) {
 	if c.ended {
 		return
@@ -229,16 +233,17 @@
 	c.world.observer.requestEnded(c)
 }
 
-// inTime reports whether the call was served with its first token within the target and no gap beyond
-// the class's gap.
+// inTime reports whether the call was served with its first token within the latency target and no gap
+// between tokens longer than the class allows.
 func (c *call) inTime() bool {
-	return c.outcome == outcomeServed && c.first.Sub(c.began) <= c.targetLatency() && c.pause <= milliseconds(c.class.TokenGapMs)
+	return c.outcome == outcomeServed && c.firstEventAt.Sub(c.startedAt) <= c.targetLatency() &&
+		c.maxEventGap <= milliseconds(c.class.TokenGapMs)
 }
 
-// firstTokenMs is the time to the first token in milliseconds, or 0 if none came.
+// firstTokenMs returns the time to first token in milliseconds, or 0 if no token was received.
 func (c *call) firstTokenMs() float64 {
 	if c.received == 0 {
 		return 0
 	}
-	return inMilliseconds(c.first.Sub(c.began))
+	return inMilliseconds(c.firstEventAt.Sub(c.startedAt))
 }
--- a/internal/sim/emulator/check.go
+++ b/internal/sim/emulator/check.go
@@ -7,49 +7,49 @@
 	"github.com/pkg/errors"
 )
 
-// rule is one condition of a scenario's check and what is said if it is broken.
+// rule is one rule of a scenario's validation: whether it is violated, and the message if so.
 type rule struct {
-	wrong   bool
-	message string
+	violated bool
+	message  string
 }
 
-// Check judges the scenario; the error names everything that is wrong.
+// Check validates the scenario. The error lists every violated rule.
 func (s Scenario) Check() error {
 	rules := s.fleetRules()
 	rules = append(rules, s.replicaRules()...)
-	rules = append(rules, s.splitRules()...)
+	rules = append(rules, s.disaggregationRules()...)
 	rules = append(rules, s.modelRules()...)
 	rules = append(rules, s.trafficRules()...)
 	rules = append(rules, s.policyRules()...)
 	rules = append(rules, s.zoneRules()...)
 	rules = append(rules, s.classRules()...)
 	rules = append(rules, s.failureRules()...)
-	var wrong []string
+	var violated []string
 	for _, condition := range rules {
-		if condition.wrong {
-			wrong = append(wrong, condition.message)
+		if condition.violated {
+			violated = append(violated, condition.message)
 		}
 	}
-	if len(wrong) > 0 {
-		return errors.New(strings.Join(wrong, "; "))
+	if len(violated) > 0 {
+		return errors.New(strings.Join(violated, "; "))
 	}
 	return nil
 }
 
-// fleetRules judges the lengths of the run, the links and what must not be empty.
+// fleetRules validates the duration of the run, the links and the presence of zones and classes.
 func (s Scenario) fleetRules() []rule {
 	return []rule{
 		{s.LengthS <= 0 || s.LengthS > 3600, "lengthS must lie above 0 and at most 3600"},
 		{s.WarmS < 0 || s.WarmS >= s.LengthS, "warmS must be at least 0 and below lengthS"},
 		{s.BucketS <= 0, "bucketS must be above 0"},
-		{len(s.Zones) == 0, "zones names none"},
+		{len(s.Zones) == 0, "zones is empty"},
 		{s.SpareReplicas < 0, "spareReplicas must not be below 0"},
-		{len(s.Classes) == 0, "classes names none"},
-		{s.Links.ZoneMs < 0 || s.Links.RegionMs < 0 || s.Links.FarMs < 0, "links must not be below 0"},
+		{len(s.Classes) == 0, "classes is empty"},
+		{s.Links.ZoneMs < 0 || s.Links.RegionMs < 0 || s.Links.CrossRegionMs < 0, "links must not be below 0"},
 	}
 }
 
-// replicaRules judges the model of a replica.
+// replicaRules validates the performance model of a replica.
 func (s Scenario) replicaRules() []rule {
 	return []rule{
 		{s.Replica.Slots < 1, "replica.slots must be at least 1"},
@@ -58,47 +58,47 @@
 		{s.Replica.StepMs <= 0, "replica.stepMs must be above 0"},
 		{s.Replica.ChunkTokens <= 0, "replica.chunkTokens must be above 0"},
 		{
-			s.Replica.ReadMs < 0 || s.Replica.Crowding < 0 || s.Replica.Spread < 0,
+			s.Replica.PrefillMs < 0 || s.Replica.OccupancyFactor < 0 || s.Replica.SpeedSigma < 0,
 			"replica.readMsPerThousand, crowding and spread must not be below 0",
 		},
-		{s.Replica.Repeats < 0, "replica.repeatsOnResume must not be below 0"},
+		{s.Replica.RepeatedEvents < 0, "replica.repeatsOnResume must not be below 0"},
 		{s.Replica.ColdFactor < 1, "replica.coldFactor must be at least 1"},
 	}
 }
 
-// splitRules judges the model of prefill and decode apart.
-func (s Scenario) splitRules() []rule {
+// disaggregationRules validates the model of disaggregated prefill and decode.
+func (s Scenario) disaggregationRules() []rule {
 	return []rule{
-		{s.Split.PrefillShare < 0 || s.Split.PrefillShare >= 1, "split.prefillShare must be at least 0 and below 1"},
-		{s.Split.LinkMbps <= 0 || s.Split.KvTokenBytes <= 0, "split.linkMbps and kvTokenBytes must be above 0"},
-		{s.Split.SetupMs < 0 || s.Split.HandleS <= 0, "split.setupMs must be at least 0 and handleS above 0"},
+		{s.Disaggregation.PrefillShare < 0 || s.Disaggregation.PrefillShare >= 1, "split.prefillShare must be at least 0 and below 1"},
+		{s.Disaggregation.LinkMbps <= 0 || s.Disaggregation.KvTokenBytes <= 0, "split.linkMbps and kvTokenBytes must be above 0"},
+		{s.Disaggregation.SetupMs < 0 || s.Disaggregation.HandleExpiryS <= 0, "split.setupMs must be at least 0 and handleS above 0"},
 	}
 }
 
-// modelRules judges the models and their loading.
+// modelRules validates the models and their loading.
 func (s Scenario) modelRules() []rule {
 	return []rule{
 		{s.Models.Count < 1, "models.count must be at least 1"},
 		{s.Models.PerReplica < 1, "models.perReplica must be at least 1"},
 		{s.Models.Zipf < 0, "models.zipf must not be below 0"},
 		{
-			s.Models.LoadTimeS <= 0 || s.Models.LoadsPerS <= 0 || s.Models.LoadsAtOnce < 1,
+			s.Models.LoadTimeS <= 0 || s.Models.LoadsPerS <= 0 || s.Models.ConcurrentLoads < 1,
 			"models.loadTimeS, loadsPerS and loadsAtOnce must be above 0",
 		},
 	}
 }
 
-// trafficRules judges the generated or recorded traffic.
+// trafficRules validates the generated or recorded traffic.
 func (s Scenario) trafficRules() []rule {
 	return []rule{
-		{s.Traffic.Record == "" && s.Traffic.PerS <= 0, "traffic.perS must be above 0"},
+		{s.Traffic.Record == "" && s.Traffic.RatePerS <= 0, "traffic.perS must be above 0"},
 		{s.Traffic.Turns < 1, "traffic.turns must be at least 1"},
 		{s.Traffic.BurstFactor < 1, "traffic.burstFactor must be at least 1"},
 		{s.Traffic.BurstEveryS > 0 && s.Traffic.BurstLengthS >= s.Traffic.BurstEveryS, "traffic.burstLengthS must be below burstEveryS"},
 	}
 }
 
-// policyRules judges the platform list, the first placement and the matcher's parameters.
+// policyRules validates the platform list, the initial placement and the matcher's parameters.
 func (s Scenario) policyRules() []rule {
 	return []rule{
 		{s.Platform.RefreshMs <= 0, "platform.refreshMs must be above 0"},
@@ -106,13 +106,13 @@
 			s.Placement.Copies != CopiesSpread && s.Placement.Copies != CopiesPacked,
 			fmt.Sprintf("placement.copies must be %q or %q, not %q", CopiesSpread, CopiesPacked, s.Placement.Copies),
 		},
-		{s.Placement.BusyShare < 0 || s.Placement.BusyShare > 1, "placement.busyShare must lie between 0 and 1"},
+		{s.Placement.FillRatio < 0 || s.Placement.FillRatio > 1, "placement.busyShare must lie between 0 and 1"},
 		{s.Parameters.BatchSize < 1, "parameters.batchSize must be at least 1"},
 		{s.Parameters.QualityWeight < 0 || s.Parameters.QualityWeight > 1, "parameters.delta must lie between 0 and 1"},
 	}
 }
 
-// zoneRules judges the zones and what they hold together.
+// zoneRules validates the zones and the fleet's total capacity for models.
 func (s Scenario) zoneRules() []rule {
 	var rules []rule
 	names := map[string]bool{}
@@ -121,25 +121,25 @@
 	clients := 0.0
 	for _, zone := range s.Zones {
 		rules = append(rules,
-			rule{zone.Name == "" || names[zone.Name], fmt.Sprintf("zones: name %q is missing or stands twice", zone.Name)},
+			rule{zone.Name == "" || names[zone.Name], fmt.Sprintf("zones: name %q is missing or duplicated", zone.Name)},
 			rule{zone.Region == "", fmt.Sprintf("zones %q: region is missing", zone.Name)},
 			rule{
-				zone.Edges < 0 || zone.Replicas < 0 || zone.Clients < 0,
+				zone.DataPlanes < 0 || zone.Replicas < 0 || zone.Clients < 0,
 				fmt.Sprintf("zones %q: dataPlanes, replicas and clients must not be below 0", zone.Name),
 			},
 		)
 		names[zone.Name] = true
-		edges += zone.Edges
+		edges += zone.DataPlanes
 		replicas += zone.Replicas
 		clients += zone.Clients
 	}
 	return append(rules,
 		rule{len(s.Zones) > 0 && (edges == 0 || replicas == 0 || clients <= 0), "zones need a data plane, a replica and clients"},
-		rule{replicas > 0 && s.Models.Count > replicas*s.Models.PerReplica, "models.count is above what all replicas hold together"},
+		rule{replicas > 0 && s.Models.Count > replicas*s.Models.PerReplica, "models.count is above the capacity of all replicas"},
 	)
 }
 
-// classRules judges the classes.
+// classRules validates the classes.
 func (s Scenario) classRules() []rule {
 	var rules []rule
 	names := map[string]bool{}
@@ -149,24 +149,24 @@
 		regions[zone.Region] = true
 	}
 	for _, class := range s.Classes {
-		says := func(text string) string { return fmt.Sprintf("classes %q: %s", class.Name, text) }
+		message := func(text string) string { return fmt.Sprintf("classes %q: %s", class.Name, text) }
 		rules = append(rules,
-			rule{class.Name == "" || names[class.Name], says("name is missing or stands twice")},
-			rule{class.Share < 0, says("share must not be below 0")},
+			rule{class.Name == "" || names[class.Name], message("name is missing or duplicated")},
+			rule{class.Share < 0, message("share must not be below 0")},
 			rule{
 				class.LatencyTargetMs <= 0 || class.TimeoutMs <= 0 || class.TokenGapMs <= 0,
-				says("aimMs, timeoutMs and tokenGapMs must be above 0"),
+				message("aimMs, timeoutMs and tokenGapMs must be above 0"),
 			},
-			rule{class.Attempts < 1 || class.RetryCount < 1, says("tries and retryCount must be at least 1")},
-			rule{class.Prompt.Median <= 0 || class.Output.Median <= 0, says("prompt.median and output.median must be above 0")},
-			rule{class.Prompt.Sigma < 0 || class.Output.Sigma < 0, says("sigma must not be below 0")},
+			rule{class.Attempts < 1 || class.RetryCount < 1, message("tries and retryCount must be at least 1")},
+			rule{class.Prompt.Median <= 0 || class.Output.Median <= 0, message("prompt.median and output.median must be above 0")},
+			rule{class.Prompt.Sigma < 0 || class.Output.Sigma < 0, message("sigma must not be below 0")},
 			rule{
 				class.Prompt.Max < class.Prompt.Median || class.Output.Max < class.Output.Median,
-				says("prompt.most and output.most must not be below the median"),
+				message("prompt.most and output.most must not be below the median"),
 			},
 		)
-		for _, home := range class.AllowedRegions {
-			rules = append(rules, rule{!regions[home], says(fmt.Sprintf("allowedRegions names %q, which has no zone", home))})
+		for _, region := range class.AllowedRegions {
+			rules = append(rules, rule{!regions[region], message(fmt.Sprintf("allowedRegions names %q, which has no zone", region))})
 		}
 		names[class.Name] = true
 		total += class.Share
@@ -174,7 +174,7 @@
 	return append(rules, rule{len(s.Classes) > 0 && total <= 0, "classes have no share above 0"})
 }
 
-// failureRules judges losses, crashes and slowdowns against the zones and replicas.
+// failureRules validates losses, crashes and slowdowns against the zones and replicas.
 func (s Scenario) failureRules() []rule {
 	var rules []rule
 	zones := map[string]bool{}
@@ -189,7 +189,7 @@
 			rule{(loss.Zone == "") == (loss.Region == ""), "losses: name either a zone or a region"},
 			rule{loss.Zone != "" && !zones[loss.Zone], fmt.Sprintf("losses: unknown zone %q", loss.Zone)},
 			rule{loss.Region != "" && !regions[loss.Region], fmt.Sprintf("losses: unknown region %q", loss.Region)},
-			rule{loss.BackS != 0 && loss.BackS <= loss.AtS, "losses: backS must be after atS, or 0 for never"},
+			rule{loss.RestoreS != 0 && loss.RestoreS <= loss.AtS, "losses: backS must be after atS, or 0 for never"},
 		)
 	}
 	for _, crash := range s.Crashes {
@@ -201,7 +201,7 @@
 	for _, slow := range s.Slowdowns {
 		rules = append(rules,
 			rule{slow.Replica < 1 || slow.Replica > replicas, fmt.Sprintf("slowdowns: there is no replica %d", slow.Replica)},
-			rule{slow.Factor < 1 || slow.BackS <= slow.AtS, "slowdowns: factor must be at least 1 and backS after atS"},
+			rule{slow.Factor < 1 || slow.EndS <= slow.AtS, "slowdowns: factor must be at least 1 and backS after atS"},
 		)
 	}
 	return rules
--- a/internal/sim/emulator/demand.go
+++ b/internal/sim/emulator/demand.go
@@ -10,87 +10,88 @@
 	"ferryspar/internal/placement"
 )
 
-// loadReport is an edge's load and when it was received.
+// loadReport is an edge's load report and when it was received.
 type loadReport struct {
 	at   time.Time
 	load peer.LoadReport
 }
 
-// demand is what the control plane knows of the demand for each model, by the reports of the edges.
-// It follows the scheduler of the control-plane daemon.
+// demand is the control plane's estimate of the demand for each model from the edges' load reports. Its rules
+// and constants are those of the control-plane daemon's scheduler.
 type demand struct {
-	// reports are the last reports, by the edge's number.
+	// reports are the latest load reports, by the edge's number.
 	reports map[int]loadReport
-	// arrivals counts the requests since the last measure, by key.
+	// arrivals counts the requests since the last update of the rates, by model key.
 	arrivals map[string]float64
-	// readMs sums the time spent reading prompts since the last measure, by key.
-	readMs map[string]float64
-	// byKey is the demand by backend and model.
+	// prefillMs sums the prefill time since the last update of the rates, by model key.
+	prefillMs map[string]float64
+	// byKey is the demand by model key (backend and model).
 	byKey map[string]*placement.Demand
-	// learningSince is when demand was first reported; zero before.
+	// learningSince is when demand was first reported, or zero before that.
 	learningSince time.Time
 	measuredAt    time.Time
 }
 
 const (
-	// rateSpan is the time constant of the averaged rates, in seconds.
-	rateSpan = 8.0
-	// learnTime is how long a new holder listens before it trusts its demand.
-	learnTime = 6 * time.Second
-	// loadSumExpiry is how long an edge's load counts in the sums that the others receive.
+	// rateTimeConstantS is the time constant of the moving averages of the rates, in seconds.
+	rateTimeConstantS = 8.0
+	// learningPeriod is how long a new lease holder collects reports before its demand counts as known.
+	learningPeriod = 6 * time.Second
+	// loadSumExpiry is how long an edge's load counts in the sums sent to the other edges.
 	loadSumExpiry = 2 * time.Second
-	// loadExpiry is how long an edge's waiting requests count.
+	// loadExpiry is how long an edge's waiting and running requests count.
 	loadExpiry = 1500 * time.Millisecond
-	// forgetAfter is how long a silent edge is remembered.
-	forgetAfter = 10 * time.Second
+	// reportRetention is how long the last report of an edge is kept.
+	reportRetention = 10 * time.Second
 	// suspicionExpiry is how long an edge's suspicion of a replica counts.
 	suspicionExpiry = time.Second
-	// suspectEnough is how many edges must suspect a replica.
-	suspectEnough = 2
-	// exactUnit is the grid that rates are rounded to, so that sums do not depend on their order.
-	exactUnit = 720720.0 / (1 << 30)
+	// minSuspecting is how many edges must suspect a replica, unless all that report do.
+	minSuspecting = 2
+	// rateGrid is the unit that rates are rounded to. Sums of its multiples are exact, so they do not depend on the
+	// order of the terms and a run is reproducible.
+	rateGrid = 720720.0 / (1 << 30)
 )
 
-// exact rounds to a grid on which sums do not depend on the order of their terms.
-func exact(value float64) float64 { return math.Round(value/exactUnit) * exactUnit }
+// roundToGrid rounds to a multiple of rateGrid.
+func roundToGrid(value float64) float64 { return math.Round(value/rateGrid) * rateGrid }
 
-// newDemand knows nothing yet.
+// newDemand returns an empty demand.
 func newDemand(now time.Time) *demand {
 	return &demand{
 		reports:    map[int]loadReport{},
 		arrivals:   map[string]float64{},
-		readMs:     map[string]float64{},
+		prefillMs:  map[string]float64{},
 		byKey:      map[string]*placement.Demand{},
 		measuredAt: now,
 	}
 }
 
-// inherit takes over the demand of the holder before.
-func (d *demand) inherit(before *demand, now time.Time) {
-	d.byKey = before.copied()
-	d.learningSince = now.Add(-learnTime)
+// inherit takes over the demand of the previous lease holder and counts as learned.
+func (d *demand) inherit(previous *demand, now time.Time) {
+	d.byKey = previous.cloneByKey()
+	d.learningSince = now.Add(-learningPeriod)
 }
 
-// learned reports whether the demand was reported for long enough to plan by.
-func (d *demand) learned(now time.Time) bool {
-	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learnTime
+// isLearned reports whether demand has been reported for long enough to plan with.
+func (d *demand) isLearned(now time.Time) bool {
+	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learningPeriod
 }
 
-// liveEdges counts the edges that have reported lately.
+// liveEdges returns the number of edges that have reported within reportRetention.
 func (d *demand) liveEdges(now time.Time) int {
 	live := 0
 	for _, report := range d.reports {
-		if now.Sub(report.at) < forgetAfter {
+		if now.Sub(report.at) < reportRetention {
 			live++
 		}
 	}
 	return live
 }
 
-// reportingEdges lists the numbers of the edges in ascending order.
+// reportingEdges returns the numbers of the edges with a report, in ascending order.
 func (d *demand) reportingEdges() []int { return slices.Sorted(maps.Keys(d.reports)) }
 
-// receiveLoad takes an edge's report in and returns the other edges' summed load by replica.
+// receiveLoad stores an edge's load report and returns the other edges' summed load by replica.
 func (c *controlPlane) receiveLoad(edge int, load peer.LoadReport) map[string]peer.ReplicaLoad {
 	d, now := c.demand, c.world.now()
 	d.reports[edge] = loadReport{now, load}
@@ -100,26 +101,26 @@
 	for _, model := range load.Models {
 		name := placement.ModelKey(model.Backend, model.Model)
 		d.arrivals[name] += float64(model.Arrivals)
-		d.readMs[name] += model.PrefillMs
+		d.prefillMs[name] += model.PrefillMs
 	}
-	outlook := map[string]peer.ReplicaLoad{}
+	summedLoads := map[string]peer.ReplicaLoad{}
 	for _, number := range d.reportingEdges() {
 		other := d.reports[number]
 		if number == edge || now.Sub(other.at) > loadSumExpiry {
 			continue
 		}
 		for id, reported := range other.load.Replicas {
-			sum := outlook[id]
+			sum := summedLoads[id]
 			sum.Running += reported.Running
 			sum.Tokens += reported.Tokens
 			sum.PrefillTokens += reported.PrefillTokens
-			outlook[id] = sum
+			summedLoads[id] = sum
 		}
 	}
-	return outlook
+	return summedLoads
 }
 
-// entry is the demand for a key, made on first use.
+// entry returns the demand of a model key and creates it if necessary.
 func (d *demand) entry(name string) *placement.Demand {
 	if d.byKey[name] == nil {
 		d.byKey[name] = &placement.Demand{}
@@ -127,33 +128,32 @@
 	return d.byKey[name]
 }
 
-// measure brings the averaged rates up to date, at most every quarter of a second, and sums the
-// reports.
-func (d *demand) measure(now time.Time) {
+// updateRates updates the averaged rates, at most every quarter of a second, and sums the reports.
+func (d *demand) updateRates(now time.Time) {
 	defer d.sumReports(now)
-	span := now.Sub(d.measuredAt).Seconds()
-	if span < 0.25 {
+	elapsedS := now.Sub(d.measuredAt).Seconds()
+	if elapsedS < 0.25 {
 		return
 	}
 	d.measuredAt = now
-	share := min(span/rateSpan, 1)
+	share := min(elapsedS/rateTimeConstantS, 1)
 	for name, amount := range d.arrivals {
 		if entry := d.entry(name); amount > 0 {
 			entry.LastRequestAt = now
 		}
 	}
 	for name, entry := range d.byKey {
-		entry.Rate = exact(entry.Rate + share*(d.arrivals[name]/span-entry.Rate))
-		entry.PrefillLoad = exact(entry.PrefillLoad + share*(d.readMs[name]/span/1000-entry.PrefillLoad))
+		entry.Rate = roundToGrid(entry.Rate + share*(d.arrivals[name]/elapsedS-entry.Rate))
+		entry.PrefillLoad = roundToGrid(entry.PrefillLoad + share*(d.prefillMs[name]/elapsedS/1000-entry.PrefillLoad))
 		if entry.Rate < 0.003 {
 			entry.Rate = 0
 		}
 	}
 	d.arrivals = map[string]float64{}
-	d.readMs = map[string]float64{}
+	d.prefillMs = map[string]float64{}
 }
 
-// sumReports sums what waits and runs over the edges that have reported lately.
+// sumReports sums the waiting and running requests over the edges whose reports have not expired.
 func (d *demand) sumReports(now time.Time) {
 	for _, entry := range d.byKey {
 		entry.Waiting = 0
@@ -163,7 +163,7 @@
 	for _, number := range d.reportingEdges() {
 		report := d.reports[number]
 		age := now.Sub(report.at)
-		if age > forgetAfter {
+		if age > reportRetention {
 			delete(d.reports, number)
 		}
 		if age > loadExpiry {
@@ -182,8 +182,8 @@
 	}
 }
 
-// copied is a deep copy of the demand.
-func (d *demand) copied() map[string]*placement.Demand {
+// cloneByKey returns a deep copy of the demand by model key.
+func (d *demand) cloneByKey() map[string]*placement.Demand {
 	copies := make(map[string]*placement.Demand, len(d.byKey))
 	for name, entry := range d.byKey {
 		same := *entry
@@ -192,7 +192,8 @@
 	return copies
 }
 
-// isSuspect reports whether enough of the edges that have reported lately suspect the replica.
+// isSuspect reports whether the replica is suspected by at least minSuspecting, or by all, of the edges whose
+// reports have not expired.
 func (d *demand) isSuspect(id string, now time.Time) bool {
 	suspected, reporting := 0, 0
 	for _, report := range d.reports {
@@ -204,5 +205,5 @@
 			suspected++
 		}
 	}
-	return suspected >= suspectEnough || suspected > 0 && suspected == reporting
+	return suspected >= minSuspecting || suspected > 0 && suspected == reporting
 }
--- a/internal/sim/emulator/demo/demo.go
+++ b/internal/sim/emulator/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo starts a small fleet on loopback addresses for a newcomer to try: real control
-// planes and data planes as child processes, stand-in replicas and a platform list in this process.
-// It sends streams through it and prints where they were served. It never touches a running fleet
-// nor listens beyond loopback, and it ends its own children only. Start reading at Run.
+// Package demo starts a small fleet on loopback addresses for new users to try: real control planes and data
+// planes as child processes, and stand-in replicas and a platform list in this process. It sends streams
+// through the fleet and prints which replicas served them. It does not affect a running fleet, listens only on
+// loopback addresses and ends only its own child processes. The entry point is Run.
 package demo
 
 import (
@@ -18,81 +18,85 @@
 	"github.com/pkg/errors"
 )
 
-// Options are the command-line options of the demo. Programs is the folder of the daemons'
-// programs; Keep is a folder to keep logs in, or empty for a temporary one.
+// Options are the command-line options of the demo. ProgramDir is the folder of the daemons' programs. LogDir
+// is the folder for settings, logs and data, or empty for a temporary one. KeepRunning leaves the fleet running
+// until the context ends.
 type Options struct {
-	Programs string
-	Keep     string
-	Controls int
-	Streams  int
-	JSON     bool
-	Stay     bool
-	Out      io.Writer
-	Progress io.Writer
+	ProgramDir    string
+	LogDir        string
+	ControlPlanes int
+	Streams       int
+	JSON          bool
+	KeepRunning   bool
+	Out           io.Writer
+	Progress      io.Writer
 }
 
-// Result is the demo's fleet and how its streams went.
+// Result holds the addresses of the demo's daemons and the results of its streams.
 type Result struct {
-	Controls []string `json:"controlPlanes"`
-	Edges    []string `json:"dataPlanes"`
-	Streams  []Served `json:"streams"`
+	ControlPlanes []string       `json:"controlPlanes"`
+	DataPlanes    []string       `json:"dataPlanes"`
+	Streams       []StreamResult `json:"streams"`
 }
 
-// maxConcurrentStreams is how many streams are under way together.
+// maxConcurrentStreams is the number of streams sent concurrently.
 const maxConcurrentStreams = 3
 
-// Run starts the fleet, sends the streams, prints the result and takes the fleet down again, after
-// the context ends if it is to stay. It fails if the fleet does not start or a stream was not
-// served completely.
+// Run starts the fleet, sends the streams, prints the result and stops the fleet; with KeepRunning it waits
+// for the end of the context before it stops the fleet. It returns an error if the fleet does not start or,
+// without KeepRunning, if a stream was not served completely.
 func Run(ctx context.Context, options Options) (Result, error) {
 	var result Result
 	planned, err := readPlan()
 	if err != nil {
 		return result, err
 	}
-	s := &deployment{plan: planned, programs: options.Programs}
+	s := &deployment{plan: planned, programs: options.ProgramDir}
 	defer s.close()
 	steps := []struct {
-		says string
-		act  func() error
+		progress string
+		act      func() error
 	}{
-		{"", func() error { return s.makeFolder(options.Keep) }},
+		{"", func() error { return s.makeFolder(options.LogDir) }},
 		{"starting stand-in replicas and a platform list", s.startReplicas},
-		{"starting control planes and data planes, sending the configuration", func() error { return s.startAll(ctx, options.Controls) }},
+		{
+			"starting control planes and data planes, sending the configuration",
+			func() error { return s.startAll(ctx, options.ControlPlanes) },
+		},
 	}
 	for _, step := range steps {
-		if step.says != "" {
-			fmt.Fprintln(options.Progress, step.says)
+		if step.progress != "" {
+			fmt.Fprintln(options.Progress, step.progress)
 		}
 		if err := step.act(); err != nil {
 			return result, err
 		}
 	}
 	fmt.Fprintf(options.Progress, "sending %d streams\n", options.Streams)
-	result = Result{Controls: s.controls, Edges: s.edges, Streams: s.send(ctx, options.Streams)}
+	result = Result{ControlPlanes: s.controls, DataPlanes: s.edges, Streams: s.send(ctx, options.Streams)}
 	if ctx.Err() != nil {
 		return result, ctx.Err()
 	}
 	if err := result.write(options); err != nil {
 		return result, err
 	}
-	if options.Stay {
+	if options.KeepRunning {
 		s.printHints(options.Progress)
 		<-ctx.Done()
 		return result, nil
 	}
-	return result, result.fault()
+	return result, result.incompleteError()
 }
 
-// send sends the streams, to the data planes in turn.
-func (d *deployment) send(ctx context.Context, amount int) []Served {
-	served := make([]Served, amount)
-	places := make(chan struct{}, maxConcurrentStreams)
+// send sends the streams to the data planes, round-robin.
+func (d *deployment) send(ctx context.Context, count int) []StreamResult {
+	served := make([]StreamResult, count)
+	slots := make(chan struct{}, maxConcurrentStreams)
 	var group sync.WaitGroup
 	for number := range served {
-		places <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			request := d.plan.Streams[number%len(d.plan.Streams)]
 			served[number] = sendRequest(ctx, http.DefaultClient, number+1, d.edges[number%len(d.edges)], d.host(), request)
 		})
@@ -101,19 +105,19 @@
 	return served
 }
 
-// host is the hostname that the routes serve.
+// host returns the hostname of the routes.
 func (d *deployment) host() string { return d.plan.configuration.Routes[0].Hostname }
 
-// fault is an error if a stream was not served completely.
-func (r Result) fault() error {
-	broken := 0
+// incompleteError returns an error if a stream was not served completely.
+func (r Result) incompleteError() error {
+	incomplete := 0
 	for _, served := range r.Streams {
 		if !served.Complete {
-			broken++
+			incomplete++
 		}
 	}
-	if broken > 0 {
-		return errors.Errorf("%d of %d streams were not served whole", broken, len(r.Streams))
+	if incomplete > 0 {
+		return errors.Errorf("%d of %d streams were not served completely", incomplete, len(r.Streams))
 	}
 	return nil
 }
@@ -127,13 +131,13 @@
 	fmt.Fprintln(table, "stream\tpath\tmodel\tdata plane\treplica\tstatus\tfirst event ms\tevents\ttook ms\t")
 	for _, served := range r.Streams {
 		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t", served.Number, served.Path, served.Model, served.DataPlane, served.Replica)
-		fmt.Fprintf(table, "%d\t%.1f\t%d of %d\t%.1f\t", served.Status, served.FirstMs, served.Events, served.Expected, served.TookMs)
-		fmt.Fprintf(table, "%s\n", served.Error)
+		fmt.Fprintf(table, "%d\t%.1f\t%d of %d\t", served.Status, served.FirstEventMs, served.Events, served.Expected)
+		fmt.Fprintf(table, "%.1f\t%s\n", served.DurationMs, served.Error)
 	}
 	return table.Flush()
 }
 
-// printHints prints commands to try against the fleet that stays up.
+// printHints prints commands to try against the running fleet.
 func (d *deployment) printHints(to io.Writer) {
 	request := d.plan.Streams[0]
 	fmt.Fprintf(to, "\nall of it stays up; Ctrl-C ends it. Try:\n\n")
--- a/internal/sim/emulator/split_test.go
+++ b/internal/sim/emulator/disaggregation_test.go
@@ -8,40 +8,40 @@
 	"ferryspar/internal/discovery"
 )
 
-// splitScenario is a fleet of one model whose replicas read prompts or make tokens, with long prompts and short answers.
-func splitScenario(seed uint64, prefillShare float64) Scenario {
-	s := sample(seed)
+// disaggregatedScenario is a fleet of one model with disaggregated prefill and decode, long prompts and short outputs.
+func disaggregatedScenario(seed uint64, prefillShare float64) Scenario {
+	s := sampleScenario(seed)
 	s.Models.Count, s.Models.PerReplica, s.Models.Adapters = 1, 1, 0
 	s.Replica.KvCacheTokens = 120000
-	s.Split.PrefillShare = prefillShare
-	s.Placement.BusyShare = 1
+	s.Disaggregation.PrefillShare = prefillShare
+	s.Placement.FillRatio = 1
 	s.Classes = s.Classes[:1]
 	s.Classes[0].Share = 1
 	s.Classes[0].Prompt = LogNormal{Median: 3000, Sigma: 0.8, Max: 20000}
 	s.Classes[0].Output = LogNormal{Median: 20, Sigma: 0.5, Max: 80}
-	s.Traffic.PerS, s.Traffic.Turns = 5, 1
+	s.Traffic.RatePerS, s.Traffic.Turns = 5, 1
 	s.Classes[0].LatencyTargetMs = 1500
 	return s
 }
 
-func TestSplit_PhasesFollowTheShareInEachZone(t *testing.T) {
-	split := Split{PrefillShare: 0.4}
+func TestDisaggregation_PhasesFollowPrefillShare(t *testing.T) {
+	disaggregation := Disaggregation{PrefillShare: 0.4}
 	prefill := 0
 	for place := range 10 {
-		if split.phaseOf(place) == discovery.PhasePrefill {
+		if disaggregation.phaseOf(place) == discovery.PhasePrefill {
 			prefill++
 		}
 	}
 	assert.Equal(t, prefill, 4)
-	assert.Equal(t, Split{}.phaseOf(3), discovery.Phase(""))
+	assert.Equal(t, Disaggregation{}.phaseOf(3), discovery.Phase(""))
 }
 
-func TestWorld_SplitRequestsEndOnceAndHoldNothing(t *testing.T) {
+func TestWorld_DisaggregatedRequestsEndOnceAndReleaseMemory(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		for _, inSequence := range []bool{false, true} {
-			scenario := splitScenario(seed, 0.5)
-			scenario.Split.InSequence = inSequence
+			scenario := disaggregatedScenario(seed, 0.5)
+			scenario.Disaggregation.SequentialSelection = inSequence
 			scenario.Crashes = []Crash{{AtS: 20, Replica: 2, RestartS: 3}, {AtS: 30, Replica: 5, RestartS: 4}, {AtS: 40, Replica: 1}}
 			world, err := NewWorld(scenario)
 			assert.NilError(t, err)
@@ -57,7 +57,7 @@
 			for _, replica := range world.servers {
 				if !replica.dead {
 					assert.Equal(t, len(replica.queue)+len(replica.running)+replica.fetching, 0)
-					assert.Assert(t, replica.cache.reserved < 1e-6, "%s keeps %f reserved", replica.id, replica.cache.reserved)
+					assert.Assert(t, replica.cache.reserved < 1e-6, "%s still has %f tokens reserved", replica.id, replica.cache.reserved)
 				}
 			}
 			for _, dataPlane := range world.edges {
@@ -67,9 +67,9 @@
 	}
 }
 
-func TestWorld_PrefillReplicasMakeNoTokens(t *testing.T) {
+func TestWorld_ReplicasRejectRequestsOfTheOtherPhase(t *testing.T) {
 	t.Parallel()
-	world, err := NewWorld(splitScenario(1, 0.4))
+	world, err := NewWorld(disaggregatedScenario(1, 0.4))
 	assert.NilError(t, err)
 	result := world.Run()
 	assert.DeepEqual(t, result.Violations, []string{})
@@ -77,18 +77,18 @@
 	for _, replica := range world.servers {
 		run := &execution{prefill: replica.machine.phase != discovery.PhasePrefill, model: modelName(0)}
 		run.attempt = world.calls[0].attempt
-		assert.Equal(t, replica.accept(run), admissionMissing, replica.id)
+		assert.Equal(t, replica.accept(run), admissionModelMissing, replica.id)
 	}
 }
 
-func TestServer_MovesGoOneAfterAnotherAndFurtherTakeLonger(t *testing.T) {
-	world, err := NewWorld(splitScenario(1, 0.5))
+func TestServer_TransferTimeGrowsWithDistance(t *testing.T) {
+	world, err := NewWorld(disaggregatedScenario(1, 0.5))
 	assert.NilError(t, err)
 	request := &Request{Prompt: 10000}
 	source := &heldPrompt{server: world.machines[0].current, run: &execution{attempt: &attempt{call: &call{request: request}}}}
 	near, zone, region := world.machines[1].current, world.machines[4].current, world.machines[8].current
-	assert.Assert(t, near.moveTime(source) < zone.moveTime(source))
-	assert.Assert(t, zone.moveTime(source) < region.moveTime(source))
-	setup := milliseconds(world.scenario.Split.SetupMs)
-	assert.Equal(t, region.moveTime(source)-setup, 10*(near.moveTime(source)-setup))
+	assert.Assert(t, near.transferTime(source) < zone.transferTime(source))
+	assert.Assert(t, zone.transferTime(source) < region.transferTime(source))
+	setup := milliseconds(world.scenario.Disaggregation.SetupMs)
+	assert.Equal(t, region.transferTime(source)-setup, 10*(near.transferTime(source)-setup))
 }
--- a/internal/sim/emulator/failures.go
+++ b/internal/sim/emulator/failures.go
@@ -10,26 +10,26 @@
 
 // scheduleFailures schedules the scenario's losses, crashes and slowdowns.
 func (w *World) scheduleFailures() {
-	at := func(offset float64, act func()) { w.events.At(w.began.Add(seconds(offset)), act) }
+	at := func(offset float64, act func()) { w.events.At(w.startedAt.Add(seconds(offset)), act) }
 	for _, loss := range w.scenario.Losses {
 		zones := w.zonesOf(loss)
 		at(loss.AtS, func() { w.loseZones(zones, loss) })
-		if loss.BackS > 0 {
-			at(loss.BackS, func() { w.restoreZones(zones) })
+		if loss.RestoreS > 0 {
+			at(loss.RestoreS, func() { w.restoreZones(zones) })
 		}
 	}
 	for _, crash := range w.scenario.Crashes {
 		host := w.machines[crash.Replica-1]
 		at(crash.AtS, func() { w.crash(host, seconds(crash.RestartS)) })
 	}
-	for _, slow := range w.scenario.Slowdowns {
-		host := w.machines[slow.Replica-1]
-		at(slow.AtS, func() { host.slowdown = slow.Factor })
-		at(slow.BackS, func() { host.slowdown = 1 })
+	for _, slowdown := range w.scenario.Slowdowns {
+		host := w.machines[slowdown.Replica-1]
+		at(slowdown.AtS, func() { host.slowdown = slowdown.Factor })
+		at(slowdown.EndS, func() { host.slowdown = 1 })
 	}
 }
 
-// zonesOf lists the indices of the zones that a loss covers.
+// zonesOf returns the indices of the zones that a loss covers.
 func (w *World) zonesOf(loss Loss) []int {
 	var zones []int
 	for index, zone := range w.scenario.Zones {
@@ -40,8 +40,8 @@
 	return zones
 }
 
-// loseZones takes the zones down. A closed loss ends connections at once; otherwise the lost side
-// just falls silent.
+// loseZones takes the zones down. If loss.Closed is set, connections are closed at once; otherwise the lost
+// side stops responding without closing them.
 func (w *World) loseZones(zones []int, loss Loss) {
 	w.recordLoss(zones, loss)
 	for _, dataPlane := range w.edges {
@@ -49,10 +49,10 @@
 			continue
 		}
 		dataPlane.alive = false
-		w.noticeLater(dataPlane, dataPlane.incarnation)
+		w.stopRoutingLater(dataPlane, dataPlane.incarnation)
 	}
 	for _, zone := range zones {
-		w.lost[zone] = true
+		w.lostZones[zone] = true
 	}
 	for _, host := range w.machines {
 		if host.current != nil && slices.Contains(zones, host.zone) {
@@ -60,24 +60,24 @@
 		}
 	}
 	if loss.Closed {
-		w.cutClients(zones)
+		w.closeClientConnections(zones)
 	}
 	if slices.Contains(zones, w.control.zone) {
 		w.control.fail()
 	}
 }
 
-// noticeLater routes clients elsewhere once the platform has noticed the edge's death.
-func (w *World) noticeLater(dataPlane *edge, incarnation int) {
-	w.events.After(seconds(w.scenario.Platform.NoticeS), func() {
+// stopRoutingLater stops routing clients to a dead edge after the platform's detection time.
+func (w *World) stopRoutingLater(dataPlane *edge, incarnation int) {
+	w.events.After(seconds(w.scenario.Platform.DataPlaneDetectionS), func() {
 		if !dataPlane.alive && dataPlane.incarnation == incarnation {
 			dataPlane.routable = false
 		}
 	})
 }
 
-// cutClients ends the connections of the clients whose edge has died.
-func (w *World) cutClients(zones []int) {
+// closeClientConnections closes the connections of the clients whose edge has died.
+func (w *World) closeClientConnections(zones []int) {
 	for _, clientCall := range w.calls {
 		if clientCall.ended || clientCall.attempt == nil {
 			continue
@@ -86,16 +86,17 @@
 			continue
 		}
 		clientAttempt := clientCall.attempt
-		clientAttempt.toClient(func() { clientCall.onBroken(clientAttempt.number) })
+		clientAttempt.sendToClient(func() { clientCall.onTruncated(clientAttempt.number) })
 	}
 }
 
-// kill ends a server. A dark one falls silent; otherwise its connections break.
+// kill ends a server. If silent is set, it stops responding without closing its connections; otherwise the
+// connections are closed and the edges see truncated responses.
 func (w *World) kill(replica *server, dark bool) {
 	if replica.dead {
 		return
 	}
-	replica.dead, replica.dark = true, dark
+	replica.dead, replica.silent = true, dark
 	replica.machine.current = nil
 	w.unlistLater(replica)
 	if dark {
@@ -106,7 +107,7 @@
 	}
 }
 
-// crash kills a machine's server and starts a new one after the given time, if it is above 0.
+// crash kills a machine's server and, if restart is above 0, starts a new one after that time.
 func (w *World) crash(host *machine, restart time.Duration) {
 	if host.current == nil {
 		return
@@ -114,17 +115,18 @@
 	w.kill(host.current, false)
 	if restart > 0 {
 		w.events.After(restart, func() {
-			if host.current == nil && !w.lost[host.zone] {
+			if host.current == nil && !w.lostZones[host.zone] {
 				w.listLater(w.start(host))
 			}
 		})
 	}
 }
 
-// restoreZones brings the zones back, with empty memories.
+// restoreZones restores the zones. Replicas start without loaded models and edges without state; the
+// machines' disks keep their content.
 func (w *World) restoreZones(zones []int) {
 	for _, zone := range zones {
-		w.lost[zone] = false
+		w.lostZones[zone] = false
 	}
 	for _, host := range w.machines {
 		if slices.Contains(zones, host.zone) && host.current == nil {
@@ -137,7 +139,7 @@
 		}
 		dataPlane.start()
 		incarnation := dataPlane.incarnation
-		w.events.After(seconds(w.scenario.Platform.NoticeS), func() {
+		w.events.After(seconds(w.scenario.Platform.DataPlaneDetectionS), func() {
 			if dataPlane.alive && dataPlane.incarnation == incarnation {
 				dataPlane.routable = true
 			}
@@ -145,17 +147,17 @@
 	}
 }
 
-// checkServer checks that a server keeps to its slots and its memory.
+// checkServer records a violation if a server exceeds its slots or its KV cache.
 func (w *World) checkServer(s *server) {
 	if len(s.running) > w.scenario.Replica.Slots {
-		w.recordViolation("%s runs %d in %d slots", s.id, len(s.running), w.scenario.Replica.Slots)
+		w.recordViolation("%s runs %d requests in %d slots", s.id, len(s.running), w.scenario.Replica.Slots)
 	}
 	if s.cache.reserved+s.cache.cached > s.cache.total+1e-6 || s.cache.reserved < -1e-6 || s.cache.cached < -1e-6 {
-		w.recordViolation("%s holds %.1f reserved and %.1f kept of %.1f tokens", s.id, s.cache.reserved, s.cache.cached, s.cache.total)
+		w.recordViolation("%s has %.1f tokens reserved and %.1f cached of %.1f", s.id, s.cache.reserved, s.cache.cached, s.cache.total)
 	}
 }
 
-// checkCapacity checks that a load fits on the server.
+// checkCapacity records a violation if a model is loaded on a server beyond its capacity.
 func (w *World) checkCapacity(s *server, loading string) {
 	models := 0
 	for reference := range s.loaded {
@@ -164,15 +166,15 @@
 		}
 	}
 	if !strings.Contains(loading, "/") && models >= w.scenario.Models.PerReplica {
-		w.recordViolation("%s is to load %s beyond its room", s.id, loading)
+		w.recordViolation("%s is ordered to load %s beyond its capacity", s.id, loading)
 	}
 }
 
-// checkBegin checks that a request that may run once begins only once.
-func (w *World) checkBegin(run *execution) {
+// checkStartedOnce records a violation if an attempt of a class that is not resumable is executed twice.
+func (w *World) checkStartedOnce(run *execution) {
 	attempt := run.attempt.request.AttemptID
 	if w.startedAttempts[attempt] && !run.attempt.call.class.Resumable {
-		w.recordViolation("attempt %s, which may run once, began again at %s", attempt, run.server.id)
+		w.recordViolation("attempt %s, which is not resumable, was executed again at %s", attempt, run.server.id)
 	}
 	w.startedAttempts[attempt] = true
 }
--- a/internal/sim/emulator/forecast.go
+++ b/internal/sim/emulator/forecast.go
@@ -10,50 +10,51 @@
 	"ferryspar/internal/placement"
 )
 
-// The figures of the daemons' forecast, beside those of CountByLoad.
+// Names of the figures of the daemons' forecast, in addition to those of ForecastByLoadReports.
 const (
-	// FigureInterrupted counts the requests at lost replicas and those that wait in any data plane.
+	// FigureInterrupted counts the requests at lost replicas and those queued at any data plane.
 	FigureInterrupted = "requests at lost replicas or waiting"
-	// FigureGoOn counts those of them that go on at surviving replicas.
-	FigureGoOn = "of these, going on elsewhere"
-	// FigurePlaced counts those of them that would find a place if all clients asked again.
+	// FigureContinuing counts the interrupted requests that continue at surviving replicas.
+	FigureContinuing = "of these, going on elsewhere"
+	// FigurePlaced counts the interrupted requests that would be placed if all clients retried.
 	FigurePlaced = "of these, placed were all to ask again"
-	// FigureMovedTo is followed by a replica's id and counts the requests that go on there.
+	// FigureMovedTo is followed by a replica's ID and counts the requests that continue there.
 	FigureMovedTo = "requests moved to replica "
-	// FigureFull counts the surviving replicas that fill up.
+	// FigureFull counts the surviving replicas that become full.
 	FigureFull = "replicas left that are full"
 	// FigureRegionBound counts the interrupted requests that may run in lost regions only.
 	FigureRegionBound = "of these, bound to the lost"
-	// FigureLoads counts the loads of models that the placement begins.
+	// FigureLoads counts the model loads that the placement starts.
 	FigureLoads = "loads"
 )
 
-// The figures of a route, whose name precedes them: Then for after the loss, Now for before it.
+// Names of the figures of a route, which follow the route's name: AfterLoss for the time after the loss,
+// BeforeLoss for the time before it.
 const (
-	// ThenNotLoaded is the share of requests whose model no surviving replica has loaded.
-	ThenNotLoaded = "share nowhere loaded"
-	// ThenWaits is the share of requests that wait for a place.
-	ThenWaits = "share waiting for a place"
-	// ThenRegionBound is the share of requests that may run in lost regions only.
-	ThenRegionBound = "share bound to the lost"
-	// ThenMissed is the share of requests without a first token inside the target latency.
-	ThenMissed = "share with no first token inside the aim"
-	// ThenMedian, ThenTail and ThenLast are quantiles of the time to the first token.
-	ThenMedian = "first token p50, ms"
-	ThenTail   = "first token p90, ms"
-	ThenLast   = "first token p99, ms"
-	// NowMissed is ThenMissed before the loss.
-	NowMissed = "now: share with no first token inside the aim"
-	// NowMedian, NowTail and NowLast are the quantiles before the loss.
-	NowMedian = "now: first token p50, ms"
-	NowTail   = "now: first token p90, ms"
-	NowLast   = "now: first token p99, ms"
+	// AfterLossNotLoaded is the share of requests whose model no surviving replica has loaded.
+	AfterLossNotLoaded = "share nowhere loaded"
+	// AfterLossWaiting is the share of requests that wait for a free slot.
+	AfterLossWaiting = "share waiting for a place"
+	// AfterLossRegionBound is the share of requests that may run in lost regions only.
+	AfterLossRegionBound = "share bound to the lost"
+	// AfterLossLate is the share of requests without a first token within the target latency.
+	AfterLossLate = "share with no first token inside the aim"
+	// AfterLossP50, AfterLossP90 and AfterLossP99 are quantiles of the time to first token.
+	AfterLossP50 = "first token p50, ms"
+	AfterLossP90 = "first token p90, ms"
+	AfterLossP99 = "first token p99, ms"
+	// BeforeLossLate is AfterLossLate before the loss.
+	BeforeLossLate = "now: share with no first token inside the aim"
+	// BeforeLossP50, BeforeLossP90 and BeforeLossP99 are the quantiles before the loss.
+	BeforeLossP50 = "now: first token p50, ms"
+	BeforeLossP90 = "now: first token p90, ms"
+	BeforeLossP99 = "now: first token p99, ms"
 )
 
-// Gather makes the forecast of the daemons from this snapshot: every edge's answer, merged with the
-// plan of the placement.
-func (s Snapshot) Gather() (drill.Forecast, []drill.ForecastResponse) {
-	basis := drill.FleetView{
+// GatherForecast computes the daemons' forecast from the snapshot: the merged responses of all edges and the
+// actions that the placement would take. It also returns the responses.
+func (s Snapshot) GatherForecast() (drill.Forecast, []drill.ForecastResponse) {
+	fleet := drill.FleetView{
 		Scope:      s.Loss.Scope,
 		Zones:      s.Loss.Regions,
 		Replicas:   s.replicasAsKnown(),
@@ -62,17 +63,17 @@
 		DataPlanes: map[string]string{},
 	}
 	for name, entry := range s.Demand {
-		basis.Demand[name] = entry.Rate
+		fleet.Demand[name] = entry.Rate
 	}
 	var answers []drill.ForecastResponse
-	for number, state := range s.Edges {
+	for number, state := range s.DataPlanes {
 		answer := state.Matcher.ForecastSync(s.Loss)
 		answer.DataPlane = fmt.Sprintf("edge-%03d", number)
 		answer.Zone = state.Zone
-		basis.DataPlanes[answer.DataPlane] = state.Zone
+		fleet.DataPlanes[answer.DataPlane] = state.Zone
 		answers = append(answers, answer)
 	}
-	merged := drill.MergeForecast(basis, answers)
+	merged := drill.MergeForecast(fleet, answers)
 	view := s.View.Clone()
 	view.RemoveZones(func(zone string) bool { return s.Loss.Covers(zone, s.Loss.Regions[zone]) })
 	for _, action := range placement.Forecast(view) {
@@ -86,42 +87,42 @@
 	return merged, answers
 }
 
-// replicasAsKnown is the platform's list with the models that the planner knows of.
+// replicasAsKnown returns the platform's list with the models that the planner knows to be loaded.
 func (s Snapshot) replicasAsKnown() []discovery.Replica {
 	listed := slices.Clone(s.Listed)
 	for _, planned := range s.View.Servers {
 		for index := range listed {
 			if listed[index].ID == planned.ID && len(planned.Loaded) > 0 {
-				listed[index].Models = holdings(planned.Loaded)
+				listed[index].Models = loadedModels(planned.Loaded)
 			}
 		}
 	}
 	return listed
 }
 
-// ByMatchers forecasts with the daemons' own code; figures of reading are over the given seconds
-// after the loss.
-func ByMatchers(afterS float64) Forecaster {
+// ForecastByMatchers returns a Forecaster that runs the daemons' own code. Its figure for recomputed
+// prompt tokens covers the given number of seconds after the loss.
+func ForecastByMatchers(afterS float64) Forecaster {
 	return func(before Snapshot) Forecast {
-		merged, answers := before.Gather()
+		merged, answers := before.GatherForecast()
 		forecast := Forecast{
-			FigureWithoutCopy: float64(len(merged.LostModels)),
-			FigurePlaced:      float64(merged.InFlight.Placed),
-			FigureInterrupted: float64(merged.InFlight.OnLostReplicas + merged.InFlight.Waiting),
-			FigureGoOn:        float64(merged.InFlight.Resumable + merged.InFlight.Waiting),
-			FigureRegionBound: float64(merged.InFlight.AllRegionsLost),
-			FigureMoving:      0,
-			FigureWarm:        0,
-			FigureFull:        0,
-			FigureLoads:       0,
-			FigureReadAgain:   0,
-			FigureBack:        merged.LoadEstimate.InDemandMinMs / 1000,
+			FigureWithoutCopy:      float64(len(merged.LostModels)),
+			FigurePlaced:           float64(merged.InFlight.Placed),
+			FigureInterrupted:      float64(merged.InFlight.OnLostReplicas + merged.InFlight.Waiting),
+			FigureContinuing:       float64(merged.InFlight.Resumable + merged.InFlight.Waiting),
+			FigureRegionBound:      float64(merged.InFlight.AllRegionsLost),
+			FigureMoving:           0,
+			FigureLostCachedTokens: 0,
+			FigureFull:             0,
+			FigureLoads:            0,
+			FigureRecomputedTokens: 0,
+			FigureReloadTime:       merged.LoadEstimate.InDemandMinMs / 1000,
 		}
 		forecast.addMoving(answers, before.Lost)
 		forecast.addReplicas(merged)
 		for _, route := range merged.Routes {
 			if route.Sampled > 0 {
-				forecast[FigureReadAgain] += route.RecomputedTokens / float64(route.Sampled) * route.RatePerS * afterS
+				forecast[FigureRecomputedTokens] += route.RecomputedTokens / float64(route.Sampled) * route.RatePerS * afterS
 				forecast.addRoute(route)
 			}
 		}
@@ -129,8 +130,8 @@
 	}
 }
 
-// addMoving counts the requests that must move: all of a lost edge, and those that a spared edge
-// has at lost replicas.
+// addMoving counts the requests that must move: all requests of lost edges, and those that surviving edges
+// have at lost replicas.
 func (f Forecast) addMoving(answers []drill.ForecastResponse, lost map[string]bool) {
 	for _, answer := range answers {
 		if lost[answer.Zone] {
@@ -141,10 +142,10 @@
 	}
 }
 
-// addReplicas adds what the forecast says of caches, surviving replicas and loads.
+// addReplicas adds the figures for caches, surviving replicas and loads.
 func (f Forecast) addReplicas(merged drill.Forecast) {
 	for _, cached := range merged.Cached {
-		f[FigureWarm] += cached.Lost
+		f[FigureLostCachedTokens] += cached.Lost
 	}
 	for _, replica := range merged.Replicas {
 		f[FigureMovedTo+replica.Replica] = float64(replica.Moved)
@@ -163,16 +164,16 @@
 func (f Forecast) addRoute(route drill.RouteForecast) {
 	share := func(amount int) float64 { return float64(amount) / float64(route.Sampled) }
 	for name, value := range map[string]float64{
-		ThenNotLoaded:   share(route.ModelNotLoaded),
-		ThenWaits:       share(route.Waiting),
-		ThenRegionBound: share(route.AllRegionsLost),
-		ThenMissed:      share(route.Late + route.Waiting + route.ModelNotLoaded + route.AllRegionsLost),
-		NowMissed:       share(route.LateNow + route.WaitingNow + route.ModelNotLoadedNow),
+		AfterLossNotLoaded:   share(route.ModelNotLoaded),
+		AfterLossWaiting:     share(route.Waiting),
+		AfterLossRegionBound: share(route.AllRegionsLost),
+		AfterLossLate:        share(route.Late + route.Waiting + route.ModelNotLoaded + route.AllRegionsLost),
+		BeforeLossLate:       share(route.LateNow + route.WaitingNow + route.ModelNotLoadedNow),
 	} {
 		f[route.Name+": "+name] = value
 	}
-	f.addQuantiles(route.Name, route.FirstTokenAfterLoss, ThenMedian, ThenTail, ThenLast)
-	f.addQuantiles(route.Name, route.FirstTokenNow, NowMedian, NowTail, NowLast)
+	f.addQuantiles(route.Name, route.FirstTokenAfterLoss, AfterLossP50, AfterLossP90, AfterLossP99)
+	f.addQuantiles(route.Name, route.FirstTokenNow, BeforeLossP50, BeforeLossP90, BeforeLossP99)
 }
 
 // addQuantiles adds a route's quantiles under the three names, if there are any samples.
--- a/internal/sim/emulator/forward.go
+++ b/internal/sim/emulator/forward.go
@@ -6,31 +6,31 @@
 	"ferryspar/internal/routing"
 )
 
-// forward sends the request to a server and watches for its answer.
+// forward sends the request to a server and starts the silence timeout.
 func (p *attempt) forward(to *server) {
 	w := p.edge.world
 	p.forwardNumber++
 	number := p.forwardNumber
 	now := w.now()
 	p.replicaID = to.id
-	p.lastByte = now
-	p.firstSeen = false
-	p.lastReported = now
+	p.lastByteAt = now
+	p.firstEventSeen = false
+	p.lastReportedAt = now
 	p.execution = &execution{
 		attempt:       p,
 		forwardNumber: number,
 		model:         p.call.request.Model,
-		dialogues:     p.request.PrefixHashes,
-		nextEvent:     max(p.lastID-w.scenario.Replica.Repeats, 0) + 1,
+		prefixHashes:  p.request.PrefixHashes,
+		nextEvent:     max(p.lastID-w.scenario.Replica.RepeatedEvents, 0) + 1,
 		priority:      p.call.class.Priority,
 		queuedAt:      now,
-		prefill:       p.step != nil,
+		prefill:       p.prefillStep != nil,
 		source:        p.held,
 	}
-	connected := now.Sub(p.edge.lastUsed[to.id]) < idleTime
-	if to.dead && !(to.dark && connected) {
+	connected := now.Sub(p.edge.lastUsed[to.id]) < idleConnectionTimeout
+	if to.dead && !(to.silent && connected) {
 		wait := connectTimeout
-		if !to.dark {
+		if !to.silent {
 			wait = 2 * w.linkDelay(p.edge.zone, to.machine.zone)
 		}
 		w.events.After(wait, func() { p.onOutcome(number, routing.OutcomeUnreachable) })
@@ -41,13 +41,13 @@
 	p.watchSilence(number, silenceTimeout)
 }
 
-// deliver hands the execution to the server after the link's delay. A dead server that closes its
-// connections fails it; a dark one leaves it to the silence timeout.
+// deliver passes the execution to the server after the link's delay. A dead server whose connections were
+// closed fails it at once; with one that does not respond, the silence timeout fails it.
 func (p *attempt) deliver(to *server, run *execution) {
 	number := run.forwardNumber
 	p.edge.afterLink(to.machine.zone, func() {
 		if to.dead {
-			if !to.dark {
+			if !to.silent {
 				p.edge.afterLink(to.machine.zone, func() { p.onOutcome(number, routing.OutcomeTruncated) })
 			}
 			return
@@ -58,57 +58,57 @@
 	})
 }
 
-// rejectionOutcomes is the outcome of each admission that is a rejection.
+// rejectionOutcomes maps each admission that is a rejection to its outcome.
 var rejectionOutcomes = map[admission]routing.Outcome{
-	admissionFull:    routing.OutcomeFull,
-	admissionMissing: routing.OutcomeModelMissing,
+	admissionFull:         routing.OutcomeFull,
+	admissionModelMissing: routing.OutcomeModelMissing,
 }
 
-// watchSilence treats the forward as broken once no byte came for the silence timeout.
+// watchSilence fails the forward as truncated once no byte has been received for the silence timeout.
 func (p *attempt) watchSilence(number int, wait time.Duration) {
 	p.edge.world.events.After(wait, func() {
 		if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 			return
 		}
-		if left := silenceTimeout - p.edge.world.now().Sub(p.lastByte); left > 0 {
-			p.watchSilence(number, left)
+		if remaining := silenceTimeout - p.edge.world.now().Sub(p.lastByteAt); remaining > 0 {
+			p.watchSilence(number, remaining)
 			return
 		}
 		p.onOutcome(number, routing.OutcomeTruncated)
 	})
 }
 
-// hangUp closes the connection to the replica, which then abandons the execution.
-func (p *attempt) hangUp() {
+// closeConnection closes the connection to the replica, which then abandons the execution.
+func (p *attempt) closeConnection() {
 	run := p.execution
 	p.edge.afterLink(p.edge.world.servers[p.replicaID].machine.zone, run.abandon)
 }
 
-// deliverLater carries an event of a server to the edge, with the link's delay.
-func (p *attempt) deliverLater(number int, from *server, id int, last bool) {
+// sendEventToEdge delivers an event of a server to the edge after the link's delay.
+func (p *attempt) sendEventToEdge(number int, from *server, id int, last bool) {
 	p.edge.afterLink(from.machine.zone, func() { p.onEvent(number, id, last) })
 }
 
-// onEvent passes an event of the current forward on to the client.
+// onEvent forwards an event of the current forward to the client. Events of earlier forwards are ignored.
 func (p *attempt) onEvent(number, id int, last bool) {
 	if p.isOver() || p.forwardNumber != number || p.ticket == nil {
 		return
 	}
 	now := p.edge.world.now()
-	p.lastByte, p.edge.lastUsed[p.replicaID] = now, now
+	p.lastByteAt, p.edge.lastUsed[p.replicaID] = now, now
 	p.held, p.request.HeldPrefill = nil, nil
-	if !p.firstSeen {
-		p.firstSeen, p.lastReported = true, now
+	if !p.firstEventSeen {
+		p.firstEventSeen, p.lastReportedAt = true, now
 		p.edge.reportOutcome(p.ticket, routing.OutcomeFirstEvent)
-	} else if now.Sub(p.lastReported) > aliveEvery {
-		p.lastReported = now
+	} else if now.Sub(p.lastReportedAt) > progressReportInterval {
+		p.lastReportedAt = now
 		p.edge.reportOutcome(p.ticket, routing.OutcomeProgress)
 	}
 	p.headSent, p.lastID = true, id
-	p.toClient(func() { p.call.receiveEvent(p.number, id) })
+	p.sendToClient(func() { p.call.receiveEvent(p.number, id) })
 	if last {
 		p.closed = true
 		p.reportOutcome(routing.OutcomeServed)
 	}
-	p.edge.collectAnswers()
+	p.edge.processDecisions()
 }
--- a/internal/sim/emulator/loadcount.go
+++ b/internal/sim/emulator/loadcount.go
@@ -5,33 +5,34 @@
 	FigureMoving = "requests that move"
 	// FigureWithoutCopy counts the models and adapters whose every copy is lost.
 	FigureWithoutCopy = "models and adapters without a copy"
-	// FigureWarm counts the cached tokens lost.
-	FigureWarm = "warm tokens lost"
-	// FigureBack is how long, in seconds, until the last model lost is loaded again.
-	FigureBack = "seconds until the last copy is back"
-	// FigureReadAgain counts the prompt tokens that must be read again.
-	FigureReadAgain = "prompt tokens read again"
+	// FigureLostCachedTokens counts the lost tokens of cached prompts.
+	FigureLostCachedTokens = "warm tokens lost"
+	// FigureReloadTime is the time, in seconds, until every model that lost all copies is loaded again.
+	FigureReloadTime = "seconds until the last copy is back"
+	// FigureRecomputedTokens counts the prompt tokens whose prefill must be repeated.
+	FigureRecomputedTokens = "prompt tokens read again"
 )
 
-// CountByLoad is the simplest forecaster: it counts from the list and the load reports alone what
-// is in the lost zones.
-func CountByLoad(before Snapshot) Forecast {
+// ForecastByLoadReports is the baseline Forecaster: it counts what is in the lost zones from the platform's
+// list and the load reports alone.
+func ForecastByLoadReports(before Snapshot) Forecast {
 	lost, withoutCopy := lostReplicas(before)
 	moving := 0
-	for _, edge := range before.Edges {
+	for _, edge := range before.DataPlanes {
 		moving += movingRequests(edge, lost)
 	}
 	return Forecast{FigureMoving: float64(moving), FigureWithoutCopy: float64(withoutCopy)}
 }
 
-// lostReplicas are the listed replicas of the lost zones, and the number of models and adapters that only they have loaded.
+// lostReplicas returns the listed replicas of the lost zones, and the number of models and adapters that only
+// they have loaded.
 func lostReplicas(before Snapshot) (lost map[string]bool, withoutCopy int) {
 	lost = map[string]bool{}
-	kept, gone := map[string]bool{}, map[string]bool{}
+	surviving, onLostReplicas := map[string]bool{}, map[string]bool{}
 	for _, listed := range before.Listed {
-		into := kept
+		into := surviving
 		if before.Lost[listed.Zone] {
-			lost[listed.ID], into = true, gone
+			lost[listed.ID], into = true, onLostReplicas
 		}
 		for _, model := range listed.Models {
 			into[model.Name] = true
@@ -40,16 +41,17 @@
 			}
 		}
 	}
-	for reference := range gone {
-		if !kept[reference] {
+	for reference := range onLostReplicas {
+		if !surviving[reference] {
 			withoutCopy++
 		}
 	}
 	return lost, withoutCopy
 }
 
-// movingRequests counts the requests of a data plane that go elsewhere once the replicas, or the data plane itself, are lost.
-func movingRequests(edge EdgeState, lost map[string]bool) int {
+// movingRequests returns how many requests of a data plane must move if the replicas, or the data plane
+// itself, are lost.
+func movingRequests(edge DataPlaneState, lost map[string]bool) int {
 	moving := 0
 	for id, load := range edge.Load.Replicas {
 		if lost[id] || edge.Lost {
--- a/internal/sim/emulator/loss.go
+++ b/internal/sim/emulator/loss.go
@@ -14,14 +14,15 @@
 	"ferryspar/internal/routing"
 )
 
-// Forecast holds the forecast figures by name.
+// Forecast maps the names of figures to their forecast values.
 type Forecast map[string]float64
 
-// Forecaster forecasts the figures of a loss from what is known just before it.
+// Forecaster forecasts the figures of a loss from the state just before it.
 type Forecaster func(before Snapshot) Forecast
 
-// EdgeState is what an edge knows and last reported just before a loss.
-type EdgeState struct {
+// DataPlaneState is the state of an edge just before a loss: its last load report, its matcher and the
+// matcher's snapshot.
+type DataPlaneState struct {
 	Zone    string
 	Lost    bool
 	Load    peer.LoadReport
@@ -29,32 +30,32 @@
 	Fleet   *routing.Snapshot
 }
 
-// Snapshot is what the daemons know just before a loss; forecasters may read it but not keep or
-// change it.
+// Snapshot is the state known to the daemons just before a loss. Forecasters must neither modify it nor
+// retain it.
 type Snapshot struct {
 	At    time.Time
 	Table *configuration.Table
-	// Lost names the zones about to be lost.
+	// Lost holds the names of the zones about to be lost.
 	Lost map[string]bool
 	// Listed is the platform's list.
-	Listed []discovery.Replica
-	Edges  []EdgeState
-	Demand map[string]*placement.Demand
-	// Held is what each address has once loaded, by reference.
+	Listed     []discovery.Replica
+	DataPlanes []DataPlaneState
+	Demand     map[string]*placement.Demand
+	// LoadedBefore holds, by address, the references that any incarnation has reported as loaded.
 	LoadedBefore map[string]map[string]bool
 	Loss         drill.Loss
 	// View is the planner's input.
 	View *placement.View
 }
 
-// snapshot gathers what the daemons know now.
+// snapshot returns the current state known to the daemons.
 func (w *World) snapshot(zones []int, from Loss) Snapshot {
 	before := Snapshot{
 		At:           w.now(),
 		Table:        w.table,
 		Lost:         map[string]bool{},
 		Listed:       w.listedReplicas(),
-		Demand:       w.control.demand.copied(),
+		Demand:       w.control.demand.cloneByKey(),
 		LoadedBefore: w.control.loadedBefore,
 		Loss:         w.scope(from),
 		View:         w.control.view(w.now()),
@@ -65,7 +66,7 @@
 	for _, dataPlane := range w.edges {
 		if dataPlane.alive {
 			name := w.scenario.Zones[dataPlane.zone].Name
-			before.Edges = append(before.Edges, EdgeState{
+			before.DataPlanes = append(before.DataPlanes, DataPlaneState{
 				Zone:    name,
 				Lost:    before.Lost[name],
 				Load:    dataPlane.lastReport,
@@ -77,14 +78,13 @@
 	return before
 }
 
-// recordLoss counts what a loss is about to hit, asks the forecasters, and begins to watch what
-// follows.
+// recordLoss counts what a loss is about to affect, calls the forecasters, and starts to observe the effects.
 func (w *World) recordLoss(zones []int, from Loss) {
 	loss := LossResult{
-		AtS:        w.elapsed().Seconds(),
-		WarmTokens: map[string]float64{},
-		MovedTo:    map[string]int{},
-		Moving:     make([]int, len(w.scenario.Classes)),
+		AtS:          w.elapsed().Seconds(),
+		CachedTokens: map[string]float64{},
+		MovedTo:      map[string]int{},
+		Moving:       make([]int, len(w.scenario.Classes)),
 	}
 	for name, forecaster := range w.Forecasters {
 		if loss.Forecasts == nil {
@@ -100,20 +100,20 @@
 	w.watchFullReplicas(len(w.observer.losses)-1, w.elapsed(), map[string]bool{})
 }
 
-// countMachines adds what the machines and edges of the lost zones hold, lists the replicas that
-// survive, and returns the references whose every copy is lost.
+// countMachines counts the requests and cached tokens in the lost zones, lists the surviving replicas, and
+// returns the references whose every copy is lost.
 func (w *World) countMachines(loss *LossResult, zones []int) map[string]bool {
-	kept, gone := map[string]bool{}, map[string]bool{}
+	surviving, withoutCopy := map[string]bool{}, map[string]bool{}
 	for _, host := range w.machines {
 		if host.current == nil {
 			continue
 		}
 		if !slices.Contains(zones, host.zone) {
-			maps.Copy(kept, host.current.loaded)
+			maps.Copy(surviving, host.current.loaded)
 			loss.Surviving = append(loss.Surviving, host.current.id)
 			continue
 		}
-		maps.Copy(gone, host.current.loaded)
+		maps.Copy(withoutCopy, host.current.loaded)
 		loss.addServer(host.current)
 	}
 	for _, dataPlane := range w.edges {
@@ -121,18 +121,18 @@
 			loss.Waiting += dataPlane.matcher.WaitingCount()
 		}
 	}
-	maps.DeleteFunc(gone, func(reference string, _ bool) bool { return kept[reference] })
-	return gone
+	maps.DeleteFunc(withoutCopy, func(reference string, _ bool) bool { return surviving[reference] })
+	return withoutCopy
 }
 
 // addServer adds the requests and the cached tokens of a server that is being lost.
 func (l *LossResult) addServer(lost *server) {
 	l.Running += len(lost.running)
 	l.Waiting += len(lost.queue)
-	for element := lost.cache.byAge.Front(); element != nil; element = element.Next() {
+	for element := lost.cache.lru.Front(); element != nil; element = element.Next() {
 		part := element.Value.(*cachedPrefix)
 		model, _, _ := strings.Cut(part.key.model, "/")
-		l.WarmTokens[model] += part.tokens
+		l.CachedTokens[model] += part.tokens
 	}
 }
 
@@ -145,14 +145,14 @@
 				loss.RegionBound++
 			}
 		}
-		if clientCall.moves(zones) {
+		if clientCall.mustMove(zones) {
 			loss.Moving[clientCall.request.Class]++
 		}
 	}
 }
 
-// moves reports whether the call's edge or its replica is in one of the zones.
-func (c *call) moves(zones []int) bool {
+// mustMove reports whether the call's edge or its replica is in one of the zones.
+func (c *call) mustMove(zones []int) bool {
 	if c.ended || c.attempt == nil {
 		return false
 	}
--- a/internal/sim/emulator/observer.go
+++ b/internal/sim/emulator/observer.go
@@ -4,43 +4,42 @@
 	"time"
 )
 
-// Sample is the state of the fleet at one moment; counts of loads and tokens read are running
-// totals.
+// Sample is the state of the fleet at one time. The numbers of loads and of prompt tokens processed are
+// cumulative.
 type Sample struct {
-	AtS     float64 `json:"atS"`
-	Waiting int     `json:"waiting"`
-	Queued  int     `json:"queued"`
-	Running int     `json:"running"`
-	Warm    float64 `json:"warmTokens"`
-	Stored  int     `json:"loadsFromStore"`
-	Disk    int     `json:"loadsFromDisk"`
-	Read    float64 `json:"promptTokensRead"`
+	AtS           float64 `json:"atS"`
+	Waiting       int     `json:"waiting"`
+	Queued        int     `json:"queued"`
+	Running       int     `json:"running"`
+	CachedTokens  float64 `json:"warmTokens"`
+	StoreLoads    int     `json:"loadsFromStore"`
+	DiskLoads     int     `json:"loadsFromDisk"`
+	PrefillTokens float64 `json:"promptTokensRead"`
 }
 
-// RequestOutcome is how one request went; FirstMs is 0 if no token came.
+// RequestOutcome is the outcome of one request. FirstTokenMs is 0 if no token was received.
 type RequestOutcome struct {
-	Class   int
-	AtS     float64
-	FirstMs float64
-	Outcome string
-	InTime  bool
-	WaitMs  float64
-	// NotLoaded is set if no replica had the model loaded when the request arrived.
+	Class        int
+	AtS          float64
+	FirstTokenMs float64
+	Outcome      string
+	InTime       bool
+	WaitMs       float64
+	// NotLoaded is set if no replica had the model loaded when the request was sent.
 	NotLoaded bool
 }
 
-// Bucket sums the requests of a class that arrived in one bucket of time.
+// Bucket aggregates the requests of a class that arrived in one time bucket.
 type Bucket struct {
-	AtS      float64   `json:"atS"`
-	Offered  int       `json:"offered"`
-	InTime   int       `json:"inTime"`
-	Rejected int       `json:"refused"`
-	Firsts   []float64 `json:"firstTokenMs"`
-	Pauses   []float64 `json:"longestPauseMs"`
+	AtS           float64   `json:"atS"`
+	Offered       int       `json:"offered"`
+	InTime        int       `json:"inTime"`
+	Rejected      int       `json:"refused"`
+	FirstTokenMs  []float64 `json:"firstTokenMs"`
+	MaxTokenGapMs []float64 `json:"longestPauseMs"`
 }
 
-// ClassResult sums the requests of a class. Resumed counts those served after more than one
-// attempt.
+// ClassResult aggregates the requests of a class. Resumed counts those served after more than one attempt.
 type ClassResult struct {
 	Name     string         `json:"name"`
 	Offered  int            `json:"offered"`
@@ -50,18 +49,18 @@
 	Buckets  []Bucket       `json:"buckets"`
 }
 
-// LossResult is what a loss hit, by counts taken just before it, and what followed.
+// LossResult describes what a loss affected, counted just before it, and its effects.
 type LossResult struct {
-	AtS         float64            `json:"atS"`
-	Running     int                `json:"running"`
-	Waiting     int                `json:"waiting"`
-	WarmTokens  map[string]float64 `json:"warmTokens"`
-	WithoutCopy []string           `json:"modelsWithoutCopy"`
+	AtS          float64            `json:"atS"`
+	Running      int                `json:"running"`
+	Waiting      int                `json:"waiting"`
+	CachedTokens map[string]float64 `json:"warmTokens"`
+	WithoutCopy  []string           `json:"modelsWithoutCopy"`
 	// Moving counts the requests that must move, by the class's index.
-	Moving        []int               `json:"requestsMoving"`
-	Forecasts     map[string]Forecast `json:"forecasts,omitempty"`
-	LastCopyBackS float64             `json:"lastCopyBackS"`
-	// MovedTo counts the interrupted requests that went on, by replica.
+	Moving      []int               `json:"requestsMoving"`
+	Forecasts   map[string]Forecast `json:"forecasts,omitempty"`
+	LastReloadS float64             `json:"lastCopyBackS"`
+	// MovedTo counts the interrupted requests that continued, by replica.
 	MovedTo map[string]int `json:"movedTo"`
 	// RegionBound counts the interrupted requests that may run in lost regions only.
 	RegionBound  int      `json:"boundToLost"`
@@ -70,35 +69,35 @@
 	Surviving    []string `json:"replicasLeft"`
 }
 
-// Result is everything observed in a run.
+// Result holds all observations of a run.
 type Result struct {
-	Seed         uint64        `json:"seed"`
-	Classes      []ClassResult `json:"classes"`
-	Samples      []Sample      `json:"samples"`
-	Losses       []LossResult  `json:"losses"`
-	ReadTokens   float64       `json:"readTokens"`
-	CachedTokens float64       `json:"keptTokens"`
-	Forwards     int           `json:"dispatched"`
-	// Violations are broken invariants of the emulation; a sound run has none.
+	Seed          uint64        `json:"seed"`
+	Classes       []ClassResult `json:"classes"`
+	Samples       []Sample      `json:"samples"`
+	Losses        []LossResult  `json:"losses"`
+	PrefillTokens float64       `json:"readTokens"`
+	CachedTokens  float64       `json:"keptTokens"`
+	Forwards      int           `json:"dispatched"`
+	// Violations describes the invariants of the emulation that did not hold; a correct run has none.
 	Violations []string         `json:"faults"`
 	Requests   []RequestOutcome `json:"-"`
 }
 
-// observer gathers the results while a world runs.
+// observer collects the results during a run.
 type observer struct {
-	scenario     Scenario
-	classes      []ClassResult
-	samples      []Sample
-	losses       []LossResult
-	stored       int
-	disk         int
-	readTokens   float64
-	cachedTokens float64
-	forwards     int
-	requests     []RequestOutcome
+	scenario      Scenario
+	classes       []ClassResult
+	samples       []Sample
+	losses        []LossResult
+	storeLoads    int
+	diskLoads     int
+	prefillTokens float64
+	cachedTokens  float64
+	forwards      int
+	requests      []RequestOutcome
 }
 
-// newObserver makes an observer with an empty bucket for every span of the scenario.
+// newObserver returns an observer with an empty bucket for every interval of the scenario.
 func newObserver(scenario Scenario) *observer {
 	o := &observer{scenario: scenario}
 	buckets := int(scenario.LengthS/scenario.BucketS) + 1
@@ -106,9 +105,9 @@
 		result := ClassResult{Name: class.Name, Outcomes: map[string]int{}}
 		for number := range buckets {
 			result.Buckets = append(result.Buckets, Bucket{
-				AtS:    float64(number) * scenario.BucketS,
-				Firsts: []float64{},
-				Pauses: []float64{},
+				AtS:           float64(number) * scenario.BucketS,
+				FirstTokenMs:  []float64{},
+				MaxTokenGapMs: []float64{},
 			})
 		}
 		o.classes = append(o.classes, result)
@@ -116,39 +115,39 @@
 	return o
 }
 
-// promptAdmitted counts the tokens of a prompt that must be read and those that were cached.
+// promptAdmitted counts the tokens of a prompt that must be processed and those that were cached.
 func (o *observer) promptAdmitted(unread, prompt float64) {
-	o.readTokens += unread
+	o.prefillTokens += unread
 	o.cachedTokens += max(prompt-unread, 0)
 }
 
 // loaded counts a load, from the store or from a disk.
 func (o *observer) loaded(stored bool) {
 	if stored {
-		o.stored++
+		o.storeLoads++
 	} else {
-		o.disk++
+		o.diskLoads++
 	}
 }
 
 // forwarded counts a forward to a replica.
 func (o *observer) forwarded() { o.forwards++ }
 
-// inMilliseconds is a length in milliseconds, exact to a microsecond.
-func inMilliseconds(length time.Duration) float64 { return float64(length.Microseconds()) / 1000 }
+// inMilliseconds converts a duration to milliseconds with microsecond resolution.
+func inMilliseconds(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
 
-// requestEnded records how a call went.
+// requestEnded records the outcome of a call.
 func (o *observer) requestEnded(clientCall *call) {
 	class := &o.classes[clientCall.request.Class]
 	bucket := &class.Buckets[min(int(clientCall.request.At.Seconds()/o.scenario.BucketS), len(class.Buckets)-1)]
 	o.requests[clientCall.request.Number] = RequestOutcome{
-		Class:     clientCall.request.Class,
-		AtS:       clientCall.request.At.Seconds(),
-		FirstMs:   clientCall.firstTokenMs(),
-		Outcome:   clientCall.outcome,
-		InTime:    clientCall.inTime(),
-		WaitMs:    clientCall.waitMs,
-		NotLoaded: clientCall.notLoaded,
+		Class:        clientCall.request.Class,
+		AtS:          clientCall.request.At.Seconds(),
+		FirstTokenMs: clientCall.firstTokenMs(),
+		Outcome:      clientCall.outcome,
+		InTime:       clientCall.inTime(),
+		WaitMs:       clientCall.waitMs,
+		NotLoaded:    clientCall.notLoaded,
 	}
 	class.Offered++
 	class.Outcomes[clientCall.outcome]++
@@ -164,14 +163,14 @@
 		class.Resumed++
 	}
 	if clientCall.received > 0 {
-		bucket.Firsts = append(bucket.Firsts, clientCall.firstTokenMs())
-		bucket.Pauses = append(bucket.Pauses, inMilliseconds(clientCall.pause))
+		bucket.FirstTokenMs = append(bucket.FirstTokenMs, clientCall.firstTokenMs())
+		bucket.MaxTokenGapMs = append(bucket.MaxTokenGapMs, inMilliseconds(clientCall.maxEventGap))
 	}
 }
 
 // takeSample records the state of the fleet.
 func (o *observer) takeSample(w *World) {
-	sample := Sample{AtS: w.elapsed().Seconds(), Stored: o.stored, Disk: o.disk, Read: o.readTokens}
+	sample := Sample{AtS: w.elapsed().Seconds(), StoreLoads: o.storeLoads, DiskLoads: o.diskLoads, PrefillTokens: o.prefillTokens}
 	for _, edge := range w.edges {
 		if edge.alive {
 			sample.Waiting += edge.matcher.WaitingCount()
@@ -181,23 +180,23 @@
 		if up := machine.current; up != nil {
 			sample.Queued += len(up.queue)
 			sample.Running += len(up.running)
-			sample.Warm += up.cache.cached
+			sample.CachedTokens += up.cache.cached
 		}
 	}
 	o.samples = append(o.samples, sample)
 }
 
-// result is what was observed so far.
+// result returns the observations so far.
 func (o *observer) result(w *World) Result {
 	return Result{
-		Seed:         o.scenario.Seed,
-		Classes:      o.classes,
-		Samples:      o.samples,
-		Losses:       append([]LossResult{}, o.losses...),
-		ReadTokens:   o.readTokens,
-		CachedTokens: o.cachedTokens,
-		Forwards:     o.forwards,
-		Violations:   append([]string{}, w.violations...),
-		Requests:     o.requests,
+		Seed:          o.scenario.Seed,
+		Classes:       o.classes,
+		Samples:       o.samples,
+		Losses:        append([]LossResult{}, o.losses...),
+		PrefillTokens: o.prefillTokens,
+		CachedTokens:  o.cachedTokens,
+		Forwards:      o.forwards,
+		Violations:    append([]string{}, w.violations...),
+		Requests:      o.requests,
 	}
 }
--- a/internal/sim/emulator/replica.go
+++ b/internal/sim/emulator/replica.go
@@ -10,39 +10,40 @@
 	"ferryspar/internal/sim/emulator/standin"
 )
 
-// machine is a host; its servers follow each other, its disk and speed stay.
+// machine is a host. It runs one server at a time; its disk content and speed outlive the server.
 type machine struct {
 	number      int
 	zone        int
 	phase       discovery.Phase
 	speed       float64
 	incarnation int
-	// onDisk holds the references that the disk has.
-	onDisk   standin.Holdings
+	// onDisk holds the references whose weights are on the local disk.
+	onDisk   standin.ModelSet
 	slowdown float64
-	// current is the server that runs, or nil.
+	// current is the running server, or nil.
 	current *server
 }
 
-// server is one incarnation of a replica.
+// server is one incarnation of a replica, from its start to its death.
 type server struct {
 	world   *World
 	machine *machine
 	id      string
-	// dead servers answer nothing.
+	// dead is set once the server has ended; it then answers nothing.
 	dead bool
-	// dark servers died without closing their connections.
-	dark   bool
-	loaded standin.Holdings
+	// silent is set if the server died without closing its connections.
+	silent bool
+	loaded standin.ModelSet
 	cache  *kvCache
 	queue  []*execution
-	// fetching counts the executions whose memory is on its way; moves go one after another until linkFreeAt.
+	// fetching counts the executions whose KV cache is being transferred to this server. Transfers are
+	// serialized; the link is busy until linkFreeAt.
 	fetching   int
 	linkFreeAt time.Time
 	running    []*execution
 	stepping   bool
 	coldUntil  time.Time
-	// change is the load or unload under way, or nil.
+	// change is the load or unload in progress, or nil.
 	change   *modelChange
 	unlisted bool
 }
@@ -54,7 +55,7 @@
 		world:   w,
 		machine: host,
 		id:      fmt.Sprintf("replica-%03d.%d", host.number, host.incarnation),
-		loaded:  standin.NewHoldings(references...),
+		loaded:  standin.NewModelSet(references...),
 		cache:   newKVCache(w.scenario.Replica.KvCacheTokens),
 	}
 	for _, reference := range references {
@@ -68,7 +69,7 @@
 	return started
 }
 
-// entry is the server as the platform lists it.
+// entry returns the server's entry in the platform's list.
 func (s *server) entry() discovery.Replica {
 	listed := discovery.Replica{
 		ID:      s.id,
@@ -80,28 +81,28 @@
 		Phase:   s.machine.phase,
 		Models:  s.loaded.List(),
 	}
-	if left := s.coldUntil.Sub(s.world.now()); left > 0 {
-		listed.WarmUpRemainingMs = float64(left.Milliseconds())
+	if remaining := s.coldUntil.Sub(s.world.now()); remaining > 0 {
+		listed.WarmUpRemainingMs = float64(remaining.Milliseconds())
 	}
 	return listed
 }
 
-// admission is a replica's immediate answer to a request.
+// admission is a replica's immediate response to a request.
 type admission int
 
 const (
 	admissionQueued admission = iota
 	admissionFull
-	admissionMissing
+	admissionModelMissing
 )
 
-// accept queues an execution, by priority, or returns why not.
+// accept queues an execution by priority, or returns why it is rejected.
 func (s *server) accept(run *execution) admission {
 	if run.ended {
 		return admissionQueued
 	}
 	if !s.loaded[run.model] || run.prefill != (s.machine.phase == discovery.PhasePrefill) {
-		return admissionMissing
+		return admissionModelMissing
 	}
 	if s.change != nil && s.change.touches(run.model) {
 		return admissionFull
@@ -124,14 +125,15 @@
 	return admissionQueued
 }
 
-// enqueue queues an execution by priority.
+// enqueue queues an execution by priority and starts a step if none is running.
 func (s *server) enqueue(run *execution) {
 	s.queue = append(s.queue, run)
 	slices.SortStableFunc(s.queue, func(left, right *execution) int { return cmp.Compare(left.priority, right.priority) })
 	s.startStep()
 }
 
-// startStep begins a step: it admits, reads a chunk of prompts, and emits tokens at the step's end.
+// startStep admits queued executions and starts a batch step, which processes a chunk of prompt tokens and
+// emits tokens at its end.
 func (s *server) startStep() {
 	if s.stepping || s.dead {
 		return
@@ -140,26 +142,26 @@
 	if len(s.running) == 0 {
 		return
 	}
-	budget, read := s.world.scenario.Replica.ChunkTokens, 0.0
+	budget, processed := s.world.scenario.Replica.ChunkTokens, 0.0
 	if s.machine.phase == discovery.PhaseDecode {
 		budget *= decodeChunkShare
 	}
 	for _, run := range s.running {
-		taken := min(run.unreadTokens, budget-read)
-		run.unreadTokens -= taken
-		read += taken
+		chunk := min(run.remainingPrefill, budget-processed)
+		run.remainingPrefill -= chunk
+		processed += chunk
 	}
 	s.stepping = true
-	s.world.events.After(milliseconds(s.stepMs(read)), s.finishStep)
+	s.world.events.After(milliseconds(s.stepMs(processed)), s.finishStep)
 }
 
-// stepMs is the length, in milliseconds, of a step that reads the given number of prompt tokens.
+// stepMs returns the duration, in milliseconds, of a step that processes the given number of prompt tokens.
 func (s *server) stepMs(readTokens float64) float64 {
 	performance := s.world.scenario.Replica
-	decodeMs := performance.StepMs * (1 + performance.Crowding*float64(len(s.running))/float64(performance.Slots))
-	readMs := readTokens / 1000 * performance.ReadMs
+	decodeMs := performance.StepMs * (1 + performance.OccupancyFactor*float64(len(s.running))/float64(performance.Slots))
+	readMs := readTokens / 1000 * performance.PrefillMs
 	if s.machine.phase == discovery.PhaseDecode {
-		readMs *= decodeReadFactor
+		readMs *= decodePrefillSlowdown
 	}
 	length := decodeMs + readMs
 	length *= s.machine.speed * s.machine.slowdown
@@ -169,7 +171,7 @@
 	return length
 }
 
-// finishStep emits a token for every execution whose prompt is read and begins the next step.
+// finishStep emits a token for every execution whose prefill is complete and starts the next step.
 func (s *server) finishStep() {
 	s.stepping = false
 	if s.dead {
@@ -177,15 +179,15 @@
 	}
 	s.world.checkServer(s)
 	for _, run := range slices.Clone(s.running) {
-		if run.ended || run.unreadTokens > 0 {
+		if run.ended || run.remainingPrefill > 0 {
 			continue
 		}
-		if !run.promptRead {
-			run.promptRead = true
+		if !run.promptCompleted {
+			run.promptCompleted = true
 			if !run.prefill {
-				s.world.checkBegin(run)
+				s.world.checkStartedOnce(run)
 			}
-			run.reservedTokens -= s.cache.add(run.model, run.dialogues, run.attempt.call.request.Parts, run.cachedParts)
+			run.reservedTokens -= s.cache.add(run.model, run.prefixHashes, run.attempt.call.request.Parts, run.cachedParts)
 		}
 		if run.prefill {
 			s.hold(run)
--- a/internal/sim/emulator/standin/standin_test.go
+++ b/internal/sim/emulator/standin/standin_test.go
@@ -17,7 +17,7 @@
 	"ferryspar/internal/replica"
 )
 
-func backend() configuration.Backend {
+func testBackend() configuration.Backend {
 	return configuration.Backend{
 		Name: "scribes",
 		Runtime: &configuration.Runtime{
@@ -45,8 +45,8 @@
 	}
 }
 
-func stand(id string, references ...string) *Replica {
-	return NewReplica(discovery.Replica{ID: id, Zone: "east"}, backend(), DefaultPace(), references...)
+func newReplica(id string, references ...string) *Replica {
+	return NewReplica(discovery.Replica{ID: id, Zone: "east"}, testBackend(), DefaultTiming(), references...)
 }
 
 func call(created *Replica, method, path, body string, header map[string]string) *httptest.ResponseRecorder {
@@ -72,7 +72,7 @@
 
 func TestReplica_AnswersOrdersAsDocumented(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		created := stand("r-1", "swift")
+		created := newReplica("r-1", "swift")
 		assert.Equal(t, order(created, replica.OperationLoad, "rare", "", 5), http.StatusAccepted)
 		assert.Equal(t, order(created, replica.OperationLoad, "swift", "a1", 5), http.StatusConflict)
 		assert.Equal(t, order(created, replica.OperationLoad, "swift", "", 5), http.StatusOK)
@@ -84,7 +84,7 @@
 		assert.NilError(t, json.Unmarshal(call(created, http.MethodGet, "/ferryspar/report", "", nil).Body.Bytes(), &state))
 		assert.Equal(t, len(state.Models), 2)
 		assert.Equal(t, state.Sequence, int64(1))
-		assert.Equal(t, order(created, replica.OperationLoad, "other", "", 5), http.StatusBadRequest, "beyond its room")
+		assert.Equal(t, order(created, replica.OperationLoad, "other", "", 5), http.StatusBadRequest, "the model exceeds the capacity")
 		assert.Equal(t, order(created, replica.OperationUnload, "swift", "", 5), http.StatusAccepted)
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, len(created.Entry().Models), 1)
@@ -93,7 +93,7 @@
 
 func TestReplica_ServesOrProvesNotExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		created := stand("r-1", "swift")
+		created := newReplica("r-1", "swift")
 		header := func(model, target string) map[string]string {
 			return map[string]string{
 				replica.HeaderAttemptID:     "try",
@@ -111,7 +111,7 @@
 		assert.Assert(t, full.Header().Get(replica.HeaderNotExecuted) != "")
 		served := <-done
 		assert.Equal(t, served.Code, http.StatusOK)
-		assert.Equal(t, strings.Count(served.Body.String(), "id:"), 3, "events after the last one seen")
+		assert.Equal(t, strings.Count(served.Body.String(), "id:"), 3, "only events after the last one received must be sent")
 		assert.Equal(t, served.Header().Get(replica.HeaderAttemptID), "try")
 		assert.Assert(t, strings.HasPrefix(served.Header().Get(replica.HeaderSeal), "r-1."))
 		assert.Equal(t, call(created, http.MethodPost, "/any", "", header("rare", "r-1")).Code, http.StatusMisdirectedRequest)
@@ -121,7 +121,7 @@
 }
 
 func TestPlatform_ListIsReadCompletely(t *testing.T) {
-	list := &List{PageSize: 2, Replicas: []*Replica{stand("r-1"), stand("r-2"), stand("r-3")}}
+	list := &List{PageSize: 2, Replicas: []*Replica{newReplica("r-1"), newReplica("r-2"), newReplica("r-3")}}
 	server := httptest.NewServer(list)
 	defer server.Close()
 	reader := &discovery.Client{Address: strings.TrimPrefix(server.URL, "http://"), HTTPClient: server.Client()}
