--- a/cmd/ferryspar-emulator/applications.go
+++ b/cmd/ferryspar-emulator/applications.go
@@ -33,17 +33,17 @@
 // Execute runs the applications and prints the report. It returns an error if a guarantee was violated.
 func (a *applicationsCommand) Execute([]string) error {
 	report, err := applications.Run(signalContext, applications.Options{
-		Addresses: a.Addresses,
-		Callers:   a.Callers,
-		PerSecond: a.RatePerS,
-		Duration:  a.Duration,
-		Locks:     a.Locks,
-		Counters:  a.Counters,
-		Keys:      a.Keys,
-		Watches:   a.Watches,
-		Hold:      a.Hold,
-		Name:      a.NamePrefix,
-		Seed:      a.Seed,
+		Addresses:    a.Addresses,
+		Callers:      a.Callers,
+		CallsPerS:    a.RatePerS,
+		Duration:     a.Duration,
+		Locks:        a.Locks,
+		Counters:     a.Counters,
+		Keys:         a.Keys,
+		Watches:      a.Watches,
+		LockDuration: a.Hold,
+		NamePrefix:   a.NamePrefix,
+		Seed:         a.Seed,
 	}, &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost, DisableCompression: true})
 	if err != nil {
 		return err
@@ -53,8 +53,8 @@
 	} else {
 		err = report.Print(os.Stdout)
 	}
-	if err == nil && len(report.Faults) > 0 {
-		err = errors.Errorf("%d guarantees violated", len(report.Faults))
+	if err == nil && len(report.Violations) > 0 {
+		err = errors.Errorf("%d guarantees violated", len(report.Violations))
 	}
 	return err
 }
--- a/cmd/ferryspar-hollow/main.go
+++ b/cmd/ferryspar-hollow/main.go
@@ -136,7 +136,7 @@
 			return nil, errors.Wrapf(err, "--trouble %s", failure)
 		}
 	}
-	target := hollow.Target{Data: o.Target, Replicas: o.Replicas, Models: o.Models, Adapters: o.Adapters, Routes: o.Routes}
+	target := hollow.FullSize{DataPlanes: o.Target, Replicas: o.Replicas, Models: o.Models, Adapters: o.Adapters, Routes: o.Routes}
 	var plans []hollow.Plan
 	for _, text := range strings.Split(o.Sizes, ",") {
 		size, err := strconv.Atoi(strings.TrimSpace(text))
@@ -164,19 +164,19 @@
 	for _, plan := range plans {
 		bounded, cancel := context.WithTimeout(ctx, seconds(o.TimeoutSeconds))
 		result, err := hollow.Run(bounded, plan, hollow.Options{
-			Window:        seconds(o.WindowSeconds),
-			Settle:        seconds(o.SettleSeconds),
-			Fill:          seconds(o.FillSeconds),
-			Calm:          stableAfter,
-			ChangeEach:    seconds(o.ChangeSeconds),
-			MemoryMb:      o.MemoryMb,
-			Failures:      o.Failures,
-			FailureLength: seconds(o.FailureSeconds),
-			Progress:      os.Stderr,
+			Window:         seconds(o.WindowSeconds),
+			SettleTime:     seconds(o.SettleSeconds),
+			FillTimeout:    seconds(o.FillSeconds),
+			StableAfter:    stableAfter,
+			ChangeInterval: seconds(o.ChangeSeconds),
+			MemoryMb:       o.MemoryMb,
+			Failures:       o.Failures,
+			FailureLength:  seconds(o.FailureSeconds),
+			Progress:       os.Stderr,
 		})
 		cancel()
 		if err != nil {
-			return results, errors.Wrapf(err, "run with %d data planes", plan.Data)
+			return results, errors.Wrapf(err, "run with %d data planes", plan.DataPlanes)
 		}
 		results = append(results, result)
 	}
--- a/cmd/ferryspar-hollow/slopes.go
+++ b/cmd/ferryspar-hollow/slopes.go
@@ -21,7 +21,7 @@
 		return cli.ExitFailed
 	}
 	defer file.Close()
-	slopes, err := hollow.ReadBench(file)
+	slopes, err := hollow.ReadBenchmarks(file)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "ferryspar-hollow:", err)
 		return cli.ExitFailed
@@ -30,7 +30,7 @@
 		_ = json.NewEncoder(os.Stdout).Encode(slopes)
 		return cli.ExitSuccess
 	}
-	hollow.PrintBench(os.Stdout, slopes)
+	hollow.PrintBenchmarks(os.Stdout, slopes)
 	return cli.ExitSuccess
 }
 
--- a/internal/sim/applications/applications.go
+++ b/internal/sim/applications/applications.go
@@ -17,17 +17,17 @@
 type Options struct {
 	// Addresses are those of control planes (host:port).
 	Addresses []string
-	// Callers is how many applications call, PerSecond how many calls they make together in a second.
+	// Callers is how many applications call, CallsPerS how many calls they make together in a second.
 	Callers   int
-	PerSecond float64
+	CallsPerS float64
 	// Duration is how long they call.
 	Duration time.Duration
 	// Locks, Counters, Keys and Watches are how many there are of each. Keys belong to one group.
 	Locks, Counters, Keys, Watches int
-	// Hold is how long a lock is held without a renewal.
-	Hold time.Duration
-	// Name begins the names of locks, counters and keys, so that runs do not meet.
-	Name string
+	// LockDuration is how long a lock is held without a renewal.
+	LockDuration time.Duration
+	// NamePrefix begins the names of locks, counters and keys, so that runs do not meet.
+	NamePrefix string
 	// Seed draws what is called when.
 	Seed uint64
 }
@@ -45,7 +45,7 @@
 
 // Run plays applications until the duration is over, and returns what they saw.
 func Run(ctx context.Context, options Options, transport http.RoundTripper) (Report, error) {
-	if options.Callers < 1 || options.PerSecond <= 0 || min(options.Locks, options.Counters, options.Keys) < 1 {
+	if options.Callers < 1 || options.CallsPerS <= 0 || min(options.Locks, options.Counters, options.Keys) < 1 {
 		return Report{}, errors.New("callers, rate, locks, counters and keys must be above 0")
 	}
 	r := &run{
@@ -75,7 +75,7 @@
 	return r.results.report(options, r.checks), nil
 }
 
-func (r *run) group() string { return r.options.Name + "-keys." }
+func (r *run) group() string { return r.options.NamePrefix + "-keys." }
 
 // putFirst writes the first key of the group, and returns the revision from which watches begin.
 func (r *run) putFirst(ctx context.Context) (uint64, error) {
@@ -107,7 +107,7 @@
 // runCaller makes calls at the caller's part of the rate.
 func (r *run) runCaller(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)))
-	interval := time.Duration(float64(r.options.Callers) / r.options.PerSecond * float64(time.Second))
+	interval := time.Duration(float64(r.options.Callers) / r.options.CallsPerS * float64(time.Second))
 	for turn := 0; ctx.Err() == nil; turn++ {
 		began := time.Now()
 		calls := r.makeCalls(ctx, random, number, turn)
@@ -136,10 +136,10 @@
 
 // holdLock takes a lock, renews it once and gives it back.
 func (r *run) holdLock(ctx context.Context, random *rand.Rand, number int) int {
-	lock := fmt.Sprintf("%s-lock-%d", r.options.Name, random.IntN(r.options.Locks))
+	lock := fmt.Sprintf("%s-lock-%d", r.options.NamePrefix, random.IntN(r.options.Locks))
 	var hold *coordinationclient.Lock
 	err := r.results.measure("acquire", func() (err error) {
-		hold, err = r.client.Acquire(ctx, lock, fmt.Sprintf("%s-%d", r.options.Name, number), r.options.Hold)
+		hold, err = r.client.Acquire(ctx, lock, fmt.Sprintf("%s-%d", r.options.NamePrefix, number), r.options.LockDuration)
 		return err
 	})
 	if err != nil {
@@ -153,7 +153,7 @@
 }
 
 func (r *run) drawNumber(ctx context.Context, random *rand.Rand) {
-	counter := fmt.Sprintf("%s-number-%d", r.options.Name, random.IntN(r.options.Counters))
+	counter := fmt.Sprintf("%s-number-%d", r.options.NamePrefix, random.IntN(r.options.Counters))
 	floor := r.checks.highest(counter)
 	_ = r.results.measure("next", func() error {
 		value, err := r.client.Next(ctx, counter)
--- a/internal/sim/applications/report.go
+++ b/internal/sim/applications/report.go
@@ -15,11 +15,11 @@
 
 // Report is what a play measured.
 type Report struct {
-	// PerSecond is how many calls were answered in a second.
-	PerSecond  float64         `json:"perSecond"`
+	// CallsPerS is how many calls were answered in a second.
+	CallsPerS  float64         `json:"perSecond"`
 	Operations []OperationStat `json:"operations"`
-	// Faults are promises that were broken.
-	Faults []string `json:"faults"`
+	// Violations are promises that were broken.
+	Violations []string `json:"faults"`
 }
 
 // OperationStat is one operation's part.
@@ -30,10 +30,10 @@
 	Answered int `json:"answered"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
-	// HalfMs, MostMs and MaxMs are the times in ms within which half, 99 in 100 and all clear answers came.
-	HalfMs float64 `json:"halfMs"`
-	MostMs float64 `json:"mostMs"`
-	MaxMs  float64 `json:"maxMs"`
+	// MedianMs, P99Ms and MaxMs are the times in ms within which half, 99 in 100 and all clear answers came.
+	MedianMs float64 `json:"halfMs"`
+	P99Ms    float64 `json:"mostMs"`
+	MaxMs    float64 `json:"maxMs"`
 	// LastError is the last failure.
 	LastError string `json:"lastError,omitempty"`
 }
@@ -93,19 +93,19 @@
 	defer r.lock.Unlock()
 	checked.lock.Lock()
 	defer checked.lock.Unlock()
-	report := Report{Faults: append([]string{}, checked.faults...)}
+	report := Report{Violations: append([]string{}, checked.faults...)}
 	answered := 0
 	for name, stat := range r.stats {
 		durations := r.durations[name]
 		slices.Sort(durations)
-		stat.HalfMs, stat.MostMs, stat.MaxMs = quantileMs(durations, 0.5), quantileMs(durations, 0.99), quantileMs(durations, 1)
+		stat.MedianMs, stat.P99Ms, stat.MaxMs = quantileMs(durations, 0.5), quantileMs(durations, 0.99), quantileMs(durations, 1)
 		report.Operations = append(report.Operations, *stat)
 		answered += stat.Answered
 	}
 	slices.SortFunc(report.Operations, func(left, right OperationStat) int {
 		return int(right.Answered) - int(left.Answered)
 	})
-	report.PerSecond = float64(answered) / options.Duration.Seconds()
+	report.CallsPerS = float64(answered) / options.Duration.Seconds()
 	return report
 }
 
@@ -118,17 +118,17 @@
 
 // Print writes the report as a table.
 func (r Report) Print(target io.Writer) error {
-	fmt.Fprintf(target, "%.1f calls a second\n", r.PerSecond)
+	fmt.Fprintf(target, "%.1f calls a second\n", r.CallsPerS)
 	writer := tabwriter.NewWriter(target, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(writer, "operation\tanswered\trefused\tfailed\thalf ms\t99% ms\tmax ms\tlast error")
 	for _, stat := range r.Operations {
 		fmt.Fprintf(writer, "%s\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%s\n",
-			stat.Name, stat.Answered, stat.Refused, stat.Failed, stat.HalfMs, stat.MostMs, stat.MaxMs, stat.LastError)
+			stat.Name, stat.Answered, stat.Refused, stat.Failed, stat.MedianMs, stat.P99Ms, stat.MaxMs, stat.LastError)
 	}
 	if err := writer.Flush(); err != nil {
 		return err
 	}
-	for _, fault := range r.Faults {
+	for _, fault := range r.Violations {
 		fmt.Fprintln(target, "BROKEN:", fault)
 	}
 	return nil
--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -19,15 +19,15 @@
 	Figure string `json:"figure"`
 	Method string `json:"method"`
 	// Size is how many times larger than the file's the fleet is.
-	Size     int       `json:"size"`
-	Truth    []float64 `json:"truth"`
-	Forecast []float64 `json:"forecast"`
-	Error    Estimate  `json:"error"`
-	Absolute Estimate  `json:"absoluteError"`
-	Mean     Estimate  `json:"meanTruth"`
-	// Relative is the absolute error over the mean truth, or nil if that is 0.
-	Relative *Estimate `json:"relativeError,omitempty"`
-	Flags    []string  `json:"flags,omitempty"`
+	Size          int       `json:"size"`
+	Truth         []float64 `json:"truth"`
+	Forecast      []float64 `json:"forecast"`
+	Error         Estimate  `json:"error"`
+	AbsoluteError Estimate  `json:"absoluteError"`
+	MeanTruth     Estimate  `json:"meanTruth"`
+	// RelativeError is the absolute error over the mean truth, or nil if that is 0.
+	RelativeError *Estimate `json:"relativeError,omitempty"`
+	Flags         []string  `json:"flags,omitempty"`
 }
 
 const (
@@ -62,17 +62,17 @@
 	to io.Writer,
 ) ([]Comparison, error) {
 	var found []Comparison
-	if len(configuration.Built[0].Losses) == 0 {
+	if len(configuration.Scenarios[0].Losses) == 0 {
 		return nil, errors.New("the first variant names no loss to forecast")
 	}
 	for _, size := range sizes {
 		fmt.Fprintf(to, "fleet size %d: %d seeds, each with and without the loss\n", size, configuration.Seeds)
-		lost := scaled(configuration.Built[0], size)
+		lost := scaled(configuration.Scenarios[0], size)
 		spared := lost
 		spared.Losses = nil
 		pair := configuration
 		pair.Variants = []Variant{{Name: "lost"}, {Name: "spared"}}
-		pair.Built = []emulator.Scenario{lost, spared}
+		pair.Scenarios = []emulator.Scenario{lost, spared}
 		all, err := run(ctx, pair, atOnce, to, forecasters)
 		if err != nil {
 			return nil, err
@@ -83,7 +83,7 @@
 }
 
 // compare compares every figure that the runs with the loss (first) and without it have.
-func (c Configuration) compare(all []Runs, size int, methods []string) []Comparison {
+func (c Configuration) compare(all []VariantRuns, size int, methods []string) []Comparison {
 	var names []string
 	truths := map[string][]float64{}
 	seeds := map[string][]int{}
@@ -171,7 +171,7 @@
 	found = append(found, placementFigures(lost, end)...)
 	for number, class := range lost.Classes {
 		found = append(found, c.firstTokenFigures(lost, spared, number)...)
-		slowdown := slowdownFigures(lost, spared, number, c.Built[0].Classes[number].LatencyTargetMs, period{fromS: loss.AtS, toS: end})
+		slowdown := slowdownFigures(lost, spared, number, c.Scenarios[0].Classes[number].LatencyTargetMs, period{fromS: loss.AtS, toS: end})
 		for _, measured := range slowdown {
 			found = append(found, measurement{class.Name + measured.name, measured.value})
 		}
--- a/internal/sim/experiment/compare_test.go
+++ b/internal/sim/experiment/compare_test.go
@@ -36,7 +36,7 @@
 	assert.Equal(t, sound[name].Error.Mean, 0.0)
 	assert.Equal(t, broken[name].Error.Mean, 5.0)
 	moving := sound["tried "+emulator.FigureMoving]
-	assert.Assert(t, moving.Absolute.Mean <= max(moving.Mean.Mean, 4), "%+v", moving)
+	assert.Assert(t, moving.AbsoluteError.Mean <= max(moving.MeanTruth.Mean, 4), "%+v", moving)
 	assert.Equal(t, len(sound[MethodOtherSeeds+" quick: share slowed"].Truth), 3)
 }
 
@@ -44,7 +44,7 @@
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
 	played := func(forecaster emulator.Forecaster) string {
-		world, err := emulator.NewWorld(read.Built[0])
+		world, err := emulator.NewWorld(read.Scenarios[0])
 		assert.NilError(t, err)
 		if forecaster != nil {
 			world.Forecasters = map[string]emulator.Forecaster{"tried": forecaster}
@@ -62,7 +62,7 @@
 func TestCompare_NothingToForecastWithoutLoss(t *testing.T) {
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
-	read.Built[0].Losses = nil
+	read.Scenarios[0].Losses = nil
 	_, err = CompareForecasts(t.Context(), read, []int{1}, map[string]emulator.Forecaster{"tried": emulator.CountByLoad}, 1, io.Discard)
 	assert.ErrorContains(t, err, "no loss")
 }
--- a/internal/sim/experiment/configuration.go
+++ b/internal/sim/experiment/configuration.go
@@ -18,26 +18,26 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-// Configuration is an experiment as its file gives it. Variants change parts of the scenario; Built
+// Configuration is an experiment as its file gives it. Variants change parts of the scenario; Scenarios
 // are the scenarios that result, in the variants' sequence.
 type Configuration struct {
-	Name      string `koanf:"name"`
-	About     string `koanf:"about"`
-	Seeds     int    `koanf:"seeds"`
-	FirstSeed uint64 `koanf:"firstSeed"`
+	Name        string `koanf:"name"`
+	Description string `koanf:"about"`
+	Seeds       int    `koanf:"seeds"`
+	FirstSeed   uint64 `koanf:"firstSeed"`
 	// AfterS is how many seconds after the loss its period lasts.
 	AfterS float64 `koanf:"afterS"`
-	// BeforeS is how many seconds before the loss requests count as caught by it.
-	BeforeS  float64             `koanf:"flightS"`
-	Scenario map[string]any      `koanf:"scenario"`
-	Variants []Variant           `koanf:"variants"`
-	Built    []emulator.Scenario `koanf:"-"`
+	// InFlightS is how many seconds before the loss requests count as caught by it.
+	InFlightS float64             `koanf:"flightS"`
+	Scenario  map[string]any      `koanf:"scenario"`
+	Variants  []Variant           `koanf:"variants"`
+	Scenarios []emulator.Scenario `koanf:"-"`
 }
 
 // Variant names values of the scenario that it sets otherwise, by dotted key.
 type Variant struct {
-	Name string         `koanf:"name"`
-	Set  map[string]any `koanf:"set"`
+	Name      string         `koanf:"name"`
+	Overrides map[string]any `koanf:"set"`
 }
 
 const (
@@ -60,7 +60,7 @@
 
 // Parse reads an experiment in TOML and builds its variants; an error says what is wrong.
 func Parse(content []byte) (Configuration, error) {
-	read := Configuration{Seeds: defaultSeeds, FirstSeed: 1, AfterS: defaultAfter, BeforeS: defaultFlight}
+	read := Configuration{Seeds: defaultSeeds, FirstSeed: 1, AfterS: defaultAfter, InFlightS: defaultFlight}
 	tree := koanf.New(".")
 	if err := tree.Load(rawbytes.Provider(content), toml.Parser()); err != nil {
 		return read, errors.Wrap(err, "cannot be read")
@@ -74,7 +74,7 @@
 	if read.Seeds < 1 || read.Seeds > mostSeeds {
 		return read, errors.Errorf("seeds must lie between 1 and %d", mostSeeds)
 	}
-	if read.AfterS <= 0 || read.BeforeS < 0 {
+	if read.AfterS <= 0 || read.InFlightS < 0 {
 		return read, errors.New("afterS must be above 0, flightS at least 0")
 	}
 	if len(read.Variants) == 0 {
@@ -90,7 +90,7 @@
 		if err != nil {
 			return read, errors.Wrapf(err, "variant %q", variant.Name)
 		}
-		read.Built = append(read.Built, built)
+		read.Scenarios = append(read.Scenarios, built)
 	}
 	return read, nil
 }
@@ -103,7 +103,7 @@
 		return scenario, err
 	}
 	changes := koanf.New(".")
-	if err := changes.Load(confmap.Provider(variant.Set, "."), nil); err != nil {
+	if err := changes.Load(confmap.Provider(variant.Overrides, "."), nil); err != nil {
 		return scenario, err
 	}
 	for _, key := range changes.Keys() {
--- a/internal/sim/experiment/experiment_test.go
+++ b/internal/sim/experiment/experiment_test.go
@@ -51,7 +51,7 @@
 func TestConfiguration_VariantsChangeOnlyWhatTheyName(t *testing.T) {
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
-	given, spare := read.Built[0], read.Built[1]
+	given, spare := read.Scenarios[0], read.Scenarios[1]
 	assert.Equal(t, given.Parameters.QualityWeight, 0.6)
 	assert.Equal(t, spare.Parameters.QualityWeight, 0.8)
 	assert.Equal(t, spare.Parameters.BatchWait.String(), "5ms")
@@ -121,6 +121,6 @@
 func TestSummary_UsesStudentsInterval(t *testing.T) {
 	found := estimate([]float64{1, 2, 3, 4})
 	assert.Equal(t, found.Mean, 2.5)
-	assert.Assert(t, math.Abs(found.Half-2.0543) < 0.001, "%f", found.Half)
+	assert.Assert(t, math.Abs(found.HalfWidth-2.0543) < 0.001, "%f", found.HalfWidth)
 	assert.Equal(t, estimate([]float64{7}), Estimate{Mean: 7})
 }
--- a/internal/sim/experiment/figures.go
+++ b/internal/sim/experiment/figures.go
@@ -14,8 +14,8 @@
 // interval by Student's distribution.
 type Estimate struct {
 	Mean      float64 `json:"mean"`
-	Deviation float64 `json:"deviation"`
-	Half      float64 `json:"half95"`
+	StdDev    float64 `json:"deviation"`
+	HalfWidth float64 `json:"half95"`
 }
 
 // Figure is a figure of a variant, a value for each seed. Difference is the paired difference to
@@ -38,7 +38,7 @@
 	mean, deviation := stat.MeanStdDev(values, nil)
 	student := distuv.StudentsT{Sigma: 1, Nu: float64(len(values) - 1)}
 	half := student.Quantile(0.5+confidence/2) * stat.StdErr(deviation, float64(len(values)))
-	return Estimate{Mean: mean, Deviation: deviation, Half: half}
+	return Estimate{Mean: mean, StdDev: deviation, HalfWidth: half}
 }
 
 // newHistogram holds microseconds up to ten minutes.
@@ -68,12 +68,12 @@
 
 // periods are those that the first variant's first loss divides the run into.
 func (c Configuration) periods() []period {
-	scenario := c.Built[0]
+	scenario := c.Scenarios[0]
 	if len(scenario.Losses) == 0 {
 		return []period{{"whole", scenario.WarmS, scenario.LengthS}}
 	}
 	loss := scenario.Losses[0].AtS
-	caught := max(loss-c.BeforeS, 0)
+	caught := max(loss-c.InFlightS, 0)
 	return []period{
 		{"before", scenario.WarmS, caught}, {"caught", caught, loss},
 		{"loss", loss, loss + c.AfterS}, {"after", loss + c.AfterS, scenario.LengthS},
--- a/internal/sim/experiment/foretold_test.go
+++ b/internal/sim/experiment/foretold_test.go
@@ -32,13 +32,13 @@
 	for _, name := range []string{emulator.FigurePlaced, emulator.FigureInterrupted, perReplicaOf} {
 		correct := byName["sound "+name]
 		broken := byName["broken "+name]
-		assert.Assert(t, correct.Mean.Mean > 0, name)
+		assert.Assert(t, correct.MeanTruth.Mean > 0, name)
 		assert.Assert(t, !slices.Contains(correct.Flags, flagBiased), "%s: %+v", name, correct)
 		assert.Assert(t, slices.Contains(broken.Flags, flagBiased), "%s: %+v", name, broken)
-		assert.Assert(t, correct.Absolute.Mean < broken.Absolute.Mean, name)
+		assert.Assert(t, correct.AbsoluteError.Mean < broken.AbsoluteError.Mean, name)
 	}
 	warm := byName["broken "+emulator.FigureWarm]
-	assert.Equal(t, warm.Relative.Mean, 1.0)
+	assert.Equal(t, warm.RelativeError.Mean, 1.0)
 	assert.DeepEqual(t, warm.Flags, []string{flagBiased, flagWorse})
 	names := []string{
 		emulator.ThenMissed + overPeriod + "the first 5 s",
--- a/internal/sim/experiment/run.go
+++ b/internal/sim/experiment/run.go
@@ -12,8 +12,8 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-// Runs are the results of a variant, one for each seed.
-type Runs struct {
+// VariantRuns are the results of a variant, one for each seed.
+type VariantRuns struct {
 	Variant string            `json:"variant"`
 	Results []emulator.Result `json:"results"`
 }
@@ -47,7 +47,7 @@
 
 // Run plays every variant with every seed, so many at once, and prints progress. It fails if the
 // context ends or a world cannot be built.
-func Run(ctx context.Context, configuration Configuration, atOnce int, to io.Writer) ([]Runs, error) {
+func Run(ctx context.Context, configuration Configuration, atOnce int, to io.Writer) ([]VariantRuns, error) {
 	return run(ctx, configuration, atOnce, to, nil)
 }
 
@@ -58,8 +58,8 @@
 	atOnce int,
 	to io.Writer,
 	forecasters map[string]emulator.Forecaster,
-) ([]Runs, error) {
-	all := make([]Runs, len(configuration.Variants))
+) ([]VariantRuns, error) {
+	all := make([]VariantRuns, len(configuration.Variants))
 	shown := &progress{to: to, began: time.Now(), total: len(configuration.Variants) * configuration.Seeds}
 	places := make(chan struct{}, max(atOnce, 1))
 	failures := make(chan error, shown.total)
@@ -67,12 +67,12 @@
 	for seed := range configuration.Seeds {
 		for number, variant := range configuration.Variants {
 			if seed == 0 {
-				all[number] = Runs{Variant: variant.Name, Results: make([]emulator.Result, configuration.Seeds)}
+				all[number] = VariantRuns{Variant: variant.Name, Results: make([]emulator.Result, configuration.Seeds)}
 			}
 			if ctx.Err() != nil {
 				break
 			}
-			scenario := configuration.Built[number]
+			scenario := configuration.Scenarios[number]
 			scenario.Seed = configuration.FirstSeed + uint64(seed)
 			target := &all[number].Results[seed]
 			places <- struct{}{}
--- a/internal/sim/experiment/summary.go
+++ b/internal/sim/experiment/summary.go
@@ -28,28 +28,28 @@
 
 // Summary is the outcome of an experiment.
 type Summary struct {
-	Name      string           `json:"name"`
-	About     string           `json:"about"`
-	Emulated  bool             `json:"emulated"`
-	Seeds     int              `json:"seeds"`
-	FirstSeed uint64           `json:"firstSeed"`
-	Losses    []emulator.Loss  `json:"losses"`
-	Variants  []VariantSummary `json:"variants"`
+	Name        string           `json:"name"`
+	Description string           `json:"about"`
+	Emulated    bool             `json:"emulated"`
+	Seeds       int              `json:"seeds"`
+	FirstSeed   uint64           `json:"firstSeed"`
+	Losses      []emulator.Loss  `json:"losses"`
+	Variants    []VariantSummary `json:"variants"`
 }
 
 // Summarize sums the runs up, with differences to the first variant.
-func Summarize(configuration Configuration, all []Runs) Summary {
+func Summarize(configuration Configuration, all []VariantRuns) Summary {
 	summary := Summary{
-		Name:      configuration.Name,
-		About:     configuration.About,
-		Emulated:  true,
-		Seeds:     configuration.Seeds,
-		FirstSeed: configuration.FirstSeed,
-		Losses:    configuration.Built[0].Losses,
+		Name:        configuration.Name,
+		Description: configuration.Description,
+		Emulated:    true,
+		Seeds:       configuration.Seeds,
+		FirstSeed:   configuration.FirstSeed,
+		Losses:      configuration.Scenarios[0].Losses,
 	}
 	var first map[string][]float64
 	for number, runs := range all {
-		scenario := configuration.Built[number]
+		scenario := configuration.Scenarios[number]
 		names, values := gather(runs.Results, configuration.periods())
 		if first == nil {
 			first = values
--- a/internal/sim/experiment/truth.go
+++ b/internal/sim/experiment/truth.go
@@ -31,16 +31,16 @@
 
 // withErrors adds the estimates from the absolute errors.
 func (j Comparison) withErrors(absolute []float64) Comparison {
-	j.Absolute, j.Mean = estimate(absolute), estimate(j.Truth)
-	if j.Mean.Mean == 0 {
+	j.AbsoluteError, j.MeanTruth = estimate(absolute), estimate(j.Truth)
+	if j.MeanTruth.Mean == 0 {
 		return j
 	}
 	relative := make([]float64, len(absolute))
 	for index, value := range absolute {
-		relative[index] = value / math.Abs(j.Mean.Mean)
+		relative[index] = value / math.Abs(j.MeanTruth.Mean)
 	}
 	measured := estimate(relative)
-	j.Relative = &measured
+	j.RelativeError = &measured
 	return j
 }
 
@@ -53,7 +53,7 @@
 
 // withFlags adds the flags; base, if given, is the forecast by the other seeds.
 func (j Comparison) withFlags(base *Comparison) Comparison {
-	if math.Abs(j.Error.Mean) > j.Error.Half {
+	if math.Abs(j.Error.Mean) > j.Error.HalfWidth {
 		j.Flags = append(j.Flags, flagBiased)
 	}
 	if base == nil {
@@ -63,7 +63,7 @@
 	for index, truth := range j.Truth {
 		further[index] = math.Abs(j.Forecast[index]-truth) - math.Abs(base.Forecast[index]-truth)
 	}
-	if difference := estimate(further); difference.Mean > difference.Half {
+	if difference := estimate(further); difference.Mean > difference.HalfWidth {
 		j.Flags = append(j.Flags, flagWorse)
 	}
 	return j
@@ -133,7 +133,7 @@
 // firstTokenFigures are a class's shares and first tokens before and after the loss.
 func (c Configuration) firstTokenFigures(lost, spared emulator.Result, number int) []measurement {
 	at := lost.Losses[0].AtS
-	class := c.Built[0].Classes[number]
+	class := c.Scenarios[0].Classes[number]
 	var found []measurement
 	add := func(name, during string, value float64) {
 		if !math.IsNaN(value) {
@@ -146,7 +146,7 @@
 	if len(class.AllowedRegions) > 0 {
 		add(emulator.ThenRegionBound, duringFirst, share(first.unserved, first.sent))
 	}
-	before := countWindow(spared, class, number, at-c.BeforeS, at)
+	before := countWindow(spared, class, number, at-c.InFlightS, at)
 	rest := countWindow(lost, class, number, at+emulator.FirstPhaseS, at+c.AfterS)
 	for _, window := range []struct {
 		during string
--- a/internal/sim/experiment/write.go
+++ b/internal/sim/experiment/write.go
@@ -40,9 +40,9 @@
 		return "-"
 	}
 	figure := v.Figures[index]
-	text := number(figure.Estimate.Mean) + " ± " + number(figure.Estimate.Half)
+	text := number(figure.Estimate.Mean) + " ± " + number(figure.Estimate.HalfWidth)
 	if figure.Difference != nil {
-		text += fmt.Sprintf(" (%s ± %s)", signed(figure.Difference.Mean), number(figure.Difference.Half))
+		text += fmt.Sprintf(" (%s ± %s)", signed(figure.Difference.Mean), number(figure.Difference.HalfWidth))
 	}
 	return text
 }
@@ -67,7 +67,7 @@
 }
 
 // Write writes the summary, its table and its plots into the folder, with all runs if raw is set.
-func (s Summary) Write(folder string, all []Runs, raw bool) error {
+func (s Summary) Write(folder string, all []VariantRuns, raw bool) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Wrap(err, "results")
 	}
@@ -102,13 +102,13 @@
 	fmt.Fprintln(table, "size\tfigure\tmethod\ttruth\terror\tabsolute error\trelative error\tflags")
 	for _, comparison := range found {
 		fmt.Fprintf(table, "%d\t%s\t%s", comparison.Size, comparison.Figure, comparison.Method)
-		for _, shown := range []Estimate{comparison.Mean, comparison.Error, comparison.Absolute} {
-			fmt.Fprintf(table, "\t%s ± %s", number(shown.Mean), number(shown.Half))
+		for _, shown := range []Estimate{comparison.MeanTruth, comparison.Error, comparison.AbsoluteError} {
+			fmt.Fprintf(table, "\t%s ± %s", number(shown.Mean), number(shown.HalfWidth))
 		}
-		if comparison.Relative == nil {
+		if comparison.RelativeError == nil {
 			fmt.Fprint(table, "\t-")
 		} else {
-			fmt.Fprintf(table, "\t%.0f%% ± %.0f%%", 100*comparison.Relative.Mean, 100*comparison.Relative.Half)
+			fmt.Fprintf(table, "\t%.0f%% ± %.0f%%", 100*comparison.RelativeError.Mean, 100*comparison.RelativeError.HalfWidth)
 		}
 		fmt.Fprintf(table, "\t%s\n", strings.Join(comparison.Flags, ", "))
 	}
--- a/internal/sim/hollow/bench.go
+++ b/internal/sim/hollow/bench.go
@@ -13,11 +13,11 @@
 	"github.com/pkg/errors"
 )
 
-// BenchSlope is how a benchmark's figure grows along a size, fitted as a power: value = factor ×
+// BenchmarkFit is how a benchmark's figure grows along a size, fitted as a power: value = factor ×
 // size^Exponent. Fit is the R² of the logarithms.
-type BenchSlope struct {
+type BenchmarkFit struct {
 	Benchmark string    `json:"benchmark"`
-	Along     string    `json:"along"`
+	SizeName  string    `json:"along"`
 	Figure    string    `json:"figure"`
 	Sizes     []float64 `json:"sizes"`
 	Values    []float64 `json:"values"`
@@ -32,9 +32,9 @@
 	benchUnits = []string{"ns/op", "B/op", "bytes/message", "bytes/answer"}
 )
 
-// ReadBench reads the output of go test -bench and fits every benchmark that has sizes; it fails if
+// ReadBenchmarks reads the output of go test -bench and fits every benchmark that has sizes; it fails if
 // there is none.
-func ReadBench(input io.Reader) ([]BenchSlope, error) {
+func ReadBenchmarks(input io.Reader) ([]BenchmarkFit, error) {
 	found := map[[3]string]map[float64][]float64{}
 	lines := bufio.NewScanner(input)
 	for lines.Scan() {
@@ -69,10 +69,10 @@
 }
 
 // fitBench fits the median of each size, by benchmark, size name and unit.
-func fitBench(found map[[3]string]map[float64][]float64) []BenchSlope {
-	var slopes []BenchSlope
+func fitBench(found map[[3]string]map[float64][]float64) []BenchmarkFit {
+	var slopes []BenchmarkFit
 	for key, sizes := range found {
-		slope := BenchSlope{Benchmark: key[0], Along: key[1], Figure: key[2]}
+		slope := BenchmarkFit{Benchmark: key[0], SizeName: key[1], Figure: key[2]}
 		for size := range sizes {
 			slope.Sizes = append(slope.Sizes, size)
 		}
@@ -81,7 +81,7 @@
 			sort.Float64s(sizes[size])
 			slope.Values = append(slope.Values, sizes[size][len(sizes[size])/2])
 		}
-		slope.Exponent, slope.Fit, _ = Exponent(slope.Sizes, slope.Values)
+		slope.Exponent, slope.Fit, _ = FitPowerLaw(slope.Sizes, slope.Values)
 		slopes = append(slopes, slope)
 	}
 	rank := func(figure string) int {
@@ -94,23 +94,23 @@
 	}
 	sort.Slice(slopes, func(left, right int) bool {
 		fitted, other := slopes[left], slopes[right]
-		if fitted.Benchmark+fitted.Along != other.Benchmark+other.Along {
-			return fitted.Benchmark+fitted.Along < other.Benchmark+other.Along
+		if fitted.Benchmark+fitted.SizeName != other.Benchmark+other.SizeName {
+			return fitted.Benchmark+fitted.SizeName < other.Benchmark+other.SizeName
 		}
 		return rank(fitted.Figure) < rank(other.Figure)
 	})
 	return slopes
 }
 
-// PrintBench prints the slopes as a table, without allocations.
-func PrintBench(output io.Writer, slopes []BenchSlope) {
+// PrintBenchmarks prints the slopes as a table, without allocations.
+func PrintBenchmarks(output io.Writer, slopes []BenchmarkFit) {
 	table := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "benchmark\talong\tfigure\tsizes\tvalues\texponent\tfit")
 	for _, fitted := range slopes {
 		if fitted.Figure == "allocs/op" {
 			continue
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%.4g", fitted.Benchmark, fitted.Along, fitted.Figure, fitted.Sizes, fitted.Values)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%.4g", fitted.Benchmark, fitted.SizeName, fitted.Figure, fitted.Sizes, fitted.Values)
 		fmt.Fprintf(table, "\t%.2f\t%.2f\n", fitted.Exponent, fitted.Fit)
 	}
 	_ = table.Flush()
--- a/internal/sim/hollow/child.go
+++ b/internal/sim/hollow/child.go
@@ -20,11 +20,11 @@
 	"ferryspar/internal/nodesettings"
 )
 
-// ChildVariable is the environment variable that makes a program a child process of a fleet.
-const ChildVariable = "FERRYSPAR_HOLLOW_CHILD"
+// ChildEnvVar is the environment variable that makes a program a child process of a fleet.
+const ChildEnvVar = "FERRYSPAR_HOLLOW_CHILD"
 
 // IsChild reports whether this process was started as a child; its program must then call ServeChild.
-func IsChild() bool { return os.Getenv(ChildVariable) != "" }
+func IsChild() bool { return os.Getenv(ChildEnvVar) != "" }
 
 const (
 	// commandPlan and those below are the commands to a child.
--- a/internal/sim/hollow/clients.go
+++ b/internal/sim/hollow/clients.go
@@ -28,8 +28,8 @@
 	return &Latencies{values: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
 }
 
-// Add records a duration, bounded to what the histogram holds.
-func (s *Latencies) Add(value time.Duration) {
+// Record records a duration, bounded to what the histogram holds.
+func (s *Latencies) Record(value time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	_ = s.values.RecordValue(min(max(value.Microseconds(), 1), time.Minute.Microseconds()))
@@ -44,8 +44,8 @@
 	MaxMs float64 `json:"maxMs"`
 }
 
-// Read is the quantiles so far.
-func (s *Latencies) Read() Quantiles {
+// Quantiles is the quantiles so far.
+func (s *Latencies) Quantiles() Quantiles {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	at := func(part float64) float64 { return float64(s.values.ValueAtQuantile(part)) / 1000 }
@@ -88,7 +88,7 @@
 	if c.plan.RequestsPerS <= 0 {
 		return
 	}
-	for index := range c.plan.Data {
+	for index := range c.plan.DataPlanes {
 		c.running.Go(func() { c.runAt(ctx, index) })
 	}
 }
@@ -147,7 +147,7 @@
 	}
 	var firstByte [1]byte
 	if _, err := io.ReadFull(answer.Body, firstByte[:]); err == nil {
-		c.first.Add(time.Since(began))
+		c.first.Record(time.Since(began))
 	}
 	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
 		c.count(ctx, &c.broken)
--- a/internal/sim/hollow/counter.go
+++ b/internal/sim/hollow/counter.go
@@ -20,11 +20,11 @@
 // Counter counts what all nodes of a process send, receive, open and write; any goroutine may use
 // it.
 type Counter struct {
-	lock               sync.Mutex
-	flows              map[[2]string]*flow
-	dialed, accepted   atomic.Int64
-	outside, inside    atomic.Int64
-	writes, disk, sync atomic.Int64
+	lock                     sync.Mutex
+	flows                    map[[2]string]*flow
+	dialed, accepted         atomic.Int64
+	outbound, inbound        atomic.Int64
+	writes, diskBytes, syncs atomic.Int64
 }
 
 // NewCounter makes a counter at zero.
@@ -64,12 +64,12 @@
 // Write counts and passes on a write.
 func (f *countedDirectory) Write(name string, offset int64, content []byte) error {
 	f.counter.writes.Add(1)
-	f.counter.disk.Add(int64(len(content)))
+	f.counter.diskBytes.Add(int64(len(content)))
 	return f.Directory.Write(name, offset, content)
 }
 
 // Sync counts and passes on a sync.
 func (f *countedDirectory) Sync(name string) error {
-	f.counter.sync.Add(1)
+	f.counter.syncs.Add(1)
 	return f.Directory.Sync(name)
 }
--- a/internal/sim/hollow/failures.go
+++ b/internal/sim/hollow/failures.go
@@ -13,23 +13,23 @@
 // hit, and how changes of the configuration fared.
 type Failure struct {
 	Name string `json:"name"`
-	// Phase is the window before.
-	Phase         Phase     `json:"phase"`
-	During        Phase     `json:"during"`
-	After         Phase     `json:"after"`
-	Data          int       `json:"dataPlanes"`
-	Members       int       `json:"controlPlanes"`
-	Ready         Quantiles `json:"ready"`
-	ChangeMs      float64   `json:"changeDuringMs"`
-	ChangeOutcome string    `json:"changeDuring"`
-	ChangeAfterMs float64   `json:"changeAfterMs"`
+	// Before is the window before.
+	Before         Phase     `json:"phase"`
+	During         Phase     `json:"during"`
+	After          Phase     `json:"after"`
+	DataPlanes     int       `json:"dataPlanes"`
+	Members        int       `json:"controlPlanes"`
+	Ready          Quantiles `json:"ready"`
+	ChangeDuringMs float64   `json:"changeDuringMs"`
+	ChangeOutcome  string    `json:"changeDuring"`
+	ChangeAfterMs  float64   `json:"changeAfterMs"`
 	// NextHolderMs is when another control plane began to place, or 0 if none did.
 	NextHolderMs float64 `json:"otherHolderMs"`
-	// CutOffAnswer is what a member on the cut-off side of a partition answered to a change.
-	CutOffAnswer string `json:"cutOffSide"`
-	Replicas     int    `json:"replicas"`
-	// CalmMs is when placement was calm after the end of the failure.
-	CalmMs   float64 `json:"calmAfterMs"`
+	// IsolatedAnswer is what a member on the cut-off side of a partition answered to a change.
+	IsolatedAnswer string `json:"cutOffSide"`
+	Replicas       int    `json:"replicas"`
+	// StableMs is when placement was calm after the end of the failure.
+	StableMs float64 `json:"calmAfterMs"`
 	Broken   int64   `json:"ordersCut"`
 	Rejected int64   `json:"ordersRefused"`
 }
@@ -55,13 +55,13 @@
 	if err != nil {
 		return run.result, err
 	}
-	run.result.Phase = before
-	run.targets, err = f.targetsOf(name, before.Holder)
+	run.result.Before = before
+	run.targets, err = f.targetsOf(name, before.LeaseHolder)
 	if err != nil {
 		return run.result, err
 	}
 	run.lost = f.dataIndices(run.targets.data)
-	run.result.Data = len(run.lost)
+	run.result.DataPlanes = len(run.lost)
 	run.sortMembers()
 	broken, rejected := f.clients.broken.Load(), f.clients.rejected.Load()
 	run.result.During, err = f.window(name+", during", 0, 0, func() error { return run.during(ctx) })
@@ -107,10 +107,10 @@
 	r.result.Replicas = f.standIns.setLost(r.targets.replicas, true)
 	end := time.Now().Add(r.options.FailureLength)
 	taken := make(chan float64, 1)
-	go func() { taken <- f.awaitHolder(r.result.Phase.Holder, r.options.FailureLength) }()
+	go func() { taken <- f.awaitHolder(r.result.Before.LeaseHolder, r.options.FailureLength) }()
 	defer func() { r.result.NextHolderMs = <-taken }()
-	r.result.CutOffAnswer = f.changeAtCutOffMember(ctx, r.cutOff)
-	r.result.ChangeOutcome, r.result.ChangeMs = f.timeChange(ctx, f.dataIndices(r.isSpared), r.reachable)
+	r.result.IsolatedAnswer = f.changeAtCutOffMember(ctx, r.cutOff)
+	r.result.ChangeOutcome, r.result.ChangeDuringMs = f.timeChange(ctx, f.dataIndices(r.isSpared), r.reachable)
 	sleep(time.Until(end))
 	return nil
 }
@@ -128,10 +128,10 @@
 	if err != nil {
 		return err
 	}
-	r.result.Ready = ready.Read()
+	r.result.Ready = ready.Quantiles()
 	_, r.result.ChangeAfterMs = f.timeChange(ctx, f.dataIndices(anyHost), f.plan.everyMember(0))
 	err = f.awaitPlacement(ctx, r.options)
-	r.result.CalmMs = float64((time.Since(began) - r.options.Calm).Milliseconds())
+	r.result.StableMs = float64((time.Since(began) - r.options.StableAfter).Milliseconds())
 	sleep(time.Until(began.Add(r.options.FailureLength)))
 	return err
 }
@@ -151,7 +151,7 @@
 // milliseconds.
 func (f *Fleet) timeChange(ctx context.Context, nodes, members []int) (string, float64) {
 	began, missed := time.Now(), f.operator.missed
-	if err := f.operator.Change(ctx, nodes, members); err != nil {
+	if err := f.operator.ApplyChange(ctx, nodes, members); err != nil {
 		return err.Error(), 0
 	}
 	durationMs := float64(time.Since(began).Milliseconds())
--- a/internal/sim/hollow/failuretargets.go
+++ b/internal/sim/hollow/failuretargets.go
@@ -15,9 +15,9 @@
 	FailureZone = "zone"
 	// FailureRegion cuts the connections between the regions.
 	FailureRegion = "region"
-	// FailureAll ends all data planes.
-	FailureAll = "restart"
-	rackSize   = 10
+	// FailureDataPlanes ends all data planes.
+	FailureDataPlanes = "restart"
+	rackSize          = 10
 )
 
 // failureTargets selects the hosts that a failure hits.
@@ -44,13 +44,13 @@
 			replicas: func(host string) bool { return host == f.plan.replicaHost(0) },
 		},
 		FailureRack: {
-			data:     f.everyTenth(f.plan.Data, f.plan.dataHost),
+			data:     f.everyTenth(f.plan.DataPlanes, f.plan.dataHost),
 			members:  noHost,
 			replicas: f.everyTenth(f.plan.Replicas, f.plan.replicaHost),
 		},
-		FailureZone:   {data: zone, members: zone, replicas: zone},
-		FailureRegion: {data: noHost, members: noHost, replicas: noHost, partitioned: true},
-		FailureAll:    {data: anyHost, members: noHost, replicas: noHost},
+		FailureZone:       {data: zone, members: zone, replicas: zone},
+		FailureRegion:     {data: noHost, members: noHost, replicas: noHost, partitioned: true},
+		FailureDataPlanes: {data: anyHost, members: noHost, replicas: noHost},
 	}
 	found, known := cases[name]
 	if !known {
--- a/internal/sim/hollow/fleet.go
+++ b/internal/sim/hollow/fleet.go
@@ -95,7 +95,7 @@
 		f.members = append(f.members, childProcess)
 	}
 	hosts := make([][]string, f.plan.Processes)
-	for index := 1; index < f.plan.Data; index++ {
+	for index := 1; index < f.plan.DataPlanes; index++ {
 		hosts[index%f.plan.Processes] = append(hosts[index%f.plan.Processes], f.plan.dataHost(index))
 	}
 	for position, list := range append([][]string{{f.plan.dataHost(0)}}, hosts...) {
@@ -192,7 +192,7 @@
 			return seen, err
 		}
 		seen.snapshots = append(seen.snapshots, *answer.Snapshot)
-		total += answer.Snapshot.HeldMb
+		total += answer.Snapshot.RuntimeMb
 	}
 	f.highestMb = max(f.highestMb, total)
 	if total > f.memoryMb {
@@ -207,7 +207,7 @@
 // dataIndices are the indices of the data planes whose hosts are chosen.
 func (f *Fleet) dataIndices(chosen func(host string) bool) []int {
 	var indices []int
-	for index := range f.plan.Data {
+	for index := range f.plan.DataPlanes {
 		if chosen(f.plan.dataHost(index)) {
 			indices = append(indices, index)
 		}
@@ -230,7 +230,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, membersTimeout)
 	defer cancel()
-	if err := f.operator.PutFirst(bounded); err != nil {
+	if err := f.operator.PutInitial(bounded); err != nil {
 		return nil, err
 	}
 	if err := f.commandHosts(f.data, commandStart, anyHost); err != nil {
--- a/internal/sim/hollow/hollow_test.go
+++ b/internal/sim/hollow/hollow_test.go
@@ -23,7 +23,7 @@
 }
 
 func smallPlan() Plan {
-	plan := Target{Data: 380, Replicas: 720, Models: 480, Adapters: 1100, Routes: 350}.Scaled(6)
+	plan := FullSize{DataPlanes: 380, Replicas: 720, Models: 480, Adapters: 1100, Routes: 350}.Scaled(6)
 	plan.Members = 3
 	plan.ModelsPerReplica = 2
 	plan.Slots = 16
@@ -41,14 +41,14 @@
 	defer cancel()
 
 	result, err := Run(bounded, smallPlan(), Options{
-		Window:        500 * time.Millisecond,
-		ChangeEach:    500 * time.Millisecond,
-		Calm:          300 * time.Millisecond,
-		MemoryMb:      2000,
-		Failures:      []string{FailureZone},
-		FailureLength: 500 * time.Millisecond,
-		Fill:          10 * time.Second,
-		Progress:      &progress,
+		Window:         500 * time.Millisecond,
+		ChangeInterval: 500 * time.Millisecond,
+		StableAfter:    300 * time.Millisecond,
+		MemoryMb:       2000,
+		Failures:       []string{FailureZone},
+		FailureLength:  500 * time.Millisecond,
+		FillTimeout:    10 * time.Second,
+		Progress:       &progress,
 	})
 
 	assert.NilError(t, err, progress.String())
@@ -73,7 +73,7 @@
 	}
 	busy := result.Phases[3]
 	assert.Assert(t, busy.Roles[roleMember].MessagesIn > 0)
-	assert.Equal(t, result.Failures[0].Data, 1)
+	assert.Equal(t, result.Failures[0].DataPlanes, 1)
 	assert.Equal(t, result.Failures[0].Ready.Count, int64(1))
 	assert.Equal(t, result.Failures[0].ChangeOutcome, "in force at all spared nodes")
 	_, err = os.Stat(result.Plan.Folder)
@@ -82,7 +82,7 @@
 
 func TestFleet_EndsWithClearMessageBeyondMemoryLimit(t *testing.T) {
 	plan := smallPlan()
-	plan.Data = 1
+	plan.DataPlanes = 1
 
 	_, err := Run(t.Context(), plan, Options{MemoryMb: 0.5, Progress: io.Discard})
 
@@ -91,7 +91,7 @@
 
 func TestPlan_RejectsValuesOutOfRange(t *testing.T) {
 	plan := smallPlan()
-	plan.Members, plan.Data = 4, 0
+	plan.Members, plan.DataPlanes = 4, 0
 
 	assert.Error(t, plan.Check(), "data planes must be 1 to 1000; members must be 3 or 5")
 }
@@ -100,13 +100,13 @@
 	output := "goos: linux\nBenchmarkHear/edges=8-4  100  1000 ns/op  64 B/op\n" +
 		"BenchmarkHear/edges=80-4  100  100000 ns/op  640 B/op\nPASS\n"
 
-	slopes, err := ReadBench(strings.NewReader(output))
+	slopes, err := ReadBenchmarks(strings.NewReader(output))
 
 	assert.NilError(t, err)
 	assert.Equal(t, len(slopes), 2)
 	assert.Equal(t, slopes[0].Figure, "ns/op")
 	assert.Assert(t, slopes[0].Exponent > 1.999 && slopes[0].Exponent < 2.001)
 	assert.Assert(t, slopes[1].Exponent > 0.999 && slopes[1].Exponent < 1.001)
-	_, err = ReadBench(strings.NewReader("PASS\n"))
+	_, err = ReadBenchmarks(strings.NewReader("PASS\n"))
 	assert.ErrorContains(t, err, "no benchmark lines")
 }
--- a/internal/sim/hollow/network.go
+++ b/internal/sim/hollow/network.go
@@ -78,7 +78,7 @@
 			return nil, err
 		}
 		n.counter.dialed.Add(1)
-		n.counter.outside.Add(1)
+		n.counter.outbound.Add(1)
 		target := ""
 		if strings.HasPrefix(host, n.plan.host(0, 1)[:len(n.plan.host(0, 1))-1]) {
 			target = host
@@ -89,7 +89,7 @@
 			crossesRegions: severed,
 			writeTimeout:   writeTimeout,
 			target:         target,
-			open:           &n.counter.outside,
+			open:           &n.counter.outbound,
 		}
 		n.register(counted)
 		return counted, nil
@@ -118,14 +118,14 @@
 		return nil, err
 	}
 	l.network.counter.accepted.Add(1)
-	l.network.counter.inside.Add(1)
+	l.network.counter.inbound.Add(1)
 	host, _, _ := net.SplitHostPort(raw.RemoteAddr().String())
 	counted := &connection{
 		Conn:           raw,
 		network:        l.network,
 		crossesRegions: l.network.crossesRegions(host),
 		writeTimeout:   time.Minute,
-		open:           &l.network.counter.inside,
+		open:           &l.network.counter.inbound,
 		isAccepted:     true,
 	}
 	l.network.register(counted)
--- a/internal/sim/hollow/operator.go
+++ b/internal/sim/hollow/operator.go
@@ -101,8 +101,8 @@
 	return members
 }
 
-// PutFirst sends the first configuration.
-func (o *Operator) PutFirst(ctx context.Context) error {
+// PutInitial sends the first configuration.
+func (o *Operator) PutInitial(ctx context.Context) error {
 	document, err := o.plan.document(1)
 	if err != nil {
 		return err
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// Change replaces one probe route by the next, and waits until the data planes serve it; those that
+// ApplyChange replaces one probe route by the next, and waits until the data planes serve it; those that
 // do not in time count as missed.
-func (o *Operator) Change(ctx context.Context, nodes []int, members []int) error {
+func (o *Operator) ApplyChange(ctx context.Context, nodes []int, members []int) error {
 	next := o.revision + 1
 	document, err := patchDocument(next, o.revision)
 	if err != nil {
@@ -128,7 +128,7 @@
 	}
 	o.revision = next
 	o.changes++
-	o.acknowledged.Add(time.Since(began))
+	o.acknowledged.Record(time.Since(began))
 	var waiting sync.WaitGroup
 	var lock sync.Mutex
 	latest := time.Duration(0)
@@ -141,12 +141,12 @@
 				o.missed++
 				return
 			}
-			o.inForce.Add(duration)
+			o.inForce.Record(duration)
 			latest = max(latest, duration)
 		})
 	}
 	waiting.Wait()
-	o.everywhere.Add(latest)
+	o.everywhere.Record(latest)
 	return nil
 }
 
@@ -209,7 +209,7 @@
 		waiting.Go(func() {
 			for ctx.Err() == nil && time.Since(began) < timeout {
 				if o.isReady(ctx, index) {
-					spread.Add(time.Since(began))
+					spread.Record(time.Since(began))
 					return
 				}
 				time.Sleep(probeInterval)
@@ -217,7 +217,7 @@
 		})
 	}
 	waiting.Wait()
-	if missing := int64(len(nodes)) - spread.Read().Count; missing > 0 {
+	if missing := int64(len(nodes)) - spread.Quantiles().Count; missing > 0 {
 		return spread, errors.Errorf("%d of %d data planes not ready within %s", missing, len(nodes), timeout)
 	}
 	return spread, nil
--- a/internal/sim/hollow/phases.go
+++ b/internal/sim/hollow/phases.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// Call is the rate of a path's messages from a node, and the mean bytes of each.
-type Call struct {
+// CallRate is the rate of a path's messages from a node, and the mean bytes of each.
+type CallRate struct {
 	PerS          float64 `json:"perS"`
 	SentBytes     float64 `json:"sentBytes"`
 	ReceivedBytes float64 `json:"receivedBytes"`
 }
 
-// Role is the mean node of a role in a phase.
-type Role struct {
+// RoleUsage is the mean node of a role in a phase.
+type RoleUsage struct {
 	Nodes int `json:"daemons"`
-	// ProcessorPart is the share of one processor, in percent.
-	ProcessorPart float64 `json:"processorPercent"`
-	MessagesIn    float64 `json:"messagesInPerS"`
-	MessagesOut   float64 `json:"messagesOutPerS"`
-	InKbPerS      float64 `json:"inKbPerS"`
-	OutKbPerS     float64 `json:"outKbPerS"`
-	HeapMb        float64 `json:"heapMb"`
-	// HeldMb is the memory taken from the system, PeakMb the highest ever resident.
-	HeldMb      float64 `json:"heldMb"`
+	// CPUPercent is the share of one processor, in percent.
+	CPUPercent  float64 `json:"processorPercent"`
+	MessagesIn  float64 `json:"messagesInPerS"`
+	MessagesOut float64 `json:"messagesOutPerS"`
+	InKbPerS    float64 `json:"inKbPerS"`
+	OutKbPerS   float64 `json:"outKbPerS"`
+	HeapMb      float64 `json:"heapMb"`
+	// RuntimeMb is the memory taken from the system, PeakMb the highest ever resident.
+	RuntimeMb   float64 `json:"heldMb"`
 	PeakMb      float64 `json:"peakMb"`
 	Goroutines  float64 `json:"goroutines"`
 	Descriptors float64 `json:"descriptors"`
-	// Outside counts connections dialed, Inside those accepted.
-	Outside    float64         `json:"connectionsOut"`
-	Inside     float64         `json:"connectionsIn"`
-	DialedPerS float64         `json:"dialedPerS"`
-	DiskPerS   float64         `json:"diskSyncsPerS"`
-	DiskKbPerS float64         `json:"diskKbPerS"`
-	Calls      map[string]Call `json:"calls"`
+	// OutboundConnections counts connections dialed, InboundConnections those accepted.
+	OutboundConnections float64             `json:"connectionsOut"`
+	InboundConnections  float64             `json:"connectionsIn"`
+	DialedPerS          float64             `json:"dialedPerS"`
+	DiskSyncsPerS       float64             `json:"diskSyncsPerS"`
+	DiskKbPerS          float64             `json:"diskKbPerS"`
+	Calls               map[string]CallRate `json:"calls"`
 }
 
 // Phase is what was measured between two observations.
 type Phase struct {
-	Name    string  `json:"name"`
-	Seconds float64 `json:"seconds"`
-	Holder  string  `json:"holder,omitempty"`
-	// Full names the roles whose processors were full.
-	Full   []string `json:"processorsFull,omitempty"`
-	Placed int64    `json:"placementOrders"`
+	Name        string  `json:"name"`
+	Seconds     float64 `json:"seconds"`
+	LeaseHolder string  `json:"holder,omitempty"`
+	// Saturated names the roles whose processors were full.
+	Saturated    []string `json:"processorsFull,omitempty"`
+	Instructions int64    `json:"placementOrders"`
 	// Messages and Bytes are those of the control paths, all nodes together.
-	Messages int64            `json:"controlMessages"`
-	Bytes    int64            `json:"controlBytes"`
-	Roles    map[string]*Role `json:"roles"`
+	Messages int64                 `json:"controlMessages"`
+	Bytes    int64                 `json:"controlBytes"`
+	Roles    map[string]*RoleUsage `json:"roles"`
 }
 
 // fullShare is the share of its processors beyond which a process counts as full.
@@ -74,7 +74,7 @@
 // measure works out a phase from the observations at its beginning and end.
 func (f *Fleet) measure(name string, from, to observation) Phase {
 	span := to.at.Sub(from.at).Seconds()
-	phase := Phase{Name: name, Seconds: span, Placed: to.placed - from.placed, Roles: map[string]*Role{}}
+	phase := Phase{Name: name, Seconds: span, Instructions: to.placed - from.placed, Roles: map[string]*RoleUsage{}}
 	received := map[string]Flow{}
 	for index := range to.snapshots {
 		for path, targets := range to.snapshots[index].Flows {
@@ -92,18 +92,18 @@
 			}
 		}
 	}
-	phase.Holder = f.holder(from, to)
+	phase.LeaseHolder = f.holder(from, to)
 	for index, childProcess := range f.processes() {
 		role := childProcess.role
-		if role == roleMember && childProcess.hosts[0] == phase.Holder {
+		if role == roleMember && childProcess.hosts[0] == phase.LeaseHolder {
 			role = roleHolder
 		}
 		if phase.Roles[role] == nil {
-			phase.Roles[role] = &Role{Calls: map[string]Call{}}
+			phase.Roles[role] = &RoleUsage{Calls: map[string]CallRate{}}
 		}
-		worked := (to.snapshots[index].ProcessorS - from.snapshots[index].ProcessorS) / span
+		worked := (to.snapshots[index].CPUSeconds - from.snapshots[index].CPUSeconds) / span
 		if worked > fullShare*float64(f.plan.processors(childProcess.role)) {
-			phase.Full = append(phase.Full, role)
+			phase.Saturated = append(phase.Saturated, role)
 		}
 		phase.Roles[role].add(from.snapshots[index], to.snapshots[index], span, childProcess, received)
 	}
@@ -132,18 +132,18 @@
 }
 
 // add adds a process's growth to its role; received is what was sent to each host.
-func (r *Role) add(before, after Snapshot, span float64, childProcess *process, received map[string]Flow) {
+func (r *RoleUsage) add(before, after Snapshot, span float64, childProcess *process, received map[string]Flow) {
 	r.Nodes += len(childProcess.hosts)
-	r.ProcessorPart += 100 * (after.ProcessorS - before.ProcessorS) / span
+	r.CPUPercent += 100 * (after.CPUSeconds - before.CPUSeconds) / span
 	r.HeapMb += after.HeapMb
-	r.HeldMb += after.HeldMb
+	r.RuntimeMb += after.RuntimeMb
 	r.PeakMb += after.PeakMb
 	r.Goroutines += float64(after.Goroutines)
 	r.Descriptors += float64(after.Descriptors)
-	r.Outside = r.Outside + float64(after.Outside)
-	r.Inside = r.Inside + float64(after.Inside)
+	r.OutboundConnections = r.OutboundConnections + float64(after.OutboundConnections)
+	r.InboundConnections = r.InboundConnections + float64(after.InboundConnections)
 	r.DialedPerS += float64(after.Dialed-before.Dialed) / span
-	r.DiskPerS += float64(after.DiskSyncs-before.DiskSyncs) / span
+	r.DiskSyncsPerS += float64(after.DiskSyncs-before.DiskSyncs) / span
 	r.DiskKbPerS += float64(after.DiskBytes-before.DiskBytes) / span / kilobytes
 	for path, targets := range after.Flows {
 		call := r.Calls[path]
@@ -167,14 +167,14 @@
 }
 
 // mean turns sums over the role's nodes into means.
-func (r *Role) mean() {
+func (r *RoleUsage) mean() {
 	nodes := float64(max(r.Nodes, 1))
 	sums := []*float64{
-		&r.ProcessorPart,
-		&r.HeapMb, &r.HeldMb, &r.PeakMb,
+		&r.CPUPercent,
+		&r.HeapMb, &r.RuntimeMb, &r.PeakMb,
 		&r.Goroutines, &r.Descriptors,
-		&r.Outside, &r.Inside, &r.DialedPerS,
-		&r.DiskPerS, &r.DiskKbPerS,
+		&r.OutboundConnections, &r.InboundConnections, &r.DialedPerS,
+		&r.DiskSyncsPerS, &r.DiskKbPerS,
 		&r.MessagesIn, &r.InKbPerS, &r.OutKbPerS,
 	}
 	for _, value := range sums {
@@ -187,7 +187,7 @@
 			r.InKbPerS += call.ReceivedBytes / nodes / kilobytes
 		}
 		messages := max(call.PerS, 1e-9)
-		r.Calls[path] = Call{call.PerS / nodes, call.SentBytes / messages, call.ReceivedBytes / messages}
+		r.Calls[path] = CallRate{call.PerS / nodes, call.SentBytes / messages, call.ReceivedBytes / messages}
 		if call.PerS == 0 {
 			delete(r.Calls, path)
 		}
--- a/internal/sim/hollow/plan.go
+++ b/internal/sim/hollow/plan.go
@@ -14,7 +14,7 @@
 
 // Plan is the size and the load of a fleet.
 type Plan struct {
-	Data             int     `json:"data"`
+	DataPlanes       int     `json:"data"`
 	Members          int     `json:"members"`
 	Replicas         int     `json:"replicas"`
 	Models           int     `json:"models"`
@@ -35,20 +35,20 @@
 	Folder    string `json:"-"`
 }
 
-// Target is the size of a full fleet, from which smaller ones are scaled.
-type Target struct {
-	Data, Replicas, Models, Adapters, Routes int
+// FullSize is the size of a full fleet, from which smaller ones are scaled.
+type FullSize struct {
+	DataPlanes, Replicas, Models, Adapters, Routes int
 }
 
 // Scaled is a plan with so many data planes and the rest in proportion, at least 4 of each.
-func (t Target) Scaled(data int) Plan {
-	part := func(whole int) int { return max((whole*data+t.Data/2)/t.Data, 4) }
+func (t FullSize) Scaled(data int) Plan {
+	part := func(whole int) int { return max((whole*data+t.DataPlanes/2)/t.DataPlanes, 4) }
 	return Plan{
-		Data:     data,
-		Replicas: part(t.Replicas),
-		Models:   part(t.Models),
-		Adapters: part(t.Adapters),
-		Routes:   part(t.Routes),
+		DataPlanes: data,
+		Replicas:   part(t.Replicas),
+		Models:     part(t.Models),
+		Adapters:   part(t.Adapters),
+		Routes:     part(t.Routes),
 	}
 }
 
@@ -58,7 +58,7 @@
 		wrong   bool
 		message string
 	}{
-		{p.Data < 1 || p.Data > 1000, "data planes must be 1 to 1000"},
+		{p.DataPlanes < 1 || p.DataPlanes > 1000, "data planes must be 1 to 1000"},
 		{p.Members != 3 && p.Members != 5, "members must be 3 or 5"},
 		{p.Replicas < 1 || p.Replicas > 4000, "replicas must be 1 to 4000"},
 		{p.Models < 1 || p.Models > 20000, "models must be 1 to 20000"},
--- a/internal/sim/hollow/process.go
+++ b/internal/sim/hollow/process.go
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	childProcess := &process{role: role, hosts: hosts, program: exec.Command(path)}
-	childProcess.program.Env = append(os.Environ(), ChildVariable+"=1")
+	childProcess.program.Env = append(os.Environ(), ChildEnvVar+"=1")
 	childProcess.program.Stderr = os.Stderr
 	if childProcess.input, err = childProcess.program.StdinPipe(); err != nil {
 		return nil, err
--- a/internal/sim/hollow/report.go
+++ b/internal/sim/hollow/report.go
@@ -8,8 +8,8 @@
 
 // Report is the results of several sizes and the slopes through them.
 type Report struct {
-	Results []Result `json:"results"`
-	Slopes  []Slope  `json:"slopes"`
+	Results []Result     `json:"results"`
+	Fits    []ScalingFit `json:"slopes"`
 }
 
 // Print prints the slopes, the calls and the rest of each result as tables.
@@ -17,22 +17,22 @@
 	table := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprint(table, "phase\trole\tfigure")
 	for _, result := range r.Results {
-		fmt.Fprintf(table, "\t%d", result.Plan.Data)
+		fmt.Fprintf(table, "\t%d", result.Plan.DataPlanes)
 	}
 	fmt.Fprintf(table, "\texponent\tfit\tfixed\teach\tfit\tstraight at %d\n", target)
-	for _, slope := range r.Slopes {
+	for _, slope := range r.Fits {
 		fmt.Fprintf(table, "%s\t%s\t%s", slope.Phase, slope.Role, slope.Figure)
 		position := 0
 		for _, result := range r.Results {
 			value := "-"
-			if position < len(slope.Sizes) && int(slope.Sizes[position]) == result.Plan.Data {
+			if position < len(slope.Sizes) && int(slope.Sizes[position]) == result.Plan.DataPlanes {
 				value = fmt.Sprintf("%.4g", slope.Values[position])
 				position++
 			}
 			fmt.Fprintf(table, "\t%s", value)
 		}
 		fmt.Fprintf(table, "\t%.2f\t%.2f", slope.Exponent, slope.Fit)
-		fmt.Fprintf(table, "\t%.4g\t%.4g\t%.2f\t%.4g\n", slope.Fixed, slope.PerData, slope.Linear, slope.AtTarget)
+		fmt.Fprintf(table, "\t%.4g\t%.4g\t%.2f\t%.4g\n", slope.Intercept, slope.PerDataPlane, slope.LinearFit, slope.AtTarget)
 	}
 	_ = table.Flush()
 	r.printCalls(output)
@@ -44,21 +44,21 @@
 // print prints what a run measured beside its phases.
 func (r Result) print(output io.Writer) {
 	say := func(format string, arguments ...any) { fmt.Fprintf(output, format, arguments...) }
-	say("\n%d data planes: ready in %.0f ms at most; ", r.Plan.Data, r.Ready.MaxMs)
+	say("\n%d data planes: ready in %.0f ms at most; ", r.Plan.DataPlanes, r.Ready.MaxMs)
 	say("%d changes acknowledged in %.0f ms (median), ", r.Changes.Made, r.Changes.Acknowledged.P50Ms)
 	say("in force everywhere in %.0f ms (median) %.0f ms (most), ", r.Changes.Everywhere.P50Ms, r.Changes.Everywhere.MaxMs)
 	say("missed %d; ", r.Changes.Missed)
 	say("orders %d asked, %d whole, ", r.Requests.Sent, r.Requests.Complete)
 	say("%d refused, %d cut, ", r.Requests.Rejected, r.Requests.Broken)
 	say("first event %.1f ms (median) %.1f ms (95 of 100); ", r.Requests.First.P50Ms, r.Requests.First.P95Ms)
-	say("%d orders and %d reports at replicas; ", r.Placed.Instructions, r.Placed.Reports)
-	say("%d processes, %.0f MB, %.0f s\n", r.Processes, r.MemoryMb, r.TookS)
+	say("%d orders and %d reports at replicas; ", r.PlacementCalls.Instructions, r.PlacementCalls.Reports)
+	say("%d processes, %.0f MB, %.0f s\n", r.Processes, r.MemoryMb, r.DurationS)
 	instruction, change := r.Costs()
 	say("  control bytes beyond the calm ones: %.1f kB a placement order, ", instruction)
 	say("%.1f kB a change of the configuration\n", change)
 	for _, phase := range r.Phases {
-		if len(phase.Full) > 0 {
-			say("  %s: processors were full at %v, ", phase.Name, phase.Full)
+		if len(phase.Saturated) > 0 {
+			say("  %s: processors were full at %v, ", phase.Name, phase.Saturated)
 			say("so its delays say nothing of nodes with processors of their own\n")
 		}
 	}
@@ -71,14 +71,14 @@
 func (f Failure) print(output io.Writer) {
 	say := func(format string, arguments ...any) { fmt.Fprintf(output, format, arguments...) }
 	perS := func(phase Phase) float64 { return float64(phase.Messages) / phase.Seconds }
-	say("  %s: %d data planes, %d control planes, %d replicas; ", f.Name, f.Data, f.Members, f.Replicas)
-	say("a change during it: %s, %.0f ms; ", f.ChangeOutcome, f.ChangeMs)
+	say("  %s: %d data planes, %d control planes, %d replicas; ", f.Name, f.DataPlanes, f.Members, f.Replicas)
+	say("a change during it: %s, %.0f ms; ", f.ChangeOutcome, f.ChangeDuringMs)
 	say("ready again in %.0f ms at most, ", f.Ready.MaxMs)
 	say("a change after it in force everywhere in %.0f ms; ", f.ChangeAfterMs)
-	say("control messages a second %.0f before, %.0f during, %.0f after; ", perS(f.Phase), perS(f.During), perS(f.After))
+	say("control messages a second %.0f before, %.0f during, %.0f after; ", perS(f.Before), perS(f.During), perS(f.After))
 	say("orders cut %d, refused %d; ", f.Broken, f.Rejected)
-	say("told to another holder after %.0f ms; cut-off side answers %s; ", f.NextHolderMs, f.CutOffAnswer)
-	say("placement orders %d during, %d after, calm after %.0f ms\n", f.During.Placed, f.After.Placed, f.CalmMs)
+	say("told to another holder after %.0f ms; cut-off side answers %s; ", f.NextHolderMs, f.IsolatedAnswer)
+	say("placement orders %d during, %d after, calm after %.0f ms\n", f.During.Instructions, f.After.Instructions, f.StableMs)
 }
 
 // printCalls prints the rates of every path by phase and role.
@@ -90,7 +90,7 @@
 			for _, role := range names(phase.Roles) {
 				for _, path := range names(phase.Roles[role].Calls) {
 					call := phase.Roles[role].Calls[path]
-					fmt.Fprintf(table, "%d\t%s\t%s\t%s", result.Plan.Data, phase.Name, role, path)
+					fmt.Fprintf(table, "%d\t%s\t%s\t%s", result.Plan.DataPlanes, phase.Name, role, path)
 					fmt.Fprintf(table, "\t%.3g\t%.0f\t%.0f\n", call.PerS, call.SentBytes, call.ReceivedBytes)
 				}
 			}
@@ -112,8 +112,8 @@
 		}
 		return float64(phase.Bytes)/kilobytes - float64(calm.Bytes)/kilobytes/calm.Seconds*phase.Seconds
 	}
-	if fill := found[phaseFill]; fill.Placed > 0 {
-		instructionKb = beyond(fill, found[phaseQuiet]) / float64(fill.Placed)
+	if fill := found[phaseFill]; fill.Instructions > 0 {
+		instructionKb = beyond(fill, found[phaseQuiet]) / float64(fill.Instructions)
 	}
 	if r.Changes.Made > 0 {
 		changeKb = beyond(found[phaseChanges], found[phaseTraffic]) / float64(r.Changes.Made)
--- a/internal/sim/hollow/result.go
+++ b/internal/sim/hollow/result.go
@@ -19,8 +19,8 @@
 	Everywhere   Quantiles `json:"everywhere"`
 }
 
-// Placed counts what the stand-ins were asked by the control planes.
-type Placed struct {
+// PlacementCalls counts what the stand-ins were asked by the control planes.
+type PlacementCalls struct {
 	ListPages    int64 `json:"listPages"`
 	Instructions int64 `json:"orders"`
 	Reports      int64 `json:"reports"`
@@ -28,16 +28,16 @@
 
 // Result is everything measured of one fleet.
 type Result struct {
-	Plan      Plan      `json:"plan"`
-	Ready     Quantiles `json:"ready"`
-	Phases    []Phase   `json:"phases"`
-	Failures  []Failure `json:"troubles,omitempty"`
-	Requests  Requests  `json:"orders"`
-	Changes   Changes   `json:"changes"`
-	Placed    Placed    `json:"placed"`
-	MemoryMb  float64   `json:"memoryMb"`
-	Processes int       `json:"processes"`
-	TookS     float64   `json:"tookS"`
+	Plan           Plan           `json:"plan"`
+	Ready          Quantiles      `json:"ready"`
+	Phases         []Phase        `json:"phases"`
+	Failures       []Failure      `json:"troubles,omitempty"`
+	Requests       Requests       `json:"orders"`
+	Changes        Changes        `json:"changes"`
+	PlacementCalls PlacementCalls `json:"placed"`
+	MemoryMb       float64        `json:"memoryMb"`
+	Processes      int            `json:"processes"`
+	DurationS      float64        `json:"tookS"`
 }
 
 // readCounts reads what the operator, the clients and the stand-ins have counted so far.
@@ -45,18 +45,18 @@
 	result.Changes = Changes{
 		Made:         f.operator.changes,
 		Missed:       f.operator.missed,
-		Acknowledged: f.operator.acknowledged.Read(),
-		InForce:      f.operator.inForce.Read(),
-		Everywhere:   f.operator.everywhere.Read(),
+		Acknowledged: f.operator.acknowledged.Quantiles(),
+		InForce:      f.operator.inForce.Quantiles(),
+		Everywhere:   f.operator.everywhere.Quantiles(),
 	}
 	result.Requests = Requests{
 		Sent:     f.clients.sent.Load(),
 		Complete: f.clients.complete.Load(),
 		Rejected: f.clients.rejected.Load(),
 		Broken:   f.clients.broken.Load(),
-		First:    f.clients.first.Read(),
+		First:    f.clients.first.Quantiles(),
 	}
-	result.Placed = Placed{
+	result.PlacementCalls = PlacementCalls{
 		ListPages:    f.standIns.pages.Load(),
 		Instructions: f.standIns.instructions.Load(),
 		Reports:      f.standIns.reports.Load(),
--- a/internal/sim/hollow/run.go
+++ b/internal/sim/hollow/run.go
@@ -19,14 +19,14 @@
 	"github.com/pkg/errors"
 )
 
-// Options are how a fleet is measured. Window is the length of a measured phase and Settle the wait
-// before it; Fill bounds the wait for placement, which is calm after Calm without an instruction.
+// Options are how a fleet is measured. Window is the length of a measured phase and SettleTime the wait
+// before it; FillTimeout bounds the wait for placement, which is calm after StableAfter without an instruction.
 type Options struct {
-	Window     time.Duration
-	Settle     time.Duration
-	Fill       time.Duration
-	Calm       time.Duration
-	ChangeEach time.Duration
+	Window         time.Duration
+	SettleTime     time.Duration
+	FillTimeout    time.Duration
+	StableAfter    time.Duration
+	ChangeInterval time.Duration
 	// MemoryMb is the memory above which the run is ended.
 	MemoryMb float64
 	// Failures are the names of the failures to cause afterwards, each FailureLength long.
@@ -61,7 +61,7 @@
 	result.Processes = len(fleet.processes()) + 1
 	fleet.progressf(
 		"%d data planes, %d control planes, %d replicas, %d models, %d adapters, %d routes in %d processes",
-		plan.Data, plan.Members, plan.Replicas, plan.Models, plan.Adapters, plan.Routes, result.Processes,
+		plan.DataPlanes, plan.Members, plan.Replicas, plan.Models, plan.Adapters, plan.Routes, result.Processes,
 	)
 	from, err := fleet.observe()
 	if err != nil {
@@ -71,7 +71,7 @@
 	if err != nil {
 		return result, err
 	}
-	result.Ready = ready.Read()
+	result.Ready = ready.Quantiles()
 	to, err := fleet.observe()
 	if err != nil {
 		return result, err
@@ -82,7 +82,7 @@
 		return result, err
 	}
 	result.MemoryMb = fleet.highestMb
-	result.TookS = time.Since(began).Seconds()
+	result.DurationS = time.Since(began).Seconds()
 	return result, ctx.Err()
 }
 
@@ -107,7 +107,7 @@
 	phase := f.measure(name, from, to)
 	f.progressf(
 		"%s: %.1f s, %d control messages, %.1f MB, %d placement orders",
-		name, phase.Seconds, phase.Messages, float64(phase.Bytes)/megabyte, phase.Placed,
+		name, phase.Seconds, phase.Messages, float64(phase.Bytes)/megabyte, phase.Instructions,
 	)
 	return phase, nil
 }
@@ -119,7 +119,7 @@
 		return err
 	}
 	result.Phases = append(result.Phases, filling)
-	quiet, err := f.window(phaseQuiet, options.Settle, options.Window, nil)
+	quiet, err := f.window(phaseQuiet, options.SettleTime, options.Window, nil)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 		f.clients.Wait()
 	}()
 	f.clients.Run(traffic)
-	busy, err := f.window(phaseTraffic, options.Settle+f.plan.StreamLength, options.Window, nil)
+	busy, err := f.window(phaseTraffic, options.SettleTime+f.plan.StreamLength, options.Window, nil)
 	if err != nil {
 		return err
 	}
@@ -165,10 +165,10 @@
 	if err := f.awaitFirstHolder(ctx); err != nil {
 		return err
 	}
-	end := time.Now().Add(options.Fill)
+	end := time.Now().Add(options.FillTimeout)
 	placed := f.standIns.instructions.Load()
 	last := time.Now()
-	for time.Now().Before(end) && time.Since(last) < options.Calm && ctx.Err() == nil {
+	for time.Now().Before(end) && time.Since(last) < options.StableAfter && ctx.Err() == nil {
 		sleep(fillPollInterval)
 		if now := f.standIns.instructions.Load(); now != placed {
 			placed, last = now, time.Now()
@@ -200,8 +200,8 @@
 	var waiting sync.WaitGroup
 	defer waiting.Wait()
 	for turn := 0; time.Now().Before(end) && ctx.Err() == nil; turn++ {
-		next := time.Now().Add(options.ChangeEach)
-		if err := f.operator.Change(ctx, everyone, f.plan.everyMember(turn)); err != nil {
+		next := time.Now().Add(options.ChangeInterval)
+		if err := f.operator.ApplyChange(ctx, everyone, f.plan.everyMember(turn)); err != nil {
 			return err
 		}
 		sleep(time.Until(next))
--- a/internal/sim/hollow/slopes.go
+++ b/internal/sim/hollow/slopes.go
@@ -7,25 +7,25 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Slope is how a role's figure grows with the data planes: as a power with Exponent and Fit, and as
-// a straight line with Fixed, PerData and its fit Linear, which gives AtTarget.
-type Slope struct {
-	Phase    string    `json:"phase"`
-	Role     string    `json:"role"`
-	Figure   string    `json:"figure"`
-	Sizes    []float64 `json:"sizes"`
-	Values   []float64 `json:"values"`
-	Exponent float64   `json:"exponent"`
-	Fit      float64   `json:"fit"`
-	Fixed    float64   `json:"fixed"`
-	PerData  float64   `json:"perDataPlane"`
-	Linear   float64   `json:"linearFit"`
-	AtTarget float64   `json:"atTarget"`
+// ScalingFit is how a role's figure grows with the data planes: as a power with Exponent and Fit, and as
+// a straight line with Intercept, PerDataPlane and its fit LinearFit, which gives AtTarget.
+type ScalingFit struct {
+	Phase        string    `json:"phase"`
+	Role         string    `json:"role"`
+	Figure       string    `json:"figure"`
+	Sizes        []float64 `json:"sizes"`
+	Values       []float64 `json:"values"`
+	Exponent     float64   `json:"exponent"`
+	Fit          float64   `json:"fit"`
+	Intercept    float64   `json:"fixed"`
+	PerDataPlane float64   `json:"perDataPlane"`
+	LinearFit    float64   `json:"linearFit"`
+	AtTarget     float64   `json:"atTarget"`
 }
 
-// Exponent fits value = factor × size^exponent by least squares of the logarithms; fit is its R².
+// FitPowerLaw fits value = factor × size^exponent by least squares of the logarithms; fit is its R².
 // Values that are not above 0 are left out, and all are 0 with fewer than two different sizes.
-func Exponent(sizes, values []float64) (exponent, fit, factor float64) {
+func FitPowerLaw(sizes, values []float64) (exponent, fit, factor float64) {
 	var across, up []float64
 	for index := range sizes {
 		if sizes[index] > 0 && values[index] > 0 {
@@ -43,8 +43,8 @@
 	return slope, fit, math.Exp(start)
 }
 
-// linearFit fits value = fixed + each × size; fit is its R².
-func linearFit(sizes, values []float64) (fixed, each, fit float64) {
+// fitLine fits value = fixed + each × size; fit is its R².
+func fitLine(sizes, values []float64) (fixed, each, fit float64) {
 	if len(sizes) < 2 || floats.Max(sizes) == floats.Min(sizes) {
 		return 0, 0, 0
 	}
@@ -58,38 +58,38 @@
 // figures are what slopes are made of, with their units.
 var figures = []struct {
 	name string
-	read func(*Role) float64
+	read func(*RoleUsage) float64
 }{
-	{"processor %", func(r *Role) float64 { return r.ProcessorPart }},
-	{"in kB/s", func(r *Role) float64 { return r.InKbPerS }},
-	{"out kB/s", func(r *Role) float64 { return r.OutKbPerS }},
-	{"messages in/s", func(r *Role) float64 { return r.MessagesIn }},
-	{"messages out/s", func(r *Role) float64 { return r.MessagesOut }},
-	{"heap MB", func(r *Role) float64 { return r.HeapMb }},
-	{"held MB", func(r *Role) float64 { return r.HeldMb }},
-	{"peak MB", func(r *Role) float64 { return r.PeakMb }},
-	{"goroutines", func(r *Role) float64 { return r.Goroutines }},
-	{"descriptors", func(r *Role) float64 { return r.Descriptors }},
-	{"connections in", func(r *Role) float64 { return r.Inside }},
-	{"connections out", func(r *Role) float64 { return r.Outside }},
-	{"dialed/s", func(r *Role) float64 { return r.DialedPerS }},
-	{"disk syncs/s", func(r *Role) float64 { return r.DiskPerS }},
-	{"disk kB/s", func(r *Role) float64 { return r.DiskKbPerS }},
+	{"processor %", func(r *RoleUsage) float64 { return r.CPUPercent }},
+	{"in kB/s", func(r *RoleUsage) float64 { return r.InKbPerS }},
+	{"out kB/s", func(r *RoleUsage) float64 { return r.OutKbPerS }},
+	{"messages in/s", func(r *RoleUsage) float64 { return r.MessagesIn }},
+	{"messages out/s", func(r *RoleUsage) float64 { return r.MessagesOut }},
+	{"heap MB", func(r *RoleUsage) float64 { return r.HeapMb }},
+	{"held MB", func(r *RoleUsage) float64 { return r.RuntimeMb }},
+	{"peak MB", func(r *RoleUsage) float64 { return r.PeakMb }},
+	{"goroutines", func(r *RoleUsage) float64 { return r.Goroutines }},
+	{"descriptors", func(r *RoleUsage) float64 { return r.Descriptors }},
+	{"connections in", func(r *RoleUsage) float64 { return r.InboundConnections }},
+	{"connections out", func(r *RoleUsage) float64 { return r.OutboundConnections }},
+	{"dialed/s", func(r *RoleUsage) float64 { return r.DialedPerS }},
+	{"disk syncs/s", func(r *RoleUsage) float64 { return r.DiskSyncsPerS }},
+	{"disk kB/s", func(r *RoleUsage) float64 { return r.DiskKbPerS }},
 }
 
 // fit reads the figure from the phase at the position in each result that has the role, and fits
 // both curves through the values.
-func (s *Slope) fit(results []Result, position int, read func(*Role) float64, target int) {
+func (s *ScalingFit) fit(results []Result, position int, read func(*RoleUsage) float64, target int) {
 	for _, result := range results {
 		if len(result.Phases) <= position || result.Phases[position].Roles[s.Role] == nil {
 			continue
 		}
-		s.Sizes = append(s.Sizes, float64(result.Plan.Data))
+		s.Sizes = append(s.Sizes, float64(result.Plan.DataPlanes))
 		s.Values = append(s.Values, read(result.Phases[position].Roles[s.Role]))
 	}
-	s.Exponent, s.Fit, _ = Exponent(s.Sizes, s.Values)
-	s.Fixed, s.PerData, s.Linear = linearFit(s.Sizes, s.Values)
-	s.AtTarget = s.Fixed + s.PerData*float64(target)
+	s.Exponent, s.Fit, _ = FitPowerLaw(s.Sizes, s.Values)
+	s.Intercept, s.PerDataPlane, s.LinearFit = fitLine(s.Sizes, s.Values)
+	s.AtTarget = s.Intercept + s.PerDataPlane*float64(target)
 }
 
 // Summarize fits every figure of every phase and role over the results.
@@ -101,10 +101,10 @@
 	for position, phase := range results[0].Phases {
 		for _, role := range []string{roleData, roleAlone, roleMember, roleHolder} {
 			for _, figure := range figures {
-				slope := Slope{Phase: phase.Name, Role: role, Figure: figure.name}
+				slope := ScalingFit{Phase: phase.Name, Role: role, Figure: figure.name}
 				slope.fit(results, position, figure.read, target)
 				if len(slope.Sizes) > 0 && floats.Max(slope.Values) > 0 {
-					report.Slopes = append(report.Slopes, slope)
+					report.Fits = append(report.Fits, slope)
 				}
 			}
 		}
--- a/internal/sim/hollow/snapshot.go
+++ b/internal/sim/hollow/snapshot.go
@@ -16,21 +16,21 @@
 type Snapshot struct {
 	At    time.Time `json:"at"`
 	Nodes int       `json:"daemons"`
-	// ProcessorS is the processor time used, in seconds.
-	ProcessorS  float64                    `json:"processorS"`
-	PeakMb      float64                    `json:"peakMb"`
-	HeapMb      float64                    `json:"heapMb"`
-	HeldMb      float64                    `json:"heldMb"`
-	Goroutines  int                        `json:"goroutines"`
-	Descriptors int                        `json:"descriptors"`
-	Dialed      int64                      `json:"dialed"`
-	Accepted    int64                      `json:"accepted"`
-	Outside     int64                      `json:"outside"`
-	Inside      int64                      `json:"inside"`
-	DiskWrites  int64                      `json:"diskWrites"`
-	DiskBytes   int64                      `json:"diskBytes"`
-	DiskSyncs   int64                      `json:"diskSyncs"`
-	Flows       map[string]map[string]Flow `json:"flows"`
+	// CPUSeconds is the processor time used, in seconds.
+	CPUSeconds          float64                    `json:"processorS"`
+	PeakMb              float64                    `json:"peakMb"`
+	HeapMb              float64                    `json:"heapMb"`
+	RuntimeMb           float64                    `json:"heldMb"`
+	Goroutines          int                        `json:"goroutines"`
+	Descriptors         int                        `json:"descriptors"`
+	Dialed              int64                      `json:"dialed"`
+	Accepted            int64                      `json:"accepted"`
+	OutboundConnections int64                      `json:"outside"`
+	InboundConnections  int64                      `json:"inside"`
+	DiskWrites          int64                      `json:"diskWrites"`
+	DiskBytes           int64                      `json:"diskBytes"`
+	DiskSyncs           int64                      `json:"diskSyncs"`
+	Flows               map[string]map[string]Flow `json:"flows"`
 }
 
 // seconds is a system time in seconds.
@@ -61,21 +61,21 @@
 		return Snapshot{}, errors.Wrap(err, "descriptors")
 	}
 	return Snapshot{
-		At:          time.Now(),
-		ProcessorS:  seconds(usage.Utime) + seconds(usage.Stime),
-		PeakMb:      peak,
-		HeapMb:      float64(samples[0].Value.Uint64()) / megabyte,
-		HeldMb:      float64(samples[1].Value.Uint64()-samples[2].Value.Uint64()) / megabyte,
-		Goroutines:  runtime.NumGoroutine(),
-		Descriptors: len(descriptors),
-		Dialed:      counter.dialed.Load(),
-		Accepted:    counter.accepted.Load(),
-		Outside:     counter.outside.Load(),
-		Inside:      counter.inside.Load(),
-		DiskWrites:  counter.writes.Load(),
-		DiskBytes:   counter.disk.Load(),
-		DiskSyncs:   counter.sync.Load(),
-		Flows:       counter.read(),
+		At:                  time.Now(),
+		CPUSeconds:          seconds(usage.Utime) + seconds(usage.Stime),
+		PeakMb:              peak,
+		HeapMb:              float64(samples[0].Value.Uint64()) / megabyte,
+		RuntimeMb:           float64(samples[1].Value.Uint64()-samples[2].Value.Uint64()) / megabyte,
+		Goroutines:          runtime.NumGoroutine(),
+		Descriptors:         len(descriptors),
+		Dialed:              counter.dialed.Load(),
+		Accepted:            counter.accepted.Load(),
+		OutboundConnections: counter.outbound.Load(),
+		InboundConnections:  counter.inbound.Load(),
+		DiskWrites:          counter.writes.Load(),
+		DiskBytes:           counter.diskBytes.Load(),
+		DiskSyncs:           counter.syncs.Load(),
+		Flows:               counter.read(),
 	}, nil
 }
 
--- a/internal/test/integration/coordination_client_test.go
+++ b/internal/test/integration/coordination_client_test.go
@@ -185,16 +185,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 0)
 		options := applications.Options{
-			Callers:   6,
-			PerSecond: 60,
-			Duration:  50 * time.Second,
-			Locks:     4,
-			Counters:  2,
-			Keys:      10,
-			Watches:   3,
-			Hold:      1500 * time.Millisecond,
-			Name:      "played",
-			Seed:      7,
+			Callers:      6,
+			CallsPerS:    60,
+			Duration:     50 * time.Second,
+			Locks:        4,
+			Counters:     2,
+			Keys:         10,
+			Watches:      3,
+			LockDuration: 1500 * time.Millisecond,
+			NamePrefix:   "played",
+			Seed:         7,
 		}
 		for core := 1; core <= 3; core++ {
 			options.Addresses = append(options.Addresses, coreHost(core)+":8166")
@@ -208,8 +208,8 @@
 		})
 		f.strikeCores()
 		played.Wait()
-		assert.Equal(t, len(report.Faults), 0, "%v", report.Faults)
+		assert.Equal(t, len(report.Violations), 0, "%v", report.Violations)
 		assert.Equal(t, len(report.Operations), 6)
-		assert.Assert(t, report.PerSecond > 30, "%f", report.PerSecond)
+		assert.Assert(t, report.CallsPerS > 30, "%f", report.CallsPerS)
 	})
 }
