--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -13,32 +13,31 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-// Comparison holds a method's forecast of a figure against the truth, value by value over the
-// seeds.
+// Comparison compares the forecasts of one figure by one method with the emulated outcomes, with one value per seed.
 type Comparison struct {
 	Figure string `json:"figure"`
 	Method string `json:"method"`
-	// Size is how many times larger than the file's the fleet is.
+	// Size is the factor by which the fleet of the file is scaled.
 	Size          int       `json:"size"`
 	Truth         []float64 `json:"truth"`
 	Forecast      []float64 `json:"forecast"`
 	Error         Estimate  `json:"error"`
 	AbsoluteError Estimate  `json:"absoluteError"`
 	MeanTruth     Estimate  `json:"meanTruth"`
-	// RelativeError is the absolute error over the mean truth, or nil if that is 0.
+	// RelativeError is the absolute error divided by the mean truth, or nil if the latter is 0.
 	RelativeError *Estimate `json:"relativeError,omitempty"`
 	Flags         []string  `json:"flags,omitempty"`
 }
 
 const (
-	// MethodOtherSeeds forecasts the mean truth of the other seeds, which an emulation of the fleet
-	// could forecast.
+	// MethodOtherSeeds is the baseline method: its forecast is the mean outcome of the other seeds, which an emulation of the
+	// fleet could provide.
 	MethodOtherSeeds = "emulated, other seeds"
-	// slowedShare is the share of the target latency beyond which a request counts as slowed.
+	// slowedShare is the share of the target latency by which a request must be delayed to count as slowed.
 	slowedShare = 0.25
 )
 
-// scaled is a scenario with so many times the fleet and its traffic.
+// scaled returns the scenario with its fleet and traffic multiplied by size.
 func scaled(scenario emulator.Scenario, size int) emulator.Scenario {
 	scenario.Zones = slices.Clone(scenario.Zones)
 	for index := range scenario.Zones {
@@ -51,29 +50,29 @@
 	return scenario
 }
 
-// CompareForecasts plays the first variant with and without its loss, for every size and seed, and
-// compares the forecasters with what happened. It fails if the variant has no loss.
+// CompareForecasts runs the first variant with and without its loss, for every size and seed, and compares the forecasts with
+// the emulated outcomes. It returns an error if the variant has no loss.
 func CompareForecasts(
 	ctx context.Context,
 	configuration Configuration,
 	sizes []int,
 	forecasters map[string]emulator.Forecaster,
-	atOnce int,
-	to io.Writer,
+	parallelism int,
+	output io.Writer,
 ) ([]Comparison, error) {
 	var found []Comparison
 	if len(configuration.Scenarios[0].Losses) == 0 {
-		return nil, errors.New("the first variant names no loss to forecast")
+		return nil, errors.New("the first variant has no loss to forecast")
 	}
 	for _, size := range sizes {
-		fmt.Fprintf(to, "fleet size %d: %d seeds, each with and without the loss\n", size, configuration.Seeds)
-		lost := scaled(configuration.Scenarios[0], size)
-		spared := lost
-		spared.Losses = nil
+		fmt.Fprintf(output, "fleet size %d: %d seeds, each with and without the loss\n", size, configuration.Seeds)
+		withLoss := scaled(configuration.Scenarios[0], size)
+		baseline := withLoss
+		baseline.Losses = nil
 		pair := configuration
 		pair.Variants = []Variant{{Name: "lost"}, {Name: "spared"}}
-		pair.Scenarios = []emulator.Scenario{lost, spared}
-		all, err := run(ctx, pair, atOnce, to, forecasters)
+		pair.Scenarios = []emulator.Scenario{withLoss, baseline}
+		all, err := run(ctx, pair, parallelism, output, forecasters)
 		if err != nil {
 			return nil, err
 		}
@@ -82,15 +81,15 @@
 	return found, nil
 }
 
-// compare compares every figure that the runs with the loss (first) and without it have.
+// compare compares the forecasts of every figure measured. all holds the runs with the loss, then those without it.
 func (c Configuration) compare(all []VariantRuns, size int, methods []string) []Comparison {
 	var names []string
 	truths := map[string][]float64{}
 	seeds := map[string][]int{}
 	for seed := range all[0].Results {
-		lost := all[0].Results[seed]
-		spared := all[1].Results[seed]
-		for _, measured := range c.measuredTruth(lost, spared) {
+		withLoss := all[0].Results[seed]
+		baseline := all[1].Results[seed]
+		for _, measured := range c.measuredTruth(withLoss, baseline) {
 			if truths[measured.name] == nil {
 				names = append(names, measured.name)
 			}
@@ -115,7 +114,7 @@
 	return found
 }
 
-// otherSeedsMeans is, for each seed, the mean of the others.
+// otherSeedsMeans returns for each seed the mean of the other seeds' values.
 func otherSeedsMeans(truth []float64) []float64 {
 	total := 0.0
 	for _, value := range truth {
@@ -128,7 +127,7 @@
 	return forecast
 }
 
-// newComparison compares a forecast with the truth.
+// newComparison returns the comparison of a forecast with the truth.
 func newComparison(name, method string, size int, truth, forecast []float64) Comparison {
 	deviations := differences(forecast, truth)
 	absolute := make([]float64, len(deviations))
@@ -145,9 +144,9 @@
 	}.withErrors(absolute)
 }
 
-// measuredTruth is what the loss really did, by the names of the forecasts' figures.
-func (c Configuration) measuredTruth(lost, spared emulator.Result) []measurement {
-	loss := lost.Losses[0]
+// measuredTruth returns the emulated effects of the loss, under the names of the forecast figures.
+func (c Configuration) measuredTruth(withLoss, baseline emulator.Result) []measurement {
+	loss := withLoss.Losses[0]
 	moving, warm := 0, 0.0
 	for _, amount := range loss.Moving {
 		moving += amount
@@ -166,12 +165,13 @@
 		{emulator.FigureWithoutCopy, float64(len(loss.WithoutCopy))},
 		{emulator.FigureWarm, warm},
 		{emulator.FigureBack, loss.LastCopyBackS},
-		{emulator.FigureReadAgain, readBetween(lost, loss.AtS, end) - readBetween(spared, loss.AtS, end)},
+		{emulator.FigureReadAgain, readBetween(withLoss, loss.AtS, end) - readBetween(baseline, loss.AtS, end)},
 	}
-	found = append(found, placementFigures(lost, end)...)
-	for number, class := range lost.Classes {
-		found = append(found, c.firstTokenFigures(lost, spared, number)...)
-		slowdown := slowdownFigures(lost, spared, number, c.Scenarios[0].Classes[number].LatencyTargetMs, period{fromS: loss.AtS, toS: end})
+	found = append(found, placementFigures(withLoss, end)...)
+	for number, class := range withLoss.Classes {
+		found = append(found, c.firstTokenFigures(withLoss, baseline, number)...)
+		latencyTargetMs := c.Scenarios[0].Classes[number].LatencyTargetMs
+		slowdown := slowdownFigures(withLoss, baseline, number, latencyTargetMs, period{fromS: loss.AtS, toS: end})
 		for _, measured := range slowdown {
 			found = append(found, measurement{class.Name + measured.name, measured.value})
 		}
@@ -179,7 +179,7 @@
 	return found
 }
 
-// readBetween is the prompt tokens read between two moments, by the samples.
+// readBetween returns the number of prompt tokens read between two times, according to the samples.
 func readBetween(result emulator.Result, from, to float64) float64 {
 	before, after := 0.0, 0.0
 	for _, sample := range result.Samples {
@@ -193,36 +193,36 @@
 	return after - before
 }
 
-// slowdownFigures compares the requests of a class with their twins in the run without the loss;
-// the names lack the class's.
-func slowdownFigures(lost, spared emulator.Result, number int, aimMs float64, during period) []measurement {
-	sent, slow, missed := 0, 0, 0
-	late := newHistogram()
-	for index, request := range lost.Requests {
-		twin := spared.Requests[index]
-		if request.Class != number || !during.holds(request.AtS) {
+// slowdownFigures compares each request of a class with the same request in the run without the loss. The names returned do not
+// include the class.
+func slowdownFigures(withLoss, baseline emulator.Result, number int, latencyTargetMs float64, during period) []measurement {
+	sent, slowed, missed := 0, 0, 0
+	delays := newHistogram()
+	for index, request := range withLoss.Requests {
+		baselineRequest := baseline.Requests[index]
+		if request.Class != number || !during.contains(request.AtS) {
 			continue
 		}
 		sent++
-		if twin.InTime && !request.InTime {
+		if baselineRequest.InTime && !request.InTime {
 			missed++
 		}
-		if request.FirstMs == 0 || twin.FirstMs == 0 {
+		if request.FirstMs == 0 || baselineRequest.FirstMs == 0 {
 			continue
 		}
-		by := max(request.FirstMs-twin.FirstMs, 0)
-		fill(late, []float64{by})
-		if by > slowedShare*aimMs {
-			slow++
+		delayMs := max(request.FirstMs-baselineRequest.FirstMs, 0)
+		recordMs(delays, []float64{delayMs})
+		if delayMs > slowedShare*latencyTargetMs {
+			slowed++
 		}
 	}
 	if sent == 0 {
 		return nil
 	}
 	return []measurement{
-		{": share slowed", share(slow, sent)},
+		{": share slowed", share(slowed, sent)},
 		{": share no longer in time", share(missed, sent)},
-		{": slower by p50, ms", quantile(late, 50)},
-		{": slower by p95, ms", quantile(late, 95)},
+		{": slower by p50, ms", quantile(delays, 50)},
+		{": slower by p95, ms", quantile(delays, 95)},
 	}
 }
--- a/internal/sim/experiment/compare_test.go
+++ b/internal/sim/experiment/compare_test.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-func judge(t *testing.T, forecaster emulator.Forecaster) map[string]Comparison {
+func compareByName(t *testing.T, forecaster emulator.Forecaster) map[string]Comparison {
 	t.Helper()
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
@@ -26,8 +26,8 @@
 }
 
 func TestCompare_MeasuresForecastErrorAndFlagsBrokenForecast(t *testing.T) {
-	sound := judge(t, emulator.CountByLoad)
-	broken := judge(t, func(before emulator.Snapshot) emulator.Forecast {
+	sound := compareByName(t, emulator.CountByLoad)
+	broken := compareByName(t, func(before emulator.Snapshot) emulator.Forecast {
 		forecast := emulator.CountByLoad(before)
 		forecast[emulator.FigureWithoutCopy] += 5
 		return forecast
@@ -43,7 +43,7 @@
 func TestCompare_ForecastDoesNotChangeTheRun(t *testing.T) {
 	read, err := Parse([]byte(small))
 	assert.NilError(t, err)
-	played := func(forecaster emulator.Forecaster) string {
+	runJSON := func(forecaster emulator.Forecaster) string {
 		world, err := emulator.NewWorld(read.Scenarios[0])
 		assert.NilError(t, err)
 		if forecaster != nil {
@@ -55,8 +55,8 @@
 		assert.NilError(t, err)
 		return string(content)
 	}
-	assert.Assert(t, played(nil) == played(emulator.CountByLoad))
-	assert.Assert(t, played(nil) == played(emulator.ByMatchers(read.AfterS)))
+	assert.Assert(t, runJSON(nil) == runJSON(emulator.CountByLoad))
+	assert.Assert(t, runJSON(nil) == runJSON(emulator.ByMatchers(read.AfterS)))
 }
 
 func TestCompare_NothingToForecastWithoutLoss(t *testing.T) {
--- a/internal/sim/experiment/configuration.go
+++ b/internal/sim/experiment/configuration.go
@@ -1,7 +1,8 @@
-// Package experiment plays variants of an emulated fleet over several seeds, sums them up as
-// tables, JSON and plots, and compares forecasts of a loss with the emulated loss. All its figures
-// are emulated. It never runs a daemon nor opens a connection; it writes only into the folder that
-// it is given. Start reading at Load, Run and Summarize; CompareForecasts for forecasts.
+// Package experiment runs variants of an emulated fleet with several seeds, summarizes the results as tables, JSON and plots,
+// and compares forecasts of a loss with its emulated outcome.
+//
+// All its figures are emulated. It starts no node and opens no connection, and writes only to the directory given. Start
+// reading at Load, Run and Summarize, or at CompareForecasts for forecasts.
 package experiment
 
 import (
@@ -18,37 +19,37 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-// Configuration is an experiment as its file gives it. Variants change parts of the scenario; Scenarios
-// are the scenarios that result, in the variants' sequence.
+// Configuration is the configuration of an experiment. Each variant overrides parts of the scenario; Scenarios holds the
+// resulting scenarios in the order of the variants.
 type Configuration struct {
 	Name        string `koanf:"name"`
 	Description string `koanf:"about"`
 	Seeds       int    `koanf:"seeds"`
 	FirstSeed   uint64 `koanf:"firstSeed"`
-	// AfterS is how many seconds after the loss its period lasts.
+	// AfterS is the length of the period after the loss, in seconds.
 	AfterS float64 `koanf:"afterS"`
-	// InFlightS is how many seconds before the loss requests count as caught by it.
+	// InFlightS is how many seconds before the loss a request may arrive and still count as in flight at the loss.
 	InFlightS float64             `koanf:"flightS"`
 	Scenario  map[string]any      `koanf:"scenario"`
 	Variants  []Variant           `koanf:"variants"`
 	Scenarios []emulator.Scenario `koanf:"-"`
 }
 
-// Variant names values of the scenario that it sets otherwise, by dotted key.
+// Variant overrides values of the scenario, by dotted key.
 type Variant struct {
 	Name      string         `koanf:"name"`
 	Overrides map[string]any `koanf:"set"`
 }
 
 const (
-	// mostSeeds bounds the number of seeds.
-	mostSeeds     = 1000
-	defaultSeeds  = 10
-	defaultAfter  = 30
-	defaultFlight = 15
+	// maxSeeds is the maximum number of seeds.
+	maxSeeds         = 1000
+	defaultSeeds     = 10
+	defaultAfterS    = 30
+	defaultInFlightS = 15
 )
 
-// Load reads an experiment's file and checks it.
+// Load reads and validates the file of an experiment.
 func Load(path string) (Configuration, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -58,9 +59,9 @@
 	return read, errors.Wrap(err, path)
 }
 
-// Parse reads an experiment in TOML and builds its variants; an error says what is wrong.
+// Parse parses and validates an experiment in TOML and builds the scenarios of its variants.
 func Parse(content []byte) (Configuration, error) {
-	read := Configuration{Seeds: defaultSeeds, FirstSeed: 1, AfterS: defaultAfter, InFlightS: defaultFlight}
+	read := Configuration{Seeds: defaultSeeds, FirstSeed: 1, AfterS: defaultAfterS, InFlightS: defaultInFlightS}
 	tree := koanf.New(".")
 	if err := tree.Load(rawbytes.Provider(content), toml.Parser()); err != nil {
 		return read, errors.Wrap(err, "cannot be read")
@@ -71,8 +72,8 @@
 	if read.Name == "" {
 		return read, errors.New("name is missing")
 	}
-	if read.Seeds < 1 || read.Seeds > mostSeeds {
-		return read, errors.Errorf("seeds must lie between 1 and %d", mostSeeds)
+	if read.Seeds < 1 || read.Seeds > maxSeeds {
+		return read, errors.Errorf("seeds must lie between 1 and %d", maxSeeds)
 	}
 	if read.AfterS <= 0 || read.InFlightS < 0 {
 		return read, errors.New("afterS must be above 0, flightS at least 0")
@@ -95,7 +96,7 @@
 	return read, nil
 }
 
-// build is the scenario of a variant, on top of the defaults and the file's values.
+// build returns the scenario of a variant: the defaults, overridden by base and then by the variant.
 func build(base map[string]any, variant Variant) (emulator.Scenario, error) {
 	scenario := emulator.Defaults()
 	tree := koanf.New(".")
@@ -117,8 +118,7 @@
 	return scenario, scenario.Check()
 }
 
-// decode reads the tree into the target and rejects unknown keys; root names the top level in
-// errors.
+// decode decodes the tree into target and rejects unknown keys. Errors call the top level root.
 func decode(tree *koanf.Koanf, target any, root string) error {
 	err := tree.UnmarshalWithConf("", target, koanf.UnmarshalConf{DecoderConfig: &mapstructure.DecoderConfig{
 		Result:      target,
--- a/internal/sim/experiment/experiment_test.go
+++ b/internal/sim/experiment/experiment_test.go
@@ -80,16 +80,16 @@
 }
 
 func TestRun_ParallelRunsGiveSameBytes(t *testing.T) {
-	written := func(atOnce int) string {
+	summaryJSON := func(parallelism int) string {
 		read, err := Parse([]byte(small))
 		assert.NilError(t, err)
-		all, err := Run(t.Context(), read, atOnce, io.Discard)
+		all, err := Run(t.Context(), read, parallelism, io.Discard)
 		assert.NilError(t, err)
 		content, err := json.Marshal(Summarize(read, all))
 		assert.NilError(t, err)
 		return string(content)
 	}
-	assert.Assert(t, written(1) == written(4))
+	assert.Assert(t, summaryJSON(1) == summaryJSON(4))
 }
 
 func TestWrite_TableAndPlots(t *testing.T) {
--- a/internal/sim/experiment/figures.go
+++ b/internal/sim/experiment/figures.go
@@ -10,16 +10,15 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-// Estimate is the mean over the seeds, the standard deviation, and half of the 95% confidence
-// interval by Student's distribution.
+// Estimate is the mean over the seeds, the standard deviation, and the half-width of the 95% confidence interval by Student's
+// t-distribution.
 type Estimate struct {
 	Mean      float64 `json:"mean"`
 	StdDev    float64 `json:"deviation"`
 	HalfWidth float64 `json:"half95"`
 }
 
-// Figure is a figure of a variant, a value for each seed. Difference is the paired difference to
-// the first variant.
+// Figure is a figure of a variant, with one value per seed. Difference is the paired difference from the first variant.
 type Figure struct {
 	Name       string    `json:"name"`
 	Values     []float64 `json:"values"`
@@ -27,10 +26,10 @@
 	Difference *Estimate `json:"differenceToFirst,omitempty"`
 }
 
-// confidence is the confidence of every interval.
+// confidence is the level of all confidence intervals.
 const confidence = 0.95
 
-// estimate estimates from at least one value.
+// estimate returns the estimate from the values, of which there must be at least one.
 func estimate(values []float64) Estimate {
 	if len(values) < 2 {
 		return Estimate{Mean: stat.Mean(values, nil)}
@@ -41,46 +40,46 @@
 	return Estimate{Mean: mean, StdDev: deviation, HalfWidth: half}
 }
 
-// newHistogram holds microseconds up to ten minutes.
+// newHistogram returns an empty histogram of durations in microseconds, up to ten minutes.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
-// fill records values given in milliseconds.
-func fill(histogram *hdrhistogram.Histogram, milliseconds []float64) {
+// recordMs records durations given in milliseconds.
+func recordMs(histogram *hdrhistogram.Histogram, milliseconds []float64) {
 	for _, value := range milliseconds {
 		_ = histogram.RecordValue(max(int64(math.Round(value*1000)), 1))
 	}
 }
 
-// quantile is a percentile in milliseconds.
+// quantile returns a percentile in milliseconds.
 func quantile(histogram *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(histogram.ValueAtQuantile(percent)) / 1000
 }
 
-// period is a named span of the run, in seconds; the end is left out.
+// period is a named, half-open interval of the run, in seconds.
 type period struct {
 	name  string
 	fromS float64
 	toS   float64
 }
 
-// holds reports whether a moment lies in the period.
-func (p period) holds(atS float64) bool { return atS >= p.fromS && atS < p.toS }
+// contains reports whether a time lies in the period.
+func (p period) contains(atS float64) bool { return atS >= p.fromS && atS < p.toS }
 
-// periods are those that the first variant's first loss divides the run into.
+// periods returns the periods into which the first loss of the first variant divides the run.
 func (c Configuration) periods() []period {
 	scenario := c.Scenarios[0]
 	if len(scenario.Losses) == 0 {
 		return []period{{"whole", scenario.WarmS, scenario.LengthS}}
 	}
 	loss := scenario.Losses[0].AtS
-	caught := max(loss-c.InFlightS, 0)
+	inFlightFrom := max(loss-c.InFlightS, 0)
 	return []period{
-		{"before", scenario.WarmS, caught}, {"caught", caught, loss},
+		{"before", scenario.WarmS, inFlightFrom}, {"caught", inFlightFrom, loss},
 		{"loss", loss, loss + c.AfterS}, {"after", loss + c.AfterS, scenario.LengthS},
 	}
 }
 
-// share is part of total, or NaN if total is 0.
+// share returns part divided by total, or NaN if total is 0.
 func share(part, total int) float64 {
 	if total == 0 {
 		return math.NaN()
@@ -88,33 +87,31 @@
 	return float64(part) / float64(total)
 }
 
-// measurement is one named value of a run.
+// measurement is a named value measured in one run.
 type measurement struct {
 	name  string
 	value float64
 }
 
-// bucketSums sums buckets of requests.
+// bucketSums accumulates buckets of requests.
 type bucketSums struct {
 	offered, inTime, rejected int
 	firsts, pauses            *hdrhistogram.Histogram
 }
 
-// newBucketSums is empty sums.
 func newBucketSums() *bucketSums {
 	return &bucketSums{firsts: newHistogram(), pauses: newHistogram()}
 }
 
-// add adds a bucket.
 func (s *bucketSums) add(bucket emulator.Bucket) {
 	s.offered += bucket.Offered
 	s.inTime += bucket.InTime
 	s.rejected += bucket.Rejected
-	fill(s.firsts, bucket.Firsts)
-	fill(s.pauses, bucket.Pauses)
+	recordMs(s.firsts, bucket.Firsts)
+	recordMs(s.pauses, bucket.Pauses)
 }
 
-// measure is every figure of a run, by class and period.
+// measure returns all figures of a run, by class and period.
 func measure(result emulator.Result, spans []period) []measurement {
 	var found []measurement
 	add := func(name string, value float64) {
@@ -126,7 +123,7 @@
 		for _, span := range spans {
 			sums := newBucketSums()
 			for _, bucket := range class.Buckets {
-				if span.holds(bucket.AtS) {
+				if span.contains(bucket.AtS) {
 					sums.add(bucket)
 				}
 			}
@@ -146,18 +143,18 @@
 	return append(found, fleetFigures(result)...)
 }
 
-// fleetFigures are the figures of the whole fleet.
+// fleetFigures returns the figures of the whole fleet.
 func fleetFigures(result emulator.Result) []measurement {
 	waiting := 0
 	warmLost := 0.0
 	streams := 0
-	alone := 0
+	withoutCopy := 0
 	for _, sample := range result.Samples {
 		waiting = max(waiting, sample.Waiting+sample.Queued)
 	}
 	for _, loss := range result.Losses {
 		streams += loss.Running
-		alone += len(loss.WithoutCopy)
+		withoutCopy += len(loss.WithoutCopy)
 		for _, amount := range loss.WarmTokens {
 			warmLost += amount
 		}
@@ -176,7 +173,7 @@
 	if len(result.Losses) > 0 {
 		found = append(found,
 			measurement{"streams running where lost", float64(streams)},
-			measurement{"models and adapters without a copy", float64(alone)},
+			measurement{"models and adapters without a copy", float64(withoutCopy)},
 			measurement{"warm tokens lost", warmLost},
 		)
 	}
--- a/internal/sim/experiment/foretold_test.go
+++ b/internal/sim/experiment/forecast_test.go
@@ -29,7 +29,7 @@
 	for _, comparison := range found {
 		byName[comparison.Method+" "+comparison.Figure] = comparison
 	}
-	for _, name := range []string{emulator.FigurePlaced, emulator.FigureInterrupted, perReplicaOf} {
+	for _, name := range []string{emulator.FigurePlaced, emulator.FigureInterrupted, figurePerReplica} {
 		correct := byName["sound "+name]
 		broken := byName["broken "+name]
 		assert.Assert(t, correct.MeanTruth.Mean > 0, name)
--- a/internal/sim/experiment/plots.go
+++ b/internal/sim/experiment/plots.go
@@ -16,11 +16,11 @@
 	// plotWidth and plotHeight are the size of a plot.
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
-	// legendWidthFactor widens the time axis to leave space for the legend.
+	// legendWidthFactor extends the time axis to make room for the legend.
 	legendWidthFactor = 1.35
 )
 
-// plotFiles is the file that each series is drawn in; some share one.
+// plotFiles maps each series to its file, without suffix. Some series share a file.
 var plotFiles = map[string]string{
 	seriesInTime:   "in-time",
 	seriesMedian:   "first-token",
@@ -33,18 +33,18 @@
 	seriesLoads:    "loads",
 }
 
-// plotLabels ends the legend of series that share a plot.
+// plotLabels holds the legend suffixes of series that share a plot.
 var plotLabels = map[string]string{seriesMedian: " p50", seriesTail: " p95"}
 
-// picture is a plot being drawn, and its highest value.
-type picture struct {
+// chart is a plot under construction, and its highest value.
+type chart struct {
 	plot    *plot.Plot
 	highest float64
 }
 
-// draw draws all series into PNG files in the folder.
+// draw writes the plots of all series as PNG files to the directory.
 func (s Summary) draw(folder string) error {
-	pictures := map[string]*picture{}
+	charts := map[string]*chart{}
 	var order []string
 	for number, variant := range s.Variants {
 		for _, line := range variant.Series {
@@ -55,28 +55,28 @@
 			if line.Class != "" {
 				name += "-" + strings.ReplaceAll(line.Class, " ", "-")
 			}
-			if pictures[name] == nil {
-				pictures[name] = s.picture(line)
+			if charts[name] == nil {
+				charts[name] = s.newChart(line)
 				order = append(order, name)
 			}
-			if err := pictures[name].add(line, variant.Name, number); err != nil {
+			if err := charts[name].add(line, variant.Name, number); err != nil {
 				return errors.Wrap(err, name)
 			}
 		}
 	}
 	for _, name := range order {
-		if err := s.markLosses(pictures[name]); err != nil {
+		if err := s.markLosses(charts[name]); err != nil {
 			return errors.Wrap(err, name)
 		}
-		if err := pictures[name].plot.Save(plotWidth, plotHeight, filepath.Join(folder, name+".png")); err != nil {
+		if err := charts[name].plot.Save(plotWidth, plotHeight, filepath.Join(folder, name+".png")); err != nil {
 			return errors.Wrap(err, name)
 		}
 	}
 	return nil
 }
 
-// picture begins the plot that a series is drawn in.
-func (s Summary) picture(line Series) *picture {
+// newChart returns an empty chart for a series.
+func (s Summary) newChart(line Series) *chart {
 	drawn := plot.New()
 	drawn.Title.Text = s.Name + " (emulated): " + line.Name
 	if line.Class != "" {
@@ -95,11 +95,11 @@
 	drawn.X.Max = line.Points[len(line.Points)-1].AtS * legendWidthFactor
 	drawn.Legend.Top = true
 	drawn.Add(plotter.NewGrid())
-	return &picture{plot: drawn}
+	return &chart{plot: drawn}
 }
 
-// add draws a series in the colour of its variant.
-func (p *picture) add(curve Series, variant string, number int) error {
+// add draws a series in the color of its variant.
+func (p *chart) add(curve Series, variant string, number int) error {
 	points := make(plotter.XYs, len(curve.Points))
 	for index, point := range curve.Points {
 		points[index] = plotter.XY{X: point.AtS, Y: point.Value}
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// markLosses draws a line at each loss and each return.
-func (s Summary) markLosses(p *picture) error {
+// markLosses draws a vertical line at each loss and each recovery.
+func (s Summary) markLosses(p *chart) error {
 	p.plot.Y.Max = max(p.highest*1.05, 0.01)
 	for _, loss := range s.Losses {
 		for _, at := range []float64{loss.AtS, loss.BackS} {
--- a/internal/sim/experiment/run.go
+++ b/internal/sim/experiment/run.go
@@ -12,57 +12,57 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-// VariantRuns are the results of a variant, one for each seed.
+// VariantRuns holds the results of a variant, one per seed.
 type VariantRuns struct {
 	Variant string            `json:"variant"`
 	Results []emulator.Result `json:"results"`
 }
 
-// progress prints how many runs are done; its lock guards it.
+// progress counts and prints how many runs have finished. Its lock protects the counts.
 type progress struct {
-	lock  sync.Mutex
-	to    io.Writer
-	began time.Time
-	shown time.Time
-	done  int
-	total int
+	lock      sync.Mutex
+	output    io.Writer
+	startedAt time.Time
+	printedAt time.Time
+	done      int
+	total     int
 }
 
-// showEvery is how often progress is printed at most.
-const showEvery = 2 * time.Second
+// progressInterval is the minimum interval between lines of progress.
+const progressInterval = 2 * time.Second
 
-// note counts a run that is done.
+// recordDone counts a finished run, and prints the progress if the last line is old enough.
 func (p *progress) recordDone() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.done++
 	now := time.Now()
-	if now.Sub(p.began) < showEvery || now.Sub(p.shown) < showEvery && p.done < p.total {
+	if now.Sub(p.startedAt) < progressInterval || now.Sub(p.printedAt) < progressInterval && p.done < p.total {
 		return
 	}
-	p.shown = now
-	left := time.Duration(float64(now.Sub(p.began)) / float64(p.done) * float64(p.total-p.done))
-	fmt.Fprintf(p.to, "%d of %d runs done, about %s left\n", p.done, p.total, left.Round(time.Second))
+	p.printedAt = now
+	left := time.Duration(float64(now.Sub(p.startedAt)) / float64(p.done) * float64(p.total-p.done))
+	fmt.Fprintf(p.output, "%d of %d runs done, about %s left\n", p.done, p.total, left.Round(time.Second))
 }
 
-// Run plays every variant with every seed, so many at once, and prints progress. It fails if the
-// context ends or a world cannot be built.
-func Run(ctx context.Context, configuration Configuration, atOnce int, to io.Writer) ([]VariantRuns, error) {
-	return run(ctx, configuration, atOnce, to, nil)
+// Run runs every variant with every seed, at most parallelism at a time, and prints progress to output. It returns an error
+// if the context ends or a scenario is invalid.
+func Run(ctx context.Context, configuration Configuration, parallelism int, output io.Writer) ([]VariantRuns, error) {
+	return run(ctx, configuration, parallelism, output, nil)
 }
 
-// run plays the variants with forecasters that are asked before each loss.
+// run is Run with forecasters that are called before each loss.
 func run(
 	ctx context.Context,
 	configuration Configuration,
-	atOnce int,
-	to io.Writer,
+	parallelism int,
+	output io.Writer,
 	forecasters map[string]emulator.Forecaster,
 ) ([]VariantRuns, error) {
 	all := make([]VariantRuns, len(configuration.Variants))
-	shown := &progress{to: to, began: time.Now(), total: len(configuration.Variants) * configuration.Seeds}
-	places := make(chan struct{}, max(atOnce, 1))
-	failures := make(chan error, shown.total)
+	reporter := &progress{output: output, startedAt: time.Now(), total: len(configuration.Variants) * configuration.Seeds}
+	semaphore := make(chan struct{}, max(parallelism, 1))
+	failures := make(chan error, reporter.total)
 	var group sync.WaitGroup
 	for seed := range configuration.Seeds {
 		for number, variant := range configuration.Variants {
@@ -75,9 +75,9 @@
 			scenario := configuration.Scenarios[number]
 			scenario.Seed = configuration.FirstSeed + uint64(seed)
 			target := &all[number].Results[seed]
-			places <- struct{}{}
+			semaphore <- struct{}{}
 			group.Go(func() {
-				defer func() { <-places }()
+				defer func() { <-semaphore }()
 				world, err := emulator.NewWorld(scenario)
 				if err != nil {
 					failures <- errors.Wrapf(err, "variant %q", variant.Name)
@@ -85,14 +85,14 @@
 				}
 				world.Forecasters = forecasters
 				*target = world.Run()
-				shown.recordDone()
+				reporter.recordDone()
 			})
 		}
 	}
 	group.Wait()
 	close(failures)
 	if ctx.Err() != nil {
-		return nil, errors.Errorf("interrupted after %d of %d runs", shown.done, shown.total)
+		return nil, errors.Errorf("interrupted after %d of %d runs", reporter.done, reporter.total)
 	}
 	return all, <-failures
 }
--- a/internal/sim/experiment/summary.go
+++ b/internal/sim/experiment/summary.go
@@ -6,27 +6,27 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-// Point is a value at a moment.
+// Point is a value at a point in time.
 type Point struct {
 	AtS   float64 `json:"atS"`
 	Value float64 `json:"value"`
 }
 
-// Series is a line of a plot; Class is empty for the whole fleet.
+// Series is a curve of a plot. Class is empty if it covers the whole fleet.
 type Series struct {
 	Name   string  `json:"name"`
 	Class  string  `json:"class,omitempty"`
 	Points []Point `json:"points"`
 }
 
-// VariantSummary is the figures and series of a variant.
+// VariantSummary holds the figures and series of a variant.
 type VariantSummary struct {
 	Name    string   `json:"name"`
 	Figures []Figure `json:"figures"`
 	Series  []Series `json:"series"`
 }
 
-// Summary is the outcome of an experiment.
+// Summary is the result of an experiment.
 type Summary struct {
 	Name        string           `json:"name"`
 	Description string           `json:"about"`
@@ -37,7 +37,7 @@
 	Variants    []VariantSummary `json:"variants"`
 }
 
-// Summarize sums the runs up, with differences to the first variant.
+// Summarize summarizes the runs and computes the differences from the first variant.
 func Summarize(configuration Configuration, all []VariantRuns) Summary {
 	summary := Summary{
 		Name:        configuration.Name,
@@ -68,8 +68,7 @@
 	return summary
 }
 
-// gather is the figures' names, in the sequence in which they appear, and their values for each
-// seed.
+// gather returns the names of the figures in order of appearance, and their values, one per seed.
 func gather(results []emulator.Result, spans []period) ([]string, map[string][]float64) {
 	var names []string
 	values := map[string][]float64{}
@@ -84,7 +83,7 @@
 	return names, values
 }
 
-// differences are the values less the base, pairwise.
+// differences returns values minus base, element by element.
 func differences(values, base []float64) []float64 {
 	found := make([]float64, len(values))
 	for index := range values {
@@ -94,7 +93,7 @@
 }
 
 const (
-	// seriesInTime and those below name the series.
+	// seriesInTime and the constants below are the names of the series.
 	seriesInTime   = "share inside the aim"
 	seriesMedian   = "first token p50, ms"
 	seriesTail     = "first token p95, ms"
@@ -106,7 +105,7 @@
 	seriesLoads    = "loads so far (store and disk)"
 )
 
-// series are the lines of a variant, pooled over the seeds.
+// series returns the curves of a variant, pooled over the seeds.
 func series(results []emulator.Result, scenario emulator.Scenario) []Series {
 	var found []Series
 	for class, result := range results[0].Classes {
@@ -132,7 +131,7 @@
 	return append(found, sampleSeries(results)...)
 }
 
-// pooledBucket is the values of one bucket of a class over all seeds, by series.
+// pooledBucket returns the values of one bucket of a class, pooled over the seeds, by series.
 func pooledBucket(results []emulator.Result, class, number int) map[string]float64 {
 	sums := newBucketSums()
 	for _, result := range results {
@@ -150,7 +149,7 @@
 	return values
 }
 
-// sampleSeries are the lines from the fleet's samples, as means over the seeds.
+// sampleSeries returns the curves of the fleet's samples, as means over the seeds.
 func sampleSeries(results []emulator.Result) []Series {
 	lines := []struct {
 		name string
--- a/internal/sim/experiment/truth.go
+++ b/internal/sim/experiment/truth.go
@@ -8,14 +8,13 @@
 )
 
 const (
-	// overPeriod separates a figure's name from its period; forecasts name the figure alone.
+	// overPeriod separates the name of a figure from its period. Forecasts are stored under the name without the period.
 	overPeriod = ", over "
-	// perReplicaOf names the figure that compares replica by replica.
-	perReplicaOf = "requests moved to a replica, mean of all left"
+	// figurePerReplica is the name of the figure that is compared replica by replica.
+	figurePerReplica = "requests moved to a replica, mean of all left"
 )
 
-// forecastValues is what a method forecast for a figure, for each of the seeds, or nil if it did
-// not.
+// forecastValues returns the forecasts of a figure by a method, one per seed, or nil if the method does not forecast it.
 func forecastValues(results []emulator.Result, method, name string, seeds []int) []float64 {
 	var found []float64
 	key, _, _ := strings.Cut(name, overPeriod)
@@ -29,56 +28,56 @@
 	return found
 }
 
-// withErrors adds the estimates from the absolute errors.
-func (j Comparison) withErrors(absolute []float64) Comparison {
-	j.AbsoluteError, j.MeanTruth = estimate(absolute), estimate(j.Truth)
-	if j.MeanTruth.Mean == 0 {
-		return j
+// withErrors returns the comparison with the estimates derived from the absolute errors.
+func (c Comparison) withErrors(absolute []float64) Comparison {
+	c.AbsoluteError, c.MeanTruth = estimate(absolute), estimate(c.Truth)
+	if c.MeanTruth.Mean == 0 {
+		return c
 	}
 	relative := make([]float64, len(absolute))
 	for index, value := range absolute {
-		relative[index] = value / math.Abs(j.MeanTruth.Mean)
+		relative[index] = value / math.Abs(c.MeanTruth.Mean)
 	}
 	measured := estimate(relative)
-	j.RelativeError = &measured
-	return j
+	c.RelativeError = &measured
+	return c
 }
 
 const (
-	// flagBiased marks a mean error beyond its interval.
+	// flagBiased marks a mean error that differs significantly from 0, by its confidence interval.
 	flagBiased = "biased"
-	// flagWorse marks an error larger than that of the other seeds' means, beyond its interval.
+	// flagWorse marks an absolute error significantly larger than that of the baseline MethodOtherSeeds.
 	flagWorse = "worse than other seeds"
 )
 
-// withFlags adds the flags; base, if given, is the forecast by the other seeds.
-func (j Comparison) withFlags(base *Comparison) Comparison {
-	if math.Abs(j.Error.Mean) > j.Error.HalfWidth {
-		j.Flags = append(j.Flags, flagBiased)
+// withFlags returns the comparison with its flags. base is the comparison of MethodOtherSeeds, or nil to omit flagWorse.
+func (c Comparison) withFlags(base *Comparison) Comparison {
+	if math.Abs(c.Error.Mean) > c.Error.HalfWidth {
+		c.Flags = append(c.Flags, flagBiased)
 	}
 	if base == nil {
-		return j
+		return c
 	}
-	further := make([]float64, len(j.Truth))
-	for index, truth := range j.Truth {
-		further[index] = math.Abs(j.Forecast[index]-truth) - math.Abs(base.Forecast[index]-truth)
+	excess := make([]float64, len(c.Truth))
+	for index, truth := range c.Truth {
+		excess[index] = math.Abs(c.Forecast[index]-truth) - math.Abs(base.Forecast[index]-truth)
 	}
-	if difference := estimate(further); difference.Mean > difference.HalfWidth {
-		j.Flags = append(j.Flags, flagWorse)
+	if difference := estimate(excess); difference.Mean > difference.HalfWidth {
+		c.Flags = append(c.Flags, flagWorse)
 	}
-	return j
+	return c
 }
 
-// perReplica compares where the interrupted requests went, replica by replica; it is empty if the
-// method does not forecast it.
+// perReplica compares the destinations of the interrupted requests, replica by replica. It returns nil if the method does not
+// forecast them.
 func perReplica(results []emulator.Result, method string, size int) []Comparison {
-	comparison := Comparison{Figure: perReplicaOf, Method: method, Size: size}
+	comparison := Comparison{Figure: figurePerReplica, Method: method, Size: size}
 	var absolute, errors []float64
 	for _, result := range results {
 		loss := result.Losses[0]
 		truth := 0.0
 		forecast := 0.0
-		apart := 0.0
+		absoluteError := 0.0
 		for _, replica := range loss.Surviving {
 			value, known := loss.Forecasts[method][emulator.FigureMovedTo+replica]
 			if !known {
@@ -87,21 +86,21 @@
 			moved := float64(loss.MovedTo[replica])
 			truth += moved
 			forecast += value
-			apart += math.Abs(value - moved)
+			absoluteError += math.Abs(value - moved)
 		}
 		left := float64(max(len(loss.Surviving), 1))
 		comparison.Truth = append(comparison.Truth, truth/left)
 		comparison.Forecast = append(comparison.Forecast, forecast/left)
-		absolute = append(absolute, apart/left)
+		absolute = append(absolute, absoluteError/left)
 		errors = append(errors, (forecast-truth)/left)
 	}
 	comparison.Error = estimate(errors)
 	return []Comparison{comparison.withErrors(absolute).withFlags(nil)}
 }
 
-// placementFigures are what became of the interrupted requests, and the loads until the end.
-func placementFigures(lost emulator.Result, end float64) []measurement {
-	loss := lost.Losses[0]
+// placementFigures returns the outcomes of the interrupted requests, and the number of loads from the loss until end.
+func placementFigures(withLoss emulator.Result, end float64) []measurement {
+	loss := withLoss.Losses[0]
 	moved := 0
 	for _, amount := range loss.MovedTo {
 		moved += amount
@@ -112,11 +111,11 @@
 		{emulator.FigurePlaced, float64(moved)},
 		{emulator.FigureRegionBound, float64(loss.RegionBound)},
 		{emulator.FigureFull, float64(loss.FullReplicas)},
-		{emulator.FigureLoads, loadedBetween(lost, loss.AtS, end)},
+		{emulator.FigureLoads, loadedBetween(withLoss, loss.AtS, end)},
 	}
 }
 
-// loadedBetween is the loads between two moments, by the samples.
+// loadedBetween returns the number of loads between two times, according to the samples.
 func loadedBetween(result emulator.Result, from, to float64) float64 {
 	before, after := 0, 0
 	for _, sample := range result.Samples {
@@ -130,9 +129,9 @@
 	return float64(after - before)
 }
 
-// firstTokenFigures are a class's shares and first tokens before and after the loss.
-func (c Configuration) firstTokenFigures(lost, spared emulator.Result, number int) []measurement {
-	at := lost.Losses[0].AtS
+// firstTokenFigures returns the shares and the times to first token of a class, before and after the loss.
+func (c Configuration) firstTokenFigures(withLoss, baseline emulator.Result, number int) []measurement {
+	at := withLoss.Losses[0].AtS
 	class := c.Scenarios[0].Classes[number]
 	var found []measurement
 	add := func(name, during string, value float64) {
@@ -140,14 +139,14 @@
 			found = append(found, measurement{class.Name + ": " + name + during, value})
 		}
 	}
-	first := countWindow(lost, class, number, at, at+emulator.FirstPhaseS)
+	first := countWindow(withLoss, class, number, at, at+emulator.FirstPhaseS)
 	add(emulator.ThenNotLoaded, duringFirst, share(first.notLoaded, first.sent))
 	add(emulator.ThenWaits, duringFirst, share(first.waited, first.sent))
 	if len(class.AllowedRegions) > 0 {
 		add(emulator.ThenRegionBound, duringFirst, share(first.unserved, first.sent))
 	}
-	before := countWindow(spared, class, number, at-c.InFlightS, at)
-	rest := countWindow(lost, class, number, at+emulator.FirstPhaseS, at+c.AfterS)
+	before := countWindow(baseline, class, number, at-c.InFlightS, at)
+	rest := countWindow(withLoss, class, number, at+emulator.FirstPhaseS, at+c.AfterS)
 	for _, window := range []struct {
 		during string
 		found  windowCounts
@@ -168,17 +167,17 @@
 	return found
 }
 
-// The periods of a loss, as they end a figure's name.
+// Suffixes of figure names for the periods after a loss.
 const (
 	duringFirst = overPeriod + "the first 5 s"
 	duringRest  = overPeriod + "the rest of the loss"
 )
 
-// quantileNames names the figures of the first token in one period.
+// quantileNames holds the names of the figures of the time to first token in one period.
 type quantileNames struct{ missed, median, tail, last string }
 
 var (
-	// namesNow and namesThen are the names before and after the loss.
+	// namesNow and namesThen are the names of the figures before and after the loss.
 	namesNow  = quantileNames{emulator.NowMissed, emulator.NowMedian, emulator.NowTail, emulator.NowLast}
 	namesThen = quantileNames{emulator.ThenMissed, emulator.ThenMedian, emulator.ThenTail, emulator.ThenLast}
 )
--- a/internal/sim/experiment/window.go
+++ b/internal/sim/experiment/window.go
@@ -6,16 +6,16 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-// shortestWaitMs is the wait in an edge beyond which a request counts as waiting.
-const shortestWaitMs = 50
+// minWaitMs is the wait at a data plane above which a request counts as having waited.
+const minWaitMs = 50
 
-// windowCounts counts a class's requests of some time.
+// windowCounts counts the requests of a class in a time window.
 type windowCounts struct {
 	sent, notLoaded, waited, missed, unserved int
 	firsts                                    *hdrhistogram.Histogram
 }
 
-// countWindow counts the requests that arrived between two moments, in seconds.
+// countWindow counts the requests of a class that arrived between two times in seconds. number is the index of the class.
 func countWindow(result emulator.Result, class emulator.Class, number int, from, to float64) windowCounts {
 	found := windowCounts{firsts: newHistogram()}
 	for _, request := range result.Requests {
@@ -26,7 +26,7 @@
 		switch {
 		case request.NotLoaded:
 			found.notLoaded++
-		case request.WaitMs > shortestWaitMs:
+		case request.WaitMs > minWaitMs:
 			found.waited++
 		}
 		switch {
@@ -37,7 +37,7 @@
 			found.missed++
 		}
 		if request.FirstMs > 0 {
-			fill(found.firsts, []float64{request.FirstMs})
+			recordMs(found.firsts, []float64{request.FirstMs})
 		}
 	}
 	return found
--- a/internal/sim/experiment/write.go
+++ b/internal/sim/experiment/write.go
@@ -13,11 +13,11 @@
 	"github.com/pkg/errors"
 )
 
-// Print prints the figures of all variants as a table.
-func (s Summary) Print(to io.Writer) error {
-	fmt.Fprintf(to, "%s: emulated, %d seeds from %d; mean ± half of the 95%% interval, ", s.Name, s.Seeds, s.FirstSeed)
-	fmt.Fprintf(to, "in brackets the paired difference to %q\n\n", s.Variants[0].Name)
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+// Print writes the figures of all variants as a table.
+func (s Summary) Print(output io.Writer) error {
+	fmt.Fprintf(output, "%s: emulated, %d seeds from %d; mean ± half of the 95%% interval, ", s.Name, s.Seeds, s.FirstSeed)
+	fmt.Fprintf(output, "in brackets the paired difference to %q\n\n", s.Variants[0].Name)
+	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "figure")
 	for _, variant := range s.Variants {
 		fmt.Fprintf(table, "\t%s", variant.Name)
@@ -33,7 +33,7 @@
 	return table.Flush()
 }
 
-// cell is a figure as the table shows it, or a dash.
+// cell returns the table cell of a figure, or a dash if the variant does not have it.
 func (v VariantSummary) cell(name string) string {
 	index := slices.IndexFunc(v.Figures, func(figure Figure) bool { return figure.Name == name })
 	if index < 0 {
@@ -47,7 +47,7 @@
 	return text
 }
 
-// number prints a value with about three digits.
+// number formats a value with about three significant digits.
 func number(value float64) string {
 	switch size := max(value, -value); {
 	case size >= 100:
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("%.3f", value)
 }
 
-// signed prints a value with its sign.
+// signed formats a value with an explicit sign.
 func signed(value float64) string {
 	if value >= 0 {
 		return "+" + number(value)
@@ -66,7 +66,7 @@
 	return number(value)
 }
 
-// Write writes the summary, its table and its plots into the folder, with all runs if raw is set.
+// Write writes the summary, its table and its plots to the directory, and all runs if raw is set.
 func (s Summary) Write(folder string, all []VariantRuns, raw bool) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Wrap(err, "results")
@@ -95,10 +95,10 @@
 	return s.draw(folder)
 }
 
-// PrintComparisons prints comparisons as a table.
-func PrintComparisons(to io.Writer, found []Comparison) error {
-	fmt.Fprint(to, "forecast against an emulated loss; mean ± half of the 95% interval over seeds\n\n")
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+// PrintComparisons writes the comparisons as a table.
+func PrintComparisons(output io.Writer, found []Comparison) error {
+	fmt.Fprint(output, "forecast against an emulated loss; mean ± half of the 95% interval over seeds\n\n")
+	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "size\tfigure\tmethod\ttruth\terror\tabsolute error\trelative error\tflags")
 	for _, comparison := range found {
 		fmt.Fprintf(table, "%d\t%s\t%s", comparison.Size, comparison.Figure, comparison.Method)
