--- a/internal/sim/replay/engine.go
+++ b/internal/sim/replay/engine.go
@@ -1,7 +1,7 @@
-// Package replay plays a recorded day again through the routing code, in simulated time.
+// Package replay replays recorded traffic through the routing code, in simulated time.
 //
-// It calls no replica: a simple model of prefill and decode times replaces them. Equal records give equal
-// outcomes. Start reading at Engine.Play.
+// It calls no replicas: a simple model of prefill and decode times replaces them. Replays are deterministic: the same record
+// gives the same outcomes. Start reading at Engine.Play.
 package replay
 
 import (
@@ -15,47 +15,47 @@
 	"ferryspar/internal/sim/emulator/eventqueue"
 )
 
-// TimingModel is how long a replica takes, in ms.
+// TimingModel holds the processing times of a replica, in ms.
 type TimingModel struct {
 	PrefillMsPerThousand float64 // for 1000 prompt tokens that are not cached
 	BaseMs               float64 // for every request, before its prefill
-	DecodeMs             float64 // from the first event to the last, unless the record tells
+	DecodeMs             float64 // from the first event to the last, unless the record contains it
 }
 
-// DefaultTimingModel returns the times of an average replica.
+// DefaultTimingModel returns the processing times of an average replica.
 func DefaultTimingModel() TimingModel {
 	return TimingModel{PrefillMsPerThousand: 60, BaseMs: 15, DecodeMs: 1000}
 }
 
-// pendingRequest is a request that the matcher has not decided.
+// pendingRequest is a request that the matcher has not decided yet.
 type pendingRequest struct {
 	request *routing.Request
 	entry   requestlog.Entry
 }
 
-// Engine plays one record. It is not safe for concurrent use.
+// Engine replays one record. It is not safe for concurrent use.
 type Engine struct {
-	// Summary holds the outcomes of what was played so far.
+	// Summary holds the outcomes of the entries replayed so far.
 	Summary *Summary
 
-	startedAt time.Time // of simulated time
+	startedAt time.Time // in simulated time
 	model     TimingModel
 	events    *eventqueue.Queue
 	matcher   *routing.Matcher
 	snapshot  atomic.Pointer[routing.Snapshot]
 
-	// What the record told last; storeSnapshot makes snapshots of it.
+	// The latest state from the record, from which storeSnapshot builds the snapshots.
 	table        *configuration.Table
 	replicas     []discovery.Replica
 	dataPlanes   int
 	drainedZones map[string]bool
 
 	pending      []pendingRequest
-	wakeAt       time.Time            // of the last event that wakes the matcher
-	prefillUntil map[string]time.Time // by replica: end of its last prefill; they run one after the other
+	wakeAt       time.Time            // time of the last scheduled wake-up of the matcher
+	prefillUntil map[string]time.Time // end of the last prefill, by replica; prefills of a replica run one at a time
 }
 
-// NewEngine returns an engine that routes with parameters as a data plane in zone does.
+// NewEngine returns an engine that routes with parameters like a data plane in zone.
 func NewEngine(parameters routing.Parameters, zone string, model TimingModel) *Engine {
 	startedAt := time.Unix(0, 0).UTC()
 	engine := &Engine{
@@ -75,8 +75,8 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// Play plays all entries to their end; Summary then holds the outcomes. It fails if a recorded configuration
-// cannot be decompressed.
+// Play replays all entries; Summary then holds the outcomes. It returns an error if a recorded configuration cannot be
+// decompressed.
 func (e *Engine) Play(entries []requestlog.Entry) error {
 	handlers := map[requestlog.Kind]func(entry requestlog.Entry){
 		requestlog.KindConfiguration: e.setConfiguration,
@@ -115,7 +115,7 @@
 	e.storeSnapshot()
 }
 
-// storeSnapshot gives the matcher a snapshot of what the record told last.
+// storeSnapshot publishes a snapshot of the latest recorded state and wakes the matcher.
 func (e *Engine) storeSnapshot() {
 	snapshot := &routing.Snapshot{
 		Table:          e.table,
@@ -151,7 +151,7 @@
 	e.matcher.Enqueue(request)
 }
 
-// applyRoute sets what a request has from its route and its tenant.
+// applyRoute sets the fields of a request that depend on its route and tenant.
 func (e *Engine) applyRoute(request *routing.Request, entry requestlog.Entry) {
 	if e.table == nil {
 		return
@@ -168,7 +168,7 @@
 	}
 }
 
-// collectDecisions applies the decisions made, and schedules the matcher's next wake-up.
+// collectDecisions applies the decisions made so far and schedules the next wake-up of the matcher.
 func (e *Engine) collectDecisions() {
 	undecided := e.pending[:0]
 	for _, pending := range e.pending {
@@ -189,7 +189,7 @@
 	e.events.At(at, func() { e.matcher.Wake() })
 }
 
-// applyDecision counts a decision, and schedules the events of the response if the request was sent.
+// applyDecision counts a decision and, if the request was sent to a replica, schedules the events of the response.
 func (e *Engine) applyDecision(pending pendingRequest, decision routing.Decision) {
 	request, entry := pending.request, pending.entry
 	if decision.Error != nil {
@@ -208,7 +208,7 @@
 	})
 }
 
-// prefill occupies a replica with a prompt and returns when its first event comes.
+// prefill schedules the prefill of a prompt on a replica and returns its end, the time of the first event.
 func (e *Engine) prefill(replica string, uncachedTokens float64) time.Time {
 	start := e.events.Now()
 	if e.prefillUntil[replica].After(start) {
@@ -219,7 +219,7 @@
 	return end
 }
 
-// decodeMs is the recorded time from the first event to the last, or the model's if there is none.
+// decodeMs returns the recorded time from the first event to the last, or that of the timing model if none was recorded.
 func (e *Engine) decodeMs(entry requestlog.Entry) float64 {
 	if entry.DurationMs > entry.FirstByteMs && entry.FirstByteMs > 0 {
 		return entry.DurationMs - entry.FirstByteMs
--- a/internal/sim/replay/engine_test.go
+++ b/internal/sim/replay/engine_test.go
@@ -83,7 +83,7 @@
 	assert.Equal(t, engine.Summary.Routes()[0].Rejected, 5)
 }
 
-func TestEngine_SharedPromptsShowAffinity(t *testing.T) {
+func TestEngine_SharedPromptsAreCached(t *testing.T) {
 	entries, _, err := requestlog.Read(recordedDay(50, "m"))
 	assert.NilError(t, err)
 	engine := NewEngine(routing.DefaultParameters(), "north", DefaultTimingModel())
@@ -91,7 +91,7 @@
 	assert.Assert(t, engine.Summary.Routes()[0].Affinity > 0.5)
 }
 
-func TestEngine_DamagedLinesAreReported(t *testing.T) {
+func TestRead_ReportsDamagedLines(t *testing.T) {
 	damaged := recordedDay(2, "m").String() + "{broken\n" + `{"kind":"order","atMs":5}` + "\n" + `{"kind":"tea"}` + "\n"
 	entries, damages, err := requestlog.Read(strings.NewReader(damaged))
 	assert.NilError(t, err)
--- a/internal/sim/replay/pinned_test.go
+++ b/internal/sim/replay/pinned_test.go
@@ -12,10 +12,10 @@
 	"ferryspar/internal/test/pinned"
 )
 
-// pinnedDay is a record with all kinds of entries, as an earlier version wrote it.
+// pinnedDay is a record with all kinds of entries, written by an earlier version.
 const pinnedDay = "testdata/day.jsonl"
 
-func TestEngine_PlaysARecordOfAnEarlierVersion(t *testing.T) {
+func TestEngine_ReplaysRecordOfEarlierVersion(t *testing.T) {
 	if _, err := os.Stat(pinnedDay); pinned.Updating() && os.IsNotExist(err) {
 		pinned.CheckFile(t, pinnedDay, recordedDay(20, "m").Bytes())
 	}
--- a/internal/sim/replay/summary.go
+++ b/internal/sim/replay/summary.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// RouteSummary counts what became of the requests of a route.
+// RouteSummary counts the outcomes of the requests of a route.
 type RouteSummary struct {
 	Route    string `json:"route"`
 	Requests int    `json:"asked"`
 	Served   int    `json:"served"` // within the latency target
 	Late     int    `json:"late"`
 	Rejected int    `json:"refused"`
-	// Affinity is the mean share of a prompt that was cached at the replica it was sent to.
+	// Affinity is the mean share of a prompt that was cached at the replica to which it was sent.
 	Affinity float64 `json:"affinity"`
 	MeanMs   float64 `json:"meanMs"` // time to the first event
 	sent     int
@@ -27,7 +27,7 @@
 
 func newSummary() *Summary { return &Summary{routes: map[string]*RouteSummary{}} }
 
-// route returns the summary of a route, a new one if there is none yet.
+// route returns the summary of a route and creates it on first use.
 func (s *Summary) route(name string) *RouteSummary {
 	if s.routes[name] == nil {
 		s.routes[name] = &RouteSummary{Route: name}
@@ -55,7 +55,7 @@
 	summary.MeanMs += (float64(duration.Milliseconds()) - summary.MeanMs) / answered
 }
 
-// Routes returns the summaries sorted by name of the route.
+// Routes returns the summaries, sorted by the name of the route.
 func (s *Summary) Routes() []RouteSummary {
 	summaries := make([]RouteSummary, 0, len(s.routes))
 	for _, summary := range s.routes {
