--- a/internal/sim/applications/applications.go
+++ b/internal/sim/applications/applications.go
@@ -13,29 +13,29 @@
 	"ferryspar/internal/coordinationclient"
 )
 
-// Options say what is played.
+// Options configures a run.
 type Options struct {
-	// Addresses are those of control planes (host:port).
+	// Addresses are the addresses of the control planes (host:port).
 	Addresses []string
-	// Callers is how many applications call, CallsPerS how many calls they make together in a second.
+	// Callers is the number of concurrent applications, CallsPerS the rate of the calls of all of them together.
 	Callers   int
 	CallsPerS float64
-	// Duration is how long they call.
+	// Duration is how long the applications make calls.
 	Duration time.Duration
-	// Locks, Counters, Keys and Watches are how many there are of each. Keys belong to one group.
+	// Locks, Counters, Keys and Watches are the numbers of each. All keys belong to one group, which all watches watch.
 	Locks, Counters, Keys, Watches int
-	// LockDuration is how long a lock is held without a renewal.
+	// LockDuration is the time after which a lock expires if it is not renewed.
 	LockDuration time.Duration
-	// NamePrefix begins the names of locks, counters and keys, so that runs do not meet.
+	// NamePrefix is the prefix of the names of locks, counters and keys; it keeps concurrent runs apart.
 	NamePrefix string
-	// Seed draws what is called when.
+	// Seed is the seed of the random sequence of calls.
 	Seed uint64
 }
 
-// callTimeout is how long a call may take with all its attempts.
+// callTimeout is the timeout of one operation, which may consist of several calls with all their attempts.
 const callTimeout = 5 * time.Second
 
-// run is one play under way.
+// run is the state of a run in progress.
 type run struct {
 	options Options
 	client  *coordinationclient.Client
@@ -43,7 +43,7 @@
 	results *results
 }
 
-// Run plays applications until the duration is over, and returns what they saw.
+// Run runs the applications for the configured duration and returns the measurements and the violations found.
 func Run(ctx context.Context, options Options, transport http.RoundTripper) (Report, error) {
 	if options.Callers < 1 || options.CallsPerS <= 0 || min(options.Locks, options.Counters, options.Keys) < 1 {
 		return Report{}, errors.New("callers, rate, locks, counters and keys must be above 0")
@@ -54,19 +54,19 @@
 		checks:  newChecks(),
 		results: newResults(),
 	}
-	first, err := r.putFirst(ctx)
+	startRevision, err := r.putInitial(ctx)
 	if err != nil {
 		return Report{}, errors.Wrap(err, "first put")
 	}
-	watching, stopWatching := context.WithCancel(ctx)
+	watchContext, stopWatching := context.WithCancel(ctx)
 	var watches, callers sync.WaitGroup
 	for number := range options.Watches {
-		watches.Go(func() { r.watch(watching, number, first) })
+		watches.Go(func() { r.watch(watchContext, number, startRevision) })
 	}
-	calling, cancel := context.WithTimeout(ctx, options.Duration)
+	callContext, cancel := context.WithTimeout(ctx, options.Duration)
 	defer cancel()
 	for number := range options.Callers {
-		callers.Go(func() { r.runCaller(calling, number) })
+		callers.Go(func() { r.runCaller(callContext, number) })
 	}
 	callers.Wait()
 	r.checks.awaitWatches(ctx, options.Watches)
@@ -77,8 +77,8 @@
 
 func (r *run) group() string { return r.options.NamePrefix + "-keys." }
 
-// putFirst writes the first key of the group, and returns the revision from which watches begin.
-func (r *run) putFirst(ctx context.Context) (uint64, error) {
+// putInitial writes the first key of the group and returns the revision at which the watches start.
+func (r *run) putInitial(ctx context.Context) (uint64, error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := r.client.Put(bounded, r.group()+"first", fmt.Sprint(r.options.Seed), 0)
@@ -89,11 +89,11 @@
 	return r.client.Revision(bounded, r.group())
 }
 
-// watch notes the puts that one watch sees.
+// watch runs one watch until the context ends and records its events.
 func (r *run) watch(ctx context.Context, number int, after uint64) {
 	for ctx.Err() == nil {
 		next, err := r.client.Watch(ctx, r.group(), after, func(event coordinationclient.Event) error {
-			r.checks.seen(number, event)
+			r.checks.delivered(number, event)
 			return nil
 		})
 		after = next
@@ -104,7 +104,7 @@
 	}
 }
 
-// runCaller makes calls at the caller's part of the rate.
+// runCaller makes calls at one caller's share of the rate until the context ends.
 func (r *run) runCaller(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)))
 	interval := time.Duration(float64(r.options.Callers) / r.options.CallsPerS * float64(time.Second))
@@ -119,7 +119,7 @@
 	}
 }
 
-// makeCalls plays one scene and returns how many calls it took.
+// makeCalls performs one random operation and returns the number of calls it made.
 func (r *run) makeCalls(ctx context.Context, random *rand.Rand, number, turn int) int {
 	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
@@ -127,14 +127,14 @@
 	case 0:
 		return r.holdLock(bounded, random, number)
 	case 1:
-		r.drawNumber(bounded, random)
+		r.nextNumber(bounded, random)
 		return 1
 	default:
 		return r.changeKey(bounded, random, fmt.Sprintf("%d-%d-%d", r.options.Seed, number, turn))
 	}
 }
 
-// holdLock takes a lock, renews it once and gives it back.
+// holdLock acquires a lock, renews it once and releases it.
 func (r *run) holdLock(ctx context.Context, random *rand.Rand, number int) int {
 	lock := fmt.Sprintf("%s-lock-%d", r.options.NamePrefix, random.IntN(r.options.Locks))
 	var hold *coordinationclient.Lock
@@ -152,19 +152,19 @@
 	return 3
 }
 
-func (r *run) drawNumber(ctx context.Context, random *rand.Rand) {
+func (r *run) nextNumber(ctx context.Context, random *rand.Rand) {
 	counter := fmt.Sprintf("%s-number-%d", r.options.NamePrefix, random.IntN(r.options.Counters))
 	floor := r.checks.highest(counter)
 	_ = r.results.measure("next", func() error {
 		value, err := r.client.Next(ctx, counter)
 		if err == nil {
-			r.checks.drawn(counter, floor, value)
+			r.checks.received(counter, floor, value)
 		}
 		return err
 	})
 }
 
-// changeKey reads a key and writes it over what was read.
+// changeKey reads a key and writes a new value, conditional on the revision read.
 func (r *run) changeKey(ctx context.Context, random *rand.Rand, value string) int {
 	key := fmt.Sprintf("%s%d", r.group(), random.IntN(r.options.Keys))
 	var revision uint64
--- a/internal/sim/applications/checks.go
+++ b/internal/sim/applications/checks.go
@@ -10,59 +10,59 @@
 )
 
 const (
-	// watchLimit is how long after the last put watches may take to show it.
-	watchLimit = 5 * time.Second
-	// watchCheckInterval is how often that is looked at.
+	// watchTimeout is how long after the end of the calls a watch may take to deliver the last put.
+	watchTimeout = 5 * time.Second
+	// watchCheckInterval is how often the events delivered are checked.
 	watchCheckInterval = 50 * time.Millisecond
-	// maxFaults is how many faults are kept.
-	maxFaults = 20
+	// maxViolations is the maximum number of violations kept.
+	maxViolations = 20
 )
 
-// checks note what the answers promised, and what broke that.
+// checks records the responses to the calls and the violations of the guarantees of the API.
 type checks struct {
-	lock    sync.Mutex
-	holders map[string]*coordinationclient.Lock
-	fences  map[string]uint64
-	numbers map[string]uint64
-	puts    map[string]uint64
-	// watched holds the revision of each value that a watch has seen, by watch.
-	watched map[int]map[string]uint64
-	lastOf  map[int]uint64
-	faults  []string
+	lock     sync.Mutex
+	holders  map[string]*coordinationclient.Lock
+	fences   map[string]uint64
+	counters map[string]uint64
+	puts     map[string]uint64
+	// watched holds the revision of each value delivered, by watch; lastRevision holds the last revision delivered, by watch.
+	watched      map[int]map[string]uint64
+	lastRevision map[int]uint64
+	violations   []string
 }
 
 func newChecks() *checks {
 	return &checks{
-		holders: map[string]*coordinationclient.Lock{},
-		fences:  map[string]uint64{},
-		numbers: map[string]uint64{},
-		puts:    map[string]uint64{},
-		watched: map[int]map[string]uint64{},
-		lastOf:  map[int]uint64{},
+		holders:      map[string]*coordinationclient.Lock{},
+		fences:       map[string]uint64{},
+		counters:     map[string]uint64{},
+		puts:         map[string]uint64{},
+		watched:      map[int]map[string]uint64{},
+		lastRevision: map[int]uint64{},
 	}
 }
 
-// fault notes a broken promise. The caller holds the lock.
-func (c *checks) fault(format string, arguments ...any) {
-	if len(c.faults) < maxFaults {
-		c.faults = append(c.faults, fmt.Sprintf(format, arguments...))
+// addViolation records a violation. The caller must hold c.lock.
+func (c *checks) addViolation(format string, arguments ...any) {
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// acquired notes that a lock was taken.
+// acquired records that a lock was acquired.
 func (c *checks) acquired(lock string, hold *coordinationclient.Lock) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if other := c.holders[lock]; other != nil && time.Now().Before(other.ExpiresAt()) {
-		c.fault("%s taken with fence %d while it is held with %d", lock, hold.Fence(), other.Fence())
+		c.addViolation("%s acquired with fence %d while it is held with fence %d", lock, hold.Fence(), other.Fence())
 	}
 	if hold.Fence() <= c.fences[lock] {
-		c.fault("%s taken with fence %d after %d", lock, hold.Fence(), c.fences[lock])
+		c.addViolation("%s acquired with fence %d after fence %d", lock, hold.Fence(), c.fences[lock])
 	}
 	c.holders[lock], c.fences[lock] = hold, max(hold.Fence(), c.fences[lock])
 }
 
-// releasing notes that a hold ends now. One that has ended by itself may have been followed by another.
+// releasing records that a lock is about to be released. If it has expired meanwhile, another caller may already hold it.
 func (c *checks) releasing(lock string, hold *coordinationclient.Lock) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -71,56 +71,57 @@
 	}
 }
 
-// highest is the highest number that was drawn from a counter so far.
+// highest returns the highest value received from a counter so far.
 func (c *checks) highest(counter string) uint64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	return c.numbers[counter]
+	return c.counters[counter]
 }
 
-// drawn notes a number that was asked for when floor was the highest.
-func (c *checks) drawn(counter string, floor, value uint64) {
+// received records a value received from a counter. floor is the highest value received before the call.
+func (c *checks) received(counter string, floor, value uint64) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if value <= floor {
-		c.fault("%s gave %d after %d", counter, value, floor)
+		c.addViolation("%s returned %d after %d", counter, value, floor)
 	}
-	c.numbers[counter] = max(c.numbers[counter], value)
+	c.counters[counter] = max(c.counters[counter], value)
 }
 
-// put notes an acknowledged put.
+// put records an acknowledged put.
 func (c *checks) put(value string, revision uint64) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.puts[value] = revision
 }
 
-// seen notes an event of a watch.
-func (c *checks) seen(watch int, event coordinationclient.Event) {
+// delivered records an event delivered by a watch.
+func (c *checks) delivered(watch int, event coordinationclient.Event) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if event.Revision <= c.lastOf[watch] {
-		c.fault("watch %d saw revision %d after %d", watch, event.Revision, c.lastOf[watch])
+	if event.Revision <= c.lastRevision[watch] {
+		c.addViolation("watch %d delivered revision %d after %d", watch, event.Revision, c.lastRevision[watch])
 	}
 	if c.watched[watch] == nil {
 		c.watched[watch] = map[string]uint64{}
 	}
-	c.lastOf[watch], c.watched[watch][event.Value] = event.Revision, event.Revision
+	c.lastRevision[watch], c.watched[watch][event.Value] = event.Revision, event.Revision
 }
 
-// awaitWatches waits until each watch has seen each acknowledged put, and notes those that have not in time.
+// awaitWatches waits until each watch has delivered each acknowledged put. Puts not delivered in time are recorded as
+// violations.
 func (c *checks) awaitWatches(ctx context.Context, watches int) {
-	until := time.Now().Add(watchLimit)
+	deadline := time.Now().Add(watchTimeout)
 	for {
 		missing := c.missing(watches)
 		if len(missing) == 0 {
 			return
 		}
-		if time.Now().After(until) || ctx.Err() != nil {
+		if time.Now().After(deadline) || ctx.Err() != nil {
 			c.lock.Lock()
 			defer c.lock.Unlock()
 			for _, text := range missing {
-				c.fault("%s", text)
+				c.addViolation("%s", text)
 			}
 			return
 		}
@@ -128,7 +129,7 @@
 	}
 }
 
-// missing names the acknowledged puts that a watch has not seen at their revision.
+// missing describes the acknowledged puts that a watch has not delivered with their revision.
 func (c *checks) missing(watches int) []string {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -136,7 +137,7 @@
 	for watch := range watches {
 		for value, revision := range c.puts {
 			if c.watched[watch][value] != revision {
-				missing = append(missing, fmt.Sprintf("watch %d has not seen %s at revision %d", watch, value, revision))
+				missing = append(missing, fmt.Sprintf("watch %d has not delivered %s at revision %d", watch, value, revision))
 			}
 		}
 	}
--- a/internal/sim/applications/doc.go
+++ b/internal/sim/applications/doc.go
@@ -1,5 +1,7 @@
-// Package applications plays applications that coordinate through a control plane: locks, numbers, keys and watches at a steady rate.
+// Package applications emulates applications that use the coordination API of control planes: locks, counters, keys and
+// watches, at a constant rate.
 //
-// It measures how long calls take and checks what the answers promise: one holder of a lock at a time, rising numbers, each put seen
-// once by each watch. It speaks to the addresses that it is given and to nothing else, and ends by itself. Start reading at Run.
+// It measures the latency of the calls and checks the guarantees of the API: a lock has at most one holder, the values of a
+// counter increase, and each watch delivers each put exactly once and in order. It connects only to the given addresses and
+// terminates by itself. Start reading at Run.
 package applications
--- a/internal/sim/applications/report.go
+++ b/internal/sim/applications/report.go
@@ -13,32 +13,32 @@
 	"ferryspar/internal/coordinationclient"
 )
 
-// Report is what a play measured.
+// Report holds the measurements of a run.
 type Report struct {
-	// CallsPerS is how many calls were answered in a second.
+	// CallsPerS is the rate of answered calls.
 	CallsPerS  float64         `json:"perSecond"`
 	Operations []OperationStat `json:"operations"`
-	// Violations are promises that were broken.
+	// Violations describes the violated guarantees of the API.
 	Violations []string `json:"faults"`
 }
 
-// OperationStat is one operation's part.
+// OperationStat holds the measurements of one operation.
 type OperationStat struct {
 	Name string `json:"name"`
-	// Answered counts clear answers, among them Refused: locks that another holds, keys that were changed meanwhile. Failed counts
-	// calls without a clear answer in time.
+	// Answered counts definite responses, Refused those among them that reject the call: a lock held by another caller, a
+	// lock lost, or a key changed concurrently. Failed counts calls without a definite response in time.
 	Answered int `json:"answered"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
-	// MedianMs, P99Ms and MaxMs are the times in ms within which half, 99 in 100 and all clear answers came.
+	// MedianMs, P99Ms and MaxMs are the median, the 99th percentile and the maximum of the latency of answered calls, in ms.
 	MedianMs float64 `json:"halfMs"`
 	P99Ms    float64 `json:"mostMs"`
 	MaxMs    float64 `json:"maxMs"`
-	// LastError is the last failure.
+	// LastError is the error of the last failed call.
 	LastError string `json:"lastError,omitempty"`
 }
 
-// results collects how long calls took.
+// results collects the outcomes and latencies of the calls.
 type results struct {
 	lock      sync.Mutex
 	stats     map[string]*OperationStat
@@ -49,7 +49,7 @@
 	return &results{stats: map[string]*OperationStat{}, durations: map[string][]time.Duration{}}
 }
 
-// stat is that of an operation. The caller holds the lock.
+// stat returns the measurements of an operation and creates them on first use. The caller must hold r.lock.
 func (r *results) stat(name string) *OperationStat {
 	if r.stats[name] == nil {
 		r.stats[name] = &OperationStat{Name: name}
@@ -65,7 +65,7 @@
 	stat.LastError = err.Error()
 }
 
-// measure makes a call and notes how it went.
+// measure makes a call and records its outcome and latency.
 func (r *results) measure(name string, call func() error) error {
 	began := time.Now()
 	err := call()
@@ -93,7 +93,7 @@
 	defer r.lock.Unlock()
 	checked.lock.Lock()
 	defer checked.lock.Unlock()
-	report := Report{Violations: append([]string{}, checked.faults...)}
+	report := Report{Violations: append([]string{}, checked.violations...)}
 	answered := 0
 	for name, stat := range r.stats {
 		durations := r.durations[name]
@@ -128,8 +128,8 @@
 	if err := writer.Flush(); err != nil {
 		return err
 	}
-	for _, fault := range r.Violations {
-		fmt.Fprintln(target, "BROKEN:", fault)
+	for _, violation := range r.Violations {
+		fmt.Fprintln(target, "BROKEN:", violation)
 	}
 	return nil
 }
