--- a/internal/sim/hollow/addresses.go
+++ b/internal/sim/hollow/addresses.go
@@ -6,56 +6,55 @@
 )
 
 const (
-	// peerPort and those below are the ports of a node, a replica and the list, each on its own host
-	// address.
+	// peerPort and the constants below are the ports of nodes, replicas and the platform list. Each host has its own address.
 	peerPort    = 7000
 	dataPort    = 8161
 	controlPort = 8166
 	readyPort   = 8167
 	replicaPort = 8080
 	listPort    = 8100
-	// hostsPerNetwork is how many host addresses of a /24 network are used.
-	hostsPerNetwork = 200
-	firstMember     = 10
-	firstDataNet    = 1
-	firstModelAt    = 100
-	serviceName     = "writers"
-	hostName        = "shop.example"
+	// hostsPerNetwork is the number of host addresses used per /24 network.
+	hostsPerNetwork     = 200
+	firstMember         = 10
+	firstDataNetwork    = 1
+	firstReplicaNetwork = 100
+	backendName         = "writers"
+	routeHostname       = "shop.example"
 )
 
 var (
-	// zones are the zones of every fleet, of two regions.
+	// zones lists the zones of every fleet, in two regions.
 	zones   = []string{"a1", "a2", "a3", "b1", "b2", "b3"}
 	regions = map[string]string{"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"}
-	// memberZones are the zones of the control planes, in turn.
+	// memberZones lists the zones to which control planes are assigned in turn.
 	memberZones = []string{"a1", "b1", "a2", "b2", "a3"}
 )
 
-// host is the loopback address of a host in the run's network.
+// host returns the loopback address of a host in the network of the run.
 func (p Plan) host(network, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", p.Octet, network, number)
 }
 
-// listAddress is the address of the platform list.
-func (p Plan) listAddress() string { return p.at(p.host(0, 1), listPort) }
+// listAddress returns the address of the platform list.
+func (p Plan) listAddress() string { return p.address(p.host(0, 1), listPort) }
 
-// memberHost is the host of a control plane.
+// memberHost returns the host of a control plane.
 func (p Plan) memberHost(index int) string { return p.host(0, firstMember+index) }
 
-// dataHost is the host of a data plane.
+// dataHost returns the host of a data plane.
 func (p Plan) dataHost(index int) string {
-	return p.host(firstDataNet+index/hostsPerNetwork, 1+index%hostsPerNetwork)
+	return p.host(firstDataNetwork+index/hostsPerNetwork, 1+index%hostsPerNetwork)
 }
 
-// replicaHost is the host of a replica.
+// replicaHost returns the host of a replica.
 func (p Plan) replicaHost(index int) string {
-	return p.host(firstModelAt+index/hostsPerNetwork, 1+index%hostsPerNetwork)
+	return p.host(firstReplicaNetwork+index/hostsPerNetwork, 1+index%hostsPerNetwork)
 }
 
-// at is the address of a port on a host.
-func (p Plan) at(host string, port int) string { return net.JoinHostPort(host, fmt.Sprint(port)) }
+// address returns the address of a port on a host.
+func (p Plan) address(host string, port int) string { return net.JoinHostPort(host, fmt.Sprint(port)) }
 
-// zoneOf is the zone of a host's address, or empty if it has none.
+// zoneOf returns the zone of a host, or "" if it has none.
 func (p Plan) zoneOf(host string) string {
 	var octet, network, number int
 	if count, _ := fmt.Sscanf(host, "127.%d.%d.%d", &octet, &network, &number); count != 3 {
@@ -66,11 +65,11 @@
 		return ""
 	case network == 0:
 		return memberZones[(number-firstMember)%len(memberZones)]
-	case network >= firstModelAt:
-		return zones[((network-firstModelAt)*hostsPerNetwork+number-1)%len(zones)]
+	case network >= firstReplicaNetwork:
+		return zones[((network-firstReplicaNetwork)*hostsPerNetwork+number-1)%len(zones)]
 	}
-	return zones[((network-firstDataNet)*hostsPerNetwork+number-1)%len(zones)]
+	return zones[((network-firstDataNetwork)*hostsPerNetwork+number-1)%len(zones)]
 }
 
-// regionOf is the region of a host's address, or empty if it has none.
+// regionOf returns the region of a host, or "" if it has none.
 func (p Plan) regionOf(host string) string { return regions[p.zoneOf(host)] }
--- a/internal/sim/hollow/bench.go
+++ b/internal/sim/hollow/bench.go
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// BenchmarkFit is how a benchmark's figure grows along a size, fitted as a power: value = factor ×
-// size^Exponent. Fit is the R² of the logarithms.
+// BenchmarkFit is a power law fitted to a figure of a benchmark over a size: value = factor × size^Exponent. Fit is the R² of
+// the fit to the logarithms.
 type BenchmarkFit struct {
 	Benchmark string    `json:"benchmark"`
 	SizeName  string    `json:"along"`
@@ -26,14 +26,13 @@
 }
 
 var (
-	// benchLine matches a result such as BenchmarkName/edges=80-4.
+	// benchLine matches the result line of a benchmark such as BenchmarkName/edges=80-4.
 	benchLine = regexp.MustCompile(`^Benchmark(\w+)/(\w+)=(\d+)(?:-\d+)?\s+\d+\s+(.*)$`)
-	// benchUnits is the sequence in which figures are printed.
+	// benchUnits is the order in which figures are printed.
 	benchUnits = []string{"ns/op", "B/op", "bytes/message", "bytes/answer"}
 )
 
-// ReadBenchmarks reads the output of go test -bench and fits every benchmark that has sizes; it fails if
-// there is none.
+// ReadBenchmarks reads the output of go test -bench and fits every benchmark with sizes. It returns an error if there is none.
 func ReadBenchmarks(input io.Reader) ([]BenchmarkFit, error) {
 	found := map[[3]string]map[float64][]float64{}
 	lines := bufio.NewScanner(input)
@@ -68,7 +67,7 @@
 	return fitBench(found), nil
 }
 
-// fitBench fits the median of each size, by benchmark, size name and unit.
+// fitBench fits a power law to the medians of the sizes, by benchmark, name of the size and unit.
 func fitBench(found map[[3]string]map[float64][]float64) []BenchmarkFit {
 	var slopes []BenchmarkFit
 	for key, sizes := range found {
@@ -102,7 +101,7 @@
 	return slopes
 }
 
-// PrintBenchmarks prints the slopes as a table, without allocations.
+// PrintBenchmarks writes the fits as a table. It omits the number of allocations.
 func PrintBenchmarks(output io.Writer, slopes []BenchmarkFit) {
 	table := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "benchmark\talong\tfigure\tsizes\tvalues\texponent\tfit")
--- a/internal/sim/hollow/child.go
+++ b/internal/sim/hollow/child.go
@@ -20,14 +20,14 @@
 	"ferryspar/internal/nodesettings"
 )
 
-// ChildEnvVar is the environment variable that makes a program a child process of a fleet.
+// ChildEnvVar is the environment variable that marks a process as a child of a fleet.
 const ChildEnvVar = "FERRYSPAR_HOLLOW_CHILD"
 
-// IsChild reports whether this process was started as a child; its program must then call ServeChild.
+// IsChild reports whether this process was started as a child of a fleet. If so, its main function must call ServeChild.
 func IsChild() bool { return os.Getenv(ChildEnvVar) != "" }
 
 const (
-	// commandPlan and those below are the commands to a child.
+	// commandPlan and the constants below are the commands to a child.
 	commandPlan      = "plan"
 	commandStart     = "start"
 	commandStop      = "stop"
@@ -35,57 +35,57 @@
 	commandSnapshot  = "snapshot"
 )
 
-// command is a line of JSON to a child.
+// command is a command to a child, sent as a line of JSON.
 type command struct {
-	Do     string   `json:"do"`
-	Plan   *Plan    `json:"plan,omitempty"`
-	Folder string   `json:"folder,omitempty"`
-	Role   string   `json:"role,omitempty"`
-	Hosts  []string `json:"hosts,omitempty"`
-	Cut    bool     `json:"cut,omitempty"`
+	Do          string   `json:"do"`
+	Plan        *Plan    `json:"plan,omitempty"`
+	Folder      string   `json:"folder,omitempty"`
+	Role        string   `json:"role,omitempty"`
+	Hosts       []string `json:"hosts,omitempty"`
+	Partitioned bool     `json:"cut,omitempty"`
 }
 
-// reply is the line of JSON that answers a command.
+// reply is the response to a command, sent as a line of JSON.
 type reply struct {
 	Error    string    `json:"problem,omitempty"`
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
 }
 
 const (
-	// roleData are the data planes that share processes.
+	// roleData is the role of the data planes that share processes.
 	roleData = "data plane"
-	// roleAlone is the one data plane in a process of its own, measured by itself.
+	// roleAlone is the role of the one data plane that has its own process, so that it is measured separately.
 	roleAlone = "data plane alone"
-	// roleMember is a control plane; each has its own process.
+	// roleMember is the role of a control plane; each has its own process.
 	roleMember = "control plane"
-	// roleHolder is the control plane that holds the placement lease.
+	// roleHolder is the role of the control plane that holds the placement lease.
 	roleHolder = "control plane, holder"
-	// childTimeout ends a child whose parent has failed to.
+	// childTimeout is the time after which a child exits, in case its parent does not end it.
 	childTimeout = 10 * time.Minute
-	// maxLineBytes is the longest command in bytes.
+	// maxLineBytes is the maximum length of a command in bytes.
 	maxLineBytes = 1 << 20
-	// stopSettleTime is how long after a node's end late connections are closed once more.
+	// stopSettleTime is how long after the end of a node the connections opened meanwhile are closed.
 	stopSettleTime = 50 * time.Millisecond
 )
 
-// runningNode is a node that a child runs.
+// runningNode is a node running in a child.
 type runningNode struct {
 	cancel  context.CancelFunc
 	network *Network
 	ended   chan error
 }
 
-// child is a process that runs nodes; one goroutine serves its commands.
+// child is the state of a child process. Its commands are served by one goroutine.
 type child struct {
-	plan    Plan
-	folder  string
-	role    string
-	counter *Counter
-	cut     atomic.Bool
-	nodes   map[string]*runningNode
+	plan        Plan
+	folder      string
+	role        string
+	counter     *Counter
+	partitioned atomic.Bool
+	nodes       map[string]*runningNode
 }
 
-// ServeChild answers commands, one a line, until the input ends. The nodes' logs are discarded.
+// ServeChild serves commands, one per line, until the input ends. It discards the logs of the nodes.
 func ServeChild(input io.Reader, output io.Writer) error {
 	logrus.SetFormatter(&logrus.JSONFormatter{})
 	logrus.SetOutput(io.Discard)
@@ -95,7 +95,7 @@
 		commandPlan:      served.setPlan,
 		commandStart:     served.start,
 		commandStop:      served.stop,
-		commandPartition: served.setCut,
+		commandPartition: served.setPartitioned,
 		commandSnapshot:  served.snapshot,
 	}
 	lines := bufio.NewScanner(input)
@@ -105,7 +105,7 @@
 		var answer reply
 		err := json.Unmarshal(lines.Bytes(), &received)
 		if err == nil && handlers[received.Do] == nil {
-			err = errors.Errorf("no such command %q", received.Do)
+			err = errors.Errorf("unknown command %q", received.Do)
 		}
 		if err == nil {
 			answer, err = handlers[received.Do](received)
@@ -120,10 +120,10 @@
 	return lines.Err()
 }
 
-// setPlan takes the plan and the role, and bounds the processors.
+// setPlan sets the plan and the role, and limits the number of processors accordingly.
 func (c *child) setPlan(received command) (reply, error) {
 	if received.Plan == nil {
-		return reply{}, errors.New("no plan given")
+		return reply{}, errors.New("command has no plan")
 	}
 	c.plan = *received.Plan
 	c.folder = received.Folder
@@ -142,13 +142,13 @@
 	return reply{}, nil
 }
 
-// launch starts the node of one host, a control plane or a data plane as the role says.
+// launch starts the node of one host: a control plane or a data plane, depending on the role.
 func (c *child) launch(host string) error {
 	settings, err := c.plan.settings(host)
 	if err != nil {
 		return err
 	}
-	network := NewNetwork(c.plan, host, c.counter, &c.cut)
+	network := NewNetwork(c.plan, host, c.counter, &c.partitioned)
 	run := func(_ context.Context, _ nodesettings.Signals) error { return nil }
 	if c.role == roleMember {
 		folder, err := keystore.NewDirectory(filepath.Join(c.folder, host))
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// stop ends the nodes of the hosts at once, with all their connections.
+// stop stops the nodes of the hosts immediately and closes all their connections.
 func (c *child) stop(received command) (reply, error) {
 	for _, host := range received.Hosts {
 		node := c.nodes[host]
@@ -188,18 +188,18 @@
 	return reply{}, nil
 }
 
-// setCut begins or ends a partition between the regions.
-func (c *child) setCut(received command) (reply, error) {
-	c.cut.Store(received.Cut)
+// setPartitioned starts or ends a network partition between the regions.
+func (c *child) setPartitioned(received command) (reply, error) {
+	c.partitioned.Store(received.Partitioned)
 	return reply{}, nil
 }
 
-// snapshot reads the counters; it fails if a node has ended by itself.
+// snapshot returns a snapshot of the process. It returns an error if a node has ended by itself.
 func (c *child) snapshot(command) (reply, error) {
 	for host, node := range c.nodes {
 		select {
 		case err := <-node.ended:
-			return reply{}, errors.Wrapf(err, "node %s ended", host)
+			return reply{}, errors.Wrapf(err, "node %s ended unexpectedly", host)
 		default:
 		}
 	}
--- a/internal/sim/hollow/clients.go
+++ b/internal/sim/hollow/clients.go
@@ -17,25 +17,25 @@
 	"ferryspar/internal/replica"
 )
 
-// Latencies gathers durations from a microsecond to a minute; any goroutine may use it.
+// Latencies is a histogram of durations from a microsecond to a minute. It is safe for concurrent use.
 type Latencies struct {
 	lock   sync.Mutex
 	values *hdrhistogram.Histogram
 }
 
-// NewLatencies makes an empty histogram.
+// NewLatencies returns an empty histogram.
 func NewLatencies() *Latencies {
 	return &Latencies{values: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
 }
 
-// Record records a duration, bounded to what the histogram holds.
+// Record records a duration, clamped to the range of the histogram.
 func (s *Latencies) Record(value time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	_ = s.values.RecordValue(min(max(value.Microseconds(), 1), time.Minute.Microseconds()))
 }
 
-// Quantiles are the count and quantiles of some latencies, in milliseconds.
+// Quantiles holds the number and the quantiles of latencies, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50Ms float64 `json:"p50Ms"`
@@ -44,7 +44,7 @@
 	MaxMs float64 `json:"maxMs"`
 }
 
-// Quantiles is the quantiles so far.
+// Quantiles returns the quantiles of the durations recorded so far.
 func (s *Latencies) Quantiles() Quantiles {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -52,7 +52,7 @@
 	return Quantiles{s.values.TotalCount(), at(50), at(95), at(99), float64(s.values.Max()) / 1000}
 }
 
-// Clients send requests to every data plane and count how they end.
+// Clients sends requests to every data plane and counts their outcomes.
 type Clients struct {
 	plan     Plan
 	client   *http.Client
@@ -64,16 +64,16 @@
 	running  sync.WaitGroup
 }
 
-// NewClients makes clients for the plan; Run starts them.
+// NewClients returns the clients of the plan. Run starts them.
 func NewClients(plan Plan) *Clients {
 	transport := peer.NewTransport(peer.HostNetwork{}, 2*time.Second, 10*time.Second, 64)
 	return &Clients{plan: plan, client: &http.Client{Transport: transport}, first: NewLatencies()}
 }
 
-// modelSkew is the exponent of the Zipf law by which clients choose models.
-const modelSkew = 1.1
+// zipfExponent is the exponent of the Zipf distribution from which clients choose models.
+const zipfExponent = 1.1
 
-// reference draws a model, or in a tenth of the cases an adapter of it.
+// reference returns a random model, or one of its adapters in a tenth of the cases.
 func (c *Clients) reference(rng *rand.Rand, models *rand.Zipf) string {
 	model := int(models.Uint64())
 	adapters := c.plan.adaptersOf(model)
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("%s/a%d", modelName(model), 1+rng.IntN(adapters))
 }
 
-// Run starts a client at each data plane and returns; they go on until the context ends.
+// Run starts a client for each data plane and returns. The clients run until the context ends.
 func (c *Clients) Run(ctx context.Context) {
 	if c.plan.RequestsPerS <= 0 {
 		return
@@ -96,10 +96,10 @@
 // Wait waits until all clients and their requests have ended.
 func (c *Clients) Wait() { c.running.Wait() }
 
-// runAt sends requests to one data plane, with exponentially distributed intervals.
+// runAt sends requests to one data plane at exponentially distributed intervals.
 func (c *Clients) runAt(ctx context.Context, index int) {
 	rng := rand.New(rand.NewPCG(uint64(index), 1))
-	models := rand.NewZipf(rng, modelSkew, 4, uint64(c.plan.Models-1))
+	models := rand.NewZipf(rng, zipfExponent, 4, uint64(c.plan.Models-1))
 	number := 0
 	for {
 		wait := time.Duration(rng.ExpFloat64() / c.plan.RequestsPerS * float64(time.Second))
@@ -117,15 +117,15 @@
 	}
 }
 
-// sendRequest sends a request, reads its stream and counts the outcome.
+// sendRequest sends a request, reads the stream of its response and counts the outcome.
 func (c *Clients) sendRequest(ctx context.Context, index int, attempt, reference string, route, part int) {
-	address := c.plan.at(c.plan.dataHost(index), dataPort)
+	address := c.plan.address(c.plan.dataHost(index), dataPort)
 	target := fmt.Sprintf("http://%s/tell%04d/", address, route)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, strings.NewReader("prompt"))
 	if err != nil {
 		return
 	}
-	request.Host = hostName
+	request.Host = routeHostname
 	request.Header.Set(replica.HeaderAttemptID, attempt)
 	request.Header.Set(replica.HeaderModel, reference)
 	request.Header.Set(replica.HeaderTokenCount, fmt.Sprintf("%d,%d", c.plan.Tokens, c.plan.Tokens/4+1))
@@ -156,7 +156,7 @@
 	c.complete.Add(1)
 }
 
-// count counts an outcome, unless the run has ended meanwhile.
+// count increments a counter, unless the run has ended.
 func (c *Clients) count(ctx context.Context, count *atomic.Int64) {
 	if ctx.Err() == nil {
 		count.Add(1)
--- a/internal/sim/hollow/connection.go
+++ b/internal/sim/hollow/connection.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// connection is a counted connection. One that crosses regions is blocked while the partition
-// lasts, and fails once its write timeout has passed.
+// connection is a connection whose traffic is counted. While the regions are partitioned, writes to a connection between them
+// block and fail after the write timeout.
 type connection struct {
 	net.Conn
 	network        *Network
@@ -19,17 +19,17 @@
 	writeTimeout   time.Duration
 	target         string
 	open           *atomic.Int64
-	// isAccepted is set on accepted connections, whose requests the other side counts.
+	// isAccepted is set on accepted connections, whose requests are counted by the dialing side.
 	isAccepted bool
-	// currentFlow is the flow that the bytes count for, chosen by the last request written.
+	// currentFlow is the flow to which bytes are attributed, that of the last request written.
 	currentFlow atomic.Pointer[flow]
 	once        sync.Once
 }
 
-// partitionPollInterval is how often a waiting write looks whether the partition has ended.
+// partitionPollInterval is how often a blocked write checks whether the partition has ended.
 const partitionPollInterval = 20 * time.Millisecond
 
-// Write counts what it sends; a write that begins a request chooses the flow.
+// Write writes and counts content. A write that starts a request selects the current flow.
 func (c *connection) Write(content []byte) (int, error) {
 	for waited := time.Duration(0); c.crossesRegions && c.network.partitioned.Load(); waited += partitionPollInterval {
 		if waited > c.writeTimeout {
@@ -51,7 +51,7 @@
 	return written, err
 }
 
-// Read counts what it receives.
+// Read reads and counts the bytes received.
 func (c *connection) Read(content []byte) (int, error) {
 	read, err := c.Conn.Read(content)
 	if current := c.currentFlow.Load(); current != nil {
@@ -60,7 +60,7 @@
 	return read, err
 }
 
-// Close counts the connection out, once.
+// Close closes the connection and counts it as closed once.
 func (c *connection) Close() error {
 	c.once.Do(func() {
 		c.open.Add(-1)
@@ -71,13 +71,13 @@
 	return c.Conn.Close()
 }
 
-// servingPath is the flow of all requests of clients.
+// servingPath is the path under which all requests of clients are counted.
 const servingPath = "serving"
 
-// internalPaths are the beginnings of the paths that the nodes ask each other, replicas and the list.
+// internalPaths are the path prefixes of the requests of nodes to each other, to replicas and to the platform list.
 var internalPaths = []string{"/partner/", "/ferryspar/", "/replicas"}
 
-// requestPath returns the path of a request that begins with the content, if one does.
+// requestPath returns the path under which a request is counted, and false if content is not the start of a request.
 func requestPath(content []byte) (string, bool) {
 	method, rest, found := bytes.Cut(content[:min(len(content), 200)], []byte(" "))
 	if !found || string(method) != "POST" && string(method) != "GET" || len(rest) == 0 || rest[0] != '/' {
--- a/internal/sim/hollow/counter.go
+++ b/internal/sim/hollow/counter.go
@@ -7,18 +7,17 @@
 	"ferryspar/internal/keystore"
 )
 
-// flow counts the messages and bytes of one path to one target.
+// flow counts the messages and bytes of one path and one target.
 type flow struct{ messages, sent, received atomic.Int64 }
 
-// Flow is a reading of a flow: messages, and bytes sent and received.
+// Flow holds the values of a flow: the number of messages, and the bytes sent and received.
 type Flow struct {
 	Messages int64 `json:"messages"`
 	Sent     int64 `json:"sent"`
 	Received int64 `json:"received"`
 }
 
-// Counter counts what all nodes of a process send, receive, open and write; any goroutine may use
-// it.
+// Counter counts the messages, connections and disk writes of all nodes of a process. It is safe for concurrent use.
 type Counter struct {
 	lock                     sync.Mutex
 	flows                    map[[2]string]*flow
@@ -27,10 +26,10 @@
 	writes, diskBytes, syncs atomic.Int64
 }
 
-// NewCounter makes a counter at zero.
+// NewCounter returns a counter at zero.
 func NewCounter() *Counter { return &Counter{flows: map[[2]string]*flow{}} }
 
-// flow is the flow of a path and target, made on first use.
+// flow returns the flow of a path and target and creates it on first use.
 func (c *Counter) flow(path, target string) *flow {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -41,7 +40,7 @@
 	return c.flows[key]
 }
 
-// read is a reading of all flows, by path and target.
+// read returns the values of all flows, by path and target.
 func (c *Counter) read() map[string]map[string]Flow {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -55,20 +54,20 @@
 	return flows
 }
 
-// countedDirectory counts the writes and syncs of a control plane's disk.
+// countedDirectory counts the disk writes and syncs of a control plane.
 type countedDirectory struct {
 	keystore.Directory
 	counter *Counter
 }
 
-// Write counts and passes on a write.
+// Write counts and performs a write.
 func (f *countedDirectory) Write(name string, offset int64, content []byte) error {
 	f.counter.writes.Add(1)
 	f.counter.diskBytes.Add(int64(len(content)))
 	return f.Directory.Write(name, offset, content)
 }
 
-// Sync counts and passes on a sync.
+// Sync counts and performs a sync.
 func (f *countedDirectory) Sync(name string) error {
 	f.counter.syncs.Add(1)
 	return f.Directory.Sync(name)
--- a/internal/sim/hollow/failures.go
+++ b/internal/sim/hollow/failures.go
@@ -9,11 +9,11 @@
 	"ferryspar/internal/peer"
 )
 
-// Failure is what was measured of one failure: the windows before, during and after it, whom it
-// hit, and how changes of the configuration fared.
+// Failure holds the measurements of one injected failure: the windows before, during and after it, the number of hosts
+// affected, and the outcomes of configuration changes.
 type Failure struct {
 	Name string `json:"name"`
-	// Before is the window before.
+	// Before, During and After are the windows before, during and after the failure.
 	Before         Phase     `json:"phase"`
 	During         Phase     `json:"during"`
 	After          Phase     `json:"after"`
@@ -23,32 +23,31 @@
 	ChangeDuringMs float64   `json:"changeDuringMs"`
 	ChangeOutcome  string    `json:"changeDuring"`
 	ChangeAfterMs  float64   `json:"changeAfterMs"`
-	// NextHolderMs is when another control plane began to place, or 0 if none did.
+	// NextHolderMs is the time until another control plane took over the placement lease, or 0 if none did.
 	NextHolderMs float64 `json:"otherHolderMs"`
-	// IsolatedAnswer is what a member on the cut-off side of a partition answered to a change.
+	// IsolatedAnswer is the response of a member on the isolated side of a partition to a configuration change.
 	IsolatedAnswer string `json:"cutOffSide"`
 	Replicas       int    `json:"replicas"`
-	// StableMs is when placement was calm after the end of the failure.
+	// StableMs is the time from the end of the failure until placement was stable.
 	StableMs float64 `json:"calmAfterMs"`
 	Broken   int64   `json:"ordersCut"`
 	Rejected int64   `json:"ordersRefused"`
 }
 
-// failureRun is one failure under way: whom it hits and what was measured of it so far.
+// failureRun is a failure in progress, with its targets and the measurements so far.
 type failureRun struct {
 	fleet   *Fleet
 	options Options
 	result  Failure
 	targets failureTargets
-	// lost are the indices of the data planes that end.
+	// lost holds the indices of the data planes that the failure stops.
 	lost []int
-	// reachable and cutOff are the indices of the members still alive, on either side of a partition.
+	// reachable and isolated hold the indices of the surviving members on either side of a partition.
 	reachable []int
-	cutOff    []int
+	isolated  []int
 }
 
-// measureFailure causes the named failure, ends it again, and measures a window before it, one
-// during it and one after it.
+// measureFailure injects the named failure, reverts it, and measures a window before, during and after it.
 func (f *Fleet) measureFailure(ctx context.Context, name string, options Options) (Failure, error) {
 	run := &failureRun{fleet: f, options: options, result: Failure{Name: name}}
 	before, err := f.window(name+", before", 0, options.Window, nil)
@@ -62,7 +61,7 @@
 	}
 	run.lost = f.dataIndices(run.targets.data)
 	run.result.DataPlanes = len(run.lost)
-	run.sortMembers()
+	run.classifyMembers()
 	broken, rejected := f.clients.broken.Load(), f.clients.rejected.Load()
 	run.result.During, err = f.window(name+", during", 0, 0, func() error { return run.during(ctx) })
 	if err != nil {
@@ -74,16 +73,18 @@
 	return run.result, err
 }
 
-// isReachable reports whether a host is on the operator's side of the partition, if there is one.
+// isReachable reports whether a host is on the operator's side of the partition. Without a partition all hosts are.
 func (r *failureRun) isReachable(host string) bool {
 	return !r.targets.partitioned || r.fleet.plan.regionOf(host) == regions[zones[0]]
 }
 
-// isSpared reports whether a data plane goes on and can be reached.
-func (r *failureRun) isSpared(host string) bool { return !r.targets.data(host) && r.isReachable(host) }
+// isSurviving reports whether a data plane keeps running and can be reached.
+func (r *failureRun) isSurviving(host string) bool {
+	return !r.targets.data(host) && r.isReachable(host)
+}
 
-// sortMembers counts the members that end and sorts the others by the side they are on.
-func (r *failureRun) sortMembers() {
+// classifyMembers counts the members that the failure stops and assigns the others to their side of the partition.
+func (r *failureRun) classifyMembers() {
 	for index := range r.fleet.plan.Members {
 		host := r.fleet.plan.memberHost(index)
 		switch {
@@ -92,13 +93,13 @@
 		case r.isReachable(host):
 			r.reachable = append(r.reachable, index)
 		default:
-			r.cutOff = append(r.cutOff, index)
+			r.isolated = append(r.isolated, index)
 		}
 	}
 }
 
-// during causes the failure, watches for another placement holder, and times a change of the
-// configuration on either side, for the failure's length at least.
+// during injects the failure, waits for another control plane to take over the placement lease, and measures a configuration
+// change on both sides of the partition. It takes at least the length of the failure.
 func (r *failureRun) during(ctx context.Context) error {
 	f := r.fleet
 	if err := f.inject(r.targets, commandStop, true); err != nil {
@@ -106,17 +107,16 @@
 	}
 	r.result.Replicas = f.standIns.setLost(r.targets.replicas, true)
 	end := time.Now().Add(r.options.FailureLength)
-	taken := make(chan float64, 1)
-	go func() { taken <- f.awaitHolder(r.result.Before.LeaseHolder, r.options.FailureLength) }()
-	defer func() { r.result.NextHolderMs = <-taken }()
-	r.result.IsolatedAnswer = f.changeAtCutOffMember(ctx, r.cutOff)
-	r.result.ChangeOutcome, r.result.ChangeDuringMs = f.timeChange(ctx, f.dataIndices(r.isSpared), r.reachable)
+	takeover := make(chan float64, 1)
+	go func() { takeover <- f.awaitHolder(r.result.Before.LeaseHolder, r.options.FailureLength) }()
+	defer func() { r.result.NextHolderMs = <-takeover }()
+	r.result.IsolatedAnswer = f.changeAtIsolatedMember(ctx, r.isolated)
+	r.result.ChangeOutcome, r.result.ChangeDuringMs = f.timeChange(ctx, f.dataIndices(r.isSurviving), r.reachable)
 	sleep(time.Until(end))
 	return nil
 }
 
-// after ends the failure, times readiness and a change of the configuration, and waits until the
-// placement is calm.
+// after reverts the failure, measures the time to readiness and a configuration change, and waits until placement is stable.
 func (r *failureRun) after(ctx context.Context) error {
 	f := r.fleet
 	began := time.Now()
@@ -129,26 +129,25 @@
 		return err
 	}
 	r.result.Ready = ready.Quantiles()
-	_, r.result.ChangeAfterMs = f.timeChange(ctx, f.dataIndices(anyHost), f.plan.everyMember(0))
+	_, r.result.ChangeAfterMs = f.timeChange(ctx, f.dataIndices(anyHost), f.plan.membersFrom(0))
 	err = f.awaitPlacement(ctx, r.options)
 	r.result.StableMs = float64((time.Since(began) - r.options.StableAfter).Milliseconds())
 	sleep(time.Until(began.Add(r.options.FailureLength)))
 	return err
 }
 
-// inject ends or starts again what the failure hits, or begins or ends its partition.
-func (f *Fleet) inject(hit failureTargets, do string, severed bool) error {
-	if hit.partitioned {
-		return f.partition(severed)
+// inject stops or restarts the targets of the failure, or starts or ends its partition.
+func (f *Fleet) inject(targets failureTargets, do string, partitioned bool) error {
+	if targets.partitioned {
+		return f.partition(partitioned)
 	}
-	if err := f.commandHosts(f.members, do, hit.members); err != nil {
+	if err := f.commandHosts(f.members, do, targets.members); err != nil {
 		return err
 	}
-	return f.commandHosts(f.data, do, hit.data)
+	return f.commandHosts(f.data, do, targets.data)
 }
 
-// timeChange makes a change of the configuration and returns how it went and how long it took in
-// milliseconds.
+// timeChange changes the configuration and returns the outcome and the duration in milliseconds.
 func (f *Fleet) timeChange(ctx context.Context, nodes, members []int) (string, float64) {
 	began, missed := time.Now(), f.operator.missed
 	if err := f.operator.ApplyChange(ctx, nodes, members); err != nil {
@@ -161,8 +160,8 @@
 	return "in force at all spared nodes", durationMs
 }
 
-// changeAtCutOffMember asks a member on the cut-off side for a change and returns its answer.
-func (f *Fleet) changeAtCutOffMember(ctx context.Context, members []int) string {
+// changeAtIsolatedMember sends a configuration change to a member on the isolated side and describes its response.
+func (f *Fleet) changeAtIsolatedMember(ctx context.Context, members []int) string {
 	if len(members) == 0 {
 		return "-"
 	}
@@ -171,7 +170,7 @@
 		return err.Error()
 	}
 	began := time.Now()
-	address := f.plan.at(f.plan.memberHost(members[0]), controlPort)
+	address := f.plan.address(f.plan.memberHost(members[0]), controlPort)
 	status, err := f.operator.call(ctx, http.MethodPatch, address, f.operator.revision, document)
 	if err != nil {
 		return "nothing"
@@ -179,8 +178,8 @@
 	return fmt.Sprintf("%d after %d ms", status, time.Since(began).Milliseconds())
 }
 
-// awaitHolder is the time in milliseconds until a control plane other than the former one shares a
-// roster, or 0 if none does.
+// awaitHolder returns the time in milliseconds until a control plane other than the former holder shares a roster, or 0 if
+// none does before the timeout.
 func (f *Fleet) awaitHolder(former string, timeout time.Duration) float64 {
 	began := time.Now()
 	var first []int64
@@ -199,7 +198,7 @@
 	return 0
 }
 
-// rosterCounts counts the rosters that each member has shared; a member that has ended counts 0.
+// rosterCounts returns the number of rosters shared by each member, 0 for a member that has ended.
 func (f *Fleet) rosterCounts() []int64 {
 	counts := make([]int64, len(f.members))
 	for index, childProcess := range f.members {
--- a/internal/sim/hollow/failuretargets.go
+++ b/internal/sim/hollow/failuretargets.go
@@ -5,31 +5,31 @@
 )
 
 const (
-	// FailureHolder ends the control plane that holds the placement lease.
+	// FailureHolder stops the control plane that holds the placement lease.
 	FailureHolder = "holder"
-	// FailureMachine ends one data plane and one replica.
+	// FailureMachine stops one data plane and one replica.
 	FailureMachine = "machine"
-	// FailureRack ends every tenth data plane and replica.
+	// FailureRack stops every tenth data plane and every tenth replica.
 	FailureRack = "rack"
-	// FailureZone ends everything in one zone.
+	// FailureZone stops all nodes and replicas in one zone.
 	FailureZone = "zone"
-	// FailureRegion cuts the connections between the regions.
+	// FailureRegion partitions the network between the regions.
 	FailureRegion = "region"
-	// FailureDataPlanes ends all data planes.
+	// FailureDataPlanes stops all data planes.
 	FailureDataPlanes = "restart"
 	rackSize          = 10
 )
 
-// failureTargets selects the hosts that a failure hits.
+// failureTargets selects the hosts affected by a failure.
 type failureTargets struct {
 	data, members, replicas func(host string) bool
 	partitioned             bool
 }
 
-// noHost chooses no host.
+// noHost selects no host.
 func noHost(string) bool { return false }
 
-// targetsOf is whom the named failure hits; the holder is the host of the placement holder.
+// targetsOf returns the targets of the named failure. holder is the host of the holder of the placement lease.
 func (f *Fleet) targetsOf(name, holder string) (failureTargets, error) {
 	zone := func(host string) bool { return f.plan.zoneOf(host) == zones[1] }
 	cases := map[string]failureTargets{
@@ -54,12 +54,12 @@
 	}
 	found, known := cases[name]
 	if !known {
-		return found, errors.Errorf("no such trouble; known are %v", names(cases))
+		return found, errors.Errorf("unknown failure, expected one of %v", names(cases))
 	}
 	return found, nil
 }
 
-// everyTenth chooses every tenth of the hosts.
+// everyTenth selects every tenth host.
 func (f *Fleet) everyTenth(count int, host func(index int) string) func(string) bool {
 	chosen := map[string]bool{}
 	for index := 1; index < count; index += rackSize {
@@ -68,7 +68,7 @@
 	return func(name string) bool { return chosen[name] }
 }
 
-// CheckFailure fails if there is no failure of the name.
+// CheckFailure returns an error if there is no failure of that name.
 func CheckFailure(name string) error {
 	_, err := (&Fleet{}).targetsOf(name, "")
 	return err
--- a/internal/sim/hollow/fleet.go
+++ b/internal/sim/hollow/fleet.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Fleet is a running fleet: the child processes with the nodes, and the stand-ins in this
-// process. One goroutine alone may use it.
+// Fleet is a running fleet: the child processes that run the nodes, and the stand-ins in this process. It is not safe for
+// concurrent use.
 type Fleet struct {
 	plan     Plan
 	standIns *StandIns
@@ -21,25 +21,25 @@
 	clients  *Clients
 	members  []*process
 	data     []*process
-	// lock is a listener that keeps the loopback network for this run.
-	lock      net.Listener
-	progress  io.Writer
-	memoryMb  float64
-	highestMb float64
+	// lock is a listener that reserves the loopback network for this run.
+	lock        net.Listener
+	progress    io.Writer
+	memoryMb    float64
+	maxMemoryMb float64
 }
 
 const (
-	// firstOctet is the second octet of the first loopback network that a run may take.
+	// firstOctet and lastOctet are the bounds of the second octet of the loopback networks that a run may use.
 	firstOctet = 16
 	lastOctet  = 250
 	lockPort   = 6999
 )
 
-// reserveNetwork takes a loopback network that no other run on this machine uses.
+// reserveNetwork reserves a loopback network that no other run on this machine uses.
 func (f *Fleet) reserveNetwork() error {
 	for octet := firstOctet; octet <= lastOctet; octet++ {
 		f.plan.Octet = octet
-		listener, err := net.Listen("tcp", f.plan.at(f.plan.host(0, 1), lockPort))
+		listener, err := net.Listen("tcp", f.plan.address(f.plan.host(0, 1), lockPort))
 		if err == nil {
 			f.lock = listener
 			return nil
@@ -48,7 +48,7 @@
 	return errors.New("no free loopback network from 127.16.0.0 to 127.250.0.0")
 }
 
-// HalfOfMemory is half of this machine's memory in MB, or 0 if the system does not tell.
+// HalfOfMemory returns half of the memory of this machine in MB, or 0 if it is unknown.
 func HalfOfMemory() float64 {
 	var machine unix.Sysinfo_t
 	if unix.Sysinfo(&machine) != nil {
@@ -57,8 +57,7 @@
 	return float64(machine.Totalram) * float64(machine.Unit) / megabyte / 2
 }
 
-// StartFleet starts the stand-ins and the child processes, with no node running yet. End must be
-// called if it succeeds.
+// StartFleet starts the stand-ins and the child processes, but no nodes yet. If it succeeds, the caller must call End.
 func StartFleet(plan Plan, memoryMb float64, progress io.Writer) (*Fleet, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -74,8 +73,8 @@
 	return fleet, err
 }
 
-// open starts the stand-ins and the children: one a member, one for a single data plane, the others
-// for the rest.
+// open starts the stand-ins and the child processes: one per member, one for a single data plane, and Plan.Processes for the
+// other data planes.
 func (f *Fleet) open() error {
 	var err error
 	if f.plan.Folder, err = os.MkdirTemp("", "ferryspar-hollow-"); err != nil {
@@ -115,8 +114,7 @@
 	return nil
 }
 
-// End ends the children and the stand-ins and removes the folder; its error is the first child's
-// that failed.
+// End ends the child processes and the stand-ins and removes the temporary directory. It returns the first error of a child.
 func (f *Fleet) End() error {
 	var first error
 	for _, childProcess := range append(append([]*process{}, f.data...), f.members...) {
@@ -136,12 +134,12 @@
 	return first
 }
 
-// progressf prints a line of progress.
+// progressf prints a progress message.
 func (f *Fleet) progressf(format string, arguments ...any) {
 	fmt.Fprintf(f.progress, "ferryspar-hollow: "+format+"\n", arguments...)
 }
 
-// commandHosts sends a command to the processes, for those of their hosts that are chosen.
+// commandHosts sends a command to the processes, for those of their hosts that are selected.
 func (f *Fleet) commandHosts(list []*process, do string, chosen func(host string) bool) error {
 	for _, childProcess := range list {
 		sent := command{Do: do}
@@ -160,31 +158,31 @@
 	return nil
 }
 
-// processes are all children, members first.
+// processes returns all child processes, members first.
 func (f *Fleet) processes() []*process {
 	return append(append([]*process{}, f.members...), f.data...)
 }
 
-// partition begins or ends the partition between the regions.
-func (f *Fleet) partition(cut bool) error {
+// partition starts or ends the network partition between the regions.
+func (f *Fleet) partition(partitioned bool) error {
 	for _, childProcess := range f.processes() {
-		if _, err := childProcess.call(command{Do: commandPartition, Cut: cut}); err != nil {
+		if _, err := childProcess.call(command{Do: commandPartition, Partitioned: partitioned}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// observation is a reading of all processes, in the sequence of Fleet.processes.
+// observation holds snapshots of all processes, in the order of Fleet.processes.
 type observation struct {
-	at        time.Time
-	placed    int64
-	snapshots []Snapshot
+	at           time.Time
+	instructions int64
+	snapshots    []Snapshot
 }
 
-// observe reads all processes; it fails if together they hold more memory than allowed.
+// observe takes snapshots of all processes. It returns an error if their memory exceeds the limit.
 func (f *Fleet) observe() (observation, error) {
-	seen := observation{at: time.Now(), placed: f.standIns.instructions.Load()}
+	seen := observation{at: time.Now(), instructions: f.standIns.instructions.Load()}
 	total := 0.0
 	for _, childProcess := range f.processes() {
 		answer, err := childProcess.call(command{Do: commandSnapshot})
@@ -194,17 +192,17 @@
 		seen.snapshots = append(seen.snapshots, *answer.Snapshot)
 		total += answer.Snapshot.RuntimeMb
 	}
-	f.highestMb = max(f.highestMb, total)
+	f.maxMemoryMb = max(f.maxMemoryMb, total)
 	if total > f.memoryMb {
 		return seen, errors.Errorf("hollow nodes hold %.0f MB, more than the %.0f MB allowed", total, f.memoryMb)
 	}
 	return seen, nil
 }
 
-// anyHost chooses every host.
+// anyHost selects every host.
 func anyHost(string) bool { return true }
 
-// dataIndices are the indices of the data planes whose hosts are chosen.
+// dataIndices returns the indices of the data planes whose hosts are selected.
 func (f *Fleet) dataIndices(chosen func(host string) bool) []int {
 	var indices []int
 	for index := range f.plan.DataPlanes {
@@ -216,14 +214,14 @@
 }
 
 const (
-	// membersTimeout is how long the control planes may take to acknowledge the first configuration.
+	// membersTimeout is the timeout for the control planes to acknowledge the first configuration.
 	membersTimeout = 15 * time.Second
-	// readyTimeout is how long data planes may take to be ready.
+	// readyTimeout is the timeout for the data planes to become ready.
 	readyTimeout = 40 * time.Second
 )
 
-// Start starts the control planes, sends the first configuration, starts the data planes and
-// returns how long each took to be ready.
+// Start starts the control planes, sends the first configuration, starts the data planes and returns how long they took to
+// become ready.
 func (f *Fleet) Start(ctx context.Context) (*Latencies, error) {
 	if err := f.commandHosts(f.members, commandStart, anyHost); err != nil {
 		return nil, err
--- a/internal/sim/hollow/hollow_test.go
+++ b/internal/sim/hollow/hollow_test.go
@@ -35,7 +35,7 @@
 	return plan
 }
 
-func TestFleet_AdoptsEveryConfigurationAndEndsCleanly(t *testing.T) {
+func TestRun_AppliesEveryConfigurationAndCleansUp(t *testing.T) {
 	var progress bytes.Buffer
 	bounded, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -77,10 +77,10 @@
 	assert.Equal(t, result.Failures[0].Ready.Count, int64(1))
 	assert.Equal(t, result.Failures[0].ChangeOutcome, "in force at all spared nodes")
 	_, err = os.Stat(result.Plan.Folder)
-	assert.Assert(t, os.IsNotExist(err), "temporary folder is left")
+	assert.Assert(t, os.IsNotExist(err), "temporary directory was not removed")
 }
 
-func TestFleet_EndsWithClearMessageBeyondMemoryLimit(t *testing.T) {
+func TestRun_ReturnsErrorAboveMemoryLimit(t *testing.T) {
 	plan := smallPlan()
 	plan.DataPlanes = 1
 
@@ -96,7 +96,7 @@
 	assert.Error(t, plan.Check(), "data planes must be 1 to 1000; members must be 3 or 5")
 }
 
-func TestSlopes_ReadExponentsFromBenchmarkLines(t *testing.T) {
+func TestReadBenchmarks_FitsExponents(t *testing.T) {
 	output := "goos: linux\nBenchmarkHear/edges=8-4  100  1000 ns/op  64 B/op\n" +
 		"BenchmarkHear/edges=80-4  100  100000 ns/op  640 B/op\nPASS\n"
 
--- a/internal/sim/hollow/network.go
+++ b/internal/sim/hollow/network.go
@@ -11,8 +11,8 @@
 	"ferryspar/internal/peer"
 )
 
-// Network is the network of one node, bound to its host's address and counted. It implements
-// peer.Network; any goroutine may use it.
+// Network is the network of one node. It binds to the address of the node's host and counts the traffic. It implements
+// peer.Network and is safe for concurrent use.
 type Network struct {
 	plan        Plan
 	host        string
@@ -23,19 +23,18 @@
 	closed      bool
 }
 
-// NewNetwork makes the network of a host; cut reports whether the regions are partitioned.
-func NewNetwork(plan Plan, host string, counter *Counter, cut *atomic.Bool) *Network {
-	return &Network{plan: plan, host: host, counter: counter, partitioned: cut, connections: map[*connection]bool{}}
+// NewNetwork returns the network of a host. partitioned holds whether the regions are partitioned.
+func NewNetwork(plan Plan, host string, counter *Counter, partitioned *atomic.Bool) *Network {
+	return &Network{plan: plan, host: host, counter: counter, partitioned: partitioned, connections: map[*connection]bool{}}
 }
 
-// crossesRegions reports whether the other host is in another region; hosts without one are never partitioned
-// off.
+// crossesRegions reports whether the other host is in another region. Hosts without a region are never partitioned.
 func (n *Network) crossesRegions(host string) bool {
 	own, other := n.plan.regionOf(n.host), n.plan.regionOf(host)
 	return own != "" && other != "" && own != other
 }
 
-// register remembers a connection for CloseAll; after that it is closed at once.
+// register registers a connection for CloseAll. If CloseAll has been called already, the connection is closed immediately.
 func (n *Network) register(counted *connection) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -45,29 +44,28 @@
 	}
 }
 
-// CloseAll closes all connections, as a machine's end does.
+// CloseAll closes all connections, as when a machine fails.
 func (n *Network) CloseAll() {
 	n.lock.Lock()
 	n.closed = true
-	var broken []*connection
+	var registered []*connection
 	for counted := range n.connections {
-		broken = append(broken, counted)
+		registered = append(registered, counted)
 	}
 	n.lock.Unlock()
-	for _, counted := range broken {
+	for _, counted := range registered {
 		counted.Close()
 	}
 }
 
-// DialFunc returns a function that dials from the host's address; across a partition it runs into the
-// bound.
+// DialFunc returns a function that dials from the address of the host. Across a partition it fails after connectTimeout.
 func (n *Network) DialFunc(connectTimeout, writeTimeout time.Duration) peer.DialFunc {
 	dialer := peer.NewDialer(connectTimeout, writeTimeout)
 	dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(n.host)}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		host, _, _ := net.SplitHostPort(address)
-		severed := n.crossesRegions(host)
-		if severed && n.partitioned.Load() {
+		crosses := n.crossesRegions(host)
+		if crosses && n.partitioned.Load() {
 			bounded, cancel := context.WithTimeout(ctx, connectTimeout)
 			defer cancel()
 			<-bounded.Done()
@@ -86,7 +84,7 @@
 		counted := &connection{
 			Conn:           raw,
 			network:        n,
-			crossesRegions: severed,
+			crossesRegions: crosses,
 			writeTimeout:   writeTimeout,
 			target:         target,
 			open:           &n.counter.outbound,
@@ -96,7 +94,7 @@
 	}
 }
 
-// Listen listens on the address and counts what it accepts.
+// Listen listens on the address and counts the connections accepted and their traffic.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	listener, err := peer.HostNetwork{}.Listen(address)
 	if err != nil {
@@ -111,7 +109,7 @@
 	network *Network
 }
 
-// Accept accepts a counted connection.
+// Accept accepts a connection and counts it.
 func (l *countedListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/sim/hollow/operator.go
+++ b/internal/sim/hollow/operator.go
@@ -16,7 +16,7 @@
 	"ferryspar/internal/replica"
 )
 
-// Operator changes the configuration as an operator does, and times how it is followed.
+// Operator changes the configuration through the operator API and measures how long the changes take.
 type Operator struct {
 	plan         Plan
 	client       *http.Client
@@ -24,12 +24,12 @@
 	acknowledged *Latencies
 	inForce      *Latencies
 	everywhere   *Latencies
-	// missed counts the data planes that did not follow a change in time.
+	// missed counts the data planes that did not apply a change in time.
 	missed  int
 	changes int
 }
 
-// NewOperator makes an operator that has sent nothing yet.
+// NewOperator returns an operator that has not sent a configuration yet.
 func NewOperator(plan Plan) *Operator {
 	transport := peer.NewTransport(peer.HostNetwork{}, time.Second, 10*time.Second, 2)
 	return &Operator{
@@ -42,27 +42,26 @@
 }
 
 const (
-	// sendTimeout is how long a change may take to be acknowledged.
+	// sendTimeout is the timeout for a change to be acknowledged.
 	sendTimeout = 15 * time.Second
-	// sendRetryInterval is the wait before the next member is asked.
+	// sendRetryInterval is the wait before the next member is tried.
 	sendRetryInterval = 100 * time.Millisecond
-	// probeTimeout is how long a change may take to be in force at a data plane.
+	// probeTimeout is the timeout for a change to be in force at a data plane.
 	probeTimeout = 10 * time.Second
-	// probeInterval is the wait between questions to a data plane.
+	// probeInterval is the interval between probes of a data plane.
 	probeInterval = 40 * time.Millisecond
-	// probeCallTimeout is how long one question may take.
+	// probeCallTimeout is the timeout of one probe.
 	probeCallTimeout = 2 * time.Second
 )
 
-// send sends a configuration to the members in turn until one acknowledges it; condition is the
-// revision that it must follow.
+// send sends a configuration to the members in turn until one acknowledges it. condition is the revision that it must follow.
 func (o *Operator) send(ctx context.Context, method string, condition int64, body []byte, members []int) error {
 	bounded, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	last := errors.New("no member asked")
+	last := errors.New("no member tried")
 	for turn := 0; bounded.Err() == nil; turn++ {
 		member := members[turn%len(members)]
-		address := o.plan.at(o.plan.memberHost(member), controlPort)
+		address := o.plan.address(o.plan.memberHost(member), controlPort)
 		var status int
 		status, last = o.call(bounded, method, address, condition, body)
 		if last == nil && status == http.StatusOK {
@@ -76,7 +75,7 @@
 	return errors.Wrap(last, "configuration not acknowledged")
 }
 
-// call sends a configuration to one address and is the answer's status.
+// call sends a configuration to one address and returns the status of the response.
 func (o *Operator) call(ctx context.Context, method, address string, condition int64, body []byte) (int, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+"/ferryspar/config", bytes.NewReader(body))
 	if err != nil {
@@ -92,8 +91,8 @@
 	return answer.StatusCode, nil
 }
 
-// everyMember lists all members' indices, beginning at one.
-func (p Plan) everyMember(from int) []int {
+// membersFrom returns the indices of all members, starting at from.
+func (p Plan) membersFrom(from int) []int {
 	var members []int
 	for index := range p.Members {
 		members = append(members, (from+index)%p.Members)
@@ -101,21 +100,21 @@
 	return members
 }
 
-// PutInitial sends the first configuration.
+// PutInitial sends the initial configuration.
 func (o *Operator) PutInitial(ctx context.Context) error {
 	document, err := o.plan.document(1)
 	if err != nil {
 		return err
 	}
-	if err := o.send(ctx, http.MethodPut, 0, document, o.plan.everyMember(0)); err != nil {
+	if err := o.send(ctx, http.MethodPut, 0, document, o.plan.membersFrom(0)); err != nil {
 		return err
 	}
 	o.revision = 1
 	return nil
 }
 
-// ApplyChange replaces one probe route by the next, and waits until the data planes serve it; those that
-// do not in time count as missed.
+// ApplyChange replaces the probe route by the next one and waits until the data planes serve it. Data planes that do not
+// serve it in time count as missed.
 func (o *Operator) ApplyChange(ctx context.Context, nodes []int, members []int) error {
 	next := o.revision + 1
 	document, err := patchDocument(next, o.revision)
@@ -150,9 +149,9 @@
 	return nil
 }
 
-// probe waits until a data plane serves the path, and is the time since the change began.
+// probe waits until a data plane serves the path and returns the time since the change was sent.
 func (o *Operator) probe(ctx context.Context, index int, path string, began time.Time) (time.Duration, bool) {
-	address := o.plan.at(o.plan.dataHost(index), dataPort)
+	address := o.plan.address(o.plan.dataHost(index), dataPort)
 	for ctx.Err() == nil && time.Since(began) < probeTimeout {
 		if o.servesRoute(ctx, address, path) {
 			return time.Since(began), true
@@ -162,8 +161,8 @@
 	return 0, false
 }
 
-// servesRoute reports whether a data plane knows the path, by a request that is malformed on purpose:
-// it is answered with 400 by a route, and otherwise without one.
+// servesRoute reports whether a data plane has a route for the path. It sends a deliberately malformed request, which gets
+// status 400 only if there is a route.
 func (o *Operator) servesRoute(ctx context.Context, address, path string) bool {
 	bounded, cancel := context.WithTimeout(ctx, probeCallTimeout)
 	defer cancel()
@@ -171,7 +170,7 @@
 	if err != nil {
 		return false
 	}
-	request.Host = hostName
+	request.Host = routeHostname
 	request.Header.Set(replica.HeaderAttemptID, fmt.Sprintf("probe-%d", time.Now().UnixNano()))
 	request.Header.Set(replica.HeaderTokenCount, "none")
 	answer, err := o.client.Do(request)
@@ -183,11 +182,11 @@
 	return answer.StatusCode == http.StatusBadRequest
 }
 
-// isReady asks a data plane for its readiness.
+// isReady reports whether a data plane is ready, according to its readiness endpoint.
 func (o *Operator) isReady(ctx context.Context, index int) bool {
 	bounded, cancel := context.WithTimeout(ctx, probeCallTimeout)
 	defer cancel()
-	address := o.plan.at(o.plan.dataHost(index), readyPort)
+	address := o.plan.address(o.plan.dataHost(index), readyPort)
 	request, err := http.NewRequestWithContext(bounded, http.MethodGet, "http://"+address+"/ferryspar/readyz", nil)
 	if err != nil {
 		return false
@@ -200,16 +199,17 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// AwaitReady waits until the data planes are ready, and fails if some are not within the bound.
+// AwaitReady waits until the data planes are ready and returns how long they took. It returns an error if some exceed the
+// timeout.
 func (o *Operator) AwaitReady(ctx context.Context, nodes []int, timeout time.Duration) (*Latencies, error) {
 	began := time.Now()
-	spread := NewLatencies()
+	latencies := NewLatencies()
 	var waiting sync.WaitGroup
 	for _, index := range nodes {
 		waiting.Go(func() {
 			for ctx.Err() == nil && time.Since(began) < timeout {
 				if o.isReady(ctx, index) {
-					spread.Record(time.Since(began))
+					latencies.Record(time.Since(began))
 					return
 				}
 				time.Sleep(probeInterval)
@@ -217,8 +217,8 @@
 		})
 	}
 	waiting.Wait()
-	if missing := int64(len(nodes)) - spread.Quantiles().Count; missing > 0 {
-		return spread, errors.Errorf("%d of %d data planes not ready within %s", missing, len(nodes), timeout)
+	if missing := int64(len(nodes)) - latencies.Quantiles().Count; missing > 0 {
+		return latencies, errors.Errorf("%d of %d data planes not ready within %s", missing, len(nodes), timeout)
 	}
-	return spread, nil
+	return latencies, nil
 }
--- a/internal/sim/hollow/plan.go
+++ b/internal/sim/hollow/plan.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/nodesettings"
 )
 
-// Plan is the size and the load of a fleet.
+// Plan holds the size and the load of a fleet.
 type Plan struct {
 	DataPlanes       int     `json:"data"`
 	Members          int     `json:"members"`
@@ -23,24 +23,24 @@
 	ModelsPerReplica int     `json:"resident"`
 	Slots            int     `json:"slots"`
 	RequestsPerS     float64 `json:"ordersPerS"`
-	// StreamLength is how long a stream lasts.
+	// StreamLength is the duration of a stream.
 	StreamLength time.Duration `json:"holdNs"`
 	Events       int           `json:"events"`
 	Tokens       int           `json:"tokens"`
-	// Octet is the second octet of the run's loopback network.
+	// Octet is the second octet of the loopback network of the run.
 	Octet      int `json:"octet"`
 	Processors int `json:"processors"`
-	// Processes is how many processes share the data planes; each may use so many Processors at once.
+	// Processes is the number of processes that share the data planes. Each may use up to Processors processors.
 	Processes int    `json:"processes"`
 	Folder    string `json:"-"`
 }
 
-// FullSize is the size of a full fleet, from which smaller ones are scaled.
+// FullSize is the size of a full fleet, from which smaller fleets are scaled.
 type FullSize struct {
 	DataPlanes, Replicas, Models, Adapters, Routes int
 }
 
-// Scaled is a plan with so many data planes and the rest in proportion, at least 4 of each.
+// Scaled returns a plan with the given number of data planes and the other numbers in proportion, but at least 4 each.
 func (t FullSize) Scaled(data int) Plan {
 	part := func(whole int) int { return max((whole*data+t.DataPlanes/2)/t.DataPlanes, 4) }
 	return Plan{
@@ -52,7 +52,7 @@
 	}
 }
 
-// Check judges the plan; the error names everything that is wrong.
+// Check validates the plan. The error lists everything that is invalid.
 func (p Plan) Check() error {
 	checks := []struct {
 		wrong   bool
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// settings are the settings of the node on a host.
+// settings returns the settings of the node on a host.
 func (p Plan) settings(host string) (nodesettings.Settings, error) {
 	settings, err := nodesettings.Parse(nil)
 	if err != nil {
@@ -97,15 +97,15 @@
 	settings.Region = p.regionOf(host)
 	settings.InternalPorts = []int{peerPort, peerPort + 10}
 	for index := range p.Members {
-		settings.SeedNodes = append(settings.SeedNodes, p.at(p.memberHost(index), controlPort))
+		settings.SeedNodes = append(settings.SeedNodes, p.address(p.memberHost(index), controlPort))
 	}
 	settings.DataDir = "given"
 	settings.Limits.CPUCores = 1
 	settings.FaultTolerance.MachineLoss = (p.Members - 1) / 2
 	settings.BindAddresses = nodesettings.BindAddresses{
-		DataPlane:    p.at(host, dataPort),
-		Readiness:    p.at(host, readyPort),
-		ControlPlane: p.at(host, controlPort),
+		DataPlane:    p.address(host, dataPort),
+		Readiness:    p.address(host, readyPort),
+		ControlPlane: p.address(host, controlPort),
 	}
 	settings.CloudAPI = nodesettings.CloudAPI{Address: p.listAddress(), RatePerS: 40, MaxLagMs: 100}
 	settings.TimingBounds.RetryBudgetRatio = 0.2
@@ -113,33 +113,33 @@
 	return settings, nil
 }
 
-// modelName is the name of the model of an index.
+// modelName returns the name of a model.
 func modelName(index int) string { return fmt.Sprintf("model%04d", index) }
 
-// adaptersOf is how many adapters a model has; every other model has some.
+// adaptersOf returns the number of adapters of a model. Only models with an even index have adapters.
 func (p Plan) adaptersOf(model int) int {
-	bearers := (p.Models + 1) / 2
+	modelsWithAdapters := (p.Models + 1) / 2
 	if model%2 == 1 {
 		return 0
 	}
-	share := p.Adapters / bearers
-	if model/2 < p.Adapters%bearers {
+	share := p.Adapters / modelsWithAdapters
+	if model/2 < p.Adapters%modelsWithAdapters {
 		share++
 	}
 	return share
 }
 
-// route is a route of the given name and path prefix.
+// route returns a route of the given name and path prefix.
 func route(name, prefix string) configuration.Route {
 	return configuration.Route{
 		Name:            name,
-		Hostname:        hostName,
+		Hostname:        routeHostname,
 		PathPrefix:      prefix,
 		RouteType:       configuration.Streaming,
 		TimeoutMs:       30000,
 		TargetLatencyMs: 1900,
 		Priority:        1,
-		Backend:         serviceName,
+		Backend:         backendName,
 		RetryCount:      2,
 		Sticky:          true,
 		Resumable:       true,
@@ -147,7 +147,7 @@
 	}
 }
 
-// document is the first configuration.
+// document returns the initial configuration.
 func (p Plan) document(revision int64) ([]byte, error) {
 	document := configuration.Configuration{
 		Revision: revision,
@@ -162,7 +162,7 @@
 		document.Routes = append(document.Routes, route(fmt.Sprintf("r-%04d", index), fmt.Sprintf("/tell%04d/", index)))
 	}
 	backend := configuration.Backend{
-		Name:       serviceName,
+		Name:       backendName,
 		HealthPath: "/healthz",
 		MaxConns:   4 * p.Slots,
 		ColdStartS: 3,
@@ -190,17 +190,17 @@
 	return json.Marshal(document)
 }
 
-// patch is a partial change of the configuration.
+// patch is a partial configuration change.
 type patch struct {
 	Revision int64          `json:"revision"`
 	Upsert   map[string]any `json:"upsert"`
 	Remove   map[string]any `json:"remove,omitempty"`
 }
 
-// probePath is the path prefix of the probe route that a revision adds.
+// probePath returns the path prefix of the probe route of a revision.
 func probePath(revision int64) string { return fmt.Sprintf("/probe%d/", revision) }
 
-// patchDocument adds the probe route of a revision and removes that of the one before.
+// patchDocument returns a patch that adds the probe route of a revision and removes that of the previous revision.
 func patchDocument(revision, before int64) ([]byte, error) {
 	change := patch{
 		Revision: revision,
--- a/internal/sim/hollow/process.go
+++ b/internal/sim/hollow/process.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// process is a child process; any goroutine may call it, one command at a time is sent.
+// process is a child process. It is safe for concurrent use; commands are sent one at a time.
 type process struct {
 	role    string
 	hosts   []string
@@ -22,7 +22,7 @@
 	answers *bufio.Reader
 }
 
-// spawn starts this program again as a child and gives it the plan.
+// spawn starts this program as a child process and sends it the plan.
 func spawn(plan Plan, role, folder string, hosts []string) (*process, error) {
 	path, err := os.Executable()
 	if err != nil {
@@ -40,13 +40,13 @@
 	}
 	childProcess.answers = bufio.NewReader(output)
 	if err := childProcess.program.Start(); err != nil {
-		return nil, errors.Wrap(err, "process for hollow nodes")
+		return nil, errors.Wrap(err, "start child process")
 	}
 	_, err = childProcess.call(command{Do: commandPlan, Plan: &plan, Role: role, Folder: folder})
 	return childProcess, err
 }
 
-// call sends a command and waits for its reply; a reply with an error is an error.
+// call sends a command and waits for the reply. An error in the reply is returned as an error.
 func (p *process) call(sent command) (reply, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -64,13 +64,13 @@
 	return answer, errors.Wrapf(err, "%s process, %s", p.role, sent.Do)
 }
 
-// shutdownTimeout is how long a child may take to end before it is killed.
+// shutdownTimeout is how long a child may take to exit before it is killed.
 const shutdownTimeout = 5 * time.Second
 
-// end closes the child's input, on which it ends, and waits for it.
+// end closes the input of the child, which makes it exit, and waits for its exit.
 func (p *process) end() error {
 	_ = p.input.Close()
-	overdue := time.AfterFunc(shutdownTimeout, func() { _ = p.program.Process.Kill() })
-	defer overdue.Stop()
+	killTimer := time.AfterFunc(shutdownTimeout, func() { _ = p.program.Process.Kill() })
+	defer killTimer.Stop()
 	return errors.Wrapf(p.program.Wait(), "%s process", p.role)
 }
--- a/internal/sim/hollow/report.go
+++ b/internal/sim/hollow/report.go
@@ -6,13 +6,13 @@
 	"text/tabwriter"
 )
 
-// Report is the results of several sizes and the slopes through them.
+// Report holds the results of several fleet sizes and the fits to them.
 type Report struct {
 	Results []Result     `json:"results"`
 	Fits    []ScalingFit `json:"slopes"`
 }
 
-// Print prints the slopes, the calls and the rest of each result as tables.
+// Print writes the fits, the call rates and the other results. target is the number of data planes of the column atTarget.
 func (r Report) Print(output io.Writer, target int) {
 	table := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprint(table, "phase\trole\tfigure")
@@ -41,25 +41,25 @@
 	}
 }
 
-// print prints what a run measured beside its phases.
+// print writes the results of a run that are not part of a phase.
 func (r Result) print(output io.Writer) {
-	say := func(format string, arguments ...any) { fmt.Fprintf(output, format, arguments...) }
-	say("\n%d data planes: ready in %.0f ms at most; ", r.Plan.DataPlanes, r.Ready.MaxMs)
-	say("%d changes acknowledged in %.0f ms (median), ", r.Changes.Made, r.Changes.Acknowledged.P50Ms)
-	say("in force everywhere in %.0f ms (median) %.0f ms (most), ", r.Changes.Everywhere.P50Ms, r.Changes.Everywhere.MaxMs)
-	say("missed %d; ", r.Changes.Missed)
-	say("orders %d asked, %d whole, ", r.Requests.Sent, r.Requests.Complete)
-	say("%d refused, %d cut, ", r.Requests.Rejected, r.Requests.Broken)
-	say("first event %.1f ms (median) %.1f ms (95 of 100); ", r.Requests.First.P50Ms, r.Requests.First.P95Ms)
-	say("%d orders and %d reports at replicas; ", r.PlacementCalls.Instructions, r.PlacementCalls.Reports)
-	say("%d processes, %.0f MB, %.0f s\n", r.Processes, r.MemoryMb, r.DurationS)
+	printf := func(format string, arguments ...any) { fmt.Fprintf(output, format, arguments...) }
+	printf("\n%d data planes: ready in %.0f ms at most; ", r.Plan.DataPlanes, r.Ready.MaxMs)
+	printf("%d changes acknowledged in %.0f ms (median), ", r.Changes.Made, r.Changes.Acknowledged.P50Ms)
+	printf("in force everywhere in %.0f ms (median) %.0f ms (maximum), ", r.Changes.Everywhere.P50Ms, r.Changes.Everywhere.MaxMs)
+	printf("missed %d; ", r.Changes.Missed)
+	printf("requests: %d sent, %d complete, ", r.Requests.Sent, r.Requests.Complete)
+	printf("%d rejected, %d broken, ", r.Requests.Rejected, r.Requests.Broken)
+	printf("first event %.1f ms (median) %.1f ms (p95); ", r.Requests.First.P50Ms, r.Requests.First.P95Ms)
+	printf("%d orders and %d reports at replicas; ", r.PlacementCalls.Instructions, r.PlacementCalls.Reports)
+	printf("%d processes, %.0f MB, %.0f s\n", r.Processes, r.MemoryMb, r.DurationS)
 	instruction, change := r.Costs()
-	say("  control bytes beyond the calm ones: %.1f kB a placement order, ", instruction)
-	say("%.1f kB a change of the configuration\n", change)
+	printf("  control traffic above the baseline: %.1f kB per placement order, ", instruction)
+	printf("%.1f kB per change of the configuration\n", change)
 	for _, phase := range r.Phases {
 		if len(phase.Saturated) > 0 {
-			say("  %s: processors were full at %v, ", phase.Name, phase.Saturated)
-			say("so its delays say nothing of nodes with processors of their own\n")
+			printf("  %s: processors were saturated at %v, ", phase.Name, phase.Saturated)
+			printf("so the latencies do not apply to nodes with dedicated processors\n")
 		}
 	}
 	for _, failure := range r.Failures {
@@ -67,21 +67,21 @@
 	}
 }
 
-// print prints what was measured of a failure, in one line.
+// print writes the measurements of a failure in one line.
 func (f Failure) print(output io.Writer) {
-	say := func(format string, arguments ...any) { fmt.Fprintf(output, format, arguments...) }
+	printf := func(format string, arguments ...any) { fmt.Fprintf(output, format, arguments...) }
 	perS := func(phase Phase) float64 { return float64(phase.Messages) / phase.Seconds }
-	say("  %s: %d data planes, %d control planes, %d replicas; ", f.Name, f.DataPlanes, f.Members, f.Replicas)
-	say("a change during it: %s, %.0f ms; ", f.ChangeOutcome, f.ChangeDuringMs)
-	say("ready again in %.0f ms at most, ", f.Ready.MaxMs)
-	say("a change after it in force everywhere in %.0f ms; ", f.ChangeAfterMs)
-	say("control messages a second %.0f before, %.0f during, %.0f after; ", perS(f.Before), perS(f.During), perS(f.After))
-	say("orders cut %d, refused %d; ", f.Broken, f.Rejected)
-	say("told to another holder after %.0f ms; cut-off side answers %s; ", f.NextHolderMs, f.IsolatedAnswer)
-	say("placement orders %d during, %d after, calm after %.0f ms\n", f.During.Instructions, f.After.Instructions, f.StableMs)
+	printf("  %s: %d data planes, %d control planes, %d replicas; ", f.Name, f.DataPlanes, f.Members, f.Replicas)
+	printf("a change during it: %s, %.0f ms; ", f.ChangeOutcome, f.ChangeDuringMs)
+	printf("ready again in %.0f ms at most, ", f.Ready.MaxMs)
+	printf("a change after it in force everywhere in %.0f ms; ", f.ChangeAfterMs)
+	printf("control messages per second %.0f before, %.0f during, %.0f after; ", perS(f.Before), perS(f.During), perS(f.After))
+	printf("requests broken %d, rejected %d; ", f.Broken, f.Rejected)
+	printf("another lease holder after %.0f ms; isolated side responds %s; ", f.NextHolderMs, f.IsolatedAnswer)
+	printf("placement orders %d during, %d after, stable after %.0f ms\n", f.During.Instructions, f.After.Instructions, f.StableMs)
 }
 
-// printCalls prints the rates of every path by phase and role.
+// printCalls writes the call rates by phase, role and path.
 func (r Report) printCalls(output io.Writer) {
 	table := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "\nsize\tphase\trole\tcall\tper s and node\tbytes sent\tbytes received")
@@ -99,24 +99,24 @@
 	_ = table.Flush()
 }
 
-// Costs are the control bytes, in kB, that a placement instruction and a change of the
-// configuration add to those of a calm phase.
+// Costs returns the control traffic in kB that each placement instruction and each configuration change causes, in addition
+// to the traffic of a phase without them.
 func (r Result) Costs() (instructionKb, changeKb float64) {
 	found := map[string]Phase{}
 	for _, phase := range r.Phases {
 		found[phase.Name] = phase
 	}
-	beyond := func(phase, calm Phase) float64 {
-		if calm.Seconds == 0 {
+	excess := func(phase, baseline Phase) float64 {
+		if baseline.Seconds == 0 {
 			return 0
 		}
-		return float64(phase.Bytes)/kilobytes - float64(calm.Bytes)/kilobytes/calm.Seconds*phase.Seconds
+		return float64(phase.Bytes)/kilobyte - float64(baseline.Bytes)/kilobyte/baseline.Seconds*phase.Seconds
 	}
 	if fill := found[phaseFill]; fill.Instructions > 0 {
-		instructionKb = beyond(fill, found[phaseQuiet]) / float64(fill.Instructions)
+		instructionKb = excess(fill, found[phaseQuiet]) / float64(fill.Instructions)
 	}
 	if r.Changes.Made > 0 {
-		changeKb = beyond(found[phaseChanges], found[phaseTraffic]) / float64(r.Changes.Made)
+		changeKb = excess(found[phaseChanges], found[phaseTraffic]) / float64(r.Changes.Made)
 	}
 	return instructionKb, changeKb
 }
--- a/internal/sim/hollow/result.go
+++ b/internal/sim/hollow/result.go
@@ -1,6 +1,6 @@
 package hollow
 
-// Requests counts the clients' requests: Complete streams, those Rejected before they began, those Broken.
+// Requests counts the requests of the clients: Complete streams, requests Rejected before their stream began, and Broken ones.
 type Requests struct {
 	Sent     int64     `json:"asked"`
 	Complete int64     `json:"whole"`
@@ -9,8 +9,8 @@
 	First    Quantiles `json:"first"`
 }
 
-// Changes are the changes of the configuration and how long they took: until acknowledged, in force
-// at one data plane, in force everywhere. Missed counts data planes that did not follow in time.
+// Changes holds the number of configuration changes and the times until they were acknowledged, in force at each data plane,
+// and in force at all data planes. Missed counts data planes that did not apply a change in time.
 type Changes struct {
 	Made         int       `json:"made"`
 	Missed       int       `json:"missed"`
@@ -19,14 +19,14 @@
 	Everywhere   Quantiles `json:"everywhere"`
 }
 
-// PlacementCalls counts what the stand-ins were asked by the control planes.
+// PlacementCalls counts the calls of the control planes to the stand-ins.
 type PlacementCalls struct {
 	ListPages    int64 `json:"listPages"`
 	Instructions int64 `json:"orders"`
 	Reports      int64 `json:"reports"`
 }
 
-// Result is everything measured of one fleet.
+// Result holds all measurements of one fleet.
 type Result struct {
 	Plan           Plan           `json:"plan"`
 	Ready          Quantiles      `json:"ready"`
@@ -40,7 +40,7 @@
 	DurationS      float64        `json:"tookS"`
 }
 
-// readCounts reads what the operator, the clients and the stand-ins have counted so far.
+// readCounts copies the current counts of the operator, the clients and the stand-ins to the result.
 func (f *Fleet) readCounts(result *Result) {
 	result.Changes = Changes{
 		Made:         f.operator.changes,
--- a/internal/sim/hollow/run.go
+++ b/internal/sim/hollow/run.go
@@ -1,11 +1,10 @@
-// Package hollow runs the nodes' own code for many nodes on one machine, over loopback, and
-// measures what each costs: processor, memory, messages, bytes, connections and disk. Replicas, the
-// platform list, clients and the operator are stand-ins of this package; the nodes run in child
-// processes, so that their costs can be told apart.
+// Package hollow runs the real code of many nodes on one machine, over loopback, and measures the resource usage per node: CPU,
+// memory, messages, bytes, connections and disk.
 //
-// It never touches a running fleet, leaves loopback, or leaves a process or folder behind, and it
-// ends a run that needs more memory than allowed. Its figures are of this machine, where many
-// nodes share the processors.
+// The nodes run in child processes, so that the usage of each role can be measured separately. Replicas, the platform list,
+// clients and the operator are stand-ins in this package. It never contacts a real fleet or any address outside loopback,
+// leaves no process or directory behind, and aborts a run that exceeds its memory limit. The figures apply to this machine,
+// where many nodes share the processors.
 //
 // Start reading at Run, then Fleet; a child process begins at ServeChild.
 package hollow
@@ -19,24 +18,24 @@
 	"github.com/pkg/errors"
 )
 
-// Options are how a fleet is measured. Window is the length of a measured phase and SettleTime the wait
-// before it; FillTimeout bounds the wait for placement, which is calm after StableAfter without an instruction.
+// Options configures the measurement of a fleet. Window is the length of a measured phase and SettleTime the wait before it.
+// FillTimeout limits the wait for stable placement; placement is stable after StableAfter without an instruction.
 type Options struct {
 	Window         time.Duration
 	SettleTime     time.Duration
 	FillTimeout    time.Duration
 	StableAfter    time.Duration
 	ChangeInterval time.Duration
-	// MemoryMb is the memory above which the run is ended.
+	// MemoryMb is the memory limit above which the run is aborted.
 	MemoryMb float64
-	// Failures are the names of the failures to cause afterwards, each FailureLength long.
+	// Failures lists the failures to inject after the other phases, each for FailureLength.
 	Failures      []string
 	FailureLength time.Duration
 	Progress      io.Writer
 }
 
 const (
-	// phaseStart and those below name the phases in the sequence in which they are measured.
+	// phaseStart and the constants below are the names of the phases, in the order in which they are measured.
 	phaseStart   = "start"
 	phaseFill    = "fill"
 	phaseQuiet   = "quiet"
@@ -44,8 +43,8 @@
 	phaseChanges = "changes"
 )
 
-// Run starts a fleet of the plan, measures its phases and failures, and ends it. Ending the context
-// ends the run with its error.
+// Run starts a fleet according to the plan, measures its phases and failures, and ends it. If the context ends, Run returns its
+// error.
 func Run(ctx context.Context, plan Plan, options Options) (result Result, err error) {
 	began := time.Now()
 	fleet, err := StartFleet(plan, options.MemoryMb, options.Progress)
@@ -81,15 +80,15 @@
 	if err := fleet.runPhases(ctx, options, &result); err != nil {
 		return result, err
 	}
-	result.MemoryMb = fleet.highestMb
+	result.MemoryMb = fleet.maxMemoryMb
 	result.DurationS = time.Since(began).Seconds()
 	return result, ctx.Err()
 }
 
-// window measures a phase: it waits, observes, lets during run (or just lets the window pass), and
-// observes again.
-func (f *Fleet) window(name string, settles, window time.Duration, during func() error) (Phase, error) {
-	sleep(settles)
+// window measures a phase: it waits for settle, observes, calls during (or waits for window if during is nil), and observes
+// again.
+func (f *Fleet) window(name string, settle, window time.Duration, during func() error) (Phase, error) {
+	sleep(settle)
 	from, err := f.observe()
 	if err != nil {
 		return Phase{}, err
@@ -112,7 +111,7 @@
 	return phase, nil
 }
 
-// runPhases measures placement, quiet, traffic and changes, and then the failures under traffic.
+// runPhases measures the phases fill, quiet, traffic and changes, and then the failures under traffic.
 func (f *Fleet) runPhases(ctx context.Context, options Options, result *Result) error {
 	filling, err := f.window(phaseFill, 0, 0, func() error { return f.awaitPlacement(ctx, options) })
 	if err != nil {
@@ -152,32 +151,32 @@
 }
 
 const (
-	// holderTimeout is how long a placement holder may take to appear.
+	// holderTimeout is the timeout for a control plane to acquire the placement lease.
 	holderTimeout = 30 * time.Second
-	// fillPollInterval is how often the instructions are counted while placement goes on.
+	// fillPollInterval is how often the number of instructions is polled until placement is stable.
 	fillPollInterval = 50 * time.Millisecond
-	// holderPollInterval is how often a holder is looked for.
+	// holderPollInterval is how often the lease holder is polled.
 	holderPollInterval = 200 * time.Millisecond
 )
 
-// awaitPlacement waits until no instruction came for the calm time, or the fill time is over.
+// awaitPlacement waits until placement is stable or FillTimeout has passed.
 func (f *Fleet) awaitPlacement(ctx context.Context, options Options) error {
 	if err := f.awaitFirstHolder(ctx); err != nil {
 		return err
 	}
 	end := time.Now().Add(options.FillTimeout)
-	placed := f.standIns.instructions.Load()
+	instructions := f.standIns.instructions.Load()
 	last := time.Now()
 	for time.Now().Before(end) && time.Since(last) < options.StableAfter && ctx.Err() == nil {
 		sleep(fillPollInterval)
-		if now := f.standIns.instructions.Load(); now != placed {
-			placed, last = now, time.Now()
+		if now := f.standIns.instructions.Load(); now != instructions {
+			instructions, last = now, time.Now()
 		}
 	}
 	return nil
 }
 
-// awaitFirstHolder waits until a control plane acts as the placement holder.
+// awaitFirstHolder waits until a control plane acts as the holder of the placement lease.
 func (f *Fleet) awaitFirstHolder(ctx context.Context) error {
 	from, err := f.observe()
 	for end := time.Now().Add(holderTimeout); err == nil && time.Now().Before(end) && ctx.Err() == nil; sleep(holderPollInterval) {
@@ -187,13 +186,12 @@
 		}
 	}
 	if err == nil {
-		err = errors.Errorf("no control plane holds the placement within %s", holderTimeout)
+		err = errors.Errorf("no control plane acts as holder of the placement lease within %s", holderTimeout)
 	}
 	return err
 }
 
-// changeRepeatedly changes the configuration again and again for a window, asking the members in
-// turn.
+// changeRepeatedly changes the configuration at intervals for the length of a window, through the members in turn.
 func (f *Fleet) changeRepeatedly(ctx context.Context, options Options) error {
 	end := time.Now().Add(options.Window)
 	everyone := f.dataIndices(anyHost)
@@ -201,7 +199,7 @@
 	defer waiting.Wait()
 	for turn := 0; time.Now().Before(end) && ctx.Err() == nil; turn++ {
 		next := time.Now().Add(options.ChangeInterval)
-		if err := f.operator.ApplyChange(ctx, everyone, f.plan.everyMember(turn)); err != nil {
+		if err := f.operator.ApplyChange(ctx, everyone, f.plan.membersFrom(turn)); err != nil {
 			return err
 		}
 		sleep(time.Until(next))
--- a/internal/sim/hollow/slopes.go
+++ b/internal/sim/hollow/slopes.go
@@ -7,8 +7,9 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// ScalingFit is how a role's figure grows with the data planes: as a power with Exponent and Fit, and as
-// a straight line with Intercept, PerDataPlane and its fit LinearFit, which gives AtTarget.
+// ScalingFit describes how a figure of a role grows with the number of data planes: as a power law with Exponent and its R²
+// Fit, and as a straight line with Intercept, slope PerDataPlane and its R² LinearFit. AtTarget is the value of the line at
+// the target size.
 type ScalingFit struct {
 	Phase        string    `json:"phase"`
 	Role         string    `json:"role"`
@@ -23,39 +24,39 @@
 	AtTarget     float64   `json:"atTarget"`
 }
 
-// FitPowerLaw fits value = factor × size^exponent by least squares of the logarithms; fit is its R².
-// Values that are not above 0 are left out, and all are 0 with fewer than two different sizes.
+// FitPowerLaw fits value = factor × size^exponent by least squares of the logarithms; fit is the R². Values that are not
+// positive are ignored. All results are 0 if there are fewer than two different sizes.
 func FitPowerLaw(sizes, values []float64) (exponent, fit, factor float64) {
-	var across, up []float64
+	var logSizes, logValues []float64
 	for index := range sizes {
 		if sizes[index] > 0 && values[index] > 0 {
-			across = append(across, math.Log(sizes[index]))
-			up = append(up, math.Log(values[index]))
+			logSizes = append(logSizes, math.Log(sizes[index]))
+			logValues = append(logValues, math.Log(values[index]))
 		}
 	}
-	if len(across) < 2 || floats.Max(across) == floats.Min(across) {
+	if len(logSizes) < 2 || floats.Max(logSizes) == floats.Min(logSizes) {
 		return 0, 0, 0
 	}
-	start, slope := stat.LinearRegression(across, up, nil, false)
-	if fit = stat.RSquared(across, up, nil, start, slope); math.IsNaN(fit) {
+	start, slope := stat.LinearRegression(logSizes, logValues, nil, false)
+	if fit = stat.RSquared(logSizes, logValues, nil, start, slope); math.IsNaN(fit) {
 		fit = 1
 	}
 	return slope, fit, math.Exp(start)
 }
 
-// fitLine fits value = fixed + each × size; fit is its R².
-func fitLine(sizes, values []float64) (fixed, each, fit float64) {
+// fitLine fits value = intercept + slope × size by least squares; fit is the R².
+func fitLine(sizes, values []float64) (intercept, slope, fit float64) {
 	if len(sizes) < 2 || floats.Max(sizes) == floats.Min(sizes) {
 		return 0, 0, 0
 	}
-	fixed, each = stat.LinearRegression(sizes, values, nil, false)
-	if fit = stat.RSquared(sizes, values, nil, fixed, each); math.IsNaN(fit) {
+	intercept, slope = stat.LinearRegression(sizes, values, nil, false)
+	if fit = stat.RSquared(sizes, values, nil, intercept, slope); math.IsNaN(fit) {
 		fit = 1
 	}
-	return fixed, each, fit
+	return intercept, slope, fit
 }
 
-// figures are what slopes are made of, with their units.
+// figures lists the figures to fit, with their units.
 var figures = []struct {
 	name string
 	read func(*RoleUsage) float64
@@ -77,8 +78,8 @@
 	{"disk kB/s", func(r *RoleUsage) float64 { return r.DiskKbPerS }},
 }
 
-// fit reads the figure from the phase at the position in each result that has the role, and fits
-// both curves through the values.
+// fit reads the figure from the phase at the given position of each result that has the role, and fits both curves to the
+// values.
 func (s *ScalingFit) fit(results []Result, position int, read func(*RoleUsage) float64, target int) {
 	for _, result := range results {
 		if len(result.Phases) <= position || result.Phases[position].Roles[s.Role] == nil {
@@ -92,7 +93,7 @@
 	s.AtTarget = s.Intercept + s.PerDataPlane*float64(target)
 }
 
-// Summarize fits every figure of every phase and role over the results.
+// Summarize fits every figure of every phase and role over the results. target is the size for AtTarget.
 func Summarize(results []Result, target int) Report {
 	report := Report{Results: results}
 	if len(results) == 0 {
--- a/internal/sim/hollow/snapshot.go
+++ b/internal/sim/hollow/snapshot.go
@@ -12,11 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Snapshot is a reading of one process; counts are since its start.
+// Snapshot holds the resource usage of one process. Counts are cumulative since its start.
 type Snapshot struct {
 	At    time.Time `json:"at"`
 	Nodes int       `json:"daemons"`
-	// CPUSeconds is the processor time used, in seconds.
+	// CPUSeconds is the CPU time used, user and system together.
 	CPUSeconds          float64                    `json:"processorS"`
 	PeakMb              float64                    `json:"peakMb"`
 	HeapMb              float64                    `json:"heapMb"`
@@ -33,24 +33,24 @@
 	Flows               map[string]map[string]Flow `json:"flows"`
 }
 
-// seconds is a system time in seconds.
+// seconds converts a system time to seconds.
 func seconds(value unix.Timeval) float64 { return float64(value.Sec) + float64(value.Usec)/1e6 }
 
 const (
-	liveHeap  = "/gc/heap/live:bytes"
-	allHeld   = "/memory/classes/total:bytes"
-	released  = "/memory/classes/heap/released:bytes"
-	megabyte  = 1 << 20
-	kilobytes = 1 << 10
+	liveHeap       = "/gc/heap/live:bytes"
+	totalMemory    = "/memory/classes/total:bytes"
+	releasedMemory = "/memory/classes/heap/released:bytes"
+	megabyte       = 1 << 20
+	kilobyte       = 1 << 10
 )
 
-// TakeSnapshot reads this process's use of the system and the counter.
+// TakeSnapshot returns the resource usage of this process and the values of the counter.
 func TakeSnapshot(counter *Counter) (Snapshot, error) {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
-		return Snapshot{}, errors.Wrap(err, "use of the processor")
+		return Snapshot{}, errors.Wrap(err, "read CPU usage")
 	}
-	samples := []metrics.Sample{{Name: liveHeap}, {Name: allHeld}, {Name: released}}
+	samples := []metrics.Sample{{Name: liveHeap}, {Name: totalMemory}, {Name: releasedMemory}}
 	metrics.Read(samples)
 	peak, err := peakMb()
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	descriptors, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		return Snapshot{}, errors.Wrap(err, "descriptors")
+		return Snapshot{}, errors.Wrap(err, "list open file descriptors")
 	}
 	return Snapshot{
 		At:                  time.Now(),
@@ -79,21 +79,21 @@
 	}, nil
 }
 
-// peakField is the field of the process's status that tells its peak of resident memory, in kB.
+// peakField is the field of /proc/self/status that holds the peak of the resident memory in kB.
 const peakField = "VmHWM:"
 
-// peakMb is the process's peak of resident memory in MB.
+// peakMb returns the peak of the resident memory of this process in MB.
 func peakMb() (float64, error) {
 	status, err := os.ReadFile("/proc/self/status")
 	if err != nil {
-		return 0, errors.Wrap(err, "peak of memory")
+		return 0, errors.Wrap(err, "read peak memory")
 	}
 	fields := strings.Fields(string(status))
 	for position, field := range fields[:max(len(fields)-1, 0)] {
 		if field == peakField {
-			kept, err := strconv.ParseFloat(fields[position+1], 64)
-			return kept / kilobytes, err
+			kb, err := strconv.ParseFloat(fields[position+1], 64)
+			return kb / kilobyte, err
 		}
 	}
-	return 0, errors.New("peak of memory: the system tells none")
+	return 0, errors.New("no field VmHWM in /proc/self/status")
 }
--- a/internal/sim/hollow/standin_replica.go
+++ b/internal/sim/hollow/standin_replica.go
@@ -10,41 +10,41 @@
 	"ferryspar/internal/sim/emulator/standin"
 )
 
-// standIn is a replica that the fleet's nodes see; its lock guards it.
+// standIn is a stand-in for a replica. Its lock protects the mutable fields except active.
 type standIn struct {
 	lock      sync.Mutex
 	listed    discovery.Replica
 	loaded    standin.Holdings
 	busyUntil time.Time
 	sequence  int64
-	// highestFence is the highest fence seen; lower ones are rejected.
+	// highestFence is the highest fence seen. Instructions with a lower fence are rejected.
 	highestFence uint64
-	// incarnation counts the restarts.
+	// incarnation is the number of restarts.
 	incarnation int
 	lostAt      time.Time
 	active      atomic.Int64
 }
 
-// staysListed is how long the list tells of a replica that has ended.
-const staysListed = 2 * time.Second
+// listedAfterLoss is how long the platform list still contains a replica that has ended.
+const listedAfterLoss = 2 * time.Second
 
-// entry is the replica as the list tells it, and whether it does.
-func (s *standIn) entry() (discovery.Replica, bool) {
+// listEntry returns the entry of the replica in the platform list, and whether it is listed.
+func (s *standIn) listEntry() (discovery.Replica, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	listed := s.listed
 	listed.Models = s.loaded.List()
-	return listed, s.lostAt.IsZero() || time.Since(s.lostAt) < staysListed
+	return listed, s.lostAt.IsZero() || time.Since(s.lostAt) < listedAfterLoss
 }
 
-// identity is the replica's id and whether it runs.
+// identity returns the id of the replica and whether it is running.
 func (s *standIn) identity() (string, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.listed.ID, s.lostAt.IsZero()
 }
 
-// applyInstruction carries an instruction out. The caller holds the lock.
+// applyInstruction executes an instruction. The caller must hold s.lock.
 func (s *standIn) applyInstruction(instruction replica.Order) {
 	reference := instruction.Model
 	if instruction.Adapter != "" {
@@ -57,7 +57,7 @@
 	s.loaded.Drop(reference)
 }
 
-// holds reports whether the reference is loaded.
+// hasLoaded reports whether a model or adapter is loaded.
 func (s *standIn) hasLoaded(reference string) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/sim/hollow/standins.go
+++ b/internal/sim/hollow/standins.go
@@ -15,7 +15,7 @@
 	"ferryspar/internal/sim/emulator/standin"
 )
 
-// StandIns serves the replicas and the platform list of a fleet over HTTP.
+// StandIns serves stand-ins for the replicas and the platform list of a fleet over HTTP.
 type StandIns struct {
 	plan         Plan
 	replicas     []*standIn
@@ -27,32 +27,32 @@
 	served       atomic.Int64
 }
 
-// NewStandIns makes the replicas, each with its first models loaded; Open serves them.
+// NewStandIns returns the replicas of the plan, each with its initial models loaded. Open starts to serve them.
 func NewStandIns(plan Plan) *StandIns {
-	world := &StandIns{plan: plan, byHost: map[string]*standIn{}}
+	standIns := &StandIns{plan: plan, byHost: map[string]*standIn{}}
 	for index := range plan.Replicas {
 		host := plan.replicaHost(index)
 		server := &standIn{loaded: standin.NewHoldings()}
 		server.listed = discovery.Replica{
 			ID:       fmt.Sprintf("i-%08x", index+1),
-			Backend:  serviceName,
-			Address:  plan.at(host, replicaPort),
+			Backend:  backendName,
+			Address:  plan.address(host, replicaPort),
 			Zone:     plan.zoneOf(host),
 			Revision: "v1",
 			Slots:    plan.Slots,
 			State:    "ready",
 			Phase:    "unified",
 		}
-		for place := range min(plan.ModelsPerReplica, plan.Models) {
-			server.loaded[modelName((index*plan.ModelsPerReplica+place)%plan.Models)] = true
+		for offset := range min(plan.ModelsPerReplica, plan.Models) {
+			server.loaded[modelName((index*plan.ModelsPerReplica+offset)%plan.Models)] = true
 		}
-		world.replicas = append(world.replicas, server)
-		world.byHost[host] = server
+		standIns.replicas = append(standIns.replicas, server)
+		standIns.byHost[host] = server
 	}
-	return world
+	return standIns
 }
 
-// Open listens on every address.
+// Open listens on all addresses and serves requests in the background.
 func (s *StandIns) Open() error {
 	open := func(address string, handler http.Handler) error {
 		listener, err := peer.HostNetwork{}.Listen(address)
@@ -75,24 +75,24 @@
 	return nil
 }
 
-// Close ends all listeners and connections.
+// Close closes all listeners and connections.
 func (s *StandIns) Close() {
 	for _, server := range s.servers {
 		_ = server.Close()
 	}
 }
 
-// pageSize is the length of a page of the list.
+// pageSize is the number of replicas per page of the list.
 const pageSize = 50
 
-// serveList answers a page of the list.
+// serveList serves a page of the platform list.
 func (s *StandIns) serveList(writer http.ResponseWriter, request *http.Request) {
 	s.pages.Add(1)
 	from, _ := strconv.Atoi(request.URL.Query().Get("pageToken"))
 	to := min(from+pageSize, len(s.replicas))
 	page := discovery.Page{Instances: []discovery.Replica{}}
 	for _, server := range s.replicas[min(from, to):to] {
-		if listed, shown := server.entry(); shown {
+		if listed, shown := server.listEntry(); shown {
 			page.Instances = append(page.Instances, listed)
 		}
 	}
@@ -103,8 +103,7 @@
 	_ = json.NewEncoder(writer).Encode(page)
 }
 
-// setLost ends the replicas of the chosen hosts or starts them again, empty and under a new id, and
-// counts them.
+// setLost stops the replicas of the selected hosts, or restarts them empty and with a new id, and returns their number.
 func (s *StandIns) setLost(chosen func(host string) bool, lost bool) (count int) {
 	for host, server := range s.byHost {
 		if !chosen(host) {
@@ -128,13 +127,13 @@
 	return count
 }
 
-// serveReplica answers for the replica of the address that was asked; one that has ended breaks the
-// connection.
+// serveReplica serves the requests to the replica at the local address of the connection. If that replica has ended, it
+// aborts the connection.
 func (s *StandIns) serveReplica(writer http.ResponseWriter, request *http.Request) {
 	host, _, _ := net.SplitHostPort(request.Context().Value(http.LocalAddrContextKey).(net.Addr).String())
 	server := s.byHost[host]
-	identity, lives := server.identity()
-	if !lives {
+	identity, isRunning := server.identity()
+	if !isRunning {
 		panic(http.ErrAbortHandler)
 	}
 	if request.Header.Get(replica.HeaderTargetReplica) != identity {
@@ -152,7 +151,7 @@
 	s.serveStream(server, writer, request)
 }
 
-// serveReport answers with the replica's state.
+// serveReport serves the state of the replica.
 func (s *StandIns) serveReport(server *standIn, writer http.ResponseWriter, _ *http.Request) {
 	s.reports.Add(1)
 	server.lock.Lock()
@@ -169,13 +168,13 @@
 }
 
 const (
-	// modelLoadTime is how long a load or unload of a model takes.
+	// modelLoadTime is the duration of a load or unload of a model.
 	modelLoadTime = 1500 * time.Millisecond
-	// adapterLoadTime is how long a load or unload of an adapter takes.
+	// adapterLoadTime is the duration of a load or unload of an adapter.
 	adapterLoadTime = 10 * time.Millisecond
 )
 
-// serveInstruction answers a load or unload instruction.
+// serveInstruction serves a load or unload instruction.
 func (s *StandIns) serveInstruction(server *standIn, writer http.ResponseWriter, request *http.Request) {
 	s.instructions.Add(1)
 	var instruction replica.Order
@@ -194,14 +193,14 @@
 		writer.WriteHeader(http.StatusConflict)
 		return
 	}
-	takes := adapterLoadTime
+	duration := adapterLoadTime
 	if instruction.Adapter == "" {
-		takes = modelLoadTime
+		duration = modelLoadTime
 	}
 	server.sequence++
 	incarnation := server.incarnation
-	server.busyUntil = time.Now().Add(takes)
-	time.AfterFunc(takes, func() {
+	server.busyUntil = time.Now().Add(duration)
+	time.AfterFunc(duration, func() {
 		server.lock.Lock()
 		defer server.lock.Unlock()
 		if server.incarnation == incarnation && server.lostAt.IsZero() {
@@ -211,7 +210,7 @@
 	writer.WriteHeader(http.StatusAccepted)
 }
 
-// serveStream answers a request with a stream of the plan's length.
+// serveStream serves a request with a stream of the length set in the plan.
 func (s *StandIns) serveStream(server *standIn, writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set(replica.HeaderAttemptID, request.Header.Get(replica.HeaderAttemptID))
 	if !server.hasLoaded(request.Header.Get(replica.HeaderModel)) {
@@ -239,7 +238,7 @@
 			return
 		case <-time.After(gap):
 		}
-		if now, lives := server.identity(); !lives || now != identity {
+		if now, isRunning := server.identity(); !isRunning || now != identity {
 			panic(http.ErrAbortHandler)
 		}
 	}
