--- a/internal/sim/applications/applications.go
+++ b/internal/sim/applications/applications.go
@@ -108,10 +108,10 @@
 func (r *run) runCaller(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)))
 	interval := time.Duration(float64(r.options.Callers) / r.options.CallsPerS * float64(time.Second))
-	for turn := 0; ctx.Err() == nil; turn++ {
-		began := time.Now()
-		calls := r.makeCalls(ctx, random, number, turn)
-		rest := time.Duration(calls)*interval - time.Since(began)
+	for iteration := 0; ctx.Err() == nil; iteration++ {
+		startedAt := time.Now()
+		calls := r.makeCalls(ctx, random, number, iteration)
+		rest := time.Duration(calls)*interval - time.Since(startedAt)
 		select {
 		case <-time.After(rest):
 		case <-ctx.Done():
@@ -120,7 +120,7 @@
 }
 
 // makeCalls performs one random operation and returns the number of calls it made.
-func (r *run) makeCalls(ctx context.Context, random *rand.Rand, number, turn int) int {
+func (r *run) makeCalls(ctx context.Context, random *rand.Rand, number, iteration int) int {
 	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	switch random.IntN(3) {
@@ -130,7 +130,7 @@
 		r.nextNumber(bounded, random)
 		return 1
 	default:
-		return r.changeKey(bounded, random, fmt.Sprintf("%d-%d-%d", r.options.Seed, number, turn))
+		return r.changeKey(bounded, random, fmt.Sprintf("%d-%d-%d", r.options.Seed, number, iteration))
 	}
 }
 
--- a/internal/sim/applications/report.go
+++ b/internal/sim/applications/report.go
@@ -67,9 +67,9 @@
 
 // measure makes a call and records its outcome and latency.
 func (r *results) measure(name string, call func() error) error {
-	began := time.Now()
+	startedAt := time.Now()
 	err := call()
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	var conflict coordinationclient.ConflictError
 	isRefused := errors.Is(err, coordinationclient.ErrLockHeld) ||
 		errors.Is(err, coordinationclient.ErrLockLost) || errors.As(err, &conflict)
--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -67,11 +67,11 @@
 	for _, size := range sizes {
 		fmt.Fprintf(output, "fleet size %d: %d seeds, each with and without the loss\n", size, configuration.Seeds)
 		withLoss := scaled(configuration.Scenarios[0], size)
-		baseline := withLoss
-		baseline.Losses = nil
+		withoutLoss := withLoss
+		withoutLoss.Losses = nil
 		pair := configuration
 		pair.Variants = []Variant{{Name: "lost"}, {Name: "spared"}}
-		pair.Scenarios = []emulator.Scenario{withLoss, baseline}
+		pair.Scenarios = []emulator.Scenario{withLoss, withoutLoss}
 		all, err := run(ctx, pair, parallelism, output, forecasters)
 		if err != nil {
 			return nil, err
@@ -88,8 +88,8 @@
 	seeds := map[string][]int{}
 	for seed := range all[0].Results {
 		withLoss := all[0].Results[seed]
-		baseline := all[1].Results[seed]
-		for _, measured := range c.measuredTruth(withLoss, baseline) {
+		withoutLoss := all[1].Results[seed]
+		for _, measured := range c.measuredTruth(withLoss, withoutLoss) {
 			if truths[measured.name] == nil {
 				names = append(names, measured.name)
 			}
@@ -145,7 +145,7 @@
 }
 
 // measuredTruth returns the emulated effects of the loss, under the names of the forecast figures.
-func (c Configuration) measuredTruth(withLoss, baseline emulator.Result) []measurement {
+func (c Configuration) measuredTruth(withLoss, withoutLoss emulator.Result) []measurement {
 	loss := withLoss.Losses[0]
 	moving, warm := 0, 0.0
 	for _, amount := range loss.Moving {
@@ -165,13 +165,14 @@
 		{emulator.FigureWithoutCopy, float64(len(loss.WithoutCopy))},
 		{emulator.FigureWarm, warm},
 		{emulator.FigureBack, loss.LastCopyBackS},
-		{emulator.FigureReadAgain, readBetween(withLoss, loss.AtS, end) - readBetween(baseline, loss.AtS, end)},
+		{emulator.FigureReadAgain, readBetween(withLoss, loss.AtS, end) - readBetween(withoutLoss, loss.AtS, end)},
 	}
 	found = append(found, placementFigures(withLoss, end)...)
 	for number, class := range withLoss.Classes {
-		found = append(found, c.firstTokenFigures(withLoss, baseline, number)...)
-		latencyTargetMs := c.Scenarios[0].Classes[number].LatencyTargetMs
-		slowdown := slowdownFigures(withLoss, baseline, number, latencyTargetMs, period{fromS: loss.AtS, toS: end})
+		found = append(found, c.firstTokenFigures(withLoss, withoutLoss, number)...)
+		slowdown := slowdownFigures(
+			withLoss, withoutLoss, number, c.Scenarios[0].Classes[number].LatencyTargetMs, period{fromS: loss.AtS, toS: end},
+		)
 		for _, measured := range slowdown {
 			found = append(found, measurement{class.Name + measured.name, measured.value})
 		}
@@ -195,22 +196,22 @@
 
 // slowdownFigures compares each request of a class with the same request in the run without the loss. The names returned do not
 // include the class.
-func slowdownFigures(withLoss, baseline emulator.Result, number int, latencyTargetMs float64, during period) []measurement {
+func slowdownFigures(withLoss, withoutLoss emulator.Result, number int, latencyTargetMs float64, during period) []measurement {
 	sent, slowed, missed := 0, 0, 0
 	delays := newHistogram()
 	for index, request := range withLoss.Requests {
-		baselineRequest := baseline.Requests[index]
+		requestWithoutLoss := withoutLoss.Requests[index]
 		if request.Class != number || !during.contains(request.AtS) {
 			continue
 		}
 		sent++
-		if baselineRequest.InTime && !request.InTime {
+		if requestWithoutLoss.InTime && !request.InTime {
 			missed++
 		}
-		if request.FirstMs == 0 || baselineRequest.FirstMs == 0 {
+		if request.FirstMs == 0 || requestWithoutLoss.FirstMs == 0 {
 			continue
 		}
-		delayMs := max(request.FirstMs-baselineRequest.FirstMs, 0)
+		delayMs := max(request.FirstMs-requestWithoutLoss.FirstMs, 0)
 		recordMs(delays, []float64{delayMs})
 		if delayMs > slowedShare*latencyTargetMs {
 			slowed++
--- a/internal/sim/experiment/compare_test.go
+++ b/internal/sim/experiment/compare_test.go
@@ -12,9 +12,11 @@
 
 func compareByName(t *testing.T, forecaster emulator.Forecaster) map[string]Comparison {
 	t.Helper()
-	read, err := Parse([]byte(small))
+	configuration, err := Parse([]byte(smallExperiment))
 	assert.NilError(t, err)
-	found, err := CompareForecasts(t.Context(), read, []int{1, 2}, map[string]emulator.Forecaster{"tried": forecaster}, 4, io.Discard)
+	found, err := CompareForecasts(
+		t.Context(), configuration, []int{1, 2}, map[string]emulator.Forecaster{"tried": forecaster}, 4, io.Discard,
+	)
 	assert.NilError(t, err)
 	byName := map[string]Comparison{}
 	for _, comparison := range found {
@@ -41,10 +43,10 @@
 }
 
 func TestCompare_ForecastDoesNotChangeTheRun(t *testing.T) {
-	read, err := Parse([]byte(small))
+	configuration, err := Parse([]byte(smallExperiment))
 	assert.NilError(t, err)
 	runJSON := func(forecaster emulator.Forecaster) string {
-		world, err := emulator.NewWorld(read.Scenarios[0])
+		world, err := emulator.NewWorld(configuration.Scenarios[0])
 		assert.NilError(t, err)
 		if forecaster != nil {
 			world.Forecasters = map[string]emulator.Forecaster{"tried": forecaster}
@@ -56,13 +58,15 @@
 		return string(content)
 	}
 	assert.Assert(t, runJSON(nil) == runJSON(emulator.CountByLoad))
-	assert.Assert(t, runJSON(nil) == runJSON(emulator.ByMatchers(read.AfterS)))
+	assert.Assert(t, runJSON(nil) == runJSON(emulator.ByMatchers(configuration.AfterS)))
 }
 
 func TestCompare_NothingToForecastWithoutLoss(t *testing.T) {
-	read, err := Parse([]byte(small))
+	configuration, err := Parse([]byte(smallExperiment))
 	assert.NilError(t, err)
-	read.Scenarios[0].Losses = nil
-	_, err = CompareForecasts(t.Context(), read, []int{1}, map[string]emulator.Forecaster{"tried": emulator.CountByLoad}, 1, io.Discard)
+	configuration.Scenarios[0].Losses = nil
+	_, err = CompareForecasts(
+		t.Context(), configuration, []int{1}, map[string]emulator.Forecaster{"tried": emulator.CountByLoad}, 1, io.Discard,
+	)
 	assert.ErrorContains(t, err, "no loss")
 }
--- a/internal/sim/experiment/configuration.go
+++ b/internal/sim/experiment/configuration.go
@@ -55,45 +55,45 @@
 	if err != nil {
 		return Configuration{}, errors.Wrap(err, "experiment")
 	}
-	read, err := Parse(content)
-	return read, errors.Wrap(err, path)
+	configuration, err := Parse(content)
+	return configuration, errors.Wrap(err, path)
 }
 
 // Parse parses and validates an experiment in TOML and builds the scenarios of its variants.
 func Parse(content []byte) (Configuration, error) {
-	read := Configuration{Seeds: defaultSeeds, FirstSeed: 1, AfterS: defaultAfterS, InFlightS: defaultInFlightS}
+	configuration := Configuration{Seeds: defaultSeeds, FirstSeed: 1, AfterS: defaultAfterS, InFlightS: defaultInFlightS}
 	tree := koanf.New(".")
 	if err := tree.Load(rawbytes.Provider(content), toml.Parser()); err != nil {
-		return read, errors.Wrap(err, "cannot be read")
+		return configuration, errors.Wrap(err, "cannot be read")
 	}
-	if err := decode(tree, &read, "the file"); err != nil {
-		return read, err
+	if err := decode(tree, &configuration, "the file"); err != nil {
+		return configuration, err
 	}
-	if read.Name == "" {
-		return read, errors.New("name is missing")
+	if configuration.Name == "" {
+		return configuration, errors.New("name is missing")
 	}
-	if read.Seeds < 1 || read.Seeds > maxSeeds {
-		return read, errors.Errorf("seeds must lie between 1 and %d", maxSeeds)
+	if configuration.Seeds < 1 || configuration.Seeds > maxSeeds {
+		return configuration, errors.Errorf("seeds must lie between 1 and %d", maxSeeds)
 	}
-	if read.AfterS <= 0 || read.InFlightS < 0 {
-		return read, errors.New("afterS must be above 0, flightS at least 0")
+	if configuration.AfterS <= 0 || configuration.InFlightS < 0 {
+		return configuration, errors.New("afterS must be above 0, flightS at least 0")
 	}
-	if len(read.Variants) == 0 {
-		read.Variants = []Variant{{Name: "as given"}}
+	if len(configuration.Variants) == 0 {
+		configuration.Variants = []Variant{{Name: "as given"}}
 	}
 	names := map[string]bool{}
-	for _, variant := range read.Variants {
+	for _, variant := range configuration.Variants {
 		if variant.Name == "" || names[variant.Name] {
-			return read, errors.Errorf("variants: name %q is missing or stands twice", variant.Name)
+			return configuration, errors.Errorf("variants: name %q is missing or stands twice", variant.Name)
 		}
 		names[variant.Name] = true
-		built, err := build(read.Scenario, variant)
+		built, err := build(configuration.Scenario, variant)
 		if err != nil {
-			return read, errors.Wrapf(err, "variant %q", variant.Name)
+			return configuration, errors.Wrapf(err, "variant %q", variant.Name)
 		}
-		read.Scenarios = append(read.Scenarios, built)
+		configuration.Scenarios = append(configuration.Scenarios, built)
 	}
-	return read, nil
+	return configuration, nil
 }
 
 // build returns the scenario of a variant: the defaults, overridden by base and then by the variant.
--- a/internal/sim/experiment/experiment_test.go
+++ b/internal/sim/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const small = `
+const smallExperiment = `
 name = "small"
 seeds = 3
 afterS = 10
@@ -49,9 +49,9 @@
 `
 
 func TestConfiguration_VariantsChangeOnlyWhatTheyName(t *testing.T) {
-	read, err := Parse([]byte(small))
+	configuration, err := Parse([]byte(smallExperiment))
 	assert.NilError(t, err)
-	given, spare := read.Scenarios[0], read.Scenarios[1]
+	given, spare := configuration.Scenarios[0], configuration.Scenarios[1]
 	assert.Equal(t, given.Parameters.QualityWeight, 0.6)
 	assert.Equal(t, spare.Parameters.QualityWeight, 0.8)
 	assert.Equal(t, spare.Parameters.BatchWait.String(), "5ms")
@@ -74,18 +74,18 @@
 		"no TOML":          {"name = \"small\"", "name = ", "cannot be read"},
 	}
 	for name, test := range cases {
-		_, err := Parse([]byte(strings.Replace(small, test[0], test[1], 1)))
+		_, err := Parse([]byte(strings.Replace(smallExperiment, test[0], test[1], 1)))
 		assert.ErrorContains(t, err, test[2], name)
 	}
 }
 
 func TestRun_ParallelRunsGiveSameBytes(t *testing.T) {
 	summaryJSON := func(parallelism int) string {
-		read, err := Parse([]byte(small))
+		configuration, err := Parse([]byte(smallExperiment))
 		assert.NilError(t, err)
-		all, err := Run(t.Context(), read, parallelism, io.Discard)
+		all, err := Run(t.Context(), configuration, parallelism, io.Discard)
 		assert.NilError(t, err)
-		content, err := json.Marshal(Summarize(read, all))
+		content, err := json.Marshal(Summarize(configuration, all))
 		assert.NilError(t, err)
 		return string(content)
 	}
@@ -93,25 +93,25 @@
 }
 
 func TestWrite_TableAndPlots(t *testing.T) {
-	read, err := Parse([]byte(small))
+	configuration, err := Parse([]byte(smallExperiment))
 	assert.NilError(t, err)
-	all, err := Run(t.Context(), read, 2, io.Discard)
+	all, err := Run(t.Context(), configuration, 2, io.Discard)
 	assert.NilError(t, err)
-	folder := t.TempDir()
-	assert.NilError(t, Summarize(read, all).Write(folder, all, true))
+	directory := t.TempDir()
+	assert.NilError(t, Summarize(configuration, all).Write(directory, all, true))
 	plots := []string{
 		"in-time-quick", "first-token-quick", "pauses-quick", "refusals-quick",
 		"queues", "running", "warm-tokens", "loads",
 	}
 	for _, name := range plots {
-		file, err := os.Open(filepath.Join(folder, name+".png"))
+		file, err := os.Open(filepath.Join(directory, name+".png"))
 		assert.NilError(t, err)
 		drawn, err := png.Decode(file)
 		assert.NilError(t, err, name)
 		assert.Assert(t, drawn.Bounds().Dx() > 300, name)
 		assert.NilError(t, file.Close())
 	}
-	table, err := os.ReadFile(filepath.Join(folder, "table.txt"))
+	table, err := os.ReadFile(filepath.Join(directory, "table.txt"))
 	assert.NilError(t, err)
 	for _, row := range []string{"quick, loss: share in time", "warm tokens lost", "emulated"} {
 		assert.Assert(t, bytes.Contains(table, []byte(row)), row)
--- a/internal/sim/experiment/forecast_test.go
+++ b/internal/sim/experiment/forecast_test.go
@@ -13,11 +13,11 @@
 
 func TestCompare_ChecksDaemonForecastAgainstLoss(t *testing.T) {
 	busier := strings.NewReplacer("perS = 6", "perS = 30", "retryCount = 2", "retryCount = 2\nresumable = true")
-	read, err := Parse([]byte(busier.Replace(small)))
+	configuration, err := Parse([]byte(busier.Replace(smallExperiment)))
 	assert.NilError(t, err)
-	read.Seeds = 4
-	sound := emulator.ByMatchers(read.AfterS)
-	found, err := CompareForecasts(t.Context(), read, []int{1}, map[string]emulator.Forecaster{
+	configuration.Seeds = 4
+	sound := emulator.ByMatchers(configuration.AfterS)
+	found, err := CompareForecasts(t.Context(), configuration, []int{1}, map[string]emulator.Forecaster{
 		"sound": sound,
 		"broken": func(before emulator.Snapshot) emulator.Forecast {
 			before.Loss.Zone = "elsewhere"
@@ -46,6 +46,6 @@
 		emulator.ThenTail + overPeriod + "the rest of the loss",
 	}
 	for _, name := range names {
-		assert.Equal(t, len(byName["sound quick: "+name].Forecast), read.Seeds, name)
+		assert.Equal(t, len(byName["sound quick: "+name].Forecast), configuration.Seeds, name)
 	}
 }
--- a/internal/sim/experiment/plots.go
+++ b/internal/sim/experiment/plots.go
@@ -43,7 +43,7 @@
 }
 
 // draw writes the plots of all series as PNG files to the directory.
-func (s Summary) draw(folder string) error {
+func (s Summary) draw(directory string) error {
 	charts := map[string]*chart{}
 	var order []string
 	for number, variant := range s.Variants {
@@ -68,7 +68,7 @@
 		if err := s.markLosses(charts[name]); err != nil {
 			return errors.Wrap(err, name)
 		}
-		if err := charts[name].plot.Save(plotWidth, plotHeight, filepath.Join(folder, name+".png")); err != nil {
+		if err := charts[name].plot.Save(plotWidth, plotHeight, filepath.Join(directory, name+".png")); err != nil {
 			return errors.Wrap(err, name)
 		}
 	}
--- a/internal/sim/experiment/truth.go
+++ b/internal/sim/experiment/truth.go
@@ -130,7 +130,7 @@
 }
 
 // firstTokenFigures returns the shares and the times to first token of a class, before and after the loss.
-func (c Configuration) firstTokenFigures(withLoss, baseline emulator.Result, number int) []measurement {
+func (c Configuration) firstTokenFigures(withLoss, withoutLoss emulator.Result, number int) []measurement {
 	at := withLoss.Losses[0].AtS
 	class := c.Scenarios[0].Classes[number]
 	var found []measurement
@@ -145,7 +145,7 @@
 	if len(class.AllowedRegions) > 0 {
 		add(emulator.ThenRegionBound, duringFirst, share(first.unserved, first.sent))
 	}
-	before := countWindow(baseline, class, number, at-c.InFlightS, at)
+	before := countWindow(withoutLoss, class, number, at-c.InFlightS, at)
 	rest := countWindow(withLoss, class, number, at+emulator.FirstPhaseS, at+c.AfterS)
 	for _, window := range []struct {
 		during string
--- a/internal/sim/experiment/write.go
+++ b/internal/sim/experiment/write.go
@@ -67,8 +67,8 @@
 }
 
 // Write writes the summary, its table and its plots to the directory, and all runs if raw is set.
-func (s Summary) Write(folder string, all []VariantRuns, raw bool) error {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+func (s Summary) Write(directory string, all []VariantRuns, raw bool) error {
+	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return errors.Wrap(err, "results")
 	}
 	files := map[string]any{"summary.json": s}
@@ -80,11 +80,11 @@
 		if err != nil {
 			return errors.Wrap(err, name)
 		}
-		if err := os.WriteFile(filepath.Join(folder, name), append(written, '\n'), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(directory, name), append(written, '\n'), 0o644); err != nil {
 			return errors.Wrap(err, "results")
 		}
 	}
-	table, err := os.Create(filepath.Join(folder, "table.txt"))
+	table, err := os.Create(filepath.Join(directory, "table.txt"))
 	if err != nil {
 		return errors.Wrap(err, "results")
 	}
@@ -92,7 +92,7 @@
 	if err := s.Print(table); err != nil {
 		return errors.Wrap(err, "results")
 	}
-	return s.draw(folder)
+	return s.draw(directory)
 }
 
 // PrintComparisons writes the comparisons as a table.
--- a/internal/sim/hollow/child.go
+++ b/internal/sim/hollow/child.go
@@ -39,7 +39,7 @@
 type command struct {
 	Do          string   `json:"do"`
 	Plan        *Plan    `json:"plan,omitempty"`
-	Folder      string   `json:"folder,omitempty"`
+	Directory   string   `json:"folder,omitempty"`
 	Role        string   `json:"role,omitempty"`
 	Hosts       []string `json:"hosts,omitempty"`
 	Partitioned bool     `json:"cut,omitempty"`
@@ -78,7 +78,7 @@
 // child is the state of a child process. Its commands are served by one goroutine.
 type child struct {
 	plan        Plan
-	folder      string
+	directory   string
 	role        string
 	counter     *Counter
 	partitioned atomic.Bool
@@ -102,18 +102,18 @@
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var received command
-		var answer reply
+		var response reply
 		err := json.Unmarshal(lines.Bytes(), &received)
 		if err == nil && handlers[received.Do] == nil {
 			err = errors.Errorf("unknown command %q", received.Do)
 		}
 		if err == nil {
-			answer, err = handlers[received.Do](received)
+			response, err = handlers[received.Do](received)
 		}
 		if err != nil {
-			answer.Error = err.Error()
+			response.Error = err.Error()
 		}
-		if err := json.NewEncoder(output).Encode(answer); err != nil {
+		if err := json.NewEncoder(output).Encode(response); err != nil {
 			return err
 		}
 	}
@@ -126,7 +126,7 @@
 		return reply{}, errors.New("command has no plan")
 	}
 	c.plan = *received.Plan
-	c.folder = received.Folder
+	c.directory = received.Directory
 	c.role = received.Role
 	runtime.GOMAXPROCS(c.plan.processors(c.role))
 	return reply{}, nil
@@ -151,11 +151,11 @@
 	network := NewNetwork(c.plan, host, c.counter, &c.partitioned)
 	run := func(_ context.Context, _ nodesettings.Signals) error { return nil }
 	if c.role == roleMember {
-		folder, err := keystore.NewDirectory(filepath.Join(c.folder, host))
+		directory, err := keystore.NewDirectory(filepath.Join(c.directory, host))
 		if err != nil {
 			return err
 		}
-		node, err := controlplane.New(settings, "", network, &countedDirectory{folder, c.counter})
+		node, err := controlplane.New(settings, "", network, &countedDirectory{directory, c.counter})
 		if err != nil {
 			return err
 		}
@@ -203,7 +203,7 @@
 		default:
 		}
 	}
-	taken, err := TakeSnapshot(c.counter)
-	taken.Nodes = len(c.nodes)
-	return reply{Snapshot: &taken}, err
+	snapshot, err := TakeSnapshot(c.counter)
+	snapshot.Nodes = len(c.nodes)
+	return reply{Snapshot: &snapshot}, err
 }
--- a/internal/sim/hollow/clients.go
+++ b/internal/sim/hollow/clients.go
@@ -132,24 +132,24 @@
 	half := c.plan.Tokens/2 + 1
 	request.Header.Set(replica.HeaderPromptPrefix, fmt.Sprintf("%x:%d,%x:%d", 1000+part, half, part+index*1000+100000, half))
 	request.Header.Set(replica.HeaderTimeRemaining, "20000")
-	began := time.Now()
+	startedAt := time.Now()
 	c.sent.Add(1)
-	answer, err := c.client.Do(request)
+	response, err := c.client.Do(request)
 	if err != nil {
 		c.count(ctx, &c.broken)
 		return
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		_, _ = io.Copy(io.Discard, answer.Body)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		_, _ = io.Copy(io.Discard, response.Body)
 		c.count(ctx, &c.rejected)
 		return
 	}
 	var firstByte [1]byte
-	if _, err := io.ReadFull(answer.Body, firstByte[:]); err == nil {
-		c.first.Record(time.Since(began))
+	if _, err := io.ReadFull(response.Body, firstByte[:]); err == nil {
+		c.first.Record(time.Since(startedAt))
 	}
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		c.count(ctx, &c.broken)
 		return
 	}
--- a/internal/sim/hollow/failures.go
+++ b/internal/sim/hollow/failures.go
@@ -25,9 +25,9 @@
 	ChangeAfterMs  float64   `json:"changeAfterMs"`
 	// NextHolderMs is the time until another control plane took over the placement lease, or 0 if none did.
 	NextHolderMs float64 `json:"otherHolderMs"`
-	// IsolatedAnswer is the response of a member on the isolated side of a partition to a configuration change.
-	IsolatedAnswer string `json:"cutOffSide"`
-	Replicas       int    `json:"replicas"`
+	// IsolatedResponse is the response of a member on the isolated side of a partition to a configuration change.
+	IsolatedResponse string `json:"cutOffSide"`
+	Replicas         int    `json:"replicas"`
 	// StableMs is the time from the end of the failure until placement was stable.
 	StableMs float64 `json:"calmAfterMs"`
 	Broken   int64   `json:"ordersCut"`
@@ -110,7 +110,7 @@
 	takeover := make(chan float64, 1)
 	go func() { takeover <- f.awaitHolder(r.result.Before.LeaseHolder, r.options.FailureLength) }()
 	defer func() { r.result.NextHolderMs = <-takeover }()
-	r.result.IsolatedAnswer = f.changeAtIsolatedMember(ctx, r.isolated)
+	r.result.IsolatedResponse = f.changeAtIsolatedMember(ctx, r.isolated)
 	r.result.ChangeOutcome, r.result.ChangeDuringMs = f.timeChange(ctx, f.dataIndices(r.isSurviving), r.reachable)
 	sleep(time.Until(end))
 	return nil
@@ -119,7 +119,7 @@
 // after reverts the failure, measures the time to readiness and a configuration change, and waits until placement is stable.
 func (r *failureRun) after(ctx context.Context) error {
 	f := r.fleet
-	began := time.Now()
+	startedAt := time.Now()
 	if err := f.inject(r.targets, commandStart, false); err != nil {
 		return err
 	}
@@ -131,8 +131,8 @@
 	r.result.Ready = ready.Quantiles()
 	_, r.result.ChangeAfterMs = f.timeChange(ctx, f.dataIndices(anyHost), f.plan.membersFrom(0))
 	err = f.awaitPlacement(ctx, r.options)
-	r.result.StableMs = float64((time.Since(began) - r.options.StableAfter).Milliseconds())
-	sleep(time.Until(began.Add(r.options.FailureLength)))
+	r.result.StableMs = float64((time.Since(startedAt) - r.options.StableAfter).Milliseconds())
+	sleep(time.Until(startedAt.Add(r.options.FailureLength)))
 	return err
 }
 
@@ -149,11 +149,11 @@
 
 // timeChange changes the configuration and returns the outcome and the duration in milliseconds.
 func (f *Fleet) timeChange(ctx context.Context, nodes, members []int) (string, float64) {
-	began, missed := time.Now(), f.operator.missed
+	startedAt, missed := time.Now(), f.operator.missed
 	if err := f.operator.ApplyChange(ctx, nodes, members); err != nil {
 		return err.Error(), 0
 	}
-	durationMs := float64(time.Since(began).Milliseconds())
+	durationMs := float64(time.Since(startedAt).Milliseconds())
 	if f.operator.missed > missed {
 		return "acknowledged, not in force at all spared nodes within the bound", durationMs
 	}
@@ -169,28 +169,28 @@
 	if err != nil {
 		return err.Error()
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	address := f.plan.address(f.plan.memberHost(members[0]), controlPort)
 	status, err := f.operator.call(ctx, http.MethodPatch, address, f.operator.revision, document)
 	if err != nil {
 		return "nothing"
 	}
-	return fmt.Sprintf("%d after %d ms", status, time.Since(began).Milliseconds())
+	return fmt.Sprintf("%d after %d ms", status, time.Since(startedAt).Milliseconds())
 }
 
 // awaitHolder returns the time in milliseconds until a control plane other than the former holder shares a roster, or 0 if
 // none does before the timeout.
 func (f *Fleet) awaitHolder(former string, timeout time.Duration) float64 {
-	began := time.Now()
+	startedAt := time.Now()
 	var first []int64
-	for time.Since(began) < timeout {
+	for time.Since(startedAt) < timeout {
 		counts := f.rosterCounts()
 		if first == nil {
 			first = counts
 		}
 		for index, count := range counts {
 			if count > first[index] && f.members[index].hosts[0] != former {
-				return float64(time.Since(began).Milliseconds())
+				return float64(time.Since(startedAt).Milliseconds())
 			}
 		}
 		sleep(probeInterval)
@@ -202,11 +202,11 @@
 func (f *Fleet) rosterCounts() []int64 {
 	counts := make([]int64, len(f.members))
 	for index, childProcess := range f.members {
-		answer, err := childProcess.call(command{Do: commandSnapshot})
+		response, err := childProcess.call(command{Do: commandSnapshot})
 		if err != nil {
 			continue
 		}
-		for _, flow := range answer.Snapshot.Flows[peer.MethodShareRoster.Path()] {
+		for _, flow := range response.Snapshot.Flows[peer.MethodShareRoster.Path()] {
 			counts[index] += flow.Messages
 		}
 	}
--- a/internal/sim/hollow/fleet.go
+++ b/internal/sim/hollow/fleet.go
@@ -21,8 +21,8 @@
 	clients  *Clients
 	members  []*process
 	data     []*process
-	// lock is a listener that reserves the loopback network for this run.
-	lock        net.Listener
+	// networkLock is a listener that reserves the loopback network for this run.
+	networkLock net.Listener
 	progress    io.Writer
 	memoryMb    float64
 	maxMemoryMb float64
@@ -41,7 +41,7 @@
 		f.plan.Octet = octet
 		listener, err := net.Listen("tcp", f.plan.address(f.plan.host(0, 1), lockPort))
 		if err == nil {
-			f.lock = listener
+			f.networkLock = listener
 			return nil
 		}
 	}
@@ -77,7 +77,7 @@
 // other data planes.
 func (f *Fleet) open() error {
 	var err error
-	if f.plan.Folder, err = os.MkdirTemp("", "ferryspar-hollow-"); err != nil {
+	if f.plan.Directory, err = os.MkdirTemp("", "ferryspar-hollow-"); err != nil {
 		return err
 	}
 	f.standIns = NewStandIns(f.plan)
@@ -87,7 +87,7 @@
 		return err
 	}
 	for index := range f.plan.Members {
-		childProcess, err := spawn(f.plan, roleMember, f.plan.Folder, []string{f.plan.memberHost(index)})
+		childProcess, err := spawn(f.plan, roleMember, f.plan.Directory, []string{f.plan.memberHost(index)})
 		if err != nil {
 			return err
 		}
@@ -125,11 +125,11 @@
 	if f.standIns != nil {
 		f.standIns.Close()
 	}
-	if f.lock != nil {
-		f.lock.Close()
+	if f.networkLock != nil {
+		f.networkLock.Close()
 	}
-	if f.plan.Folder != "" {
-		_ = os.RemoveAll(f.plan.Folder)
+	if f.plan.Directory != "" {
+		_ = os.RemoveAll(f.plan.Directory)
 	}
 	return first
 }
@@ -185,12 +185,12 @@
 	seen := observation{at: time.Now(), instructions: f.standIns.instructions.Load()}
 	total := 0.0
 	for _, childProcess := range f.processes() {
-		answer, err := childProcess.call(command{Do: commandSnapshot})
+		response, err := childProcess.call(command{Do: commandSnapshot})
 		if err != nil {
 			return seen, err
 		}
-		seen.snapshots = append(seen.snapshots, *answer.Snapshot)
-		total += answer.Snapshot.RuntimeMb
+		seen.snapshots = append(seen.snapshots, *response.Snapshot)
+		total += response.Snapshot.RuntimeMb
 	}
 	f.maxMemoryMb = max(f.maxMemoryMb, total)
 	if total > f.memoryMb {
--- a/internal/sim/hollow/hollow_test.go
+++ b/internal/sim/hollow/hollow_test.go
@@ -76,7 +76,7 @@
 	assert.Equal(t, result.Failures[0].DataPlanes, 1)
 	assert.Equal(t, result.Failures[0].Ready.Count, int64(1))
 	assert.Equal(t, result.Failures[0].ChangeOutcome, "in force at all spared nodes")
-	_, err = os.Stat(result.Plan.Folder)
+	_, err = os.Stat(result.Plan.Directory)
 	assert.Assert(t, os.IsNotExist(err), "temporary directory was not removed")
 }
 
--- a/internal/sim/hollow/operator.go
+++ b/internal/sim/hollow/operator.go
@@ -59,8 +59,8 @@
 	bounded, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	last := errors.New("no member tried")
-	for turn := 0; bounded.Err() == nil; turn++ {
-		member := members[turn%len(members)]
+	for attempt := 0; bounded.Err() == nil; attempt++ {
+		member := members[attempt%len(members)]
 		address := o.plan.address(o.plan.memberHost(member), controlPort)
 		var status int
 		status, last = o.call(bounded, method, address, condition, body)
@@ -82,13 +82,13 @@
 		return 0, err
 	}
 	request.Header.Set("If-Match", strconv.FormatInt(condition, 10))
-	answer, err := o.client.Do(request)
+	response, err := o.client.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	_, _ = io.Copy(io.Discard, answer.Body)
-	return answer.StatusCode, nil
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, nil
 }
 
 // membersFrom returns the indices of all members, starting at from.
@@ -121,19 +121,19 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := o.send(ctx, http.MethodPatch, o.revision, document, members); err != nil {
 		return err
 	}
 	o.revision = next
 	o.changes++
-	o.acknowledged.Record(time.Since(began))
+	o.acknowledged.Record(time.Since(startedAt))
 	var waiting sync.WaitGroup
 	var lock sync.Mutex
 	latest := time.Duration(0)
 	for _, index := range nodes {
 		waiting.Go(func() {
-			duration, found := o.probe(ctx, index, probePath(next), began)
+			duration, found := o.probe(ctx, index, probePath(next), startedAt)
 			lock.Lock()
 			defer lock.Unlock()
 			if !found {
@@ -150,11 +150,11 @@
 }
 
 // probe waits until a data plane serves the path and returns the time since the change was sent.
-func (o *Operator) probe(ctx context.Context, index int, path string, began time.Time) (time.Duration, bool) {
+func (o *Operator) probe(ctx context.Context, index int, path string, startedAt time.Time) (time.Duration, bool) {
 	address := o.plan.address(o.plan.dataHost(index), dataPort)
-	for ctx.Err() == nil && time.Since(began) < probeTimeout {
+	for ctx.Err() == nil && time.Since(startedAt) < probeTimeout {
 		if o.servesRoute(ctx, address, path) {
-			return time.Since(began), true
+			return time.Since(startedAt), true
 		}
 		time.Sleep(probeInterval)
 	}
@@ -173,13 +173,13 @@
 	request.Host = routeHostname
 	request.Header.Set(replica.HeaderAttemptID, fmt.Sprintf("probe-%d", time.Now().UnixNano()))
 	request.Header.Set(replica.HeaderTokenCount, "none")
-	answer, err := o.client.Do(request)
+	response, err := o.client.Do(request)
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	_, _ = io.Copy(io.Discard, answer.Body)
-	return answer.StatusCode == http.StatusBadRequest
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, response.Body)
+	return response.StatusCode == http.StatusBadRequest
 }
 
 // isReady reports whether a data plane is ready, according to its readiness endpoint.
@@ -191,25 +191,25 @@
 	if err != nil {
 		return false
 	}
-	answer, err := o.client.Do(request)
+	response, err := o.client.Do(request)
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	defer response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
 // AwaitReady waits until the data planes are ready and returns how long they took. It returns an error if some exceed the
 // timeout.
 func (o *Operator) AwaitReady(ctx context.Context, nodes []int, timeout time.Duration) (*Latencies, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	latencies := NewLatencies()
 	var waiting sync.WaitGroup
 	for _, index := range nodes {
 		waiting.Go(func() {
-			for ctx.Err() == nil && time.Since(began) < timeout {
+			for ctx.Err() == nil && time.Since(startedAt) < timeout {
 				if o.isReady(ctx, index) {
-					latencies.Record(time.Since(began))
+					latencies.Record(time.Since(startedAt))
 					return
 				}
 				time.Sleep(probeInterval)
--- a/internal/sim/hollow/plan.go
+++ b/internal/sim/hollow/plan.go
@@ -32,7 +32,7 @@
 	Processors int `json:"processors"`
 	// Processes is the number of processes that share the data planes. Each may use up to Processors processors.
 	Processes int    `json:"processes"`
-	Folder    string `json:"-"`
+	Directory string `json:"-"`
 }
 
 // FullSize is the size of a full fleet, from which smaller fleets are scaled.
--- a/internal/sim/hollow/process.go
+++ b/internal/sim/hollow/process.go
@@ -19,11 +19,11 @@
 	lock    sync.Mutex
 	program *exec.Cmd
 	input   io.WriteCloser
-	answers *bufio.Reader
+	replies *bufio.Reader
 }
 
 // spawn starts this program as a child process and sends it the plan.
-func spawn(plan Plan, role, folder string, hosts []string) (*process, error) {
+func spawn(plan Plan, role, directory string, hosts []string) (*process, error) {
 	path, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -38,11 +38,11 @@
 	if err != nil {
 		return nil, err
 	}
-	childProcess.answers = bufio.NewReader(output)
+	childProcess.replies = bufio.NewReader(output)
 	if err := childProcess.program.Start(); err != nil {
 		return nil, errors.Wrap(err, "start child process")
 	}
-	_, err = childProcess.call(command{Do: commandPlan, Plan: &plan, Role: role, Folder: folder})
+	_, err = childProcess.call(command{Do: commandPlan, Plan: &plan, Role: role, Directory: directory})
 	return childProcess, err
 }
 
@@ -50,18 +50,18 @@
 func (p *process) call(sent command) (reply, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	var answer reply
+	var response reply
 	if err := json.NewEncoder(p.input).Encode(sent); err != nil {
-		return answer, errors.Wrapf(err, "%s process", p.role)
+		return response, errors.Wrapf(err, "%s process", p.role)
 	}
-	line, err := p.answers.ReadBytes('\n')
+	line, err := p.replies.ReadBytes('\n')
 	if err == nil {
-		err = json.Unmarshal(line, &answer)
+		err = json.Unmarshal(line, &response)
 	}
-	if err == nil && answer.Error != "" {
-		err = errors.New(answer.Error)
+	if err == nil && response.Error != "" {
+		err = errors.New(response.Error)
 	}
-	return answer, errors.Wrapf(err, "%s process, %s", p.role, sent.Do)
+	return response, errors.Wrapf(err, "%s process, %s", p.role, sent.Do)
 }
 
 // shutdownTimeout is how long a child may take to exit before it is killed.
--- a/internal/sim/hollow/report.go
+++ b/internal/sim/hollow/report.go
@@ -12,7 +12,8 @@
 	Fits    []ScalingFit `json:"slopes"`
 }
 
-// Print writes the fits, the call rates and the other results. target is the number of data planes of the column atTarget.
+// Print writes the fits, the call rates and the other results. target is the number of data planes at which the
+// straight lines are evaluated.
 func (r Report) Print(output io.Writer, target int) {
 	table := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprint(table, "phase\trole\tfigure")
@@ -77,7 +78,7 @@
 	printf("a change after it in force everywhere in %.0f ms; ", f.ChangeAfterMs)
 	printf("control messages per second %.0f before, %.0f during, %.0f after; ", perS(f.Before), perS(f.During), perS(f.After))
 	printf("requests broken %d, rejected %d; ", f.Broken, f.Rejected)
-	printf("another lease holder after %.0f ms; isolated side responds %s; ", f.NextHolderMs, f.IsolatedAnswer)
+	printf("another lease holder after %.0f ms; isolated side responds %s; ", f.NextHolderMs, f.IsolatedResponse)
 	printf("placement orders %d during, %d after, stable after %.0f ms\n", f.During.Instructions, f.After.Instructions, f.StableMs)
 }
 
--- a/internal/sim/hollow/run.go
+++ b/internal/sim/hollow/run.go
@@ -46,7 +46,7 @@
 // Run starts a fleet according to the plan, measures its phases and failures, and ends it. If the context ends, Run returns its
 // error.
 func Run(ctx context.Context, plan Plan, options Options) (result Result, err error) {
-	began := time.Now()
+	startedAt := time.Now()
 	fleet, err := StartFleet(plan, options.MemoryMb, options.Progress)
 	if err != nil {
 		return result, err
@@ -81,7 +81,7 @@
 		return result, err
 	}
 	result.MemoryMb = fleet.maxMemoryMb
-	result.DurationS = time.Since(began).Seconds()
+	result.DurationS = time.Since(startedAt).Seconds()
 	return result, ctx.Err()
 }
 
@@ -194,12 +194,12 @@
 // changeRepeatedly changes the configuration at intervals for the length of a window, through the members in turn.
 func (f *Fleet) changeRepeatedly(ctx context.Context, options Options) error {
 	end := time.Now().Add(options.Window)
-	everyone := f.dataIndices(anyHost)
+	allDataPlanes := f.dataIndices(anyHost)
 	var waiting sync.WaitGroup
 	defer waiting.Wait()
-	for turn := 0; time.Now().Before(end) && ctx.Err() == nil; turn++ {
+	for iteration := 0; time.Now().Before(end) && ctx.Err() == nil; iteration++ {
 		next := time.Now().Add(options.ChangeInterval)
-		if err := f.operator.ApplyChange(ctx, everyone, f.plan.membersFrom(turn)); err != nil {
+		if err := f.operator.ApplyChange(ctx, allDataPlanes, f.plan.membersFrom(iteration)); err != nil {
 			return err
 		}
 		sleep(time.Until(next))
