--- a/internal/sim/experiment/plots.go
+++ b/internal/sim/experiment/plots.go
@@ -77,33 +77,33 @@
 
 // newChart returns an empty chart for a series.
 func (s Summary) newChart(line Series) *chart {
-	drawn := plot.New()
-	drawn.Title.Text = s.Name + " (emulated): " + line.Name
+	figure := plot.New()
+	figure.Title.Text = s.Name + " (emulated): " + line.Name
 	if line.Class != "" {
-		drawn.Title.Text = s.Name + " (emulated), class " + line.Class + ": " + line.Name
+		figure.Title.Text = s.Name + " (emulated), class " + line.Class + ": " + line.Name
 	}
 	if plotFiles[line.Name] == "first-token" {
-		drawn.Title.Text = s.Name + " (emulated), class " + line.Class + ": first token, ms"
+		figure.Title.Text = s.Name + " (emulated), class " + line.Class + ": first token, ms"
 	}
-	drawn.X.Label.Text = "time of arrival or look, s"
-	drawn.Y.Label.Text = line.Name
+	figure.X.Label.Text = "time of arrival or sample, s"
+	figure.Y.Label.Text = line.Name
 	if plotLabels[line.Name] != "" {
-		drawn.Y.Label.Text = "first token, ms"
+		figure.Y.Label.Text = "first token, ms"
 	}
-	drawn.Y.Min = 0
-	drawn.X.Min = 0
-	drawn.X.Max = line.Points[len(line.Points)-1].AtS * legendWidthFactor
-	drawn.Legend.Top = true
-	drawn.Add(plotter.NewGrid())
-	return &chart{plot: drawn}
+	figure.Y.Min = 0
+	figure.X.Min = 0
+	figure.X.Max = line.Points[len(line.Points)-1].AtS * legendWidthFactor
+	figure.Legend.Top = true
+	figure.Add(plotter.NewGrid())
+	return &chart{plot: figure}
 }
 
 // add draws a series in the color of its variant.
-func (p *chart) add(curve Series, variant string, number int) error {
+func (c *chart) add(curve Series, variant string, number int) error {
 	points := make(plotter.XYs, len(curve.Points))
 	for index, point := range curve.Points {
 		points[index] = plotter.XY{X: point.AtS, Y: point.Value}
-		p.highest = max(p.highest, point.Value)
+		c.highest = max(c.highest, point.Value)
 	}
 	line, err := plotter.NewLine(points)
 	if err != nil {
@@ -114,26 +114,26 @@
 	if curve.Name == seriesTail {
 		line.Dashes = plotutil.Dashes(1)
 	}
-	p.plot.Add(line)
-	p.plot.Legend.Add(variant+plotLabels[curve.Name], line)
+	c.plot.Add(line)
+	c.plot.Legend.Add(variant+plotLabels[curve.Name], line)
 	return nil
 }
 
 // markLosses draws a vertical line at each loss and each recovery.
-func (s Summary) markLosses(p *chart) error {
-	p.plot.Y.Max = max(p.highest*1.05, 0.01)
+func (s Summary) markLosses(c *chart) error {
+	c.plot.Y.Max = max(c.highest*1.05, 0.01)
 	for _, loss := range s.Losses {
 		for _, at := range []float64{loss.AtS, loss.BackS} {
 			if at == 0 {
 				continue
 			}
-			line, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: p.plot.Y.Max}})
+			line, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: c.plot.Y.Max}})
 			if err != nil {
 				return err
 			}
 			line.Color = color.Gray{Y: 90}
 			line.Dashes = plotutil.Dashes(2)
-			p.plot.Add(line)
+			c.plot.Add(line)
 		}
 	}
 	return nil
--- a/internal/sim/hollow/fleet.go
+++ b/internal/sim/hollow/fleet.go
@@ -22,10 +22,10 @@
 	members  []*process
 	data     []*process
 	// networkLock is a listener that reserves the loopback network for this run.
-	networkLock net.Listener
-	progress    io.Writer
-	memoryMb    float64
-	maxMemoryMb float64
+	networkLock   net.Listener
+	progress      io.Writer
+	memoryLimitMb float64
+	peakMemoryMb  float64
 }
 
 const (
@@ -58,11 +58,11 @@
 }
 
 // StartFleet starts the stand-ins and the child processes, but no nodes yet. If it succeeds, the caller must call End.
-func StartFleet(plan Plan, memoryMb float64, progress io.Writer) (*Fleet, error) {
+func StartFleet(plan Plan, memoryLimitMb float64, progress io.Writer) (*Fleet, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
 	}
-	fleet := &Fleet{plan: plan, progress: progress, memoryMb: memoryMb}
+	fleet := &Fleet{plan: plan, progress: progress, memoryLimitMb: memoryLimitMb}
 	if err := fleet.reserveNetwork(); err != nil {
 		return nil, err
 	}
@@ -192,9 +192,9 @@
 		seen.snapshots = append(seen.snapshots, *response.Snapshot)
 		total += response.Snapshot.RuntimeMb
 	}
-	f.maxMemoryMb = max(f.maxMemoryMb, total)
-	if total > f.memoryMb {
-		return seen, errors.Errorf("hollow nodes hold %.0f MB, more than the %.0f MB allowed", total, f.memoryMb)
+	f.peakMemoryMb = max(f.peakMemoryMb, total)
+	if total > f.memoryLimitMb {
+		return seen, errors.Errorf("hollow nodes hold %.0f MB, more than the %.0f MB allowed", total, f.memoryLimitMb)
 	}
 	return seen, nil
 }
--- a/internal/sim/hollow/plan.go
+++ b/internal/sim/hollow/plan.go
@@ -41,14 +41,14 @@
 }
 
 // Scaled returns a plan with the given number of data planes and the other numbers in proportion, but at least 4 each.
-func (t FullSize) Scaled(data int) Plan {
-	part := func(whole int) int { return max((whole*data+t.DataPlanes/2)/t.DataPlanes, 4) }
+func (s FullSize) Scaled(dataPlanes int) Plan {
+	part := func(whole int) int { return max((whole*dataPlanes+s.DataPlanes/2)/s.DataPlanes, 4) }
 	return Plan{
-		DataPlanes: data,
-		Replicas:   part(t.Replicas),
-		Models:     part(t.Models),
-		Adapters:   part(t.Adapters),
-		Routes:     part(t.Routes),
+		DataPlanes: dataPlanes,
+		Replicas:   part(s.Replicas),
+		Models:     part(s.Models),
+		Adapters:   part(s.Adapters),
+		Routes:     part(s.Routes),
 	}
 }
 
--- a/internal/sim/hollow/run.go
+++ b/internal/sim/hollow/run.go
@@ -80,7 +80,7 @@
 	if err := fleet.runPhases(ctx, options, &result); err != nil {
 		return result, err
 	}
-	result.MemoryMb = fleet.maxMemoryMb
+	result.MemoryMb = fleet.peakMemoryMb
 	result.DurationS = time.Since(startedAt).Seconds()
 	return result, ctx.Err()
 }
--- a/internal/sim/replay/engine_test.go
+++ b/internal/sim/replay/engine_test.go
@@ -20,7 +20,7 @@
 "backends":[{"name":"s","runtime":{"slots":8,"kvCacheTokens":100000,
 "modelList":[{"name":"m","weightSizeMb":1,"loadTimeS":1}]}}]}`
 
-func recordedDay(requests int, model string) *bytes.Buffer {
+func recordedTraffic(requests int, model string) *bytes.Buffer {
 	var written bytes.Buffer
 	now := time.Unix(0, 0)
 	writer := requestlog.NewWriter(&written, 1<<20, func() time.Time { return now })
@@ -68,15 +68,15 @@
 }
 
 func TestEngine_PlayIsDeterministic(t *testing.T) {
-	first := replayRecord(t, recordedDay(200, "m"))
+	first := replayRecord(t, recordedTraffic(200, "m"))
 	for range 3 {
-		assert.Equal(t, replayRecord(t, recordedDay(200, "m")), first)
+		assert.Equal(t, replayRecord(t, recordedTraffic(200, "m")), first)
 	}
 	assert.Assert(t, strings.Contains(first, "quick"))
 }
 
 func TestEngine_RejectsRequestsOfModelNotLoaded(t *testing.T) {
-	entries, _, err := requestlog.Read(recordedDay(5, "other"))
+	entries, _, err := requestlog.Read(recordedTraffic(5, "other"))
 	assert.NilError(t, err)
 	engine := NewEngine(routing.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
@@ -84,7 +84,7 @@
 }
 
 func TestEngine_SharedPromptsAreCached(t *testing.T) {
-	entries, _, err := requestlog.Read(recordedDay(50, "m"))
+	entries, _, err := requestlog.Read(recordedTraffic(50, "m"))
 	assert.NilError(t, err)
 	engine := NewEngine(routing.DefaultParameters(), "north", DefaultTimingModel())
 	assert.NilError(t, engine.Play(entries))
@@ -92,7 +92,7 @@
 }
 
 func TestRead_ReportsDamagedLines(t *testing.T) {
-	damaged := recordedDay(2, "m").String() + "{broken\n" + `{"kind":"order","atMs":5}` + "\n" + `{"kind":"tea"}` + "\n"
+	damaged := recordedTraffic(2, "m").String() + "{broken\n" + `{"kind":"order","atMs":5}` + "\n" + `{"kind":"tea"}` + "\n"
 	entries, damages, err := requestlog.Read(strings.NewReader(damaged))
 	assert.NilError(t, err)
 	assert.Equal(t, len(entries), 4)
--- a/internal/sim/replay/pinned_test.go
+++ b/internal/sim/replay/pinned_test.go
@@ -12,14 +12,14 @@
 	"ferryspar/internal/test/pinned"
 )
 
-// pinnedDay is a record with all kinds of entries, written by an earlier version.
-const pinnedDay = "testdata/day.jsonl"
+// pinnedRecord is a record with all kinds of entries, written by an earlier version.
+const pinnedRecord = "testdata/day.jsonl"
 
 func TestEngine_ReplaysRecordOfEarlierVersion(t *testing.T) {
-	if _, err := os.Stat(pinnedDay); pinned.Updating() && os.IsNotExist(err) {
-		pinned.CheckFile(t, pinnedDay, recordedDay(20, "m").Bytes())
+	if _, err := os.Stat(pinnedRecord); pinned.Updating() && os.IsNotExist(err) {
+		pinned.CheckFile(t, pinnedRecord, recordedTraffic(20, "m").Bytes())
 	}
-	file, err := os.Open(pinnedDay)
+	file, err := os.Open(pinnedRecord)
 	assert.NilError(t, err)
 	defer file.Close()
 	entries, damages, err := requestlog.Read(file)
