--- a/internal/sim/experiment/compare_test.go
+++ b/internal/sim/experiment/compare_test.go
@@ -10,11 +10,13 @@
 	"ferryspar/internal/sim/emulator"
 )
 
-func judge(t *testing.T, forecaster emulator.Forecaster) map[string]Comparison {
+func compareByName(t *testing.T, forecaster emulator.Forecaster) map[string]Comparison {
 	t.Helper()
-	read, err := Parse([]byte(small))
+	configuration, err := Parse([]byte(smallExperiment))
 	assert.NilError(t, err)
-	found, err := CompareForecasts(t.Context(), read, []int{1, 2}, map[string]emulator.Forecaster{"tried": forecaster}, 4, io.Discard)
+	found, err := CompareForecasts(
+		t.Context(), configuration, []int{1, 2}, map[string]emulator.Forecaster{"tried": forecaster}, 4, io.Discard,
+	)
 	assert.NilError(t, err)
 	byName := map[string]Comparison{}
 	for _, comparison := range found {
@@ -26,8 +28,8 @@
 }
 
 func TestCompare_MeasuresForecastErrorAndFlagsBrokenForecast(t *testing.T) {
-	sound := judge(t, emulator.ForecastByLoadReports)
-	broken := judge(t, func(before emulator.Snapshot) emulator.Forecast {
+	sound := compareByName(t, emulator.ForecastByLoadReports)
+	broken := compareByName(t, func(before emulator.Snapshot) emulator.Forecast {
 		forecast := emulator.ForecastByLoadReports(before)
 		forecast[emulator.FigureWithoutCopy] += 5
 		return forecast
@@ -36,15 +38,15 @@
 	assert.Equal(t, sound[name].Error.Mean, 0.0)
 	assert.Equal(t, broken[name].Error.Mean, 5.0)
 	moving := sound["tried "+emulator.FigureMoving]
-	assert.Assert(t, moving.Absolute.Mean <= max(moving.Mean.Mean, 4), "%+v", moving)
+	assert.Assert(t, moving.AbsoluteError.Mean <= max(moving.MeanTruth.Mean, 4), "%+v", moving)
 	assert.Equal(t, len(sound[MethodOtherSeeds+" quick: share slowed"].Truth), 3)
 }
 
 func TestCompare_ForecastDoesNotChangeTheRun(t *testing.T) {
-	read, err := Parse([]byte(small))
+	configuration, err := Parse([]byte(smallExperiment))
 	assert.NilError(t, err)
-	played := func(forecaster emulator.Forecaster) string {
-		world, err := emulator.NewWorld(read.Built[0])
+	runJSON := func(forecaster emulator.Forecaster) string {
+		world, err := emulator.NewWorld(configuration.Scenarios[0])
 		assert.NilError(t, err)
 		if forecaster != nil {
 			world.Forecasters = map[string]emulator.Forecaster{"tried": forecaster}
@@ -55,15 +57,16 @@
 		assert.NilError(t, err)
 		return string(content)
 	}
-	assert.Assert(t, played(nil) == played(emulator.ForecastByLoadReports))
-	assert.Assert(t, played(nil) == played(emulator.ForecastByMatchers(read.AfterS)))
+	assert.Assert(t, runJSON(nil) == runJSON(emulator.ForecastByLoadReports))
+	assert.Assert(t, runJSON(nil) == runJSON(emulator.ForecastByMatchers(configuration.AfterS)))
 }
 
 func TestCompare_NothingToForecastWithoutLoss(t *testing.T) {
-	read, err := Parse([]byte(small))
+	configuration, err := Parse([]byte(smallExperiment))
 	assert.NilError(t, err)
-	read.Built[0].Losses = nil
-	forecasters := map[string]emulator.Forecaster{"tried": emulator.ForecastByLoadReports}
-	_, err = CompareForecasts(t.Context(), read, []int{1}, forecasters, 1, io.Discard)
+	configuration.Scenarios[0].Losses = nil
+	_, err = CompareForecasts(
+		t.Context(), configuration, []int{1}, map[string]emulator.Forecaster{"tried": emulator.ForecastByLoadReports}, 1, io.Discard,
+	)
 	assert.ErrorContains(t, err, "no loss")
 }
--- a/internal/sim/experiment/foretold_test.go
+++ b/internal/sim/experiment/forecast_test.go
@@ -13,11 +13,11 @@
 
 func TestCompare_ChecksDaemonForecastAgainstLoss(t *testing.T) {
 	busier := strings.NewReplacer("perS = 6", "perS = 30", "retryCount = 2", "retryCount = 2\nresumable = true")
-	read, err := Parse([]byte(busier.Replace(small)))
+	configuration, err := Parse([]byte(busier.Replace(smallExperiment)))
 	assert.NilError(t, err)
-	read.Seeds = 4
-	sound := emulator.ForecastByMatchers(read.AfterS)
-	found, err := CompareForecasts(t.Context(), read, []int{1}, map[string]emulator.Forecaster{
+	configuration.Seeds = 4
+	sound := emulator.ForecastByMatchers(configuration.AfterS)
+	found, err := CompareForecasts(t.Context(), configuration, []int{1}, map[string]emulator.Forecaster{
 		"sound": sound,
 		"broken": func(before emulator.Snapshot) emulator.Forecast {
 			before.Loss.Zone = "elsewhere"
@@ -29,16 +29,16 @@
 	for _, comparison := range found {
 		byName[comparison.Method+" "+comparison.Figure] = comparison
 	}
-	for _, name := range []string{emulator.FigurePlaced, emulator.FigureInterrupted, perReplicaOf} {
+	for _, name := range []string{emulator.FigurePlaced, emulator.FigureInterrupted, figurePerReplica} {
 		correct := byName["sound "+name]
 		broken := byName["broken "+name]
-		assert.Assert(t, correct.Mean.Mean > 0, name)
+		assert.Assert(t, correct.MeanTruth.Mean > 0, name)
 		assert.Assert(t, !slices.Contains(correct.Flags, flagBiased), "%s: %+v", name, correct)
 		assert.Assert(t, slices.Contains(broken.Flags, flagBiased), "%s: %+v", name, broken)
-		assert.Assert(t, correct.Absolute.Mean < broken.Absolute.Mean, name)
+		assert.Assert(t, correct.AbsoluteError.Mean < broken.AbsoluteError.Mean, name)
 	}
 	warm := byName["broken "+emulator.FigureLostCachedTokens]
-	assert.Equal(t, warm.Relative.Mean, 1.0)
+	assert.Equal(t, warm.RelativeError.Mean, 1.0)
 	assert.DeepEqual(t, warm.Flags, []string{flagBiased, flagWorse})
 	names := []string{
 		emulator.AfterLossLate + overPeriod + "the first 5 s",
@@ -46,6 +46,6 @@
 		emulator.AfterLossP90 + overPeriod + "the rest of the loss",
 	}
 	for _, name := range names {
-		assert.Equal(t, len(byName["sound quick: "+name].Forecast), read.Seeds, name)
+		assert.Equal(t, len(byName["sound quick: "+name].Forecast), configuration.Seeds, name)
 	}
 }
