--- a/cmd/ferryspar-modelcheck/main.go
+++ b/cmd/ferryspar-modelcheck/main.go
@@ -111,9 +111,9 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	violated, stopped := false, false
-	limits := modelcheck.Limits{Depth: parsed.Depth, States: parsed.States, For: parsed.Timeout, Progress: printProgress}
+	limits := modelcheck.Limits{Depth: parsed.Depth, States: parsed.States, Timeout: parsed.Timeout, Progress: printProgress}
 	for _, scenario := range scenarios {
-		report := modelcheck.Search(ctx, scenario, modelcheck.ProductRules(), limits)
+		report := modelcheck.Search(ctx, scenario, modelcheck.ProductionRules(), limits)
 		printReport(report, parsed.JSON)
 		violated = violated || report.Violation != ""
 		stopped = stopped || !report.Exhausted
--- a/internal/controlplane/coordinator/applications_test.go
+++ b/internal/controlplane/coordinator/applications_test.go
@@ -49,14 +49,14 @@
 	answered := make(chan reply, 1)
 	go func() {
 		defer cancel()
-		s.cluster.AwaitThaw(name)
+		s.cluster.WaitUntilThawed(name)
 		node := s.node(name)
 		if node == nil {
 			answered <- reply{}
 			return
 		}
 		result, err := do(ctx, node)
-		s.cluster.AwaitThaw(name)
+		s.cluster.WaitUntilThawed(name)
 		if s.node(name) != node {
 			err = ErrUncertain
 		}
--- a/internal/controlplane/coordinator/simulation_test.go
+++ b/internal/controlplane/coordinator/simulation_test.go
@@ -198,7 +198,7 @@
 	content := n.simulation.nextCall()
 	answered := make(chan Reply, 1)
 	go func() {
-		if !n.simulation.cluster.Carry(n.name, address, content) {
+		if !n.simulation.cluster.Deliver(n.name, address, content) {
 			return
 		}
 		receiver := n.simulation.node(address)
@@ -206,7 +206,7 @@
 			return
 		}
 		answer := handle(receiver)
-		if n.simulation.node(address) == receiver && n.simulation.cluster.Carry(address, n.name, content) {
+		if n.simulation.node(address) == receiver && n.simulation.cluster.Deliver(address, n.name, content) {
 			answered <- answer
 		}
 	}()
--- a/internal/lease/holders_simulation_test.go
+++ b/internal/lease/holders_simulation_test.go
@@ -127,7 +127,7 @@
 }
 
 func (h *actingHolder) step(store *keystore.Store) {
-	for h.cluster.Frozen(h.name) {
+	for h.cluster.IsFrozen(h.name) {
 		time.Sleep(frozenPollInterval)
 	}
 	if store == nil || store != h.store {
@@ -137,7 +137,7 @@
 		return
 	}
 	h.acquireOrRenew()
-	if !h.cluster.Frozen(h.name) && h.grant.Allows(h.cluster.Clock(h.name)(), h.margin) && h.cluster.StoreOf(h.name) == store {
+	if !h.cluster.IsFrozen(h.name) && h.grant.Allows(h.cluster.Clock(h.name)(), h.margin) && h.cluster.StoreOf(h.name) == store {
 		h.log.add(action{time.Now(), h.name, h.grant.Record.Fence})
 	}
 }
--- a/internal/test/keystoresim/transport.go
+++ b/internal/test/keystoresim/transport.go
@@ -73,7 +73,7 @@
 	ctx context.Context, address, content string, message keystore.Message,
 ) (keystore.Reply, error) {
 	acceptor := t.cluster.AcceptorOf(address)
-	if t.cluster.CountsSilenceAsGrant && (acceptor == nil || !t.cluster.deliver(link{t.self, address}, content)) {
+	if t.cluster.CountsMissingReplyAsGrant && (acceptor == nil || !t.cluster.deliver(link{t.self, address}, content)) {
 		return keystore.Reply{Granted: true}, nil
 	}
 	if !t.cluster.deliver(link{t.self, address}, content) {
@@ -162,15 +162,15 @@
 	return links
 }
 
-// Frozen says whether a machine stands still.
-func (c *Cluster) Frozen(name string) bool {
+// IsFrozen says whether a machine stands still.
+func (c *Cluster) IsFrozen(name string) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.members[name].frozen > 0
 }
 
 func (c *Cluster) waitWhileFrozen(name string) {
-	for c.Frozen(name) {
+	for c.IsFrozen(name) {
 		time.Sleep(thawPollInterval)
 	}
 }
@@ -189,11 +189,11 @@
 	c.members[name].frozen += amount
 }
 
-// Carry takes a message of another protocol from one machine to another, late, lost or after a thaw like the keystore's own, and
+// Deliver takes a message of another protocol from one machine to another, late, lost or after a thaw like the keystore's own, and
 // says whether it arrives. A lost one takes its time.
-func (c *Cluster) Carry(from, to, content string) bool {
+func (c *Cluster) Deliver(from, to, content string) bool {
 	return from == to || c.deliver(link{from, to}, content)
 }
 
-// AwaitThaw returns once a machine does not stand still.
-func (c *Cluster) AwaitThaw(name string) { c.waitWhileFrozen(name) }
+// WaitUntilThawed returns once a machine does not stand still.
+func (c *Cluster) WaitUntilThawed(name string) { c.waitWhileFrozen(name) }
--- a/internal/test/linearizability/lease_test.go
+++ b/internal/test/linearizability/lease_test.go
@@ -75,7 +75,7 @@
 			grant, _ = manager.Acquire(ctx)
 		}
 		cancel()
-		if !s.cluster.Frozen(name) && s.cluster.StoreOf(name) == store && grant.Allows(s.cluster.Clock(name)(), 0) {
+		if !s.cluster.IsFrozen(name) && s.cluster.StoreOf(name) == store && grant.Allows(s.cluster.Clock(name)(), 0) {
 			s.recordAct(leaseAct{at: s.now(), holder: name, fence: grant.Record.Fence})
 		}
 	}
--- a/internal/test/linearizability/simulation_test.go
+++ b/internal/test/linearizability/simulation_test.go
@@ -247,7 +247,7 @@
 
 // waitWhileFrozen holds back a step of a machine's process while the machine is frozen.
 func (s *simulation) waitWhileFrozen(name string) {
-	for s.cluster.Frozen(name) {
+	for s.cluster.IsFrozen(name) {
 		time.Sleep(3*time.Millisecond + 11*time.Nanosecond)
 	}
 }
--- a/internal/test/modelcheck/member.go
+++ b/internal/test/modelcheck/member.go
@@ -141,7 +141,7 @@
 
 // wipe is a crash that takes the disk along.
 func (m *member) wipe(rules Rules, now time.Time) *member {
-	registers := rules.Wiped(m.localState.DiskIncarnation+1, m.membership)
+	registers := rules.WipedRegisters(m.localState.DiskIncarnation+1, m.membership)
 	return newMember(m.State.Address, m.State.Seeds, m.State.LeaseDuration, registers, now.Add(m.State.LeaseDuration))
 }
 
--- a/internal/test/modelcheck/model.go
+++ b/internal/test/modelcheck/model.go
@@ -99,7 +99,7 @@
 		first.members = append(first.members, m.members.add(state))
 	}
 	for _, address := range scenario.Newcomers {
-		wiped := newMember(address, seeds, lease, m.rules.Wiped(1, scenario.Membership), epoch.Add(lease))
+		wiped := newMember(address, seeds, lease, m.rules.WipedRegisters(1, scenario.Membership), epoch.Add(lease))
 		first.members = append(first.members, m.members.add(wiped))
 	}
 }
--- a/internal/test/modelcheck/planted_faults_test.go
+++ b/internal/test/modelcheck/planted_faults_test.go
@@ -24,7 +24,7 @@
 )
 
 func votesRightAfterWipe(rules *modelcheck.Rules) {
-	rules.Wiped = func(incarnation uint64, membership keystore.Membership) []keystore.Register {
+	rules.WipedRegisters = func(incarnation uint64, membership keystore.Membership) []keystore.Register {
 		return keystore.BootstrapRegisters(membership, incarnation)
 	}
 }
@@ -126,7 +126,7 @@
 
 // judgesChangedReplies changes the replies on which a bootstrap is judged; members without one count with an empty one.
 func judgesChangedReplies(rules *modelcheck.Rules, change func(address string, reply keystore.Reply) keystore.Reply) {
-	rules.JudgeBootstrap = func(self string, founding keystore.Membership, replies map[string]keystore.Reply) keystore.BootstrapVerdict {
+	rules.EvaluateBootstrap = func(self string, founding keystore.Membership, replies map[string]keystore.Reply) keystore.BootstrapVerdict {
 		judged := map[string]keystore.Reply{}
 		for _, address := range founding.Current {
 			judged[address] = change(address, replies[address])
@@ -143,7 +143,7 @@
 			return keystore.Reply{
 				Rejection:  keystore.RejectedNotVoting,
 				NeverVoted: true,
-				Seeds:      modelcheck.BootstrapWithoutOne().Membership.Current,
+				Seeds:      modelcheck.BootstrapWithUnreachableMember().Membership.Current,
 			}
 		}
 		return reply
@@ -181,14 +181,14 @@
 
 // takesBackByNextMembers counts the votes of the next members where those of the current ones decide.
 func takesBackByNextMembers(rules *modelcheck.Rules) {
-	rules.TakeBackElectorate = func(joint keystore.Membership) keystore.Membership {
+	rules.RollbackElectorate = func(joint keystore.Membership) keystore.Membership {
 		return keystore.Membership{Version: joint.Version, Current: joint.Next}
 	}
 }
 
 // takesBackOverCompletion takes back a joint membership although a completion was found.
 func takesBackOverCompletion(rules *modelcheck.Rules) {
-	rules.ProposeTakeBack = func(owner keystore.Ownership, joint keystore.Membership) (keystore.Register, error) {
+	rules.ProposeRollback = func(owner keystore.Ownership, joint keystore.Membership) (keystore.Register, error) {
 		value, err := json.Marshal(joint.RolledBack())
 		return owner.NextProposal(value), err
 	}
@@ -205,16 +205,16 @@
 }
 
 var plantedFaults = []plantedFault{
-	{"silent founder counted as one that never voted", modelcheck.BootstrapWithoutOne(), bootstrapsWithoutUnanswered},
-	{"second founding after the first was completed", modelcheck.BootstrapLongAgo(), bootstrapsAfterCompletion},
+	{"silent founder counted as one that never voted", modelcheck.BootstrapWithUnreachableMember(), bootstrapsWithoutUnanswered},
+	{"second founding after the first was completed", modelcheck.DiskLossAfterBootstrap(), bootstrapsAfterCompletion},
 	{"founding under a later member list", modelcheck.BootstrapMembershipChanged(), bootstrapsUnderAnyMembership},
 	{"testimony not tied to a life", modelcheck.BootstrapWithWipe(), answersWithoutRecordingIncarnation},
 	{"vote after a wipe at once", modelcheck.WipeSeen(), votesRightAfterWipe},
 	{"answer before the sync", modelcheck.CrashBetweenWrites(), answersBeforeSync},
 	{"one majority in a joint change", modelcheck.JointMajorities(), countsOnlyCurrentMajority},
-	{"taken back by the next members", modelcheck.ChangeAfterTakeBack(), takesBackByNextMembers},
-	{"taken back over a completion", modelcheck.TakeBackBesideCompletion(), takesBackOverCompletion},
-	{"votes of the next members counted beside a take-back", modelcheck.TakeBackBesideCompletion(), completesByNextMembers},
+	{"taken back by the next members", modelcheck.ChangeAfterRollback(), takesBackByNextMembers},
+	{"taken back over a completion", modelcheck.RollbackDuringCompletion(), takesBackOverCompletion},
+	{"votes of the next members counted beside a take-back", modelcheck.RollbackDuringCompletion(), completesByNextMembers},
 	{"vote after a wipe at once, of five members", modelcheck.FiveWithWipe(), votesRightAfterWipe},
 	{"taken back over a completion, two joining", modelcheck.TwoJoiningTwice(), takesBackOverCompletion},
 	{"silence as agreement", modelcheck.TwoProposers(), countsSilenceAsAgreement},
@@ -234,7 +234,7 @@
 func TestSearch_FindsPlantedFaults(t *testing.T) {
 	for _, planted := range plantedFaults {
 		t.Run(planted.name, func(t *testing.T) {
-			rules := modelcheck.ProductRules()
+			rules := modelcheck.ProductionRules()
 			planted.plant(&rules)
 			report := modelcheck.Search(t.Context(), planted.scenario, rules, modelcheck.Limits{})
 			t.Log(report)
--- a/internal/test/modelcheck/queries.go
+++ b/internal/test/modelcheck/queries.go
@@ -60,7 +60,7 @@
 func (p *proposer) evaluateCatchUp(at view) outcome {
 	incarnation := at.own.localState.DiskIncarnation
 	request := keystore.CatchUpRequest{Self: p.Machine, DiskIncarnation: incarnation, Membership: p.Queried}
-	read, _, enough := keystore.EvaluateCatchUp(request, p.Replies, at.rules.JudgeBootstrap)
+	read, _, enough := keystore.EvaluateCatchUp(request, p.Replies, at.rules.EvaluateBootstrap)
 	if !enough {
 		return outcome{}
 	}
--- a/internal/test/modelcheck/rounds.go
+++ b/internal/test/modelcheck/rounds.go
@@ -86,7 +86,7 @@
 // electorate is the membership under which the votes on the task are counted.
 func (p *proposer) electorate(at view) keystore.Membership {
 	if p.task().Kind == taskTakeBack {
-		return at.rules.TakeBackElectorate(p.Membership)
+		return at.rules.RollbackElectorate(p.Membership)
 	}
 	return p.Membership
 }
@@ -180,7 +180,7 @@
 
 // proposeTakeBack writes the membership that ends the joint one, unless that may be completed.
 func (p *proposer) proposeTakeBack(at view) outcome {
-	proposed, err := at.rules.ProposeTakeBack(p.Ownership, p.Membership)
+	proposed, err := at.rules.ProposeRollback(p.Ownership, p.Membership)
 	if err != nil {
 		p.finishTask()
 		return outcome{}
--- a/internal/test/modelcheck/rules.go
+++ b/internal/test/modelcheck/rules.go
@@ -17,10 +17,10 @@
 		state *keystore.AcceptorState, read keystore.CatchUpResult, now time.Time,
 	) (keystore.Reply, []keystore.Register)
 	Learn func(state *keystore.AcceptorState, chosen keystore.Register) (keystore.Reply, []keystore.Register)
-	// JudgeBootstrap is keystore.EvaluateBootstrap.
-	JudgeBootstrap keystore.BootstrapEvaluator
-	// Wiped is a member's first state after the loss of its disk.
-	Wiped func(diskIncarnation uint64, membership keystore.Membership) []keystore.Register
+	// EvaluateBootstrap is keystore.EvaluateBootstrap.
+	EvaluateBootstrap keystore.BootstrapEvaluator
+	// WipedRegisters is a member's first state after the loss of its disk.
+	WipedRegisters func(diskIncarnation uint64, membership keystore.Membership) []keystore.Register
 	// WaitsForSync says whether a reply waits until these changes are synced.
 	WaitsForSync func(changes []keystore.Register) bool
 	// CountVotes says whether a quorum agrees, and whether one still may.
@@ -30,10 +30,10 @@
 	// NeedsRecommit and CountsAcceptance are a proposer's, see keystore.Ownership.
 	NeedsRecommit    func(owner keystore.Ownership) bool
 	CountsAcceptance func(owner keystore.Ownership, address string, reply keystore.Reply) bool
-	// TakeBackElectorate and ProposeTakeBack are those of a proposer that takes back a joint membership, see
+	// RollbackElectorate and ProposeTakeBack are those of a proposer that takes back a joint membership, see
 	// keystore.Store.ChangeMembership.
-	TakeBackElectorate func(joint keystore.Membership) keystore.Membership
-	ProposeTakeBack    func(owner keystore.Ownership, joint keystore.Membership) (keystore.Register, error)
+	RollbackElectorate func(joint keystore.Membership) keystore.Membership
+	ProposeRollback    func(owner keystore.Ownership, joint keystore.Membership) (keystore.Register, error)
 	// ProposalNumber numbers an attempt of an incarnation of a proposer.
 	ProposalNumber func(round uint64, proposer string, incarnation uint64) keystore.ProposalNumber
 	// IsFresh says whether a digest may still be answered from.
@@ -43,22 +43,22 @@
 	Clock func(monotonic time.Time, wallClockOffset time.Duration) time.Time
 }
 
-// ProductRules gives the rules of the product.
-func ProductRules() Rules {
+// ProductionRules gives the rules of the product.
+func ProductionRules() Rules {
 	return Rules{
 		Step:           (*keystore.AcceptorState).Step,
 		Install:        (*keystore.AcceptorState).Install,
 		Learn:          (*keystore.AcceptorState).Learn,
-		JudgeBootstrap: keystore.EvaluateBootstrap,
-		Wiped: func(diskIncarnation uint64, _ keystore.Membership) []keystore.Register {
+		EvaluateBootstrap: keystore.EvaluateBootstrap,
+		WipedRegisters: func(diskIncarnation uint64, _ keystore.Membership) []keystore.Register {
 			return keystore.WipedRegisters(diskIncarnation)
 		},
 		WaitsForSync:       func(changes []keystore.Register) bool { return len(changes) > 0 },
 		CountVotes:         keystore.CountVotes,
 		NeedsRecommit:      keystore.Ownership.NeedsRecommit,
 		CountsAcceptance:   keystore.Ownership.CountsAcceptance,
-		TakeBackElectorate: keystore.RollbackElectorate,
-		ProposeTakeBack:    keystore.Ownership.ProposeRollback,
+		RollbackElectorate: keystore.RollbackElectorate,
+		ProposeRollback:    keystore.Ownership.ProposeRollback,
 		ProposalNumber: func(round uint64, proposer string, incarnation uint64) keystore.ProposalNumber {
 			return keystore.ProposalNumber{Round: round, Proposer: proposer, Incarnation: incarnation}
 		},
--- a/internal/test/modelcheck/scenarios_bootstrap.go
+++ b/internal/test/modelcheck/scenarios_bootstrap.go
@@ -4,8 +4,8 @@
 
 var two = keystore.Membership{Version: 1, Current: []string{"a", "b"}}
 
-// BootstrapFromNothing is two initial members that were killed before they wrote anything; one loses its disk once more.
-func BootstrapFromNothing() Scenario {
+// BootstrapFromEmptyDisks is two initial members that were killed before they wrote anything; one loses its disk once more.
+func BootstrapFromEmptyDisks() Scenario {
 	return Scenario{
 		Name:            "founding-from-nothing",
 		Summary:         "two founders with empty disks, one loses its disk again; two changes",
@@ -80,9 +80,9 @@
 	}
 }
 
-// BootstrapWithoutOne is an initial member that loses its disk beside one that never voted, while neither reaches the one
+// BootstrapWithUnreachableMember is an initial member that loses its disk beside one that never voted, while neither reaches the one
 // that holds what was acknowledged.
-func BootstrapWithoutOne() Scenario {
+func BootstrapWithUnreachableMember() Scenario {
 	return Scenario{
 		Name:            "founding-without-one",
 		Summary:         "two founders without a vote do not reach the third, which holds a change",
@@ -111,9 +111,9 @@
 	}
 }
 
-// BootstrapLongAgo is a system in which the bootstrap was completed and two of three disks are lost: it must not be
+// DiskLossAfterBootstrap is a system in which the bootstrap was completed and two of three disks are lost: it must not be
 // bootstrapped again, as what was acknowledged may have stood on those two alone.
-func BootstrapLongAgo() Scenario {
+func DiskLossAfterBootstrap() Scenario {
 	return Scenario{
 		Name:               "founding-long-ago",
 		Summary:            "two of three disks are lost after the founding was completed",
@@ -139,7 +139,7 @@
 // BootstrapMembershipChanged is the same where no initial member saw the end of the bootstrap, but the membership was
 // changed since.
 func BootstrapMembershipChanged() Scenario {
-	scenario := BootstrapLongAgo()
+	scenario := DiskLossAfterBootstrap()
 	scenario.Name, scenario.Summary = "founding-list-changed", "two of three disks are lost after the founding list was changed"
 	scenario.Membership = keystore.Membership{Version: 3, Current: three.Current}
 	scenario.BootstrapCompleted, scenario.ForgetsMembership = false, false
--- a/internal/test/modelcheck/scenarios_five.go
+++ b/internal/test/modelcheck/scenarios_five.go
@@ -4,8 +4,8 @@
 
 var five = keystore.Membership{Version: 1, Current: []string{"a", "b", "c", "d", "e"}}
 
-// FiveMeetAtOne is two proposers among five members that meet at c, which crashes.
-func FiveMeetAtOne() Scenario {
+// FiveWithOneCommonMember is two proposers among five members that meet at c, which crashes.
+func FiveWithOneCommonMember() Scenario {
 	return Scenario{
 		Name:       "five-meet-at-one",
 		Summary:    "two changes among five members that meet at c, which crashes; unsynced writes lost or kept",
@@ -32,7 +32,7 @@
 
 // FiveWithWipe is the same where c loses its disk and catches up from three of the four others.
 func FiveWithWipe() Scenario {
-	scenario := FiveMeetAtOne()
+	scenario := FiveWithOneCommonMember()
 	scenario.Name, scenario.Summary = "five-with-wipe", "two changes among five members that meet at c, which loses its disk"
 	scenario.SeparatesSync = false
 	scenario.Faults = Faults{Wipes: 1}
@@ -100,7 +100,7 @@
 				StartsImmediately: true,
 				Reachable:         []string{"a", "b", "e"},
 				Tasks: []Task{
-					TakeBack(1),
+					RollBackMembership(1),
 					ChangeMembership(second, "", 1),
 					ChangeMembership(final, "e", 1),
 				},
--- a/internal/test/modelcheck/scenarios_membership.go
+++ b/internal/test/modelcheck/scenarios_membership.go
@@ -67,9 +67,9 @@
 	return scenario
 }
 
-// TakeBackBesideCompletion is a joint membership that one proposer takes back while another one completes it.
-func TakeBackBesideCompletion() Scenario {
-	scenario := TakeBackThenWrites()
+// RollbackDuringCompletion is a joint membership that one proposer takes back while another one completes it.
+func RollbackDuringCompletion() Scenario {
+	scenario := RollbackThenWrites()
 	scenario.Name, scenario.Summary = "take-back", "a joint list is taken back while another proposer completes it"
 	for index := range scenario.Clients {
 		scenario.Clients[index].Tasks = scenario.Clients[index].Tasks[:1]
@@ -77,8 +77,8 @@
 	return scenario
 }
 
-// TakeBackThenWrites is the same where each of them then writes under what it believes to be in force.
-func TakeBackThenWrites() Scenario {
+// RollbackThenWrites is the same where each of them then writes under what it believes to be in force.
+func RollbackThenWrites() Scenario {
 	return Scenario{
 		Name:             "take-back-then-writes",
 		Summary:          "a joint list is taken back while it is completed; both proposers then write",
@@ -95,15 +95,15 @@
 				Machine:           "b",
 				StartsImmediately: true,
 				Reachable:         []string{"b", "c"},
-				Tasks:             []Task{TakeBack(1), Change(configurationKey, "y", 1)},
+				Tasks:             []Task{RollBackMembership(1), Change(configurationKey, "y", 1)},
 			},
 			{Machine: "d", Reachable: []string{"a", "b"}, Tasks: []Task{CatchUp(1)}},
 		},
 	}
 }
 
-// ChangeAfterTakeBack is a joint membership that is taken back, and the next change of the membership by the same proposer.
-func ChangeAfterTakeBack() Scenario {
+// ChangeAfterRollback is a joint membership that is taken back, and the next change of the membership by the same proposer.
+func ChangeAfterRollback() Scenario {
 	again := keystore.Membership{Version: 4, Current: joint.Current, Next: joint.Next}
 	return Scenario{
 		Name:             "change-after-take-back",
@@ -112,15 +112,15 @@
 		Newcomers:        []string{"d"},
 		InitialRegisters: jointOnCurrentMembers(),
 		Clients: []Client{
-			{Machine: "a", Tasks: []Task{TakeBack(1).AfterVoteOf("d"), ChangeMembership(again, "", 1)}},
+			{Machine: "a", Tasks: []Task{RollBackMembership(1).AfterVoteOf("d"), ChangeMembership(again, "", 1)}},
 			{Machine: "d", Reachable: []string{"a", "b"}, Tasks: []Task{CatchUp(1)}},
 		},
 	}
 }
 
-// TakeBackWithWipe is TakeBackBesideCompletion while c, whose promises may be counted, loses its disk.
-func TakeBackWithWipe() Scenario {
-	scenario := TakeBackBesideCompletion()
+// RollbackWithWipe is TakeBackBesideCompletion while c, whose promises may be counted, loses its disk.
+func RollbackWithWipe() Scenario {
+	scenario := RollbackDuringCompletion()
 	scenario.Name, scenario.Summary = "take-back-with-wipe", "a joint list is taken back while it is completed, and c loses its disk"
 	scenario.Clients = append(scenario.Clients, Client{Machine: "c", Reachable: []string{"a", "b"}, Tasks: []Task{CatchUp(1)}})
 	scenario.Faults, scenario.FaultyMachines = Faults{Wipes: 1}, []string{"c"}
--- a/internal/test/modelcheck/search.go
+++ b/internal/test/modelcheck/search.go
@@ -14,8 +14,8 @@
 	Depth int
 	// States is how many worlds are visited.
 	States int
-	// For is how long the search may take, by the real clock.
-	For time.Duration
+	// Timeout is how long the search may take, by the real clock.
+	Timeout time.Duration
 	// Progress, if set, is called after each level.
 	Progress func(Report)
 }
@@ -119,7 +119,7 @@
 	if s.limits.States > 0 && len(s.steps) >= s.limits.States {
 		return true
 	}
-	if s.limits.For > 0 && time.Since(s.started) >= s.limits.For {
+	if s.limits.Timeout > 0 && time.Since(s.started) >= s.limits.Timeout {
 		return true
 	}
 	return ctx.Err() != nil
--- a/internal/test/modelcheck/search_test.go
+++ b/internal/test/modelcheck/search_test.go
@@ -28,21 +28,21 @@
 			}, scenario.Name) {
 				t.Skip("takes seconds")
 			}
-			searchExhaustively(t, scenario, modelcheck.ProductRules())
+			searchExhaustively(t, scenario, modelcheck.ProductionRules())
 		})
 	}
 }
 
 func TestSearch_LimitStopsBeforeExhaustion(t *testing.T) {
-	report := modelcheck.Search(t.Context(), modelcheck.TwoProposers(), modelcheck.ProductRules(), modelcheck.Limits{States: 100})
+	report := modelcheck.Search(t.Context(), modelcheck.TwoProposers(), modelcheck.ProductionRules(), modelcheck.Limits{States: 100})
 	assert.Assert(t, !report.Exhausted && report.Violation == "")
-	report = modelcheck.Search(t.Context(), modelcheck.TwoProposers(), modelcheck.ProductRules(), modelcheck.Limits{Depth: 3})
+	report = modelcheck.Search(t.Context(), modelcheck.TwoProposers(), modelcheck.ProductionRules(), modelcheck.Limits{Depth: 3})
 	assert.Assert(t, !report.Exhausted && report.Depth == 3)
 }
 
 func TestSearch_IsDeterministic(t *testing.T) {
-	first := modelcheck.Search(t.Context(), modelcheck.MembershipDuringCatchUp(), modelcheck.ProductRules(), modelcheck.Limits{})
-	second := modelcheck.Search(t.Context(), modelcheck.MembershipDuringCatchUp(), modelcheck.ProductRules(), modelcheck.Limits{})
+	first := modelcheck.Search(t.Context(), modelcheck.MembershipDuringCatchUp(), modelcheck.ProductionRules(), modelcheck.Limits{})
+	second := modelcheck.Search(t.Context(), modelcheck.MembershipDuringCatchUp(), modelcheck.ProductionRules(), modelcheck.Limits{})
 	first.Duration, second.Duration = 0, 0
 	assert.DeepEqual(t, first, second)
 }
--- a/internal/test/modelcheck/task.go
+++ b/internal/test/modelcheck/task.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// TakeBack ends the joint membership that the proposer knows with its current members, in at most so many attempts.
-func TakeBack(attempts int) Task {
+// RollBackMembership ends the joint membership that the proposer knows with its current members, in at most so many attempts.
+func RollBackMembership(attempts int) Task {
 	return Task{Kind: taskTakeBack, Key: keystore.MembershipKey, Attempts: attempts}
 }
 
