--- a/internal/test/docs/comments_test.go
+++ b/internal/test/docs/comments_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// pageReference matches a page of the repository that a comment names.
+// pageReference matches a reference to a documentation page in a comment.
 var pageReference = regexp.MustCompile(`docs/[A-Za-z0-9_/-]+\.md`)
 
 func TestComments_NameOnlyPagesThatExist(t *testing.T) {
--- a/internal/test/docs/doc.go
+++ b/internal/test/docs/doc.go
@@ -1,3 +1,3 @@
-// Package docs has tests only: they hold the pages of the repository against its code, so that a page that names a file,
-// a package or a log message stays true when the code moves.
+// Package docs contains only tests. They check the documentation against the code, so that references in a page to files,
+// packages and log messages remain valid when the code changes.
 package docs
--- a/internal/test/docs/docs_test.go
+++ b/internal/test/docs/docs_test.go
@@ -16,16 +16,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// repository is the root of the checkout, seen from the folder of this test.
+// repository is the path of the repository's root relative to this package.
 const repository = "../../.."
 
-// recordFolders hold records of past runs and incidents. They keep the names of their day.
+// recordFolders contain records of past runs and incidents, which keep the names that were in use at the time.
 var recordFolders = []string{"docs/records/", "docs/incidents/", "docs/capacity/"}
 
-// codePath matches what a page gives as a path of the repository: a quoted name that begins with a top folder.
+// codePath matches a path of the repository in a page: a quoted name that begins with a top-level folder.
 var codePath = regexp.MustCompile("`((?:cmd|internal|docs|deploy|\\.ci)/[A-Za-z0-9_./*-]+)`")
 
-// pages are the paths of all pages that must be true of the present code.
+// pages returns the paths of all pages that must match the current code.
 func pages(t *testing.T) []string {
 	t.Helper()
 	found := []string{"README.md"}
@@ -64,10 +64,10 @@
 	}
 }
 
-// alertLevels are the methods of logrus whose messages need an entry in the runbook.
+// alertLevels are the logrus methods whose messages must have an entry in the runbook.
 var alertLevels = map[string]bool{"Warn": true, "Error": true, "Fatal": true}
 
-// otherLevels are the methods whose messages the runbook may name too.
+// otherLevels are the logrus methods whose messages may have an entry in the runbook.
 var otherLevels = map[string]bool{"Info": true, "Debug": true}
 
 const runbook = "docs/runbook.md"
@@ -89,7 +89,7 @@
 	}
 }
 
-// runbookRow matches a row of the runbook's tables of messages: its first cell is one quoted message.
+// runbookRow matches a row of the message tables in the runbook, whose first cell is one quoted message.
 var runbookRow = regexp.MustCompile("(?m)^\\| `([^`|]+)` \\| (?:debug|info|warning|error) \\|")
 
 func runbookMessages(t *testing.T) map[string]bool {
@@ -104,7 +104,7 @@
 	return messages
 }
 
-// logMessages are the constant messages that the programs log at the given levels, each with a position in the code.
+// logMessages returns the constant messages that the programs log at the given levels, each with its position in the code.
 func logMessages(t *testing.T, levels map[string]bool) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
@@ -131,7 +131,7 @@
 	return messages
 }
 
-// loggedMessage is the message of a call such as logrus.WithError(err).Warn("message").
+// loggedMessage returns the message of a call such as logrus.WithError(err).Warn("message").
 func loggedMessage(node ast.Node, levels map[string]bool) (string, bool) {
 	call, isCall := node.(*ast.CallExpr)
 	if !isCall || len(call.Args) != 1 {
@@ -149,7 +149,7 @@
 	return message, err == nil
 }
 
-// mentionsLogrus tells whether an expression is the package logrus, an entry made from it, or a variable named for one.
+// mentionsLogrus reports whether an expression contains the name of package logrus or of a variable for a logger or entry.
 func mentionsLogrus(expression ast.Expr) bool {
 	found := false
 	ast.Inspect(expression, func(node ast.Node) bool {
--- a/internal/test/keystoresim/cluster.go
+++ b/internal/test/keystoresim/cluster.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// LeaseDuration is how long members grant a lease.
+	// LeaseDuration is the duration for which members grant a lease.
 	LeaseDuration = 1500 * time.Millisecond
 
 	segmentBytes = 64 << 10
-	// diskRetryInterval is the pause after a disk has rejected what a process needs to start.
+	// diskRetryInterval is the pause after the disk has rejected an operation that a process needs to start.
 	diskRetryInterval = 100 * time.Millisecond
-	// catchUpInterval is the pause between the attempts of a member without a vote.
+	// catchUpInterval is the pause between the catch-up attempts of a non-voting member.
 	catchUpInterval = 200 * time.Millisecond
 )
 
@@ -26,14 +26,14 @@
 type member struct {
 	disk *Disk
 	zone int
-	// frozen counts the faults that have the machine stand still at present.
+	// frozen is the number of current faults that freeze the machine.
 	frozen int
-	// incarnations counts the processes that were started on the machine.
+	// incarnations is the number of processes started on the machine so far.
 	incarnations uint32
 	process      process
 }
 
-// process is what runs on a machine, or ran last.
+// process is the current or last process on a machine.
 type process struct {
 	running  bool
 	handle   *Handle
@@ -42,32 +42,31 @@
 	stop     context.CancelFunc
 }
 
-// link leads from one machine to another.
+// link is one direction of the connection between two machines.
 type link struct {
 	from, to string
 }
 
-// Cluster is a set of members with the network between them.
+// Cluster is a set of simulated machines and the network between them.
 type Cluster struct {
-	// Names lists the machines that are, or are to be, members; use MemberNames while a test changes them.
+	// Names lists the machines that are members or will become members. Use MemberNames while a test changes them.
 	Names []string
-	// Lossy has the network lose some messages. Where it Retransmits, they arrive late instead.
+	// Lossy makes the network lose some messages. With Retransmits, they arrive late instead.
 	Lossy       bool
 	Retransmits bool
 
-	// ClockDrift is the share by which the monotonic clock of a machine runs too fast or too slow at most. Each machine has its own
-	// rate for as long as the simulation lasts.
+	// ClockDrift is the maximum relative error of a machine's monotonic clock. Each machine has its own constant rate.
 	ClockDrift float64
 
-	// The following are broken variants, for tests to find.
+	// The following fields inject implementation faults, which tests must detect.
 
-	// VotesWithoutCatchUp has a member that lost its disk vote at once.
+	// VotesWithoutCatchUp makes a member that lost its disk vote immediately.
 	VotesWithoutCatchUp bool
-	// SkipsSync has members reply before their disks sync.
+	// SkipsSync makes members reply before their disks sync.
 	SkipsSync bool
-	// CountsMissingReplyAsGrant has a message that gets no reply count as granted.
+	// CountsMissingReplyAsGrant makes a message without a reply count as granted.
 	CountsMissingReplyAsGrant bool
-	// UsesWallClock has members measure leases by a clock that is set now and then.
+	// UsesWallClock makes members measure leases by a wall clock that is stepped now and then.
 	UsesWallClock bool
 
 	seed             uint64
@@ -80,7 +79,7 @@
 	zoneCount        int
 }
 
-// New makes machines named member-0 and so on; the seed draws delays and losses.
+// New returns a cluster of machines named member-0 and so on. Delays and losses are derived from the seed.
 func New(seed uint64, size int) *Cluster {
 	cluster := &Cluster{
 		seed:         seed,
@@ -97,8 +96,7 @@
 	return cluster
 }
 
-// Start starts a process on a machine. When bootstrapping, it is an initial member of a system that starts for the first
-// time.
+// Start starts a process on a machine. With bootstrapping, the machine is an initial member of a new system.
 func (c *Cluster) Start(name string, bootstrapping bool) {
 	machine := c.member(name)
 	machine.incarnations++
@@ -130,7 +128,7 @@
 	go catchUp(ctx, store, acceptor)
 }
 
-// openWAL opens the write-ahead log on a disk, and tries again while the disk rejects it.
+// openWAL opens the write-ahead log on a disk, and retries while the disk rejects operations.
 func openWAL(handle *Handle) *keystore.WAL {
 	for {
 		log, err := keystore.OpenWAL(handle, keystore.SegmentCount, segmentBytes)
@@ -163,7 +161,7 @@
 	}
 }
 
-// Kill ends the process on a machine; its disk stays as it is.
+// Kill ends the process on a machine. It does not change the disk, unsynced writes included.
 func (c *Cluster) Kill(name string) {
 	machine := c.member(name)
 	c.lock.Lock()
@@ -175,10 +173,10 @@
 	}
 }
 
-// LosePower loses what a machine's disk has not synced. The process must have been killed.
+// LosePower loses unsynced writes of a machine's disk. The process must have been killed.
 func (c *Cluster) LosePower(name string, random *rand.Rand) { c.disk(name).LosePower(random) }
 
-// StoreOf is the store of a running process, nil for others.
+// StoreOf returns the store of the process on a machine, or nil if none is running.
 func (c *Cluster) StoreOf(name string) *keystore.Store {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -188,7 +186,7 @@
 	return nil
 }
 
-// AcceptorOf is the acceptor of a running process, nil for others.
+// AcceptorOf returns the acceptor of the process on a machine, or nil if none is running.
 func (c *Cluster) AcceptorOf(name string) *keystore.Acceptor {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -206,7 +204,7 @@
 
 func (c *Cluster) disk(name string) *Disk { return c.member(name).disk }
 
-// drawNumber draws a number that depends on the seed and the parts alone.
+// drawNumber returns a random number that depends only on the seed and the parts.
 func (c *Cluster) drawNumber(parts ...any) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, c.seed, parts)
--- a/internal/test/keystoresim/disk.go
+++ b/internal/test/keystoresim/disk.go
@@ -9,25 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-// Disk is a simulated disk with one directory. It outlives the processes that use it. Each write that isn't synced may
-// be lost or torn by a loss of power, and each name that was made without a sync of the directory may be lost by itself,
-// with whatever the file holds.
+// Disk is a simulated disk with one directory. It outlives the processes that use it. A power loss may lose or tear each
+// unsynced write. It may also lose, independently, each name that was created since the last sync of the directory, together
+// with the file's content.
 type Disk struct {
 	lock     sync.Mutex
 	synced   map[string][]byte
 	unsynced map[string][]unsyncedWrite
 	names    map[string]nameState
-	// stallDuration is added to the time of each operation.
+	// stallDuration is added to the duration of each operation.
 	stallDuration time.Duration
-	// rejecting counts the faults that have the disk reject writes at present.
+	// rejecting is the number of current faults that make the disk reject writes.
 	rejecting int
 }
 
-// nameState says whether a name is on the disk.
+// nameState is whether a directory entry is durable.
 type nameState int
 
 const (
-	// nameCreated: the directory was not synced since the name was made.
+	// nameCreated means that the directory was not synced since the name was created.
 	nameCreated nameState = iota
 	nameSynced
 )
@@ -43,7 +43,7 @@
 	errKilled   = errors.New("process was killed")
 )
 
-// operationTime is how long a write or a sync takes.
+// operationTime is the duration of a write or a sync.
 const operationTime = 5 * time.Millisecond
 
 // NewDisk returns an empty disk.
@@ -51,20 +51,20 @@
 	return &Disk{synced: map[string][]byte{}, unsynced: map[string][]unsyncedWrite{}, names: map[string]nameState{}}
 }
 
-// Attach returns the directory as a new process has it.
+// Attach returns a handle of the directory for a new process.
 func (d *Disk) Attach() *Handle { return &Handle{disk: d} }
 
-// Handle is the directory of a disk as one process has it. It implements keystore.Directory.
+// Handle is one process's handle of a disk's directory. It implements keystore.Directory.
 type Handle struct {
 	disk   *Disk
 	killed bool
-	// skipsSync makes Sync return at once with nothing done: a broken variant.
+	// skipsSync makes Sync do nothing, as an injected fault.
 	skipsSync bool
-	// SkipsDirectorySync makes SyncDirectory return at once with nothing done: a broken variant.
+	// SkipsDirectorySync makes SyncDirectory do nothing, as an injected fault.
 	SkipsDirectorySync bool
 }
 
-// applyWrite writes over content, which is lengthened with zeros where it is too short.
+// applyWrite overwrites part of content, after extending it with zeros if it is too short.
 func applyWrite(content []byte, write unsyncedWrite) []byte {
 	end := int(write.offset) + len(write.content)
 	if len(content) < end {
@@ -74,21 +74,21 @@
 	return content
 }
 
-// Kill ends the process: its later writes and syncs fail. What it wrote stays as it was.
+// Kill ends the process: its later writes and syncs fail. Its earlier writes are kept.
 func (h *Handle) Kill() {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
 	h.killed = true
 }
 
-// List returns the names in order.
+// List returns the names in sorted order.
 func (h *Handle) List() ([]string, error) {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
 	return slices.Sorted(maps.Keys(h.disk.names)), nil
 }
 
-// Read returns what a process reads: also what isn't synced.
+// Read returns a file's content, including unsynced writes.
 func (h *Handle) Read(name string) ([]byte, error) {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
@@ -99,7 +99,7 @@
 	return content, nil
 }
 
-// Prepare makes a name; files have no length of their own here.
+// Prepare creates a name. The length is ignored, as files are not preallocated here.
 func (h *Handle) Prepare(name string, _ int64) error {
 	h.disk.lock.Lock()
 	defer h.disk.lock.Unlock()
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// waitForDisk takes the time of one operation, and fails as the disk or the process does meanwhile.
+// waitForDisk waits for the duration of one operation. It fails if the disk rejects the operation or the process is killed
+// meanwhile.
 func (h *Handle) waitForDisk() error {
 	h.disk.lock.Lock()
 	stall := h.disk.stallDuration
@@ -134,7 +135,8 @@
 	return nil
 }
 
-// Write takes operationTime, and fails on a disk that rejects it and in a process that was killed meanwhile.
+// Write writes content without syncing it. It takes operationTime, and fails if the disk rejects the write or the process is
+// killed meanwhile.
 func (h *Handle) Write(name string, offset int64, content []byte) error {
 	if err := h.waitForDisk(); err != nil {
 		return err
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// Sync makes a file's writes durable, but not its name. It returns at once if nothing was written since the last one.
+// Sync makes a file's writes durable, but not its name. It returns immediately if nothing was written since the last sync.
 func (h *Handle) Sync(name string) error {
 	if h.skipsSync || h.isClean(name) {
 		return nil
--- a/internal/test/keystoresim/disk_power.go
+++ b/internal/test/keystoresim/disk_power.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// sectorBytes is the piece of a write that is there or missing as a whole.
+// sectorBytes is the unit in which a write reaches the disk or is lost.
 const sectorBytes = 512
 
-// LosePower draws the fate of each write that isn't synced and, apart from that, of each name that was made since the
-// directory was synced. The process must have been killed.
+// LosePower decides at random which unsynced writes are kept or torn and, independently, which names created since the last
+// sync of the directory are kept. The process must have been killed.
 func (d *Disk) LosePower(random *rand.Rand) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	all := random.IntN(4) == 0
+	losesAll := random.IntN(4) == 0
 	for _, name := range slices.Sorted(maps.Keys(d.unsynced)) {
 		for _, write := range d.unsynced[name] {
-			if all {
+			if losesAll {
 				continue
 			}
 			for _, kept := range tear(write, random) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// tear draws what is left of a write: nothing, its beginning, some of its sectors, or all.
+// tear draws the part of a write that is kept: nothing, a prefix, some of its sectors, or all.
 func tear(write unsyncedWrite, random *rand.Rand) []unsyncedWrite {
 	switch random.IntN(4) {
 	case 0:
@@ -56,21 +56,21 @@
 	return []unsyncedWrite{write}
 }
 
-// Remove takes a file away, as no loss of power does.
+// Remove deletes a file, including one that is synced, which a power loss never does.
 func (d *Disk) Remove(name string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.removeLocked(name)
 }
 
-// removeLocked is Remove under the lock.
+// removeLocked deletes a file. The caller holds the lock.
 func (d *Disk) removeLocked(name string) {
 	delete(d.names, name)
 	delete(d.synced, name)
 	delete(d.unsynced, name)
 }
 
-// wipe takes everything away.
+// wipe deletes all files.
 func (d *Disk) wipe() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -79,21 +79,21 @@
 	d.names = map[string]nameState{}
 }
 
-// slowDown adds to the time of each operation, for a duration.
-func (d *Disk) slowDown(by, duration time.Duration) {
-	d.adjustFaults(by, 0)
+// slowDown adds a latency to each operation, for a duration.
+func (d *Disk) slowDown(latency, duration time.Duration) {
+	d.adjustFaults(latency, 0)
 	time.Sleep(duration)
-	d.adjustFaults(-by, 0)
+	d.adjustFaults(-latency, 0)
 }
 
-// rejectWrites has the disk reject every operation for a duration.
+// rejectWrites makes the disk reject every operation for a duration.
 func (d *Disk) rejectWrites(duration time.Duration) {
 	d.adjustFaults(0, 1)
 	time.Sleep(duration)
 	d.adjustFaults(0, -1)
 }
 
-// adjustFaults adds up faults that overlap.
+// adjustFaults adds to the current faults, so that overlapping faults accumulate.
 func (d *Disk) adjustFaults(stall time.Duration, rejecting int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/test/keystoresim/faults.go
+++ b/internal/test/keystoresim/faults.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Fault strikes a machine, or others as well, and returns once its duration is over.
+// Fault injects a fault into a machine, and into others where its kind affects several, and returns after its duration.
 type Fault func(cluster *Cluster, name string, random *rand.Rand, duration time.Duration)
 
-// MachineFaults are those of a single machine.
+// MachineFaults are the faults of a single machine.
 var MachineFaults = []Fault{Restart, LosePower, WipeDisk, Isolate, StallDisk, RejectWrites}
 
 // Mixes of faults that schedules draw from.
@@ -17,11 +17,11 @@
 	RestartFaults = OneOf(Restart, LosePower, WipeDisk, WipeTwoDisks, LoseZone)
 	LinkFaults    = OneOf(CutZoneLink, CutRegion, Isolate, Freeze)
 	DiskFaults    = OneOf(StallTwoDisks, SlowTwoDisks, RejectWrites)
-	// ConnectedMajorityFaults leave a majority that reach each other.
+	// ConnectedMajorityFaults leave a connected majority.
 	ConnectedMajorityFaults = OneOf(CutZoneLink, LoseZone, StallTwoDisks, SlowTwoDisks, Freeze)
 )
 
-// OneOf draws one of several faults each time.
+// OneOf returns a fault that draws one of the given faults each time.
 func OneOf(faults ...Fault) Fault {
 	return func(cluster *Cluster, name string, random *rand.Rand, duration time.Duration) {
 		faults[random.IntN(len(faults))](cluster, name, random, duration)
@@ -35,7 +35,7 @@
 	cluster.Start(name, false)
 }
 
-// LosePower kills the process, and loses what the disk has not synced.
+// LosePower kills the process, and loses unsynced writes of the disk.
 func LosePower(cluster *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	cluster.Kill(name)
 	cluster.LosePower(name, random)
@@ -43,7 +43,7 @@
 	cluster.Start(name, false)
 }
 
-// WipeDisk kills the process, and loses all that is on the disk.
+// WipeDisk kills the process, and deletes all data on the disk.
 func WipeDisk(cluster *Cluster, name string, _ *rand.Rand, duration time.Duration) {
 	cluster.Kill(name)
 	cluster.disk(name).wipe()
@@ -51,7 +51,7 @@
 	cluster.Start(name, false)
 }
 
-// Isolate cuts a machine from all others, in one direction or both.
+// Isolate cuts the links between a machine and all others, in one direction or both.
 func Isolate(cluster *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	inward := random.IntN(2) == 0
 	outward := !inward || random.IntN(2) == 0
@@ -68,43 +68,43 @@
 	time.Sleep(duration)
 }
 
-// Freeze lets a machine stand still; what is sent to it arrives after the thaw.
+// Freeze suspends a machine. Messages sent to it arrive once it runs again.
 func Freeze(cluster *Cluster, name string, _ *rand.Rand, duration time.Duration) {
 	cluster.freeze(name, duration)
 }
 
-// StallDisk lets a disk hang.
+// StallDisk makes a disk stall.
 func StallDisk(cluster *Cluster, name string, _ *rand.Rand, duration time.Duration) {
 	cluster.disk(name).slowDown(duration, duration)
 }
 
-// SlowDisk slows a disk down.
+// SlowDisk adds up to 300 ms to each operation of a disk.
 func SlowDisk(cluster *Cluster, name string, random *rand.Rand, duration time.Duration) {
-	by := time.Duration(random.Int64N(int64(300 * time.Millisecond)))
-	cluster.disk(name).slowDown(by, duration)
+	latency := time.Duration(random.Int64N(int64(300 * time.Millisecond)))
+	cluster.disk(name).slowDown(latency, duration)
 }
 
-// RejectWrites has a disk reject all operations.
+// RejectWrites makes a disk reject all operations.
 func RejectWrites(cluster *Cluster, name string, _ *rand.Rand, duration time.Duration) {
 	cluster.disk(name).rejectWrites(duration)
 }
 
-// Faults of a machine and a second one.
+// Faults of a machine and a second one drawn at random.
 var (
 	StallTwoDisks = onTwoMachines(StallDisk)
 	WipeTwoDisks  = onTwoMachines(WipeDisk)
 	SlowTwoDisks  = onTwoMachines(SlowDisk)
 )
 
-// onTwoMachines strikes a machine and, unless the draw falls on the same one, a second.
+// onTwoMachines returns a fault that affects a machine and, unless the draw selects the same one, a second one.
 func onTwoMachines(fault Fault) Fault {
 	return func(cluster *Cluster, name string, random *rand.Rand, duration time.Duration) {
-		struck := []string{name}
+		affected := []string{name}
 		if other := cluster.Names[random.IntN(len(cluster.Names))]; other != name {
-			struck = append(struck, other)
+			affected = append(affected, other)
 		}
 		var both sync.WaitGroup
-		for _, machine := range struck {
+		for _, machine := range affected {
 			source := rand.New(rand.NewPCG(random.Uint64(), 3))
 			both.Go(func() {
 				time.Sleep(time.Duration(source.Int64N(int64(time.Millisecond))))
--- a/internal/test/keystoresim/machines.go
+++ b/internal/test/keystoresim/machines.go
@@ -8,28 +8,28 @@
 	"ferryspar/internal/keystore"
 )
 
-// votePollInterval is how often WaitUntilAllVote looks.
+// votePollInterval is the polling interval of WaitUntilAllVote.
 const votePollInterval = 50 * time.Millisecond
 
-// MemberNames lists the machines that are, or are to be, members.
+// MemberNames returns the machines that are members or will become members.
 func (c *Cluster) MemberNames() []string {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return slices.Clone(c.Names)
 }
 
-// Join starts an empty machine in the zone of another. It becomes a member only once the cluster's own membership
-// names it.
-func (c *Cluster) Join(newcomer, like string) {
+// Join starts a machine with an empty disk in the zone of another one. It becomes a member only once the cluster's own
+// membership includes it.
+func (c *Cluster) Join(newcomer, neighbor string) {
 	c.lock.Lock()
 	c.fixBootstrapMembers()
-	c.members[newcomer] = &member{disk: NewDisk(), zone: c.members[like].zone}
+	c.members[newcomer] = &member{disk: NewDisk(), zone: c.members[neighbor].zone}
 	c.Names = append(slices.Clone(c.Names), newcomer)
 	c.lock.Unlock()
 	c.Start(newcomer, false)
 }
 
-// Retire ends a machine that never comes back.
+// Retire removes a machine permanently.
 func (c *Cluster) Retire(name string) {
 	c.Kill(name)
 	c.lock.Lock()
@@ -38,7 +38,7 @@
 	c.Names = slices.DeleteFunc(slices.Clone(c.Names), func(other string) bool { return other == name })
 }
 
-// fixBootstrapMembers keeps the initial members apart from those of later.
+// fixBootstrapMembers saves the names of the initial members before the first change of Names.
 func (c *Cluster) fixBootstrapMembers() {
 	if c.bootstrapMembers == nil {
 		c.bootstrapMembers = slices.Clone(c.Names)
@@ -52,7 +52,7 @@
 	return keystore.BootstrapMembership(c.Names)
 }
 
-// WaitUntilAllVote waits until all members vote, and says whether they did in time.
+// WaitUntilAllVote waits until all members vote, and reports whether they did before the timeout.
 func (c *Cluster) WaitUntilAllVote(timeout time.Duration) bool {
 	until := time.Now().Add(timeout)
 	for time.Now().Before(until) {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// AssignZones puts the machines into zones of the sizes given.
+// AssignZones assigns the machines to zones of the given sizes.
 func (c *Cluster) AssignZones(sizes ...int) {
 	position := 0
 	for zone, size := range sizes {
@@ -83,7 +83,7 @@
 	c.zoneCount = len(sizes)
 }
 
-// Zone names the zone of a machine.
+// Zone returns the name of a machine's zone.
 func (c *Cluster) Zone(name string) string { return fmt.Sprint("zone-", c.zoneOf(name)) }
 
 func (c *Cluster) zoneOf(name string) int { return c.member(name).zone }
--- a/internal/test/keystoresim/replacement.go
+++ b/internal/test/keystoresim/replacement.go
@@ -12,18 +12,18 @@
 	"ferryspar/internal/keystore"
 )
 
-// errNeverMember ends a replacement that no driver has completed.
-var errNeverMember = errors.New("the newcomer never became a member")
+// errReplacementIncomplete means that no driver completed a replacement within the allowed attempts.
+var errReplacementIncomplete = errors.New("replacement not completed: the newcomer did not become a member")
 
 const (
-	// replacementAttempts bounds how often drivers try to go on with a replacement.
+	// replacementAttempts is the maximum number of attempts of drivers to advance a replacement.
 	replacementAttempts = 200
-	// replacementTimeout is how long one attempt takes at most.
+	// replacementTimeout is the time limit of one attempt.
 	replacementTimeout = 2 * time.Second
 )
 
-// Replace takes a member away for good and drives the change to an empty newcomer, by drivers that may stop between the
-// steps.
+// Replace removes a member permanently and replaces it by a newcomer with an empty disk. A random member drives each step of
+// the replacement, as a driver may stop between steps.
 func (c *Cluster) Replace(lost, newcomer string, random *rand.Rand) error {
 	c.Kill(lost)
 	c.lock.Lock()
@@ -46,7 +46,7 @@
 			return nil
 		}
 	}
-	return errNeverMember
+	return errReplacementIncomplete
 }
 
 func replaced(names []string, lost, newcomer string) []string {
@@ -59,7 +59,7 @@
 	return result
 }
 
-// driveReplacement has a driver take the next step, and says whether the newcomer is a member already.
+// driveReplacement makes a driver take the next step, and reports whether the newcomer was a member already.
 func (c *Cluster) driveReplacement(driver, lost, newcomer string, random *rand.Rand) bool {
 	store := c.StoreOf(driver)
 	if store == nil {
@@ -99,7 +99,7 @@
 	return local.Voting && local.MembershipVersion == current.Version
 }
 
-// refreshMemberships has every process learn the committed membership.
+// refreshMemberships makes every process learn the committed membership.
 func (c *Cluster) refreshMemberships() {
 	for _, name := range c.MemberNames() {
 		store := c.StoreOf(name)
--- a/internal/test/keystoresim/seeds.go
+++ b/internal/test/keystoresim/seeds.go
@@ -7,33 +7,33 @@
 	"testing"
 )
 
-// The environment variables that choose schedules: SeedVariable the first one, which is then played alone, and SchedulesVariable how
-// many are played instead.
+// The environment variables that select schedules. SeedVariable is the seed of the first one, which is then the only one
+// unless SchedulesVariable sets the number of schedules.
 const (
 	SeedVariable      = "FERRYSPAR_SEED"
 	SchedulesVariable = "FERRYSPAR_SCHEDULES"
 )
 
-// shortShare is which part of the schedules is played under -short.
-const shortShare = 10
+// shortDivisor divides the number of schedules under -short.
+const shortDivisor = 10
 
-// SeedRange gives the first seed to play and the one after the last: those that the environment chooses, a tenth under -short, or
-// all.
-func SeedRange(amount int) (from, to int) {
+// SeedRange returns the first seed to run and the one after the last: the seeds selected by the environment, or the first
+// count seeds, a tenth of them under -short.
+func SeedRange(count int) (from, to int) {
 	from = 1
 	if testing.Short() {
-		amount /= shortShare
+		count /= shortDivisor
 	}
 	if seed, err := strconv.Atoi(os.Getenv(SeedVariable)); err == nil {
-		from, amount = seed, 1
+		from, count = seed, 1
 	}
 	if schedules, err := strconv.Atoi(os.Getenv(SchedulesVariable)); err == nil {
-		amount = schedules
+		count = schedules
 	}
-	return from, from + amount
+	return from, from + count
 }
 
-// Main runs a package's tests on one processor, on which schedules replay exactly.
+// Main runs a package's tests with GOMAXPROCS=1, which makes the replay of schedules deterministic.
 func Main(run func() int) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(run())
--- a/internal/test/keystoresim/transport.go
+++ b/internal/test/keystoresim/transport.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// lostMessageTimeout is when the sender of a lost message gives up.
+	// lostMessageTimeout is the time after which the sender of a lost message gives up.
 	lostMessageTimeout = 10 * time.Second
 
-	// One of lossPeriod messages is lost where the network is lossy, and one of slowPeriod takes up to maxSlowLatency
-	// longer than the others, which take minLatency and up to latencySpread more.
+	// A lossy network loses one of lossPeriod messages. One of slowPeriod messages takes up to maxSlowLatency longer than the
+	// others, whose latency is between minLatency and minLatency + latencySpread.
 	lossPeriod        = 11
 	slowPeriod        = 37
 	minLatency        = time.Millisecond
 	latencySpread     = 4 * time.Millisecond
 	maxSlowLatency    = 900 * time.Millisecond
 	retransmitLatency = 200 * time.Millisecond
-	// localLatencySpread bounds the time that a message takes between two parts of one process.
+	// localLatencySpread is the maximum latency of a message between two parts of one process.
 	localLatencySpread = 50 * time.Microsecond
-	// thawPollInterval is no multiple of anything else, so that no thaw coincides with another event.
+	// thawPollInterval is not a multiple of any other interval, so that no thaw coincides with another event.
 	thawPollInterval = time.Millisecond + 7*time.Nanosecond
 )
 
-// errLost says that a message or its reply did not arrive.
-var errLost = errors.New("lost on the way")
+// errLost means that a message or its reply did not arrive.
+var errLost = errors.New("message or reply lost")
 
-// transport carries the messages of one machine over the simulated network. It implements keystore.Transport.
+// transport sends the messages of one machine over the simulated network. It implements keystore.Transport.
 type transport struct {
 	cluster *Cluster
 	self    string
 }
 
-// Send delivers a message, late, lost or after a thaw, as the cluster's faults have it.
+// Send sends a message and returns the reply. The cluster's faults may delay or lose either.
 func (t *transport) Send(ctx context.Context, address string, message keystore.Message) (keystore.Reply, error) {
 	content := fmt.Sprint(message.Operation, message.Key, message.Proposal, message.Sequence)
 	if address == t.self {
@@ -68,7 +68,7 @@
 	return keystore.Reply{}, errLost
 }
 
-// roundTrip takes a message to another machine and its reply back, whether or not the sender still waits.
+// roundTrip delivers a message to another machine and returns its reply, even if the sender no longer waits.
 func (t *transport) roundTrip(
 	ctx context.Context, address, content string, message keystore.Message,
 ) (keystore.Reply, error) {
@@ -91,7 +91,7 @@
 	return reply, nil
 }
 
-// deliver takes the time that content needs over a link, and says whether it arrives.
+// deliver waits for the latency of a message on a link, and reports whether the message arrives.
 func (c *Cluster) deliver(over link, content string) bool {
 	c.waitWhileFrozen(over.from)
 	latency, arrives := c.drawLatency(over, content)
@@ -104,7 +104,7 @@
 	return true
 }
 
-// drawLatency depends on the seed, the content and how often it was sent over the link.
+// drawLatency returns a latency that depends on the seed, the content and how often it was sent over the link.
 func (c *Cluster) drawLatency(over link, content string) (latency time.Duration, arrives bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -128,17 +128,17 @@
 	return latency, true
 }
 
-// CanReach says whether a heartbeat sent now gets from one machine to the other.
+// CanReach reports whether a heartbeat sent now gets from one machine to the other.
 func (c *Cluster) CanReach(from, to string) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	sender, receiver := c.members[from], c.members[to]
-	areRunning := sender.process.running && receiver.process.running
-	areFrozen := sender.frozen > 0 || receiver.frozen > 0
-	return areRunning && !areFrozen && c.cutLinks[link{from, to}] == 0
+	bothRunning := sender.process.running && receiver.process.running
+	anyFrozen := sender.frozen > 0 || receiver.frozen > 0
+	return bothRunning && !anyFrozen && c.cutLinks[link{from, to}] == 0
 }
 
-// cut cuts links until the function that it returns is called. Cuts of one link add up.
+// cut cuts links until the returned function is called. A link works again once all its cuts have ended.
 func (c *Cluster) cut(links []link) (heal func()) {
 	add := func(amount int) {
 		c.lock.Lock()
@@ -151,7 +151,7 @@
 	return func() { add(-1) }
 }
 
-// linksBetween are the links between two groups of machines, in both directions.
+// linksBetween returns the links between two groups of machines, in both directions.
 func linksBetween(left, right []string) []link {
 	var links []link
 	for _, one := range left {
@@ -162,7 +162,7 @@
 	return links
 }
 
-// IsFrozen says whether a machine stands still.
+// IsFrozen reports whether a machine is frozen.
 func (c *Cluster) IsFrozen(name string) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -175,25 +175,25 @@
 	}
 }
 
-// freeze has a machine stand still for a duration.
+// freeze freezes a machine for a duration.
 func (c *Cluster) freeze(name string, duration time.Duration) {
 	c.adjustFrozen(name, 1)
 	time.Sleep(duration)
 	c.adjustFrozen(name, -1)
 }
 
-// adjustFrozen adds up faults that overlap.
+// adjustFrozen adds to the number of faults that freeze a machine, as they may overlap.
 func (c *Cluster) adjustFrozen(name string, amount int) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.members[name].frozen += amount
 }
 
-// Deliver takes a message of another protocol from one machine to another, late, lost or after a thaw like the keystore's own, and
-// says whether it arrives. A lost one takes its time.
+// Deliver simulates the delivery of a message of another protocol, with the same delays, losses and freezes as for the
+// keystore's messages. It returns once the message has arrived, or returns false after lostMessageTimeout if it is lost.
 func (c *Cluster) Deliver(from, to, content string) bool {
 	return from == to || c.deliver(link{from, to}, content)
 }
 
-// WaitUntilThawed returns once a machine does not stand still.
+// WaitUntilThawed waits while a machine is frozen.
 func (c *Cluster) WaitUntilThawed(name string) { c.waitWhileFrozen(name) }
--- a/internal/test/keystoresim/zone_faults.go
+++ b/internal/test/keystoresim/zone_faults.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// CutZoneLink cuts the zone of a machine from one other; the rest reach both.
+// CutZoneLink cuts the links between the zone of a machine and one other zone. The remaining zones reach both.
 func CutZoneLink(cluster *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	own, other := cluster.zoneOf(name), cluster.drawOtherZone(name, random)
 	defer cluster.cut(linksBetween(cluster.namesInZones(own), cluster.namesInZones(other)))()
 	time.Sleep(duration)
 }
 
-// CutRegion cuts the first two zones from all others.
+// CutRegion cuts the links between the first two zones and all others.
 func CutRegion(cluster *Cluster, _ string, _ *rand.Rand, duration time.Duration) {
 	const regionZones = 2
 	var first, second []int
@@ -27,12 +27,12 @@
 	time.Sleep(duration)
 }
 
-// LoseZone takes the power of a machine's zone.
+// LoseZone cuts the power of a machine's zone.
 func LoseZone(cluster *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	cluster.loseZone(cluster.zoneOf(name), random, duration)
 }
 
-// LoseOtherZone takes the power of a zone that the machine is not in.
+// LoseOtherZone cuts the power of a zone that the machine is not in.
 func LoseOtherZone(cluster *Cluster, name string, random *rand.Rand, duration time.Duration) {
 	cluster.loseZone(cluster.drawOtherZone(name, random), random, duration)
 }
--- a/internal/test/linearizability/acknowledgements_test.go
+++ b/internal/test/linearizability/acknowledgements_test.go
@@ -7,13 +7,13 @@
 	"ferryspar/internal/keystore"
 )
 
-// acknowledgement is a version that an operator was answered with, and when.
+// acknowledgement is a version that was acknowledged to an operator, and the time of the reply.
 type acknowledgement struct {
 	version uint64
 	at      time.Duration
 }
 
-// acknowledgements keeps, for each key, what operators were answered.
+// acknowledgements holds the acknowledged versions of each key.
 type acknowledgements struct {
 	lock  *sync.Mutex
 	byKey map[string][]acknowledgement
@@ -37,7 +37,7 @@
 	a.byKey[key] = append(a.byKey[key], acknowledgement{version: version, at: at})
 }
 
-// highestBefore is the highest version of a key that an operator was answered with before a time.
+// highestBefore returns the highest version of a key that was acknowledged to an operator before a time.
 func (a acknowledgements) highestBefore(key string, until time.Duration) uint64 {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/internal/test/linearizability/calls_test.go
+++ b/internal/test/linearizability/calls_test.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// attemptTimeout is how long an operator waits for an answer before it goes on to another node.
+	// attemptTimeout is how long an operator waits for a reply before it tries another node.
 	attemptTimeout = time.Second
-	// drainRetryTimeout is how long an evacuation is sent again.
+	// drainRetryTimeout is how long an operator retries the drain of a zone.
 	drainRetryTimeout = 6 * time.Second
-	// configurationTimeout is how long a configuration is sent again.
+	// configurationTimeout is how long an operator retries any other call.
 	configurationTimeout = 60 * time.Second
-	// changeTimeout is how long a node works on a call, as in internal/controlplane.
+	// changeTimeout is the time limit of a node for a call, as in internal/controlplane.
 	changeTimeout = 2500 * time.Millisecond
-	// initialBackoff and maxBackoff bound the pauses between the attempts of one call.
+	// initialBackoff and maxBackoff are the first and the longest pause between the attempts of one call.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 )
 
-// errNoAnswer says that the members, of which a majority was there again, did not answer. It is a failure of liveness; all
-// others are of safety.
-var errNoAnswer = errors.New("no clear answer in time")
+// errNoAnswer means that a call got no definite reply although a majority of the members was available again. It is a
+// liveness failure; all others are safety failures.
+var errNoAnswer = errors.New("no definite reply before the timeout")
 
-// errCallerGone says that nobody was there any more to come back with a token.
-var errCallerGone = errors.New("the caller left before it had its token")
+// errCallerGone means that the caller stopped waiting before the node issued its token.
+var errCallerGone = errors.New("caller timed out before it received its token")
 
-// sendCall carries out one call of an operator: the very same request goes to one node after the other until an answer is
-// clear.
+// sendCall performs one call of an operator: it sends the same request to one node after the other until it gets a definite
+// reply.
 func (s *simulation) sendCall(call operatorCall) {
 	condition := s.knownRevision(call.operator)
 	if call.kind == callPatch && condition == 0 {
@@ -72,8 +72,8 @@
 	}
 }
 
-// combineAttempts makes one record of all attempts: an acknowledged configuration took force at some time since its first
-// attempt; all else speaks of the time of the attempt that was answered.
+// combineAttempts combines all attempts into one record. An acknowledged configuration took effect at some time since its
+// first attempt; all other results refer to the attempt that got the reply.
 func (s *simulation) combineAttempts(combined, last callRecord) callRecord {
 	last.call, last.earlierAttempts = combined.call, combined.earlierAttempts
 	if last.result == acknowledged && (last.call.kind == callPut || last.call.kind == callPatch) {
@@ -90,7 +90,7 @@
 	return last
 }
 
-// readRevision reads what is in force after a rejection.
+// readRevision reads the current revision after a rejection.
 func (s *simulation) readRevision(call operatorCall) {
 	names := s.cluster.MemberNames()
 	read := s.attempt(operatorCall{
@@ -116,24 +116,24 @@
 	s.knownRevisions[operator] = max(s.knownRevisions[operator], revision)
 }
 
-// attempt sends a call to one node and waits for its answer as long as an operator does.
+// attempt sends a call to one node and waits for its reply for at most attemptTimeout.
 func (s *simulation) attempt(call operatorCall, condition int64, node string) callRecord {
 	record := callRecord{call: call, condition: condition, result: unknown, started: s.now()}
-	answers := make(chan callRecord, 1)
-	go func() { answers <- s.handleCall(record, node) }()
+	replies := make(chan callRecord, 1)
+	go func() { replies <- s.handleCall(record, node) }()
 	timer := time.NewTimer(attemptTimeout)
 	defer timer.Stop()
 	select {
-	case answer := <-answers:
-		record = answer
+	case reply := <-replies:
+		record = reply
 	case <-timer.C:
-		record.note = "no answer of " + node
+		record.note = "no reply from " + node
 	}
 	record.ended = s.now()
 	return record
 }
 
-// handleCall is what a node does with a call. A frozen node takes it up when it thaws.
+// handleCall processes a call at a node. A frozen node processes it after the freeze.
 func (s *simulation) handleCall(result callRecord, node string) callRecord {
 	s.waitWhileFrozen(node)
 	store := s.cluster.StoreOf(node)
@@ -166,8 +166,8 @@
 	return result
 }
 
-// drain begins no later than adminapi.TokenLifetime after the node gave the caller its token, for which the caller must
-// still have been there. The delay of the call is how long it lay about with the token.
+// drain performs the drain of a zone with a token that the node issued to the caller while it was still waiting. The drain
+// must start within adminapi.TokenLifetime of the token; the delay of the call is the time before it is sent with the token.
 func (s *simulation) drain(
 	ctx context.Context, state *controlstate.State, sent callRecord, node string,
 ) (zoneVersion uint64, err error) {
@@ -194,7 +194,7 @@
 	return record.Version, err
 }
 
-// resultOf is what an operator concludes from an answer.
+// resultOf returns the result that an operator concludes from a reply.
 func resultOf(err error) callResult {
 	if err == nil {
 		return acknowledged
--- a/internal/test/linearizability/check_test.go
+++ b/internal/test/linearizability/check_test.go
@@ -52,53 +52,56 @@
 			putRecord(1, 0, acknowledged, 0, 1),
 			getRecord(1, 1, 2, 3),
 		}},
-		{"a read that misses it", false, []callRecord{putRecord(1, 0, acknowledged, 0, 1), getRecord(0, 0, 2, 3)}},
-		{"a read during it", true, []callRecord{
+		{"a read that misses an acknowledged call", false, []callRecord{putRecord(1, 0, acknowledged, 0, 1), getRecord(0, 0, 2, 3)}},
+		{"reads during a call", true, []callRecord{
 			putRecord(1, 0, acknowledged, 0, 5),
 			getRecord(0, 0, 1, 2),
 			getRecord(1, 1, 3, 4),
 		}},
-		{"reads that go back", false, []callRecord{
+		{"a read of an older state", false, []callRecord{
 			putRecord(1, 0, acknowledged, 0, 9),
 			getRecord(1, 1, 1, 2),
 			getRecord(0, 0, 3, 4),
 		}},
-		{"two on one number", false, []callRecord{
+		{"two calls acknowledged on one revision", false, []callRecord{
 			putRecord(1, 0, acknowledged, 0, 1),
 			putRecord(2, 0, acknowledged, 2, 3),
 		}},
-		{"a refusal after another", true, []callRecord{
+		{"a rejection after another call", true, []callRecord{
 			putRecord(1, 0, acknowledged, 0, 1),
 			putRecord(2, 0, rejected, 2, 3),
 		}},
-		{"a refusal without a cause", false, []callRecord{putRecord(1, 0, rejected, 0, 1)}},
-		{"a refusal before its cause", false, []callRecord{
+		{"a rejection without a cause", false, []callRecord{putRecord(1, 0, rejected, 0, 1)}},
+		{"a rejection before its cause", false, []callRecord{
 			putRecord(1, 0, acknowledged, 2, 3),
 			putRecord(2, 0, rejected, 0, 1),
 		}},
-		{"a taken call refused", false, []callRecord{
+		{"an applied call rejected", false, []callRecord{
 			putRecord(1, 0, acknowledged, 0, 1),
 			putRecord(1, 0, rejected, 2, 3),
 		}},
-		{"a taken call acknowledged", true, []callRecord{
+		{"an applied call acknowledged again", true, []callRecord{
 			putRecord(1, 0, acknowledged, 0, 1),
 			putRecord(1, 0, acknowledged, 2, 3),
 		}},
-		{"an unclear call in force late", true, []callRecord{
+		{"a call with unknown result that takes effect late", true, []callRecord{
 			putRecord(1, 0, unknown, 0, 1),
 			getRecord(0, 0, 2, 3),
 			getRecord(1, 1, 4, 5),
 		}},
-		{"an unclear call without effect", true, []callRecord{putRecord(1, 0, unknown, 0, 1), getRecord(0, 0, 2, 3)}},
-		{"an unclear call undone", false, []callRecord{
+		{"a call with unknown result without effect", true, []callRecord{
+			putRecord(1, 0, unknown, 0, 1),
+			getRecord(0, 0, 2, 3),
+		}},
+		{"a call with unknown result that is undone", false, []callRecord{
 			putRecord(1, 0, unknown, 0, 1),
 			getRecord(1, 1, 2, 3),
 			getRecord(0, 0, 4, 5),
 		}},
-		{"an evacuation", true, []callRecord{drainRecord(true, acknowledged, 0, 1), zoneReadRecord(true, 2, 3)}},
-		{"an evacuation that comes back", false, []callRecord{
+		{"a drain", true, []callRecord{drainRecord(true, acknowledged, 0, 1), zoneReadRecord(true, 2, 3)}},
+		{"a drain that takes effect again", false, []callRecord{
 			drainRecord(true, acknowledged, 0, 1), drainRecord(false, acknowledged, 2, 3), zoneReadRecord(true, 4, 5)}},
-		{"an unclear one that comes late", true, []callRecord{
+		{"a drain with unknown result that takes effect late", true, []callRecord{
 			drainRecord(true, unknown, 0, 1), drainRecord(false, acknowledged, 2, 3), zoneReadRecord(true, 4, 5)}},
 	}
 	for _, testCase := range histories {
@@ -108,24 +111,24 @@
 	}
 }
 
-// The operator of the first call sends it again while another operator undoes what an earlier
-// attempt did: seed 241 of an earlier draw plays this.
+// Guards against a checker that rejects a drain whose operator retries it while another operator undoes the effect of an
+// earlier attempt. Seed 241 of an earlier version of the schedules led to this history.
 func TestCheckHistory_DrainAttemptsCountUntilAcknowledged(t *testing.T) {
-	again := drainRecord(true, acknowledged, 8, 9)
-	again.earlierAttempts = []time.Duration{1}
+	retried := drainRecord(true, acknowledged, 8, 9)
+	retried.earlierAttempts = []time.Duration{1}
 	undone := drainRecord(false, acknowledged, 5, 6)
 	assert.NilError(t, checkHistory([]callRecord{
-		again,
+		retried,
 		undone,
 		zoneReadRecord(true, 2, 3),
 		zoneReadRecord(true, 10, 11),
 	}))
 	late := drainRecord(false, acknowledged, 10, 11)
 	assert.Assert(t, checkHistory([]callRecord{
-		again,
+		retried,
 		late,
 		zoneReadRecord(true, 12, 13),
-	}) != nil, "an attempt took force after the answer")
+	}) != nil, "an attempt took effect after the acknowledgement")
 }
 
 func TestReduce_KeepsOnlyWhatFails(t *testing.T) {
--- a/internal/test/linearizability/doc.go
+++ b/internal/test/linearizability/doc.go
@@ -1,7 +1,7 @@
-// Package linearizability judges whole histories of the control state for linearizability.
+// Package linearizability tests the linearizability of the control state under faults.
 //
-// Its tests play seeded schedules of operators' calls and faults over the real acceptors, stores, control state and
-// membership decisions, on the simulated machines of internal/test/keystoresim, and hand the recorded calls to a checker.
-// Start reading with schedule in schedule_test.go, then simulation_test.go and model_test.go;
+// Its tests run seeded schedules of operators' calls and faults against the production acceptors, stores, control state and
+// membership decisions, on the simulated machines of internal/test/keystoresim. A checker then verifies the recorded
+// history of calls. Start reading with schedule in schedule_test.go, then simulation_test.go and model_test.go;
 // docs/design/hardening-histories.md has the overview.
 package linearizability
--- a/internal/test/linearizability/faults_test.go
+++ b/internal/test/linearizability/faults_test.go
@@ -23,8 +23,8 @@
 	faultStepClock:    keystoresim.StepWallClock,
 }
 
-// stopsProcess says that a fault ends a process or holds its disk. A machine bears one of these at a time; links, freezes
-// and clocks come on top.
+// stopsProcess reports whether a fault ends a process or blocks its disk. A machine has at most one such fault at a time;
+// faults of links and clocks, and freezes, may overlap with it.
 func (k faultKind) stopsProcess() bool {
 	switch k {
 	case faultKill, faultPowerLoss, faultWipe, faultStallDisk, faultRejectWrites, faultLoseZone, faultLoseMachine:
@@ -103,7 +103,8 @@
 	}
 }
 
-// tolerateDiskLoss takes a disk from the number that may be lost at once. It says whether the loss may happen.
+// tolerateDiskLoss reports whether a disk may be lost, and if so counts it as lost. The loss must leave a majority of the
+// disks of each group in groupsInForce.
 func (s *simulation) tolerateDiskLoss(name string) bool {
 	groups := s.groupsInForce()
 	s.lock.Lock()
@@ -125,10 +126,10 @@
 	return true
 }
 
-// groupsInForce lists the groups of members of which a majority of disks must be kept: those of the newest membership and,
-// during a change, of the next one. A schedule that interrupts replacements may lose the next members, as long as no
-// completion that makes them the current ones is on a disk; and since a member that is replaced counts as lost until all know
-// of its successor, it keeps a majority of each membership that a running machine goes by.
+// groupsInForce returns the groups of members of which a majority of disks must be kept: the members of the newest membership
+// and, during a change, the next members. A schedule that interrupts replacements may lose the next members as long as no
+// disk has a completion that makes them the current ones. Since a replaced member counts as lost until all machines know its
+// successor, such a schedule keeps a majority of each membership that a running machine uses.
 func (s *simulation) groupsInForce() [][]string {
 	if !s.schedule.interruptsReplacements {
 		newest := s.newestMembership()
@@ -147,7 +148,7 @@
 	return groups
 }
 
-// newestMembership is the newest that a running machine knows.
+// newestMembership returns the newest membership that a running machine knows.
 func (s *simulation) newestMembership() keystore.Membership {
 	var newest keystore.Membership
 	for _, name := range s.cluster.MemberNames() {
@@ -158,23 +159,24 @@
 	return newest
 }
 
-// loseMachine ends a machine for good; an empty one in the same zone stands by after a while.
+// loseMachine removes a machine permanently. After a delay, a standby with an empty disk starts in the same zone.
 func (s *simulation) loseMachine(name string, after time.Duration) {
 	s.cluster.Retire(name)
 	time.Sleep(after)
 	s.startStandby(name)
 }
 
-// startStandby starts an empty machine in the zone of another.
-func (s *simulation) startStandby(like string) {
+// startStandby starts a machine with an empty disk in the zone of another one.
+func (s *simulation) startStandby(neighbor string) {
 	s.lock.Lock()
 	s.standbyCount++
 	newcomer := fmt.Sprintf("newcomer-%d", s.standbyCount)
 	s.diskLost[newcomer] = true
 	s.lock.Unlock()
-	// No fault ends the process before it runs: the start would bring up a second one beside that of the fault.
+	// Keeps faults from ending the process before it runs: the restart at the end of the fault and this start would then run
+	// two processes.
 	s.reserveMachines([]string{newcomer})
 	defer s.releaseMachines([]string{newcomer})
-	s.cluster.Join(newcomer, like)
+	s.cluster.Join(newcomer, neighbor)
 	s.startMachine(newcomer)
 }
--- a/internal/test/linearizability/follower_test.go
+++ b/internal/test/linearizability/follower_test.go
@@ -13,10 +13,10 @@
 	"ferryspar/internal/keystore"
 )
 
-// confirmationTTL is how long a confirmation counts, as in internal/controlplane.
+// confirmationTTL is how long a confirmation is valid, as in internal/controlplane.
 const confirmationTTL = 1100 * time.Millisecond
 
-// The times by which a follower runs.
+// The intervals and the timeout of a follower.
 const (
 	refreshInterval            = 350 * time.Millisecond
 	unconfirmedRefreshInterval = 120 * time.Millisecond
@@ -24,8 +24,8 @@
 	refreshTimeout             = 2 * time.Second
 )
 
-// follower shows the control state as a node does for its data planes: it makes a digest again and again and counts as
-// confirmed by the rule of internal/controlplane.
+// follower serves the control state as a node does for its data planes: it makes digests periodically, and its state counts
+// as confirmed by the rule of internal/controlplane.
 type follower struct {
 	simulation  *simulation
 	name        string
@@ -34,7 +34,7 @@
 	registers   map[string]keystore.Register
 	versions    map[string]uint64
 	confirmedAt time.Time
-	// requestedAt is when the digest that confirmedAt stems from was requested.
+	// requestedAt is the time, since the start of the simulation, when the digest behind confirmedAt was requested.
 	requestedAt time.Duration
 	undecided   map[string]keystore.Register
 	refreshes   int
@@ -60,7 +60,7 @@
 	}
 }
 
-// resetForProcess forgets all when the process is a new one.
+// resetForProcess clears the state if the process has been restarted.
 func (f *follower) resetForProcess(store *keystore.Store) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// refresh makes a digest and says whether all of it was learned.
+// refresh makes a digest and reports whether all of it was learned.
 func (f *follower) refresh() bool {
 	store, acceptor := f.simulation.cluster.StoreOf(f.name), f.simulation.cluster.AcceptorOf(f.name)
 	if store == nil {
@@ -106,14 +106,14 @@
 	return learned
 }
 
-// withoutLeases leaves out what data planes do not learn by digests.
+// withoutLeases omits leases, which data planes do not learn from digests.
 func withoutLeases(undecided map[string]keystore.Register) map[string]keystore.Register {
 	rest := maps.Clone(undecided)
 	maps.DeleteFunc(rest, func(key string, _ keystore.Register) bool { return strings.HasPrefix(key, keystore.LeasePrefix) })
 	return rest
 }
 
-// dropConfirmation ends the confirmation of the variant that keeps no deadline; the product's runs out.
+// dropConfirmation ends the confirmation in the variant without a deadline. Otherwise a confirmation expires by itself.
 func (f *follower) dropConfirmation() {
 	if f.simulation.variant.staysFreshUntilFailure {
 		f.lock.Lock()
@@ -153,7 +153,7 @@
 	}
 }
 
-// resolveUndecided reads proposals that were found on a minority twice, at every second refresh.
+// resolveUndecided reads keys whose proposal was found on a minority by two consecutive digests, at every second refresh.
 func (f *follower) resolveUndecided(undecided map[string]keystore.Register) {
 	before := f.undecided
 	f.undecided = undecided
@@ -171,7 +171,7 @@
 	}
 }
 
-// isConfirmed says whether the state counts as confirmed now.
+// isConfirmed reports whether the state counts as confirmed now.
 func (f *follower) isConfirmed() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -182,8 +182,8 @@
 	return f.simulation.variant.staysFreshUntilFailure || age < confirmationTTL
 }
 
-// pollConfirmed polls as data planes do, at the times when the machine is not frozen, and compares what is shown as
-// confirmed with what operators had been answered before the digest was requested, at most confirmationTTL ago.
+// pollConfirmed polls as data planes do while the machine is not frozen, and checks that confirmed state includes all that was
+// acknowledged before the digest was requested or more than confirmationTTL ago.
 func (f *follower) pollConfirmed() {
 	for !f.simulation.isStopped() {
 		time.Sleep(pollInterval + time.Duration(len(f.name)*17))
@@ -204,7 +204,7 @@
 	s.polls++
 }
 
-// checkAcknowledged says whether what is shown lacks something that was acknowledged in time.
+// checkAcknowledged returns an error if the state lacks a version that was acknowledged in time.
 func (f *follower) checkAcknowledged() error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/internal/test/linearizability/lease_test.go
+++ b/internal/test/linearizability/lease_test.go
@@ -9,22 +9,22 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
-// The times by which a lease is held.
+// The interval and the durations of holdLease.
 const (
 	leaseInterval  = 170 * time.Millisecond
 	acquireTimeout = 1200 * time.Millisecond
 	takeoverDelay  = 3 * time.Second
 )
 
-// leaseAct is one act under the lease that all machines want.
+// leaseAct is one action under the lease for which all machines compete.
 type leaseAct struct {
 	at     time.Duration
 	holder string
 	fence  uint64
 }
 
-// checkLeaseActs says whether two holders shared a fence, a fence fell, or a successor acted before
-// the time that it must wait.
+// checkLeaseActs returns an error if two holders shared a fencing token, a token decreased, or a new holder acted before the
+// takeover delay had passed.
 func checkLeaseActs(acts []leaseAct) error {
 	holders := map[uint64]string{}
 	for index, act := range acts {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// holdLease acquires and renews one lease as long as the machine votes, and acts under it.
+// holdLease acquires and renews one lease while the machine votes, and acts under it.
 func (s *simulation) holdLease(name string, position int) {
 	var grant *lease.Grant
 	var currentStore *keystore.Store
--- a/internal/test/linearizability/linearizability_test.go
+++ b/internal/test/linearizability/linearizability_test.go
@@ -22,7 +22,7 @@
 	progressEvery = 5 * time.Second
 )
 
-// runAndCheck plays a schedule in fake time and checks its history.
+// runAndCheck runs a schedule in fake time and checks its history.
 func runAndCheck(t *testing.T, planned schedule, broken variant) (simulationResult, error) {
 	var done simulationResult
 	var err error
@@ -36,7 +36,7 @@
 	return done, checkHistory(done.history)
 }
 
-// runTotals counts what was played, so that a run shows that something happened in it.
+// runTotals counts the events of all schedules, to show that the schedules exercise the system.
 type runTotals struct {
 	results           map[string]int
 	membershipChanges uint64
@@ -47,8 +47,8 @@
 }
 
 func (t runTotals) String() string {
-	return fmt.Sprintf("%d faults, %d changes of the membership, %d confirmed polls, %d acts under a lease in %d turns, calls %v",
-		t.faults, t.membershipChanges, t.polls, t.acts, t.holderChanges, t.results)
+	const format = "%d faults, %d changes of the membership, %d confirmed polls, %d acts under a lease, %d changes of its holder, calls %v"
+	return fmt.Sprintf(format, t.faults, t.membershipChanges, t.polls, t.acts, t.holderChanges, t.results)
 }
 
 func (t *runTotals) add(done simulationResult) {
@@ -98,6 +98,6 @@
 				histories[turn] = formatHistory(done.history)
 			})
 		}
-		assert.Equal(t, histories[0], histories[1], "%s=%d plays in two ways", keystoresim.SeedVariable, seed)
+		assert.Equal(t, histories[0], histories[1], "%s=%d gives two different histories", keystoresim.SeedVariable, seed)
 	}
 }
--- a/internal/test/linearizability/membership_stall_test.go
+++ b/internal/test/linearizability/membership_stall_test.go
@@ -13,11 +13,12 @@
 
 const stallSchedulesInCI = 80
 
-// stalledSeeds are those of schedules that left a joint membership behind for ever when only a quorum of both groups could end it.
+// stalledSeeds are the seeds of schedules in which a joint membership never ended when only a quorum of both groups could end
+// it.
 var stalledSeeds = []int{1155, 2844}
 
-// TestMembership_ReplacementOfSeed360EndsAfterSecondLoss plays the two steps that once left a joint membership behind that
-// could be neither completed nor taken back.
+// TestMembership_ReplacementOfSeed360EndsAfterSecondLoss guards against a joint membership that can be neither completed nor
+// rolled back: a member is isolated until its replacement starts, then another machine is lost.
 func TestMembership_ReplacementOfSeed360EndsAfterSecondLoss(t *testing.T) {
 	planned := schedule{seed: 360, size: 3, lossy: true, standby: true, faults: []plannedFault{
 		{at: 3 * time.Second, kind: faultIsolate, machine: 0, duration: 2200 * time.Millisecond, seed: 1},
@@ -36,8 +37,8 @@
 	assert.NilError(t, err)
 }
 
-// TestMembership_InterruptedReplacementsEnd plays replacements whose newcomer, whose other members or both are lost while the
-// joint membership is in force. As long as a majority of the current members is up, calls are answered again.
+// TestMembership_InterruptedReplacementsEnd runs replacements whose newcomer or another member, or both, are lost while the
+// joint membership is in force. While a majority of the current members is up, calls must get replies again.
 func TestMembership_InterruptedReplacementsEnd(t *testing.T) {
 	from, to := keystoresim.SeedRange(stallSchedulesInCI)
 	seeds := slices.Clone(stalledSeeds)
@@ -57,8 +58,8 @@
 	t.Logf("%d schedules: %s", len(seeds), sum)
 }
 
-// drawInterruptedReplacement draws a member that is isolated for long enough to be replaced, another machine that is lost for
-// good at about the end of the isolation, and faults of the newcomer in between.
+// drawInterruptedReplacement draws a schedule in which a member is isolated for long enough to be replaced, another machine is
+// lost permanently at about the end of the isolation, and the newcomer has faults at about that time.
 func drawInterruptedReplacement(seed uint64) schedule {
 	random := rand.New(rand.NewPCG(seed, 53))
 	planned := schedule{
@@ -94,7 +95,7 @@
 	return planned
 }
 
-// drawFaultOfNewcomer draws what happens to the machine that stands by, or to one that joined after it.
+// drawFaultOfNewcomer draws a fault of the standby machine, or of one that joined after it.
 func drawFaultOfNewcomer(random *rand.Rand, size int, about time.Duration) plannedFault {
 	kinds := []faultKind{faultKill, faultPowerLoss, faultWipe, faultIsolate, faultStallDisk, faultLoseMachine, faultLoseMachine}
 	return plannedFault{
--- a/internal/test/linearizability/membership_test.go
+++ b/internal/test/linearizability/membership_test.go
@@ -13,13 +13,13 @@
 const (
 	heartbeatInterval  = 150 * time.Millisecond
 	membershipInterval = 300 * time.Millisecond
-	// notificationDelay is how long the notification of a committed membership is under way.
+	// notificationDelay is the latency of the notification of a committed membership.
 	notificationDelay = 3 * time.Millisecond
-	// membershipStartDelay is how long a machine listens after its start before it changes members.
+	// membershipStartDelay is how long a machine only receives heartbeats after its start before it proposes changes.
 	membershipStartDelay = 2500 * time.Millisecond
 )
 
-// exchangeHeartbeats carries who is there, and the newest membership, between all machines that reach each other.
+// exchangeHeartbeats delivers periodic heartbeats with the sender's membership between all machines that reach each other.
 func (s *simulation) exchangeHeartbeats() {
 	for !s.isStopped() {
 		time.Sleep(heartbeatInterval + 13*time.Nanosecond)
@@ -73,7 +73,7 @@
 	return view
 }
 
-// membershipViewWithPeers adds whom the peers suspect.
+// membershipViewWithPeers returns the membership view of a machine with the machines that each peer suspects.
 func (s *simulation) membershipViewWithPeers(self string, store *keystore.Store) membership.View {
 	view := s.membershipView(self, store)
 	for name, peer := range view.Peers {
@@ -85,8 +85,8 @@
 	return view
 }
 
-// manageMembership replaces lost members as internal/controlplane does, and lets a machine that lost its vote catch up once
-// it is a member again.
+// manageMembership replaces lost members as internal/controlplane does, and catches up a machine without a vote once it is a
+// member again.
 func (s *simulation) manageMembership(name string, position int) {
 	var due membership.Change
 	var since time.Time
@@ -132,7 +132,7 @@
 	}
 }
 
-// changeMembership commits a change, unless another has come before it.
+// changeMembership commits a change, unless another change was committed first.
 func (s *simulation) changeMembership(
 	name string, store *keystore.Store, current keystore.Membership, change membership.Change,
 ) {
@@ -151,7 +151,8 @@
 	}
 }
 
-// notifyMembership tells all machines that can be reached at once, as a control plane does of each change it commits.
+// notifyMembership sends a heartbeat to all reachable machines immediately, as a control plane does after each change that it
+// commits.
 func (s *simulation) notifyMembership(from string) {
 	time.Sleep(notificationDelay)
 	for _, to := range s.cluster.MemberNames() {
--- a/internal/test/linearizability/model_test.go
+++ b/internal/test/linearizability/model_test.go
@@ -10,24 +10,24 @@
 	"github.com/pkg/errors"
 )
 
-// callResult is what an operator learned of a call.
+// callResult is the result of a call as the operator knows it.
 type callResult int
 
 const (
 	acknowledged callResult = iota
-	// rejected is a 412: another version is in force.
+	// rejected is a 412: another version is current.
 	rejected
-	// unknown is a 5xx or no answer at all.
+	// unknown is a 5xx or no reply at all.
 	unknown
 )
 
-var resultNames = [...]string{"acknowledged", "refused", "unclear"}
+var resultNames = [...]string{"acknowledged", "rejected", "unknown"}
 
-// content is what the documents of the schedules differ in: one item for each of two routes.
+// content is the variable part of the documents of the schedules: one value for each of two routes.
 type content struct{ first, second int }
 
-// callRecord is one call as its operator saw it. The interval of a configuration that was acknowledged spans all its
-// attempts; otherwise it is that of the attempt that was answered.
+// callRecord is one call as observed by its operator. The interval of an acknowledged configuration spans all its attempts;
+// otherwise it is that of the attempt that got the reply.
 type callRecord struct {
 	call           operatorCall
 	condition      int64
@@ -37,11 +37,11 @@
 	readRevision int64
 	readContent  content
 	readDrained  bool
-	// zoneVersion is that of the record that an acknowledged evacuation names.
+	// zoneVersion is the version of the zone's record that an acknowledged drain returned.
 	zoneVersion uint64
-	// earlierAttempts says when the attempts of an evacuation were sent that got no clear answer.
+	// earlierAttempts holds the times at which attempts without a definite reply were sent.
 	earlierAttempts []time.Duration
-	// noLateEffect says that an unknown result has no effect after its end.
+	// noLateEffect means that a call with an unknown result has no effect after its end.
 	noLateEffect bool
 	note         string
 }
@@ -63,10 +63,10 @@
 	return text + " " + resultNames[r.result] + " " + r.note
 }
 
-// valueOf is what a call writes into its documents; no two calls share it.
+// valueOf returns the value that a call writes into its documents. It is unique to the call.
 func valueOf(call operatorCall) int { return 1000 + call.number }
 
-// configurationState is the model of the configuration's key. applied holds a bit for each call.
+// configurationState is the model state of the configuration's key. applied has a bit for each applied call.
 type configurationState struct {
 	revision int64
 	content  content
@@ -82,7 +82,7 @@
 	return next
 }
 
-// stepConfiguration gives the states that may follow a call on the configuration.
+// stepConfiguration returns the possible states after a call on the configuration.
 func stepConfiguration(state, input, _ any) []any {
 	current, op := state.(configurationState), input.(callRecord)
 	if op.call.kind == callGet {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// stepZone gives the states that may follow a call on a zone, which is drained or not.
+// stepZone returns the possible states after a call on a zone. The state is whether the zone is drained.
 func stepZone(state, input, _ any) []any {
 	current, op := state.(bool), input.(callRecord)
 	switch {
@@ -122,9 +122,9 @@
 	return []any{op.call.drained}
 }
 
-// attempts takes an evacuation apart. It names no version, so an attempt that its operator repeats is carried out again if
-// another operator undid the one before: each attempt may take force once, as long as its operator has no answer. After
-// an acknowledgement none may.
+// attempts splits a drain into its attempts. A drain does not name a version, so a retry takes effect again if another
+// operator undid the previous attempt: each attempt may take effect once, until its operator has a reply. After an
+// acknowledgement none may.
 func (r callRecord) attempts() []callRecord {
 	if r.call.kind != callDrain {
 		return []callRecord{r}
@@ -145,8 +145,8 @@
 	return each
 }
 
-// checkHistory has the checker judge each key on its own: a call touches one key, and a history is linearizable if that of
-// each key is.
+// checkHistory checks the history of each key separately: each call accesses one key, and a history is linearizable if that
+// of each key is.
 func checkHistory(history []callRecord) error {
 	keys := map[string][]callRecord{}
 	for _, record := range history {
@@ -174,10 +174,10 @@
 	return nil
 }
 
-// errCheckTimedOut says that the checker came to no end: it neither passed the history nor found a fault.
-var errCheckTimedOut = errors.New("check timed out")
+// errCheckTimedOut means that the checker did not finish: it neither accepted nor rejected the history.
+var errCheckTimedOut = errors.New("linearizability check timed out")
 
-// checkTimeout is how long the checker may take for one key.
+// checkTimeout is the time limit of the checker for one key.
 const checkTimeout = 20 * time.Second
 
 func checkKey(model porcupine.NondeterministicModel, key string, history []callRecord) error {
--- a/internal/test/linearizability/schedule_test.go
+++ b/internal/test/linearizability/schedule_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// callKind is what an operator calls.
+// callKind is the kind of an operator's call.
 type callKind int
 
 const (
@@ -19,7 +19,7 @@
 
 var callNames = [...]string{"PUT", "PATCH", "GET", "drain", "read zone"}
 
-// operatorCall is one call of an operator. What it builds on is decided when it is sent.
+// operatorCall is one planned call of an operator. The revision that it is conditional on is chosen when it is sent.
 type operatorCall struct {
 	number   int
 	at       time.Duration
@@ -27,15 +27,15 @@
 	kind     callKind
 	zone     string
 	drained  bool
-	// node is the position of the node that gets the first attempt; further ones go to the next.
+	// node is the index of the node that gets the first attempt; each retry goes to the next node.
 	node int
-	// lostReplies is how many attempts lose their answers on the way.
+	// lostReplies is the number of attempts whose replies are lost.
 	lostReplies int
-	// delay is that of the first attempt of an evacuation, with the token in hand.
+	// delay is the delay between the token and the first attempt of a drain.
 	delay time.Duration
 }
 
-// faultKind is what happens to a machine.
+// faultKind is the kind of a fault of a machine or of links.
 type faultKind int
 
 const (
@@ -59,15 +59,15 @@
 	"wipe",
 	"isolate",
 	"stall disk",
-	"refuse writes",
+	"reject writes",
 	"freeze",
-	"cut bridge",
+	"cut zone link",
 	"lose zone",
 	"step clock",
 	"lose machine",
 }
 
-// plannedFault is one fault of a schedule; faults overlap.
+// plannedFault is one fault of a schedule. Faults may overlap.
 type plannedFault struct {
 	at       time.Duration
 	kind     faultKind
@@ -76,14 +76,15 @@
 	seed     uint64
 }
 
-// schedule is all that a simulation depends on. Any of its faults and calls may be left out.
+// schedule determines a simulation completely. Any of its faults and calls may be omitted, so that a failing schedule can be
+// shrunk.
 type schedule struct {
 	seed  uint64
 	size  int
 	lossy bool
-	// standby has an empty machine ready, so that a member that is silent for a while is replaced.
+	// standby provides a spare machine with an empty disk, so that an unresponsive member is replaced.
 	standby bool
-	// interruptsReplacements lets disks of the next members be lost in any number, see simulation.groupsInForce.
+	// interruptsReplacements allows any number of next members to lose their disks, see simulation.groupsInForce.
 	interruptsReplacements bool
 	faults                 []plannedFault
 	calls                  []operatorCall
@@ -97,7 +98,7 @@
 
 var zoneNames = [zoneCount]string{"north", "south"}
 
-// drawSchedule draws all of a schedule from the seed.
+// drawSchedule returns the random schedule of a seed.
 func drawSchedule(seed uint64) schedule {
 	random := rand.New(rand.NewPCG(seed, 41))
 	planned := schedule{seed: seed, size: 3 + 2*int(seed%4/3), lossy: seed%2 == 0, standby: seed%3 == 0}
@@ -173,9 +174,9 @@
 		text += fmt.Sprintf("  %7s call %d: operator %d, %s at node %d",
 			item.at.Round(time.Millisecond), item.number, item.operator, callNames[item.kind], item.node)
 		if item.kind == callDrain {
-			text += fmt.Sprintf(" %s %t late %s", item.zone, item.drained, item.delay.Round(time.Millisecond))
+			text += fmt.Sprintf(" %s %t delayed by %s", item.zone, item.drained, item.delay.Round(time.Millisecond))
 		}
-		text += fmt.Sprintf(", %d answers lost\n", item.lostReplies)
+		text += fmt.Sprintf(", %d replies lost\n", item.lostReplies)
 	}
 	return text
 }
--- a/internal/test/linearizability/shrink_test.go
+++ b/internal/test/linearizability/shrink_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// shrinkRuns bounds how often a failing schedule is played again to make it smaller.
+// shrinkRuns is the maximum number of runs to shrink a failing schedule.
 const shrinkRuns = 250
 
 type shrinker struct {
@@ -15,8 +15,8 @@
 	failure error
 }
 
-// shrink leaves out faults and calls of a failing schedule while it still fails, and returns
-// the smallest one found with its failure.
+// shrink removes faults and calls from a failing schedule while it still fails, and returns the smallest one found with its
+// failure.
 func shrink(t *testing.T, failing schedule, broken variant, failure error) (schedule, error) {
 	s := &shrinker{test: t, variant: broken, failure: failure}
 	for before := -1; before != len(failing.faults)+len(failing.calls); {
@@ -46,7 +46,7 @@
 	return err != nil
 }
 
-// reduce drops runs of items, long ones first, as long as what is left still fails.
+// reduce removes sequences of items, long ones first, as long as the rest still fails.
 func reduce[Item any](items []Item, fails func(items []Item) bool) []Item {
 	for length := max(len(items)/2, 1); length > 0; length /= 2 {
 		for from := 0; from < len(items); {
--- a/internal/test/linearizability/simulation_test.go
+++ b/internal/test/linearizability/simulation_test.go
@@ -13,16 +13,16 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
-// variant breaks one thing, so that the checks can show that they notice. The zero variant is the product as it is.
+// variant injects one implementation fault that the checks must detect. The zero variant is the unmodified product.
 type variant struct {
 	breakCluster func(cluster *keystoresim.Cluster)
-	// wrapStore wraps what the control state decides on.
+	// wrapStore wraps the store that the control state uses.
 	wrapStore func(store controlstate.Store) controlstate.Store
-	// ignoresTokenExpiry lets every attempt of an evacuation begin, however late it comes.
+	// ignoresTokenExpiry lets every attempt of a drain start, even after its token has expired.
 	ignoresTokenExpiry bool
-	// staysFreshUntilFailure counts a confirmation until a digest fails, however long ago it was requested.
+	// staysFreshUntilFailure keeps a confirmation valid until a digest fails, however old it is.
 	staysFreshUntilFailure bool
-	// ignoresUndecided confirms in spite of a newer proposal on a minority.
+	// ignoresUndecided confirms the state in spite of a newer proposal on a minority.
 	ignoresUndecided bool
 }
 
@@ -35,15 +35,15 @@
 	standbyCount int
 
 	lock sync.Mutex
-	// faultyMachines have a fault of their process or disk; no second one begins there.
+	// faultyMachines have a fault of their process or disk, and get no second one at the same time.
 	faultyMachines map[string]bool
-	// diskLost are the machines that lost their disk or never had one; they count as lost until they vote.
+	// diskLost holds the machines that started with an empty disk or lost theirs. They count as lost until they vote.
 	diskLost           map[string]bool
 	machines           []string
 	lastHeartbeat      map[[2]string]time.Time
 	startedAtByMachine map[string]time.Time
 	followers          map[string]*follower
-	// committed are the memberships that were acknowledged, by version.
+	// committed holds the acknowledged memberships by version.
 	committed      map[uint64]keystore.Membership
 	knownRevisions [2]int64
 	simulationResult
@@ -54,10 +54,10 @@
 	work             sync.WaitGroup
 }
 
-// maxConcurrentCalls is how many calls may be under way.
+// maxConcurrentCalls is the maximum number of concurrent calls.
 const maxConcurrentCalls = 8
 
-// simulationResult is what came of a simulation.
+// simulationResult is the history and the event counts of a simulation.
 type simulationResult struct {
 	history           []callRecord
 	membershipChanges uint64
@@ -66,7 +66,7 @@
 	faults            int
 }
 
-// runSimulation plays a schedule in fake time. The error is the first failure, if any.
+// runSimulation runs a schedule in fake time. The error is the first failure, if any.
 func runSimulation(planned schedule, broken variant) (simulationResult, error) {
 	s := &simulation{
 		schedule:           planned,
@@ -123,7 +123,7 @@
 	return s.stopped
 }
 
-// runSchedule plays all faults and calls and returns once each has ended.
+// runSchedule runs all faults and calls, and returns once each has ended.
 func (s *simulation) runSchedule() {
 	for index, item := range s.schedule.faults {
 		s.work.Go(func() {
@@ -142,7 +142,7 @@
 	s.work.Wait()
 }
 
-// startMachine starts what a machine does besides answering messages.
+// startMachine starts the periodic tasks of a machine.
 func (s *simulation) startMachine(name string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -155,7 +155,7 @@
 	go s.holdLease(name, len(s.followers))
 }
 
-// finish ends all faults, takes the power from all machines at once, and reads what is left.
+// finish runs after all faults have ended: it cuts the power of all machines at once, restarts them and reads back the state.
 func (s *simulation) finish() error {
 	s.cluster.Lossy = false
 	random := rand.New(rand.NewPCG(s.schedule.seed, 43))
@@ -177,7 +177,7 @@
 	return s.failure
 }
 
-// readBackRounds is how often the final read goes round all nodes.
+// readBackRounds is how often each final read is tried on all nodes.
 const readBackRounds = 12
 
 func (s *simulation) readBack(names []string) error {
@@ -196,22 +196,22 @@
 			}
 		}
 		if !found {
-			return errors.Wrapf(errNoAnswer, "the last %s after all came back", callNames[read.kind])
+			return errors.Wrapf(errNoAnswer, "final %s after the restart of all machines", callNames[read.kind])
 		}
 	}
 	return nil
 }
 
-// resendAcknowledged sends acknowledged configurations again: they must be recognised.
+// resendAcknowledged resends acknowledged configurations, which must be recognized as applied.
 func (s *simulation) resendAcknowledged(names []string) {
 	s.lock.Lock()
 	history := append([]callRecord(nil), s.history...)
 	s.lock.Unlock()
 	for index, record := range history {
 		if record.result == acknowledged && (record.call.kind == callPut || record.call.kind == callPatch) {
-			again := s.attempt(record.call, record.condition, names[index%len(names)])
-			again.note = "(sent again at the end)"
-			s.record(again)
+			resent := s.attempt(record.call, record.condition, names[index%len(names)])
+			resent.note = "(resent at the end)"
+			s.record(resent)
 		}
 	}
 }
@@ -234,18 +234,18 @@
 }
 
 func (s *simulation) controlState(store *keystore.Store, name string) *controlstate.State {
-	var decided controlstate.Store = store
+	var wrapped controlstate.Store = store
 	if s.variant.wrapStore != nil {
-		decided = s.variant.wrapStore(decided)
+		wrapped = s.variant.wrapStore(wrapped)
 	}
 	zones := map[string]string{}
 	for _, zone := range zoneNames {
 		zones[zone] = "land"
 	}
-	return &controlstate.State{Store: decided, Zones: zones, Clock: s.cluster.Clock(name)}
+	return &controlstate.State{Store: wrapped, Zones: zones, Clock: s.cluster.Clock(name)}
 }
 
-// waitWhileFrozen holds back a step of a machine's process while the machine is frozen.
+// waitWhileFrozen delays a step of a machine's process while the machine is frozen.
 func (s *simulation) waitWhileFrozen(name string) {
 	for s.cluster.IsFrozen(name) {
 		time.Sleep(3*time.Millisecond + 11*time.Nanosecond)
--- a/internal/test/linearizability/variants_test.go
+++ b/internal/test/linearizability/variants_test.go
@@ -14,7 +14,7 @@
 	"ferryspar/internal/test/keystoresim"
 )
 
-// rejectsOnRememberedState rejects on what it saw last, without a majority's confirmation.
+// rejectsOnRememberedState rejects changes based on the last state that it saw, without confirmation by a majority.
 type rejectsOnRememberedState struct {
 	controlstate.Store
 	memory *storeMemory
@@ -51,7 +51,7 @@
 	return register, err
 }
 
-// withRememberedState gives each store its own memory.
+// withRememberedState returns a wrapper that gives each store its own memory.
 func withRememberedState() func(store controlstate.Store) controlstate.Store {
 	memories := map[controlstate.Store]*storeMemory{}
 	var lock sync.Mutex
@@ -65,7 +65,7 @@
 	}
 }
 
-// appliedCallsHidden hides from decisions which calls were applied.
+// appliedCallsHidden hides the record of applied calls from change functions.
 type appliedCallsHidden struct{ controlstate.Store }
 
 func (h appliedCallsHidden) Change(ctx context.Context, name string, decide keystore.ChangeFunc) (keystore.Register, error) {
@@ -82,8 +82,8 @@
 	})
 }
 
-// brokenVariant is a fault that the checks must notice, and the seed from which a schedule that shows it is searched: that
-// of the first one found, so that the search is short.
+// brokenVariant is an injected fault that the checks must detect. The search for a schedule that shows it starts at from, the
+// first such seed found, so that the search is short.
 type brokenVariant struct {
 	name  string
 	from  uint64
@@ -99,21 +99,22 @@
 }
 
 var variants = []brokenVariant{
-	{"a wiped member that votes at once", 126, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.VotesWithoutCatchUp = true })},
-	{"answers before the sync", 4, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.SkipsSync = true })},
-	{"silence counted as agreement", 2, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.CountsMissingReplyAsGrant = true })},
-	{"a refusal decided on remembered ownership", 1, func() variant { return variant{wrapStore: withRememberedState()} }},
-	{"resends not recognised", 5, func() variant { return variant{wrapStore: withoutAppliedCalls} }},
-	{"freshness without a deadline", 2, func() variant { return variant{staysFreshUntilFailure: true} }},
-	{"a digest that counts as confirmed in spite of an open one", 2, func() variant { return variant{ignoresUndecided: true} }},
-	{"a late attempt of an evacuation carried out", 88, func() variant { return variant{ignoresTokenExpiry: true} }},
+	{"immediate vote after a wipe", 126, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.VotesWithoutCatchUp = true })},
+	{"replies before the sync", 4, clusterVariant(func(cluster *keystoresim.Cluster) { cluster.SkipsSync = true })},
+	{"missing reply counted as agreement", 2, clusterVariant(func(cluster *keystoresim.Cluster) {
+		cluster.CountsMissingReplyAsGrant = true
+	})},
+	{"rejections based on remembered state", 1, func() variant { return variant{wrapStore: withRememberedState()} }},
+	{"resends not recognized", 5, func() variant { return variant{wrapStore: withoutAppliedCalls} }},
+	{"confirmation without a deadline", 2, func() variant { return variant{staysFreshUntilFailure: true} }},
+	{"confirmation in spite of an undecided proposal", 2, func() variant { return variant{ignoresUndecided: true} }},
+	{"late attempt of a drain performed", 88, func() variant { return variant{ignoresTokenExpiry: true} }},
 }
 
-// variantSeeds bounds the search for a schedule that shows a fault.
+// variantSeeds is the maximum number of schedules tried to show a fault.
 const variantSeeds = 400
 
-// TestSimulation_BrokenVariantsAreCaught counts faults of safety only: a variant that
-// merely stops answering is not caught.
+// TestSimulation_BrokenVariantsAreCaught counts only safety violations: a variant that merely stops replying is not caught.
 func TestSimulation_BrokenVariantsAreCaught(t *testing.T) {
 	for _, broken := range variants {
 		t.Run(broken.name, func(t *testing.T) {
@@ -124,7 +125,7 @@
 					return
 				}
 			}
-			assert.Assert(t, false, "no schedule shows what is wrong")
+			assert.Assert(t, false, "no schedule detects the fault")
 		})
 	}
 }
--- a/internal/test/modelcheck/actions.go
+++ b/internal/test/modelcheck/actions.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// actionKind is what may happen in a world.
+// actionKind is the kind of an event in a world.
 type actionKind uint8
 
 // The kinds of actions. The subject of an action is a packet, a machine or a proposer.
@@ -23,14 +23,14 @@
 	actionStepWallClock
 )
 
-// action is one event: what it happens to, and a further choice.
+// action is one event: its subject and, for some kinds, one of several variants.
 type action struct {
 	kind    actionKind
 	subject stateID
 	choice  stateID
 }
 
-// actions lists all that may happen next.
+// actions returns the actions that are enabled in a world.
 func (m *model) actions(w *world) []action {
 	var found []action
 	for index, id := range w.network {
@@ -57,11 +57,11 @@
 	return found
 }
 
-// replyLost is the choice of a delivery or sync whose reply never arrives.
+// replyLost is the choice of a delivery or sync whose reply is lost.
 const replyLost = 1
 
-// mayLoseReply says whether the loss of the reply alone is an action of its own. Where the request changes nothing at the
-// member, it is the same as the loss of the request.
+// mayLoseReply reports whether losing only the reply is a separate action. If the request does not change the member, that
+// is equivalent to losing the request.
 func (m *model) mayLoseReply(w *world, id stateID) bool {
 	message := m.packets.get(id)
 	sender := m.proposers.get(w.proposers[message.Proposer])
@@ -126,7 +126,7 @@
 	return found
 }
 
-// mayStartTask holds back a task that waits for something.
+// mayStartTask reports whether the preconditions of the proposer's next task are met.
 func (m *model) mayStartTask(w *world, client *proposer) bool {
 	task := client.task()
 	own := m.members.get(w.members[m.machine(client.Machine)])
@@ -142,7 +142,7 @@
 	return newcomer.Voting && newcomer.MembershipVersion == client.Membership.Version
 }
 
-// describe is an action as a trace shows it.
+// describe returns the text of an action in a trace.
 func (m *model) describe(w *world, event action) string {
 	subject := int(event.subject)
 	switch event.kind {
@@ -161,22 +161,22 @@
 		}
 		return text
 	case actionCrash:
-		return fmt.Sprintf("machine %s crashes and starts, %d unsynced batches are kept", m.machines[subject], event.choice)
+		return fmt.Sprintf("machine %s crashes and restarts, %d unsynced batches are kept", m.machines[subject], event.choice)
 	case actionWipe:
-		return "machine " + m.machines[subject] + " loses its disk and starts"
+		return "machine " + m.machines[subject] + " loses its disk and restarts"
 	case actionRestart:
-		return fmt.Sprintf("proposer %d begins a new life", subject)
+		return fmt.Sprintf("proposer %d restarts as a new incarnation", subject)
 	case actionStartTask:
 		task := m.proposers.get(w.proposers[subject]).task()
-		return fmt.Sprintf("proposer %d begins: %s %s %s", subject, task.Kind, task.Key, task.Label)
+		return fmt.Sprintf("proposer %d starts: %s %s %s", subject, task.Kind, task.Key, task.Label)
 	case actionAbandon:
 		at := m.proposers.get(w.proposers[subject])
-		return fmt.Sprintf("proposer %d gives up %s (%s)", subject, at.task().Kind, at.Phase)
+		return fmt.Sprintf("proposer %d abandons %s (%s)", subject, at.task().Kind, at.Phase)
 	case actionAdoptMembership:
-		return fmt.Sprintf("proposer %d hears the member list of proposer %d", subject, event.choice)
+		return fmt.Sprintf("proposer %d adopts the membership of proposer %d", subject, event.choice)
 	case actionTick:
-		return fmt.Sprintf("time steps to %d", w.tick+1)
+		return fmt.Sprintf("time advances to tick %d", w.tick+1)
 	default:
-		return "time of day of " + m.machines[subject] + " is set forward by a lease"
+		return "wall clock of " + m.machines[subject] + " is set forward by one lease duration"
 	}
 }
--- a/internal/test/modelcheck/history.go
+++ b/internal/test/modelcheck/history.go
@@ -10,8 +10,8 @@
 	"ferryspar/internal/keystore"
 )
 
-// committedValue is a value that somebody may take for committed: a proposer that recommitted, wrote or made a digest, or
-// a digest that a majority would answer at this moment.
+// committedValue is a value that some observer may conclude to be committed: a proposer after a recommit, write or digest,
+// or any digest that a majority would reply to at this moment.
 type committedValue struct {
 	Key      string
 	Proposal keystore.ProposalNumber
@@ -40,14 +40,14 @@
 	)
 }
 
-// acknowledgement is a change whose caller was answered that it is in force.
+// acknowledgement is a change whose caller was told that it is committed.
 type acknowledgement struct {
 	Label string
 	Tick  int
 }
 
-// history is what an observer of the whole fleet has recorded; no decision depends on it. Its
-// lists are sorted, so that histories that say the same are one.
+// history is what an external observer of the whole cluster has recorded; no decision depends on it. Its lists are sorted, so
+// that equal histories have one encoding.
 type history struct {
 	Committed    []committedValue
 	Acknowledged []acknowledgement
@@ -57,8 +57,8 @@
 	return &history{Committed: slices.Clone(h.Committed), Acknowledged: slices.Clone(h.Acknowledged)}
 }
 
-// addCommitted records a value and checks that all those of the key form one chain: in the order of (proposal number,
-// sequence) each follows from the one before.
+// addCommitted records a value and checks that all committed values of its key form one chain: in the order of (proposal
+// number, sequence) each extends the one before.
 func (h *history) addCommitted(value committedValue) error {
 	for _, other := range h.Committed {
 		if other.Key != value.Key {
@@ -66,7 +66,7 @@
 		}
 		if other.register().SameProposal(value.register()) {
 			if string(other.Value) != string(value.Value) {
-				return errors.Errorf("%s: %s and %s share ballot %s and sequence %d",
+				return errors.Errorf("%s: %s and %s share proposal number %s and sequence %d",
 					value.Key, other.Value, value.Value, value.Proposal, value.Sequence)
 			}
 			return nil
@@ -76,7 +76,7 @@
 			earlier, later = value, other
 		}
 		if !extends(earlier, later) {
-			return errors.Errorf("%s: committed %s under %s.%d is replaced by %s under %s.%d, which does not follow from it",
+			return errors.Errorf("%s: committed %s under %s.%d is replaced by %s under %s.%d, which does not extend it",
 				value.Key, earlier.Value, earlier.Proposal, earlier.Sequence, later.Value, later.Proposal, later.Sequence)
 		}
 	}
@@ -85,14 +85,14 @@
 	return nil
 }
 
-// contains says whether a proposal is recorded already.
+// contains reports whether a proposal is recorded already.
 func (h *history) contains(register keystore.Register) bool {
 	return slices.ContainsFunc(h.Committed, func(value committedValue) bool {
 		return value.Key == register.Key && value.register().SameProposal(register)
 	})
 }
 
-// acknowledge records a change whose caller was answered.
+// acknowledge records a change that was acknowledged to its caller.
 func (h *history) acknowledge(label string, tick int) {
 	h.Acknowledged = append(h.Acknowledged, acknowledgement{Label: label, Tick: tick})
 	slices.SortFunc(h.Acknowledged, func(left, right acknowledgement) int {
@@ -100,7 +100,7 @@
 	})
 }
 
-// labelsUntil lists the labels of the changes that were acknowledged by a tick.
+// labelsUntil returns the labels of the changes that were acknowledged at or before a tick.
 func (h *history) labelsUntil(until int) []string {
 	var labels []string
 	for _, acknowledged := range h.Acknowledged {
@@ -111,8 +111,8 @@
 	return labels
 }
 
-// extends says whether a later value follows from an earlier one: values of changes are the labels of all changes so far,
-// memberships have versions.
+// extends reports whether a later value was derived from an earlier one: the value of a key lists the labels of all changes
+// so far, and a membership has a higher version than its predecessor.
 func extends(earlier, later committedValue) bool {
 	if earlier.Key == keystore.MembershipKey {
 		from, to := decodeMembership(earlier.Value), decodeMembership(later.Value)
@@ -134,7 +134,7 @@
 	return membership
 }
 
-// missingLabel is the first label that a value lacks, or empty.
+// missingLabel returns the first of the labels that a value lacks, or an empty string.
 func missingLabel(value json.RawMessage, labels []string) string {
 	present := decodeLabels(value)
 	for _, label := range labels {
--- a/internal/test/modelcheck/planted_faults_test.go
+++ b/internal/test/modelcheck/injected_faults_test.go
@@ -12,24 +12,24 @@
 	"ferryspar/internal/test/modelcheck"
 )
 
-// plantedFault is a broken rule and the scenario that must show it.
-type plantedFault struct {
+// injectedFault is a faulty rule and the scenario in which the search must find a violation.
+type injectedFault struct {
 	name     string
 	scenario modelcheck.Scenario
-	plant    func(rules *modelcheck.Rules)
+	inject   func(rules *modelcheck.Rules)
 }
 
 const (
 	localMembershipKey = "!members"
 )
 
-func votesRightAfterWipe(rules *modelcheck.Rules) {
+func votesImmediatelyAfterWipe(rules *modelcheck.Rules) {
 	rules.WipedRegisters = func(incarnation uint64, membership keystore.Membership) []keystore.Register {
 		return keystore.BootstrapRegisters(membership, incarnation)
 	}
 }
 
-func answersBeforeSync(rules *modelcheck.Rules) {
+func repliesBeforeSync(rules *modelcheck.Rules) {
 	rules.WaitsForSync = func([]keystore.Register) bool { return false }
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-func countsSilenceAsAgreement(rules *modelcheck.Rules) {
+func countsMissingReplyAsAgreement(rules *modelcheck.Rules) {
 	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees keystore.VoteFunc) (bool, bool) {
 		_, possible := keystore.CountVotes(membership, replies, agrees)
 		return possible && len(replies) > 0, possible
@@ -49,9 +49,9 @@
 
 func installsStaleMembership(rules *modelcheck.Rules) {
 	rules.Install = func(state *keystore.AcceptorState, read keystore.CatchUpResult, now time.Time) (keystore.Reply, []keystore.Register) {
-		blind := state.Clone()
-		delete(blind.Registers, localMembershipKey)
-		return blind.Install(read, now)
+		withoutMembership := state.Clone()
+		delete(withoutMembership.Registers, localMembershipKey)
+		return withoutMembership.Install(read, now)
 	}
 }
 
@@ -61,16 +61,18 @@
 	}
 }
 
-func countsFreshnessFromReply(rules *modelcheck.Rules) {
+func countsDigestValidityFromReply(rules *modelcheck.Rules) {
 	rules.IsFresh = func(_, answered, now time.Time, length time.Duration) bool { return now.Before(answered.Add(length)) }
 }
 
-func keepsFreshnessOverFreeze(rules *modelcheck.Rules) {
+func ignoresDigestExpiry(rules *modelcheck.Rules) {
 	rules.IsFresh = func(_, _, _ time.Time, _ time.Duration) bool { return true }
 }
 
 func countsLeasesByWallClock(rules *modelcheck.Rules) {
-	rules.Clock = func(steady time.Time, dayOffset time.Duration) time.Time { return steady.Add(dayOffset) }
+	rules.Clock = func(monotonic time.Time, wallClockOffset time.Duration) time.Time {
+		return monotonic.Add(wallClockOffset)
+	}
 }
 
 func countsAnyAcceptance(rules *modelcheck.Rules) {
@@ -103,7 +105,7 @@
 	rules.NeedsRecommit = func(keystore.Ownership) bool { return false }
 }
 
-func promisesLeasesAfterInstall(rules *modelcheck.Rules) {
+func grantsLeasesAfterInstall(rules *modelcheck.Rules) {
 	rules.Install = func(state *keystore.AcceptorState, read keystore.CatchUpResult, now time.Time) (keystore.Reply, []keystore.Register) {
 		reply, changes := state.Install(read, now)
 		state.LeasesBlockedUntil = time.Time{}
@@ -111,7 +113,7 @@
 	}
 }
 
-// readsUnconfirmed lets an owner read again without a majority's confirmation.
+// readsUnconfirmed lets an owner read without confirmation by a majority.
 func readsUnconfirmed(rules *modelcheck.Rules) {
 	rules.Step = func(
 		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
@@ -124,21 +126,22 @@
 	}
 }
 
-// judgesChangedReplies changes the replies on which a bootstrap is judged; members without one count with an empty one.
-func judgesChangedReplies(rules *modelcheck.Rules, change func(address string, reply keystore.Reply) keystore.Reply) {
-	rules.EvaluateBootstrap = func(self string, founding keystore.Membership, replies map[string]keystore.Reply) keystore.BootstrapVerdict {
-		judged := map[string]keystore.Reply{}
-		for _, address := range founding.Current {
-			judged[address] = change(address, replies[address])
+// evaluatesModifiedReplies modifies the replies on which a bootstrap is evaluated. The reply of a member that did not answer
+// is empty.
+func evaluatesModifiedReplies(rules *modelcheck.Rules, change func(address string, reply keystore.Reply) keystore.Reply) {
+	rules.EvaluateBootstrap = func(self string, initial keystore.Membership, replies map[string]keystore.Reply) keystore.BootstrapVerdict {
+		modified := map[string]keystore.Reply{}
+		for _, address := range initial.Current {
+			modified[address] = change(address, replies[address])
 		}
-		founding.Version = keystore.BootstrapVersion
-		return keystore.EvaluateBootstrap(self, founding, judged)
+		initial.Version = keystore.BootstrapVersion
+		return keystore.EvaluateBootstrap(self, initial, modified)
 	}
 }
 
-// bootstrapsWithoutUnanswered takes a member that did not answer for one that never voted.
+// bootstrapsWithoutUnanswered treats a member that did not answer as one that never voted.
 func bootstrapsWithoutUnanswered(rules *modelcheck.Rules) {
-	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
+	evaluatesModifiedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
 		if reply.DiskIncarnation == 0 {
 			return keystore.Reply{
 				Rejection:  keystore.RejectedNotVoting,
@@ -151,14 +154,14 @@
 }
 
 func bootstrapsAfterCompletion(rules *modelcheck.Rules) {
-	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
+	evaluatesModifiedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
 		reply.BootstrapCompleted = false
 		return reply
 	})
 }
 
 func bootstrapsUnderAnyMembership(rules *modelcheck.Rules) {
-	judgesChangedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
+	evaluatesModifiedReplies(rules, func(_ string, reply keystore.Reply) keystore.Reply {
 		if reply.Membership.Version > 0 {
 			reply.Membership.Version = keystore.BootstrapVersion
 		}
@@ -166,8 +169,8 @@
 	})
 }
 
-// answersWithoutRecordingIncarnation does not record who was answered that this member never voted.
-func answersWithoutRecordingIncarnation(rules *modelcheck.Rules) {
+// repliesWithoutRecordingIncarnation does not record to which incarnation a member replied that it never voted.
+func repliesWithoutRecordingIncarnation(rules *modelcheck.Rules) {
 	rules.Step = func(
 		state *keystore.AcceptorState, message keystore.Message, now time.Time, durable map[string]keystore.Register,
 	) (keystore.Reply, []keystore.Register) {
@@ -179,22 +182,22 @@
 	}
 }
 
-// takesBackByNextMembers counts the votes of the next members where those of the current ones decide.
-func takesBackByNextMembers(rules *modelcheck.Rules) {
+// rollsBackByNextMembers counts the votes of the next members where those of the current members decide.
+func rollsBackByNextMembers(rules *modelcheck.Rules) {
 	rules.RollbackElectorate = func(joint keystore.Membership) keystore.Membership {
 		return keystore.Membership{Version: joint.Version, Current: joint.Next}
 	}
 }
 
-// takesBackOverCompletion takes back a joint membership although a completion was found.
-func takesBackOverCompletion(rules *modelcheck.Rules) {
+// rollsBackOverCompletion rolls back a joint membership although a completion was found.
+func rollsBackOverCompletion(rules *modelcheck.Rules) {
 	rules.ProposeRollback = func(owner keystore.Ownership, joint keystore.Membership) (keystore.Register, error) {
 		value, err := json.Marshal(joint.RolledBack())
 		return owner.NextProposal(value), err
 	}
 }
 
-// completesByNextMembers counts the votes of the next members alone under a joint membership, also after it was taken back.
+// completesByNextMembers counts only the votes of the next members under a joint membership, even after its rollback.
 func completesByNextMembers(rules *modelcheck.Rules) {
 	rules.CountVotes = func(membership keystore.Membership, replies map[string]keystore.Reply, agrees keystore.VoteFunc) (bool, bool) {
 		if membership.IsJoint() {
@@ -204,39 +207,39 @@
 	}
 }
 
-var plantedFaults = []plantedFault{
-	{"silent founder counted as one that never voted", modelcheck.BootstrapWithUnreachableMember(), bootstrapsWithoutUnanswered},
-	{"second founding after the first was completed", modelcheck.DiskLossAfterBootstrap(), bootstrapsAfterCompletion},
-	{"founding under a later member list", modelcheck.BootstrapMembershipChanged(), bootstrapsUnderAnyMembership},
-	{"testimony not tied to a life", modelcheck.BootstrapWithWipe(), answersWithoutRecordingIncarnation},
-	{"vote after a wipe at once", modelcheck.WipeSeen(), votesRightAfterWipe},
-	{"answer before the sync", modelcheck.CrashBetweenWrites(), answersBeforeSync},
-	{"one majority in a joint change", modelcheck.JointMajorities(), countsOnlyCurrentMajority},
-	{"taken back by the next members", modelcheck.ChangeAfterRollback(), takesBackByNextMembers},
-	{"taken back over a completion", modelcheck.RollbackDuringCompletion(), takesBackOverCompletion},
-	{"votes of the next members counted beside a take-back", modelcheck.RollbackDuringCompletion(), completesByNextMembers},
-	{"vote after a wipe at once, of five members", modelcheck.FiveWithWipe(), votesRightAfterWipe},
-	{"taken back over a completion, two joining", modelcheck.TwoJoiningTwice(), takesBackOverCompletion},
-	{"silence as agreement", modelcheck.TwoProposers(), countsSilenceAsAgreement},
-	{"stale member list installed at catch-up", modelcheck.MembershipDuringCatchUp(), installsStaleMembership},
-	{"ballot reused by the next life", modelcheck.Restart(), reusesProposalNumbers},
-	{"freshness counted from the answer", modelcheck.FreshDigest(), countsFreshnessFromReply},
-	{"freshness kept over a freeze", modelcheck.FreshDigest(), keepsFreshnessOverFreeze},
+var injectedFaults = []injectedFault{
+	{"unanswered initial member counted as one that never voted", modelcheck.BootstrapWithUnreachableMember(), bootstrapsWithoutUnanswered},
+	{"second bootstrap after the first was completed", modelcheck.DiskLossAfterBootstrap(), bootstrapsAfterCompletion},
+	{"bootstrap under a later membership", modelcheck.BootstrapMembershipChanged(), bootstrapsUnderAnyMembership},
+	{"never-voted reply not tied to a disk incarnation", modelcheck.BootstrapWithWipe(), repliesWithoutRecordingIncarnation},
+	{"immediate vote after a wipe", modelcheck.WipeSeen(), votesImmediatelyAfterWipe},
+	{"reply before the sync", modelcheck.CrashBetweenWrites(), repliesBeforeSync},
+	{"only one majority under a joint membership", modelcheck.JointMajorities(), countsOnlyCurrentMajority},
+	{"rollback decided by the next members", modelcheck.ChangeAfterRollback(), rollsBackByNextMembers},
+	{"rollback in spite of a completion", modelcheck.RollbackDuringCompletion(), rollsBackOverCompletion},
+	{"votes of the next members counted during a rollback", modelcheck.RollbackDuringCompletion(), completesByNextMembers},
+	{"immediate vote after a wipe, five members", modelcheck.FiveWithWipe(), votesImmediatelyAfterWipe},
+	{"rollback in spite of a completion, two joining", modelcheck.TwoJoiningTwice(), rollsBackOverCompletion},
+	{"missing reply counted as agreement", modelcheck.TwoProposers(), countsMissingReplyAsAgreement},
+	{"stale membership installed at catch-up", modelcheck.MembershipDuringCatchUp(), installsStaleMembership},
+	{"proposal number reused by the next incarnation", modelcheck.Restart(), reusesProposalNumbers},
+	{"digest validity counted from the reply", modelcheck.FreshDigest(), countsDigestValidityFromReply},
+	{"digest validity not ended by a freeze", modelcheck.FreshDigest(), ignoresDigestExpiry},
 	{"renewal granted under a higher promise", modelcheck.OwnerReads(), readsUnconfirmed},
-	{"lease by the time of day", modelcheck.LeaseReleased(), countsLeasesByWallClock},
-	{"accept that ignores incarnations", modelcheck.WipeSeen(), ignoresDiskIncarnations},
-	{"write counted at members that promised nothing", modelcheck.WipeBetweenWrites(), countsAnyAcceptance},
-	{"member that does not know its own lost disk", modelcheck.WipeHalfWritten(), ignoresOwnDiskLoss},
+	{"lease measured by the wall clock", modelcheck.LeaseReleased(), countsLeasesByWallClock},
+	{"accept that ignores disk incarnations", modelcheck.WipeSeen(), ignoresDiskIncarnations},
+	{"acceptance counted from members that promised nothing", modelcheck.WipeBetweenWrites(), countsAnyAcceptance},
+	{"member that ignores the loss of its own disk", modelcheck.WipeHalfWritten(), ignoresOwnDiskLoss},
 	{"owner that skips the recommit", modelcheck.ThreeProposers(), skipsRecommit},
-	{"newcomer that promises leases at once", modelcheck.LeaseWiped(), promisesLeasesAfterInstall},
+	{"newcomer that grants leases immediately", modelcheck.LeaseWiped(), grantsLeasesAfterInstall},
 }
 
-func TestSearch_FindsPlantedFaults(t *testing.T) {
-	for _, planted := range plantedFaults {
-		t.Run(planted.name, func(t *testing.T) {
+func TestSearch_FindsInjectedFaults(t *testing.T) {
+	for _, injected := range injectedFaults {
+		t.Run(injected.name, func(t *testing.T) {
 			rules := modelcheck.ProductionRules()
-			planted.plant(&rules)
-			report := modelcheck.Search(t.Context(), planted.scenario, rules, modelcheck.Limits{})
+			injected.inject(&rules)
+			report := modelcheck.Search(t.Context(), injected.scenario, rules, modelcheck.Limits{})
 			t.Log(report)
 			assert.Assert(t, report.Violation != "", "not found in all %d states", report.States)
 		})
--- a/internal/test/modelcheck/invariants.go
+++ b/internal/test/modelcheck/invariants.go
@@ -12,8 +12,8 @@
 	"ferryspar/internal/keystore"
 )
 
-// observeCommitted records what a digest by anyone would conclude at this moment: a proposal that a quorum of voting
-// members hold alike on their disks, under any membership that one of them knows.
+// observeCommitted records what any digest would find committed at this moment: each proposal that a quorum of voting
+// members hold on their disks, under any membership that one of them knows.
 func (m *model) observeCommitted(w *world) error {
 	observed := m.histories.get(w.history)
 	var next *history
@@ -37,18 +37,18 @@
 	return nil
 }
 
-// isCommitted says whether a quorum of the membership hold the proposal on their disks.
+// isCommitted reports whether a quorum of the membership hold the proposal on their disks.
 func (m *model) isCommitted(w *world, membership keystore.Membership, register keystore.Register) bool {
-	alike := map[string]bool{}
+	holders := map[string]bool{}
 	for index, id := range w.members {
 		other := m.members.get(id)
 		counts := other.localState.Voting && other.membership.Version <= membership.Version
-		alike[m.machines[index]] = counts && other.Durable[register.Key].SameProposal(register)
+		holders[m.machines[index]] = counts && other.Durable[register.Key].SameProposal(register)
 	}
-	return membership.HasQuorum(alike)
+	return membership.HasQuorum(holders)
 }
 
-// check checks what must hold in each world at each time.
+// check checks the invariants that must hold in each world.
 func (m *model) check(w *world) error {
 	if m.scenario.LeaseTicks > 0 {
 		if err := m.checkLeases(w); err != nil {
@@ -61,19 +61,19 @@
 	return nil
 }
 
-// checkMemberships: a member never goes back to an older membership.
+// checkMemberships checks that no member goes back to an older membership.
 func (m *model) checkMemberships(before, after *world) error {
 	for index, id := range after.members {
 		former := m.members.get(before.members[index]).membership
 		present := m.members.get(id).membership
 		if present.Version < former.Version {
-			return errors.Errorf("%s goes back from list %d to %d", m.machines[index], former.Version, present.Version)
+			return errors.Errorf("%s goes back from membership version %d to %d", m.machines[index], former.Version, present.Version)
 		}
 	}
 	return nil
 }
 
-// checkLeases: no two holders, each by its own counting, hold one lease at the same moment.
+// checkLeases checks that no two proposers hold one lease at the same moment, each by its own clock.
 func (m *model) checkLeases(w *world) error {
 	holders := map[string]string{}
 	for _, id := range w.proposers {
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// checkDigests: an answer from a digest lacks nothing that was acknowledged longer ago than digests are valid.
+// checkDigests checks that an answer from a cached digest includes every change that was acknowledged longer ago than a
+// digest is valid.
 func (m *model) checkDigests(w *world) error {
 	for _, id := range w.proposers {
 		client := m.proposers.get(id)
@@ -103,18 +104,18 @@
 		}
 		acknowledged := m.histories.get(w.history).labelsUntil(w.tick - ticks)
 		if label := missingLabel(client.LastDigest.Value, acknowledged); label != "" {
-			return errors.Errorf("%s answers %s at time %d, %s was acknowledged %d steps or more before",
+			return errors.Errorf("%s answers %s at tick %d, but %s was acknowledged %d ticks or more before",
 				client.Machine, client.LastDigest.Value, w.tick, label, ticks)
 		}
 	}
 	return nil
 }
 
-// reached names the labels acknowledged in any world, and the memberships on any disk.
+// reached returns the labels that were acknowledged in some world, and the versions of the memberships on any disk.
 func (m *model) reached() []string {
 	found := map[string]bool{}
 	for _, value := range m.histories.values {
-		for _, label := range value.labelsUntil(noTick) {
+		for _, label := range value.labelsUntil(maxTick) {
 			found[label] = true
 		}
 	}
@@ -124,5 +125,5 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// noTick is later than any tick.
-const noTick = math.MaxInt
+// maxTick is later than any tick.
+const maxTick = math.MaxInt
--- a/internal/test/modelcheck/member.go
+++ b/internal/test/modelcheck/member.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/keystore"
 )
 
-// batch is what one step decided that the disk does not have yet, with the replies that wait.
+// batch is the unsynced writes of one step, with the replies that wait for their sync.
 type batch struct {
 	Registers []keystore.Register
 	Replies   []packet
@@ -24,7 +24,7 @@
 	membership keystore.Membership
 }
 
-// refreshDerived reads what the disk says of the member and the membership.
+// refreshDerived decodes localState and membership from the disk.
 func (m *member) refreshDerived() {
 	m.localState, m.membership = keystore.LocalStateOf(m.Durable), keystore.MembershipOf(m.Durable)
 }
@@ -49,7 +49,7 @@
 	return result
 }
 
-// completeBootstrap is the member after it has seen every initial member vote.
+// completeBootstrap returns the member's state once it has seen every initial member vote.
 func (m *member) completeBootstrap() *member {
 	next := m.clone()
 	_, changes := next.State.CompleteBootstrap()
@@ -66,8 +66,8 @@
 	return &copied
 }
 
-// dropExpired drops grants and a time without leases that have run out: every later request is answered as though there
-// were none, so members that differ only in them are one state.
+// dropExpired drops expired grants and an expired lease block: they no longer affect any reply, so that members that differ
+// only in them become one state.
 func (m *member) dropExpired(now time.Time) {
 	for key, until := range m.State.Grants {
 		if !now.Before(until) {
@@ -79,17 +79,17 @@
 	}
 }
 
-// handle gives the member a packet: the member that results and the replies that leave at once.
+// handle processes a packet, and returns the member's next state and the replies that need no sync.
 func (m *member) handle(rules Rules, message packet, now time.Time) (*member, []packet) {
 	next := m.clone()
 	var reply keystore.Reply
 	var changes []keystore.Register
-	answer := message
-	answer.Request, answer.Install, answer.Learn = nil, nil, nil
+	replyPacket := message
+	replyPacket.Request, replyPacket.Install, replyPacket.Learn = nil, nil, nil
 	switch {
 	case message.Request != nil:
 		reply, changes = rules.Step(&next.State, *message.Request, now, m.Durable)
-		answer.Reply = &reply
+		replyPacket.Reply = &reply
 	case message.Install != nil:
 		_, changes = rules.Install(&next.State, *message.Install, now)
 	case message.Learn != nil:
@@ -98,8 +98,8 @@
 	next.State.Apply(changes)
 	next.dropExpired(now)
 	var replies []packet
-	if answer.Reply != nil {
-		replies = []packet{answer}
+	if replyPacket.Reply != nil {
+		replies = []packet{replyPacket}
 	}
 	if len(changes) == 0 {
 		return next, replies
@@ -112,21 +112,21 @@
 	return next, replies
 }
 
-// sync brings the oldest batch to the disk.
+// sync makes the oldest staged batch durable, and returns the member's next state and the replies that waited for it.
 func (m *member) sync() (*member, []packet) {
 	next := m.clone()
-	done := next.Staged[0]
+	oldest := next.Staged[0]
 	next.Staged = next.Staged[1:]
 	if len(next.Staged) == 0 {
 		next.Staged = nil
 	}
-	next.Durable = withRegisters(m.Durable, done.Registers)
+	next.Durable = withRegisters(m.Durable, oldest.Registers)
 	next.refreshDerived()
-	return next, done.Replies
+	return next, oldest.Replies
 }
 
-// crash is a kill or a loss of power and the start after it. The first kept batches had reached the disk; replies that
-// waited are lost. Grants are in memory only: none is made for as long as a lease lasts.
+// crash returns the member after a kill or power loss and the following start. The first kept batches have reached the disk;
+// waiting replies are lost. Grants are in memory only, so the member grants no lease for one lease duration.
 func (m *member) crash(kept int, now time.Time) *member {
 	durable := m.Durable
 	for _, staged := range m.Staged[:kept] {
@@ -139,7 +139,7 @@
 	return next
 }
 
-// wipe is a crash that takes the disk along.
+// wipe returns the member after a crash that also loses the disk.
 func (m *member) wipe(rules Rules, now time.Time) *member {
 	registers := rules.WipedRegisters(m.localState.DiskIncarnation+1, m.membership)
 	return newMember(m.State.Address, m.State.Seeds, m.State.LeaseDuration, registers, now.Add(m.State.LeaseDuration))
--- a/internal/test/modelcheck/model.go
+++ b/internal/test/modelcheck/model.go
@@ -7,7 +7,7 @@
 	"ferryspar/internal/keystore"
 )
 
-// model is a scenario under rules, with the tables that its worlds refer to.
+// model combines a scenario and rules with the tables of interned local states that its worlds refer to.
 type model struct {
 	scenario  Scenario
 	rules     Rules
@@ -18,14 +18,14 @@
 	histories *table[history]
 	handled   map[handleKey]handleResult
 	received  map[receiveKey]receiveResult
-	// changesMembership says that a task changes the membership.
+	// changesMembership means that some task changes the membership.
 	changesMembership bool
 }
 
-// syncPacket stands for the packet where a member syncs.
+// syncPacket is the packet identifier that a handleKey has for a sync.
 const syncPacket = ^stateID(0)
 
-// receiveKey is a reply at a proposer; what comes of it is computed once.
+// receiveKey is the cache key of a reply received by a proposer.
 type receiveKey struct {
 	proposer, packet, history, own stateID
 	now                            int
@@ -36,7 +36,7 @@
 	packets           []stateID
 }
 
-// handleKey is a packet at a member at a time; what comes of it is computed once.
+// handleKey is the cache key of a packet handled by a member at a given time.
 type handleKey struct {
 	member, packet stateID
 	now            int
@@ -47,7 +47,7 @@
 	replies []stateID
 }
 
-// epoch is the time at which every walk begins.
+// epoch is the time in the initial world.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newModel(scenario Scenario, rules Rules) *model {
@@ -70,7 +70,7 @@
 	return result
 }
 
-// initialWorld is the world in which every walk begins.
+// initialWorld returns the world in which a search starts.
 func (m *model) initialWorld() *world {
 	first := &world{remaining: m.scenario.Faults, wallClockOffsets: make([]int, len(m.machines))}
 	m.addMembers(first)
@@ -122,19 +122,19 @@
 	}
 }
 
-// machine is the position of a machine.
+// machine returns the index of a machine.
 func (m *model) machine(address string) int { return slices.Index(m.machines, address) }
 
-// now is the time by which a machine counts leases.
+// now returns the time on the clock by which a machine measures leases.
 func (m *model) now(w *world, machine int) time.Time {
 	offset := time.Duration(w.wallClockOffsets[machine]) * Tick
 	return m.rules.Clock(epoch.Add(time.Duration(w.tick)*Tick), offset)
 }
 
-// view is what a proposer sees of the world.
-func (m *model) view(w *world, client *proposer) view {
+// view returns the part of the world that a proposer can see.
+func (m *model) view(w *world, client *proposer) proposerView {
 	machine := m.machine(client.Machine)
-	result := view{rules: m.rules, now: m.now(w, machine), own: m.members.get(w.members[machine])}
+	result := proposerView{rules: m.rules, now: m.now(w, machine), own: m.members.get(w.members[machine])}
 	result.acknowledged = m.histories.get(w.history).labelsUntil(w.tick)
 	return result
 }
--- a/internal/test/modelcheck/outcomes.go
+++ b/internal/test/modelcheck/outcomes.go
@@ -18,10 +18,10 @@
 	return m.applyOutcome(w, index, next, result)
 }
 
-// errCannotStart says that a task was started that mayStartTask holds back.
-var errCannotStart = errors.New("nothing happens")
+// errCannotStart means that a task was started although mayStartTask does not allow it.
+var errCannotStart = errors.New("task cannot start: its precondition is not met")
 
-// applyOutcome puts a proposer's new state and what follows from it into the world.
+// applyOutcome stores a proposer's new state in the world, sends its packets, and records and checks what it concluded.
 func (m *model) applyOutcome(w *world, index int, next *proposer, result outcome) error {
 	for _, message := range result.packets {
 		w.send(m.packets.add(&message))
@@ -37,7 +37,7 @@
 			return err
 		}
 		if label := missingLabel(found.Value, result.acknowledgedAtStart); label != "" {
-			return errors.Errorf("a read tells %s, older than %s which was acknowledged before it began", found.Value, label)
+			return errors.Errorf("a read returns %s, which lacks %s that was acknowledged before the read began", found.Value, label)
 		}
 	}
 	if err := m.applyDigest(w, next, observed, result); err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// checkProposalUnused checks that no other attempt, of this proposer or another, had the number.
+// checkProposalUnused checks that no other attempt, of this proposer or another, used the proposal number.
 func (m *model) checkProposalUnused(w *world, index int, next *proposer, proposal keystore.ProposalNumber) error {
 	used := next.Proposals[:len(next.Proposals)-1]
 	for other, id := range w.proposers {
@@ -60,26 +60,27 @@
 		}
 	}
 	if slices.Contains(used, proposal) {
-		return errors.Errorf("ballot %s is used by two attempts", proposal)
+		return errors.Errorf("proposal number %s is used by two attempts", proposal)
 	}
 	return nil
 }
 
-// applyDigest fetches what a digest calls committed, checks it, and lets the member beside learn it.
+// applyDigest fetches the values that a digest found committed, checks them, and passes them to the member on the same
+// machine.
 func (m *model) applyDigest(w *world, next *proposer, observed *history, result outcome) error {
-	for _, proposal := range result.digested {
+	for _, proposal := range result.digestProposals {
 		fetched, found := m.fetch(w, proposal)
 		if !found {
 			continue
 		}
 		if err := observed.addCommitted(newCommittedValue(fetched.Key, fetched)); err != nil {
-			return errors.Wrap(err, "a look")
+			return errors.Wrap(err, "digest")
 		}
 		if fetched.Key == keystore.MembershipKey {
 			continue
 		}
 		if label := missingLabel(fetched.Value, result.acknowledgedAtStart); label != "" {
-			return errors.Errorf("a look tells %s, older than %s which was acknowledged before it began", fetched.Value, label)
+			return errors.Errorf("a digest returns %s, which lacks %s that was acknowledged before the digest began", fetched.Value, label)
 		}
 		if next.LastDigest != nil {
 			next.LastDigest.Key, next.LastDigest.Value = fetched.Key, fetched.Value
@@ -89,22 +90,22 @@
 	return nil
 }
 
-// learn hands a chosen value to the member beside a proposer, if that one lacks it.
-func (m *model) learn(w *world, beside *proposer, chosen keystore.Register) {
-	own := m.members.get(w.members[m.machine(beside.Machine)])
+// learn sends a chosen value to the member on a proposer's machine, if that member has an older one.
+func (m *model) learn(w *world, learner *proposer, chosen keystore.Register) {
+	own := m.members.get(w.members[m.machine(learner.Machine)])
 	if !m.scenario.Learns || !own.localState.Voting || !chosen.NewerThan(own.Durable[chosen.Key]) {
 		return
 	}
 	chosen.Promised = keystore.ProposalNumber{}
 	w.send(m.packets.add(&packet{
-		Member:      beside.Machine,
-		Proposer:    beside.Index,
-		Incarnation: beside.Incarnation,
+		Member:      learner.Machine,
+		Proposer:    learner.Index,
+		Incarnation: learner.Incarnation,
 		Learn:       &chosen,
 	}))
 }
 
-// fetch finds the value of a proposal on any disk, see keystore.Store.Fetch.
+// fetch returns the value of a proposal from any disk that has it, see keystore.Store.Fetch.
 func (m *model) fetch(w *world, proposal keystore.Register) (keystore.Register, bool) {
 	for _, member := range w.members {
 		register := m.members.get(member).Durable[proposal.Key]
--- a/internal/test/modelcheck/packet.go
+++ b/internal/test/modelcheck/packet.go
@@ -7,8 +7,8 @@
 	"ferryspar/internal/keystore"
 )
 
-// packet is a message under way: a request to a member, its reply to a proposer, or what a proposer hands to the member on
-// its own machine. One of the pointers is set.
+// packet is a message in transit: a request to a member, its reply to a proposer, or a local call of a proposer to the
+// member on its own machine. Exactly one of the pointers is set.
 type packet struct {
 	Member   string
 	Proposer int
@@ -22,7 +22,7 @@
 	Learn   *keystore.Register      `json:",omitempty"`
 }
 
-// String is the packet as a trace shows it.
+// String returns the text of the packet in a trace.
 func (p packet) String() string {
 	switch {
 	case p.Request != nil:
@@ -30,7 +30,7 @@
 	case p.Reply != nil:
 		return p.describeReply()
 	case p.Install != nil:
-		return fmt.Sprintf("install of list %d at %s", p.Install.Membership.Version, p.Member)
+		return fmt.Sprintf("install of membership version %d at %s", p.Install.Membership.Version, p.Member)
 	default:
 		return fmt.Sprintf("learning of %s at %s", p.Learn.Accepted, p.Member)
 	}
@@ -47,10 +47,10 @@
 }
 
 func (p packet) describeReply() string {
-	answer := p.Reply
-	text := fmt.Sprintf("reply of %s (incarnation %d) to proposer %d: ", p.Member, answer.DiskIncarnation, p.Proposer)
-	if answer.Granted {
+	reply := p.Reply
+	text := fmt.Sprintf("reply of %s (incarnation %d) to proposer %d: ", p.Member, reply.DiskIncarnation, p.Proposer)
+	if reply.Granted {
 		return text + "granted"
 	}
-	return text + string(answer.Rejection)
+	return text + string(reply.Rejection)
 }
--- a/internal/test/modelcheck/proposer.go
+++ b/internal/test/modelcheck/proposer.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/keystore"
 )
 
-// phase is where a proposer is in its task.
+// phase is the protocol phase that a proposer is in.
 type phase string
 
 // The phases, as traces show them.
@@ -19,11 +19,11 @@
 	phasePreparing    phase = "promising"
 	phaseRecommitting phase = "recommitting"
 	phaseWriting      phase = "writing"
-	// phaseQuerying is a query of one round: a digest, a read, a renewal, a release, a catch-up.
+	// phaseQuerying is the only round of a digest, read, renewal, release or catch-up.
 	phaseQuerying phase = "asking"
 )
 
-// validity is that of a lease as its holder counts it, or of a digest. The times are by the clock that Rules.Clock gives.
+// validity is the validity period of a lease, as its holder measures it, or of a digest. The times are those of Rules.Clock.
 type validity struct {
 	Started  time.Time
 	Answered time.Time
@@ -32,14 +32,14 @@
 	Value    json.RawMessage
 }
 
-// proposer is one incarnation of a keystore.Store, with the calls that are still to come.
+// proposer models one incarnation of a keystore.Store and the calls that are still to be made to it.
 type proposer struct {
 	Machine     string
 	Index       int
 	Incarnation uint64
-	// Proposals holds the numbers used so far, of former incarnations too.
+	// Proposals holds the proposal numbers used so far, including those of former incarnations.
 	Proposals []keystore.ProposalNumber
-	// HighestRound is that of any proposal number that this incarnation has seen.
+	// HighestRound is the highest round of any proposal number that this incarnation has seen.
 	HighestRound uint64
 	Membership   keystore.Membership
 	Tasks        []Task
@@ -47,43 +47,43 @@
 	Phase   phase
 	Round   int
 	Queried keystore.Membership
-	// VersionAtStart is that of the membership known when a catch-up began.
+	// VersionAtStart is the version of the membership that was known when a catch-up began.
 	VersionAtStart uint64
 	Replies        map[string]keystore.Reply
 	Started        time.Time
-	// AcknowledgedAtStart is what was acknowledged when the present digest or read began.
+	// AcknowledgedAtStart lists the labels that had been acknowledged when the current digest or read began.
 	AcknowledgedAtStart []string
 
 	OwnedKey  string
 	Ownership keystore.Ownership `json:"-"`
 	Proposed  keystore.Register
 	Lease     *validity
-	// LastDigest is kept where its freshness is judged.
+	// LastDigest is kept only in scenarios that check the validity of digests.
 	LastDigest *validity
 
-	// bootstrapMembership is the one that is queried while none is known.
+	// bootstrapMembership is the membership that a catch-up queries while none is known.
 	bootstrapMembership keystore.Membership
 	leaseDuration       time.Duration
 	reachable           []string
 	keepsDigests        bool
 }
 
-// unencodedProposerState is what distinguishes proposers besides their JSON.
+// unencodedProposerState encodes the state that is excluded from a proposer's JSON.
 func unencodedProposerState(p *proposer) string { return fmt.Sprint(p.Ownership) }
 
-// outcome is what follows from an event at a proposer besides its new state.
+// outcome is the effects of an event at a proposer, apart from its new state.
 type outcome struct {
 	packets   []packet
 	committed []committedValue
-	// digested holds proposals that a digest calls committed, to be fetched.
-	digested            []keystore.Register
+	// digestProposals holds the proposals that a digest found committed, whose values are to be fetched.
+	digestProposals     []keystore.Register
 	acknowledgedAtStart []string
 	acknowledged        string
 	proposal            keystore.ProposalNumber
 }
 
-// view is what a proposer may look at besides its own state.
-type view struct {
+// proposerView is the part of the world that a proposer may use, apart from its own state.
+type proposerView struct {
 	rules Rules
 	// now is by the clock of the proposer's machine.
 	now time.Time
@@ -104,15 +104,15 @@
 
 func (p *proposer) done() bool { return len(p.Tasks) == 0 }
 
-// resetRound leaves the round; replies to it count no more.
+// resetRound ends the current round; later replies to it are ignored.
 func (p *proposer) resetRound() {
 	p.Phase, p.Replies, p.Queried = phaseIdle, nil, keystore.Membership{}
 	p.VersionAtStart = 0
 	p.Started, p.AcknowledgedAtStart, p.Proposed = time.Time{}, nil, keystore.Register{}
 }
 
-// finishTask goes on to the next task. After the last one nothing is remembered, so that proposers that are done are one
-// state.
+// finishTask moves on to the next task. After the last one it clears what the proposer owns, so that finished proposers
+// share one state.
 func (p *proposer) finishTask() {
 	p.resetRound()
 	p.Tasks = p.Tasks[1:]
@@ -122,7 +122,7 @@
 	}
 }
 
-// failAttempt ends an attempt; the task is dropped once its attempts are used up.
+// failAttempt ends an attempt; the task is dropped once no attempts remain.
 func (p *proposer) failAttempt() {
 	p.resetRound()
 	p.OwnedKey, p.Ownership = "", keystore.Ownership{}
@@ -135,7 +135,7 @@
 	p.Tasks = append([]Task{current}, p.Tasks[1:]...)
 }
 
-// restart is the next incarnation: it knows its calls, since callers send them again, and the membership.
+// restart returns the next incarnation. It keeps the remaining tasks, since callers resend their calls, and the membership.
 func (p *proposer) restart(membership keystore.Membership) *proposer {
 	next := &proposer{
 		Machine:             p.Machine,
@@ -162,12 +162,13 @@
 	}
 }
 
-// startRound begins a round: one request to each member.
+// startRound starts a round: one request to each member.
 func (p *proposer) startRound(next phase, message keystore.Message) []packet {
 	return p.startRoundWith(p.Membership, next, message)
 }
 
-// startRoundWith sends the request to the members of a membership that need not be the one known to be in force.
+// startRoundWith starts a round with the members of a given membership, which may differ from the one that the proposer
+// knows.
 func (p *proposer) startRoundWith(queried keystore.Membership, next phase, message keystore.Message) []packet {
 	p.Phase, p.Queried, p.Replies = next, queried, map[string]keystore.Reply{}
 	p.Round++
--- a/internal/test/modelcheck/queries.go
+++ b/internal/test/modelcheck/queries.go
@@ -7,12 +7,12 @@
 	"ferryspar/internal/keystore"
 )
 
-// completeQuery ends a query of one round that a quorum agreed to. A digest that leaves something undecided may wait for
-// more replies, as keystore.Store does; lingered says that it waits no more.
-func (p *proposer) completeQuery(at view, lingered bool) outcome {
+// completeQuery completes a query of one round after a quorum has agreed. A digest with undecided keys may wait for more
+// replies, as in keystore.Store, unless stopWaiting is set.
+func (p *proposer) completeQuery(view proposerView, stopWaiting bool) outcome {
 	switch p.task().Kind {
 	case taskDigest:
-		return p.completeDigest(at, lingered)
+		return p.completeDigest(view, stopWaiting)
 	case taskRead:
 		result := outcome{
 			committed:           p.committedValues(p.Ownership.Current().Accepted),
@@ -31,23 +31,23 @@
 	return outcome{}
 }
 
-func (p *proposer) completeDigest(at view, lingered bool) outcome {
+func (p *proposer) completeDigest(view proposerView, stopWaiting bool) outcome {
 	digest := keystore.EvaluateDigest(p.Queried, p.Replies)
-	if len(digest.Undecided) > 0 && !lingered {
+	if len(digest.Undecided) > 0 && !stopWaiting {
 		return outcome{}
 	}
 	result := outcome{acknowledgedAtStart: p.AcknowledgedAtStart}
 	for _, key := range slices.Sorted(maps.Keys(digest.Committed)) {
-		result.digested = append(result.digested, digest.Committed[key])
+		result.digestProposals = append(result.digestProposals, digest.Committed[key])
 	}
 	if p.keepsDigests {
-		p.LastDigest = &validity{Started: p.Started, Answered: at.now}
+		p.LastDigest = &validity{Started: p.Started, Answered: view.now}
 	}
 	p.finishTask()
 	return result
 }
 
-// mayEndDigest says whether a digest may end now although something is undecided.
+// mayEndDigest reports whether a digest may end now although some keys are undecided.
 func (p *proposer) mayEndDigest(rules Rules) bool {
 	if p.Phase != phaseQuerying || p.task().Kind != taskDigest {
 		return false
@@ -56,11 +56,11 @@
 	return agreed
 }
 
-// evaluateCatchUp looks at the replies to a catch-up so far.
-func (p *proposer) evaluateCatchUp(at view) outcome {
-	incarnation := at.own.localState.DiskIncarnation
+// evaluateCatchUp evaluates the replies received so far to a catch-up.
+func (p *proposer) evaluateCatchUp(view proposerView) outcome {
+	incarnation := view.own.localState.DiskIncarnation
 	request := keystore.CatchUpRequest{Self: p.Machine, DiskIncarnation: incarnation, Membership: p.Queried}
-	read, _, enough := keystore.EvaluateCatchUp(request, p.Replies, at.rules.EvaluateBootstrap)
+	read, _, enough := keystore.EvaluateCatchUp(request, p.Replies, view.rules.EvaluateBootstrap)
 	if !enough {
 		return outcome{}
 	}
--- a/internal/test/modelcheck/receive.go
+++ b/internal/test/modelcheck/receive.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-// receive gives a reply to its proposer.
+// receive delivers a reply to its proposer.
 func (m *model) receive(w *world, id stateID) error {
 	message := m.packets.get(id)
 	index := message.Proposer
@@ -24,14 +24,14 @@
 	if err := m.applyOutcome(w, index, next, result); err != nil {
 		return err
 	}
-	hasOtherEffects := !result.proposal.IsZero() || len(result.digested) > 0
+	hasOtherEffects := !result.proposal.IsZero() || len(result.digestProposals) > 0
 	if !hasOtherEffects && w.wallClockOffsets[machine] == 0 {
 		m.cacheResult(cacheKey, w, result, index)
 	}
 	return nil
 }
 
-// cacheResult keeps a result that depends on nothing but what receiveKey names.
+// cacheResult caches a result that depends on nothing but the fields of receiveKey.
 func (m *model) cacheResult(cacheKey receiveKey, w *world, result outcome, index int) {
 	kept := receiveResult{proposer: w.proposers[index], history: w.history}
 	for _, sent := range result.packets {
--- a/internal/test/modelcheck/reduction.go
+++ b/internal/test/modelcheck/reduction.go
@@ -6,9 +6,9 @@
 	"ferryspar/internal/keystore"
 )
 
-// dropIrrelevant takes packets off the network that cannot matter any more. Each delivery of one would leave every member
-// and proposer as it is, now and in all worlds that follow, so the worlds with and without it have the same futures but
-// for that delivery.
+// dropIrrelevant removes packets that can no longer have an effect. Delivering such a packet would leave every member and
+// proposer unchanged, now and in all successor worlds, so the worlds with and without it have the same futures except for
+// that delivery.
 func (m *model) dropIrrelevant(w *world) {
 	w.network = slices.DeleteFunc(w.network, func(id stateID) bool {
 		message := m.packets.get(id)
@@ -23,28 +23,29 @@
 	})
 }
 
-// isCurrent says whether the packet belongs to the round that its sender is in.
+// isCurrent reports whether the packet belongs to the round that its proposer is in.
 func isCurrent(sender *proposer, message *packet) bool {
 	return message.Incarnation == sender.Incarnation && message.Round == sender.Round && sender.Phase != phaseIdle
 }
 
-// replyIsIrrelevant: a reply to a former incarnation reaches nobody, one to a proposer that is done is not acted on, and
-// one to a former round only tells of proposal numbers and memberships; what an incarnation has seen of both only rises.
+// replyIsIrrelevant reports whether a reply can have no effect. A reply to a former incarnation or to a finished proposer is
+// ignored. A reply to a former round contributes only its proposal number and membership, and the highest ones that an
+// incarnation has seen never decrease.
 func (m *model) replyIsIrrelevant(sender *proposer, message *packet) bool {
 	if message.Incarnation != sender.Incarnation || sender.done() {
 		return true
 	}
-	return !isCurrent(sender, message) && tellsNothingNew(sender, message.Reply)
+	return !isCurrent(sender, message) && hasNoNewInformation(sender, message.Reply)
 }
 
-func tellsNothingNew(sender *proposer, reply *keystore.Reply) bool {
+func hasNoNewInformation(sender *proposer, reply *keystore.Reply) bool {
 	return reply.Membership.Version <= sender.Membership.Version &&
 		reply.Register.Promised.Round <= sender.HighestRound
 }
 
-// requestIsIrrelevant: a request of a round that is over changes nothing at a member that holds a higher promise on its
-// disk and the membership that the request names, and its reply will be irrelevant. Where a disk may still be lost the
-// promise may go, so the request stays. Digests and fetches change no state.
+// requestIsIrrelevant reports whether a request can have no effect. A request of a completed round changes nothing at a
+// member that has a higher promise and the request's membership on its disk, and its reply will be irrelevant. While a disk
+// may still be lost, the promise may be lost too, so the request stays. Digests and fetches change no state.
 func (m *model) requestIsIrrelevant(w *world, sender *proposer, message *packet) bool {
 	if isCurrent(sender, message) || !m.ignoresReplies(sender, message) {
 		return false
@@ -65,8 +66,8 @@
 	return false
 }
 
-// ignoresReplies says that no reply to the request can change what its sender does: it has ended, or it becomes the owner
-// of no key any more and the membership never changes.
+// ignoresReplies reports whether no reply to the request can change what its sender does: the sender has finished, or it is
+// on its last attempt and the membership never changes.
 func (m *model) ignoresReplies(sender *proposer, message *packet) bool {
 	hasEnded := message.Incarnation != sender.Incarnation || sender.done()
 	return hasEnded || sender.onLastAttempt() && !m.changesMembership
--- a/internal/test/modelcheck/scenarios.go
+++ b/internal/test/modelcheck/scenarios.go
@@ -11,15 +11,15 @@
 	leaseKey         = keystore.LeasePrefix + "duty"
 )
 
-var three = keystore.Membership{Version: 1, Current: []string{"a", "b", "c"}}
+var threeMembers = keystore.Membership{Version: 1, Current: []string{"a", "b", "c"}}
 
-// joint replaces c by d, replaced is the membership after it.
+// jointMembership replaces c by d, and replacedMembership completes the replacement.
 var (
-	joint    = keystore.Membership{Version: 2, Current: []string{"a", "b", "c"}, Next: []string{"a", "b", "d"}}
-	replaced = keystore.Membership{Version: 3, Current: []string{"a", "b", "d"}}
+	jointMembership    = keystore.Membership{Version: 2, Current: []string{"a", "b", "c"}, Next: []string{"a", "b", "d"}}
+	replacedMembership = keystore.Membership{Version: 3, Current: []string{"a", "b", "d"}}
 )
 
-// Scenarios lists the bounds that are walked, the long ones last.
+// Scenarios returns all scenarios, those with the longest searches last.
 func Scenarios() []Scenario {
 	return append(ShortScenarios(),
 		TwoProposersTwice(), OneCrash(), WipeDuringWrite(), WipeThreeWriters(),
@@ -29,7 +29,7 @@
 	)
 }
 
-// ShortScenarios lists those that are exhausted within seconds.
+// ShortScenarios returns the scenarios that are exhausted within seconds.
 func ShortScenarios() []Scenario {
 	return []Scenario{
 		TwoProposers(),
@@ -59,12 +59,12 @@
 	}
 }
 
-// TwoProposers is two proposers with one change each on one key.
+// TwoProposers has two proposers that change one key, each once.
 func TwoProposers() Scenario {
 	return Scenario{
 		Name:       "two-proposers",
 		Summary:    "two proposers change one key, each once",
-		Membership: three,
+		Membership: threeMembers,
 		Clients: []Client{
 			{Machine: "a", StartsImmediately: true, Tasks: []Task{Change(configurationKey, "x", 1)}},
 			{Machine: "b", StartsImmediately: true, Tasks: []Task{Change(configurationKey, "y", 1)}},
@@ -72,7 +72,7 @@
 	}
 }
 
-// TwoProposersTwice is the same with a second attempt of one and a request that comes twice.
+// TwoProposersTwice is TwoProposers with a second attempt of one proposer and one duplicate request.
 func TwoProposersTwice() Scenario {
 	scenario := TwoProposers()
 	scenario.Name, scenario.Summary = "two-proposers-twice", "two proposers change one key; one duplicate, one further attempt"
@@ -81,12 +81,12 @@
 	return scenario
 }
 
-// ThreeProposers is three proposers of which each two meet at one member.
+// ThreeProposers has three proposers, each two of which reach one common member.
 func ThreeProposers() Scenario {
 	return Scenario{
 		Name:       "three-proposers",
-		Summary:    "three proposers change one key; each two of them meet at one member",
-		Membership: three,
+		Summary:    "three proposers change one key; each two of them reach one common member",
+		Membership: threeMembers,
 		Clients: []Client{
 			{
 				Machine:           "a",
@@ -110,11 +110,11 @@
 	}
 }
 
-// OwnerReads is an owner that reads its value again, beside another change that meets it at c,
-// which crashes.
+// OwnerReads has an owner that reads its value again, concurrently with a change by another proposer. The only member that
+// both reach, c, crashes.
 func OwnerReads() Scenario {
 	scenario := TwoProposers()
-	scenario.Name, scenario.Summary = "owner-reads", "an owner reads again what it wrote, beside another change"
+	scenario.Name, scenario.Summary = "owner-reads", "an owner reads again what it wrote, concurrently with another change"
 	scenario.Clients[0] = Client{
 		Machine:           "a",
 		StartsImmediately: true,
@@ -126,13 +126,13 @@
 	return scenario
 }
 
-// Restart is a proposer that restarts, over a key that holds a value.
+// Restart has a proposer that restarts while it changes a key that holds a value.
 func Restart() Scenario {
 	return Scenario{
 		Name:             "restart",
-		Summary:          "a proposer begins a new life during its change; one duplicate",
-		Membership:       three,
-		InitialRegisters: onAllMembers(three, configurationKey, "o"),
+		Summary:          "a proposer restarts during its change; one duplicate",
+		Membership:       threeMembers,
+		InitialRegisters: onAllMembers(threeMembers, configurationKey, "o"),
 		Clients: []Client{{
 			Machine:           "a",
 			StartsImmediately: true,
@@ -143,7 +143,7 @@
 	}
 }
 
-// OneCrash is two changes with a machine that crashes, its writes staged before they are synced.
+// OneCrash has two changes and one machine that crashes, possibly with unsynced writes.
 func OneCrash() Scenario {
 	scenario := TwoProposers()
 	scenario.Name, scenario.Summary = "one-crash", "two proposers change one key; one machine crashes, unsynced writes lost or kept"
@@ -151,23 +151,24 @@
 	return scenario
 }
 
-// CrashBetweenWrites narrows it: each proposer reaches two members, c between them crashes.
+// CrashBetweenWrites restricts OneCrash: each proposer reaches two members, and the common one, c, crashes.
 func CrashBetweenWrites() Scenario {
 	scenario := OneCrash()
-	scenario.Name, scenario.Summary = "crash-between-writes", "two changes that meet at c, which crashes; unsynced writes lost or kept"
+	scenario.Name = "crash-between-writes"
+	scenario.Summary = "two changes with the common member c, which crashes; unsynced writes lost or kept"
 	scenario.FaultyMachines = []string{"c"}
 	scenario.Clients[0].Reachable, scenario.Clients[1].Reachable = []string{"a", "c"}, []string{"b", "c"}
 	return scenario
 }
 
-// DigestDuringWrites is a digest while a value is written and a member loses its disk; what the digest found is learned
-// by the member beside.
+// DigestDuringWrites has a digest while a value is written and a member loses its disk. The member on the digest's machine
+// learns what it found.
 func DigestDuringWrites() Scenario {
 	return Scenario{
 		Name:             "looks-during-writes",
-		Summary:          "a look during a change and the loss of a disk; its finding is learned",
-		Membership:       three,
-		InitialRegisters: onAllMembers(three, configurationKey, "o"),
+		Summary:          "a digest during a change and the loss of a disk; its result is learned",
+		Membership:       threeMembers,
+		InitialRegisters: onAllMembers(threeMembers, configurationKey, "o"),
 		Clients: []Client{
 			{
 				Machine:           "a",
@@ -184,15 +185,15 @@
 	}
 }
 
-// FreshDigest is a digest that is answered from later, beside a change, over steps of time.
+// FreshDigest has a digest that serves later reads while a change is made and time advances.
 func FreshDigest() Scenario {
 	return Scenario{
 		Name:                "fresh-looks",
-		Summary:             "a look is answered from while it is fresh, beside a change and a freeze",
-		Membership:          three,
+		Summary:             "a digest serves reads while it is valid, during a change and a freeze",
+		Membership:          threeMembers,
 		DigestValidityTicks: 1,
 		DelaysReplies:       true,
-		InitialRegisters:    onAllMembers(three, configurationKey, "o"),
+		InitialRegisters:    onAllMembers(threeMembers, configurationKey, "o"),
 		Clients: []Client{
 			{Machine: "a", Reachable: []string{"a", "c"}, Tasks: []Task{Change(configurationKey, "x", 1)}},
 			{Machine: "b", Reachable: []string{"b", "c"}, Tasks: []Task{Digest()}},
@@ -201,7 +202,7 @@
 	}
 }
 
-// onAllMembers gives each member one value, under a proposal number below all others.
+// onAllMembers returns registers with one value for each member, under a proposal number lower than all others.
 func onAllMembers(membership keystore.Membership, name, label string) map[string][]keystore.Register {
 	value, _ := json.Marshal([]string{label})
 	proposal := keystore.ProposalNumber{Round: 1, Incarnation: 1}
--- a/internal/test/modelcheck/scenarios_bootstrap.go
+++ b/internal/test/modelcheck/scenarios_bootstrap.go
@@ -2,15 +2,15 @@
 
 import "ferryspar/internal/keystore"
 
-var two = keystore.Membership{Version: 1, Current: []string{"a", "b"}}
+var twoMembers = keystore.Membership{Version: 1, Current: []string{"a", "b"}}
 
-// BootstrapFromEmptyDisks is two initial members that were killed before they wrote anything; one loses its disk once more.
+// BootstrapFromEmptyDisks has two initial members that were killed before they wrote anything. One loses its disk again.
 func BootstrapFromEmptyDisks() Scenario {
 	return Scenario{
 		Name:            "founding-from-nothing",
-		Summary:         "two founders with empty disks, one loses its disk again; two changes",
-		Membership:      two,
-		NotBootstrapped: two.Current,
+		Summary:         "two initial members with empty disks, one loses its disk again; two changes",
+		Membership:      twoMembers,
+		NotBootstrapped: twoMembers.Current,
 		Newcomers:       []string{"y", "z"},
 		Clients: []Client{
 			{Machine: "a", Tasks: []Task{CatchUp(2)}},
@@ -23,12 +23,12 @@
 	}
 }
 
-// BootstrapHalfWritten is one initial member that votes, which loses its disk, and two with empty disks; two changes.
+// BootstrapHalfWritten has one initial member that votes and then loses its disk, two with empty disks, and two changes.
 func BootstrapHalfWritten() Scenario {
 	return Scenario{
 		Name:            "founding-half-written",
-		Summary:         "one founder votes and loses its disk while two found with it; two changes",
-		Membership:      three,
+		Summary:         "one initial member votes and loses its disk while two others bootstrap; two changes",
+		Membership:      threeMembers,
 		NotBootstrapped: []string{"b", "c"},
 		Newcomers:       []string{"y", "z"},
 		Clients: []Client{
@@ -43,13 +43,13 @@
 	}
 }
 
-// BootstrapWithWipe is an initial member that loses its disk before the last of them votes: promises of the lost disk are
-// counted by one writer, promises of its successor by another.
+// BootstrapWithWipe has an initial member that loses its disk before the last initial member votes. One writer counts
+// promises from the lost disk, another one those from its replacement.
 func BootstrapWithWipe() Scenario {
 	return Scenario{
 		Name:            "founding-with-wipe",
-		Summary:         "a founder loses its disk before the last one has founded; three writers",
-		Membership:      three,
+		Summary:         "an initial member loses its disk before the last one has bootstrapped; three writers",
+		Membership:      threeMembers,
 		NotBootstrapped: []string{"c"},
 		Newcomers:       []string{"z", "zz"},
 		Clients: []Client{
@@ -69,7 +69,7 @@
 			{
 				Machine:           "c",
 				StartsImmediately: true,
-				Membership:        three,
+				Membership:        threeMembers,
 				Reachable:         []string{"a", "b"},
 				Tasks:             []Task{CatchUp(1)},
 			},
@@ -80,13 +80,13 @@
 	}
 }
 
-// BootstrapWithUnreachableMember is an initial member that loses its disk beside one that never voted, while neither reaches the one
-// that holds what was acknowledged.
+// BootstrapWithUnreachableMember has an initial member that loses its disk and another one that never voted. Neither reaches
+// the member that holds the acknowledged change.
 func BootstrapWithUnreachableMember() Scenario {
 	return Scenario{
 		Name:            "founding-without-one",
-		Summary:         "two founders without a vote do not reach the third, which holds a change",
-		Membership:      three,
+		Summary:         "two initial members without a vote do not reach the third, which holds a change",
+		Membership:      threeMembers,
 		NotBootstrapped: []string{"c"},
 		Newcomers:       []string{"y", "z"},
 		Clients: []Client{
@@ -101,7 +101,7 @@
 			{
 				Machine:           "c",
 				StartsImmediately: true,
-				Membership:        three,
+				Membership:        threeMembers,
 				Reachable:         []string{"a", "c"},
 				Tasks:             []Task{CatchUp(1)},
 			},
@@ -111,13 +111,13 @@
 	}
 }
 
-// DiskLossAfterBootstrap is a system in which the bootstrap was completed and two of three disks are lost: it must not be
-// bootstrapped again, as what was acknowledged may have stood on those two alone.
+// DiskLossAfterBootstrap loses two of three disks after the bootstrap was completed. The system must not be bootstrapped
+// again, as acknowledged changes may have been on only those two disks.
 func DiskLossAfterBootstrap() Scenario {
 	return Scenario{
 		Name:               "founding-long-ago",
-		Summary:            "two of three disks are lost after the founding was completed",
-		Membership:         three,
+		Summary:            "two of three disks are lost after the bootstrap was completed",
+		Membership:         threeMembers,
 		BootstrapCompleted: true,
 		Newcomers:          []string{"y", "z"},
 		ForgetsMembership:  true,
@@ -136,12 +136,12 @@
 	}
 }
 
-// BootstrapMembershipChanged is the same where no initial member saw the end of the bootstrap, but the membership was
-// changed since.
+// BootstrapMembershipChanged is DiskLossAfterBootstrap where no initial member knows that the bootstrap was completed, but the
+// membership has changed since.
 func BootstrapMembershipChanged() Scenario {
 	scenario := DiskLossAfterBootstrap()
-	scenario.Name, scenario.Summary = "founding-list-changed", "two of three disks are lost after the founding list was changed"
-	scenario.Membership = keystore.Membership{Version: 3, Current: three.Current}
+	scenario.Name, scenario.Summary = "founding-list-changed", "two of three disks are lost after the initial membership was changed"
+	scenario.Membership = keystore.Membership{Version: 3, Current: threeMembers.Current}
 	scenario.BootstrapCompleted, scenario.ForgetsMembership = false, false
 	return scenario
 }
--- a/internal/test/modelcheck/scenarios_five.go
+++ b/internal/test/modelcheck/scenarios_five.go
@@ -2,14 +2,14 @@
 
 import "ferryspar/internal/keystore"
 
-var five = keystore.Membership{Version: 1, Current: []string{"a", "b", "c", "d", "e"}}
+var fiveMembers = keystore.Membership{Version: 1, Current: []string{"a", "b", "c", "d", "e"}}
 
-// FiveWithOneCommonMember is two proposers among five members that meet at c, which crashes.
+// FiveWithOneCommonMember has two proposers among five members. The only member that both reach, c, crashes.
 func FiveWithOneCommonMember() Scenario {
 	return Scenario{
 		Name:       "five-meet-at-one",
-		Summary:    "two changes among five members that meet at c, which crashes; unsynced writes lost or kept",
-		Membership: five,
+		Summary:    "two changes among five members with the common member c, which crashes; unsynced writes lost or kept",
+		Membership: fiveMembers,
 		Clients: []Client{
 			{
 				Machine:           "a",
@@ -30,10 +30,10 @@
 	}
 }
 
-// FiveWithWipe is the same where c loses its disk and catches up from three of the four others.
+// FiveWithWipe is FiveWithOneCommonMember where c loses its disk and catches up from three of the four others.
 func FiveWithWipe() Scenario {
 	scenario := FiveWithOneCommonMember()
-	scenario.Name, scenario.Summary = "five-with-wipe", "two changes among five members that meet at c, which loses its disk"
+	scenario.Name, scenario.Summary = "five-with-wipe", "two changes among five members with the common member c, which loses its disk"
 	scenario.SeparatesSync = false
 	scenario.Faults = Faults{Wipes: 1}
 	scenario.Clients = append(scenario.Clients, Client{
@@ -44,7 +44,7 @@
 	return scenario
 }
 
-// FiveTwoWipes is the loss of two of five disks, one after the other, while a value is written.
+// FiveTwoWipes loses two of five disks, one after the other, while a value is written.
 func FiveTwoWipes() Scenario {
 	scenario := FiveWithWipe()
 	scenario.Name, scenario.Summary = "five-two-wipes", "two changes among five members, of which c and d lose their disks"
@@ -57,12 +57,12 @@
 	return scenario
 }
 
-// CrashAndWipe is two kinds of fault at once: b crashes with unsynced writes, and c loses its disk, during two changes.
+// CrashAndWipe has two kinds of faults during two changes: b crashes with unsynced writes, and c loses its disk.
 func CrashAndWipe() Scenario {
 	return Scenario{
 		Name:       "crash-and-wipe",
 		Summary:    "two changes; b crashes with unsynced writes and c loses its disk",
-		Membership: three,
+		Membership: threeMembers,
 		Clients: []Client{
 			{
 				Machine:           "a",
@@ -84,14 +84,14 @@
 	}
 }
 
-// TwoJoining is a joint membership that is taken back, and a second one with another newcomer, while both newcomers catch up.
+// TwoJoining rolls a joint membership back and starts a second one with another newcomer, while both newcomers catch up.
 func TwoJoining() Scenario {
-	second := keystore.Membership{Version: 4, Current: joint.Current, Next: []string{"a", "b", "e"}}
+	second := keystore.Membership{Version: 4, Current: jointMembership.Current, Next: []string{"a", "b", "e"}}
 	final := keystore.Membership{Version: 5, Current: second.Next}
 	return Scenario{
 		Name:             "two-joining",
-		Summary:          "the change to d is taken back and one to e completed, while both catch up",
-		Membership:       joint,
+		Summary:          "the change to d is rolled back and one to e completed, while both catch up",
+		Membership:       jointMembership,
 		Newcomers:        []string{"d", "e"},
 		InitialRegisters: jointOnCurrentMembers(),
 		Clients: []Client{
@@ -105,17 +105,17 @@
 					ChangeMembership(final, "e", 1),
 				},
 			},
-			{Machine: "c", Reachable: []string{"a", "c", "d"}, Tasks: []Task{ChangeMembership(replaced, "d", 1)}},
+			{Machine: "c", Reachable: []string{"a", "c", "d"}, Tasks: []Task{ChangeMembership(replacedMembership, "d", 1)}},
 			{Machine: "d", Reachable: []string{"a", "c"}, Tasks: []Task{CatchUp(1)}},
 			{Machine: "e", Reachable: []string{"a", "b"}, Tasks: []Task{CatchUp(1)}},
 		},
 	}
 }
 
-// TwoJoiningTwice is the same with a second attempt to take the first change back.
+// TwoJoiningTwice is TwoJoining with a second attempt to roll the first change back.
 func TwoJoiningTwice() Scenario {
 	scenario := TwoJoining()
-	scenario.Name, scenario.Summary = "two-joining-twice", "the same with a second attempt to take the change to d back"
+	scenario.Name, scenario.Summary = "two-joining-twice", "two-joining with a second attempt to roll the change to d back"
 	scenario.Clients[0].Tasks[0].Attempts++
 	return scenario
 }
--- a/internal/test/modelcheck/scenarios_lease.go
+++ b/internal/test/modelcheck/scenarios_lease.go
@@ -1,12 +1,12 @@
 package modelcheck
 
-// LeaseTaken is a lease that two want, one of which renews and releases it, over steps of time, with a crash and a step of
-// a machine's wall clock.
+// LeaseTaken has two proposers that compete for a lease, one of which renews and releases it, while time advances, a machine
+// crashes and its wall clock is stepped.
 func LeaseTaken() Scenario {
 	return Scenario{
 		Name:       "lease-taken",
-		Summary:    "a lease is taken, renewed and released or runs out; another takes it; a crash",
-		Membership: three,
+		Summary:    "a lease is acquired, renewed and released or expires; another proposer acquires it; a crash",
+		Membership: threeMembers,
 		LeaseTicks: 2,
 		Clients: []Client{
 			{Machine: "a", Tasks: []Task{Acquire(leaseKey, "x"), Renew(leaseKey), Release(leaseKey)}},
@@ -17,17 +17,18 @@
 	}
 }
 
-// LeaseReleased narrows it: the two meet at c, whose wall clock is stepped.
+// LeaseReleased restricts LeaseTaken: the only member that both reach is c, whose wall clock is stepped.
 func LeaseReleased() Scenario {
 	scenario := LeaseTaken()
-	scenario.Name, scenario.Summary = "lease-released", "a lease is taken and released or runs out; another that meets it at c takes it"
+	scenario.Name = "lease-released"
+	scenario.Summary = "a lease is acquired and released or expires; another proposer with the common member c acquires it"
 	scenario.LeaseTicks, scenario.Faults = 1, Faults{Ticks: 1, Crashes: 1, WallClockSteps: 1}
 	scenario.Clients[0].Tasks = []Task{Acquire(leaseKey, "x"), Release(leaseKey)}
 	scenario.Clients[0].Reachable, scenario.Clients[1].Reachable = []string{"a", "c"}, []string{"b", "c"}
 	return scenario
 }
 
-// LeaseWiped is a lease while the member that both reach loses its disk and catches up.
+// LeaseWiped has a held lease while the member that both proposers reach loses its disk and catches up.
 func LeaseWiped() Scenario {
 	scenario := LeaseReleased()
 	scenario.Name, scenario.Summary = "lease-wiped", "a lease is held; the member that both reach loses its disk and catches up"
@@ -37,12 +38,12 @@
 	return scenario
 }
 
-// LeaseDuringReplacement is a lease held while a member is replaced by a newcomer.
+// LeaseDuringReplacement has a held lease while a member is replaced by a newcomer.
 func LeaseDuringReplacement() Scenario {
 	return Scenario{
 		Name:       "lease-members",
-		Summary:    "a lease is held while a member is replaced; another daemon wants it",
-		Membership: three,
+		Summary:    "a lease is held while a member is replaced; another proposer requests it",
+		Membership: threeMembers,
 		Newcomers:  []string{"d"},
 		LeaseTicks: 1,
 		Clients: []Client{
@@ -51,8 +52,8 @@
 				Machine:           "b",
 				StartsImmediately: true,
 				Tasks: []Task{
-					ChangeMembership(joint, "", 1),
-					ChangeMembership(replaced, "d", 1),
+					ChangeMembership(jointMembership, "", 1),
+					ChangeMembership(replacedMembership, "d", 1),
 					Acquire(leaseKey, "y"),
 				},
 			},
--- a/internal/test/modelcheck/scenarios_membership.go
+++ b/internal/test/modelcheck/scenarios_membership.go
@@ -6,12 +6,12 @@
 	"ferryspar/internal/keystore"
 )
 
-// MemberReplaced is c replaced by d while a proposer that knows only the old membership writes.
+// MemberReplaced replaces c by d while a proposer that knows only the old membership writes.
 func MemberReplaced() Scenario {
 	return Scenario{
 		Name:       "member-replaced",
-		Summary:    "c is replaced by d; a proposer with the old list writes meanwhile",
-		Membership: three,
+		Summary:    "c is replaced by d; a proposer with the old membership writes meanwhile",
+		Membership: threeMembers,
 		Newcomers:  []string{"d"},
 		Clients: []Client{
 			{
@@ -19,8 +19,8 @@
 				StartsImmediately: true,
 				Reachable:         []string{"a", "b", "d"},
 				Tasks: []Task{
-					ChangeMembership(joint, "", 1),
-					ChangeMembership(replaced, "d", 1),
+					ChangeMembership(jointMembership, "", 1),
+					ChangeMembership(replacedMembership, "d", 1),
 					Change(configurationKey, "x", 1),
 				},
 			},
@@ -30,23 +30,23 @@
 	}
 }
 
-// JointWrites narrows it: the change is half done, the joint membership is in force.
+// JointWrites restricts MemberReplaced: it starts with the joint membership in force.
 func JointWrites() Scenario {
 	return Scenario{
 		Name:       "joint-writes",
-		Summary:    "the joint list is in force, d catches up; a proposer with the old list writes meanwhile",
-		Membership: joint,
+		Summary:    "the joint membership is in force, d catches up; a proposer with the old membership writes meanwhile",
+		Membership: jointMembership,
 		Newcomers:  []string{"d"},
 		Clients: []Client{
 			{
 				Machine:   "a",
 				Reachable: []string{"a", "b", "d"},
-				Tasks:     []Task{ChangeMembership(replaced, "d", 1), Change(configurationKey, "x", 1)},
+				Tasks:     []Task{ChangeMembership(replacedMembership, "d", 1), Change(configurationKey, "x", 1)},
 			},
 			{
 				Machine:    "b",
 				Reachable:  []string{"b", "c"},
-				Membership: three,
+				Membership: threeMembers,
 				Tasks:      []Task{Change(configurationKey, "y", 2)},
 			},
 			{Machine: "d", Tasks: []Task{CatchUp(1)}},
@@ -54,10 +54,10 @@
 	}
 }
 
-// JointMajorities narrows it once more: the second writer knows the joint membership from the start.
+// JointMajorities restricts JointWrites: the second writer knows the joint membership from the start.
 func JointMajorities() Scenario {
 	scenario := JointWrites()
-	scenario.Name, scenario.Summary = "joint-majorities", "under the joint list one proposer reaches the old majority only"
+	scenario.Name, scenario.Summary = "joint-majorities", "under the joint membership one proposer reaches only the old majority"
 	scenario.Clients[1] = Client{
 		Machine:           "b",
 		StartsImmediately: true,
@@ -67,29 +67,30 @@
 	return scenario
 }
 
-// RollbackDuringCompletion is a joint membership that one proposer takes back while another one completes it.
+// RollbackDuringCompletion has a joint membership that one proposer rolls back while another one completes it.
 func RollbackDuringCompletion() Scenario {
 	scenario := RollbackThenWrites()
-	scenario.Name, scenario.Summary = "take-back", "a joint list is taken back while another proposer completes it"
+	scenario.Name, scenario.Summary = "take-back", "a joint membership is rolled back while another proposer completes it"
 	for index := range scenario.Clients {
 		scenario.Clients[index].Tasks = scenario.Clients[index].Tasks[:1]
 	}
 	return scenario
 }
 
-// RollbackThenWrites is the same where each of them then writes under what it believes to be in force.
+// RollbackThenWrites is RollbackDuringCompletion where each proposer then writes under the membership that it considers to be
+// in force.
 func RollbackThenWrites() Scenario {
 	return Scenario{
 		Name:             "take-back-then-writes",
-		Summary:          "a joint list is taken back while it is completed; both proposers then write",
-		Membership:       joint,
+		Summary:          "a joint membership is rolled back while it is completed; both proposers then write",
+		Membership:       jointMembership,
 		Newcomers:        []string{"d"},
 		InitialRegisters: jointOnCurrentMembers(),
 		Clients: []Client{
 			{
 				Machine:   "a",
 				Reachable: []string{"a", "b", "d"},
-				Tasks:     []Task{ChangeMembership(replaced, "d", 1), Change(configurationKey, "x", 1)},
+				Tasks:     []Task{ChangeMembership(replacedMembership, "d", 1), Change(configurationKey, "x", 1)},
 			},
 			{
 				Machine:           "b",
@@ -102,13 +103,13 @@
 	}
 }
 
-// ChangeAfterRollback is a joint membership that is taken back, and the next change of the membership by the same proposer.
+// ChangeAfterRollback rolls a joint membership back, after which the same proposer starts the next membership change.
 func ChangeAfterRollback() Scenario {
-	again := keystore.Membership{Version: 4, Current: joint.Current, Next: joint.Next}
+	again := keystore.Membership{Version: 4, Current: jointMembership.Current, Next: jointMembership.Next}
 	return Scenario{
 		Name:             "change-after-take-back",
-		Summary:          "a joint list is taken back, then the next change begins",
-		Membership:       joint,
+		Summary:          "a joint membership is rolled back, then the next change starts",
+		Membership:       jointMembership,
 		Newcomers:        []string{"d"},
 		InitialRegisters: jointOnCurrentMembers(),
 		Clients: []Client{
@@ -118,22 +119,22 @@
 	}
 }
 
-// RollbackWithWipe is TakeBackBesideCompletion while c, whose promises may be counted, loses its disk.
+// RollbackWithWipe is RollbackDuringCompletion while c, whose promises may be counted, loses its disk.
 func RollbackWithWipe() Scenario {
 	scenario := RollbackDuringCompletion()
-	scenario.Name, scenario.Summary = "take-back-with-wipe", "a joint list is taken back while it is completed, and c loses its disk"
+	scenario.Name, scenario.Summary = "take-back-with-wipe", "a joint membership is rolled back while it is completed, and c loses its disk"
 	scenario.Clients = append(scenario.Clients, Client{Machine: "c", Reachable: []string{"a", "b"}, Tasks: []Task{CatchUp(1)}})
 	scenario.Faults, scenario.FaultyMachines = Faults{Wipes: 1}, []string{"c"}
 	return scenario
 }
 
-// jointOnCurrentMembers has the current members hold the joint membership as a committed value, as they do once a proposer
-// knows of it.
+// jointOnCurrentMembers returns registers in which the current members hold the joint membership as a committed value, as is
+// the case once a proposer knows it.
 func jointOnCurrentMembers() map[string][]keystore.Register {
-	value, _ := json.Marshal(joint)
+	value, _ := json.Marshal(jointMembership)
 	proposal := keystore.ProposalNumber{Round: 1, Incarnation: 1}
 	registers := map[string][]keystore.Register{}
-	for _, address := range joint.Current {
+	for _, address := range jointMembership.Current {
 		registers[address] = []keystore.Register{{
 			Key:      keystore.MembershipKey,
 			Promised: proposal,
@@ -145,19 +146,19 @@
 	return registers
 }
 
-// MembershipDuringCatchUp is a new membership while a member that lost its disk reads under the old one.
+// MembershipDuringCatchUp commits a new membership while a member that lost its disk catches up under the old one.
 func MembershipDuringCatchUp() Scenario {
 	return Scenario{
 		Name:       "list-during-catch-up",
-		Summary:    "a new list is adopted by a member that catches up under the old one",
-		Membership: three,
+		Summary:    "a new membership is adopted by a member that catches up under the old one",
+		Membership: threeMembers,
 		Newcomers:  []string{"d"},
 		Clients: []Client{
 			{
 				Machine:           "a",
 				StartsImmediately: true,
 				Reachable:         []string{"b", "c"},
-				Tasks:             []Task{ChangeMembership(joint, "", 1), Change(configurationKey, "x", 1)},
+				Tasks:             []Task{ChangeMembership(jointMembership, "", 1), Change(configurationKey, "x", 1)},
 			},
 			{Machine: "c", Tasks: []Task{CatchUp(1)}},
 		},
--- a/internal/test/modelcheck/scenarios_wipe.go
+++ b/internal/test/modelcheck/scenarios_wipe.go
@@ -2,7 +2,7 @@
 
 import "ferryspar/internal/keystore"
 
-// WipeDuringWrite is a member that loses its disk while two changes are under way.
+// WipeDuringWrite has a member that loses its disk during two changes.
 func WipeDuringWrite() Scenario {
 	scenario := TwoProposers()
 	scenario.Name, scenario.Summary = "wipe-during-write", "two changes while a member loses its disk and catches up"
@@ -11,8 +11,8 @@
 	return scenario
 }
 
-// WipeBetweenWrites narrows it: the second change begins after the first is acknowledged, and
-// reaches only the member that lost its disk and one more.
+// WipeBetweenWrites restricts WipeDuringWrite: the second change starts after the first is acknowledged, and reaches only the
+// member that lost its disk and one other.
 func WipeBetweenWrites() Scenario {
 	scenario := WipeDuringWrite()
 	scenario.Name, scenario.Summary = "wipe-between-writes", "a member loses its disk during a change; another follows"
@@ -24,21 +24,21 @@
 	return scenario
 }
 
-// WipeSeen narrows that once more: all members that the first change reaches promise it.
+// WipeSeen restricts WipeBetweenWrites: all members that the first change reaches promise it.
 func WipeSeen() Scenario {
 	scenario := WipeBetweenWrites()
-	scenario.Name, scenario.Summary = "wipe-seen", "the same, where each member that may accept the first change promised it"
+	scenario.Name, scenario.Summary = "wipe-seen", "wipe-between-writes, where each member that may accept the first change promised it"
 	scenario.Clients[0].Reachable = []string{"b", "c"}
 	return scenario
 }
 
-// WipeThreeWriters is the loss of a disk between promise and write of one proposer, while another writes under a lower
-// proposal number; a third follows.
+// WipeThreeWriters has a member that loses its disk between the promise and the write of one proposer, while another
+// proposer writes under a lower proposal number. A third one follows.
 func WipeThreeWriters() Scenario {
 	return Scenario{
 		Name:       "wipe-three-writers",
 		Summary:    "a member loses its disk between promise and write; two more proposers write",
-		Membership: three,
+		Membership: threeMembers,
 		Newcomers:  []string{"z"},
 		Clients: []Client{
 			{
@@ -61,11 +61,12 @@
 	}
 }
 
-// WipeHalfWritten narrows it: the oldest write has come to b alone when its proposer ends.
+// WipeHalfWritten restricts WipeThreeWriters: the oldest write has reached only b when its proposer stops.
 func WipeHalfWritten() Scenario {
 	scenario := WipeThreeWriters()
-	scenario.Name, scenario.Summary = "wipe-half-written", "a member loses its disk between promise and write; an older write is half done"
-	scenario.InitialRegisters = map[string][]keystore.Register{"b": onAllMembers(three, configurationKey, "o")["b"]}
+	scenario.Name = "wipe-half-written"
+	scenario.Summary = "a member loses its disk between promise and write; an older write reached one member"
+	scenario.InitialRegisters = map[string][]keystore.Register{"b": onAllMembers(threeMembers, configurationKey, "o")["b"]}
 	scenario.Clients = scenario.Clients[1:]
 	return scenario
 }
--- a/internal/test/modelcheck/search.go
+++ b/internal/test/modelcheck/search.go
@@ -8,36 +8,36 @@
 	"time"
 )
 
-// Limits bound a search. Zero leaves a limit out.
+// Limits bound a search. A zero value means no limit.
 type Limits struct {
-	// Depth is the greatest number of actions in a row.
+	// Depth is the maximum number of actions in a sequence.
 	Depth int
-	// States is how many worlds are visited.
+	// States is the maximum number of visited worlds.
 	States int
-	// Timeout is how long the search may take, by the real clock.
+	// Timeout is the maximum duration of the search, in real time.
 	Timeout time.Duration
-	// Progress, if set, is called after each level.
+	// Progress, if set, is called after each level of the breadth-first search.
 	Progress func(Report)
 }
 
-// Report is what a search found, also as JSON on the command line.
+// Report is the result of a search. The command line prints it as JSON.
 type Report struct {
 	Scenario    string        `json:"scenario"`
 	States      int           `json:"states"`
 	Transitions int           `json:"transitions"`
 	Depth       int           `json:"depth"`
 	Duration    time.Duration `json:"tookNs"`
-	// Exhausted says that every world within the scenario was visited.
+	// Exhausted means that every reachable world of the scenario was visited.
 	Exhausted bool `json:"exhausted"`
-	// Reached lists what was acknowledged in some world, and the memberships adopted: a scenario that never gets anywhere
-	// proves nothing.
+	// Reached lists the labels acknowledged in some world and the memberships adopted. It shows that the scenario makes
+	// progress: without that, the absence of violations proves nothing.
 	Reached []string `json:"reached"`
-	// Violation is the invariant that failed, Trace a shortest way there.
+	// Violation is the invariant that failed, Trace a shortest sequence of events that leads to the failure.
 	Violation string   `json:"violation,omitempty"`
 	Trace     []string `json:"trace,omitempty"`
 }
 
-// String is the report in one line, with the trace below it if there is one.
+// String returns the report in one line, followed by the trace if there is one.
 func (r Report) String() string {
 	text := fmt.Sprintf("%s: %d states, %d transitions, depth %d, %s, exhausted %t, reached %s",
 		r.Scenario, r.States, r.Transitions, r.Depth, r.Duration.Round(time.Millisecond), r.Exhausted, strings.Join(r.Reached, " "))
@@ -48,13 +48,13 @@
 	return text + "\n  " + strings.Join(r.Trace, "\n  ")
 }
 
-// pathStep is how a world was reached first.
+// pathStep is the action by which a world was first reached, and the index of its parent's step.
 type pathStep struct {
 	parent int32
 	action action
 }
 
-// search is one walk: the worlds of one level, and of all how they were reached.
+// search is the state of one search: the hashes of all visited worlds, and the steps by which they were reached.
 type search struct {
 	model   *model
 	limits  Limits
@@ -64,14 +64,14 @@
 	report  Report
 }
 
-// frontierEntry is a world of the level that is expanded; at is its place among the steps.
+// frontierEntry is a world of the current level; step is its index in the steps.
 type frontierEntry struct {
 	world *world
-	at    int32
+	step  int32
 }
 
-// Search visits the worlds of a scenario under rules until it has seen all, found a violation
-// or met a limit. It uses one processor.
+// Search explores the worlds of a scenario under the given rules until all are visited, an invariant is violated or a limit
+// is reached. It uses one processor.
 func Search(ctx context.Context, scenario Scenario, rules Rules, limits Limits) Report {
 	walk := &search{
 		model:   newModel(scenario, rules),
@@ -139,7 +139,7 @@
 		s.report.Transitions++
 		if err != nil {
 			s.report.Violation = err.Error()
-			s.report.Trace = s.trace(from.at, event)
+			s.report.Trace = s.trace(from.step, event)
 			return nil, true
 		}
 		hash := next.hash()
@@ -147,24 +147,24 @@
 			continue
 		}
 		s.visited[hash] = struct{}{}
-		s.steps = append(s.steps, pathStep{parent: from.at, action: event})
-		found = append(found, frontierEntry{world: next, at: int32(len(s.steps) - 1)})
+		s.steps = append(s.steps, pathStep{parent: from.step, action: event})
+		found = append(found, frontierEntry{world: next, step: int32(len(s.steps) - 1)})
 	}
 	return found, false
 }
 
-// trace plays the way to a world again, to describe each action on it.
-func (s *search) trace(at int32, last action) []string {
-	moves := []action{last}
-	for ; at > 0; at = s.steps[at].parent {
-		moves = append(moves, s.steps[at].action)
+// trace replays the actions that lead to a world, and describes each of them.
+func (s *search) trace(step int32, last action) []string {
+	path := []action{last}
+	for ; step > 0; step = s.steps[step].parent {
+		path = append(path, s.steps[step].action)
 	}
-	slices.Reverse(moves)
+	slices.Reverse(path)
 	world := s.model.initialWorld()
 	var lines []string
-	for _, step := range moves {
-		lines = append(lines, s.model.describe(world, step))
-		world, _ = s.model.apply(world, step)
+	for _, event := range path {
+		lines = append(lines, s.model.describe(world, event))
+		world, _ = s.model.apply(world, event)
 	}
 	return lines
 }
--- a/internal/test/modelcheck/search_test.go
+++ b/internal/test/modelcheck/search_test.go
@@ -17,7 +17,7 @@
 	assert.Assert(t, report.Exhausted)
 }
 
-func TestSearch_ShortScenariosHoldAgreement(t *testing.T) {
+func TestSearch_ShortScenariosHaveNoViolation(t *testing.T) {
 	for _, scenario := range modelcheck.ShortScenarios() {
 		t.Run(scenario.Name, func(t *testing.T) {
 			if testing.Short() && slices.Contains([]string{
--- a/internal/test/modelcheck/step.go
+++ b/internal/test/modelcheck/step.go
@@ -6,7 +6,7 @@
 	"ferryspar/internal/keystore"
 )
 
-// apply is the world after an action. The error says which invariant fails there.
+// apply returns the world after an action, and an error if an invariant fails there.
 func (m *model) apply(w *world, event action) (*world, error) {
 	next := w.clone()
 	err := m.execute(next, event)
@@ -22,7 +22,7 @@
 	return next, err
 }
 
-// execute changes the world by an action.
+// execute applies an action to the world in place.
 func (m *model) execute(w *world, event action) error {
 	subject := int(event.subject)
 	switch event.kind {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// deliver gives a packet to its receiver. Unless the scenario separates a step from its sync, the disk syncs at once.
+// deliver delivers a packet to its receiver. Unless the scenario separates a step from its sync, the disk syncs at once.
 func (m *model) deliver(w *world, id stateID, lost bool) error {
 	message := m.packets.get(id)
 	if message.Reply != nil {
@@ -83,10 +83,10 @@
 	return nil
 }
 
-// sendReplies sends replies on their way. Unless the scenario delays replies they arrive at once or not at all. That
-// leaves nothing out where no step depends on when a reply arrives: until it does its proposer stands still, and what the
-// proposer sends on it may be under way for as long as the reply could have been. A late rejection is a late request:
-// neither changes the member.
+// sendReplies sends replies to their proposers. Unless the scenario delays replies, they arrive at once or never. That omits
+// no behaviour where no step depends on the arrival time of a reply: until then its proposer does nothing, and the requests
+// that the proposer sends on it may be in transit for as long as the reply could have been. A late rejection is equivalent
+// to a late request, as neither changes the member.
 func (m *model) sendReplies(w *world, replies []stateID, lost bool) error {
 	for _, reply := range replies {
 		if m.scenario.DelaysReplies {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// handleAtMember is what a member makes of a packet.
+// handleAtMember returns the effect of a packet at a member.
 func (m *model) handleAtMember(w *world, index int, id stateID) handleResult {
 	now := m.now(w, index)
 	cacheKey := handleKey{w.members[index], id, int(now.Sub(epoch) / Tick)}
@@ -119,7 +119,7 @@
 	return result
 }
 
-// sync brings the oldest batch of a member to its disk.
+// sync makes the oldest staged batch of a member durable.
 func (m *model) sync(w *world, index int, lost bool) error {
 	cacheKey := handleKey{w.members[index], syncPacket, 0}
 	synced, known := m.handled[cacheKey]
@@ -138,7 +138,7 @@
 	return m.sendReplies(w, synced.replies, lost)
 }
 
-// abandonAttempt has a proposer wait no longer.
+// abandonAttempt makes a proposer stop waiting for replies.
 func (m *model) abandonAttempt(w *world, index int) error {
 	at := m.proposers.get(w.proposers[index])
 	next := at.clone()
@@ -151,8 +151,7 @@
 	return m.applyOutcome(w, index, next, result)
 }
 
-// restartMachine starts a machine again: its member as given, its proposers anew. A proposer whose member lost its disk
-// first brings that to vote again.
+// restartMachine restarts a machine with the given state of its member and new incarnations of its proposers.
 func (m *model) restartMachine(w *world, index int, next *member) error {
 	w.members[index] = m.members.add(next)
 	for number, id := range w.proposers {
@@ -164,7 +163,7 @@
 	return m.observeCommitted(w)
 }
 
-// resetMembership leaves a proposer that is to catch up without a membership where its disk holds none.
+// resetMembership clears the membership of a proposer that will catch up, if its disk holds none.
 func (m *model) resetMembership(w *world, index int, own *member) {
 	if own.membership.Version > 0 || !m.scenario.forgetsMembership(m.scenario.Clients[index]) {
 		return
@@ -178,7 +177,7 @@
 	w.proposers[index] = m.proposers.add(m.proposers.get(w.proposers[index]).restart(membership))
 }
 
-// dropExpired drops what has run out in each member.
+// dropExpired drops expired lease state from each member.
 func (m *model) dropExpired(w *world) {
 	for index, id := range w.members {
 		next := m.members.get(id).clone()
--- a/internal/test/modelcheck/table.go
+++ b/internal/test/modelcheck/table.go
@@ -8,12 +8,12 @@
 // stateID identifies an entry of a table.
 type stateID = uint32
 
-// table keeps each distinct value once. Values are distinguished by a canonical encoding: JSON
-// with sorted maps, and the printed form of what JSON leaves out.
+// table interns values. Values are equal if they have the same canonical encoding: JSON with sorted map keys, followed by
+// the encoding of the state that JSON omits.
 type table[T any] struct {
 	values []*T
 	ids    map[string]stateID
-	// unencoded gives what JSON leaves out, and may be nil.
+	// unencoded encodes the state that JSON omits. It may be nil.
 	unencoded func(value *T) string
 }
 
@@ -21,11 +21,11 @@
 	return &table[T]{ids: map[string]stateID{}, unencoded: unencoded}
 }
 
-// add gives the identifier of a value. The value must not be changed afterwards.
+// add returns the identifier of a value, which must not be modified afterwards.
 func (t *table[T]) add(value *T) stateID {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(fmt.Sprintf("value without an encoding: %v", err))
+		panic(fmt.Sprintf("cannot encode state: %v", err))
 	}
 	encoding := string(encoded)
 	if t.unencoded != nil {
--- a/internal/test/modelcheck/world.go
+++ b/internal/test/modelcheck/world.go
@@ -7,17 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// world is a state of the whole fleet, by the identifiers of its parts.
+// world is a global state: the identifiers of the local states of all parts of the cluster.
 type world struct {
 	tick      int
 	members   []stateID
 	proposers []stateID
-	// network holds the packets under way, in order of their identifiers; one may be there twice.
+	// network holds the packets in transit, ordered by identifier. A packet may occur twice.
 	network []stateID
 	history stateID
-	// wallClockOffsets says by how many ticks each machine's wall clock was stepped.
+	// wallClockOffsets holds by how many ticks each machine's wall clock was stepped.
 	wallClockOffsets []int
-	// remaining are the faults that may still happen.
+	// remaining is how many faults of each kind may still occur.
 	remaining Faults
 }
 
@@ -36,8 +36,8 @@
 	w.network = slices.Insert(w.network, at, id)
 }
 
-// hash is that of the canonical encoding: counts, then identifiers, all in a fixed order. Two of
-// ten million worlds share one of 64 bits with a chance of 3 in a million.
+// hash returns the hash of the canonical encoding: counts, then identifiers, in a fixed order. With ten million worlds, the
+// probability of any collision of the 64-bit hashes is 3 in a million.
 func (w *world) hash() uint64 {
 	var buffer [256]byte
 	encoded := buffer[:0]
--- a/internal/test/pinned/fill.go
+++ b/internal/test/pinned/fill.go
@@ -6,9 +6,9 @@
 	"reflect"
 )
 
-// Fill sets every exported field that target points to, at any depth, to a value of its own that isn't zero: texts,
-// numbers counted upwards, true, and one element in each list and map. The same type is always filled alike.
-// Interfaces are left nil.
+// Fill sets every exported field of the value that target points to, at any depth, to a distinct non-zero value: texts and
+// ascending numbers, true for booleans, and one element in each list and map. Values of the same type are always filled
+// identically. Interfaces remain nil.
 func Fill(target any) {
 	filler := filler{}
 	filler.fill(reflect.ValueOf(target).Elem())
@@ -16,12 +16,12 @@
 
 var rawMessage = reflect.TypeFor[json.RawMessage]()
 
-// filler counts the values that it has given out.
-type filler struct{ given int }
+// filler counts the values that it has produced.
+type filler struct{ count int }
 
 func (f *filler) next() int {
-	f.given++
-	return f.given
+	f.count++
+	return f.count
 }
 
 func (f *filler) fill(value reflect.Value) {
--- a/internal/test/pinned/pinned.go
+++ b/internal/test/pinned/pinned.go
@@ -1,9 +1,9 @@
-// Package pinned compares what this version writes (messages, records on disk, answers to operators) with golden files
-// under testdata, so that a change of it by accident fails a test.
+// Package pinned compares the output of this version (messages, records on disk, replies to operators) with golden files under
+// testdata, so that an accidental format change fails a test.
 //
-// Goldens hold no Go identifiers: a renaming in the code leaves them as they are, whereas a changed JSON name, an
-// omitted field or another order of fields does not. After a change that is meant, run the tests with
-// FERRYSPAR_UPDATE_PINNED=1 and read the difference of the goldens.
+// Golden files contain no Go identifiers: a renaming in the code does not affect them, whereas a changed JSON name, an
+// omitted field or another order of fields does. After an intended change, run the tests with FERRYSPAR_UPDATE_PINNED=1 and
+// review the diff of the golden files.
 package pinned
 
 import (
@@ -19,7 +19,7 @@
 	"testing"
 )
 
-// updateVariable makes the goldens be written instead of compared, if it is 1.
+// updateVariable is the environment variable that, set to 1, makes tests write golden files instead of comparing them.
 const updateVariable = "FERRYSPAR_UPDATE_PINNED"
 
 const (
@@ -27,20 +27,21 @@
 	fileMode   = 0o644
 )
 
-// Updating says whether goldens are to be written instead of compared.
+// Updating reports whether golden files are to be written instead of compared.
 func Updating() bool { return os.Getenv(updateVariable) == "1" }
 
-// Messages names values of the types whose JSON is pinned: pointers to zero values by a label that is no Go identifier.
+// Messages maps labels to pointers to zero values of the types whose JSON is compared. A label is not a Go identifier, so that
+// it does not change with a renaming.
 type Messages map[string]any
 
-// forms is what is pinned of one type: its zero value shows which fields are left out when empty.
+// forms holds the golden JSON of one type. Its zero value shows which fields are omitted when empty.
 type forms struct {
 	Zero   json.RawMessage
 	Filled json.RawMessage
 }
 
-// CheckMessages fails the test if any type's JSON differs from the golden file, or doesn't survive being read and
-// written again.
+// CheckMessages fails the test if any type's JSON differs from the golden file, or changes when it is decoded and encoded
+// again.
 func CheckMessages(t testing.TB, golden string, messages Messages) {
 	t.Helper()
 	present, err := marshalAll(messages)
@@ -61,53 +62,53 @@
 }
 
 // CompareMessages returns an error that names every label whose JSON differs from the content of a golden file.
-func CompareMessages(golden []byte, messages Messages) error {
-	var pinned map[string]forms
-	if err := json.Unmarshal(golden, &pinned); err != nil {
+func CompareMessages(content []byte, messages Messages) error {
+	var golden map[string]forms
+	if err := json.Unmarshal(content, &golden); err != nil {
 		return err
 	}
 	present, err := marshalAll(messages)
 	if err != nil {
 		return err
 	}
-	var faults []string
-	for _, label := range slices.Sorted(maps.Keys(pinned)) {
+	var differences []string
+	for _, label := range slices.Sorted(maps.Keys(golden)) {
 		if _, known := present[label]; !known {
-			faults = append(faults, label+": pinned, but not compared with anything")
+			differences = append(differences, label+": in the golden file, but not compared with any type")
 		}
 	}
 	for _, label := range slices.Sorted(maps.Keys(present)) {
-		faults = append(faults, compareForms(label, pinned[label], present[label], messages[label])...)
+		differences = append(differences, compareForms(label, golden[label], present[label], messages[label])...)
 	}
-	if len(faults) > 0 {
-		return fmt.Errorf("differs from what is pinned:\n%s", strings.Join(faults, "\n"))
+	if len(differences) > 0 {
+		return fmt.Errorf("differs from the golden file:\n%s", strings.Join(differences, "\n"))
 	}
 	return nil
 }
 
-// compareForms returns the differences of one type, and those after its golden was read and written again.
-func compareForms(label string, pinned, present forms, sample any) []string {
-	var faults []string
+// compareForms returns the differences of one type from its golden JSON, and those after decoding and encoding that again.
+func compareForms(label string, golden, present forms, sample any) []string {
+	var differences []string
 	compare := func(form string, want, got []byte) {
 		if !bytes.Equal(want, got) {
-			faults = append(faults, fmt.Sprintf("%s, %s:\n  pinned  %s\n  present %s", label, form, want, got))
+			differences = append(differences, fmt.Sprintf("%s, %s:\n  golden  %s\n  present %s", label, form, want, got))
 		}
 	}
-	compare("zero", pinned.Zero, present.Zero)
-	compare("filled", pinned.Filled, present.Filled)
-	again := reflect.New(reflect.TypeOf(sample).Elem()).Interface()
-	if err := json.Unmarshal(pinned.Filled, again); err != nil {
-		return append(faults, fmt.Sprintf("%s, read again: %v", label, err))
+	compare("zero", golden.Zero, present.Zero)
+	compare("filled", golden.Filled, present.Filled)
+	decoded := reflect.New(reflect.TypeOf(sample).Elem()).Interface()
+	if err := json.Unmarshal(golden.Filled, decoded); err != nil {
+		return append(differences, fmt.Sprintf("%s, decoding: %v", label, err))
 	}
-	rewritten, err := json.Marshal(again)
+	encoded, err := json.Marshal(decoded)
 	if err != nil {
-		return append(faults, fmt.Sprintf("%s, written again: %v", label, err))
+		return append(differences, fmt.Sprintf("%s, encoding again: %v", label, err))
 	}
-	compare("read and written again", pinned.Filled, rewritten)
-	return faults
+	compare("decoded and encoded again", golden.Filled, encoded)
+	return differences
 }
 
-// marshalAll returns the JSON of the zero and the filled value of each type. The samples stay as they are.
+// marshalAll returns the JSON of the zero and the filled value of each type. It does not modify the samples.
 func marshalAll(messages Messages) (map[string]forms, error) {
 	all := map[string]forms{}
 	for label, sample := range messages {
@@ -126,7 +127,7 @@
 	return all, nil
 }
 
-// formatForms writes a golden file with one line for each form, in the order of the labels.
+// formatForms returns the content of a golden file, with one line for each form, sorted by label.
 func formatForms(all map[string]forms) []byte {
 	var lines []string
 	for _, label := range slices.Sorted(maps.Keys(all)) {
@@ -142,12 +143,12 @@
 		write(t, golden, content)
 		return
 	}
-	pinned, err := os.ReadFile(golden)
+	want, err := os.ReadFile(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(pinned, content) {
-		t.Errorf("%s differs from what is pinned:\npinned:\n%s\npresent:\n%s", golden, pinned, content)
+	if !bytes.Equal(want, content) {
+		t.Errorf("content differs from %s:\ngolden:\n%s\npresent:\n%s", golden, want, content)
 	}
 }
 
--- a/internal/test/pinned/pinned_test.go
+++ b/internal/test/pinned/pinned_test.go
@@ -25,7 +25,7 @@
 	`{"name":"text1","count":2,"raw":{"raw":3},"inner":{"ratio":4.5,"on":true},` +
 	`"texts":{"text5":"text6"},"list":[{"ratio":7.5,"on":true}]}}}`
 
-func TestFill_SetsEveryFieldAlikeEachTime(t *testing.T) {
+func TestFill_SetsEveryFieldDeterministically(t *testing.T) {
 	var first, second sample
 	Fill(&first)
 	Fill(&second)
@@ -45,7 +45,7 @@
 		Texts map[string]string `json:"texts,omitempty"`
 		List  []inner           `json:"list,omitempty"`
 	}
-	t.Run("a renamed Go field is none", func(t *testing.T) {
+	t.Run("a renamed Go field is accepted", func(t *testing.T) {
 		assert.NilError(t, CompareMessages([]byte(sampleGolden), Messages{"sample": new(renamedField)}))
 	})
 	const short = `{"case": {"zero": {"ratio":0,"on":false}, "filled": {"ratio":1.5,"on":true}}}`
@@ -66,12 +66,12 @@
 			Ratio string `json:"ratio"`
 			On    bool   `json:"on"`
 		}),
-		"a field more": new(struct {
+		"an added field": new(struct {
 			Ratio float64 `json:"ratio"`
 			On    bool    `json:"on"`
 			More  int     `json:"more"`
 		}),
-		"a field less": new(struct {
+		"a removed field": new(struct {
 			Ratio float64 `json:"ratio"`
 		}),
 	}
@@ -81,15 +81,15 @@
 			assert.ErrorContains(t, CompareMessages([]byte(short), Messages{"case": changed}), "differs")
 		})
 	}
-	t.Run("a type that isn't compared any more", func(t *testing.T) {
+	t.Run("a type that is no longer compared", func(t *testing.T) {
 		assert.ErrorContains(t, CompareMessages([]byte(short), Messages{}), "not compared")
 	})
-	t.Run("a type that isn't pinned yet", func(t *testing.T) {
+	t.Run("a type that is not in the golden file", func(t *testing.T) {
 		assert.ErrorContains(t, CompareMessages([]byte(`{}`), Messages{"case": new(inner)}), "case")
 	})
 }
 
-func TestFormatForms_IsReadBackAsTheSame(t *testing.T) {
+func TestFormatForms_RoundTrips(t *testing.T) {
 	messages := Messages{"sample": new(sample), "other": new(inner)}
 	present, err := marshalAll(messages)
 	assert.NilError(t, err)
