--- a/internal/test/linearizability/calls_test.go
+++ b/internal/test/linearizability/calls_test.go
@@ -133,7 +133,7 @@
 	return record
 }
 
-// handleCall processes a call at a node. A frozen node processes it after the freeze.
+// handleCall processes a call at a node. While the node is frozen, the call waits.
 func (s *simulation) handleCall(result callRecord, node string) callRecord {
 	s.waitWhileFrozen(node)
 	store := s.cluster.StoreOf(node)
