--- a/internal/test/integration/busy_members_test.go
+++ b/internal/test/integration/busy_members_test.go
@@ -77,7 +77,7 @@
 }
 
 func TestOperators_ChangesAreDecidedInTimeByBusyMembers(t *testing.T) {
-	playBusyMembers(t, 6, busyMessageTime, decidedWithin)
+	runBusyMembers(t, 6, busyMessageTime, decidedWithin)
 }
 
 // TestOperators_ChangesAreDecidedInTimeByMembersWithoutTimeLeft has the bound and the message time of the reproduction as it was
@@ -85,11 +85,11 @@
 // shortest time in which deployments ask for an acknowledgement.
 func TestOperators_ChangesAreDecidedInTimeByMembersWithoutTimeLeft(t *testing.T) {
 	const messageTime, shortestAckTimeout = 10 * time.Millisecond, 4 * time.Second
-	playBusyMembers(t, 3, messageTime, shortestAckTimeout/2)
+	runBusyMembers(t, 3, messageTime, shortestAckTimeout/2)
 }
 
-// playBusyMembers has operators change the configuration while each control plane needs some time for each message.
-func playBusyMembers(t *testing.T, seeds uint64, messageTime, bound time.Duration) {
+// runBusyMembers has operators change the configuration while each control plane needs some time for each message.
+func runBusyMembers(t *testing.T, seeds uint64, messageTime, bound time.Duration) {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/test/integration/capacity_test.go
+++ b/internal/test/integration/capacity_test.go
@@ -22,8 +22,8 @@
 	DesiredCount int    `json:"desiredCount"`
 }
 
-// startCapacity starts a fleet whose replicas may be ordered, from one to five in a zone.
-func startCapacity(t *testing.T) *fleet {
+// startCapacityFleet starts a fleet whose replicas may be ordered, from one to five in a zone.
+func startCapacityFleet(t *testing.T) *fleet {
 	f := startFleetOf(t, 0, 1, 0,
 		newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
 	f.adjustSettings = func(settings *nodesettings.Settings) {
@@ -43,8 +43,8 @@
 	return f
 }
 
-// ordered returns what the platform was told last, by zone.
-func (f *fleet) ordered() map[string]int {
+// lastOrdered returns what the platform was told last, by zone.
+func (f *fleet) lastOrdered() map[string]int {
 	latest := map[string]int{}
 	for _, call := range f.platform.accepted(discovery.PathCapacity) {
 		var order capacityOrder
@@ -54,12 +54,12 @@
 	return latest
 }
 
-// busyInterval lies between two requests of keepBusy: far more of them come than two replicas serve.
-const busyInterval = 4 * time.Millisecond
+// overloadInterval lies between two requests of overload: far more of them come than two replicas serve.
+const overloadInterval = 4 * time.Millisecond
 
-// keepBusy has many requests wait at once for some time.
-func (f *fleet) keepBusy(duration time.Duration) {
-	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(busyInterval) {
+// overload has many requests wait at once for some time.
+func (f *fleet) overload(duration time.Duration) {
+	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(overloadInterval) {
 		attempt := fmt.Sprint("busy-", time.Now().UnixNano())
 		go f.request(1, attempt, "/quick/", "swift")
 	}
@@ -67,11 +67,11 @@
 
 func TestCapacity_IsOrderedAsRequestsNeedItAndByOneNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startCapacity(t)
+		f := startCapacityFleet(t)
 		assert.Equal(t, len(f.platform.accepted(discovery.PathCapacity)), 0, "nothing new is said at rest")
-		f.keepBusy(15 * time.Second)
-		ordered := f.ordered()
-		assert.Assert(t, ordered["north"] > 1 || ordered["south"] > 1, "%v", ordered)
+		f.overload(15 * time.Second)
+		lastOrdered := f.lastOrdered()
+		assert.Assert(t, lastOrdered["north"] > 1 || lastOrdered["south"] > 1, "%v", lastOrdered)
 		calls := f.platform.accepted(discovery.PathCapacity)
 		for _, call := range calls {
 			assert.Equal(t, call.holder, calls[0].holder)
@@ -81,14 +81,14 @@
 
 func TestCapacity_TheLastOrderStandsThoughAnEarlierOneMayBeCarriedOutLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startCapacity(t)
-		f.platform.set(func(p *standInPlatform) { p.losesAnswers = true })
-		f.keepBusy(8 * time.Second)
-		f.platform.set(func(p *standInPlatform) { p.losesAnswers = false })
-		unanswered := f.ordered()
+		f := startCapacityFleet(t)
+		f.platform.update(func(p *standInPlatform) { p.dropAnswers = true })
+		f.overload(8 * time.Second)
+		f.platform.update(func(p *standInPlatform) { p.dropAnswers = false })
+		unanswered := f.lastOrdered()
 		uncertain := len(f.platform.accepted(discovery.PathCapacity))
 		assert.Assert(t, uncertain > 0)
-		f.keepBusy(5 * time.Second)
+		f.overload(5 * time.Second)
 		time.Sleep(16 * time.Second)
 		repeated := map[string]int{}
 		calls := f.platform.accepted(discovery.PathCapacity)
@@ -105,7 +105,7 @@
 
 func TestCapacity_ARestartOfAllStartsFromWhatIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startCapacity(t)
+		f := startCapacityFleet(t)
 		f.restartCores(f.kill, 1, 2, 3)
 		time.Sleep(20 * time.Second)
 		assert.Equal(t, len(f.platform.accepted(discovery.PathCapacity)), 0)
--- a/internal/test/integration/change_soak_test.go
+++ b/internal/test/integration/change_soak_test.go
@@ -79,7 +79,7 @@
 }
 
 // strike has faults in series hit members, and returns once they are over.
-func (s *changeSoak) strike(random *rand.Rand) {
+func (s *changeSoak) injectFaults(random *rand.Rand) {
 	for range 1 + random.IntN(3) {
 		fault := memberFaults[random.IntN(len(memberFaults))]
 		fault(s, 1+random.IntN(5), time.Duration(50+random.IntN(2500))*time.Millisecond)
@@ -88,7 +88,7 @@
 }
 
 // race sends some changes of one version at random moments, and returns once each has an answer.
-func (s *changeSoak) race(label string, amount int) {
+func (s *changeSoak) sendRace(label string, amount int) {
 	var sending sync.WaitGroup
 	for number := range amount {
 		pause := time.Duration(s.random.IntN(300)) * time.Millisecond
@@ -108,12 +108,12 @@
 	}
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playChangeSoak(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runChangeSoak(t, seed) })
 		})
 	}
 }
 
-func playChangeSoak(t *testing.T, seed uint64) {
+func runChangeSoak(t *testing.T, seed uint64) {
 	f := startFleetOf(t, 5, 2, 2)
 	time.Sleep(3 * time.Second)
 	assert.Equal(t, f.putConfiguration(1, 0, document(1, "")).status, http.StatusOK)
@@ -122,15 +122,15 @@
 	for round := range changeSoakRounds {
 		faults, source := make(chan struct{}), rand.New(rand.NewPCG(seed, uint64(100+round)))
 		go func() {
-			s.strike(source)
+			s.injectFaults(source)
 			close(faults)
 		}()
 		for number := 0; number < 4; number++ {
-			s.race(fmt.Sprintf("trouble-%d-%d", round, number), 2)
+			s.sendRace(fmt.Sprintf("trouble-%d-%d", round, number), 2)
 		}
 		<-faults
 		time.Sleep(calmAfter)
-		s.race(fmt.Sprintf("calm-%d", round), 3)
+		s.sendRace(fmt.Sprintf("calm-%d", round), 3)
 	}
 	for name, duration := range s.operators.decisionTimes() {
 		if name[:len("add calm")] == "add calm" {
@@ -147,14 +147,14 @@
 	}
 	for name, closePath := range closePaths {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playUnreachableOwner(t, closePath) })
+			synctest.Test(t, func(t *testing.T) { runUnreachableOwner(t, closePath) })
 		})
 	}
 }
 
-// playUnreachableOwner has the first member own the configuration, closes paths between it and the others, and expects changes
+// runUnreachableOwner has the first member own the configuration, closes paths between it and the others, and expects changes
 // at the others to be decided in time.
-func playUnreachableOwner(t *testing.T, closePath func(f *fleet, other string)) {
+func runUnreachableOwner(t *testing.T, closePath func(f *fleet, other string)) {
 	f := startFleetOf(t, 5, 2, 1)
 	time.Sleep(3 * time.Second)
 	assert.Equal(t, f.putConfiguration(1, 0, document(1, "")).status, http.StatusOK)
--- a/internal/test/integration/change_storm_test.go
+++ b/internal/test/integration/change_storm_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	stormChanges       = 400
-	missedChanges      = 40
-	stormInterval      = 20 * time.Millisecond
-	changesPerZoneFlip = 8
+	stormChanges         = 400
+	missedChanges        = 40
+	stormInterval        = 20 * time.Millisecond
+	changesPerZoneToggle = 8
 )
 
 // changeStorm sends hundreds of changes: routes are added and removed, zones evacuated and returned to service.
@@ -28,12 +28,12 @@
 }
 
 // returningMember is one way in which a member leaves and it, or a successor, comes back.
-// comeBack returns the number of the member that did.
+// rejoin returns the number of the member that did.
 type returningMember struct {
-	name     string
-	member   int
-	leave    func(s *changeStorm)
-	comeBack func(s *changeStorm) int
+	name   string
+	member int
+	leave  func(s *changeStorm)
+	rejoin func(s *changeStorm) int
 }
 
 var returningMembers = []returningMember{
@@ -41,7 +41,7 @@
 		name:   "killed with its disk kept",
 		member: 1,
 		leave:  func(s *changeStorm) { s.fleet.kill(coreHost(1)) },
-		comeBack: func(s *changeStorm) int {
+		rejoin: func(s *changeStorm) int {
 			s.fleet.startCore(coreHost(1), false, 1, 2, 3)
 			return 1
 		},
@@ -53,7 +53,7 @@
 			s.fleet.kill(coreHost(2))
 			s.fleet.wipe(coreHost(2))
 		},
-		comeBack: func(s *changeStorm) int {
+		rejoin: func(s *changeStorm) int {
 			s.fleet.startCore(coreHost(2), false, 1, 2, 3)
 			return 2
 		},
@@ -65,7 +65,7 @@
 			s.fleet.kill(coreHost(3))
 			s.removeHost(3)
 		},
-		comeBack: func(s *changeStorm) int {
+		rejoin: func(s *changeStorm) int {
 			s.startNewcomers([]int{4})
 			return 4
 		},
@@ -74,7 +74,7 @@
 		name:   "partitioned from the others",
 		member: 1,
 		leave:  func(s *changeStorm) { s.isolate(1, true) },
-		comeBack: func(s *changeStorm) int {
+		rejoin: func(s *changeStorm) int {
 			s.isolate(1, false)
 			return 1
 		},
@@ -83,7 +83,7 @@
 		name:   "frozen",
 		member: 2,
 		leave:  func(s *changeStorm) { s.fleet.network.freeze(coreHost(2), true) },
-		comeBack: func(s *changeStorm) int {
+		rejoin: func(s *changeStorm) int {
 			s.fleet.network.freeze(coreHost(2), false)
 			return 2
 		},
@@ -92,7 +92,7 @@
 		name:   "killed with its disk kept, once more",
 		member: 4,
 		leave:  func(s *changeStorm) { s.fleet.kill(coreHost(4)) },
-		comeBack: func(s *changeStorm) int {
+		rejoin: func(s *changeStorm) int {
 			s.fleet.startCore(coreHost(4), false, 1, 2, 4)
 			return 4
 		},
@@ -132,7 +132,7 @@
 		returning.leave(s)
 		s.sendChanges(missedChanges)
 		began := time.Now()
-		member := returning.comeBack(s)
+		member := returning.rejoin(s)
 		s.checkReturned(returning.name, member, began)
 		s.sendChanges(stormChanges/len(returningMembers) - missedChanges + int(6*s.operators.randomFloat()))
 		time.Sleep(syncTime)
@@ -142,7 +142,7 @@
 	assert.Equal(t, len(s.problems), 0, "%s%s", summarizeProblems(s.problems), s.operators.describe(s.hosts...))
 }
 
-// sendChanges sends an amount of route changes, with a change of a zone every changesPerZoneFlip.
+// sendChanges sends an amount of route changes, with a change of a zone every changesPerZoneToggle.
 func (s *changeStorm) sendChanges(amount int) {
 	for range amount {
 		s.changeCount++
@@ -154,18 +154,18 @@
 			s.problems = append(s.problems, "not acknowledged: "+change.name)
 		}
 		s.version = max(s.version+1, s.operators.newestAcknowledged())
-		if s.changeCount%changesPerZoneFlip == 0 {
-			s.flipZone()
+		if s.changeCount%changesPerZoneToggle == 0 {
+			s.toggleZone()
 		}
 		time.Sleep(stormInterval)
 	}
 }
 
-func (s *changeStorm) flipZone() {
-	zone := []string{"east", "south", "abroad"}[s.changeCount/changesPerZoneFlip%3]
+func (s *changeStorm) toggleZone() {
+	zone := []string{"east", "south", "abroad"}[s.changeCount/changesPerZoneToggle%3]
 	s.drained[zone] = !s.drained[zone]
 	for attempt := range 3 {
-		if s.operators.sendZone(zone, s.drained[zone], fmt.Sprintf("%d-%d", s.changeCount, attempt)) == acknowledged {
+		if s.operators.sendZoneChange(zone, s.drained[zone], fmt.Sprintf("%d-%d", s.changeCount, attempt)) == acknowledged {
 			return
 		}
 	}
--- a/internal/test/integration/coordination_client_test.go
+++ b/internal/test/integration/coordination_client_test.go
@@ -24,8 +24,8 @@
 	return client
 }
 
-// strikeCores kills, freezes and cuts off one control plane after the other.
-func (f *fleet) strikeCores() {
+// injectCoreFaults kills, freezes and cuts off one control plane after the other.
+func (f *fleet) injectCoreFaults() {
 	for core := 1; core <= 3; core++ {
 		f.kill(coreHost(core))
 		time.Sleep(2 * time.Second)
@@ -82,7 +82,7 @@
 				}
 			})
 		}
-		f.strikeCores()
+		f.injectCoreFaults()
 		cancel()
 		candidates.Wait()
 		assert.Assert(t, seen.total.Load() > 5, "%d leaderships", seen.total.Load())
@@ -114,7 +114,7 @@
 		until := time.Now().Add(50 * time.Second)
 		var written []coordinationclient.Event
 		writing.Go(func() { written = writeSteadily(t, writer, until) })
-		f.strikeCores()
+		f.injectCoreFaults()
 		writing.Wait()
 		time.Sleep(2 * time.Second)
 		cancel()
@@ -206,7 +206,7 @@
 			report, err = applications.Run(t.Context(), options, f.client.Transport)
 			assert.Check(t, err)
 		})
-		f.strikeCores()
+		f.injectCoreFaults()
 		played.Wait()
 		assert.Equal(t, len(report.Faults), 0, "%v", report.Faults)
 		assert.Equal(t, len(report.Operations), 6)
--- a/internal/test/integration/coordination_test.go
+++ b/internal/test/integration/coordination_test.go
@@ -45,7 +45,7 @@
 	return fmt.Sprintf(`{"leaseHolder":%q,"fenceToken":%d,"queueHoldMs":%d}`, holder, fence, holdMs)
 }
 
-func (f *fleet) number(core int) uint64 {
+func (f *fleet) drawNumber(core int) uint64 {
 	_, drawn := f.coordinate(core, http.MethodPost, "numbers/n", "{}")
 	var value uint64
 	assert.NilError(f.t, json.Unmarshal(drawn.Value, &value))
@@ -70,7 +70,7 @@
 		assert.Equal(t, got.status, http.StatusConflict)
 		last := uint64(0)
 		for core := 1; core <= 3; core++ {
-			number := f.number(core)
+			number := f.drawNumber(core)
 			assert.Assert(t, number > last)
 			last = number
 		}
@@ -156,7 +156,7 @@
 	_, taken := f.coordinate(core, http.MethodPost, "locks/l", lockBody("a", 0, 2000))
 	f.coordinate(core, http.MethodPut, "cells/g.first", `{"value":"one"}`)
 	_, put := f.coordinate(core, http.MethodPut, "cells/g.k", fmt.Sprintf(`{"value":"v%d"}`, time.Now().UnixNano()))
-	return coordinationState{fence: taken.FenceToken, number: f.number(core), revision: put.EntityTag}
+	return coordinationState{fence: taken.FenceToken, number: f.drawNumber(core), revision: put.EntityTag}
 }
 
 // checkCoordination asks for all of it again: nothing falls behind, and the holder still has its lock.
@@ -166,7 +166,7 @@
 	assert.Equal(f.t, got.status, http.StatusOK, "the holder keeps its lock")
 	got, _ = f.coordinate(core, http.MethodPost, "locks/l", lockBody("b", 0, 100))
 	assert.Equal(f.t, got.status, http.StatusConflict)
-	assert.Assert(f.t, f.number(core) > before.number)
+	assert.Assert(f.t, f.drawNumber(core) > before.number)
 	_, read := f.coordinate(core, http.MethodGet, "cells/g.k", "")
 	assert.Equal(f.t, read.EntityTag, before.revision)
 	_, put := f.coordinate(core, http.MethodPut, "cells/g.other", fmt.Sprintf(`{"value":"w%d"}`, time.Now().UnixNano()))
@@ -222,7 +222,7 @@
 }
 
 func TestCoordination_SurvivesFaultsAfterAcknowledgement(t *testing.T) {
-	for name, strike := range coreFaults {
+	for name, inject := range coreFaults {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := startFleetOf(t, 5, 2, 0)
@@ -230,7 +230,7 @@
 				for core := 1; core <= 5; core++ {
 					before := f.useCoordination(core)
 					if core == 3 {
-						strike(f)
+						inject(f)
 					}
 					f.checkCoordination(1+core%5, before)
 				}
--- a/internal/test/integration/drill_guard_test.go
+++ b/internal/test/integration/drill_guard_test.go
@@ -14,7 +14,7 @@
 
 func TestDrill_GuardEndsItWhenRemainingReplicasLackCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		for _, id := range []string{"i-1", "i-3"} {
 			replicas[id].lock.Lock()
 			replicas[id].firstTokenDelay = 750 * time.Millisecond
@@ -37,7 +37,7 @@
 
 func TestDrill_EndedByDataPlaneThatIsPartitioned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		work := f.startTraffic([]int{2}, map[string]string{"/quick/": "swift", "/quick/a": "swift", "/quick/b": "swift"})
 		time.Sleep(time.Second)
 		f.startDrill(1, longDrill())
@@ -64,7 +64,7 @@
 
 func TestDrill_RestartedDataPlaneUsesRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		f.startDrill(1, southDrill)
 		time.Sleep(3 * time.Second)
 		f.kill(edgeHost(2))
@@ -93,7 +93,7 @@
 	}
 	for named, lose := range losses {
 		synctest.Test(t, func(t *testing.T) {
-			f, replicas := startTwoRegions(t, 2)
+			f, replicas := startTwoRegionFleet(t, 2)
 			f.startDrill(1, longDrill())
 			time.Sleep(2 * time.Second)
 			lose(f)
@@ -110,7 +110,7 @@
 
 func TestDrill_EndsEverywhereWhenLeaseHolderIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		f.startDrill(1, longDrill())
 		time.Sleep(1500 * time.Millisecond)
 		f.kill(coreHost(1))
@@ -132,7 +132,7 @@
 
 func TestDrill_EndsWhenAllMembersAreLostAndStaysEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		work := f.startTraffic([]int{1, 2}, map[string]string{"/quick/": "swift", "/bound/": "swift"})
 		time.Sleep(time.Second)
 		f.startDrill(1, longDrill())
--- a/internal/test/integration/drill_random_faults_test.go
+++ b/internal/test/integration/drill_random_faults_test.go
@@ -61,7 +61,7 @@
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			f, replicas := startTwoRegions(t, 2)
+			f, replicas := startTwoRegionFleet(t, 2)
 			request := southDrill
 			request.DurationMs = 6000
 			f.startDrill(1, request)
--- a/internal/test/integration/drill_test.go
+++ b/internal/test/integration/drill_test.go
@@ -14,7 +14,7 @@
 
 func TestDrill_MovesNewWorkAwayAndBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		work := f.startTraffic([]int{1, 2}, mixed)
 		from := time.Now()
 		time.Sleep(2 * time.Second)
@@ -69,7 +69,7 @@
 
 func TestDrill_SmallerStageIsSubsetOfLarger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 1)
+		f, replicas := startTwoRegionFleet(t, 1)
 		f.putConfiguration(1, 2, strings.Replace(document(3, ""), `"slots":8`, `"slots":64`, 1))
 		shares := map[float64]int{}
 		for _, share := range []float64{0.1, 0.5} {
@@ -97,7 +97,7 @@
 
 func TestDrill_OnlyOneAtATimeAndEvacuationWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := startTwoRegions(t, 1)
+		f, _ := startTwoRegionFleet(t, 1)
 		request := southDrill
 		request.IdempotencyKey = "once"
 		f.startDrill(1, request)
@@ -124,7 +124,7 @@
 
 func TestDrill_RejectsInvalidRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := startTwoRegions(t, 1)
+		f, _ := startTwoRegionFleet(t, 1)
 		zone := drill.Scope{Zone: "south"}
 		cases := []drill.Request{
 			{Scope: zone, Share: 1.5},
--- a/internal/test/integration/fleet_test.go
+++ b/internal/test/integration/fleet_test.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	serviceName     = "scribes"
+	backendName     = "scribes"
 	slotsPerReplica = 2
 )
 
@@ -237,8 +237,8 @@
 	f.network.resetHost(host)
 }
 
-// startTwoRegions starts a settled fleet with two replicas in region "land" and one in "far", and region-bound routes.
-func startTwoRegions(t *testing.T, edges int) (*fleet, map[string]*standInReplica) {
+// startTwoRegionFleet starts a settled fleet with two replicas in region "land" and one in "far", and region-bound routes.
+func startTwoRegionFleet(t *testing.T, edges int) (*fleet, map[string]*standInReplica) {
 	replicas := map[string]*standInReplica{
 		"i-1": newStandInReplica("i-1", "10.1.2.1", "north", "swift", "other"),
 		"i-2": newStandInReplica("i-2", "10.2.2.1", "south", "swift"),
--- a/internal/test/integration/forecast_test.go
+++ b/internal/test/integration/forecast_test.go
@@ -29,7 +29,7 @@
 
 func TestForecast_MatchesRealLossOfRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		for round := range 4 {
 			for number := range 8 {
 				edge := number%2 + 1
@@ -118,7 +118,7 @@
 
 func TestForecast_NamesFateOfRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 1)
+		f, replicas := startTwoRegionFleet(t, 1)
 		for _, standIn := range replicas {
 			standIn.lock.Lock()
 			standIn.events = 200
@@ -161,7 +161,7 @@
 
 func TestForecast_PartialWhenDataPlanesDoNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := startTwoRegions(t, 2)
+		f, _ := startTwoRegionFleet(t, 2)
 		f.network.blackhole(edgeHost(2), true)
 		time.Sleep(2 * time.Second)
 		_, forecast := f.postRehearsal(1, drill.Request{Kind: drill.KindForecast, Scope: drill.Scope{Zone: "south"}})
@@ -173,7 +173,7 @@
 
 func TestForecast_RejectsInvalidScopes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := startTwoRegions(t, 1)
+		f, _ := startTwoRegionFleet(t, 1)
 		cases := map[int]drill.Request{
 			http.StatusNotFound: {
 				Kind:  drill.KindForecast,
--- a/internal/test/integration/health_test.go
+++ b/internal/test/integration/health_test.go
@@ -22,7 +22,7 @@
 	total := int(span / pause)
 	done := make(chan reply, total)
 	for number := range total {
-		go func() { done <- f.requestNew(number%edges+1, number, path) }()
+		go func() { done <- f.requestWithUniquePrefix(number%edges+1, number, path) }()
 		time.Sleep(pause)
 	}
 	result := trafficResult{sent: total}
@@ -37,7 +37,7 @@
 func (f *fleet) sendBurst(edges, total int) {
 	done := make(chan reply, total)
 	for number := range total {
-		go func() { done <- f.requestNew(number%edges+1, number, "/quick/") }()
+		go func() { done <- f.requestWithUniquePrefix(number%edges+1, number, "/quick/") }()
 	}
 	for range total {
 		<-done
--- a/internal/test/integration/load_rate_test.go
+++ b/internal/test/integration/load_rate_test.go
@@ -70,18 +70,18 @@
 // leaseHolderFault is a short fault of the node that holds the placement lease.
 type leaseHolderFault func(f *fleet, leaseHolder string, rng *rand.Rand)
 
-func killAndStart(f *fleet, leaseHolder string, rng *rand.Rand) {
+func killAndRestart(f *fleet, leaseHolder string, rng *rand.Rand) {
 	f.kill(leaseHolder)
-	restartSoon(f, leaseHolder, rng)
+	restartAfterDelay(f, leaseHolder, rng)
 }
 
 func killWithPowerLoss(f *fleet, leaseHolder string, rng *rand.Rand) {
 	f.kill(leaseHolder)
 	f.losePower(leaseHolder)
-	restartSoon(f, leaseHolder, rng)
+	restartAfterDelay(f, leaseHolder, rng)
 }
 
-func restartSoon(f *fleet, leaseHolder string, rng *rand.Rand) {
+func restartAfterDelay(f *fleet, leaseHolder string, rng *rand.Rand) {
 	time.Sleep(20*time.Millisecond + time.Duration(rng.Int64N(int64(280*time.Millisecond))))
 	f.startCore(leaseHolder, false, 1, 2, 3)
 }
@@ -89,7 +89,7 @@
 // killOrFreeze kills the lease holder or freezes it, sometimes long enough for another node to take the lease.
 func killOrFreeze(f *fleet, leaseHolder string, rng *rand.Rand) {
 	if rng.IntN(2) == 0 {
-		killAndStart(f, leaseHolder, rng)
+		killAndRestart(f, leaseHolder, rng)
 		return
 	}
 	f.network.freeze(leaseHolder, true)
@@ -167,7 +167,7 @@
 		"every 1.6 to 3.1 s": {1600 * time.Millisecond, 1500 * time.Millisecond},
 	}
 	failures := map[string]leaseHolderFault{
-		"killed": killAndStart, "killed without power": killWithPowerLoss, "killed or frozen": killOrFreeze,
+		"killed": killAndRestart, "killed without power": killWithPowerLoss, "killed or frozen": killOrFreeze,
 	}
 	for often, pace := range paces {
 		for name, failure := range failures {
--- a/internal/test/integration/loss_scenario_test.go
+++ b/internal/test/integration/loss_scenario_test.go
@@ -117,7 +117,7 @@
 	time.Sleep(3 * time.Second)
 	assert.Assert(t, s.operators.waitMembers(coreHost(1), cores, 30*time.Second), "members never come together")
 	assert.Equal(t, s.fleet.putConfiguration(1, 0, document(1, "")).status, 200)
-	assert.Equal(t, s.operators.sendZone("south", true, "at the start"), acknowledged)
+	assert.Equal(t, s.operators.sendZoneChange("south", true, "at the start"), acknowledged)
 	s.writer = s.operators.startWriter(1)
 	time.Sleep(2 * time.Second)
 	return s
@@ -160,7 +160,7 @@
 	}
 	isolate(true)
 	time.Sleep(time.Second)
-	if s.operators.send(evacuate("east", true, "missed"), 2*zoneResendBound) != acknowledged {
+	if s.operators.send(evacuationChange("east", true, "missed"), 2*zoneResendBound) != acknowledged {
 		s.problems = append(s.problems, "an evacuation is not acknowledged by the other two")
 	}
 	time.Sleep(6 * time.Second)
--- a/internal/test/integration/member_return_test.go
+++ b/internal/test/integration/member_return_test.go
@@ -37,7 +37,7 @@
 		}
 		isolate(true)
 		time.Sleep(time.Second)
-		assert.Equal(t, o.sendZone("south", true, "missed"), acknowledged)
+		assert.Equal(t, o.sendZoneChange("south", true, "missed"), acknowledged)
 		assert.Equal(t, o.send(addRoute(1, 2, "missed"), zoneResendBound), acknowledged)
 		time.Sleep(19 * time.Second)
 		isolate(false)
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, o := startQuietFleet(t)
 		f.kill(coreHost(1))
-		assert.Equal(t, o.sendZone("south", true, "missed"), acknowledged)
+		assert.Equal(t, o.sendZoneChange("south", true, "missed"), acknowledged)
 		assert.Equal(t, o.send(addRoute(1, 2, "missed"), zoneResendBound), acknowledged)
 		time.Sleep(time.Second)
 		f.startCore(coreHost(1), false, 1, 2, 3)
--- a/internal/test/integration/memory_connection_test.go
+++ b/internal/test/integration/memory_connection_test.go
@@ -169,7 +169,7 @@
 	if buffered, err := c.bufferIfStalled(content); buffered || err != nil {
 		return len(content), err
 	}
-	c.network.takeIn(c.to)
+	c.network.processMessage(c.to)
 	return c.Conn.Write(content)
 }
 
--- a/internal/test/integration/memory_processor_test.go
+++ b/internal/test/integration/memory_processor_test.go
@@ -18,15 +18,15 @@
 	}
 }
 
-// takeIn waits until the machine has taken in one more message.
-func (n *memoryNetwork) takeIn(host string) {
+// processMessage waits until the machine has taken in one more message.
+func (n *memoryNetwork) processMessage(host string) {
 	n.lock.Lock()
-	taking := n.processors[host]
+	machine := n.processors[host]
 	n.lock.Unlock()
-	if taking == nil {
+	if machine == nil {
 		return
 	}
-	taking.busy <- struct{}{}
-	time.Sleep(taking.messageTime)
-	<-taking.busy
+	machine.busy <- struct{}{}
+	time.Sleep(machine.messageTime)
+	<-machine.busy
 }
--- a/internal/test/integration/metrics_test.go
+++ b/internal/test/integration/metrics_test.go
@@ -11,7 +11,7 @@
 
 func TestMetrics_BothProgramsTellTheirFiguresAsText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := startUsage(t)
+		u := startUsageFleet(t)
 		u.sendFor(2 * usageWindow)
 		figures := map[string][]string{
 			edgeHost(1) + ":8167": {"ferryspar_ready 1", `ferryspar_attempts_total{backend="scribes",outcome="answered"}`,
--- a/internal/test/integration/operator_violations_test.go
+++ b/internal/test/integration/operator_violations_test.go
@@ -16,14 +16,14 @@
 	winners := map[int]string{}
 	for index, call := range o.calls {
 		if outcomeOf(call.status) == acknowledged && call.change.zone == "" {
-			winner, known := winners[call.change.condition]
+			winner, known := winners[call.change.ifMatch]
 			if known && winner != call.change.name {
 				found = append(
 					found,
-					fmt.Sprintf("%q and %q are both acknowledged on version %d", winner, call.change.name, call.change.condition),
+					fmt.Sprintf("%q and %q are both acknowledged on version %d", winner, call.change.name, call.change.ifMatch),
 				)
 			}
-			winners[call.change.condition] = call.change.name
+			winners[call.change.ifMatch] = call.change.name
 		}
 		if outcomeOf(call.status) == rejected && call.change.zone != "" {
 			found = append(found, "an evacuation is rejected: "+call.String())
--- a/internal/test/integration/operators_test.go
+++ b/internal/test/integration/operators_test.go
@@ -35,15 +35,15 @@
 
 // operatorChange is one change that an operator intends; it is resent unchanged.
 type operatorChange struct {
-	name      string
-	route     string
-	method    string
-	path      string
-	body      string
-	condition int
-	revision  int
-	zone      string
-	drained   bool
+	name     string
+	route    string
+	method   string
+	path     string
+	body     string
+	ifMatch  int
+	revision int
+	zone     string
+	drained  bool
 }
 
 // operatorCall is one attempt of a change at one member. status is what the member answered, also if the answer was lost.
@@ -59,7 +59,7 @@
 }
 
 func (c operatorCall) String() string {
-	return fmt.Sprintf("%s (If-Match %d) at %s, %s to %s: %d lost=%t %.120s", c.change.name, c.change.condition, c.host,
+	return fmt.Sprintf("%s (If-Match %d) at %s, %s to %s: %d lost=%t %.120s", c.change.name, c.change.ifMatch, c.host,
 		c.began.Format("05.000"), c.ended.Format("05.000"), c.status, c.answerLost, c.reason)
 }
 
@@ -89,29 +89,29 @@
 	return o
 }
 
-func configurationChange(condition, revision int, route, body string) operatorChange {
+func configurationChange(ifMatch, revision int, route, body string) operatorChange {
 	return operatorChange{
 		name: "add " + route, route: route, method: http.MethodPatch, path: "/ferryspar/config",
-		body: body, condition: condition, revision: revision,
+		body: body, ifMatch: ifMatch, revision: revision,
 	}
 }
 
-func addRoute(condition, revision int, route string) operatorChange {
+func addRoute(ifMatch, revision int, route string) operatorChange {
 	body := fmt.Sprintf(`{"revision":%d,"upsert":{"routeTable":[%s]}}`, revision, routeNamed(route)[1:])
-	return configurationChange(condition, revision, route, body)
+	return configurationChange(ifMatch, revision, route, body)
 }
 
-func replaceRoute(condition, revision int, added, removed string) operatorChange {
+func replaceRoute(ifMatch, revision int, added, removed string) operatorChange {
 	body := fmt.Sprintf(
 		`{"revision":%d,"upsert":{"routeTable":[%s]},"remove":{"routeTable":[%q]}}`,
 		revision,
 		routeNamed(added)[1:],
 		removed,
 	)
-	return configurationChange(condition, revision, added, body)
+	return configurationChange(ifMatch, revision, added, body)
 }
 
-func evacuate(zone string, drained bool, occasion string) operatorChange {
+func evacuationChange(zone string, drained bool, occasion string) operatorChange {
 	method := http.MethodDelete
 	if drained {
 		method = http.MethodPost
@@ -167,7 +167,7 @@
 	defer cancel()
 	condition := ""
 	if change.zone == "" {
-		condition = fmt.Sprint(change.condition)
+		condition = fmt.Sprint(change.ifMatch)
 	}
 	call := operatorCall{change: change, host: host, began: time.Now()}
 	call.status, call.reason = o.request(ctx, change.method, host, change.path, change.body, condition)
@@ -206,8 +206,8 @@
 	}
 }
 
-func (o *operators) sendZone(zone string, drained bool, occasion string) outcome {
-	return o.send(evacuate(zone, drained, occasion), zoneResendBound)
+func (o *operators) sendZoneChange(zone string, drained bool, occasion string) outcome {
+	return o.send(evacuationChange(zone, drained, occasion), zoneResendBound)
 }
 
 // read gets the configuration from one member.
--- a/internal/test/integration/partition_scenario_test.go
+++ b/internal/test/integration/partition_scenario_test.go
@@ -86,7 +86,7 @@
 }
 
 func (s *partitionScenario) setZoneDrained(zone string, drained bool, occasion string) {
-	s.send(evacuate(zone, drained, occasion))
+	s.send(evacuationChange(zone, drained, occasion))
 }
 
 // startIsolatedEdge starts a data plane that can reach no member but the partitioned one.
--- a/internal/test/integration/partition_test.go
+++ b/internal/test/integration/partition_test.go
@@ -75,7 +75,7 @@
 	go s.callPartitionedMember()
 	s.watchEdge(1, false)
 	s.watchEdge(2, false)
-	s.changeElsewhere()
+	s.changeOnMajoritySide()
 	s.resendWithdrawalLate("far", "east")
 	s.startIsolatedEdge(5)
 	s.sleepUntil(partitionDuration - 600*time.Millisecond)
@@ -97,7 +97,7 @@
 	assert.Equal(t, len(s.problems), 0, summarizeProblems(s.problems))
 }
 
-func (s *partitionScenario) changeElsewhere() {
+func (s *partitionScenario) changeOnMajoritySide() {
 	s.send(replaceRoute(1, 2, "fresh", "patient"))
 	s.recordTime(&s.changedAt)
 	s.startIsolatedEdge(3)
@@ -116,7 +116,7 @@
 // resendWithdrawalLate sends a withdrawal to the partitioned member first; the zone is evacuated again after it.
 func (s *partitionScenario) resendWithdrawalLate(occasion, zone string) {
 	s.setZoneDrained(zone, true, "before "+occasion)
-	withdrawal := evacuate(zone, false, occasion)
+	withdrawal := evacuationChange(zone, false, occasion)
 	s.operators.attempt(withdrawal, coreHost(partitionedCore))
 	s.send(withdrawal)
 	s.setZoneDrained(zone, true, "after "+occasion)
@@ -124,7 +124,7 @@
 
 // resendEvacuationLate sends an evacuation to the partitioned member shortly before the heal; it is withdrawn afterwards.
 func (s *partitionScenario) resendEvacuationLate(occasion, zone string) {
-	change := evacuate(zone, true, occasion)
+	change := evacuationChange(zone, true, occasion)
 	s.operators.attempt(change, coreHost(partitionedCore))
 	s.send(change)
 	s.setZoneDrained(zone, false, "after "+occasion)
@@ -143,7 +143,7 @@
 		case 0:
 			call = s.operators.attempt(addRoute(1, 50+number, fmt.Sprint("pressed-", number)), host)
 		case 1:
-			call = s.operators.attempt(evacuate("abroad", number%2 == 0, fmt.Sprint("pressed-", number)), host)
+			call = s.operators.attempt(evacuationChange("abroad", number%2 == 0, fmt.Sprint("pressed-", number)), host)
 		case 2:
 			call = operatorCall{change: operatorChange{name: "read"}, host: host, began: time.Now()}
 			call.status, call.reason = s.operators.read(host)
--- a/internal/test/integration/platform_list_test.go
+++ b/internal/test/integration/platform_list_test.go
@@ -13,17 +13,17 @@
 const platformHost = "10.200.0.1"
 
 // hide leaves a replica out of the platform list, as paging does when the list changes meanwhile.
-func (f *fleet) hide(standIn *standInReplica, hidden bool) {
+func (f *fleet) setUnlisted(standIn *standInReplica, unlisted bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.replicas = slices.DeleteFunc(f.replicas, func(listed *standInReplica) bool { return listed == standIn })
-	if !hidden {
+	if !unlisted {
 		f.replicas = append(f.replicas, standIn)
 	}
 }
 
-// pageOf is a page of the platform list. As on the platform, tokens are offsets in the current list.
-func (f *fleet) pageOf(replicas []*standInReplica, token string) discovery.Page {
+// listPage is a page of the platform list. As on the platform, tokens are offsets in the current list.
+func (f *fleet) listPage(replicas []*standInReplica, token string) discovery.Page {
 	f.lock.Lock()
 	size, paged := f.pageSize, f.onPage
 	f.lock.Unlock()
@@ -52,5 +52,5 @@
 	duration := f.listDuration
 	f.lock.Unlock()
 	time.Sleep(duration)
-	_ = json.NewEncoder(writer).Encode(f.pageOf(replicas, request.URL.Query().Get("pageToken")))
+	_ = json.NewEncoder(writer).Encode(f.listPage(replicas, request.URL.Query().Get("pageToken")))
 }
--- a/internal/test/integration/quota_fleet_test.go
+++ b/internal/test/integration/quota_fleet_test.go
@@ -26,7 +26,7 @@
 	statuses [600]atomic.Int64
 }
 
-func startQuota(t *testing.T, edges int, limit quota.Limit) *quotaFleet {
+func startQuotaFleet(t *testing.T, edges int, limit quota.Limit) *quotaFleet {
 	q := &quotaFleet{limit: limit}
 	for number := range 4 {
 		q.replicas = append(
@@ -81,7 +81,7 @@
 }
 
 // between counts the requests that replicas received in a span of time.
-func (q *quotaFleet) between(from, to time.Duration) int {
+func (q *quotaFleet) countBetween(from, to time.Duration) int {
 	count := 0
 	for _, at := range q.executionTimes() {
 		if at >= from && at < to {
@@ -91,8 +91,8 @@
 	return count
 }
 
-// maxPerWindow is the largest number of requests that replicas received within a window that starts at since or later.
-func (q *quotaFleet) maxPerWindow(since time.Duration) int {
+// maxExecutedPerWindow is the largest number of requests that replicas received within a window that starts at since or later.
+func (q *quotaFleet) maxExecutedPerWindow(since time.Duration) int {
 	times, most := q.executionTimes(), 0
 	for first, began := range times {
 		if began < since {
@@ -107,7 +107,7 @@
 	return most
 }
 
-func (q *quotaFleet) since() time.Duration { return time.Since(q.began) }
+func (q *quotaFleet) elapsed() time.Duration { return time.Since(q.began) }
 
 func (q *quotaFleet) statusSummary() string {
 	var seen []string
--- a/internal/test/integration/quota_test.go
+++ b/internal/test/integration/quota_test.go
@@ -36,9 +36,9 @@
 		}
 	}
 	cases := map[string]struct {
-		edge   func(after time.Duration) int
-		inject func(q *quotaFleet)
-		least  float64
+		edge     func(after time.Duration) int
+		inject   func(q *quotaFleet)
+		minShare float64
 	}{
 		"at one data plane":   {func(time.Duration) int { return 1 }, nil, 0.97},
 		"at all":              {func(after time.Duration) int { return 1 + int(after/time.Millisecond/25)%4 }, nil, 0.97},
@@ -87,22 +87,22 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				q := startQuota(t, 4, quota.Limit{RatePerS: 10, Burst: 10})
+				q := startQuotaFleet(t, 4, quota.Limit{RatePerS: 10, Burst: 10})
 				if test.inject != nil {
 					go test.inject(q)
 				}
 				q.send(40, trafficDuration, test.edge)
 				time.Sleep(4 * time.Second)
-				got := float64(q.between(time.Second, trafficDuration)) / (q.limit.RatePerS * (trafficDuration - time.Second).Seconds())
+				got := float64(q.countBetween(time.Second, trafficDuration)) / (q.limit.RatePerS * (trafficDuration - time.Second).Seconds())
 				t.Logf(
 					"%.3f of the limit, %d in the worst window of %.0f allowed, statuses %s",
 					got,
-					q.maxPerWindow(0),
+					q.maxExecutedPerWindow(0),
 					quotaBounds.Allowed(q.limit),
 					q.statusSummary(),
 				)
-				assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
-				assert.Assert(t, got >= test.least, "got %.3f", got)
+				assert.Assert(t, float64(q.maxExecutedPerWindow(0)) <= quotaBounds.Allowed(q.limit))
+				assert.Assert(t, got >= test.minShare, "got %.3f", got)
 			})
 		})
 	}
@@ -110,7 +110,7 @@
 
 func TestQuota_LoweredLimitBindsAfterOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := startQuota(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
+		q := startQuotaFleet(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
 		total := 0.0
 		for number := 1; number <= 3; number++ {
 			var status struct{ Holds []quota.TenantBalance }
@@ -126,19 +126,19 @@
 		go func() {
 			time.Sleep(5 * time.Second)
 			assert.Check(t, q.putConfiguration(2, 1, limitedDocument(2, low)).status == http.StatusOK)
-			acknowledged = q.since()
+			acknowledged = q.elapsed()
 		}()
 		q.send(40, trafficDuration, func(after time.Duration) int { return 1 + int(after/time.Millisecond/25)%3 })
 		time.Sleep(4 * time.Second)
-		t.Logf("%d in the worst window before, %d after", q.maxPerWindow(0), q.maxPerWindow(acknowledged+applyTimeout))
-		assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
-		assert.Assert(t, float64(q.maxPerWindow(acknowledged+applyTimeout)) <= quotaBounds.Allowed(low))
+		t.Logf("%d in the worst window before, %d after", q.maxExecutedPerWindow(0), q.maxExecutedPerWindow(acknowledged+applyTimeout))
+		assert.Assert(t, float64(q.maxExecutedPerWindow(0)) <= quotaBounds.Allowed(q.limit))
+		assert.Assert(t, float64(q.maxExecutedPerWindow(acknowledged+applyTimeout)) <= quotaBounds.Allowed(low))
 	})
 }
 
 func TestQuota_ServedSoonAfterPowerLossOfAllMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := startQuota(t, 4, quota.Limit{RatePerS: 20, Burst: 10})
+		q := startQuotaFleet(t, 4, quota.Limit{RatePerS: 20, Burst: 10})
 		for number := 1; number <= 4; number++ {
 			q.kill(edgeHost(number))
 		}
@@ -152,19 +152,19 @@
 		for number := 1; number <= 4; number++ {
 			q.startEdge(edgeHost(number))
 		}
-		back := q.since()
+		back := q.elapsed()
 		q.send(20, 10*time.Second, func(time.Duration) int { return 1 })
 		time.Sleep(4 * time.Second)
-		t.Logf("%d in the 4 s that begin 4 s after, statuses %s", q.between(back+4*time.Second, back+8*time.Second), q.statusSummary())
-		assert.Assert(t, q.between(back+4*time.Second, back+8*time.Second) >= 72, "nine tenths of what came")
+		t.Logf("%d in the 4 s that begin 4 s after, statuses %s", q.countBetween(back+4*time.Second, back+8*time.Second), q.statusSummary())
+		assert.Assert(t, q.countBetween(back+4*time.Second, back+8*time.Second) >= 72, "nine tenths of what came")
 		assert.Assert(t, q.statuses[http.StatusServiceUnavailable].Load() <= 30, "rejected for at most 1.5 s")
-		assert.Assert(t, float64(q.maxPerWindow(0)) <= quotaBounds.Allowed(q.limit))
+		assert.Assert(t, float64(q.maxExecutedPerWindow(0)) <= quotaBounds.Allowed(q.limit))
 	})
 }
 
 func TestQuota_UnlimitedTenantsServedDuringPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := startQuota(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
+		q := startQuotaFleet(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
 		assert.Equal(t, q.requestWithKey(3, otherKey, "/quick/", "swift").status, http.StatusOK, "it follows the model from now on")
 		q.partitionEdge(3, true)
 		q.partitionEdges([]int{1, 2}, []int{3}, true)
--- a/internal/test/integration/replica_order_faults_test.go
+++ b/internal/test/integration/replica_order_faults_test.go
@@ -129,7 +129,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f, standIn := startTightFleet(t)
 				standIn.lock.Lock()
-				standIn.orderState.answersToLose = amount
+				standIn.orderState.answersToDrop = amount
 				standIn.lock.Unlock()
 				f.requestAll("rare", "swift/a1", "swift/a2")
 				time.Sleep(time.Second)
--- a/internal/test/integration/requests_test.go
+++ b/internal/test/integration/requests_test.go
@@ -42,13 +42,13 @@
 }
 
 // putConfiguration replaces the configuration at a control-plane node if the version is the expected one.
-func (f *fleet) putConfiguration(core, condition int, document string) reply {
+func (f *fleet) putConfiguration(core, ifMatch int, document string) reply {
 	return f.call(
 		http.MethodPut,
 		coreHost(core)+":8166",
 		"/ferryspar/config",
 		document,
-		map[string]string{"If-Match": fmt.Sprint(condition)},
+		map[string]string{"If-Match": fmt.Sprint(ifMatch)},
 	)
 }
 
@@ -87,7 +87,7 @@
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", header)
 }
 
-func (f *fleet) requestNew(edge, number int, path string) reply {
+func (f *fleet) requestWithUniquePrefix(edge, number int, path string) reply {
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
 		"Host":                      "shop.example",
 		replica.HeaderAttemptID:     fmt.Sprintf("attempt-%d", number),
--- a/internal/test/integration/revocation_test.go
+++ b/internal/test/integration/revocation_test.go
@@ -13,7 +13,7 @@
 
 func TestRevocation_PartitionedDataPlaneAnswersUnknownKeyWithRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startTenants(t, false, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startTenantFleet(t, false, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		f.partitionEdge(2, true)
 		assert.Equal(t, f.patchKeys(1, newKey).status, http.StatusOK)
 		acknowledged := time.Now()
@@ -37,7 +37,7 @@
 
 func TestRevocation_FailClosedStopsServingAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startTenants(t, true, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startTenantFleet(t, true, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		f.partitionEdge(2, true)
 		assert.Equal(t, f.patchKeys(1, newKey).status, http.StatusOK)
 		acknowledged := time.Now()
@@ -63,7 +63,7 @@
 
 func TestRevocation_FailClosedNotRenewedByMinority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startTenants(t, true, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startTenantFleet(t, true, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		for number := 2; number <= 3; number++ {
 			f.network.partition(edgeHost(1), coreHost(number), true)
 			f.network.partition(coreHost(1), coreHost(number), true)
@@ -76,7 +76,7 @@
 func TestRevocation_FailClosedServesWithoutFaults(t *testing.T) {
 	for _, bound := range []time.Duration{revokeTimeout, 2 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			f := startTenants(t, true, 0, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+			f := startTenantFleet(t, true, 0, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 			adjust := f.adjustSettings
 			f.adjustSettings = func(settings *nodesettings.Settings) {
 				adjust(settings)
--- a/internal/test/integration/roster_test.go
+++ b/internal/test/integration/roster_test.go
@@ -71,17 +71,17 @@
 				f := startSettledFleet(t, 1, firstReplica, secondReplica)
 				time.Sleep(3 * time.Second)
 				if moment < 0 {
-					f.hide(secondReplica, true)
+					f.setUnlisted(secondReplica, true)
 					time.Sleep(-moment)
 				}
 				_, status := f.forget(1, `{"model":"swift"}`)
 				assert.Equal(t, status, http.StatusOK)
 				if moment > 0 {
 					time.Sleep(moment)
-					f.hide(secondReplica, true)
+					f.setUnlisted(secondReplica, true)
 				}
 				time.Sleep(700 * time.Millisecond)
-				f.hide(secondReplica, false)
+				f.setUnlisted(secondReplica, false)
 				time.Sleep(20 * time.Second)
 				done := f.forgetStatuses(1)[0]
 				assert.Assert(t, done.Complete, "%v", done)
@@ -116,7 +116,7 @@
 		f.onPage = func(from int) {
 			if !ended && from == 0 {
 				ended = true
-				f.hide(firstReplica, true)
+				f.setUnlisted(firstReplica, true)
 			}
 		}
 		f.lock.Unlock()
--- a/internal/test/integration/split_changes_test.go
+++ b/internal/test/integration/split_changes_test.go
@@ -34,7 +34,7 @@
 	}},
 	{"unlisted", func(_ *testing.T, f *fleet, north []*standInReplica) {
 		for _, standIn := range north {
-			f.hide(standIn, true)
+			f.setUnlisted(standIn, true)
 		}
 	}},
 	{"evacuated", func(t *testing.T, f *fleet, _ []*standInReplica) {
@@ -51,8 +51,8 @@
 }
 
 // startPrefillFleet starts a fleet whose prompts are read in zone north and whose tokens are made in zones north and south.
-func startPrefillFleet(t *testing.T) (*fleet, *splitFleet, map[string]*standInReplica) {
-	split := newSplitFleet()
+func startPrefillFleet(t *testing.T) (*fleet, *splitBackend, map[string]*standInReplica) {
+	split := newSplitBackend()
 	replicas := map[string]*standInReplica{}
 	var list []*standInReplica
 	add := func(id, host, zone, phase string) {
@@ -90,7 +90,7 @@
 				change.apply(t, f, north)
 				sending.Wait()
 				for _, standIn := range north {
-					f.hide(standIn, false)
+					f.setUnlisted(standIn, false)
 				}
 				for number, got := range replies {
 					assert.Equal(t, got.status, http.StatusOK, "%d: %s", number, got.body)
--- a/internal/test/integration/split_soak_test.go
+++ b/internal/test/integration/split_soak_test.go
@@ -26,7 +26,7 @@
 // soak is a split fleet under random changes, with what was forbidden since when.
 type soak struct {
 	*fleet
-	split    *splitFleet
+	split    *splitBackend
 	replicas map[string]*standInReplica
 	random   *rand.Rand
 
@@ -42,15 +42,15 @@
 	}
 }
 
-// anyDecode picks a decode replica. The last one is never picked, so that requests can always be served.
-func (s *soak) anyDecode() *standInReplica {
+// randomDecodeReplica picks a decode replica. The last one is never picked, so that requests can always be served.
+func (s *soak) randomDecodeReplica() *standInReplica {
 	return s.replicas[fmt.Sprintf("d-%d", 1+s.random.IntN(3))]
 }
 
 // replicaChanges are changes of replicas. Data planes stay in contact, so that what they forbid binds all of them.
 var replicaChanges = []func(s *soak){
 	func(s *soak) {
-		leaving := s.anyDecode()
+		leaving := s.randomDecodeReplica()
 		leaving.drain(true)
 		s.forbid(leaving.listed.ID)
 	},
@@ -64,13 +64,13 @@
 	func(s *soak) {
 		s.split.lock.Lock()
 		defer s.split.lock.Unlock()
-		s.split.lapseAtOnce["p-1"] = !s.split.lapseAtOnce["p-1"]
+		s.split.expireAtOnce["p-1"] = !s.split.expireAtOnce["p-1"]
 	},
 	func(s *soak) {
-		s.anyDecode().setFailureMode([]string{"errors", "reset"}[s.random.IntN(2)], 2+s.random.IntN(3))
+		s.randomDecodeReplica().setFailureMode([]string{"errors", "reset"}[s.random.IntN(2)], 2+s.random.IntN(3))
 	},
-	func(s *soak) { s.anyDecode().setFailureMode("", 0) },
-	func(s *soak) { s.network.breakConnections(hostOf(s.anyDecode().listed.Address)) },
+	func(s *soak) { s.randomDecodeReplica().setFailureMode("", 0) },
+	func(s *soak) { s.network.breakConnections(hostOf(s.randomDecodeReplica().listed.Address)) },
 	func(s *soak) {
 		host := hostOf(s.replicas["p-2"].listed.Address)
 		s.network.blackhole(host, true)
@@ -157,13 +157,13 @@
 	}
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playSoak(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runSplitSoak(t, seed) })
 		})
 	}
 }
 
-// playSoak plays one schedule: changes of replicas on even seeds, faults of nodes on odd ones, in series that overlap.
-func playSoak(t *testing.T, seed uint64) {
+// runSplitSoak plays one schedule: changes of replicas on even seeds, faults of nodes on odd ones, in series that overlap.
+func runSplitSoak(t *testing.T, seed uint64) {
 	f, split, replicas := startPrefillFleet(t)
 	s := &soak{
 		fleet: f, split: split, replicas: replicas, random: rand.New(rand.NewPCG(seed, 7)),
@@ -183,7 +183,7 @@
 		changes[s.random.IntN(len(changes))](s)
 	}
 	sending.Wait()
-	time.Sleep(split.hold + time.Second)
+	time.Sleep(split.handleLifetime + time.Second)
 	assert.Equal(t, split.heldHandles(), 0)
 	s.check(t)
 }
--- a/internal/test/integration/split_test.go
+++ b/internal/test/integration/split_test.go
@@ -31,8 +31,8 @@
 	"limits":{"maxHeaderBytes":16384,"maxBodyBytes":100000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
 // startSplitFleet starts a fleet with two replicas of each phase and waits until its configuration is in force.
-func startSplitFleet(t *testing.T, edges int) (*fleet, *splitFleet, map[string]*standInReplica) {
-	split := newSplitFleet()
+func startSplitFleet(t *testing.T, edges int) (*fleet, *splitBackend, map[string]*standInReplica) {
+	split := newSplitBackend()
 	replicas := map[string]*standInReplica{
 		"i-1": split.newReplica("i-1", "10.1.2.1", "north", "prefill"),
 		"i-2": split.newReplica("i-2", "10.2.2.1", "south", "prefill"),
@@ -94,7 +94,7 @@
 }
 
 // checkRunOnce expects every request to have run once, from its own handle if from any.
-func (f *splitFleet) checkRunOnce(t *testing.T, replicas map[string]*standInReplica, attempts int) {
+func (f *splitBackend) checkRunOnce(t *testing.T, replicas map[string]*standInReplica, attempts int) {
 	t.Helper()
 	ran := map[string]int{}
 	for _, standIn := range replicas {
@@ -114,7 +114,7 @@
 func TestSplit_LapsedHandlesAreReadAtAnotherReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, split, replicas := startSplitFleet(t, 2)
-		split.lapseAtOnce["i-1"] = true
+		split.expireAtOnce["i-1"] = true
 		for number := range 12 {
 			got := f.requestPrompt(1+number%2, fmt.Sprintf("attempt-%d", number), "/patient/", 3000, number%5)
 			assert.Equal(t, got.status, http.StatusOK, "%d: %s", number, got.body)
@@ -162,9 +162,9 @@
 	})
 }
 
-// startMixedFleet starts a fleet with so many replicas of each phase.
-func startMixedFleet(t *testing.T, prefill, decode int) (*fleet, *splitFleet, map[string]*standInReplica) {
-	split := newSplitFleet()
+// startFleetOfPhases starts a fleet with so many replicas of each phase.
+func startFleetOfPhases(t *testing.T, prefill, decode int) (*fleet, *splitBackend, map[string]*standInReplica) {
+	split := newSplitBackend()
 	replicas := map[string]*standInReplica{}
 	var list []*standInReplica
 	for number := 1; number <= prefill+decode; number++ {
@@ -230,7 +230,7 @@
 
 func TestSplit_PhasesFollowTheDemandThoughTheLeaseHolderIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, split, replicas := startMixedFleet(t, 2, 10)
+		f, split, replicas := startFleetOfPhases(t, 2, 10)
 		served := make(chan int, 1)
 		go func() { served <- f.sendPrompts(8, 20, 2000) }()
 		time.Sleep(1800 * time.Millisecond)
--- a/internal/test/integration/standin_failures_test.go
+++ b/internal/test/integration/standin_failures_test.go
@@ -23,27 +23,27 @@
 		writer.Header().Set(replica.HeaderNotExecuted, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	},
-	"swapped": raw(func(_ string) string { return sealed("of-another") }),
-	"nameless": raw(func(_ string) string {
+	"swapped": rawResponse(func(_ string) string { return completeResponse("of-another") }),
+	"nameless": rawResponse(func(_ string) string {
 		return "HTTP/1.1 408 Late\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	}),
-	"unproved": raw(func(attempt string) string {
+	"unproved": rawResponse(func(attempt string) string {
 		return "HTTP/1.1 503 Full\r\n" + replica.HeaderAttemptID + ": " + attempt + "\r\nContent-Length: 0\r\n\r\n"
 	}),
-	"garbled": raw(func(_ string) string { return "no answer\r\n\r\n" }),
-	"doubled": raw(func(attempt string) string { return sealed(attempt) + sealed(attempt) }),
-	"endless": raw(func(attempt string) string { return sealed(attempt) + "and more that belongs to nothing" }),
+	"garbled": rawResponse(func(_ string) string { return "no answer\r\n\r\n" }),
+	"doubled": rawResponse(func(attempt string) string { return completeResponse(attempt) + completeResponse(attempt) }),
+	"endless": rawResponse(func(attempt string) string { return completeResponse(attempt) + "and more that belongs to nothing" }),
 }
 
-// setFailureMode fails one of so many requests in the named way; the empty name ends that.
-func (s *standInReplica) setFailureMode(fails string, every int) {
+// setFailureMode makes one request in every few fail in the named way; the empty name turns failures off.
+func (s *standInReplica) setFailureMode(mode string, every int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.failureMode, s.failEvery = fails, every
+	s.failureMode, s.failEvery = mode, every
 }
 
-// raw writes bytes to the connection as they are and leaves it open for a moment.
-func raw(compose func(attempt string) string) func(writer http.ResponseWriter, request *http.Request) {
+// rawResponse writes bytes to the connection as they are and leaves it open for a moment.
+func rawResponse(compose func(attempt string) string) func(writer http.ResponseWriter, request *http.Request) {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		connection, _, err := http.NewResponseController(writer).Hijack()
 		if err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// sealed is a complete answer to an attempt.
-func sealed(attempt string) string {
+// completeResponse is a complete answer to an attempt.
+func completeResponse(attempt string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\nContent-Length: %d\r\n\r\n%s",
 		replica.HeaderAttemptID, attempt, replica.HeaderSeal, attempt, len(attempt), attempt)
 }
--- a/internal/test/integration/standin_orders_test.go
+++ b/internal/test/integration/standin_orders_test.go
@@ -42,7 +42,7 @@
 	adapterSlots  int           // of adapters
 	adapterTime   time.Duration // to load or unload an adapter
 	reportLag     time.Duration // the age of the state that reports show
-	answersToLose int           // the number of next accepted orders whose answers are lost
+	answersToDrop int           // the number of next accepted orders whose answers are lost
 	sequence      int64
 	highestFence  uint64
 	busyUntil     time.Time
@@ -98,81 +98,81 @@
 		return present
 	}
 	shown := s.orderState.history[0].state
-	for _, moment := range s.orderState.history {
-		if !moment.at.After(time.Now().Add(-s.orderState.reportLag)) {
-			shown = moment.state
+	for _, past := range s.orderState.history {
+		if !past.at.After(time.Now().Add(-s.orderState.reportLag)) {
+			shown = past.state
 		}
 	}
 	return shown
 }
 
 func (s *standInReplica) handleOrder(writer http.ResponseWriter, request *http.Request) {
-	instruction := receivedOrder{receivedAt: time.Now()}
-	_ = json.NewDecoder(request.Body).Decode(&instruction)
+	order := receivedOrder{receivedAt: time.Now()}
+	_ = json.NewDecoder(request.Body).Decode(&order)
 	s.lock.Lock()
-	instruction.status = s.decideOrder(instruction)
-	s.orders = append(s.orders, instruction)
-	lost := instruction.status == http.StatusAccepted && s.orderState.answersToLose > 0
+	order.status = s.decideOrder(order)
+	s.orders = append(s.orders, order)
+	lost := order.status == http.StatusAccepted && s.orderState.answersToDrop > 0
 	if lost {
-		s.orderState.answersToLose--
+		s.orderState.answersToDrop--
 	}
 	s.lock.Unlock()
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
-	writer.WriteHeader(instruction.status)
+	writer.WriteHeader(order.status)
 }
 
 // decideOrder accepts or rejects an order and starts it if it is accepted. The caller holds the lock.
-func (s *standInReplica) decideOrder(instruction receivedOrder) int {
-	if instruction.Fence < s.orderState.highestFence {
+func (s *standInReplica) decideOrder(order receivedOrder) int {
+	if order.Fence < s.orderState.highestFence {
 		return http.StatusPreconditionFailed
 	}
-	s.orderState.highestFence = instruction.Fence
-	overCapacity := instruction.isLoad() && !s.hasCapacity(instruction)
-	if s.busy() || instruction.Expected != nil && *instruction.Expected != s.orderState.sequence {
+	s.orderState.highestFence = order.Fence
+	overCapacity := order.isLoad() && !s.hasCapacity(order)
+	if s.busy() || order.Expected != nil && *order.Expected != s.orderState.sequence {
 		if overCapacity {
-			s.orderState.rejectedOverCapacity = append(s.orderState.rejectedOverCapacity, instruction)
+			s.orderState.rejectedOverCapacity = append(s.orderState.rejectedOverCapacity, order)
 		}
 		return http.StatusConflict
 	}
-	if instruction.Operation == replica.OperationPhase {
-		return s.decidePhase(instruction)
+	if order.Operation == replica.OperationPhase {
+		return s.startPhaseChange(order)
 	}
-	if s.models[instruction.reference()] == instruction.isLoad() {
+	if s.models[order.reference()] == order.isLoad() {
 		return http.StatusOK
 	}
 	s.overCapacity = s.overCapacity || overCapacity
-	fromDisk := instruction.isLoad() && instruction.Adapter == "" && !s.countStoreLoad(instruction.Model)
-	s.startOrder(instruction, fromDisk)
+	fromDisk := order.isLoad() && order.Adapter == "" && !s.countStoreLoad(order.Model)
+	s.startOrder(order, fromDisk)
 	return http.StatusAccepted
 }
 
-// swapTime is how long a stand-in takes to change its phase.
-const swapTime = 1200 * time.Millisecond
+// phaseChangeTime is how long a stand-in takes to change its phase.
+const phaseChangeTime = 1200 * time.Millisecond
 
-// decidePhase starts a change of the phase. The caller holds the lock.
-func (s *standInReplica) decidePhase(instruction receivedOrder) int {
-	if s.listed.Phase == instruction.Phase {
+// startPhaseChange starts a change of the phase. The caller holds the lock.
+func (s *standInReplica) startPhaseChange(order receivedOrder) int {
+	if s.listed.Phase == order.Phase {
 		return http.StatusOK
 	}
 	s.orderState.sequence++
-	s.orderState.busyUntil = time.Now().Add(swapTime)
+	s.orderState.busyUntil = time.Now().Add(phaseChangeTime)
 	incarnation := s.orderState.incarnation
-	time.AfterFunc(swapTime, func() {
+	time.AfterFunc(phaseChangeTime, func() {
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		if s.orderState.incarnation == incarnation {
-			s.listed.Phase = instruction.Phase
+			s.listed.Phase = order.Phase
 		}
 	})
 	return http.StatusAccepted
 }
 
 // hasCapacity reports whether a load fits beside what is loaded. The caller holds the lock.
-func (s *standInReplica) hasCapacity(instruction receivedOrder) bool {
+func (s *standInReplica) hasCapacity(order receivedOrder) bool {
 	loaded := maps.Clone(s.models)
-	loaded[instruction.reference()] = true
+	loaded[order.reference()] = true
 	models, adapters := 0, 0
 	for reference := range loaded {
 		if strings.Contains(reference, "/") {
@@ -185,12 +185,12 @@
 }
 
 // startOrder executes an accepted order. The caller holds the lock.
-func (s *standInReplica) startOrder(instruction receivedOrder, fromDisk bool) {
+func (s *standInReplica) startOrder(order receivedOrder, fromDisk bool) {
 	duration := s.loadTime
 	if fromDisk && s.diskLoadTime > 0 {
 		duration = s.diskLoadTime
 	}
-	if instruction.Adapter != "" {
+	if order.Adapter != "" {
 		duration = s.orderState.adapterTime
 	}
 	s.recordReport()
@@ -204,9 +204,9 @@
 		if s.orderState.incarnation != incarnation {
 			return
 		}
-		s.models[instruction.reference()] = true
-		if !instruction.isLoad() {
-			s.models.Drop(instruction.reference())
+		s.models[order.reference()] = true
+		if !order.isLoad() {
+			s.models.Drop(order.reference())
 		}
 		s.recordReport()
 	})
--- a/internal/test/integration/standin_platform_test.go
+++ b/internal/test/integration/standin_platform_test.go
@@ -23,13 +23,13 @@
 type standInPlatform struct {
 	lock  sync.Mutex
 	calls []platformCall
-	// down has calls fail before they are carried out, losesAnswers after that.
-	down         bool
-	losesAnswers bool
-	refused      int
+	// down has calls fail before they are carried out, dropAnswers after that.
+	down          bool
+	dropAnswers   bool
+	rejectedCalls int
 }
 
-func (p *standInPlatform) set(change func(p *standInPlatform)) {
+func (p *standInPlatform) update(change func(p *standInPlatform)) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	change(p)
@@ -54,13 +54,13 @@
 	}
 	for _, earlier := range p.calls {
 		if earlier.path == call.path && earlier.fence > call.fence {
-			p.refused++
+			p.rejectedCalls++
 			writer.WriteHeader(http.StatusConflict)
 			return
 		}
 	}
 	p.calls = append(p.calls, call)
-	if p.losesAnswers {
+	if p.dropAnswers {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/test/integration/standin_replica_test.go
+++ b/internal/test/integration/standin_replica_test.go
@@ -45,7 +45,7 @@
 	modelsOnDisk map[string]bool
 	storeLoads   []time.Time
 	// split, if set, is the split backend that the stand-in belongs to.
-	split *splitFleet
+	split *splitBackend
 }
 
 func (s *standInReplica) handleHealth(writer http.ResponseWriter, _ *http.Request) {
@@ -63,7 +63,7 @@
 	standIn := &standInReplica{models: standin.NewHoldings(models...), events: 5, loadTime: 2 * time.Second, orderState: newOrderState()}
 	standIn.listed = discovery.Replica{
 		ID:       id,
-		Backend:  serviceName,
+		Backend:  backendName,
 		Address:  host + ":8080",
 		Zone:     zone,
 		Revision: "v1",
--- a/internal/test/integration/standin_split_test.go
+++ b/internal/test/integration/standin_split_test.go
@@ -21,10 +21,10 @@
 
 // kvHandle is the memory of a prompt that a prefill stand-in holds for a decode stand-in.
 type kvHandle struct {
-	attempt  string
-	taken    bool
-	freed    bool
-	lapsesAt time.Time
+	attempt   string
+	claimed   bool
+	released  bool
+	expiresAt time.Time
 }
 
 // splitRun is a request that a decode stand-in has run from a handle.
@@ -33,45 +33,45 @@
 	handleAttempt string
 }
 
-// splitFleet is what the stand-ins of a split backend share: the handles by "address/handle", and what was done with them.
-type splitFleet struct {
+// splitBackend is what the stand-ins of a split backend share: the handles by "address/handle", and what was done with them.
+type splitBackend struct {
 	lock    sync.Mutex
 	handles map[string]*kvHandle
 	runs    []splitRun
-	// prefills counts prompts read by prefill stand-ins, alone those read by decode stand-ins, misdirected the requests that
+	// prefills counts prompts read by prefill stand-ins, decodePrefills those read by decode stand-ins, misdirected the requests that
 	// came to the wrong phase.
-	prefills    int
-	alone       int
-	misdirected int
-	// hold is how long a handle is held; lapseAtOnce has handles of these replicas gone when they are asked for.
-	hold        time.Duration
-	lapseAtOnce map[string]bool
+	prefills       int
+	decodePrefills int
+	misdirected    int
+	// handleLifetime is how long a handle is held; expireAtOnce has handles of these replicas gone when they are asked for.
+	handleLifetime time.Duration
+	expireAtOnce   map[string]bool
 	// afterPrefill, if set, is called before a prefill is answered.
 	afterPrefill func(attempt string)
 }
 
-func newSplitFleet() *splitFleet {
-	return &splitFleet{handles: map[string]*kvHandle{}, lapseAtOnce: map[string]bool{}, hold: 5 * time.Second}
+func newSplitBackend() *splitBackend {
+	return &splitBackend{handles: map[string]*kvHandle{}, expireAtOnce: map[string]bool{}, handleLifetime: 5 * time.Second}
 }
 
-// prefillPerThousand is how long a prefill stand-in reads a thousand prompt tokens; a decode stand-in takes twice as long.
-const prefillPerThousand = 40 * time.Millisecond
+// prefillTimePerThousand is how long a prefill stand-in reads a thousand prompt tokens; a decode stand-in takes twice as long.
+const prefillTimePerThousand = 40 * time.Millisecond
 
 // newSplitReplica is a stand-in of one phase.
-func (f *splitFleet) newReplica(id, host, zone, phase string) *standInReplica {
+func (b *splitBackend) newReplica(id, host, zone, phase string) *standInReplica {
 	standIn := newStandInReplica(id, host, zone, "swift")
 	standIn.listed.Phase = discovery.Phase(phase)
 	standIn.listed.Slots = 64
-	standIn.split = f
+	standIn.split = b
 	return standIn
 }
 
 // admit answers what concerns prefill and handles, and reports whether the request is to be run by the stand-in.
-func (f *splitFleet) admit(s *standInReplica, writer http.ResponseWriter, request *http.Request) bool {
+func (b *splitBackend) admit(s *standInReplica, writer http.ResponseWriter, request *http.Request) bool {
 	attempt := request.Header.Get(replica.HeaderAttemptID)
 	writer.Header().Set(replica.HeaderAttemptID, attempt)
 	if handle, found := strings.CutPrefix(request.URL.Path, handlePath); found && request.Method == http.MethodDelete {
-		f.free(s.listed.Address + "/" + handle)
+		b.release(s.listed.Address + "/" + handle)
 		return false
 	}
 	wantsPrefill := request.Header.Get(headerServingPhase) == "prefill"
@@ -84,31 +84,31 @@
 		return false
 	}
 	if wantsPrefill != (phase == "prefill") {
-		f.lock.Lock()
-		f.misdirected++
-		f.lock.Unlock()
+		b.lock.Lock()
+		b.misdirected++
+		b.lock.Unlock()
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return false
 	}
 	promptTokens, _, _ := routing.ParseTokenCounts(request.Header.Get(replica.HeaderTokenCount))
-	reading := time.Duration(promptTokens / 1000 * float64(prefillPerThousand))
+	readTime := time.Duration(promptTokens / 1000 * float64(prefillTimePerThousand))
 	if wantsPrefill {
-		f.prefill(s, writer, request, reading, promptTokens)
+		b.prefill(s, writer, request, readTime, promptTokens)
 		return false
 	}
 	if source := request.Header.Get(headerKvFrom); source != "" {
-		return f.take(source, attempt, writer)
+		return b.claim(source, attempt, writer)
 	}
-	f.lock.Lock()
-	f.alone++
-	f.lock.Unlock()
-	time.Sleep(2 * reading)
+	b.lock.Lock()
+	b.decodePrefills++
+	b.lock.Unlock()
+	time.Sleep(2 * readTime)
 	return true
 }
 
 // prefill reads a prompt and answers with its handle.
-func (f *splitFleet) prefill(
-	s *standInReplica, writer http.ResponseWriter, request *http.Request, reading time.Duration, promptTokens float64,
+func (b *splitBackend) prefill(
+	s *standInReplica, writer http.ResponseWriter, request *http.Request, readTime time.Duration, promptTokens float64,
 ) {
 	s.lock.Lock()
 	fail := failureModes[s.failureMode]
@@ -117,18 +117,18 @@
 		fail(writer, request)
 		return
 	}
-	time.Sleep(reading)
+	time.Sleep(readTime)
 	attempt := request.Header.Get(replica.HeaderAttemptID)
-	f.lock.Lock()
-	f.prefills++
-	handle := fmt.Sprintf("h%d", f.prefills)
-	f.handles[s.listed.Address+"/"+handle] = &kvHandle{
-		attempt:  attempt,
-		freed:    f.lapseAtOnce[s.listed.ID],
-		lapsesAt: time.Now().Add(f.hold),
+	b.lock.Lock()
+	b.prefills++
+	handle := fmt.Sprintf("h%d", b.prefills)
+	b.handles[s.listed.Address+"/"+handle] = &kvHandle{
+		attempt:   attempt,
+		released:  b.expireAtOnce[s.listed.ID],
+		expiresAt: time.Now().Add(b.handleLifetime),
 	}
-	afterPrefill := f.afterPrefill
-	f.lock.Unlock()
+	afterPrefill := b.afterPrefill
+	b.lock.Unlock()
 	if afterPrefill != nil {
 		afterPrefill(attempt)
 	}
@@ -136,36 +136,36 @@
 	_ = json.NewEncoder(writer).Encode(map[string]any{"prefixHandle": handle, "tokenCount": promptTokens, "revision": 1})
 }
 
-// take takes a handle for a request, or rejects the request with the proof that it was not run.
-func (f *splitFleet) take(source, attempt string, writer http.ResponseWriter) bool {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	handle := f.handles[source]
-	if handle == nil || handle.taken || handle.freed || time.Now().After(handle.lapsesAt) {
+// claim takes a handle for a request, or rejects the request with the proof that it was not run.
+func (b *splitBackend) claim(source, attempt string, writer http.ResponseWriter) bool {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	handle := b.handles[source]
+	if handle == nil || handle.claimed || handle.released || time.Now().After(handle.expiresAt) {
 		writer.Header().Set(replica.HeaderNotExecuted, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return false
 	}
-	handle.taken = true
-	f.runs = append(f.runs, splitRun{attempt: attempt, handleAttempt: handle.attempt})
+	handle.claimed = true
+	b.runs = append(b.runs, splitRun{attempt: attempt, handleAttempt: handle.attempt})
 	return true
 }
 
-func (f *splitFleet) free(source string) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	if handle := f.handles[source]; handle != nil {
-		handle.freed = true
+func (b *splitBackend) release(source string) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if handle := b.handles[source]; handle != nil {
+		handle.released = true
 	}
 }
 
-// heldHandles counts the handles that are neither taken nor freed nor lapsed.
-func (f *splitFleet) heldHandles() int {
-	f.lock.Lock()
-	defer f.lock.Unlock()
+// heldHandles counts the handles that are neither claimed nor released nor lapsed.
+func (b *splitBackend) heldHandles() int {
+	b.lock.Lock()
+	defer b.lock.Unlock()
 	held := 0
-	for _, handle := range f.handles {
-		if !handle.taken && !handle.freed && time.Now().Before(handle.lapsesAt) {
+	for _, handle := range b.handles {
+		if !handle.claimed && !handle.released && time.Now().Before(handle.expiresAt) {
 			held++
 		}
 	}
--- a/internal/test/integration/tenants_test.go
+++ b/internal/test/integration/tenants_test.go
@@ -44,8 +44,8 @@
 	return strings.Replace(document(revision, publicRoute), `"backends":`, `"tenants":`+tenants+`,"backends":`, 1)
 }
 
-// startTenants starts a fleet whose configuration has tenants; failClosed is its setting RevocationClosed.
-func startTenants(t *testing.T, failClosed bool, edges int, replicas ...*standInReplica) *fleet {
+// startTenantFleet starts a fleet whose configuration has tenants; failClosed is its setting RevocationClosed.
+func startTenantFleet(t *testing.T, failClosed bool, edges int, replicas ...*standInReplica) *fleet {
 	f := startFleet(t, 0, replicas...)
 	f.adjustSettings = func(settings *nodesettings.Settings) {
 		settings.TimingBounds.RevocationClosed = failClosed
@@ -79,7 +79,7 @@
 func TestTenants_ReplicaSeesTenantNameButNoKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := startTenants(t, false, 1, standIn)
+		f := startTenantFleet(t, false, 1, standIn)
 		assert.Equal(t, f.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
 		assert.Equal(t, f.requestWithKey(1, otherKey, "/quick/", "swift").status, http.StatusOK)
 		assert.Equal(t, f.requestWithKey(1, "", "/open/", "swift").status, http.StatusOK)
@@ -97,7 +97,7 @@
 
 func TestTenants_KeyRotationNeverRejectsKeyInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startTenants(t, false, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startTenantFleet(t, false, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		revision := 1
 		for _, keys := range [][]string{{oldKey, newKey}, {newKey}} {
 			assert.Equal(t, f.patchKeys(revision, keys...).status, http.StatusOK)
@@ -126,7 +126,7 @@
 func TestTenants_QueuedRequestNotRunAfterKeyIsRevoked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := startTenants(t, false, 1, standIn)
+		f := startTenantFleet(t, false, 1, standIn)
 		done := make(chan reply, 2)
 		for _, key := range []string{oldKey, otherKey} {
 			go func() { done <- f.requestWithKey(1, key, "/patient/", "rare") }()
@@ -147,7 +147,7 @@
 func TestTenants_NoKeyRejectedBeforeConfigurationIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
-		f := startTenants(t, true, 1, standIn)
+		f := startTenantFleet(t, true, 1, standIn)
 		f.partitionEdge(1, true)
 		f.kill(edgeHost(1))
 		f.startEdge(edgeHost(1))
@@ -164,7 +164,7 @@
 
 func TestTenants_InvalidConfigurationErrorNamesReasonButNoKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startTenants(t, false, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
+		f := startTenantFleet(t, false, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		for _, tenants := range []string{
 			fmt.Sprintf(`[{"name":"a","apiKeys":["%s"]},{"name":"b","apiKeys":["%s"]}]`, newKey, newKey),
 			fmt.Sprintf(`[{"apiKeys":["%s"]}]`, newKey),
--- a/internal/test/integration/usage_test.go
+++ b/internal/test/integration/usage_test.go
@@ -36,7 +36,7 @@
 	attempts int
 }
 
-func startUsage(t *testing.T) *usageFleet {
+func startUsageFleet(t *testing.T) *usageFleet {
 	u := &usageFleet{}
 	for number := range 4 {
 		u.standIns = append(u.standIns,
@@ -78,8 +78,8 @@
 	sending.Wait()
 }
 
-// begun counts the requests that replicas ran, by window.
-func (u *usageFleet) begun() map[uint64]uint64 {
+// executedByWindow counts the requests that replicas ran, by window.
+func (u *usageFleet) executedByWindow() map[uint64]uint64 {
 	windows := usage.Windows{Length: usageWindow}
 	counts := map[uint64]uint64{}
 	for _, standIn := range u.standIns {
@@ -107,11 +107,11 @@
 	return reports
 }
 
-// checkReports compares what was reported with what ran. Windows that strike, if given, says were struck by a fault may miss more.
+// checkReports compares what was reported with what ran. Windows that inject, if given, says were faultWindow by a fault may miss more.
 func (u *usageFleet) checkReports(allowed func(window uint64) float64) {
 	u.t.Helper()
 	reports := u.reports()
-	for window, count := range u.begun() {
+	for window, count := range u.executedByWindow() {
 		report, known := reports[window]
 		assert.Assert(u.t, known, "no report of window %d with %d requests", window, count)
 		difference := float64(count) - float64(report.Counts["one"])
@@ -120,17 +120,17 @@
 	}
 }
 
-func always(share float64) func(uint64) float64 { return func(uint64) float64 { return share } }
+func inAnyWindow(share float64) func(uint64) float64 { return func(uint64) float64 { return share } }
 
 // dueTime is when all reports of what has run are due.
 const dueTime = usageWindow + usageDelay
 
 func TestUsage_EachWindowIsReportedOnceAndInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := startUsage(t)
+		u := startUsageFleet(t)
 		u.sendFor(20 * time.Second)
 		time.Sleep(dueTime)
-		u.checkReports(always(usageError))
+		u.checkReports(inAnyWindow(usageError))
 		windows := usage.Windows{Length: usageWindow}
 		for _, call := range u.platform.accepted(discovery.PathUsage) {
 			var report usage.Report
@@ -140,7 +140,7 @@
 	})
 }
 
-// usageFaults strike between the steps of reports.
+// usageFaults inject between the steps of reports.
 var usageFaults = map[string]func(u *usageFleet, rng *rand.Rand){
 	"a control plane is killed": func(u *usageFleet, rng *rand.Rand) {
 		number := rng.IntN(u.cores) + 1
@@ -166,37 +166,37 @@
 		u.restartCores(u.kill, 1, 2, 3)
 	},
 	"the platform is down": func(u *usageFleet, rng *rand.Rand) {
-		u.platform.set(func(p *standInPlatform) { p.down = true })
+		u.platform.update(func(p *standInPlatform) { p.down = true })
 		time.Sleep(time.Duration(1000+rng.IntN(3000)) * time.Millisecond)
-		u.platform.set(func(p *standInPlatform) { p.down = false })
+		u.platform.update(func(p *standInPlatform) { p.down = false })
 	},
 	"answers of the platform are lost": func(u *usageFleet, rng *rand.Rand) {
-		u.platform.set(func(p *standInPlatform) { p.losesAnswers = true })
+		u.platform.update(func(p *standInPlatform) { p.dropAnswers = true })
 		time.Sleep(time.Duration(1000+rng.IntN(6000)) * time.Millisecond)
-		u.platform.set(func(p *standInPlatform) { p.losesAnswers = false })
+		u.platform.update(func(p *standInPlatform) { p.dropAnswers = false })
 	},
 }
 
 func TestUsage_OneReportOfEachWindowUnderFaults(t *testing.T) {
-	for name, strike := range usageFaults {
+	for name, inject := range usageFaults {
 		t.Run(name, func(t *testing.T) {
 			from, to := keystoresim.SeedRange(1)
 			for seed := from; seed < to; seed++ {
 				synctest.Test(t, func(t *testing.T) {
-					u := startUsage(t)
+					u := startUsageFleet(t)
 					rng := rand.New(rand.NewPCG(uint64(seed), 3))
-					var striking sync.WaitGroup
-					striking.Go(func() {
+					var injecting sync.WaitGroup
+					injecting.Go(func() {
 						for range 3 {
 							time.Sleep(time.Duration(rng.IntN(6000)) * time.Millisecond)
-							strike(u, rng)
+							inject(u, rng)
 						}
 					})
 					u.sendFor(25 * time.Second)
-					striking.Wait()
+					injecting.Wait()
 					time.Sleep(2 * dueTime)
-					u.checkReports(always(usageError))
-					assert.Equal(t, u.platform.refused, 0, "calls under a lower fence")
+					u.checkReports(inAnyWindow(usageError))
+					assert.Equal(t, u.platform.rejectedCalls, 0, "calls under a lower fence")
 				})
 			}
 		})
@@ -206,8 +206,8 @@
 // TestUsage_KilledDataPlaneLosesLittle kills a data plane in the middle of a window: what it has told by then counts.
 func TestUsage_KilledDataPlaneLosesLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := startUsage(t)
-		struck := usage.Windows{Length: usageWindow}.At(time.Now().Add(4 * time.Second))
+		u := startUsageFleet(t)
+		faultWindow := usage.Windows{Length: usageWindow}.At(time.Now().Add(4 * time.Second))
 		time.AfterFunc(4*time.Second, func() {
 			u.kill(edgeHost(1))
 			u.startEdge(edgeHost(1))
@@ -217,7 +217,7 @@
 		// A third of the requests of half a second is unknown, of five seconds' worth.
 		lost := 0.5 / usageEdges / usageWindow.Seconds()
 		u.checkReports(func(window uint64) float64 {
-			if window == struck {
+			if window == faultWindow {
 				return usageError + lost
 			}
 			return usageError
