--- a/internal/test/integration/bootstrap_scenario_test.go
+++ b/internal/test/integration/bootstrap_scenario_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// partitionStandbys partitions the members beyond the first three from those three, or heals that.
+// partitionStandbys partitions the members beyond the first three from those three, or heals the partition.
 func (s *bootstrapScenario) partitionStandbys(partitioned bool) {
 	for founder := 1; founder <= 3; founder++ {
 		for standby := 4; standby <= s.cores(); standby++ {
--- a/internal/test/integration/bootstrap_test.go
+++ b/internal/test/integration/bootstrap_test.go
@@ -35,78 +35,78 @@
 
 // bootstrapCase is a deployment and how often all its members are killed before they keep running.
 type bootstrapCase struct {
-	name    string
-	cores   int
-	losses  int
-	seeds   []int
-	members int
-	kills   int
-	power   bool
+	name       string
+	cores      int
+	losses     int
+	seeds      []int
+	members    int
+	kills      int
+	losesPower bool
 }
 
 var bootstrapCases = []bootstrapCase{
 	{
-		name:    "three",
-		cores:   3,
-		losses:  1,
-		seeds:   []int{1, 2, 3},
-		members: 3,
-		kills:   1,
-		power:   false,
+		name:       "three",
+		cores:      3,
+		losses:     1,
+		seeds:      []int{1, 2, 3},
+		members:    3,
+		kills:      1,
+		losesPower: false,
 	},
 	{
-		name:    "three without power",
-		cores:   3,
-		losses:  1,
-		seeds:   []int{1, 2, 3},
-		members: 3,
-		kills:   1,
-		power:   true,
+		name:       "three without power",
+		cores:      3,
+		losses:     1,
+		seeds:      []int{1, 2, 3},
+		members:    3,
+		kills:      1,
+		losesPower: true,
 	},
 	{
-		name:    "three, four times",
-		cores:   3,
-		losses:  1,
-		seeds:   []int{1, 2, 3},
-		members: 3,
-		kills:   4,
-		power:   true,
+		name:       "three, four times",
+		cores:      3,
+		losses:     1,
+		seeds:      []int{1, 2, 3},
+		members:    3,
+		kills:      4,
+		losesPower: true,
 	},
 	{
-		name:    "five",
-		cores:   5,
-		losses:  2,
-		seeds:   []int{1, 2, 3},
-		members: 5,
-		kills:   1,
-		power:   false,
+		name:       "five",
+		cores:      5,
+		losses:     2,
+		seeds:      []int{1, 2, 3},
+		members:    5,
+		kills:      1,
+		losesPower: false,
 	},
 	{
-		name:    "five, without power, twice",
-		cores:   5,
-		losses:  2,
-		seeds:   []int{1, 2, 3},
-		members: 5,
-		kills:   2,
-		power:   true,
+		name:       "five, without power, twice",
+		cores:      5,
+		losses:     2,
+		seeds:      []int{1, 2, 3},
+		members:    5,
+		kills:      2,
+		losesPower: true,
 	},
 	{
-		name:    "one",
-		cores:   1,
-		losses:  0,
-		seeds:   []int{1},
-		members: 1,
-		kills:   1,
-		power:   true,
+		name:       "one",
+		cores:      1,
+		losses:     0,
+		seeds:      []int{1},
+		members:    1,
+		kills:      1,
+		losesPower: true,
 	},
 	{
-		name:    "two, twice",
-		cores:   2,
-		losses:  0,
-		seeds:   []int{1, 2},
-		members: 2,
-		kills:   2,
-		power:   true,
+		name:       "two, twice",
+		cores:      2,
+		losses:     0,
+		seeds:      []int{1, 2},
+		members:    2,
+		kills:      2,
+		losesPower: true,
 	},
 }
 
@@ -119,7 +119,7 @@
 					for start := range test.kills {
 						s.startMembers(start == 0)
 						time.Sleep(moment)
-						s.killMembers(test.power, s.hosts()...)
+						s.killMembers(test.losesPower, s.hosts()...)
 						time.Sleep(restartDelay)
 					}
 					s.startMembers(false)
--- a/internal/test/integration/busy_members_test.go
+++ b/internal/test/integration/busy_members_test.go
@@ -11,20 +11,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// Operators changed the configuration at the same time while each control plane needed long for each message. A call that was
-// not answered within its second was sent again to the next control plane, which took the key from the one that was still
-// at work: "prepares":3, "preempted":2, "outcome of the write not known". In 29 of 216 calls nothing was decided within 1.5 s,
-// with members that are busy for seven tenths of the time before the first change. What is held here is that resends help
-// the first call instead of ending it.
+// These tests guard against resends that preempt each other. Each control plane needs long for each message. A call that is not
+// answered within one second is sent again to the next control plane, which used to take the key from the one that was still
+// working on it ("prepares":3, "preempted":2, "outcome of the write not known"): in 29 of 216 calls nothing was decided within
+// 1.5 s, with members that are busy for 0.7 of the time before the first change. Resends must help the first call instead.
 
 const (
-	// busyMessageTime keeps the lease holder, which a hundred messages a second reach without any change, busy for 0.7 of the
-	// time. With 10 ms it would have no time left at all.
+	// busyMessageTime keeps the lease holder, which receives a hundred messages per second without any change, busy for 0.7 of
+	// the time. With 10 ms it would be busy all the time.
 	busyMessageTime = 7 * time.Millisecond
 	decidedWithin   = 1500 * time.Millisecond
 )
 
-// decisionTimes are how long each change took from its first call until a member had decided on it, whether or not its answer
+// decisionTimes returns how long each change took from its first call until a member had decided on it, even if the answer
 // was lost.
 func (o *operators) decisionTimes() map[string]time.Duration {
 	first, decided := map[string]time.Time{}, map[string]time.Time{}
@@ -61,7 +60,7 @@
 	return description
 }
 
-// sendRounds sends rounds of changes, each round of some that build on one version.
+// sendRounds sends rounds of concurrent changes; the changes of a round build on one version.
 func (o *operators) sendRounds(rounds, perRound int) {
 	version := 1
 	for round := range rounds {
@@ -80,15 +79,15 @@
 	runBusyMembers(t, 6, busyMessageTime, decidedWithin)
 }
 
-// TestOperators_ChangesAreDecidedInTimeByMembersWithoutTimeLeft has the bound and the message time of the reproduction as it was
-// committed first: the lease holder has no time left at rest, and changes are to be decided all the same within half of the
-// shortest time in which deployments ask for an acknowledgement.
+// TestOperators_ChangesAreDecidedInTimeByMembersWithoutTimeLeft has the bound and the message time of the first reproduction: the
+// lease holder is busy all the time even without changes, and changes must still be decided within half of the shortest time
+// in which deployments ask for an acknowledgement.
 func TestOperators_ChangesAreDecidedInTimeByMembersWithoutTimeLeft(t *testing.T) {
 	const messageTime, shortestAckTimeout = 10 * time.Millisecond, 4 * time.Second
 	runBusyMembers(t, 3, messageTime, shortestAckTimeout/2)
 }
 
-// runBusyMembers has operators change the configuration while each control plane needs some time for each message.
+// runBusyMembers changes the configuration concurrently while each control plane spends messageTime on each message.
 func runBusyMembers(t *testing.T, seeds uint64, messageTime, bound time.Duration) {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
@@ -101,7 +100,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				o := newOperators(f, seed, 1, 2, 3, 4, 5)
-				o.lossShare = 0.6
+				o.answerLossRate = 0.6
 				o.sendRounds(12, 3)
 				for member := 1; member <= 5; member++ {
 					f.network.setMessageTime(coreHost(member), 0)
--- a/internal/test/integration/capacity_test.go
+++ b/internal/test/integration/capacity_test.go
@@ -15,14 +15,14 @@
 	"ferryspar/internal/nodesettings"
 )
 
-// capacityOrder is the body of an order of replicas.
+// capacityOrder is the body of a call that orders replicas.
 type capacityOrder struct {
 	Backend      string `json:"backend"`
 	Zone         string `json:"zone"`
 	DesiredCount int    `json:"desiredCount"`
 }
 
-// startCapacityFleet starts a fleet whose replicas may be ordered, from one to five in a zone.
+// startCapacityFleet starts a fleet that may order from one to five replicas in each zone.
 func startCapacityFleet(t *testing.T) *fleet {
 	f := startFleetOf(t, 0, 1, 0,
 		newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
@@ -43,7 +43,7 @@
 	return f
 }
 
-// lastOrdered returns what the platform was told last, by zone.
+// lastOrdered returns the last ordered number of replicas of each zone.
 func (f *fleet) lastOrdered() map[string]int {
 	latest := map[string]int{}
 	for _, call := range f.platform.accepted(discovery.PathCapacity) {
@@ -54,10 +54,10 @@
 	return latest
 }
 
-// overloadInterval lies between two requests of overload: far more of them come than two replicas serve.
+// overloadInterval is the time between two requests of overload: far more than two replicas can serve.
 const overloadInterval = 4 * time.Millisecond
 
-// overload has many requests wait at once for some time.
+// overload keeps many requests waiting at the same time, for the duration.
 func (f *fleet) overload(duration time.Duration) {
 	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(overloadInterval) {
 		attempt := fmt.Sprint("busy-", time.Now().UnixNano())
@@ -65,13 +65,13 @@
 	}
 }
 
-func TestCapacity_IsOrderedAsRequestsNeedItAndByOneNode(t *testing.T) {
+func TestCapacity_OrderedOnDemandByOneNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startCapacityFleet(t)
-		assert.Equal(t, len(f.platform.accepted(discovery.PathCapacity)), 0, "nothing new is said at rest")
+		assert.Equal(t, len(f.platform.accepted(discovery.PathCapacity)), 0, "no order is sent at rest")
 		f.overload(15 * time.Second)
-		lastOrdered := f.lastOrdered()
-		assert.Assert(t, lastOrdered["north"] > 1 || lastOrdered["south"] > 1, "%v", lastOrdered)
+		ordered := f.lastOrdered()
+		assert.Assert(t, ordered["north"] > 1 || ordered["south"] > 1, "%v", ordered)
 		calls := f.platform.accepted(discovery.PathCapacity)
 		for _, call := range calls {
 			assert.Equal(t, call.holder, calls[0].holder)
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestCapacity_TheLastOrderStandsThoughAnEarlierOneMayBeCarriedOutLate(t *testing.T) {
+func TestCapacity_LastOrderRepeatedAfterUnansweredCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startCapacityFleet(t)
 		f.platform.update(func(p *standInPlatform) { p.dropAnswers = true })
@@ -98,12 +98,12 @@
 			repeated[order.Zone]++
 		}
 		for zone := range unanswered {
-			assert.Assert(t, repeated[zone] >= 2, "acknowledged once, and once more when nothing late can follow: %v", repeated)
+			assert.Assert(t, repeated[zone] >= 2, "each order is acknowledged, and repeated once no earlier call can be late: %v", repeated)
 		}
 	})
 }
 
-func TestCapacity_ARestartOfAllStartsFromWhatIsListed(t *testing.T) {
+func TestCapacity_RestartOfAllMembersOrdersNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startCapacityFleet(t)
 		f.restartCores(f.kill, 1, 2, 3)
--- a/internal/test/integration/change_soak_test.go
+++ b/internal/test/integration/change_soak_test.go
@@ -17,13 +17,13 @@
 const (
 	changeSoakSeeds  = 6
 	changeSoakRounds = 6
-	// calmAfter is how long after the last fault members count as being in contact.
+	// calmAfter is how long after the last fault all members count as being in contact.
 	calmAfter = 5 * time.Second
-	// decidedInCalm is how long a change may stay undecided once calm has come.
+	// decidedInCalm bounds how long a change may stay undecided after that.
 	decidedInCalm = 1500 * time.Millisecond
 )
 
-// changeSoak sends changes of the configuration while members fail, and once more in calm.
+// changeSoak sends changes of the configuration while members fail, and again after the faults.
 type changeSoak struct {
 	*fleet
 	operators *operators
@@ -31,10 +31,11 @@
 	version   int
 }
 
-// memberFault troubles a member for a time, in which calls of operators go on.
+// memberFault injects a fault into one member for a duration, while operators go on with their calls.
 type memberFault func(s *changeSoak, member int, duration time.Duration)
 
-// memberFaults strike single members. A path that is closed one way lets heartbeats pass and answers fail, or the reverse.
+// memberFaults are faults of single members. A path that is blocked in one direction lets heartbeats pass but not answers, or
+// the reverse.
 var memberFaults = []memberFault{
 	func(s *changeSoak, member int, duration time.Duration) {
 		s.network.freeze(coreHost(member), true)
@@ -54,7 +55,7 @@
 	func(s *changeSoak, member int, duration time.Duration) { s.restart(member, duration, true) },
 }
 
-// delayPaths closes the paths between a member and the others for a time.
+// delayPaths delays the paths between a member and the others for a duration.
 func (s *changeSoak) delayPaths(member int, duration time.Duration, set func(from, to string, delayed bool)) {
 	for _, delayed := range []bool{true, false} {
 		for other := 1; other <= 5; other++ {
@@ -68,7 +69,7 @@
 	}
 }
 
-// restart kills a member, with a loss of power or without, and starts it again.
+// restart kills a member, with or without a power loss, and starts it again after a duration.
 func (s *changeSoak) restart(member int, duration time.Duration, losesPower bool) {
 	s.kill(coreHost(member))
 	if losesPower {
@@ -78,7 +79,7 @@
 	s.startCore(coreHost(member), false, 1, 2, 3)
 }
 
-// strike has faults in series hit members, and returns once they are over.
+// injectFaults injects one to three random faults, one after the other, and returns once they are over.
 func (s *changeSoak) injectFaults(random *rand.Rand) {
 	for range 1 + random.IntN(3) {
 		fault := memberFaults[random.IntN(len(memberFaults))]
@@ -87,7 +88,7 @@
 	}
 }
 
-// race sends some changes of one version at random moments, and returns once each has an answer.
+// sendRace sends concurrent changes of one version at random moments, and returns once all have been answered.
 func (s *changeSoak) sendRace(label string, amount int) {
 	var sending sync.WaitGroup
 	for number := range amount {
@@ -103,8 +104,8 @@
 
 func TestOperators_RandomFaultsLeaveNoChangeUndecided(t *testing.T) {
 	seeds := changeSoakSeeds
-	if stated, err := strconv.Atoi(os.Getenv("FERRYSPAR_SOAK_SEEDS")); err == nil {
-		seeds = stated
+	if configured, err := strconv.Atoi(os.Getenv("FERRYSPAR_SOAK_SEEDS")); err == nil {
+		seeds = configured
 	}
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -118,7 +119,7 @@
 	time.Sleep(3 * time.Second)
 	assert.Equal(t, f.putConfiguration(1, 0, document(1, "")).status, http.StatusOK)
 	s := &changeSoak{fleet: f, operators: newOperators(f, seed, 1, 2, 3, 4, 5), random: rand.New(rand.NewPCG(seed, 3)), version: 1}
-	s.operators.lossShare = 0.4
+	s.operators.answerLossRate = 0.4
 	for round := range changeSoakRounds {
 		faults, source := make(chan struct{}), rand.New(rand.NewPCG(seed, uint64(100+round)))
 		go func() {
@@ -126,7 +127,7 @@
 			close(faults)
 		}()
 		for number := 0; number < 4; number++ {
-			s.sendRace(fmt.Sprintf("trouble-%d-%d", round, number), 2)
+			s.sendRace(fmt.Sprintf("faults-%d-%d", round, number), 2)
 		}
 		<-faults
 		time.Sleep(calmAfter)
@@ -140,7 +141,7 @@
 	s.operators.checkViolations(t)
 }
 
-func TestOperators_OwnerThatCannotBeReachedIsPassedOver(t *testing.T) {
+func TestOperators_UnreachableOwnerIsBypassed(t *testing.T) {
 	closePaths := map[string]func(f *fleet, other string){
 		"calls do not reach it":        func(f *fleet, other string) { f.network.delay(other, coreHost(1), true) },
 		"its answers do not come back": func(f *fleet, other string) { f.network.delay(coreHost(1), other, true) },
@@ -152,8 +153,8 @@
 	}
 }
 
-// runUnreachableOwner has the first member own the configuration, closes paths between it and the others, and expects changes
-// at the others to be decided in time.
+// runUnreachableOwner makes the first member the owner of the configuration, blocks paths between it and the others, and
+// expects changes at the others to be decided in time.
 func runUnreachableOwner(t *testing.T, closePath func(f *fleet, other string)) {
 	f := startFleetOf(t, 5, 2, 1)
 	time.Sleep(3 * time.Second)
--- a/internal/test/integration/change_storm_test.go
+++ b/internal/test/integration/change_storm_test.go
@@ -27,8 +27,8 @@
 	isolatedEdges int
 }
 
-// returningMember is one way in which a member leaves and it, or a successor, comes back.
-// rejoin returns the number of the member that did.
+// returningMember is one way in which a member leaves and it, or a successor, joins again.
+// rejoin returns the number of the member that joined.
 type returningMember struct {
 	name   string
 	member int
@@ -125,7 +125,7 @@
 	time.Sleep(3 * time.Second)
 	assert.Equal(t, s.fleet.putConfiguration(1, 0, document(1, "")).status, http.StatusOK)
 	s.operators = newOperators(s.fleet, seed, 1, 2, 3, 4)
-	s.operators.lossShare = 0.05
+	s.operators.answerLossRate = 0.05
 	s.hosts = []string{coreHost(1), coreHost(2), coreHost(3)}
 	s.sendChanges(stormChanges/len(returningMembers) - missedChanges + int(6*s.operators.randomFloat()))
 	for _, returning := range returningMembers {
@@ -216,13 +216,13 @@
 func (s *changeStorm) probeIsolatedEdge(name string, edge int, added, removed string, began time.Time) bool {
 	moment := time.Since(began).Round(time.Millisecond)
 	ready := s.fleet.call(http.MethodGet, edgeHost(edge)+":8167", "/ferryspar/readyz", "", nil).status == http.StatusOK
-	got := s.fleet.request(edge, fmt.Sprintf("added-%d-%s", edge, moment), added, "swift")
-	gone := s.fleet.request(edge, fmt.Sprintf("removed-%d-%s", edge, moment), removed, "swift")
-	if got.status == http.StatusNotFound {
+	addedReply := s.fleet.request(edge, fmt.Sprintf("added-%d-%s", edge, moment), added, "swift")
+	removedReply := s.fleet.request(edge, fmt.Sprintf("removed-%d-%s", edge, moment), removed, "swift")
+	if addedReply.status == http.StatusNotFound {
 		s.recordProblem("%s: a data plane that reaches only it rejects the newest route %s after the return", name, moment)
 	}
-	if ready && gone.status != http.StatusNotFound {
+	if ready && removedReply.status != http.StatusNotFound {
 		s.recordProblem("%s: a data plane that reaches only it knows a removed route %s after the return", name, moment)
 	}
-	return ready && got.status != http.StatusNotFound && gone.status == http.StatusNotFound
+	return ready && addedReply.status != http.StatusNotFound && removedReply.status == http.StatusNotFound
 }
--- a/internal/test/integration/configuration_race_test.go
+++ b/internal/test/integration/configuration_race_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const answerLossShare = 0.3
+const defaultAnswerLossRate = 0.3
 
 func (o *operators) checkViolations(t *testing.T) {
 	t.Helper()
@@ -28,7 +28,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := startSettledFleet(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 				o := newOperators(f, seed, 1, 2, 3)
-				o.lossShare = answerLossShare
+				o.answerLossRate = defaultAnswerLossRate
 				version := 1
 				for first := 1; first <= 3; first++ {
 					for second := 1; second <= 3; second++ {
@@ -77,14 +77,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		o := newOperators(f, 5, 1, 2, 3)
-		o.lossShare = answerLossShare
+		o.answerLossRate = defaultAnswerLossRate
 		version := 1
 		for round := range 9 {
-			alone := coreHost(1 + round%3)
+			isolatedHost := coreHost(1 + round%3)
 			isolate := func(isolated bool) {
 				for _, host := range o.hosts {
-					if host != alone {
-						f.network.delayBoth(alone, host, isolated)
+					if host != isolatedHost {
+						f.network.delayBoth(isolatedHost, host, isolated)
 					}
 				}
 			}
@@ -131,7 +131,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := startSettledFleet(t, 2, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
 		o := newOperators(f, 7, 1, 2, 3)
-		o.lossShare = answerLossShare
+		o.answerLossRate = defaultAnswerLossRate
 		var group sync.WaitGroup
 		for caller := range maxConcurrentCalls {
 			group.Go(func() {
--- a/internal/test/integration/configuration_test.go
+++ b/internal/test/integration/configuration_test.go
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestConfiguration_ZoneWithASlashIsDrained(t *testing.T) {
+func TestConfiguration_ZoneWithSlashIsDrained(t *testing.T) {
 	const zone = "hall/north 1"
 	synctest.Test(t, func(t *testing.T) {
 		f := startSettledFleet(t, 1, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
--- a/internal/test/integration/coordination_client_test.go
+++ b/internal/test/integration/coordination_client_test.go
@@ -24,7 +24,7 @@
 	return client
 }
 
-// injectCoreFaults kills, freezes and cuts off one control plane after the other.
+// injectCoreFaults kills, freezes and partitions one control plane after the other.
 func (f *fleet) injectCoreFaults() {
 	for core := 1; core <= 3; core++ {
 		f.kill(coreHost(core))
@@ -42,14 +42,14 @@
 	}
 }
 
-// leaderships is what candidates saw.
+// leaderships records the leaderships that candidates have won.
 type leaderships struct {
 	active, total atomic.Int64
 	lock          sync.Mutex
 	fences        []uint64
 }
 
-// lead counts itself leader until it resigns or its context ends.
+// lead leads for five seconds or until its context ends; it fails if there is another leader.
 func (l *leaderships) lead(ctx context.Context, fence uint64) error {
 	if l.active.Add(1) > 1 {
 		return errors.New("two leaders")
@@ -130,7 +130,7 @@
 	})
 }
 
-// writeSteadily puts one key again and again over its last revision, and draws numbers.
+// writeSteadily repeatedly puts one key with its last revision as the condition, and draws numbers.
 func writeSteadily(t *testing.T, client *coordinationclient.Client, until time.Time) (written []coordinationclient.Event) {
 	revision, number := uint64(0), uint64(0)
 	for turn := 0; time.Now().Before(until); turn++ {
@@ -149,7 +149,7 @@
 	return written
 }
 
-func TestCoordinationClient_HoldCountsFromBeforeTheCall(t *testing.T) {
+func TestCoordinationClient_LockTimeCountsFromBeforeTheCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 0)
 		client := f.coordinationClient()
@@ -167,7 +167,7 @@
 		}
 		began = time.Now()
 		assert.ErrorIs(t, hold.Renew(t.Context()), coordinationclient.ErrLockLost)
-		assert.Assert(t, time.Since(began) <= 2*time.Second, "the hold ends at its time, answer or not")
+		assert.Assert(t, time.Since(began) <= 2*time.Second, "the lock expires in time, with or without an answer")
 		assert.Assert(t, hold.ExpiresAt().IsZero())
 		for core := 1; core <= 3; core++ {
 			f.network.freeze(coreHost(core), false)
@@ -181,7 +181,7 @@
 	})
 }
 
-func TestApplications_FindNoBrokenPromiseWhileControlPlanesFail(t *testing.T) {
+func TestApplications_FindNoFaultWhileControlPlanesFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 0)
 		options := applications.Options{
--- a/internal/test/integration/coordination_test.go
+++ b/internal/test/integration/coordination_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// coordinate sends a call of an application to one control plane after the other, beginning with the numbered one, until the answer
-// is clear.
+// coordinate sends a call of an application to one control plane after the other, beginning with the numbered one, until the
+// answer is definite.
 func (f *fleet) coordinate(core int, method, path, body string) (reply, coordinationReply) {
 	f.t.Helper()
 	for attempt := range 40 {
@@ -147,7 +147,7 @@
 	})
 }
 
-// coordinationState is what was given out before a fault.
+// coordinationState is what applications were given before a fault.
 type coordinationState struct {
 	fence, number, revision uint64
 }
@@ -159,7 +159,7 @@
 	return coordinationState{fence: taken.FenceToken, number: f.drawNumber(core), revision: put.EntityTag}
 }
 
-// checkCoordination asks for all of it again: nothing falls behind, and the holder still has its lock.
+// checkCoordination expects that fences, numbers and revisions do not go back, and that the holder still has its lock.
 func (f *fleet) checkCoordination(core int, before coordinationState) {
 	f.t.Helper()
 	got, _ := f.coordinate(core, http.MethodPut, "locks/l", lockBody("a", before.fence, 2000))
@@ -173,7 +173,7 @@
 	assert.Assert(f.t, put.EntityTag > before.revision)
 	got, seen := f.coordinate(core, http.MethodGet, fmt.Sprintf("watch/g.?after=%d&waitMs=2000", before.revision-1), "")
 	assert.Equal(f.t, got.status, http.StatusOK)
-	assert.Equal(f.t, seen.Events[0].EntityTag, before.revision, "a watch goes on where it was")
+	assert.Equal(f.t, seen.Events[0].EntityTag, before.revision, "a watch continues after its last revision")
 	time.Sleep(2500 * time.Millisecond)
 	got, next := f.coordinate(core, http.MethodPost, "locks/l", lockBody("b", 0, 100))
 	assert.Equal(f.t, got.status, http.StatusOK, "the lock is free soon after its time")
@@ -193,7 +193,7 @@
 	}
 }
 
-// coreFaults are what the state of applications must outlive, in a control plane of five.
+// coreFaults are the faults that the state of applications must survive, in a control plane of five members.
 var coreFaults = map[string]func(f *fleet){
 	"all processes are killed": func(f *fleet) { f.restartCores(f.kill, 1, 2, 3, 4, 5) },
 	"all machines lose power": func(f *fleet) {
@@ -226,7 +226,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := startFleetOf(t, 5, 2, 0)
-				time.Sleep(8 * time.Second) // the fourth and the fifth have joined
+				time.Sleep(8 * time.Second) // until the fourth and the fifth member have joined
 				for core := 1; core <= 5; core++ {
 					before := f.useCoordination(core)
 					if core == 3 {
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestCoordination_FrozenOwnerIsReplacedAndDoesNoHarmLater(t *testing.T) {
+func TestCoordination_FrozenOwnerIsReplacedAndHarmlessAfterThaw(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 0)
 		before := f.useCoordination(1)
--- a/internal/test/integration/differences_test.go
+++ b/internal/test/integration/differences_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConfiguration_DataPlanesFollowByDifferences changes routes while one data plane is cut off, in series and with all control
-// planes restarted between, and expects every data plane to serve what is in force.
+// TestConfiguration_DataPlanesFollowByDifferences changes routes one after the other while one data plane is partitioned, then
+// restarts all control planes and changes more, and expects every data plane to serve the configuration in force.
 func TestConfiguration_DataPlanesFollowByDifferences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startSettledFleet(t, 3, newStandInReplica("i-1", "10.1.2.1", "north", "swift"))
--- a/internal/test/integration/document_test.go
+++ b/internal/test/integration/document_test.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// document is a configuration with the routes "quick" and "patient", the models "swift", "rare" and "other", and extra routes.
+// document returns a configuration with the routes "quick" and "patient", the models "swift", "rare" and "other", and extra
+// routes.
 func document(revision int, extra string) string {
 	return fmt.Sprintf(`{"revision":%d,"routeTable":[
 	{"name":"quick","hostname":"shop.example","pathPrefix":"/quick/","routeType":"streaming","timeoutMs":20000,
@@ -23,15 +24,15 @@
 	"limits":{"maxHeaderBytes":16384,"maxBodyBytes":1000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`, revision, extra)
 }
 
-// regionRoutes are routes that only one region may serve.
+// regionRoutes are two routes, each of which only one region may serve.
 const regionRoutes = `,{"name":"bound","hostname":"shop.example","pathPrefix":"/bound/","routeType":"streaming",
 	"timeoutMs":20000,"targetLatencyMs":600,"priority":2,"backend":"scribes","retryCount":1,"allowedRegions":["far"]},
 	{"name":"homely","hostname":"shop.example","pathPrefix":"/homely/","routeType":"streaming","timeoutMs":20000,
 	"targetLatencyMs":600,"priority":2,"backend":"scribes","retryCount":1,"allowedRegions":["land"]}`
 
-// newRoute is one more route, "added".
+// newRoute is an additional route with the name "added".
 const newRoute = `,{"name":"added","hostname":"shop.example","pathPrefix":"/added/","routeType":"streaming",
 	"timeoutMs":20000,"targetLatencyMs":600,"priority":1,"backend":"scribes","retryCount":1}`
 
-// routeNamed is newRoute under another name.
+// routeNamed returns newRoute with another name.
 func routeNamed(name string) string { return strings.ReplaceAll(newRoute, "added", name) }
--- a/internal/test/integration/drill_test.go
+++ b/internal/test/integration/drill_test.go
@@ -15,17 +15,17 @@
 func TestDrill_MovesNewWorkAwayAndBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, replicas := startTwoRegionFleet(t, 2)
-		work := f.startTraffic([]int{1, 2}, mixed)
+		work := f.startTraffic([]int{1, 2}, mixedPaths)
 		from := time.Now()
 		time.Sleep(2 * time.Second)
-		landRuns := func() map[string]int {
+		runsInLand := func() map[string]int {
 			seen := runsSince(replicas["i-1"], from)
 			for name, amount := range runsSince(replicas["i-2"], from) {
 				seen[name] += amount
 			}
 			return seen
 		}
-		assert.Assert(t, landRuns()["/quick/swift"] > 20, "%v", landRuns())
+		assert.Assert(t, runsInLand()["/quick/swift"] > 20, "%v", runsInLand())
 		request := southDrill
 		request.Scope = drill.Scope{Region: "land"}
 		started := f.startDrill(2, request)
@@ -33,9 +33,9 @@
 		time.Sleep(200 * time.Millisecond)
 		from = time.Now()
 		time.Sleep(4 * time.Second)
-		seen := landRuns()
+		seen := runsInLand()
 		assert.Equal(t, seen["/quick/swift"]+seen["/patient/swift"], 0, "%v", seen)
-		assert.Assert(t, seen["/quick/aother"] > 0 && seen["/homely/swift"] > 0, "the last copy and home-bound work go on: %v", seen)
+		assert.Assert(t, seen["/quick/aother"] > 0 && seen["/homely/swift"] > 0, "last copies and region-bound routes stay: %v", seen)
 		midway := f.drillStatus(3, http.MethodGet)
 		assert.Assert(t, midway.Running && midway.RemainingMs < 4500 && midway.RemainingMs > 2500, "%+v", midway)
 		assert.DeepEqual(
@@ -61,7 +61,7 @@
 		assert.Assert(t, quick.KeptInScope > 5 && counted["homely"].KeptInScope > 50 && quick.FirstTokenDrilled.Count > 50, "%+v", counted)
 		from = time.Now()
 		time.Sleep(time.Second)
-		assert.Assert(t, landRuns()["/quick/swift"] > 10, "work returns at once: %v", landRuns())
+		assert.Assert(t, runsInLand()["/quick/swift"] > 10, "requests return at once: %v", runsInLand())
 		work.close()
 		work.check(t, replicas)
 	})
--- a/internal/test/integration/fleet_test.go
+++ b/internal/test/integration/fleet_test.go
@@ -28,7 +28,7 @@
 	slotsPerReplica = 2
 )
 
-// runningNode is a node under test: stop takes its signals, cancel kills it, done gets the result of its Run.
+// runningNode is a node under test: stop passes signals to it, cancel kills it, done gets the result of its Run.
 type runningNode struct {
 	stop   chan os.Signal
 	cancel context.CancelFunc
--- a/internal/test/integration/forecast_test.go
+++ b/internal/test/integration/forecast_test.go
@@ -60,9 +60,9 @@
 		assert.Equal(t, forecast.LostModels[0].Model, "rare")
 		assert.Assert(t, forecast.LostModels[0].RatePerS > 0)
 		assert.Equal(t, forecast.LoadEstimate.MinMs, 2000.0)
-		where := slices.IndexFunc(forecast.Placement, func(step drill.PlacementStep) bool { return step.Load && step.Model == "rare" })
-		assert.Assert(t, where >= 0, "%+v", forecast.Placement)
-		bringer := replicas[forecast.Placement[where].Replica]
+		index := slices.IndexFunc(forecast.Placement, func(step drill.PlacementStep) bool { return step.Load && step.Model == "rare" })
+		assert.Assert(t, index >= 0, "%+v", forecast.Placement)
+		target := replicas[forecast.Placement[index].Replica]
 		assert.Assert(t, forecast.Control.KeepsMajority && len(forecast.Control.Lost) == 0)
 		quick, bound := findRoute(t, forecast, "quick"), findRoute(t, forecast, "bound")
 		assert.Equal(t, quick.Sampled, 38)
@@ -84,7 +84,7 @@
 			t,
 			f.requestWithPrefix(2, "bound-then", "/bound/", "swift", "ee:300").status,
 			http.StatusServiceUnavailable,
-			"bound to what is lost: rejected, as forecast",
+			"all allowed regions are lost: rejected, as forecast",
 		)
 		for number := range 8 {
 			assert.Equal(
@@ -100,11 +100,11 @@
 			)
 		}
 		began := time.Now()
-		assert.Assert(t, !bringer.listEntry().HasLoaded("rare", ""))
+		assert.Assert(t, !target.listEntry().HasLoaded("rare", ""))
 		late := f.requestWithPrefix(1, "rare-then", "/patient/", "rare", "dd:300")
 		assert.Equal(t, late.status, http.StatusOK)
 		duration := time.Since(began)
-		assert.Assert(t, bringer.listEntry().HasLoaded("rare", ""), "loaded where the forecast said: %+v", forecast.Placement)
+		assert.Assert(t, target.listEntry().HasLoaded("rare", ""), "loaded where the forecast said: %+v", forecast.Placement)
 		estimate := nodesettings.Milliseconds(forecast.LoadEstimate.MinMs)
 		assert.Assert(
 			t,
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestForecast_NamesFateOfRequestsInFlight(t *testing.T) {
+func TestForecast_ReportsOutcomesOfRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, replicas := startTwoRegionFleet(t, 1)
 		for _, standIn := range replicas {
@@ -125,7 +125,7 @@
 			standIn.lock.Unlock()
 		}
 		var group sync.WaitGroup
-		ask := func(attempt, path string) {
+		sendRequest := func(attempt, path string) {
 			group.Add(1)
 			go func() {
 				defer group.Done()
@@ -134,8 +134,8 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		for number := range 6 {
-			ask(fmt.Sprint("quick-", number), "/quick/")
-			ask(fmt.Sprint("patient-", number), "/patient/")
+			sendRequest(fmt.Sprint("quick-", number), "/quick/")
+			sendRequest(fmt.Sprint("patient-", number), "/patient/")
 		}
 		inNorth := map[string]int{}
 		for _, run := range replicas["i-1"].executed() {
--- a/internal/test/integration/health_test.go
+++ b/internal/test/integration/health_test.go
@@ -145,21 +145,21 @@
 		replicas := fourReplicas()
 		f := startSettledFleet(t, 6, replicas...)
 		flapping := hostOf(replicas[0].listed.Address)
-		lost := func(rounds int) int {
-			gone := 0
+		flap := func(rounds int) int {
+			failed := 0
 			for range rounds {
 				f.network.blackhole(flapping, true)
 				result := f.sendSteadily(6, "/quick/", 1400*time.Millisecond)
 				f.network.blackhole(flapping, false)
 				back := f.sendSteadily(6, "/quick/", 1400*time.Millisecond)
-				gone += result.sent + back.sent - result.served - back.served
+				failed += result.sent + back.sent - result.served - back.served
 			}
-			return gone
+			return failed
 		}
-		lost(1)
+		flap(1)
 		began := f.network.dialCount(flapping)
-		gone := lost(3)
-		assert.Assert(t, gone <= 6, "lost %d", gone)
+		failed := flap(3)
+		assert.Assert(t, failed <= 6, "lost %d", failed)
 		assert.Assert(t, f.network.dialCount(flapping)-began <= 12, "dialed %d", f.network.dialCount(flapping)-began)
 	})
 }
@@ -181,7 +181,7 @@
 			time.Sleep(50 * time.Millisecond)
 			assert.Equal(t, f.request(1, fmt.Sprintf("soon-%d", number), "/quick/", "swift").body, allEvents())
 		}
-		assert.Assert(t, f.network.dialCount("10.1.2.1")-dialed <= 1, "sessions just used are used again")
+		assert.Assert(t, f.network.dialCount("10.1.2.1")-dialed <= 1, "connections that were just used are used again")
 	})
 }
 
--- a/internal/test/integration/late_order_test.go
+++ b/internal/test/integration/late_order_test.go
@@ -12,7 +12,7 @@
 	"ferryspar/internal/replica"
 )
 
-// sendOrderAs sends a load to a replica as a lease holder would whom the fleet no longer knows.
+// sendOrderAs sends a load to a replica as a former lease holder, which the fleet no longer knows.
 func (f *fleet) sendOrderAs(leaseHolder string, fence uint64, standIn *standInReplica, model string) int {
 	body := fmt.Sprintf(`{"operation":%q,"modelId":%q,"leaseHolder":%q,"fenceToken":%d,"expectedCount":%d}`,
 		replica.OperationLoad, model, leaseHolder, fence, standIn.orderCount())
--- a/internal/test/integration/load_rate_test.go
+++ b/internal/test/integration/load_rate_test.go
@@ -21,7 +21,7 @@
 	loadTimeout       = 90 * time.Second
 )
 
-// manyModels is a configuration with models that no replica has loaded at first.
+// manyModels returns a configuration with models that no replica has loaded at first.
 func manyModels() string {
 	var models []string
 	for number := range modelCount {
@@ -32,7 +32,7 @@
 	return full[:from] + `"modelList":[` + strings.Join(models, ",") + `],` + full[to:]
 }
 
-// maxLoadsInAnyWindow is the highest number of loads from the model store that started within any window.
+// maxLoadsInAnyWindow returns the highest number of loads from the model store that started within any window.
 func maxLoadsInAnyWindow(replicas []*standInReplica) int {
 	var began []time.Time
 	for _, standIn := range replicas {
@@ -98,17 +98,17 @@
 }
 
 // injectLeaseHolderFaults injects the fault at whichever node holds the placement lease, until faultDuration is over.
-func (f *fleet) injectLeaseHolderFaults(rng *rand.Rand, least, spread time.Duration, failure leaseHolderFault) {
+func (f *fleet) injectLeaseHolderFaults(rng *rand.Rand, shortest, spread time.Duration, fault leaseHolderFault) {
 	watcher := newOperators(f, 1, 1, 2, 3)
 	for until := time.Now().Add(faultDuration); time.Now().Before(until); {
-		time.Sleep(least + time.Duration(rng.Int64N(int64(spread))))
+		time.Sleep(shortest + time.Duration(rng.Int64N(int64(spread))))
 		if leaseHolder := hostOf(watcher.status(coreHost(1 + rng.IntN(3))).PlacementLeaseHolder); leaseHolder != "" {
-			failure(f, leaseHolder, rng)
+			fault(f, leaseHolder, rng)
 		}
 	}
 }
 
-// emptyReplicas are replicas that together have capacity for twice the models.
+// emptyReplicas returns replicas without models that together have capacity for twice the number of models.
 func emptyReplicas() []*standInReplica {
 	var replicas []*standInReplica
 	for number := range modelCount {
@@ -141,14 +141,14 @@
 	return modelsLoaded(replicas)
 }
 
-func runLeaseHolderFaults(t *testing.T, seed uint64, least, spread time.Duration, failure leaseHolderFault) {
+func runLeaseHolderFaults(t *testing.T, seed uint64, shortest, spread time.Duration, fault leaseHolderFault) {
 	rng := rand.New(rand.NewPCG(seed, 83))
 	replicas := emptyReplicas()
 	f := startFleet(t, 1, replicas...)
 	time.Sleep(3*time.Second + time.Duration(rng.Int64N(int64(3*time.Second))))
 	assert.Equal(t, f.putConfiguration(1, 0, manyModels()).status, http.StatusOK)
 	f.requestModels(0, modelCount, loadTimeout)
-	f.injectLeaseHolderFaults(rng, least, spread, failure)
+	f.injectLeaseHolderFaults(rng, shortest, spread, fault)
 	loaded := waitLoaded(replicas, modelCount, loadTimeout-faultDuration)
 	assert.Equal(t, loaded, modelCount, "every requested model is loaded in the end")
 	assert.Assert(
@@ -162,18 +162,18 @@
 }
 
 func TestLoadRate_KeptWhileLeaseHolderFailsRepeatedly(t *testing.T) {
-	paces := map[string]struct{ least, spread time.Duration }{
+	intervals := map[string]struct{ shortest, spread time.Duration }{
 		"every 0.6 to 1.7 s": {600 * time.Millisecond, 1100 * time.Millisecond},
 		"every 1.6 to 3.1 s": {1600 * time.Millisecond, 1500 * time.Millisecond},
 	}
-	failures := map[string]leaseHolderFault{
+	faults := map[string]leaseHolderFault{
 		"killed": killAndRestart, "killed without power": killWithPowerLoss, "killed or frozen": killOrFreeze,
 	}
-	for often, pace := range paces {
-		for name, failure := range failures {
+	for label, interval := range intervals {
+		for name, fault := range faults {
 			for seed := range uint64(casesFor(4, 40)) {
-				t.Run(fmt.Sprintf("%s %s, seed %d", name, often, seed), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { runLeaseHolderFaults(t, seed, pace.least, pace.spread, failure) })
+				t.Run(fmt.Sprintf("%s %s, seed %d", name, label, seed), func(t *testing.T) {
+					synctest.Test(t, func(t *testing.T) { runLeaseHolderFaults(t, seed, interval.shortest, interval.spread, fault) })
 				})
 			}
 		}
@@ -198,6 +198,6 @@
 		}
 		f.requestModels(0, modelCount, loadTimeout)
 		loaded := waitLoaded(replicas, modelCount, modelCount*time.Second)
-		assert.Equal(t, loaded, modelCount, "a load a second, and some at once")
+		assert.Equal(t, loaded, modelCount, "one load per second, and some at once")
 	})
 }
--- a/internal/test/integration/loss_scenario_test.go
+++ b/internal/test/integration/loss_scenario_test.go
@@ -115,7 +115,7 @@
 	}
 	s.operators = newOperators(s.fleet, 1, numbers...)
 	time.Sleep(3 * time.Second)
-	assert.Assert(t, s.operators.waitMembers(coreHost(1), cores, 30*time.Second), "members never come together")
+	assert.Assert(t, s.operators.waitMembers(coreHost(1), cores, 30*time.Second), "the members do not form a cluster")
 	assert.Equal(t, s.fleet.putConfiguration(1, 0, document(1, "")).status, 200)
 	assert.Equal(t, s.operators.sendZoneChange("south", true, "at the start"), acknowledged)
 	s.writer = s.operators.startWriter(1)
@@ -138,7 +138,7 @@
 	assert.Equal(t, len(s.problems), 0, "%s%s", summarizeProblems(s.problems), s.operators.describe(s.hosts...))
 }
 
-// staleMembers lists members that are gone although a successor has joined.
+// staleMembers lists members that are gone and should have been replaced in the membership.
 func (s *lossScenario) staleMembers() []string {
 	var problems []string
 	for _, member := range s.operators.status(s.hosts[0]).Members {
--- a/internal/test/integration/membership_leaving_test.go
+++ b/internal/test/integration/membership_leaving_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A third member missed changes during a partition. The leaving member and one other have the only copies of them. The
-// successor was started syncTimeS before the SIGTERM, and the other loses its disk once the process has ended.
+// TestMembership_LeavingMemberVotesUntilItsDataIsCopied has a leaving member and one other that hold the only copies of changes
+// which the third missed during a partition. The successor is started syncTimeS before the SIGTERM, and the other member loses
+// its disk once the process has ended.
 func TestMembership_LeavingMemberVotesUntilItsDataIsCopied(t *testing.T) {
 	for moment := time.Duration(0); moment <= 4*time.Second; moment += time.Duration(casesFor(5, 1)) * sweepStep {
 		t.Run(fmt.Sprint("wiped ", moment, " after the end of the process"), func(t *testing.T) {
@@ -29,7 +30,8 @@
 	}
 }
 
-// Two members have the only copies of what a third missed; each of the two is wiped in turn, syncTimeS apart.
+// TestMembership_LaggingMemberRepairedBeforeOthersAreWiped has two members that hold the only copies of what the third missed;
+// each of the two is wiped in turn, syncTimeS apart.
 func TestMembership_LaggingMemberRepairedBeforeOthersAreWiped(t *testing.T) {
 	for _, rest := range []time.Duration{0, time.Second} {
 		t.Run(fmt.Sprint(rest, " more than syncTimeS between"), func(t *testing.T) {
--- a/internal/test/integration/memory_connection_test.go
+++ b/internal/test/integration/memory_connection_test.go
@@ -74,7 +74,7 @@
 	return c.buffer.discarded
 }
 
-// timeOut does what TCP_USER_TIMEOUT does: the bytes are lost; the peer learns of it after the heal.
+// timeOut acts as TCP_USER_TIMEOUT does: buffered bytes are lost, and the peer notices only after the path is healed.
 func (c *memoryConnection) timeOut() {
 	c.buffer.lock.Lock()
 	defer c.buffer.lock.Unlock()
--- a/internal/test/integration/memory_network_delay_test.go
+++ b/internal/test/integration/memory_network_delay_test.go
@@ -15,14 +15,14 @@
 	calledHost = "10.200.0.9"
 )
 
-// receivedCall is what a plain HTTP server has seen of one call: when it arrived, and whether its context was canceled.
+// receivedCall is one call that a plain HTTP server received: when it arrived, and whether its context was canceled.
 type receivedCall struct {
 	at         time.Time
 	contextErr error
 }
 
-// callThroughPartition writes a request while the path is faulty, closes or resets the connection, and returns the moment
-// of the heal with what the server received.
+// callThroughPartition writes a request while the path is faulty, closes or resets the connection, and returns the time
+// of the heal with the calls that the server received.
 func callThroughPartition(t *testing.T, f *fleet, partition func(on bool), reset bool) (time.Time, []receivedCall) {
 	calls := make(chan receivedCall, 4)
 	f.serve(calledHost, calledHost+":80", http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
@@ -57,24 +57,24 @@
 }
 
 func TestMemoryNetwork_BufferedBytesArriveUnlessSenderResets(t *testing.T) {
-	ways := map[string]func(f *fleet) func(on bool){
+	faults := map[string]func(f *fleet) func(on bool){
 		"frozen": func(f *fleet) func(on bool) { return func(on bool) { f.network.freeze(calledHost, on) } },
 		"both":   func(f *fleet) func(on bool) { return func(on bool) { f.network.delayBoth(callerHost, calledHost, on) } },
 		"oneway": func(f *fleet) func(on bool) { return func(on bool) { f.network.delay(callerHost, calledHost, on) } },
 	}
-	for name, way := range ways {
+	for name, fault := range faults {
 		for _, reset := range []bool{false, true} {
 			t.Run(name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := startFleetOf(t, 0, 0, 0)
-					healed, all := callThroughPartition(t, f, way(f), reset)
+					healed, all := callThroughPartition(t, f, fault(f), reset)
 					if reset {
 						assert.Equal(t, len(all), 0)
 						return
 					}
 					assert.Equal(t, len(all), 1)
-					assert.Assert(t, !all[0].at.Before(healed), "received while it was unreachable")
-					assert.Equal(t, all[0].contextErr, context.Canceled, "the close follows the bytes")
+					assert.Assert(t, !all[0].at.Before(healed), "received while the server was unreachable")
+					assert.Equal(t, all[0].contextErr, context.Canceled, "the close arrives after the bytes")
 				})
 			})
 		}
--- a/internal/test/integration/memory_network_test.go
+++ b/internal/test/integration/memory_network_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// machine is the network as one host sees it.
+// machine returns the network as seen from one host.
 func (n *memoryNetwork) machine(host string) peer.Network { return &memoryMachine{n, host} }
 
 func (n *memoryNetwork) isBlocked(from, to string) bool {
@@ -103,11 +103,11 @@
 	n.blackholed[host] = on
 }
 
-// networkPoll is how often a waiting connection looks whether it may go on.
+// networkPoll is the interval at which a waiting connection checks whether it may continue.
 const networkPoll = 10 * time.Millisecond
 
 // freeze stops a machine as SIGSTOP would: it reads and writes nothing, and bytes for it wait in its sockets.
-// Its timers go on, since fake time cannot stop single goroutines.
+// Its timers keep running, because the fake clock cannot stop single goroutines.
 func (n *memoryNetwork) freeze(host string, frozen bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
--- a/internal/test/integration/memory_processor_test.go
+++ b/internal/test/integration/memory_processor_test.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// processor is the processor of a machine as far as it bounds the messages that the machine takes in: one at a time.
+// processor limits the rate at which a machine processes received messages: one at a time, messageTime each.
 type processor struct {
 	busy        chan struct{}
 	messageTime time.Duration
 }
 
-// setMessageTime has a machine take so long for each message that reaches it, one after the other; zero ends that.
+// setMessageTime makes a machine spend messageTime on each message that it receives, one at a time; zero removes the limit.
 func (n *memoryNetwork) setMessageTime(host string, messageTime time.Duration) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -18,7 +18,7 @@
 	}
 }
 
-// processMessage waits until the machine has taken in one more message.
+// processMessage waits until the machine has processed one more message.
 func (n *memoryNetwork) processMessage(host string) {
 	n.lock.Lock()
 	machine := n.processors[host]
--- a/internal/test/integration/metrics_test.go
+++ b/internal/test/integration/metrics_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMetrics_BothProgramsTellTheirFiguresAsText(t *testing.T) {
+func TestMetrics_BothProgramsServeThemAsText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := startUsageFleet(t)
 		u.sendFor(2 * usageWindow)
--- a/internal/test/integration/operator_violations_test.go
+++ b/internal/test/integration/operator_violations_test.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// violations checks all calls so far: a version has one winner, and resends agree.
+// violations checks all calls so far: one change at most is acknowledged on a version, and resends of a change agree.
 func (o *operators) violations() []string {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -58,7 +58,7 @@
 		RouteTable []struct{ Name string }
 	}
 	if err := json.Unmarshal([]byte(content), &document); err != nil {
-		return []string{"nothing is read back: " + content}
+		return []string{"no valid configuration is read: " + content}
 	}
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -76,12 +76,12 @@
 		}
 	}
 	if document.Revision < newest {
-		return []string{fmt.Sprintf("revision %d is read back, %d was acknowledged", document.Revision, newest)}
+		return []string{fmt.Sprintf("revision %d is read, %d was acknowledged", document.Revision, newest)}
 	}
 	for name, result := range under {
 		there := slices.ContainsFunc(document.RouteTable, func(route struct{ Name string }) bool { return route.Name == routes[name] })
 		if result == acknowledged && !there {
-			return []string{fmt.Sprintf("%q was acknowledged as revision %d, which is another's", name, document.Revision)}
+			return []string{fmt.Sprintf("%q was acknowledged as revision %d, which is another change", name, document.Revision)}
 		}
 		if result == rejected && there {
 			return []string{fmt.Sprintf("%q was rejected and is in force", name)}
@@ -112,7 +112,7 @@
 	for zone, call := range last {
 		drained := slices.Contains(status.DrainedZones, zone)
 		if !open[zone] && drained != call.change.drained {
-			found = append(found, fmt.Sprintf("%s says drained=%t for %s, the last acknowledged is %s", host, drained, zone, call))
+			found = append(found, fmt.Sprintf("%s reports drained=%t for %s, the last acknowledged is %s", host, drained, zone, call))
 		}
 	}
 	return found
--- a/internal/test/integration/operators_test.go
+++ b/internal/test/integration/operators_test.go
@@ -65,14 +65,14 @@
 
 // operators simulates the people and scripts that call the control plane, with lost answers and resends.
 type operators struct {
-	fleet     *fleet
-	client    *http.Client
-	hosts     []string
-	lossShare float64
-	inFlight  chan struct{}
-	lock      sync.Mutex
-	rng       *rand.Rand
-	calls     []operatorCall
+	fleet          *fleet
+	client         *http.Client
+	hosts          []string
+	answerLossRate float64
+	inFlight       chan struct{}
+	lock           sync.Mutex
+	rng            *rand.Rand
+	calls          []operatorCall
 }
 
 func newOperators(f *fleet, seed uint64, cores ...int) *operators {
@@ -111,12 +111,12 @@
 	return configurationChange(ifMatch, revision, added, body)
 }
 
-func evacuationChange(zone string, drained bool, occasion string) operatorChange {
+func evacuationChange(zone string, drained bool, label string) operatorChange {
 	method := http.MethodDelete
 	if drained {
 		method = http.MethodPost
 	}
-	name := fmt.Sprintf("%s %s %s", method, zone, occasion)
+	name := fmt.Sprintf("%s %s %s", method, zone, label)
 	return operatorChange{name: name, method: method, path: "/ferryspar/drain-zone/" + zone, zone: zone, drained: drained}
 }
 
@@ -173,7 +173,7 @@
 	call.status, call.reason = o.request(ctx, change.method, host, change.path, change.body, condition)
 	call.ended = time.Now()
 	call.outcome = outcomeOf(call.status)
-	if call.status != 0 && o.randomFloat() < o.lossShare {
+	if call.status != 0 && o.randomFloat() < o.answerLossRate {
 		call.answerLost, call.outcome = true, unknown
 	}
 	o.lock.Lock()
@@ -206,8 +206,8 @@
 	}
 }
 
-func (o *operators) sendZoneChange(zone string, drained bool, occasion string) outcome {
-	return o.send(evacuationChange(zone, drained, occasion), zoneResendBound)
+func (o *operators) sendZoneChange(zone string, drained bool, label string) outcome {
+	return o.send(evacuationChange(zone, drained, label), zoneResendBound)
 }
 
 // read gets the configuration from one member.
@@ -239,7 +239,7 @@
 	return status
 }
 
-// newestAcknowledged is the highest acknowledged revision.
+// newestAcknowledged returns the highest acknowledged revision.
 func (o *operators) newestAcknowledged() int {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -252,7 +252,7 @@
 	return newest
 }
 
-// waitMembers waits until a member reports this amount of members and no membership change in progress.
+// waitMembers waits until a member reports this number of members and no membership change in progress.
 func (o *operators) waitMembers(host string, amount int, timeout time.Duration) bool {
 	for began := time.Now(); time.Since(began) < timeout; time.Sleep(initialBackoff) {
 		status := o.status(host)
@@ -263,12 +263,12 @@
 	return false
 }
 
-// leaseHolderHost is the host that holds the placement lease, according to a member.
+// leaseHolderHost returns the host that holds the placement lease, according to a member.
 func (o *operators) leaseHolderHost(member string) string {
 	return hostOf(o.status(member).PlacementLeaseHolder)
 }
 
-// replicaState is the state of a replica according to a member; empty if it lists none of that id.
+// replicaState returns the state of a replica according to a member, or "" if the member does not list the replica.
 func (o *operators) replicaState(host, id string) string {
 	for _, listed := range o.status(host).Replicas {
 		if listed.ID == id {
--- a/internal/test/integration/partition_scenario_test.go
+++ b/internal/test/integration/partition_scenario_test.go
@@ -41,7 +41,7 @@
 	s := &partitionScenario{fleet: f, operators: newOperators(f, 1, numbers...), done: make(chan struct{})}
 	s.majority = newOperators(f, 2, numbers[1:]...)
 	time.Sleep(3 * time.Second)
-	assert.Assert(t, s.operators.waitMembers(coreHost(1), cores, 30*time.Second), "members never come together")
+	assert.Assert(t, s.operators.waitMembers(coreHost(1), cores, 30*time.Second), "the members do not form a cluster")
 	assert.Equal(t, f.putConfiguration(1, 0, document(1, "")).status, http.StatusOK)
 	time.Sleep(1500 * time.Millisecond)
 	return s
@@ -85,8 +85,8 @@
 	}
 }
 
-func (s *partitionScenario) setZoneDrained(zone string, drained bool, occasion string) {
-	s.send(evacuationChange(zone, drained, occasion))
+func (s *partitionScenario) setZoneDrained(zone string, drained bool, label string) {
+	s.send(evacuationChange(zone, drained, label))
 }
 
 // startIsolatedEdge starts a data plane that can reach no member but the partitioned one.
--- a/internal/test/integration/partition_test.go
+++ b/internal/test/integration/partition_test.go
@@ -35,20 +35,20 @@
 
 var partitionKinds = []partitionKind{
 	{"from the other members, bytes wait", func(f *fleet, on bool) {
-		forEachOtherMember(f, func(alone, other string) { f.network.delayBoth(alone, other, on) })
+		forEachOtherMember(f, func(partitioned, other string) { f.network.delayBoth(partitioned, other, on) })
 	}},
 	{"from the other members, writers wait", func(f *fleet, on bool) {
-		forEachOtherMember(f, func(alone, other string) { f.network.partition(alone, other, on) })
+		forEachOtherMember(f, func(partitioned, other string) { f.network.partition(partitioned, other, on) })
 	}},
 	{"one way, nothing leaves it", func(f *fleet, on bool) {
-		forEachOtherMember(f, func(alone, other string) { f.network.delay(alone, other, on) })
+		forEachOtherMember(f, func(partitioned, other string) { f.network.delay(partitioned, other, on) })
 	}},
 	{"one way, nothing reaches it", func(f *fleet, on bool) {
-		forEachOtherMember(f, func(alone, other string) { f.network.delay(other, alone, on) })
+		forEachOtherMember(f, func(partitioned, other string) { f.network.delay(other, partitioned, on) })
 	}},
 	{"frozen", func(f *fleet, on bool) { f.network.freeze(coreHost(partitionedCore), on) }},
 	{"from everything", func(f *fleet, on bool) {
-		forEachOtherMember(f, func(alone, other string) { f.network.delayBoth(alone, other, on) })
+		forEachOtherMember(f, func(partitioned, other string) { f.network.delayBoth(partitioned, other, on) })
 		for number := 1; number <= 9; number++ {
 			f.network.delayBoth(coreHost(partitionedCore), edgeHost(number), on)
 		}
@@ -113,21 +113,21 @@
 	}
 }
 
-// resendWithdrawalLate sends a withdrawal to the partitioned member first; the zone is evacuated again after it.
-func (s *partitionScenario) resendWithdrawalLate(occasion, zone string) {
-	s.setZoneDrained(zone, true, "before "+occasion)
-	withdrawal := evacuationChange(zone, false, occasion)
+// resendWithdrawalLate sends the withdrawal of an evacuation to the partitioned member first; the zone is evacuated again later.
+func (s *partitionScenario) resendWithdrawalLate(label, zone string) {
+	s.setZoneDrained(zone, true, "before "+label)
+	withdrawal := evacuationChange(zone, false, label)
 	s.operators.attempt(withdrawal, coreHost(partitionedCore))
 	s.send(withdrawal)
-	s.setZoneDrained(zone, true, "after "+occasion)
+	s.setZoneDrained(zone, true, "after "+label)
 }
 
 // resendEvacuationLate sends an evacuation to the partitioned member shortly before the heal; it is withdrawn afterwards.
-func (s *partitionScenario) resendEvacuationLate(occasion, zone string) {
-	change := evacuationChange(zone, true, occasion)
+func (s *partitionScenario) resendEvacuationLate(label, zone string) {
+	change := evacuationChange(zone, true, label)
 	s.operators.attempt(change, coreHost(partitionedCore))
 	s.send(change)
-	s.setZoneDrained(zone, false, "after "+occasion)
+	s.setZoneDrained(zone, false, "after "+label)
 }
 
 // callPartitionedMember calls the partitioned member, which can prove none of its answers until the heal.
@@ -141,9 +141,9 @@
 		var call operatorCall
 		switch number % 3 {
 		case 0:
-			call = s.operators.attempt(addRoute(1, 50+number, fmt.Sprint("pressed-", number)), host)
+			call = s.operators.attempt(addRoute(1, 50+number, fmt.Sprint("isolated-", number)), host)
 		case 1:
-			call = s.operators.attempt(evacuationChange("abroad", number%2 == 0, fmt.Sprint("pressed-", number)), host)
+			call = s.operators.attempt(evacuationChange("abroad", number%2 == 0, fmt.Sprint("isolated-", number)), host)
 		case 2:
 			call = operatorCall{change: operatorChange{name: "read"}, host: host, began: time.Now()}
 			call.status, call.reason = s.operators.read(host)
--- a/internal/test/integration/platform_list_test.go
+++ b/internal/test/integration/platform_list_test.go
@@ -12,7 +12,7 @@
 
 const platformHost = "10.200.0.1"
 
-// hide leaves a replica out of the platform list, as paging does when the list changes meanwhile.
+// setUnlisted removes a replica from the platform list, as a change between two pages of the list can do, or adds it again.
 func (f *fleet) setUnlisted(standIn *standInReplica, unlisted bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -22,7 +22,7 @@
 	}
 }
 
-// listPage is a page of the platform list. As on the platform, tokens are offsets in the current list.
+// listPage returns a page of the platform list. As on the platform, page tokens are offsets in the current list.
 func (f *fleet) listPage(replicas []*standInReplica, token string) discovery.Page {
 	f.lock.Lock()
 	size, paged := f.pageSize, f.onPage
--- a/internal/test/integration/quota_fleet_test.go
+++ b/internal/test/integration/quota_fleet_test.go
@@ -16,7 +16,7 @@
 	"ferryspar/internal/replica"
 )
 
-// quotaFleet is a fleet with a rate limit in force and a tenant that may send more than that.
+// quotaFleet is a fleet with a rate limit in force and a tenant that may exceed it.
 type quotaFleet struct {
 	*fleet
 	replicas []*standInReplica
@@ -66,7 +66,7 @@
 	}
 }
 
-// executionTimes are when replicas received requests of the tenant, since the start, in order.
+// executionTimes returns when replicas received requests of the tenant, since the start, in order.
 func (q *quotaFleet) executionTimes() []time.Duration {
 	var times []time.Duration
 	for _, standIn := range q.replicas {
@@ -80,7 +80,7 @@
 	return times
 }
 
-// between counts the requests that replicas received in a span of time.
+// between counts the requests that replicas received in a time span.
 func (q *quotaFleet) countBetween(from, to time.Duration) int {
 	count := 0
 	for _, at := range q.executionTimes() {
@@ -91,7 +91,8 @@
 	return count
 }
 
-// maxExecutedPerWindow is the largest number of requests that replicas received within a window that starts at since or later.
+// maxExecutedPerWindow returns the largest number of requests that replicas received within a window that starts at since or
+// later.
 func (q *quotaFleet) maxExecutedPerWindow(since time.Duration) int {
 	times, most := q.executionTimes(), 0
 	for first, began := range times {
--- a/internal/test/integration/quota_test.go
+++ b/internal/test/integration/quota_test.go
@@ -15,7 +15,7 @@
 
 var quotaBounds = quota.Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// limitedDocument is a configuration whose tenant "one" has the limit.
+// limitedDocument returns a configuration whose tenant "one" has the limit.
 func limitedDocument(revision int, limit quota.Limit) string {
 	tenants := fmt.Sprintf(`[{"name":"one","apiKeys":["%s"],"ratePerS":%g,"burst":%g},{"name":"other","apiKeys":["%s"]}]`,
 		oldKey, limit.RatePerS, limit.Burst, otherKey)
@@ -62,7 +62,7 @@
 			},
 			0.9,
 		},
-		"data planes die while owing": {
+		"data planes without traffic are killed": {
 			func(after time.Duration) int { return 1 + int(after/time.Millisecond/25)%2 },
 			func(q *quotaFleet) {
 				time.Sleep(2 * time.Second)
@@ -93,7 +93,8 @@
 				}
 				q.send(40, trafficDuration, test.edge)
 				time.Sleep(4 * time.Second)
-				got := float64(q.countBetween(time.Second, trafficDuration)) / (q.limit.RatePerS * (trafficDuration - time.Second).Seconds())
+				got := float64(q.countBetween(time.Second, trafficDuration)) /
+					(q.limit.RatePerS * (trafficDuration - time.Second).Seconds())
 				t.Logf(
 					"%.3f of the limit, %d in the worst window of %.0f allowed, statuses %s",
 					got,
@@ -156,7 +157,7 @@
 		q.send(20, 10*time.Second, func(time.Duration) int { return 1 })
 		time.Sleep(4 * time.Second)
 		t.Logf("%d in the 4 s that begin 4 s after, statuses %s", q.countBetween(back+4*time.Second, back+8*time.Second), q.statusSummary())
-		assert.Assert(t, q.countBetween(back+4*time.Second, back+8*time.Second) >= 72, "nine tenths of what came")
+		assert.Assert(t, q.countBetween(back+4*time.Second, back+8*time.Second) >= 72, "nine tenths of the requests")
 		assert.Assert(t, q.statuses[http.StatusServiceUnavailable].Load() <= 30, "rejected for at most 1.5 s")
 		assert.Assert(t, float64(q.maxExecutedPerWindow(0)) <= quotaBounds.Allowed(q.limit))
 	})
@@ -165,12 +166,12 @@
 func TestQuota_UnlimitedTenantsServedDuringPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := startQuotaFleet(t, 3, quota.Limit{RatePerS: 20, Burst: 10})
-		assert.Equal(t, q.requestWithKey(3, otherKey, "/quick/", "swift").status, http.StatusOK, "it follows the model from now on")
+		assert.Equal(t, q.requestWithKey(3, otherKey, "/quick/", "swift").status, http.StatusOK, "it subscribes to the model")
 		q.partitionEdge(3, true)
 		q.partitionEdges([]int{1, 2}, []int{3}, true)
 		time.Sleep(12 * time.Second)
 		rejected := q.requestWithKey(3, oldKey, "/quick/", "swift")
-		assert.Equal(t, rejected.status, http.StatusServiceUnavailable, "its share has gone to the others by now")
+		assert.Equal(t, rejected.status, http.StatusServiceUnavailable, "its share has moved to the other data planes")
 		assert.Equal(t, q.requestWithKey(3, otherKey, "/quick/", "swift").status, http.StatusOK)
 		assert.Equal(t, q.requestWithKey(1, oldKey, "/quick/", "swift").status, http.StatusOK)
 		q.partitionEdge(3, false)
--- a/internal/test/integration/replaced_disks_test.go
+++ b/internal/test/integration/replaced_disks_test.go
@@ -21,7 +21,7 @@
 	diskLoadDuration   = 250 * time.Millisecond
 )
 
-// diskFate is what becomes of a replica's disk when the replica comes back at its address.
+// diskFate is the state of a replica's disk when the replica comes back at its address.
 type diskFate int
 
 const (
@@ -48,7 +48,7 @@
 	return returned
 }
 
-// loadedReplicas are replicas that each have two models of their own loaded.
+// loadedReplicas returns replicas that each have two models of their own loaded.
 func loadedReplicas() []*standInReplica {
 	var replicas []*standInReplica
 	for number := range replacedReplicas {
@@ -64,8 +64,8 @@
 	return replicas
 }
 
-// crashRepeatedly has several replicas at a time end and come back at their addresses. It returns all replicas that
-// there ever were.
+// crashRepeatedly crashes several replicas at a time and replaces them at their addresses. It returns all replicas,
+// including the replaced ones.
 func (f *fleet) crashRepeatedly(rng *rand.Rand, replicas []*standInReplica, fate diskFate) []*standInReplica {
 	all := append([]*standInReplica(nil), replicas...)
 	for crash := range crashCount {
--- a/internal/test/integration/replica_answers_test.go
+++ b/internal/test/integration/replica_answers_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestProxy_InvalidReplicaAnswerBecomes502WithoutRetry(t *testing.T) {
-	for _, failure := range []string{"swapped", "nameless", "unproved", "garbled", "reset"} {
+	for _, failure := range []string{"other-attempt", "no-attempt-id", "503-without-proof", "malformed", "reset"} {
 		t.Run(failure, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
@@ -30,7 +30,7 @@
 }
 
 func TestProxy_SurplusAnswersNeverReachAnotherClient(t *testing.T) {
-	for _, failure := range []string{"doubled", "endless"} {
+	for _, failure := range []string{"duplicated", "trailing-bytes"} {
 		t.Run(failure, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				standIn := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
--- a/internal/test/integration/replica_order_faults_test.go
+++ b/internal/test/integration/replica_order_faults_test.go
@@ -19,7 +19,7 @@
 	serveTimeout = 20 * time.Second
 )
 
-// tightDocument is a configuration with more adapters than slots for them.
+// tightDocument returns a configuration with more adapters than slots for them.
 func tightDocument(revision int) string {
 	return strings.NewReplacer(
 		`"adapterList":2`, fmt.Sprintf(`"adapterList":%d`, tightAdapters),
@@ -59,7 +59,7 @@
 	}
 }
 
-// restartDelays are how long a killed node stays away; full sweeps use the first one twice.
+// restartDelays are how long a killed node stays down; full sweeps use the first one twice.
 var restartDelays = []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 20 * time.Millisecond}
 
 func TestReplicaOrders_KeepCapacityWhenLeaseHolderRestartsDuringAdapterLoad(t *testing.T) {
--- a/internal/test/integration/requests_test.go
+++ b/internal/test/integration/requests_test.go
@@ -41,7 +41,7 @@
 	return reply{answer.StatusCode, string(content), answer.Header, err != nil, time.Since(began)}
 }
 
-// putConfiguration replaces the configuration at a control-plane node if the version is the expected one.
+// putConfiguration replaces the configuration through a control-plane node if its version is ifMatch.
 func (f *fleet) putConfiguration(core, ifMatch int, document string) reply {
 	return f.call(
 		http.MethodPut,
@@ -60,7 +60,7 @@
 	})
 }
 
-// allEvents is the complete body of a streamed answer.
+// allEvents returns the complete body of a streamed answer.
 func allEvents() string {
 	var events strings.Builder
 	for number := 1; number <= 5; number++ {
@@ -87,6 +87,7 @@
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", header)
 }
 
+// requestWithUniquePrefix sends a request whose prompt prefix no replica has cached.
 func (f *fleet) requestWithUniquePrefix(edge, number int, path string) reply {
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
 		"Host":                      "shop.example",
--- a/internal/test/integration/roster_test.go
+++ b/internal/test/integration/roster_test.go
@@ -20,7 +20,7 @@
 		leaseHolder := o.leaseHolderHost(coreHost(1))
 		f.network.delayBoth(leaseHolder, platformHost, true)
 		time.Sleep(500 * time.Millisecond)
-		secondReplica.drain(true)
+		secondReplica.setDraining(true)
 		time.Sleep(4 * time.Second)
 		assert.Equal(t, o.replicaState(leaseHolder, "i-2"), "draining", "the lease holder learns it from its peers")
 		for range 100 {
@@ -126,6 +126,6 @@
 				assert.Equal(t, o.replicaState(coreHost(number), "i-3"), "ready", "at %d", number)
 			}
 		}
-		assert.Equal(t, o.replicaState(coreHost(1), "i-1"), "", "the one that ended is gone")
+		assert.Equal(t, o.replicaState(coreHost(1), "i-1"), "", "the ended replica is no longer listed")
 	})
 }
--- a/internal/test/integration/serving_test.go
+++ b/internal/test/integration/serving_test.go
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestServing_NonRepeatableStreamShowsTheBreak(t *testing.T) {
+func TestServing_BrokenNonResumableStreamIsVisibleToClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
 		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
@@ -167,7 +167,7 @@
 	})
 }
 
-func TestServing_HomeRegionsAreRespected(t *testing.T) {
+func TestServing_AllowedRegionsAreRespected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
 		home := newStandInReplica("i-2", "10.4.2.1", "abroad", "swift")
@@ -189,7 +189,7 @@
 		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
 		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
 		f := startSettledFleet(t, 1, firstReplica, secondReplica)
-		firstReplica.drain(true)
+		firstReplica.setDraining(true)
 		time.Sleep(1500 * time.Millisecond)
 		for range 4 {
 			assert.Equal(t, f.request(1, "attempt", "/quick/", "swift").status, http.StatusOK)
--- a/internal/test/integration/split_changes_test.go
+++ b/internal/test/integration/split_changes_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// slowPromptTokens is a prompt that a prefill stand-in reads for longer than any change takes to reach all data planes.
+	// slowPromptTokens is the size of a prompt whose prefill takes longer than any change takes to reach all data planes.
 	slowPromptTokens = 40000
-	// slowPrompts is how many of them are read at once.
+	// slowPrompts is how many of them are processed at the same time.
 	slowPrompts = 6
-	// changeAfter is when the change comes, while the prompts are read.
+	// changeAfter is the time from the requests to the change, which comes during prefill.
 	changeAfter = 100 * time.Millisecond
 )
 
-// changeDuringPrefill is a change of the fleet that forbids the decode replicas in zone north to run anything.
+// changeDuringPrefill is a change of the fleet after which the decode replicas in zone north must not run anything.
 type changeDuringPrefill struct {
 	name  string
 	apply func(t *testing.T, f *fleet, north []*standInReplica)
@@ -29,7 +29,7 @@
 var changesDuringPrefill = []changeDuringPrefill{
 	{"draining", func(_ *testing.T, _ *fleet, north []*standInReplica) {
 		for _, standIn := range north {
-			standIn.drain(true)
+			standIn.setDraining(true)
 		}
 	}},
 	{"unlisted", func(_ *testing.T, f *fleet, north []*standInReplica) {
@@ -50,7 +50,7 @@
 	}},
 }
 
-// startPrefillFleet starts a fleet whose prompts are read in zone north and whose tokens are made in zones north and south.
+// startPrefillFleet starts a fleet with prefill replicas in zone north and decode replicas in zones north and south.
 func startPrefillFleet(t *testing.T) (*fleet, *splitBackend, map[string]*standInReplica) {
 	split := newSplitBackend()
 	replicas := map[string]*standInReplica{}
@@ -72,7 +72,7 @@
 	return f, split, replicas
 }
 
-func TestSplit_ChangeDuringPrefillSendsTheHandleElsewhere(t *testing.T) {
+func TestSplit_ChangeDuringPrefillSendsHandleToAnotherReplica(t *testing.T) {
 	for _, change := range changesDuringPrefill {
 		t.Run(change.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -98,7 +98,7 @@
 				}
 				assert.Equal(t, len(replicas["d-1"].executed())+len(replicas["d-2"].executed()), 0, "ran where it must not")
 				assert.Equal(t, split.misdirected, 0, "sent to a replica of another phase")
-				assert.Equal(t, split.prefills, slowPrompts, "the same memory is used, no prompt is read again")
+				assert.Equal(t, split.prefills, slowPrompts, "the same KV cache is used, no prompt is processed again")
 				split.checkRunOnce(t, replicas, slowPrompts)
 				assert.Equal(t, split.heldHandles(), 0)
 			})
--- a/internal/test/integration/split_soak_test.go
+++ b/internal/test/integration/split_soak_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// soakSeeds is how many schedules are played unless FERRYSPAR_SOAK_SEEDS says another number.
+	// soakSeeds is how many schedules are run unless FERRYSPAR_SOAK_SEEDS is set to another number.
 	soakSeeds = 24
 	// soakDuration is how long requests are sent in each, soakBound how long after the announcement of a replica's end, or of
 	// the evacuation of its zone, a request may still reach it.
@@ -23,8 +23,8 @@
 	soakBound    = 3 * time.Second
 )
 
-// soak is a split fleet under random changes, with what was forbidden since when.
-type soak struct {
+// splitSoak is a fleet with a split backend under random changes. forbidden is since when replicas must get nothing more.
+type splitSoak struct {
 	*fleet
 	split    *splitBackend
 	replicas map[string]*standInReplica
@@ -36,42 +36,42 @@
 }
 
 // forbid records that a replica must get nothing more from now on.
-func (s *soak) forbid(id string) {
+func (s *splitSoak) forbid(id string) {
 	if s.forbidden[id].IsZero() {
 		s.forbidden[id] = time.Now()
 	}
 }
 
 // randomDecodeReplica picks a decode replica. The last one is never picked, so that requests can always be served.
-func (s *soak) randomDecodeReplica() *standInReplica {
+func (s *splitSoak) randomDecodeReplica() *standInReplica {
 	return s.replicas[fmt.Sprintf("d-%d", 1+s.random.IntN(3))]
 }
 
-// replicaChanges are changes of replicas. Data planes stay in contact, so that what they forbid binds all of them.
-var replicaChanges = []func(s *soak){
-	func(s *soak) {
+// replicaChanges are changes of replicas. Data planes stay in contact, so that all of them learn which replicas are forbidden.
+var replicaChanges = []func(s *splitSoak){
+	func(s *splitSoak) {
 		leaving := s.randomDecodeReplica()
-		leaving.drain(true)
+		leaving.setDraining(true)
 		s.forbid(leaving.listed.ID)
 	},
-	func(s *soak) {
+	func(s *splitSoak) {
 		reply := s.call(http.MethodPost, coreHost(1)+":8166", "/ferryspar/drain-zone/north", "", nil)
 		if reply.status == http.StatusOK {
 			s.forbid("d-1")
 			s.forbid("d-2")
 		}
 	},
-	func(s *soak) {
+	func(s *splitSoak) {
 		s.split.lock.Lock()
 		defer s.split.lock.Unlock()
 		s.split.expireAtOnce["p-1"] = !s.split.expireAtOnce["p-1"]
 	},
-	func(s *soak) {
+	func(s *splitSoak) {
 		s.randomDecodeReplica().setFailureMode([]string{"errors", "reset"}[s.random.IntN(2)], 2+s.random.IntN(3))
 	},
-	func(s *soak) { s.randomDecodeReplica().setFailureMode("", 0) },
-	func(s *soak) { s.network.breakConnections(hostOf(s.randomDecodeReplica().listed.Address)) },
-	func(s *soak) {
+	func(s *splitSoak) { s.randomDecodeReplica().setFailureMode("", 0) },
+	func(s *splitSoak) { s.network.breakConnections(hostOf(s.randomDecodeReplica().listed.Address)) },
+	func(s *splitSoak) {
 		host := hostOf(s.replicas["p-2"].listed.Address)
 		s.network.blackhole(host, true)
 		time.Sleep(time.Duration(50+s.random.IntN(950)) * time.Millisecond)
@@ -79,21 +79,21 @@
 	},
 }
 
-// nodeChanges are faults of the system's own nodes.
-var nodeChanges = []func(s *soak){
-	func(s *soak) {
+// nodeFaults are faults of control planes, data planes and the paths between them.
+var nodeFaults = []func(s *splitSoak){
+	func(s *splitSoak) {
 		host := coreHost(1 + s.random.IntN(3))
 		s.kill(host)
 		time.Sleep(time.Duration(s.random.IntN(800)) * time.Millisecond)
 		s.startCore(host, false, 1, 2, 3)
 	},
-	func(s *soak) {
+	func(s *splitSoak) {
 		host := edgeHost(2)
 		s.kill(host)
 		time.Sleep(time.Duration(s.random.IntN(800)) * time.Millisecond)
 		s.startEdge(host)
 	},
-	func(s *soak) {
+	func(s *splitSoak) {
 		edge, core := edgeHost(1+s.random.IntN(2)), coreHost(1+s.random.IntN(3))
 		s.network.partition(edge, core, true)
 		time.Sleep(time.Duration(50+s.random.IntN(950)) * time.Millisecond)
@@ -102,7 +102,7 @@
 }
 
 // send sends prompts of random sizes until the time is up.
-func (s *soak) send(client int, until time.Time) {
+func (s *splitSoak) send(client int, until time.Time) {
 	random := rand.New(rand.NewPCG(s.random.Uint64(), uint64(client)))
 	for number := 0; time.Now().Before(until); number++ {
 		attempt := fmt.Sprintf("c%d-%d", client, number)
@@ -115,8 +115,8 @@
 	}
 }
 
-// check judges what clients and replicas have seen.
-func (s *soak) check(t *testing.T) {
+// check checks the answers to clients and the executions at replicas.
+func (s *splitSoak) check(t *testing.T) {
 	ran := map[string]int{}
 	for id, standIn := range s.replicas {
 		for _, run := range standIn.executed() {
@@ -150,10 +150,10 @@
 	}
 }
 
-func TestSplit_RandomChangesKeepRequestsWhole(t *testing.T) {
+func TestSplit_RequestsStayCompleteUnderRandomChanges(t *testing.T) {
 	seeds := soakSeeds
-	if stated, err := strconv.Atoi(os.Getenv("FERRYSPAR_SOAK_SEEDS")); err == nil {
-		seeds = stated
+	if configured, err := strconv.Atoi(os.Getenv("FERRYSPAR_SOAK_SEEDS")); err == nil {
+		seeds = configured
 	}
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -162,16 +162,17 @@
 	}
 }
 
-// runSplitSoak plays one schedule: changes of replicas on even seeds, faults of nodes on odd ones, in series that overlap.
+// runSplitSoak runs one schedule: changes of replicas on even seeds, faults of nodes on odd ones, one after the other while
+// clients send requests.
 func runSplitSoak(t *testing.T, seed uint64) {
 	f, split, replicas := startPrefillFleet(t)
-	s := &soak{
+	s := &splitSoak{
 		fleet: f, split: split, replicas: replicas, random: rand.New(rand.NewPCG(seed, 7)),
 		forbidden: map[string]time.Time{}, replies: map[string]reply{},
 	}
 	changes := replicaChanges
 	if seed%2 == 1 {
-		changes = nodeChanges
+		changes = nodeFaults
 	}
 	until := time.Now().Add(soakDuration)
 	var sending sync.WaitGroup
--- a/internal/test/integration/split_test.go
+++ b/internal/test/integration/split_test.go
@@ -46,7 +46,7 @@
 	return f, split, replicas
 }
 
-// requestPrompt sends a request with a prompt of that many tokens, the last hundred its own.
+// requestPrompt sends a request with a prompt of promptTokens tokens, the last hundred of which no other request has.
 func (f *fleet) requestPrompt(edge int, attempt, path string, promptTokens, shared int) reply {
 	own := fmt.Sprintf("%x", attempt)
 	return f.call(http.MethodPost, edgeHost(edge)+":8161", path, "prompt", map[string]string{
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestSplit_LongPromptsAreReadByPrefillReplicasInTime(t *testing.T) {
+func TestSplit_LongPromptsAreProcessedByPrefillReplicasInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, split, _ := startSplitFleet(t, 2)
 		late := 0
@@ -86,15 +86,15 @@
 			}
 		}
 		assert.Assert(t, late <= 3, "%d of 20 are late", late)
-		assert.Assert(t, split.prefills >= 17, "%d prompts were read apart", split.prefills)
+		assert.Assert(t, split.prefills >= 17, "%d prompts were processed by prefill replicas", split.prefills)
 		for _, run := range split.runs {
 			assert.Equal(t, run.attempt, run.handleAttempt)
 		}
 	})
 }
 
-// checkRunOnce expects every request to have run once, from its own handle if from any.
-func (f *splitBackend) checkRunOnce(t *testing.T, replicas map[string]*standInReplica, attempts int) {
+// checkRunOnce expects every request to have run once, and only with its own handle.
+func (b *splitBackend) checkRunOnce(t *testing.T, replicas map[string]*standInReplica, attempts int) {
 	t.Helper()
 	ran := map[string]int{}
 	for _, standIn := range replicas {
@@ -106,12 +106,12 @@
 		assert.Equal(t, times, 1, attempt)
 	}
 	assert.Equal(t, len(ran), attempts)
-	for _, run := range f.runs {
+	for _, run := range b.runs {
 		assert.Equal(t, run.attempt, run.handleAttempt)
 	}
 }
 
-func TestSplit_LapsedHandlesAreReadAtAnotherReplica(t *testing.T) {
+func TestSplit_ExpiredHandlesAreReplacedByAnotherPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, split, replicas := startSplitFleet(t, 2)
 		split.expireAtOnce["i-1"] = true
@@ -125,8 +125,8 @@
 	})
 }
 
-func TestSplit_FailingPrefillReplicasAreGoneAround(t *testing.T) {
-	for _, failure := range []string{"errors", "reset", "shed", "swapped", "garbled", "unproved"} {
+func TestSplit_FailingPrefillReplicasAreBypassed(t *testing.T) {
+	for _, failure := range []string{"errors", "reset", "shed", "other-attempt", "malformed", "503-without-proof"} {
 		t.Run(failure, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f, split, replicas := startSplitFleet(t, 2)
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestSplit_ClientThatLeavesBetweenTheStepsHoldsNothing(t *testing.T) {
+func TestSplit_ClientCancelAfterPrefillReleasesHandle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, split, replicas := startSplitFleet(t, 1)
 		ctx, leave := context.WithCancel(context.Background())
@@ -157,12 +157,12 @@
 		assert.Assert(t, err != nil)
 		time.Sleep(500 * time.Millisecond)
 		assert.Equal(t, split.prefills, 1)
-		assert.Equal(t, split.heldHandles(), 0, "the memory is freed")
+		assert.Equal(t, split.heldHandles(), 0, "the KV cache is released")
 		split.checkRunOnce(t, replicas, 0)
 	})
 }
 
-// startFleetOfPhases starts a fleet with so many replicas of each phase.
+// startFleetOfPhases starts a fleet with the given numbers of prefill and decode replicas.
 func startFleetOfPhases(t *testing.T, prefill, decode int) (*fleet, *splitBackend, map[string]*standInReplica) {
 	split := newSplitBackend()
 	replicas := map[string]*standInReplica{}
@@ -195,7 +195,7 @@
 	return count
 }
 
-// sendPrompts sends prompts from that many clients at once, so many each, and returns how many were served.
+// sendPrompts sends prompts from clients at the same time, each of them its number, and returns how many were served.
 func (f *fleet) sendPrompts(clients, each, promptTokens int) int {
 	var running sync.WaitGroup
 	var served atomic.Int64
@@ -213,7 +213,7 @@
 	return int(served.Load())
 }
 
-// checkPhaseOrders expects orders for phases only, and none that was accepted at the sequence of another.
+// checkPhaseOrders expects orders for phases only, and no two that a replica accepted at the same sequence number.
 func checkPhaseOrders(t *testing.T, replicas map[string]*standInReplica) {
 	t.Helper()
 	for id, standIn := range replicas {
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestSplit_PhasesFollowTheDemandThoughTheLeaseHolderIsLost(t *testing.T) {
+func TestSplit_PhasesFollowDemandWhenLeaseHolderIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, split, replicas := startFleetOfPhases(t, 2, 10)
 		served := make(chan int, 1)
@@ -240,7 +240,7 @@
 		}
 		assert.Assert(t, <-served >= 150, "of 160")
 		prefill := countPhase(replicas, discovery.PhasePrefill)
-		assert.Assert(t, prefill >= 6 && prefill <= 9, "%d read prompts", prefill)
+		assert.Assert(t, prefill >= 6 && prefill <= 9, "%d prefill replicas", prefill)
 		checkPhaseOrders(t, replicas)
 		for _, run := range split.runs {
 			assert.Equal(t, run.attempt, run.handleAttempt)
--- a/internal/test/integration/standin_failures_test.go
+++ b/internal/test/integration/standin_failures_test.go
@@ -23,16 +23,16 @@
 		writer.Header().Set(replica.HeaderNotExecuted, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	},
-	"swapped": rawResponse(func(_ string) string { return completeResponse("of-another") }),
-	"nameless": rawResponse(func(_ string) string {
+	"other-attempt": rawResponse(func(_ string) string { return completeResponse("other-attempt") }),
+	"no-attempt-id": rawResponse(func(_ string) string {
 		return "HTTP/1.1 408 Late\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	}),
-	"unproved": rawResponse(func(attempt string) string {
+	"503-without-proof": rawResponse(func(attempt string) string {
 		return "HTTP/1.1 503 Full\r\n" + replica.HeaderAttemptID + ": " + attempt + "\r\nContent-Length: 0\r\n\r\n"
 	}),
-	"garbled": rawResponse(func(_ string) string { return "no answer\r\n\r\n" }),
-	"doubled": rawResponse(func(attempt string) string { return completeResponse(attempt) + completeResponse(attempt) }),
-	"endless": rawResponse(func(attempt string) string { return completeResponse(attempt) + "and more that belongs to nothing" }),
+	"malformed":      rawResponse(func(_ string) string { return "no answer\r\n\r\n" }),
+	"duplicated":     rawResponse(func(attempt string) string { return completeResponse(attempt) + completeResponse(attempt) }),
+	"trailing-bytes": rawResponse(func(attempt string) string { return completeResponse(attempt) + "and more that belongs to nothing" }),
 }
 
 // setFailureMode makes one request in every few fail in the named way; the empty name turns failures off.
@@ -42,7 +42,7 @@
 	s.failureMode, s.failEvery = mode, every
 }
 
-// rawResponse writes bytes to the connection as they are and leaves it open for a moment.
+// rawResponse returns a handler that writes bytes to the connection as they are and leaves it open for one second.
 func rawResponse(compose func(attempt string) string) func(writer http.ResponseWriter, request *http.Request) {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		connection, _, err := http.NewResponseController(writer).Hijack()
@@ -55,7 +55,7 @@
 	}
 }
 
-// completeResponse is a complete answer to an attempt.
+// completeResponse returns a complete HTTP response to an attempt.
 func completeResponse(attempt string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\nContent-Length: %d\r\n\r\n%s",
 		replica.HeaderAttemptID, attempt, replica.HeaderSeal, attempt, len(attempt), attempt)
--- a/internal/test/integration/standin_orders_test.go
+++ b/internal/test/integration/standin_orders_test.go
@@ -20,7 +20,7 @@
 	maxHistory = 16
 )
 
-// receivedOrder is an order as it was received. Expected is nil if the sender named no sequence.
+// receivedOrder is an order as it was received. Expected is nil if the sender gave no expected sequence number.
 type receivedOrder struct {
 	replica.Order
 	Expected   *int64 `json:"expectedCount"`
@@ -37,9 +37,9 @@
 
 func (o receivedOrder) isLoad() bool { return o.Operation == replica.OperationLoad }
 
-// orderState is how a stand-in executes orders and reports on them. The lock of the stand-in guards it.
+// orderState is what a stand-in needs to execute orders and to report on them. The lock of the stand-in guards it.
 type orderState struct {
-	adapterSlots  int           // of adapters
+	adapterSlots  int           // how many adapters fit at once
 	adapterTime   time.Duration // to load or unload an adapter
 	reportLag     time.Duration // the age of the state that reports show
 	answersToDrop int           // the number of next accepted orders whose answers are lost
@@ -48,11 +48,11 @@
 	busyUntil     time.Time
 	incarnation   int
 	history       []pastReport
-	// rejectedOverCapacity are the loads that would not have fitted and were rejected for their sequence or another order.
+	// rejectedOverCapacity are loads that exceed the capacity, but were rejected for their sequence number or a running order.
 	rejectedOverCapacity []receivedOrder
 }
 
-// pastReport is what a stand-in would have reported from a time on.
+// pastReport is the report of a stand-in from a point in time on.
 type pastReport struct {
 	at    time.Time
 	state replica.Report
@@ -62,7 +62,7 @@
 	return orderState{adapterSlots: defaultAdapterSlots, adapterTime: 10 * time.Millisecond}
 }
 
-// recordReport adds the present report to the history. The caller holds the lock.
+// recordReport adds the current report to the history. The caller holds the lock.
 func (s *standInReplica) recordReport() {
 	state := s.report()
 	s.orderState.history = append(s.orderState.history, pastReport{time.Now(), state})
@@ -71,7 +71,7 @@
 	}
 }
 
-// report is what the stand-in says of itself now. The caller holds the lock.
+// report returns the current report of the stand-in. The caller holds the lock.
 func (s *standInReplica) report() replica.Report {
 	phase := s.listed.Phase
 	if phase == "" {
@@ -92,10 +92,10 @@
 	_ = json.NewEncoder(writer).Encode(state)
 }
 
-// laggedReport is the report of reportLag ago, or the oldest in the history. The caller holds the lock.
-func (s *standInReplica) laggedReport(present replica.Report) replica.Report {
+// laggedReport returns the report of reportLag ago, or the oldest in the history. The caller holds the lock.
+func (s *standInReplica) laggedReport(current replica.Report) replica.Report {
 	if len(s.orderState.history) == 0 {
-		return present
+		return current
 	}
 	shown := s.orderState.history[0].state
 	for _, past := range s.orderState.history {
@@ -151,7 +151,7 @@
 // phaseChangeTime is how long a stand-in takes to change its phase.
 const phaseChangeTime = 1200 * time.Millisecond
 
-// startPhaseChange starts a change of the phase. The caller holds the lock.
+// startPhaseChange starts a change of the phase, unless the replica is in that phase already. The caller holds the lock.
 func (s *standInReplica) startPhaseChange(order receivedOrder) int {
 	if s.listed.Phase == order.Phase {
 		return http.StatusOK
@@ -169,7 +169,7 @@
 	return http.StatusAccepted
 }
 
-// hasCapacity reports whether a load fits beside what is loaded. The caller holds the lock.
+// hasCapacity reports whether a load fits together with what is loaded. The caller holds the lock.
 func (s *standInReplica) hasCapacity(order receivedOrder) bool {
 	loaded := maps.Clone(s.models)
 	loaded[order.reference()] = true
@@ -212,7 +212,7 @@
 	})
 }
 
-// restart replaces the process at the same address: nothing is loaded, and sequence and fences are unknown.
+// restart replaces the process at the same address: nothing is loaded, and the sequence number and the highest fence are reset.
 func (s *standInReplica) restart() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -222,14 +222,14 @@
 	s.recordReport()
 }
 
-// withinCapacity reports whether every accepted load fitted.
+// withinCapacity reports whether every accepted load was within the capacity.
 func (s *standInReplica) withinCapacity() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return !s.overCapacity
 }
 
-// orderCount is how many orders the replica has accepted.
+// orderCount returns how many orders the replica has accepted.
 func (s *standInReplica) orderCount() int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -246,7 +246,7 @@
 	return amount
 }
 
-// rejectedOverCapacity are the rejected loads that would not have fitted.
+// rejectedOverCapacity returns the rejected loads that would have exceeded the capacity.
 func (s *standInReplica) rejectedOverCapacity() []receivedOrder {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/test/integration/standin_platform_test.go
+++ b/internal/test/integration/standin_platform_test.go
@@ -10,7 +10,7 @@
 	"ferryspar/internal/discovery"
 )
 
-// platformCall is a call of the lease's holder that has reached the platform.
+// platformCall is a call of the lease holder that has reached the platform.
 type platformCall struct {
 	at     time.Time
 	path   string
@@ -19,11 +19,11 @@
 	body   string
 }
 
-// standInPlatform takes the calls that one control plane at a time owes the platform. It checks fences.
+// standInPlatform serves the calls that only the lease holder makes to the platform. It rejects outdated fences.
 type standInPlatform struct {
 	lock  sync.Mutex
 	calls []platformCall
-	// down has calls fail before they are carried out, dropAnswers after that.
+	// down makes calls fail before they are carried out, dropAnswers afterwards.
 	down          bool
 	dropAnswers   bool
 	rejectedCalls int
@@ -35,7 +35,7 @@
 	change(p)
 }
 
-// ServeHTTP carries out a call.
+// ServeHTTP records a call, unless an earlier call of the same path had a higher fence.
 func (p *standInPlatform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body, _ := io.ReadAll(request.Body)
 	fence, _ := strconv.ParseUint(request.Header.Get("Ferryspar-Fence-Token"), 10, 64)
@@ -78,7 +78,7 @@
 	return calls
 }
 
-// platformRoutes are all calls of the platform.
+// platformRoutes returns the handler of all platform endpoints.
 func (f *fleet) platformRoutes() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("/replicas", f.serveReplicaList)
--- a/internal/test/integration/standin_replica_test.go
+++ b/internal/test/integration/standin_replica_test.go
@@ -73,7 +73,7 @@
 	return standIn
 }
 
-func (s *standInReplica) drain(draining bool) {
+func (s *standInReplica) setDraining(draining bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.listed.State = "ready"
@@ -130,7 +130,7 @@
 	s.handleRequest(writer, request)
 }
 
-// countStoreLoad records a load of a model that is not on the disk, and tells whether it is one. The caller holds the lock.
+// countStoreLoad records a load of a model that is not on the disk, and reports whether it is one. The caller holds the lock.
 func (s *standInReplica) countStoreLoad(model string) (fromStore bool) {
 	if s.modelsOnDisk == nil {
 		s.modelsOnDisk = map[string]bool{}
--- a/internal/test/integration/standin_split_test.go
+++ b/internal/test/integration/standin_split_test.go
@@ -19,7 +19,7 @@
 	handlePath         = "/ferryspar/kv-handle/"
 )
 
-// kvHandle is the memory of a prompt that a prefill stand-in holds for a decode stand-in.
+// kvHandle is the KV cache of a prompt that a prefill stand-in holds for a decode stand-in.
 type kvHandle struct {
 	attempt   string
 	claimed   bool
@@ -27,23 +27,23 @@
 	expiresAt time.Time
 }
 
-// splitRun is a request that a decode stand-in has run from a handle.
+// splitRun is a request that a decode stand-in has run with the KV cache of a handle.
 type splitRun struct {
 	attempt       string
 	handleAttempt string
 }
 
-// splitBackend is what the stand-ins of a split backend share: the handles by "address/handle", and what was done with them.
+// splitBackend is the state that the stand-ins of a split backend share: handles by "address/handle", and their use.
 type splitBackend struct {
 	lock    sync.Mutex
 	handles map[string]*kvHandle
 	runs    []splitRun
-	// prefills counts prompts read by prefill stand-ins, decodePrefills those read by decode stand-ins, misdirected the requests that
-	// came to the wrong phase.
+	// prefills counts prompts processed by prefill stand-ins, decodePrefills those processed by decode stand-ins, misdirected the
+	// requests that came to a replica of the wrong phase.
 	prefills       int
 	decodePrefills int
 	misdirected    int
-	// handleLifetime is how long a handle is held; expireAtOnce has handles of these replicas gone when they are asked for.
+	// handleLifetime is how long a handle is held; handles of the replicas in expireAtOnce expire before they are used.
 	handleLifetime time.Duration
 	expireAtOnce   map[string]bool
 	// afterPrefill, if set, is called before a prefill is answered.
@@ -54,10 +54,11 @@
 	return &splitBackend{handles: map[string]*kvHandle{}, expireAtOnce: map[string]bool{}, handleLifetime: 5 * time.Second}
 }
 
-// prefillTimePerThousand is how long a prefill stand-in reads a thousand prompt tokens; a decode stand-in takes twice as long.
+// prefillTimePerThousand is how long a prefill stand-in takes for a thousand prompt tokens; a decode stand-in takes twice as
+// long.
 const prefillTimePerThousand = 40 * time.Millisecond
 
-// newSplitReplica is a stand-in of one phase.
+// newReplica returns a stand-in of one phase.
 func (b *splitBackend) newReplica(id, host, zone, phase string) *standInReplica {
 	standIn := newStandInReplica(id, host, zone, "swift")
 	standIn.listed.Phase = discovery.Phase(phase)
@@ -66,7 +67,7 @@
 	return standIn
 }
 
-// admit answers what concerns prefill and handles, and reports whether the request is to be run by the stand-in.
+// admit handles prefills and the release of handles, and reports whether the stand-in is to run the request.
 func (b *splitBackend) admit(s *standInReplica, writer http.ResponseWriter, request *http.Request) bool {
 	attempt := request.Header.Get(replica.HeaderAttemptID)
 	writer.Header().Set(replica.HeaderAttemptID, attempt)
@@ -106,7 +107,7 @@
 	return true
 }
 
-// prefill reads a prompt and answers with its handle.
+// prefill processes a prompt and answers with the handle of its KV cache.
 func (b *splitBackend) prefill(
 	s *standInReplica, writer http.ResponseWriter, request *http.Request, readTime time.Duration, promptTokens float64,
 ) {
@@ -136,7 +137,7 @@
 	_ = json.NewEncoder(writer).Encode(map[string]any{"prefixHandle": handle, "tokenCount": promptTokens, "revision": 1})
 }
 
-// claim takes a handle for a request, or rejects the request with the proof that it was not run.
+// claim uses a handle for a request, or rejects the request with the proof that it was not run.
 func (b *splitBackend) claim(source, attempt string, writer http.ResponseWriter) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -159,7 +160,7 @@
 	}
 }
 
-// heldHandles counts the handles that are neither claimed nor released nor lapsed.
+// heldHandles counts the handles that are neither claimed nor released nor expired.
 func (b *splitBackend) heldHandles() int {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/test/integration/subscriptions_test.go
+++ b/internal/test/integration/subscriptions_test.go
@@ -31,11 +31,11 @@
 		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
 		f := startSettledFleet(t, 3, firstReplica, secondReplica)
 		for round := range 12 {
-			firstReplica.drain(round%2 == 0)
+			firstReplica.setDraining(round%2 == 0)
 			time.Sleep(time.Second)
 			f.request(1+round%3, fmt.Sprint("before-", round), "/quick/", "swift")
 		}
-		firstReplica.drain(false)
+		firstReplica.setDraining(false)
 		time.Sleep(time.Second)
 		for core := 1; core <= 3; core++ {
 			f.kill(coreHost(core))
@@ -47,7 +47,7 @@
 		for edge := 1; edge <= 3; edge++ {
 			assert.Equal(t, f.request(edge, fmt.Sprint("after-", edge), "/quick/", "swift").status, http.StatusOK)
 		}
-		firstReplica.drain(true)
+		firstReplica.setDraining(true)
 		time.Sleep(2 * time.Second)
 		ran := len(firstReplica.executed())
 		for edge := 1; edge <= 3; edge++ {
--- a/internal/test/integration/sweep_test.go
+++ b/internal/test/integration/sweep_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// casesFor returns ordinary, or full if FERRYSPAR_SWEEP asks for full sweeps.
+// casesFor returns the number of cases to run: ordinary, or full if FERRYSPAR_SWEEP is set.
 func casesFor(ordinary, full int) int {
 	if os.Getenv("FERRYSPAR_SWEEP") != "" {
 		return full
@@ -13,7 +13,7 @@
 	return ordinary
 }
 
-// sweepMoments are the moments of a sweep, every sweepStride-th of them in ordinary runs.
+// sweepMoments returns the moments of a sweep; ordinary runs use every sweepStride-th of them.
 func sweepMoments(offset int) []time.Duration {
 	stride := casesFor(sweepStride, 1)
 	if stride == 1 {
--- a/internal/test/integration/tenants_test.go
+++ b/internal/test/integration/tenants_test.go
@@ -31,7 +31,7 @@
 	revokeTimeout = 5 * time.Second
 )
 
-// tenantList is the tenant "one" with the keys and the tenant "other".
+// tenantList returns the tenant "one" with the keys and the tenant "other".
 func tenantList(keys ...string) string {
 	return fmt.Sprintf(
 		`[{"name":"one","apiKeys":["%s"],"priority":2},{"name":"other","apiKeys":["%s"],"priority":1}]`,
@@ -59,7 +59,7 @@
 	assert.Equal(t, f.putConfiguration(1, 0, documentWithTenants(1, tenantList(oldKey))).status, http.StatusOK)
 	time.Sleep(1500 * time.Millisecond)
 	for number := 1; number <= edges; number++ {
-		assert.Equal(t, f.requestWithKey(number, otherKey, "/quick/", "swift").status, http.StatusOK, "it follows the model from now on")
+		assert.Equal(t, f.requestWithKey(number, otherKey, "/quick/", "swift").status, http.StatusOK, "it subscribes to the model")
 	}
 	return f
 }
@@ -217,7 +217,7 @@
 	})
 }
 
-// unpackedRecord is the content of a request log, with its configurations decompressed and the tenants of its requests.
+// unpackedRecord returns the content of a request log, with its configurations decompressed and the tenants of its requests.
 func unpackedRecord(t *testing.T, recorded *bytes.Buffer) string {
 	text := recorded.String()
 	entries, damages, err := requestlog.Read(recorded)
--- a/internal/test/integration/traffic_test.go
+++ b/internal/test/integration/traffic_test.go
@@ -78,7 +78,7 @@
 	return seen
 }
 
-var mixed = map[string]string{"/quick/": "swift", "/patient/": "swift", "/quick/a": "other", "/homely/": "swift"}
+var mixedPaths = map[string]string{"/quick/": "swift", "/patient/": "swift", "/quick/a": "other", "/homely/": "swift"}
 
 // checkRanOnce expects each served request to be complete and to have run exactly once.
 func (r *traffic) checkRanOnce(t *testing.T, replicas map[string]*standInReplica, name string) {
--- a/internal/test/integration/usage_test.go
+++ b/internal/test/integration/usage_test.go
@@ -24,12 +24,12 @@
 	usageWindow = 5 * time.Second
 	usageDelay  = 10 * time.Second
 	usageError  = 0.05
-	// usageEdges are the data planes, each of which is sent usageInterval apart one request.
+	// usageEdges is the number of data planes, which get requests in turn, one every usageInterval.
 	usageEdges    = 3
 	usageInterval = 50 * time.Millisecond
 )
 
-// usageFleet is a fleet that owes the platform usage reports, with requests of one tenant.
+// usageFleet is a fleet that reports usage to the platform, with requests of one tenant.
 type usageFleet struct {
 	*fleet
 	standIns []*standInReplica
@@ -92,7 +92,7 @@
 	return counts
 }
 
-// reports returns the reports that the platform has, and fails where two of a window differ or fences fall.
+// reports returns the reports that the platform has accepted, and fails if two of one window differ.
 func (u *usageFleet) reports() map[uint64]usage.Report {
 	reports := map[uint64]usage.Report{}
 	contents := map[uint64]string{}
@@ -107,7 +107,7 @@
 	return reports
 }
 
-// checkReports compares what was reported with what ran. Windows that inject, if given, says were faultWindow by a fault may miss more.
+// checkReports compares the reported requests of each window with those that ran. allowed is the share by which they may differ.
 func (u *usageFleet) checkReports(allowed func(window uint64) float64) {
 	u.t.Helper()
 	reports := u.reports()
@@ -122,7 +122,7 @@
 
 func inAnyWindow(share float64) func(uint64) float64 { return func(uint64) float64 { return share } }
 
-// dueTime is when all reports of what has run are due.
+// dueTime is the time after which the reports of all requests so far are due.
 const dueTime = usageWindow + usageDelay
 
 func TestUsage_EachWindowIsReportedOnceAndInTime(t *testing.T) {
@@ -140,7 +140,7 @@
 	})
 }
 
-// usageFaults inject between the steps of reports.
+// usageFaults are injected at random moments while usage is reported.
 var usageFaults = map[string]func(u *usageFleet, rng *rand.Rand){
 	"a control plane is killed": func(u *usageFleet, rng *rand.Rand) {
 		number := rng.IntN(u.cores) + 1
@@ -203,8 +203,9 @@
 	}
 }
 
-// TestUsage_KilledDataPlaneLosesLittle kills a data plane in the middle of a window: what it has told by then counts.
-func TestUsage_KilledDataPlaneLosesLittle(t *testing.T) {
+// TestUsage_KilledDataPlaneLosesOnlyUnreportedRequests kills a data plane in the middle of a window: what it has reported by then
+// counts.
+func TestUsage_KilledDataPlaneLosesOnlyUnreportedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := startUsageFleet(t)
 		faultWindow := usage.Windows{Length: usageWindow}.At(time.Now().Add(4 * time.Second))
@@ -214,7 +215,7 @@
 		})
 		u.sendFor(12 * time.Second)
 		time.Sleep(dueTime)
-		// A third of the requests of half a second is unknown, of five seconds' worth.
+		// Of the five seconds of the window, half a second of one data plane out of usageEdges may be unknown.
 		lost := 0.5 / usageEdges / usageWindow.Seconds()
 		u.checkReports(func(window uint64) float64 {
 			if window == faultWindow {
