--- a/internal/test/integration/bootstrap_test.go
+++ b/internal/test/integration/bootstrap_test.go
@@ -162,7 +162,7 @@
 			assert.Assert(
 				t,
 				s.fleet.putConfiguration(number, 0, document(1, "")).status != http.StatusOK,
-				"core %d takes a first configuration again",
+				"core %d accepts a first configuration again",
 				number,
 			)
 		}
@@ -191,10 +191,10 @@
 }
 
 func TestBootstrap_NotRepeatedByNonVotersThatAreEachOthersSeeds(t *testing.T) {
-	for _, apart := range []bool{false, true} {
+	for _, partitioned := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newBootstrapScenario(t, 6, 1, []int{1, 2, 3}, 1)
-			s.partitionStandbys(apart)
+			s.partitionStandbys(partitioned)
 			s.startMembers(true)
 			time.Sleep(2 * restartDelay)
 			s.killMembers(true, s.hosts()...)
@@ -206,7 +206,7 @@
 			time.Sleep(10 * time.Second)
 			for number := 4; number <= 6; number++ {
 				put := s.fleet.putConfiguration(number, 0, document(1, ""))
-				assert.Assert(t, put.status != http.StatusOK, "core %d takes a configuration, apart before: %t", number, apart)
+				assert.Assert(t, put.status != http.StatusOK, "core %d accepts a configuration, partitioned: %t", number, partitioned)
 			}
 			for number := 1; number <= 3; number++ {
 				s.startMember(coreHost(number), false, 0)
--- a/internal/test/integration/busy_members_test.go
+++ b/internal/test/integration/busy_members_test.go
@@ -11,10 +11,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// These tests guard against resends that preempt each other. Each control plane needs long for each message. A call that is not
-// answered within one second is sent again to the next control plane, which used to take the key from the one that was still
-// working on it ("prepares":3, "preempted":2, "outcome of the write not known"): in 29 of 216 calls nothing was decided within
-// 1.5 s, with members that are busy for 0.7 of the time before the first change. Resends must help the first call instead.
+// These tests guard against resends that preempt the first call. Operators change the configuration concurrently while each
+// control plane spends several milliseconds on each message. A call that is not answered within one second is sent again to the
+// next control plane, which used to take the key from the one that was still working on it ("prepares":3, "preempted":2,
+// "outcome of the write not known"): in 29 of 216 calls nothing was decided within 1.5 s, with members that are busy for 0.7 of
+// the time before the first change. Resends must help the first call instead of ending it.
 
 const (
 	// busyMessageTime keeps the lease holder, which receives a hundred messages per second without any change, busy for 0.7 of
--- a/internal/test/integration/capacity_test.go
+++ b/internal/test/integration/capacity_test.go
@@ -57,7 +57,7 @@
 // overloadInterval is the time between two requests of overload: far more than two replicas can serve.
 const overloadInterval = 4 * time.Millisecond
 
-// overload keeps many requests waiting at the same time, for the duration.
+// overload sends requests for the duration, so that many wait at the same time.
 func (f *fleet) overload(duration time.Duration) {
 	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(overloadInterval) {
 		attempt := fmt.Sprint("busy-", time.Now().UnixNano())
--- a/internal/test/integration/change_soak_test.go
+++ b/internal/test/integration/change_soak_test.go
@@ -142,25 +142,25 @@
 }
 
 func TestOperators_UnreachableOwnerIsBypassed(t *testing.T) {
-	closePaths := map[string]func(f *fleet, other string){
+	blockPaths := map[string]func(f *fleet, other string){
 		"calls do not reach it":        func(f *fleet, other string) { f.network.delay(other, coreHost(1), true) },
 		"its answers do not come back": func(f *fleet, other string) { f.network.delay(coreHost(1), other, true) },
 	}
-	for name, closePath := range closePaths {
+	for name, blockPath := range blockPaths {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { runUnreachableOwner(t, closePath) })
+			synctest.Test(t, func(t *testing.T) { runUnreachableOwner(t, blockPath) })
 		})
 	}
 }
 
 // runUnreachableOwner makes the first member the owner of the configuration, blocks paths between it and the others, and
 // expects changes at the others to be decided in time.
-func runUnreachableOwner(t *testing.T, closePath func(f *fleet, other string)) {
+func runUnreachableOwner(t *testing.T, blockPath func(f *fleet, other string)) {
 	f := startFleetOf(t, 5, 2, 1)
 	time.Sleep(3 * time.Second)
 	assert.Equal(t, f.putConfiguration(1, 0, document(1, "")).status, http.StatusOK)
 	for other := 2; other <= 5; other++ {
-		closePath(f, coreHost(other))
+		blockPath(f, coreHost(other))
 	}
 	o := newOperators(f, 1, 2, 3, 4, 5)
 	for number := range 3 {
--- a/internal/test/integration/change_storm_test.go
+++ b/internal/test/integration/change_storm_test.go
@@ -142,7 +142,7 @@
 	assert.Equal(t, len(s.problems), 0, "%s%s", summarizeProblems(s.problems), s.operators.describe(s.hosts...))
 }
 
-// sendChanges sends an amount of route changes, with a change of a zone every changesPerZoneToggle.
+// sendChanges sends a number of route changes, with a change of a zone every changesPerZoneToggle.
 func (s *changeStorm) sendChanges(amount int) {
 	for range amount {
 		s.changeCount++
--- a/internal/test/integration/cluster_test.go
+++ b/internal/test/integration/cluster_test.go
@@ -38,7 +38,7 @@
 					break
 				}
 				assert.Assert(t, got.status >= 500 || got.broken, "round %d: %d %s", round, got.status, got.body)
-				assert.Assert(t, attempt < 11, "round %d is never taken", round)
+				assert.Assert(t, attempt < 11, "round %d is never acknowledged", round)
 			}
 			current = revision
 			time.Sleep(2500 * time.Millisecond)
@@ -170,14 +170,14 @@
 		go f.request(1, "attempt-2", "/patient/", "other")
 		time.Sleep(12 * time.Second)
 		all := standIn.receivedOrders()
-		assert.Assert(t, len(all) > len(first), "a successor places again")
+		assert.Assert(t, len(all) > len(first), "the next lease holder sends orders")
 		next := all[len(first)]
 		assert.Assert(t, next.LeaseHolder != last.LeaseHolder)
 		assert.Assert(t, next.Fence > last.Fence)
 		assert.Assert(
 			t,
 			next.receivedAt.Sub(last.receivedAt) >= 3*time.Second,
-			"turns within the lease: %s",
+			"the lease holder changed within the lease: %s",
 			next.receivedAt.Sub(last.receivedAt),
 		)
 		assert.Assert(t, !standIn.overCapacity, "%+v", all)
--- a/internal/test/integration/configuration_race_test.go
+++ b/internal/test/integration/configuration_race_test.go
@@ -34,7 +34,7 @@
 					for second := 1; second <= 3; second++ {
 						changes := o.raceChanges(version, first, second)
 						o.resendEverywhere(changes)
-						assert.Assert(t, o.newestAcknowledged() > version, "nobody wins at version %d", version)
+						assert.Assert(t, o.newestAcknowledged() > version, "no change is acknowledged at version %d", version)
 						version = o.newestAcknowledged()
 					}
 				}
@@ -98,7 +98,7 @@
 			o.resendEverywhere(changes)
 			time.Sleep(1500 * time.Millisecond)
 			o.resendEverywhere(changes)
-			assert.Assert(t, o.newestAcknowledged() > version, "nobody wins at version %d", version)
+			assert.Assert(t, o.newestAcknowledged() > version, "no change is acknowledged at version %d", version)
 			version = o.newestAcknowledged()
 		}
 		o.checkViolations(t)
@@ -147,7 +147,7 @@
 			})
 		}
 		group.Wait()
-		assert.Assert(t, o.newestAcknowledged() > 8, "changes go on: %d", o.newestAcknowledged())
+		assert.Assert(t, o.newestAcknowledged() > 8, "too few changes: %d", o.newestAcknowledged())
 		o.checkViolations(t)
 	})
 }
--- a/internal/test/integration/configuration_test.go
+++ b/internal/test/integration/configuration_test.go
@@ -32,7 +32,7 @@
 			t,
 			f.putConfiguration(3, 1, document(2, "")).status+f.putConfiguration(3, 1, document(3, newRoute)).status,
 			http.StatusOK+http.StatusPreconditionFailed,
-			"a resend is taken, the loser is not",
+			"a resend is accepted, the other change is not",
 		)
 	})
 }
@@ -120,7 +120,7 @@
 						t,
 						f.request(edge, "attempt", path, "swift").status,
 						http.StatusOK,
-						"edge %d goes back at %d",
+						"edge %d lost the previous route at %d",
 						edge,
 						revision,
 					)
--- a/internal/test/integration/drill_random_faults_test.go
+++ b/internal/test/integration/drill_random_faults_test.go
@@ -84,7 +84,7 @@
 					served++
 				}
 			}
-			assert.Assert(t, served == 0 || reached > 0, "seed %d: %d served, none where the drill was", seed, served)
+			assert.Assert(t, served == 0 || reached > 0, "seed %d: %d served, none in the drilled zone", seed, served)
 			for _, heal := range heals {
 				heal()
 			}
--- a/internal/test/integration/forecast_test.go
+++ b/internal/test/integration/forecast_test.go
@@ -104,7 +104,7 @@
 		late := f.requestWithPrefix(1, "rare-then", "/patient/", "rare", "dd:300")
 		assert.Equal(t, late.status, http.StatusOK)
 		duration := time.Since(began)
-		assert.Assert(t, target.listEntry().HasLoaded("rare", ""), "loaded where the forecast said: %+v", forecast.Placement)
+		assert.Assert(t, target.listEntry().HasLoaded("rare", ""), "not loaded at the forecast replica: %+v", forecast.Placement)
 		estimate := nodesettings.Milliseconds(forecast.LoadEstimate.MinMs)
 		assert.Assert(
 			t,
--- a/internal/test/integration/health_test.go
+++ b/internal/test/integration/health_test.go
@@ -84,7 +84,7 @@
 				for range 3 {
 					f.sendBurst(6, 28)
 				}
-				assert.Assert(t, failing.executedSince(recoveredAt) >= 2, "back in: %d", failing.executedSince(recoveredAt))
+				assert.Assert(t, failing.executedSince(recoveredAt) >= 2, "used again: %d", failing.executedSince(recoveredAt))
 			})
 		})
 	}
--- a/internal/test/integration/revocation_test.go
+++ b/internal/test/integration/revocation_test.go
@@ -49,11 +49,11 @@
 				served++
 			}
 			assert.Assert(t, !late || got.status == http.StatusServiceUnavailable, "%d %s after", got.status, time.Since(acknowledged))
-			assert.Equal(t, f.requestWithKey(2, "", "/open/", "swift").status, http.StatusOK, "public routes go on")
+			assert.Equal(t, f.requestWithKey(2, "", "/open/", "swift").status, http.StatusOK, "public routes are still served")
 			assert.Equal(t, f.requestWithKey(1, newKey, "/quick/", "swift").status, http.StatusOK, "the other data plane is in contact")
 			time.Sleep(probeInterval)
 		}
-		assert.Assert(t, served > 5, "it stops no sooner than it must, served %d", served)
+		assert.Assert(t, served > 5, "it stops serving too early, served %d", served)
 		f.partitionEdge(2, false)
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.requestWithKey(2, newKey, "/quick/", "swift").status, http.StatusOK)
--- a/internal/test/integration/segment_loss_test.go
+++ b/internal/test/integration/segment_loss_test.go
@@ -28,11 +28,11 @@
 		for core := 1; core <= 3; core++ {
 			read := f.call(http.MethodGet, coreHost(core)+":8166", "/ferryspar/config", "", nil)
 			assert.Equal(t, read.status, http.StatusOK, "core %d: %s", core, read.body)
-			assert.Assert(t, !strings.Contains(read.body, `"revision":1`), "core %d went back", core)
+			assert.Assert(t, !strings.Contains(read.body, `"revision":1`), "core %d has an older revision", core)
 		}
 		f.kill(coreHost(1))
 		time.Sleep(time.Second)
 		got := f.putConfiguration(2, 2, document(3, newRoute)).status
-		assert.Assert(t, got == http.StatusOK || got == http.StatusPreconditionFailed, "having caught up it votes: %d", got)
+		assert.Assert(t, got == http.StatusOK || got == http.StatusPreconditionFailed, "a member that has caught up votes: %d", got)
 	})
 }
--- a/internal/test/integration/serving_test.go
+++ b/internal/test/integration/serving_test.go
@@ -163,7 +163,7 @@
 		for range 5 {
 			assert.Equal(t, f.request(1, "attempt", "/quick/", "swift").status, http.StatusOK)
 		}
-		assert.Assert(t, len(firstReplica.executed()) > 0, "the zone is near and open again")
+		assert.Assert(t, len(firstReplica.executed()) > 0, "the zone is used again")
 	})
 }
 
@@ -229,7 +229,7 @@
 			perSecond[run.at.Unix()]++
 		}
 		for second, amount := range perSecond {
-			assert.Assert(t, amount <= 4, "second %d carried %d", second, amount)
+			assert.Assert(t, amount <= 4, "second %d had %d requests", second, amount)
 		}
 		assert.Assert(t, len(standIn.executed()) >= 3)
 		for range 20 {
--- a/internal/test/integration/split_soak_test.go
+++ b/internal/test/integration/split_soak_test.go
@@ -141,7 +141,7 @@
 		case http.StatusOK:
 			assert.Assert(t, got.broken || got.body == allEvents(), "%s got %q", attempt, got.body)
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-			assert.Equal(t, ran[attempt], 0, "%s was promised not to run", attempt)
+			assert.Equal(t, ran[attempt], 0, "%s ran although it was rejected as not run", attempt)
 		}
 	}
 	assert.Assert(t, served*10 >= sent*8, "served %d of %d", served, sent)
--- a/internal/test/integration/split_test.go
+++ b/internal/test/integration/split_test.go
@@ -221,7 +221,7 @@
 		for _, order := range standIn.receivedOrders() {
 			assert.Equal(t, order.Operation, replica.OperationPhase, id)
 			if order.status == http.StatusAccepted {
-				assert.Assert(t, !accepted[*order.Expected], "%s took two orders at %d", id, *order.Expected)
+				assert.Assert(t, !accepted[*order.Expected], "%s accepted two orders at sequence number %d", id, *order.Expected)
 				accepted[*order.Expected] = true
 			}
 		}
--- a/internal/test/integration/subscriptions_test.go
+++ b/internal/test/integration/subscriptions_test.go
@@ -55,6 +55,6 @@
 				assert.Equal(t, f.request(edge, fmt.Sprintf("late-%d-%d", edge, number), "/quick/", "swift").status, http.StatusOK)
 			}
 		}
-		assert.Equal(t, len(firstReplica.executed()), ran, "a draining replica was sent orders")
+		assert.Equal(t, len(firstReplica.executed()), ran, "a draining replica ran requests")
 	})
 }
