--- a/internal/test/integration/capacity_test.go
+++ b/internal/test/integration/capacity_test.go
@@ -15,15 +15,15 @@
 	"ferryspar/internal/nodesettings"
 )
 
-// capacityOrder is the body of an order of replicas.
+// capacityOrder is the body of a call that orders replicas.
 type capacityOrder struct {
 	Backend      string `json:"backend"`
 	Zone         string `json:"zone"`
 	DesiredCount int    `json:"desiredCount"`
 }
 
-// startCapacity starts a fleet whose replicas may be ordered, from one to five in a zone.
-func startCapacity(t *testing.T) *fleet {
+// startCapacityFleet starts a fleet that may order from one to five replicas in each zone.
+func startCapacityFleet(t *testing.T) *fleet {
 	f := startFleetOf(t, 0, 1, 0,
 		newStandInReplica("i-1", "10.1.2.1", "north", "swift"), newStandInReplica("i-2", "10.2.2.1", "south", "swift"))
 	f.adjustSettings = func(settings *nodesettings.Settings) {
@@ -43,8 +43,8 @@
 	return f
 }
 
-// ordered returns what the platform was told last, by zone.
-func (f *fleet) ordered() map[string]int {
+// lastOrdered returns the last ordered number of replicas of each zone.
+func (f *fleet) lastOrdered() map[string]int {
 	latest := map[string]int{}
 	for _, call := range f.platform.accepted(discovery.PathCapacity) {
 		var order capacityOrder
@@ -54,23 +54,23 @@
 	return latest
 }
 
-// busyInterval lies between two requests of keepBusy: far more of them come than two replicas serve.
-const busyInterval = 4 * time.Millisecond
+// overloadInterval is the time between two requests of overload: far more than two replicas can serve.
+const overloadInterval = 4 * time.Millisecond
 
-// keepBusy has many requests wait at once for some time.
-func (f *fleet) keepBusy(duration time.Duration) {
-	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(busyInterval) {
+// overload sends requests for the duration, so that many wait at the same time.
+func (f *fleet) overload(duration time.Duration) {
+	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(overloadInterval) {
 		attempt := fmt.Sprint("busy-", time.Now().UnixNano())
 		go f.request(1, attempt, "/quick/", "swift")
 	}
 }
 
-func TestCapacity_IsOrderedAsRequestsNeedItAndByOneNode(t *testing.T) {
+func TestCapacity_OrderedOnDemandByOneNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startCapacity(t)
-		assert.Equal(t, len(f.platform.accepted(discovery.PathCapacity)), 0, "nothing new is said at rest")
-		f.keepBusy(15 * time.Second)
-		ordered := f.ordered()
+		f := startCapacityFleet(t)
+		assert.Equal(t, len(f.platform.accepted(discovery.PathCapacity)), 0, "no order is sent at rest")
+		f.overload(15 * time.Second)
+		ordered := f.lastOrdered()
 		assert.Assert(t, ordered["north"] > 1 || ordered["south"] > 1, "%v", ordered)
 		calls := f.platform.accepted(discovery.PathCapacity)
 		for _, call := range calls {
@@ -79,16 +79,16 @@
 	})
 }
 
-func TestCapacity_TheLastOrderStandsThoughAnEarlierOneMayBeCarriedOutLate(t *testing.T) {
+func TestCapacity_LastOrderRepeatedAfterUnansweredCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startCapacity(t)
-		f.platform.set(func(p *standInPlatform) { p.losesAnswers = true })
-		f.keepBusy(8 * time.Second)
-		f.platform.set(func(p *standInPlatform) { p.losesAnswers = false })
-		unanswered := f.ordered()
+		f := startCapacityFleet(t)
+		f.platform.update(func(p *standInPlatform) { p.dropAnswers = true })
+		f.overload(8 * time.Second)
+		f.platform.update(func(p *standInPlatform) { p.dropAnswers = false })
+		unanswered := f.lastOrdered()
 		uncertain := len(f.platform.accepted(discovery.PathCapacity))
 		assert.Assert(t, uncertain > 0)
-		f.keepBusy(5 * time.Second)
+		f.overload(5 * time.Second)
 		time.Sleep(16 * time.Second)
 		repeated := map[string]int{}
 		calls := f.platform.accepted(discovery.PathCapacity)
@@ -98,14 +98,14 @@
 			repeated[order.Zone]++
 		}
 		for zone := range unanswered {
-			assert.Assert(t, repeated[zone] >= 2, "acknowledged once, and once more when nothing late can follow: %v", repeated)
+			assert.Assert(t, repeated[zone] >= 2, "each order is acknowledged, and repeated once no earlier call can be late: %v", repeated)
 		}
 	})
 }
 
-func TestCapacity_ARestartOfAllStartsFromWhatIsListed(t *testing.T) {
+func TestCapacity_RestartOfAllMembersOrdersNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startCapacity(t)
+		f := startCapacityFleet(t)
 		f.restartCores(f.kill, 1, 2, 3)
 		time.Sleep(20 * time.Second)
 		assert.Equal(t, len(f.platform.accepted(discovery.PathCapacity)), 0)
--- a/internal/test/integration/drill_guard_test.go
+++ b/internal/test/integration/drill_guard_test.go
@@ -14,7 +14,7 @@
 
 func TestDrill_GuardEndsItWhenRemainingReplicasLackCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		for _, id := range []string{"i-1", "i-3"} {
 			replicas[id].lock.Lock()
 			replicas[id].firstTokenDelay = 750 * time.Millisecond
@@ -29,7 +29,7 @@
 		assert.Assert(t, strings.Contains(ended.EndReason, "drilled"), ended.EndReason)
 		from := time.Now()
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, runsSince(replicas["i-2"], from)["/quick/swift"] > 0, "work returns")
+		assert.Assert(t, runsSince(replicas["i-2"], from)["/quick/swift"] > 0, "requests return")
 		work.close()
 		work.check(t, replicas)
 	})
@@ -37,7 +37,7 @@
 
 func TestDrill_EndedByDataPlaneThatIsPartitioned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		work := f.startTraffic([]int{2}, map[string]string{"/quick/": "swift", "/quick/a": "swift", "/quick/b": "swift"})
 		time.Sleep(time.Second)
 		f.startDrill(1, longDrill())
@@ -47,7 +47,7 @@
 		time.Sleep(3 * time.Second)
 		from := time.Now()
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, runsSince(replicas["i-2"], from)["/quick/swift"] > 0, "partitioned, it uses all replicas again")
+		assert.Assert(t, runsSince(replicas["i-2"], from)["/quick/swift"] > 0, "a partitioned data plane uses all replicas again")
 		ended := f.drillStatus(2, http.MethodGet)
 		assert.Assert(t, !ended.Running && ended.EndedByGuard && strings.Contains(ended.EndReason, "silent"), "%+v", ended)
 		for core := 1; core <= 3; core++ {
@@ -56,7 +56,7 @@
 		time.Sleep(3 * time.Second)
 		from = time.Now()
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, runsSince(replicas["i-2"], from)["/quick/swift"] > 0, "what ended stays ended")
+		assert.Assert(t, runsSince(replicas["i-2"], from)["/quick/swift"] > 0, "an ended drill does not start again")
 		work.close()
 		work.check(t, replicas)
 	})
@@ -64,7 +64,7 @@
 
 func TestDrill_RestartedDataPlaneUsesRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		f.startDrill(1, southDrill)
 		time.Sleep(3 * time.Second)
 		f.kill(edgeHost(2))
@@ -72,14 +72,14 @@
 		time.Sleep(1500 * time.Millisecond)
 		assert.Equal(t, f.drillStatus(1, http.MethodGet).DataPlanes["daemon-"+edgeHost(2)], drill.DataPlaneParticipating)
 		from := time.Now()
-		work := f.startTraffic([]int{2}, mixed)
+		work := f.startTraffic([]int{2}, mixedPaths)
 		time.Sleep(2500 * time.Millisecond)
 		assert.Equal(t, runsSince(replicas["i-2"], from)["/quick/swift"], 0)
 		time.Sleep(2500 * time.Millisecond)
 		assert.Equal(t, f.drillStatus(1, http.MethodGet).EndReason, drill.EndedByTime)
 		from = time.Now()
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, runsSince(replicas["i-2"], from)["/quick/swift"] > 0, "not one second more")
+		assert.Assert(t, runsSince(replicas["i-2"], from)["/quick/swift"] > 0, "the restart does not prolong the drill")
 		work.close()
 		work.check(t, replicas)
 	})
@@ -93,7 +93,7 @@
 	}
 	for named, lose := range losses {
 		synctest.Test(t, func(t *testing.T) {
-			f, replicas := startTwoRegions(t, 2)
+			f, replicas := startTwoRegionFleet(t, 2)
 			f.startDrill(1, longDrill())
 			time.Sleep(2 * time.Second)
 			lose(f)
@@ -110,7 +110,7 @@
 
 func TestDrill_EndsEverywhereWhenLeaseHolderIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		f.startDrill(1, longDrill())
 		time.Sleep(1500 * time.Millisecond)
 		f.kill(coreHost(1))
@@ -132,7 +132,7 @@
 
 func TestDrill_EndsWhenAllMembersAreLostAndStaysEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, replicas := startTwoRegions(t, 2)
+		f, replicas := startTwoRegionFleet(t, 2)
 		work := f.startTraffic([]int{1, 2}, map[string]string{"/quick/": "swift", "/bound/": "swift"})
 		time.Sleep(time.Second)
 		f.startDrill(1, longDrill())
--- a/internal/test/integration/metrics_test.go
+++ b/internal/test/integration/metrics_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMetrics_BothProgramsTellTheirFiguresAsText(t *testing.T) {
+func TestMetrics_BothProgramsServeThemAsText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := startUsage(t)
+		u := startUsageFleet(t)
 		u.sendFor(2 * usageWindow)
 		figures := map[string][]string{
 			edgeHost(1) + ":8167": {"ferryspar_ready 1", `ferryspar_attempts_total{backend="scribes",outcome="answered"}`,
--- a/internal/test/integration/operators_test.go
+++ b/internal/test/integration/operators_test.go
@@ -35,15 +35,15 @@
 
 // operatorChange is one change that an operator intends; it is resent unchanged.
 type operatorChange struct {
-	name      string
-	route     string
-	method    string
-	path      string
-	body      string
-	condition int
-	revision  int
-	zone      string
-	drained   bool
+	name     string
+	route    string
+	method   string
+	path     string
+	body     string
+	ifMatch  int
+	revision int
+	zone     string
+	drained  bool
 }
 
 // operatorCall is one attempt of a change at one member. status is what the member answered, also if the answer was lost.
@@ -59,20 +59,20 @@
 }
 
 func (c operatorCall) String() string {
-	return fmt.Sprintf("%s (If-Match %d) at %s, %s to %s: %d lost=%t %.120s", c.change.name, c.change.condition, c.host,
+	return fmt.Sprintf("%s (If-Match %d) at %s, %s to %s: %d lost=%t %.120s", c.change.name, c.change.ifMatch, c.host,
 		c.began.Format("05.000"), c.ended.Format("05.000"), c.status, c.answerLost, c.reason)
 }
 
 // operators simulates the people and scripts that call the control plane, with lost answers and resends.
 type operators struct {
-	fleet     *fleet
-	client    *http.Client
-	hosts     []string
-	lossShare float64
-	inFlight  chan struct{}
-	lock      sync.Mutex
-	rng       *rand.Rand
-	calls     []operatorCall
+	fleet          *fleet
+	client         *http.Client
+	hosts          []string
+	answerLossRate float64
+	inFlight       chan struct{}
+	lock           sync.Mutex
+	rng            *rand.Rand
+	calls          []operatorCall
 }
 
 func newOperators(f *fleet, seed uint64, cores ...int) *operators {
@@ -89,34 +89,34 @@
 	return o
 }
 
-func configurationChange(condition, revision int, route, body string) operatorChange {
+func configurationChange(ifMatch, revision int, route, body string) operatorChange {
 	return operatorChange{
 		name: "add " + route, route: route, method: http.MethodPatch, path: "/ferryspar/config",
-		body: body, condition: condition, revision: revision,
+		body: body, ifMatch: ifMatch, revision: revision,
 	}
 }
 
-func addRoute(condition, revision int, route string) operatorChange {
+func addRoute(ifMatch, revision int, route string) operatorChange {
 	body := fmt.Sprintf(`{"revision":%d,"upsert":{"routeTable":[%s]}}`, revision, routeNamed(route)[1:])
-	return configurationChange(condition, revision, route, body)
+	return configurationChange(ifMatch, revision, route, body)
 }
 
-func replaceRoute(condition, revision int, added, removed string) operatorChange {
+func replaceRoute(ifMatch, revision int, added, removed string) operatorChange {
 	body := fmt.Sprintf(
 		`{"revision":%d,"upsert":{"routeTable":[%s]},"remove":{"routeTable":[%q]}}`,
 		revision,
 		routeNamed(added)[1:],
 		removed,
 	)
-	return configurationChange(condition, revision, added, body)
+	return configurationChange(ifMatch, revision, added, body)
 }
 
-func evacuate(zone string, drained bool, occasion string) operatorChange {
+func evacuationChange(zone string, drained bool, label string) operatorChange {
 	method := http.MethodDelete
 	if drained {
 		method = http.MethodPost
 	}
-	name := fmt.Sprintf("%s %s %s", method, zone, occasion)
+	name := fmt.Sprintf("%s %s %s", method, zone, label)
 	return operatorChange{name: name, method: method, path: "/ferryspar/drain-zone/" + zone, zone: zone, drained: drained}
 }
 
@@ -167,13 +167,13 @@
 	defer cancel()
 	condition := ""
 	if change.zone == "" {
-		condition = fmt.Sprint(change.condition)
+		condition = fmt.Sprint(change.ifMatch)
 	}
 	call := operatorCall{change: change, host: host, began: time.Now()}
 	call.status, call.reason = o.request(ctx, change.method, host, change.path, change.body, condition)
 	call.ended = time.Now()
 	call.outcome = outcomeOf(call.status)
-	if call.status != 0 && o.randomFloat() < o.lossShare {
+	if call.status != 0 && o.randomFloat() < o.answerLossRate {
 		call.answerLost, call.outcome = true, unknown
 	}
 	o.lock.Lock()
@@ -206,8 +206,8 @@
 	}
 }
 
-func (o *operators) sendZone(zone string, drained bool, occasion string) outcome {
-	return o.send(evacuate(zone, drained, occasion), zoneResendBound)
+func (o *operators) sendZoneChange(zone string, drained bool, label string) outcome {
+	return o.send(evacuationChange(zone, drained, label), zoneResendBound)
 }
 
 // read gets the configuration from one member.
@@ -239,7 +239,7 @@
 	return status
 }
 
-// newestAcknowledged is the highest acknowledged revision.
+// newestAcknowledged returns the highest acknowledged revision.
 func (o *operators) newestAcknowledged() int {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -252,7 +252,7 @@
 	return newest
 }
 
-// waitMembers waits until a member reports this amount of members and no membership change in progress.
+// waitMembers waits until a member reports this number of members and no membership change in progress.
 func (o *operators) waitMembers(host string, amount int, timeout time.Duration) bool {
 	for began := time.Now(); time.Since(began) < timeout; time.Sleep(initialBackoff) {
 		status := o.status(host)
@@ -263,12 +263,12 @@
 	return false
 }
 
-// leaseHolderHost is the host that holds the placement lease, according to a member.
+// leaseHolderHost returns the host that holds the placement lease, according to a member.
 func (o *operators) leaseHolderHost(member string) string {
 	return hostOf(o.status(member).PlacementLeaseHolder)
 }
 
-// replicaState is the state of a replica according to a member; empty if it lists none of that id.
+// replicaState returns the state of a replica according to a member, or "" if the member does not list the replica.
 func (o *operators) replicaState(host, id string) string {
 	for _, listed := range o.status(host).Replicas {
 		if listed.ID == id {
--- a/internal/test/integration/quota_fleet_test.go
+++ b/internal/test/integration/quota_fleet_test.go
@@ -16,7 +16,7 @@
 	"ferryspar/internal/replica"
 )
 
-// quotaFleet is a fleet with a rate limit in force and a tenant that may send more than that.
+// quotaFleet is a fleet with a rate limit in force and a tenant that may exceed it.
 type quotaFleet struct {
 	*fleet
 	replicas []*standInReplica
@@ -26,7 +26,7 @@
 	statuses [600]atomic.Int64
 }
 
-func startQuota(t *testing.T, edges int, limit quota.Limit) *quotaFleet {
+func startQuotaFleet(t *testing.T, edges int, limit quota.Limit) *quotaFleet {
 	q := &quotaFleet{limit: limit}
 	for number := range 4 {
 		q.replicas = append(
@@ -66,7 +66,7 @@
 	}
 }
 
-// executionTimes are when replicas received requests of the tenant, since the start, in order.
+// executionTimes returns when replicas received requests of the tenant, since the start, in order.
 func (q *quotaFleet) executionTimes() []time.Duration {
 	var times []time.Duration
 	for _, standIn := range q.replicas {
@@ -80,8 +80,8 @@
 	return times
 }
 
-// between counts the requests that replicas received in a span of time.
-func (q *quotaFleet) between(from, to time.Duration) int {
+// between counts the requests that replicas received in a time span.
+func (q *quotaFleet) countBetween(from, to time.Duration) int {
 	count := 0
 	for _, at := range q.executionTimes() {
 		if at >= from && at < to {
@@ -91,8 +91,9 @@
 	return count
 }
 
-// maxPerWindow is the largest number of requests that replicas received within a window that starts at since or later.
-func (q *quotaFleet) maxPerWindow(since time.Duration) int {
+// maxExecutedPerWindow returns the largest number of requests that replicas received within a window that starts at since or
+// later.
+func (q *quotaFleet) maxExecutedPerWindow(since time.Duration) int {
 	times, most := q.executionTimes(), 0
 	for first, began := range times {
 		if began < since {
@@ -107,7 +108,7 @@
 	return most
 }
 
-func (q *quotaFleet) since() time.Duration { return time.Since(q.began) }
+func (q *quotaFleet) elapsed() time.Duration { return time.Since(q.began) }
 
 func (q *quotaFleet) statusSummary() string {
 	var seen []string
--- a/internal/test/integration/replica_order_faults_test.go
+++ b/internal/test/integration/replica_order_faults_test.go
@@ -19,7 +19,7 @@
 	serveTimeout = 20 * time.Second
 )
 
-// tightDocument is a configuration with more adapters than slots for them.
+// tightDocument returns a configuration with more adapters than slots for them.
 func tightDocument(revision int) string {
 	return strings.NewReplacer(
 		`"adapterList":2`, fmt.Sprintf(`"adapterList":%d`, tightAdapters),
@@ -59,7 +59,7 @@
 	}
 }
 
-// restartDelays are how long a killed node stays away; full sweeps use the first one twice.
+// restartDelays are how long a killed node stays down; full sweeps use the first one twice.
 var restartDelays = []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 20 * time.Millisecond}
 
 func TestReplicaOrders_KeepCapacityWhenLeaseHolderRestartsDuringAdapterLoad(t *testing.T) {
@@ -129,7 +129,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f, standIn := startTightFleet(t)
 				standIn.lock.Lock()
-				standIn.orderState.answersToLose = amount
+				standIn.orderState.answersToDrop = amount
 				standIn.lock.Unlock()
 				f.requestAll("rare", "swift/a1", "swift/a2")
 				time.Sleep(time.Second)
--- a/internal/test/integration/serving_test.go
+++ b/internal/test/integration/serving_test.go
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestServing_NonRepeatableStreamShowsTheBreak(t *testing.T) {
+func TestServing_BrokenNonResumableStreamIsVisibleToClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
 		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
@@ -163,11 +163,11 @@
 		for range 5 {
 			assert.Equal(t, f.request(1, "attempt", "/quick/", "swift").status, http.StatusOK)
 		}
-		assert.Assert(t, len(firstReplica.executed()) > 0, "the zone is near and open again")
+		assert.Assert(t, len(firstReplica.executed()) > 0, "the zone is used again")
 	})
 }
 
-func TestServing_HomeRegionsAreRespected(t *testing.T) {
+func TestServing_AllowedRegionsAreRespected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
 		home := newStandInReplica("i-2", "10.4.2.1", "abroad", "swift")
@@ -189,7 +189,7 @@
 		firstReplica := newStandInReplica("i-1", "10.1.2.1", "north", "swift")
 		secondReplica := newStandInReplica("i-2", "10.2.2.1", "south", "swift")
 		f := startSettledFleet(t, 1, firstReplica, secondReplica)
-		firstReplica.drain(true)
+		firstReplica.setDraining(true)
 		time.Sleep(1500 * time.Millisecond)
 		for range 4 {
 			assert.Equal(t, f.request(1, "attempt", "/quick/", "swift").status, http.StatusOK)
@@ -229,7 +229,7 @@
 			perSecond[run.at.Unix()]++
 		}
 		for second, amount := range perSecond {
-			assert.Assert(t, amount <= 4, "second %d carried %d", second, amount)
+			assert.Assert(t, amount <= 4, "second %d had %d requests", second, amount)
 		}
 		assert.Assert(t, len(standIn.executed()) >= 3)
 		for range 20 {
--- a/internal/test/integration/standin_orders_test.go
+++ b/internal/test/integration/standin_orders_test.go
@@ -20,7 +20,7 @@
 	maxHistory = 16
 )
 
-// receivedOrder is an order as it was received. Expected is nil if the sender named no sequence.
+// receivedOrder is an order as it was received. Expected is nil if the sender gave no expected sequence number.
 type receivedOrder struct {
 	replica.Order
 	Expected   *int64 `json:"expectedCount"`
@@ -37,22 +37,22 @@
 
 func (o receivedOrder) isLoad() bool { return o.Operation == replica.OperationLoad }
 
-// orderState is how a stand-in executes orders and reports on them. The lock of the stand-in guards it.
+// orderState is what a stand-in needs to execute orders and to report on them. The lock of the stand-in guards it.
 type orderState struct {
-	adapterSlots  int           // of adapters
+	adapterSlots  int           // how many adapters fit at once
 	adapterTime   time.Duration // to load or unload an adapter
 	reportLag     time.Duration // the age of the state that reports show
-	answersToLose int           // the number of next accepted orders whose answers are lost
+	answersToDrop int           // the number of next accepted orders whose answers are lost
 	sequence      int64
 	highestFence  uint64
 	busyUntil     time.Time
 	incarnation   int
 	history       []pastReport
-	// rejectedOverCapacity are the loads that would not have fitted and were rejected for their sequence or another order.
+	// rejectedOverCapacity are loads that exceed the capacity, but were rejected for their sequence number or a running order.
 	rejectedOverCapacity []receivedOrder
 }
 
-// pastReport is what a stand-in would have reported from a time on.
+// pastReport is the report of a stand-in from a point in time on.
 type pastReport struct {
 	at    time.Time
 	state replica.Report
@@ -62,7 +62,7 @@
 	return orderState{adapterSlots: defaultAdapterSlots, adapterTime: 10 * time.Millisecond}
 }
 
-// recordReport adds the present report to the history. The caller holds the lock.
+// recordReport adds the current report to the history. The caller holds the lock.
 func (s *standInReplica) recordReport() {
 	state := s.report()
 	s.orderState.history = append(s.orderState.history, pastReport{time.Now(), state})
@@ -71,7 +71,7 @@
 	}
 }
 
-// report is what the stand-in says of itself now. The caller holds the lock.
+// report returns the current report of the stand-in. The caller holds the lock.
 func (s *standInReplica) report() replica.Report {
 	phase := s.listed.Phase
 	if phase == "" {
@@ -92,87 +92,87 @@
 	_ = json.NewEncoder(writer).Encode(state)
 }
 
-// laggedReport is the report of reportLag ago, or the oldest in the history. The caller holds the lock.
-func (s *standInReplica) laggedReport(present replica.Report) replica.Report {
+// laggedReport returns the report of reportLag ago, or the oldest in the history. The caller holds the lock.
+func (s *standInReplica) laggedReport(current replica.Report) replica.Report {
 	if len(s.orderState.history) == 0 {
-		return present
+		return current
 	}
 	shown := s.orderState.history[0].state
-	for _, moment := range s.orderState.history {
-		if !moment.at.After(time.Now().Add(-s.orderState.reportLag)) {
-			shown = moment.state
+	for _, past := range s.orderState.history {
+		if !past.at.After(time.Now().Add(-s.orderState.reportLag)) {
+			shown = past.state
 		}
 	}
 	return shown
 }
 
 func (s *standInReplica) handleOrder(writer http.ResponseWriter, request *http.Request) {
-	instruction := receivedOrder{receivedAt: time.Now()}
-	_ = json.NewDecoder(request.Body).Decode(&instruction)
+	order := receivedOrder{receivedAt: time.Now()}
+	_ = json.NewDecoder(request.Body).Decode(&order)
 	s.lock.Lock()
-	instruction.status = s.decideOrder(instruction)
-	s.orders = append(s.orders, instruction)
-	lost := instruction.status == http.StatusAccepted && s.orderState.answersToLose > 0
+	order.status = s.decideOrder(order)
+	s.orders = append(s.orders, order)
+	lost := order.status == http.StatusAccepted && s.orderState.answersToDrop > 0
 	if lost {
-		s.orderState.answersToLose--
+		s.orderState.answersToDrop--
 	}
 	s.lock.Unlock()
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
-	writer.WriteHeader(instruction.status)
+	writer.WriteHeader(order.status)
 }
 
 // decideOrder accepts or rejects an order and starts it if it is accepted. The caller holds the lock.
-func (s *standInReplica) decideOrder(instruction receivedOrder) int {
-	if instruction.Fence < s.orderState.highestFence {
+func (s *standInReplica) decideOrder(order receivedOrder) int {
+	if order.Fence < s.orderState.highestFence {
 		return http.StatusPreconditionFailed
 	}
-	s.orderState.highestFence = instruction.Fence
-	overCapacity := instruction.isLoad() && !s.hasCapacity(instruction)
-	if s.busy() || instruction.Expected != nil && *instruction.Expected != s.orderState.sequence {
+	s.orderState.highestFence = order.Fence
+	overCapacity := order.isLoad() && !s.hasCapacity(order)
+	if s.busy() || order.Expected != nil && *order.Expected != s.orderState.sequence {
 		if overCapacity {
-			s.orderState.rejectedOverCapacity = append(s.orderState.rejectedOverCapacity, instruction)
+			s.orderState.rejectedOverCapacity = append(s.orderState.rejectedOverCapacity, order)
 		}
 		return http.StatusConflict
 	}
-	if instruction.Operation == replica.OperationPhase {
-		return s.decidePhase(instruction)
+	if order.Operation == replica.OperationPhase {
+		return s.startPhaseChange(order)
 	}
-	if s.models[instruction.reference()] == instruction.isLoad() {
+	if s.models[order.reference()] == order.isLoad() {
 		return http.StatusOK
 	}
 	s.overCapacity = s.overCapacity || overCapacity
-	fromDisk := instruction.isLoad() && instruction.Adapter == "" && !s.countStoreLoad(instruction.Model)
-	s.startOrder(instruction, fromDisk)
+	fromDisk := order.isLoad() && order.Adapter == "" && !s.countStoreLoad(order.Model)
+	s.startOrder(order, fromDisk)
 	return http.StatusAccepted
 }
 
-// swapTime is how long a stand-in takes to change its phase.
-const swapTime = 1200 * time.Millisecond
+// phaseChangeTime is how long a stand-in takes to change its phase.
+const phaseChangeTime = 1200 * time.Millisecond
 
-// decidePhase starts a change of the phase. The caller holds the lock.
-func (s *standInReplica) decidePhase(instruction receivedOrder) int {
-	if s.listed.Phase == instruction.Phase {
+// startPhaseChange starts a change of the phase, unless the replica is in that phase already. The caller holds the lock.
+func (s *standInReplica) startPhaseChange(order receivedOrder) int {
+	if s.listed.Phase == order.Phase {
 		return http.StatusOK
 	}
 	s.orderState.sequence++
-	s.orderState.busyUntil = time.Now().Add(swapTime)
+	s.orderState.busyUntil = time.Now().Add(phaseChangeTime)
 	incarnation := s.orderState.incarnation
-	time.AfterFunc(swapTime, func() {
+	time.AfterFunc(phaseChangeTime, func() {
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		if s.orderState.incarnation == incarnation {
-			s.listed.Phase = instruction.Phase
+			s.listed.Phase = order.Phase
 		}
 	})
 	return http.StatusAccepted
 }
 
-// hasCapacity reports whether a load fits beside what is loaded. The caller holds the lock.
-func (s *standInReplica) hasCapacity(instruction receivedOrder) bool {
+// hasCapacity reports whether a load fits together with what is loaded. The caller holds the lock.
+func (s *standInReplica) hasCapacity(order receivedOrder) bool {
 	loaded := maps.Clone(s.models)
-	loaded[instruction.reference()] = true
+	loaded[order.reference()] = true
 	models, adapters := 0, 0
 	for reference := range loaded {
 		if strings.Contains(reference, "/") {
@@ -185,12 +185,12 @@
 }
 
 // startOrder executes an accepted order. The caller holds the lock.
-func (s *standInReplica) startOrder(instruction receivedOrder, fromDisk bool) {
+func (s *standInReplica) startOrder(order receivedOrder, fromDisk bool) {
 	duration := s.loadTime
 	if fromDisk && s.diskLoadTime > 0 {
 		duration = s.diskLoadTime
 	}
-	if instruction.Adapter != "" {
+	if order.Adapter != "" {
 		duration = s.orderState.adapterTime
 	}
 	s.recordReport()
@@ -204,15 +204,15 @@
 		if s.orderState.incarnation != incarnation {
 			return
 		}
-		s.models[instruction.reference()] = true
-		if !instruction.isLoad() {
-			s.models.Remove(instruction.reference())
+		s.models[order.reference()] = true
+		if !order.isLoad() {
+			s.models.Remove(order.reference())
 		}
 		s.recordReport()
 	})
 }
 
-// restart replaces the process at the same address: nothing is loaded, and sequence and fences are unknown.
+// restart replaces the process at the same address: nothing is loaded, and the sequence number and the highest fence are reset.
 func (s *standInReplica) restart() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -222,14 +222,14 @@
 	s.recordReport()
 }
 
-// withinCapacity reports whether every accepted load fitted.
+// withinCapacity reports whether every accepted load was within the capacity.
 func (s *standInReplica) withinCapacity() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return !s.overCapacity
 }
 
-// orderCount is how many orders the replica has accepted.
+// orderCount returns how many orders the replica has accepted.
 func (s *standInReplica) orderCount() int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -246,7 +246,7 @@
 	return amount
 }
 
-// rejectedOverCapacity are the rejected loads that would not have fitted.
+// rejectedOverCapacity returns the rejected loads that would have exceeded the capacity.
 func (s *standInReplica) rejectedOverCapacity() []receivedOrder {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/test/integration/standin_replica_test.go
+++ b/internal/test/integration/standin_replica_test.go
@@ -45,7 +45,7 @@
 	modelsOnDisk map[string]bool
 	storeLoads   []time.Time
 	// split, if set, is the split backend that the stand-in belongs to.
-	split *splitFleet
+	split *splitBackend
 }
 
 func (s *standInReplica) handleHealth(writer http.ResponseWriter, _ *http.Request) {
@@ -63,7 +63,7 @@
 	standIn := &standInReplica{models: standin.NewModelSet(models...), events: 5, loadTime: 2 * time.Second, orderState: newOrderState()}
 	standIn.listed = discovery.Replica{
 		ID:       id,
-		Backend:  serviceName,
+		Backend:  backendName,
 		Address:  host + ":8080",
 		Zone:     zone,
 		Revision: "v1",
@@ -73,7 +73,7 @@
 	return standIn
 }
 
-func (s *standInReplica) drain(draining bool) {
+func (s *standInReplica) setDraining(draining bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.listed.State = "ready"
@@ -130,7 +130,7 @@
 	s.handleRequest(writer, request)
 }
 
-// countStoreLoad records a load of a model that is not on the disk, and tells whether it is one. The caller holds the lock.
+// countStoreLoad records a load of a model that is not on the disk, and reports whether it is one. The caller holds the lock.
 func (s *standInReplica) countStoreLoad(model string) (fromStore bool) {
 	if s.modelsOnDisk == nil {
 		s.modelsOnDisk = map[string]bool{}
