--- a/internal/controlplane/scheduler/configuration.go
+++ b/internal/controlplane/scheduler/configuration.go
@@ -31,11 +31,11 @@
 	return c.table
 }
 
-// applyDifferences applies the differences up to the active revision if they start at or before the present one, and reports
-// whether that succeeded.
+// applyDifferences applies the differences that lead from the follower's revision to the active one, and reports whether that
+// succeeded. It fails if the first difference starts after the follower's revision.
 func (c *currentConfiguration) applyDifferences(state *State) bool {
-	known := c.follower.AcceptsDeltas() && len(state.Differences) > 0 && state.Differences[0].Base <= c.follower.Revision()
-	return known && c.follower.Apply(state.Differences) == nil && c.follower.Revision() == state.Revision
+	applicable := c.follower.AcceptsDeltas() && len(state.Differences) > 0 && state.Differences[0].Base <= c.follower.Revision()
+	return applicable && c.follower.Apply(state.Differences) == nil && c.follower.Revision() == state.Revision
 }
 
 // catalogOf returns the planner's catalog of a table, built once per table.
--- a/internal/controlplane/scheduler/demand.go
+++ b/internal/controlplane/scheduler/demand.go
@@ -169,7 +169,7 @@
 	return rates
 }
 
-// HandleRates records the rates shared by the lease holder, with which this node can skip the learning period.
+// HandleRates records the rates shared by the lease holder. A node that has received them skips the learning period.
 func (d *DemandView) HandleRates(rates map[string]peer.Rate) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -222,9 +222,9 @@
 	return !d.learningSince.IsZero() && now.Sub(d.learningSince) >= learningPeriod
 }
 
-// splitLoad returns the number of requests for a backend's models that are decoding now, and whether the demand has been
+// decodeLoad returns the number of requests for a backend's models that are decoding now, and whether the demand has been
 // observed for long enough to change serving phases based on it. Only the planning loop calls it.
-func (d *DemandView) splitLoad(backend string, now time.Time) (running float64, learned bool) {
+func (d *DemandView) decodeLoad(backend string, now time.Time) (running float64, learned bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	for key, modelDemand := range d.byModel {
--- a/internal/controlplane/scheduler/fenced_test.go
+++ b/internal/controlplane/scheduler/fenced_test.go
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestScheduler_GivesUpGrantWhenOrderIsFenced(t *testing.T) {
+func TestScheduler_ReleasesGrantWhenOrderIsFenced(t *testing.T) {
 	now := testStart
 	scheduler, _ := newLeaseHoldingScheduler(&now, 7)
 	tracked := scheduler.tracker.Replica("r")
--- a/internal/controlplane/scheduler/lease.go
+++ b/internal/controlplane/scheduler/lease.go
@@ -24,9 +24,9 @@
 	acquireTimeout = 1200 * time.Millisecond
 	// acquireMargin is added to the lease duration before another node tries to acquire the lease.
 	acquireMargin = 200 * time.Millisecond
-	// previousHolderHeadStart is how much longer other nodes wait while the previous holder is reachable. Unlike any other
-	// successor, the previous holder need not wait for another node's orders to finish.
-	previousHolderHeadStart = 400 * time.Millisecond
+	// previousHolderPriorityDelay is how much longer other nodes wait before they try to acquire the lease while its previous
+	// holder is reachable. Unlike any other successor, the previous holder need not wait for another node's orders to finish.
+	previousHolderPriorityDelay = 400 * time.Millisecond
 	// seedStartDelay is the delay between the first attempts of consecutive seeds.
 	seedStartDelay = 250 * time.Millisecond
 	// maxStartJitter and maxRetryJitter bound the random delays before the first attempt and after a failed one.
@@ -45,9 +45,9 @@
 	// unusable is a queue of one grant to be released so that the lease is acquired under a new fence.
 	unusable chan unusableGrant
 
-	// lock guards holderSeenAt.
-	lock         sync.Mutex
-	holderSeenAt time.Time
+	// lock guards lastHolderContact.
+	lock              sync.Mutex
+	lastHolderContact time.Time
 }
 
 func newLeaseElector(config LeaseConfig, clock func() time.Time, startedAt time.Time) *LeaseElector {
@@ -76,7 +76,7 @@
 func (e *LeaseElector) RecordHolderContact() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.holderSeenAt = e.clock()
+	e.lastHolderContact = e.clock()
 }
 
 // RecordHolderShutdown records that the lease holder has announced that it is shutting down, which allows an immediate attempt
@@ -84,7 +84,7 @@
 func (e *LeaseElector) RecordHolderShutdown() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.holderSeenAt = time.Time{}
+	e.lastHolderContact = time.Time{}
 }
 
 // run acquires the lease when nobody holds it and renews it, until the context ends or the node shuts down.
@@ -101,7 +101,7 @@
 			return
 		case found := <-e.unusable:
 			// The lease is acquired again below, without waiting for the next tick.
-			e.giveUp(ctx, found)
+			e.releaseForReacquisition(ctx, found)
 		case <-ticker.C:
 		}
 		if grant := e.current.Load(); grant != nil {
@@ -134,11 +134,11 @@
 		return false
 	}
 	e.lock.Lock()
-	lastSeen := e.holderSeenAt
+	lastSeen := e.lastHolderContact
 	e.lock.Unlock()
 	timeout := e.config.Manager.TTL + acquireMargin
 	if e.config.Cluster.IsLeaseHolderReachable(now) {
-		timeout += previousHolderHeadStart
+		timeout += previousHolderPriorityDelay
 		if lastSeen.Before(e.startedAt) {
 			// A node that has just started cannot have heard from the holder yet.
 			lastSeen = e.startedAt
@@ -185,8 +185,8 @@
 	}
 }
 
-// giveUp releases the lease so that it is acquired again under a higher fence.
-func (e *LeaseElector) giveUp(ctx context.Context, found unusableGrant) {
+// releaseForReacquisition releases the lease so that it is acquired again under a higher fence.
+func (e *LeaseElector) releaseForReacquisition(ctx context.Context, found unusableGrant) {
 	if current := e.current.Load(); current == nil || current.Record.Fence != found.fence {
 		return
 	}
--- a/internal/controlplane/scheduler/loadbudget.go
+++ b/internal/controlplane/scheduler/loadbudget.go
@@ -150,7 +150,7 @@
 	b.propose(b.lease.Grant(), now)
 }
 
-// recordRejected uncounts a load that its replica rejected or that was not sent.
+// recordRejected stops counting a load that its replica rejected or whose order was not sent.
 func (b *loadBudget) recordRejected(id string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -172,7 +172,7 @@
 	return float64(b.budget.SpareLoads(now, b.bounds))
 }
 
-// recordFromDisk uncounts a load, counted as started at the given time, that turned out to come from the replica's disk.
+// recordFromDisk stops counting a load, counted as started at the given time, that turned out to come from the replica's disk.
 func (b *loadBudget) recordFromDisk(startedAt time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/controlplane/scheduler/orders.go
+++ b/internal/controlplane/scheduler/orders.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// recordLoadOutcome counts a load from the store as started when it is accepted, and uncounts it if the replica rejected it or
-// nothing was sent. Without a clear answer it keeps counting as one that may start. Responses to orders of an earlier grant
+// recordLoadOutcome counts a load from the store as started when it is accepted, and stops counting it if the replica rejected
+// it or nothing was sent. Without a clear answer it keeps counting as one that may start. Responses to orders of an earlier grant
 // are ignored: the budget already counts their loads as started.
 func (s *orderSender) recordLoadOutcome(tracked *replicatracker.Replica, outcome replicastate.Outcome, now time.Time) {
 	action := tracked.Action()
--- a/internal/controlplane/scheduler/pacer.go
+++ b/internal/controlplane/scheduler/pacer.go
@@ -5,11 +5,11 @@
 const (
 	// idlePlanInterval is the longest time between two plans.
 	idlePlanInterval = 500 * time.Millisecond
-	// planCostFactor is the pause between two plans as a multiple of the duration of the last plan, within minPlanPause and
-	// maxPlanPause, so that planning takes a small share of a processor.
+	// planCostFactor is the ratio of the delay between two plans to the duration of the last plan, within minPlanDelay and
+	// maxPlanDelay. It limits planning to a small share of a processor.
 	planCostFactor = 40
-	minPlanPause   = 20 * time.Millisecond
-	maxPlanPause   = 300 * time.Millisecond
+	minPlanDelay   = 20 * time.Millisecond
+	maxPlanDelay   = 300 * time.Millisecond
 )
 
 // planPacer decides when to plan. The planning loop alone uses it.
@@ -25,11 +25,11 @@
 // markDirty requests a new plan.
 func (p *planPacer) markDirty() { p.dirty = true }
 
-// planDue reports whether to plan now: something has changed and the pause after the last plan is over, or idlePlanInterval
-// has passed. It also clears the recorded changes, so the caller must plan if it returns true.
+// planDue reports whether to plan now: the delay since the last plan is over, and something has changed or idlePlanInterval has
+// passed. It also clears the recorded changes, so the caller must plan if it returns true.
 func (p *planPacer) planDue(demand *DemandView, version uint64, now time.Time) bool {
 	since := now.Sub(p.plannedAt)
-	if since < min(max(minPlanPause, planCostFactor*p.planDuration), maxPlanPause) {
+	if since < min(max(minPlanDelay, planCostFactor*p.planDuration), maxPlanDelay) {
 		return false
 	}
 	changed := demand.takeChanged() || p.dirty || p.plannedVersion != version || since >= idlePlanInterval
--- a/internal/controlplane/scheduler/phases.go
+++ b/internal/controlplane/scheduler/phases.go
@@ -22,8 +22,8 @@
 	runningTimeConstantS = 2.0
 )
 
-// phaseBalancer moves replicas of split backends, which run prefill and decode on separate replicas, between the phases as the
-// decode demand changes. It is used only by the planning loop.
+// phaseBalancer moves replicas of disaggregated backends, which run prefill and decode on separate replicas, between the phases
+// as the decode demand changes. It is used only by the planning loop.
 type phaseBalancer struct {
 	tracker   *replicatracker.Tracker
 	demand    *DemandView
@@ -34,9 +34,9 @@
 
 // backendPhases is the state of one backend that is kept between plans.
 type backendPhases struct {
-	moving   bool
-	running  float64
-	countsAt time.Time
+	rebalancing bool
+	running     float64 // average number of running requests
+	averagedAt  time.Time
 }
 
 func newPhaseBalancer(tracker *replicatracker.Tracker, demand *DemandView, orders *orderSender) *phaseBalancer {
@@ -51,21 +51,21 @@
 	b.plannedAt = view.Now
 	suspected := map[string]bool{}
 	for _, server := range view.Servers {
-		suspected[server.ID] = server.Lost
+		suspected[server.ID] = server.Suspected
 	}
-	for _, backend := range b.splitBackends() {
+	for _, backend := range b.disaggregatedBackends() {
 		b.planBackend(ctx, view, backend, suspected)
 	}
 }
 
-// splitBackends returns the backends with prefill or decode replicas, in the order of their first replica.
-func (b *phaseBalancer) splitBackends() []string {
+// disaggregatedBackends returns the backends with prefill or decode replicas, in the order of their first replica.
+func (b *phaseBalancer) disaggregatedBackends() []string {
 	var names []string
 	found := map[string]bool{}
 	for _, tracked := range b.tracker.Listed() {
 		phase := tracked.Phase()
-		isSplit := phase == discovery.PhasePrefill || phase == discovery.PhaseDecode
-		if isSplit && !found[tracked.Backend()] {
+		isDisaggregated := phase == discovery.PhasePrefill || phase == discovery.PhaseDecode
+		if isDisaggregated && !found[tracked.Backend()] {
 			found[tracked.Backend()] = true
 			names = append(names, tracked.Backend())
 		}
@@ -84,7 +84,7 @@
 		phases = &backendPhases{}
 		b.byBackend[name] = phases
 	}
-	running, learned := b.demand.splitLoad(name, view.Now)
+	running, learned := b.demand.decodeLoad(name, view.Now)
 	phases.averageRunning(running, view.Now)
 	if !learned {
 		return
@@ -92,7 +92,7 @@
 	input := phasebalance.Input{
 		RunningRequests: phases.running,
 		SlotsPerReplica: backend.Runtime.Slots,
-		Rebalancing:     phases.moving,
+		Rebalancing:     phases.rebalancing,
 	}
 	for _, tracked := range b.tracker.Listed() {
 		if tracked.Backend() == name {
@@ -100,7 +100,7 @@
 		}
 	}
 	result := phasebalance.Plan(input)
-	phases.moving = result.Rebalancing
+	phases.rebalancing = result.Rebalancing
 	if len(result.Changes) > 0 {
 		logrus.WithFields(logrus.Fields{
 			"backend":  name,
@@ -131,9 +131,9 @@
 // averageRunning folds the current number of running requests into the average.
 func (p *backendPhases) averageRunning(running float64, now time.Time) {
 	weight := 1.0
-	if !p.countsAt.IsZero() {
-		weight = 1 - math.Exp(-now.Sub(p.countsAt).Seconds()/runningTimeConstantS)
+	if !p.averagedAt.IsZero() {
+		weight = 1 - math.Exp(-now.Sub(p.averagedAt).Seconds()/runningTimeConstantS)
 	}
 	p.running += weight * (running - p.running)
-	p.countsAt = now
+	p.averagedAt = now
 }
--- a/internal/controlplane/scheduler/polls.go
+++ b/internal/controlplane/scheduler/polls.go
@@ -147,16 +147,16 @@
 	return tracked.StartedAt().Add(nodesettings.Seconds(model.LoadTimeS) + loadTimeMargin)
 }
 
-// creditDiskLoad returns the budget token of a load that finished so soon after it was decided that it cannot have come from
-// the store. A load whose acceptance was not confirmed keeps its token, since the time at which it was counted is unknown.
+// creditDiskLoad returns a load to the budget if it finished so soon after it was decided that it cannot have come from the
+// store. A load whose acceptance was not confirmed keeps counting, since the time at which it was counted is unknown.
 func (p *reportPoller) creditDiskLoad(
-	tracked *replicatracker.Replica, action placement.Action, longest time.Duration, countedAt time.Time,
+	tracked *replicatracker.Replica, action placement.Action, elapsed time.Duration, countedAt time.Time,
 ) {
 	if !loadsFromStore(action) || !action.MaybeFromDisk {
 		return
 	}
 	model, known := p.configuration.findModel(tracked.Backend(), action.Model)
-	if known && longest.Seconds() < storeLoadTimeShare*model.LoadTimeS {
+	if known && elapsed.Seconds() < storeLoadTimeShare*model.LoadTimeS {
 		p.budget.recordFromDisk(countedAt)
 	}
 }
--- a/internal/controlplane/scheduler/publish.go
+++ b/internal/controlplane/scheduler/publish.go
@@ -37,7 +37,7 @@
 	return now.Sub(p.publishedAt) >= publishInterval
 }
 
-// withdraw removes the published observations, since another node may have newer ones.
+// withdraw removes the published observations. It is called without a lease, when another node may have newer ones.
 func (p *observationPublisher) withdraw() {
 	if p.tracker.WithdrawObservations() {
 		p.roster.PublishPlacement(0)
--- a/internal/placement/adaptereviction.go
+++ b/internal/placement/adaptereviction.go
@@ -89,8 +89,8 @@
 }
 
 // evictForAdapter starts to free memory for an adapter at a host of its model that has, or can have, an adapter slot for
-// it. It unloads the first victim at the host where freeing the memory costs least. The intent marks that host until the
-// unload is done, so that only one host at a time frees memory. evictForAdapter reports whether a host does.
+// it. It unloads the first victim at the host where freeing the memory costs least. The host has an intent until the unload
+// is done, so that only one host at a time frees memory. evictForAdapter reports whether one does so now.
 func (p *planner) evictForAdapter(adapter int, hasWaiting bool) bool {
 	model := p.items.at(adapter).model
 	modelName := p.items.at(model).name
@@ -118,7 +118,7 @@
 	p.recordAction(state, Action{
 		Model:  p.items.at(victim).name,
 		Intent: modelName,
-		Reason: makeRoomReason + p.items.at(adapter).name,
+		Reason: evictionReasonPrefix + p.items.at(adapter).name,
 	})
 	p.setIntent(state, modelName)
 	return true
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -38,7 +38,7 @@
 
 // addAdapters loads adapters of loaded models that have too few copies. An adapter is urgent if requests wait for it, or if
 // clients request it and it is loaded nowhere.
-func (p *planner) addAdapters(handled priority) {
+func (p *planner) addAdapters(selected priority) {
 	var candidates []candidateAdapter
 	for model, adapters := range p.items.catalog.adapters {
 		if len(adapters) == 0 || p.counts.loaded(model) == 0 {
@@ -51,7 +51,7 @@
 			}
 			demand := p.demand.of(number)
 			isUrgent := demand.Waiting > 0 || copies == 0 && demand.Rate > 0
-			if copies < adapterCopies && priorityOf(isUrgent) == handled {
+			if copies < adapterCopies && priorityOf(isUrgent) == selected {
 				candidates = append(candidates, candidateAdapter{number, demand.Waiting, copies, demand.Rate})
 			}
 		}
--- a/internal/placement/addcopy.go
+++ b/internal/placement/addcopy.go
@@ -96,7 +96,7 @@
 }
 
 // evictionCost returns the cost of freeing memory for a model of the given size at a server, and whether that is possible.
-// The size counts in full even where the model may be loaded already and so would need no more memory.
+// The full size counts even if the model may be loaded there already and would then need no more memory.
 func (p *planner) evictionCost(state *serverState, size memoryUnits) (cost float64, possible bool) {
 	p.rankVictims(state)
 	_, cost, possible = chooseVictims(state.victims, state.memoryUsed+size-p.capacity)
--- a/internal/placement/evict.go
+++ b/internal/placement/evict.go
@@ -122,8 +122,8 @@
 	return false
 }
 
-// evict plans the unload of the cheapest chosen victim for a model to be loaded at the server. If all victims that may
-// still be unloaded do not free enough memory, it clears the intent and reports false.
+// evict plans the unload of one victim, the cheapest of those chosen, for a model to be loaded at the server. If all victims
+// that may still be unloaded do not free enough memory, it clears the intent and reports false.
 func (p *planner) evict(state *serverState, model int) bool {
 	p.rankVictims(state)
 	remaining := make([]victim, 0, len(state.victims))
@@ -142,11 +142,11 @@
 	p.recordAction(state, Action{
 		Model:  p.items.at(first).name,
 		Intent: name,
-		Reason: makeRoomReason + name,
+		Reason: evictionReasonPrefix + name,
 	})
 	return true
 }
 
-// makeRoomReason is the prefix of Action.Reason of an unload that frees memory; the name of the model or adapter to be
+// evictionReasonPrefix is the prefix of Action.Reason of an unload that frees memory; the name of the model or adapter to be
 // loaded follows.
-const makeRoomReason = "makes way for "
+const evictionReasonPrefix = "makes way for "
--- a/internal/placement/hotcopies.go
+++ b/internal/placement/hotcopies.go
@@ -4,7 +4,7 @@
 
 // addHotCopies adds a copy of each hot or loaded model that has fewer copies than its target. A model is urgent if requests
 // wait for it, or if its copies are too few for the running requests.
-func (p *planner) addHotCopies(handled priority) {
+func (p *planner) addHotCopies(selected priority) {
 	var candidates []candidateModel
 	for _, model := range p.demand.models {
 		demand := p.demand.total(model)
@@ -18,7 +18,7 @@
 		if present >= p.targetCopies(model) {
 			continue
 		}
-		if priorityOf(demand.Waiting > 0 || present < p.copiesNeeded(demand)) == handled {
+		if priorityOf(demand.Waiting > 0 || present < p.copiesNeeded(demand)) == selected {
 			candidates = append(candidates, candidateModel{model, demand.Rate})
 		}
 	}
--- a/internal/placement/intents.go
+++ b/internal/placement/intents.go
@@ -61,8 +61,8 @@
 }
 
 // intentObsolete reports whether the model of an intent should no longer be loaded: it is unconfigured, or it would be
-// loaded from the model store and is hardly requested or has enough copies. An intent for a load from the server's own disk
-// stays as long as the model is configured.
+// loaded from the model store and either has no copy and hardly any requests, or has enough copies. An intent for a load
+// from the server's own disk stays as long as the model is configured.
 func (p *planner) intentObsolete(state *serverState, model int) bool {
 	if !p.items.isConfigured(model) {
 		return true
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -177,10 +177,10 @@
 	}
 }
 
-func TestPlan_IgnoresCopiesOfLostServer(t *testing.T) {
-	lost := newServer("a", "rare")
-	lost.Lost = true
-	view := smallView(lost, newServer("b"))
+func TestPlan_IgnoresCopiesOfSuspectedServer(t *testing.T) {
+	suspected := newServer("a", "rare")
+	suspected.Suspected = true
+	view := smallView(suspected, newServer("b"))
 	view.Demand[ModelKey("s", "rare")] = &Demand{Waiting: 1, OldestWaitMs: 50, LastRequestAt: now}
 	loads := actionsFor(Plan(view), true, "rare")
 	assert.Equal(t, len(loads), 1)
--- a/internal/placement/reference_copies_test.go
+++ b/internal/placement/reference_copies_test.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-func (p *referencePlanner) addHotCopies(handled priority) {
+func (p *referencePlanner) addHotCopies(selected priority) {
 	type candidateCopy struct {
 		model string
 		rate  float64
@@ -12,7 +12,7 @@
 		demand := p.view.totalDemand(p.backend.Name, model.Name)
 		copies := len(p.view.copies(p.backend.Name, model.Name))
 		present := float64(copies + p.loadsPending(model.Name))
-		isHandled := priorityOf(demand.Waiting > 0 || present < p.copiesNeeded(demand)) == handled
+		isHandled := priorityOf(demand.Waiting > 0 || present < p.copiesNeeded(demand)) == selected
 		isCandidate := (demand.Rate > hotRate || copies > 0) && !p.isIntended(model.Name)
 		if present < p.targetCopies(model.Name) && isHandled && isCandidate {
 			candidates = append(candidates, candidateCopy{model.Name, demand.Rate})
@@ -62,7 +62,7 @@
 	return best
 }
 
-func (p *referencePlanner) addAdapters(handled priority) {
+func (p *referencePlanner) addAdapters(selected priority) {
 	type candidateLoad struct {
 		reference string
 		waiting   int
@@ -79,7 +79,7 @@
 			demand := p.view.ownDemand(p.backend.Name, reference)
 			copies := len(p.view.copies(p.backend.Name, reference)) + p.loadsPending(reference)
 			isUrgent := demand.Waiting > 0 || copies == 0 && demand.Rate > 0
-			if copies < 2 && priorityOf(isUrgent) == handled {
+			if copies < 2 && priorityOf(isUrgent) == selected {
 				candidates = append(candidates, candidateLoad{reference, demand.Waiting, copies, demand.Rate})
 			}
 		}
--- a/internal/placement/reference_equal_test.go
+++ b/internal/placement/reference_equal_test.go
@@ -13,7 +13,7 @@
 	"ferryspar/internal/configuration"
 )
 
-// randomView returns a small view with lost, draining and busy servers, intents, unconfigured items, orders of unknown outcome
+// randomView returns a small view with suspected, draining and busy servers, intents, unconfigured items, orders of unknown outcome
 // and replaced replicas. It is determined by its seed.
 func randomView(seed uint64) *View {
 	random := rand.New(rand.NewPCG(seed, 3))
@@ -29,7 +29,7 @@
 	view.DemandKnown = random.IntN(4) > 0
 	view.DrainedZones["a"] = random.IntN(6) == 0
 	for _, server := range view.Servers {
-		server.Draining, server.Lost = random.IntN(12) == 0, random.IntN(12) == 0
+		server.Draining, server.Suspected = random.IntN(12) == 0, random.IntN(12) == 0
 		if random.IntN(6) == 0 {
 			server.Intent = runtime.Models[random.IntN(len(runtime.Models))].Name
 		}
--- a/internal/placement/restore.go
+++ b/internal/placement/restore.go
@@ -4,8 +4,8 @@
 // copies.
 const idleRestoreRate = 0.1
 
-// restoreFromDisk loads models from disk at servers that no earlier step uses and that have memory for one. A model that is
-// only possibly on the disk takes a spare store token, so it is loaded only if it also lacks copies.
+// restoreFromDisk loads models from disk at servers that have memory for one and that no earlier step uses. A model that may
+// or may not be on the disk takes a spare store token, so it is loaded only if it also lacks copies.
 func (p *planner) restoreFromDisk() {
 	for position := range p.servers {
 		state := &p.servers[position]
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -34,7 +34,7 @@
 	Backend     string
 	Zone        string
 	Draining    bool
-	Lost        bool            // suspected of a failure by enough data planes that its copies do not count
+	Suspected   bool            // of a failure, by enough data planes that its copies do not count
 	Ready       bool            // its state is known and no load or unload is in progress
 	Loaded      map[string]bool // references that are certainly loaded
 	MaybeLoaded map[string]bool // further references that may be loaded: orders in progress or of unknown outcome
@@ -79,8 +79,10 @@
 	Reason        string // for logs and forecasts
 }
 
-// isServing reports whether the server's copies count: it is neither draining nor lost, and its zone is not evacuated.
-func (s *Server) isServing(v *View) bool { return !s.Draining && !s.Lost && !v.DrainedZones[s.Zone] }
+// isServing reports whether the server's copies count: it is neither draining nor suspected, and its zone is not evacuated.
+func (s *Server) isServing(v *View) bool {
+	return !s.Draining && !s.Suspected && !v.DrainedZones[s.Zone]
+}
 
 // add merges another demand into d: counts and rates are summed, and of ages, targets and times the highest is kept.
 func (d *Demand) add(other *Demand) {
--- a/internal/replicastate/simulation/lease_test.go
+++ b/internal/replicastate/simulation/lease_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	leaseTime               = 3 * time.Second
-	grantLength             = leaseTime / 2
-	takeoverDelay           = leaseTime + 100*time.Millisecond
-	orderLeaseMargin        = 800 * time.Millisecond
-	renewInterval           = 300 * time.Millisecond
-	acquireMargin           = 200 * time.Millisecond
-	previousHolderHeadStart = 400 * time.Millisecond
-	maxStartDelay           = 250 * time.Millisecond
+	leaseTime                   = 3 * time.Second
+	grantLength                 = leaseTime / 2
+	takeoverDelay               = leaseTime + 100*time.Millisecond
+	orderLeaseMargin            = 800 * time.Millisecond
+	renewInterval               = 300 * time.Millisecond
+	acquireMargin               = 200 * time.Millisecond
+	previousHolderPriorityDelay = 400 * time.Millisecond
+	maxStartDelay               = 250 * time.Millisecond
 )
 
 // register is the lease's record as a majority of the store's members holds it.
@@ -149,7 +149,7 @@
 func (n *node) mayAcquire() bool {
 	lastSeen, timeout := n.leaseHolderSeenAt, n.leaseManager.TTL+acquireMargin
 	if holder := n.cluster.register.holder; holder != "" && holder != n.name {
-		timeout += previousHolderHeadStart
+		timeout += previousHolderPriorityDelay
 		if lastSeen.Before(n.started) {
 			lastSeen = n.started
 		}
--- a/internal/sim/emulator/planning.go
+++ b/internal/sim/emulator/planning.go
@@ -49,7 +49,7 @@
 			ID:      id,
 			Backend: backendName,
 			Zone:    replica.listed.Zone,
-			Lost:    c.demand.isSuspect(id, now),
+			Suspected:    c.demand.isSuspect(id, now),
 			Loaded:  cloneSet(replica.models),
 			Intent:  replica.intent,
 			Ready:   replica.known && replica.pending == nil,
