--- a/internal/keystore/acceptor.go
+++ b/internal/keystore/acceptor.go
@@ -245,9 +245,9 @@
 }
 
 // rollBack restores the state on disk after a write has failed, and rejects all requests that were decided on top of
-// it. Lease grants made by these requests remain: they only exclude other holders for longer. The remains of a torn
-// write may be read after a restart. They were never confirmed to anyone, and a member may promise or accept at any
-// time.
+// it. Lease grants made by these requests remain: they only exclude other holders for longer. A part of the
+// failed write may be read after a restart. This is safe: it was never confirmed to anyone, and a member may promise or
+// accept at any time.
 func (a *Acceptor) rollBack(failed *batch) {
 	for _, pending := range append(failed.replies, a.queued.replies...) {
 		pending.destination <- Reply{Rejection: RejectedDiskError}
--- a/internal/keystore/acceptor_steps.go
+++ b/internal/keystore/acceptor_steps.go
@@ -22,7 +22,7 @@
 // prepare promises to accept no proposal below the message's number, and replies with the value accepted so far. A
 // member that broke the promise would let an earlier owner complete a write that the new owner has not seen.
 //
-// A message that is received twice is promised twice: its number belongs to one attempt of one proposer, and nothing
+// A message that is received twice is granted twice: its number belongs to one attempt of one proposer, and nothing
 // below it has been accepted in between. The register is written again, so that the second reply waits for the disk
 // like the first.
 //
--- a/internal/keystore/bootstrap.go
+++ b/internal/keystore/bootstrap.go
@@ -63,8 +63,8 @@
 type BootstrapEvaluator func(self string, initial Membership, replies map[string]Reply) BootstrapVerdict
 
 // EvaluateBootstrap decides whether to bootstrap, from the replies to one OperationCatchUp that was sent to every
-// initial member, including the sender. Each reply describes the present disk of the member that sent it, which has the
-// disk incarnation of the requesting member on that disk before it replies.
+// initial member, including the sender. Each reply describes the present disk of the member that sent it. That member
+// stores the disk incarnation of the requesting member there before it replies.
 func EvaluateBootstrap(self string, initial Membership, replies map[string]Reply) BootstrapVerdict {
 	if initial.Version != BootstrapVersion || initial.IsJoint() {
 		return BootstrapMembershipChanged
@@ -124,7 +124,7 @@
 }
 
 // replyWithoutVote replies to the catch-up request of another member on behalf of a member without a vote. Like a
-// voting member it has the sender's disk incarnation on its disk before the reply is sent: once it votes, it rejects
+// voting member, it stores the sender's disk incarnation on its disk before the reply is sent: once it votes, it rejects
 // every write that counts a promise of an earlier incarnation.
 func (s *AcceptorState) replyWithoutVote(message Message, reply Reply) (Reply, []Register) {
 	reply.NeverVoted = LocalStateOf(s.Registers).MembershipVersion == 0
--- a/internal/keystore/change_stats.go
+++ b/internal/keystore/change_stats.go
@@ -13,7 +13,8 @@
 	// LockWait is the time spent waiting for other calls of this process on the key. It is part of Duration.
 	LockWait time.Duration
 	Duration time.Duration
-	// Prepares counts the attempts to own the key, and Preempted those that ended because a rival had a higher number.
+	// Prepares counts the attempts to own the key, and Preempted those that failed because the key has, or may have, another
+	// owner.
 	Prepares  int
 	Preempted int
 	// Commits counts the proposals sent to the members, and Uncertain those with an unknown outcome.
--- a/internal/keystore/damage.go
+++ b/internal/keystore/damage.go
@@ -21,8 +21,8 @@
 	return fmt.Sprintf("%s: %s (generation %d)", d.File, d.Reason, d.Generation)
 }
 
-// damage applies the rules of segments. It returns nil if the newest complete generation, if any, is the member's
-// state.
+// damage applies the rules of segments. It returns nil if the log is undamaged: the newest complete generation, if there is
+// one, is then the member's state.
 func (s segments) damage() *Damage {
 	if missing, found := s.firstIn(SegmentMissing); found && s.inUse() {
 		return &Damage{Reason: DamageFileMissing, File: missing.name}
@@ -49,11 +49,11 @@
 }
 
 // damageWithoutGeneration checks a log that has all segments and no complete generation. It is undamaged only if
-// generation 1 was never complete: either all segments are blank or ready, or all are ready except for the remains of
-// generation 1 in its own segment.
+// generation 1 was never complete: either all segments are blank or ready, or all are ready except for that of generation
+// 1, which holds the remains of a write.
 func (s segments) damageWithoutGeneration() *Damage {
-	if marked, found := s.firstIn(SegmentDamaged); found {
-		return &Damage{Reason: DamageStateDiscarded, File: marked.name}
+	if damaged, found := s.firstIn(SegmentDamaged); found {
+		return &Damage{Reason: DamageStateDiscarded, File: damaged.name}
 	}
 	remains, found := s.firstIn(SegmentTorn, SegmentUnreadable)
 	if !found {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// missingGeneration checks that the generations before the newest which must be complete are present (rule 3).
+// missingGeneration checks that those generations before the newest that must be complete are present (rule 3).
 func (s segments) missingGeneration(newest segment) *Damage {
 	for back := uint64(1); back+1 < uint64(len(s)) && newest.generation >= newest.base+back; back++ {
 		generation := newest.generation - back
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// misplacedGeneration checks that no generation is present which can't exist at its place beside the newest complete
-// one (rule 3).
+// misplacedGeneration checks that every generation is in the segment it is written to, and that none is above the one that
+// follows the newest complete generation (rule 3).
 func (s segments) misplacedGeneration(newest segment) *Damage {
 	for position, segment := range s {
 		if !segment.hasGeneration() || segment.generation < newest.base {
--- a/internal/keystore/proposer.go
+++ b/internal/keystore/proposer.go
@@ -131,8 +131,8 @@
 	return key.addAcceptingMembers(&result.replySet)
 }
 
-// addAcceptingMembers counts the votes of the members that accepted a proposal from now on, including members that
-// never promised: accepting a proposal also promises its number. It returns what is known about the proposal's outcome.
+// addAcceptingMembers makes the later votes of all members that accepted a proposal count, including members that never
+// promised: accepting a proposal also promises its number. It returns what is known about the proposal's outcome.
 func (k *keyState) addAcceptingMembers(accepted *replySet) error {
 	outcome := ErrUncertain
 	for address, reply := range accepted.replies {
--- a/internal/keystore/quorum.go
+++ b/internal/keystore/quorum.go
@@ -25,7 +25,7 @@
 }
 
 func isMajority(group []string, agreed map[string]bool) bool {
-	return len(group) > 0 && countMarked(group, "", agreed) >= majoritySize(group)
+	return len(group) > 0 && countIn(group, "", agreed) >= majoritySize(group)
 }
 
 func majoritySize(group []string) int { return len(group)/2 + 1 }
@@ -33,13 +33,14 @@
 // coversMajorities reports whether the members read, excluding self, share a member with every majority of the group.
 func coversMajorities(group []string, self string, read map[string]bool) bool {
 	needed := len(group) - majoritySize(group) + 1
-	return countMarked(group, self, read) >= needed
+	return countIn(group, self, read) >= needed
 }
 
-func countMarked(group []string, except string, marked map[string]bool) int {
+// countIn returns how many members of the group, other than except, are in the set of members.
+func countIn(group []string, except string, members map[string]bool) int {
 	total := 0
 	for _, member := range group {
-		if member != except && marked[member] {
+		if member != except && members[member] {
 			total++
 		}
 	}
--- a/internal/keystore/segments.go
+++ b/internal/keystore/segments.go
@@ -21,9 +21,10 @@
 //     generation above N+1 can have been started.
 //  4. State read at a start is synced before it is used, so it can't be lost later.
 //  5. When damage is found, a damage marker with a new base is synced over the start of one segment. A complete generation
-//     with that base ends the damage. Generations below the base are void, and rule 3 doesn't require them. Damage markers
+//     with that base ends the damage. Generations below the base are ignored, and rule 3 doesn't require them. Damage markers
 //     and ready markers start with bytes of their own, so even a torn one differs from a torn generation. The base is above
-//     any generation that was found or can have been lost, and it isn't written to the marked segment.
+//     any generation that was found or can have been lost, and the generation of that number isn't written to the segment
+//     that holds the marker.
 //
 // Each attempt to write a generation draws a salt that is part of the index of each of its records. So the remains of one
 // attempt are never taken for the continuation of another.
--- a/internal/keystore/wal.go
+++ b/internal/keystore/wal.go
@@ -69,7 +69,7 @@
 	}
 	log.damage = found.damage()
 	if log.damage != nil {
-		return log, log.markDamaged(found)
+		return log, log.writeDamageMarker(found)
 	}
 	newest := found.newest()
 	if newest.state == SegmentComplete {
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	if newest.state != SegmentComplete {
-		return log, log.markReady(found)
+		return log, log.writeReadyMarkers(found)
 	}
 	return log, errors.Wrapf(directory.Sync(newest.name), "segment %s", newest.name)
 }
@@ -107,9 +107,9 @@
 	return nil
 }
 
-// markReady syncs the names of all segments to disk, and then writes the ready marker to those that hold no data. An
-// existing ready marker is written again, since a process that was killed may not have synced it.
-func (w *WAL) markReady(found segments) error {
+// writeReadyMarkers syncs the names of all segments to disk, and then writes the ready marker to those that hold no data.
+// An existing ready marker is written again, since a process that was killed may not have synced it.
+func (w *WAL) writeReadyMarkers(found segments) error {
 	if err := w.directory.SyncDirectory(); err != nil {
 		return errors.Wrap(err, "data directory")
 	}
@@ -124,17 +124,17 @@
 	return nil
 }
 
-// markDamaged writes a damage marker, which keeps the log damaged until a generation above anything found in it is
+// writeDamageMarker writes a damage marker, which keeps the log damaged until a generation above anything found in it is
 // complete, and then creates the segments that are missing. The marker is written to a segment that was in use, and not
 // to that of the next generation.
-func (w *WAL) markDamaged(found segments) error {
-	marked, _ := found.firstIn(SegmentDamaged)
-	if marked.name == "" {
-		marked, _ = found.firstIn(SegmentComplete, SegmentTorn, SegmentUnreadable, SegmentReady)
+func (w *WAL) writeDamageMarker(found segments) error {
+	target, _ := found.firstIn(SegmentDamaged)
+	if target.name == "" {
+		target, _ = found.firstIn(SegmentComplete, SegmentTorn, SegmentUnreadable, SegmentReady)
 	}
 	// At most as many generations were lost above the highest one found as there are segments.
 	base := found.highestGeneration() + uint64(w.segmentCount) + 1
-	for found.forGeneration(base).name == marked.name {
+	for found.forGeneration(base).name == target.name {
 		base++
 	}
 	w.base, w.generation = base, base-1
@@ -142,21 +142,21 @@
 	if err != nil {
 		return err
 	}
-	if err := w.directory.Prepare(marked.name, w.segmentBytes); err != nil {
-		return errors.Wrapf(err, "segment %s", marked.name)
+	if err := w.directory.Prepare(target.name, w.segmentBytes); err != nil {
+		return errors.Wrapf(err, "segment %s", target.name)
 	}
-	if err := w.writeAndSync(marked.name, 0, content); err != nil {
-		return errors.Wrapf(err, "damage marker of segment %s", marked.name)
+	if err := w.writeAndSync(target.name, 0, content); err != nil {
+		return errors.Wrapf(err, "damage marker of segment %s", target.name)
 	}
 	if err := w.prepareSegments(); err != nil {
 		return err
 	}
 	for position := range found {
-		if found[position].name == marked.name {
+		if found[position].name == target.name {
 			found[position].state = SegmentDamaged
 		}
 	}
-	return w.markReady(found)
+	return w.writeReadyMarkers(found)
 }
 
 // Append returns nil once the registers are on disk. After an error they may or may not be found at the next start. The
