--- a/internal/loadbudget/bounds.go
+++ b/internal/loadbudget/bounds.go
@@ -20,7 +20,7 @@
 type StartDelays struct {
 	// Accepted is the delay of a load whose order was accepted.
 	Accepted time.Duration
-	// Uncertain is the delay of a load without a clear answer whose order was sent by a holder that has stopped since.
+	// Uncertain is the delay of a load without a clear answer whose order was sent by a lease holder that has stopped since.
 	Uncertain time.Duration
 }
 
@@ -28,7 +28,7 @@
 type Bounds struct {
 	Loads  int
 	Window time.Duration
-	// UncertainDelay is how long a load without a clear answer may still start after its holder has stopped.
+	// UncertainDelay is how long a load without a clear answer may still start after the lease holder that ordered it has stopped.
 	UncertainDelay time.Duration
 }
 
@@ -45,8 +45,8 @@
 // headroom returns how many loads are reserved in addition to those that are counted.
 func (b Bounds) headroom() int { return (b.Loads + headroomDivisor - 1) / headroomDivisor }
 
-// lookahead returns how far ahead loads are reserved that may start only when others have left the window. With it, a holder
-// at its bounds reserves several loads by one write.
+// lookahead returns how far ahead loads are reserved that may start only when others have left the window. With it, a lease
+// holder at its bounds reserves several loads by one write.
 func (b Bounds) lookahead() time.Duration { return b.Window / headroomDivisor }
 
 // hysteresis returns by how many loads the headroom may be off before the reservation is written again.
--- a/internal/loadbudget/budget.go
+++ b/internal/loadbudget/budget.go
@@ -10,8 +10,8 @@
 type Budget struct {
 	log   LoadLog
 	fence uint64
-	// allowance is how many loads may start in addition to those counted when the last reservation was decided. used is how
-	// many loads have used it since.
+	// allowance is how many loads may start in addition to those counted when the last reservation was decided, and used how
+	// many of them have been ordered or detected since.
 	allowance, used int
 	// proposedAllowance becomes the allowance once the write in flight has certainly succeeded.
 	proposedAllowance int
@@ -19,7 +19,7 @@
 	reserved      int
 	writeInFlight bool
 	retryAt       time.Time
-	// excessSince is since when the reservation has been far above the need; zero while it is not.
+	// excessSince is the time from which the reservation has been far above the need; zero while it is not.
 	excessSince time.Time
 }
 
@@ -28,7 +28,7 @@
 
 // TakeOver starts a grant. Unless this process itself held the previous grant, all loads of the reservation count as started,
 // each at the latest time at which it may have started. No load may start before a reservation has been written under the new
-// grant, since a successor would not know of it.
+// grant, since a successor would not know of the load.
 func (b *Budget) TakeOver(grant Takeover, bounds Bounds) {
 	continues := grant.ContinuesFence != 0 && grant.ContinuesFence == b.fence
 	b.fence = grant.Fence
--- a/internal/loadbudget/faults_test.go
+++ b/internal/loadbudget/faults_test.go
@@ -20,7 +20,7 @@
 	if s.oneIn(400) {
 		s.rates = append(s.rates, rateChange{s.now, 0.5 + float64(s.random.IntN(6))})
 	}
-	if s.holder == noHolder || !s.oneIn(30) {
+	if s.holderIndex == noHolder || !s.oneIn(30) {
 		return
 	}
 	switch s.random.IntN(4) {
@@ -35,19 +35,19 @@
 
 // vacate ends the holder's grant. Its loads in flight start within maxStartDelay.
 func (s *simulation) vacate() {
-	old := s.processes[s.holder]
+	old := s.processes[s.holderIndex]
 	for index := range old.orders {
 		if last := s.now.Add(maxStartDelay); old.orders[index].startsAt.After(last) {
 			old.orders[index].startsAt = last
 		}
 	}
-	s.lastHolder, s.holder = s.holder, noHolder
+	s.lastHolderIndex, s.holderIndex = s.holderIndex, noHolder
 	s.leaseVacantUntil = s.now.Add(s.randomDuration(maxVacantTime))
 }
 
 // kill ends the holder's process and replaces it by a new incarnation. Its loads in flight start or are lost as drawn.
 func (s *simulation) kill() {
-	old := s.processes[s.holder]
+	old := s.processes[s.holderIndex]
 	s.resolveWrite(old)
 	s.vacate()
 	for _, sent := range old.orders {
--- a/internal/loadbudget/simulation_test.go
+++ b/internal/loadbudget/simulation_test.go
@@ -35,7 +35,7 @@
 // seedCount is how many seeds are run.
 const seedCount = 3000
 
-// noHolder is the value of simulation.holder while no process holds the lease.
+// noHolder is the value of simulation.holderIndex while no process holds the lease.
 const noHolder = -1
 
 // plantedFault is a fault that the simulation must detect.
@@ -88,7 +88,7 @@
 	takesEffect bool
 }
 
-// process is an incarnation of a daemon.
+// process is an incarnation of a control plane.
 type process struct {
 	budget loadbudget.Budget
 	orders []order
@@ -112,10 +112,10 @@
 	faultsEnd time.Time
 	rates     []rateChange
 	processes [processCount]*process
-	// holder is the index of the process that holds the lease, or noHolder.
-	holder     int
-	lastHolder int
-	fence      uint64
+	// holderIndex is the index of the process that holds the lease, or noHolder, and lastHolderIndex that of the last holder.
+	holderIndex     int
+	lastHolderIndex int
+	fence           uint64
 	// reserved is the reservation in the lease's record.
 	reserved         *loadbudget.Reservation
 	suspendedUntil   time.Time
@@ -136,7 +136,7 @@
 		random:         random,
 		fault:          planted,
 		now:            startTime,
-		holder:         noHolder,
+		holderIndex:    noHolder,
 		unorderedLoads: 10 + random.IntN(120),
 	}
 	if seed%2 == 1 {
@@ -188,7 +188,7 @@
 // deliver passes answers, reports and the outcomes of writes that are due to the processes.
 func (s *simulation) deliver() {
 	for _, process := range s.processes {
-		if process.index == s.holder && s.now.Before(s.suspendedUntil) {
+		if process.index == s.holderIndex && s.now.Before(s.suspendedUntil) {
 			continue
 		}
 		process.orders = slices.DeleteFunc(process.orders, func(sent order) bool {
@@ -246,7 +246,7 @@
 
 // runHolder assigns a vacant lease to a process, and lets the holder reserve and order loads.
 func (s *simulation) runHolder() {
-	if s.holder == noHolder {
+	if s.holderIndex == noHolder {
 		if s.now.Before(s.leaseVacantUntil) {
 			return
 		}
@@ -255,7 +255,7 @@
 	if s.now.Before(s.suspendedUntil) {
 		return
 	}
-	process := s.processes[s.holder]
+	process := s.processes[s.holderIndex]
 	if s.now.Before(process.effectiveFrom) {
 		return
 	}
@@ -271,11 +271,11 @@
 }
 
 func (s *simulation) takeLease() {
-	s.holder = s.random.IntN(processCount)
+	s.holderIndex = s.random.IntN(processCount)
 	if s.oneIn(2) && s.fence > 0 {
-		s.holder = s.lastHolder
+		s.holderIndex = s.lastHolderIndex
 	}
-	process := s.processes[s.holder]
+	process := s.processes[s.holderIndex]
 	for _, other := range s.processes {
 		s.resolveWrite(other)
 	}
@@ -294,7 +294,7 @@
 	if continues {
 		takeover.ContinuesFence = s.fence
 	}
-	restarted := process.index == s.lastHolder && process.fence == 0
+	restarted := process.index == s.lastHolderIndex && process.fence == 0
 	switch {
 	case s.fault == reservationIgnored:
 		takeover.Reserved = new(loadbudget.Reservation)
