--- a/internal/controlplane/replicatracker/replica.go
+++ b/internal/controlplane/replicatracker/replica.go
@@ -111,7 +111,7 @@
 		Backend:     r.listed.Backend,
 		Zone:        r.listed.Zone,
 		Draining:    r.IsDraining(),
-		Suspected:        suspected,
+		Suspected:   suspected,
 		Loaded:      r.state.CertainlyLoaded(),
 		MaybeLoaded: r.state.PossiblyLoaded(),
 		OnDisk:      known.certain,
--- a/internal/sim/emulator/planning.go
+++ b/internal/sim/emulator/planning.go
@@ -46,13 +46,13 @@
 			view.Loading[placement.ModelKey(backendName, replica.pending.Model)]++
 		}
 		view.Servers = append(view.Servers, &placement.Server{
-			ID:      id,
-			Backend: backendName,
-			Zone:    replica.listed.Zone,
-			Suspected:    c.demand.isSuspect(id, now),
-			Loaded:  cloneSet(replica.models),
-			Intent:  replica.intent,
-			Ready:   replica.known && replica.pending == nil,
+			ID:        id,
+			Backend:   backendName,
+			Zone:      replica.listed.Zone,
+			Suspected: c.demand.isSuspect(id, now),
+			Loaded:    cloneSet(replica.models),
+			Intent:    replica.intent,
+			Ready:     replica.known && replica.pending == nil,
 
 			OnDisk:      replica.loadedOnce,
 			MaybeOnDisk: c.loadedBefore[replica.listed.Address],
