--- a/internal/controlplane/scheduler/config.go
+++ b/internal/controlplane/scheduler/config.go
@@ -64,7 +64,7 @@
 type Settings struct {
 	// ListLag is the maximum lag of the platform's list behind the replicas.
 	ListLag time.Duration
-	// StoreLimit is the load limit of the weight store. Its rate is taken from the configuration.
+	// StoreLimit is the load limit of the model store. Its rate is taken from the configuration.
 	StoreLimit loadbudget.StoreLimit
 	// Zones maps each zone to its region.
 	Zones map[string]string
--- a/internal/controlplane/scheduler/demand_test.go
+++ b/internal/controlplane/scheduler/demand_test.go
@@ -18,7 +18,7 @@
 func TestDemandView_CountsResentArrivalsOnce(t *testing.T) {
 	loads := demand.NewLoadAggregator()
 	now, total := testStart, 0.0
-	holder := newDemandView(func() time.Time { return now }, func() {})
+	view := newDemandView(func() time.Time { return now }, func() {})
 	arrive := func(amount int) {
 		loads.AddReport(peer.LoadReport{
 			DataPlane: "edge",
@@ -27,29 +27,29 @@
 	}
 	counted := func() float64 {
 		now = now.Add(averagingSpan * time.Second)
-		holder.Update()
-		total += averagingSpan * holder.Rates()[placement.ModelKey("s", "m")]
+		view.Update()
+		total += averagingSpan * view.Rates()[placement.ModelKey("s", "m")]
 		return total
 	}
 	arrive(10)
 	lost := loads.DemandSummary("a", false)
-	holder.HandleSummary(lost)
+	view.HandleSummary(lost)
 	loads.MarkUncertain(lost)
 	arrive(5)
 	again := loads.DemandSummary("a", false)
-	holder.HandleSummary(again)
+	view.HandleSummary(again)
 	assert.Equal(t, counted(), 10.0, "resent arrivals are counted once")
 	next := loads.DemandSummary("a", false)
-	holder.HandleSummary(next)
+	view.HandleSummary(next)
 	loads.MarkDelivered(next)
 	loads.MarkUncertain(again)
-	holder.HandleSummary(loads.DemandSummary("a", false))
+	view.HandleSummary(loads.DemandSummary("a", false))
 	assert.Equal(t, counted(), 15.0)
-	holder.HandleSummary(loads.DemandSummary("a", false))
+	view.HandleSummary(loads.DemandSummary("a", false))
 	assert.Equal(t, counted(), 15.0, "nothing is left to resend")
 	restarted := lost
 	restarted.Incarnation = "next"
-	holder.HandleSummary(restarted)
+	view.HandleSummary(restarted)
 	assert.Equal(t, counted(), 25.0, "batch numbers restart with a new incarnation")
 }
 
--- a/internal/controlplane/scheduler/doc.go
+++ b/internal/controlplane/scheduler/doc.go
@@ -10,7 +10,7 @@
 //   - LeaseElector: the current lease grant. Safe for concurrent use.
 //   - DemandView: the demand reported by the data planes. Safe for concurrent use.
 //   - CopyAges: how long each replica has had each model loaded. Safe for concurrent use.
-//   - loadBudget: how many loads from the weight store may still start. Safe for concurrent use.
+//   - loadBudget: how many loads from the model store may still start. Safe for concurrent use.
 //   - replicatracker.Tracker: the state of replicas and their orders. Like everything below, used only by the planning loop.
 //   - orderSender and reportPoller: the calls to replicas.
 //   - contextEviction: the eviction of cached context, on request or at the end of its lifetime.
--- a/internal/controlplane/scheduler/fixtures_test.go
+++ b/internal/controlplane/scheduler/fixtures_test.go
@@ -43,7 +43,7 @@
 	return replica.Report{}, context.Canceled
 }
 
-// newTestScheduler returns a scheduler without a lease whose clock returns *now. Its list may lag by 800 ms, its weight store
+// newTestScheduler returns a scheduler without a lease whose clock returns *now. Its list may lag by 800 ms, and its model store
 // limits loads over 5 s.
 func newTestScheduler(now *time.Time) (*Scheduler, *fakeHost) {
 	host := &fakeHost{}
--- a/internal/controlplane/scheduler/loadbudget.go
+++ b/internal/controlplane/scheduler/loadbudget.go
@@ -31,7 +31,7 @@
 	reservation loadbudget.Reservation
 }
 
-// loadBudget limits the loads from the weight store under the current grant and writes the reservations for them. It is safe
+// loadBudget limits the loads from the model store under the current grant and writes the reservations for them. It is safe
 // for concurrent use.
 type loadBudget struct {
 	lease     *LeaseElector
--- a/internal/routing/health_test.go
+++ b/internal/routing/health_test.go
@@ -26,8 +26,8 @@
 		{0, 9, 0.9, false},
 	}
 	for _, testCase := range cases {
-		weight := logLikelihoodRatio(peer.Outcomes{Served: testCase.served, Failed: testCase.failed}, testCase.peerRate)
-		assert.Equal(t, weight > openThreshold, testCase.exceeds, "%+v gives %f", testCase, weight)
+		evidence := logLikelihoodRatio(peer.Outcomes{Served: testCase.served, Failed: testCase.failed}, testCase.peerRate)
+		assert.Equal(t, evidence > openThreshold, testCase.exceeds, "%+v gives %f", testCase, evidence)
 	}
 }
 
