--- a/internal/routing/loadreport_test.go
+++ b/internal/routing/loadreport_test.go
@@ -14,8 +14,8 @@
 	request := fixture.request()
 	fixture.matcher.Enqueue(request)
 	decision := <-request.Decided
-	lost := fixture.matcher.replicas.watch("i-8")
-	lost.suspect(fixture.now)
+	suspected := fixture.matcher.replicas.watch("i-8")
+	suspected.suspect(fixture.now)
 	report := fixture.matcher.collectLoad()
 	assert.DeepEqual(t, report.Replicas, map[string]peer.ReplicaLoad{
 		decision.Replica.ID: {Running: 1, Tokens: request.TotalTokens(), PrefillTokens: 800},
@@ -28,7 +28,7 @@
 	assert.Equal(t, served[decision.Replica.ID], peer.ReplicaLoad{Outcomes: peer.Outcomes{Served: 0.3}}, "only the outcomes are reported")
 	fixture.now = fixture.now.Add(10 * halfLife)
 	assert.Equal(t, len(fixture.matcher.collectLoad().Replicas), 0)
-	lost.suspect(fixture.now)
+	suspected.suspect(fixture.now)
 	fixture.matcher.replicas.watch("i-8")
 	assert.Equal(t, len(fixture.matcher.collectLoad().Replicas), 1)
 }
