--- a/internal/controlplane/scheduler/loadbudget.go
+++ b/internal/controlplane/scheduler/loadbudget.go
@@ -31,7 +31,7 @@
 	reservation loadbudget.Reservation
 }
 
-// loadBudget limits the loads from the weight store under the current grant and writes the reservations for them. It is safe
+// loadBudget limits the loads from the model store under the current grant and writes the reservations for them. It is safe
 // for concurrent use.
 type loadBudget struct {
 	lease     *LeaseElector
@@ -92,7 +92,7 @@
 	b.adoptGrant(grant)
 	for _, id := range b.budget.Pending() {
 		if !mayStart(id) {
-			b.budget.MarkStarted(id, now)
+			b.budget.RecordStarted(id, now)
 		}
 	}
 	b.propose(grant, now)
@@ -146,22 +146,22 @@
 	}
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.budget.MarkOrdered(action.Server)
+	b.budget.RecordOrdered(action.Server)
 	b.propose(b.lease.Grant(), now)
 }
 
-// recordRejected uncounts a load that its replica rejected or that was not sent.
+// recordRejected stops counting a load that its replica rejected or whose order was not sent.
 func (b *loadBudget) recordRejected(id string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.budget.MarkRejected(id)
+	b.budget.RecordRejected(id)
 }
 
 // recordStarted records that an order of a replica was accepted: every load ordered there has started by now or never will.
 func (b *loadBudget) recordStarted(id string, now time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.budget.MarkStarted(id, now)
+	b.budget.RecordStarted(id, now)
 }
 
 // spare returns how many loads from the store may start now for models that no request waits for. It is called after
@@ -172,7 +172,7 @@
 	return float64(b.budget.SpareLoads(now, b.bounds))
 }
 
-// recordFromDisk uncounts a load, counted as started at the given time, that turned out to come from the replica's disk.
+// recordFromDisk stops counting a load, counted as started at the given time, that turned out to come from the replica's disk.
 func (b *loadBudget) recordFromDisk(startedAt time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/loadbudget/budget.go
+++ b/internal/loadbudget/budget.go
@@ -10,8 +10,8 @@
 type Budget struct {
 	log   LoadLog
 	fence uint64
-	// allowance is how many loads may start in addition to those counted when the last reservation was decided. used is how
-	// many loads have used it since.
+	// allowance is how many loads may start in addition to those counted when the last reservation was decided, and used how
+	// many of them have been ordered or detected since.
 	allowance, used int
 	// proposedAllowance becomes the allowance once the write in flight has certainly succeeded.
 	proposedAllowance int
@@ -19,7 +19,7 @@
 	reserved      int
 	writeInFlight bool
 	retryAt       time.Time
-	// excessSince is since when the reservation has been far above the need; zero while it is not.
+	// excessSince is the time from which the reservation has been far above the need; zero while it is not.
 	excessSince time.Time
 }
 
@@ -28,7 +28,7 @@
 
 // TakeOver starts a grant. Unless this process itself held the previous grant, all loads of the reservation count as started,
 // each at the latest time at which it may have started. No load may start before a reservation has been written under the new
-// grant, since a successor would not know of it.
+// grant, since a successor would not know of the load.
 func (b *Budget) TakeOver(grant Takeover, bounds Bounds) {
 	continues := grant.ContinuesFence != 0 && grant.ContinuesFence == b.fence
 	b.fence = grant.Fence
@@ -71,21 +71,21 @@
 // Count returns how many loads may have started within the window that ends at now.
 func (b *Budget) Count(now time.Time, bounds Bounds) int { return b.log.Count(now, bounds.Window) }
 
-// MarkOrdered counts a pending load under a name and uses one load of the allowance.
-func (b *Budget) MarkOrdered(name string) {
-	b.log.MarkOrdered(name)
+// RecordOrdered counts a pending load under a name and uses one load of the allowance.
+func (b *Budget) RecordOrdered(name string) {
+	b.log.RecordOrdered(name)
 	b.used++
 }
 
 // Pending returns the names with pending loads.
 func (b *Budget) Pending() []string { return b.log.Pending() }
 
-// MarkStarted records that the pending loads under a name started at now or before, or never will.
-func (b *Budget) MarkStarted(name string, now time.Time) { b.log.MarkStarted(name, now) }
+// RecordStarted records that the pending loads under a name started at now or before, or never will.
+func (b *Budget) RecordStarted(name string, now time.Time) { b.log.RecordStarted(name, now) }
 
-// MarkRejected removes a pending load under a name, since its order was rejected. The allowance that it used is not given
+// RecordRejected removes a pending load under a name, since its order was rejected. The allowance that it used is not given
 // back.
-func (b *Budget) MarkRejected(name string) { b.log.MarkRejected(name) }
+func (b *Budget) RecordRejected(name string) { b.log.RecordRejected(name) }
 
 // AddStarted counts a load that was detected only after it had started, at startedBy or before. This may exceed the
 // reservation; Propose then asks for a higher one.
--- a/internal/sim/emulator/attempt.go
+++ b/internal/sim/emulator/attempt.go
@@ -91,7 +91,7 @@
 		p.fail(apierror.NewRetryable(apierror.NotExecuted, 100*time.Millisecond))
 		return
 	}
-	if decision.Prefill != p.request.HeldPrefill {
+	if decision.Prefill != p.request.CompletedPrefill {
 		p.releaseHeld()
 	}
 	if decision.Prefill != nil && p.held == nil {
--- a/internal/sim/emulator/disaggregation.go
+++ b/internal/sim/emulator/disaggregation.go
@@ -151,7 +151,7 @@
 	}
 	if !usable {
 		p.ticket = nil
-		p.request.HeldPrefill = step
+		p.request.CompletedPrefill = step
 		p.enqueue()
 		p.edge.processDecisions()
 		return
@@ -188,6 +188,6 @@
 		return
 	}
 	held := p.held
-	p.held, p.request.HeldPrefill = nil, nil
+	p.held, p.request.CompletedPrefill = nil, nil
 	p.edge.afterLink(held.server.machine.zone, held.release)
 }
--- a/internal/sim/emulator/forward.go
+++ b/internal/sim/emulator/forward.go
@@ -96,7 +96,7 @@
 	}
 	now := p.edge.world.now()
 	p.lastByteAt, p.edge.lastUsed[p.replicaID] = now, now
-	p.held, p.request.HeldPrefill = nil, nil
+	p.held, p.request.CompletedPrefill = nil, nil
 	if !p.firstEventSeen {
 		p.firstEventSeen, p.lastReportedAt = true, now
 		p.edge.reportOutcome(p.ticket, routing.OutcomeFirstEvent)
