--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -30,11 +30,11 @@
 //   - stepModels: the latency models of disaggregated backends (phase.go).
 //
 // A Decision is not yet a permission to send: Snapshot.Admit checks it against the current snapshot and returns the Target
-// that forwarders need (target.go). After a prefill the decode replica is checked again (heldprompt.go).
+// that forwarders need (target.go). After a prefill the decode replica is checked again (completedprefill.go).
 //
 // Start reading at matcher.go (the event loop), queue.go (a request enters, waits and leaves), assign.go
 // (one batch is decided), score.go (the weight of one pair of request and replica) and reports.go (the effects of
-// an outcome). split.go and splitreports.go add disaggregated backends, rendezvous.go chooses their candidates, and
+// an outcome). disaggregation.go and disaggregationreports.go add disaggregated backends, rendezvous.go chooses their candidates, and
 // shed.go rejects some of their requests under overload. slotshare.go and warmup.go compute this data plane's share
 // of a replica's slots and of its warm-up rate. forecast.go, forecast_route.go and fork.go forecast the loss of a
 // region; drill.go and drill_record.go rehearse it (docs/design/rehearsal.md).
