--- a/cmd/ferryspar-operator/client.go
+++ b/cmd/ferryspar-operator/client.go
@@ -56,7 +56,7 @@
 }
 
 // call tries the control planes in turn and returns the body of the first conclusive response. The error is
-// errNoControlPlane, a rejectedError, or says why no control plane responded; in the last case a change may
+// errNoControlPlane, a rejectedError, or the reason why no control plane responded; in the last case a change may
 // nevertheless have been made.
 func (a *application) call(request apiRequest) ([]byte, error) {
 	return a.callWithin(a.options.PerAddressTimeout, request)
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -62,7 +62,7 @@
 	body    []byte
 }
 
-// Call returns the first conclusive response, or an error that says why there was none in time. After an error the
+// Call returns the first conclusive response, or an error with the reason why there was none in time. After an error the
 // request may nevertheless have been carried out. ifMatch is the version that a change expects, or "" for none.
 func (c *Client) Call(ctx context.Context, method, path, ifMatch string, body []byte) (Response, error) {
 	if len(c.Addresses) == 0 {
--- a/internal/controlplane/demand/replica_totals.go
+++ b/internal/controlplane/demand/replica_totals.go
@@ -15,7 +15,7 @@
 	negligible = 1e-6
 )
 
-// sign tells whether a value is added to a sum or subtracted from it.
+// sign is whether a value is added to a sum or subtracted from it.
 type sign int
 
 const (
--- a/internal/controlplane/fleetsize/record.go
+++ b/internal/controlplane/fleetsize/record.go
@@ -72,7 +72,7 @@
 	return observed.DataPlanes
 }
 
-// homesSettled reports whether the observed homes differ from the recorded ones and have not changed for homesAfter.
+// homesSettled reports whether the observed homes differ from the recorded ones and have not changed for homesDelay.
 func (d *Decider) homesSettled(recorded []peer.Neighbour, observed Observation, now time.Time) bool {
 	if !slices.Equal(d.homes, observed.Homes) || d.homesSince.IsZero() {
 		d.homes, d.homesSince = observed.Homes, now
--- a/internal/controlplane/roster/updates.go
+++ b/internal/controlplane/roster/updates.go
@@ -27,7 +27,7 @@
 	Pages int `json:"pages,omitempty"`
 }
 
-// updateContent tells what an update carries besides the list.
+// updateContent is what an update carries besides the list.
 type updateContent int
 
 const (
--- a/internal/controlplane/scheduler/config.go
+++ b/internal/controlplane/scheduler/config.go
@@ -92,7 +92,7 @@
 	Leaving <-chan struct{}
 }
 
-// Cluster tells a LeaseElector about the state of this node and the others before it tries to acquire the lease.
+// Cluster is the state of this node and the others that a LeaseElector checks before it tries to acquire the lease.
 type Cluster interface {
 	// MayAcquireLease reports whether this node votes, belongs to the membership and has state that a majority confirmed
 	// recently.
--- a/internal/dataplane/endpoints.go
+++ b/internal/dataplane/endpoints.go
@@ -26,7 +26,7 @@
 	ids atomic.Pointer[peer.ReplicaIDs]
 }
 
-// adopt puts a node's endpoints in use and reports whether the snapshot changes; changed says whether the node's endpoints have
+// adopt puts a node's endpoints in use and reports whether the snapshot changes; changed is whether the node's endpoints have
 // changed since the last call. Older endpoints of a node other than the source are not adopted until those in use are older than
 // controlPeerTimeout.
 func (t *endpointTable) adopt(address string, control *controlPeer, changed bool) bool {
--- a/internal/dataplane/freshness.go
+++ b/internal/dataplane/freshness.go
@@ -44,7 +44,7 @@
 }
 
 // observe records the response to a poll sent at sentAt, after the configuration of revision adopted was put in use. confirmed
-// says whether the response still counted as confirmed by a majority when it was received.
+// is whether the response still counted as confirmed by a majority when it was received.
 func (f *freshness) observe(response *peer.WatchResponse, sentAt time.Time, adopted int64, confirmed bool) {
 	f.adopted.Store(adopted)
 	if confirmed && response.Revision > f.newestKnown.Load() {
--- a/internal/dataplane/quotas.go
+++ b/internal/dataplane/quotas.go
@@ -72,7 +72,7 @@
 }
 
 // handleUpdate adopts a confirmed response to a poll sent at sentAt. count is the number of data planes among which the limits
-// are divided, or 0 if unknown; reliable says whether it includes all of them.
+// are divided, or 0 if unknown; reliable is whether it includes all of them.
 func (q *Quotas) handleUpdate(response *peer.WatchResponse, count int, reliable bool, sentAt time.Time) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
--- a/internal/dataplane/watcher.go
+++ b/internal/dataplane/watcher.go
@@ -44,7 +44,7 @@
 	handled chan resultDisposition
 }
 
-// resultDisposition says how a result was handled.
+// resultDisposition describes how a result was handled.
 type resultDisposition struct {
 	// configurationRejected is set if the configuration in the response cannot be decoded. The next poll requests it again.
 	configurationRejected bool
--- a/internal/proxy/authorization.go
+++ b/internal/proxy/authorization.go
@@ -11,7 +11,7 @@
 	"ferryspar/internal/routing"
 )
 
-// Freshness tells whether the configuration in use is up to date. Implementations must be safe for concurrent use.
+// Freshness reports whether the configuration in use is up to date. Implementations must be safe for concurrent use.
 type Freshness interface {
 	// Behind reports whether a newer configuration is known to exist that this data plane has not adopted yet.
 	Behind() bool
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -29,7 +29,7 @@
 
 	// RequestLog, if set before the first request, receives an entry for each request.
 	RequestLog *requestlog.Writer
-	// Freshness, if set before the first request, tells whether the configuration is up to date. If nil, it always is.
+	// Freshness, if set before the first request, reports whether the configuration is up to date. If nil, it always counts as such.
 	Freshness Freshness
 	// Quota, if set before the first request, rejects requests of tenants that exceed their rate limit.
 	Quota Quota
--- a/internal/test/mixedbuilds/fleet.go
+++ b/internal/test/mixedbuilds/fleet.go
@@ -98,8 +98,7 @@
 	if len(folders) == 0 {
 		return errors.Errorf("no settings in %s", f.folder)
 	}
-	slices.SortFunc(folders, func(a, b string) int { return modifiedAt(a).Compare(modifiedAt(b)) })
-	newest := folders[len(folders)-1]
+	newest := slices.MaxFunc(folders, func(a, b string) int { return modifiedAt(a).Compare(modifiedAt(b)) })
 	for _, node := range allNodes {
 		if err := f.adopt(node, filepath.Join(newest, node+".toml"), platform); err != nil {
 			return errors.Wrap(err, node)
--- a/internal/test/mixedbuilds/main.go
+++ b/internal/test/mixedbuilds/main.go
@@ -14,6 +14,7 @@
 import (
 	"fmt"
 	"os"
+	"slices"
 	"time"
 
 	"github.com/jessevdk/go-flags"
@@ -51,8 +52,8 @@
 		{"new build on the data of the old one", chosen.New, allNodes},
 		{"one new control plane, one new data plane", chosen.New, []string{"control-3", "data-2"}},
 		{"one old control plane, one old data plane", chosen.Old, []string{"control-3", "data-2"}},
-		{"old control planes, new data planes", chosen.Old, []string{"control-1", "control-2", "control-3"}},
-		{"new control planes, old data planes", chosen.New, []string{"control-1", "control-2", "control-3"}},
+		{"old control planes, new data planes", chosen.Old, controlNodes},
+		{"new control planes, old data planes", chosen.New, controlNodes},
 		{"old build on the data of the new one", chosen.Old, allNodes},
 	}
 }
@@ -102,10 +103,8 @@
 	fleet.killAll()
 	stopWriting()
 	err := fleet.startAll(func(node string) string {
-		for _, named := range next.nodes {
-			if named == node {
-				return next.build
-			}
+		if slices.Contains(next.nodes, node) {
+			return next.build
 		}
 		return other
 	})
